--- a/crates/trial/tests/judge.rs
+++ b/crates/fault-scenarios/tests/judge.rs
@@ -4,7 +4,7 @@
 use shorewharf_emulator::edge::{BalancerId, NodeId};
 use shorewharf_emulator::sockets::between::{Break, What};
 use shorewharf_emulator::world::series::NodeSeries;
-use shorewharf_trial::{Problem, Promises, Seen, Trial, judge};
+use shorewharf_fault_scenarios::{Problem, Promises, Seen, Trial, judge};
 
 const HEAD: &str = "about = \"a\"\nday = \"d.toml\"\n";
 
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -8,8 +8,8 @@
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_emulator::sockets::directory::Directory;
+use shorewharf_fault_scenarios::{Kind, StoreBreak};
 use shorewharf_store::standin::{Cluster, Fault, Member};
-use shorewharf_trial::{Kind, StoreBreak};
 use tempfile::TempDir;
 
 use crate::error::Failure;
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::world::series::SLOT;
-use shorewharf_trial::{Evenness, Trial, Worst, bursts};
+use shorewharf_fault_scenarios::{Evenness, Trial, Worst, bursts};
 
 use crate::cli;
 use crate::error::{Done, Failure};
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use shorewharf_emulator::sockets::platform::SocketsRun;
 use shorewharf_emulator::world::series::SLOT;
-use shorewharf_trial::{Seen, Trial, Verdict, judge};
+use shorewharf_fault_scenarios::{Seen, Trial, Verdict, judge};
 
 use crate::balancer;
 use crate::budgets::Shared;
--- a/crates/roll/src/main.rs
+++ b/crates/rolling-restart/src/main.rs
@@ -1,4 +1,4 @@
-//! `shorewharf-roll`: restarts balancers one after the other, by a command of the operator's.
+//! `shorewharf-rolling-restart`: restarts balancers one after the other, by a command of the operator's.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 
 use clap::Parser;
 use comfy_table::Table;
-use shorewharf_roll::{Fleet, Health, Terms, roll};
+use shorewharf_rolling_restart::{Fleet, Health, Terms, roll};
 
 /// An answer is due within a second; a machine that is busy starting a program may take longer.
 const ANSWER: Duration = Duration::from_secs(3);
@@ -18,7 +18,7 @@
 /// Restarts balancers one after the other; each is to be back and knowing before the next goes
 #[derive(Parser)]
 #[command(
-    name = "shorewharf-roll",
+    name = "shorewharf-rolling-restart",
     version,
     after_help = "\
 Exit codes:
--- a/crates/roll/tests/rolling.rs
+++ b/crates/rolling-restart/tests/rolling.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use shorewharf_roll::{Fleet, Health, Report, Terms, roll};
+use shorewharf_rolling_restart::{Fleet, Health, Report, Terms, roll};
 
 const WELL: Health = Health { ready: true, targets: 10, avoided: 1 };
 const TERMS: Terms = Terms { within: Duration::from_secs(10), settle: Duration::from_secs(2) };
