--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -6,6 +6,7 @@
 use shorewharf_settings::operator::Budgets;
 
 use crate::config_error::ConfigError;
+use shorewharf_units::micros_from_seconds;
 
 /// More balancers than this are no fleet of one service.
 const MOST: usize = 4_096;
@@ -29,10 +30,6 @@
     ConfigError::Form(key.to_owned(), why.to_string())
 }
 
-fn micros(seconds: f64) -> u64 {
-    (seconds * 1e6).round() as u64
-}
-
 impl Fleet {
     /// What the operator's file says, for the balancer of this name; none where it names no store.
     ///
@@ -85,10 +82,10 @@
         budgets.sort_by(|a, b| a.name.cmp(&b.name));
         let rules = Rules {
             budgets,
-            lease: micros(of.lease_s),
-            margin: micros(of.margin_s),
-            look: micros(of.look_s),
-            linger: micros(of.linger_s),
+            lease: micros_from_seconds(of.lease_s),
+            margin: micros_from_seconds(of.margin_s),
+            look: micros_from_seconds(of.look_s),
+            linger: micros_from_seconds(of.linger_s),
             reserve: of.reserve,
             floor: of.floor,
             members: all.len(),
--- a/crates/balancer/src/net/budgets.rs
+++ b/crates/balancer/src/net/budgets.rs
@@ -7,11 +7,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use shorewharf_budgets::{Call, Condition, Failed, Member, Parts, Record, Reply, Rules};
-use shorewharf_driver::{Budgets, Micros};
+use shorewharf_driver::Budgets;
 use shorewharf_store::error::StoreError;
 use shorewharf_store::key::{Key, Space};
 use shorewharf_store::replicated::{Options, Replicated};
 use shorewharf_store::store::{Ask, Batch, Condition as Holds, Entry, Store};
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
 use super::Clock;
--- a/crates/balancer/src/net/clients/idle_connections.rs
+++ b/crates/balancer/src/net/clients/idle_connections.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use shorewharf_decisions::interface::RequestId;
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 
 /// Connections that ask for nothing, each with the time since when.
 #[derive(Debug, Default)]
--- a/crates/balancer/src/net/clients/session.rs
+++ b/crates/balancer/src/net/clients/session.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{RequestId, ServerId};
-use shorewharf_driver::{Micros, ReceivedRequest};
+use shorewharf_driver::ReceivedRequest;
+use shorewharf_units::Micros;
 
 use crate::net::link::{End, Link, TooLong};
 use crate::net::pool::{Buffer, Pool};
--- a/crates/balancer/src/net/clients/sessions.rs
+++ b/crates/balancer/src/net/clients/sessions.rs
@@ -6,7 +6,7 @@
 use mio::net::TcpStream;
 use rustc_hash::FxHashMap;
 use shorewharf_decisions::interface::RequestId;
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 
 use super::idle_connections::IdleConnections;
 use super::open_ids::OpenIds;
--- a/crates/balancer/src/net/crew.rs
+++ b/crates/balancer/src/net/crew.rs
@@ -13,7 +13,7 @@
 use mio::Waker;
 use mio::net::{TcpListener, TcpStream};
 use shorewharf_decisions::interface::{Outcome, ServerId};
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
 use super::handover::words::Handed;
--- a/crates/balancer/src/net/gossip.rs
+++ b/crates/balancer/src/net/gossip.rs
@@ -10,8 +10,9 @@
 use mio::net::UdpSocket;
 use shorewharf_decisions::Holding;
 use shorewharf_decisions::interface::{Away, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_gossip::{Elsewhere, Gossip, Held, MOST_BYTES, MOST_HELD, Refusal};
+use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
 use super::poll::Owner;
--- a/crates/balancer/src/net/handover/overlap.rs
+++ b/crates/balancer/src/net/handover/overlap.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{Request, RequestId};
-use shorewharf_driver::Micros;
 use shorewharf_protocol::list::Listing;
 use shorewharf_recovery::memory::Learned;
+use shorewharf_units::Micros;
 use tracing::warn;
 
 use super::predecessor::Predecessor;
--- a/crates/balancer/src/net/handover/successors.rs
+++ b/crates/balancer/src/net/handover/successors.rs
@@ -1,5 +1,6 @@
 //! The old process's side: whoever asks gets the listeners and the list, and is a successor once it serves.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::Permissions;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
@@ -12,7 +13,6 @@
 use mio::net::{UnixListener, UnixStream};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
-use shorewharf_driver::Micros;
 use tracing::warn;
 
 use super::is_own;
--- a/crates/balancer/src/net/handover/words.rs
+++ b/crates/balancer/src/net/handover/words.rs
@@ -5,9 +5,9 @@
 
 use mio::net::TcpStream;
 use serde::{Deserialize, Serialize};
-use shorewharf_driver::Micros;
 use shorewharf_protocol::list::Listing;
 use shorewharf_recovery::memory::Learned;
+use shorewharf_units::Micros;
 
 /// Another form of these lines is another version; who finds one starts by itself.
 pub const VERSION: u32 = 1;
--- a/crates/balancer/src/net/hub.rs
+++ b/crates/balancer/src/net/hub.rs
@@ -6,9 +6,10 @@
 
 use mio::net::{TcpListener, TcpStream};
 use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId};
-use shorewharf_driver::{Effects, Micros, NetworkEvent};
+use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_lifecycle::{Answer, Cause};
 use shorewharf_protocol::list::Listing;
+use shorewharf_units::Micros;
 use tracing::{error, info};
 
 use super::clients::open_ids::OpenIds;
--- a/crates/balancer/src/net/keeping.rs
+++ b/crates/balancer/src/net/keeping.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use shorewharf_decisions::ServerId;
-use shorewharf_driver::{Driver, Gate, Micros, micros, seconds};
+use shorewharf_driver::{Driver, Gate};
 use shorewharf_protocol::list::Listing;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::Snapshot;
@@ -14,6 +14,7 @@
 use shorewharf_snapshot::judge::{Asks, later};
 use shorewharf_snapshot::record::{Head, Line, VERSION};
 use shorewharf_snapshot::writer::Writer;
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use tracing::{debug, info, warn};
 
 use super::hub::Net;
@@ -43,7 +44,8 @@
     /// Has the module recall it, and says what became of it.
     pub fn recall(self, now: Micros, gate: &mut Gate) {
         let age = now.saturating_sub(self.taken);
-        let recalled = gate.recall(seconds(now), seconds(age), self.away, self.learned);
+        let recalled =
+            gate.recall(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
         let (taken, outdated, faded, odd) = (recalled.taken, recalled.outdated, recalled.faded, recalled.odd);
         info!(event = "recalled", from = self.from, ms = age / 1000, taken, outdated, faded, odd);
     }
@@ -95,7 +97,7 @@
         opened.inspect_err(|e| warn!(event = "no-snapshots", folder = %path.display(), error = %e)).ok()?;
     let balancer = config.name.clone();
     let (at, began, fails) = (None, 0, false);
-    let every = micros(set.every_s);
+    let every = micros_from_seconds(set.every_s);
     Some((Keeping { writer, every, balancer, worker, workers, at, began, fails }, found))
 }
 
@@ -110,7 +112,8 @@
     set: &Snapshot,
     (worker, workers): (usize, usize),
 ) -> io::Result<Option<(Memory, Listing)>> {
-    let (balancer, now, oldest, list) = (&*config.name, unix(), micros(set.oldest_s), &config.known);
+    let (balancer, now, oldest, list) =
+        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
     let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
     for (path, why) in &choice.left {
         warn!(event = "snapshot-left-aside", file = %path.display(), %why);
--- a/crates/balancer/src/net/list/discovery_client.rs
+++ b/crates/balancer/src/net/list/discovery_client.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_driver::{Micros, PAUSE_MOST};
+use shorewharf_driver::PAUSE_MOST;
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
 use super::answer::Answer;
--- a/crates/balancer/src/net/list/wall_clock.rs
+++ b/crates/balancer/src/net/list/wall_clock.rs
@@ -1,9 +1,8 @@
 //! Servers' starts, which the list gives by the wall clock, on the program's own clock, which the wall clock only sets once.
 
+use shorewharf_units::{Micros, seconds_from_micros};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use shorewharf_driver::{Micros, seconds};
-
 /// A wall clock that is off by less has not been stepped: it drifts and is slewed.
 const STEP_S: f64 = 1.0;
 
@@ -20,7 +19,7 @@
     /// Reads the wall clock at this time of the program's.
     pub fn read(now: Micros) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        WallClock::at(seconds(now), unix.as_secs_f64())
+        WallClock::at(seconds_from_micros(now), unix.as_secs_f64())
     }
 
     /// The wall clock shows `unix` at this time of the program's, both in seconds.
--- a/crates/balancer/src/net/log_rate_limiter.rs
+++ b/crates/balancer/src/net/log_rate_limiter.rs
@@ -1,7 +1,7 @@
 //! Log lines that clients cause by what they do wrong, bounded: a flood of bad clients must not fill the log or
 //! cost the time that usual clients need.
 
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 use tracing::warn;
 
 use super::turn::{Due, Turn};
--- a/crates/balancer/src/net/mod.rs
+++ b/crates/balancer/src/net/mod.rs
@@ -26,10 +26,9 @@
 mod turn;
 mod workers;
 
+use shorewharf_units::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use shorewharf_driver::Micros;
-
 pub use list::{incoming, reader};
 pub use operators::door::CALLERS;
 pub use servers::server_table;
--- a/crates/balancer/src/net/operators/desk.rs
+++ b/crates/balancer/src/net/operators/desk.rs
@@ -4,8 +4,9 @@
 
 use mio::net::TcpListener;
 use shorewharf_decisions::interface::ServerId;
-use shorewharf_driver::{Micros, NetworkEvent, seconds};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_protocol::operators::{Answer, Call, Figures, Refusal};
+use shorewharf_units::{Micros, seconds_from_micros};
 use tracing::{info, warn};
 
 use super::counts::Counts;
@@ -107,7 +108,7 @@
             (true, _) => {}
             (false, false) => return Answer::No(Refusal::NoSuchServer(name)),
             (false, true) => {
-                let out = Out { name: name.as_str().into(), since: seconds(self.turn.now) };
+                let out = Out { name: name.as_str().into(), since: seconds_from_micros(self.turn.now) };
                 self.change(Change::Out(server, out), "a call");
             }
         }
@@ -134,7 +135,7 @@
             desk.unkept.remove(&server);
             desk.told(done);
         }
-        self.change(Change::Back(server, seconds(self.turn.now)), "a call");
+        self.change(Change::Back(server, seconds_from_micros(self.turn.now)), "a call");
         Answer::Yes
     }
 
@@ -180,7 +181,8 @@
                     .keys()
                     .filter(|server| !out.contains_key(server) && !desk.unkept.contains(server))
                     .copied();
-                let back: Vec<_> = back.map(|server| Change::Back(server, seconds(self.turn.now))).collect();
+                let back: Vec<_> =
+                    back.map(|server| Change::Back(server, seconds_from_micros(self.turn.now))).collect();
                 let news = out.into_iter().filter(|(server, _)| !known.contains_key(server));
                 let news: Vec<_> = news.map(|(server, out)| Change::Out(server, out)).collect();
                 back.into_iter().chain(news).for_each(|change| self.change(change, "another process"));
--- a/crates/balancer/src/net/operators/door.rs
+++ b/crates/balancer/src/net/operators/door.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use mio::net::TcpListener;
-use shorewharf_driver::Micros;
 use shorewharf_protocol::operators::{Answer, Call, LONGEST, Refusal, call};
+use shorewharf_units::Micros;
 use tracing::warn;
 
 use crate::net::link::Link;
--- a/crates/balancer/src/net/overload_monitor.rs
+++ b/crates/balancer/src/net/overload_monitor.rs
@@ -5,7 +5,7 @@
 //! turns stay long or the backlog stays filled, each new client costs those who are here. Then a part of the new ones
 //! is told at once to come back later, which costs a tenth of serving them, and the part grows until the loop keeps up.
 
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
 /// Clients accepted in one turn at most; connections that stand get theirs in between.
--- a/crates/balancer/src/net/relay.rs
+++ b/crates/balancer/src/net/relay.rs
@@ -1,7 +1,7 @@
 //! What passes between a client session and its attempt once they stand: whole lines, both ways, and ends.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 
 use super::clients::session::{Session, Stage};
 use super::link::End;
--- a/crates/balancer/src/net/servers/attempts.rs
+++ b/crates/balancer/src/net/servers/attempts.rs
@@ -6,9 +6,9 @@
 
 use rustc_hash::FxHashMap;
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_driver::Micros;
 use shorewharf_protocol::open::with_patience;
 use shorewharf_protocol::words::{Word, word};
+use shorewharf_units::Micros;
 
 use crate::net::link::{End, Link, TooLong, is_local_failure, is_shortage};
 use crate::net::poll::Owner;
--- a/crates/balancer/src/net/servers/delays.rs
+++ b/crates/balancer/src/net/servers/delays.rs
@@ -1,7 +1,7 @@
 //! What messages take at each server, from what its connections see. One connection may fall silent by itself:
 //! only what most of a server's connections see is told of the server.
 
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 
 /// An answer says something of its server for so long: clients send a line every 2 s.
 const FRESH: Micros = 2_500_000;
--- a/crates/balancer/src/net/servers/probes.rs
+++ b/crates/balancer/src/net/servers/probes.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{Outcome, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
+use shorewharf_units::Micros;
 use tracing::debug;
 
 use crate::net::link::Link;
--- a/crates/balancer/src/net/servers/server_table.rs
+++ b/crates/balancer/src/net/servers/server_table.rs
@@ -5,10 +5,10 @@
 use std::ops::Bound::{Excluded, Unbounded};
 
 use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
-use shorewharf_driver::Micros;
 use shorewharf_lifecycle::Target;
 use shorewharf_protocol::list::Endpoint;
 use shorewharf_protocol::names::Names;
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
 use crate::net::list::incoming::{Entry, Incoming};
--- a/crates/balancer/src/net/serving/answers.rs
+++ b/crates/balancer/src/net/serving/answers.rs
@@ -4,9 +4,9 @@
 use std::fmt::Display;
 
 use shorewharf_decisions::interface::RequestId;
-use shorewharf_driver::Micros;
 use shorewharf_lifecycle::{Answer, Cause, Violation};
 use shorewharf_protocol::words::busy;
+use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
 use super::Serving;
--- a/crates/balancer/src/net/serving/dialing.rs
+++ b/crates/balancer/src/net/serving/dialing.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 use tracing::debug;
 
 use super::Serving;
--- a/crates/balancer/src/net/serving/due.rs
+++ b/crates/balancer/src/net/serving/due.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeMap;
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_lifecycle::{Answer, Cause};
+use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
 use super::{COME_BACK, Serving};
--- a/crates/balancer/src/net/serving/mod.rs
+++ b/crates/balancer/src/net/serving/mod.rs
@@ -12,9 +12,10 @@
 
 use mio::net::TcpStream;
 use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent, ReceivedRequest};
+use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer as FinalAnswer, Cause, RequestGuard};
 use shorewharf_protocol::open::{class_of, parse_open};
+use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
 use crate::net::budget::{Budget, Held};
--- a/crates/balancer/src/net/serving/standing.rs
+++ b/crates/balancer/src/net/serving/standing.rs
@@ -1,8 +1,9 @@
 //! Standing connections: what passes on them, and how they end.
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_lifecycle::{Answer, Cause};
+use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
 use super::Serving;
--- a/crates/balancer/src/net/shutdown.rs
+++ b/crates/balancer/src/net/shutdown.rs
@@ -1,6 +1,6 @@
 //! The steps of a planned end, in time since SIGTERM.
 
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 
 /// After SIGTERM the front still sends clients for 0.4 s; moved any sooner, they would come back here.
 pub const LEAVE_AFTER: Micros = 450_000;
--- a/crates/balancer/src/net/terms.rs
+++ b/crates/balancer/src/net/terms.rs
@@ -1,8 +1,8 @@
 //! What the configuration says of the peers; put in force whole, at the start and on a reload.
 
 use shorewharf_decisions::interface::Semantics;
-use shorewharf_driver::{Micros, micros};
 use shorewharf_protocol::names::Names;
+use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::config::Config;
 
@@ -52,8 +52,8 @@
             names: config.names.clone(),
             semantics: config.settings.classes.iter().map(|class| class.semantics).collect(),
             give_up: config.give_up.clone(),
-            connect_timeout: micros(config.settings.connect_timeout),
-            message_aim: micros(aims.fold(f64::INFINITY, f64::min)),
+            connect_timeout: micros_from_seconds(config.settings.connect_timeout),
+            message_aim: micros_from_seconds(aims.fold(f64::INFINITY, f64::min)),
             tells_delay: config.tells_delay,
             sockets: config.sockets(),
             most_servers: ((config.limits.memory_mb * 1024.0 * LIST_PART / SERVER_KIB) as usize)
--- a/crates/balancer/src/net/timers.rs
+++ b/crates/balancer/src/net/timers.rs
@@ -6,9 +6,9 @@
 //! heap is the simplest that can take one back, and is what this is measured against (`benches/parts.rs`): from
 //! some thousand timers on, each costs it a walk through memory.
 
+use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
-use shorewharf_driver::Micros;
 use slotmap::{SlotMap, new_key_type};
 
 /// A tick of the wheel. The loop waits in whole milliseconds.
--- a/crates/balancer/src/net/turn.rs
+++ b/crates/balancer/src/net/turn.rs
@@ -4,7 +4,8 @@
 use std::collections::VecDeque;
 
 use shorewharf_decisions::interface::RequestId;
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
+use shorewharf_units::Micros;
 use tracing::warn;
 
 use super::overload_monitor::OverloadMonitor;
--- a/crates/balancer/src/net/workers.rs
+++ b/crates/balancer/src/net/workers.rs
@@ -10,8 +10,9 @@
 use std::time::Duration;
 
 use mio::net::TcpListener;
-use shorewharf_driver::{Driver, Effects, Micros, micros, seconds};
+use shorewharf_driver::{Driver, Effects};
 use shorewharf_protocol::list::Listing;
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use socket2::{Domain, Socket, Type};
@@ -83,7 +84,7 @@
         self.net.begin(now);
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.comes_first());
-        self.net.serve_operators(first, || gate.avoided(seconds(now)));
+        self.net.serve_operators(first, || gate.avoided(seconds_from_micros(now)));
         self.driver.settle(&mut self.net);
         for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
             match owner {
@@ -208,7 +209,7 @@
             memory.recall(net.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            net.turn.after(micros(config.operator.snapshot.every_s), Due::Snapshot);
+            net.turn.after(micros_from_seconds(config.operator.snapshot.every_s), Due::Snapshot);
         }
         if let Some(lead) = &self.lead {
             // The address that is bound: the port may have been left to the system.
--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -4,10 +4,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::*;
 use shorewharf_emulator::sockets::stage::{Said, Stage};
+use shorewharf_units::Micros;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
--- a/crates/budgets/src/leader.rs
+++ b/crates/budgets/src/leader.rs
@@ -4,9 +4,9 @@
 //! the member has acknowledged less, or when its lease has surely ended: one lease and a margin after the last beat that was
 //! read of it. All that may be in use together is never above what is divided.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-use crate::Micros;
 use crate::divide::divide;
 use crate::rows::{Amounts, Grant, Row, amount};
 use crate::rules::{Kind, Rules};
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -28,6 +28,3 @@
 pub use member::{Figures, Member};
 pub use parts::{Part, Parts, Refused};
 pub use rules::{Budget, Kind, Problem, Rules};
-
-/// Whole microseconds on a process's own monotonic clock.
-pub type Micros = u64;
--- a/crates/budgets/src/member.rs
+++ b/crates/budgets/src/member.rs
@@ -1,10 +1,10 @@
 //! One process among the members: its own row, the grants it goes by, and how it comes to lead.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
 use twox_hash::XxHash3_64;
 
-use crate::Micros;
 use crate::call::{Call, Condition, Failed, Record, Reply};
 use crate::leader::Leader;
 use crate::parts::Parts;
--- a/crates/budgets/src/model/faults.rs
+++ b/crates/budgets/src/model/faults.rs
@@ -2,8 +2,7 @@
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-
-use crate::Micros;
+use shorewharf_units::Micros;
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/budgets/src/model/mod.rs
+++ b/crates/budgets/src/model/mod.rs
@@ -8,6 +8,7 @@
 mod search;
 mod store;
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use rand::{Rng, SeedableRng};
@@ -19,7 +20,6 @@
 pub use search::{Found, Space, look, shrink};
 use store::Store;
 
-use crate::Micros;
 use crate::call::{Call, Failed, Reply};
 use crate::rules::{Budget, Kind, Rules};
 
--- a/crates/budgets/src/model/process.rs
+++ b/crates/budgets/src/model/process.rs
@@ -2,10 +2,10 @@
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::Micros;
 
 use super::Plan;
 use super::flaws::Flaw;
-use crate::Micros;
 use crate::call::{Call, Failed, Reply};
 use crate::member::Member;
 use crate::parts::Parts;
--- a/crates/budgets/src/model/search.rs
+++ b/crates/budgets/src/model/search.rs
@@ -1,8 +1,8 @@
 //! Looking for plans in which more is in force than the whole: drawn at random, or all of a small space.
 
 use super::{Above, Fault, Plan, What, World};
-use crate::Micros;
 use crate::rules::Rules;
+use shorewharf_units::Micros;
 
 /// A plan that shows it.
 #[derive(Clone, Debug)]
--- a/crates/budgets/src/parts.rs
+++ b/crates/budgets/src/parts.rs
@@ -1,10 +1,10 @@
 //! What a process may use now. Requests are held against it one by one, and the time is looked at for each of them.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use thiserror::Error;
 
-use crate::Micros;
 use crate::rows::{Amounts, amount};
 use crate::rules::{Kind, Rules};
 
--- a/crates/budgets/src/rules.rs
+++ b/crates/budgets/src/rules.rs
@@ -1,9 +1,8 @@
 //! What is divided and by which terms; the same at all members but for the place.
 
+use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::Micros;
-
 /// What a budget counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
--- a/crates/driver/src/admission.rs
+++ b/crates/driver/src/admission.rs
@@ -3,8 +3,7 @@
 use shorewharf_decisions::interface::{Event, Outcome, Request, Settings};
 
 use shorewharf_settings::operator::Operator;
-
-use crate::Micros;
+use shorewharf_units::Micros;
 
 /// What becomes of a client that asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -5,9 +5,9 @@
 use shorewharf_budgets::Parts;
 use shorewharf_decisions::interface::{Request, Settings};
 use shorewharf_settings::operator::Operator;
+use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::admission::{Admission, Fate, Verdict};
-use crate::{Micros, micros};
 
 /// Standing connections that were asked to move have so long to do so before they are asked for again.
 const MOVES: Micros = 1_000_000;
@@ -69,7 +69,7 @@
 }
 
 fn longest(set: &Settings) -> Micros {
-    if set.retry_after { micros(set.max_retry_after) } else { 0 }
+    if set.retry_after { micros_from_seconds(set.max_retry_after) } else { 0 }
 }
 
 impl Admission for Budgets {
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -10,11 +10,11 @@
 use shorewharf_recovery::estimate::Fleet;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::{Operator, Recovery};
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 
 use crate::admission::{Admission, Fate, Verdict};
 use crate::budgets::Budgets;
 use crate::tenants::Tenants;
-use crate::{Micros, micros, seconds};
 
 /// The gate's own timer; the module's tokens lie far below.
 const DUE: u64 = 1 << 63;
@@ -149,7 +149,7 @@
         if self.admissions.all().next().is_none() {
             return self.balancer.handle(now, event, out);
         }
-        let at = micros(now);
+        let at = micros_from_seconds(now);
         self.admissions.all().for_each(|a| a.hears(at, &event));
         let first = out.len();
         let ends = match &event {
@@ -160,7 +160,7 @@
             }
             Event::Arrived(request) => {
                 if let Some(after) = self.turns_away(at, request) {
-                    out.push(Action::Refuse { request: request.id, retry_after: seconds(after) });
+                    out.push(Action::Refuse { request: request.id, retry_after: seconds_from_micros(after) });
                     return self.tell_log(at, out);
                 }
                 None
@@ -284,7 +284,7 @@
         let Some(next) = self.admissions.all().filter_map(|a| a.next_due()).min() else { return };
         if self.wakes.is_none_or(|at| next < at) {
             self.wakes = Some(next);
-            out.push(Action::SetTimer { after: seconds(next.saturating_sub(now)), token: DUE });
+            out.push(Action::SetTimer { after: seconds_from_micros(next.saturating_sub(now)), token: DUE });
         }
     }
 }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -13,27 +13,15 @@
 
 use shorewharf_decisions::interface::*;
 use shorewharf_settings::operator::Operator;
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 
 pub use budgets::Budgets;
 pub use gate::Gate;
 pub use tenants::Tenants;
 
-/// Whole microseconds.
-pub type Micros = u64;
-
 /// The module asks for the list again at the latest so long after a call has failed.
 pub const PAUSE_MOST: Micros = 1_350_000;
 
-/// Microseconds as the module's seconds.
-pub fn seconds(t: Micros) -> f64 {
-    t as f64 / 1e6
-}
-
-/// The module's seconds as whole microseconds; what is negative or no number is none at all.
-pub fn micros(s: f64) -> Micros {
-    (s * 1e6).round() as Micros
-}
-
 /// A req: what a client asks for, in the program's own units.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedRequest {
@@ -182,7 +170,7 @@
             class: req.class,
             tenant: req.tenant,
             key: req.key,
-            deadline: seconds(req.deadline),
+            deadline: seconds_from_micros(req.deadline),
             load: req.load,
             group: req.group,
             mid_flow: false,
@@ -216,7 +204,9 @@
                 }
                 Event::LoadChanged { request, load }
             }
-            NetworkEvent::Delay(server, delay) => Event::MessageDelay { server, delay: seconds(delay) },
+            NetworkEvent::Delay(server, delay) => {
+                Event::MessageDelay { server, delay: seconds_from_micros(delay) }
+            }
             NetworkEvent::AttemptEnded(request, outcome) => {
                 let Some(sent) = self.reqs.get_mut(&request) else { return };
                 let Some(server) = sent.out.take() else { return };
@@ -249,7 +239,7 @@
     }
 
     fn tell(&mut self, event: Event, effects: &mut impl Effects) {
-        self.gate.handle(seconds(effects.now()), event, &mut self.actions);
+        self.gate.handle(seconds_from_micros(effects.now()), event, &mut self.actions);
         let mut actions = std::mem::take(&mut self.actions);
         actions.drain(..).for_each(|action| self.carry_out(action, effects));
         self.actions = actions;
@@ -277,11 +267,11 @@
                 let Some(sent) = self.reqs.get_mut(&request).filter(may) else { return };
                 sent.attempts += 1;
                 sent.out = Some(server);
-                effects.begin_attempt(request, server, micros(timeout));
+                effects.begin_attempt(request, server, micros_from_seconds(timeout));
             }
             Action::Refuse { request, retry_after } => {
                 if self.finish(request) {
-                    effects.refuse(request, micros(retry_after));
+                    effects.refuse(request, micros_from_seconds(retry_after));
                 }
             }
             Action::Fail(request) => {
@@ -300,7 +290,7 @@
                     effects.move_away(request);
                 }
             }
-            Action::SetTimer { after, token } => effects.wake(micros(after), token),
+            Action::SetTimer { after, token } => effects.wake(micros_from_seconds(after), token),
             Action::Probe(server) => effects.probe(server),
             Action::Subscribe => effects.watch(),
             Action::Log(line) => effects.log(&line),
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -3,9 +3,9 @@
 use shorewharf_decisions::interface::{Request, Settings};
 use shorewharf_settings::operator::Operator;
 use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict as Said};
+use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::admission::{Admission, Fate, Verdict};
-use crate::{Micros, micros};
 
 /// Tenants' shares, and what the operator said of them.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
 /// Each worker is an instance of its own; the other balancers are taken to have as many.
 fn terms(set: &Settings, operator: &Operator) -> Terms {
     let (terms, workers) = (&operator.tenancy, operator.workers.max(1) as f64);
-    let wait = if set.retry_after { micros(set.max_retry_after) } else { 0 };
+    let wait = if set.retry_after { micros_from_seconds(set.max_retry_after) } else { 0 };
     Terms {
         lend: terms.lend,
         ration: terms.ration,
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -3,8 +3,9 @@
 use std::collections::VecDeque;
 
 use shorewharf_decisions::interface::*;
-use shorewharf_driver::{Driver, Effects, Micros, NetworkEvent, ReceivedRequest};
+use shorewharf_driver::{Driver, Effects, NetworkEvent, ReceivedRequest};
 use shorewharf_settings::operator::Operator;
+use shorewharf_units::Micros;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Call {
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -69,7 +69,7 @@
     }
 
     fn used(&mut self, tenant: usize) -> u64 {
-        let now = shorewharf_driver::micros(self.now);
+        let now = shorewharf_units::micros_from_seconds(self.now);
         self.gate.tenants().expect("shares are kept").tenancy().stats(now).tenants[tenant].1.used
     }
 }
@@ -140,7 +140,7 @@
     let server =
         sent.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None });
     let late = (waits, server.expect("sent"));
-    let now = shorewharf_driver::micros(rig.now);
+    let now = shorewharf_units::micros_from_seconds(rig.now);
     rig.gate.tenants().expect("kept").tenancy().remove(now, shorewharf_tenancy::Place(0));
     // Any event sets the timer.
     let mut actions = rig.tell(Event::Timer(77));
--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -9,9 +9,9 @@
 use super::trace::{What, secs, together};
 use super::verdict::{Case, Excuse, Reason, Verdict};
 use super::{Garble, Seen, Way};
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeWord, ToBalancer};
+use shorewharf_units::Micros;
 
 /// Judges a run as it goes. Feed it what happens in order of time, then ask for its verdict.
 #[derive(Debug)]
--- a/crates/emulator/src/audit/judging.rs
+++ b/crates/emulator/src/audit/judging.rs
@@ -1,7 +1,7 @@
 //! With what figures a run is judged: the day's rules, and how far sockets and the platform's exceptions widen them.
 
-use crate::Micros;
 use crate::day::Day;
+use shorewharf_units::Micros;
 
 /// Every time limit is so much longer on sockets: what the other side sees is late by its own scheduling.
 const SOCKETS_EXTRA: Micros = 50_000;
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -6,8 +6,8 @@
 //! told nothing yet: the list that it starts from names nodes, but it may be old and is no news of an end.
 
 use super::judging::Judging;
-use crate::Micros;
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
+use shorewharf_units::Micros;
 
 /// After a failed call a balancer may keep from asking for so many times as long.
 const AFTER_FAILURE: Micros = 4;
--- a/crates/emulator/src/audit/mod.rs
+++ b/crates/emulator/src/audit/mod.rs
@@ -21,8 +21,8 @@
 pub use trace::Noted;
 pub use verdict::{Break, Counts, Excuse, Reason, Rule, Verdict};
 
-use crate::Micros;
 use crate::edge::{BalancerId, ConnId, FromBalancer, LinkId, Listed, NodeId, ToBalancer};
+use shorewharf_units::Micros;
 
 /// How a node's process does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -1,11 +1,11 @@
 //! The truth of the nodes, as far as the rules ask for it: who answers, and what cold ones were sent.
 
+use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
 use super::Health;
 use super::judging::Judging;
 use super::trace::{Ring, What};
-use crate::Micros;
 use crate::edge::{BalancerId, NodeId};
 
 /// The budget's slack for chance, in square roots of the budget and in attempts: with these the simulator's nodes fall
--- a/crates/emulator/src/audit/request.rs
+++ b/crates/emulator/src/audit/request.rs
@@ -3,8 +3,8 @@
 use super::judging::Judging;
 use super::trace::secs;
 use super::verdict::{Excuse, Reason};
-use crate::Micros;
 use crate::edge::LinkId;
+use shorewharf_units::Micros;
 
 /// What a look at a connection comes to.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/emulator/src/audit/standing.rs
+++ b/crates/emulator/src/audit/standing.rs
@@ -5,8 +5,8 @@
 use super::request::Finding;
 use super::trace::secs;
 use super::verdict::{Excuse, Reason};
-use crate::Micros;
 use crate::edge::{LinkId, NodeId};
+use shorewharf_units::Micros;
 
 /// A server that was silent so lately may still be taken for silent by a balancer that ends its connections.
 const JUST_BACK: Micros = 7_000_000;
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -1,5 +1,6 @@
 //! The connections and links that are remembered, and what falls due on them.
 
+use shorewharf_units::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -8,7 +9,6 @@
 use super::request::{Finding, Request};
 use super::standing::{Lines, Standing};
 use super::trace::Ring;
-use crate::Micros;
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
 /// A connection that is over is remembered for so long: what still refers to it then is no mix-up of reading order.
--- a/crates/emulator/src/audit/trace.rs
+++ b/crates/emulator/src/audit/trace.rs
@@ -1,11 +1,11 @@
 //! The short memory of a connection or a node: what led to a break, kept small because 100,000 connections have one.
 
+use shorewharf_units::Micros;
 use std::fmt;
 
 use serde::Serialize;
 
 use super::Health;
-use crate::Micros;
 use crate::edge::{Answer, End, NodeId, NodeWord, Stage};
 
 /// Steps that a ring keeps.
--- a/crates/emulator/src/audit/verdict.rs
+++ b/crates/emulator/src/audit/verdict.rs
@@ -1,11 +1,11 @@
 //! What an audit comes to: the breaks, each with its reason and what led to it, and what was counted beside them.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
 use super::trace::{Noted, secs};
-use crate::Micros;
 use crate::edge::{BalancerId, ConnId, NodeId};
 
 /// Breaks of one reason that are kept with their trace; the rest are only counted, so that a run that goes wrong all
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -6,17 +6,18 @@
 mod faults;
 
 use serde::{Deserialize, Serialize};
-
-use crate::Micros;
+use shorewharf_units::Micros;
 
 pub use faults::{Fault, FaultKind};
 
 /// (De)serializes microseconds as seconds.
 pub mod in_s {
     use serde::{Deserialize, Deserializer, Serializer};
+    use shorewharf_units::seconds_from_micros;
+
     /// Writes seconds.
     pub fn serialize<S: Serializer>(t: &u64, s: S) -> Result<S::Ok, S::Error> {
-        s.serialize_f64(*t as f64 / 1e6)
+        s.serialize_f64(seconds_from_micros(*t))
     }
     /// Reads seconds; what is negative or no number is refused.
     pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
@@ -47,11 +48,6 @@
     }
 }
 
-/// A figure in seconds as whole microseconds; what is negative or no number is none at all.
-pub fn seconds(s: f64) -> Micros {
-    (s * 1e6).round() as Micros
-}
-
 /// All figures of one run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/emulator/src/edge.rs
+++ b/crates/emulator/src/edge.rs
@@ -4,7 +4,7 @@
 //! sockets writes and reads them as lines. All delays of the network lie on the world's side: what is handed to a
 //! balancer has arrived, and what it does has just left it.
 
-use crate::Micros;
+use shorewharf_units::Micros;
 
 /// Place of a balancer in the day's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -16,6 +16,3 @@
 pub mod standin;
 pub mod virtual_time;
 pub mod world;
-
-/// Whole microseconds since the day's start.
-pub type Micros = shorewharf_protocol::Micros;
--- a/crates/emulator/src/node/cold.rs
+++ b/crates/emulator/src/node/cold.rs
@@ -1,8 +1,8 @@
 //! A node's process that has just started: what it can do, and when it is pushed over.
 
+use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
-use crate::Micros;
 use crate::day::{Day, Kind};
 
 /// Capacity rises in so many steps of equal length.
--- a/crates/emulator/src/node/ills.rs
+++ b/crates/emulator/src/node/ills.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a node at the moment, beside being down.
 
-use crate::Micros;
 use crate::day::{Day, FaultKind};
+use shorewharf_units::Micros;
 
 /// Hazard of resets where a day names no length for them.
 const UNSTATED: Micros = 10_000_000;
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -16,12 +16,12 @@
 mod tests;
 mod work;
 
+use shorewharf_units::{Micros, seconds_from_micros};
 use std::collections::BTreeSet;
 
 use rand_distr::Gamma;
 use rand_pcg::Pcg64Mcg;
 
-use crate::Micros;
 use crate::day::{Day, FaultKind, GoAway, Sheds};
 use crate::edge::{Ask, BalancerId, End, LinkId, NodeId, NodeWord};
 use crate::people::LoadProfile;
@@ -231,7 +231,7 @@
             classes: day
                 .classes
                 .iter()
-                .map(|c| ClassFigures { set_up: c.set_up as f64, aim: c.message_aim as f64 / 1e6 })
+                .map(|c| ClassFigures { set_up: c.set_up as f64, aim: seconds_from_micros(c.message_aim) })
                 .collect(),
             course: day.traffic.shape.iter().map(|(at, x)| (at * 1e6, x.max(0.0))).collect(),
             by_load: 1.0 - streams.by_joins,
@@ -251,7 +251,7 @@
             },
             error_rate: kind.error_rate.clamp(0.0, 1.0),
             attempt: work::noise(day.classes.iter().map(|c| c.attempt_noise).fold(0.0, f64::max)),
-            pauses: pauses.then(|| (kind.pause_every as f64 / 1e6, kind.pause as f64 / 1e6)),
+            pauses: pauses.then(|| (seconds_from_micros(kind.pause_every), seconds_from_micros(kind.pause))),
             resets: ills::resets(day),
             tells_load: streams.tells_load,
             tells_first: streams.tells_first,
--- a/crates/emulator/src/node/set_ups.rs
+++ b/crates/emulator/src/node/set_ups.rs
@@ -3,9 +3,9 @@
 //! Half of the cores, rounded up, set connections up; the rest of the work waits in turn. An attempt that its balancer
 //! has given up stays and is worked on to its end, which is what such servers do.
 
+use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
-use crate::Micros;
 use crate::day::Kind;
 use crate::edge::{Ask, BalancerId, LinkId};
 
--- a/crates/emulator/src/node/standing.rs
+++ b/crates/emulator/src/node/standing.rs
@@ -3,11 +3,11 @@
 //! Sums are kept as connections come, change and go, so that a node's load is known at any time without a look over
 //! its connections.
 
+use shorewharf_units::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use super::swing::Swing;
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{Ask, BalancerId, LinkId};
 
--- a/crates/emulator/src/node/swing.rs
+++ b/crates/emulator/src/node/swing.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Poisson};
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::Micros;
 
-use crate::Micros;
 use crate::day::Class;
 
 /// Load of an idle connection, in its usual loads.
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -8,6 +8,7 @@
 use super::*;
 use crate::edge::ConnId;
 use crate::people::tests::day;
+use shorewharf_units::seconds_from_micros;
 
 const S: Micros = 1_000_000;
 
@@ -376,6 +377,6 @@
     assert!(links.values().all(|(up, no, ends)| up + no <= 1 && ends + no <= 1), "a link had two ends");
     assert!(links.values().filter(|l| l.0 == 1).count() > 1000 && links.values().any(|l| l.2 == 1));
     assert!(rig.node.standing.sums_are_right());
-    let (served, all) = (rig.node.served(0), now as f64 / 1e6);
+    let (served, all) = (rig.node.served(0), seconds_from_micros(now));
     assert!((0.0..=all).contains(&served), "{served} of {all} s");
 }
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -4,6 +4,7 @@
 use rand_distr::{Distribution, Gamma};
 
 use super::*;
+use shorewharf_units::seconds_from_micros;
 
 /// Spread of the work from one attempt to the next: mean 1, with this coefficient of variation.
 pub(super) fn noise(cv: f64) -> Option<Gamma<f64>> {
@@ -111,7 +112,7 @@
     /// One step, with the state at its end for all of it: that is how the simulator's servers do it.
     pub(super) fn step(&mut self, out: &mut Vec<NodeOut>) {
         self.stepped += STEP;
-        let (now, long) = (self.stepped, STEP as f64 / 1e6);
+        let (now, long) = (self.stepped, seconds_from_micros(STEP));
         if self.ills.hung {
             self.served.iter_mut().for_each(|(share, _)| *share = 0.0);
             return;
@@ -136,7 +137,7 @@
             self.resets_some(1.0 - (1.0 - share.min(0.999_999)).powf(STEP as f64 / length as f64), out);
         }
         if self.draining && self.go_away == GoAway::Paced {
-            let some = (self.standing.len() as f64 * long / (PACED as f64 / 1e6)).ceil() as usize;
+            let some = (self.standing.len() as f64 * long / (seconds_from_micros(PACED))).ceil() as usize;
             let links: Vec<LinkId> = self.standing.links().take(some).collect();
             links.into_iter().for_each(|link| self.sends_away(link, out));
         }
--- a/crates/emulator/src/people/capacity.rs
+++ b/crates/emulator/src/people/capacity.rs
@@ -1,6 +1,7 @@
 //! What the nodes of a day can carry, in connections: the measure that loads and quotas are shares of.
 
 use crate::day::Day;
+use shorewharf_units::seconds_from_micros;
 
 /// What all nodes can carry.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,7 +32,7 @@
     let life_s = mean(&|c| c.life) * day.streams.life as f64 / 1e6;
     let usual = mean(&|c| c.load) / day.streams.per_core;
     let group = GROUP_SPREAD * day.streams.group_cost / day.streams.group_size.max(1.0);
-    let set_up = mean(&|c| c.set_up as f64 / 1e6) / life_s;
+    let set_up = mean(&|c| seconds_from_micros(c.set_up)) / life_s;
     let cost = usual * (1.0 + STANDING + group) + set_up;
     let of: Vec<f64> = day.nodes.iter().map(|n| cores(n) / cost).collect();
     let connections: f64 = of.iter().sum();
--- a/crates/emulator/src/people/client.rs
+++ b/crates/emulator/src/people/client.rs
@@ -1,8 +1,8 @@
 //! One client: what it is, how far it has come, and how long it stays away after a bad try.
 
 use rand::Rng;
+use shorewharf_units::Micros;
 
-use crate::Micros;
 use crate::day::{Backoff, Clients};
 use crate::edge::ConnId;
 use crate::people::Cell;
--- a/crates/emulator/src/people/mod.rs
+++ b/crates/emulator/src/people/mod.rs
@@ -11,13 +11,13 @@
 mod start;
 mod traffic;
 
+use shorewharf_units::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::Micros;
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{Ask, ConnId, End};
 
--- a/crates/emulator/src/people/start.rs
+++ b/crates/emulator/src/people/start.rs
@@ -4,10 +4,10 @@
 //! for a new group, the emptier of two nodes drawn at random takes over. So a start is neither even nor absurd.
 
 use rand::Rng;
+use shorewharf_units::Micros;
 
 use super::groups::Groups;
 use super::traffic::Traffic;
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::NodeId;
 use crate::people::capacity;
--- a/crates/emulator/src/people/traffic.rs
+++ b/crates/emulator/src/people/traffic.rs
@@ -7,8 +7,8 @@
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal};
+use shorewharf_units::Micros;
 
-use crate::Micros;
 use crate::day::{Class, Day, Fault};
 use crate::people::Capacity;
 
--- a/crates/emulator/src/places/discovery/desk.rs
+++ b/crates/emulator/src/places/discovery/desk.rs
@@ -1,6 +1,7 @@
 //! Whom discovery tells what, and when: one queue of calls and news, worked through at a fixed number of list lines
 //! a second.
 
+use shorewharf_units::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
@@ -8,8 +9,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::registry::Registry;
+use crate::day;
 use crate::edge::{BalancerId, Listed, ToBalancer};
-use crate::{Micros, day};
 
 // The work of each thing, in list lines, as measured at the simulator to about half a per cent.
 
--- a/crates/emulator/src/places/discovery/mod.rs
+++ b/crates/emulator/src/places/discovery/mod.rs
@@ -10,11 +10,11 @@
 pub mod registry;
 
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, Listed, NodeId, ToBalancer};
 use crate::places::faults::NodeTurn;
-use crate::{Micros, day};
 use desk::{Call, Desk};
 use registry::{Process, Registry};
 
@@ -62,8 +62,8 @@
     /// One of its own faults begins or ends.
     pub fn struck(&mut self, now: Micros, fault: &Fault, on: bool) {
         match (fault.kind, on) {
-            (FaultKind::ListStale, true) => self.registry.falls_behind(day::seconds(fault.size)),
-            (FaultKind::ListStale, false) => self.registry.catches_up(now, day::seconds(fault.size)),
+            (FaultKind::ListStale, true) => self.registry.falls_behind(micros_from_seconds(fault.size)),
+            (FaultKind::ListStale, false) => self.registry.catches_up(now, micros_from_seconds(fault.size)),
             (FaultKind::ListDown, true) => {
                 self.down += 1;
                 self.desk.goes_down(now);
--- a/crates/emulator/src/places/discovery/registry.rs
+++ b/crates/emulator/src/places/discovery/registry.rs
@@ -1,13 +1,14 @@
 //! What discovery knows of processes: events reach it late, wait for the next writing of the list, and each writing
 //! that changes anything is a version. While its view is stale, what it would notice waits longer.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeSet;
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
+use crate::day;
 use crate::edge::{Listed, NodeId, Stage};
-use crate::{Micros, day};
 
 /// The end of a process is noticed within this much of the stated time (measured at the simulator: even between
 /// 0.8 and 1.2 of it).
--- a/crates/emulator/src/places/drawn.rs
+++ b/crates/emulator/src/places/drawn.rs
@@ -4,9 +4,9 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 
-use crate::Micros;
-use crate::day::{Fault, FaultKind, seconds};
+use crate::day::{Fault, FaultKind};
 
 /// No fault begins earlier than this part of the day ...
 const FIRST: f64 = 0.03;
@@ -37,7 +37,7 @@
     if kinds.is_empty() {
         return Vec::new();
     }
-    let day = length as f64 / 1e6;
+    let day = seconds_from_micros(length);
     let between = |(mild, hard): (f64, f64), rng: &mut Pcg64Mcg| mild + (hard - mild) * rng.random::<f64>();
     let mut faults: Vec<Fault> = (0..rng.random_range(count.0..=count.1.max(count.0)))
         .map(|_| {
@@ -47,8 +47,8 @@
             let at = FIRST * day + rng.random::<f64>() * room;
             Fault {
                 kind: range.kind,
-                at: seconds(at),
-                len: seconds(len),
+                at: micros_from_seconds(at),
+                len: micros_from_seconds(len),
                 size: between(range.size, rng),
                 on: Vec::new(),
                 zone: None,
--- a/crates/emulator/src/places/drawn/tests.rs
+++ b/crates/emulator/src/places/drawn/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use rand::SeedableRng;
+use shorewharf_units::seconds_from_micros;
 
 /// Failure: a range whose hardest figure is the smaller one, and a fault as long as the day. Promise: every figure
 /// lies within its range, most of each fault lies within the day, and a seed always draws the same.
@@ -17,12 +18,12 @@
     assert_eq!(draw(50_000_000, (2, 4), &kinds, &mut again), all[0]);
     assert!((2..=4).all(|n| all.iter().any(|day| day.len() == n)));
     for f in all.iter().flatten() {
-        let (len, part, size) = (f.len as f64 / 1e6, f.part.unwrap_or(0.1), f.size);
+        let (len, part, size) = (seconds_from_micros(f.len), f.part.unwrap_or(0.1), f.size);
         let kept = match f.kind {
             FaultKind::Crash => (5.0..=60.0).contains(&len) && (0.05..=0.25).contains(&part),
             _ => (0.3..=2.5).contains(&len) && (0.1..=0.5).contains(&size),
         };
-        let late = f.at as f64 / 1e6 + 0.8 * len;
+        let late = seconds_from_micros(f.at) + 0.8 * len;
         assert!(kept && f.at >= 1_500_000 && (late <= 48.51 || f.at == 1_500_000), "{f:?}");
     }
 }
--- a/crates/emulator/src/places/faults.rs
+++ b/crates/emulator/src/places/faults.rs
@@ -6,10 +6,10 @@
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
+use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, NodeId};
-use crate::{Micros, day};
 
 /// Machines that come back together do so within this time (measured at the simulator: even over one second).
 const BACK_WITHIN: Micros = 1_000_000;
@@ -161,7 +161,7 @@
     /// Strikes these nodes. Says when it is over.
     fn nodes(&mut self, fault: &Fault, on: &[u32]) -> Micros {
         let (from, mut to) = (fault.at, fault.at + fault.len);
-        let drain = if fault.size > 0.0 { day::seconds(fault.size) } else { DRAIN };
+        let drain = if fault.size > 0.0 { micros_from_seconds(fault.size) } else { DRAIN };
         match fault.kind {
             FaultKind::Crash => {
                 for &i in on {
--- a/crates/emulator/src/places/front.rs
+++ b/crates/emulator/src/places/front.rs
@@ -3,9 +3,10 @@
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::Micros;
 
+use crate::day::Day;
 use crate::edge::BalancerId;
-use crate::{Micros, day::Day};
 
 /// A balancer that begins a planned end is still dealt clients for between this ...
 const LEAVES_AFTER_LEAST: Micros = 200_000;
--- a/crates/emulator/src/places/network.rs
+++ b/crates/emulator/src/places/network.rs
@@ -4,8 +4,9 @@
 use rand::Rng;
 use rand_distr::Exp1;
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::Micros;
 
-use crate::{Micros, day};
+use crate::day;
 
 /// The delays of one day.
 #[derive(Clone, Debug)]
--- a/crates/emulator/src/score/ledger.rs
+++ b/crates/emulator/src/score/ledger.rs
@@ -1,6 +1,6 @@
 //! A number that changes over time, and its sum over time.
 
-use crate::Micros;
+use shorewharf_units::Micros;
 
 /// A level with its integral in units times seconds.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -7,12 +7,12 @@
 mod ledger;
 mod outcome;
 
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::NodeId;
 use crate::people::Cell;
 use ledger::Level;
 pub use outcome::{Outcome, Part, Price, Prices, Second, TenantSecond, WorstWindow};
+use shorewharf_units::Micros;
 
 const SECOND: Micros = 1_000_000;
 
--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -4,6 +4,7 @@
 
 use super::Score;
 use crate::people::Cell;
+use shorewharf_units::seconds_from_micros;
 
 /// Worth asked for and earned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -229,7 +230,7 @@
     let per = |n: f64, of: f64| if of > 0.0 { n / of } else { 0.0 };
     let price = |rate: f64, each: f64| Price { rate, cost: rate * each };
     let clients = counts.clients as f64;
-    let mean_open = score.open.area() / (score.end as f64 / 1e6).max(f64::MIN_POSITIVE);
+    let mean_open = score.open.area() / (seconds_from_micros(score.end)).max(f64::MIN_POSITIVE);
     Prices {
         cross_zone: price(per(score.crossing.area(), wanted_s), day.prices.cross_zone),
         handshake: price(per(counts.handshakes as f64, clients), day.prices.handshake),
--- a/crates/emulator/src/score/tests.rs
+++ b/crates/emulator/src/score/tests.rs
@@ -4,6 +4,7 @@
 
 use super::*;
 use crate::people::tests::day;
+use shorewharf_units::seconds_from_micros;
 
 const S: Micros = 1_000_000;
 const X: u32 = 0;
@@ -26,7 +27,7 @@
     let mut busy = false;
     // Node a serves everything, node b nothing from 10 s to 20 s.
     let served = |at: Micros, node: NodeId| {
-        let s = at as f64 / 1e6;
+        let s = seconds_from_micros(at);
         if node == b { s - (s.min(20.0) - 10.0).max(0.0) } else { s }
     };
     while let Some(due) = score.next_due() {
--- a/crates/emulator/src/sockets/bad.rs
+++ b/crates/emulator/src/sockets/bad.rs
@@ -7,13 +7,13 @@
 
 use serde::Serialize;
 use shorewharf_protocol::words::{Word, word};
+use shorewharf_units::Micros;
 use thiserror::Error;
 
 use super::book::Book;
 use super::lines::Wire;
 use super::net::{Net, Ready, Role};
 use super::stage::{Did, Sight};
-use crate::Micros;
 use crate::day::{BadClients, Day};
 use crate::edge::{BalancerId, ConnId, End};
 
--- a/crates/emulator/src/sockets/between.rs
+++ b/crates/emulator/src/sockets/between.rs
@@ -1,10 +1,10 @@
 //! What is broken between the processes: links by direction and by group, discovery's words, and balancers that stand
 //! still. The world knows nothing of it: to a node it is a balancer that says nothing, to a balancer a node.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use super::notes::Fate;
-use crate::Micros;
 use crate::edge::{BalancerId, LinkId, NodeId, Reach, ToBalancer};
 
 /// What is broken.
--- a/crates/emulator/src/sockets/book.rs
+++ b/crates/emulator/src/sockets/book.rs
@@ -5,9 +5,9 @@
 
 use shorewharf_protocol::names::Names;
 use shorewharf_protocol::open::{OpenLine, parse_open};
+use shorewharf_units::Micros;
 
 use super::directory::Directory;
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{Ask, BalancerId, ConnId, LinkId, NodeId};
 
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -8,13 +8,13 @@
 
 use serde::Serialize;
 use shorewharf_protocol::words::{Word, word};
+use shorewharf_units::Micros;
 
 use super::book::Book;
 use super::clock::Spread;
 use super::lines::Wire;
 use super::net::{Net, Ready, Role};
 use super::stage::{Did, Sight};
-use crate::Micros;
 use crate::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId};
 
 /// A client that has finished its sending closes after this at the latest.
--- a/crates/emulator/src/sockets/clock.rs
+++ b/crates/emulator/src/sockets/clock.rs
@@ -3,14 +3,13 @@
 //! A result in real time is worth something only if the side that plays the platform kept up. So the driver holds
 //! every due time against the time at which it got to it, and a run in which it was late says so itself.
 
+use shorewharf_units::Micros;
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 use serde::ser::{Serialize, SerializeStruct, Serializer};
 
-use crate::Micros;
-
 /// Runs of the driver are void if they were later than this at the 99th percentile. A balancer's tick: what comes
 /// later than that would have reached it in another batch.
 pub const LATE: Micros = 5_000;
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -3,6 +3,7 @@
 //! What the list says and when is the world's; here it becomes versions, lines and status codes. The world answers a
 //! call with the whole list; a call that names a version told before gets only what has changed since.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +13,6 @@
 use super::lines::Wire;
 use super::net::{Ear, Net, Ready, Role};
 use super::stage::Did;
-use crate::Micros;
 use crate::edge::{BalancerId, End, FromBalancer, Listed, NodeId, Stage};
 
 /// An empty line comes on a watch this often.
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -11,6 +11,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 use shorewharf_protocol::list::Listing;
+use shorewharf_units::Micros;
 use slotmap::DefaultKey;
 use socket2::{Domain, Socket, Type};
 
@@ -21,7 +22,6 @@
 use super::net::{Net, Ready, Role};
 use super::process::{Desk, Process, ProcessError, Program, Usage};
 use super::stage::Did;
-use crate::Micros;
 use crate::edge::{BalancerId, End, FromBalancer};
 
 /// A balancer that has not answered yet is asked again after this.
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -12,6 +12,7 @@
 
 use serde::Serialize;
 use shorewharf_protocol::words::{Word, word};
+use shorewharf_units::{Micros, seconds_from_micros};
 use thiserror::Error;
 
 use super::addresses::Addresses;
@@ -26,7 +27,6 @@
 use super::plain;
 use super::process::{ProcessError, Program};
 use super::stage::{Did, Heard};
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{Ask, BalancerId, ConnId, End, FromBalancer, Listed, NodeId, NodeWord, Stage as ListStage};
 
@@ -354,7 +354,7 @@
         let now = self.clock.now();
         self.fleet.stop(&mut self.net, now);
         let [through, past] = self.ways;
-        let seconds = options.length as f64 / 1e6;
+        let seconds = seconds_from_micros(options.length);
         let late = self.late.at(0.99);
         let void = if late > LATE {
             Some(format!("the lab was late: p99 {:.1} ms", late as f64 / 1e3))
--- a/crates/emulator/src/sockets/notes.rs
+++ b/crates/emulator/src/sockets/notes.rs
@@ -4,6 +4,7 @@
 //! Each balancer is reached by the others at an address of this process, and hears at its own; who sent a datagram shows by
 //! where it comes from.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
 use std::fs;
@@ -20,7 +21,6 @@
 use super::between::Between;
 use super::directory::Directory;
 use super::net::{Net, Role};
-use crate::Micros;
 use crate::edge::BalancerId;
 
 /// The largest datagram there is.
--- a/crates/emulator/src/sockets/plain.rs
+++ b/crates/emulator/src/sockets/plain.rs
@@ -1,8 +1,8 @@
 //! A day with nothing in it but balancers and equal nodes in one zone: for loads and drills that bring their own
 //! clients.
 
-use crate::Micros;
 use crate::day::*;
+use shorewharf_units::Micros;
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -1,12 +1,12 @@
 //! The whole platform on sockets: the world as the stage, the auditor as who looks on, and the result of both.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
 use super::run::{Options, Report, RunError, play};
 use super::stage::{Post, Said, Sight, Stage};
-use crate::Micros;
 use crate::audit::{Auditor, Garble, Judging, Seen, Way};
 use crate::day::Day;
 use crate::edge::{
--- a/crates/emulator/src/sockets/report.rs
+++ b/crates/emulator/src/sockets/report.rs
@@ -1,13 +1,13 @@
 //! How a run on sockets went, beside what the world saw: the driver, the processes, and what only sockets show.
 
 use serde::Serialize;
+use shorewharf_units::Micros;
 
 use super::bad::Fared;
 use super::clients::Facts;
 use super::clock::Spread;
 use super::fleet::Life;
 use super::notes::Passed;
-use crate::Micros;
 
 /// What it costs if none of the bad clients gets what it is owed.
 const BAD_COST: f64 = 0.3;
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -4,6 +4,7 @@
 //! Before the day begins, the balancers start, and the connections that stand from before are opened; nodes and
 //! discovery answer by themselves then, and the day's clock stands at zero.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ffi::OsString;
 use std::io;
@@ -30,7 +31,6 @@
 use super::process::{ProcessError, Program};
 pub use super::report::Report;
 use super::stage::{Did, Heard, Post, Said, Stage};
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeWord, ToBalancer};
 
--- a/crates/emulator/src/sockets/stage.rs
+++ b/crates/emulator/src/sockets/stage.rs
@@ -1,8 +1,8 @@
 //! What the driver plays: the world, or a script.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-use crate::Micros;
 use crate::edge::{Ask, BalancerId, ConnId, FromBalancer, LinkId, NodeId, Reach, ToBalancer};
 
 /// What reaches balancers, in order.
--- a/crates/emulator/src/virtual_time/instance.rs
+++ b/crates/emulator/src/virtual_time/instance.rs
@@ -1,8 +1,8 @@
 //! What is hosted in place of a balancer, and who makes it.
 
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{BalancerId, FromBalancer, ToBalancer};
+use shorewharf_units::Micros;
 
 /// One emulated balancer. It lives through kills and starts of its process: [`ToBalancer::Kill`] makes it forget all
 /// but how it numbers links, [`ToBalancer::Start`] begins a new life. Instances share nothing, as each stands for a
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -12,9 +12,9 @@
 
 use rand::Rng;
 use rayon::prelude::*;
+use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::Micros;
 use crate::audit::{Auditor, Judging, Seen};
 use crate::day::Day;
 use crate::edge::{BalancerId, FromBalancer, ToBalancer};
--- a/crates/emulator/src/virtual_time/result.rs
+++ b/crates/emulator/src/virtual_time/result.rs
@@ -1,10 +1,10 @@
 //! What a run came to.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use crate::Micros;
 use crate::audit::Verdict;
 use crate::places::Band;
 use crate::score::Outcome;
--- a/crates/emulator/src/world/conns.rs
+++ b/crates/emulator/src/world/conns.rs
@@ -1,8 +1,8 @@
 //! Clients' connections to balancers, in order of their numbers.
 
-use crate::Micros;
 use crate::edge::{Ask, BalancerId, ConnId, LinkId, NodeId};
 use crate::people::{Cell, LoadProfile};
+use shorewharf_units::Micros;
 
 /// How far a connection has come, seen from its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emulator/src/world/ear.rs
+++ b/crates/emulator/src/world/ear.rs
@@ -1,8 +1,8 @@
 //! Who listens to a world: the driver that hands balancers what reaches them, and who watches.
 
-use crate::Micros;
 use crate::audit::Seen;
 use crate::edge::{BalancerId, ToBalancer};
+use shorewharf_units::Micros;
 
 /// Hears what a world says, in order of time.
 pub trait Ear {
--- a/crates/emulator/src/world/links.rs
+++ b/crates/emulator/src/world/links.rs
@@ -1,8 +1,8 @@
 //! The links of balancers to nodes that the world knows of, each under a number of the world's own.
 
+use shorewharf_units::Micros;
 use std::collections::HashMap;
 
-use crate::Micros;
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId, NodeWord};
 
 /// How far a link has come.
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -18,8 +18,8 @@
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::Micros;
 
-use crate::Micros;
 use crate::audit::{Seen, Verdict};
 use crate::day::Day;
 use crate::edge::*;
--- a/crates/emulator/src/world/pairs.rs
+++ b/crates/emulator/src/world/pairs.rs
@@ -1,8 +1,8 @@
 //! Which balancers hold a connection to which nodes, in virtual time: one for each pair, opened at need and closed
 //! when unused. (On sockets every link is a connection of its own.) What stands from before the day is on none.
 
-use crate::Micros;
 use crate::edge::{BalancerId, NodeId};
+use shorewharf_units::Micros;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Pair {
--- a/crates/emulator/src/world/queue.rs
+++ b/crates/emulator/src/world/queue.rs
@@ -1,10 +1,9 @@
 //! The queue of what is still to happen: by time, and in the order of being put in where times are the same.
 
+use shorewharf_units::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use crate::Micros;
-
 #[derive(Debug)]
 struct Entry<E> {
     at: Micros,
--- a/crates/emulator/src/world/series.rs
+++ b/crates/emulator/src/world/series.rs
@@ -1,11 +1,11 @@
 //! What reports show of a run: figures of each second and sums by cause. Nothing here decides anything.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, HashMap};
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{NodeId, NodeWord};
 use crate::virtual_time::Truth;
--- a/crates/emulator/src/world/settings.rs
+++ b/crates/emulator/src/world/settings.rs
@@ -2,28 +2,24 @@
 //! speeds, caps and delays are not in it.
 
 use serde_json::{Value, json};
+use shorewharf_units::seconds_from_micros;
 
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::BalancerId;
 use crate::people::{Capacity, capacity};
 
-fn s(t: Micros) -> f64 {
-    t as f64 / 1e6
-}
-
 /// The settings of one balancer as JSON text, with the names and units of the simulator's wire.
 pub fn json(day: &Day, me: BalancerId) -> String {
     let Capacity { connections, per_s: rate, .. } = capacity(day);
     let class = |c: &crate::day::Class| {
         json!({
-            "name": c.name, "promise_s": s(c.aim), "give_up_s": s(c.give_up), "late_worth": 0.0,
+            "name": c.name, "promise_s": seconds_from_micros(c.aim), "give_up_s": seconds_from_micros(c.give_up), "late_worth": 0.0,
             "semantics": "read_like", "group": "all", "window_s": 5.0, "streamed": true, "worth": c.worth,
         })
     };
     let tenant = |t: &crate::day::Tenant| json!({"name": t.name, "fraction": t.share, "quota_per_s": (t.quota * rate).round().max(1.0)});
     let quotas: Vec<f64> = day.tenants.iter().map(|t| (t.quota * connections).round().max(1.0)).collect();
-    let aims: Vec<f64> = day.classes.iter().map(|c| s(c.message_aim)).collect();
+    let aims: Vec<f64> = day.classes.iter().map(|c| seconds_from_micros(c.message_aim)).collect();
     let kinds: Vec<&str> = day.kinds.iter().map(|k| k.name.as_str()).collect();
     let zone = day.balancers.get(me.0 as usize).map_or(0, |b| b.zone);
     let text: Value = json!({
@@ -35,7 +31,7 @@
         "zone": zone,
         "zones": day.zones,
         "flavors": kinds,
-        "tick_s": s(day.tick),
+        "tick_s": seconds_from_micros(day.tick),
         "registry_mode": "ask",
         "weights": "nominal",
         "worth_by": "request",
@@ -56,15 +52,15 @@
         "limits": {
             "cancel": day.limits.cancel, "retry_after": day.limits.retry_after, "may_probe": day.limits.probes,
             "may_tell": false, "second_copies": false, "max_attempts": day.limits.max_attempts,
-            "max_open": 1_000_000, "max_streams": 1_048_576, "connect_timeout_s": s(day.limits.connect_timeout),
-            "idle_close_s": s(day.limits.idle_close), "max_retry_after_s": s(day.clients.max_retry_after),
+            "max_open": 1_000_000, "max_streams": 1_048_576, "connect_timeout_s": seconds_from_micros(day.limits.connect_timeout),
+            "idle_close_s": seconds_from_micros(day.limits.idle_close), "max_retry_after_s": seconds_from_micros(day.clients.max_retry_after),
             "cpu_us_per_s": day.limits.cpu_us_per_s, "cpu_us_per_request": 0.0,
         },
         "rules": {
-            "answer_slack_s": s(day.rules.answer_slack), "drain_grace_s": s(day.rules.drain_grace),
-            "fall_multiple": day.rules.fall_multiple, "overload_for_s": s(day.rules.fall_for),
-            "start_capacity": day.rules.stated_cold_from, "warm_within_s": s(day.rules.stated_cold),
-            "ask_within_s": s(day.rules.ask_within),
+            "answer_slack_s": seconds_from_micros(day.rules.answer_slack), "drain_grace_s": seconds_from_micros(day.rules.drain_grace),
+            "fall_multiple": day.rules.fall_multiple, "overload_for_s": seconds_from_micros(day.rules.fall_for),
+            "start_capacity": day.rules.stated_cold_from, "warm_within_s": seconds_from_micros(day.rules.stated_cold),
+            "ask_within_s": seconds_from_micros(day.rules.ask_within),
         },
         "specifics": {
             "mode": "proxy", "park_s": 0.0, "groups": day.streams.group_cost > 0.0, "message_aim_s": aims,
--- a/crates/fault-scenarios/src/file.rs
+++ b/crates/fault-scenarios/src/file.rs
@@ -6,10 +6,10 @@
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, NodeId};
 use shorewharf_emulator::sockets::between::{Break, What};
+use shorewharf_units::{Micros, micros_from_seconds};
 use thiserror::Error;
 
 /// What is wrong with a trial's file.
@@ -318,17 +318,16 @@
             let key = |k: &str| format!("breaks[{i}].{k}");
             let of_nodes = r.nodes.as_ref().unwrap_or(&all);
             let of_others = r.others.as_ref().unwrap_or(&all);
-            let us = |s: f64| (s * 1e6).round() as Micros;
             let what = match r.what {
                 Kind::Refused => What::Refused,
                 Kind::Silent => What::Silent,
                 Kind::AnswersLost => What::AnswersLost,
                 Kind::Reset => What::Reset,
-                Kind::Slow => What::Slow(us(r.by_ms.unwrap_or(0.0) / 1e3)),
+                Kind::Slow => What::Slow(micros_from_seconds(r.by_ms.unwrap_or(0.0) / 1e3)),
                 Kind::NewsLost => What::NewsLost,
                 Kind::NotesLost => What::NotesLost,
                 Kind::NotesDoubled => What::NotesDoubled,
-                Kind::NotesLate => What::NotesLate(us(r.by_ms.unwrap_or(0.0) / 1e3)),
+                Kind::NotesLate => What::NotesLate(micros_from_seconds(r.by_ms.unwrap_or(0.0) / 1e3)),
                 Kind::Stall => What::Stall,
                 Kind::StoreSilent | Kind::StoreRefused | Kind::StoreAnswersLost | Kind::StoreEmptied => {
                     continue;
@@ -339,8 +338,8 @@
             let others = of_others.drawn(&key("others"), &day.zones, &balancers, &mut rng)?;
             breaks.push(Break {
                 what,
-                from: us(r.at_s),
-                to: us(r.at_s + r.len_s),
+                from: micros_from_seconds(r.at_s),
+                to: micros_from_seconds(r.at_s + r.len_s),
                 balancers: struck.into_iter().map(BalancerId).collect(),
                 nodes: on.into_iter().map(NodeId).collect(),
                 others: others.into_iter().map(BalancerId).collect(),
@@ -355,12 +354,16 @@
     pub fn store_breaks(&self, day: &Day) -> Result<Vec<StoreBreak>, Problem> {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ 0x7374_6f72);
         let zones: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
-        let us = |s: f64| (s * 1e6).round() as Micros;
         let of_store = self.rifts.iter().enumerate().filter(|(_, r)| r.what.is_of_store());
         let one = |(i, r): (usize, &Rift)| {
             let balancers =
                 r.balancers.drawn(&format!("breaks[{i}].balancers"), &day.zones, &zones, &mut rng)?;
-            Ok(StoreBreak { what: r.what, from: us(r.at_s), to: us(r.at_s + r.len_s), balancers })
+            Ok(StoreBreak {
+                what: r.what,
+                from: micros_from_seconds(r.at_s),
+                to: micros_from_seconds(r.at_s + r.len_s),
+                balancers,
+            })
         };
         of_store.map(one).collect()
     }
--- a/crates/fault-scenarios/src/judge.rs
+++ b/crates/fault-scenarios/src/judge.rs
@@ -1,9 +1,9 @@
 //! Holds what was seen at the stand-ins against the promises. What a balancer says of itself counts for nothing.
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::audit::{Break as Broken, Reason, Rule, Verdict as Rules};
 use shorewharf_emulator::sockets::between::{Break, What};
 use shorewharf_emulator::world::series::NodeSeries;
+use shorewharf_units::{Micros, seconds_from_micros};
 
 use crate::even::{Evenness, Worst, bursts};
 use crate::file::{Holds, Promises, Within};
@@ -201,7 +201,7 @@
         None if seen.rules.breaks.is_empty() => "kept".to_owned(),
         None => "kept but for what was broken between".to_owned(),
         Some(b) => {
-            let at = b.at as f64 / 1e6;
+            let at = seconds_from_micros(b.at);
             format!("{more} broken; the first at {at:.3} s by balancer {}: {}", b.balancer, b.reason.text())
         }
     };
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,5 +1,6 @@
 //! Telling and hearing: the own note, whom it goes to, which notes of others go with it, and what is taken in.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use rand::SeedableRng;
@@ -8,8 +9,8 @@
 
 use crate::datagram::{Key, Refusal};
 use crate::note::{Held, MOST_HELD, Note};
+use crate::sender_id;
 use crate::table::{Elsewhere, Table};
-use crate::{Micros, sender_id};
 
 /// Figures that all balancers of a fleet share.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -16,6 +16,3 @@
 pub use gossip::{Gossip, Rules, Stats};
 pub use note::{Held, MOST_HELD, Note, sender_id};
 pub use table::Elsewhere;
-
-/// Whole microseconds.
-pub type Micros = u64;
--- a/crates/gossip/src/table.rs
+++ b/crates/gossip/src/table.rs
@@ -1,10 +1,11 @@
 //! What others have said, by sender: the newest note of each, how old it is, and how much of it is believed.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
+use crate::Rules;
 use crate::datagram::Refusal;
 use crate::note::Note;
-use crate::{Micros, Rules};
 
 /// A sender's clock may run slower than this one's by so much, in millionths.
 const DRIFT: u64 = 200;
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -7,6 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use shorewharf_gossip::*;
+use shorewharf_units::Micros;
 
 const KEY: &[u8] = b"a key of the whole fleet";
 
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -4,12 +4,12 @@
 use std::ffi::OsString;
 use std::fs;
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_emulator::sockets::directory::Directory;
 use shorewharf_fault_scenarios::{Kind, StoreBreak};
 use shorewharf_store::standin::{Cluster, Fault, Member};
+use shorewharf_units::Micros;
 use tempfile::TempDir;
 
 use crate::error::Failure;
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -3,9 +3,9 @@
 
 use std::path::Path;
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::{Day, Fault};
 use shorewharf_emulator::sockets::platform::Glance;
+use shorewharf_units::Micros;
 
 use crate::balancer;
 use crate::cli::Demo;
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -15,6 +15,7 @@
 use crate::stats;
 use crate::style::{Style, say};
 use crate::tables;
+use shorewharf_units::seconds_from_micros;
 
 /// One day under one policy.
 #[derive(Debug, Serialize)]
@@ -58,7 +59,7 @@
                 load_most: figure(even.load_most),
                 over_mean_most: figure(even.over_mean_most),
                 under_mean_least: figure(even.under_mean_least),
-                set_ups_most: figure(bursts(&result.series.set_ups, SLOT as f64 / 1e6)),
+                set_ups_most: figure(bursts(&result.series.set_ups, seconds_from_micros(SLOT))),
                 rules_kept: result.verdict.clean(),
             }
         })?;
--- a/crates/lab/src/import.rs
+++ b/crates/lab/src/import.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::*;
+use shorewharf_units::Micros;
 use thiserror::Error;
 
 /// A drawn day that can't be played here.
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -6,8 +6,8 @@
 
 use shorewharf_decisions::Holding;
 use shorewharf_decisions::interface::{Away, ServerId};
-use shorewharf_driver::Micros;
 use shorewharf_emulator::edge::BalancerId;
+use shorewharf_units::Micros;
 
 /// What is held is read out and told so often.
 pub(super) const EVERY: Micros = 200_000;
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -12,13 +12,13 @@
 use std::sync::{Arc, RwLock};
 
 use shorewharf_decisions::interface::{ListEntry, Settings};
-use shorewharf_driver::{Driver, NetworkEvent, micros, seconds};
-use shorewharf_emulator::Micros;
+use shorewharf_driver::{Driver, NetworkEvent};
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, FromBalancer, ToBalancer};
 use shorewharf_emulator::virtual_time::{Host, Instance, Told, Truth};
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::{Operator, OperatorError, Recovery, Tenancy};
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use thiserror::Error;
 
 use board::Board;
@@ -230,8 +230,9 @@
     /// Has the module of the next life recall it.
     fn recall(&mut self, now: Micros, brain: &mut Brain) {
         if let Brain::Module(driver) = brain {
-            let (past, learned) = (seconds(now.saturating_sub(self.at)), std::mem::take(&mut self.learned));
-            driver.gate().recall(seconds(now), past, true, learned);
+            let (past, learned) =
+                (seconds_from_micros(now.saturating_sub(self.at)), std::mem::take(&mut self.learned));
+            driver.gate().recall(seconds_from_micros(now), past, true, learned);
         }
     }
 }
@@ -277,7 +278,7 @@
                 ToBalancer::Start { seed, known } => {
                     let mut peers = Emulated::new(
                         self.places.clone(),
-                        micros(self.settings.connect_timeout),
+                        micros_from_seconds(self.settings.connect_timeout),
                         now,
                         self.next_link,
                     );
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -7,8 +7,9 @@
 use std::sync::{Arc, PoisonError, RwLock};
 
 use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Settings, Stage};
-use shorewharf_driver::{Effects, Micros, NetworkEvent};
+use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_emulator::virtual_time::Truth;
+use shorewharf_units::Micros;
 
 use super::Emulated;
 
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -7,9 +7,10 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
 use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Stage};
-use shorewharf_driver::{Effects, Micros, NetworkEvent, ReceivedRequest};
+use shorewharf_driver::{Effects, NetworkEvent, ReceivedRequest};
 use shorewharf_emulator::edge::*;
 use shorewharf_emulator::virtual_time::Truth;
+use shorewharf_units::Micros;
 
 use super::places::Places;
 
--- a/crates/lab/src/instances/peers/leaving.rs
+++ b/crates/lab/src/instances/peers/leaving.rs
@@ -2,8 +2,9 @@
 //! moved evenly, and who still waits is refused.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
-use shorewharf_driver::{Effects, Micros, NetworkEvent};
+use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_emulator::edge::{Answer, FromBalancer};
+use shorewharf_units::Micros;
 
 use super::{At, COME_BACK, Due, Emulated, SWEEP};
 
--- a/crates/lab/src/instances/places.rs
+++ b/crates/lab/src/instances/places.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{self, Listed, NodeId};
+use shorewharf_units::Micros;
 
 /// The module's clock at the day's start: a time of 0 means long ago in its list.
 const EPOCH: Micros = 1_000_000_000_000;
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -7,7 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Settings, Stage};
-use shorewharf_driver::{Effects, Micros, NetworkEvent};
+use shorewharf_driver::{Effects, NetworkEvent};
+use shorewharf_units::Micros;
 
 use super::Emulated;
 
--- a/crates/lab/src/mutants/acts.rs
+++ b/crates/lab/src/mutants/acts.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::edge::{ConnId, End, FromBalancer, LinkId, NodeId, ToBalancer};
+use shorewharf_units::Micros;
 
 /// One act.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -8,11 +8,11 @@
 pub mod on_sockets;
 mod tracks;
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::audit::Reason;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, ToBalancer};
 use shorewharf_emulator::virtual_time::{Host, Instance, Truth};
+use shorewharf_units::Micros;
 
 use acts::{Act, Acts};
 use tracks::Tracks;
--- a/crates/lab/src/mutants/tracks.rs
+++ b/crates/lab/src/mutants/tracks.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::edge::{ConnId, LinkId, Listed, NodeId, Stage};
+use shorewharf_units::Micros;
 
 /// Kept for one life of a process.
 #[derive(Debug, Default)]
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -19,6 +19,7 @@
     BalancerSeries, Band, Break, NodeName, NodeSeries, Part, Price, Record, Series, SetUp, TenantSeries,
     Verdict, Window, round,
 };
+use shorewharf_units::seconds_from_micros;
 
 /// Cores of this machine that the process may use.
 pub fn cores() -> usize {
@@ -154,7 +155,7 @@
         seed: day.seed,
         policy: policy.to_owned(),
         clock: clock.to_owned(),
-        length_s: day.length as f64 / 1e6,
+        length_s: seconds_from_micros(day.length),
         whole: o.whole,
         worst_window: Window { from_s: f64::from(o.worst_window.from_s), share: o.worst_window.share },
         classes: parts(&o.classes),
@@ -175,8 +176,8 @@
             .iter()
             .map(|b| Band {
                 kind: word(&b.kind),
-                from_s: b.from as f64 / 1e6,
-                to_s: b.to as f64 / 1e6,
+                from_s: seconds_from_micros(b.from),
+                to_s: seconds_from_micros(b.to),
                 struck: b.on.len(),
             })
             .collect(),
@@ -248,7 +249,7 @@
                     })
                     .collect(),
                 counts: b.counts.iter().map(|(name, ns)| ((*name).to_owned(), ns.clone())).collect(),
-                lines: b.lines.iter().map(|(at, line)| (*at as f64 / 1e6, line.clone())).collect(),
+                lines: b.lines.iter().map(|(at, line)| (seconds_from_micros(*at), line.clone())).collect(),
             })
             .collect(),
     }
@@ -265,11 +266,11 @@
             .map(|b| {
                 let conn = b.conn.map(|c| format!(", connection {c:x}")).unwrap_or_default();
                 let node = b.node.map(|n| format!(", node {}", NodeId(n).0)).unwrap_or_default();
-                let trace = b.trace.iter().map(|t| format!("{:10.6} {}", t.at as f64 / 1e6, t.what));
+                let trace = b.trace.iter().map(|t| format!("{:10.6} {}", seconds_from_micros(t.at), t.what));
                 Break {
                     rule: word(&b.rule),
                     reason: b.reason.text().to_owned(),
-                    at_s: b.at as f64 / 1e6,
+                    at_s: seconds_from_micros(b.at),
                     who: format!("balancer {}{conn}{node}: {}", b.balancer, b.detail),
                     trace: trace.collect(),
                 }
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -1,9 +1,9 @@
 //! Owns what a day's figures may be: ranges whose breach means nothing in the models, and legal figures that a writer
 //! has hardly meant.
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::*;
 use shorewharf_emulator::sockets::bad::Bads;
+use shorewharf_units::Micros;
 
 /// What was found, each with the path of its key.
 #[derive(Default)]
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -17,6 +17,7 @@
 use crate::error::Failure;
 use crate::record::{Life, Record, SocketFacts, Times, round};
 use crate::runner;
+use shorewharf_units::seconds_from_micros;
 
 /// The program with the limits of a day's machines.
 pub fn program(day: &Day, path: &Path) -> Program {
@@ -147,8 +148,8 @@
             .iter()
             .map(|l| Life {
                 balancer: l.balancer,
-                began_s: l.began as f64 / 1e6,
-                ended_s: l.ended.map(|t| t as f64 / 1e6),
+                began_s: seconds_from_micros(l.began),
+                ended_s: l.ended.map(|t| seconds_from_micros(t)),
                 how: l.how.clone(),
                 crashed: l.crashed,
                 cpu_ms: l.usage.cpu_ms,
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -19,6 +19,7 @@
 use crate::sockets;
 use crate::style::{Style, say};
 use crate::tables;
+use shorewharf_units::seconds_from_micros;
 
 /// `trial`.
 pub fn trial(args: &cli::Trial, style: &Style) -> Result<Done, Failure> {
@@ -68,13 +69,13 @@
     let of_store = trial.store_breaks(day).unwrap_or_default();
     for b in &of_store {
         let kind = format!("between: {:?}", b.what).to_lowercase();
-        let (from_s, to_s) = (b.from as f64 / 1e6, b.to as f64 / 1e6);
+        let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
         record.faults.push(Band { kind, from_s, to_s, struck: b.balancers.len() });
     }
     let rifts = trial.rifts.iter().filter(|r| !r.what.is_of_store());
     for (rift, b) in rifts.zip(&breaks) {
         let kind = format!("{:?}", rift.what).to_lowercase();
-        let (from_s, to_s) = (b.from as f64 / 1e6, b.to as f64 / 1e6);
+        let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
         record.faults.push(Band {
             kind: format!("between: {kind}"),
             from_s,
@@ -128,7 +129,7 @@
             set_ups: &run.result.series.set_ups,
             tenants: &tenants,
             held_most: &outcome.held_most,
-            slot_s: SLOT as f64 / 1e6,
+            slot_s: seconds_from_micros(SLOT),
             crashed: crashed.map(|l| format!("balancer {}: {}", l.balancer, l.how)).collect(),
             breaks,
         },
@@ -147,7 +148,7 @@
         trial.about,
         day.balancers.len(),
         day.nodes.len(),
-        day.length as f64 / 1e6,
+        seconds_from_micros(day.length),
         day.seed,
         if ended == "kept" { ended.to_owned() } else { style.bad(ended) },
     );
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -3,13 +3,13 @@
 
 use std::path::Path;
 
-use shorewharf_emulator::Micros;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_emulator::virtual_time::{Options, RunResult, run};
 use shorewharf_emulator::world::settings;
 use shorewharf_lab::instances::{Hosts, Who};
 use shorewharf_lab::scenario;
+use shorewharf_units::{Micros, seconds_from_micros};
 
 fn day(text: &str) -> Day {
     let beside = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/day.toml");
@@ -176,7 +176,7 @@
 #[test]
 fn the_settings_text_brings_the_days_figures_to_the_module() {
     let mut day = day("length_s = 5");
-    let s = |t: Micros| t as f64 / 1e6;
+    let s = |t: Micros| seconds_from_micros(t);
     day.limits.probes = true;
     day.limits.max_attempts = 4;
     day.clients.max_retry_after = 1_750_000;
--- a/crates/lifecycle/src/guard.rs
+++ b/crates/lifecycle/src/guard.rs
@@ -2,9 +2,9 @@
 
 use rustc_hash::FxHashMap;
 use shorewharf_decisions::interface::{Outcome, RequestId, Semantics, ServerId};
+use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::Micros;
 use crate::cause::Cause;
 use crate::request::{Answer, Request, RequestState, SendError, Target};
 use crate::stats::{Rule, Stats};
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -14,6 +14,3 @@
 pub use guard::{RequestGuard, Violation};
 pub use request::{Answer, RequestState, SendError, Target};
 pub use stats::{AnswerCount, Rule, Stats};
-
-/// Whole microseconds.
-pub type Micros = u64;
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,9 +1,9 @@
 //! One request: its state, and what it allows next.
 
 use shorewharf_decisions::interface::{Outcome, Scope, Semantics, ServerId};
+use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::Micros;
 use crate::stats::Rule;
 
 /// The process may be held up for so long between reading its clock and writing: a repeat that could reach its server
--- a/crates/lifecycle/tests/duplicates.rs
+++ b/crates/lifecycle/tests/duplicates.rs
@@ -3,7 +3,8 @@
 
 use proptest::prelude::*;
 use shorewharf_decisions::interface::{Outcome, RequestId, Scope, Semantics, ServerId};
-use shorewharf_lifecycle::{Answer, Cause, Micros, RequestGuard, Rule, Target};
+use shorewharf_lifecycle::{Answer, Cause, RequestGuard, Rule, Target};
+use shorewharf_units::Micros;
 
 const ID: RequestId = RequestId(3);
 /// What the guard keeps between a repeat and the end of its window.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -7,6 +7,3 @@
 pub mod open;
 pub mod operators;
 pub mod words;
-
-/// Whole microseconds, on whatever clock the caller keeps.
-pub type Micros = u64;
--- a/crates/protocol/src/open.rs
+++ b/crates/protocol/src/open.rs
@@ -1,9 +1,9 @@
 //! First lines: what an `OPEN` asks for. Read strictly: servers turn away what they can't use, and an answer
 //! from a balancer costs them nothing.
 
+use shorewharf_units::Micros;
 use std::fmt;
 
-use crate::Micros;
 use crate::names::Names;
 
 /// The longest wait that a line may name, in milliseconds; connections from before the start name 4294967, for
--- a/crates/protocol/src/words.rs
+++ b/crates/protocol/src/words.rs
@@ -1,9 +1,8 @@
 //! The lines other than first lines: answers to clients, what servers say, and probes.
 
+use shorewharf_units::Micros;
 use std::fmt;
 
-use crate::Micros;
-
 /// A line, read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Word<'a> {
--- a/crates/recovery/tests/moves.rs
+++ b/crates/recovery/tests/moves.rs
@@ -9,6 +9,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::interface::*;
 use shorewharf_recovery::care::{Guarded, Options};
+use shorewharf_units::seconds_from_micros;
 
 /// Mean load of a client, in cores; its cost to open and that of a group, as a server pays them.
 const MEAN: f64 = 0.02;
@@ -209,11 +210,11 @@
     fn play(&mut self, until: f64, mut look: impl FnMut(&Toy)) {
         let mut looked = 0.0;
         while let Some(std::cmp::Reverse((at, _, due))) = self.heap.peek().copied() {
-            if at as f64 / 1e6 > until {
+            if seconds_from_micros(at) > until {
                 break;
             }
             self.heap.pop();
-            self.now = at as f64 / 1e6;
+            self.now = seconds_from_micros(at);
             match due {
                 Due::Timer(b, token) => self.tell(b, Event::Timer(token)),
                 Due::Asks(client) => {
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -8,6 +8,8 @@
 mod token;
 mod usage;
 
+pub use shorewharf_units::Micros;
+
 pub use audit::{Actor, AuditEntry, Deed};
 pub use class::{ClassRecord, Semantics};
 pub use limits::ServiceLimits;
@@ -20,9 +22,6 @@
 
 use crate::error::Invalid;
 
-/// Microseconds since the start of 1970 (UTC), leap seconds not counted.
-pub type Micros = u64;
-
 /// The longest label of a token in bytes.
 pub const LONGEST_LABEL: usize = 256;
 
--- a/crates/tenancy/benches/decisions.rs
+++ b/crates/tenancy/benches/decisions.rs
@@ -5,7 +5,8 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_tenancy::{Limits, Micros, Place, Tenancy, Terms, Verdict};
+use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict};
+use shorewharf_units::Micros;
 
 /// Connections of all shares together, and instances.
 const SHARES: f64 = 20_000.0;
--- a/crates/tenancy/examples/estimators.rs
+++ b/crates/tenancy/examples/estimators.rs
@@ -7,7 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, Exp1};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_tenancy::{Limits, Micros, Place, Tenancy, Terms, Verdict};
+use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict};
+use shorewharf_units::Micros;
 
 const SHARES: [f64; 4] = [380.0, 290.0, 180.0, 150.0];
 const FLOODER: usize = 2;
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -20,13 +20,12 @@
 mod terms;
 mod waits;
 
+use shorewharf_units::Micros;
+
 pub use stats::{Stats, TenantStats};
 pub use tenancy::{Moves, Tenancy};
 pub use terms::{Limits, Terms, TermsError};
 
-/// Whole microseconds.
-pub type Micros = u64;
-
 /// A tenant's place. It is given once: a tenant that is removed keeps it, and one that is made anew under the same
 /// name gets another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/tenancy/src/part.rs
+++ b/crates/tenancy/src/part.rs
@@ -6,8 +6,8 @@
 //! even those who use least of their shares are full, the instance has more than an even part. The lower third of all
 //! shares is asked for it, which two flooding tenants of four can't move.
 
-use crate::Micros;
 use crate::pool::Pool;
+use shorewharf_units::Micros;
 
 /// Tenants with this part of all shares are less full than the level that speaks for ordinary tenants.
 const ORDINARY: f64 = 0.3;
--- a/crates/tenancy/src/pool.rs
+++ b/crates/tenancy/src/pool.rs
@@ -4,10 +4,11 @@
 //! All uses of a flow melt alike, so they are kept as they would be by the time of the last sorting: then nothing
 //! changes with time but one common factor, and no tenant is touched unless it acts.
 
+use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
+use crate::Place;
 use crate::levels::{Bucket, Levels, bucket};
-use crate::{Micros, Place};
 
 /// Uses of a flow are sorted anew after so many times the span in which they melt by e: factors stay below e^12.
 const SORT_AFTER: u64 = 12;
--- a/crates/tenancy/src/shortage.rs
+++ b/crates/tenancy/src/shortage.rs
@@ -3,7 +3,7 @@
 //! Only the module knows servers. What it says by refusing is taken as a limit on all that stands here: a little under
 //! what stood when it refused, lower while it goes on refusing, and rising again by itself.
 
-use crate::Micros;
+use shorewharf_units::Micros;
 
 /// Refusals and requests are remembered for about so long.
 const SPAN: Micros = 2_000_000;
--- a/crates/tenancy/src/tenancy.rs
+++ b/crates/tenancy/src/tenancy.rs
@@ -1,5 +1,6 @@
 //! The verdicts, and the tenants that they are on.
 
+use shorewharf_units::Micros;
 use std::collections::BTreeSet;
 
 use crate::part::part;
@@ -9,7 +10,7 @@
 use crate::tenant::{Flow, State, Tenant};
 use crate::terms::{Limits, Terms};
 use crate::waits::Room;
-use crate::{Micros, Place, Verdict, Why};
+use crate::{Place, Verdict, Why};
 
 /// Set-ups and returns are counted over about so long.
 const FLOW_SPAN: Micros = 4_000_000;
--- a/crates/tenancy/src/tenant.rs
+++ b/crates/tenancy/src/tenant.rs
@@ -1,9 +1,10 @@
 //! What an instance keeps of one tenant.
 
+use crate::Why;
 use crate::stats::TenantStats;
 use crate::terms::Limits;
 use crate::waits::{Room, Waits};
-use crate::{Micros, Why};
+use shorewharf_units::Micros;
 
 /// Connections that ended lately entitle so many clients to return; melts by e in so long.
 const RETURNS_FOR: f64 = 6e6;
--- a/crates/tenancy/src/terms.rs
+++ b/crates/tenancy/src/terms.rs
@@ -1,9 +1,8 @@
 //! What tenants and the fleet are told to be: checked once, where they are made.
 
+use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::Micros;
-
 /// A figure that can't be used; the text names it.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum TermsError {
--- a/crates/tenancy/src/waits.rs
+++ b/crates/tenancy/src/waits.rs
@@ -1,8 +1,8 @@
 //! When a client that is turned away should come back: spread, so that those who are refused together don't come back
 //! together, and no longer than clients heed.
 
-use crate::Micros;
 use crate::tenant::Melting;
+use shorewharf_units::Micros;
 
 /// Nobody is told to come back sooner: a refusal costs a connection and a line.
 const LEAST: Micros = 100_000;
--- a/crates/tenancy/tests/model.rs
+++ b/crates/tenancy/tests/model.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shorewharf_tenancy::{Limits, Micros, Place, Tenancy, Terms, Verdict, Why};
+use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict, Why};
+use shorewharf_units::Micros;
 
 const TENANTS: usize = 6;
 
--- a/crates/tenancy/tests/shares.rs
+++ b/crates/tenancy/tests/shares.rs
@@ -1,6 +1,7 @@
 //! What tenants are promised, each against the failure that would break it.
 
-use shorewharf_tenancy::{Limits, Micros, Place, Stats, Tenancy, Terms, Verdict, Why};
+use shorewharf_tenancy::{Limits, Place, Stats, Tenancy, Terms, Verdict, Why};
+use shorewharf_units::Micros;
 
 const S: Micros = 1_000_000;
 
--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -8,10 +8,11 @@
 
 use clap::Parser;
 use shorewharf_decisions::{Action, Event};
-use shorewharf_driver::{Gate, micros};
+use shorewharf_driver::Gate;
 use shorewharf_logging::LogArgs;
 use shorewharf_settings::operator::Operator;
 use shorewharf_settings::settings;
+use shorewharf_units::micros_from_seconds;
 use shorewharf_wire::{Decoder, Encoder, MAX_FRAME, Record, WireError};
 use tracing::error;
 
@@ -64,7 +65,7 @@
             Record::Attach(seed, text) => {
                 let (set, column) = settings(&text).map_err(|e| e.to_string())?;
                 self.columns.insert(i, column);
-                let gate = Gate::new(micros(now), set, seed, &self.operator);
+                let gate = Gate::new(micros_from_seconds(now), set, seed, &self.operator);
                 self.balancers.insert(i, gate);
                 Event::Start
             }
