--- a/crates/balancer/benches/parts.rs
+++ b/crates/balancer/benches/parts.rs
@@ -7,10 +7,10 @@
 
 use criterion::{BatchSize, Criterion, Throughput};
 use serde_json::json;
-use shorewharf::net::incoming::Incoming;
-use shorewharf::net::reader::{Part, Reader};
-use shorewharf::net::server_table::ServerTable;
-use shorewharf::net::timers::Timers;
+use shorewharf::discovery::reader::{Part, Reader};
+use shorewharf::discovery::update::Incoming;
+use shorewharf::event_loop::timers::Timers;
+use shorewharf::servers::server_table::ServerTable;
 use shorewharf_emulator::standin::endpoint;
 use shorewharf_protocol::line::{Front, front};
 use shorewharf_protocol::list::Listing;
--- a/crates/balancer/src/net/operators/desk.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -9,15 +9,15 @@
 use shorewharf_units::{Micros, seconds_from_micros};
 use tracing::{info, warn};
 
-use super::counts::Counts;
-use super::door::Door;
-use super::folder::Folder;
-use crate::net::crew::Order;
-use crate::net::hub::Net;
-use crate::net::list::incoming::server_id;
-use crate::net::poll::{Owner, Ready};
-use crate::net::servers::taken_out::{Change, Out};
-use crate::net::turn::Due;
+use crate::admin::counters::Counts;
+use crate::admin::server::Door;
+use crate::admin::shared_folder::Folder;
+use crate::discovery::update::server_id;
+use crate::event_loop::hub::Net;
+use crate::event_loop::iteration::Due;
+use crate::event_loop::poll::{Owner, Ready};
+use crate::servers::disabled::{Change, Out};
+use crate::workers::pool::Order;
 
 /// How often it is looked for what other processes of this balancer have changed: they hear of a call within its second.
 const LOOK: Micros = 100_000;
--- a/crates/balancer/src/net/operators/door.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -7,10 +7,10 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::net::link::Link;
-use crate::net::poll::{Owner, Ready};
-use crate::net::pool::BUFFER;
-use crate::net::turn::{Alarm, Due, Turn};
+use crate::event_loop::iteration::{Alarm, Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::transport::buffer_pool::BUFFER;
+use crate::transport::connection::Link;
 
 /// Callers held at once. Guards clients' descriptors: these are apart from theirs.
 pub const CALLERS: usize = 16;
--- a/crates/balancer/src/net/operators/folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -12,7 +12,7 @@
 use shorewharf_decisions::interface::ServerId;
 use tracing::warn;
 
-use crate::net::servers::taken_out::Out;
+use crate::servers::disabled::Out;
 
 /// A file's text is the server's name, for whoever looks; what is longer is none.
 const LONGEST: u64 = 4096;
--- a/crates/balancer/src/net/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -6,9 +6,9 @@
 use shorewharf_driver::ReceivedRequest;
 use shorewharf_units::Micros;
 
-use crate::net::link::{End, Link, TooLong};
-use crate::net::pool::{Buffer, Pool};
-use crate::net::turn::{Alarm, Turn};
+use crate::event_loop::iteration::{Alarm, Turn};
+use crate::transport::buffer_pool::{Buffer, Pool};
+use crate::transport::connection::{End, Link, TooLong};
 
 /// A client that connects has this long for its first line, all of it: a client sends it at once, and one that
 /// can't, or says nothing, is owed an end within 3 s. A line that a front has begun has as long to end.
@@ -111,11 +111,11 @@
     /// When the first line came that its server has answered nothing to.
     asked: Option<Micros>,
     /// The class it asks for, until its one end, or its coming up, has been counted.
-    pub(super) class: Option<u16>,
+    pub(crate) class: Option<u16>,
     /// It is among those that tell of message delays.
     sighted: bool,
     /// Its timer.
-    pub(super) alarm: Alarm,
+    pub(crate) alarm: Alarm,
 }
 
 /// A connection from before the start.
@@ -146,7 +146,7 @@
 
 impl Session {
     /// A client that has just connected.
-    pub(super) fn new(link: Link, from: SocketAddr, now: Micros) -> Self {
+    pub(crate) fn new(link: Link, from: SocketAddr, now: Micros) -> Self {
         Session {
             link,
             from,
@@ -167,7 +167,7 @@
     }
 
     /// One that stands, from another process of this balancer.
-    pub(super) fn adopted(
+    pub(crate) fn adopted(
         link: Link,
         from: SocketAddr,
         now: Micros,
@@ -183,7 +183,7 @@
     }
 
     /// When something of it is due next.
-    pub(super) fn due(&self, turn: &Turn) -> Option<Micros> {
+    pub(crate) fn due(&self, turn: &Turn) -> Option<Micros> {
         let judges_from = turn.judges_from();
         let first = |a: Option<Micros>, b: Option<Micros>| a.into_iter().chain(b).min();
         match self.stage {
@@ -213,7 +213,7 @@
     }
 
     /// When this stage began.
-    pub(super) fn since(&self) -> Micros {
+    pub(crate) fn since(&self) -> Micros {
         self.since
     }
 
@@ -316,7 +316,7 @@
     }
 
     /// Its first line has come, and it waits.
-    pub(super) fn asks(&mut self, now: Micros, pool: &Pool, asking: Asking) {
+    pub(crate) fn asks(&mut self, now: Micros, pool: &Pool, asking: Asking) {
         let mut first = pool.take();
         first.append(asking.line);
         let carried = |home| Box::new(Carried { home, req: asking.req, again: None, failed: false });
@@ -391,7 +391,7 @@
     }
 
     /// Says its last words; its end is awaited from now on. Tells the id that it had opened with, which is free.
-    pub(super) fn ends(&mut self, now: Micros, pool: &Pool, words: &[u8]) -> Option<u64> {
+    pub(crate) fn ends(&mut self, now: Micros, pool: &Pool, words: &[u8]) -> Option<u64> {
         (self.stage, self.since, self.until) = (Stage::Ending, now, now + LAST_WORDS);
         (self.first, self.half_open) = (None, None);
         self.link.say(pool, words);
@@ -423,7 +423,7 @@
 }
 
 /// A number that no session has is looked for from here on.
-pub(super) fn next_free(from: RequestId, in_use: impl Fn(RequestId) -> bool) -> RequestId {
+pub(crate) fn next_free(from: RequestId, in_use: impl Fn(RequestId) -> bool) -> RequestId {
     let mut id = from;
     // After four thousand million clients the numbers come round; one that is in use is passed over.
     while in_use(id) {
--- a/crates/balancer/src/net/clients/session/tests.rs
+++ b/crates/balancer/src/clients/session/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::turn::tests::{pair, turn};
+use crate::event_loop::iteration::tests::{pair, turn};
 
 #[test]
 fn a_line_unanswered_for_a_second_and_a_half_shows_a_dead_connection() {
--- a/crates/balancer/src/net/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -8,12 +8,12 @@
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_units::Micros;
 
-use super::idle_connections::IdleConnections;
-use super::open_ids::OpenIds;
-use super::session::{Asking, Session, Stage, next_free};
-use crate::net::link::Link;
-use crate::net::poll::Owner;
-use crate::net::turn::{Due, Turn};
+use crate::clients::idle_connections::IdleConnections;
+use crate::clients::open_ids::OpenIds;
+use crate::clients::session::{Asking, Session, Stage, next_free};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::Owner;
+use crate::transport::connection::Link;
 
 /// All sessions. An open id belongs to the one session that opened with it, until that has had its last words;
 /// who is opening or ending asks for nothing, and nobody else does.
--- a/crates/balancer/src/net/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -1,8 +1,8 @@
 //! The table in step with its sessions, on pairs of real connections.
 
 use super::*;
-use crate::net::clients::session::{Ending, First, Patience};
-use crate::net::turn::tests::{READ, pair, turn, until};
+use crate::clients::session::{Ending, First, Patience};
+use crate::event_loop::iteration::tests::{READ, pair, turn, until};
 use shorewharf_driver::ReceivedRequest;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -1,5 +1,9 @@
 //! Configuration: read, checked and given defaults here and nowhere else.
 
+pub mod error;
+pub mod proxy_settings;
+pub mod summary;
+
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -11,10 +15,10 @@
 use shorewharf_protocol::names::Names;
 use shorewharf_settings::operator::Operator;
 
-pub use crate::config_error::ConfigError;
-use crate::fleet::Fleet;
-use crate::net::CALLERS;
-use crate::peers::Peers;
+use crate::admin::server::CALLERS;
+pub use crate::config::error::ConfigError;
+use crate::fleet::budget_config::Fleet;
+use crate::fleet::peers::Peers;
 
 /// Lengths of time are shorter than this, in seconds: sums of them stay far from the end of the clock.
 const LONGEST: f64 = 1e6;
--- a/crates/balancer/src/check/tests.rs
+++ b/crates/balancer/src/config/summary/tests.rs
@@ -20,6 +20,6 @@
     ] {
         assert!(lines.contains(&line.split(' ').collect()), "{line} is not in\n{table}");
     }
-    let bad = super::table(b"{}", env).expect_err("nothing is in it");
+    let bad = crate::config::summary::table(b"{}", env).expect_err("nothing is in it");
     assert_eq!(bad.key(), "settings");
 }
--- a/crates/balancer/src/net/list/discovery_client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -6,13 +6,13 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use super::answer::Answer;
-use super::incoming::Incoming;
-use super::reader::{Part, Reader};
-use crate::net::link::Link;
-use crate::net::poll::{Owner, Ready};
-use crate::net::terms::Terms;
-use crate::net::turn::{Alarm, Due, Turn};
+use crate::config::proxy_settings::Terms;
+use crate::discovery::reader::{Part, Reader};
+use crate::discovery::response::Answer;
+use crate::discovery::update::Incoming;
+use crate::event_loop::iteration::{Alarm, Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::transport::connection::Link;
 
 /// A call of whose list nothing has come by then has failed, whatever else of it has come up: discovery itself gives up
 /// after about a second. After a reload its news counts as told within 4 s, and there must be time for another call by then.
--- a/crates/balancer/src/net/list/mod.rs
+++ b/crates/balancer/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The list of servers, from discovery: the answer, the text in it, and what is kept of that.
 
-mod answer;
-pub mod discovery_client;
-pub mod incoming;
+pub mod client;
 pub mod reader;
+mod response;
+pub mod update;
 pub mod wall_clock;
--- a/crates/balancer/src/net/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -12,22 +12,22 @@
 use shorewharf_units::Micros;
 use tracing::{error, info};
 
-use super::clients::open_ids::OpenIds;
-use super::crew::{Crew, Help, Order};
-use super::gossip::Tells;
-use super::handover::overlap::Kin;
-use super::link::is_shortage;
-use super::list::discovery_client::{DiscoveryClient, DiscoveryEvent};
-use super::list::incoming::Incoming;
-use super::list::wall_clock::WallClock;
-use super::operators::counts::Counts;
-use super::operators::desk::{Desk, Opened};
-use super::poll::{Owner, Ready};
-use super::servers::taken_out::{Change, Out};
-use super::serving::Serving;
-use super::shutdown::{LEAVE_AFTER, ShutdownSchedule};
-use super::terms::Terms;
-use super::turn::{Due, Turn};
+use crate::admin::counters::Counts;
+use crate::admin::handler::{Desk, Opened};
+use crate::clients::open_ids::OpenIds;
+use crate::config::proxy_settings::Terms;
+use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
+use crate::discovery::update::Incoming;
+use crate::discovery::wall_clock::WallClock;
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::fleet::gossip::Tells;
+use crate::handover::siblings::Kin;
+use crate::proxy::Serving;
+use crate::servers::disabled::{Change, Out};
+use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
+use crate::transport::connection::is_shortage;
+use crate::workers::pool::{Crew, Help, Order};
 
 /// How long clients wait in the backlog before the next look for room.
 const ACCEPT_AGAIN: Micros = 100_000;
@@ -79,10 +79,10 @@
 /// All peers, and the turn that they act in.
 #[derive(Debug)]
 pub struct Net {
-    pub(super) turn: Turn,
+    pub(crate) turn: Turn,
     listener: TcpListener,
     /// The other workers, if there are any.
-    pub(super) crew: Option<Crew>,
+    pub(crate) crew: Option<Crew>,
     /// Clients may wait at the listener of a neighbour that stalls.
     can_help: bool,
     /// Clients may wait to be accepted: the last look did not show that none does.
@@ -91,20 +91,20 @@
     accepts: bool,
     /// The next look for room is set.
     waits_for_room: bool,
-    pub(super) serving: Serving,
-    pub(super) discovery: DiscoveryClient,
+    pub(crate) serving: Serving,
+    pub(crate) discovery: DiscoveryClient,
     /// Where operators call.
-    pub(super) desk: Option<Desk>,
+    pub(crate) desk: Option<Desk>,
     /// Other processes of this balancer.
-    pub(super) kin: Kin,
+    pub(crate) kin: Kin,
     /// Other balancers of the fleet, where they are told.
-    pub(super) tells: Option<Tells>,
+    pub(crate) tells: Option<Tells>,
     /// Standing connections are to go on in another process, in this turn.
-    pub(super) hands_over: bool,
+    pub(crate) hands_over: bool,
     /// What is known is to be read out, or read on, in this turn.
-    pub(super) reads_out: bool,
+    pub(crate) reads_out: bool,
     /// When SIGTERM came.
-    pub(super) leaving: Option<Micros>,
+    pub(crate) leaving: Option<Micros>,
     /// It has ended, with so many clients still here.
     done: Option<usize>,
 }
@@ -287,7 +287,7 @@
     }
 
     /// Those who wait at the listener are looked for again.
-    pub(super) fn accepts_again(&mut self) {
+    pub(crate) fn accepts_again(&mut self) {
         (self.can_accept, self.accepts) = (true, true);
     }
 
--- a/crates/balancer/src/net/turn.rs
+++ b/crates/balancer/src/event_loop/iteration.rs
@@ -8,10 +8,10 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use super::overload_monitor::OverloadMonitor;
-use super::poll::Poller;
-use super::pool::Pool;
-use super::timers::{Key, Timers};
+use crate::event_loop::poll::Poller;
+use crate::event_loop::timers::{Key, Timers};
+use crate::overload::monitor::OverloadMonitor;
+use crate::transport::buffer_pool::Pool;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/balancer/src/net/turn/tests.rs
+++ b/crates/balancer/src/event_loop/iteration/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::poll::{Ready, Watch};
+use crate::event_loop::poll::{Ready, Watch};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
--- a/crates/balancer/src/net/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -12,7 +12,7 @@
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 use shorewharf_decisions::interface::RequestId;
 
-use super::link::Link;
+use crate::transport::connection::Link;
 
 /// What is told of connections in one turn at most; the rest is told in the next.
 const EVENTS: usize = 1024;
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -5,7 +5,7 @@
 use shorewharf_protocol::names::Names;
 use shorewharf_settings::operator::Budgets;
 
-use crate::config_error::ConfigError;
+use crate::config::error::ConfigError;
 use shorewharf_units::micros_from_seconds;
 
 /// More balancers than this are no fleet of one service.
--- a/crates/balancer/src/net/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -15,9 +15,9 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use super::Clock;
+use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
-use crate::fleet::{Fleet, SET_UPS};
+use crate::fleet::budget_config::{Fleet, SET_UPS};
 
 /// Parts go to the log this often.
 const LOG: Micros = 10_000_000;
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// Where the store's address or prefix can't be used, or the system gives no thread.
-    pub fn start(config: &Config, clock: Clock) -> Result<Option<Shares>, super::workers::Failure> {
+    pub fn start(config: &Config, clock: Clock) -> Result<Option<Shares>, crate::workers::startup::Failure> {
         let Some(fleet) = &config.fleet else { return Ok(None) };
         let wall = wall();
         let address = (fleet.store.clone(), fleet.prefix.clone(), config.name.clone());
--- a/crates/balancer/src/net/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -15,9 +15,9 @@
 use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
-use super::poll::Owner;
-use super::turn::{Due, Turn};
-use crate::peers::Peers;
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::Owner;
+use crate::fleet::peers::Peers;
 
 /// What others hold is told to the module this often.
 const TELL: Micros = 200_000;
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/fleet/peers.rs
@@ -5,7 +5,7 @@
 use shorewharf_gossip::{Key, Rules};
 use shorewharf_settings::operator::Gossip;
 
-use crate::config_error::ConfigError;
+use crate::config::error::ConfigError;
 
 /// More balancers than this are no fleet of one service.
 const MOST: usize = 4_096;
--- a/crates/balancer/src/net/handover/mod.rs
+++ b/crates/balancer/src/handover/mod.rs
@@ -1,10 +1,10 @@
 //! One process of a balancer replaced by another: the old one offers its listeners and what it knows of the list, the
 //! new one says when it serves, and while both run they are one balancer to rules and limits.
 
-pub mod overlap;
+pub mod messages;
 pub mod predecessor;
+pub mod siblings;
 pub mod successors;
-pub mod words;
 
 use std::io;
 use std::os::fd::AsFd;
--- a/crates/balancer/src/net/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -13,12 +13,12 @@
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, recvmsg};
 use tracing::warn;
 
-use super::is_own;
-use super::words::{
+use crate::event_loop::poll::{Owner, Poller};
+use crate::handover::is_own;
+use crate::handover::messages::{
     ENDS, Estate, Handed, KEEPS, LEAVES, LISTENERS, LONGEST, SERVES, Standing, TAKES, VERSION, line,
     read_held, took,
 };
-use crate::net::poll::{Owner, Poller};
 
 /// The old process has this long to answer: its loop may be busy, and the start has 6 s in all.
 const PATIENCE: Duration = Duration::from_millis(1500);
--- a/crates/balancer/src/net/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::handover::successors::Successors;
-use crate::net::handover::words::held;
-use crate::net::poll::Watch;
-use crate::net::turn::tests::until;
+use crate::event_loop::iteration::tests::until;
+use crate::event_loop::poll::Watch;
+use crate::handover::messages::held;
+use crate::handover::successors::Successors;
 use shorewharf_protocol::list::Listing;
 
 fn poller() -> Poller {
--- a/crates/balancer/src/net/handover/overlap.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -9,15 +9,15 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use super::predecessor::Predecessor;
-use super::successors::Successors;
-use super::words::{Estate, Handed, LEAVES, VERSION, held};
-use crate::net::budget::OWN_DESCRIPTORS;
-use crate::net::crew::{Crew, Order};
-use crate::net::hub::Net;
-use crate::net::operators::counts::Counts;
-use crate::net::poll::Owner;
-use crate::net::turn::Due;
+use crate::admin::counters::Counts;
+use crate::event_loop::hub::Net;
+use crate::event_loop::iteration::Due;
+use crate::event_loop::poll::Owner;
+use crate::handover::messages::{Estate, Handed, LEAVES, VERSION, held};
+use crate::handover::predecessor::Predecessor;
+use crate::handover::successors::Successors;
+use crate::overload::descriptor_budget::OWN_DESCRIPTORS;
+use crate::workers::pool::{Crew, Order};
 
 /// How often the old process tells what it holds: as its clients leave, the new one may take more.
 const TELL: Micros = 100_000;
--- a/crates/balancer/src/net/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -15,9 +15,9 @@
 
 use tracing::warn;
 
-use super::is_own;
-use super::words::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
-use crate::net::poll::{Owner, Poller};
+use crate::event_loop::poll::{Owner, Poller};
+use crate::handover::is_own;
+use crate::handover::messages::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
 
 /// Processes that may have asked at once: one, a second one before the first serves, and some that hang.
 const SUCCESSORS: usize = 4;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,22 @@
 #![doc = include_str!("../../../README.md")]
 
-pub mod check;
+mod admin;
+mod clients;
+mod clock;
 pub mod config;
-pub mod config_error;
+pub mod discovery;
+pub mod event_loop;
 pub mod fleet;
-pub mod net;
-pub mod peers;
+mod handover;
+mod overload;
+mod proxy;
+mod reload;
+pub mod servers;
+mod shutdown;
+mod snapshot;
+mod supervisor;
+mod transport;
+mod workers;
+
+pub use admin::server::CALLERS;
+pub use workers::startup::{Failure, run};
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use shorewharf::Failure;
+use shorewharf::config::summary;
 use shorewharf::config::{Config, ConfigError, OPERATOR};
-use shorewharf::net::Failure;
-use shorewharf::{check, net};
 use shorewharf_logging::LogArgs;
 use tracing::error;
 
@@ -72,7 +72,7 @@
             return ExitCode::from(BAD_CONFIG);
         }
     };
-    match net::run(config, take_over, move || Config::read(&env)) {
+    match shorewharf::run(config, take_over, move || Config::read(&env)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure::Config(e)) => {
             error!(event = "bad-config", key = e.key(), why = %e.why());
@@ -87,7 +87,7 @@
 
 fn check_config(file: &Path, env: impl Fn(&str) -> Option<String>) -> ExitCode {
     let text = std::fs::read(file).map_err(|e| ConfigError::File(file.into(), e));
-    match text.and_then(|text| check::table(&text, env)) {
+    match text.and_then(|text| summary::table(&text, env)) {
         Ok(table) => {
             // Whoever reads it may have read enough.
             let _ = writeln!(std::io::stdout(), "{}", table.trim_fmt());
--- a/crates/balancer/src/net/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -4,7 +4,7 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use super::turn::{Due, Turn};
+use crate::event_loop::iteration::{Due, Turn};
 
 /// Log lines a second that clients may cause.
 const MOST: u32 = 50;
--- /dev/null
+++ b/crates/balancer/src/overload/mod.rs
@@ -0,0 +1,5 @@
+//! What the process can take on: descriptors, the load of the event loop, log lines that clients cause.
+
+pub mod descriptor_budget;
+pub mod log_rate_limiter;
+pub mod monitor;
--- a/crates/balancer/src/net/serving/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -9,10 +9,10 @@
 use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
-use super::Serving;
-use crate::net::clients::session::{Ending, Stage};
-use crate::net::operators::counts::Reply;
-use crate::net::turn::Turn;
+use crate::admin::counters::Reply;
+use crate::clients::session::{Ending, Stage};
+use crate::event_loop::iteration::Turn;
+use crate::proxy::Serving;
 
 /// The line that says an answer; none for the end of a connection without a word.
 fn line_of(answer: Answer) -> String {
@@ -78,7 +78,7 @@
     }
 
     /// Something was to be done that a rule forbids. It was not done; that it was wanted is a fault of the program.
-    pub(super) fn report_violation(&self, violation: &Violation, cause: Cause) {
+    pub(crate) fn report_violation(&self, violation: &Violation, cause: Cause) {
         let (rule, req, attempt) = (violation.rule, violation.request.0, violation.attempt);
         let server = self.servers.name(violation.server);
         error!(event = "rule-violation", %rule, req, attempt, server, %cause);
@@ -86,7 +86,7 @@
     }
 
     /// Ends a client's connection, whatever is still on its way.
-    pub(super) fn close_session(&mut self, turn: &mut Turn, id: RequestId, cause: Cause) {
+    pub(crate) fn close_session(&mut self, turn: &mut Turn, id: RequestId, cause: Cause) {
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
         }
@@ -94,7 +94,7 @@
     }
 
     /// Goes on with the end of a client's connection, as far as that goes now.
-    pub(super) fn session_ends(&mut self, turn: &mut Turn, id: RequestId) {
+    pub(crate) fn session_ends(&mut self, turn: &mut Turn, id: RequestId) {
         match self.sessions.get_mut(id).map(|s| s.ending(&turn.pool)) {
             Some(Ending::Over) => self.close_session(turn, id, Cause::Server),
             Some(Ending::More) => self.again.push(id),
--- a/crates/balancer/src/net/serving/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -6,9 +6,9 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
-use super::Serving;
-use crate::net::servers::attempts::DialError;
-use crate::net::turn::{Due, Turn};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::proxy::Serving;
+use crate::servers::attempts::DialError;
 
 /// The pauses before a connection is begun again, which together outlast a moment without ports, routes or descriptors.
 const PAUSES: [Micros; 7] = [2_000, 4_000, 8_000, 16_000, 32_000, 64_000, 128_000];
@@ -26,7 +26,7 @@
 
 impl Serving {
     /// Begins the connection of an attempt that the guard has let pass.
-    pub(super) fn dial(
+    pub(crate) fn dial(
         &mut self,
         turn: &mut Turn,
         id: RequestId,
--- a/crates/balancer/src/net/serving/standing.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -6,12 +6,12 @@
 use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
-use super::Serving;
-use crate::net::clients::session::{Session, Stage};
-use crate::net::link::End;
-use crate::net::relay::{Fate, ends, relay};
-use crate::net::servers::delays::Figure;
-use crate::net::turn::{Due, Turn};
+use crate::clients::session::{Session, Stage};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::proxy::Serving;
+use crate::proxy::relay::{Fate, ends, relay};
+use crate::servers::delays::Figure;
+use crate::transport::connection::End;
 
 /// Clients of a server that is taken out are moved in so many parts, so far apart: all of them before the second is over
 /// after which the server must get nothing.
@@ -126,7 +126,7 @@
     }
 
     /// Ends a standing connection on both sides, the client's as the server's ended.
-    pub(super) fn end_both(&mut self, turn: &mut Turn, id: RequestId, end: End, outcome: Outcome) {
+    pub(crate) fn end_both(&mut self, turn: &mut Turn, id: RequestId, end: End, outcome: Outcome) {
         self.end_attempt(turn, id, outcome);
         match end {
             End::Fin => self.answer(turn, id, Answer::Closed, Cause::Server),
@@ -139,7 +139,7 @@
 
     /// The server answers nothing: its client is moved, and the module hears of a drop. One that has answered
     /// others meanwhile is not blamed: the connection fell silent, not the server.
-    pub(super) fn silent(&mut self, turn: &mut Turn, id: RequestId, since: Micros) {
+    pub(crate) fn silent(&mut self, turn: &mut Turn, id: RequestId, since: Micros) {
         let lives = self.attempts.server_lives(id, since);
         self.end_attempt(turn, id, if lives { Outcome::Cancelled } else { Outcome::Reset });
         if self.sessions.get(id).is_some_and(|s| s.link.between_lines()) {
--- a/crates/balancer/src/net/serving/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -3,9 +3,10 @@
 
 mod answers;
 mod dialing;
-mod due;
-mod handing;
-mod standing;
+mod established;
+pub mod relay;
+mod timeouts;
+mod transfer;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -18,21 +19,21 @@
 use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
-use crate::net::budget::{Budget, Held};
-use crate::net::clients::open_ids::OpenIds;
-use crate::net::clients::session::{Asking, First, Patience, Session, Stage};
-use crate::net::clients::sessions::Sessions;
-use crate::net::list::incoming::{Incoming, server_id};
-use crate::net::list::wall_clock::WallClock;
-use crate::net::log_rate_limiter::LogRateLimiter;
-use crate::net::operators::counts::{Counts, Reply};
-use crate::net::poll::Ready;
-use crate::net::servers::attempts::{self, Answer, Attempts};
-use crate::net::servers::probes::Probes;
-use crate::net::servers::server_table::ServerTable;
-use crate::net::shutdown::LEAVE_AFTER;
-use crate::net::terms::Terms;
-use crate::net::turn::Turn;
+use crate::admin::counters::{Counts, Reply};
+use crate::clients::open_ids::OpenIds;
+use crate::clients::session::{Asking, First, Patience, Session, Stage};
+use crate::clients::sessions::Sessions;
+use crate::config::proxy_settings::Terms;
+use crate::discovery::update::{Incoming, server_id};
+use crate::discovery::wall_clock::WallClock;
+use crate::event_loop::iteration::Turn;
+use crate::event_loop::poll::Ready;
+use crate::overload::descriptor_budget::{Budget, Held};
+use crate::overload::log_rate_limiter::LogRateLimiter;
+use crate::servers::attempts::{self, Answer, Attempts};
+use crate::servers::probes::Probes;
+use crate::servers::server_table::ServerTable;
+use crate::shutdown::LEAVE_AFTER;
 
 use dialing::PendingDial;
 
--- a/crates/balancer/src/net/relay.rs
+++ b/crates/balancer/src/proxy/relay.rs
@@ -3,10 +3,10 @@
 use shorewharf_decisions::interface::{Outcome, RequestId};
 use shorewharf_units::Micros;
 
-use super::clients::session::{Session, Stage};
-use super::link::End;
-use super::servers::attempts::Attempt;
-use super::turn::Turn;
+use crate::clients::session::{Session, Stage};
+use crate::event_loop::iteration::Turn;
+use crate::servers::attempts::Attempt;
+use crate::transport::connection::End;
 
 /// Rounds of carrying lines for one connection before the others get their turn.
 const ROUNDS: usize = 8;
--- a/crates/balancer/src/net/serving/due.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -9,12 +9,12 @@
 use tracing::{debug, error, warn};
 
 use super::{COME_BACK, Serving};
-use crate::net::clients::session::{Session, Stage};
-use crate::net::link::End;
-use crate::net::poll::Ready;
-use crate::net::servers::attempts;
-use crate::net::servers::delays::Sight;
-use crate::net::turn::Turn;
+use crate::clients::session::{Session, Stage};
+use crate::event_loop::iteration::Turn;
+use crate::event_loop::poll::Ready;
+use crate::servers::attempts;
+use crate::servers::delays::Sight;
+use crate::transport::connection::End;
 
 impl Serving {
     /// Log lines were left out a moment ago.
--- a/crates/balancer/src/net/serving/handing.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -4,12 +4,12 @@
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer, Cause};
 
-use super::Serving;
-use crate::net::clients::session::Session;
-use crate::net::handover::words::{Handed, Standing};
-use crate::net::link::Link;
-use crate::net::servers::attempts::Attempt;
-use crate::net::turn::Turn;
+use crate::clients::session::Session;
+use crate::event_loop::iteration::Turn;
+use crate::handover::messages::{Handed, Standing};
+use crate::proxy::Serving;
+use crate::servers::attempts::Attempt;
+use crate::transport::connection::Link;
 
 /// The name that stands at this place.
 fn name(names: &std::collections::HashMap<String, usize>, place: usize) -> String {
--- a/crates/balancer/src/net/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,8 +1,8 @@
 //! A new configuration while the program runs: taken whole or not at all.
 
-use super::hub::Net;
-use super::terms::Terms;
+use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
+use crate::event_loop::hub::Net;
 use shorewharf_driver::{Driver, Effects};
 use tracing::info;
 
--- a/crates/balancer/src/net/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -10,10 +10,10 @@
 use shorewharf_protocol::words::{Word, word};
 use shorewharf_units::Micros;
 
-use crate::net::link::{End, Link, TooLong, is_local_failure, is_shortage};
-use crate::net::poll::Owner;
-use crate::net::pool::Pool;
-use crate::net::turn::{Alarm, Due, Turn};
+use crate::event_loop::iteration::{Alarm, Due, Turn};
+use crate::event_loop::poll::Owner;
+use crate::transport::buffer_pool::Pool;
+use crate::transport::connection::{End, Link, TooLong, is_local_failure, is_shortage};
 
 /// How far a attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/balancer/src/net/servers/mod.rs
+++ b/crates/balancer/src/servers/mod.rs
@@ -3,6 +3,6 @@
 
 pub mod attempts;
 pub mod delays;
+pub mod disabled;
 pub mod probes;
 pub mod server_table;
-pub mod taken_out;
--- a/crates/balancer/src/net/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -8,10 +8,10 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
-use crate::net::link::Link;
-use crate::net::poll::{Owner, Ready};
-use crate::net::timers::Key;
-use crate::net::turn::{Due, Turn};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::event_loop::timers::Key;
+use crate::transport::connection::Link;
 
 /// How long a probe may take.
 const PROBE: Micros = 500_000;
--- a/crates/balancer/src/net/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -11,11 +11,11 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use crate::net::list::incoming::{Entry, Incoming};
-use crate::net::list::wall_clock::WallClock;
+use crate::discovery::update::{Entry, Incoming};
+use crate::discovery::wall_clock::WallClock;
 
-use super::delays::{Figure, Figures, Sight, typical};
-use super::taken_out::{Change, TakenOut};
+use crate::servers::delays::{Figure, Figures, Sight, typical};
+use crate::servers::disabled::{Change, TakenOut};
 
 /// A server as the discovery listed it last.
 #[derive(Debug)]
--- a/crates/balancer/src/net/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::list::incoming::server_id;
+use crate::discovery::update::server_id;
 use serde_json::json;
 
 fn listing(snapshot: bool, servers: &[(&str, &str, &str)]) -> Incoming {
--- a/crates/balancer/src/net/keeping.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -17,9 +17,9 @@
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use tracing::{debug, info, warn};
 
-use super::hub::Net;
-use super::turn::Due;
 use crate::config::Config;
+use crate::event_loop::hub::Net;
+use crate::event_loop::iteration::Due;
 
 /// Read out in one turn: servers with their names, and things known; each takes well under 0.2 ms.
 const SERVERS: usize = 64;
--- a/crates/balancer/src/net/link.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -7,9 +7,9 @@
 use mio::net::TcpStream;
 use socket2::SockRef;
 
-use super::handover::words::OnTheWay;
-use super::poll::Ready;
-use super::pool::{Buffer, Pool};
+use crate::event_loop::poll::Ready;
+use crate::handover::messages::OnTheWay;
+use crate::transport::buffer_pool::{Buffer, Pool};
 use shorewharf_protocol::line::{Front, front};
 
 /// How often a connection is begun that this machine itself could not begin. Most such failures are over with the call.
--- /dev/null
+++ b/crates/balancer/src/transport/mod.rs
@@ -0,0 +1,4 @@
+//! Connections that carry lines, and the buffers that they share.
+
+pub mod buffer_pool;
+pub mod connection;
--- a/crates/balancer/src/net/crew.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -16,10 +16,10 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use super::handover::words::Handed;
-use super::list::discovery_client::DiscoveryEvent;
-use super::servers::taken_out::Change;
 use crate::config::Config;
+use crate::discovery::client::DiscoveryEvent;
+use crate::handover::messages::Handed;
+use crate::servers::disabled::Change;
 
 /// A worker that has not begun a turn for so long after it was to has stalled.
 const STALLS: Micros = 1_000_000;
--- a/crates/balancer/src/net/crew/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::poll::Watch;
+use crate::event_loop::poll::Watch;
 
 fn crew(n: usize) -> (Vec<Crew>, Vec<Watch>) {
     let (mut seats, mut watches) = (Vec::new(), Vec::new());
--- a/crates/balancer/src/net/workers.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -19,26 +19,26 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-use super::Clock;
-use super::budgets::Shares;
-use super::clients::open_ids::OpenIds;
-use super::crew::{Crew, Order, Seat};
-use super::gossip::Tells;
-use super::handover::overlap::Kin;
-use super::handover::predecessor::{self, Inherited, Predecessor};
-use super::handover::successors::Successors;
-use super::hub::{Net, Place};
-use super::keeping::{self, Keeping, Memory, everything};
-use super::link::is_shortage;
-use super::notify;
-use super::operators::counts::Counts;
-use super::operators::desk::Opened;
-use super::operators::folder::Folder;
-use super::poll::{Owner, Poller, Ready, Watch};
-use super::reload;
-use super::terms::Terms;
-use super::turn::{Due, Turn};
+use crate::admin::counters::Counts;
+use crate::admin::handler::Opened;
+use crate::admin::shared_folder::Folder;
+use crate::clients::open_ids::OpenIds;
+use crate::clock::Clock;
+use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
+use crate::event_loop::hub::{Net, Place};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::{Owner, Poller, Ready, Watch};
+use crate::fleet::budgets::Shares;
+use crate::fleet::gossip::Tells;
+use crate::handover::predecessor::{self, Inherited, Predecessor};
+use crate::handover::siblings::Kin;
+use crate::handover::successors::Successors;
+use crate::reload;
+use crate::snapshot::{self, Keeping, Memory, everything};
+use crate::supervisor;
+use crate::transport::connection::is_shortage;
+use crate::workers::pool::{Crew, Order, Seat};
 
 /// Connections that the system holds until they are accepted.
 const BACKLOG: i32 = 4096;
@@ -216,7 +216,7 @@
             let workers = (lead.workers > 1).then_some(lead.workers);
             let operator = operator.map(tracing::field::display);
             info!(event = "serving", name = config.name, listen = %address, operator, servers, workers);
-            notify::serves();
+            supervisor::serves();
         }
         let mut worker = Worker { net, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
         worker.turn(clock.read(), std::iter::empty());
@@ -404,7 +404,7 @@
     let taken_out = folder.as_mut().and_then(|f| f.read(&BTreeMap::new()).ok()).unwrap_or_default();
     let counts: Vec<_> = (0..workers).map(|_| Counts::default()).collect();
     let opened =
-        |worker| keeping::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
+        |worker| snapshot::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
     let mut kept: Vec<_> = (0..workers).map(opened).collect();
     if let Some(inherited) = &mut inherited {
         // What the process before knows goes before what was kept of it.
