--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,7 +1,13 @@
 //! Tests of the module that these stand beside.
 
-use super::*;
+use std::collections::BTreeMap;
+
 use serde_json::json;
+use shorewharf_decisions::interface::{Class, Scope, Semantics, Weights};
+use shorewharf_protocol::list::Endpoint;
+use shorewharf_settings::operator::{Budgets, Gossip, Recovery, Snapshot, Tenancy};
+
+use super::*;
 
 fn good() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8000", "discovery": "127.0.0.1:8500",
@@ -74,3 +80,258 @@
         assert!(message.starts_with(key), "{key}: {message}");
     }
 }
+
+/// A configuration with every key that the program reads, each with a value that is not its default.
+const EVERY_KEY: &str =
+    include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/config/balancer.json"));
+/// The same of the operator's own file; `workers` has to be 1 with the other keys.
+const EVERY_OPERATOR_KEY: &str = "tests/fixtures/config/operator.toml";
+
+fn parse(text: &str) -> Result<Config, ConfigError> {
+    Config::parse(text.as_bytes(), |_| None)
+}
+
+/// Everything that is in a configuration, in an order of its own.
+fn all_of(mut config: Config) -> String {
+    let names = std::mem::take(&mut config.names);
+    let classes: BTreeMap<_, _> = names.classes.into_iter().collect();
+    let tenants: BTreeMap<_, _> = names.tenants.into_iter().collect();
+    let zones: BTreeMap<_, _> = names.zones.into_iter().collect();
+    format!("{config:?} {classes:?} {tenants:?} {zones:?}")
+}
+
+/// Where each value stands in a configuration: objects are walked through, and so are lists of objects.
+fn keys(value: &Value, at: &str, found: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => map.iter().for_each(|(key, value)| keys(value, &format!("{at}/{key}"), found)),
+        Value::Array(items) if items.iter().all(Value::is_object) => {
+            items.iter().enumerate().for_each(|(i, value)| keys(value, &format!("{at}/{i}"), found));
+        }
+        _ => found.push(at.to_owned()),
+    }
+}
+
+/// Takes a value out of the list or object that it stands in.
+fn without(value: &Value, at: &str) -> Value {
+    let mut value = value.clone();
+    let (parent, key) = at.rsplit_once('/').expect("a pointer");
+    value.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object").remove(key);
+    value
+}
+
+#[test]
+fn every_key_has_its_value_in_what_is_read() {
+    let config = parse(EVERY_KEY).expect("good");
+    assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
+    assert_eq!(config.listen, "127.0.0.1:8000".parse().expect("an address"));
+    assert_eq!(config.discovery, "127.0.0.1:8500".parse().expect("an address"));
+    assert_eq!(config.operator_at, Some("127.0.0.1:8600".parse().expect("an address")));
+    assert_eq!(config.limits, Limits { sockets: 512, memory_mb: 96.5, cores: 0.5 });
+    let server = Endpoint {
+        name: "s-5be2a07c".into(),
+        address: "10.1.0.7:9000".into(),
+        zone: "zone-b".into(),
+        kind: "large".into(),
+        group: 3,
+        status: "Terminating".into(),
+        weight: 2.5,
+        since_ms: 1_764_747_000_123.0,
+    };
+    assert_eq!(config.known, Listing { index: 41, snapshot: true, endpoints: vec![server] });
+    assert_eq!((config.give_up, config.tells_delay), (vec![3_250_000, 2_250_000], true));
+    assert_eq!((config.names.classes["chat"], config.names.classes["feed"]), (0, 1));
+    assert_eq!((config.names.tenants["acme"], config.names.tenants["zeta"]), (0, 1));
+    assert_eq!((config.names.zones["zone-a"], config.names.zones["zone-b"]), (0, 1));
+    let chat =
+        Class { aim: 0.75, worth: 4.5, message_aim: 0.05, semantics: Semantics::Keyed(Scope::Zone, 12.5) };
+    let feed = Class { aim: 0.25, worth: 1.5, message_aim: 0.025, semantics: Semantics::Safe };
+    let settings = Settings {
+        me: 2,
+        proxies: 7.0,
+        zone: 1,
+        zones: 2.0,
+        classes: vec![chat, feed],
+        tenant_quota: vec![1000.5, 2000.5],
+        tenant_rate: vec![25.5, 35.5],
+        ask_registry: true,
+        ask_within: 8.5,
+        start_capacity: 0.375,
+        warm_within: 18.5,
+        fall_multiple: 2.5,
+        overload_for: 1.75,
+        max_attempts: 3,
+        connect_timeout: 0.125,
+        max_retry_after: 1.25,
+        retry_after: true,
+        may_probe: true,
+        may_cancel: true,
+        pass_through: true,
+        park: 1.5,
+        groups: true,
+        weights: Weights::Live,
+        crossing_price: 0.0625,
+        move_price: 0.03125,
+        tick: 0.005,
+    };
+    assert_eq!(format!("{:?}", config.settings), format!("{settings:?}"));
+}
+
+#[test]
+fn every_key_has_effect() {
+    let whole: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    let all = all_of(parse(EVERY_KEY).expect("good"));
+    assert_eq!(all_of(parse(&whole.to_string()).expect("good")), all);
+    let mut found = Vec::new();
+    keys(&whole, "", &mut found);
+    assert_eq!(found.len(), 61, "{found:?}");
+    for key in found {
+        let text = without(&whole, &key).to_string();
+        if key == "/settings/load_info/columns" {
+            // Told to the simulator's adapter only.
+            let column = |text: &str| {
+                let value: Value = serde_json::from_str(text).expect("JSON");
+                shorewharf_settings::settings(value["settings"].to_string().as_bytes()).expect("settings").1
+            };
+            assert_eq!((column(EVERY_KEY), column(&text)), (Some(1), None));
+            continue;
+        }
+        let last = key.rsplit('/').next().expect("a key");
+        match parse(&text) {
+            Ok(config) => assert_ne!(all_of(config), all, "{key} has no effect"),
+            Err(e) => assert!(e.to_string().contains(last), "{key}: {e}"),
+        }
+    }
+}
+
+#[test]
+fn what_repeating_may_do_and_what_weights_mean_are_read_from_their_words() {
+    let read = |change: &dyn Fn(&mut Value)| {
+        let mut value: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+        change(&mut value["settings"]);
+        parse(&value.to_string()).expect("good").settings
+    };
+    for (semantics, group, expected) in [
+        ("read_like", "zone", Semantics::Safe),
+        ("idempotency_key", "all", Semantics::Keyed(Scope::All, 12.5)),
+        ("idempotency_key", "zone", Semantics::Keyed(Scope::Zone, 12.5)),
+        ("idempotency_key", "cell", Semantics::Keyed(Scope::Cell, 12.5)),
+        ("non_idempotent", "all", Semantics::Unsafe),
+    ] {
+        let settings = read(&|settings| {
+            settings["classes"][0]["semantics"] = json!(semantics);
+            settings["classes"][0]["group"] = json!(group);
+        });
+        assert_eq!(settings.classes[0].semantics, expected);
+    }
+    for (word, expected) in [
+        ("nominal", Weights::Size),
+        ("rough", Weights::Size),
+        ("live", Weights::Live),
+        ("none", Weights::None),
+    ] {
+        assert_eq!(read(&|settings| settings["weights"] = json!(word)).weights, expected);
+    }
+}
+
+#[test]
+fn every_key_of_the_environment_has_effect() {
+    let mut gaps: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    for key in ["name", "listen", "discovery", "operator"] {
+        gaps[key] = Value::Null;
+    }
+    let env = |var: &str| match var {
+        "ROUTER_NAME" => Some("n3".to_owned()),
+        "ROUTER_LISTEN" => Some("127.0.0.1:8000".to_owned()),
+        "ROUTER_DISCOVERY" => Some("127.0.0.1:8500".to_owned()),
+        "ROUTER_OPERATOR" => Some("127.0.0.1:8600".to_owned()),
+        _ => None,
+    };
+    let config = Config::parse(gaps.to_string().as_bytes(), env).expect("good");
+    assert_eq!(all_of(config), all_of(parse(EVERY_KEY).expect("good")));
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/config/balancer.json");
+    let config = Config::read(|var| (var == "ROUTER_CONFIG").then(|| path.to_owned())).expect("good");
+    assert_eq!(all_of(config), all_of(parse(EVERY_KEY).expect("good")));
+}
+
+/// Reads the full configuration with an operator's file of this text.
+fn with_operator(text: &str) -> Result<Config, ConfigError> {
+    let file = tempfile::NamedTempFile::new().expect("a file");
+    std::fs::write(file.path(), text).expect("written");
+    let path = file.path().display().to_string();
+    Config::parse(EVERY_KEY.as_bytes(), |var| (var == "SHOREWHARF_OPERATOR").then(|| path.clone()))
+}
+
+#[test]
+fn every_key_of_the_operators_file_has_its_value_in_what_is_read() {
+    let text = std::fs::read_to_string(EVERY_OPERATOR_KEY).expect("a file");
+    let config = with_operator(&text).expect("good");
+    let expected = Operator {
+        workers: 1,
+        tenancy: Tenancy { on: true, lend: 0.5, ration: true, moves_per_s: 30.5 },
+        recovery: Recovery { levels: false, repeats: false, rebalance: true },
+        snapshot: Snapshot {
+            folder: Some("/var/lib/shorewharf".into()),
+            every_s: 2.5,
+            keep: 5,
+            oldest_s: 300.5,
+        },
+        gossip: Gossip {
+            peers: Some("tests/fixtures/config/peers".into()),
+            key: Some("tests/fixtures/config/key".into()),
+            every_ms: 75,
+            fanout: 4,
+        },
+        budgets: Budgets {
+            store: vec!["http://127.0.0.1:2379".into(), "http://127.0.0.2:2379".into()],
+            prefix: "fleet-a".into(),
+            members: Some("tests/fixtures/config/members".into()),
+            set_ups: Some(500.5),
+            tenants: true,
+            lease_s: 4.5,
+            margin_s: 0.25,
+            look_s: 0.125,
+            linger_s: 5.5,
+            reserve: 0.125,
+            floor: 0.0625,
+        },
+    };
+    assert_eq!(config.operator, expected);
+    let peers = config.peers.expect("peers");
+    assert_eq!(peers.others, [("n4".to_owned(), "127.0.0.2:8700".parse().expect("an address"))]);
+    assert_eq!((peers.rules.every, peers.rules.fanout), (75_000, 4));
+    let fleet = config.fleet.expect("budgets");
+    let (rules, named) = (&fleet.rules, |name: &str| Some(format!("connections of {name}")));
+    assert_eq!((fleet.store.len(), fleet.prefix.as_str()), (2, "fleet-a"));
+    assert_eq!(
+        (rules.lease, rules.margin, rules.look, rules.linger),
+        (4_500_000, 250_000, 125_000, 5_500_000)
+    );
+    assert_eq!((rules.reserve, rules.floor, rules.members, rules.place), (0.125, 0.0625, 3, 1));
+    assert_eq!(fleet.tenants, [named("acme"), named("zeta")]);
+    let budgets: Vec<_> = rules.budgets.iter().map(|budget| (budget.name.as_str(), budget.whole)).collect();
+    assert_eq!(
+        budgets,
+        [("connections of acme", 1000.0), ("connections of zeta", 2000.0), ("set-ups", 500.5)]
+    );
+    assert_eq!(
+        with_operator("workers = 4").expect("good").operator,
+        Operator { workers: 4, ..Operator::default() }
+    );
+}
+
+#[test]
+fn every_key_of_the_operators_file_has_effect() {
+    let text = std::fs::read_to_string(EVERY_OPERATOR_KEY).expect("a file");
+    let all = all_of(with_operator(&text).expect("good"));
+    let lines: Vec<&str> = text.lines().collect();
+    let keys: Vec<_> = lines.iter().enumerate().filter(|(_, line)| line.contains(" = ")).collect();
+    assert_eq!(keys.len(), 26);
+    for (at, key) in keys {
+        let mut rest = lines.clone();
+        rest.remove(at);
+        match with_operator(&rest.join("\n")) {
+            Ok(config) => assert_ne!(all_of(config), all, "{key} has no effect"),
+            Err(e) => assert!(e.to_string().contains("missing"), "{key}: {e}"),
+        }
+    }
+}
--- a/crates/balancer/src/net/operators/folder/tests.rs
+++ b/crates/balancer/src/net/operators/folder/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
+use crate::net::list::incoming::server_id;
 
 fn folder(common: &Path) -> Folder {
     Folder::open(common, "127.0.0.1:8000".parse().expect("an address")).expect("a folder")
@@ -56,3 +57,49 @@
         [0, 1000].into_iter().flat_map(|p| (0..200).step_by(2).map(move |i| p + i)).collect();
     assert_eq!(ids(&mut folder(path)), wanted);
 }
+
+/// A file as it is written, for the server that the file is named by.
+const FILE: &str =
+    include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/folder/out/ace623f1fdc27c8a"));
+const SERVER: &str = "s-5be2a07c";
+
+/// Every file below a folder, by its path there.
+fn files(below: &Path) -> Vec<String> {
+    let mut found = Vec::new();
+    let mut folders = vec![below.to_owned()];
+    while let Some(folder) = folders.pop() {
+        for entry in fs::read_dir(folder).expect("readable") {
+            let path = entry.expect("an entry").path();
+            if path.is_dir() {
+                folders.push(path);
+            } else {
+                found.push(path.strip_prefix(below).expect("below").display().to_string());
+            }
+        }
+    }
+    found
+}
+
+#[test]
+fn names_and_text_of_files_are_written_byte_for_byte() {
+    for (listen, name) in [
+        ("127.0.0.1:8000", "shorewharf-127.0.0.1-8000/out/ace623f1fdc27c8a"),
+        ("[::1]:8000", "shorewharf-[--1]-8000/out/ace623f1fdc27c8a"),
+    ] {
+        let common = tempfile::tempdir().expect("a folder");
+        let folder = Folder::open(common.path(), listen.parse().expect("an address")).expect("a folder");
+        folder.keep(server_id(SERVER), SERVER).expect("kept");
+        assert_eq!(files(common.path()), [name]);
+        assert_eq!(fs::read_to_string(common.path().join(name)).expect("a file"), FILE);
+    }
+}
+
+#[test]
+fn a_file_of_another_process_is_read_by_its_name_and_text() {
+    let common = tempfile::tempdir().expect("a folder");
+    let mut folder = folder(common.path());
+    fs::write(common.path().join("shorewharf-127.0.0.1-8000/out/ace623f1fdc27c8a"), FILE).expect("a file");
+    let read = folder.read(&BTreeMap::new()).expect("readable");
+    let read: Vec<_> = read.iter().map(|(server, one)| (*server, &*one.name)).collect();
+    assert_eq!(read, [(server_id(SERVER), SERVER)]);
+}
--- a/crates/protocol/src/open/tests.rs
+++ b/crates/protocol/src/open/tests.rs
@@ -103,3 +103,50 @@
         assert_eq!(found, Err(why), "{}", String::from_utf8_lossy(line));
     }
 }
+
+/// First lines as they stand on the wire: all fields, and none that may be left out.
+const FIRST_LINES: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/open.txt"));
+
+#[test]
+fn a_first_line_with_all_its_fields_is_written_and_read_byte_for_byte() {
+    let full = OpenLine {
+        id: 0x9b1f_03aa_5c7e_2d41,
+        key: 0x7f3a_9c21_e0b4_d655,
+        class: "feed",
+        tenant: "acme",
+        patience_ms: 2000,
+        group: 0x5c0f,
+        load: Some(0.25),
+        retry: true,
+        again: true,
+        home: Some("s-5be2a07c"),
+    };
+    let bare = OpenLine { id: 1, key: 2, class: "chat", patience_ms: 500, ..OpenLine::default() };
+    assert_eq!(full.to_string() + &bare.to_string(), FIRST_LINES);
+
+    let mut lines = FIRST_LINES.split_terminator("\r\n").map(str::as_bytes);
+    let line = lines.next().expect("a line");
+    let open = parse_open(line, &names()).expect("good");
+    assert_eq!((open.id, open.key, open.group), (full.id, full.key, full.group));
+    assert_eq!((open.class, open.tenant, open.patience), (1, 2, Some(2_000_000)));
+    assert_eq!((open.load, open.returning, open.home.as_deref()), (full.load, true, full.home));
+    assert_eq!(class_of(line, &names()), Some(1));
+    assert_eq!(
+        with_patience(line, 1_500_000),
+        b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=5c0f,h=0.25,r=1,again=1,at=s-5be2a07c\r\n"
+    );
+
+    let open = parse_open(lines.next().expect("a line"), &names()).expect("good");
+    assert_eq!((open.id, open.key, open.group), (1, 2, 0));
+    assert_eq!((open.class, open.tenant, open.patience), (0, 0, Some(500_000)));
+    assert_eq!((open.load, open.returning, open.home), (None, false, None));
+    assert_eq!(lines.next(), None);
+}
+
+#[test]
+fn each_mark_of_a_returning_client_is_read_by_its_own_name() {
+    for (list, returning) in [("r=1", true), ("again=1", true), ("r=0,again=0", false), ("retry=1", false)] {
+        let open = parse_open(format!("OPEN 1 2 c=chat,{list}").as_bytes(), &names()).expect("good");
+        assert_eq!(open.returning, returning, "{list}");
+    }
+}
--- a/crates/protocol/src/operators/tests.rs
+++ b/crates/protocol/src/operators/tests.rs
@@ -44,3 +44,40 @@
     assert_eq!(lines, wanted);
     assert_eq!(part("a b:c|d.e"), "a_b_c_d_e");
 }
+
+/// Calls as operators make them, a line each.
+const CALLS: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/calls.txt"));
+/// Every answer, in the order below.
+const ANSWERS: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/answers.txt"));
+
+#[test]
+fn calls_are_read_from_exact_bytes() {
+    let read: Vec<Call> = CALLS.lines().map(|line| call(line.as_bytes()).expect("a call")).collect();
+    let server = "s-5be2a07c".to_owned();
+    assert_eq!(read, [Call::Readyz, Call::Telemetry, Call::Exclude(server.clone()), Call::Include(server)]);
+}
+
+#[test]
+fn answers_are_written_byte_for_byte() {
+    let replies = vec![
+        ("chat".to_owned(), Replies { success: 812, overload: 3, error: 1 }),
+        ("bulk.eu 1".to_owned(), Replies { success: 4, overload: 5, error: 6 }),
+    ];
+    let figures = Figures { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
+    let refusals = [
+        Refusal::Nothing,
+        Refusal::Unknown("stats".into()),
+        Refusal::NoServer("exclude"),
+        Refusal::TooMuch("readyz", "nothing behind it"),
+        Refusal::NoText,
+        Refusal::TooLong,
+        Refusal::NoSuchServer("s-1".into()),
+        Refusal::NotReady("this process is about to end and takes no clients"),
+    ];
+    let mut answers = vec![Answer::Yes, Answer::Figures(figures.lines())];
+    answers.extend(refusals.map(Answer::No));
+    let text: String = answers.iter().map(|answer| answer.text("\n")).collect();
+    assert_eq!(text, ANSWERS);
+    let text: String = answers.iter().map(|answer| answer.text("\r\n")).collect();
+    assert_eq!(text, ANSWERS.replace('\n', "\r\n"));
+}
--- a/crates/protocol/src/words/tests.rs
+++ b/crates/protocol/src/words/tests.rs
@@ -34,3 +34,31 @@
     }
     assert_eq!(word(b"busy 5"), Word::Other(b"busy 5"));
 }
+
+/// Each message as it stands on the wire, a line each.
+const MESSAGES: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt"));
+
+#[test]
+fn every_message_is_written_and_read_byte_for_byte() {
+    let messages = [
+        Word::Up(b""),
+        Word::Up(b"7f3a9c21"),
+        Word::Busy(None),
+        Word::Busy(Some(250)),
+        Word::Err,
+        Word::Move,
+        Word::Bye,
+        Word::Load(Some(255_465.125)),
+        Word::Load(None),
+        Word::Ping,
+        Word::Pong,
+        Word::Stats,
+        Word::No,
+        Word::Syntax,
+        Word::Other(b"hello, world"),
+    ];
+    assert_eq!(messages.map(|message| message.to_string()).concat(), MESSAGES);
+    let read: Vec<Word<'_>> = MESSAGES.split_terminator("\r\n").map(|line| word(line.as_bytes())).collect();
+    assert_eq!(read, messages);
+    assert_eq!((busy(0).to_string(), busy(1_001).to_string()), ("BUSY\r\n".into(), "BUSY 2\r\n".into()));
+}
