--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,13 +1,14 @@
-//! What programs write to standard error: one line an event, as logfmt or JSON, from a level on.
+//! Logging of the programs: `tracing` events written to standard error, one line each, as logfmt or JSON.
 //!
-//! An event is a `tracing` event without a message. Its first field is `event`, the word that names it, and the
-//! others are its keys: `info!(event = "serving", listen = %address)`. A line is put together in a buffer that is
-//! used again and goes out with a single write.
+//! An event has no message. Its first field is `event`, the word that names it, and the others are its keys:
+//! `info!(event = "serving", listen = %address)`. Each line is formatted into a reused buffer and written with a
+//! single call.
 
 use std::io;
 use std::str::FromStr;
 
 use clap::{Args, ValueEnum};
+use thiserror::Error;
 use tracing::Subscriber;
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
@@ -15,7 +16,7 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::{Registry, fmt};
 
-/// How a line is written.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
     /// `ts=… level=info event=serving listen=127.0.0.1:8000`
@@ -25,33 +26,44 @@
     Json,
 }
 
-/// From which level on events are written, for all or for each module.
+/// Minimum level of the events that are written, for the whole program or by module.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Levels(Targets);
+pub struct LevelFilters(Targets);
 
-impl FromStr for Levels {
-    type Err = String;
+/// A list of log levels that can't be parsed.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("'{level}' is none of off, error, warn, info, debug, trace")]
+pub struct UnknownLevel {
+    level: String,
+}
+
+impl FromStr for LevelFilters {
+    type Err = UnknownLevel;
 
-    /// Reads `LEVEL`, or a list of `MODULE=LEVEL` with or without a level for the rest. Stricter than the filter's
-    /// own reader, which takes a mistyped level for a module and writes nothing any more.
-    fn from_str(text: &str) -> Result<Self, String> {
+    /// Parses `LEVEL`, or a list of `MODULE=LEVEL` with or without a default level.
+    ///
+    /// `Targets` has a parser of its own, which takes a mistyped level for a module name and so disables all events.
+    fn from_str(text: &str) -> Result<Self, UnknownLevel> {
         let mut targets = Targets::new();
         for item in text.split(',').map(str::trim) {
-            let (module, level) = item.split_once('=').map_or((None, item), |(m, l)| (Some(m), l));
-            let level = LevelFilter::from_str(level)
-                .ok()
-                .filter(|_| !level.is_empty())
-                .ok_or_else(|| format!("'{level}' is none of off, error, warn, info, debug, trace"))?;
-            targets = match module {
-                Some(module) => targets.with_target(module, level),
-                None => targets.with_default(level),
+            targets = match item.split_once('=') {
+                Some((module, level)) => targets.with_target(module, parse_level(level)?),
+                None => targets.with_default(parse_level(item)?),
             };
         }
-        Ok(Levels(targets))
+        Ok(LevelFilters(targets))
+    }
+}
+
+fn parse_level(text: &str) -> Result<LevelFilter, UnknownLevel> {
+    let unknown = || UnknownLevel { level: text.to_owned() };
+    if text.is_empty() {
+        return Err(unknown());
     }
+    text.parse().map_err(|_| unknown())
 }
 
-/// The part of a command line that says what is logged.
+/// Command-line options for logging.
 #[derive(Args, Clone, Debug)]
 pub struct LogArgs {
     /// How lines of the log are written
@@ -59,18 +71,18 @@
     pub log_format: Format,
     /// From which level on: off, error, warn, info, debug or trace; or MODULE=LEVEL,…
     #[arg(long, env = "SHOREWHARF_LOG", default_value = "info", global = true, value_name = "LEVEL")]
-    pub log_level: Levels,
+    pub log_level: LevelFilters,
 }
 
 impl LogArgs {
-    /// Has this process write its events to standard error from now on. The first call counts.
+    /// Installs the global subscriber, which writes to standard error. Later calls have no effect.
     pub fn start(&self) {
-        // Fails only where events are written already.
+        // Fails only where a subscriber is installed already.
         let _ = tracing::subscriber::set_global_default(self.subscriber(io::stderr));
     }
 
-    /// What writes the events elsewhere. A writer that fails loses lines and nothing else.
-    pub fn subscriber<W>(&self, to: W) -> Box<dyn Subscriber + Send + Sync>
+    /// Creates a subscriber that writes to `writer`. Lines that the writer fails to take are lost.
+    pub fn subscriber<W>(&self, writer: W) -> Box<dyn Subscriber + Send + Sync>
     where
         W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
     {
@@ -78,12 +90,12 @@
         match self.log_format {
             Format::Logfmt => {
                 let lines = tracing_logfmt::builder().with_target(false).layer();
-                Box::new(registry.with(lines.log_internal_errors(false).with_writer(to)))
+                Box::new(registry.with(lines.log_internal_errors(false).with_writer(writer)))
             }
             Format::Json => {
                 let lines = fmt::layer().json().flatten_event(true).with_target(false);
                 let lines = lines.with_current_span(false).with_span_list(false);
-                Box::new(registry.with(lines.log_internal_errors(false).with_writer(to)))
+                Box::new(registry.with(lines.log_internal_errors(false).with_writer(writer)))
             }
         }
     }
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -46,6 +46,6 @@
     assert_eq!(written(Format::Logfmt, "debug").lines().count(), 3);
     assert_eq!(written(Format::Logfmt, "off, shorewharf_logging=warn").lines().count(), 1);
     for bad in ["loud", "", "info,", "shorewharf=", "a=b"] {
-        assert!(bad.parse::<Levels>().expect_err(bad).contains("is none of off"), "{bad}");
+        assert!(bad.parse::<LevelFilters>().expect_err(bad).to_string().contains("is none of off"), "{bad}");
     }
 }
