--- /dev/null
+++ b/crates/decisions/tests/replay.rs
@@ -0,0 +1,397 @@
+//! Pinned random days: every action and everything that can be read out, folded into one number. It changes with a single
+//! bit of a decision, so a change of the code that is to keep them all has to keep the numbers.
+
+mod common;
+
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::sync::Arc;
+
+use common::*;
+use rand_pcg::Pcg64Mcg;
+use rand_pcg::rand_core::{RngCore, SeedableRng};
+use shorewharf_decisions::Balancer;
+use shorewharf_decisions::interface::*;
+use shorewharf_decisions::memory::Cursor;
+use twox_hash::XxHash3_64;
+
+const SERVERS: u64 = 12;
+const STEPS: usize = 4_000;
+
+struct Replay {
+    module: Balancer,
+    now: f64,
+    rng: Pcg64Mcg,
+    timers: Vec<(f64, u64)>,
+    /// Requests with an attempt out or a connection: the server, the attempt, whether it stands.
+    out: BTreeMap<u32, (ServerId, u32, bool)>,
+    attempts: BTreeMap<u32, u32>,
+    probes: Vec<ServerId>,
+    entries: Vec<ListEntry>,
+    next: u32,
+    text: String,
+}
+
+impl Replay {
+    fn new(set: Settings, seed: u64) -> Self {
+        let mut replay = Replay {
+            module: Balancer::new(set, seed),
+            now: 100.0,
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
+            timers: Vec::new(),
+            out: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            probes: Vec::new(),
+            entries: (1..=SERVERS).map(entry).collect(),
+            next: 0,
+            text: String::new(),
+        };
+        replay.give(Event::Start);
+        replay.give_list(true);
+        replay
+    }
+
+    fn below(&mut self, n: usize) -> usize {
+        (self.rng.next_u64() % n.max(1) as u64) as usize
+    }
+
+    fn number(&mut self) -> f64 {
+        (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
+    }
+
+    fn server(&mut self) -> ServerId {
+        ServerId(1 + self.below(SERVERS as usize) as u64)
+    }
+
+    fn give_list(&mut self, full: bool) {
+        let entries = self.entries.clone().into();
+        self.give(Event::Servers { full, cached: false, entries });
+    }
+
+    fn give(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.module.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.write_action(action);
+            match action {
+                Action::Send { request, server, .. } => {
+                    let attempts = self.attempts.entry(request.0).or_default();
+                    self.out.insert(request.0, (*server, *attempts, false));
+                    *attempts += 1;
+                }
+                Action::SetTimer { after, token } => self.timers.push((self.now + after.max(0.001), *token)),
+                Action::Probe(server) => self.probes.push(*server),
+                _ => {}
+            }
+        }
+    }
+
+    fn write_action(&mut self, action: &Action) {
+        let text = &mut self.text;
+        let written = match action {
+            Action::Send { request, server, timeout } => {
+                writeln!(text, "send {} {} {:x}", request.0, server.0, timeout.to_bits())
+            }
+            Action::Refuse { request, retry_after } => {
+                writeln!(text, "refuse {} {:x}", request.0, retry_after.to_bits())
+            }
+            Action::Fail(request) => writeln!(text, "fail {}", request.0),
+            Action::Cancel { request, attempt } => writeln!(text, "cancel {} {attempt}", request.0),
+            Action::Move(request) => writeln!(text, "move {}", request.0),
+            Action::SetTimer { after, token } => writeln!(text, "timer {:x} {token:x}", after.to_bits()),
+            Action::Probe(server) => writeln!(text, "probe {}", server.0),
+            Action::Subscribe => writeln!(text, "subscribe"),
+            Action::Log(line) => writeln!(text, "log {line}"),
+        };
+        written.expect("memory");
+    }
+
+    fn write_state(&mut self) {
+        for server in 1..=SERVERS {
+            let placed = self.module.placed(ServerId(server));
+            writeln!(self.text, "placed {server} {:x}", placed.to_bits()).expect("memory");
+        }
+        for holding in self.module.holds() {
+            let (server, group, open) = (holding.server.0, holding.group, holding.open);
+            writeln!(self.text, "holds {server} {group} {open} {:x}", holding.load.to_bits())
+                .expect("memory");
+        }
+        let avoided: Vec<u64> = self.module.avoided(self.now).iter().map(|server| server.0).collect();
+        writeln!(self.text, "avoided {avoided:?} waiting {}", self.module.waiting()).expect("memory");
+        let (mut known, mut at) = (Vec::new(), Cursor::default());
+        while at != Cursor::End {
+            at = self.module.recollect(at, 7, &mut known);
+        }
+        let json = serde_json::to_string(&known).expect("json");
+        writeln!(self.text, "{json}").expect("memory");
+    }
+
+    fn arrive(&mut self, class_count: usize) {
+        self.next += 1;
+        let id = self.next;
+        let (class, group, key) = (self.below(class_count), self.below(6) as u64, self.below(60) as u64);
+        let load = (self.below(3) == 0).then(|| 0.05 + self.number());
+        let returning = self.below(4) == 0;
+        let deadline = self.now + 0.3 + 2.0 * self.number();
+        self.give(Event::Arrived(Request {
+            class,
+            group,
+            key,
+            load,
+            returning,
+            deadline,
+            ..request(id, self.now)
+        }));
+    }
+
+    fn restore(&mut self, class_count: usize) {
+        self.next += 1;
+        let (id, server) = (self.next, self.server());
+        let (class, group) = (self.below(class_count), self.below(6) as u64);
+        self.out.insert(id, (server, 0, true));
+        self.attempts.insert(id, 1);
+        self.give(Event::Open(Request { class, group, ..request(id, self.now) }, server));
+    }
+
+    /// A request that is out: its number, its server, its attempt, whether it stands.
+    fn some_request(&mut self) -> Option<(u32, ServerId, u32, bool)> {
+        let at = self.below(self.out.len());
+        self.out.iter().nth(at).map(|(id, (server, attempt, stands))| (*id, *server, *attempt, *stands))
+    }
+
+    fn establish(&mut self) {
+        let Some((id, server, attempt, _)) = self.some_request() else { return };
+        self.out.insert(id, (server, attempt, true));
+        self.give(Event::Established { request: RequestId(id), attempt });
+    }
+
+    fn end(&mut self, sick: bool) {
+        let Some((id, server, attempt, stands)) = self.some_request() else { return };
+        let outcomes = [
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Error,
+            Outcome::Full,
+            Outcome::TimedOut,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Cancelled,
+            Outcome::NotSent,
+        ];
+        let outcome =
+            if sick || self.below(3) == 0 { outcomes[self.below(outcomes.len())] } else { Outcome::Ok };
+        let complete = outcome == Outcome::Ok || stands;
+        self.out.remove(&id);
+        let request = RequestId(id);
+        self.give(Event::Ended { request, server, attempt, outcome, complete, load_ratio: None });
+    }
+
+    fn change_list(&mut self) {
+        let at = self.below(self.entries.len());
+        let now = self.now;
+        let what = self.below(5);
+        let entry = &mut self.entries[at];
+        match what {
+            0 => entry.stage = Stage::Draining,
+            1 => entry.stage = Stage::Gone,
+            2 => (entry.stage, entry.born) = (Stage::Ready, now),
+            _ => entry.stage = Stage::Ready,
+        }
+        let full = self.below(2) == 0;
+        self.give_list(full);
+    }
+
+    fn tell_of_others(&mut self) {
+        let mut away = BTreeMap::new();
+        for server in 1..=SERVERS {
+            let (load, open) = (self.number() * 20.0, (self.number() * 30.0).floor());
+            let groups = (0..self.below(4) as u32).collect();
+            away.insert(ServerId(server), Away { load, open, groups });
+        }
+        let heard = self.below(5) > 0;
+        self.give(Event::Elsewhere(heard.then(|| Arc::new(away))));
+    }
+
+    fn end_probe(&mut self) {
+        if self.probes.is_empty() {
+            return;
+        }
+        let at = self.below(self.probes.len());
+        let server = self.probes.swap_remove(at);
+        let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::ConnectFailed];
+        let outcome = outcomes[self.below(outcomes.len())];
+        self.give(Event::Probed { server, outcome, load_ratio: None });
+    }
+
+    fn pass(&mut self, span: f64) {
+        let until = self.now + span;
+        loop {
+            self.timers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            if self.timers.first().is_none_or(|timer| timer.0 > until) {
+                break;
+            }
+            let (at, token) = self.timers.remove(0);
+            self.now = at;
+            self.give(Event::Timer(token));
+        }
+        self.now = until;
+    }
+
+    fn step(&mut self, day: &Day, classes: usize) {
+        match self.below(40) {
+            0..=9 => self.arrive(classes),
+            10 => self.restore(classes),
+            11..=17 => self.establish(),
+            18..=20 => self.end(false),
+            21 => self.end(true),
+            22 => self.change_list(),
+            23 => {
+                let (server, delay) = (self.server(), self.number() * 0.1);
+                self.give(Event::MessageDelay { server, delay });
+            }
+            24 => {
+                let Some((id, ..)) = self.some_request() else { return };
+                let load = self.number() * 2.0;
+                self.give(Event::LoadChanged { request: RequestId(id), load });
+            }
+            25 => {
+                let request = RequestId(1 + self.below(self.next as usize) as u32);
+                self.give(Event::ClientGone(request));
+            }
+            26 if day.told => self.tell_of_others(),
+            27 | 28 if day.bears > 0.0 => {
+                let (server, load) = (self.server(), day.bears * (0.5 + self.number()));
+                let entries = 0.2 + self.number();
+                self.give(Event::Bears { server, load, entries });
+            }
+            29 if day.bears > 0.0 => {
+                let mean = 0.3 + 0.2 * self.number();
+                self.give(Event::MeanLoad(mean));
+            }
+            30..=32 => self.end_probe(),
+            33 if self.below(6) == 0 => self.give(Event::RegistryFailed),
+            34 => {
+                let Some((id, ..)) = self.some_request() else { return };
+                let (to, until) = (self.server(), self.now + self.number());
+                let standing = self.module.standing(RequestId(id));
+                writeln!(self.text, "standing {:?}", standing.map(|s| s.1.map(f64::to_bits)))
+                    .expect("memory");
+                self.module.sent_away(RequestId(id), Some(to), until);
+            }
+            35 => {
+                let yes = self.below(4) > 0;
+                self.module.allow_repeats(yes);
+            }
+            _ => {
+                let span = self.number() * 0.1;
+                self.pass(span);
+            }
+        }
+    }
+}
+
+#[derive(Default)]
+struct Day {
+    /// What a server bears of this proxy's load, about; 0 where it is not told.
+    bears: f64,
+    /// What other proxies hold is told.
+    told: bool,
+}
+
+fn classes() -> Vec<Class> {
+    let all = [
+        Semantics::Safe,
+        Semantics::Unsafe,
+        Semantics::Keyed(Scope::All, 1.0),
+        Semantics::Keyed(Scope::Zone, 1.0),
+        Semantics::Keyed(Scope::Cell, 0.5),
+    ];
+    let class = |semantics| Class { aim: 0.5, worth: 1.0, semantics, message_aim: 0.1 };
+    all.into_iter().map(class).collect()
+}
+
+/// Plays a day, hands what was learned to a fresh instance, and plays on with that.
+fn play(set: &Settings, day: &Day, seed: u64) -> u64 {
+    let mut replay = Replay::new(set.clone(), seed);
+    for step in 0..STEPS {
+        replay.step(day, set.classes.len());
+        if step % 200 == 0 {
+            replay.write_state();
+        }
+    }
+    let (mut known, mut at) = (Vec::new(), Cursor::default());
+    while at != Cursor::End {
+        at = replay.module.recollect(at, 64, &mut known);
+    }
+    for away in [false, true] {
+        let mut next = Replay::new(set.clone(), seed + 1);
+        next.now = replay.now + 0.7;
+        next.entries.clone_from(&replay.entries);
+        next.give_list(true);
+        let recalled = next.module.recall(next.now, 0.7, away, &known);
+        let counts = (recalled.taken, recalled.outdated, recalled.faded, recalled.odd);
+        writeln!(next.text, "recalled {counts:?}").expect("memory");
+        for _ in 0..STEPS / 4 {
+            next.step(day, set.classes.len());
+        }
+        next.write_state();
+        replay.text.push_str(&next.text);
+    }
+    XxHash3_64::oneshot(replay.text.as_bytes())
+}
+
+fn check(set: Settings, day: &Day, expected: [u64; 3]) {
+    let played = [1, 2, 3].map(|seed| play(&set, day, seed));
+    assert_eq!(played.map(|hash| format!("{hash:#018x}")), expected.map(|hash| format!("{hash:#018x}")));
+}
+
+#[test]
+fn a_plain_day() {
+    let set = Settings { classes: classes(), ..settings() };
+    check(set, &Day::default(), [0xb25c_86d1_66f5_6b02, 0xfcc0_6433_cdca_008a, 0xcde4_8803_4037_e863]);
+}
+
+#[test]
+fn a_day_with_estimates_and_a_polled_registry() {
+    let set = Settings { classes: classes(), ask_registry: true, may_probe: true, ..settings() };
+    check(
+        set,
+        &Day { bears: 2.5, told: false },
+        [0xebfd_258b_ff29_ec19, 0xad4d_cff3_7081_8d2c, 0x635c_86ba_b6c3_9f4b],
+    );
+}
+
+#[test]
+fn a_day_of_a_small_part_that_probes() {
+    let quota = vec![150.0, 200.0];
+    let set =
+        Settings { classes: classes(), may_probe: true, proxies: 100.0, tenant_quota: quota, ..settings() };
+    check(
+        set,
+        &Day { bears: 0.1, told: false },
+        [0x6d9e_065e_9e1d_8a15, 0x38d5_120a_cb5d_16dd, 0xbd8b_2d22_383d_6a4a],
+    );
+}
+
+#[test]
+fn a_day_on_which_other_proxies_are_heard_of() {
+    let set = Settings { classes: classes(), may_probe: true, tenant_quota: vec![900.0], ..settings() };
+    check(
+        set,
+        &Day { bears: 2.5, told: true },
+        [0x03df_2e43_cc08_af10, 0x6af3_d9e1_77e4_13dc, 0xc2e1_8fff_0740_f288],
+    );
+}
+
+#[test]
+fn a_day_of_packets_that_pass_through_at_a_price() {
+    let set = Settings {
+        classes: classes(),
+        pass_through: true,
+        crossing_price: 0.1,
+        weights: Weights::Live,
+        park: 1.5,
+        ..settings()
+    };
+    check(set, &Day::default(), [0x0e2a_e5d8_5320_59da, 0x42a2_7c36_87c5_92c2, 0xe1bd_235e_3274_3378]);
+}
--- /dev/null
+++ b/crates/settings/tests/fixtures.rs
@@ -0,0 +1,115 @@
+//! Files with every key that is read, each with a value of its own: a renamed field must not rename its key.
+
+use std::path::PathBuf;
+
+use shorewharf_decisions::interface::*;
+use shorewharf_settings::operator::{Budgets, Gossip, Operator, Recovery, Snapshot, Tenancy};
+use shorewharf_settings::settings;
+
+const OPERATOR: &str = include_str!("fixtures/operator.toml");
+const SETTINGS: &[u8] = include_bytes!("fixtures/settings.json");
+
+fn path(text: &str) -> Option<PathBuf> {
+    Some(PathBuf::from(text))
+}
+
+#[test]
+fn every_key_of_the_operators_file_is_read() {
+    let Operator { workers, tenancy, recovery, snapshot, gossip, budgets } =
+        Operator::parse(OPERATOR).expect("a good file");
+    assert_eq!(workers, 1);
+    assert_eq!(tenancy, Tenancy { on: true, lend: 0.25, ration: true, moves_per_s: 7.5 });
+    assert_eq!(recovery, Recovery { levels: false, repeats: false, rebalance: true });
+    let expected = Snapshot { folder: path("/var/lib/balancer"), every_s: 4.5, keep: 5, oldest_s: 120.0 };
+    assert_eq!(snapshot, expected);
+    let (peers, key) = (path("/etc/balancer/peers"), path("/etc/balancer/key"));
+    assert_eq!(gossip, Gossip { peers, key, every_ms: 75, fanout: 4 });
+    let expected = Budgets {
+        store: vec!["http://store-1:2379".to_owned(), "http://store-2:2379".to_owned()],
+        prefix: "fleet-7".to_owned(),
+        members: path("/etc/balancer/members"),
+        set_ups: Some(350.5),
+        tenants: true,
+        lease_s: 4.0,
+        margin_s: 0.5,
+        look_s: 0.75,
+        linger_s: 6.0,
+        reserve: 0.125,
+        floor: 0.0625,
+    };
+    assert_eq!(budgets, expected);
+}
+
+/// Gossip and budgets need one worker, so a file with several has neither.
+#[test]
+fn the_number_of_workers_is_read() {
+    assert_eq!(Operator::parse("workers = 4").expect("a good file").workers, 4);
+}
+
+/// A fixture of which one value were the default would not show that its key is read.
+#[test]
+fn every_value_of_the_operators_file_differs_from_its_default() {
+    let (read, default) = (Operator::parse(OPERATOR).expect("a good file"), Operator::default());
+    let leaves = |operator: &Operator| -> Vec<String> {
+        format!("{operator:#?}").lines().map(str::to_owned).filter(|line| line.ends_with(',')).collect()
+    };
+    let same: Vec<String> =
+        leaves(&read).into_iter().filter(|line| leaves(&default).contains(line)).collect();
+    let allowed = ["    workers: 1,", "    },", "        ),", "        ],"];
+    assert!(same.iter().all(|line| allowed.contains(&line.as_str())), "{same:?}");
+}
+
+fn class(aim: f64, worth: f64, message_aim: f64, semantics: Semantics) -> Class {
+    Class { aim, worth, semantics, message_aim }
+}
+
+#[test]
+fn every_key_of_the_settings_is_read() {
+    let (set, column) = settings(SETTINGS).expect("good settings");
+    let expected = Settings {
+        me: 3,
+        proxies: 7.0,
+        zone: 2,
+        zones: 3.0,
+        classes: vec![
+            class(0.8, 2.5, 0.05, Semantics::Safe),
+            class(0.7, 3.5, 0.06, Semantics::Keyed(Scope::All, 11.0)),
+            class(0.6, 4.5, 0.07, Semantics::Keyed(Scope::Zone, 12.0)),
+            class(0.4, 5.5, 0.08, Semantics::Keyed(Scope::Cell, 13.0)),
+            class(0.3, 6.5, 0.09, Semantics::Unsafe),
+        ],
+        tenant_quota: vec![400.0, 0.0, 600.0],
+        tenant_rate: vec![20.5, 30.5],
+        ask_registry: true,
+        ask_within: 8.5,
+        start_capacity: 0.2,
+        warm_within: 18.5,
+        fall_multiple: 2.5,
+        overload_for: 1.8,
+        max_attempts: 5,
+        connect_timeout: 0.35,
+        max_retry_after: 1.75,
+        retry_after: true,
+        may_probe: true,
+        may_cancel: true,
+        pass_through: true,
+        park: 2.25,
+        groups: true,
+        weights: Weights::Live,
+        crossing_price: 0.015,
+        move_price: 0.025,
+        tick: 0.004,
+    };
+    assert_eq!(format!("{set:#?}"), format!("{expected:#?}"));
+    assert_eq!(column, Some(2));
+}
+
+#[test]
+fn every_word_of_the_settings_is_read() {
+    let weights = |text: &str| settings(text.as_bytes()).expect("good settings").0.weights;
+    assert_eq!(weights(r#"{"weights":"nominal"}"#), Weights::Size);
+    assert_eq!(weights(r#"{"weights":"rough"}"#), Weights::Size);
+    assert_eq!(weights(r#"{"weights":"none"}"#), Weights::None);
+    let asks = |text: &str| settings(text.as_bytes()).expect("good settings").0.ask_registry;
+    assert!(!asks(r#"{"registry_mode":"push"}"#));
+}
--- /dev/null
+++ b/crates/wire/tests/fixtures.rs
@@ -0,0 +1,158 @@
+//! The simulator's messages as exact bytes: a renamed event, action or field must not move one of them.
+
+use shorewharf_decisions::interface::*;
+use shorewharf_wire::{Decoder, Encoder, Record};
+
+const EVENTS: &str = include_str!("fixtures/events.hex");
+const ACTIONS: &str = include_str!("fixtures/actions.hex");
+
+const FIRST: ServerId = ServerId(0x0a00_0001_1b5b);
+const SECOND: ServerId = ServerId(0x0a00_0002_1b5c);
+
+/// The bytes of a fixture file: lines of hexadecimal digits between lines of comment.
+fn bytes(fixture: &str) -> Vec<u8> {
+    let digits: String = fixture.lines().filter(|line| !line.starts_with('#')).collect();
+    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    (0..digits.len()).step_by(2).map(byte).collect()
+}
+
+fn entries() -> Vec<ListEntry> {
+    let third = ServerId(0xc0a8_0304_ffff);
+    vec![
+        ListEntry { server: FIRST, zone: 1, cell: 513, stage: Stage::Draining, weight: 1.5, born: 12.25 },
+        ListEntry { server: SECOND, zone: 2, cell: 3, stage: Stage::Ready, weight: 2.0, born: 0.0 },
+        ListEntry { server: third, zone: 3, cell: 4, stage: Stage::Gone, weight: 0.0, born: 7.5 },
+    ]
+}
+
+fn update(full: bool, cached: bool) -> Event {
+    Event::Servers { full, cached, entries: entries().into() }
+}
+
+fn requests() -> Vec<Request> {
+    let plain = Request {
+        id: RequestId(1),
+        class: 0,
+        tenant: 0,
+        key: 0,
+        deadline: 3.5,
+        load: None,
+        group: 0,
+        mid_flow: false,
+        returning: false,
+    };
+    let hinted = Request {
+        id: RequestId(2),
+        class: 1,
+        tenant: 70_000,
+        key: 0x1122_3344_5566_7788,
+        deadline: 4.5,
+        load: Some(0.75),
+        group: 99,
+        ..plain
+    };
+    let third = Request { id: RequestId(3), class: 2, tenant: 2, key: 5, deadline: 5.5, group: 6, ..plain };
+    vec![
+        plain,
+        hinted,
+        Request { returning: true, ..third },
+        Request { id: RequestId(4), returning: true, ..third },
+        Request { id: RequestId(5), mid_flow: true, ..third },
+        Request { id: RequestId(6), load: Some(1.25), mid_flow: true, returning: true, ..third },
+        Request { id: RequestId(7), ..third },
+    ]
+}
+
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Full,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+];
+
+fn ended((at, outcome): (u32, Outcome)) -> Event {
+    Event::Ended {
+        request: RequestId(100 + at),
+        server: SECOND,
+        attempt: at,
+        outcome,
+        complete: at.is_multiple_of(3),
+        load_ratio: (!at.is_multiple_of(2)).then_some(0.25 * f64::from(at)),
+    }
+}
+
+fn probed((at, outcome): (u32, Outcome)) -> Event {
+    Event::Probed {
+        server: FIRST,
+        outcome,
+        load_ratio: (!at.is_multiple_of(2)).then_some(0.125 * f64::from(at)),
+    }
+}
+
+fn events() -> Vec<Event> {
+    let open = Request {
+        id: RequestId(8),
+        class: 1,
+        tenant: 3,
+        key: 9,
+        deadline: 6.5,
+        load: Some(2.5),
+        group: 11,
+        mid_flow: false,
+        returning: false,
+    };
+    let mut events = vec![update(false, false), update(true, false), update(true, true)];
+    events.push(Event::RegistryFailed);
+    events.extend(requests().into_iter().map(Event::Arrived));
+    events.extend([
+        Event::Open(open, FIRST),
+        Event::Established { request: RequestId(8), attempt: 2 },
+        Event::LoadChanged { request: RequestId(8), load: 1.5 },
+        Event::MessageDelay { server: SECOND, delay: 0.25 },
+    ]);
+    events.extend((0..).zip(OUTCOMES).map(ended));
+    events.extend([Event::ClientGone(RequestId(9)), Event::Timer(5 << 40 | 77)]);
+    events.extend((0..).zip(OUTCOMES).map(probed));
+    events.push(Event::Timer(u64::MAX));
+    events
+}
+
+#[test]
+fn every_record_and_event_is_read_from_its_bytes() {
+    let batch = Decoder::default().batch(&bytes(EVENTS), |_| Some(1)).expect("a good batch");
+    let attach = Record::Attach(0x0102_0304_0506_0708, br#"{"me":1}"#.to_vec());
+    let mut expected = vec![(3, attach)];
+    expected.extend(events().into_iter().map(|event| (3, Record::Event(event))));
+    expected.extend([(65_534, Record::Event(Event::Timer(1))), (65_534, Record::Shutdown)]);
+    assert_eq!(batch.now, 38_034.5);
+    assert_eq!(batch.records.len(), expected.len());
+    for (read, expected) in batch.records.into_iter().zip(expected) {
+        assert_eq!(read, expected);
+    }
+}
+
+#[test]
+fn every_action_is_written_as_its_bytes() {
+    let request = RequestId(0x5d3a_91c4);
+    let mut encoder = Encoder::default();
+    encoder.instance(3);
+    encoder.action(&Action::Send { request, server: FIRST, timeout: 0.08 });
+    encoder.action(&Action::Refuse { request, retry_after: 0.0 });
+    encoder.action(&Action::Refuse { request, retry_after: 0.25 });
+    encoder.action(&Action::Fail(request));
+    encoder.action(&Action::Cancel { request, attempt: 1 });
+    encoder.action(&Action::Move(request));
+    encoder.action(&Action::SetTimer { after: 0.5, token: 5 << 40 | 77 });
+    encoder.action(&Action::Probe(SECOND));
+    encoder.action(&Action::Subscribe);
+    encoder.action(&Action::Log("a line — of text".to_owned()));
+    encoder.action(&Action::Log(String::new()));
+    encoder.instance(65_534);
+    encoder.fault("it failed");
+    let frame = encoder.finish();
+    assert_eq!(frame, bytes(ACTIONS));
+}
