--- a/crates/recovery/tests/moves.rs
+++ b/crates/recovery/tests/moves.rs
@@ -345,3 +345,28 @@
     let begins = toy.log.iter().filter(|l| l.starts_with("rebalance=begins")).count();
     assert!(begins >= 3, "each balancer says that moves begin: {:?}", toy.log);
 }
+
+/// Which connections moved where, to the last digit of what the servers carried then: a change of the code's shape must
+/// change none of it.
+#[test]
+fn pinned_fleets_move_their_connections_as_in_the_fixture() {
+    let mut played = String::new();
+    for (proxies, servers, clients, seed) in [(1, 4, 240, 5), (3, 6, 450, 11), (2, 8, 800, 3)] {
+        let mut toy = Toy::half_back(proxies, servers, clients, seed);
+        toy.play(1040.0, |t| played += &format!("{} {} {:?}\n", t.now, t.moves, t.usage()));
+        toy.dies(1);
+        toy.play(1060.0, |t| played += &format!("{} {} {:?}\n", t.now, t.moves, t.imbalance()));
+        for balancer in &toy.balancers {
+            let stats = balancer.care().stats().rebalance;
+            played += &format!("{:?} {:?} {:?}\n", stats.moves, stats.came, stats.pauses);
+        }
+        played += &format!("{:?}\n", toy.log);
+    }
+    if played != include_str!("fixtures/migrations.txt") {
+        let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/recovery-migrations.txt");
+        std::fs::write(actual, &played).expect("a temporary file");
+        let line =
+            played.lines().zip(include_str!("fixtures/migrations.txt").lines()).position(|(a, b)| a != b);
+        panic!("the moves differ from the fixture, first in line {line:?}; they are in {actual}");
+    }
+}
