--- a/crates/store/tests/rig/mod.rs
+++ b/crates/store/tests/rig/mod.rs
@@ -1,6 +1,7 @@
 //! What the tests of the store share.
 #![allow(dead_code, reason = "each test program uses its part")]
 
+pub mod recorder;
 pub mod story;
 
 use shorewharf_store::calls::{Answer, Call, Done, Kept, Request, run};
--- /dev/null
+++ b/crates/store/tests/stored.rs
@@ -0,0 +1,475 @@
+//! What earlier versions have stored or sent, byte for byte. `fixtures/` was written by the version before the fields of
+//! records got other names in the code; a name in the code that changes a stored one makes a test here fail.
+//!
+//! The fixtures are written anew only for another schema:
+//! `cargo test -p shorewharf-store --test stored -- --ignored write_fixtures`
+
+mod rig;
+
+use rig::recorder::Recorder;
+use rig::{NOW, name};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::{Value, json};
+use shorewharf_store::backup::{backup, open};
+use shorewharf_store::cached::Cached;
+use shorewharf_store::calls::{Answer, Call, Done, Found, Level, Question, Request, UsageRow, answer, run};
+use shorewharf_store::check::check;
+use shorewharf_store::embedded::{Create, Embedded};
+use shorewharf_store::exchange::{export, import};
+use shorewharf_store::key::{Key, Space};
+use shorewharf_store::known::Known;
+use shorewharf_store::name::ClassName;
+use shorewharf_store::record::{
+    Actor, AuditEntry, ClassRecord, Deed, InstanceName, Limits, NewTenant, NewToken, OnceKey, Origin,
+    PerSecond, Place, Role, Semantics, ServiceLimits, TenantChange, TenantState, TokenId, TokenSeed, Usage,
+    UsageReport, Weight,
+};
+use shorewharf_store::replicated::{Options, Replicated};
+use shorewharf_store::standin::{Cluster, Fault};
+use shorewharf_store::store::{Ask, Batch, Condition, Health, Revision, Store};
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::path::Path;
+use std::time::Duration;
+
+const STORE_FILE: &[u8] = include_bytes!("fixtures/store.redb");
+const BACKUP_FILE: &[u8] = include_bytes!("fixtures/backup.redb");
+const STORE_ROWS: &str = include_str!("fixtures/store.rows");
+const GATEWAY_REQUESTS: &str = include_str!("fixtures/gateway.requests");
+const GATEWAY_KEYS: &str = include_str!("fixtures/gateway.keys");
+const EXPORT: &str = include_str!("fixtures/export.json");
+const COPY: &str = include_str!("fixtures/copy");
+
+/// The last revision that the file beside the store says was acknowledged, with its checksum.
+const HEAD: &str = "1800000000000000";
+
+/// Idempotency keys are kept until then.
+const EXPIRES: u64 = NOW + 3_600_000_000;
+
+fn rate(per_second: f64) -> Option<PerSecond> {
+    Some(PerSecond::new(per_second).unwrap())
+}
+
+fn class_name(text: &str) -> ClassName {
+    ClassName::new(text).unwrap()
+}
+
+fn class(name: &str, semantics: Semantics) -> ClassRecord {
+    ClassRecord::new(class_name(name), 800.5, 50.25, 1.5, semantics).unwrap()
+}
+
+fn token(role: Role, label: &str, expires: Option<u64>, seed: u8) -> Call {
+    let new = NewToken { role, label: label.into(), expires };
+    Call::CreateToken { new, seed: TokenSeed([seed; 40]) }
+}
+
+fn token_id(seed: u8) -> TokenId {
+    TokenId::new(&format!("{seed:02x}").repeat(8)).unwrap()
+}
+
+fn bearer() -> Actor {
+    Actor::Token { id: token_id(1), role: Role::Operator, label: "first".into() }
+}
+
+fn usage(set_ups: u64) -> Usage {
+    let refusals = [("quota".to_string(), 2), ("overload".to_string(), 1)].into();
+    Usage { connection_micros: 60_000_000, set_ups, refusals, moves: 3, lines: 400, bytes: 5000 }
+}
+
+fn report(instance: &str, minute: u64) -> Call {
+    let places = [(0, usage(7)), (2, usage(9)), (70, Usage { set_ups: 1, ..Usage::default() })].into();
+    Call::Count(UsageReport::new(InstanceName::new(instance).unwrap(), minute, places).unwrap())
+}
+
+/// A tenant with every field set.
+fn full_tenant() -> NewTenant {
+    NewTenant {
+        name: name("Grad-Uprava"),
+        weight: Weight::new(250).unwrap(),
+        limits: Limits { connections: Some(5000), set_ups: rate(12.5), returns: rate(40.0) },
+        classes: Some([class_name("ticket-stream"), class_name("plain")].into()),
+        state: TenantState::Active,
+        origin: Origin::File,
+    }
+}
+
+fn service_limits() -> ServiceLimits {
+    ServiceLimits {
+        connections: Some(100_000),
+        set_ups: rate(2000.0),
+        returns: rate(4000.5),
+        tenants: Some(10_000),
+        moves: rate(50.0),
+        changed: 0,
+    }
+}
+
+/// Calls of each kind, by actors of each kind, that leave records of each kind.
+fn calls() -> Vec<(Actor, Call)> {
+    let plain = |text: &str, state| NewTenant { state, ..NewTenant::named(name(text)) };
+    let change = TenantChange {
+        name: Some(name("GRAD-Uprava")),
+        weight: Some(Weight::new(300).unwrap()),
+        limits: Some(Limits { connections: Some(6000), ..Limits::default() }),
+        classes: Some(None),
+        state: Some(TenantState::Frozen),
+        origin: Some(Origin::Api),
+    };
+    let put = |class, expected| Call::PutClass { class, expected };
+    vec![
+        (Actor::console("root").unwrap(), token(Role::Operator, "first", None, 1)),
+        (bearer(), put(class("ticket-stream", Semantics::Safe), Some(Revision(0)))),
+        (bearer(), put(class("ticket-stream", Semantics::Keyed), None)),
+        (Actor::File, put(class("plain", Semantics::Safe), None)),
+        (Actor::File, put(class("bulk", Semantics::Unsafe), None)),
+        (Actor::File, put(class("write", Semantics::Unsafe), None)),
+        (bearer(), Call::SetLimits { limits: service_limits(), expected: Some(Revision(0)) }),
+        (Actor::File, Call::CreateTenant(full_tenant())),
+        (bearer(), Call::CreateTenant(plain("bolnica", TenantState::Active))),
+        (bearer(), Call::CreateTenant(plain("Лука", TenantState::Frozen))),
+        (bearer(), Call::CreateTenant(plain("knjižnica", TenantState::Leaving))),
+        (bearer(), Call::ChangeTenant { name: name("grad-uprava"), expected: None, change }),
+        (bearer(), Call::RemoveTenant { name: name("bolnica"), expected: None }),
+        (bearer(), Call::RemoveClass { name: class_name("bulk"), expected: None }),
+        (bearer(), token(Role::TenantAdmin(Place(0)), "admin", Some(NOW + 1_000_000_000), 2)),
+        (bearer(), token(Role::Viewer, "night shift", None, 3)),
+        (bearer(), Call::RevokeToken { id: token_id(3) }),
+        (
+            bearer(),
+            Call::Note {
+                target: "server/m-1".into(),
+                before: Some(json!({"takes": true})),
+                after: Some(json!({"takes": false})),
+            },
+        ),
+        (Actor::Service, Call::Note { target: "sessions/0".into(), before: None, after: None }),
+        (Actor::Service, report("n1@1", 29_583_333)),
+        (Actor::Service, report("n1@1", 29_583_334)),
+        (Actor::Service, report("n2@1", 29_583_333)),
+        (Actor::Service, Call::Tidy),
+    ]
+}
+
+/// The requests that [`fill`] makes: the later of two calls at an instant is another request.
+fn requests() -> Vec<Request> {
+    let numbered = calls().into_iter().enumerate();
+    numbered
+        .map(|(number, (who, call))| {
+            let key = OnceKey::new("0101010101010101", &format!("key-{number}"), b"body", EXPIRES).unwrap();
+            Request { who, call, once: Some(key) }
+        })
+        .collect()
+}
+
+/// Fills an empty store by [`requests`], each at a time of its own.
+fn fill(store: &mut dyn Store) -> Vec<Done> {
+    let mut done = Vec::new();
+    for (number, request) in requests().iter().enumerate() {
+        done.push(run(store, std::slice::from_ref(request), NOW + number as u64).remove(0).unwrap());
+    }
+    let budget = (Key::new(Space::Budget, "member/n1"), Some(b"{\"of\":\"the balancers\"}".to_vec()));
+    let conditions = vec![Condition::Absent(budget.0.clone())];
+    store.apply(&Batch { conditions, writes: vec![budget] }, NOW + 100).unwrap();
+    done
+}
+
+/// All records, each as its revision, key and value.
+fn rows(store: &mut dyn Store) -> String {
+    let mut rows = String::new();
+    store
+        .visit(&Space::ALL, NOW, &mut |entry| {
+            let value = std::str::from_utf8(&entry.value).unwrap();
+            rows += &format!("{} {} {value}\n", entry.revision.0, entry.key);
+            Ok(())
+        })
+        .unwrap();
+    rows
+}
+
+/// Rows without their revisions, which are each store's own.
+fn unversioned(rows: &str) -> Vec<&str> {
+    rows.lines().map(|row| row.split_once(' ').unwrap().1).collect()
+}
+
+/// Each row's record as JSON, by its key.
+fn by_key(rows: &str) -> BTreeMap<String, Value> {
+    let parts = |row: &str| {
+        // Names have blanks; a record is an object or a number.
+        let row = row.split_once(' ').unwrap().1;
+        let (key, json) = row
+            .split_once(" {")
+            .map_or_else(|| row.split_once(' ').unwrap(), |(key, _)| row.split_at(key.len()));
+        (key.to_owned(), serde_json::from_str(json).unwrap())
+    };
+    rows.lines().map(parts).collect()
+}
+
+fn exported(store: &mut dyn Store) -> String {
+    let mut document = Vec::new();
+    export(store, &mut document, NOW + 200).unwrap();
+    String::from_utf8(document).unwrap()
+}
+
+fn new_store(dir: &Path) -> Embedded {
+    let mut store = Embedded::open(dir.join("store"), Create::IfMissing, NOW).unwrap();
+    fill(&mut store);
+    store
+}
+
+/// What the replicated engine is sent and holds after all kinds of calls, one of which loses its answer.
+fn replicated() -> (String, String) {
+    let cluster = Cluster::new();
+    let members = [cluster.member().unwrap(), cluster.member().unwrap()];
+    let recorder = Recorder::default();
+    let endpoints = members.iter().map(|member| recorder.before(&member.endpoint())).collect();
+    let options = Options { call: Duration::from_secs(5), ..Options::new(endpoints, "shorewharf", "n1", 7) };
+    let mut store = Replicated::new(&options).unwrap();
+    fill(&mut store);
+    store.get(&Key::new(Space::Tenant, "grad-uprava"), NOW).unwrap().unwrap();
+    store.list(&Ask::of(Space::Token).prefix("0").after(Some("02".into())).limit(2), NOW).unwrap();
+    store.changes(Revision(0), NOW).unwrap();
+    members[0].set(Fault::LosesAnswers);
+    let write = |text: &str| {
+        let writes = vec![(Key::new(Space::Budget, "member/n2"), Some(text.as_bytes().to_vec()))];
+        Batch { conditions: Vec::new(), writes }
+    };
+    store.apply(&write("lost"), NOW + 1).unwrap();
+    members[0].set(Fault::None);
+    store
+        .apply(&Batch { conditions: vec![], writes: vec![(Key::new(Space::Budget, "member/n2"), None)] }, NOW)
+        .unwrap();
+    let mut records = Vec::new();
+    store
+        .visit(&Space::ALL, NOW, &mut |entry| {
+            records.push((entry.key, entry.value));
+            Ok(())
+        })
+        .unwrap();
+    store.replace(records, NOW).unwrap();
+    let keys = cluster.contents().into_iter().map(|(key, value)| format!("{key} {value}\n")).collect();
+    (recorder.text(), keys)
+}
+
+#[test]
+#[ignore = "writes the fixtures anew"]
+fn write_fixtures() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
+    let write = |file: &str, bytes: &[u8]| std::fs::write(folder.join(file), bytes).unwrap();
+    let dir = tempfile::tempdir().unwrap();
+    let mut store = new_store(dir.path());
+    write("store.rows", rows(&mut store).as_bytes());
+    write("export.json", exported(&mut store).as_bytes());
+    backup(&mut store, &dir.path().join("backup"), NOW).unwrap();
+    let copy = dir.path().join("copy");
+    Cached::new(Box::new(store), Some(copy.clone())).refresh(NOW).unwrap();
+    for (file, written) in [("store.redb", "store"), ("backup.redb", "backup"), ("copy", "copy")] {
+        write(file, &std::fs::read(dir.path().join(written)).unwrap());
+    }
+    let (requests, keys) = replicated();
+    write("gateway.requests", requests.as_bytes());
+    write("gateway.keys", keys.as_bytes());
+}
+
+#[test]
+fn records_are_stored_as_they_always_were() {
+    let dir = tempfile::tempdir().unwrap();
+    let mut store = new_store(dir.path());
+    assert_eq!(rows(&mut store), STORE_ROWS);
+    assert_eq!(exported(&mut store), EXPORT);
+    let head = std::fs::read(dir.path().join("store.head")).unwrap();
+    let hex: String = head[..8].iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!((hex.as_str(), head.len()), (HEAD, 16));
+    backup(&mut store, &dir.path().join("backup"), NOW).unwrap();
+    assert_eq!(rows(&mut open(&dir.path().join("backup"), NOW).unwrap()), STORE_ROWS);
+    let copy = dir.path().join("copy");
+    Cached::new(Box::new(store), Some(copy.clone())).refresh(NOW).unwrap();
+    assert_eq!(std::fs::read_to_string(copy).unwrap(), COPY);
+}
+
+#[test]
+fn a_file_and_a_backup_of_an_earlier_version_are_read() {
+    let dir = tempfile::tempdir().unwrap();
+    let (path, old) = (dir.path().join("store"), dir.path().join("backup"));
+    std::fs::write(&path, STORE_FILE).unwrap();
+    std::fs::write(&old, BACKUP_FILE).unwrap();
+    assert_eq!(rows(&mut open(&old, NOW).unwrap()), STORE_ROWS);
+    let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
+    assert_eq!(rows(&mut store), STORE_ROWS);
+    assert_eq!(check(&mut store, NOW).unwrap(), []);
+    // Each is read into its type, and the stored answer of each call is given again.
+    for (number, (request, made)) in requests().iter().zip(new_answers()).enumerate() {
+        let again = run(&mut store, std::slice::from_ref(request), NOW + 500).remove(0).unwrap();
+        match &request.call {
+            Call::Count(_) => assert_eq!(again.answer, Answer::Counted { new: false }),
+            _ => assert_eq!((again.repeated, again.answer), (true, without_secret(made)), "request {number}"),
+        }
+    }
+    let Found::Tenant(tenant) = answer(&mut store, &Question::Tenant(name("grad-uprava")), NOW).unwrap()
+    else {
+        panic!()
+    };
+    assert_eq!((tenant.record.weight.get(), tenant.record.limits.connections), (300, Some(6000)));
+    let ask = Question::Usage { place: Place(2), level: Level::Day, from: 0, to: u64::MAX };
+    let Found::Usage(used, None) = answer(&mut store, &ask, NOW).unwrap() else { panic!() };
+    let mut three = usage(9);
+    three.add(&usage(9));
+    three.add(&usage(9));
+    assert_eq!(used, [UsageRow { start: 1_774_915_200_000_000, usage: three }]);
+}
+
+/// The answers of [`fill`].
+fn new_answers() -> Vec<Answer> {
+    let dir = tempfile::tempdir().unwrap();
+    let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
+    fill(&mut store).into_iter().map(|done| done.answer).collect()
+}
+
+/// An answer as it is repeated: a token's text is not kept.
+fn without_secret(answer: Answer) -> Answer {
+    match answer {
+        Answer::Token { token, .. } => Answer::Token { token, text: None },
+        answer => answer,
+    }
+}
+
+#[test]
+fn an_export_of_an_earlier_version_is_imported() {
+    let dir = tempfile::tempdir().unwrap();
+    let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
+    import(&mut store, EXPORT, &Actor::console("root").unwrap(), NOW + 300).unwrap();
+    let imported = by_key(&rows(&mut store));
+    let is_left_out =
+        |key: &str| ["once/", "budget/", "meta/"].iter().any(|left_out| key.starts_with(left_out));
+    for (key, record) in by_key(STORE_ROWS).into_iter().filter(|(key, _)| !is_left_out(key)) {
+        assert_eq!(imported.get(&key), Some(&record), "{key}");
+    }
+    let entry = &imported["audit/00000000000000000020"];
+    let told = json!({
+        "number": 20, "at": NOW + 300, "who": {"by": "console", "user": "root"}, "deed": "import", "target": "export",
+        "after": {"revision": 24},
+    });
+    assert_eq!(*entry, told);
+    assert_eq!(
+        (&imported["meta/tenant-places"], &imported["meta/class-places"]),
+        (&json!(65_540), &json!(65_540))
+    );
+    assert_eq!((&imported["meta/tenants"], &imported["meta/audit"]), (&json!(3), &json!(20)));
+}
+
+#[test]
+fn a_copy_of_an_earlier_version_is_read_while_the_engine_is_away() {
+    let dir = tempfile::tempdir().unwrap();
+    let file = dir.path().join("copy");
+    std::fs::write(&file, COPY).unwrap();
+    let cluster = Cluster::new();
+    let member = cluster.member().unwrap();
+    member.set(Fault::Refuses);
+    let store = Replicated::new(&Options::new(vec![member.endpoint()], "shorewharf", "n1", 7)).unwrap();
+    let mut known = Known::default();
+    assert_eq!(known.take(&Cached::new(Box::new(store), Some(file)).refresh(NOW + 5).unwrap()), []);
+    assert_eq!((known.age(NOW + 5), known.revision()), (Some(5), Revision(24)));
+    assert_eq!((known.tenants().count(), known.classes().count()), (3, 3));
+    assert_eq!(known.limits().record, ServiceLimits { changed: NOW + 6, ..service_limits() });
+    assert!(known.place(Place(1)).unwrap().removed.is_some());
+    assert!(known.token(&token_id(2), NOW).is_some() && known.token(&token_id(3), NOW).is_none());
+}
+
+#[test]
+fn the_replicated_engine_is_sent_and_holds_what_it_always_was() {
+    let (requests, keys) = replicated();
+    for (number, (sent, expected)) in requests.lines().zip(GATEWAY_REQUESTS.lines()).enumerate() {
+        assert_eq!(sent, expected, "request {number}");
+    }
+    assert_eq!(requests.lines().count(), GATEWAY_REQUESTS.lines().count());
+    assert_eq!(keys, GATEWAY_KEYS);
+    // And it is read by an instance that finds it so.
+    let cluster = Cluster::new();
+    let member = cluster.member().unwrap();
+    for row in GATEWAY_KEYS.lines() {
+        let (key, value) = row.split_once(' ').unwrap();
+        cluster.put(key, value);
+    }
+    let mut store = Replicated::new(&Options::new(vec![member.endpoint()], "shorewharf", "n2", 8)).unwrap();
+    let mut without_versions = unversioned(STORE_ROWS);
+    let found = rows(&mut store);
+    // Answers hold no revision until they are repeated, so the records are the same in both engines.
+    let mut found = unversioned(&found);
+    found.sort_unstable();
+    without_versions.sort_unstable();
+    assert_eq!(found, without_versions);
+    assert_eq!(check(&mut store, NOW).unwrap(), []);
+}
+
+/// A value is written as this JSON, and is read from it.
+fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+    assert_eq!(serde_json::to_string(value).unwrap(), text);
+    assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
+}
+
+#[test]
+fn values_that_callers_send_and_read_have_their_json() {
+    same(
+        &full_tenant(),
+        r#"{"name":"Grad-Uprava","weight":250,"limits":{"connections":5000,"set_ups":12.5,"returns":40.0},"classes":["plain","ticket-stream"],"state":"active","origin":"file"}"#,
+    );
+    let change = TenantChange { classes: Some(None), ..TenantChange::default() };
+    same(&change, r#"{"name":null,"weight":null,"limits":null,"classes":null,"state":null,"origin":null}"#);
+    same(
+        &NewToken { role: Role::TenantAdmin(Place(3)), label: "l".into(), expires: Some(9) },
+        r#"{"role":"tenant-admin","place":3,"label":"l","expires":9}"#,
+    );
+    same(
+        &UsageRow { start: 60, usage: usage(7) },
+        r#"{"start":60,"usage":{"c":60000000,"s":7,"r":{"overload":1,"quota":2},"m":3,"l":400,"b":5000}}"#,
+    );
+    for (level, text) in [(Level::Minute, "\"minute\""), (Level::Hour, "\"hour\""), (Level::Day, "\"day\"")] {
+        same(&level, text);
+    }
+    same(&Answer::Counted { new: true }, r#"{"kind":"counted","of":{"new":true}}"#);
+    let health = Health {
+        engine: "file x".into(),
+        revision: Revision(4),
+        answered: Some(5),
+        trouble: Some("full".into()),
+        schema: 2,
+    };
+    assert_eq!(
+        serde_json::to_string(&health).unwrap(),
+        r#"{"engine":"file x","revision":4,"answered":5,"trouble":"full","schema":2}"#
+    );
+    let dir = tempfile::tempdir().unwrap();
+    let mut store = new_store(dir.path());
+    let records = STORE_ROWS.lines().count();
+    let taken = backup(&mut store, &dir.path().join("backup"), NOW).unwrap();
+    assert_eq!(serde_json::to_value(taken).unwrap(), json!({"revision": 24, "records": records}));
+}
+
+#[test]
+fn each_action_of_the_trail_has_its_name() {
+    let actions: BTreeMap<&str, Deed> = [
+        ("tenant-create", Deed::TenantCreate),
+        ("tenant-change", Deed::TenantChange),
+        ("tenant-remove", Deed::TenantRemove),
+        ("class-create", Deed::ClassCreate),
+        ("class-change", Deed::ClassChange),
+        ("class-remove", Deed::ClassRemove),
+        ("token-create", Deed::TokenCreate),
+        ("token-revoke", Deed::TokenRevoke),
+        ("limits-set", Deed::LimitsSet),
+        ("command", Deed::Command),
+        ("restore", Deed::Restore),
+        ("import", Deed::Import),
+    ]
+    .into();
+    for (text, deed) in actions {
+        let who = Actor::Token { id: token_id(2), role: Role::TenantAdmin(Place(7)), label: "l".into() };
+        let (before, after) = (Some(json!(1)), Some(Value::Bool(true)));
+        same(
+            &AuditEntry { number: 3, at: 4, who, deed, target: "t".into(), before, after },
+            &format!(
+                r#"{{"number":3,"at":4,"who":{{"by":"token","id":"0202020202020202","role":"tenant-admin","place":7,"label":"l"}},"deed":"{text}","target":"t","before":1,"after":true}}"#
+            ),
+        );
+    }
+}
