--- a/crates/balancer/src/admin/shared_folder/tests.rs
+++ b/crates/balancer/src/admin/shared_folder/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::list::incoming::server_id;
+use crate::discovery::update::server_id;
 
 fn folder(common: &Path) -> Folder {
     Folder::open(common, "127.0.0.1:8000".parse().expect("an address")).expect("a folder")
