--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -202,8 +202,8 @@
         for (key, value) in [
             ("settings.tick_s", set.tick),
             ("settings.limits.connect_timeout_s", set.connect_timeout),
-            ("settings.rules.ask_within_s", set.ask_within),
-            ("settings.rules.overload_for_s", set.overload_for),
+            ("settings.rules.ask_within_s", set.poll_interval),
+            ("settings.rules.overload_for_s", set.overload_window),
         ] {
             if !(value > 0.0 && value < LONGEST) {
                 return Err(form(key, format!("{value} s is not over 0 and under {LONGEST} s")));
@@ -266,8 +266,8 @@
     /// All processes of a fleet have as many workers, or their numbers would not fit together.
     pub fn of_worker(&self, worker: usize, workers: usize) -> Config {
         let mut own = self.clone();
-        own.settings.me = self.settings.me * workers as u64 + worker as u64;
-        own.settings.proxies = self.settings.proxies * workers as f64;
+        own.settings.instance_index = self.settings.instance_index * workers as u64 + worker as u64;
+        own.settings.instance_count = self.settings.instance_count * workers as f64;
         // Those kept for operators are the first one's.
         own.limits.sockets = self.sockets() / workers + (self.limits.sockets - self.sockets());
         own.limits.memory_mb = self.limits.memory_mb / workers as f64;
--- a/crates/balancer/src/config/proxy_settings.rs
+++ b/crates/balancer/src/config/proxy_settings.rs
@@ -1,6 +1,6 @@
 //! What the configuration says of the peers; put in force whole, at the start and on a reload.
 
-use shorewharf_decisions::interface::Semantics;
+use shorewharf_decisions::interface::Idempotency;
 use shorewharf_protocol::names::Names;
 use shorewharf_units::{Micros, micros_from_seconds};
 
@@ -12,7 +12,7 @@
     /// Names in first lines and lists.
     pub names: Names,
     /// What repeating a request of each class may do.
-    semantics: Vec<Semantics>,
+    idempotency: Vec<Idempotency>,
     /// How long a client of each class waits whose line does not say.
     pub give_up: Vec<Micros>,
     /// A connect that takes longer has failed.
@@ -38,19 +38,29 @@
 impl Terms {
     /// What a test needs of them.
     pub fn few() -> Self {
-        let (names, give_up, semantics) = (Names::default(), vec![3_000_000], vec![Semantics::Safe]);
+        let (names, give_up, idempotency) =
+            (Names::default(), vec![3_000_000], vec![Idempotency::Idempotent]);
         let (connect_timeout, message_aim, tells_delay) = (250_000, 50_000, false);
         let (sockets, most_servers) = (1000, 1000);
-        Terms { names, semantics, give_up, connect_timeout, message_aim, tells_delay, sockets, most_servers }
+        Terms {
+            names,
+            idempotency,
+            give_up,
+            connect_timeout,
+            message_aim,
+            tells_delay,
+            sockets,
+            most_servers,
+        }
     }
 }
 
 impl From<&Config> for Terms {
     fn from(config: &Config) -> Self {
-        let aims = config.settings.classes.iter().map(|c| c.message_aim);
+        let aims = config.settings.classes.iter().map(|c| c.message_latency_objective);
         Terms {
             names: config.names.clone(),
-            semantics: config.settings.classes.iter().map(|class| class.semantics).collect(),
+            idempotency: config.settings.classes.iter().map(|class| class.idempotency).collect(),
             give_up: config.give_up.clone(),
             connect_timeout: micros_from_seconds(config.settings.connect_timeout),
             message_aim: micros_from_seconds(aims.fold(f64::INFINITY, f64::min)),
@@ -64,7 +74,7 @@
 
 impl Terms {
     /// What repeating a request of this class may do; the strictest for a class that is not known.
-    pub fn semantics_of(&self, class: usize) -> Semantics {
-        self.semantics.get(class).copied().unwrap_or(Semantics::Unsafe)
+    pub fn idempotency_of(&self, class: usize) -> Idempotency {
+        self.idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent)
     }
 }
--- a/crates/balancer/src/config/summary.rs
+++ b/crates/balancer/src/config/summary.rs
@@ -5,6 +5,7 @@
 use comfy_table::{Table, TableStyle};
 use serde_json::Value;
 use shorewharf_decisions::Settings;
+use shorewharf_decisions::interface::Idempotency;
 
 use crate::config::{Config, ConfigError};
 
@@ -52,36 +53,36 @@
     for (i, class) in c.settings.classes.iter().enumerate() {
         let name = c.names.classes.iter().find(|(_, at)| **at == i).map_or("?", |(name, _)| name);
         row(&format!("settings.classes.{i}.name"), &name);
-        let (aim, message) = (class.aim, class.message_aim);
+        let (aim, message) = (class.latency_objective, class.message_latency_objective);
         row(&format!("settings.classes.{i}.promise_s"), &format_args!("{aim} s"));
         row(&format!("settings.classes.{i}.give_up_s"), &format_args!("{} s", c.give_up[i] as f64 / 1e6));
-        row(&format!("settings.classes.{i}.semantics"), &format_args!("{:?}", class.semantics));
+        row(&format!("settings.classes.{i}.semantics"), &repetition(class.idempotency));
         row(&format!("settings.specifics.message_aim_s.{i}"), &format_args!("{message} s"));
     }
     row("settings.tenants", &in_order(&c.names.tenants));
     row("settings.zones", &in_order(&c.names.zones));
     let s = &c.settings;
-    row("settings.me", &format_args!("{} of {} balancers", s.me, s.proxies));
+    row("settings.me", &format_args!("{} of {} balancers", s.instance_index, s.instance_count));
     row("settings.zone", &s.zone);
     row("settings.tick_s", &format_args!("{} s", s.tick));
     row("settings.specifics.tells_delay", &c.tells_delay);
-    row("settings.specifics.groups", &s.groups);
-    row("settings.registry_mode", &if s.ask_registry { "ask" } else { "push" });
+    row("settings.specifics.groups", &s.has_groups);
+    row("settings.registry_mode", &if s.polls_discovery { "ask" } else { "push" });
     row("settings.limits.connect_timeout_s", &format_args!("{} s", s.connect_timeout));
     row("settings.limits.max_attempts", &s.max_attempts);
     row("settings.limits.may_probe", &s.may_probe);
     row("settings.limits.cancel", &s.may_cancel);
     row("settings.limits.retry_after", &waits(s));
-    row("settings.rules.ask_within_s", &format_args!("{} s", s.ask_within));
-    row("settings.rules.start_capacity", &s.start_capacity);
-    row("settings.rules.warm_within_s", &format_args!("{} s", s.warm_within));
-    row("settings.rules.fall_multiple", &s.fall_multiple);
-    row("settings.rules.overload_for_s", &format_args!("{} s", s.overload_for));
+    row("settings.rules.ask_within_s", &format_args!("{} s", s.poll_interval));
+    row("settings.rules.start_capacity", &s.cold_capacity_ratio);
+    row("settings.rules.warm_within_s", &format_args!("{} s", s.warm_up_time));
+    row("settings.rules.fall_multiple", &s.overload_ratio);
+    row("settings.rules.overload_for_s", &format_args!("{} s", s.overload_window));
     rows
 }
 
 fn waits(s: &Settings) -> String {
-    if s.retry_after { format!("up to {} s", s.max_retry_after) } else { "false".into() }
+    if s.sends_retry_after { format!("up to {} s", s.max_retry_after) } else { "false".into() }
 }
 
 /// Names in the order of their places.
@@ -92,5 +93,14 @@
     if names.is_empty() { "none".into() } else { names.join(", ") }
 }
 
+/// How the table names what repeating a request of a class may do.
+fn repetition(idempotency: Idempotency) -> String {
+    match idempotency {
+        Idempotency::Idempotent => "Safe".to_owned(),
+        Idempotency::Keyed(scope, window) => format!("Keyed({scope:?}, {window:?})"),
+        Idempotency::NonIdempotent => "Unsafe".to_owned(),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::json;
-use shorewharf_decisions::interface::{Class, Scope, Semantics, Weights};
+use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, RequestClass, WeightKind};
 use shorewharf_protocol::list::Endpoint;
 use shorewharf_settings::operator::{Budgets, Gossip, Recovery, Snapshot, Tenancy};
 
@@ -142,35 +142,44 @@
     assert_eq!((config.names.classes["chat"], config.names.classes["feed"]), (0, 1));
     assert_eq!((config.names.tenants["acme"], config.names.tenants["zeta"]), (0, 1));
     assert_eq!((config.names.zones["zone-a"], config.names.zones["zone-b"]), (0, 1));
-    let chat =
-        Class { aim: 0.75, worth: 4.5, message_aim: 0.05, semantics: Semantics::Keyed(Scope::Zone, 12.5) };
-    let feed = Class { aim: 0.25, worth: 1.5, message_aim: 0.025, semantics: Semantics::Safe };
+    let chat = RequestClass {
+        latency_objective: 0.75,
+        priority_weight: 4.5,
+        message_latency_objective: 0.05,
+        idempotency: Idempotency::Keyed(DeduplicationScope::Zone, 12.5),
+    };
+    let feed = RequestClass {
+        latency_objective: 0.25,
+        priority_weight: 1.5,
+        message_latency_objective: 0.025,
+        idempotency: Idempotency::Idempotent,
+    };
     let settings = Settings {
-        me: 2,
-        proxies: 7.0,
+        instance_index: 2,
+        instance_count: 7.0,
         zone: 1,
-        zones: 2.0,
+        zone_count: 2.0,
         classes: vec![chat, feed],
-        tenant_quota: vec![1000.5, 2000.5],
-        tenant_rate: vec![25.5, 35.5],
-        ask_registry: true,
-        ask_within: 8.5,
-        start_capacity: 0.375,
-        warm_within: 18.5,
-        fall_multiple: 2.5,
-        overload_for: 1.75,
+        tenant_connection_quotas: vec![1000.5, 2000.5],
+        tenant_rate_quotas: vec![25.5, 35.5],
+        polls_discovery: true,
+        poll_interval: 8.5,
+        cold_capacity_ratio: 0.375,
+        warm_up_time: 18.5,
+        overload_ratio: 2.5,
+        overload_window: 1.75,
         max_attempts: 3,
         connect_timeout: 0.125,
         max_retry_after: 1.25,
-        retry_after: true,
+        sends_retry_after: true,
         may_probe: true,
         may_cancel: true,
-        pass_through: true,
-        park: 1.5,
-        groups: true,
-        weights: Weights::Live,
-        crossing_price: 0.0625,
-        move_price: 0.03125,
+        is_pass_through: true,
+        parked_connection_timeout: 1.5,
+        has_groups: true,
+        weight_kind: WeightKind::LoadAdjusted,
+        zone_crossing_cost: 0.0625,
+        migration_cost: 0.03125,
         tick: 0.005,
     };
     assert_eq!(format!("{:?}", config.settings), format!("{settings:?}"));
@@ -211,25 +220,25 @@
         parse(&value.to_string()).expect("good").settings
     };
     for (semantics, group, expected) in [
-        ("read_like", "zone", Semantics::Safe),
-        ("idempotency_key", "all", Semantics::Keyed(Scope::All, 12.5)),
-        ("idempotency_key", "zone", Semantics::Keyed(Scope::Zone, 12.5)),
-        ("idempotency_key", "cell", Semantics::Keyed(Scope::Cell, 12.5)),
-        ("non_idempotent", "all", Semantics::Unsafe),
+        ("read_like", "zone", Idempotency::Idempotent),
+        ("idempotency_key", "all", Idempotency::Keyed(DeduplicationScope::All, 12.5)),
+        ("idempotency_key", "zone", Idempotency::Keyed(DeduplicationScope::Zone, 12.5)),
+        ("idempotency_key", "cell", Idempotency::Keyed(DeduplicationScope::Cell, 12.5)),
+        ("non_idempotent", "all", Idempotency::NonIdempotent),
     ] {
         let settings = read(&|settings| {
             settings["classes"][0]["semantics"] = json!(semantics);
             settings["classes"][0]["group"] = json!(group);
         });
-        assert_eq!(settings.classes[0].semantics, expected);
+        assert_eq!(settings.classes[0].idempotency, expected);
     }
     for (word, expected) in [
-        ("nominal", Weights::Size),
-        ("rough", Weights::Size),
-        ("live", Weights::Live),
-        ("none", Weights::None),
+        ("nominal", WeightKind::Capacity),
+        ("rough", WeightKind::Capacity),
+        ("live", WeightKind::LoadAdjusted),
+        ("none", WeightKind::Uniform),
     ] {
-        assert_eq!(read(&|settings| settings["weights"] = json!(word)).weights, expected);
+        assert_eq!(read(&|settings| settings["weights"] = json!(word)).weight_kind, expected);
     }
 }
 
--- a/crates/balancer/src/discovery/update.rs
+++ b/crates/balancer/src/discovery/update.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
+use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
 use shorewharf_protocol::list::{Endpoint, Listing};
 use shorewharf_protocol::names::Names;
 use tracing::warn;
@@ -33,22 +33,22 @@
     /// Where it is.
     pub address: SocketAddr,
     /// What the module is told of it.
-    pub entry: ListEntry,
+    pub entry: ServerEntry,
 }
 
 impl Entry {
     /// Reads it; none where its address is none.
     fn read(e: &Endpoint, names: &Names) -> Option<Self> {
         let stage = match e.status.as_str() {
-            "Ready" => Stage::Ready,
-            "Gone" => Stage::Gone,
+            "Ready" => ServerState::Ready,
+            "Gone" => ServerState::Removed,
             // What isn't known to be ready gets nothing new.
-            _ => Stage::Draining,
+            _ => ServerState::Draining,
         };
         let address = e.address.parse().ok()?;
         let zone = names.zones.get(&e.zone).copied().unwrap_or(u32::MAX);
         let (server, cell, born) = (server_id(&e.name), e.group, born(e.since_ms));
-        let entry = ListEntry { server, zone, cell, stage, weight: e.weight, born };
+        let entry = ServerEntry { server, zone, cell, state: stage, weight: e.weight, started_at: born };
         Some(Entry { name: e.name.as_str().into(), address, entry })
     }
 }
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use mio::net::{TcpListener, TcpStream};
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId};
 use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_lifecycle::{Answer, Cause};
 use shorewharf_protocol::list::Listing;
@@ -143,7 +143,7 @@
     }
 
     /// The list that the configuration knows: whole, though it may be old.
-    pub fn list_known(&mut self, known: &Listing) -> Vec<ListEntry> {
+    pub fn list_known(&mut self, known: &Listing) -> Vec<ServerEntry> {
         self.discovery.knows(known.index);
         let terms = &self.serving.terms;
         let known = Incoming::of(known, &terms.names, terms.most_servers);
--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -66,9 +66,9 @@
         }
         let mut budgets = Vec::new();
         budgets.extend(of.set_ups.map(|whole| Budget { name: SET_UPS.to_owned(), kind: Kind::Rate, whole }));
-        let mut tenants = vec![None; set.tenant_quota.len()];
+        let mut tenants = vec![None; set.tenant_connection_quotas.len()];
         for (tenant, place) in &names.tenants {
-            let quota = set.tenant_quota.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
+            let quota = set.tenant_connection_quotas.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
             if let (Some(whole), Some(slot)) = (quota, tenants.get_mut(*place)) {
                 let name = format!("connections of {tenant}");
                 *slot = Some(name.clone());
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -9,7 +9,7 @@
 
 use mio::net::UdpSocket;
 use shorewharf_decisions::Holding;
-use shorewharf_decisions::interface::{Away, ServerId};
+use shorewharf_decisions::interface::{RemoteLoad, ServerId};
 use shorewharf_driver::NetworkEvent;
 use shorewharf_gossip::{Elsewhere, Gossip, Held, MOST_BYTES, MOST_HELD, Refusal};
 use shorewharf_units::Micros;
@@ -186,7 +186,7 @@
     }
 }
 
-fn away(elsewhere: Elsewhere) -> Arc<BTreeMap<ServerId, Away>> {
-    let one = |(id, (load, open, groups))| (ServerId(id), Away { load, open, groups });
+fn away(elsewhere: Elsewhere) -> Arc<BTreeMap<ServerId, RemoteLoad>> {
+    let one = |(id, (load, open, groups))| (ServerId(id), RemoteLoad { load, connections: open, groups });
     Arc::new(elsewhere.servers.into_iter().map(one).collect())
 }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 use mio::net::TcpStream;
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId};
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer as FinalAnswer, Cause, RequestGuard};
 use shorewharf_protocol::open::{class_of, parse_open};
@@ -117,7 +117,7 @@
     }
 
     /// Takes in a list from discovery: what the module is told of it.
-    pub fn take_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ListEntry> {
+    pub fn take_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
         self.servers.take(list, self.terms.most_servers, |server| attempts.any_at(server))
@@ -274,7 +274,7 @@
             // one from before was let go with its answer or its MOVE.
             return self.malformed(turn, id, "the id is in use");
         }
-        self.guard.receive(id, self.terms.semantics_of(open.class));
+        self.guard.receive(id, self.terms.idempotency_of(open.class));
         debug!(event = "received", req = id.0, id = %format_args!("{:x}", open.id), class = open.class);
         if self.closing {
             // What is taken now would only have to move: the front stops sending here in a moment.
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -149,7 +149,7 @@
         let ended = self.link.ended;
         Some(match self.link.look().map(|line| line.map(word)) {
             Ok(Some(Word::Up(_))) => Answer::Up,
-            Ok(Some(Word::Busy(_))) => Answer::Over(Outcome::Full),
+            Ok(Some(Word::Busy(_))) => Answer::Over(Outcome::Rejected),
             Ok(Some(Word::Move)) => Answer::Over(Outcome::Cancelled),
             Ok(Some(Word::Bye)) => Answer::Over(Outcome::Ok),
             Ok(Some(Word::Err)) => Answer::Over(Outcome::Error),
--- a/crates/balancer/src/servers/disabled.rs
+++ b/crates/balancer/src/servers/disabled.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
+use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
 
 /// A server that is out.
 #[derive(Clone, Debug, PartialEq)]
@@ -78,13 +78,17 @@
 
     /// What the module is told of a server that is listed like this: one that is out drains; one that was put back is as
     /// cold as it would be after a restart, unless the list has told of one since.
-    pub fn seen(&self, listed: ListEntry) -> ListEntry {
-        let out = self.is_out(listed.server) && listed.stage == Stage::Ready;
+    pub fn seen(&self, listed: ServerEntry) -> ServerEntry {
+        let out = self.is_out(listed.server) && listed.state == ServerState::Ready;
         let born = match self.back.get(&listed.server) {
-            Some(back) if listed.born < back.since => back.at,
-            _ => listed.born,
+            Some(back) if listed.started_at < back.since => back.at,
+            _ => listed.started_at,
         };
-        ListEntry { stage: if out { Stage::Draining } else { listed.stage }, born, ..listed }
+        ServerEntry {
+            state: if out { ServerState::Draining } else { listed.state },
+            started_at: born,
+            ..listed
+        }
     }
 }
 
--- a/crates/balancer/src/servers/disabled/tests.rs
+++ b/crates/balancer/src/servers/disabled/tests.rs
@@ -5,8 +5,8 @@
 
 const ONE: ServerId = ServerId(1);
 
-fn listed(stage: Stage, born: f64) -> ListEntry {
-    ListEntry { server: ONE, zone: 0, cell: 0, stage, weight: 1.0, born }
+fn listed(stage: ServerState, born: f64) -> ServerEntry {
+    ServerEntry { server: ONE, zone: 0, cell: 0, state: stage, weight: 1.0, started_at: born }
 }
 
 fn out(since: f64) -> Change {
@@ -17,13 +17,13 @@
 fn a_server_put_back_is_as_cold_as_it_may_be() {
     let mut taken = TakenOut::default();
     assert!(taken.take(out(100.0)) && !taken.take(out(105.0)), "it is out once");
-    assert_eq!(taken.seen(listed(Stage::Ready, 5.0)).stage, Stage::Draining);
-    assert_eq!(taken.seen(listed(Stage::Gone, 5.0)).stage, Stage::Gone);
+    assert_eq!(taken.seen(listed(ServerState::Ready, 5.0)).state, ServerState::Draining);
+    assert_eq!(taken.seen(listed(ServerState::Removed, 5.0)).state, ServerState::Removed);
     assert!(taken.take(Change::Back(ONE, 110.0)) && !taken.take(Change::Back(ONE, 111.0)));
     // The list lags: it may have been restarted a moment ago.
-    assert_eq!(taken.seen(listed(Stage::Ready, 5.0)), listed(Stage::Ready, 110.0));
+    assert_eq!(taken.seen(listed(ServerState::Ready, 5.0)), listed(ServerState::Ready, 110.0));
     // The list tells of a restart while it was out.
-    assert_eq!(taken.seen(listed(Stage::Ready, 107.0)), listed(Stage::Ready, 107.0));
+    assert_eq!(taken.seen(listed(ServerState::Ready, 107.0)), listed(ServerState::Ready, 107.0));
 }
 
 proptest! {
@@ -39,9 +39,9 @@
                 1 => { prop_assert_eq!(taken.take(Change::Back(ONE, now)), is_out); is_out = false; }
                 _ => taken.forget(ONE),
             }
-            let stage = [Stage::Ready, Stage::Draining, Stage::Gone][usize::from(stage)];
-            let seen = taken.seen(listed(stage, 0.0)).stage;
-            prop_assert_eq!(seen == Stage::Ready, stage == Stage::Ready && !is_out);
+            let stage = [ServerState::Ready, ServerState::Draining, ServerState::Removed][usize::from(stage)];
+            let seen = taken.seen(listed(stage, 0.0)).state;
+            prop_assert_eq!(seen == ServerState::Ready, stage == ServerState::Ready && !is_out);
         }
     }
 }
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::ops::Bound::{Excluded, Unbounded};
 
-use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
+use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
 use shorewharf_lifecycle::Target;
 use shorewharf_protocol::list::Endpoint;
 use shorewharf_protocol::names::Names;
@@ -19,11 +19,11 @@
 
 /// A server as the discovery listed it last.
 #[derive(Debug)]
-struct ServerEntry {
+struct KnownServer {
     name: Box<str>,
     address: SocketAddr,
     /// As listed, whoever was taken out by hand, but for its start, which is on the program's clock.
-    entry: ListEntry,
+    entry: ServerEntry,
     /// When its process started, as listed.
     listed_start: f64,
     /// The last list that named it.
@@ -40,7 +40,7 @@
 /// The table of servers. An id belongs to one name; what is gone stays while something of it is in use.
 #[derive(Debug, Default)]
 pub struct ServerTable {
-    table: BTreeMap<ServerId, ServerEntry>,
+    table: BTreeMap<ServerId, KnownServer>,
     /// Those that are gone and still here.
     gone: BTreeSet<ServerId>,
     /// Lists that have been taken in.
@@ -52,12 +52,17 @@
 }
 
 /// The stages that servers have left for others in a list, each with the first; none for those that are new.
-type Before = BTreeMap<ServerId, Option<Stage>>;
+type Before = BTreeMap<ServerId, Option<ServerState>>;
 
 impl ServerTable {
     /// Takes in a list from discovery: what the module is told of it. Those that are gone and not `in_use` are
     /// forgotten. No more than `most` are taken up by changes.
-    pub fn take(&mut self, list: Incoming, most: usize, in_use: impl Fn(ServerId) -> bool) -> Vec<ListEntry> {
+    pub fn take(
+        &mut self,
+        list: Incoming,
+        most: usize,
+        in_use: impl Fn(ServerId) -> bool,
+    ) -> Vec<ServerEntry> {
         let (entries, before) = self.apply(list, most);
         self.tell(&before);
         let (table, taken_out) = (&mut self.table, &mut self.taken_out);
@@ -73,17 +78,17 @@
     }
 
     /// The same for the list that is known at the start, which is no news to anybody.
-    pub fn take_quietly(&mut self, list: Incoming, most: usize) -> Vec<ListEntry> {
+    pub fn take_quietly(&mut self, list: Incoming, most: usize) -> Vec<ServerEntry> {
         self.apply(list, most).0
     }
 
-    fn apply(&mut self, list: Incoming, most: usize) -> (Vec<ListEntry>, Before) {
+    fn apply(&mut self, list: Incoming, most: usize) -> (Vec<ServerEntry>, Before) {
         self.lists += 1;
         let (number, mut before, mut left_out) = (self.lists, Before::new(), list.left_out);
         let mut entries = Vec::with_capacity(list.entries.len());
         for Entry { name, address, entry: listed } in list.entries {
-            let (id, stage) = (listed.server, listed.stage);
-            let entry = ListEntry { born: self.start_of(id, listed.born), ..listed };
+            let (id, stage) = (listed.server, listed.state);
+            let entry = ServerEntry { started_at: self.start_of(id, listed.started_at), ..listed };
             // A whole list has its own limit, and takes the place of those that are here.
             let is_full = !list.snapshot && self.table.len() >= most;
             match self.table.get_mut(&id) {
@@ -92,11 +97,11 @@
                     continue;
                 }
                 Some(b) => {
-                    if b.entry.stage != stage {
-                        before.entry(id).or_insert(Some(b.entry.stage));
+                    if b.entry.state != stage {
+                        before.entry(id).or_insert(Some(b.entry.state));
                     }
                     (b.address, b.entry, b.list) = (address, entry, number);
-                    b.listed_start = listed.born;
+                    b.listed_start = listed.started_at;
                 }
                 None if is_full => {
                     left_out += 1;
@@ -104,24 +109,26 @@
                 }
                 None => {
                     let (slow, figures) = (false, Figures::default());
-                    let (listed_start, list) = (listed.born, number);
-                    let server = ServerEntry { name, address, entry, listed_start, list, slow, figures };
+                    let (listed_start, list) = (listed.started_at, number);
+                    let server = KnownServer { name, address, entry, listed_start, list, slow, figures };
                     self.table.insert(id, server);
                     before.entry(id).or_insert(None);
                 }
             }
             match stage {
-                Stage::Gone => self.gone.insert(id),
+                ServerState::Removed => self.gone.insert(id),
                 _ => self.gone.remove(&id),
             };
             entries.push(self.taken_out.seen(entry));
         }
         if list.snapshot {
-            for (id, b) in
-                self.table.iter_mut().filter(|(_, b)| b.list != number && b.entry.stage != Stage::Gone)
+            for (id, b) in self
+                .table
+                .iter_mut()
+                .filter(|(_, b)| b.list != number && b.entry.state != ServerState::Removed)
             {
-                before.entry(*id).or_insert(Some(b.entry.stage));
-                b.entry.stage = Stage::Gone;
+                before.entry(*id).or_insert(Some(b.entry.state));
+                b.entry.state = ServerState::Removed;
                 self.gone.insert(*id);
             }
         }
@@ -132,7 +139,7 @@
     /// When a server's process started, on the program's clock. The same start stays the same time in every list.
     fn start_of(&self, server: ServerId, listed: f64) -> f64 {
         match self.table.get(&server) {
-            Some(known) if known.listed_start == listed => known.entry.born,
+            Some(known) if known.listed_start == listed => known.entry.started_at,
             _ => self.wall_clock.start_of(listed),
         }
     }
@@ -155,11 +162,11 @@
     fn tell(&self, before: &Before) {
         let mut more = 0;
         for (id, before) in before {
-            let Some(b) = self.table.get(id).filter(|b| Some(b.entry.stage) != *before) else { continue };
-            let event = match b.entry.stage {
-                Stage::Ready => "server-ready",
-                Stage::Draining => "server-draining",
-                Stage::Gone => "server-gone",
+            let Some(b) = self.table.get(id).filter(|b| Some(b.entry.state) != *before) else { continue };
+            let event = match b.entry.state {
+                ServerState::Ready => "server-ready",
+                ServerState::Draining => "server-draining",
+                ServerState::Removed => "server-gone",
             };
             more += 1;
             if more <= LINES {
@@ -192,13 +199,13 @@
         most: usize,
     ) -> Vec<(ServerId, Option<Endpoint>)> {
         let zone = |at: u32| names.zones.iter().find(|(_, zone)| **zone == at).map(|(name, _)| name.clone());
-        let endpoint = |b: &ServerEntry| Endpoint {
+        let endpoint = |b: &KnownServer| Endpoint {
             name: b.name.to_string(),
             address: b.address.to_string(),
             zone: zone(b.entry.zone).unwrap_or_default(),
             kind: String::new(),
             group: b.entry.cell,
-            status: if b.entry.stage == Stage::Ready { "Ready" } else { "Terminating" }.to_owned(),
+            status: if b.entry.state == ServerState::Ready { "Ready" } else { "Terminating" }.to_owned(),
             weight: b.entry.weight,
             since_ms: self.listed_start(b) * 1e3,
         };
@@ -207,9 +214,9 @@
     }
 
     /// When a server's process started, by the wall clock; a server that was put back by hand starts anew.
-    fn listed_start(&self, server: &ServerEntry) -> f64 {
-        let born = self.taken_out.seen(server.entry).born;
-        if born == server.entry.born { server.listed_start } else { born }
+    fn listed_start(&self, server: &KnownServer) -> f64 {
+        let born = self.taken_out.seen(server.entry).started_at;
+        if born == server.entry.started_at { server.listed_start } else { born }
     }
 
     /// Servers that the last list names.
@@ -236,7 +243,7 @@
 
     /// Where a server is that takes something new; none for any other.
     pub fn ready_address(&self, server: ServerId) -> Option<SocketAddr> {
-        let seen = |b: &&ServerEntry| self.taken_out.seen(b.entry).stage == Stage::Ready;
+        let seen = |b: &&KnownServer| self.taken_out.seen(b.entry).state == ServerState::Ready;
         self.table.get(&server).filter(seen).map(|b| b.address)
     }
 
@@ -252,7 +259,7 @@
 
     /// Takes in what was changed by hand; what the module is to be told, where the server is here and anything has
     /// changed.
-    pub fn change(&mut self, change: Change) -> Option<ListEntry> {
+    pub fn change(&mut self, change: Change) -> Option<ServerEntry> {
         let server = change.server();
         if !self.taken_out.take(change) {
             return None;
--- a/crates/balancer/src/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -73,7 +73,7 @@
         let list = json!({"snapshot": true, "endpoints": [server]});
         Incoming::of(&serde_json::from_value(list).expect("a list"), &Names::default(), 100)
     };
-    let start = |told: Vec<ListEntry>| told[0].born;
+    let start = |told: Vec<ServerEntry>| told[0].started_at;
     assert_eq!(start(servers.take(list(10_000_000.0), 3, |_| false)), 10_000.0);
     // An hour back, 100 s later: the same start is the same time.
     servers.set_wall_clock(WallClock::at(10_100.0, 6_500.0));
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -63,7 +63,7 @@
     fn own(&self, worker: usize, shares: bool) -> Config {
         let mut own = self.config.of_worker(worker, self.workers);
         if shares {
-            own.settings.fall_multiple *= 0.5;
+            own.settings.overload_ratio *= 0.5;
         }
         own
     }
--- a/crates/decisions/src/fleet_view.rs
+++ b/crates/decisions/src/fleet_view.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Others {
     told: f64,
-    away: Option<Arc<BTreeMap<ServerId, Away>>>,
+    away: Option<Arc<BTreeMap<ServerId, RemoteLoad>>>,
 }
 
 /// Connections of one group that this proxy holds at one server.
@@ -71,7 +71,7 @@
 
 impl Balancer {
     /// Others tell what they hold, or too few of them do.
-    pub(crate) fn others_hold(&mut self, now: f64, away: Option<Arc<BTreeMap<ServerId, Away>>>) {
+    pub(crate) fn others_hold(&mut self, now: f64, away: Option<Arc<BTreeMap<ServerId, RemoteLoad>>>) {
         self.others = Others { told: now, away };
     }
 
@@ -107,18 +107,18 @@
     }
 
     /// What all proxies together ask of a server, and whether any of them holds some of this group there.
-    fn asked(&self, s: &Server, away: Option<&Away>, mean: f64, group: Option<u64>) -> (f64, bool) {
+    fn asked(&self, s: &Server, away: Option<&RemoteLoad>, mean: f64, group: Option<u64>) -> (f64, bool) {
         let mut groups: BTreeSet<u32> = s.groups.keys().map(|g| short(*g)).collect();
-        let (load, open) = away.map_or((0.0, 0.0), |a| (a.load, a.open));
+        let (load, open) = away.map_or((0.0, 0.0), |a| (a.load, a.connections));
         groups.extend(away.iter().flat_map(|a| &a.groups));
         let held = mean * (HOLDING * (f64::from(s.open) + open) + GROUP * groups.len() as f64);
         (s.used + load + held, group.is_some_and(|g| groups.contains(&short(g))))
     }
 
     /// The server for a client, by what all proxies together ask of each.
-    fn together(&mut self, now: f64, c: &Client, away: &BTreeMap<ServerId, Away>) -> Option<ServerId> {
+    fn together(&mut self, now: f64, c: &Client, away: &BTreeMap<ServerId, RemoteLoad>) -> Option<ServerId> {
         let ready = || self.servers.values().filter(|s| self.in_service(s, now));
-        let told = |s: &Server| away.get(&s.entry.server).map_or((0.0, 0.0), |a| (a.load, a.open));
+        let told = |s: &Server| away.get(&s.entry.server).map_or((0.0, 0.0), |a| (a.load, a.connections));
         let (load, open) = ready().fold((0.0, 0.0), |t, s| {
             let (load, open) = told(s);
             (t.0 + load + s.used, t.1 + open + f64::from(s.open))
@@ -144,7 +144,7 @@
         let gaps: f64 = near.iter().map(|(u, _)| gap(u)).sum();
         // A proxy that has just sent somebody says little of the fleet's pace: the mean of some time, or a storm's.
         let pace = f64::max(self.steady, self.sends * 0.5 - 1.0);
-        let come = 1.0 + self.set.proxies * pace * HEARD;
+        let come = 1.0 + self.set.instance_count * pace * HEARD;
         if self.draw() < gaps / come {
             let mut lot = self.draw() * gaps;
             let drawn = near.iter().find(|(u, _)| {
@@ -159,7 +159,7 @@
         // Where the group stands already, the least used first; then by rank.
         fitting.sort_by(|a, b| a.0.cmp(&b.0).then(if a.0 { Ordering::Equal } else { a.1.total_cmp(&b.1) }));
         // Who comes again comes in a crowd, with others of its group that stood at the same server.
-        let reach = if c.request.returning { CROWD.min(fitting.len()) } else { 1 };
+        let reach = if c.request.is_returning { CROWD.min(fitting.len()) } else { 1 };
         let at = (self.draw() * reach as f64) as usize;
         if let Some((_, _, server)) = fitting.get(at) {
             return Some(*server);
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -15,7 +15,7 @@
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// Every server.
     All,
     /// Servers of one zone.
@@ -26,68 +26,68 @@
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Semantics {
+pub enum Idempotency {
     /// Safe to repeat and to refuse at will.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the servers of a scope, for so many seconds after the first send.
-    Keyed(Scope, f64),
+    Keyed(DeduplicationScope, f64),
     /// Must not be repeated unless no earlier attempt can have run.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// Set-up within this time earns full worth.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// Worth of a request or second, in the operator's units.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What repeating it may do.
-    pub semantics: Semantics,
+    pub idempotency: Idempotency,
     /// A message on an open connection is wanted within this time.
-    pub message_aim: f64,
+    pub message_latency_objective: f64,
 }
 
 /// What the weights in the server list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightKind {
     /// Nothing: all the same.
-    None,
+    Uniform,
     /// The size, exactly or roughly.
-    Size,
+    Capacity,
     /// The size, lowered by the load some time ago.
-    Live,
+    LoadAdjusted,
 }
 
 /// What an instance is told once, at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This proxy's number, from 0.
-    pub me: u64,
+    pub instance_index: u64,
     /// How many proxies there are.
-    pub proxies: f64,
+    pub instance_count: f64,
     /// This proxy's zone.
     pub zone: u32,
     /// How many zones there are.
-    pub zones: f64,
+    pub zone_count: f64,
     /// Request classes, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Open connections over all proxies within each tenant's share; empty where unknown.
-    pub tenant_quota: Vec<f64>,
+    pub tenant_connection_quotas: Vec<f64>,
     /// New connections a second over all proxies within each tenant's share; empty where unknown.
-    pub tenant_rate: Vec<f64>,
+    pub tenant_rate_quotas: Vec<f64>,
     /// The registry must be asked; else it pushes.
-    pub ask_registry: bool,
+    pub polls_discovery: bool,
     /// Asking at least this often counts as keeping up.
-    pub ask_within: f64,
+    pub poll_interval: f64,
     /// A server starts at this share of its capacity or more.
-    pub start_capacity: f64,
+    pub cold_capacity_ratio: f64,
     /// A server is warm after this at the latest.
-    pub warm_within: f64,
+    pub warm_up_time: f64,
     /// A cold server falls over when sent more than this multiple of its capacity.
-    pub fall_multiple: f64,
+    pub overload_ratio: f64,
     /// For so long.
-    pub overload_for: f64,
+    pub overload_window: f64,
     /// Attempts allowed for a request.
     pub max_attempts: u32,
     /// A connection not made within this time has failed.
@@ -95,41 +95,41 @@
     /// The longest wait that a refused client honours.
     pub max_retry_after: f64,
     /// Whether refused clients are told a wait.
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// Whether probes are allowed.
     pub may_probe: bool,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Connections pass through and may reach another proxy.
-    pub pass_through: bool,
+    pub is_pass_through: bool,
     /// How long a server keeps a connection whose packets have stopped (pass-through only).
-    pub park: f64,
+    pub parked_connection_timeout: f64,
     /// Connections come in groups that share work on a server.
-    pub groups: bool,
+    pub has_groups: bool,
     /// What list weights mean.
-    pub weights: Weights,
+    pub weight_kind: WeightKind,
     /// Price of a zone crossing per first try, in parts of the whole result.
-    pub crossing_price: f64,
+    pub zone_crossing_cost: f64,
     /// Price of moving a client, per first try, in parts of the whole result.
-    pub move_price: f64,
+    pub migration_cost: f64,
     /// Events come at most this often.
     pub tick: f64,
 }
 
 /// A server's state as the registry lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ServerState {
     /// Takes clients.
     Ready,
     /// Finishing its work; nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of a server list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ListEntry {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone.
@@ -137,11 +137,11 @@
     /// Its cell: servers that share which keys they have seen.
     pub cell: u32,
     /// Its state.
-    pub stage: Stage,
-    /// Its weight, see [`Weights`].
+    pub state: ServerState,
+    /// Its weight, see [`WeightKind`].
     pub weight: f64,
     /// When its process last started; 0 for long past.
-    pub born: f64,
+    pub started_at: f64,
 }
 
 /// A request as it arrives.
@@ -162,9 +162,9 @@
     /// The group it belongs to; 0 for none.
     pub group: u64,
     /// Packets of an open connection that another proxy carried before.
-    pub mid_flow: bool,
+    pub is_mid_flow: bool,
     /// The client comes again after a break, a move or a failed try.
-    pub returning: bool,
+    pub is_returning: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -175,7 +175,7 @@
     /// The server failed; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection could be made.
@@ -191,17 +191,17 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// What other proxies hold at one server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Away {
+pub struct RemoteLoad {
     /// Load of their connections, as work a second in the unit of list weights.
     pub load: f64,
     /// How many connections.
-    pub open: f64,
+    pub connections: f64,
     /// The groups of which they hold any: the lower halves of their ids.
     pub groups: BTreeSet<u32>,
 }
@@ -212,20 +212,20 @@
     /// The instance starts; comes once, first.
     Start,
     /// The registry's list: the whole of it, or changes.
-    Servers {
+    EndpointList {
         /// Servers missing from the list are gone.
-        full: bool,
+        is_complete: bool,
         /// The list is this instance's own old copy rather than news.
-        cached: bool,
+        is_cached: bool,
         /// The entries.
-        entries: Arc<[ListEntry]>,
+        entries: Arc<[ServerEntry]>,
     },
     /// A registry call failed or the subscription broke.
-    RegistryFailed,
+    DiscoveryFailed,
     /// A client asks for a connection.
-    Arrived(Request),
+    RequestReceived(Request),
     /// A connection that already stands through this proxy at its start.
-    Open(Request, ServerId),
+    ConnectionRestored(Request, ServerId),
     /// The connection of an attempt stands.
     Established {
         /// The request.
@@ -248,22 +248,22 @@
         delay: f64,
     },
     /// An estimate beside the module: what a server bears now.
-    Bears {
+    CapacityEstimated {
         /// The server.
         server: ServerId,
         /// Load of this proxy's that it bears: work a second in the unit of list weights, what it costs to hold
         /// connections and their groups included.
         load: f64,
         /// Set-ups of this proxy's a second while it is cold.
-        entries: f64,
+        setup_rate: f64,
     },
     /// The same estimate: mean load of a standing connection, for those whose own is not known.
-    MeanLoad(f64),
+    MeanLoadEstimated(f64),
     /// What other proxies hold at each server by now, as they told it; none where too few of them are heard of. It is told
     /// several times a second.
-    Elsewhere(Option<Arc<BTreeMap<ServerId, Away>>>),
+    RemoteLoadsUpdated(Option<Arc<BTreeMap<ServerId, RemoteLoad>>>),
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The server.
@@ -273,16 +273,16 @@
         /// How.
         outcome: Outcome,
         /// The client has its final answer.
-        complete: bool,
+        is_answered: bool,
         /// The server's load over its capacity, where a report came along.
         load_ratio: Option<f64>,
     },
     /// Nobody waits for this request any more.
-    ClientGone(RequestId),
+    ClientLeft(RequestId),
     /// A timer has come.
-    Timer(u64),
+    TimerFired(u64),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
         /// How.
@@ -296,7 +296,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a server.
-    Send {
+    BeginAttempt {
         /// The request.
         request: RequestId,
         /// The server.
@@ -305,7 +305,7 @@
         timeout: f64,
     },
     /// Final answer: not served, and harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Advice to the client; 0 for none.
@@ -314,14 +314,14 @@
     /// Final answer: failed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         request: RequestId,
         /// Which attempt, from 0.
         attempt: u32,
     },
     /// Ask a connected client to come again.
-    Move(RequestId),
+    Migrate(RequestId),
     /// Wake this instance after so long.
     SetTimer {
         /// From now.
--- a/crates/decisions/src/load.rs
+++ b/crates/decisions/src/load.rs
@@ -54,7 +54,7 @@
     pub(crate) fn has_a_hand(&self, s: &Server) -> bool {
         let Some(borne) = self.borne.get(&s.entry.server).filter(|_| self.mean > 0.0) else { return true };
         let spare = (1.0 - self.load_on(s) / borne.load.max(f64::MIN_POSITIVE)).max(0.0);
-        f64::from(s.in_hand) < HAND + HAND_MORE * spare / self.set.proxies
+        f64::from(s.in_hand) < HAND + HAND_MORE * spare / self.set.instance_count
     }
 
     /// Counts one more (or one less) client of a group at a server.
--- a/crates/decisions/src/memory.rs
+++ b/crates/decisions/src/memory.rs
@@ -214,7 +214,7 @@
         for (id, s) in self.servers.range((after(last), Unbounded)).take(room) {
             out.push(Known::Server(KnownServer {
                 server: id.0,
-                born: s.entry.born,
+                born: s.entry.started_at,
                 health: s.health,
                 spent_until: s.slow_until,
                 locked: s.locked.then_some((s.retry_at, s.backoff)),
@@ -252,7 +252,7 @@
                 Known::Group { group, seen, last } => self.recall_group(past, (*group, *seen, *last)),
                 Known::Place(place) => self.recall_place(now, place),
                 Known::Stands(place) if away => {
-                    let span = self.set.max_retry_after.max(self.set.park) * LATENCY;
+                    let span = self.set.max_retry_after.max(self.set.parked_connection_timeout) * LATENCY;
                     let until = now - past + span * (1.0 + self.draw());
                     self.recall_place(now, &Place { until, ..*place })
                 }
@@ -300,9 +300,9 @@
         if !counts || !times || !share {
             return Fate::Odd;
         }
-        let longest = self.set.warm_within.max(self.set.connect_timeout);
+        let longest = self.set.warm_up_time.max(self.set.connect_timeout);
         let Some(s) = self.servers.get_mut(&ServerId(known.server)) else { return Fate::Outdated };
-        if s.entry.born != known.born {
+        if s.entry.started_at != known.born {
             return Fate::Outdated;
         }
         s.health = s.health.min(1.0 - (1.0 - known.health.max(LEAST)) * (1.0 - REGAIN).powf(past));
@@ -331,7 +331,7 @@
     }
 
     fn recall_place(&mut self, now: f64, place: &Place) -> Fate {
-        let longest = self.set.max_retry_after.max(self.set.park) * LATENCY * 2.0;
+        let longest = self.set.max_retry_after.max(self.set.parked_connection_timeout) * LATENCY * 2.0;
         let Some(load) = load(place.load).filter(|_| place.key != 0 && place.until.is_finite()) else {
             return Fate::Odd;
         };
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -33,12 +33,12 @@
 
     /// Where crossing zones costs much, the other zones' servers come after all of the proxy's own.
     pub(crate) fn far(&self, s: &Server) -> bool {
-        self.set.crossing_price >= LOCAL_PRICE && s.entry.zone != self.set.zone
+        self.set.zone_crossing_cost >= LOCAL_PRICE && s.entry.zone != self.set.zone
     }
 
     /// A server's place for a group, the same at every proxy: weighted rendezvous hashing, lowest first.
     pub(crate) fn rank(&self, group: Option<u64>, s: &Server) -> f64 {
-        let size = if self.set.weights == Weights::Live { 1.0 } else { s.entry.weight };
+        let size = if self.set.weight_kind == WeightKind::LoadAdjusted { 1.0 } else { s.entry.weight };
         -unit(hash(group.unwrap_or(0), s.entry.server.0)).ln() / size
     }
 
@@ -65,7 +65,7 @@
             return Some(s.entry.server);
         }
         let rank = |s: &Server| self.rank(group, s);
-        let ready = self.servers.values().filter(|s| s.entry.stage == Stage::Ready);
+        let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
         let near = ready.filter(|s| !far(s)).count();
         let (bound, client) = self.bound(now);
         let over = |s: &Server| s.used > bound * self.have(s, now) + client;
@@ -111,7 +111,7 @@
         c: &Client,
         of: impl Iterator<Item = &'a Server>,
     ) -> Option<ServerId> {
-        let salt = hash(c.request.key, self.set.me);
+        let salt = hash(c.request.key, self.set.instance_index);
         let weighed = of.map(|s| {
             let have = self.have(s, now).max(f64::MIN_POSITIVE);
             let lot = -unit(hash(salt, s.entry.server.0)).ln() / have;
@@ -122,7 +122,7 @@
 
     /// The usage that a pool member may show before the pool grows past it, and the slack of a mean client.
     pub(crate) fn bound(&self, now: f64) -> (f64, f64) {
-        let ready = self.servers.values().filter(|s| s.entry.stage == Stage::Ready);
+        let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
         let (used, have, open) =
             ready.fold((0.0, 0.0, 0), |t, s| (t.0 + s.used, t.1 + self.have(s, now), t.2 + s.open));
         (BOUND * used / f64::max(have, f64::MIN_POSITIVE), BOUND_CLIENTS * used / f64::from(open.max(1)))
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -62,72 +62,73 @@
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Start => self.start(now, out),
-            Event::Servers { full, entries, .. } => self.list(now, full, &entries, out),
-            Event::RegistryFailed => self.ask_later(out),
-            Event::Arrived(request) => self.arrived(now, request, out),
-            Event::Open(request, server) => self.opened(now, request, server),
+            Event::EndpointList { is_complete: full, entries, .. } => self.list(now, full, &entries, out),
+            Event::DiscoveryFailed => self.ask_later(out),
+            Event::RequestReceived(request) => self.arrived(now, request, out),
+            Event::ConnectionRestored(request, server) => self.opened(now, request, server),
             Event::Established { request, .. } => self.established(now, request),
             Event::LoadChanged { request, load } => self.load_changed(request, load),
             Event::MessageDelay { server, delay } => self.message_delay(now, server, delay, out),
-            Event::Bears { server, load, entries } => {
+            Event::CapacityEstimated { server, load, setup_rate: entries } => {
                 self.borne.insert(server, Borne { load, entries });
             }
-            Event::Elsewhere(away) => self.others_hold(now, away),
-            Event::MeanLoad(mean) => sane(mean).into_iter().for_each(|mean| self.revalue(mean)),
-            Event::Ended { request, server, attempt, outcome, complete, .. } => {
+            Event::RemoteLoadsUpdated(away) => self.others_hold(now, away),
+            Event::MeanLoadEstimated(mean) => sane(mean).into_iter().for_each(|mean| self.revalue(mean)),
+            Event::AttemptEnded { request, server, attempt, outcome, is_answered: complete, .. } => {
                 self.ended(now, request, (server, attempt), outcome, complete, out)
             }
-            Event::ClientGone(id) => self.finish(id),
-            Event::Timer(token) => self.timer(now, token, out),
-            Event::Probed { server, outcome, .. } => self.probed(now, server, outcome, out),
+            Event::ClientLeft(id) => self.finish(id),
+            Event::TimerFired(token) => self.timer(now, token, out),
+            Event::ProbeEnded { server, outcome, .. } => self.probed(now, server, outcome, out),
         }
     }
 
     fn start(&mut self, now: f64, out: &mut Vec<Action>) {
         self.begins(now);
         out.push(Action::SetTimer { after: PERIOD * (0.5 + self.draw()), token: HOUSEKEEPING });
-        if self.set.ask_registry {
+        if self.set.polls_discovery {
             // All proxies may start at once: the first call comes at a drawn time, not in a stampede.
-            let after = self.set.ask_within.min(10.0) * 0.3 * self.draw();
+            let after = self.set.poll_interval.min(10.0) * 0.3 * self.draw();
             out.push(Action::SetTimer { after, token: SUBSCRIBE });
         }
     }
 
     fn ask_later(&mut self, out: &mut Vec<Action>) {
-        if !self.set.ask_registry {
+        if !self.set.polls_discovery {
             return;
         }
         self.subscribed = false;
-        let after = self.set.ask_within.min(10.0) * PAUSE * (1.0 + 2.0 * self.draw());
+        let after = self.set.poll_interval.min(10.0) * PAUSE * (1.0 + 2.0 * self.draw());
         out.push(Action::SetTimer { after, token: SUBSCRIBE });
     }
 
     fn subscribe(&mut self, out: &mut Vec<Action>) {
-        if self.set.ask_registry && !self.subscribed {
+        if self.set.polls_discovery && !self.subscribed {
             self.subscribed = true;
             out.push(Action::Subscribe);
         }
     }
 
-    fn list(&mut self, now: f64, full: bool, entries: &[ListEntry], out: &mut Vec<Action>) {
+    fn list(&mut self, now: f64, full: bool, entries: &[ServerEntry], out: &mut Vec<Action>) {
         if full {
-            self.servers.values_mut().for_each(|s| s.entry.stage = Stage::Gone);
+            self.servers.values_mut().for_each(|s| s.entry.state = ServerState::Removed);
         }
         for e in entries {
-            let weight = sane(e.weight).filter(|_| self.set.weights != Weights::None).unwrap_or(1.0);
-            let entry = ListEntry { weight, ..*e };
+            let weight =
+                sane(e.weight).filter(|_| self.set.weight_kind != WeightKind::Uniform).unwrap_or(1.0);
+            let entry = ServerEntry { weight, ..*e };
             let s = self.servers.entry(e.server).or_insert_with(|| Server::new(entry));
-            let thawed = s.entry.stage == Stage::Draining && entry.stage == Stage::Ready;
-            if s.entry.born != entry.born {
+            let thawed = s.entry.state == ServerState::Draining && entry.state == ServerState::Ready;
+            if s.entry.started_at != entry.started_at {
                 // A restarted process: what was learned of the old one says nothing of it.
                 let (groups, in_hand) = (std::mem::take(&mut s.groups), s.in_hand);
                 *s = Server { used: s.used, open: s.open, groups, in_hand, ..Server::new(entry) };
             }
-            (s.entry, s.thawed) = (entry, thawed || (s.thawed && entry.stage == Stage::Ready));
+            (s.entry, s.thawed) = (entry, thawed || (s.thawed && entry.state == ServerState::Ready));
         }
-        self.servers.retain(|_, s| s.entry.stage != Stage::Gone || s.open > 0);
+        self.servers.retain(|_, s| s.entry.state != ServerState::Removed || s.open > 0);
         self.resized();
-        let leaving = |s: &Server| s.entry.stage == Stage::Draining;
+        let leaving = |s: &Server| s.entry.state == ServerState::Draining;
         let frozen: Vec<ServerId> = self.servers.iter().filter(|(_, s)| leaving(s)).map(|x| *x.0).collect();
         for id in frozen {
             self.leave(id, 1.0, f64::INFINITY, out);
@@ -169,7 +170,7 @@
         past.into_iter().for_each(|key| self.drop_reservation(key));
         if self.set.may_probe {
             for (id, s) in self.servers.iter_mut() {
-                if s.locked && now >= s.retry_at && s.entry.stage == Stage::Ready {
+                if s.locked && now >= s.retry_at && s.entry.state == ServerState::Ready {
                     s.retry_at = now + s.backoff;
                     out.push(Action::Probe(*id));
                 }
@@ -225,17 +226,17 @@
         c.tried.push(server);
         c.ran.get_or_insert((server, now, c.attempts - 1));
         // The whole time left: a set-up given up early is work wasted, and its repeat is more work.
-        out.push(Action::Send { request: id, server, timeout: left });
+        out.push(Action::BeginAttempt { request: id, server, timeout: left });
     }
 
     fn arrived(&mut self, now: f64, request: Request, out: &mut Vec<Action>) {
-        if !request.returning {
+        if !request.is_returning {
             // Those who come again do not count: a storm must not open the way to a cold server.
             self.rate += 1.0;
         }
-        self.moves += if request.returning { MOVES_AGAIN } else { MOVES };
+        self.moves += if request.is_returning { MOVES_AGAIN } else { MOVES };
         let mut c = self.client(now, request);
-        c.passes = request.returning && self.draw() < PASS;
+        c.passes = request.is_returning && self.draw() < PASS;
         self.clients.insert(request.id, c);
         // Every request owns a deadline timer: whatever else goes wrong, it gets its answer in time.
         let after = (request.deadline - now - 1.5 * self.set.tick).max(0.0);
@@ -283,7 +284,7 @@
             return;
         }
         self.drop_reservation(c.request.key);
-        let span = self.set.max_retry_after.max(self.set.park) * LATENCY;
+        let span = self.set.max_retry_after.max(self.set.parked_connection_timeout) * LATENCY;
         // Drawn, so that the reservations of a mass reconnect do not all run out in one wave.
         let until = now + span * (1.0 + self.draw());
         self.reserved.insert(c.request.key, Reservation { server, load: c.load, until });
@@ -319,18 +320,18 @@
             s.used = (s.used - c.load).max(0.0);
         }
         self.count_at(server, c.group, false);
-        let aim = self.set.classes.get(c.request.class).map_or(0.0, |k| k.aim);
+        let aim = self.set.classes.get(c.request.class).map_or(0.0, |k| k.latency_objective);
         match outcome {
             // It may be the request that is at fault: its servers are blamed once another one takes it.
             Outcome::Error if !stood => {
                 self.clients.get_mut(&id).into_iter().for_each(|c| c.errors.push(server));
             }
             // A client that leaves a server no time says nothing of it.
-            Outcome::Full | Outcome::TimedOut if c.request.deadline < c.sent + aim => {}
+            Outcome::Rejected | Outcome::TimedOut if c.request.deadline < c.sent + aim => {}
             _ => self.judge(now, server, outcome, stood),
         }
         if stood && !moved {
-            let leaves = self.servers.get(&server).is_some_and(|s| s.entry.stage == Stage::Draining);
+            let leaves = self.servers.get(&server).is_some_and(|s| s.entry.state == ServerState::Draining);
             if outcome == Outcome::Reset || (outcome == Outcome::Cancelled && !leaves) {
                 self.breaks(now);
             }
--- a/crates/decisions/src/probing.rs
+++ b/crates/decisions/src/probing.rs
@@ -120,15 +120,15 @@
 impl Balancer {
     /// Whether this proxy's part of the servers is so small that what it holds says nothing of them.
     pub(crate) fn is_blind(&self) -> bool {
-        self.set.may_probe && !self.set.pass_through && !self.servers.is_empty() && self.part() < BLIND
+        self.set.may_probe && !self.set.is_pass_through && !self.servers.is_empty() && self.part() < BLIND
     }
 
     /// This proxy's even part of a server, in mean connections. While no load is known, it is taken from the connections that
     /// tenants may hold; infinite where those are not known.
     pub(crate) fn part(&self) -> f64 {
         if self.mean <= 0.0 || self.borne.is_empty() {
-            let held: f64 = self.set.tenant_quota.iter().sum();
-            let parts = self.set.proxies * self.servers.len() as f64;
+            let held: f64 = self.set.tenant_connection_quotas.iter().sum();
+            let parts = self.set.instance_count * self.servers.len() as f64;
             return if held > 0.0 && parts > 0.0 { held / parts } else { f64::INFINITY };
         }
         self.borne.values().map(|b| b.load).sum::<f64>() / self.borne.len() as f64 / self.mean
@@ -169,7 +169,9 @@
                 && !c.tried.contains(&s.entry.server)
         };
         // Without a group there is nothing to be shared: each client has an order of its own.
-        let of = c.group.unwrap_or(c.request.key ^ u64::from(c.request.id.0) ^ self.set.me.rotate_left(32));
+        let of = c
+            .group
+            .unwrap_or(c.request.key ^ u64::from(c.request.id.0) ^ self.set.instance_index.rotate_left(32));
         let home = self.reserved.get(&c.request.key).filter(|_| c.request.key != 0).map(|r| r.server);
         let place = |s: &Server| {
             let rank = self.rank(Some(of), s);
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -12,18 +12,18 @@
 impl Balancer {
     pub(crate) fn may_send(&self, c: &Client, s: &Server, now: f64) -> bool {
         let Some((first, sent, _)) = c.ran else { return true };
-        match c.semantics {
-            Semantics::Safe => true,
-            Semantics::Unsafe => false,
-            Semantics::Keyed(scope, window) => {
+        match c.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed(scope, window) => {
                 let Some(f) = self.servers.get(&first) else { return false };
                 // It counts once its last byte has come, which a dial may hold up.
                 let dial = self.set.connect_timeout.min(c.request.deadline - now);
                 now + dial < sent + window - self.set.tick
                     && match scope {
-                        Scope::All => true,
-                        Scope::Zone => f.entry.zone == s.entry.zone,
-                        Scope::Cell => f.entry.cell == s.entry.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => f.entry.zone == s.entry.zone,
+                        DeduplicationScope::Cell => f.entry.cell == s.entry.cell,
                     }
             }
         }
@@ -37,7 +37,7 @@
     }
 
     pub(crate) fn hold(&mut self, now: f64, c: &Client, out: &mut Vec<Action>) {
-        let aim = self.set.classes.get(c.request.class).map_or(0.0, |k| k.aim);
+        let aim = self.set.classes.get(c.request.class).map_or(0.0, |k| k.latency_objective);
         let wait = (aim * LOOK).max(self.set.tick);
         if now + wait > c.arrived + aim || now + wait > c.request.deadline - 4.0 * self.set.tick {
             return self.answer(c.request.id, out);
@@ -54,11 +54,15 @@
     pub(crate) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(c) = self.clients.get(&id).filter(|c| !c.answered) else { return };
         let harmless = c.out.is_none()
-            && (c.ran.is_none() || matches!(c.semantics, Semantics::Safe | Semantics::Keyed(Scope::All, _)));
-        let wait = if self.set.retry_after { self.set.max_retry_after * 0.5 } else { 0.0 };
+            && (c.ran.is_none()
+                || matches!(
+                    c.idempotency,
+                    Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
+                ));
+        let wait = if self.set.sends_retry_after { self.set.max_retry_after * 0.5 } else { 0.0 };
         if harmless {
             let retry_after = wait * (0.5 + self.draw());
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
@@ -69,7 +73,7 @@
         let Some(c) = self.clients.get(&id) else { return };
         if c.on.is_none() && !c.answered && now >= c.request.deadline - 2.0 * self.set.tick {
             if c.out.is_some() && self.set.may_cancel {
-                out.push(Action::Cancel { request: id, attempt: c.attempts - 1 });
+                out.push(Action::CancelAttempt { request: id, attempt: c.attempts - 1 });
             }
             self.answer(id, out);
         }
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -12,7 +12,7 @@
 impl Balancer {
     /// Neither frozen nor locked: part of the pools. A locked server takes one trial when its time is up.
     pub(crate) fn in_service(&self, s: &Server, now: f64) -> bool {
-        s.entry.stage == Stage::Ready && (!s.locked || (!self.set.may_probe && now >= s.retry_at))
+        s.entry.state == ServerState::Ready && (!s.locked || (!self.set.may_probe && now >= s.retry_at))
     }
 
     pub(crate) fn lower(&mut self, now: f64, server: ServerId, spent_for: f64) {
@@ -24,7 +24,7 @@
 
     pub(crate) fn lock(&mut self, now: f64, server: ServerId) {
         let jitter = 0.75 + 0.5 * self.draw();
-        let (first, most) = (self.set.connect_timeout * LOCK, self.set.warm_within * LOCK_MOST);
+        let (first, most) = (self.set.connect_timeout * LOCK, self.set.warm_up_time * LOCK_MOST);
         if let Some(s) = self.servers.get_mut(&server) {
             s.backoff = if s.locked { (s.backoff * 2.0).min(most.max(first)) } else { first };
             s.locked = true;
@@ -52,7 +52,7 @@
         let left = self.servers.get(&server).map_or(0, |s| s.open);
         match outcome {
             Outcome::ConnectFailed => self.lock(now, server),
-            Outcome::Full | Outcome::TimedOut => {
+            Outcome::Rejected | Outcome::TimedOut => {
                 self.lower(now, server, PERIOD);
                 self.set_up_failed(now, server);
             }
--- a/crates/decisions/src/slow_servers.rs
+++ b/crates/decisions/src/slow_servers.rs
@@ -36,7 +36,9 @@
     pub(crate) fn leave(&mut self, server: ServerId, share: f64, delay: f64, out: &mut Vec<Action>) {
         let on = |c: &&Client| c.on == Some(server) && !c.answered;
         // Those whose class can still live with the delay lose by leaving: they come last.
-        let hurt = |c: &Client| self.set.classes.get(c.request.class).is_none_or(|k| k.message_aim <= delay);
+        let hurt = |c: &Client| {
+            self.set.classes.get(c.request.class).is_none_or(|k| k.message_latency_objective <= delay)
+        };
         let mut there: Vec<(bool, f64, RequestId)> =
             self.clients.values().filter(on).map(|c| (!hurt(c), c.load, c.request.id)).collect();
         there.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
@@ -48,7 +50,7 @@
             }
             due -= load;
             self.moves -= 1.0;
-            out.push(Action::Move(id));
+            out.push(Action::Migrate(id));
             if let Some(c) = self.clients.get_mut(&id) {
                 c.answered = true;
             }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -9,7 +9,7 @@
 //! pass with no client of its own, or with one for another server: more are dealt out then, and the bound is no longer
 //! certain, until connections break in numbers, as those who held them come back to all proxies at once.
 
-use crate::interface::{ServerId, Stage};
+use crate::interface::{ServerId, ServerState};
 use crate::state::{Balancer, Server, hash, unit};
 
 /// Where neither what servers hold nor what a connection loads them with is known, a server is taken for one that can do
@@ -50,12 +50,12 @@
 impl Balancer {
     /// Share of a cold server's work that it can do by now.
     pub(crate) fn ramp(&self, s: &Server, now: f64) -> f64 {
-        let age = now - s.entry.born;
-        if s.entry.born <= 0.0 || age >= self.set.warm_within {
+        let age = now - s.entry.started_at;
+        if s.entry.started_at <= 0.0 || age >= self.set.warm_up_time {
             return 1.0;
         }
-        let start = self.set.start_capacity.clamp(0.0, 1.0);
-        start + (1.0 - start) * (age / self.set.warm_within).max(0.0)
+        let start = self.set.cold_capacity_ratio.clamp(0.0, 1.0);
+        start + (1.0 - start) * (age / self.set.warm_up_time).max(0.0)
     }
 
     /// Whether a server is warm, or this proxy may send it one more client now.
@@ -98,12 +98,12 @@
 
     /// The list is another one: what all servers together have been listed with at most is what the whole fleet can do.
     pub(crate) fn resized(&mut self) {
-        let ready = self.servers.values().filter(|s| s.entry.stage == Stage::Ready);
+        let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
         self.sizes = ready.map(|s| s.entry.weight).sum::<f64>().max(self.sizes);
     }
 
     fn lot(&self, s: &Server) -> u64 {
-        hash(hash(self.set.me, s.entry.server.0), s.entry.born.to_bits())
+        hash(hash(self.set.instance_index, s.entry.server.0), s.entry.started_at.to_bits())
     }
 
     /// Where others are heard of, every client may come to every server: this proxy's part of what a cold server holds by
@@ -115,30 +115,31 @@
 
     /// Calls a second that the settings allow a cold server: so many times the connections that fill it while it warms up.
     fn allowed(&self, s: &Server, now: f64) -> f64 {
-        let held: f64 = self.set.tenant_quota.iter().sum();
-        if held > 0.0 && self.set.warm_within > 0.0 {
+        let held: f64 = self.set.tenant_connection_quotas.iter().sum();
+        if held > 0.0 && self.set.warm_up_time > 0.0 {
             // The same at every proxy, from its first moment on.
             let filled = held * s.entry.weight / self.sizes.max(s.entry.weight);
-            return self.set.fall_multiple * filled / self.set.warm_within;
+            return self.set.overload_ratio * filled / self.set.warm_up_time;
         }
         if let Some(borne) = self.borne.get(&s.entry.server) {
-            return borne.entries * self.set.proxies;
+            return borne.entries * self.set.instance_count;
         }
-        let even = self.steady * self.set.proxies / self.servers.len().max(1) as f64;
-        self.set.fall_multiple * ENTRY * even * self.ramp(s, now)
+        let even = self.steady * self.set.instance_count / self.servers.len().max(1) as f64;
+        self.set.overload_ratio * ENTRY * even * self.ramp(s, now)
     }
 
     /// Whether a proxy's even part of a server is so small that most turns are lost. It goes by quotas where they are known:
     /// a mean load that was learned from a few connections is off by half.
     fn is_thin(&self) -> bool {
-        let held: f64 = self.set.tenant_quota.iter().sum();
-        let part = if held > 0.0 { held / self.set.proxies / self.servers.len() as f64 } else { self.part() };
+        let held: f64 = self.set.tenant_connection_quotas.iter().sum();
+        let part =
+            if held > 0.0 { held / self.set.instance_count / self.servers.len() as f64 } else { self.part() };
         part < THIN
     }
 
     /// Since when this proxy's turn at a cold server is on; none between its turns.
     fn turn(&self, s: &Server, now: f64) -> Option<f64> {
-        let (window, proxies) = (self.set.overload_for, self.set.proxies.max(1.0));
+        let (window, proxies) = (self.set.overload_window, self.set.instance_count.max(1.0));
         let allowed = self.allowed(s, now) * window;
         let bears = allowed + 2.0 * allowed.sqrt() + 2.0;
         let crowd = now < self.crowd.until;
@@ -153,9 +154,10 @@
         };
         let round = proxies * window / dealt;
         let lasts = if dealt > strict { window.max(round * LASTS) } else { window };
-        let place =
-            (self.set.me as f64 * GOLDEN + unit(hash(s.entry.server.0, s.entry.born.to_bits()))).fract();
-        let since = ((now - s.entry.born).max(0.0) / round + place).fract() * round;
+        let place = (self.set.instance_index as f64 * GOLDEN
+            + unit(hash(s.entry.server.0, s.entry.started_at.to_bits())))
+        .fract();
+        let since = ((now - s.entry.started_at).max(0.0) / round + place).fract() * round;
         let began = now - since;
         (since < lasts && (began >= self.began || !crowd)).then_some(began)
     }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
-    pub entry: ListEntry,
+    pub entry: ServerEntry,
     pub used: f64,
     pub open: u32,
     pub health: f64,
@@ -44,7 +44,7 @@
 pub(crate) struct Client {
     pub request: Request,
     /// What repeating it may do, as its class stood when it arrived: new settings change nothing of what has been sent.
-    pub semantics: Semantics,
+    pub idempotency: Idempotency,
     pub group: Option<u64>,
     pub load: f64,
     /// Its load was told.
@@ -72,7 +72,7 @@
 }
 
 impl Server {
-    pub fn new(entry: ListEntry) -> Self {
+    pub fn new(entry: ServerEntry) -> Self {
         Server {
             entry,
             used: 0.0,
@@ -193,8 +193,8 @@
 
     /// What the ranks go by: the group, or where packets pass through the key, for the next proxy to find.
     pub(crate) fn group_of(&self, r: &Request) -> Option<u64> {
-        let of = if self.set.pass_through { r.key } else { r.group };
-        ((self.set.pass_through || self.set.groups) && of != 0).then_some(of)
+        let of = if self.set.is_pass_through { r.key } else { r.group };
+        ((self.set.is_pass_through || self.set.has_groups) && of != 0).then_some(of)
     }
 
     pub(crate) fn draw(&mut self) -> f64 {
@@ -203,7 +203,7 @@
 
     /// Whether all that are here leave, or were taken out: none of them comes back within a moment.
     pub(crate) fn barred(&self) -> bool {
-        !self.servers.is_empty() && self.servers.values().all(|s| s.entry.stage != Stage::Ready)
+        !self.servers.is_empty() && self.servers.values().all(|s| s.entry.state != ServerState::Ready)
     }
 
     pub(crate) fn unuse(&mut self, server: ServerId, load: f64) {
@@ -235,7 +235,11 @@
         self.count_group(&request);
         Client {
             request,
-            semantics: self.set.classes.get(request.class).map_or(Semantics::Unsafe, |k| k.semantics),
+            idempotency: self
+                .set
+                .classes
+                .get(request.class)
+                .map_or(Idempotency::NonIdempotent, |k| k.idempotency),
             group: self.group_of(&request),
             load,
             told: false,
@@ -267,7 +271,7 @@
     }
 
     pub(crate) fn message_aim(&self) -> f64 {
-        self.set.classes.iter().map(|c| c.message_aim).fold(f64::INFINITY, f64::min)
+        self.set.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min)
     }
 
     /// Servers known to hold some of a group: those of its clients here, and where the last one was placed.
@@ -283,7 +287,7 @@
         let waiting = |c: &&Client| !c.answered && c.out.is_none() && c.on.is_none();
         let mut held: Vec<&Client> = self.clients.values().filter(waiting).collect();
         held.sort_by(|a, b| {
-            b.request.returning.cmp(&a.request.returning).then(a.arrived.total_cmp(&b.arrived))
+            b.request.is_returning.cmp(&a.request.is_returning).then(a.arrived.total_cmp(&b.arrived))
         });
         held.into_iter().map(|c| c.request.id).collect()
     }
--- a/crates/decisions/tests/blind.rs
+++ b/crates/decisions/tests/blind.rs
@@ -15,7 +15,13 @@
 
 fn blind(me: u64, proxies: u64, servers: u64, may_probe: bool) -> Proxy {
     let tenant_quota = vec![50.0 * servers as f64];
-    let set = Settings { me, proxies: proxies as f64, may_probe, tenant_quota, ..settings() };
+    let set = Settings {
+        instance_index: me,
+        instance_count: proxies as f64,
+        may_probe,
+        tenant_connection_quotas: tenant_quota,
+        ..settings()
+    };
     let mut p = Proxy { module: Balancer::new(set, me), now: 100.0 };
     p.give(Event::Start);
     p.give(list(&(1..=servers).map(entry).collect::<Vec<_>>()));
@@ -35,7 +41,7 @@
 }
 
 fn probed(server: ServerId, outcome: Outcome) -> Event {
-    Event::Probed { server, outcome, load_ratio: None }
+    Event::ProbeEnded { server, outcome, load_ratio: None }
 }
 
 /// The answer to each probe comes after so long, in seconds; where the client was sent.
@@ -186,11 +192,11 @@
             for a in actions {
                 match a {
                     Action::Probe(server) => { out.insert(*server); }
-                    Action::Send { request, .. } => {
+                    Action::BeginAttempt { request, .. } => {
                         assert!(owed.contains(&request.0) && sent.insert(request.0), "{request:?} goes out twice");
                     }
                     // An attempt that has not come up by the deadline is given up.
-                    Action::Refuse { request, .. } | Action::Fail(request) => {
+                    Action::Reject { request, .. } | Action::Fail(request) => {
                         assert!(owed.remove(&request.0), "{request:?} was not owed anything");
                     }
                     _ => {}
@@ -215,7 +221,7 @@
             note_timers(&actions, p.now, &mut timers);
             see(&actions, &mut out, &mut owed);
             for a in &actions {
-                if let Action::Send { request, .. } = a {
+                if let Action::BeginAttempt { request, .. } = a {
                     p.give(Event::Established { request: *request, attempt: 0 });
                     owed.remove(&request.0);
                 }
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -21,13 +21,13 @@
     let proxies = proxies as f64;
     let (warm_within, start_capacity) = (WARM, 0.13);
     Settings {
-        me,
-        proxies,
-        fall_multiple,
-        overload_for,
-        tenant_quota,
-        warm_within,
-        start_capacity,
+        instance_index: me,
+        instance_count: proxies,
+        overload_ratio: fall_multiple,
+        overload_window: overload_for,
+        tenant_connection_quotas: tenant_quota,
+        warm_up_time: warm_within,
+        cold_capacity_ratio: start_capacity,
         ..settings()
     }
 }
@@ -44,10 +44,14 @@
 fn learned(me: u64, proxies: usize, off: f64) -> Proxy {
     let mut proxy = Proxy::new(set(me, proxies), SERVERS);
     let mean = off * 2.0 * SERVERS as f64 / HELD;
-    proxy.give(Event::MeanLoad(mean));
+    proxy.give(Event::MeanLoadEstimated(mean));
     for id in 1..=SERVERS {
         let entries = 0.67 * 3.0 * 2.0 / mean / WARM / proxies as f64;
-        proxy.give(Event::Bears { server: ServerId(id), load: 2.0 / proxies as f64, entries });
+        proxy.give(Event::CapacityEstimated {
+            server: ServerId(id),
+            load: 2.0 / proxies as f64,
+            setup_rate: entries,
+        });
     }
     proxy
 }
@@ -95,7 +99,7 @@
         note_timers(out, at, &mut self.all[who].1);
         for action in out {
             match action {
-                Action::Send { request, server, .. } => {
+                Action::BeginAttempt { request, server, .. } => {
                     if *server == COLD {
                         self.sent.push(at);
                     }
@@ -103,7 +107,7 @@
                     note_timers(&up, at, &mut self.all[who].1);
                     self.stand.push((who, request.0, *server));
                 }
-                Action::Refuse { .. } => self.again.push(at + 0.2),
+                Action::Reject { .. } => self.again.push(at + 0.2),
                 _ => {}
             }
         }
@@ -118,7 +122,7 @@
                 let place = timers.iter().position(|t| t.0 == at).expect("just found");
                 let (_, token) = timers.remove(place);
                 proxy.now = at;
-                let out = proxy.give(Event::Timer(token));
+                let out = proxy.give(Event::TimerFired(token));
                 self.carry_out(who, at, &out);
             }
             self.all[who].0.now = until;
@@ -133,7 +137,7 @@
         let (who, id) = (self.some_proxy(), self.next);
         self.next += 1;
         self.all[who].0.now = now;
-        let r = Request { deadline: now + 3.0, returning, ..request(id, now) };
+        let r = Request { deadline: now + 3.0, is_returning: returning, ..request(id, now) };
         let out = self.all[who].0.arrive(r);
         self.carry_out(who, now, &out);
     }
@@ -156,8 +160,8 @@
     fn listed(&mut self, now: f64, born: f64) {
         for (proxy, _) in &mut self.all {
             proxy.now = now;
-            let entries = vec![ListEntry { born, ..entry(COLD.0) }].into();
-            proxy.give(Event::Servers { full: false, cached: false, entries });
+            let entries = vec![ServerEntry { started_at: born, ..entry(COLD.0) }].into();
+            proxy.give(Event::EndpointList { is_complete: false, is_cached: false, entries });
         }
     }
 
@@ -169,7 +173,7 @@
         proxy.give(Event::Start);
         let born = |id| if id == COLD.0 { born } else { 0.0 };
         proxy.give(list(
-            &(1..=SERVERS).map(|id| ListEntry { born: born(id), ..entry(id) }).collect::<Vec<_>>(),
+            &(1..=SERVERS).map(|id| ServerEntry { started_at: born(id), ..entry(id) }).collect::<Vec<_>>(),
         ));
         self.all[who] = (proxy, Vec::new());
     }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -14,13 +14,20 @@
     shorewharf_settings::settings(text).expect("valid settings").0
 }
 
-pub fn entry(id: u64) -> ListEntry {
+pub fn entry(id: u64) -> ServerEntry {
     let zone = (id % 2) as u32;
-    ListEntry { server: ServerId(id), zone, cell: id as u32 / 2, stage: Stage::Ready, weight: 2.0, born: 0.0 }
+    ServerEntry {
+        server: ServerId(id),
+        zone,
+        cell: id as u32 / 2,
+        state: ServerState::Ready,
+        weight: 2.0,
+        started_at: 0.0,
+    }
 }
 
-pub fn list(entries: &[ListEntry]) -> Event {
-    Event::Servers { full: true, cached: false, entries: entries.to_vec().into() }
+pub fn list(entries: &[ServerEntry]) -> Event {
+    Event::EndpointList { is_complete: true, is_cached: false, entries: entries.to_vec().into() }
 }
 
 pub fn request(id: u32, now: f64) -> Request {
@@ -32,8 +39,8 @@
         deadline: now + 2.0,
         load: None,
         group: 0,
-        mid_flow: false,
-        returning: false,
+        is_mid_flow: false,
+        is_returning: false,
     }
 }
 
@@ -59,7 +66,7 @@
     }
 
     pub fn arrive(&mut self, r: Request) -> Vec<Action> {
-        self.give(Event::Arrived(r))
+        self.give(Event::RequestReceived(r))
     }
 
     /// A client arrives and its connection stands; where, if it was sent.
@@ -85,7 +92,14 @@
         complete: bool,
     ) -> Vec<Action> {
         let request = RequestId(id);
-        self.give(Event::Ended { request, server, attempt, outcome, complete, load_ratio: None })
+        self.give(Event::AttemptEnded {
+            request,
+            server,
+            attempt,
+            outcome,
+            is_answered: complete,
+            load_ratio: None,
+        })
     }
 
     /// Lets time pass, firing the timers that come due; all their actions.
@@ -99,7 +113,7 @@
             }
             let (at, token) = timers.remove(0);
             self.now = at;
-            let out = self.give(Event::Timer(token));
+            let out = self.give(Event::TimerFired(token));
             note_timers(&out, at, timers);
             all.extend(out);
         }
@@ -116,13 +130,13 @@
 
 pub fn sent(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { server, .. } => Some(*server),
+        Action::BeginAttempt { server, .. } => Some(*server),
         _ => None,
     })
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -130,5 +144,5 @@
 }
 
 pub fn moved(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Move(_))).count()
+    actions.iter().filter(|a| matches!(a, Action::Migrate(_))).count()
 }
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -12,7 +12,7 @@
 const SERVERS: u64 = 14;
 
 fn proxy(me: u64) -> Proxy {
-    let set = Settings { me, proxies: PROXIES as f64, ..settings() };
+    let set = Settings { instance_index: me, instance_count: PROXIES as f64, ..settings() };
     let mut p = Proxy { module: Balancer::new(set, me), now: 100.0 };
     p.give(Event::Start);
     p.give(list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
@@ -24,7 +24,7 @@
 }
 
 fn again(id: u32, group: u64) -> Request {
-    Request { returning: true, ..grouped(id, group) }
+    Request { is_returning: true, ..grouped(id, group) }
 }
 
 fn slow(p: &mut Proxy, server: ServerId) -> Vec<Action> {
@@ -91,7 +91,7 @@
     let at = home(77);
     for me in 0..PROXIES {
         let mut p = proxy(me);
-        p.give(Event::Open(grouped(1, 78), at));
+        p.give(Event::ConnectionRestored(grouped(1, 78), at));
         assert_eq!(p.connect(again(2, 77)), Some(at));
     }
 }
--- a/crates/decisions/tests/memory.rs
+++ b/crates/decisions/tests/memory.rs
@@ -63,7 +63,7 @@
     let (mut next, recalled) = next(&p, 0.4, 30);
     assert!(recalled.taken >= 32 && recalled.odd == 0, "{recalled:?}");
     for (key, at) in [(1001, stood), (1002, left)] {
-        let again = Request { key, returning: true, ..request(500 + key as u32, next.now) };
+        let again = Request { key, is_returning: true, ..request(500 + key as u32, next.now) };
         assert_eq!(next.connect(again), Some(at));
     }
     // One that goes on with the connections has them by themselves: nobody is expected back.
@@ -85,7 +85,7 @@
         |p: &mut Proxy| (700..720).filter_map(|id| p.connect(request(id, p.now))).collect::<Vec<_>>();
     assert!(everywhere(&mut knows).iter().all(|s| *s == other), "nothing goes where nobody answers");
     let mut anew = Proxy::new(settings(), 2);
-    anew.give(list(&[ListEntry { born: 100.1, ..entry(at.0) }, entry(other.0)]));
+    anew.give(list(&[ServerEntry { started_at: 100.1, ..entry(at.0) }, entry(other.0)]));
     anew.now = 150.0;
     let recalled = anew.module.recall(150.0, 0.2, true, &everything(&p, 64));
     assert!(recalled.outdated == 1 && everywhere(&mut anew).contains(&at), "{recalled:?}");
--- a/crates/decisions/tests/placing.rs
+++ b/crates/decisions/tests/placing.rs
@@ -7,7 +7,9 @@
 use shorewharf_decisions::interface::*;
 
 fn proxies(n: u64, servers: u64, set: impl Fn() -> Settings) -> Vec<Proxy> {
-    (0..n).map(|me| Proxy::new(Settings { me, proxies: n as f64, ..set() }, servers)).collect()
+    (0..n)
+        .map(|me| Proxy::new(Settings { instance_index: me, instance_count: n as f64, ..set() }, servers))
+        .collect()
 }
 
 fn grouped(id: u32, group: u64) -> Request {
@@ -39,7 +41,7 @@
 #[test]
 fn an_unknown_client_goes_to_the_lowest_usage_for_its_have() {
     let mut p = Proxy::new(settings(), 2);
-    p.give(list(&[entry(1), ListEntry { weight: 6.0, ..entry(2) }]));
+    p.give(list(&[entry(1), ServerEntry { weight: 6.0, ..entry(2) }]));
     let mut count = BTreeMap::new();
     for id in 0..40 {
         *count.entry(p.connect(request(id, 100.0)).unwrap()).or_insert(0) += 1;
@@ -72,7 +74,7 @@
 fn a_proxy_places_a_group_where_it_already_holds_some_of_it() {
     for at in 1..=30 {
         let mut p = Proxy::new(settings(), 30);
-        p.give(Event::Open(grouped(1, 77), ServerId(at)));
+        p.give(Event::ConnectionRestored(grouped(1, 77), ServerId(at)));
         assert_eq!(p.connect(grouped(2, 77)), Some(ServerId(at)), "that server has paid for the group");
         slow(&mut p, ServerId(at), 1.0);
         p.now += 1.0;
@@ -107,7 +109,7 @@
         for other in 0..4 {
             let r = grouped(10_000 + id * 10 + other, 9000 + u64::from(id * 10 + other));
             p.connect(r);
-            p.give(Event::ClientGone(r.id));
+            p.give(Event::ClientLeft(r.id));
         }
     }
     assert!(placed.len() < 30, "a fifth of the traffic shed everywhere went to {} of 40", placed.len());
@@ -137,7 +139,7 @@
     p.end_as(there[0], at, 0, Outcome::Reset, true);
     p.end_as(1, at, 0, Outcome::Reset, true);
     p.now += 0.5;
-    assert_ne!(p.connect(Request { key: 1001, returning: true, ..request(50, 100.5) }), Some(at));
+    assert_ne!(p.connect(Request { key: 1001, is_returning: true, ..request(50, 100.5) }), Some(at));
 }
 
 #[test]
@@ -148,7 +150,7 @@
     for id in 0..9 {
         p.pass(&mut timers, 101.0 + f64::from(id));
         p.end_as(id, on[id as usize], 0, Outcome::Reset, true);
-        let again = Request { key: 1000 + u64::from(id), returning: true, ..request(100 + id, p.now) };
+        let again = Request { key: 1000 + u64::from(id), is_returning: true, ..request(100 + id, p.now) };
         assert_eq!(p.connect(again), Some(on[id as usize]), "a sound server takes its client back");
     }
 }
@@ -169,7 +171,7 @@
 #[test]
 fn those_whose_class_is_hurt_leave_first() {
     let mut set = settings();
-    let patient = Class { message_aim: 5.0, ..set.classes[0].clone() };
+    let patient = RequestClass { message_latency_objective: 5.0, ..set.classes[0].clone() };
     set.classes.push(patient);
     let mut p = Proxy::new(set, 1);
     for id in 0..40 {
@@ -177,7 +179,10 @@
     }
     let out = slow(&mut p, ServerId(1), 0.3);
     assert!(moved(&out) > 3);
-    assert!(!out.iter().any(|a| matches!(a, Action::Move(r) if r.0 % 2 == 1)), "the patient stay: {out:?}");
+    assert!(
+        !out.iter().any(|a| matches!(a, Action::Migrate(r) if r.0 % 2 == 1)),
+        "the patient stay: {out:?}"
+    );
 }
 
 #[test]
@@ -214,7 +219,7 @@
     let out = p.pass(&mut timers, 103.0);
     assert!(out.contains(&Action::Probe(at)));
     assert_ne!(p.connect(request(5, 103.0)), Some(at), "no client is the trial");
-    p.give(Event::Probed { server: at, outcome: Outcome::Ok, load_ratio: None });
+    p.give(Event::ProbeEnded { server: at, outcome: Outcome::Ok, load_ratio: None });
     assert!((6..16).any(|id| p.connect(request(id, 103.0)) == Some(at)));
 }
 
@@ -239,7 +244,7 @@
         p.now += 0.02;
         if let Some(s) = sent(&p.arrive(request(id, p.now))) {
             sends += 1;
-            p.end_as(id, s, 0, Outcome::Full, true);
+            p.end_as(id, s, 0, Outcome::Rejected, true);
         }
     }
     assert!(sends < 50, "{sends} of 60 went into servers that turn clients away");
@@ -290,7 +295,7 @@
             at = sent(&p.end(id, s, attempt, Outcome::Error));
             attempt += 1;
         }
-        p.give(Event::ClientGone(RequestId(id)));
+        p.give(Event::ClientLeft(RequestId(id)));
         if let Some(s) = at {
             p.end_as(id, s, attempt, Outcome::Cancelled, true);
         }
@@ -316,7 +321,7 @@
 
 #[test]
 fn a_client_that_leaves_no_time_says_nothing_of_its_server() {
-    for outcome in [Outcome::TimedOut, Outcome::Full] {
+    for outcome in [Outcome::TimedOut, Outcome::Rejected] {
         let mut p = Proxy::new(settings(), 2);
         for id in 0..9 {
             let hasty = Request { deadline: 100.1, ..request(id, 100.0) };
@@ -333,9 +338,9 @@
 
 /// All servers bear so much, where a connection loads 0.1.
 fn bears(p: &mut Proxy, load: f64) {
-    p.give(Event::MeanLoad(0.1));
+    p.give(Event::MeanLoadEstimated(0.1));
     for id in 1..=2 {
-        p.give(Event::Bears { server: ServerId(id), load, entries: 1.0 });
+        p.give(Event::CapacityEstimated { server: ServerId(id), load, setup_rate: 1.0 });
     }
 }
 
@@ -352,7 +357,7 @@
                 stands += 1;
             }
             None => {
-                let told = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0.0);
+                let told = |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0.0);
                 assert!(
                     out.iter().any(told),
                     "no room is told in the same turn, with a time to come back: {out:?}"
@@ -384,14 +389,14 @@
     let waits = waits.expect("hands are full at last");
     p.give(Event::Established { request: RequestId(out_there[0].0), attempt: 0 });
     let out = p.pass(&mut timers, 100.2);
-    let placed = |a: &Action| matches!(a, Action::Send { request, .. } if request.0 == waits);
+    let placed = |a: &Action| matches!(a, Action::BeginAttempt { request, .. } if request.0 == waits);
     assert!(out.iter().any(placed), "it is placed as soon as a hand is free: {out:?}");
     let late = p.arrive(request(900, 100.2));
     note_timers(&late, p.now, &mut timers);
     assert!(sent(&late).is_none() && !refused(&late), "hands are full again");
     // The aim is 0.5 s: nobody waits for longer, though its time has not run out.
     let out = p.pass(&mut timers, 100.8);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == 900)), "{out:?}");
+    assert!(out.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == 900)), "{out:?}");
 }
 
 #[test]
@@ -401,7 +406,7 @@
         p.connect(request(id, 100.0));
     }
     p.give(Event::LoadChanged { request: RequestId(0), load: 0.3 });
-    p.give(Event::MeanLoad(0.1));
+    p.give(Event::MeanLoadEstimated(0.1));
     let placed = p.module.placed(ServerId(1));
     assert!((placed - (0.3 + 4.0 * 0.1 + 5.0 * 0.01)).abs() < 1e-9, "{placed}");
 }
@@ -410,8 +415,9 @@
 fn clients_leave_a_draining_server_before_it_stops() {
     let mut p = Proxy::new(settings(), 2);
     let n = (0..20).filter(|id| p.connect(request(*id, 100.0)) == Some(ServerId(1))).count();
-    let frozen = ListEntry { stage: Stage::Draining, ..entry(1) };
-    let out = p.give(Event::Servers { full: false, cached: false, entries: vec![frozen].into() });
+    let frozen = ServerEntry { state: ServerState::Draining, ..entry(1) };
+    let out =
+        p.give(Event::EndpointList { is_complete: false, is_cached: false, entries: vec![frozen].into() });
     assert_eq!(moved(&out), n);
 }
 
@@ -420,14 +426,14 @@
     let mut p = Proxy::new(settings(), 2);
     let at = sent(&p.arrive(request(1, 100.0))).unwrap();
     p.end(1, at, 0, Outcome::ConnectFailed);
-    let reborn = ListEntry { born: 50.0, ..entry(at.0) };
-    p.give(Event::Servers { full: false, cached: false, entries: vec![reborn].into() });
+    let reborn = ServerEntry { started_at: 50.0, ..entry(at.0) };
+    p.give(Event::EndpointList { is_complete: false, is_cached: false, entries: vec![reborn].into() });
     assert!((2..10).any(|id| p.connect(request(id, 100.0)) == Some(at)), "unlocked by its restart");
 }
 
 #[test]
 fn where_crossing_costs_the_own_zone_comes_first() {
-    let set = || Settings { crossing_price: 0.08, ..settings() };
+    let set = || Settings { zone_crossing_cost: 0.08, ..settings() };
     for p in &mut proxies(10, 20, set) {
         for id in 0..10 {
             assert_eq!(p.connect(grouped(id, u64::from(id) + 5)).unwrap().0 % 2, 0);
@@ -439,7 +445,7 @@
 fn the_registry_is_asked_once_at_a_drawn_time_and_again_after_failures() {
     let mut at = BTreeSet::new();
     for seed in 0..20 {
-        let set = Settings { ask_registry: true, ..settings() };
+        let set = Settings { polls_discovery: true, ..settings() };
         let mut p = Proxy { module: shorewharf_decisions::Balancer::new(set, seed), now: 100.0 };
         let mut timers = Vec::new();
         let out = p.give(Event::Start);
@@ -449,7 +455,7 @@
         at.insert((timers[0].0 * 100.0) as u64);
         let asked = |out: Vec<Action>| out.iter().filter(|a| **a == Action::Subscribe).count();
         assert_eq!(asked(p.pass(&mut timers, 109.0)), 1);
-        let out = p.give(Event::RegistryFailed);
+        let out = p.give(Event::DiscoveryFailed);
         note_timers(&out, 109.0, &mut timers);
         assert_eq!(asked(p.pass(&mut timers, 119.0)), 1, "again, and within the time that counts as asking");
     }
@@ -479,14 +485,14 @@
 
 #[test]
 fn where_packets_pass_through_another_proxy_finds_the_server_of_a_connection() {
-    let set = || Settings { pass_through: true, park: 6.0, ..settings() };
+    let set = || Settings { is_pass_through: true, parked_connection_timeout: 6.0, ..settings() };
     let at: BTreeSet<_> = proxies(20, 30, set)
         .iter_mut()
         .map(|p| {
             for id in 0..15 {
                 p.connect(request(id, 100.0));
             }
-            p.connect(Request { key: 4242, mid_flow: true, ..request(50, 100.0) }).unwrap()
+            p.connect(Request { key: 4242, is_mid_flow: true, ..request(50, 100.0) }).unwrap()
         })
         .collect();
     assert_eq!(at.len(), 1, "{at:?}");
@@ -498,18 +504,18 @@
     // Two groups, and a server that is home to neither: by ranks nobody would be sent there.
     let homes = [7, 8].map(|group| p.connect(grouped(group as u32, group)).unwrap());
     let back = (1..=8).map(ServerId).find(|s| !homes.contains(s)).unwrap();
-    let change = |stage, born| Event::Servers {
-        full: false,
-        cached: true,
-        entries: vec![ListEntry { stage, born, ..entry(back.0) }].into(),
+    let change = |stage, born| Event::EndpointList {
+        is_complete: false,
+        is_cached: true,
+        entries: vec![ServerEntry { state: stage, started_at: born, ..entry(back.0) }].into(),
     };
-    p.give(change(Stage::Draining, 0.0));
+    p.give(change(ServerState::Draining, 0.0));
     assert_eq!(p.connect(grouped(20, 7)), Some(homes[0]));
-    p.give(change(Stage::Ready, 0.0));
+    p.give(change(ServerState::Ready, 0.0));
     assert_eq!(p.connect(grouped(21, 7)), Some(back), "one client tells whether it works");
     assert_eq!(p.connect(grouped(22, 8)), Some(homes[1]), "and no more than one");
     // Cold, it gets its client no sooner than its guard lets anybody in.
-    p.give(change(Stage::Draining, 0.0));
-    p.give(change(Stage::Ready, p.now));
+    p.give(change(ServerState::Draining, 0.0));
+    p.give(change(ServerState::Ready, p.now));
     assert_eq!(p.connect(grouped(23, 8)), Some(homes[1]));
 }
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -26,7 +26,7 @@
     prop_oneof![
         Just(Outcome::Ok),
         Just(Outcome::Error),
-        Just(Outcome::Full),
+        Just(Outcome::Rejected),
         Just(Outcome::TimedOut),
         Just(Outcome::ConnectFailed),
         Just(Outcome::Reset),
@@ -55,16 +55,21 @@
     ]
 }
 
-fn classes() -> Vec<Class> {
+fn classes() -> Vec<RequestClass> {
     [
-        Semantics::Safe,
-        Semantics::Unsafe,
-        Semantics::Keyed(Scope::All, 1.0),
-        Semantics::Keyed(Scope::Zone, 1.0),
-        Semantics::Keyed(Scope::Cell, 0.5),
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed(DeduplicationScope::All, 1.0),
+        Idempotency::Keyed(DeduplicationScope::Zone, 1.0),
+        Idempotency::Keyed(DeduplicationScope::Cell, 0.5),
     ]
     .into_iter()
-    .map(|semantics| Class { aim: 0.5, worth: 1.0, semantics, message_aim: 0.1 })
+    .map(|semantics| RequestClass {
+        latency_objective: 0.5,
+        priority_weight: 1.0,
+        idempotency: semantics,
+        message_latency_objective: 0.1,
+    })
     .collect()
 }
 
@@ -84,14 +89,14 @@
     p: Proxy,
     timers: Vec<(f64, u64)>,
     clients: BTreeMap<u32, Known>,
-    listed: BTreeMap<u64, ListEntry>,
+    listed: BTreeMap<u64, ServerEntry>,
     next: u32,
     log: Vec<Action>,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
-        let set = Settings { classes: classes(), ask_registry: seed.is_multiple_of(2), ..settings() };
+        let set = Settings { classes: classes(), polls_discovery: seed.is_multiple_of(2), ..settings() };
         let mut w = World {
             p: Proxy { module: Balancer::new(set, seed), now: 100.0 },
             timers: Vec::new(),
@@ -115,7 +120,7 @@
         let now = self.p.now;
         for a in out {
             match a {
-                Action::Send { request, server, timeout } => {
+                Action::BeginAttempt { request, server, timeout } => {
                     let c = self.clients.get_mut(&request.0).expect("a known request");
                     assert!(
                         !c.answered && c.out.is_none() && !c.standing,
@@ -123,18 +128,18 @@
                     );
                     assert!(now + timeout <= c.deadline + 0.001 && *timeout > 0.0);
                     let e = self.listed.get(&server.0).expect("a listed server");
-                    assert_eq!(e.stage, Stage::Ready, "drains are kept");
+                    assert_eq!(e.state, ServerState::Ready, "drains are kept");
                     if let Some((first, sent)) = c.ran {
                         let f = self.listed.get(&first.0);
-                        match classes()[c.class].semantics {
-                            Semantics::Safe => {}
-                            Semantics::Unsafe => panic!("an unsafe request may have run"),
-                            Semantics::Keyed(scope, window) => {
+                        match classes()[c.class].idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NonIdempotent => panic!("an unsafe request may have run"),
+                            Idempotency::Keyed(scope, window) => {
                                 assert!(now - sent < window);
                                 match scope {
-                                    Scope::All => {}
-                                    Scope::Zone => assert_eq!(f.unwrap().zone, e.zone),
-                                    Scope::Cell => assert_eq!(f.unwrap().cell, e.cell),
+                                    DeduplicationScope::All => {}
+                                    DeduplicationScope::Zone => assert_eq!(f.unwrap().zone, e.zone),
+                                    DeduplicationScope::Cell => assert_eq!(f.unwrap().cell, e.cell),
                                 }
                             }
                         }
@@ -144,11 +149,11 @@
                     c.sent_at = now;
                     assert!(c.attempts <= 4);
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     let c = self.clients.get_mut(&request.0).unwrap();
                     let safe = matches!(
-                        classes()[c.class].semantics,
-                        Semantics::Safe | Semantics::Keyed(Scope::All, _)
+                        classes()[c.class].idempotency,
+                        Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
                     );
                     assert!(!c.answered && (safe || (c.ran.is_none() && c.out.is_none())));
                     assert!(*retry_after >= 0.0 && *retry_after <= 1.0);
@@ -159,7 +164,7 @@
                     assert!(!c.answered);
                     c.answered = true;
                 }
-                Action::Move(request) => {
+                Action::Migrate(request) => {
                     let c = self.clients.get_mut(&request.0).unwrap();
                     assert!(c.standing && !c.answered, "only standing connections move");
                     c.answered = true;
@@ -182,7 +187,7 @@
             let Some(&(at, token)) = self.timers.first().filter(|t| t.0 <= until) else { break };
             self.timers.remove(0);
             self.p.now = self.p.now.max(at);
-            self.event(Event::Timer(token));
+            self.event(Event::TimerFired(token));
             self.overdue();
         }
         self.p.now = until;
@@ -209,14 +214,14 @@
                 };
                 let known = Known { class: *class, deadline: r.deadline, ..Known::default() };
                 self.clients.insert(self.next, known);
-                self.event(Event::Arrived(r));
+                self.event(Event::RequestReceived(r));
             }
             Step::Open { server } => {
                 self.next += 1;
                 let r = request(self.next, self.p.now);
                 let known = Known { standing: true, out: Some((ServerId(*server), 0)), ..Known::default() };
                 self.clients.insert(self.next, Known { attempts: 1, ..known });
-                self.event(Event::Open(r, ServerId(*server)));
+                self.event(Event::ConnectionRestored(r, ServerId(*server)));
             }
             Step::Begin(n) => {
                 if let Some(id) = self.pick(*n, |c| c.out.is_some() && !c.standing && !c.answered) {
@@ -239,12 +244,12 @@
                 c.standing = false;
                 let request = RequestId(id);
                 let (outcome, complete) = (*outcome, complete || answered);
-                self.event(Event::Ended {
+                self.event(Event::AttemptEnded {
                     request,
                     server,
                     attempt,
                     outcome,
-                    complete,
+                    is_answered: complete,
                     load_ratio: Some(f64::NAN),
                 });
             }
@@ -257,47 +262,51 @@
                     let bit = 1 << i;
                     if ready & bit != 0 || (!full && draining & bit != 0) {
                         let stage = match (draining & bit != 0, ready & bit != 0) {
-                            (true, true) => Stage::Draining,
-                            (true, false) => Stage::Gone,
-                            _ => Stage::Ready,
+                            (true, true) => ServerState::Draining,
+                            (true, false) => ServerState::Removed,
+                            _ => ServerState::Ready,
                         };
                         let weight = if i == 3 { f64::NAN } else { i as f64 };
                         let born = if i % 3 == 0 { *born } else { 0.0 };
-                        entries.push(ListEntry { stage, weight, born, ..entry(i) });
+                        entries.push(ServerEntry { state: stage, weight, started_at: born, ..entry(i) });
                     }
                 }
                 if *full {
-                    self.listed.values_mut().for_each(|e| e.stage = Stage::Gone);
+                    self.listed.values_mut().for_each(|e| e.state = ServerState::Removed);
                 }
                 self.listed.extend(entries.iter().map(|e| (e.server.0, *e)));
-                self.event(Event::Servers { full: *full, cached: false, entries: entries.into() });
+                self.event(Event::EndpointList {
+                    is_complete: *full,
+                    is_cached: false,
+                    entries: entries.into(),
+                });
             }
             Step::Gone(n) => {
                 if let Some(id) = self.pick(*n, |c| !c.standing) {
                     self.clients.get_mut(&id).unwrap().answered = true;
-                    self.event(Event::ClientGone(RequestId(id)));
+                    self.event(Event::ClientLeft(RequestId(id)));
                 }
             }
             Step::Wait(span) => self.pass(*span),
-            Step::RegistryFailed => self.event(Event::RegistryFailed),
+            Step::RegistryFailed => self.event(Event::DiscoveryFailed),
             Step::Odd(id, token) => {
                 // Ids nobody knows, tokens of an earlier life.
                 let request = RequestId(id | 1 << 31);
                 let server = ServerId(u64::from(*id));
                 self.event(Event::Established { request, attempt: 3 });
                 let outcome = Outcome::Reset;
-                self.event(Event::Ended {
+                self.event(Event::AttemptEnded {
                     request,
                     server,
                     attempt: 9,
                     outcome,
-                    complete: false,
+                    is_answered: false,
                     load_ratio: None,
                 });
-                self.event(Event::ClientGone(request));
+                self.event(Event::ClientLeft(request));
                 self.event(Event::LoadChanged { request, load: f64::NAN });
-                self.event(Event::Probed { server, outcome, load_ratio: None });
-                self.event(Event::Timer(*token | 1 << 63));
+                self.event(Event::ProbeEnded { server, outcome, load_ratio: None });
+                self.event(Event::TimerFired(*token | 1 << 63));
             }
         }
     }
--- a/crates/decisions/tests/replay.rs
+++ b/crates/decisions/tests/replay.rs
@@ -27,7 +27,7 @@
     out: BTreeMap<u32, (ServerId, u32, bool)>,
     attempts: BTreeMap<u32, u32>,
     probes: Vec<ServerId>,
-    entries: Vec<ListEntry>,
+    entries: Vec<ServerEntry>,
     next: u32,
     text: String,
 }
@@ -65,7 +65,7 @@
 
     fn give_list(&mut self, full: bool) {
         let entries = self.entries.clone().into();
-        self.give(Event::Servers { full, cached: false, entries });
+        self.give(Event::EndpointList { is_complete: full, is_cached: false, entries });
     }
 
     fn give(&mut self, event: Event) {
@@ -74,7 +74,7 @@
         for action in &actions {
             self.write_action(action);
             match action {
-                Action::Send { request, server, .. } => {
+                Action::BeginAttempt { request, server, .. } => {
                     let attempts = self.attempts.entry(request.0).or_default();
                     self.out.insert(request.0, (*server, *attempts, false));
                     *attempts += 1;
@@ -89,15 +89,15 @@
     fn write_action(&mut self, action: &Action) {
         let text = &mut self.text;
         let written = match action {
-            Action::Send { request, server, timeout } => {
+            Action::BeginAttempt { request, server, timeout } => {
                 writeln!(text, "send {} {} {:x}", request.0, server.0, timeout.to_bits())
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 writeln!(text, "refuse {} {:x}", request.0, retry_after.to_bits())
             }
             Action::Fail(request) => writeln!(text, "fail {}", request.0),
-            Action::Cancel { request, attempt } => writeln!(text, "cancel {} {attempt}", request.0),
-            Action::Move(request) => writeln!(text, "move {}", request.0),
+            Action::CancelAttempt { request, attempt } => writeln!(text, "cancel {} {attempt}", request.0),
+            Action::Migrate(request) => writeln!(text, "move {}", request.0),
             Action::SetTimer { after, token } => writeln!(text, "timer {:x} {token:x}", after.to_bits()),
             Action::Probe(server) => writeln!(text, "probe {}", server.0),
             Action::Subscribe => writeln!(text, "subscribe"),
@@ -133,12 +133,12 @@
         let load = (self.below(3) == 0).then(|| 0.05 + self.number());
         let returning = self.below(4) == 0;
         let deadline = self.now + 0.3 + 2.0 * self.number();
-        self.give(Event::Arrived(Request {
+        self.give(Event::RequestReceived(Request {
             class,
             group,
             key,
             load,
-            returning,
+            is_returning: returning,
             deadline,
             ..request(id, self.now)
         }));
@@ -150,7 +150,7 @@
         let (class, group) = (self.below(class_count), self.below(6) as u64);
         self.out.insert(id, (server, 0, true));
         self.attempts.insert(id, 1);
-        self.give(Event::Open(Request { class, group, ..request(id, self.now) }, server));
+        self.give(Event::ConnectionRestored(Request { class, group, ..request(id, self.now) }, server));
     }
 
     /// A request that is out: its number, its server, its attempt, whether it stands.
@@ -171,7 +171,7 @@
             Outcome::Ok,
             Outcome::Ok,
             Outcome::Error,
-            Outcome::Full,
+            Outcome::Rejected,
             Outcome::TimedOut,
             Outcome::ConnectFailed,
             Outcome::Reset,
@@ -183,7 +183,14 @@
         let complete = outcome == Outcome::Ok || stands;
         self.out.remove(&id);
         let request = RequestId(id);
-        self.give(Event::Ended { request, server, attempt, outcome, complete, load_ratio: None });
+        self.give(Event::AttemptEnded {
+            request,
+            server,
+            attempt,
+            outcome,
+            is_answered: complete,
+            load_ratio: None,
+        });
     }
 
     fn change_list(&mut self) {
@@ -192,10 +199,10 @@
         let what = self.below(5);
         let entry = &mut self.entries[at];
         match what {
-            0 => entry.stage = Stage::Draining,
-            1 => entry.stage = Stage::Gone,
-            2 => (entry.stage, entry.born) = (Stage::Ready, now),
-            _ => entry.stage = Stage::Ready,
+            0 => entry.state = ServerState::Draining,
+            1 => entry.state = ServerState::Removed,
+            2 => (entry.state, entry.started_at) = (ServerState::Ready, now),
+            _ => entry.state = ServerState::Ready,
         }
         let full = self.below(2) == 0;
         self.give_list(full);
@@ -206,10 +213,10 @@
         for server in 1..=SERVERS {
             let (load, open) = (self.number() * 20.0, (self.number() * 30.0).floor());
             let groups = (0..self.below(4) as u32).collect();
-            away.insert(ServerId(server), Away { load, open, groups });
+            away.insert(ServerId(server), RemoteLoad { load, connections: open, groups });
         }
         let heard = self.below(5) > 0;
-        self.give(Event::Elsewhere(heard.then(|| Arc::new(away))));
+        self.give(Event::RemoteLoadsUpdated(heard.then(|| Arc::new(away))));
     }
 
     fn end_probe(&mut self) {
@@ -220,7 +227,7 @@
         let server = self.probes.swap_remove(at);
         let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::ConnectFailed];
         let outcome = outcomes[self.below(outcomes.len())];
-        self.give(Event::Probed { server, outcome, load_ratio: None });
+        self.give(Event::ProbeEnded { server, outcome, load_ratio: None });
     }
 
     fn pass(&mut self, span: f64) {
@@ -232,7 +239,7 @@
             }
             let (at, token) = self.timers.remove(0);
             self.now = at;
-            self.give(Event::Timer(token));
+            self.give(Event::TimerFired(token));
         }
         self.now = until;
     }
@@ -256,20 +263,20 @@
             }
             25 => {
                 let request = RequestId(1 + self.below(self.next as usize) as u32);
-                self.give(Event::ClientGone(request));
+                self.give(Event::ClientLeft(request));
             }
             26 if day.told => self.tell_of_others(),
             27 | 28 if day.bears > 0.0 => {
                 let (server, load) = (self.server(), day.bears * (0.5 + self.number()));
                 let entries = 0.2 + self.number();
-                self.give(Event::Bears { server, load, entries });
+                self.give(Event::CapacityEstimated { server, load, setup_rate: entries });
             }
             29 if day.bears > 0.0 => {
                 let mean = 0.3 + 0.2 * self.number();
-                self.give(Event::MeanLoad(mean));
+                self.give(Event::MeanLoadEstimated(mean));
             }
             30..=32 => self.end_probe(),
-            33 if self.below(6) == 0 => self.give(Event::RegistryFailed),
+            33 if self.below(6) == 0 => self.give(Event::DiscoveryFailed),
             34 => {
                 let Some((id, ..)) = self.some_request() else { return };
                 let (to, until) = (self.server(), self.now + self.number());
@@ -298,15 +305,20 @@
     told: bool,
 }
 
-fn classes() -> Vec<Class> {
+fn classes() -> Vec<RequestClass> {
     let all = [
-        Semantics::Safe,
-        Semantics::Unsafe,
-        Semantics::Keyed(Scope::All, 1.0),
-        Semantics::Keyed(Scope::Zone, 1.0),
-        Semantics::Keyed(Scope::Cell, 0.5),
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed(DeduplicationScope::All, 1.0),
+        Idempotency::Keyed(DeduplicationScope::Zone, 1.0),
+        Idempotency::Keyed(DeduplicationScope::Cell, 0.5),
     ];
-    let class = |semantics| Class { aim: 0.5, worth: 1.0, semantics, message_aim: 0.1 };
+    let class = |semantics| RequestClass {
+        latency_objective: 0.5,
+        priority_weight: 1.0,
+        idempotency: semantics,
+        message_latency_objective: 0.1,
+    };
     all.into_iter().map(class).collect()
 }
 
@@ -353,7 +365,7 @@
 
 #[test]
 fn a_day_with_estimates_and_a_polled_registry() {
-    let set = Settings { classes: classes(), ask_registry: true, may_probe: true, ..settings() };
+    let set = Settings { classes: classes(), polls_discovery: true, may_probe: true, ..settings() };
     check(
         set,
         &Day { bears: 2.5, told: false },
@@ -364,8 +376,13 @@
 #[test]
 fn a_day_of_a_small_part_that_probes() {
     let quota = vec![150.0, 200.0];
-    let set =
-        Settings { classes: classes(), may_probe: true, proxies: 100.0, tenant_quota: quota, ..settings() };
+    let set = Settings {
+        classes: classes(),
+        may_probe: true,
+        instance_count: 100.0,
+        tenant_connection_quotas: quota,
+        ..settings()
+    };
     check(
         set,
         &Day { bears: 0.1, told: false },
@@ -375,7 +392,8 @@
 
 #[test]
 fn a_day_on_which_other_proxies_are_heard_of() {
-    let set = Settings { classes: classes(), may_probe: true, tenant_quota: vec![900.0], ..settings() };
+    let set =
+        Settings { classes: classes(), may_probe: true, tenant_connection_quotas: vec![900.0], ..settings() };
     check(
         set,
         &Day { bears: 2.5, told: true },
@@ -387,10 +405,10 @@
 fn a_day_of_packets_that_pass_through_at_a_price() {
     let set = Settings {
         classes: classes(),
-        pass_through: true,
-        crossing_price: 0.1,
-        weights: Weights::Live,
-        park: 1.5,
+        is_pass_through: true,
+        zone_crossing_cost: 0.1,
+        weight_kind: WeightKind::LoadAdjusted,
+        parked_connection_timeout: 1.5,
         ..settings()
     };
     check(set, &Day::default(), [0x0e2a_e5d8_5320_59da, 0x42a2_7c36_87c5_92c2, 0xe1bd_235e_3274_3378]);
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -4,9 +4,9 @@
 use common::*;
 use shorewharf_decisions::interface::*;
 
-fn with(semantics: Semantics) -> Settings {
+fn with(semantics: Idempotency) -> Settings {
     let mut set = settings();
-    set.classes[0].semantics = semantics;
+    set.classes[0].idempotency = semantics;
     set
 }
 
@@ -29,7 +29,7 @@
     assert!(sent(&out).is_some());
     let out = p.pass(&mut timers, 102.0);
     assert!(failed(&out), "an attempt that is out may run: no refusal");
-    assert!(out.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
+    assert!(out.contains(&Action::CancelAttempt { request: RequestId(1), attempt: 0 }));
 }
 
 #[test]
@@ -47,7 +47,7 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut p = Proxy::new(with(Semantics::Unsafe), 4);
+        let mut p = Proxy::new(with(Idempotency::NonIdempotent), 4);
         let server = sent(&p.arrive(request(1, 100.0))).unwrap();
         let mut timers = Vec::new();
         let mut out = p.end(1, server, 0, outcome);
@@ -59,8 +59,8 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_goes_elsewhere() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::NotSent] {
-        let mut p = Proxy::new(with(Semantics::Unsafe), 4);
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
+        let mut p = Proxy::new(with(Idempotency::NonIdempotent), 4);
         let server = sent(&p.arrive(request(1, 100.0))).unwrap();
         p.now += 1.0;
         let second = sent(&p.end(1, server, 0, outcome));
@@ -70,7 +70,7 @@
 
 #[test]
 fn never_ran_twice_may_still_be_refused() {
-    let mut p = Proxy::new(with(Semantics::Unsafe), 2);
+    let mut p = Proxy::new(with(Idempotency::NonIdempotent), 2);
     let first = sent(&p.arrive(request(1, 100.0))).unwrap();
     let second = sent(&p.end(1, first, 0, Outcome::ConnectFailed)).unwrap();
     let mut timers = Vec::new();
@@ -82,8 +82,8 @@
 
 #[test]
 fn a_keyed_request_repeats_only_in_its_scope() {
-    for (scope, zone_of) in [(Scope::Zone, true), (Scope::Cell, false)] {
-        let mut p = Proxy::new(with(Semantics::Keyed(scope, 5.0)), 12);
+    for (scope, zone_of) in [(DeduplicationScope::Zone, true), (DeduplicationScope::Cell, false)] {
+        let mut p = Proxy::new(with(Idempotency::Keyed(scope, 5.0)), 12);
         let first = sent(&p.arrive(request(1, 100.0))).unwrap();
         let second = sent(&p.end(1, first, 0, Outcome::Error));
         let same = |s: ServerId| if zone_of { s.0 % 2 == first.0 % 2 } else { s.0 / 2 == first.0 / 2 };
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_keyed_request_does_not_repeat_after_its_window() {
-    let mut p = Proxy::new(with(Semantics::Keyed(Scope::All, 0.3)), 6);
+    let mut p = Proxy::new(with(Idempotency::Keyed(DeduplicationScope::All, 0.3)), 6);
     let first = sent(&p.arrive(request(1, 100.0))).unwrap();
     p.now += 0.4;
     assert!(sent(&p.end(1, first, 0, Outcome::Error)).is_none());
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_keyed_request_is_not_repeated_where_its_dial_could_outlast_the_window() {
-    let set = with(Semantics::Keyed(Scope::All, 0.5));
+    let set = with(Idempotency::Keyed(DeduplicationScope::All, 0.5));
     let dial = set.connect_timeout;
     for (at, repeats) in [(0.5 - dial - 0.02, true), (0.5 - dial + 0.02, false)] {
         let mut p = Proxy::new(set.clone(), 6);
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_keyed_request_of_a_narrow_scope_that_may_have_run_is_not_refused() {
-    let mut p = Proxy::new(with(Semantics::Keyed(Scope::Cell, 5.0)), 1);
+    let mut p = Proxy::new(with(Idempotency::Keyed(DeduplicationScope::Cell, 5.0)), 1);
     let mut timers = Vec::new();
     let out = p.arrive(request(1, 100.0));
     note_timers(&out, 100.0, &mut timers);
@@ -158,8 +158,8 @@
     let at = p.connect(request(1, 100.0)).unwrap();
     p.end(1, at, 0, Outcome::Ok);
     let mut frozen = entry(at.0);
-    frozen.stage = Stage::Draining;
-    p.give(Event::Servers { full: false, cached: false, entries: vec![frozen].into() });
+    frozen.state = ServerState::Draining;
+    p.give(Event::EndpointList { is_complete: false, is_cached: false, entries: vec![frozen].into() });
     for id in 2..40 {
         let r = Request { key: 1001, ..request(id, 100.0) };
         assert_ne!(p.connect(r), Some(at));
@@ -176,11 +176,11 @@
     // 150 proxies, each with a burst of clients just after one of 20 servers has restarted.
     let mut to_cold = 0;
     for me in 0..150 {
-        let mut p = Proxy::new(Settings { me, proxies: 150.0, ..settings() }, 20);
-        p.give(Event::Servers {
-            full: false,
-            cached: false,
-            entries: vec![ListEntry { born: 99.5, ..entry(4) }].into(),
+        let mut p = Proxy::new(Settings { instance_index: me, instance_count: 150.0, ..settings() }, 20);
+        p.give(Event::EndpointList {
+            is_complete: false,
+            is_cached: false,
+            entries: vec![ServerEntry { started_at: 99.5, ..entry(4) }].into(),
         });
         for id in 0..3 {
             to_cold += usize::from(p.connect(request(id, 100.0)) == Some(ServerId(4)));
@@ -195,16 +195,17 @@
     // What it has to tell counts as told 6 s after it could be reached, whatever was allowed after a failed call; the
     // silence before the call and the wait for its first line take the rest.
     for ask_within in [1.0, 10.0, 60.0] {
-        let mut p = Proxy::new(Settings { ask_registry: true, ask_within, ..settings() }, 3);
+        let mut p =
+            Proxy::new(Settings { polls_discovery: true, poll_interval: ask_within, ..settings() }, 3);
         for call in 0..50 {
-            let out = p.give(Event::RegistryFailed);
+            let out = p.give(Event::DiscoveryFailed);
             let pause = out.iter().find_map(|a| match a {
                 Action::SetTimer { after, token } if *token == 2 << 40 => Some(*after),
                 _ => None,
             });
             let pause = pause.expect("another call");
             assert!(pause > 0.0 && pause <= 1.35, "{pause} s after call {call} with {ask_within} s");
-            p.give(Event::Timer(2 << 40));
+            p.give(Event::TimerFired(2 << 40));
         }
     }
 }
@@ -213,8 +214,8 @@
 fn a_warm_server_gets_its_even_share_again() {
     let mut to_it = 0;
     for me in 0..150 {
-        let mut p = Proxy::new(Settings { me, proxies: 150.0, ..settings() }, 20);
-        p.give(list(&(1..=20).map(|i| ListEntry { born: 85.0, ..entry(i) }).collect::<Vec<_>>()));
+        let mut p = Proxy::new(Settings { instance_index: me, instance_count: 150.0, ..settings() }, 20);
+        p.give(list(&(1..=20).map(|i| ServerEntry { started_at: 85.0, ..entry(i) }).collect::<Vec<_>>()));
         for id in 0..3 {
             to_it += usize::from(p.connect(request(id, 100.0)) == Some(ServerId(4)));
         }
@@ -224,7 +225,7 @@
 
 #[test]
 fn a_lone_proxy_does_not_save_up_entries_for_a_burst() {
-    let mut p = Proxy::new(Settings { proxies: 1.0, warm_within: 23.0, ..settings() }, 10);
+    let mut p = Proxy::new(Settings { instance_count: 1.0, warm_up_time: 23.0, ..settings() }, 10);
     let mut timers = vec![(100.5, 1 << 40)];
     for id in 0..80 {
         let until = p.now + 0.2;
@@ -234,8 +235,8 @@
         p.end(id, at, 0, Outcome::Ok);
     }
     let now = p.now;
-    let reborn = ListEntry { born: now - 17.0, ..entry(4) };
-    p.give(Event::Servers { full: false, cached: false, entries: vec![reborn].into() });
+    let reborn = ServerEntry { started_at: now - 17.0, ..entry(4) };
+    p.give(Event::EndpointList { is_complete: false, is_cached: false, entries: vec![reborn].into() });
     let burst = (100..160).filter(|id| p.connect(request(*id, now)) == Some(ServerId(4))).count();
     assert!((1..=2).contains(&burst), "{burst} at once after 17 s without any");
 }
--- a/crates/decisions/tests/together.rs
+++ b/crates/decisions/tests/together.rs
@@ -18,7 +18,13 @@
 
 fn proxy(me: u64) -> Proxy {
     let tenant_quota = vec![50.0 * SERVERS as f64];
-    let set = Settings { me, proxies: PROXIES as f64, may_probe: true, tenant_quota, ..settings() };
+    let set = Settings {
+        instance_index: me,
+        instance_count: PROXIES as f64,
+        may_probe: true,
+        tenant_connection_quotas: tenant_quota,
+        ..settings()
+    };
     let mut p = Proxy { module: Balancer::new(set, me), now: 100.0 };
     p.give(Event::Start);
     p.give(list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
@@ -29,19 +35,19 @@
     Request { group, load: Some(0.1), ..request(id, now) }
 }
 
-type Told = BTreeMap<ServerId, Away>;
+type Told = BTreeMap<ServerId, RemoteLoad>;
 
 /// All servers are asked for this much by others, with connections of a tenth each, but for some.
 fn even(load: f64, but: &[(u64, f64)]) -> Told {
     let one = |id: u64| {
         let load = but.iter().find(|b| b.0 == id).map_or(load, |b| b.1);
-        (ServerId(id), Away { load, open: load * 10.0, groups: BTreeSet::new() })
+        (ServerId(id), RemoteLoad { load, connections: load * 10.0, groups: BTreeSet::new() })
     };
     (1..=SERVERS).map(one).collect()
 }
 
 fn tell(p: &mut Proxy, told: Told) {
-    p.give(Event::Elsewhere(Some(Arc::new(told))));
+    p.give(Event::RemoteLoadsUpdated(Some(Arc::new(told))));
 }
 
 fn asks_by_probe(actions: &[Action]) -> bool {
@@ -74,7 +80,7 @@
     for me in 0..PROXIES {
         let mut p = proxy(me);
         tell(&mut p, even(4.0, &[]));
-        let r = Request { returning: true, ..grouped(1, 7, 100.0) };
+        let r = Request { is_returning: true, ..grouped(1, 7, 100.0) };
         *at.entry(sent(&p.arrive(r)).expect("there is room")).or_default() += 1;
     }
     let most = at.values().max().copied().unwrap_or(0);
@@ -86,7 +92,7 @@
     let mut p = proxy(1);
     tell(&mut p, even(1.0, &[]));
     assert!(sent(&p.arrive(grouped(1, 7, p.now))).is_some());
-    p.give(Event::Elsewhere(None));
+    p.give(Event::RemoteLoadsUpdated(None));
     assert!(asks_by_probe(&p.arrive(grouped(2, 8, 100.0))), "too few are heard of: it sounds as before");
     tell(&mut p, even(1.0, &[]));
     p.now += 1.5;
@@ -100,10 +106,14 @@
     for me in 0..PROXIES {
         let mut p = proxy(me);
         let born = p.now - 3.0;
-        p.give(list(&[ListEntry { born, ..entry(1) }]));
-        p.give(Event::MeanLoad(0.1));
+        p.give(list(&[ServerEntry { started_at: born, ..entry(1) }]));
+        p.give(Event::MeanLoadEstimated(0.1));
         // It holds six mean connections by now; a rate would have let in ten from each proxy.
-        p.give(Event::Bears { server: ServerId(1), load: 0.6 / PROXIES as f64, entries: 10.0 });
+        p.give(Event::CapacityEstimated {
+            server: ServerId(1),
+            load: 0.6 / PROXIES as f64,
+            setup_rate: 10.0,
+        });
         tell(&mut p, Told::new());
         let r = grouped(1, 7, p.now);
         entered += usize::from(sent(&p.arrive(r)).is_some());
@@ -124,7 +134,7 @@
         let mut told = Told::new();
         for h in self.proxies.iter().flat_map(|p| p.module.holds()) {
             let away = told.entry(h.server).or_default();
-            (away.load, away.open) = (away.load + h.load, away.open + f64::from(h.open));
+            (away.load, away.connections) = (away.load + h.load, away.connections + f64::from(h.open));
             away.groups.insert(h.group as u32);
         }
         told
@@ -154,8 +164,9 @@
     /// What servers are asked for over the mean: the most and the least.
     fn spread(&self) -> (f64, f64) {
         let told = self.told();
-        let mean = told.values().map(|a| a.load).sum::<f64>() / told.values().map(|a| a.open).sum::<f64>();
-        let of = |a: &Away| a.load + 0.1 * mean * a.open + 2.0 * mean * a.groups.len() as f64;
+        let mean =
+            told.values().map(|a| a.load).sum::<f64>() / told.values().map(|a| a.connections).sum::<f64>();
+        let of = |a: &RemoteLoad| a.load + 0.1 * mean * a.connections + 2.0 * mean * a.groups.len() as f64;
         let all: Vec<f64> = (1..=SERVERS).map(|s| told.get(&ServerId(s)).map_or(0.0, of)).collect();
         let even = all.iter().sum::<f64>() / all.len() as f64;
         let (most, least) = all.iter().fold((0.0, f64::MAX), |t, x| (f64::max(t.0, *x), f64::min(t.1, *x)));
@@ -178,7 +189,7 @@
                 for p in &mut fleet.proxies {
                     tell(p, old.clone());
                     if id % 50 == 0 {
-                        p.give(Event::Timer(HOUSEKEEPING));
+                        p.give(Event::TimerFired(HOUSEKEEPING));
                     }
                 }
                 told.push(fleet.told());
--- a/crates/driver/benches/placement.rs
+++ b/crates/driver/benches/placement.rs
@@ -33,10 +33,17 @@
         let (stands, out) = (std::collections::VecDeque::new(), Vec::new());
         let mut rig = Rig { gate, now: 1.0, next: 0, tenants, stands, out };
         rig.tell(Event::Start);
-        let stage = Stage::Ready;
-        let entry = |s| ListEntry { server: ServerId(s), zone: 0, cell: 0, stage, weight: 1.0, born: 0.0 };
+        let stage = ServerState::Ready;
+        let entry = |s| ServerEntry {
+            server: ServerId(s),
+            zone: 0,
+            cell: 0,
+            state: stage,
+            weight: 1.0,
+            started_at: 0.0,
+        };
         let entries = (1..=40).map(entry).collect::<Vec<_>>().into();
-        rig.tell(Event::Servers { full: true, cached: false, entries });
+        rig.tell(Event::EndpointList { is_complete: true, is_cached: false, entries });
         (0..2_000).for_each(|_| rig.step());
         rig
     }
@@ -60,12 +67,12 @@
             deadline,
             load: None,
             group,
-            mid_flow: false,
-            returning: false,
+            is_mid_flow: false,
+            is_returning: false,
         };
-        self.tell(Event::Arrived(request));
+        self.tell(Event::RequestReceived(request));
         let sent = self.out.iter().find_map(|a| match a {
-            Action::Send { server, .. } => Some(*server),
+            Action::BeginAttempt { server, .. } => Some(*server),
             _ => None,
         });
         if let Some(server) = sent {
@@ -76,10 +83,17 @@
             && let Some((request, server)) = self.stands.pop_front()
         {
             let (outcome, complete, attempt) = (Outcome::Ok, true, 0);
-            self.tell(Event::Ended { request, server, attempt, outcome, complete, load_ratio: None });
+            self.tell(Event::AttemptEnded {
+                request,
+                server,
+                attempt,
+                outcome,
+                is_answered: complete,
+                load_ratio: None,
+            });
         }
         if self.next.is_multiple_of(500) {
-            self.tell(Event::Timer(1 << 40));
+            self.tell(Event::TimerFired(1 << 40));
         }
     }
 }
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -39,18 +39,29 @@
     let text = include_bytes!("settings.json");
     let set = shorewharf_settings::settings(text).expect("good settings").0;
     let mut gate = Gate::new(0, set, 7, &Operator::default());
-    let (zone, cell, stage, weight) = (0, 0, Stage::Ready, 4.0);
+    let (zone, cell, stage, weight) = (0, 0, ServerState::Ready, 4.0);
     let born = |id| if id == 1 { 95.0 } else { 0.0 };
-    let entry = |id| ListEntry { server: ServerId(id), zone, cell, stage, weight, born: born(id) };
+    let entry =
+        |id| ServerEntry { server: ServerId(id), zone, cell, state: stage, weight, started_at: born(id) };
     let entries = (1..=SERVERS).map(entry).collect::<Vec<_>>().into();
-    gate.handle(100.0, Event::Servers { full: true, cached: false, entries }, &mut Vec::new());
+    gate.handle(100.0, Event::EndpointList { is_complete: true, is_cached: false, entries }, &mut Vec::new());
     gate
 }
 
 fn request(id: u32) -> Request {
     let (class, tenant, deadline, load, group) = (0, 0, 102.0, Some(0.3), u64::from(id % 4));
     let (key, mid_flow, returning) = (u64::from(id) + 1, false, false);
-    Request { id: RequestId(id), class, tenant, key, deadline, load, group, mid_flow, returning }
+    Request {
+        id: RequestId(id),
+        class,
+        tenant,
+        key,
+        deadline,
+        load,
+        group,
+        is_mid_flow: mid_flow,
+        is_returning: returning,
+    }
 }
 
 fn read(gate: &Gate) -> Vec<Learned> {
@@ -72,7 +83,11 @@
 fn first() -> Vec<u8> {
     let (mut gate, mut out) = (gate(), Vec::new());
     for id in 0..12 {
-        gate.handle(100.0, Event::Open(request(id), ServerId(u64::from(id) % SERVERS + 1)), &mut out);
+        gate.handle(
+            100.0,
+            Event::ConnectionRestored(request(id), ServerId(u64::from(id) % SERVERS + 1)),
+            &mut out,
+        );
         gate.handle(100.0, Event::LoadChanged { request: RequestId(id), load: 0.2 }, &mut out);
     }
     for (id, outcome) in [(3, Outcome::Reset), (4, Outcome::Ok)] {
@@ -80,14 +95,14 @@
         let (attempt, complete, load_ratio) = (0, true, None);
         gate.handle(
             100.1,
-            Event::Ended { request, server, attempt, outcome, complete, load_ratio },
+            Event::AttemptEnded { request, server, attempt, outcome, is_answered: complete, load_ratio },
             &mut out,
         );
     }
     gate.handle(100.2, Event::MessageDelay { server: ServerId(2), delay: 0.2 }, &mut out);
     gate.handle(
         100.2,
-        Event::Probed { server: ServerId(5), outcome: Outcome::ConnectFailed, load_ratio: None },
+        Event::ProbeEnded { server: ServerId(5), outcome: Outcome::ConnectFailed, load_ratio: None },
         &mut out,
     );
     let lines: Vec<Value> = read(&gate).iter().map(|l| serde_json::to_value(l).expect("json")).collect();
@@ -161,14 +176,14 @@
     let mut answered = BTreeSet::new();
     for id in 20..28 {
         let mut out = Vec::new();
-        gate.handle(100.3, Event::Arrived(request(id)), &mut out);
+        gate.handle(100.3, Event::RequestReceived(request(id)), &mut out);
         note(&out, 100.3, &mut timers, &mut answered);
     }
     for _ in 0..400 {
         timers.sort_by(|a: &(f64, u64), b| b.0.total_cmp(&a.0));
         let Some((at, token)) = timers.pop().filter(|t| t.0 < 103.0) else { break };
         let mut out = Vec::new();
-        gate.handle(at, Event::Timer(token), &mut out);
+        gate.handle(at, Event::TimerFired(token), &mut out);
         note(&out, at, &mut timers, &mut answered);
     }
     if answered.len() != 8 {
@@ -191,7 +206,7 @@
     for action in out {
         match action {
             Action::SetTimer { after, token } => timers.push((now + after.max(0.001), *token)),
-            Action::Send { request, .. } | Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::BeginAttempt { request, .. } | Action::Reject { request, .. } | Action::Fail(request) => {
                 answered.insert(*request);
             }
             _ => {}
--- a/crates/driver/examples/recollect.rs
+++ b/crates/driver/examples/recollect.rs
@@ -16,10 +16,10 @@
     let text = include_bytes!("settings.json");
     let set = shorewharf_settings::settings(text).expect("good settings").0;
     let mut gate = Gate::new(0, set, 7, &Operator::default());
-    let (zone, cell, stage, weight, born) = (0, 0, Stage::Ready, 100.0, 0.0);
-    let entry = |id| ListEntry { server: ServerId(id), zone, cell, stage, weight, born };
+    let (zone, cell, stage, weight, born) = (0, 0, ServerState::Ready, 100.0, 0.0);
+    let entry = |id| ServerEntry { server: ServerId(id), zone, cell, state: stage, weight, started_at: born };
     let entries = (1..=servers).map(entry).collect::<Vec<_>>().into();
-    gate.handle(100.0, Event::Servers { full: true, cached: false, entries }, &mut Vec::new());
+    gate.handle(100.0, Event::EndpointList { is_complete: true, is_cached: false, entries }, &mut Vec::new());
     gate
 }
 
@@ -38,15 +38,16 @@
             deadline: 102.0,
             load: Some(0.01),
             group: u64::from(id) % 2000 + 1,
-            mid_flow: false,
-            returning: false,
+            is_mid_flow: false,
+            is_returning: false,
         };
         let server = ServerId(u64::from(id) % servers + 1);
-        gate.handle(100.0, Event::Open(request, server), &mut out);
+        gate.handle(100.0, Event::ConnectionRestored(request, server), &mut out);
         if id >= connections {
             let (request, outcome) = (RequestId(id), Outcome::Reset);
             let (attempt, complete, load_ratio) = (0, true, None);
-            let ended = Event::Ended { request, server, attempt, outcome, complete, load_ratio };
+            let ended =
+                Event::AttemptEnded { request, server, attempt, outcome, is_answered: complete, load_ratio };
             gate.handle(100.0, ended, &mut out);
         }
         out.clear();
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -69,7 +69,7 @@
 }
 
 fn longest(set: &Settings) -> Micros {
-    if set.retry_after { micros_from_seconds(set.max_retry_after) } else { 0 }
+    if set.sends_retry_after { micros_from_seconds(set.max_retry_after) } else { 0 }
 }
 
 impl Admission for Budgets {
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -153,19 +153,19 @@
         self.admissions.all().for_each(|a| a.hears(at, &event));
         let first = out.len();
         let ends = match &event {
-            Event::Timer(DUE) => {
+            Event::TimerFired(DUE) => {
                 self.wakes = None;
                 self.due(at, out);
                 return self.sleep(at, out);
             }
-            Event::Arrived(request) => {
+            Event::RequestReceived(request) => {
                 if let Some(after) = self.turns_away(at, request) {
-                    out.push(Action::Refuse { request: request.id, retry_after: seconds_from_micros(after) });
+                    out.push(Action::Reject { request: request.id, retry_after: seconds_from_micros(after) });
                     return self.tell_log(at, out);
                 }
                 None
             }
-            Event::Open(request, _) => {
+            Event::ConnectionRestored(request, _) => {
                 let held = Held { request: *request, out: false, stands: true, moves: false };
                 self.held.insert(request.id, held);
                 self.admissions.all().for_each(|a| a.carried(at, request));
@@ -175,10 +175,10 @@
                 self.comes_up(at, *request);
                 None
             }
-            Event::Ended { request, outcome, complete, .. } => {
+            Event::AttemptEnded { request, outcome, is_answered: complete, .. } => {
                 self.attempt_ends(*request, *outcome, *complete)
             }
-            Event::ClientGone(id) => {
+            Event::ClientLeft(id) => {
                 self.held.get(id).filter(|h| !h.out && !h.stands).map(|_| (*id, Fate::Left))
             }
             _ => None,
@@ -189,10 +189,10 @@
         }
         for action in &out[first..] {
             match action {
-                Action::Send { request, .. } => {
+                Action::BeginAttempt { request, .. } => {
                     self.held.entry(*request).and_modify(|h| h.out = true);
                 }
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     self.over(at, *request, Fate::Refused);
                 }
                 _ => {}
@@ -273,7 +273,7 @@
                 for id in ids {
                     self.held.entry(id).and_modify(|h| h.moves = true);
                     self.balancer.moved(id);
-                    out.push(Action::Move(id));
+                    out.push(Action::Migrate(id));
                 }
             }
         }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -53,7 +53,7 @@
         /// The list from the configuration rather than news.
         cached: bool,
         /// The servers.
-        entries: Vec<ListEntry>,
+        entries: Vec<ServerEntry>,
     },
     /// The director's call failed or its watch ended.
     DiscoveryFailed,
@@ -76,7 +76,7 @@
     /// A probe is over.
     Probed(ServerId, Outcome),
     /// What other balancers hold by now; none where too few are heard of.
-    Elsewhere(Option<Arc<BTreeMap<ServerId, Away>>>),
+    Elsewhere(Option<Arc<BTreeMap<ServerId, RemoteLoad>>>),
 }
 
 /// What the driver asks of the effects. What comes of it is told as a [`NetworkEvent`], at once or later.
@@ -130,7 +130,7 @@
         set: Settings,
         operator: &Operator,
         seed: u64,
-        known: Vec<ListEntry>,
+        known: Vec<ServerEntry>,
         effects: &mut impl Effects,
     ) -> Self {
         let max_attempts = set.max_attempts;
@@ -173,25 +173,25 @@
             deadline: seconds_from_micros(req.deadline),
             load: req.load,
             group: req.group,
-            mid_flow: false,
-            returning: req.returning,
+            is_mid_flow: false,
+            is_returning: req.returning,
         }
     }
 
     fn on_network_event(&mut self, network_event: NetworkEvent, effects: &mut impl Effects) {
         let event = match network_event {
             NetworkEvent::Listed { full, cached, entries } => {
-                Event::Servers { full, cached, entries: entries.into() }
+                Event::EndpointList { is_complete: full, is_cached: cached, entries: entries.into() }
             }
-            NetworkEvent::DiscoveryFailed => Event::RegistryFailed,
+            NetworkEvent::DiscoveryFailed => Event::DiscoveryFailed,
             NetworkEvent::RequestReceived(req) => {
                 self.reqs.insert(req.id, Sent::default());
-                Event::Arrived(Driver::request(&req))
+                Event::RequestReceived(Driver::request(&req))
             }
             NetworkEvent::Carried(req, server) => {
                 let sent = Sent { attempts: 1, out: Some(server), stands: true, finished: false };
                 self.reqs.insert(req.id, sent);
-                Event::Open(Driver::request(&req), server)
+                Event::ConnectionRestored(Driver::request(&req), server)
             }
             NetworkEvent::AttemptTaken(request) => {
                 let Some(sent) = self.reqs.get_mut(&request).filter(|s| s.out.is_some()) else { return };
@@ -214,22 +214,29 @@
                 // it was answered before; else the module still owes the final answer.
                 sent.finished |= sent.stands || outcome == Outcome::Ok;
                 let (attempt, complete) = (sent.attempts - 1, sent.finished);
-                Event::Ended { request, server, attempt, outcome, complete, load_ratio: None }
+                Event::AttemptEnded {
+                    request,
+                    server,
+                    attempt,
+                    outcome,
+                    is_answered: complete,
+                    load_ratio: None,
+                }
             }
             NetworkEvent::ClientLeft(request) => {
                 let Some(sent) = self.reqs.get_mut(&request) else { return };
                 if std::mem::replace(&mut sent.finished, true) {
                     return;
                 }
-                Event::ClientGone(request)
+                Event::ClientLeft(request)
             }
-            NetworkEvent::TimerFired(token) => Event::Timer(token),
-            NetworkEvent::Elsewhere(away) => Event::Elsewhere(away),
-            NetworkEvent::Probed(server, outcome) => Event::Probed { server, outcome, load_ratio: None },
+            NetworkEvent::TimerFired(token) => Event::TimerFired(token),
+            NetworkEvent::Elsewhere(away) => Event::RemoteLoadsUpdated(away),
+            NetworkEvent::Probed(server, outcome) => Event::ProbeEnded { server, outcome, load_ratio: None },
         };
         let concerned = match &event {
-            Event::Ended { request, .. } => Some(*request),
-            Event::ClientGone(request) => Some(*request),
+            Event::AttemptEnded { request, .. } => Some(*request),
+            Event::ClientLeft(request) => Some(*request),
             _ => None,
         };
         self.tell(event, effects);
@@ -260,7 +267,7 @@
 
     fn carry_out(&mut self, action: Action, effects: &mut impl Effects) {
         match action {
-            Action::Send { request, server, timeout } => {
+            Action::BeginAttempt { request, server, timeout } => {
                 let most = self.max_attempts;
                 let may = |s: &&mut Sent| !s.finished && s.out.is_none() && s.attempts < most;
                 // One fetch at a time: a second one for the same req would be a second copy.
@@ -269,7 +276,7 @@
                 sent.out = Some(server);
                 effects.begin_attempt(request, server, micros_from_seconds(timeout));
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 if self.finish(request) {
                     effects.refuse(request, micros_from_seconds(retry_after));
                 }
@@ -279,13 +286,13 @@
                     effects.fail(request);
                 }
             }
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let out = |s: &Sent| s.out.is_some() && !s.stands && s.attempts == attempt + 1;
                 if self.reqs.get(&request).is_some_and(out) {
                     effects.cancel_attempt(request);
                 }
             }
-            Action::Move(request) => {
+            Action::Migrate(request) => {
                 if self.reqs.get(&request).is_some_and(|s| s.stands) {
                     effects.move_away(request);
                 }
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -16,28 +16,28 @@
 /// Each worker is an instance of its own; the other balancers are taken to have as many.
 fn terms(set: &Settings, operator: &Operator) -> Terms {
     let (terms, workers) = (&operator.tenancy, operator.workers.max(1) as f64);
-    let wait = if set.retry_after { micros_from_seconds(set.max_retry_after) } else { 0 };
+    let wait = if set.sends_retry_after { micros_from_seconds(set.max_retry_after) } else { 0 };
     Terms {
         lend: terms.lend,
         ration: terms.ration,
         moves_per_s: terms.moves_per_s / workers,
         longest_wait: wait,
-        ..Terms::new(set.proxies * workers)
+        ..Terms::new(set.instance_count * workers)
     }
 }
 
 /// A tenant's limits by the settings; none where they say nothing that could be kept.
 fn limits(set: &Settings, tenant: usize) -> Option<Limits> {
-    let quota = set.tenant_quota.get(tenant).copied().filter(|q| *q > 0.0)?;
+    let quota = set.tenant_connection_quotas.get(tenant).copied().filter(|q| *q > 0.0)?;
     // Without a word on set-ups, all of a share may be set up within a second.
-    let rate = set.tenant_rate.get(tenant).copied().filter(|r| *r > 0.0).unwrap_or(quota);
+    let rate = set.tenant_rate_quotas.get(tenant).copied().filter(|r| *r > 0.0).unwrap_or(quota);
     Limits::new(quota, rate).ok()
 }
 
 impl Tenants {
     /// The tenants of these settings; none where shares are not to be kept or the settings know of none.
     pub fn new(now: Micros, set: &Settings, said: &Operator) -> Option<Tenants> {
-        if !said.tenancy.on || set.tenant_quota.iter().all(|q| *q <= 0.0) {
+        if !said.tenancy.on || set.tenant_connection_quotas.iter().all(|q| *q <= 0.0) {
             return None;
         }
         let mut tenants = Tenants { tenancy: Tenancy::new(terms(set, said), now) };
@@ -47,7 +47,7 @@
 
     fn take(&mut self, now: Micros, set: &Settings) {
         // A first line that names no tenant counts as the first one's, so there is always a place for it.
-        for tenant in 0..set.tenant_quota.len().max(set.tenant_rate.len()).max(1) {
+        for tenant in 0..set.tenant_connection_quotas.len().max(set.tenant_rate_quotas.len()).max(1) {
             self.tenancy.set(now, Place(tenant), limits(set, tenant));
         }
     }
@@ -60,7 +60,7 @@
 
 impl Admission for Tenants {
     fn asked(&mut self, now: Micros, request: &Request) -> Verdict {
-        match self.tenancy.asked(now, Place(request.tenant), request.returning) {
+        match self.tenancy.asked(now, Place(request.tenant), request.is_returning) {
             Said::Admit => Verdict::Admit,
             Said::TurnAway { after, why } => Verdict::TurnAway { after, why: why.text() },
         }
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -67,8 +67,8 @@
     peers: Notes,
 }
 
-fn entry(server: u64, stage: Stage) -> ListEntry {
-    ListEntry { server: ServerId(server), zone: 0, cell: 0, stage, weight: 1.0, born: 0.0 }
+fn entry(server: u64, stage: ServerState) -> ServerEntry {
+    ServerEntry { server: ServerId(server), zone: 0, cell: 0, state: stage, weight: 1.0, started_at: 0.0 }
 }
 
 impl Rig {
@@ -79,7 +79,7 @@
             "rules":{"ask_within_s":10}}"#;
         let set = shorewharf_settings::settings(text).expect("settings").0;
         let mut peers = Notes { now: 1_700_000_000_000_000, ..Notes::default() };
-        let known = (1..=servers).map(|s| entry(s, Stage::Ready)).collect();
+        let known = (1..=servers).map(|s| entry(s, ServerState::Ready)).collect();
         Rig { driver: Driver::start(set, &Operator::default(), 3, known, &mut peers), peers }
     }
 
@@ -148,9 +148,9 @@
     rig.asked(7);
     rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
     rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
-    let last = rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Full));
+    let last = rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Rejected));
     assert!(matches!(last[..], [Call::Refuse(ID, wait)] if wait > 0), "{last:?}");
-    assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Full)), []);
+    assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Rejected)), []);
     assert_eq!(rig.driver.open_reqs(), 0);
 }
 
@@ -199,7 +199,7 @@
     let mut rig = Rig::new(2);
     let server = fetched(&rig.asked(7));
     rig.happens(NetworkEvent::AttemptTaken(ID));
-    let entries = vec![entry(server.0, Stage::Draining)];
+    let entries = vec![entry(server.0, ServerState::Draining)];
     let calls = rig.happens(NetworkEvent::Listed { full: false, cached: false, entries });
     assert_eq!(calls, [Call::Move(ID)]);
     assert_eq!(rig.driver.open_reqs(), 0);
@@ -225,7 +225,7 @@
     assert_eq!(rig.happens(NetworkEvent::Carried(req, ServerId(1))), []);
     // It stands: its deadline binds no more.
     assert_eq!(rig.waits(5_000_000).iter().filter(|c| **c != Call::Watch).count(), 0);
-    let entries = vec![entry(1, Stage::Draining)];
+    let entries = vec![entry(1, ServerState::Draining)];
     assert_eq!(rig.happens(NetworkEvent::Listed { full: false, cached: false, entries }), [Call::Move(ID)]);
 }
 
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -13,7 +13,17 @@
 fn request(id: u32, tenant: usize, now: f64) -> Request {
     let (class, key, deadline) = (0, u64::from(id), now + 3.0);
     let (load, group, mid_flow, returning) = (None, 0, false, false);
-    Request { id: RequestId(id), class, tenant, key, deadline, load, group, mid_flow, returning }
+    Request {
+        id: RequestId(id),
+        class,
+        tenant,
+        key,
+        deadline,
+        load,
+        group,
+        is_mid_flow: mid_flow,
+        is_returning: returning,
+    }
 }
 
 impl Rig {
@@ -29,10 +39,10 @@
         rig.tell(Event::Start);
         let entry = |s| {
             let server = ServerId(s);
-            ListEntry { server, zone: 0, cell: 0, stage: Stage::Ready, weight: 1.0, born: 0.0 }
+            ServerEntry { server, zone: 0, cell: 0, state: ServerState::Ready, weight: 1.0, started_at: 0.0 }
         };
         let entries = vec![entry(1), entry(2)].into();
-        rig.tell(Event::Servers { full: true, cached: false, entries });
+        rig.tell(Event::EndpointList { is_complete: true, is_cached: false, entries });
         rig
     }
 
@@ -45,14 +55,14 @@
     fn asks(&mut self, tenant: usize) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = request(self.next, tenant, self.now);
-        (request.id, self.tell(Event::Arrived(request)))
+        (request.id, self.tell(Event::RequestReceived(request)))
     }
 
     /// A client comes up; where.
     fn stands(&mut self, tenant: usize) -> Option<(RequestId, ServerId)> {
         let (request, actions) = self.asks(tenant);
         let server = actions.iter().find_map(|a| match a {
-            Action::Send { server, .. } => Some(*server),
+            Action::BeginAttempt { server, .. } => Some(*server),
             _ => None,
         })?;
         self.tell(Event::Established { request, attempt: 0 });
@@ -65,7 +75,14 @@
         outcome: Outcome,
         complete: bool,
     ) -> Vec<Action> {
-        self.tell(Event::Ended { request, server, attempt: 0, outcome, complete, load_ratio: None })
+        self.tell(Event::AttemptEnded {
+            request,
+            server,
+            attempt: 0,
+            outcome,
+            is_answered: complete,
+            load_ratio: None,
+        })
     }
 
     fn used(&mut self, tenant: usize) -> u64 {
@@ -84,7 +101,7 @@
     // Its own ten; nothing is lent beyond 0.4 of twenty.
     assert_eq!((up.len(), rig.used(0)), (10, 10));
     let (id, actions) = rig.asks(0);
-    let [Action::Refuse { request, retry_after }] = actions[..] else { panic!("{actions:?}") };
+    let [Action::Reject { request, retry_after }] = actions[..] else { panic!("{actions:?}") };
     assert!(request == id && retry_after > 0.0 && retry_after <= 1.5, "{retry_after}");
     assert_eq!(rig.gate.turned_away().get("tenant-connections"), Some(&31));
     assert!(rig.stands(1).is_some());
@@ -100,33 +117,44 @@
     assert_eq!(rig.used(0), 8);
     // A client that leaves while its attempt is out gives its place back when that has ended.
     let (id, sent) = rig.asks(0);
-    let Some(Action::Send { server, .. }) = sent.iter().find(|a| matches!(a, Action::Send { .. })) else {
+    let Some(Action::BeginAttempt { server, .. }) =
+        sent.iter().find(|a| matches!(a, Action::BeginAttempt { .. }))
+    else {
         panic!("{sent:?}")
     };
-    rig.tell(Event::ClientGone(id));
+    rig.tell(Event::ClientLeft(id));
     assert_eq!(rig.used(0), 9);
     rig.ends((id, *server), Outcome::Cancelled, true);
     assert_eq!(rig.used(0), 8);
     // One that all servers turn away is refused by the module.
     let (id, mut actions) = rig.asks(0);
     let mut attempt = 0;
-    while let Some(Action::Send { server, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. })) {
-        let (server, outcome, complete) = (*server, Outcome::Full, false);
-        let ended = Event::Ended { request: id, server, attempt, outcome, complete, load_ratio: None };
+    while let Some(Action::BeginAttempt { server, .. }) =
+        actions.iter().find(|a| matches!(a, Action::BeginAttempt { .. }))
+    {
+        let (server, outcome, complete) = (*server, Outcome::Rejected, false);
+        let ended = Event::AttemptEnded {
+            request: id,
+            server,
+            attempt,
+            outcome,
+            is_answered: complete,
+            load_ratio: None,
+        };
         actions = rig.tell(ended);
         attempt += 1;
         if actions.iter().any(|a| matches!(a, Action::SetTimer { .. })) && !sends(&actions) {
             // Held until its deadline's timer, as no server is left.
             rig.now += 3.0;
-            actions = rig.tell(Event::Timer(4 << 40 | u64::from(id.0)));
+            actions = rig.tell(Event::TimerFired(4 << 40 | u64::from(id.0)));
         }
     }
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
     assert_eq!(rig.used(0), 8);
 }
 
 fn sends(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Send { .. }))
+    actions.iter().any(|a| matches!(a, Action::BeginAttempt { .. }))
 }
 
 /// Failure: a tenant is removed while its streams stand and one of its clients is being set up. Promise: its standing
@@ -137,13 +165,14 @@
     let up: Vec<_> = (0..8).filter_map(|_| rig.stands(0)).collect();
     rig.stands(1).expect("served");
     let (waits, sent) = rig.asks(0);
-    let server =
-        sent.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None });
+    let server = sent
+        .iter()
+        .find_map(|a| if let Action::BeginAttempt { server, .. } = a { Some(*server) } else { None });
     let late = (waits, server.expect("sent"));
     let now = shorewharf_units::micros_from_seconds(rig.now);
     rig.gate.tenants().expect("kept").tenancy().remove(now, shorewharf_tenancy::Place(0));
     // Any event sets the timer.
-    let mut actions = rig.tell(Event::Timer(77));
+    let mut actions = rig.tell(Event::TimerFired(77));
     let (mut moved, began) = (Vec::new(), rig.now);
     loop {
         let timer = actions.iter().find_map(|a| match a {
@@ -152,9 +181,11 @@
         });
         let Some(after) = timer else { break };
         rig.now += after;
-        actions = rig.tell(Event::Timer(1 << 63));
-        let ids: Vec<RequestId> =
-            actions.iter().filter_map(|a| if let Action::Move(id) = a { Some(*id) } else { None }).collect();
+        actions = rig.tell(Event::TimerFired(1 << 63));
+        let ids: Vec<RequestId> = actions
+            .iter()
+            .filter_map(|a| if let Action::Migrate(id) = a { Some(*id) } else { None })
+            .collect();
         for id in ids {
             moved.push(id);
             let on = *up.iter().chain([&late]).find(|u| u.0 == id).expect("it stands, and is the tenant's");
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use shorewharf_decisions::Holding;
-use shorewharf_decisions::interface::{Away, ServerId};
+use shorewharf_decisions::interface::{RemoteLoad, ServerId};
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_units::Micros;
 
@@ -15,7 +15,7 @@
 /// have to see the same, whoever comes first.
 const BACK: u64 = 2;
 
-type Told = Arc<BTreeMap<ServerId, Away>>;
+type Told = Arc<BTreeMap<ServerId, RemoteLoad>>;
 
 #[derive(Debug, Default)]
 struct Moment {
@@ -45,19 +45,19 @@
         for h in before.held.get(&who).into_iter().flatten() {
             if let Some(away) = others.get_mut(&h.server) {
                 away.load = (away.load - h.load).max(0.0);
-                away.open = (away.open - f64::from(h.open)).max(0.0);
+                away.connections = (away.connections - f64::from(h.open)).max(0.0);
             }
         }
         Some(Arc::new(others))
     }
 }
 
-fn sum(held: &BTreeMap<BalancerId, Vec<Holding>>) -> BTreeMap<ServerId, Away> {
-    let mut all = BTreeMap::<ServerId, Away>::new();
+fn sum(held: &BTreeMap<BalancerId, Vec<Holding>>) -> BTreeMap<ServerId, RemoteLoad> {
+    let mut all = BTreeMap::<ServerId, RemoteLoad>::new();
     for h in held.values().flatten() {
         let away = all.entry(h.server).or_default();
         away.load += h.load;
-        away.open += f64::from(h.open);
+        away.connections += f64::from(h.open);
         if h.group != 0 {
             // Notes name groups by the lower half of their ids.
             away.groups.insert(h.group as u32);
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::sync::{Arc, RwLock};
 
-use shorewharf_decisions::interface::{ListEntry, Settings};
+use shorewharf_decisions::interface::{ServerEntry, Settings};
 use shorewharf_driver::{Driver, NetworkEvent};
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, FromBalancer, ToBalancer};
@@ -185,7 +185,7 @@
 }
 
 impl Make {
-    fn brain(&self, set: &Settings, seed: u64, known: Vec<ListEntry>, peers: &mut Emulated) -> Brain {
+    fn brain(&self, set: &Settings, seed: u64, known: Vec<ServerEntry>, peers: &mut Emulated) -> Brain {
         let pick = match self.who {
             Who::Module => {
                 let driver = Driver::start(set.clone(), &self.operator, seed, known, peers);
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, PoisonError, RwLock};
 
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Settings, Stage};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState, Settings};
 use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_emulator::virtual_time::Truth;
 use shorewharf_units::Micros;
@@ -68,13 +68,13 @@
     pub(super) fn start(
         truth: Arc<RwLock<Vec<Truth>>>,
         set: &Settings,
-        known: &[ListEntry],
+        known: &[ServerEntry],
         peers: &mut Emulated,
     ) -> Oracle {
         let mut oracle = Oracle {
             truth,
             max_attempts: set.max_attempts,
-            proxies: set.proxies.max(1.0),
+            proxies: set.instance_count.max(1.0),
             ready: BTreeSet::new(),
             held: BTreeMap::new(),
             waiting: Vec::new(),
@@ -94,12 +94,12 @@
         }
     }
 
-    fn listed(&mut self, full: bool, entries: &[ListEntry]) {
+    fn listed(&mut self, full: bool, entries: &[ServerEntry]) {
         if full {
             self.ready.clear();
         }
         for e in entries {
-            if e.stage == Stage::Ready {
+            if e.state == ServerState::Ready {
                 self.ready.insert(e.server);
             } else {
                 self.ready.remove(&e.server);
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Stage};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
 use shorewharf_driver::{Effects, NetworkEvent, ReceivedRequest};
 use shorewharf_emulator::edge::*;
 use shorewharf_emulator::virtual_time::Truth;
@@ -90,7 +90,7 @@
     by_conn: HashMap<ConnId, RequestId>,
     by_link: HashMap<LinkId, RequestId>,
     probes: HashMap<LinkId, ServerId>,
-    stages: Vec<Option<Stage>>,
+    stages: Vec<Option<ServerState>>,
     heard: Vec<Option<Heard>>,
     watching: bool,
     leaving: Option<Micros>,
@@ -212,14 +212,14 @@
     }
 
     /// Takes entries into the table of stages; what the module is told of them.
-    pub fn listed(&mut self, full: bool, entries: &[Listed]) -> Vec<ListEntry> {
+    pub fn listed(&mut self, full: bool, entries: &[Listed]) -> Vec<ServerEntry> {
         if full {
-            self.stages.iter_mut().flatten().for_each(|s| *s = Stage::Gone);
+            self.stages.iter_mut().flatten().for_each(|s| *s = ServerState::Removed);
         }
         let mut told = Vec::with_capacity(entries.len());
         for e in entries {
             let entry = self.places.entry(e);
-            self.stages[e.node.0 as usize] = Some(entry.stage);
+            self.stages[e.node.0 as usize] = Some(entry.state);
             told.push(entry);
         }
         told
@@ -275,7 +275,7 @@
         let node = self.places.node(server).filter(|n| {
             let stage = self.stages[n.0 as usize];
             // A standing connection's own server is asked for even while it drains.
-            stage == Some(Stage::Ready) || (home && stage.is_some())
+            stage == Some(ServerState::Ready) || (home && stage.is_some())
         });
         let Some(node) = node else { return self.fetch_ended(id, Outcome::NotSent) };
         let link = LinkId(self.next_link);
@@ -387,7 +387,7 @@
         }
         let outcome = match word {
             NodeWord::Up => return self.up(id, server, link),
-            NodeWord::Busy => Outcome::Full,
+            NodeWord::Busy => Outcome::Rejected,
             NodeWord::Move => Outcome::Cancelled,
             NodeWord::Bye => Outcome::Ok,
             _ => Outcome::Error,
--- a/crates/lab/src/instances/places.rs
+++ b/crates/lab/src/instances/places.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
+use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{self, Listed, NodeId};
 use shorewharf_units::Micros;
@@ -73,14 +73,14 @@
     }
 
     /// A line of the list as the module gets it.
-    pub fn entry(&self, listed: &Listed) -> ListEntry {
+    pub fn entry(&self, listed: &Listed) -> ServerEntry {
         let (server, zone, cell, weight) = self.0.servers[listed.node.0 as usize];
         let stage = match listed.stage {
-            edge::Stage::Ready => Stage::Ready,
-            edge::Stage::Draining => Stage::Draining,
-            edge::Stage::Gone => Stage::Gone,
+            edge::Stage::Ready => ServerState::Ready,
+            edge::Stage::Draining => ServerState::Draining,
+            edge::Stage::Gone => ServerState::Removed,
         };
         let born = listed.born.map_or(0.0, |t| self.clock(t) as f64 / 1e6);
-        ListEntry { server, zone, cell, stage, weight, born }
+        ServerEntry { server, zone, cell, state: stage, weight, started_at: born }
     }
 }
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -6,7 +6,7 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Settings, Stage};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState, Settings};
 use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_units::Micros;
 
@@ -42,7 +42,7 @@
     pick: Pick,
     rng: Pcg64Mcg,
     max_attempts: u32,
-    ready: BTreeMap<ServerId, Stage>,
+    ready: BTreeMap<ServerId, ServerState>,
     next: usize,
     reqs: HashMap<RequestId, Waiting>,
     /// Its own attempts and connections.
@@ -54,7 +54,7 @@
         pick: Pick,
         set: &Settings,
         seed: u64,
-        known: Vec<ListEntry>,
+        known: Vec<ServerEntry>,
         peers: &mut Emulated,
     ) -> Policy {
         let mut policy = Policy {
@@ -79,13 +79,13 @@
         }
     }
 
-    fn listed(&mut self, full: bool, entries: &[ListEntry]) {
+    fn listed(&mut self, full: bool, entries: &[ServerEntry]) {
         if full {
             self.ready.clear();
         }
         for e in entries {
-            match e.stage {
-                Stage::Ready => self.ready.insert(e.server, e.stage),
+            match e.state {
+                ServerState::Ready => self.ready.insert(e.server, e.state),
                 _ => self.ready.remove(&e.server),
             };
         }
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -186,20 +186,26 @@
     day.prices.moves = 0.02;
     let text = settings::json(&day, BalancerId(2));
     let (set, _) = shorewharf_settings::settings(text.as_bytes()).expect("settings");
-    assert_eq!((set.me, set.proxies, set.zone), (2, day.balancers.len() as f64, day.balancers[2].zone));
-    assert_eq!(set.zones, day.zones.len() as f64);
+    assert_eq!(
+        (set.instance_index, set.instance_count, set.zone),
+        (2, day.balancers.len() as f64, day.balancers[2].zone)
+    );
+    assert_eq!(set.zone_count, day.zones.len() as f64);
     assert!(
-        set.ask_registry
+        set.polls_discovery
             && set.may_probe
-            && !set.pass_through
-            && set.groups == (day.streams.group_cost > 0.0)
+            && !set.is_pass_through
+            && set.has_groups == (day.streams.group_cost > 0.0)
     );
-    assert_eq!((set.max_attempts, set.max_retry_after, set.warm_within), (4, 1.75, 23.0));
-    assert_eq!((set.fall_multiple, set.ask_within, set.move_price), (2.5, 9.0, 0.02));
+    assert_eq!((set.max_attempts, set.max_retry_after, set.warm_up_time), (4, 1.75, 23.0));
+    assert_eq!((set.overload_ratio, set.poll_interval, set.migration_cost), (2.5, 9.0, 0.02));
     assert_eq!((set.tick, set.connect_timeout), (s(day.tick), s(day.limits.connect_timeout)));
-    assert_eq!(set.start_capacity, day.rules.stated_cold_from);
+    assert_eq!(set.cold_capacity_ratio, day.rules.stated_cold_from);
     let class = &set.classes[0];
-    assert_eq!((class.aim, class.message_aim), (s(day.classes[0].aim), s(day.classes[0].message_aim)));
-    assert_eq!(set.tenant_quota.len(), day.tenants.len());
-    assert!(set.tenant_quota.iter().all(|q| *q >= 1.0));
+    assert_eq!(
+        (class.latency_objective, class.message_latency_objective),
+        (s(day.classes[0].aim), s(day.classes[0].message_aim))
+    );
+    assert_eq!(set.tenant_connection_quotas.len(), day.tenants.len());
+    assert!(set.tenant_connection_quotas.iter().all(|q| *q >= 1.0));
 }
--- a/crates/lifecycle/src/guard.rs
+++ b/crates/lifecycle/src/guard.rs
@@ -1,7 +1,7 @@
 //! The guard: all requests of a process, and what was forbidden of them.
 
 use rustc_hash::FxHashMap;
-use shorewharf_decisions::interface::{Outcome, RequestId, Semantics, ServerId};
+use shorewharf_decisions::interface::{Idempotency, Outcome, RequestId, ServerId};
 use shorewharf_units::Micros;
 use thiserror::Error;
 
@@ -32,8 +32,8 @@
 
 impl RequestGuard {
     /// A request has been read; this is what repeating it may do.
-    pub fn receive(&mut self, id: RequestId, semantics: Semantics) {
-        self.requests.insert(id, Request::new(semantics));
+    pub fn receive(&mut self, id: RequestId, idempotency: Idempotency) {
+        self.requests.insert(id, Request::new(idempotency));
     }
 
     /// The decision module has been told of a request.
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,6 +1,6 @@
 //! One request: its state, and what it allows next.
 
-use shorewharf_decisions::interface::{Outcome, Scope, Semantics, ServerId};
+use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, Outcome, ServerId};
 use shorewharf_units::Micros;
 use thiserror::Error;
 
@@ -81,7 +81,7 @@
 /// One request, from its first line to its end.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    semantics: Semantics,
+    idempotency: Idempotency,
     state: RequestState,
     /// Attempts begun.
     attempts: u32,
@@ -91,8 +91,8 @@
 
 impl Request {
     /// A request that has been read. What repeating it may do is settled now: a new configuration does not change it.
-    pub fn new(semantics: Semantics) -> Self {
-        Request { semantics, state: RequestState::Received, attempts: 0, target: None, possible_run: None }
+    pub fn new(idempotency: Idempotency) -> Self {
+        Request { idempotency, state: RequestState::Received, attempts: 0, target: None, possible_run: None }
     }
 
     pub fn state(&self) -> RequestState {
@@ -121,7 +121,11 @@
 
     /// Whether a client that is told to try again can do no harm by it.
     pub fn is_refusable(&self) -> bool {
-        !self.may_have_run() || matches!(self.semantics, Semantics::Safe | Semantics::Keyed(Scope::All, _))
+        !self.may_have_run()
+            || matches!(
+                self.idempotency,
+                Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
+            )
     }
 
     pub fn queue(&mut self) {
@@ -210,18 +214,18 @@
 
     fn check_repeat(&self, target: Target) -> Result<(), Rule> {
         let Some(run) = self.possible_run else { return Ok(()) };
-        let is_allowed = match self.semantics {
-            Semantics::Safe => true,
-            Semantics::Unsafe => false,
-            Semantics::Keyed(Scope::All, _) => true,
-            Semantics::Keyed(Scope::Zone, _) => run.target.zone == target.zone,
-            Semantics::Keyed(Scope::Cell, _) => run.target.cell == target.cell,
+        let is_allowed = match self.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed(DeduplicationScope::All, _) => true,
+            Idempotency::Keyed(DeduplicationScope::Zone, _) => run.target.zone == target.zone,
+            Idempotency::Keyed(DeduplicationScope::Cell, _) => run.target.cell == target.cell,
         };
         if is_allowed { Ok(()) } else { Err(Rule::RepeatedAfterRun) }
     }
 
     fn is_window_over(&self, now: Micros) -> bool {
-        let (Some(run), Semantics::Keyed(_, window)) = (self.possible_run, self.semantics) else {
+        let (Some(run), Idempotency::Keyed(_, window)) = (self.possible_run, self.idempotency) else {
             return false;
         };
         let window = (window * 1e6) as Micros;
--- a/crates/lifecycle/src/stats.rs
+++ b/crates/lifecycle/src/stats.rs
@@ -102,7 +102,7 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
-        Outcome::Full => "turned-away",
+        Outcome::Rejected => "turned-away",
         Outcome::TimedOut => "timed-out",
         Outcome::ConnectFailed => "connect-failed",
         Outcome::Reset => "reset",
--- a/crates/lifecycle/tests/duplicates.rs
+++ b/crates/lifecycle/tests/duplicates.rs
@@ -2,7 +2,7 @@
 //! verdict from both.
 
 use proptest::prelude::*;
-use shorewharf_decisions::interface::{Outcome, RequestId, Scope, Semantics, ServerId};
+use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, Outcome, RequestId, ServerId};
 use shorewharf_lifecycle::{Answer, Cause, RequestGuard, Rule, Target};
 use shorewharf_units::Micros;
 
@@ -38,7 +38,7 @@
 /// The rule, written down without a state machine: all attempts so far, and whether the client has its answer.
 #[derive(Debug)]
 struct Model {
-    semantics: Semantics,
+    idempotency: Idempotency,
     attempts: Vec<Attempt>,
     is_answered: bool,
 }
@@ -49,21 +49,24 @@
     }
 
     fn may_refuse(&self) -> bool {
-        let is_harmless = matches!(self.semantics, Semantics::Safe | Semantics::Keyed(Scope::All, _));
+        let is_harmless = matches!(
+            self.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
+        );
         is_harmless || self.runs().next().is_none()
     }
 
     fn may_go_to(&self, target: Target) -> bool {
-        self.runs().all(|run| match self.semantics {
-            Semantics::Safe | Semantics::Keyed(Scope::All, _) => true,
-            Semantics::Unsafe => false,
-            Semantics::Keyed(Scope::Zone, _) => run.target.zone == target.zone,
-            Semantics::Keyed(Scope::Cell, _) => run.target.cell == target.cell,
+        self.runs().all(|run| match self.idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _) => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed(DeduplicationScope::Zone, _) => run.target.zone == target.zone,
+            Idempotency::Keyed(DeduplicationScope::Cell, _) => run.target.cell == target.cell,
         })
     }
 
     fn is_in_window(&self, now: Micros) -> bool {
-        let Semantics::Keyed(_, window) = self.semantics else { return true };
+        let Idempotency::Keyed(_, window) = self.idempotency else { return true };
         let first = self.runs().filter_map(|run| run.sent_at).min();
         first.is_none_or(|sent_at| now + HOLD_UP < sent_at + (window * 1e6) as Micros)
     }
@@ -73,12 +76,16 @@
     }
 }
 
-fn semantics() -> impl Strategy<Value = Semantics> {
-    let scope = prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Cell)];
+fn idempotency() -> impl Strategy<Value = Idempotency> {
+    let scope = prop_oneof![
+        Just(DeduplicationScope::All),
+        Just(DeduplicationScope::Zone),
+        Just(DeduplicationScope::Cell)
+    ];
     prop_oneof![
-        Just(Semantics::Safe),
-        Just(Semantics::Unsafe),
-        (scope, 0.2..3.0f64).prop_map(|(scope, window)| Semantics::Keyed(scope, window)),
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NonIdempotent),
+        (scope, 0.2..3.0f64).prop_map(|(scope, window)| Idempotency::Keyed(scope, window)),
     ]
 }
 
@@ -92,7 +99,7 @@
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     use Outcome::*;
-    prop::sample::select(vec![Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent])
+    prop::sample::select(vec![Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent])
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -151,11 +158,11 @@
     model.is_answered = true;
 }
 
-fn play(semantics: Semantics, steps: &[Step]) {
+fn play(idempotency: Idempotency, steps: &[Step]) {
     let mut guard = RequestGuard::default();
-    let mut model = Model { semantics, attempts: Vec::new(), is_answered: false };
+    let mut model = Model { idempotency, attempts: Vec::new(), is_answered: false };
     let mut now = 1_000_000;
-    guard.receive(ID, semantics);
+    guard.receive(ID, idempotency);
     guard.queue(ID);
     for step in steps {
         match *step {
@@ -188,8 +195,8 @@
     #![proptest_config(ProptestConfig { cases: 4096, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_guard_and_the_rule_agree(semantics in semantics(), steps in prop::collection::vec(step(), 1..24)) {
-        play(semantics, &steps);
+    fn the_guard_and_the_rule_agree(idempotency in idempotency(), steps in prop::collection::vec(step(), 1..24)) {
+        play(idempotency, &steps);
     }
 }
 
@@ -197,7 +204,7 @@
 fn every_violation_is_counted_by_rule() {
     let mut guard = RequestGuard::default();
     let target = Target { server: ServerId(1), zone: 0, cell: 0 };
-    guard.receive(ID, Semantics::Unsafe);
+    guard.receive(ID, Idempotency::NonIdempotent);
     assert_eq!(guard.begin_attempt(ID, target), Ok(()));
     assert_eq!(guard.begin_attempt(ID, target).expect_err("two at once").rule, Rule::SecondCopy);
     assert_eq!(guard.send(ID, 5), Ok(true));
--- a/crates/recovery/src/care.rs
+++ b/crates/recovery/src/care.rs
@@ -117,7 +117,7 @@
             gauge: Gauge::default(),
             levels: Levels::new(),
             retry: Retry::new(seed),
-            rebalance: Rebalance::new(seed.rotate_left(17), set.move_price),
+            rebalance: Rebalance::new(seed.rotate_left(17), set.migration_cost),
             room: None,
             late: 0.0,
             deaf: None,
@@ -134,10 +134,11 @@
 
     /// Other settings are in force; what was learned stays.
     pub fn take_settings(&mut self, set: &Settings) {
-        self.proxies = set.proxies.max(1.0);
-        self.groups = set.groups;
-        self.message_aim = set.classes.iter().map(|c| c.message_aim).fold(f64::INFINITY, f64::min);
-        self.ask_within = set.ask_within.max(0.1);
+        self.proxies = set.instance_count.max(1.0);
+        self.groups = set.has_groups;
+        self.message_aim =
+            set.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min);
+        self.ask_within = set.poll_interval.max(0.1);
         self.patience = AWAY.max(2.0 * set.max_retry_after);
         self.table.take_settings(set);
     }
@@ -167,24 +168,26 @@
         // What is held is placed when a list or a timer comes: then the budget alone speaks.
         let mut repeat = None;
         match event {
-            Event::Timer(TOKEN) => return false,
-            Event::Servers { full, entries, cached } => self.listed(now, *full, *cached, entries),
-            Event::RegistryFailed => {
+            Event::TimerFired(TOKEN) => return false,
+            Event::EndpointList { is_complete: full, entries, is_cached: cached } => {
+                self.listed(now, *full, *cached, entries)
+            }
+            Event::DiscoveryFailed => {
                 self.deaf.get_or_insert(now);
                 self.rebalance.pause(now, "discovery");
             }
-            Event::Arrived(request) => self.asks(now, request),
-            Event::Open(request, server) => self.table.carried(now, request, *server),
+            Event::RequestReceived(request) => self.asks(now, request),
+            Event::ConnectionRestored(request, server) => self.table.carried(now, request, *server),
             Event::Established { request, .. } => self.stands(now, *request),
             Event::LoadChanged { request, load } => self.table.load(now, *request, *load),
             Event::MessageDelay { server, delay } => self.delayed(now, *server, *delay),
-            Event::Ended { request, outcome, complete, .. } => {
+            Event::AttemptEnded { request, outcome, is_answered: complete, .. } => {
                 repeat = self.ended(now, *request, *outcome, *complete);
             }
-            Event::ClientGone(id) => self.table.over(*id),
-            Event::Probed { server, outcome, .. } => self.table.probed(*server, *outcome),
-            Event::Start | Event::Timer(_) | Event::Bears { .. } => {}
-            Event::MeanLoad(_) | Event::Elsewhere(_) => {}
+            Event::ClientLeft(id) => self.table.over(*id),
+            Event::ProbeEnded { server, outcome, .. } => self.table.probed(*server, *outcome),
+            Event::Start | Event::TimerFired(_) | Event::CapacityEstimated { .. } => {}
+            Event::MeanLoadEstimated(_) | Event::RemoteLoadsUpdated(_) => {}
         }
         let closed = || self.retry.closed(now) || self.measures().repeats == Repeats::None;
         let may = repeat.unwrap_or_else(|| !closed());
@@ -202,15 +205,16 @@
         out: &mut Vec<Action>,
         module: &mut Balancer,
     ) {
-        let mut looks = matches!(event, Event::Servers { .. } | Event::Ended { .. } | Event::RegistryFailed);
+        let mut looks =
+            matches!(event, Event::EndpointList { .. } | Event::AttemptEnded { .. } | Event::DiscoveryFailed);
         for action in &out[first..] {
             match action {
-                Action::Send { request, server, .. } => self.sent(now, *request, *server),
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::BeginAttempt { request, server, .. } => self.sent(now, *request, *server),
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     looks = true;
                     self.refused(now, *request);
                 }
-                Action::Move(request) => {
+                Action::Migrate(request) => {
                     self.table.conns.entry(*request).and_modify(|c| c.moved = true);
                 }
                 _ => {}
@@ -222,7 +226,7 @@
         }
         match event {
             Event::Start => out.push(Action::SetTimer { after: PERIOD, token: TOKEN }),
-            Event::Timer(TOKEN) => {
+            Event::TimerFired(TOKEN) => {
                 out.push(Action::SetTimer { after: PERIOD, token: TOKEN });
                 self.look(now);
                 self.move_some(now, out, module);
@@ -239,7 +243,7 @@
         now: f64,
         full: bool,
         cached: bool,
-        entries: &[shorewharf_decisions::interface::ListEntry],
+        entries: &[shorewharf_decisions::interface::ServerEntry],
     ) {
         if !cached {
             self.deaf = None;
@@ -401,7 +405,7 @@
         self.rebalance.step(now, pace, &mut self.table, self.groups, self.proxies, &mut moves);
         for m in moves.drain(..) {
             module.sent_away(m.request, Some(m.to), now + PLACE);
-            out.push(Action::Move(m.request));
+            out.push(Action::Migrate(m.request));
         }
         self.moves = moves;
     }
@@ -468,8 +472,8 @@
         self.estimate.sees(now, &out[first..]);
         for action in &mut out[first..] {
             match action {
-                Action::Send { .. } => self.queue.let_in(now),
-                Action::Refuse { retry_after, .. } => {
+                Action::BeginAttempt { .. } => self.queue.let_in(now),
+                Action::Reject { retry_after, .. } => {
                     *retry_after = self.queue.place(now);
                     self.shortage.refused();
                 }
--- a/crates/recovery/src/estimate.rs
+++ b/crates/recovery/src/estimate.rs
@@ -11,7 +11,7 @@
 use std::ops::Bound::{Excluded, Unbounded};
 
 use shorewharf_decisions::interface::{
-    Action, Event, ListEntry, RequestId, ServerId, Settings, Stage, Weights,
+    Action, Event, RequestId, ServerEntry, ServerId, ServerState, Settings, WeightKind,
 };
 
 use crate::memory::{Loads, OneServer};
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Belief {
     /// Its state as listed.
-    pub stage: Stage,
+    pub stage: ServerState,
     /// Its size as listed.
     pub weight: f64,
     /// Share of its warm capacity that it has by now at the least, 1 where warm.
@@ -107,7 +107,7 @@
 /// What was learned of one server.
 #[derive(Clone, Debug)]
 struct Learned {
-    entry: ListEntry,
+    entry: ServerEntry,
     factor: f64,
     /// The last delay told, and when.
     delay: (f64, f64),
@@ -119,7 +119,7 @@
 }
 
 impl Learned {
-    fn new(entry: ListEntry, now: f64) -> Self {
+    fn new(entry: ServerEntry, now: f64) -> Self {
         let never = f64::NEG_INFINITY;
         Learned {
             entry,
@@ -151,26 +151,26 @@
 impl Figures {
     fn of(set: &Settings) -> Self {
         Figures {
-            proxies: set.proxies.max(1.0),
-            start: set.start_capacity.clamp(0.0, 1.0),
-            warm: set.warm_within.max(1e-3),
-            fall: set.fall_multiple,
-            aim: set.classes.iter().map(|c| c.message_aim).fold(f64::INFINITY, f64::min),
-            sized: set.weights == Weights::Size,
+            proxies: set.instance_count.max(1.0),
+            start: set.cold_capacity_ratio.clamp(0.0, 1.0),
+            warm: set.warm_up_time.max(1e-3),
+            fall: set.overload_ratio,
+            aim: set.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min),
+            sized: set.weight_kind == WeightKind::Capacity,
         }
     }
 
     /// Share of a server's warm capacity that it has by now at the least.
-    fn ramp(&self, entry: &ListEntry, now: f64) -> f64 {
-        let age = now - entry.born;
-        if entry.born <= 0.0 || age >= self.warm {
+    fn ramp(&self, entry: &ServerEntry, now: f64) -> f64 {
+        let age = now - entry.started_at;
+        if entry.started_at <= 0.0 || age >= self.warm {
             return 1.0;
         }
         self.start + (1.0 - self.start) * (age / self.warm).max(0.0)
     }
 
     /// This balancer's part of what a server's listed size bears.
-    fn even(&self, entry: &ListEntry, now: f64) -> f64 {
+    fn even(&self, entry: &ServerEntry, now: f64) -> f64 {
         (FULL * entry.weight * self.ramp(entry, now) / self.proxies).max(f64::MIN_POSITIVE)
     }
 }
@@ -215,7 +215,7 @@
     /// Something happens; called before the decision module hears of it.
     pub fn hears(&mut self, now: f64, event: &Event, placed: &impl Placed) {
         match event {
-            Event::Servers { full, entries, .. } => self.listed(now, *full, entries),
+            Event::EndpointList { is_complete: full, entries, .. } => self.listed(now, *full, entries),
             Event::Established { request, .. } => {
                 if let Some((server, sent)) = self.out.remove(request) {
                     self.set_up(now, server, now - sent, placed);
@@ -228,7 +228,7 @@
             Event::MessageDelay { server, delay } if delay.is_finite() && *delay > 0.0 => {
                 self.noted(now, *server, *delay, placed);
             }
-            Event::Ended { request, .. } => {
+            Event::AttemptEnded { request, .. } => {
                 self.out.remove(request);
             }
             _ => {}
@@ -242,7 +242,7 @@
     /// What the module wants done; called after it has heard of an event.
     pub fn sees(&mut self, now: f64, actions: &[Action]) {
         for action in actions {
-            if let Action::Send { request, server, .. } = action {
+            if let Action::BeginAttempt { request, server, .. } = action {
                 self.out.insert(*request, (*server, now));
                 if let Some(s) = self.servers.get_mut(server) {
                     s.sent = (s.sent_lately(now) + 1.0, now);
@@ -259,7 +259,7 @@
         let differs = |a: f64, b: f64| (a - b).abs() > SAME * b;
         if differs(self.mean, self.told_mean) {
             self.told_mean = self.mean;
-            tell.push(Event::MeanLoad(self.mean));
+            tell.push(Event::MeanLoadEstimated(self.mean));
         }
         let (figures, mean) = (self.figures, self.mean);
         for (id, s) in &mut self.servers {
@@ -267,7 +267,7 @@
             let entries = ENTRIES * figures.fall * s.entry.weight / mean / figures.warm / figures.proxies;
             if differs(load, s.told.0) || differs(entries, s.told.1) {
                 s.told = (load, entries);
-                tell.push(Event::Bears { server: *id, load, entries });
+                tell.push(Event::CapacityEstimated { server: *id, load, setup_rate: entries });
             }
         }
     }
@@ -280,7 +280,7 @@
             // A note tells a load within a tenth; until the first one it is the listed size, and others' part a guess.
             let unsure = if now < s.noted + NOTED { 0.1 } else { 0.25 };
             let belief = Belief {
-                stage: s.entry.stage,
+                stage: s.entry.state,
                 weight: s.entry.weight,
                 ramp: self.figures.ramp(&s.entry, now),
                 bears,
@@ -302,7 +302,7 @@
     pub(crate) fn learned(&self, behind: Option<ServerId>, most: usize) -> Vec<OneServer> {
         let from = behind.map_or(Unbounded, Excluded);
         let one = |(id, s): (&ServerId, &Learned)| {
-            (*id, s.entry.born, s.factor, s.noted.is_finite().then_some(s.noted))
+            (*id, s.entry.started_at, s.factor, s.noted.is_finite().then_some(s.noted))
         };
         self.servers.range((from, Unbounded)).take(most).map(one).collect()
     }
@@ -319,23 +319,23 @@
 
     /// Goes on from what a server bore; false unless it is listed and the same process.
     pub(crate) fn start_server(&mut self, id: ServerId, born: f64, factor: f64, noted: Option<f64>) -> bool {
-        let Some(s) = self.servers.get_mut(&id).filter(|s| s.entry.born == born) else { return false };
+        let Some(s) = self.servers.get_mut(&id).filter(|s| s.entry.started_at == born) else { return false };
         s.factor = factor.clamp(LEAST, MOST);
         s.noted = noted.map_or(s.noted, |at| s.noted.max(at));
         true
     }
 
-    fn listed(&mut self, now: f64, full: bool, entries: &[ListEntry]) {
+    fn listed(&mut self, now: f64, full: bool, entries: &[ServerEntry]) {
         if full {
             self.servers.retain(|id, _| entries.iter().any(|e| e.server == *id));
         }
         for e in entries {
-            if e.stage == Stage::Gone {
+            if e.state == ServerState::Removed {
                 self.servers.remove(&e.server);
                 continue;
             }
             let s = self.servers.entry(e.server).or_insert_with(|| Learned::new(*e, now));
-            if s.entry.born != e.born {
+            if s.entry.started_at != e.started_at {
                 // What was learned of the process before says nothing of this one.
                 *s = Learned::new(*e, now);
             }
--- a/crates/recovery/src/queue.rs
+++ b/crates/recovery/src/queue.rs
@@ -35,7 +35,7 @@
 
     /// Other settings are in force.
     pub fn take_settings(&mut self, set: &Settings) {
-        self.longest = if set.retry_after { set.max_retry_after.max(0.0) } else { 0.0 };
+        self.longest = if set.sends_retry_after { set.max_retry_after.max(0.0) } else { 0.0 };
     }
 
     fn faded(&self, now: f64) -> f64 {
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -194,7 +194,7 @@
             let ramp = table.ramp(s, now);
             Node {
                 id: *id,
-                born: s.entry.born,
+                born: s.entry.started_at,
                 weight,
                 have: (weight * ramp).max(1e-9),
                 load: 0.0,
--- a/crates/recovery/src/report.rs
+++ b/crates/recovery/src/report.rs
@@ -1,7 +1,7 @@
 //! What the log is told while clients wait for room: when it begins and why, how it goes, and how it ended.
 
 use crate::estimate::Fleet;
-use shorewharf_decisions::interface::Stage;
+use shorewharf_decisions::interface::ServerState;
 
 /// Clients wait in so many looks (a second apart) running before it is told, and in none of so many before it is over:
 /// a single client that waits for a moment is no news.
@@ -51,7 +51,7 @@
     }
 
     fn figures(&self, waiting: usize, fleet: &Fleet) -> String {
-        let ready = || fleet.servers.values().filter(|s| s.stage == Stage::Ready);
+        let ready = || fleet.servers.values().filter(|s| s.stage == ServerState::Ready);
         let (bears, carries) = ready().fold((0.0, 0.0), |t, s| (t.0 + s.bears, t.1 + s.carries));
         let listed: f64 = ready().map(|s| s.weight).sum();
         let cold = ready().filter(|s| s.ramp < 1.0).count();
