--- a/crates/recovery/src/table.rs
+++ b/crates/recovery/src/table.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use shorewharf_decisions::interface::{ListEntry, Request, Stage};
+use shorewharf_decisions::interface::{Request, ServerEntry, ServerState};
 use shorewharf_decisions::{Outcome, RequestId, ServerId, Settings};
 
 /// A connection's load is taken for the mean one until it has been seen for about so many seconds: what it is just now
@@ -22,7 +22,7 @@
 /// A server as this instance knows it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Server {
-    pub entry: ListEntry,
+    pub entry: ServerEntry,
     /// It was there and is gone without having drained, since then.
     pub missing: Option<f64>,
     /// Attempts failed there: it takes no moves until then, and so long the time after.
@@ -35,14 +35,14 @@
 }
 
 impl Server {
-    fn new(entry: ListEntry) -> Self {
+    fn new(entry: ServerEntry) -> Self {
         let never = f64::NEG_INFINITY;
         Server { entry, missing: None, barred: never, bar: BARRED, unreached: false, slow_at: never }
     }
 
     /// It is listed as ready and can be reached.
     pub fn serves(&self) -> bool {
-        self.entry.stage == Stage::Ready && !self.unreached
+        self.entry.state == ServerState::Ready && !self.unreached
     }
 }
 
@@ -85,7 +85,7 @@
             key: request.key,
             group: request.group,
             since: now,
-            again: request.returning,
+            again: request.is_returning,
             moved: false,
             load: request.load.filter(|l| l.is_finite() && *l > 0.0),
             load_at: now,
@@ -155,9 +155,9 @@
     }
 
     pub fn take_settings(&mut self, set: &Settings) {
-        self.start = set.start_capacity.clamp(0.0, 1.0);
-        self.warm = set.warm_within.max(0.1);
-        self.sized = set.weights != shorewharf_decisions::interface::Weights::None;
+        self.start = set.cold_capacity_ratio.clamp(0.0, 1.0);
+        self.warm = set.warm_up_time.max(0.1);
+        self.sized = set.weight_kind != shorewharf_decisions::interface::WeightKind::Uniform;
     }
 
     /// The mean load, 1 where none is known: then all loads are head counts.
@@ -176,8 +176,8 @@
 
     /// The share of its capacity that a server has by now, as it is stated.
     pub fn ramp(&self, s: &Server, now: f64) -> f64 {
-        let age = now - s.entry.born;
-        if s.entry.born <= 0.0 || age >= self.warm {
+        let age = now - s.entry.started_at;
+        if s.entry.started_at <= 0.0 || age >= self.warm {
             return 1.0;
         }
         self.start + (1.0 - self.start) * (age / self.warm).max(0.0)
@@ -187,43 +187,46 @@
         if self.sized && s.entry.weight.is_finite() && s.entry.weight > 0.0 { s.entry.weight } else { 1.0 }
     }
 
-    pub fn listed(&mut self, now: f64, full: bool, entries: &[ListEntry]) -> News {
+    pub fn listed(&mut self, now: f64, full: bool, entries: &[ServerEntry]) -> News {
         let mut news = News::default();
-        let told: BTreeMap<ServerId, ListEntry> = entries.iter().map(|e| (e.server, *e)).collect();
+        let told: BTreeMap<ServerId, ServerEntry> = entries.iter().map(|e| (e.server, *e)).collect();
         for (id, s) in &mut self.servers {
-            let stage = told.get(id).map_or(if full { Stage::Gone } else { s.entry.stage }, |e| e.stage);
-            let planned = s.entry.stage == Stage::Draining;
-            if stage == Stage::Gone && s.entry.stage != Stage::Gone {
+            let stage =
+                told.get(id).map_or(if full { ServerState::Removed } else { s.entry.state }, |e| e.state);
+            let planned = s.entry.state == ServerState::Draining;
+            if stage == ServerState::Removed && s.entry.state != ServerState::Removed {
                 s.missing = (!planned).then_some(now);
             }
-            news.lost += u32::from(s.entry.stage == Stage::Ready && stage != Stage::Ready);
-            s.entry.stage = stage;
+            news.lost += u32::from(s.entry.state == ServerState::Ready && stage != ServerState::Ready);
+            s.entry.state = stage;
         }
         for (id, e) in told {
-            let before = self.servers.get(&id).map(|s| (s.entry.born, s.missing.is_some()));
-            if e.stage == Stage::Gone {
+            let before = self.servers.get(&id).map(|s| (s.entry.started_at, s.missing.is_some()));
+            if e.state == ServerState::Removed {
                 continue;
             }
             match (before, self.servers.get_mut(&id)) {
-                (Some((born, false)), Some(s)) if born == e.born => s.entry = e,
+                (Some((born, false)), Some(s)) if born == e.started_at => s.entry = e,
                 (known, _) => {
                     // A process that starts anew leaves nothing of what was learned of the one before.
-                    news.started += u32::from(e.born > 0.0 && (known.is_some() || now - e.born < self.warm));
+                    news.started +=
+                        u32::from(e.started_at > 0.0 && (known.is_some() || now - e.started_at < self.warm));
                     if self.servers.len() < SERVERS_MOST || known.is_some() {
                         self.servers.insert(id, Server::new(e));
                     }
                 }
             }
         }
-        self.servers
-            .retain(|_, s| s.entry.stage != Stage::Gone || s.missing.is_some_and(|at| now < at + MISSED));
+        self.servers.retain(|_, s| {
+            s.entry.state != ServerState::Removed || s.missing.is_some_and(|at| now < at + MISSED)
+        });
         news
     }
 
     /// Listed capacity that serves, over all that is known, drained servers aside.
     pub fn in_service(&self, now: f64) -> f64 {
         let (mut serve, mut all) = (0.0, 0.0);
-        for s in self.servers.values().filter(|s| s.entry.stage != Stage::Draining) {
+        for s in self.servers.values().filter(|s| s.entry.state != ServerState::Draining) {
             let weight = self.weight(s);
             all += weight;
             serve += if s.serves() { weight * self.ramp(s, now) } else { 0.0 };
--- a/crates/recovery/tests/estimate.rs
+++ b/crates/recovery/tests/estimate.rs
@@ -22,12 +22,19 @@
     shorewharf_settings::settings(text).expect("valid settings").0
 }
 
-fn entry(id: u64, born: f64) -> ListEntry {
-    ListEntry { server: ServerId(id), zone: 0, cell: 0, stage: Stage::Ready, weight: 8.0, born }
+fn entry(id: u64, born: f64) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(id),
+        zone: 0,
+        cell: 0,
+        state: ServerState::Ready,
+        weight: 8.0,
+        started_at: born,
+    }
 }
 
-fn list(entries: &[ListEntry]) -> Event {
-    Event::Servers { full: true, cached: false, entries: entries.to_vec().into() }
+fn list(entries: &[ServerEntry]) -> Event {
+    Event::EndpointList { is_complete: true, is_cached: false, entries: entries.to_vec().into() }
 }
 
 /// Servers 1 and 2, warm, and a load that was told.
@@ -66,7 +73,7 @@
     for (put, more) in [(Put(3.4), true), (Put(1.0), false)] {
         let mut e = known(&put);
         for second in 1..=5 {
-            e.hears(f64::from(second), &Event::Timer(0), &put);
+            e.hears(f64::from(second), &Event::TimerFired(0), &put);
         }
         assert_eq!(bears(&e, 5.0, &put, 1) > 8.5, more, "{}", put.0);
     }
@@ -79,7 +86,7 @@
     let mut e = known(&put);
     for i in 0..60_u32 {
         let (now, server) = (f64::from(i), ServerId(u64::from(i % 2) + 1));
-        e.sees(now, &[Action::Send { request: RequestId(i), server, timeout: 1.0 }]);
+        e.sees(now, &[Action::BeginAttempt { request: RequestId(i), server, timeout: 1.0 }]);
         let took = if server == ServerId(1) { 0.04 } else { 0.02 };
         e.hears(now + took, &Event::Established { request: RequestId(i), attempt: 0 }, &put);
     }
@@ -123,11 +130,11 @@
                 0 => note(&mut e, now, &put, x),
                 1 => e.hears(now, &Event::LoadChanged { request: RequestId(0), load: x.min(1e3) }, &put),
                 2 => e.hears(now, &list(&[entry(1, if x.is_finite() { x } else { 0.0 })]), &put),
-                _ => e.hears(now, &Event::Timer(0), &put),
+                _ => e.hears(now, &Event::TimerFired(0), &put),
             }
             e.tells(now, &mut told);
             for event in told.drain(..) {
-                if let Event::Bears { load, entries, .. } = event {
+                if let Event::CapacityEstimated { load, setup_rate: entries, .. } = event {
                     prop_assert!(load > 0.0 && load <= 8.0, "{load}");
                     prop_assert!(entries > 0.0 && entries.is_finite(), "{entries}");
                 }
--- a/crates/recovery/tests/levels.rs
+++ b/crates/recovery/tests/levels.rs
@@ -113,7 +113,7 @@
             match call {
                 0 => { retry.first(); first += 1.0; }
                 1 => retry.outcome(now, ServerId(server), Outcome::Ok),
-                2 => retry.outcome(now, ServerId(server), Outcome::Full),
+                2 => retry.outcome(now, ServerId(server), Outcome::Rejected),
                 _ => if retry.may(now, attempts).yes() { retry.repeated(now); repeats += 1.0; }
             }
             prop_assert!(repeats <= 10.0 + 0.25 * first, "{repeats} repeats of {first} attempts");
@@ -133,15 +133,15 @@
         assert_eq!(retry.may(now, 1), Grant::Granted, "one server of five says nothing of the rest");
     }
     assert_eq!(retry.may(2.0, 3), Grant::OfRequest);
-    retry.outcome(6.0, ServerId(1), Outcome::Full);
-    retry.outcome(6.1, ServerId(2), Outcome::Full);
+    retry.outcome(6.0, ServerId(1), Outcome::Rejected);
+    retry.outcome(6.1, ServerId(2), Outcome::Rejected);
     assert_eq!((retry.may(6.2, 1), retry.stats().closures), (Grant::Correlated, 1));
     // The first trial fails with others: closed for longer. The second one finds servers that answer.
     assert_eq!(retry.may(8.7, 1), Grant::Trial);
     retry.repeated(8.7);
     assert_eq!(retry.may(8.7, 1), Grant::Correlated, "one trial at a time");
     retry.outcome(8.8, ServerId(1), Outcome::TimedOut);
-    retry.outcome(8.8, ServerId(3), Outcome::Full);
+    retry.outcome(8.8, ServerId(3), Outcome::Rejected);
     assert_eq!(retry.may(11.0, 1), Grant::Correlated, "a failed trial doubles the wait");
     assert_eq!(retry.may(13.9, 1), Grant::Trial);
     retry.repeated(13.9);
--- a/crates/recovery/tests/moves.rs
+++ b/crates/recovery/tests/moves.rs
@@ -50,40 +50,46 @@
 impl Toy {
     /// A fleet on which everybody stands on the first half of the servers, and the other half has just come back.
     fn half_back(proxies: usize, servers: usize, clients: usize, seed: u64) -> Toy {
-        let class = Class { aim: 0.8, worth: 1.0, semantics: Semantics::Safe, message_aim: 0.05 };
+        let class = RequestClass {
+            latency_objective: 0.8,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
+            message_latency_objective: 0.05,
+        };
         let set = Settings {
-            me: 0,
-            proxies: proxies as f64,
+            instance_index: 0,
+            instance_count: proxies as f64,
             zone: 0,
-            zones: 1.0,
+            zone_count: 1.0,
             classes: vec![class],
-            tenant_quota: vec![],
-            tenant_rate: vec![],
-            ask_registry: false,
-            ask_within: 5.0,
-            start_capacity: COLD,
-            warm_within: WARM,
-            fall_multiple: 3.0,
-            overload_for: 1.5,
+            tenant_connection_quotas: vec![],
+            tenant_rate_quotas: vec![],
+            polls_discovery: false,
+            poll_interval: 5.0,
+            cold_capacity_ratio: COLD,
+            warm_up_time: WARM,
+            overload_ratio: 3.0,
+            overload_window: 1.5,
             max_attempts: 3,
             connect_timeout: 0.25,
             max_retry_after: 1.5,
-            retry_after: true,
+            sends_retry_after: true,
             may_probe: true,
             may_cancel: true,
-            pass_through: false,
-            park: 0.0,
-            groups: true,
-            weights: Weights::Size,
-            crossing_price: 0.0,
-            move_price: 0.0,
+            is_pass_through: false,
+            parked_connection_timeout: 0.0,
+            has_groups: true,
+            weight_kind: WeightKind::Capacity,
+            zone_crossing_cost: 0.0,
+            migration_cost: 0.0,
             tick: 0.005,
         };
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let weights: Vec<f64> = (0..servers).map(|i| [4.0, 6.0, 8.0][i % 3]).collect();
         let born = (0..servers).map(|i| if i % 2 == 1 { 1000.0 } else { 0.0 }).collect();
-        let balancers = (0..proxies)
-            .map(|me| Guarded::new(Settings { me: me as u64, ..set.clone() }, rng.next_u64(), Options::ALL));
+        let balancers = (0..proxies).map(|me| {
+            Guarded::new(Settings { instance_index: me as u64, ..set.clone() }, rng.next_u64(), Options::ALL)
+        });
         let mut toy = Toy {
             now: 1000.5,
             balancers: balancers.collect(),
@@ -114,7 +120,7 @@
             toy.clients.push(Client { load, group: 1 + i as u64 / 4, on: Some((server, b, id)), moves: 0 });
             toy.asked.insert((b, id), (i, Some(server), 1));
             let request = toy.request(i, id);
-            toy.tell(b, Event::Open(request, server));
+            toy.tell(b, Event::ConnectionRestored(request, server));
             toy.tell(b, Event::LoadChanged { request: id, load });
         }
         toy
@@ -133,24 +139,27 @@
             deadline: self.now + 3.0,
             load: None,
             group: self.clients[client].group,
-            mid_flow: false,
-            returning: true,
+            is_mid_flow: false,
+            is_returning: true,
         }
     }
 
     /// Tells all balancers the list as it is.
     fn list(&mut self) {
-        let entry = |i: usize| ListEntry {
+        let entry = |i: usize| ServerEntry {
             server: ServerId(i as u64),
             zone: 0,
             cell: 0,
             weight: self.weights[i],
-            born: self.born[i],
-            stage: if self.up[i] { Stage::Ready } else { Stage::Gone },
+            started_at: self.born[i],
+            state: if self.up[i] { ServerState::Ready } else { ServerState::Removed },
         };
-        let entries: Vec<ListEntry> = (0..self.weights.len()).map(entry).collect();
+        let entries: Vec<ServerEntry> = (0..self.weights.len()).map(entry).collect();
         for b in 0..self.balancers.len() {
-            self.tell(b, Event::Servers { full: true, cached: false, entries: entries.clone().into() });
+            self.tell(
+                b,
+                Event::EndpointList { is_complete: true, is_cached: false, entries: entries.clone().into() },
+            );
         }
     }
 
@@ -165,16 +174,16 @@
         for action in out {
             match action {
                 Action::SetTimer { after, token } => self.after(after, Due::Timer(b, token)),
-                Action::Send { request, server, .. } => {
+                Action::BeginAttempt { request, server, .. } => {
                     let asked = self.asked.get_mut(&(b, request)).expect("who asked");
                     (asked.1, asked.2) = (Some(server), asked.2 + 1);
                     self.after(0.03, Due::Up(b, request));
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let client = self.asked.remove(&(b, request)).expect("who asked").0;
                     self.after(0.5, Due::Asks(client));
                 }
-                Action::Move(request) => {
+                Action::Migrate(request) => {
                     self.moves += 1;
                     self.ends(b, request, Outcome::Cancelled, 0.05);
                 }
@@ -191,7 +200,10 @@
         self.clients[client].moves += u32::from(outcome == Outcome::Cancelled);
         self.after(gap, Due::Asks(client));
         let attempt = attempts - 1;
-        self.tell(b, Event::Ended { request, server, attempt, outcome, complete: true, load_ratio: None });
+        self.tell(
+            b,
+            Event::AttemptEnded { request, server, attempt, outcome, is_answered: true, load_ratio: None },
+        );
     }
 
     fn dies(&mut self, server: usize) {
@@ -216,7 +228,7 @@
             self.heap.pop();
             self.now = seconds_from_micros(at);
             match due {
-                Due::Timer(b, token) => self.tell(b, Event::Timer(token)),
+                Due::Timer(b, token) => self.tell(b, Event::TimerFired(token)),
                 Due::Asks(client) => {
                     // The front deals clients out as it likes.
                     let b = (self.rng.next_u64() % self.balancers.len() as u64) as usize;
@@ -224,7 +236,7 @@
                     let id = RequestId(1 << 20 | self.serial as u32);
                     self.asked.insert((b, id), (client, None, 0));
                     let request = self.request(client, id);
-                    self.tell(b, Event::Arrived(request));
+                    self.tell(b, Event::RequestReceived(request));
                 }
                 Due::Up(b, id) => {
                     let Some(&(client, Some(server), attempts)) = self.asked.get(&(b, id)) else { continue };
@@ -236,12 +248,12 @@
                         self.tell(b, Event::LoadChanged { request: id, load });
                     } else {
                         let outcome = Outcome::ConnectFailed;
-                        let end = Event::Ended {
+                        let end = Event::AttemptEnded {
                             request: id,
                             server,
                             attempt,
                             outcome,
-                            complete: false,
+                            is_answered: false,
                             load_ratio: None,
                         };
                         self.tell(b, end);
--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::interface::{
-    Action, Event, ListEntry, Outcome, Request, RequestId, ServerId, Settings, Stage,
+    Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
 };
 use shorewharf_recovery::care::{Guarded, Options, Room};
 use shorewharf_recovery::memory::{Cursor, Learned};
@@ -63,7 +63,7 @@
     has_estimate: bool,
     /// Connections last this many times as long as usual, and clients are as many times fewer.
     lasting: u64,
-    stages: BTreeMap<u64, (Stage, f64)>,
+    stages: BTreeMap<u64, (ServerState, f64)>,
     /// Requests that are out or stand: where, which attempt, whose.
     out: BTreeMap<RequestId, (ServerId, u32, u64)>,
     keys: BTreeMap<RequestId, u64>,
@@ -75,8 +75,9 @@
 
 impl Day {
     fn new(seed: u64, set: Settings) -> Day {
-        let stages =
-            (0..SERVERS).map(|id| (id, (Stage::Ready, if id % 2 == 1 { 999.0 } else { 0.0 }))).collect();
+        let stages = (0..SERVERS)
+            .map(|id| (id, (ServerState::Ready, if id % 2 == 1 { 999.0 } else { 0.0 })))
+            .collect();
         let mut day = Day {
             now: 1000.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -100,7 +101,7 @@
             let request = day.request(RequestId(1 << 24 | id));
             let server = ServerId(u64::from(id) % SERVERS / 2 * 2);
             day.out.insert(request.id, (server, 0, request.key));
-            day.tell(Event::Open(request, server));
+            day.tell(Event::ConnectionRestored(request, server));
             day.plan_life(request.id);
         }
         day
@@ -139,23 +140,23 @@
             deadline: self.now + 3.0,
             load,
             group: key / 4,
-            mid_flow: false,
-            returning,
+            is_mid_flow: false,
+            is_returning: returning,
         }
     }
 
     fn list(&mut self, full: bool) {
-        let entry = |(id, (stage, born)): (&u64, &(Stage, f64))| ListEntry {
+        let entry = |(id, (stage, born)): (&u64, &(ServerState, f64))| ServerEntry {
             server: ServerId(*id),
             zone: 0,
             cell: 0,
             weight: [0.8, 1.2, 1.6][*id as usize % 3],
-            born: *born,
-            stage: *stage,
+            started_at: *born,
+            state: *stage,
         };
-        let entries: Vec<ListEntry> = self.stages.iter().map(entry).collect();
+        let entries: Vec<ServerEntry> = self.stages.iter().map(entry).collect();
         let cached = self.below(10) == 0;
-        self.tell(Event::Servers { full, cached, entries: entries.into() });
+        self.tell(Event::EndpointList { is_complete: full, is_cached: cached, entries: entries.into() });
     }
 
     /// Notes one line of what comes out: whole at the begin of a day, as a digest later.
@@ -181,7 +182,7 @@
                 self.note(&format!("timer {after} {token}"));
                 self.plan(after.max(1e-3), Due::Timer(token));
             }
-            Action::Send { request, server, timeout } => {
+            Action::BeginAttempt { request, server, timeout } => {
                 self.note(&format!("send {} {} {timeout}", request.0, server.0));
                 let attempt = self.out.get(&request).map_or(0, |o| o.1 + 1);
                 let key = self.keys.get(&request).copied().unwrap_or(0);
@@ -189,7 +190,7 @@
                 let took = 0.01 + 0.1 * self.draw();
                 self.plan(took, Due::Attempt(request));
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.note(&format!("refuse {} {retry_after}", request.0));
                 self.out.remove(&request);
             }
@@ -197,8 +198,10 @@
                 self.note(&format!("fail {}", request.0));
                 self.out.remove(&request);
             }
-            Action::Cancel { request, attempt } => self.note(&format!("cancel {} {attempt}", request.0)),
-            Action::Move(request) => {
+            Action::CancelAttempt { request, attempt } => {
+                self.note(&format!("cancel {} {attempt}", request.0))
+            }
+            Action::Migrate(request) => {
                 self.note(&format!("move {}", request.0));
                 self.plan(0.05, Due::Moved(request));
             }
@@ -213,7 +216,7 @@
 
     fn attempt(&mut self, id: RequestId) {
         let Some(&(server, attempt, _)) = self.out.get(&id) else { return };
-        let gone = self.stages.get(&server.0).is_none_or(|s| s.0 == Stage::Gone);
+        let gone = self.stages.get(&server.0).is_none_or(|s| s.0 == ServerState::Removed);
         if !gone && self.below(100) >= self.weather.failing {
             self.tell(Event::Established { request: id, attempt });
             self.plan_life(id);
@@ -225,21 +228,35 @@
             1 => Outcome::TimedOut,
             2 => Outcome::Error,
             3 => Outcome::Reset,
-            _ => Outcome::Full,
+            _ => Outcome::Rejected,
         };
         let load_ratio = (self.below(3) == 0).then_some(0.9);
-        self.tell(Event::Ended { request: id, server, attempt, outcome, complete: false, load_ratio });
+        self.tell(Event::AttemptEnded {
+            request: id,
+            server,
+            attempt,
+            outcome,
+            is_answered: false,
+            load_ratio,
+        });
     }
 
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         let Some((server, attempt, _)) = self.out.remove(&id) else { return };
-        self.tell(Event::Ended { request: id, server, attempt, outcome, complete: true, load_ratio: None });
+        self.tell(Event::AttemptEnded {
+            request: id,
+            server,
+            attempt,
+            outcome,
+            is_answered: true,
+            load_ratio: None,
+        });
         if outcome != Outcome::Ok {
             self.serial += 1;
             let id = RequestId(self.serial as u32);
             let mut request = self.request(id);
-            request.returning = true;
-            self.tell(Event::Arrived(request));
+            request.is_returning = true;
+            self.tell(Event::RequestReceived(request));
         }
     }
 
@@ -251,7 +268,7 @@
             }
         }
         if self.below(40) == 0 {
-            self.tell(Event::RegistryFailed);
+            self.tell(Event::DiscoveryFailed);
         }
         if self.below(30) == 0 {
             self.balancer.care_mut().late(0.1);
@@ -264,9 +281,9 @@
             let id = self.below(SERVERS);
             let (stage, born) = self.stages[&id];
             let next = match stage {
-                Stage::Ready if self.below(2) == 0 => (Stage::Draining, born),
-                Stage::Ready | Stage::Draining => (Stage::Gone, born),
-                Stage::Gone => (Stage::Ready, self.now),
+                ServerState::Ready if self.below(2) == 0 => (ServerState::Draining, born),
+                ServerState::Ready | ServerState::Draining => (ServerState::Removed, born),
+                ServerState::Removed => (ServerState::Ready, self.now),
             };
             self.stages.insert(id, next);
             let full = self.below(2) == 0;
@@ -277,7 +294,7 @@
 
     fn happens(&mut self, due: Due) {
         match due {
-            Due::Timer(token) => self.tell(Event::Timer(token)),
+            Due::Timer(token) => self.tell(Event::TimerFired(token)),
             Due::Attempt(id) => self.attempt(id),
             Due::Life(id) => {
                 let outcome = if self.below(4) == 0 { Outcome::Reset } else { Outcome::Ok };
@@ -285,18 +302,18 @@
             }
             Due::Moved(id) => self.end(id, Outcome::Cancelled),
             Due::Probe(server) => {
-                let good =
-                    self.stages.get(&server.0).is_some_and(|s| s.0 != Stage::Gone) && self.below(3) > 0;
+                let good = self.stages.get(&server.0).is_some_and(|s| s.0 != ServerState::Removed)
+                    && self.below(3) > 0;
                 let outcome = if good { Outcome::Ok } else { Outcome::ConnectFailed };
-                self.tell(Event::Probed { server, outcome, load_ratio: None });
+                self.tell(Event::ProbeEnded { server, outcome, load_ratio: None });
             }
             Due::Arrival => {
                 self.serial += 1;
                 let request = self.request(RequestId(self.serial as u32));
-                self.tell(Event::Arrived(request));
+                self.tell(Event::RequestReceived(request));
                 if self.below(50) == 0 {
                     self.out.remove(&request.id);
-                    self.tell(Event::ClientGone(request.id));
+                    self.tell(Event::ClientLeft(request.id));
                 }
                 let pause = 2.0 * self.draw() / self.weather.requests;
                 self.plan(pause, Due::Arrival);
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -59,45 +59,50 @@
     assert!(same.iter().all(|line| allowed.contains(&line.as_str())), "{same:?}");
 }
 
-fn class(aim: f64, worth: f64, message_aim: f64, semantics: Semantics) -> Class {
-    Class { aim, worth, semantics, message_aim }
+fn class(aim: f64, worth: f64, message_aim: f64, semantics: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: aim,
+        priority_weight: worth,
+        idempotency: semantics,
+        message_latency_objective: message_aim,
+    }
 }
 
 #[test]
 fn every_key_of_the_settings_is_read() {
     let (set, column) = settings(SETTINGS).expect("good settings");
     let expected = Settings {
-        me: 3,
-        proxies: 7.0,
+        instance_index: 3,
+        instance_count: 7.0,
         zone: 2,
-        zones: 3.0,
+        zone_count: 3.0,
         classes: vec![
-            class(0.8, 2.5, 0.05, Semantics::Safe),
-            class(0.7, 3.5, 0.06, Semantics::Keyed(Scope::All, 11.0)),
-            class(0.6, 4.5, 0.07, Semantics::Keyed(Scope::Zone, 12.0)),
-            class(0.4, 5.5, 0.08, Semantics::Keyed(Scope::Cell, 13.0)),
-            class(0.3, 6.5, 0.09, Semantics::Unsafe),
+            class(0.8, 2.5, 0.05, Idempotency::Idempotent),
+            class(0.7, 3.5, 0.06, Idempotency::Keyed(DeduplicationScope::All, 11.0)),
+            class(0.6, 4.5, 0.07, Idempotency::Keyed(DeduplicationScope::Zone, 12.0)),
+            class(0.4, 5.5, 0.08, Idempotency::Keyed(DeduplicationScope::Cell, 13.0)),
+            class(0.3, 6.5, 0.09, Idempotency::NonIdempotent),
         ],
-        tenant_quota: vec![400.0, 0.0, 600.0],
-        tenant_rate: vec![20.5, 30.5],
-        ask_registry: true,
-        ask_within: 8.5,
-        start_capacity: 0.2,
-        warm_within: 18.5,
-        fall_multiple: 2.5,
-        overload_for: 1.8,
+        tenant_connection_quotas: vec![400.0, 0.0, 600.0],
+        tenant_rate_quotas: vec![20.5, 30.5],
+        polls_discovery: true,
+        poll_interval: 8.5,
+        cold_capacity_ratio: 0.2,
+        warm_up_time: 18.5,
+        overload_ratio: 2.5,
+        overload_window: 1.8,
         max_attempts: 5,
         connect_timeout: 0.35,
         max_retry_after: 1.75,
-        retry_after: true,
+        sends_retry_after: true,
         may_probe: true,
         may_cancel: true,
-        pass_through: true,
-        park: 2.25,
-        groups: true,
-        weights: Weights::Live,
-        crossing_price: 0.015,
-        move_price: 0.025,
+        is_pass_through: true,
+        parked_connection_timeout: 2.25,
+        has_groups: true,
+        weight_kind: WeightKind::LoadAdjusted,
+        zone_crossing_cost: 0.015,
+        migration_cost: 0.025,
         tick: 0.004,
     };
     assert_eq!(format!("{set:#?}"), format!("{expected:#?}"));
@@ -106,10 +111,10 @@
 
 #[test]
 fn every_word_of_the_settings_is_read() {
-    let weights = |text: &str| settings(text.as_bytes()).expect("good settings").0.weights;
-    assert_eq!(weights(r#"{"weights":"nominal"}"#), Weights::Size);
-    assert_eq!(weights(r#"{"weights":"rough"}"#), Weights::Size);
-    assert_eq!(weights(r#"{"weights":"none"}"#), Weights::None);
-    let asks = |text: &str| settings(text.as_bytes()).expect("good settings").0.ask_registry;
+    let weights = |text: &str| settings(text.as_bytes()).expect("good settings").0.weight_kind;
+    assert_eq!(weights(r#"{"weights":"nominal"}"#), WeightKind::Capacity);
+    assert_eq!(weights(r#"{"weights":"rough"}"#), WeightKind::Capacity);
+    assert_eq!(weights(r#"{"weights":"none"}"#), WeightKind::Uniform);
+    let asks = |text: &str| settings(text.as_bytes()).expect("good settings").0.polls_discovery;
     assert!(!asks(r#"{"registry_mode":"push"}"#));
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -91,15 +91,15 @@
         let value = text(&["n".to_owned()], &json!({}), &classes, &quotas, limits);
         let set = settings(value.to_string().as_bytes()).expect("usable settings").0;
         prop_assert_eq!((set.max_attempts, set.connect_timeout, set.may_probe), limits);
-        prop_assert_eq!((set.overload_for, set.fall_multiple, set.warm_within), (1.8, 2.0, 18.0));
-        prop_assert_eq!(set.tenant_quota, quotas);
-        let figures = set.classes.iter().map(|c| (c.aim, c.worth));
+        prop_assert_eq!((set.overload_window, set.overload_ratio, set.warm_up_time), (1.8, 2.0, 18.0));
+        prop_assert_eq!(set.tenant_connection_quotas, quotas);
+        let figures = set.classes.iter().map(|c| (c.latency_objective, c.priority_weight));
         prop_assert!(figures.eq(classes.iter().map(|c| (c.2, c.3))));
         for (class, (effect, window, ..)) in set.classes.iter().zip(&classes) {
-            use shorewharf_decisions::interface::{Scope, Semantics};
-            let expected = [Semantics::Safe, Semantics::Unsafe, Semantics::Keyed(Scope::All, *window),
-                Semantics::Keyed(Scope::Zone, *window), Semantics::Keyed(Scope::Cell, *window)][*effect];
-            prop_assert_eq!(class.semantics, expected);
+            use shorewharf_decisions::interface::{DeduplicationScope, Idempotency};
+            let expected = [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed(DeduplicationScope::All, *window),
+                Idempotency::Keyed(DeduplicationScope::Zone, *window), Idempotency::Keyed(DeduplicationScope::Cell, *window)][*effect];
+            prop_assert_eq!(class.idempotency, expected);
         }
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -58,7 +58,7 @@
 /// Decodes batches; keeps the server lists that travel once for a process.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    lists: [Option<Arc<[ListEntry]>>; 16],
+    lists: [Option<Arc<[ServerEntry]>>; 16],
 }
 
 struct Reader<'a> {
@@ -114,7 +114,7 @@
         Ok(match self.u16()? {
             200 => Outcome::Ok,
             500 => Outcome::Error,
-            503 => Outcome::Full,
+            503 => Outcome::Rejected,
             504 => Outcome::TimedOut,
             502 => Outcome::ConnectFailed,
             598 => Outcome::Reset,
@@ -154,24 +154,24 @@
             deadline,
             load,
             group,
-            mid_flow: marks & 8 != 0,
-            returning: marks & 18 != 0,
+            is_mid_flow: marks & 8 != 0,
+            is_returning: marks & 18 != 0,
         })
     }
 
-    fn entry(&mut self) -> Result<ListEntry, WireError> {
+    fn entry(&mut self) -> Result<ServerEntry, WireError> {
         let server = self.server()?;
         let zone = self.u8()?.into();
         self.u8()?;
         let cell = self.u16()?.into();
         let at = self.at;
         let stage = match self.u8()? {
-            0 => Stage::Draining,
-            1 => Stage::Ready,
-            2 => Stage::Gone,
+            0 => ServerState::Draining,
+            1 => ServerState::Ready,
+            2 => ServerState::Removed,
             other => return Err(WireError::BadValue(at, other.into(), "stage_state")),
         };
-        Ok(ListEntry { server, zone, cell, stage, weight: self.f32()?, born: self.f64()? })
+        Ok(ServerEntry { server, zone, cell, state: stage, weight: self.f32()?, started_at: self.f64()? })
     }
 }
 
@@ -237,8 +237,8 @@
             }
             1090 => return Ok(Record::Shutdown),
             1010 => self.update(r)?,
-            1020 => Event::Arrived(r.request()?),
-            1110 => Event::Open(r.request()?, r.server()?),
+            1020 => Event::RequestReceived(r.request()?),
+            1110 => Event::ConnectionRestored(r.request()?, r.server()?),
             1030 => {
                 let request = RequestId(r.u32()?);
                 r.f64()?;
@@ -264,21 +264,21 @@
                 let outcome = r.outcome()?;
                 r.f64()?;
                 let load_ratio = r.report(column)?;
-                Event::Ended { request, server, attempt, outcome, complete, load_ratio }
+                Event::AttemptEnded { request, server, attempt, outcome, is_answered: complete, load_ratio }
             }
-            1050 => Event::ClientGone(RequestId(r.u32()?)),
-            1060 => Event::Timer(r.u64()?),
+            1050 => Event::ClientLeft(RequestId(r.u32()?)),
+            1060 => Event::TimerFired(r.u64()?),
             1070 => {
                 let (server, outcome) = (r.server()?, r.outcome()?);
                 r.f64()?;
-                Event::Probed { server, outcome, load_ratio: r.report(column)? }
+                Event::ProbeEnded { server, outcome, load_ratio: r.report(column)? }
             }
             1080 => {
                 // Messages between proxies are not part of this design; read past them.
                 r.u16()?;
                 let n = r.u16()?.into();
                 r.take(n)?;
-                Event::Timer(u64::MAX)
+                Event::TimerFired(u64::MAX)
             }
             other => return Err(WireError::UnknownCode(at, other)),
         }))
@@ -289,14 +289,14 @@
         let at = r.at;
         let (mode, slot) = (r.u8()?, r.u8()?);
         if mode == 3 {
-            return Ok(Event::RegistryFailed);
+            return Ok(Event::DiscoveryFailed);
         }
         if mode > 3 {
             return Err(WireError::BadValue(at, mode.into(), "mode"));
         }
         let list = self.lists.get(usize::from(slot)).and_then(Option::as_ref);
         let entries = Arc::clone(list.ok_or(WireError::UnknownList(at + 1, slot))?);
-        Ok(Event::Servers { full: mode != 0, cached: mode == 2, entries })
+        Ok(Event::EndpointList { is_complete: mode != 0, is_cached: mode == 2, entries })
     }
 }
 
@@ -348,14 +348,14 @@
     /// Adds an action.
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { request, server, timeout } => {
+            Action::BeginAttempt { request, server, timeout } => {
                 self.open(1000).put(&request.0.to_le_bytes()).server(*server).put(&timeout.to_le_bytes())
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.open(1010).put(&request.0.to_le_bytes()).put(&retry_after.to_le_bytes())
             }
             Action::Fail(request) => self.open(1020).put(&request.0.to_le_bytes()),
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.open(1030).put(&request.0.to_le_bytes()).put(&[*attempt as u8])
             }
             Action::SetTimer { after, token } => {
@@ -364,7 +364,7 @@
             Action::Probe(server) => self.open(1050).server(*server),
             Action::Log(text) => self.open(1080).text(text),
             Action::Subscribe => self.open(1100).put(&[1]),
-            Action::Move(request) => self.open(1120).put(&request.0.to_le_bytes()),
+            Action::Migrate(request) => self.open(1120).put(&request.0.to_le_bytes()),
         };
     }
 
--- a/crates/wire/tests/adapter.rs
+++ b/crates/wire/tests/adapter.rs
@@ -127,8 +127,8 @@
     let (set, column) =
         settings(br#"{"x":[1],"limits":null,"specifics":{"message_aim_s":[null]},"classes":[{}]}"#).unwrap();
     assert_eq!((set.max_attempts, column), (1, None));
-    assert_eq!(set.classes[0].semantics, Semantics::Unsafe);
-    assert!(!set.may_cancel && !set.may_probe && set.proxies == 1.0);
+    assert_eq!(set.classes[0].idempotency, Idempotency::NonIdempotent);
+    assert!(!set.may_cancel && !set.may_probe && set.instance_count == 1.0);
 }
 
 #[test]
@@ -177,15 +177,15 @@
                     2404 4d00000000000000 1004 07000000 0a124a07 5b1b 01 02 f701 0000000000000000 01 0000003f");
     let batch = Decoder::default().batch(&body, |_| Some(0)).unwrap();
     let server = ServerId(0x0a12_4a07_1b5b);
-    let ended = Event::Ended {
+    let ended = Event::AttemptEnded {
         request: RequestId(7),
         server,
         attempt: 2,
-        outcome: Outcome::Full,
-        complete: true,
+        outcome: Outcome::Rejected,
+        is_answered: true,
         load_ratio: Some(0.5),
     };
-    let events = [Event::MessageDelay { server, delay: 0.5 }, Event::Timer(77), ended];
+    let events = [Event::MessageDelay { server, delay: 0.5 }, Event::TimerFired(77), ended];
     let records = events.into_iter().map(|e| (3, Record::Event(e))).collect();
     assert_eq!(batch, Batch { now: f64::from_le_bytes(body[..8].try_into().unwrap()), records });
     assert_eq!(
@@ -199,14 +199,14 @@
     let mut e = Encoder::default();
     let (request, server) = (RequestId(0x5d3a_91c4), ServerId(0x0a12_4a07_1b5b));
     e.instance(3);
-    e.action(&Action::Send { request, server, timeout: 0.08 });
-    e.action(&Action::Refuse { request, retry_after: 0.25 });
+    e.action(&Action::BeginAttempt { request, server, timeout: 0.08 });
+    e.action(&Action::Reject { request, retry_after: 0.25 });
     e.action(&Action::Fail(request));
-    e.action(&Action::Cancel { request, attempt: 1 });
+    e.action(&Action::CancelAttempt { request, attempt: 1 });
     e.action(&Action::SetTimer { after: 0.5, token: 77 });
     e.action(&Action::Probe(server));
     e.action(&Action::Subscribe);
-    e.action(&Action::Move(request));
+    e.action(&Action::Migrate(request));
     e.action(&Action::Log("hi".into()));
     let hex: String = e.finish().iter().map(|b| format!("{b:02x}")).collect();
     let records = [
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -16,17 +16,38 @@
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-fn entries() -> Vec<ListEntry> {
+fn entries() -> Vec<ServerEntry> {
     let third = ServerId(0xc0a8_0304_ffff);
     vec![
-        ListEntry { server: FIRST, zone: 1, cell: 513, stage: Stage::Draining, weight: 1.5, born: 12.25 },
-        ListEntry { server: SECOND, zone: 2, cell: 3, stage: Stage::Ready, weight: 2.0, born: 0.0 },
-        ListEntry { server: third, zone: 3, cell: 4, stage: Stage::Gone, weight: 0.0, born: 7.5 },
+        ServerEntry {
+            server: FIRST,
+            zone: 1,
+            cell: 513,
+            state: ServerState::Draining,
+            weight: 1.5,
+            started_at: 12.25,
+        },
+        ServerEntry {
+            server: SECOND,
+            zone: 2,
+            cell: 3,
+            state: ServerState::Ready,
+            weight: 2.0,
+            started_at: 0.0,
+        },
+        ServerEntry {
+            server: third,
+            zone: 3,
+            cell: 4,
+            state: ServerState::Removed,
+            weight: 0.0,
+            started_at: 7.5,
+        },
     ]
 }
 
 fn update(full: bool, cached: bool) -> Event {
-    Event::Servers { full, cached, entries: entries().into() }
+    Event::EndpointList { is_complete: full, is_cached: cached, entries: entries().into() }
 }
 
 fn requests() -> Vec<Request> {
@@ -38,8 +59,8 @@
         deadline: 3.5,
         load: None,
         group: 0,
-        mid_flow: false,
-        returning: false,
+        is_mid_flow: false,
+        is_returning: false,
     };
     let hinted = Request {
         id: RequestId(2),
@@ -55,10 +76,10 @@
     vec![
         plain,
         hinted,
-        Request { returning: true, ..third },
-        Request { id: RequestId(4), returning: true, ..third },
-        Request { id: RequestId(5), mid_flow: true, ..third },
-        Request { id: RequestId(6), load: Some(1.25), mid_flow: true, returning: true, ..third },
+        Request { is_returning: true, ..third },
+        Request { id: RequestId(4), is_returning: true, ..third },
+        Request { id: RequestId(5), is_mid_flow: true, ..third },
+        Request { id: RequestId(6), load: Some(1.25), is_mid_flow: true, is_returning: true, ..third },
         Request { id: RequestId(7), ..third },
     ]
 }
@@ -66,7 +87,7 @@
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
     Outcome::Reset,
@@ -75,18 +96,18 @@
 ];
 
 fn ended((at, outcome): (u32, Outcome)) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         request: RequestId(100 + at),
         server: SECOND,
         attempt: at,
         outcome,
-        complete: at.is_multiple_of(3),
+        is_answered: at.is_multiple_of(3),
         load_ratio: (!at.is_multiple_of(2)).then_some(0.25 * f64::from(at)),
     }
 }
 
 fn probed((at, outcome): (u32, Outcome)) -> Event {
-    Event::Probed {
+    Event::ProbeEnded {
         server: FIRST,
         outcome,
         load_ratio: (!at.is_multiple_of(2)).then_some(0.125 * f64::from(at)),
@@ -102,22 +123,22 @@
         deadline: 6.5,
         load: Some(2.5),
         group: 11,
-        mid_flow: false,
-        returning: false,
+        is_mid_flow: false,
+        is_returning: false,
     };
     let mut events = vec![update(false, false), update(true, false), update(true, true)];
-    events.push(Event::RegistryFailed);
-    events.extend(requests().into_iter().map(Event::Arrived));
+    events.push(Event::DiscoveryFailed);
+    events.extend(requests().into_iter().map(Event::RequestReceived));
     events.extend([
-        Event::Open(open, FIRST),
+        Event::ConnectionRestored(open, FIRST),
         Event::Established { request: RequestId(8), attempt: 2 },
         Event::LoadChanged { request: RequestId(8), load: 1.5 },
         Event::MessageDelay { server: SECOND, delay: 0.25 },
     ]);
     events.extend((0..).zip(OUTCOMES).map(ended));
-    events.extend([Event::ClientGone(RequestId(9)), Event::Timer(5 << 40 | 77)]);
+    events.extend([Event::ClientLeft(RequestId(9)), Event::TimerFired(5 << 40 | 77)]);
     events.extend((0..).zip(OUTCOMES).map(probed));
-    events.push(Event::Timer(u64::MAX));
+    events.push(Event::TimerFired(u64::MAX));
     events
 }
 
@@ -127,7 +148,7 @@
     let attach = Record::Attach(0x0102_0304_0506_0708, br#"{"me":1}"#.to_vec());
     let mut expected = vec![(3, attach)];
     expected.extend(events().into_iter().map(|event| (3, Record::Event(event))));
-    expected.extend([(65_534, Record::Event(Event::Timer(1))), (65_534, Record::Shutdown)]);
+    expected.extend([(65_534, Record::Event(Event::TimerFired(1))), (65_534, Record::Shutdown)]);
     assert_eq!(batch.now, 38_034.5);
     assert_eq!(batch.records.len(), expected.len());
     for (read, expected) in batch.records.into_iter().zip(expected) {
@@ -140,12 +161,12 @@
     let request = RequestId(0x5d3a_91c4);
     let mut encoder = Encoder::default();
     encoder.instance(3);
-    encoder.action(&Action::Send { request, server: FIRST, timeout: 0.08 });
-    encoder.action(&Action::Refuse { request, retry_after: 0.0 });
-    encoder.action(&Action::Refuse { request, retry_after: 0.25 });
+    encoder.action(&Action::BeginAttempt { request, server: FIRST, timeout: 0.08 });
+    encoder.action(&Action::Reject { request, retry_after: 0.0 });
+    encoder.action(&Action::Reject { request, retry_after: 0.25 });
     encoder.action(&Action::Fail(request));
-    encoder.action(&Action::Cancel { request, attempt: 1 });
-    encoder.action(&Action::Move(request));
+    encoder.action(&Action::CancelAttempt { request, attempt: 1 });
+    encoder.action(&Action::Migrate(request));
     encoder.action(&Action::SetTimer { after: 0.5, token: 5 << 40 | 77 });
     encoder.action(&Action::Probe(SECOND));
     encoder.action(&Action::Subscribe);
