--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -163,7 +163,11 @@
     /// discovery's.
     pub fn changes(&mut self, change: Change) {
         if let Some(entry) = self.serving.servers.change(change) {
-            self.turn.emit(NetworkEvent::Listed { full: false, cached: true, entries: vec![entry] });
+            self.turn.emit(NetworkEvent::EndpointListReceived {
+                full: false,
+                cached: true,
+                entries: vec![entry],
+            });
         }
     }
 
--- a/crates/balancer/src/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -9,7 +9,7 @@
 
 fn req(id: RequestId) -> ReceivedRequest {
     let (class, tenant, key, group) = (0, 0, 0, 0);
-    ReceivedRequest { id, class, tenant, key, deadline: 900, load: None, group, returning: false }
+    ReceivedRequest { id, class, tenant, key, deadline: 900, load: None, group, is_returning: false }
 }
 
 fn asking(id: RequestId) -> Asking<'static> {
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_driver::PAUSE_MOST;
+use shorewharf_driver::MAX_DISCOVERY_RETRY_DELAY;
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
@@ -23,7 +23,7 @@
 /// be reached.
 const TOLD: Micros = 6_000_000;
 // The pause before the next call is the module's.
-const _: () = assert!(SILENT + PAUSE_MOST + FIRST < TOLD && 2 * FIRST < 4_000_000);
+const _: () = assert!(SILENT + MAX_DISCOVERY_RETRY_DELAY + FIRST < TOLD && 2 * FIRST < 4_000_000);
 /// Pieces of a list that are read in one turn: a list of megabytes must not hold up those who stand.
 const PIECES: usize = 8;
 
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -354,7 +354,7 @@
             DiscoveryEvent::List(list) => {
                 let full = list.snapshot;
                 let entries = self.serving.take_list(list, WallClock::read(self.turn.now));
-                NetworkEvent::Listed { full, cached: false, entries }
+                NetworkEvent::EndpointListReceived { full, cached: false, entries }
             }
             DiscoveryEvent::Failed => NetworkEvent::DiscoveryFailed,
         };
@@ -436,12 +436,12 @@
         match order {
             Order::Client(stream, from) => self.serving.client_comes(&mut self.turn, stream, from),
             Order::DiscoveryEvent(news) => self.listed(news),
-            Order::Watch => self.watch(),
+            Order::Watch => self.watch_endpoints(),
             Order::Probe(other, server) => self.check_on(server, Some(other)),
             Order::Changed(change) => self.changes(change),
             Order::OthersHold(descriptors) => self.serving.others_hold(descriptors),
             Order::Successor(has) => self.has_successor(has),
-            Order::Probed(server, outcome) => self.turn.emit(NetworkEvent::Probed(server, outcome)),
+            Order::Probed(server, outcome) => self.turn.emit(NetworkEvent::ProbeEnded(server, outcome)),
             Order::Stop => self.stop_soon(),
             Order::GoesAlong(handed) => self.goes_along(*handed),
             Order::Stands(handed) => {
@@ -523,7 +523,7 @@
         self.turn.now
     }
 
-    fn next(&mut self) -> Option<NetworkEvent> {
+    fn next_event(&mut self) -> Option<NetworkEvent> {
         self.turn.next()
     }
 
@@ -535,7 +535,7 @@
         self.serving.end_attempt(&mut self.turn, req, Outcome::Cancelled);
     }
 
-    fn refuse(&mut self, req: RequestId, after: Micros) {
+    fn reject(&mut self, req: RequestId, after: Micros) {
         self.serving.answer(&mut self.turn, req, Answer::Refused { after }, Cause::Decision);
     }
 
@@ -543,7 +543,7 @@
         self.serving.answer(&mut self.turn, req, Answer::Failed, Cause::Decision);
     }
 
-    fn move_away(&mut self, req: RequestId) {
+    fn migrate(&mut self, req: RequestId) {
         self.serving.asks_to_move(&mut self.turn, req);
     }
 
@@ -551,14 +551,14 @@
         match &self.crew {
             Some(crew) if !crew.leads() => {
                 if crew.tell(0, Order::Probe(crew.me(), server)).is_err() {
-                    self.turn.emit(NetworkEvent::Probed(server, Outcome::ConnectFailed));
+                    self.turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
                 }
             }
             _ => self.check_on(server, None),
         }
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         match &self.crew {
             // Without the one that leads, the whole process is about to end.
             Some(crew) if !crew.leads() => drop(crew.tell(0, Order::Watch)),
@@ -569,7 +569,7 @@
         }
     }
 
-    fn wake(&mut self, after: Micros, token: u64) {
+    fn set_timer(&mut self, after: Micros, token: u64) {
         self.turn.after(after, Due::Module(token));
     }
 
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -159,7 +159,7 @@
                     others = self.others.len()
                 );
             }
-            turn.emit(NetworkEvent::Elsewhere(elsewhere.map(away)));
+            turn.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
         }
         let untold = self.gossip.stats().untold;
         if untold > 0 && !std::mem::replace(&mut self.said_untold, true) {
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -119,8 +119,8 @@
         let kind = if tells { self.servers.read_figure(turn.now, server, figure) } else { Figure::Load };
         debug!(event = "told", req = id.0, server = self.servers.name(Some(server)), ?kind, figure);
         match kind {
-            Figure::Load => turn.emit(NetworkEvent::Load(id, figure / 1e6)),
-            Figure::Delay => turn.emit(NetworkEvent::Delay(server, (figure * 1e3) as Micros)),
+            Figure::Load => turn.emit(NetworkEvent::LoadReported(id, figure / 1e6)),
+            Figure::Delay => turn.emit(NetworkEvent::MessageDelayReported(server, (figure * 1e3) as Micros)),
             Figure::Unclear => {}
         }
     }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -266,7 +266,7 @@
             deadline: turn.now + wait,
             load: open.load,
             group: open.group,
-            returning: open.returning,
+            is_returning: open.returning,
         };
         let until = if home.is_some() { turn.now + CARRY } else { req.deadline };
         if !self.sessions.ask(turn, id, Asking { line, open_id: open.id, req, home, until }) {
@@ -299,7 +299,7 @@
             Some(server) => self.begin_attempt(turn, id, server, CARRY),
             None => {
                 let (group, key) = (req.group, req.key);
-                debug!(event = "asked", req = id.0, group, key, returning = req.returning);
+                debug!(event = "asked", req = id.0, group, key, returning = req.is_returning);
                 self.guard.queue(id);
                 turn.emit(NetworkEvent::RequestReceived(req));
             }
@@ -479,8 +479,8 @@
             self.counts.replied(class, Reply::Success);
         }
         turn.emit(match (s.home(), s.req()) {
-            (Some(server), Some(req)) => NetworkEvent::Carried(req, server),
-            _ => NetworkEvent::AttemptTaken(id),
+            (Some(server), Some(req)) => NetworkEvent::ConnectionRestored(req, server),
+            _ => NetworkEvent::AttemptEstablished(id),
         });
         self.relay(turn, id);
     }
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -86,7 +86,7 @@
         });
         for (server, delay) in self.servers.delays(turn.now, self.terms.message_aim / 3, &seen) {
             debug!(event = "seen", server = self.servers.name(Some(server)), us = delay);
-            turn.emit(NetworkEvent::Delay(server, delay));
+            turn.emit(NetworkEvent::MessageDelayReported(server, delay));
         }
     }
 }
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -80,10 +80,10 @@
         };
         let (key, group, load) = (standing.key, standing.group, standing.hint);
         let req =
-            ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, returning: false };
-        turn.emit(NetworkEvent::Carried(req, at));
+            ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, is_returning: false };
+        turn.emit(NetworkEvent::ConnectionRestored(req, at));
         if let Some(load) = standing.load.filter(|load| load.is_finite() && *load > 0.0) {
-            turn.emit(NetworkEvent::Load(id, load));
+            turn.emit(NetworkEvent::LoadReported(id, load));
         }
         self.relay(turn, id);
         true
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -33,5 +33,5 @@
     if let (Some(tells), Some(peers)) = (&mut net.tells, &config.peers) {
         tells.take_peers(peers);
     }
-    driver.take_settings(net.now(), config.settings.clone(), &config.operator);
+    driver.update_settings(net.now(), config.settings.clone(), &config.operator);
 }
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -61,7 +61,7 @@
         let Some(link) = address.and_then(|to| Link::connect(to).ok()).and_then(watched) else {
             return match other {
                 Some(other) => self.for_others.push((other, server, Outcome::ConnectFailed)),
-                None => turn.emit(NetworkEvent::Probed(server, Outcome::ConnectFailed)),
+                None => turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
             };
         };
         let (timer, begun) = (turn.after(PROBE, Due::Probe(number)), turn.now);
@@ -110,7 +110,7 @@
             let (server, us) = (probe.server.0, turn.now - probe.begun);
             debug!(event = "probed", server, us, outcome = ?outcome);
             if probe.own {
-                turn.emit(NetworkEvent::Probed(probe.server, outcome));
+                turn.emit(NetworkEvent::ProbeEnded(probe.server, outcome));
             }
             self.for_others.extend(probe.others.into_iter().map(|other| (other, probe.server, outcome)));
         }
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -7,7 +7,7 @@
 
 fn told(turn: &mut Turn) -> Option<Outcome> {
     turn.next().map(|h| match h {
-        NetworkEvent::Probed(ServerId(4), outcome) => outcome,
+        NetworkEvent::ProbeEnded(ServerId(4), outcome) => outcome,
         other => panic!("{other:?}"),
     })
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use shorewharf_decisions::ServerId;
-use shorewharf_driver::{Driver, Gate};
+use shorewharf_driver::{AdmissionGate, Driver};
 use shorewharf_protocol::list::Listing;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::Snapshot;
@@ -42,7 +42,7 @@
 
 impl Memory {
     /// Has the module recall it, and says what became of it.
-    pub fn recall(self, now: Micros, gate: &mut Gate) {
+    pub fn recall(self, now: Micros, gate: &mut AdmissionGate) {
         let age = now.saturating_sub(self.taken);
         let recalled =
             gate.recall(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
@@ -73,7 +73,7 @@
 }
 
 /// All that is known, at once.
-pub fn everything(gate: &Gate) -> Vec<Learned> {
+pub fn everything(gate: &AdmissionGate) -> Vec<Learned> {
     let (mut learned, mut at) = (Vec::new(), Cursor::default());
     while at != Cursor::End {
         at = gate.recollect(at, THINGS, &mut learned);
@@ -158,7 +158,7 @@
     }
 
     /// Reads a portion, of a new record where none is being read and the one before is on the disk.
-    fn goes_on(&mut self, net: &Net, gate: &Gate) {
+    fn goes_on(&mut self, net: &Net, gate: &AdmissionGate) {
         if self.at.is_none() && self.writer.is_idle() {
             self.began = net.turn.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
@@ -181,7 +181,7 @@
         }
     }
 
-    fn reads(&mut self, at: At, net: &Net, gate: &Gate) {
+    fn reads(&mut self, at: At, net: &Net, gate: &AdmissionGate) {
         let mut lines = Vec::new();
         self.at = match at {
             At::Servers(behind) => {
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -85,7 +85,7 @@
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.comes_first());
         self.net.serve_operators(first, || gate.avoided(seconds_from_micros(now)));
-        self.driver.settle(&mut self.net);
+        self.driver.process_events(&mut self.net);
         for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
             match owner {
                 Owner::Signals => self.signalled(),
@@ -96,13 +96,13 @@
                 }
                 owner => self.net.seen(owner, ready),
             }
-            self.driver.settle(&mut self.net);
+            self.driver.process_events(&mut self.net);
         }
         let driver = &mut self.driver;
-        self.net.finish(|net| driver.settle(net));
+        self.net.finish(|net| driver.process_events(net));
         let gate = driver.gate();
         self.net.hands_over(|id| gate.standing(id));
-        driver.settle(&mut self.net);
+        driver.process_events(&mut self.net);
         if self.net.shares_anew().is_some() {
             self.enforce();
         }
@@ -110,7 +110,7 @@
             && tells.is_due()
         {
             tells.tell(&mut self.net.turn, self.driver.gate().holds());
-            self.driver.settle(&mut self.net);
+            self.driver.process_events(&mut self.net);
         }
         if let Some(keeping) = &mut self.keeping {
             keeping.turn(&mut self.net, &mut self.driver);
@@ -134,7 +134,7 @@
                 Order::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
                 order => self.net.order(order),
             }
-            self.driver.settle(&mut self.net);
+            self.driver.process_events(&mut self.net);
         }
     }
 
@@ -203,7 +203,7 @@
         let budgets = self.shares.as_ref().and_then(|s| s.admission(&config));
         let mut driver = Driver::start(config.settings, &config.operator, config.seed, known, &mut net);
         if let Some(budgets) = budgets {
-            driver.gate().keep_to(budgets);
+            driver.gate().set_budgets(budgets);
         }
         if let Some(memory) = self.memory {
             memory.recall(net.now(), driver.gate());
--- a/crates/driver/benches/placement.rs
+++ b/crates/driver/benches/placement.rs
@@ -4,13 +4,13 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use shorewharf_decisions::interface::*;
-use shorewharf_driver::Gate;
+use shorewharf_driver::AdmissionGate;
 use shorewharf_settings::operator::Operator;
 
 const STANDING: u32 = 400;
 
 struct Rig {
-    gate: Gate,
+    gate: AdmissionGate,
     now: f64,
     next: u32,
     tenants: u32,
@@ -29,7 +29,7 @@
         );
         let set = shorewharf_settings::settings(text.as_bytes()).expect("settings").0;
         let operator = Operator::parse(&format!("[tenancy]\non = {on}")).expect("an operator's file");
-        let gate = Gate::new(0, set, 7, &operator);
+        let gate = AdmissionGate::new(0, set, 7, &operator);
         let (stands, out) = (std::collections::VecDeque::new(), Vec::new());
         let mut rig = Rig { gate, now: 1.0, next: 0, tenants, stands, out };
         rig.tell(Event::Start);
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -12,7 +12,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde_json::Value;
 use shorewharf_decisions::interface::*;
-use shorewharf_driver::Gate;
+use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::Operator;
 use shorewharf_snapshot::record::{Encoder, Head, Line, VERSION, decode};
@@ -35,10 +35,10 @@
     18446744073709551615.0,
 ];
 
-fn gate() -> Gate {
+fn gate() -> AdmissionGate {
     let text = include_bytes!("settings.json");
     let set = shorewharf_settings::settings(text).expect("good settings").0;
-    let mut gate = Gate::new(0, set, 7, &Operator::default());
+    let mut gate = AdmissionGate::new(0, set, 7, &Operator::default());
     let (zone, cell, stage, weight) = (0, 0, ServerState::Ready, 4.0);
     let born = |id| if id == 1 { 95.0 } else { 0.0 };
     let entry =
@@ -64,7 +64,7 @@
     }
 }
 
-fn read(gate: &Gate) -> Vec<Learned> {
+fn read(gate: &AdmissionGate) -> Vec<Learned> {
     let (mut all, mut at) = (Vec::new(), Cursor::default());
     while at != Cursor::End {
         at = gate.recollect(at, 16, &mut all);
--- a/crates/driver/examples/recollect.rs
+++ b/crates/driver/examples/recollect.rs
@@ -5,17 +5,17 @@
 use std::time::{Duration, Instant};
 
 use shorewharf_decisions::interface::*;
-use shorewharf_driver::Gate;
+use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::Operator;
 
 /// As the program reads.
 const PORTION: usize = 512;
 
-fn instance(servers: u64) -> Gate {
+fn instance(servers: u64) -> AdmissionGate {
     let text = include_bytes!("settings.json");
     let set = shorewharf_settings::settings(text).expect("good settings").0;
-    let mut gate = Gate::new(0, set, 7, &Operator::default());
+    let mut gate = AdmissionGate::new(0, set, 7, &Operator::default());
     let (zone, cell, stage, weight, born) = (0, 0, ServerState::Ready, 100.0, 0.0);
     let entry = |id| ServerEntry { server: ServerId(id), zone, cell, state: stage, weight, started_at: born };
     let entries = (1..=servers).map(entry).collect::<Vec<_>>().into();
--- a/crates/driver/src/admission.rs
+++ b/crates/driver/src/admission.rs
@@ -7,11 +7,11 @@
 
 /// What becomes of a client that asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// Let it on.
     Admit,
     /// It is refused at once; the module never hears of it.
-    TurnAway {
+    Reject {
         /// When to come back, from now; 0 where it is not told.
         after: Micros,
         /// The reason, to be counted.
@@ -21,15 +21,15 @@
 
 /// What became of a request that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AdmittedOutcome {
     /// Its connection stands.
-    Up,
+    Established,
     /// Its connection, which stood, has ended so.
-    Ended(Outcome),
+    ConnectionEnded(Outcome),
     /// The module refused it, or failed it, before it stood.
-    Refused,
+    Rejected,
     /// Its client went away before it stood, or wants nothing more.
-    Left,
+    ClientLeft,
 }
 
 /// Decisions that come before the module's: tenants' shares, an outage's end. Each sees every event, may turn clients
@@ -40,23 +40,23 @@
 /// other fates after that.
 pub trait Admission {
     /// A client asks. Nothing may be counted yet of one that is let on.
-    fn asked(&mut self, now: Micros, request: &Request) -> Verdict;
+    fn check(&mut self, now: Micros, request: &Request) -> AdmissionDecision;
     /// The client that was asked about last goes on to the module.
-    fn taken(&mut self, _now: Micros, _request: &Request) {}
+    fn on_admitted(&mut self, _now: Micros, _request: &Request) {}
     /// A connection from before the start stands.
-    fn carried(&mut self, _now: Micros, _request: &Request) {}
+    fn on_restored(&mut self, _now: Micros, _request: &Request) {}
     /// What became of a request that was taken or carried.
-    fn fate(&mut self, _now: Micros, _request: &Request, _fate: Fate) {}
+    fn on_outcome(&mut self, _now: Micros, _request: &Request, _fate: AdmittedOutcome) {}
     /// Anything that happens, before the module hears of it.
-    fn hears(&mut self, _now: Micros, _event: &Event) {}
+    fn on_event(&mut self, _now: Micros, _event: &Event) {}
     /// Which tenants' standing connections are to be moved now, and how many.
-    fn due(&mut self, _now: Micros, _moves: &mut Vec<(usize, u32)>) {}
+    fn due_migrations(&mut self, _now: Micros, _moves: &mut Vec<(usize, u32)>) {}
     /// So many of those moves had no connection to go by.
-    fn not_moved(&mut self, _tenant: usize, _count: u32) {}
+    fn on_migration_unavailable(&mut self, _tenant: usize, _count: u32) {}
     /// When [`Admission::due`] is to be called again, if at all.
-    fn next_due(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         None
     }
     /// Other settings are in force.
-    fn take_settings(&mut self, _now: Micros, _set: &Settings, _operator: &Operator) {}
+    fn update_settings(&mut self, _now: Micros, _set: &Settings, _operator: &Operator) {}
 }
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -7,7 +7,7 @@
 use shorewharf_settings::operator::Operator;
 use shorewharf_units::{Micros, micros_from_seconds};
 
-use crate::admission::{Admission, Fate, Verdict};
+use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome};
 
 /// Standing connections that were asked to move have so long to do so before they are asked for again.
 const MOVES: Micros = 1_000_000;
@@ -73,7 +73,7 @@
 }
 
 impl Admission for Budgets {
-    fn asked(&mut self, now: Micros, request: &Request) -> Verdict {
+    fn check(&mut self, now: Micros, request: &Request) -> AdmissionDecision {
         let tenant = self.of(request);
         let refused = {
             let mut parts = self.parts();
@@ -85,32 +85,36 @@
             })
         };
         match refused {
-            Ok(()) => Verdict::Admit,
-            Err((Some(rate), why)) => Verdict::TurnAway { after: self.turn(now, rate), why },
+            Ok(()) => AdmissionDecision::Admit,
+            Err((Some(rate), why)) => AdmissionDecision::Reject { after: self.turn(now, rate), why },
             // Nothing tells when a connection ends.
-            Err((None, why)) => Verdict::TurnAway { after: self.some_time(), why },
+            Err((None, why)) => AdmissionDecision::Reject { after: self.some_time(), why },
         }
     }
 
-    fn taken(&mut self, now: Micros, request: &Request) {
+    fn on_admitted(&mut self, now: Micros, request: &Request) {
         let (tenant, set_ups) = (self.of(request), self.set_ups);
         let mut parts = self.parts();
         tenant.into_iter().chain(set_ups).for_each(|place| parts.takes(now, place));
     }
 
-    fn carried(&mut self, now: Micros, request: &Request) {
+    fn on_restored(&mut self, now: Micros, request: &Request) {
         if let Some(place) = self.of(request) {
             self.parts().takes(now, place);
         }
     }
 
-    fn fate(&mut self, _now: Micros, request: &Request, fate: Fate) {
-        if let (Fate::Ended(_) | Fate::Refused | Fate::Left, Some(place)) = (fate, self.of(request)) {
+    fn on_outcome(&mut self, _now: Micros, request: &Request, fate: AdmittedOutcome) {
+        if let (
+            AdmittedOutcome::ConnectionEnded(_) | AdmittedOutcome::Rejected | AdmittedOutcome::ClientLeft,
+            Some(place),
+        ) = (fate, self.of(request))
+        {
             self.parts().gives_back(place);
         }
     }
 
-    fn due(&mut self, now: Micros, moves: &mut Vec<(usize, u32)>) {
+    fn due_migrations(&mut self, now: Micros, moves: &mut Vec<(usize, u32)>) {
         self.looked = now;
         for tenant in 0..self.tenants.len() {
             let Some(place) = self.tenants[tenant].filter(|_| now >= self.moves[tenant]) else { continue };
@@ -122,11 +126,11 @@
         }
     }
 
-    fn next_due(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         Some(self.parts().runs_out().max(self.looked + MOVES / 2))
     }
 
-    fn take_settings(&mut self, _now: Micros, set: &Settings, _operator: &Operator) {
+    fn update_settings(&mut self, _now: Micros, set: &Settings, _operator: &Operator) {
         self.longest = longest(set);
     }
 }
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -12,15 +12,15 @@
 use shorewharf_settings::operator::{Operator, Recovery};
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 
-use crate::admission::{Admission, Fate, Verdict};
+use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome};
 use crate::budgets::Budgets;
 use crate::tenants::Tenants;
 
 /// The gate's own timer; the module's tokens lie far below.
 const DUE: u64 = 1 << 63;
 /// Who was turned away is told to the log so often at most, and of so many tenants: a flood must not fill the log too.
-const TELL_EVERY: Micros = 10_000_000;
-const TELL_MOST: usize = 8;
+const REJECTION_LOG_INTERVAL: Micros = 10_000_000;
+const MAX_LOGGED_TENANTS: usize = 8;
 
 fn care(operator: &Operator) -> Options {
     let Recovery { levels, repeats, rebalance } = operator.recovery;
@@ -44,53 +44,53 @@
 
 /// A request that was taken, or whose connection stood before the start.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct AdmittedRequest {
     request: Request,
     /// An attempt is out.
-    out: bool,
-    stands: bool,
+    has_attempt_out: bool,
+    is_established: bool,
     /// It has been asked to move by an admission.
-    moves: bool,
+    is_migrating: bool,
 }
 
 /// The module and its admissions.
 #[derive(Debug)]
-pub struct Gate {
+pub struct AdmissionGate {
     balancer: Guarded,
     admissions: Admissions,
-    held: HashMap<RequestId, Held>,
+    admitted: HashMap<RequestId, AdmittedRequest>,
     /// The gate's timer comes then.
-    wakes: Option<Micros>,
-    turned_away: BTreeMap<&'static str, u64>,
+    timer_at: Option<Micros>,
+    rejections: BTreeMap<&'static str, u64>,
     /// By tenant and reason, since the log was told last.
-    untold: BTreeMap<(usize, &'static str), u64>,
-    told: Micros,
+    unlogged_rejections: BTreeMap<(usize, &'static str), u64>,
+    logged_at: Micros,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// A fresh module of these settings behind what the operator wants before it.
-    pub fn new(now: Micros, set: Settings, seed: u64, operator: &Operator) -> Gate {
+    pub fn new(now: Micros, set: Settings, seed: u64, operator: &Operator) -> AdmissionGate {
         let tenants = Tenants::new(now, &set, operator);
-        Gate {
+        AdmissionGate {
             balancer: Guarded::new(set, seed, care(operator)),
             admissions: Admissions { tenants, budgets: None },
-            held: HashMap::new(),
-            wakes: None,
-            turned_away: BTreeMap::new(),
-            untold: BTreeMap::new(),
-            told: now,
+            admitted: HashMap::new(),
+            timer_at: None,
+            rejections: BTreeMap::new(),
+            unlogged_rejections: BTreeMap::new(),
+            logged_at: now,
         }
     }
 
     /// Puts new settings in force; what was learned stays. Which admissions there are is decided at the start.
-    pub fn take_settings(&mut self, now: Micros, set: Settings, operator: &Operator) {
-        self.admissions.all().for_each(|a| a.take_settings(now, &set, operator));
+    pub fn update_settings(&mut self, now: Micros, set: Settings, operator: &Operator) {
+        self.admissions.all().for_each(|a| a.update_settings(now, &set, operator));
         self.balancer.take_settings(set, care(operator));
     }
 
     /// Clients turned away before the module heard of them, by reason.
-    pub fn turned_away(&self) -> &BTreeMap<&'static str, u64> {
-        &self.turned_away
+    pub fn rejections(&self) -> &BTreeMap<&'static str, u64> {
+        &self.rejections
     }
 
     /// Tenants' shares, where they are kept.
@@ -99,7 +99,7 @@
     }
 
     /// Keeps to budgets of the whole fleet from now on.
-    pub fn keep_to(&mut self, budgets: Budgets) {
+    pub fn set_budgets(&mut self, budgets: Budgets) {
         self.admissions.budgets = Some(budgets);
     }
 
@@ -150,128 +150,146 @@
             return self.balancer.handle(now, event, out);
         }
         let at = micros_from_seconds(now);
-        self.admissions.all().for_each(|a| a.hears(at, &event));
+        self.admissions.all().for_each(|a| a.on_event(at, &event));
         let first = out.len();
         let ends = match &event {
             Event::TimerFired(DUE) => {
-                self.wakes = None;
-                self.due(at, out);
-                return self.sleep(at, out);
+                self.timer_at = None;
+                self.migrate_due(at, out);
+                return self.schedule_timer(at, out);
             }
             Event::RequestReceived(request) => {
-                if let Some(after) = self.turns_away(at, request) {
+                if let Some(after) = self.check_admission(at, request) {
                     out.push(Action::Reject { request: request.id, retry_after: seconds_from_micros(after) });
-                    return self.tell_log(at, out);
+                    return self.log_rejections(at, out);
                 }
                 None
             }
             Event::ConnectionRestored(request, _) => {
-                let held = Held { request: *request, out: false, stands: true, moves: false };
-                self.held.insert(request.id, held);
-                self.admissions.all().for_each(|a| a.carried(at, request));
+                let held = AdmittedRequest {
+                    request: *request,
+                    has_attempt_out: false,
+                    is_established: true,
+                    is_migrating: false,
+                };
+                self.admitted.insert(request.id, held);
+                self.admissions.all().for_each(|a| a.on_restored(at, request));
                 None
             }
             Event::Established { request, .. } => {
-                self.comes_up(at, *request);
+                self.on_established(at, *request);
                 None
             }
             Event::AttemptEnded { request, outcome, is_answered: complete, .. } => {
-                self.attempt_ends(*request, *outcome, *complete)
-            }
-            Event::ClientLeft(id) => {
-                self.held.get(id).filter(|h| !h.out && !h.stands).map(|_| (*id, Fate::Left))
+                self.on_attempt_ended(*request, *outcome, *complete)
             }
+            Event::ClientLeft(id) => self
+                .admitted
+                .get(id)
+                .filter(|h| !h.has_attempt_out && !h.is_established)
+                .map(|_| (*id, AdmittedOutcome::ClientLeft)),
             _ => None,
         };
         self.balancer.handle(now, event, out);
         if let Some((id, fate)) = ends {
-            self.over(at, id, fate);
+            self.on_outcome(at, id, fate);
         }
         for action in &out[first..] {
             match action {
                 Action::BeginAttempt { request, .. } => {
-                    self.held.entry(*request).and_modify(|h| h.out = true);
+                    self.admitted.entry(*request).and_modify(|h| h.has_attempt_out = true);
                 }
                 Action::Reject { request, .. } | Action::Fail(request) => {
-                    self.over(at, *request, Fate::Refused);
+                    self.on_outcome(at, *request, AdmittedOutcome::Rejected);
                 }
                 _ => {}
             }
         }
-        self.sleep(at, out);
+        self.schedule_timer(at, out);
     }
 
     /// When a client that is turned away should come back; none if it is taken.
-    fn turns_away(&mut self, now: Micros, request: &Request) -> Option<Micros> {
+    fn check_admission(&mut self, now: Micros, request: &Request) -> Option<Micros> {
         for admission in self.admissions.all() {
-            if let Verdict::TurnAway { after, why } = admission.asked(now, request) {
-                *self.turned_away.entry(why).or_default() += 1;
-                *self.untold.entry((request.tenant, why)).or_default() += 1;
+            if let AdmissionDecision::Reject { after, why } = admission.check(now, request) {
+                *self.rejections.entry(why).or_default() += 1;
+                *self.unlogged_rejections.entry((request.tenant, why)).or_default() += 1;
                 return Some(after);
             }
         }
-        self.admissions.all().for_each(|a| a.taken(now, request));
-        let held = Held { request: *request, out: false, stands: false, moves: false };
-        self.held.insert(request.id, held);
+        self.admissions.all().for_each(|a| a.on_admitted(now, request));
+        let held = AdmittedRequest {
+            request: *request,
+            has_attempt_out: false,
+            is_established: false,
+            is_migrating: false,
+        };
+        self.admitted.insert(request.id, held);
         None
     }
 
     /// Tells the log who was turned away, those most often first.
-    fn tell_log(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if now < self.told + TELL_EVERY {
+    fn log_rejections(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if now < self.logged_at + REJECTION_LOG_INTERVAL {
             return;
         }
-        self.told = now;
-        let mut all: Vec<_> = std::mem::take(&mut self.untold).into_iter().collect();
+        self.logged_at = now;
+        let mut all: Vec<_> = std::mem::take(&mut self.unlogged_rejections).into_iter().collect();
         all.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-        let some = all.iter().take(TELL_MOST);
+        let some = all.iter().take(MAX_LOGGED_TENANTS);
         let texts: Vec<String> =
             some.map(|((tenant, why), count)| format!("tenant {tenant} {why} {count}")).collect();
         out.push(Action::Log(format!("turned away since the last line: {}", texts.join(", "))));
     }
 
-    fn comes_up(&mut self, now: Micros, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.stands) else { return };
-        (held.stands, held.out) = (true, false);
+    fn on_established(&mut self, now: Micros, id: RequestId) {
+        let Some(held) = self.admitted.get_mut(&id).filter(|h| !h.is_established) else { return };
+        (held.is_established, held.has_attempt_out) = (true, false);
         let request = held.request;
-        self.admissions.all().for_each(|a| a.fate(now, &request, Fate::Up));
+        self.admissions.all().for_each(|a| a.on_outcome(now, &request, AdmittedOutcome::Established));
     }
 
     /// An attempt has ended, or a connection that stood; the request's fate, if that was its end.
-    fn attempt_ends(&mut self, id: RequestId, outcome: Outcome, complete: bool) -> Option<(RequestId, Fate)> {
-        let held = self.held.get_mut(&id)?;
-        held.out = false;
-        match (held.stands, complete) {
-            (true, _) => Some((id, Fate::Ended(outcome))),
-            (false, true) => Some((id, Fate::Left)),
+    fn on_attempt_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        complete: bool,
+    ) -> Option<(RequestId, AdmittedOutcome)> {
+        let held = self.admitted.get_mut(&id)?;
+        held.has_attempt_out = false;
+        match (held.is_established, complete) {
+            (true, _) => Some((id, AdmittedOutcome::ConnectionEnded(outcome))),
+            (false, true) => Some((id, AdmittedOutcome::ClientLeft)),
             // The module may try again; else it refuses.
             (false, false) => None,
         }
     }
 
-    fn over(&mut self, now: Micros, id: RequestId, fate: Fate) {
-        if let Some(held) = self.held.remove(&id) {
-            self.admissions.all().for_each(|a| a.fate(now, &held.request, fate));
+    fn on_outcome(&mut self, now: Micros, id: RequestId, fate: AdmittedOutcome) {
+        if let Some(held) = self.admitted.remove(&id) {
+            self.admissions.all().for_each(|a| a.on_outcome(now, &held.request, fate));
         }
     }
 
     /// Has standing connections moved, those that have stood for longest by their numbers first.
-    fn due(&mut self, now: Micros, out: &mut Vec<Action>) {
+    fn migrate_due(&mut self, now: Micros, out: &mut Vec<Action>) {
         let mut moves = Vec::new();
         for admission in self.admissions.all() {
             moves.clear();
-            admission.due(now, &mut moves);
+            admission.due_migrations(now, &mut moves);
             for &(tenant, count) in &moves {
-                let there = |h: &Held| h.request.tenant == tenant && h.stands && !h.moves;
+                let there =
+                    |h: &AdmittedRequest| h.request.tenant == tenant && h.is_established && !h.is_migrating;
                 let mut ids: Vec<RequestId> =
-                    self.held.iter().filter(|(_, h)| there(h)).map(|(id, _)| *id).collect();
+                    self.admitted.iter().filter(|(_, h)| there(h)).map(|(id, _)| *id).collect();
                 ids.sort_unstable();
                 ids.truncate(count as usize);
                 if ids.len() < count as usize {
-                    admission.not_moved(tenant, count - ids.len() as u32);
+                    admission.on_migration_unavailable(tenant, count - ids.len() as u32);
                 }
                 for id in ids {
-                    self.held.entry(id).and_modify(|h| h.moves = true);
+                    self.admitted.entry(id).and_modify(|h| h.is_migrating = true);
                     self.balancer.moved(id);
                     out.push(Action::Migrate(id));
                 }
@@ -280,10 +298,10 @@
     }
 
     /// Sets the timer for what is due next.
-    fn sleep(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(next) = self.admissions.all().filter_map(|a| a.next_due()).min() else { return };
-        if self.wakes.is_none_or(|at| next < at) {
-            self.wakes = Some(next);
+    fn schedule_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let Some(next) = self.admissions.all().filter_map(|a| a.next_deadline()).min() else { return };
+        if self.timer_at.is_none_or(|at| next < at) {
+            self.timer_at = Some(next);
             out.push(Action::SetTimer { after: seconds_from_micros(next.saturating_sub(now)), token: DUE });
         }
     }
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -5,7 +5,7 @@
 use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict as Said};
 use shorewharf_units::{Micros, micros_from_seconds};
 
-use crate::admission::{Admission, Fate, Verdict};
+use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome};
 
 /// Tenants' shares, and what the operator said of them.
 #[derive(Clone, Debug)]
@@ -59,44 +59,44 @@
 }
 
 impl Admission for Tenants {
-    fn asked(&mut self, now: Micros, request: &Request) -> Verdict {
+    fn check(&mut self, now: Micros, request: &Request) -> AdmissionDecision {
         match self.tenancy.asked(now, Place(request.tenant), request.is_returning) {
-            Said::Admit => Verdict::Admit,
-            Said::TurnAway { after, why } => Verdict::TurnAway { after, why: why.text() },
+            Said::Admit => AdmissionDecision::Admit,
+            Said::TurnAway { after, why } => AdmissionDecision::Reject { after, why: why.text() },
         }
     }
 
-    fn taken(&mut self, now: Micros, _request: &Request) {
+    fn on_admitted(&mut self, now: Micros, _request: &Request) {
         self.tenancy.taken(now);
     }
 
-    fn carried(&mut self, now: Micros, request: &Request) {
+    fn on_restored(&mut self, now: Micros, request: &Request) {
         self.tenancy.carried(now, Place(request.tenant));
     }
 
-    fn fate(&mut self, now: Micros, request: &Request, fate: Fate) {
+    fn on_outcome(&mut self, now: Micros, request: &Request, fate: AdmittedOutcome) {
         let place = Place(request.tenant);
         match fate {
-            Fate::Up => self.tenancy.up(now, place),
-            Fate::Ended(_) => self.tenancy.ended(now, place),
-            Fate::Refused => self.tenancy.refused(now, place),
-            Fate::Left => self.tenancy.left(now, place),
+            AdmittedOutcome::Established => self.tenancy.up(now, place),
+            AdmittedOutcome::ConnectionEnded(_) => self.tenancy.ended(now, place),
+            AdmittedOutcome::Rejected => self.tenancy.refused(now, place),
+            AdmittedOutcome::ClientLeft => self.tenancy.left(now, place),
         }
     }
 
-    fn due(&mut self, now: Micros, moves: &mut Vec<(usize, u32)>) {
+    fn due_migrations(&mut self, now: Micros, moves: &mut Vec<(usize, u32)>) {
         moves.extend(self.tenancy.due(now).into_iter().map(|m| (m.place.0, m.count)));
     }
 
-    fn not_moved(&mut self, tenant: usize, count: u32) {
+    fn on_migration_unavailable(&mut self, tenant: usize, count: u32) {
         self.tenancy.not_moved(Place(tenant), count);
     }
 
-    fn next_due(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         self.tenancy.next_due()
     }
 
-    fn take_settings(&mut self, now: Micros, set: &Settings, said: &Operator) {
+    fn update_settings(&mut self, now: Micros, set: &Settings, said: &Operator) {
         self.tenancy.set_terms(terms(set, said));
         self.take(now, set);
     }
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -30,7 +30,7 @@
     fn now(&self) -> Micros {
         self.now
     }
-    fn next(&mut self) -> Option<NetworkEvent> {
+    fn next_event(&mut self) -> Option<NetworkEvent> {
         self.happenings.pop_front()
     }
     fn begin_attempt(&mut self, req: RequestId, server: ServerId, _: Micros) {
@@ -40,23 +40,23 @@
         self.calls.push(Call::Cancel(req));
         self.happenings.push_back(NetworkEvent::AttemptEnded(req, Outcome::Cancelled));
     }
-    fn refuse(&mut self, req: RequestId, after: Micros) {
+    fn reject(&mut self, req: RequestId, after: Micros) {
         self.calls.push(Call::Refuse(req, after));
     }
     fn fail(&mut self, req: RequestId) {
         self.calls.push(Call::Fail(req));
     }
-    fn move_away(&mut self, req: RequestId) {
+    fn migrate(&mut self, req: RequestId) {
         self.calls.push(Call::Move(req));
         self.happenings.push_back(NetworkEvent::AttemptEnded(req, Outcome::Cancelled));
     }
     fn probe(&mut self, server: ServerId) {
         self.calls.push(Call::Probe(server));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.calls.push(Call::Watch);
     }
-    fn wake(&mut self, after: Micros, token: u64) {
+    fn set_timer(&mut self, after: Micros, token: u64) {
         self.timers.push((self.now + after, token));
     }
     fn log(&mut self, _: &str) {}
@@ -86,7 +86,7 @@
     /// What the module asks for when this happens.
     fn happens(&mut self, happening: NetworkEvent) -> Vec<Call> {
         self.peers.happenings.push_back(happening);
-        self.driver.settle(&mut self.peers);
+        self.driver.process_events(&mut self.peers);
         std::mem::take(&mut self.peers.calls)
     }
 
@@ -100,7 +100,7 @@
             deadline,
             load: None,
             group: 0,
-            returning: false,
+            is_returning: false,
         };
         self.happens(NetworkEvent::RequestReceived(req))
     }
@@ -151,7 +151,7 @@
     let last = rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Rejected));
     assert!(matches!(last[..], [Call::Refuse(ID, wait)] if wait > 0), "{last:?}");
     assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Rejected)), []);
-    assert_eq!(rig.driver.open_reqs(), 0);
+    assert_eq!(rig.driver.open_requests(), 0);
 }
 
 #[test]
@@ -160,9 +160,9 @@
     for outcome in [Outcome::Ok, Outcome::Reset, Outcome::Cancelled] {
         let mut rig = Rig::new(3);
         rig.asked(7);
-        assert_eq!(rig.happens(NetworkEvent::AttemptTaken(ID)), []);
+        assert_eq!(rig.happens(NetworkEvent::AttemptEstablished(ID)), []);
         assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, outcome)), [], "{outcome:?}");
-        assert_eq!(rig.driver.open_reqs(), 0);
+        assert_eq!(rig.driver.open_requests(), 0);
         assert_eq!(rig.waits(4_000_000).iter().filter(|c| **c != Call::Watch).count(), 0);
     }
 }
@@ -181,7 +181,7 @@
     rig.asked(7);
     let calls: Vec<Call> = rig.waits(3_000_000).into_iter().filter(|c| *c != Call::Watch).collect();
     assert_eq!(calls, [Call::Cancel(ID), Call::Fail(ID)]);
-    assert_eq!(rig.driver.open_reqs(), 0);
+    assert_eq!(rig.driver.open_requests(), 0);
 }
 
 #[test]
@@ -189,20 +189,20 @@
     let mut rig = Rig::new(2);
     rig.asked(7);
     assert_eq!(rig.happens(NetworkEvent::ClientLeft(ID)), []);
-    assert_eq!(rig.driver.open_reqs(), 1);
+    assert_eq!(rig.driver.open_requests(), 1);
     assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Cancelled)), []);
-    assert_eq!(rig.driver.open_reqs(), 0);
+    assert_eq!(rig.driver.open_requests(), 0);
 }
 
 #[test]
 fn clients_of_a_draining_server_are_moved_and_nobody_new_goes_there() {
     let mut rig = Rig::new(2);
     let server = fetched(&rig.asked(7));
-    rig.happens(NetworkEvent::AttemptTaken(ID));
+    rig.happens(NetworkEvent::AttemptEstablished(ID));
     let entries = vec![entry(server.0, ServerState::Draining)];
-    let calls = rig.happens(NetworkEvent::Listed { full: false, cached: false, entries });
+    let calls = rig.happens(NetworkEvent::EndpointListReceived { full: false, cached: false, entries });
     assert_eq!(calls, [Call::Move(ID)]);
-    assert_eq!(rig.driver.open_reqs(), 0);
+    assert_eq!(rig.driver.open_requests(), 0);
     for id in 8..20 {
         assert_ne!(fetched(&rig.asked(id)), server);
     }
@@ -220,23 +220,27 @@
         deadline,
         load: None,
         group: 0,
-        returning: false,
+        is_returning: false,
     };
-    assert_eq!(rig.happens(NetworkEvent::Carried(req, ServerId(1))), []);
+    assert_eq!(rig.happens(NetworkEvent::ConnectionRestored(req, ServerId(1))), []);
     // It stands: its deadline binds no more.
     assert_eq!(rig.waits(5_000_000).iter().filter(|c| **c != Call::Watch).count(), 0);
     let entries = vec![entry(1, ServerState::Draining)];
-    assert_eq!(rig.happens(NetworkEvent::Listed { full: false, cached: false, entries }), [Call::Move(ID)]);
+    assert_eq!(
+        rig.happens(NetworkEvent::EndpointListReceived { full: false, cached: false, entries }),
+        [Call::Move(ID)]
+    );
 }
 
 #[test]
 fn slow_messages_move_clients_away() {
     let mut rig = Rig::new(2);
     let server = fetched(&rig.asked(7));
-    rig.happens(NetworkEvent::AttemptTaken(ID));
-    let before: Vec<Call> = rig.happens(NetworkEvent::Delay(server, 17_000));
+    rig.happens(NetworkEvent::AttemptEstablished(ID));
+    let before: Vec<Call> = rig.happens(NetworkEvent::MessageDelayReported(server, 17_000));
     assert_eq!(before, []);
-    let calls: Vec<Call> = (0..20).flat_map(|_| rig.happens(NetworkEvent::Delay(server, 900_000))).collect();
+    let calls: Vec<Call> =
+        (0..20).flat_map(|_| rig.happens(NetworkEvent::MessageDelayReported(server, 900_000))).collect();
     assert_eq!(calls, [Call::Move(ID)]);
 }
 
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -1,11 +1,11 @@
 //! The gate: who is turned away before the module hears of it, and what admissions are told of the rest.
 
 use shorewharf_decisions::interface::*;
-use shorewharf_driver::Gate;
+use shorewharf_driver::AdmissionGate;
 use shorewharf_settings::operator::Operator;
 
 struct Rig {
-    gate: Gate,
+    gate: AdmissionGate,
     now: f64,
     next: u32,
 }
@@ -35,7 +35,7 @@
             "limits":{"cancel":true,"max_attempts":5,"retry_after":true,"max_retry_after_s":1.5}}"#;
         let set = shorewharf_settings::settings(text).expect("settings").0;
         let operator = Operator::parse(operator).expect("an operator's file");
-        let mut rig = Rig { gate: Gate::new(0, set, 7, &operator), now: 1.0, next: 0 };
+        let mut rig = Rig { gate: AdmissionGate::new(0, set, 7, &operator), now: 1.0, next: 0 };
         rig.tell(Event::Start);
         let entry = |s| {
             let server = ServerId(s);
@@ -103,7 +103,7 @@
     let (id, actions) = rig.asks(0);
     let [Action::Reject { request, retry_after }] = actions[..] else { panic!("{actions:?}") };
     assert!(request == id && retry_after > 0.0 && retry_after <= 1.5, "{retry_after}");
-    assert_eq!(rig.gate.turned_away().get("tenant-connections"), Some(&31));
+    assert_eq!(rig.gate.rejections().get("tenant-connections"), Some(&31));
     assert!(rig.stands(1).is_some());
     rig.now += 10.0;
     let told = rig.asks(0).1;
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -177,7 +177,7 @@
 impl Brain {
     fn settle(&mut self, peers: &mut Emulated) {
         match self {
-            Brain::Module(driver) => driver.settle(peers),
+            Brain::Module(driver) => driver.process_events(peers),
             Brain::Policy(policy) => policy.settle(peers),
             Brain::Oracle(oracle) => oracle.settle(peers),
         }
@@ -252,7 +252,11 @@
         let time = Board::time(now);
         if time >= self.next {
             self.next = time + 1;
-            peers.tell(NetworkEvent::Elsewhere(self.board.exchange(time, self.id, driver.gate().holds())));
+            peers.tell(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
+                time,
+                self.id,
+                driver.gate().holds(),
+            )));
         }
     }
 }
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -83,13 +83,13 @@
             seen: 0,
         };
         oracle.listed(true, known);
-        peers.watch();
-        peers.wake(RELIEVE_EVERY, RELIEVE);
+        peers.watch_endpoints();
+        peers.set_timer(RELIEVE_EVERY, RELIEVE);
         oracle
     }
 
     pub(super) fn settle(&mut self, peers: &mut Emulated) {
-        while let Some(happening) = peers.next() {
+        while let Some(happening) = peers.next_event() {
             self.happened(happening, peers);
         }
     }
@@ -109,11 +109,11 @@
 
     fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
         match happening {
-            NetworkEvent::Listed { full, entries, .. } => self.listed(full, &entries),
-            NetworkEvent::DiscoveryFailed => peers.wake(WATCH_AGAIN, WATCH),
+            NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
+            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
             NetworkEvent::TimerFired(RELIEVE) => self.relieve(peers),
             NetworkEvent::TimerFired(LOOK) => self.look(peers),
-            NetworkEvent::TimerFired(_) => peers.watch(),
+            NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
                 let held = Held {
                     deadline: req.deadline,
@@ -127,7 +127,7 @@
                 self.held.insert(req.id, held);
                 self.try_it(req.id, peers);
             }
-            NetworkEvent::Carried(req, server) => {
+            NetworkEvent::ConnectionRestored(req, server) => {
                 let held = Held {
                     deadline: 0,
                     attempts: 1,
@@ -139,12 +139,12 @@
                 };
                 self.held.insert(req.id, held);
             }
-            NetworkEvent::AttemptTaken(id) => {
+            NetworkEvent::AttemptEstablished(id) => {
                 if let Some(h) = self.held.get_mut(&id) {
                     (h.out, h.on) = (false, h.tried);
                 }
             }
-            NetworkEvent::Load(id, load) => {
+            NetworkEvent::LoadReported(id, load) => {
                 if let Some(h) = self.held.get_mut(&id) {
                     h.load = load;
                 }
@@ -163,7 +163,9 @@
                     self.held.remove(&id);
                 }
             }
-            NetworkEvent::Delay(..) | NetworkEvent::Probed(..) | NetworkEvent::Elsewhere(_) => {}
+            NetworkEvent::MessageDelayReported(..)
+            | NetworkEvent::ProbeEnded(..)
+            | NetworkEvent::RemoteLoadsUpdated(_) => {}
         }
     }
 
@@ -174,13 +176,13 @@
         let left = h.deadline.saturating_sub(now);
         if h.attempts >= self.max_attempts || left <= LEAST {
             self.held.remove(&id);
-            return peers.refuse(id, COME_BACK);
+            return peers.reject(id, COME_BACK);
         }
         let (group, not) = (h.group, h.tried);
         let Some(server) = self.choose(now, group, not, peers) else {
             self.waiting.push(id);
             if !std::mem::replace(&mut self.looks, true) {
-                peers.wake(LOOK_EVERY, LOOK);
+                peers.set_timer(LOOK_EVERY, LOOK);
             }
             return;
         };
@@ -231,7 +233,7 @@
 
     /// Takes the heaviest connections off nodes that are too full, each balancer its own part.
     fn relieve(&mut self, peers: &mut Emulated) {
-        peers.wake(RELIEVE_EVERY, RELIEVE);
+        peers.set_timer(RELIEVE_EVERY, RELIEVE);
         let truths = self.truth.read().unwrap_or_else(PoisonError::into_inner).clone();
         let mut moves = Vec::new();
         for server in &self.ready {
@@ -258,6 +260,6 @@
                 moves.push(id);
             }
         }
-        moves.into_iter().for_each(|id| peers.move_away(id));
+        moves.into_iter().for_each(|id| peers.migrate(id));
     }
 }
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -193,7 +193,7 @@
             ToBalancer::NodeEnded(link, end) => self.node_ended(*link, *end),
             ToBalancer::List { full, entries } => {
                 let entries = self.listed(*full, entries);
-                self.tell(NetworkEvent::Listed { full: *full, cached: false, entries });
+                self.tell(NetworkEvent::EndpointListReceived { full: *full, cached: false, entries });
             }
             ToBalancer::ListFailed => {
                 self.watching = false;
@@ -249,7 +249,7 @@
             deadline: self.places.clock(self.now + left),
             load: ask.hint,
             group: ask.group,
-            returning: ask.retry || ask.again,
+            is_returning: ask.retry || ask.again,
         };
         if self.leaving.is_some() {
             return self.did.push(FromBalancer::Answer(ask.conn, Answer::Busy(leaving::LEAVE_AFTER)));
@@ -378,8 +378,10 @@
         let server = f.server;
         if s.at == At::Open {
             match word {
-                NodeWord::Load(load) => self.tell(NetworkEvent::Load(id, load / 1e6)),
-                NodeWord::Delay(ms) => self.tell(NetworkEvent::Delay(server, (ms * 1e3) as Micros)),
+                NodeWord::Load(load) => self.tell(NetworkEvent::LoadReported(id, load / 1e6)),
+                NodeWord::Delay(ms) => {
+                    self.tell(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros))
+                }
                 NodeWord::Bye | NodeWord::Move => {}
                 _ => s.asked = None,
             }
@@ -404,7 +406,11 @@
         let (conn, req, carried) = (s.conn, s.req, s.home.is_some());
         self.hear(server, self.now, id);
         self.did.push(FromBalancer::Answer(conn, Answer::Up(link)));
-        self.tell(if carried { NetworkEvent::Carried(req, server) } else { NetworkEvent::AttemptTaken(id) });
+        self.tell(if carried {
+            NetworkEvent::ConnectionRestored(req, server)
+        } else {
+            NetworkEvent::AttemptEstablished(id)
+        });
     }
 
     fn hear(&mut self, server: ServerId, now: Micros, id: RequestId) {
@@ -504,7 +510,7 @@
     fn probe_over(&mut self, link: LinkId, outcome: Outcome) {
         if let Some(server) = self.probes.remove(&link) {
             self.did.push(FromBalancer::EndLink(link, End::Fin));
-            self.tell(NetworkEvent::Probed(server, outcome));
+            self.tell(NetworkEvent::ProbeEnded(server, outcome));
         }
     }
 }
@@ -514,7 +520,7 @@
         self.places.clock(self.now)
     }
 
-    fn next(&mut self) -> Option<NetworkEvent> {
+    fn next_event(&mut self) -> Option<NetworkEvent> {
         self.happenings.pop_front()
     }
 
@@ -526,7 +532,7 @@
         self.fetch_over(req, Outcome::Cancelled);
     }
 
-    fn refuse(&mut self, req: RequestId, after: Micros) {
+    fn reject(&mut self, req: RequestId, after: Micros) {
         self.answer(req, Answer::Busy(after));
     }
 
@@ -534,7 +540,7 @@
         self.answer(req, Answer::Err);
     }
 
-    fn move_away(&mut self, req: RequestId) {
+    fn migrate(&mut self, req: RequestId) {
         if self.sessions.get(&req).is_some_and(|s| s.at == At::Open) {
             self.fetch_over(req, Outcome::Cancelled);
             self.answer(req, Answer::Move);
@@ -543,7 +549,7 @@
 
     fn probe(&mut self, server: ServerId) {
         let Some(node) = self.places.node(server) else {
-            return self.tell(NetworkEvent::Probed(server, Outcome::ConnectFailed));
+            return self.tell(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
         };
         let link = LinkId(self.next_link);
         self.next_link += 1;
@@ -553,13 +559,13 @@
         self.at(self.now + PROBE, Due::Probe(link));
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         if !std::mem::replace(&mut self.watching, true) {
             self.did.push(FromBalancer::Watch);
         }
     }
 
-    fn wake(&mut self, after: Micros, token: u64) {
+    fn set_timer(&mut self, after: Micros, token: u64) {
         self.at(self.now + after.max(1), Due::Module(token));
     }
 
--- a/crates/lab/src/instances/peers/leaving.rs
+++ b/crates/lab/src/instances/peers/leaving.rs
@@ -39,7 +39,7 @@
                 ids.iter().filter(|(_, at)| *at == At::Open).map(|(id, _)| *id).collect();
             let parts = move_until.saturating_sub(since) / SWEEP;
             let n = open.len().div_ceil(parts as usize + 1);
-            open.into_iter().take(n).for_each(|id| self.move_away(id));
+            open.into_iter().take(n).for_each(|id| self.migrate(id));
         }
         if since >= last || (since >= LEAVE_AFTER + SWEEP && self.sessions.is_empty()) {
             if !std::mem::replace(&mut self.exited, true) {
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -69,12 +69,12 @@
         policy.listed(true, &known);
         // Balancers that start together don't go round in step.
         policy.next = policy.rng.random_range(0..policy.ready.len().max(1));
-        peers.watch();
+        peers.watch_endpoints();
         policy
     }
 
     pub(super) fn settle(&mut self, peers: &mut Emulated) {
-        while let Some(happening) = peers.next() {
+        while let Some(happening) = peers.next_event() {
             self.happened(happening, peers);
         }
     }
@@ -93,20 +93,20 @@
 
     fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
         match happening {
-            NetworkEvent::Listed { full, entries, .. } => self.listed(full, &entries),
-            NetworkEvent::DiscoveryFailed => peers.wake(WATCH_AGAIN, WATCH),
-            NetworkEvent::TimerFired(_) => peers.watch(),
+            NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
+            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
+            NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
                 let waiting = Waiting { deadline: req.deadline, attempts: 0, last: None, stands: false };
                 self.reqs.insert(req.id, waiting);
                 self.try_it(req.id, peers);
             }
-            NetworkEvent::Carried(req, server) => {
+            NetworkEvent::ConnectionRestored(req, server) => {
                 let waiting = Waiting { deadline: 0, attempts: 1, last: Some(server), stands: true };
                 self.reqs.insert(req.id, waiting);
                 *self.held.entry(server).or_default() += 1;
             }
-            NetworkEvent::AttemptTaken(id) => {
+            NetworkEvent::AttemptEstablished(id) => {
                 self.reqs.entry(id).and_modify(|w| w.stands = true);
             }
             NetworkEvent::ClientLeft(id) => {
@@ -122,10 +122,10 @@
                     self.reqs.remove(&id);
                 }
             }
-            NetworkEvent::Load(..)
-            | NetworkEvent::Delay(..)
-            | NetworkEvent::Probed(..)
-            | NetworkEvent::Elsewhere(_) => {}
+            NetworkEvent::LoadReported(..)
+            | NetworkEvent::MessageDelayReported(..)
+            | NetworkEvent::ProbeEnded(..)
+            | NetworkEvent::RemoteLoadsUpdated(_) => {}
         }
     }
 
@@ -136,7 +136,7 @@
         let may = w.attempts < self.max_attempts && left > LEAST;
         let Some(server) = may.then(|| self.choose(last)).flatten() else {
             self.reqs.remove(&id);
-            return peers.refuse(id, COME_BACK);
+            return peers.reject(id, COME_BACK);
         };
         if let Some(w) = self.reqs.get_mut(&id) {
             w.attempts += 1;
--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -8,7 +8,7 @@
 
 use clap::Parser;
 use shorewharf_decisions::{Action, Event};
-use shorewharf_driver::Gate;
+use shorewharf_driver::AdmissionGate;
 use shorewharf_logging::LogArgs;
 use shorewharf_settings::operator::Operator;
 use shorewharf_settings::settings;
@@ -31,7 +31,7 @@
 struct Host {
     operator: Operator,
     decoder: Decoder,
-    balancers: BTreeMap<u16, Gate>,
+    balancers: BTreeMap<u16, AdmissionGate>,
     columns: BTreeMap<u16, Option<usize>>,
 }
 
@@ -65,7 +65,7 @@
             Record::Attach(seed, text) => {
                 let (set, column) = settings(&text).map_err(|e| e.to_string())?;
                 self.columns.insert(i, column);
-                let gate = Gate::new(micros_from_seconds(now), set, seed, &self.operator);
+                let gate = AdmissionGate::new(micros_from_seconds(now), set, seed, &self.operator);
                 self.balancers.insert(i, gate);
                 Event::Start
             }
