--- a/crates/balancer/benches/parts.rs
+++ b/crates/balancer/benches/parts.rs
@@ -12,9 +12,9 @@
 use shorewharf::event_loop::timers::Timers;
 use shorewharf::servers::server_table::ServerTable;
 use shorewharf_emulator::standin::endpoint;
-use shorewharf_protocol::line::{Front, front};
-use shorewharf_protocol::list::Listing;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_protocol::line::{LineScan, scan_line};
+use shorewharf_protocol::name_index::NameIndex;
 use slotmap::{DefaultKey, SlotMap};
 
 const SECOND: u64 = 1_000_000;
@@ -73,19 +73,19 @@
         let line = [vec![b'x'; length - 2], b"\r\n".to_vec()].concat();
         group.throughput(Throughput::Bytes(length as u64));
         group.bench_function(format!("front-{length}"), |b| {
-            b.iter(|| assert_eq!(front(black_box(&line)), Front::Whole(length)));
+            b.iter(|| assert_eq!(scan_line(black_box(&line)), LineScan::Complete(length)));
         });
     }
     group.finish();
 }
 
-fn listing(servers: usize) -> Listing {
+fn listing(servers: usize) -> EndpointList {
     let one = |i| endpoint(&format!("s-{i:05}"), SocketAddr::from(([127, 0, 0, 1], 9000)), "Ready");
-    Listing { index: 1, snapshot: true, endpoints: (0..servers).map(one).collect() }
+    EndpointList { index: 1, snapshot: true, endpoints: (0..servers).map(one).collect() }
 }
 
 fn lists(c: &mut Criterion) {
-    let (names, most) = (Names::default(), 100_000);
+    let (names, most) = (NameIndex::default(), 100_000);
     let mut group = c.benchmark_group("lists");
     let whole = listing(10_000);
     let text = json!(whole).to_string() + "\n";
--- a/crates/balancer/src/admin/counters.rs
+++ b/crates/balancer/src/admin/counters.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use shorewharf_protocol::operators::Replies;
+use shorewharf_protocol::admin::ReplyCounts;
 
 /// How a connection has ended for the client, as far as operators count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sums {
     /// By class.
-    pub replies: Vec<Replies>,
+    pub replies: Vec<ReplyCounts>,
     /// Attempts written whole to servers.
     pub dispatches: u64,
     /// Connections that were taken and have not ended.
@@ -32,7 +32,7 @@
     /// Takes in what another loop has counted.
     pub fn add(&mut self, other: &Sums) {
         if self.replies.len() < other.replies.len() {
-            self.replies.resize(other.replies.len(), Replies::default());
+            self.replies.resize(other.replies.len(), ReplyCounts::default());
         }
         for (all, one) in self.replies.iter_mut().zip(&other.replies) {
             all.success += one.success;
@@ -59,7 +59,7 @@
     pub fn replied(&self, class: usize, reply: Reply) {
         let mut sums = self.sums();
         if sums.replies.len() <= class {
-            sums.replies.resize(class + 1, Replies::default());
+            sums.replies.resize(class + 1, ReplyCounts::default());
         }
         let replies = &mut sums.replies[class];
         *match reply {
--- a/crates/balancer/src/admin/counters/tests.rs
+++ b/crates/balancer/src/admin/counters/tests.rs
@@ -14,7 +14,9 @@
     loops[0].holds(2, 7);
     let sums = Counts::of_all(&loops);
     assert_eq!((sums.dispatches, sums.concurrent, sums.descriptors), (2, 6, 12));
-    let (first, second) =
-        (Replies { success: 1, ..Replies::default() }, Replies { success: 0, overload: 1, error: 1 });
+    let (first, second) = (
+        ReplyCounts { success: 1, ..ReplyCounts::default() },
+        ReplyCounts { success: 0, overload: 1, error: 1 },
+    );
     assert_eq!(sums.replies, [first, second]);
 }
--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpListener;
 use shorewharf_decisions::interface::ServerId;
 use shorewharf_driver::NetworkEvent;
-use shorewharf_protocol::operators::{Answer, Call, Figures, Refusal};
+use shorewharf_protocol::admin::{Command, CommandError, CommandReply, Metrics};
 use shorewharf_units::{Micros, seconds_from_micros};
 use tracing::{info, warn};
 
@@ -81,32 +81,32 @@
         for (number, call) in desk.door.take_calls() {
             let answer = match call {
                 Ok(call) => self.carry_out(call, &avoided),
-                Err(why) => Answer::No(why),
+                Err(why) => CommandReply::Rejected(why),
             };
             let Some(desk) = &mut self.desk else { return };
             desk.door.answer(&mut self.turn, number, &answer);
         }
     }
 
-    fn carry_out(&mut self, call: Call, avoided: impl Fn() -> Vec<ServerId>) -> Answer {
+    fn carry_out(&mut self, call: Command, avoided: impl Fn() -> Vec<ServerId>) -> CommandReply {
         match call {
-            Call::Readyz if self.leaving.is_none() => Answer::Yes,
-            Call::Readyz => {
-                Answer::No(Refusal::NotReady("this process is about to end and takes no clients"))
-            }
-            Call::Telemetry => Answer::Figures(self.figures(&avoided()).lines()),
-            Call::Exclude(name) => self.take_out(name),
-            Call::Include(name) => self.put_back(name),
+            Command::Readiness if self.leaving.is_none() => CommandReply::Done,
+            Command::Readiness => CommandReply::Rejected(CommandError::NotReady(
+                "this process is about to end and takes no clients",
+            )),
+            Command::Metrics => CommandReply::Metrics(self.figures(&avoided()).lines()),
+            Command::Disable(name) => self.take_out(name),
+            Command::Enable(name) => self.put_back(name),
         }
     }
 
-    fn take_out(&mut self, name: String) -> Answer {
+    fn take_out(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
         let servers = &self.serving.servers;
         match (servers.taken_out().is_out(server), servers.is_known(server, &name)) {
             // Kept again: it may not have been the first time.
             (true, _) => {}
-            (false, false) => return Answer::No(Refusal::NoSuchServer(name)),
+            (false, false) => return CommandReply::Rejected(CommandError::UnknownServer(name)),
             (false, true) => {
                 let out = Out { name: name.as_str().into(), since: seconds_from_micros(self.turn.now) };
                 self.change(Change::Out(server, out), "a call");
@@ -120,14 +120,14 @@
             };
             desk.told(done);
         }
-        Answer::Yes
+        CommandReply::Done
     }
 
-    fn put_back(&mut self, name: String) -> Answer {
+    fn put_back(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
         let servers = &self.serving.servers;
         if !servers.taken_out().is_out(server) && !servers.is_known(server, &name) {
-            return Answer::No(Refusal::NoSuchServer(name));
+            return CommandReply::Rejected(CommandError::UnknownServer(name));
         }
         // The file first: as long as it is there it would be taken out again.
         if let Some(desk) = &mut self.desk {
@@ -136,7 +136,7 @@
             desk.told(done);
         }
         self.change(Change::Back(server, seconds_from_micros(self.turn.now)), "a call");
-        Answer::Yes
+        CommandReply::Done
     }
 
     /// Something is changed by hand, for all workers.
@@ -196,7 +196,7 @@
     }
 
     /// All that is reported, as it is now.
-    fn figures(&self, avoided: &[ServerId]) -> Figures {
+    fn figures(&self, avoided: &[ServerId]) -> Metrics {
         self.serving.note_held();
         let sums = Counts::of_all(self.desk.as_ref().map_or(&[], |desk| &desk.counts));
         let mut classes: Vec<_> = self.serving.terms.names.classes.iter().collect();
@@ -208,6 +208,6 @@
         let servers = &self.serving.servers;
         let (targets, targets_disabled) = (servers.listed(), servers.listed_of(avoided));
         let (dispatches, concurrent) = (sums.dispatches, sums.concurrent);
-        Figures { replies, dispatches, concurrent, targets, targets_disabled }
+        Metrics { replies, dispatches, concurrent, targets, targets_disabled }
     }
 }
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mio::net::TcpListener;
-use shorewharf_protocol::operators::{Answer, Call, LONGEST, Refusal, call};
+use shorewharf_protocol::admin::{Command, CommandError, CommandReply, MAX_COMMAND_BYTES, parse_command};
 use shorewharf_units::Micros;
 use tracing::warn;
 
@@ -45,15 +45,15 @@
 
 impl Caller {
     /// Reads on for the call; none while it is not whole. What follows it is not looked at.
-    fn call(&mut self, turn: &Turn) -> Option<Result<Call, Refusal>> {
+    fn call(&mut self, turn: &Turn) -> Option<Result<Command, CommandError>> {
         self.link.fill(&turn.pool);
         let held = self.link.held();
         let Some(n) = held.iter().position(|b| *b == b'\n') else {
-            return (held.len() > LONGEST).then_some(Err(Refusal::TooLong));
+            return (held.len() > MAX_COMMAND_BYTES).then_some(Err(CommandError::TooLong));
         };
         let line = &held[..n];
         let (line, end) = line.strip_suffix(b"\r").map_or((line, "\n"), |line| (line, "\r\n"));
-        let call = call(line);
+        let call = parse_command(line);
         self.end = end;
         Some(call)
     }
@@ -86,7 +86,7 @@
     callers: BTreeMap<u64, Caller>,
     next: u64,
     /// Calls that are to be carried out, in the order in which they came.
-    calls: Vec<(u64, Result<Call, Refusal>)>,
+    calls: Vec<(u64, Result<Command, CommandError>)>,
 }
 
 impl Door {
@@ -184,12 +184,12 @@
     }
 
     /// Takes out the calls that have come.
-    pub fn take_calls(&mut self) -> Vec<(u64, Result<Call, Refusal>)> {
+    pub fn take_calls(&mut self) -> Vec<(u64, Result<Command, CommandError>)> {
         std::mem::take(&mut self.calls)
     }
 
     /// Answers a caller.
-    pub fn answer(&mut self, turn: &mut Turn, number: u64, answer: &Answer) {
+    pub fn answer(&mut self, turn: &mut Turn, number: u64, answer: &CommandReply) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         caller.stage = Stage::Answered;
         caller.rest = answer.text(caller.end).into_bytes();
--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -20,7 +20,7 @@
 }
 
 /// The next call, however many looks it takes.
-fn call(door: &mut Door, turn: &mut Turn) -> (u64, Result<Call, Refusal>) {
+fn call(door: &mut Door, turn: &mut Turn) -> (u64, Result<Command, CommandError>) {
     let mut calls = Vec::new();
     until(|| {
         door.ready(turn, Owner::Operators, READ);
@@ -43,8 +43,8 @@
             door.ready(&mut turn, Owner::Operators, READ);
         }
         let (number, said) = call(&mut door, &mut turn);
-        assert_eq!(said, Ok(Call::Exclude("s-1".into())));
-        door.answer(&mut turn, number, &Answer::Yes);
+        assert_eq!(said, Ok(Command::Disable("s-1".into())));
+        door.answer(&mut turn, number, &CommandReply::Done);
         let mut heard = String::new();
         caller.read_to_string(&mut heard).expect("an answer and an end");
         assert_eq!(heard, format!("YES{end}"));
@@ -65,7 +65,7 @@
     assert_eq!(door.callers.len(), CALLERS);
     let mut caller = TcpStream::connect(at).expect("a door");
     caller.write_all(b"readyz\n").expect("open");
-    assert_eq!(call(&mut door, &mut turn).1, Ok(Call::Readyz));
+    assert_eq!(call(&mut door, &mut turn).1, Ok(Command::Readiness));
     let now = turn.now + PATIENCE;
     turn.ends(now);
     turn.begin(now);
@@ -82,11 +82,11 @@
 fn a_line_that_never_ends_is_refused_and_a_large_answer_comes_whole_to_a_slow_reader() {
     let (mut turn, (mut door, at)) = (turn(1000), door());
     let mut caller = TcpStream::connect(at).expect("a door");
-    caller.write_all(&[b'x'; LONGEST + 1]).expect("open");
+    caller.write_all(&[b'x'; MAX_COMMAND_BYTES + 1]).expect("open");
     let (number, said) = call(&mut door, &mut turn);
-    assert_eq!(said, Err(Refusal::TooLong));
+    assert_eq!(said, Err(CommandError::TooLong));
     let lines = "svc.x:1|c\n".repeat(1_000_000);
-    let whole = Answer::Figures(lines.clone());
+    let whole = CommandReply::Metrics(lines.clone());
     door.answer(&mut turn, number, &whole);
     assert!(!door.callers[&number].rest.is_empty(), "the sockets' buffers took it all");
     let reader = std::thread::spawn(move || {
--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -11,8 +11,8 @@
 use serde_json::Value;
 
 use shorewharf_decisions::Settings;
-use shorewharf_protocol::list::Listing;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Operator;
 
 use crate::admin::server::CALLERS;
@@ -26,7 +26,7 @@
 const FEWEST_SOCKETS: usize = 32;
 /// Descriptors that are kept for operators where they may call: their listener and those who call.
 const OPERATORS_SOCKETS: usize = CALLERS + 1;
-/// Names the operator's own file (TOML): what the platform's configuration says nothing of.
+/// NameIndex the operator's own file (TOML): what the platform's configuration says nothing of.
 pub const OPERATOR: &str = "SHOREWHARF_OPERATOR";
 
 /// The limits that this machine sets the program.
@@ -63,11 +63,11 @@
     /// What the machine allows.
     pub limits: Limits,
     /// The list as this balancer had it last.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
-    /// Names in the settings.
-    pub names: Names,
+    /// NameIndex in the settings.
+    pub names: NameIndex,
     /// How long a client of each class waits in all, in microseconds.
     pub give_up: Vec<u64>,
     /// Servers tell what messages take there.
@@ -90,7 +90,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Option<Value>,
 }
 
@@ -126,7 +126,7 @@
     ConfigError::Form(key.into(), what.to_string())
 }
 
-/// Names the key at fault, with the keys it stands under.
+/// NameIndex the key at fault, with the keys it stands under.
 fn at<E: std::fmt::Display>(under: &str, e: serde_path_to_error::Error<E>) -> ConfigError {
     let path = e.path().to_string();
     let key = match (under, path.as_str()) {
@@ -232,7 +232,7 @@
         }
         let name = or(raw.name, "name", "ROUTER_NAME")?;
         let peers = Peers::read(&operator.gossip, &name)?;
-        let names = Names {
+        let names = NameIndex {
             classes: places(named.classes.into_iter().map(|c| c.name)),
             tenants: places(named.tenants.into_iter().map(|t| t.name)),
             zones: named.zones.into_iter().zip(0..).collect(),
--- a/crates/balancer/src/config/proxy_settings.rs
+++ b/crates/balancer/src/config/proxy_settings.rs
@@ -1,7 +1,7 @@
 //! What the configuration says of the peers; put in force whole, at the start and on a reload.
 
 use shorewharf_decisions::interface::Idempotency;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::config::Config;
@@ -9,8 +9,8 @@
 /// What the configuration says of the peers.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// Names in first lines and lists.
-    pub names: Names,
+    /// NameIndex in first lines and lists.
+    pub names: NameIndex,
     /// What repeating a request of each class may do.
     idempotency: Vec<Idempotency>,
     /// How long a client of each class waits whose line does not say.
@@ -39,7 +39,7 @@
     /// What a test needs of them.
     pub fn few() -> Self {
         let (names, give_up, idempotency) =
-            (Names::default(), vec![3_000_000], vec![Idempotency::Idempotent]);
+            (NameIndex::default(), vec![3_000_000], vec![Idempotency::Idempotent]);
         let (connect_timeout, message_aim, tells_delay) = (250_000, 50_000, false);
         let (sockets, most_servers) = (1000, 1000);
         Terms {
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, RequestClass, WeightKind};
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_settings::operator::{Budgets, Gossip, Recovery, Snapshot, Tenancy};
 
 use super::*;
@@ -137,7 +137,7 @@
         weight: 2.5,
         since_ms: 1_764_747_000_123.0,
     };
-    assert_eq!(config.known, Listing { index: 41, snapshot: true, endpoints: vec![server] });
+    assert_eq!(config.known, EndpointList { index: 41, snapshot: true, endpoints: vec![server] });
     assert_eq!((config.give_up, config.tells_delay), (vec![3_250_000, 2_250_000], true));
     assert_eq!((config.names.classes["chat"], config.names.classes["feed"]), (0, 1));
     assert_eq!((config.names.tenants["acme"], config.names.tenants["zeta"]), (0, 1));
--- a/crates/balancer/src/discovery/reader.rs
+++ b/crates/balancer/src/discovery/reader.rs
@@ -6,7 +6,7 @@
 //! a thread that may wait.
 
 use serde::Deserialize;
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 
 /// The longest text of one entry, and of an object without its entries. What is longer is no list.
 const MOST: usize = 64 << 10;
--- a/crates/balancer/src/discovery/reader/tests.rs
+++ b/crates/balancer/src/discovery/reader/tests.rs
@@ -1,16 +1,16 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 
 /// The lists that text in pieces of a size comes to.
-fn lists(text: &str, piece: usize) -> Result<Vec<Listing>, String> {
+fn lists(text: &str, piece: usize) -> Result<Vec<EndpointList>, String> {
     let (mut reader, mut lists, mut endpoints) = (Reader::new(), Vec::new(), Vec::new());
     for bytes in text.as_bytes().chunks(piece) {
         reader.read(bytes, &mut |part| match part {
             Part::Entry(e) => endpoints.push(*e),
             Part::End { index, snapshot } => {
-                lists.push(Listing { index, snapshot, endpoints: std::mem::take(&mut endpoints) });
+                lists.push(EndpointList { index, snapshot, endpoints: std::mem::take(&mut endpoints) });
             }
         })?;
     }
@@ -28,7 +28,7 @@
         r#"{"index":8,"endpoints":[]}"#.into(),
         r#"{"a\",\"endpoints":[1],"snapshot":true}"#.into(),
     ];
-    let whole: Vec<Listing> = texts.iter().map(|t| serde_json::from_str(t).expect("good")).collect();
+    let whole: Vec<EndpointList> = texts.iter().map(|t| serde_json::from_str(t).expect("good")).collect();
     let text = texts.join("\n\r\n\n") + "\n";
     for piece in 1..text.len() + 1 {
         assert_eq!(lists(&text, piece), Ok(whole.clone()), "in pieces of {piece}");
--- a/crates/balancer/src/discovery/update.rs
+++ b/crates/balancer/src/discovery/update.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
-use shorewharf_protocol::list::{Endpoint, Listing};
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
+use shorewharf_protocol::name_index::NameIndex;
 use tracing::warn;
 
 /// Log lines that the faults of one list may cause.
@@ -38,7 +38,7 @@
 
 impl Entry {
     /// Reads it; none where its address is none.
-    fn read(e: &Endpoint, names: &Names) -> Option<Self> {
+    fn read(e: &Endpoint, names: &NameIndex) -> Option<Self> {
         let stage = match e.status.as_str() {
             "Ready" => ServerState::Ready,
             "Gone" => ServerState::Removed,
@@ -69,7 +69,7 @@
 
 impl Incoming {
     /// Takes in one more server, unless there are `most` already.
-    pub fn add(&mut self, e: &Endpoint, names: &Names, most: usize) {
+    pub fn add(&mut self, e: &Endpoint, names: &NameIndex, most: usize) {
         match Entry::read(e, names) {
             Some(_) if self.entries.len() >= most => self.left_out += 1,
             Some(entry) => self.entries.push(entry),
@@ -91,7 +91,7 @@
     }
 
     /// A list that is at hand whole.
-    pub fn of(listing: &Listing, names: &Names, most: usize) -> Incoming {
+    pub fn of(listing: &EndpointList, names: &NameIndex, most: usize) -> Incoming {
         let mut incoming = Incoming::default();
         listing.endpoints.iter().for_each(|e| incoming.add(e, names, most));
         incoming.end(listing.index, listing.snapshot)
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -8,7 +8,7 @@
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId};
 use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_lifecycle::{Answer, Cause};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_units::Micros;
 use tracing::{error, info};
 
@@ -143,7 +143,7 @@
     }
 
     /// The list that the configuration knows: whole, though it may be old.
-    pub fn list_known(&mut self, known: &Listing) -> Vec<ServerEntry> {
+    pub fn list_known(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
         self.discovery.knows(known.index);
         let terms = &self.serving.terms;
         let known = Incoming::of(known, &terms.names, terms.most_servers);
--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -2,7 +2,7 @@
 
 use shorewharf_budgets::{Budget, Kind, Rules};
 use shorewharf_decisions::Settings;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Budgets;
 
 use crate::config::error::ConfigError;
@@ -35,7 +35,12 @@
     ///
     /// # Errors
     /// A file that can't be read, or terms that can't be kept; the text names the key at fault.
-    pub fn read(of: &Budgets, set: &Settings, names: &Names, me: &str) -> Result<Option<Fleet>, ConfigError> {
+    pub fn read(
+        of: &Budgets,
+        set: &Settings,
+        names: &NameIndex,
+        me: &str,
+    ) -> Result<Option<Fleet>, ConfigError> {
         if of.store.is_empty() {
             return Ok(None);
         }
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -14,7 +14,7 @@
         ..Budgets::default()
     };
     let set = shorewharf_settings::settings(br#"{"me": 0}"#).expect("settings").0;
-    let read = |of: &Budgets, me: &str| Fleet::read(of, &set, &Names::default(), me);
+    let read = |of: &Budgets, me: &str| Fleet::read(of, &set, &NameIndex::default(), me);
     let fleet = read(&good, "n2").expect("good").expect("named");
     assert_eq!((fleet.rules.members, fleet.rules.place, fleet.rules.lease), (2, 1, 3_000_000));
     assert!(read(&Budgets::default(), "n2").expect("nothing is wrong").is_none());
--- a/crates/balancer/src/handover/messages.rs
+++ b/crates/balancer/src/handover/messages.rs
@@ -5,7 +5,7 @@
 
 use mio::net::TcpStream;
 use serde::{Deserialize, Serialize};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::memory::Learned;
 use shorewharf_units::Micros;
 
@@ -36,7 +36,7 @@
     /// Descriptors that the old process holds or may take.
     pub held: usize,
     /// The list as it stands.
-    pub known: Listing,
+    pub known: EndpointList,
     /// What the first worker knows; its standing connections come by themselves, later.
     #[serde(default)]
     pub memory: Vec<Learned>,
@@ -121,7 +121,7 @@
 impl Standing {
     /// Its line.
     pub fn line(&self) -> Vec<u8> {
-        // Names and numbers, which can be written as JSON.
+        // NameIndex and numbers, which can be written as JSON.
         [STANDS, &serde_json::to_vec(self).unwrap_or_default(), b"\n"].concat()
     }
 
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::memory::{Bears, Loads};
 
 use super::*;
@@ -23,7 +23,7 @@
 }
 
 /// A list with a server that has every field set, and one with none that may be left out.
-fn servers() -> Listing {
+fn servers() -> EndpointList {
     let full = Endpoint {
         name: "s-5be2a07c".into(),
         address: "10.1.0.7:9000".into(),
@@ -44,7 +44,7 @@
         weight: 1.0,
         since_ms: 0.0,
     };
-    Listing { index: 41, snapshot: true, endpoints: vec![full, bare] }
+    EndpointList { index: 41, snapshot: true, endpoints: vec![full, bare] }
 }
 
 /// One of each thing that a module knows.
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -5,7 +5,7 @@
 use crate::event_loop::poll::Watch;
 use crate::handover::messages::held;
 use crate::handover::successors::Successors;
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 
 fn poller() -> Poller {
     Watch::new().and_then(|watch| watch.poller()).expect("a loop")
@@ -38,7 +38,7 @@
     // A list that is larger than the socket's buffer.
     let endpoint = serde_json::json!({"name": "s", "address": "127.0.0.1:1", "status": "Ready"});
     let endpoints = vec![serde_json::from_value(endpoint).expect("an endpoint"); 10_000];
-    let known = Listing { index: 7, snapshot: true, endpoints };
+    let known = EndpointList { index: 7, snapshot: true, endpoints };
     let estate = Estate { version: VERSION, held: 40, known, ..Estate::default() };
     let inherited = asked(&mut successors, &path, &estate);
     assert_eq!((inherited.estate.known == estate.known, inherited.estate.held), (true, 40));
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{Request, RequestId};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::memory::Learned;
 use shorewharf_units::Micros;
 use tracing::warn;
@@ -284,8 +284,8 @@
     }
 
     /// The list as it stands, in discovery's form.
-    fn listing(&self) -> Listing {
+    fn listing(&self) -> EndpointList {
         let endpoints = self.serving.servers.endpoints(&self.serving.terms.names);
-        Listing { index: self.discovery.index(), snapshot: true, endpoints }
+        EndpointList { index: self.discovery.index(), snapshot: true, endpoints }
     }
 }
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_lifecycle::{Answer, Cause, Violation};
-use shorewharf_protocol::words::busy;
+use shorewharf_protocol::message::busy;
 use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -15,7 +15,7 @@
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId};
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer as FinalAnswer, Cause, RequestGuard};
-use shorewharf_protocol::open::{class_of, parse_open};
+use shorewharf_protocol::open_request::{class_of, parse_open};
 use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
@@ -253,11 +253,11 @@
             }
         };
         self.sessions.get_mut(id).into_iter().for_each(|s| s.is_of(open.class));
-        let home = open.home.as_deref().map(server_id);
+        let home = open.previous_server.as_deref().map(server_id);
         if home.is_some_and(|home| !self.servers.is_listed(home)) {
             return self.malformed(turn, id, "at= names no server");
         }
-        let wait = open.patience.or(self.terms.give_up.get(open.class).copied()).unwrap_or(0);
+        let wait = open.timeout.or(self.terms.give_up.get(open.class).copied()).unwrap_or(0);
         let req = ReceivedRequest {
             id,
             class: open.class,
@@ -266,7 +266,7 @@
             deadline: turn.now + wait,
             load: open.load,
             group: open.group,
-            is_returning: open.returning,
+            is_returning: open.is_returning,
         };
         let until = if home.is_some() { turn.now + CARRY } else { req.deadline };
         if !self.sessions.ask(turn, id, Asking { line, open_id: open.id, req, home, until }) {
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -6,8 +6,8 @@
 
 use rustc_hash::FxHashMap;
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_protocol::open::with_patience;
-use shorewharf_protocol::words::{Word, word};
+use shorewharf_protocol::message::{Message, parse_message};
+use shorewharf_protocol::open_request::with_timeout;
 use shorewharf_units::Micros;
 
 use crate::event_loop::iteration::{Alarm, Due, Turn};
@@ -131,7 +131,7 @@
     /// Writes the first line on a connection that has come up, with what is left of the time as its `d`.
     pub fn ask(&mut self, now: Micros, pool: &Pool, line: &[u8]) {
         self.stage = Stage::Sent;
-        self.link.say(pool, &with_patience(line, self.until.saturating_sub(now)));
+        self.link.say(pool, &with_timeout(line, self.until.saturating_sub(now)));
     }
 
     /// Whether the last byte of the first line has gone out, which is told once.
@@ -147,12 +147,12 @@
         let sent = self.link.flush();
         self.link.fill(pool);
         let ended = self.link.ended;
-        Some(match self.link.look().map(|line| line.map(word)) {
-            Ok(Some(Word::Up(_))) => Answer::Up,
-            Ok(Some(Word::Busy(_))) => Answer::Over(Outcome::Rejected),
-            Ok(Some(Word::Move)) => Answer::Over(Outcome::Cancelled),
-            Ok(Some(Word::Bye)) => Answer::Over(Outcome::Ok),
-            Ok(Some(Word::Err)) => Answer::Over(Outcome::Error),
+        Some(match self.link.look().map(|line| line.map(parse_message)) {
+            Ok(Some(Message::Accepted(_))) => Answer::Up,
+            Ok(Some(Message::Rejected(_))) => Answer::Over(Outcome::Rejected),
+            Ok(Some(Message::Migrate)) => Answer::Over(Outcome::Cancelled),
+            Ok(Some(Message::Completed)) => Answer::Over(Outcome::Ok),
+            Ok(Some(Message::Failed)) => Answer::Over(Outcome::Error),
             Ok(Some(other)) => {
                 let line = other.to_string();
                 let line = line.trim_end().as_bytes();
@@ -226,10 +226,10 @@
         while let Some(line) = self.link.look()? {
             self.voice.hears(now, id);
             self.last = LastWord::Other;
-            match word(line) {
-                Word::Bye => self.last = LastWord::Bye,
-                Word::Move => self.last = LastWord::Move,
-                Word::Load(load) => told.extend(load),
+            match parse_message(line) {
+                Message::Completed => self.last = LastWord::Bye,
+                Message::Migrate => self.last = LastWord::Move,
+                Message::LoadReport(load) => told.extend(load),
                 // The time from a client's line to the server's answer is what a message takes there.
                 _ => {
                     self.answered = asked.take().map(|at| (now, now - turn.took_since(at))).or(self.answered)
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -6,8 +6,8 @@
 
 use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
 use shorewharf_lifecycle::Target;
-use shorewharf_protocol::list::Endpoint;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::endpoint_list::Endpoint;
+use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
@@ -184,7 +184,7 @@
     }
 
     /// The list in discovery's form, as it stands but for who is taken out: that is kept apart.
-    pub fn endpoints(&self, names: &Names) -> Vec<Endpoint> {
+    pub fn endpoints(&self, names: &NameIndex) -> Vec<Endpoint> {
         self.some_endpoints(names, None, usize::MAX)
             .into_iter()
             .filter_map(|(_, endpoint)| endpoint)
@@ -194,7 +194,7 @@
     /// The same for so many servers behind this one; none for a server that is in use and no longer listed.
     pub fn some_endpoints(
         &self,
-        names: &Names,
+        names: &NameIndex,
         behind: Option<ServerId>,
         most: usize,
     ) -> Vec<(ServerId, Option<Endpoint>)> {
--- a/crates/balancer/src/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -8,7 +8,7 @@
     let one = |(n, a, s): &(&str, &str, &str)| json!({"name": n, "address": a, "status": s});
     let endpoints: Vec<_> = servers.iter().map(one).collect();
     let list = json!({"snapshot": snapshot, "endpoints": endpoints});
-    Incoming::of(&serde_json::from_value(list).expect("a list"), &Names::default(), 100)
+    Incoming::of(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let list = |since_ms: f64| {
         let server = json!({"name": "a", "address": "127.0.0.1:1", "status": "Ready", "since_ms": since_ms});
         let list = json!({"snapshot": true, "endpoints": [server]});
-        Incoming::of(&serde_json::from_value(list).expect("a list"), &Names::default(), 100)
+        Incoming::of(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
     };
     let start = |told: Vec<ServerEntry>| told[0].started_at;
     assert_eq!(start(servers.take(list(10_000_000.0), 3, |_| false)), 10_000.0);
@@ -80,7 +80,7 @@
     assert_eq!(start(servers.take(list(10_000_000.0), 3, |_| false)), 10_000.0);
     // It starts again, 90 s after the first start.
     assert_eq!(start(servers.take(list(6_490_000.0), 3, |_| false)), 10_090.0);
-    assert_eq!(servers.endpoints(&Names::default())[0].since_ms, 6_490_000.0);
+    assert_eq!(servers.endpoints(&NameIndex::default())[0].since_ms, 6_490_000.0);
     // A time that is in the future either way is now.
     assert_eq!(start(servers.take(list(99_000_000.0), 3, |_| false)), 10_100.0);
     // Forward: noted before the step or after it, the later possible time counts.
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -6,7 +6,7 @@
 
 use shorewharf_decisions::ServerId;
 use shorewharf_driver::{AdmissionGate, Driver};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::Snapshot;
 use shorewharf_snapshot::choice::choose;
@@ -86,7 +86,7 @@
 pub fn open(
     config: &Config,
     (worker, workers): (usize, usize),
-) -> Option<(Keeping, Option<(Memory, Listing)>)> {
+) -> Option<(Keeping, Option<(Memory, EndpointList)>)> {
     let set = &config.operator.snapshot;
     let path = set.folder.as_ref()?;
     let opened = Folder::open(path, worker, set.keep).and_then(|folder| {
@@ -111,7 +111,7 @@
     config: &Config,
     set: &Snapshot,
     (worker, workers): (usize, usize),
-) -> io::Result<Option<(Memory, Listing)>> {
+) -> io::Result<Option<(Memory, EndpointList)>> {
     let (balancer, now, oldest, list) =
         (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
     let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -10,7 +10,7 @@
 use crate::event_loop::poll::Ready;
 use crate::handover::messages::OnTheWay;
 use crate::transport::buffer_pool::{Buffer, Pool};
-use shorewharf_protocol::line::{Front, front};
+use shorewharf_protocol::line::{LineScan, scan_line};
 
 /// How often a connection is begun that this machine itself could not begin. Most such failures are over with the call.
 const CONNECT_TRIES: usize = 4;
@@ -170,10 +170,10 @@
     /// The next line that nobody has looked at; it stays in the inbox to be carried on.
     pub fn look(&mut self) -> Result<Option<&[u8]>, TooLong> {
         let from = self.seen;
-        match front(&self.held()[from..]) {
-            Front::Part => Ok(None),
-            Front::TooLong => Err(TooLong),
-            Front::Whole(n) => {
+        match scan_line(&self.held()[from..]) {
+            LineScan::Incomplete => Ok(None),
+            LineScan::TooLong => Err(TooLong),
+            LineScan::Complete(n) => {
                 self.seen += n;
                 Ok(Some(&self.held()[from..from + n - 2]))
             }
@@ -252,8 +252,8 @@
         let Some(inbox) = self.inbox.as_mut().filter(|_| self.seen > 0) else { return false };
         let mut whole = &inbox.held()[..self.seen];
         if to_line_end {
-            whole = match front(whole) {
-                Front::Whole(n) => &whole[..n],
+            whole = match scan_line(whole) {
+                LineScan::Complete(n) => &whole[..n],
                 _ => whole,
             };
         }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -11,7 +11,7 @@
 
 use mio::net::TcpListener;
 use shorewharf_driver::{Driver, Effects};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
@@ -168,7 +168,7 @@
     watch: Watch,
     place: Place,
     config: Config,
-    known: Arc<Listing>,
+    known: Arc<EndpointList>,
     clock: Clock,
     keeping: Option<Keeping>,
     /// What one before has known.
--- a/crates/balancer/tests/sockets/counts.rs
+++ b/crates/balancer/tests/sockets/counts.rs
@@ -17,9 +17,9 @@
     Half,
     /// Pings, as a front.
     Front,
-    /// Names no class that there is.
+    /// NameIndex no class that there is.
     Unknown,
-    /// Names its class in a line that can't be used.
+    /// NameIndex its class in a line that can't be used.
     Bad,
     /// Leaves before its answer.
     Leaves,
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use shorewharf_emulator::standin::*;
-use shorewharf_protocol::open::OpenLine;
+use shorewharf_protocol::open_request::OpenRequestLine;
 
 use crate::operators::{comes_to, with_door};
 use crate::{BINARY, start};
@@ -141,8 +141,15 @@
     assert_eq!(stream.ends(), Vec::<String>::new());
 }
 
-fn stands_line() -> OpenLine<'static> {
-    OpenLine { id: 1, key: 1, class: "chat", tenant: "acme", patience_ms: 20_000, ..OpenLine::default() }
+fn stands_line() -> OpenRequestLine<'static> {
+    OpenRequestLine {
+        id: 1,
+        key: 1,
+        class: "chat",
+        tenant: "acme",
+        timeout_ms: 20_000,
+        ..OpenRequestLine::default()
+    }
 }
 
 /// Whether lines pass both ways.
--- a/crates/emulator/src/sockets/bad.rs
+++ b/crates/emulator/src/sockets/bad.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use serde::Serialize;
-use shorewharf_protocol::words::{Word, word};
+use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
 use thiserror::Error;
 
@@ -248,13 +248,13 @@
         let fared = &mut self.fared[bad.place];
         // What is sent in excess of a line says nothing.
         while let Ok(Some(line)) = bad.wire.line() {
-            let found = word(line);
+            let found = parse_message(line);
             match found {
-                Word::Up(_) => {
+                Message::Accepted(_) => {
                     fared.served += 1;
                     did.push((bad.who, Sight::BadServed(ConnId(OWN | id)).into()));
                 }
-                Word::Busy(_) | Word::Err if !bad.judged => {
+                Message::Rejected(_) | Message::Failed if !bad.judged => {
                     bad.judged = true;
                     fared.refused += 1;
                 }
--- a/crates/emulator/src/sockets/book.rs
+++ b/crates/emulator/src/sockets/book.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use shorewharf_protocol::names::Names;
-use shorewharf_protocol::open::{OpenLine, parse_open};
+use shorewharf_protocol::name_index::NameIndex;
+use shorewharf_protocol::open_request::{OpenRequestLine, parse_open};
 use shorewharf_units::Micros;
 
 use super::directory::Directory;
@@ -38,7 +38,7 @@
 /// First lines by connection. What has been sent stays: a balancer may pass it on late.
 #[derive(Debug)]
 pub struct Book {
-    names: Names,
+    names: NameIndex,
     classes: Vec<String>,
     tenants: Vec<String>,
     sent: HashMap<ConnId, Entry>,
@@ -67,17 +67,17 @@
 
     /// Writes a client's first line, with its end.
     pub fn open(&mut self, who: BalancerId, ask: &Ask, left: Micros, dir: &Directory) -> String {
-        let text = OpenLine {
+        let text = OpenRequestLine {
             id: ask.conn.0,
             key: ask.key,
             class: &self.classes[ask.class as usize],
             tenant: self.tenants.get(ask.tenant as usize).map_or("", String::as_str),
-            patience_ms: if ask.home.is_some() { FROM_BEFORE_MS } else { (left / 1000).max(1) },
+            timeout_ms: if ask.home.is_some() { FROM_BEFORE_MS } else { (left / 1000).max(1) },
             group: ask.group,
             load: ask.hint,
-            retry: ask.retry,
-            again: ask.again,
-            home: ask.home.map(|node: NodeId| dir.node(node)),
+            is_retry: ask.retry,
+            is_reconnect: ask.again,
+            previous_server: ask.home.map(|node: NodeId| dir.node(node)),
         }
         .to_string();
         let line = without_wait(text.trim_end().as_bytes());
@@ -94,7 +94,7 @@
     pub fn read(&self, who: BalancerId, line: &[u8]) -> First {
         let plain = without_wait(line);
         let open = parse_open(line, &self.names).ok();
-        let sent = open.as_ref().and_then(|o| Some((ConnId(o.id), o.patience?)));
+        let sent = open.as_ref().and_then(|o| Some((ConnId(o.id), o.timeout?)));
         match sent.and_then(|(conn, wait)| Some((conn, wait, self.sent.get(&conn)?))) {
             Some((conn, wait, entry)) if entry.who == who && entry.line == plain => First::Sent(conn, wait),
             _ if self.bad.contains(&plain) => First::Unusable,
--- a/crates/emulator/src/sockets/book/tests.rs
+++ b/crates/emulator/src/sockets/book/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn only_the_wait_may_change_and_only_own_receipts_count() {
     let mut book = Book {
-        names: Names { classes: [("chat".to_owned(), 0)].into(), ..Names::default() },
+        names: NameIndex { classes: [("chat".to_owned(), 0)].into(), ..NameIndex::default() },
         classes: vec!["chat".to_owned()],
         tenants: vec![],
         sent: HashMap::new(),
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use serde::Serialize;
-use shorewharf_protocol::words::{Word, word};
+use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
 
 use super::book::Book;
@@ -156,16 +156,16 @@
                     break;
                 }
             };
-            match (client.stage, word(line)) {
+            match (client.stage, parse_message(line)) {
                 (Stage::Waits, found) => {
                     let answer = match found {
-                        Word::Up(receipt) => match book.receipt(conn, receipt) {
+                        Message::Accepted(receipt) => match book.receipt(conn, receipt) {
                             Some(link) => Answer::Up(link),
                             None => Answer::Forged,
                         },
-                        Word::Busy(ms) => Answer::Busy(ms.unwrap_or(0).saturating_mul(1000)),
-                        Word::Err => Answer::Err,
-                        Word::Move => Answer::Move,
+                        Message::Rejected(ms) => Answer::Busy(ms.unwrap_or(0).saturating_mul(1000)),
+                        Message::Failed => Answer::Err,
+                        Message::Migrate => Answer::Move,
                         _ => Answer::Other,
                     };
                     client.stage = match answer {
@@ -178,12 +178,12 @@
                     self.facts.forged += u64::from(answer == Answer::Forged);
                     did.push((who, FromBalancer::Answer(conn, answer).into()));
                 }
-                (Stage::Stands(_), Word::Move) => {
+                (Stage::Stands(_), Message::Migrate) => {
                     client.stage = Stage::Over;
                     did.push((who, FromBalancer::Answer(conn, Answer::Move).into()));
                 }
-                (Stage::Stands(_), Word::Bye) => client.stage = Stage::Over,
-                (Stage::Stands(_), Word::Load(_)) => did.push((who, Sight::AtClient(conn).into())),
+                (Stage::Stands(_), Message::Completed) => client.stage = Stage::Over,
+                (Stage::Stands(_), Message::LoadReport(_)) => did.push((who, Sight::AtClient(conn).into())),
                 (Stage::Stands(_), _) => match client.out.front().copied() {
                     Some((sent, number)) if line == said(conn, number).as_bytes() => {
                         client.out.pop_front();
--- a/crates/emulator/src/sockets/directory.rs
+++ b/crates/emulator/src/sockets/directory.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_protocol::list::{Endpoint, Listing};
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
+use shorewharf_protocol::name_index::NameIndex;
 
 use crate::day::Day;
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
 
-/// Names and places of all parties of one run.
+/// NameIndex and places of all parties of one run.
 #[derive(Clone, Debug)]
 pub struct Directory {
     day: Day,
@@ -65,9 +65,9 @@
     }
 
     /// How first lines name classes and tenants.
-    pub fn names(&self) -> Names {
+    pub fn names(&self) -> NameIndex {
         let day = &self.day;
-        Names {
+        NameIndex {
             classes: day.classes.iter().enumerate().map(|(i, c)| (c.name.clone(), i)).collect(),
             tenants: day.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), i)).collect(),
             zones: day.zones.iter().cloned().zip(0..).collect(),
@@ -95,8 +95,8 @@
     }
 
     /// A list or changes as this balancer gets them.
-    pub fn listing(&self, who: BalancerId, index: u64, snapshot: bool, entries: &[Listed]) -> Listing {
+    pub fn listing(&self, who: BalancerId, index: u64, snapshot: bool, entries: &[Listed]) -> EndpointList {
         let endpoints = entries.iter().map(|e| self.endpoint(who, e)).collect();
-        Listing { index, snapshot, endpoints }
+        EndpointList { index, snapshot, endpoints }
     }
 }
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -10,7 +10,7 @@
 
 use serde::Serialize;
 use serde_json::{Value, json};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_units::Micros;
 use slotmap::DefaultKey;
 use socket2::{Domain, Socket, Type};
@@ -65,7 +65,7 @@
     /// For random numbers.
     pub seed: u64,
     /// The list as it had it last.
-    pub known: Listing,
+    pub known: EndpointList,
     /// Its settings as JSON text.
     pub settings: Value,
     /// Where discovery is.
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -5,7 +5,7 @@
 use std::net::Shutdown;
 
 use mio::net::TcpStream;
-use shorewharf_protocol::line::{Front, front};
+use shorewharf_protocol::line::{LineScan, scan_line};
 use slotmap::DefaultKey;
 
 use super::net::{Net, Ready, Role};
@@ -126,14 +126,14 @@
 
     /// The next whole line, without its end.
     pub fn line(&mut self) -> Result<Option<&[u8]>, TooLong> {
-        match front(&self.inbox[self.taken..]) {
-            Front::Whole(n) => {
+        match scan_line(&self.inbox[self.taken..]) {
+            LineScan::Complete(n) => {
                 let from = self.taken;
                 self.taken += n;
                 Ok(Some(&self.inbox[from..from + n - 2]))
             }
-            Front::Part => Ok(None),
-            Front::TooLong => Err(TooLong),
+            LineScan::Incomplete => Ok(None),
+            LineScan::TooLong => Err(TooLong),
         }
     }
 
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 use serde::Serialize;
-use shorewharf_protocol::words::{Word, word};
+use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::{Micros, seconds_from_micros};
 use thiserror::Error;
 
@@ -477,7 +477,7 @@
         let mut fails = false;
         while let Ok(Some(line)) = client.wire.line() {
             if let Some(due) = client.due {
-                if !matches!(word(line), Word::Up(_)) {
+                if !matches!(parse_message(line), Message::Accepted(_)) {
                     fails = true;
                     break;
                 }
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-use shorewharf_protocol::words::Word;
+use shorewharf_protocol::message::Message;
 
 use super::addresses::Addresses;
 use super::between::worse;
@@ -274,7 +274,7 @@
                             did.push((who, FromBalancer::Probe(id).into()));
                         } else if reach == Reach::Open {
                             // The world knows one probe a link; further ones are answered here.
-                            link.wire.say(net, Word::Pong.to_string().as_bytes());
+                            link.wire.say(net, Message::Pong.to_string().as_bytes());
                         }
                         link.stage = Stage::Probes;
                     }
@@ -282,7 +282,7 @@
                         First::Sent(conn, patience) => {
                             (link.conn, link.stage) = (Some(conn), Stage::Asked);
                             if self.alone {
-                                let up = Word::Up(book.stands(conn, id).as_bytes()).to_string();
+                                let up = Message::Accepted(book.stands(conn, id).as_bytes()).to_string();
                                 link.stage = Stage::Stands;
                                 link.wire.say(net, up.as_bytes());
                             }
@@ -295,12 +295,12 @@
                         }
                         First::Unusable => {
                             link.stage = Stage::Over;
-                            link.wire.say(net, Word::Err.to_string().as_bytes());
+                            link.wire.say(net, Message::Failed.to_string().as_bytes());
                             link.wire.finish(net);
                         }
                         First::Unknown => {
                             link.stage = Stage::Over;
-                            link.wire.say(net, Word::Syntax.to_string().as_bytes());
+                            link.wire.say(net, Message::Malformed.to_string().as_bytes());
                             link.wire.finish(net);
                             did.push((link.who, FromBalancer::Syntax(link.node).into()));
                         }
@@ -350,14 +350,14 @@
         let text = match (what, link.conn) {
             (NodeWord::Up, Some(conn)) => {
                 link.stage = Stage::Stands;
-                Word::Up(book.stands(conn, id).as_bytes()).to_string()
+                Message::Accepted(book.stands(conn, id).as_bytes()).to_string()
             }
-            (NodeWord::Up, None) | (NodeWord::Pong, _) => Word::Pong.to_string(),
-            (NodeWord::Busy, _) => Word::Busy(None).to_string(),
-            (NodeWord::Err, _) => Word::Err.to_string(),
-            (NodeWord::Move, _) => Word::Move.to_string(),
-            (NodeWord::Bye, _) => Word::Bye.to_string(),
-            (NodeWord::Load(x) | NodeWord::Delay(x), _) => Word::Load(Some(x)).to_string(),
+            (NodeWord::Up, None) | (NodeWord::Pong, _) => Message::Pong.to_string(),
+            (NodeWord::Busy, _) => Message::Rejected(None).to_string(),
+            (NodeWord::Err, _) => Message::Failed.to_string(),
+            (NodeWord::Move, _) => Message::Migrate.to_string(),
+            (NodeWord::Bye, _) => Message::Completed.to_string(),
+            (NodeWord::Load(x) | NodeWord::Delay(x), _) => Message::LoadReport(Some(x)).to_string(),
             // Clients' lines are returned as they come.
             (NodeWord::Reply, _) => return,
             (NodeWord::Junk, _) => "7f3a HUH 0\r\n".to_owned(),
--- a/crates/emulator/src/standin/director.rs
+++ b/crates/emulator/src/standin/director.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_protocol::list::{Endpoint, Listing};
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
 
 use super::{Node, Peer};
 
@@ -59,7 +59,7 @@
 
     /// Tells a whole list, or changes to the one before.
     pub fn tell(&mut self, index: u64, snapshot: bool, endpoints: Vec<Endpoint>) {
-        let list = serde_json::to_string(&Listing { index, snapshot, endpoints }).expect("a list");
+        let list = serde_json::to_string(&EndpointList { index, snapshot, endpoints }).expect("a list");
         self.chunk(&format!("{list}\n"));
     }
 
--- a/crates/emulator/src/standin/peer.rs
+++ b/crates/emulator/src/standin/peer.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-use shorewharf_protocol::open::OpenLine;
+use shorewharf_protocol::open_request::OpenRequestLine;
 
 use super::LIMIT;
 
@@ -39,7 +39,7 @@
 
     /// A client that has said its first line.
     #[track_caller]
-    pub fn open(to: SocketAddr, line: &OpenLine) -> Self {
+    pub fn open(to: SocketAddr, line: &OpenRequestLine) -> Self {
         let mut client = Peer::connect(to);
         client.put(line.to_string().as_bytes());
         client
--- a/crates/emulator/src/standin/program.rs
+++ b/crates/emulator/src/standin/program.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 use serde_json::{Value, json};
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 
 use super::{Director, LIMIT, Node, Peer, loopback, nobody};
 
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/admin.rs
@@ -6,45 +6,45 @@
 use thiserror::Error;
 
 /// Bytes that a call's line may have, without its end: the longest of the platform's lines.
-pub const LONGEST: usize = 4096;
+pub const MAX_COMMAND_BYTES: usize = 4096;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     /// `readyz`: whether this process takes clients.
-    Readyz,
+    Readiness,
     /// `telemetry`: the figures.
-    Telemetry,
+    Metrics,
     /// `exclude ID`: a server is taken out.
-    Exclude(String),
+    Disable(String),
     /// `include ID`: it may serve again.
-    Include(String),
+    Enable(String),
 }
 
 /// Why a call can't be answered with a yes.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Refusal {
+pub enum CommandError {
     /// Nothing was said.
     #[error("no call: readyz, telemetry, exclude ID and include ID are known")]
-    Nothing,
+    Empty,
     /// No such call.
     #[error("'{0}' is no call: readyz, telemetry, exclude ID and include ID are known")]
-    Unknown(String),
+    UnknownCommand(String),
     /// The call needs the id of a server.
     #[error("{0} needs the id of a server behind it")]
-    NoServer(&'static str),
+    MissingServer(&'static str),
     /// More was said than the call takes.
     #[error("{0} takes {1}")]
-    TooMuch(&'static str, &'static str),
+    UnexpectedArgument(&'static str, &'static str),
     /// The line is no text.
     #[error("the call is no text")]
-    NoText,
+    NotText,
     /// The line is longer than any call.
-    #[error("the call is longer than {LONGEST} bytes")]
+    #[error("the call is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
     /// The server is not known.
     #[error("no server '{0}' is listed or taken out")]
-    NoSuchServer(String),
+    UnknownServer(String),
     /// This process takes no clients.
     #[error("{0}")]
     NotReady(&'static str),
@@ -56,53 +56,53 @@
 }
 
 /// Reads a call's line, without its end.
-pub fn call(line: &[u8]) -> Result<Call, Refusal> {
-    if line.len() > LONGEST {
-        return Err(Refusal::TooLong);
+pub fn parse_command(line: &[u8]) -> Result<Command, CommandError> {
+    if line.len() > MAX_COMMAND_BYTES {
+        return Err(CommandError::TooLong);
     }
-    let text = std::str::from_utf8(line).map_err(|_| Refusal::NoText)?;
+    let text = std::str::from_utf8(line).map_err(|_| CommandError::NotText)?;
     if text.chars().any(char::is_control) {
-        return Err(Refusal::NoText);
+        return Err(CommandError::NotText);
     }
     let mut words = text.split(' ').filter(|word| !word.is_empty());
-    let name = words.next().ok_or(Refusal::Nothing)?;
+    let name = words.next().ok_or(CommandError::Empty)?;
     let arguments: Vec<&str> = words.collect();
     let alone = |name, call| match arguments[..] {
         [] => Ok(call),
-        _ => Err(Refusal::TooMuch(name, "nothing behind it")),
+        _ => Err(CommandError::UnexpectedArgument(name, "nothing behind it")),
     };
-    let server = |name, call: fn(String) -> Call| match arguments[..] {
-        [] => Err(Refusal::NoServer(name)),
+    let server = |name, call: fn(String) -> Command| match arguments[..] {
+        [] => Err(CommandError::MissingServer(name)),
         [id] => Ok(call(id.to_owned())),
-        _ => Err(Refusal::TooMuch(name, "one server at a time")),
+        _ => Err(CommandError::UnexpectedArgument(name, "one server at a time")),
     };
     match name {
-        "readyz" => alone("readyz", Call::Readyz),
-        "telemetry" => alone("telemetry", Call::Telemetry),
-        "exclude" => server("exclude", Call::Exclude),
-        "include" => server("include", Call::Include),
-        other => Err(Refusal::Unknown(some(other))),
+        "readyz" => alone("readyz", Command::Readiness),
+        "telemetry" => alone("telemetry", Command::Metrics),
+        "exclude" => server("exclude", Command::Disable),
+        "include" => server("include", Command::Enable),
+        other => Err(CommandError::UnknownCommand(some(other))),
     }
 }
 
 /// What a call is answered with, line by line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CommandReply {
     /// It is so, or it is done.
-    Yes,
+    Done,
     /// It is not, and why.
-    No(Refusal),
+    Rejected(CommandError),
     /// The figures.
-    Figures(String),
+    Metrics(String),
 }
 
-impl Answer {
+impl CommandReply {
     /// The answer's text, its lines ended as the call was.
     pub fn text(&self, end: &str) -> String {
         let text = match self {
-            Answer::Yes => "YES\n".to_owned(),
-            Answer::No(why) => format!("NO {why}\n"),
-            Answer::Figures(lines) => format!("{lines}END\n"),
+            CommandReply::Done => "YES\n".to_owned(),
+            CommandReply::Rejected(why) => format!("NO {why}\n"),
+            CommandReply::Metrics(lines) => format!("{lines}END\n"),
         };
         if end == "\n" { text } else { text.replace('\n', end) }
     }
@@ -110,7 +110,7 @@
 
 /// What became of the connections of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Replies {
+pub struct ReplyCounts {
     /// Brought up.
     pub success: u64,
     /// Refused.
@@ -121,9 +121,9 @@
 
 /// The figures that are reported.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Metrics {
     /// By class, each with its name.
-    pub replies: Vec<(String, Replies)>,
+    pub replies: Vec<(String, ReplyCounts)>,
     /// Attempts written whole to servers.
     pub dispatches: u64,
     /// Connections that were taken and have not ended.
@@ -141,7 +141,7 @@
         .collect()
 }
 
-impl Figures {
+impl Metrics {
     /// The figures' lines: counts since the start, and gauges.
     pub fn lines(&self) -> String {
         let mut lines = String::new();
--- a/crates/protocol/src/operators/tests.rs
+++ b/crates/protocol/src/admin/tests.rs
@@ -4,11 +4,11 @@
 
 #[test]
 fn a_call_is_read_or_refused_with_a_reason() {
-    assert_eq!(call(b"readyz"), Ok(Call::Readyz));
-    assert_eq!(call(b" telemetry "), Ok(Call::Telemetry));
-    assert_eq!(call(b"exclude s-5be2a07c"), Ok(Call::Exclude("s-5be2a07c".into())));
-    assert_eq!(call(b"include s-1"), Ok(Call::Include("s-1".into())));
-    let longest = [b"exclude ".as_slice(), &[b'x'; LONGEST]].concat();
+    assert_eq!(parse_command(b"readyz"), Ok(Command::Readiness));
+    assert_eq!(parse_command(b" telemetry "), Ok(Command::Metrics));
+    assert_eq!(parse_command(b"exclude s-5be2a07c"), Ok(Command::Disable("s-5be2a07c".into())));
+    assert_eq!(parse_command(b"include s-1"), Ok(Command::Enable("s-1".into())));
+    let longest = [b"exclude ".as_slice(), &[b'x'; MAX_COMMAND_BYTES]].concat();
     for (line, why) in [
         (&b""[..], "no call"),
         (b"READYZ", "'READYZ' is no call"),
@@ -20,16 +20,16 @@
         (b"exclude s\x001", "the call is no text"),
         (&longest, "the call is longer than 4096 bytes"),
     ] {
-        let said = Answer::No(call(line).expect_err("refused")).text("\r\n");
+        let said = CommandReply::Rejected(parse_command(line).expect_err("refused")).text("\r\n");
         assert!(said.starts_with(&format!("NO {why}")) && said.ends_with("\r\n"), "{said}");
     }
 }
 
 #[test]
 fn figures_have_a_line_each_and_an_end() {
-    let replies = vec![("chat".to_owned(), Replies { success: 812, overload: 3, error: 1 })];
-    let figures = Figures { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
-    let text = Answer::Figures(figures.lines()).text("\n");
+    let replies = vec![("chat".to_owned(), ReplyCounts { success: 812, overload: 3, error: 1 })];
+    let figures = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
+    let text = CommandReply::Metrics(figures.lines()).text("\n");
     let lines: Vec<&str> = text.lines().collect();
     let wanted = [
         "svc.replies.chat.success:812|c",
@@ -52,30 +52,34 @@
 
 #[test]
 fn calls_are_read_from_exact_bytes() {
-    let read: Vec<Call> = CALLS.lines().map(|line| call(line.as_bytes()).expect("a call")).collect();
+    let read: Vec<Command> =
+        CALLS.lines().map(|line| parse_command(line.as_bytes()).expect("a call")).collect();
     let server = "s-5be2a07c".to_owned();
-    assert_eq!(read, [Call::Readyz, Call::Telemetry, Call::Exclude(server.clone()), Call::Include(server)]);
+    assert_eq!(
+        read,
+        [Command::Readiness, Command::Metrics, Command::Disable(server.clone()), Command::Enable(server)]
+    );
 }
 
 #[test]
 fn answers_are_written_byte_for_byte() {
     let replies = vec![
-        ("chat".to_owned(), Replies { success: 812, overload: 3, error: 1 }),
-        ("bulk.eu 1".to_owned(), Replies { success: 4, overload: 5, error: 6 }),
+        ("chat".to_owned(), ReplyCounts { success: 812, overload: 3, error: 1 }),
+        ("bulk.eu 1".to_owned(), ReplyCounts { success: 4, overload: 5, error: 6 }),
     ];
-    let figures = Figures { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
+    let figures = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
     let refusals = [
-        Refusal::Nothing,
-        Refusal::Unknown("stats".into()),
-        Refusal::NoServer("exclude"),
-        Refusal::TooMuch("readyz", "nothing behind it"),
-        Refusal::NoText,
-        Refusal::TooLong,
-        Refusal::NoSuchServer("s-1".into()),
-        Refusal::NotReady("this process is about to end and takes no clients"),
+        CommandError::Empty,
+        CommandError::UnknownCommand("stats".into()),
+        CommandError::MissingServer("exclude"),
+        CommandError::UnexpectedArgument("readyz", "nothing behind it"),
+        CommandError::NotText,
+        CommandError::TooLong,
+        CommandError::UnknownServer("s-1".into()),
+        CommandError::NotReady("this process is about to end and takes no clients"),
     ];
-    let mut answers = vec![Answer::Yes, Answer::Figures(figures.lines())];
-    answers.extend(refusals.map(Answer::No));
+    let mut answers = vec![CommandReply::Done, CommandReply::Metrics(figures.lines())];
+    answers.extend(refusals.map(CommandReply::Rejected));
     let text: String = answers.iter().map(|answer| answer.text("\n")).collect();
     assert_eq!(text, ANSWERS);
     let text: String = answers.iter().map(|answer| answer.text("\r\n")).collect();
--- a/crates/protocol/src/list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -34,7 +34,7 @@
 
 /// A list as discovery writes it: one JSON object.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Listing {
+pub struct EndpointList {
     /// Its version.
     #[serde(default)]
     pub index: u64,
--- /dev/null
+++ b/crates/protocol/src/message/tests.rs
@@ -0,0 +1,65 @@
+//! Tests of the module that these stand beside.
+
+use super::*;
+
+#[test]
+fn every_word_is_read_as_it_is_written() {
+    for w in [
+        Message::Accepted(b"7f"),
+        Message::Accepted(b""),
+        Message::Rejected(None),
+        busy(1),
+        Message::Failed,
+        Message::Migrate,
+        Message::Completed,
+        Message::LoadReport(Some(2.5)),
+        Message::Ping,
+        Message::Pong,
+        Message::Stats,
+        Message::ProbesUnsupported,
+        Message::Malformed,
+        Message::Payload(b"UPON"),
+    ] {
+        let line = w.to_string();
+        assert_eq!(parse_message(line.trim_end().as_bytes()), w, "{line}");
+    }
+    assert_eq!((busy(0), busy(1_001)), (Message::Rejected(None), Message::Rejected(Some(2))));
+}
+
+#[test]
+fn a_load_line_tells_a_number_or_nothing() {
+    assert_eq!(parse_message(b"LOAD 255465.125"), Message::LoadReport(Some(255_465.125)));
+    for odd in [&b"LOAD 0"[..], b"LOAD -5", b"LOAD NaN", b"LOAD inf", b"LOAD ", b"LOAD x", b"LOAD \xff"] {
+        assert_eq!(parse_message(odd), Message::LoadReport(None), "{odd:?}");
+    }
+    assert_eq!(parse_message(b"busy 5"), Message::Payload(b"busy 5"));
+}
+
+/// Each message as it stands on the wire, a line each.
+const MESSAGES: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt"));
+
+#[test]
+fn every_message_is_written_and_read_byte_for_byte() {
+    let messages = [
+        Message::Accepted(b""),
+        Message::Accepted(b"7f3a9c21"),
+        Message::Rejected(None),
+        Message::Rejected(Some(250)),
+        Message::Failed,
+        Message::Migrate,
+        Message::Completed,
+        Message::LoadReport(Some(255_465.125)),
+        Message::LoadReport(None),
+        Message::Ping,
+        Message::Pong,
+        Message::Stats,
+        Message::ProbesUnsupported,
+        Message::Malformed,
+        Message::Payload(b"hello, world"),
+    ];
+    assert_eq!(messages.map(|message| message.to_string()).concat(), MESSAGES);
+    let read: Vec<Message<'_>> =
+        MESSAGES.split_terminator("\r\n").map(|line| parse_message(line.as_bytes())).collect();
+    assert_eq!(read, messages);
+    assert_eq!((busy(0).to_string(), busy(1_001).to_string()), ("BUSY\r\n".into(), "BUSY 2\r\n".into()));
+}
--- a/crates/protocol/src/names.rs
+++ b/crates/protocol/src/name_index.rs
@@ -4,7 +4,7 @@
 
 /// Places by name.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameIndex {
     /// Classes.
     pub classes: HashMap<String, usize>,
     /// Tenants; empty where there are none.
--- a/crates/protocol/src/open.rs
+++ b/crates/protocol/src/open_request.rs
@@ -4,7 +4,7 @@
 use shorewharf_units::Micros;
 use std::fmt;
 
-use crate::names::Names;
+use crate::name_index::NameIndex;
 
 /// The longest wait that a line may name, in milliseconds; connections from before the start name 4294967, for
 /// all that fits 32 bits of microseconds.
@@ -16,7 +16,7 @@
 
 /// A first line, read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Open {
+pub struct OpenRequest {
     /// The id that the client gave this connection.
     pub id: u64,
     /// The flow's key; 0 for none.
@@ -30,16 +30,16 @@
     /// Expected load in work a second.
     pub load: Option<f64>,
     /// It says that it comes again.
-    pub returning: bool,
+    pub is_returning: bool,
     /// How long it will wait, if it says so.
-    pub patience: Option<Micros>,
+    pub timeout: Option<Micros>,
     /// The server that it stood on before the balancer started.
-    pub home: Option<String>,
+    pub previous_server: Option<String>,
 }
 
 /// A first line to be written, with its end.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OpenLine<'a> {
+pub struct OpenRequestLine<'a> {
     /// The connection's id.
     pub id: u64,
     /// The flow's key.
@@ -49,39 +49,39 @@
     /// The tenant by name; none is written where empty.
     pub tenant: &'a str,
     /// How long the client will wait, in milliseconds.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     /// The group; 0 for none.
     pub group: u64,
     /// A guess at the load.
     pub load: Option<f64>,
     /// `r=1`: a retry, where clients mark them.
-    pub retry: bool,
+    pub is_retry: bool,
     /// `again=1`: the connection before was moved or broke.
-    pub again: bool,
+    pub is_reconnect: bool,
     /// `at=`: the server where this connection stood before.
-    pub home: Option<&'a str>,
+    pub previous_server: Option<&'a str>,
 }
 
-impl fmt::Display for OpenLine<'_> {
+impl fmt::Display for OpenRequestLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "OPEN {:x} {:x} c={}", self.id, self.key, self.class)?;
         if !self.tenant.is_empty() {
             write!(f, ",t={}", self.tenant)?;
         }
-        write!(f, ",d={}", self.patience_ms)?;
+        write!(f, ",d={}", self.timeout_ms)?;
         if self.group != 0 {
             write!(f, ",g={:x}", self.group)?;
         }
         self.load.map_or(Ok(()), |h| write!(f, ",h={h}"))?;
-        f.write_str(if self.retry { ",r=1" } else { "" })?;
-        f.write_str(if self.again { ",again=1" } else { "" })?;
-        self.home.map_or(Ok(()), |at| write!(f, ",at={at}"))?;
+        f.write_str(if self.is_retry { ",r=1" } else { "" })?;
+        f.write_str(if self.is_reconnect { ",again=1" } else { "" })?;
+        self.previous_server.map_or(Ok(()), |at| write!(f, ",at={at}"))?;
         f.write_str("\r\n")
     }
 }
 
 /// A first line with what is left for this attempt as its `d`, and its end; all else is passed on unchanged.
-pub fn with_patience(line: &[u8], left: Micros) -> Vec<u8> {
+pub fn with_timeout(line: &[u8], left: Micros) -> Vec<u8> {
     let (head, list) = line.split_at(line.iter().rposition(|b| *b == b' ').map_or(0, |at| at + 1));
     let ms = (left / 1000).max(1).to_string();
     let mut out = head.to_vec();
@@ -111,7 +111,7 @@
 }
 
 /// Reads a first line; the error says what is wrong with it.
-pub fn parse_open(line: &[u8], names: &Names) -> Result<Open, &'static str> {
+pub fn parse_open(line: &[u8], names: &NameIndex) -> Result<OpenRequest, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "no text")?;
     if text.chars().any(char::is_control) {
         return Err("no text");
@@ -122,16 +122,16 @@
     else {
         return Err("not OPEN ID KEY LIST");
     };
-    let mut open = Open {
+    let mut open = OpenRequest {
         id: hex(id).ok_or("bad id")?,
         key: hex(key).ok_or("bad key")?,
         class: 0,
         tenant: 0,
         group: 0,
         load: None,
-        returning: false,
-        patience: None,
-        home: None,
+        is_returning: false,
+        timeout: None,
+        previous_server: None,
     };
     let (mut class, mut tenant, mut wait, mut group) = (None, None, None, None);
     let once = |twice: bool| if twice { Err("an item twice") } else { Ok(()) };
@@ -143,19 +143,19 @@
             "d" => once(wait.replace(number(value, WAIT_MOST).ok_or("bad d")?).is_some())?,
             "g" => once(group.replace(hex(value).ok_or("bad g")?).is_some())?,
             "h" => once(open.load.replace(number(value, LOAD_MOST).ok_or("bad h")?).is_some())?,
-            "at" => once(open.home.replace(value.to_owned()).is_some())?,
-            "r" | "again" => open.returning |= value == "1",
+            "at" => once(open.previous_server.replace(value.to_owned()).is_some())?,
+            "r" | "again" => open.is_returning |= value == "1",
             _ => {}
         }
     }
     open.class = class.ok_or("no class")?;
     (open.tenant, open.group) = (tenant.unwrap_or(0), group.unwrap_or(0));
-    open.patience = wait.map(|ms: f64| (ms.min(WAIT_USED) * 1e3) as Micros);
+    open.timeout = wait.map(|ms: f64| (ms.min(WAIT_USED) * 1e3) as Micros);
     Ok(open)
 }
 
 /// The class that a first line names, whatever else is wrong with it.
-pub fn class_of(line: &[u8], names: &Names) -> Option<usize> {
+pub fn class_of(line: &[u8], names: &NameIndex) -> Option<usize> {
     let mut items = line.split(|b| b" ,".contains(b));
     let named = items.find_map(|item| item.strip_prefix(b"c="))?;
     names.classes.get(std::str::from_utf8(named).ok()?).copied()
--- a/crates/protocol/src/open/tests.rs
+++ b/crates/protocol/src/open_request/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn names() -> Names {
-    Names {
+fn names() -> NameIndex {
+    NameIndex {
         classes: [("chat".to_owned(), 0), ("feed".to_owned(), 1)].into(),
         tenants: [("acme".to_owned(), 2)].into(),
         zones: Default::default(),
@@ -15,12 +15,12 @@
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=2000,g=5c0f,r=1,h=0.25,new=7";
     let open = parse_open(line, &names()).expect("good");
     assert_eq!((open.class, open.tenant, open.key, open.group), (1, 2, 0x7f3a_9c21_e0b4_d655, 0x5c0f));
-    assert_eq!((open.load, open.returning, open.home), (Some(0.25), true, None));
-    assert_eq!((open.id, open.patience), (0x9b1f_03aa_5c7e_2d41, Some(2_000_000)));
+    assert_eq!((open.load, open.is_returning, open.previous_server), (Some(0.25), true, None));
+    assert_eq!((open.id, open.timeout), (0x9b1f_03aa_5c7e_2d41, Some(2_000_000)));
     let open = parse_open(b"OPEN 1 2 c=chat,again=1,at=s-1", &names()).expect("good");
-    assert_eq!((open.returning, open.home.as_deref(), open.patience), (true, Some("s-1"), None));
+    assert_eq!((open.is_returning, open.previous_server.as_deref(), open.timeout), (true, Some("s-1"), None));
     let longest = parse_open(b"OPEN 1 2 c=chat,d=4294967", &names()).expect("good");
-    assert_eq!(longest.patience, Some(3_600_000_000));
+    assert_eq!(longest.timeout, Some(3_600_000_000));
 }
 
 #[test]
@@ -38,24 +38,40 @@
 
 #[test]
 fn a_line_is_read_as_it_is_written() {
-    let words =
-        OpenLine { id: 7, key: 9, class: "feed", tenant: "acme", patience_ms: 5, ..OpenLine::default() };
-    let full = OpenLine { group: 3, load: Some(0.5), retry: true, again: true, home: Some("s-1"), ..words };
+    let words = OpenRequestLine {
+        id: 7,
+        key: 9,
+        class: "feed",
+        tenant: "acme",
+        timeout_ms: 5,
+        ..OpenRequestLine::default()
+    };
+    let full = OpenRequestLine {
+        group: 3,
+        load: Some(0.5),
+        is_retry: true,
+        is_reconnect: true,
+        previous_server: Some("s-1"),
+        ..words
+    };
     for (words, again) in [(words, false), (full, true)] {
         let line = words.to_string();
         let open = parse_open(line.trim_end().as_bytes(), &names()).expect("good");
         assert_eq!((open.id, open.key, open.class, open.tenant, open.group), (7, 9, 1, 2, words.group));
-        assert_eq!((open.returning, open.load, open.home.as_deref()), (again, words.load, words.home));
+        assert_eq!(
+            (open.is_returning, open.load, open.previous_server.as_deref()),
+            (again, words.load, words.previous_server)
+        );
     }
 }
 
 #[test]
 fn only_d_is_changed_in_the_first_line() {
     let line = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1";
-    let out = with_patience(line, 1_234_567);
+    let out = with_timeout(line, 1_234_567);
     assert_eq!(out, b"OPEN 9b1f 7f3a c=chat,t=acme,d=1234,g=5c0f,again=1\r\n");
-    assert_eq!(with_patience(b"OPEN 1 2 d=5", 10), b"OPEN 1 2 d=1\r\n");
-    assert_eq!(with_patience(b"OPEN 1 2 c=chat,id=7", 10), b"OPEN 1 2 c=chat,id=7\r\n");
+    assert_eq!(with_timeout(b"OPEN 1 2 d=5", 10), b"OPEN 1 2 d=1\r\n");
+    assert_eq!(with_timeout(b"OPEN 1 2 c=chat,id=7", 10), b"OPEN 1 2 c=chat,id=7\r\n");
 }
 
 #[test]
@@ -109,37 +125,41 @@
 
 #[test]
 fn a_first_line_with_all_its_fields_is_written_and_read_byte_for_byte() {
-    let full = OpenLine {
+    let full = OpenRequestLine {
         id: 0x9b1f_03aa_5c7e_2d41,
         key: 0x7f3a_9c21_e0b4_d655,
         class: "feed",
         tenant: "acme",
-        patience_ms: 2000,
+        timeout_ms: 2000,
         group: 0x5c0f,
         load: Some(0.25),
-        retry: true,
-        again: true,
-        home: Some("s-5be2a07c"),
+        is_retry: true,
+        is_reconnect: true,
+        previous_server: Some("s-5be2a07c"),
     };
-    let bare = OpenLine { id: 1, key: 2, class: "chat", patience_ms: 500, ..OpenLine::default() };
+    let bare =
+        OpenRequestLine { id: 1, key: 2, class: "chat", timeout_ms: 500, ..OpenRequestLine::default() };
     assert_eq!(full.to_string() + &bare.to_string(), FIRST_LINES);
 
     let mut lines = FIRST_LINES.split_terminator("\r\n").map(str::as_bytes);
     let line = lines.next().expect("a line");
     let open = parse_open(line, &names()).expect("good");
     assert_eq!((open.id, open.key, open.group), (full.id, full.key, full.group));
-    assert_eq!((open.class, open.tenant, open.patience), (1, 2, Some(2_000_000)));
-    assert_eq!((open.load, open.returning, open.home.as_deref()), (full.load, true, full.home));
+    assert_eq!((open.class, open.tenant, open.timeout), (1, 2, Some(2_000_000)));
+    assert_eq!(
+        (open.load, open.is_returning, open.previous_server.as_deref()),
+        (full.load, true, full.previous_server)
+    );
     assert_eq!(class_of(line, &names()), Some(1));
     assert_eq!(
-        with_patience(line, 1_500_000),
+        with_timeout(line, 1_500_000),
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=5c0f,h=0.25,r=1,again=1,at=s-5be2a07c\r\n"
     );
 
     let open = parse_open(lines.next().expect("a line"), &names()).expect("good");
     assert_eq!((open.id, open.key, open.group), (1, 2, 0));
-    assert_eq!((open.class, open.tenant, open.patience), (0, 0, Some(500_000)));
-    assert_eq!((open.load, open.returning, open.home), (None, false, None));
+    assert_eq!((open.class, open.tenant, open.timeout), (0, 0, Some(500_000)));
+    assert_eq!((open.load, open.is_returning, open.previous_server), (None, false, None));
     assert_eq!(lines.next(), None);
 }
 
@@ -147,6 +167,6 @@
 fn each_mark_of_a_returning_client_is_read_by_its_own_name() {
     for (list, returning) in [("r=1", true), ("again=1", true), ("r=0,again=0", false), ("retry=1", false)] {
         let open = parse_open(format!("OPEN 1 2 c=chat,{list}").as_bytes(), &names()).expect("good");
-        assert_eq!(open.returning, returning, "{list}");
+        assert_eq!(open.is_returning, returning, "{list}");
     }
 }
--- a/crates/recovery/tests/snapshot_format.rs
+++ b/crates/recovery/tests/snapshot_format.rs
@@ -3,7 +3,7 @@
 
 use serde_json::json;
 use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::memory::{Bears, Learned, Loads};
 use shorewharf_snapshot::record::{Encoder, Head, Line, VERSION, decode};
 
--- a/crates/snapshot/src/judge.rs
+++ b/crates/snapshot/src/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use thiserror::Error;
 
 use crate::record::Head;
@@ -25,7 +25,7 @@
     /// Nothing older is believed, in microseconds.
     pub oldest: u64,
     /// The list that this one would start with.
-    pub list: &'a Listing,
+    pub list: &'a EndpointList,
 }
 
 /// Why a record is left aside.
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// Why not.
-pub fn judge(head: &Head, list: &Listing, asks: &Asks) -> Result<u64, Aside> {
+pub fn judge(head: &Head, list: &EndpointList, asks: &Asks) -> Result<u64, Aside> {
     if head.balancer != asks.balancer {
         return Err(Aside::Balancer(head.balancer.clone()));
     }
@@ -86,6 +86,6 @@
 }
 
 /// The list to start with: the later one of both, by discovery's own count.
-pub fn later<'a>(own: &'a Listing, record: &'a Listing) -> &'a Listing {
+pub fn later<'a>(own: &'a EndpointList, record: &'a EndpointList) -> &'a EndpointList {
     if record.index > own.index && !record.endpoints.is_empty() { record } else { own }
 }
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -6,7 +6,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use shorewharf_protocol::list::{Endpoint, Listing};
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
 use thiserror::Error;
 use twox_hash::XxHash3_64;
 
@@ -132,7 +132,7 @@
     /// What it says of itself.
     pub head: Head,
     /// The list as it stood.
-    pub list: Listing,
+    pub list: EndpointList,
     /// All that is known.
     pub known: Vec<T>,
     /// Lines that this program has no word for: another version of it may have written them.
@@ -163,7 +163,7 @@
     let mut lines = whole.split(|b| *b == b'\n');
     let head = head(lines.next().unwrap_or_default())?;
     let (mut known, mut unknown) = (Vec::new(), 0);
-    let mut list = Listing { index: head.index, snapshot: true, endpoints: Vec::new() };
+    let mut list = EndpointList { index: head.index, snapshot: true, endpoints: Vec::new() };
     for line in lines.filter(|line| !line.is_empty()) {
         match serde_json::from_slice(line) {
             Ok(Line::Endpoint(endpoint)) => list.endpoints.push(endpoint),
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_snapshot::choice::{Why, choose};
 use shorewharf_snapshot::folder::Folder;
 use shorewharf_snapshot::judge::{Aside, Asks, judge, later};
@@ -23,10 +23,10 @@
     Mean(f64),
 }
 
-fn list(index: u64, servers: std::ops::Range<u64>) -> Listing {
+fn list(index: u64, servers: std::ops::Range<u64>) -> EndpointList {
     let one = |n| json!({"name": format!("s-{n}"), "address": "127.0.0.1:1", "status": "Ready"});
     let endpoints = servers.map(|n| serde_json::from_value(one(n)).expect("an endpoint")).collect();
-    Listing { index, snapshot: true, endpoints }
+    EndpointList { index, snapshot: true, endpoints }
 }
 
 fn head(taken: u64) -> Head {
@@ -48,7 +48,7 @@
     encoder.end().expect("memory").0
 }
 
-fn asks(list: &Listing) -> Asks<'_> {
+fn asks(list: &EndpointList) -> Asks<'_> {
     Asks { balancer: "n1", worker: 0, workers: 1, now: NOW, oldest: 600_000_000, list }
 }
 
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-use shorewharf_protocol::list::{Endpoint, Listing};
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
 
 use crate::run::World;
 
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
-    list: Mutex<Listing>,
+    list: Mutex<EndpointList>,
     changed: Condvar,
 }
 
@@ -24,7 +24,7 @@
     /// Discovery that listens and knows this list.
     pub fn start(endpoints: Vec<Endpoint>, world: &Arc<World>) -> std::io::Result<Arc<Discovery>> {
         let listener = TcpListener::bind((crate::run::loopback(2), 0))?;
-        let list = Mutex::new(Listing { index: 1, snapshot: true, endpoints });
+        let list = Mutex::new(EndpointList { index: 1, snapshot: true, endpoints });
         let discovery =
             Arc::new(Discovery { address: listener.local_addr()?, list, changed: Condvar::new() });
         let (accepting, world) = (Arc::clone(&discovery), Arc::clone(world));
@@ -47,7 +47,7 @@
     }
 
     /// The list as it stands.
-    pub fn list(&self) -> Listing {
+    pub fn list(&self) -> EndpointList {
         self.list.lock().expect("no panic").clone()
     }
 
@@ -73,7 +73,7 @@
         let mut told = 0;
         while !world.is_over() {
             let list = self.list.lock().expect("no panic");
-            let unchanged = |list: &mut Listing| list.index == told;
+            let unchanged = |list: &mut EndpointList| list.index == told;
             let (list, waited) = self.changed.wait_timeout_while(list, QUIET, unchanged).expect("no panic");
             let text = if waited.timed_out() {
                 "\n".to_owned()
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
 
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 use thiserror::Error;
 
 use crate::client;
