--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -22,7 +22,7 @@
 pub struct Folder {
     /// The balancer's own.
     path: PathBuf,
-    /// NameIndex of files that can't be read, each told of once.
+    /// Names of files that can't be read, each told of once.
     odd: BTreeSet<PathBuf>,
 }
 
--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -26,7 +26,7 @@
 const FEWEST_SOCKETS: usize = 32;
 /// Descriptors that are kept for operators where they may call: their listener and those who call.
 const OPERATORS_SOCKETS: usize = CALLERS + 1;
-/// NameIndex the operator's own file (TOML): what the platform's configuration says nothing of.
+/// Names the operator's own file (TOML): what the platform's configuration says nothing of.
 pub const OPERATOR: &str = "SHOREWHARF_OPERATOR";
 
 /// The limits that this machine sets the program.
@@ -66,7 +66,7 @@
     pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
-    /// NameIndex in the settings.
+    /// Names in the settings.
     pub names: NameIndex,
     /// How long a client of each class waits in all, in microseconds.
     pub give_up: Vec<u64>,
@@ -126,7 +126,7 @@
     ConfigError::Form(key.into(), what.to_string())
 }
 
-/// NameIndex the key at fault, with the keys it stands under.
+/// Names the key at fault, with the keys it stands under.
 fn at<E: std::fmt::Display>(under: &str, e: serde_path_to_error::Error<E>) -> ConfigError {
     let path = e.path().to_string();
     let key = match (under, path.as_str()) {
--- a/crates/balancer/src/config/proxy_settings.rs
+++ b/crates/balancer/src/config/proxy_settings.rs
@@ -9,7 +9,7 @@
 /// What the configuration says of the peers.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// NameIndex in first lines and lists.
+    /// Names in first lines and lists.
     pub names: NameIndex,
     /// What repeating a request of each class may do.
     idempotency: Vec<Idempotency>,
--- a/crates/balancer/src/config/summary.rs
+++ b/crates/balancer/src/config/summary.rs
@@ -85,7 +85,7 @@
     if s.sends_retry_after { format!("up to {} s", s.max_retry_after) } else { "false".into() }
 }
 
-/// NameIndex in the order of their places.
+/// Names in the order of their places.
 fn in_order<P: Copy + Ord>(names: &std::collections::HashMap<String, P>) -> String {
     let mut names: Vec<_> = names.iter().map(|(name, at)| (*at, name.as_str())).collect();
     names.sort_unstable();
--- a/crates/balancer/src/handover/messages.rs
+++ b/crates/balancer/src/handover/messages.rs
@@ -121,7 +121,7 @@
 impl Standing {
     /// Its line.
     pub fn line(&self) -> Vec<u8> {
-        // NameIndex and numbers, which can be written as JSON.
+        // Names and numbers, which can be written as JSON.
         [STANDS, &serde_json::to_vec(self).unwrap_or_default(), b"\n"].concat()
     }
 
--- a/crates/balancer/tests/sockets/counts.rs
+++ b/crates/balancer/tests/sockets/counts.rs
@@ -17,9 +17,9 @@
     Half,
     /// Pings, as a front.
     Front,
-    /// NameIndex no class that there is.
+    /// Names no class that there is.
     Unknown,
-    /// NameIndex its class in a line that can't be used.
+    /// Names its class in a line that can't be used.
     Bad,
     /// Leaves before its answer.
     Leaves,
--- a/crates/emulator/src/sockets/directory.rs
+++ b/crates/emulator/src/sockets/directory.rs
@@ -8,7 +8,7 @@
 use crate::day::Day;
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
 
-/// NameIndex and places of all parties of one run.
+/// Names and places of all parties of one run.
 #[derive(Clone, Debug)]
 pub struct Directory {
     day: Day,
