--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -17,7 +17,7 @@
 use crate::event_loop::iteration::Due;
 use crate::event_loop::poll::{Owner, Ready};
 use crate::servers::disabled::{Change, Out};
-use crate::workers::pool::Order;
+use crate::workers::pool::WorkerMessage;
 
 /// How often it is looked for what other processes of this balancer have changed: they hear of a call within its second.
 const LOOK: Micros = 100_000;
@@ -155,7 +155,7 @@
             }
             Change::Back(..) => {}
         }
-        self.tell_others(|_| Order::Changed(change.clone()));
+        self.tell_others(|_| WorkerMessage::ServerChanged(change.clone()));
         self.changes(change);
     }
 
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -22,12 +22,12 @@
 use crate::event_loop::iteration::{Due, Turn};
 use crate::event_loop::poll::{Owner, Ready};
 use crate::fleet::gossip::Tells;
-use crate::handover::siblings::Kin;
+use crate::handover::siblings::SiblingProcesses;
 use crate::proxy::Serving;
 use crate::servers::disabled::{Change, Out};
 use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
 use crate::transport::connection::is_shortage;
-use crate::workers::pool::{Crew, Help, Order};
+use crate::workers::pool::{NeighbourListener, WorkerMessage, WorkerPool};
 
 /// How long clients wait in the backlog before the next look for room.
 const ACCEPT_AGAIN: Micros = 100_000;
@@ -44,7 +44,7 @@
     /// Where clients connect.
     pub listener: TcpListener,
     /// The other workers, if there are any.
-    pub crew: Option<Crew>,
+    pub crew: Option<WorkerPool>,
     /// The ids that clients have opened with, at all workers.
     pub open_ids: OpenIds,
     /// What is counted for operators here.
@@ -54,7 +54,7 @@
     /// Servers that are taken out by hand.
     pub taken_out: BTreeMap<ServerId, Out>,
     /// Other processes of this balancer.
-    pub kin: Kin,
+    pub kin: SiblingProcesses,
 }
 
 /// How often accepting is tried that failed for want of descriptors or memory, or was interrupted: mostly the next call
@@ -82,7 +82,7 @@
     pub(crate) turn: Turn,
     listener: TcpListener,
     /// The other workers, if there are any.
-    pub(crate) crew: Option<Crew>,
+    pub(crate) crew: Option<WorkerPool>,
     /// Clients may wait at the listener of a neighbour that stalls.
     can_help: bool,
     /// Clients may wait to be accepted: the last look did not show that none does.
@@ -96,7 +96,7 @@
     /// Where operators call.
     pub(crate) desk: Option<Desk>,
     /// Other processes of this balancer.
-    pub(crate) kin: Kin,
+    pub(crate) kin: SiblingProcesses,
     /// Other balancers of the fleet, where they are told.
     pub(crate) tells: Option<Tells>,
     /// Standing connections are to go on in another process, in this turn.
@@ -276,7 +276,7 @@
         };
         self.turn.ends(next);
         if let Some(crew) = &self.crew {
-            crew.turns(self.serving.clients(), next);
+            crew.publish_state(self.serving.clients(), next);
         }
         next
     }
@@ -343,7 +343,7 @@
     fn news(&mut self, news: Vec<DiscoveryEvent>) {
         for news in news {
             if let Some(crew) = &self.crew {
-                crew.tell_others(|_| Order::DiscoveryEvent(news.clone()));
+                crew.broadcast(|_| WorkerMessage::DiscoveryEvent(news.clone()));
             }
             self.listed(news);
         }
@@ -367,7 +367,7 @@
             self.leaving = Some(self.turn.now);
             self.hears_successors();
             let (sessions, waiting) = self.serving.close();
-            let worker = self.crew.as_ref().map(Crew::me);
+            let worker = self.crew.as_ref().map(WorkerPool::index);
             let successor = self.serving.has_successor;
             info!(event = "leaving", worker, sessions, waiting, successor);
             self.turn.after(STEP, Due::Leave);
@@ -397,7 +397,8 @@
             self.order(order);
         }
         let waits = self.on_their_way() > 0
-            || (has_successor && self.crew.as_ref().is_some_and(|crew| crew.leads() && !crew.is_alone()));
+            || (has_successor
+                && self.crew.as_ref().is_some_and(|crew| crew.is_primary() && !crew.have_others_ended()));
         let clients = self.serving.clients() + usize::from(waits);
         let over = clients == 0 && (has_successor || since >= LEAVE_AFTER + STEP);
         // Whoever waits at the listener would be cut off with it.
@@ -427,35 +428,39 @@
 /// Other workers.
 impl Net {
     /// The next order, to be carried out by [`Net::order`] unless it is a configuration.
-    pub fn next_order(&self) -> Option<Order> {
-        self.crew.as_ref().and_then(Crew::next)
+    pub fn next_order(&self) -> Option<WorkerMessage> {
+        self.crew.as_ref().and_then(WorkerPool::next_message)
     }
 
     /// Carries out what another worker wants.
-    pub fn order(&mut self, order: Order) {
+    pub fn order(&mut self, order: WorkerMessage) {
         match order {
-            Order::Client(stream, from) => self.serving.client_comes(&mut self.turn, stream, from),
-            Order::DiscoveryEvent(news) => self.listed(news),
-            Order::Watch => self.watch_endpoints(),
-            Order::Probe(other, server) => self.check_on(server, Some(other)),
-            Order::Changed(change) => self.changes(change),
-            Order::OthersHold(descriptors) => self.serving.others_hold(descriptors),
-            Order::Successor(has) => self.has_successor(has),
-            Order::Probed(server, outcome) => self.turn.emit(NetworkEvent::ProbeEnded(server, outcome)),
-            Order::Stop => self.stop_soon(),
-            Order::GoesAlong(handed) => self.goes_along(*handed),
-            Order::Stands(handed) => {
+            WorkerMessage::ForwardedClient(stream, from) => {
+                self.serving.client_comes(&mut self.turn, stream, from)
+            }
+            WorkerMessage::DiscoveryEvent(news) => self.listed(news),
+            WorkerMessage::WatchEndpoints => self.watch_endpoints(),
+            WorkerMessage::RequestProbe(other, server) => self.check_on(server, Some(other)),
+            WorkerMessage::ServerChanged(change) => self.changes(change),
+            WorkerMessage::DescriptorsHeldBySiblings(descriptors) => self.serving.others_hold(descriptors),
+            WorkerMessage::SuccessorServing(has) => self.has_successor(has),
+            WorkerMessage::ProbeEnded(server, outcome) => {
+                self.turn.emit(NetworkEvent::ProbeEnded(server, outcome))
+            }
+            WorkerMessage::Shutdown => self.stop_soon(),
+            WorkerMessage::TransferToSuccessor(handed) => self.goes_along(*handed),
+            WorkerMessage::AdoptConnection(handed) => {
                 let from = handed.0.client;
                 self.stands_here(*handed, from);
             }
-            Order::Config(_) => {}
+            WorkerMessage::Config(_) => {}
         }
     }
 
     /// Gives all others an order.
-    pub fn tell_others(&self, order: impl Fn(usize) -> Order) {
+    pub fn tell_others(&self, order: impl Fn(usize) -> WorkerMessage) {
         if let Some(crew) = &self.crew {
-            crew.tell_others(order);
+            crew.broadcast(order);
         }
     }
 
@@ -472,7 +477,7 @@
                 accepted => return accepted,
             }
         }
-        match self.crew.as_ref().and_then(Crew::helped) {
+        match self.crew.as_ref().and_then(WorkerPool::neighbour_listener) {
             Some(listener) if self.can_help => accept_persistently(listener),
             _ => Err(io::ErrorKind::WouldBlock.into()),
         }
@@ -483,12 +488,12 @@
         let better = self
             .crew
             .as_ref()
-            .and_then(|crew| Some((crew, crew.better(self.turn.now, self.serving.clients())?)));
+            .and_then(|crew| Some((crew, crew.less_loaded_worker(self.turn.now, self.serving.clients())?)));
         let left = match better {
-            Some((crew, who)) => crew.tell(who, Order::Client(stream, from)).err(),
-            None => Some(Order::Client(stream, from)),
+            Some((crew, who)) => crew.send(who, WorkerMessage::ForwardedClient(stream, from)).err(),
+            None => Some(WorkerMessage::ForwardedClient(stream, from)),
         };
-        if let Some(Order::Client(stream, from)) = left {
+        if let Some(WorkerMessage::ForwardedClient(stream, from)) = left {
             self.serving.client_comes(&mut self.turn, stream, from);
         }
     }
@@ -498,16 +503,16 @@
         let Some(crew) = &mut self.crew else { return };
         for (who, server, outcome) in self.serving.probes.take_for_others() {
             // Who has ended needs nothing.
-            let _ = crew.tell(who, Order::Probed(server, outcome));
+            let _ = crew.send(who, WorkerMessage::ProbeEnded(server, outcome));
         }
         // When the whole machine stood still, everybody seems to have stalled.
         if self.turn.now < self.turn.judges_from() {
             return;
         }
         let poller = &self.turn.poller;
-        let (helps, done) = match crew.looks_after(self.turn.now) {
-            Some(Help::Begins(listener)) => (true, poller.help(listener)),
-            Some(Help::Ends(listener)) => (false, poller.help_no_more(listener)),
+        let (helps, done) = match crew.check_neighbour(self.turn.now) {
+            Some(NeighbourListener::Serve(listener)) => (true, poller.help(listener)),
+            Some(NeighbourListener::Release(listener)) => (false, poller.help_no_more(listener)),
             None => return,
         };
         // Those who wait there already are no news to the loop.
@@ -549,8 +554,8 @@
 
     fn probe(&mut self, server: ServerId) {
         match &self.crew {
-            Some(crew) if !crew.leads() => {
-                if crew.tell(0, Order::Probe(crew.me(), server)).is_err() {
+            Some(crew) if !crew.is_primary() => {
+                if crew.send(0, WorkerMessage::RequestProbe(crew.index(), server)).is_err() {
                     self.turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
                 }
             }
@@ -561,7 +566,7 @@
     fn watch_endpoints(&mut self) {
         match &self.crew {
             // Without the one that leads, the whole process is about to end.
-            Some(crew) if !crew.leads() => drop(crew.tell(0, Order::Watch)),
+            Some(crew) if !crew.is_primary() => drop(crew.send(0, WorkerMessage::WatchEndpoints)),
             _ => {
                 let news = self.discovery.watch(&mut self.turn);
                 self.news(news);
--- a/crates/balancer/src/handover/messages.rs
+++ b/crates/balancer/src/handover/messages.rs
@@ -28,7 +28,7 @@
 
 /// The first line: what the old process leaves to the new one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Estate {
+pub struct HandoverState {
     /// The version of these words.
     pub version: u32,
     /// Listeners that come along.
@@ -47,7 +47,7 @@
 
 /// A standing connection that goes along; the client's descriptor and the server's come with its first byte.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Standing {
+pub struct EstablishedConnection {
     /// Where the client comes from.
     pub client: SocketAddr,
     /// The server's id.
@@ -69,16 +69,16 @@
     /// Since when a line of the client's has gone unanswered, in microseconds of Unix time.
     pub asked: Option<Micros>,
     /// What is on its way from and to the client.
-    #[serde(default, skip_serializing_if = "OnTheWay::is_nothing")]
-    pub at_client: OnTheWay,
+    #[serde(default, skip_serializing_if = "BufferedBytes::is_nothing")]
+    pub at_client: BufferedBytes,
     /// The same for the server.
-    #[serde(default, skip_serializing_if = "OnTheWay::is_nothing")]
-    pub at_server: OnTheWay,
+    #[serde(default, skip_serializing_if = "BufferedBytes::is_nothing")]
+    pub at_server: BufferedBytes,
 }
 
 /// What is on its way on one end of a connection.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct OnTheWay {
+pub struct BufferedBytes {
     /// Bytes that came from there and were not passed on.
     #[serde(default, with = "bytes", skip_serializing_if = "Vec::is_empty")]
     pub came: Vec<u8>,
@@ -93,9 +93,9 @@
     pub mid_line: bool,
 }
 
-impl OnTheWay {
+impl BufferedBytes {
     fn is_nothing(&self) -> bool {
-        *self == OnTheWay::default()
+        *self == BufferedBytes::default()
     }
 }
 
@@ -118,7 +118,7 @@
 /// What such a line begins with.
 const STANDS: &[u8] = b"STANDS ";
 
-impl Standing {
+impl EstablishedConnection {
     /// Its line.
     pub fn line(&self) -> Vec<u8> {
         // NameIndex and numbers, which can be written as JSON.
@@ -152,7 +152,7 @@
 }
 
 /// A standing connection between two processes: its words, the client's end and the server's.
-pub type Handed = (Standing, TcpStream, TcpStream);
+pub type TransferredConnection = (EstablishedConnection, TcpStream, TcpStream);
 
 /// Takes the next line out of what has come, without its end.
 pub fn line(inbox: &mut Vec<u8>) -> Option<Vec<u8>> {
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -83,8 +83,8 @@
     ]
 }
 
-fn estate() -> Estate {
-    Estate {
+fn estate() -> HandoverState {
+    HandoverState {
         version: VERSION,
         listeners: 2,
         held: 512,
@@ -98,19 +98,20 @@
 fn the_first_line_is_written_and_read_byte_for_byte() {
     let text = fixture!("estate.jsonl");
     assert_eq!(serde_json::to_string(&estate()).expect("text") + "\n", text);
-    assert_eq!(serde_json::from_str::<Estate>(text).expect("an estate"), estate());
+    assert_eq!(serde_json::from_str::<HandoverState>(text).expect("an estate"), estate());
     assert!(text.starts_with(r#"{"version":1,"#));
 }
 
 #[test]
 fn the_first_line_of_a_process_without_memory_is_read() {
-    let read: Estate = serde_json::from_str(fixture!("estate-without-memory.jsonl")).expect("an estate");
-    assert_eq!(read, Estate { memory: Vec::new(), taken: 0, ..estate() });
+    let read: HandoverState =
+        serde_json::from_str(fixture!("estate-without-memory.jsonl")).expect("an estate");
+    assert_eq!(read, HandoverState { memory: Vec::new(), taken: 0, ..estate() });
 }
 
 /// A connection with all that may be left out, and bytes that are no text.
-fn busy() -> Standing {
-    Standing {
+fn busy() -> EstablishedConnection {
+    EstablishedConnection {
         client: "10.0.0.9:50123".parse().expect("an address"),
         server: 0xfedc_ba98_7654_3210,
         id: 0x9b1f_03aa_5c7e_2d41,
@@ -121,13 +122,13 @@
         hint: Some(0.25),
         load: Some(255_465.125),
         asked: Some(1_764_747_000_000_001),
-        at_client: OnTheWay {
+        at_client: BufferedBytes {
             came: b"hello\r\nwor".to_vec(),
             seen: 7,
             said: b"MOVE\r\n".to_vec(),
             mid_line: true,
         },
-        at_server: OnTheWay {
+        at_server: BufferedBytes {
             came: vec![0xff, 0x00, b'\n'],
             seen: 1,
             said: b"STATS\r\n".to_vec(),
@@ -137,24 +138,33 @@
 }
 
 /// The same with nothing on its way.
-fn quiet() -> Standing {
-    let nothing = OnTheWay::default;
-    Standing { hint: None, load: None, asked: None, at_client: nothing(), at_server: nothing(), ..busy() }
+fn quiet() -> EstablishedConnection {
+    let nothing = BufferedBytes::default;
+    EstablishedConnection {
+        hint: None,
+        load: None,
+        asked: None,
+        at_client: nothing(),
+        at_server: nothing(),
+        ..busy()
+    }
 }
 
 #[test]
 fn a_standing_connection_is_written_and_read_byte_for_byte() {
-    let in_part = OnTheWay { said: b"MOVE\r\n".to_vec(), ..OnTheWay::default() };
+    let in_part = BufferedBytes { said: b"MOVE\r\n".to_vec(), ..BufferedBytes::default() };
     for (standing, line) in [
         (busy(), fixture!("standing.txt")),
         (quiet(), fixture!("standing-quiet.txt")),
-        (Standing { at_client: in_part, ..quiet() }, fixture!("standing-in-part.txt")),
+        (EstablishedConnection { at_client: in_part, ..quiet() }, fixture!("standing-in-part.txt")),
     ] {
         assert_eq!(String::from_utf8(standing.line()).expect("text"), line);
-        let read = Standing::read(line.trim_end().as_bytes()).expect("such a line").expect("a connection");
+        let read = EstablishedConnection::read(line.trim_end().as_bytes())
+            .expect("such a line")
+            .expect("a connection");
         assert_eq!(read, standing);
     }
-    assert!(Standing::read(b"HELD 17").is_none());
+    assert!(EstablishedConnection::read(b"HELD 17").is_none());
 }
 
 #[test]
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -16,8 +16,8 @@
 use crate::event_loop::poll::{Owner, Poller};
 use crate::handover::is_own;
 use crate::handover::messages::{
-    ENDS, Estate, Handed, KEEPS, LEAVES, LISTENERS, LONGEST, SERVES, Standing, TAKES, VERSION, line,
-    read_held, took,
+    ENDS, EstablishedConnection, HandoverState, KEEPS, LEAVES, LISTENERS, LONGEST, SERVES, TAKES,
+    TransferredConnection, VERSION, line, read_held, took,
 };
 
 /// The old process has this long to answer: its loop may be busy, and the start has 6 s in all.
@@ -27,16 +27,16 @@
 /// text.
 const LINE: usize = 64 << 10;
 
-/// Standing connections that are taken in in one turn: their lines wait no longer than that.
+/// EstablishedConnection connections that are taken in in one turn: their lines wait no longer than that.
 const PORTION: usize = 64;
 
 /// What the old process has left.
 #[derive(Debug)]
-pub struct Inherited {
+pub struct ReceivedHandover {
     /// Its listeners.
     pub listeners: Vec<TcpListener>,
     /// The rest.
-    pub estate: Estate,
+    pub estate: HandoverState,
     stream: StdUnixStream,
 }
 
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// Where nobody does, where it does not answer in time, or with what can't be used.
-pub fn ask(path: &Path) -> io::Result<Inherited> {
+pub fn ask(path: &Path) -> io::Result<ReceivedHandover> {
     let stream = StdUnixStream::connect(path)?;
     is_own(&stream)?;
     let began = Instant::now();
@@ -71,12 +71,12 @@
             return Err(bad(format!("the estate is longer than {LONGEST} bytes")));
         }
     }
-    let estate: Estate = serde_json::from_slice(&text).map_err(|e| bad(format!("the estate: {e}")))?;
+    let estate: HandoverState = serde_json::from_slice(&text).map_err(|e| bad(format!("the estate: {e}")))?;
     if estate.version != VERSION || estate.listeners != listeners.len() {
         let (version, n) = (estate.version, listeners.len());
         return Err(bad(format!("version {version} with {n} listeners of {}", estate.listeners)));
     }
-    Ok(Inherited { listeners, estate, stream })
+    Ok(ReceivedHandover { listeners, estate, stream })
 }
 
 /// The old process, while it is there.
@@ -90,8 +90,8 @@
     pub leaves: bool,
     /// Descriptors that came along, in their order.
     ends: VecDeque<OwnedFd>,
-    /// Standing connections that came along and are not this process's yet.
-    stands: Vec<Handed>,
+    /// EstablishedConnection connections that came along and are not this process's yet.
+    stands: Vec<TransferredConnection>,
     /// So many are.
     took: u64,
     /// The old process goes on with those that it was not told of.
@@ -104,7 +104,7 @@
 
 impl Predecessor {
     /// The old process, told that this one serves, and that it is to end if it is.
-    pub fn told(inherited: Inherited, ends: bool, poller: &Poller) -> io::Result<Self> {
+    pub fn told(inherited: ReceivedHandover, ends: bool, poller: &Poller) -> io::Result<Self> {
         inherited.stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(inherited.stream);
         poller.watch_source(&mut stream, Owner::Predecessor)?;
@@ -155,7 +155,7 @@
                 self.leaves |= line == LEAVES;
                 self.keeps |= line == KEEPS;
                 self.held = read_held(&line).unwrap_or(self.held);
-                if let Some(standing) = Standing::read(&line) {
+                if let Some(standing) = EstablishedConnection::read(&line) {
                     self.comes_along(standing);
                 }
             }
@@ -165,9 +165,9 @@
         }
     }
 
-    /// Standing connections that are this process's from now on. Each is exactly one's: the old process is told before
+    /// EstablishedConnection connections that are this process's from now on. Each is exactly one's: the old process is told before
     /// anything is passed on here, and goes on with those it was not told of, which it says, unless it is gone.
-    pub fn taken(&mut self, gone: bool) -> Vec<Handed> {
+    pub fn taken(&mut self, gone: bool) -> Vec<TransferredConnection> {
         if gone && !self.keeps {
             return std::mem::take(&mut self.stands);
         }
@@ -186,7 +186,7 @@
     }
 
     /// A standing connection has come along. Its ends came with the first byte of its line, so they are here.
-    fn comes_along(&mut self, standing: Result<Standing, serde_json::Error>) {
+    fn comes_along(&mut self, standing: Result<EstablishedConnection, serde_json::Error>) {
         let (client, server) = (self.ends.pop_front(), self.ends.pop_front());
         match (standing, client, server) {
             (Ok(standing), Some(client), Some(server)) => {
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -16,7 +16,7 @@
 }
 
 /// The old process's loop, until somebody has asked and has an answer.
-fn asked(successors: &mut Successors, path: &Path, estate: &Estate) -> Inherited {
+fn asked(successors: &mut Successors, path: &Path, estate: &HandoverState) -> ReceivedHandover {
     std::thread::scope(|s| {
         let asks = s.spawn(|| ask(path));
         until(|| {
@@ -39,7 +39,7 @@
     let endpoint = serde_json::json!({"name": "s", "address": "127.0.0.1:1", "status": "Ready"});
     let endpoints = vec![serde_json::from_value(endpoint).expect("an endpoint"); 10_000];
     let known = EndpointList { index: 7, snapshot: true, endpoints };
-    let estate = Estate { version: VERSION, held: 40, known, ..Estate::default() };
+    let estate = HandoverState { version: VERSION, held: 40, known, ..HandoverState::default() };
     let inherited = asked(&mut successors, &path, &estate);
     assert_eq!((inherited.estate.known == estate.known, inherited.estate.held), (true, 40));
     assert_eq!(inherited.listeners[0].local_addr().ok(), old.local_addr().ok());
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -13,20 +13,20 @@
 use crate::event_loop::hub::Net;
 use crate::event_loop::iteration::Due;
 use crate::event_loop::poll::Owner;
-use crate::handover::messages::{Estate, Handed, LEAVES, VERSION, held};
+use crate::handover::messages::{HandoverState, LEAVES, TransferredConnection, VERSION, held};
 use crate::handover::predecessor::Predecessor;
 use crate::handover::successors::Successors;
 use crate::overload::descriptor_budget::OWN_DESCRIPTORS;
-use crate::workers::pool::{Crew, Order};
+use crate::workers::pool::{WorkerMessage, WorkerPool};
 
 /// How often the old process tells what it holds: as its clients leave, the new one may take more.
 const TELL: Micros = 100_000;
-/// Standing connections that go along in one turn: those that stay, or wait for their turn to go, are not held up.
+/// EstablishedConnection connections that go along in one turn: those that stay, or wait for their turn to go, are not held up.
 const PORTION: usize = 64;
 
 /// The other processes of this balancer, as far as they are there.
 #[derive(Debug, Default)]
-pub struct Kin {
+pub struct SiblingProcesses {
     /// Where a new one asks; nowhere without a folder in common.
     pub successors: Option<Successors>,
     /// The old one.
@@ -36,13 +36,13 @@
     /// Descriptors that this process may hold beside a successor, by what it was told last.
     may_hold: Option<usize>,
     /// Other workers' standing connections that are to go along.
-    going: VecDeque<Handed>,
+    going: VecDeque<TransferredConnection>,
 }
 
-impl Kin {
+impl SiblingProcesses {
     /// Those that are there at the start.
     pub fn new(successors: Option<Successors>, predecessor: Option<Predecessor>) -> Self {
-        Kin { successors, predecessor, ..Kin::default() }
+        SiblingProcesses { successors, predecessor, ..SiblingProcesses::default() }
     }
 
     /// Whether another process has taken this one's place.
@@ -97,7 +97,7 @@
 
     /// Other processes ask for what this one leaves; `memory` tells what the module knows.
     pub fn successors_ask(&mut self, memory: impl FnOnce() -> Vec<Learned>) {
-        let estate = Estate {
+        let estate = HandoverState {
             version: VERSION,
             listeners: 0,
             held: self.may_hold(),
@@ -120,12 +120,12 @@
     }
 
     /// A standing connection goes on here: at this worker, or at another one that has fewer.
-    fn takes_over(&mut self, handed: Handed, from: SocketAddr) {
+    fn takes_over(&mut self, handed: TransferredConnection, from: SocketAddr) {
         let (now, clients) = (self.turn.now, self.serving.clients());
-        let better = self.crew.as_ref().and_then(|crew| Some((crew, crew.better(now, clients)?)));
+        let better = self.crew.as_ref().and_then(|crew| Some((crew, crew.less_loaded_worker(now, clients)?)));
         let left = match better {
-            Some((crew, who)) => match crew.tell(who, Order::Stands(Box::new(handed))) {
-                Err(Order::Stands(handed)) => Some(*handed),
+            Some((crew, who)) => match crew.send(who, WorkerMessage::AdoptConnection(Box::new(handed))) {
+                Err(WorkerMessage::AdoptConnection(handed)) => Some(*handed),
                 _ => None,
             },
             None => Some(handed),
@@ -136,7 +136,7 @@
     }
 
     /// A standing connection goes on here.
-    pub fn stands_here(&mut self, handed: Handed, from: SocketAddr) {
+    pub fn stands_here(&mut self, handed: TransferredConnection, from: SocketAddr) {
         if !self.serving.take_over(&mut self.turn, handed) {
             warn!(event = "not-taken-over", client = %from);
         }
@@ -147,7 +147,7 @@
         self.hands_over || self.kin.predecessor.as_ref().is_some_and(|predecessor| predecessor.more)
     }
 
-    /// Standing connections that are on their way to another process, or wait for that.
+    /// EstablishedConnection connections that are on their way to another process, or wait for that.
     pub fn on_their_way(&self) -> usize {
         self.kin.going.len() + self.kin.successors.as_ref().map_or(0, Successors::on_their_way)
     }
@@ -166,14 +166,14 @@
             }
         }
         if has != self.serving.has_successor {
-            self.tell_others(|_| Order::Successor(has));
+            self.tell_others(|_| WorkerMessage::SuccessorServing(has));
             self.has_successor(has);
         }
         if has && self.kin.may_hold.is_none() {
             self.tells_successors();
         }
         if self.leaving.is_none() && self.kin.successors.as_ref().is_some_and(Successors::ends_this) {
-            self.tell_others(|_| Order::Stop);
+            self.tell_others(|_| WorkerMessage::Shutdown);
             self.stop_soon();
         }
     }
@@ -213,7 +213,7 @@
             return;
         }
         let now = self.turn.now;
-        let leads = self.crew.as_ref().is_none_or(Crew::leads);
+        let leads = self.crew.as_ref().is_none_or(WorkerPool::is_primary);
         if leads {
             // What other workers know of that process they know from this one.
             self.kin.successors.iter_mut().for_each(|successors| successors.look_after(now));
@@ -240,7 +240,9 @@
                     }
                 }
                 (_, Some(crew)) => {
-                    if let Err(Order::GoesAlong(handed)) = crew.tell(0, Order::GoesAlong(Box::new(handed))) {
+                    if let Err(WorkerMessage::TransferToSuccessor(handed)) =
+                        crew.send(0, WorkerMessage::TransferToSuccessor(Box::new(handed)))
+                    {
                         self.stands_here(*handed, from);
                     }
                 }
@@ -251,7 +253,7 @@
     }
 
     /// Another worker's standing connection is to go on in the process in this one's place.
-    pub fn goes_along(&mut self, handed: Handed) {
+    pub fn goes_along(&mut self, handed: TransferredConnection) {
         if self.serving.has_successor {
             self.kin.going.push_back(handed);
             self.hands_over = true;
@@ -262,7 +264,7 @@
     }
 
     fn workers(&self) -> usize {
-        self.crew.as_ref().map_or(1, Crew::len)
+        self.crew.as_ref().map_or(1, WorkerPool::worker_count)
     }
 
     /// Descriptors that this process may hold beside another one: half of all, or what it has if that is more. One that
@@ -279,7 +281,7 @@
     /// Another process holds so many descriptors of those that are allowed.
     fn others_hold(&mut self, descriptors: usize) {
         let each = descriptors / self.workers();
-        self.tell_others(|_| Order::OthersHold(each));
+        self.tell_others(|_| WorkerMessage::DescriptorsHeldBySiblings(each));
         self.serving.others_hold(each);
     }
 
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -17,7 +17,9 @@
 
 use crate::event_loop::poll::{Owner, Poller};
 use crate::handover::is_own;
-use crate::handover::messages::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
+use crate::handover::messages::{
+    ENDS, HandoverState, KEEPS, LISTENERS, SERVES, TAKES, TransferredConnection, line, read_took,
+};
 
 /// Processes that may have asked at once: one, a second one before the first serves, and some that hang.
 const SUCCESSORS: usize = 4;
@@ -42,8 +44,8 @@
     stalls: bool,
     /// This process is to end, by its word.
     ends: bool,
-    /// Standing connections on their way there, in their order.
-    out: VecDeque<Handed>,
+    /// EstablishedConnection connections on their way there, in their order.
+    out: VecDeque<TransferredConnection>,
     /// So many before those are its own.
     took: u64,
     /// When it took one last, or the first that is on its way was sent.
@@ -115,8 +117,8 @@
     listeners: Vec<TcpListener>,
     table: BTreeMap<u64, Successor>,
     next: u64,
-    /// Standing connections that their successor has not taken, and will not.
-    back: Vec<Handed>,
+    /// EstablishedConnection connections that their successor has not taken, and will not.
+    back: Vec<TransferredConnection>,
 }
 
 /// Listens at the path, in the place of whoever did before.
@@ -143,7 +145,7 @@
     }
 
     /// Processes ask: each is given the estate.
-    pub fn comes(&mut self, poller: &Poller, estate: impl Fn() -> Estate) {
+    pub fn comes(&mut self, poller: &Poller, estate: impl Fn() -> HandoverState) {
         while let Ok((mut stream, _)) = self.listener.accept() {
             if let Err(e) = is_own(&stream) {
                 warn!(event = "successor-refused", why = %e);
@@ -162,7 +164,7 @@
                 let Some(idle) = idle else { continue };
                 self.table.remove(&idle);
             }
-            let estate = Estate { listeners: self.listeners.len(), ..estate() };
+            let estate = HandoverState { listeners: self.listeners.len(), ..estate() };
             // A list is text and numbers, which can be written as JSON.
             let Ok(mut outbox) = serde_json::to_vec(&estate) else { continue };
             outbox.push(b'\n');
@@ -231,12 +233,12 @@
         }
     }
 
-    /// Standing connections that are this process's again.
-    pub fn take_back(&mut self) -> Vec<Handed> {
+    /// EstablishedConnection connections that are this process's again.
+    pub fn take_back(&mut self) -> Vec<TransferredConnection> {
         std::mem::take(&mut self.back)
     }
 
-    /// Standing connections that are on their way.
+    /// EstablishedConnection connections that are on their way.
     pub fn on_their_way(&self) -> usize {
         self.table.values().map(|successor| successor.out.len()).sum()
     }
@@ -260,7 +262,7 @@
     }
 
     /// Hands a standing connection to the one that serves. What can't be sent now is this process's again.
-    pub fn hand_over(&mut self, now: Micros, handed: Handed) -> bool {
+    pub fn hand_over(&mut self, now: Micros, handed: TransferredConnection) -> bool {
         let line = handed.0.line();
         let successor = self.table.values_mut().rev().find(|successor| successor.serves && successor.takes);
         let sent = successor.and_then(|successor| {
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -1,4 +1,4 @@
-//! Standing connections that go on in another process of this balancer, and those that come from one.
+//! EstablishedConnection connections that go on in another process of this balancer, and those that come from one.
 
 use shorewharf_decisions::interface::{Outcome, Request, RequestId, ServerId};
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
@@ -6,7 +6,7 @@
 
 use crate::clients::session::Session;
 use crate::event_loop::iteration::Turn;
-use crate::handover::messages::{Handed, Standing};
+use crate::handover::messages::{EstablishedConnection, TransferredConnection};
 use crate::proxy::Serving;
 use crate::servers::attempts::Attempt;
 use crate::transport::connection::Link;
@@ -17,7 +17,7 @@
 }
 
 impl Serving {
-    /// Standing connections that can go on in another process.
+    /// EstablishedConnection connections that can go on in another process.
     pub fn can_go(&self) -> Vec<RequestId> {
         let mut can = self.sessions.those(Session::can_go);
         can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::can_go));
@@ -31,9 +31,9 @@
         turn: &mut Turn,
         id: RequestId,
         (request, load): (Request, Option<f64>),
-    ) -> Option<Handed> {
+    ) -> Option<TransferredConnection> {
         let (s, f) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
-        let standing = Standing {
+        let standing = EstablishedConnection {
             client: s.from(),
             server: f.server().0,
             id: s.open_id()?,
@@ -59,7 +59,7 @@
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
-    pub fn take_over(&mut self, turn: &mut Turn, (standing, client, server): Handed) -> bool {
+    pub fn take_over(&mut self, turn: &mut Turn, (standing, client, server): TransferredConnection) -> bool {
         let names = &self.terms.names;
         let class = names.classes.get(&standing.class).copied();
         let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -8,7 +8,7 @@
 use socket2::SockRef;
 
 use crate::event_loop::poll::Ready;
-use crate::handover::messages::OnTheWay;
+use crate::handover::messages::BufferedBytes;
 use crate::transport::buffer_pool::{Buffer, Pool};
 use shorewharf_protocol::line::{LineScan, scan_line};
 
@@ -86,9 +86,9 @@
     }
 
     /// What is on its way here.
-    pub fn on_the_way(&self) -> OnTheWay {
+    pub fn on_the_way(&self) -> BufferedBytes {
         let said = self.outbox.as_ref().map_or(&[][..], Buffer::held).to_vec();
-        OnTheWay { came: self.held().to_vec(), seen: self.seen, said, mid_line: self.mid_line }
+        BufferedBytes { came: self.held().to_vec(), seen: self.seen, said, mid_line: self.mid_line }
     }
 
     /// The connection itself, to go on elsewhere.
@@ -97,7 +97,7 @@
     }
 
     /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
-    pub fn going_on(stream: TcpStream, pool: &Pool, on_the_way: &OnTheWay) -> Option<Self> {
+    pub fn going_on(stream: TcpStream, pool: &Pool, on_the_way: &BufferedBytes) -> Option<Self> {
         let mut link = Link { mid_line: on_the_way.mid_line, ..Link::new(stream) };
         for (bytes, buffer) in [(&on_the_way.came, &mut link.inbox), (&on_the_way.said, &mut link.outbox)] {
             if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
--- a/crates/balancer/src/workers/mod.rs
+++ b/crates/balancer/src/workers/mod.rs
@@ -1,4 +1,6 @@
-//! The workers of the process: starting them, and what they know of and tell each other.
+//! The workers of a process: event loops on threads of their own, each with its own decisions, tables and listener.
+//!
+//! The primary worker (index 0) watches discovery, probes servers and handles signals for all.
 
 pub mod pool;
 pub mod startup;
--- a/crates/balancer/src/workers/pool.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -1,9 +1,8 @@
-//! The workers of a process: loops on threads of their own, each an instance with a module, tables and a listener. What
-//! they know of each other stands on a board; all else they tell each other in messages.
+//! The worker pool as each worker sees it: who the others are, how loaded they are, and the messages between them.
 //!
-//! The first one keeps the watch on discovery, runs the probes and hears the signals, for all. The system deals clients
-//! out by chance, so a worker that holds many more than another hands new ones on; and a worker that stalls, or has
-//! ended, has its listener served by its neighbour, so that new clients do not wait for it.
+//! The kernel spreads clients over the workers' listeners at random, so a worker that holds many more clients than another
+//! forwards new ones. The listener of a worker that has stalled or ended is served by its neighbour, so that new clients
+//! do not wait for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,189 +17,215 @@
 
 use crate::config::Config;
 use crate::discovery::client::DiscoveryEvent;
-use crate::handover::messages::Handed;
+use crate::handover::messages::TransferredConnection;
 use crate::servers::disabled::Change;
 
-/// A worker that has not begun a turn for so long after it was to has stalled.
-const STALLS: Micros = 1_000_000;
-/// A worker hands clients on that holds more than the least loaded one by this part of what that one holds, or by this
-/// many where that is more. Fewer are not worth a message.
-const MORE_PART: usize = 8;
-const MORE_LEAST: usize = 16;
+/// A worker whose iteration is overdue by this much has stalled.
+const STALL_TIMEOUT: Micros = 1_000_000;
+/// A worker forwards new clients once it holds more than the least loaded one by this fraction of what that one holds ...
+const FORWARD_MARGIN_DIVISOR: usize = 8;
+/// ... or by this many clients, whichever is more.
+const MIN_FORWARD_MARGIN: usize = 16;
 
-/// What one worker tells another.
+/// A message from one worker to another.
 #[derive(Debug)]
-pub enum Order {
-    /// A client that has connected elsewhere.
-    Client(TcpStream, SocketAddr),
-    /// Discovery's news.
+pub enum WorkerMessage {
+    /// A client that has connected at another worker.
+    ForwardedClient(TcpStream, SocketAddr),
+    /// An event of the discovery watch, which the primary worker keeps.
     DiscoveryEvent(DiscoveryEvent),
-    /// A module wants the watch on discovery.
-    Watch,
-    /// The module of this worker wants a server checked on.
-    Probe(usize, ServerId),
-    /// What came of that.
-    Probed(ServerId, Outcome),
-    /// An operator has changed something.
-    Changed(Change),
+    /// To the primary worker: watch the endpoint list.
+    WatchEndpoints,
+    /// To the primary worker: probe a server for the worker of this index.
+    RequestProbe(usize, ServerId),
+    /// The result of such a probe.
+    ProbeEnded(ServerId, Outcome),
+    /// An operator has disabled or enabled a server.
+    ServerChanged(Change),
     /// Another process of this balancer holds so many of this worker's descriptors.
-    OthersHold(usize),
-    /// That process takes this one's place, or no longer.
-    Successor(bool),
+    DescriptorsHeldBySiblings(usize),
+    /// Whether another process serves in place of this one.
+    SuccessorServing(bool),
     /// Another configuration is in force.
     Config(Box<Config>),
-    /// The planned end begins.
-    Stop,
-    /// A standing connection that is to go on in another process.
-    GoesAlong(Box<Handed>),
-    /// One that has come from another process.
-    Stands(Box<Handed>),
+    /// Shut down.
+    Shutdown,
+    /// To the primary worker: an established connection for the successor.
+    TransferToSuccessor(Box<TransferredConnection>),
+    /// An established connection that came from another process.
+    AdoptConnection(Box<TransferredConnection>),
 }
 
-/// A worker, as the others see it.
+/// What the other workers need of a worker.
 #[derive(Debug)]
-struct Post {
-    orders: Sender<Order>,
+struct WorkerHandle {
+    messages: Sender<WorkerMessage>,
     waker: Waker,
     /// Its listener, for its neighbour.
     listener: TcpListener,
     /// Clients that it holds.
     clients: AtomicUsize,
-    /// Its next turn begins by then; 0 once it has ended.
-    turns_by: AtomicU64,
+    /// When its next iteration begins at the latest; 0 once it has ended.
+    next_iteration_by: AtomicU64,
 }
 
-/// A worker's place on the board, before it starts.
+/// A worker that is to join the pool.
 #[derive(Debug)]
-pub struct Seat {
-    post: Post,
-    orders: Receiver<Order>,
+pub struct NewWorker {
+    handle: WorkerHandle,
+    inbox: Receiver<WorkerMessage>,
 }
 
-impl Seat {
-    /// The place of a worker that is woken like this, whose neighbour gets its listener.
+impl NewWorker {
+    /// A worker with this waker, whose neighbour gets its listener.
     pub fn new(waker: Waker, listener: TcpListener) -> Self {
-        let (sender, orders) = channel();
-        let (clients, turns_by) = (AtomicUsize::new(0), AtomicU64::new(Micros::MAX));
-        Seat { post: Post { orders: sender, waker, listener, clients, turns_by }, orders }
+        let (messages, inbox) = channel();
+        let handle = WorkerHandle {
+            messages,
+            waker,
+            listener,
+            clients: AtomicUsize::new(0),
+            next_iteration_by: AtomicU64::new(Micros::MAX),
+        };
+        NewWorker { handle, inbox }
     }
 }
 
-/// One worker's view of the crew.
+/// One worker's view of the pool.
 #[derive(Debug)]
-pub struct Crew {
-    me: usize,
-    board: Arc<Vec<Post>>,
-    orders: Receiver<Order>,
+pub struct WorkerPool {
+    index: usize,
+    workers: Arc<Vec<WorkerHandle>>,
+    inbox: Receiver<WorkerMessage>,
     /// It serves its neighbour's listener.
-    helps: bool,
+    serves_neighbour: bool,
 }
 
-impl Crew {
-    /// The crew of these seats, as each of them sees it.
-    pub fn of(seats: Vec<Seat>) -> Vec<Crew> {
-        let (posts, orders): (Vec<_>, Vec<_>) = seats.into_iter().map(|p| (p.post, p.orders)).unzip();
-        let board = Arc::new(posts);
-        let view = |(me, orders)| Crew { me, board: Arc::clone(&board), orders, helps: false };
-        orders.into_iter().enumerate().map(view).collect()
+impl WorkerPool {
+    /// Creates the pool of these workers, as each of them sees it.
+    pub fn connect(workers: Vec<NewWorker>) -> Vec<WorkerPool> {
+        let (handles, inboxes): (Vec<_>, Vec<_>) =
+            workers.into_iter().map(|worker| (worker.handle, worker.inbox)).unzip();
+        let workers = Arc::new(handles);
+        let view = |(index, inbox)| {
+            let workers = Arc::clone(&workers);
+            WorkerPool { index, workers, inbox, serves_neighbour: false }
+        };
+        inboxes.into_iter().enumerate().map(view).collect()
     }
 
-    /// Whether this is the one that keeps the watch and the probes for all.
-    pub fn leads(&self) -> bool {
-        self.me == 0
+    /// Whether this is the primary worker, which watches discovery and probes servers for all.
+    pub fn is_primary(&self) -> bool {
+        self.index == 0
     }
 
     /// How many workers there are.
-    pub fn len(&self) -> usize {
-        self.board.len()
+    pub fn worker_count(&self) -> usize {
+        self.workers.len()
     }
 
-    /// This worker's number.
-    pub fn me(&self) -> usize {
-        self.me
+    /// This worker's index.
+    pub fn index(&self) -> usize {
+        self.index
     }
 
-    /// The next order for this worker.
-    pub fn next(&self) -> Option<Order> {
-        self.orders.try_recv().ok()
+    /// The next message to this worker.
+    pub fn next_message(&self) -> Option<WorkerMessage> {
+        self.inbox.try_recv().ok()
     }
 
-    /// Tells another worker something; back comes what it can't be told because it has ended.
-    pub fn tell(&self, who: usize, order: Order) -> Result<(), Order> {
-        let post = &self.board[who];
-        post.orders.send(order).map_err(|e| e.0)?;
-        // Fails only where the system has no memory left; the next turn is a second away then.
-        let _ = post.waker.wake();
+    /// Sends a message to the worker of this index.
+    ///
+    /// # Errors
+    /// The message, if that worker has ended.
+    pub fn send(&self, index: usize, message: WorkerMessage) -> Result<(), WorkerMessage> {
+        let worker = &self.workers[index];
+        worker.messages.send(message).map_err(|e| e.0)?;
+        // Fails only where the system has no memory left; the next iteration is a second away then.
+        let _ = worker.waker.wake();
         Ok(())
     }
 
-    /// Tells all others something.
-    pub fn tell_others(&self, order: impl Fn(usize) -> Order) {
-        for who in (0..self.board.len()).filter(|who| *who != self.me) {
-            // Who has ended needs nothing.
-            let _ = self.tell(who, order(who));
+    /// Sends a message to each other worker.
+    pub fn broadcast(&self, message: impl Fn(usize) -> WorkerMessage) {
+        for index in (0..self.workers.len()).filter(|index| *index != self.index) {
+            // A worker that has ended needs no messages.
+            let _ = self.send(index, message(index));
         }
     }
 
-    /// Who is to take a client that has come here, if not this worker: the least loaded one that keeps up.
-    pub fn better(&self, now: Micros, held: usize) -> Option<usize> {
-        let others = self.board.iter().enumerate().filter(|(who, _)| *who != self.me);
-        let up = others.filter(|(_, post)| post.turns_by.load(Relaxed).saturating_add(STALLS) > now);
-        let (least, who) = up.map(|(who, post)| (post.clients.load(Relaxed), who)).min()?;
-        (held > least + (least / MORE_PART).max(MORE_LEAST)).then(|| {
-            self.board[who].clients.fetch_add(1, Relaxed);
-            who
-        })
+    /// The worker that is to take a new client instead of this one, which holds `clients`: the least loaded that has not
+    /// stalled, if it holds far fewer. The client is counted there at once.
+    pub fn less_loaded_worker(&self, now: Micros, clients: usize) -> Option<usize> {
+        let others = self.workers.iter().enumerate().filter(|(index, _)| *index != self.index);
+        let running = others.filter(|(_, worker)| !has_stalled(worker.next_iteration_by.load(Relaxed), now));
+        let (fewest, index) = running.map(|(index, worker)| (worker.clients.load(Relaxed), index)).min()?;
+        let margin = (fewest / FORWARD_MARGIN_DIVISOR).max(MIN_FORWARD_MARGIN);
+        if clients <= fewest + margin {
+            return None;
+        }
+        self.workers[index].clients.fetch_add(1, Relaxed);
+        Some(index)
     }
 
-    /// Whether all others have ended.
-    pub fn is_alone(&self) -> bool {
-        self.board.iter().enumerate().all(|(who, post)| who == self.me || post.turns_by.load(Relaxed) == 0)
+    /// Whether all other workers have ended.
+    pub fn have_others_ended(&self) -> bool {
+        let mut others = self.workers.iter().enumerate().filter(|(index, _)| *index != self.index);
+        others.all(|(_, worker)| worker.next_iteration_by.load(Relaxed) == 0)
     }
 
-    /// This worker's turn has ended: it holds so many clients, and the next turn begins by then.
-    pub fn turns(&self, held: usize, next: Micros) {
-        self.board[self.me].clients.store(held, Relaxed);
-        self.board[self.me].turns_by.store(next, Relaxed);
+    /// Publishes at the end of an iteration how many clients this worker holds, and when the next one begins at the latest.
+    pub fn publish_state(&self, clients: usize, next_iteration_by: Micros) {
+        let own = &self.workers[self.index];
+        own.clients.store(clients, Relaxed);
+        own.next_iteration_by.store(next_iteration_by, Relaxed);
     }
 
-    /// Looks after the neighbour: its listener, where this worker is to serve it from now on or no longer.
-    pub fn looks_after(&mut self, now: Micros) -> Option<Help<'_>> {
-        let neighbour = (self.me + 1) % self.board.len();
-        let post = &self.board[neighbour];
-        let by = post.turns_by.load(Relaxed);
-        let stalls = by.saturating_add(STALLS) <= now;
-        if std::mem::replace(&mut self.helps, stalls) == stalls {
+    /// Checks whether the neighbour has stalled or is back. Returns what is to be done with its listener, if that changes.
+    pub fn check_neighbour(&mut self, now: Micros) -> Option<NeighbourListener<'_>> {
+        let index = (self.index + 1) % self.workers.len();
+        let neighbour = &self.workers[index];
+        let due = neighbour.next_iteration_by.load(Relaxed);
+        let serve = has_stalled(due, now);
+        if std::mem::replace(&mut self.serves_neighbour, serve) == serve {
             return None;
         }
-        match (stalls, by) {
-            (true, 0) => {}
-            (true, by) => warn!(event = "worker-stalled", worker = neighbour, ms = (now - by) / 1000),
-            (false, _) => info!(event = "worker-back", worker = neighbour),
+        if !serve {
+            info!(event = "worker-back", worker = index);
+            return Some(NeighbourListener::Release(&neighbour.listener));
+        }
+        if due > 0 {
+            warn!(event = "worker-stalled", worker = index, ms = (now - due) / 1000);
         }
-        Some(if stalls { Help::Begins(&post.listener) } else { Help::Ends(&post.listener) })
+        Some(NeighbourListener::Serve(&neighbour.listener))
     }
 
     /// The neighbour's listener, while this worker serves it.
-    pub fn helped(&self) -> Option<&TcpListener> {
-        self.helps.then(|| &self.board[(self.me + 1) % self.board.len()].listener)
+    pub fn neighbour_listener(&self) -> Option<&TcpListener> {
+        let neighbour = &self.workers[(self.index + 1) % self.workers.len()];
+        self.serves_neighbour.then_some(&neighbour.listener)
     }
 }
 
-/// This worker ends: nobody waits for it, and its neighbour serves its listener.
-impl Drop for Crew {
+/// Whether a worker whose next iteration was due then has stalled, or ended.
+fn has_stalled(next_iteration_by: Micros, now: Micros) -> bool {
+    next_iteration_by.saturating_add(STALL_TIMEOUT) <= now
+}
+
+/// The worker has ended: nobody waits for it, and its neighbour serves its listener.
+impl Drop for WorkerPool {
     fn drop(&mut self) {
-        self.board[self.me].turns_by.store(0, Relaxed);
+        self.workers[self.index].next_iteration_by.store(0, Relaxed);
     }
 }
 
-/// What is to be done with the neighbour's listener.
+/// What is to be done with the listener of the neighbour.
 #[derive(Debug)]
-pub enum Help<'a> {
-    /// It is to be served from now on.
-    Begins(&'a TcpListener),
-    /// The neighbour serves it again.
-    Ends(&'a TcpListener),
+pub enum NeighbourListener<'a> {
+    /// The neighbour has stalled: serve it.
+    Serve(&'a TcpListener),
+    /// The neighbour is back: stop serving it.
+    Release(&'a TcpListener),
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/workers/pool/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -3,42 +3,51 @@
 use super::*;
 use crate::event_loop::poll::Watch;
 
-fn crew(n: usize) -> (Vec<Crew>, Vec<Watch>) {
-    let (mut seats, mut watches) = (Vec::new(), Vec::new());
+fn pool(n: usize) -> (Vec<WorkerPool>, Vec<Watch>) {
+    let (mut workers, mut watches) = (Vec::new(), Vec::new());
     for _ in 0..n {
         let watch = Watch::new().expect("a loop");
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        seats.push(Seat::new(watch.waker().expect("a waker"), listener));
+        workers.push(NewWorker::new(watch.waker().expect("a waker"), listener));
         watches.push(watch);
     }
-    (Crew::of(seats), watches)
+    (WorkerPool::connect(workers), watches)
 }
 
 #[test]
 fn clients_go_where_there_are_far_fewer_and_never_to_one_that_stalls() {
-    let (crew, _watches) = crew(3);
+    let (pool, _watches) = pool(3);
     for (who, held) in [(0, 100), (1, 90), (2, 10)] {
-        crew[who].turns(held, 5_000_000);
+        pool[who].publish_state(held, 5_000_000);
     }
-    assert_eq!((crew[1].better(5_000_000, 90), crew[2].better(5_000_000, 10)), (Some(2), None));
-    assert_eq!(crew[0].better(5_000_000, 27), None, "one more was handed on, and is counted");
+    assert_eq!(
+        (pool[1].less_loaded_worker(5_000_000, 90), pool[2].less_loaded_worker(5_000_000, 10)),
+        (Some(2), None)
+    );
+    assert_eq!(pool[0].less_loaded_worker(5_000_000, 27), None, "one more was handed on, and is counted");
     // The emptiest one stalls; of the rest nobody holds far more.
-    crew[0].turns(100, 9_000_000);
-    crew[1].turns(90, 9_000_000);
-    assert_eq!(crew[0].better(5_000_000 + STALLS, 106), None);
-    assert_eq!(crew[0].better(5_000_000 + STALLS, 107), Some(1));
+    pool[0].publish_state(100, 9_000_000);
+    pool[1].publish_state(90, 9_000_000);
+    assert_eq!(pool[0].less_loaded_worker(5_000_000 + STALL_TIMEOUT, 106), None);
+    assert_eq!(pool[0].less_loaded_worker(5_000_000 + STALL_TIMEOUT, 107), Some(1));
 }
 
 #[test]
 fn a_worker_that_stalls_or_has_ended_has_its_listener_served_by_its_neighbour() {
-    let (mut crew, _watches) = crew(2);
-    crew[1].turns(0, 1_000_000);
-    assert!(crew[0].looks_after(1_000_000 + STALLS - 1).is_none());
-    assert!(matches!(crew[0].looks_after(1_000_000 + STALLS), Some(Help::Begins(_))));
-    assert!(crew[0].looks_after(1_000_000 + STALLS).is_none() && crew[0].helped().is_some());
-    crew[1].turns(0, 3_000_000);
-    assert!(matches!(crew[0].looks_after(2_500_000), Some(Help::Ends(_))) && crew[0].helped().is_none());
-    drop(crew.remove(1));
-    assert!(matches!(crew[0].looks_after(2_500_000), Some(Help::Begins(_))));
-    assert!(crew[0].tell(1, Order::Stop).is_err());
+    let (mut pool, _watches) = pool(2);
+    pool[1].publish_state(0, 1_000_000);
+    assert!(pool[0].check_neighbour(1_000_000 + STALL_TIMEOUT - 1).is_none());
+    assert!(matches!(pool[0].check_neighbour(1_000_000 + STALL_TIMEOUT), Some(NeighbourListener::Serve(_))));
+    assert!(
+        pool[0].check_neighbour(1_000_000 + STALL_TIMEOUT).is_none()
+            && pool[0].neighbour_listener().is_some()
+    );
+    pool[1].publish_state(0, 3_000_000);
+    assert!(
+        matches!(pool[0].check_neighbour(2_500_000), Some(NeighbourListener::Release(_)))
+            && pool[0].neighbour_listener().is_none()
+    );
+    drop(pool.remove(1));
+    assert!(matches!(pool[0].check_neighbour(2_500_000), Some(NeighbourListener::Serve(_))));
+    assert!(pool[0].send(1, WorkerMessage::Shutdown).is_err());
 }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -31,14 +31,14 @@
 use crate::event_loop::poll::{Owner, Poller, Ready, Watch};
 use crate::fleet::budgets::Shares;
 use crate::fleet::gossip::Tells;
-use crate::handover::predecessor::{self, Inherited, Predecessor};
-use crate::handover::siblings::Kin;
+use crate::handover::predecessor::{self, Predecessor, ReceivedHandover};
+use crate::handover::siblings::SiblingProcesses;
 use crate::handover::successors::Successors;
 use crate::reload;
 use crate::snapshot::{self, Keeping, Memory, everything};
 use crate::supervisor;
 use crate::transport::connection::is_shortage;
-use crate::workers::pool::{Crew, Order, Seat};
+use crate::workers::pool::{NewWorker, WorkerMessage, WorkerPool};
 
 /// Connections that the system holds until they are accepted.
 const BACKLOG: i32 = 4096;
@@ -121,7 +121,7 @@
     fn enforce(&mut self) {
         let Some(lead) = &self.lead else { return };
         let shares = self.net.shares();
-        self.net.tell_others(|worker| Order::Config(Box::new(lead.own(worker, shares))));
+        self.net.tell_others(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
             budgets.take(fleet);
         }
@@ -131,7 +131,7 @@
     fn ordered(&mut self) {
         while let Some(order) = self.net.next_order() {
             match order {
-                Order::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
+                WorkerMessage::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
                 order => self.net.order(order),
             }
             self.driver.process_events(&mut self.net);
@@ -145,7 +145,7 @@
             if signal == SIGHUP {
                 self.reload();
             } else {
-                self.net.tell_others(|_| Order::Stop);
+                self.net.tell_others(|_| WorkerMessage::Shutdown);
                 self.net.stop_soon();
             }
         }
@@ -303,7 +303,10 @@
 const SOCKET: &str = "process";
 
 /// What another process of this balancer leaves, with its listeners; none where nobody is there.
-fn inherit(path: &Path, config: &Config) -> io::Result<Option<(Vec<std::net::TcpListener>, Inherited)>> {
+fn inherit(
+    path: &Path,
+    config: &Config,
+) -> io::Result<Option<(Vec<std::net::TcpListener>, ReceivedHandover)>> {
     let mut inherited = match predecessor::ask(path) {
         Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
             return Ok(None);
@@ -325,16 +328,16 @@
 fn between(
     path: PathBuf,
     listeners: &[std::net::TcpListener],
-    inherited: Option<Inherited>,
+    inherited: Option<ReceivedHandover>,
     ends: bool,
     poller: &Poller,
-) -> io::Result<Kin> {
+) -> io::Result<SiblingProcesses> {
     let listeners = listeners.iter().map(|l| l.try_clone()).collect::<io::Result<_>>()?;
     let successors = Successors::open(path, listeners, poller).inspect_err(|e| {
         warn!(event = "not-offered", why = %e);
     });
     let predecessor = inherited.map(|i| Predecessor::told(i, ends, poller)).transpose();
-    Ok(Kin::new(successors.ok(), predecessor.unwrap_or(None)))
+    Ok(SiblingProcesses::new(successors.ok(), predecessor.unwrap_or(None)))
 }
 
 /// Ends the program if its thread panics: clients must not wait for a worker that is gone.
@@ -392,10 +395,10 @@
     let mut crew = Vec::new();
     if workers > 1 {
         for (watch, listener) in watches.iter().zip(&listeners) {
-            crew.push(Seat::new(watch.waker()?, TcpListener::from_std(listener.try_clone()?)));
+            crew.push(NewWorker::new(watch.waker()?, TcpListener::from_std(listener.try_clone()?)));
         }
     }
-    let mut crew = Crew::of(crew).into_iter().map(Some).collect::<Vec<_>>();
+    let mut crew = WorkerPool::connect(crew).into_iter().map(Some).collect::<Vec<_>>();
     crew.resize_with(workers, || None);
     let (clock, open_ids) = (Clock::new(), OpenIds::default());
     if door.is_some() && folder.is_none() {
@@ -417,7 +420,7 @@
         config.known = list.clone();
     }
     let known = Arc::new(std::mem::take(&mut config.known));
-    let mut kin = Kin::default();
+    let mut kin = SiblingProcesses::default();
     let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.place(SOCKET));
     let ends = take_over.is_some();
     if let Some(place) = take_over.or(place) {
