--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -87,7 +87,7 @@
 
     fn used(&mut self, tenant: usize) -> u64 {
         let now = shorewharf_units::micros_from_seconds(self.now);
-        self.gate.tenants().expect("shares are kept").tenancy().stats(now).tenants[tenant].1.used
+        self.gate.tenants().expect("shares are kept").tenancy().stats(now).tenants[tenant].1.connections
     }
 }
 
@@ -170,7 +170,7 @@
         .find_map(|a| if let Action::BeginAttempt { server, .. } = a { Some(*server) } else { None });
     let late = (waits, server.expect("sent"));
     let now = shorewharf_units::micros_from_seconds(rig.now);
-    rig.gate.tenants().expect("kept").tenancy().remove(now, shorewharf_tenancy::Place(0));
+    rig.gate.tenants().expect("kept").tenancy().remove(now, shorewharf_tenancy::TenantIndex(0));
     // Any event sets the timer.
     let mut actions = rig.tell(Event::TimerFired(77));
     let (mut moved, began) = (Vec::new(), rig.now);
--- a/crates/tenancy/benches/decisions.rs
+++ b/crates/tenancy/benches/decisions.rs
@@ -1,50 +1,61 @@
-//! What a decision costs with 4 tenants and with 10,000: a client asks, is taken, comes up, and one that stood before
+//! What a decision costs with 4 tenants and with 10,000: a client asks, is admitted and established, and an earlier connection
 //! ends. Half of the clients are a flooding tenant's.
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict};
+use shorewharf_tenancy::{QuotaDecision, Tenancy, TenancySettings, TenantIndex, TenantLimits};
 use shorewharf_units::Micros;
 
-/// Connections of all shares together, and instances.
-const SHARES: f64 = 20_000.0;
+/// Connections of all quotas together.
+const TOTAL_QUOTA: f64 = 20_000.0;
+/// Instances that share them.
 const INSTANCES: f64 = 8.0;
 
-struct Rig {
+struct TestInstance {
     tenancy: Tenancy,
     rng: Pcg64Mcg,
     now: Micros,
     tenants: usize,
-    standing: Vec<Place>,
+    established: Vec<TenantIndex>,
 }
 
-impl Rig {
-    fn new(tenants: usize) -> Rig {
-        let mut tenancy = Tenancy::new(Terms::new(INSTANCES), 0);
-        let each = SHARES / tenants as f64;
-        for place in 0..tenants {
-            tenancy.set(0, Place(place), Some(Limits::new(each, each / 20.0).expect("limits")));
+impl TestInstance {
+    fn new(tenants: usize) -> TestInstance {
+        let mut tenancy = Tenancy::new(TenancySettings::new(INSTANCES), 0);
+        let quota = TOTAL_QUOTA / tenants as f64;
+        for tenant in 0..tenants {
+            tenancy.set_limits(
+                0,
+                TenantIndex(tenant),
+                Some(TenantLimits::new(quota, quota / 20.0).expect("limits")),
+            );
         }
-        let mut rig = Rig { tenancy, rng: Pcg64Mcg::seed_from_u64(7), now: 0, tenants, standing: Vec::new() };
-        (0..20_000).for_each(|_| rig.step());
-        rig
+        let mut instance = TestInstance {
+            tenancy,
+            rng: Pcg64Mcg::seed_from_u64(7),
+            now: 0,
+            tenants,
+            established: Vec::new(),
+        };
+        (0..20_000).for_each(|_| instance.step());
+        instance
     }
 
     fn step(&mut self) {
         self.now += 1_000;
-        let flood = self.rng.random_bool(0.5);
-        let place = Place(if flood { 0 } else { self.rng.random_range(0..self.tenants) });
-        if self.tenancy.asked(self.now, place, false) == Verdict::Admit {
-            self.tenancy.taken(self.now);
-            self.tenancy.up(self.now, place);
-            self.standing.push(place);
+        let is_flood = self.rng.random_bool(0.5);
+        let tenant = TenantIndex(if is_flood { 0 } else { self.rng.random_range(0..self.tenants) });
+        if self.tenancy.check(self.now, tenant, false) == QuotaDecision::Admit {
+            self.tenancy.on_admitted(self.now);
+            self.tenancy.on_established(self.now, tenant);
+            self.established.push(tenant);
         }
-        if self.standing.len() > 800 {
-            let at = self.rng.random_range(0..self.standing.len());
-            let gone = self.standing.swap_remove(at);
-            self.tenancy.ended(self.now, gone);
+        if self.established.len() > 800 {
+            let at = self.rng.random_range(0..self.established.len());
+            let tenant = self.established.swap_remove(at);
+            self.tenancy.on_connection_ended(self.now, tenant);
         }
     }
 }
@@ -52,8 +63,8 @@
 fn decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("a client asks, stands and ends");
     for tenants in [4, 100, 10_000] {
-        let mut rig = Rig::new(tenants);
-        group.bench_function(BenchmarkId::from_parameter(tenants), |b| b.iter(|| rig.step()));
+        let mut instance = TestInstance::new(tenants);
+        group.bench_function(BenchmarkId::from_parameter(tenants), |b| b.iter(|| instance.step()));
     }
     group.finish();
 }
--- a/crates/tenancy/examples/estimators.rs
+++ b/crates/tenancy/examples/estimators.rs
@@ -1,171 +1,281 @@
-//! How wrong each estimate of an instance's own part gets: a fleet of instances that can't talk, in situations that
-//! make its parts uneven. Prints, for each way to estimate, how many clients of tenants within their shares were turned
-//! away, and what the flooding tenant held of its share. `cargo run --release -p shorewharf-tenancy --example estimators`
+//! How wrong each estimate of an instance's own fraction of the traffic gets: a fleet of instances that can't talk, in
+//! situations that make its fractions uneven. Prints, for each way to estimate, how many clients of tenants within their
+//! quotas were rejected, what the flooding tenant held of its quota, and what all tenants held of all quotas.
+//! `cargo run --release -p shorewharf-tenancy --example estimators`
 
+use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, Exp1};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict};
-use shorewharf_units::Micros;
-
-const SHARES: [f64; 4] = [380.0, 290.0, 180.0, 150.0];
-const FLOODER: usize = 2;
-const LIFE_S: f64 = 20.0;
-const S: f64 = 1e6;
-/// A flood begins then, and an instance dies then; the run ends then.
-const TURNS: f64 = 60.0;
-const ENDS: f64 = 120.0;
-
-/// How an instance learns its part.
+use shorewharf_tenancy::{QuotaDecision, Tenancy, TenancySettings, TenantIndex, TenantLimits};
+use shorewharf_units::{MICROS_PER_SECOND, Micros};
+
+const TENANTS: usize = 4;
+const INSTANCES: usize = 4;
+const QUOTAS: [f64; TENANTS] = [380.0, 290.0, 180.0, 150.0];
+const FLOODING_TENANT: usize = 2;
+/// Mean lifetime of a connection.
+const LIFETIME_SECONDS: f64 = 20.0;
+/// When a flood begins, or an instance dies.
+const TURN_AT_SECONDS: f64 = 60.0;
+const END_AT_SECONDS: f64 = 120.0;
+/// Connections are counted from so long after the turn on.
+const SETTLE_SECONDS: f64 = 20.0;
+/// What is left of an instance's count of arrivals a second later.
+const ARRIVALS_RETENTION: f64 = 0.9;
+const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
+
+/// How an instance learns its fraction of the traffic.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Estimate {
     /// One over the number of instances.
     Even,
-    /// The rate of its own arrivals over the sum of all shares of set-ups.
+    /// The rate of its own arrivals over the sum of all quotas of set-ups.
     Arrivals,
     /// What tenancy itself does.
     LowerThird,
-    /// Somebody who sees everything says it.
-    Told,
+    /// Somebody who sees the whole fleet says it.
+    Known,
 }
 
-/// A situation: the parts of the traffic, what tenants use of their shares, and what goes wrong.
-struct Case {
+/// A situation.
+struct Situation {
     name: &'static str,
-    parts: [f64; 4],
+    /// The instances' fractions of the traffic.
+    fractions: [f64; INSTANCES],
+    /// What tenants use of their quotas.
     usage: f64,
+    /// How many times as much the flooding tenant asks for from the turn on.
     flood: f64,
+    /// The first instance dies at the turn.
     dies: bool,
 }
 
-struct Fleet {
-    instances: Vec<Tenancy>,
-    parts: Vec<f64>,
-    seen: Vec<f64>,
-    ends: BinaryHeap<std::cmp::Reverse<(Micros, usize, usize)>>,
-    held: [f64; 4],
+/// A connection that will end.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Connection {
+    ends_at: Micros,
+    instance: usize,
+    tenant: usize,
 }
 
-fn draw(rng: &mut Pcg64Mcg, parts: &[f64]) -> usize {
-    let mut lot = rng.random::<f64>() * parts.iter().sum::<f64>();
-    parts
-        .iter()
-        .position(|p| {
-            lot -= p;
-            lot < 0.0
-        })
-        .unwrap_or(0)
+/// What came of a run.
+#[derive(Clone, Copy, Default)]
+struct Outcome {
+    /// Clients of tenants within their quotas that were rejected, as a ratio.
+    rejected: f64,
+    /// What the flooding tenant held of its quota.
+    flooding_tenant: f64,
+    /// What all tenants held of all quotas.
+    all_tenants: f64,
 }
 
-fn play(case: &Case, way: Way, seed: u64) -> (f64, f64, f64) {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let n = case.parts.len();
-    let per_s: f64 = SHARES.iter().sum::<f64>() / LIFE_S;
-    let mut fleet = Fleet {
-        instances: (0..n).map(|_| Tenancy::new(Terms::new(n as f64), 0)).collect(),
-        parts: case.parts.to_vec(),
-        seen: vec![0.0; n],
-        ends: BinaryHeap::new(),
-        held: [0.0; 4],
+/// A fleet in a situation.
+struct Fleet<'a> {
+    situation: &'a Situation,
+    estimate: Estimate,
+    rng: Pcg64Mcg,
+    now_seconds: f64,
+    instances: Vec<Tenancy>,
+    fractions: Vec<f64>,
+    recent_arrivals: Vec<f64>,
+    connections: BinaryHeap<Reverse<Connection>>,
+    held: [f64; TENANTS],
+    has_died: bool,
+    next_sample_at: f64,
+    /// Clients of tenants within their quotas: all, and those that were rejected.
+    requests: f64,
+    rejected: f64,
+    /// Sums over the samples after the turn.
+    samples: f64,
+    held_by_flooding_tenant: f64,
+    held_by_all: f64,
+}
+
+/// Draws an index with these weights.
+fn draw_index(rng: &mut Pcg64Mcg, weights: &[f64]) -> usize {
+    let mut remaining = rng.random::<f64>() * weights.iter().sum::<f64>();
+    let is_drawn = |weight: &f64| {
+        remaining -= weight;
+        remaining < 0.0
     };
-    for t in &mut fleet.instances {
-        for (place, share) in SHARES.iter().enumerate() {
-            t.set(0, Place(place), Some(Limits::new(*share, share / LIFE_S).expect("in range")));
+    weights.iter().position(is_drawn).unwrap_or(0)
+}
+
+fn micros(seconds: f64) -> Micros {
+    (seconds * MICROS_PER_SECOND as f64) as Micros
+}
+
+fn instance() -> Tenancy {
+    let mut tenancy = Tenancy::new(TenancySettings::new(INSTANCES as f64), 0);
+    for (tenant, quota) in QUOTAS.iter().enumerate() {
+        let limits = TenantLimits::new(*quota, quota / LIFETIME_SECONDS).expect("in range");
+        tenancy.set_limits(0, TenantIndex(tenant), Some(limits));
+    }
+    tenancy
+}
+
+impl Fleet<'_> {
+    fn new(situation: &Situation, estimate: Estimate, seed: u64) -> Fleet<'_> {
+        Fleet {
+            situation,
+            estimate,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            now_seconds: 0.0,
+            instances: (0..INSTANCES).map(|_| instance()).collect(),
+            fractions: situation.fractions.to_vec(),
+            recent_arrivals: vec![0.0; INSTANCES],
+            connections: BinaryHeap::new(),
+            held: [0.0; TENANTS],
+            has_died: false,
+            next_sample_at: 1.0,
+            requests: 0.0,
+            rejected: 0.0,
+            samples: 0.0,
+            held_by_flooding_tenant: 0.0,
+            held_by_all: 0.0,
         }
     }
-    let (mut asked, mut away, mut flooder, mut all, mut looks) = (0.0, 0.0, 0.0, 0.0, 0.0);
-    let (mut now, mut next_look, mut died) = (0.0, 1.0, false);
-    while now < ENDS {
-        let flooding = if now >= TURNS { case.flood } else { 1.0 };
-        let rates: Vec<f64> = (0..4)
-            .map(|t| SHARES[t] / LIFE_S * case.usage * if t == FLOODER { flooding } else { 1.0 })
-            .collect();
-        now += rng.sample::<f64, _>(Exp1) / rates.iter().sum::<f64>();
-        let at = (now * S) as Micros;
-        while let Some(&std::cmp::Reverse((end, i, t))) = fleet.ends.peek().filter(|e| e.0.0 <= at) {
-            fleet.ends.pop();
-            if !(died && i == 0) {
-                fleet.instances[i].ended(end, Place(t));
-                fleet.held[t] -= 1.0;
+
+    fn run(mut self) -> Outcome {
+        while self.now_seconds < END_AT_SECONDS {
+            let is_turned = self.now_seconds >= TURN_AT_SECONDS;
+            let flood = if is_turned { self.situation.flood } else { 1.0 };
+            let rates: Vec<f64> = (0..TENANTS)
+                .map(|tenant| {
+                    let factor = if tenant == FLOODING_TENANT { flood } else { 1.0 };
+                    QUOTAS[tenant] / LIFETIME_SECONDS * self.situation.usage * factor
+                })
+                .collect();
+            self.now_seconds += self.rng.sample::<f64, _>(Exp1) / rates.iter().sum::<f64>();
+            self.end_connections();
+            if self.situation.dies && self.now_seconds >= TURN_AT_SECONDS && !self.has_died {
+                self.kill_first_instance();
             }
-        }
-        if case.dies && now >= TURNS && !died {
-            // Its clients come again at its neighbour, and so does all that follows.
-            died = true;
-            fleet.parts[1] += fleet.parts[0];
-            fleet.parts[0] = 0.0;
-            let moved: Vec<_> = fleet.ends.iter().filter(|e| e.0.1 == 0).map(|e| (e.0.0, e.0.2)).collect();
-            for (end, t) in moved {
-                asked += 1.0;
-                fleet.held[t] -= 1.0;
-                away += f64::from(u8::from(!comes(&mut fleet, at, 1, t, end, true)));
+            if self.now_seconds >= self.next_sample_at {
+                self.next_sample_at += 1.0;
+                self.update_fractions();
+                self.sample();
             }
+            self.request(&rates, flood);
         }
-        if now >= next_look {
-            next_look += 1.0;
-            for i in 0..n {
-                fleet.seen[i] *= 0.9;
-                let told = match way {
-                    Way::Even => Some(1.0 / n as f64),
-                    Way::Told => Some(fleet.parts[i]).filter(|p| *p > 0.0),
-                    Way::Arrivals => Some((fleet.seen[i] * 0.1 / per_s).clamp(0.01, 1.0)),
-                    Way::LowerThird => None,
-                };
-                fleet.instances[i].tell_part(told);
+        Outcome {
+            rejected: self.rejected / self.requests,
+            flooding_tenant: self.held_by_flooding_tenant / self.samples / QUOTAS[FLOODING_TENANT],
+            all_tenants: self.held_by_all / self.samples / QUOTAS.iter().sum::<f64>(),
+        }
+    }
+
+    fn end_connections(&mut self) {
+        let now = micros(self.now_seconds);
+        let has_ended = |Reverse(connection): &&Reverse<Connection>| connection.ends_at <= now;
+        while let Some(&Reverse(connection)) = self.connections.peek().filter(has_ended) {
+            self.connections.pop();
+            let Connection { ends_at, instance, tenant } = connection;
+            if !(self.has_died && instance == 0) {
+                self.instances[instance].on_connection_ended(ends_at, TenantIndex(tenant));
+                self.held[tenant] -= 1.0;
             }
-            if now >= TURNS + 20.0 {
-                (flooder, looks) = (flooder + fleet.held[FLOODER], looks + 1.0);
-                all += fleet.held.iter().sum::<f64>();
+        }
+    }
+
+    /// The first instance's clients come again at its neighbour, and so does all that follows.
+    fn kill_first_instance(&mut self) {
+        self.has_died = true;
+        self.fractions[1] += self.fractions[0];
+        self.fractions[0] = 0.0;
+        let lost = self.connections.iter().map(|Reverse(connection)| *connection);
+        let lost: Vec<Connection> = lost.filter(|connection| connection.instance == 0).collect();
+        for connection in lost {
+            self.requests += 1.0;
+            self.held[connection.tenant] -= 1.0;
+            if !self.connect(Connection { instance: 1, ..connection }, true) {
+                self.rejected += 1.0;
             }
         }
-        let (t, i) = (draw(&mut rng, &rates), draw(&mut rng, &fleet.parts));
-        fleet.seen[i] += 1.0;
-        let life = Exp::new(1.0 / LIFE_S).expect("above 0").sample(&mut rng);
-        let served = comes(&mut fleet, at, i, t, at + (life * S) as Micros, false);
-        if t != FLOODER || flooding == 1.0 {
-            asked += 1.0;
-            away += f64::from(u8::from(!served));
+    }
+
+    fn update_fractions(&mut self) {
+        let setups_per_second = QUOTAS.iter().sum::<f64>() / LIFETIME_SECONDS;
+        for (index, instance) in self.instances.iter_mut().enumerate() {
+            self.recent_arrivals[index] *= ARRIVALS_RETENTION;
+            let arrivals_per_second = self.recent_arrivals[index] * (1.0 - ARRIVALS_RETENTION);
+            instance.set_local_fraction(match self.estimate {
+                Estimate::Even => Some(1.0 / INSTANCES as f64),
+                Estimate::Known => Some(self.fractions[index]).filter(|fraction| *fraction > 0.0),
+                Estimate::Arrivals => Some((arrivals_per_second / setups_per_second).clamp(0.01, 1.0)),
+                Estimate::LowerThird => None,
+            });
+        }
+    }
+
+    fn sample(&mut self) {
+        if self.now_seconds >= TURN_AT_SECONDS + SETTLE_SECONDS {
+            self.samples += 1.0;
+            self.held_by_flooding_tenant += self.held[FLOODING_TENANT];
+            self.held_by_all += self.held.iter().sum::<f64>();
+        }
+    }
+
+    /// A new client asks for a connection.
+    fn request(&mut self, rates: &[f64], flood: f64) {
+        let tenant = draw_index(&mut self.rng, rates);
+        let instance = draw_index(&mut self.rng, &self.fractions);
+        self.recent_arrivals[instance] += 1.0;
+        let lifetime = Exp::new(1.0 / LIFETIME_SECONDS).expect("above 0").sample(&mut self.rng);
+        let ends_at = micros(self.now_seconds) + micros(lifetime);
+        let is_served = self.connect(Connection { ends_at, instance, tenant }, false);
+        if tenant != FLOODING_TENANT || flood == 1.0 {
+            self.requests += 1.0;
+            self.rejected += if is_served { 0.0 } else { 1.0 };
         }
     }
-    (away / asked, flooder / looks / SHARES[FLOODER], all / looks / SHARES.iter().sum::<f64>())
-}
 
-fn comes(fleet: &mut Fleet, at: Micros, i: usize, t: usize, end: Micros, again: bool) -> bool {
-    let instance = &mut fleet.instances[i];
-    if instance.asked(at, Place(t), again) != Verdict::Admit {
-        return false;
+    /// Connects a client, if its instance admits it.
+    fn connect(&mut self, connection: Connection, is_returning: bool) -> bool {
+        let now = micros(self.now_seconds);
+        let (instance, tenant) = (&mut self.instances[connection.instance], TenantIndex(connection.tenant));
+        if instance.check(now, tenant, is_returning) != QuotaDecision::Admit {
+            return false;
+        }
+        instance.on_admitted(now);
+        instance.on_established(now, tenant);
+        self.held[connection.tenant] += 1.0;
+        self.connections.push(Reverse(connection));
+        true
     }
-    instance.taken(at);
-    instance.up(at, Place(t));
-    fleet.held[t] += 1.0;
-    fleet.ends.push(std::cmp::Reverse((end, i, t)));
-    true
+}
+
+/// The mean outcome over all seeds, as a cell of the table.
+fn cell(situation: &Situation, estimate: Estimate) -> String {
+    let outcomes: Vec<Outcome> = SEEDS.map(|seed| Fleet::new(situation, estimate, seed).run()).collect();
+    let mean = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
+    let rejected = mean(|outcome| outcome.rejected) * 100.0;
+    let flooding_tenant = mean(|outcome| outcome.flooding_tenant);
+    format!("{rejected:.1} %; {flooding_tenant:.2}; {:.2}", mean(|outcome| outcome.all_tenants))
 }
 
 fn main() {
-    let even = [0.25; 4];
+    let even = [0.25; INSTANCES];
     let skewed = [0.45, 0.25, 0.2, 0.1];
-    let case = |name, parts, usage, flood, dies| Case { name, parts, usage, flood, dies };
-    let cases = [
-        case("even, 0.3 in use", even, 0.3, 1.0, false),
-        case("even, 0.9 in use", even, 0.9, 1.0, false),
-        case("skewed, 0.3 in use", skewed, 0.3, 1.0, false),
-        case("skewed, 0.9 in use", skewed, 0.9, 1.0, false),
-        case("the busiest of skewed dies, 0.5 in use", skewed, 0.5, 1.0, true),
-        case("even, 0.3 in use, flood", even, 0.3, 33.0, false),
-        case("skewed, 0.3 in use, flood", skewed, 0.3, 33.0, false),
-        case("even, 0.7 in use, flood", even, 0.7, 14.0, false),
-        case("skewed, 0.7 in use, flood", skewed, 0.7, 14.0, false),
+    let situation = |name, fractions, usage, flood, dies| Situation { name, fractions, usage, flood, dies };
+    let situations = [
+        situation("even, 0.3 in use", even, 0.3, 1.0, false),
+        situation("even, 0.9 in use", even, 0.9, 1.0, false),
+        situation("skewed, 0.3 in use", skewed, 0.3, 1.0, false),
+        situation("skewed, 0.9 in use", skewed, 0.9, 1.0, false),
+        situation("the busiest of skewed dies, 0.5 in use", skewed, 0.5, 1.0, true),
+        situation("even, 0.3 in use, flood", even, 0.3, 33.0, false),
+        situation("skewed, 0.3 in use, flood", skewed, 0.3, 33.0, false),
+        situation("even, 0.7 in use, flood", even, 0.7, 14.0, false),
+        situation("skewed, 0.7 in use, flood", skewed, 0.7, 14.0, false),
     ];
     println!("| situation | even | arrivals | lower third | told |\n| --- | --- | --- | --- | --- |");
-    for case in &cases {
-        let cells = [Way::Even, Way::Arrivals, Way::LowerThird, Way::Told].map(|way| {
-            let runs: Vec<_> = (1..=5).map(|seed| play(case, way, seed)).collect();
-            let mean = |of: fn(&(f64, f64, f64)) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
-            format!("{:.1} %; {:.2}; {:.2}", mean(|r| r.0) * 100.0, mean(|r| r.1), mean(|r| r.2))
-        });
-        println!("| {} | {} |", case.name, cells.join(" | "));
+    let estimates = [Estimate::Even, Estimate::Arrivals, Estimate::LowerThird, Estimate::Known];
+    for situation in &situations {
+        let cells = estimates.map(|estimate| cell(situation, estimate));
+        println!("| {} | {} |", situation.name, cells.join(" | "));
     }
 }
--- a/crates/tenancy/src/shortage.rs
+++ b/crates/tenancy/src/shortage.rs
@@ -1,71 +1,77 @@
-//! Whether capacity is short: the decision module refuses what was admitted.
+//! Whether capacity is short: the decision module rejects what was admitted.
 //!
-//! Only the module knows servers. What it says by refusing is taken as a limit on all that stands here: a little under
-//! what stood when it refused, lower while it goes on refusing, and rising again by itself.
+//! Only the decision module knows servers. What it says by rejecting is taken as a limit on all connections here: a
+//! little under what was established when it rejected, lower while it goes on rejecting, and rising again by itself.
 
 use shorewharf_units::Micros;
 
-/// Refusals and requests are remembered for about so long.
-const SPAN: Micros = 2_000_000;
-/// Capacity is short when this part of the requests is refused ...
-const PART: f64 = 0.15;
-/// ... and at least so many were: one client that could not be placed shows nothing.
-const LEAST: f64 = 4.0;
-/// A step lowers the limit to this part of what stands; steps are so far apart. A tenant whose connections last 20 s
-/// gives back 5 % of them in a second: steps that are no faster take back what has ended already.
-const STEP: f64 = 0.98;
-const STEP_EVERY: Micros = 500_000;
-/// The limit grows by e in so long, and is forgotten once it is so many times what stands.
-const GROWS: f64 = 60e6;
-const FORGOTTEN: f64 = 1.3;
+/// Time constant of the counts of requests and rejections.
+const COUNT_TIME_CONSTANT: Micros = 2_000_000;
+/// Capacity is short when this part of the requests is rejected ...
+const MIN_REJECTED_RATIO: f64 = 0.15;
+/// ... and at least so many were: a single one shows nothing.
+const MIN_REJECTED: f64 = 4.0;
+/// A step lowers the limit to this part of the connections, so that no more is taken back than ends by itself.
+const STEP_RATIO: f64 = 0.98;
+/// Steps are at least so far apart.
+const STEP_INTERVAL: Micros = 500_000;
+/// The limit grows by e in so many microseconds ...
+const GROWTH_TIME_CONSTANT: f64 = 60e6;
+/// ... and is forgotten once it is so many times the connections.
+const FORGOTTEN_RATIO: f64 = 1.3;
 
+/// A limit on connections, as of a time.
 #[derive(Clone, Copy, Debug)]
-struct Limit {
-    to: f64,
-    since: Micros,
+struct ConnectionLimit {
+    connections: f64,
+    set_at: Micros,
 }
 
-/// What the module's refusals say.
+/// What the decision module's rejections say of capacity.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Shortage {
+pub(crate) struct CapacityShortage {
+    /// Requests and rejections lately, decaying, as of `counted_at`.
     admitted: f64,
-    refused: f64,
-    at: Micros,
-    limit: Option<Limit>,
+    rejected: f64,
+    counted_at: Micros,
+    limit: Option<ConnectionLimit>,
 }
 
-impl Shortage {
-    fn melt(&mut self, now: Micros) {
-        let left = (-(now.saturating_sub(self.at) as f64) / SPAN as f64).exp();
-        self.admitted *= left;
-        self.refused *= left;
-        self.at = self.at.max(now);
+impl CapacityShortage {
+    fn decay(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.counted_at) as f64;
+        let ratio = (-elapsed / COUNT_TIME_CONSTANT as f64).exp();
+        self.admitted *= ratio;
+        self.rejected *= ratio;
+        self.counted_at = self.counted_at.max(now);
     }
 
-    /// A request goes to the module.
-    pub fn admitted(&mut self, now: Micros) {
-        self.melt(now);
+    /// A request goes to the decision module.
+    pub fn on_admitted(&mut self, now: Micros) {
+        self.decay(now);
         self.admitted += 1.0;
     }
 
-    /// The module has refused one; `total` stands or waits here without it.
-    pub fn refused(&mut self, now: Micros, total: f64) {
-        self.melt(now);
-        self.refused += 1.0;
-        if self.refused < LEAST || self.refused < PART * self.admitted {
+    /// The decision module has rejected a request; `connections` are established or under way here without it.
+    pub fn on_rejected(&mut self, now: Micros, connections: f64) {
+        self.decay(now);
+        self.rejected += 1.0;
+        if self.rejected < MIN_REJECTED || self.rejected < MIN_REJECTED_RATIO * self.admitted {
             return;
         }
-        let early = |l: &Limit| now < l.since + STEP_EVERY;
-        if !self.limit.as_ref().is_some_and(early) {
-            let to = (total * STEP).min(self.limit(now, total).unwrap_or(f64::INFINITY));
-            self.limit = Some(Limit { to, since: now });
+        if self.limit.is_some_and(|limit| now < limit.set_at + STEP_INTERVAL) {
+            return;
         }
+        let current = self.limit(now, connections).unwrap_or(f64::INFINITY);
+        let lowered = (connections * STEP_RATIO).min(current);
+        self.limit = Some(ConnectionLimit { connections: lowered, set_at: now });
     }
 
-    /// What may stand here, while capacity is short.
-    pub fn limit(&self, now: Micros, total: f64) -> Option<f64> {
-        let l = self.limit?;
-        let to = l.to * (now.saturating_sub(l.since) as f64 / GROWS).exp();
-        (to < total * FORGOTTEN).then_some(to)
+    /// How many connections there may be here; none while capacity is not short.
+    pub fn limit(&self, now: Micros, connections: f64) -> Option<f64> {
+        let limit = self.limit?;
+        let elapsed = now.saturating_sub(limit.set_at) as f64;
+        let grown = limit.connections * (elapsed / GROWTH_TIME_CONSTANT).exp();
+        (grown < connections * FORGOTTEN_RATIO).then_some(grown)
     }
 }
--- a/crates/tenancy/tests/model.rs
+++ b/crates/tenancy/tests/model.rs
@@ -2,52 +2,52 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict, Why};
+use shorewharf_tenancy::{QuotaDecision, RejectReason, Tenancy, TenancySettings, TenantIndex, TenantLimits};
 use shorewharf_units::Micros;
 
 const TENANTS: usize = 6;
 
 #[derive(Clone, Debug)]
-enum Step {
-    Asks { place: usize, returning: bool, refused: bool },
-    Ends { which: usize },
-    Share { place: usize, connections: f64 },
-    Remove { place: usize },
-    Waits { us: Micros },
+enum Event {
+    Request { tenant: usize, returning: bool, rejected: bool },
+    ConnectionEnded { which: usize },
+    QuotaChanged { tenant: usize, connections: f64 },
+    Remove { tenant: usize },
+    TimePassed { microseconds: Micros },
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let place = 0..TENANTS;
+fn event() -> impl Strategy<Value = Event> {
+    let tenant = 0..TENANTS;
     prop_oneof![
-        12 => (place.clone(), any::<bool>(), prop::bool::weighted(0.05))
-            .prop_map(|(place, returning, refused)| Step::Asks { place, returning, refused }),
+        12 => (tenant.clone(), any::<bool>(), prop::bool::weighted(0.05))
+            .prop_map(|(tenant, returning, rejected)| Event::Request { tenant, returning, rejected }),
         // One tenant asks more than all others together.
-        8 => any::<bool>().prop_map(|returning| Step::Asks { place: 0, returning, refused: false }),
-        9 => any::<usize>().prop_map(|which| Step::Ends { which }),
-        1 => (place.clone(), 0.0..120.0).prop_map(|(place, connections)| Step::Share { place, connections }),
-        1 => prop::bool::weighted(0.2).prop_flat_map(move |_| place.clone()).prop_map(|place| Step::Remove { place }),
-        6 => (1_000u64..400_000).prop_map(|us| Step::Waits { us }),
+        8 => any::<bool>().prop_map(|returning| Event::Request { tenant: 0, returning, rejected: false }),
+        9 => any::<usize>().prop_map(|which| Event::ConnectionEnded { which }),
+        1 => (tenant.clone(), 0.0..120.0).prop_map(|(tenant, connections)| Event::QuotaChanged { tenant, connections }),
+        1 => prop::bool::weighted(0.2).prop_flat_map(move |_| tenant.clone()).prop_map(|tenant| Event::Remove { tenant }),
+        6 => (1_000u64..400_000).prop_map(|microseconds| Event::TimePassed { microseconds }),
     ]
 }
 
 /// What anybody could count who stood by.
 #[derive(Clone, Debug, Default)]
 struct Model {
-    shares: Vec<f64>,
+    quotas: Vec<f64>,
     removed: Vec<bool>,
     /// Who stands, oldest first.
-    standing: Vec<usize>,
+    established: Vec<usize>,
 }
 
 impl Model {
-    fn held(&self, place: usize) -> usize {
-        self.standing.iter().filter(|p| **p == place).count()
+    fn connections(&self, tenant: usize) -> usize {
+        self.established.iter().filter(|p| **p == tenant).count()
     }
 }
 
-fn limits(connections: f64) -> Option<Limits> {
+fn limits(connections: f64) -> Option<TenantLimits> {
     // Set-ups don't bind here: they have a test of their own.
-    Some(Limits::new(connections, 1e6).expect("in range"))
+    Some(TenantLimits::new(connections, 1e6).expect("in range"))
 }
 
 proptest! {
@@ -58,88 +58,88 @@
         ..ProptestConfig::default()
     })]
 
-    /// Failure: any mix of floods, ends, lowered shares, removals and refusals. Promises: what is lent and what is own
-    /// comes to what stands; a tenant within its part is never turned away; beyond what is to lend nobody is admitted
-    /// who is the furthest beyond its share; and nothing ends or moves but what its tenant's removal has moved.
+    /// Failure: any mix of floods, ends, lowered quotas, removals and refusals. Promises: what is borrowed and what is
+    /// within the quota come to all connections; a tenant within its local quota is never rejected; beyond the lending limit nobody is admitted
+    /// who is the furthest beyond its quota; and nothing ends or migrates but for a removed tenant.
     #[test]
-    fn shares_add_up_and_hold(steps in prop::collection::vec(step(), 1..400)) {
+    fn shares_add_up_and_hold(events in prop::collection::vec(event(), 1..400)) {
         let mut now: Micros = 1_000_000;
-        let terms = Terms { moves_per_s: 50.0, ..Terms::new(4.0) };
-        let mut tenancy = Tenancy::new(terms, now);
-        let mut model = Model { shares: vec![40.0; TENANTS], removed: vec![false; TENANTS], ..Model::default() };
-        for place in 0..TENANTS {
-            tenancy.set(now, Place(place), limits(40.0));
+        let settings = TenancySettings { migrations_per_second: 50.0, ..TenancySettings::new(4.0) };
+        let mut tenancy = Tenancy::new(settings, now);
+        let mut model = Model { quotas: vec![40.0; TENANTS], removed: vec![false; TENANTS], ..Model::default() };
+        for tenant in 0..TENANTS {
+            tenancy.set_limits(now, TenantIndex(tenant), limits(40.0));
         }
-        let mut moving = [0usize; TENANTS];
-        for step in steps {
-            match step {
-                Step::Waits { us } => now += us,
-                Step::Asks { place, returning, refused } => {
-                    let before = tenancy.tenant(now, Place(place)).expect("a tenant");
+        let mut migrating = [0usize; TENANTS];
+        for event in events {
+            match event {
+                Event::TimePassed { microseconds } => now += microseconds,
+                Event::Request { tenant, returning, rejected } => {
+                    let before = tenancy.tenant_stats(now, TenantIndex(tenant)).expect("a tenant");
                     let stats = tenancy.stats(now);
-                    let verdict = tenancy.asked(now, Place(place), returning);
-                    match verdict {
-                        Verdict::Admit => {
-                            prop_assert!(!model.removed[place], "a removed tenant's client was admitted");
-                            if before.used as f64 + 1.0 > before.own {
-                                prop_assert!(!before.lowered, "lent to a tenant that is over a lowered share");
+                    let decision = tenancy.check(now, TenantIndex(tenant), returning);
+                    match decision {
+                        QuotaDecision::Admit => {
+                            prop_assert!(!model.removed[tenant], "a removed tenant's client was admitted");
+                            if before.connections as f64 + 1.0 > before.local_quota {
+                                prop_assert!(!before.is_over_lowered_quota, "lent to a tenant that is over a lowered share");
                                 let fuller = (0..TENANTS).any(|p| {
-                                    let share = |p: usize| model.shares[p].max(f64::MIN_POSITIVE);
-                                    let full = |p: usize| model.held(p) as f64 / share(p);
-                                    p != place && full(p) > full(place) / 1.1
+                                    let quota = |p: usize| model.quotas[p].max(f64::MIN_POSITIVE);
+                                    let full = |p: usize| model.connections(p) as f64 / quota(p);
+                                    p != tenant && full(p) > full(tenant) / 1.1
                                 });
-                                let room = stats.used < stats.lends_up_to;
-                                prop_assert!(room || fuller, "lent {stats:?} to the fullest, {place}");
+                                let room = stats.connections < stats.lending_limit;
+                                prop_assert!(room || fuller, "lent {stats:?} to the fullest, {tenant}");
                             }
-                            tenancy.taken(now);
-                            if refused {
-                                tenancy.refused(now, Place(place));
+                            tenancy.on_admitted(now);
+                            if rejected {
+                                tenancy.on_rejected(now, TenantIndex(tenant));
                             } else {
-                                tenancy.up(now, Place(place));
-                                model.standing.push(place);
+                                tenancy.on_established(now, TenantIndex(tenant));
+                                model.established.push(tenant);
                             }
                         }
-                        Verdict::TurnAway { after, why } => {
-                            prop_assert!(after <= terms.longest_wait && after > 0, "{after}");
-                            prop_assert_eq!(model.removed[place], why == Why::Removed);
-                            let within = before.used as f64 + 1.0 <= before.own;
-                            prop_assert!(matches!(why, Why::Removed | Why::Returns) || !within, "{why:?} within its part: {before:?}");
+                        QuotaDecision::Reject { retry_after, reason } => {
+                            prop_assert!(retry_after <= settings.longest_wait && retry_after > 0, "{retry_after}");
+                            prop_assert_eq!(model.removed[tenant], reason == RejectReason::Removed);
+                            let within = before.connections as f64 + 1.0 <= before.local_quota;
+                            prop_assert!(matches!(reason, RejectReason::Removed | RejectReason::Reconnects) || !within, "{reason:?} within its part: {before:?}");
                         }
                     }
                 }
-                Step::Ends { which } if !model.standing.is_empty() => {
-                    let place = model.standing.remove(which % model.standing.len());
-                    tenancy.ended(now, Place(place));
-                    moving[place] = moving[place].saturating_sub(1);
+                Event::ConnectionEnded { which } if !model.established.is_empty() => {
+                    let tenant = model.established.remove(which % model.established.len());
+                    tenancy.on_connection_ended(now, TenantIndex(tenant));
+                    migrating[tenant] = migrating[tenant].saturating_sub(1);
                 }
-                Step::Ends { .. } => {}
-                Step::Share { place, connections } => {
-                    tenancy.set(now, Place(place), limits(connections));
-                    if !model.removed[place] {
-                        model.shares[place] = connections;
+                Event::ConnectionEnded { .. } => {}
+                Event::QuotaChanged { tenant, connections } => {
+                    tenancy.set_limits(now, TenantIndex(tenant), limits(connections));
+                    if !model.removed[tenant] {
+                        model.quotas[tenant] = connections;
                     }
                 }
-                Step::Remove { place } => {
-                    tenancy.remove(now, Place(place));
-                    (model.removed[place], model.shares[place]) = (true, 0.0);
+                Event::Remove { tenant } => {
+                    tenancy.remove(now, TenantIndex(tenant));
+                    (model.removed[tenant], model.quotas[tenant]) = (true, 0.0);
                 }
             }
-            if tenancy.next_due().is_some_and(|due| due <= now) {
-                for moves in tenancy.due(now) {
-                    let place = moves.place.0;
-                    prop_assert!(model.removed[place], "a stream of a tenant that lives was moved");
-                    moving[place] += moves.count as usize;
-                    prop_assert!(moving[place] <= model.held(place), "more was moved than stands");
+            if tenancy.next_deadline().is_some_and(|due| due <= now) {
+                for migrations in tenancy.due_migrations(now) {
+                    let tenant = migrations.tenant.0;
+                    prop_assert!(model.removed[tenant], "a stream of a tenant that lives was moved");
+                    migrating[tenant] += migrations.count as usize;
+                    prop_assert!(migrating[tenant] <= model.connections(tenant), "more was moved than stands");
                 }
             }
             let stats = tenancy.stats(now);
-            for (place, t) in &stats.tenants {
-                prop_assert_eq!(t.used as usize, model.held(place.0));
-                let own = (t.used as f64).min(t.own);
-                prop_assert!(t.share.is_none() || (own + t.borrowed - t.used as f64).abs() < 1e-9, "{t:?}");
+            for (tenant, t) in &stats.tenants {
+                prop_assert_eq!(t.connections as usize, model.connections(tenant.0));
+                let own = (t.connections as f64).min(t.local_quota);
+                prop_assert!(t.quota.is_none() || (own + t.borrowed - t.connections as f64).abs() < 1e-9, "{t:?}");
             }
-            prop_assert!((stats.used - model.standing.len() as f64).abs() < 1e-3, "{stats:?}");
-            prop_assert!((stats.shares - model.shares.iter().sum::<f64>()).abs() < 1e-2, "{stats:?}");
+            prop_assert!((stats.connections - model.established.len() as f64).abs() < 1e-3, "{stats:?}");
+            prop_assert!((stats.total_quota - model.quotas.iter().sum::<f64>()).abs() < 1e-2, "{stats:?}");
         }
     }
 }
--- a/crates/tenancy/tests/shares.rs
+++ b/crates/tenancy/tests/shares.rs
@@ -1,135 +1,150 @@
 //! What tenants are promised, each against the failure that would break it.
 
-use shorewharf_tenancy::{Limits, Place, Stats, Tenancy, Terms, Verdict, Why};
+use shorewharf_tenancy::{
+    QuotaDecision, RejectReason, Tenancy, TenancySettings, TenancyStats, TenantIndex, TenantLimits,
+};
 use shorewharf_units::Micros;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
-/// An instance with tenants of these shares, where a connection lives for `life`.
-struct Rig {
+/// An instance with tenants of these quotas, where a connection lives for `lifetime`.
+struct TestInstance {
     tenancy: Tenancy,
     now: Micros,
-    life: Micros,
-    ends: Vec<(Micros, Place)>,
+    lifetime: Micros,
+    ends: Vec<(Micros, TenantIndex)>,
 }
 
-impl Rig {
-    fn new(instances: f64, shares: &[f64]) -> Rig {
-        let mut rig = Rig {
-            tenancy: Tenancy::new(Terms { moves_per_s: 20.0, ..Terms::new(instances) }, S),
-            now: S,
-            life: 20 * S,
+impl TestInstance {
+    fn new(instances: f64, quotas: &[f64]) -> TestInstance {
+        let mut instance = TestInstance {
+            tenancy: Tenancy::new(
+                TenancySettings { migrations_per_second: 20.0, ..TenancySettings::new(instances) },
+                SECOND,
+            ),
+            now: SECOND,
+            lifetime: 20 * SECOND,
             ends: Vec::new(),
         };
-        for (place, share) in shares.iter().enumerate() {
-            rig.set(place, *share);
+        for (tenant, quota) in quotas.iter().enumerate() {
+            instance.set(tenant, *quota);
         }
-        rig
+        instance
     }
 
-    fn set(&mut self, place: usize, share: f64) {
-        self.tenancy.set(self.now, Place(place), Some(Limits::new(share, share / 20.0).expect("in range")));
+    fn set(&mut self, tenant: usize, quota: f64) {
+        self.tenancy.set_limits(
+            self.now,
+            TenantIndex(tenant),
+            Some(TenantLimits::new(quota, quota / 20.0).expect("in range")),
+        );
     }
 
-    fn wait(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         self.now += time;
         let now = self.now;
         let (over, ends): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|e| e.0 <= now);
         self.ends = ends;
-        over.into_iter().for_each(|(_, place)| self.tenancy.ended(now, place));
+        over.into_iter().for_each(|(_, tenant)| self.tenancy.on_connection_ended(now, tenant));
     }
 
-    fn asks(&mut self, place: usize, returning: bool) -> Verdict {
-        let verdict = self.tenancy.asked(self.now, Place(place), returning);
-        if verdict == Verdict::Admit {
-            self.tenancy.taken(self.now);
-            self.tenancy.up(self.now, Place(place));
-            self.ends.push((self.now + self.life, Place(place)));
+    fn request(&mut self, tenant: usize, returning: bool) -> QuotaDecision {
+        let decision = self.tenancy.check(self.now, TenantIndex(tenant), returning);
+        if decision == QuotaDecision::Admit {
+            self.tenancy.on_admitted(self.now);
+            self.tenancy.on_established(self.now, TenantIndex(tenant));
+            self.ends.push((self.now + self.lifetime, TenantIndex(tenant)));
         }
-        verdict
+        decision
     }
 
-    /// Clients of each tenant come so many a second; tells how many of each were turned away.
-    fn comes(&mut self, time: Micros, per_s: &[f64]) -> Vec<u64> {
-        let mut away = vec![0; per_s.len()];
+    /// Clients of each tenant come so many a second; tells how many of each were turned rejected.
+    fn send_requests(&mut self, time: Micros, per_s: &[f64]) -> Vec<u64> {
+        let mut rejected = vec![0; per_s.len()];
         let mut due = vec![0.0; per_s.len()];
         for _ in 0..time / 10_000 {
-            self.wait(10_000);
-            for (place, rate) in per_s.iter().enumerate() {
-                due[place] += rate / 100.0;
-                while due[place] >= 1.0 {
-                    due[place] -= 1.0;
-                    away[place] += u64::from(self.asks(place, false) != Verdict::Admit);
+            self.advance(10_000);
+            for (tenant, rate) in per_s.iter().enumerate() {
+                due[tenant] += rate / 100.0;
+                while due[tenant] >= 1.0 {
+                    due[tenant] -= 1.0;
+                    rejected[tenant] += u64::from(self.request(tenant, false) != QuotaDecision::Admit);
                 }
             }
         }
-        away
+        rejected
     }
 
-    fn stats(&self) -> Stats {
+    fn stats(&self) -> TenancyStats {
         self.tenancy.stats(self.now)
     }
 
-    fn held(&self, place: usize) -> u64 {
-        self.stats().tenants[place].1.used
+    fn connections(&self, tenant: usize) -> u64 {
+        self.stats().tenants[tenant].1.connections
     }
 }
 
-/// Failure: a tenant asks for ten times its share. Promise: it holds its own part and what is to lend, the others are
-/// never turned away, and what was lent comes back as they need it, with nobody cut off.
+/// Failure: a tenant asks for ten times its quota. Promise: it holds its own part and what is to lend, the others are
+/// never turned rejected, and what was lent comes back as they need it, with nobody cut off.
 #[test]
 fn a_flood_is_its_own_tenants_affair() {
-    let mut rig = Rig::new(4.0, &[400.0, 400.0, 400.0, 400.0]);
+    let mut instance = TestInstance::new(4.0, &[400.0, 400.0, 400.0, 400.0]);
     let calm = [1.0, 1.0, 1.0, 1.0];
-    assert_eq!(rig.comes(60 * S, &calm), [0; 4]);
-    let away = rig.comes(60 * S, &[50.0, 1.0, 1.0, 1.0]);
-    assert!(away[0] > 2000 && away[1..] == [0; 3], "{away:?}");
-    let lends = rig.stats().lends_up_to;
-    let (held, others) = (rig.held(0) as f64, (1..4).map(|p| rig.held(p)).sum::<u64>() as f64);
+    assert_eq!(instance.send_requests(60 * SECOND, &calm), [0; 4]);
+    let rejected = instance.send_requests(60 * SECOND, &[50.0, 1.0, 1.0, 1.0]);
+    assert!(rejected[0] > 2000 && rejected[1..] == [0; 3], "{rejected:?}");
+    let lends = instance.stats().lending_limit;
+    let (held, others) =
+        (instance.connections(0) as f64, (1..4).map(|p| instance.connections(p)).sum::<u64>() as f64);
     assert!(
         held >= 100.0 && (held + others - lends).abs() <= 3.0,
         "{held} beside {others}, lends to {lends}"
     );
     // The others come for more of theirs.
-    let away = rig.comes(60 * S, &[50.0, 2.0, 2.0, 2.0]);
-    assert_eq!(away[1..], [0; 3]);
-    assert!(rig.held(0) <= 103, "{} still lent", rig.held(0) - 100);
-    assert!(rig.stats().tenants[0].1.turned_away_for(Why::Connections) > 2000);
+    let rejected = instance.send_requests(60 * SECOND, &[50.0, 2.0, 2.0, 2.0]);
+    assert_eq!(rejected[1..], [0; 3]);
+    assert!(instance.connections(0) <= 103, "{} still lent", instance.connections(0) - 100);
+    assert!(instance.stats().tenants[0].1.rejected_for(RejectReason::Connections) > 2000);
 }
 
 /// Failure: all tenants' clients come at once, as after a sibling's death, and an instance has far more than an even
-/// part of the traffic. Promise: that is nobody's flood, and nobody is turned away.
+/// part of the traffic. Promise: that is nobody's flood, and nobody is turned rejected.
 #[test]
 fn a_storm_of_everybody_is_nobodys_flood() {
-    let mut rig = Rig::new(8.0, &[400.0, 300.0, 200.0, 100.0]);
-    assert_eq!(rig.comes(40 * S, &[4.0, 3.0, 2.0, 1.0]), [0; 4]);
-    assert_eq!(rig.comes(2 * S, &[80.0, 60.0, 40.0, 20.0]), [0; 4]);
+    let mut instance = TestInstance::new(8.0, &[400.0, 300.0, 200.0, 100.0]);
+    assert_eq!(instance.send_requests(40 * SECOND, &[4.0, 3.0, 2.0, 1.0]), [0; 4]);
+    assert_eq!(instance.send_requests(2 * SECOND, &[80.0, 60.0, 40.0, 20.0]), [0; 4]);
     // An eighth of 1,000 would be 125.
-    assert!(rig.stats().used > 500.0 && rig.stats().part > 0.9, "{:?}", rig.stats());
+    assert!(
+        instance.stats().connections > 500.0 && instance.stats().local_fraction > 0.9,
+        "{:?}",
+        instance.stats()
+    );
 }
 
-/// Failure: the connections of a tenant that may not borrow all drop and come again within a second. Promise: its share
+/// Failure: the connections of a tenant that may not borrow all drop and come again within a second. Promise: its quota
 /// of returns is admitted, the rest waits with a time to come back, spread, and claims to return without a connection
 /// that ended count as new ones.
 #[test]
 fn returns_have_a_share_of_their_own() {
-    let mut rig = Rig::new(1.0, &[200.0, 200.0, 200.0, 200.0]);
-    let strict = Limits::new(200.0, 10.0).expect("in range").without_borrowing();
-    rig.tenancy.set(rig.now, Place(0), Some(strict));
-    rig.comes(60 * S, &[20.0, 2.0, 2.0, 2.0]);
-    let held = rig.held(0);
+    let mut instance = TestInstance::new(1.0, &[200.0, 200.0, 200.0, 200.0]);
+    let strict = TenantLimits::new(200.0, 10.0).expect("in range").without_borrowing();
+    instance.tenancy.set_limits(instance.now, TenantIndex(0), Some(strict));
+    instance.send_requests(60 * SECOND, &[20.0, 2.0, 2.0, 2.0]);
+    let held = instance.connections(0);
     assert_eq!(held, 200);
-    let now = rig.now;
-    let dropped: Vec<Place> = rig.ends.extract_if(.., |e| e.1 == Place(0)).map(|e| e.1).collect();
-    dropped.iter().for_each(|p| rig.tenancy.ended(now, *p));
+    let now = instance.now;
+    let dropped: Vec<TenantIndex> =
+        instance.ends.extract_if(.., |e| e.1 == TenantIndex(0)).map(|e| e.1).collect();
+    dropped.iter().for_each(|p| instance.tenancy.on_connection_ended(now, *p));
     let (mut back, mut waits) = (0, Vec::new());
     for _ in 0..held {
-        rig.now += S / held;
-        match rig.asks(0, true) {
-            Verdict::Admit => back += 1,
-            Verdict::TurnAway { after, why } => {
-                assert_eq!(why, Why::Returns, "{back} of {held}: {:?}", rig.stats());
-                waits.push(after);
+        instance.now += SECOND / held;
+        match instance.request(0, true) {
+            QuotaDecision::Admit => back += 1,
+            QuotaDecision::Reject { retry_after, reason } => {
+                assert_eq!(reason, RejectReason::Reconnects, "{back} of {held}: {:?}", instance.stats());
+                waits.push(retry_after);
             }
         }
     }
@@ -137,69 +152,82 @@
     waits.dedup();
     assert!(waits.len() > 10 && waits.iter().all(|w| (50_000..=1_500_000).contains(w)), "{waits:?}");
     // A tenant that lost nothing can't have anybody return.
-    let away = (0..500).filter(|_| rig.asks(1, true) != Verdict::Admit).count();
-    assert!(away > 300, "{away}");
-    assert!(rig.stats().tenants[1].1.turned_away_for(Why::SetUps) > 0);
+    let rejected = (0..500).filter(|_| instance.request(1, true) != QuotaDecision::Admit).count();
+    assert!(rejected > 300, "{rejected}");
+    assert!(instance.stats().tenants[1].1.rejected_for(RejectReason::Setups) > 0);
 }
 
 /// Failure: a share is lowered below what stands, raised, a tenant is removed with hundreds standing, and made anew.
 /// Promise: nobody is cut off, nothing new until it is under; a removed tenant's streams move at the rate and its
-/// clients are told so; its place stays its own.
+/// clients are told so; its tenant stays its own.
 #[test]
 fn tenants_change_and_go() {
-    let mut rig = Rig::new(1.0, &[300.0, 300.0]);
-    rig.comes(40 * S, &[10.0, 10.0]);
-    let held = rig.held(0);
-    rig.set(0, 50.0);
-    assert_eq!((rig.held(0), rig.stats().tenants[0].1.lowered), (held, true));
-    assert!(matches!(rig.asks(0, false), Verdict::TurnAway { why: Why::Lowered, .. }));
-    rig.wait(19 * S);
-    assert!(rig.held(0) < 50 && rig.asks(0, false) == Verdict::Admit);
-
-    let stood = rig.held(1);
-    rig.tenancy.remove(rig.now, Place(1));
-    rig.set(1, 300.0);
-    assert!(matches!(rig.asks(1, true), Verdict::TurnAway { why: Why::Removed, .. }));
-    rig.ends.clear();
-    let (began, mut moved) = (rig.now, 0);
-    while let Some(due) = rig.tenancy.next_due() {
-        rig.now = rig.now.max(due);
-        for moves in rig.tenancy.due(rig.now) {
-            assert_eq!(moves.place, Place(1));
-            moved += u64::from(moves.count);
-            (0..moves.count).for_each(|_| rig.tenancy.ended(rig.now, Place(1)));
+    let mut instance = TestInstance::new(1.0, &[300.0, 300.0]);
+    instance.send_requests(40 * SECOND, &[10.0, 10.0]);
+    let held = instance.connections(0);
+    instance.set(0, 50.0);
+    assert_eq!((instance.connections(0), instance.stats().tenants[0].1.is_over_lowered_quota), (held, true));
+    assert!(matches!(
+        instance.request(0, false),
+        QuotaDecision::Reject { reason: RejectReason::QuotaLowered, .. }
+    ));
+    instance.advance(19 * SECOND);
+    assert!(instance.connections(0) < 50 && instance.request(0, false) == QuotaDecision::Admit);
+
+    let stood = instance.connections(1);
+    instance.tenancy.remove(instance.now, TenantIndex(1));
+    instance.set(1, 300.0);
+    assert!(matches!(instance.request(1, true), QuotaDecision::Reject { reason: RejectReason::Removed, .. }));
+    instance.ends.clear();
+    let (began, mut moved) = (instance.now, 0);
+    while let Some(due) = instance.tenancy.next_deadline() {
+        instance.now = instance.now.max(due);
+        for migrations in instance.tenancy.due_migrations(instance.now) {
+            assert_eq!(migrations.tenant, TenantIndex(1));
+            moved += u64::from(migrations.count);
+            (0..migrations.count)
+                .for_each(|_| instance.tenancy.on_connection_ended(instance.now, TenantIndex(1)));
         }
     }
-    let took = (rig.now - began) as f64 / 1e6;
-    assert_eq!((moved, rig.held(1)), (stood, 0));
+    let took = (instance.now - began) as f64 / 1e6;
+    assert_eq!((moved, instance.connections(1)), (stood, 0));
     assert!((took - stood as f64 / 20.0).abs() < 1.0, "{stood} moved within {took} s");
-    // Anew, at another place.
-    rig.set(2, 300.0);
-    assert_eq!((rig.asks(2, false), rig.stats().tenants[1].1.removed), (Verdict::Admit, true));
-    assert!(matches!(rig.asks(9, false), Verdict::TurnAway { why: Why::Unknown, .. }));
+    // Anew, at another tenant.
+    instance.set(2, 300.0);
+    assert_eq!(
+        (instance.request(2, false), instance.stats().tenants[1].1.is_removed),
+        (QuotaDecision::Admit, true)
+    );
+    assert!(matches!(
+        instance.request(9, false),
+        QuotaDecision::Reject { reason: RejectReason::Unknown, .. }
+    ));
 }
 
 /// Failure: the module refuses what was admitted, since half of the fleet has died. Promise: lending ends at once, and
-/// with rationing the tenants that are fullest for their weights wait, while the emptiest is not turned away.
+/// with rationing the tenants that are fullest for their weights wait, while the emptiest is not turned rejected.
 #[test]
 fn short_capacity_goes_by_weight_and_use() {
     for ration in [false, true] {
-        let mut rig = Rig::new(1.0, &[100.0, 100.0, 100.0]);
-        rig.tenancy.set_terms(Terms { ration, ..Terms::new(1.0) });
-        let heavy = Limits::new(100.0, 5.0).and_then(|l| l.weighing(4.0)).expect("in range");
-        rig.tenancy.set(rig.now, Place(1), Some(heavy));
-        rig.comes(60 * S, &[4.0, 4.0, 1.0]);
+        let mut instance = TestInstance::new(1.0, &[100.0, 100.0, 100.0]);
+        instance
+            .tenancy
+            .update_settings(TenancySettings { rations_within_quota: ration, ..TenancySettings::new(1.0) });
+        let heavy = TenantLimits::new(100.0, 5.0).and_then(|l| l.with_weight(4.0)).expect("in range");
+        instance.tenancy.set_limits(instance.now, TenantIndex(1), Some(heavy));
+        instance.send_requests(60 * SECOND, &[4.0, 4.0, 1.0]);
         for round in 0..8 {
             for _ in 0..6 {
-                if rig.tenancy.asked(rig.now, Place(2), false) == Verdict::Admit {
-                    rig.tenancy.taken(rig.now);
-                    rig.tenancy.refused(rig.now, Place(2));
+                if instance.tenancy.check(instance.now, TenantIndex(2), false) == QuotaDecision::Admit {
+                    instance.tenancy.on_admitted(instance.now);
+                    instance.tenancy.on_rejected(instance.now, TenantIndex(2));
                 }
             }
-            rig.wait(500_000 * u64::from(round < 7));
+            instance.advance(500_000 * u64::from(round < 7));
         }
-        assert!(rig.stats().short.is_some());
-        let verdicts = [0, 1, 2].map(|p| rig.tenancy.asked(rig.now, Place(p), false) == Verdict::Admit);
-        assert_eq!(verdicts, [!ration, true, true], "rationing: {ration}");
+        assert!(instance.stats().shortage_limit.is_some());
+        let decisions = [0, 1, 2]
+            .map(|p| instance.tenancy.check(instance.now, TenantIndex(p), false) == QuotaDecision::Admit);
+        assert_eq!(decisions, [!ration, true, true], "rationing: {ration}");
     }
 }
