--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -312,12 +312,15 @@
     let (rules, named) = (&fleet.rules, |name: &str| Some(format!("connections of {name}")));
     assert_eq!((fleet.store.len(), fleet.prefix.as_str()), (2, "fleet-a"));
     assert_eq!(
-        (rules.lease, rules.margin, rules.look, rules.linger),
+        (rules.lease, rules.clock_margin, rules.poll_interval, rules.drain_time),
         (4_500_000, 250_000, 125_000, 5_500_000)
     );
-    assert_eq!((rules.reserve, rules.floor, rules.members, rules.place), (0.125, 0.0625, 3, 1));
+    assert_eq!(
+        (rules.reserve_ratio, rules.even_ratio, rules.max_members, rules.member_index),
+        (0.125, 0.0625, 3, 1)
+    );
     assert_eq!(fleet.tenants, [named("acme"), named("zeta")]);
-    let budgets: Vec<_> = rules.budgets.iter().map(|budget| (budget.name.as_str(), budget.whole)).collect();
+    let budgets: Vec<_> = rules.budgets.iter().map(|budget| (budget.name.as_str(), budget.total)).collect();
     assert_eq!(
         budgets,
         [("connections of acme", 1000.0), ("connections of zeta", 2000.0), ("set-ups", 500.5)]
--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -1,6 +1,6 @@
 //! Budgets of the whole fleet, as the operator's file and the settings name them: which there are, and who shares them.
 
-use shorewharf_budgets::{Budget, Kind, Rules};
+use shorewharf_budgets::{Budget, BudgetKind, BudgetSettings};
 use shorewharf_decisions::Settings;
 use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Budgets;
@@ -21,7 +21,7 @@
     /// What all keys in the store begin with.
     pub prefix: String,
     /// The terms, with this balancer's place.
-    pub rules: Rules,
+    pub rules: BudgetSettings,
     /// By tenant, the name of the budget of its connections.
     pub tenants: Vec<Option<String>>,
 }
@@ -70,14 +70,18 @@
             return Err(wrong("name", format!("{me:?} has a '/', which budgets can't have")));
         }
         let mut budgets = Vec::new();
-        budgets.extend(of.set_ups.map(|whole| Budget { name: SET_UPS.to_owned(), kind: Kind::Rate, whole }));
+        budgets.extend(of.set_ups.map(|total| Budget {
+            name: SET_UPS.to_owned(),
+            kind: BudgetKind::Rate,
+            total,
+        }));
         let mut tenants = vec![None; set.tenant_connection_quotas.len()];
         for (tenant, place) in &names.tenants {
             let quota = set.tenant_connection_quotas.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
             if let (Some(whole), Some(slot)) = (quota, tenants.get_mut(*place)) {
                 let name = format!("connections of {tenant}");
                 *slot = Some(name.clone());
-                budgets.push(Budget { name, kind: Kind::Level, whole: whole.floor() });
+                budgets.push(Budget { name, kind: BudgetKind::Concurrency, total: whole.floor() });
             }
         }
         if budgets.is_empty() {
@@ -85,18 +89,18 @@
             return Err(wrong("budgets.set_ups", why));
         }
         budgets.sort_by(|a, b| a.name.cmp(&b.name));
-        let rules = Rules {
+        let rules = BudgetSettings {
             budgets,
             lease: micros_from_seconds(of.lease_s),
-            margin: micros_from_seconds(of.margin_s),
-            look: micros_from_seconds(of.look_s),
-            linger: micros_from_seconds(of.linger_s),
-            reserve: of.reserve,
-            floor: of.floor,
-            members: all.len(),
-            place,
+            clock_margin: micros_from_seconds(of.margin_s),
+            poll_interval: micros_from_seconds(of.look_s),
+            drain_time: micros_from_seconds(of.linger_s),
+            reserve_ratio: of.reserve,
+            even_ratio: of.floor,
+            max_members: all.len(),
+            member_index: place,
         };
-        rules.check().map_err(|p| wrong(&format!("budgets.{}", key(p.key)), p.why))?;
+        rules.check().map_err(|error| wrong(&format!("budgets.{}", key(error.key())), error))?;
         Ok(Some(Fleet { store: of.store.clone(), prefix: of.prefix.clone(), rules, tenants }))
     }
 }
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -16,7 +16,7 @@
     let set = shorewharf_settings::settings(br#"{"me": 0}"#).expect("settings").0;
     let read = |of: &Budgets, me: &str| Fleet::read(of, &set, &NameIndex::default(), me);
     let fleet = read(&good, "n2").expect("good").expect("named");
-    assert_eq!((fleet.rules.members, fleet.rules.place, fleet.rules.lease), (2, 1, 3_000_000));
+    assert_eq!((fleet.rules.max_members, fleet.rules.member_index, fleet.rules.lease), (2, 1, 3_000_000));
     assert!(read(&Budgets::default(), "n2").expect("nothing is wrong").is_none());
     let wrong = |change: &dyn Fn(&mut Budgets), me: &str| {
         let mut of = good.clone();
--- a/crates/balancer/src/fleet/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -6,7 +6,10 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use shorewharf_budgets::{Call, Condition, Failed, Member, Parts, Record, Reply, Rules};
+use shorewharf_budgets::{
+    Allocations, BudgetSettings, Member, NoResponse, Precondition, StoreRequest, StoreResponse, StoredRecord,
+    WriteBatch,
+};
 use shorewharf_driver::Budgets;
 use shorewharf_store::error::StoreError;
 use shorewharf_store::key::{Key, Space};
@@ -40,20 +43,20 @@
 }
 
 enum Order {
-    Rules(Rules),
+    Rules(BudgetSettings),
     Leave,
 }
 
 /// The loop's end of it.
 #[derive(Debug)]
 pub struct Shares {
-    parts: Arc<Mutex<Parts>>,
+    parts: Arc<Mutex<Allocations>>,
     orders: Sender<Order>,
     /// Closed when the thread has ended.
     ended: Receiver<()>,
 }
 
-fn lock(parts: &Mutex<Parts>) -> MutexGuard<'_, Parts> {
+fn lock(parts: &Mutex<Allocations>) -> MutexGuard<'_, Allocations> {
     parts.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -69,7 +72,7 @@
         let store =
             open(&address, wall).map_err(|e| ConfigError::Form("budgets.store".to_owned(), e.to_string()))?;
         let now = clock.read();
-        let parts = Arc::new(Mutex::new(Parts::new(now, &fleet.rules)));
+        let parts = Arc::new(Mutex::new(Allocations::new(now, &fleet.rules)));
         let (orders, orders_in) = channel();
         let member = Member::new(now, fleet.rules.clone(), &config.name, wall);
         let parts_too = Arc::clone(&parts);
@@ -97,8 +100,8 @@
     pub fn admission(&self, config: &Config) -> Option<Budgets> {
         let fleet = config.fleet.as_ref()?;
         let parts = lock(&self.parts);
-        let set_ups = parts.place(SET_UPS);
-        let tenants = fleet.tenants.iter().map(|name| parts.place(name.as_deref()?)).collect();
+        let set_ups = parts.index_of(SET_UPS);
+        let tenants = fleet.tenants.iter().map(|name| parts.index_of(name.as_deref()?)).collect();
         drop(parts);
         Some(Budgets::new(Arc::clone(&self.parts), set_ups, tenants, &config.settings))
     }
@@ -120,7 +123,7 @@
 /// The thread's end.
 struct Desk {
     member: Member,
-    parts: Arc<Mutex<Parts>>,
+    parts: Arc<Mutex<Allocations>>,
     /// The store's members, prefix, and this balancer's name.
     address: Address,
     store: Replicated,
@@ -135,11 +138,11 @@
 
 impl Desk {
     fn work(mut self) {
-        while !self.member.is_over() {
+        while !self.member.has_ended() {
             let now = self.clock.read();
-            let call = self.member.next(now, &mut lock(&self.parts));
+            let call = self.member.next_request(now, &mut lock(&self.parts));
             let Some(call) = call else {
-                let due = self.member.next_due().saturating_sub(self.clock.read());
+                let due = self.member.next_deadline().saturating_sub(self.clock.read());
                 match self.orders.recv_timeout(Duration::from_micros(due.clamp(1_000, 1_000_000))) {
                     Ok(order) => self.ordered(order),
                     Err(RecvTimeoutError::Timeout) => {}
@@ -147,14 +150,14 @@
                 }
                 continue;
             };
-            let led = self.member.leads().map(|l| l.term);
+            let led = self.member.leader().map(|l| l.term);
             let answer = self.make(call);
             let now = self.clock.read();
             self.reached(now, answer.is_ok());
-            self.member.answered(now, answer, &mut lock(&self.parts));
+            self.member.on_response(now, answer, &mut lock(&self.parts));
             self.tell(now, led);
         }
-        if self.member.is_outlived() {
+        if self.member.is_superseded() {
             warn!(
                 event = "budgets",
                 state = "outlived",
@@ -169,14 +172,14 @@
         match order {
             Order::Rules(next) => {
                 // Which budgets there are, and by which terms they are shared, stays until a restart.
-                let mut rules = self.member.rules().clone();
+                let mut rules = self.member.settings().clone();
                 for b in &mut rules.budgets {
                     if let Some(named) = next.budgets.iter().find(|n| n.name == b.name) {
-                        b.whole = named.whole;
+                        b.total = named.total;
                     }
                 }
-                parts.take_rules(now, &rules);
-                self.member.take_rules(rules);
+                parts.update_settings(now, &rules);
+                self.member.update_settings(rules);
             }
             Order::Leave => self.member.leave(now, &mut parts),
         }
@@ -185,7 +188,7 @@
     fn reached(&mut self, now: Micros, is: bool) {
         if is {
             self.reached = now;
-        } else if now >= self.reached + REOPENS * self.member.rules().lease {
+        } else if now >= self.reached + REOPENS * self.member.settings().lease {
             // A client of the store believes no other cluster than the one it has seen. Members do: whatever they find there, what
             // was in force before has ended.
             self.reached = now;
@@ -208,7 +211,7 @@
     }
 
     fn tell(&mut self, now: Micros, led: Option<u64>) {
-        let leads = self.member.leads().map(|l| l.term);
+        let leads = self.member.leader().map(|l| l.term);
         if leads != led {
             match leads {
                 Some(term) => info!(event = "budgets", state = "leads", term),
@@ -220,68 +223,70 @@
         }
         self.logged = now;
         let parts = lock(&self.parts);
-        let left_ms = parts.until().saturating_sub(now) / 1_000;
+        let left_ms = parts.granted_until().saturating_sub(now) / 1_000;
         for (place, budget) in parts.names().enumerate() {
             let part = format_args!("{:.2}", parts.in_force(now, place)).to_string();
-            let (used, refused) = (parts.used(place), parts.refused(place));
+            let (used, refused) = (parts.in_use(place), parts.rejected(place));
             info!(event = "budget", budget, part, "left-ms" = left_ms, used, refused);
         }
         drop(parts);
-        for (budget, may) in self.member.may() {
-            let members = self.member.leads().map_or(0, |l| l.alive(now, self.member.rules()));
+        for (budget, may) in self.member.possible_use() {
+            let members = self.member.leader().map_or(0, |l| l.alive_members(now, self.member.settings()));
             info!(event = "budget-divided", budget, "may-be-in-use" = may, members);
         }
-        let f = self.member.figures();
+        let f = self.member.stats();
         info!(
             event = "budgets-store",
-            calls = f.calls,
+            calls = f.requests,
             writes = f.writes,
-            bytes = f.bytes,
-            failed = f.failed,
-            old = f.old
+            bytes = f.bytes_written,
+            failed = f.unanswered,
+            old = f.outdated_grants
         );
     }
 
     /// Makes a call; an answer that says nothing counts as none.
-    fn make(&mut self, call: Call) -> Result<Reply, Failed> {
+    fn make(&mut self, call: StoreRequest) -> Result<StoreResponse, NoResponse> {
         let wall = wall();
         let key = |name: String| Key::new(Space::Budget, name);
-        let record = |e: Entry| Record { revision: e.revision.0, text: e.value };
+        let record = |e: Entry| StoredRecord { revision: e.revision.0, text: e.value };
         let done = match call {
-            Call::Read(names) => {
+            StoreRequest::Read(names) => {
                 let keys: Vec<Key> = names.into_iter().map(key).collect();
                 let found = self.store.get_many(&keys, wall);
-                found.map(|found| Reply::Read(found.into_iter().map(|e| e.map(record)).collect()))
+                found.map(|found| StoreResponse::Read(found.into_iter().map(|e| e.map(record)).collect()))
             }
-            Call::List(prefix) => self.list(&prefix, wall),
-            Call::Write { conditions, writes } => {
-                let holds = |c: Condition| match c {
-                    Condition::Absent(name) => Holds::Absent(key(name)),
-                    Condition::At(name, at) => Holds::At(key(name), shorewharf_store::store::Revision(at)),
+            StoreRequest::List(prefix) => self.list(&prefix, wall),
+            StoreRequest::Write(WriteBatch { preconditions, writes }) => {
+                let holds = |precondition: Precondition| match precondition {
+                    Precondition::Absent(name) => Holds::Absent(key(name)),
+                    Precondition::Unchanged(name, at) => {
+                        Holds::At(key(name), shorewharf_store::store::Revision(at))
+                    }
                 };
-                let conditions = conditions.into_iter().map(holds).collect();
+                let conditions = preconditions.into_iter().map(holds).collect();
                 let writes = writes.into_iter().map(|(name, text)| (key(name), text)).collect();
-                self.store.apply(&Batch { conditions, writes }, wall).map(|at| Reply::Written(at.0))
+                self.store.apply(&Batch { conditions, writes }, wall).map(|at| StoreResponse::Written(at.0))
             }
         };
         match done {
             Ok(reply) => Ok(reply),
             Err(StoreError::Conflict { .. } | StoreError::Exists { .. } | StoreError::Missing { .. }) => {
-                Ok(Reply::Conflict)
+                Ok(StoreResponse::Conflict)
             }
-            Err(_) => Err(Failed),
+            Err(_) => Err(NoResponse),
         }
     }
 
-    fn list(&mut self, prefix: &str, wall: u64) -> Result<Reply, StoreError> {
+    fn list(&mut self, prefix: &str, wall: u64) -> Result<StoreResponse, StoreError> {
         let (mut all, mut after) = (Vec::new(), None);
         loop {
             let page = self.store.list(&Ask::of(Space::Budget).prefix(prefix).after(after), wall)?;
             after = page.entries.last().map(|e| e.key.name.clone());
-            let record = |e: Entry| (e.key.name, Record { revision: e.revision.0, text: e.value });
+            let record = |e: Entry| (e.key.name, StoredRecord { revision: e.revision.0, text: e.value });
             all.extend(page.entries.into_iter().map(record));
             if !page.more {
-                return Ok(Reply::Listed(all));
+                return Ok(StoreResponse::Listed(all));
             }
         }
     }
--- a/crates/budgets/examples/schedules.rs
+++ b/crates/budgets/examples/schedules.rs
@@ -1,28 +1,32 @@
-//! Plays made-up fleets and looks for a moment at which more is in force than the whole.
+//! Runs model fleets and looks for a moment at which more is in force than the total.
 //!
 //! `cargo run --release -p shorewharf-budgets --example schedules -- random --count 100000`
 //! `cargo run --release -p shorewharf-budgets --example schedules -- pairs --every 1`
 //! `cargo run --release -p shorewharf-budgets --example schedules -- flaws`
 //! `cargo run --release -p shorewharf-budgets --example schedules -- fleet`
 
+use std::ops::Range;
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
 use clap::{Parser, Subcommand};
-use shorewharf_budgets::model::{Fault, Flaw, Found, Plan, Space, What as Trouble, World, look, shrink};
-use shorewharf_budgets::{Budget, Rules};
+use shorewharf_budgets::model::{
+    Defect, DemandRatio, Fault, FaultKind, ModelFleet, RunOutcome, Schedule, ScheduleSpace, Violation,
+    find_violation, minimize,
+};
+use shorewharf_budgets::{Budget, BudgetSettings};
 
 #[derive(Parser)]
 struct Args {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Plans drawn from seeds
+enum Command {
+    /// Schedules drawn from seeds
     Random {
         /// How many
         #[arg(long, default_value_t = 10_000)]
@@ -31,7 +35,7 @@
         #[arg(long, default_value_t = 1)]
         from: u64,
     },
-    /// All plans of three members with two faults out of a small set
+    /// All schedules of three members with two faults out of a small set
     Pairs {
         /// Only one in so many
         #[arg(long, default_value_t = 1)]
@@ -45,178 +49,227 @@
     },
     /// Plants each defect, and tells how long it takes to find it
     Flaws {
-        /// Plans that are tried for each
+        /// Schedules that are tried for each
         #[arg(long, default_value_t = 2_000)]
         most: u64,
     },
 }
 
-/// Plays plans on all cores until one is found.
-fn search(count: u64, plan: &(dyn Fn(u64) -> Plan + Sync)) -> (u64, u64, Option<(u64, Found)>) {
-    let (next, steps, played) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-    let found: Mutex<Option<(u64, Found)>> = Mutex::new(None);
-    let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
+/// A violation, and the number of its schedule.
+struct NumberedViolation {
+    number: u64,
+    violation: Violation,
+}
+
+/// What a search has done.
+struct SearchResult {
+    schedules: u64,
+    steps: u64,
+    /// The violation with the lowest number.
+    first: Option<NumberedViolation>,
+}
+
+/// Runs schedules on all cores until one shows a violation.
+fn search(count: u64, schedule: &(dyn Fn(u64) -> Schedule + Sync)) -> SearchResult {
+    let (next, steps, schedules) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
+    let first: Mutex<Option<NumberedViolation>> = Mutex::new(None);
+    let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
     std::thread::scope(|scope| {
         for _ in 0..cores {
             scope.spawn(|| {
                 loop {
-                    let i = next.fetch_add(1, Ordering::Relaxed);
-                    let first = found.lock().expect("no thread panics").as_ref().map_or(u64::MAX, |f| f.0);
-                    if i >= count || i > first {
+                    let number = next.fetch_add(1, Ordering::Relaxed);
+                    let found = first.lock().expect("no thread panics").as_ref().map(|found| found.number);
+                    if number >= count || found.is_some_and(|found| number > found) {
                         return;
                     }
-                    let plan = plan(i);
-                    let outcome = World::new(&plan).play();
+                    let schedule = schedule(number);
+                    let outcome = ModelFleet::new(&schedule).run();
                     steps.fetch_add(outcome.steps, Ordering::Relaxed);
-                    played.fetch_add(1, Ordering::Relaxed);
-                    if let Some(above) = outcome.above {
-                        let mut found = found.lock().expect("no thread panics");
-                        if found.as_ref().is_none_or(|f| i < f.0) {
-                            *found = Some((i, Found { plan, above }));
-                        }
+                    schedules.fetch_add(1, Ordering::Relaxed);
+                    let Some(overrun) = outcome.overrun else { continue };
+                    let mut first = first.lock().expect("no thread panics");
+                    if first.as_ref().is_none_or(|found| number < found.number) {
+                        let violation = Violation { schedule, overrun };
+                        *first = Some(NumberedViolation { number, violation });
                     }
                 }
             });
         }
     });
-    (played.into_inner(), steps.into_inner(), found.into_inner().expect("no thread panics"))
+    SearchResult {
+        schedules: schedules.into_inner(),
+        steps: steps.into_inner(),
+        first: first.into_inner().expect("no thread panics"),
+    }
 }
 
-/// A fleet whose first member wants nine tenths of all, then its second; one leaves in good order; all but one in thirty are killed and
-/// come back later.
-fn fleet(members: usize) {
-    let second = |s: f64| (s * 1e6) as u64;
-    let rules = Rules {
-        lease: second(3.0),
-        margin: second(0.2),
-        look: second(0.25),
-        linger: second(3.0),
-        reserve: 0.05,
-        floor: 0.05,
-        members,
-        ..Plan::terms()
+fn micros(seconds: f64) -> u64 {
+    (seconds * 1e6) as u64
+}
+
+/// A fleet whose first member wants nine tenths of all, then its second; one leaves in good order; all but one in thirty
+/// are killed and come back later.
+fn large_fleet(members: usize) -> Schedule {
+    let defaults = Schedule::default_settings();
+    let total = |budget: &Budget| Budget { total: 20.0 * members as f64, ..budget.clone() };
+    let settings = BudgetSettings {
+        budgets: defaults.budgets.iter().map(total).collect(),
+        lease: micros(3.0),
+        clock_margin: micros(0.2),
+        poll_interval: micros(0.25),
+        drain_time: micros(3.0),
+        reserve_ratio: 0.05,
+        even_ratio: 0.05,
+        max_members: members,
+        ..defaults
     };
-    let wholes = rules.budgets.iter().map(|b| Budget { whole: 20.0 * members as f64, ..b.clone() }).collect();
     let (low, high) = (0.3 / members as f64, 0.9);
-    let mut wants = vec![(low, low); members];
-    (wants[0], wants[1]) = ((high, low), (low, high));
+    let demand = |first_half, second_half| DemandRatio { first_half, second_half };
+    let mut demands = vec![demand(low, low); members];
+    (demands[0], demands[1]) = (demand(high, low), demand(low, high));
     // Those that are left want more than there is.
-    let left = (members / 30).max(2);
-    wants.iter_mut().take(left).skip(2).for_each(|w| w.1 = 0.5);
-    let leaves = Fault { what: Trouble::Left, who: members - 1, at: second(20.0), len: second(10.0) };
-    let kill = |who| Fault { what: Trouble::Killed, who, at: second(40.0), len: second(60.0) };
-    let faults = std::iter::once(leaves).chain((left..members).map(kill)).collect();
-    let plan = Plan {
+    let surviving = (members / 30).max(2);
+    for demand in demands.iter_mut().take(surviving).skip(2) {
+        demand.second_half = 0.5;
+    }
+    let fault = |kind, member, begins_at, duration| Fault {
+        kind,
+        member,
+        begins_at: micros(begins_at),
+        duration: micros(duration),
+    };
+    let leave = fault(FaultKind::GracefulLeave, members - 1, 20.0, 10.0);
+    let kills = (surviving..members).map(|member| fault(FaultKind::Kill, member, 40.0, 60.0));
+    Schedule {
         members,
-        length: second(60.0),
-        faults,
-        rules: Rules { budgets: wholes, ..rules },
-        drift: 0.001,
-        wants,
-        ..Plan::drawn(7)
+        duration: micros(60.0),
+        faults: std::iter::once(leave).chain(kills).collect(),
+        settings,
+        clock_drift: 0.001,
+        demands,
+        ..Schedule::random(7)
+    }
+}
+
+/// The mean useful ratio of the rate and of the concurrency over some seconds.
+fn mean_useful_ratios(outcome: &RunOutcome, seconds: Range<f64>) -> String {
+    let times = micros(seconds.start)..micros(seconds.end);
+    let samples = || outcome.samples.iter().filter(|sample| times.contains(&sample.at));
+    let mean = |budget: usize| {
+        let sum: f64 = samples().map(|sample| sample.useful_ratios[budget]).sum();
+        sum / samples().count().max(1) as f64
     };
+    format!("{:.3} {:.3}", mean(0), mean(1))
+}
+
+/// How long it takes from a second on until a second's mean useful ratio of a budget is 0.9.
+fn seconds_to_recover(outcome: &RunOutcome, from: f64, budget: usize) -> f64 {
+    let times = micros(from)..micros(from + 10.0);
+    let samples: Vec<_> = outcome.samples.iter().filter(|sample| times.contains(&sample.at)).collect();
+    let mut seconds = samples.windows(10);
+    let recovered =
+        seconds.find(|second| second.iter().map(|sample| sample.useful_ratios[budget]).sum::<f64>() >= 9.0);
+    recovered.map_or(f64::INFINITY, |second| second[0].at as f64 / 1e6 - from)
+}
+
+fn report_large_fleet(members: usize) {
     let started = Instant::now();
-    let outcome = World::new(&plan).play();
-    let at = |from: f64, to: f64| {
-        let some = outcome.course.iter().filter(|c| (second(from)..second(to)).contains(&c.0));
-        let of = |place: usize| {
-            let xs: Vec<f64> = some.clone().map(|c| c.1[place]).collect();
-            xs.iter().sum::<f64>() / xs.len().max(1) as f64
-        };
-        format!("{:.3} {:.3}", of(0), of(1))
-    };
-    let reaches = |from: f64, place: usize| {
-        // From when on the mean of a second is good.
-        let xs: Vec<_> =
-            outcome.course.iter().filter(|c| (second(from)..second(from + 10.0)).contains(&c.0)).collect();
-        let good = xs.windows(10).find(|w| w.iter().map(|c| c.1[place]).sum::<f64>() >= 9.0);
-        good.map_or(f64::INFINITY, |w| w[0].0 as f64 / 1e6 - from)
-    };
+    let outcome = ModelFleet::new(&large_fleet(members)).run();
+    let useful = |seconds| mean_useful_ratios(&outcome, seconds);
+    let recovery = |from, budget| seconds_to_recover(&outcome, from, budget);
     println!(
         "{members} members: of use, rate and level: {} at 12 to 20 s, {} at 25 to 30 s, {} at 36 to 40 s, {} at 52 to 60 s",
-        at(12.0, 20.0),
-        at(25.0, 30.0),
-        at(36.0, 40.0),
-        at(52.0, 60.0)
+        useful(12.0..20.0),
+        useful(25.0..30.0),
+        useful(36.0..40.0),
+        useful(52.0..60.0)
     );
     println!(
         "  0.9 again after: a leave {:.1} {:.1} s, demand elsewhere {:.1} {:.1} s, most killed {:.1} {:.1} s; above the whole: {}",
-        reaches(20.0, 0),
-        reaches(20.0, 1),
-        reaches(30.0, 0),
-        reaches(30.0, 1),
-        reaches(40.0, 0),
-        reaches(40.0, 1),
-        outcome.above.map_or("never".to_owned(), |a| format!("{a:?}")),
+        recovery(20.0, 0),
+        recovery(20.0, 1),
+        recovery(30.0, 0),
+        recovery(30.0, 1),
+        recovery(40.0, 0),
+        recovery(40.0, 1),
+        outcome.overrun.as_ref().map_or("never".to_owned(), |overrun| format!("{overrun:?}")),
     );
     println!(
         "  store: {:.0} calls, {:.0} writes, {:.0} bytes written a second; played in {:.1} s",
-        outcome.calls as f64 / 60.0,
+        outcome.requests as f64 / 60.0,
         outcome.writes as f64 / 60.0,
-        outcome.bytes as f64 / 60.0,
+        outcome.bytes_written as f64 / 60.0,
         started.elapsed().as_secs_f64()
     );
 }
 
-fn tell(found: &Found) {
-    println!("seed {} members {}: {:?}", found.plan.seed, found.plan.members, found.above);
-    for f in &found.plan.faults {
-        println!("  {:?}", f);
+/// Searches for a planted defect; returns whether it was found.
+fn report_defect(defect: Defect, most: u64) -> bool {
+    let started = Instant::now();
+    let planted = |number| Schedule { defect: Some(defect), ..Schedule::random(1 + number) };
+    let result = search(most, &planted);
+    let Some(NumberedViolation { number, violation }) = result.first else {
+        println!("{defect:?}: NOT FOUND in {} plans", result.schedules);
+        return false;
+    };
+    let smallest = minimize(violation.clone());
+    println!(
+        "{defect:?}: plan {number}, step {} of it, {:.2} s; {} of {} faults needed: {:?}",
+        violation.overrun.steps,
+        started.elapsed().as_secs_f64(),
+        smallest.schedule.faults.len(),
+        violation.schedule.faults.len(),
+        smallest.schedule.faults.iter().map(|fault| fault.kind).collect::<Vec<_>>(),
+    );
+    true
+}
+
+fn print_violation(violation: &Violation) {
+    let Violation { schedule, overrun } = violation;
+    println!("seed {} members {}: {overrun:?}", schedule.seed, schedule.members);
+    for fault in &schedule.faults {
+        println!("  {fault:?}");
     }
 }
 
+fn search_pairs(every: usize) -> SearchResult {
+    let space = ScheduleSpace::default();
+    let base = Schedule { faults: Vec::new(), ..Schedule::random(1) };
+    let faults = space.faults();
+    println!("{} faults, {} pairs", faults.len(), space.pairs());
+    let count = space.pairs().div_ceil(every);
+    search(count as u64, &|number| space.schedule(&faults, number as usize * every, &base))
+}
+
+/// Prints what a search has found.
+fn report_search(result: SearchResult, seconds: f64) -> ExitCode {
+    let SearchResult { schedules, steps, first } = result;
+    println!(
+        "{schedules} plans, {steps} steps in {seconds:.1} s: {:.0} steps a second",
+        steps as f64 / seconds
+    );
+    let Some(NumberedViolation { number, violation }) = first else { return ExitCode::SUCCESS };
+    println!("more than the whole, plan {number}:");
+    print_violation(&violation);
+    println!("with as few faults as show it:");
+    print_violation(&find_violation(&minimize(violation).schedule).expect("it was found before"));
+    ExitCode::from(1)
+}
+
 fn main() -> ExitCode {
     let started = Instant::now();
-    let (played, steps, found) = match Args::parse().what {
-        What::Random { count, from } => search(count, &|i| Plan::drawn(from + i)),
-        What::Pairs { every } => {
-            let (space, base) = (Space::default(), Plan::drawn(1));
-            let faults = space.faults();
-            let base = Plan { faults: Vec::new(), ..base };
-            let count = space.pairs().div_ceil(every.max(1));
-            println!("{} faults, {} pairs", faults.len(), space.pairs());
-            search(count as u64, &|i| space.plan(&faults, i as usize * every.max(1), &base))
-        }
-        What::Fleet { members } => {
-            members.into_iter().for_each(fleet);
+    let result = match Args::parse().command {
+        Command::Random { count, from } => search(count, &|number| Schedule::random(from + number)),
+        Command::Pairs { every } => search_pairs(every.max(1)),
+        Command::Fleet { members } => {
+            members.into_iter().for_each(report_large_fleet);
             return ExitCode::SUCCESS;
         }
-        What::Flaws { most } => {
-            let mut missed = 0;
-            for flaw in Flaw::ALL {
-                let started = Instant::now();
-                let (played, _, found) = search(most, &|i| Plan { flaw: Some(flaw), ..Plan::drawn(1 + i) });
-                match found {
-                    Some((at, found)) => {
-                        let small = shrink(found.clone());
-                        println!(
-                            "{flaw:?}: plan {at}, step {} of it, {:.2} s; {} of {} faults needed: {:?}",
-                            found.above.steps,
-                            started.elapsed().as_secs_f64(),
-                            small.plan.faults.len(),
-                            found.plan.faults.len(),
-                            small.plan.faults.iter().map(|f| f.what).collect::<Vec<_>>(),
-                        );
-                    }
-                    None => {
-                        missed += 1;
-                        println!("{flaw:?}: NOT FOUND in {played} plans");
-                    }
-                }
-            }
+        Command::Flaws { most } => {
+            let missed = Defect::ALL.into_iter().filter(|defect| !report_defect(*defect, most)).count();
             return if missed == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) };
         }
     };
-    let seconds = started.elapsed().as_secs_f64();
-    println!("{played} plans, {steps} steps in {seconds:.1} s: {:.0} steps a second", steps as f64 / seconds);
-    match found {
-        Some((at, found)) => {
-            println!("more than the whole, plan {at}:");
-            tell(&found);
-            println!("with as few faults as show it:");
-            tell(&look(&shrink(found).plan).expect("it was found before"));
-            ExitCode::from(1)
-        }
-        None => ExitCode::SUCCESS,
-    }
+    report_search(result, started.elapsed().as_secs_f64())
 }
--- /dev/null
+++ b/crates/budgets/src/leader/grants.rs
@@ -0,0 +1,137 @@
+//! Which grants are written next.
+
+use shorewharf_units::Micros;
+
+use super::targets::BudgetPlan;
+use super::{DepartedMember, Leader, MemberKey, MemberState};
+use crate::records::{Grant, amount_of};
+use crate::settings::{Budget, BudgetKind, BudgetSettings};
+
+/// Grants in one write at most: the store takes a hundred records at once, of which one is the leader's and two may be
+/// removed.
+const MAX_GRANTS_PER_WRITE: usize = 97;
+
+/// What is written next.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct GrantRound {
+    /// Grants that have changed, or that confirm a heartbeat.
+    pub grants: Vec<(MemberKey, Grant)>,
+    /// An incarnation whose records are to be removed.
+    pub departed: Option<DepartedMember>,
+}
+
+impl Leader {
+    /// Decides what is written next.
+    pub(crate) fn next_grants(&mut self, now: Micros, settings: &BudgetSettings) -> GrantRound {
+        self.expire_leases(now, settings);
+        let members = self.latest_alive_incarnations(now, settings);
+        let budgets = &settings.budgets;
+        let mut plans: Vec<BudgetPlan> =
+            budgets.iter().map(|budget| self.plan(now, settings, budget, &members)).collect();
+        let is_concurrency_known = now >= self.concurrency_known_from;
+        let mut grants = Vec::new();
+        for index in self.grant_order(budgets, &plans, &members) {
+            if grants.len() >= MAX_GRANTS_PER_WRITE {
+                break;
+            }
+            let key = &members[index];
+            let Some(member) = self.members.get_mut(key) else { continue };
+            let mut is_changed = member.epoch == 0;
+            for (budget, plan) in budgets.iter().zip(&mut plans) {
+                is_changed |= member.update_allocation(budget, plan, index, is_concurrency_known);
+            }
+            if is_changed {
+                self.epoch += 1;
+                member.epoch = self.epoch;
+            }
+            if is_changed || member.record.heartbeat > member.confirmed_heartbeat {
+                member.confirmed_heartbeat = member.record.heartbeat;
+                grants.push((key.clone(), member.grant(key.incarnation, self.term)));
+            }
+        }
+        GrantRound { grants, departed: self.departed.pop() }
+    }
+
+    /// The members that are alive: of two incarnations of a name, the later one.
+    fn latest_alive_incarnations(&self, now: Micros, settings: &BudgetSettings) -> Vec<MemberKey> {
+        let alive = self.members.iter().filter(|(_, member)| member.is_alive(now, settings));
+        let alive: Vec<&MemberKey> = alive.map(|(key, _)| key).collect();
+        let is_latest = |key: &MemberKey| {
+            !alive.iter().any(|other| other.name == key.name && other.incarnation > key.incarnation)
+        };
+        alive.iter().filter(|key| is_latest(key)).map(|key| (*key).clone()).collect()
+    }
+
+    /// Indices of the members in the order of their grants: smaller allocations first, since the others wait for what
+    /// they give back, then those whose lease ends first.
+    fn grant_order(&self, budgets: &[Budget], plans: &[BudgetPlan], members: &[MemberKey]) -> Vec<usize> {
+        let shrinks = |index: usize| {
+            let member = &self.members[&members[index]];
+            let mut budgets = budgets.iter().zip(plans);
+            budgets.any(|(budget, plan)| plan.targets[index] < amount_of(&member.allocation, &budget.name))
+        };
+        let mut order: Vec<usize> = (0..members.len()).collect();
+        order.sort_by_cached_key(|index| {
+            let key = &members[*index];
+            (!shrinks(*index), self.members[key].heartbeat_read_at, key.clone())
+        });
+        order
+    }
+}
+
+impl MemberState {
+    /// Updates the allocation of one budget towards its target; returns whether it has changed.
+    fn update_allocation(
+        &mut self,
+        budget: &Budget,
+        plan: &mut BudgetPlan,
+        index: usize,
+        is_concurrency_known: bool,
+    ) -> bool {
+        let allocated = amount_of(&self.allocation, &budget.name);
+        let possible_use = amount_of(&self.possible_use, &budget.name);
+        let target = plan.targets[index];
+        let is_unknown = budget.kind == BudgetKind::Concurrency && !is_concurrency_known;
+        let next = if is_unknown {
+            // What is in use may stay, and nobody gets more.
+            amount_of(&self.record.in_use, &budget.name)
+        } else if target <= allocated {
+            target
+        } else if plan.is_overdrawn {
+            self.overdrawn_allocation(budget, target)
+        } else {
+            // Up to what may be in use already nothing has to be free.
+            let raise = (target - possible_use).max(0.0).min(plan.free);
+            let raise = if budget.kind == BudgetKind::Concurrency { raise.floor() } else { raise };
+            target.min(possible_use + raise).max(allocated)
+        };
+        if next == allocated {
+            return false;
+        }
+        plan.free -= (next - possible_use).max(0.0);
+        self.possible_use.insert(budget.name.clone(), possible_use.max(next));
+        self.allocation.insert(budget.name.clone(), next);
+        true
+    }
+
+    /// The allocation where more may be in use than there is: it is not raised. For the first grant in a term what an
+    /// earlier record says may be in use may have been allocated to others since; what is in use may stay.
+    fn overdrawn_allocation(&self, budget: &Budget, target: f64) -> f64 {
+        let allocated = amount_of(&self.allocation, &budget.name);
+        if self.epoch > 0 {
+            return allocated;
+        }
+        allocated.max(target.min(amount_of(&self.record.in_use, &budget.name)))
+    }
+
+    fn grant(&self, incarnation: u64, term: u64) -> Grant {
+        Grant {
+            incarnation,
+            term,
+            epoch: self.epoch,
+            heartbeat: self.record.heartbeat,
+            allocation: self.allocation.clone(),
+            possible_use: self.possible_use.clone(),
+        }
+    }
+}
--- a/crates/budgets/src/model/mod.rs
+++ b/crates/budgets/src/model/mod.rs
@@ -1,418 +1,391 @@
-//! A made-up fleet in true time: members with clocks of their own before one store, with everything that goes wrong between
-//! them, and an observer who sees at every moment what is in force at all of them together. A run is its [`Plan`]: the same plan
-//! plays the same way.
+//! A model fleet in true time: members with clocks of their own before one store, with everything that goes wrong
+//! between them, and an observer who sees at every moment what is in force at all of them together. A run is its
+//! [`Schedule`]: the same schedule always runs the same way.
 
-mod faults;
-mod flaws;
+mod defect;
+mod fault;
+mod observer;
 mod process;
+mod schedule;
 mod search;
 mod store;
 
-use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub use faults::{Fault, What};
-pub use flaws::Flaw;
+pub use defect::Defect;
+pub use fault::{Fault, FaultKind};
+pub use observer::{BudgetOverrun, MemberUse};
 use process::Process;
-pub use search::{Found, Space, look, shrink};
-use store::Store;
+pub use schedule::{DemandRatio, Schedule};
+pub use search::{ScheduleSpace, Violation, find_violation, minimize};
+use store::ModelStore;
 
-use crate::call::{Call, Failed, Reply};
-use crate::rules::{Budget, Kind, Rules};
+use crate::store_request::{NoResponse, StoreRequest, StoreResponse};
+use shorewharf_units::Micros;
 
-/// A call is given up after so long.
-const CALL: Micros = 700_000;
+/// A request is given up after so long.
+const REQUEST_TIMEOUT: Micros = 700_000;
 /// Copies of the store are kept so often.
-const COPY: Micros = 500_000;
+const COPY_INTERVAL: Micros = 500_000;
 /// Demand comes and goes so often at each process.
-const WORK: Micros = 100_000;
-
-/// A run.
-#[derive(Clone, Debug)]
-pub struct Plan {
-    /// The seed of all draws.
-    pub seed: u64,
-    /// How many members.
-    pub members: usize,
-    /// How long, in true time.
-    pub length: Micros,
-    /// What goes wrong.
-    pub faults: Vec<Fault>,
-    /// The terms; places are the members' own.
-    pub rules: Rules,
-    /// Clocks run apart by so much at most, as a share.
-    pub drift: f64,
-    /// What each member wants of every budget, as a share of the whole; the first one's until half of the run, then the second's.
-    pub wants: Vec<(f64, f64)>,
-    /// What is planted.
-    pub flaw: Option<Flaw>,
-}
-
-impl Plan {
-    /// A plan drawn from a seed: some members, faults of all kinds, demand at few of them.
-    pub fn drawn(seed: u64) -> Plan {
-        let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x706c_616e);
-        let members = rng.random_range(2..=6);
-        let rules = Rules { members: members.max(4), ..Plan::terms() };
-        let length = 20_000_000;
-        let count = rng.random_range(1..=6);
-        let faults = faults::draw(&mut rng, count, members, length * 3 / 4, rules.lease);
-        let want = |rng: &mut Pcg64Mcg| if rng.random_bool(0.4) { 1.2 } else { rng.random_range(0.0..0.3) };
-        let wants = (0..members).map(|_| (want(&mut rng), want(&mut rng))).collect();
-        Plan { seed, members, length, faults, rules, drift: 0.045, wants, flaw: None }
-    }
-
-    /// Terms of the runs: a lease of a second and a half, one rate and one level.
-    pub fn terms() -> Rules {
-        let budget = |name: &str, kind, whole| Budget { name: name.to_owned(), kind, whole };
-        Rules {
-            budgets: vec![budget("rate", Kind::Rate, 100.0), budget("level", Kind::Level, 60.0)],
-            lease: 1_500_000,
-            margin: 150_000,
-            look: 150_000,
-            linger: 1_500_000,
-            reserve: 0.1,
-            floor: 0.1,
-            members: 6,
-            place: 0,
-        }
-    }
-}
+const DEMAND_INTERVAL: Micros = 100_000;
+/// Processes start within this time.
+const MAX_START_DELAY: Micros = 1_000_000;
+/// A request or a response takes no less.
+const MIN_LATENCY: Micros = 500;
+/// A request or a response usually takes less.
+const MAX_LATENCY: Micros = 10_000;
+/// A slow request takes less.
+const MAX_SLOW_LATENCY: Micros = 1_500_000;
+/// A duplicate arrives within this time after the request.
+const MAX_DUPLICATE_DELAY: Micros = 1_000_000;
+/// Stale reads are answered from less than so many copies ago.
+const MAX_STALENESS: usize = 6;
 
-/// More was in force than the whole.
+/// How much of each budget was of use at a moment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Above {
+pub struct UseSample {
     /// When, in true time.
     pub at: Micros,
-    /// Which budget.
-    pub budget: String,
-    /// How much was in force, of what whole.
-    pub sum: f64,
-    /// The whole.
-    pub whole: f64,
-    /// Steps until then.
-    pub steps: u64,
-    /// Who had what.
-    pub parts: Vec<(usize, f64)>,
+    /// By budget: what was in force where it was wanted, over what could have been.
+    pub useful_ratios: Vec<f64>,
 }
 
 /// What came of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
-    /// More than the whole was in force.
-    pub above: Option<Above>,
-    /// Steps.
+pub struct RunOutcome {
+    /// More than the total was in force.
+    pub overrun: Option<BudgetOverrun>,
+    /// Events until the end.
     pub steps: u64,
-    /// How much of each budget was of use, by time: what was in force where it was wanted, over what could have been.
-    pub course: Vec<(Micros, Vec<f64>)>,
-    /// Calls on the store, writes among them, and their bytes.
-    pub calls: u64,
-    /// Writes.
+    /// How much of each budget was of use, by time.
+    pub samples: Vec<UseSample>,
+    /// Requests to the store.
+    pub requests: u64,
+    /// Those of them that write.
     pub writes: u64,
     /// Bytes written.
-    pub bytes: u64,
+    pub bytes_written: u64,
+}
+
+/// A request on its way to the store.
+#[derive(Clone, Debug)]
+struct RequestInFlight {
+    process: usize,
+    serial: u64,
+    request: StoreRequest,
+    is_duplicate: bool,
+}
+
+/// A response on its way back, or that there is none.
+#[derive(Clone, Debug)]
+struct ResponseInFlight {
+    process: usize,
+    serial: u64,
+    response: Result<StoreResponse, NoResponse>,
 }
 
 /// What is still to happen.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A process looks whether it has something to do.
-    Act(usize),
-    /// Demand comes and goes.
-    Work(usize),
-    /// A call comes at the store.
-    Arrives {
+    /// A process looks whether it has a request to make.
+    Poll {
         process: usize,
-        serial: u64,
-        call: Call,
-        twice: bool,
     },
-    /// An answer comes back, or none does.
-    Answered {
+    /// Demand comes and goes at a process.
+    DemandChanges {
         process: usize,
-        serial: u64,
-        reply: Result<Reply, Failed>,
     },
-    Begins(usize),
-    Ends(usize),
-    Copy,
-    Sample,
-    Starts {
-        who: usize,
+    RequestArrives(RequestInFlight),
+    ResponseArrives(ResponseInFlight),
+    FaultBegins {
+        fault: usize,
+    },
+    FaultEnds {
+        fault: usize,
+    },
+    StoreIsCopied,
+    UseIsSampled,
+    ProcessStarts {
+        member: usize,
     },
 }
 
-/// The fleet while a plan is played.
-pub struct World {
-    plan: Plan,
+/// The fleet while a schedule runs.
+pub struct ModelFleet {
+    schedule: Schedule,
     rng: Pcg64Mcg,
     now: Micros,
-    queue: BTreeMap<(Micros, u64), Event>,
+    /// By time and serial number.
+    events: BTreeMap<(Micros, u64), Event>,
     serial: u64,
-    store: Store,
+    store: ModelStore,
     processes: Vec<Process>,
-    /// Faults in force.
-    active: Vec<Fault>,
-    /// Until when something kept each name from the store.
-    trouble: Vec<Micros>,
+    active_faults: Vec<Fault>,
+    /// By member, until when something kept it from the store.
+    isolated_until: Vec<Micros>,
     steps: u64,
-    forged: u64,
-    course: Vec<(Micros, Vec<f64>)>,
+    forged_grants: u64,
+    samples: Vec<UseSample>,
 }
 
-impl World {
-    /// Before the begin.
-    pub fn new(plan: &Plan) -> World {
-        let mut world = World {
-            plan: plan.clone(),
-            rng: Pcg64Mcg::seed_from_u64(plan.seed),
+impl ModelFleet {
+    /// Creates the fleet before the begin of a run.
+    pub fn new(schedule: &Schedule) -> ModelFleet {
+        let mut fleet = ModelFleet {
+            schedule: schedule.clone(),
+            rng: Pcg64Mcg::seed_from_u64(schedule.seed),
             now: 0,
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             serial: 0,
-            store: Store::new(plan.flaw.and_then(Flaw::careless)),
+            store: ModelStore::new(schedule.defect.and_then(Defect::unchecked_prefix)),
             processes: Vec::new(),
-            active: Vec::new(),
-            trouble: vec![0; plan.members],
+            active_faults: Vec::new(),
+            isolated_until: vec![0; schedule.members],
             steps: 0,
-            forged: 0,
-            course: Vec::new(),
+            forged_grants: 0,
+            samples: Vec::new(),
         };
-        for who in 0..plan.members {
-            let at = world.rng.random_range(0..1_000_000);
-            world.put(at, Event::Starts { who });
+        for member in 0..schedule.members {
+            let at = fleet.rng.random_range(0..MAX_START_DELAY);
+            fleet.schedule_event(at, Event::ProcessStarts { member });
         }
-        for (i, fault) in plan.faults.iter().enumerate() {
-            world.put(fault.at, Event::Begins(i));
+        for (index, fault) in schedule.faults.iter().enumerate() {
+            fleet.schedule_event(fault.begins_at, Event::FaultBegins { fault: index });
         }
-        world.put(COPY, Event::Copy);
-        world.put(0, Event::Sample);
-        world
+        fleet.schedule_event(COPY_INTERVAL, Event::StoreIsCopied);
+        fleet.schedule_event(0, Event::UseIsSampled);
+        fleet
     }
 
-    fn put(&mut self, at: Micros, event: Event) {
+    fn schedule_event(&mut self, at: Micros, event: Event) {
         self.serial += 1;
-        self.queue.insert((at, self.serial), event);
+        self.events.insert((at, self.serial), event);
     }
 
-    /// Plays the plan to its end, or until more is in force than the whole.
-    pub fn play(mut self) -> Outcome {
-        let mut above = None;
-        while let Some(((at, _), event)) = self.queue.pop_first() {
-            if at > self.plan.length {
+    /// Runs the schedule to its end, or until more is in force than the total.
+    pub fn run(mut self) -> RunOutcome {
+        let mut overrun = None;
+        while let Some(((at, _), event)) = self.events.pop_first() {
+            if at > self.schedule.duration {
                 break;
             }
             self.now = at;
             self.steps += 1;
-            self.happens(event);
-            above = self.looks();
-            if above.is_some() {
+            self.handle(event);
+            overrun = self.find_overrun();
+            if overrun.is_some() {
                 break;
             }
         }
-        let figures = self.processes.iter().map(|p| p.member.figures());
-        let (calls, writes, bytes) =
-            figures.fold((0, 0, 0), |t, f| (t.0 + f.calls, t.1 + f.writes, t.2 + f.bytes));
-        Outcome { above, steps: self.steps, course: self.course, calls, writes, bytes }
+        let mut outcome =
+            RunOutcome { overrun, steps: self.steps, samples: self.samples, ..RunOutcome::default() };
+        for stats in self.processes.iter().map(|process| process.member.stats()) {
+            outcome.requests += stats.requests;
+            outcome.writes += stats.writes;
+            outcome.bytes_written += stats.bytes_written;
+        }
+        outcome
     }
 
-    fn struck(&self, who: usize, what: What) -> bool {
-        self.active.iter().any(|f| f.what == what && (f.what.of_store() || f.who == who))
+    fn is_affected(&self, member: usize, kind: FaultKind) -> bool {
+        let affects = |fault: &Fault| fault.kind == kind && (kind.affects_store() || fault.member == member);
+        self.active_faults.iter().any(affects)
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Copy => {
-                self.store.copy();
-                self.put(self.now + COPY, Event::Copy);
+            Event::StoreIsCopied => {
+                self.store.keep_copy();
+                self.schedule_event(self.now + COPY_INTERVAL, Event::StoreIsCopied);
             }
-            Event::Sample => {
-                self.sample();
-                self.put(self.now + WORK, Event::Sample);
+            Event::UseIsSampled => {
+                self.sample_use();
+                self.schedule_event(self.now + DEMAND_INTERVAL, Event::UseIsSampled);
             }
-            Event::Starts { who } => self.starts(who),
-            Event::Begins(i) => self.begins(i),
-            Event::Ends(i) => self.ends(i),
-            Event::Work(at) if self.awake(at, Event::Work(at)) => {
-                let half = self.now < self.plan.length / 2;
-                let (first, second) = self.plan.wants[self.processes[at].who];
-                self.processes[at].works(self.now, if half { first } else { second }, &mut self.rng);
-                self.put(self.now + WORK, Event::Work(at));
+            Event::ProcessStarts { member } => self.start_process(member),
+            Event::FaultBegins { fault } => self.begin_fault(fault),
+            Event::FaultEnds { fault } => self.end_fault(fault),
+            Event::DemandChanges { process } => {
+                if self.is_awake(process, &event) {
+                    self.change_demand(process);
+                }
+            }
+            Event::Poll { process } => {
+                if self.is_awake(process, &event) {
+                    self.poll(process);
+                }
             }
-            Event::Act(at) if self.awake(at, Event::Act(at)) => self.acts(at),
-            Event::Answered { process, serial, reply } => {
-                let again = Event::Answered { process, serial, reply: reply.clone() };
-                if self.awake(process, again) && self.processes[process].out == Some(serial) {
-                    self.processes[process].answered(self.now, reply);
-                    self.acts(process);
+            Event::ResponseArrives(ref response) => {
+                if self.is_awake(response.process, &event) {
+                    self.on_response(response.clone());
                 }
             }
-            Event::Arrives { process, serial, call, twice } => self.arrives(process, serial, call, twice),
-            Event::Work(_) | Event::Act(_) => {}
+            Event::RequestArrives(request) => self.on_request(&request),
         }
     }
 
-    /// Whether a process does something now; one that stands still does it when it wakes.
-    fn awake(&mut self, at: usize, event: Event) -> bool {
-        let p = &self.processes[at];
-        if p.stalled_until > self.now {
-            let wakes = p.stalled_until;
-            self.put(wakes, event);
+    /// Whether a process does something now; a stalled one does it when it wakes.
+    fn is_awake(&mut self, process: usize, event: &Event) -> bool {
+        let Process { stalled_until, is_alive, .. } = self.processes[process];
+        if stalled_until > self.now {
+            self.schedule_event(stalled_until, event.clone());
             return false;
         }
-        p.lives
+        is_alive
     }
 
-    fn starts(&mut self, who: usize) {
-        let at = self.processes.len();
-        // The wall clock that lives are taken from may be wrong by anything.
-        let life = self.rng.random_range(1..1_000_000);
-        let process = Process::new(&self.plan, who, life, self.now, &mut self.rng);
+    fn start_process(&mut self, member: usize) {
+        let index = self.processes.len();
+        let process = Process::start(&self.schedule, member, self.now, &mut self.rng);
         self.processes.push(process);
-        self.put(self.now, Event::Act(at));
-        let works = self.now + self.rng.random_range(0..WORK);
-        self.put(works, Event::Work(at));
+        self.schedule_event(self.now, Event::Poll { process: index });
+        let demand_at = self.now + self.rng.random_range(0..DEMAND_INTERVAL);
+        self.schedule_event(demand_at, Event::DemandChanges { process: index });
     }
 
-    fn begins(&mut self, i: usize) {
-        let fault = self.plan.faults[i];
-        let (who, until) = (fault.who, self.now + fault.len);
-        let lives = |p: &&mut Process| p.lives && p.who == who;
-        self.active.push(fault);
-        if !matches!(fault.what, What::Twice | What::Lowered) {
-            let struck =
-                self.trouble.iter_mut().enumerate().filter(|(i, _)| fault.what.of_store() || *i == who);
-            struck.for_each(|(_, t)| *t = (*t).max(until));
+    fn change_demand(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        let demand_ratio = self.schedule.demand_ratio(self.now, process.member_index);
+        process.update_demand(self.now, demand_ratio, &mut self.rng);
+        self.schedule_event(self.now + DEMAND_INTERVAL, Event::DemandChanges { process: index });
+    }
+
+    fn begin_fault(&mut self, index: usize) {
+        let fault = self.schedule.faults[index];
+        let ends_at = self.now + fault.duration;
+        self.active_faults.push(fault);
+        if fault.kind.isolates_members() {
+            for (member, isolated_until) in self.isolated_until.iter_mut().enumerate() {
+                if fault.kind.affects_store() || member == fault.member {
+                    *isolated_until = (*isolated_until).max(ends_at);
+                }
+            }
         }
-        match fault.what {
-            What::Stall => {
-                if let Some(p) = self.processes.iter_mut().find(lives) {
-                    p.stalled_until = p.stalled_until.max(until);
+        let is_affected = |process: &&mut Process| process.is_alive && process.member_index == fault.member;
+        match fault.kind {
+            FaultKind::Stall => {
+                if let Some(process) = self.processes.iter_mut().find(is_affected) {
+                    process.stalled_until = process.stalled_until.max(ends_at);
                 }
             }
-            What::Killed => self.processes.iter_mut().filter(lives).for_each(|p| p.lives = false),
-            What::Left => {
-                let now = self.now;
-                self.processes.iter_mut().filter(lives).for_each(|p| p.leaves(now));
+            FaultKind::Kill => {
+                self.processes.iter_mut().filter(is_affected).for_each(|process| process.is_alive = false);
             }
-            What::Twice => self.starts(who),
-            What::Lowered => {
-                let rules = &mut self.plan.rules;
-                rules.budgets.iter_mut().for_each(|b| b.whole = (b.whole / 2.0).floor());
-                let rules = self.plan.rules.clone();
-                for p in self.processes.iter_mut().filter(|p| p.lives) {
-                    p.told_of(self.now, &rules, &mut self.rng);
-                }
+            FaultKind::GracefulLeave => {
+                let now = self.now;
+                self.processes.iter_mut().filter(is_affected).for_each(|process| process.leave(now));
             }
+            FaultKind::DuplicateProcess => self.start_process(fault.member),
+            FaultKind::TotalsLowered => self.lower_totals(),
             _ => {}
         }
-        self.put(until, Event::Ends(i));
+        self.schedule_event(ends_at, Event::FaultEnds { fault: index });
+    }
+
+    fn lower_totals(&mut self) {
+        for budget in &mut self.schedule.settings.budgets {
+            budget.total = (budget.total / 2.0).floor();
+        }
+        for process in self.processes.iter_mut().filter(|process| process.is_alive) {
+            process.on_settings_changed(self.now, &self.schedule.settings, &mut self.rng);
+        }
     }
 
-    fn ends(&mut self, i: usize) {
-        let fault = self.plan.faults[i];
-        self.active.retain(|f| *f != fault);
-        match fault.what {
-            What::Killed | What::Left => {
-                let who = fault.who;
+    fn end_fault(&mut self, index: usize) {
+        let fault = self.schedule.faults[index];
+        self.active_faults.retain(|active| *active != fault);
+        match fault.kind {
+            FaultKind::Kill | FaultKind::GracefulLeave => {
                 // One that left and could not say so is ended all the same.
-                self.processes.iter_mut().filter(|p| p.who == who).for_each(|p| p.lives = false);
-                self.starts(who);
+                for process in &mut self.processes {
+                    process.is_alive &= process.member_index != fault.member;
+                }
+                self.start_process(fault.member);
+            }
+            FaultKind::StoreSetBack => {
+                self.store.set_back((fault.duration / COPY_INTERVAL) as usize + 2);
             }
-            What::SetBack => self.store.set_back((fault.len / COPY) as usize + 2),
-            What::Wiped => self.store.wipe(),
+            FaultKind::StoreWiped => self.store.wipe(),
             _ => {}
         }
     }
 
-    fn acts(&mut self, at: usize) {
-        let p = &mut self.processes[at];
-        if p.out.is_some() {
+    /// Sends a process's next request, or sets the time of its next poll.
+    fn poll(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        if process.pending_request.is_some() {
             return;
         }
-        let Some(mut call) = p.next(self.now) else {
-            let due = p.next_due(self.now);
-            if due < Micros::MAX {
-                self.put(due.max(self.now + 1), Event::Act(at));
+        let Some(mut request) = process.next_request(self.now) else {
+            if let Some(deadline) = process.next_deadline() {
+                self.schedule_event(deadline.max(self.now + 1), Event::Poll { process: index });
             }
             return;
         };
-        if let Some(flaw) = self.plan.flaw {
-            flaw.on_the_way(&mut call, &self.store);
+        if let Some(defect) = self.schedule.defect {
+            defect.in_request(&mut request, &self.store);
         }
         self.serial += 1;
-        let (serial, who) = (self.serial, p.who);
-        p.out = Some(serial);
-        self.put(self.now + CALL, Event::Answered { process: at, serial, reply: Err(Failed) });
-        if self.struck(who, What::Cut) {
+        process.pending_request = Some(self.serial);
+        let member = process.member_index;
+        self.send(
+            member,
+            RequestInFlight { process: index, serial: self.serial, request, is_duplicate: false },
+        );
+    }
+
+    fn send(&mut self, member: usize, request: RequestInFlight) {
+        let (process, serial) = (request.process, request.serial);
+        let timed_out = ResponseInFlight { process, serial, response: Err(NoResponse) };
+        self.schedule_event(self.now + REQUEST_TIMEOUT, Event::ResponseArrives(timed_out));
+        if self.is_affected(member, FaultKind::Partition) {
             return;
         }
-        let way = if self.struck(who, What::Slow) { 1_500_000 } else { 10_000 };
-        let comes = self.now + self.rng.random_range(500..way);
-        let doubled = self.struck(who, What::Doubled);
-        let arrives = |twice| Event::Arrives { process: at, serial, call: call.clone(), twice };
-        let (first, second) = (arrives(false), arrives(true));
-        self.put(comes, first);
-        if doubled {
-            let later = comes + self.rng.random_range(0..1_000_000);
-            self.put(later, second);
+        let is_slow = self.is_affected(member, FaultKind::SlowRequests);
+        let max_latency = if is_slow { MAX_SLOW_LATENCY } else { MAX_LATENCY };
+        let arrives_at = self.now + self.rng.random_range(MIN_LATENCY..max_latency);
+        let duplicate = RequestInFlight { is_duplicate: true, ..request.clone() };
+        self.schedule_event(arrives_at, Event::RequestArrives(request));
+        if self.is_affected(member, FaultKind::DuplicateRequests) {
+            let arrives_again_at = arrives_at + self.rng.random_range(0..MAX_DUPLICATE_DELAY);
+            self.schedule_event(arrives_again_at, Event::RequestArrives(duplicate));
         }
     }
 
-    fn arrives(&mut self, process: usize, serial: u64, call: Call, twice: bool) {
-        let who = self.processes[process].who;
-        if [What::Down, What::SetBack, What::Wiped].into_iter().any(|what| self.struck(who, what)) {
+    /// A request arrives at the store.
+    fn on_request(&mut self, arrived: &RequestInFlight) {
+        let member = self.processes[arrived.process].member_index;
+        let is_affected = |kind| self.is_affected(member, kind);
+        if FaultKind::ALL.into_iter().any(|kind| kind.affects_store() && is_affected(kind)) {
             return;
         }
-        let stale = self.struck(who, What::Stale).then(|| self.rng.random_range(0..6));
-        let mut reply = self.store.call(&call, stale);
-        if let Some(flaw) = self.plan.flaw {
-            flaw.on_the_way_back(&mut reply, &mut self.forged);
+        let is_stale = is_affected(FaultKind::StaleReads);
+        let is_lost = arrived.is_duplicate
+            || is_affected(FaultKind::ResponsesLost)
+            || is_affected(FaultKind::Partition);
+        let staleness = is_stale.then(|| self.rng.random_range(0..MAX_STALENESS));
+        let mut response = self.store.handle(&arrived.request, staleness);
+        if let Some(defect) = self.schedule.defect {
+            defect.in_response(&mut response, &mut self.forged_grants);
         }
-        if !twice && !self.struck(who, What::AnswersLost) && !self.struck(who, What::Cut) {
-            let back = self.now + self.rng.random_range(500..10_000);
-            self.put(back, Event::Answered { process, serial, reply: Ok(reply) });
+        if !is_lost {
+            let arrives_at = self.now + self.rng.random_range(MIN_LATENCY..MAX_LATENCY);
+            let RequestInFlight { process, serial, .. } = *arrived;
+            let returned = ResponseInFlight { process, serial, response: Ok(response) };
+            self.schedule_event(arrives_at, Event::ResponseArrives(returned));
         }
     }
 
-    /// How much of each budget is of use now.
-    fn sample(&mut self) {
-        let half = self.now < self.plan.length / 2;
-        let of = |(place, b): (usize, &Budget)| {
-            let living = self.processes.iter().filter(|p| p.lives);
-            let (used, wanted) = living.fold((0.0, 0.0), |t, p| {
-                let (first, second) = self.plan.wants[p.who];
-                let want = b.whole * if half { first } else { second };
-                (t.0 + p.in_force(self.now, place).min(want), t.1 + want)
-            });
-            used / b.whole.min(wanted).max(f64::MIN_POSITIVE)
-        };
-        let shares = self.plan.rules.budgets.iter().enumerate().map(of).collect();
-        self.course.push((self.now, shares));
-    }
-
-    /// What is in force at all processes together, held against the whole.
-    fn looks(&mut self) -> Option<Above> {
-        for (place, budget) in self.plan.rules.budgets.clone().iter().enumerate() {
-            let rules = &self.plan.rules;
-            let settled = rules.lease + rules.margin + rules.linger + CALL;
-            let seen = |p: &Process| {
-                let quiet = self.now > self.trouble[p.who] + settled;
-                p.seen(self.now, place, budget.kind, &self.processes, quiet)
-            };
-            let parts: Vec<(usize, f64)> =
-                self.processes.iter().filter(|p| p.lives).map(|p| (p.who, seen(p))).collect();
-            let sum: f64 = parts.iter().map(|p| p.1).sum();
-            // One that was lowered is in force when it has been told to all, and what stood before has ended.
-            let living = self.processes.iter().filter(|p| p.lives);
-            let whole = living.map(|p| p.whole(place)).fold(budget.whole, f64::max);
-            if sum > whole + 1e-6 {
-                let budget = budget.name.clone();
-                return Some(Above { at: self.now, budget, sum, whole, steps: self.steps, parts });
-            }
+    /// A response arrives at a process, unless it has given the request up.
+    fn on_response(&mut self, arrived: ResponseInFlight) {
+        let process = &mut self.processes[arrived.process];
+        if process.pending_request == Some(arrived.serial) {
+            process.on_response(self.now, arrived.response);
+            self.poll(arrived.process);
         }
-        None
     }
 }
--- a/crates/budgets/src/model/store.rs
+++ b/crates/budgets/src/model/store.rs
@@ -1,94 +1,106 @@
-//! The store of a made-up fleet: records with revisions, kept copies, and what is wrong with it.
+//! The store of the model fleet: records with revisions, and copies of them from before.
 
 use std::collections::BTreeMap;
 
-use crate::call::{Call, Condition, Record, Reply};
+use crate::store_request::{Precondition, StoreRequest, StoreResponse, StoredRecord, WriteBatch};
 
-type Records = BTreeMap<String, Record>;
+/// Copies that are kept.
+const MAX_COPIES: usize = 64;
 
-/// A store.
+/// The records by key, at one revision.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Store {
-    records: Records,
+struct StoreState {
     revision: u64,
-    /// As it was at some times: what stale members show, and what it may be set back to.
-    copies: Vec<(u64, Records)>,
-    /// Conditions on records whose names begin so are not looked at.
-    careless: Option<&'static str>,
+    records: BTreeMap<String, StoredRecord>,
 }
 
-/// Copies that are kept.
-const COPIES: usize = 64;
+/// A store.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ModelStore {
+    current: StoreState,
+    /// States from before, the oldest first: what stale reads show, and what the store may be set back to.
+    copies: Vec<StoreState>,
+    /// Preconditions on keys with this prefix are not checked.
+    unchecked_prefix: Option<&'static str>,
+}
 
-impl Store {
-    /// An empty one.
-    pub(super) fn new(careless: Option<&'static str>) -> Store {
-        Store { careless, ..Store::default() }
+impl ModelStore {
+    /// An empty store.
+    pub(super) fn new(unchecked_prefix: Option<&'static str>) -> ModelStore {
+        ModelStore { unchecked_prefix, ..ModelStore::default() }
     }
 
     /// Keeps a copy.
-    pub(super) fn copy(&mut self) {
-        self.copies.push((self.revision, self.records.clone()));
-        if self.copies.len() > COPIES {
+    pub(super) fn keep_copy(&mut self) {
+        self.copies.push(self.current.clone());
+        if self.copies.len() > MAX_COPIES {
             self.copies.remove(0);
         }
     }
 
-    /// Sets it back to a copy of so many times ago. Revisions go on from there as if nothing had come after.
+    /// Sets the store back by so many copies. Revisions go on from there as if nothing had come after.
     pub(super) fn set_back(&mut self, by: usize) {
-        let keep = self.copies.len().saturating_sub(by.max(1));
-        self.copies.truncate(keep.max(1));
-        if let Some((revision, records)) = self.copies.last().cloned() {
-            (self.revision, self.records) = (revision, records);
+        let kept = self.copies.len().saturating_sub(by.max(1));
+        self.copies.truncate(kept.max(1));
+        if let Some(copy) = self.copies.last() {
+            self.current = copy.clone();
         }
     }
 
-    /// Everything is lost.
+    /// Loses everything.
     pub(super) fn wipe(&mut self) {
-        (self.records, self.revision, self.copies) = (Records::new(), 0, Vec::new());
+        (self.current, self.copies) = (StoreState::default(), Vec::new());
     }
 
-    /// A call's end; reads are answered from a copy of so many times ago where `stale` says so.
-    pub(super) fn call(&mut self, call: &Call, stale: Option<usize>) -> Reply {
-        let old = stale.and_then(|by| self.copies.iter().rev().nth(by)).map(|(_, records)| records);
-        let seen = old.unwrap_or(&self.records);
-        match call {
-            Call::Read(names) => Reply::Read(names.iter().map(|name| seen.get(name).cloned()).collect()),
-            Call::List(prefix) => {
-                let all = seen.range(prefix.clone()..).take_while(|(name, _)| name.starts_with(prefix));
-                Reply::Listed(all.map(|(name, record)| (name.clone(), record.clone())).collect())
+    /// Carries out a request; reads are answered from the copy `staleness` copies ago, if there is one.
+    pub(super) fn handle(&mut self, request: &StoreRequest, staleness: Option<usize>) -> StoreResponse {
+        let stale = staleness.and_then(|copies| self.copies.iter().rev().nth(copies));
+        let records = &stale.unwrap_or(&self.current).records;
+        match request {
+            StoreRequest::Read(keys) => {
+                StoreResponse::Read(keys.iter().map(|key| records.get(key).cloned()).collect())
             }
-            Call::Write { conditions, writes } => {
-                if !conditions.iter().all(|c| self.holds(c)) {
-                    return Reply::Conflict;
+            StoreRequest::List(prefix) => {
+                let listed = records.range(prefix.clone()..).take_while(|(key, _)| key.starts_with(prefix));
+                StoreResponse::Listed(listed.map(|(key, record)| (key.clone(), record.clone())).collect())
+            }
+            StoreRequest::Write(batch) => self.write(batch),
+        }
+    }
+
+    fn write(&mut self, batch: &WriteBatch) -> StoreResponse {
+        if !batch.preconditions.iter().all(|precondition| self.holds(precondition)) {
+            return StoreResponse::Conflict;
+        }
+        let state = &mut self.current;
+        state.revision += 1;
+        for (key, text) in &batch.writes {
+            match text {
+                Some(text) => {
+                    let record = StoredRecord { revision: state.revision, text: text.clone() };
+                    state.records.insert(key.clone(), record);
                 }
-                self.revision += 1;
-                for (name, text) in writes {
-                    match text {
-                        Some(text) => {
-                            let record = Record { revision: self.revision, text: text.clone() };
-                            self.records.insert(name.clone(), record);
-                        }
-                        None => {
-                            self.records.remove(name);
-                        }
-                    }
+                None => {
+                    state.records.remove(key);
                 }
-                Reply::Written(self.revision)
             }
         }
+        StoreResponse::Written(state.revision)
     }
 
-    fn holds(&self, condition: &Condition) -> bool {
-        let (name, found) = match condition {
-            Condition::Absent(name) => (name, !self.records.contains_key(name)),
-            Condition::At(name, at) => (name, self.records.get(name).is_some_and(|r| r.revision == *at)),
+    fn holds(&self, precondition: &Precondition) -> bool {
+        let records = &self.current.records;
+        let (key, holds) = match precondition {
+            Precondition::Absent(key) => (key, !records.contains_key(key)),
+            Precondition::Unchanged(key, revision) => {
+                (key, records.get(key).is_some_and(|record| record.revision == *revision))
+            }
         };
-        found || self.careless.is_some_and(|prefix| name.starts_with(prefix))
+        holds || self.unchecked_prefix.is_some_and(|prefix| key.starts_with(prefix))
     }
 
-    /// A record's text, to be changed.
-    pub(super) fn text(&self, name: &str) -> Option<&[u8]> {
-        self.records.get(name).map(|r| &r.text[..])
+    /// A record's text.
+    pub(super) fn text(&self, key: &str) -> Option<&[u8]> {
+        self.current.records.get(key).map(|record| &record.text[..])
     }
 }
--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write;
 
-use shorewharf_budgets::model::{Plan, World};
+use shorewharf_budgets::model::{ModelFleet, Schedule};
 
 const FIXTURE: &str = include_str!("fixtures/replay.txt");
 
@@ -21,12 +21,14 @@
 fn pinned_runs_of_the_fleet_come_out_as_in_the_fixture() {
     let mut replayed = String::new();
     for seed in 1..=60 {
-        let outcome = World::new(&Plan::drawn(seed)).play();
-        let course = outcome.course.iter();
-        let course =
-            course.flat_map(|(at, shares)| [*at].into_iter().chain(shares.iter().map(|s| s.to_bits())));
-        let (steps, calls, writes, bytes) = (outcome.steps, outcome.calls, outcome.writes, outcome.bytes);
-        let course = digest(course);
+        let outcome = ModelFleet::new(&Schedule::random(seed)).run();
+        let samples = outcome.samples.iter();
+        let values = samples.flat_map(|sample| {
+            std::iter::once(sample.at).chain(sample.useful_ratios.iter().map(|ratio| ratio.to_bits()))
+        });
+        let (steps, calls, writes, bytes) =
+            (outcome.steps, outcome.requests, outcome.writes, outcome.bytes_written);
+        let course = digest(values);
         writeln!(
             replayed,
             "seed={seed} steps={steps} calls={calls} writes={writes} bytes={bytes} course={course:016x}"
--- a/crates/budgets/tests/stored_records.rs
+++ b/crates/budgets/tests/stored_records.rs
@@ -5,9 +5,12 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use shorewharf_budgets::rows::{Amounts, GRANT, Grant, HEAD, Head, MEMBER, Row, grant_name, granted_to};
+use shorewharf_budgets::records::{
+    BudgetAmounts, GRANT_PREFIX, Grant, GrantNumber, LEADER_KEY, LeaderRecord, MEMBER_PREFIX, MemberRecord,
+    grant_key, member_key, parse_grant_key,
+};
 
-fn amounts(pairs: &[(&str, f64)]) -> Amounts {
+fn amounts(pairs: &[(&str, f64)]) -> BudgetAmounts {
     pairs.iter().map(|(budget, amount)| ((*budget).to_owned(), *amount)).collect()
 }
 
@@ -20,42 +23,43 @@
 
 #[test]
 fn the_leaders_record_is_stored_under_its_names() {
-    let head = Head { term: 1_048_577, turn: 3, leader: "n1".to_owned(), life: 5 };
+    let head = LeaderRecord { term: 1_048_577, write_count: 3, leader: "n1".to_owned(), incarnation: 5 };
     check(&head, include_str!("fixtures/head.json"));
 }
 
 #[test]
 fn a_members_record_is_stored_under_its_names() {
-    let row = Row {
-        life: 5,
-        beat: 6,
+    let member = MemberRecord {
+        incarnation: 5,
+        heartbeat: 6,
         term: 1_048_577,
-        acked: (1_048_576, 8),
-        wants: amounts(&[("level", 2.0), ("rate", 1.5)]),
-        holds: amounts(&[("level", 3.0), ("rate", 0.25)]),
-        wholes: amounts(&[("level", 60.0), ("rate", 100.0)]),
-        left: true,
+        acknowledged: GrantNumber { term: 1_048_576, epoch: 8 },
+        demand: amounts(&[("level", 2.0), ("rate", 1.5)]),
+        in_use: amounts(&[("level", 3.0), ("rate", 0.25)]),
+        totals: amounts(&[("level", 60.0), ("rate", 100.0)]),
+        has_left: true,
     };
-    check(&row, include_str!("fixtures/member.json"));
+    check(&member, include_str!("fixtures/member.json"));
 }
 
 #[test]
 fn a_grant_is_stored_under_its_names() {
     let grant = Grant {
-        life: 5,
+        incarnation: 5,
         term: 1_048_577,
         epoch: 8,
-        heard: 6,
-        parts: amounts(&[("level", 10.0), ("rate", 12.5)]),
-        may: amounts(&[("level", 11.0), ("rate", 13.5)]),
+        heartbeat: 6,
+        allocation: amounts(&[("level", 10.0), ("rate", 12.5)]),
+        possible_use: amounts(&[("level", 11.0), ("rate", 13.5)]),
     };
     check(&grant, include_str!("fixtures/grant.json"));
 }
 
 #[test]
 fn records_keep_their_keys() {
-    assert_eq!((HEAD, MEMBER, GRANT), ("head", "member/", "grant/"));
-    assert_eq!(grant_name("n1", 5), "grant/n1/5");
-    assert_eq!(granted_to("grant/n1/5"), Some(("n1", 5)));
-    assert_eq!(granted_to("member/n1"), None);
+    assert_eq!((LEADER_KEY, MEMBER_PREFIX, GRANT_PREFIX), ("head", "member/", "grant/"));
+    assert_eq!(grant_key("n1", 5), "grant/n1/5");
+    assert_eq!(member_key("n1"), "member/n1");
+    assert_eq!(parse_grant_key("grant/n1/5"), Some(("n1", 5)));
+    assert_eq!(parse_grant_key("member/n1"), None);
 }
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use shorewharf_budgets::Parts;
+use shorewharf_budgets::Allocations;
 use shorewharf_decisions::interface::{Request, Settings};
 use shorewharf_settings::operator::Operator;
 use shorewharf_units::{Micros, micros_from_seconds};
@@ -17,7 +17,7 @@
 /// Which budgets requests are held against. The parts change from another thread; they are locked for a few instructions.
 #[derive(Clone, Debug)]
 pub struct Budgets {
-    parts: Arc<Mutex<Parts>>,
+    parts: Arc<Mutex<Allocations>>,
     /// The budget of set-ups a second.
     set_ups: Option<usize>,
     /// By tenant, the budget of its standing connections.
@@ -37,7 +37,7 @@
 impl Budgets {
     /// The set-ups of all, and each tenant's connections, where there is a budget of them.
     pub fn new(
-        parts: Arc<Mutex<Parts>>,
+        parts: Arc<Mutex<Allocations>>,
         set_ups: Option<usize>,
         tenants: Vec<Option<usize>>,
         set: &Settings,
@@ -46,7 +46,7 @@
         Budgets { parts, set_ups, tenants, longest: longest(set), queue: 0, spread: 0.0, moves, looked: 0 }
     }
 
-    fn parts(&self) -> MutexGuard<'_, Parts> {
+    fn parts(&self) -> MutexGuard<'_, Allocations> {
         self.parts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -77,11 +77,11 @@
         let tenant = self.of(request);
         let refused = {
             let mut parts = self.parts();
-            let connections = tenant.map_or(Ok(()), |place| parts.asks(now, place));
+            let connections = tenant.map_or(Ok(()), |place| parts.check(now, place));
             let connections = connections.map_err(|_| (None, "fleet's budget of its connections"));
             connections.and_then(|()| {
-                let set_ups = self.set_ups.map_or(Ok(()), |place| parts.asks(now, place));
-                set_ups.map_err(|r| (Some(r.part), "fleet's budget of set-ups"))
+                let set_ups = self.set_ups.map_or(Ok(()), |place| parts.check(now, place));
+                set_ups.map_err(|exhausted| (Some(exhausted.in_force), "fleet's budget of set-ups"))
             })
         };
         match refused {
@@ -95,12 +95,12 @@
     fn on_admitted(&mut self, now: Micros, request: &Request) {
         let (tenant, set_ups) = (self.of(request), self.set_ups);
         let mut parts = self.parts();
-        tenant.into_iter().chain(set_ups).for_each(|place| parts.takes(now, place));
+        tenant.into_iter().chain(set_ups).for_each(|place| parts.acquire(now, place));
     }
 
     fn on_restored(&mut self, now: Micros, request: &Request) {
         if let Some(place) = self.of(request) {
-            self.parts().takes(now, place);
+            self.parts().acquire(now, place);
         }
     }
 
@@ -110,7 +110,7 @@
             Some(place),
         ) = (fate, self.of(request))
         {
-            self.parts().gives_back(place);
+            self.parts().release(place);
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     fn next_deadline(&self) -> Option<Micros> {
-        Some(self.parts().runs_out().max(self.looked + MOVES / 2))
+        Some(self.parts().next_excess_at().max(self.looked + MOVES / 2))
     }
 
     fn update_settings(&mut self, _now: Micros, set: &Settings, _operator: &Operator) {
