--- a/crates/store/src/standin/http.rs
+++ b/crates/store/src/standin/http.rs
@@ -1,74 +1,105 @@
-//! As much HTTP/1.1 as the stand-in needs: requests with a length, answers with one or in chunks.
+//! As much HTTP/1.1 as the stub needs: requests with a length, responses with a length or in chunks.
 
-use super::{Answer, Desk};
+use super::server::{Answer, StubServer, Watch, WatchStep};
 use serde_json::Value;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
+/// The most headers of a request.
+const MAX_HEADERS: usize = 32;
+
+/// Bytes that are read at once.
+const READ_BYTES: usize = 65_536;
+
+/// A request.
+struct Request {
+    path: String,
+    body: Value,
+}
+
 /// Serves one connection until it ends.
-pub(super) fn serve(mut stream: TcpStream, desk: &Desk) -> io::Result<()> {
+pub(super) fn serve(mut stream: TcpStream, server: &StubServer) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let mut bytes = Vec::new();
-    while let Some((path, body)) = request(&mut stream, &mut bytes)? {
-        match desk.answer(&path, &body) {
-            Answer::Nothing => return Ok(()),
-            Answer::Whole(status, value) => {
-                let body = value.to_string();
-                let length = body.len();
-                let head = format!(
-                    "HTTP/1.1 {status} Said\r\ncontent-type: application/json\r\ncontent-length: {length}\r\n\r\n"
-                );
-                stream.write_all((head + &body).as_bytes())?;
+    let mut buffer = Vec::new();
+    while let Some(request) = read_request(&mut stream, &mut buffer)? {
+        match server.answer(&request.path, &request.body) {
+            Answer::Close => return Ok(()),
+            Answer::Complete { status, body } => write_response(&mut stream, status, &body)?,
+            Answer::Watch(watch) => return write_watch(&mut stream, server, watch),
+        }
+    }
+    Ok(())
+}
+
+fn write_response(stream: &mut TcpStream, status: u16, body: &Value) -> io::Result<()> {
+    let body = body.to_string();
+    let head = format!(
+        "HTTP/1.1 {status} Said\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
+    stream.write_all((head + &body).as_bytes())
+}
+
+/// Sends the lines of a watch, each as a chunk, until either side closes.
+fn write_watch(stream: &mut TcpStream, server: &StubServer, mut watch: Watch) -> io::Result<()> {
+    stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")?;
+    loop {
+        match server.next_line(&mut watch) {
+            WatchStep::Line(line) => {
+                let line = format!("{line}\n");
+                stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())?;
             }
-            Answer::Watch(mut watch) => {
-                stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")?;
-                loop {
-                    match desk.next(&mut watch) {
-                        Some(Some(line)) => {
-                            let line = format!("{line}\n");
-                            stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())?;
-                        }
-                        Some(None) => return Ok(()),
-                        None if gone(&stream)? => return Ok(()),
-                        None => {}
-                    }
+            WatchStep::Cut => return Ok(()),
+            WatchStep::Idle => {
+                if is_closed(stream)? {
+                    return Ok(());
                 }
             }
         }
     }
-    Ok(())
 }
 
-/// Whether the other side has closed.
-fn gone(stream: &TcpStream) -> io::Result<bool> {
+/// Whether the other side has closed the connection.
+fn is_closed(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
     let peeked = stream.peek(&mut [0]);
     stream.set_nonblocking(false)?;
     Ok(!matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock))
 }
 
-/// Reads a request: its path and its body. `None` at the end of the connection.
-fn request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<Option<(String, Value)>> {
-    let bad = |cause: &str| io::Error::new(io::ErrorKind::InvalidData, cause);
-    let mut chunk = [0; 65536];
+/// Reads a request; `None` at the end of the connection. Bytes of the next request stay in `buffer`.
+fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
+    let mut chunk = [0; READ_BYTES];
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut head = httparse::Request::new(&mut headers);
-        let parsed = head.parse(bytes).map_err(|_| bad("no HTTP"))?;
-        if let httparse::Status::Complete(begin) = parsed {
-            let length = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-            let length: Option<usize> = length.and_then(|h| std::str::from_utf8(h.value).ok()?.parse().ok());
-            let length = length.ok_or_else(|| bad("no length"))?;
-            if bytes.len() >= begin + length {
-                let path = head.path.unwrap_or_default().to_string();
-                let body = serde_json::from_slice(&bytes[begin..begin + length])?;
-                bytes.drain(..begin + length);
-                return Ok(Some((path, body)));
-            }
+        if let Some(request) = parse_request(buffer)? {
+            return Ok(Some(request));
         }
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
-            n => bytes.extend(&chunk[..n]),
+            n => buffer.extend(&chunk[..n]),
         }
     }
 }
+
+/// Takes a request off the buffer, if all of it is there.
+fn parse_request(buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let parsed = head.parse(buffer).map_err(|_| invalid_data("no HTTP"))?;
+    let httparse::Status::Complete(body_offset) = parsed else { return Ok(None) };
+    let length = content_length(head.headers).ok_or_else(|| invalid_data("no length"))?;
+    let Some(body) = buffer.get(body_offset..body_offset + length) else { return Ok(None) };
+    let path = head.path.unwrap_or_default().to_string();
+    let request = Request { path, body: serde_json::from_slice(body)? };
+    buffer.drain(..body_offset + length);
+    Ok(Some(request))
+}
+
+fn content_length(headers: &[httparse::Header<'_>]) -> Option<usize> {
+    let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"))?;
+    std::str::from_utf8(header.value).ok()?.parse().ok()
+}
+
+fn invalid_data(cause: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, cause)
+}
--- a/crates/store/src/standin/keys.rs
+++ b/crates/store/src/standin/keys.rs
@@ -1,38 +1,84 @@
-//! Keys with all their revisions, and the calls on them.
+//! Keys with all their versions, and the range and transaction requests on them.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
-/// One version of a key; without a value it was removed.
+/// The most conditions or operations of a transaction, as in etcd.
+const MAX_OPERATIONS: usize = 128;
+
+/// The ids of the first cluster and of the one after [`KeyValueState::new_cluster`].
+const FIRST_CLUSTER_ID: u64 = 0xc0ffee;
+const OTHER_CLUSTER_ID: u64 = 0xdecaf;
+
+/// Why a request is rejected, in etcd's words where it has them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum RequestError {
+    #[error("etcdserver: mvcc: required revision is a future revision")]
+    FutureRevision,
+    #[error("etcdserver: mvcc: required revision has been compacted")]
+    Compacted,
+    #[error("etcdserver: too many operations in txn request")]
+    TooManyOperations,
+    #[error("etcdserver: duplicate key given in txn request")]
+    DuplicateKey,
+    #[error("the stand-in only compares for equality")]
+    UnsupportedComparison,
+    #[error("the stand-in can't compare that")]
+    UnsupportedTarget,
+    #[error("the stand-in can't do that")]
+    UnsupportedOperation,
+}
+
+/// One version of a key; without a value if it was deleted.
 #[derive(Clone)]
 struct Version {
+    /// The revision that wrote it.
     revision: u64,
+    /// The revision that created the key.
     created: u64,
+    /// How often the key was written since.
     count: u64,
     value: Option<Vec<u8>>,
 }
 
-/// All keys.
-pub(super) struct Keys {
+/// The keys from `first` up to `end`, or only `first` if `end` is empty.
+pub(super) struct KeyRange {
+    first: Vec<u8>,
+    end: Vec<u8>,
+}
+
+impl KeyRange {
+    /// The range in a request.
+    pub(super) fn of(request: &Value) -> KeyRange {
+        KeyRange { first: decode_bytes(&request["key"]), end: decode_bytes(&request["range_end"]) }
+    }
+}
+
+/// All keys with their versions.
+pub(super) struct KeyValueState {
     versions: BTreeMap<Vec<u8>, Vec<Version>>,
     revision: u64,
+    /// Versions that were replaced before this revision are forgotten.
     compacted: u64,
-    cluster: u64,
+    cluster_id: u64,
 }
 
-impl Default for Keys {
-    fn default() -> Keys {
-        Keys { versions: BTreeMap::new(), revision: 1, compacted: 0, cluster: 0xc0ffee }
+impl Default for KeyValueState {
+    fn default() -> KeyValueState {
+        KeyValueState { versions: BTreeMap::new(), revision: 1, compacted: 0, cluster_id: FIRST_CLUSTER_ID }
     }
 }
 
-pub(super) fn bytes(value: &Value) -> Vec<u8> {
+/// Bytes in base64; empty if they are missing.
+fn decode_bytes(value: &Value) -> Vec<u8> {
     STANDARD.decode(value.as_str().unwrap_or_default()).unwrap_or_default()
 }
 
-pub(super) fn number(value: &Value) -> u64 {
+/// A number, as such or as a string; 0 if it is missing.
+pub(super) fn decode_number(value: &Value) -> u64 {
     value.as_u64().or_else(|| value.as_str()?.parse().ok()).unwrap_or(0)
 }
 
@@ -40,16 +86,19 @@
     value.as_array().into_iter().flatten()
 }
 
+fn is_write(operation: &Value) -> bool {
+    operation.get("request_range").is_none()
+}
+
 /// Whether a transaction may write.
-pub(super) fn writes(txn: &Value) -> bool {
-    let write = |op: &Value| op.get("request_range").is_none();
-    list(&txn["success"]).chain(list(&txn["failure"])).any(write)
+pub(super) fn may_write(txn: &Value) -> bool {
+    list(&txn["success"]).chain(list(&txn["failure"])).any(is_write)
 }
 
-impl Keys {
-    /// No keys, of another cluster.
-    pub(super) fn another() -> Keys {
-        Keys { cluster: 0xdecaf, ..Keys::default() }
+impl KeyValueState {
+    /// The state of another cluster, without keys.
+    pub(super) fn new_cluster() -> KeyValueState {
+        KeyValueState { cluster_id: OTHER_CLUSTER_ID, ..KeyValueState::default() }
     }
 
     pub(super) fn revision(&self) -> u64 {
@@ -60,168 +109,203 @@
         self.compacted
     }
 
+    /// The header of responses. A stale member answers as of the revision `stale`.
     pub(super) fn header(&self, stale: Option<u64>) -> Value {
-        let revision = stale.map_or(self.revision, |s| s.min(self.revision));
-        json!({"cluster_id": self.cluster.to_string(), "member_id": "1", "revision": revision.to_string(), "raft_term": "2"})
+        json!({
+            "cluster_id": self.cluster_id.to_string(),
+            "member_id": "1",
+            "revision": self.newest(stale).to_string(),
+            "raft_term": "2",
+        })
+    }
+
+    fn newest(&self, stale: Option<u64>) -> u64 {
+        stale.map_or(self.revision, |stale| stale.min(self.revision))
     }
 
     pub(super) fn compact(&mut self, revision: u64) {
         self.compacted = self.compacted.max(revision.min(self.revision));
         for versions in self.versions.values_mut() {
-            let keep = versions.iter().rposition(|v| v.revision <= self.compacted).unwrap_or(0);
-            versions.drain(..keep);
+            let first_kept = versions.iter().rposition(|v| v.revision <= self.compacted).unwrap_or(0);
+            versions.drain(..first_kept);
         }
     }
 
-    pub(super) fn put_alone(&mut self, key: &[u8], value: &[u8]) {
+    /// Writes one key in a revision of its own.
+    pub(super) fn put(&mut self, key: &[u8], value: &[u8]) {
         self.revision += 1;
         self.write(key, Some(value.to_vec()));
     }
 
-    /// What there is now.
-    pub(super) fn now(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.versions.iter().filter_map(|(k, v)| Some((&k[..], v.last()?.value.as_deref()?)))
+    /// The present keys and values.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
+        self.versions
+            .iter()
+            .filter_map(|(key, versions)| Some((&key[..], versions.last()?.value.as_deref()?)))
     }
 
-    /// Writes in the present revision.
+    /// Writes a key in the present revision.
     fn write(&mut self, key: &[u8], value: Option<Vec<u8>>) {
         let versions = self.versions.entry(key.to_vec()).or_default();
-        let before = versions.last().filter(|v| v.value.is_some());
-        let created = before.map_or(self.revision, |v| v.created);
-        let count = before.map_or(1, |v| v.count + 1);
+        let before = versions.last().filter(|version| version.value.is_some());
+        let created = before.map_or(self.revision, |version| version.created);
+        let count = before.map_or(1, |version| version.count + 1);
         versions.push(Version { revision: self.revision, created, count, value });
     }
 
-    fn at(&self, key: &[u8], revision: u64) -> Option<&Version> {
+    /// A key's version as of a revision.
+    fn version_at(&self, key: &[u8], revision: u64) -> Option<&Version> {
         let versions = self.versions.get(key)?;
-        versions.iter().rfind(|v| v.revision <= revision).filter(|v| v.value.is_some())
+        versions
+            .iter()
+            .rfind(|version| version.revision <= revision)
+            .filter(|version| version.value.is_some())
     }
 
-    /// The keys of a call: one, or all up to an end.
-    fn within(&self, key: &[u8], end: &[u8]) -> Vec<Vec<u8>> {
-        let from = self.versions.range(key.to_vec()..);
-        match end.is_empty() {
-            true => self.versions.contains_key(key).then(|| key.to_vec()).into_iter().collect(),
-            false => from.take_while(|(k, _)| &k[..] < end).map(|(k, _)| k.clone()).collect(),
+    /// The keys of a range, deleted ones included.
+    fn keys_in(&self, range: &KeyRange) -> Vec<Vec<u8>> {
+        if range.end.is_empty() {
+            let exists = self.versions.contains_key(&range.first);
+            return exists.then(|| range.first.clone()).into_iter().collect();
         }
+        let from = self.versions.range(range.first.clone()..);
+        from.take_while(|(key, _)| **key < range.end).map(|(key, _)| key.clone()).collect()
     }
 
-    pub(super) fn range(&self, ask: &Value, stale: Option<u64>) -> Result<Value, String> {
-        let told = number(&ask["revision"]);
-        let newest = stale.map_or(self.revision, |s| s.min(self.revision));
-        if told > newest {
-            return Err("etcdserver: mvcc: required revision is a future revision".into());
+    /// Answers a range request.
+    pub(super) fn range(&self, request: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
+        let requested = decode_number(&request["revision"]);
+        let newest = self.newest(stale);
+        if requested > newest {
+            return Err(RequestError::FutureRevision);
         }
-        if told > 0 && told < self.compacted {
-            return Err("etcdserver: mvcc: required revision has been compacted".into());
+        if requested > 0 && requested < self.compacted {
+            return Err(RequestError::Compacted);
         }
-        let revision = if told == 0 { newest } else { told };
-        let limit = match number(&ask["limit"]) {
+        let revision = if requested == 0 { newest } else { requested };
+        let limit = match decode_number(&request["limit"]) {
             0 => usize::MAX,
             limit => limit as usize,
         };
-        let keys = self.within(&bytes(&ask["key"]), &bytes(&ask["range_end"]));
-        let found: Vec<_> = keys.iter().filter_map(|k| Some((k, self.at(k, revision)?))).collect();
-        let kvs: Vec<Value> = found.iter().take(limit).map(|(k, v)| kv(k, v)).collect();
-        let mut answer = Map::new();
-        answer.insert("header".into(), self.header(stale));
+        let keys = self.keys_in(&KeyRange::of(request));
+        let found: Vec<(&Vec<u8>, &Version)> =
+            keys.iter().filter_map(|key| Some((key, self.version_at(key, revision)?))).collect();
+        let kvs: Vec<Value> =
+            found.iter().take(limit).map(|(key, version)| key_value(key, version)).collect();
+        let mut response = Map::new();
+        response.insert("header".into(), self.header(stale));
         // What is empty or false is left out.
         if !kvs.is_empty() {
-            answer.insert("kvs".into(), kvs.into());
+            response.insert("kvs".into(), kvs.into());
         }
         if found.len() > limit {
-            answer.insert("more".into(), true.into());
+            response.insert("more".into(), true.into());
         }
-        answer.insert("count".into(), found.len().to_string().into());
-        Ok(answer.into())
+        response.insert("count".into(), found.len().to_string().into());
+        Ok(response.into())
     }
 
-    fn holds(&self, compare: &Value, stale: Option<u64>) -> Result<bool, String> {
-        let key = bytes(&compare["key"]);
-        let found = self.at(&key, stale.unwrap_or(u64::MAX));
-        if compare["result"].as_str().is_some_and(|r| r != "EQUAL") {
-            return Err("the stand-in only compares for equality".into());
+    fn holds(&self, compare: &Value, stale: Option<u64>) -> Result<bool, RequestError> {
+        let found = self.version_at(&decode_bytes(&compare["key"]), stale.unwrap_or(u64::MAX));
+        if compare["result"].as_str().is_some_and(|result| result != "EQUAL") {
+            return Err(RequestError::UnsupportedComparison);
         }
         Ok(match compare["target"].as_str() {
-            Some("CREATE") => number(&compare["create_revision"]) == found.map_or(0, |v| v.created),
-            Some("MOD") => number(&compare["mod_revision"]) == found.map_or(0, |v| v.revision),
-            Some("VALUE") => found.is_some_and(|v| v.value.as_ref() == Some(&bytes(&compare["value"]))),
-            _ => return Err("the stand-in can't compare that".into()),
+            Some("CREATE") => decode_number(&compare["create_revision"]) == found.map_or(0, |v| v.created),
+            Some("MOD") => decode_number(&compare["mod_revision"]) == found.map_or(0, |v| v.revision),
+            Some("VALUE") => {
+                found.is_some_and(|v| v.value.as_ref() == Some(&decode_bytes(&compare["value"])))
+            }
+            _ => return Err(RequestError::UnsupportedTarget),
         })
     }
 
-    pub(super) fn txn(&mut self, txn: &Value, stale: Option<u64>) -> Result<Value, String> {
-        for part in ["compare", "success", "failure"] {
-            if list(&txn[part]).count() > 128 {
-                return Err("etcdserver: too many operations in txn request".into());
-            }
+    /// Makes a transaction.
+    pub(super) fn txn(&mut self, txn: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
+        if ["compare", "success", "failure"].iter().any(|part| list(&txn[*part]).count() > MAX_OPERATIONS) {
+            return Err(RequestError::TooManyOperations);
         }
         let mut succeeded = true;
         for compare in list(&txn["compare"]) {
             succeeded &= self.holds(compare, stale)?;
         }
-        let ops: Vec<&Value> = list(if succeeded { &txn["success"] } else { &txn["failure"] }).collect();
-        let mut put = Vec::new();
-        for op in &ops {
-            let key = &op["request_put"]["key"];
-            if key.is_string() && put.contains(&key) {
-                return Err("etcdserver: duplicate key given in txn request".into());
-            }
-            put.push(key);
-        }
-        if ops.iter().any(|op| op.get("request_range").is_none()) {
+        let operations: Vec<&Value> =
+            list(if succeeded { &txn["success"] } else { &txn["failure"] }).collect();
+        check_distinct_puts(&operations)?;
+        if operations.iter().any(|operation| is_write(operation)) {
             self.revision += 1;
         }
-        let mut responses = Vec::new();
-        for op in ops {
-            if let Some(range) = op.get("request_range") {
-                responses.push(json!({"response_range": self.range(range, stale)?}));
-            } else if let Some(put) = op.get("request_put") {
-                self.write(&bytes(&put["key"]), Some(bytes(&put["value"])));
-                responses.push(json!({"response_put": {"header": self.header(stale)}}));
-            } else if let Some(remove) = op.get("request_delete_range") {
-                let keys = self.within(&bytes(&remove["key"]), &bytes(&remove["range_end"]));
-                let there: Vec<_> = keys.into_iter().filter(|k| self.at(k, u64::MAX).is_some()).collect();
-                let deleted = there.len().to_string();
-                there.iter().for_each(|key| self.write(key, None));
-                responses.push(
-                    json!({"response_delete_range": {"header": self.header(stale), "deleted": deleted}}),
-                );
-            } else {
-                return Err("the stand-in can't do that".into());
-            }
+        let mut responses = Vec::with_capacity(operations.len());
+        for operation in operations {
+            responses.push(self.operation(operation, stale)?);
         }
-        let mut answer = Map::new();
-        answer.insert("header".into(), self.header(stale));
+        let mut response = Map::new();
+        response.insert("header".into(), self.header(stale));
         if succeeded {
-            answer.insert("succeeded".into(), true.into());
+            response.insert("succeeded".into(), true.into());
+        }
+        response.insert("responses".into(), responses.into());
+        Ok(response.into())
+    }
+
+    fn operation(&mut self, operation: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
+        if let Some(range) = operation.get("request_range") {
+            return Ok(json!({"response_range": self.range(range, stale)?}));
+        }
+        if let Some(put) = operation.get("request_put") {
+            self.write(&decode_bytes(&put["key"]), Some(decode_bytes(&put["value"])));
+            return Ok(json!({"response_put": {"header": self.header(stale)}}));
+        }
+        if let Some(delete) = operation.get("request_delete_range") {
+            let mut keys = self.keys_in(&KeyRange::of(delete));
+            keys.retain(|key| self.version_at(key, u64::MAX).is_some());
+            for key in &keys {
+                self.write(key, None);
+            }
+            let deleted = keys.len().to_string();
+            return Ok(json!({"response_delete_range": {"header": self.header(stale), "deleted": deleted}}));
         }
-        answer.insert("responses".into(), responses.into());
-        Ok(answer.into())
+        Err(RequestError::UnsupportedOperation)
     }
 
-    /// What happened to keys from a revision on, up to a limit, and the revision to go on from.
-    pub(super) fn events(&self, key: &[u8], end: &[u8], from: u64, limit: u64) -> (Vec<Value>, u64) {
-        let upto = self.revision.min(limit);
+    /// The events of a range's keys from one revision up to another, in the order of revisions.
+    pub(super) fn events(&self, range: &KeyRange, from: u64, up_to: u64) -> Vec<Value> {
         let mut events: Vec<(u64, Value)> = Vec::new();
-        for key in self.within(key, end) {
-            for version in self.versions[&key].iter().filter(|v| (from..=upto).contains(&v.revision)) {
-                let event = match version.value.is_some() {
-                    true => json!({"kv": kv(&key, version)}),
-                    false => {
-                        let (key, revision) = (STANDARD.encode(&key), version.revision.to_string());
-                        json!({"type": "DELETE", "kv": {"key": key, "mod_revision": revision}})
-                    }
-                };
-                events.push((version.revision, event));
+        for key in self.keys_in(range) {
+            for version in &self.versions[&key] {
+                if (from..=up_to).contains(&version.revision) {
+                    events.push((version.revision, event(&key, version)));
+                }
             }
         }
         events.sort_by_key(|(revision, _)| *revision);
-        (events.into_iter().map(|(_, event)| event).collect(), from.max(upto.saturating_add(1)))
+        events.into_iter().map(|(_, event)| event).collect()
+    }
+}
+
+/// Rejects a transaction that puts a key twice.
+fn check_distinct_puts(operations: &[&Value]) -> Result<(), RequestError> {
+    let mut keys = Vec::new();
+    for operation in operations {
+        let key = &operation["request_put"]["key"];
+        if key.is_string() && keys.contains(&key) {
+            return Err(RequestError::DuplicateKey);
+        }
+        keys.push(key);
+    }
+    Ok(())
+}
+
+/// The event of a version in a watch.
+fn event(key: &[u8], version: &Version) -> Value {
+    if version.value.is_some() {
+        return json!({"kv": key_value(key, version)});
     }
+    let (key, revision) = (STANDARD.encode(key), version.revision.to_string());
+    json!({"type": "DELETE", "kv": {"key": key, "mod_revision": revision}})
 }
 
-fn kv(key: &[u8], version: &Version) -> Value {
+fn key_value(key: &[u8], version: &Version) -> Value {
     json!({
         "key": STANDARD.encode(key),
         "create_revision": version.created.to_string(),
