--- a/crates/balancer/src/net/budgets.rs
+++ b/crates/balancer/src/net/budgets.rs
@@ -9,9 +9,10 @@
 use shorewharf_budgets::{Call, Condition, Failed, Member, Parts, Record, Reply, Rules};
 use shorewharf_driver::{Budgets, Micros};
 use shorewharf_store::error::StoreError;
-use shorewharf_store::key::{Key, Space};
+use shorewharf_store::key::{Collection, Key};
 use shorewharf_store::replicated::{Options, Replicated};
-use shorewharf_store::store::{Ask, Batch, Condition as Holds, Entry, Store};
+use shorewharf_store::revision::Revision;
+use shorewharf_store::store::{Batch, Condition as Holds, Entry, Query, Store};
 use tracing::{info, warn};
 
 use super::Clock;
@@ -34,7 +35,10 @@
 }
 
 /// Opens the store. Each time as an instance of its own: one that an earlier process used would be taken for it.
-fn open((store, prefix, name): &Address, wall: u64) -> Result<Replicated, shorewharf_store::error::Invalid> {
+fn open(
+    (store, prefix, name): &Address,
+    wall: u64,
+) -> Result<Replicated, shorewharf_store::error::InvalidValue> {
     Replicated::new(&Options::new(store.clone(), prefix, &format!("{name}-{wall}"), wall))
 }
 
@@ -244,7 +248,7 @@
     /// Makes a call; an answer that says nothing counts as none.
     fn make(&mut self, call: Call) -> Result<Reply, Failed> {
         let wall = wall();
-        let key = |name: String| Key::new(Space::Budget, name);
+        let key = |name: String| Key::new(Collection::Budget, name);
         let record = |e: Entry| Record { revision: e.revision.0, text: e.value };
         let done = match call {
             Call::Read(names) => {
@@ -256,7 +260,7 @@
             Call::Write { conditions, writes } => {
                 let holds = |c: Condition| match c {
                     Condition::Absent(name) => Holds::Absent(key(name)),
-                    Condition::At(name, at) => Holds::At(key(name), shorewharf_store::store::Revision(at)),
+                    Condition::At(name, at) => Holds::AtRevision(key(name), Revision(at)),
                 };
                 let conditions = conditions.into_iter().map(holds).collect();
                 let writes = writes.into_iter().map(|(name, text)| (key(name), text)).collect();
@@ -265,9 +269,9 @@
         };
         match done {
             Ok(reply) => Ok(reply),
-            Err(StoreError::Conflict { .. } | StoreError::Exists { .. } | StoreError::Missing { .. }) => {
-                Ok(Reply::Conflict)
-            }
+            Err(
+                StoreError::Conflict { .. } | StoreError::AlreadyExists { .. } | StoreError::NotFound { .. },
+            ) => Ok(Reply::Conflict),
             Err(_) => Err(Failed),
         }
     }
@@ -275,7 +279,7 @@
     fn list(&mut self, prefix: &str, wall: u64) -> Result<Reply, StoreError> {
         let (mut all, mut after) = (Vec::new(), None);
         loop {
-            let page = self.store.list(&Ask::of(Space::Budget).prefix(prefix).after(after), wall)?;
+            let page = self.store.list(&Query::all(Collection::Budget).prefix(prefix).after(after), wall)?;
             after = page.entries.last().map(|e| e.key.name.clone());
             let record = |e: Entry| (e.key.name, Record { revision: e.revision.0, text: e.value });
             all.extend(page.entries.into_iter().map(record));
--- a/crates/store/examples/measure.rs
+++ b/crates/store/examples/measure.rs
@@ -9,14 +9,14 @@
 use clap::Parser;
 use comfy_table::Table;
 use shorewharf_store::backup::backup;
-use shorewharf_store::cached::Cached;
-use shorewharf_store::calls::{Call, Question, Request, answer, run};
+use shorewharf_store::cached_store::CachedStore;
 use shorewharf_store::check::check;
+use shorewharf_store::commands::{ChangeRequest, Command, Lookup, execute, look_up};
+use shorewharf_store::directory::Directory;
 use shorewharf_store::embedded::{Create, Embedded};
 use shorewharf_store::error::StoreError;
 use shorewharf_store::exchange::export;
-use shorewharf_store::known::Known;
-use shorewharf_store::name::Name;
+use shorewharf_store::name::TenantName;
 use shorewharf_store::record::{Actor, InstanceName, NewTenant, TenantChange, Usage, UsageReport, Weight};
 use shorewharf_store::replicated::{Options, Replicated};
 use shorewharf_store::standin::Cluster;
@@ -26,7 +26,7 @@
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::process;
 use std::time::{Duration, Instant};
 
 const NOW: u64 = 1_775_000_000_000_000;
@@ -47,27 +47,27 @@
     dir: Option<PathBuf>,
 }
 
-fn tenant(i: u32) -> Name {
-    Name::new(&format!("tenant-{i:05}")).expect("a name")
+fn tenant(i: u32) -> TenantName {
+    TenantName::new(&format!("tenant-{i:05}")).expect("a name")
 }
 
 /// Changes of tenants, spread over all.
-fn changes(from: u32, count: u32, tenants: u32) -> Vec<Request> {
+fn changes(from: u32, count: u32, tenants: u32) -> Vec<ChangeRequest> {
     let one = |i: u32| {
         let weight = Some(Weight::new(1 + i % 1000).expect("a weight"));
         let change = TenantChange { weight, ..TenantChange::default() };
-        Request::new(
+        ChangeRequest::new(
             Actor::File,
-            Call::ChangeTenant { name: tenant(i * 7919 % tenants), expected: None, change },
+            Command::ChangeTenant { name: tenant(i * 7919 % tenants), expected: None, change },
         )
     };
     (from..from + count).map(one).collect()
 }
 
 fn fill(store: &mut dyn Store, tenants: u32) -> Result<(), Box<dyn Error>> {
-    let new = |i| Request::new(Actor::File, Call::CreateTenant(NewTenant::named(tenant(i))));
-    let all: Vec<Request> = (0..tenants).map(new).collect();
-    for done in run(store, &all, NOW) {
+    let new = |i| ChangeRequest::new(Actor::File, Command::CreateTenant(NewTenant::named(tenant(i))));
+    let all: Vec<ChangeRequest> = (0..tenants).map(new).collect();
+    for done in execute(store, &all, NOW) {
         done?;
     }
     Ok(())
@@ -98,17 +98,17 @@
     kib.unwrap_or(f64::NAN) / 1024.0
 }
 
-fn made(store: &mut dyn Store, requests: &[Request]) {
-    assert!(run(store, requests, NOW).iter().all(Result::is_ok), "a change was refused");
+fn made(store: &mut dyn Store, requests: &[ChangeRequest]) {
+    assert!(execute(store, requests, NOW).iter().all(Result::is_ok), "a change was refused");
 }
 
 /// The baseline: all tenants in one JSON file, written anew, synced and renamed for each change.
 fn baseline(dir: &Path, tenants: u32, seconds: f64) -> Result<f64, Box<dyn Error>> {
     let mut all: BTreeMap<String, NewTenant> =
-        (0..tenants).map(|i| (tenant(i).unique(), NewTenant::named(tenant(i)))).collect();
+        (0..tenants).map(|i| (tenant(i).canonical(), NewTenant::named(tenant(i)))).collect();
     let (path, part) = (dir.join("plain.json"), dir.join("plain.json.part"));
     Ok(rate(seconds, 1, |i| {
-        let one = all.get_mut(&tenant(i * 7919 % tenants).unique()).expect("a tenant");
+        let one = all.get_mut(&tenant(i * 7919 % tenants).canonical()).expect("a tenant");
         one.weight = Weight::new(1 + i % 1000).expect("a weight");
         let write = || -> std::io::Result<()> {
             let mut file = File::create(&part)?;
@@ -125,11 +125,11 @@
 fn look(path: &Path) -> Result<(), StoreError> {
     let before = resident();
     let (store, opening) = timed(|| Embedded::open(path, Create::Never, NOW));
-    let mut cached = Cached::new(Box::new(store?), None);
+    let mut cached = CachedStore::new(Box::new(store?), None);
     let open = resident();
-    let mut known = Known::default();
-    let (news, reading) = timed(|| cached.refresh(NOW));
-    known.take(&news?);
+    let mut directory = Directory::default();
+    let (batch, reading) = timed(|| cached.refresh(NOW));
+    directory.apply(&batch?);
     println!("{opening} {} {reading} {}", open - before, resident() - open);
     Ok(())
 }
@@ -161,25 +161,25 @@
     let grouped = rate(seconds, 64, |i| made(&mut store, &changes(i, 64, tenants)));
     row("one file: changes, 64 waiting, written together", grouped, "a second");
     let reads = rate(seconds, 1, |i| {
-        answer(&mut store, &Question::Tenant(tenant(i * 7919 % tenants)), NOW).expect("a tenant");
+        look_up(&mut store, &Lookup::Tenant(tenant(i * 7919 % tenants)), NOW).expect("a tenant");
     });
     row("one file: reads of a tenant", reads, "a second");
     let pages = rate(seconds, 1, |_| {
-        let ask = Question::Tenants { prefix: String::new(), after: None, limit: 100 };
-        answer(&mut store, &ask, NOW).expect("a page");
+        let ask = Lookup::Tenants { prefix: String::new(), after: None, limit: 100 };
+        look_up(&mut store, &ask, NOW).expect("a page");
     });
     row("one file: pages of 100 tenants", pages, "a second");
-    let usage = |set_ups| Usage {
-        set_ups,
+    let usage = |setups| Usage {
+        setups,
         connection_micros: 60_000_000,
         lines: 1000,
         bytes: 100_000,
         ..Usage::default()
     };
-    let places: BTreeMap<u32, Usage> = (0..tenants).map(|p| (p, usage(u64::from(p)))).collect();
+    let usage_by_id: BTreeMap<u32, Usage> = (0..tenants).map(|p| (p, usage(u64::from(p)))).collect();
     for (minute, note) in [(1, "the first"), (2, "the next")] {
-        let report = UsageReport::new(InstanceName::new("n1")?, minute, places.clone())?;
-        let request = Request::new(Actor::Service, Call::Count(report));
+        let report = UsageReport::new(InstanceName::new("n1")?, minute, usage_by_id.clone())?;
+        let request = ChangeRequest::new(Actor::Service, Command::RecordUsage(report));
         let ((), took) = timed(|| made(&mut store, &[request]));
         row(&format!("one file: counting a minute of all tenants, {note}"), took, "ms");
     }
@@ -196,7 +196,7 @@
     drop(store);
 
     // In a process of its own, whose memory nothing else has used before.
-    let child = Command::new(std::env::current_exe()?).arg("--open").arg(&path).output()?;
+    let child = process::Command::new(std::env::current_exe()?).arg("--open").arg(&path).output()?;
     let told = String::from_utf8(child.stdout)?;
     let figures: Vec<f64> = told.split_whitespace().map(str::parse).collect::<Result<_, _>>()?;
     let [opening, open, reading, copied] = figures[..] else { return Err(format!("{told:?}").into()) };
--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -1,111 +1,182 @@
-//! Backups while the store runs, and restoring them: checked first, then whole or not at all.
+//! Backups of a running store, and restoring them: verified first, then completely or not at all.
 
-use crate::calls::{AUDIT, CLASS_PLACES, TENANT_PLACES};
-use crate::check;
-use crate::embedded::{Create, Embedded, Memory, fill};
+use crate::commands::{LAST_AUDIT_NUMBER, NEXT_CLASS_ID, NEXT_TENANT_ID};
+use crate::embedded::{Create, Embedded, create_backup_file, file_in_memory};
 use crate::error::StoreError;
-use crate::key::{Key, Space};
+use crate::files::{publish, sibling_path};
+use crate::integrity;
+use crate::key::{Collection, Key};
 use crate::migrate::Records;
-use crate::record::{Actor, AuditEntry, Deed, Micros};
-use crate::store::{Revision, Store, read, write};
+use crate::record::{Actor, AuditAction, AuditEntry, Micros};
+use crate::revision::Revision;
+use crate::store::{Store, decode, encode};
 use serde::Serialize;
-use serde_json::json;
+use serde_json::{Value, json};
+use std::fs;
 use std::path::Path;
 
-/// Places that are left out where it is not known which were given after the backup was made: the store that
-/// knew is lost. More tenants than a service makes between two backups, and one part in 65,536 of all places.
-const SKIPPED: u64 = 65_536;
+/// Ids that are skipped if the store that knew which ids were assigned after the backup is lost: more than a service
+/// assigns between two backups.
+const SKIPPED_IDS: u64 = 65_536;
 
-/// What a backup, export, restore or import took along.
+/// What a backup, export, restore or import copied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Taken {
-    /// The store's revision that was copied; of a restore or import, the revision that it made.
+pub struct CopySummary {
+    /// The revision that was copied; of a restore or import, the revision it made.
     pub revision: Revision,
     /// How many records.
     pub records: usize,
 }
 
-/// Copies all records, as they are at one revision, into a file that [`Embedded`] opens. The file is checked
-/// before it gets its name, and takes the place of an older one of that name.
-pub fn backup(store: &mut dyn Store, to: &Path, now: Micros) -> Result<Taken, StoreError> {
-    fill(to, |put| {
-        let mut records = 0;
-        let revision = store.visit(&Space::ALL, now, &mut |entry| {
+/// Copies all records, as of one revision, into a file that [`Embedded`] opens. The file is verified before it replaces
+/// an older one of that name.
+///
+/// # Errors
+/// If the store can't be read or the file not be written; then an older file is unchanged.
+pub fn backup(store: &mut dyn Store, to: &Path, now: Micros) -> Result<CopySummary, StoreError> {
+    let unverified = sibling_path(to, "new");
+    let summary = copy_records(store, &unverified, now)?;
+    let published = verify_backup(&unverified).and_then(|()| publish(&unverified, to));
+    if let Err(e) = published {
+        let _ = fs::remove_file(&unverified);
+        return Err(e);
+    }
+    Ok(summary)
+}
+
+fn copy_records(store: &mut dyn Store, to: &Path, now: Micros) -> Result<CopySummary, StoreError> {
+    let mut records = 0;
+    let revision = create_backup_file(to, |put| {
+        store.visit(&Collection::ALL, now, &mut |entry| {
             records += 1;
             put(entry)
-        })?;
-        Ok((revision, Taken { revision, records }))
-    })
+        })
+    })?;
+    Ok(CopySummary { revision, records })
+}
+
+/// Opens a backup and reads every record of it.
+fn verify_backup(path: &Path) -> Result<(), StoreError> {
+    let mut copy = Embedded::open_with(file_in_memory(path)?, 0)?;
+    copy.visit(&Collection::ALL, 0, &mut |_| Ok(())).map(drop)
 }
 
-/// Puts the records of a backup in the place of all that the store keeps, in one transaction.
+/// Replaces all records of the store by those of a backup, in one transaction.
+///
+/// The backup is read and verified first. Assigned ids are never assigned again; a store that was created again after a
+/// loss can't know them and skips some. The audit trail is the backup's, with one more entry about the restore.
 ///
-/// First the backup is read whole and checked. Places that were given are never given again; a store that was
-/// made anew after a loss can't know them and leaves some out. The audit trail is the backup's, with one more
-/// entry that tells of this.
-pub fn restore(store: &mut dyn Store, from: &Path, who: &Actor, now: Micros) -> Result<Taken, StoreError> {
-    let what = from.display().to_string();
-    let mut backup = Embedded::open_on(Memory::of_file(from)?, now).map_err(|e| named(e, &what))?;
-    let (records, revision) = check::all(&mut backup, now).map_err(|e| named(e, &what))?;
-    let faults = check::faults(&records);
-    if let Some((key, fault)) = faults.first() {
+/// # Errors
+/// [`StoreError::Corrupt`] or [`StoreError::NewerSchema`] about the backup, or errors of the store; nothing is changed.
+pub fn restore(
+    store: &mut dyn Store,
+    from: &Path,
+    actor: &Actor,
+    now: Micros,
+) -> Result<CopySummary, StoreError> {
+    let location = from.display().to_string();
+    let (records, revision) = read_backup(from, now).map_err(|e| at_location(e, &location))?;
+    let faults = integrity::find_faults(&records);
+    if let Some(first) = faults.first() {
         let more = faults.len() - 1;
-        return Err(StoreError::damaged(what, format!("{key}: {fault}, and {more} more faults")));
+        let cause = format!("{}: {}, and {more} more faults", first.key, first.value);
+        return Err(StoreError::corrupt(location, cause));
     }
     let after = json!({ "revision": revision });
-    take_place(store, records, (who, Deed::Restore, what, after), now)
+    let source = ReplacementSource { action: AuditAction::Restore, target: location, after };
+    replace_all_records(store, records, source, actor, now)
+}
+
+fn read_backup(from: &Path, now: Micros) -> Result<(Records, Revision), StoreError> {
+    let mut backup = Embedded::open_with(file_in_memory(from)?, now)?;
+    integrity::read_all(&mut backup, now)
 }
 
-/// The same error, about the file.
-fn named(e: StoreError, file: &str) -> StoreError {
+/// The same error about another location.
+fn at_location(e: StoreError, location: &str) -> StoreError {
     match e {
-        StoreError::Damaged { cause, .. } => StoreError::damaged(file, cause),
-        StoreError::NewerSchema { found, known, .. } => {
-            StoreError::NewerSchema { what: file.into(), found, known }
+        StoreError::Corrupt { cause, .. } => StoreError::corrupt(location, cause),
+        StoreError::NewerSchema { found, supported, .. } => {
+            StoreError::NewerSchema { location: location.into(), found, supported }
         }
         e => e,
     }
 }
 
-/// Replaces all of a store's records, and notes who did so from what.
-pub(crate) fn take_place(
+/// Where the records of a replacement come from, as the audit trail says it.
+pub(crate) struct ReplacementSource {
+    pub(crate) action: AuditAction,
+    pub(crate) target: String,
+    pub(crate) after: Value,
+}
+
+/// Replaces all records of a store, and adds an entry about it to the audit trail.
+pub(crate) fn replace_all_records(
     store: &mut dyn Store,
     mut records: Records,
-    (who, deed, target, after): (&Actor, Deed, String, serde_json::Value),
+    source: ReplacementSource,
+    actor: &Actor,
     now: Micros,
-) -> Result<Taken, StoreError> {
-    for name in [TENANT_PLACES, CLASS_PLACES] {
-        let key = Key::new(Space::Meta, name);
-        let comes = records.get(&key).map_or(Ok(0), |value| read::<u64>(&key, value))?;
-        let stands = store.get(&key, now)?.map(|entry| entry.read::<u64>()).transpose()?;
-        let next = match stands {
-            Some(stands) => comes.max(stands),
-            None if comes > 0 => comes + SKIPPED,
-            None => 0,
-        };
-        records.insert(key.clone(), write(&key, &next)?);
+) -> Result<CopySummary, StoreError> {
+    for name in [NEXT_TENANT_ID, NEXT_CLASS_ID] {
+        let key = Key::new(Collection::Counter, name);
+        let next = next_unused_id(store, &records, &key, now)?;
+        records.insert(key.clone(), encode(&key, &next)?);
     }
-    let key = Key::new(Space::Meta, AUDIT);
-    let number = records.get(&key).map_or(Ok(0), |value| read::<u64>(&key, value))? + 1;
-    records.insert(key.clone(), write(&key, &number)?);
-    let who = who.clone();
-    let entry = AuditEntry { number, at: now, who, deed, target, before: None, after: Some(after) };
-    let key = Key::new(Space::Audit, AuditEntry::name(number));
-    records.insert(key.clone(), write(&key, &entry)?);
+    let counter = Key::new(Collection::Counter, LAST_AUDIT_NUMBER);
+    let number = counter_in(&records, &counter)? + 1;
+    records.insert(counter.clone(), encode(&counter, &number)?);
+    let entry = AuditEntry {
+        number,
+        at: now,
+        actor: actor.clone(),
+        action: source.action,
+        target: source.target,
+        before: None,
+        after: Some(source.after),
+    };
+    let key = Key::new(Collection::Audit, AuditEntry::key_name(number));
+    records.insert(key.clone(), encode(&key, &entry)?);
     let count = records.len();
     let revision = store.replace(records.into_iter().collect(), now)?;
-    Ok(Taken { revision, records: count })
+    Ok(CopySummary { revision, records: count })
 }
 
-/// Opens a backup to look at it, without changing the file.
+/// The next id that neither the store nor the replacement has assigned.
+fn next_unused_id(
+    store: &mut dyn Store,
+    records: &Records,
+    counter: &Key,
+    now: Micros,
+) -> Result<u64, StoreError> {
+    let replacement = counter_in(records, counter)?;
+    Ok(match store.get(counter, now)? {
+        Some(entry) => replacement.max(entry.decode::<u64>()?),
+        None if replacement > 0 => replacement + SKIPPED_IDS,
+        None => 0,
+    })
+}
+
+fn counter_in(records: &Records, counter: &Key) -> Result<u64, StoreError> {
+    records.get(counter).map_or(Ok(0), |value| decode(counter, value))
+}
+
+/// Opens a backup for reading, without changing the file.
+///
+/// # Errors
+/// If the file can't be read, is corrupt or has a newer schema.
 pub fn open(path: &Path, now: Micros) -> Result<Embedded, StoreError> {
-    Embedded::open_on(Memory::of_file(path)?, now).map_err(|e| named(e, &path.display().to_string()))
+    let opened = Embedded::open_with(file_in_memory(path)?, now);
+    opened.map_err(|e| at_location(e, &path.display().to_string()))
 }
 
-/// Makes a file anew where one was lost or is damaged and has been moved away, and restores a backup into it.
-pub fn restore_anew(path: &Path, from: &Path, who: &Actor, now: Micros) -> Result<Taken, StoreError> {
-    // What is wrong with the backup is told before anything is made.
+/// Creates the file of a lost store again, and restores a backup into it. A damaged file must be moved away first.
+///
+/// # Errors
+/// If the file exists, or as [`restore`].
+pub fn restore_anew(path: &Path, from: &Path, actor: &Actor, now: Micros) -> Result<CopySummary, StoreError> {
+    // Errors of the backup are found before the file is created.
     open(from, now)?;
-    let mut store = Embedded::open(path, Create::Anew, now)?;
-    restore(&mut store, from, who, now)
+    let mut store = Embedded::open(path, Create::Replacement, now)?;
+    restore(&mut store, from, actor, now)
 }
--- /dev/null
+++ b/crates/store/src/commands/usage_keys.rs
@@ -0,0 +1,61 @@
+//! Keys of usage records: `GRANULARITY/CHUNK/INTERVAL/INSTANCE`, so that intervals of one chunk follow each other.
+
+use crate::key::{Collection, Key};
+use crate::record::{MICROS_PER_MINUTE, Micros};
+use serde::{Deserialize, Serialize};
+
+/// Ids in a chunk, which makes a chunk a few kilobytes.
+pub(super) const IDS_PER_CHUNK: u32 = 64;
+
+/// The length of the intervals over which usage is summed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Granularity {
+    /// Minutes, kept for two days.
+    Minute,
+    /// Hours, kept for 93 days.
+    Hour,
+    /// Days (UTC), kept for ever.
+    Day,
+}
+
+impl Granularity {
+    /// The length of an interval in minutes.
+    pub const fn minutes(self) -> u64 {
+        match self {
+            Granularity::Minute => 1,
+            Granularity::Hour => 60,
+            Granularity::Day => 24 * 60,
+        }
+    }
+
+    /// The letter of the granularity in keys.
+    pub(super) const fn key_letter(self) -> char {
+        match self {
+            Granularity::Minute => 'm',
+            Granularity::Hour => 'h',
+            Granularity::Day => 'd',
+        }
+    }
+
+    /// The length of an interval in microseconds.
+    pub const fn micros(self) -> Micros {
+        self.minutes() * MICROS_PER_MINUTE
+    }
+}
+
+/// The key of what an instance used in an interval, counted since 1970 in the granularity's unit.
+pub(super) fn usage_key(granularity: Granularity, chunk: u32, interval: u64, instance: &str) -> Key {
+    let prefix = key_prefix(granularity, chunk);
+    Key::new(Collection::Usage, format!("{prefix}{interval:010}/{instance}"))
+}
+
+/// The prefix of the names of all usage records of a granularity and chunk.
+pub(super) fn key_prefix(granularity: Granularity, chunk: u32) -> String {
+    format!("{}/{chunk:08}/", granularity.key_letter())
+}
+
+/// The interval in the name of a usage record.
+pub(super) fn parse_interval(name: &str) -> Option<u64> {
+    name.split('/').nth(2)?.parse().ok()
+}
--- a/crates/store/src/embedded/mod.rs
+++ b/crates/store/src/embedded/mod.rs
@@ -1,120 +1,128 @@
-//! The embedded engine: one file, kept by redb in this process.
+//! The embedded engine: one file, managed by redb in this process.
 //!
-//! redb writes pages anew beside the old ones and switches with two synced steps, so a process that is killed
-//! leaves the last change or the one before it, never part of one. Three things are added here:
+//! redb writes pages copy-on-write and commits in two synced phases, so a killed process leaves the last transaction or
+//! the one before it, never a part of one. This module adds:
 //!
-//! - every page's checksum is verified when the file is opened, and every record carries one over its key,
-//!   revision and text, verified each time it is read; records are counted by space;
-//! - beside the file stands `FILE.head`, the last revision that was acknowledged. A file that has fallen behind
-//!   it (a damaged switch, an old copy put in its place) is refused, not served as if nothing had been lost;
-//! - the checksum of every block that was verified or written is remembered, so that damage under the running
-//!   store is refused too, not read;
-//! - redb trusts what it reads and may panic on damaged pages. No panic leaves this module: it becomes
-//!   [`StoreError::Damaged`], and the file is closed and opened anew, with all checks, at the next call.
+//! - checksums: every page's is verified when the file is opened, every record's (over its key, revision and JSON) each
+//!   time it is read, and the records of each collection are counted;
+//! - the last acknowledged revision in `FILE.head`. A file that is behind it (a damaged header, an old copy) is
+//!   rejected rather than served as if nothing were lost;
+//! - checksums of all blocks that were read or written, so that damage to the file of a running store is detected;
+//! - panics of redb on damaged pages become [`StoreError::Corrupt`]. The file is closed, and opened and verified again
+//!   at the next call.
 
-mod file;
-mod guarded;
-mod memory;
-mod rows;
+mod backup_file;
+mod checksummed;
+mod failure;
+mod head;
+mod location;
+mod row;
+mod tables;
 
-pub use file::{Backend, Create};
-pub(crate) use file::{beside, io_error, put_in_place, write_whole};
-pub(crate) use memory::{Memory, fill};
+pub(crate) use backup_file::{create_backup_file, file_in_memory};
+pub use location::{Create, StorageFactory};
 
 use crate::error::StoreError;
-use crate::key::{Key, Space};
+use crate::key::{Collection, Key};
 use crate::migrate;
 use crate::record::Micros;
-use crate::store::{Ask, Batch, Change, Changes, Entry, Health, Page, Revision, Store, Visitor};
-use file::{Failed, Head, Opener, guard};
+use crate::revision::Revision;
+use crate::store::{Batch, Change, Changes, Entry, Page, Query, Store, StoreHealth, Visitor};
+use failure::{EngineFailure, catch_panics};
+use head::AcknowledgedRevision;
+use location::Location;
 use redb::{Database, ReadableDatabase};
-use rows::Rows;
 use std::collections::BTreeMap;
 use std::path::Path;
+use tables::{ChangedKeys, TableReader};
 
 /// The most revisions that one answer about changes covers.
-const CHANGES_AT_ONCE: usize = 500;
+const MAX_REVISIONS_PER_READ: usize = 500;
 
-/// Revisions whose changes are remembered. A watcher that falls further behind reads all anew; at 200 changes a
-/// second this is 20 s, ten times what an instance's loop may ever be late.
-const CHANGES_KEPT: u64 = 4096;
+/// Revisions whose changes are retained. A reader that is further behind reads all records.
+const RETAINED_REVISIONS: u64 = 4096;
 
 /// A store in one file.
 pub struct Embedded {
-    opener: Opener,
-    /// Not there after a failure, until it is opened again.
+    location: Location,
+    /// `None` after a failure, until it is opened again.
     db: Option<Database>,
-    head: Head,
+    acknowledged: AcknowledgedRevision,
     revision: Revision,
-    answered: Option<Micros>,
-    trouble: Option<String>,
+    last_answer: Option<Micros>,
+    fault: Option<String>,
 }
 
 impl Embedded {
-    /// Opens the file, verifies all of it, and brings its schema up to this program's.
+    /// Opens the file, verifies all of it, and migrates it to this program's schema.
     ///
-    /// Refuses a file that is damaged, newer than the program, behind its head or open elsewhere.
+    /// # Errors
+    /// If the file is damaged, has a newer schema, is behind its acknowledged revision, or is open in another process.
     pub fn open(path: impl AsRef<Path>, create: Create, now: Micros) -> Result<Embedded, StoreError> {
-        Embedded::with(Opener::file(path.as_ref(), create)?, now)
+        Embedded::open_at(Location::file(path.as_ref(), create)?, now)
     }
 
-    /// Opens a store on another storage than a file: `make` gives it, each time it is opened anew. For tests of
-    /// what happens on failing storage.
-    pub fn open_on(make: Backend, now: Micros) -> Result<Embedded, StoreError> {
-        Embedded::with(Opener::on(make), now)
+    /// Opens a store on storage that `factory` gives, each time it is opened. For tests of failing storage.
+    ///
+    /// # Errors
+    /// As [`Embedded::open`].
+    pub fn open_with(factory: StorageFactory, now: Micros) -> Result<Embedded, StoreError> {
+        Embedded::open_at(Location::Storage(factory), now)
     }
 
-    fn with(opener: Opener, now: Micros) -> Result<Embedded, StoreError> {
-        let head = Head::of(&opener);
-        let (revision, trouble) = (Revision(0), None);
-        let mut store = Embedded { opener, db: None, head, revision, answered: None, trouble };
-        store.ready(now)?;
+    fn open_at(location: Location, now: Micros) -> Result<Embedded, StoreError> {
+        let acknowledged = AcknowledgedRevision::beside(location.path());
+        let mut store = Embedded {
+            location,
+            db: None,
+            acknowledged,
+            revision: Revision(0),
+            last_answer: None,
+            fault: None,
+        };
+        store.ensure_open(now)?;
         Ok(store)
     }
 
-    /// The name of the file, for messages.
-    fn what(&self) -> String {
-        self.opener.what()
-    }
-
     /// Opens the file if a failure has closed it.
-    fn ready(&mut self, now: Micros) -> Result<(), StoreError> {
+    fn ensure_open(&mut self, now: Micros) -> Result<(), StoreError> {
         if self.db.is_some() {
             return Ok(());
         }
         let opened = self.reopen(now);
-        self.trouble = opened.as_ref().err().map(ToString::to_string);
+        self.fault = opened.as_ref().err().map(ToString::to_string);
         opened
     }
 
     fn reopen(&mut self, now: Micros) -> Result<(), StoreError> {
-        let what = self.what();
-        let opener = &mut self.opener;
-        let db = guard(|| opener.open()).map_err(|e| e.told(&what))?;
-        let found = guard(|| Rows::found(&db)).map_err(|e| e.told(&what))?;
-        if found.schema > migrate::SCHEMA {
-            return Err(StoreError::NewerSchema { what, found: found.schema, known: migrate::SCHEMA });
+        let name = self.location.name();
+        let failed = |e: EngineFailure| e.into_store_error(&name);
+        let db = catch_panics(|| self.location.open()).map_err(failed)?;
+        let version = catch_panics(|| tables::database_version(&db)).map_err(failed)?;
+        if version.schema > migrate::SCHEMA {
+            let (location, found) = (name, version.schema);
+            return Err(StoreError::NewerSchema { location, found, supported: migrate::SCHEMA });
         }
-        if let Some(acknowledged) = self.head.read().filter(|&h| h > found.revision) {
-            let cause = format!("ends at {}, though {acknowledged} was acknowledged", found.revision);
-            return Err(StoreError::damaged(what, cause));
+        if let Some(acknowledged) = self.acknowledged.read().filter(|&revision| revision > version.revision) {
+            let cause = format!("ends at {}, though {acknowledged} was acknowledged", version.revision);
+            return Err(StoreError::corrupt(name, cause));
         }
-        if found.schema < migrate::SCHEMA {
-            self.opener.keep_copy(found.schema)?;
+        if version.schema < migrate::SCHEMA {
+            self.location.keep_copy(version.schema)?;
         }
-        self.revision = guard(|| Rows::migrate(&db, found, now)).map_err(|e| e.told(&what))?;
-        self.head.write(self.revision);
+        self.revision = catch_panics(|| tables::migrate_database(&db, version, now)).map_err(failed)?;
+        self.acknowledged.write(self.revision);
         self.db = Some(db);
         Ok(())
     }
 
-    /// Closes the file; the next call opens it anew.
+    /// Closes the file; the next call opens it again.
     fn close(&mut self) {
         let db = self.db.take();
-        // What is to be forgotten may be in any state: a panic here says nothing more.
-        let _ = guard(|| {
+        // After a failure the database may be in any state: a panic here adds nothing to it.
+        let _ = catch_panics(|| {
             drop(db);
-            Ok::<(), Failed>(())
+            Ok::<(), EngineFailure>(())
         });
     }
 
@@ -122,136 +130,157 @@
     fn read<T>(
         &mut self,
         now: Micros,
-        f: impl FnOnce(&Rows<'_>) -> Result<T, Failed>,
+        read: impl FnOnce(&TableReader<'_>) -> Result<T, EngineFailure>,
     ) -> Result<T, StoreError> {
-        self.ready(now)?;
-        let what = self.what();
+        self.ensure_open(now)?;
         let Some(db) = &self.db else { return Err(StoreError::Closed) };
-        let result = guard(|| {
+        let result = catch_panics(|| {
             let txn = db.begin_read()?;
-            f(&Rows::of(&txn)?)
+            read(&TableReader::new(&txn)?)
         });
         match result {
             Ok(value) => {
-                (self.answered, self.trouble) = (Some(now), None);
+                self.record_answer(now);
                 Ok(value)
             }
-            Err(Failed::Refused(e)) => Err(e),
+            Err(EngineFailure::Rejected(e)) => Err(e),
             Err(e) => {
-                let e = e.told(&what);
-                self.trouble = Some(e.to_string());
+                let e = e.into_store_error(&self.location.name());
+                self.fault = Some(e.to_string());
                 self.close();
                 Err(e)
             }
         }
     }
 
-    /// Writes within one transaction. Where it is not known whether the switch was made, the file is opened anew
-    /// to see: this is the only writer, so the revision tells.
+    /// Writes within one transaction. If it is not known whether it was committed, the file is opened again: as this
+    /// is the only writer, the revision tells.
     fn write(
         &mut self,
         now: Micros,
-        f: impl FnOnce(&Database, Revision) -> Result<(), Failed>,
+        write: impl FnOnce(&Database, Revision) -> Result<(), EngineFailure>,
     ) -> Result<Revision, StoreError> {
-        self.ready(now)?;
-        let what = self.what();
+        self.ensure_open(now)?;
         let next = Revision(self.revision.0 + 1);
         let Some(db) = &self.db else { return Err(StoreError::Closed) };
-        match guard(|| f(db, next)) {
+        match catch_panics(|| write(db, next)) {
             Ok(()) => self.revision = next,
-            Err(Failed::Refused(e)) => return Err(e),
-            Err(e) => {
-                let e = e.told(&what);
-                self.close();
-                if self.ready(now).is_err() {
-                    return Err(StoreError::Unsure { what, cause: e.to_string() });
-                }
-                if self.revision < next {
-                    self.trouble = Some(e.to_string());
-                    return Err(e);
-                }
-            }
+            Err(EngineFailure::Rejected(e)) => return Err(e),
+            Err(e) => self.resolve_failed_write(e, next, now)?,
         }
-        self.head.write(next);
-        (self.answered, self.trouble) = (Some(now), None);
+        self.acknowledged.write(next);
+        self.record_answer(now);
         Ok(next)
     }
+
+    /// Finds out whether a failed write was committed as revision `next` all the same.
+    fn resolve_failed_write(
+        &mut self,
+        e: EngineFailure,
+        next: Revision,
+        now: Micros,
+    ) -> Result<(), StoreError> {
+        let location = self.location.name();
+        let e = e.into_store_error(&location);
+        self.close();
+        if self.ensure_open(now).is_err() {
+            return Err(StoreError::OutcomeUnknown { location, cause: e.to_string() });
+        }
+        if self.revision < next {
+            self.fault = Some(e.to_string());
+            return Err(e);
+        }
+        Ok(())
+    }
+
+    fn record_answer(&mut self, now: Micros) {
+        self.last_answer = Some(now);
+        self.fault = None;
+    }
+}
+
+/// The newest change of each record, in the order of revisions.
+fn newest_changes(reader: &TableReader<'_>, changed: &[ChangedKeys]) -> Result<Vec<Change>, EngineFailure> {
+    let mut newest: BTreeMap<&String, Revision> = BTreeMap::new();
+    for ChangedKeys { revision, keys } in changed {
+        newest.extend(keys.iter().map(|key| (key, *revision)));
+    }
+    let mut in_order: Vec<(Revision, &String)> =
+        newest.into_iter().map(|(key, revision)| (revision, key)).collect();
+    in_order.sort();
+    let mut changes = Vec::with_capacity(in_order.len());
+    for (revision, text) in in_order {
+        let key = Key::parse(text).ok_or_else(|| StoreError::corrupt(text, "is no key"))?;
+        let value = reader.get(&key)?.map(|entry| entry.value);
+        changes.push(Change { key, revision, value });
+    }
+    Ok(changes)
 }
 
 impl Store for Embedded {
     fn get(&mut self, key: &Key, now: Micros) -> Result<Option<Entry>, StoreError> {
-        self.read(now, |rows| rows.get(key))
+        self.read(now, |reader| reader.get(key))
     }
 
-    fn list(&mut self, ask: &Ask, now: Micros) -> Result<Page, StoreError> {
+    fn list(&mut self, query: &Query, now: Micros) -> Result<Page, StoreError> {
         let revision = self.revision;
-        self.read(now, |rows| {
-            let (entries, more) = rows.range(ask.space, &ask.prefix, ask.after.as_deref(), ask.limit)?;
-            Ok(Page { entries, more, revision })
+        self.read(now, |reader| {
+            let page = reader.list(query)?;
+            Ok(Page { entries: page.entries, more: page.more, revision })
         })
     }
 
     fn apply(&mut self, batch: &Batch, now: Micros) -> Result<Revision, StoreError> {
-        batch.check()?;
-        self.write(now, |db, next| Rows::commit(db, batch, next, CHANGES_KEPT))
+        batch.validate()?;
+        self.write(now, |db, next| tables::commit_batch(db, batch, next, RETAINED_REVISIONS))
     }
 
     fn changes(&mut self, since: Revision, now: Micros) -> Result<Changes, StoreError> {
-        let last = self.revision;
-        self.read(now, |rows| {
-            let oldest = rows.oldest(last)?;
+        let newest = self.revision;
+        self.read(now, |reader| {
+            let oldest = reader.oldest_retained(newest)?;
             if since < oldest {
                 return Ok(Changes::Compacted { oldest });
             }
-            let (told, more) = rows.changed(since, CHANGES_AT_ONCE)?;
-            let upto = told.last().map_or(since.max(last), |(revision, _)| *revision);
-            // A record's last change is the one to tell, at its place in the order.
-            let newest: BTreeMap<&String, Revision> =
-                told.iter().flat_map(|(r, keys)| keys.iter().map(|k| (k, *r))).collect();
-            let mut newest: Vec<_> = newest.into_iter().map(|(key, revision)| (revision, key)).collect();
-            newest.sort();
-            let mut changes = Vec::with_capacity(newest.len());
-            for (revision, text) in newest {
-                let key = Key::parse(text).ok_or_else(|| StoreError::damaged(text, "is no key"))?;
-                let value = rows.get(&key)?.map(|entry| entry.value);
-                changes.push(Change { key, revision, value });
-            }
-            Ok(Changes::Since { changes, upto, more })
+            let page = reader.changed_since(since, MAX_REVISIONS_PER_READ)?;
+            let up_to = page.changed.last().map_or(since.max(newest), |last| last.revision);
+            let changes = newest_changes(reader, &page.changed)?;
+            Ok(Changes::Since { changes, up_to, more: page.more })
         })
     }
 
-    fn visit(&mut self, spaces: &[Space], now: Micros, each: Visitor<'_>) -> Result<Revision, StoreError> {
+    fn visit(
+        &mut self,
+        collections: &[Collection],
+        now: Micros,
+        visitor: Visitor<'_>,
+    ) -> Result<Revision, StoreError> {
         let revision = self.revision;
-        self.read(now, |rows| {
-            for &space in spaces {
-                let mut seen = 0;
-                rows.each(space, |entry| {
-                    seen += 1;
-                    each(entry)
-                })?;
-                rows.counted(space, seen)?;
+        self.read(now, |reader| {
+            for &collection in collections {
+                reader.visit(collection, &mut *visitor)?;
             }
             Ok(revision)
         })
     }
 
     fn replace(&mut self, records: Vec<(Key, Vec<u8>)>, now: Micros) -> Result<Revision, StoreError> {
-        self.write(now, |db, next| Rows::replace(db, &records, next))
+        self.write(now, |db, next| tables::replace_records(db, records, next))
     }
 
     fn verify(&mut self, now: Micros) -> Result<(), StoreError> {
-        // Opening it anew checks every page from the disk; then every record is read.
+        // Opening the file verifies every page; visiting verifies every record.
         self.close();
-        self.ready(now)?;
-        self.visit(&Space::ALL, now, &mut |_| Ok(())).map(drop)
+        self.ensure_open(now)?;
+        self.visit(&Collection::ALL, now, &mut |_| Ok(())).map(drop)
     }
 
-    fn health(&self) -> Health {
-        Health {
-            engine: format!("file {}", self.what()),
+    fn health(&self) -> StoreHealth {
+        StoreHealth {
+            engine: format!("file {}", self.location.name()),
             revision: self.revision,
-            answered: self.answered,
-            trouble: self.trouble.clone(),
+            last_answer: self.last_answer,
+            fault: self.fault.clone(),
             schema: migrate::SCHEMA,
         }
     }
--- a/crates/store/src/embedded/rows/tests.rs
+++ b/crates/store/src/embedded/tables/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::calls::{Call, Request, run};
+use crate::commands::{ChangeRequest, Command, execute};
 use crate::embedded::{Create, Embedded};
-use crate::name::Name;
+use crate::name::TenantName;
 use crate::record::{Actor, NewTenant};
-use crate::store::{Ask, Store};
+use crate::store::{Query, Store};
 
 fn set_schema(path: &std::path::Path, schema: u64) {
     let db = Database::create(path).unwrap();
@@ -20,18 +20,18 @@
     let path = dir.path().join("store");
     let mut store = Embedded::open(&path, Create::IfMissing, 0).unwrap();
     let create = |store: &mut Embedded, name| {
-        let call = Call::CreateTenant(NewTenant::named(Name::new(name).unwrap()));
-        run(store, &[Request::new(Actor::File, call)], 0).remove(0)
+        let call = Command::CreateTenant(NewTenant::named(TenantName::new(name).unwrap()));
+        execute(store, &[ChangeRequest::new(Actor::File, call)], 0).remove(0)
     };
     create(&mut store, "pay").unwrap();
     // As schema 1 was: without an index of looks.
-    let looks = store.list(&Ask::of(Space::Look), 0).unwrap().entries;
+    let looks = store.list(&Query::all(Collection::ConfusableName), 0).unwrap().entries;
     let writes = looks.into_iter().map(|entry| (entry.key, None)).collect();
     store.apply(&Batch { conditions: vec![], writes }, 0).unwrap();
     drop(store);
     set_schema(&path, 1);
     let mut store = Embedded::open(&path, Create::Never, 0).unwrap();
-    assert!(matches!(create(&mut store, "рау"), Err(StoreError::LooksLike { .. })));
+    assert!(matches!(create(&mut store, "рау"), Err(StoreError::ConfusableName { .. })));
     assert_eq!(crate::check::check(&mut store, 0).unwrap(), []);
     drop(store);
     assert!(dir.path().join("store.schema-1").exists(), "no copy of the old file was kept");
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,23 +1,23 @@
-//! What can go wrong with a store; each error names the key, file or endpoint at fault and the cause.
+//! Errors of the store. Each names the key, file or endpoint at fault and the cause.
 
-use crate::store::Revision;
+use crate::revision::Revision;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// An answer from a store that is not what was asked for.
+/// Why an operation on the store failed.
 ///
-/// Nothing was changed, except after [`StoreError::Unsure`], which says that this is not known.
+/// Nothing was changed, except perhaps after [`StoreError::OutcomeUnknown`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// No record stands under the key.
+    /// No record has this key.
     #[error("{key}: not there")]
-    Missing {
+    NotFound {
         /// The record's key.
         key: String,
     },
-    /// A record stands under the key that was to be made.
+    /// The record to create exists already.
     #[error("{key}: there already")]
-    Exists {
+    AlreadyExists {
         /// The record's key.
         key: String,
     },
@@ -26,117 +26,117 @@
     Conflict {
         /// The record's key.
         key: String,
-        /// The revision that the caller knew; 0 for "not there".
+        /// The version that the caller expected; 0 for no record.
         expected: Revision,
-        /// The revision that it has; 0 where it is not there.
+        /// The version of the record; 0 if there is none.
         found: Revision,
     },
-    /// A value that no record may have.
+    /// A field has a value that is not allowed.
     #[error(transparent)]
-    Invalid(#[from] Invalid),
-    /// A name that reads like another one, written in other scripts.
-    #[error("name {name:?} looks like {like:?}, which is written in other scripts")]
-    LooksLike {
-        /// The name that was to be taken.
+    Invalid(#[from] InvalidValue),
+    /// The name can be confused with an existing one that is written in other scripts.
+    #[error("name {name:?} looks like {existing:?}, which is written in other scripts")]
+    ConfusableName {
+        /// The rejected name.
         name: String,
-        /// The name that has it already.
-        like: String,
+        /// The existing name.
+        existing: String,
     },
-    /// The key of a repeated call came with another call.
-    #[error("the idempotency key was used at {made} µs for another call")]
-    KeyReused {
-        /// When the first call came, in microseconds since 1970.
-        made: u64,
+    /// The idempotency key was used for another call.
+    #[error("the idempotency key was used at {first_used} µs for another call")]
+    IdempotencyKeyReused {
+        /// When the key was first used, in microseconds since 1970.
+        first_used: u64,
     },
-    /// Figures for an interval that has other figures already.
+    /// The same minute of usage was reported before, with other figures.
     #[error("usage of {instance} in minute {minute}: other figures were counted already")]
-    Counted {
-        /// The instance that reports.
+    UsageAlreadyRecorded {
+        /// The reporting instance.
         instance: String,
         /// The minute since 1970.
         minute: u64,
     },
-    /// What is kept is not what was written: the store must be restored from a backup.
-    #[error("{what}: damaged: {cause}")]
-    Damaged {
+    /// The stored data is corrupt: the store must be restored from a backup.
+    #[error("{location}: damaged: {cause}")]
+    Corrupt {
         /// The file or key.
-        what: String,
+        location: String,
         /// What is wrong with it.
         cause: String,
     },
-    /// Made by a newer program.
-    #[error("{what}: has schema {found}; this program knows schemas up to {known}")]
+    /// The data was written by a newer program.
+    #[error("{location}: has schema {found}; this program knows schemas up to {supported}")]
     NewerSchema {
         /// The file or key prefix.
-        what: String,
-        /// Its schema.
+        location: String,
+        /// The schema of the data.
         found: u32,
-        /// The newest that this program knows.
-        known: u32,
+        /// The newest schema that this program supports.
+        supported: u32,
     },
     /// Another process has the file open.
     #[error("{path}: open in another process")]
-    InUse {
+    Locked {
         /// The file.
         path: PathBuf,
     },
-    /// The disk is full, or the file may not grow.
-    #[error("{what}: no space: {cause}")]
-    Full {
+    /// The disk is full, or the file has reached its size limit.
+    #[error("{location}: no space: {cause}")]
+    NoSpace {
         /// The file.
-        what: String,
-        /// The system's words.
+        location: String,
+        /// The system's error message.
         cause: String,
     },
     /// Reading or writing failed.
-    #[error("{what}: {cause}")]
+    #[error("{location}: {cause}")]
     Io {
         /// The file or endpoint.
-        what: String,
-        /// The system's words.
+        location: String,
+        /// The system's error message.
         cause: String,
     },
-    /// Not to be reached now; what is known already stays in force.
+    /// No endpoint of the engine answers.
     #[error("{endpoint}: not to be reached: {cause}")]
     Unavailable {
-        /// The endpoint that was tried last.
+        /// The last endpoint called.
         endpoint: String,
-        /// Why it failed.
+        /// Why the call failed.
         cause: String,
     },
-    /// Written perhaps: the answer never came. The store finds out before it writes anything else.
-    #[error("{what}: not known whether the change was kept: {cause}")]
-    Unsure {
+    /// The change may or may not have been made. The store finds out before its next write.
+    #[error("{location}: not known whether the change was kept: {cause}")]
+    OutcomeUnknown {
         /// The file or endpoint.
-        what: String,
-        /// What happened.
+        location: String,
+        /// Why no answer came.
         cause: String,
     },
-    /// A member answered with older content than was seen before.
-    #[error("{endpoint}: answers with revision {found}, older than {seen} which was seen already")]
+    /// A member answered with older data than was read before.
+    #[error("{endpoint}: answers with revision {found}, older than {newest} which was seen already")]
     Stale {
-        /// The endpoint.
+        /// The member's endpoint.
         endpoint: String,
-        /// Its revision.
+        /// The revision it answered with.
         found: Revision,
-        /// The newest that was seen.
-        seen: Revision,
+        /// The newest revision read so far.
+        newest: Revision,
     },
-    /// More than can be kept or asked for at once.
+    /// A limit is exceeded.
     #[error("{what}: {found} where at most {limit} may be")]
-    TooMuch {
-        /// What there is too much of.
+    LimitExceeded {
+        /// What is limited.
         what: String,
-        /// How much there is.
+        /// The requested amount.
         found: u64,
-        /// How much may be.
+        /// The largest amount allowed.
         limit: u64,
     },
     /// The queue to the store's thread is full.
-    #[error("{waiting} calls wait for the store already")]
-    Busy {
-        /// How many wait.
-        waiting: usize,
+    #[error("{pending} calls wait for the store already")]
+    QueueFull {
+        /// Calls in the queue.
+        pending: usize,
     },
     /// The store's thread has ended.
     #[error("the store is closed")]
@@ -144,33 +144,37 @@
 }
 
 impl StoreError {
-    /// Whether the same call may succeed later without anybody changing anything.
-    pub fn passes(&self) -> bool {
-        use StoreError::*;
+    /// Whether the same call may succeed later without any change by the caller.
+    pub fn is_transient(&self) -> bool {
         matches!(
             self,
-            Full { .. } | Io { .. } | Unavailable { .. } | Unsure { .. } | Stale { .. } | Busy { .. }
+            StoreError::NoSpace { .. }
+                | StoreError::Io { .. }
+                | StoreError::Unavailable { .. }
+                | StoreError::OutcomeUnknown { .. }
+                | StoreError::Stale { .. }
+                | StoreError::QueueFull { .. }
         )
     }
 
-    pub(crate) fn damaged(what: impl ToString, cause: impl ToString) -> StoreError {
-        StoreError::Damaged { what: what.to_string(), cause: cause.to_string() }
+    pub(crate) fn corrupt(location: impl ToString, cause: impl ToString) -> StoreError {
+        StoreError::Corrupt { location: location.to_string(), cause: cause.to_string() }
     }
 }
 
-/// A field with a value that it may not have.
+/// A field with a value that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {cause}")]
-pub struct Invalid {
+pub struct InvalidValue {
     /// The field, as a path in the record.
     pub field: String,
     /// What is wrong with its value.
     pub cause: String,
 }
 
-impl Invalid {
-    /// A fault in a field.
-    pub fn new(field: impl Into<String>, cause: impl Into<String>) -> Invalid {
-        Invalid { field: field.into(), cause: cause.into() }
+impl InvalidValue {
+    /// An error about `field`.
+    pub fn new(field: impl Into<String>, cause: impl Into<String>) -> InvalidValue {
+        InvalidValue { field: field.into(), cause: cause.into() }
     }
 }
--- /dev/null
+++ b/crates/store/src/files.rs
@@ -0,0 +1,85 @@
+//! Files that are replaced as a whole: written under a temporary name beside the target, synced, then renamed.
+
+use crate::error::StoreError;
+use std::fs::{self, File, OpenOptions};
+use std::io::{self, Write};
+use std::os::unix::fs::OpenOptionsExt;
+use std::path::{Path, PathBuf};
+
+/// Permissions of every file: nobody but its owner reads it.
+const OWNER_ONLY: u32 = 0o600;
+
+/// The path of a file that belongs to another one: its name, a dot and a suffix.
+pub(crate) fn sibling_path(path: &Path, suffix: &str) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(".");
+    name.push(suffix);
+    name.into()
+}
+
+/// The path under which a file is written before it is published.
+pub(crate) fn temporary_path(path: &Path) -> PathBuf {
+    sibling_path(path, "part")
+}
+
+/// Options that create a file, or truncate an old one.
+pub(crate) fn create_options() -> OpenOptions {
+    let mut options = OpenOptions::new();
+    options.write(true).create(true).truncate(true).mode(OWNER_ONLY);
+    options
+}
+
+/// Renames a finished file over its target, durably.
+pub(crate) fn publish(temporary: &Path, path: &Path) -> Result<(), StoreError> {
+    let to_store_error = |e: io::Error| io_error(&path.display().to_string(), &e);
+    File::open(temporary).and_then(|file| file.sync_all()).map_err(to_store_error)?;
+    fs::rename(temporary, path).map_err(to_store_error)?;
+    let folder = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    File::open(folder).and_then(|folder| folder.sync_all()).map_err(to_store_error)
+}
+
+/// Writes and publishes a file; a failed one is removed.
+pub(crate) fn publish_with<T>(
+    path: &Path,
+    write: impl FnOnce(&Path) -> Result<T, StoreError>,
+) -> Result<T, StoreError> {
+    let temporary = temporary_path(path);
+    let published = write(&temporary).and_then(|written| {
+        publish(&temporary, path)?;
+        Ok(written)
+    });
+    if published.is_err() {
+        // A leftover that can't be removed is harmless: the next write truncates it.
+        let _ = fs::remove_file(&temporary);
+    }
+    published
+}
+
+/// Writes a file, completely or not at all.
+pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> Result<(), StoreError> {
+    publish_with(path, |temporary| {
+        let written = create_options().open(temporary).and_then(|mut file| file.write_all(bytes));
+        written.map_err(|e| io_error(&temporary.display().to_string(), &e))
+    })
+}
+
+/// Copies a file, completely or not at all.
+pub(crate) fn copy_atomically(from: &Path, to: &Path) -> Result<(), StoreError> {
+    publish_with(to, |temporary| match fs::copy(from, temporary) {
+        Ok(_) => Ok(()),
+        Err(e) => Err(io_error(&temporary.display().to_string(), &e)),
+    })
+}
+
+/// The store error for a system error at a file.
+pub(crate) fn io_error(location: &str, e: &io::Error) -> StoreError {
+    let (location, cause) = (location.to_string(), e.to_string());
+    match e.kind() {
+        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
+            StoreError::NoSpace { location, cause }
+        }
+        // The file is too short or not a database: not what was written.
+        io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData => StoreError::Corrupt { location, cause },
+        _ => StoreError::Io { location, cause },
+    }
+}
--- a/crates/store/src/key.rs
+++ b/crates/store/src/key.rs
@@ -1,27 +1,27 @@
-//! Where records stand: a space for each kind, and a name within it.
+//! Keys of records: a collection for each kind of record, and a name within it.
 
 use std::fmt;
 
-/// The kinds of records. Each has its own names.
+/// A kind of records. Each collection has its own names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Space {
-    /// The audit trail, by number.
+pub enum Collection {
+    /// The audit trail, by entry number.
     Audit,
-    /// What balancers tell each other of budgets that they share; nothing of it outlives them.
+    /// Leases and allocations of the budgets that balancers share.
     Budget,
     /// Class definitions, by name.
     Class,
-    /// Service-wide limits; one record.
+    /// Service-wide limits; a single record.
     Limits,
-    /// Names of tenants by how they look.
-    Look,
-    /// Counters and the schema.
-    Meta,
-    /// Stored answers of calls with an idempotency key.
-    Once,
-    /// Whom a tenant's place was given to.
-    Place,
-    /// Tenants, by their unique name.
+    /// Index of tenant names that can be confused with each other, by the hash of their skeleton.
+    ConfusableName,
+    /// Counters, by name.
+    Counter,
+    /// Replies to calls with an idempotency key.
+    IdempotencyKey,
+    /// Which tenant a numeric id was assigned to.
+    IdAssignment,
+    /// Tenants, by their canonical name.
     Tenant,
     /// API tokens, by id.
     Token,
@@ -29,72 +29,88 @@
     Usage,
 }
 
-impl Space {
-    /// All spaces, in the order of their names.
-    pub const ALL: [Space; 11] = {
-        use Space::*;
-        [Audit, Budget, Class, Limits, Look, Meta, Once, Place, Tenant, Token, Usage]
-    };
+impl Collection {
+    /// All collections, in the order of their names.
+    pub const ALL: [Collection; 11] = [
+        Collection::Audit,
+        Collection::Budget,
+        Collection::Class,
+        Collection::Limits,
+        Collection::ConfusableName,
+        Collection::Counter,
+        Collection::IdempotencyKey,
+        Collection::IdAssignment,
+        Collection::Tenant,
+        Collection::Token,
+        Collection::Usage,
+    ];
 
-    /// What an instance must know to do its work, and keeps a copy of.
-    pub const KNOWN: [Space; 5] = [Space::Class, Space::Limits, Space::Place, Space::Tenant, Space::Token];
+    /// The collections that every instance keeps a copy of.
+    pub const CACHED: [Collection; 5] = [
+        Collection::Class,
+        Collection::Limits,
+        Collection::IdAssignment,
+        Collection::Tenant,
+        Collection::Token,
+    ];
 
-    /// The name as it stands in a key.
+    /// The name of the collection in stored keys.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Space::Audit => "audit",
-            Space::Budget => "budget",
-            Space::Class => "class",
-            Space::Limits => "limits",
-            Space::Look => "look",
-            Space::Meta => "meta",
-            Space::Once => "once",
-            Space::Place => "place",
-            Space::Tenant => "tenant",
-            Space::Token => "token",
-            Space::Usage => "usage",
+            Collection::Audit => "audit",
+            Collection::Budget => "budget",
+            Collection::Class => "class",
+            Collection::Limits => "limits",
+            Collection::ConfusableName => "look",
+            Collection::Counter => "meta",
+            Collection::IdempotencyKey => "once",
+            Collection::IdAssignment => "place",
+            Collection::Tenant => "tenant",
+            Collection::Token => "token",
+            Collection::Usage => "usage",
         }
     }
 
-    /// The space of that name.
-    pub fn parse(name: &str) -> Option<Space> {
-        Space::ALL.into_iter().find(|s| s.as_str() == name)
+    /// The collection with this name.
+    pub fn parse(name: &str) -> Option<Collection> {
+        Collection::ALL.into_iter().find(|collection| collection.as_str() == name)
     }
 }
 
-/// The key of a record; keys are ordered as their texts are.
+/// The key of a record. Keys are ordered as their texts are.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     /// The kind of record.
-    pub space: Space,
-    /// Its name within the space: not empty, at most [`Key::LONGEST`] bytes.
+    pub collection: Collection,
+    /// The name within the collection: not empty, at most [`Key::MAX_NAME_BYTES`] bytes.
     pub name: String,
 }
 
 impl Key {
-    /// The longest name in bytes: a tenant's name may have 4 KiB, and no key is longer.
-    pub const LONGEST: usize = 4096;
+    /// The longest name in bytes, as long as the longest name of a tenant.
+    pub const MAX_NAME_BYTES: usize = 4096;
 
-    /// A key.
-    pub fn new(space: Space, name: impl Into<String>) -> Key {
-        Key { space, name: name.into() }
+    /// The key of the record `name` in `collection`.
+    pub fn new(collection: Collection, name: impl Into<String>) -> Key {
+        Key { collection, name: name.into() }
     }
 
-    /// The key as one text: the space, `/` and the name.
+    /// The key as text: the collection, `/` and the name.
     pub fn text(&self) -> String {
-        format!("{}/{}", self.space.as_str(), self.name)
+        self.to_string()
     }
 
     /// Reads [`Key::text`].
     pub fn parse(text: &str) -> Option<Key> {
-        let (space, name) = text.split_once('/')?;
-        let name = (!name.is_empty() && name.len() <= Key::LONGEST).then_some(name)?;
-        Some(Key::new(Space::parse(space)?, name))
+        let (collection, name) = text.split_once('/')?;
+        let collection = Collection::parse(collection)?;
+        let is_valid = !name.is_empty() && name.len() <= Key::MAX_NAME_BYTES;
+        is_valid.then(|| Key::new(collection, name))
     }
 }
 
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.space.as_str(), self.name)
+        write!(f, "{}/{}", self.collection.as_str(), self.name)
     }
 }
--- a/crates/store/src/migrate.rs
+++ b/crates/store/src/migrate.rs
@@ -1,15 +1,15 @@
-//! The schema of what is kept, and the steps from older ones.
+//! The schema of the records, and the migrations from older schemas.
 //!
-//! A step sees all records and returns what is written. Steps only go forward. A store with a newer schema than
-//! [`SCHEMA`] is refused by name: this program can't know what its records mean.
+//! A migration reads all records and returns what to write. Migrations only go forward. A store with a newer schema
+//! than [`SCHEMA`] is rejected, since this program can't interpret its records.
 //!
-//! In the replicated engine a step is written in several transactions while other instances run, so each step
-//! must do no harm when it is done twice or half; the schema's number is written last.
+//! In the replicated engine a migration is written in several transactions while other instances run, so it must be
+//! idempotent and harmless when half done. The schema's number is written last.
 
 use crate::error::StoreError;
-use crate::key::{Key, Space};
+use crate::key::{Collection, Key};
 use crate::record::{Micros, TenantRecord};
-use crate::store::read;
+use crate::store::{decode, encode};
 use std::collections::BTreeMap;
 
 /// The schema that this program writes.
@@ -18,44 +18,49 @@
 /// All records by key.
 pub(crate) type Records = BTreeMap<Key, Vec<u8>>;
 
-/// Records to write, or to remove.
+/// The new value of each changed record; `None` removes it.
 pub(crate) type Writes = Vec<(Key, Option<Vec<u8>>)>;
 
-type Step = fn(&Records, Micros) -> Result<Writes, StoreError>;
+type Migration = fn(&Records, Micros) -> Result<Writes, StoreError>;
 
-/// The step from each schema to the next, from 1 on.
-const STEPS: [(u32, Step); 1] = [(1, index_looks)];
+/// The migrations, each with the schema that it starts from.
+const MIGRATIONS: [(u32, Migration); 1] = [(1, index_confusable_names)];
 
-/// Takes records from a schema to this program's; what is to be written for it.
-pub(crate) fn steps(from: u32, records: &mut Records, now: Micros) -> Result<Writes, StoreError> {
+/// Migrates records from a schema to this program's, and returns what to write.
+pub(crate) fn migrate(from: u32, records: &mut Records, now: Micros) -> Result<Writes, StoreError> {
     if from == 0 || from > SCHEMA {
-        return Err(StoreError::NewerSchema { what: "meta/schema".into(), found: from, known: SCHEMA });
+        return Err(StoreError::NewerSchema {
+            location: "meta/schema".into(),
+            found: from,
+            supported: SCHEMA,
+        });
     }
-    let mut all: BTreeMap<Key, Option<Vec<u8>>> = BTreeMap::new();
-    for (_, step) in STEPS.iter().filter(|(schema, _)| *schema >= from) {
-        for (key, value) in step(records, now)? {
+    let mut writes: BTreeMap<Key, Option<Vec<u8>>> = BTreeMap::new();
+    for (_, migration) in MIGRATIONS.iter().filter(|(schema, _)| *schema >= from) {
+        for (key, value) in migration(records, now)? {
             match &value {
                 Some(value) => records.insert(key.clone(), value.clone()),
                 None => records.remove(&key),
             };
-            all.insert(key, value);
+            writes.insert(key, value);
         }
     }
-    Ok(all.into_iter().collect())
+    Ok(writes.into_iter().collect())
 }
 
-/// Schema 1 had no index of how names look, so look-alikes were not seen.
-pub(crate) fn index_looks(records: &Records, _now: Micros) -> Result<Writes, StoreError> {
-    let mut looks: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
-    for (key, value) in records.iter().filter(|(key, _)| key.space == Space::Tenant) {
-        let tenant: TenantRecord = read(key, value)?;
-        let look = tenant.name.look();
-        looks.entry(look.skeleton).or_default().insert(key.name.clone(), look.scripts);
+/// Schema 1 had no index of confusable names.
+pub(crate) fn index_confusable_names(records: &Records, _now: Micros) -> Result<Writes, StoreError> {
+    let mut index: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
+    for (key, value) in records.iter().filter(|(key, _)| key.collection == Collection::Tenant) {
+        let tenant: TenantRecord = decode(key, value)?;
+        let form = tenant.name.confusable_form();
+        index.entry(form.skeleton_hash).or_default().insert(key.name.clone(), form.scripts);
     }
-    let record = |(skeleton, names): (String, BTreeMap<String, String>)| {
-        let key = Key::new(Space::Look, skeleton);
-        let value = crate::store::write(&key, &names)?;
-        Ok((key, Some(value)))
-    };
-    looks.into_iter().map(record).collect()
+    let mut writes = Writes::new();
+    for (skeleton_hash, names) in index {
+        let key = Key::new(Collection::ConfusableName, skeleton_hash);
+        let value = encode(&key, &names)?;
+        writes.push((key, Some(value)));
+    }
+    Ok(writes)
 }
--- a/crates/store/src/name.rs
+++ b/crates/store/src/name.rs
@@ -1,30 +1,32 @@
-//! Names: which a tenant or class may have, when two are the same one, and when two look alike.
+//! Names of tenants and classes: which are valid, when two are the same, and when two can be confused.
 //!
-//! A tenant is named in any script. Its name is kept as given (composed, NFC) for display, and a second form
-//! decides who is who: compatibility-composed, case-folded, without what is not seen (NFKC, default case
-//! folding, no default-ignorable characters). `Bolnica`, `BOLNICA` and full-width `Ｂｏｌｎｉｃａ` are one name.
+//! A tenant's name may be in any script. It is kept as given, composed (NFC), for display. Its canonical form
+//! identifies the tenant: NFKC, case-folded by Unicode's default folding, without default-ignorable characters.
+//! `Bolnica`, `BOLNICA` and full-width `Ｂｏｌｎｉｃａ` have one canonical form.
 //!
-//! Two names that differ but look alike (their skeletons by UTS #39 are equal) are told apart by their scripts.
-//! If the scripts differ, as with Cyrillic `рау` beside Latin `pay`, the later name is refused: an operator who
-//! reads one could change the other. Within the same scripts (`modern` and `modem`) nobody is refused, since
-//! people who write that script are used to it, and many honest names would be lost.
+//! Two names are confusable if they differ and their skeletons by UTS #39 are equal. The later name is rejected if it
+//! is written in other scripts, as Cyrillic `рау` beside Latin `pay`. Within the same scripts (`modern` and `modem`)
+//! both are allowed, since the tables would reject many legitimate names.
 
-use crate::error::Invalid;
+use crate::digest::sha256_hex;
+use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
-use sha2::{Digest, Sha256};
 use std::fmt;
 use unicode_normalization::UnicodeNormalization;
 use unicode_security::mixed_script::AugmentedScriptSet;
 use unicode_security::skeleton;
 
-/// The longest name in bytes, as displayed and in its unique form.
-pub const LONGEST_NAME: usize = 4096;
+/// The longest tenant name in bytes, both as displayed and in canonical form.
+pub const MAX_NAME_BYTES: usize = 4096;
 
-/// The longest name of a class in bytes.
-pub const LONGEST_CLASS: usize = 64;
+/// The longest class name in bytes.
+pub const MAX_CLASS_NAME_BYTES: usize = 64;
 
-/// The ranges of characters that are not seen (Default_Ignorable_Code_Point of Unicode 16).
-const UNSEEN: [(u32, u32); 17] = [
+/// Rounds of folding and composing after which every form is stable.
+const MAX_FOLDING_ROUNDS: usize = 4;
+
+/// Ranges of Default_Ignorable_Code_Point in Unicode 16.
+const DEFAULT_IGNORABLE: [(u32, u32); 17] = [
     (0xad, 0xad),
     (0x34f, 0x34f),
     (0x61c, 0x61c),
@@ -44,68 +46,81 @@
     (0xe0000, 0xe0fff),
 ];
 
-fn unseen(c: char) -> bool {
-    UNSEEN.iter().any(|&(from, to)| (from..=to).contains(&u32::from(c)))
+fn is_default_ignorable(character: char) -> bool {
+    let code_point = u32::from(character);
+    DEFAULT_IGNORABLE.iter().any(|&(first, last)| (first..=last).contains(&code_point))
+}
+
+/// Whether a character changes the direction of the text after it.
+fn is_bidi_control(character: char) -> bool {
+    matches!(character, '\u{202a}'..='\u{202e}' | '\u{2066}'..='\u{2069}')
+}
+
+fn is_line_separator(character: char) -> bool {
+    matches!(character, '\u{2028}' | '\u{2029}')
 }
 
-/// Turns the direction of the text after it, so that a name could rewrite the line it stands in.
-fn turns(c: char) -> bool {
-    matches!(c, '\u{202a}'..='\u{202e}' | '\u{2066}'..='\u{2069}')
+fn is_forbidden(character: char) -> bool {
+    character.is_control() || is_bidi_control(character) || is_line_separator(character)
 }
 
 /// A tenant's name, checked and composed (NFC).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Name {
-    shown: String,
+pub struct TenantName {
+    display: String,
 }
 
-impl Name {
-    /// Checks a name: 1 to 4,096 bytes both as given and in its unique form; no control characters, no
-    /// characters that turn the direction of text, no blank at either end, not `.` or `..` (which addresses
-    /// in HTTP swallow), and something that is seen.
-    pub fn new(text: &str) -> Result<Name, Invalid> {
-        let bad = |cause: String| Err(Invalid::new("name", cause));
+impl TenantName {
+    /// Checks a name.
+    ///
+    /// # Errors
+    /// If the name or its canonical form is empty or longer than [`MAX_NAME_BYTES`]; if it has control characters,
+    /// line separators or characters that change the direction of text; if it begins or ends with white space; and
+    /// for `.` and `..`, which do not survive in the path of a URL.
+    pub fn new(text: &str) -> Result<TenantName, InvalidValue> {
+        let invalid = |cause: String| Err(InvalidValue::new("name", cause));
         if text.is_empty() {
-            return bad("is empty".into());
+            return invalid("is empty".into());
         }
-        if text.len() > LONGEST_NAME {
-            return bad(format!("has {} bytes where at most {LONGEST_NAME} may be", text.len()));
+        if text.len() > MAX_NAME_BYTES {
+            return invalid(format!("has {} bytes where at most {MAX_NAME_BYTES} may be", text.len()));
         }
-        let shown: String = text.nfc().collect();
-        if let Some(c) =
-            shown.chars().find(|&c| c.is_control() || turns(c) || matches!(c, '\u{2028}' | '\u{2029}'))
-        {
-            return bad(format!("has the character U+{:04X}, which no name may have", u32::from(c)));
+        let display: String = text.nfc().collect();
+        if let Some(character) = display.chars().find(|&character| is_forbidden(character)) {
+            let code_point = u32::from(character);
+            return invalid(format!("has the character U+{code_point:04X}, which no name may have"));
         }
-        if shown.trim() != shown {
-            return bad("begins or ends with a blank".into());
+        if display.trim() != display {
+            return invalid("begins or ends with a blank".into());
         }
-        if matches!(shown.as_str(), "." | "..") {
-            return bad(format!("is {shown:?}, which addresses swallow"));
+        if matches!(display.as_str(), "." | "..") {
+            return invalid(format!("is {display:?}, which addresses swallow"));
         }
-        let name = Name { shown };
-        let unique = name.unique();
-        if unique.trim().is_empty() {
-            return bad("has nothing that is seen".into());
+        let name = TenantName { display };
+        let canonical = name.canonical();
+        if canonical.trim().is_empty() {
+            return invalid("has nothing that is seen".into());
         }
-        let longest = unique.len().max(name.shown.len());
-        if longest > LONGEST_NAME {
-            return bad(format!("has {longest} bytes once composed, where at most {LONGEST_NAME} may be"));
+        let longest = canonical.len().max(name.display.len());
+        if longest > MAX_NAME_BYTES {
+            return invalid(format!(
+                "has {longest} bytes once composed, where at most {MAX_NAME_BYTES} may be"
+            ));
         }
         Ok(name)
     }
 
     /// The name as it is displayed.
     pub fn as_str(&self) -> &str {
-        &self.shown
+        &self.display
     }
 
-    /// The form that decides who is who; the key of the tenant's record.
-    pub fn unique(&self) -> String {
-        let mut form = fold(&self.shown);
-        // Folding can give what composes further, and composing what folds further; a few rounds settle it.
-        for _ in 0..4 {
+    /// The form that identifies the tenant; the name of its record.
+    pub fn canonical(&self) -> String {
+        // Folding can yield text that composes further, and the other way round.
+        let mut form = fold(&self.display);
+        for _ in 0..MAX_FOLDING_ROUNDS {
             let next = fold(&form);
             if next == form {
                 break;
@@ -115,50 +130,45 @@
         form
     }
 
-    /// How the name looks.
-    pub fn look(&self) -> Look {
-        let unique = self.unique();
-        let skeleton: String = skeleton(&unique).collect();
-        let scripts = AugmentedScriptSet::for_str(&unique);
-        Look { skeleton: hex(&Sha256::digest(skeleton.as_bytes())), scripts: format!("{scripts}") }
+    /// What decides whether the name can be confused with another one.
+    pub fn confusable_form(&self) -> ConfusableForm {
+        let canonical = self.canonical();
+        let skeleton: String = skeleton(&canonical).collect();
+        let scripts = AugmentedScriptSet::for_str(&canonical);
+        ConfusableForm { skeleton_hash: sha256_hex(skeleton.as_bytes()), scripts: scripts.to_string() }
     }
 }
 
 fn fold(text: &str) -> String {
-    let seen: String = text.nfkc().filter(|&c| !unseen(c)).collect();
-    caseless::default_case_fold_str(&seen).nfkc().collect()
-}
-
-/// Bytes as hexadecimal digits.
-pub(crate) fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    let visible: String = text.nfkc().filter(|&character| !is_default_ignorable(character)).collect();
+    caseless::default_case_fold_str(&visible).nfkc().collect()
 }
 
-impl fmt::Display for Name {
+impl fmt::Display for TenantName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.shown)
+        f.write_str(&self.display)
     }
 }
 
-impl TryFrom<String> for Name {
-    type Error = Invalid;
-    fn try_from(text: String) -> Result<Name, Invalid> {
-        Name::new(&text)
+impl TryFrom<String> for TenantName {
+    type Error = InvalidValue;
+    fn try_from(text: String) -> Result<TenantName, InvalidValue> {
+        TenantName::new(&text)
     }
 }
 
-impl From<Name> for String {
-    fn from(name: Name) -> String {
-        name.shown
+impl From<TenantName> for String {
+    fn from(name: TenantName) -> String {
+        name.display
     }
 }
 
-/// How a name looks, and in which scripts it is written.
+/// The form of a name under which confusable names are found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Look {
-    /// The hash of the skeleton: names that look alike have the same.
-    pub skeleton: String,
-    /// The scripts that can write all of it; a text that is compared and never read.
+pub struct ConfusableForm {
+    /// SHA-256 of the skeleton, which confusable names have in common.
+    pub skeleton_hash: String,
+    /// The scripts that can write all of the name; compared, never parsed.
     pub scripts: String,
 }
 
@@ -169,20 +179,23 @@
 
 impl ClassName {
     /// Checks a name.
-    pub fn new(text: &str) -> Result<ClassName, Invalid> {
+    ///
+    /// # Errors
+    /// If the name has another form.
+    pub fn new(text: &str) -> Result<ClassName, InvalidValue> {
+        let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.".contains(byte);
         let bytes = text.as_bytes();
-        let fits = bytes.first().is_some_and(u8::is_ascii_alphanumeric)
-            && bytes.len() <= LONGEST_CLASS
-            && bytes.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(b));
-        match fits {
-            true => Ok(ClassName(text.into())),
-            false => {
-                Err(Invalid::new("class", format!("{text:?} is not 1 to 64 of A-Z, a-z, 0-9, '-', '_', '.'")))
-            }
+        let is_valid = bytes.first().is_some_and(u8::is_ascii_alphanumeric)
+            && bytes.len() <= MAX_CLASS_NAME_BYTES
+            && bytes.iter().all(is_allowed);
+        if !is_valid {
+            let cause = format!("{text:?} is not 1 to 64 of A-Z, a-z, 0-9, '-', '_', '.'");
+            return Err(InvalidValue::new("class", cause));
         }
+        Ok(ClassName(text.into()))
     }
 
-    /// The name.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -195,8 +208,8 @@
 }
 
 impl TryFrom<String> for ClassName {
-    type Error = Invalid;
-    fn try_from(text: String) -> Result<ClassName, Invalid> {
+    type Error = InvalidValue;
+    fn try_from(text: String) -> Result<ClassName, InvalidValue> {
         ClassName::new(&text)
     }
 }
--- a/crates/store/src/name/tests.rs
+++ b/crates/store/src/name/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn one_person_cannot_hold_two_spellings_of_one_name() {
-    let unique = |t: &str| Name::new(t).unwrap().unique();
+    let canonical = |t: &str| TenantName::new(t).unwrap().canonical();
     for (a, b) in [
         ("Bolnica", "BOLNICA"),
         ("Bolnica", "Ｂｏｌｎｉｃａ"),
@@ -13,32 +13,32 @@
         ("pay\u{200b}roll", "payroll"),
         ("Ωμέγα", "ΩΜΈΓΑ"),
     ] {
-        assert_eq!(unique(a), unique(b), "{a} {b}");
+        assert_eq!(canonical(a), canonical(b), "{a} {b}");
     }
-    assert_ne!(unique("grad"), unique("град"));
+    assert_ne!(canonical("grad"), canonical("град"));
 }
 
 #[test]
 fn names_of_one_byte_and_of_four_kibibytes_are_taken_and_what_breaks_a_line_is_not() {
     for good in ["a".to_string(), "長".repeat(1365), "۱ تذكرة".into(), "a/b?c#d%41".into(), "x".repeat(4096)]
     {
-        assert_eq!(Name::new(&good).unwrap().as_str(), good);
+        assert_eq!(TenantName::new(&good).unwrap().as_str(), good);
     }
     // The last but one grows eighteenfold where it is folded.
     for bad in
         ["", " a", "a\n", "a\u{202e}b", ".", "..", "\u{200b}", &"x".repeat(4097), &"ﷺ".repeat(300), "a\0"]
     {
-        assert_eq!(Name::new(bad).unwrap_err().field, "name", "{bad:?}");
+        assert_eq!(TenantName::new(bad).unwrap_err().field, "name", "{bad:?}");
     }
 }
 
 #[test]
 fn names_that_look_alike_in_two_scripts_are_seen() {
-    let look = |t: &str| Name::new(t).unwrap().look();
-    let (latin, cyrillic, mixed) = (look("pay"), look("рау"), look("pаy"));
-    assert_eq!(latin.skeleton, cyrillic.skeleton);
-    assert_eq!(latin.skeleton, mixed.skeleton);
+    let form = |t: &str| TenantName::new(t).unwrap().confusable_form();
+    let (latin, cyrillic, mixed) = (form("pay"), form("рау"), form("pаy"));
+    assert_eq!(latin.skeleton_hash, cyrillic.skeleton_hash);
+    assert_eq!(latin.skeleton_hash, mixed.skeleton_hash);
     assert_ne!(latin.scripts, cyrillic.scripts);
     assert_ne!(latin.scripts, mixed.scripts);
-    assert_eq!(look("modern"), look("modem"));
+    assert_eq!(form("modern"), form("modem"));
 }
--- a/crates/store/src/record/audit.rs
+++ b/crates/store/src/record/audit.rs
@@ -1,7 +1,7 @@
-//! The audit trail: who changed what, when, from what, to what.
+//! The audit trail: who changed what and when, with the record before and after.
 
-use super::{LONGEST_LABEL, Micros, Role, TokenId, label};
-use crate::error::Invalid;
+use super::{Micros, Role, TokenId, check_label};
+use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -11,19 +11,19 @@
 pub enum Actor {
     /// The bearer of a token.
     Token {
-        /// The token.
+        /// The token's id.
         id: TokenId,
-        /// What it allows.
+        /// The token's role.
         #[serde(flatten)]
         role: Role,
-        /// What it is for.
+        /// The token's label.
         label: String,
     },
     /// The configuration file, at the start or on a reload.
     File,
-    /// Whoever runs the program on the machine itself: restore, import, the first token.
+    /// A user at the machine's console: restore, import, the first token.
     Console {
-        /// The system's name of that person; at most 256 bytes.
+        /// The user's name in the system; at most 256 bytes.
         user: String,
     },
     /// The service itself.
@@ -31,36 +31,39 @@
 }
 
 impl Actor {
-    /// Somebody at the machine itself.
-    pub fn console(user: &str) -> Result<Actor, Invalid> {
-        label("user", user, LONGEST_LABEL)?;
+    /// A user at the machine's console.
+    ///
+    /// # Errors
+    /// If the name is longer than 256 bytes or has control characters.
+    pub fn console(user: &str) -> Result<Actor, InvalidValue> {
+        check_label("user", user)?;
         Ok(Actor::Console { user: user.into() })
     }
 }
 
-/// What was done.
+/// The kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Deed {
-    /// A tenant was made.
+pub enum AuditAction {
+    /// A tenant was created.
     TenantCreate,
     /// A tenant was changed.
     TenantChange,
     /// A tenant was removed.
     TenantRemove,
-    /// A class was made.
+    /// A class was created.
     ClassCreate,
     /// A class was changed.
     ClassChange,
     /// A class was removed.
     ClassRemove,
-    /// A token was made.
+    /// A token was created.
     TokenCreate,
     /// A token was revoked.
     TokenRevoke,
     /// Service-wide limits were set.
     LimitsSet,
-    /// Something was done to the fleet that no record holds: a server frozen, sessions moved.
+    /// A command to the fleet that changes no record: a server frozen, sessions migrated.
     Command,
     /// All records were replaced by those of a backup.
     Restore,
@@ -68,31 +71,33 @@
     Import,
 }
 
-/// One entry. Entries are numbered from 1 without a gap, and only ever added.
+/// An entry of the audit trail. Entries are numbered from 1 without a gap, and never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditEntry {
     /// Its number.
     pub number: u64,
-    /// When it was done.
+    /// When the change was made.
     pub at: Micros,
-    /// Who did it.
-    pub who: Actor,
+    /// Who made the change.
+    #[serde(rename = "who")]
+    pub actor: Actor,
     /// What was done.
-    pub deed: Deed,
-    /// To which record, as a key's text, or to what else.
+    #[serde(rename = "deed")]
+    pub action: AuditAction,
+    /// The key of the changed record, or what else was acted on.
     pub target: String,
-    /// The record before; `None` where there was none.
+    /// The record before; `None` if there was none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// The record after; `None` where there is none.
+    /// The record after; `None` if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
 
 impl AuditEntry {
-    /// The key's name of an entry's number: twenty digits, so that names are ordered as numbers are.
-    pub fn name(number: u64) -> String {
+    /// The name of an entry's record: twenty digits, so that names are ordered as numbers are.
+    pub fn key_name(number: u64) -> String {
         format!("{number:020}")
     }
 }
--- a/crates/store/src/record/class.rs
+++ b/crates/store/src/record/class.rs
@@ -1,114 +1,146 @@
-//! Classes of connections that tenants ask for.
+//! Classes of connections that tenants request.
 
-use super::{Micros, Place, at_least_zero};
-use crate::error::Invalid;
+use super::{Micros, NumericId, check_range};
+use crate::error::InvalidValue;
 use crate::name::ClassName;
 use serde::{Deserialize, Serialize};
 
-/// What repeating a request of a class may do.
+/// Whether a request of a class may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum Semantics {
-    /// Safe to repeat.
+    /// Idempotent: may be repeated.
     #[default]
-    Safe,
-    /// Servers drop repeats that carry the same key, for a time.
-    Keyed,
-    /// Must not be repeated unless no earlier attempt can have run.
-    Unsafe,
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// Idempotent by a key: servers drop repeats with the same key for some time.
+    #[serde(rename = "keyed")]
+    IdempotentWithKey,
+    /// Not idempotent: must not be repeated unless no earlier attempt can have run.
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
-/// A class as it is kept.
+/// What requests of a class are promised, and how much they matter.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClassObjectives {
+    /// A setup within this time counts in full, in milliseconds.
+    pub setup_ms: f64,
+    /// A message on an established connection is expected within this time, in milliseconds.
+    pub message_ms: f64,
+    /// The priority of the class relative to others.
+    pub priority_weight: f64,
+}
+
+/// A class as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(try_from = "Raw", into = "Raw")]
+#[serde(try_from = "StoredClass", into = "StoredClass")]
 pub struct ClassRecord {
-    raw: Raw,
+    stored: StoredClass,
 }
 
+/// The stored form of a class, before its values are checked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct StoredClass {
     name: ClassName,
-    place: Place,
-    set_up_ms: f64,
-    message_ms: f64,
-    worth: f64,
+    #[serde(rename = "place")]
+    id: NumericId,
+    #[serde(rename = "set_up_ms")]
+    setup_objective_ms: f64,
+    #[serde(rename = "message_ms")]
+    message_objective_ms: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
     semantics: Semantics,
     created: Micros,
     changed: Micros,
 }
 
 impl ClassRecord {
-    /// The longest time in milliseconds: an hour.
-    pub const LONGEST_MS: f64 = 3_600_000.0;
+    /// The longest latency objective in milliseconds: an hour.
+    pub const MAX_OBJECTIVE_MS: f64 = 3_600_000.0;
+
+    /// The highest priority weight.
+    pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
-    /// A class; `set_up_ms` and `message_ms` are the times within which a set-up and a message are wanted,
-    /// `worth` what a second of it is worth beside other classes. The place is the store's to give.
+    /// A class to be stored, which gives it its id and times.
+    ///
+    /// # Errors
+    /// If an objective is not from 0 to [`ClassRecord::MAX_OBJECTIVE_MS`], or the weight not from 0 to
+    /// [`ClassRecord::MAX_PRIORITY_WEIGHT`].
     pub fn new(
         name: ClassName,
-        set_up_ms: f64,
-        message_ms: f64,
-        worth: f64,
+        objectives: ClassObjectives,
         semantics: Semantics,
-    ) -> Result<ClassRecord, Invalid> {
-        let place = Place(0);
-        let raw = Raw { name, place, set_up_ms, message_ms, worth, semantics, created: 0, changed: 0 };
-        ClassRecord::try_from(raw)
+    ) -> Result<ClassRecord, InvalidValue> {
+        ClassRecord::try_from(StoredClass {
+            name,
+            id: NumericId(0),
+            setup_objective_ms: objectives.setup_ms,
+            message_objective_ms: objectives.message_ms,
+            priority_weight: objectives.priority_weight,
+            semantics,
+            created: 0,
+            changed: 0,
+        })
     }
 
-    pub(crate) fn placed(mut self, place: Place, created: Micros, changed: Micros) -> ClassRecord {
-        (self.raw.place, self.raw.created, self.raw.changed) = (place, created, changed);
+    /// The same class with the values that the store assigns.
+    pub(crate) fn with_assigned(mut self, id: NumericId, created: Micros, changed: Micros) -> ClassRecord {
+        self.stored.id = id;
+        self.stored.created = created;
+        self.stored.changed = changed;
         self
     }
 
     /// Its name.
     pub fn name(&self) -> &ClassName {
-        &self.raw.name
+        &self.stored.name
     }
 
-    /// Its place: given once and never again, as a tenant's is.
-    pub fn place(&self) -> Place {
-        self.raw.place
+    /// Its numeric id, which is never reused.
+    pub fn id(&self) -> NumericId {
+        self.stored.id
     }
 
-    /// A set-up within this time, in milliseconds, earns full worth.
-    pub fn set_up_ms(&self) -> f64 {
-        self.raw.set_up_ms
+    /// A setup within this time counts in full, in milliseconds.
+    pub fn setup_objective_ms(&self) -> f64 {
+        self.stored.setup_objective_ms
     }
 
-    /// A message on a standing connection is wanted within this time, in milliseconds.
-    pub fn message_ms(&self) -> f64 {
-        self.raw.message_ms
+    /// A message on an established connection is expected within this time, in milliseconds.
+    pub fn message_objective_ms(&self) -> f64 {
+        self.stored.message_objective_ms
     }
 
-    /// What a second of it is worth beside other classes.
-    pub fn worth(&self) -> f64 {
-        self.raw.worth
+    /// The priority of the class relative to others.
+    pub fn priority_weight(&self) -> f64 {
+        self.stored.priority_weight
     }
 
-    /// What repeating a request may do.
+    /// Whether a request may be retried.
     pub fn semantics(&self) -> Semantics {
-        self.raw.semantics
+        self.stored.semantics
     }
 
-    /// When it was made.
+    /// When it was created.
     pub fn created(&self) -> Micros {
-        self.raw.created
+        self.stored.created
     }
 }
 
-impl TryFrom<Raw> for ClassRecord {
-    type Error = Invalid;
-    fn try_from(raw: Raw) -> Result<ClassRecord, Invalid> {
-        at_least_zero("set_up_ms", raw.set_up_ms, ClassRecord::LONGEST_MS)?;
-        at_least_zero("message_ms", raw.message_ms, ClassRecord::LONGEST_MS)?;
-        at_least_zero("worth", raw.worth, 1e9)?;
-        Ok(ClassRecord { raw })
+impl TryFrom<StoredClass> for ClassRecord {
+    type Error = InvalidValue;
+    fn try_from(stored: StoredClass) -> Result<ClassRecord, InvalidValue> {
+        check_range("set_up_ms", stored.setup_objective_ms, ClassRecord::MAX_OBJECTIVE_MS)?;
+        check_range("message_ms", stored.message_objective_ms, ClassRecord::MAX_OBJECTIVE_MS)?;
+        check_range("worth", stored.priority_weight, ClassRecord::MAX_PRIORITY_WEIGHT)?;
+        Ok(ClassRecord { stored })
     }
 }
 
-impl From<ClassRecord> for Raw {
-    fn from(class: ClassRecord) -> Raw {
-        class.raw
+impl From<ClassRecord> for StoredClass {
+    fn from(class: ClassRecord) -> StoredClass {
+        class.stored
     }
 }
--- /dev/null
+++ b/crates/store/src/record/idempotency.rs
@@ -0,0 +1,63 @@
+//! Replies to calls with an idempotency key, stored so that a repeated call gets the same reply and changes nothing.
+
+use super::Micros;
+use crate::digest::sha256_hex;
+use crate::error::InvalidValue;
+use serde::{Deserialize, Serialize};
+
+/// The idempotency key of a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct IdempotencyKey {
+    /// The hash of the caller and the key: the name of the record.
+    pub(crate) caller_key_hash: String,
+    /// The hash of the request.
+    pub(crate) request_hash: String,
+    /// When the key may be used anew.
+    pub(crate) expires: Micros,
+}
+
+impl IdempotencyKey {
+    /// The longest key in bytes.
+    pub const MAX_BYTES: usize = 255;
+
+    /// The key `key` that `caller` (a token's id) gave to the call that `request` describes (its method, address and
+    /// body), stored until `expires`.
+    ///
+    /// # Errors
+    /// If the key is not 1 to 255 visible ASCII characters.
+    pub fn new(
+        caller: &str,
+        key: &str,
+        request: &[u8],
+        expires: Micros,
+    ) -> Result<IdempotencyKey, InvalidValue> {
+        let is_visible = |byte: u8| (0x20..0x7f).contains(&byte);
+        if key.is_empty() || key.len() > IdempotencyKey::MAX_BYTES || !key.bytes().all(is_visible) {
+            return Err(InvalidValue::new("Idempotency-Key", "is not 1 to 255 visible ASCII characters"));
+        }
+        // The caller's length, so that no two pairs of caller and key make the same text.
+        let caller_and_key = format!("{}:{caller}{key}", caller.len());
+        Ok(IdempotencyKey {
+            caller_key_hash: sha256_hex(caller_and_key.as_bytes()),
+            request_hash: sha256_hex(request),
+            expires,
+        })
+    }
+}
+
+/// The stored reply to a call. The version that the reply told is the version of this record.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct IdempotencyRecord {
+    /// The hash of the request.
+    #[serde(rename = "print")]
+    pub request_hash: String,
+    /// The reply.
+    #[serde(rename = "answer")]
+    pub reply: serde_json::Value,
+    /// When the call was made.
+    #[serde(rename = "made")]
+    pub created: Micros,
+    /// When the key may be used anew.
+    pub expires: Micros,
+}
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -1,46 +1,49 @@
-//! The records that are kept: plain data with checked constructors. Reading JSON goes through the same checks.
+//! The records that are stored: plain data with checked constructors. Reading JSON makes the same checks.
+//!
+//! Stored and sent names that differ from the fields' are given by `#[serde(rename)]` at each field.
 
 mod audit;
 mod class;
+mod idempotency;
 mod limits;
-mod once;
 mod tenant;
 mod token;
 mod usage;
 
-pub use audit::{Actor, AuditEntry, Deed};
-pub use class::{ClassRecord, Semantics};
-pub use limits::ServiceLimits;
-pub use once::{OnceKey, OnceRecord};
+pub use audit::{Actor, AuditAction, AuditEntry};
+pub use class::{ClassObjectives, ClassRecord, Semantics};
+pub use idempotency::{IdempotencyKey, IdempotencyRecord};
+pub use limits::{PerSecond, ServiceLimits, TenantLimits};
 pub use tenant::{
-    Limits, NewTenant, Origin, PerSecond, Place, PlaceRecord, TenantChange, TenantRecord, TenantState, Weight,
+    IdAssignment, NewTenant, NumericId, Origin, TenantChange, TenantRecord, TenantState, Weight,
 };
-pub use token::{Minted, NewToken, Role, TokenId, TokenRecord, TokenSeed};
-pub use usage::{Day, Hour, InstanceName, MINUTE, Usage, UsageReport};
+pub use token::{MintedToken, NewToken, Role, TokenId, TokenRecord, TokenSeed};
+pub use usage::{DailyUsage, HourlyUsage, InstanceName, MICROS_PER_MINUTE, Usage, UsageReport};
 
-use crate::error::Invalid;
+use crate::error::InvalidValue;
 
 /// Microseconds since the start of 1970 (UTC), leap seconds not counted.
 pub type Micros = u64;
 
-/// The longest label of a token in bytes.
-pub const LONGEST_LABEL: usize = 256;
+/// The longest label of a token, and the longest name of a console user, in bytes.
+pub const MAX_LABEL_BYTES: usize = 256;
 
-/// A text for people: at most so many bytes on one line.
-pub(crate) fn label(field: &str, text: &str, longest: usize) -> Result<(), Invalid> {
-    if text.len() > longest {
-        return Err(Invalid::new(field, format!("has {} bytes where at most {longest} may be", text.len())));
+/// Checks a text for people: one line of at most [`MAX_LABEL_BYTES`].
+pub(crate) fn check_label(field: &str, text: &str) -> Result<(), InvalidValue> {
+    if text.len() > MAX_LABEL_BYTES {
+        let cause = format!("has {} bytes where at most {MAX_LABEL_BYTES} may be", text.len());
+        return Err(InvalidValue::new(field, cause));
     }
-    match text.chars().any(char::is_control) {
-        true => Err(Invalid::new(field, "has control characters")),
-        false => Ok(()),
+    if text.chars().any(char::is_control) {
+        return Err(InvalidValue::new(field, "has control characters"));
     }
+    Ok(())
 }
 
-/// A number that may be neither negative nor anything but a number.
-pub(crate) fn at_least_zero(field: &str, value: f64, most: f64) -> Result<(), Invalid> {
-    match (0.0..=most).contains(&value) {
-        true => Ok(()),
-        false => Err(Invalid::new(field, format!("{value} is not between 0 and {most}"))),
+/// Checks that a number is from 0 to `maximum`, which excludes NaN.
+pub(crate) fn check_range(field: &str, value: f64, maximum: f64) -> Result<(), InvalidValue> {
+    if !(0.0..=maximum).contains(&value) {
+        return Err(InvalidValue::new(field, format!("{value} is not between 0 and {maximum}")));
     }
+    Ok(())
 }
--- a/crates/store/src/record/tenant.rs
+++ b/crates/store/src/record/tenant.rs
@@ -1,53 +1,58 @@
-//! Tenants, their limits, and the places that connections refer to.
+//! Tenants and the numeric ids by which connections refer to them.
 
-use super::Micros;
-use crate::error::Invalid;
-use crate::name::{ClassName, Name};
+use super::{Micros, TenantLimits};
+use crate::error::InvalidValue;
+use crate::name::{ClassName, TenantName};
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A tenant's place: the number by which connections, counters and usage refer to it.
+/// The number by which connections, counters and usage refer to a tenant or a class.
 ///
-/// A place is given once. It is never given again, not even to a tenant made anew under the name of one that was
-/// removed: streams of the removed tenant may still stand, and they must not count as the new one's.
+/// An id is assigned once and never reused, not even for a tenant created again under the name of a removed one:
+/// connections of the removed tenant may still be open, and they must not count as the new tenant's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Place(pub u32);
+pub struct NumericId(pub u32);
 
-impl Place {
-    /// The place as the name of a key: ten digits, so that names are ordered as places are.
-    pub fn key(self) -> String {
+impl NumericId {
+    /// The name of the record of this id: ten digits, so that names are ordered as ids are.
+    pub fn key_name(self) -> String {
         format!("{:010}", self.0)
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for NumericId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "place {}", self.0)
     }
 }
 
-/// A tenant's part where there is not enough for all, beside the other tenants' weights; 1 to 1,000,000.
+/// A tenant's share relative to other tenants when capacity is short; 1 to 1,000,000.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct Weight(u32);
 
 impl Weight {
-    /// The largest weight; sums over all tenants stay far from overflow.
-    pub const LARGEST: u32 = 1_000_000;
+    /// The largest weight, at which sums over all tenants can't overflow.
+    pub const MAX: u32 = 1_000_000;
+
+    /// The weight of a tenant created without one.
+    pub const DEFAULT: Weight = Weight(100);
 
     /// Checks a weight.
-    pub fn new(weight: u32) -> Result<Weight, Invalid> {
-        match (1..=Weight::LARGEST).contains(&weight) {
-            true => Ok(Weight(weight)),
-            false => {
-                Err(Invalid::new("weight", format!("{weight} is not between 1 and {}", Weight::LARGEST)))
-            }
+    ///
+    /// # Errors
+    /// If the weight is not from 1 to [`Weight::MAX`].
+    pub fn new(weight: u32) -> Result<Weight, InvalidValue> {
+        if !(1..=Weight::MAX).contains(&weight) {
+            let cause = format!("{weight} is not between 1 and {}", Weight::MAX);
+            return Err(InvalidValue::new("weight", cause));
         }
+        Ok(Weight(weight))
     }
 
-    /// The weight.
+    /// The weight as a number.
     pub fn get(self) -> u32 {
         self.0
     }
@@ -55,13 +60,13 @@
 
 impl Default for Weight {
     fn default() -> Weight {
-        Weight(100)
+        Weight::DEFAULT
     }
 }
 
 impl TryFrom<u32> for Weight {
-    type Error = Invalid;
-    fn try_from(weight: u32) -> Result<Weight, Invalid> {
+    type Error = InvalidValue;
+    fn try_from(weight: u32) -> Result<Weight, InvalidValue> {
         Weight::new(weight)
     }
 }
@@ -72,55 +77,6 @@
     }
 }
 
-/// A rate in events a second, parts allowed; 0 to 1,000,000.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
-#[serde(try_from = "f64", into = "f64")]
-pub struct PerSecond(f64);
-
-impl PerSecond {
-    /// The highest rate.
-    pub const HIGHEST: f64 = 1e6;
-
-    /// Checks a rate.
-    pub fn new(rate: f64) -> Result<PerSecond, Invalid> {
-        super::at_least_zero("rate", rate, PerSecond::HIGHEST)?;
-        Ok(PerSecond(rate))
-    }
-
-    /// The rate in events a second.
-    pub fn get(self) -> f64 {
-        self.0
-    }
-}
-
-impl TryFrom<f64> for PerSecond {
-    type Error = Invalid;
-    fn try_from(rate: f64) -> Result<PerSecond, Invalid> {
-        PerSecond::new(rate)
-    }
-}
-
-impl From<PerSecond> for f64 {
-    fn from(rate: PerSecond) -> f64 {
-        rate.0
-    }
-}
-
-/// What a tenant may have over the whole fleet; what is missing is not limited.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Limits {
-    /// Standing connections.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub connections: Option<u32>,
-    /// New connections a second.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub set_ups: Option<PerSecond>,
-    /// Connections a second that come again after a break or a move.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub returns: Option<PerSecond>,
-}
-
 /// Whether a tenant is served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -128,78 +84,80 @@
     /// Served.
     #[default]
     Active,
-    /// What stands goes on, nothing new is taken.
+    /// Established connections stay, new ones are rejected.
     Frozen,
-    /// What stands is moved away at a rate, nothing new is taken.
-    Leaving,
+    /// Established connections are migrated away at a limited rate, new ones are rejected.
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
-/// Where a tenant's record is looked after.
+/// Which side manages a tenant's record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Origin {
     /// The administration API.
     #[default]
     Api,
-    /// The configuration file; what the API changed would be undone with the next reading of it.
+    /// The configuration file: the next reading of it would undo changes by the API.
     File,
 }
 
-/// A tenant as it is kept.
+/// A tenant as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantRecord {
-    /// Its name as displayed; the key is the name's unique form.
-    pub name: Name,
-    /// Its place.
-    pub place: Place,
-    /// Its part where there is not enough.
+    /// Its name for display; the record's key has the canonical form.
+    pub name: TenantName,
+    /// Its numeric id.
+    #[serde(rename = "place")]
+    pub id: NumericId,
+    /// Its share when capacity is short.
     pub weight: Weight,
     /// Its limits.
-    pub limits: Limits,
-    /// The classes that it may ask for; `None` for all.
+    pub limits: TenantLimits,
+    /// The classes it may request; `None` for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub classes: Option<BTreeSet<ClassName>>,
     /// Whether it is served.
     pub state: TenantState,
-    /// Who looks after it.
+    /// Which side manages it.
     pub origin: Origin,
-    /// When it was made.
+    /// When it was created.
     pub created: Micros,
     /// When it was last changed.
     pub changed: Micros,
 }
 
-/// What a tenant is made of; the place, the version and the times are the store's.
+/// A tenant to create. The store assigns the id, the version and the times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewTenant {
     /// Its name.
-    pub name: Name,
-    /// Its part where there is not enough.
+    pub name: TenantName,
+    /// Its share when capacity is short.
     #[serde(default)]
     pub weight: Weight,
     /// Its limits.
     #[serde(default)]
-    pub limits: Limits,
-    /// The classes that it may ask for; `None` for all.
+    pub limits: TenantLimits,
+    /// The classes it may request; `None` for all.
     #[serde(default)]
     pub classes: Option<BTreeSet<ClassName>>,
     /// Whether it is served.
     #[serde(default)]
     pub state: TenantState,
-    /// Who looks after it.
+    /// Which side manages it.
     #[serde(default)]
     pub origin: Origin,
 }
 
 impl NewTenant {
-    /// A tenant of that name, without limits.
-    pub fn named(name: Name) -> NewTenant {
+    /// A tenant of this name with the default weight and no limits.
+    pub fn named(name: TenantName) -> NewTenant {
         NewTenant {
             name,
             weight: Weight::default(),
-            limits: Limits::default(),
+            limits: TenantLimits::default(),
             classes: None,
             state: TenantState::Active,
             origin: Origin::Api,
@@ -207,41 +165,44 @@
     }
 }
 
-/// What of a tenant changes; what is `None` stays.
+/// Changes to a tenant; a field that is `None` stays as it is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantChange {
     /// Another spelling of the same name.
-    pub name: Option<Name>,
-    /// Its part where there is not enough.
+    pub name: Option<TenantName>,
+    /// Its share when capacity is short.
     pub weight: Option<Weight>,
     /// Its limits, all of them.
-    pub limits: Option<Limits>,
-    /// The classes that it may ask for; `Some(None)`, in JSON `null`, for all.
-    #[serde(deserialize_with = "given", skip_serializing_if = "Option::is_none")]
+    pub limits: Option<TenantLimits>,
+    /// The classes it may request; `Some(None)`, in JSON `null`, for all.
+    #[serde(deserialize_with = "present", skip_serializing_if = "Option::is_none")]
     pub classes: Option<Option<BTreeSet<ClassName>>>,
     /// Whether it is served.
     pub state: Option<TenantState>,
-    /// Who looks after it.
+    /// Which side manages it.
     pub origin: Option<Origin>,
 }
 
-/// Tells a `null` that is given from nothing given.
-fn given<'de, T: Deserialize<'de>, D: Deserializer<'de>>(from: D) -> Result<Option<T>, D::Error> {
-    T::deserialize(from).map(Some)
+/// Tells a field that is `null` from one that is missing.
+fn present<'de, T: Deserialize<'de>, D: Deserializer<'de>>(deserializer: D) -> Result<Option<T>, D::Error> {
+    T::deserialize(deserializer).map(Some)
 }
 
-/// Whom a place was given to. Kept for ever: usage names places, and a removed tenant's streams may still stand.
+/// Which tenant an id was assigned to. Kept for ever: usage refers to ids, and connections of a removed tenant may
+/// still be open.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PlaceRecord {
-    /// The place.
-    pub place: Place,
-    /// The tenant's name when it was last changed.
-    pub name: Name,
-    /// When the place was given.
-    pub given: Micros,
-    /// When the tenant was removed. What stands of it since then is moved at a rate and then refused.
+pub struct IdAssignment {
+    /// The id.
+    #[serde(rename = "place")]
+    pub id: NumericId,
+    /// The tenant's name after its last change.
+    pub name: TenantName,
+    /// When the id was assigned.
+    #[serde(rename = "given")]
+    pub assigned: Micros,
+    /// When the tenant was removed. Its connections are migrated away from then on, at a limited rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub removed: Option<Micros>,
 }
--- a/crates/store/src/record/token.rs
+++ b/crates/store/src/record/token.rs
@@ -1,23 +1,31 @@
-//! API tokens. Only the hash of a token is kept: who reads the store can't act as anybody.
+//! API tokens. Only the hash of a token's secret is stored, so reading the store gives nobody access.
 
-use super::{LONGEST_LABEL, Micros, Place, label};
-use crate::error::Invalid;
-use crate::name::hex;
+use super::{Micros, NumericId, check_label};
+use crate::digest::{hex, sha256_hex};
+use crate::error::InvalidValue;
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::{Deserialize, Serialize};
-use sha2::{Digest, Sha256};
 use std::fmt;
 use subtle::ConstantTimeEq;
 
+/// The beginning of every token's text, by which leaked tokens are recognised.
+const TOKEN_PREFIX: &str = "swh";
+
+/// Digits of a token's id.
+const ID_DIGITS: usize = 16;
+
+/// Bytes of a seed that make the id; the rest makes the secret.
+const ID_SEED_BYTES: usize = 8;
+
 /// What a token's bearer may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "role", content = "place")]
 pub enum Role {
     /// Everything.
     Operator,
-    /// Read everything about the tenant at a place, and change what is that tenant's own.
-    TenantAdmin(Place),
+    /// Read everything about the tenant with this id, and change what is that tenant's own.
+    TenantAdmin(NumericId),
     /// Read everything but tokens.
     Viewer,
 }
@@ -29,14 +37,18 @@
 
 impl TokenId {
     /// Checks an id.
-    pub fn new(text: &str) -> Result<TokenId, Invalid> {
-        match text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b)) {
-            true => Ok(TokenId(text.into())),
-            false => Err(Invalid::new("id", "is not 16 hexadecimal digits")),
+    ///
+    /// # Errors
+    /// If it is not 16 lower-case hexadecimal digits.
+    pub fn new(text: &str) -> Result<TokenId, InvalidValue> {
+        let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+        if text.len() != ID_DIGITS || !text.bytes().all(is_digit) {
+            return Err(InvalidValue::new("id", "is not 16 hexadecimal digits"));
         }
+        Ok(TokenId(text.into()))
     }
 
-    /// The id.
+    /// The id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -49,8 +61,8 @@
 }
 
 impl TryFrom<String> for TokenId {
-    type Error = Invalid;
-    fn try_from(text: String) -> Result<TokenId, Invalid> {
+    type Error = InvalidValue;
+    fn try_from(text: String) -> Result<TokenId, InvalidValue> {
         TokenId::new(&text)
     }
 }
@@ -71,7 +83,7 @@
     }
 }
 
-/// What a token is made of.
+/// A token to create.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewToken {
     /// What its bearer may do.
@@ -80,96 +92,95 @@
     /// What it is for; at most 256 bytes.
     #[serde(default)]
     pub label: String,
-    /// When it ends; `None` for never.
+    /// When it expires; `None` for never.
     #[serde(default)]
     pub expires: Option<Micros>,
 }
 
-/// A token as it is kept.
+/// A token as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRecord {
     /// Its id.
     pub id: TokenId,
-    /// SHA-256 of its secret, as hexadecimal digits. The secret is 32 random bytes, so it needs no salt.
+    /// SHA-256 of its secret in hexadecimal digits. The secret is 32 random bytes, so it needs no salt.
     pub hash: String,
     /// What its bearer may do.
     #[serde(flatten)]
     pub role: Role,
     /// What it is for.
     pub label: String,
-    /// When it was made.
+    /// When it was created.
     pub created: Micros,
-    /// When it ends; `None` for never.
+    /// When it expires; `None` for never.
     pub expires: Option<Micros>,
     /// When it was revoked.
     pub revoked: Option<Micros>,
 }
 
-/// A new token: its text is shown to its owner once and kept nowhere.
+/// A new token. Its text is shown to its owner once and stored nowhere.
 #[derive(Clone)]
-pub struct Minted {
+pub struct MintedToken {
     /// What the bearer sends.
     pub text: String,
-    /// What is kept.
+    /// What is stored.
     pub record: TokenRecord,
 }
 
-impl fmt::Debug for Minted {
+impl fmt::Debug for MintedToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Minted").field("record", &self.record).finish_non_exhaustive()
+        f.debug_struct("MintedToken").field("record", &self.record).finish_non_exhaustive()
     }
 }
 
-/// What each token begins with, so that a leaked one is recognised.
-const MARK: &str = "swh";
-
 impl TokenRecord {
     /// Makes a token of random bytes. Its text is `swh_`, the id, `_` and the secret in base64 (URL form).
-    pub fn mint(new: NewToken, seed: &TokenSeed, now: Micros) -> Result<Minted, Invalid> {
-        label("label", &new.label, LONGEST_LABEL)?;
-        if new.expires.is_some_and(|at| at <= now) {
-            return Err(Invalid::new("expires", "is in the past"));
+    ///
+    /// # Errors
+    /// If the label is too long or has control characters, or the token would have expired already.
+    pub fn mint(new: NewToken, seed: &TokenSeed, now: Micros) -> Result<MintedToken, InvalidValue> {
+        check_label("label", &new.label)?;
+        if new.expires.is_some_and(|expires| expires <= now) {
+            return Err(InvalidValue::new("expires", "is in the past"));
         }
-        let id = TokenId(hex(&seed.0[..8]));
-        let secret = URL_SAFE_NO_PAD.encode(&seed.0[8..]);
+        let (id_seed, secret_seed) = seed.0.split_at(ID_SEED_BYTES);
+        let id = TokenId(hex(id_seed));
+        let secret = URL_SAFE_NO_PAD.encode(secret_seed);
+        let text = format!("{TOKEN_PREFIX}_{id}_{secret}");
         let record = TokenRecord {
-            hash: hash(&secret),
-            id: id.clone(),
+            id,
+            hash: sha256_hex(secret.as_bytes()),
             role: new.role,
             label: new.label,
             created: now,
             expires: new.expires,
             revoked: None,
         };
-        Ok(Minted { text: format!("{MARK}_{id}_{secret}"), record })
+        Ok(MintedToken { text, record })
     }
 
-    /// The id and the secret within a token's text; `None` where it is no token.
-    pub fn split(text: &str) -> Option<(TokenId, &str)> {
-        let (id, secret) = text.strip_prefix(MARK)?.strip_prefix('_')?.split_once('_')?;
+    /// The id and the secret within a token's text; `None` if it is not a token.
+    pub fn parse_text(text: &str) -> Option<(TokenId, &str)> {
+        let (id, secret) = text.strip_prefix(TOKEN_PREFIX)?.strip_prefix('_')?.split_once('_')?;
         Some((TokenId::new(id).ok()?, secret))
     }
 
-    /// Whether the secret is this token's and the token is in force. The time that it takes tells nothing of the hash.
-    pub fn admits(&self, secret: &str, now: Micros) -> bool {
-        bool::from(hash(secret).as_bytes().ct_eq(self.hash.as_bytes())) && self.stands(now)
+    /// Whether the secret is this token's and the token is valid. Takes constant time in the hash.
+    pub fn accepts(&self, secret: &str, now: Micros) -> bool {
+        let hash = sha256_hex(secret.as_bytes());
+        bool::from(hash.as_bytes().ct_eq(self.hash.as_bytes())) && self.is_valid(now)
     }
 
-    /// Whether it is neither revoked nor past its end.
-    pub fn stands(&self, now: Micros) -> bool {
-        self.revoked.is_none() && self.expires.is_none_or(|at| now < at)
+    /// Whether it is neither revoked nor expired.
+    pub fn is_valid(&self, now: Micros) -> bool {
+        self.revoked.is_none() && self.expires.is_none_or(|expires| now < expires)
     }
 
     /// The record as the audit trail and lists show it: without the hash.
-    pub fn shown(&self) -> serde_json::Value {
-        let mut shown = serde_json::to_value(self).unwrap_or_default();
-        if let Some(fields) = shown.as_object_mut() {
+    pub fn redacted(&self) -> serde_json::Value {
+        let mut value = serde_json::to_value(self).unwrap_or_default();
+        if let Some(fields) = value.as_object_mut() {
             fields.remove("hash");
         }
-        shown
+        value
     }
 }
-
-fn hash(secret: &str) -> String {
-    hex(&Sha256::digest(secret.as_bytes()))
-}
--- a/crates/store/src/record/usage.rs
+++ b/crates/store/src/record/usage.rs
@@ -1,86 +1,91 @@
-//! Usage: what tenants used, by minute, hour and day, counted once.
+//! Usage of tenants by minute, hour and day, each minute recorded once.
 //!
-//! An instance reports each minute once. The report of a minute adds to the minute, its hour and its day in one
-//! transaction, and the day's record says which minutes are in it. So a report that comes again, after whatever
-//! went wrong, is seen and counts nothing, also long after the minute's own record has been tidied away.
+//! An instance reports each minute once. A report adds to the minute, its hour and its day in one transaction, and the
+//! day's record marks the minutes it includes. A repeated report is recognised by that mark and adds nothing, even
+//! long after the minute's own record has expired.
 
-use crate::error::Invalid;
+use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// A minute in microseconds.
-pub const MINUTE: u64 = 60_000_000;
+pub const MICROS_PER_MINUTE: u64 = 60_000_000;
+
+/// The longest cause of a rejection, in bytes.
+const MAX_CAUSE_BYTES: usize = 64;
 
 /// What one tenant used in some time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Usage {
-    /// Sum over its connections of the time that they stood, in microseconds.
-    #[serde(rename = "c", skip_serializing_if = "zero")]
+    /// The time for which its connections were open, summed over connections, in microseconds.
+    #[serde(rename = "c", skip_serializing_if = "is_zero")]
     pub connection_micros: u64,
-    /// Connections that were set up.
-    #[serde(rename = "s", skip_serializing_if = "zero")]
-    pub set_ups: u64,
-    /// Refusals by cause; a cause is 1 to 64 visible ASCII characters.
+    /// Connections established.
+    #[serde(rename = "s", skip_serializing_if = "is_zero")]
+    pub setups: u64,
+    /// Rejections by cause; a cause is 1 to 64 visible ASCII characters.
     #[serde(rename = "r", skip_serializing_if = "BTreeMap::is_empty")]
-    pub refusals: BTreeMap<String, u64>,
-    /// Connections that were asked to move.
-    #[serde(rename = "m", skip_serializing_if = "zero")]
-    pub moves: u64,
-    /// Lines passed, both ways.
-    #[serde(rename = "l", skip_serializing_if = "zero")]
+    pub rejections: BTreeMap<String, u64>,
+    /// Connections asked to migrate.
+    #[serde(rename = "m", skip_serializing_if = "is_zero")]
+    pub migrations: u64,
+    /// Lines relayed in both directions.
+    #[serde(rename = "l", skip_serializing_if = "is_zero")]
     pub lines: u64,
-    /// Bytes passed, both ways.
-    #[serde(rename = "b", skip_serializing_if = "zero")]
+    /// Bytes relayed in both directions.
+    #[serde(rename = "b", skip_serializing_if = "is_zero")]
     pub bytes: u64,
 }
 
-fn zero(n: &u64) -> bool {
-    *n == 0
+fn is_zero(count: &u64) -> bool {
+    *count == 0
 }
 
 impl Usage {
-    /// Adds another's figures; what is over 2⁶⁴ stays there.
+    /// Adds another's counts, saturating.
     pub fn add(&mut self, other: &Usage) {
         self.connection_micros = self.connection_micros.saturating_add(other.connection_micros);
-        self.set_ups = self.set_ups.saturating_add(other.set_ups);
-        self.moves = self.moves.saturating_add(other.moves);
+        self.setups = self.setups.saturating_add(other.setups);
+        self.migrations = self.migrations.saturating_add(other.migrations);
         self.lines = self.lines.saturating_add(other.lines);
         self.bytes = self.bytes.saturating_add(other.bytes);
-        for (cause, n) in &other.refusals {
-            let sum = self.refusals.entry(cause.clone()).or_default();
-            *sum = sum.saturating_add(*n);
+        for (cause, count) in &other.rejections {
+            let sum = self.rejections.entry(cause.clone()).or_default();
+            *sum = sum.saturating_add(*count);
         }
     }
 
-    /// Whole seconds that its connections stood.
+    /// Whole seconds for which its connections were open.
     pub fn connection_seconds(&self) -> u64 {
         self.connection_micros / 1_000_000
     }
 }
 
-/// Who reports: 1 to 64 of ASCII letters, digits, `-`, `_`, `.`, `@`, `:`.
+/// The name of a reporting instance: 1 to 64 of ASCII letters, digits, `-`, `_`, `.`, `@`, `:`.
 ///
-/// It must be new at each start of the process (a name and the time of the start, say): an instance that starts
-/// again within a minute would else report that minute twice, with two different figures.
+/// It must be new at each start of the process, for example a host name and the start time: an instance that restarts
+/// within a minute would otherwise report that minute twice with different counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct InstanceName(String);
 
 impl InstanceName {
     /// Checks a name.
-    pub fn new(text: &str) -> Result<InstanceName, Invalid> {
-        let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.@:".contains(&b);
-        match (1..=64).contains(&text.len()) && text.bytes().all(fits) {
-            true => Ok(InstanceName(text.into())),
-            false => {
-                Err(Invalid::new("instance", format!("{text:?} is not 1 to 64 of A-Z, a-z, 0-9, '-_.@:'")))
-            }
+    ///
+    /// # Errors
+    /// If the name has another form.
+    pub fn new(text: &str) -> Result<InstanceName, InvalidValue> {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.@:".contains(&byte);
+        if !(1..=64).contains(&text.len()) || !text.bytes().all(is_allowed) {
+            let cause = format!("{text:?} is not 1 to 64 of A-Z, a-z, 0-9, '-_.@:'");
+            return Err(InvalidValue::new("instance", cause));
         }
+        Ok(InstanceName(text.into()))
     }
 
-    /// The name.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -93,8 +98,8 @@
 }
 
 impl TryFrom<String> for InstanceName {
-    type Error = Invalid;
-    fn try_from(text: String) -> Result<InstanceName, Invalid> {
+    type Error = InvalidValue;
+    fn try_from(text: String) -> Result<InstanceName, InvalidValue> {
         InstanceName::new(&text)
     }
 }
@@ -109,52 +114,61 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
     pub(crate) instance: InstanceName,
+    /// Whole minutes since 1970.
     pub(crate) minute: u64,
-    pub(crate) places: BTreeMap<u32, Usage>,
+    pub(crate) usage_by_id: BTreeMap<u32, Usage>,
 }
 
 impl UsageReport {
-    /// The last minute that can be counted, some time in the year 9999.
-    pub const LAST_MINUTE: u64 = 4_223_376_000;
-
-    /// The figures of `minute` (whole minutes since 1970) by place. Refuses causes that no refusal may have.
+    /// The last minute that can be recorded, in the year 9999.
+    pub const MAX_MINUTE: u64 = 4_223_376_000;
+
+    /// The usage of `minute` (whole minutes since 1970), by the tenants' numeric ids.
+    ///
+    /// # Errors
+    /// If the minute is after [`UsageReport::MAX_MINUTE`], or a rejection's cause is not 1 to 64 visible ASCII
+    /// characters.
     pub fn new(
         instance: InstanceName,
         minute: u64,
-        places: BTreeMap<u32, Usage>,
-    ) -> Result<UsageReport, Invalid> {
-        if minute > UsageReport::LAST_MINUTE {
-            return Err(Invalid::new("minute", "is after the year 9999"));
+        usage_by_id: BTreeMap<u32, Usage>,
+    ) -> Result<UsageReport, InvalidValue> {
+        if minute > UsageReport::MAX_MINUTE {
+            return Err(InvalidValue::new("minute", "is after the year 9999"));
         }
-        let odd = |cause: &&String| {
-            cause.is_empty() || cause.len() > 64 || !cause.bytes().all(|b| b.is_ascii_graphic())
-        };
-        if let Some(cause) = places.values().flat_map(|u| u.refusals.keys()).find(odd) {
-            return Err(Invalid::new(
-                "refusals",
-                format!("{cause:?} is not 1 to 64 visible ASCII characters"),
-            ));
+        let mut causes = usage_by_id.values().flat_map(|usage| usage.rejections.keys());
+        if let Some(cause) = causes.find(|cause| !is_valid_cause(cause)) {
+            let cause = format!("{cause:?} is not 1 to 64 visible ASCII characters");
+            return Err(InvalidValue::new("refusals", cause));
         }
-        Ok(UsageReport { instance, minute, places })
+        Ok(UsageReport { instance, minute, usage_by_id })
     }
 }
 
-/// One instance's hour, for some places.
+fn is_valid_cause(cause: &str) -> bool {
+    (1..=MAX_CAUSE_BYTES).contains(&cause.len()) && cause.bytes().all(|byte| byte.is_ascii_graphic())
+}
+
+/// The usage of an hour that one instance reported, for a chunk of ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Hour {
-    /// Which of its minutes are in, a bit for each.
-    pub minutes: u64,
-    /// Figures by place.
-    pub places: BTreeMap<u32, Usage>,
+pub struct HourlyUsage {
+    /// The minutes that are included, a bit for each.
+    #[serde(rename = "minutes")]
+    pub included_minutes: u64,
+    /// Usage by numeric id.
+    #[serde(rename = "places")]
+    pub usage_by_id: BTreeMap<u32, Usage>,
 }
 
-/// One instance's day, for some places.
+/// The usage of a day that one instance reported, for a chunk of ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
-    /// Which minutes of each hour are in, a bit for each.
-    pub minutes: [u64; 24],
-    /// Figures by place.
-    pub places: BTreeMap<u32, Usage>,
+pub struct DailyUsage {
+    /// The minutes of each hour that are included, a bit for each.
+    #[serde(rename = "minutes")]
+    pub included_minutes: [u64; 24],
+    /// Usage by numeric id.
+    #[serde(rename = "places")]
+    pub usage_by_id: BTreeMap<u32, Usage>,
 }
--- /dev/null
+++ b/crates/store/src/revision.rs
@@ -0,0 +1,17 @@
+//! The numbers of transactions, which are also the versions of records.
+
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// The number of a transaction, counted over the whole store; 0 is before the first.
+///
+/// A record's version is the revision of the transaction that wrote it last.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct Revision(pub u64);
+
+impl fmt::Display for Revision {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "revision {}", self.0)
+    }
+}
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,22 +1,20 @@
 //! The store on a thread of its own, so that an event loop never waits for a disk or a network.
 //!
-//! The loop hands over calls and gets answers and news back when it looks. The queue has a limit: when it is
-//! full the loop is told so at once and can answer its caller. Calls that wait together are written together.
+//! The loop hands over jobs, and polls for their results and for changes. The queue is bounded: when it is full the loop
+//! is told at once and can reject its caller. Changes that wait together are written together.
 
-use crate::backup::{Taken, backup, restore};
-use crate::cached::Cached;
-use crate::calls::{self, Done, Found, Question, Request};
+use crate::backup::{CopySummary, backup, restore};
+use crate::cached_store::CachedStore;
+use crate::change_batch::ChangeBatch;
 use crate::check::check;
-use crate::error::{Invalid, StoreError};
+use crate::commands::{self, ChangeRequest, Completed, Lookup, LookupResult};
+use crate::error::{InvalidValue, StoreError};
 use crate::exchange::{self, ImportError};
-use crate::key::Key;
-use crate::known::News;
+use crate::files::{create_options, io_error, publish_with};
 use crate::record::{Actor, Micros};
-use crate::store::{Change, Health, Store};
-use std::collections::BTreeMap;
-use std::fs::{self, File, OpenOptions};
-use std::io::BufWriter;
-use std::os::unix::fs::OpenOptionsExt;
+use crate::store::{Store, StoreHealth};
+use std::fs;
+use std::io::{self, BufWriter};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,339 +24,350 @@
 /// How the thread works.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Calls that may wait or be answered but not yet looked at. At 200 calls a second and 5 ms each, 256 is a
-    /// second's worth.
-    pub queue: usize,
-    /// Calls that are decided and written together at most.
-    pub group: usize,
-    /// How often the engine is asked what other instances changed.
-    pub refresh: Duration,
+    /// Jobs that may wait, or be done but not polled.
+    pub queue_capacity: usize,
+    /// The most jobs that are taken from the queue at once, whose changes are written together.
+    pub max_group: usize,
+    /// How often the engine is polled for other instances' changes.
+    pub refresh_interval: Duration,
     /// Where the copy of what instances need is kept; not needed with an engine in a local file.
-    pub copy: Option<PathBuf>,
+    pub copy_file: Option<PathBuf>,
 }
 
 impl Default for Options {
     fn default() -> Options {
-        Options { queue: 256, group: 64, refresh: Duration::from_millis(200), copy: None }
+        Options {
+            queue_capacity: 256,
+            max_group: 64,
+            refresh_interval: Duration::from_millis(200),
+            copy_file: None,
+        }
     }
 }
 
-/// By which an answer is known to be a call's.
+/// Identifies a job in its result.
 pub type Ticket = u64;
 
-/// Work on all of the store at once. Calls wait while it is done.
+/// Work on the whole store. Other jobs wait until it is done.
 #[derive(Clone, Debug)]
-pub enum Task {
+pub enum MaintenanceTask {
     /// Copies the store into a file.
     Backup(PathBuf),
-    /// Puts a backup's records in the place of all.
+    /// Replaces all records by those of a backup.
     Restore {
         /// The backup.
         from: PathBuf,
-        /// Who wants it.
-        who: Actor,
+        /// Who restores it.
+        actor: Actor,
     },
     /// Writes the store as JSON into a file.
     Export(PathBuf),
-    /// Puts an export's records in the place of all.
+    /// Replaces all records by those of an export.
     Import {
         /// The export.
         from: PathBuf,
-        /// Who wants it.
-        who: Actor,
+        /// Who imports it.
+        actor: Actor,
     },
-    /// Checks everything.
+    /// Verifies all records.
     Check,
 }
 
-/// What came of a task.
+/// The result of a maintenance task.
 #[derive(Debug)]
-pub enum TaskDone {
-    /// Copied, restored, exported or imported.
-    Taken(Taken),
+pub enum TaskResult {
+    /// The records were backed up, restored, exported or imported.
+    Copied(CopySummary),
     /// The faults that the check found.
-    Checked(Vec<Invalid>),
-    /// What is wrong with a document that was to be imported.
-    Faults(Vec<Invalid>),
+    Checked(Vec<InvalidValue>),
+    /// The document was not imported because of these faults.
+    InvalidDocument(Vec<InvalidValue>),
 }
 
-/// What the thread tells.
+/// What the thread reports to the loop.
 #[derive(Debug)]
-pub enum Told {
-    /// A change was made or refused.
-    Done(Ticket, Result<Done, StoreError>),
-    /// A question was answered.
-    Found(Ticket, Result<Found, StoreError>),
-    /// A task ended.
-    Tasked(Ticket, Result<TaskDone, StoreError>),
-    /// What changed, whoever changed it; for [`crate::known::Known::take`].
-    News(News),
-    /// The engine has come into trouble, or out of it.
-    Health(Health),
+pub enum Notification {
+    /// A change was made or failed.
+    Changed(Ticket, Result<Completed, StoreError>),
+    /// A lookup has its result.
+    LookedUp(Ticket, Result<LookupResult, StoreError>),
+    /// A maintenance task has ended.
+    TaskFinished(Ticket, Result<TaskResult, StoreError>),
+    /// Changes of records by any instance, for [`crate::directory::Directory::apply`].
+    RecordsChanged(ChangeBatch),
+    /// The engine became unavailable, or available again.
+    HealthChanged(StoreHealth),
 }
 
-enum Order {
-    Change(Ticket, Box<Request>),
-    Ask(Ticket, Question),
-    Task(Ticket, Task),
+enum Job {
+    Change(Ticket, Box<ChangeRequest>),
+    LookUp(Ticket, Lookup),
+    Run(Ticket, MaintenanceTask),
 }
 
 /// Wakes the loop; called from the store's thread.
-pub type Wake = Box<dyn Fn() + Send>;
+pub type Waker = Box<dyn Fn() + Send>;
 
 /// Reads the time in microseconds since 1970; called from the store's thread.
 pub type Clock = Box<dyn Fn() -> Micros + Send>;
 
-/// What waits for the loop to look.
+/// Notifications that the loop has not polled yet.
 #[derive(Default)]
 struct Outbox {
-    told: Vec<Told>,
-    /// News that were not looked at are merged, so that they can't grow beyond the records that there are.
-    news: Option<News>,
-    health: Option<Health>,
+    results: Vec<Notification>,
+    /// Batches that were not polled are merged, so that they can't outgrow the records.
+    changes: Option<ChangeBatch>,
+    health: Option<StoreHealth>,
 }
 
 fn lock(outbox: &Mutex<Outbox>) -> MutexGuard<'_, Outbox> {
-    // Nothing is done under the lock that could leave half a message.
+    // A panic can't leave the outbox inconsistent: nothing that panics runs under the lock.
     outbox.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The loop's end of the store's thread.
-pub struct Service {
-    orders: Option<SyncSender<Order>>,
+/// The loop's handle of the store's thread.
+pub struct StoreThread {
+    jobs: Option<SyncSender<Job>>,
     outbox: Arc<Mutex<Outbox>>,
     thread: Option<JoinHandle<()>>,
-    next: Ticket,
-    waiting: usize,
-    limit: usize,
+    next_ticket: Ticket,
+    /// Jobs whose results were not polled.
+    pending: usize,
+    capacity: usize,
 }
 
-impl Service {
-    /// Starts the thread. `wake` is called whenever there is something new to look at.
+impl StoreThread {
+    /// Starts the thread. `waker` is called whenever there is something new to poll.
+    ///
+    /// # Errors
+    /// If the system gives no thread.
     pub fn start(
         store: Box<dyn Store>,
         options: Options,
         clock: Clock,
-        wake: Wake,
-    ) -> Result<Service, StoreError> {
-        let (orders, queue) = sync_channel(options.queue.max(1));
+        waker: Waker,
+    ) -> Result<StoreThread, StoreError> {
+        let capacity = options.queue_capacity.max(1);
+        let (jobs, queue) = sync_channel(capacity);
         let outbox = Arc::new(Mutex::new(Outbox::default()));
-        let limit = options.queue.max(1);
-        let cached = Cached::new(store, options.copy.clone());
         let mut worker = Worker {
-            cached,
+            store: CachedStore::new(store, options.copy_file.clone()),
             queue,
             outbox: outbox.clone(),
             options,
             clock,
-            wake,
-            next: Instant::now(),
-            trouble: None,
+            waker,
+            next_refresh: Instant::now(),
+            fault: None,
         };
         let thread = std::thread::Builder::new().name("store".into()).spawn(move || worker.run());
-        let thread = thread.map_err(|e| StoreError::Io { what: "store".into(), cause: e.to_string() })?;
-        Ok(Service { orders: Some(orders), outbox, thread: Some(thread), next: 0, waiting: 0, limit })
+        let thread = thread.map_err(|e| StoreError::Io { location: "store".into(), cause: e.to_string() })?;
+        Ok(StoreThread {
+            jobs: Some(jobs),
+            outbox,
+            thread: Some(thread),
+            next_ticket: 0,
+            pending: 0,
+            capacity,
+        })
     }
 
     /// Hands over a change.
-    pub fn change(&mut self, request: Request) -> Result<Ticket, StoreError> {
-        self.order(|ticket| Order::Change(ticket, Box::new(request)))
+    ///
+    /// # Errors
+    /// [`StoreError::QueueFull`], or [`StoreError::Closed`] if the thread has ended.
+    pub fn change(&mut self, request: ChangeRequest) -> Result<Ticket, StoreError> {
+        self.enqueue(|ticket| Job::Change(ticket, Box::new(request)))
     }
 
-    /// Hands over a question.
-    pub fn ask(&mut self, question: Question) -> Result<Ticket, StoreError> {
-        self.order(|ticket| Order::Ask(ticket, question))
+    /// Hands over a lookup.
+    ///
+    /// # Errors
+    /// [`StoreError::QueueFull`], or [`StoreError::Closed`] if the thread has ended.
+    pub fn look_up(&mut self, lookup: Lookup) -> Result<Ticket, StoreError> {
+        self.enqueue(|ticket| Job::LookUp(ticket, lookup))
     }
 
-    /// Hands over a task.
-    pub fn task(&mut self, task: Task) -> Result<Ticket, StoreError> {
-        self.order(|ticket| Order::Task(ticket, task))
+    /// Hands over a maintenance task.
+    ///
+    /// # Errors
+    /// [`StoreError::QueueFull`], or [`StoreError::Closed`] if the thread has ended.
+    pub fn run(&mut self, task: MaintenanceTask) -> Result<Ticket, StoreError> {
+        self.enqueue(|ticket| Job::Run(ticket, task))
     }
 
-    fn order(&mut self, order: impl FnOnce(Ticket) -> Order) -> Result<Ticket, StoreError> {
-        let ticket = self.next;
-        if self.waiting >= self.limit {
-            return Err(StoreError::Busy { waiting: self.waiting });
+    fn enqueue(&mut self, job: impl FnOnce(Ticket) -> Job) -> Result<Ticket, StoreError> {
+        if self.pending >= self.capacity {
+            return Err(StoreError::QueueFull { pending: self.pending });
         }
-        let Some(orders) = &self.orders else { return Err(StoreError::Closed) };
-        orders.try_send(order(ticket)).map_err(|e| match e {
-            TrySendError::Full(_) => StoreError::Busy { waiting: self.waiting },
+        let Some(jobs) = &self.jobs else { return Err(StoreError::Closed) };
+        let ticket = self.next_ticket;
+        jobs.try_send(job(ticket)).map_err(|e| match e {
+            TrySendError::Full(_) => StoreError::QueueFull { pending: self.pending },
             TrySendError::Disconnected(_) => StoreError::Closed,
         })?;
-        self.next += 1;
-        self.waiting += 1;
+        self.next_ticket += 1;
+        self.pending += 1;
         Ok(ticket)
     }
 
-    /// Everything that was told since the last look; never waits for the store.
-    pub fn look(&mut self) -> Vec<Told> {
-        let Outbox { told, news, health } = std::mem::take(&mut *lock(&self.outbox));
-        self.waiting -= told.len().min(self.waiting);
-        let news = news.map(Told::News).into_iter();
-        told.into_iter().chain(news).chain(health.map(Told::Health)).collect()
+    /// All notifications since the last poll; never waits for the store.
+    pub fn poll(&mut self) -> Vec<Notification> {
+        let Outbox { results, changes, health } = std::mem::take(&mut *lock(&self.outbox));
+        self.pending -= results.len().min(self.pending);
+        let mut notifications = results;
+        notifications.extend(changes.map(Notification::RecordsChanged));
+        notifications.extend(health.map(Notification::HealthChanged));
+        notifications
     }
 
-    /// Calls that are not answered, or whose answers were not looked at.
-    pub fn waiting(&self) -> usize {
-        self.waiting
+    /// Jobs that are not done, or whose results were not polled.
+    pub fn pending(&self) -> usize {
+        self.pending
     }
 
-    /// Ends the thread after what waits is done, and returns what it told last.
-    pub fn close(mut self) -> Vec<Told> {
-        self.orders = None;
+    /// Ends the thread after all jobs are done, and returns its last notifications.
+    pub fn close(mut self) -> Vec<Notification> {
+        self.jobs = None;
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has told what it could.
+            // What a panicked thread reported before is still in the outbox.
             let _ = thread.join();
         }
-        self.look()
+        self.poll()
     }
 }
 
+/// What runs on the thread.
 struct Worker {
-    cached: Cached,
-    queue: Receiver<Order>,
+    store: CachedStore,
+    queue: Receiver<Job>,
     outbox: Arc<Mutex<Outbox>>,
     options: Options,
     clock: Clock,
-    wake: Wake,
-    next: Instant,
-    trouble: Option<String>,
+    waker: Waker,
+    next_refresh: Instant,
+    /// Why the last refresh failed.
+    fault: Option<String>,
 }
 
 impl Worker {
     fn run(&mut self) {
         loop {
-            let wait = self.next.saturating_duration_since(Instant::now());
+            let wait = self.next_refresh.saturating_duration_since(Instant::now());
             match self.queue.recv_timeout(wait) {
-                Ok(order) => {
-                    let mut orders = vec![order];
-                    orders.extend(self.queue.try_iter().take(self.options.group.saturating_sub(1)));
-                    let wrote = orders.iter().any(|o| !matches!(o, Order::Ask(..)));
-                    self.work(orders);
-                    if wrote {
-                        self.next = Instant::now();
-                    }
-                }
+                Ok(job) => self.run_group(job),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            if Instant::now() >= self.next {
+            if Instant::now() >= self.next_refresh {
                 self.refresh();
-                self.next = Instant::now() + self.options.refresh;
+                self.next_refresh = Instant::now() + self.options.refresh_interval;
             }
         }
     }
 
-    fn work(&mut self, orders: Vec<Order>) {
+    /// Does a job and those that wait behind it.
+    fn run_group(&mut self, first: Job) {
+        let mut jobs = vec![first];
+        jobs.extend(self.queue.try_iter().take(self.options.max_group.saturating_sub(1)));
+        let may_write = jobs.iter().any(|job| !matches!(job, Job::LookUp(..)));
+        self.run_jobs(jobs);
+        if may_write {
+            self.next_refresh = Instant::now();
+        }
+    }
+
+    fn run_jobs(&mut self, jobs: Vec<Job>) {
         let now = (self.clock)();
-        let mut changes: Vec<(Ticket, Request)> = Vec::new();
-        for order in orders {
-            match order {
-                Order::Change(ticket, request) => changes.push((ticket, *request)),
-                Order::Ask(ticket, question) => {
-                    self.make(&mut changes, now);
-                    let found = calls::answer(&mut self.cached, &question, now);
-                    self.tell([Told::Found(ticket, found)]);
+        let mut changes: Vec<(Ticket, ChangeRequest)> = Vec::new();
+        for job in jobs {
+            match job {
+                Job::Change(ticket, request) => changes.push((ticket, *request)),
+                Job::LookUp(ticket, lookup) => {
+                    self.execute(&mut changes, now);
+                    let result = commands::look_up(&mut self.store, &lookup, now);
+                    self.notify([Notification::LookedUp(ticket, result)]);
                 }
-                Order::Task(ticket, task) => {
-                    self.make(&mut changes, now);
-                    let done = perform(&mut self.cached, &task, now);
-                    self.tell([Told::Tasked(ticket, done)]);
+                Job::Run(ticket, task) => {
+                    self.execute(&mut changes, now);
+                    let result = run_task(&mut self.store, &task, now);
+                    self.notify([Notification::TaskFinished(ticket, result)]);
                 }
             }
         }
-        self.make(&mut changes, now);
+        self.execute(&mut changes, now);
     }
 
-    fn make(&mut self, changes: &mut Vec<(Ticket, Request)>, now: Micros) {
+    /// Makes the collected changes.
+    fn execute(&mut self, changes: &mut Vec<(Ticket, ChangeRequest)>, now: Micros) {
         if changes.is_empty() {
             return;
         }
         let (tickets, requests): (Vec<_>, Vec<_>) = std::mem::take(changes).into_iter().unzip();
-        let answers = calls::run(&mut self.cached, &requests, now);
-        self.tell(tickets.into_iter().zip(answers).map(|(ticket, answer)| Told::Done(ticket, answer)));
+        let results = commands::execute(&mut self.store, &requests, now);
+        let notifications = tickets.into_iter().zip(results);
+        self.notify(notifications.map(|(ticket, result)| Notification::Changed(ticket, result)));
     }
 
     fn refresh(&mut self) {
-        let news = self.cached.refresh((self.clock)());
-        let trouble = news.as_ref().err().map(ToString::to_string);
+        let refreshed = self.store.refresh((self.clock)());
+        let fault = refreshed.as_ref().err().map(ToString::to_string);
         let mut outbox = lock(&self.outbox);
-        if trouble.is_some() != self.trouble.is_some() {
-            let health = self.cached.health();
-            outbox.health = Some(Health { trouble: trouble.clone().or(health.trouble.clone()), ..health });
+        if fault.is_some() != self.fault.is_some() {
+            let health = self.store.health();
+            let fault = fault.clone().or(health.fault.clone());
+            outbox.health = Some(StoreHealth { fault, ..health });
         }
-        self.trouble = trouble;
-        let told = news.is_ok() || outbox.health.is_some();
-        if let Ok(news) = news {
-            outbox.news = Some(match outbox.news.take() {
-                Some(before) => merge(before, news),
-                None => news,
+        self.fault = fault;
+        let has_news = refreshed.is_ok() || outbox.health.is_some();
+        if let Ok(batch) = refreshed {
+            outbox.changes = Some(match outbox.changes.take() {
+                Some(earlier) => earlier.merge(batch),
+                None => batch,
             });
         }
         drop(outbox);
-        if told {
-            (self.wake)();
+        if has_news {
+            (self.waker)();
         }
     }
 
-    fn tell(&self, told: impl IntoIterator<Item = Told>) {
-        lock(&self.outbox).told.extend(told);
-        (self.wake)();
+    fn notify(&self, notifications: impl IntoIterator<Item = Notification>) {
+        lock(&self.outbox).results.extend(notifications);
+        (self.waker)();
     }
 }
 
-/// News as if they had come at once.
-fn merge(before: News, after: News) -> News {
-    if after.whole {
-        return after;
-    }
-    let key = |change: Change| (change.key.clone(), change);
-    let mut changes: BTreeMap<Key, Change> = before.changes.into_iter().map(key).collect();
-    for change in after.changes {
-        match (&change.value, before.whole) {
-            // Nothing removed is in a whole.
-            (None, true) => drop(changes.remove(&change.key)),
-            _ => drop(changes.insert(change.key.clone(), change)),
-        }
+fn run_task(store: &mut dyn Store, task: &MaintenanceTask, now: Micros) -> Result<TaskResult, StoreError> {
+    match task {
+        MaintenanceTask::Backup(to) => backup(store, to, now).map(TaskResult::Copied),
+        MaintenanceTask::Restore { from, actor } => restore(store, from, actor, now).map(TaskResult::Copied),
+        MaintenanceTask::Check => check(store, now).map(TaskResult::Checked),
+        MaintenanceTask::Export(to) => export(store, to, now).map(TaskResult::Copied),
+        MaintenanceTask::Import { from, actor } => import(store, from, actor, now),
     }
-    News { whole: before.whole, changes: changes.into_values().collect(), ..after }
 }
 
-fn perform(store: &mut dyn Store, task: &Task, now: Micros) -> Result<TaskDone, StoreError> {
-    match task {
-        Task::Backup(to) => backup(store, to, now).map(TaskDone::Taken),
-        Task::Restore { from, who } => restore(store, from, who, now).map(TaskDone::Taken),
-        Task::Check => check(store, now).map(TaskDone::Checked),
-        Task::Export(to) => export(store, to, now).map(TaskDone::Taken),
-        Task::Import { from, who } => {
-            let document = fs::read_to_string(from).map_err(|e| told(from, &e))?;
-            match exchange::import(store, &document, who, now) {
-                Ok(taken) => Ok(TaskDone::Taken(taken)),
-                Err(ImportError::Store(e)) => Err(e),
-                Err(ImportError::Faults(faults)) => Ok(TaskDone::Faults(faults)),
-                Err(e @ ImportError::Json(_)) => Ok(TaskDone::Faults(vec![Invalid::new("", e.to_string())])),
-            }
+fn import(store: &mut dyn Store, from: &Path, actor: &Actor, now: Micros) -> Result<TaskResult, StoreError> {
+    let document = fs::read_to_string(from).map_err(|e| file_error(from, &e))?;
+    match exchange::import(store, &document, actor, now) {
+        Ok(summary) => Ok(TaskResult::Copied(summary)),
+        Err(ImportError::Store(e)) => Err(e),
+        Err(ImportError::Invalid(faults)) => Ok(TaskResult::InvalidDocument(faults)),
+        Err(e @ ImportError::Json(_)) => {
+            Ok(TaskResult::InvalidDocument(vec![InvalidValue::new("", e.to_string())]))
         }
     }
 }
 
-/// Writes under another name first, so that a document that broke off is not taken for a whole one.
-fn export(store: &mut dyn Store, to: &Path, now: Micros) -> Result<Taken, StoreError> {
-    let part = crate::embedded::beside(to, "part");
-    let open = || -> std::io::Result<File> {
-        OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&part)
-    };
-    let done = open().map_err(|e| told(&part, &e)).and_then(|file| {
-        let taken = exchange::export(store, &mut BufWriter::new(file), now)?;
-        crate::embedded::put_in_place(&part, to)?;
-        Ok(taken)
-    });
-    if done.is_err() {
-        let _ = fs::remove_file(&part);
-    }
-    done
+/// Writes an export, completely or not at all.
+fn export(store: &mut dyn Store, to: &Path, now: Micros) -> Result<CopySummary, StoreError> {
+    publish_with(to, |temporary| {
+        let file = create_options().open(temporary).map_err(|e| file_error(temporary, &e))?;
+        exchange::export(store, &mut BufWriter::new(file), now)
+    })
 }
 
-fn told(path: &Path, e: &std::io::Error) -> StoreError {
-    crate::embedded::io_error(&path.display().to_string(), e)
+fn file_error(path: &Path, e: &io::Error) -> StoreError {
+    io_error(&path.display().to_string(), e)
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,134 +1,163 @@
-//! What a store does, whichever engine keeps the records: reads, lists, atomic conditional writes, changes.
+//! The interface of every storage engine: reads, lists, atomic conditional writes, and changes since a revision.
 //!
-//! Every transaction gets a revision, one number for the whole store that only grows. A record's version is the
-//! revision of the transaction that wrote it last, so no version is ever used twice, also when a record is
-//! removed and made anew under its name.
+//! Every transaction gets a revision, a number that only grows over the whole store. The version of a record is the
+//! revision of the transaction that wrote it last, so no version is ever used twice, even when a record is removed
+//! and created again under its name.
 
-use crate::error::{Invalid, StoreError};
-use crate::key::{Key, Space};
+use crate::error::{InvalidValue, StoreError};
+use crate::key::{Collection, Key};
 use crate::record::Micros;
+use crate::revision::Revision;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
-/// The number of a transaction; 0 is before the first. Also the version of what it wrote.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(transparent)]
-pub struct Revision(pub u64);
-
-impl fmt::Display for Revision {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "revision {}", self.0)
-    }
-}
-
-/// A record as it is kept.
+/// A record as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Where it stands.
+    /// The record's key.
     pub key: Key,
-    /// When it was last changed.
+    /// The record's version.
     pub revision: Revision,
     /// The record as JSON.
     pub value: Vec<u8>,
 }
 
 impl Entry {
-    /// The record that the JSON holds, checked as its constructor would.
-    pub fn read<T: DeserializeOwned>(&self) -> Result<T, StoreError> {
-        read(&self.key, &self.value)
+    /// Decodes the record.
+    ///
+    /// # Errors
+    /// [`StoreError::Corrupt`] if the JSON is not a valid record of this type.
+    pub fn decode<T: DeserializeOwned>(&self) -> Result<T, StoreError> {
+        decode(&self.key, &self.value)
     }
 }
 
-/// A record of a key's value.
-pub(crate) fn read<T: DeserializeOwned>(key: &Key, value: &[u8]) -> Result<T, StoreError> {
-    let from = &mut serde_json::Deserializer::from_slice(value);
-    serde_path_to_error::deserialize(from).map_err(|e| StoreError::damaged(key, e))
+/// A record and its version.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Versioned<T> {
+    /// The revision that last changed it.
+    pub version: Revision,
+    /// The record.
+    pub record: T,
+}
+
+/// Decodes the JSON of the record under `key`.
+pub(crate) fn decode<T: DeserializeOwned>(key: &Key, value: &[u8]) -> Result<T, StoreError> {
+    let deserializer = &mut serde_json::Deserializer::from_slice(value);
+    serde_path_to_error::deserialize(deserializer).map_err(|e| StoreError::corrupt(key, e))
 }
 
-/// The JSON of a record.
-pub(crate) fn write<T: Serialize>(key: &Key, record: &T) -> Result<Vec<u8>, StoreError> {
-    serde_json::to_vec(record).map_err(|e| Invalid::new(key.text(), e.to_string()).into())
+/// Encodes a record under `key` as JSON.
+pub(crate) fn encode<T: Serialize>(key: &Key, record: &T) -> Result<Vec<u8>, StoreError> {
+    serde_json::to_vec(record).map_err(|e| InvalidValue::new(key.text(), e.to_string()).into())
 }
 
-/// What must hold for a batch to be written.
+/// A precondition of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing stands under the key.
+    /// There is no record under the key.
     Absent(Key),
-    /// The record was last changed at this revision.
-    At(Key, Revision),
+    /// The record has this version.
+    AtRevision(Key, Revision),
 }
 
-/// Writes that happen together, in one revision, if all conditions hold; else nothing happens.
+impl Condition {
+    /// The key that the condition is about.
+    pub fn key(&self) -> &Key {
+        match self {
+            Condition::Absent(key) | Condition::AtRevision(key, _) => key,
+        }
+    }
+}
+
+/// Writes that are made together, in one revision, if all conditions hold; otherwise none is made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// What must hold.
+    /// The preconditions.
     pub conditions: Vec<Condition>,
-    /// What is written under which key; `None` removes. A key comes once.
+    /// The new value of each key, once; `None` removes the record.
     pub writes: Vec<(Key, Option<Vec<u8>>)>,
 }
 
 impl Batch {
-    /// The most writes of one batch, and the most conditions: the replicated engine takes 128 of either, some of
+    /// The most writes of a batch, and the most conditions: the replicated engine allows 128 of either, some of
     /// which are its own.
-    pub const LARGEST: usize = 100;
-    /// The most bytes of all values together: the replicated engine takes 1.5 MiB a request, in base64.
-    pub const HEAVIEST: usize = 900 * 1024;
-
-    /// Refuses a batch that some engine could not take.
-    pub fn check(&self) -> Result<(), StoreError> {
-        let too_much = |what: &str, found: usize, limit: usize| match found > limit {
-            true => Err(StoreError::TooMuch { what: what.into(), found: found as u64, limit: limit as u64 }),
-            false => Ok(()),
-        };
-        too_much("writes in one batch", self.writes.len(), Batch::LARGEST)?;
-        too_much("conditions in one batch", self.conditions.len(), Batch::LARGEST)?;
-        too_much("bytes in one batch", self.weight(), Batch::HEAVIEST)?;
-        self.writes.iter().try_for_each(|(key, _)| too_much("bytes in a key", key.name.len(), Key::LONGEST))
+    pub const MAX_OPERATIONS: usize = 100;
+
+    /// The most bytes of all keys and values together: the replicated engine allows 1.5 MiB a request, in base64.
+    pub const MAX_BYTES: usize = 900 * 1024;
+
+    /// Checks the batch against the limits that all engines share.
+    ///
+    /// # Errors
+    /// [`StoreError::LimitExceeded`].
+    pub fn validate(&self) -> Result<(), StoreError> {
+        check_limit("writes in one batch", self.writes.len(), Batch::MAX_OPERATIONS)?;
+        check_limit("conditions in one batch", self.conditions.len(), Batch::MAX_OPERATIONS)?;
+        check_limit("bytes in one batch", self.size_bytes(), Batch::MAX_BYTES)?;
+        for (key, _) in &self.writes {
+            check_limit("bytes in a key", key.name.len(), Key::MAX_NAME_BYTES)?;
+        }
+        Ok(())
     }
 
     /// The bytes of all keys and values together.
-    pub fn weight(&self) -> usize {
-        self.writes.iter().map(|(key, value)| key.name.len() + value.as_ref().map_or(0, Vec::len)).sum()
+    pub fn size_bytes(&self) -> usize {
+        self.writes.iter().map(|(key, value)| write_size_bytes(key, value.as_deref())).sum()
+    }
+}
+
+/// The bytes that a write adds to a batch.
+pub(crate) fn write_size_bytes(key: &Key, value: Option<&[u8]>) -> usize {
+    key.name.len() + value.map_or(0, <[u8]>::len)
+}
+
+fn check_limit(what: &str, found: usize, limit: usize) -> Result<(), StoreError> {
+    if found > limit {
+        return Err(StoreError::LimitExceeded {
+            what: what.into(),
+            found: found as u64,
+            limit: limit as u64,
+        });
     }
+    Ok(())
 }
 
-/// Which records a page is of.
+/// Selects a page of the records of a collection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Their space.
-    pub space: Space,
-    /// Only names that begin so.
+pub struct Query {
+    /// The collection.
+    pub collection: Collection,
+    /// Only names with this prefix.
     pub prefix: String,
     /// Only names after this one.
     pub after: Option<String>,
-    /// At most so many; at least 1.
+    /// The most records of the page; at least 1.
     pub limit: usize,
 }
 
-impl Ask {
+impl Query {
     /// The most records of a page.
-    pub const LARGEST: usize = 1000;
+    pub const MAX_LIMIT: usize = 1000;
 
-    /// The first page of a space.
-    pub fn of(space: Space) -> Ask {
-        Ask { space, prefix: String::new(), after: None, limit: Ask::LARGEST }
+    /// The first page of a collection.
+    pub fn all(collection: Collection) -> Query {
+        Query { collection, prefix: String::new(), after: None, limit: Query::MAX_LIMIT }
     }
 
-    /// Of names that begin so.
-    pub fn prefix(self, prefix: impl Into<String>) -> Ask {
-        Ask { prefix: prefix.into(), ..self }
+    /// Selects only names with this prefix.
+    pub fn prefix(self, prefix: impl Into<String>) -> Query {
+        Query { prefix: prefix.into(), ..self }
     }
 
-    /// Of names after one.
-    pub fn after(self, name: Option<String>) -> Ask {
-        Ask { after: name, ..self }
+    /// Selects only names after this one.
+    pub fn after(self, name: Option<String>) -> Query {
+        Query { after: name, ..self }
     }
 
-    /// So many at most, between 1 and [`Ask::LARGEST`].
-    pub fn limit(self, limit: usize) -> Ask {
-        Ask { limit: limit.clamp(1, Ask::LARGEST), ..self }
+    /// Limits the page to this many records, between 1 and [`Query::MAX_LIMIT`].
+    pub fn limit(self, limit: usize) -> Query {
+        Query { limit: limit.clamp(1, Query::MAX_LIMIT), ..self }
     }
 }
 
@@ -137,92 +166,134 @@
 pub struct Page {
     /// The records.
     pub entries: Vec<Entry>,
-    /// Whether names come after the last one.
+    /// Whether more records follow.
     pub more: bool,
-    /// The store's revision when it was read.
+    /// The store's revision when the page was read.
     pub revision: Revision,
 }
 
-/// What became of a record.
+impl Page {
+    /// The name after which the next page begins; `None` on the last page.
+    pub fn next_after(&self) -> Option<String> {
+        let last = self.entries.last().filter(|_| self.more)?;
+        Some(last.key.name.clone())
+    }
+}
+
+/// A change of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Which record.
+    /// The record's key.
     pub key: Key,
-    /// When.
+    /// The revision of the change.
     pub revision: Revision,
-    /// What it is now; `None` where it was removed.
+    /// The record's new value; `None` if it was removed.
     pub value: Option<Vec<u8>>,
 }
 
-/// What changed since a revision.
+/// The changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Changes {
-    /// All that changed.
+    /// All changes.
     Since {
-        /// In the order of revisions. A record that changed often may come once, as it is now.
+        /// In the order of revisions. A record that changed often may come once, with its newest value.
         changes: Vec<Change>,
-        /// All up to here is told.
-        upto: Revision,
-        /// Whether more is to be had at once.
+        /// Every change up to this revision is included.
+        up_to: Revision,
+        /// Whether more changes can be read at once.
         more: bool,
     },
-    /// The changes are no longer all known: everything must be read anew.
+    /// The changes are no longer known: everything must be read anew.
     Compacted {
         /// Changes after this revision are known.
         oldest: Revision,
     },
 }
 
-/// How a store fares.
+/// The state of an engine as it was last seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Health {
+pub struct StoreHealth {
     /// Which engine, and where.
     pub engine: String,
-    /// The newest revision that was seen.
+    /// The newest revision that was read.
     pub revision: Revision,
-    /// When the engine last answered; `None` before the first time.
-    pub answered: Option<Micros>,
-    /// What is wrong now.
-    pub trouble: Option<String>,
-    /// The schema of what is kept.
+    /// When the engine last answered; `None` before the first answer.
+    #[serde(rename = "answered")]
+    pub last_answer: Option<Micros>,
+    /// The present fault.
+    #[serde(rename = "trouble")]
+    pub fault: Option<String>,
+    /// The schema of the records.
     pub schema: u32,
 }
 
-/// An engine that keeps records.
+/// A storage engine.
+///
+/// Calls block until the engine has answered, so they belong on a thread of their own. The caller passes the time, in
+/// microseconds since 1970. A change that was answered with a revision is durable, whatever happens to the process.
 ///
-/// Calls block until the engine has answered: they belong on a thread of their own (see [`crate::service`]).
-/// The time is the caller's, in microseconds since 1970. A change that was answered with a revision is kept,
-/// whatever happens to the process.
+/// Every call fails with a [`StoreError`] that names the file or endpoint: [`StoreError::Corrupt`] for data that is
+/// not what was written, and transient errors ([`StoreError::is_transient`]) while the engine is unavailable.
 pub trait Store: Send {
     /// The record under a key.
+    ///
+    /// # Errors
+    /// If the engine fails or the record is corrupt.
     fn get(&mut self, key: &Key, now: Micros) -> Result<Option<Entry>, StoreError>;
 
-    /// The records under some keys, each in its key's place; as of one moment only where the engine can.
+    /// The records under several keys, in the order of the keys. All are of one moment only if the engine can read so.
+    ///
+    /// # Errors
+    /// If the engine fails or a record is corrupt.
     fn get_many(&mut self, keys: &[Key], now: Micros) -> Result<Vec<Option<Entry>>, StoreError> {
         keys.iter().map(|key| self.get(key, now)).collect()
     }
 
     /// A page of records.
-    fn list(&mut self, ask: &Ask, now: Micros) -> Result<Page, StoreError>;
-
-    /// Writes a batch, whole or not at all, and says in which revision.
+    ///
+    /// # Errors
+    /// If the engine fails or a record is corrupt.
+    fn list(&mut self, query: &Query, now: Micros) -> Result<Page, StoreError>;
+
+    /// Makes all writes of a batch or none, and returns the revision.
+    ///
+    /// # Errors
+    /// [`StoreError::Conflict`] or [`StoreError::AlreadyExists`] if a condition does not hold,
+    /// [`StoreError::LimitExceeded`] if the batch is too large, [`StoreError::OutcomeUnknown`] if the answer was lost.
     fn apply(&mut self, batch: &Batch, now: Micros) -> Result<Revision, StoreError>;
 
-    /// What changed after a revision.
+    /// The changes after a revision.
+    ///
+    /// # Errors
+    /// If the engine fails or a record is corrupt.
     fn changes(&mut self, since: Revision, now: Micros) -> Result<Changes, StoreError>;
 
-    /// Shows every record of some spaces as all of them were at one revision, which is returned.
-    fn visit(&mut self, spaces: &[Space], now: Micros, each: Visitor<'_>) -> Result<Revision, StoreError>;
-
-    /// Puts these records in the place of all that is kept.
+    /// Calls the visitor with every record of some collections as of one revision, which is returned.
+    ///
+    /// # Errors
+    /// If the engine or the visitor fails, or a record is corrupt.
+    fn visit(
+        &mut self,
+        collections: &[Collection],
+        now: Micros,
+        visitor: Visitor<'_>,
+    ) -> Result<Revision, StoreError>;
+
+    /// Replaces all records by these.
+    ///
+    /// # Errors
+    /// If the engine fails; then either all records are replaced or none.
     fn replace(&mut self, records: Vec<(Key, Vec<u8>)>, now: Micros) -> Result<Revision, StoreError>;
 
-    /// Has the engine check all that it keeps.
+    /// Has the engine verify all stored data.
+    ///
+    /// # Errors
+    /// If the engine fails or anything is corrupt.
     fn verify(&mut self, now: Micros) -> Result<(), StoreError>;
 
-    /// How it fares, without asking anybody.
-    fn health(&self) -> Health;
+    /// The engine's state as it was last seen, without calling it.
+    fn health(&self) -> StoreHealth;
 }
 
-/// What is shown each record.
+/// Called with each record by [`Store::visit`].
 pub type Visitor<'a> = &'a mut dyn FnMut(Entry) -> Result<(), StoreError>;
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -13,18 +13,18 @@
 use rand_pcg::Pcg64Mcg;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use rig::{NOW, make, name, report};
-use shorewharf_store::calls::{Answer, Call, Found, Question, Request, answer, run};
+use rig::{NOW, execute_one, name, report};
 use shorewharf_store::check::check;
-use shorewharf_store::embedded::{Backend, Create, Embedded};
+use shorewharf_store::commands::{ChangeRequest, Command, Lookup, LookupResult, Reply, execute, look_up};
+use shorewharf_store::embedded::{Create, Embedded, StorageFactory};
 use shorewharf_store::error::StoreError;
-use shorewharf_store::key::Space;
-use shorewharf_store::name::Name;
-use shorewharf_store::record::{Actor, AuditEntry, Limits, NewTenant, Place, TenantChange, Weight};
+use shorewharf_store::key::Collection;
+use shorewharf_store::name::TenantName;
+use shorewharf_store::record::{Actor, AuditEntry, NewTenant, NumericId, TenantChange, TenantLimits, Weight};
 use shorewharf_store::store::{Entry, Store};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
-use std::process::{Command, Stdio};
+use std::process::{self, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -44,35 +44,38 @@
     let mut minute = env("STORE_MINUTE", 0);
     loop {
         // Groups of changes, as the store's thread makes them; a tenant's limits tell its weight again.
-        let calls: Vec<(Name, u32, Call)> = (0..rng.random_range(1..6))
+        let calls: Vec<(TenantName, u32, Command)> = (0..rng.random_range(1..6))
             .map(|_| {
                 let name = name(&format!("t{}", rng.random_range(0..12)));
                 let n = rng.random_range(1..100_000);
                 let weight = Weight::new(n).unwrap();
-                let limits = Limits { connections: Some(n), ..Limits::default() };
+                let limits = TenantLimits { connections: Some(n), ..TenantLimits::default() };
                 let call = match rng.random_range(0..4) {
-                    0 => Call::CreateTenant(NewTenant { weight, limits, ..NewTenant::named(name.clone()) }),
-                    1 => return (name.clone(), 0, Call::RemoveTenant { name, expected: None }),
+                    0 => {
+                        Command::CreateTenant(NewTenant { weight, limits, ..NewTenant::named(name.clone()) })
+                    }
+                    1 => return (name.clone(), 0, Command::RemoveTenant { name, expected: None }),
                     _ => {
                         let change =
                             TenantChange { weight: Some(weight), limits: Some(limits), ..Default::default() };
-                        Call::ChangeTenant { name: name.clone(), expected: None, change }
+                        Command::ChangeTenant { name: name.clone(), expected: None, change }
                     }
                 };
                 (name, n, call)
             })
             .collect();
-        let requests: Vec<_> = calls.iter().map(|(_, _, c)| Request::new(Actor::File, c.clone())).collect();
-        for ((name, weight, _), done) in calls.iter().zip(run(&mut store, &requests, NOW)) {
-            let version = match done.map(|d| d.answer) {
-                Ok(Answer::Tenant(kept)) => kept.version.0,
+        let requests: Vec<_> =
+            calls.iter().map(|(_, _, c)| ChangeRequest::new(Actor::File, c.clone())).collect();
+        for ((name, weight, _), done) in calls.iter().zip(execute(&mut store, &requests, NOW)) {
+            let version = match done.map(|d| d.reply) {
+                Ok(Reply::Tenant(kept)) => kept.version.0,
                 Ok(_) => 0,
-                Err(StoreError::Missing { .. } | StoreError::Exists { .. }) => continue,
+                Err(StoreError::NotFound { .. } | StoreError::AlreadyExists { .. }) => continue,
                 Err(e) => panic!("{e}"),
             };
             writeln!(out, "ack {name} {weight} {version}").unwrap();
         }
-        make(&mut store, report("child", minute, &[(1, 1), (70, 1)]), NOW).unwrap();
+        execute_one(&mut store, report("child", minute, &[(1, 1), (70, 1)]), NOW).unwrap();
         writeln!(out, "use {minute}").unwrap();
         out.flush().unwrap();
         minute += 1;
@@ -87,7 +90,7 @@
     let (mut minute, mut acks, mut untold) = (0, 0, 0);
     let mut acknowledged: BTreeMap<(u64, String, u64), usize> = BTreeMap::new();
     for round in 0..env("STORE_KILLS", 40) {
-        let mut child = Command::new(std::env::current_exe().unwrap())
+        let mut child = process::Command::new(std::env::current_exe().unwrap())
             .args(["--exact", "child", "--ignored", "--nocapture"])
             .env("STORE_CHILD", &path)
             .env("STORE_SEED", rng.next_u64().to_string())
@@ -126,14 +129,14 @@
         let mut trail: BTreeMap<(u64, String, u64), usize> = BTreeMap::new();
         let mut state: BTreeMap<String, Option<serde_json::Value>> = BTreeMap::new();
         let each = &mut |entry: Entry| {
-            let AuditEntry { target, after, .. } = entry.read()?;
+            let AuditEntry { target, after, .. } = entry.decode()?;
             let weight = after.as_ref().map_or(0, |a| a["weight"].as_u64().unwrap());
             let version = if weight == 0 { 0 } else { entry.revision.0 };
             *trail.entry((version, target.clone(), weight)).or_default() += 1;
             state.insert(target, after);
             Ok(())
         };
-        store.visit(&[Space::Audit], NOW, each).unwrap();
+        store.visit(&[Collection::Audit], NOW, each).unwrap();
         for line in &heard {
             match line.split(' ').collect::<Vec<_>>()[..] {
                 ["ack", name, weight, version] => {
@@ -152,18 +155,18 @@
         untold = trail.values().sum::<usize>() - acknowledged.values().sum::<usize>();
         for (target, after) in state {
             let name = name(target.strip_prefix("tenant/").unwrap());
-            let kept = match answer(&mut store, &Question::Tenant(name), NOW) {
-                Ok(Found::Tenant(kept)) => Some(serde_json::to_value(kept.record).unwrap()),
-                Err(StoreError::Missing { .. }) => None,
+            let kept = match look_up(&mut store, &Lookup::Tenant(name), NOW) {
+                Ok(LookupResult::Tenant(tenant)) => Some(serde_json::to_value(tenant.record).unwrap()),
+                Err(StoreError::NotFound { .. }) => None,
                 other => panic!("round {round}: {other:?}"),
             };
             assert_eq!(kept, after, "round {round}: {target} is half changed");
         }
         // Counted once: each of the minutes that were told, and perhaps one more.
-        let level = shorewharf_store::calls::Level::Day;
-        let ask = Question::Usage { place: Place(70), level, from: 0, to: u64::MAX };
-        let Found::Usage(rows, _) = answer(&mut store, &ask, NOW).unwrap() else { panic!() };
-        let counted: u64 = rows.iter().map(|r| r.usage.set_ups).sum();
+        let granularity = shorewharf_store::commands::Granularity::Day;
+        let ask = Lookup::Usage { id: NumericId(70), granularity, from: 0, to: u64::MAX };
+        let LookupResult::Usage(rows, _) = look_up(&mut store, &ask, NOW).unwrap() else { panic!() };
+        let counted: u64 = rows.iter().map(|r| r.usage.setups).sum();
         assert!(counted == minute || counted == minute + 1, "round {round}: {counted} of {minute}");
         minute = counted;
     }
@@ -248,21 +251,21 @@
         let disk = Arc::new(Disk::default());
         disk.left.store(u64::MAX, SeqCst);
         let plugged = disk.clone();
-        let backend: Backend = Box::new(move || Ok(Box::new(Plugged(plugged.clone()))));
-        let mut store = Embedded::open_on(backend, NOW).unwrap();
-        make(&mut store, Call::CreateTenant(NewTenant::named(name("grad"))), NOW).unwrap();
+        let backend: StorageFactory = Box::new(move || Ok(Box::new(Plugged(plugged.clone()))));
+        let mut store = Embedded::open_with(backend, NOW).unwrap();
+        execute_one(&mut store, Command::CreateTenant(NewTenant::named(name("grad"))), NOW).unwrap();
         disk.left.store(rng.random_range(0..500), SeqCst);
         let mut told = 100;
         let lost = loop {
             let weight = Some(Weight::new(told + 1).unwrap());
             let change = TenantChange { weight, ..TenantChange::default() };
-            let call = Call::ChangeTenant { name: name("grad"), expected: None, change };
-            match make(&mut store, call, NOW) {
+            let command = Command::ChangeTenant { name: name("grad"), expected: None, change };
+            match execute_one(&mut store, command, NOW) {
                 Ok(_) => told += 1,
                 Err(e) => break e,
             }
         };
-        assert!(lost.passes(), "seed {seed}: {lost}");
+        assert!(lost.is_transient(), "seed {seed}: {lost}");
         let (mut image, since) = std::mem::take(&mut *disk.state.lock().unwrap());
         // Any of them may have come through; lengths are the file system's, which keeps them in order.
         since
@@ -273,13 +276,14 @@
         after.left.store(u64::MAX, SeqCst);
         after.seen.set_len(image.len() as u64).unwrap();
         after.seen.write(0, &image).unwrap();
-        let backend: Backend = Box::new(move || Ok(Box::new(Plugged(after.clone()))));
-        let mut store = Embedded::open_on(backend, NOW).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        let backend: StorageFactory = Box::new(move || Ok(Box::new(Plugged(after.clone()))));
+        let mut store = Embedded::open_with(backend, NOW).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert_eq!(check(&mut store, NOW).unwrap(), [], "seed {seed}");
-        let Found::Tenant(kept) = answer(&mut store, &Question::Tenant(name("grad")), NOW).unwrap() else {
+        let LookupResult::Tenant(tenant) = look_up(&mut store, &Lookup::Tenant(name("grad")), NOW).unwrap()
+        else {
             panic!()
         };
-        let weight = kept.record.weight.get();
+        let weight = tenant.record.weight.get();
         assert!(weight == told || weight == told + 1, "seed {seed}: {weight} after {told} was told");
         untold += u32::from(weight > told);
     }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -7,19 +7,19 @@
 use rand_pcg::Pcg64Mcg;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use rig::{NOW, create, make, name, report};
+use rig::{NOW, create, execute_one, name, report};
 use shorewharf_store::backup::{backup, restore, restore_anew};
-use shorewharf_store::calls::Call;
 use shorewharf_store::check::check;
-use shorewharf_store::embedded::{Backend, Create, Embedded};
+use shorewharf_store::commands::Command;
+use shorewharf_store::embedded::{Create, Embedded, StorageFactory};
 use shorewharf_store::error::StoreError;
-use shorewharf_store::key::Space;
+use shorewharf_store::key::Collection;
 use shorewharf_store::record::{Actor, TenantChange};
 use shorewharf_store::store::Store;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
-use std::process::Command;
+use std::process;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 
@@ -27,7 +27,7 @@
 
 fn records(store: &mut dyn Store) -> Result<Records, StoreError> {
     let mut all = Records::new();
-    store.visit(&Space::ALL, NOW, &mut |entry| {
+    store.visit(&Collection::ALL, NOW, &mut |entry| {
         all.insert(entry.key.text(), (entry.revision.0, entry.value));
         Ok(())
     })?;
@@ -36,7 +36,7 @@
 
 fn weigh(store: &mut dyn Store, tenant: &str, weight: u32) -> Result<(), StoreError> {
     let change = TenantChange { weight: Some(weight.try_into().unwrap()), ..TenantChange::default() };
-    make(store, Call::ChangeTenant { name: name(tenant), expected: None, change }, NOW).map(drop)
+    execute_one(store, Command::ChangeTenant { name: name(tenant), expected: None, change }, NOW).map(drop)
 }
 
 /// A store with enough in it for trees of some depth.
@@ -44,7 +44,7 @@
     let mut store = Embedded::open(path, Create::IfMissing, NOW).unwrap();
     for i in 0..150 {
         create(&mut store, &format!("tenant-{i}")).unwrap();
-        make(&mut store, report("a@1", i, &[(i as u32, 5), (99, 3)]), NOW).unwrap();
+        execute_one(&mut store, report("a@1", i, &[(i as u32, 5), (99, 3)]), NOW).unwrap();
     }
     records(&mut store).unwrap()
 }
@@ -86,7 +86,7 @@
             Err(e) => {
                 let text = e.to_string();
                 assert!(
-                    matches!(e, StoreError::Damaged { .. } | StoreError::NewerSchema { .. }),
+                    matches!(e, StoreError::Corrupt { .. } | StoreError::NewerSchema { .. }),
                     "seed {seed}: {text}"
                 );
                 assert!(text.contains("store"), "seed {seed}: {text}");
@@ -108,25 +108,25 @@
         let memory = Arc::new(Shared::default());
         memory.0.set_len(bytes.len() as u64).unwrap();
         memory.0.write(0, &bytes).unwrap();
-        let mut store = Embedded::open_on(memory.clone().backend(), NOW).unwrap();
+        let mut store = Embedded::open_with(memory.clone().backend(), NOW).unwrap();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let place = rng.random_range(4096..bytes.len() - 512) as u64;
         memory.0.write(place, &[0xa5; 512]).unwrap();
         // What is in the engine's cache may be served as it was; what comes from the storage is checked.
         for key in written.keys().step_by(3) {
             let (space, name) = key.split_once('/').unwrap();
-            let key = shorewharf_store::key::Key::new(Space::parse(space).unwrap(), name);
+            let key = shorewharf_store::key::Key::new(Collection::parse(space).unwrap(), name);
             match store.get(&key, NOW) {
                 Ok(Some(entry)) => {
                     assert_eq!(written[&key.text()], (entry.revision.0, entry.value), "seed {seed}")
                 }
                 Ok(None) => panic!("seed {seed}: {key} is lost in silence"),
-                Err(e) => assert!(matches!(e, StoreError::Damaged { .. }), "seed {seed}: {e}"),
+                Err(e) => assert!(matches!(e, StoreError::Corrupt { .. }), "seed {seed}: {e}"),
             }
         }
         match store.verify(NOW) {
             Ok(()) => assert_eq!(records(&mut store).unwrap(), written, "seed {seed}"),
-            Err(e) => assert!(matches!(e, StoreError::Damaged { .. }), "seed {seed}: {e}"),
+            Err(e) => assert!(matches!(e, StoreError::Corrupt { .. }), "seed {seed}: {e}"),
         }
     }
 }
@@ -148,16 +148,16 @@
     let refused = Embedded::open(&path, Create::IfMissing, NOW).map(drop).unwrap_err().to_string();
     assert!(refused.ends_with("the file is gone, though revision 2 was acknowledged"), "{refused}");
     // Restored on purpose: places that the lost store gave after the backup are not given again.
-    let who = Actor::console("operator").unwrap();
-    let taken = restore_anew(&path, &old, &who, NOW).unwrap();
+    let actor = Actor::console("operator").unwrap();
+    let taken = restore_anew(&path, &old, &actor, NOW).unwrap();
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert!(taken.revision > late.version);
-    assert!(create(&mut store, "next").unwrap().record.place > late.record.place);
+    assert!(create(&mut store, "next").unwrap().record.id > late.record.id);
     assert_eq!(check(&mut store, NOW).unwrap(), []);
     // A store that still stands knows what it gave.
-    restore(&mut store, &old, &who, NOW).unwrap();
+    restore(&mut store, &old, &actor, NOW).unwrap();
     let next = create(&mut store, "late").unwrap();
-    assert_eq!(next.record.place.0, 65_536 + 2, "the backup's one, those left out, and \"next\"");
+    assert_eq!(next.record.id.0, 65_536 + 2, "the backup's one, those left out, and \"next\"");
 }
 
 /// Storage with so much room, and a number of writes after which everything fails.
@@ -174,7 +174,7 @@
         Arc::new(shared)
     }
 
-    fn backend(self: Arc<Shared>) -> Backend {
+    fn backend(self: Arc<Shared>) -> StorageFactory {
         Box::new(move || Ok(Box::new(Storage(self.clone()))))
     }
 }
@@ -220,7 +220,7 @@
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let shared = Shared::limited(u64::MAX, u64::MAX);
-        let mut store = Embedded::open_on(shared.clone().backend(), NOW).unwrap();
+        let mut store = Embedded::open_with(shared.clone().backend(), NOW).unwrap();
         create(&mut store, "grad").unwrap();
         shared.2.store(rng.random_range(0..400), SeqCst);
         let (mut kept, mut weight) = (100, 100);
@@ -233,11 +233,11 @@
                     kept = weight;
                 }
                 Err(e) => {
-                    assert!(e.passes(), "seed {seed}: {e}");
+                    assert!(e.is_transient(), "seed {seed}: {e}");
                     assert!(e.to_string().starts_with("storage: "), "seed {seed}: {e}");
                     match e {
-                        StoreError::Full { .. } => full += 1,
-                        StoreError::Unsure { .. } => unsure += 1,
+                        StoreError::NoSpace { .. } => full += 1,
+                        StoreError::OutcomeUnknown { .. } => unsure += 1,
                         StoreError::Io { .. } => {}
                         other => panic!("seed {seed}: {other}"),
                     }
@@ -254,7 +254,7 @@
         assert_eq!(check(&mut store, NOW).unwrap(), [], "seed {seed}");
         weigh(&mut store, "grad", 77).unwrap();
         drop(store);
-        let mut again = Embedded::open_on(shared.backend(), NOW).unwrap();
+        let mut again = Embedded::open_with(shared.backend(), NOW).unwrap();
         assert!(
             String::from_utf8_lossy(&records(&mut again).unwrap()["tenant/grad"].1).contains("\"weight\":77")
         );
@@ -287,7 +287,7 @@
     drop(Embedded::open(&path, Create::IfMissing, NOW).unwrap());
     let limit = std::fs::metadata(&path).unwrap().len() / 1024 + 256;
     let script = format!("trap '' XFSZ; ulimit -f {limit}; exec \"$0\" --exact child --ignored --nocapture");
-    let mut shell = Command::new("bash");
+    let mut shell = process::Command::new("bash");
     let shell = shell.args(["-c", &script]).arg(std::env::current_exe().unwrap());
     let output = shell.env("STORE_CHILD", &path).output().unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
--- a/crates/store/tests/exchange.rs
+++ b/crates/store/tests/exchange.rs
@@ -3,11 +3,11 @@
 mod rig;
 
 use rig::story::story;
-use rig::{NOW, make, name};
+use rig::{NOW, execute_one, name};
 use serde_json::{Value, json};
 use shorewharf_store::backup::{backup, restore};
-use shorewharf_store::calls::Call;
 use shorewharf_store::check::check;
+use shorewharf_store::commands::Command;
 use shorewharf_store::embedded::{Create, Embedded};
 use shorewharf_store::error::StoreError;
 use shorewharf_store::exchange::{ImportError, check_document, export, import};
@@ -29,9 +29,9 @@
     let mut document = exported(&mut first);
     let mut second = Embedded::open(dir.path().join("second"), Create::IfMissing, NOW).unwrap();
     let empty = exported(&mut second);
-    let who = Actor::console("operator").unwrap();
-    import(&mut second, &empty.to_string(), &who, NOW).unwrap();
-    import(&mut second, &document.to_string(), &who, NOW).unwrap();
+    let actor = Actor::console("operator").unwrap();
+    import(&mut second, &empty.to_string(), &actor, NOW).unwrap();
+    import(&mut second, &document.to_string(), &actor, NOW).unwrap();
     assert_eq!(check(&mut second, NOW).unwrap(), []);
     let mut again = exported(&mut second);
     let told = again["audit"].as_array_mut().unwrap().pop().unwrap();
@@ -40,8 +40,8 @@
         assert!(!document[same].is_null() && document[same] == again[same], "{same} differs");
     }
     // Places that either store gave are not given again.
-    let places = document["counters"]["tenant-places"].as_u64().unwrap();
-    assert!(again["counters"]["tenant-places"].as_u64().unwrap() >= places);
+    let usage_by_id = document["counters"]["tenant-places"].as_u64().unwrap();
+    assert!(again["counters"]["tenant-places"].as_u64().unwrap() >= usage_by_id);
 
     // Every fault is told with its path, whatever it is, and nothing has changed.
     let before = second.health().revision;
@@ -55,7 +55,7 @@
     document["audit"][2]["deed"] = json!("nonsense");
     document["usage"][0]["chunk"] = json!("x");
     document["counters"]["tenant-places"] = json!("x");
-    let Err(ImportError::Faults(faults)) = import(&mut second, &document.to_string(), &who, NOW) else {
+    let Err(ImportError::Invalid(faults)) = import(&mut second, &document.to_string(), &actor, NOW) else {
         panic!()
     };
     let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
@@ -78,14 +78,14 @@
     let mut document = exported(&mut first);
     document["tenants"][5]["place"] = document["tenants"][6]["place"].clone();
     document["places"].as_array_mut().unwrap().pop();
-    let Err(ImportError::Faults(faults)) = check_document(&document.to_string()) else { panic!() };
+    let Err(ImportError::Invalid(faults)) = check_document(&document.to_string()) else { panic!() };
     assert!(
         faults.iter().any(|f| f.field == "tenants[6].place" && f.cause.ends_with("has it too")),
         "{faults:?}"
     );
     assert!(faults.iter().any(|f| f.cause == "was not given"), "{faults:?}");
     assert!(matches!(check_document("{"), Err(ImportError::Json(_))));
-    assert!(matches!(check_document("[]"), Err(ImportError::Faults(_))));
+    assert!(matches!(check_document("[]"), Err(ImportError::Invalid(_))));
     assert_eq!(second.health().revision, before);
     assert_eq!(exported(&mut second)["tenants"].as_array().unwrap().len(), tenants);
 }
@@ -96,30 +96,31 @@
     let file = dir.path().join("backup");
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
     story(&mut store);
-    let who = Actor::console("operator").unwrap();
+    let actor = Actor::console("operator").unwrap();
     let at = store.health().revision;
     let taken = backup(&mut store, &file, NOW).unwrap();
     assert_eq!(taken.revision, at);
     let documented = exported(&mut store);
-    make(&mut store, Call::RemoveTenant { name: name("grad-uprava"), expected: None }, NOW).unwrap();
+    execute_one(&mut store, Command::RemoveTenant { name: name("grad-uprava"), expected: None }, NOW)
+        .unwrap();
     let removed = store.health().revision;
     let whole = std::fs::read(&file).unwrap();
     for cut in [0, 100, 5000, whole.len() / 2, whole.len() - 1] {
         std::fs::write(&file, &whole[..cut]).unwrap();
-        let e = restore(&mut store, &file, &who, NOW).unwrap_err();
+        let e = restore(&mut store, &file, &actor, NOW).unwrap_err();
         let named = e.to_string().starts_with(&format!("{}: damaged: ", file.display()));
-        assert!(matches!(e, StoreError::Damaged { .. }) && named, "{cut}: {e}");
+        assert!(matches!(e, StoreError::Corrupt { .. }) && named, "{cut}: {e}");
     }
     assert_eq!(store.health().revision, removed, "a damaged backup changed something");
     std::fs::write(&file, &whole).unwrap();
-    let restored = restore(&mut store, &file, &who, NOW).unwrap();
+    let restored = restore(&mut store, &file, &actor, NOW).unwrap();
     assert!(restored.revision > removed);
     assert_eq!(exported(&mut store)["tenants"], documented["tenants"]);
     assert_eq!(std::fs::read(&file).unwrap(), whole, "restoring changed the backup");
     // A backup that can't be written leaves the old one and no remains.
     let nowhere = backup(&mut store, &dir.path().join("no/where"), NOW).unwrap_err();
     assert!(nowhere.to_string().contains("no/where"), "{nowhere}");
-    make(&mut store, Call::RemoveTenant { name: name("я"), expected: None }, NOW).unwrap();
+    execute_one(&mut store, Command::RemoveTenant { name: name("я"), expected: None }, NOW).unwrap();
     backup(&mut store, &file, NOW).unwrap();
     let mut files: Vec<_> = std::fs::read_dir(dir.path())
         .unwrap()
