--- a/crates/store/tests/replicated.rs
+++ b/crates/store/tests/replicated.rs
@@ -4,17 +4,17 @@
 mod rig;
 
 use rig::story::story;
-use rig::{NOW, create, make, name, report};
+use rig::{NOW, create, execute_one, name, report};
 use shorewharf_store::backup::{backup, open, restore};
-use shorewharf_store::cached::Cached;
-use shorewharf_store::calls::{Call, Found, Level, Question, Request, answer};
+use shorewharf_store::cached_store::CachedStore;
 use shorewharf_store::check::check;
+use shorewharf_store::commands::{ChangeRequest, Command, Granularity, Lookup, LookupResult, look_up};
+use shorewharf_store::directory::Directory;
 use shorewharf_store::error::StoreError;
-use shorewharf_store::key::{Key, Space};
-use shorewharf_store::known::Known;
-use shorewharf_store::record::{Actor, NewTenant, Place, TenantChange};
+use shorewharf_store::key::{Collection, Key};
+use shorewharf_store::record::{Actor, NewTenant, NumericId, TenantChange};
 use shorewharf_store::replicated::{Options, Replicated};
-use shorewharf_store::service::{Options as ServiceOptions, Service, Told};
+use shorewharf_store::service::{Notification, Options as ServiceOptions, StoreThread};
 use shorewharf_store::standin::{Cluster, Fault, Member};
 use shorewharf_store::store::Store;
 use std::sync::mpsc::channel;
@@ -27,19 +27,20 @@
 
 fn speak(members: &[&Member], instance: &str) -> Replicated {
     let endpoints = members.iter().map(|m| m.endpoint()).collect();
-    Replicated::new(&Options { call: CALL, ..Options::new(endpoints, "shorewharf", instance, 7) }).unwrap()
+    Replicated::new(&Options { call_timeout: CALL, ..Options::new(endpoints, "shorewharf", instance, 7) })
+        .unwrap()
 }
 
 /// Speaks, but gives up soon, for members that are known not to answer.
 fn hasty(members: &[&Member], instance: &str) -> Replicated {
     let endpoints = members.iter().map(|m| m.endpoint()).collect();
-    let call = Duration::from_millis(400);
-    Replicated::new(&Options { call, ..Options::new(endpoints, "shorewharf", instance, 7) }).unwrap()
+    let call_timeout = Duration::from_millis(400);
+    Replicated::new(&Options { call_timeout, ..Options::new(endpoints, "shorewharf", instance, 7) }).unwrap()
 }
 
 fn weigh(store: &mut dyn Store, tenant: &str, weight: u32, now: u64) -> Result<(), StoreError> {
     let change = TenantChange { weight: Some(weight.try_into().unwrap()), ..TenantChange::default() };
-    make(store, Call::ChangeTenant { name: name(tenant), expected: None, change }, now).map(drop)
+    execute_one(store, Command::ChangeTenant { name: name(tenant), expected: None, change }, now).map(drop)
 }
 
 #[test]
@@ -51,23 +52,23 @@
 
 /// An instance as it runs: a copy, and what its loop knows.
 struct Instance {
-    cached: Cached,
-    known: Known,
+    cached: CachedStore,
+    directory: Directory,
 }
 
 impl Instance {
     fn new(store: Replicated) -> Instance {
-        Instance { cached: Cached::new(Box::new(store), None), known: Known::default() }
+        Instance { cached: CachedStore::new(Box::new(store), None), directory: Directory::default() }
     }
 
     fn round(&mut self, now: u64) -> Result<(), StoreError> {
-        let news = self.cached.refresh(now)?;
-        assert_eq!(self.known.take(&news), []);
+        let batch = self.cached.refresh(now)?;
+        assert_eq!(self.directory.apply(&batch), []);
         Ok(())
     }
 
     fn weights(&self) -> Vec<(String, u32)> {
-        self.known.tenants().map(|t| (t.record.name.to_string(), t.record.weight.get())).collect()
+        self.directory.tenants().map(|t| (t.record.name.to_string(), t.record.weight.get())).collect()
     }
 }
 
@@ -109,12 +110,12 @@
         }
         // It goes on with what it last knew, and says how old that is.
         assert_eq!(second.weights(), before);
-        assert_eq!(second.known.age(now), Some(now - lost), "{fault:?}");
+        assert_eq!(second.directory.age(now), Some(now - lost), "{fault:?}");
         assert_eq!(second.cached.age(now), Some(now - lost));
-        let found = answer(&mut second.cached, &Question::Tenant(name("grad")), now).unwrap();
-        assert!(matches!(found, Found::Tenant(kept) if kept.record.weight.get() == before[0].1));
+        let found = look_up(&mut second.cached, &Lookup::Tenant(name("grad")), now).unwrap();
+        assert!(matches!(found, LookupResult::Tenant(tenant) if tenant.record.weight.get() == before[0].1));
         let refused = weigh(&mut second.cached, "grad", 999, now).unwrap_err();
-        assert!(refused.passes(), "{fault:?}: {refused}");
+        assert!(refused.is_transient(), "{fault:?}: {refused}");
         if compacted {
             cluster.compact(cluster.revision());
         }
@@ -138,16 +139,18 @@
     let mut made: Vec<String> = std::thread::scope(|scope| {
         let write = |n: usize| {
             let mut store = speak(&[&members[n]], &format!("n{n}"));
-            let places = [(7, 10), (200, 1)];
+            let usage_by_id = [(7, 10), (200, 1)];
             let mut made = Vec::new();
             for i in 0..20 {
                 // Half of them are the same names everywhere, and one instance gets each.
                 let tenant = if i % 2 == 0 { format!("all-{i}") } else { format!("n{n}-{i}") };
                 match create(&mut store, &tenant) {
                     Ok(_) => made.push(tenant),
-                    Err(e) => assert!(e.passes() || matches!(e, StoreError::Exists { .. }), "{e}"),
+                    Err(e) => {
+                        assert!(e.is_transient() || matches!(e, StoreError::AlreadyExists { .. }), "{e}")
+                    }
                 }
-                make(&mut store, report(&format!("n{n}@1"), i, &places), NOW).unwrap();
+                execute_one(&mut store, report(&format!("n{n}@1"), i, &usage_by_id), NOW).unwrap();
             }
             made
         };
@@ -156,15 +159,15 @@
     });
     let mut store = speak(&[&members[0]], "n9");
     assert_eq!(check(&mut store, NOW).unwrap(), [], "gaps, or places given twice, are faults");
-    let ask = Question::Tenants { prefix: String::new(), after: None, limit: 1000 };
-    let Found::Tenants(kept, None) = answer(&mut store, &ask, NOW).unwrap() else { panic!() };
+    let ask = Lookup::Tenants { prefix: String::new(), after: None, limit: 1000 };
+    let LookupResult::Tenants(kept, None) = look_up(&mut store, &ask, NOW).unwrap() else { panic!() };
     let mut kept: Vec<String> = kept.into_iter().map(|t| t.record.name.to_string()).collect();
     kept.sort();
     made.sort();
     assert_eq!(kept, made);
-    let ask = Question::Usage { place: Place(7), level: Level::Hour, from: 0, to: u64::MAX };
-    let Found::Usage(rows, None) = answer(&mut store, &ask, NOW).unwrap() else { panic!() };
-    assert_eq!(rows[0].usage.set_ups, 4 * 20 * 10);
+    let ask = Lookup::Usage { id: NumericId(7), granularity: Granularity::Hour, from: 0, to: u64::MAX };
+    let LookupResult::Usage(rows, None) = look_up(&mut store, &ask, NOW).unwrap() else { panic!() };
+    assert_eq!(rows[0].usage.setups, 4 * 20 * 10);
 }
 
 #[test]
@@ -176,39 +179,39 @@
         let wake = Box::new(move || wake.send(()).unwrap_or_default());
         let clock = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
         let service =
-            Service::start(Box::new(store), ServiceOptions::default(), Box::new(clock), wake).unwrap();
+            StoreThread::start(Box::new(store), ServiceOptions::default(), Box::new(clock), wake).unwrap();
         (service, woken)
     };
     let ((mut first, _), (mut second, woken)) = (start(speak(&[&a], "n1")), start(hasty(&[&b], "n2")));
-    let mut known = Known::default();
-    let mut until = |what: &str, until: &dyn Fn(&Known, bool) -> bool| {
+    let mut directory = Directory::default();
+    let mut until = |what: &str, until: &dyn Fn(&Directory, bool) -> bool| {
         let (begun, mut trouble) = (Instant::now(), false);
         loop {
-            for told in second.look() {
-                match told {
-                    Told::News(news) => assert_eq!(known.take(&news), []),
-                    Told::Health(health) => trouble = health.trouble.is_some(),
+            for notification in second.poll() {
+                match notification {
+                    Notification::RecordsChanged(batch) => assert_eq!(directory.apply(&batch), []),
+                    Notification::HealthChanged(health) => trouble = health.fault.is_some(),
                     other => panic!("{other:?}"),
                 }
             }
-            if until(&known, trouble) {
+            if until(&directory, trouble) {
                 return begun.elapsed();
             }
             woken.recv_timeout(Duration::from_secs(60)).expect(what);
         }
     };
-    let make = |first: &mut Service, tenant: &str| {
-        let call = Call::CreateTenant(NewTenant::named(name(tenant)));
-        first.change(Request::new(Actor::File, call)).unwrap();
+    let make = |first: &mut StoreThread, tenant: &str| {
+        let command = Command::CreateTenant(NewTenant::named(name(tenant)));
+        first.change(ChangeRequest::new(Actor::File, command)).unwrap();
     };
     make(&mut first, "early");
-    until("the first tenant", &|known, _| known.tenant(&name("early")).is_some());
+    until("the first tenant", &|directory, _| directory.tenant(&name("early")).is_some());
     b.set(Fault::Silent);
     until("the trouble", &|_, trouble| trouble);
     make(&mut first, "late");
-    assert!(first.close().iter().any(|told| matches!(told, Told::Done(_, Ok(_)))));
+    assert!(first.close().iter().any(|told| matches!(told, Notification::Changed(_, Ok(_)))));
     b.set(Fault::None);
-    let took = until("the second tenant", &|known, _| known.tenant(&name("late")).is_some());
+    let took = until("the second tenant", &|directory, _| directory.tenant(&name("late")).is_some());
     println!("the threads agreed {} ms after the return", took.as_millis());
 }
 
@@ -220,10 +223,10 @@
     create(&mut store, "grad").unwrap();
     let mut other = speak(&[&b], "n2");
     let weight = |store: &mut Replicated| {
-        let Found::Tenant(kept) = answer(store, &Question::Tenant(name("grad")), NOW).unwrap() else {
+        let LookupResult::Tenant(tenant) = look_up(store, &Lookup::Tenant(name("grad")), NOW).unwrap() else {
             panic!()
         };
-        kept.record.weight.get()
+        tenant.record.weight.get()
     };
     // Done, and the answer lost: the other member tells that it was done.
     a.set(Fault::LosesAnswers);
@@ -246,11 +249,11 @@
     let mut alone = hasty(&[&a], "n4");
     weigh(&mut alone, "grad", 11, NOW + 5).unwrap();
     a.set(Fault::LosesAnswers);
-    assert!(matches!(weigh(&mut alone, "grad", 12, NOW + 6), Err(e) if e.passes()));
+    assert!(matches!(weigh(&mut alone, "grad", 12, NOW + 6), Err(e) if e.is_transient()));
     a.set(Fault::None);
     weigh(&mut alone, "grad", 13, NOW + 1_000_000).unwrap();
-    let Found::Audit(entries, _) =
-        answer(&mut other, &Question::Audit { before: None, limit: 100 }, NOW).unwrap()
+    let LookupResult::Audit(entries, _) =
+        look_up(&mut other, &Lookup::Audit { before: None, limit: 100 }, NOW).unwrap()
     else {
         panic!()
     };
@@ -275,15 +278,15 @@
     cluster.put(&about, &value.replace("\"schema\":2", "\"schema\":3"));
     for e in [
         weigh(&mut store, "grad", 5, NOW).unwrap_err(),
-        store.get(&Key::new(Space::Tenant, "grad"), NOW).unwrap_err(),
+        store.get(&Key::new(Collection::Tenant, "grad"), NOW).unwrap_err(),
     ] {
         let text = "shorewharf/engine/about: has schema 3; this program knows schemas up to 2";
         assert_eq!(e.to_string(), text);
     }
     cluster.wipe();
-    let e = store.get(&Key::new(Space::Tenant, "grad"), NOW + 1_000_000).unwrap_err();
+    let e = store.get(&Key::new(Collection::Tenant, "grad"), NOW + 1_000_000).unwrap_err();
     assert!(
-        matches!(&e, StoreError::Damaged { .. }) && e.to_string().contains("belongs to cluster decaf"),
+        matches!(&e, StoreError::Corrupt { .. }) && e.to_string().contains("belongs to cluster decaf"),
         "{e}"
     );
     let other = Options::new(vec!["udp://x".into()], "shorewharf", "n1", 1);
@@ -304,7 +307,7 @@
     let (about, value) =
         cluster.contents().into_iter().find(|(key, _)| key.ends_with("engine/about")).unwrap();
     let looks: Vec<Key> = store
-        .list(&shorewharf_store::store::Ask::of(Space::Look), NOW)
+        .list(&shorewharf_store::store::Query::all(Collection::ConfusableName), NOW)
         .unwrap()
         .entries
         .into_iter()
@@ -318,7 +321,7 @@
     let mut next = speak(&[&a], "n3");
     assert_eq!(check(&mut next, NOW).unwrap(), []);
     assert!(
-        matches!(create(&mut next, "tеnant-7"), Err(StoreError::LooksLike { .. })),
+        matches!(create(&mut next, "tеnant-7"), Err(StoreError::ConfusableName { .. })),
         "with a Cyrillic letter"
     );
     // Who ran meanwhile goes on in the new generation.
@@ -332,14 +335,14 @@
     assert_eq!(check(&mut open(&file, NOW).unwrap(), NOW).unwrap(), []);
     weigh(&mut store, "tenant-8", 88, NOW).unwrap();
     let late = create(&mut store, "late").unwrap();
-    let who = Actor::console("operator").unwrap();
-    let restored = restore(&mut store, &file, &who, NOW).unwrap();
+    let actor = Actor::console("operator").unwrap();
+    let restored = restore(&mut store, &file, &actor, NOW).unwrap();
     assert!(restored.revision > taken.revision);
     other.round(NOW + 2 * ROUND).unwrap();
     let weights = other.weights();
     assert_eq!(weights.iter().filter(|(_, w)| *w == 88).count(), 0);
     assert!(weights.len() == 250 && !weights.iter().any(|(name, _)| name == "late"));
-    assert!(create(&mut store, "late").unwrap().record.place > late.record.place);
+    assert!(create(&mut store, "late").unwrap().record.id > late.record.id);
     let generations: std::collections::BTreeSet<_> =
         cluster.contents().iter().filter_map(|(k, _)| Some(k.split('/').nth(1)?.to_string())).collect();
     assert_eq!(generations.len(), 2, "the engine's own keys and one generation: {generations:?}");
@@ -351,28 +354,29 @@
     let a = cluster.member().unwrap();
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("copy");
-    let mut before = Cached::new(Box::new(speak(&[&a], "n1")), Some(file.clone()));
+    let mut before = CachedStore::new(Box::new(speak(&[&a], "n1")), Some(file.clone()));
     create(&mut before, "grad").unwrap();
     before.refresh(NOW).unwrap();
     drop(before);
     a.set(Fault::Refuses);
-    let start = |file: &std::path::Path| Cached::new(Box::new(hasty(&[&a], "n1")), Some(file.to_path_buf()));
-    let mut known = Known::default();
+    let start =
+        |file: &std::path::Path| CachedStore::new(Box::new(hasty(&[&a], "n1")), Some(file.to_path_buf()));
+    let mut directory = Directory::default();
     let mut after = start(&file);
-    known.take(&after.refresh(NOW + 60_000_000).unwrap());
-    assert_eq!(known.age(NOW + 60_000_000), Some(60_000_000));
-    assert!(known.tenant(&name("grad")).is_some());
+    directory.apply(&after.refresh(NOW + 60_000_000).unwrap());
+    assert_eq!(directory.age(NOW + 60_000_000), Some(60_000_000));
+    assert!(directory.tenant(&name("grad")).is_some());
     // A copy that is damaged is not believed.
     let mut bytes = std::fs::read(&file).unwrap();
     let last = bytes.len() - 20;
     bytes[last] ^= 1;
     std::fs::write(&file, bytes).unwrap();
-    assert!(start(&file).refresh(NOW).unwrap_err().passes());
+    assert!(start(&file).refresh(NOW).unwrap_err().is_transient());
     a.set(Fault::None);
     let mut now = NOW + 60_000_000;
-    while known.age(now) != Some(0) {
+    while directory.age(now) != Some(0) {
         now += ROUND;
-        after.refresh(now).map(|news| known.take(&news)).ok();
+        after.refresh(now).map(|batch| directory.apply(&batch)).ok();
         assert!(now < NOW + 63_000_000);
     }
     // A member that is away costs few calls: they are spaced out, not repeated at once.
--- a/crates/store/tests/rig/story.rs
+++ b/crates/store/tests/rig/story.rs
@@ -1,135 +1,150 @@
 //! The story that every engine is told: what callers are promised.
 
-use super::{NOW, create, make, name, report};
-use shorewharf_store::calls::{Answer, Call, Found, Level, Question, Request, answer, run};
+use super::{NOW, create, execute_one, name, report};
 use shorewharf_store::check::check;
+use shorewharf_store::commands::{
+    ChangeRequest, Command, Granularity, Lookup, LookupResult, Reply, execute, look_up,
+};
 use shorewharf_store::error::StoreError;
 use shorewharf_store::name::ClassName;
 use shorewharf_store::record::{
-    Actor, ClassRecord, Limits, NewTenant, NewToken, OnceKey, Place, Role, Semantics, ServiceLimits,
-    TenantChange, TenantState, TokenRecord, TokenSeed,
+    Actor, ClassObjectives, ClassRecord, IdempotencyKey, NewTenant, NewToken, NumericId, Role, Semantics,
+    ServiceLimits, TenantChange, TenantLimits, TenantState, TokenRecord, TokenSeed,
 };
-use shorewharf_store::store::{Revision, Store};
+use shorewharf_store::{revision::Revision, store::Store};
 
-fn told(store: &mut dyn Store, question: Question) -> Found {
-    answer(store, &question, NOW).unwrap()
+fn found(store: &mut dyn Store, lookup: Lookup) -> LookupResult {
+    look_up(store, &lookup, NOW).unwrap()
 }
 
 fn two_people_change_one_tenant_and_the_second_is_told(store: &mut dyn Store) {
     let made = create(store, "grad-uprava").unwrap();
     let weight = |w: u32| TenantChange { weight: Some(w.try_into().unwrap()), ..TenantChange::default() };
-    let change = |w, expected| Call::ChangeTenant {
+    let change = |w, expected| Command::ChangeTenant {
         name: name("GRAD-uprava"),
         expected: Some(expected),
         change: weight(w),
     };
     // Both have read the same version, and both calls wait when the store's thread looks.
-    let both = [change(200, made.version), change(300, made.version)].map(|c| Request::new(Actor::File, c));
-    let done = run(store, &both, NOW + 1);
-    let Ok(Answer::Tenant(first)) = done[0].as_ref().map(|d| &d.answer) else { panic!("{done:?}") };
+    let both =
+        [change(200, made.version), change(300, made.version)].map(|c| ChangeRequest::new(Actor::File, c));
+    let done = execute(store, &both, NOW + 1);
+    let Ok(Reply::Tenant(first)) = done[0].as_ref().map(|d| &d.reply) else { panic!("{done:?}") };
     assert!(first.version > made.version && first.record.weight.get() == 200);
     assert!(
         matches!(&done[1], Err(StoreError::Conflict { key, .. }) if key == "tenant/grad-uprava"),
         "{done:?}"
     );
-    let third = make(store, change(300, first.version), NOW + 2).unwrap();
-    let Answer::Tenant(third) = third.answer else { panic!() };
-    assert_eq!(told(store, Question::Tenant(name("grad-uprava"))), Found::Tenant(third));
+    let third = execute_one(store, change(300, first.version), NOW + 2).unwrap();
+    let Reply::Tenant(third) = third.reply else { panic!() };
+    assert_eq!(found(store, Lookup::Tenant(name("grad-uprava"))), LookupResult::Tenant(third));
 }
 
 fn a_tenant_made_anew_under_its_name_gets_another_place(store: &mut dyn Store) {
     let before = create(store, "bolnica-sjever").unwrap();
-    let remove = || Call::RemoveTenant { name: name("bolnica-sjever"), expected: None };
-    let anew = [remove(), Call::CreateTenant(NewTenant::named(name("Bolnica-Sjever")))];
-    let done = run(store, &anew.map(|c| Request::new(Actor::File, c)), NOW + 5);
-    assert_eq!(done[0].as_ref().unwrap().answer, Answer::Removed(before.record.place));
-    let Answer::Tenant(after) = &done[1].as_ref().unwrap().answer else { panic!() };
-    assert!(after.record.place > before.record.place && after.version > before.version);
-    let Found::Place(old) = told(store, Question::Place(before.record.place)) else { panic!() };
+    let remove = || Command::RemoveTenant { name: name("bolnica-sjever"), expected: None };
+    let anew = [remove(), Command::CreateTenant(NewTenant::named(name("Bolnica-Sjever")))];
+    let done = execute(store, &anew.map(|c| ChangeRequest::new(Actor::File, c)), NOW + 5);
+    assert_eq!(done[0].as_ref().unwrap().reply, Reply::Removed(before.record.id));
+    let Reply::Tenant(after) = &done[1].as_ref().unwrap().reply else { panic!() };
+    assert!(after.record.id > before.record.id && after.version > before.version);
+    let LookupResult::IdAssignment(old) = found(store, Lookup::IdAssignment(before.record.id)) else {
+        panic!()
+    };
     assert_eq!((old.removed, old.name.as_str()), (Some(NOW + 5), "bolnica-sjever"));
-    assert!(matches!(create(store, "BOLNICA-SJEVER"), Err(StoreError::Exists { .. })));
+    assert!(matches!(create(store, "BOLNICA-SJEVER"), Err(StoreError::AlreadyExists { .. })));
 }
 
 fn names_that_look_alike_in_two_scripts_are_refused_until_the_first_is_gone(store: &mut dyn Store) {
     create(store, "pay").unwrap();
-    assert!(matches!(create(store, "рау"), Err(StoreError::LooksLike { like, .. }) if like == "pay"));
-    make(store, Call::RemoveTenant { name: name("pay"), expected: None }, NOW).unwrap();
+    assert!(
+        matches!(create(store, "рау"), Err(StoreError::ConfusableName { existing, .. }) if existing == "pay")
+    );
+    execute_one(store, Command::RemoveTenant { name: name("pay"), expected: None }, NOW).unwrap();
     create(store, "рау").unwrap();
-    assert!(matches!(create(store, "PAY"), Err(StoreError::LooksLike { .. })));
+    assert!(matches!(create(store, "PAY"), Err(StoreError::ConfusableName { .. })));
     for long in ["x".repeat(4096), "長".repeat(1365), "я".into()] {
         let kept = create(store, &long).unwrap();
-        assert_eq!(told(store, Question::Tenant(name(&long))), Found::Tenant(kept));
+        assert_eq!(found(store, Lookup::Tenant(name(&long))), LookupResult::Tenant(kept));
     }
 }
 
 fn a_repeated_call_gets_its_answer_again_and_changes_nothing(store: &mut dyn Store) {
-    let call = |tenant: &str| Call::CreateTenant(NewTenant::named(name(tenant)));
-    let once = |body: &[u8]| Some(OnceKey::new("token-1", "key-1", body, NOW + 1000).unwrap());
-    let ask = |c, body| Request { who: Actor::File, call: c, once: once(body) };
-    let first = run(store, &[ask(call("knjiznica"), b"a")], NOW).remove(0).unwrap();
-    let again = run(store, &[ask(call("knjiznica"), b"a")], NOW + 10).remove(0).unwrap();
-    assert!(!first.repeated && again.repeated);
-    assert_eq!(first.answer, again.answer);
-    let other = run(store, &[ask(call("other"), b"b")], NOW + 10).remove(0);
-    assert_eq!(other, Err(StoreError::KeyReused { made: NOW }));
-    let late = run(store, &[ask(call("knjiznica"), b"a")], NOW + 1000).remove(0);
-    assert!(matches!(late, Err(StoreError::Exists { .. })), "{late:?}");
+    let call = |tenant: &str| Command::CreateTenant(NewTenant::named(name(tenant)));
+    let once = |body: &[u8]| Some(IdempotencyKey::new("token-1", "key-1", body, NOW + 1000).unwrap());
+    let ask = |c, body| ChangeRequest { actor: Actor::File, command: c, idempotency_key: once(body) };
+    let first = execute(store, &[ask(call("knjiznica"), b"a")], NOW).remove(0).unwrap();
+    let again = execute(store, &[ask(call("knjiznica"), b"a")], NOW + 10).remove(0).unwrap();
+    assert!(!first.replayed && again.replayed);
+    assert_eq!(first.reply, again.reply);
+    let other = execute(store, &[ask(call("other"), b"b")], NOW + 10).remove(0);
+    assert_eq!(other, Err(StoreError::IdempotencyKeyReused { first_used: NOW }));
+    let late = execute(store, &[ask(call("knjiznica"), b"a")], NOW + 1000).remove(0);
+    assert!(matches!(late, Err(StoreError::AlreadyExists { .. })), "{late:?}");
 }
 
 fn classes_and_limits_hold_for_tenants_made_later(store: &mut dyn Store) {
     let class = ClassName::new("ticket-stream").unwrap();
-    let record = |worth| ClassRecord::new(class.clone(), 800.0, 50.0, worth, Semantics::Safe).unwrap();
+    let record = |priority_weight| {
+        let objectives = ClassObjectives { setup_ms: 800.0, message_ms: 50.0, priority_weight };
+        ClassRecord::new(class.clone(), objectives, Semantics::Idempotent).unwrap()
+    };
     let mut new = NewTenant::named(name("desk"));
     new.classes = Some([class.clone()].into());
-    let unknown = make(store, Call::CreateTenant(new.clone()), NOW).unwrap_err();
+    let unknown = execute_one(store, Command::CreateTenant(new.clone()), NOW).unwrap_err();
     assert_eq!(unknown.to_string(), "classes[0]: there is no class ticket-stream");
-    make(store, Call::PutClass { class: record(1.0), expected: Some(Revision(0)) }, NOW).unwrap();
-    new.limits = Limits { connections: Some(5), ..Limits::default() };
-    make(store, Call::CreateTenant(new), NOW).unwrap();
-    let Answer::Class(changed) =
-        make(store, Call::PutClass { class: record(2.0), expected: None }, NOW).unwrap().answer
+    execute_one(store, Command::PutClass { class: record(1.0), expected: Some(Revision(0)) }, NOW).unwrap();
+    new.limits = TenantLimits { connections: Some(5), ..TenantLimits::default() };
+    execute_one(store, Command::CreateTenant(new), NOW).unwrap();
+    let Reply::Class(changed) =
+        execute_one(store, Command::PutClass { class: record(2.0), expected: None }, NOW).unwrap().reply
     else {
         panic!()
     };
-    assert_eq!((changed.record.place(), changed.record.worth()), (Place(0), 2.0));
-    let named = make(store, Call::RemoveClass { name: class.clone(), expected: None }, NOW).unwrap_err();
+    assert_eq!((changed.record.id(), changed.record.priority_weight()), (NumericId(0), 2.0));
+    let named =
+        execute_one(store, Command::RemoveClass { name: class.clone(), expected: None }, NOW).unwrap_err();
     assert_eq!(named.to_string(), "class/ticket-stream: tenant \"desk\" names it");
-    let Found::Tenants(all, None) =
-        told(store, Question::Tenants { prefix: String::new(), after: None, limit: 1000 })
+    let LookupResult::Tenants(all, None) =
+        found(store, Lookup::Tenants { prefix: String::new(), after: None, limit: 1000 })
     else {
         panic!()
     };
     let limits = ServiceLimits { tenants: Some(all.len() as u32), ..ServiceLimits::default() };
-    make(store, Call::SetLimits { limits, expected: Some(Revision(0)) }, NOW).unwrap();
-    assert!(matches!(create(store, "one-too-many"), Err(StoreError::TooMuch { .. })));
+    execute_one(store, Command::SetLimits { limits, expected: Some(Revision(0)) }, NOW).unwrap();
+    assert!(matches!(create(store, "one-too-many"), Err(StoreError::LimitExceeded { .. })));
     let frozen =
         TenantChange { state: Some(TenantState::Frozen), classes: Some(None), ..TenantChange::default() };
-    make(store, Call::ChangeTenant { name: name("desk"), expected: None, change: frozen }, NOW).unwrap();
-    make(store, Call::RemoveClass { name: class, expected: None }, NOW).unwrap();
+    execute_one(store, Command::ChangeTenant { name: name("desk"), expected: None, change: frozen }, NOW)
+        .unwrap();
+    execute_one(store, Command::RemoveClass { name: class, expected: None }, NOW).unwrap();
 }
 
 fn a_token_is_kept_as_a_hash_and_ends_when_it_is_revoked(store: &mut dyn Store) {
     let new = NewToken { role: Role::Viewer, label: "night shift".into(), expires: Some(NOW + 100) };
-    let Answer::Token { token, text: Some(text) } =
-        make(store, Call::CreateToken { new, seed: TokenSeed([7; 40]) }, NOW).unwrap().answer
+    let Reply::Token { token, text: Some(text) } =
+        execute_one(store, Command::CreateToken { new, seed: TokenSeed([7; 40]) }, NOW).unwrap().reply
     else {
         panic!()
     };
-    let (id, secret) = TokenRecord::split(&text).unwrap();
+    let (id, secret) = TokenRecord::parse_text(&text).unwrap();
     let mut all = Vec::new();
     let put = &mut |e: shorewharf_store::store::Entry| {
         all.extend(e.value);
         Ok(())
     };
-    store.visit(&shorewharf_store::key::Space::ALL, NOW, put).unwrap();
+    store.visit(&shorewharf_store::key::Collection::ALL, NOW, put).unwrap();
     assert!(!String::from_utf8_lossy(&all).contains(secret), "the secret is nowhere in the store");
     let record = token.record;
-    assert!(record.admits(secret, NOW + 99) && !record.admits(secret, NOW + 100) && !record.admits("x", NOW));
-    make(store, Call::RevokeToken { id: id.clone() }, NOW + 1).unwrap();
-    let Found::Token(kept) = told(store, Question::Token(id)) else { panic!() };
-    assert!(!kept.record.admits(secret, NOW + 2));
-    let nobody = NewToken { role: Role::TenantAdmin(Place(9999)), label: String::new(), expires: None };
-    let refused = make(store, Call::CreateToken { new: nobody, seed: TokenSeed([8; 40]) }, NOW).unwrap_err();
+    assert!(
+        record.accepts(secret, NOW + 99) && !record.accepts(secret, NOW + 100) && !record.accepts("x", NOW)
+    );
+    execute_one(store, Command::RevokeToken { id: id.clone() }, NOW + 1).unwrap();
+    let LookupResult::Token(token) = found(store, Lookup::Token(id)) else { panic!() };
+    assert!(!token.record.accepts(secret, NOW + 2));
+    let nobody = NewToken { role: Role::TenantAdmin(NumericId(9999)), label: String::new(), expires: None };
+    let refused =
+        execute_one(store, Command::CreateToken { new: nobody, seed: TokenSeed([8; 40]) }, NOW).unwrap_err();
     assert_eq!(refused.to_string(), "place: no tenant stands at place 9999");
 }
 
@@ -139,46 +154,51 @@
     let many: Vec<(u32, u64)> = (0..6000).step_by(3).map(|p| (p, u64::from(p) + 1)).collect();
     for (instance, minute) in [("a@1", day + 59), ("a@1", day + 60), ("b@1", day + 59)] {
         assert_eq!(
-            make(store, report(instance, minute, &many), NOW).unwrap().answer,
-            Answer::Counted { new: true }
+            execute_one(store, report(instance, minute, &many), NOW).unwrap().reply,
+            Reply::UsageRecorded { new: true }
         );
         assert_eq!(
-            make(store, report(instance, minute, &many), NOW).unwrap().answer,
-            Answer::Counted { new: false }
+            execute_one(store, report(instance, minute, &many), NOW).unwrap().reply,
+            Reply::UsageRecorded { new: false }
         );
     }
-    let other = make(store, report("a@1", day + 59, &[(63, 1)]), NOW);
-    assert_eq!(other, Err(StoreError::Counted { instance: "a@1".into(), minute: day + 59 }));
+    let other = execute_one(store, report("a@1", day + 59, &[(63, 1)]), NOW);
+    assert_eq!(other, Err(StoreError::UsageAlreadyRecorded { instance: "a@1".into(), minute: day + 59 }));
     let minute = 60_000_000;
-    let mut rows = |place, level| {
-        let (from, to) = (day * minute, (day + 120) * minute + Level::Day.micros());
-        let Found::Usage(rows, None) = told(store, Question::Usage { place: Place(place), level, from, to })
+    let mut rows = |place, granularity| {
+        let (from, to) = (day * minute, (day + 120) * minute + Granularity::Day.micros());
+        let LookupResult::Usage(rows, None) =
+            found(store, Lookup::Usage { id: NumericId(place), granularity, from, to })
         else {
             panic!()
         };
         rows.iter()
-            .map(|r| (r.start / minute - day, r.usage.set_ups, r.usage.refusals["quota"]))
+            .map(|r| (r.start / minute - day, r.usage.setups, r.usage.rejections["quota"]))
             .collect::<Vec<_>>()
     };
-    assert_eq!(rows(63, Level::Minute), [(59, 128, 64), (60, 64, 32)]);
-    assert_eq!(rows(63, Level::Hour), [(0, 128, 64), (60, 64, 32)]);
-    assert_eq!(rows(5997, Level::Day), [(0, 3 * 5998, 3 * 2999)]);
-    assert_eq!(rows(64, Level::Day), []);
+    assert_eq!(rows(63, Granularity::Minute), [(59, 128, 64), (60, 64, 32)]);
+    assert_eq!(rows(63, Granularity::Hour), [(0, 128, 64), (60, 64, 32)]);
+    assert_eq!(rows(5997, Granularity::Day), [(0, 3 * 5998, 3 * 2999)]);
+    assert_eq!(rows(64, Granularity::Day), []);
     // Long after, the minutes are tidied away; what comes again even then is seen.
     let later = (day + 5 * 24 * 60) * minute;
     for place in 0..130 {
         create(store, &format!("filler-{place}")).unwrap();
     }
-    while let Answer::Tidied { more: true, .. } = make(store, Call::Tidy, later).unwrap().answer {}
-    let again = make(store, report("b@1", day + 59, &many), later).unwrap().answer;
-    assert_eq!(again, Answer::Counted { new: false });
+    while let Reply::ExpiredRemoved { more: true, .. } =
+        execute_one(store, Command::RemoveExpired, later).unwrap().reply
+    {}
+    let again = execute_one(store, report("b@1", day + 59, &many), later).unwrap().reply;
+    assert_eq!(again, Reply::UsageRecorded { new: false });
 }
 
 fn every_change_is_in_the_trail_with_what_was_before(store: &mut dyn Store) {
     let mut entries = Vec::new();
     let mut before = None;
     loop {
-        let Found::Audit(page, next) = told(store, Question::Audit { before, limit: 7 }) else { panic!() };
+        let LookupResult::Audit(page, next) = found(store, Lookup::Audit { before, limit: 7 }) else {
+            panic!()
+        };
         entries.extend(page);
         match next {
             Some(_) => before = next,
--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -12,22 +12,25 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 use shorewharf_store::backup::{backup, open};
-use shorewharf_store::cached::Cached;
-use shorewharf_store::calls::{Answer, Call, Done, Found, Level, Question, Request, UsageRow, answer, run};
+use shorewharf_store::cached_store::CachedStore;
 use shorewharf_store::check::check;
+use shorewharf_store::commands::{
+    ChangeRequest, Command, Completed, Granularity, Lookup, LookupResult, Reply, UsageRow, execute, look_up,
+};
+use shorewharf_store::directory::Directory;
 use shorewharf_store::embedded::{Create, Embedded};
 use shorewharf_store::exchange::{export, import};
-use shorewharf_store::key::{Key, Space};
-use shorewharf_store::known::Known;
+use shorewharf_store::key::{Collection, Key};
 use shorewharf_store::name::ClassName;
 use shorewharf_store::record::{
-    Actor, AuditEntry, ClassRecord, Deed, InstanceName, Limits, NewTenant, NewToken, OnceKey, Origin,
-    PerSecond, Place, Role, Semantics, ServiceLimits, TenantChange, TenantState, TokenId, TokenSeed, Usage,
-    UsageReport, Weight,
+    Actor, AuditAction, AuditEntry, ClassObjectives, ClassRecord, IdempotencyKey, InstanceName, NewTenant,
+    NewToken, NumericId, Origin, PerSecond, Role, Semantics, ServiceLimits, TenantChange, TenantLimits,
+    TenantState, TokenId, TokenSeed, Usage, UsageReport, Weight,
 };
 use shorewharf_store::replicated::{Options, Replicated};
+use shorewharf_store::revision::Revision;
 use shorewharf_store::standin::{Cluster, Fault};
-use shorewharf_store::store::{Ask, Batch, Condition, Health, Revision, Store};
+use shorewharf_store::store::{Batch, Condition, Query, Store, StoreHealth};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::path::Path;
@@ -56,12 +59,13 @@
 }
 
 fn class(name: &str, semantics: Semantics) -> ClassRecord {
-    ClassRecord::new(class_name(name), 800.5, 50.25, 1.5, semantics).unwrap()
+    let objectives = ClassObjectives { setup_ms: 800.5, message_ms: 50.25, priority_weight: 1.5 };
+    ClassRecord::new(class_name(name), objectives, semantics).unwrap()
 }
 
-fn token(role: Role, label: &str, expires: Option<u64>, seed: u8) -> Call {
+fn token(role: Role, label: &str, expires: Option<u64>, seed: u8) -> Command {
     let new = NewToken { role, label: label.into(), expires };
-    Call::CreateToken { new, seed: TokenSeed([seed; 40]) }
+    Command::CreateToken { new, seed: TokenSeed([seed; 40]) }
 }
 
 fn token_id(seed: u8) -> TokenId {
@@ -72,14 +76,14 @@
     Actor::Token { id: token_id(1), role: Role::Operator, label: "first".into() }
 }
 
-fn usage(set_ups: u64) -> Usage {
-    let refusals = [("quota".to_string(), 2), ("overload".to_string(), 1)].into();
-    Usage { connection_micros: 60_000_000, set_ups, refusals, moves: 3, lines: 400, bytes: 5000 }
+fn usage(setups: u64) -> Usage {
+    let rejections = [("quota".to_string(), 2), ("overload".to_string(), 1)].into();
+    Usage { connection_micros: 60_000_000, setups, rejections, migrations: 3, lines: 400, bytes: 5000 }
 }
 
-fn report(instance: &str, minute: u64) -> Call {
-    let places = [(0, usage(7)), (2, usage(9)), (70, Usage { set_ups: 1, ..Usage::default() })].into();
-    Call::Count(UsageReport::new(InstanceName::new(instance).unwrap(), minute, places).unwrap())
+fn report(instance: &str, minute: u64) -> Command {
+    let usage_by_id = [(0, usage(7)), (2, usage(9)), (70, Usage { setups: 1, ..Usage::default() })].into();
+    Command::RecordUsage(UsageReport::new(InstanceName::new(instance).unwrap(), minute, usage_by_id).unwrap())
 }
 
 /// A tenant with every field set.
@@ -87,7 +91,7 @@
     NewTenant {
         name: name("Grad-Uprava"),
         weight: Weight::new(250).unwrap(),
-        limits: Limits { connections: Some(5000), set_ups: rate(12.5), returns: rate(40.0) },
+        limits: TenantLimits { connections: Some(5000), setups: rate(12.5), reconnects: rate(40.0) },
         classes: Some([class_name("ticket-stream"), class_name("plain")].into()),
         state: TenantState::Active,
         origin: Origin::File,
@@ -97,78 +101,79 @@
 fn service_limits() -> ServiceLimits {
     ServiceLimits {
         connections: Some(100_000),
-        set_ups: rate(2000.0),
-        returns: rate(4000.5),
+        setups: rate(2000.0),
+        reconnects: rate(4000.5),
         tenants: Some(10_000),
-        moves: rate(50.0),
+        migrations: rate(50.0),
         changed: 0,
     }
 }
 
 /// Calls of each kind, by actors of each kind, that leave records of each kind.
-fn calls() -> Vec<(Actor, Call)> {
+fn calls() -> Vec<(Actor, Command)> {
     let plain = |text: &str, state| NewTenant { state, ..NewTenant::named(name(text)) };
     let change = TenantChange {
         name: Some(name("GRAD-Uprava")),
         weight: Some(Weight::new(300).unwrap()),
-        limits: Some(Limits { connections: Some(6000), ..Limits::default() }),
+        limits: Some(TenantLimits { connections: Some(6000), ..TenantLimits::default() }),
         classes: Some(None),
         state: Some(TenantState::Frozen),
         origin: Some(Origin::Api),
     };
-    let put = |class, expected| Call::PutClass { class, expected };
+    let put = |class, expected| Command::PutClass { class, expected };
     vec![
         (Actor::console("root").unwrap(), token(Role::Operator, "first", None, 1)),
-        (bearer(), put(class("ticket-stream", Semantics::Safe), Some(Revision(0)))),
-        (bearer(), put(class("ticket-stream", Semantics::Keyed), None)),
-        (Actor::File, put(class("plain", Semantics::Safe), None)),
-        (Actor::File, put(class("bulk", Semantics::Unsafe), None)),
-        (Actor::File, put(class("write", Semantics::Unsafe), None)),
-        (bearer(), Call::SetLimits { limits: service_limits(), expected: Some(Revision(0)) }),
-        (Actor::File, Call::CreateTenant(full_tenant())),
-        (bearer(), Call::CreateTenant(plain("bolnica", TenantState::Active))),
-        (bearer(), Call::CreateTenant(plain("Лука", TenantState::Frozen))),
-        (bearer(), Call::CreateTenant(plain("knjižnica", TenantState::Leaving))),
-        (bearer(), Call::ChangeTenant { name: name("grad-uprava"), expected: None, change }),
-        (bearer(), Call::RemoveTenant { name: name("bolnica"), expected: None }),
-        (bearer(), Call::RemoveClass { name: class_name("bulk"), expected: None }),
-        (bearer(), token(Role::TenantAdmin(Place(0)), "admin", Some(NOW + 1_000_000_000), 2)),
+        (bearer(), put(class("ticket-stream", Semantics::Idempotent), Some(Revision(0)))),
+        (bearer(), put(class("ticket-stream", Semantics::IdempotentWithKey), None)),
+        (Actor::File, put(class("plain", Semantics::Idempotent), None)),
+        (Actor::File, put(class("bulk", Semantics::NonIdempotent), None)),
+        (Actor::File, put(class("write", Semantics::NonIdempotent), None)),
+        (bearer(), Command::SetLimits { limits: service_limits(), expected: Some(Revision(0)) }),
+        (Actor::File, Command::CreateTenant(full_tenant())),
+        (bearer(), Command::CreateTenant(plain("bolnica", TenantState::Active))),
+        (bearer(), Command::CreateTenant(plain("Лука", TenantState::Frozen))),
+        (bearer(), Command::CreateTenant(plain("knjižnica", TenantState::Draining))),
+        (bearer(), Command::ChangeTenant { name: name("grad-uprava"), expected: None, change }),
+        (bearer(), Command::RemoveTenant { name: name("bolnica"), expected: None }),
+        (bearer(), Command::RemoveClass { name: class_name("bulk"), expected: None }),
+        (bearer(), token(Role::TenantAdmin(NumericId(0)), "admin", Some(NOW + 1_000_000_000), 2)),
         (bearer(), token(Role::Viewer, "night shift", None, 3)),
-        (bearer(), Call::RevokeToken { id: token_id(3) }),
+        (bearer(), Command::RevokeToken { id: token_id(3) }),
         (
             bearer(),
-            Call::Note {
+            Command::RecordAction {
                 target: "server/m-1".into(),
                 before: Some(json!({"takes": true})),
                 after: Some(json!({"takes": false})),
             },
         ),
-        (Actor::Service, Call::Note { target: "sessions/0".into(), before: None, after: None }),
+        (Actor::Service, Command::RecordAction { target: "sessions/0".into(), before: None, after: None }),
         (Actor::Service, report("n1@1", 29_583_333)),
         (Actor::Service, report("n1@1", 29_583_334)),
         (Actor::Service, report("n2@1", 29_583_333)),
-        (Actor::Service, Call::Tidy),
+        (Actor::Service, Command::RemoveExpired),
     ]
 }
 
 /// The requests that [`fill`] makes: the later of two calls at an instant is another request.
-fn requests() -> Vec<Request> {
+fn requests() -> Vec<ChangeRequest> {
     let numbered = calls().into_iter().enumerate();
     numbered
-        .map(|(number, (who, call))| {
-            let key = OnceKey::new("0101010101010101", &format!("key-{number}"), b"body", EXPIRES).unwrap();
-            Request { who, call, once: Some(key) }
+        .map(|(number, (actor, command))| {
+            let key =
+                IdempotencyKey::new("0101010101010101", &format!("key-{number}"), b"body", EXPIRES).unwrap();
+            ChangeRequest { actor, command, idempotency_key: Some(key) }
         })
         .collect()
 }
 
 /// Fills an empty store by [`requests`], each at a time of its own.
-fn fill(store: &mut dyn Store) -> Vec<Done> {
+fn fill(store: &mut dyn Store) -> Vec<Completed> {
     let mut done = Vec::new();
     for (number, request) in requests().iter().enumerate() {
-        done.push(run(store, std::slice::from_ref(request), NOW + number as u64).remove(0).unwrap());
+        done.push(execute(store, std::slice::from_ref(request), NOW + number as u64).remove(0).unwrap());
     }
-    let budget = (Key::new(Space::Budget, "member/n1"), Some(b"{\"of\":\"the balancers\"}".to_vec()));
+    let budget = (Key::new(Collection::Budget, "member/n1"), Some(b"{\"of\":\"the balancers\"}".to_vec()));
     let conditions = vec![Condition::Absent(budget.0.clone())];
     store.apply(&Batch { conditions, writes: vec![budget] }, NOW + 100).unwrap();
     done
@@ -178,7 +183,7 @@
 fn rows(store: &mut dyn Store) -> String {
     let mut rows = String::new();
     store
-        .visit(&Space::ALL, NOW, &mut |entry| {
+        .visit(&Collection::ALL, NOW, &mut |entry| {
             let value = std::str::from_utf8(&entry.value).unwrap();
             rows += &format!("{} {} {value}\n", entry.revision.0, entry.key);
             Ok(())
@@ -223,25 +228,29 @@
     let members = [cluster.member().unwrap(), cluster.member().unwrap()];
     let recorder = Recorder::default();
     let endpoints = members.iter().map(|member| recorder.before(&member.endpoint())).collect();
-    let options = Options { call: Duration::from_secs(5), ..Options::new(endpoints, "shorewharf", "n1", 7) };
+    let options =
+        Options { call_timeout: Duration::from_secs(5), ..Options::new(endpoints, "shorewharf", "n1", 7) };
     let mut store = Replicated::new(&options).unwrap();
     fill(&mut store);
-    store.get(&Key::new(Space::Tenant, "grad-uprava"), NOW).unwrap().unwrap();
-    store.list(&Ask::of(Space::Token).prefix("0").after(Some("02".into())).limit(2), NOW).unwrap();
+    store.get(&Key::new(Collection::Tenant, "grad-uprava"), NOW).unwrap().unwrap();
+    store.list(&Query::all(Collection::Token).prefix("0").after(Some("02".into())).limit(2), NOW).unwrap();
     store.changes(Revision(0), NOW).unwrap();
     members[0].set(Fault::LosesAnswers);
     let write = |text: &str| {
-        let writes = vec![(Key::new(Space::Budget, "member/n2"), Some(text.as_bytes().to_vec()))];
+        let writes = vec![(Key::new(Collection::Budget, "member/n2"), Some(text.as_bytes().to_vec()))];
         Batch { conditions: Vec::new(), writes }
     };
     store.apply(&write("lost"), NOW + 1).unwrap();
     members[0].set(Fault::None);
     store
-        .apply(&Batch { conditions: vec![], writes: vec![(Key::new(Space::Budget, "member/n2"), None)] }, NOW)
+        .apply(
+            &Batch { conditions: vec![], writes: vec![(Key::new(Collection::Budget, "member/n2"), None)] },
+            NOW,
+        )
         .unwrap();
     let mut records = Vec::new();
     store
-        .visit(&Space::ALL, NOW, &mut |entry| {
+        .visit(&Collection::ALL, NOW, &mut |entry| {
             records.push((entry.key, entry.value));
             Ok(())
         })
@@ -262,7 +271,7 @@
     write("export.json", exported(&mut store).as_bytes());
     backup(&mut store, &dir.path().join("backup"), NOW).unwrap();
     let copy = dir.path().join("copy");
-    Cached::new(Box::new(store), Some(copy.clone())).refresh(NOW).unwrap();
+    CachedStore::new(Box::new(store), Some(copy.clone())).refresh(NOW).unwrap();
     for (file, written) in [("store.redb", "store"), ("backup.redb", "backup"), ("copy", "copy")] {
         write(file, &std::fs::read(dir.path().join(written)).unwrap());
     }
@@ -283,7 +292,7 @@
     backup(&mut store, &dir.path().join("backup"), NOW).unwrap();
     assert_eq!(rows(&mut open(&dir.path().join("backup"), NOW).unwrap()), STORE_ROWS);
     let copy = dir.path().join("copy");
-    Cached::new(Box::new(store), Some(copy.clone())).refresh(NOW).unwrap();
+    CachedStore::new(Box::new(store), Some(copy.clone())).refresh(NOW).unwrap();
     assert_eq!(std::fs::read_to_string(copy).unwrap(), COPY);
 }
 
@@ -299,19 +308,20 @@
     assert_eq!(check(&mut store, NOW).unwrap(), []);
     // Each is read into its type, and the stored answer of each call is given again.
     for (number, (request, made)) in requests().iter().zip(new_answers()).enumerate() {
-        let again = run(&mut store, std::slice::from_ref(request), NOW + 500).remove(0).unwrap();
-        match &request.call {
-            Call::Count(_) => assert_eq!(again.answer, Answer::Counted { new: false }),
-            _ => assert_eq!((again.repeated, again.answer), (true, without_secret(made)), "request {number}"),
+        let again = execute(&mut store, std::slice::from_ref(request), NOW + 500).remove(0).unwrap();
+        match &request.command {
+            Command::RecordUsage(_) => assert_eq!(again.reply, Reply::UsageRecorded { new: false }),
+            _ => assert_eq!((again.replayed, again.reply), (true, without_secret(made)), "request {number}"),
         }
     }
-    let Found::Tenant(tenant) = answer(&mut store, &Question::Tenant(name("grad-uprava")), NOW).unwrap()
+    let LookupResult::Tenant(tenant) =
+        look_up(&mut store, &Lookup::Tenant(name("grad-uprava")), NOW).unwrap()
     else {
         panic!()
     };
     assert_eq!((tenant.record.weight.get(), tenant.record.limits.connections), (300, Some(6000)));
-    let ask = Question::Usage { place: Place(2), level: Level::Day, from: 0, to: u64::MAX };
-    let Found::Usage(used, None) = answer(&mut store, &ask, NOW).unwrap() else { panic!() };
+    let ask = Lookup::Usage { id: NumericId(2), granularity: Granularity::Day, from: 0, to: u64::MAX };
+    let LookupResult::Usage(used, None) = look_up(&mut store, &ask, NOW).unwrap() else { panic!() };
     let mut three = usage(9);
     three.add(&usage(9));
     three.add(&usage(9));
@@ -319,16 +329,16 @@
 }
 
 /// The answers of [`fill`].
-fn new_answers() -> Vec<Answer> {
+fn new_answers() -> Vec<Reply> {
     let dir = tempfile::tempdir().unwrap();
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
-    fill(&mut store).into_iter().map(|done| done.answer).collect()
+    fill(&mut store).into_iter().map(|done| done.reply).collect()
 }
 
 /// An answer as it is repeated: a token's text is not kept.
-fn without_secret(answer: Answer) -> Answer {
+fn without_secret(answer: Reply) -> Reply {
     match answer {
-        Answer::Token { token, .. } => Answer::Token { token, text: None },
+        Reply::Token { token, .. } => Reply::Token { token, text: None },
         answer => answer,
     }
 }
@@ -366,13 +376,16 @@
     let member = cluster.member().unwrap();
     member.set(Fault::Refuses);
     let store = Replicated::new(&Options::new(vec![member.endpoint()], "shorewharf", "n1", 7)).unwrap();
-    let mut known = Known::default();
-    assert_eq!(known.take(&Cached::new(Box::new(store), Some(file)).refresh(NOW + 5).unwrap()), []);
-    assert_eq!((known.age(NOW + 5), known.revision()), (Some(5), Revision(24)));
-    assert_eq!((known.tenants().count(), known.classes().count()), (3, 3));
-    assert_eq!(known.limits().record, ServiceLimits { changed: NOW + 6, ..service_limits() });
-    assert!(known.place(Place(1)).unwrap().removed.is_some());
-    assert!(known.token(&token_id(2), NOW).is_some() && known.token(&token_id(3), NOW).is_none());
+    let mut directory = Directory::default();
+    assert_eq!(directory.apply(&CachedStore::new(Box::new(store), Some(file)).refresh(NOW + 5).unwrap()), []);
+    assert_eq!((directory.age(NOW + 5), directory.revision()), (Some(5), Revision(24)));
+    assert_eq!((directory.tenants().count(), directory.classes().count()), (3, 3));
+    assert_eq!(directory.limits().record, ServiceLimits { changed: NOW + 6, ..service_limits() });
+    assert!(directory.id_assignment(NumericId(1)).unwrap().removed.is_some());
+    assert!(
+        directory.valid_token(&token_id(2), NOW).is_some()
+            && directory.valid_token(&token_id(3), NOW).is_none()
+    );
 }
 
 #[test]
@@ -416,22 +429,24 @@
     let change = TenantChange { classes: Some(None), ..TenantChange::default() };
     same(&change, r#"{"name":null,"weight":null,"limits":null,"classes":null,"state":null,"origin":null}"#);
     same(
-        &NewToken { role: Role::TenantAdmin(Place(3)), label: "l".into(), expires: Some(9) },
+        &NewToken { role: Role::TenantAdmin(NumericId(3)), label: "l".into(), expires: Some(9) },
         r#"{"role":"tenant-admin","place":3,"label":"l","expires":9}"#,
     );
     same(
         &UsageRow { start: 60, usage: usage(7) },
         r#"{"start":60,"usage":{"c":60000000,"s":7,"r":{"overload":1,"quota":2},"m":3,"l":400,"b":5000}}"#,
     );
-    for (level, text) in [(Level::Minute, "\"minute\""), (Level::Hour, "\"hour\""), (Level::Day, "\"day\"")] {
-        same(&level, text);
+    for (granularity, text) in
+        [(Granularity::Minute, "\"minute\""), (Granularity::Hour, "\"hour\""), (Granularity::Day, "\"day\"")]
+    {
+        same(&granularity, text);
     }
-    same(&Answer::Counted { new: true }, r#"{"kind":"counted","of":{"new":true}}"#);
-    let health = Health {
+    same(&Reply::UsageRecorded { new: true }, r#"{"kind":"counted","of":{"new":true}}"#);
+    let health = StoreHealth {
         engine: "file x".into(),
         revision: Revision(4),
-        answered: Some(5),
-        trouble: Some("full".into()),
+        last_answer: Some(5),
+        fault: Some("full".into()),
         schema: 2,
     };
     assert_eq!(
@@ -447,26 +462,27 @@
 
 #[test]
 fn each_action_of_the_trail_has_its_name() {
-    let actions: BTreeMap<&str, Deed> = [
-        ("tenant-create", Deed::TenantCreate),
-        ("tenant-change", Deed::TenantChange),
-        ("tenant-remove", Deed::TenantRemove),
-        ("class-create", Deed::ClassCreate),
-        ("class-change", Deed::ClassChange),
-        ("class-remove", Deed::ClassRemove),
-        ("token-create", Deed::TokenCreate),
-        ("token-revoke", Deed::TokenRevoke),
-        ("limits-set", Deed::LimitsSet),
-        ("command", Deed::Command),
-        ("restore", Deed::Restore),
-        ("import", Deed::Import),
+    let actions: BTreeMap<&str, AuditAction> = [
+        ("tenant-create", AuditAction::TenantCreate),
+        ("tenant-change", AuditAction::TenantChange),
+        ("tenant-remove", AuditAction::TenantRemove),
+        ("class-create", AuditAction::ClassCreate),
+        ("class-change", AuditAction::ClassChange),
+        ("class-remove", AuditAction::ClassRemove),
+        ("token-create", AuditAction::TokenCreate),
+        ("token-revoke", AuditAction::TokenRevoke),
+        ("limits-set", AuditAction::LimitsSet),
+        ("command", AuditAction::Command),
+        ("restore", AuditAction::Restore),
+        ("import", AuditAction::Import),
     ]
     .into();
-    for (text, deed) in actions {
-        let who = Actor::Token { id: token_id(2), role: Role::TenantAdmin(Place(7)), label: "l".into() };
+    for (text, action) in actions {
+        let actor =
+            Actor::Token { id: token_id(2), role: Role::TenantAdmin(NumericId(7)), label: "l".into() };
         let (before, after) = (Some(json!(1)), Some(Value::Bool(true)));
         same(
-            &AuditEntry { number: 3, at: 4, who, deed, target: "t".into(), before, after },
+            &AuditEntry { number: 3, at: 4, actor, action, target: "t".into(), before, after },
             &format!(
                 r#"{{"number":3,"at":4,"who":{{"by":"token","id":"0202020202020202","role":"tenant-admin","place":7,"label":"l"}},"deed":"{text}","target":"t","before":1,"after":true}}"#
             ),
