--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -1,5 +1,5 @@
-//! The functions that take the place of the C library's. Each has that one's signature, and either fails by the plan or
-//! goes to the kernel with its arguments as they are.
+//! The functions that replace the C library's. Each has the same signature, and either fails as planned or passes its
+//! arguments to the kernel unchanged.
 
 use std::mem::MaybeUninit;
 
@@ -7,27 +7,21 @@
 
 use crate::plan::{Call, Fault, Kind, plan};
 
-/// Bytes that a stalled socket sends before it takes no more.
-const BEFORE_STALL: size_t = 5;
+/// Bytes that a stalled socket sends before it accepts no more.
+const STALL_AFTER_BYTES: size_t = 5;
 
-/// Seconds on the monotonic clock, which no plan steps.
-pub fn monotonic_seconds() -> f64 {
-    let mut now = MaybeUninit::<timespec>::zeroed();
-    // SAFETY: the kernel writes one timespec to this address; zero is a valid one if it does not.
-    let now = unsafe {
-        libc::syscall(libc::SYS_clock_gettime, c_long::from(libc::CLOCK_MONOTONIC), now.as_mut_ptr());
-        now.assume_init()
-    };
-    now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
-}
+/// The size of the kernel's signal mask in bytes.
+const KERNEL_SIGSET_BYTES: c_long = 8;
 
+/// Sets this thread's error number and returns the result of a failed call.
 fn fail(error: c_int) -> c_int {
     // SAFETY: the C library's own address of this thread's error number.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-fn error_of(call: Call, fd: c_int) -> Option<c_int> {
+/// The planned error of a call that can only fail or succeed.
+fn planned_error(call: Call, fd: c_int) -> Option<c_int> {
     match plan().fault(call, fd) {
         Some(Fault::Error(error)) => Some(error),
         _ => None,
@@ -40,8 +34,8 @@
 /// As for the C library's.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, len: socklen_t) -> c_int {
-    plan().note(fd, Kind::Connected);
-    if let Some(error) = error_of(Call::Connect, fd) {
+    plan().record_kind(fd, Kind::Connected);
+    if let Some(error) = planned_error(Call::Connect, fd) {
         return fail(error);
     }
     // SAFETY: the caller's arguments, unchanged.
@@ -54,13 +48,13 @@
 /// As for the C library's.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if let Some(error) = error_of(Call::Socket, -1) {
+    if let Some(error) = planned_error(Call::Socket, -1) {
         return fail(error);
     }
     let (domain, kind, protocol) = (c_long::from(domain), c_long::from(kind), c_long::from(protocol));
     // SAFETY: numbers only.
     let fd = unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int };
-    plan().note(fd, Kind::Other);
+    plan().record_kind(fd, Kind::Other);
     fd
 }
 
@@ -75,14 +69,14 @@
     len: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = error_of(Call::Accept, fd) {
+    if let Some(error) = planned_error(Call::Accept, fd) {
         return fail(error);
     }
     // SAFETY: the caller's arguments, unchanged.
     let accepted = unsafe {
         libc::syscall(libc::SYS_accept4, c_long::from(fd), address, len, c_long::from(flags)) as c_int
     };
-    plan().note(accepted, Kind::Accepted);
+    plan().record_kind(accepted, Kind::Accepted);
     accepted
 }
 
@@ -97,11 +91,11 @@
         Some(Fault::Short) => len.min(1),
         _ => len,
     };
-    let (none, no_len) = (std::ptr::null_mut::<c_void>(), std::ptr::null_mut::<c_void>());
+    let (no_address, no_length) = (std::ptr::null_mut::<c_void>(), std::ptr::null_mut::<c_void>());
     // SAFETY: the caller's buffer, with no more of its length than the caller said.
     unsafe {
         let (fd, flags) = (c_long::from(fd), c_long::from(flags));
-        libc::syscall(libc::SYS_recvfrom, fd, buffer, len, flags, none, no_len) as ssize_t
+        libc::syscall(libc::SYS_recvfrom, fd, buffer, len, flags, no_address, no_length) as ssize_t
     }
 }
 
@@ -114,15 +108,15 @@
     let len = match plan().fault(Call::Send, fd) {
         Some(Fault::Error(error)) => return fail(error) as ssize_t,
         Some(Fault::Short) => len.min(1),
-        Some(Fault::Stall) if plan().has_stalled(fd) => return fail(libc::EAGAIN) as ssize_t,
-        Some(Fault::Stall) => len.min(BEFORE_STALL),
+        Some(Fault::Stall) if plan().mark_stalled(fd) => return fail(libc::EAGAIN) as ssize_t,
+        Some(Fault::Stall) => len.min(STALL_AFTER_BYTES),
         _ => len,
     };
-    let (none, no_len) = (std::ptr::null::<c_void>(), 0 as c_long);
+    let (no_address, address_bytes) = (std::ptr::null::<c_void>(), 0 as c_long);
     // SAFETY: the caller's buffer, with no more of its length than the caller said.
     unsafe {
         let (fd, flags) = (c_long::from(fd), c_long::from(flags));
-        libc::syscall(libc::SYS_sendto, fd, buffer, len, flags, none, no_len) as ssize_t
+        libc::syscall(libc::SYS_sendto, fd, buffer, len, flags, no_address, address_bytes) as ssize_t
     }
 }
 
@@ -134,20 +128,21 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if let Some(error) = error_of(Call::Wait, fd) {
+    if let Some(error) = planned_error(Call::Wait, fd) {
         return fail(error);
     }
-    let (none, no_len) = (std::ptr::null::<c_void>(), 8 as c_long);
+    let (no_mask, mask_bytes) = (std::ptr::null::<c_void>(), KERNEL_SIGSET_BYTES);
     // SAFETY: the caller's arguments, and no signal mask.
     unsafe {
-        let (fd, most, timeout) = (c_long::from(fd), c_long::from(most), c_long::from(timeout));
-        libc::syscall(libc::SYS_epoll_pwait, fd, events, most, timeout, none, no_len) as c_int
+        let (fd, max_events, timeout) = (c_long::from(fd), c_long::from(max_events), c_long::from(timeout));
+        libc::syscall(libc::SYS_epoll_pwait, fd, events, max_events, timeout, no_mask, mask_bytes) as c_int
     }
 }
 
+/// Whether a descriptor is of a regular file.
 fn is_file(fd: c_int) -> bool {
     let mut stat = MaybeUninit::<libc::stat>::zeroed();
     // SAFETY: the C library writes one stat to this address; zero is a valid one if it does not.
@@ -180,7 +175,7 @@
 /// As for the C library's.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if let Some(error) = error_of(Call::Sync, fd) {
+    if let Some(error) = planned_error(Call::Sync, fd) {
         return fail(error);
     }
     // SAFETY: a number only.
@@ -193,7 +188,7 @@
 /// As for the C library's.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    if let Some(error) = error_of(Call::Sync, fd) {
+    if let Some(error) = planned_error(Call::Sync, fd) {
         return fail(error);
     }
     // SAFETY: a number only.
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -7,12 +7,16 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::clock::monotonic_seconds;
+
 /// The program's exit code for a plan that can't be read.
 const BAD_PLAN: i32 = 99;
-/// Descriptors whose kind is remembered.
+/// Descriptors whose kind is recorded.
 const DESCRIPTORS: usize = 65536;
+/// The time of a fault without one: from the start to far beyond any run.
+const ALWAYS: &str = "0-1e9";
 
-/// A call that can fail.
+/// A function of the C library that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Connect,
@@ -20,13 +24,17 @@
     Accept,
     Recv,
     Send,
+    /// `epoll_wait`.
     Wait,
+    /// `write` to a file.
     Write,
+    /// `fsync` and `fdatasync`.
     Sync,
+    /// `clock_gettime` of the wall clock.
     Clock,
 }
 
-/// How a descriptor came to be.
+/// How a descriptor was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Kind {
@@ -40,32 +48,40 @@
 pub enum Fault {
     /// It fails with this error number.
     Error(c_int),
-    /// It moves one byte at most.
+    /// It transfers one byte at most.
     Short,
-    /// It moves five bytes once, and then none.
+    /// It transfers five bytes once, and nothing after that.
     Stall,
-    /// The wall clock is so many seconds off.
+    /// The wall clock is off by this many seconds.
     Step(i64),
 }
 
+/// Which calls a fault applies to.
 #[derive(Debug)]
-struct Planned {
+struct PlannedFault {
     call: Call,
+    /// Only descriptors of this kind; all if there is none.
     kind: Option<Kind>,
     fault: Fault,
+    /// Every how many calls the fault happens.
     every: u64,
+    /// The probability with which the fault happens, instead of `every`.
     percent: Option<f64>,
+    /// In which time since the program's start, in seconds.
     from_s: f64,
     to_s: f64,
+    /// Calls that the fault applied to so far.
     calls: AtomicU64,
 }
 
 /// All faults of this process.
 pub struct Plan {
-    faults: Vec<Planned>,
+    faults: Vec<PlannedFault>,
     random: Mutex<Pcg64Mcg>,
     start_s: f64,
+    /// By descriptor.
     kinds: Vec<AtomicU8>,
+    /// By descriptor: 1 once it has stalled.
     stalled: Vec<AtomicU8>,
 }
 
@@ -87,51 +103,60 @@
                 std::process::exit(BAD_PLAN)
             })
         });
-        let flags = || (0..DESCRIPTORS).map(|_| AtomicU8::new(0)).collect();
+        let per_descriptor = || (0..DESCRIPTORS).map(|_| AtomicU8::new(0)).collect();
         Plan {
             faults: faults.collect(),
             random: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
-            start_s: crate::calls::monotonic_seconds(),
-            kinds: flags(),
-            stalled: flags(),
+            start_s: monotonic_seconds(),
+            kinds: per_descriptor(),
+            stalled: per_descriptor(),
         }
     }
 
-    /// Remembers how a descriptor came to be.
-    pub fn note(&self, fd: c_int, kind: Kind) {
-        let at = fd as usize;
-        if let (Some(is), Some(stalled)) = (self.kinds.get(at), self.stalled.get(at)) {
-            is.store(kind as u8, Ordering::Relaxed);
+    /// Records how a descriptor was opened.
+    pub fn record_kind(&self, fd: c_int, kind: Kind) {
+        let index = fd as usize;
+        if let (Some(recorded), Some(stalled)) = (self.kinds.get(index), self.stalled.get(index)) {
+            recorded.store(kind as u8, Ordering::Relaxed);
             stalled.store(0, Ordering::Relaxed);
         }
     }
 
-    /// Whether a stalled descriptor has moved its bytes; from now on it has.
-    pub fn has_stalled(&self, fd: c_int) -> bool {
+    /// Marks a descriptor as stalled, and returns whether it was before.
+    pub fn mark_stalled(&self, fd: c_int) -> bool {
         self.stalled.get(fd as usize).is_some_and(|stalled| stalled.swap(1, Ordering::Relaxed) == 1)
     }
 
-    /// What happens to this call on this descriptor.
+    /// The fault of this call on this descriptor, if one happens.
     pub fn fault(&self, call: Call, fd: c_int) -> Option<Fault> {
         let kind = self.kinds.get(fd as usize).map_or(0, |kind| kind.load(Ordering::Relaxed));
-        let applies = |f: &&Planned| f.call == call && f.kind.is_none_or(|wanted| wanted as u8 == kind);
-        self.faults.iter().filter(applies).find(|f| self.strikes(f)).map(|f| f.fault)
+        let applies = |planned: &&PlannedFault| {
+            planned.call == call && planned.kind.is_none_or(|wanted| wanted as u8 == kind)
+        };
+        let mut applicable = self.faults.iter().filter(applies);
+        applicable.find(|planned| self.happens(planned)).map(|planned| planned.fault)
     }
 
     /// How many seconds the wall clock is off.
     pub fn clock_step(&self) -> i64 {
-        let now = crate::calls::monotonic_seconds() - self.start_s;
-        let steps = self.faults.iter().filter(|f| f.call == Call::Clock && now >= f.from_s);
-        steps.filter_map(|f| if let Fault::Step(seconds) = f.fault { Some(seconds) } else { None }).sum()
+        let now_s = monotonic_seconds() - self.start_s;
+        let steps =
+            self.faults.iter().filter(|planned| planned.call == Call::Clock && now_s >= planned.from_s);
+        let seconds = |planned: &PlannedFault| match planned.fault {
+            Fault::Step(seconds) => Some(seconds),
+            _ => None,
+        };
+        steps.filter_map(seconds).sum()
     }
 
-    fn strikes(&self, planned: &Planned) -> bool {
-        let now = crate::calls::monotonic_seconds() - self.start_s;
-        if now < planned.from_s || now >= planned.to_s {
+    /// Whether a fault that applies to a call happens at this one.
+    fn happens(&self, planned: &PlannedFault) -> bool {
+        let now_s = monotonic_seconds() - self.start_s;
+        if now_s < planned.from_s || now_s >= planned.to_s {
             return false;
         }
         if let Some(percent) = planned.percent {
-            // A poisoned lock means that this process panics already.
+            // A poisoned lock means that this process is panicking already.
             let Ok(mut random) = self.random.lock() else { return false };
             return random.random_range(0.0..100.0) < percent;
         }
@@ -139,7 +164,8 @@
     }
 }
 
-fn parse(text: &str) -> Option<Planned> {
+/// Reads `CALL[:KIND]=FAULT[/EVERY][%PERCENT][@FROM-TO]`.
+fn parse(text: &str) -> Option<PlannedFault> {
     let (call, fault) = text.split_once('=')?;
     let (call, kind) = match call.split_once(':') {
         Some((call, "connected")) => (call, Some(Kind::Connected)),
@@ -148,7 +174,7 @@
         None => (call, None),
     };
     let call = parse_call(call)?;
-    let (fault, span) = fault.split_once('@').unwrap_or((fault, "0-1e9"));
+    let (fault, span) = fault.split_once('@').unwrap_or((fault, ALWAYS));
     let (from_s, to_s) = span.split_once('-')?;
     let (fault, percent) = match fault.split_once('%') {
         Some((fault, percent)) => (fault, Some(percent.parse().ok()?)),
@@ -160,7 +186,7 @@
     };
     let (from_s, to_s) = (from_s.parse().ok()?, to_s.parse().ok()?);
     let calls = AtomicU64::new(0);
-    Some(Planned { call, kind, fault: parse_fault(call, fault)?, every, percent, from_s, to_s, calls })
+    Some(PlannedFault { call, kind, fault: parse_fault(call, fault)?, every, percent, from_s, to_s, calls })
 }
 
 fn parse_call(text: &str) -> Option<Call> {
