--- a/crates/balancer/tests/soak/main.rs
+++ b/crates/balancer/tests/soak/main.rs
@@ -16,10 +16,12 @@
     let plan = Plan::draw(7, Duration::from_secs(5), Some(10));
     let played = play(&plan, PathBuf::from(BINARY), Some(library), Path::new(folder.path()).to_owned());
     let verdict = played.expect("the run is played");
-    for broken in &verdict.broken {
-        eprintln!("{broken}");
-        verdict.trace(broken.request).iter().for_each(|line| eprintln!("  {line}"));
+    for violation in &verdict.violations {
+        eprintln!("{violation}");
+        for line in verdict.trace(violation.request) {
+            eprintln!("  {line}");
+        }
     }
-    assert!(verdict.is_clean(), "{:?} {:?}", verdict.faults, verdict.broken);
+    assert!(verdict.is_clean(), "{:?} {:?}", verdict.faults, verdict.violations);
     assert!(verdict.requests > 100, "only {} requests were sent", verdict.requests);
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each sends one request after the other, to any balancer that takes new ones.
+//! Clients: each sends one request after the other, to any balancer that accepts new ones.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
@@ -7,89 +7,99 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::fleet::Fleet;
 use crate::ledger::{Answer, Request};
 use crate::plan::Plan;
-use crate::run::World;
+use crate::recorder::Recorder;
 
-/// A client waits so much longer than its class for an answer that is late.
-const LATE: Duration = Duration::from_millis(3000);
-/// A connection that stands says a line so often.
-const LINES: Duration = Duration::from_millis(100);
+/// How long a client waits beyond its deadline for a late answer.
+const MAX_LATENESS: Duration = Duration::from_millis(3000);
+/// How long a client waits for the echo of a line on an established connection.
+const ECHO_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a client waits for each of the last lines after it has ended its side.
+const LAST_LINES_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest time before a client's first line, and the longest time on an established connection, in ms.
+const MAX_IDLE_MS: u64 = 1500;
 
-/// One client, until no new requests come.
-pub fn live(world: &World, plan: &Plan, number: u64) {
+/// The part of clients that stay idle for a while before their request.
+const IDLE_FIRST_RATIO: f64 = 0.1;
+/// The part of clients that disconnect without waiting for an answer.
+const DISCONNECT_RATIO: f64 = 0.08;
+/// The part of clients that end their side of an established connection and read what still comes.
+const HALF_CLOSE_RATIO: f64 = 0.5;
+
+/// Runs one client until no new requests are accepted.
+pub fn run(recorder: &Recorder, fleet: &Fleet, plan: &Plan, number: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(plan.seed << 16 | number);
     let mut count = 0;
-    while world.takes_requests() {
+    while recorder.accepts_requests() {
         std::thread::sleep(Duration::from_millis(random.random_range(5..120)));
         let balancer = random.random_range(0..plan.balancers);
-        if !world.fleet().takes_new(balancer) {
+        if !fleet.accepts_new(balancer) {
             continue;
         }
-        let Ok(stream) = TcpStream::connect(world.fleet().address(balancer)) else { continue };
+        let Ok(stream) = TcpStream::connect(fleet.address(balancer)) else { continue };
         count += 1;
         let id = (number + 1) << 32 | count;
-        Client { world, plan, random: &mut random, stream, id, balancer }.ask();
+        Client { recorder, plan, random: &mut random, stream, id, balancer }.send_request();
     }
 }
 
 /// What comes next on a client's connection.
-enum Heard {
+enum Received {
     Line(String),
     End,
-    Nothing,
+    Timeout,
 }
 
+/// A client with one connection.
 struct Client<'a> {
-    world: &'a World,
+    recorder: &'a Recorder,
     plan: &'a Plan,
     random: &'a mut Pcg64Mcg,
     stream: TcpStream,
+    /// The request's id.
     id: u64,
     balancer: usize,
 }
 
 impl Client<'_> {
-    fn ask(mut self) {
-        // Some rest for a while before they say anything.
-        if self.random.random_bool(0.1) {
-            std::thread::sleep(Duration::from_millis(self.random.random_range(0..1500)));
+    fn send_request(mut self) {
+        if self.random.random_bool(IDLE_FIRST_RATIO) {
+            self.sleep_up_to(MAX_IDLE_MS);
         }
-        if self.has_ended() {
+        if self.is_closed() {
             return;
         }
         let class = self.random.random_range(0..self.plan.classes.len());
-        let give_up = self.plan.classes[class].give_up;
+        let deadline = self.plan.classes[class].deadline;
         let (name, id) = (&self.plan.classes[class].name, self.id);
-        let line = format!("OPEN {id:x} {id:x} c={name},t=acme,d={}\r\n", give_up.as_millis());
-        let sent_at = self.world.now();
-        // Fails only on a connection that is gone, where nobody has read the line.
+        let line = format!("OPEN {id:x} {id:x} c={name},t=acme,d={}\r\n", deadline.as_millis());
+        let sent_at = self.recorder.now();
+        // Fails only on a closed connection, where nobody has read the line.
         if self.stream.set_nodelay(true).is_err() || self.stream.write_all(line.as_bytes()).is_err() {
             return;
         }
         let request = Request { class, balancer: self.balancer, sent_at, ..Request::default() };
-        self.world.request_sent(id, request);
-        if self.random.random_bool(0.08) {
-            std::thread::sleep(give_up.mul_f64(self.random.random_range(0.0..0.8)));
-            self.world.client_left(id);
+        self.recorder.request_sent(id, request);
+        if self.random.random_bool(DISCONNECT_RATIO) {
+            std::thread::sleep(deadline.mul_f64(self.random.random_range(0.0..0.8)));
+            self.recorder.client_disconnected(id);
             return;
         }
-        let heard = self.hear(give_up + LATE);
-        let answer = match &heard {
-            Heard::Line(line) if line.starts_with("UP") => Answer::Taken,
-            Heard::Line(line) if line.starts_with("BUSY") => Answer::Refused,
-            Heard::Line(_) => Answer::Failed,
-            Heard::End => Answer::Ended,
-            Heard::Nothing => Answer::Nothing,
-        };
-        self.world.request_answered(id, answer);
-        if answer == Answer::Taken {
-            self.stand();
+        let answer = self.receive_answer(deadline);
+        self.recorder.request_answered(id, answer);
+        if answer == Answer::Accepted {
+            self.use_connection();
         }
     }
 
-    /// Whether the balancer has ended a connection that rested: nobody sends a request on it then.
-    fn has_ended(&self) -> bool {
+    fn sleep_up_to(&mut self, max_ms: u64) {
+        std::thread::sleep(Duration::from_millis(self.random.random_range(0..max_ms)));
+    }
+
+    /// Whether the balancer has ended the idle connection: no request is sent on it then.
+    fn is_closed(&self) -> bool {
         let is_set = self.stream.set_nonblocking(true).is_ok();
         let peeked = self.stream.peek(&mut [0]);
         is_set
@@ -97,36 +107,46 @@
                 || !matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock))
     }
 
-    fn hear(&self, within: Duration) -> Heard {
-        // Fails only on a connection that is gone, which the read shows.
-        let _ = self.stream.set_read_timeout(Some(within));
+    fn receive_answer(&self, deadline: Duration) -> Answer {
+        match self.receive(deadline + MAX_LATENESS) {
+            Received::Line(line) if line.starts_with("UP") => Answer::Accepted,
+            Received::Line(line) if line.starts_with("BUSY") => Answer::Rejected,
+            Received::Line(_) => Answer::Failed,
+            Received::End => Answer::Closed,
+            Received::Timeout => Answer::TimedOut,
+        }
+    }
+
+    fn receive(&self, timeout: Duration) -> Received {
+        // Fails only on a closed connection, which the read shows.
+        let _ = self.stream.set_read_timeout(Some(timeout));
         let mut line = String::new();
         match BufReader::with_capacity(1, &self.stream).read_line(&mut line) {
-            Ok(0) => Heard::End,
-            Ok(_) => Heard::Line(line),
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Heard::Nothing,
-            Err(_) => Heard::End,
+            Ok(0) => Received::End,
+            Ok(_) => Received::Line(line),
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Received::Timeout,
+            Err(_) => Received::End,
         }
     }
 
-    /// Speaks with the server for a while, and ends.
-    fn stand(mut self) {
-        let until = Instant::now() + Duration::from_millis(self.random.random_range(0..1500));
-        while Instant::now() < until && self.world.takes_requests() {
+    /// Exchanges lines with the server for a while, then ends.
+    fn use_connection(mut self) {
+        let end = Instant::now() + Duration::from_millis(self.random.random_range(0..MAX_IDLE_MS));
+        while Instant::now() < end && self.recorder.accepts_requests() {
             if self.stream.write_all(b"M 1\r\n").is_err() {
                 break;
             }
-            match self.hear(LINES) {
-                Heard::Line(line) if line.starts_with("M ") => std::thread::sleep(LINES / 2),
-                Heard::Line(_) => return,
-                Heard::End => return self.world.cut_off(self.id),
-                Heard::Nothing => {}
+            match self.receive(ECHO_TIMEOUT) {
+                Received::Line(line) if line.starts_with("M ") => std::thread::sleep(ECHO_TIMEOUT / 2),
+                Received::Line(_) => return,
+                Received::End => return self.recorder.connection_cut(self.id),
+                Received::Timeout => {}
             }
         }
-        if self.random.random_bool(0.5) {
-            // The server's last words, or a move, may still come; an end is what was asked for.
+        if self.random.random_bool(HALF_CLOSE_RATIO) {
+            // The server's last lines or a request to migrate may still come.
             let _ = self.stream.shutdown(Shutdown::Write);
-            while let Heard::Line(_) = self.hear(Duration::from_secs(2)) {}
+            while let Received::Line(_) = self.receive(LAST_LINES_TIMEOUT) {}
         }
     }
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: watches that tell the whole list whenever it has changed, and an empty line every 2 s.
+//! The discovery service: watches that send the whole list whenever it has changed, and an empty line every 2 s.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,12 +7,13 @@
 
 use shorewharf_protocol::list::{Endpoint, Listing};
 
-use crate::run::World;
+use crate::loopback::{self, Listener};
+use crate::recorder::Recorder;
 
-/// How often a watch says that nothing has changed.
-const QUIET: Duration = Duration::from_secs(2);
+/// The time without a change after which a watch sends an empty line.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The list, and who waits for its changes.
+/// The endpoint list, and the condition that watches wait for.
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
@@ -21,21 +22,24 @@
 }
 
 impl Discovery {
-    /// Discovery that listens and knows this list.
-    pub fn start(endpoints: Vec<Endpoint>, world: &Arc<World>) -> std::io::Result<Arc<Discovery>> {
-        let listener = TcpListener::bind((crate::run::loopback(2), 0))?;
+    /// Starts discovery with a list of endpoints.
+    ///
+    /// # Errors
+    /// If the system gives no port.
+    pub fn start(endpoints: Vec<Endpoint>, recorder: &Arc<Recorder>) -> std::io::Result<Arc<Discovery>> {
+        let listener = TcpListener::bind((loopback::address(Listener::Discovery), 0))?;
         let list = Mutex::new(Listing { index: 1, snapshot: true, endpoints });
         let discovery =
             Arc::new(Discovery { address: listener.local_addr()?, list, changed: Condvar::new() });
-        let (accepting, world) = (Arc::clone(&discovery), Arc::clone(world));
+        let (accepting, recorder) = (Arc::clone(&discovery), Arc::clone(recorder));
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if world.is_over() {
+                if recorder.is_over() {
                     return;
                 }
-                let (discovery, world) = (Arc::clone(&accepting), Arc::clone(&world));
-                // Fails with the connection, or when its process has ended.
-                std::thread::spawn(move || drop(discovery.watch(&stream, &world)));
+                let (discovery, recorder) = (Arc::clone(&accepting), Arc::clone(&recorder));
+                // Fails when the connection or the balancer's process has ended.
+                std::thread::spawn(move || drop(discovery.serve_watch(&stream, &recorder)));
             }
         });
         Ok(discovery)
@@ -46,11 +50,6 @@
         self.address
     }
 
-    /// The list as it stands.
-    pub fn list(&self) -> Listing {
-        self.list.lock().expect("no panic").clone()
-    }
-
     /// Lists a server with another status.
     pub fn set_status(&self, server: usize, status: &str) {
         let mut list = self.list.lock().expect("no panic");
@@ -59,26 +58,22 @@
         self.changed.notify_all();
     }
 
-    fn watch(&self, stream: &TcpStream, world: &World) -> std::io::Result<()> {
-        let mut head = BufReader::new(stream);
-        let mut line = String::new();
-        while line != "\r\n" {
-            line.clear();
-            if head.read_line(&mut line)? == 0 {
-                return Ok(());
-            }
+    fn serve_watch(&self, stream: &TcpStream, recorder: &Recorder) -> std::io::Result<()> {
+        if !read_request_head(stream)? {
+            return Ok(());
         }
         let mut writer = stream;
         writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-        let mut told = 0;
-        while !world.is_over() {
+        let mut sent_index = 0;
+        while !recorder.is_over() {
             let list = self.list.lock().expect("no panic");
-            let unchanged = |list: &mut Listing| list.index == told;
-            let (list, waited) = self.changed.wait_timeout_while(list, QUIET, unchanged).expect("no panic");
+            let is_unchanged = |list: &mut Listing| list.index == sent_index;
+            let waited = self.changed.wait_timeout_while(list, HEARTBEAT_INTERVAL, is_unchanged);
+            let (list, waited) = waited.expect("no panic");
             let text = if waited.timed_out() {
                 "\n".to_owned()
             } else {
-                told = list.index;
+                sent_index = list.index;
                 format!("{}\n", serde_json::to_string(&*list)?)
             };
             drop(list);
@@ -87,3 +82,16 @@
         Ok(())
     }
 }
+
+/// Reads a request up to its empty line; `false` if the connection ends before.
+fn read_request_head(stream: &TcpStream) -> std::io::Result<bool> {
+    let mut reader = BufReader::new(stream);
+    let mut line = String::new();
+    while line != "\r\n" {
+        line.clear();
+        if reader.read_line(&mut line)? == 0 {
+            return Ok(false);
+        }
+    }
+    Ok(true)
+}
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,180 +1,205 @@
-//! What servers and clients saw of each request, and which rules that breaks.
+//! What servers and clients observed of each request, and which rules that breaks.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
 
-use crate::plan::{Class, Effect};
+use crate::plan::{Class, Semantics};
 
-/// Every time limit on sockets is so much longer.
+/// By how much every time limit is longer on sockets.
 const SLACK: Duration = Duration::from_millis(50);
-/// An attempt may reach its server so long after its client has gone.
-const AFTER_CLIENT: Duration = Duration::from_millis(100);
-/// A server gets nothing new so long after it was told to drain.
+/// An attempt may reach its server this long after its client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// A server may get new requests this long after it was listed as draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(1000);
 
-/// What a client was told at last.
+/// The final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Answer {
     /// `UP`.
-    Taken,
+    Accepted,
     /// `BUSY`.
-    Refused,
+    Rejected,
     /// Any other line.
     Failed,
-    /// The connection ended without a word.
-    Ended,
+    /// The connection ended without a line.
+    Closed,
     /// Nothing came.
-    Nothing,
+    TimedOut,
 }
 
-/// An attempt as its server saw it.
+/// An attempt as its server observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The server.
     pub server: usize,
-    /// When the first line had been read.
+    /// When the request's line had been read.
     pub read_at: Duration,
-    /// When its connection was seen to end.
+    /// When its connection ended.
     pub ended_at: Option<Duration>,
-    /// The server turned it away unseen.
-    pub turned_away: bool,
-    /// When its server was told to drain, if it was then.
+    /// Whether the server rejected it without running it.
+    pub is_rejected: bool,
+    /// Since when its server was listed as draining.
     pub draining_since: Option<Duration>,
 }
 
-/// A request from its first line to its end.
+/// A request from its line to its end.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Its class.
     pub class: usize,
     /// The balancer that it was sent to.
     pub balancer: usize,
-    /// When its line was sent, and after it.
+    /// When its line was sent.
     pub sent_at: Duration,
-    /// When its client left before an answer.
-    pub left_at: Option<Duration>,
-    /// Its answer, and when it was heard.
+    /// When its client disconnected without waiting for an answer.
+    pub disconnected_at: Option<Duration>,
+    /// Its answer, and when it came.
     pub answer: Option<(Answer, Duration)>,
-    /// Attempts by time.
+    /// Its attempts by time.
     pub attempts: Vec<Attempt>,
-    /// It stood and was cut off without `MOVE` or `BYE` though its server had not ended it.
+    /// When its established connection was cut off without `MOVE` or `BYE`, though its server had not ended it.
     pub cut_at: Option<Duration>,
 }
 
+/// A time in which a process was stopped.
+#[derive(Clone, Copy, Debug)]
+pub struct Pause {
+    /// When it began.
+    pub at: Duration,
+    /// How long it lasted.
+    pub length: Duration,
+}
+
+/// A time in which a configuration was in force.
+#[derive(Clone, Copy, Debug)]
+pub struct Span {
+    /// When it began.
+    pub from: Duration,
+    /// When it ended, if it has.
+    pub to: Option<Duration>,
+}
+
 /// What one balancer's processes went through.
 #[derive(Clone, Debug, Default)]
 pub struct Process {
     /// When it was killed.
     pub kills: Vec<Duration>,
     /// When it ended by itself.
-    pub ends: Vec<Duration>,
-    /// When it was held up, and for how long.
-    pub pauses: Vec<(Duration, Duration)>,
-    /// From when to when its configuration called every class safe.
-    pub safe_spans: Vec<(Duration, Option<Duration>)>,
+    pub exits: Vec<Duration>,
+    /// When it was stopped.
+    pub pauses: Vec<Pause>,
+    /// When its configuration had every class idempotent.
+    pub all_idempotent: Vec<Span>,
 }
 
 impl Process {
-    /// It has ended by itself; the next one starts with the configuration of the plan.
-    pub fn ended(&mut self, at: Duration) {
-        self.ends.push(at);
+    /// The process has ended by itself; the next one starts with the configuration of the plan.
+    pub fn exited(&mut self, at: Duration) {
+        self.exits.push(at);
         self.close_spans(at);
     }
 
-    /// It was killed.
+    /// The process was killed.
     pub fn killed(&mut self, at: Duration) {
         self.kills.push(at);
         self.close_spans(at);
     }
 
     fn close_spans(&mut self, at: Duration) {
-        self.safe_spans.iter_mut().for_each(|(_, to)| *to = to.or(Some(at)));
+        for span in &mut self.all_idempotent {
+            span.to = span.to.or(Some(at));
+        }
     }
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     /// The rule.
     pub rule: &'static str,
-    /// The request.
+    /// The request's id.
     pub request: u64,
-    /// What was seen.
-    pub what: String,
+    /// The request's balancer.
+    pub balancer: usize,
+    /// What was observed.
+    pub observed: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} request={:x} {}", self.rule, self.request, self.what)
+        write!(f, "{} request={:x} {}", self.rule, self.request, self.observed)
     }
 }
 
-/// All that was seen in a run.
+/// Everything that was observed in a run.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// By the id that its client opened with.
+    /// By the id that the client gave.
     pub requests: HashMap<u64, Request>,
     /// By balancer.
     pub processes: Vec<Process>,
     /// The zone of each server.
     pub zones: Vec<usize>,
-    /// The latest that this machine was: what is seen may have been so much earlier.
+    /// The longest time by which this machine woke a thread late: an event may be this much older than its record.
     pub machine_late: Duration,
 }
 
 impl Ledger {
-    /// What repeating a request may do, by the configuration that was in force as it was sent.
+    /// A request's class, by the configuration in force when it was sent.
     fn class_of(&self, request: &Request, classes: &[Class]) -> Class {
         let mut class = classes[request.class].clone();
-        let spans = &self.processes[request.balancer].safe_spans;
         let sent_at = request.sent_at;
-        if spans.iter().any(|(from, to)| sent_at >= *from && to.is_none_or(|to| sent_at <= to)) {
-            class.effect = Effect::Safe;
+        let mut spans = self.processes[request.balancer].all_idempotent.iter();
+        if spans.any(|span| sent_at >= span.from && span.to.is_none_or(|to| sent_at <= to)) {
+            class.semantics = Semantics::Idempotent;
         }
         class
     }
 
-    /// Rules that were broken.
-    pub fn broken(&self, classes: &[Class]) -> Vec<Broken> {
-        let mut broken = Vec::new();
+    /// All broken rules, in the order of requests.
+    pub fn violations(&self, classes: &[Class]) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for (id, request) in &self.requests {
             let class = &self.class_of(request, classes);
-            let mut add = |rule, what: String| {
-                let what = format!("class={} balancer={} {what}", class.name, request.balancer);
-                broken.push(Broken { rule, request: *id, what });
+            let mut report = |rule, details: String| {
+                let balancer = request.balancer;
+                let observed = format!("class={} balancer={balancer} {details}", class.name);
+                violations.push(Violation { rule, request: *id, balancer, observed });
             };
-            self.check_answer(request, class, &mut add);
-            self.check_attempts(request, class, &mut add);
+            self.check_answer(request, class, &mut report);
+            self.check_attempts(request, class, &mut report);
         }
-        broken.sort_by_key(|b| b.request);
-        broken
+        violations.sort_by_key(|violation| violation.request);
+        violations
     }
 
-    /// The most that an answer came after its deadline.
+    /// The longest time by which an answer came after its deadline.
     pub fn latest_answer(&self, classes: &[Class]) -> Duration {
-        let late = |r: &Request| {
-            let (_, at) = r.answer.filter(|(answer, _)| *answer != Answer::Ended)?;
-            Some(at.saturating_sub(r.sent_at + classes[r.class].give_up))
+        let lateness = |request: &Request| {
+            let (_, at) = request.answer.filter(|(answer, _)| *answer != Answer::Closed)?;
+            Some(at.saturating_sub(request.sent_at + classes[request.class].deadline))
         };
-        let counted = self.requests.values().filter(|r| !self.is_killed(r));
-        counted.filter_map(late).max().unwrap_or_default()
+        let counted = self.requests.values().filter(|request| !self.is_killed(request));
+        counted.filter_map(lateness).max().unwrap_or_default()
     }
 
-    fn check_answer(&self, request: &Request, class: &Class, add: &mut impl FnMut(&'static str, String)) {
-        let may_have_run = request.attempts.iter().any(|attempt| !attempt.turned_away);
-        let is_excused = self.is_killed(request) || request.left_at.is_some();
+    fn check_answer(&self, request: &Request, class: &Class, report: &mut impl FnMut(&'static str, String)) {
+        let may_have_run = request.attempts.iter().any(|attempt| !attempt.is_rejected);
+        let is_excused = self.is_killed(request) || request.disconnected_at.is_some();
         match request.answer {
-            Some((Answer::Refused, at)) if may_have_run && !class.effect.is_refusable() => {
-                add("refused-after-run", format!("answer at {at:?}, attempts {:?}", request.attempts));
+            Some((Answer::Rejected, at)) if may_have_run && !class.semantics.is_rejectable() => {
+                report("refused-after-run", format!("answer at {at:?}, attempts {:?}", request.attempts));
             }
-            None | Some((Answer::Nothing | Answer::Ended, _)) if !is_excused && !self.is_past(request) => {
-                add("lost", format!("sent at {:?}, {:?}", request.sent_at, request.answer));
+            None | Some((Answer::TimedOut | Answer::Closed, _))
+                if !is_excused && !self.is_after_exit(request) =>
+            {
+                report("lost", format!("sent at {:?}, {:?}", request.sent_at, request.answer));
             }
-            Some((Answer::Taken | Answer::Refused | Answer::Failed, at)) if !is_excused => {
-                let limit = request.sent_at + class.give_up + SLACK + self.late(request, at);
+            Some((Answer::Accepted | Answer::Rejected | Answer::Failed, at)) if !is_excused => {
+                let limit = request.sent_at + class.deadline + SLACK + self.tolerance(request, at);
                 if at > limit {
-                    add("late", format!("sent at {:?}, answered at {at:?}", request.sent_at));
+                    report("late", format!("sent at {:?}, answered at {at:?}", request.sent_at));
                 }
             }
             _ => {}
@@ -182,64 +207,72 @@
         if let Some(at) = request.cut_at
             && !self.was_killed_between(request.balancer, request.sent_at, at)
         {
-            add("cut", format!("stood since {:?}, cut off at {at:?}", request.answer));
+            report("cut", format!("stood since {:?}, cut off at {at:?}", request.answer));
         }
     }
 
-    fn check_attempts(&self, request: &Request, class: &Class, add: &mut impl FnMut(&'static str, String)) {
-        for (i, attempt) in request.attempts.iter().enumerate() {
-            let late = self.late(request, attempt.read_at);
-            if request.left_at.is_some_and(|left| attempt.read_at > left + AFTER_CLIENT + SLACK + late) {
-                add("sent-after-client", format!("left at {:?}, {attempt:?}", request.left_at));
+    fn check_attempts(
+        &self,
+        request: &Request,
+        class: &Class,
+        report: &mut impl FnMut(&'static str, String),
+    ) {
+        for (index, attempt) in request.attempts.iter().enumerate() {
+            let read_at = attempt.read_at;
+            let tolerance = SLACK + self.tolerance(request, read_at);
+            let disconnected_at = request.disconnected_at;
+            if disconnected_at.is_some_and(|at| read_at > at + DISCONNECT_GRACE + tolerance) {
+                report("sent-after-client", format!("left at {disconnected_at:?}, {attempt:?}"));
             }
-            let told = attempt.draining_since;
-            if told.is_some_and(|told| attempt.read_at > told + DRAIN_GRACE + SLACK + late) {
-                add("drain", format!("{attempt:?}"));
+            if attempt.draining_since.is_some_and(|since| read_at > since + DRAIN_GRACE + tolerance) {
+                report("drain", format!("{attempt:?}"));
             }
-            let before: Vec<&Attempt> = request.attempts[..i].iter().filter(|a| !a.turned_away).collect();
-            if let Some(first) = before.first()
-                && !self.may_repeat(class, first, attempt, late)
+            let earlier: Vec<&Attempt> =
+                request.attempts[..index].iter().filter(|attempt| !attempt.is_rejected).collect();
+            if let Some(first) = earlier.first()
+                && !self.may_repeat(class, first, attempt, tolerance)
             {
-                add("duplicate", format!("{:?}", request.attempts));
+                report("duplicate", format!("{:?}", request.attempts));
             }
-            let limit = attempt.read_at + SLACK + late;
-            if before.iter().any(|a| a.ended_at.is_none_or(|ended| ended > limit)) {
-                add("second-copy", format!("{:?}", request.attempts));
+            let is_out = |earlier: &&Attempt| earlier.ended_at.is_none_or(|at| at > read_at + tolerance);
+            if earlier.iter().any(is_out) {
+                report("second-copy", format!("{:?}", request.attempts));
             }
         }
     }
 
-    fn may_repeat(&self, class: &Class, first: &Attempt, attempt: &Attempt, late: Duration) -> bool {
-        let in_window = attempt.read_at <= first.read_at + class.window + SLACK + late;
-        match class.effect {
-            Effect::Safe => true,
-            Effect::KeyedAll => in_window,
-            Effect::KeyedZone => in_window && self.zones[attempt.server] == self.zones[first.server],
-            Effect::Unsafe => false,
+    fn may_repeat(&self, class: &Class, first: &Attempt, attempt: &Attempt, tolerance: Duration) -> bool {
+        let is_in_window = attempt.read_at <= first.read_at + class.window + tolerance;
+        match class.semantics {
+            Semantics::Idempotent => true,
+            Semantics::KeyedAll => is_in_window,
+            Semantics::KeyedZone => is_in_window && self.zones[attempt.server] == self.zones[first.server],
+            Semantics::NonIdempotent => false,
         }
     }
 
-    /// What may make a sight later than what was seen: this machine, and the time for which the balancer stood still.
-    fn late(&self, request: &Request, until: Duration) -> Duration {
-        let pauses = &self.processes[request.balancer].pauses;
-        let overlap = pauses.iter().filter(|(at, length)| *at <= until && *at + *length >= request.sent_at);
-        self.machine_late + overlap.map(|(_, length)| *length).sum::<Duration>()
+    /// By how much an observation may be late: by this machine, and by the time for which the balancer was stopped.
+    fn tolerance(&self, request: &Request, until: Duration) -> Duration {
+        let pauses = self.processes[request.balancer].pauses.iter();
+        let overlapping =
+            pauses.filter(|pause| pause.at <= until && pause.at + pause.length >= request.sent_at);
+        self.machine_late + overlapping.map(|pause| pause.length).sum::<Duration>()
     }
 
     fn was_killed_between(&self, balancer: usize, from: Duration, to: Duration) -> bool {
         self.processes[balancer].kills.iter().any(|at| *at >= from && *at <= to + SLACK)
     }
 
-    /// Its balancer was killed while it waited, or an instant before.
+    /// Whether the balancer was killed while the request waited, or just before it was sent.
     fn is_killed(&self, request: &Request) -> bool {
         let until = request.answer.map_or(Duration::MAX - SLACK, |(_, at)| at);
         self.was_killed_between(request.balancer, request.sent_at.saturating_sub(SLACK), until)
     }
 
-    /// It was sent when its balancer had ended, or as it did: nobody had read it.
-    fn is_past(&self, request: &Request) -> bool {
+    /// Whether the request was sent when its balancer had exited or as it did, so that it was never read.
+    fn is_after_exit(&self, request: &Request) -> bool {
         let until = request.answer.map_or(Duration::MAX, |(_, at)| at + SLACK);
-        let ends = &self.processes[request.balancer].ends;
-        ends.iter().any(|end| request.sent_at + SLACK + self.machine_late > *end && *end <= until)
+        let exits = &self.processes[request.balancer].exits;
+        exits.iter().any(|exit| request.sent_at + SLACK + self.machine_late > *exit && *exit <= until)
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,15 +1,19 @@
-//! `shorewharf-soak`: plays one seed after the other and tells what broke.
+//! `shorewharf-soak`: plays one seed after the other and prints which rules were broken.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::Parser;
+use shorewharf_soak::error::SoakError;
 use shorewharf_soak::plan::Plan;
-use shorewharf_soak::run::{SoakError, Verdict, play};
+use shorewharf_soak::run::play;
+use shorewharf_soak::verdict::Verdict;
 
-/// Lines of a log that are shown for one broken rule.
-const SHOWN: usize = 40;
+/// The most log lines that are printed for one broken rule.
+const MAX_TRACE_LINES: usize = 40;
+/// The exit code of a run that ended without a verdict.
+const EXIT_NO_VERDICT: u8 = 3;
 
 /// Plays random faults that overlap on 10 to 40 real processes, and holds what servers and clients saw against the rules.
 /// Exit codes: 0 nothing broke; 1 something did; 3 a run could not be played.
@@ -44,7 +48,7 @@
             Ok(clean) => is_clean &= clean,
             Err(e) => {
                 eprintln!("seed {seed}: {e}");
-                return ExitCode::from(3);
+                return ExitCode::from(EXIT_NO_VERDICT);
             }
         }
     }
@@ -56,14 +60,14 @@
     let folder = std::env::temp_dir().join(format!("shorewharf-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let verdict = play(&plan, options.balancer.clone(), options.faults.clone(), folder.clone());
-    // What is left over harms nobody.
+    // A folder that can't be removed is harmless.
     let _ = std::fs::remove_dir_all(folder);
     let verdict = verdict?;
-    show(&plan, &verdict);
+    print_verdict(&plan, &verdict);
     Ok(verdict.is_clean())
 }
 
-fn show(plan: &Plan, verdict: &Verdict) {
+fn print_verdict(plan: &Plan, verdict: &Verdict) {
     println!(
         "seed {} balancers {} servers {} faults {} requests {} answers {:?} latest {:?} machine {:?}: {}",
         plan.seed,
@@ -76,14 +80,14 @@
         verdict.machine_late,
         if verdict.is_clean() { "clean" } else { "BROKEN" },
     );
-    verdict.faults.iter().for_each(|fault| println!("  fault: {fault}"));
-    for broken in &verdict.broken {
-        println!("  rule: {broken}");
-        println!("    system faults: {:?}", plan.system_faults.get(balancer_of(&broken.what)));
-        verdict.trace(broken.request).iter().take(SHOWN).for_each(|line| println!("    {line}"));
+    for fault in &verdict.faults {
+        println!("  fault: {fault}");
+    }
+    for violation in &verdict.violations {
+        println!("  rule: {violation}");
+        println!("    system faults: {:?}", plan.system_faults.get(violation.balancer));
+        for line in verdict.trace(violation.request).iter().take(MAX_TRACE_LINES) {
+            println!("    {line}");
+        }
     }
-}
-
-fn balancer_of(what: &str) -> usize {
-    what.split("balancer=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok()).unwrap_or(0)
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed draws.
+//! The plan of a run, drawn from a seed: the fleet, the classes of requests, and the faults.
 
 use std::time::Duration;
 
@@ -6,29 +6,33 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// Clients for each balancer.
+const CLIENTS_PER_BALANCER: usize = 6;
+
 /// Zones of the fleet.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// What repeating a request of a class may do.
+/// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Anything goes.
-    Safe,
-    /// Every server drops repeats within the window.
+pub enum Semantics {
+    /// Always: it is idempotent.
+    Idempotent,
+    /// Within the window: every server drops repeats by the idempotency key.
     KeyedAll,
-    /// Servers of the first one's zone drop repeats within the window.
+    /// Within the window and the zone of the first attempt, whose servers drop repeats by the idempotency key.
     KeyedZone,
-    /// It must not be repeated.
-    Unsafe,
+    /// Never.
+    NonIdempotent,
 }
 
-impl Effect {
-    /// All of them.
-    pub const ALL: [Effect; 4] = [Effect::Safe, Effect::KeyedAll, Effect::KeyedZone, Effect::Unsafe];
+impl Semantics {
+    /// All values.
+    pub const ALL: [Semantics; 4] =
+        [Semantics::Idempotent, Semantics::KeyedAll, Semantics::KeyedZone, Semantics::NonIdempotent];
 
-    /// Whether a request that may have run may be refused.
-    pub fn is_refusable(self) -> bool {
-        matches!(self, Effect::Safe | Effect::KeyedAll)
+    /// Whether a request that may have run may be rejected.
+    pub fn is_rejectable(self) -> bool {
+        matches!(self, Semantics::Idempotent | Semantics::KeyedAll)
     }
 }
 
@@ -37,109 +41,115 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// What repeating one may do.
-    pub effect: Effect,
-    /// How long its clients wait.
-    pub give_up: Duration,
-    /// The window of a keyed class.
+    /// Whether a request may be repeated.
+    pub semantics: Semantics,
+    /// How long its clients wait for an answer.
+    pub deadline: Duration,
+    /// The time for which servers remember idempotency keys.
     pub window: Duration,
 }
 
-/// How a server treats first lines.
+/// How a server treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It takes them at once.
+    /// It accepts them at once.
     Normal,
-    /// It reads them and says nothing.
+    /// It reads them and never answers.
     Hangs,
-    /// It takes them up to so many milliseconds later.
-    Slow(u64),
+    /// It accepts them after a random time.
+    Slow {
+        /// The longest time in milliseconds.
+        max_ms: u64,
+    },
     /// It answers `ERR`.
     Errors,
     /// It answers `BUSY`.
-    TurnsAway,
-    /// It resets the connection up to so many milliseconds after the line.
-    Resets(u64),
+    Rejects,
+    /// It resets the connection after a random time.
+    Resets {
+        /// The longest time in milliseconds.
+        max_ms: u64,
+    },
 }
 
-/// One thing that goes wrong.
+/// A fault of the fleet, other than failing system calls.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A balancer is told to end, and is started again once it has.
+    /// A balancer gets SIGTERM, and is started again once it has ended.
     Terminate {
         /// Which one.
         balancer: usize,
-        /// It is told twice.
+        /// It gets the signal twice.
         twice: bool,
     },
-    /// A balancer is killed, and started again.
+    /// A balancer gets SIGKILL, and is started again.
     Kill {
         /// Which one.
         balancer: usize,
     },
-    /// A balancer is held up for a moment.
+    /// A balancer is stopped and continued.
     Pause {
         /// Which one.
         balancer: usize,
-        /// For so long.
+        /// For how long.
         length: Duration,
     },
-    /// A balancer reads its configuration again, in which all classes may be called safe.
+    /// A balancer reloads its configuration, in which every class may be idempotent.
     Reload {
         /// Which one.
         balancer: usize,
-        /// The configuration calls every class safe.
-        all_safe: bool,
+        /// Whether every class is idempotent in it.
+        all_idempotent: bool,
     },
-    /// A server behaves otherwise for a while.
+    /// A server changes its behaviour for a while.
     Server {
         /// Which one.
         server: usize,
-        /// How.
+        /// Its behaviour.
         behaviour: Behaviour,
-        /// For so long.
+        /// For how long.
         length: Duration,
     },
-    /// A server drains for a while.
+    /// A server is draining for a while.
     Drain {
         /// Which one.
         server: usize,
-        /// For so long.
+        /// For how long.
         length: Duration,
     },
 }
 
 /// A fault and its time.
 #[derive(Clone, Copy, Debug)]
-pub struct Timed {
+pub struct ScheduledFault {
     /// Since the run's start.
     pub at: Duration,
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Everything that a seed draws.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
-    /// New requests come for so long.
+    /// The time for which clients send new requests.
     pub length: Duration,
-    /// Processes.
+    /// Number of processes.
     pub balancers: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Clients that each send one request after the other.
+    /// Number of clients, which each send one request after the other.
     pub clients: usize,
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// By time.
-    pub faults: Vec<Timed>,
-    /// System calls that fail, for each balancer, in the words of the faults' library; empty for none.
+    /// In the order of their times.
+    pub faults: Vec<ScheduledFault>,
+    /// Failing system calls of each balancer, as a plan of the library of faults; empty for none.
     pub system_faults: Vec<String>,
 }
 
-/// Faults of system calls that a run may draw.
+/// Failing system calls that a run may draw.
 const SYSTEM_FAULTS: [&str; 14] = [
     "recv=short%40",
     "send=short%40",
@@ -158,34 +168,43 @@
 ];
 
 impl Plan {
-    /// Draws a run with so many processes, or 10 to 40.
+    /// Draws a plan with this number of processes, or with 10 to 40.
     pub fn draw(seed: u64, length: Duration, balancers: Option<usize>) -> Plan {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let balancers = balancers.unwrap_or_else(|| random.random_range(10..=40));
         let servers = random.random_range(6..=15);
-        let classes = Effect::ALL.map(|effect| draw_class(&mut random, effect)).to_vec();
+        let classes = Semantics::ALL.map(|semantics| draw_class(&mut random, semantics)).to_vec();
         let count = (length.as_secs_f64() * random.random_range(1.5..4.0)) as usize;
-        let mut faults: Vec<Timed> =
+        let mut faults: Vec<ScheduledFault> =
             (0..count).map(|_| draw_fault(&mut random, length, balancers, servers)).collect();
-        faults.sort_by_key(|timed| timed.at);
+        faults.sort_by_key(|scheduled| scheduled.at);
         let system_faults = (0..balancers).map(|_| draw_system_faults(&mut random)).collect();
-        Plan { seed, length, balancers, servers, clients: balancers * 6, classes, faults, system_faults }
+        Plan {
+            seed,
+            length,
+            balancers,
+            servers,
+            clients: balancers * CLIENTS_PER_BALANCER,
+            classes,
+            faults,
+            system_faults,
+        }
     }
 }
 
-fn draw_class(random: &mut Pcg64Mcg, effect: Effect) -> Class {
-    let give_up = Duration::from_millis(random.random_range(700..2500));
+fn draw_class(random: &mut Pcg64Mcg, semantics: Semantics) -> Class {
+    let deadline = Duration::from_millis(random.random_range(700..2500));
     let window = Duration::from_millis(random.random_range(400..4000));
-    let name = match effect {
-        Effect::Safe => "read",
-        Effect::KeyedAll => "key-all",
-        Effect::KeyedZone => "key-zone",
-        Effect::Unsafe => "write",
+    let name = match semantics {
+        Semantics::Idempotent => "read",
+        Semantics::KeyedAll => "key-all",
+        Semantics::KeyedZone => "key-zone",
+        Semantics::NonIdempotent => "write",
     };
-    Class { name: name.to_owned(), effect, give_up, window }
+    Class { name: name.to_owned(), semantics, deadline, window }
 }
 
-fn draw_fault(random: &mut Pcg64Mcg, length: Duration, balancers: usize, servers: usize) -> Timed {
+fn draw_fault(random: &mut Pcg64Mcg, length: Duration, balancers: usize, servers: usize) -> ScheduledFault {
     let at = length.mul_f64(random.random_range(0.05..0.95));
     let (balancer, server) = (random.random_range(0..balancers), random.random_range(0..servers));
     let span = Duration::from_millis(random.random_range(200..3000));
@@ -193,22 +212,22 @@
         0..25 => Fault::Terminate { balancer, twice: random.random_bool(0.3) },
         25..30 => Fault::Kill { balancer },
         30..40 => Fault::Pause { balancer, length: Duration::from_millis(random.random_range(20..150)) },
-        40..50 => Fault::Reload { balancer, all_safe: random.random_bool(0.5) },
+        40..50 => Fault::Reload { balancer, all_idempotent: random.random_bool(0.5) },
         50..60 => Fault::Drain { server, length: span },
         _ => Fault::Server { server, behaviour: draw_behaviour(random), length: span },
     };
-    Timed { at, fault }
+    ScheduledFault { at, fault }
 }
 
 fn draw_behaviour(random: &mut Pcg64Mcg) -> Behaviour {
     let behaviours = [
         Behaviour::Hangs,
         Behaviour::Hangs,
-        Behaviour::Slow(1500),
+        Behaviour::Slow { max_ms: 1500 },
         Behaviour::Errors,
-        Behaviour::TurnsAway,
-        Behaviour::Resets(0),
-        Behaviour::Resets(900),
+        Behaviour::Rejects,
+        Behaviour::Resets { max_ms: 0 },
+        Behaviour::Resets { max_ms: 900 },
     ];
     *behaviours.choose(random).expect("there are some")
 }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,8 +1,8 @@
-//! Stand-in servers: a thread for each connection, which reads the first line and treats it as the server behaves then.
+//! Stub servers: a thread for each connection, which reads the request's line and treats it by the server's present
+//! behaviour.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
@@ -10,8 +10,12 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::ledger::Attempt;
+use crate::loopback::{self, Listener};
 use crate::plan::Behaviour;
-use crate::run::World;
+use crate::recorder::Recorder;
+
+/// The stack of a connection's thread.
+const STACK_BYTES: usize = 256 << 10;
 
 /// One server.
 #[derive(Debug)]
@@ -28,13 +32,16 @@
 }
 
 impl Server {
-    /// A server that listens and serves until the world is over.
-    pub fn start(number: usize, world: &Arc<World>) -> std::io::Result<Arc<Server>> {
-        let listener = TcpListener::bind((crate::run::loopback(1), 0))?;
+    /// Starts a server that serves until the run is over.
+    ///
+    /// # Errors
+    /// If the system gives no port.
+    pub fn start(number: usize, recorder: &Arc<Recorder>) -> std::io::Result<Arc<Server>> {
+        let listener = TcpListener::bind((loopback::address(Listener::Servers), 0))?;
         let state = State { behaviour: Behaviour::Normal, draining_since: None };
         let server = Arc::new(Server { number, address: listener.local_addr()?, state: Mutex::new(state) });
-        let (accepting, world) = (Arc::clone(&server), Arc::clone(world));
-        std::thread::spawn(move || accepting.accept(&listener, &world));
+        let (accepting, recorder) = (Arc::clone(&server), Arc::clone(recorder));
+        std::thread::spawn(move || accepting.accept(&listener, &recorder));
         Ok(server)
     }
 
@@ -43,141 +50,127 @@
         self.address
     }
 
-    /// It behaves so from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Changes how it treats requests from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state.lock().expect("no panic").behaviour = behaviour;
     }
 
-    /// It drains, as discovery has told since then, or no longer.
-    pub fn drain(&self, since: Option<Duration>) {
+    /// Sets since when it is listed as draining; `None` if it is not.
+    pub fn set_draining(&self, since: Option<Duration>) {
         self.state.lock().expect("no panic").draining_since = since;
     }
 
-    /// Whether it drains.
+    /// Whether it is draining.
     pub fn is_draining(&self) -> bool {
         self.state.lock().expect("no panic").draining_since.is_some()
     }
 
-    fn accept(self: Arc<Self>, listener: &TcpListener, world: &Arc<World>) {
+    fn accept(self: Arc<Self>, listener: &TcpListener, recorder: &Arc<Recorder>) {
         for (count, stream) in listener.incoming().enumerate() {
             let Ok(stream) = stream else { continue };
-            if world.is_over() {
+            if recorder.is_over() {
                 return;
             }
-            let (server, world) = (Arc::clone(&self), Arc::clone(world));
+            let (server, recorder) = (Arc::clone(&self), Arc::clone(recorder));
             let seed = (self.number as u64) << 32 | count as u64;
-            let serve = move || server.serve(stream, &world, Pcg64Mcg::seed_from_u64(seed));
-            drop(std::thread::Builder::new().stack_size(256 << 10).spawn(serve));
+            let serve = move || server.serve(&stream, &recorder, Pcg64Mcg::seed_from_u64(seed));
+            drop(std::thread::Builder::new().stack_size(STACK_BYTES).spawn(serve));
         }
     }
 
-    fn serve(&self, stream: TcpStream, world: &World, mut random: Pcg64Mcg) {
-        // Fails only on a connection that is gone, which the first read shows.
+    fn serve(&self, stream: &TcpStream, recorder: &Recorder, random: Pcg64Mcg) {
+        // Fails only on a closed connection, which the first read shows.
         let _ = stream.set_nodelay(true);
-        let mut reader = BufReader::new(&stream);
-        let mut line = String::new();
-        loop {
-            line.clear();
-            if !reader.read_line(&mut line).is_ok_and(|n| n > 0) || !line.ends_with("\r\n") {
-                return;
-            }
-            if line != "PING\r\n" {
-                break;
-            }
-            let _ = (&stream).write_all(b"PONG\r\n");
-        }
+        let mut reader = BufReader::new(stream);
+        let Some(line) = read_open_line(stream, &mut reader) else { return };
         let state = *self.state.lock().expect("no panic");
         let Some(id) = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok()) else { return };
-        let attempt = world.attempt_read(
-            id,
-            Attempt {
-                server: self.number,
-                read_at: world.now(),
-                ended_at: None,
-                turned_away: state.behaviour == Behaviour::TurnsAway,
-                draining_since: state.draining_since,
-            },
-        );
-        self.treat(&stream, &mut reader, world, &mut random, state.behaviour);
-        world.attempt_ended(id, attempt);
+        let attempt = Attempt {
+            server: self.number,
+            read_at: recorder.now(),
+            ended_at: None,
+            is_rejected: state.behaviour == Behaviour::Rejects,
+            draining_since: state.draining_since,
+        };
+        let index = recorder.attempt_read(id, attempt);
+        Connection { stream, reader, recorder, random }.respond(state.behaviour);
+        recorder.attempt_ended(id, index);
     }
+}
 
-    fn treat(
-        &self,
-        stream: &TcpStream,
-        reader: &mut BufReader<&TcpStream>,
-        world: &World,
-        random: &mut Pcg64Mcg,
-        behaviour: Behaviour,
-    ) {
-        let say = |words: &[u8]| {
-            let mut writer = stream;
-            writer.write_all(words).is_ok()
-        };
-        match behaviour {
-            Behaviour::Normal => {}
-            Behaviour::Hangs => return wait_for_end(reader),
-            Behaviour::Slow(most) => {
-                std::thread::sleep(Duration::from_millis(random.random_range(0..=most)));
-            }
-            Behaviour::Errors => {
-                say(b"ERR\r\n");
-                return;
-            }
-            Behaviour::TurnsAway => {
-                say(b"BUSY\r\n");
-                return;
-            }
-            Behaviour::Resets(most) => {
-                std::thread::sleep(Duration::from_millis(random.random_range(0..=most)));
-                // Fails only on a connection that is gone.
-                let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
-                return;
-            }
+/// Reads the request's line, and answers health checks before it.
+fn read_open_line(stream: &TcpStream, reader: &mut BufReader<&TcpStream>) -> Option<String> {
+    let mut line = String::new();
+    loop {
+        line.clear();
+        if reader.read_line(&mut line).ok()? == 0 || !line.ends_with("\r\n") {
+            return None;
         }
-        if say(b"UP 1\r\n") {
-            self.stand(stream, reader, world);
+        if line != "PING\r\n" {
+            return Some(line);
         }
+        send(stream, b"PONG\r\n");
     }
+}
 
-    /// Answers lines until the client ends.
-    fn stand(&self, stream: &TcpStream, reader: &mut BufReader<&TcpStream>, world: &World) {
-        let mut line = String::new();
-        while !world.is_over() {
-            line.clear();
-            if !reader.read_line(&mut line).is_ok_and(|n| n > 0) {
-                break;
+/// Sends a line; `false` if the connection is closed.
+fn send(mut stream: &TcpStream, line: &[u8]) -> bool {
+    stream.write_all(line).is_ok()
+}
+
+/// A connection whose request has been read.
+struct Connection<'c> {
+    stream: &'c TcpStream,
+    reader: BufReader<&'c TcpStream>,
+    recorder: &'c Recorder,
+    random: Pcg64Mcg,
+}
+
+impl Connection<'_> {
+    fn respond(mut self, behaviour: Behaviour) {
+        match behaviour {
+            Behaviour::Normal => self.establish(),
+            Behaviour::Slow { max_ms } => {
+                self.sleep_up_to(max_ms);
+                self.establish();
             }
-            let mut writer = stream;
-            if writer.write_all(line.as_bytes()).is_err() {
-                break;
+            Behaviour::Hangs => self.wait_for_end(),
+            Behaviour::Errors => drop(send(self.stream, b"ERR\r\n")),
+            Behaviour::Rejects => drop(send(self.stream, b"BUSY\r\n")),
+            Behaviour::Resets { max_ms } => {
+                self.sleep_up_to(max_ms);
+                // Fails only on a closed connection.
+                let _ = socket2::SockRef::from(self.stream).set_linger(Some(Duration::ZERO));
             }
         }
-        let _ = (&mut &*stream).write_all(b"BYE\r\n");
-        let _ = stream.shutdown(Shutdown::Write);
     }
-}
 
-/// Reads on until the other side has ended.
-fn wait_for_end(reader: &mut BufReader<&TcpStream>) {
-    let mut line = String::new();
-    while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
-        line.clear();
+    fn sleep_up_to(&mut self, max_ms: u64) {
+        std::thread::sleep(Duration::from_millis(self.random.random_range(0..=max_ms)));
     }
-}
-
-/// A flag that several threads see.
-#[derive(Debug, Default)]
-pub struct Flag(AtomicBool);
 
-impl Flag {
-    /// Sets it.
-    pub fn set(&self, value: bool) {
-        self.0.store(value, Ordering::SeqCst);
+    /// Accepts the request and echoes lines until the client ends.
+    fn establish(mut self) {
+        if !send(self.stream, b"UP 1\r\n") {
+            return;
+        }
+        let mut line = String::new();
+        while !self.recorder.is_over() {
+            line.clear();
+            let is_read = self.reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
+            if !is_read || !send(self.stream, line.as_bytes()) {
+                break;
+            }
+        }
+        send(self.stream, b"BYE\r\n");
+        let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Whether it is set.
-    pub fn is_set(&self) -> bool {
-        self.0.load(Ordering::SeqCst)
+    /// Reads until the other side has ended the connection.
+    fn wait_for_end(mut self) {
+        let mut line = String::new();
+        while self.reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0) {
+            line.clear();
+        }
     }
 }
--- /dev/null
+++ b/crates/soak/src/verdict.rs
@@ -0,0 +1,60 @@
+//! What a run has shown.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::ledger::{Answer, Violation};
+
+/// A line of a balancer's log.
+#[derive(Clone, Debug)]
+pub struct LogLine {
+    /// The balancer's number.
+    pub balancer: usize,
+    /// The line.
+    pub text: String,
+}
+
+/// What a run has shown.
+#[derive(Debug)]
+pub struct Verdict {
+    /// Requests that were sent.
+    pub requests: usize,
+    /// Answers by kind.
+    pub answers: BTreeMap<Answer, usize>,
+    /// Rules that were broken.
+    pub violations: Vec<Violation>,
+    /// Faults of processes: unexpected exits, violations that their own guards logged, panics.
+    pub faults: Vec<String>,
+    /// The longest time by which an answer was late.
+    pub latest_answer: Duration,
+    /// The longest time by which this machine woke a thread late.
+    pub machine_late: Duration,
+    /// The log lines of all balancers.
+    pub log: Vec<LogLine>,
+}
+
+impl Verdict {
+    /// Whether no rule was broken and no process failed.
+    pub fn is_clean(&self) -> bool {
+        self.violations.is_empty() && self.faults.is_empty()
+    }
+
+    /// The log lines about a request: those of its balancer with the number that it had there.
+    pub fn trace(&self, request: u64) -> Vec<String> {
+        let id = format!(" id={request:x} ");
+        let Some(first) = self.log.iter().position(|line| line.text.contains(&id)) else { return Vec::new() };
+        let LogLine { balancer, text } = &self.log[first];
+        let Some(number) = field(text, "req=") else { return Vec::new() };
+        let is_of_request =
+            |text: &str| text.split(' ').any(|word| word.strip_prefix("req=") == Some(number));
+        let is_of_process = |text: &str| text.contains("event=leaving") || text.contains("event=serving");
+        let of_balancer = self.log[first..].iter().filter(|line| line.balancer == *balancer);
+        let texts = of_balancer.map(|line| &line.text);
+        texts.filter(|text| is_of_request(text) || is_of_process(text)).cloned().collect()
+    }
+}
+
+/// The value after `key` in a line of `key=value` words.
+pub(crate) fn field<'l>(line: &'l str, key: &str) -> Option<&'l str> {
+    line.split(key).nth(1)?.split(' ').next()
+}
