--- a/crates/balancer/src/net/operators/folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -12,7 +12,7 @@
 use shorewharf_decisions::interface::ServerId;
 use tracing::warn;
 
-use crate::net::servers::taken_out::Out;
+use crate::servers::disabled::Out;
 
 /// A file's text is the server's name, for whoever looks; what is longer is none.
 const LONGEST: u64 = 4096;
@@ -22,7 +22,7 @@
 pub struct Folder {
     /// The balancer's own.
     path: PathBuf,
-    /// Names of files that can't be read, each told of once.
+    /// NameIndex of files that can't be read, each told of once.
     odd: BTreeSet<PathBuf>,
 }
 
--- a/crates/balancer/src/net/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -1,15 +1,15 @@
 //! The table in step with its sessions, on pairs of real connections.
 
 use super::*;
-use crate::net::clients::session::{Ending, First, Patience};
-use crate::net::turn::tests::{READ, pair, turn, until};
+use crate::clients::session::{Ending, First, Patience};
+use crate::event_loop::iteration::tests::{READ, pair, turn, until};
 use shorewharf_driver::ReceivedRequest;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
 fn req(id: RequestId) -> ReceivedRequest {
     let (class, tenant, key, group) = (0, 0, 0, 0);
-    ReceivedRequest { id, class, tenant, key, deadline: 900, load: None, group, returning: false }
+    ReceivedRequest { id, class, tenant, key, deadline: 900, load: None, group, is_returning: false }
 }
 
 fn asking(id: RequestId) -> Asking<'static> {
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -1,5 +1,9 @@
 //! Configuration: read, checked and given defaults here and nowhere else.
 
+pub mod error;
+pub mod proxy_settings;
+pub mod summary;
+
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -7,14 +11,14 @@
 use serde_json::Value;
 
 use shorewharf_decisions::Settings;
-use shorewharf_protocol::list::Listing;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Operator;
 
-pub use crate::config_error::ConfigError;
-use crate::fleet::Fleet;
-use crate::net::CALLERS;
-use crate::peers::Peers;
+use crate::admin::server::CALLERS;
+pub use crate::config::error::ConfigError;
+use crate::fleet::budget_config::Fleet;
+use crate::fleet::peers::Peers;
 
 /// Lengths of time are shorter than this, in seconds: sums of them stay far from the end of the clock.
 const LONGEST: f64 = 1e6;
@@ -22,7 +26,7 @@
 const FEWEST_SOCKETS: usize = 32;
 /// Descriptors that are kept for operators where they may call: their listener and those who call.
 const OPERATORS_SOCKETS: usize = CALLERS + 1;
-/// Names the operator's own file (TOML): what the platform's configuration says nothing of.
+/// NameIndex the operator's own file (TOML): what the platform's configuration says nothing of.
 pub const OPERATOR: &str = "SHOREWHARF_OPERATOR";
 
 /// The limits that this machine sets the program.
@@ -59,11 +63,11 @@
     /// What the machine allows.
     pub limits: Limits,
     /// The list as this balancer had it last.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
-    /// Names in the settings.
-    pub names: Names,
+    /// NameIndex in the settings.
+    pub names: NameIndex,
     /// How long a client of each class waits in all, in microseconds.
     pub give_up: Vec<u64>,
     /// Servers tell what messages take there.
@@ -86,7 +90,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Option<Value>,
 }
 
@@ -122,7 +126,7 @@
     ConfigError::Form(key.into(), what.to_string())
 }
 
-/// Names the key at fault, with the keys it stands under.
+/// NameIndex the key at fault, with the keys it stands under.
 fn at<E: std::fmt::Display>(under: &str, e: serde_path_to_error::Error<E>) -> ConfigError {
     let path = e.path().to_string();
     let key = match (under, path.as_str()) {
@@ -198,8 +202,8 @@
         for (key, value) in [
             ("settings.tick_s", set.tick),
             ("settings.limits.connect_timeout_s", set.connect_timeout),
-            ("settings.rules.ask_within_s", set.ask_within),
-            ("settings.rules.overload_for_s", set.overload_for),
+            ("settings.rules.ask_within_s", set.poll_interval),
+            ("settings.rules.overload_for_s", set.overload_window),
         ] {
             if !(value > 0.0 && value < LONGEST) {
                 return Err(form(key, format!("{value} s is not over 0 and under {LONGEST} s")));
@@ -228,7 +232,7 @@
         }
         let name = or(raw.name, "name", "ROUTER_NAME")?;
         let peers = Peers::read(&operator.gossip, &name)?;
-        let names = Names {
+        let names = NameIndex {
             classes: places(named.classes.into_iter().map(|c| c.name)),
             tenants: places(named.tenants.into_iter().map(|t| t.name)),
             zones: named.zones.into_iter().zip(0..).collect(),
@@ -262,8 +266,8 @@
     /// All processes of a fleet have as many workers, or their numbers would not fit together.
     pub fn of_worker(&self, worker: usize, workers: usize) -> Config {
         let mut own = self.clone();
-        own.settings.me = self.settings.me * workers as u64 + worker as u64;
-        own.settings.proxies = self.settings.proxies * workers as f64;
+        own.settings.instance_index = self.settings.instance_index * workers as u64 + worker as u64;
+        own.settings.instance_count = self.settings.instance_count * workers as f64;
         // Those kept for operators are the first one's.
         own.limits.sockets = self.sockets() / workers + (self.limits.sockets - self.sockets());
         own.limits.memory_mb = self.limits.memory_mb / workers as f64;
--- a/crates/balancer/src/net/list/discovery_client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -2,16 +2,17 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_driver::{Micros, PAUSE_MOST};
+use shorewharf_driver::MAX_DISCOVERY_RETRY_DELAY;
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use super::answer::Answer;
-use super::incoming::Incoming;
-use super::reader::{Part, Reader};
-use crate::net::link::Link;
-use crate::net::poll::{Owner, Ready};
-use crate::net::terms::Terms;
-use crate::net::turn::{Alarm, Due, Turn};
+use crate::config::proxy_settings::Terms;
+use crate::discovery::reader::{Part, Reader};
+use crate::discovery::response::Answer;
+use crate::discovery::update::Incoming;
+use crate::event_loop::iteration::{Alarm, Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::transport::connection::Link;
 
 /// A call of whose list nothing has come by then has failed, whatever else of it has come up: discovery itself gives up
 /// after about a second. After a reload its news counts as told within 4 s, and there must be time for another call by then.
@@ -22,7 +23,7 @@
 /// be reached.
 const TOLD: Micros = 6_000_000;
 // The pause before the next call is the module's.
-const _: () = assert!(SILENT + PAUSE_MOST + FIRST < TOLD && 2 * FIRST < 4_000_000);
+const _: () = assert!(SILENT + MAX_DISCOVERY_RETRY_DELAY + FIRST < TOLD && 2 * FIRST < 4_000_000);
 /// Pieces of a list that are read in one turn: a list of megabytes must not hold up those who stand.
 const PIECES: usize = 8;
 
--- a/crates/balancer/src/net/list/incoming.rs
+++ b/crates/balancer/src/discovery/update.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_decisions::interface::{ListEntry, ServerId, Stage};
-use shorewharf_protocol::list::{Endpoint, Listing};
-use shorewharf_protocol::names::Names;
+use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
+use shorewharf_protocol::name_index::NameIndex;
 use tracing::warn;
 
 /// Log lines that the faults of one list may cause.
@@ -33,22 +33,22 @@
     /// Where it is.
     pub address: SocketAddr,
     /// What the module is told of it.
-    pub entry: ListEntry,
+    pub entry: ServerEntry,
 }
 
 impl Entry {
     /// Reads it; none where its address is none.
-    fn read(e: &Endpoint, names: &Names) -> Option<Self> {
+    fn read(e: &Endpoint, names: &NameIndex) -> Option<Self> {
         let stage = match e.status.as_str() {
-            "Ready" => Stage::Ready,
-            "Gone" => Stage::Gone,
+            "Ready" => ServerState::Ready,
+            "Gone" => ServerState::Removed,
             // What isn't known to be ready gets nothing new.
-            _ => Stage::Draining,
+            _ => ServerState::Draining,
         };
         let address = e.address.parse().ok()?;
         let zone = names.zones.get(&e.zone).copied().unwrap_or(u32::MAX);
         let (server, cell, born) = (server_id(&e.name), e.group, born(e.since_ms));
-        let entry = ListEntry { server, zone, cell, stage, weight: e.weight, born };
+        let entry = ServerEntry { server, zone, cell, state: stage, weight: e.weight, started_at: born };
         Some(Entry { name: e.name.as_str().into(), address, entry })
     }
 }
@@ -69,7 +69,7 @@
 
 impl Incoming {
     /// Takes in one more server, unless there are `most` already.
-    pub fn add(&mut self, e: &Endpoint, names: &Names, most: usize) {
+    pub fn add(&mut self, e: &Endpoint, names: &NameIndex, most: usize) {
         match Entry::read(e, names) {
             Some(_) if self.entries.len() >= most => self.left_out += 1,
             Some(entry) => self.entries.push(entry),
@@ -91,7 +91,7 @@
     }
 
     /// A list that is at hand whole.
-    pub fn of(listing: &Listing, names: &Names, most: usize) -> Incoming {
+    pub fn of(listing: &EndpointList, names: &NameIndex, most: usize) -> Incoming {
         let mut incoming = Incoming::default();
         listing.endpoints.iter().for_each(|e| incoming.add(e, names, most));
         incoming.end(listing.index, listing.snapshot)
--- a/crates/balancer/src/net/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -5,28 +5,29 @@
 use std::net::SocketAddr;
 
 use mio::net::{TcpListener, TcpStream};
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId};
-use shorewharf_driver::{Effects, Micros, NetworkEvent};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId};
+use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_lifecycle::{Answer, Cause};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_units::Micros;
 use tracing::{error, info};
 
-use super::clients::open_ids::OpenIds;
-use super::crew::{Crew, Help, Order};
-use super::gossip::Tells;
-use super::handover::overlap::Kin;
-use super::link::is_shortage;
-use super::list::discovery_client::{DiscoveryClient, DiscoveryEvent};
-use super::list::incoming::Incoming;
-use super::list::wall_clock::WallClock;
-use super::operators::counts::Counts;
-use super::operators::desk::{Desk, Opened};
-use super::poll::{Owner, Ready};
-use super::servers::taken_out::{Change, Out};
-use super::serving::Serving;
-use super::shutdown::{LEAVE_AFTER, ShutdownSchedule};
-use super::terms::Terms;
-use super::turn::{Due, Turn};
+use crate::admin::counters::Counts;
+use crate::admin::handler::{Desk, Opened};
+use crate::clients::open_ids::OpenIds;
+use crate::config::proxy_settings::Terms;
+use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
+use crate::discovery::update::Incoming;
+use crate::discovery::wall_clock::WallClock;
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::fleet::gossip::Tells;
+use crate::handover::siblings::Kin;
+use crate::proxy::Serving;
+use crate::servers::disabled::{Change, Out};
+use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
+use crate::transport::connection::is_shortage;
+use crate::workers::pool::{Crew, Help, Order};
 
 /// How long clients wait in the backlog before the next look for room.
 const ACCEPT_AGAIN: Micros = 100_000;
@@ -78,10 +79,10 @@
 /// All peers, and the turn that they act in.
 #[derive(Debug)]
 pub struct Net {
-    pub(super) turn: Turn,
+    pub(crate) turn: Turn,
     listener: TcpListener,
     /// The other workers, if there are any.
-    pub(super) crew: Option<Crew>,
+    pub(crate) crew: Option<Crew>,
     /// Clients may wait at the listener of a neighbour that stalls.
     can_help: bool,
     /// Clients may wait to be accepted: the last look did not show that none does.
@@ -90,20 +91,20 @@
     accepts: bool,
     /// The next look for room is set.
     waits_for_room: bool,
-    pub(super) serving: Serving,
-    pub(super) discovery: DiscoveryClient,
+    pub(crate) serving: Serving,
+    pub(crate) discovery: DiscoveryClient,
     /// Where operators call.
-    pub(super) desk: Option<Desk>,
+    pub(crate) desk: Option<Desk>,
     /// Other processes of this balancer.
-    pub(super) kin: Kin,
+    pub(crate) kin: Kin,
     /// Other balancers of the fleet, where they are told.
-    pub(super) tells: Option<Tells>,
+    pub(crate) tells: Option<Tells>,
     /// Standing connections are to go on in another process, in this turn.
-    pub(super) hands_over: bool,
+    pub(crate) hands_over: bool,
     /// What is known is to be read out, or read on, in this turn.
-    pub(super) reads_out: bool,
+    pub(crate) reads_out: bool,
     /// When SIGTERM came.
-    pub(super) leaving: Option<Micros>,
+    pub(crate) leaving: Option<Micros>,
     /// It has ended, with so many clients still here.
     done: Option<usize>,
 }
@@ -142,7 +143,7 @@
     }
 
     /// The list that the configuration knows: whole, though it may be old.
-    pub fn list_known(&mut self, known: &Listing) -> Vec<ListEntry> {
+    pub fn list_known(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
         self.discovery.knows(known.index);
         let terms = &self.serving.terms;
         let known = Incoming::of(known, &terms.names, terms.most_servers);
@@ -286,7 +287,7 @@
     }
 
     /// Those who wait at the listener are looked for again.
-    pub(super) fn accepts_again(&mut self) {
+    pub(crate) fn accepts_again(&mut self) {
         (self.can_accept, self.accepts) = (true, true);
     }
 
@@ -353,7 +354,7 @@
             DiscoveryEvent::List(list) => {
                 let full = list.snapshot;
                 let entries = self.serving.take_list(list, WallClock::read(self.turn.now));
-                NetworkEvent::Listed { full, cached: false, entries }
+                NetworkEvent::EndpointListReceived { full, cached: false, entries }
             }
             DiscoveryEvent::Failed => NetworkEvent::DiscoveryFailed,
         };
@@ -435,12 +436,12 @@
         match order {
             Order::Client(stream, from) => self.serving.client_comes(&mut self.turn, stream, from),
             Order::DiscoveryEvent(news) => self.listed(news),
-            Order::Watch => self.watch(),
+            Order::Watch => self.watch_endpoints(),
             Order::Probe(other, server) => self.check_on(server, Some(other)),
             Order::Changed(change) => self.changes(change),
             Order::OthersHold(descriptors) => self.serving.others_hold(descriptors),
             Order::Successor(has) => self.has_successor(has),
-            Order::Probed(server, outcome) => self.turn.emit(NetworkEvent::Probed(server, outcome)),
+            Order::Probed(server, outcome) => self.turn.emit(NetworkEvent::ProbeEnded(server, outcome)),
             Order::Stop => self.stop_soon(),
             Order::GoesAlong(handed) => self.goes_along(*handed),
             Order::Stands(handed) => {
@@ -522,7 +523,7 @@
         self.turn.now
     }
 
-    fn next(&mut self) -> Option<NetworkEvent> {
+    fn next_event(&mut self) -> Option<NetworkEvent> {
         self.turn.next()
     }
 
@@ -534,7 +535,7 @@
         self.serving.end_attempt(&mut self.turn, req, Outcome::Cancelled);
     }
 
-    fn refuse(&mut self, req: RequestId, after: Micros) {
+    fn reject(&mut self, req: RequestId, after: Micros) {
         self.serving.answer(&mut self.turn, req, Answer::Refused { after }, Cause::Decision);
     }
 
@@ -542,7 +543,7 @@
         self.serving.answer(&mut self.turn, req, Answer::Failed, Cause::Decision);
     }
 
-    fn move_away(&mut self, req: RequestId) {
+    fn migrate(&mut self, req: RequestId) {
         self.serving.asks_to_move(&mut self.turn, req);
     }
 
@@ -550,14 +551,14 @@
         match &self.crew {
             Some(crew) if !crew.leads() => {
                 if crew.tell(0, Order::Probe(crew.me(), server)).is_err() {
-                    self.turn.emit(NetworkEvent::Probed(server, Outcome::ConnectFailed));
+                    self.turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
                 }
             }
             _ => self.check_on(server, None),
         }
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         match &self.crew {
             // Without the one that leads, the whole process is about to end.
             Some(crew) if !crew.leads() => drop(crew.tell(0, Order::Watch)),
@@ -568,7 +569,7 @@
         }
     }
 
-    fn wake(&mut self, after: Micros, token: u64) {
+    fn set_timer(&mut self, after: Micros, token: u64) {
         self.turn.after(after, Due::Module(token));
     }
 
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -2,10 +2,11 @@
 
 use shorewharf_budgets::{Budget, Kind, Rules};
 use shorewharf_decisions::Settings;
-use shorewharf_protocol::names::Names;
+use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Budgets;
 
-use crate::config_error::ConfigError;
+use crate::config::error::ConfigError;
+use shorewharf_units::micros_from_seconds;
 
 /// More balancers than this are no fleet of one service.
 const MOST: usize = 4_096;
@@ -29,16 +30,17 @@
     ConfigError::Form(key.to_owned(), why.to_string())
 }
 
-fn micros(seconds: f64) -> u64 {
-    (seconds * 1e6).round() as u64
-}
-
 impl Fleet {
     /// What the operator's file says, for the balancer of this name; none where it names no store.
     ///
     /// # Errors
     /// A file that can't be read, or terms that can't be kept; the text names the key at fault.
-    pub fn read(of: &Budgets, set: &Settings, names: &Names, me: &str) -> Result<Option<Fleet>, ConfigError> {
+    pub fn read(
+        of: &Budgets,
+        set: &Settings,
+        names: &NameIndex,
+        me: &str,
+    ) -> Result<Option<Fleet>, ConfigError> {
         if of.store.is_empty() {
             return Ok(None);
         }
@@ -69,9 +71,9 @@
         }
         let mut budgets = Vec::new();
         budgets.extend(of.set_ups.map(|whole| Budget { name: SET_UPS.to_owned(), kind: Kind::Rate, whole }));
-        let mut tenants = vec![None; set.tenant_quota.len()];
+        let mut tenants = vec![None; set.tenant_connection_quotas.len()];
         for (tenant, place) in &names.tenants {
-            let quota = set.tenant_quota.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
+            let quota = set.tenant_connection_quotas.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
             if let (Some(whole), Some(slot)) = (quota, tenants.get_mut(*place)) {
                 let name = format!("connections of {tenant}");
                 *slot = Some(name.clone());
@@ -85,10 +87,10 @@
         budgets.sort_by(|a, b| a.name.cmp(&b.name));
         let rules = Rules {
             budgets,
-            lease: micros(of.lease_s),
-            margin: micros(of.margin_s),
-            look: micros(of.look_s),
-            linger: micros(of.linger_s),
+            lease: micros_from_seconds(of.lease_s),
+            margin: micros_from_seconds(of.margin_s),
+            look: micros_from_seconds(of.look_s),
+            linger: micros_from_seconds(of.linger_s),
             reserve: of.reserve,
             floor: of.floor,
             members: all.len(),
--- a/crates/balancer/src/net/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -7,17 +7,18 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use shorewharf_budgets::{Call, Condition, Failed, Member, Parts, Record, Reply, Rules};
-use shorewharf_driver::{Budgets, Micros};
+use shorewharf_driver::Budgets;
 use shorewharf_store::error::StoreError;
 use shorewharf_store::key::{Collection, Key};
 use shorewharf_store::replicated::{Options, Replicated};
 use shorewharf_store::revision::Revision;
 use shorewharf_store::store::{Batch, Condition as Holds, Entry, Query, Store};
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use super::Clock;
+use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
-use crate::fleet::{Fleet, SET_UPS};
+use crate::fleet::budget_config::{Fleet, SET_UPS};
 
 /// Parts go to the log this often.
 const LOG: Micros = 10_000_000;
@@ -65,7 +66,7 @@
     ///
     /// # Errors
     /// Where the store's address or prefix can't be used, or the system gives no thread.
-    pub fn start(config: &Config, clock: Clock) -> Result<Option<Shares>, super::workers::Failure> {
+    pub fn start(config: &Config, clock: Clock) -> Result<Option<Shares>, crate::workers::startup::Failure> {
         let Some(fleet) = &config.fleet else { return Ok(None) };
         let wall = wall();
         let address = (fleet.store.clone(), fleet.prefix.clone(), config.name.clone());
--- a/crates/balancer/src/net/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -9,14 +9,15 @@
 
 use mio::net::UdpSocket;
 use shorewharf_decisions::Holding;
-use shorewharf_decisions::interface::{Away, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_decisions::interface::{RemoteLoad, ServerId};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_gossip::{Elsewhere, Gossip, Held, MOST_BYTES, MOST_HELD, Refusal};
+use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
-use super::poll::Owner;
-use super::turn::{Due, Turn};
-use crate::peers::Peers;
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::Owner;
+use crate::fleet::peers::Peers;
 
 /// What others hold is told to the module this often.
 const TELL: Micros = 200_000;
@@ -158,7 +159,7 @@
                     others = self.others.len()
                 );
             }
-            turn.emit(NetworkEvent::Elsewhere(elsewhere.map(away)));
+            turn.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
         }
         let untold = self.gossip.stats().untold;
         if untold > 0 && !std::mem::replace(&mut self.said_untold, true) {
@@ -185,7 +186,7 @@
     }
 }
 
-fn away(elsewhere: Elsewhere) -> Arc<BTreeMap<ServerId, Away>> {
-    let one = |(id, (load, open, groups))| (ServerId(id), Away { load, open, groups });
+fn away(elsewhere: Elsewhere) -> Arc<BTreeMap<ServerId, RemoteLoad>> {
+    let one = |(id, (load, open, groups))| (ServerId(id), RemoteLoad { load, connections: open, groups });
     Arc::new(elsewhere.servers.into_iter().map(one).collect())
 }
--- a/crates/balancer/src/net/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -1,5 +1,6 @@
 //! The old process's side: whoever asks gets the listeners and the list, and is a successor once it serves.
 
+use shorewharf_units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::Permissions;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
@@ -12,12 +13,11 @@
 use mio::net::{UnixListener, UnixStream};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
-use shorewharf_driver::Micros;
 use tracing::warn;
 
-use super::is_own;
-use super::words::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
-use crate::net::poll::{Owner, Poller};
+use crate::event_loop::poll::{Owner, Poller};
+use crate::handover::is_own;
+use crate::handover::messages::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
 
 /// Processes that may have asked at once: one, a second one before the first serves, and some that hang.
 const SUCCESSORS: usize = 4;
--- a/crates/balancer/src/net/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -1,10 +1,10 @@
 //! Log lines that clients cause by what they do wrong, bounded: a flood of bad clients must not fill the log or
 //! cost the time that usual clients need.
 
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 use tracing::warn;
 
-use super::turn::{Due, Turn};
+use crate::event_loop::iteration::{Due, Turn};
 
 /// Log lines a second that clients may cause.
 const MOST: u32 = 50;
--- a/crates/balancer/src/net/serving/standing.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -1,16 +1,17 @@
 //! Standing connections: what passes on them, and how they end.
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_lifecycle::{Answer, Cause};
+use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
-use super::Serving;
-use crate::net::clients::session::{Session, Stage};
-use crate::net::link::End;
-use crate::net::relay::{Fate, ends, relay};
-use crate::net::servers::delays::Figure;
-use crate::net::turn::{Due, Turn};
+use crate::clients::session::{Session, Stage};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::proxy::Serving;
+use crate::proxy::relay::{Fate, ends, relay};
+use crate::servers::delays::Figure;
+use crate::transport::connection::End;
 
 /// Clients of a server that is taken out are moved in so many parts, so far apart: all of them before the second is over
 /// after which the server must get nothing.
@@ -118,14 +119,14 @@
         let kind = if tells { self.servers.read_figure(turn.now, server, figure) } else { Figure::Load };
         debug!(event = "told", req = id.0, server = self.servers.name(Some(server)), ?kind, figure);
         match kind {
-            Figure::Load => turn.emit(NetworkEvent::Load(id, figure / 1e6)),
-            Figure::Delay => turn.emit(NetworkEvent::Delay(server, (figure * 1e3) as Micros)),
+            Figure::Load => turn.emit(NetworkEvent::LoadReported(id, figure / 1e6)),
+            Figure::Delay => turn.emit(NetworkEvent::MessageDelayReported(server, (figure * 1e3) as Micros)),
             Figure::Unclear => {}
         }
     }
 
     /// Ends a standing connection on both sides, the client's as the server's ended.
-    pub(super) fn end_both(&mut self, turn: &mut Turn, id: RequestId, end: End, outcome: Outcome) {
+    pub(crate) fn end_both(&mut self, turn: &mut Turn, id: RequestId, end: End, outcome: Outcome) {
         self.end_attempt(turn, id, outcome);
         match end {
             End::Fin => self.answer(turn, id, Answer::Closed, Cause::Server),
@@ -138,7 +139,7 @@
 
     /// The server answers nothing: its client is moved, and the module hears of a drop. One that has answered
     /// others meanwhile is not blamed: the connection fell silent, not the server.
-    pub(super) fn silent(&mut self, turn: &mut Turn, id: RequestId, since: Micros) {
+    pub(crate) fn silent(&mut self, turn: &mut Turn, id: RequestId, since: Micros) {
         let lives = self.attempts.server_lives(id, since);
         self.end_attempt(turn, id, if lives { Outcome::Cancelled } else { Outcome::Reset });
         if self.sessions.get(id).is_some_and(|s| s.link.between_lines()) {
--- a/crates/balancer/src/net/serving/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -3,35 +3,37 @@
 
 mod answers;
 mod dialing;
-mod due;
-mod handing;
-mod standing;
+mod established;
+pub mod relay;
+mod timeouts;
+mod transfer;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use mio::net::TcpStream;
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent, ReceivedRequest};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId};
+use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer as FinalAnswer, Cause, RequestGuard};
-use shorewharf_protocol::open::{class_of, parse_open};
+use shorewharf_protocol::open_request::{class_of, parse_open};
+use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
-use crate::net::budget::{Budget, Held};
-use crate::net::clients::open_ids::OpenIds;
-use crate::net::clients::session::{Asking, First, Patience, Session, Stage};
-use crate::net::clients::sessions::Sessions;
-use crate::net::list::incoming::{Incoming, server_id};
-use crate::net::list::wall_clock::WallClock;
-use crate::net::log_rate_limiter::LogRateLimiter;
-use crate::net::operators::counts::{Counts, Reply};
-use crate::net::poll::Ready;
-use crate::net::servers::attempts::{self, Answer, Attempts};
-use crate::net::servers::probes::Probes;
-use crate::net::servers::server_table::ServerTable;
-use crate::net::shutdown::LEAVE_AFTER;
-use crate::net::terms::Terms;
-use crate::net::turn::Turn;
+use crate::admin::counters::{Counts, Reply};
+use crate::clients::open_ids::OpenIds;
+use crate::clients::session::{Asking, First, Patience, Session, Stage};
+use crate::clients::sessions::Sessions;
+use crate::config::proxy_settings::Terms;
+use crate::discovery::update::{Incoming, server_id};
+use crate::discovery::wall_clock::WallClock;
+use crate::event_loop::iteration::Turn;
+use crate::event_loop::poll::Ready;
+use crate::overload::descriptor_budget::{Budget, Held};
+use crate::overload::log_rate_limiter::LogRateLimiter;
+use crate::servers::attempts::{self, Answer, Attempts};
+use crate::servers::probes::Probes;
+use crate::servers::server_table::ServerTable;
+use crate::shutdown::LEAVE_AFTER;
 
 use dialing::PendingDial;
 
@@ -115,7 +117,7 @@
     }
 
     /// Takes in a list from discovery: what the module is told of it.
-    pub fn take_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ListEntry> {
+    pub fn take_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
         self.servers.take(list, self.terms.most_servers, |server| attempts.any_at(server))
@@ -251,11 +253,11 @@
             }
         };
         self.sessions.get_mut(id).into_iter().for_each(|s| s.is_of(open.class));
-        let home = open.home.as_deref().map(server_id);
+        let home = open.previous_server.as_deref().map(server_id);
         if home.is_some_and(|home| !self.servers.is_listed(home)) {
             return self.malformed(turn, id, "at= names no server");
         }
-        let wait = open.patience.or(self.terms.give_up.get(open.class).copied()).unwrap_or(0);
+        let wait = open.timeout.or(self.terms.give_up.get(open.class).copied()).unwrap_or(0);
         let req = ReceivedRequest {
             id,
             class: open.class,
@@ -264,7 +266,7 @@
             deadline: turn.now + wait,
             load: open.load,
             group: open.group,
-            returning: open.returning,
+            is_returning: open.is_returning,
         };
         let until = if home.is_some() { turn.now + CARRY } else { req.deadline };
         if !self.sessions.ask(turn, id, Asking { line, open_id: open.id, req, home, until }) {
@@ -272,7 +274,7 @@
             // one from before was let go with its answer or its MOVE.
             return self.malformed(turn, id, "the id is in use");
         }
-        self.guard.receive(id, self.terms.semantics_of(open.class));
+        self.guard.receive(id, self.terms.idempotency_of(open.class));
         debug!(event = "received", req = id.0, id = %format_args!("{:x}", open.id), class = open.class);
         if self.closing {
             // What is taken now would only have to move: the front stops sending here in a moment.
@@ -297,7 +299,7 @@
             Some(server) => self.begin_attempt(turn, id, server, CARRY),
             None => {
                 let (group, key) = (req.group, req.key);
-                debug!(event = "asked", req = id.0, group, key, returning = req.returning);
+                debug!(event = "asked", req = id.0, group, key, returning = req.is_returning);
                 self.guard.queue(id);
                 turn.emit(NetworkEvent::RequestReceived(req));
             }
@@ -477,8 +479,8 @@
             self.counts.replied(class, Reply::Success);
         }
         turn.emit(match (s.home(), s.req()) {
-            (Some(server), Some(req)) => NetworkEvent::Carried(req, server),
-            _ => NetworkEvent::AttemptTaken(id),
+            (Some(server), Some(req)) => NetworkEvent::ConnectionRestored(req, server),
+            _ => NetworkEvent::AttemptEstablished(id),
         });
         self.relay(turn, id);
     }
--- a/crates/balancer/src/net/serving/due.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -3,17 +3,18 @@
 use std::collections::BTreeMap;
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
 use shorewharf_lifecycle::{Answer, Cause};
+use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
 use super::{COME_BACK, Serving};
-use crate::net::clients::session::{Session, Stage};
-use crate::net::link::End;
-use crate::net::poll::Ready;
-use crate::net::servers::attempts;
-use crate::net::servers::delays::Sight;
-use crate::net::turn::Turn;
+use crate::clients::session::{Session, Stage};
+use crate::event_loop::iteration::Turn;
+use crate::event_loop::poll::Ready;
+use crate::servers::attempts;
+use crate::servers::delays::Sight;
+use crate::transport::connection::End;
 
 impl Serving {
     /// Log lines were left out a moment ago.
@@ -85,7 +86,7 @@
         });
         for (server, delay) in self.servers.delays(turn.now, self.terms.message_aim / 3, &seen) {
             debug!(event = "seen", server = self.servers.name(Some(server)), us = delay);
-            turn.emit(NetworkEvent::Delay(server, delay));
+            turn.emit(NetworkEvent::MessageDelayReported(server, delay));
         }
     }
 }
--- a/crates/balancer/src/net/serving/handing.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -4,12 +4,12 @@
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer, Cause};
 
-use super::Serving;
-use crate::net::clients::session::Session;
-use crate::net::handover::words::{Handed, Standing};
-use crate::net::link::Link;
-use crate::net::servers::attempts::Attempt;
-use crate::net::turn::Turn;
+use crate::clients::session::Session;
+use crate::event_loop::iteration::Turn;
+use crate::handover::messages::{Handed, Standing};
+use crate::proxy::Serving;
+use crate::servers::attempts::Attempt;
+use crate::transport::connection::Link;
 
 /// The name that stands at this place.
 fn name(names: &std::collections::HashMap<String, usize>, place: usize) -> String {
@@ -80,10 +80,10 @@
         };
         let (key, group, load) = (standing.key, standing.group, standing.hint);
         let req =
-            ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, returning: false };
-        turn.emit(NetworkEvent::Carried(req, at));
+            ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, is_returning: false };
+        turn.emit(NetworkEvent::ConnectionRestored(req, at));
         if let Some(load) = standing.load.filter(|load| load.is_finite() && *load > 0.0) {
-            turn.emit(NetworkEvent::Load(id, load));
+            turn.emit(NetworkEvent::LoadReported(id, load));
         }
         self.relay(turn, id);
         true
--- a/crates/balancer/src/net/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -4,13 +4,14 @@
 use std::net::SocketAddr;
 
 use shorewharf_decisions::interface::{Outcome, ServerId};
-use shorewharf_driver::{Micros, NetworkEvent};
+use shorewharf_driver::NetworkEvent;
+use shorewharf_units::Micros;
 use tracing::debug;
 
-use crate::net::link::Link;
-use crate::net::poll::{Owner, Ready};
-use crate::net::timers::Key;
-use crate::net::turn::{Due, Turn};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::{Owner, Ready};
+use crate::event_loop::timers::Key;
+use crate::transport::connection::Link;
 
 /// How long a probe may take.
 const PROBE: Micros = 500_000;
@@ -60,7 +61,7 @@
         let Some(link) = address.and_then(|to| Link::connect(to).ok()).and_then(watched) else {
             return match other {
                 Some(other) => self.for_others.push((other, server, Outcome::ConnectFailed)),
-                None => turn.emit(NetworkEvent::Probed(server, Outcome::ConnectFailed)),
+                None => turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
             };
         };
         let (timer, begun) = (turn.after(PROBE, Due::Probe(number)), turn.now);
@@ -109,7 +110,7 @@
             let (server, us) = (probe.server.0, turn.now - probe.begun);
             debug!(event = "probed", server, us, outcome = ?outcome);
             if probe.own {
-                turn.emit(NetworkEvent::Probed(probe.server, outcome));
+                turn.emit(NetworkEvent::ProbeEnded(probe.server, outcome));
             }
             self.for_others.extend(probe.others.into_iter().map(|other| (other, probe.server, outcome)));
         }
--- a/crates/balancer/src/net/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -1,13 +1,13 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::net::turn::tests::{READ, turn, until};
+use crate::event_loop::iteration::tests::{READ, turn, until};
 use std::io::Write;
 use std::net::TcpListener;
 
 fn told(turn: &mut Turn) -> Option<Outcome> {
     turn.next().map(|h| match h {
-        NetworkEvent::Probed(ServerId(4), outcome) => outcome,
+        NetworkEvent::ProbeEnded(ServerId(4), outcome) => outcome,
         other => panic!("{other:?}"),
     })
 }
--- a/crates/balancer/src/net/keeping.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -5,8 +5,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use shorewharf_decisions::ServerId;
-use shorewharf_driver::{Driver, Gate, Micros, micros, seconds};
-use shorewharf_protocol::list::Listing;
+use shorewharf_driver::{AdmissionGate, Driver};
+use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::Snapshot;
 use shorewharf_snapshot::choice::choose;
@@ -14,11 +14,12 @@
 use shorewharf_snapshot::judge::{Asks, later};
 use shorewharf_snapshot::record::{Head, Line, VERSION};
 use shorewharf_snapshot::writer::Writer;
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use tracing::{debug, info, warn};
 
-use super::hub::Net;
-use super::turn::Due;
 use crate::config::Config;
+use crate::event_loop::hub::Net;
+use crate::event_loop::iteration::Due;
 
 /// Read out in one turn: servers with their names, and things known; each takes well under 0.2 ms.
 const SERVERS: usize = 64;
@@ -41,9 +42,10 @@
 
 impl Memory {
     /// Has the module recall it, and says what became of it.
-    pub fn recall(self, now: Micros, gate: &mut Gate) {
+    pub fn recall(self, now: Micros, gate: &mut AdmissionGate) {
         let age = now.saturating_sub(self.taken);
-        let recalled = gate.recall(seconds(now), seconds(age), self.away, self.learned);
+        let recalled =
+            gate.recall(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
         let (taken, outdated, faded, odd) = (recalled.taken, recalled.outdated, recalled.faded, recalled.odd);
         info!(event = "recalled", from = self.from, ms = age / 1000, taken, outdated, faded, odd);
     }
@@ -71,7 +73,7 @@
 }
 
 /// All that is known, at once.
-pub fn everything(gate: &Gate) -> Vec<Learned> {
+pub fn everything(gate: &AdmissionGate) -> Vec<Learned> {
     let (mut learned, mut at) = (Vec::new(), Cursor::default());
     while at != Cursor::End {
         at = gate.recollect(at, THINGS, &mut learned);
@@ -84,7 +86,7 @@
 pub fn open(
     config: &Config,
     (worker, workers): (usize, usize),
-) -> Option<(Keeping, Option<(Memory, Listing)>)> {
+) -> Option<(Keeping, Option<(Memory, EndpointList)>)> {
     let set = &config.operator.snapshot;
     let path = set.folder.as_ref()?;
     let opened = Folder::open(path, worker, set.keep).and_then(|folder| {
@@ -95,7 +97,7 @@
         opened.inspect_err(|e| warn!(event = "no-snapshots", folder = %path.display(), error = %e)).ok()?;
     let balancer = config.name.clone();
     let (at, began, fails) = (None, 0, false);
-    let every = micros(set.every_s);
+    let every = micros_from_seconds(set.every_s);
     Some((Keeping { writer, every, balancer, worker, workers, at, began, fails }, found))
 }
 
@@ -109,8 +111,9 @@
     config: &Config,
     set: &Snapshot,
     (worker, workers): (usize, usize),
-) -> io::Result<Option<(Memory, Listing)>> {
-    let (balancer, now, oldest, list) = (&*config.name, unix(), micros(set.oldest_s), &config.known);
+) -> io::Result<Option<(Memory, EndpointList)>> {
+    let (balancer, now, oldest, list) =
+        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
     let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
     for (path, why) in &choice.left {
         warn!(event = "snapshot-left-aside", file = %path.display(), %why);
@@ -155,7 +158,7 @@
     }
 
     /// Reads a portion, of a new record where none is being read and the one before is on the disk.
-    fn goes_on(&mut self, net: &Net, gate: &Gate) {
+    fn goes_on(&mut self, net: &Net, gate: &AdmissionGate) {
         if self.at.is_none() && self.writer.is_idle() {
             self.began = net.turn.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
@@ -178,7 +181,7 @@
         }
     }
 
-    fn reads(&mut self, at: At, net: &Net, gate: &Gate) {
+    fn reads(&mut self, at: At, net: &Net, gate: &AdmissionGate) {
         let mut lines = Vec::new();
         self.at = match at {
             At::Servers(behind) => {
--- a/crates/balancer/src/net/crew.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -13,13 +13,13 @@
 use mio::Waker;
 use mio::net::{TcpListener, TcpStream};
 use shorewharf_decisions::interface::{Outcome, ServerId};
-use shorewharf_driver::Micros;
+use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use super::handover::words::Handed;
-use super::list::discovery_client::DiscoveryEvent;
-use super::servers::taken_out::Change;
 use crate::config::Config;
+use crate::discovery::client::DiscoveryEvent;
+use crate::handover::messages::Handed;
+use crate::servers::disabled::Change;
 
 /// A worker that has not begun a turn for so long after it was to has stalled.
 const STALLS: Micros = 1_000_000;
--- a/crates/balancer/src/net/workers.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -10,34 +10,35 @@
 use std::time::Duration;
 
 use mio::net::TcpListener;
-use shorewharf_driver::{Driver, Effects, Micros, micros, seconds};
-use shorewharf_protocol::list::Listing;
+use shorewharf_driver::{Driver, Effects};
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use socket2::{Domain, Socket, Type};
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-use super::Clock;
-use super::budgets::Shares;
-use super::clients::open_ids::OpenIds;
-use super::crew::{Crew, Order, Seat};
-use super::gossip::Tells;
-use super::handover::overlap::Kin;
-use super::handover::predecessor::{self, Inherited, Predecessor};
-use super::handover::successors::Successors;
-use super::hub::{Net, Place};
-use super::keeping::{self, Keeping, Memory, everything};
-use super::link::is_shortage;
-use super::notify;
-use super::operators::counts::Counts;
-use super::operators::desk::Opened;
-use super::operators::folder::Folder;
-use super::poll::{Owner, Poller, Ready, Watch};
-use super::reload;
-use super::terms::Terms;
-use super::turn::{Due, Turn};
+use crate::admin::counters::Counts;
+use crate::admin::handler::Opened;
+use crate::admin::shared_folder::Folder;
+use crate::clients::open_ids::OpenIds;
+use crate::clock::Clock;
+use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
+use crate::event_loop::hub::{Net, Place};
+use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::poll::{Owner, Poller, Ready, Watch};
+use crate::fleet::budgets::Shares;
+use crate::fleet::gossip::Tells;
+use crate::handover::predecessor::{self, Inherited, Predecessor};
+use crate::handover::siblings::Kin;
+use crate::handover::successors::Successors;
+use crate::reload;
+use crate::snapshot::{self, Keeping, Memory, everything};
+use crate::supervisor;
+use crate::transport::connection::is_shortage;
+use crate::workers::pool::{Crew, Order, Seat};
 
 /// Connections that the system holds until they are accepted.
 const BACKLOG: i32 = 4096;
@@ -62,7 +63,7 @@
     fn own(&self, worker: usize, shares: bool) -> Config {
         let mut own = self.config.of_worker(worker, self.workers);
         if shares {
-            own.settings.fall_multiple *= 0.5;
+            own.settings.overload_ratio *= 0.5;
         }
         own
     }
@@ -83,8 +84,8 @@
         self.net.begin(now);
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.comes_first());
-        self.net.serve_operators(first, || gate.avoided(seconds(now)));
-        self.driver.settle(&mut self.net);
+        self.net.serve_operators(first, || gate.avoided(seconds_from_micros(now)));
+        self.driver.process_events(&mut self.net);
         for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
             match owner {
                 Owner::Signals => self.signalled(),
@@ -95,13 +96,13 @@
                 }
                 owner => self.net.seen(owner, ready),
             }
-            self.driver.settle(&mut self.net);
+            self.driver.process_events(&mut self.net);
         }
         let driver = &mut self.driver;
-        self.net.finish(|net| driver.settle(net));
+        self.net.finish(|net| driver.process_events(net));
         let gate = driver.gate();
         self.net.hands_over(|id| gate.standing(id));
-        driver.settle(&mut self.net);
+        driver.process_events(&mut self.net);
         if self.net.shares_anew().is_some() {
             self.enforce();
         }
@@ -109,7 +110,7 @@
             && tells.is_due()
         {
             tells.tell(&mut self.net.turn, self.driver.gate().holds());
-            self.driver.settle(&mut self.net);
+            self.driver.process_events(&mut self.net);
         }
         if let Some(keeping) = &mut self.keeping {
             keeping.turn(&mut self.net, &mut self.driver);
@@ -133,7 +134,7 @@
                 Order::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
                 order => self.net.order(order),
             }
-            self.driver.settle(&mut self.net);
+            self.driver.process_events(&mut self.net);
         }
     }
 
@@ -167,7 +168,7 @@
     watch: Watch,
     place: Place,
     config: Config,
-    known: Arc<Listing>,
+    known: Arc<EndpointList>,
     clock: Clock,
     keeping: Option<Keeping>,
     /// What one before has known.
@@ -202,20 +203,20 @@
         let budgets = self.shares.as_ref().and_then(|s| s.admission(&config));
         let mut driver = Driver::start(config.settings, &config.operator, config.seed, known, &mut net);
         if let Some(budgets) = budgets {
-            driver.gate().keep_to(budgets);
+            driver.gate().set_budgets(budgets);
         }
         if let Some(memory) = self.memory {
             memory.recall(net.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            net.turn.after(micros(config.operator.snapshot.every_s), Due::Snapshot);
+            net.turn.after(micros_from_seconds(config.operator.snapshot.every_s), Due::Snapshot);
         }
         if let Some(lead) = &self.lead {
             // The address that is bound: the port may have been left to the system.
             let workers = (lead.workers > 1).then_some(lead.workers);
             let operator = operator.map(tracing::field::display);
             info!(event = "serving", name = config.name, listen = %address, operator, servers, workers);
-            notify::serves();
+            supervisor::serves();
         }
         let mut worker = Worker { net, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
         worker.turn(clock.read(), std::iter::empty());
@@ -403,7 +404,7 @@
     let taken_out = folder.as_mut().and_then(|f| f.read(&BTreeMap::new()).ok()).unwrap_or_default();
     let counts: Vec<_> = (0..workers).map(|_| Counts::default()).collect();
     let opened =
-        |worker| keeping::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
+        |worker| snapshot::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
     let mut kept: Vec<_> = (0..workers).map(opened).collect();
     if let Some(inherited) = &mut inherited {
         // What the process before knows goes before what was kept of it.
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -10,7 +10,8 @@
 
 use serde::Serialize;
 use serde_json::{Value, json};
-use shorewharf_protocol::list::Listing;
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_units::Micros;
 use slotmap::DefaultKey;
 use socket2::{Domain, Socket, Type};
 
@@ -21,7 +22,6 @@
 use super::net::{Net, Ready, Role};
 use super::process::{Desk, Process, ProcessError, Program, Usage};
 use super::stage::Did;
-use crate::Micros;
 use crate::edge::{BalancerId, End, FromBalancer};
 
 /// A balancer that has not answered yet is asked again after this.
@@ -65,7 +65,7 @@
     /// For random numbers.
     pub seed: u64,
     /// The list as it had it last.
-    pub known: Listing,
+    pub known: EndpointList,
     /// Its settings as JSON text.
     pub settings: Value,
     /// Where discovery is.
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -11,7 +11,8 @@
 use std::path::Path;
 
 use serde::Serialize;
-use shorewharf_protocol::words::{Word, word};
+use shorewharf_protocol::message::{Message, parse_message};
+use shorewharf_units::{Micros, seconds_from_micros};
 use thiserror::Error;
 
 use super::addresses::Addresses;
@@ -26,7 +27,6 @@
 use super::plain;
 use super::process::{ProcessError, Program};
 use super::stage::{Did, Heard};
-use crate::Micros;
 use crate::day::Day;
 use crate::edge::{Ask, BalancerId, ConnId, End, FromBalancer, Listed, NodeId, NodeWord, Stage as ListStage};
 
@@ -354,7 +354,7 @@
         let now = self.clock.now();
         self.fleet.stop(&mut self.net, now);
         let [through, past] = self.ways;
-        let seconds = options.length as f64 / 1e6;
+        let seconds = seconds_from_micros(options.length);
         let late = self.late.at(0.99);
         let void = if late > LATE {
             Some(format!("the lab was late: p99 {:.1} ms", late as f64 / 1e3))
@@ -477,7 +477,7 @@
         let mut fails = false;
         while let Ok(Some(line)) = client.wire.line() {
             if let Some(due) = client.due {
-                if !matches!(word(line), Word::Up(_)) {
+                if !matches!(parse_message(line), Message::Accepted(_)) {
                     fails = true;
                     break;
                 }
--- a/crates/trial/tests/file.rs
+++ b/crates/fault-scenarios/tests/file.rs
@@ -1,6 +1,6 @@
 //! The keys of a trial's file are the operators': each is read into its field, under the name that it always had.
 
-use shorewharf_trial::{Band, Group, Holds, Kind, Promises, Rift, Trial, Within};
+use shorewharf_fault_scenarios::{Band, Group, Holds, Kind, Promises, Rift, Trial, Within};
 
 const ALL_KEYS: &str = r#"
 about = "every key"
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -6,10 +6,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Stage};
-use shorewharf_driver::{Effects, Micros, NetworkEvent, ReceivedRequest};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
+use shorewharf_driver::{Effects, NetworkEvent, ReceivedRequest};
 use shorewharf_emulator::edge::*;
 use shorewharf_emulator::virtual_time::Truth;
+use shorewharf_units::Micros;
 
 use super::places::Places;
 
@@ -89,7 +90,7 @@
     by_conn: HashMap<ConnId, RequestId>,
     by_link: HashMap<LinkId, RequestId>,
     probes: HashMap<LinkId, ServerId>,
-    stages: Vec<Option<Stage>>,
+    stages: Vec<Option<ServerState>>,
     heard: Vec<Option<Heard>>,
     watching: bool,
     leaving: Option<Micros>,
@@ -192,7 +193,7 @@
             ToBalancer::NodeEnded(link, end) => self.node_ended(*link, *end),
             ToBalancer::List { full, entries } => {
                 let entries = self.listed(*full, entries);
-                self.tell(NetworkEvent::Listed { full: *full, cached: false, entries });
+                self.tell(NetworkEvent::EndpointListReceived { full: *full, cached: false, entries });
             }
             ToBalancer::ListFailed => {
                 self.watching = false;
@@ -211,14 +212,14 @@
     }
 
     /// Takes entries into the table of stages; what the module is told of them.
-    pub fn listed(&mut self, full: bool, entries: &[Listed]) -> Vec<ListEntry> {
+    pub fn listed(&mut self, full: bool, entries: &[Listed]) -> Vec<ServerEntry> {
         if full {
-            self.stages.iter_mut().flatten().for_each(|s| *s = Stage::Gone);
+            self.stages.iter_mut().flatten().for_each(|s| *s = ServerState::Removed);
         }
         let mut told = Vec::with_capacity(entries.len());
         for e in entries {
             let entry = self.places.entry(e);
-            self.stages[e.node.0 as usize] = Some(entry.stage);
+            self.stages[e.node.0 as usize] = Some(entry.state);
             told.push(entry);
         }
         told
@@ -248,7 +249,7 @@
             deadline: self.places.clock(self.now + left),
             load: ask.hint,
             group: ask.group,
-            returning: ask.retry || ask.again,
+            is_returning: ask.retry || ask.again,
         };
         if self.leaving.is_some() {
             return self.did.push(FromBalancer::Answer(ask.conn, Answer::Busy(leaving::LEAVE_AFTER)));
@@ -274,7 +275,7 @@
         let node = self.places.node(server).filter(|n| {
             let stage = self.stages[n.0 as usize];
             // A standing connection's own server is asked for even while it drains.
-            stage == Some(Stage::Ready) || (home && stage.is_some())
+            stage == Some(ServerState::Ready) || (home && stage.is_some())
         });
         let Some(node) = node else { return self.fetch_ended(id, Outcome::NotSent) };
         let link = LinkId(self.next_link);
@@ -377,8 +378,10 @@
         let server = f.server;
         if s.at == At::Open {
             match word {
-                NodeWord::Load(load) => self.tell(NetworkEvent::Load(id, load / 1e6)),
-                NodeWord::Delay(ms) => self.tell(NetworkEvent::Delay(server, (ms * 1e3) as Micros)),
+                NodeWord::Load(load) => self.tell(NetworkEvent::LoadReported(id, load / 1e6)),
+                NodeWord::Delay(ms) => {
+                    self.tell(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros))
+                }
                 NodeWord::Bye | NodeWord::Move => {}
                 _ => s.asked = None,
             }
@@ -386,7 +389,7 @@
         }
         let outcome = match word {
             NodeWord::Up => return self.up(id, server, link),
-            NodeWord::Busy => Outcome::Full,
+            NodeWord::Busy => Outcome::Rejected,
             NodeWord::Move => Outcome::Cancelled,
             NodeWord::Bye => Outcome::Ok,
             _ => Outcome::Error,
@@ -403,7 +406,11 @@
         let (conn, req, carried) = (s.conn, s.req, s.home.is_some());
         self.hear(server, self.now, id);
         self.did.push(FromBalancer::Answer(conn, Answer::Up(link)));
-        self.tell(if carried { NetworkEvent::Carried(req, server) } else { NetworkEvent::AttemptTaken(id) });
+        self.tell(if carried {
+            NetworkEvent::ConnectionRestored(req, server)
+        } else {
+            NetworkEvent::AttemptEstablished(id)
+        });
     }
 
     fn hear(&mut self, server: ServerId, now: Micros, id: RequestId) {
@@ -503,7 +510,7 @@
     fn probe_over(&mut self, link: LinkId, outcome: Outcome) {
         if let Some(server) = self.probes.remove(&link) {
             self.did.push(FromBalancer::EndLink(link, End::Fin));
-            self.tell(NetworkEvent::Probed(server, outcome));
+            self.tell(NetworkEvent::ProbeEnded(server, outcome));
         }
     }
 }
@@ -513,7 +520,7 @@
         self.places.clock(self.now)
     }
 
-    fn next(&mut self) -> Option<NetworkEvent> {
+    fn next_event(&mut self) -> Option<NetworkEvent> {
         self.happenings.pop_front()
     }
 
@@ -525,7 +532,7 @@
         self.fetch_over(req, Outcome::Cancelled);
     }
 
-    fn refuse(&mut self, req: RequestId, after: Micros) {
+    fn reject(&mut self, req: RequestId, after: Micros) {
         self.answer(req, Answer::Busy(after));
     }
 
@@ -533,7 +540,7 @@
         self.answer(req, Answer::Err);
     }
 
-    fn move_away(&mut self, req: RequestId) {
+    fn migrate(&mut self, req: RequestId) {
         if self.sessions.get(&req).is_some_and(|s| s.at == At::Open) {
             self.fetch_over(req, Outcome::Cancelled);
             self.answer(req, Answer::Move);
@@ -542,7 +549,7 @@
 
     fn probe(&mut self, server: ServerId) {
         let Some(node) = self.places.node(server) else {
-            return self.tell(NetworkEvent::Probed(server, Outcome::ConnectFailed));
+            return self.tell(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
         };
         let link = LinkId(self.next_link);
         self.next_link += 1;
@@ -552,13 +559,13 @@
         self.at(self.now + PROBE, Due::Probe(link));
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         if !std::mem::replace(&mut self.watching, true) {
             self.did.push(FromBalancer::Watch);
         }
     }
 
-    fn wake(&mut self, after: Micros, token: u64) {
+    fn set_timer(&mut self, after: Micros, token: u64) {
         self.at(self.now + after.max(1), Due::Module(token));
     }
 
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -6,8 +6,9 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_decisions::interface::{ListEntry, Outcome, RequestId, ServerId, Settings, Stage};
-use shorewharf_driver::{Effects, Micros, NetworkEvent};
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState, Settings};
+use shorewharf_driver::{Effects, NetworkEvent};
+use shorewharf_units::Micros;
 
 use super::Emulated;
 
@@ -41,7 +42,7 @@
     pick: Pick,
     rng: Pcg64Mcg,
     max_attempts: u32,
-    ready: BTreeMap<ServerId, Stage>,
+    ready: BTreeMap<ServerId, ServerState>,
     next: usize,
     reqs: HashMap<RequestId, Waiting>,
     /// Its own attempts and connections.
@@ -53,7 +54,7 @@
         pick: Pick,
         set: &Settings,
         seed: u64,
-        known: Vec<ListEntry>,
+        known: Vec<ServerEntry>,
         peers: &mut Emulated,
     ) -> Policy {
         let mut policy = Policy {
@@ -68,23 +69,23 @@
         policy.listed(true, &known);
         // Balancers that start together don't go round in step.
         policy.next = policy.rng.random_range(0..policy.ready.len().max(1));
-        peers.watch();
+        peers.watch_endpoints();
         policy
     }
 
     pub(super) fn settle(&mut self, peers: &mut Emulated) {
-        while let Some(happening) = peers.next() {
+        while let Some(happening) = peers.next_event() {
             self.happened(happening, peers);
         }
     }
 
-    fn listed(&mut self, full: bool, entries: &[ListEntry]) {
+    fn listed(&mut self, full: bool, entries: &[ServerEntry]) {
         if full {
             self.ready.clear();
         }
         for e in entries {
-            match e.stage {
-                Stage::Ready => self.ready.insert(e.server, e.stage),
+            match e.state {
+                ServerState::Ready => self.ready.insert(e.server, e.state),
                 _ => self.ready.remove(&e.server),
             };
         }
@@ -92,20 +93,20 @@
 
     fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
         match happening {
-            NetworkEvent::Listed { full, entries, .. } => self.listed(full, &entries),
-            NetworkEvent::DiscoveryFailed => peers.wake(WATCH_AGAIN, WATCH),
-            NetworkEvent::TimerFired(_) => peers.watch(),
+            NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
+            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
+            NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
                 let waiting = Waiting { deadline: req.deadline, attempts: 0, last: None, stands: false };
                 self.reqs.insert(req.id, waiting);
                 self.try_it(req.id, peers);
             }
-            NetworkEvent::Carried(req, server) => {
+            NetworkEvent::ConnectionRestored(req, server) => {
                 let waiting = Waiting { deadline: 0, attempts: 1, last: Some(server), stands: true };
                 self.reqs.insert(req.id, waiting);
                 *self.held.entry(server).or_default() += 1;
             }
-            NetworkEvent::AttemptTaken(id) => {
+            NetworkEvent::AttemptEstablished(id) => {
                 self.reqs.entry(id).and_modify(|w| w.stands = true);
             }
             NetworkEvent::ClientLeft(id) => {
@@ -121,10 +122,10 @@
                     self.reqs.remove(&id);
                 }
             }
-            NetworkEvent::Load(..)
-            | NetworkEvent::Delay(..)
-            | NetworkEvent::Probed(..)
-            | NetworkEvent::Elsewhere(_) => {}
+            NetworkEvent::LoadReported(..)
+            | NetworkEvent::MessageDelayReported(..)
+            | NetworkEvent::ProbeEnded(..)
+            | NetworkEvent::RemoteLoadsUpdated(_) => {}
         }
     }
 
@@ -135,7 +136,7 @@
         let may = w.attempts < self.max_attempts && left > LEAST;
         let Some(server) = may.then(|| self.choose(last)).flatten() else {
             self.reqs.remove(&id);
-            return peers.refuse(id, COME_BACK);
+            return peers.reject(id, COME_BACK);
         };
         if let Some(w) = self.reqs.get_mut(&id) {
             w.attempts += 1;
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-use shorewharf_protocol::list::{Endpoint, Listing};
+use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
 
 use crate::loopback::{self, Listener};
 use crate::recorder::Recorder;
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
-    list: Mutex<Listing>,
+    list: Mutex<EndpointList>,
     changed: Condvar,
 }
 
@@ -28,7 +28,7 @@
     /// If the system gives no port.
     pub fn start(endpoints: Vec<Endpoint>, recorder: &Arc<Recorder>) -> std::io::Result<Arc<Discovery>> {
         let listener = TcpListener::bind((loopback::address(Listener::Discovery), 0))?;
-        let list = Mutex::new(Listing { index: 1, snapshot: true, endpoints });
+        let list = Mutex::new(EndpointList { index: 1, snapshot: true, endpoints });
         let discovery =
             Arc::new(Discovery { address: listener.local_addr()?, list, changed: Condvar::new() });
         let (accepting, recorder) = (Arc::clone(&discovery), Arc::clone(recorder));
@@ -67,7 +67,7 @@
         let mut sent_index = 0;
         while !recorder.is_over() {
             let list = self.list.lock().expect("no panic");
-            let is_unchanged = |list: &mut Listing| list.index == sent_index;
+            let is_unchanged = |list: &mut EndpointList| list.index == sent_index;
             let waited = self.changed.wait_timeout_while(list, HEARTBEAT_INTERVAL, is_unchanged);
             let (list, waited) = waited.expect("no panic");
             let text = if waited.timed_out() {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use shorewharf_protocol::list::Endpoint;
+use shorewharf_protocol::endpoint_list::Endpoint;
 
 use crate::client;
 use crate::discovery::Discovery;
--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -7,11 +7,12 @@
 use crate::integrity;
 use crate::key::{Collection, Key};
 use crate::migrate::Records;
-use crate::record::{Actor, AuditAction, AuditEntry, Micros};
+use crate::record::{Actor, AuditAction, AuditEntry};
 use crate::revision::Revision;
 use crate::store::{Store, decode, encode};
 use serde::Serialize;
 use serde_json::{Value, json};
+use shorewharf_units::Micros;
 use std::fs;
 use std::path::Path;
 
--- a/crates/store/src/change_batch.rs
+++ b/crates/store/src/change_batch.rs
@@ -1,9 +1,9 @@
 //! Changes of records on their way from the store to those who keep a copy.
 
 use crate::key::Key;
-use crate::record::Micros;
 use crate::revision::Revision;
 use crate::store::Change;
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 /// The changes since an earlier batch, or a snapshot of all records.
--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -2,8 +2,8 @@
 
 use crate::error::{InvalidValue, StoreError};
 use crate::integrity::{find_faults, read_all};
-use crate::record::Micros;
 use crate::store::Store;
+use shorewharf_units::Micros;
 
 /// Has the engine verify all stored data, and checks all records. Returns every fault, by the record's key and the field.
 ///
--- a/crates/store/src/commands/lookup.rs
+++ b/crates/store/src/commands/lookup.rs
@@ -8,12 +8,13 @@
 use crate::key::{Collection, Key};
 use crate::name::{ClassName, TenantName};
 use crate::record::{
-    AuditEntry, ClassRecord, DailyUsage, HourlyUsage, IdAssignment, Micros, NumericId, ServiceLimits,
-    TenantRecord, TokenId, TokenRecord, Usage,
+    AuditEntry, ClassRecord, DailyUsage, HourlyUsage, IdAssignment, NumericId, ServiceLimits, TenantRecord,
+    TokenId, TokenRecord, Usage,
 };
 use crate::store::{Entry, Query, Store, Versioned};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 /// The most intervals in one answer about usage: more than a month of hours or a day of minutes.
--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -23,11 +23,12 @@
 
 use crate::error::StoreError;
 use crate::key::Key;
-use crate::record::{AuditAction, IdempotencyRecord, Micros};
+use crate::record::{AuditAction, IdempotencyRecord};
 use crate::store::{Batch, Store};
 use keys::{
     class_key, confusable_key, counter_key, idempotency_key, service_limits_key, tenant_key, token_key,
 };
+use shorewharf_units::Micros;
 use std::collections::BTreeSet;
 use transaction::{AuditNote, MAX_ATTEMPTS, Transaction, contention_error};
 
--- a/crates/store/src/commands/transaction.rs
+++ b/crates/store/src/commands/transaction.rs
@@ -7,12 +7,13 @@
 use super::reply::PENDING_REVISION;
 use crate::error::StoreError;
 use crate::key::{Collection, Key};
-use crate::record::{Actor, AuditAction, AuditEntry, Micros};
+use crate::record::{Actor, AuditAction, AuditEntry};
 use crate::revision::Revision;
 use crate::store::{Batch, Condition, Entry, Page, Query, Store, decode, encode, write_size_bytes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 /// How often a group is decided if another instance writes in between.
--- a/crates/store/src/commands/usage.rs
+++ b/crates/store/src/commands/usage.rs
@@ -10,10 +10,9 @@
 use super::usage_keys::{Granularity, IDS_PER_CHUNK, key_prefix, parse_interval, usage_key};
 use crate::error::StoreError;
 use crate::key::{Collection, Key};
-use crate::record::{
-    DailyUsage, HourlyUsage, IdempotencyRecord, MICROS_PER_MINUTE, Micros, Usage, UsageReport,
-};
+use crate::record::{DailyUsage, HourlyUsage, IdempotencyRecord, MICROS_PER_MINUTE, Usage, UsageReport};
 use crate::store::{Batch, Query, Store};
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 const MINUTES_PER_HOUR: u64 = 60;
--- a/crates/store/src/commands/usage_keys.rs
+++ b/crates/store/src/commands/usage_keys.rs
@@ -1,8 +1,9 @@
 //! Keys of usage records: `GRANULARITY/CHUNK/INTERVAL/INSTANCE`, so that intervals of one chunk follow each other.
 
 use crate::key::{Collection, Key};
-use crate::record::{MICROS_PER_MINUTE, Micros};
+use crate::record::MICROS_PER_MINUTE;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 
 /// Ids in a chunk, which makes a chunk a few kilobytes.
 pub(super) const IDS_PER_CHUNK: u32 = 64;
--- a/crates/store/src/directory.rs
+++ b/crates/store/src/directory.rs
@@ -10,10 +10,11 @@
 use crate::key::{Collection, Key};
 use crate::name::{ClassName, TenantName};
 use crate::record::{
-    ClassRecord, IdAssignment, Micros, NumericId, Role, ServiceLimits, TenantRecord, TokenId, TokenRecord,
+    ClassRecord, IdAssignment, NumericId, Role, ServiceLimits, TenantRecord, TokenId, TokenRecord,
 };
 use crate::revision::Revision;
 use crate::store::{Change, Versioned, decode};
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 /// Tenants, classes, limits and tokens, in memory.
--- a/crates/store/src/embedded/tables.rs
+++ b/crates/store/src/embedded/tables.rs
@@ -5,13 +5,13 @@
 use crate::error::StoreError;
 use crate::key::{Collection, Key};
 use crate::migrate;
-use crate::record::Micros;
 use crate::revision::Revision;
 use crate::store::{Batch, Condition, Entry, Query};
 use redb::{
     Database, ReadOnlyTable, ReadTransaction, ReadableDatabase, ReadableTable, ReadableTableMetadata, Table,
     TableDefinition, WriteTransaction,
 };
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
--- a/crates/store/src/integrity.rs
+++ b/crates/store/src/integrity.rs
@@ -5,12 +5,13 @@
 use crate::key::{Collection, Key};
 use crate::migrate::Records;
 use crate::record::{
-    AuditEntry, ClassRecord, DailyUsage, HourlyUsage, IdAssignment, IdempotencyRecord, InstanceName, Micros,
+    AuditEntry, ClassRecord, DailyUsage, HourlyUsage, IdAssignment, IdempotencyRecord, InstanceName,
     NumericId, ServiceLimits, TenantRecord, TokenRecord, Usage,
 };
 use crate::revision::Revision;
 use crate::store::{Store, decode};
 use serde::de::DeserializeOwned;
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 /// The most faults that are reported: a store with more is not repaired record by record.
--- a/crates/store/src/migrate.rs
+++ b/crates/store/src/migrate.rs
@@ -8,8 +8,9 @@
 
 use crate::error::StoreError;
 use crate::key::{Collection, Key};
-use crate::record::{Micros, TenantRecord};
+use crate::record::TenantRecord;
 use crate::store::{decode, encode};
+use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 /// The schema that this program writes.
--- a/crates/store/src/record/audit.rs
+++ b/crates/store/src/record/audit.rs
@@ -1,9 +1,10 @@
 //! The audit trail: who changed what and when, with the record before and after.
 
-use super::{Micros, Role, TokenId, check_label};
+use super::{Role, TokenId, check_label};
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
+use shorewharf_units::Micros;
 
 /// Who makes a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/store/src/record/class.rs
+++ b/crates/store/src/record/class.rs
@@ -1,9 +1,10 @@
 //! Classes of connections that tenants request.
 
-use super::{Micros, NumericId, check_range};
+use super::{NumericId, check_range};
 use crate::error::InvalidValue;
 use crate::name::ClassName;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 
 /// Whether a request of a class may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/store/src/record/idempotency.rs
+++ b/crates/store/src/record/idempotency.rs
@@ -1,9 +1,9 @@
 //! Replies to calls with an idempotency key, stored so that a repeated call gets the same reply and changes nothing.
 
-use super::Micros;
 use crate::digest::sha256_hex;
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 
 /// The idempotency key of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/store/src/record/limits.rs
+++ b/crates/store/src/record/limits.rs
@@ -1,8 +1,9 @@
 //! Limits of a tenant and of the whole service. A missing limit means unlimited.
 
-use super::{Micros, check_range};
+use super::check_range;
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 
 /// A rate in events a second, fractions allowed; 0 to 1,000,000.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -22,9 +22,6 @@
 
 use crate::error::InvalidValue;
 
-/// Microseconds since the start of 1970 (UTC), leap seconds not counted.
-pub type Micros = u64;
-
 /// The longest label of a token, and the longest name of a console user, in bytes.
 pub const MAX_LABEL_BYTES: usize = 256;
 
--- a/crates/store/src/record/tenant.rs
+++ b/crates/store/src/record/tenant.rs
@@ -1,9 +1,10 @@
 //! Tenants and the numeric ids by which connections refer to them.
 
-use super::{Micros, TenantLimits};
+use super::TenantLimits;
 use crate::error::InvalidValue;
 use crate::name::{ClassName, TenantName};
 use serde::{Deserialize, Deserializer, Serialize};
+use shorewharf_units::Micros;
 use std::collections::BTreeSet;
 use std::fmt;
 
--- a/crates/store/src/record/token.rs
+++ b/crates/store/src/record/token.rs
@@ -1,11 +1,12 @@
 //! API tokens. Only the hash of a token's secret is stored, so reading the store gives nobody access.
 
-use super::{Micros, NumericId, check_label};
+use super::{NumericId, check_label};
 use crate::digest::{hex, sha256_hex};
 use crate::error::InvalidValue;
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 use std::fmt;
 use subtle::ConstantTimeEq;
 
--- a/crates/store/src/record/usage.rs
+++ b/crates/store/src/record/usage.rs
@@ -6,6 +6,7 @@
 
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::MICROS_PER_SECOND;
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -59,7 +60,7 @@
 
     /// Whole seconds for which its connections were open.
     pub fn connection_seconds(&self) -> u64 {
-        self.connection_micros / 1_000_000
+        self.connection_micros / MICROS_PER_SECOND
     }
 }
 
--- a/crates/store/src/replicated/client.rs
+++ b/crates/store/src/replicated/client.rs
@@ -6,12 +6,12 @@
     WatchRequest,
 };
 use crate::error::{InvalidValue, StoreError};
-use crate::record::Micros;
 use crate::revision::Revision;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use shorewharf_units::Micros;
 use std::io::{self, BufRead, BufReader, Read};
 use std::time::Duration;
 use ureq::Agent;
--- a/crates/store/src/replicated/generations.rs
+++ b/crates/store/src/replicated/generations.rs
@@ -6,9 +6,9 @@
 use crate::error::StoreError;
 use crate::key::{Collection, Key};
 use crate::migrate::{self, Records, SCHEMA};
-use crate::record::Micros;
 use crate::revision::Revision;
 use crate::store::{Batch, Visitor};
+use shorewharf_units::Micros;
 
 /// The most records that one call reads.
 const RECORDS_PER_READ: u64 = 500;
--- a/crates/store/src/replicated/mod.rs
+++ b/crates/store/src/replicated/mod.rs
@@ -23,7 +23,6 @@
 use crate::error::{InvalidValue, StoreError};
 use crate::key::{Collection, Key};
 use crate::migrate::SCHEMA;
-use crate::record::Micros;
 use crate::revision::Revision;
 use crate::store::{Batch, Changes, Entry, Page, Query, Store, StoreHealth, Visitor};
 use api::{
@@ -34,6 +33,7 @@
 use keyspace::Keyspace;
 use mark::{LostTransaction, MarkSequence};
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 use std::time::Duration;
 use watch::WatchReader;
 
--- a/crates/store/src/replicated/transactions.rs
+++ b/crates/store/src/replicated/transactions.rs
@@ -5,9 +5,9 @@
 use super::mark::LostTransaction;
 use super::{MAX_ATTEMPTS, Replicated, StoredDescription};
 use crate::error::StoreError;
-use crate::record::Micros;
 use crate::revision::Revision;
 use crate::store::{Batch, Condition};
+use shorewharf_units::Micros;
 
 /// What is to be done after a transaction whose conditions did not hold.
 enum Rejection {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -6,10 +6,10 @@
 
 use crate::error::{InvalidValue, StoreError};
 use crate::key::{Collection, Key};
-use crate::record::Micros;
 use crate::revision::Revision;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
+use shorewharf_units::Micros;
 
 /// A record as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/tenancy/tests/replay.rs
+++ b/crates/tenancy/tests/replay.rs
@@ -5,7 +5,8 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shorewharf_tenancy::{Limits, Micros, Place, Tenancy, Terms, Verdict, Why};
+use shorewharf_tenancy::{Limits, Place, Tenancy, Terms, Verdict, Why};
+use shorewharf_units::Micros;
 
 const FIXTURE: &str = include_str!("fixtures/replay.txt");
 const TENANTS: usize = 6;
