--- a/crates/balancer/src/fleet/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -12,9 +12,10 @@
 };
 use shorewharf_driver::Budgets;
 use shorewharf_store::error::StoreError;
-use shorewharf_store::key::{Key, Space};
+use shorewharf_store::key::{Collection, Key};
 use shorewharf_store::replicated::{Options, Replicated};
-use shorewharf_store::store::{Ask, Batch, Condition as Holds, Entry, Store};
+use shorewharf_store::revision::Revision;
+use shorewharf_store::store::{Batch, Condition as Holds, Entry, Query, Store};
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
@@ -38,7 +39,10 @@
 }
 
 /// Opens the store. Each time as an instance of its own: one that an earlier process used would be taken for it.
-fn open((store, prefix, name): &Address, wall: u64) -> Result<Replicated, shorewharf_store::error::Invalid> {
+fn open(
+    (store, prefix, name): &Address,
+    wall: u64,
+) -> Result<Replicated, shorewharf_store::error::InvalidValue> {
     Replicated::new(&Options::new(store.clone(), prefix, &format!("{name}-{wall}"), wall))
 }
 
@@ -248,7 +252,7 @@
     /// Makes a call; an answer that says nothing counts as none.
     fn make(&mut self, call: StoreRequest) -> Result<StoreResponse, NoResponse> {
         let wall = wall();
-        let key = |name: String| Key::new(Space::Budget, name);
+        let key = |name: String| Key::new(Collection::Budget, name);
         let record = |e: Entry| StoredRecord { revision: e.revision.0, text: e.value };
         let done = match call {
             StoreRequest::Read(names) => {
@@ -260,9 +264,7 @@
             StoreRequest::Write(WriteBatch { preconditions, writes }) => {
                 let holds = |precondition: Precondition| match precondition {
                     Precondition::Absent(name) => Holds::Absent(key(name)),
-                    Precondition::Unchanged(name, at) => {
-                        Holds::At(key(name), shorewharf_store::store::Revision(at))
-                    }
+                    Precondition::Unchanged(name, at) => Holds::AtRevision(key(name), Revision(at)),
                 };
                 let conditions = preconditions.into_iter().map(holds).collect();
                 let writes = writes.into_iter().map(|(name, text)| (key(name), text)).collect();
@@ -271,9 +273,9 @@
         };
         match done {
             Ok(reply) => Ok(reply),
-            Err(StoreError::Conflict { .. } | StoreError::Exists { .. } | StoreError::Missing { .. }) => {
-                Ok(StoreResponse::Conflict)
-            }
+            Err(
+                StoreError::Conflict { .. } | StoreError::AlreadyExists { .. } | StoreError::NotFound { .. },
+            ) => Ok(StoreResponse::Conflict),
             Err(_) => Err(NoResponse),
         }
     }
@@ -281,7 +283,7 @@
     fn list(&mut self, prefix: &str, wall: u64) -> Result<StoreResponse, StoreError> {
         let (mut all, mut after) = (Vec::new(), None);
         loop {
-            let page = self.store.list(&Ask::of(Space::Budget).prefix(prefix).after(after), wall)?;
+            let page = self.store.list(&Query::all(Collection::Budget).prefix(prefix).after(after), wall)?;
             after = page.entries.last().map(|e| e.key.name.clone());
             let record = |e: Entry| (e.key.name, StoredRecord { revision: e.revision.0, text: e.value });
             all.extend(page.entries.into_iter().map(record));
