--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -307,7 +307,7 @@
     assert_eq!(config.operator, expected);
     let peers = config.peers.expect("peers");
     assert_eq!(peers.others, [("n4".to_owned(), "127.0.0.2:8700".parse().expect("an address"))]);
-    assert_eq!((peers.rules.every, peers.rules.fanout), (75_000, 4));
+    assert_eq!((peers.rules.interval, peers.rules.fanout), (75_000, 4));
     let fleet = config.fleet.expect("budgets");
     let (rules, named) = (&fleet.rules, |name: &str| Some(format!("connections of {name}")));
     assert_eq!((fleet.store.len(), fleet.prefix.as_str()), (2, "fleet-a"));
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -11,7 +11,10 @@
 use shorewharf_decisions::Holding;
 use shorewharf_decisions::interface::{RemoteLoad, ServerId};
 use shorewharf_driver::NetworkEvent;
-use shorewharf_gossip::{Elsewhere, Gossip, Held, MOST_BYTES, MOST_HELD, Refusal};
+use shorewharf_gossip::{
+    AnnouncedHolding, Gossip, GossipOptions, Identity, MAX_DATAGRAM_BYTES, MAX_HOLDINGS, OutgoingDatagram,
+    PeerLoads, RejectReason, RemoteServerLoad,
+};
 use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
@@ -56,13 +59,15 @@
         turn.after(0, Due::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
-        let gossip = Gossip::new(turn.now, life, name, &names, peers.key.clone(), peers.rules, seed);
+        let identity = Identity { name, incarnation: life };
+        let options = GossipOptions { key: peers.key.clone(), settings: peers.rules, seed };
+        let gossip = Gossip::new(turn.now, identity, &names, options);
         Tells {
             at,
             socket: None,
             others: peers.others.clone(),
             gossip,
-            every: peers.rules.every,
+            every: peers.rules.interval,
             more: false,
             due: false,
             told: turn.now,
@@ -76,7 +81,7 @@
     /// The fleet is another one.
     pub fn take_peers(&mut self, peers: &Peers) {
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
-        self.gossip.take_others(&names);
+        self.gossip.set_peers(&names);
         self.others.clone_from(&peers.others);
     }
 
@@ -114,11 +119,11 @@
     pub fn ready(&mut self, now: Micros) {
         let Some(socket) = &self.socket else { return };
         // One byte more than any of ours: what is longer is cut, and its seal is wrong then.
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         self.more = true;
         for _ in 0..READS {
             match socket.recv(&mut buffer) {
-                Ok(n) => self.gossip.heard(now, &buffer[..n]),
+                Ok(n) => self.gossip.on_datagram(now, &buffer[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.more = false;
                     break;
@@ -131,26 +136,26 @@
 
     /// Tells others what is held here, and the module what they hold.
     pub fn tell(&mut self, turn: &mut Turn, holds: Vec<Holding>) {
-        let held = |h: Holding| Held {
+        let held = |h: Holding| AnnouncedHolding {
             server: h.server.0,
             group: h.group as u32,
             load: h.load.max(0.0) as f32,
-            open: u16::try_from(h.open).unwrap_or(u16::MAX),
+            connections: u16::try_from(h.open).unwrap_or(u16::MAX),
         };
-        let out = self.gossip.due(turn.now, holds.into_iter().map(held).collect());
+        let out = self.gossip.outgoing(turn.now, holds.into_iter().map(held).collect());
         if let Some(socket) = &self.socket {
-            for (place, datagram) in out {
-                if socket.send_to(&datagram, self.others[place].1).is_err() {
+            for OutgoingDatagram { peer, bytes } in out {
+                if socket.send_to(&bytes, self.others[peer].1).is_err() {
                     self.unsent += 1;
                 }
             }
         }
         if turn.now >= self.told + TELL {
             self.told = turn.now;
-            let elsewhere = self.gossip.elsewhere(turn.now);
+            let elsewhere = self.gossip.peer_loads(turn.now);
             let together = elsewhere.is_some();
             if self.together.replace(together) != Some(together) {
-                let heard = elsewhere.as_ref().map_or(0.0, |e| e.heard);
+                let heard = elsewhere.as_ref().map_or(0.0, |loads| loads.coverage);
                 let state = if together { "together" } else { "alone" };
                 info!(
                     event = "gossip",
@@ -161,32 +166,35 @@
             }
             turn.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
         }
-        let untold = self.gossip.stats().untold;
+        let untold = self.gossip.stats().oversized;
         if untold > 0 && !std::mem::replace(&mut self.said_untold, true) {
-            warn!(event = "gossip-untold", most = MOST_HELD);
+            warn!(event = "gossip-untold", most = MAX_HOLDINGS);
         }
         if turn.now >= self.logged + LOG {
             self.logged = turn.now;
             let s = self.gossip.stats();
-            let refused = |why: Refusal| s.refused.get(&why).copied().unwrap_or(0);
+            let refused = |why: RejectReason| s.rejected.get(&why).copied().unwrap_or(0);
             debug!(
                 event = "gossip-figures",
-                sent = s.sent,
-                bytes = s.sent_bytes,
+                sent = s.datagrams_sent,
+                bytes = s.bytes_sent,
                 unsent = self.unsent,
                 untold,
-                came = s.came,
-                news = s.news,
-                old = refused(Refusal::Old),
-                malformed = refused(Refusal::Malformed),
-                seal = refused(Refusal::Seal),
-                foreign = refused(Refusal::Foreign),
+                came = s.datagrams_received,
+                news = s.accepted,
+                old = refused(RejectReason::Outdated),
+                malformed = refused(RejectReason::Malformed),
+                seal = refused(RejectReason::InvalidSeal),
+                foreign = refused(RejectReason::UnknownSender),
             );
         }
     }
 }
 
-fn away(elsewhere: Elsewhere) -> Arc<BTreeMap<ServerId, RemoteLoad>> {
-    let one = |(id, (load, open, groups))| (ServerId(id), RemoteLoad { load, connections: open, groups });
-    Arc::new(elsewhere.servers.into_iter().map(one).collect())
+fn away(loads: PeerLoads) -> Arc<BTreeMap<ServerId, RemoteLoad>> {
+    let remote_load = |(id, server): (u64, RemoteServerLoad)| {
+        let RemoteServerLoad { load, connections, groups } = server;
+        (ServerId(id), RemoteLoad { load, connections, groups })
+    };
+    Arc::new(loads.servers.into_iter().map(remote_load).collect())
 }
--- a/crates/balancer/src/fleet/peers.rs
+++ b/crates/balancer/src/fleet/peers.rs
@@ -2,8 +2,9 @@
 
 use std::net::SocketAddr;
 
-use shorewharf_gossip::{Key, Rules};
+use shorewharf_gossip::{GossipSettings, Key};
 use shorewharf_settings::operator::Gossip;
+use shorewharf_units::MICROS_PER_MILLISECOND;
 
 use crate::config::error::ConfigError;
 
@@ -18,7 +19,7 @@
     /// The key that all share.
     pub key: Key,
     /// How often, and to how many.
-    pub rules: Rules,
+    pub rules: GossipSettings,
 }
 
 fn wrong(key: &str, why: impl ToString) -> ConfigError {
@@ -60,7 +61,11 @@
         };
         let bytes = std::fs::read(key).map_err(|e| wrong("gossip.key", format!("{}: {e}", key.display())))?;
         let key = Key::new(bytes.trim_ascii()).map_err(|e| wrong("gossip.key", e))?;
-        let rules = Rules { every: of.every_ms * 1_000, fanout: of.fanout, ..Rules::default() };
+        let rules = GossipSettings {
+            interval: of.every_ms * MICROS_PER_MILLISECOND,
+            fanout: of.fanout,
+            ..GossipSettings::default()
+        };
         Ok(Some(Peers { others, key, rules }))
     }
 }
--- a/crates/balancer/tests/sockets/gossip.rs
+++ b/crates/balancer/tests/sockets/gossip.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use shorewharf_emulator::standin::*;
-use shorewharf_gossip::{Held, Key, Note, sender_id};
+use shorewharf_gossip::{AnnouncedHolding, Announcement, Key, sender_id};
 
 use crate::BINARY;
 
@@ -38,7 +38,7 @@
 
     /// Waits for a note of the program's that is as wanted; tells where it came from too.
     #[track_caller]
-    fn hears(&self, wanted: impl Fn(&Note) -> bool) -> (Note, SocketAddr) {
+    fn hears(&self, wanted: impl Fn(&Announcement) -> bool) -> (Announcement, SocketAddr) {
         let (began, mut buffer) = (Instant::now(), [0; 2_000]);
         while began.elapsed() < LIMIT {
             let (n, from) = self.socket.recv_from(&mut buffer).expect("a datagram");
@@ -50,9 +50,14 @@
         panic!("no such note came");
     }
 
-    fn tells(&mut self, to: SocketAddr, held: &[Held]) {
+    fn tells(&mut self, to: SocketAddr, held: &[AnnouncedHolding]) {
         self.at += 1;
-        let note = Note { sender: sender_id("n2"), life: 5, at: self.at, held: held.to_vec() };
+        let note = Announcement {
+            sender: sender_id("n2"),
+            incarnation: 5,
+            made_at_ms: self.at,
+            holdings: held.to_vec(),
+        };
         self.socket.send_to(&self.key.seal([&note]), to).expect("sent");
     }
 }
@@ -63,7 +68,7 @@
     let (nodes, mut rest) = ([Node::new(), Node::new()], Rest::new());
     let settings = config(&[("s-1", nodes[0].address()), ("s-2", nodes[1].address())]);
     let program = Program::start_with(BINARY, &settings, &rest.operator(folder.path()));
-    let (_, at) = rest.hears(|n| n.held.is_empty());
+    let (_, at) = rest.hears(|n| n.holdings.is_empty());
     assert_eq!(at, program.address(), "it hears where it takes clients");
     // One client: which server has it, the note tells.
     let mut client = program.open_as("1a", ",g=5");
@@ -78,11 +83,11 @@
     server.line();
     server.say("UP 1");
     assert_eq!(client.line(), "UP 1");
-    let (note, _) = rest.hears(|n| n.held.len() == 1 && n.held[0].open == 1);
-    let held = note.held[0];
+    let (note, _) = rest.hears(|n| n.holdings.len() == 1 && n.holdings[0].connections == 1);
+    let held = note.holdings[0];
     assert_eq!(held.group, 5);
     // Others hold much there: who comes next goes to the other one, though its group is here.
-    rest.tells(at, &[Held { load: held.load * 50.0, open: 50, ..held }]);
+    rest.tells(at, &[AnnouncedHolding { load: held.load * 50.0, connections: 50, ..held }]);
     program.logged("event=gossip state=together");
     let (_client, _server) = program.stand_as(&nodes[1 - first], "2b");
     // Rubbish, a foreign key and an old note change nothing; then nothing is heard any more.
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,202 +1,234 @@
-//! Telling and hearing: the own note, whom it goes to, which notes of others go with it, and what is taken in.
+//! One balancer's part in the gossip: its own announcement, which peers it goes to, which announcements of others go
+//! with it, and which received ones are taken in.
 
-use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
+use shorewharf_units::{MICROS_PER_MILLISECOND, Micros};
 
-use crate::datagram::{Key, Refusal};
-use crate::note::{Held, MOST_HELD, Note};
-use crate::sender_id;
-use crate::table::{Elsewhere, Table};
-
-/// Figures that all balancers of a fleet share.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
-    /// A datagram goes out to each of `fanout` others this often.
-    pub every: Micros,
-    /// Others that are told each time.
-    pub fanout: usize,
-    /// The own note is said anew this often though nothing has changed.
-    pub beat: Micros,
-    /// A note counts whole up to this age ...
-    pub fresh: Micros,
-    /// ... and not at all from this one on.
-    pub forgotten: Micros,
-    /// With less than this part of the others heard of, a balancer is alone.
-    pub least: f64,
+use crate::announcement::{AnnouncedHolding, Announcement, MAX_HOLDINGS, sender_id};
+use crate::datagram::Key;
+use crate::error::RejectReason;
+use crate::peer_table::{PeerLoads, PeerTable};
+use crate::settings::GossipSettings;
+
+/// An announcement is relayed so many times the logarithm of the fleet's size, so that it comes to all.
+const RELAYS_PER_LOG_SIZE: u32 = 3;
+
+/// Statistics since the start.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct GossipStats {
+    /// Datagrams sent.
+    pub datagrams_sent: u64,
+    /// Bytes sent.
+    pub bytes_sent: u64,
+    /// Datagrams received.
+    pub datagrams_received: u64,
+    /// Announcements taken in.
+    pub accepted: u64,
+    /// Rounds in which more was held than fits into an announcement.
+    pub oversized: u64,
+    /// Datagrams and announcements rejected, by reason.
+    pub rejected: BTreeMap<RejectReason, u64>,
 }
 
-impl Default for Rules {
-    /// With 300 balancers most hear of a change within five rounds, and nine in ten of each beat; who is not heard of for two
-    /// of them may be gone, and its connections with it.
-    fn default() -> Self {
-        Rules {
-            every: 50_000,
-            fanout: 3,
-            beat: 1_000_000,
-            fresh: 2_500_000,
-            forgotten: 4_000_000,
-            least: 0.5,
-        }
-    }
+/// Who this balancer is.
+#[derive(Clone, Copy, Debug)]
+pub struct Identity<'a> {
+    /// The balancer's name.
+    pub name: &'a str,
+    /// When its process began, as Unix time in microseconds.
+    pub incarnation: u64,
 }
 
-/// What was told and heard since the start.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stats {
-    /// Datagrams that went out, and their bytes.
-    pub sent: u64,
-    /// Bytes of them.
-    pub sent_bytes: u64,
-    /// Datagrams that came.
-    pub came: u64,
-    /// Notes in them that told something new.
-    pub news: u64,
-    /// Times at which more was held than a note has room for.
-    pub untold: u64,
-    /// What was not taken, by reason.
-    pub refused: BTreeMap<Refusal, u64>,
+/// What all balancers of a fleet share, and this one's seed.
+#[derive(Clone, Debug)]
+pub struct GossipOptions {
+    /// The shared key.
+    pub key: Key,
+    /// The shared settings.
+    pub settings: GossipSettings,
+    /// All randomness comes from it.
+    pub seed: u64,
 }
 
-/// A note that goes on, and how often it went.
+/// A datagram to be sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// Index of the peer that it goes to.
+    pub peer: usize,
+    /// What is sent.
+    pub bytes: Vec<u8>,
+}
+
+/// An announcement that is being relayed, the own one included.
 #[derive(Debug)]
-struct Passing {
+struct Relay {
     sender: u64,
-    went: u32,
+    /// How often it was sent.
+    times_sent: u32,
 }
 
 /// One balancer's part.
 #[derive(Debug)]
 pub struct Gossip {
     key: Key,
-    rules: Rules,
-    me: u64,
-    life: u64,
-    began: Micros,
-    /// The others of the fleet; a place in here names one.
-    others: Vec<u64>,
-    table: Table,
-    own: Note,
-    changed: Micros,
-    passing: Vec<Passing>,
+    settings: GossipSettings,
+    began_at: Micros,
+    /// Ids of the other balancers of the fleet.
+    peers: Vec<u64>,
+    table: PeerTable,
+    own: Announcement,
+    announced_at: Micros,
+    relays: Vec<Relay>,
     rng: Pcg64Mcg,
-    stats: Stats,
+    stats: GossipStats,
 }
 
 impl Gossip {
-    /// The balancer of this name in a fleet with these others, from now on. `life`: when its process began, as Unix time in
-    /// microseconds. All its randomness comes from `seed`.
-    pub fn new(
-        now: Micros,
-        life: u64,
-        me: &str,
-        others: &[String],
-        key: Key,
-        rules: Rules,
-        seed: u64,
-    ) -> Gossip {
-        let own = Note { sender: sender_id(me), life, at: 0, held: Vec::new() };
-        let others = others.iter().map(|name| sender_id(name)).collect();
-        let (table, passing, stats) = Default::default();
-        let (me, changed, rng) = (own.sender, 0, Pcg64Mcg::seed_from_u64(seed));
-        Gossip { key, rules, me, life, began: now, others, table, own, changed, passing, rng, stats }
+    /// Begins gossip as the balancer of this identity in a fleet with these peers.
+    pub fn new(now: Micros, identity: Identity<'_>, peers: &[String], options: GossipOptions) -> Gossip {
+        let own = Announcement {
+            sender: sender_id(identity.name),
+            incarnation: identity.incarnation,
+            made_at_ms: 0,
+            holdings: Vec::new(),
+        };
+        Gossip {
+            key: options.key,
+            settings: options.settings,
+            began_at: now,
+            peers: peers.iter().map(|name| sender_id(name)).collect(),
+            table: PeerTable::default(),
+            own,
+            announced_at: 0,
+            relays: Vec::new(),
+            rng: Pcg64Mcg::seed_from_u64(options.seed),
+            stats: GossipStats::default(),
+        }
     }
 
-    /// The others of the fleet are these from now on. Who is none of them any more is not believed.
-    pub fn take_others(&mut self, others: &[String]) {
-        self.others = others.iter().map(|name| sender_id(name)).collect();
-        self.table.keep(&self.others);
-        self.passing.retain(|p| p.sender == self.me || self.others.contains(&p.sender));
+    /// Sets the other balancers of the fleet; announcements of all others are forgotten.
+    pub fn set_peers(&mut self, peers: &[String]) {
+        self.peers = peers.iter().map(|name| sender_id(name)).collect();
+        self.table.retain(&self.peers);
+        let (own, peers) = (self.own.sender, &self.peers);
+        self.relays.retain(|relay| relay.sender == own || peers.contains(&relay.sender));
     }
 
-    /// How often a note goes on from here: enough that it comes to all of them.
-    fn most(&self) -> u32 {
-        3 * ((self.others.len() + 2) as f64).ln().ceil() as u32
+    /// How often an announcement is sent from here: enough that it comes to all balancers.
+    fn max_relays(&self) -> u32 {
+        RELAYS_PER_LOG_SIZE * ((self.peers.len() + 2) as f64).ln().ceil() as u32
     }
 
-    fn goes_on(&mut self, sender: u64) {
-        self.passing.retain(|p| p.sender != sender);
-        self.passing.insert(0, Passing { sender, went: 0 });
+    fn begin_relay(&mut self, sender: u64) {
+        self.relays.retain(|relay| relay.sender != sender);
+        self.relays.insert(0, Relay { sender, times_sent: 0 });
     }
 
-    /// It is time to tell others, with what is held here by now: datagrams, each with the place of whom it goes to. Who holds
-    /// more than a note has room for says nothing of it, and passes on what others say.
-    pub fn due(&mut self, now: Micros, held: Vec<Held>) -> Vec<(usize, Vec<u8>)> {
-        if held.len() > MOST_HELD {
-            // A part of it would make the servers that are left out look empty to all others.
-            self.stats.untold += 1;
-            self.passing.retain(|p| p.sender != self.me);
-        } else if held != self.own.held || self.own.at == 0 || now >= self.changed + self.rules.beat {
-            // Times of one life differ, so that two notes never look alike.
-            let at = ((now - self.began) / 1_000).max(u64::from(self.own.at) + 1).min(u64::from(u32::MAX));
-            self.own = Note { sender: self.me, life: self.life, at: at as u32, held };
-            self.changed = now;
-            self.goes_on(self.me);
-        }
-        let mut places: Vec<usize> = (0..self.others.len()).collect();
-        let (some, _) = places.partial_shuffle(&mut self.rng, self.rules.fanout);
-        let (mut out, most) = (Vec::new(), self.most());
-        for place in some.iter().copied() {
-            // What has gone least often goes first, and of that what is newest.
-            self.passing.sort_by_key(|p| p.went);
-            let (mut room, mut notes) = (Key::ROOM, Vec::new());
-            for p in &mut self.passing {
-                let note = if p.sender == self.me { Some(&self.own) } else { self.table.note(p.sender) };
-                let Some(note) = note.filter(|n| n.bytes() <= room && self.others[place] != n.sender) else {
-                    continue;
-                };
-                (room, p.went) = (room - note.bytes(), p.went + 1);
-                notes.push(note);
-            }
-            if !notes.is_empty() {
-                let datagram = self.key.seal(notes);
-                self.stats.sent += 1;
-                self.stats.sent_bytes += datagram.len() as u64;
-                out.push((place, datagram));
+    /// Returns the datagrams of a round, in which this balancer holds `holdings`.
+    ///
+    /// A balancer that holds more than fits into an announcement says nothing of it, and relays the announcements of
+    /// others: a part would make the servers that are left out look empty to all others.
+    pub fn outgoing(&mut self, now: Micros, holdings: Vec<AnnouncedHolding>) -> Vec<OutgoingDatagram> {
+        self.announce(now, holdings);
+        let mut indices: Vec<usize> = (0..self.peers.len()).collect();
+        let (chosen, _) = indices.partial_shuffle(&mut self.rng, self.settings.fanout);
+        let mut datagrams = Vec::new();
+        for peer in chosen.iter().copied() {
+            if let Some(bytes) = self.datagram_for(peer) {
+                self.stats.datagrams_sent += 1;
+                self.stats.bytes_sent += bytes.len() as u64;
+                datagrams.push(OutgoingDatagram { peer, bytes });
             }
         }
-        self.passing.retain(|p| p.went < most);
-        out
+        let max_relays = self.max_relays();
+        self.relays.retain(|relay| relay.times_sent < max_relays);
+        datagrams
     }
 
-    /// A datagram has come.
-    pub fn heard(&mut self, now: Micros, datagram: &[u8]) {
-        self.stats.came += 1;
-        let notes = match self.key.open(datagram) {
-            Ok(notes) => notes,
-            Err(why) => return self.refuse(why),
-        };
-        for note in &notes {
-            let taken = match note.sender {
-                me if me == self.me => Err(Refusal::Own),
-                sender if !self.others.contains(&sender) => Err(Refusal::Foreign),
-                _ => self.table.take(now, &self.rules, note),
+    /// Makes the own announcement anew where it has changed or a heartbeat is due.
+    fn announce(&mut self, now: Micros, holdings: Vec<AnnouncedHolding>) {
+        let own = self.own.sender;
+        if holdings.len() > MAX_HOLDINGS {
+            self.stats.oversized += 1;
+            self.relays.retain(|relay| relay.sender != own);
+            return;
+        }
+        let is_first = self.own.made_at_ms == 0;
+        let is_heartbeat_due = now >= self.announced_at + self.settings.heartbeat_interval;
+        if holdings != self.own.holdings || is_first || is_heartbeat_due {
+            // Times of one incarnation differ, so that two announcements never look alike.
+            let next = u64::from(self.own.made_at_ms) + 1;
+            let elapsed = (now - self.began_at) / MICROS_PER_MILLISECOND;
+            self.own.made_at_ms = elapsed.max(next).min(u64::from(u32::MAX)) as u32;
+            self.own.holdings = holdings;
+            self.announced_at = now;
+            self.begin_relay(own);
+        }
+    }
+
+    /// The next datagram for a peer: what was sent least often goes first, and of that what is newest.
+    fn datagram_for(&mut self, peer: usize) -> Option<Vec<u8>> {
+        self.relays.sort_by_key(|relay| relay.times_sent);
+        let mut free_bytes = Key::MAX_CONTENT_BYTES;
+        let mut announcements = Vec::new();
+        for relay in &mut self.relays {
+            let is_own = relay.sender == self.own.sender;
+            let announcement = if is_own { Some(&self.own) } else { self.table.announcement(relay.sender) };
+            let fits = |announcement: &&Announcement| {
+                announcement.encoded_len() <= free_bytes && self.peers[peer] != announcement.sender
             };
-            match taken {
+            let Some(announcement) = announcement.filter(fits) else { continue };
+            free_bytes -= announcement.encoded_len();
+            relay.times_sent += 1;
+            announcements.push(announcement);
+        }
+        (!announcements.is_empty()).then(|| self.key.seal(announcements))
+    }
+
+    /// Takes in a received datagram.
+    pub fn on_datagram(&mut self, now: Micros, datagram: &[u8]) {
+        self.stats.datagrams_received += 1;
+        let announcements = match self.key.open(datagram) {
+            Ok(announcements) => announcements,
+            Err(reason) => return self.count_rejected(reason),
+        };
+        for announcement in &announcements {
+            match self.accept(now, announcement) {
                 Ok(()) => {
-                    self.stats.news += 1;
-                    self.goes_on(note.sender);
+                    self.stats.accepted += 1;
+                    self.begin_relay(announcement.sender);
                 }
-                Err(why) => self.refuse(why),
+                Err(reason) => self.count_rejected(reason),
             }
         }
     }
 
-    fn refuse(&mut self, why: Refusal) {
-        *self.stats.refused.entry(why).or_default() += 1;
+    fn accept(&mut self, now: Micros, announcement: &Announcement) -> Result<(), RejectReason> {
+        if announcement.sender == self.own.sender {
+            return Err(RejectReason::Own);
+        }
+        if !self.peers.contains(&announcement.sender) {
+            return Err(RejectReason::UnknownSender);
+        }
+        self.table.insert(now, &self.settings, announcement)
+    }
+
+    fn count_rejected(&mut self, reason: RejectReason) {
+        *self.stats.rejected.entry(reason).or_default() += 1;
     }
 
-    /// What the others hold by now; none where too few of them are heard of, or there is nobody else.
-    pub fn elsewhere(&self, now: Micros) -> Option<Elsewhere> {
-        let elsewhere = self.table.elsewhere(now, &self.rules, self.others.len());
-        (!self.others.is_empty() && elsewhere.heard >= self.rules.least).then_some(elsewhere)
+    /// What the peers hold by now; none where too few of them are heard of, or there are none.
+    pub fn peer_loads(&self, now: Micros) -> Option<PeerLoads> {
+        let loads = self.table.loads(now, &self.settings, self.peers.len());
+        (!self.peers.is_empty() && loads.coverage >= self.settings.min_coverage).then_some(loads)
     }
 
-    /// What was told and heard.
-    pub fn stats(&self) -> &Stats {
+    /// Statistics since the start.
+    pub fn stats(&self) -> &GossipStats {
         &self.stats
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,18 +1,23 @@
-//! What balancers tell each other of the connections that they hold.
+//! Gossip between balancers: what connections each of them holds.
 //!
-//! Each one says what it holds in a [`Note`], and passes on the notes of others that it has heard of lately, to a few
-//! drawn at random ([`Gossip::due`]). Datagrams are sealed with a key in common. What came is believed for as long as its
-//! age allows ([`Gossip::elsewhere`]); when too few are heard of, nothing is, and a balancer is alone.
+//! Each balancer says what it holds in an [`Announcement`], and relays the announcements of others that it has received
+//! lately, to a few peers drawn at random ([`Gossip::outgoing`]). Datagrams are sealed with a shared key. What was
+//! received counts for as long as its age allows ([`Gossip::peer_loads`]); when too few peers are heard of, nothing
+//! does, and a balancer goes by its own connections.
 //!
-//! Nothing here opens a socket or reads a clock: times are whole microseconds on the caller's monotonic clock, and random
-//! numbers are an argument.
+//! Nothing here opens a socket or reads a clock: times are whole microseconds on the caller's monotonic clock, and
+//! random numbers come from a seed.
 
+mod announcement;
 mod datagram;
+mod error;
 mod gossip;
-mod note;
-mod table;
+mod peer_table;
+mod settings;
 
-pub use datagram::{Key, KeyError, MOST_BYTES, Refusal};
-pub use gossip::{Gossip, Rules, Stats};
-pub use note::{Held, MOST_HELD, Note, sender_id};
-pub use table::Elsewhere;
+pub use announcement::{AnnouncedHolding, Announcement, MAX_HOLDINGS, sender_id};
+pub use datagram::{Key, KeyError, MAX_DATAGRAM_BYTES};
+pub use error::RejectReason;
+pub use gossip::{Gossip, GossipOptions, GossipStats, Identity, OutgoingDatagram};
+pub use peer_table::{PeerLoads, RemoteServerLoad};
+pub use settings::GossipSettings;
--- a/crates/gossip/tests/datagram_format.rs
+++ b/crates/gossip/tests/datagram_format.rs
@@ -1,48 +1,63 @@
 //! The bytes of a datagram: balancers of two versions talk to each other, so a renamed field must not change them.
 
-use shorewharf_gossip::{Gossip, Held, Key, Note, Rules, sender_id};
+use shorewharf_gossip::{
+    AnnouncedHolding, Announcement, Gossip, GossipOptions, GossipSettings, Identity, Key, OutgoingDatagram,
+    sender_id,
+};
 
 const KEY: &[u8] = b"a key of the whole fleet";
-const SENT: &[u8] = include_bytes!("fixtures/two-notes.datagram");
+const SENT: &[u8] = include_bytes!("fixtures/two-announcements.datagram");
 
-fn notes() -> [Note; 2] {
-    let held = vec![
-        Held { server: 0x0102_0304_0506_0708, group: 0x090a_0b0c, load: 1.25, open: 0x0d0e },
-        Held { server: 2, group: 3, load: 0.5, open: 4 },
+fn announcements() -> [Announcement; 2] {
+    let holdings = vec![
+        AnnouncedHolding {
+            server: 0x0102_0304_0506_0708,
+            group: 0x090a_0b0c,
+            load: 1.25,
+            connections: 0x0d0e,
+        },
+        AnnouncedHolding { server: 2, group: 3, load: 0.5, connections: 4 },
     ];
     [
-        Note { sender: sender_id("n1"), life: 0x1112_1314_1516_1718, at: 0x191a_1b1c, held },
-        Note { sender: sender_id("n2"), life: 5, at: 6, held: Vec::new() },
+        Announcement {
+            sender: sender_id("n1"),
+            incarnation: 0x1112_1314_1516_1718,
+            made_at_ms: 0x191a_1b1c,
+            holdings,
+        },
+        Announcement { sender: sender_id("n2"), incarnation: 5, made_at_ms: 6, holdings: Vec::new() },
     ]
 }
 
 #[test]
 fn a_datagram_is_sealed_byte_for_byte_as_it_was() {
     let key = Key::new(KEY).expect("long enough");
-    assert_eq!(key.seal(&notes()), SENT);
+    assert_eq!(key.seal(&announcements()), SENT);
 }
 
 #[test]
 fn a_datagram_is_opened_as_what_was_sealed() {
     let key = Key::new(KEY).expect("long enough");
-    assert_eq!(key.open(SENT).expect("a good datagram"), notes());
+    assert_eq!(key.open(SENT).expect("a good datagram"), announcements());
 }
 
 #[test]
 fn a_balancers_own_datagrams_are_as_they_were() {
     let key = Key::new(KEY).expect("long enough");
     let others: Vec<String> = (2..9).map(|i| format!("n{i}")).collect();
-    let mut gossip = Gossip::new(1_000_000, 77, "n1", &others, key, Rules::default(), 7);
+    let identity = Identity { name: "n1", incarnation: 77 };
+    let options = GossipOptions { key, settings: GossipSettings::default(), seed: 7 };
+    let mut gossip = Gossip::new(1_000_000, identity, &others, options);
     let mut sent = String::new();
     for round in 0..30_u64 {
         let now = 1_000_000 + round * 150_000;
         if round % 7 == 3 {
-            gossip.heard(now, SENT);
+            gossip.on_datagram(now, SENT);
         }
-        let held = vec![Held { server: round / 4, group: 7, load: 0.5, open: 1 }];
-        for (place, datagram) in gossip.due(now, held) {
-            let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
-            sent.push_str(&format!("{now} {place} {hex}\n"));
+        let holdings = vec![AnnouncedHolding { server: round / 4, group: 7, load: 0.5, connections: 1 }];
+        for OutgoingDatagram { peer, bytes } in gossip.outgoing(now, holdings) {
+            let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+            sent.push_str(&format!("{now} {peer} {hex}\n"));
         }
     }
     let fixture = include_str!("fixtures/rounds.txt");
