--- a/crates/balancer/tests/platform/main.rs
+++ b/crates/balancer/tests/platform/main.rs
@@ -71,9 +71,9 @@
     let mut script = Script::new(&day, 20 * MS, 80, over);
     script.act(S, Act::Dies(NodeId(0)));
     script.act(1500 * MS, Act::Reborn(NodeId(0)));
-    script.act(2 * S, Act::Reach(NodeId(1), Reach::Silent));
-    script.act(3 * S, Act::Reach(NodeId(2), Reach::Mute));
-    script.act(5 * S, Act::Reach(NodeId(1), Reach::Open));
+    script.act(2 * S, Act::Reachability(NodeId(1), Reachability::Silent));
+    script.act(3 * S, Act::Reachability(NodeId(2), Reachability::Mute));
+    script.act(5 * S, Act::Reachability(NodeId(1), Reachability::Open));
     let report = run(&day, &mut script);
     let tally = &script.tally;
     assert!(!report.crashed());
@@ -112,7 +112,7 @@
     (day.traffic.arrivals_per_s, day.traffic.load, day.streams.life) = (Some(40.0), 0.001, 2 * S);
     day.clients.line_every = 200 * MS;
     let mut glances = 0;
-    let mut watch = |glance: &platform::Glance<'_>| {
+    let mut watch = |glance: &platform::StatusSample<'_>| {
         glances += 1;
         assert_eq!((glance.nodes.len(), glance.balancers.len()), (4, 2));
     };
--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -6,7 +6,7 @@
 
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::*;
-use shorewharf_emulator::sockets::stage::{Said, Stage};
+use shorewharf_emulator::sockets::stage::{Commands, Harness};
 use shorewharf_units::Micros;
 
 pub const MS: Micros = 1_000;
@@ -24,7 +24,7 @@
 pub enum Act {
     Say(BalancerId, ToBalancer),
     Start(BalancerId),
-    Reach(NodeId, Reach),
+    Reachability(NodeId, Reachability),
     /// The node's process dies: what it holds breaks, and the list says so.
     Dies(NodeId),
     /// It comes back under its address.
@@ -35,7 +35,7 @@
 enum Event {
     Arrive,
     Again(u64),
-    Node(LinkId, NodeWord),
+    Node(LinkId, NodeMessage),
     List(BalancerId),
     Act(Act),
 }
@@ -93,7 +93,7 @@
     next: u64,
     dealt: usize,
     posts: Vec<Post>,
-    reach: Vec<Reach>,
+    reach: Vec<Reachability>,
     listed: Vec<Listed>,
     /// What a balancer is told soon after it has called for a watch so many times.
     orders: BTreeMap<(BalancerId, u64), ToBalancer>,
@@ -122,7 +122,7 @@
             next: 1,
             dealt: 0,
             posts: vec![Post::default(); day.balancers.len()],
-            reach: vec![Reach::Open; nodes],
+            reach: vec![Reachability::Open; nodes],
             listed: (0..nodes).map(listed).collect(),
             orders: BTreeMap::new(),
             tally: Tally { watches: vec![0; day.balancers.len()], ..Tally::default() },
@@ -148,11 +148,11 @@
         self.serial += 1;
     }
 
-    fn ask(&mut self, key: u64, home: Option<NodeId>) -> Ask {
+    fn ask(&mut self, key: u64, home: Option<NodeId>) -> RequestLine {
         let conn = ConnId(self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         self.next += 1;
         let (patience, hint) = (3 * S, Some(0.01));
-        Ask {
+        RequestLine {
             conn,
             key,
             class: 0,
@@ -166,7 +166,7 @@
         }
     }
 
-    fn comes(&mut self, key: u64, said: &mut Said) {
+    fn comes(&mut self, key: u64, said: &mut Commands) {
         let count = self.posts.len();
         let Some(who) = (0..count).map(|i| (self.dealt + i) % count).find(|who| self.posts[*who].ready)
         else {
@@ -188,7 +188,7 @@
         node: NodeId,
         stage: shorewharf_emulator::edge::Stage,
         born: Option<Micros>,
-        said: &mut Said,
+        said: &mut Commands,
     ) {
         let entry = Listed { node, stage, born };
         self.listed[node.0 as usize] = entry;
@@ -197,7 +197,7 @@
         }
     }
 
-    fn acts(&mut self, act: Act, said: &mut Said) {
+    fn acts(&mut self, act: Act, said: &mut Commands) {
         use shorewharf_emulator::edge::Stage::{Gone, Ready};
         match act {
             Act::Start(who) => {
@@ -213,12 +213,12 @@
                 }
                 said.push((who, what));
             }
-            Act::Reach(node, reach) => {
+            Act::Reachability(node, reach) => {
                 self.reach[node.0 as usize] = reach;
                 self.tally.since_back.insert(node.0, 0);
             }
             Act::Dies(node) => {
-                self.reach[node.0 as usize] = Reach::Refused;
+                self.reach[node.0 as usize] = Reachability::Refused;
                 let held: Vec<LinkId> =
                     self.links.iter().filter(|(_, l)| l.1 == node).map(|(id, _)| *id).collect();
                 for id in held {
@@ -228,7 +228,7 @@
                 self.lists(node, Gone, None, said);
             }
             Act::Reborn(node) => {
-                self.acts(Act::Reach(node, Reach::Open), said);
+                self.acts(Act::Reachability(node, Reachability::Open), said);
                 self.lists(node, Ready, Some(self.now), said);
             }
         }
@@ -254,12 +254,12 @@
     }
 }
 
-impl Stage for Script {
+impl Harness for Script {
     fn next_due(&self) -> Option<Micros> {
         self.events.peek().map(|e| e.0.0)
     }
 
-    fn advance(&mut self, now: Micros, said: &mut Said) {
+    fn advance(&mut self, now: Micros, said: &mut Commands) {
         while let Some(Reverse((at, serial))) = self.events.peek().copied().filter(|e| e.0.0 <= now) {
             self.events.pop();
             self.now = at;
@@ -271,7 +271,7 @@
                 Event::Again(key) => self.comes(key, said),
                 Event::Node(link, word) => {
                     if let Some((who, node)) = self.links.get(&link)
-                        && self.reach[node.0 as usize] == Reach::Open
+                        && self.reach[node.0 as usize] == Reachability::Open
                     {
                         said.push((*who, ToBalancer::NodeSays(link, word)));
                     }
@@ -287,18 +287,19 @@
         self.now = now;
     }
 
-    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, _: &mut Said) {
+    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, _: &mut Commands) {
         match what {
             FromBalancer::Link { link, node, .. } => {
                 self.links.insert(link, (who, node));
-                let shut = matches!(self.reach[node.0 as usize], Reach::Refused | Reach::Silent);
+                let shut =
+                    matches!(self.reach[node.0 as usize], Reachability::Refused | Reachability::Silent);
                 self.tally.through_shut += u64::from(shut);
                 if let Some(count) = self.tally.since_back.get_mut(&node.0) {
                     *count += 1;
                 }
             }
-            FromBalancer::Forward { link, .. } => self.at(now + SET_UP, Event::Node(link, NodeWord::Up)),
-            FromBalancer::Probe(link) => self.at(now + MS, Event::Node(link, NodeWord::Pong)),
+            FromBalancer::Forward { link, .. } => self.at(now + SET_UP, Event::Node(link, NodeMessage::Up)),
+            FromBalancer::Probe(link) => self.at(now + MS, Event::Node(link, NodeMessage::Pong)),
             FromBalancer::EndLink(link, _) => {
                 self.links.remove(&link);
             }
@@ -343,11 +344,11 @@
         }
     }
 
-    fn reach(&self, node: NodeId) -> Reach {
+    fn reach(&self, node: NodeId) -> Reachability {
         self.reach[node.0 as usize]
     }
 
-    fn standing(&mut self) -> Vec<(BalancerId, Ask)> {
+    fn standing(&mut self) -> Vec<(BalancerId, RequestLine)> {
         let (balancers, nodes) = (self.posts.len() as u32, self.reach.len() as u32);
         let count = self.standing;
         let stands = |i: u32| {
--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -1,23 +1,25 @@
 //! Composes the audit: each fact goes to the parts that it concerns, and what they find goes into the verdict.
 
-use super::judging::Judging;
-use super::lists::Told;
-use super::nodes::{Nodes, Pushed};
+use super::judging::AuditTolerances;
+use super::lists::NotifiedLists;
+use super::nodes::{Nodes, Overload};
 use super::request::{Finding, Over, Request};
-use super::standing::Standing;
-use super::table::{Conn, Link, Look, Table};
+use super::standing::EstablishedConnection;
+use super::table::{Check, Conn, Link, Table};
 use super::trace::{What, secs, together};
-use super::verdict::{Case, Excuse, Reason, Verdict};
-use super::{Garble, Seen, Way};
+use super::verdict::{Case, Exemption, Reason, Verdict};
+use super::{Corruption, Direction, Observation};
 use crate::day::Day;
-use crate::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeWord, ToBalancer};
+use crate::edge::{
+    Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, RequestLine, ToBalancer,
+};
 use shorewharf_units::Micros;
 
 /// Judges a run as it goes. Feed it what happens in order of time, then ask for its verdict.
 #[derive(Debug)]
 pub struct Auditor {
-    judging: Judging,
-    told: Told,
+    judging: AuditTolerances,
+    told: NotifiedLists,
     nodes: Nodes,
     table: Table,
     /// By balancer: SIGTERM has gone to it.
@@ -29,48 +31,50 @@
 
 impl Auditor {
     /// An auditor of one run of this day.
-    pub fn new(day: &Day, judging: Judging) -> Self {
+    pub fn new(day: &Day, judging: AuditTolerances) -> Self {
         let leaving = vec![false; day.balancers.len()];
-        let (told, nodes, table) = (Told::default(), Nodes::default(), Table::default());
+        let (told, nodes, table) = (NotifiedLists::default(), Nodes::default(), Table::default());
         Auditor { judging, told, nodes, table, leaving, now: 0, verdict: Verdict::default() }
     }
 
     /// Takes a fact in. Time does not go back: on sockets what the world planned is told a little after it was due, and
     /// what was read meanwhile came first.
-    pub fn see(&mut self, now: Micros, seen: Seen<'_>) {
+    pub fn see(&mut self, now: Micros, seen: Observation<'_>) {
         let now = now.max(self.now);
         self.now = now;
         self.looks(now);
         match seen {
-            Seen::To(by, to) => self.comes(now, by, to),
-            Seen::From(by, from) => self.does(now, by, from),
-            Seen::Listed(entry) => {
+            Observation::To(by, to) => self.comes(now, by, to),
+            Observation::From(by, from) => self.does(now, by, from),
+            Observation::Listed(entry) => {
                 self.told.listed(now, entry);
                 self.nodes.of(entry.node).ring.note(now, What::Listed(entry.stage));
             }
-            Seen::Node(node, health) => self.nodes.is(now, node, health),
-            Seen::Reached { by, link, node, weight, cold } => {
+            Observation::Node(node, health) => self.nodes.is(now, node, health),
+            Observation::Reached { by, link, node, weight, cold } => {
                 let knew = self.knew(now, by, link, node);
                 if let Some(pushed) = self.nodes.reached(now, (node, by), (weight, cold), knew, &self.judging)
                 {
                     self.pushed_over(now, node, pushed);
                 }
             }
-            Seen::Sent { by, link, node, conn, first } => self.begins(now, first, by, link, node, conn),
-            Seen::Stands { by, conn, link, node } => self.stands(now, by, conn, link, node),
-            Seen::Missed(by, id) => {
+            Observation::Sent { by, link, node, conn, first } => {
+                self.begins(now, first, by, link, node, conn)
+            }
+            Observation::Stands { by, conn, link, node } => self.stands(now, by, conn, link, node),
+            Observation::Missed(by, id) => {
                 let case = Case { reason: Reason::NotCarried, at: now, by, conn: Some(id), node: None };
                 self.verdict.add(case, String::new(), Vec::new);
             }
-            Seen::Passed(conn, way) => self.passed(now, conn, way),
-            Seen::Garbled(conn, garble) => {
+            Observation::Passed(conn, way) => self.passed(now, conn, way),
+            Observation::Garbled(conn, garble) => {
                 let reason = match garble {
-                    Garble::MoveInLine => Reason::MoveInLine,
-                    Garble::Changed => Reason::LineChanged,
+                    Corruption::MoveInLine => Reason::MoveInLine,
+                    Corruption::Changed => Reason::LineChanged,
                 };
-                self.found(conn, Finding::Break(reason, now, String::new()));
+                self.found(conn, Finding::RuleViolation(reason, now, String::new()));
             }
-            Seen::Bad(by, id) => {
+            Observation::Bad(by, id) => {
                 self.table.open(id, Conn::new(by, Request::new(Micros::MAX / 2, false)));
                 if let Some(conn) = self.table.conn(id) {
                     conn.bad = true;
@@ -176,7 +180,7 @@
         }
         match finding {
             Finding::Let(why) => self.verdict.excuse(why),
-            Finding::Break(reason, at, detail) => {
+            Finding::RuleViolation(reason, at, detail) => {
                 conn.judged = true;
                 let node = conn.standing.as_ref().map(|s| s.node);
                 let case = Case { reason, at, by: conn.by, conn: Some(id), node };
@@ -193,9 +197,9 @@
         }
     }
 
-    fn pushed_over(&mut self, now: Micros, node: NodeId, pushed: Pushed) {
+    fn pushed_over(&mut self, now: Micros, node: NodeId, pushed: Overload) {
         if !pushed.knowingly() {
-            return self.verdict.excuse(Excuse::PushedOverUnknowing);
+            return self.verdict.excuse(Exemption::PushedOverUnknowing);
         }
         let shares: Vec<String> =
             pushed.shares.iter().map(|(b, sent)| format!("{}: {sent:.3}", b.0)).collect();
@@ -215,21 +219,21 @@
     fn looks(&mut self, now: Micros) {
         while let Some((at, id, look)) = self.table.due(now) {
             let Some(conn) = self.table.conn(id) else { continue };
-            if look == Look::Forget {
+            if look == Check::Forget {
                 self.table.forget(id);
                 continue;
             }
             let finding = match (look, conn.standing.as_ref()) {
-                (Look::Doubt, _) => conn.doubt.take().map(|f| *f),
-                (Look::Copy(link, sent), _) => conn.request.second_copy(link, sent),
+                (Check::Doubt, _) => conn.doubt.take().map(|f| *f),
+                (Check::Copy(link, sent), _) => conn.request.second_copy(link, sent),
                 (_, None) => None,
-                (Look::ToNode, Some(s)) if !self.nodes.of(s.node).sound_for(at, self.judging.held) => None,
-                (Look::ToNode, Some(s)) => s.held_back(at, conn.to_node.waiting(), &self.judging),
-                (Look::ToClient, Some(s)) => s.held_back(at, conn.to_client.waiting(), &self.judging),
-                (Look::Quiet, Some(s)) => s.silent(at, self.nodes.of(s.node), &self.judging),
-                (Look::NodeEnded, Some(s)) => s.outlives(at, &self.judging),
-                (Look::Severed, Some(s)) => s.hangs(at, &self.judging),
-                (Look::Forget, _) => None,
+                (Check::ToNode, Some(s)) if !self.nodes.of(s.node).sound_for(at, self.judging.held) => None,
+                (Check::ToNode, Some(s)) => s.held_back(at, conn.to_node.waiting(), &self.judging),
+                (Check::ToClient, Some(s)) => s.held_back(at, conn.to_client.waiting(), &self.judging),
+                (Check::Quiet, Some(s)) => s.silent(at, self.nodes.of(s.node), &self.judging),
+                (Check::NodeEnded, Some(s)) => s.outlives(at, &self.judging),
+                (Check::Severed, Some(s)) => s.hangs(at, &self.judging),
+                (Check::Forget, _) => None,
             };
             match finding {
                 Some(finding) => self.found(id, finding),
@@ -244,9 +248,9 @@
         let Some(standing) = conn.standing.as_ref().filter(|s| s.carries()) else { return };
         let held = self.judging.held;
         let due = [
-            (Look::ToNode, conn.to_node.waiting().map(|t| t + held)),
-            (Look::ToClient, conn.to_client.waiting().map(|t| t + held)),
-            (Look::Quiet, standing.quiet.map(|t| t + self.judging.silent)),
+            (Check::ToNode, conn.to_node.waiting().map(|t| t + held)),
+            (Check::ToClient, conn.to_client.waiting().map(|t| t + held)),
+            (Check::Quiet, standing.quiet.map(|t| t + self.judging.silent)),
         ];
         for (look, at) in due {
             // What is past was looked at and let pass; it comes again when it moves on.
@@ -258,7 +262,7 @@
 
     // Requests and attempts.
 
-    fn asked(&mut self, now: Micros, by: BalancerId, ask: &Ask, left: Micros) {
+    fn asked(&mut self, now: Micros, by: BalancerId, ask: &RequestLine, left: Micros) {
         let mut conn = Conn::new(by, Request::new(now + left, ask.home.is_some()));
         conn.ring.note(now, What::Asked { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) });
         self.verdict.counts.taken += u64::from(self.table.open(ask.conn, conn));
@@ -290,14 +294,14 @@
         let many = conn.request.tried(now, judging);
         let second = conn.request.goes_out(now, link);
         let finding = match over {
-            true => Some(Finding::Break(Reason::SentAfterEnd, now, format!("to node {}", node.0))),
+            true => Some(Finding::RuleViolation(Reason::SentAfterEnd, now, format!("to node {}", node.0))),
             false if second && judging.overlap == 0 => conn.request.second_copy(link, now),
             false => many,
         };
         self.table.link(by, link, Link::new(id, node, knew));
         match finding {
             Some(finding) => self.found(id, finding),
-            None if second => self.table.book(now + self.judging.overlap, id, Look::Copy(link, now)),
+            None if second => self.table.book(now + self.judging.overlap, id, Check::Copy(link, now)),
             None => {}
         }
     }
@@ -314,7 +318,7 @@
     fn stands(&mut self, now: Micros, by: BalancerId, id: ConnId, link: LinkId, node: NodeId) {
         let mut conn = Conn::new(by, Request::new(now, true));
         conn.request.stands(now, link);
-        conn.standing = Some(Standing::new(link, node));
+        conn.standing = Some(EstablishedConnection::new(link, node));
         conn.ring.note(now, What::Stands(node));
         if self.table.open(id, conn) {
             self.table.link(by, link, Link { up: true, ..Link::new(id, node, false) });
@@ -344,7 +348,7 @@
         conn.ring.note(now, What::answered(answer));
         if conn.bad {
             if let Answer::Up(_) | Answer::Forged = answer {
-                self.found(id, Finding::Break(Reason::ServedBad, now, String::new()));
+                self.found(id, Finding::RuleViolation(Reason::ServedBad, now, String::new()));
             }
             return;
         }
@@ -360,7 +364,7 @@
         let finding = match (answer, &made) {
             (Answer::Up(_) | Answer::Forged, None) => {
                 conn.request.answered = conn.request.answered.or(Some(now));
-                Some(Finding::Break(Reason::Forged, now, String::from("no node said UP for it")))
+                Some(Finding::RuleViolation(Reason::Forged, now, String::from("no node said UP for it")))
             }
             _ => conn.request.answer(now, &self.judging),
         };
@@ -370,13 +374,13 @@
             Answer::Err | Answer::Move | Answer::Other => self.verdict.counts.failed += 1,
         }
         if let (Answer::Up(link), Some(made), None) = (answer, made, &conn.standing) {
-            let mut standing = Standing::new(link, made.node);
+            let mut standing = EstablishedConnection::new(link, made.node);
             (standing.node_ended, standing.severed) = (made.node_ended, made.ended);
             let (node_ended, severed) = (standing.node_ended, standing.severed);
             conn.standing = Some(standing);
             let held = self.judging.held;
-            node_ended.into_iter().for_each(|t| self.table.book(t.max(now) + held, id, Look::NodeEnded));
-            severed.into_iter().for_each(|t| self.table.book(t.max(now) + held, id, Look::Severed));
+            node_ended.into_iter().for_each(|t| self.table.book(t.max(now) + held, id, Check::NodeEnded));
+            severed.into_iter().for_each(|t| self.table.book(t.max(now) + held, id, Check::Severed));
             self.book_moving(now, id);
         } else if conn.standing.is_none() {
             self.table.ends(now, id);
@@ -386,15 +390,21 @@
         }
     }
 
-    fn node_says(&mut self, now: Micros, by: BalancerId, id: LinkId, word: NodeWord) {
+    fn node_says(&mut self, now: Micros, by: BalancerId, id: LinkId, word: NodeMessage) {
         let Some((link, conn)) = self.table.both(by, id) else { return };
         let of = link.conn;
         match word {
-            NodeWord::Up => link.up = true,
-            NodeWord::Busy | NodeWord::Err | NodeWord::Move | NodeWord::Bye => conn.request.comes_in(id),
+            NodeMessage::Up => link.up = true,
+            NodeMessage::Busy | NodeMessage::Err | NodeMessage::Move | NodeMessage::Bye => {
+                conn.request.comes_in(id)
+            }
             // Nonsense in place of an answer ends the attempt, too.
-            NodeWord::Junk if !link.up => conn.request.comes_in(id),
-            NodeWord::Load(_) | NodeWord::Delay(_) | NodeWord::Reply | NodeWord::Pong | NodeWord::Junk => {
+            NodeMessage::Junk if !link.up => conn.request.comes_in(id),
+            NodeMessage::Load(_)
+            | NodeMessage::Delay(_)
+            | NodeMessage::Reply
+            | NodeMessage::Pong
+            | NodeMessage::Junk => {
                 // Lines of a standing connection: they would crowd out what tells.
                 if self.judging.lines {
                     conn.to_client.enter(now);
@@ -415,7 +425,7 @@
         let of = link.conn;
         if let Some(standing) = conn.standing.as_mut().filter(|s| s.link == id && s.carries()) {
             standing.node_ended = Some(now);
-            self.table.book(now + self.judging.held, of, Look::NodeEnded);
+            self.table.book(now + self.judging.held, of, Check::NodeEnded);
         }
     }
 
@@ -427,7 +437,7 @@
         let of = link.conn;
         if let Some(standing) = conn.standing.as_mut().filter(|s| s.link == id && s.carries()) {
             standing.severed = standing.severed.or(Some(now));
-            self.table.book(now + self.judging.held, of, Look::Severed);
+            self.table.book(now + self.judging.held, of, Check::Severed);
         }
     }
 
@@ -443,11 +453,11 @@
         self.book_moving(now, id);
     }
 
-    fn passed(&mut self, now: Micros, id: ConnId, way: Way) {
+    fn passed(&mut self, now: Micros, id: ConnId, way: Direction) {
         let Some(conn) = self.table.conn(id) else { return };
         match way {
-            Way::ToNode => conn.to_node.leave(now),
-            Way::ToClient => {
+            Direction::ToNode => conn.to_node.leave(now),
+            Direction::ToClient => {
                 conn.to_client.leave(now);
                 if let Some(standing) = &mut conn.standing {
                     standing.quiet = None;
@@ -498,7 +508,7 @@
         conn.doubt = finding.map(Box::new).or(conn.doubt.take());
         match self.judging.process {
             0 => self.no_doubt(id),
-            while_in_doubt => self.table.book(now + while_in_doubt, id, Look::Doubt),
+            while_in_doubt => self.table.book(now + while_in_doubt, id, Check::Doubt),
         }
     }
 
@@ -526,7 +536,7 @@
             let held = self.table.conn(id).and_then(|c| c.standing.as_ref()).and_then(|s| s.at_kill(now));
             match held {
                 Some(finding) if planned => self.found(id, finding),
-                Some(_) => self.verdict.excuse(Excuse::Killed),
+                Some(_) => self.verdict.excuse(Exemption::Killed),
                 None => {}
             }
             self.dead(now, id);
--- a/crates/emulator/src/audit/judging.rs
+++ b/crates/emulator/src/audit/judging.rs
@@ -18,7 +18,7 @@
 
 /// The figures that an [`super::Auditor`] goes by. All times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judging {
+pub struct AuditTolerances {
     /// An answer so long after the deadline is in time.
     pub answer_slack: Micros,
     /// What the balancer can't know yet: a client's end, read so much later than it happened.
@@ -54,10 +54,10 @@
     pub unsent_breaks: bool,
 }
 
-impl Judging {
+impl AuditTolerances {
     /// In virtual time: the rules as they are worded for the simulator.
     pub fn virtual_time(day: &Day) -> Self {
-        Judging {
+        AuditTolerances {
             answer_slack: day.rules.answer_slack,
             learn: 0,
             overlap: 0,
@@ -81,13 +81,17 @@
     /// time runs out has failed and is not lost, and neither is one whose connection the balancer closes before it has
     /// sent anything on for it.
     pub fn sockets(day: &Day) -> Self {
-        Judging { overdue_breaks: false, unsent_breaks: false, ..Judging::sockets_strict(day) }
+        AuditTolerances {
+            overdue_breaks: false,
+            unsent_breaks: false,
+            ..AuditTolerances::sockets_strict(day)
+        }
     }
 
     /// On sockets, without these exceptions.
     pub fn sockets_strict(day: &Day) -> Self {
-        let rules = Judging::virtual_time(day);
-        Judging {
+        let rules = AuditTolerances::virtual_time(day);
+        AuditTolerances {
             answer_slack: rules.answer_slack + SOCKETS_EXTRA,
             learn: SOCKETS_EXTRA,
             overlap: SOCKETS_EXTRA,
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -5,7 +5,7 @@
 //! long ago; and on sockets of whatever was listed some seconds ago, whether it arrived or not. A new process has been
 //! told nothing yet: the list that it starts from names nodes, but it may be old and is no news of an end.
 
-use super::judging::Judging;
+use super::judging::AuditTolerances;
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
 use shorewharf_units::Micros;
 
@@ -16,7 +16,7 @@
 
 /// What one balancer was told of one node.
 #[derive(Clone, Copy, Debug, Default)]
-struct Word {
+struct NodeNotice {
     /// Its list has named it.
     named: bool,
     /// Told that it drains or is gone, and not since that it is ready.
@@ -27,7 +27,7 @@
 
 /// What one balancer has heard, and how it listens.
 #[derive(Clone, Debug, Default)]
-struct Hearing {
+struct BalancerView {
     started: Micros,
     watching: bool,
     /// When it last asked, or its watch ended.
@@ -35,14 +35,14 @@
     /// The last call failed.
     failed: bool,
     reloaded: Option<Micros>,
-    words: Vec<Word>,
+    words: Vec<NodeNotice>,
 }
 
-impl Hearing {
-    fn word(&mut self, node: NodeId) -> &mut Word {
+impl BalancerView {
+    fn word(&mut self, node: NodeId) -> &mut NodeNotice {
         let place = node.0 as usize;
         if self.words.len() <= place {
-            self.words.resize(place + 1, Word::default());
+            self.words.resize(place + 1, NodeNotice::default());
         }
         &mut self.words[place]
     }
@@ -59,8 +59,8 @@
 
 /// The list, and what each balancer was told of it.
 #[derive(Debug, Default)]
-pub(super) struct Told {
-    hearing: Vec<Hearing>,
+pub(super) struct NotifiedLists {
+    hearing: Vec<BalancerView>,
     listing: Vec<Listing>,
 }
 
@@ -72,10 +72,10 @@
     &mut table[place]
 }
 
-impl Told {
+impl NotifiedLists {
     pub fn started(&mut self, now: Micros, by: BalancerId, known: &[Listed]) {
         let hearing = at(&mut self.hearing, by.0);
-        *hearing = Hearing { started: now, asked: now, ..Hearing::default() };
+        *hearing = BalancerView { started: now, asked: now, ..BalancerView::default() };
         for entry in known {
             let word = hearing.word(entry.node);
             word.named = true;
@@ -138,13 +138,19 @@
         self.word(by, node).named
     }
 
-    fn word(&self, by: BalancerId, node: NodeId) -> Word {
+    fn word(&self, by: BalancerId, node: NodeId) -> NodeNotice {
         let words = self.hearing.get(by.0 as usize).map(|h| h.words.as_slice()).unwrap_or_default();
         words.get(node.0 as usize).copied().unwrap_or_default()
     }
 
     /// When a balancer counts as told of what was listed then, were it never written to it; none while it needn't.
-    fn counts_from(&self, now: Micros, by: BalancerId, listed: Micros, judging: &Judging) -> Option<Micros> {
+    fn counts_from(
+        &self,
+        now: Micros,
+        by: BalancerId,
+        listed: Micros,
+        judging: &AuditTolerances,
+    ) -> Option<Micros> {
         let hearing = self.hearing.get(by.0 as usize)?;
         let wait = judging.ask_within * if hearing.failed { AFTER_FAILURE } else { 1 };
         let neglect = (!hearing.watching && now.saturating_sub(hearing.asked) >= wait)
@@ -159,7 +165,13 @@
     }
 
     /// Since when a balancer was told, or counts as told, that a node drains or is gone.
-    pub fn off_since(&self, now: Micros, by: BalancerId, node: NodeId, judging: &Judging) -> Option<Micros> {
+    pub fn off_since(
+        &self,
+        now: Micros,
+        by: BalancerId,
+        node: NodeId,
+        judging: &AuditTolerances,
+    ) -> Option<Micros> {
         let listed = self.listing.get(node.0 as usize).and_then(|l| l.off);
         let counts = listed.and_then(|listed| self.counts_from(now, by, listed, judging));
         [self.word(by, node).off, counts].into_iter().flatten().min()
@@ -172,7 +184,7 @@
         by: BalancerId,
         node: NodeId,
         started: Micros,
-        judging: &Judging,
+        judging: &AuditTolerances,
     ) -> bool {
         let is_it = |born: Micros| born + BORN_ROUNDING > started;
         if self.word(by, node).born.is_some_and(is_it) {
--- a/crates/emulator/src/audit/mod.rs
+++ b/crates/emulator/src/audit/mod.rs
@@ -1,6 +1,6 @@
 //! The auditor: it sees only what went over the connections and what the other parties know, and judges the rules.
 //!
-//! It takes its facts from whoever plays the world, in virtual time or on sockets, as [`Seen`], with the time as an
+//! It takes its facts from whoever plays the world, in virtual time or on sockets, as [`Observation`], with the time as an
 //! argument. It does no I/O, reads no clock and draws nothing, so the same history gets the same verdict. What is
 //! kept of a connection is a small record and a dozen steps, and it is let go of soon after the connection's end.
 
@@ -17,9 +17,9 @@
 mod verdict;
 
 pub use auditor::Auditor;
-pub use judging::Judging;
-pub use trace::Noted;
-pub use verdict::{Break, Counts, Excuse, Reason, Rule, Verdict};
+pub use judging::AuditTolerances;
+pub use trace::TraceEntry;
+pub use verdict::{Counts, Exemption, Reason, Rule, RuleViolation, Verdict};
 
 use crate::edge::{BalancerId, ConnId, FromBalancer, LinkId, Listed, NodeId, ToBalancer};
 use shorewharf_units::Micros;
@@ -53,7 +53,7 @@
 
 /// Which way a line goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the client to its node.
     ToNode,
     /// From the node to its client.
@@ -62,7 +62,7 @@
 
 /// What a client read that nobody should have written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Garble {
+pub enum Corruption {
     /// `MOVE` after a part of a line.
     MoveInLine,
     /// A line other than its node wrote it.
@@ -71,7 +71,7 @@
 
 /// A fact, as it is seen from outside the balancers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen<'a> {
+pub enum Observation<'a> {
     /// This reaches a balancer (on sockets: it has been written to it).
     To(BalancerId, &'a ToBalancer),
     /// A balancer does this (on sockets: it has been read from it).
@@ -121,9 +121,9 @@
         first: Micros,
     },
     /// Sockets: a line of a standing connection has come out at its other end.
-    Passed(ConnId, Way),
+    Passed(ConnId, Direction),
     /// Sockets: a client has read what nobody should have written.
-    Garbled(ConnId, Garble),
+    Garbled(ConnId, Corruption),
     /// Sockets: a bad client's connection, on which only being served is a break.
     Bad(BalancerId, ConnId),
 }
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::Health;
-use super::judging::Judging;
+use super::judging::AuditTolerances;
 use super::trace::{Ring, What};
 use crate::edge::{BalancerId, NodeId};
 
@@ -26,7 +26,7 @@
 
 /// One node.
 #[derive(Clone, Debug, Default)]
-pub(super) struct NodeSeen {
+pub(super) struct ObservedNode {
     health: Option<Health>,
     /// Since when it answers again after it was silent or cut off.
     well_since: Option<Micros>,
@@ -40,7 +40,7 @@
 
 /// A cold node that was sent too much.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Pushed {
+pub(super) struct Overload {
     /// What it was sent within the window, and what it could have borne, in its own unit.
     pub sent: f64,
     pub budget: f64,
@@ -52,14 +52,14 @@
     pub shares: Vec<(BalancerId, f64)>,
 }
 
-impl Pushed {
+impl Overload {
     /// Whether the balancers are to blame.
     pub fn knowingly(&self) -> bool {
         self.knew >= KNEW * self.sent
     }
 }
 
-impl NodeSeen {
+impl ObservedNode {
     fn is(&mut self, now: Micros, health: Health) {
         self.ring.note(now, What::Is(health));
         match health {
@@ -95,8 +95,8 @@
         weight: f64,
         able: f64,
         knew: bool,
-        judging: &Judging,
-    ) -> Option<Pushed> {
+        judging: &AuditTolerances,
+    ) -> Option<Overload> {
         if self.over {
             return None;
         }
@@ -121,19 +121,19 @@
         }
         shares.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         let knew = self.window.iter().map(|l| l.knew).sum();
-        Some(Pushed { sent, budget, knew, by: shares[0].0, shares })
+        Some(Overload { sent, budget, knew, by: shares[0].0, shares })
     }
 }
 
 /// All nodes.
 #[derive(Debug, Default)]
-pub(super) struct Nodes(Vec<NodeSeen>);
+pub(super) struct Nodes(Vec<ObservedNode>);
 
 impl Nodes {
-    pub fn of(&mut self, node: NodeId) -> &mut NodeSeen {
+    pub fn of(&mut self, node: NodeId) -> &mut ObservedNode {
         let place = node.0 as usize;
         if self.0.len() <= place {
-            self.0.resize(place + 1, NodeSeen::default());
+            self.0.resize(place + 1, ObservedNode::default());
         }
         &mut self.0[place]
     }
@@ -142,15 +142,15 @@
         self.of(node).is(now, health);
     }
 
-    /// See [`NodeSeen::reached`]; a warm node (`able` is none) forgets what it was sent.
+    /// See [`ObservedNode::reached`]; a warm node (`able` is none) forgets what it was sent.
     pub fn reached(
         &mut self,
         now: Micros,
         (node, by): (NodeId, BalancerId),
         (weight, able): (f64, Option<f64>),
         knew: bool,
-        judging: &Judging,
-    ) -> Option<Pushed> {
+        judging: &AuditTolerances,
+    ) -> Option<Overload> {
         let seen = self.of(node);
         match able {
             Some(able) => seen.reached(now, by, weight, able, knew, judging),
--- a/crates/emulator/src/audit/request.rs
+++ b/crates/emulator/src/audit/request.rs
@@ -1,8 +1,8 @@
 //! One request until its answer, and its attempts: the first two rules.
 
-use super::judging::Judging;
+use super::judging::AuditTolerances;
 use super::trace::secs;
-use super::verdict::{Excuse, Reason};
+use super::verdict::{Exemption, Reason};
 use crate::edge::LinkId;
 use shorewharf_units::Micros;
 
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Finding {
     /// A break, when it became one, and its figures.
-    Break(Reason, Micros, String),
+    RuleViolation(Reason, Micros, String),
     /// What looks like one and is let pass.
-    Let(Excuse),
+    Let(Exemption),
 }
 
 /// Why no answer can come any more.
@@ -50,10 +50,10 @@
     }
 
     /// A final answer, whatever it says.
-    pub fn answer(&mut self, now: Micros, judging: &Judging) -> Option<Finding> {
+    pub fn answer(&mut self, now: Micros, judging: &AuditTolerances) -> Option<Finding> {
         if let Some(first) = self.answered {
             let detail = format!("{} after its first answer", secs(now - first));
-            return Some(Finding::Break(Reason::SecondAnswer, now, detail));
+            return Some(Finding::RuleViolation(Reason::SecondAnswer, now, detail));
         }
         self.answered = Some(now);
         if now <= self.deadline + judging.answer_slack {
@@ -63,16 +63,16 @@
         Some(self.overdue(Reason::LateAnswer, now, detail, judging))
     }
 
-    fn overdue(&self, reason: Reason, at: Micros, detail: String, judging: &Judging) -> Finding {
+    fn overdue(&self, reason: Reason, at: Micros, detail: String, judging: &AuditTolerances) -> Finding {
         match judging.overdue_breaks || self.carried {
-            true => Finding::Break(reason, at, detail),
-            false => Finding::Let(Excuse::Overdue),
+            true => Finding::RuleViolation(reason, at, detail),
+            false => Finding::Let(Exemption::Overdue),
         }
     }
 
     /// No answer can come any more. The client's own patience counts up to its deadline: a client that leaves sooner
     /// is owed nothing, one that leaves then was not answered.
-    pub fn over(&self, now: Micros, how: Over, judging: &Judging) -> Option<Finding> {
+    pub fn over(&self, now: Micros, how: Over, judging: &AuditTolerances) -> Option<Finding> {
         if self.answered.is_some() {
             return None;
         }
@@ -82,24 +82,29 @@
             return Some(self.overdue(Reason::NoAnswer, due.min(now), detail, judging));
         }
         let reason = match how {
-            Over::ClientLeft => return Some(Finding::Let(Excuse::ClientLeft)),
-            Over::Killed => return Some(Finding::Let(Excuse::Killed)),
+            Over::ClientLeft => return Some(Finding::Let(Exemption::ClientLeft)),
+            Over::Killed => return Some(Finding::Let(Exemption::Killed)),
             Over::End => return None,
             Over::Cut => Reason::EndedUnanswered,
             Over::PlannedKill => Reason::HeldUnanswered,
         };
         if self.tries == 0 && !judging.unsent_breaks && !self.carried {
-            return Some(Finding::Let(Excuse::ClosedUnsent));
+            return Some(Finding::Let(Exemption::ClosedUnsent));
         }
         let left = secs((self.deadline).saturating_sub(now));
-        Some(Finding::Break(reason, now, format!("{} attempts, {left} before the deadline", self.tries)))
+        Some(Finding::RuleViolation(
+            reason,
+            now,
+            format!("{} attempts, {left} before the deadline", self.tries),
+        ))
     }
 
     /// An attempt more.
-    pub fn tried(&mut self, now: Micros, judging: &Judging) -> Option<Finding> {
+    pub fn tried(&mut self, now: Micros, judging: &AuditTolerances) -> Option<Finding> {
         self.tries += 1;
         let detail = || format!("attempt {} of {} allowed", self.tries, judging.max_attempts);
-        (self.tries > judging.max_attempts).then(|| Finding::Break(Reason::TooManyAttempts, now, detail()))
+        (self.tries > judging.max_attempts)
+            .then(|| Finding::RuleViolation(Reason::TooManyAttempts, now, detail()))
     }
 
     /// It stood before anything was seen of it.
@@ -123,6 +128,6 @@
     pub fn second_copy(&self, link: LinkId, sent: Micros) -> Option<Finding> {
         let (_, since) = self.out.iter().take_while(|(l, _)| *l != link).find(|(_, since)| *since <= sent)?;
         let detail = format!("the earlier one had been out for {}", secs(sent - since));
-        Some(Finding::Break(Reason::SecondCopy, sent, detail))
+        Some(Finding::RuleViolation(Reason::SecondCopy, sent, detail))
     }
 }
--- a/crates/emulator/src/audit/standing.rs
+++ b/crates/emulator/src/audit/standing.rs
@@ -1,10 +1,10 @@
 //! One standing connection, from the client's `UP` to its end: which ones are lost.
 
-use super::judging::Judging;
-use super::nodes::NodeSeen;
+use super::judging::AuditTolerances;
+use super::nodes::ObservedNode;
 use super::request::Finding;
 use super::trace::secs;
-use super::verdict::{Excuse, Reason};
+use super::verdict::{Exemption, Reason};
 use crate::edge::{LinkId, NodeId};
 use shorewharf_units::Micros;
 
@@ -40,7 +40,7 @@
 
 /// A connection that stands.
 #[derive(Clone, Debug)]
-pub(super) struct Standing {
+pub(super) struct EstablishedConnection {
     pub link: LinkId,
     pub node: NodeId,
     /// The balancer has sent `MOVE`.
@@ -57,10 +57,10 @@
     pub quiet: Option<Micros>,
 }
 
-impl Standing {
+impl EstablishedConnection {
     pub fn new(link: LinkId, node: NodeId) -> Self {
         let (moved, left, cut) = (false, false, false);
-        Standing { link, node, moved, left, cut, node_ended: None, severed: None, quiet: None }
+        EstablishedConnection { link, node, moved, left, cut, node_ended: None, severed: None, quiet: None }
     }
 
     /// The balancer owes the client something: it has neither left nor been moved or cut off.
@@ -74,56 +74,67 @@
     }
 
     /// The balancer cuts the client off. `planned`: after SIGTERM.
-    pub fn cut_off(&self, now: Micros, node: &NodeSeen, planned: bool, judging: &Judging) -> Option<Finding> {
+    pub fn cut_off(
+        &self,
+        now: Micros,
+        node: &ObservedNode,
+        planned: bool,
+        judging: &AuditTolerances,
+    ) -> Option<Finding> {
         if !self.carries() {
             return None;
         }
         // One that has returned nothing for as long as a line may be held is as good as silent.
         let quiet = self.quiet.is_some_and(|since| now - since >= judging.held);
         if quiet || !node.sound_for(now, JUST_BACK) {
-            return Some(Finding::Let(Excuse::ServerSilent));
+            return Some(Finding::Let(Exemption::ServerSilent));
         }
         let reason = if planned { Reason::CutOffAtRestart } else { Reason::CutOff };
-        Some(Finding::Break(reason, now, String::from("its server answered")))
+        Some(Finding::RuleViolation(reason, now, String::from("its server answered")))
     }
 
     /// SIGKILL at the end of a planned restart.
     pub fn at_kill(&self, now: Micros) -> Option<Finding> {
         self.carries()
-            .then(|| Finding::Break(Reason::HeldAtKill, now, String::from("neither ended nor moved")))
+            .then(|| Finding::RuleViolation(Reason::HeldAtKill, now, String::from("neither ended nor moved")))
     }
 
     /// A second after the node ended the link.
-    pub fn outlives(&self, now: Micros, judging: &Judging) -> Option<Finding> {
+    pub fn outlives(&self, now: Micros, judging: &AuditTolerances) -> Option<Finding> {
         let ended = self.node_ended.filter(|_| self.held())?;
         let detail = format!("its server had ended it {} before", secs(now - ended));
-        (ended + judging.held <= now).then_some(Finding::Break(Reason::EndedKept, now, detail))
+        (ended + judging.held <= now).then_some(Finding::RuleViolation(Reason::EndedKept, now, detail))
     }
 
     /// A second after the balancer ended the link.
-    pub fn hangs(&self, now: Micros, judging: &Judging) -> Option<Finding> {
+    pub fn hangs(&self, now: Micros, judging: &AuditTolerances) -> Option<Finding> {
         let severed = self.severed.filter(|_| self.carries())?;
         let detail = format!("the balancer had ended its link {} before", secs(now - severed));
-        (severed + judging.held <= now).then_some(Finding::Break(Reason::SeveredKept, now, detail))
+        (severed + judging.held <= now).then_some(Finding::RuleViolation(Reason::SeveredKept, now, detail))
     }
 
     /// Seven seconds after the first line that got nothing back.
-    pub fn silent(&self, now: Micros, node: &NodeSeen, judging: &Judging) -> Option<Finding> {
+    pub fn silent(&self, now: Micros, node: &ObservedNode, judging: &AuditTolerances) -> Option<Finding> {
         let since = self.quiet.filter(|_| self.carries() && self.severed.is_none())?;
         if since + judging.silent > now {
             return None;
         }
         if !node.runs() {
-            return Some(Finding::Let(Excuse::ServerUnreachable));
+            return Some(Finding::Let(Exemption::ServerUnreachable));
         }
         let detail = format!("nothing came back for {}", secs(now - since));
-        Some(Finding::Break(Reason::SilentKept, now, detail))
+        Some(Finding::RuleViolation(Reason::SilentKept, now, detail))
     }
 
     /// A second after a line came in that has not gone out.
-    pub fn held_back(&self, now: Micros, waiting: Option<Micros>, judging: &Judging) -> Option<Finding> {
+    pub fn held_back(
+        &self,
+        now: Micros,
+        waiting: Option<Micros>,
+        judging: &AuditTolerances,
+    ) -> Option<Finding> {
         let since = waiting.filter(|_| self.carries() && self.severed.is_none())?;
         let detail = format!("for {}", secs(now - since));
-        (since + judging.held <= now).then_some(Finding::Break(Reason::LineHeld, now, detail))
+        (since + judging.held <= now).then_some(Finding::RuleViolation(Reason::LineHeld, now, detail))
     }
 }
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 use super::request::{Finding, Request};
-use super::standing::{Lines, Standing};
+use super::standing::{EstablishedConnection, Lines};
 use super::trace::Ring;
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
@@ -23,7 +23,7 @@
     /// A break was found on it, or its balancer died: nothing more is judged, so that one fault has one reason.
     pub judged: bool,
     pub request: Request,
-    pub standing: Option<Standing>,
+    pub standing: Option<EstablishedConnection>,
     /// The client ended it.
     pub left: Option<Micros>,
     /// The balancer ended it.
@@ -93,7 +93,7 @@
 
 /// A look at a connection that is due at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Look {
+pub(super) enum Check {
     ToNode,
     ToClient,
     Quiet,
@@ -110,7 +110,7 @@
     /// Boxed, as the table grows by doubling.
     conns: FxHashMap<ConnId, Box<Conn>>,
     links: FxHashMap<(BalancerId, LinkId), Link>,
-    looks: BinaryHeap<Reverse<(Micros, ConnId, Look)>>,
+    looks: BinaryHeap<Reverse<(Micros, ConnId, Check)>>,
 }
 
 impl Table {
@@ -160,7 +160,7 @@
     }
 
     /// Books a look. Those that move on while they wait are booked once and come again from [`Table::again`].
-    pub fn book(&mut self, at: Micros, id: ConnId, look: Look) {
+    pub fn book(&mut self, at: Micros, id: ConnId, look: Check) {
         if let Some(place) = moving(look) {
             match self.conns.get_mut(&id) {
                 Some(conn) if !conn.booked[place] => conn.booked[place] = true,
@@ -171,7 +171,7 @@
     }
 
     /// What is due before `now`: a limit is kept at its very end.
-    pub fn due(&mut self, now: Micros) -> Option<(Micros, ConnId, Look)> {
+    pub fn due(&mut self, now: Micros) -> Option<(Micros, ConnId, Check)> {
         let Reverse((at, _, _)) = self.looks.peek()?;
         if *at >= now {
             return None;
@@ -185,7 +185,7 @@
 
     /// It is over: it will be forgotten.
     pub fn ends(&mut self, now: Micros, id: ConnId) {
-        self.looks.push(Reverse((now + REMEMBERED, id, Look::Forget)));
+        self.looks.push(Reverse((now + REMEMBERED, id, Check::Forget)));
     }
 
     pub fn forget(&mut self, id: ConnId) {
@@ -199,11 +199,11 @@
     }
 }
 
-fn moving(look: Look) -> Option<usize> {
+fn moving(look: Check) -> Option<usize> {
     match look {
-        Look::ToNode => Some(0),
-        Look::ToClient => Some(1),
-        Look::Quiet => Some(2),
+        Check::ToNode => Some(0),
+        Check::ToClient => Some(1),
+        Check::Quiet => Some(2),
         _ => None,
     }
 }
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::*;
-use crate::edge::{Answer, Ask, End, NodeWord, Stage};
+use crate::edge::{Answer, End, NodeMessage, RequestLine, Stage};
 
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
@@ -18,7 +18,7 @@
 enum Fact {
     To(ToBalancer),
     From(FromBalancer),
-    Other(Seen<'static>),
+    Other(Observation<'static>),
 }
 use Fact::{From, Other, To};
 use FromBalancer as F;
@@ -33,14 +33,14 @@
         self.0.push((at, fact));
     }
 
-    fn judge(&self, judging: Judging) -> Verdict {
+    fn judge(&self, judging: AuditTolerances) -> Verdict {
         let mut order: Vec<&(Micros, Fact)> = self.0.iter().collect();
         order.sort_by_key(|(at, _)| *at);
         let mut auditor = Auditor::new(&crate::places::tests::day(3, &[0, 0]), judging);
         for (at, fact) in &order {
             match fact {
-                To(to) => auditor.see(*at, Seen::To(B, to)),
-                From(from) => auditor.see(*at, Seen::From(B, from)),
+                To(to) => auditor.see(*at, Observation::To(B, to)),
+                From(from) => auditor.see(*at, Observation::From(B, from)),
                 Other(seen) => auditor.see(*at, *seen),
             }
         }
@@ -48,9 +48,9 @@
     }
 }
 
-fn judging(sockets: bool) -> Judging {
+fn judging(sockets: bool) -> AuditTolerances {
     let day = crate::places::tests::day(3, &[0, 0]);
-    if sockets { Judging::sockets_strict(&day) } else { Judging::virtual_time(&day) }
+    if sockets { AuditTolerances::sockets_strict(&day) } else { AuditTolerances::virtual_time(&day) }
 }
 
 fn listed(node: NodeId, stage: Stage, born: Option<Micros>) -> Listed {
@@ -82,13 +82,13 @@
         let link = LinkId(self.conn.0 * 100 + self.links);
         let conn = self.conn;
         if self.sockets && self.rng.random() {
-            self.history.add(at, Other(Seen::Sent { by: B, link, node, conn, first: at - MS }));
+            self.history.add(at, Other(Observation::Sent { by: B, link, node, conn, first: at - MS }));
         }
         self.history.add(at, From(F::Link { link, node, conn: Some(conn) }));
         link
     }
 
-    fn says(&mut self, at: Micros, link: LinkId, word: NodeWord) {
+    fn says(&mut self, at: Micros, link: LinkId, word: NodeMessage) {
         self.history.add(at, To(T::NodeSays(link, word)));
     }
 
@@ -111,17 +111,17 @@
             self.history.add(line, To(T::ClientLine(self.conn)));
             if fault == Some(Reason::SilentKept) {
                 if self.sockets {
-                    self.history.add(line + MS, Other(Seen::Passed(self.conn, Way::ToNode)));
+                    self.history.add(line + MS, Other(Observation::Passed(self.conn, Direction::ToNode)));
                 }
                 continue;
             }
             let late = if fault == Some(Reason::LineHeld) { 1_200 * MS } else { 0 };
             let (there, back) = (line + self.wait(300 * MS) + late, line + 400 * MS + late);
-            self.says(back, link, NodeWord::Reply);
+            self.says(back, link, NodeMessage::Reply);
             if self.sockets {
-                self.history.add(there, Other(Seen::Passed(self.conn, Way::ToNode)));
+                self.history.add(there, Other(Observation::Passed(self.conn, Direction::ToNode)));
                 let client = back + self.wait(300 * MS);
-                self.history.add(client, Other(Seen::Passed(self.conn, Way::ToClient)));
+                self.history.add(client, Other(Observation::Passed(self.conn, Direction::ToClient)));
             }
         }
     }
@@ -131,7 +131,7 @@
         use Reason::*;
         let (conn, patience) = (self.conn, 3 * S);
         let (key, group, home) = (conn.0, 0, None);
-        let ask = Ask {
+        let ask = RequestLine {
             conn,
             key,
             class: 0,
@@ -152,7 +152,7 @@
             now += self.wait(300 * MS);
             match up {
                 0 => self.history.add(now, To(T::LinkFailed(link))),
-                1 => self.says(now, link, NodeWord::Busy),
+                1 => self.says(now, link, NodeMessage::Busy),
                 2 => self.history.add(now, To(T::NodeEnded(link, End::Reset))),
                 _ => self.history.add(now, From(F::EndLink(link, End::Fin))),
             }
@@ -191,7 +191,7 @@
             self.link(now + 10 * MS, NodeId(1));
         }
         now += 100 * MS;
-        self.says(now, link, NodeWord::Up);
+        self.says(now, link, NodeMessage::Up);
         now += self.wait(40 * MS);
         self.answer(now, Answer::Up(link));
         let until = now + self.rng.random_range(10 * S..30 * S);
@@ -218,8 +218,12 @@
                 self.client_ends(until + 1_100 * MS);
                 return until;
             }
-            Some(MoveInLine) => self.history.add(until, Other(Seen::Garbled(conn, Garble::MoveInLine))),
-            Some(LineChanged) => self.history.add(until, Other(Seen::Garbled(conn, Garble::Changed))),
+            Some(MoveInLine) => {
+                self.history.add(until, Other(Observation::Garbled(conn, Corruption::MoveInLine)))
+            }
+            Some(LineChanged) => {
+                self.history.add(until, Other(Observation::Garbled(conn, Corruption::Changed)))
+            }
             _ => {}
         }
         match self.rng.random_range(0..4) {
@@ -235,7 +239,7 @@
                 self.cut(until + late);
             }
             _ => {
-                self.says(until, link, NodeWord::Bye);
+                self.says(until, link, NodeMessage::Bye);
                 self.history.add(until, To(T::NodeEnded(link, End::Fin)));
                 self.cut(until);
                 self.client_ends(until + 2 * MS);
@@ -302,8 +306,18 @@
 fn ask(conn: u64, at: Micros, history: &mut History) {
     let (conn, patience) = (ConnId(conn), 3 * S);
     let (key, group, home) = (conn.0, 0, None);
-    let ask =
-        Ask { conn, key, class: 0, tenant: 0, group, patience, hint: None, retry: false, again: false, home };
+    let ask = RequestLine {
+        conn,
+        key,
+        class: 0,
+        tenant: 0,
+        group,
+        patience,
+        hint: None,
+        retry: false,
+        again: false,
+        home,
+    };
     history.add(at, To(T::Asked { ask, left: patience }));
 }
 
@@ -311,7 +325,7 @@
 fn send(history: &mut History, conn: u64, at: Micros, node: NodeId) {
     ask(conn, at, history);
     history.add(at, From(F::Link { link: LinkId(conn), node, conn: Some(ConnId(conn)) }));
-    history.add(at + MS, To(T::NodeSays(LinkId(conn), NodeWord::Busy)));
+    history.add(at + MS, To(T::NodeSays(LinkId(conn), NodeMessage::Busy)));
     history.add(at + MS, From(F::Answer(ConnId(conn), Answer::Busy(0))));
 }
 
@@ -320,7 +334,7 @@
     let link = LinkId(conn);
     ask(conn, at, history);
     history.add(at, From(F::Link { link, node: NODE, conn: Some(ConnId(conn)) }));
-    history.add(at + MS, To(T::NodeSays(link, NodeWord::Up)));
+    history.add(at + MS, To(T::NodeSays(link, NodeMessage::Up)));
     history.add(at + MS, From(F::Answer(ConnId(conn), Answer::Up(link))));
 }
 
@@ -376,7 +390,7 @@
     for (name, sockets, facts, told) in cases {
         let mut legal = History::default();
         started(&mut legal, 0);
-        legal.add(20 * S, Other(Seen::Listed(listed(NODE, Stage::Draining, None))));
+        legal.add(20 * S, Other(Observation::Listed(listed(NODE, Stage::Draining, None))));
         facts.into_iter().for_each(|(at, fact)| legal.add(at, fact));
         let grace = judging(sockets).drain_grace;
         let last = told.map_or(90 * S, |told| told + grace);
@@ -399,7 +413,7 @@
     let push = |sent: u64, knowing: u64, over: Micros| {
         let mut history = History::default();
         started(&mut history, 0);
-        history.add(10 * S, Other(Seen::Node(NODE, Health::Started)));
+        history.add(10 * S, Other(Observation::Node(NODE, Health::Started)));
         for i in 0..sent {
             if i + knowing == sent {
                 let entries = vec![listed(NODE, Stage::Ready, Some(10 * S))];
@@ -408,7 +422,7 @@
             let at = 15 * S + i * over / sent;
             send(&mut history, i + 1, at, NODE);
             let (by, link, node) = (B, LinkId(i + 1), NODE);
-            history.add(at, Other(Seen::Reached { by, link, node, weight: 1.0, cold: Some(1.0) }));
+            history.add(at, Other(Observation::Reached { by, link, node, weight: 1.0, cold: Some(1.0) }));
         }
         history.judge(judging(false))
     };
@@ -418,7 +432,7 @@
     assert_eq!(reasons(&verdict), [(Reason::PushedOver, 1)]);
     assert!(verdict.breaks[0].trace.iter().any(|s| s.what == "it starts"), "{:?}", verdict.breaks);
     let unknowing = push(most + 1, 9, 0);
-    assert!(unknowing.clean() && unknowing.excused[&Excuse::PushedOverUnknowing] == 1, "{unknowing:?}");
+    assert!(unknowing.clean() && unknowing.excused[&Exemption::PushedOverUnknowing] == 1, "{unknowing:?}");
     assert_eq!(reasons(&push(most + 1, 10, 0)), [(Reason::PushedOver, 1)]);
 }
 
@@ -465,19 +479,19 @@
     ask(3, S, &mut history);
     history.add(S, From(F::Link { link: LinkId(3), node: NODE, conn: Some(ConnId(3)) }));
     history.add(2 * S, From(F::EndClient(ConnId(3), End::Fin)));
-    history.add(S, Other(Seen::Bad(B, ConnId(4))));
+    history.add(S, Other(Observation::Bad(B, ConnId(4))));
     history.add(2 * S, From(F::Answer(ConnId(4), Answer::Forged)));
-    history.add(S, Other(Seen::Bad(B, ConnId(5))));
+    history.add(S, Other(Observation::Bad(B, ConnId(5))));
     history.add(2 * S, From(F::EndClient(ConnId(5), End::Reset)));
     stand(&mut history, 6, S);
-    history.add(20 * S, Other(Seen::Node(NODE, Health::Silent)));
+    history.add(20 * S, Other(Observation::Node(NODE, Health::Silent)));
     history.add(22 * S, From(F::EndClient(ConnId(6), End::Fin)));
     history.add(23 * S, From(F::Link { link: LinkId(9), node: NodeId(2), conn: Some(ConnId(77)) }));
     history.add(23 * S, From(F::Syntax(NODE)));
-    history.add(23 * S, Other(Seen::Missed(B, ConnId(7))));
+    history.add(23 * S, Other(Observation::Missed(B, ConnId(7))));
     send(&mut history, 8, 24 * S, NodeId(7));
     let day = crate::places::tests::day(3, &[0, 0]);
-    let verdict = history.judge(Judging::sockets(&day));
+    let verdict = history.judge(AuditTolerances::sockets(&day));
     let breaks = [
         Reason::EndedUnanswered,
         Reason::ServedBad,
@@ -487,8 +501,11 @@
         Reason::Unlisted,
     ];
     assert_eq!(reasons(&verdict), breaks.map(|r| (r, 1)));
-    let excused: Vec<(Excuse, u64)> = verdict.excused.into_iter().collect();
-    assert_eq!(excused, [(Excuse::Overdue, 1), (Excuse::ClosedUnsent, 1), (Excuse::ServerSilent, 1)]);
+    let excused: Vec<(Exemption, u64)> = verdict.excused.into_iter().collect();
+    assert_eq!(
+        excused,
+        [(Exemption::Overdue, 1), (Exemption::ClosedUnsent, 1), (Exemption::ServerSilent, 1)]
+    );
 }
 
 /// Failure: memory grows with the length of a run. Promise: connections that are over are let go of, and of many
@@ -503,8 +520,8 @@
         history.add(at, From(F::EndClient(ConnId(conn), End::Fin)));
         for (at, fact) in &history.0 {
             match fact {
-                To(to) => auditor.see(*at, Seen::To(B, to)),
-                From(from) => auditor.see(*at, Seen::From(B, from)),
+                To(to) => auditor.see(*at, Observation::To(B, to)),
+                From(from) => auditor.see(*at, Observation::From(B, from)),
                 Other(seen) => auditor.see(*at, *seen),
             }
         }
--- a/crates/emulator/src/audit/trace.rs
+++ b/crates/emulator/src/audit/trace.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::Health;
-use crate::edge::{Answer, End, NodeId, NodeWord, Stage};
+use crate::edge::{Answer, End, NodeId, NodeMessage, Stage};
 
 /// Steps that a ring keeps.
 const KEPT: usize = 12;
@@ -15,7 +15,7 @@
 
 /// A step of a trace as it is reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Noted {
+pub struct TraceEntry {
     /// When, microseconds since the day's start.
     pub at: Micros,
     /// What was seen.
@@ -30,10 +30,10 @@
     LinkFailed(NodeId),
     LinkUp(NodeId),
     Stands(NodeId),
-    Said(NodeId, Spoken),
+    Said(NodeId, MessageKind),
     NodeEnded(NodeId, End),
     LinkEnded(NodeId, End),
-    Answered(Spoken),
+    Answered(MessageKind),
     ClientCut(End),
     ClientEnded(End),
     // Of nodes.
@@ -43,7 +43,7 @@
 
 /// A word without its figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Spoken {
+pub(super) enum MessageKind {
     Up,
     Busy,
     Err,
@@ -56,19 +56,19 @@
     Forged,
 }
 
-impl Spoken {
+impl MessageKind {
     fn text(self) -> &'static str {
         match self {
-            Spoken::Up => "UP",
-            Spoken::Busy => "BUSY",
-            Spoken::Err => "ERR",
-            Spoken::Move => "MOVE",
-            Spoken::Bye => "BYE",
-            Spoken::Load => "LOAD",
-            Spoken::Reply => "a reply",
-            Spoken::Pong => "PONG",
-            Spoken::Junk => "nonsense",
-            Spoken::Forged => "UP that no node made",
+            MessageKind::Up => "UP",
+            MessageKind::Busy => "BUSY",
+            MessageKind::Err => "ERR",
+            MessageKind::Move => "MOVE",
+            MessageKind::Bye => "BYE",
+            MessageKind::Load => "LOAD",
+            MessageKind::Reply => "a reply",
+            MessageKind::Pong => "PONG",
+            MessageKind::Junk => "nonsense",
+            MessageKind::Forged => "UP that no node made",
         }
     }
 }
@@ -76,26 +76,26 @@
 impl What {
     pub fn answered(answer: Answer) -> Self {
         What::Answered(match answer {
-            Answer::Up(_) => Spoken::Up,
-            Answer::Busy(_) => Spoken::Busy,
-            Answer::Err => Spoken::Err,
-            Answer::Move => Spoken::Move,
-            Answer::Forged => Spoken::Forged,
-            Answer::Other => Spoken::Junk,
+            Answer::Up(_) => MessageKind::Up,
+            Answer::Busy(_) => MessageKind::Busy,
+            Answer::Err => MessageKind::Err,
+            Answer::Move => MessageKind::Move,
+            Answer::Forged => MessageKind::Forged,
+            Answer::Other => MessageKind::Junk,
         })
     }
 
-    pub fn said(node: NodeId, word: NodeWord) -> Self {
+    pub fn said(node: NodeId, word: NodeMessage) -> Self {
         let word = match word {
-            NodeWord::Up => Spoken::Up,
-            NodeWord::Busy => Spoken::Busy,
-            NodeWord::Err => Spoken::Err,
-            NodeWord::Move => Spoken::Move,
-            NodeWord::Bye => Spoken::Bye,
-            NodeWord::Load(_) | NodeWord::Delay(_) => Spoken::Load,
-            NodeWord::Reply => Spoken::Reply,
-            NodeWord::Pong => Spoken::Pong,
-            NodeWord::Junk => Spoken::Junk,
+            NodeMessage::Up => MessageKind::Up,
+            NodeMessage::Busy => MessageKind::Busy,
+            NodeMessage::Err => MessageKind::Err,
+            NodeMessage::Move => MessageKind::Move,
+            NodeMessage::Bye => MessageKind::Bye,
+            NodeMessage::Load(_) | NodeMessage::Delay(_) => MessageKind::Load,
+            NodeMessage::Reply => MessageKind::Reply,
+            NodeMessage::Pong => MessageKind::Pong,
+            NodeMessage::Junk => MessageKind::Junk,
         };
         What::Said(node, word)
     }
@@ -148,14 +148,14 @@
         self.0.push((at, what));
     }
 
-    pub fn steps(&self) -> impl Iterator<Item = Noted> + '_ {
-        self.0.iter().map(|(at, what)| Noted { at: *at, what: what.to_string() })
+    pub fn steps(&self) -> impl Iterator<Item = TraceEntry> + '_ {
+        self.0.iter().map(|(at, what)| TraceEntry { at: *at, what: what.to_string() })
     }
 }
 
 /// Steps of several rings as one trace, in order of time.
-pub(super) fn together<'a>(rings: impl IntoIterator<Item = &'a Ring>) -> Vec<Noted> {
-    let mut all: Vec<Noted> = rings.into_iter().flat_map(Ring::steps).collect();
+pub(super) fn together<'a>(rings: impl IntoIterator<Item = &'a Ring>) -> Vec<TraceEntry> {
+    let mut all: Vec<TraceEntry> = rings.into_iter().flat_map(Ring::steps).collect();
     all.sort_by_key(|s| s.at);
     all
 }
--- a/crates/emulator/src/audit/verdict.rs
+++ b/crates/emulator/src/audit/verdict.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use super::trace::{Noted, secs};
+use super::trace::{TraceEntry, secs};
 use crate::edge::{BalancerId, ConnId, NodeId};
 
 /// Breaks of one reason that are kept with their trace; the rest are only counted, so that a run that goes wrong all
@@ -110,7 +110,7 @@
 /// What looks like a break and is none: counted, so that nobody has to guess what was let pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Excuse {
+pub enum Exemption {
     /// The client left before its time was up.
     ClientLeft,
     /// The balancer was killed without warning while the request waited or the connection stood.
@@ -129,7 +129,7 @@
 
 /// One break.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Break {
+pub struct RuleViolation {
     /// The rule.
     pub rule: Rule,
     /// Why.
@@ -145,7 +145,7 @@
     /// The figures of the case, in a few words.
     pub detail: String,
     /// What led to it, the oldest first.
-    pub trace: Vec<Noted>,
+    pub trace: Vec<TraceEntry>,
 }
 
 /// What is counted.
@@ -169,11 +169,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Verdict {
     /// The breaks by time, with their traces; of each reason the first few.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<RuleViolation>,
     /// How often each reason came up.
     pub reasons: BTreeMap<Reason, u64>,
     /// What was let pass, and why.
-    pub excused: BTreeMap<Excuse, u64>,
+    pub excused: BTreeMap<Exemption, u64>,
     /// What was counted.
     pub counts: Counts,
 }
@@ -203,7 +203,7 @@
     pub fn lines(&self) -> impl Iterator<Item = String> + '_ {
         self.breaks.iter().map(|b| {
             let trace: Vec<String> =
-                b.trace.iter().map(|Noted { at, what }| format!("\n    {} {what}", secs(*at))).collect();
+                b.trace.iter().map(|TraceEntry { at, what }| format!("\n    {} {what}", secs(*at))).collect();
             let conn = b.conn.map(|c| format!(" connection {c:x}")).unwrap_or_default();
             let node = b.node.map(|n| format!(" node {n}")).unwrap_or_default();
             let (at, by, why) = (secs(b.at), b.balancer, b.reason.text());
@@ -211,18 +211,18 @@
         })
     }
 
-    pub(super) fn excuse(&mut self, why: Excuse) {
+    pub(super) fn excuse(&mut self, why: Exemption) {
         *self.excused.entry(why).or_default() += 1;
     }
 
     /// Notes a break; the trace is only asked for if it is kept.
-    pub(super) fn add(&mut self, case: Case, detail: String, trace: impl FnOnce() -> Vec<Noted>) {
+    pub(super) fn add(&mut self, case: Case, detail: String, trace: impl FnOnce() -> Vec<TraceEntry>) {
         let seen = self.reasons.entry(case.reason).or_default();
         *seen += 1;
         if *seen > KEPT {
             return;
         }
-        self.breaks.push(Break {
+        self.breaks.push(RuleViolation {
             rule: case.reason.rule(),
             reason: case.reason,
             at: case.at,
--- a/crates/emulator/src/edge.rs
+++ b/crates/emulator/src/edge.rs
@@ -24,7 +24,7 @@
 
 /// What a first line asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct RequestLine {
     /// The connection, which is also the id in the line.
     pub conn: ConnId,
     /// The flow's key, the same at each try and return of one client.
@@ -58,7 +58,7 @@
 
 /// What a node says on a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NodeWord {
+pub enum NodeMessage {
     /// `UP`: the connection stands; the receipt names node and connection.
     Up,
     /// `BUSY`: turned away unseen.
@@ -83,7 +83,7 @@
 
 /// How a node's machine meets connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// It takes them.
     #[default]
     Open,
@@ -156,7 +156,7 @@
     /// A client's connection has come with this first line. `left` of its patience is left.
     Asked {
         /// What it asks for.
-        ask: Ask,
+        ask: RequestLine,
         /// What is left of its patience, from now.
         left: Micros,
     },
@@ -169,7 +169,7 @@
     /// A link could not be made.
     LinkFailed(LinkId),
     /// A node says something on a link.
-    NodeSays(LinkId, NodeWord),
+    NodeSays(LinkId, NodeMessage),
     /// A node has ended a link.
     NodeEnded(LinkId, End),
     /// News of the list: all of it or changes.
--- a/crates/emulator/src/node/cold.rs
+++ b/crates/emulator/src/node/cold.rs
@@ -17,7 +17,7 @@
 
 /// The warming up of one process.
 #[derive(Debug)]
-pub(super) struct Cold {
+pub(super) struct WarmUp {
     born: Option<Micros>,
     length: Micros,
     from: f64,
@@ -31,13 +31,13 @@
     sent: VecDeque<Micros>,
 }
 
-impl Cold {
+impl WarmUp {
     /// `speed` is a core's, for a node of this kind.
-    pub fn new(day: &Day, kind: &Kind, speed: f64) -> Cold {
+    pub fn new(day: &Day, kind: &Kind, speed: f64) -> WarmUp {
         let capacity = f64::from(kind.cores) * speed;
         let shares: f64 = day.classes.iter().map(|c| c.share).sum();
         let work = day.classes.iter().map(|c| c.share * c.set_up as f64).sum::<f64>() / shares.max(1e-9);
-        Cold {
+        WarmUp {
             born: None,
             length: kind.cold,
             from: kind.cold_from,
--- a/crates/emulator/src/node/ills.rs
+++ b/crates/emulator/src/node/ills.rs
@@ -8,7 +8,7 @@
 
 /// The faults that are on.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Ills {
+pub(super) struct ActiveFaults {
     /// It keeps everything and says nothing.
     pub hung: bool,
     /// Nothing reaches it and nothing comes from it.
@@ -27,7 +27,7 @@
     pub resetting: Option<(f64, Micros)>,
 }
 
-impl Ills {
+impl ActiveFaults {
     /// Nothing is heard from it.
     pub fn silent(&self) -> bool {
         self.hung || self.cut_off
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -23,13 +23,13 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::day::{Day, FaultKind, GoAway, Sheds};
-use crate::edge::{Ask, BalancerId, End, LinkId, NodeId, NodeWord};
+use crate::edge::{BalancerId, End, LinkId, NodeId, NodeMessage, RequestLine};
 use crate::people::LoadProfile;
-use cold::Cold;
-use ills::Ills;
-use set_ups::{For, Job, SetUps};
-use share::{Busy, set_up_pace};
-use standing::Standing;
+use cold::WarmUp;
+use ills::ActiveFaults;
+use set_ups::{Job, JobKind, SetupQueue};
+use share::{LoadLevel, set_up_pace};
+use standing::EstablishedConnections;
 
 /// Length of a step.
 pub(crate) const STEP: Micros = 250_000;
@@ -42,7 +42,7 @@
 
 /// What reaches a node.
 #[derive(Clone, Copy, Debug)]
-pub enum NodeIn {
+pub enum NodeInput {
     /// A first line.
     Open {
         /// Its link.
@@ -50,7 +50,7 @@
         /// The balancer that sent it.
         by: BalancerId,
         /// What it asks for.
-        ask: Ask,
+        ask: RequestLine,
         /// The client's load.
         profile: LoadProfile,
         /// What is left of the client's patience.
@@ -63,7 +63,7 @@
         /// The balancer that holds it.
         by: BalancerId,
         /// What it asked for.
-        ask: Ask,
+        ask: RequestLine,
         /// The client's load.
         profile: LoadProfile,
     },
@@ -98,9 +98,9 @@
 
 /// What a node does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NodeOut {
+pub enum NodeOutput {
     /// It says this.
-    Says(LinkId, NodeWord),
+    Says(LinkId, NodeMessage),
     /// It ends a link, or its process's end does.
     Ends(LinkId, End),
     /// An attempt has come, taken or not.
@@ -195,10 +195,10 @@
 
     up: bool,
     draining: bool,
-    ills: Ills,
-    cold: Cold,
-    standing: Standing,
-    set_ups: SetUps,
+    ills: ActiveFaults,
+    cold: WarmUp,
+    standing: EstablishedConnections,
+    set_ups: SetupQueue,
     /// Openings that will never be answered.
     mute: BTreeSet<LinkId>,
     /// The last step taken.
@@ -259,10 +259,10 @@
             looks_at: (LOOK_EVERY - u64::from(id.0) % LOOK_EVERY) % LOOK_EVERY,
             up: node.up,
             draining: false,
-            ills: Ills::default(),
-            cold: Cold::new(day, kind, node.speed.max(1e-6)),
-            standing: Standing::new(day),
-            set_ups: SetUps::new(kind),
+            ills: ActiveFaults::default(),
+            cold: WarmUp::new(day, kind, node.speed.max(1e-6)),
+            standing: EstablishedConnections::new(day),
+            set_ups: SetupQueue::new(kind),
             mute: BTreeSet::new(),
             stepped: 0,
             pile: 0.0,
@@ -295,7 +295,7 @@
     }
 
     /// Does what is due by now.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<NodeOut>) {
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
         while let Some(due) = self.next_due().filter(|due| *due <= now) {
             while let Some((link, load)) = self.standing.change(due) {
                 self.tell_load(due, link, load, out);
@@ -315,21 +315,23 @@
     }
 
     /// Something reaches it.
-    pub fn handle(&mut self, now: Micros, what: NodeIn, out: &mut Vec<NodeOut>) {
+    pub fn handle(&mut self, now: Micros, what: NodeInput, out: &mut Vec<NodeOutput>) {
         self.advance(now, out);
         match what {
-            NodeIn::Open { link, by, ask, profile, patience } => {
+            NodeInput::Open { link, by, ask, profile, patience } => {
                 self.opens(now, link, by, ask, profile, patience, out)
             }
-            NodeIn::Carry { link, by, ask, profile } => self.stands(now, link, by, &ask, profile.mean, out),
-            NodeIn::Close { link } => {
+            NodeInput::Carry { link, by, ask, profile } => {
+                self.stands(now, link, by, &ask, profile.mean, out)
+            }
+            NodeInput::Close { link } => {
                 let _ = self.standing.remove(link) || self.set_ups.give_up(link) || self.mute.remove(&link);
             }
-            NodeIn::Probe { link } => self.probed(now, link, out),
-            NodeIn::Drain => self.drains(out),
-            NodeIn::Stop | NodeIn::Crash => self.ends(now, out),
-            NodeIn::Start => self.starts(now),
-            NodeIn::Fault { kind, on, size } => self.falls_ill(now, kind, on, size, out),
+            NodeInput::Probe { link } => self.probed(now, link, out),
+            NodeInput::Drain => self.drains(out),
+            NodeInput::Stop | NodeInput::Crash => self.ends(now, out),
+            NodeInput::Start => self.starts(now),
+            NodeInput::Fault { kind, on, size } => self.falls_ill(now, kind, on, size, out),
         }
     }
 
@@ -409,8 +411,8 @@
         if self.ills.hung { 0.0 } else { self.core(now) * set_up_pace(self.stood) }
     }
 
-    fn busy(&self, now: Micros) -> Busy {
-        Busy {
+    fn busy(&self, now: Micros) -> LoadLevel {
+        LoadLevel {
             cores: self.cores,
             rho: self.stood + self.lanes,
             pile: self.pile,
--- a/crates/emulator/src/node/set_ups.rs
+++ b/crates/emulator/src/node/set_ups.rs
@@ -7,16 +7,16 @@
 use std::collections::VecDeque;
 
 use crate::day::Kind;
-use crate::edge::{Ask, BalancerId, LinkId};
+use crate::edge::{BalancerId, LinkId, RequestLine};
 
 /// Waiting room, as a multiple of the kind's queue.
 const QUEUES: usize = 4;
 
 /// What a job is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum For {
+pub(super) enum JobKind {
     /// A connection, with its client's mean load.
-    Client { by: BalancerId, ask: Ask, mean: f64 },
+    Client { by: BalancerId, ask: RequestLine, mean: f64 },
     /// A probe.
     Probe,
 }
@@ -27,14 +27,14 @@
     /// Its link; none when the balancer has given it up.
     pub link: Option<LinkId>,
     /// What it is for.
-    pub what: For,
+    pub what: JobKind,
     /// Work left, in microseconds of a standard core.
     pub work: f64,
 }
 
 /// All that a node has in hand.
 #[derive(Debug)]
-pub(super) struct SetUps {
+pub(super) struct SetupQueue {
     lanes: usize,
     room: usize,
     working: Vec<Job>,
@@ -47,9 +47,9 @@
     busy: f64,
 }
 
-impl SetUps {
-    pub fn new(kind: &Kind) -> SetUps {
-        SetUps {
+impl SetupQueue {
+    pub fn new(kind: &Kind) -> SetupQueue {
+        SetupQueue {
             lanes: kind.cores.div_ceil(2).max(1) as usize,
             room: kind.queue as usize * QUEUES,
             working: Vec::new(),
@@ -71,7 +71,7 @@
 
     /// Probes in hand.
     pub fn probes(&self) -> usize {
-        self.working.iter().chain(&self.waiting).filter(|job| job.what == For::Probe).count()
+        self.working.iter().chain(&self.waiting).filter(|job| job.what == JobKind::Probe).count()
     }
 
     /// No more can be taken.
--- a/crates/emulator/src/node/share.rs
+++ b/crates/emulator/src/node/share.rs
@@ -15,7 +15,7 @@
 
 /// How a node takes messages, at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Busy {
+pub(super) struct LoadLevel {
     /// Cores.
     pub cores: f64,
     /// Work asked over work that it can do.
@@ -26,7 +26,7 @@
     pub message: f64,
 }
 
-impl Busy {
+impl LoadLevel {
     /// Mean time of a message, in seconds.
     pub fn delay(&self) -> f64 {
         let rho = self.rho.min(BUSIEST_FOR_DELAY);
--- a/crates/emulator/src/node/standing.rs
+++ b/crates/emulator/src/node/standing.rs
@@ -7,16 +7,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use super::swing::Swing;
+use super::swing::LoadOscillation;
 use crate::day::Day;
-use crate::edge::{Ask, BalancerId, LinkId};
+use crate::edge::{BalancerId, LinkId, RequestLine};
 
 /// What each open connection costs beside its own load, in usual loads.
 const HOLDING: f64 = 0.1;
 
 /// A connection that stands.
 #[derive(Clone, Copy, Debug)]
-struct One {
+struct EstablishedConnection {
     by: BalancerId,
     class: u32,
     group: u64,
@@ -30,26 +30,26 @@
 
 /// All that stand at one node.
 #[derive(Debug)]
-pub(super) struct Standing {
+pub(super) struct EstablishedConnections {
     /// By link: the oldest first.
-    all: BTreeMap<LinkId, One>,
+    all: BTreeMap<LinkId, EstablishedConnection>,
     groups: BTreeMap<u64, u32>,
     /// Sum of their loads.
     load: f64,
     /// Changes to come; what has gone stays in until its time.
     changes: BinaryHeap<Reverse<(Micros, LinkId)>>,
-    swings: Vec<Swing>,
+    swings: Vec<LoadOscillation>,
     group_cost: f64,
 }
 
-impl Standing {
-    pub fn new(day: &Day) -> Standing {
-        Standing {
+impl EstablishedConnections {
+    pub fn new(day: &Day) -> EstablishedConnections {
+        EstablishedConnections {
             all: BTreeMap::new(),
             groups: BTreeMap::new(),
             load: 0.0,
             changes: BinaryHeap::new(),
-            swings: day.classes.iter().map(Swing::new).collect(),
+            swings: day.classes.iter().map(LoadOscillation::new).collect(),
             group_cost: day.streams.group_cost,
         }
     }
@@ -65,10 +65,18 @@
     }
 
     /// A connection begins to stand; its load now, in usual loads.
-    pub fn add(&mut self, now: Micros, link: LinkId, by: BalancerId, ask: &Ask, mean: f64) -> f64 {
+    pub fn add(&mut self, now: Micros, link: LinkId, by: BalancerId, ask: &RequestLine, mean: f64) -> f64 {
         let (swing, changes) = self.swing(ask.class, ask.key, now);
         let load = mean * swing;
-        let one = One { by, class: ask.class, group: ask.group, key: ask.key, mean, load, changes };
+        let one = EstablishedConnection {
+            by,
+            class: ask.class,
+            group: ask.group,
+            key: ask.key,
+            mean,
+            load,
+            changes,
+        };
         self.all.insert(link, one);
         self.load += load;
         if ask.group != 0 {
@@ -120,7 +128,7 @@
             let (swing, changes) = self.swing(one.class, one.key, at);
             let load = one.mean * swing;
             self.load += load - one.load;
-            self.all.insert(link, One { load, changes, ..one });
+            self.all.insert(link, EstablishedConnection { load, changes, ..one });
             if let Some(at) = changes {
                 self.changes.push(Reverse((at, link)));
             }
@@ -157,7 +165,7 @@
 }
 
 #[cfg(test)]
-impl Standing {
+impl EstablishedConnections {
     /// The sums are those of what stands.
     pub fn sums_are_right(&self) -> bool {
         let load: f64 = self.all.values().map(|one| one.load).sum();
--- a/crates/emulator/src/node/swing.rs
+++ b/crates/emulator/src/node/swing.rs
@@ -21,7 +21,7 @@
 
 /// How the loads of a class move.
 #[derive(Clone, Debug)]
-pub(super) struct Swing {
+pub(super) struct LoadOscillation {
     change: Micros,
     idle: f64,
     /// Of one who is not idle.
@@ -45,10 +45,10 @@
     lognormal(1.0, SET_UP_SIGMA).sample(&mut of(key, u64::MAX))
 }
 
-impl Swing {
-    pub fn new(class: &Class) -> Swing {
+impl LoadOscillation {
+    pub fn new(class: &Class) -> LoadOscillation {
         let idle = class.idle.clamp(0.0, 0.99);
-        Swing {
+        LoadOscillation {
             change: class.change,
             idle,
             active: lognormal((1.0 - IDLE * idle) / (1.0 - idle), class.swing_sigma),
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -12,9 +12,9 @@
 
 const S: Micros = 1_000_000;
 
-fn ask(key: u64, group: u64) -> Ask {
+fn ask(key: u64, group: u64) -> RequestLine {
     let (conn, patience) = (ConnId(key), 3 * S);
-    Ask {
+    RequestLine {
         conn,
         key,
         class: 0,
@@ -48,7 +48,7 @@
 
 struct Rig {
     node: Node,
-    out: Vec<(Micros, NodeOut)>,
+    out: Vec<(Micros, NodeOutput)>,
     next: u64,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    fn at(&mut self, now: Micros, what: NodeIn) {
+    fn at(&mut self, now: Micros, what: NodeInput) {
         self.until(now);
         let mut out = Vec::new();
         self.node.handle(now, what, &mut out);
@@ -86,7 +86,7 @@
         for _ in 0..count {
             let link = self.link();
             let profile = LoadProfile { mean: 1.0, seed: 0 };
-            self.at(now, NodeIn::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
+            self.at(now, NodeInput::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
         }
     }
 
@@ -94,20 +94,20 @@
         let link = self.link();
         let profile = LoadProfile { mean: 1.0, seed: 0 };
         let ask = ask(link.0, 0);
-        self.at(now, NodeIn::Open { link, by: BalancerId(0), ask, profile, patience: 3 * S });
+        self.at(now, NodeInput::Open { link, by: BalancerId(0), ask, profile, patience: 3 * S });
         link
     }
 
-    fn said(&self, word: NodeWord) -> Vec<(Micros, LinkId)> {
-        let of = |(at, what): &(Micros, NodeOut)| match what {
-            NodeOut::Says(link, said) if *said == word => Some((*at, *link)),
+    fn said(&self, word: NodeMessage) -> Vec<(Micros, LinkId)> {
+        let of = |(at, what): &(Micros, NodeOutput)| match what {
+            NodeOutput::Says(link, said) if *said == word => Some((*at, *link)),
             _ => None,
         };
         self.out.iter().filter_map(of).collect()
     }
 
     fn ended(&self) -> usize {
-        self.out.iter().filter(|(_, what)| matches!(what, NodeOut::Ends(..))).count()
+        self.out.iter().filter(|(_, what)| matches!(what, NodeOutput::Ends(..))).count()
     }
 
     /// Share of messages in time over a stretch.
@@ -133,14 +133,14 @@
         (5.0, 1.5, 2.0, 0.80964, 3.5400, 0.74712),
     ];
     for (cores, speed, bursty, rho, ms, share) in measured {
-        let busy = Busy { cores, rho, pile: 0.0, message: 0.002 / speed };
+        let busy = LoadLevel { cores, rho, pile: 0.0, message: 0.002 / speed };
         assert!((busy.delay() * 1e3 / ms - 1.0).abs() < 3e-3, "{busy:?}: {} ms", busy.delay() * 1e3);
         assert!((busy.share(0.003, bursty) - share).abs() < 3e-4, "{busy:?}: {}", busy.share(0.003, bursty));
     }
-    let piled = Busy { cores: 4.0, rho: 0.5, pile: 0.003, message: 0.002 };
+    let piled = LoadLevel { cores: 4.0, rho: 0.5, pile: 0.003, message: 0.002 };
     assert_eq!(piled.share(0.003, 1.0), 0.0);
     // A load beyond all bounds takes the most that a message takes, as measured: 50.505 ms and the pile.
-    let over = Busy { cores: 4.0, rho: 7.0, pile: 1.0, message: 0.002 };
+    let over = LoadLevel { cores: 4.0, rho: 7.0, pile: 1.0, message: 0.002 };
     assert!((over.delay() - 1.050_505).abs() < 1e-6);
 }
 
@@ -165,7 +165,7 @@
     }
     let told = |at: Micros| {
         rig.out.iter().find_map(|(t, what)| match what {
-            NodeOut::Says(_, NodeWord::Delay(ms)) if *t == at => Some(*ms),
+            NodeOutput::Says(_, NodeMessage::Delay(ms)) if *t == at => Some(*ms),
             _ => None,
         })
     };
@@ -186,8 +186,8 @@
     let mut rig = Rig::new(&plain(4, json!({})));
     let links: Vec<LinkId> = (0..40).map(|_| rig.open(S)).collect();
     rig.until(10 * S);
-    let up = rig.said(NodeWord::Up);
-    assert_eq!((up.len(), rig.said(NodeWord::Busy).len()), (30, 10));
+    let up = rig.said(NodeMessage::Up);
+    assert_eq!((up.len(), rig.said(NodeMessage::Busy).len()), (30, 10));
     assert!(
         links[30..].iter().all(|link| up.iter().all(|(_, l)| l != link)),
         "a later one came before its turn"
@@ -199,9 +199,9 @@
     // A probe has no chance in its work: 1 ms at a pace of 1.3 less the standing load, which is 0.9 here.
     rig.carry(10 * S, 1607);
     let link = rig.link();
-    rig.at(12 * S, NodeIn::Probe { link });
+    rig.at(12 * S, NodeInput::Probe { link });
     rig.until(13 * S);
-    let took = rig.said(NodeWord::Pong)[0].0 - 12 * S;
+    let took = rig.said(NodeMessage::Pong)[0].0 - 12 * S;
     assert!((2490..2520).contains(&took), "{took}");
 }
 
@@ -213,7 +213,8 @@
         day(json!({"classes": [{"name": "c", "share": 1, "set_up_ms": 0, "set_up_cv": 0, "attempt_noise": 0,
         "aim_ms": 800, "give_up_ms": 3200, "worth": 1, "message_aim_ms": 50, "load": 1, "life": 1,
         "load_sigma": 0, "swing_sigma": 0.6, "change_s": 10, "idle": 0.3}]}));
-    let (here, there) = (swing::Swing::new(&day.classes[0]), swing::Swing::new(&day.classes[0]));
+    let (here, there) =
+        (swing::LoadOscillation::new(&day.classes[0]), swing::LoadOscillation::new(&day.classes[0]));
     let (mut sum, mut idle, mut changes) = (0.0, 0, 0);
     for key in 0..4000 {
         let (load, next) = here.at(key, 17 * S);
@@ -241,14 +242,14 @@
     for i in 0..1805u64 {
         let link = rig.link();
         let profile = LoadProfile { mean: 0.5 + (i * 7919 % 1805) as f64 / 1805.0, seed: 0 };
-        rig.at(0, NodeIn::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
+        rig.at(0, NodeInput::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
     }
     rig.until(20 * S);
     let gone: Vec<u64> = rig
         .out
         .iter()
         .filter_map(|(_, o)| match o {
-            NodeOut::Ends(link, End::Reset) => Some(link.0 - 1),
+            NodeOutput::Ends(link, End::Reset) => Some(link.0 - 1),
             _ => None,
         })
         .collect();
@@ -267,12 +268,12 @@
     let pushed = |start: bool, every: Micros| {
         let mut rig = Rig::new(&day);
         if start {
-            rig.at(0, NodeIn::Crash);
-            rig.at(S / 2, NodeIn::Start);
+            rig.at(0, NodeInput::Crash);
+            rig.at(S / 2, NodeInput::Start);
         }
         for i in 0..400 {
             rig.open(S + i * every);
-            if rig.out.iter().any(|(_, what)| *what == NodeOut::Fallen) {
+            if rig.out.iter().any(|(_, what)| *what == NodeOutput::Fallen) {
                 assert_eq!(rig.node.accepts(2 * S), Accepts::Refused);
                 assert_eq!(rig.node.next_due(), None, "a fallen node goes on");
                 return Some(i + 1);
@@ -288,25 +289,28 @@
 /// who come and those who probe, and what was held is answered or ended when it is over.
 #[test]
 fn faults_are_what_they_are_called() {
-    let at = |kind, on| NodeIn::Fault { kind, on, size: 1.0 };
+    let at = |kind, on| NodeInput::Fault { kind, on, size: 1.0 };
     let mut rig = Rig::new(&plain(4, json!({"/streams/go_away": "at-once"})));
     rig.carry(0, 50);
 
     rig.at(2 * S, at(FaultKind::Hang, true));
     let probe = rig.link();
-    rig.at(2 * S, NodeIn::Probe { link: probe });
+    rig.at(2 * S, NodeInput::Probe { link: probe });
     rig.open(2 * S);
     assert_eq!(rig.share(3 * S, 5 * S), 0.0, "a hung node served");
-    assert!(rig.said(NodeWord::Pong).is_empty() && rig.said(NodeWord::Up).is_empty(), "a hung node spoke");
+    assert!(
+        rig.said(NodeMessage::Pong).is_empty() && rig.said(NodeMessage::Up).is_empty(),
+        "a hung node spoke"
+    );
     rig.at(5 * S, at(FaultKind::Hang, false));
     rig.until(6 * S);
-    assert_eq!((rig.said(NodeWord::Pong).len(), rig.said(NodeWord::Up).len(), rig.ended()), (1, 1, 0));
+    assert_eq!((rig.said(NodeMessage::Pong).len(), rig.said(NodeMessage::Up).len(), rig.ended()), (1, 1, 0));
 
     rig.at(6 * S, at(FaultKind::HalfDead, true));
     let (probe, held) = (rig.link(), rig.open(6 * S));
-    rig.at(6 * S, NodeIn::Probe { link: probe });
+    rig.at(6 * S, NodeInput::Probe { link: probe });
     assert!(rig.share(7 * S, 8 * S) > 0.7, "those who stand are not struck");
-    assert_eq!((rig.said(NodeWord::Pong).len(), rig.said(NodeWord::Up).len()), (2, 1));
+    assert_eq!((rig.said(NodeMessage::Pong).len(), rig.said(NodeMessage::Up).len()), (2, 1));
     rig.at(8 * S, at(FaultKind::HalfDead, false));
 
     rig.at(9 * S, at(FaultKind::Full, true));
@@ -315,19 +319,19 @@
     rig.at(10 * S, at(FaultKind::Failing, true));
     rig.open(10 * S);
     rig.at(11 * S, at(FaultKind::Failing, false));
-    assert_eq!((rig.said(NodeWord::Busy).len(), rig.said(NodeWord::Err).len()), (1, 1));
+    assert_eq!((rig.said(NodeMessage::Busy).len(), rig.said(NodeMessage::Err).len()), (1, 1));
 
     rig.at(12 * S, at(FaultKind::CutOff, true));
     assert_eq!(rig.node.accepts(12 * S), Accepts::Silent);
     rig.at(14 * S, at(FaultKind::CutOff, false));
     assert_eq!(rig.ended(), 52, "50 carried, one set up and one held are reset when it is back");
-    assert!(rig.out.iter().any(|(_, what)| *what == NodeOut::Ends(held, End::Reset)));
+    assert!(rig.out.iter().any(|(_, what)| *what == NodeOutput::Ends(held, End::Reset)));
 
     rig.carry(15 * S, 20);
-    rig.at(16 * S, NodeIn::Drain);
+    rig.at(16 * S, NodeInput::Drain);
     rig.open(16 * S);
-    assert_eq!((rig.said(NodeWord::Move).len(), rig.said(NodeWord::Busy).len()), (20, 2));
-    rig.at(17 * S, NodeIn::Stop);
+    assert_eq!((rig.said(NodeMessage::Move).len(), rig.said(NodeMessage::Busy).len()), (20, 2));
+    rig.at(17 * S, NodeInput::Stop);
     assert_eq!((rig.node.accepts(17 * S), rig.node.next_due()), (Accepts::Refused, None));
 }
 
@@ -348,17 +352,17 @@
     for _ in 0..20_000 {
         now += rng.random_range(0..40_000);
         match rng.random_range(0..1000) {
-            0 => rig.at(now, NodeIn::Crash),
-            1..=5 => rig.at(now, NodeIn::Start),
+            0 => rig.at(now, NodeInput::Crash),
+            1..=5 => rig.at(now, NodeInput::Start),
             6..=450 if !open.is_empty() => {
                 let link = open.swap_remove(rng.random_range(0..open.len()));
-                rig.at(now, NodeIn::Close { link });
+                rig.at(now, NodeInput::Close { link });
             }
             _ if rig.node.accepts(now) == Accepts::Yes => {
                 let link = rig.link();
                 let (ask, by) = (ask(link.0, rng.random_range(0..9)), BalancerId(rng.random_range(0..4)));
                 let profile = LoadProfile { mean: rng.random_range(0.2..3.0), seed: 0 };
-                rig.at(now, NodeIn::Open { link, by, ask, profile, patience: S });
+                rig.at(now, NodeInput::Open { link, by, ask, profile, patience: S });
                 open.push(link);
             }
             _ => rig.until(now),
@@ -368,9 +372,11 @@
     let mut links: BTreeMap<LinkId, (u32, u32, u32)> = BTreeMap::new();
     for (_, what) in &rig.out {
         match what {
-            NodeOut::Says(link, NodeWord::Up) => links.entry(*link).or_default().0 += 1,
-            NodeOut::Says(link, NodeWord::Busy | NodeWord::Err) => links.entry(*link).or_default().1 += 1,
-            NodeOut::Ends(link, _) => links.entry(*link).or_default().2 += 1,
+            NodeOutput::Says(link, NodeMessage::Up) => links.entry(*link).or_default().0 += 1,
+            NodeOutput::Says(link, NodeMessage::Busy | NodeMessage::Err) => {
+                links.entry(*link).or_default().1 += 1
+            }
+            NodeOutput::Ends(link, _) => links.entry(*link).or_default().2 += 1,
             _ => {}
         }
     }
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -20,16 +20,16 @@
         now: Micros,
         link: LinkId,
         by: BalancerId,
-        ask: Ask,
+        ask: RequestLine,
         profile: LoadProfile,
         patience: Micros,
-        out: &mut Vec<NodeOut>,
+        out: &mut Vec<NodeOutput>,
     ) {
-        out.push(NodeOut::Reached { link, weight: 1.0, cold: self.cold.takes(now) });
+        out.push(NodeOutput::Reached { link, weight: 1.0, cold: self.cold.takes(now) });
         if self.cold.reached(now) {
-            out.push(NodeOut::Ends(link, End::Reset));
+            out.push(NodeOutput::Ends(link, End::Reset));
             self.ends(now, out);
-            out.push(NodeOut::Fallen);
+            out.push(NodeOutput::Fallen);
             return;
         }
         if self.ills.half_dead || self.ills.cut_off {
@@ -37,34 +37,37 @@
             return;
         }
         if self.ills.wrong {
-            out.push(NodeOut::Says(link, NodeWord::Junk));
+            out.push(NodeOutput::Says(link, NodeMessage::Junk));
             return;
         }
         let in_hand = self.set_ups.in_hand();
         let crowded = self.standing.len() + in_hand.0 + in_hand.1 >= self.cap || self.set_ups.is_full();
         if self.draining || self.ills.full || crowded || patience == 0 {
-            out.push(NodeOut::Says(link, NodeWord::Busy));
+            out.push(NodeOutput::Says(link, NodeMessage::Busy));
             return;
         }
         let fails = self.error_rate.max(self.ills.failing.unwrap_or(0.0));
         if fails > 0.0 && self.rng.random_bool(fails) {
-            out.push(NodeOut::Says(link, NodeWord::Err));
+            out.push(NodeOutput::Says(link, NodeMessage::Err));
             return;
         }
         let noise = self.attempt.as_ref().map_or(1.0, |noise| noise.sample(&mut self.rng));
         let usual = self.classes.get(ask.class as usize).map_or(0.0, |c| c.set_up);
         let work = usual * swing::set_up(ask.key) * noise;
-        self.takes(now, Job { link: Some(link), what: For::Client { by, ask, mean: profile.mean }, work });
+        self.takes(
+            now,
+            Job { link: Some(link), what: JobKind::Client { by, ask, mean: profile.mean }, work },
+        );
     }
 
     /// A probe comes. A node that hangs answers it later; one that only hangs on openings answers at once.
-    pub(super) fn probed(&mut self, now: Micros, link: LinkId, out: &mut Vec<NodeOut>) {
+    pub(super) fn probed(&mut self, now: Micros, link: LinkId, out: &mut Vec<NodeOutput>) {
         if self.ills.half_dead {
-            out.push(NodeOut::Says(link, NodeWord::Pong));
+            out.push(NodeOutput::Says(link, NodeMessage::Pong));
         } else if self.set_ups.probes() >= self.probe_cap {
-            out.push(NodeOut::Says(link, NodeWord::Err));
+            out.push(NodeOutput::Says(link, NodeMessage::Err));
         } else {
-            self.takes(now, Job { link: Some(link), what: For::Probe, work: self.probe_work });
+            self.takes(now, Job { link: Some(link), what: JobKind::Probe, work: self.probe_work });
         }
     }
 
@@ -74,12 +77,12 @@
     }
 
     /// A set-up or probe has been worked on to its end.
-    pub(super) fn is_done(&mut self, now: Micros, job: Job, out: &mut Vec<NodeOut>) {
+    pub(super) fn is_done(&mut self, now: Micros, job: Job, out: &mut Vec<NodeOutput>) {
         let Some(link) = job.link else { return };
         match job.what {
-            For::Probe => out.push(NodeOut::Says(link, NodeWord::Pong)),
-            For::Client { by, ask, mean } => {
-                out.push(NodeOut::Says(link, NodeWord::Up));
+            JobKind::Probe => out.push(NodeOutput::Says(link, NodeMessage::Pong)),
+            JobKind::Client { by, ask, mean } => {
+                out.push(NodeOutput::Says(link, NodeMessage::Up));
                 self.stands(now, link, by, &ask, mean, out);
                 if self.draining && self.go_away == GoAway::AtOnce {
                     self.sends_away(link, out);
@@ -93,9 +96,9 @@
         now: Micros,
         link: LinkId,
         by: BalancerId,
-        ask: &Ask,
+        ask: &RequestLine,
         mean: f64,
-        out: &mut Vec<NodeOut>,
+        out: &mut Vec<NodeOutput>,
     ) {
         let load = self.standing.add(now, link, by, ask, mean);
         if self.tells_first {
@@ -103,14 +106,14 @@
         }
     }
 
-    pub(super) fn tell_load(&self, now: Micros, link: LinkId, load: f64, out: &mut Vec<NodeOut>) {
+    pub(super) fn tell_load(&self, now: Micros, link: LinkId, load: f64, out: &mut Vec<NodeOutput>) {
         if self.tells_load && !self.ills.silent() {
-            out.push(NodeOut::Says(link, NodeWord::Load(load * self.course(now) * self.usual * 1e6)));
+            out.push(NodeOutput::Says(link, NodeMessage::Load(load * self.course(now) * self.usual * 1e6)));
         }
     }
 
     /// One step, with the state at its end for all of it: that is how the simulator's servers do it.
-    pub(super) fn step(&mut self, out: &mut Vec<NodeOut>) {
+    pub(super) fn step(&mut self, out: &mut Vec<NodeOutput>) {
         self.stepped += STEP;
         let (now, long) = (self.stepped, seconds_from_micros(STEP));
         if self.ills.hung {
@@ -156,7 +159,7 @@
     }
 
     /// Drops connections until the rest fits.
-    fn sheds_load(&mut self, now: Micros, out: &mut Vec<NodeOut>) {
+    fn sheds_load(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
         let order: Vec<LinkId> = match self.sheds {
             Sheds::None => return,
             Sheds::Newest => self.standing.links().rev().collect(),
@@ -167,13 +170,13 @@
                 break;
             }
             self.standing.remove(link);
-            out.push(NodeOut::Ends(link, End::Reset));
+            out.push(NodeOutput::Ends(link, End::Reset));
         }
         self.stood = self.standing_rho(now);
     }
 
     /// Tells each balancer what a message takes, while that is over a third of the shortest aim and once more after.
-    fn look_at_messages(&mut self, now: Micros, out: &mut Vec<NodeOut>) {
+    fn look_at_messages(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
         let aim = self.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
         let delay = self.busy(now).delay();
         let slow = delay > aim / 3.0;
@@ -182,7 +185,7 @@
         }
         for (by, link) in self.standing.one_by_balancer() {
             if slow || self.told_slow.contains(&by) {
-                out.push(NodeOut::Says(link, NodeWord::Delay(delay * 1e3)));
+                out.push(NodeOutput::Says(link, NodeMessage::Delay(delay * 1e3)));
             }
             if slow {
                 self.told_slow.insert(by);
@@ -193,28 +196,28 @@
         }
     }
 
-    fn resets_some(&mut self, chance: f64, out: &mut Vec<NodeOut>) {
+    fn resets_some(&mut self, chance: f64, out: &mut Vec<NodeOutput>) {
         let links: Vec<LinkId> = self.standing.links().collect();
         for link in links {
             if self.rng.random_bool(chance.clamp(0.0, 1.0)) {
                 self.standing.remove(link);
-                out.push(NodeOut::Ends(link, End::Reset));
+                out.push(NodeOutput::Ends(link, End::Reset));
             }
         }
     }
 
-    fn sends_away(&mut self, link: LinkId, out: &mut Vec<NodeOut>) {
+    fn sends_away(&mut self, link: LinkId, out: &mut Vec<NodeOutput>) {
         self.standing.remove(link);
-        out.extend([NodeOut::Says(link, NodeWord::Move), NodeOut::Ends(link, End::Fin)]);
+        out.extend([NodeOutput::Says(link, NodeMessage::Move), NodeOutput::Ends(link, End::Fin)]);
     }
 
     /// It takes nothing new from now on; what waits is turned away.
-    pub(super) fn drains(&mut self, out: &mut Vec<NodeOut>) {
+    pub(super) fn drains(&mut self, out: &mut Vec<NodeOutput>) {
         if !self.up || self.draining {
             return;
         }
         self.draining = true;
-        out.extend(self.set_ups.clear().into_iter().map(|link| NodeOut::Says(link, NodeWord::Busy)));
+        out.extend(self.set_ups.clear().into_iter().map(|link| NodeOutput::Says(link, NodeMessage::Busy)));
         if self.go_away == GoAway::AtOnce {
             let links: Vec<LinkId> = self.standing.links().collect();
             links.into_iter().for_each(|link| self.sends_away(link, out));
@@ -222,13 +225,13 @@
     }
 
     /// Its process is gone, and with it all that it held.
-    pub(super) fn ends(&mut self, now: Micros, out: &mut Vec<NodeOut>) {
+    pub(super) fn ends(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
         let standing: Vec<LinkId> = self.standing.links().collect();
         for link in &standing {
             self.standing.remove(*link);
         }
         let all = standing.into_iter().chain(self.set_ups.clear()).chain(std::mem::take(&mut self.mute));
-        out.extend(all.map(|link| NodeOut::Ends(link, End::Reset)));
+        out.extend(all.map(|link| NodeOutput::Ends(link, End::Reset)));
         self.rests(now);
         self.up = false;
     }
@@ -259,12 +262,12 @@
         kind: FaultKind,
         on: bool,
         size: f64,
-        out: &mut Vec<NodeOut>,
+        out: &mut Vec<NodeOutput>,
     ) {
         let was = self.ills.clone();
         self.ills.set(now, kind, on, size, &self.resets);
         if was.silent() != self.ills.silent() {
-            out.push(NodeOut::Silent(self.ills.silent()));
+            out.push(NodeOutput::Silent(self.ills.silent()));
         }
         if was.cut_off && !self.ills.cut_off {
             // What it held has been given up on the other side, or is now.
@@ -273,7 +276,7 @@
                 self.standing.remove(*link);
             });
             let all = links.into_iter().chain(self.set_ups.clear()).chain(std::mem::take(&mut self.mute));
-            out.extend(all.map(|link| NodeOut::Ends(link, End::Reset)));
+            out.extend(all.map(|link| NodeOutput::Ends(link, End::Reset)));
         }
         self.set_ups.set_pace(now, self.lane(now));
     }
--- a/crates/emulator/src/people/client.rs
+++ b/crates/emulator/src/people/client.rs
@@ -9,7 +9,7 @@
 
 /// What a client hears on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ClientInput {
     /// `UP`.
     Up,
     /// `BUSY`, with a time to come back if above 0.
@@ -59,7 +59,7 @@
 
 /// What a wake-up is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Next {
+pub(super) enum WakeUp {
     /// It has had all that it wanted.
     HasHadAll,
     /// It comes again after a bad try, a break or a move.
@@ -72,7 +72,7 @@
 
 /// Why a client stays away for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Gap {
+pub(super) enum AbsenceReason {
     /// Its connection broke.
     Broken,
     /// It was moved.
@@ -88,13 +88,13 @@
 /// A fixed wait is so many times the stated one.
 const FIXED: f64 = 4.0;
 
-impl Gap {
+impl AbsenceReason {
     /// Draws how long it stays away.
     pub fn draw(self, clients: &Clients, rng: &mut impl Rng) -> Micros {
         let us = match self {
-            Gap::Broken => clients.rejoin as f64 * rng.random::<f64>(),
-            Gap::Moved => clients.move_gap as f64 * rng.random_range(0.5..1.5),
-            Gap::Failed { failures, wait } => {
+            AbsenceReason::Broken => clients.rejoin as f64 * rng.random::<f64>(),
+            AbsenceReason::Moved => clients.move_gap as f64 * rng.random_range(0.5..1.5),
+            AbsenceReason::Failed { failures, wait } => {
                 let first = clients.backoff_first as f64;
                 let own = match clients.backoff {
                     Backoff::None => first,
--- a/crates/emulator/src/people/mod.rs
+++ b/crates/emulator/src/people/mod.rs
@@ -1,7 +1,7 @@
 //! Who asks for connections: traffic, clients' lives and their returns.
 //!
-//! Each client is a small state machine (`client.rs`); [`People`] holds them all over one queue of wake-ups and says
-//! what they do as [`PeopleOut`]. It knows neither balancers nor nodes: the world carries what clients do through the
+//! Each client is a small state machine (`client.rs`); [`ClientPopulation`] holds them all over one queue of wake-ups and says
+//! what they do as [`ClientAction`]. It knows neither balancers nor nodes: the world carries what clients do through the
 //! front and tells what they hear. The formulas were fitted to the simulator's clients (`docs/design/emulator-people.md`).
 
 mod capacity;
@@ -19,15 +19,15 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::day::{Day, Fault, FaultKind};
-use crate::edge::{Ask, ConnId, End};
+use crate::edge::{ConnId, End, RequestLine};
 
 pub use capacity::{Capacity, capacity};
-pub use client::Heard;
+pub use client::ClientInput;
 
-use client::{Client, Gap, Next, State};
-use crowd::{Crowd, Place};
+use client::{AbsenceReason, Client, State, WakeUp};
+use crowd::{ClientIndex, ClientTable};
 use groups::Groups;
-use traffic::{Traffic, Turn};
+use traffic::{CountChange, Traffic};
 
 /// Place of a client's account: its class, its tenant, and whether it is within its tenant's share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -58,7 +58,7 @@
 
 /// What clients do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PeopleOut {
+pub enum ClientAction {
     /// From now on a client wants its connection; `first` for a new client, else one that had paused.
     Wants {
         /// Its account.
@@ -73,8 +73,8 @@
     },
     /// A client connects through the front of its zone and sends its first line.
     Connect {
-        /// The first line; [`Ask::home`] is set where the connection stood before the day.
-        ask: Ask,
+        /// The first line; [`RequestLine::home`] is set where the connection stood before the day.
+        ask: RequestLine,
         /// Place of its zone.
         zone: u32,
         /// Its account.
@@ -95,35 +95,35 @@
 }
 
 /// A wake-up: of a client in the place it had then, or of all traffic.
-type Wake = Reverse<(Micros, u64, Next, Place)>;
+type Wake = Reverse<(Micros, u64, WakeUp, ClientIndex)>;
 
 /// All clients of a day.
 #[derive(Debug)]
-pub struct People {
+pub struct ClientPopulation {
     day: Day,
     rng: Pcg64Mcg,
     traffic: Traffic,
     groups: Groups,
-    crowd: Crowd,
+    crowd: ClientTable,
     wakes: BinaryHeap<Wake>,
     /// Orders wake-ups of the same time.
     sequence: u64,
-    /// The client of each connection, by number; [`Place::NOBODY`] once the connection is over.
-    conns: Vec<Place>,
+    /// The client of each connection, by number; [`ClientIndex::NOBODY`] once the connection is over.
+    conns: Vec<ClientIndex>,
 }
 
-impl People {
+impl ClientPopulation {
     /// The clients of this day, before its start.
-    pub fn new(day: &Day, mut rng: Pcg64Mcg) -> People {
+    pub fn new(day: &Day, mut rng: Pcg64Mcg) -> ClientPopulation {
         let capacity = capacity(day);
         let groups = Groups::new(day, &capacity, &mut rng);
         let traffic = Traffic::new(day, &capacity, &mut rng);
-        People {
+        ClientPopulation {
             day: day.clone(),
             rng,
             traffic,
             groups,
-            crowd: Crowd::default(),
+            crowd: ClientTable::default(),
             wakes: BinaryHeap::new(),
             sequence: 0,
             conns: Vec::new(),
@@ -131,7 +131,7 @@
     }
 
     /// Lets those who stand when the day starts connect, at time 0. Called once, first.
-    pub fn standing(&mut self, out: &mut Vec<PeopleOut>) {
+    pub fn standing(&mut self, out: &mut Vec<ClientAction>) {
         for stood in start::standing(&self.day, &self.traffic, &self.groups, &mut self.rng) {
             let client = self.draw(0, stood.tenant, Some(&stood));
             let rest = self.traffic.rest(client.class, &mut self.rng).max(start::LEAST_REST);
@@ -147,7 +147,7 @@
     }
 
     /// Lets everything happen that is due up to now.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<PeopleOut>) {
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<ClientAction>) {
         loop {
             let wake = self.wakes.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
             let turn = self.traffic.next_due().filter(|at| *at <= now);
@@ -167,9 +167,9 @@
         }
     }
 
-    fn turns(&mut self, at: Micros, turn: Turn, out: &mut Vec<PeopleOut>) {
+    fn turns(&mut self, at: Micros, turn: CountChange, out: &mut Vec<ClientAction>) {
         match turn {
-            Turn::Comes => {
+            CountChange::Comes => {
                 let tenant = self.traffic.tenant(at, &mut self.rng);
                 let client = self.draw(at, tenant, None);
                 let life = self.traffic.life(client.class, &mut self.rng);
@@ -177,7 +177,7 @@
                 self.connect(at, place, None, out);
             }
             // Where numbers fall, anybody may be who leaves.
-            Turn::Goes => {
+            CountChange::Goes => {
                 if let Some(place) = self.crowd.any(&mut self.rng) {
                     self.over(place, out);
                 }
@@ -186,7 +186,7 @@
     }
 
     /// Draws a client that comes now, or one that has stood in this group before the day.
-    fn draw(&mut self, now: Micros, tenant: u32, stood: Option<&start::Stood>) -> Client {
+    fn draw(&mut self, now: Micros, tenant: u32, stood: Option<&start::InitialConnection>) -> Client {
         let day = &self.day;
         let rng = &mut self.rng;
         let class = stood.map_or_else(|| self.traffic.class(rng), |s| s.class);
@@ -210,16 +210,16 @@
         }
     }
 
-    fn enter(&mut self, mut client: Client, life: Micros, out: &mut Vec<PeopleOut>) -> Place {
+    fn enter(&mut self, mut client: Client, life: Micros, out: &mut Vec<ClientAction>) -> ClientIndex {
         client.until = client.since + life.max(1);
-        out.push(PeopleOut::Wants { cell: client.cell, first: true });
+        out.push(ClientAction::Wants { cell: client.cell, first: true });
         let until = client.until;
         let place = self.crowd.add(client);
-        self.wake(until, Next::HasHadAll, place);
+        self.wake(until, WakeUp::HasHadAll, place);
         place
     }
 
-    fn wake(&mut self, at: Micros, next: Next, place: Place) {
+    fn wake(&mut self, at: Micros, next: WakeUp, place: ClientIndex) {
         self.sequence += 1;
         self.wakes.push(Reverse((at, self.sequence, next, place)));
     }
@@ -227,15 +227,15 @@
     fn connect(
         &mut self,
         now: Micros,
-        place: Place,
+        place: ClientIndex,
         home: Option<crate::edge::NodeId>,
-        out: &mut Vec<PeopleOut>,
+        out: &mut Vec<ClientAction>,
     ) {
         let Some(client) = self.crowd.get_mut(place) else { return };
         let conn = ConnId(self.conns.len() as u64);
         let class = &self.day.classes[client.class as usize];
         let again = client.since < now;
-        let ask = Ask {
+        let ask = RequestLine {
             conn,
             key: client.key,
             class: client.class,
@@ -249,51 +249,51 @@
         };
         client.state = State::Waiting { conn, sent: now };
         let profile = LoadProfile { mean: client.mean, seed: self.rng.random() };
-        out.push(PeopleOut::Connect { ask, zone: client.zone, cell: client.cell, profile });
+        out.push(ClientAction::Connect { ask, zone: client.zone, cell: client.cell, profile });
         let gives_up = now + class.give_up + self.day.rules.answer_slack;
         self.conns.push(place);
-        self.wake(gives_up, Next::GivesUp { conn }, place);
+        self.wake(gives_up, WakeUp::GivesUp { conn }, place);
     }
 
-    fn wakes_up(&mut self, at: Micros, next: Next, place: Place, out: &mut Vec<PeopleOut>) {
+    fn wakes_up(&mut self, at: Micros, next: WakeUp, place: ClientIndex, out: &mut Vec<ClientAction>) {
         let Some(client) = self.crowd.get_mut(place) else { return };
         match next {
             // Else a pause has made its life longer.
-            Next::HasHadAll if client.until <= at => self.over(place, out),
-            Next::ComesAgain if client.state == State::Away => self.connect(at, place, None, out),
-            Next::Resumes if client.state == State::Paused => {
-                out.push(PeopleOut::Wants { cell: client.cell, first: false });
+            WakeUp::HasHadAll if client.until <= at => self.over(place, out),
+            WakeUp::ComesAgain if client.state == State::Away => self.connect(at, place, None, out),
+            WakeUp::Resumes if client.state == State::Paused => {
+                out.push(ClientAction::Wants { cell: client.cell, first: false });
                 self.connect(at, place, None, out);
             }
-            Next::GivesUp { conn } => {
+            WakeUp::GivesUp { conn } => {
                 if let State::Waiting { conn: c, sent } = client.state
                     && c == conn
                 {
                     // No answer in its time: the wait counts from the end of its patience, not from the slack's.
                     let end = sent + self.day.classes[client.class as usize].give_up;
-                    out.push(PeopleOut::Leave { conn });
+                    out.push(ClientAction::Leave { conn });
                     self.forget(conn);
                     self.failed(end, at, place, None);
                 }
             }
-            Next::HasHadAll | Next::ComesAgain | Next::Resumes => {}
+            WakeUp::HasHadAll | WakeUp::ComesAgain | WakeUp::Resumes => {}
         }
     }
 
     /// A client's answer has come, or a word that ends its connection.
-    pub fn answered(&mut self, now: Micros, conn: ConnId, heard: Heard) {
+    pub fn answered(&mut self, now: Micros, conn: ConnId, heard: ClientInput) {
         let Some((place, client)) = self.whose(conn) else { return };
         match (heard, client.state) {
-            (Heard::Up, State::Waiting { .. }) => {
+            (ClientInput::Up, State::Waiting { .. }) => {
                 client.state = State::Standing { conn };
                 client.failures = 0;
             }
-            (Heard::Up, _) => {}
-            (Heard::Move, State::Standing { .. }) => {
+            (ClientInput::Up, _) => {}
+            (ClientInput::Move, State::Standing { .. }) => {
                 self.forget(conn);
-                self.again(now, place, Gap::Moved);
+                self.again(now, place, AbsenceReason::Moved);
             }
-            (Heard::Busy(wait), State::Waiting { .. }) => {
+            (ClientInput::Busy(wait), State::Waiting { .. }) => {
                 self.forget(conn);
                 self.failed(now, now, place, Some(wait));
             }
@@ -310,14 +310,14 @@
         let stood = matches!(client.state, State::Standing { .. });
         self.forget(conn);
         if stood {
-            self.again(now, place, Gap::Broken);
+            self.again(now, place, AbsenceReason::Broken);
         } else {
             self.failed(now, now, place, None);
         }
     }
 
     /// A fault strikes the clients, from now on for its length.
-    pub fn struck(&mut self, now: Micros, fault: &Fault, out: &mut Vec<PeopleOut>) {
+    pub fn struck(&mut self, now: Micros, fault: &Fault, out: &mut Vec<ClientAction>) {
         match fault.kind {
             FaultKind::Reconnect => self.reconnect(now, fault, out),
             FaultKind::Surge => self.traffic.surge(now, fault, None, &mut self.rng),
@@ -331,7 +331,7 @@
 
     /// Each standing connection drops with the fault's chance, all at once; each client comes again within the
     /// fault's length. While it is away it asks for nothing.
-    fn reconnect(&mut self, now: Micros, fault: &Fault, out: &mut Vec<PeopleOut>) {
+    fn reconnect(&mut self, now: Micros, fault: &Fault, out: &mut Vec<ClientAction>) {
         const LEAST_AWAY: Micros = 200_000;
         const LAST_STAND: Micros = 50_000;
         for place in self.crowd.places() {
@@ -347,17 +347,17 @@
             client.state = State::Paused;
             // All come again, even those whose life is over by then: they ask, stand, and are done at once.
             client.until = client.until.max(back + LAST_STAND);
-            out.push(PeopleOut::Leave { conn });
-            out.push(PeopleOut::WantsNoMore { cell: client.cell });
+            out.push(ClientAction::Leave { conn });
+            out.push(ClientAction::WantsNoMore { cell: client.cell });
             let until = client.until;
             self.forget(conn);
-            self.wake(back, Next::Resumes, place);
-            self.wake(until, Next::HasHadAll, place);
+            self.wake(back, WakeUp::Resumes, place);
+            self.wake(until, WakeUp::HasHadAll, place);
         }
     }
 
     /// A try has failed at `from`; told now.
-    fn failed(&mut self, from: Micros, now: Micros, place: Place, wait: Option<Micros>) {
+    fn failed(&mut self, from: Micros, now: Micros, place: ClientIndex, wait: Option<Micros>) {
         let Some(client) = self.crowd.get_mut(place) else { return };
         client.failures += 1;
         let waited = match client.state {
@@ -369,52 +369,52 @@
             client.state = State::Gone;
             return;
         }
-        let gap = Gap::Failed { failures: client.failures, wait: wait.filter(|_| client.honours) };
+        let gap = AbsenceReason::Failed { failures: client.failures, wait: wait.filter(|_| client.honours) };
         self.again_from(from, now, place, gap);
     }
 
-    fn again(&mut self, now: Micros, place: Place, gap: Gap) {
+    fn again(&mut self, now: Micros, place: ClientIndex, gap: AbsenceReason) {
         self.again_from(now, now, place, gap);
     }
 
-    fn again_from(&mut self, from: Micros, now: Micros, place: Place, gap: Gap) {
+    fn again_from(&mut self, from: Micros, now: Micros, place: ClientIndex, gap: AbsenceReason) {
         let Some(client) = self.crowd.get_mut(place) else { return };
         client.state = State::Away;
         let back = (from + gap.draw(&self.day.clients, &mut self.rng)).max(now + 1);
         if back < client.until {
-            self.wake(back, Next::ComesAgain, place);
+            self.wake(back, WakeUp::ComesAgain, place);
         }
     }
 
     /// A client wants nothing more.
-    fn over(&mut self, place: Place, out: &mut Vec<PeopleOut>) {
+    fn over(&mut self, place: ClientIndex, out: &mut Vec<ClientAction>) {
         let Some(client) = self.crowd.get(place) else { return };
         let (state, cell) = (client.state, client.cell);
         match state {
             State::Waiting { conn, .. } => {
-                out.push(PeopleOut::Leave { conn });
+                out.push(ClientAction::Leave { conn });
                 self.forget(conn);
             }
             State::Standing { conn } => {
-                out.push(PeopleOut::Done { conn });
+                out.push(ClientAction::Done { conn });
                 self.forget(conn);
             }
             State::Away | State::Gone | State::Paused => {}
         }
         if state != State::Paused {
-            out.push(PeopleOut::WantsNoMore { cell });
+            out.push(ClientAction::WantsNoMore { cell });
         }
         self.crowd.remove(place);
     }
 
-    fn whose(&mut self, conn: ConnId) -> Option<(Place, &mut Client)> {
+    fn whose(&mut self, conn: ConnId) -> Option<(ClientIndex, &mut Client)> {
         let place = *self.conns.get(conn.0 as usize)?;
         self.crowd.get_mut(place).map(|client| (place, client))
     }
 
     fn forget(&mut self, conn: ConnId) {
         if let Some(place) = self.conns.get_mut(conn.0 as usize) {
-            *place = Place::NOBODY;
+            *place = ClientIndex::NOBODY;
         }
     }
 
--- a/crates/emulator/src/people/start.rs
+++ b/crates/emulator/src/people/start.rs
@@ -22,7 +22,7 @@
 
 /// A connection from before the day.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stood {
+pub(super) struct InitialConnection {
     pub tenant: u32,
     pub class: u32,
     /// Its mean load, in usual loads.
@@ -34,7 +34,12 @@
 }
 
 /// Draws all of them. Their number is not drawn: so many of each tenant as the load at the start says, rounded down.
-pub(super) fn standing(day: &Day, traffic: &Traffic, groups: &Groups, rng: &mut impl Rng) -> Vec<Stood> {
+pub(super) fn standing(
+    day: &Day,
+    traffic: &Traffic,
+    groups: &Groups,
+    rng: &mut impl Rng,
+) -> Vec<InitialConnection> {
     let capacity = capacity(day);
     let number = traffic.standing_at_start();
     let up: Vec<usize> = (0..day.nodes.len()).filter(|i| day.nodes[*i].up).collect();
@@ -59,7 +64,13 @@
             });
             home_of[group as usize] = Some(home);
             held[home] += mean;
-            all.push(Stood { tenant: tenant as u32, class, mean, group, home: NodeId(home as u32) });
+            all.push(InitialConnection {
+                tenant: tenant as u32,
+                class,
+                mean,
+                group,
+                home: NodeId(home as u32),
+            });
         }
     }
     all
--- a/crates/emulator/src/people/tests.rs
+++ b/crates/emulator/src/people/tests.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use serde_json::{Value, json};
 
-use super::client::Gap;
+use super::client::AbsenceReason;
 use super::*;
 use crate::day::Backoff;
 
@@ -61,7 +61,7 @@
 #[derive(Default)]
 struct Played {
     /// Each connection with its time.
-    asks: Vec<(Micros, Ask, u32)>,
+    asks: Vec<(Micros, RequestLine, u32)>,
     leaves: Vec<(Micros, ConnId)>,
     /// Times of new clients, and of those who left for good or were done, or paused.
     wants: Vec<(Micros, bool)>,
@@ -70,8 +70,8 @@
 }
 
 /// Plays a day: each connection hears what `hears` says, at once.
-fn play(day: &Day, mut hears: impl FnMut(Micros, &Ask) -> Option<Heard>) -> Played {
-    let mut people = People::new(day, Pcg64Mcg::seed_from_u64(7));
+fn play(day: &Day, mut hears: impl FnMut(Micros, &RequestLine) -> Option<ClientInput>) -> Played {
+    let mut people = ClientPopulation::new(day, Pcg64Mcg::seed_from_u64(7));
     let mut played = Played::default();
     let mut out = Vec::new();
     let mut faults = day.faults.iter().peekable();
@@ -81,13 +81,13 @@
         let mut heard = Vec::new();
         for what in out.drain(..) {
             match what {
-                PeopleOut::Wants { first, .. } => played.wants.push((now, first)),
-                PeopleOut::WantsNoMore { .. } => played.wants_no_more.push(now),
-                PeopleOut::Leave { conn } => played.leaves.push((now, conn)),
-                PeopleOut::Done { .. } => {}
-                PeopleOut::Connect { ask, zone, .. } => {
+                ClientAction::Wants { first, .. } => played.wants.push((now, first)),
+                ClientAction::WantsNoMore { .. } => played.wants_no_more.push(now),
+                ClientAction::Leave { conn } => played.leaves.push((now, conn)),
+                ClientAction::Done { .. } => {}
+                ClientAction::Connect { ask, zone, .. } => {
                     played.asks.push((now, ask, zone));
-                    let first = if ask.home.is_some() { Some(Heard::Up) } else { hears(now, &ask) };
+                    let first = if ask.home.is_some() { Some(ClientInput::Up) } else { hears(now, &ask) };
                     heard.extend(first.map(|h| (ask.conn, h)));
                 }
             }
@@ -119,7 +119,7 @@
     let capacity = capacity(&day);
     let (number, rate) = (0.9 * capacity.connections, 0.9 * capacity.per_s);
     near("capacity", capacity.connections, 400.0 * 110.0 / 1.2, 1e-9);
-    let played = play(&day, |_, _| Some(Heard::Up));
+    let played = play(&day, |_, _| Some(ClientInput::Up));
     let stood = played.asks.iter().filter(|a| a.1.home.is_some()).count() as f64;
     near("standing at the start", stood, number * 0.5f64.sqrt(), 0.0002);
     let came = |from: Micros, to: Micros| {
@@ -161,10 +161,10 @@
 fn gaps_are_those_measured() {
     let mut clients = day(json!({})).clients;
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let failed = |failures, wait| Gap::Failed { failures, wait };
+    let failed = |failures, wait| AbsenceReason::Failed { failures, wait };
     let cases = [
-        (Backoff::None, Gap::Broken, 0, 200),
-        (Backoff::None, Gap::Moved, 50, 150),
+        (Backoff::None, AbsenceReason::Broken, 0, 200),
+        (Backoff::None, AbsenceReason::Moved, 50, 150),
         (Backoff::None, failed(1, None), 300, 300),
         (Backoff::None, failed(5, None), 450, 750),
         (Backoff::Fixed, failed(1, None), 1200, 1200),
@@ -193,7 +193,7 @@
 fn unanswered_clients_come_again_until_their_life_is_over() {
     let day = day(json!({"traffic": {"load": 0.02}, "streams": {"per_core": 2}}));
     let played = play(&day, |_, _| None);
-    let mut tries: BTreeMap<u64, Vec<(Micros, Ask)>> = BTreeMap::new();
+    let mut tries: BTreeMap<u64, Vec<(Micros, RequestLine)>> = BTreeMap::new();
     played
         .asks
         .iter()
@@ -221,7 +221,7 @@
 fn a_mass_reconnect_drops_its_share_and_brings_all_back() {
     let fault = json!([{"kind": "reconnect", "at_s": 10, "len_s": 2, "size": 0.4}]);
     let day = day(json!({"faults": fault, "traffic": {"load": 0.9}, "streams": {"per_core": 110}}));
-    let played = play(&day, |_, _| Some(Heard::Up));
+    let played = play(&day, |_, _| Some(ClientInput::Up));
     let dropped: Vec<ConnId> = played.leaves.iter().filter(|l| l.0 == 10 * S).map(|l| l.1).collect();
     let present = played.wants.iter().filter(|w| w.0 <= 10 * S).count()
         - played.wants_no_more.iter().filter(|t| **t < 10 * S).count();
@@ -239,13 +239,13 @@
     let tenants = json!([{"name": "x", "share": 0.5, "traffic": 0.5, "quota": 0.3},
         {"name": "y", "share": 0.5, "traffic": 0.5, "quota": 0.25}]);
     let day = day(json!({"faults": fault, "tenants": tenants, "streams": {"per_core": 110}}));
-    let mut people = People::new(&day, Pcg64Mcg::seed_from_u64(7));
+    let mut people = ClientPopulation::new(&day, Pcg64Mcg::seed_from_u64(7));
     let mut out = Vec::new();
     people.struck(0, &day.faults[0], &mut out);
     people.advance(30 * S, &mut out);
     let mut counts = [[0.0; 2]; 2];
     for what in out {
-        if let PeopleOut::Wants { cell, .. } = what {
+        if let ClientAction::Wants { cell, .. } = what {
             let (_, tenant, within) = cell.parts(2);
             counts[tenant as usize][usize::from(within)] += 1.0;
         }
--- a/crates/emulator/src/people/traffic.rs
+++ b/crates/emulator/src/people/traffic.rs
@@ -14,7 +14,7 @@
 
 /// What happens to the number of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum CountChange {
     /// A new one comes.
     Comes,
     /// One leaves before its time.
@@ -32,14 +32,14 @@
 
 /// A stretch of the day's course: from one point to the next.
 #[derive(Clone, Copy, Debug)]
-struct Stretch {
+struct RateSegment {
     from: Micros,
     to: Micros,
     at_from: f64,
     at_to: f64,
 }
 
-impl Stretch {
+impl RateSegment {
     fn level(&self, t: Micros) -> f64 {
         let part = (t - self.from) as f64 / (self.to - self.from).max(1) as f64;
         self.at_from + (self.at_to - self.at_from) * part
@@ -65,7 +65,7 @@
     /// New ones a microsecond at level 1.
     rate: f64,
     by_joins: f64,
-    course: Vec<Stretch>,
+    course: Vec<RateSegment>,
     length: Micros,
     tenants: Vec<f64>,
     /// By tenant: connections within its share.
@@ -76,7 +76,7 @@
     burst: f64,
     burst_until: Micros,
     recorded: Option<std::vec::IntoIter<Micros>>,
-    next: Option<(Micros, Turn)>,
+    next: Option<(Micros, CountChange)>,
 }
 
 impl Traffic {
@@ -129,7 +129,7 @@
     }
 
     /// Takes that one, and draws the one after.
-    pub fn pop(&mut self, rng: &mut impl Rng) -> Option<(Micros, Turn)> {
+    pub fn pop(&mut self, rng: &mut impl Rng) -> Option<(Micros, CountChange)> {
         let (at, turn) = self.next.take()?;
         self.next = self.draw(at, rng);
         Some((at, turn))
@@ -157,10 +157,10 @@
         self.tenants.iter().enumerate().map(|(i, share)| share * self.surge_of(t, i as u32)).sum()
     }
 
-    fn draw(&mut self, from: Micros, rng: &mut impl Rng) -> Option<(Micros, Turn)> {
+    fn draw(&mut self, from: Micros, rng: &mut impl Rng) -> Option<(Micros, CountChange)> {
         if let Some(times) = &mut self.recorded {
             let length = self.length;
-            return times.find(|t| *t < length).map(|t| (t, Turn::Comes));
+            return times.find(|t| *t < length).map(|t| (t, CountChange::Comes));
         }
         let mut at = from;
         while at < self.length {
@@ -188,10 +188,10 @@
             let (flow, slope) = (factor * self.flow(level), self.slope(level, stretch.slope()));
             let lot = rng.random::<f64>() * most;
             if lot < flow + slope.max(0.0) {
-                return Some((at, Turn::Comes));
+                return Some((at, CountChange::Comes));
             }
             if lot < flow + slope.abs() {
-                return Some((at, Turn::Goes));
+                return Some((at, CountChange::Goes));
             }
         }
         None
@@ -295,13 +295,13 @@
 }
 
 /// The course in stretches that cover the whole day; level 1 where it says nothing.
-fn course(points: &[(f64, f64)], length: Micros) -> Vec<Stretch> {
+fn course(points: &[(f64, f64)], length: Micros) -> Vec<RateSegment> {
     let us = |s: f64| (s.max(0.0) * 1e6).round() as Micros;
-    let mut all: Vec<Stretch> = Vec::new();
+    let mut all: Vec<RateSegment> = Vec::new();
     let first = points.first().map_or((0, 1.0), |p| (us(p.0), p.1));
     let mut push = |from: (Micros, f64), to: (Micros, f64)| {
         if to.0 > from.0 {
-            all.push(Stretch { from: from.0, to: to.0, at_from: from.1, at_to: to.1 });
+            all.push(RateSegment { from: from.0, to: to.0, at_from: from.1, at_to: to.1 });
         }
     };
     push((0, first.1), first);
--- a/crates/emulator/src/places/discovery/desk.rs
+++ b/crates/emulator/src/places/discovery/desk.rs
@@ -91,7 +91,7 @@
 
 /// The queue and the watchers.
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct ServiceQueue {
     lines_per_s: f64,
     call_lines: f64,
     timeout: Micros,
@@ -107,10 +107,10 @@
     rng: Pcg64Mcg,
 }
 
-impl Desk {
+impl ServiceQueue {
     /// A desk with nothing to do. `cross` is one way between two zones, where every balancer is held to be.
-    pub fn new(figures: &day::Discovery, cross: Micros, balancers: usize, rng: Pcg64Mcg) -> Desk {
-        Desk {
+    pub fn new(figures: &day::Discovery, cross: Micros, balancers: usize, rng: Pcg64Mcg) -> ServiceQueue {
+        ServiceQueue {
             lines_per_s: figures.lines_per_s.max(1e-3),
             call_lines: figures.call_lines,
             timeout: figures.timeout,
--- a/crates/emulator/src/places/discovery/mod.rs
+++ b/crates/emulator/src/places/discovery/mod.rs
@@ -14,8 +14,8 @@
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, Listed, NodeId, ToBalancer};
-use crate::places::faults::NodeTurn;
-use desk::{Call, Desk};
+use crate::places::faults::NodeEvent;
+use desk::{Call, ServiceQueue};
 use registry::{Process, Registry};
 
 /// The old address goes on so long after a move (the platform's figure).
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Discovery {
     registry: Registry,
-    desk: Desk,
+    desk: ServiceQueue,
     /// Spells of being down that are on.
     down: u32,
     /// Watches opened before the second time end at the first.
@@ -37,24 +37,24 @@
     pub fn new(day: &Day, rng: Pcg64Mcg, desk_rng: Pcg64Mcg) -> Discovery {
         Discovery {
             registry: Registry::new(&day.discovery, day.nodes.iter().map(|n| n.up), rng),
-            desk: Desk::new(&day.discovery, day.net.cross, day.balancers.len(), desk_rng),
+            desk: ServiceQueue::new(&day.discovery, day.net.cross, day.balancers.len(), desk_rng),
             down: 0,
             moves: Vec::new(),
         }
     }
 
     /// Something happens to a node; what of it discovery can see, it learns late.
-    pub fn node(&mut self, now: Micros, node: NodeId, what: NodeTurn) {
+    pub fn node(&mut self, now: Micros, node: NodeId, what: NodeEvent) {
         use FaultKind::{CutOff, Hang};
         let seen = match what {
-            NodeTurn::Crash | NodeTurn::Stop => Process::Ends,
-            NodeTurn::Start => Process::Starts,
-            NodeTurn::Drain => Process::Drains,
+            NodeEvent::Crash | NodeEvent::Stop => Process::Ends,
+            NodeEvent::Start => Process::Starts,
+            NodeEvent::Drain => Process::Drains,
             // Heartbeats stop with the process or with the machine's network; whatever else is wrong with a node,
             // its process runs, and more the list does not know.
-            NodeTurn::Fault { kind: Hang | CutOff, on: true, .. } => Process::FallsSilent,
-            NodeTurn::Fault { kind: Hang | CutOff, on: false, .. } => Process::Speaks,
-            NodeTurn::Fault { .. } => return,
+            NodeEvent::Fault { kind: Hang | CutOff, on: true, .. } => Process::FallsSilent,
+            NodeEvent::Fault { kind: Hang | CutOff, on: false, .. } => Process::Speaks,
+            NodeEvent::Fault { .. } => return,
         };
         self.registry.happens(now, node, seen);
     }
--- a/crates/emulator/src/places/discovery/registry.rs
+++ b/crates/emulator/src/places/discovery/registry.rs
@@ -33,7 +33,7 @@
 
 /// What a process truly is.
 #[derive(Clone, Copy, Debug)]
-struct Truth {
+struct ProcessState {
     up: bool,
     draining: bool,
     heard: bool,
@@ -42,7 +42,7 @@
     epoch: u32,
 }
 
-impl Truth {
+impl ProcessState {
     fn stage(&self) -> Stage {
         match (self.up && self.heard, self.draining) {
             (false, _) => Stage::Gone,
@@ -54,7 +54,7 @@
 
 /// Something that will be noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Coming {
+struct PendingChange {
     due: Micros,
     /// Keeps equal times in the order in which they came.
     number: u64,
@@ -68,8 +68,8 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     figures: day::Discovery,
-    truth: Vec<Truth>,
-    coming: BTreeSet<Coming>,
+    truth: Vec<ProcessState>,
+    coming: BTreeSet<PendingChange>,
     numbers: u64,
     /// What has been noticed; in the list from the next writing on.
     noticed: Vec<Listed>,
@@ -90,9 +90,10 @@
 impl Registry {
     /// A registry that knows all nodes as they are when the day starts; `up` says who runs.
     pub fn new(figures: &day::Discovery, up: impl Iterator<Item = bool>, rng: Pcg64Mcg) -> Registry {
-        let truth: Vec<Truth> =
-            up.map(|up| Truth { up, draining: false, heard: true, born: None, epoch: 0 }).collect();
-        let entry = |(i, t): (usize, &Truth)| Listed { node: NodeId(i as u32), stage: t.stage(), born: None };
+        let truth: Vec<ProcessState> =
+            up.map(|up| ProcessState { up, draining: false, heard: true, born: None, epoch: 0 }).collect();
+        let entry =
+            |(i, t): (usize, &ProcessState)| Listed { node: NodeId(i as u32), stage: t.stage(), born: None };
         let listed: Vec<Listed> = truth.iter().enumerate().map(entry).collect();
         Registry {
             figures: figures.clone(),
@@ -148,7 +149,7 @@
         let late = mean as f64 * self.rng.random_range(1.0 - spread..1.0 + spread);
         self.numbers += 1;
         let due = now + late as Micros;
-        self.coming.insert(Coming { due, number: self.numbers, node, epoch, put_off: false });
+        self.coming.insert(PendingChange { due, number: self.numbers, node, epoch, put_off: false });
     }
 
     /// A spell begins in which the view runs `by` further behind.
@@ -162,7 +163,8 @@
             self.stale.remove(place);
         }
         let latest = now + self.stale.iter().sum::<Micros>();
-        let sooner = |c: Coming| if c.put_off { Coming { due: c.due.min(latest), ..c } } else { c };
+        let sooner =
+            |c: PendingChange| if c.put_off { PendingChange { due: c.due.min(latest), ..c } } else { c };
         self.coming = std::mem::take(&mut self.coming).into_iter().map(sooner).collect();
     }
 
@@ -184,14 +186,14 @@
         self.writes()
     }
 
-    fn notices(&mut self, c: Coming) {
+    fn notices(&mut self, c: PendingChange) {
         let truth = self.truth[c.node.0 as usize];
         if truth.epoch != c.epoch {
             return;
         }
         let behind = self.stale.iter().sum::<Micros>();
         if behind > 0 && !c.put_off {
-            self.coming.insert(Coming { due: c.due + behind, put_off: true, ..c });
+            self.coming.insert(PendingChange { due: c.due + behind, put_off: true, ..c });
             return;
         }
         let entry = &mut self.noticed[c.node.0 as usize];
--- a/crates/emulator/src/places/faults.rs
+++ b/crates/emulator/src/places/faults.rs
@@ -24,7 +24,7 @@
 
 /// What happens to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NodeTurn {
+pub enum NodeEvent {
     /// It begins to drain.
     Drain,
     /// It has drained and ends.
@@ -46,7 +46,7 @@
 
 /// What happens to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BalancerTurn {
+pub enum BalancerEvent {
     /// Its process starts.
     Start,
     /// It is killed outright. A balancer that ended by itself before is not there any more.
@@ -62,11 +62,11 @@
 
 /// One turn of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happens {
+pub enum FaultEvent {
     /// To a node.
-    Node(NodeId, NodeTurn),
+    Node(NodeId, NodeEvent),
     /// To a balancer.
-    Balancer(BalancerId, BalancerTurn),
+    Balancer(BalancerId, BalancerEvent),
     /// The day's fault at this place strikes the clients.
     People(usize),
     /// The day's fault at this place begins or ends at discovery.
@@ -75,7 +75,7 @@
 
 /// A fault as reports show it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Band {
+pub struct FaultInterval {
     /// What happened.
     pub kind: FaultKind,
     /// From then ...
@@ -88,26 +88,26 @@
 
 /// All turns of a day, in order.
 #[derive(Clone, Debug)]
-pub struct Schedule {
-    turns: Vec<(Micros, Happens)>,
+pub struct FaultSchedule {
+    turns: Vec<(Micros, FaultEvent)>,
     next: usize,
-    bands: Vec<Band>,
+    bands: Vec<FaultInterval>,
 }
 
 /// Whom a kind of fault strikes.
-enum Strikes {
+enum FaultTargets {
     Nodes,
     Balancers,
     Else,
 }
 
-fn strikes(kind: FaultKind) -> Strikes {
+fn strikes(kind: FaultKind) -> FaultTargets {
     use FaultKind::*;
     match kind {
         Crash | Hang | CutOff | HalfDead | Slow | Failing | Resetting | Full | WrongAnswers | Release
-        | Drain => Strikes::Nodes,
-        BalancerKill | BalancerRestart | BalancerReload => Strikes::Balancers,
-        ListStale | ListDown | ListMoved | Reconnect | Surge | TenantFlood => Strikes::Else,
+        | Drain => FaultTargets::Nodes,
+        BalancerKill | BalancerRestart | BalancerReload => FaultTargets::Balancers,
+        ListStale | ListDown | ListMoved | Reconnect | Surge | TenantFlood => FaultTargets::Else,
     }
 }
 
@@ -152,7 +152,7 @@
 struct Plan<'a> {
     day: &'a Day,
     rng: Pcg64Mcg,
-    turns: Vec<(Micros, Happens)>,
+    turns: Vec<(Micros, FaultEvent)>,
     nodes: Vec<Vec<Outage>>,
     balancers: Vec<Vec<Outage>>,
 }
@@ -190,8 +190,8 @@
             kind => {
                 for &i in on {
                     for (at, on) in [(from, true), (to, false)] {
-                        let turn = NodeTurn::Fault { kind, on, size: fault.size };
-                        self.turns.push((at, Happens::Node(NodeId(i), turn)));
+                        let turn = NodeEvent::Fault { kind, on, size: fault.size };
+                        self.turns.push((at, FaultEvent::Node(NodeId(i), turn)));
                     }
                 }
             }
@@ -207,8 +207,10 @@
             let balancer = BalancerId(i);
             match fault.kind {
                 FaultKind::BalancerReload => {
-                    self.turns
-                        .push((fault.at, Happens::Balancer(balancer, BalancerTurn::Reload { moved: false })));
+                    self.turns.push((
+                        fault.at,
+                        FaultEvent::Balancer(balancer, BalancerEvent::Reload { moved: false }),
+                    ));
                 }
                 FaultKind::BalancerKill => {
                     let to = fault.at + fault.len;
@@ -230,17 +232,17 @@
     fn elsewhere(&mut self, fault: &Fault, place: usize) -> Micros {
         match fault.kind {
             FaultKind::ListStale | FaultKind::ListDown => {
-                self.turns.push((fault.at, Happens::Discovery(place, true)));
-                self.turns.push((fault.at + fault.len, Happens::Discovery(place, false)));
+                self.turns.push((fault.at, FaultEvent::Discovery(place, true)));
+                self.turns.push((fault.at + fault.len, FaultEvent::Discovery(place, false)));
             }
             FaultKind::ListMoved => {
-                self.turns.push((fault.at, Happens::Discovery(place, true)));
+                self.turns.push((fault.at, FaultEvent::Discovery(place, true)));
                 for i in 0..self.day.balancers.len() as u32 {
-                    let turn = BalancerTurn::Reload { moved: true };
-                    self.turns.push((fault.at, Happens::Balancer(BalancerId(i), turn)));
+                    let turn = BalancerEvent::Reload { moved: true };
+                    self.turns.push((fault.at, FaultEvent::Balancer(BalancerId(i), turn)));
                 }
             }
-            _ => self.turns.push((fault.at, Happens::People(place))),
+            _ => self.turns.push((fault.at, FaultEvent::People(place))),
         }
         fault.at + fault.len
     }
@@ -248,50 +250,50 @@
     /// Makes turns of all times away.
     fn away(&mut self) {
         for (i, outages) in std::mem::take(&mut self.nodes).into_iter().enumerate() {
-            let node = |turn| Happens::Node(NodeId(i as u32), turn);
+            let node = |turn| FaultEvent::Node(NodeId(i as u32), turn);
             let mut back = 0;
             for o in joined(outages) {
                 let ends = match o.warned {
                     Some(at) => {
                         // Not while it is still away for another cause.
-                        self.turns.push((at.max(back), node(NodeTurn::Drain)));
-                        NodeTurn::Stop
+                        self.turns.push((at.max(back), node(NodeEvent::Drain)));
+                        NodeEvent::Stop
                     }
-                    None => NodeTurn::Crash,
+                    None => NodeEvent::Crash,
                 };
                 back = o.to;
                 self.turns.push((o.from, node(ends)));
                 if o.to < Micros::MAX {
-                    self.turns.push((o.to, node(NodeTurn::Start)));
+                    self.turns.push((o.to, node(NodeEvent::Start)));
                 }
             }
         }
         for (i, outages) in std::mem::take(&mut self.balancers).into_iter().enumerate() {
-            let balancer = |turn| Happens::Balancer(BalancerId(i as u32), turn);
+            let balancer = |turn| FaultEvent::Balancer(BalancerId(i as u32), turn);
             let mut back = 0;
             for o in joined(outages) {
                 if let Some(at) = o.warned {
-                    self.turns.push((at.max(back), balancer(BalancerTurn::Terminate)));
+                    self.turns.push((at.max(back), balancer(BalancerEvent::Terminate)));
                 }
                 back = o.to;
-                self.turns.push((o.from, balancer(BalancerTurn::Kill)));
-                self.turns.push((o.to, balancer(BalancerTurn::Start)));
+                self.turns.push((o.from, balancer(BalancerEvent::Kill)));
+                self.turns.push((o.to, balancer(BalancerEvent::Start)));
             }
         }
     }
 }
 
-impl Schedule {
+impl FaultSchedule {
     /// Works out all that the day's faults do. Balancers' first starts are among the turns, at the times that the day
     /// names.
-    pub fn new(day: &Day, rng: Pcg64Mcg) -> Schedule {
+    pub fn new(day: &Day, rng: Pcg64Mcg) -> FaultSchedule {
         let node_zones: Vec<u32> = day.nodes.iter().map(|n| n.zone).collect();
         let balancer_zones: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
         let starts = day
             .balancers
             .iter()
             .enumerate()
-            .map(|(i, b)| (b.start, Happens::Balancer(BalancerId(i as u32), BalancerTurn::Start)));
+            .map(|(i, b)| (b.start, FaultEvent::Balancer(BalancerId(i as u32), BalancerEvent::Start)));
         let mut plan = Plan {
             day,
             rng,
@@ -302,22 +304,22 @@
         let mut bands = Vec::new();
         for (place, fault) in day.faults.iter().enumerate() {
             let on = match strikes(fault.kind) {
-                Strikes::Nodes => struck(fault, &node_zones, &mut plan.rng),
-                Strikes::Balancers => struck(fault, &balancer_zones, &mut plan.rng),
-                Strikes::Else => Vec::new(),
+                FaultTargets::Nodes => struck(fault, &node_zones, &mut plan.rng),
+                FaultTargets::Balancers => struck(fault, &balancer_zones, &mut plan.rng),
+                FaultTargets::Else => Vec::new(),
             };
             let to = match strikes(fault.kind) {
-                Strikes::Nodes => plan.nodes(fault, &on),
-                Strikes::Balancers => plan.balancers(fault, &on),
-                Strikes::Else => plan.elsewhere(fault, place),
+                FaultTargets::Nodes => plan.nodes(fault, &on),
+                FaultTargets::Balancers => plan.balancers(fault, &on),
+                FaultTargets::Else => plan.elsewhere(fault, place),
             };
-            bands.push(Band { kind: fault.kind, from: fault.at, to, on });
+            bands.push(FaultInterval { kind: fault.kind, from: fault.at, to, on });
         }
         plan.away();
         let mut turns = plan.turns;
         // The sort keeps the order of what falls on one time.
         turns.sort_by_key(|t| t.0);
-        Schedule { turns, next: 0, bands }
+        FaultSchedule { turns, next: 0, bands }
     }
 
     /// When the next turn is due.
@@ -326,7 +328,7 @@
     }
 
     /// Hands out the turns up to `now`, in order.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<Happens>) {
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<FaultEvent>) {
         while let Some(&(_, turn)) = self.turns.get(self.next).filter(|t| t.0 <= now) {
             self.next += 1;
             out.push(turn);
@@ -334,7 +336,7 @@
     }
 
     /// The faults for reports, in the order of the day.
-    pub fn bands(&self) -> &[Band] {
+    pub fn bands(&self) -> &[FaultInterval] {
         &self.bands
     }
 }
--- a/crates/emulator/src/places/front.rs
+++ b/crates/emulator/src/places/front.rs
@@ -17,7 +17,7 @@
 
 /// Who is dealt clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum BalancerStatus {
     /// It has not answered yet, or is known to be gone.
     Out,
     /// It is dealt clients.
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Front {
     zone_of: Vec<u32>,
-    standing: Vec<Standing>,
+    standing: Vec<BalancerStatus>,
     /// By zone: who is dealt clients there. Those whose time is over are dropped when they are met.
     dealt: Vec<Vec<BalancerId>>,
     /// The same over all zones.
@@ -45,7 +45,7 @@
         let zone_of: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
         let zones = zone_of.iter().map(|&z| z as usize + 1).max().unwrap_or(0).max(day.zones.len());
         Front {
-            standing: vec![Standing::Out; zone_of.len()],
+            standing: vec![BalancerStatus::Out; zone_of.len()],
             zone_of,
             dealt: vec![Vec::new(); zones],
             everywhere: Vec::new(),
@@ -56,7 +56,7 @@
 
     /// The balancer has answered for the first time since it started: clients are dealt to it from now on.
     pub fn answered(&mut self, _now: Micros, balancer: BalancerId) {
-        self.standing[balancer.0 as usize] = Standing::In;
+        self.standing[balancer.0 as usize] = BalancerStatus::In;
         // It may still be listed from before its end: once each is enough.
         for list in [&mut self.dealt[self.zone_of[balancer.0 as usize] as usize], &mut self.everywhere] {
             list.retain(|&b| b != balancer);
@@ -79,9 +79,9 @@
     fn leaves(&mut self, balancer: BalancerId, at: Micros) {
         let standing = &mut self.standing[balancer.0 as usize];
         *standing = match *standing {
-            Standing::Out => Standing::Out,
-            Standing::In => Standing::Until(at),
-            Standing::Until(sooner) => Standing::Until(sooner.min(at)),
+            BalancerStatus::Out => BalancerStatus::Out,
+            BalancerStatus::In => BalancerStatus::Until(at),
+            BalancerStatus::Until(sooner) => BalancerStatus::Until(sooner.min(at)),
         };
     }
 
@@ -90,9 +90,9 @@
     pub fn pick(&mut self, now: Micros, zone: u32) -> Option<BalancerId> {
         let standing = &mut self.standing;
         let mut still = |b: &BalancerId| match standing[b.0 as usize] {
-            Standing::In => true,
-            Standing::Until(at) => now < at,
-            Standing::Out => false,
+            BalancerStatus::In => true,
+            BalancerStatus::Until(at) => now < at,
+            BalancerStatus::Out => false,
         };
         let here = self.dealt.get_mut(zone as usize);
         if let Some(here) = here {
--- a/crates/emulator/src/places/mod.rs
+++ b/crates/emulator/src/places/mod.rs
@@ -9,7 +9,7 @@
 pub mod network;
 
 pub use discovery::Discovery;
-pub use faults::{BalancerTurn, Band, Happens, NodeTurn, Schedule};
+pub use faults::{BalancerEvent, FaultEvent, FaultInterval, FaultSchedule, NodeEvent};
 pub use front::Front;
 pub use network::Network;
 
--- a/crates/emulator/src/places/tests.rs
+++ b/crates/emulator/src/places/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, Listed, NodeId, Stage, ToBalancer};
-use crate::places::{BalancerTurn, Discovery, Happens, NodeTurn, Schedule};
+use crate::places::{BalancerEvent, Discovery, FaultEvent, FaultSchedule, NodeEvent};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -110,17 +110,17 @@
     discovery.watch(0, BalancerId(0));
     let stale = fault(FaultKind::ListStale, 0, 0, 4.0, &[]);
     let node = |discovery: &mut Discovery, at, i, turn| discovery.node(at, NodeId(i), turn);
-    node(&mut discovery, S, 0, NodeTurn::Crash);
-    node(&mut discovery, S, 1, NodeTurn::Crash);
-    node(&mut discovery, S + 300_000, 1, NodeTurn::Start);
+    node(&mut discovery, S, 0, NodeEvent::Crash);
+    node(&mut discovery, S, 1, NodeEvent::Crash);
+    node(&mut discovery, S + 300_000, 1, NodeEvent::Start);
     play(&mut discovery, 10 * S, &mut told);
     discovery.struck(10 * S, &stale, true);
-    node(&mut discovery, 10 * S, 0, NodeTurn::Start);
+    node(&mut discovery, 10 * S, 0, NodeEvent::Start);
     play(&mut discovery, 18 * S, &mut told);
-    node(&mut discovery, 18 * S, 2, NodeTurn::Crash);
+    node(&mut discovery, 18 * S, 2, NodeEvent::Crash);
     play(&mut discovery, 21 * S - 1, &mut told);
     discovery.struck(21 * S - 1, &stale, false);
-    node(&mut discovery, 30 * S, 3, NodeTurn::Fault { kind: FaultKind::CutOff, on: true, size: 0.0 });
+    node(&mut discovery, 30 * S, 3, NodeEvent::Fault { kind: FaultKind::CutOff, on: true, size: 0.0 });
     play(&mut discovery, 60 * S, &mut told);
 
     let written: Vec<(u64, u32, Stage)> =
@@ -153,12 +153,12 @@
     (0..12).for_each(|b| discovery.watch(0, BalancerId(b)));
     play(&mut discovery, 10 * S, &mut told);
     for i in 0..40 {
-        discovery.node(10 * S, NodeId(i), NodeTurn::Crash);
+        discovery.node(10 * S, NodeId(i), NodeEvent::Crash);
     }
     play(&mut discovery, 12 * S, &mut told);
     discovery.ended(BalancerId(11));
     play(&mut discovery, 20 * S, &mut told);
-    discovery.node(20 * S, NodeId(50), NodeTurn::Crash);
+    discovery.node(20 * S, NodeId(50), NodeEvent::Crash);
     play(&mut discovery, 25 * S, &mut told);
     let mut lists = vec![discovery.known(BalancerId(11)); 12];
     let stale_list = lists[11].len();
@@ -189,7 +189,7 @@
     assert!(told.told.len() == 12 && told.told.iter().all(|t| t.2 == ToBalancer::ListFailed));
     discovery.struck(33 * S, &down, false);
     discovery.watch(34 * S, BalancerId(0));
-    discovery.node(34 * S, NodeId(0), NodeTurn::Start);
+    discovery.node(34 * S, NodeId(0), NodeEvent::Start);
     told.told.clear();
     play(&mut discovery, 40 * S, &mut told);
     assert_eq!(told.told.len(), 2, "its answer and the news, and nothing for those whose watch broke");
@@ -211,7 +211,7 @@
         fault(FaultKind::Slow, 40 * S, S, 0.5, &[9]),
     ];
     let all = |seed| {
-        let mut schedule = Schedule::new(&day, rng(seed));
+        let mut schedule = FaultSchedule::new(&day, rng(seed));
         let (mut turns, mut at) = (Vec::new(), 0);
         while let Some(due) = schedule.next_due() {
             assert!(due >= at, "out of order");
@@ -226,21 +226,21 @@
     assert_eq!(all(1).0, turns);
     assert_ne!(all(2).1[2].on, bands[2].on, "another seed strikes others");
     assert_eq!(bands[2].on.len(), 10);
-    let of = |wanted: Happens| turns.iter().filter(|t| t.1 == wanted).map(|t| t.0).collect::<Vec<_>>();
-    let node = |i, turn| of(Happens::Node(NodeId(i), turn));
+    let of = |wanted: FaultEvent| turns.iter().filter(|t| t.1 == wanted).map(|t| t.0).collect::<Vec<_>>();
+    let node = |i, turn| of(FaultEvent::Node(NodeId(i), turn));
     if !bands[2].on.contains(&2) {
-        assert_eq!(node(2, NodeTurn::Crash), [10 * S], "it was down already");
-        let back = node(2, NodeTurn::Start);
+        assert_eq!(node(2, NodeEvent::Crash), [10 * S], "it was down already");
+        let back = node(2, NodeEvent::Start);
         assert!(back.len() == 1 && (22 * S..23 * S).contains(&back[0]), "{back:?}");
     }
     // Two of forty leave at once; the next two when these are back.
-    assert_eq!(node(5, NodeTurn::Drain), [30 * S]);
-    assert_eq!(node(6, NodeTurn::Drain), [34 * S]);
-    assert_eq!(node(6, NodeTurn::Stop), [36 * S]);
-    assert!(node(5, NodeTurn::Start)[0] <= node(6, NodeTurn::Drain)[0], "one wave after the other");
-    let balancer = |i, turn| of(Happens::Balancer(BalancerId(i), turn));
-    assert_eq!(balancer(1, BalancerTurn::Start), [2 * S, 29_400_000]);
-    assert_eq!(balancer(0, BalancerTurn::Kill), [23_700_000]);
-    assert_eq!(balancer(1, BalancerTurn::Terminate), [24_700_000]);
-    assert_eq!(node(9, NodeTurn::Fault { kind: FaultKind::Slow, on: false, size: 0.5 }), [41 * S]);
+    assert_eq!(node(5, NodeEvent::Drain), [30 * S]);
+    assert_eq!(node(6, NodeEvent::Drain), [34 * S]);
+    assert_eq!(node(6, NodeEvent::Stop), [36 * S]);
+    assert!(node(5, NodeEvent::Start)[0] <= node(6, NodeEvent::Drain)[0], "one wave after the other");
+    let balancer = |i, turn| of(FaultEvent::Balancer(BalancerId(i), turn));
+    assert_eq!(balancer(1, BalancerEvent::Start), [2 * S, 29_400_000]);
+    assert_eq!(balancer(0, BalancerEvent::Kill), [23_700_000]);
+    assert_eq!(balancer(1, BalancerEvent::Terminate), [24_700_000]);
+    assert_eq!(node(9, NodeEvent::Fault { kind: FaultKind::Slow, on: false, size: 0.5 }), [41 * S]);
 }
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -11,14 +11,14 @@
 use crate::edge::NodeId;
 use crate::people::Cell;
 use ledger::Level;
-pub use outcome::{Outcome, Part, Price, Prices, Second, TenantSecond, WorstWindow};
+pub use outcome::{Cost, Outcome, Part, Prices, Second, TenantSecond, WorstWindow};
 use shorewharf_units::Micros;
 
 const SECOND: Micros = 1_000_000;
 
 /// Connections of one account on one node: what they earn together.
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
+struct AccountOnNode {
     number: f64,
     /// Node's seconds of share at which they came, taken from those at which they went.
     carried: f64,
@@ -46,7 +46,7 @@
     /// Clients that want a connection, by account.
     wanting: Vec<Level>,
     /// By node and account.
-    standing: Vec<Standing>,
+    standing: Vec<AccountOnNode>,
     /// Standing connections whose balancer and node are in different zones.
     crossing: Level,
     /// Open connections of pairs of balancer and node.
@@ -72,7 +72,7 @@
             cells,
             end,
             wanting: vec![Level::default(); cells],
-            standing: vec![Standing::default(); cells * day.nodes.len()],
+            standing: vec![AccountOnNode::default(); cells * day.nodes.len()],
             crossing: Level::default(),
             open: Level::default(),
             seconds: Vec::new(),
--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -56,7 +56,7 @@
 
 /// What one price took.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Price {
+pub struct Cost {
     /// The share or rate that is charged.
     pub rate: f64,
     /// What it took from G.
@@ -68,15 +68,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Prices {
     /// Share of the seconds asked for that stood across zones.
-    pub cross_zone: Price,
+    pub cross_zone: Cost,
     /// New connections of pairs of balancer and node, per client.
-    pub handshake: Price,
+    pub handshake: Cost,
     /// Open connections of pairs on average, over 100 a node.
-    pub connection: Price,
+    pub connection: Cost,
     /// Probes per client.
-    pub probe: Price,
+    pub probe: Cost,
     /// Moves per client.
-    pub moves: Price,
+    pub moves: Cost,
 }
 
 impl Prices {
@@ -228,7 +228,7 @@
 fn prices(score: &Score, wanted_s: f64) -> Prices {
     let (day, counts) = (&score.day, score.counts);
     let per = |n: f64, of: f64| if of > 0.0 { n / of } else { 0.0 };
-    let price = |rate: f64, each: f64| Price { rate, cost: rate * each };
+    let price = |rate: f64, each: f64| Cost { rate, cost: rate * each };
     let clients = counts.clients as f64;
     let mean_open = score.open.area() / (seconds_from_micros(score.end)).max(f64::MIN_POSITIVE);
     Prices {
--- a/crates/emulator/src/sockets/bad.rs
+++ b/crates/emulator/src/sockets/bad.rs
@@ -10,10 +10,10 @@
 use shorewharf_units::Micros;
 use thiserror::Error;
 
-use super::book::Book;
-use super::lines::Wire;
+use super::book::ConnectionLog;
+use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
-use super::stage::{Did, Sight};
+use super::stage::{ConnectionObservation, Observations};
 use crate::day::{BadClients, Day};
 use crate::edge::{BalancerId, ConnId, End};
 
@@ -68,7 +68,7 @@
 
 /// How bad clients of one kind fared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Fared {
+pub struct MisbehaviorOutcome {
     /// Connections they made, but for those that were refused because nobody listened.
     pub came: u64,
     /// Got an error.
@@ -82,8 +82,8 @@
 }
 
 #[derive(Debug)]
-struct Bad {
-    wire: Wire,
+struct MisbehavingClient {
+    wire: LineConnection,
     who: BalancerId,
     to: SocketAddr,
     kind: Kind,
@@ -106,18 +106,18 @@
 
 /// The bad clients of a day.
 #[derive(Debug)]
-pub struct Bads {
+pub struct MisbehavingClients {
     flows: Vec<Flow>,
     names: Vec<String>,
-    bads: BTreeMap<u64, Bad>,
+    bads: BTreeMap<u64, MisbehavingClient>,
     next: u64,
     class: String,
     tenant: String,
     /// By flow, in the day's order.
-    pub fared: Vec<Fared>,
+    pub fared: Vec<MisbehaviorOutcome>,
 }
 
-impl Bads {
+impl MisbehavingClients {
     /// Those that the day names.
     pub fn new(day: &Day) -> Result<Self, UnknownKind> {
         let flow = |b: &BadClients| {
@@ -126,19 +126,19 @@
             Ok(Flow { kind, every, next: every })
         };
         let name = |names: Option<&String>| names.cloned().unwrap_or_default();
-        Ok(Bads {
+        Ok(MisbehavingClients {
             flows: day.bad_clients.iter().map(flow).collect::<Result<_, _>>()?,
             names: day.bad_clients.iter().map(|b| b.kind.clone()).collect(),
             bads: BTreeMap::new(),
             next: 0,
             class: name(day.classes.first().map(|c| &c.name)),
             tenant: name(day.tenants.first().map(|t| &t.name)),
-            fared: vec![Fared::default(); day.bad_clients.len()],
+            fared: vec![MisbehaviorOutcome::default(); day.bad_clients.len()],
         })
     }
 
     /// How each kind fared, by name.
-    pub fn report(&self) -> Vec<(String, Fared)> {
+    pub fn report(&self) -> Vec<(String, MisbehaviorOutcome)> {
         self.names.iter().cloned().zip(self.fared.iter().copied()).collect()
     }
 
@@ -156,7 +156,7 @@
         now: Micros,
         start: Micros,
         lasts: bool,
-        book: &mut Book,
+        book: &mut ConnectionLog,
         to: impl Fn(u64) -> Option<(BalancerId, SocketAddr, Option<ConnId>)>,
     ) {
         for place in 0..self.flows.len() {
@@ -167,7 +167,7 @@
                 }
             }
         }
-        let late = |b: &Bad| !b.judged && now >= b.since + owed(b.kind);
+        let late = |b: &MisbehavingClient| !b.judged && now >= b.since + owed(b.kind);
         for bad in self.bads.values_mut().filter(|b| late(b)) {
             bad.judged = true;
             self.fared[bad.place].neither += 1;
@@ -181,7 +181,7 @@
         place: usize,
         (who, to, other): (BalancerId, SocketAddr, Option<ConnId>),
         storms: Micros,
-        book: &mut Book,
+        book: &mut ConnectionLog,
     ) {
         let (id, kind) = (self.next, self.flows[place].kind);
         self.next += 1;
@@ -196,7 +196,10 @@
         if kind == Kind::Half {
             wire.finish(net);
         }
-        self.bads.insert(id, Bad { wire, who, to, kind, place, since: now, left, judged: false, storms });
+        self.bads.insert(
+            id,
+            MisbehavingClient { wire, who, to, kind, place, since: now, left, judged: false, storms },
+        );
     }
 
     /// What one says first.
@@ -232,8 +235,8 @@
         now: Micros,
         id: u64,
         ready: Ready,
-        book: &mut Book,
-        did: &mut Did,
+        book: &mut ConnectionLog,
+        did: &mut Observations,
     ) {
         let Some(bad) = self.bads.get_mut(&id) else { return };
         bad.wire.ready(net, ready);
@@ -252,7 +255,7 @@
             match found {
                 Message::Accepted(_) => {
                     fared.served += 1;
-                    did.push((bad.who, Sight::BadServed(ConnId(OWN | id)).into()));
+                    did.push((bad.who, ConnectionObservation::BadServed(ConnId(OWN | id)).into()));
                 }
                 Message::Rejected(_) | Message::Failed if !bad.judged => {
                     bad.judged = true;
--- a/crates/emulator/src/sockets/between.rs
+++ b/crates/emulator/src/sockets/between.rs
@@ -4,12 +4,12 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-use super::notes::Fate;
-use crate::edge::{BalancerId, LinkId, NodeId, Reach, ToBalancer};
+use super::notes::Delivery;
+use crate::edge::{BalancerId, LinkId, NodeId, Reachability, ToBalancer};
 
 /// What is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum NetworkFaultKind {
     /// Connections to the nodes are refused; those that stand go on.
     Refused,
     /// Nothing passes, and nothing ends: connections never come up, those that stand carry nothing.
@@ -34,9 +34,9 @@
 
 /// One thing that is broken for a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
+pub struct NetworkFault {
     /// What.
-    pub what: What,
+    pub what: NetworkFaultKind,
     /// From then ...
     pub from: Micros,
     /// ... until then, on the day's clock.
@@ -60,8 +60,8 @@
 
 /// All of them, and what waits on slow or silent links.
 #[derive(Debug, Default)]
-pub(super) struct Between {
-    breaks: Vec<Break>,
+pub(super) struct NetworkFaults {
+    breaks: Vec<NetworkFault>,
     edges: Vec<(Micros, Edge)>,
     next: usize,
     /// What is slow now: the breaks' places.
@@ -73,18 +73,18 @@
     count: u64,
 }
 
-impl Between {
-    pub fn new(breaks: &[Break]) -> Self {
-        let edge = |(place, b): (usize, &Break)| {
+impl NetworkFaults {
+    pub fn new(breaks: &[NetworkFault]) -> Self {
+        let edge = |(place, b): (usize, &NetworkFault)| {
             [(b.from, Edge { place, on: true }), (b.to.max(b.from), Edge { place, on: false })]
         };
         let mut edges: Vec<(Micros, Edge)> = breaks.iter().enumerate().flat_map(edge).collect();
         // What begins and ends at one time begins first.
         edges.sort_by_key(|(at, edge)| (*at, !edge.on));
-        Between { breaks: breaks.to_vec(), edges, ..Between::default() }
+        NetworkFaults { breaks: breaks.to_vec(), edges, ..NetworkFaults::default() }
     }
 
-    pub fn get(&self, place: usize) -> &Break {
+    pub fn get(&self, place: usize) -> &NetworkFault {
         &self.breaks[place]
     }
 
@@ -97,7 +97,7 @@
     pub fn edge(&mut self, now: Micros) -> Option<Edge> {
         let (_, edge) = self.edges.get(self.next).filter(|(at, _)| *at <= now).copied()?;
         self.next += 1;
-        if matches!(self.breaks[edge.place].what, What::Slow(_)) {
+        if matches!(self.breaks[edge.place].what, NetworkFaultKind::Slow(_)) {
             self.slow.retain(|place| *place != edge.place);
             self.slow.extend(edge.on.then_some(edge.place));
         }
@@ -105,34 +105,40 @@
     }
 
     /// How connections meet between these two now, for links' own sake.
-    pub fn reach(&self, now: Micros, who: BalancerId, node: NodeId) -> Reach {
-        let of =
-            |b: &&Break| b.from <= now && now < b.to && b.balancers.contains(&who) && b.nodes.contains(&node);
-        let reach = |b: &Break| match b.what {
-            What::Refused => Reach::Refused,
-            What::Silent => Reach::Silent,
-            What::AnswersLost => Reach::Mute,
-            What::Reset | What::Slow(_) | What::NewsLost | What::Stall => Reach::Open,
-            What::NotesLost | What::NotesDoubled | What::NotesLate(_) => Reach::Open,
+    pub fn reach(&self, now: Micros, who: BalancerId, node: NodeId) -> Reachability {
+        let of = |b: &&NetworkFault| {
+            b.from <= now && now < b.to && b.balancers.contains(&who) && b.nodes.contains(&node)
         };
-        self.breaks.iter().filter(of).map(reach).fold(Reach::Open, worse)
+        let reach = |b: &NetworkFault| match b.what {
+            NetworkFaultKind::Refused => Reachability::Refused,
+            NetworkFaultKind::Silent => Reachability::Silent,
+            NetworkFaultKind::AnswersLost => Reachability::Mute,
+            NetworkFaultKind::Reset
+            | NetworkFaultKind::Slow(_)
+            | NetworkFaultKind::NewsLost
+            | NetworkFaultKind::Stall => Reachability::Open,
+            NetworkFaultKind::NotesLost | NetworkFaultKind::NotesDoubled | NetworkFaultKind::NotesLate(_) => {
+                Reachability::Open
+            }
+        };
+        self.breaks.iter().filter(of).map(reach).fold(Reachability::Open, worse)
     }
 
     /// Whether discovery's words don't come to this balancer now.
     pub fn is_deaf(&self, now: Micros, who: BalancerId) -> bool {
-        let of = |b: &Break| b.from <= now && now < b.to && b.balancers.contains(&who);
-        self.breaks.iter().any(|b| b.what == What::NewsLost && of(b))
+        let of = |b: &NetworkFault| b.from <= now && now < b.to && b.balancers.contains(&who);
+        self.breaks.iter().any(|b| b.what == NetworkFaultKind::NewsLost && of(b))
     }
 
     /// What becomes of a datagram from one balancer to another now.
-    pub fn note(&self, now: Micros, from: BalancerId, to: BalancerId) -> Fate {
-        let mut fate = Fate::default();
+    pub fn note(&self, now: Micros, from: BalancerId, to: BalancerId) -> Delivery {
+        let mut fate = Delivery::default();
         for b in self.breaks.iter().filter(|b| b.from <= now && now < b.to) {
             if b.balancers.contains(&from) && b.others.contains(&to) {
                 match b.what {
-                    What::NotesLost => fate.lost = true,
-                    What::NotesDoubled => fate.doubled = true,
-                    What::NotesLate(by) => fate.late = fate.late.max(by),
+                    NetworkFaultKind::NotesLost => fate.lost = true,
+                    NetworkFaultKind::NotesDoubled => fate.doubled = true,
+                    NetworkFaultKind::NotesLate(by) => fate.late = fate.late.max(by),
                     _ => {}
                 }
             }
@@ -152,7 +158,7 @@
         let slow = |place: &usize| {
             let b = &self.breaks[*place];
             match b.what {
-                What::Slow(by) if b.balancers.contains(&who) && b.nodes.contains(&node) => by,
+                NetworkFaultKind::Slow(by) if b.balancers.contains(&who) && b.nodes.contains(&node) => by,
                 _ => 0,
             }
         };
@@ -182,12 +188,12 @@
 }
 
 /// The worse of two: what one machine refuses no link brings up.
-pub(super) fn worse(a: Reach, b: Reach) -> Reach {
-    let rank = |r: &Reach| match r {
-        Reach::Open => 0,
-        Reach::Mute => 1,
-        Reach::Refused => 2,
-        Reach::Silent => 3,
+pub(super) fn worse(a: Reachability, b: Reachability) -> Reachability {
+    let rank = |r: &Reachability| match r {
+        Reachability::Open => 0,
+        Reachability::Mute => 1,
+        Reachability::Refused => 2,
+        Reachability::Silent => 3,
     };
     if rank(&a) >= rank(&b) { a } else { b }
 }
--- a/crates/emulator/src/sockets/book.rs
+++ b/crates/emulator/src/sockets/book.rs
@@ -9,7 +9,7 @@
 
 use super::directory::Directory;
 use crate::day::Day;
-use crate::edge::{Ask, BalancerId, ConnId, LinkId, NodeId};
+use crate::edge::{BalancerId, ConnId, LinkId, NodeId, RequestLine};
 
 /// What connections from before the start name as their wait, in milliseconds: all that fits 32 bits of
 /// microseconds.
@@ -17,7 +17,7 @@
 
 /// What a node makes of a first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum FirstLine {
     /// A client of this balancer has sent it; the balancer will wait so long.
     Sent(ConnId, Micros),
     /// A bad client has sent it: no node can use it.
@@ -37,7 +37,7 @@
 
 /// First lines by connection. What has been sent stays: a balancer may pass it on late.
 #[derive(Debug)]
-pub struct Book {
+pub struct ConnectionLog {
     names: NameIndex,
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -53,10 +53,10 @@
     [head, &items.join(&b',')].concat()
 }
 
-impl Book {
+impl ConnectionLog {
     /// An empty book of this day's names.
     pub fn new(day: &Day, dir: &Directory) -> Self {
-        Book {
+        ConnectionLog {
             names: dir.names(),
             classes: day.classes.iter().map(|c| c.name.clone()).collect(),
             tenants: day.tenants.iter().map(|t| t.name.clone()).collect(),
@@ -66,7 +66,7 @@
     }
 
     /// Writes a client's first line, with its end.
-    pub fn open(&mut self, who: BalancerId, ask: &Ask, left: Micros, dir: &Directory) -> String {
+    pub fn open(&mut self, who: BalancerId, ask: &RequestLine, left: Micros, dir: &Directory) -> String {
         let text = OpenRequestLine {
             id: ask.conn.0,
             key: ask.key,
@@ -91,14 +91,16 @@
     }
 
     /// Reads a first line that a balancer has sent a node.
-    pub fn read(&self, who: BalancerId, line: &[u8]) -> First {
+    pub fn read(&self, who: BalancerId, line: &[u8]) -> FirstLine {
         let plain = without_wait(line);
         let open = parse_open(line, &self.names).ok();
         let sent = open.as_ref().and_then(|o| Some((ConnId(o.id), o.timeout?)));
         match sent.and_then(|(conn, wait)| Some((conn, wait, self.sent.get(&conn)?))) {
-            Some((conn, wait, entry)) if entry.who == who && entry.line == plain => First::Sent(conn, wait),
-            _ if self.bad.contains(&plain) => First::Unusable,
-            _ => First::Unknown,
+            Some((conn, wait, entry)) if entry.who == who && entry.line == plain => {
+                FirstLine::Sent(conn, wait)
+            }
+            _ if self.bad.contains(&plain) => FirstLine::Unusable,
+            _ => FirstLine::Unknown,
         }
     }
 
--- a/crates/emulator/src/sockets/book/tests.rs
+++ b/crates/emulator/src/sockets/book/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn only_the_wait_may_change_and_only_own_receipts_count() {
-    let mut book = Book {
+    let mut book = ConnectionLog {
         names: NameIndex { classes: [("chat".to_owned(), 0)].into(), ..NameIndex::default() },
         classes: vec!["chat".to_owned()],
         tenants: vec![],
@@ -16,13 +16,13 @@
     book.sent.insert(conn, Entry { who, line, stands: vec![] });
     book.bad(b"OPEN 9b1f 7 c=none,d=1");
     for (line, who, wanted) in [
-        (&b"OPEN 9b1f 7 c=chat,d=1990,g=5c"[..], who, First::Sent(conn, 1_990_000)),
-        (b"OPEN 9b1f 7 c=chat,d=1990,g=5c", BalancerId(0), First::Unknown),
-        (b"OPEN 9b1f 7 c=chat,g=5c", who, First::Unknown),
-        (b"OPEN 9b1f 8 c=chat,d=1990,g=5c", who, First::Unknown),
-        (b"OPEN 9b1f 7 c=chat,d=1990,g=5c,again=1", who, First::Unknown),
-        (b"OPEN 9b1f 7 c=none,d=5", who, First::Unusable),
-        (b"HELLO", who, First::Unknown),
+        (&b"OPEN 9b1f 7 c=chat,d=1990,g=5c"[..], who, FirstLine::Sent(conn, 1_990_000)),
+        (b"OPEN 9b1f 7 c=chat,d=1990,g=5c", BalancerId(0), FirstLine::Unknown),
+        (b"OPEN 9b1f 7 c=chat,g=5c", who, FirstLine::Unknown),
+        (b"OPEN 9b1f 8 c=chat,d=1990,g=5c", who, FirstLine::Unknown),
+        (b"OPEN 9b1f 7 c=chat,d=1990,g=5c,again=1", who, FirstLine::Unknown),
+        (b"OPEN 9b1f 7 c=none,d=5", who, FirstLine::Unusable),
+        (b"HELLO", who, FirstLine::Unknown),
     ] {
         assert_eq!(book.read(who, line), wanted, "{}", String::from_utf8_lossy(line));
     }
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -10,12 +10,12 @@
 use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
 
-use super::book::Book;
-use super::clock::Spread;
-use super::lines::Wire;
+use super::book::ConnectionLog;
+use super::clock::Distribution;
+use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
-use super::stage::{Did, Sight};
-use crate::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId};
+use super::stage::{ConnectionObservation, Observations};
+use crate::edge::{Answer, BalancerId, ConnId, End, FromBalancer, LinkId, RequestLine};
 
 /// A client that has finished its sending closes after this at the latest.
 const LINGER: Micros = 5_000_000;
@@ -28,7 +28,7 @@
     /// Lines that came back.
     pub returned: u64,
     /// How long they took.
-    pub round: Spread,
+    pub round: Distribution,
     /// Lines that no node had sent on this connection.
     pub foreign: u64,
     /// Answers that no node had made.
@@ -49,14 +49,14 @@
 
 #[derive(Debug)]
 struct Client {
-    wire: Wire,
+    wire: LineConnection,
     who: BalancerId,
     stage: Stage,
     /// Lines that have not come back: when sent, and their number.
     out: VecDeque<(Micros, u32)>,
     number: u32,
     /// Its first line, until it has been written.
-    ask: Option<(Ask, Micros)>,
+    ask: Option<(RequestLine, Micros)>,
 }
 
 /// The usual clients.
@@ -111,9 +111,9 @@
         &mut self,
         net: &mut Net,
         (who, to): (BalancerId, SocketAddr),
-        (ask, left): (Ask, Micros),
+        (ask, left): (RequestLine, Micros),
         line: &str,
-        did: &mut Did,
+        did: &mut Observations,
     ) {
         let conn = ask.conn;
         match net.connect(to, Role::Client(conn)) {
@@ -135,14 +135,16 @@
         now: Micros,
         conn: ConnId,
         ready: Ready,
-        book: &Book,
-        did: &mut Did,
+        book: &ConnectionLog,
+        did: &mut Observations,
     ) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.wire.ready(net, ready);
         let who = client.who;
         if client.wire.is_up() && client.wire.is_flushed() {
-            did.extend(client.ask.take().map(|(ask, left)| (who, Sight::Asked(ask, left).into())));
+            did.extend(
+                client.ask.take().map(|(ask, left)| (who, ConnectionObservation::Asked(ask, left).into())),
+            );
         }
         loop {
             let line = match client.wire.line() {
@@ -183,17 +185,23 @@
                     did.push((who, FromBalancer::Answer(conn, Answer::Move).into()));
                 }
                 (Stage::Stands(_), Message::Completed) => client.stage = Stage::Over,
-                (Stage::Stands(_), Message::LoadReport(_)) => did.push((who, Sight::AtClient(conn).into())),
+                (Stage::Stands(_), Message::LoadReport(_)) => {
+                    did.push((who, ConnectionObservation::AtClient(conn).into()))
+                }
                 (Stage::Stands(_), _) => match client.out.front().copied() {
                     Some((sent, number)) if line == said(conn, number).as_bytes() => {
                         client.out.pop_front();
                         self.facts.returned += 1;
                         self.facts.round.record(now - sent);
-                        did.push((who, Sight::AtClient(conn).into()));
+                        did.push((who, ConnectionObservation::AtClient(conn).into()));
                     }
                     _ => {
                         self.facts.foreign += 1;
-                        let sight = if line.ends_with(b"MOVE") { Sight::MoveInLine } else { Sight::Changed };
+                        let sight = if line.ends_with(b"MOVE") {
+                            ConnectionObservation::MoveInLine
+                        } else {
+                            ConnectionObservation::Changed
+                        };
                         did.push((who, sight(conn).into()));
                     }
                 },
@@ -234,7 +242,7 @@
     }
 
     /// Does what is due; each due time goes to `late` with the time of its doing.
-    pub fn due(&mut self, net: &mut Net, now: Micros, late: &mut Spread, did: &mut Did) {
+    pub fn due(&mut self, net: &mut Net, now: Micros, late: &mut Distribution, did: &mut Observations) {
         while let Some((due, conn)) = self.lines.front().copied().filter(|e| e.0 <= now) {
             self.lines.pop_front();
             let Some(client) = self.clients.get_mut(&conn) else { continue };
@@ -248,7 +256,7 @@
             client.out.push_back((now, client.number));
             self.facts.lines += 1;
             client.wire.say(net, format!("{}\r\n", said(conn, client.number)).as_bytes());
-            did.push((client.who, Sight::Wrote(conn).into()));
+            did.push((client.who, ConnectionObservation::Wrote(conn).into()));
         }
         while let Some((_, conn)) = self.closing.front().copied().filter(|e| e.0 <= now) {
             self.closing.pop_front();
--- a/crates/emulator/src/sockets/clock.rs
+++ b/crates/emulator/src/sockets/clock.rs
@@ -37,16 +37,16 @@
 
 /// A distribution of spans of time, microseconds.
 #[derive(Clone)]
-pub struct Spread(Histogram<u64>);
+pub struct Distribution(Histogram<u64>);
 
-impl Default for Spread {
+impl Default for Distribution {
     fn default() -> Self {
         // Up to an hour with two digits: a few dozen kilobytes.
-        Spread(Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("these bounds are in order"))
+        Distribution(Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("these bounds are in order"))
     }
 }
 
-impl Spread {
+impl Distribution {
     /// Takes in one span.
     pub fn record(&mut self, span: Micros) {
         self.0.saturating_record(span.max(1));
@@ -73,13 +73,13 @@
     }
 
     /// Adds what another has taken in.
-    pub fn add(&mut self, other: &Spread) {
+    pub fn add(&mut self, other: &Distribution) {
         self.0.add(&other.0).expect("all have the same bounds");
     }
 }
 
 /// Median, 99th percentile and the longest, in milliseconds, and how many.
-impl fmt::Display for Spread {
+impl fmt::Display for Distribution {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |us: Micros| us as f64 / 1e3;
         let (half, most, longest) = (ms(self.at(0.5)), ms(self.at(0.99)), ms(self.max()));
@@ -88,14 +88,14 @@
 }
 
 /// As it is displayed.
-impl fmt::Debug for Spread {
+impl fmt::Debug for Distribution {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
 /// As counts and parts, microseconds.
-impl Serialize for Spread {
+impl Serialize for Distribution {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         let mut out = s.serialize_struct("Spread", 5)?;
         out.serialize_field("count", &self.len())?;
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -10,9 +10,9 @@
 
 use super::addresses::Addresses;
 use super::directory::Directory;
-use super::lines::Wire;
-use super::net::{Ear, Net, Ready, Role};
-use super::stage::Did;
+use super::lines::LineConnection;
+use super::net::{Listener, Net, Ready, Role};
+use super::stage::Observations;
 use crate::edge::{BalancerId, End, FromBalancer, Listed, NodeId, Stage};
 
 /// An empty line comes on a watch this often.
@@ -31,11 +31,11 @@
 const DOWN: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 /// The list as this balancer was told it.
-type Known = BTreeMap<NodeId, Listed>;
+type KnownList = BTreeMap<NodeId, Listed>;
 
 /// What a call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asks {
+enum CallKind {
     /// Its request has not come in whole.
     Nothing,
     /// The whole list, once.
@@ -46,7 +46,7 @@
 
 /// How far a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stand {
+enum CallState {
     /// The request is being read.
     Reading,
     /// It waits for the world's answer.
@@ -60,11 +60,11 @@
 #[derive(Debug)]
 struct Call {
     who: BalancerId,
-    wire: Wire,
+    wire: LineConnection,
     /// It came in after so many moves.
     moves: u32,
-    asks: Asks,
-    stand: Stand,
+    asks: CallKind,
+    stand: CallState,
     /// An empty line is due.
     blank: Micros,
 }
@@ -72,14 +72,14 @@
 /// One balancer's side of discovery.
 #[derive(Debug)]
 struct Side {
-    ear: Option<Ear>,
+    ear: Option<Listener>,
     at: SocketAddr,
     moves: u32,
     /// Connections from before the last move end then.
     old_end: Option<Micros>,
-    known: Known,
+    known: KnownList,
     index: u64,
-    versions: VecDeque<(u64, Known)>,
+    versions: VecDeque<(u64, KnownList)>,
 }
 
 impl Side {
@@ -117,7 +117,7 @@
     }
 }
 
-fn changes(before: &Known, after: &Known) -> Vec<Listed> {
+fn changes(before: &KnownList, after: &KnownList) -> Vec<Listed> {
     let gone = before.values().filter(|e| !after.contains_key(&e.node));
     let gone = gone.map(|e| Listed { stage: Stage::Gone, ..*e });
     let new = after.values().filter(|e| before.get(&e.node) != Some(e)).copied();
@@ -150,7 +150,7 @@
                 ear: Some(ear),
                 moves: 0,
                 old_end: None,
-                known: Known::new(),
+                known: KnownList::new(),
                 index: 0,
                 versions: VecDeque::new(),
             });
@@ -178,7 +178,7 @@
 
     /// Whether a balancer has a watch or waits for one.
     pub fn is_watched(&self, who: BalancerId) -> bool {
-        let of = |c: &&Call| c.who == who && matches!(c.stand, Stand::Waiting | Stand::Watching);
+        let of = |c: &&Call| c.who == who && matches!(c.stand, CallState::Waiting | CallState::Watching);
         self.calls.values().any(|c| of(&c))
     }
 
@@ -203,7 +203,7 @@
         now: Micros,
         (who, moves): (BalancerId, u32),
         dir: &Directory,
-        did: &mut Did,
+        did: &mut Observations,
     ) {
         let side = &self.sides[who.0 as usize];
         let Some(ear) = side.ear.as_ref().filter(|_| side.moves == moves) else { return };
@@ -216,8 +216,14 @@
             self.next += 1;
             // One that broke while it waited is no call.
             let Ok(wire) = net.adopt(stream, Role::Call(id)) else { continue };
-            let call =
-                Call { who, wire, moves, asks: Asks::Nothing, stand: Stand::Reading, blank: Micros::MAX };
+            let call = Call {
+                who,
+                wire,
+                moves,
+                asks: CallKind::Nothing,
+                stand: CallState::Reading,
+                blank: Micros::MAX,
+            };
             self.calls.insert(id, call);
             self.ready(net, now, id, Ready { role: Role::Call(id), read: true, write: true }, dir, did);
         }
@@ -231,11 +237,11 @@
         id: u64,
         ready: Ready,
         dir: &Directory,
-        did: &mut Did,
+        did: &mut Observations,
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.wire.ready(net, ready);
-        if call.stand == Stand::Reading {
+        if call.stand == CallState::Reading {
             self.read_request(net, now, id, dir, did);
         } else {
             let held = call.wire.held().len();
@@ -247,7 +253,7 @@
         }
     }
 
-    fn read_request(&mut self, net: &mut Net, now: Micros, id: u64, dir: &Directory, did: &mut Did) {
+    fn read_request(&mut self, net: &mut Net, now: Micros, id: u64, dir: &Directory, did: &mut Observations) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let (asks, n) = match request(call.wire.held()) {
             Ok(None) => return,
@@ -256,13 +262,13 @@
                 self.strange.push(format!("{}: {why}", Directory::balancer(call.who)));
                 call.wire.say(net, format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
                 call.wire.finish(net);
-                call.stand = Stand::Over;
+                call.stand = CallState::Over;
                 return;
             }
         };
         call.wire.take(n);
         call.wire.tidy(net);
-        (call.asks, call.stand) = (asks, Stand::Waiting);
+        (call.asks, call.stand) = (asks, CallState::Waiting);
         if self.alone {
             let who = call.who;
             self.answer(net, now, who, dir);
@@ -272,9 +278,9 @@
     }
 
     /// Ends a call's connection, and tells the world if the balancer has no other.
-    fn ends(&mut self, net: &mut Net, id: u64, how: End, did: &mut Did) {
+    fn ends(&mut self, net: &mut Net, id: u64, how: End, did: &mut Observations) {
         let Some(call) = self.calls.remove(&id) else { return };
-        let told = matches!(call.stand, Stand::Waiting | Stand::Watching);
+        let told = matches!(call.stand, CallState::Waiting | CallState::Watching);
         net.close(call.wire, how);
         if told && !self.is_watched(call.who) {
             did.push((call.who, FromBalancer::Unwatch.into()));
@@ -295,7 +301,7 @@
         let changed = side.take(full, entries);
         if !changed.is_empty() {
             let line = line(dir, who, side.index, false, &changed);
-            for call in self.calls.values_mut().filter(|c| c.who == who && c.stand == Stand::Watching) {
+            for call in self.calls.values_mut().filter(|c| c.who == who && c.stand == CallState::Watching) {
                 say_body(net, &mut call.wire, &line);
                 call.blank = now + BLANK;
             }
@@ -306,16 +312,16 @@
     /// Answers the calls of a balancer that wait.
     fn answer(&mut self, net: &mut Net, now: Micros, who: BalancerId, dir: &Directory) {
         let side = &self.sides[who.0 as usize];
-        for call in self.calls.values_mut().filter(|c| c.who == who && c.stand == Stand::Waiting) {
+        for call in self.calls.values_mut().filter(|c| c.who == who && c.stand == CallState::Waiting) {
             match call.asks {
-                Asks::Watch(since) => {
+                CallKind::Watch(since) => {
                     call.wire.say(net, WATCH_HEAD.as_bytes());
                     let text = match side.since(since) {
                         Some(changed) => line(dir, who, side.index, false, &changed),
                         None => line(dir, who, side.index, true, &side.whole()),
                     };
                     say_body(net, &mut call.wire, &text);
-                    (call.stand, call.blank) = (Stand::Watching, now + BLANK);
+                    (call.stand, call.blank) = (CallState::Watching, now + BLANK);
                 }
                 _ => {
                     let text = line(dir, who, side.index, true, &side.whole());
@@ -326,7 +332,7 @@
                     call.wire.say(net, head.as_bytes());
                     call.wire.say(net, &text);
                     call.wire.finish(net);
-                    call.stand = Stand::Over;
+                    call.stand = CallState::Over;
                 }
             }
         }
@@ -339,12 +345,12 @@
             let call = self.calls.get_mut(&id).expect("it was just there");
             self.failed += 1;
             match call.stand {
-                Stand::Waiting if self.failed % 2 == 1 => {
+                CallState::Waiting if self.failed % 2 == 1 => {
                     call.wire.say(net, DOWN.as_bytes());
                     call.wire.finish(net);
-                    call.stand = Stand::Over;
+                    call.stand = CallState::Over;
                 }
-                Stand::Over => {}
+                CallState::Over => {}
                 _ => {
                     let how = if self.failed.is_multiple_of(3) { End::Reset } else { End::Fin };
                     let call = self.calls.remove(&id).expect("it was just there");
@@ -356,14 +362,20 @@
 
     /// When something is due next.
     pub fn next_due(&self) -> Micros {
-        let blanks = self.calls.values().filter(|c| c.stand == Stand::Watching).map(|c| c.blank);
+        let blanks = self.calls.values().filter(|c| c.stand == CallState::Watching).map(|c| c.blank);
         let ends = self.sides.iter().filter_map(|s| s.old_end);
         blanks.chain(ends).min().unwrap_or(Micros::MAX)
     }
 
     /// Does what is due.
-    pub fn due(&mut self, net: &mut Net, now: Micros, is_deaf: impl Fn(BalancerId) -> bool, did: &mut Did) {
-        for call in self.calls.values_mut().filter(|c| c.stand == Stand::Watching && c.blank <= now) {
+    pub fn due(
+        &mut self,
+        net: &mut Net,
+        now: Micros,
+        is_deaf: impl Fn(BalancerId) -> bool,
+        did: &mut Observations,
+    ) {
+        for call in self.calls.values_mut().filter(|c| c.stand == CallState::Watching && c.blank <= now) {
             if !is_deaf(call.who) {
                 say_body(net, &mut call.wire, b"\n");
             }
@@ -391,7 +403,7 @@
 }
 
 /// Writes a part of a chunked body.
-fn say_body(net: &mut Net, wire: &mut Wire, text: &[u8]) {
+fn say_body(net: &mut Net, wire: &mut LineConnection, text: &[u8]) {
     for piece in text.chunks(PIECE) {
         let chunk = [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
         wire.say(net, &chunk);
@@ -400,7 +412,7 @@
 
 /// Reads a request: what it asks for and how long it is; none while it is not whole. The error has the status line's
 /// end and the reason.
-fn request(bytes: &[u8]) -> Result<Option<(Asks, usize)>, (&'static str, String)> {
+fn request(bytes: &[u8]) -> Result<Option<(CallKind, usize)>, (&'static str, String)> {
     const BAD: &str = "400 Bad Request";
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
@@ -428,8 +440,8 @@
         None => 0,
     };
     match value("follow") {
-        Some("1") => Ok(Some((Asks::Watch(since), n))),
-        None | Some("0") => Ok(Some((Asks::List, n))),
+        Some("1") => Ok(Some((CallKind::Watch(since), n))),
+        None | Some("0") => Ok(Some((CallKind::List, n))),
         Some(other) => Err((BAD, format!("follow={other}"))),
     }
 }
--- a/crates/emulator/src/sockets/discovery/tests.rs
+++ b/crates/emulator/src/sockets/discovery/tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-fn asks(line: &str) -> Result<Option<Asks>, &'static str> {
+fn asks(line: &str) -> Result<Option<CallKind>, &'static str> {
     let text = format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n");
     request(text.as_bytes()).map(|found| found.map(|f| f.0)).map_err(|e| &e.0[..3])
 }
 
 #[test]
 fn calls_are_told_from_what_is_none() {
-    assert_eq!(asks("GET /v1/servers?follow=1&since=41"), Ok(Some(Asks::Watch(41))));
-    assert_eq!(asks("GET /v1/servers?since=9&follow=1"), Ok(Some(Asks::Watch(9))));
-    assert_eq!(asks("GET /v1/servers"), Ok(Some(Asks::List)));
+    assert_eq!(asks("GET /v1/servers?follow=1&since=41"), Ok(Some(CallKind::Watch(41))));
+    assert_eq!(asks("GET /v1/servers?since=9&follow=1"), Ok(Some(CallKind::Watch(9))));
+    assert_eq!(asks("GET /v1/servers"), Ok(Some(CallKind::List)));
     assert_eq!(asks("GET /v1/servers?follow=1&since=x"), Err("400"));
     assert_eq!(asks("GET /v1/server"), Err("404"));
     assert_eq!(asks("POST /v1/servers"), Err("405"));
@@ -27,7 +27,7 @@
         at: ([127, 0, 0, 1], 0).into(),
         moves: 0,
         old_end: None,
-        known: Known::new(),
+        known: KnownList::new(),
         index: 0,
         versions: VecDeque::new(),
     };
