--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -16,12 +16,12 @@
 use socket2::{Domain, Socket, Type};
 
 use super::addresses::Addresses;
-use super::clock::Spread;
+use super::clock::Distribution;
 use super::directory::Directory;
-use super::lines::Wire;
+use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
-use super::process::{Desk, Process, ProcessError, Program, Usage};
-use super::stage::Did;
+use super::process::{Process, ProcessError, ProcessFiles, Program, Usage};
+use super::stage::Observations;
 use crate::edge::{BalancerId, End, FromBalancer};
 
 /// A balancer that has not answered yet is asked again after this.
@@ -33,7 +33,7 @@
 
 /// One life of a balancer's process, times on the driver's clock.
 #[derive(Clone, Debug, Serialize)]
-pub struct Life {
+pub struct ProcessIncarnation {
     /// Whose.
     pub balancer: u32,
     /// Its process began.
@@ -82,7 +82,7 @@
     /// It has been told to read its configuration again, and the signal is still to go.
     stale: bool,
     /// The question whether it is ready, while it is out.
-    ping: Option<Wire>,
+    ping: Option<LineConnection>,
     /// The next thing to do: to ask again, or to look at what it uses.
     due: Micros,
     /// Its life's place.
@@ -99,8 +99,8 @@
 }
 
 #[derive(Debug)]
-struct Post {
-    desk: Desk,
+struct BalancerSlot {
+    desk: ProcessFiles,
     listen: SocketAddr,
     /// Keeps the port while no balancer listens there; it never listens itself.
     _seat: Socket,
@@ -115,9 +115,9 @@
 pub struct Fleet {
     program: Program,
     cores: f64,
-    posts: Vec<Post>,
+    posts: Vec<BalancerSlot>,
     /// All lives, in the order in which they began.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessIncarnation>,
     /// Errors in telling a balancer something.
     pub faults: Vec<String>,
 }
@@ -133,7 +133,7 @@
     ) -> Result<Self, ProcessError> {
         let mut posts = Vec::new();
         for who in (0..balancers).map(BalancerId) {
-            let desk = Desk::new(folder, &Directory::balancer(who))?;
+            let desk = ProcessFiles::new(folder, &Directory::balancer(who))?;
             let seat = || -> io::Result<(Socket, SocketAddr)> {
                 let seat = Socket::new(Domain::IPV4, Type::STREAM, None)?;
                 seat.set_reuse_address(true)?;
@@ -142,7 +142,7 @@
                 Ok((seat, at))
             };
             let (seat, listen) = seat().map_err(|e| ProcessError::Address(addresses.balancer(who), e))?;
-            posts.push(Post {
+            posts.push(BalancerSlot {
                 desk,
                 listen,
                 _seat: seat,
@@ -175,7 +175,7 @@
     }
 
     /// Where a balancer's log is.
-    pub fn desk(&self, who: BalancerId) -> &Desk {
+    pub fn desk(&self, who: BalancerId) -> &ProcessFiles {
         &self.posts[who.0 as usize].desk
     }
 
@@ -223,7 +223,7 @@
         let ordered = Ordered::Nothing;
         post.running =
             Some(Running { process, key, ordered, ready: None, stale: false, ping: None, due: now, life });
-        self.lives.push(Life {
+        self.lives.push(ProcessIncarnation {
             balancer: who.0,
             began: now,
             ready: None,
@@ -279,7 +279,14 @@
     }
 
     /// A balancer's process has ended in this life; tells the world if that was not its order to kill.
-    pub fn exited(&mut self, net: &mut Net, now: Micros, who: BalancerId, life: usize, did: &mut Did) {
+    pub fn exited(
+        &mut self,
+        net: &mut Net,
+        now: Micros,
+        who: BalancerId,
+        life: usize,
+        did: &mut Observations,
+    ) {
         // The next life may have begun meanwhile.
         let running = self.posts[who.0 as usize].running.as_ref().filter(|r| r.life == life);
         let Some(ordered) = running.map(|r| r.ordered) else { return };
@@ -311,7 +318,14 @@
     }
 
     /// The answer to the question whether a balancer is ready, or the end of the connection.
-    pub fn pinged(&mut self, net: &mut Net, now: Micros, who: BalancerId, ready: Ready, did: &mut Did) {
+    pub fn pinged(
+        &mut self,
+        net: &mut Net,
+        now: Micros,
+        who: BalancerId,
+        ready: Ready,
+        did: &mut Observations,
+    ) {
         let Some(running) = &mut self.posts[who.0 as usize].running else { return };
         let Some(ping) = &mut running.ping else { return };
         ping.ready(net, ready);
@@ -333,7 +347,7 @@
     }
 
     /// Does what is due: asks who has not answered, looks at what the others use, and kills who uses too much.
-    pub fn due(&mut self, net: &mut Net, now: Micros, late: &mut Spread) {
+    pub fn due(&mut self, net: &mut Net, now: Micros, late: &mut Distribution) {
         for (who, post) in self.posts.iter_mut().enumerate() {
             let Some(running) = post.running.as_mut().filter(|r| r.due <= now) else { continue };
             late.record(now - running.due);
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -21,7 +21,7 @@
 
 /// One connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct LineConnection {
     stream: TcpStream,
     key: DefaultKey,
     role: Role,
@@ -38,9 +38,9 @@
     ended: Option<End>,
 }
 
-impl Wire {
+impl LineConnection {
     pub(super) fn new(stream: TcpStream, key: DefaultKey, role: Role) -> Self {
-        Wire {
+        LineConnection {
             stream,
             key,
             role,
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -16,19 +16,21 @@
 use thiserror::Error;
 
 use super::addresses::Addresses;
-use super::book::Book;
-use super::clock::{Clock, LATE, Spread, until};
+use super::book::ConnectionLog;
+use super::clock::{Clock, Distribution, LATE, until};
 use super::directory::Directory;
 use super::discovery::Discovery;
-use super::fleet::{Fleet, Life, Start};
-use super::lines::Wire;
+use super::fleet::{Fleet, ProcessIncarnation, Start};
+use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
 use super::nodes::Nodes;
 use super::plain;
 use super::process::{ProcessError, Program};
-use super::stage::{Did, Heard};
+use super::stage::{BalancerObservation, Observations};
 use crate::day::Day;
-use crate::edge::{Ask, BalancerId, ConnId, End, FromBalancer, Listed, NodeId, NodeWord, Stage as ListStage};
+use crate::edge::{
+    BalancerId, ConnId, End, FromBalancer, Listed, NodeId, NodeMessage, RequestLine, Stage as ListStage,
+};
 
 /// The balancer that is loaded, and those who pass it by: a node knows both as balancers of their own.
 const THROUGH: BalancerId = BalancerId(0);
@@ -88,11 +90,11 @@
 
 /// What came of one way to the nodes.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Way {
+pub struct PathResult {
     /// From when a set-up was due to its `UP`.
-    pub set_up: Spread,
+    pub set_up: Distribution,
     /// From when a line was due to its return.
-    pub line: Spread,
+    pub line: Distribution,
     /// Set-ups that were answered otherwise, refused or cut off.
     pub failed: u64,
     /// Set-ups and lines without an answer.
@@ -103,9 +105,9 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Through the balancer.
-    pub through: Way,
+    pub through: PathResult,
     /// Past it, straight to a node.
-    pub past: Way,
+    pub past: PathResult,
     /// Set-ups a second that came up, through the balancer.
     pub set_ups_per_s: f64,
     /// Lines a second that came back, through the balancer.
@@ -115,9 +117,9 @@
     /// The balancer's time on a core, as a share of the run.
     pub cores: f64,
     /// Its life.
-    pub life: Life,
+    pub life: ProcessIncarnation,
     /// How late the lab was.
-    pub late: Spread,
+    pub late: Distribution,
     /// Why none of this counts, if so.
     pub void: Option<String>,
 }
@@ -163,7 +165,7 @@
 
 #[derive(Debug)]
 struct Client {
-    wire: Wire,
+    wire: LineConnection,
     way: usize,
     /// When its set-up was due; none once it stands.
     due: Option<Micros>,
@@ -180,12 +182,12 @@
     clock: Clock,
     net: Net,
     dir: Directory,
-    book: Book,
+    book: ConnectionLog,
     fleet: Fleet,
     nodes: Nodes,
     discovery: Discovery,
-    ways: [Way; 2],
-    late: Spread,
+    ways: [PathResult; 2],
+    late: Distribution,
     clients: BTreeMap<u32, Client>,
     next: u32,
     /// Standing through the balancer.
@@ -198,7 +200,7 @@
     counted: Micros,
     line_every: Micros,
     hold: Micros,
-    did: Did,
+    did: Observations,
     ready: Vec<Ready>,
     crashed: bool,
 }
@@ -243,7 +245,7 @@
         let clock = Clock::start();
         fleet.start(&mut net, clock.now(), THROUGH, &start)?;
         Ok(Load {
-            book: Book::new(day, &dir),
+            book: ConnectionLog::new(day, &dir),
             clock,
             net,
             dir,
@@ -251,7 +253,7 @@
             nodes,
             discovery,
             ways: Default::default(),
-            late: Spread::default(),
+            late: Distribution::default(),
             clients: BTreeMap::new(),
             next: 0,
             stand: 0,
@@ -305,7 +307,7 @@
     fn press(mut self, options: &Options) -> Result<Outcome, LoadError> {
         let start = self.clock.now();
         self.counted = start + WARM;
-        self.late = Spread::default();
+        self.late = Distribution::default();
         let stop = self.counted + options.length;
         let due = |i: u64| start + (i as f64 * 1e6 / options.set_ups_per_s) as Micros;
         let mut before = None;
@@ -385,7 +387,7 @@
             0 => (THROUGH, self.fleet.address(THROUGH)),
             _ => (PAST, self.dir.address(PAST, node)),
         };
-        let ask = Ask {
+        let ask = RequestLine {
             conn,
             key: conn.0.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             class: 0,
@@ -445,10 +447,10 @@
         self.ready = ready;
         for (_, what) in self.did.drain(..) {
             match what {
-                Heard::Did(FromBalancer::Probe(link)) => {
-                    self.nodes.says(&mut self.net, link, NodeWord::Pong, &mut self.book)
+                BalancerObservation::Observations(FromBalancer::Probe(link)) => {
+                    self.nodes.says(&mut self.net, link, NodeMessage::Pong, &mut self.book)
                 }
-                Heard::Did(FromBalancer::Exited) => self.crashed = true,
+                BalancerObservation::Observations(FromBalancer::Exited) => self.crashed = true,
                 _ => {}
             }
         }
@@ -466,7 +468,7 @@
             Role::DirectorEar(who, moves) => self.discovery.called(net, now, (who, moves), &self.dir, did),
             Role::Ping(who) => self.fleet.pinged(net, now, who, one, did),
             Role::Exit(who, life) => self.fleet.exited(net, now, who, life, did),
-            Role::Client(_) | Role::Bad(_) | Role::Notes(_) | Role::Timer => {}
+            Role::Client(_) | Role::Bad(_) | Role::DatagramProxy(_) | Role::Timer => {}
         }
     }
 
--- a/crates/emulator/src/sockets/net.rs
+++ b/crates/emulator/src/sockets/net.rs
@@ -18,7 +18,7 @@
 use slotmap::{DefaultKey, Key, KeyData, SlotMap};
 use socket2::{Domain, SockRef, Socket, Type};
 
-use super::lines::Wire;
+use super::lines::LineConnection;
 use crate::edge::{BalancerId, ConnId, End, LinkId, NodeId};
 
 /// Connections that wait to be accepted at a listener: a restart brings everybody at once.
@@ -50,7 +50,7 @@
     /// Discovery listens to a balancer, after so many moves.
     DirectorEar(BalancerId, u32),
     /// Datagrams for a balancer, of others.
-    Notes(BalancerId),
+    DatagramProxy(BalancerId),
     /// A balancer's process ends, in its life of this number.
     Exit(BalancerId, usize),
     /// A part of the load engine, by its own number.
@@ -72,7 +72,7 @@
 
 /// A listener at an address that it keeps while closed.
 #[derive(Debug)]
-pub struct Ear {
+pub struct Listener {
     listener: TcpListener,
     key: DefaultKey,
 }
@@ -131,7 +131,7 @@
 
     /// Listens at an address; port 0 leaves the port to the system. The address may be one where connections of
     /// an earlier listener still linger.
-    pub fn listen(&mut self, at: SocketAddr, role: Role) -> io::Result<Ear> {
+    pub fn listen(&mut self, at: SocketAddr, role: Role) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
@@ -139,7 +139,7 @@
         socket.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(socket.into());
         let key = self.enter(&mut listener, Interest::READABLE, role)?;
-        Ok(Ear { listener, key })
+        Ok(Listener { listener, key })
     }
 
     /// Has what comes at a socket for datagrams told to its owner.
@@ -148,13 +148,13 @@
     }
 
     /// Begins a connection.
-    pub fn connect(&mut self, to: SocketAddr, role: Role) -> io::Result<Wire> {
+    pub fn connect(&mut self, to: SocketAddr, role: Role) -> io::Result<LineConnection> {
         let stream = TcpStream::connect(to).inspect_err(|e| self.short |= is_shortage(e))?;
         self.adopt(stream, role)
     }
 
     /// The next connection that waits at a listener, if one does.
-    pub fn accept(&mut self, ear: &Ear) -> Option<TcpStream> {
+    pub fn accept(&mut self, ear: &Listener) -> Option<TcpStream> {
         loop {
             match ear.listener.accept() {
                 Ok((stream, _)) => return Some(stream),
@@ -175,11 +175,11 @@
     }
 
     /// Takes over a connection.
-    pub fn adopt(&mut self, mut stream: TcpStream, role: Role) -> io::Result<Wire> {
+    pub fn adopt(&mut self, mut stream: TcpStream, role: Role) -> io::Result<LineConnection> {
         // Lines are short and wanted at once.
         stream.set_nodelay(true)?;
         let key = self.enter(&mut stream, Interest::READABLE | Interest::WRITABLE, role)?;
-        Ok(Wire::new(stream, key, role))
+        Ok(LineConnection::new(stream, key, role))
     }
 
     /// Has the end of a process told to its owner.
@@ -193,7 +193,7 @@
     }
 
     /// Closes a connection: with `Reset`, or with unread bytes, the peer sees it break.
-    pub fn close(&mut self, wire: Wire, how: End) {
+    pub fn close(&mut self, wire: LineConnection, how: End) {
         let (mut stream, key, buffers) = wire.into_parts();
         if how == End::Reset {
             // A socket that is broken already has no linger to set, and closes as it should anyway.
@@ -204,7 +204,7 @@
     }
 
     /// Stops to listen: connections that wait to be accepted are reset, new ones refused.
-    pub fn deafen(&mut self, mut ear: Ear) -> SocketAddr {
+    pub fn deafen(&mut self, mut ear: Listener) -> SocketAddr {
         let at = ear.address();
         self.leave(&mut ear.listener, ear.key);
         at
@@ -260,7 +260,7 @@
     }
 }
 
-impl Ear {
+impl Listener {
     /// Its address with the port.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("a bound listener has an address")
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -12,11 +12,13 @@
 
 use super::addresses::Addresses;
 use super::between::worse;
-use super::book::{Book, First};
-use super::lines::Wire;
-use super::net::{Ear, Net, Ready, Role};
-use super::stage::{Did, Sight};
-use crate::edge::{BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeWord, Reach, ToBalancer};
+use super::book::{ConnectionLog, FirstLine};
+use super::lines::LineConnection;
+use super::net::{Listener, Net, Ready, Role};
+use super::stage::{ConnectionObservation, Observations};
+use crate::edge::{
+    BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, Reachability, ToBalancer,
+};
 
 /// Lines of one connection that a hung node owes. No client sends so many before it is moved or gives up.
 const OWED_MOST: usize = 64 << 10;
@@ -24,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// Its first line has not come.
-    First,
+    FirstLine,
     /// It carries probes.
     Probes,
     /// It has asked for a client.
@@ -37,7 +39,7 @@
 
 #[derive(Debug)]
 struct Link {
-    wire: Wire,
+    wire: LineConnection,
     who: BalancerId,
     node: NodeId,
     conn: Option<ConnId>,
@@ -49,11 +51,11 @@
 
 #[derive(Debug)]
 struct Seat {
-    reach: Reach,
+    reach: Reachability,
     /// What the links to the balancers let through.
-    links: Vec<Reach>,
+    links: Vec<Reachability>,
     /// By balancer; none while refused.
-    ears: Vec<Option<Ear>>,
+    ears: Vec<Option<Listener>>,
     at: Vec<SocketAddr>,
     /// What keeps the queues full while silent, by balancer.
     filling: Vec<Vec<TcpStream>>,
@@ -61,7 +63,7 @@
 
 impl Seat {
     /// How a balancer's connections meet the node now.
-    fn reach(&self, who: BalancerId) -> Reach {
+    fn reach(&self, who: BalancerId) -> Reachability {
         worse(self.reach, self.links[who.0 as usize])
     }
 }
@@ -87,10 +89,10 @@
             for who in (0..balancers).map(BalancerId) {
                 ears.push(Some(net.listen(addresses.node(who, node), Role::NodeEar(who, node))?));
             }
-            let at = ears.iter().flatten().map(Ear::address).collect();
+            let at = ears.iter().flatten().map(Listener::address).collect();
             let filling = ears.iter().map(|_| Vec::new()).collect();
-            let links = vec![Reach::Open; ears.len()];
-            seats.push(Seat { reach: Reach::Open, links, ears, at, filling });
+            let links = vec![Reachability::Open; ears.len()];
+            seats.push(Seat { reach: Reachability::Open, links, ears, at, filling });
         }
         Ok(Nodes { seats, links: BTreeMap::new(), next: 1, alone: true, early: 0 })
     }
@@ -116,12 +118,18 @@
     }
 
     /// A node's machine meets connections in this way from now on.
-    pub fn reach(&mut self, net: &mut Net, node: NodeId, reach: Reach, did: &mut Did) -> io::Result<()> {
+    pub fn reach(
+        &mut self,
+        net: &mut Net,
+        node: NodeId,
+        reach: Reachability,
+        did: &mut Observations,
+    ) -> io::Result<()> {
         let seat = &mut self.seats[node.0 as usize];
         if seat.reach == reach {
             return Ok(());
         }
-        let before: Vec<Reach> =
+        let before: Vec<Reachability> =
             (0..seat.links.len() as u32).map(|who| seat.reach(BalancerId(who))).collect();
         seat.reach = reach;
         for (who, before) in before.into_iter().enumerate() {
@@ -136,8 +144,8 @@
         &mut self,
         net: &mut Net,
         (node, who): (NodeId, BalancerId),
-        reach: Reach,
-        did: &mut Did,
+        reach: Reachability,
+        did: &mut Observations,
         arrives: &mut Vec<(BalancerId, ToBalancer)>,
     ) -> io::Result<()> {
         let seat = &mut self.seats[node.0 as usize];
@@ -152,7 +160,7 @@
     }
 
     fn lets_nothing_through(&self, node: NodeId, who: BalancerId) -> bool {
-        matches!(self.seats[node.0 as usize].links[who.0 as usize], Reach::Silent | Reach::Mute)
+        matches!(self.seats[node.0 as usize].links[who.0 as usize], Reachability::Silent | Reachability::Mute)
     }
 
     /// Takes what a node says on a link if the link lets nothing through.
@@ -179,28 +187,28 @@
         net: &mut Net,
         node: NodeId,
         who: BalancerId,
-        before: Reach,
-        did: &mut Did,
+        before: Reachability,
+        did: &mut Observations,
     ) -> io::Result<()> {
         let (seat, at) = (&mut self.seats[node.0 as usize], who.0 as usize);
         let reach = seat.reach(who);
         if before == reach {
             return Ok(());
         }
-        if before == Reach::Silent {
+        if before == Reachability::Silent {
             seat.filling[at].clear();
-            seat.ears[at].iter().try_for_each(Ear::speak_again)?;
+            seat.ears[at].iter().try_for_each(Listener::speak_again)?;
         }
         match reach {
-            Reach::Refused => seat.ears[at].take().into_iter().for_each(|ear| {
+            Reachability::Refused => seat.ears[at].take().into_iter().for_each(|ear| {
                 net.deafen(ear);
             }),
-            Reach::Silent => {
+            Reachability::Silent => {
                 if let Some(ear) = &seat.ears[at] {
                     seat.filling[at] = ear.fall_silent()?;
                 }
             }
-            Reach::Open | Reach::Mute => {
+            Reachability::Open | Reachability::Mute => {
                 if seat.ears[at].is_none() {
                     seat.ears[at] = Some(net.listen(seat.at[at], Role::NodeEar(who, node))?);
                 }
@@ -210,12 +218,12 @@
         let of: Vec<LinkId> = of.collect();
         for id in of {
             // Who has said nothing is unknown to the world, which ends all others of a dead process.
-            if reach == Reach::Refused && self.links[&id].stage == Stage::First {
+            if reach == Reachability::Refused && self.links[&id].stage == Stage::FirstLine {
                 self.end(net, id, End::Reset);
-            } else if before == Reach::Silent {
+            } else if before == Reachability::Silent {
                 net.call_again(Role::Link(id));
             }
-            if reach == Reach::Open {
+            if reach == Reachability::Open {
                 self.pay(net, id, did);
             }
         }
@@ -223,19 +231,26 @@
     }
 
     /// Returns the lines that a hung node owes.
-    fn pay(&mut self, net: &mut Net, id: LinkId, did: &mut Did) {
+    fn pay(&mut self, net: &mut Net, id: LinkId, did: &mut Observations) {
         if let Some(link) = self.links.get_mut(&id).filter(|l| !l.owed.is_empty()) {
             let owed = std::mem::take(&mut link.owed);
             link.wire.say(net, &owed);
             let lines = owed.windows(2).filter(|w| w == b"\r\n").count();
-            did.extend((0..lines).map(|_| (link.who, Sight::Returned(id).into())));
+            did.extend((0..lines).map(|_| (link.who, ConnectionObservation::Returned(id).into())));
         }
     }
 
     /// Connections wait to be accepted.
-    pub fn called(&mut self, net: &mut Net, who: BalancerId, node: NodeId, book: &mut Book, did: &mut Did) {
+    pub fn called(
+        &mut self,
+        net: &mut Net,
+        who: BalancerId,
+        node: NodeId,
+        book: &mut ConnectionLog,
+        did: &mut Observations,
+    ) {
         let seat = &self.seats[node.0 as usize];
-        if seat.reach(who) == Reach::Silent {
+        if seat.reach(who) == Reachability::Silent {
             return;
         }
         let mut came = Vec::new();
@@ -247,7 +262,7 @@
             self.next += 1;
             // One that broke while it waited is no link.
             let Ok(wire) = net.adopt(stream, Role::Link(id)) else { continue };
-            let stage = Stage::First;
+            let stage = Stage::FirstLine;
             self.links.insert(
                 id,
                 Link { wire, who, node, conn: None, stage, owed: Vec::new(), withheld: Vec::new() },
@@ -257,29 +272,36 @@
     }
 
     /// A link has something.
-    pub fn ready(&mut self, net: &mut Net, id: LinkId, ready: Ready, book: &mut Book, did: &mut Did) {
+    pub fn ready(
+        &mut self,
+        net: &mut Net,
+        id: LinkId,
+        ready: Ready,
+        book: &mut ConnectionLog,
+        did: &mut Observations,
+    ) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let reach = self.seats[link.node.0 as usize].reach(link.who);
-        if reach == Reach::Silent {
+        if reach == Reachability::Silent {
             return;
         }
         link.wire.ready(net, ready);
         loop {
             match link.wire.line() {
                 Ok(Some(line)) => match (link.stage, line) {
-                    (Stage::First | Stage::Probes, b"PING" | b"STATS") => {
-                        if link.stage == Stage::First {
+                    (Stage::FirstLine | Stage::Probes, b"PING" | b"STATS") => {
+                        if link.stage == Stage::FirstLine {
                             let (who, node) = (link.who, link.node);
                             did.push((who, FromBalancer::Link { link: id, node, conn: None }.into()));
                             did.push((who, FromBalancer::Probe(id).into()));
-                        } else if reach == Reach::Open {
+                        } else if reach == Reachability::Open {
                             // The world knows one probe a link; further ones are answered here.
                             link.wire.say(net, Message::Pong.to_string().as_bytes());
                         }
                         link.stage = Stage::Probes;
                     }
-                    (Stage::First, line) => match book.read(link.who, line) {
-                        First::Sent(conn, patience) => {
+                    (Stage::FirstLine, line) => match book.read(link.who, line) {
+                        FirstLine::Sent(conn, patience) => {
                             (link.conn, link.stage) = (Some(conn), Stage::Asked);
                             if self.alone {
                                 let up = Message::Accepted(book.stands(conn, id).as_bytes()).to_string();
@@ -293,12 +315,12 @@
                             ));
                             did.push((link.who, FromBalancer::Forward { link: id, patience }.into()));
                         }
-                        First::Unusable => {
+                        FirstLine::Unusable => {
                             link.stage = Stage::Over;
                             link.wire.say(net, Message::Failed.to_string().as_bytes());
                             link.wire.finish(net);
                         }
-                        First::Unknown => {
+                        FirstLine::Unknown => {
                             link.stage = Stage::Over;
                             link.wire.say(net, Message::Malformed.to_string().as_bytes());
                             link.wire.finish(net);
@@ -308,16 +330,16 @@
                     (Stage::Stands, line) => {
                         let answer = [line, b"\r\n"].concat();
                         if let Some(conn) = link.conn.filter(|_| !self.alone) {
-                            did.push((link.who, Sight::AtNode(conn).into()));
+                            did.push((link.who, ConnectionObservation::AtNode(conn).into()));
                         }
-                        if reach == Reach::Mute {
+                        if reach == Reachability::Mute {
                             if link.owed.len() < OWED_MOST {
                                 link.owed.extend(answer);
                             }
                         } else {
                             link.wire.say(net, &answer);
                             if !self.alone {
-                                did.push((link.who, Sight::Returned(id).into()));
+                                did.push((link.who, ConnectionObservation::Returned(id).into()));
                             }
                         }
                     }
@@ -334,7 +356,7 @@
         }
         link.wire.tidy(net);
         if let Some(how) = link.wire.ended() {
-            if !matches!(link.stage, Stage::First | Stage::Over) {
+            if !matches!(link.stage, Stage::FirstLine | Stage::Over) {
                 did.push((link.who, FromBalancer::EndLink(id, how).into()));
             }
             self.end(net, id, End::Fin);
@@ -342,25 +364,27 @@
     }
 
     /// A node says this on a link.
-    pub fn says(&mut self, net: &mut Net, id: LinkId, what: NodeWord, book: &mut Book) {
+    pub fn says(&mut self, net: &mut Net, id: LinkId, what: NodeMessage, book: &mut ConnectionLog) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        if self.seats[link.node.0 as usize].reach(link.who) == Reach::Silent || link.stage == Stage::Over {
+        if self.seats[link.node.0 as usize].reach(link.who) == Reachability::Silent
+            || link.stage == Stage::Over
+        {
             return;
         }
         let text = match (what, link.conn) {
-            (NodeWord::Up, Some(conn)) => {
+            (NodeMessage::Up, Some(conn)) => {
                 link.stage = Stage::Stands;
                 Message::Accepted(book.stands(conn, id).as_bytes()).to_string()
             }
-            (NodeWord::Up, None) | (NodeWord::Pong, _) => Message::Pong.to_string(),
-            (NodeWord::Busy, _) => Message::Rejected(None).to_string(),
-            (NodeWord::Err, _) => Message::Failed.to_string(),
-            (NodeWord::Move, _) => Message::Migrate.to_string(),
-            (NodeWord::Bye, _) => Message::Completed.to_string(),
-            (NodeWord::Load(x) | NodeWord::Delay(x), _) => Message::LoadReport(Some(x)).to_string(),
+            (NodeMessage::Up, None) | (NodeMessage::Pong, _) => Message::Pong.to_string(),
+            (NodeMessage::Busy, _) => Message::Rejected(None).to_string(),
+            (NodeMessage::Err, _) => Message::Failed.to_string(),
+            (NodeMessage::Move, _) => Message::Migrate.to_string(),
+            (NodeMessage::Bye, _) => Message::Completed.to_string(),
+            (NodeMessage::Load(x) | NodeMessage::Delay(x), _) => Message::LoadReport(Some(x)).to_string(),
             // Clients' lines are returned as they come.
-            (NodeWord::Reply, _) => return,
-            (NodeWord::Junk, _) => "7f3a HUH 0\r\n".to_owned(),
+            (NodeMessage::Reply, _) => return,
+            (NodeMessage::Junk, _) => "7f3a HUH 0\r\n".to_owned(),
         };
         link.wire.say(net, text.as_bytes());
     }
--- a/crates/emulator/src/sockets/notes.rs
+++ b/crates/emulator/src/sockets/notes.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::addresses::Addresses;
-use super::between::Between;
+use super::between::NetworkFaults;
 use super::directory::Directory;
 use super::net::{Net, Role};
 use crate::edge::BalancerId;
@@ -30,7 +30,7 @@
 
 /// What passed between balancers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Passed {
+pub struct DatagramStatistics {
     /// Datagrams that balancers have sent.
     pub sent: u64,
     /// Bytes of them.
@@ -41,7 +41,7 @@
 
 /// What becomes of a datagram on its way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fate {
+pub struct Delivery {
     /// It does not arrive.
     pub lost: bool,
     /// It arrives twice.
@@ -52,7 +52,7 @@
 
 /// All ways between balancers.
 #[derive(Debug)]
-pub struct Notes {
+pub struct DatagramProxy {
     /// Where a balancer is reached by the others.
     sockets: Vec<UdpSocket>,
     /// Where it hears itself.
@@ -63,20 +63,25 @@
     rng: Pcg64Mcg,
     buffer: Vec<u8>,
     /// What passed.
-    pub passed: Passed,
+    pub passed: DatagramStatistics,
 }
 
-impl Notes {
+impl DatagramProxy {
     /// Ways to balancers that hear at these addresses.
-    pub fn open(net: &mut Net, addresses: Addresses, ends: Vec<SocketAddr>, seed: u64) -> io::Result<Notes> {
+    pub fn open(
+        net: &mut Net,
+        addresses: Addresses,
+        ends: Vec<SocketAddr>,
+        seed: u64,
+    ) -> io::Result<DatagramProxy> {
         let mut sockets = Vec::new();
         for who in (0..ends.len() as u32).map(BalancerId) {
             let mut socket = UdpSocket::bind(addresses.notes(who))?;
-            net.hear(&mut socket, Role::Notes(who))?;
+            net.hear(&mut socket, Role::DatagramProxy(who))?;
             sockets.push(socket);
         }
         let senders = ends.iter().enumerate().map(|(i, at)| (*at, i as u32)).collect();
-        Ok(Notes {
+        Ok(DatagramProxy {
             sockets,
             ends,
             senders,
@@ -84,7 +89,7 @@
             count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             buffer: vec![0; LARGEST],
-            passed: Passed::default(),
+            passed: DatagramStatistics::default(),
         })
     }
 
@@ -104,7 +109,7 @@
     }
 
     /// Something has come for a balancer; `time` is the day's.
-    pub(super) fn ready(&mut self, time: Micros, to: BalancerId, between: &Between) {
+    pub(super) fn ready(&mut self, time: Micros, to: BalancerId, between: &NetworkFaults) {
         loop {
             let (n, from) = match self.sockets[to.0 as usize].recv_from(&mut self.buffer) {
                 Ok(came) => came,
@@ -116,7 +121,7 @@
             self.passed.sent += 1;
             self.passed.bytes += n as u64;
             let fate = between.note(time, BalancerId(from), to);
-            self.passed.broken += u64::from(fate != Fate::default());
+            self.passed.broken += u64::from(fate != Delivery::default());
             if fate.lost {
                 continue;
             }
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -6,27 +6,28 @@
 use serde::Serialize;
 
 use super::run::{Options, Report, RunError, play};
-use super::stage::{Post, Said, Sight, Stage};
-use crate::audit::{Auditor, Garble, Judging, Seen, Way};
+use super::stage::{BalancerStatus, Commands, ConnectionObservation, Harness};
+use crate::audit::{AuditTolerances, Auditor, Corruption, Direction, Observation};
 use crate::day::Day;
 use crate::edge::{
-    Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeWord, Reach, ToBalancer,
+    Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, Reachability, RequestLine,
+    ToBalancer,
 };
-use crate::virtual_time::{RunResult, Truth, last_answers};
+use crate::virtual_time::{GroundTruth, RunResult, last_answers};
 use crate::world::series::Second;
-use crate::world::{Ear, Mode, World};
+use crate::world::{Mode, World, WorldListener};
 
 /// What a run looks like at some second.
 #[derive(Debug)]
-pub struct Glance<'a> {
+pub struct StatusSample<'a> {
     /// The day's clock.
     pub now: Micros,
     /// The second that has just passed; none at the start.
     pub second: Option<&'a Second>,
     /// Each node as it truly is.
-    pub nodes: &'a [Truth],
+    pub nodes: &'a [GroundTruth],
     /// Each balancer.
-    pub balancers: &'a [Post],
+    pub balancers: &'a [BalancerStatus],
 }
 
 /// A day on sockets.
@@ -39,10 +40,14 @@
 }
 
 /// Plays a day in real time against the program, and is told how it stands once a second.
-pub fn run(day: &Day, options: &Options, watch: &mut dyn FnMut(&Glance<'_>)) -> Result<SocketsRun, RunError> {
+pub fn run(
+    day: &Day,
+    options: &Options,
+    watch: &mut dyn FnMut(&StatusSample<'_>),
+) -> Result<SocketsRun, RunError> {
     let mut platform = Platform {
         world: World::new(day, Mode::Sockets),
-        auditor: Auditor::new(day, Judging::sockets(day)),
+        auditor: Auditor::new(day, AuditTolerances::sockets(day)),
         end: day.length,
         last: day.length + last_answers(day),
         truths: Vec::new(),
@@ -60,61 +65,61 @@
     /// The day's length, and the time after which no answer is awaited.
     end: Micros,
     last: Micros,
-    truths: Vec<Truth>,
+    truths: Vec<GroundTruth>,
     /// Who stood where before the day.
     homes: BTreeMap<ConnId, BalancerId>,
-    watch: &'a mut dyn FnMut(&Glance<'_>),
+    watch: &'a mut dyn FnMut(&StatusSample<'_>),
 }
 
 /// Collects what the world says, and shows its facts to the auditor.
 struct Listener<'a> {
-    said: &'a mut Said,
+    said: &'a mut Commands,
     auditor: &'a mut Auditor,
 }
 
-impl Ear for Listener<'_> {
+impl WorldListener for Listener<'_> {
     fn to(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
         self.said.push((balancer, what));
     }
 
-    fn fact(&mut self, at: Micros, what: Seen<'_>) {
+    fn fact(&mut self, at: Micros, what: Observation<'_>) {
         self.auditor.see(at, what);
     }
 }
 
-impl Stage for Platform<'_> {
+impl Harness for Platform<'_> {
     fn next_due(&self) -> Option<Micros> {
         self.world.next_due()
     }
 
-    fn advance(&mut self, now: Micros, said: &mut Said) {
+    fn advance(&mut self, now: Micros, said: &mut Commands) {
         self.world.advance(now, &mut Listener { said, auditor: &mut self.auditor });
     }
 
-    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Said) {
-        self.auditor.see(now, Seen::From(who, &what));
+    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Commands) {
+        self.auditor.see(now, Observation::From(who, &what));
         self.world.did(now, who, what, &mut Listener { said, auditor: &mut self.auditor });
     }
 
-    fn broke(&mut self, now: Micros, who: BalancerId, link: LinkId, said: &mut Said) {
+    fn broke(&mut self, now: Micros, who: BalancerId, link: LinkId, said: &mut Commands) {
         // To the balancer it looks as though the node had ended it, and it owes its client the same.
-        self.auditor.see(now, Seen::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
+        self.auditor.see(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
         let gone = FromBalancer::EndLink(link, End::Reset);
         self.world.did(now, who, gone, &mut Listener { said, auditor: &mut self.auditor });
     }
 
-    fn reach(&self, node: NodeId) -> Reach {
+    fn reach(&self, node: NodeId) -> Reachability {
         self.world.reach(node)
     }
 
-    fn standing(&mut self) -> Vec<(BalancerId, Ask)> {
+    fn standing(&mut self) -> Vec<(BalancerId, RequestLine)> {
         let mut said = Vec::new();
         self.world.stand(&mut Listener { said: &mut said, auditor: &mut self.auditor });
         let asked = |(who, what)| match what {
             ToBalancer::Asked { ask, .. } => Some((who, ask)),
             _ => None,
         };
-        let all: Vec<(BalancerId, Ask)> = said.into_iter().filter_map(asked).collect();
+        let all: Vec<(BalancerId, RequestLine)> = said.into_iter().filter_map(asked).collect();
         self.homes = all.iter().map(|(who, ask)| (ask.conn, *who)).collect();
         all
     }
@@ -126,12 +131,12 @@
             let mut ear = Listener { said: &mut said, auditor: &mut self.auditor };
             let Some((_, link, node)) = up.get(&conn).copied() else {
                 self.world.did(0, who, FromBalancer::EndClient(conn, End::Reset), &mut ear);
-                self.auditor.see(0, Seen::Missed(who, conn));
+                self.auditor.see(0, Observation::Missed(who, conn));
                 continue;
             };
             self.world.did(0, who, FromBalancer::Link { link, node, conn: Some(conn) }, &mut ear);
             self.world.did(0, who, FromBalancer::Answer(conn, Answer::Up(link)), &mut ear);
-            self.auditor.see(0, Seen::Stands { by: who, conn, link, node });
+            self.auditor.see(0, Observation::Stands { by: who, conn, link, node });
         }
     }
 
@@ -139,43 +144,43 @@
         match what {
             // Seen when they have gone out in whole; and links come up by themselves here.
             ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
-            _ => self.auditor.see(now, Seen::To(who, what)),
+            _ => self.auditor.see(now, Observation::To(who, what)),
         }
     }
 
-    fn saw(&mut self, now: Micros, who: BalancerId, sight: Sight) {
+    fn saw(&mut self, now: Micros, who: BalancerId, sight: ConnectionObservation) {
         let (to, seen);
         let seen = match sight {
-            Sight::Asked(ask, left) => {
+            ConnectionObservation::Asked(ask, left) => {
                 to = ToBalancer::Asked { ask, left };
-                Seen::To(who, &to)
+                Observation::To(who, &to)
             }
-            Sight::Wrote(conn) => {
+            ConnectionObservation::Wrote(conn) => {
                 to = ToBalancer::ClientLine(conn);
-                Seen::To(who, &to)
+                Observation::To(who, &to)
             }
-            Sight::Returned(link) => {
-                to = ToBalancer::NodeSays(link, NodeWord::Reply);
-                Seen::To(who, &to)
+            ConnectionObservation::Returned(link) => {
+                to = ToBalancer::NodeSays(link, NodeMessage::Reply);
+                Observation::To(who, &to)
             }
-            Sight::AtNode(conn) => Seen::Passed(conn, Way::ToNode),
-            Sight::AtClient(conn) => Seen::Passed(conn, Way::ToClient),
-            Sight::Changed(conn) => Seen::Garbled(conn, Garble::Changed),
-            Sight::MoveInLine(conn) => Seen::Garbled(conn, Garble::MoveInLine),
-            Sight::BadServed(conn) => {
-                self.auditor.see(now, Seen::Bad(who, conn));
+            ConnectionObservation::AtNode(conn) => Observation::Passed(conn, Direction::ToNode),
+            ConnectionObservation::AtClient(conn) => Observation::Passed(conn, Direction::ToClient),
+            ConnectionObservation::Changed(conn) => Observation::Garbled(conn, Corruption::Changed),
+            ConnectionObservation::MoveInLine(conn) => Observation::Garbled(conn, Corruption::MoveInLine),
+            ConnectionObservation::BadServed(conn) => {
+                self.auditor.see(now, Observation::Bad(who, conn));
                 seen = FromBalancer::Answer(conn, Answer::Forged);
-                Seen::From(who, &seen)
+                Observation::From(who, &seen)
             }
         };
         self.auditor.see(now, seen);
     }
 
-    fn second(&mut self, now: Micros, balancers: &[Post]) {
+    fn second(&mut self, now: Micros, balancers: &[BalancerStatus]) {
         self.world.truths(&mut self.truths);
         let seconds = &self.world.series().seconds;
         let second = (now / 1_000_000).checked_sub(1).and_then(|s| seconds.get(s as usize));
-        (self.watch)(&Glance { now, second, nodes: &self.truths, balancers });
+        (self.watch)(&StatusSample { now, second, nodes: &self.truths, balancers });
     }
 
     fn is_over(&self, now: Micros) -> bool {
--- a/crates/emulator/src/sockets/process.rs
+++ b/crates/emulator/src/sockets/process.rs
@@ -68,15 +68,15 @@
 
 /// Where one balancer's files are: its configuration and its log, kept across restarts.
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct ProcessFiles {
     folder: PathBuf,
     name: String,
 }
 
-impl Desk {
+impl ProcessFiles {
     /// A place for this balancer's files; the folder is made.
     pub fn new(folder: &Path, name: &str) -> Result<Self, ProcessError> {
-        let desk = Desk { folder: folder.to_owned(), name: name.to_owned() };
+        let desk = ProcessFiles { folder: folder.to_owned(), name: name.to_owned() };
         fs::create_dir_all(desk.scratch()).map_err(|e| ProcessError::File(desk.scratch(), e))?;
         Ok(desk)
     }
@@ -133,7 +133,7 @@
     /// Starts the program as this balancer.
     pub fn start(
         program: &Program,
-        desk: &Desk,
+        desk: &ProcessFiles,
         listen: SocketAddr,
         discovery: SocketAddr,
     ) -> Result<Self, ProcessError> {
--- a/crates/emulator/src/sockets/report.rs
+++ b/crates/emulator/src/sockets/report.rs
@@ -3,11 +3,11 @@
 use serde::Serialize;
 use shorewharf_units::Micros;
 
-use super::bad::Fared;
+use super::bad::MisbehaviorOutcome;
 use super::clients::Facts;
-use super::clock::Spread;
-use super::fleet::Life;
-use super::notes::Passed;
+use super::clock::Distribution;
+use super::fleet::ProcessIncarnation;
+use super::notes::DatagramStatistics;
 
 /// What it costs if none of the bad clients gets what it is owed.
 const BAD_COST: f64 = 0.3;
@@ -18,15 +18,15 @@
     /// Why nothing of this run counts, if so.
     pub void: Option<String>,
     /// How much later than due the driver did what its clocks asked for.
-    pub late: Spread,
+    pub late: Distribution,
     /// How long after the system could first have told it the driver had handled what came on sockets, at most.
-    pub handled: Spread,
+    pub handled: Distribution,
     /// What only sockets show of the clients' connections.
     pub clients: Facts,
     /// How bad clients fared, by kind.
-    pub bad: Vec<(String, Fared)>,
+    pub bad: Vec<(String, MisbehaviorOutcome)>,
     /// Each life of each balancer.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessIncarnation>,
     /// First lines in a form that no client sent.
     pub syntax: u64,
     /// Lines that came at a node before their connection stood.
@@ -36,7 +36,7 @@
     /// Connections from before the day that did not come up.
     pub missed: usize,
     /// What passed between balancers.
-    pub notes: Passed,
+    pub notes: DatagramStatistics,
     /// The day's clock at the end.
     pub ended: Micros,
 }
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -16,23 +16,25 @@
 use thiserror::Error;
 
 use super::addresses::{Addresses, BALANCERS_MOST, NODES_MOST};
-use super::bad::{Bads, UnknownKind};
-use super::between::{Between, Break, What};
-use super::book::Book;
+use super::bad::{MisbehavingClients, UnknownKind};
+use super::between::{NetworkFault, NetworkFaultKind, NetworkFaults};
+use super::book::ConnectionLog;
 use super::clients::Clients;
-use super::clock::{Clock, LATE, Spread, until};
+use super::clock::{Clock, Distribution, LATE, until};
 use super::directory::Directory;
 use super::discovery::Discovery;
 use super::fleet::{Fleet, Start};
 pub use super::net::raise_descriptors;
 use super::net::{Net, Ready, Role};
 use super::nodes::Nodes;
-use super::notes::Notes;
+use super::notes::DatagramProxy;
 use super::process::{ProcessError, Program};
 pub use super::report::Report;
-use super::stage::{Did, Heard, Post, Said, Stage};
+use super::stage::{BalancerObservation, BalancerStatus, Commands, Harness, Observations};
 use crate::day::Day;
-use crate::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeWord, ToBalancer};
+use crate::edge::{
+    Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, RequestLine, ToBalancer,
+};
 
 /// Balancers that are not ready by then have failed to start.
 const READY: Micros = 30_000_000;
@@ -53,7 +55,7 @@
     /// The settings that a balancer is told, as JSON text.
     pub settings: fn(&Day, BalancerId) -> String,
     /// What is broken between the processes.
-    pub between: Vec<Break>,
+    pub between: Vec<NetworkFault>,
     /// The balancers tell each other what they hold; the operator's file beside what has them do so.
     pub together: Option<String>,
     /// Further arguments for single balancers, by their places; none where it is shorter.
@@ -86,14 +88,14 @@
 /// Connections from before the day while they are opened.
 #[derive(Default)]
 struct Prelude {
-    to_open: VecDeque<(BalancerId, Ask)>,
+    to_open: VecDeque<(BalancerId, RequestLine)>,
     out: BTreeSet<ConnId>,
     homes: BTreeMap<ConnId, NodeId>,
     up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>,
     missed: usize,
 }
 
-struct Driver<'a, S: Stage> {
+struct Driver<'a, S: Harness> {
     stage: &'a mut S,
     day: &'a Day,
     options: &'a Options,
@@ -102,23 +104,23 @@
     start: Option<Micros>,
     net: Net,
     dir: Directory,
-    book: Book,
+    book: ConnectionLog,
     fleet: Fleet,
     nodes: Nodes,
     clients: Clients,
     discovery: Discovery,
-    bads: Bads,
-    between: Between,
-    notes: Option<Notes>,
+    bads: MisbehavingClients,
+    between: NetworkFaults,
+    notes: Option<DatagramProxy>,
     /// What discovery has said to those who don't hear it.
     unheard: Vec<(BalancerId, ToBalancer)>,
     /// What discovery knows of for a balancer that had no call to be answered then.
     untold: Vec<(BalancerId, ToBalancer)>,
-    late: Spread,
-    handled: Spread,
+    late: Distribution,
+    handled: Distribution,
     /// What balancers have done and nobody has been told.
-    did: Did,
-    said: Said,
+    did: Observations,
+    said: Commands,
     ready: Vec<Ready>,
     /// The day's clock as the stage was told it last.
     told: Micros,
@@ -131,7 +133,7 @@
 }
 
 /// Plays a day's stage in real time against the program.
-pub fn play<S: Stage>(stage: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
+pub fn play<S: Harness>(stage: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
     let folder = match &options.folder {
         Some(folder) => (folder.clone(), None),
         None => {
@@ -151,7 +153,7 @@
     let mut notes = None;
     if let Some(operator) = &options.together {
         let ends = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
-        let opened = Notes::open(&mut net, addresses, ends, day.seed)?;
+        let opened = DatagramProxy::open(&mut net, addresses, ends, day.seed)?;
         fleet.start_with(vec!["--operator".into(), opened.write(&folder.0, operator)?.into()]);
         notes = Some(opened);
     }
@@ -162,20 +164,20 @@
         options,
         clock: Clock::start(),
         start: None,
-        book: Book::new(day, &dir),
+        book: ConnectionLog::new(day, &dir),
         dir,
         fleet,
         nodes: seats,
         clients: Clients::new(day.clients.line_every),
         discovery: Discovery::new(&mut net, addresses, balancers)?,
-        bads: Bads::new(day)?,
-        between: Between::new(&options.between),
+        bads: MisbehavingClients::new(day)?,
+        between: NetworkFaults::new(&options.between),
         notes,
         unheard: Vec::new(),
         untold: Vec::new(),
         net,
-        late: Spread::default(),
-        handled: Spread::default(),
+        late: Distribution::default(),
+        handled: Distribution::default(),
         did: Vec::new(),
         said: Vec::new(),
         ready: Vec::new(),
@@ -190,7 +192,7 @@
     Ok(driver.end())
 }
 
-impl<S: Stage> Driver<'_, S> {
+impl<S: Harness> Driver<'_, S> {
     /// Starts the balancers that begin with the day, and opens what stands.
     fn begin(&mut self) -> Result<(), RunError> {
         self.stage.advance(0, &mut self.said);
@@ -242,7 +244,7 @@
         self.nodes.day_begins();
         self.discovery.day_begins();
         // What was late before counts for nothing.
-        (self.late, self.handled) = (Spread::default(), Spread::default());
+        (self.late, self.handled) = (Distribution::default(), Distribution::default());
         while !self.stage.is_over(self.time(self.clock.now())) {
             self.turn()?;
         }
@@ -338,7 +340,7 @@
         if let Some(start) = self.start {
             next = next.min(self.bads.next_due(start));
             next = next.min(self.stage.next_due().map_or(Micros::MAX, |due| start + due));
-            let notes = self.notes.as_ref().and_then(Notes::next_due);
+            let notes = self.notes.as_ref().and_then(DatagramProxy::next_due);
             let between = self.between.next_due().into_iter().chain(notes).min();
             next = next.min(between.map_or(Micros::MAX, |due| start + due));
         }
@@ -369,7 +371,7 @@
             Role::NodeEar(who, node) => self.nodes.called(net, who, node, &mut self.book, did),
             Role::DirectorEar(who, moves) => self.discovery.called(net, now, (who, moves), &self.dir, did),
             Role::Exit(who, life) => self.fleet.exited(net, now, who, life, did),
-            Role::Notes(to) => {
+            Role::DatagramProxy(to) => {
                 let (time, between) = (self.start.map_or(0, |start| now - start), &self.between);
                 self.notes.iter_mut().for_each(|n| n.ready(time, to, between));
             }
@@ -396,24 +398,26 @@
         while let Some(edge) = self.between.edge(now) {
             let b = self.between.get(edge.place).clone();
             match b.what {
-                What::Stall => b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.on)),
-                What::NewsLost if !edge.on => {
+                NetworkFaultKind::Stall => b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.on)),
+                NetworkFaultKind::NewsLost if !edge.on => {
                     let is_deaf = |who| self.between.is_deaf(now, who);
                     let (still, heard) = self.unheard.drain(..).partition(|(who, _)| is_deaf(*who));
                     self.unheard = still;
                     arrives.extend::<Vec<_>>(heard);
                 }
-                What::NewsLost | What::Slow(_) => {}
-                What::NotesLost | What::NotesDoubled | What::NotesLate(_) => {}
-                What::Reset if edge.on => {
+                NetworkFaultKind::NewsLost | NetworkFaultKind::Slow(_) => {}
+                NetworkFaultKind::NotesLost
+                | NetworkFaultKind::NotesDoubled
+                | NetworkFaultKind::NotesLate(_) => {}
+                NetworkFaultKind::Reset if edge.on => {
                     for (who, node) in pairs(&b) {
                         for link in self.nodes.reset(&mut self.net, node, who) {
                             self.stage.broke(now, who, link, &mut self.said);
                         }
                     }
                 }
-                What::Reset => {}
-                What::Refused | What::Silent | What::AnswersLost => {
+                NetworkFaultKind::Reset => {}
+                NetworkFaultKind::Refused | NetworkFaultKind::Silent | NetworkFaultKind::AnswersLost => {
                     for (who, node) in pairs(&b) {
                         let reach = self.between.reach(now, who, node);
                         self.nodes.link(&mut self.net, (node, who), reach, &mut self.did, &mut arrives)?;
@@ -468,9 +472,9 @@
         let clients = self.clients.standing(count).into_iter().enumerate();
         let post = |(who, clients)| {
             let who = BalancerId(who as u32);
-            Post { runs: self.fleet.pid(who).is_some(), ready: self.fleet.is_ready(who), clients }
+            BalancerStatus { runs: self.fleet.pid(who).is_some(), ready: self.fleet.is_ready(who), clients }
         };
-        let posts: Vec<Post> = clients.map(post).collect();
+        let posts: Vec<BalancerStatus> = clients.map(post).collect();
         self.stage.second(time, &posts);
     }
 
@@ -480,14 +484,14 @@
         let time = self.told;
         for (who, heard) in &did {
             match *heard {
-                Heard::Did(what) => {
+                BalancerObservation::Observations(what) => {
                     self.syntax += u64::from(matches!(what, FromBalancer::Syntax(_)));
                     if self.start.is_some() || !self.before_the_day(*who, what) {
                         self.stage.did(time, *who, what, &mut self.said);
                     }
                 }
-                Heard::Saw(sight) if self.start.is_some() => self.stage.saw(time, *who, sight),
-                Heard::Saw(_) => {}
+                BalancerObservation::Saw(sight) if self.start.is_some() => self.stage.saw(time, *who, sight),
+                BalancerObservation::Saw(_) => {}
             }
         }
         self.did = did;
@@ -512,7 +516,7 @@
                 self.prelude.up.remove(&conn);
             }
             FromBalancer::Probe(link) => {
-                self.nodes.says(&mut self.net, link, NodeWord::Pong, &mut self.book);
+                self.nodes.says(&mut self.net, link, NodeMessage::Pong, &mut self.book);
             }
             FromBalancer::Link { .. }
             | FromBalancer::Forward { .. }
@@ -549,7 +553,7 @@
         Ok(())
     }
 
-    fn asks(&mut self, who: BalancerId, ask: &Ask, left: Micros) {
+    fn asks(&mut self, who: BalancerId, ask: &RequestLine, left: Micros) {
         let line = self.book.open(who, ask, left, &self.dir);
         let to = (who, self.fleet.address(who));
         self.clients.comes(&mut self.net, to, (*ask, left), &line, &mut self.did);
@@ -595,6 +599,6 @@
 }
 
 /// All pairs that a break lies between.
-fn pairs(b: &Break) -> impl Iterator<Item = (BalancerId, NodeId)> {
+fn pairs(b: &NetworkFault) -> impl Iterator<Item = (BalancerId, NodeId)> {
     b.balancers.iter().flat_map(|who| b.nodes.iter().map(|node| (*who, *node)))
 }
--- a/crates/emulator/src/sockets/stage.rs
+++ b/crates/emulator/src/sockets/stage.rs
@@ -3,41 +3,41 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-use crate::edge::{Ask, BalancerId, ConnId, FromBalancer, LinkId, NodeId, Reach, ToBalancer};
+use crate::edge::{BalancerId, ConnId, FromBalancer, LinkId, NodeId, Reachability, RequestLine, ToBalancer};
 
 /// What reaches balancers, in order.
-pub type Said = Vec<(BalancerId, ToBalancer)>;
+pub type Commands = Vec<(BalancerId, ToBalancer)>;
 
 /// What has been seen of balancers, in order.
-pub type Did = Vec<(BalancerId, Heard)>;
+pub type Observations = Vec<(BalancerId, BalancerObservation)>;
 
 /// What the driver hears on its sockets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum BalancerObservation {
     /// A balancer has done this.
-    Did(FromBalancer),
+    Observations(FromBalancer),
     /// Something that only sockets show.
-    Saw(Sight),
+    Saw(ConnectionObservation),
 }
 
-impl From<FromBalancer> for Heard {
+impl From<FromBalancer> for BalancerObservation {
     fn from(what: FromBalancer) -> Self {
-        Heard::Did(what)
+        BalancerObservation::Observations(what)
     }
 }
 
-impl From<Sight> for Heard {
-    fn from(what: Sight) -> Self {
-        Heard::Saw(what)
+impl From<ConnectionObservation> for BalancerObservation {
+    fn from(what: ConnectionObservation) -> Self {
+        BalancerObservation::Saw(what)
     }
 }
 
 /// What only sockets show.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sight {
+pub enum ConnectionObservation {
     /// A client's first line has been written to its last byte, on a connection that the balancer's machine took;
     /// so much of its patience is left.
-    Asked(Ask, Micros),
+    Asked(RequestLine, Micros),
     /// A client has written a line on a standing connection.
     Wrote(ConnId),
     /// It has come out at its node.
@@ -56,7 +56,7 @@
 
 /// A balancer at a glance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Post {
+pub struct BalancerStatus {
     /// Its process runs.
     pub runs: bool,
     /// It has answered that it is ready.
@@ -69,24 +69,24 @@
 ///
 /// The driver asks for what is due, tells what balancers do, and turns what reaches them into lines and signals.
 /// About a connection or link that has ended on one side, something may still be told that crossed its end.
-pub trait Stage {
+pub trait Harness {
     /// When something is due next.
     fn next_due(&self) -> Option<Micros>;
 
     /// Lets everything happen that is due by now.
-    fn advance(&mut self, now: Micros, said: &mut Said);
+    fn advance(&mut self, now: Micros, said: &mut Commands);
 
     /// A balancer does something.
-    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Said);
+    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Commands);
 
     /// A link has been reset by what lies between, which neither side has done.
-    fn broke(&mut self, _now: Micros, _who: BalancerId, _link: LinkId, _said: &mut Said) {}
+    fn broke(&mut self, _now: Micros, _who: BalancerId, _link: LinkId, _said: &mut Commands) {}
 
     /// How a node's machine meets connections now.
-    fn reach(&self, node: NodeId) -> Reach;
+    fn reach(&self, node: NodeId) -> Reachability;
 
     /// Connections that stand before the day begins, each at its home.
-    fn standing(&mut self) -> Vec<(BalancerId, Ask)> {
+    fn standing(&mut self) -> Vec<(BalancerId, RequestLine)> {
         Vec::new()
     }
 
@@ -97,10 +97,10 @@
     fn carried_out(&mut self, _now: Micros, _who: BalancerId, _what: &ToBalancer) {}
 
     /// What only sockets show.
-    fn saw(&mut self, _now: Micros, _who: BalancerId, _sight: Sight) {}
+    fn saw(&mut self, _now: Micros, _who: BalancerId, _sight: ConnectionObservation) {}
 
     /// A second of the day has passed.
-    fn second(&mut self, _now: Micros, _balancers: &[Post]) {}
+    fn second(&mut self, _now: Micros, _balancers: &[BalancerStatus]) {}
 
     /// Whether all has been played to its end.
     fn is_over(&self, now: Micros) -> bool;
--- a/crates/emulator/src/virtual_time/instance.rs
+++ b/crates/emulator/src/virtual_time/instance.rs
@@ -16,12 +16,12 @@
     fn next_due(&self) -> Option<Micros>;
 
     /// What it tells of itself, for reports. Asked once a second.
-    fn tells(&mut self, _told: &mut Told) {}
+    fn tells(&mut self, _told: &mut InstanceReport) {}
 }
 
 /// What an instance tells of itself. Nothing of it changes the run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct InstanceReport {
     /// Its level of service; empty where it has none.
     pub level: &'static str,
     /// Figures of now.
@@ -34,7 +34,7 @@
 
 /// What a node truly is at some moment: for reports, and for hosts whose policies may see it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Truth {
+pub struct GroundTruth {
     /// It runs and takes connections.
     pub takes: bool,
     /// Load asked of it, in standard cores.
@@ -69,5 +69,5 @@
 
     /// The true state of all nodes, told before the turns of each tick. It lies outside the edge on purpose: what
     /// real balancers are made of never gets a host with this door.
-    fn truth(&self, _now: Micros, _nodes: &[Truth]) {}
+    fn truth(&self, _now: Micros, _nodes: &[GroundTruth]) {}
 }
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -7,18 +7,18 @@
 mod instance;
 mod result;
 
-pub use instance::{Host, Instance, Told, Truth};
-pub use result::{Course, RunResult};
+pub use instance::{GroundTruth, Host, Instance, InstanceReport};
+pub use result::{InstanceTimeline, RunResult};
 
 use rand::Rng;
 use rayon::prelude::*;
 use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::audit::{Auditor, Judging, Seen};
+use crate::audit::{AuditTolerances, Auditor, Observation};
 use crate::day::Day;
 use crate::edge::{BalancerId, FromBalancer, ToBalancer};
-use crate::world::{Ear, Mode, World, rng, settings};
+use crate::world::{Mode, World, WorldListener, rng, settings};
 
 const SECOND: Micros = 1_000_000;
 /// Progress is told at most this often, in the day's time.
@@ -65,17 +65,17 @@
 }
 
 /// Collects what reaches balancers until the tick, and has facts judged.
-struct Post<'a> {
+struct Outbox<'a> {
     slots: &'a mut [Slot],
     auditor: &'a mut Auditor,
 }
 
-impl Ear for Post<'_> {
+impl WorldListener for Outbox<'_> {
     fn to(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
         self.slots[balancer.0 as usize].inbox.push(what);
     }
 
-    fn fact(&mut self, at: Micros, what: Seen<'_>) {
+    fn fact(&mut self, at: Micros, what: Observation<'_>) {
         self.auditor.see(at, what);
     }
 }
@@ -90,7 +90,7 @@
         n => Some(rayon::ThreadPoolBuilder::new().num_threads(n).build()?),
     };
     let mut world = World::new(day, Mode::Virtual);
-    let mut auditor = Auditor::new(day, Judging::virtual_time(day));
+    let mut auditor = Auditor::new(day, AuditTolerances::virtual_time(day));
     let slot = |i: usize| {
         let id = BalancerId(i as u32);
         let instance = host.instance(day, id, &settings::json(day, id));
@@ -101,14 +101,14 @@
     let mut truths = Vec::new();
     let mut told = 0;
     let mut stood = false;
-    let mut courses = vec![Course::default(); slots.len()];
+    let mut courses = vec![InstanceTimeline::default(); slots.len()];
     let mut now: Micros = 0;
     loop {
         // A second that has passed is told of before anything of the next one happens.
         while now / SECOND > courses.first().map_or(u64::MAX, |c| c.levels.len() as u64) {
             slots.iter_mut().zip(&mut courses).for_each(|(slot, course)| course.look(slot.instance.as_mut()));
         }
-        world.advance(now, &mut Post { slots: &mut slots, auditor: &mut auditor });
+        world.advance(now, &mut Outbox { slots: &mut slots, auditor: &mut auditor });
         let acting = slots.iter().filter(|s| s.acts(now)).count();
         if acting > 0 {
             if host.wants_truth() {
@@ -133,7 +133,7 @@
         }
         if now == 0 && !std::mem::replace(&mut stood, true) {
             // Balancers are ready now; those that stand from before the day connect to them.
-            world.stand(&mut Post { slots: &mut slots, auditor: &mut auditor });
+            world.stand(&mut Outbox { slots: &mut slots, auditor: &mut auditor });
         }
         if now == 0 && slots.iter().any(|s| !s.inbox.is_empty()) {
             // What stands from before the day is up before the first tick.
@@ -165,10 +165,10 @@
     let id = BalancerId(i as u32);
     let mut inbox = std::mem::take(&mut slots[i].inbox);
     let mut out = std::mem::take(&mut slots[i].out);
-    inbox.drain(..).for_each(|what| auditor.see(now, Seen::To(id, &what)));
+    inbox.drain(..).for_each(|what| auditor.see(now, Observation::To(id, &what)));
     for what in out.drain(..) {
-        auditor.see(now, Seen::From(id, &what));
-        world.did(now, id, what, &mut Post { slots: &mut *slots, auditor: &mut *auditor });
+        auditor.see(now, Observation::From(id, &what));
+        world.did(now, id, what, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
     }
     // Answers at the same time may have come meanwhile; the emptied buffer is used again.
     if slots[i].inbox.is_empty() {
--- a/crates/emulator/src/virtual_time/result.rs
+++ b/crates/emulator/src/virtual_time/result.rs
@@ -6,9 +6,9 @@
 use serde::Serialize;
 
 use crate::audit::Verdict;
-use crate::places::Band;
+use crate::places::FaultInterval;
 use crate::score::Outcome;
-use crate::virtual_time::{Instance, Told};
+use crate::virtual_time::{Instance, InstanceReport};
 use crate::world::series::Series;
 
 /// Everything that reports need of a run. No clock of the machine's is in it: the same day gives the same bytes.
@@ -21,18 +21,18 @@
     /// Figures by second and sums by cause.
     pub series: Series,
     /// What went wrong, when and whom it struck.
-    pub faults: Vec<Band>,
+    pub faults: Vec<FaultInterval>,
     /// Events of the world's and of the balancers.
     pub events: u64,
     /// When the last client was answered, in the day's time.
     pub ended_at: Micros,
     /// What the balancers told of themselves (virtual time).
-    pub balancers: Vec<Course>,
+    pub balancers: Vec<InstanceTimeline>,
 }
 
 /// What one balancer told of itself, by the second. Sums of a process that was killed go on from 0.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Course {
+pub struct InstanceTimeline {
     /// Its level of service.
     pub levels: Vec<&'static str>,
     /// Figures at the end of each second.
@@ -43,10 +43,10 @@
     pub lines: Vec<(Micros, String)>,
 }
 
-impl Course {
+impl InstanceTimeline {
     /// Adds a second.
     pub fn look(&mut self, instance: &mut dyn Instance) {
-        let mut told = Told::default();
+        let mut told = InstanceReport::default();
         instance.tells(&mut told);
         let before = self.levels.len();
         self.levels.push(told.level);
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -3,12 +3,18 @@
 use super::conns::Stage;
 use super::links::{At, Link};
 use super::*;
-use crate::node::NodeIn;
-use crate::places::BalancerTurn;
+use crate::node::NodeInput;
+use crate::places::BalancerEvent;
 
 impl World {
     /// A balancer does something, now.
-    pub fn did(&mut self, now: Micros, balancer: BalancerId, what: FromBalancer, ear: &mut impl Ear) {
+    pub fn did(
+        &mut self,
+        now: Micros,
+        balancer: BalancerId,
+        what: FromBalancer,
+        ear: &mut impl WorldListener,
+    ) {
         self.now = self.now.max(now);
         self.events += 1;
         if !self.balancers[balancer.0 as usize].up {
@@ -18,7 +24,7 @@
             FromBalancer::Answer(conn, answer) => self.answers(balancer, conn, answer),
             FromBalancer::EndClient(conn, end) => {
                 if self.last_word(balancer, conn) {
-                    self.send_to_client(conn, Word::Ended(end));
+                    self.send_to_client(conn, ClientMessage::Ended(end));
                 }
             }
             FromBalancer::Link { link, node, conn } => self.links_to(balancer, link, node, conn, ear),
@@ -34,7 +40,7 @@
             FromBalancer::Unwatch => self.discovery.unwatch(balancer),
             FromBalancer::Refused(conn) => {
                 if self.last_word(balancer, conn) {
-                    self.send_to_client(conn, Word::Ended(End::Reset));
+                    self.send_to_client(conn, ClientMessage::Ended(End::Reset));
                 }
             }
             // Told to whoever judges; it changes nothing here.
@@ -59,13 +65,13 @@
                 let Some(id) = stands else { return };
                 if self.now == 0 {
                     // From before the day: no time passes.
-                    return self.at_client(conn, Word::Up(id));
+                    return self.at_client(conn, ClientMessage::Up(id));
                 }
-                return self.send_to_client(conn, Word::Up(id));
+                return self.send_to_client(conn, ClientMessage::Up(id));
             }
-            Answer::Busy(after) => Word::Busy(after),
-            Answer::Err | Answer::Other | Answer::Forged => Word::Err,
-            Answer::Move => Word::Move { by_node: false },
+            Answer::Busy(after) => ClientMessage::Busy(after),
+            Answer::Err | Answer::Other | Answer::Forged => ClientMessage::Err,
+            Answer::Move => ClientMessage::Move { by_node: false },
         };
         let stood = self.conns.get(conn).is_some_and(|c| c.stage == Stage::Standing);
         if self.last_word(balancer, conn) {
@@ -82,7 +88,7 @@
         theirs: LinkId,
         node: NodeId,
         conn: Option<ConnId>,
-        ear: &mut impl Ear,
+        ear: &mut impl WorldListener,
     ) {
         let now = self.now;
         let link = Link {
@@ -125,17 +131,17 @@
     }
 
     /// A connection from before the day is up at once.
-    fn carries(&mut self, id: LinkId, ear: &mut impl Ear) {
+    fn carries(&mut self, id: LinkId, ear: &mut impl WorldListener) {
         let Some(l) = self.links.get_mut(id) else { return };
         l.at = At::Up;
         l.paired = false;
         let (b, theirs, node, conn) = (l.balancer, l.theirs, l.node, l.conn);
         if let Some(c) = conn.and_then(|c| self.conns.get(c)) {
-            let heard = NodeIn::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
+            let heard = NodeInput::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
             self.node_hears(node, heard, ear);
         }
         ear.to(self.now, b, ToBalancer::LinkUp(theirs));
-        ear.to(self.now, b, ToBalancer::NodeSays(theirs, NodeWord::Up));
+        ear.to(self.now, b, ToBalancer::NodeSays(theirs, NodeMessage::Up));
     }
 
     fn send_to_node(&mut self, id: LinkId, at: Micros, what: AtNode) {
@@ -166,7 +172,7 @@
     }
 
     /// Something on a link has come at its balancer.
-    pub(super) fn at_balancer(&mut self, id: LinkId, what: OnLink, ear: &mut impl Ear) {
+    pub(super) fn at_balancer(&mut self, id: LinkId, what: OnLink, ear: &mut impl WorldListener) {
         let now = self.now;
         let Some(l) = self.links.get_mut(id) else { return };
         if l.left {
@@ -184,24 +190,28 @@
             }
             OnLink::Says(word) => {
                 let first = conn.is_some() && !was_up && !std::mem::replace(&mut l.heard, true);
-                if word == NodeWord::Up {
+                if word == NodeMessage::Up {
                     l.at = At::Up;
                 }
-                if matches!(word, NodeWord::Bye | NodeWord::Move) {
+                if matches!(word, NodeMessage::Bye | NodeMessage::Move) {
                     l.last = Some(word);
                 }
-                if word == NodeWord::Reply {
+                if word == NodeMessage::Reply {
                     l.asked = false;
                 }
                 if first {
                     self.series.attempt_word(word);
                 }
                 ear.to(now, b, ToBalancer::NodeSays(theirs, word));
-                if let (NodeWord::Bye | NodeWord::Move, true, Some(conn)) = (word, was_up, conn) {
+                if let (NodeMessage::Bye | NodeMessage::Move, true, Some(conn)) = (word, was_up, conn) {
                     // Lines on a standing connection pass through.
                     self.send_to_client(
                         conn,
-                        if word == NodeWord::Bye { Word::Bye } else { Word::Move { by_node: true } },
+                        if word == NodeMessage::Bye {
+                            ClientMessage::Bye
+                        } else {
+                            ClientMessage::Move { by_node: true }
+                        },
                     );
                 }
             }
@@ -215,23 +225,28 @@
         }
     }
 
-    pub(super) fn balancer_turns(&mut self, b: BalancerId, turn: BalancerTurn, ear: &mut impl Ear) {
+    pub(super) fn balancer_turns(
+        &mut self,
+        b: BalancerId,
+        turn: BalancerEvent,
+        ear: &mut impl WorldListener,
+    ) {
         match turn {
-            BalancerTurn::Start => self.balancer_starts(b, ear),
-            BalancerTurn::Kill => {
+            BalancerEvent::Start => self.balancer_starts(b, ear),
+            BalancerEvent::Kill => {
                 if self.balancers[b.0 as usize].up {
                     ear.to(self.now, b, ToBalancer::Kill);
                     self.balancer_gone(b, ear);
                 }
             }
-            BalancerTurn::Terminate => {
+            BalancerEvent::Terminate => {
                 let at = &mut self.balancers[b.0 as usize];
                 if at.up && !std::mem::replace(&mut at.terminating, true) {
                     self.front.terminates(self.now, b);
                     ear.to(self.now, b, ToBalancer::Terminate);
                 }
             }
-            BalancerTurn::Reload { moved } => {
+            BalancerEvent::Reload { moved } => {
                 if self.balancers[b.0 as usize].up {
                     ear.to(self.now, b, ToBalancer::Reload { moved });
                 }
@@ -239,7 +254,7 @@
         }
     }
 
-    fn balancer_starts(&mut self, b: BalancerId, ear: &mut impl Ear) {
+    fn balancer_starts(&mut self, b: BalancerId, ear: &mut impl WorldListener) {
         let at = &mut self.balancers[b.0 as usize];
         if at.up {
             return;
@@ -254,7 +269,7 @@
     }
 
     /// A balancer's process is no more: what it held breaks.
-    fn balancer_gone(&mut self, b: BalancerId, _ear: &mut impl Ear) {
+    fn balancer_gone(&mut self, b: BalancerId, _ear: &mut impl WorldListener) {
         let at = &mut self.balancers[b.0 as usize];
         if !std::mem::replace(&mut at.up, false) {
             return;
@@ -265,7 +280,7 @@
             self.conns.iter().filter(|c| c.balancer == b && c.come && !c.done).map(|c| c.ask.conn).collect();
         for conn in held {
             self.last_word(b, conn);
-            self.send_to_client(conn, Word::Ended(End::Reset));
+            self.send_to_client(conn, ClientMessage::Ended(End::Reset));
         }
         let links: Vec<LinkId> =
             self.links.iter().filter(|(_, l)| l.balancer == b).map(|(id, _)| id).collect();
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -2,27 +2,36 @@
 
 use super::conns::{Conn, Stage};
 use super::*;
-use crate::people::Heard;
+use crate::people::ClientInput;
 
 impl World {
-    pub(super) fn clients_act(&mut self, ear: &mut impl Ear) {
+    pub(super) fn clients_act(&mut self, ear: &mut impl WorldListener) {
         let mut acts = std::mem::take(&mut self.buffers.people);
         self.people.advance(self.now, &mut acts);
         acts.drain(..).for_each(|act| self.client_acts(act, ear));
         self.buffers.people = acts;
     }
 
-    fn client_acts(&mut self, act: PeopleOut, ear: &mut impl Ear) {
+    fn client_acts(&mut self, act: ClientAction, ear: &mut impl WorldListener) {
         match act {
-            PeopleOut::Wants { cell, first } => self.score.wants(self.now, cell, first),
-            PeopleOut::WantsNoMore { cell } => self.score.wants_no_more(self.now, cell),
-            PeopleOut::Connect { ask, zone, cell, profile } => self.connects(ask, zone, cell, profile, ear),
-            PeopleOut::Done { conn } => self.served_to_the_end(conn, ear),
-            PeopleOut::Leave { conn } => self.client_leaves(conn),
+            ClientAction::Wants { cell, first } => self.score.wants(self.now, cell, first),
+            ClientAction::WantsNoMore { cell } => self.score.wants_no_more(self.now, cell),
+            ClientAction::Connect { ask, zone, cell, profile } => {
+                self.connects(ask, zone, cell, profile, ear)
+            }
+            ClientAction::Done { conn } => self.served_to_the_end(conn, ear),
+            ClientAction::Leave { conn } => self.client_leaves(conn),
         }
     }
 
-    fn connects(&mut self, ask: Ask, zone: u32, cell: Cell, profile: LoadProfile, ear: &mut impl Ear) {
+    fn connects(
+        &mut self,
+        ask: RequestLine,
+        zone: u32,
+        cell: Cell,
+        profile: LoadProfile,
+        ear: &mut impl WorldListener,
+    ) {
         let now = self.now;
         let conn = ask.conn;
         let balancer = self.front.pick(now, zone);
@@ -49,7 +58,7 @@
         }
         if balancer.is_none() {
             // Nobody is there to take it: the front resets it.
-            return self.send_to_client(conn, Word::Ended(End::Reset));
+            return self.send_to_client(conn, ClientMessage::Ended(End::Reset));
         }
         if ask.home.is_some() {
             // From before the day: it stands where it stood, and no time passes for that.
@@ -65,20 +74,20 @@
     }
 
     /// Sends words to a client.
-    pub(super) fn send_to_client(&mut self, conn: ConnId, word: Word) {
+    pub(super) fn send_to_client(&mut self, conn: ConnId, word: ClientMessage) {
         let Some(c) = self.conns.get_mut(conn) else { return };
         c.last_at_client = c.last_at_client.max(self.now + self.network.client());
         self.queue.push(c.last_at_client, Event::Client(conn, word));
     }
 
-    pub(super) fn client_says(&mut self, conn: ConnId, what: FromClient, ear: &mut impl Ear) {
+    pub(super) fn client_says(&mut self, conn: ConnId, what: FromClient, ear: &mut impl WorldListener) {
         let now = self.now;
         let Some(c) = self.conns.get_mut(conn).filter(|c| !c.done) else { return };
         let balancer = c.balancer;
         match what {
             FromClient::Asks if !self.balancers[balancer.0 as usize].up => {
                 c.done = true;
-                self.send_to_client(conn, Word::Ended(End::Reset));
+                self.send_to_client(conn, ClientMessage::Ended(End::Reset));
             }
             FromClient::Asks => {
                 c.come = true;
@@ -102,7 +111,7 @@
         }
     }
 
-    pub(super) fn clients_struck(&mut self, fault: usize, ear: &mut impl Ear) {
+    pub(super) fn clients_struck(&mut self, fault: usize, ear: &mut impl WorldListener) {
         let mut acts = std::mem::take(&mut self.buffers.people);
         self.people.struck(self.now, &self.day.faults[fault], &mut acts);
         acts.drain(..).for_each(|act| self.client_acts(act, ear));
@@ -110,7 +119,7 @@
     }
 
     /// Those that stand from before the day connect to balancers that run at its start.
-    pub fn stand(&mut self, ear: &mut impl Ear) {
+    pub fn stand(&mut self, ear: &mut impl WorldListener) {
         let mut acts = std::mem::take(&mut self.buffers.people);
         self.people.standing(&mut acts);
         acts.drain(..).for_each(|act| self.client_acts(act, ear));
@@ -162,7 +171,7 @@
     }
 
     /// A client has had all that it wanted: its node says so and ends, through the balancer.
-    fn served_to_the_end(&mut self, conn: ConnId, ear: &mut impl Ear) {
+    fn served_to_the_end(&mut self, conn: ConnId, ear: &mut impl WorldListener) {
         let Some(c) = self.conns.get(conn).filter(|c| c.stage == Stage::Standing) else {
             return self.client_leaves(conn);
         };
@@ -174,15 +183,15 @@
         }
         self.over(conn);
         self.series.ends(self.now, "served");
-        self.node_says(id, NodeWord::Bye);
+        self.node_says(id, NodeMessage::Bye);
         self.node_ends(id, End::Fin);
-        self.node_hears(link.node, crate::node::NodeIn::Close { link: id }, ear);
+        self.node_hears(link.node, crate::node::NodeInput::Close { link: id }, ear);
     }
 
-    pub(super) fn at_client(&mut self, conn: ConnId, word: Word) {
+    pub(super) fn at_client(&mut self, conn: ConnId, word: ClientMessage) {
         let now = self.now;
         let Some(c) = self.conns.get_mut(conn).filter(|c| c.stage != Stage::Over) else { return };
-        if let Word::Up(id) = word {
+        if let ClientMessage::Up(id) = word {
             if c.stage != Stage::Waiting {
                 return;
             }
@@ -192,17 +201,17 @@
             if c.ask.home.is_none() {
                 self.series.stands(now, c.ask.key);
             }
-            self.people.answered(now, conn, Heard::Up);
+            self.people.answered(now, conn, ClientInput::Up);
             return self.stands(conn, id);
         }
         let stood = self.over(conn);
         let (heard, cause) = match word {
-            Word::Busy(after) => (Heard::Busy(after), "busy"),
-            Word::Err => (Heard::Err, "error"),
-            Word::Move { by_node: true } => (Heard::Move, "moved by node"),
-            Word::Move { by_node: false } => (Heard::Move, "moved by balancer"),
-            Word::Up(_) | Word::Bye => return self.people.ended(now, conn, End::Fin),
-            Word::Ended(end) => {
+            ClientMessage::Busy(after) => (ClientInput::Busy(after), "busy"),
+            ClientMessage::Err => (ClientInput::Err, "error"),
+            ClientMessage::Move { by_node: true } => (ClientInput::Move, "moved by node"),
+            ClientMessage::Move { by_node: false } => (ClientInput::Move, "moved by balancer"),
+            ClientMessage::Up(_) | ClientMessage::Bye => return self.people.ended(now, conn, End::Fin),
+            ClientMessage::Ended(end) => {
                 if stood {
                     self.series.ends(now, "broken");
                 } else {
--- a/crates/emulator/src/world/conns.rs
+++ b/crates/emulator/src/world/conns.rs
@@ -1,6 +1,6 @@
 //! Clients' connections to balancers, in order of their numbers.
 
-use crate::edge::{Ask, BalancerId, ConnId, LinkId, NodeId};
+use crate::edge::{BalancerId, ConnId, LinkId, NodeId, RequestLine};
 use crate::people::{Cell, LoadProfile};
 use shorewharf_units::Micros;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Conn {
     /// What it asked for.
-    pub ask: Ask,
+    pub ask: RequestLine,
     /// Its client's account.
     pub cell: Cell,
     /// What it will load its node with.
--- a/crates/emulator/src/world/ear.rs
+++ b/crates/emulator/src/world/ear.rs
@@ -1,14 +1,14 @@
 //! Who listens to a world: the driver that hands balancers what reaches them, and who watches.
 
-use crate::audit::Seen;
+use crate::audit::Observation;
 use crate::edge::{BalancerId, ToBalancer};
 use shorewharf_units::Micros;
 
 /// Hears what a world says, in order of time.
-pub trait Ear {
+pub trait WorldListener {
     /// This reaches a balancer now.
     fn to(&mut self, at: Micros, balancer: BalancerId, what: ToBalancer);
 
     /// A fact beyond the edge, for whoever judges.
-    fn fact(&mut self, _at: Micros, _what: Seen<'_>) {}
+    fn fact(&mut self, _at: Micros, _what: Observation<'_>) {}
 }
--- a/crates/emulator/src/world/links.rs
+++ b/crates/emulator/src/world/links.rs
@@ -3,7 +3,7 @@
 use shorewharf_units::Micros;
 use std::collections::HashMap;
 
-use crate::edge::{BalancerId, ConnId, LinkId, NodeId, NodeWord};
+use crate::edge::{BalancerId, ConnId, LinkId, NodeId, NodeMessage};
 
 /// How far a link has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Its node has ended it.
     pub ended: bool,
     /// The last word of the node that ended or may end it.
-    pub last: Option<NodeWord>,
+    pub last: Option<NodeMessage>,
     /// What was sent last reaches the node, and the balancer, then: words don't overtake each other.
     pub last_at_node: Micros,
     /// As above, at the balancer.
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -20,16 +20,16 @@
 use rand_pcg::Pcg64Mcg;
 use shorewharf_units::Micros;
 
-use crate::audit::{Seen, Verdict};
+use crate::audit::{Observation, Verdict};
 use crate::day::Day;
 use crate::edge::*;
-use crate::node::{Node, NodeOut};
-use crate::people::{Cell, LoadProfile, People, PeopleOut};
-use crate::places::{Discovery, Front, Happens, Network, Schedule};
+use crate::node::{Node, NodeOutput};
+use crate::people::{Cell, ClientAction, ClientPopulation, LoadProfile};
+use crate::places::{Discovery, FaultEvent, FaultSchedule, Front, Network};
 use crate::score::Score;
-use crate::virtual_time::{RunResult, Truth};
+use crate::virtual_time::{GroundTruth, RunResult};
 use conns::Conns;
-pub use ear::Ear;
+pub use ear::WorldListener;
 use links::Links;
 use pairs::Pairs;
 use queue::Queue;
@@ -68,7 +68,7 @@
 enum OnLink {
     Up,
     Failed,
-    Says(NodeWord),
+    Says(NodeMessage),
     Ended(End),
 }
 
@@ -82,7 +82,7 @@
 
 /// What reaches a client.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum ClientMessage {
     Up(LinkId),
     Busy(Micros),
     Err,
@@ -98,7 +98,7 @@
     Wake(NodeId),
     Node(LinkId, AtNode),
     Balancer(LinkId, OnLink),
-    Client(ConnId, Word),
+    Client(ConnId, ClientMessage),
     Ask(ConnId, FromClient),
     Line(ConnId),
 }
@@ -113,9 +113,9 @@
 }
 
 impl NodeAt {
-    fn truth(&self, now: Micros) -> Truth {
+    fn truth(&self, now: Micros) -> GroundTruth {
         let s = self.model.state();
-        Truth {
+        GroundTruth {
             takes: s.up && !self.silent,
             load: s.load,
             capacity: s.capacity,
@@ -141,11 +141,11 @@
 /// Buffers that are used again: nothing is allocated for a message.
 #[derive(Debug, Default)]
 struct Buffers {
-    node: Vec<NodeOut>,
-    people: Vec<PeopleOut>,
+    node: Vec<NodeOutput>,
+    people: Vec<ClientAction>,
     news: Vec<(BalancerId, ToBalancer)>,
     listed: Vec<Listed>,
-    happens: Vec<Happens>,
+    happens: Vec<FaultEvent>,
 }
 
 /// The platform round a set of balancers.
@@ -157,12 +157,12 @@
     queue: Queue<Event>,
     nodes: Vec<NodeAt>,
     balancers: Vec<BalancerAt>,
-    people: People,
+    people: ClientPopulation,
     score: Score,
     front: Front,
     discovery: Discovery,
     network: Network,
-    schedule: Schedule,
+    schedule: FaultSchedule,
     conns: Conns,
     links: Links,
     pairs: Pairs,
@@ -191,12 +191,12 @@
             queue: Queue::default(),
             nodes: day.nodes.iter().enumerate().map(node).collect(),
             balancers: day.balancers.iter().map(balancer).collect(),
-            people: People::new(day, rng(seed, "people", 0)),
+            people: ClientPopulation::new(day, rng(seed, "people", 0)),
             score: Score::new(day),
             front: Front::new(day, rng(seed, "front", 0)),
             discovery: Discovery::new(day, rng(seed, "discovery", 0), rng(seed, "discovery", 1)),
             network: Network::new(&day.net, rng(seed, "network", 0)),
-            schedule: Schedule::new(day, rng(seed, "schedule", 0)),
+            schedule: FaultSchedule::new(day, rng(seed, "schedule", 0)),
             conns: Conns::default(),
             links: Links::default(),
             pairs: Pairs::new(day.balancers.len(), day.nodes.len(), day.limits.idle_close),
@@ -236,7 +236,7 @@
     }
 
     /// Lets everything happen that is due up to `until`.
-    pub fn advance(&mut self, until: Micros, ear: &mut impl Ear) {
+    pub fn advance(&mut self, until: Micros, ear: &mut impl WorldListener) {
         loop {
             // Where times are the same: faults, then what was put in, then the list, then clients, then the account.
             let due = |t: Option<Micros>| t.unwrap_or(Micros::MAX);
@@ -266,7 +266,7 @@
         self.now = self.now.max(until);
     }
 
-    fn happens(&mut self, event: Event, ear: &mut impl Ear) {
+    fn happens(&mut self, event: Event, ear: &mut impl WorldListener) {
         match event {
             Event::Second => self.second(),
             Event::Wake(node) => self.node_wakes(node, ear),
@@ -278,11 +278,11 @@
         }
     }
 
-    fn news(&mut self, ear: &mut impl Ear) {
+    fn news(&mut self, ear: &mut impl WorldListener) {
         let mut news = std::mem::take(&mut self.buffers.news);
         let mut listed = std::mem::take(&mut self.buffers.listed);
         self.discovery.advance(self.now, &mut news, &mut listed);
-        listed.drain(..).for_each(|entry| ear.fact(self.now, Seen::Listed(entry)));
+        listed.drain(..).for_each(|entry| ear.fact(self.now, Observation::Listed(entry)));
         self.buffers.listed = listed;
         for (balancer, what) in news.drain(..) {
             if self.balancers[balancer.0 as usize].up {
@@ -292,15 +292,17 @@
         self.buffers.news = news;
     }
 
-    fn faults(&mut self, ear: &mut impl Ear) {
+    fn faults(&mut self, ear: &mut impl WorldListener) {
         let mut happens = std::mem::take(&mut self.buffers.happens);
         self.schedule.advance(self.now, &mut happens);
         for what in happens.drain(..) {
             match what {
-                Happens::Node(node, turn) => self.node_turns(node, turn, ear),
-                Happens::Balancer(balancer, turn) => self.balancer_turns(balancer, turn, ear),
-                Happens::People(place) => self.clients_struck(place, ear),
-                Happens::Discovery(place, on) => self.discovery.struck(self.now, &self.day.faults[place], on),
+                FaultEvent::Node(node, turn) => self.node_turns(node, turn, ear),
+                FaultEvent::Balancer(balancer, turn) => self.balancer_turns(balancer, turn, ear),
+                FaultEvent::People(place) => self.clients_struck(place, ear),
+                FaultEvent::Discovery(place, on) => {
+                    self.discovery.struck(self.now, &self.day.faults[place], on)
+                }
             }
         }
         self.buffers.happens = happens;
@@ -325,7 +327,7 @@
     }
 
     /// The true state of all nodes.
-    pub fn truths(&self, out: &mut Vec<Truth>) {
+    pub fn truths(&self, out: &mut Vec<GroundTruth>) {
         out.clear();
         out.extend(self.nodes.iter().map(|n| n.truth(self.now)));
     }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -6,18 +6,18 @@
 use super::links::At;
 use super::*;
 use crate::audit::Health;
-use crate::node::{Accepts, NodeIn};
-use crate::places::NodeTurn;
+use crate::node::{Accepts, NodeInput};
+use crate::places::NodeEvent;
 
 impl World {
     /// How a node's machine meets connections now, for the driver that has listeners.
-    pub fn reach(&self, node: NodeId) -> Reach {
+    pub fn reach(&self, node: NodeId) -> Reachability {
         let at = &self.nodes[node.0 as usize];
         match (at.model.accepts(self.now), at.silent) {
-            (Accepts::Refused, _) => Reach::Refused,
-            (Accepts::Silent, _) => Reach::Silent,
-            (Accepts::Yes, true) => Reach::Mute,
-            (Accepts::Yes, false) => Reach::Open,
+            (Accepts::Refused, _) => Reachability::Refused,
+            (Accepts::Silent, _) => Reachability::Silent,
+            (Accepts::Yes, true) => Reachability::Mute,
+            (Accepts::Yes, false) => Reachability::Open,
         }
     }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    pub(super) fn node_wakes(&mut self, node: NodeId, ear: &mut impl Ear) {
+    pub(super) fn node_wakes(&mut self, node: NodeId, ear: &mut impl WorldListener) {
         let at = &mut self.nodes[node.0 as usize];
         if at.wake.is_some_and(|wake| wake > self.now) {
             // An earlier wake took its place.
@@ -46,7 +46,7 @@
     }
 
     /// Something comes at a node's model.
-    pub(super) fn node_hears(&mut self, node: NodeId, what: NodeIn, ear: &mut impl Ear) {
+    pub(super) fn node_hears(&mut self, node: NodeId, what: NodeInput, ear: &mut impl WorldListener) {
         let mut out = std::mem::take(&mut self.buffers.node);
         self.nodes[node.0 as usize].model.handle(self.now, what, &mut out);
         out.drain(..).for_each(|what| self.node_did(node, what, ear));
@@ -54,22 +54,22 @@
         self.wake(node);
     }
 
-    fn node_did(&mut self, node: NodeId, what: NodeOut, ear: &mut impl Ear) {
+    fn node_did(&mut self, node: NodeId, what: NodeOutput, ear: &mut impl WorldListener) {
         match what {
-            NodeOut::Says(link, word) => self.node_says(link, word),
-            NodeOut::Ends(link, end) => {
+            NodeOutput::Says(link, word) => self.node_says(link, word),
+            NodeOutput::Ends(link, end) => {
                 self.broken_by_node(link);
                 self.node_ends(link, end);
             }
-            NodeOut::Reached { link, weight, cold } => {
+            NodeOutput::Reached { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
                     let (by, theirs) = (l.balancer, l.theirs);
-                    ear.fact(self.now, Seen::Reached { by, link: theirs, node, weight, cold });
+                    ear.fact(self.now, Observation::Reached { by, link: theirs, node, weight, cold });
                 }
             }
-            NodeOut::Silent(silent) => self.falls_silent(node, silent, ear),
-            NodeOut::Fallen => {
-                ear.fact(self.now, Seen::Node(node, Health::Down));
+            NodeOutput::Silent(silent) => self.falls_silent(node, silent, ear),
+            NodeOutput::Fallen => {
+                ear.fact(self.now, Observation::Node(node, Health::Down));
                 self.process_gone(node);
             }
         }
@@ -86,7 +86,7 @@
     }
 
     /// A node's word is on its way to the balancer.
-    pub(super) fn node_says(&mut self, id: LinkId, word: NodeWord) {
+    pub(super) fn node_says(&mut self, id: LinkId, word: NodeMessage) {
         self.on_its_way(id, OnLink::Says(word));
     }
 
@@ -112,14 +112,14 @@
     }
 
     /// Something on a link has come at its node.
-    pub(super) fn at_node(&mut self, id: LinkId, what: AtNode, ear: &mut impl Ear) {
+    pub(super) fn at_node(&mut self, id: LinkId, what: AtNode, ear: &mut impl WorldListener) {
         let now = self.now;
         let Some(l) = self.links.get(id).copied() else { return };
         let node = l.node;
         match what {
             AtNode::Ended => {
                 if l.at != At::Coming {
-                    self.node_hears(node, NodeIn::Close { link: id }, ear);
+                    self.node_hears(node, NodeInput::Close { link: id }, ear);
                 }
                 self.link_over(id);
             }
@@ -149,10 +149,10 @@
                     }
                     self.on_its_way(id, OnLink::Up);
                     let heard = match l.conn.and_then(|c| self.conns.get(c)) {
-                        None => NodeIn::Probe { link: id },
+                        None => NodeInput::Probe { link: id },
                         Some(c) => {
                             let patience = (c.sent + c.ask.patience).saturating_sub(now);
-                            NodeIn::Open {
+                            NodeInput::Open {
                                 link: id,
                                 by: l.balancer,
                                 ask: c.ask,
@@ -167,23 +167,23 @@
         }
     }
 
-    pub(super) fn node_turns(&mut self, node: NodeId, turn: NodeTurn, ear: &mut impl Ear) {
+    pub(super) fn node_turns(&mut self, node: NodeId, turn: NodeEvent, ear: &mut impl WorldListener) {
         let now = self.now;
         self.discovery.node(now, node, turn);
         let heard = match turn {
-            NodeTurn::Drain => NodeIn::Drain,
-            NodeTurn::Stop => NodeIn::Stop,
-            NodeTurn::Crash => NodeIn::Crash,
-            NodeTurn::Start => NodeIn::Start,
-            NodeTurn::Fault { kind, on, size } => NodeIn::Fault { kind, on, size },
+            NodeEvent::Drain => NodeInput::Drain,
+            NodeEvent::Stop => NodeInput::Stop,
+            NodeEvent::Crash => NodeInput::Crash,
+            NodeEvent::Start => NodeInput::Start,
+            NodeEvent::Fault { kind, on, size } => NodeInput::Fault { kind, on, size },
         };
         match turn {
-            NodeTurn::Start => ear.fact(now, Seen::Node(node, Health::Started)),
-            NodeTurn::Stop | NodeTurn::Crash => ear.fact(now, Seen::Node(node, Health::Down)),
+            NodeEvent::Start => ear.fact(now, Observation::Node(node, Health::Started)),
+            NodeEvent::Stop | NodeEvent::Crash => ear.fact(now, Observation::Node(node, Health::Down)),
             _ => {}
         }
         self.node_hears(node, heard, ear);
-        if matches!(turn, NodeTurn::Stop | NodeTurn::Crash) {
+        if matches!(turn, NodeEvent::Stop | NodeEvent::Crash) {
             self.process_gone(node);
         }
     }
@@ -194,7 +194,7 @@
 
     /// A node falls silent, or speaks again. Only now do the lines of its standing clients matter, so only now are
     /// they events: each client's next line, unanswered; and the answers when the node speaks again.
-    fn falls_silent(&mut self, node: NodeId, silent: bool, ear: &mut impl Ear) {
+    fn falls_silent(&mut self, node: NodeId, silent: bool, ear: &mut impl WorldListener) {
         let at = &mut self.nodes[node.0 as usize];
         if std::mem::replace(&mut at.silent, silent) == silent {
             return;
@@ -204,7 +204,7 @@
             (true, Accepts::Silent) => Health::CutOff,
             (true, _) => Health::Silent,
         };
-        ear.fact(self.now, Seen::Node(node, health));
+        ear.fact(self.now, Observation::Node(node, health));
         if self.mode == Mode::Sockets {
             return;
         }
@@ -220,13 +220,13 @@
                 let phase = self.lines.random_range(0..every);
                 self.queue.push(self.now + phase, Event::Line(conn));
             } else if asked {
-                self.node_says(id, NodeWord::Reply);
+                self.node_says(id, NodeMessage::Reply);
             }
         }
     }
 
     /// A standing client's line is due; it is an event only while the client's node is silent.
-    pub(super) fn line_due(&mut self, conn: ConnId, ear: &mut impl Ear) {
+    pub(super) fn line_due(&mut self, conn: ConnId, ear: &mut impl WorldListener) {
         let Some(c) = self.conns.get(conn).filter(|c| c.stage == Stage::Standing) else { return };
         let silent =
             c.link.and_then(|l| self.links.get(l)).is_some_and(|l| self.nodes[l.node.0 as usize].silent);
--- a/crates/emulator/src/world/series.rs
+++ b/crates/emulator/src/world/series.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 
 use crate::day::Day;
-use crate::edge::{NodeId, NodeWord};
-use crate::virtual_time::Truth;
+use crate::edge::{NodeId, NodeMessage};
+use crate::virtual_time::GroundTruth;
 
 /// Set-ups are measured up to this; a longer one counts as this.
 const LONGEST: u64 = 600_000_000;
@@ -146,12 +146,12 @@
     }
 
     /// What a node's first word on a link makes of the attempt.
-    pub fn attempt_word(&mut self, word: NodeWord) {
+    pub fn attempt_word(&mut self, word: NodeMessage) {
         self.attempt(match word {
-            NodeWord::Up => "up",
-            NodeWord::Busy => "busy",
-            NodeWord::Err => "error",
-            NodeWord::Move => "moved",
+            NodeMessage::Up => "up",
+            NodeMessage::Busy => "busy",
+            NodeMessage::Err => "error",
+            NodeMessage::Move => "moved",
             _ => "other",
         });
     }
@@ -176,7 +176,7 @@
     }
 
     /// A node at the end of a second.
-    pub fn node(&mut self, node: NodeId, truth: Truth) {
+    pub fn node(&mut self, node: NodeId, truth: GroundTruth) {
         let n = &mut self.nodes[node.0 as usize];
         n.load.push(if truth.capacity > 0.0 { (truth.load / truth.capacity) as f32 } else { 0.0 });
         n.capacity.push(truth.capacity as f32);
--- a/crates/fault-scenarios/src/file.rs
+++ b/crates/fault-scenarios/src/file.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, NodeId};
-use shorewharf_emulator::sockets::between::{Break, What};
+use shorewharf_emulator::sockets::between::{NetworkFault, NetworkFaultKind};
 use shorewharf_units::{Micros, micros_from_seconds};
 use thiserror::Error;
 
@@ -308,7 +308,7 @@
     }
 
     /// Who is struck when on this day, drawn by its seed.
-    pub fn breaks(&self, day: &Day) -> Result<Vec<Break>, Problem> {
+    pub fn breaks(&self, day: &Day) -> Result<Vec<NetworkFault>, Problem> {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ 0x7269_6674);
         let balancers: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
         let nodes: Vec<u32> = day.nodes.iter().map(|n| n.zone).collect();
@@ -319,16 +319,18 @@
             let of_nodes = r.nodes.as_ref().unwrap_or(&all);
             let of_others = r.others.as_ref().unwrap_or(&all);
             let what = match r.what {
-                Kind::Refused => What::Refused,
-                Kind::Silent => What::Silent,
-                Kind::AnswersLost => What::AnswersLost,
-                Kind::Reset => What::Reset,
-                Kind::Slow => What::Slow(micros_from_seconds(r.by_ms.unwrap_or(0.0) / 1e3)),
-                Kind::NewsLost => What::NewsLost,
-                Kind::NotesLost => What::NotesLost,
-                Kind::NotesDoubled => What::NotesDoubled,
-                Kind::NotesLate => What::NotesLate(micros_from_seconds(r.by_ms.unwrap_or(0.0) / 1e3)),
-                Kind::Stall => What::Stall,
+                Kind::Refused => NetworkFaultKind::Refused,
+                Kind::Silent => NetworkFaultKind::Silent,
+                Kind::AnswersLost => NetworkFaultKind::AnswersLost,
+                Kind::Reset => NetworkFaultKind::Reset,
+                Kind::Slow => NetworkFaultKind::Slow(micros_from_seconds(r.by_ms.unwrap_or(0.0) / 1e3)),
+                Kind::NewsLost => NetworkFaultKind::NewsLost,
+                Kind::NotesLost => NetworkFaultKind::NotesLost,
+                Kind::NotesDoubled => NetworkFaultKind::NotesDoubled,
+                Kind::NotesLate => {
+                    NetworkFaultKind::NotesLate(micros_from_seconds(r.by_ms.unwrap_or(0.0) / 1e3))
+                }
+                Kind::Stall => NetworkFaultKind::Stall,
                 Kind::StoreSilent | Kind::StoreRefused | Kind::StoreAnswersLost | Kind::StoreEmptied => {
                     continue;
                 }
@@ -336,7 +338,7 @@
             let struck = r.balancers.drawn(&key("balancers"), &day.zones, &balancers, &mut rng)?;
             let on = of_nodes.drawn(&key("nodes"), &day.zones, &nodes, &mut rng)?;
             let others = of_others.drawn(&key("others"), &day.zones, &balancers, &mut rng)?;
-            breaks.push(Break {
+            breaks.push(NetworkFault {
                 what,
                 from: micros_from_seconds(r.at_s),
                 to: micros_from_seconds(r.at_s + r.len_s),
--- a/crates/fault-scenarios/src/judge.rs
+++ b/crates/fault-scenarios/src/judge.rs
@@ -1,7 +1,7 @@
 //! Holds what was seen at the stand-ins against the promises. What a balancer says of itself counts for nothing.
 
-use shorewharf_emulator::audit::{Break as Broken, Reason, Rule, Verdict as Rules};
-use shorewharf_emulator::sockets::between::{Break, What};
+use shorewharf_emulator::audit::{Reason, Rule, RuleViolation as Broken, Verdict as Rules};
+use shorewharf_emulator::sockets::between::{NetworkFault, NetworkFaultKind};
 use shorewharf_emulator::world::series::NodeSeries;
 use shorewharf_units::{Micros, seconds_from_micros};
 
@@ -39,7 +39,7 @@
     /// Processes that ended by themselves, and how.
     pub crashed: Vec<String>,
     /// What was broken.
-    pub breaks: &'a [Break],
+    pub breaks: &'a [NetworkFault],
 }
 
 /// What became of one promise.
@@ -163,7 +163,7 @@
 }
 
 /// Whether what was broken between the processes, and not the balancer, is why a rule looks broken.
-fn excuses(s: &Break, b: &Broken) -> bool {
+fn excuses(s: &NetworkFault, b: &Broken) -> bool {
     let whose = s.balancers.iter().any(|who| who.0 == b.balancer);
     let during = (s.from..=s.to + AFTER).contains(&b.at) && whose;
     let on_link = || b.node.is_some_and(|node| s.nodes.iter().any(|n| n.0 == node));
@@ -171,18 +171,23 @@
         matches!(b.reason, Reason::Forged | Reason::ServedBad | Reason::SecondAnswer | Reason::LineChanged);
     match s.what {
         // Whoever stands still answers nobody. What it sends when it goes on is its own.
-        What::Stall => {
+        NetworkFaultKind::Stall => {
             during && !own && matches!(b.reason.rule(), Rule::NoRequestDropped | Rule::NoConnectionLost)
         }
         // Lines wait for the link, not for the balancer.
-        What::Silent => during && on_link() && b.reason == Reason::LineHeld,
+        NetworkFaultKind::Silent => during && on_link() && b.reason == Reason::LineHeld,
         // What a list has to tell counts as told 6 s after its watch fell silent, though it can't arrive.
-        What::NewsLost => {
+        NetworkFaultKind::NewsLost => {
             (s.from..=s.to + NEWS).contains(&b.at) && whose && b.reason == Reason::SentToDraining
         }
-        What::Refused | What::AnswersLost | What::Reset | What::Slow(_) => false,
+        NetworkFaultKind::Refused
+        | NetworkFaultKind::AnswersLost
+        | NetworkFaultKind::Reset
+        | NetworkFaultKind::Slow(_) => false,
         // What balancers tell each other no promise hangs on.
-        What::NotesLost | What::NotesDoubled | What::NotesLate(_) => false,
+        NetworkFaultKind::NotesLost | NetworkFaultKind::NotesDoubled | NetworkFaultKind::NotesLate(_) => {
+            false
+        }
     }
 }
 
--- a/crates/fault-scenarios/tests/judge.rs
+++ b/crates/fault-scenarios/tests/judge.rs
@@ -1,8 +1,8 @@
 //! Promises against made-up sights: each is broken by the one thing that it forbids, and by nothing else.
 
-use shorewharf_emulator::audit::{Break as Broken, Reason, Verdict as Rules};
+use shorewharf_emulator::audit::{RuleViolation as Broken, Reason, Verdict as Rules};
 use shorewharf_emulator::edge::{BalancerId, NodeId};
-use shorewharf_emulator::sockets::between::{Break, What};
+use shorewharf_emulator::sockets::between::{NetworkFault, NetworkFaultKind};
 use shorewharf_emulator::world::series::NodeSeries;
 use shorewharf_fault_scenarios::{Problem, Promises, Seen, Trial, judge};
 
@@ -21,7 +21,7 @@
     all.into_iter().filter(|v| !v.kept).map(|v| v.promise).collect()
 }
 
-fn seen<'a>(rules: &'a Rules, nodes: &'a [NodeSeries], breaks: &'a [Break]) -> Seen<'a> {
+fn seen<'a>(rules: &'a Rules, nodes: &'a [NodeSeries], breaks: &'a [NetworkFault]) -> Seen<'a> {
     Seen {
         rules,
         served: 0.9,
@@ -106,27 +106,27 @@
     };
     let between = |what| {
         let (balancers, nodes) = (vec![BalancerId(1)], vec![NodeId(2)]);
-        [Break { what, from: 5_000_000, to: 7_000_000, balancers, nodes, others: Vec::new() }]
+        [NetworkFault { what, from: 5_000_000, to: 7_000_000, balancers, nodes, others: Vec::new() }]
     };
     let judged = |rules: &Rules, what| broken(&seen(rules, &[], &between(what)), "").is_empty();
     for (what, reason, at, balancer, node, excused) in [
-        (What::Stall, Reason::NoAnswer, 6_000_000, 1, None, true),
-        (What::Stall, Reason::NoAnswer, 6_000_000, 2, None, false),
-        (What::Stall, Reason::NoAnswer, 9_000_000, 1, None, false),
-        (What::Stall, Reason::LineHeld, 8_000_000, 1, Some(4), true),
+        (NetworkFaultKind::Stall, Reason::NoAnswer, 6_000_000, 1, None, true),
+        (NetworkFaultKind::Stall, Reason::NoAnswer, 6_000_000, 2, None, false),
+        (NetworkFaultKind::Stall, Reason::NoAnswer, 9_000_000, 1, None, false),
+        (NetworkFaultKind::Stall, Reason::LineHeld, 8_000_000, 1, Some(4), true),
         // What it sends when it goes on is its own.
-        (What::Stall, Reason::SentToDraining, 7_100_000, 1, Some(2), false),
-        (What::Stall, Reason::SecondCopy, 7_100_000, 1, Some(2), false),
-        (What::Stall, Reason::Forged, 7_100_000, 1, Some(2), false),
-        (What::Silent, Reason::LineHeld, 6_000_000, 1, Some(2), true),
-        (What::Silent, Reason::LineHeld, 6_000_000, 1, Some(3), false),
-        (What::Silent, Reason::NoAnswer, 6_000_000, 1, Some(2), false),
-        (What::Silent, Reason::SilentKept, 6_000_000, 1, Some(2), false),
-        (What::Reset, Reason::CutOff, 6_000_000, 1, Some(2), false),
-        (What::NewsLost, Reason::SentToDraining, 12_000_000, 1, Some(2), true),
-        (What::NewsLost, Reason::SentToDraining, 14_000_000, 1, Some(2), false),
-        (What::NewsLost, Reason::SentToDraining, 6_000_000, 2, Some(2), false),
-        (What::NewsLost, Reason::NoAnswer, 6_000_000, 1, None, false),
+        (NetworkFaultKind::Stall, Reason::SentToDraining, 7_100_000, 1, Some(2), false),
+        (NetworkFaultKind::Stall, Reason::SecondCopy, 7_100_000, 1, Some(2), false),
+        (NetworkFaultKind::Stall, Reason::Forged, 7_100_000, 1, Some(2), false),
+        (NetworkFaultKind::Silent, Reason::LineHeld, 6_000_000, 1, Some(2), true),
+        (NetworkFaultKind::Silent, Reason::LineHeld, 6_000_000, 1, Some(3), false),
+        (NetworkFaultKind::Silent, Reason::NoAnswer, 6_000_000, 1, Some(2), false),
+        (NetworkFaultKind::Silent, Reason::SilentKept, 6_000_000, 1, Some(2), false),
+        (NetworkFaultKind::Reset, Reason::CutOff, 6_000_000, 1, Some(2), false),
+        (NetworkFaultKind::NewsLost, Reason::SentToDraining, 12_000_000, 1, Some(2), true),
+        (NetworkFaultKind::NewsLost, Reason::SentToDraining, 14_000_000, 1, Some(2), false),
+        (NetworkFaultKind::NewsLost, Reason::SentToDraining, 6_000_000, 2, Some(2), false),
+        (NetworkFaultKind::NewsLost, Reason::NoAnswer, 6_000_000, 1, None, false),
     ] {
         let rules = by(reason, at, balancer, node);
         assert_eq!(judged(&rules, what), excused, "{what:?} {reason:?} at {at} by {balancer} on {node:?}");
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use shorewharf_emulator::day::{Day, Fault};
-use shorewharf_emulator::sockets::platform::Glance;
+use shorewharf_emulator::sockets::platform::StatusSample;
 use shorewharf_units::Micros;
 
 use crate::balancer;
@@ -68,7 +68,7 @@
 }
 
 /// A second in one line.
-fn line(day: &Day, glance: &Glance<'_>) -> String {
+fn line(day: &Day, glance: &StatusSample<'_>) -> String {
     let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
     let up: Vec<f64> =
         glance.nodes.iter().filter(|n| n.takes).map(|n| n.load / n.capacity.max(1e-9)).collect();
@@ -88,7 +88,7 @@
 }
 
 /// The table that is redrawn.
-fn live(day: &Day, glance: &Glance<'_>, style: &Style) -> String {
+fn live(day: &Day, glance: &StatusSample<'_>, style: &Style) -> String {
     let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
     let (now, end) = (glance.now / 1_000_000, day.length / 1_000_000);
     let done = (glance.now as f64 / day.length.max(1) as f64).min(1.0);
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -15,7 +15,7 @@
 use shorewharf_driver::{Driver, NetworkEvent};
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, FromBalancer, ToBalancer};
-use shorewharf_emulator::virtual_time::{Host, Instance, Told, Truth};
+use shorewharf_emulator::virtual_time::{GroundTruth, Host, Instance, InstanceReport};
 use shorewharf_recovery::memory::{Cursor, Learned};
 use shorewharf_settings::operator::{Operator, OperatorError, Recovery, Tenancy};
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
@@ -87,7 +87,7 @@
 pub struct Hosts {
     who: Who,
     operator: Operator,
-    truth: Arc<RwLock<Vec<Truth>>>,
+    truth: Arc<RwLock<Vec<GroundTruth>>>,
     /// What the module knows is kept over its end.
     keeps: bool,
     /// Where balancers tell each other what they hold.
@@ -155,7 +155,7 @@
         self.who == Who::Oracle
     }
 
-    fn truth(&self, _now: Micros, nodes: &[Truth]) {
+    fn truth(&self, _now: Micros, nodes: &[GroundTruth]) {
         let mut held = self.truth.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         held.clear();
         held.extend_from_slice(nodes);
@@ -165,7 +165,7 @@
 struct Make {
     who: Who,
     operator: Operator,
-    truth: Arc<RwLock<Vec<Truth>>>,
+    truth: Arc<RwLock<Vec<GroundTruth>>>,
 }
 
 enum Brain {
@@ -323,7 +323,7 @@
         peers.next_due().into_iter().chain(self.told.as_ref().map(|told| told.next * board::EVERY)).min()
     }
 
-    fn tells(&mut self, told: &mut Told) {
+    fn tells(&mut self, told: &mut InstanceReport) {
         let Some((peers, brain)) = &mut self.life else { return };
         told.lines = peers.said();
         if let Brain::Module(driver) = brain {
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -8,7 +8,7 @@
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState, Settings};
 use shorewharf_driver::{Effects, NetworkEvent};
-use shorewharf_emulator::virtual_time::Truth;
+use shorewharf_emulator::virtual_time::GroundTruth;
 use shorewharf_units::Micros;
 
 use super::Emulated;
@@ -52,7 +52,7 @@
 
 /// The policy with what it must remember of requests.
 pub(super) struct Oracle {
-    truth: Arc<RwLock<Vec<Truth>>>,
+    truth: Arc<RwLock<Vec<GroundTruth>>>,
     max_attempts: u32,
     proxies: f64,
     ready: BTreeSet<ServerId>,
@@ -66,7 +66,7 @@
 
 impl Oracle {
     pub(super) fn start(
-        truth: Arc<RwLock<Vec<Truth>>>,
+        truth: Arc<RwLock<Vec<GroundTruth>>>,
         set: &Settings,
         known: &[ServerEntry],
         peers: &mut Emulated,
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -9,7 +9,7 @@
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
 use shorewharf_driver::{Effects, NetworkEvent, ReceivedRequest};
 use shorewharf_emulator::edge::*;
-use shorewharf_emulator::virtual_time::Truth;
+use shorewharf_emulator::virtual_time::GroundTruth;
 use shorewharf_units::Micros;
 
 use super::places::Places;
@@ -64,7 +64,7 @@
     link: LinkId,
     server: ServerId,
     up_line: bool,
-    last: Option<NodeWord>,
+    last: Option<NodeMessage>,
 }
 
 /// When a server last said anything, and on which connection; and the same of another connection.
@@ -177,7 +177,7 @@
     }
 
     /// The true state of a server's node, for policies that may see it.
-    pub fn truth<'a>(&self, server: ServerId, truths: &'a [Truth]) -> Option<&'a Truth> {
+    pub fn truth<'a>(&self, server: ServerId, truths: &'a [GroundTruth]) -> Option<&'a GroundTruth> {
         truths.get(self.places.node(server)?.0 as usize)
     }
 
@@ -238,7 +238,7 @@
         self.sessions.get(&id).and_then(|s| s.fetch).filter(|f| f.link == link)
     }
 
-    fn asked(&mut self, ask: &Ask, left: Micros) {
+    fn asked(&mut self, ask: &RequestLine, left: Micros) {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
         let req = ReceivedRequest {
@@ -364,9 +364,9 @@
         }
     }
 
-    fn node_says(&mut self, link: LinkId, word: NodeWord) {
+    fn node_says(&mut self, link: LinkId, word: NodeMessage) {
         if self.probes.contains_key(&link) {
-            let outcome = if word == NodeWord::Pong { Outcome::Ok } else { Outcome::Error };
+            let outcome = if word == NodeMessage::Pong { Outcome::Ok } else { Outcome::Error };
             return self.probe_over(link, outcome);
         }
         let Some(&id) = self.by_link.get(&link) else { return };
@@ -378,20 +378,20 @@
         let server = f.server;
         if s.at == At::Open {
             match word {
-                NodeWord::Load(load) => self.tell(NetworkEvent::LoadReported(id, load / 1e6)),
-                NodeWord::Delay(ms) => {
+                NodeMessage::Load(load) => self.tell(NetworkEvent::LoadReported(id, load / 1e6)),
+                NodeMessage::Delay(ms) => {
                     self.tell(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros))
                 }
-                NodeWord::Bye | NodeWord::Move => {}
+                NodeMessage::Bye | NodeMessage::Move => {}
                 _ => s.asked = None,
             }
             return self.hear(server, now, id);
         }
         let outcome = match word {
-            NodeWord::Up => return self.up(id, server, link),
-            NodeWord::Busy => Outcome::Rejected,
-            NodeWord::Move => Outcome::Cancelled,
-            NodeWord::Bye => Outcome::Ok,
+            NodeMessage::Up => return self.up(id, server, link),
+            NodeMessage::Busy => Outcome::Rejected,
+            NodeMessage::Move => Outcome::Cancelled,
+            NodeMessage::Bye => Outcome::Ok,
             _ => Outcome::Error,
         };
         self.fetch_over(id, outcome);
@@ -441,8 +441,8 @@
             return self.fetch_broke(id, Outcome::Reset);
         }
         let outcome = match last {
-            Some(NodeWord::Bye) => Outcome::Ok,
-            Some(NodeWord::Move) => Outcome::Cancelled,
+            Some(NodeMessage::Bye) => Outcome::Ok,
+            Some(NodeMessage::Move) => Outcome::Cancelled,
             // Servers close on what they can't read: an end in good order with a line unanswered is no drop.
             _ if end == End::Fin && s.asked.is_some() => Outcome::Cancelled,
             _ => Outcome::Reset,
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -10,8 +10,8 @@
 
 use shorewharf_emulator::audit::Reason;
 use shorewharf_emulator::day::Day;
-use shorewharf_emulator::edge::{Answer, Ask, BalancerId, ConnId, End, FromBalancer, ToBalancer};
-use shorewharf_emulator::virtual_time::{Host, Instance, Truth};
+use shorewharf_emulator::edge::{Answer, BalancerId, ConnId, End, FromBalancer, RequestLine, ToBalancer};
+use shorewharf_emulator::virtual_time::{GroundTruth, Host, Instance};
 use shorewharf_units::Micros;
 
 use acts::{Act, Acts};
@@ -147,7 +147,7 @@
         self.sound.wants_truth()
     }
 
-    fn truth(&self, now: Micros, nodes: &[Truth]) {
+    fn truth(&self, now: Micros, nodes: &[GroundTruth]) {
         self.sound.truth(now, nodes);
     }
 }
@@ -264,7 +264,7 @@
     }
 
     /// Deals with a request by itself, so that the instance never hears of it; false if this is not its way.
-    fn mistreats(&mut self, now: Micros, ask: &Ask, out: &mut Vec<FromBalancer>) -> bool {
+    fn mistreats(&mut self, now: Micros, ask: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
         let conn = ask.conn;
         match self.wrong {
             Wrong::HangsUp => out.push(FromBalancer::EndClient(conn, End::Fin)),
--- a/crates/lab/src/mutants/on_sockets.rs
+++ b/crates/lab/src/mutants/on_sockets.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use shorewharf_emulator::audit::{Excuse, Reason, Verdict};
+use shorewharf_emulator::audit::{Exemption, Reason, Verdict};
 use shorewharf_emulator::sockets::platform::run;
 use shorewharf_emulator::sockets::process::{ProcessLimits, Program};
 use shorewharf_emulator::sockets::run::Options;
@@ -115,7 +115,7 @@
             };
             println!("{wrong}: {:?} {:?} {:?}", verdict.reasons, verdict.excused, verdict.counts);
             let found: Vec<Reason> = verdict.reasons.keys().copied().collect();
-            let overdue = verdict.excused.contains_key(&Excuse::Overdue);
+            let overdue = verdict.excused.contains_key(&Exemption::Overdue);
             if found != wanted.as_slice() || overdue != (*wrong == "mute") {
                 let lines: Vec<String> = verdict.lines().take(6).collect();
                 failed.push(format!(
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use shorewharf_emulator::sockets::notes::Passed;
+use shorewharf_emulator::sockets::notes::DatagramStatistics;
 
 use crate::error::Failure;
 
@@ -84,7 +84,7 @@
     pub strange: Vec<String>,
     /// What passed between balancers.
     #[serde(default)]
-    pub notes: Passed,
+    pub notes: DatagramStatistics,
 }
 
 /// Spans of time.
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -2,7 +2,7 @@
 //! has hardly meant.
 
 use shorewharf_emulator::day::*;
-use shorewharf_emulator::sockets::bad::Bads;
+use shorewharf_emulator::sockets::bad::MisbehavingClients;
 use shorewharf_units::Micros;
 
 /// What was found, each with the path of its key.
@@ -332,7 +332,7 @@
         }
     }
     // Only they know their names.
-    if let Err(e) = Bads::new(day) {
+    if let Err(e) = MisbehavingClients::new(day) {
         f.wrong("bad_clients", e.to_string().trim_start_matches("bad_clients: "));
     }
     for (i, bad) in day.bad_clients.iter().enumerate() {
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -6,9 +6,9 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 use shorewharf_emulator::day::Day;
-use shorewharf_emulator::sockets::between::Break;
-use shorewharf_emulator::sockets::clock::Spread;
-use shorewharf_emulator::sockets::platform::{self, Glance, SocketsRun};
+use shorewharf_emulator::sockets::between::NetworkFault;
+use shorewharf_emulator::sockets::clock::Distribution;
+use shorewharf_emulator::sockets::platform::{self, SocketsRun, StatusSample};
 use shorewharf_emulator::sockets::process::{ProcessLimits, Program};
 use shorewharf_emulator::sockets::run::{Options, Report, RunError, raise_descriptors};
 use shorewharf_emulator::world::settings;
@@ -30,7 +30,7 @@
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    watch: &mut dyn FnMut(&Glance<'_>),
+    watch: &mut dyn FnMut(&StatusSample<'_>),
 ) -> Result<Record, Failure> {
     let run = run(day, path, operator, (&[], None, false), Vec::new(), watch)?;
     let name = path.file_name().unwrap_or_default().to_string_lossy();
@@ -59,7 +59,7 @@
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    (breaks, together): (&[Break], bool),
+    (breaks, together): (&[NetworkFault], bool),
     mut shared: Option<&mut Shared>,
     logs: Option<&Path>,
 ) -> Result<SocketsRun, Failure> {
@@ -77,9 +77,9 @@
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    (breaks, logs, together): (&[Break], Option<&Path>, bool),
+    (breaks, logs, together): (&[NetworkFault], Option<&Path>, bool),
     own_args: Vec<Vec<OsString>>,
-    watch: &mut dyn FnMut(&Glance<'_>),
+    watch: &mut dyn FnMut(&StatusSample<'_>),
 ) -> Result<SocketsRun, Failure> {
     let descriptors = raise_descriptors();
     tracing::info!(descriptors, program = %path.display(), "playing on sockets");
@@ -124,7 +124,7 @@
     bar
 }
 
-fn times(spread: &Spread) -> Times {
+fn times(spread: &Distribution) -> Times {
     let ms = |us: u64| round(us as f64 / 1e3, 3);
     Times {
         count: spread.len(),
