--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -6,7 +6,7 @@
 
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::*;
-use shorewharf_emulator::sockets::stage::{Commands, Harness};
+use shorewharf_emulator::sockets::harness::{Commands, Harness};
 use shorewharf_units::Micros;
 
 pub const MS: Micros = 1_000;
--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -1,11 +1,11 @@
 //! Composes the audit: each fact goes to the parts that it concerns, and what they find goes into the verdict.
 
-use super::judging::AuditTolerances;
+use super::established::EstablishedConnection;
 use super::lists::NotifiedLists;
 use super::nodes::{Nodes, Overload};
 use super::request::{Finding, Over, Request};
-use super::standing::EstablishedConnection;
 use super::table::{Check, Conn, Link, Table};
+use super::tolerances::AuditTolerances;
 use super::trace::{What, secs, together};
 use super::verdict::{Case, Exemption, Reason, Verdict};
 use super::{Corruption, Direction, Observation};
--- a/crates/emulator/src/audit/standing.rs
+++ b/crates/emulator/src/audit/established.rs
@@ -1,8 +1,8 @@
 //! One standing connection, from the client's `UP` to its end: which ones are lost.
 
-use super::judging::AuditTolerances;
 use super::nodes::ObservedNode;
 use super::request::Finding;
+use super::tolerances::AuditTolerances;
 use super::trace::secs;
 use super::verdict::{Exemption, Reason};
 use crate::edge::{LinkId, NodeId};
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -5,7 +5,7 @@
 //! long ago; and on sockets of whatever was listed some seconds ago, whether it arrived or not. A new process has been
 //! told nothing yet: the list that it starts from names nodes, but it may be old and is no news of an end.
 
-use super::judging::AuditTolerances;
+use super::tolerances::AuditTolerances;
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
 use shorewharf_units::Micros;
 
--- a/crates/emulator/src/audit/mod.rs
+++ b/crates/emulator/src/audit/mod.rs
@@ -5,19 +5,19 @@
 //! kept of a connection is a small record and a dozen steps, and it is let go of soon after the connection's end.
 
 mod auditor;
-mod judging;
+mod established;
 mod lists;
 mod nodes;
 mod request;
-mod standing;
 mod table;
 #[cfg(test)]
 mod tests;
+mod tolerances;
 mod trace;
 mod verdict;
 
 pub use auditor::Auditor;
-pub use judging::AuditTolerances;
+pub use tolerances::AuditTolerances;
 pub use trace::TraceEntry;
 pub use verdict::{Counts, Exemption, Reason, Rule, RuleViolation, Verdict};
 
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::Health;
-use super::judging::AuditTolerances;
+use super::tolerances::AuditTolerances;
 use super::trace::{Ring, What};
 use crate::edge::{BalancerId, NodeId};
 
--- a/crates/emulator/src/audit/request.rs
+++ b/crates/emulator/src/audit/request.rs
@@ -1,6 +1,6 @@
 //! One request until its answer, and its attempts: the first two rules.
 
-use super::judging::AuditTolerances;
+use super::tolerances::AuditTolerances;
 use super::trace::secs;
 use super::verdict::{Exemption, Reason};
 use crate::edge::LinkId;
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -6,8 +6,8 @@
 
 use rustc_hash::FxHashMap;
 
+use super::established::{EstablishedConnection, Lines};
 use super::request::{Finding, Request};
-use super::standing::{EstablishedConnection, Lines};
 use super::trace::Ring;
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -36,7 +36,7 @@
     fn judge(&self, judging: AuditTolerances) -> Verdict {
         let mut order: Vec<&(Micros, Fact)> = self.0.iter().collect();
         order.sort_by_key(|(at, _)| *at);
-        let mut auditor = Auditor::new(&crate::places::tests::day(3, &[0, 0]), judging);
+        let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), judging);
         for (at, fact) in &order {
             match fact {
                 To(to) => auditor.see(*at, Observation::To(B, to)),
@@ -49,7 +49,7 @@
 }
 
 fn judging(sockets: bool) -> AuditTolerances {
-    let day = crate::places::tests::day(3, &[0, 0]);
+    let day = crate::environment::tests::day(3, &[0, 0]);
     if sockets { AuditTolerances::sockets_strict(&day) } else { AuditTolerances::virtual_time(&day) }
 }
 
@@ -490,7 +490,7 @@
     history.add(23 * S, From(F::Syntax(NODE)));
     history.add(23 * S, Other(Observation::Missed(B, ConnId(7))));
     send(&mut history, 8, 24 * S, NodeId(7));
-    let day = crate::places::tests::day(3, &[0, 0]);
+    let day = crate::environment::tests::day(3, &[0, 0]);
     let verdict = history.judge(AuditTolerances::sockets(&day));
     let breaks = [
         Reason::EndedUnanswered,
@@ -512,7 +512,7 @@
 /// breaks only the first keep their traces.
 #[test]
 fn what_is_over_is_forgotten_and_traces_are_bounded() {
-    let mut auditor = Auditor::new(&crate::places::tests::day(3, &[0, 0]), judging(false));
+    let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), judging(false));
     for conn in 0..20_000 {
         let at = conn * 10 * MS;
         let mut history = History::default();
--- a/crates/emulator/src/places/discovery/mod.rs
+++ b/crates/emulator/src/environment/discovery/mod.rs
@@ -6,17 +6,17 @@
 //! and what a watcher gets is the list as it stands when its turn comes: changes if it is one version behind, else
 //! everything.
 
-pub mod desk;
 pub mod registry;
+pub mod service_queue;
 
 use rand_pcg::Pcg64Mcg;
 use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, Listed, NodeId, ToBalancer};
-use crate::places::faults::NodeEvent;
-use desk::{Call, ServiceQueue};
+use crate::environment::faults::NodeEvent;
 use registry::{Process, Registry};
+use service_queue::{Call, ServiceQueue};
 
 /// The old address goes on so long after a move (the platform's figure).
 const MOVE_GRACE: Micros = 1_500_000;
--- a/crates/emulator/src/places/front/tests.rs
+++ b/crates/emulator/src/environment/front/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::places::tests::day;
+use crate::environment::tests::day;
 use rand::SeedableRng;
 
 /// Failure: a balancer of two in a zone dies and comes back, and a zone has none at all. Promise: clients reach the
--- a/crates/emulator/src/places/mod.rs
+++ b/crates/emulator/src/environment/mod.rs
@@ -3,10 +3,10 @@
 //! and hands out what follows. The figures behind them are in `docs/design/emulator-places.md`.
 
 pub mod discovery;
-pub mod drawn;
 pub mod faults;
 pub mod front;
 pub mod network;
+pub mod random_faults;
 
 pub use discovery::Discovery;
 pub use faults::{BalancerEvent, FaultEvent, FaultInterval, FaultSchedule, NodeEvent};
--- a/crates/emulator/src/places/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, Listed, NodeId, Stage, ToBalancer};
-use crate::places::{BalancerEvent, Discovery, FaultEvent, FaultSchedule, NodeEvent};
+use crate::environment::{BalancerEvent, Discovery, FaultEvent, FaultSchedule, NodeEvent};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,9 +8,9 @@
 pub mod audit;
 pub mod day;
 pub mod edge;
+pub mod environment;
 pub mod node;
-pub mod people;
-pub mod places;
+pub mod population;
 pub mod score;
 pub mod sockets;
 pub mod standin;
--- a/crates/emulator/src/node/standing.rs
+++ b/crates/emulator/src/node/established.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use super::swing::LoadOscillation;
+use super::load_oscillation::LoadOscillation;
 use crate::day::Day;
 use crate::edge::{BalancerId, LinkId, RequestLine};
 
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -6,14 +6,14 @@
 //! got is the difference of two readings, and no message is ever an event. The figures and how well they meet the
 //! simulator's servers: `docs/design/emulator-nodes.md`.
 
-mod cold;
-mod ills;
-mod set_ups;
+mod active_faults;
+mod established;
+mod load_oscillation;
+mod setup_queue;
 mod share;
-mod standing;
-mod swing;
 #[cfg(test)]
 mod tests;
+mod warm_up;
 mod work;
 
 use shorewharf_units::{Micros, seconds_from_micros};
@@ -24,12 +24,12 @@
 
 use crate::day::{Day, FaultKind, GoAway, Sheds};
 use crate::edge::{BalancerId, End, LinkId, NodeId, NodeMessage, RequestLine};
-use crate::people::LoadProfile;
-use cold::WarmUp;
-use ills::ActiveFaults;
-use set_ups::{Job, JobKind, SetupQueue};
+use crate::population::LoadProfile;
+use active_faults::ActiveFaults;
+use established::EstablishedConnections;
+use setup_queue::{Job, JobKind, SetupQueue};
 use share::{LoadLevel, set_up_pace};
-use standing::EstablishedConnections;
+use warm_up::WarmUp;
 
 /// Length of a step.
 pub(crate) const STEP: Micros = 250_000;
@@ -252,7 +252,7 @@
             error_rate: kind.error_rate.clamp(0.0, 1.0),
             attempt: work::noise(day.classes.iter().map(|c| c.attempt_noise).fold(0.0, f64::max)),
             pauses: pauses.then(|| (seconds_from_micros(kind.pause_every), seconds_from_micros(kind.pause))),
-            resets: ills::resets(day),
+            resets: active_faults::resets(day),
             tells_load: streams.tells_load,
             tells_first: streams.tells_first,
             tells_delay: streams.tells_delay,
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::edge::ConnId;
-use crate::people::tests::day;
+use crate::population::tests::day;
 use shorewharf_units::seconds_from_micros;
 
 const S: Micros = 1_000_000;
@@ -213,8 +213,10 @@
         day(json!({"classes": [{"name": "c", "share": 1, "set_up_ms": 0, "set_up_cv": 0, "attempt_noise": 0,
         "aim_ms": 800, "give_up_ms": 3200, "worth": 1, "message_aim_ms": 50, "load": 1, "life": 1,
         "load_sigma": 0, "swing_sigma": 0.6, "change_s": 10, "idle": 0.3}]}));
-    let (here, there) =
-        (swing::LoadOscillation::new(&day.classes[0]), swing::LoadOscillation::new(&day.classes[0]));
+    let (here, there) = (
+        load_oscillation::LoadOscillation::new(&day.classes[0]),
+        load_oscillation::LoadOscillation::new(&day.classes[0]),
+    );
     let (mut sum, mut idle, mut changes) = (0.0, 0, 0);
     for key in 0..4000 {
         let (load, next) = here.at(key, 17 * S);
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -53,7 +53,7 @@
         }
         let noise = self.attempt.as_ref().map_or(1.0, |noise| noise.sample(&mut self.rng));
         let usual = self.classes.get(ask.class as usize).map_or(0.0, |c| c.set_up);
-        let work = usual * swing::set_up(ask.key) * noise;
+        let work = usual * load_oscillation::set_up(ask.key) * noise;
         self.takes(
             now,
             Job { link: Some(link), what: JobKind::Client { by, ask, mean: profile.mean }, work },
--- a/crates/emulator/src/people/client.rs
+++ b/crates/emulator/src/population/client.rs
@@ -5,7 +5,7 @@
 
 use crate::day::{Backoff, Clients};
 use crate::edge::ConnId;
-use crate::people::Cell;
+use crate::population::Cell;
 
 /// What a client hears on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emulator/src/people/groups.rs
+++ b/crates/emulator/src/population/groups.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use crate::day::Day;
-use crate::people::Capacity;
+use crate::population::Capacity;
 
 /// All groups of a day by rank, the largest first.
 #[derive(Debug)]
--- a/crates/emulator/src/people/mod.rs
+++ b/crates/emulator/src/population/mod.rs
@@ -6,7 +6,7 @@
 
 mod capacity;
 mod client;
-mod crowd;
+mod client_table;
 mod groups;
 mod start;
 mod traffic;
@@ -25,7 +25,7 @@
 pub use client::ClientInput;
 
 use client::{AbsenceReason, Client, State, WakeUp};
-use crowd::{ClientIndex, ClientTable};
+use client_table::{ClientIndex, ClientTable};
 use groups::Groups;
 use traffic::{CountChange, Traffic};
 
--- a/crates/emulator/src/people/start.rs
+++ b/crates/emulator/src/population/start.rs
@@ -10,7 +10,7 @@
 use super::traffic::Traffic;
 use crate::day::Day;
 use crate::edge::NodeId;
-use crate::people::capacity;
+use crate::population::capacity;
 
 /// Nobody's rest of a life is shorter at the start.
 pub(super) const LEAST_REST: Micros = 500_000;
--- a/crates/emulator/src/people/traffic.rs
+++ b/crates/emulator/src/population/traffic.rs
@@ -10,7 +10,7 @@
 use shorewharf_units::Micros;
 
 use crate::day::{Class, Day, Fault};
-use crate::people::Capacity;
+use crate::population::Capacity;
 
 /// What happens to the number of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::day::Day;
 use crate::edge::NodeId;
-use crate::people::Cell;
+use crate::population::Cell;
 use ledger::Level;
 pub use outcome::{Cost, Outcome, Part, Prices, Second, TenantSecond, WorstWindow};
 use shorewharf_units::Micros;
--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::Score;
-use crate::people::Cell;
+use crate::population::Cell;
 use shorewharf_units::seconds_from_micros;
 
 /// Worth asked for and earned.
--- a/crates/emulator/src/score/tests.rs
+++ b/crates/emulator/src/score/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 use super::*;
-use crate::people::tests::day;
+use crate::population::tests::day;
 use shorewharf_units::seconds_from_micros;
 
 const S: Micros = 1_000_000;
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -10,11 +10,11 @@
 use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
 
-use super::book::ConnectionLog;
 use super::clock::Distribution;
+use super::connection_log::ConnectionLog;
+use super::harness::{ConnectionObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
-use super::stage::{ConnectionObservation, Observations};
 use crate::edge::{Answer, BalancerId, ConnId, End, FromBalancer, LinkId, RequestLine};
 
 /// A client that has finished its sending closes after this at the latest.
--- a/crates/emulator/src/sockets/notes.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -18,9 +18,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::addresses::Addresses;
-use super::between::NetworkFaults;
 use super::directory::Directory;
 use super::net::{Net, Role};
+use super::network_faults::NetworkFaults;
 use crate::edge::BalancerId;
 
 /// The largest datagram there is.
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -10,9 +10,9 @@
 
 use super::addresses::Addresses;
 use super::directory::Directory;
+use super::harness::Observations;
 use super::lines::LineConnection;
 use super::net::{Listener, Net, Ready, Role};
-use super::stage::Observations;
 use crate::edge::{BalancerId, End, FromBalancer, Listed, NodeId, Stage};
 
 /// An empty line comes on a watch this often.
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -18,10 +18,10 @@
 use super::addresses::Addresses;
 use super::clock::Distribution;
 use super::directory::Directory;
+use super::harness::Observations;
 use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
 use super::process::{Process, ProcessError, ProcessFiles, Program, Usage};
-use super::stage::Observations;
 use crate::edge::{BalancerId, End, FromBalancer};
 
 /// A balancer that has not answered yet is asked again after this.
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -16,17 +16,17 @@
 use thiserror::Error;
 
 use super::addresses::Addresses;
-use super::book::ConnectionLog;
 use super::clock::{Clock, Distribution, LATE, until};
+use super::connection_log::ConnectionLog;
 use super::directory::Directory;
 use super::discovery::Discovery;
 use super::fleet::{Fleet, ProcessIncarnation, Start};
+use super::harness::{BalancerObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
 use super::nodes::Nodes;
 use super::plain;
 use super::process::{ProcessError, Program};
-use super::stage::{BalancerObservation, Observations};
 use crate::day::Day;
 use crate::edge::{
     BalancerId, ConnId, End, FromBalancer, Listed, NodeId, NodeMessage, RequestLine, Stage as ListStage,
--- a/crates/emulator/src/sockets/bad.rs
+++ b/crates/emulator/src/sockets/misbehaving_clients.rs
@@ -10,10 +10,10 @@
 use shorewharf_units::Micros;
 use thiserror::Error;
 
-use super::book::ConnectionLog;
+use super::connection_log::ConnectionLog;
+use super::harness::{ConnectionObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
-use super::stage::{ConnectionObservation, Observations};
 use crate::day::{BadClients, Day};
 use crate::edge::{BalancerId, ConnId, End};
 
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -5,22 +5,22 @@
 //! what the balancers do. Nothing here decides how a node or a client behaves.
 
 pub mod addresses;
-pub mod bad;
-pub mod between;
-pub mod book;
 pub mod clients;
 pub mod clock;
+pub mod connection_log;
+pub mod datagram_proxy;
 pub mod directory;
 pub mod discovery;
 pub mod fleet;
+pub mod harness;
 pub mod lines;
 pub mod load;
+pub mod misbehaving_clients;
 pub mod net;
+pub mod network_faults;
 pub mod nodes;
-pub mod notes;
 pub mod plain;
 pub mod platform;
 pub mod process;
 pub mod report;
 pub mod run;
-pub mod stage;
--- a/crates/emulator/src/sockets/between.rs
+++ b/crates/emulator/src/sockets/network_faults.rs
@@ -4,7 +4,7 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-use super::notes::Delivery;
+use super::datagram_proxy::Delivery;
 use crate::edge::{BalancerId, LinkId, NodeId, Reachability, ToBalancer};
 
 /// What is broken.
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -11,11 +11,11 @@
 use shorewharf_protocol::message::Message;
 
 use super::addresses::Addresses;
-use super::between::worse;
-use super::book::{ConnectionLog, FirstLine};
+use super::connection_log::{ConnectionLog, FirstLine};
+use super::harness::{ConnectionObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Listener, Net, Ready, Role};
-use super::stage::{ConnectionObservation, Observations};
+use super::network_faults::worse;
 use crate::edge::{
     BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, Reachability, ToBalancer,
 };
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
+use super::harness::{BalancerStatus, Commands, ConnectionObservation, Harness};
 use super::run::{Options, Report, RunError, play};
-use super::stage::{BalancerStatus, Commands, ConnectionObservation, Harness};
 use crate::audit::{AuditTolerances, Auditor, Corruption, Direction, Observation};
 use crate::day::Day;
 use crate::edge::{
--- a/crates/emulator/src/sockets/report.rs
+++ b/crates/emulator/src/sockets/report.rs
@@ -3,11 +3,11 @@
 use serde::Serialize;
 use shorewharf_units::Micros;
 
-use super::bad::MisbehaviorOutcome;
 use super::clients::Facts;
 use super::clock::Distribution;
+use super::datagram_proxy::DatagramStatistics;
 use super::fleet::ProcessIncarnation;
-use super::notes::DatagramStatistics;
+use super::misbehaving_clients::MisbehaviorOutcome;
 
 /// What it costs if none of the bad clients gets what it is owed.
 const BAD_COST: f64 = 0.3;
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -16,21 +16,21 @@
 use thiserror::Error;
 
 use super::addresses::{Addresses, BALANCERS_MOST, NODES_MOST};
-use super::bad::{MisbehavingClients, UnknownKind};
-use super::between::{NetworkFault, NetworkFaultKind, NetworkFaults};
-use super::book::ConnectionLog;
 use super::clients::Clients;
 use super::clock::{Clock, Distribution, LATE, until};
+use super::connection_log::ConnectionLog;
+use super::datagram_proxy::DatagramProxy;
 use super::directory::Directory;
 use super::discovery::Discovery;
 use super::fleet::{Fleet, Start};
+use super::harness::{BalancerObservation, BalancerStatus, Commands, Harness, Observations};
+use super::misbehaving_clients::{MisbehavingClients, UnknownKind};
 pub use super::net::raise_descriptors;
 use super::net::{Net, Ready, Role};
+use super::network_faults::{NetworkFault, NetworkFaultKind, NetworkFaults};
 use super::nodes::Nodes;
-use super::notes::DatagramProxy;
 use super::process::{ProcessError, Program};
 pub use super::report::Report;
-use super::stage::{BalancerObservation, BalancerStatus, Commands, Harness, Observations};
 use crate::day::Day;
 use crate::edge::{
     Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, RequestLine, ToBalancer,
--- a/crates/emulator/src/virtual_time/result.rs
+++ b/crates/emulator/src/virtual_time/result.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::audit::Verdict;
-use crate::places::FaultInterval;
+use crate::environment::FaultInterval;
 use crate::score::Outcome;
 use crate::virtual_time::{Instance, InstanceReport};
 use crate::world::series::Series;
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -3,8 +3,8 @@
 use super::conns::Stage;
 use super::links::{At, Link};
 use super::*;
+use crate::environment::BalancerEvent;
 use crate::node::NodeInput;
-use crate::places::BalancerEvent;
 
 impl World {
     /// A balancer does something, now.
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -2,7 +2,7 @@
 
 use super::conns::{Conn, Stage};
 use super::*;
-use crate::people::ClientInput;
+use crate::population::ClientInput;
 
 impl World {
     pub(super) fn clients_act(&mut self, ear: &mut impl WorldListener) {
--- a/crates/emulator/src/world/conns.rs
+++ b/crates/emulator/src/world/conns.rs
@@ -1,7 +1,7 @@
 //! Clients' connections to balancers, in order of their numbers.
 
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId, RequestLine};
-use crate::people::{Cell, LoadProfile};
+use crate::population::{Cell, LoadProfile};
 use shorewharf_units::Micros;
 
 /// How far a connection has come, seen from its client.
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -6,8 +6,8 @@
 use super::links::At;
 use super::*;
 use crate::audit::Health;
+use crate::environment::NodeEvent;
 use crate::node::{Accepts, NodeInput};
-use crate::places::NodeEvent;
 
 impl World {
     /// How a node's machine meets connections now, for the driver that has listeners.
--- a/crates/emulator/src/world/settings.rs
+++ b/crates/emulator/src/world/settings.rs
@@ -6,7 +6,7 @@
 
 use crate::day::Day;
 use crate::edge::BalancerId;
-use crate::people::{Capacity, capacity};
+use crate::population::{Capacity, capacity};
 
 /// The settings of one balancer as JSON text, with the names and units of the simulator's wire.
 pub fn json(day: &Day, me: BalancerId) -> String {
--- a/crates/fault-scenarios/src/file.rs
+++ b/crates/fault-scenarios/src/file.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, NodeId};
-use shorewharf_emulator::sockets::between::{NetworkFault, NetworkFaultKind};
+use shorewharf_emulator::sockets::network_faults::{NetworkFault, NetworkFaultKind};
 use shorewharf_units::{Micros, micros_from_seconds};
 use thiserror::Error;
 
--- a/crates/fault-scenarios/src/judge.rs
+++ b/crates/fault-scenarios/src/judge.rs
@@ -1,7 +1,7 @@
 //! Holds what was seen at the stand-ins against the promises. What a balancer says of itself counts for nothing.
 
 use shorewharf_emulator::audit::{Reason, Rule, RuleViolation as Broken, Verdict as Rules};
-use shorewharf_emulator::sockets::between::{NetworkFault, NetworkFaultKind};
+use shorewharf_emulator::sockets::network_faults::{NetworkFault, NetworkFaultKind};
 use shorewharf_emulator::world::series::NodeSeries;
 use shorewharf_units::{Micros, seconds_from_micros};
 
--- a/crates/fault-scenarios/tests/judge.rs
+++ b/crates/fault-scenarios/tests/judge.rs
@@ -1,8 +1,8 @@
 //! Promises against made-up sights: each is broken by the one thing that it forbids, and by nothing else.
 
-use shorewharf_emulator::audit::{RuleViolation as Broken, Reason, Verdict as Rules};
+use shorewharf_emulator::audit::{Reason, RuleViolation as Broken, Verdict as Rules};
 use shorewharf_emulator::edge::{BalancerId, NodeId};
-use shorewharf_emulator::sockets::between::{NetworkFault, NetworkFaultKind};
+use shorewharf_emulator::sockets::network_faults::{NetworkFault, NetworkFaultKind};
 use shorewharf_emulator::world::series::NodeSeries;
 use shorewharf_fault_scenarios::{Problem, Promises, Seen, Trial, judge};
 
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use shorewharf_emulator::sockets::notes::DatagramStatistics;
+use shorewharf_emulator::sockets::datagram_proxy::DatagramStatistics;
 
 use crate::error::Failure;
 
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -9,7 +9,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::NodeId;
-use shorewharf_emulator::people::capacity;
+use shorewharf_emulator::population::capacity;
 use shorewharf_emulator::score::TenantSecond;
 use shorewharf_emulator::virtual_time::{self, Options, RunResult};
 
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -2,7 +2,7 @@
 //! has hardly meant.
 
 use shorewharf_emulator::day::*;
-use shorewharf_emulator::sockets::bad::MisbehavingClients;
+use shorewharf_emulator::sockets::misbehaving_clients::MisbehavingClients;
 use shorewharf_units::Micros;
 
 /// What was found, each with the path of its key.
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -6,8 +6,8 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 use shorewharf_emulator::day::Day;
-use shorewharf_emulator::sockets::between::NetworkFault;
 use shorewharf_emulator::sockets::clock::Distribution;
+use shorewharf_emulator::sockets::network_faults::NetworkFault;
 use shorewharf_emulator::sockets::platform::{self, SocketsRun, StatusSample};
 use shorewharf_emulator::sockets::process::{ProcessLimits, Program};
 use shorewharf_emulator::sockets::run::{Options, Report, RunError, raise_descriptors};
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -112,7 +112,7 @@
     trial: &Trial,
     day: &shorewharf_emulator::day::Day,
     run: &SocketsRun,
-    breaks: &[shorewharf_emulator::sockets::between::NetworkFault],
+    breaks: &[shorewharf_emulator::sockets::network_faults::NetworkFault],
 ) -> Vec<Verdict> {
     let outcome = &run.result.outcome;
     let worth: Vec<(f64, f64)> = outcome.seconds.iter().map(|s| (s.asked, s.earned)).collect();
