--- a/crates/balancer/benches/parts.rs
+++ b/crates/balancer/benches/parts.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use shorewharf::discovery::reader::{Part, Reader};
 use shorewharf::discovery::update::Incoming;
-use shorewharf::event_loop::timers::Timers;
+use shorewharf::event_loop::timers::TimerWheel;
 use shorewharf::servers::server_table::ServerTable;
 use shorewharf_emulator::standin::endpoint;
 use shorewharf_protocol::endpoint_list::EndpointList;
@@ -34,7 +34,7 @@
     group.throughput(Throughput::Elements(1));
     for held in [100, 10_000, 200_000_u64] {
         group.bench_function(format!("wheel-{held}"), |b| {
-            let (mut timers, mut now) = (Timers::new(0), 0);
+            let (mut timers, mut now) = (TimerWheel::new(0), 0);
             let mut keys: Vec<_> = (0..held).map(|i| timers.set(i * SECOND / held, i)).collect();
             b.iter(|| {
                 now += SECOND / held;
--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -13,10 +13,10 @@
 use crate::admin::server::Door;
 use crate::admin::shared_folder::Folder;
 use crate::discovery::update::server_id;
-use crate::event_loop::hub::Net;
-use crate::event_loop::iteration::Due;
-use crate::event_loop::poll::{Owner, Ready};
-use crate::servers::disabled::{Change, Out};
+use crate::event_loop::hub::EventLoop;
+use crate::event_loop::iteration::TimerEvent;
+use crate::event_loop::poll::{EventSource, Readiness};
+use crate::servers::disabled::{AdminChange, DisabledServer};
 use crate::workers::pool::Order;
 
 /// How often it is looked for what other processes of this balancer have changed: they hear of a call within its second.
@@ -68,11 +68,11 @@
     }
 }
 
-impl Net {
+impl EventLoop {
     /// Looks at operators, before anybody else, and answers them. `avoided` tells which servers get nothing now.
     pub fn serve_operators(
         &mut self,
-        seen: impl Iterator<Item = (Owner, Ready)>,
+        seen: impl Iterator<Item = (EventSource, Readiness)>,
         avoided: impl Fn() -> Vec<ServerId>,
     ) {
         let Some(desk) = &mut self.desk else { return };
@@ -108,8 +108,9 @@
             (true, _) => {}
             (false, false) => return CommandReply::Rejected(CommandError::UnknownServer(name)),
             (false, true) => {
-                let out = Out { name: name.as_str().into(), since: seconds_from_micros(self.turn.now) };
-                self.change(Change::Out(server, out), "a call");
+                let out =
+                    DisabledServer { name: name.as_str().into(), since: seconds_from_micros(self.turn.now) };
+                self.change(AdminChange::Disabled(server, out), "a call");
             }
         }
         if let Some(desk) = &mut self.desk {
@@ -135,25 +136,25 @@
             desk.unkept.remove(&server);
             desk.told(done);
         }
-        self.change(Change::Back(server, seconds_from_micros(self.turn.now)), "a call");
+        self.change(AdminChange::Enabled(server, seconds_from_micros(self.turn.now)), "a call");
         CommandReply::Done
     }
 
     /// Something is changed by hand, for all workers.
-    fn change(&mut self, change: Change, by: &str) {
+    fn change(&mut self, change: AdminChange, by: &str) {
         let name = match &change {
-            Change::Out(_, out) => out.name.clone(),
-            Change::Back(server, _) => {
+            AdminChange::Disabled(_, out) => out.name.clone(),
+            AdminChange::Enabled(server, _) => {
                 let out = self.serving.servers.taken_out().all().get(server);
                 out.map_or_else(Default::default, |out| out.name.clone())
             }
         };
         match &change {
-            Change::Out(..) => info!(event = "server-taken-out", server = %name, by),
-            Change::Back(server, _) if self.serving.servers.taken_out().is_out(*server) => {
+            AdminChange::Disabled(..) => info!(event = "server-taken-out", server = %name, by),
+            AdminChange::Enabled(server, _) if self.serving.servers.taken_out().is_out(*server) => {
                 info!(event = "server-put-back", server = %name, by);
             }
-            Change::Back(..) => {}
+            AdminChange::Enabled(..) => {}
         }
         self.tell_others(|_| Order::Changed(change.clone()));
         self.changes(change);
@@ -161,7 +162,7 @@
 
     /// Something was changed by hand: the module hears of it as of a change of the list, which is no news of
     /// discovery's.
-    pub fn changes(&mut self, change: Change) {
+    pub fn changes(&mut self, change: AdminChange) {
         if let Some(entry) = self.serving.servers.change(change) {
             self.turn.emit(NetworkEvent::EndpointListReceived {
                 full: false,
@@ -176,7 +177,7 @@
         let known = self.serving.servers.taken_out().all().clone();
         let Some(desk) = &mut self.desk else { return };
         let Some(folder) = &mut desk.folder else { return };
-        self.turn.after(LOOK, Due::Folder);
+        self.turn.after(LOOK, TimerEvent::Folder);
         match folder.read(&known) {
             Ok(out) => {
                 desk.ails &= !desk.unkept.is_empty();
@@ -185,10 +186,11 @@
                     .keys()
                     .filter(|server| !out.contains_key(server) && !desk.unkept.contains(server))
                     .copied();
-                let back: Vec<_> =
-                    back.map(|server| Change::Back(server, seconds_from_micros(self.turn.now))).collect();
+                let back: Vec<_> = back
+                    .map(|server| AdminChange::Enabled(server, seconds_from_micros(self.turn.now)))
+                    .collect();
                 let news = out.into_iter().filter(|(server, _)| !known.contains_key(server));
-                let news: Vec<_> = news.map(|(server, out)| Change::Out(server, out)).collect();
+                let news: Vec<_> = news.map(|(server, out)| AdminChange::Disabled(server, out)).collect();
                 back.into_iter().chain(news).for_each(|change| self.change(change, "another process"));
             }
             Err(e) => desk.told(Err(e)),
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -7,10 +7,10 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::iteration::{Alarm, Due, Turn};
-use crate::event_loop::poll::{Owner, Ready};
-use crate::transport::buffer_pool::BUFFER;
-use crate::transport::connection::Link;
+use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::{EventSource, Readiness};
+use crate::transport::buffer_pool::BUFFER_BYTES;
+use crate::transport::connection::Connection;
 
 /// Callers held at once. Guards clients' descriptors: these are apart from theirs.
 pub const CALLERS: usize = 16;
@@ -33,19 +33,19 @@
 /// One operator's connection.
 #[derive(Debug)]
 struct Caller {
-    link: Link,
+    link: Connection,
     stage: Stage,
     until: Micros,
     /// How the call's line ended, and its answer's will.
     end: &'static str,
     /// What is still to be said.
     rest: Vec<u8>,
-    alarm: Alarm,
+    alarm: TimerHandle,
 }
 
 impl Caller {
     /// Reads on for the call; none while it is not whole. What follows it is not looked at.
-    fn call(&mut self, turn: &Turn) -> Option<Result<Command, CommandError>> {
+    fn call(&mut self, turn: &LoopContext) -> Option<Result<Command, CommandError>> {
         self.link.fill(&turn.pool);
         let held = self.link.held();
         let Some(n) = held.iter().position(|b| *b == b'\n') else {
@@ -59,9 +59,9 @@
     }
 
     /// Says on what is left of the answer and ends; true once it is over.
-    fn goes_on(&mut self, turn: &Turn) -> bool {
+    fn goes_on(&mut self, turn: &LoopContext) -> bool {
         while !self.rest.is_empty() && self.link.flush() {
-            let some = self.rest.len().min(BUFFER);
+            let some = self.rest.len().min(BUFFER_BYTES);
             if !self.link.say(&turn.pool, &self.rest[..some]) {
                 break;
             }
@@ -96,9 +96,9 @@
     }
 
     /// What the loop has seen of it: calls that have come are taken out by [`Door::take_calls`].
-    pub fn ready(&mut self, turn: &mut Turn, owner: Owner, ready: Ready) {
+    pub fn ready(&mut self, turn: &mut LoopContext, owner: EventSource, ready: Readiness) {
         match owner {
-            Owner::Caller(number) => {
+            EventSource::Caller(number) => {
                 if let Some(caller) = self.callers.get_mut(&number) {
                     caller.link.ready(ready);
                     self.goes_on(turn, number);
@@ -117,38 +117,38 @@
     }
 
     /// Takes in callers that wait.
-    pub fn accept(&mut self, turn: &mut Turn) {
+    pub fn accept(&mut self, turn: &mut LoopContext) {
         for _ in 0..ACCEPTS {
             if !self.can_accept {
                 break;
             }
             match self.listener.accept() {
-                Ok((stream, _)) => self.comes(turn, Link::new(stream)),
+                Ok((stream, _)) => self.comes(turn, Connection::new(stream)),
                 // Nobody waits, or one left: whatever it is, the next caller is told of by the loop.
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     self.can_accept = false;
                     if e.kind() != std::io::ErrorKind::WouldBlock {
                         warn!(event = "accept-failed", at = "operator", error = %e);
-                        turn.after(PATIENCE / 25, Due::Door);
+                        turn.after(PATIENCE / 25, TimerEvent::Door);
                     }
                 }
             }
         }
     }
 
-    fn comes(&mut self, turn: &mut Turn, mut link: Link) {
+    fn comes(&mut self, turn: &mut LoopContext, mut link: Connection) {
         if self.callers.len() >= CALLERS {
             self.make_room(turn);
         }
         self.next += 1;
         let number = self.next;
-        if !turn.poller.watch(&mut link, Owner::Caller(number)) {
+        if !turn.poller.watch(&mut link, EventSource::Caller(number)) {
             return;
         }
         let until = turn.now + PATIENCE;
-        let mut alarm = Alarm::default();
-        alarm.by(turn, Some(until), Due::Caller(number));
+        let mut alarm = TimerHandle::default();
+        alarm.by(turn, Some(until), TimerEvent::Caller(number));
         let (stage, end, rest) = (Stage::Calling, "\n", Vec::new());
         self.callers.insert(number, Caller { link, stage, until, end, rest, alarm });
         self.goes_on(turn, number);
@@ -156,14 +156,14 @@
 
     /// Ends the one that has said nothing whole for longest, else the oldest: one that has called is answered in the same
     /// turn, and only has to take it.
-    fn make_room(&mut self, turn: &mut Turn) {
+    fn make_room(&mut self, turn: &mut LoopContext) {
         let mute = self.callers.iter().find(|(_, c)| c.stage == Stage::Calling);
         if let Some(number) = mute.or(self.callers.iter().next()).map(|(number, _)| *number) {
             self.end(turn, number);
         }
     }
 
-    fn goes_on(&mut self, turn: &mut Turn, number: u64) {
+    fn goes_on(&mut self, turn: &mut LoopContext, number: u64) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         match caller.stage {
             Stage::Calling => {
@@ -189,7 +189,7 @@
     }
 
     /// Answers a caller.
-    pub fn answer(&mut self, turn: &mut Turn, number: u64, answer: &CommandReply) {
+    pub fn answer(&mut self, turn: &mut LoopContext, number: u64, answer: &CommandReply) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         caller.stage = Stage::Answered;
         caller.rest = answer.text(caller.end).into_bytes();
@@ -198,7 +198,7 @@
     }
 
     /// A caller's timer has come.
-    pub fn alarmed(&mut self, turn: &mut Turn, number: u64) {
+    pub fn alarmed(&mut self, turn: &mut LoopContext, number: u64) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         caller.alarm.came();
         // A machine that stood still heard nobody.
@@ -206,11 +206,11 @@
         if turn.now >= until {
             self.end(turn, number);
         } else {
-            caller.alarm.by(turn, Some(until), Due::Caller(number));
+            caller.alarm.by(turn, Some(until), TimerEvent::Caller(number));
         }
     }
 
-    fn end(&mut self, turn: &mut Turn, number: u64) {
+    fn end(&mut self, turn: &mut LoopContext, number: u64) {
         if let Some(mut caller) = self.callers.remove(&number) {
             caller.alarm.off(turn);
         }
--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -12,7 +12,7 @@
 use shorewharf_decisions::interface::ServerId;
 use tracing::warn;
 
-use crate::servers::disabled::Out;
+use crate::servers::disabled::DisabledServer;
 
 /// A file's text is the server's name, for whoever looks; what is longer is none.
 const LONGEST: u64 = 4096;
@@ -65,7 +65,10 @@
     }
 
     /// Which servers are out, by what `known` says of those that are known to be; none where the folder can't be read.
-    pub fn read(&mut self, known: &BTreeMap<ServerId, Out>) -> io::Result<BTreeMap<ServerId, Out>> {
+    pub fn read(
+        &mut self,
+        known: &BTreeMap<ServerId, DisabledServer>,
+    ) -> io::Result<BTreeMap<ServerId, DisabledServer>> {
         let mut out = BTreeMap::new();
         for file in fs::read_dir(self.path.join("out"))? {
             let file = file?;
@@ -90,7 +93,7 @@
             if name.is_empty() || name.chars().any(char::is_control) {
                 self.is_odd(&file.path(), "its text is no server's name; the server is out all the same");
             }
-            out.insert(server, Out { name: name.into(), since });
+            out.insert(server, DisabledServer { name: name.into(), since });
         }
         Ok(out)
     }
--- a/crates/balancer/src/clients/open_ids.rs
+++ b/crates/balancer/src/clients/open_ids.rs
@@ -4,11 +4,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Workers seldom want the same one of so many parts at once.
-const PARTS: usize = 16;
+const SHARDS: usize = 16;
 
 /// The ids that are in use, shared by all workers.
 #[derive(Clone, Debug)]
-pub struct OpenIds(Arc<[Mutex<HashSet<u64>>; PARTS]>);
+pub struct OpenIds(Arc<[Mutex<HashSet<u64>>; SHARDS]>);
 
 impl Default for OpenIds {
     fn default() -> Self {
@@ -19,7 +19,7 @@
 impl OpenIds {
     fn part(&self, id: u64) -> MutexGuard<'_, HashSet<u64>> {
         // A set is whole between any two of its calls, whoever panics.
-        self.0[id as usize % PARTS].lock().unwrap_or_else(PoisonError::into_inner)
+        self.0[id as usize % SHARDS].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes an id; false where another request has it.
--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -6,37 +6,37 @@
 use shorewharf_driver::ReceivedRequest;
 use shorewharf_units::Micros;
 
-use crate::event_loop::iteration::{Alarm, Turn};
-use crate::transport::buffer_pool::{Buffer, Pool};
-use crate::transport::connection::{End, Link, TooLong};
+use crate::event_loop::iteration::{LoopContext, TimerHandle};
+use crate::transport::buffer_pool::{Buffer, BufferPool};
+use crate::transport::connection::{Connection, LineTooLong, PeerClose};
 
 /// A client that connects has this long for its first line, all of it: a client sends it at once, and one that
 /// can't, or says nothing, is owed an end within 3 s. A line that a front has begun has as long to end.
-const FIRST_LINE: Micros = 2_500_000;
+const FIRST_LINE_TIMEOUT: Micros = 2_500_000;
 /// A front that has pinged may be quiet for so long before it pings again.
-const BETWEEN_PINGS: Micros = 10_000_000;
+const PING_INTERVAL_TIMEOUT: Micros = 10_000_000;
 /// Commands of the front's that are answered in one go; who sends more at a time is no front.
-const PINGS: usize = 16;
+const MAX_PINGS_PER_READ: usize = 16;
 /// After its last words a client may send so much more, which is read and dropped; a close with unread input
 /// would be a reset, and those who send on at full speed get it.
-const LAST_INPUT: usize = 256 << 10;
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
 /// Rounds of reading what is dropped before other connections get their turn.
-const ROUNDS: usize = 8;
+const MAX_READ_ROUNDS: usize = 8;
 /// Once a session's end is on its way, the client has this long to take it.
-const LAST_WORDS: Micros = 500_000;
+const CLOSE_TIMEOUT: Micros = 500_000;
 /// When one side has finished, the other has this long: a connection must be over within a second.
-const HALF_OPEN: Micros = 700_000;
+const HALF_OPEN_TIMEOUT: Micros = 700_000;
 /// A line of the client's that goes unanswered for so long shows a dead connection: sound ones answer within
 /// milliseconds. Lines come every 2 s, and a dead connection must be left within 7 s.
-const SILENT: Micros = 1_500_000;
+const SILENT_SERVER_TIMEOUT: Micros = 1_500_000;
 /// A client that the module has not answered by then is answered all the same.
-const OVERDUE: Micros = 15_000;
+const OVERDUE_ANSWER_GRACE: Micros = 15_000;
 /// A connection from before the start is tried anew after this pause.
-const CARRY_PAUSE: Micros = 500_000;
+const RESTORE_RETRY_DELAY: Micros = 500_000;
 
 /// How far a client session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum SessionStage {
     /// Its first line is still to come.
     Opening,
     /// It waits for its answer.
@@ -46,27 +46,27 @@
     /// It is to be told to move as soon as a line has ended.
     Moving,
     /// Its last words are out; its end is awaited.
-    Ending,
+    Closing,
 }
 
 /// What has come from a client whose first line is awaited.
 #[derive(Debug, PartialEq)]
-pub enum First {
+pub enum FirstLine {
     /// Nothing that is whole.
     Part,
     /// Its first line.
     Line(Vec<u8>),
     /// Its end.
-    End,
+    Closed,
     /// A line over the limit.
-    TooLong,
+    LineTooLong,
     /// More commands of a front's than a front sends.
     TooMany,
 }
 
 /// What a client does that waits for its answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Patience {
+pub enum WaitingActivity {
     /// It waits.
     Waits,
     /// It has said something.
@@ -77,7 +77,7 @@
 
 /// How far a session's end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseProgress {
     /// The client's end is awaited.
     Waits,
     /// There is more to read once others have had their turn.
@@ -90,9 +90,9 @@
 #[derive(Debug)]
 pub struct Session {
     /// The connection itself.
-    pub link: Link,
+    pub link: Connection,
     from: SocketAddr,
-    stage: Stage,
+    stage: SessionStage,
     /// When the stage began, and when it must be over.
     since: Micros,
     until: Micros,
@@ -107,7 +107,7 @@
     /// The line it opened with, until it is up.
     first: Option<Buffer>,
     /// It stood before this program started; few do, and what is known of that is apart.
-    carried: Option<Box<Carried>>,
+    carried: Option<Box<RestoredConnection>>,
     /// When the first line came that its server has answered nothing to.
     asked: Option<Micros>,
     /// The class it asks for, until its one end, or its coming up, has been counted.
@@ -115,12 +115,12 @@
     /// It is among those that tell of message delays.
     sighted: bool,
     /// Its timer.
-    pub(crate) alarm: Alarm,
+    pub(crate) alarm: TimerHandle,
 }
 
 /// A connection from before the start.
 #[derive(Debug)]
-struct Carried {
+struct RestoredConnection {
     /// The server that it stood on.
     home: ServerId,
     req: ReceivedRequest,
@@ -131,7 +131,7 @@
 
 /// What a session asks for with its first line.
 #[derive(Debug)]
-pub struct Asking<'a> {
+pub struct SessionRequest<'a> {
     /// The line.
     pub line: &'a [u8],
     /// The id that it names.
@@ -146,14 +146,14 @@
 
 impl Session {
     /// A client that has just connected.
-    pub(crate) fn new(link: Link, from: SocketAddr, now: Micros) -> Self {
+    pub(crate) fn new(link: Connection, from: SocketAddr, now: Micros) -> Self {
         Session {
             link,
             from,
-            stage: Stage::Opening,
+            stage: SessionStage::Opening,
             since: now,
-            until: now + FIRST_LINE,
-            whole_by: now + FIRST_LINE,
+            until: now + FIRST_LINE_TIMEOUT,
+            whole_by: now + FIRST_LINE_TIMEOUT,
             dropped: 0,
             open_id: None,
             half_open: None,
@@ -162,36 +162,38 @@
             asked: None,
             class: None,
             sighted: false,
-            alarm: Alarm::default(),
+            alarm: TimerHandle::default(),
         }
     }
 
     /// One that stands, from another process of this balancer.
     pub(crate) fn adopted(
-        link: Link,
+        link: Connection,
         from: SocketAddr,
         now: Micros,
         (open_id, asked): (u64, Option<Micros>),
     ) -> Self {
         let (open_id, asked) = (Some(open_id), asked.map(|at| at.min(now)));
-        Session { stage: Stage::Open, open_id, asked, ..Session::new(link, from, now) }
+        Session { stage: SessionStage::Open, open_id, asked, ..Session::new(link, from, now) }
     }
 
     /// Whether it can go on in another process.
     pub fn can_go(&self) -> bool {
-        self.stage == Stage::Open && self.half_open.is_none() && self.link.can_go()
+        self.stage == SessionStage::Open && self.half_open.is_none() && self.link.can_go()
     }
 
     /// When something of it is due next.
-    pub(crate) fn due(&self, turn: &Turn) -> Option<Micros> {
+    pub(crate) fn due(&self, turn: &LoopContext) -> Option<Micros> {
         let judges_from = turn.judges_from();
         let first = |a: Option<Micros>, b: Option<Micros>| a.into_iter().chain(b).min();
         match self.stage {
-            Stage::Opening => Some(self.until.max(judges_from)),
-            Stage::Ending => Some(self.until),
-            Stage::Waiting => first(self.carried.as_ref().and_then(|c| c.again), Some(self.until + OVERDUE)),
-            Stage::Open | Stage::Moving => {
-                let silent = self.asked.map(|at| turn.took_since(at) + SILENT);
+            SessionStage::Opening => Some(self.until.max(judges_from)),
+            SessionStage::Closing => Some(self.until),
+            SessionStage::Waiting => {
+                first(self.carried.as_ref().and_then(|c| c.again), Some(self.until + OVERDUE_ANSWER_GRACE))
+            }
+            SessionStage::Open | SessionStage::Moving => {
+                let silent = self.asked.map(|at| turn.took_since(at) + SILENT_SERVER_TIMEOUT);
                 first(self.half_open.map(|at| at.max(judges_from)), silent)
             }
         }
@@ -199,7 +201,7 @@
 
     /// Whether a client that waits should have had its answer by now.
     pub fn is_overdue(&self, now: Micros) -> bool {
-        now >= self.until + OVERDUE
+        now >= self.until + OVERDUE_ANSWER_GRACE
     }
 
     /// Where it comes from.
@@ -208,7 +210,7 @@
     }
 
     /// How far it has come.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> SessionStage {
         self.stage
     }
 
@@ -229,7 +231,7 @@
 
     /// Whether it waits for its answer.
     pub fn waits(&self) -> bool {
-        self.stage == Stage::Waiting
+        self.stage == SessionStage::Waiting
     }
 
     /// The server that it stood on before this program started.
@@ -274,54 +276,55 @@
     }
 
     /// Since when a line has gone unanswered for so long that the connection is dead.
-    pub fn silent_since(&self, turn: &Turn) -> Option<Micros> {
-        self.asked.filter(|at| turn.now >= turn.took_since(*at) + SILENT)
+    pub fn silent_since(&self, turn: &LoopContext) -> Option<Micros> {
+        self.asked.filter(|at| turn.now >= turn.took_since(*at) + SILENT_SERVER_TIMEOUT)
     }
 
     /// Reads on for the first line; a front's commands are answered on the way.
-    pub fn opens(&mut self, now: Micros, pool: &Pool) -> First {
-        for _ in 0..=PINGS {
+    pub fn opens(&mut self, now: Micros, pool: &BufferPool) -> FirstLine {
+        for _ in 0..=MAX_PINGS_PER_READ {
             self.link.fill(pool);
             match self.link.line() {
                 Ok(Some(line)) if line == b"PING" => {
-                    (self.until, self.whole_by) = (now + BETWEEN_PINGS, now + BETWEEN_PINGS);
+                    (self.until, self.whole_by) = (now + PING_INTERVAL_TIMEOUT, now + PING_INTERVAL_TIMEOUT);
                     self.link.say(pool, b"PONG\r\n");
                 }
-                Ok(Some(line)) => return First::Line(line),
-                Ok(None) if self.link.ended.is_some() => return First::End,
+                Ok(Some(line)) => return FirstLine::Line(line),
+                Ok(None) if self.link.ended.is_some() => return FirstLine::Closed,
                 Ok(None) => {
                     if !self.link.held().is_empty() {
                         // From its beginning, not from each of its pieces: those may come one by one for ever.
-                        self.whole_by = self.whole_by.min(now + FIRST_LINE);
+                        self.whole_by = self.whole_by.min(now + FIRST_LINE_TIMEOUT);
                         self.until = self.whole_by;
                     }
-                    return First::Part;
+                    return FirstLine::Part;
                 }
-                Err(TooLong) => return First::TooLong,
+                Err(LineTooLong) => return FirstLine::LineTooLong,
             }
         }
-        First::TooMany
+        FirstLine::TooMany
     }
 
     /// Looks whether a client that waits does nothing else.
-    pub fn waits_on(&mut self, pool: &Pool) -> Patience {
+    pub fn waits_on(&mut self, pool: &BufferPool) -> WaitingActivity {
         self.link.fill(pool);
         if !self.link.held().is_empty() {
-            Patience::Spoke
+            WaitingActivity::Spoke
         } else if self.link.ended.is_some() {
-            Patience::Left
+            WaitingActivity::Left
         } else {
-            Patience::Waits
+            WaitingActivity::Waits
         }
     }
 
     /// Its first line has come, and it waits.
-    pub(crate) fn asks(&mut self, now: Micros, pool: &Pool, asking: Asking) {
+    pub(crate) fn asks(&mut self, now: Micros, pool: &BufferPool, asking: SessionRequest) {
         let mut first = pool.take();
         first.append(asking.line);
-        let carried = |home| Box::new(Carried { home, req: asking.req, again: None, failed: false });
+        let carried =
+            |home| Box::new(RestoredConnection { home, req: asking.req, again: None, failed: false });
         (self.first, self.carried) = (Some(first), asking.home.map(carried));
-        (self.stage, self.since, self.until) = (Stage::Waiting, now, asking.until);
+        (self.stage, self.since, self.until) = (SessionStage::Waiting, now, asking.until);
         self.open_id = Some(asking.open_id);
         self.is_of(asking.req.class);
     }
@@ -338,31 +341,31 @@
 
     /// A server has taken it.
     pub fn stands(&mut self) {
-        self.stage = Stage::Open;
+        self.stage = SessionStage::Open;
         self.first = None;
     }
 
     /// It is to move; false unless it stands and nobody has said so before.
     pub fn moves(&mut self) -> bool {
-        let stands = self.stage == Stage::Open;
+        let stands = self.stage == SessionStage::Open;
         if stands {
-            self.stage = Stage::Moving;
+            self.stage = SessionStage::Moving;
         }
         stands
     }
 
     /// Takes in the lines that have come on a standing connection, each carried on as it is. Tells whether anything
     /// came, and whether a line is over the limit.
-    pub fn take_in(&mut self, now: Micros, pool: &Pool) -> (bool, Result<(), TooLong>) {
+    pub fn take_in(&mut self, now: Micros, pool: &BufferPool) -> (bool, Result<(), LineTooLong>) {
         let came = self.half_open.is_none() && self.link.fill(pool);
         let looked = loop {
             match self.link.look() {
                 Ok(Some(_)) => self.asked.get_or_insert(now),
                 Ok(None) => break Ok(()),
-                Err(TooLong) => break Err(TooLong),
+                Err(LineTooLong) => break Err(LineTooLong),
             };
         };
-        if self.link.ended == Some(End::Fin) {
+        if self.link.ended == Some(PeerClose::Fin) {
             self.link.look_at_rest();
         }
         (came, looked)
@@ -370,7 +373,7 @@
 
     /// One side has finished; the rest has a limit from now on.
     pub fn half_opens(&mut self, now: Micros) {
-        self.half_open.get_or_insert(now + HALF_OPEN);
+        self.half_open.get_or_insert(now + HALF_OPEN_TIMEOUT);
     }
 
     /// Whether what is left after one side's end should be over by now.
@@ -381,7 +384,7 @@
     /// An attempt to carry on a connection from before the start has failed; true if it is the first one.
     pub fn carry_failed(&mut self, now: Micros) -> bool {
         let Some(carried) = &mut self.carried else { return false };
-        carried.again = Some(now + CARRY_PAUSE);
+        carried.again = Some(now + RESTORE_RETRY_DELAY);
         !std::mem::replace(&mut carried.failed, true)
     }
 
@@ -391,8 +394,8 @@
     }
 
     /// Says its last words; its end is awaited from now on. Tells the id that it had opened with, which is free.
-    pub(crate) fn ends(&mut self, now: Micros, pool: &Pool, words: &[u8]) -> Option<u64> {
-        (self.stage, self.since, self.until) = (Stage::Ending, now, now + LAST_WORDS);
+    pub(crate) fn ends(&mut self, now: Micros, pool: &BufferPool, words: &[u8]) -> Option<u64> {
+        (self.stage, self.since, self.until) = (SessionStage::Closing, now, now + CLOSE_TIMEOUT);
         (self.first, self.half_open) = (None, None);
         self.link.say(pool, words);
         self.open_id.take()
@@ -400,30 +403,30 @@
 
     /// Finishes the sending and waits for the client's end, reading on: a close with unread input would become a
     /// reset and could overtake the last words.
-    pub fn ending(&mut self, pool: &Pool) -> Ending {
+    pub fn ending(&mut self, pool: &BufferPool) -> CloseProgress {
         // Where the client has ended, the close says as much.
         if self.link.flush() && self.link.ended.is_none() {
             self.link.shut();
         }
         let mut more = true;
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_READ_ROUNDS {
             more = self.link.fill(pool);
             self.dropped += self.link.held().len();
             self.link.drop_input();
-            if !more || self.dropped > LAST_INPUT {
+            if !more || self.dropped > MAX_DISCARDED_BYTES {
                 break;
             }
         }
-        match self.link.ended.is_some() || self.dropped > LAST_INPUT {
-            true => Ending::Over,
-            false if more => Ending::More,
-            false => Ending::Waits,
+        match self.link.ended.is_some() || self.dropped > MAX_DISCARDED_BYTES {
+            true => CloseProgress::Over,
+            false if more => CloseProgress::More,
+            false => CloseProgress::Waits,
         }
     }
 }
 
 /// A number that no session has is looked for from here on.
-pub(crate) fn next_free(from: RequestId, in_use: impl Fn(RequestId) -> bool) -> RequestId {
+pub(crate) fn next_free_id(from: RequestId, in_use: impl Fn(RequestId) -> bool) -> RequestId {
     let mut id = from;
     // After four thousand million clients the numbers come round; one that is in use is passed over.
     while in_use(id) {
--- a/crates/balancer/src/clients/session/tests.rs
+++ b/crates/balancer/src/clients/session/tests.rs
@@ -7,7 +7,7 @@
 fn a_line_unanswered_for_a_second_and_a_half_shows_a_dead_connection() {
     let (client, stream) = pair();
     let from = client.local_addr().expect("bound");
-    let mut s = Session::new(Link::new(stream), from, 0);
+    let mut s = Session::new(Connection::new(stream), from, 0);
     let mut turn = turn(2_499_999);
     assert_eq!(s.silent_since(&turn), None);
     *s.asked() = Some(1_000_000);
--- a/crates/balancer/src/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -10,10 +10,10 @@
 
 use crate::clients::idle_connections::IdleConnections;
 use crate::clients::open_ids::OpenIds;
-use crate::clients::session::{Asking, Session, Stage, next_free};
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::Owner;
-use crate::transport::connection::Link;
+use crate::clients::session::{Session, SessionRequest, SessionStage, next_free_id};
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::poll::EventSource;
+use crate::transport::connection::Connection;
 
 /// All sessions. An open id belongs to the one session that opened with it, until that has had its last words;
 /// who is opening or ending asks for nothing, and nobody else does.
@@ -36,15 +36,15 @@
     /// has; none where its connection is gone already or can't be watched.
     pub fn begin(
         &mut self,
-        turn: &mut Turn,
+        turn: &mut LoopContext,
         stream: TcpStream,
         from: SocketAddr,
         in_use: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
-        let mut link = Link::new(stream);
-        let id = next_free(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
+        let mut link = Connection::new(stream);
+        let id = next_free_id(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
         self.next = id.0.wrapping_add(1);
-        if !turn.poller.watch(&mut link, Owner::Session(id)) {
+        if !turn.poller.watch(&mut link, EventSource::Session(id)) {
             return None;
         }
         self.table.insert(id, Box::new(Session::new(link, from, turn.now)));
@@ -57,18 +57,18 @@
     /// it can't be watched.
     pub fn adopt(
         &mut self,
-        turn: &mut Turn,
-        mut link: Link,
+        turn: &mut LoopContext,
+        mut link: Connection,
         from: SocketAddr,
         (open_id, asked): (u64, Option<Micros>),
         in_use: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
-        let id = next_free(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
+        let id = next_free_id(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
         self.next = id.0.wrapping_add(1);
         if !self.open_ids.claim(open_id) {
             return None;
         }
-        if !turn.poller.watch(&mut link, Owner::Session(id)) {
+        if !turn.poller.watch(&mut link, EventSource::Session(id)) {
             self.open_ids.free(open_id);
             return None;
         }
@@ -89,14 +89,14 @@
     }
 
     /// Sees to it that what is due of a session next is not missed. Whoever has changed its deadlines says so.
-    pub fn arm(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn arm(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(s) = self.table.get_mut(&id) else { return };
         let due = s.due(turn);
-        s.alarm.by(turn, due, Due::Session(id));
+        s.alarm.by(turn, due, TimerEvent::Session(id));
     }
 
     /// A session's timer has come; whether anything of it is due.
-    pub fn alarmed(&mut self, turn: &mut Turn, id: RequestId) -> bool {
+    pub fn alarmed(&mut self, turn: &mut LoopContext, id: RequestId) -> bool {
         let Some(s) = self.table.get_mut(&id) else { return false };
         s.alarm.came();
         let is_due = s.due(turn).is_some_and(|at| at <= turn.now);
@@ -107,7 +107,7 @@
     }
 
     /// A session's first line has come; false, and nothing has changed, where an open request has its id.
-    pub fn ask(&mut self, turn: &mut Turn, id: RequestId, asking: Asking) -> bool {
+    pub fn ask(&mut self, turn: &mut LoopContext, id: RequestId, asking: SessionRequest) -> bool {
         let Some(s) = self.table.get_mut(&id) else { return false };
         if !self.open_ids.claim(asking.open_id) {
             return false;
@@ -119,8 +119,10 @@
     }
 
     /// Says a session's last words and awaits its end; false if it had them before.
-    pub fn answer(&mut self, turn: &mut Turn, id: RequestId, words: &[u8]) -> bool {
-        let Some(s) = self.table.get_mut(&id).filter(|s| s.stage() != Stage::Ending) else { return false };
+    pub fn answer(&mut self, turn: &mut LoopContext, id: RequestId, words: &[u8]) -> bool {
+        let Some(s) = self.table.get_mut(&id).filter(|s| s.stage() != SessionStage::Closing) else {
+            return false;
+        };
         self.unserved.forget(s.since(), id);
         if let Some(open_id) = s.ends(turn.now, &turn.pool, words) {
             self.open_ids.free(open_id);
@@ -131,12 +133,12 @@
     }
 
     /// Ends a session's connection, whatever is still on its way.
-    pub fn drop(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn drop(&mut self, turn: &mut LoopContext, id: RequestId) {
         self.take(turn, id);
     }
 
     /// Takes a session out, with its connection; its id is free.
-    pub fn take(&mut self, turn: &mut Turn, id: RequestId) -> Option<Box<Session>> {
+    pub fn take(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Box<Session>> {
         let mut s = self.table.remove(&id)?;
         s.alarm.off(turn);
         self.unserved.forget(s.since(), id);
--- a/crates/balancer/src/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -1,7 +1,7 @@
 //! The table in step with its sessions, on pairs of real connections.
 
 use super::*;
-use crate::clients::session::{Ending, First, Patience};
+use crate::clients::session::{CloseProgress, FirstLine, WaitingActivity};
 use crate::event_loop::iteration::tests::{READ, pair, turn, until};
 use shorewharf_driver::ReceivedRequest;
 use std::io::{Read, Write};
@@ -12,11 +12,11 @@
     ReceivedRequest { id, class, tenant, key, deadline: 900, load: None, group, is_returning: false }
 }
 
-fn asking(id: RequestId) -> Asking<'static> {
-    Asking { line: b"OPEN 5 6 c=chat", open_id: 5, req: req(id), home: None, until: 900 }
+fn asking(id: RequestId) -> SessionRequest<'static> {
+    SessionRequest { line: b"OPEN 5 6 c=chat", open_id: 5, req: req(id), home: None, until: 900 }
 }
 
-fn begin(sessions: &mut Sessions, turn: &mut Turn, taken: u32) -> (RequestId, TcpStream) {
+fn begin(sessions: &mut Sessions, turn: &mut LoopContext, taken: u32) -> (RequestId, TcpStream) {
     let (client, stream) = pair();
     let from = client.local_addr().expect("bound");
     (sessions.begin(turn, stream, from, |id| id.0 == taken).expect("a session"), client)
@@ -62,24 +62,24 @@
     client.write_all(b"PING\r\nOPEN 5 6 c=").expect("open");
     until(|| {
         s.link.ready(READ);
-        assert_eq!(s.opens(100, &turn.pool), First::Part);
+        assert_eq!(s.opens(100, &turn.pool), FirstLine::Part);
         s.until() == 2_500_100 // A line that has begun must end in time, though a front was here before.
     });
     client.write_all(b"chat\r\n").expect("open");
     until(|| {
         s.link.ready(READ);
-        s.opens(100, &turn.pool) == First::Line(b"OPEN 5 6 c=chat".to_vec())
+        s.opens(100, &turn.pool) == FirstLine::Line(b"OPEN 5 6 c=chat".to_vec())
     });
     assert!(sessions.ask(&mut turn, id, asking(id)));
     let s = sessions.get_mut(id).expect("asked");
-    assert_eq!(s.waits_on(&turn.pool), Patience::Waits);
+    assert_eq!(s.waits_on(&turn.pool), WaitingActivity::Waits);
     client.write_all(b"early").expect("open");
     until(|| {
         s.link.ready(READ);
-        s.waits_on(&turn.pool) == Patience::Spoke
+        s.waits_on(&turn.pool) == WaitingActivity::Spoke
     });
     sessions.answer(&mut turn, id, b"ERR\r\n");
-    assert!(sessions.get_mut(id).expect("ending").ending(&turn.pool) != Ending::Over);
+    assert!(sessions.get_mut(id).expect("ending").ending(&turn.pool) != CloseProgress::Over);
     let mut heard = String::new();
     client.read_to_string(&mut heard).expect("its end");
     assert_eq!(heard, "PONG\r\nERR\r\n");
@@ -87,6 +87,6 @@
     let s = sessions.get_mut(id).expect("ending");
     until(|| {
         s.link.ready(READ);
-        s.ending(&turn.pool) == Ending::Over
+        s.ending(&turn.pool) == CloseProgress::Over
     });
 }
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -10,9 +10,9 @@
 use crate::discovery::reader::{Part, Reader};
 use crate::discovery::response::Answer;
 use crate::discovery::update::Incoming;
-use crate::event_loop::iteration::{Alarm, Due, Turn};
-use crate::event_loop::poll::{Owner, Ready};
-use crate::transport::connection::Link;
+use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::{EventSource, Readiness};
+use crate::transport::connection::Connection;
 
 /// A call of whose list nothing has come by then has failed, whatever else of it has come up: discovery itself gives up
 /// after about a second. After a reload its news counts as told within 4 s, and there must be time for another call by then.
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct DiscoveryClient {
     at: SocketAddr,
-    link: Option<Link>,
+    link: Option<Connection>,
     asked: bool,
     answer: Answer,
     reader: Reader,
@@ -57,7 +57,7 @@
     failing: bool,
     /// The module has asked for the list; without that nobody watches.
     wanted: bool,
-    alarm: Alarm,
+    alarm: TimerHandle,
 }
 
 impl DiscoveryClient {
@@ -76,7 +76,7 @@
             tells: false,
             failing: false,
             wanted: false,
-            alarm: Alarm::default(),
+            alarm: TimerHandle::default(),
         }
     }
 
@@ -93,7 +93,7 @@
     /// Discovery is at another address from now on. Guards against an old list: the watch at the address
     /// before may live on for seconds and tell nothing, so a new one starts at once. It goes on from the
     /// version that is held; the list stays in force meanwhile.
-    pub fn moves(&mut self, turn: &mut Turn, at: SocketAddr) -> Vec<DiscoveryEvent> {
+    pub fn moves(&mut self, turn: &mut LoopContext, at: SocketAddr) -> Vec<DiscoveryEvent> {
         if std::mem::replace(&mut self.at, at) == at {
             return Vec::new();
         }
@@ -102,16 +102,16 @@
     }
 
     /// Opens the watch, unless it is open.
-    pub fn watch(&mut self, turn: &mut Turn) -> Vec<DiscoveryEvent> {
+    pub fn watch(&mut self, turn: &mut LoopContext) -> Vec<DiscoveryEvent> {
         self.wanted = true;
         if self.link.is_some() {
             return Vec::new();
         }
-        let mut link = match Link::connect(self.at) {
+        let mut link = match Connection::connect(self.at) {
             Ok(link) => link,
             Err(e) => return self.failed(turn, Vec::new(), &e.to_string()),
         };
-        if !turn.poller.watch(&mut link, Owner::DiscoveryClient) {
+        if !turn.poller.watch(&mut link, EventSource::DiscoveryClient) {
             return self.failed(turn, Vec::new(), "the loop takes no more connections");
         }
         (self.link, self.asked, self.answer, self.heard) = (Some(link), false, Answer::new(), turn.now);
@@ -128,7 +128,7 @@
     }
 
     /// The watch's connection is ready.
-    pub fn ready(&mut self, turn: &mut Turn, terms: &Terms, ready: Ready) -> Vec<DiscoveryEvent> {
+    pub fn ready(&mut self, turn: &mut LoopContext, terms: &Terms, ready: Readiness) -> Vec<DiscoveryEvent> {
         let mut news = Vec::new();
         self.more = false;
         let Some(link) = self.link.as_mut() else { return news };
@@ -194,7 +194,12 @@
         DiscoveryEvent::List(list)
     }
 
-    fn failed(&mut self, turn: &mut Turn, mut news: Vec<DiscoveryEvent>, why: &str) -> Vec<DiscoveryEvent> {
+    fn failed(
+        &mut self,
+        turn: &mut LoopContext,
+        mut news: Vec<DiscoveryEvent>,
+        why: &str,
+    ) -> Vec<DiscoveryEvent> {
         self.link = None;
         self.alarm.off(turn);
         if !std::mem::replace(&mut self.failing, true) {
@@ -205,18 +210,18 @@
     }
 
     /// By when the watch must have said something.
-    fn due(&self, turn: &Turn) -> Option<Micros> {
+    fn due(&self, turn: &LoopContext) -> Option<Micros> {
         let limit = if self.tells { SILENT } else { FIRST };
         self.link.as_ref().map(|_| (self.heard + limit).max(turn.judges_from()))
     }
 
-    fn arm(&mut self, turn: &mut Turn) {
+    fn arm(&mut self, turn: &mut LoopContext) {
         let due = self.due(turn);
-        self.alarm.by(turn, due, Due::DiscoveryClient);
+        self.alarm.by(turn, due, TimerEvent::DiscoveryClient);
     }
 
     /// The timer has come: ends a watch that has been silent for too long.
-    pub fn alarmed(&mut self, turn: &mut Turn) -> Vec<DiscoveryEvent> {
+    pub fn alarmed(&mut self, turn: &mut LoopContext) -> Vec<DiscoveryEvent> {
         self.alarm.came();
         if self.due(turn).is_some_and(|due| turn.now >= due) {
             return self.failed(turn, Vec::new(), "silence");
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -6,11 +6,15 @@
 use std::net::TcpListener;
 
 /// What comes of the timer, if it comes, so much later.
-fn alarmed(discovery: &mut DiscoveryClient, turn: &mut Turn, later: Micros) -> Option<Vec<DiscoveryEvent>> {
+fn alarmed(
+    discovery: &mut DiscoveryClient,
+    turn: &mut LoopContext,
+    later: Micros,
+) -> Option<Vec<DiscoveryEvent>> {
     turn.ends(turn.now + later);
     turn.begin(turn.now + later);
     turn.timers.due().map(|due| {
-        assert_eq!(due, Due::DiscoveryClient);
+        assert_eq!(due, TimerEvent::DiscoveryClient);
         discovery.alarmed(turn)
     })
 }
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -19,28 +19,28 @@
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::update::Incoming;
 use crate::discovery::wall_clock::WallClock;
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::{Owner, Ready};
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::poll::{EventSource, Readiness};
 use crate::fleet::gossip::Tells;
 use crate::handover::siblings::Kin;
-use crate::proxy::Serving;
-use crate::servers::disabled::{Change, Out};
+use crate::proxy::Proxy;
+use crate::servers::disabled::{AdminChange, DisabledServer};
 use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
 use crate::transport::connection::is_shortage;
 use crate::workers::pool::{Crew, Help, Order};
 
 /// How long clients wait in the backlog before the next look for room.
-const ACCEPT_AGAIN: Micros = 100_000;
+const ACCEPT_RETRY_DELAY: Micros = 100_000;
 /// The steps of a planned end.
-const STEP: Micros = 100_000;
+const SHUTDOWN_STEP_INTERVAL: Micros = 100_000;
 /// The longest wait for anything.
-const LONGEST: Micros = 1_000_000;
+const MAX_WAIT: Micros = 1_000_000;
 /// How often servers' message delays are reported, as on the simulator's wire.
-const DELAY_PERIOD: Micros = 1_000_000;
+const DELAY_REPORT_INTERVAL: Micros = 1_000_000;
 
 /// Where a worker stands.
 #[derive(Debug)]
-pub struct Place {
+pub struct WorkerContext {
     /// Where clients connect.
     pub listener: TcpListener,
     /// The other workers, if there are any.
@@ -52,19 +52,19 @@
     /// Where operators call, and what all workers count, at the one that leads.
     pub desk: Option<Opened>,
     /// Servers that are taken out by hand.
-    pub taken_out: BTreeMap<ServerId, Out>,
+    pub taken_out: BTreeMap<ServerId, DisabledServer>,
     /// Other processes of this balancer.
     pub kin: Kin,
 }
 
 /// How often accepting is tried that failed for want of descriptors or memory, or was interrupted: mostly the next call
 /// succeeds, and the loop tells of who waits only once.
-const ACCEPT_TRIES: usize = 4;
+const MAX_ACCEPT_TRIES: usize = 4;
 
-fn accept_persistently(listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
-    for _ in 1..ACCEPT_TRIES {
+fn accept_with_retries(listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
+    for _ in 1..MAX_ACCEPT_TRIES {
         match listener.accept() {
-            Err(e) if is_passing(&e) || is_shortage(&e) => {}
+            Err(e) if is_transient(&e) || is_shortage(&e) => {}
             accepted => return accepted,
         }
     }
@@ -72,14 +72,14 @@
 }
 
 /// Whether an error of accept(2) is over with that call: the client has gone, or a signal came.
-fn is_passing(e: &io::Error) -> bool {
+fn is_transient(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
 
 /// All peers, and the turn that they act in.
 #[derive(Debug)]
-pub struct Net {
-    pub(crate) turn: Turn,
+pub struct EventLoop {
+    pub(crate) turn: LoopContext,
     listener: TcpListener,
     /// The other workers, if there are any.
     pub(crate) crew: Option<Crew>,
@@ -91,7 +91,7 @@
     accepts: bool,
     /// The next look for room is set.
     waits_for_room: bool,
-    pub(crate) serving: Serving,
+    pub(crate) serving: Proxy,
     pub(crate) discovery: DiscoveryClient,
     /// Where operators call.
     pub(crate) desk: Option<Desk>,
@@ -109,10 +109,10 @@
     done: Option<usize>,
 }
 
-impl Net {
+impl EventLoop {
     /// Peers of a program that listens here and asks discovery there; nobody has come yet.
-    pub fn new(turn: Turn, at: Place, discovery: SocketAddr, terms: Terms) -> Self {
-        let mut net = Net {
+    pub fn new(turn: LoopContext, at: WorkerContext, discovery: SocketAddr, terms: Terms) -> Self {
+        let mut net = EventLoop {
             turn,
             listener: at.listener,
             crew: at.crew,
@@ -120,7 +120,7 @@
             can_accept: true,
             accepts: true,
             waits_for_room: false,
-            serving: Serving::new(terms, at.open_ids, at.counts),
+            serving: Proxy::new(terms, at.open_ids, at.counts),
             discovery: DiscoveryClient::new(discovery),
             desk: at.desk.map(Desk::from),
             kin: at.kin,
@@ -131,14 +131,14 @@
             done: None,
         };
         net.turn.overload.set_aim(net.serving.terms.message_aim);
-        net.turn.after(DELAY_PERIOD, Due::Delays);
+        net.turn.after(DELAY_REPORT_INTERVAL, TimerEvent::Delays);
         for (server, out) in at.taken_out {
             // Before anything is listed: the first list is told as it stands with them out.
-            net.serving.servers.change(Change::Out(server, out));
+            net.serving.servers.change(AdminChange::Disabled(server, out));
         }
         net.looks_into_folder();
         // What the old process holds is taken off the limit from the start.
-        net.kin_ready(Owner::Predecessor);
+        net.kin_ready(EventSource::Predecessor);
         net
     }
 
@@ -164,24 +164,24 @@
     }
 
     /// What the loop has seen of a connection goes to whom it belongs to.
-    pub fn seen(&mut self, owner: Owner, ready: Ready) {
+    pub fn seen(&mut self, owner: EventSource, ready: Readiness) {
         let turn = &mut self.turn;
         match owner {
-            Owner::Session(id) => self.serving.on_session_ready(turn, id, ready),
-            Owner::Attempt(id) => self.serving.on_attempt_ready(turn, id, ready),
-            Owner::Probe(number) => self.serving.probes.ready(turn, number, ready),
-            Owner::DiscoveryClient => {
+            EventSource::Session(id) => self.serving.on_session_ready(turn, id, ready),
+            EventSource::Attempt(id) => self.serving.on_attempt_ready(turn, id, ready),
+            EventSource::Probe(number) => self.serving.probes.ready(turn, number, ready),
+            EventSource::DiscoveryClient => {
                 let news = self.discovery.ready(turn, &self.serving.terms, ready);
                 self.news(news);
             }
             // Those who are here come first: what they do may make room, and the module should know of it.
-            Owner::Listener => (self.can_accept, self.accepts) = (true, true),
-            Owner::Neighbour => (self.can_help, self.accepts) = (true, true),
+            EventSource::Listener => (self.can_accept, self.accepts) = (true, true),
+            EventSource::Neighbour => (self.can_help, self.accepts) = (true, true),
             // Orders are not the peers', and who asks for what is known asks the worker.
-            Owner::Signals | Owner::Orders | Owner::Successors => {}
-            Owner::Successor(_) | Owner::Predecessor => self.kin_ready(owner),
-            Owner::Gossip => self.tells.iter_mut().for_each(|t| t.ready(turn.now)),
-            Owner::Operators | Owner::Caller(_) => {
+            EventSource::Signals | EventSource::Orders | EventSource::Successors => {}
+            EventSource::Successor(_) | EventSource::Predecessor => self.kin_ready(owner),
+            EventSource::Gossip => self.tells.iter_mut().for_each(|t| t.ready(turn.now)),
+            EventSource::Operators | EventSource::Caller(_) => {
                 self.desk.iter_mut().for_each(|d| d.door.ready(&mut self.turn, owner, ready));
             }
         }
@@ -196,15 +196,15 @@
             heard(self);
         }
         if self.discovery.is_busy() {
-            self.seen(Owner::DiscoveryClient, Ready::default());
+            self.seen(EventSource::DiscoveryClient, Readiness::default());
             heard(self);
         }
         if self.kin_is_busy() {
-            self.kin_ready(Owner::Predecessor);
+            self.kin_ready(EventSource::Predecessor);
             heard(self);
         }
         if self.tells.as_ref().is_some_and(Tells::is_busy) {
-            self.seen(Owner::Gossip, Ready::default());
+            self.seen(EventSource::Gossip, Readiness::default());
         }
         while let Some(due) = self.turn.timers.due() {
             self.due(due);
@@ -219,43 +219,44 @@
         self.look_round();
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: TimerEvent) {
         let turn = &mut self.turn;
         match due {
-            Due::Module(token) => turn.emit(NetworkEvent::TimerFired(token)),
-            Due::Session(id) => self.serving.on_session_timer(turn, id),
-            Due::Attempt(id) => self.serving.on_attempt_timer(turn, id),
-            Due::Dial(id) => self.serving.dial_again(turn, id),
-            Due::Probe(number) => self.serving.probes.alarmed(turn, number),
-            Due::DiscoveryClient => {
+            TimerEvent::Module(token) => turn.emit(NetworkEvent::TimerFired(token)),
+            TimerEvent::Session(id) => self.serving.on_session_timer(turn, id),
+            TimerEvent::Attempt(id) => self.serving.on_attempt_timer(turn, id),
+            TimerEvent::Dial(id) => self.serving.dial_again(turn, id),
+            TimerEvent::Probe(number) => self.serving.probes.alarmed(turn, number),
+            TimerEvent::DiscoveryClient => {
                 let news = self.discovery.alarmed(turn);
                 self.news(news);
             }
-            Due::Accept => {
+            TimerEvent::Accept => {
                 self.accepts = self.can_accept || self.can_help;
                 self.waits_for_room = false;
                 if self.serving.has_room() {
                     self.serving.note_short(false);
                 }
             }
-            Due::LogRateLimiter => self.serving.complaints_due(turn.now),
-            Due::Leave => self.leave(),
-            Due::Delays => {
+            TimerEvent::LogRateLimiter => self.serving.complaints_due(turn.now),
+            TimerEvent::Leave => self.leave(),
+            TimerEvent::Delays => {
                 // What is still to be read would look like a delay.
                 if turn.now >= turn.judges_from() {
                     self.serving.report_delays(turn);
                 }
-                turn.after(DELAY_PERIOD, Due::Delays);
-            }
-            Due::Gossip => self.tells.iter_mut().for_each(|t| t.alarmed(turn)),
-            Due::Folder => self.looks_into_folder(),
-            Due::Kin => self.tells_successors(),
-            Due::Leaves => self.serving.leave_some(turn),
-            Due::Caller(number) => self.desk.iter_mut().for_each(|d| d.door.alarmed(turn, number)),
-            Due::Snapshot => self.reads_out = true,
-            Due::Door => {
-                self.desk.iter_mut().for_each(|d| d.door.ready(turn, Owner::Operators, Ready::default()))
+                turn.after(DELAY_REPORT_INTERVAL, TimerEvent::Delays);
             }
+            TimerEvent::Gossip => self.tells.iter_mut().for_each(|t| t.alarmed(turn)),
+            TimerEvent::Folder => self.looks_into_folder(),
+            TimerEvent::Kin => self.tells_successors(),
+            TimerEvent::Leaves => self.serving.leave_some(turn),
+            TimerEvent::Caller(number) => self.desk.iter_mut().for_each(|d| d.door.alarmed(turn, number)),
+            TimerEvent::Snapshot => self.reads_out = true,
+            TimerEvent::Door => self
+                .desk
+                .iter_mut()
+                .for_each(|d| d.door.ready(turn, EventSource::Operators, Readiness::default())),
         }
     }
 
@@ -272,7 +273,7 @@
             || self.tells.as_ref().is_some_and(Tells::is_busy)
         {
             true => self.turn.now,
-            false => self.turn.timers.next().unwrap_or(self.turn.now + LONGEST),
+            false => self.turn.timers.next().unwrap_or(self.turn.now + MAX_WAIT),
         };
         self.turn.ends(next);
         if let Some(crew) = &self.crew {
@@ -300,7 +301,7 @@
             if !self.can_accept && !self.can_help {
                 break;
             }
-            // Out of descriptors, clients wait in the backlog.
+            // DisabledServer of descriptors, clients wait in the backlog.
             if !self.serving.may_accept() {
                 self.serving.note_short(true);
                 return self.accept_again();
@@ -318,7 +319,7 @@
                     return self.accept_again();
                 }
                 // The client gave up while it waited, or a signal came; the next one may be fine.
-                Err(e) if is_passing(&e) => {}
+                Err(e) if is_transient(&e) => {}
                 // An error that stays must not become a busy loop.
                 Err(e) => {
                     error!(event = "accept-failed", error = %e);
@@ -335,7 +336,7 @@
 
     fn accept_again(&mut self) {
         if !std::mem::replace(&mut self.waits_for_room, true) {
-            self.turn.after(ACCEPT_AGAIN, Due::Accept);
+            self.turn.after(ACCEPT_RETRY_DELAY, TimerEvent::Accept);
         }
     }
 
@@ -370,7 +371,7 @@
             let worker = self.crew.as_ref().map(Crew::me);
             let successor = self.serving.has_successor;
             info!(event = "leaving", worker, sessions, waiting, successor);
-            self.turn.after(STEP, Due::Leave);
+            self.turn.after(SHUTDOWN_STEP_INTERVAL, TimerEvent::Leave);
             self.hands_over = successor;
         }
     }
@@ -389,7 +390,10 @@
             self.serving.answer_waiting(&mut self.turn, since >= shutdown.last_call);
         }
         if since >= shutdown.move_from {
-            self.serving.move_some(&mut self.turn, shutdown.move_until.saturating_sub(since) / STEP);
+            self.serving.move_some(
+                &mut self.turn,
+                shutdown.move_until.saturating_sub(since) / SHUTDOWN_STEP_INTERVAL,
+            );
         }
         self.hands_over = has_successor;
         // What other workers have given before they ended is theirs no more.
@@ -399,17 +403,17 @@
         let waits = self.on_their_way() > 0
             || (has_successor && self.crew.as_ref().is_some_and(|crew| crew.leads() && !crew.is_alone()));
         let clients = self.serving.clients() + usize::from(waits);
-        let over = clients == 0 && (has_successor || since >= LEAVE_AFTER + STEP);
+        let over = clients == 0 && (has_successor || since >= LEAVE_AFTER + SHUTDOWN_STEP_INTERVAL);
         // Whoever waits at the listener would be cut off with it.
         if since >= shutdown.last || (over && (has_successor || !self.more_come())) {
             self.serving.log_totals();
             self.done = Some(clients);
         }
-        self.turn.after(STEP, Due::Leave);
+        self.turn.after(SHUTDOWN_STEP_INTERVAL, TimerEvent::Leave);
     }
 }
 
-impl Net {
+impl EventLoop {
     /// Takes in a client that waits at the listener; false where none does. Others are accepted in this turn and the next.
     /// Where accepting fails, someone may wait all the same.
     fn more_come(&mut self) -> bool {
@@ -425,8 +429,8 @@
 }
 
 /// Other workers.
-impl Net {
-    /// The next order, to be carried out by [`Net::order`] unless it is a configuration.
+impl EventLoop {
+    /// The next order, to be carried out by [`EventLoop::order`] unless it is a configuration.
     pub fn next_order(&self) -> Option<Order> {
         self.crew.as_ref().and_then(Crew::next)
     }
@@ -467,13 +471,13 @@
     /// The next client that waits here, or at a neighbour that stalls.
     fn next_client(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
         if self.can_accept {
-            match accept_persistently(&self.listener) {
+            match accept_with_retries(&self.listener) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.can_accept = false,
                 accepted => return accepted,
             }
         }
         match self.crew.as_ref().and_then(Crew::helped) {
-            Some(listener) if self.can_help => accept_persistently(listener),
+            Some(listener) if self.can_help => accept_with_retries(listener),
             _ => Err(io::ErrorKind::WouldBlock.into()),
         }
     }
@@ -518,7 +522,7 @@
     }
 }
 
-impl Effects for Net {
+impl Effects for EventLoop {
     fn now(&self) -> Micros {
         self.turn.now
     }
@@ -570,7 +574,7 @@
     }
 
     fn set_timer(&mut self, after: Micros, token: u64) {
-        self.turn.after(after, Due::Module(token));
+        self.turn.after(after, TimerEvent::Module(token));
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/balancer/src/event_loop/iteration.rs
+++ b/crates/balancer/src/event_loop/iteration.rs
@@ -8,14 +8,14 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::poll::Poller;
-use crate::event_loop::timers::{Key, Timers};
+use crate::event_loop::poll::SourceRegistry;
+use crate::event_loop::timers::{TimerKey, TimerWheel};
 use crate::overload::monitor::OverloadMonitor;
-use crate::transport::buffer_pool::Pool;
+use crate::transport::buffer_pool::BufferPool;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerEvent {
     /// The module asked to be woken with this token.
     Module(u64),
     /// Something of a client session's may be due.
@@ -55,11 +55,11 @@
 /// The one timer of something that has its deadlines itself: set no later than the first of them, and looked at when
 /// it comes. A deadline that is put off, or done with, costs nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Alarm(Option<(Micros, Key)>);
+pub struct TimerHandle(Option<(Micros, TimerKey)>);
 
-impl Alarm {
+impl TimerHandle {
     /// Has the timer come by then at the latest; nothing where nothing is due.
-    pub fn by(&mut self, turn: &mut Turn, when: Option<Micros>, due: Due) {
+    pub fn by(&mut self, turn: &mut LoopContext, when: Option<Micros>, due: TimerEvent) {
         let Some(when) = when else { return };
         if self.0.is_none_or(|(at, _)| at > when) {
             self.off(turn);
@@ -73,7 +73,7 @@
     }
 
     /// Takes the timer back.
-    pub fn off(&mut self, turn: &mut Turn) {
+    pub fn off(&mut self, turn: &mut LoopContext) {
         if let Some((_, key)) = self.0.take() {
             turn.timers.cancel(key);
         }
@@ -82,22 +82,22 @@
 
 /// A turn that begins so much later than it was to begin, or takes so long, was held up: the machine stood still, or
 /// the program did.
-const HELD_UP: Micros = 400_000;
+const STALL_THRESHOLD: Micros = 400_000;
 /// What peers said meanwhile is read first; after that they have so long to be heard before anybody is judged by
 /// silence. They may have stood still with this machine.
-const TO_BE_HEARD: Micros = 500_000;
+const GRACE_AFTER_STALL: Micros = 500_000;
 
 /// One turn of the loop, as the peers see it.
 #[derive(Debug)]
-pub struct Turn {
+pub struct LoopContext {
     /// The time, read once a turn.
     pub now: Micros,
     /// Where buffers come from.
-    pub pool: Pool,
+    pub pool: BufferPool,
     /// Watches connections.
-    pub poller: Poller,
+    pub poller: SourceRegistry,
     /// What is due when.
-    pub timers: Timers<Due>,
+    pub timers: TimerWheel<TimerEvent>,
     /// What the loop can take on.
     pub overload: OverloadMonitor,
     events: VecDeque<NetworkEvent>,
@@ -107,14 +107,14 @@
     resumed: Micros,
 }
 
-impl Turn {
+impl LoopContext {
     /// The first turn, at this time.
-    pub fn new(poller: Poller, now: Micros) -> Self {
-        Turn {
+    pub fn new(poller: SourceRegistry, now: Micros) -> Self {
+        LoopContext {
             now,
-            pool: Pool::default(),
+            pool: BufferPool::default(),
             poller,
-            timers: Timers::new(now),
+            timers: TimerWheel::new(now),
             overload: OverloadMonitor::new(now),
             events: VecDeque::new(),
             next: now,
@@ -137,7 +137,7 @@
         let late = now.saturating_sub(self.next.max(self.now));
         self.now = self.now.max(now);
         self.timers.advance(self.now);
-        if late >= HELD_UP {
+        if late >= STALL_THRESHOLD {
             // Guards against a storm of wrong verdicts: that nothing was heard was nobody's silence but its own.
             self.resumed = self.now;
             warn!(event = "held-up", ms = late / 1000);
@@ -151,7 +151,7 @@
 
     /// From when on peers are judged by their silence: a deadline of theirs that comes before is put off to then.
     pub fn judges_from(&self) -> Micros {
-        if self.resumed > 0 { self.resumed + TO_BE_HEARD } else { 0 }
+        if self.resumed > 0 { self.resumed + GRACE_AFTER_STALL } else { 0 }
     }
 
     /// Since when a peer that was asked then has taken its time: for as long as nobody was heard it has not.
@@ -160,7 +160,7 @@
     }
 
     /// Sets a timer, so long from now.
-    pub fn after(&mut self, wait: Micros, due: Due) -> Key {
+    pub fn after(&mut self, wait: Micros, due: TimerEvent) -> TimerKey {
         self.timers.set(self.now.saturating_add(wait), due)
     }
 }
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -12,14 +12,14 @@
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 use shorewharf_decisions::interface::RequestId;
 
-use crate::transport::connection::Link;
+use crate::transport::connection::Connection;
 
 /// What is told of connections in one turn at most; the rest is told in the next.
-const EVENTS: usize = 1024;
+const MAX_EVENTS_PER_WAIT: usize = 1024;
 
 /// Who something that is watched belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Owner {
+pub enum EventSource {
     /// A client session.
     Session(RequestId),
     /// The attempt for a req.
@@ -51,59 +51,59 @@
 }
 
 /// An owner's kind stands in a token above its number.
-const KIND: u32 = 56;
+const KIND_SHIFT: u32 = 56;
 const _: () = assert!(usize::BITS == 64, "tokens hold a kind above a number of 56 bits");
 
-impl Owner {
+impl EventSource {
     /// Whether it is looked at before clients are: operators wait for one turn at most, whatever the load.
     pub fn comes_first(self) -> bool {
-        matches!(self, Owner::Operators | Owner::Caller(_))
+        matches!(self, EventSource::Operators | EventSource::Caller(_))
     }
 
     fn token(self) -> Token {
         let (kind, number) = match self {
-            Owner::Session(id) => (0, u64::from(id.0)),
-            Owner::Attempt(id) => (1, u64::from(id.0)),
-            Owner::Probe(number) => (2, number),
-            Owner::DiscoveryClient => (3, 0),
-            Owner::Listener => (4, 0),
-            Owner::Signals => (5, 0),
-            Owner::Orders => (6, 0),
-            Owner::Neighbour => (7, 0),
-            Owner::Operators => (8, 0),
-            Owner::Caller(number) => (9, number),
-            Owner::Successors => (10, 0),
-            Owner::Successor(number) => (11, number),
-            Owner::Predecessor => (12, 0),
-            Owner::Gossip => (13, 0),
+            EventSource::Session(id) => (0, u64::from(id.0)),
+            EventSource::Attempt(id) => (1, u64::from(id.0)),
+            EventSource::Probe(number) => (2, number),
+            EventSource::DiscoveryClient => (3, 0),
+            EventSource::Listener => (4, 0),
+            EventSource::Signals => (5, 0),
+            EventSource::Orders => (6, 0),
+            EventSource::Neighbour => (7, 0),
+            EventSource::Operators => (8, 0),
+            EventSource::Caller(number) => (9, number),
+            EventSource::Successors => (10, 0),
+            EventSource::Successor(number) => (11, number),
+            EventSource::Predecessor => (12, 0),
+            EventSource::Gossip => (13, 0),
         };
-        Token((kind << KIND | number) as usize)
+        Token((kind << KIND_SHIFT | number) as usize)
     }
 
-    fn of(token: Token) -> Owner {
-        let number = token.0 as u64 & ((1 << KIND) - 1);
-        match token.0 as u64 >> KIND {
-            0 => Owner::Session(RequestId(number as u32)),
-            1 => Owner::Attempt(RequestId(number as u32)),
-            2 => Owner::Probe(number),
-            3 => Owner::DiscoveryClient,
-            4 => Owner::Listener,
-            5 => Owner::Signals,
-            6 => Owner::Orders,
-            7 => Owner::Neighbour,
-            8 => Owner::Operators,
-            9 => Owner::Caller(number),
-            10 => Owner::Successors,
-            11 => Owner::Successor(number),
-            12 => Owner::Predecessor,
-            _ => Owner::Gossip,
+    fn of(token: Token) -> EventSource {
+        let number = token.0 as u64 & ((1 << KIND_SHIFT) - 1);
+        match token.0 as u64 >> KIND_SHIFT {
+            0 => EventSource::Session(RequestId(number as u32)),
+            1 => EventSource::Attempt(RequestId(number as u32)),
+            2 => EventSource::Probe(number),
+            3 => EventSource::DiscoveryClient,
+            4 => EventSource::Listener,
+            5 => EventSource::Signals,
+            6 => EventSource::Orders,
+            7 => EventSource::Neighbour,
+            8 => EventSource::Operators,
+            9 => EventSource::Caller(number),
+            10 => EventSource::Successors,
+            11 => EventSource::Successor(number),
+            12 => EventSource::Predecessor,
+            _ => EventSource::Gossip,
         }
     }
 }
 
 /// What a connection is ready for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ready {
+pub struct Readiness {
     /// Something can be read.
     pub read: bool,
     /// Something can be written, or the connect has failed.
@@ -112,39 +112,39 @@
     pub ends: bool,
 }
 
-impl Ready {
+impl Readiness {
     /// Something may be there to be read of which the loop has not told yet.
-    pub const READ: Ready = Ready { read: true, write: false, ends: false };
+    pub const READ: Readiness = Readiness { read: true, write: false, ends: false };
 }
 
-impl From<&Event> for Ready {
+impl From<&Event> for Readiness {
     fn from(event: &Event) -> Self {
         let ends = event.is_read_closed() || event.is_error();
-        Ready { read: event.is_readable() || ends, write: event.is_writable() || event.is_error(), ends }
+        Readiness { read: event.is_readable() || ends, write: event.is_writable() || event.is_error(), ends }
     }
 }
 
 /// What the loop waits with.
 #[derive(Debug)]
-pub struct Watch {
+pub struct EventPoller {
     poll: Poll,
     events: Events,
 }
 
-impl Watch {
+impl EventPoller {
     /// Nothing is watched yet.
     pub fn new() -> io::Result<Self> {
-        Ok(Watch { poll: Poll::new()?, events: Events::with_capacity(EVENTS) })
+        Ok(EventPoller { poll: Poll::new()?, events: Events::with_capacity(MAX_EVENTS_PER_WAIT) })
     }
 
     /// What has connections watched.
-    pub fn poller(&self) -> io::Result<Poller> {
-        Ok(Poller(self.poll.registry().try_clone()?))
+    pub fn poller(&self) -> io::Result<SourceRegistry> {
+        Ok(SourceRegistry(self.poll.registry().try_clone()?))
     }
 
     /// What wakes the loop for orders.
     pub fn waker(&self) -> io::Result<Waker> {
-        Waker::new(self.poll.registry(), Owner::Orders.token())
+        Waker::new(self.poll.registry(), EventSource::Orders.token())
     }
 
     /// Waits until something has come, at most so long, rounded up to whole milliseconds.
@@ -156,41 +156,45 @@
     }
 
     /// What has come; owners may be gone by now.
-    pub fn seen(&self) -> impl Iterator<Item = (Owner, Ready)> + Clone {
-        self.events.iter().map(|event| (Owner::of(event.token()), Ready::from(event)))
+    pub fn seen(&self) -> impl Iterator<Item = (EventSource, Readiness)> + Clone {
+        self.events.iter().map(|event| (EventSource::of(event.token()), Readiness::from(event)))
     }
 }
 
 /// Has the loop watch connections.
 #[derive(Debug)]
-pub struct Poller(Registry);
+pub struct SourceRegistry(Registry);
 
-impl Poller {
+impl SourceRegistry {
     /// Has the loop watch a connection; false where it can't. Edge-triggered, for both directions and from start
     /// to end: the link remembers what it is ready for. Its end is the end of the watch.
-    pub fn watch(&self, link: &mut Link, owner: Owner) -> bool {
+    pub fn watch(&self, link: &mut Connection, owner: EventSource) -> bool {
         self.0.register(link.stream(), owner.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
     }
 
     /// No longer, though its other side goes on elsewhere.
-    pub fn unwatch(&self, link: &mut Link) {
+    pub fn unwatch(&self, link: &mut Connection) {
         // Fails only where it was not watched.
         let _ = self.0.deregister(link.stream());
     }
 
     /// The same for what is no link.
-    pub fn watch_source(&self, source: &mut impl Source, owner: Owner) -> io::Result<()> {
+    pub fn watch_source(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
         self.0.register(source, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
 
     /// Has the loop watch something that is only read.
-    pub fn listen(&self, source: &mut impl Source, owner: Owner) -> io::Result<()> {
+    pub fn listen(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
         self.0.register(source, owner.token(), Interest::READABLE)
     }
 
     /// Has the loop watch another worker's listener.
     pub fn help(&self, listener: &impl AsRawFd) -> io::Result<()> {
-        self.0.register(&mut SourceFd(&listener.as_raw_fd()), Owner::Neighbour.token(), Interest::READABLE)
+        self.0.register(
+            &mut SourceFd(&listener.as_raw_fd()),
+            EventSource::Neighbour.token(),
+            Interest::READABLE,
+        )
     }
 
     /// No longer.
--- a/crates/balancer/src/event_loop/poll/tests.rs
+++ b/crates/balancer/src/event_loop/poll/tests.rs
@@ -6,21 +6,21 @@
 fn a_token_tells_its_owner() {
     let id = RequestId(u32::MAX);
     for owner in [
-        Owner::Session(id),
-        Owner::Attempt(id),
-        Owner::Probe(1 << 40),
-        Owner::DiscoveryClient,
-        Owner::Listener,
-        Owner::Signals,
-        Owner::Orders,
-        Owner::Neighbour,
-        Owner::Operators,
-        Owner::Caller(1 << 40),
-        Owner::Successors,
-        Owner::Successor(7),
-        Owner::Predecessor,
-        Owner::Gossip,
+        EventSource::Session(id),
+        EventSource::Attempt(id),
+        EventSource::Probe(1 << 40),
+        EventSource::DiscoveryClient,
+        EventSource::Listener,
+        EventSource::Signals,
+        EventSource::Orders,
+        EventSource::Neighbour,
+        EventSource::Operators,
+        EventSource::Caller(1 << 40),
+        EventSource::Successors,
+        EventSource::Successor(7),
+        EventSource::Predecessor,
+        EventSource::Gossip,
     ] {
-        assert_eq!(Owner::of(owner.token()), owner);
+        assert_eq!(EventSource::of(owner.token()), owner);
     }
 }
--- a/crates/balancer/src/event_loop/timers.rs
+++ b/crates/balancer/src/event_loop/timers.rs
@@ -12,17 +12,17 @@
 use slotmap::{SlotMap, new_key_type};
 
 /// A tick of the wheel. The loop waits in whole milliseconds.
-const TICK: Micros = 1_000;
+const TICK_MICROS: Micros = 1_000;
 /// Slots in a level, as bits of a tick's number.
-const BITS: u32 = 6;
-const SLOTS: usize = 1 << BITS;
+const SLOT_BITS: u32 = 6;
+const SLOTS_PER_LEVEL: usize = 1 << SLOT_BITS;
 /// Levels. All ticks up to the year 2109 differ in these bits only, so that no timer is beyond the last level.
 const LEVELS: usize = 7;
-const LAST_TICK: u64 = (1 << (BITS * LEVELS as u32)) - 1;
+const LAST_TICK: u64 = (1 << (SLOT_BITS * LEVELS as u32)) - 1;
 
 new_key_type! {
     /// A timer that is set. Once it has come or was taken back, its key means none.
-    pub struct Key;
+    pub struct TimerKey;
 }
 
 #[derive(Debug)]
@@ -32,34 +32,34 @@
     set: u64,
     what: T,
     place: Option<(u8, u8)>,
-    before: Option<Key>,
-    after: Option<Key>,
+    before: Option<TimerKey>,
+    after: Option<TimerKey>,
 }
 
-/// What is due when. Timers come by time, and of those for one time the one that was set first; none comes early,
+/// What is due when. TimerWheel come by time, and of those for one time the one that was set first; none comes early,
 /// and none later than at the end of its tick.
 #[derive(Debug)]
-pub struct Timers<T> {
-    timers: SlotMap<Key, Timer<T>>,
+pub struct TimerWheel<T> {
+    timers: SlotMap<TimerKey, Timer<T>>,
     /// The first timer of each slot.
-    slots: Box<[[Option<Key>; SLOTS]; LEVELS]>,
+    slots: Box<[[Option<TimerKey>; SLOTS_PER_LEVEL]; LEVELS]>,
     /// Which slots of each level hold any.
     held: [u64; LEVELS],
     /// All timers up to this tick are due.
     tick: u64,
     now: Micros,
-    due: VecDeque<Key>,
+    due: VecDeque<TimerKey>,
     set: u64,
 }
 
-impl<T> Timers<T> {
+impl<T> TimerWheel<T> {
     /// No timers, at this time.
     pub fn new(now: Micros) -> Self {
-        Timers {
+        TimerWheel {
             timers: SlotMap::with_key(),
-            slots: Box::new([[None; SLOTS]; LEVELS]),
+            slots: Box::new([[None; SLOTS_PER_LEVEL]; LEVELS]),
             held: [0; LEVELS],
-            tick: (now / TICK).min(LAST_TICK),
+            tick: (now / TICK_MICROS).min(LAST_TICK),
             now,
             due: VecDeque::new(),
             set: 0,
@@ -77,7 +77,7 @@
     }
 
     /// Sets a timer.
-    pub fn set(&mut self, when: Micros, what: T) -> Key {
+    pub fn set(&mut self, when: Micros, what: T) -> TimerKey {
         self.set += 1;
         let timer = Timer { when, set: self.set, what, place: None, before: None, after: None };
         let key = self.timers.insert(timer);
@@ -91,7 +91,7 @@
     }
 
     /// Takes a timer back; none if it has come.
-    pub fn cancel(&mut self, key: Key) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let timer = self.timers.remove(key)?;
         self.unlink(&timer);
         Some(timer.what)
@@ -102,13 +102,13 @@
         if !self.due.is_empty() {
             return Some(self.now);
         }
-        self.first_slot().map(|(_, _, tick)| tick * TICK)
+        self.first_slot().map(|(_, _, tick)| tick * TICK_MICROS)
     }
 
     /// Time has come so far; it never goes back.
     pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        let tick = (self.now / TICK).min(LAST_TICK);
+        let tick = (self.now / TICK_MICROS).min(LAST_TICK);
         while let Some((level, slot, at)) = self.first_slot().filter(|s| s.2 <= tick) {
             self.tick = at;
             self.empty(level, slot);
@@ -130,16 +130,16 @@
     fn first_slot(&self) -> Option<(usize, usize, u64)> {
         let level = self.held.iter().position(|held| *held != 0)?;
         let slot = self.held[level].trailing_zeros();
-        let shift = BITS * level as u32;
-        let round = self.tick >> (shift + BITS) << (shift + BITS);
+        let shift = SLOT_BITS * level as u32;
+        let round = self.tick >> (shift + SLOT_BITS) << (shift + SLOT_BITS);
         Some((level, slot as usize, round | u64::from(slot) << shift))
     }
 
     /// Puts a timer into the lowest level in which its tick and the present one differ.
-    fn put(&mut self, key: Key, when: Micros) {
-        let tick = when.div_ceil(TICK).clamp(self.tick + 1, LAST_TICK);
-        let level = (63 - (tick ^ self.tick | 1).leading_zeros()) / BITS;
-        let slot = (tick >> (BITS * level)) as usize % SLOTS;
+    fn put(&mut self, key: TimerKey, when: Micros) {
+        let tick = when.div_ceil(TICK_MICROS).clamp(self.tick + 1, LAST_TICK);
+        let level = (63 - (tick ^ self.tick | 1).leading_zeros()) / SLOT_BITS;
+        let slot = (tick >> (SLOT_BITS * level)) as usize % SLOTS_PER_LEVEL;
         let level = level as usize;
         let first = self.slots[level][slot].replace(key);
         self.held[level] |= 1 << slot;
@@ -174,7 +174,7 @@
             next = timer.after;
             timer.place = None;
             let when = timer.when;
-            if when.div_ceil(TICK) <= self.tick {
+            if when.div_ceil(TICK_MICROS) <= self.tick {
                 due.push((when, timer.set, key))
             } else {
                 self.put(key, when)
--- a/crates/balancer/src/event_loop/timers/tests.rs
+++ b/crates/balancer/src/event_loop/timers/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 use proptest::prelude::*;
 
-fn due(timers: &mut Timers<usize>, now: Micros) -> Vec<usize> {
+fn due(timers: &mut TimerWheel<usize>, now: Micros) -> Vec<usize> {
     timers.advance(now);
     std::iter::from_fn(|| timers.due()).collect()
 }
 
 #[test]
 fn timers_come_by_time_and_then_in_the_order_they_were_set() {
-    let mut timers = Timers::new(5);
+    let mut timers = TimerWheel::new(5);
     let keys =
         [(30_000, 0), (10_000, 1), (20_000, 2), (10_000, 3), (5, 4)].map(|(when, n)| timers.set(when, n));
     assert_eq!((timers.next(), due(&mut timers, 9_999)), (Some(5), vec![4]));
@@ -33,14 +33,14 @@
         steps in proptest::collection::vec((0..4_u8, 0..40_u32, 1..1000_u64), 1..200),
     ) {
         let start = start % 3_000_000_000_000_000;
-        let mut timers = Timers::new(start);
+        let mut timers = TimerWheel::new(start);
         let (mut now, mut set) = (start, Vec::new());
         for (n, (step, shift, part)) in steps.into_iter().enumerate() {
             let span = (part << shift) / 1000;
             match step {
                 0 | 1 => {
                     // What is due already waits for nothing; the rest for the end of its tick.
-                    let at = if span == 0 { now } else { (now + span).div_ceil(TICK) * TICK };
+                    let at = if span == 0 { now } else { (now + span).div_ceil(TICK_MICROS) * TICK_MICROS };
                     set.push((at, now + span, n, timers.set(now + span, n)));
                 }
                 2 if !set.is_empty() => {
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -15,8 +15,8 @@
 use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::Owner;
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::poll::EventSource;
 use crate::fleet::peers::Peers;
 
 /// What others hold is told to the module this often.
@@ -52,8 +52,8 @@
 
 impl Tells {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
-    pub fn new(turn: &mut Turn, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
-        turn.after(0, Due::Gossip);
+    pub fn new(turn: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
+        turn.after(0, TimerEvent::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
         let gossip = Gossip::new(turn.now, life, name, &names, peers.key.clone(), peers.rules, seed);
@@ -81,23 +81,23 @@
     }
 
     /// The timer has come.
-    pub fn alarmed(&mut self, turn: &mut Turn) {
+    pub fn alarmed(&mut self, turn: &mut LoopContext) {
         if self.socket.is_none() {
             let opened = UdpSocket::bind(self.at).and_then(|mut socket| {
-                turn.poller.listen(&mut socket, Owner::Gossip)?;
+                turn.poller.listen(&mut socket, EventSource::Gossip)?;
                 Ok(socket)
             });
             match opened {
                 Ok(socket) => self.socket = Some(socket),
                 Err(e) => {
                     warn!(event = "gossip-off", at = %self.at, error = %e);
-                    turn.after(AGAIN, Due::Gossip);
+                    turn.after(AGAIN, TimerEvent::Gossip);
                     return;
                 }
             }
         }
         self.due = true;
-        turn.after(self.every, Due::Gossip);
+        turn.after(self.every, TimerEvent::Gossip);
     }
 
     /// Whether it is time to tell, which is said once.
@@ -130,7 +130,7 @@
     }
 
     /// Tells others what is held here, and the module what they hold.
-    pub fn tell(&mut self, turn: &mut Turn, holds: Vec<Holding>) {
+    pub fn tell(&mut self, turn: &mut LoopContext, holds: Vec<Holding>) {
         let held = |h: Holding| Held {
             server: h.server.0,
             group: h.group as u32,
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -13,7 +13,7 @@
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, recvmsg};
 use tracing::warn;
 
-use crate::event_loop::poll::{Owner, Poller};
+use crate::event_loop::poll::{EventSource, SourceRegistry};
 use crate::handover::is_own;
 use crate::handover::messages::{
     ENDS, Estate, Handed, KEEPS, LEAVES, LISTENERS, LONGEST, SERVES, Standing, TAKES, VERSION, line,
@@ -104,10 +104,10 @@
 
 impl Predecessor {
     /// The old process, told that this one serves, and that it is to end if it is.
-    pub fn told(inherited: Inherited, ends: bool, poller: &Poller) -> io::Result<Self> {
+    pub fn told(inherited: Inherited, ends: bool, poller: &SourceRegistry) -> io::Result<Self> {
         inherited.stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(inherited.stream);
-        poller.watch_source(&mut stream, Owner::Predecessor)?;
+        poller.watch_source(&mut stream, EventSource::Predecessor)?;
         stream.write_all(&[TAKES, b"\n", SERVES, b"\n"].concat())?;
         if ends {
             stream.write_all(&[ENDS, b"\n"].concat())?;
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 use crate::event_loop::iteration::tests::until;
-use crate::event_loop::poll::Watch;
+use crate::event_loop::poll::EventPoller;
 use crate::handover::messages::held;
 use crate::handover::successors::Successors;
 use shorewharf_protocol::endpoint_list::EndpointList;
 
-fn poller() -> Poller {
-    Watch::new().and_then(|watch| watch.poller()).expect("a loop")
+fn poller() -> SourceRegistry {
+    EventPoller::new().and_then(|watch| watch.poller()).expect("a loop")
 }
 
 fn listener() -> TcpListener {
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -10,9 +10,9 @@
 use tracing::warn;
 
 use crate::admin::counters::Counts;
-use crate::event_loop::hub::Net;
-use crate::event_loop::iteration::Due;
-use crate::event_loop::poll::Owner;
+use crate::event_loop::hub::EventLoop;
+use crate::event_loop::iteration::TimerEvent;
+use crate::event_loop::poll::EventSource;
 use crate::handover::messages::{Estate, Handed, LEAVES, VERSION, held};
 use crate::handover::predecessor::Predecessor;
 use crate::handover::successors::Successors;
@@ -56,7 +56,7 @@
     }
 }
 
-impl Net {
+impl EventLoop {
     /// Whether two processes of this balancer take clients now, where that is to be put in force anew.
     pub fn shares_anew(&mut self) -> Option<bool> {
         let shares = self.kin.shares(self.leaving.is_some());
@@ -69,10 +69,10 @@
     }
 
     /// The loop has seen something of another process.
-    pub fn kin_ready(&mut self, owner: Owner) {
+    pub fn kin_ready(&mut self, owner: EventSource) {
         let poller = &self.turn.poller;
         match owner {
-            Owner::Successor(number) => {
+            EventSource::Successor(number) => {
                 let now = self.turn.now;
                 self.kin.successors.iter_mut().for_each(|successors| successors.ready(poller, now, number));
                 // There may be room for more to go along.
@@ -203,7 +203,7 @@
             successors.tell(held(may).as_bytes());
         }
         self.others_hold(self.serving.terms.sockets * self.workers() - may);
-        self.turn.after(TELL, Due::Kin);
+        self.turn.after(TELL, TimerEvent::Kin);
     }
 
     /// Hands standing connections to the process in this one's place, a portion of them. `module` tells what the module has
@@ -229,8 +229,9 @@
             if leads && !self.kin.successors.as_mut().is_some_and(Successors::can_hand_over) {
                 return;
             }
-            let mut own =
-                |net: &mut Net| can.by_ref().find_map(|id| net.serving.goes(&mut net.turn, id, module(id)?));
+            let mut own = |net: &mut EventLoop| {
+                can.by_ref().find_map(|id| net.serving.goes(&mut net.turn, id, module(id)?))
+            };
             let Some(handed) = self.kin.going.pop_front().or_else(|| own(self)) else { return };
             let from = handed.0.client;
             match (&mut self.kin.successors, &self.crew) {
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -15,7 +15,7 @@
 
 use tracing::warn;
 
-use crate::event_loop::poll::{Owner, Poller};
+use crate::event_loop::poll::{EventSource, SourceRegistry};
 use crate::handover::is_own;
 use crate::handover::messages::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
 
@@ -132,18 +132,18 @@
 
 impl Successors {
     /// Offers these listeners at the path from now on.
-    pub fn open(path: PathBuf, listeners: Vec<TcpListener>, poller: &Poller) -> io::Result<Self> {
+    pub fn open(path: PathBuf, listeners: Vec<TcpListener>, poller: &SourceRegistry) -> io::Result<Self> {
         if listeners.len() > LISTENERS {
             let why = format!("{} listeners are more than can be handed over, {LISTENERS}", listeners.len());
             return Err(io::Error::new(ErrorKind::InvalidInput, why));
         }
         let mut listener = listen(&path)?;
-        poller.listen(&mut listener, Owner::Successors)?;
+        poller.listen(&mut listener, EventSource::Successors)?;
         Ok(Successors { path, listener, listeners, table: BTreeMap::new(), next: 0, back: Vec::new() })
     }
 
     /// Processes ask: each is given the estate.
-    pub fn comes(&mut self, poller: &Poller, estate: impl Fn() -> Estate) {
+    pub fn comes(&mut self, poller: &SourceRegistry, estate: impl Fn() -> Estate) {
         while let Ok((mut stream, _)) = self.listener.accept() {
             if let Err(e) = is_own(&stream) {
                 warn!(event = "successor-refused", why = %e);
@@ -151,7 +151,7 @@
             }
             self.next += 1;
             let number = self.next;
-            if poller.watch_source(&mut stream, Owner::Successor(number)).is_err() {
+            if poller.watch_source(&mut stream, EventSource::Successor(number)).is_err() {
                 continue;
             }
             if self.table.len() >= SUCCESSORS {
@@ -185,7 +185,7 @@
     }
 
     /// One of them is ready to be heard or written to.
-    pub fn ready(&mut self, poller: &Poller, now: Micros, number: u64) {
+    pub fn ready(&mut self, poller: &SourceRegistry, now: Micros, number: u64) {
         let Some(successor) = self.table.get_mut(&number) else { return };
         // What it has said before its end counts, whether it can be written to or not.
         let writes = successor.writes(&self.listeners);
@@ -200,14 +200,14 @@
         if served
             && !self.has_one()
             && let Ok(mut listener) = listen(&self.path)
-            && poller.listen(&mut listener, Owner::Successors).is_ok()
+            && poller.listen(&mut listener, EventSource::Successors).is_ok()
         {
             self.listener = listener;
         }
     }
 
     /// Hears all of them now: what they have said must not be overlooked.
-    pub fn hears_all(&mut self, poller: &Poller, now: Micros) {
+    pub fn hears_all(&mut self, poller: &SourceRegistry, now: Micros) {
         for number in self.table.keys().copied().collect::<Vec<_>>() {
             self.ready(poller, now, number);
         }
--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -4,7 +4,7 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::iteration::{Due, Turn};
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
 
 /// Log lines a second that clients may cause.
 const MOST: u32 = 50;
@@ -20,11 +20,11 @@
 
 impl LogRateLimiter {
     /// Whether what a client has done wrong may be logged now; else it is counted.
-    pub fn may(&mut self, turn: &mut Turn) -> bool {
+    pub fn may(&mut self, turn: &mut LoopContext) -> bool {
         self.due(turn.now);
         let may = self.written < turn.overload.log_lines(MOST);
         if !may && self.left_out == 0 {
-            turn.timers.set(self.began + SECOND, Due::LogRateLimiter);
+            turn.timers.set(self.began + SECOND, TimerEvent::LogRateLimiter);
         }
         *if may { &mut self.written } else { &mut self.left_out } += 1;
         may
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -10,12 +10,12 @@
 use tracing::{debug, error, warn};
 
 use crate::admin::counters::Reply;
-use crate::clients::session::{Ending, Stage};
-use crate::event_loop::iteration::Turn;
-use crate::proxy::Serving;
+use crate::clients::session::{CloseProgress, SessionStage};
+use crate::event_loop::iteration::LoopContext;
+use crate::proxy::Proxy;
 
 /// The line that says an answer; none for the end of a connection without a word.
-fn line_of(answer: Answer) -> String {
+fn answer_line(answer: Answer) -> String {
     match answer {
         Answer::Refused { after } => busy(after).to_string(),
         Answer::Failed => "ERR\r\n".to_owned(),
@@ -26,7 +26,7 @@
 }
 
 /// What operators count an answer as.
-fn reply_of(answer: Answer) -> Option<Reply> {
+fn counted_reply(answer: Answer) -> Option<Reply> {
     match answer {
         Answer::Refused { .. } => Some(Reply::Overload),
         Answer::Failed => Some(Reply::Error),
@@ -35,10 +35,10 @@
     }
 }
 
-impl Serving {
+impl Proxy {
     /// Says a client's last word and ends its connection; nothing where that was said before.
-    pub fn answer(&mut self, turn: &mut Turn, id: RequestId, answer: Answer, cause: Cause) {
-        if self.sessions.get(id).is_none_or(|s| s.stage() == Stage::Ending) {
+    pub fn answer(&mut self, turn: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
+        if self.sessions.get(id).is_none_or(|s| s.stage() == SessionStage::Closing) {
             return;
         }
         let answer = match self.guard.answer(id, answer, cause) {
@@ -51,24 +51,24 @@
                 }
             }
         };
-        if let Some(reply) = reply_of(answer) {
+        if let Some(reply) = counted_reply(answer) {
             self.counted(id, reply);
         }
         self.log_answer(turn, id, answer, cause);
-        if self.sessions.answer(turn, id, line_of(answer).as_bytes()) {
+        if self.sessions.answer(turn, id, answer_line(answer).as_bytes()) {
             self.session_ends(turn, id);
         }
     }
 
     /// Answers a client that is not served: a refusal where trying again is harmless, and else a failure.
-    pub fn answer_unserved(&mut self, turn: &mut Turn, id: RequestId, after: Micros, cause: Cause) {
+    pub fn answer_unserved(&mut self, turn: &mut LoopContext, id: RequestId, after: Micros, cause: Cause) {
         let answer = self.guard.unserved_answer(id, after);
         self.answer(turn, id, answer, cause);
     }
 
-    fn log_answer(&mut self, turn: &mut Turn, id: RequestId, answer: Answer, cause: Cause) {
+    fn log_answer(&mut self, turn: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
         let (attempts, may_have_run) = (self.guard.attempts(id), self.guard.may_have_run(id));
-        let words = line_of(answer);
+        let words = answer_line(answer);
         let words = words.trim_end();
         debug!(event = "answered", req = id.0, words, %cause, attempts, may_have_run);
         let is_given_up = matches!(cause, Cause::Shutdown | Cause::Overdue) && answer == Answer::Failed;
@@ -86,7 +86,7 @@
     }
 
     /// Ends a client's connection, whatever is still on its way.
-    pub(crate) fn close_session(&mut self, turn: &mut Turn, id: RequestId, cause: Cause) {
+    pub(crate) fn close_session(&mut self, turn: &mut LoopContext, id: RequestId, cause: Cause) {
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
         }
@@ -94,11 +94,11 @@
     }
 
     /// Goes on with the end of a client's connection, as far as that goes now.
-    pub(crate) fn session_ends(&mut self, turn: &mut Turn, id: RequestId) {
+    pub(crate) fn session_ends(&mut self, turn: &mut LoopContext, id: RequestId) {
         match self.sessions.get_mut(id).map(|s| s.ending(&turn.pool)) {
-            Some(Ending::Over) => self.close_session(turn, id, Cause::Server),
-            Some(Ending::More) => self.again.push(id),
-            Some(Ending::Waits) | None => {}
+            Some(CloseProgress::Over) => self.close_session(turn, id, Cause::Server),
+            Some(CloseProgress::More) => self.again.push(id),
+            Some(CloseProgress::Waits) | None => {}
         }
     }
 
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -6,12 +6,12 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
-use crate::event_loop::iteration::{Due, Turn};
-use crate::proxy::Serving;
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::proxy::Proxy;
 use crate::servers::attempts::DialError;
 
 /// The pauses before a connection is begun again, which together outlast a moment without ports, routes or descriptors.
-const PAUSES: [Micros; 7] = [2_000, 4_000, 8_000, 16_000, 32_000, 64_000, 128_000];
+const DIAL_RETRY_DELAYS: [Micros; 7] = [2_000, 4_000, 8_000, 16_000, 32_000, 64_000, 128_000];
 
 /// An attempt whose connection could not be begun yet.
 #[derive(Clone, Copy, Debug)]
@@ -24,11 +24,11 @@
     pub tries: usize,
 }
 
-impl Serving {
+impl Proxy {
     /// Begins the connection of an attempt that the guard has let pass.
     pub(crate) fn dial(
         &mut self,
-        turn: &mut Turn,
+        turn: &mut LoopContext,
         id: RequestId,
         mut dial: PendingDial,
         address: SocketAddr,
@@ -39,12 +39,12 @@
             Err(DialError::Refused) => return self.attempt_not_begun(turn, id, Outcome::ConnectFailed),
             Err(error) => self.note_hindrance(id, dial.tries, error),
         }
-        let pause = PAUSES.get(dial.tries).copied().filter(|pause| turn.now + pause < dial.until);
+        let pause = DIAL_RETRY_DELAYS.get(dial.tries).copied().filter(|pause| turn.now + pause < dial.until);
         dial.tries += 1;
         match pause {
             Some(pause) => {
                 self.pending_dials.insert(id, dial);
-                turn.after(pause, Due::Dial(id));
+                turn.after(pause, TimerEvent::Dial(id));
             }
             None => self.attempt_not_begun(turn, id, Outcome::NotSent),
         }
@@ -58,7 +58,7 @@
     }
 
     /// The pause before a connection is begun again is over.
-    pub fn dial_again(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn dial_again(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(dial) = self.pending_dials.remove(&id) else { return };
         let address = self.address_for(id, dial.server).filter(|_| self.make_room(turn));
         match address {
@@ -68,7 +68,7 @@
     }
 
     /// An attempt has failed before there was a connection to watch.
-    fn attempt_not_begun(&mut self, turn: &mut Turn, id: RequestId, outcome: Outcome) {
+    fn attempt_not_begun(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
         self.guard.end_attempt(id, outcome);
         self.attempt_ended(turn, id, outcome);
     }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -21,16 +21,16 @@
 
 use crate::admin::counters::{Counts, Reply};
 use crate::clients::open_ids::OpenIds;
-use crate::clients::session::{Asking, First, Patience, Session, Stage};
+use crate::clients::session::{FirstLine, Session, SessionRequest, SessionStage, WaitingActivity};
 use crate::clients::sessions::Sessions;
 use crate::config::proxy_settings::Terms;
 use crate::discovery::update::{Incoming, server_id};
 use crate::discovery::wall_clock::WallClock;
-use crate::event_loop::iteration::Turn;
-use crate::event_loop::poll::Ready;
+use crate::event_loop::iteration::LoopContext;
+use crate::event_loop::poll::Readiness;
 use crate::overload::descriptor_budget::{Budget, Held};
 use crate::overload::log_rate_limiter::LogRateLimiter;
-use crate::servers::attempts::{self, Answer, Attempts};
+use crate::servers::attempts::{AttemptStage, Attempts, ServerAnswer};
 use crate::servers::probes::Probes;
 use crate::servers::server_table::ServerTable;
 use crate::shutdown::LEAVE_AFTER;
@@ -38,17 +38,17 @@
 use dialing::PendingDial;
 
 /// A connection from before the start has this long to stand again.
-const CARRY: Micros = 38_000_000;
+const RESTORE_TIMEOUT: Micros = 38_000_000;
 /// The wait told to clients whom the program refuses by itself.
-const COME_BACK: Micros = 300_000;
+const RETRY_AFTER: Micros = 300_000;
 /// The same where another process takes clients in this one's place.
-const COME_BACK_SOON: Micros = 10_000;
+const RETRY_AFTER_WITH_SUCCESSOR: Micros = 10_000;
 /// The same where the program can't keep up: what helps is that fewer come.
-const COME_BACK_LATER: Micros = 1_000_000;
+const RETRY_AFTER_OVERLOAD: Micros = 1_000_000;
 
 /// All peers but the discovery.
 #[derive(Debug)]
-pub struct Serving {
+pub struct Proxy {
     /// What the configuration says of them.
     pub terms: Terms,
     /// The servers as listed.
@@ -80,10 +80,10 @@
     pub has_successor: bool,
 }
 
-impl Serving {
+impl Proxy {
     /// Nobody has come yet.
     pub fn new(terms: Terms, open_ids: OpenIds, counts: Counts) -> Self {
-        Serving {
+        Proxy {
             budget: Budget::new(terms.sockets),
             terms,
             servers: ServerTable::default(),
@@ -125,7 +125,7 @@
 }
 
 /// Descriptors.
-impl Serving {
+impl Proxy {
     fn held(&self) -> Held {
         let all = self.sessions.len() + self.attempts.len() + self.probes.len();
         Held { all, unserved: self.sessions.unserved() }
@@ -137,7 +137,7 @@
     }
 
     /// Has a descriptor for a connection to a server, at the cost of those who ask for nothing.
-    fn make_room(&mut self, turn: &mut Turn) -> bool {
+    fn make_room(&mut self, turn: &mut LoopContext) -> bool {
         while !self.has_room() {
             if !self.budget.can_make_room(self.held()) || !self.evict(turn) {
                 return false;
@@ -149,10 +149,14 @@
     /// Ends the one that can best be done without, of those that ask for nothing; false where nobody does. What it has
     /// sent by now is read first: a whole line is a request that was taken, and a close over unread input would be a
     /// reset, which could overtake last words.
-    fn evict(&mut self, turn: &mut Turn) -> bool {
+    fn evict(&mut self, turn: &mut LoopContext) -> bool {
         let Some(id) = self.sessions.least_needed() else { return false };
-        self.on_session_ready(turn, id, Ready::READ);
-        if self.sessions.get(id).is_some_and(|s| matches!(s.stage(), Stage::Opening | Stage::Ending)) {
+        self.on_session_ready(turn, id, Readiness::READ);
+        if self
+            .sessions
+            .get(id)
+            .is_some_and(|s| matches!(s.stage(), SessionStage::Opening | SessionStage::Closing))
+        {
             self.close_session(turn, id, Cause::Descriptors);
         }
         true
@@ -170,29 +174,29 @@
 }
 
 /// Clients, from their first line to their answer.
-impl Serving {
+impl Proxy {
     /// A client has connected.
-    pub fn client_comes(&mut self, turn: &mut Turn, stream: TcpStream, from: SocketAddr) {
+    pub fn client_comes(&mut self, turn: &mut LoopContext, stream: TcpStream, from: SocketAddr) {
         let attempts = &self.attempts;
         let Some(id) = self.sessions.begin(turn, stream, from, |id| attempts.has(id)) else { return };
         // Who has asked for nothing for longest goes first: the one that has just come is the last.
         while self.budget.is_over(self.held()) && self.evict(turn) {}
-        self.on_session_ready(turn, id, Ready::default());
+        self.on_session_ready(turn, id, Readiness::default());
     }
 
     /// A client's connection is ready.
-    pub fn on_session_ready(&mut self, turn: &mut Turn, id: RequestId, ready: Ready) {
+    pub fn on_session_ready(&mut self, turn: &mut LoopContext, id: RequestId, ready: Readiness) {
         let Some(s) = self.sessions.get_mut(id) else { return };
         s.link.ready(ready);
         match s.stage() {
-            Stage::Opening => {
+            SessionStage::Opening => {
                 let from = s.from();
                 match s.opens(turn.now, &turn.pool) {
-                    First::Part => self.sessions.arm(turn, id),
-                    First::Line(line) => self.on_request(turn, id, &line),
-                    First::End => self.half_line(turn, id),
-                    First::TooMany => self.malformed(turn, id, "too many commands at a time"),
-                    First::TooLong => {
+                    FirstLine::Part => self.sessions.arm(turn, id),
+                    FirstLine::Line(line) => self.on_request(turn, id, &line),
+                    FirstLine::Closed => self.half_line(turn, id),
+                    FirstLine::TooMany => self.malformed(turn, id, "too many commands at a time"),
+                    FirstLine::LineTooLong => {
                         if self.complaints.may(turn) {
                             warn!(event = "line-too-long", peer = "client", client = %from);
                         }
@@ -200,21 +204,21 @@
                     }
                 }
             }
-            Stage::Waiting => match s.waits_on(&turn.pool) {
-                Patience::Waits => {}
+            SessionStage::Waiting => match s.waits_on(&turn.pool) {
+                WaitingActivity::Waits => {}
                 // The protocol has it wait. What follows its line belongs to no connection yet: passed on
                 // later, it would make the server close a connection that has just come up.
-                Patience::Spoke => self.malformed(turn, id, "spoke before its answer"),
-                Patience::Left => self.client_leaves(turn, id),
+                WaitingActivity::Spoke => self.malformed(turn, id, "spoke before its answer"),
+                WaitingActivity::Left => self.client_leaves(turn, id),
             },
-            Stage::Open | Stage::Moving => self.relay(turn, id),
-            Stage::Ending => self.session_ends(turn, id),
+            SessionStage::Open | SessionStage::Moving => self.relay(turn, id),
+            SessionStage::Closing => self.session_ends(turn, id),
         }
     }
 
     /// A client ended, or took too long, with its first line unfinished or unsaid. What it may be sending just now must not
     /// make the close a reset: the sending is ended, and the input read out for a moment.
-    fn half_line(&mut self, turn: &mut Turn, id: RequestId) {
+    fn half_line(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(s) = self.sessions.get(id) else { return };
         let has_ended = s.link.ended.is_some();
         if !s.link.held().is_empty() {
@@ -230,7 +234,7 @@
     }
 
     /// A client said what can't be used: it gets an error, and only its own connection ends.
-    fn malformed(&mut self, turn: &mut Turn, id: RequestId, why: &str) {
+    fn malformed(&mut self, turn: &mut LoopContext, id: RequestId, why: &str) {
         let Some(s) = self.sessions.get(id) else { return };
         let (from, waits) = (s.from(), s.waits());
         if self.complaints.may(turn) {
@@ -243,7 +247,7 @@
         self.answer(turn, id, FinalAnswer::Failed, Cause::BadRequest);
     }
 
-    fn on_request(&mut self, turn: &mut Turn, id: RequestId, line: &[u8]) {
+    fn on_request(&mut self, turn: &mut LoopContext, id: RequestId, line: &[u8]) {
         let open = match parse_open(line, &self.terms.names) {
             Ok(open) => open,
             Err(why) => {
@@ -268,8 +272,8 @@
             group: open.group,
             is_returning: open.is_returning,
         };
-        let until = if home.is_some() { turn.now + CARRY } else { req.deadline };
-        if !self.sessions.ask(turn, id, Asking { line, open_id: open.id, req, home, until }) {
+        let until = if home.is_some() { turn.now + RESTORE_TIMEOUT } else { req.deadline };
+        if !self.sessions.ask(turn, id, SessionRequest { line, open_id: open.id, req, home, until }) {
             // The id of another client's request. Whoever retries or was moved comes under a new one, and the
             // one from before was let go with its answer or its MOVE.
             return self.malformed(turn, id, "the id is in use");
@@ -278,25 +282,25 @@
         debug!(event = "received", req = id.0, id = %format_args!("{:x}", open.id), class = open.class);
         if self.closing {
             // What is taken now would only have to move: the front stops sending here in a moment.
-            let after = if self.has_successor { COME_BACK_SOON } else { LEAVE_AFTER };
+            let after = if self.has_successor { RETRY_AFTER_WITH_SUCCESSOR } else { LEAVE_AFTER };
             return self.answer_unserved(turn, id, after, Cause::Shutdown);
         }
         if home.is_none() && !turn.overload.admits() {
             // Guards those who stand: a refusal costs a tenth of a set-up.
-            return self.answer_unserved(turn, id, COME_BACK_LATER, Cause::Overload);
+            return self.answer_unserved(turn, id, RETRY_AFTER_OVERLOAD, Cause::Overload);
         }
         if !self.make_room(turn) {
             // Guards the descriptor limit: refused before a attempt could need one more.
             self.note_short(true);
-            return self.answer_unserved(turn, id, COME_BACK, Cause::Descriptors);
+            return self.answer_unserved(turn, id, RETRY_AFTER, Cause::Descriptors);
         }
         // The client may have left behind its line already, or said more than it should.
-        self.on_session_ready(turn, id, Ready::default());
+        self.on_session_ready(turn, id, Readiness::default());
         if !self.sessions.get(id).is_some_and(Session::waits) {
             return;
         }
         match home {
-            Some(server) => self.begin_attempt(turn, id, server, CARRY),
+            Some(server) => self.begin_attempt(turn, id, server, RESTORE_TIMEOUT),
             None => {
                 let (group, key) = (req.group, req.key);
                 debug!(event = "asked", req = id.0, group, key, returning = req.is_returning);
@@ -307,7 +311,7 @@
     }
 
     /// A client that waited has gone: nobody needs the attempt any more.
-    fn client_leaves(&mut self, turn: &mut Turn, id: RequestId) {
+    fn client_leaves(&mut self, turn: &mut LoopContext, id: RequestId) {
         turn.emit(NetworkEvent::ClientLeft(id));
         self.counted(id, Reply::Error);
         debug!(event = "client-left", req = id.0, attempts = self.guard.attempts(id));
@@ -331,7 +335,7 @@
 }
 
 /// Attempts, from their beginning to the server's answer.
-impl Serving {
+impl Proxy {
     /// A standing connection's own server is asked for even while it drains.
     fn address_for(&self, id: RequestId, server: ServerId) -> Option<SocketAddr> {
         match self.sessions.get(id).map(Session::home) {
@@ -341,7 +345,13 @@
     }
 
     /// Begins a attempt; it may take so long.
-    pub fn begin_attempt(&mut self, turn: &mut Turn, id: RequestId, server: ServerId, patience: Micros) {
+    pub fn begin_attempt(
+        &mut self,
+        turn: &mut LoopContext,
+        id: RequestId,
+        server: ServerId,
+        patience: Micros,
+    ) {
         // Guards against two attempts out at once, whatever asked for the second.
         if self.attempts.has(id) || self.pending_dials.contains_key(&id) {
             return;
@@ -350,7 +360,7 @@
         if waits(self) {
             // The client may have gone, and the loop not have told of it yet: it was accepted with its end, or a server's
             // refusal was heard first.
-            self.on_session_ready(turn, id, Ready::READ);
+            self.on_session_ready(turn, id, Readiness::READ);
         }
         if !waits(self) {
             return self.attempt_ended(turn, id, Outcome::NotSent);
@@ -371,7 +381,7 @@
     }
 
     /// Tells how a attempt ended; a carried connection that never came up was never told of.
-    fn attempt_ended(&mut self, turn: &mut Turn, id: RequestId, outcome: Outcome) {
+    fn attempt_ended(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
         match self.sessions.get(id).map(|s| (s.home(), s.waits())) {
             Some((Some(home), true)) => self.carried_attempt_ended(turn, id, home, outcome),
             _ => turn.emit(NetworkEvent::AttemptEnded(id, outcome)),
@@ -379,7 +389,13 @@
     }
 
     /// A connection from before the start has not come up: it is tried again while that is harmless.
-    fn carried_attempt_ended(&mut self, turn: &mut Turn, id: RequestId, home: ServerId, outcome: Outcome) {
+    fn carried_attempt_ended(
+        &mut self,
+        turn: &mut LoopContext,
+        id: RequestId,
+        home: ServerId,
+        outcome: Outcome,
+    ) {
         if self.sessions.get_mut(id).is_some_and(|s| s.carry_failed(turn.now)) {
             warn!(event = "carried-not-up", server = self.servers.name(Some(home)), ?outcome);
         }
@@ -391,7 +407,7 @@
     }
 
     /// Ends the attempt that is out, on the network and for the module.
-    pub fn end_attempt(&mut self, turn: &mut Turn, id: RequestId, outcome: Outcome) {
+    pub fn end_attempt(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
         let server = self.attempts.server(id);
         let is_pending = self.pending_dials.remove(&id).is_some();
         if self.attempts.end(turn, id) || is_pending {
@@ -402,32 +418,32 @@
     }
 
     /// A attempt's timer has come.
-    pub fn on_attempt_timer(&mut self, turn: &mut Turn, id: RequestId) {
+    pub fn on_attempt_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
         if let Some(outcome) = self.attempts.alarmed(turn, id) {
             self.end_attempt(turn, id, outcome);
         }
     }
 
     /// A attempt's connection is ready.
-    pub fn on_attempt_ready(&mut self, turn: &mut Turn, id: RequestId, ready: Ready) {
+    pub fn on_attempt_ready(&mut self, turn: &mut LoopContext, id: RequestId, ready: Readiness) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.link.ready(ready);
         match attempt.stage() {
-            attempts::Stage::Up => self.relay(turn, id),
+            AttemptStage::Up => self.relay(turn, id),
             _ => self.advance_attempt(turn, id),
         }
     }
 
-    fn advance_attempt(&mut self, turn: &mut Turn, id: RequestId) {
+    fn advance_attempt(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        if attempt.stage() == attempts::Stage::Connecting {
+        if attempt.stage() == AttemptStage::Connecting {
             match attempt.link.connected() {
                 Ok(false) => return,
                 Ok(true) => {}
                 Err(_) => return self.end_attempt(turn, id, Outcome::ConnectFailed),
             }
             // The client may have gone while the connection came up, and the loop not have told of it yet.
-            self.on_session_ready(turn, id, Ready::READ);
+            self.on_session_ready(turn, id, Readiness::READ);
             let Some(attempt) = self.attempts.get(id) else { return };
             // The server may have begun to leave meanwhile: it gets nothing new.
             if self.address_for(id, attempt.server()).is_none() {
@@ -451,13 +467,13 @@
         let server = self.servers.name(Some(attempt.server()));
         let outcome = match attempt.answer(&turn.pool) {
             None => return,
-            Some(Answer::Up) => return self.attempt_taken(turn, id),
-            Some(Answer::Over(outcome)) => outcome,
-            Some(Answer::Odd(line)) => {
+            Some(ServerAnswer::Up) => return self.attempt_taken(turn, id),
+            Some(ServerAnswer::Over(outcome)) => outcome,
+            Some(ServerAnswer::Odd(line)) => {
                 warn!(event = "odd-answer", server, line);
                 Outcome::Error
             }
-            Some(Answer::TooLong) => {
+            Some(ServerAnswer::LineTooLong) => {
                 warn!(event = "line-too-long", peer = "server", server);
                 Outcome::Error
             }
@@ -469,7 +485,7 @@
     }
 
     /// A server has taken a client.
-    fn attempt_taken(&mut self, turn: &mut Turn, id: RequestId) {
+    fn attempt_taken(&mut self, turn: &mut LoopContext, id: RequestId) {
         let (Some(f), Some(s)) = (self.attempts.get_mut(id), self.sessions.get_mut(id)) else { return };
         debug!(event = "up", req = id.0, client = %s.from(), server = self.servers.name(Some(f.server())));
         f.stands(turn.now, id);
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -5,18 +5,18 @@
 use shorewharf_lifecycle::{Answer, Cause};
 
 use crate::clients::session::Session;
-use crate::event_loop::iteration::Turn;
+use crate::event_loop::iteration::LoopContext;
 use crate::handover::messages::{Handed, Standing};
-use crate::proxy::Serving;
+use crate::proxy::Proxy;
 use crate::servers::attempts::Attempt;
-use crate::transport::connection::Link;
+use crate::transport::connection::Connection;
 
 /// The name that stands at this place.
 fn name(names: &std::collections::HashMap<String, usize>, place: usize) -> String {
     names.iter().find(|(_, at)| **at == place).map_or_else(String::new, |(name, _)| name.clone())
 }
 
-impl Serving {
+impl Proxy {
     /// Standing connections that can go on in another process.
     pub fn can_go(&self) -> Vec<RequestId> {
         let mut can = self.sessions.those(Session::can_go);
@@ -28,7 +28,7 @@
     /// module had there has ended for it.
     pub fn goes(
         &mut self,
-        turn: &mut Turn,
+        turn: &mut LoopContext,
         id: RequestId,
         (request, load): (Request, Option<f64>),
     ) -> Option<Handed> {
@@ -59,13 +59,13 @@
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
-    pub fn take_over(&mut self, turn: &mut Turn, (standing, client, server): Handed) -> bool {
+    pub fn take_over(&mut self, turn: &mut LoopContext, (standing, client, server): Handed) -> bool {
         let names = &self.terms.names;
         let class = names.classes.get(&standing.class).copied();
         let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
         let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Link::going_on(client, &turn.pool, &standing.at_client);
-        let server = Link::going_on(server, &turn.pool, &standing.at_server);
+        let client = Connection::going_on(client, &turn.pool, &standing.at_client);
+        let server = Connection::going_on(server, &turn.pool, &standing.at_server);
         let (Some(client), Some(server)) = (client, server) else { return false };
         let between_lines = client.between_lines();
         let adopted =
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
-use crate::event_loop::hub::Net;
+use crate::event_loop::hub::EventLoop;
 use shorewharf_driver::{Driver, Effects};
 use tracing::info;
 
@@ -28,7 +28,7 @@
 
 /// Puts a configuration in force at a worker. Connections, the list of servers and what the module has learned stay as
 /// they are.
-pub fn apply(config: &Config, net: &mut Net, driver: &mut Driver) {
+pub fn apply(config: &Config, net: &mut EventLoop, driver: &mut Driver) {
     net.take_terms(Terms::from(config), config.discovery);
     if let (Some(tells), Some(peers)) = (&mut net.tells, &config.peers) {
         tells.take_peers(peers);
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -10,14 +10,14 @@
 use shorewharf_protocol::open_request::with_timeout;
 use shorewharf_units::Micros;
 
-use crate::event_loop::iteration::{Alarm, Due, Turn};
-use crate::event_loop::poll::Owner;
-use crate::transport::buffer_pool::Pool;
-use crate::transport::connection::{End, Link, TooLong, is_local_failure, is_shortage};
+use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::EventSource;
+use crate::transport::buffer_pool::BufferPool;
+use crate::transport::connection::{Connection, LineTooLong, PeerClose, is_local_failure, is_shortage};
 
 /// How far a attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum AttemptStage {
     /// Its connection is not up yet.
     Connecting,
     /// The first line is out, or on its way; the answer is awaited.
@@ -28,7 +28,7 @@
 
 /// What a server said last, which tells how its end is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LastWord {
+enum FinalReply {
     Bye,
     Move,
     Other,
@@ -36,7 +36,7 @@
 
 /// What a server answers to a first line.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum ServerAnswer {
     /// It has taken the client.
     Up,
     /// The attempt is over.
@@ -44,7 +44,7 @@
     /// It said something that the protocol has no meaning for; the beginning of that.
     Odd(String),
     /// It said a line over the limit.
-    TooLong,
+    LineTooLong,
 }
 
 /// Why a attempt could not begin.
@@ -72,12 +72,12 @@
 
 /// What a server has said last, whatever the connection: to one, and before that to another. Shared by its attempts.
 #[derive(Debug, Default)]
-struct Voice {
+struct ServerActivity {
     last: Cell<Option<(Micros, RequestId)>>,
     before: Cell<Option<Micros>>,
 }
 
-impl Voice {
+impl ServerActivity {
     fn hears(&self, now: Micros, id: RequestId) {
         if let Some((at, other)) = self.last.replace(Some((now, id)))
             && other != id
@@ -97,15 +97,15 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The connection itself.
-    pub link: Link,
+    pub link: Connection,
     server: ServerId,
-    voice: Rc<Voice>,
-    stage: Stage,
+    voice: Rc<ServerActivity>,
+    stage: AttemptStage,
     /// It should be connected by then.
     connected_by: Micros,
     until: Micros,
-    last: LastWord,
-    alarm: Alarm,
+    last: FinalReply,
+    alarm: TimerHandle,
     /// When it last answered a line of the client's, and how long that took.
     answered: Option<(Micros, Micros)>,
     /// The first line has gone out to its last byte, and that was told.
@@ -119,7 +119,7 @@
     }
 
     /// How far it has come.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> AttemptStage {
         self.stage
     }
 
@@ -129,60 +129,60 @@
     }
 
     /// Writes the first line on a connection that has come up, with what is left of the time as its `d`.
-    pub fn ask(&mut self, now: Micros, pool: &Pool, line: &[u8]) {
-        self.stage = Stage::Sent;
+    pub fn ask(&mut self, now: Micros, pool: &BufferPool, line: &[u8]) {
+        self.stage = AttemptStage::Sent;
         self.link.say(pool, &with_timeout(line, self.until.saturating_sub(now)));
     }
 
     /// Whether the last byte of the first line has gone out, which is told once.
     pub fn is_dispatched(&mut self) -> bool {
-        !self.dispatched && self.stage == Stage::Sent && {
+        !self.dispatched && self.stage == AttemptStage::Sent && {
             self.dispatched = self.link.flush();
             self.dispatched
         }
     }
 
     /// Reads on for the server's answer; none as long as there is none.
-    pub fn answer(&mut self, pool: &Pool) -> Option<Answer> {
+    pub fn answer(&mut self, pool: &BufferPool) -> Option<ServerAnswer> {
         let sent = self.link.flush();
         self.link.fill(pool);
         let ended = self.link.ended;
         Some(match self.link.look().map(|line| line.map(parse_message)) {
-            Ok(Some(Message::Accepted(_))) => Answer::Up,
-            Ok(Some(Message::Rejected(_))) => Answer::Over(Outcome::Rejected),
-            Ok(Some(Message::Migrate)) => Answer::Over(Outcome::Cancelled),
-            Ok(Some(Message::Completed)) => Answer::Over(Outcome::Ok),
-            Ok(Some(Message::Failed)) => Answer::Over(Outcome::Error),
+            Ok(Some(Message::Accepted(_))) => ServerAnswer::Up,
+            Ok(Some(Message::Rejected(_))) => ServerAnswer::Over(Outcome::Rejected),
+            Ok(Some(Message::Migrate)) => ServerAnswer::Over(Outcome::Cancelled),
+            Ok(Some(Message::Completed)) => ServerAnswer::Over(Outcome::Ok),
+            Ok(Some(Message::Failed)) => ServerAnswer::Over(Outcome::Error),
             Ok(Some(other)) => {
                 let line = other.to_string();
                 let line = line.trim_end().as_bytes();
-                Answer::Odd(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned())
+                ServerAnswer::Odd(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned())
             }
-            Err(TooLong) => Answer::TooLong,
+            Err(LineTooLong) => ServerAnswer::LineTooLong,
             Ok(None) if ended.is_none() => return None,
             // Broken before the line's last byte was written: it has never run.
-            Ok(None) if !sent => Answer::Over(Outcome::ConnectFailed),
-            Ok(None) => Answer::Over(Outcome::Reset),
+            Ok(None) if !sent => ServerAnswer::Over(Outcome::ConnectFailed),
+            Ok(None) => ServerAnswer::Over(Outcome::Reset),
         })
     }
 
     /// Whether it can go on in another process.
     pub fn can_go(&self) -> bool {
-        self.stage == Stage::Up && self.last == LastWord::Other && self.link.can_go()
+        self.stage == AttemptStage::Up && self.last == FinalReply::Other && self.link.can_go()
     }
 
     /// The server has taken the client.
     pub fn stands(&mut self, now: Micros, id: RequestId) {
-        self.stage = Stage::Up;
+        self.stage = AttemptStage::Up;
         self.voice.hears(now, id);
     }
 
     /// When it should have come further; never where it stands.
     fn due(&self, judges_from: Micros) -> Option<Micros> {
         match self.stage {
-            Stage::Connecting => Some(self.connected_by.max(judges_from).min(self.until)),
-            Stage::Sent => Some(self.until),
-            Stage::Up => None,
+            AttemptStage::Connecting => Some(self.connected_by.max(judges_from).min(self.until)),
+            AttemptStage::Sent => Some(self.until),
+            AttemptStage::Up => None,
         }
     }
 
@@ -190,9 +190,11 @@
     fn is_late(&self, now: Micros, judges_from: Micros) -> Option<Outcome> {
         match self.stage {
             // What was never written has never run; what was may have.
-            Stage::Connecting if now >= self.connected_by.max(judges_from) => Some(Outcome::ConnectFailed),
-            Stage::Connecting if now >= self.until => Some(Outcome::NotSent),
-            Stage::Sent if now >= self.until => Some(Outcome::TimedOut),
+            AttemptStage::Connecting if now >= self.connected_by.max(judges_from) => {
+                Some(Outcome::ConnectFailed)
+            }
+            AttemptStage::Connecting if now >= self.until => Some(Outcome::NotSent),
+            AttemptStage::Sent if now >= self.until => Some(Outcome::TimedOut),
             _ => None,
         }
     }
@@ -202,14 +204,14 @@
     /// one. Tells whether anything came, and whether a line is over the limit.
     pub fn take_in(
         &mut self,
-        turn: &Turn,
+        turn: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
-    ) -> (bool, Result<(), TooLong>) {
+    ) -> (bool, Result<(), LineTooLong>) {
         let came = self.link.fill(&turn.pool);
         let looked = self.look(turn, id, asked, told);
-        if self.link.ended == Some(End::Fin) {
+        if self.link.ended == Some(PeerClose::Fin) {
             self.link.look_at_rest();
         }
         (came, looked)
@@ -217,18 +219,18 @@
 
     fn look(
         &mut self,
-        turn: &Turn,
+        turn: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
-    ) -> Result<(), TooLong> {
+    ) -> Result<(), LineTooLong> {
         let now = turn.now;
         while let Some(line) = self.link.look()? {
             self.voice.hears(now, id);
-            self.last = LastWord::Other;
+            self.last = FinalReply::Other;
             match parse_message(line) {
-                Message::Completed => self.last = LastWord::Bye,
-                Message::Migrate => self.last = LastWord::Move,
+                Message::Completed => self.last = FinalReply::Bye,
+                Message::Migrate => self.last = FinalReply::Move,
                 Message::LoadReport(load) => told.extend(load),
                 // The time from a client's line to the server's answer is what a message takes there.
                 _ => {
@@ -242,9 +244,9 @@
     /// How the end of a standing connection counts.
     pub fn outcome(&self) -> Outcome {
         match self.last {
-            LastWord::Bye => Outcome::Ok,
-            LastWord::Move => Outcome::Cancelled,
-            LastWord::Other => Outcome::Reset,
+            FinalReply::Bye => Outcome::Ok,
+            FinalReply::Move => Outcome::Cancelled,
+            FinalReply::Other => Outcome::Reset,
         }
     }
 }
@@ -256,28 +258,29 @@
     /// Boxed: the table of a large fleet has room for more than it holds.
     table: FxHashMap<RequestId, Box<Attempt>>,
     /// By server, for as long as it has any.
-    voices: FxHashMap<ServerId, Rc<Voice>>,
+    voices: FxHashMap<ServerId, Rc<ServerActivity>>,
 }
 
 impl Attempts {
     /// Begins a attempt, which may take as long as `patience`; none may be out for this req.
     pub fn begin(
         &mut self,
-        turn: &mut Turn,
+        turn: &mut LoopContext,
         id: RequestId,
         (server, address): (ServerId, SocketAddr),
         patience: Micros,
         connect_timeout: Micros,
     ) -> Result<(), DialError> {
-        let mut link = Link::connect(address).map_err(|e| dial_error_of(&e))?;
-        if !turn.poller.watch(&mut link, Owner::Attempt(id)) {
+        let mut link = Connection::connect(address).map_err(|e| dial_error_of(&e))?;
+        if !turn.poller.watch(&mut link, EventSource::Attempt(id)) {
             return Err(DialError::Unwatched);
         }
         // A client that leaves less time than a connect may take must not get its server locked.
         let connected_by = if connect_timeout <= patience { turn.now + connect_timeout } else { Micros::MAX };
-        let (stage, last, until) = (Stage::Connecting, LastWord::Other, turn.now.saturating_add(patience));
+        let (stage, last, until) =
+            (AttemptStage::Connecting, FinalReply::Other, turn.now.saturating_add(patience));
         let voice = Rc::clone(self.voices.entry(server).or_default());
-        let (alarm, answered, dispatched) = (Alarm::default(), None, false);
+        let (alarm, answered, dispatched) = (TimerHandle::default(), None, false);
         let attempt =
             Attempt { link, server, voice, stage, connected_by, until, last, alarm, answered, dispatched };
         self.table.insert(id, Box::new(attempt));
@@ -286,13 +289,19 @@
     }
 
     /// Takes in a attempt that stands, from another process of this balancer; false where it can't be watched.
-    pub fn adopt(&mut self, turn: &mut Turn, id: RequestId, server: ServerId, mut link: Link) -> bool {
-        if !turn.poller.watch(&mut link, Owner::Attempt(id)) {
+    pub fn adopt(
+        &mut self,
+        turn: &mut LoopContext,
+        id: RequestId,
+        server: ServerId,
+        mut link: Connection,
+    ) -> bool {
+        if !turn.poller.watch(&mut link, EventSource::Attempt(id)) {
             return false;
         }
         let voice = Rc::clone(self.voices.entry(server).or_default());
-        let (stage, last, connected_by, until) = (Stage::Up, LastWord::Other, turn.now, turn.now);
-        let (alarm, answered, dispatched) = (Alarm::default(), None, true);
+        let (stage, last, connected_by, until) = (AttemptStage::Up, FinalReply::Other, turn.now, turn.now);
+        let (alarm, answered, dispatched) = (TimerHandle::default(), None, true);
         let attempt =
             Attempt { link, server, voice, stage, connected_by, until, last, alarm, answered, dispatched };
         self.table.insert(id, Box::new(attempt));
@@ -320,12 +329,12 @@
     }
 
     /// Ends a req's attempt; false where there is none.
-    pub fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
+    pub fn end(&mut self, turn: &mut LoopContext, id: RequestId) -> bool {
         self.take(turn, id).is_some()
     }
 
     /// Takes a req's attempt out, with its connection.
-    pub fn take(&mut self, turn: &mut Turn, id: RequestId) -> Option<Box<Attempt>> {
+    pub fn take(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Box<Attempt>> {
         let mut attempt = self.table.remove(&id)?;
         attempt.alarm.off(turn);
         // The table's own is the other one that is left.
@@ -335,14 +344,14 @@
         Some(attempt)
     }
 
-    fn arm(&mut self, turn: &mut Turn, id: RequestId) {
+    fn arm(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.table.get_mut(&id) else { return };
         let due = attempt.due(turn.judges_from());
-        attempt.alarm.by(turn, due, Due::Attempt(id));
+        attempt.alarm.by(turn, due, TimerEvent::Attempt(id));
     }
 
     /// The timer of a req's attempt has come: how it ends, if it does.
-    pub fn alarmed(&mut self, turn: &mut Turn, id: RequestId) -> Option<Outcome> {
+    pub fn alarmed(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Outcome> {
         let attempt = self.table.get_mut(&id)?;
         attempt.alarm.came();
         let late = attempt.is_late(turn.now, turn.judges_from());
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -8,7 +8,7 @@
 const ID: RequestId = RequestId(7);
 const SERVER: ServerId = ServerId(1);
 
-fn begin(attempts: &mut Attempts, turn: &mut Turn, patience: Micros) -> TcpStream {
+fn begin(attempts: &mut Attempts, turn: &mut LoopContext, patience: Micros) -> TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     attempts.begin(turn, ID, (SERVER, at), patience, 250_000).expect("begun");
@@ -16,11 +16,11 @@
 }
 
 /// What the timers that have come by then make of the attempt.
-fn late(attempts: &mut Attempts, turn: &mut Turn, now: Micros) -> Vec<Outcome> {
+fn late(attempts: &mut Attempts, turn: &mut LoopContext, now: Micros) -> Vec<Outcome> {
     turn.ends(now);
     turn.begin(now);
     let due: Vec<_> = std::iter::from_fn(|| turn.timers.due()).collect();
-    assert!(due.iter().all(|due| *due == Due::Attempt(ID)), "{due:?}");
+    assert!(due.iter().all(|due| *due == TimerEvent::Attempt(ID)), "{due:?}");
     due.iter().filter_map(|_| attempts.alarmed(turn, ID)).collect()
 }
 
@@ -64,7 +64,7 @@
     let (mut asked, mut told) = (Some(1500), Vec::new());
     until(|| {
         attempt.link.ready(READ);
-        attempt.answer(&turn.pool) == Some(Answer::Up)
+        attempt.answer(&turn.pool) == Some(ServerAnswer::Up)
     });
     attempt.stands(1600, ID);
     until(|| {
--- a/crates/balancer/src/servers/delays/tests.rs
+++ b/crates/balancer/src/servers/delays/tests.rs
@@ -4,18 +4,18 @@
 
 const NOW: Micros = 100_000_000;
 
-fn waits(for_us: Micros) -> Sight {
-    Sight { asked: Some(NOW - for_us), answered: None }
+fn waits(for_us: Micros) -> DelaySample {
+    DelaySample { asked: Some(NOW - for_us), answered: None }
 }
 
-fn answered(ago: Micros, took: Micros) -> Sight {
-    Sight { asked: None, answered: Some((NOW - ago, took)) }
+fn answered(ago: Micros, took: Micros) -> DelaySample {
+    DelaySample { asked: None, answered: Some((NOW - ago, took)) }
 }
 
 #[test]
 fn a_delay_is_told_from_a_load_by_its_size_and_its_rhythm() {
-    use Figure::*;
-    let mut figures = Figures::default();
+    use LoadFigure::*;
+    let mut figures = LoadFigureClassifier::default();
     for (at, figure, kind) in [
         (0, 255_465.125, Load),
         (10_000, 3_107.0, Load),
@@ -56,6 +56,6 @@
         (vec![waits(1_000)], None),
         (vec![answered(3_000_000, 300), waits(900_000), waits(800_000)], Some(800_000)),
     ] {
-        assert_eq!(typical(NOW, least, &seen), figure, "{seen:?}");
+        assert_eq!(median_delay(NOW, least, &seen), figure, "{seen:?}");
     }
 }
--- a/crates/balancer/src/servers/disabled.rs
+++ b/crates/balancer/src/servers/disabled.rs
@@ -6,7 +6,7 @@
 
 /// A server that is out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Out {
+pub struct DisabledServer {
     /// Its name, as far as it is known.
     pub name: Box<str>,
     /// When it was taken out, in seconds on the module's clock.
@@ -15,57 +15,57 @@
 
 /// A server that was put back and may have been restarted while it was out, which the list has not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Back {
+struct EnabledServer {
     since: f64,
     at: f64,
 }
 
 /// What has changed by hand.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum AdminChange {
     /// A server is taken out.
-    Out(ServerId, Out),
+    Disabled(ServerId, DisabledServer),
     /// It may serve again, from this time on.
-    Back(ServerId, f64),
+    Enabled(ServerId, f64),
 }
 
-impl Change {
+impl AdminChange {
     /// The server that it is about.
     pub fn server(&self) -> ServerId {
         match self {
-            Change::Out(server, _) | Change::Back(server, _) => *server,
+            AdminChange::Disabled(server, _) | AdminChange::Enabled(server, _) => *server,
         }
     }
 }
 
 /// Servers taken out, whether the list names them or not. Only a call puts one back.
 #[derive(Clone, Debug, Default)]
-pub struct TakenOut {
-    out: BTreeMap<ServerId, Out>,
-    back: BTreeMap<ServerId, Back>,
+pub struct DisabledServers {
+    out: BTreeMap<ServerId, DisabledServer>,
+    back: BTreeMap<ServerId, EnabledServer>,
 }
 
-impl TakenOut {
+impl DisabledServers {
     /// Whether a server is out.
     pub fn is_out(&self, server: ServerId) -> bool {
         self.out.contains_key(&server)
     }
 
     /// Those that are out.
-    pub fn all(&self) -> &BTreeMap<ServerId, Out> {
+    pub fn all(&self) -> &BTreeMap<ServerId, DisabledServer> {
         &self.out
     }
 
     /// Takes a change in; false where it was so before.
-    pub fn take(&mut self, change: Change) -> bool {
+    pub fn take(&mut self, change: AdminChange) -> bool {
         match change {
-            Change::Out(server, out) => {
+            AdminChange::Disabled(server, out) => {
                 self.back.remove(&server);
                 self.out.insert(server, out).is_none()
             }
-            Change::Back(server, at) => {
+            AdminChange::Enabled(server, at) => {
                 let Some(out) = self.out.remove(&server) else { return false };
-                self.back.insert(server, Back { since: out.since, at });
+                self.back.insert(server, EnabledServer { since: out.since, at });
                 true
             }
         }
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -8,22 +8,22 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::{Owner, Ready};
-use crate::event_loop::timers::Key;
-use crate::transport::connection::Link;
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::poll::{EventSource, Readiness};
+use crate::event_loop::timers::TimerKey;
+use crate::transport::connection::Connection;
 
 /// How long a probe may take.
-const PROBE: Micros = 500_000;
+const PROBE_TIMEOUT: Micros = 500_000;
 
 /// A check on a server.
 #[derive(Debug)]
 struct Probe {
-    link: Link,
+    link: Connection,
     server: ServerId,
     asked: bool,
     begun: Micros,
-    timer: Key,
+    timer: TimerKey,
     /// The other workers that want it too, and whether this one does.
     others: Vec<usize>,
     own: bool,
@@ -43,7 +43,7 @@
     /// Checks on a server, for another worker or for this one; without an address there is nothing to be reached.
     pub fn begin(
         &mut self,
-        turn: &mut Turn,
+        turn: &mut LoopContext,
         server: ServerId,
         address: Option<SocketAddr>,
         other: Option<usize>,
@@ -57,14 +57,14 @@
         }
         self.begun += 1;
         let number = self.begun;
-        let watched = |mut link| turn.poller.watch(&mut link, Owner::Probe(number)).then_some(link);
-        let Some(link) = address.and_then(|to| Link::connect(to).ok()).and_then(watched) else {
+        let watched = |mut link| turn.poller.watch(&mut link, EventSource::Probe(number)).then_some(link);
+        let Some(link) = address.and_then(|to| Connection::connect(to).ok()).and_then(watched) else {
             return match other {
                 Some(other) => self.for_others.push((other, server, Outcome::ConnectFailed)),
                 None => turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
             };
         };
-        let (timer, begun) = (turn.after(PROBE, Due::Probe(number)), turn.now);
+        let (timer, begun) = (turn.after(PROBE_TIMEOUT, TimerEvent::Probe(number)), turn.now);
         self.table.insert(
             number,
             Probe {
@@ -77,11 +77,11 @@
                 own: other.is_none(),
             },
         );
-        self.ready(turn, number, Ready::default());
+        self.ready(turn, number, Readiness::default());
     }
 
     /// A probe's connection is ready.
-    pub fn ready(&mut self, turn: &mut Turn, number: u64, ready: Ready) {
+    pub fn ready(&mut self, turn: &mut LoopContext, number: u64, ready: Readiness) {
         let Some(probe) = self.table.get_mut(&number) else { return };
         probe.link.ready(ready);
         if !probe.asked {
@@ -104,7 +104,7 @@
     }
 
     /// Ends a probe, and tells how; nothing happens where it is over already.
-    pub fn end(&mut self, turn: &mut Turn, number: u64, outcome: Outcome) {
+    pub fn end(&mut self, turn: &mut LoopContext, number: u64, outcome: Outcome) {
         if let Some(probe) = self.table.remove(&number) {
             turn.timers.cancel(probe.timer);
             let (server, us) = (probe.server.0, turn.now - probe.begun);
@@ -122,10 +122,10 @@
     }
 
     /// A probe's timer has come.
-    pub fn alarmed(&mut self, turn: &mut Turn, number: u64) {
+    pub fn alarmed(&mut self, turn: &mut LoopContext, number: u64) {
         match self.table.get_mut(&number) {
             Some(probe) if turn.now < turn.judges_from() => {
-                probe.timer = turn.timers.set(turn.judges_from(), Due::Probe(number));
+                probe.timer = turn.timers.set(turn.judges_from(), TimerEvent::Probe(number));
             }
             _ => self.end(turn, number, Outcome::TimedOut),
         }
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::TcpListener;
 
-fn told(turn: &mut Turn) -> Option<Outcome> {
+fn told(turn: &mut LoopContext) -> Option<Outcome> {
     turn.next().map(|h| match h {
         NetworkEvent::ProbeEnded(ServerId(4), outcome) => outcome,
         other => panic!("{other:?}"),
@@ -30,8 +30,8 @@
         assert_eq!((told(&mut turn), told(&mut turn)), (Some(outcome), None));
     }
     probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), None);
-    turn.begin(PROBE);
-    assert_eq!(turn.timers.due(), Some(Due::Probe(4)));
+    turn.begin(PROBE_TIMEOUT);
+    assert_eq!(turn.timers.due(), Some(TimerEvent::Probe(4)));
     // Another worker wants the same, and gets the same answer without a probe of its own.
     probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), Some(2));
     assert_eq!(probes.len(), 1);
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -14,8 +14,8 @@
 use crate::discovery::update::{Entry, Incoming};
 use crate::discovery::wall_clock::WallClock;
 
-use crate::servers::delays::{Figure, Figures, Sight, typical};
-use crate::servers::disabled::{Change, TakenOut};
+use crate::servers::delays::{DelaySample, LoadFigure, LoadFigureClassifier, median_delay};
+use crate::servers::disabled::{AdminChange, DisabledServers};
 
 /// A server as the discovery listed it last.
 #[derive(Debug)]
@@ -31,11 +31,11 @@
     /// The last report was of slow messages.
     slow: bool,
     /// What its `LOAD` lines have told.
-    figures: Figures,
+    figures: LoadFigureClassifier,
 }
 
 /// Log lines that one list may cause; what is over that is counted.
-const LINES: usize = 64;
+const MAX_LOG_LINES_PER_LIST: usize = 64;
 
 /// The table of servers. An id belongs to one name; what is gone stays while something of it is in use.
 #[derive(Debug, Default)]
@@ -48,11 +48,11 @@
     wall_clock: WallClock,
     /// Servers are left out for want of room.
     over: bool,
-    taken_out: TakenOut,
+    taken_out: DisabledServers,
 }
 
 /// The stages that servers have left for others in a list, each with the first; none for those that are new.
-type Before = BTreeMap<ServerId, Option<ServerState>>;
+type PreviousStates = BTreeMap<ServerId, Option<ServerState>>;
 
 impl ServerTable {
     /// Takes in a list from discovery: what the module is told of it. Those that are gone and not `in_use` are
@@ -82,9 +82,9 @@
         self.apply(list, most).0
     }
 
-    fn apply(&mut self, list: Incoming, most: usize) -> (Vec<ServerEntry>, Before) {
+    fn apply(&mut self, list: Incoming, most: usize) -> (Vec<ServerEntry>, PreviousStates) {
         self.lists += 1;
-        let (number, mut before, mut left_out) = (self.lists, Before::new(), list.left_out);
+        let (number, mut before, mut left_out) = (self.lists, PreviousStates::new(), list.left_out);
         let mut entries = Vec::with_capacity(list.entries.len());
         for Entry { name, address, entry: listed } in list.entries {
             let (id, stage) = (listed.server, listed.state);
@@ -108,7 +108,7 @@
                     continue;
                 }
                 None => {
-                    let (slow, figures) = (false, Figures::default());
+                    let (slow, figures) = (false, LoadFigureClassifier::default());
                     let (listed_start, list) = (listed.started_at, number);
                     let server = KnownServer { name, address, entry, listed_start, list, slow, figures };
                     self.table.insert(id, server);
@@ -159,7 +159,7 @@
     }
 
     /// Logs what has changed in the end: a whole list names every server, most of them as before.
-    fn tell(&self, before: &Before) {
+    fn tell(&self, before: &PreviousStates) {
         let mut more = 0;
         for (id, before) in before {
             let Some(b) = self.table.get(id).filter(|b| Some(b.entry.state) != *before) else { continue };
@@ -169,12 +169,16 @@
                 ServerState::Removed => "server-gone",
             };
             more += 1;
-            if more <= LINES {
+            if more <= MAX_LOG_LINES_PER_LIST {
                 info!(event, server = %b.name);
             }
         }
-        if more > LINES {
-            info!(event = "servers-changed", "left-out" = more - LINES, servers = self.table.len());
+        if more > MAX_LOG_LINES_PER_LIST {
+            info!(
+                event = "servers-changed",
+                "left-out" = more - MAX_LOG_LINES_PER_LIST,
+                servers = self.table.len()
+            );
         }
     }
 
@@ -248,7 +252,7 @@
     }
 
     /// Who is taken out by hand.
-    pub fn taken_out(&self) -> &TakenOut {
+    pub fn taken_out(&self) -> &DisabledServers {
         &self.taken_out
     }
 
@@ -259,7 +263,7 @@
 
     /// Takes in what was changed by hand; what the module is to be told, where the server is here and anything has
     /// changed.
-    pub fn change(&mut self, change: Change) -> Option<ServerEntry> {
+    pub fn change(&mut self, change: AdminChange) -> Option<ServerEntry> {
         let server = change.server();
         if !self.taken_out.take(change) {
             return None;
@@ -273,8 +277,8 @@
     }
 
     /// What a figure in a `LOAD` line of this server's is.
-    pub fn read_figure(&mut self, now: Micros, server: ServerId, figure: f64) -> Figure {
-        self.table.get_mut(&server).map_or(Figure::Load, |b| b.figures.read(now, figure))
+    pub fn read_figure(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadFigure {
+        self.table.get_mut(&server).map_or(LoadFigure::Load, |b| b.figures.read(now, figure))
     }
 
     /// What messages take, from what connections have `seen` of each server: those where that is over `least`, and
@@ -283,10 +287,10 @@
         &mut self,
         now: Micros,
         least: Micros,
-        seen: &BTreeMap<ServerId, Vec<Sight>>,
+        seen: &BTreeMap<ServerId, Vec<DelaySample>>,
     ) -> Vec<(ServerId, Micros)> {
-        let report = |(server, sights): (&ServerId, &Vec<Sight>)| {
-            let delay = typical(now, least, sights)?;
+        let report = |(server, sights): (&ServerId, &Vec<DelaySample>)| {
+            let delay = median_delay(now, least, sights)?;
             let b = self.table.get_mut(server)?;
             // What the server tells of itself goes before what its answers take.
             if b.figures.stands(now) {
--- a/crates/balancer/src/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -53,15 +53,15 @@
     let (mut servers, a) = (ServerTable::default(), server_id("a"));
     servers.take(listing(true, &[("a", "127.0.0.1:1", "Ready")]), 3, |_| false);
     let mut report = |now, took| {
-        let seen = [(a, vec![Sight { asked: None, answered: Some((now, took)) }])].into();
+        let seen = [(a, vec![DelaySample { asked: None, answered: Some((now, took)) }])].into();
         servers.delays(now, 100, &seen)
     };
     assert_eq!(report(0, 50), []);
     assert_eq!(report(1, 500), [(a, 500)]);
     assert_eq!(report(2, 60), [(a, 60)]);
     assert_eq!(report(3, 60), []);
-    assert_eq!(servers.read_figure(4, a, 900.0), Figure::Delay);
-    let seen = [(a, vec![Sight { asked: None, answered: Some((5, 500)) }])].into();
+    assert_eq!(servers.read_figure(4, a, 900.0), LoadFigure::Delay);
+    let seen = [(a, vec![DelaySample { asked: None, answered: Some((5, 500)) }])].into();
     assert_eq!(servers.delays(5, 100, &seen), [], "what it told itself goes first");
 }
 
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -18,8 +18,8 @@
 use tracing::{debug, info, warn};
 
 use crate::config::Config;
-use crate::event_loop::hub::Net;
-use crate::event_loop::iteration::Due;
+use crate::event_loop::hub::EventLoop;
+use crate::event_loop::iteration::TimerEvent;
 
 /// Read out in one turn: servers with their names, and things known; each takes well under 0.2 ms.
 const SERVERS: usize = 64;
@@ -130,7 +130,7 @@
 
 impl Keeping {
     /// A record is begun, or read on; the next turn for it is set.
-    pub fn turn(&mut self, net: &mut Net, driver: &mut Driver) {
+    pub fn turn(&mut self, net: &mut EventLoop, driver: &mut Driver) {
         if !std::mem::take(&mut net.reads_out) {
             return;
         }
@@ -154,11 +154,11 @@
                 Some((self.began + self.every).saturating_sub(now)).filter(|n| *n > 0).unwrap_or(self.every)
             }
         };
-        net.turn.after(next, Due::Snapshot);
+        net.turn.after(next, TimerEvent::Snapshot);
     }
 
     /// Reads a portion, of a new record where none is being read and the one before is on the disk.
-    fn goes_on(&mut self, net: &Net, gate: &AdmissionGate) {
+    fn goes_on(&mut self, net: &EventLoop, gate: &AdmissionGate) {
         if self.at.is_none() && self.writer.is_idle() {
             self.began = net.turn.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
@@ -172,7 +172,7 @@
     }
 
     /// The program has ended: what it knew last is read out whole, and written before the thread is let go.
-    pub fn ends(mut self, net: &Net, driver: &mut Driver) {
+    pub fn ends(mut self, net: &EventLoop, driver: &mut Driver) {
         loop {
             self.goes_on(net, driver.gate());
             if self.at.is_none() {
@@ -181,7 +181,7 @@
         }
     }
 
-    fn reads(&mut self, at: At, net: &Net, gate: &AdmissionGate) {
+    fn reads(&mut self, at: At, net: &EventLoop, gate: &AdmissionGate) {
         let mut lines = Vec::new();
         self.at = match at {
             At::Servers(behind) => {
--- a/crates/balancer/src/transport/buffer_pool.rs
+++ b/crates/balancer/src/transport/buffer_pool.rs
@@ -4,21 +4,21 @@
 use std::rc::Rc;
 
 /// Bytes in a buffer: one line of the greatest length and as much again behind it.
-pub const BUFFER: usize = 8192;
-const _: () = assert!(BUFFER <= u16::MAX as usize, "places in a buffer are narrow");
+pub const BUFFER_BYTES: usize = 8192;
+const _: () = assert!(BUFFER_BYTES <= u16::MAX as usize, "places in a buffer are narrow");
 /// Buffers kept for later; a burst's surplus goes back to the system.
-const KEPT: usize = 128;
+const MAX_FREE_BUFFERS: usize = 128;
 
-type Store = Rc<RefCell<Vec<Box<[u8; BUFFER]>>>>;
+type FreeList = Rc<RefCell<Vec<Box<[u8; BUFFER_BYTES]>>>>;
 
 /// Where buffers come from and go back to.
 #[derive(Clone, Debug, Default)]
-pub struct Pool(Store);
+pub struct BufferPool(FreeList);
 
-impl Pool {
+impl BufferPool {
     /// An empty buffer.
     pub fn take(&self) -> Buffer {
-        let bytes = self.0.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER]));
+        let bytes = self.0.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
         Buffer { bytes: Some(bytes), start: 0, end: 0, home: Rc::clone(&self.0) }
     }
 }
@@ -26,15 +26,15 @@
 /// Bytes on their way: filled at the end, used up from the front. Goes back to its pool when dropped.
 #[derive(Debug)]
 pub struct Buffer {
-    bytes: Option<Box<[u8; BUFFER]>>,
+    bytes: Option<Box<[u8; BUFFER_BYTES]>>,
     // Narrow: every connection has room for the handles of its buffers.
     start: u16,
     end: u16,
-    home: Store,
+    home: FreeList,
 }
 
 impl Buffer {
-    fn bytes(&mut self) -> &mut [u8; BUFFER] {
+    fn bytes(&mut self) -> &mut [u8; BUFFER_BYTES] {
         self.bytes.as_mut().expect("held until dropped")
     }
 
@@ -56,7 +56,7 @@
 
     /// So many bytes were written into the room.
     pub fn added(&mut self, n: usize) {
-        self.end = (usize::from(self.end) + n).min(BUFFER) as u16;
+        self.end = (usize::from(self.end) + n).min(BUFFER_BYTES) as u16;
     }
 
     /// So many bytes at the front are done with.
@@ -79,7 +79,7 @@
 impl Drop for Buffer {
     fn drop(&mut self) {
         let mut home = self.home.borrow_mut();
-        if let Some(bytes) = self.bytes.take().filter(|_| home.len() < KEPT) {
+        if let Some(bytes) = self.bytes.take().filter(|_| home.len() < MAX_FREE_BUFFERS) {
             home.push(bytes);
         }
     }
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -7,17 +7,17 @@
 use mio::net::TcpStream;
 use socket2::SockRef;
 
-use crate::event_loop::poll::Ready;
+use crate::event_loop::poll::Readiness;
 use crate::handover::messages::OnTheWay;
-use crate::transport::buffer_pool::{Buffer, Pool};
+use crate::transport::buffer_pool::{Buffer, BufferPool};
 use shorewharf_protocol::line::{LineScan, scan_line};
 
 /// How often a connection is begun that this machine itself could not begin. Most such failures are over with the call.
-const CONNECT_TRIES: usize = 4;
+const MAX_CONNECT_TRIES: usize = 4;
 
 /// How a peer ended its side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum PeerClose {
     /// It finished its sending.
     Fin,
     /// The connection broke.
@@ -26,7 +26,7 @@
 
 /// A connection. Input is taken in as long as there is room, so a peer that isn't read is slowed down by TCP.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     stream: TcpStream,
     inbox: Option<Buffer>,
     /// Bytes at the inbox's front that are whole lines and have been looked at.
@@ -37,16 +37,16 @@
     /// The loop has seen its end, which reading on comes to.
     ends: bool,
     /// How the peer ended, once it has.
-    pub ended: Option<End>,
+    pub ended: Option<PeerClose>,
     shut: bool,
     /// Part of a line has gone out, its rest has not.
     mid_line: bool,
 }
 
-impl Link {
+impl Connection {
     /// Takes over a connection that has been accepted. Its listener has seen to it that lines go out at once.
     pub fn new(stream: TcpStream) -> Self {
-        Link {
+        Connection {
             stream,
             inbox: None,
             seen: 0,
@@ -60,24 +60,24 @@
         }
     }
 
-    /// Starts a connection; whether it came up shows in [`Link::connected`]. What this machine fails at for a moment is
+    /// Starts a connection; whether it came up shows in [`Connection::connected`]. What this machine fails at for a moment is
     /// tried again at once.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         let is_own = |e: &io::Error| is_local_failure(e) || is_shortage(e);
-        for _ in 1..CONNECT_TRIES {
-            match Link::connect_once(to) {
+        for _ in 1..MAX_CONNECT_TRIES {
+            match Connection::connect_once(to) {
                 Err(e) if is_own(&e) => {}
                 connected => return connected,
             }
         }
-        Link::connect_once(to)
+        Connection::connect_once(to)
     }
 
     fn connect_once(to: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
         // Lines are short and wanted at once.
         stream.set_nodelay(true)?;
-        Ok(Link { can_read: false, can_write: false, ..Link::new(stream) })
+        Ok(Connection { can_read: false, can_write: false, ..Connection::new(stream) })
     }
 
     /// Whether it can go on elsewhere, with what is on its way here.
@@ -97,8 +97,8 @@
     }
 
     /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
-    pub fn going_on(stream: TcpStream, pool: &Pool, on_the_way: &OnTheWay) -> Option<Self> {
-        let mut link = Link { mid_line: on_the_way.mid_line, ..Link::new(stream) };
+    pub fn going_on(stream: TcpStream, pool: &BufferPool, on_the_way: &OnTheWay) -> Option<Self> {
+        let mut link = Connection { mid_line: on_the_way.mid_line, ..Connection::new(stream) };
         for (bytes, buffer) in [(&on_the_way.came, &mut link.inbox), (&on_the_way.said, &mut link.outbox)] {
             if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
                 return None;
@@ -114,7 +114,7 @@
     }
 
     /// What the loop says the connection is ready for.
-    pub fn ready(&mut self, ready: Ready) {
+    pub fn ready(&mut self, ready: Readiness) {
         self.can_read |= ready.read;
         self.can_write |= ready.write;
         self.ends |= ready.ends;
@@ -129,7 +129,7 @@
     }
 
     /// Reads what there is room for; true if anything came, the end included.
-    pub fn fill(&mut self, pool: &Pool) -> bool {
+    pub fn fill(&mut self, pool: &BufferPool) -> bool {
         let mut any = false;
         while self.can_read && self.ended.is_none() {
             let inbox = self.inbox.get_or_insert_with(|| pool.take());
@@ -138,7 +138,7 @@
                 break;
             }
             match (&self.stream).read(room) {
-                Ok(0) => self.ended = Some(End::Fin),
+                Ok(0) => self.ended = Some(PeerClose::Fin),
                 Ok(n) => {
                     // A read may return less than there is (read(2)), and the loop tells of what has come only once:
                     // only the system's own word that there is no more ends the reading.
@@ -149,7 +149,7 @@
                     break;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => self.ended = Some(End::Reset),
+                Err(_) => self.ended = Some(PeerClose::Reset),
             }
             any = true;
         }
@@ -168,11 +168,11 @@
     }
 
     /// The next line that nobody has looked at; it stays in the inbox to be carried on.
-    pub fn look(&mut self) -> Result<Option<&[u8]>, TooLong> {
+    pub fn look(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
         let from = self.seen;
         match scan_line(&self.held()[from..]) {
             LineScan::Incomplete => Ok(None),
-            LineScan::TooLong => Err(TooLong),
+            LineScan::TooLong => Err(LineTooLong),
             LineScan::Complete(n) => {
                 self.seen += n;
                 Ok(Some(&self.held()[from..from + n - 2]))
@@ -181,7 +181,7 @@
     }
 
     /// Takes the next line out of the inbox.
-    pub fn line(&mut self) -> Result<Option<Vec<u8>>, TooLong> {
+    pub fn line(&mut self) -> Result<Option<Vec<u8>>, LineTooLong> {
         let line = self.look()?.map(<[u8]>::to_vec);
         self.drop_seen();
         Ok(line)
@@ -211,23 +211,23 @@
         self.seen = self.held().len();
     }
 
-    fn put(stream: &TcpStream, can_write: &mut bool, ended: &mut Option<End>, bytes: &[u8]) -> usize {
+    fn put(stream: &TcpStream, can_write: &mut bool, ended: &mut Option<PeerClose>, bytes: &[u8]) -> usize {
         let mut put = 0;
-        while put < bytes.len() && *can_write && *ended != Some(End::Reset) {
+        while put < bytes.len() && *can_write && *ended != Some(PeerClose::Reset) {
             match (&*stream).write(&bytes[put..]) {
                 // No bytes and no error: nothing that a socket says, and nothing to wait for.
-                Ok(0) => *ended = Some(End::Reset),
+                Ok(0) => *ended = Some(PeerClose::Reset),
                 Ok(n) => put += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => *can_write = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => *ended = Some(End::Reset),
+                Err(_) => *ended = Some(PeerClose::Reset),
             }
         }
         put
     }
 
     /// Says something of the balancer's own; it goes out before anything that is carried later.
-    pub fn say(&mut self, pool: &Pool, words: &[u8]) -> bool {
+    pub fn say(&mut self, pool: &BufferPool, words: &[u8]) -> bool {
         let said = self.outbox.get_or_insert_with(|| pool.take()).append(words);
         self.flush();
         said
@@ -236,7 +236,7 @@
     /// Sends what the balancer said; true once all of it is out.
     pub fn flush(&mut self) -> bool {
         if let Some(out) = self.outbox.as_mut() {
-            let n = Link::put(&self.stream, &mut self.can_write, &mut self.ended, out.held());
+            let n = Connection::put(&self.stream, &mut self.can_write, &mut self.ended, out.held());
             out.used(n);
         }
         self.tidy();
@@ -245,7 +245,7 @@
 
     /// Carries lines that were looked at to the other side, unchanged; true if any bytes went. With
     /// `to_line_end`, only the rest of a line that has begun to go out.
-    pub fn carry(&mut self, to: &mut Link, to_line_end: bool) -> bool {
+    pub fn carry(&mut self, to: &mut Connection, to_line_end: bool) -> bool {
         if !to.flush() || (to_line_end && !to.mid_line) || to.shut {
             return false;
         }
@@ -257,7 +257,7 @@
                 _ => whole,
             };
         }
-        let n = Link::put(&to.stream, &mut to.can_write, &mut to.ended, whole);
+        let n = Connection::put(&to.stream, &mut to.can_write, &mut to.ended, whole);
         if n > 0 {
             to.mid_line = whole[n - 1] != b'\n';
         }
@@ -294,7 +294,7 @@
 
 /// A line over the limit.
 #[derive(Debug, PartialEq, Eq)]
-pub struct TooLong;
+pub struct LineTooLong;
 
 /// Whether an error means that descriptors or memory for them have run out (here, or in the whole system).
 pub fn is_shortage(e: &io::Error) -> bool {
--- a/crates/balancer/src/workers/pool.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -19,7 +19,7 @@
 use crate::config::Config;
 use crate::discovery::client::DiscoveryEvent;
 use crate::handover::messages::Handed;
-use crate::servers::disabled::Change;
+use crate::servers::disabled::AdminChange;
 
 /// A worker that has not begun a turn for so long after it was to has stalled.
 const STALLS: Micros = 1_000_000;
@@ -42,7 +42,7 @@
     /// What came of that.
     Probed(ServerId, Outcome),
     /// An operator has changed something.
-    Changed(Change),
+    Changed(AdminChange),
     /// Another process of this balancer holds so many of this worker's descriptors.
     OthersHold(usize),
     /// That process takes this one's place, or no longer.
--- a/crates/balancer/src/workers/pool/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::poll::Watch;
+use crate::event_loop::poll::EventPoller;
 
-fn crew(n: usize) -> (Vec<Crew>, Vec<Watch>) {
+fn crew(n: usize) -> (Vec<Crew>, Vec<EventPoller>) {
     let (mut seats, mut watches) = (Vec::new(), Vec::new());
     for _ in 0..n {
-        let watch = Watch::new().expect("a loop");
+        let watch = EventPoller::new().expect("a loop");
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
         seats.push(Seat::new(watch.waker().expect("a waker"), listener));
         watches.push(watch);
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -26,9 +26,9 @@
 use crate::clock::Clock;
 use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
-use crate::event_loop::hub::{Net, Place};
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::{Owner, Poller, Ready, Watch};
+use crate::event_loop::hub::{EventLoop, WorkerContext};
+use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::poll::{EventPoller, EventSource, Readiness, SourceRegistry};
 use crate::fleet::budgets::Shares;
 use crate::fleet::gossip::Tells;
 use crate::handover::predecessor::{self, Inherited, Predecessor};
@@ -71,7 +71,7 @@
 
 /// The peers of a worker, and the driver that stands between them and the decisions.
 struct Worker {
-    net: Net,
+    net: EventLoop,
     driver: Driver,
     lead: Option<Lead>,
     keeping: Option<Keeping>,
@@ -80,7 +80,7 @@
 
 impl Worker {
     /// A turn: each peer that the loop has seen something of acts, and the module hears of it before the next does.
-    fn turn(&mut self, now: Micros, seen: impl Iterator<Item = (Owner, Ready)> + Clone) {
+    fn turn(&mut self, now: Micros, seen: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
         self.net.begin(now);
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.comes_first());
@@ -88,9 +88,9 @@
         self.driver.process_events(&mut self.net);
         for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
             match owner {
-                Owner::Signals => self.signalled(),
-                Owner::Orders => self.ordered(),
-                Owner::Successors => {
+                EventSource::Signals => self.signalled(),
+                EventSource::Orders => self.ordered(),
+                EventSource::Successors => {
                     let gate = self.driver.gate();
                     self.net.successors_ask(|| everything(gate));
                 }
@@ -165,8 +165,8 @@
 
 /// What a worker starts with.
 struct Start {
-    watch: Watch,
-    place: Place,
+    watch: EventPoller,
+    place: WorkerContext,
     config: Config,
     known: Arc<EndpointList>,
     clock: Clock,
@@ -185,14 +185,14 @@
         let (config, clock) = (self.config, self.clock);
         let mut place = self.place;
         let poller = self.watch.poller()?;
-        poller.listen(&mut place.listener, Owner::Listener)?;
+        poller.listen(&mut place.listener, EventSource::Listener)?;
         let address = place.listener.local_addr()?;
         let operator = place.desk.as_ref().and_then(|desk| desk.listener.local_addr().ok());
         if let Some(desk) = &mut place.desk {
-            poller.listen(&mut desk.listener, Owner::Operators)?;
+            poller.listen(&mut desk.listener, EventSource::Operators)?;
         }
-        let turn = Turn::new(poller, clock.read());
-        let mut net = Net::new(turn, place, config.discovery, Terms::from(&config));
+        let turn = LoopContext::new(poller, clock.read());
+        let mut net = EventLoop::new(turn, place, config.discovery, Terms::from(&config));
         if let Some(peers) = &config.peers {
             net.tells = Some(Tells::new(&mut net.turn, &config.name, address, peers, config.seed));
         }
@@ -209,7 +209,7 @@
             memory.recall(net.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            net.turn.after(micros_from_seconds(config.operator.snapshot.every_s), Due::Snapshot);
+            net.turn.after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
         }
         if let Some(lead) = &self.lead {
             // The address that is bound: the port may have been left to the system.
@@ -327,7 +327,7 @@
     listeners: &[std::net::TcpListener],
     inherited: Option<Inherited>,
     ends: bool,
-    poller: &Poller,
+    poller: &SourceRegistry,
 ) -> io::Result<Kin> {
     let listeners = listeners.iter().map(|l| l.try_clone()).collect::<io::Result<_>>()?;
     let successors = Successors::open(path, listeners, poller).inspect_err(|e| {
@@ -360,10 +360,10 @@
     reread: impl Fn() -> Result<Config, ConfigError> + Send + 'static,
 ) -> Result<(), Failure> {
     let workers = config.operator.workers;
-    let watches = (0..workers).map(|_| Watch::new()).collect::<io::Result<Vec<_>>>()?;
+    let watches = (0..workers).map(|_| EventPoller::new()).collect::<io::Result<Vec<_>>>()?;
     // Before anything is opened: a SIGHUP that nobody waits for ends the program.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    watches[0].poller()?.listen(&mut signals, Owner::Signals)?;
+    watches[0].poller()?.listen(&mut signals, EventSource::Signals)?;
     // Where operators may call there may be another process of this balancer, with as many listeners.
     let mut folder = config.operator_at.filter(|_| config.listen.port() != 0);
     let mut folder = folder.take().and_then(|_| common_folder(config.listen));
@@ -424,7 +424,7 @@
         kin = between(place, &listeners, inherited, ends, &watches[0].poller()?)?;
     }
     let mut kin = Some(kin);
-    let place = |((listener, crew), own): (_, &Counts)| Place {
+    let place = |((listener, crew), own): (_, &Counts)| WorkerContext {
         listener: TcpListener::from_std(listener),
         crew,
         open_ids: open_ids.clone(),
