--- a/crates/balancer/benches/parts.rs
+++ b/crates/balancer/benches/parts.rs
@@ -35,14 +35,14 @@
     for held in [100, 10_000, 200_000_u64] {
         group.bench_function(format!("wheel-{held}"), |b| {
             let (mut timers, mut now) = (TimerWheel::new(0), 0);
-            let mut keys: Vec<_> = (0..held).map(|i| timers.set(i * SECOND / held, i)).collect();
+            let mut keys: Vec<_> = (0..held).map(|i| timers.schedule(i * SECOND / held, i)).collect();
             b.iter(|| {
                 now += SECOND / held;
                 let at = (now * 7919 % held) as usize;
                 timers.cancel(keys[at]);
-                keys[at] = timers.set(now + SECOND, black_box(now));
+                keys[at] = timers.schedule(now + SECOND, black_box(now));
                 timers.advance(now);
-                while timers.due().is_some() {}
+                while timers.pop_due().is_some() {}
             });
         });
         group.bench_function(format!("slab-heap-{held}"), |b| {
@@ -106,10 +106,10 @@
     });
     group.throughput(Throughput::Elements(10_000));
     let mut servers = ServerTable::default();
-    servers.take(Incoming::of(&whole, &names, most), most, |_| false);
+    servers.apply_list(Incoming::of(&whole, &names, most), most, |_| false);
     group.bench_function("take-whole-10000", |b| {
         let list = || Incoming::of(&whole, &names, most);
-        b.iter_batched(list, |list| servers.take(list, most, |_| false), BatchSize::LargeInput);
+        b.iter_batched(list, |list| servers.apply_list(list, most, |_| false), BatchSize::LargeInput);
     });
     group.throughput(Throughput::Elements(1));
     let changes = ["Terminating", "Ready"].map(|status| {
@@ -122,7 +122,7 @@
         b.iter(|| {
             next += 1;
             let list = Incoming::of(&changes[next % 2], &names, most);
-            servers.take(list, most, |_| false)
+            servers.apply_list(list, most, |_| false)
         });
     });
     group.finish();
--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -70,50 +70,52 @@
 
 impl EventLoop {
     /// Looks at operators, before anybody else, and answers them. `avoided` tells which servers get nothing now.
-    pub fn serve_operators(
+    pub fn serve_admin(
         &mut self,
         seen: impl Iterator<Item = (EventSource, Readiness)>,
         avoided: impl Fn() -> Vec<ServerId>,
     ) {
-        let Some(desk) = &mut self.desk else { return };
-        seen.for_each(|(owner, ready)| desk.door.ready(&mut self.turn, owner, ready));
-        desk.door.accept(&mut self.turn);
+        let Some(desk) = &mut self.admin else { return };
+        seen.for_each(|(owner, ready)| desk.door.ready(&mut self.context, owner, ready));
+        desk.door.accept(&mut self.context);
         for (number, call) in desk.door.take_calls() {
             let answer = match call {
-                Ok(call) => self.carry_out(call, &avoided),
+                Ok(call) => self.execute_command(call, &avoided),
                 Err(why) => CommandReply::Rejected(why),
             };
-            let Some(desk) = &mut self.desk else { return };
-            desk.door.answer(&mut self.turn, number, &answer);
+            let Some(desk) = &mut self.admin else { return };
+            desk.door.answer(&mut self.context, number, &answer);
         }
     }
 
-    fn carry_out(&mut self, call: Command, avoided: impl Fn() -> Vec<ServerId>) -> CommandReply {
+    fn execute_command(&mut self, call: Command, avoided: impl Fn() -> Vec<ServerId>) -> CommandReply {
         match call {
-            Command::Readiness if self.leaving.is_none() => CommandReply::Done,
+            Command::Readiness if self.shutdown_started_at.is_none() => CommandReply::Done,
             Command::Readiness => CommandReply::Rejected(CommandError::NotReady(
                 "this process is about to end and takes no clients",
             )),
-            Command::Metrics => CommandReply::Metrics(self.figures(&avoided()).lines()),
-            Command::Disable(name) => self.take_out(name),
-            Command::Enable(name) => self.put_back(name),
+            Command::Metrics => CommandReply::Metrics(self.metrics(&avoided()).lines()),
+            Command::Disable(name) => self.disable_server(name),
+            Command::Enable(name) => self.enable_server(name),
         }
     }
 
-    fn take_out(&mut self, name: String) -> CommandReply {
+    fn disable_server(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
-        let servers = &self.serving.servers;
-        match (servers.taken_out().is_out(server), servers.is_known(server, &name)) {
+        let servers = &self.proxy.servers;
+        match (servers.disabled().is_disabled(server), servers.has_name(server, &name)) {
             // Kept again: it may not have been the first time.
             (true, _) => {}
             (false, false) => return CommandReply::Rejected(CommandError::UnknownServer(name)),
             (false, true) => {
-                let out =
-                    DisabledServer { name: name.as_str().into(), since: seconds_from_micros(self.turn.now) };
-                self.change(AdminChange::Disabled(server, out), "a call");
+                let out = DisabledServer {
+                    name: name.as_str().into(),
+                    disabled_at: seconds_from_micros(self.context.now),
+                };
+                self.announce_admin_change(AdminChange::Disabled(server, out), "a call");
             }
         }
-        if let Some(desk) = &mut self.desk {
+        if let Some(desk) = &mut self.admin {
             let done = desk.folder.as_ref().map_or(Ok(()), |folder| folder.keep(server, &name));
             match done {
                 Ok(()) => desk.unkept.remove(&server),
@@ -124,47 +126,50 @@
         CommandReply::Done
     }
 
-    fn put_back(&mut self, name: String) -> CommandReply {
+    fn enable_server(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
-        let servers = &self.serving.servers;
-        if !servers.taken_out().is_out(server) && !servers.is_known(server, &name) {
+        let servers = &self.proxy.servers;
+        if !servers.disabled().is_disabled(server) && !servers.has_name(server, &name) {
             return CommandReply::Rejected(CommandError::UnknownServer(name));
         }
         // The file first: as long as it is there it would be taken out again.
-        if let Some(desk) = &mut self.desk {
+        if let Some(desk) = &mut self.admin {
             let done = desk.folder.as_ref().map_or(Ok(()), |folder| folder.let_go(server));
             desk.unkept.remove(&server);
             desk.told(done);
         }
-        self.change(AdminChange::Enabled(server, seconds_from_micros(self.turn.now)), "a call");
+        self.announce_admin_change(
+            AdminChange::Enabled(server, seconds_from_micros(self.context.now)),
+            "a call",
+        );
         CommandReply::Done
     }
 
     /// Something is changed by hand, for all workers.
-    fn change(&mut self, change: AdminChange, by: &str) {
+    fn announce_admin_change(&mut self, change: AdminChange, by: &str) {
         let name = match &change {
             AdminChange::Disabled(_, out) => out.name.clone(),
             AdminChange::Enabled(server, _) => {
-                let out = self.serving.servers.taken_out().all().get(server);
+                let out = self.proxy.servers.disabled().all().get(server);
                 out.map_or_else(Default::default, |out| out.name.clone())
             }
         };
         match &change {
             AdminChange::Disabled(..) => info!(event = "server-taken-out", server = %name, by),
-            AdminChange::Enabled(server, _) if self.serving.servers.taken_out().is_out(*server) => {
+            AdminChange::Enabled(server, _) if self.proxy.servers.disabled().is_disabled(*server) => {
                 info!(event = "server-put-back", server = %name, by);
             }
             AdminChange::Enabled(..) => {}
         }
-        self.tell_others(|_| Order::Changed(change.clone()));
-        self.changes(change);
+        self.broadcast(|_| Order::Changed(change.clone()));
+        self.apply_admin_change(change);
     }
 
     /// Something was changed by hand: the module hears of it as of a change of the list, which is no news of
     /// discovery's.
-    pub fn changes(&mut self, change: AdminChange) {
-        if let Some(entry) = self.serving.servers.change(change) {
-            self.turn.emit(NetworkEvent::EndpointListReceived {
+    pub fn apply_admin_change(&mut self, change: AdminChange) {
+        if let Some(entry) = self.proxy.servers.apply_admin_change(change) {
+            self.context.emit(NetworkEvent::EndpointListReceived {
                 full: false,
                 cached: true,
                 entries: vec![entry],
@@ -173,11 +178,11 @@
     }
 
     /// Looks for what other processes of this balancer have changed.
-    pub fn looks_into_folder(&mut self) {
-        let known = self.serving.servers.taken_out().all().clone();
-        let Some(desk) = &mut self.desk else { return };
+    pub fn read_shared_folder(&mut self) {
+        let known = self.proxy.servers.disabled().all().clone();
+        let Some(desk) = &mut self.admin else { return };
         let Some(folder) = &mut desk.folder else { return };
-        self.turn.after(LOOK, TimerEvent::Folder);
+        self.context.schedule_after(LOOK, TimerEvent::ReadSharedFolder);
         match folder.read(&known) {
             Ok(out) => {
                 desk.ails &= !desk.unkept.is_empty();
@@ -187,28 +192,30 @@
                     .filter(|server| !out.contains_key(server) && !desk.unkept.contains(server))
                     .copied();
                 let back: Vec<_> = back
-                    .map(|server| AdminChange::Enabled(server, seconds_from_micros(self.turn.now)))
+                    .map(|server| AdminChange::Enabled(server, seconds_from_micros(self.context.now)))
                     .collect();
                 let news = out.into_iter().filter(|(server, _)| !known.contains_key(server));
                 let news: Vec<_> = news.map(|(server, out)| AdminChange::Disabled(server, out)).collect();
-                back.into_iter().chain(news).for_each(|change| self.change(change, "another process"));
+                back.into_iter()
+                    .chain(news)
+                    .for_each(|change| self.announce_admin_change(change, "another process"));
             }
             Err(e) => desk.told(Err(e)),
         }
     }
 
     /// All that is reported, as it is now.
-    fn figures(&self, avoided: &[ServerId]) -> Metrics {
-        self.serving.note_held();
-        let sums = Counts::of_all(self.desk.as_ref().map_or(&[], |desk| &desk.counts));
-        let mut classes: Vec<_> = self.serving.terms.names.classes.iter().collect();
+    fn metrics(&self, avoided: &[ServerId]) -> Metrics {
+        self.proxy.publish_gauges();
+        let sums = Counts::of_all(self.admin.as_ref().map_or(&[], |desk| &desk.counts));
+        let mut classes: Vec<_> = self.proxy.settings.names.classes.iter().collect();
         classes.sort_by_key(|(_, at)| **at);
         let replies = classes
             .into_iter()
             .map(|(name, at)| (name.clone(), sums.replies.get(*at).copied().unwrap_or_default()))
             .collect();
-        let servers = &self.serving.servers;
-        let (targets, targets_disabled) = (servers.listed(), servers.listed_of(avoided));
+        let servers = &self.proxy.servers;
+        let (targets, targets_disabled) = (servers.listed_count(), servers.listed_count_of(avoided));
         let (dispatches, concurrent) = (sums.dispatches, sums.concurrent);
         Metrics { replies, dispatches, concurrent, targets, targets_disabled }
     }
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -46,8 +46,8 @@
 impl Caller {
     /// Reads on for the call; none while it is not whole. What follows it is not looked at.
     fn call(&mut self, turn: &LoopContext) -> Option<Result<Command, CommandError>> {
-        self.link.fill(&turn.pool);
-        let held = self.link.held();
+        self.link.read_available(&turn.buffers);
+        let held = self.link.pending_input();
         let Some(n) = held.iter().position(|b| *b == b'\n') else {
             return (held.len() > MAX_COMMAND_BYTES).then_some(Err(CommandError::TooLong));
         };
@@ -62,18 +62,18 @@
     fn goes_on(&mut self, turn: &LoopContext) -> bool {
         while !self.rest.is_empty() && self.link.flush() {
             let some = self.rest.len().min(BUFFER_BYTES);
-            if !self.link.say(&turn.pool, &self.rest[..some]) {
+            if !self.link.send(&turn.buffers, &self.rest[..some]) {
                 break;
             }
             self.rest.drain(..some);
         }
         if self.rest.is_empty() && self.link.flush() {
-            self.link.shut();
+            self.link.shutdown_write();
         }
         // What else it says is nothing to anybody; unread it would make the close a reset.
-        self.link.fill(&turn.pool);
-        self.link.drop_input();
-        self.link.ended.is_some()
+        self.link.read_available(&turn.buffers);
+        self.link.discard_input();
+        self.link.peer_close.is_some()
     }
 }
 
@@ -98,9 +98,9 @@
     /// What the loop has seen of it: calls that have come are taken out by [`Door::take_calls`].
     pub fn ready(&mut self, turn: &mut LoopContext, owner: EventSource, ready: Readiness) {
         match owner {
-            EventSource::Caller(number) => {
+            EventSource::AdminConnection(number) => {
                 if let Some(caller) = self.callers.get_mut(&number) {
-                    caller.link.ready(ready);
+                    caller.link.on_ready(ready);
                     self.goes_on(turn, number);
                 }
             }
@@ -130,7 +130,7 @@
                     self.can_accept = false;
                     if e.kind() != std::io::ErrorKind::WouldBlock {
                         warn!(event = "accept-failed", at = "operator", error = %e);
-                        turn.after(PATIENCE / 25, TimerEvent::Door);
+                        turn.schedule_after(PATIENCE / 25, TimerEvent::AdminAccept);
                     }
                 }
             }
@@ -143,12 +143,12 @@
         }
         self.next += 1;
         let number = self.next;
-        if !turn.poller.watch(&mut link, EventSource::Caller(number)) {
+        if !turn.registry.register(&mut link, EventSource::AdminConnection(number)) {
             return;
         }
         let until = turn.now + PATIENCE;
         let mut alarm = TimerHandle::default();
-        alarm.by(turn, Some(until), TimerEvent::Caller(number));
+        alarm.schedule_by(turn, Some(until), TimerEvent::AdminConnection(number));
         let (stage, end, rest) = (Stage::Calling, "\n", Vec::new());
         self.callers.insert(number, Caller { link, stage, until, end, rest, alarm });
         self.goes_on(turn, number);
@@ -170,7 +170,7 @@
                 if let Some(call) = caller.call(turn) {
                     caller.stage = Stage::Called;
                     self.calls.push((number, call));
-                } else if caller.link.ended.is_some() {
+                } else if caller.link.peer_close.is_some() {
                     self.end(turn, number);
                 }
             }
@@ -200,19 +200,19 @@
     /// A caller's timer has come.
     pub fn alarmed(&mut self, turn: &mut LoopContext, number: u64) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
-        caller.alarm.came();
+        caller.alarm.on_fired();
         // A machine that stood still heard nobody.
-        let until = caller.until.max(turn.judges_from());
+        let until = caller.until.max(turn.earliest_timeout());
         if turn.now >= until {
             self.end(turn, number);
         } else {
-            caller.alarm.by(turn, Some(until), TimerEvent::Caller(number));
+            caller.alarm.schedule_by(turn, Some(until), TimerEvent::AdminConnection(number));
         }
     }
 
     fn end(&mut self, turn: &mut LoopContext, number: u64) {
         if let Some(mut caller) = self.callers.remove(&number) {
-            caller.alarm.off(turn);
+            caller.alarm.cancel(turn);
         }
     }
 }
--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -93,7 +93,7 @@
             if name.is_empty() || name.chars().any(char::is_control) {
                 self.is_odd(&file.path(), "its text is no server's name; the server is out all the same");
             }
-            out.insert(server, DisabledServer { name: name.into(), since });
+            out.insert(server, DisabledServer { name: name.into(), disabled_at: since });
         }
         Ok(out)
     }
--- a/crates/balancer/src/admin/shared_folder/tests.rs
+++ b/crates/balancer/src/admin/shared_folder/tests.rs
@@ -25,7 +25,7 @@
     let out = other.read(&BTreeMap::new()).expect("readable");
     assert_eq!(out.keys().map(|id| id.0).collect::<Vec<_>>(), [7, 8, 10]);
     assert_eq!((&*out[&ServerId(7)].name, &*out[&ServerId(10)].name), ("s-7", ""));
-    assert!(out[&ServerId(7)].since > 1e9);
+    assert!(out[&ServerId(7)].disabled_at > 1e9);
     assert_eq!(other.odd.len(), 2);
     one.let_go(ServerId(7)).expect("gone");
     one.let_go(ServerId(7)).expect("gone before");
--- a/crates/balancer/src/clients/idle_connections.rs
+++ b/crates/balancer/src/clients/idle_connections.rs
@@ -15,17 +15,17 @@
 
 impl IdleConnections {
     /// A connection has come, and its first line has not.
-    pub fn opens(&mut self, since: Micros, id: RequestId) {
+    pub fn add_opening(&mut self, since: Micros, id: RequestId) {
         self.opening.insert((since, id));
     }
 
     /// A connection has its last words.
-    pub fn ends(&mut self, since: Micros, id: RequestId) {
+    pub fn add_closing(&mut self, since: Micros, id: RequestId) {
         self.ending.insert((since, id));
     }
 
     /// A connection that was told of at this time asks for something now, or is over.
-    pub fn forget(&mut self, since: Micros, id: RequestId) {
+    pub fn remove(&mut self, since: Micros, id: RequestId) {
         self.opening.remove(&(since, id));
         self.ending.remove(&(since, id));
     }
--- a/crates/balancer/src/clients/open_ids.rs
+++ b/crates/balancer/src/clients/open_ids.rs
@@ -17,24 +17,24 @@
 }
 
 impl OpenIds {
-    fn part(&self, id: u64) -> MutexGuard<'_, HashSet<u64>> {
+    fn shard(&self, id: u64) -> MutexGuard<'_, HashSet<u64>> {
         // A set is whole between any two of its calls, whoever panics.
         self.0[id as usize % SHARDS].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes an id; false where another request has it.
     pub fn claim(&self, id: u64) -> bool {
-        self.part(id).insert(id)
+        self.shard(id).insert(id)
     }
 
     /// Lets go of an id that was taken.
-    pub fn free(&self, id: u64) {
-        self.part(id).remove(&id);
+    pub fn release(&self, id: u64) {
+        self.shard(id).remove(&id);
     }
 
     /// Whether an open request has this id.
     #[cfg(test)]
-    pub fn has(&self, id: u64) -> bool {
-        self.part(id).contains(&id)
+    pub fn contains(&self, id: u64) -> bool {
+        self.shard(id).contains(&id)
     }
 }
--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -38,13 +38,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionStage {
     /// Its first line is still to come.
-    Opening,
+    AwaitingRequest,
     /// It waits for its answer.
-    Waiting,
+    AwaitingAnswer,
     /// It stands: lines are passed on both ways.
-    Open,
+    Established,
     /// It is to be told to move as soon as a line has ended.
-    Moving,
+    Migrating,
     /// Its last words are out; its end is awaited.
     Closing,
 }
@@ -53,7 +53,7 @@
 #[derive(Debug, PartialEq)]
 pub enum FirstLine {
     /// Nothing that is whole.
-    Part,
+    Incomplete,
     /// Its first line.
     Line(Vec<u8>),
     /// Its end.
@@ -61,72 +61,72 @@
     /// A line over the limit.
     LineTooLong,
     /// More commands of a front's than a front sends.
-    TooMany,
+    TooManyPings,
 }
 
 /// What a client does that waits for its answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WaitingActivity {
     /// It waits.
-    Waits,
+    Silent,
     /// It has said something.
-    Spoke,
+    SentData,
     /// It has ended its side.
-    Left,
+    Closed,
 }
 
 /// How far a session's end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseProgress {
     /// The client's end is awaited.
-    Waits,
+    AwaitingPeer,
     /// There is more to read once others have had their turn.
-    More,
+    MoreToRead,
     /// It is over.
-    Over,
+    Done,
 }
 
 /// One client's connection.
 #[derive(Debug)]
 pub struct Session {
     /// The connection itself.
-    pub link: Connection,
-    from: SocketAddr,
+    pub connection: Connection,
+    client_address: SocketAddr,
     stage: SessionStage,
     /// When the stage began, and when it must be over.
-    since: Micros,
-    until: Micros,
+    stage_since: Micros,
+    deadline: Micros,
     /// A first line that begins now must end by then.
-    whole_by: Micros,
+    first_line_deadline: Micros,
     /// Input dropped after the last words.
-    dropped: usize,
+    discarded_bytes: usize,
     /// The id that it opened with.
     open_id: Option<u64>,
     /// One side has finished; the rest must be over by then.
-    half_open: Option<Micros>,
+    half_open_deadline: Option<Micros>,
     /// The line it opened with, until it is up.
-    first: Option<Buffer>,
+    first_line: Option<Buffer>,
     /// It stood before this program started; few do, and what is known of that is apart.
-    carried: Option<Box<RestoredConnection>>,
+    restored: Option<Box<RestoredConnection>>,
     /// When the first line came that its server has answered nothing to.
-    asked: Option<Micros>,
+    unanswered_since: Option<Micros>,
     /// The class it asks for, until its one end, or its coming up, has been counted.
-    pub(crate) class: Option<u16>,
+    pub(crate) uncounted_class: Option<u16>,
     /// It is among those that tell of message delays.
-    sighted: bool,
+    reports_delay: bool,
     /// Its timer.
-    pub(crate) alarm: TimerHandle,
+    pub(crate) timer: TimerHandle,
 }
 
 /// A connection from before the start.
 #[derive(Debug)]
 struct RestoredConnection {
     /// The server that it stood on.
-    home: ServerId,
-    req: ReceivedRequest,
+    server: ServerId,
+    request: ReceivedRequest,
     /// When to try again to carry it on, once that has failed.
-    again: Option<Micros>,
-    failed: bool,
+    retry_at: Option<Micros>,
+    has_failed: bool,
 }
 
 /// What a session asks for with its first line.
@@ -137,32 +137,32 @@
     /// The id that it names.
     pub open_id: u64,
     /// What it asks for.
-    pub req: ReceivedRequest,
+    pub request: ReceivedRequest,
     /// The server that it stood on before this program started.
-    pub home: Option<ServerId>,
+    pub previous_server: Option<ServerId>,
     /// When it must have its answer.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 impl Session {
     /// A client that has just connected.
     pub(crate) fn new(link: Connection, from: SocketAddr, now: Micros) -> Self {
         Session {
-            link,
-            from,
-            stage: SessionStage::Opening,
-            since: now,
-            until: now + FIRST_LINE_TIMEOUT,
-            whole_by: now + FIRST_LINE_TIMEOUT,
-            dropped: 0,
+            connection: link,
+            client_address: from,
+            stage: SessionStage::AwaitingRequest,
+            stage_since: now,
+            deadline: now + FIRST_LINE_TIMEOUT,
+            first_line_deadline: now + FIRST_LINE_TIMEOUT,
+            discarded_bytes: 0,
             open_id: None,
-            half_open: None,
-            first: None,
-            carried: None,
-            asked: None,
-            class: None,
-            sighted: false,
-            alarm: TimerHandle::default(),
+            half_open_deadline: None,
+            first_line: None,
+            restored: None,
+            unanswered_since: None,
+            uncounted_class: None,
+            reports_delay: false,
+            timer: TimerHandle::default(),
         }
     }
 
@@ -174,39 +174,47 @@
         (open_id, asked): (u64, Option<Micros>),
     ) -> Self {
         let (open_id, asked) = (Some(open_id), asked.map(|at| at.min(now)));
-        Session { stage: SessionStage::Open, open_id, asked, ..Session::new(link, from, now) }
+        Session {
+            stage: SessionStage::Established,
+            open_id,
+            unanswered_since: asked,
+            ..Session::new(link, from, now)
+        }
     }
 
     /// Whether it can go on in another process.
-    pub fn can_go(&self) -> bool {
-        self.stage == SessionStage::Open && self.half_open.is_none() && self.link.can_go()
+    pub fn is_transferable(&self) -> bool {
+        self.stage == SessionStage::Established
+            && self.half_open_deadline.is_none()
+            && self.connection.is_transferable()
     }
 
     /// When something of it is due next.
-    pub(crate) fn due(&self, turn: &LoopContext) -> Option<Micros> {
-        let judges_from = turn.judges_from();
+    pub(crate) fn next_deadline(&self, turn: &LoopContext) -> Option<Micros> {
+        let judges_from = turn.earliest_timeout();
         let first = |a: Option<Micros>, b: Option<Micros>| a.into_iter().chain(b).min();
         match self.stage {
-            SessionStage::Opening => Some(self.until.max(judges_from)),
-            SessionStage::Closing => Some(self.until),
-            SessionStage::Waiting => {
-                first(self.carried.as_ref().and_then(|c| c.again), Some(self.until + OVERDUE_ANSWER_GRACE))
-            }
-            SessionStage::Open | SessionStage::Moving => {
-                let silent = self.asked.map(|at| turn.took_since(at) + SILENT_SERVER_TIMEOUT);
-                first(self.half_open.map(|at| at.max(judges_from)), silent)
+            SessionStage::AwaitingRequest => Some(self.deadline.max(judges_from)),
+            SessionStage::Closing => Some(self.deadline),
+            SessionStage::AwaitingAnswer => first(
+                self.restored.as_ref().and_then(|c| c.retry_at),
+                Some(self.deadline + OVERDUE_ANSWER_GRACE),
+            ),
+            SessionStage::Established | SessionStage::Migrating => {
+                let silent = self.unanswered_since.map(|at| turn.waiting_since(at) + SILENT_SERVER_TIMEOUT);
+                first(self.half_open_deadline.map(|at| at.max(judges_from)), silent)
             }
         }
     }
 
     /// Whether a client that waits should have had its answer by now.
     pub fn is_overdue(&self, now: Micros) -> bool {
-        now >= self.until + OVERDUE_ANSWER_GRACE
+        now >= self.deadline + OVERDUE_ANSWER_GRACE
     }
 
     /// Where it comes from.
-    pub fn from(&self) -> SocketAddr {
-        self.from
+    pub fn client_address(&self) -> SocketAddr {
+        self.client_address
     }
 
     /// How far it has come.
@@ -215,38 +223,38 @@
     }
 
     /// When this stage began.
-    pub(crate) fn since(&self) -> Micros {
-        self.since
+    pub(crate) fn stage_since(&self) -> Micros {
+        self.stage_since
     }
 
     /// When this stage must be over.
-    pub fn until(&self) -> Micros {
-        self.until
+    pub fn deadline(&self) -> Micros {
+        self.deadline
     }
 
     /// Whether this stage should be over by now.
-    pub fn is_late(&self, now: Micros) -> bool {
-        now >= self.until
+    pub fn is_past_deadline(&self, now: Micros) -> bool {
+        now >= self.deadline
     }
 
     /// Whether it waits for its answer.
-    pub fn waits(&self) -> bool {
-        self.stage == SessionStage::Waiting
+    pub fn is_waiting(&self) -> bool {
+        self.stage == SessionStage::AwaitingAnswer
     }
 
     /// The server that it stood on before this program started.
-    pub fn home(&self) -> Option<ServerId> {
-        self.carried.as_ref().map(|c| c.home)
+    pub fn previous_server(&self) -> Option<ServerId> {
+        self.restored.as_ref().map(|c| c.server)
     }
 
     /// What it asks for, where it stood before this program started.
-    pub fn req(&self) -> Option<ReceivedRequest> {
-        self.carried.as_ref().map(|c| c.req)
+    pub fn restored_request(&self) -> Option<ReceivedRequest> {
+        self.restored.as_ref().map(|c| c.request)
     }
 
     /// The line it opened with, until it is up.
     pub fn first_line(&self) -> Option<&[u8]> {
-        self.first.as_ref().map(Buffer::held)
+        self.first_line.as_ref().map(Buffer::contents)
     }
 
     /// The id that it opened with, while that is its own.
@@ -255,172 +263,179 @@
     }
 
     /// Since when a line of the client's has gone unanswered, to be taken out by whoever answers.
-    pub fn asked(&mut self) -> &mut Option<Micros> {
-        &mut self.asked
+    pub fn unanswered_since_mut(&mut self) -> &mut Option<Micros> {
+        &mut self.unanswered_since
     }
 
     /// Since when a line of the client's has gone unanswered.
-    pub fn asked_since(&self) -> Option<Micros> {
-        self.asked
+    pub fn unanswered_since(&self) -> Option<Micros> {
+        self.unanswered_since
     }
 
     /// Whether it is to be taken up among those that tell of message delays, which is told once.
-    pub fn is_sighted(&mut self) -> bool {
-        self.asked.is_some() && !std::mem::replace(&mut self.sighted, true)
+    pub fn begin_reporting_delay(&mut self) -> bool {
+        self.unanswered_since.is_some() && !std::mem::replace(&mut self.reports_delay, true)
     }
 
     /// Whether it stays among them.
-    pub fn stays_sighted(&mut self, stays: bool) -> bool {
-        self.sighted = stays;
+    pub fn set_reports_delay(&mut self, stays: bool) -> bool {
+        self.reports_delay = stays;
         stays
     }
 
     /// Since when a line has gone unanswered for so long that the connection is dead.
-    pub fn silent_since(&self, turn: &LoopContext) -> Option<Micros> {
-        self.asked.filter(|at| turn.now >= turn.took_since(*at) + SILENT_SERVER_TIMEOUT)
+    pub fn server_silent_since(&self, turn: &LoopContext) -> Option<Micros> {
+        self.unanswered_since.filter(|at| turn.now >= turn.waiting_since(*at) + SILENT_SERVER_TIMEOUT)
     }
 
     /// Reads on for the first line; a front's commands are answered on the way.
-    pub fn opens(&mut self, now: Micros, pool: &BufferPool) -> FirstLine {
+    pub fn read_first_line(&mut self, now: Micros, pool: &BufferPool) -> FirstLine {
         for _ in 0..=MAX_PINGS_PER_READ {
-            self.link.fill(pool);
-            match self.link.line() {
+            self.connection.read_available(pool);
+            match self.connection.take_line() {
                 Ok(Some(line)) if line == b"PING" => {
-                    (self.until, self.whole_by) = (now + PING_INTERVAL_TIMEOUT, now + PING_INTERVAL_TIMEOUT);
-                    self.link.say(pool, b"PONG\r\n");
+                    (self.deadline, self.first_line_deadline) =
+                        (now + PING_INTERVAL_TIMEOUT, now + PING_INTERVAL_TIMEOUT);
+                    self.connection.send(pool, b"PONG\r\n");
                 }
                 Ok(Some(line)) => return FirstLine::Line(line),
-                Ok(None) if self.link.ended.is_some() => return FirstLine::Closed,
+                Ok(None) if self.connection.peer_close.is_some() => return FirstLine::Closed,
                 Ok(None) => {
-                    if !self.link.held().is_empty() {
+                    if !self.connection.pending_input().is_empty() {
                         // From its beginning, not from each of its pieces: those may come one by one for ever.
-                        self.whole_by = self.whole_by.min(now + FIRST_LINE_TIMEOUT);
-                        self.until = self.whole_by;
+                        self.first_line_deadline = self.first_line_deadline.min(now + FIRST_LINE_TIMEOUT);
+                        self.deadline = self.first_line_deadline;
                     }
-                    return FirstLine::Part;
+                    return FirstLine::Incomplete;
                 }
                 Err(LineTooLong) => return FirstLine::LineTooLong,
             }
         }
-        FirstLine::TooMany
+        FirstLine::TooManyPings
     }
 
     /// Looks whether a client that waits does nothing else.
-    pub fn waits_on(&mut self, pool: &BufferPool) -> WaitingActivity {
-        self.link.fill(pool);
-        if !self.link.held().is_empty() {
-            WaitingActivity::Spoke
-        } else if self.link.ended.is_some() {
-            WaitingActivity::Left
+    pub fn poll_while_waiting(&mut self, pool: &BufferPool) -> WaitingActivity {
+        self.connection.read_available(pool);
+        if !self.connection.pending_input().is_empty() {
+            WaitingActivity::SentData
+        } else if self.connection.peer_close.is_some() {
+            WaitingActivity::Closed
         } else {
-            WaitingActivity::Waits
+            WaitingActivity::Silent
         }
     }
 
     /// Its first line has come, and it waits.
-    pub(crate) fn asks(&mut self, now: Micros, pool: &BufferPool, asking: SessionRequest) {
+    pub(crate) fn begin_request(&mut self, now: Micros, pool: &BufferPool, asking: SessionRequest) {
         let mut first = pool.take();
         first.append(asking.line);
-        let carried =
-            |home| Box::new(RestoredConnection { home, req: asking.req, again: None, failed: false });
-        (self.first, self.carried) = (Some(first), asking.home.map(carried));
-        (self.stage, self.since, self.until) = (SessionStage::Waiting, now, asking.until);
+        let carried = |home| {
+            Box::new(RestoredConnection {
+                server: home,
+                request: asking.request,
+                retry_at: None,
+                has_failed: false,
+            })
+        };
+        (self.first_line, self.restored) = (Some(first), asking.previous_server.map(carried));
+        (self.stage, self.stage_since, self.deadline) = (SessionStage::AwaitingAnswer, now, asking.deadline);
         self.open_id = Some(asking.open_id);
-        self.is_of(asking.req.class);
+        self.set_class(asking.request.class);
     }
 
     /// The class that it asks for is known, whatever else is wrong with what it said.
-    pub fn is_of(&mut self, class: usize) {
-        self.class = u16::try_from(class).ok();
+    pub fn set_class(&mut self, class: usize) {
+        self.uncounted_class = u16::try_from(class).ok();
     }
 
     /// The class that it is to be counted under, which is told once.
-    pub fn is_counted(&mut self) -> Option<usize> {
-        self.class.take().map(usize::from)
+    pub fn take_uncounted_class(&mut self) -> Option<usize> {
+        self.uncounted_class.take().map(usize::from)
     }
 
     /// A server has taken it.
-    pub fn stands(&mut self) {
-        self.stage = SessionStage::Open;
-        self.first = None;
+    pub fn establish(&mut self) {
+        self.stage = SessionStage::Established;
+        self.first_line = None;
     }
 
     /// It is to move; false unless it stands and nobody has said so before.
-    pub fn moves(&mut self) -> bool {
-        let stands = self.stage == SessionStage::Open;
+    pub fn begin_migration(&mut self) -> bool {
+        let stands = self.stage == SessionStage::Established;
         if stands {
-            self.stage = SessionStage::Moving;
+            self.stage = SessionStage::Migrating;
         }
         stands
     }
 
     /// Takes in the lines that have come on a standing connection, each carried on as it is. Tells whether anything
     /// came, and whether a line is over the limit.
-    pub fn take_in(&mut self, now: Micros, pool: &BufferPool) -> (bool, Result<(), LineTooLong>) {
-        let came = self.half_open.is_none() && self.link.fill(pool);
+    pub fn read_lines(&mut self, now: Micros, pool: &BufferPool) -> (bool, Result<(), LineTooLong>) {
+        let came = self.half_open_deadline.is_none() && self.connection.read_available(pool);
         let looked = loop {
-            match self.link.look() {
-                Ok(Some(_)) => self.asked.get_or_insert(now),
+            match self.connection.inspect_line() {
+                Ok(Some(_)) => self.unanswered_since.get_or_insert(now),
                 Ok(None) => break Ok(()),
                 Err(LineTooLong) => break Err(LineTooLong),
             };
         };
-        if self.link.ended == Some(PeerClose::Fin) {
-            self.link.look_at_rest();
+        if self.connection.peer_close == Some(PeerClose::Fin) {
+            self.connection.inspect_rest();
         }
         (came, looked)
     }
 
     /// One side has finished; the rest has a limit from now on.
-    pub fn half_opens(&mut self, now: Micros) {
-        self.half_open.get_or_insert(now + HALF_OPEN_TIMEOUT);
+    pub fn begin_half_open(&mut self, now: Micros) {
+        self.half_open_deadline.get_or_insert(now + HALF_OPEN_TIMEOUT);
     }
 
     /// Whether what is left after one side's end should be over by now.
-    pub fn half_open_due(&self, now: Micros) -> bool {
-        self.half_open.is_some_and(|by| now >= by)
+    pub fn is_half_open_expired(&self, now: Micros) -> bool {
+        self.half_open_deadline.is_some_and(|by| now >= by)
     }
 
     /// An attempt to carry on a connection from before the start has failed; true if it is the first one.
-    pub fn carry_failed(&mut self, now: Micros) -> bool {
-        let Some(carried) = &mut self.carried else { return false };
-        carried.again = Some(now + RESTORE_RETRY_DELAY);
-        !std::mem::replace(&mut carried.failed, true)
+    pub fn on_restore_failed(&mut self, now: Micros) -> bool {
+        let Some(carried) = &mut self.restored else { return false };
+        carried.retry_at = Some(now + RESTORE_RETRY_DELAY);
+        !std::mem::replace(&mut carried.has_failed, true)
     }
 
     /// Whether a connection from before the start is to be tried again now, which is told once.
-    pub fn carries_again(&mut self, now: Micros) -> bool {
-        self.carried.as_mut().is_some_and(|c| c.again.take_if(|at| now >= *at).is_some())
+    pub fn take_due_restore(&mut self, now: Micros) -> bool {
+        self.restored.as_mut().is_some_and(|c| c.retry_at.take_if(|at| now >= *at).is_some())
     }
 
     /// Says its last words; its end is awaited from now on. Tells the id that it had opened with, which is free.
-    pub(crate) fn ends(&mut self, now: Micros, pool: &BufferPool, words: &[u8]) -> Option<u64> {
-        (self.stage, self.since, self.until) = (SessionStage::Closing, now, now + CLOSE_TIMEOUT);
-        (self.first, self.half_open) = (None, None);
-        self.link.say(pool, words);
+    pub(crate) fn begin_close(&mut self, now: Micros, pool: &BufferPool, words: &[u8]) -> Option<u64> {
+        (self.stage, self.stage_since, self.deadline) = (SessionStage::Closing, now, now + CLOSE_TIMEOUT);
+        (self.first_line, self.half_open_deadline) = (None, None);
+        self.connection.send(pool, words);
         self.open_id.take()
     }
 
     /// Finishes the sending and waits for the client's end, reading on: a close with unread input would become a
     /// reset and could overtake the last words.
-    pub fn ending(&mut self, pool: &BufferPool) -> CloseProgress {
+    pub fn continue_close(&mut self, pool: &BufferPool) -> CloseProgress {
         // Where the client has ended, the close says as much.
-        if self.link.flush() && self.link.ended.is_none() {
-            self.link.shut();
+        if self.connection.flush() && self.connection.peer_close.is_none() {
+            self.connection.shutdown_write();
         }
         let mut more = true;
         for _ in 0..MAX_READ_ROUNDS {
-            more = self.link.fill(pool);
-            self.dropped += self.link.held().len();
-            self.link.drop_input();
-            if !more || self.dropped > MAX_DISCARDED_BYTES {
+            more = self.connection.read_available(pool);
+            self.discarded_bytes += self.connection.pending_input().len();
+            self.connection.discard_input();
+            if !more || self.discarded_bytes > MAX_DISCARDED_BYTES {
                 break;
             }
         }
-        match self.link.ended.is_some() || self.dropped > MAX_DISCARDED_BYTES {
-            true => CloseProgress::Over,
-            false if more => CloseProgress::More,
-            false => CloseProgress::Waits,
+        match self.connection.peer_close.is_some() || self.discarded_bytes > MAX_DISCARDED_BYTES {
+            true => CloseProgress::Done,
+            false if more => CloseProgress::MoreToRead,
+            false => CloseProgress::AwaitingPeer,
         }
     }
 }
--- a/crates/balancer/src/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -22,8 +22,8 @@
     /// Boxed: the table of a large fleet has room for more than it holds.
     table: FxHashMap<RequestId, Box<Session>>,
     open_ids: OpenIds,
-    unserved: IdleConnections,
-    next: u32,
+    idle: IdleConnections,
+    next_id: u32,
 }
 
 impl Sessions {
@@ -34,7 +34,7 @@
 
     /// Takes in a client that has connected, under a number that neither a session nor whatever else is `in_use`
     /// has; none where its connection is gone already or can't be watched.
-    pub fn begin(
+    pub fn accept(
         &mut self,
         turn: &mut LoopContext,
         stream: TcpStream,
@@ -42,14 +42,14 @@
         in_use: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
         let mut link = Connection::new(stream);
-        let id = next_free_id(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
-        self.next = id.0.wrapping_add(1);
-        if !turn.poller.watch(&mut link, EventSource::Session(id)) {
+        let id = next_free_id(RequestId(self.next_id), |id| self.table.contains_key(&id) || in_use(id));
+        self.next_id = id.0.wrapping_add(1);
+        if !turn.registry.register(&mut link, EventSource::Session(id)) {
             return None;
         }
         self.table.insert(id, Box::new(Session::new(link, from, turn.now)));
-        self.unserved.opens(turn.now, id);
-        self.arm(turn, id);
+        self.idle.add_opening(turn.now, id);
+        self.schedule_timer(turn, id);
         Some(id)
     }
 
@@ -63,18 +63,18 @@
         (open_id, asked): (u64, Option<Micros>),
         in_use: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
-        let id = next_free_id(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
-        self.next = id.0.wrapping_add(1);
+        let id = next_free_id(RequestId(self.next_id), |id| self.table.contains_key(&id) || in_use(id));
+        self.next_id = id.0.wrapping_add(1);
         if !self.open_ids.claim(open_id) {
             return None;
         }
-        if !turn.poller.watch(&mut link, EventSource::Session(id)) {
-            self.open_ids.free(open_id);
+        if !turn.registry.register(&mut link, EventSource::Session(id)) {
+            self.open_ids.release(open_id);
             return None;
         }
         let session = Session::adopted(link, from, turn.now, (open_id, asked));
         self.table.insert(id, Box::new(session));
-        self.arm(turn, id);
+        self.schedule_timer(turn, id);
         Some(id)
     }
 
@@ -89,61 +89,61 @@
     }
 
     /// Sees to it that what is due of a session next is not missed. Whoever has changed its deadlines says so.
-    pub fn arm(&mut self, turn: &mut LoopContext, id: RequestId) {
+    pub fn schedule_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(s) = self.table.get_mut(&id) else { return };
-        let due = s.due(turn);
-        s.alarm.by(turn, due, TimerEvent::Session(id));
+        let due = s.next_deadline(turn);
+        s.timer.schedule_by(turn, due, TimerEvent::Session(id));
     }
 
     /// A session's timer has come; whether anything of it is due.
-    pub fn alarmed(&mut self, turn: &mut LoopContext, id: RequestId) -> bool {
+    pub fn on_timer(&mut self, turn: &mut LoopContext, id: RequestId) -> bool {
         let Some(s) = self.table.get_mut(&id) else { return false };
-        s.alarm.came();
-        let is_due = s.due(turn).is_some_and(|at| at <= turn.now);
+        s.timer.on_fired();
+        let is_due = s.next_deadline(turn).is_some_and(|at| at <= turn.now);
         if !is_due {
-            self.arm(turn, id);
+            self.schedule_timer(turn, id);
         }
         is_due
     }
 
     /// A session's first line has come; false, and nothing has changed, where an open request has its id.
-    pub fn ask(&mut self, turn: &mut LoopContext, id: RequestId, asking: SessionRequest) -> bool {
+    pub fn open_request(&mut self, turn: &mut LoopContext, id: RequestId, asking: SessionRequest) -> bool {
         let Some(s) = self.table.get_mut(&id) else { return false };
         if !self.open_ids.claim(asking.open_id) {
             return false;
         }
-        self.unserved.forget(s.since(), id);
-        s.asks(turn.now, &turn.pool, asking);
-        self.arm(turn, id);
+        self.idle.remove(s.stage_since(), id);
+        s.begin_request(turn.now, &turn.buffers, asking);
+        self.schedule_timer(turn, id);
         true
     }
 
     /// Says a session's last words and awaits its end; false if it had them before.
-    pub fn answer(&mut self, turn: &mut LoopContext, id: RequestId, words: &[u8]) -> bool {
+    pub fn begin_close(&mut self, turn: &mut LoopContext, id: RequestId, words: &[u8]) -> bool {
         let Some(s) = self.table.get_mut(&id).filter(|s| s.stage() != SessionStage::Closing) else {
             return false;
         };
-        self.unserved.forget(s.since(), id);
-        if let Some(open_id) = s.ends(turn.now, &turn.pool, words) {
-            self.open_ids.free(open_id);
+        self.idle.remove(s.stage_since(), id);
+        if let Some(open_id) = s.begin_close(turn.now, &turn.buffers, words) {
+            self.open_ids.release(open_id);
         }
-        self.unserved.ends(turn.now, id);
-        self.arm(turn, id);
+        self.idle.add_closing(turn.now, id);
+        self.schedule_timer(turn, id);
         true
     }
 
     /// Ends a session's connection, whatever is still on its way.
-    pub fn drop(&mut self, turn: &mut LoopContext, id: RequestId) {
+    pub fn remove(&mut self, turn: &mut LoopContext, id: RequestId) {
         self.take(turn, id);
     }
 
     /// Takes a session out, with its connection; its id is free.
     pub fn take(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Box<Session>> {
         let mut s = self.table.remove(&id)?;
-        s.alarm.off(turn);
-        self.unserved.forget(s.since(), id);
+        s.timer.cancel(turn);
+        self.idle.remove(s.stage_since(), id);
         if let Some(open_id) = s.open_id() {
-            self.open_ids.free(open_id);
+            self.open_ids.release(open_id);
         }
         Some(s)
     }
@@ -154,17 +154,17 @@
     }
 
     /// How many ask for nothing.
-    pub fn unserved(&self) -> usize {
-        self.unserved.len()
+    pub fn idle_count(&self) -> usize {
+        self.idle.len()
     }
 
     /// The one that can best be done without, of those that ask for nothing.
-    pub fn least_needed(&self) -> Option<RequestId> {
-        self.unserved.oldest()
+    pub fn eviction_candidate(&self) -> Option<RequestId> {
+        self.idle.oldest()
     }
 
     /// Those of a kind, by number: the order is the one in which they came.
-    pub fn those(&self, of: impl Fn(&Session) -> bool) -> Vec<RequestId> {
+    pub fn ids_where(&self, of: impl Fn(&Session) -> bool) -> Vec<RequestId> {
         let mut those: Vec<_> = self.table.iter().filter(|(_, s)| of(s)).map(|(id, _)| *id).collect();
         those.sort_unstable();
         those
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -111,7 +111,7 @@
             Ok(link) => link,
             Err(e) => return self.failed(turn, Vec::new(), &e.to_string()),
         };
-        if !turn.poller.watch(&mut link, EventSource::DiscoveryClient) {
+        if !turn.registry.register(&mut link, EventSource::DiscoveryClient) {
             return self.failed(turn, Vec::new(), "the loop takes no more connections");
         }
         (self.link, self.asked, self.answer, self.heard) = (Some(link), false, Answer::new(), turn.now);
@@ -132,9 +132,9 @@
         let mut news = Vec::new();
         self.more = false;
         let Some(link) = self.link.as_mut() else { return news };
-        link.ready(ready);
+        link.on_ready(ready);
         if !self.asked {
-            match link.connected() {
+            match link.is_connected() {
                 Ok(false) => return news,
                 Ok(true) => {}
                 Err(e) => return self.failed(turn, news, &e.to_string()),
@@ -144,19 +144,19 @@
                 "GET /v1/servers?follow=1&since={} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
                 self.index, self.at
             );
-            link.say(&turn.pool, call.as_bytes());
+            link.send(&turn.buffers, call.as_bytes());
         }
         link.flush();
         let (mut lists, mut failure) = (Vec::new(), None);
         for piece in 0.. {
-            let any = link.fill(&turn.pool);
+            let any = link.read_available(&turn.buffers);
             let (reader, incoming) = (&mut self.reader, &mut self.incoming);
             let mut part = |part| match part {
                 Part::Entry(e) => incoming.add(&e, &terms.names, terms.most_servers),
                 Part::End { index, snapshot } => lists.push(incoming.end(index, snapshot)),
             };
             let tells = &mut self.tells;
-            let took = match self.answer.take(link.held(), |text| {
+            let took = match self.answer.take(link.pending_input(), |text| {
                 *tells |= !text.is_empty();
                 reader.read(text, &mut part)
             }) {
@@ -166,12 +166,12 @@
                     break;
                 }
             };
-            link.take(took);
+            link.discard(took);
             if any && self.tells {
                 self.heard = turn.now;
             }
-            if !any || (took == 0 && link.ended.is_none()) {
-                failure = link.ended.map(|_| "the connection ended".to_owned());
+            if !any || (took == 0 && link.peer_close.is_none()) {
+                failure = link.peer_close.map(|_| "the connection ended".to_owned());
                 break;
             }
             if piece >= PIECES {
@@ -201,7 +201,7 @@
         why: &str,
     ) -> Vec<DiscoveryEvent> {
         self.link = None;
-        self.alarm.off(turn);
+        self.alarm.cancel(turn);
         if !std::mem::replace(&mut self.failing, true) {
             warn!(event = "discovery-failed", why);
         }
@@ -212,17 +212,17 @@
     /// By when the watch must have said something.
     fn due(&self, turn: &LoopContext) -> Option<Micros> {
         let limit = if self.tells { SILENT } else { FIRST };
-        self.link.as_ref().map(|_| (self.heard + limit).max(turn.judges_from()))
+        self.link.as_ref().map(|_| (self.heard + limit).max(turn.earliest_timeout()))
     }
 
     fn arm(&mut self, turn: &mut LoopContext) {
         let due = self.due(turn);
-        self.alarm.by(turn, due, TimerEvent::DiscoveryClient);
+        self.alarm.schedule_by(turn, due, TimerEvent::DiscoveryClient);
     }
 
     /// The timer has come: ends a watch that has been silent for too long.
     pub fn alarmed(&mut self, turn: &mut LoopContext) -> Vec<DiscoveryEvent> {
-        self.alarm.came();
+        self.alarm.on_fired();
         if self.due(turn).is_some_and(|due| turn.now >= due) {
             return self.failed(turn, Vec::new(), "silence");
         }
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -11,9 +11,9 @@
     turn: &mut LoopContext,
     later: Micros,
 ) -> Option<Vec<DiscoveryEvent>> {
-    turn.ends(turn.now + later);
-    turn.begin(turn.now + later);
-    turn.timers.due().map(|due| {
+    turn.end_iteration(turn.now + later);
+    turn.begin_iteration(turn.now + later);
+    turn.timers.pop_due().map(|due| {
         assert_eq!(due, TimerEvent::DiscoveryClient);
         discovery.alarmed(turn)
     })
@@ -49,12 +49,12 @@
     let (mut turn, terms) = (turn(1_000_000), Terms::few());
     assert_eq!(discovery.watch(&mut turn), []);
     let (mut call, _) = listener.accept().expect("a call");
-    turn.ends(2_000_000);
-    turn.begin(2_000_000);
+    turn.end_iteration(2_000_000);
+    turn.begin_iteration(2_000_000);
     call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4").expect("open");
     until(|| {
         assert_eq!(discovery.ready(&mut turn, &terms, READ), []);
-        discovery.link.as_ref().is_some_and(|link| link.held() == b"4")
+        discovery.link.as_ref().is_some_and(|link| link.pending_input() == b"4")
     });
     assert_eq!(alarmed(&mut discovery, &mut turn, FIRST - 1_000_001), None, "it began 1 s ago");
     assert_eq!(alarmed(&mut discovery, &mut turn, 1), Some(vec![DiscoveryEvent::Failed]));
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -44,17 +44,17 @@
     /// Where clients connect.
     pub listener: TcpListener,
     /// The other workers, if there are any.
-    pub crew: Option<Crew>,
+    pub workers: Option<Crew>,
     /// The ids that clients have opened with, at all workers.
     pub open_ids: OpenIds,
     /// What is counted for operators here.
     pub counts: Counts,
     /// Where operators call, and what all workers count, at the one that leads.
-    pub desk: Option<Opened>,
+    pub admin: Option<Opened>,
     /// Servers that are taken out by hand.
-    pub taken_out: BTreeMap<ServerId, DisabledServer>,
+    pub disabled_servers: BTreeMap<ServerId, DisabledServer>,
     /// Other processes of this balancer.
-    pub kin: Kin,
+    pub siblings: Kin,
 }
 
 /// How often accepting is tried that failed for want of descriptors or memory, or was interrupted: mostly the next call
@@ -79,110 +79,112 @@
 /// All peers, and the turn that they act in.
 #[derive(Debug)]
 pub struct EventLoop {
-    pub(crate) turn: LoopContext,
+    pub(crate) context: LoopContext,
     listener: TcpListener,
     /// The other workers, if there are any.
-    pub(crate) crew: Option<Crew>,
+    pub(crate) workers: Option<Crew>,
     /// Clients may wait at the listener of a neighbour that stalls.
-    can_help: bool,
+    can_accept_for_neighbour: bool,
     /// Clients may wait to be accepted: the last look did not show that none does.
     can_accept: bool,
     /// They are to be accepted in this turn, or the next where there are more than one turn takes.
-    accepts: bool,
+    is_accept_due: bool,
     /// The next look for room is set.
-    waits_for_room: bool,
-    pub(crate) serving: Proxy,
+    is_accept_retry_scheduled: bool,
+    pub(crate) proxy: Proxy,
     pub(crate) discovery: DiscoveryClient,
     /// Where operators call.
-    pub(crate) desk: Option<Desk>,
+    pub(crate) admin: Option<Desk>,
     /// Other processes of this balancer.
-    pub(crate) kin: Kin,
+    pub(crate) siblings: Kin,
     /// Other balancers of the fleet, where they are told.
-    pub(crate) tells: Option<Tells>,
+    pub(crate) gossip: Option<Tells>,
     /// Standing connections are to go on in another process, in this turn.
-    pub(crate) hands_over: bool,
+    pub(crate) is_handover_due: bool,
     /// What is known is to be read out, or read on, in this turn.
-    pub(crate) reads_out: bool,
+    pub(crate) is_snapshot_due: bool,
     /// When SIGTERM came.
-    pub(crate) leaving: Option<Micros>,
+    pub(crate) shutdown_started_at: Option<Micros>,
     /// It has ended, with so many clients still here.
-    done: Option<usize>,
+    clients_at_end: Option<usize>,
 }
 
 impl EventLoop {
     /// Peers of a program that listens here and asks discovery there; nobody has come yet.
     pub fn new(turn: LoopContext, at: WorkerContext, discovery: SocketAddr, terms: Terms) -> Self {
         let mut net = EventLoop {
-            turn,
+            context: turn,
             listener: at.listener,
-            crew: at.crew,
-            can_help: false,
+            workers: at.workers,
+            can_accept_for_neighbour: false,
             can_accept: true,
-            accepts: true,
-            waits_for_room: false,
-            serving: Proxy::new(terms, at.open_ids, at.counts),
+            is_accept_due: true,
+            is_accept_retry_scheduled: false,
+            proxy: Proxy::new(terms, at.open_ids, at.counts),
             discovery: DiscoveryClient::new(discovery),
-            desk: at.desk.map(Desk::from),
-            kin: at.kin,
-            tells: None,
-            hands_over: false,
-            reads_out: false,
-            leaving: None,
-            done: None,
+            admin: at.admin.map(Desk::from),
+            siblings: at.siblings,
+            gossip: None,
+            is_handover_due: false,
+            is_snapshot_due: false,
+            shutdown_started_at: None,
+            clients_at_end: None,
         };
-        net.turn.overload.set_aim(net.serving.terms.message_aim);
-        net.turn.after(DELAY_REPORT_INTERVAL, TimerEvent::Delays);
-        for (server, out) in at.taken_out {
+        net.context.overload.set_aim(net.proxy.settings.message_aim);
+        net.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
+        for (server, out) in at.disabled_servers {
             // Before anything is listed: the first list is told as it stands with them out.
-            net.serving.servers.change(AdminChange::Disabled(server, out));
+            net.proxy.servers.apply_admin_change(AdminChange::Disabled(server, out));
         }
-        net.looks_into_folder();
+        net.read_shared_folder();
         // What the old process holds is taken off the limit from the start.
-        net.kin_ready(EventSource::Predecessor);
+        net.on_sibling_ready(EventSource::Predecessor);
         net
     }
 
     /// The list that the configuration knows: whole, though it may be old.
-    pub fn list_known(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
+    pub fn restore_endpoints(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
         self.discovery.knows(known.index);
-        let terms = &self.serving.terms;
+        let terms = &self.proxy.settings;
         let known = Incoming::of(known, &terms.names, terms.most_servers);
-        self.serving.servers.take_quietly(known, terms.most_servers)
+        self.proxy.servers.load_initial_list(known, terms.most_servers)
     }
 
     /// A turn begins at this time; time never goes back.
-    pub fn begin(&mut self, now: Micros) {
-        self.turn.begin(now);
+    pub fn begin_iteration(&mut self, now: Micros) {
+        self.context.begin_iteration(now);
     }
 
     /// Puts another configuration's terms in force; connections and the list stay.
-    pub fn take_terms(&mut self, terms: Terms, discovery: SocketAddr) {
-        self.turn.overload.set_aim(terms.message_aim);
-        self.serving.take_terms(terms);
-        let news = self.discovery.moves(&mut self.turn, discovery);
-        self.news(news);
+    pub fn update_settings(&mut self, terms: Terms, discovery: SocketAddr) {
+        self.context.overload.set_aim(terms.message_aim);
+        self.proxy.update_settings(terms);
+        let news = self.discovery.moves(&mut self.context, discovery);
+        self.on_discovery_events(news);
     }
 
     /// What the loop has seen of a connection goes to whom it belongs to.
-    pub fn seen(&mut self, owner: EventSource, ready: Readiness) {
-        let turn = &mut self.turn;
+    pub fn dispatch_readiness(&mut self, owner: EventSource, ready: Readiness) {
+        let turn = &mut self.context;
         match owner {
-            EventSource::Session(id) => self.serving.on_session_ready(turn, id, ready),
-            EventSource::Attempt(id) => self.serving.on_attempt_ready(turn, id, ready),
-            EventSource::Probe(number) => self.serving.probes.ready(turn, number, ready),
+            EventSource::Session(id) => self.proxy.on_session_ready(turn, id, ready),
+            EventSource::Attempt(id) => self.proxy.on_attempt_ready(turn, id, ready),
+            EventSource::Probe(number) => self.proxy.probes.on_ready(turn, number, ready),
             EventSource::DiscoveryClient => {
-                let news = self.discovery.ready(turn, &self.serving.terms, ready);
-                self.news(news);
+                let news = self.discovery.ready(turn, &self.proxy.settings, ready);
+                self.on_discovery_events(news);
             }
             // Those who are here come first: what they do may make room, and the module should know of it.
-            EventSource::Listener => (self.can_accept, self.accepts) = (true, true),
-            EventSource::Neighbour => (self.can_help, self.accepts) = (true, true),
+            EventSource::Listener => (self.can_accept, self.is_accept_due) = (true, true),
+            EventSource::NeighbourListener => {
+                (self.can_accept_for_neighbour, self.is_accept_due) = (true, true)
+            }
             // Orders are not the peers', and who asks for what is known asks the worker.
-            EventSource::Signals | EventSource::Orders | EventSource::Successors => {}
-            EventSource::Successor(_) | EventSource::Predecessor => self.kin_ready(owner),
-            EventSource::Gossip => self.tells.iter_mut().for_each(|t| t.ready(turn.now)),
-            EventSource::Operators | EventSource::Caller(_) => {
-                self.desk.iter_mut().for_each(|d| d.door.ready(&mut self.turn, owner, ready));
+            EventSource::Signals | EventSource::WorkerMessages | EventSource::HandoverListener => {}
+            EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(owner),
+            EventSource::Gossip => self.gossip.iter_mut().for_each(|t| t.ready(turn.now)),
+            EventSource::AdminListener | EventSource::AdminConnection(_) => {
+                self.admin.iter_mut().for_each(|d| d.door.ready(&mut self.context, owner, ready));
             }
         }
     }
@@ -190,237 +192,239 @@
     /// What is to be done at the end of a turn, whatever has come. `heard` is called after each step, so that the
     /// module hears of one, and what it wants is done, before the next: a client that is accepted must not be placed
     /// by what was so before the one ahead of it.
-    pub fn finish(&mut self, mut heard: impl FnMut(&mut Self)) {
-        for id in self.serving.take_again() {
-            self.serving.goes_on(&mut self.turn, id);
+    pub fn finish_iteration(&mut self, mut heard: impl FnMut(&mut Self)) {
+        for id in self.proxy.take_unfinished() {
+            self.proxy.resume(&mut self.context, id);
             heard(self);
         }
         if self.discovery.is_busy() {
-            self.seen(EventSource::DiscoveryClient, Readiness::default());
+            self.dispatch_readiness(EventSource::DiscoveryClient, Readiness::default());
             heard(self);
         }
-        if self.kin_is_busy() {
-            self.kin_ready(EventSource::Predecessor);
+        if self.has_sibling_work() {
+            self.on_sibling_ready(EventSource::Predecessor);
             heard(self);
         }
-        if self.tells.as_ref().is_some_and(Tells::is_busy) {
-            self.seen(EventSource::Gossip, Readiness::default());
+        if self.gossip.as_ref().is_some_and(Tells::is_busy) {
+            self.dispatch_readiness(EventSource::Gossip, Readiness::default());
         }
-        while let Some(due) = self.turn.timers.due() {
-            self.due(due);
+        while let Some(due) = self.context.timers.pop_due() {
+            self.on_timer(due);
             heard(self);
         }
-        if std::mem::take(&mut self.accepts) {
-            self.accept(heard);
+        if std::mem::take(&mut self.is_accept_due) {
+            self.accept_clients(heard);
         }
-        if self.serving.is_short() {
-            self.accept_again();
+        if self.proxy.has_descriptor_shortage() {
+            self.schedule_accept_retry();
         }
-        self.look_round();
+        self.run_housekeeping();
     }
 
-    fn due(&mut self, due: TimerEvent) {
-        let turn = &mut self.turn;
+    fn on_timer(&mut self, due: TimerEvent) {
+        let turn = &mut self.context;
         match due {
-            TimerEvent::Module(token) => turn.emit(NetworkEvent::TimerFired(token)),
-            TimerEvent::Session(id) => self.serving.on_session_timer(turn, id),
-            TimerEvent::Attempt(id) => self.serving.on_attempt_timer(turn, id),
-            TimerEvent::Dial(id) => self.serving.dial_again(turn, id),
-            TimerEvent::Probe(number) => self.serving.probes.alarmed(turn, number),
+            TimerEvent::Driver(token) => turn.emit(NetworkEvent::TimerFired(token)),
+            TimerEvent::Session(id) => self.proxy.on_session_timer(turn, id),
+            TimerEvent::Attempt(id) => self.proxy.on_attempt_timer(turn, id),
+            TimerEvent::RetryDial(id) => self.proxy.retry_dial(turn, id),
+            TimerEvent::Probe(number) => self.proxy.probes.on_timer(turn, number),
             TimerEvent::DiscoveryClient => {
                 let news = self.discovery.alarmed(turn);
-                self.news(news);
+                self.on_discovery_events(news);
             }
             TimerEvent::Accept => {
-                self.accepts = self.can_accept || self.can_help;
-                self.waits_for_room = false;
-                if self.serving.has_room() {
-                    self.serving.note_short(false);
+                self.is_accept_due = self.can_accept || self.can_accept_for_neighbour;
+                self.is_accept_retry_scheduled = false;
+                if self.proxy.has_capacity() {
+                    self.proxy.set_descriptor_shortage(false);
                 }
             }
-            TimerEvent::LogRateLimiter => self.serving.complaints_due(turn.now),
-            TimerEvent::Leave => self.leave(),
-            TimerEvent::Delays => {
+            TimerEvent::LogRateLimiter => self.proxy.flush_log_limiter(turn.now),
+            TimerEvent::ShutdownStep => self.on_shutdown_step(),
+            TimerEvent::ReportDelays => {
                 // What is still to be read would look like a delay.
-                if turn.now >= turn.judges_from() {
-                    self.serving.report_delays(turn);
+                if turn.now >= turn.earliest_timeout() {
+                    self.proxy.report_delays(turn);
                 }
-                turn.after(DELAY_REPORT_INTERVAL, TimerEvent::Delays);
+                turn.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
+            }
+            TimerEvent::Gossip => self.gossip.iter_mut().for_each(|t| t.alarmed(turn)),
+            TimerEvent::ReadSharedFolder => self.read_shared_folder(),
+            TimerEvent::NotifySuccessors => self.notify_successors(),
+            TimerEvent::MigrationBatch => self.proxy.run_migration_batch(turn),
+            TimerEvent::AdminConnection(number) => {
+                self.admin.iter_mut().for_each(|d| d.door.alarmed(turn, number))
             }
-            TimerEvent::Gossip => self.tells.iter_mut().for_each(|t| t.alarmed(turn)),
-            TimerEvent::Folder => self.looks_into_folder(),
-            TimerEvent::Kin => self.tells_successors(),
-            TimerEvent::Leaves => self.serving.leave_some(turn),
-            TimerEvent::Caller(number) => self.desk.iter_mut().for_each(|d| d.door.alarmed(turn, number)),
-            TimerEvent::Snapshot => self.reads_out = true,
-            TimerEvent::Door => self
-                .desk
+            TimerEvent::Snapshot => self.is_snapshot_due = true,
+            TimerEvent::AdminAccept => self
+                .admin
                 .iter_mut()
-                .for_each(|d| d.door.ready(turn, EventSource::Operators, Readiness::default())),
+                .for_each(|d| d.door.ready(turn, EventSource::AdminListener, Readiness::default())),
         }
     }
 
     /// The turn has ended at this time: when there is something to do again though nothing comes, which may be now.
-    pub fn ends(&mut self, now: Micros) -> Micros {
-        self.turn.overload.turn(self.turn.now, now, self.accepts);
-        self.serving.note_held();
-        let calls = self.desk.as_ref().is_some_and(|d| d.door.is_busy());
-        let next = match self.serving.is_busy()
+    pub fn end_iteration(&mut self, now: Micros) -> Micros {
+        self.context.overload.record_iteration(self.context.now, now, self.is_accept_due);
+        self.proxy.publish_gauges();
+        let calls = self.admin.as_ref().is_some_and(|d| d.door.is_busy());
+        let next = match self.proxy.has_unfinished()
             || self.discovery.is_busy()
-            || self.accepts
+            || self.is_accept_due
             || calls
-            || self.kin_is_busy()
-            || self.tells.as_ref().is_some_and(Tells::is_busy)
+            || self.has_sibling_work()
+            || self.gossip.as_ref().is_some_and(Tells::is_busy)
         {
-            true => self.turn.now,
-            false => self.turn.timers.next().unwrap_or(self.turn.now + MAX_WAIT),
+            true => self.context.now,
+            false => self.context.timers.next_deadline().unwrap_or(self.context.now + MAX_WAIT),
         };
-        self.turn.ends(next);
-        if let Some(crew) = &self.crew {
-            crew.turns(self.serving.clients(), next);
+        self.context.end_iteration(next);
+        if let Some(crew) = &self.workers {
+            crew.turns(self.proxy.client_count(), next);
         }
         next
     }
 
     /// Everybody has left, or so many were here still: the loop ends.
     pub fn is_done(&self) -> Option<usize> {
-        self.done
+        self.clients_at_end
     }
 
     /// Those who wait at the listener are looked for again.
-    pub(crate) fn accepts_again(&mut self) {
-        (self.can_accept, self.accepts) = (true, true);
+    pub(crate) fn resume_accepting(&mut self) {
+        (self.can_accept, self.is_accept_due) = (true, true);
     }
 
-    fn accept(&mut self, mut heard: impl FnMut(&mut Self)) {
-        if self.leaving.is_some() && self.serving.has_successor {
+    fn accept_clients(&mut self, mut heard: impl FnMut(&mut Self)) {
+        if self.shutdown_started_at.is_some() && self.proxy.has_successor {
             // Those who wait are the other process's, which has the same listener.
             return;
         }
-        for _ in 0..self.turn.overload.accepts() {
-            if !self.can_accept && !self.can_help {
+        for _ in 0..self.context.overload.accepts() {
+            if !self.can_accept && !self.can_accept_for_neighbour {
                 break;
             }
             // DisabledServer of descriptors, clients wait in the backlog.
-            if !self.serving.may_accept() {
-                self.serving.note_short(true);
-                return self.accept_again();
+            if !self.proxy.can_accept() {
+                self.proxy.set_descriptor_shortage(true);
+                return self.schedule_accept_retry();
             }
-            match self.next_client() {
+            match self.accept_next() {
                 Ok((stream, from)) => {
-                    self.client_comes(stream, from);
+                    self.assign_client(stream, from);
                     heard(self);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    (self.can_accept, self.can_help) = (false, false);
+                    (self.can_accept, self.can_accept_for_neighbour) = (false, false);
                 }
                 Err(e) if is_shortage(&e) => {
-                    self.serving.note_short(true);
-                    return self.accept_again();
+                    self.proxy.set_descriptor_shortage(true);
+                    return self.schedule_accept_retry();
                 }
                 // The client gave up while it waited, or a signal came; the next one may be fine.
                 Err(e) if is_transient(&e) => {}
                 // An error that stays must not become a busy loop.
                 Err(e) => {
                     error!(event = "accept-failed", error = %e);
-                    return self.accept_again();
+                    return self.schedule_accept_retry();
                 }
             }
         }
         // A flood must not keep the loop busy with turning clients away.
-        match self.serving.has_room() {
-            true => self.accepts = self.can_accept || self.can_help,
-            false => self.accept_again(),
+        match self.proxy.has_capacity() {
+            true => self.is_accept_due = self.can_accept || self.can_accept_for_neighbour,
+            false => self.schedule_accept_retry(),
         }
     }
 
-    fn accept_again(&mut self) {
-        if !std::mem::replace(&mut self.waits_for_room, true) {
-            self.turn.after(ACCEPT_RETRY_DELAY, TimerEvent::Accept);
+    fn schedule_accept_retry(&mut self) {
+        if !std::mem::replace(&mut self.is_accept_retry_scheduled, true) {
+            self.context.schedule_after(ACCEPT_RETRY_DELAY, TimerEvent::Accept);
         }
     }
 
     /// Discovery's news, for all workers.
-    fn news(&mut self, news: Vec<DiscoveryEvent>) {
+    fn on_discovery_events(&mut self, news: Vec<DiscoveryEvent>) {
         for news in news {
-            if let Some(crew) = &self.crew {
+            if let Some(crew) = &self.workers {
                 crew.tell_others(|_| Order::DiscoveryEvent(news.clone()));
             }
-            self.listed(news);
+            self.apply_discovery_event(news);
         }
     }
 
-    fn listed(&mut self, news: DiscoveryEvent) {
+    fn apply_discovery_event(&mut self, news: DiscoveryEvent) {
         let event = match news {
             DiscoveryEvent::List(list) => {
                 let full = list.snapshot;
-                let entries = self.serving.take_list(list, WallClock::read(self.turn.now));
+                let entries = self.proxy.apply_endpoint_list(list, WallClock::read(self.context.now));
                 NetworkEvent::EndpointListReceived { full, cached: false, entries }
             }
             DiscoveryEvent::Failed => NetworkEvent::DiscoveryFailed,
         };
-        self.turn.emit(event);
+        self.context.emit(event);
     }
 
     /// The planned end begins.
-    pub fn stop_soon(&mut self) {
-        if self.leaving.is_none() {
-            self.leaving = Some(self.turn.now);
-            self.hears_successors();
-            let (sessions, waiting) = self.serving.close();
-            let worker = self.crew.as_ref().map(Crew::me);
-            let successor = self.serving.has_successor;
+    pub fn begin_shutdown(&mut self) {
+        if self.shutdown_started_at.is_none() {
+            self.shutdown_started_at = Some(self.context.now);
+            self.poll_successors();
+            let (sessions, waiting) = self.proxy.begin_shutdown();
+            let worker = self.workers.as_ref().map(Crew::me);
+            let successor = self.proxy.has_successor;
             info!(event = "leaving", worker, sessions, waiting, successor);
-            self.turn.after(SHUTDOWN_STEP_INTERVAL, TimerEvent::Leave);
-            self.hands_over = successor;
+            self.context.schedule_after(SHUTDOWN_STEP_INTERVAL, TimerEvent::ShutdownStep);
+            self.is_handover_due = successor;
         }
     }
 
     /// The steps of a planned end: accept and answer, move everybody, answer who still waits, go.
-    fn leave(&mut self) {
-        let Some(since) = self.leaving.map(|at| self.turn.now - at) else { return };
-        let give_up = &self.serving.terms.give_up;
-        let has_successor = self.serving.has_successor;
+    fn on_shutdown_step(&mut self) {
+        let Some(since) = self.shutdown_started_at.map(|at| self.context.now - at) else { return };
+        let give_up = &self.proxy.settings.give_up;
+        let has_successor = self.proxy.has_successor;
         let shutdown = if has_successor {
             ShutdownSchedule::with_successor(give_up)
         } else {
             ShutdownSchedule::new(give_up)
         };
         if since >= shutdown.answers {
-            self.serving.answer_waiting(&mut self.turn, since >= shutdown.last_call);
+            self.proxy.answer_waiting_clients(&mut self.context, since >= shutdown.last_call);
         }
         if since >= shutdown.move_from {
-            self.serving.move_some(
-                &mut self.turn,
+            self.proxy.migrate_batch(
+                &mut self.context,
                 shutdown.move_until.saturating_sub(since) / SHUTDOWN_STEP_INTERVAL,
             );
         }
-        self.hands_over = has_successor;
+        self.is_handover_due = has_successor;
         // What other workers have given before they ended is theirs no more.
-        while let Some(order) = self.next_order() {
-            self.order(order);
+        while let Some(order) = self.next_message() {
+            self.on_message(order);
         }
-        let waits = self.on_their_way() > 0
-            || (has_successor && self.crew.as_ref().is_some_and(|crew| crew.leads() && !crew.is_alone()));
-        let clients = self.serving.clients() + usize::from(waits);
+        let waits = self.connections_in_transfer() > 0
+            || (has_successor && self.workers.as_ref().is_some_and(|crew| crew.leads() && !crew.is_alone()));
+        let clients = self.proxy.client_count() + usize::from(waits);
         let over = clients == 0 && (has_successor || since >= LEAVE_AFTER + SHUTDOWN_STEP_INTERVAL);
         // Whoever waits at the listener would be cut off with it.
-        if since >= shutdown.last || (over && (has_successor || !self.more_come())) {
-            self.serving.log_totals();
-            self.done = Some(clients);
+        if since >= shutdown.last || (over && (has_successor || !self.accept_last_client())) {
+            self.proxy.log_totals();
+            self.clients_at_end = Some(clients);
         }
-        self.turn.after(SHUTDOWN_STEP_INTERVAL, TimerEvent::Leave);
+        self.context.schedule_after(SHUTDOWN_STEP_INTERVAL, TimerEvent::ShutdownStep);
     }
 }
 
 impl EventLoop {
     /// Takes in a client that waits at the listener; false where none does. Others are accepted in this turn and the next.
     /// Where accepting fails, someone may wait all the same.
-    fn more_come(&mut self) -> bool {
-        self.accepts_again();
-        match self.next_client() {
+    fn accept_last_client(&mut self) -> bool {
+        self.resume_accepting();
+        match self.accept_next() {
             Ok((stream, from)) => {
-                self.client_comes(stream, from);
+                self.assign_client(stream, from);
                 true
             }
             Err(e) => e.kind() != io::ErrorKind::WouldBlock,
@@ -431,91 +435,91 @@
 /// Other workers.
 impl EventLoop {
     /// The next order, to be carried out by [`EventLoop::order`] unless it is a configuration.
-    pub fn next_order(&self) -> Option<Order> {
-        self.crew.as_ref().and_then(Crew::next)
+    pub fn next_message(&self) -> Option<Order> {
+        self.workers.as_ref().and_then(Crew::next)
     }
 
     /// Carries out what another worker wants.
-    pub fn order(&mut self, order: Order) {
+    pub fn on_message(&mut self, order: Order) {
         match order {
-            Order::Client(stream, from) => self.serving.client_comes(&mut self.turn, stream, from),
-            Order::DiscoveryEvent(news) => self.listed(news),
+            Order::Client(stream, from) => self.proxy.accept_client(&mut self.context, stream, from),
+            Order::DiscoveryEvent(news) => self.apply_discovery_event(news),
             Order::Watch => self.watch_endpoints(),
-            Order::Probe(other, server) => self.check_on(server, Some(other)),
-            Order::Changed(change) => self.changes(change),
-            Order::OthersHold(descriptors) => self.serving.others_hold(descriptors),
-            Order::Successor(has) => self.has_successor(has),
-            Order::Probed(server, outcome) => self.turn.emit(NetworkEvent::ProbeEnded(server, outcome)),
-            Order::Stop => self.stop_soon(),
-            Order::GoesAlong(handed) => self.goes_along(*handed),
+            Order::Probe(other, server) => self.begin_probe(server, Some(other)),
+            Order::Changed(change) => self.apply_admin_change(change),
+            Order::OthersHold(descriptors) => self.proxy.set_sibling_descriptors(descriptors),
+            Order::Successor(has) => self.set_has_successor(has),
+            Order::Probed(server, outcome) => self.context.emit(NetworkEvent::ProbeEnded(server, outcome)),
+            Order::Stop => self.begin_shutdown(),
+            Order::GoesAlong(handed) => self.queue_for_transfer(*handed),
             Order::Stands(handed) => {
                 let from = handed.0.client;
-                self.stands_here(*handed, from);
+                self.adopt_transferred(*handed, from);
             }
             Order::Config(_) => {}
         }
     }
 
     /// Gives all others an order.
-    pub fn tell_others(&self, order: impl Fn(usize) -> Order) {
-        if let Some(crew) = &self.crew {
+    pub fn broadcast(&self, order: impl Fn(usize) -> Order) {
+        if let Some(crew) = &self.workers {
             crew.tell_others(order);
         }
     }
 
-    fn check_on(&mut self, server: ServerId, other: Option<usize>) {
-        let address = self.serving.servers.address(server).filter(|_| self.serving.has_room());
-        self.serving.probes.begin(&mut self.turn, server, address, other);
+    fn begin_probe(&mut self, server: ServerId, other: Option<usize>) {
+        let address = self.proxy.servers.address(server).filter(|_| self.proxy.has_capacity());
+        self.proxy.probes.begin(&mut self.context, server, address, other);
     }
 
     /// The next client that waits here, or at a neighbour that stalls.
-    fn next_client(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
+    fn accept_next(&mut self) -> io::Result<(TcpStream, SocketAddr)> {
         if self.can_accept {
             match accept_with_retries(&self.listener) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.can_accept = false,
                 accepted => return accepted,
             }
         }
-        match self.crew.as_ref().and_then(Crew::helped) {
-            Some(listener) if self.can_help => accept_with_retries(listener),
+        match self.workers.as_ref().and_then(Crew::helped) {
+            Some(listener) if self.can_accept_for_neighbour => accept_with_retries(listener),
             _ => Err(io::ErrorKind::WouldBlock.into()),
         }
     }
 
     /// Takes in a client that has connected, unless another worker has far fewer.
-    fn client_comes(&mut self, stream: TcpStream, from: SocketAddr) {
+    fn assign_client(&mut self, stream: TcpStream, from: SocketAddr) {
         let better = self
-            .crew
+            .workers
             .as_ref()
-            .and_then(|crew| Some((crew, crew.better(self.turn.now, self.serving.clients())?)));
+            .and_then(|crew| Some((crew, crew.better(self.context.now, self.proxy.client_count())?)));
         let left = match better {
             Some((crew, who)) => crew.tell(who, Order::Client(stream, from)).err(),
             None => Some(Order::Client(stream, from)),
         };
         if let Some(Order::Client(stream, from)) = left {
-            self.serving.client_comes(&mut self.turn, stream, from);
+            self.proxy.accept_client(&mut self.context, stream, from);
         }
     }
 
     /// Tells other workers of their probes, and looks after the neighbour.
-    fn look_round(&mut self) {
-        let Some(crew) = &mut self.crew else { return };
-        for (who, server, outcome) in self.serving.probes.take_for_others() {
+    fn run_housekeeping(&mut self) {
+        let Some(crew) = &mut self.workers else { return };
+        for (who, server, outcome) in self.proxy.probes.take_worker_results() {
             // Who has ended needs nothing.
             let _ = crew.tell(who, Order::Probed(server, outcome));
         }
         // When the whole machine stood still, everybody seems to have stalled.
-        if self.turn.now < self.turn.judges_from() {
+        if self.context.now < self.context.earliest_timeout() {
             return;
         }
-        let poller = &self.turn.poller;
-        let (helps, done) = match crew.looks_after(self.turn.now) {
-            Some(Help::Begins(listener)) => (true, poller.help(listener)),
-            Some(Help::Ends(listener)) => (false, poller.help_no_more(listener)),
+        let poller = &self.context.registry;
+        let (helps, done) = match crew.looks_after(self.context.now) {
+            Some(Help::Begins(listener)) => (true, poller.register_neighbour_listener(listener)),
+            Some(Help::Ends(listener)) => (false, poller.deregister_neighbour_listener(listener)),
             None => return,
         };
         // Those who wait there already are no news to the loop.
-        (self.can_help, self.accepts) = (helps, self.accepts || helps);
+        (self.can_accept_for_neighbour, self.is_accept_due) = (helps, self.is_accept_due || helps);
         if let Err(e) = done {
             error!(event = "cannot-help", error = %e);
         }
@@ -524,57 +528,57 @@
 
 impl Effects for EventLoop {
     fn now(&self) -> Micros {
-        self.turn.now
+        self.context.now
     }
 
     fn next_event(&mut self) -> Option<NetworkEvent> {
-        self.turn.next()
+        self.context.next_event()
     }
 
     fn begin_attempt(&mut self, req: RequestId, server: ServerId, patience: Micros) {
-        self.serving.begin_attempt(&mut self.turn, req, server, patience);
+        self.proxy.begin_attempt(&mut self.context, req, server, patience);
     }
 
     fn cancel_attempt(&mut self, req: RequestId) {
-        self.serving.end_attempt(&mut self.turn, req, Outcome::Cancelled);
+        self.proxy.end_attempt(&mut self.context, req, Outcome::Cancelled);
     }
 
     fn reject(&mut self, req: RequestId, after: Micros) {
-        self.serving.answer(&mut self.turn, req, Answer::Refused { after }, Cause::Decision);
+        self.proxy.answer(&mut self.context, req, Answer::Refused { after }, Cause::Decision);
     }
 
     fn fail(&mut self, req: RequestId) {
-        self.serving.answer(&mut self.turn, req, Answer::Failed, Cause::Decision);
+        self.proxy.answer(&mut self.context, req, Answer::Failed, Cause::Decision);
     }
 
     fn migrate(&mut self, req: RequestId) {
-        self.serving.asks_to_move(&mut self.turn, req);
+        self.proxy.request_migration(&mut self.context, req);
     }
 
     fn probe(&mut self, server: ServerId) {
-        match &self.crew {
+        match &self.workers {
             Some(crew) if !crew.leads() => {
                 if crew.tell(0, Order::Probe(crew.me(), server)).is_err() {
-                    self.turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
+                    self.context.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
                 }
             }
-            _ => self.check_on(server, None),
+            _ => self.begin_probe(server, None),
         }
     }
 
     fn watch_endpoints(&mut self) {
-        match &self.crew {
+        match &self.workers {
             // Without the one that leads, the whole process is about to end.
             Some(crew) if !crew.leads() => drop(crew.tell(0, Order::Watch)),
             _ => {
-                let news = self.discovery.watch(&mut self.turn);
-                self.news(news);
+                let news = self.discovery.watch(&mut self.context);
+                self.on_discovery_events(news);
             }
         }
     }
 
     fn set_timer(&mut self, after: Micros, token: u64) {
-        self.turn.after(after, TimerEvent::Module(token));
+        self.context.schedule_after(after, TimerEvent::Driver(token));
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/balancer/src/event_loop/iteration.rs
+++ b/crates/balancer/src/event_loop/iteration.rs
@@ -17,13 +17,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
     /// The module asked to be woken with this token.
-    Module(u64),
+    Driver(u64),
     /// Something of a client session's may be due.
     Session(RequestId),
     /// A attempt should have come further by now.
     Attempt(RequestId),
     /// A connection that this machine could not begin is tried again.
-    Dial(RequestId),
+    RetryDial(RequestId),
     /// A probe should be over by now.
     Probe(u64),
     /// The discovery may have been silent for too long.
@@ -31,21 +31,21 @@
     /// Clients that could not be accepted may be by now.
     Accept,
     /// Message delays are reported.
-    Delays,
+    ReportDelays,
     /// Log lines were left out.
     LogRateLimiter,
     /// The next step of a planned end.
-    Leave,
+    ShutdownStep,
     /// An operator that has not come further by now has to go.
-    Caller(u64),
+    AdminConnection(u64),
     /// What other processes of this balancer have changed is looked for.
-    Folder,
+    ReadSharedFolder,
     /// More clients leave servers that were taken out.
-    Leaves,
+    MigrationBatch,
     /// Other processes of this balancer are told what this one holds.
-    Kin,
+    NotifySuccessors,
     /// Operators that could not be accepted may be by now.
-    Door,
+    AdminAccept,
     /// Other balancers are told.
     Gossip,
     /// What is known is read out, or read on.
@@ -59,21 +59,21 @@
 
 impl TimerHandle {
     /// Has the timer come by then at the latest; nothing where nothing is due.
-    pub fn by(&mut self, turn: &mut LoopContext, when: Option<Micros>, due: TimerEvent) {
+    pub fn schedule_by(&mut self, turn: &mut LoopContext, when: Option<Micros>, due: TimerEvent) {
         let Some(when) = when else { return };
         if self.0.is_none_or(|(at, _)| at > when) {
-            self.off(turn);
-            self.0 = Some((when, turn.timers.set(when, due)));
+            self.cancel(turn);
+            self.0 = Some((when, turn.timers.schedule(when, due)));
         }
     }
 
     /// The timer has come.
-    pub fn came(&mut self) {
+    pub fn on_fired(&mut self) {
         self.0 = None;
     }
 
     /// Takes the timer back.
-    pub fn off(&mut self, turn: &mut LoopContext) {
+    pub fn cancel(&mut self, turn: &mut LoopContext) {
         if let Some((_, key)) = self.0.take() {
             turn.timers.cancel(key);
         }
@@ -93,18 +93,18 @@
     /// The time, read once a turn.
     pub now: Micros,
     /// Where buffers come from.
-    pub pool: BufferPool,
+    pub buffers: BufferPool,
     /// Watches connections.
-    pub poller: SourceRegistry,
+    pub registry: SourceRegistry,
     /// What is due when.
     pub timers: TimerWheel<TimerEvent>,
     /// What the loop can take on.
     pub overload: OverloadMonitor,
     events: VecDeque<NetworkEvent>,
     /// When the next turn is to begin at the latest.
-    next: Micros,
+    next_iteration_by: Micros,
     /// When it went on after it had been held up last.
-    resumed: Micros,
+    resumed_at: Micros,
 }
 
 impl LoopContext {
@@ -112,13 +112,13 @@
     pub fn new(poller: SourceRegistry, now: Micros) -> Self {
         LoopContext {
             now,
-            pool: BufferPool::default(),
-            poller,
+            buffers: BufferPool::default(),
+            registry: poller,
             timers: TimerWheel::new(now),
             overload: OverloadMonitor::new(now),
             events: VecDeque::new(),
-            next: now,
-            resumed: 0,
+            next_iteration_by: now,
+            resumed_at: 0,
         }
     }
 
@@ -128,40 +128,40 @@
     }
 
     /// The next thing that happened.
-    pub fn next(&mut self) -> Option<NetworkEvent> {
+    pub fn next_event(&mut self) -> Option<NetworkEvent> {
         self.events.pop_front()
     }
 
     /// The turn begins at this time; time never goes back.
-    pub fn begin(&mut self, now: Micros) {
-        let late = now.saturating_sub(self.next.max(self.now));
+    pub fn begin_iteration(&mut self, now: Micros) {
+        let late = now.saturating_sub(self.next_iteration_by.max(self.now));
         self.now = self.now.max(now);
         self.timers.advance(self.now);
         if late >= STALL_THRESHOLD {
             // Guards against a storm of wrong verdicts: that nothing was heard was nobody's silence but its own.
-            self.resumed = self.now;
+            self.resumed_at = self.now;
             warn!(event = "held-up", ms = late / 1000);
         }
     }
 
     /// The next turn begins by then, if the machine lets it.
-    pub fn ends(&mut self, next: Micros) {
-        self.next = next;
+    pub fn end_iteration(&mut self, next: Micros) {
+        self.next_iteration_by = next;
     }
 
     /// From when on peers are judged by their silence: a deadline of theirs that comes before is put off to then.
-    pub fn judges_from(&self) -> Micros {
-        if self.resumed > 0 { self.resumed + GRACE_AFTER_STALL } else { 0 }
+    pub fn earliest_timeout(&self) -> Micros {
+        if self.resumed_at > 0 { self.resumed_at + GRACE_AFTER_STALL } else { 0 }
     }
 
     /// Since when a peer that was asked then has taken its time: for as long as nobody was heard it has not.
-    pub fn took_since(&self, asked: Micros) -> Micros {
-        asked.max(self.resumed)
+    pub fn waiting_since(&self, asked: Micros) -> Micros {
+        asked.max(self.resumed_at)
     }
 
     /// Sets a timer, so long from now.
-    pub fn after(&mut self, wait: Micros, due: TimerEvent) -> TimerKey {
-        self.timers.set(self.now.saturating_add(wait), due)
+    pub fn schedule_after(&mut self, wait: Micros, due: TimerEvent) -> TimerKey {
+        self.timers.schedule(self.now.saturating_add(wait), due)
     }
 }
 
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -33,15 +33,15 @@
     /// Signals of the system's.
     Signals,
     /// Orders of other workers.
-    Orders,
+    WorkerMessages,
     /// The listener of a worker that stalls.
-    Neighbour,
+    NeighbourListener,
     /// The door at which operators call.
-    Operators,
+    AdminListener,
     /// The operator's connection of this number.
-    Caller(u64),
+    AdminConnection(u64),
     /// The socket at which new processes of this balancer ask.
-    Successors,
+    HandoverListener,
     /// The one of this number, which has asked.
     Successor(u64),
     /// The process that this one has asked.
@@ -56,11 +56,11 @@
 
 impl EventSource {
     /// Whether it is looked at before clients are: operators wait for one turn at most, whatever the load.
-    pub fn comes_first(self) -> bool {
-        matches!(self, EventSource::Operators | EventSource::Caller(_))
+    pub fn is_prioritized(self) -> bool {
+        matches!(self, EventSource::AdminListener | EventSource::AdminConnection(_))
     }
 
-    fn token(self) -> Token {
+    fn to_token(self) -> Token {
         let (kind, number) = match self {
             EventSource::Session(id) => (0, u64::from(id.0)),
             EventSource::Attempt(id) => (1, u64::from(id.0)),
@@ -68,11 +68,11 @@
             EventSource::DiscoveryClient => (3, 0),
             EventSource::Listener => (4, 0),
             EventSource::Signals => (5, 0),
-            EventSource::Orders => (6, 0),
-            EventSource::Neighbour => (7, 0),
-            EventSource::Operators => (8, 0),
-            EventSource::Caller(number) => (9, number),
-            EventSource::Successors => (10, 0),
+            EventSource::WorkerMessages => (6, 0),
+            EventSource::NeighbourListener => (7, 0),
+            EventSource::AdminListener => (8, 0),
+            EventSource::AdminConnection(number) => (9, number),
+            EventSource::HandoverListener => (10, 0),
             EventSource::Successor(number) => (11, number),
             EventSource::Predecessor => (12, 0),
             EventSource::Gossip => (13, 0),
@@ -80,7 +80,7 @@
         Token((kind << KIND_SHIFT | number) as usize)
     }
 
-    fn of(token: Token) -> EventSource {
+    fn from_token(token: Token) -> EventSource {
         let number = token.0 as u64 & ((1 << KIND_SHIFT) - 1);
         match token.0 as u64 >> KIND_SHIFT {
             0 => EventSource::Session(RequestId(number as u32)),
@@ -89,11 +89,11 @@
             3 => EventSource::DiscoveryClient,
             4 => EventSource::Listener,
             5 => EventSource::Signals,
-            6 => EventSource::Orders,
-            7 => EventSource::Neighbour,
-            8 => EventSource::Operators,
-            9 => EventSource::Caller(number),
-            10 => EventSource::Successors,
+            6 => EventSource::WorkerMessages,
+            7 => EventSource::NeighbourListener,
+            8 => EventSource::AdminListener,
+            9 => EventSource::AdminConnection(number),
+            10 => EventSource::HandoverListener,
             11 => EventSource::Successor(number),
             12 => EventSource::Predecessor,
             _ => EventSource::Gossip,
@@ -105,22 +105,26 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Readiness {
     /// Something can be read.
-    pub read: bool,
+    pub is_readable: bool,
     /// Something can be written, or the connect has failed.
-    pub write: bool,
+    pub is_writable: bool,
     /// The peer has ended its side or the connection broke: reading on comes to that.
-    pub ends: bool,
+    pub is_closed: bool,
 }
 
 impl Readiness {
     /// Something may be there to be read of which the loop has not told yet.
-    pub const READ: Readiness = Readiness { read: true, write: false, ends: false };
+    pub const READ: Readiness = Readiness { is_readable: true, is_writable: false, is_closed: false };
 }
 
 impl From<&Event> for Readiness {
     fn from(event: &Event) -> Self {
         let ends = event.is_read_closed() || event.is_error();
-        Readiness { read: event.is_readable() || ends, write: event.is_writable() || event.is_error(), ends }
+        Readiness {
+            is_readable: event.is_readable() || ends,
+            is_writable: event.is_writable() || event.is_error(),
+            is_closed: ends,
+        }
     }
 }
 
@@ -138,13 +142,13 @@
     }
 
     /// What has connections watched.
-    pub fn poller(&self) -> io::Result<SourceRegistry> {
+    pub fn registry(&self) -> io::Result<SourceRegistry> {
         Ok(SourceRegistry(self.poll.registry().try_clone()?))
     }
 
     /// What wakes the loop for orders.
     pub fn waker(&self) -> io::Result<Waker> {
-        Waker::new(self.poll.registry(), EventSource::Orders.token())
+        Waker::new(self.poll.registry(), EventSource::WorkerMessages.to_token())
     }
 
     /// Waits until something has come, at most so long, rounded up to whole milliseconds.
@@ -156,8 +160,8 @@
     }
 
     /// What has come; owners may be gone by now.
-    pub fn seen(&self) -> impl Iterator<Item = (EventSource, Readiness)> + Clone {
-        self.events.iter().map(|event| (EventSource::of(event.token()), Readiness::from(event)))
+    pub fn events(&self) -> impl Iterator<Item = (EventSource, Readiness)> + Clone {
+        self.events.iter().map(|event| (EventSource::from_token(event.token()), Readiness::from(event)))
     }
 }
 
@@ -168,37 +172,37 @@
 impl SourceRegistry {
     /// Has the loop watch a connection; false where it can't. Edge-triggered, for both directions and from start
     /// to end: the link remembers what it is ready for. Its end is the end of the watch.
-    pub fn watch(&self, link: &mut Connection, owner: EventSource) -> bool {
-        self.0.register(link.stream(), owner.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
+    pub fn register(&self, link: &mut Connection, owner: EventSource) -> bool {
+        self.0.register(link.stream(), owner.to_token(), Interest::READABLE | Interest::WRITABLE).is_ok()
     }
 
     /// No longer, though its other side goes on elsewhere.
-    pub fn unwatch(&self, link: &mut Connection) {
+    pub fn deregister(&self, link: &mut Connection) {
         // Fails only where it was not watched.
         let _ = self.0.deregister(link.stream());
     }
 
     /// The same for what is no link.
-    pub fn watch_source(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
-        self.0.register(source, owner.token(), Interest::READABLE | Interest::WRITABLE)
+    pub fn register_source(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
+        self.0.register(source, owner.to_token(), Interest::READABLE | Interest::WRITABLE)
     }
 
     /// Has the loop watch something that is only read.
-    pub fn listen(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
-        self.0.register(source, owner.token(), Interest::READABLE)
+    pub fn register_readable(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
+        self.0.register(source, owner.to_token(), Interest::READABLE)
     }
 
     /// Has the loop watch another worker's listener.
-    pub fn help(&self, listener: &impl AsRawFd) -> io::Result<()> {
+    pub fn register_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.0.register(
             &mut SourceFd(&listener.as_raw_fd()),
-            EventSource::Neighbour.token(),
+            EventSource::NeighbourListener.to_token(),
             Interest::READABLE,
         )
     }
 
     /// No longer.
-    pub fn help_no_more(&self, listener: &impl AsRawFd) -> io::Result<()> {
+    pub fn deregister_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.0.deregister(&mut SourceFd(&listener.as_raw_fd()))
     }
 }
--- a/crates/balancer/src/event_loop/poll/tests.rs
+++ b/crates/balancer/src/event_loop/poll/tests.rs
@@ -12,15 +12,15 @@
         EventSource::DiscoveryClient,
         EventSource::Listener,
         EventSource::Signals,
-        EventSource::Orders,
-        EventSource::Neighbour,
-        EventSource::Operators,
-        EventSource::Caller(1 << 40),
-        EventSource::Successors,
+        EventSource::WorkerMessages,
+        EventSource::NeighbourListener,
+        EventSource::AdminListener,
+        EventSource::AdminConnection(1 << 40),
+        EventSource::HandoverListener,
         EventSource::Successor(7),
         EventSource::Predecessor,
         EventSource::Gossip,
     ] {
-        assert_eq!(EventSource::of(owner.token()), owner);
+        assert_eq!(EventSource::from_token(owner.to_token()), owner);
     }
 }
--- a/crates/balancer/src/event_loop/timers.rs
+++ b/crates/balancer/src/event_loop/timers.rs
@@ -77,7 +77,7 @@
     }
 
     /// Sets a timer.
-    pub fn set(&mut self, when: Micros, what: T) -> TimerKey {
+    pub fn schedule(&mut self, when: Micros, what: T) -> TimerKey {
         self.set += 1;
         let timer = Timer { when, set: self.set, what, place: None, before: None, after: None };
         let key = self.timers.insert(timer);
@@ -98,7 +98,7 @@
     }
 
     /// When to look again: no later than the next timer, and at times earlier.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         if !self.due.is_empty() {
             return Some(self.now);
         }
@@ -117,7 +117,7 @@
     }
 
     /// Takes out the next one that is due.
-    pub fn due(&mut self) -> Option<T> {
+    pub fn pop_due(&mut self) -> Option<T> {
         loop {
             let key = self.due.pop_front()?;
             if let Some(timer) = self.timers.remove(key) {
--- a/crates/balancer/src/event_loop/timers/tests.rs
+++ b/crates/balancer/src/event_loop/timers/tests.rs
@@ -5,20 +5,23 @@
 
 fn due(timers: &mut TimerWheel<usize>, now: Micros) -> Vec<usize> {
     timers.advance(now);
-    std::iter::from_fn(|| timers.due()).collect()
+    std::iter::from_fn(|| timers.pop_due()).collect()
 }
 
 #[test]
 fn timers_come_by_time_and_then_in_the_order_they_were_set() {
     let mut timers = TimerWheel::new(5);
-    let keys =
-        [(30_000, 0), (10_000, 1), (20_000, 2), (10_000, 3), (5, 4)].map(|(when, n)| timers.set(when, n));
-    assert_eq!((timers.next(), due(&mut timers, 9_999)), (Some(5), vec![4]));
-    assert_eq!((timers.next(), due(&mut timers, 20_000)), (Some(10_000), vec![1, 3, 2]));
-    assert_eq!((timers.cancel(keys[1]), timers.cancel(keys[0]), timers.next()), (None, Some(0), None));
+    let keys = [(30_000, 0), (10_000, 1), (20_000, 2), (10_000, 3), (5, 4)]
+        .map(|(when, n)| timers.schedule(when, n));
+    assert_eq!((timers.next_deadline(), due(&mut timers, 9_999)), (Some(5), vec![4]));
+    assert_eq!((timers.next_deadline(), due(&mut timers, 20_000)), (Some(10_000), vec![1, 3, 2]));
+    assert_eq!(
+        (timers.cancel(keys[1]), timers.cancel(keys[0]), timers.next_deadline()),
+        (None, Some(0), None)
+    );
     // A clock that has jumped by a day brings what was due meanwhile, once and in order.
     for n in 0..1000 {
-        timers.set(60_000_000 * (1000 - n as u64), n);
+        timers.schedule(60_000_000 * (1000 - n as u64), n);
     }
     assert_eq!(due(&mut timers, 86_400_000_000), (0..1000).rev().collect::<Vec<_>>());
     assert!(timers.is_empty());
@@ -41,7 +44,7 @@
                 0 | 1 => {
                     // What is due already waits for nothing; the rest for the end of its tick.
                     let at = if span == 0 { now } else { (now + span).div_ceil(TICK_MICROS) * TICK_MICROS };
-                    set.push((at, now + span, n, timers.set(now + span, n)));
+                    set.push((at, now + span, n, timers.schedule(now + span, n)));
                 }
                 2 if !set.is_empty() => {
                     let (_, _, n, key) = set.remove(part as usize % set.len());
@@ -57,7 +60,7 @@
             }
             prop_assert_eq!(timers.len(), set.len());
             let first = set.iter().map(|t| t.0).min();
-            prop_assert!(first.is_none_or(|first| timers.next().is_some_and(|next| next <= first)));
+            prop_assert!(first.is_none_or(|first| timers.next_deadline().is_some_and(|next| next <= first)));
         }
     }
 }
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -53,7 +53,7 @@
 impl Tells {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
     pub fn new(turn: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
-        turn.after(0, TimerEvent::Gossip);
+        turn.schedule_after(0, TimerEvent::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
         let gossip = Gossip::new(turn.now, life, name, &names, peers.key.clone(), peers.rules, seed);
@@ -84,20 +84,20 @@
     pub fn alarmed(&mut self, turn: &mut LoopContext) {
         if self.socket.is_none() {
             let opened = UdpSocket::bind(self.at).and_then(|mut socket| {
-                turn.poller.listen(&mut socket, EventSource::Gossip)?;
+                turn.registry.register_readable(&mut socket, EventSource::Gossip)?;
                 Ok(socket)
             });
             match opened {
                 Ok(socket) => self.socket = Some(socket),
                 Err(e) => {
                     warn!(event = "gossip-off", at = %self.at, error = %e);
-                    turn.after(AGAIN, TimerEvent::Gossip);
+                    turn.schedule_after(AGAIN, TimerEvent::Gossip);
                     return;
                 }
             }
         }
         self.due = true;
-        turn.after(self.every, TimerEvent::Gossip);
+        turn.schedule_after(self.every, TimerEvent::Gossip);
     }
 
     /// Whether it is time to tell, which is said once.
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -107,7 +107,7 @@
     pub fn told(inherited: Inherited, ends: bool, poller: &SourceRegistry) -> io::Result<Self> {
         inherited.stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(inherited.stream);
-        poller.watch_source(&mut stream, EventSource::Predecessor)?;
+        poller.register_source(&mut stream, EventSource::Predecessor)?;
         stream.write_all(&[TAKES, b"\n", SERVES, b"\n"].concat())?;
         if ends {
             stream.write_all(&[ENDS, b"\n"].concat())?;
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -8,7 +8,7 @@
 use shorewharf_protocol::endpoint_list::EndpointList;
 
 fn poller() -> SourceRegistry {
-    EventPoller::new().and_then(|watch| watch.poller()).expect("a loop")
+    EventPoller::new().and_then(|watch| watch.registry()).expect("a loop")
 }
 
 fn listener() -> TcpListener {
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -58,71 +58,74 @@
 
 impl EventLoop {
     /// Whether two processes of this balancer take clients now, where that is to be put in force anew.
-    pub fn shares_anew(&mut self) -> Option<bool> {
-        let shares = self.kin.shares(self.leaving.is_some());
-        (std::mem::replace(&mut self.kin.shared, shares) != shares).then_some(shares)
+    pub fn take_sharing_change(&mut self) -> Option<bool> {
+        let shares = self.siblings.shares(self.shutdown_started_at.is_some());
+        (std::mem::replace(&mut self.siblings.shared, shares) != shares).then_some(shares)
     }
 
     /// Whether two processes take clients, by what was asked last.
-    pub fn shares(&self) -> bool {
-        self.kin.shared
+    pub fn is_sharing_clients(&self) -> bool {
+        self.siblings.shared
     }
 
     /// The loop has seen something of another process.
-    pub fn kin_ready(&mut self, owner: EventSource) {
-        let poller = &self.turn.poller;
+    pub fn on_sibling_ready(&mut self, owner: EventSource) {
+        let poller = &self.context.registry;
         match owner {
             EventSource::Successor(number) => {
-                let now = self.turn.now;
-                self.kin.successors.iter_mut().for_each(|successors| successors.ready(poller, now, number));
+                let now = self.context.now;
+                self.siblings
+                    .successors
+                    .iter_mut()
+                    .for_each(|successors| successors.ready(poller, now, number));
                 // There may be room for more to go along.
-                self.hands_over |= self.leaving.is_some();
+                self.is_handover_due |= self.shutdown_started_at.is_some();
             }
             _ => {
-                let Some(predecessor) = &mut self.kin.predecessor else { return };
+                let Some(predecessor) = &mut self.siblings.predecessor else { return };
                 let stays = predecessor.ready();
                 for handed in predecessor.taken(!stays) {
                     let from = handed.0.client;
-                    self.takes_over(handed, from);
+                    self.place_transferred(handed, from);
                 }
                 if !stays {
-                    self.kin.predecessor = None;
+                    self.siblings.predecessor = None;
                 }
-                let others = self.kin.predecessor.as_ref().map_or(0, |predecessor| predecessor.held);
-                self.others_hold(others);
+                let others = self.siblings.predecessor.as_ref().map_or(0, |predecessor| predecessor.held);
+                self.set_sibling_descriptors(others);
             }
         }
-        self.successors_change();
+        self.on_successors_changed();
     }
 
     /// Other processes ask for what this one leaves; `memory` tells what the module knows.
-    pub fn successors_ask(&mut self, memory: impl FnOnce() -> Vec<Learned>) {
+    pub fn on_successors_connecting(&mut self, memory: impl FnOnce() -> Vec<Learned>) {
         let estate = Estate {
             version: VERSION,
             listeners: 0,
-            held: self.may_hold(),
-            known: self.listing(),
+            held: self.descriptor_allowance(),
+            known: self.endpoint_list(),
             memory: memory(),
-            taken: self.turn.now,
+            taken: self.context.now,
         };
-        if let Some(successors) = &mut self.kin.successors {
-            successors.comes(&self.turn.poller, || estate.clone());
+        if let Some(successors) = &mut self.siblings.successors {
+            successors.comes(&self.context.registry, || estate.clone());
         }
-        self.successors_change();
+        self.on_successors_changed();
     }
 
     /// Hears successors before a planned end: one that serves has said so before this process was told to end.
-    pub fn hears_successors(&mut self) {
-        let poller = &self.turn.poller;
-        let now = self.turn.now;
-        self.kin.successors.iter_mut().for_each(|successors| successors.hears_all(poller, now));
-        self.successors_change();
+    pub fn poll_successors(&mut self) {
+        let poller = &self.context.registry;
+        let now = self.context.now;
+        self.siblings.successors.iter_mut().for_each(|successors| successors.hears_all(poller, now));
+        self.on_successors_changed();
     }
 
     /// A standing connection goes on here: at this worker, or at another one that has fewer.
-    fn takes_over(&mut self, handed: Handed, from: SocketAddr) {
-        let (now, clients) = (self.turn.now, self.serving.clients());
-        let better = self.crew.as_ref().and_then(|crew| Some((crew, crew.better(now, clients)?)));
+    fn place_transferred(&mut self, handed: Handed, from: SocketAddr) {
+        let (now, clients) = (self.context.now, self.proxy.client_count());
+        let better = self.workers.as_ref().and_then(|crew| Some((crew, crew.better(now, clients)?)));
         let left = match better {
             Some((crew, who)) => match crew.tell(who, Order::Stands(Box::new(handed))) {
                 Err(Order::Stands(handed)) => Some(*handed),
@@ -131,162 +134,165 @@
             None => Some(handed),
         };
         if let Some(handed) = left {
-            self.stands_here(handed, from);
+            self.adopt_transferred(handed, from);
         }
     }
 
     /// A standing connection goes on here.
-    pub fn stands_here(&mut self, handed: Handed, from: SocketAddr) {
-        if !self.serving.take_over(&mut self.turn, handed) {
+    pub fn adopt_transferred(&mut self, handed: Handed, from: SocketAddr) {
+        if !self.proxy.adopt_transferred(&mut self.context, handed) {
             warn!(event = "not-taken-over", client = %from);
         }
     }
 
     /// Whether more may have come from the old process than was taken in.
-    pub fn kin_is_busy(&self) -> bool {
-        self.hands_over || self.kin.predecessor.as_ref().is_some_and(|predecessor| predecessor.more)
+    pub fn has_sibling_work(&self) -> bool {
+        self.is_handover_due || self.siblings.predecessor.as_ref().is_some_and(|predecessor| predecessor.more)
     }
 
     /// Standing connections that are on their way to another process, or wait for that.
-    pub fn on_their_way(&self) -> usize {
-        self.kin.going.len() + self.kin.successors.as_ref().map_or(0, Successors::on_their_way)
+    pub fn connections_in_transfer(&self) -> usize {
+        self.siblings.going.len() + self.siblings.successors.as_ref().map_or(0, Successors::on_their_way)
     }
 
-    fn successors_change(&mut self) {
-        let back = self.kin.successors.as_mut().map(Successors::take_back).unwrap_or_default();
+    fn on_successors_changed(&mut self) {
+        let back = self.siblings.successors.as_mut().map(Successors::take_back).unwrap_or_default();
         for handed in back {
             let from = handed.0.client;
-            self.stands_here(handed, from);
+            self.adopt_transferred(handed, from);
         }
-        let has = self.kin.has_successor();
+        let has = self.siblings.has_successor();
         if !has {
-            for handed in std::mem::take(&mut self.kin.going) {
+            for handed in std::mem::take(&mut self.siblings.going) {
                 let from = handed.0.client;
-                self.stands_here(handed, from);
+                self.adopt_transferred(handed, from);
             }
         }
-        if has != self.serving.has_successor {
-            self.tell_others(|_| Order::Successor(has));
-            self.has_successor(has);
+        if has != self.proxy.has_successor {
+            self.broadcast(|_| Order::Successor(has));
+            self.set_has_successor(has);
         }
-        if has && self.kin.may_hold.is_none() {
-            self.tells_successors();
+        if has && self.siblings.may_hold.is_none() {
+            self.notify_successors();
         }
-        if self.leaving.is_none() && self.kin.successors.as_ref().is_some_and(Successors::ends_this) {
-            self.tell_others(|_| Order::Stop);
-            self.stop_soon();
+        if self.shutdown_started_at.is_none()
+            && self.siblings.successors.as_ref().is_some_and(Successors::ends_this)
+        {
+            self.broadcast(|_| Order::Stop);
+            self.begin_shutdown();
         }
     }
 
     /// Another process takes clients in this one's place, or no longer: it may have died, and who waits at the listener
     /// is this one's again.
-    pub fn has_successor(&mut self, has: bool) {
-        self.serving.has_successor = has;
+    pub fn set_has_successor(&mut self, has: bool) {
+        self.proxy.has_successor = has;
         if !has {
-            self.accepts_again();
+            self.resume_accepting();
         }
     }
 
     /// What this process holds or may take, told to its successors, and kept to.
-    pub fn tells_successors(&mut self) {
-        if !self.kin.has_successor() {
-            self.kin.may_hold = None;
-            return self.others_hold(0);
+    pub fn notify_successors(&mut self) {
+        if !self.siblings.has_successor() {
+            self.siblings.may_hold = None;
+            return self.set_sibling_descriptors(0);
         }
         // Only ever less: what it holds at times beyond that, to turn clients away, is not to become its own.
-        let may = self.may_hold().min(self.kin.may_hold.unwrap_or(usize::MAX));
-        self.kin.may_hold = Some(may);
-        if let Some(successors) = &mut self.kin.successors {
-            if self.leaving.is_some() {
+        let may = self.descriptor_allowance().min(self.siblings.may_hold.unwrap_or(usize::MAX));
+        self.siblings.may_hold = Some(may);
+        if let Some(successors) = &mut self.siblings.successors {
+            if self.shutdown_started_at.is_some() {
                 successors.tell(&[LEAVES, b"\n"].concat());
             }
             successors.tell(held(may).as_bytes());
         }
-        self.others_hold(self.serving.terms.sockets * self.workers() - may);
-        self.turn.after(TELL, TimerEvent::Kin);
+        self.set_sibling_descriptors(self.proxy.settings.sockets * self.worker_count() - may);
+        self.context.schedule_after(TELL, TimerEvent::NotifySuccessors);
     }
 
     /// Hands standing connections to the process in this one's place, a portion of them. `module` tells what the module has
     /// of one. Workers but the first, which alone knows that process, give theirs to it.
-    pub fn hands_over(&mut self, module: impl Fn(RequestId) -> Option<(Request, Option<f64>)>) {
-        if !std::mem::take(&mut self.hands_over) {
+    pub fn hand_over_connections(&mut self, module: impl Fn(RequestId) -> Option<(Request, Option<f64>)>) {
+        if !std::mem::take(&mut self.is_handover_due) {
             return;
         }
-        let now = self.turn.now;
-        let leads = self.crew.as_ref().is_none_or(Crew::leads);
+        let now = self.context.now;
+        let leads = self.workers.as_ref().is_none_or(Crew::leads);
         if leads {
             // What other workers know of that process they know from this one.
-            self.kin.successors.iter_mut().for_each(|successors| successors.look_after(now));
-            self.successors_change();
+            self.siblings.successors.iter_mut().for_each(|successors| successors.look_after(now));
+            self.on_successors_changed();
         }
-        if !self.serving.has_successor {
+        if !self.proxy.has_successor {
             return;
         }
-        let can: Vec<_> = self.serving.can_go();
+        let can: Vec<_> = self.proxy.transferable_connections();
         let mut can = can.into_iter();
         for _ in 0..PORTION {
             // What waits for room there is told by the loop.
-            if leads && !self.kin.successors.as_mut().is_some_and(Successors::can_hand_over) {
+            if leads && !self.siblings.successors.as_mut().is_some_and(Successors::can_hand_over) {
                 return;
             }
             let mut own = |net: &mut EventLoop| {
-                can.by_ref().find_map(|id| net.serving.goes(&mut net.turn, id, module(id)?))
+                can.by_ref().find_map(|id| net.proxy.detach_for_transfer(&mut net.context, id, module(id)?))
             };
-            let Some(handed) = self.kin.going.pop_front().or_else(|| own(self)) else { return };
+            let Some(handed) = self.siblings.going.pop_front().or_else(|| own(self)) else { return };
             let from = handed.0.client;
-            match (&mut self.kin.successors, &self.crew) {
+            match (&mut self.siblings.successors, &self.workers) {
                 (Some(successors), _) if leads => {
                     if !successors.hand_over(now, handed) {
-                        return self.successors_change();
+                        return self.on_successors_changed();
                     }
                 }
                 (_, Some(crew)) => {
                     if let Err(Order::GoesAlong(handed)) = crew.tell(0, Order::GoesAlong(Box::new(handed))) {
-                        self.stands_here(*handed, from);
+                        self.adopt_transferred(*handed, from);
                     }
                 }
-                _ => self.stands_here(handed, from),
+                _ => self.adopt_transferred(handed, from),
             }
         }
-        self.hands_over = true;
+        self.is_handover_due = true;
     }
 
     /// Another worker's standing connection is to go on in the process in this one's place.
-    pub fn goes_along(&mut self, handed: Handed) {
-        if self.serving.has_successor {
-            self.kin.going.push_back(handed);
-            self.hands_over = true;
+    pub fn queue_for_transfer(&mut self, handed: Handed) {
+        if self.proxy.has_successor {
+            self.siblings.going.push_back(handed);
+            self.is_handover_due = true;
         } else {
             let from = handed.0.client;
-            self.stands_here(handed, from);
+            self.adopt_transferred(handed, from);
         }
     }
 
-    fn workers(&self) -> usize {
-        self.crew.as_ref().map_or(1, Crew::len)
+    fn worker_count(&self) -> usize {
+        self.workers.as_ref().map_or(1, Crew::len)
     }
 
     /// Descriptors that this process may hold beside another one: half of all, or what it has if that is more. One that
     /// ends takes no more than those who wait still need.
-    fn may_hold(&self) -> usize {
-        self.serving.note_held();
-        let sums = self.desk.as_ref().map(|desk| Counts::of_all(&desk.counts)).unwrap_or_default();
-        let limit = self.serving.terms.sockets * self.workers();
-        let holds = OWN_DESCRIPTORS * self.workers() + sums.descriptors + 2 * self.on_their_way();
-        let half = if self.leaving.is_some() { 0 } else { limit / 2 };
+    fn descriptor_allowance(&self) -> usize {
+        self.proxy.publish_gauges();
+        let sums = self.admin.as_ref().map(|desk| Counts::of_all(&desk.counts)).unwrap_or_default();
+        let limit = self.proxy.settings.sockets * self.worker_count();
+        let holds =
+            OWN_DESCRIPTORS * self.worker_count() + sums.descriptors + 2 * self.connections_in_transfer();
+        let half = if self.shutdown_started_at.is_some() { 0 } else { limit / 2 };
         holds.max(half).min(limit)
     }
 
     /// Another process holds so many descriptors of those that are allowed.
-    fn others_hold(&mut self, descriptors: usize) {
-        let each = descriptors / self.workers();
-        self.tell_others(|_| Order::OthersHold(each));
-        self.serving.others_hold(each);
+    fn set_sibling_descriptors(&mut self, descriptors: usize) {
+        let each = descriptors / self.worker_count();
+        self.broadcast(|_| Order::OthersHold(each));
+        self.proxy.set_sibling_descriptors(each);
     }
 
     /// The list as it stands, in discovery's form.
-    fn listing(&self) -> EndpointList {
-        let endpoints = self.serving.servers.endpoints(&self.serving.terms.names);
+    fn endpoint_list(&self) -> EndpointList {
+        let endpoints = self.proxy.servers.endpoints(&self.proxy.settings.names);
         EndpointList { index: self.discovery.index(), snapshot: true, endpoints }
     }
 }
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -138,7 +138,7 @@
             return Err(io::Error::new(ErrorKind::InvalidInput, why));
         }
         let mut listener = listen(&path)?;
-        poller.listen(&mut listener, EventSource::Successors)?;
+        poller.register_readable(&mut listener, EventSource::HandoverListener)?;
         Ok(Successors { path, listener, listeners, table: BTreeMap::new(), next: 0, back: Vec::new() })
     }
 
@@ -151,7 +151,7 @@
             }
             self.next += 1;
             let number = self.next;
-            if poller.watch_source(&mut stream, EventSource::Successor(number)).is_err() {
+            if poller.register_source(&mut stream, EventSource::Successor(number)).is_err() {
                 continue;
             }
             if self.table.len() >= SUCCESSORS {
@@ -200,7 +200,7 @@
         if served
             && !self.has_one()
             && let Ok(mut listener) = listen(&self.path)
-            && poller.listen(&mut listener, EventSource::Successors).is_ok()
+            && poller.register_readable(&mut listener, EventSource::HandoverListener).is_ok()
         {
             self.listener = listener;
         }
--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -24,7 +24,7 @@
         self.due(turn.now);
         let may = self.written < turn.overload.log_lines(MOST);
         if !may && self.left_out == 0 {
-            turn.timers.set(self.began + SECOND, TimerEvent::LogRateLimiter);
+            turn.timers.schedule(self.began + SECOND, TimerEvent::LogRateLimiter);
         }
         *if may { &mut self.written } else { &mut self.left_out } += 1;
         may
--- a/crates/balancer/src/overload/monitor.rs
+++ b/crates/balancer/src/overload/monitor.rs
@@ -106,7 +106,7 @@
     }
 
     /// A turn is over that began and ended then; whether clients still wait to be accepted.
-    pub fn turn(&mut self, began: Micros, ended: Micros, backlog: bool) {
+    pub fn record_iteration(&mut self, began: Micros, ended: Micros, backlog: bool) {
         let took = ended.saturating_sub(began);
         let span = ended.saturating_sub(self.ended);
         self.accepts = match took {
--- a/crates/balancer/src/overload/monitor/tests.rs
+++ b/crates/balancer/src/overload/monitor/tests.rs
@@ -14,7 +14,7 @@
     while *now < end {
         let began = *now + waited;
         *now = began + took;
-        p.turn(began, *now, backlog);
+        p.record_iteration(began, *now, backlog);
     }
     (0..100).filter(|_| p.admits()).count()
 }
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -52,11 +52,11 @@
             }
         };
         if let Some(reply) = counted_reply(answer) {
-            self.counted(id, reply);
+            self.count_reply(id, reply);
         }
         self.log_answer(turn, id, answer, cause);
-        if self.sessions.answer(turn, id, answer_line(answer).as_bytes()) {
-            self.session_ends(turn, id);
+        if self.sessions.begin_close(turn, id, answer_line(answer).as_bytes()) {
+            self.continue_close(turn, id);
         }
     }
 
@@ -72,7 +72,7 @@
         let words = words.trim_end();
         debug!(event = "answered", req = id.0, words, %cause, attempts, may_have_run);
         let is_given_up = matches!(cause, Cause::Shutdown | Cause::Overdue) && answer == Answer::Failed;
-        if is_given_up && self.complaints.may(turn) {
+        if is_given_up && self.log_limiter.may(turn) {
             warn!(event = "given-up", req = id.0, %cause, attempts, may_have_run);
         }
     }
@@ -90,15 +90,15 @@
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
         }
-        self.sessions.drop(turn, id);
+        self.sessions.remove(turn, id);
     }
 
     /// Goes on with the end of a client's connection, as far as that goes now.
-    pub(crate) fn session_ends(&mut self, turn: &mut LoopContext, id: RequestId) {
-        match self.sessions.get_mut(id).map(|s| s.ending(&turn.pool)) {
-            Some(CloseProgress::Over) => self.close_session(turn, id, Cause::Server),
-            Some(CloseProgress::More) => self.again.push(id),
-            Some(CloseProgress::Waits) | None => {}
+    pub(crate) fn continue_close(&mut self, turn: &mut LoopContext, id: RequestId) {
+        match self.sessions.get_mut(id).map(|s| s.continue_close(&turn.buffers)) {
+            Some(CloseProgress::Done) => self.close_session(turn, id, Cause::Server),
+            Some(CloseProgress::MoreToRead) => self.unfinished.push(id),
+            Some(CloseProgress::AwaitingPeer) | None => {}
         }
     }
 
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -19,9 +19,9 @@
     /// The server that it goes to.
     pub server: ServerId,
     /// The attempt must be over by then.
-    pub until: Micros,
+    pub deadline: Micros,
     /// How often it was tried.
-    pub tries: usize,
+    pub failures: usize,
 }
 
 impl Proxy {
@@ -33,43 +33,44 @@
         mut dial: PendingDial,
         address: SocketAddr,
     ) {
-        let (to, patience) = ((dial.server, address), dial.until.saturating_sub(turn.now));
-        match self.attempts.begin(turn, id, to, patience, self.terms.connect_timeout) {
+        let (to, patience) = ((dial.server, address), dial.deadline.saturating_sub(turn.now));
+        match self.attempts.begin(turn, id, to, patience, self.settings.connect_timeout) {
             Ok(()) => return self.advance_attempt(turn, id),
-            Err(DialError::Refused) => return self.attempt_not_begun(turn, id, Outcome::ConnectFailed),
-            Err(error) => self.note_hindrance(id, dial.tries, error),
+            Err(DialError::Refused) => return self.on_attempt_not_started(turn, id, Outcome::ConnectFailed),
+            Err(error) => self.record_dial_error(id, dial.failures, error),
         }
-        let pause = DIAL_RETRY_DELAYS.get(dial.tries).copied().filter(|pause| turn.now + pause < dial.until);
-        dial.tries += 1;
+        let pause =
+            DIAL_RETRY_DELAYS.get(dial.failures).copied().filter(|pause| turn.now + pause < dial.deadline);
+        dial.failures += 1;
         match pause {
             Some(pause) => {
                 self.pending_dials.insert(id, dial);
-                turn.after(pause, TimerEvent::Dial(id));
+                turn.schedule_after(pause, TimerEvent::RetryDial(id));
             }
-            None => self.attempt_not_begun(turn, id, Outcome::NotSent),
+            None => self.on_attempt_not_started(turn, id, Outcome::NotSent),
         }
     }
 
-    fn note_hindrance(&mut self, id: RequestId, tries: usize, error: DialError) {
+    fn record_dial_error(&mut self, id: RequestId, tries: usize, error: DialError) {
         debug!(event = "not-begun", req = id.0, tries, ?error);
         if error == DialError::Shortage {
-            self.note_short(true);
+            self.set_descriptor_shortage(true);
         }
     }
 
     /// The pause before a connection is begun again is over.
-    pub fn dial_again(&mut self, turn: &mut LoopContext, id: RequestId) {
+    pub fn retry_dial(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(dial) = self.pending_dials.remove(&id) else { return };
-        let address = self.address_for(id, dial.server).filter(|_| self.make_room(turn));
+        let address = self.address_for(id, dial.server).filter(|_| self.ensure_capacity(turn));
         match address {
             Some(address) => self.dial(turn, id, dial, address),
-            None => self.attempt_not_begun(turn, id, Outcome::NotSent),
+            None => self.on_attempt_not_started(turn, id, Outcome::NotSent),
         }
     }
 
     /// An attempt has failed before there was a connection to watch.
-    fn attempt_not_begun(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
+    fn on_attempt_not_started(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
         self.guard.end_attempt(id, outcome);
-        self.attempt_ended(turn, id, outcome);
+        self.report_attempt_end(turn, id, outcome);
     }
 }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Proxy {
     /// What the configuration says of them.
-    pub terms: Terms,
+    pub settings: Terms,
     /// The servers as listed.
     pub servers: ServerTable,
     /// Checks on servers.
@@ -62,20 +62,20 @@
     /// What each request's attempts may have done, and so what may be done next.
     guard: RequestGuard,
     budget: Budget,
-    complaints: LogRateLimiter,
+    log_limiter: LogRateLimiter,
     /// Connections with more to carry or to read, which let the others have their turn.
-    again: Vec<RequestId>,
+    unfinished: Vec<RequestId>,
     /// Those that have asked or been answered lately, each once: only they tell of message delays.
-    sighted: Vec<RequestId>,
+    delay_reporters: Vec<RequestId>,
     /// Clients that are to leave servers that were taken out, and in how many more parts.
-    leaves: VecDeque<RequestId>,
-    leaves_in: usize,
+    pending_migrations: VecDeque<RequestId>,
+    migration_batches_left: usize,
     /// What operators are told of.
     counts: Counts,
     /// Descriptors that another process of this balancer holds.
-    others_hold: usize,
+    sibling_descriptors: usize,
     /// The program is about to end: nobody new is served.
-    closing: bool,
+    is_shutting_down: bool,
     /// Another process takes its clients.
     pub has_successor: bool,
 }
@@ -85,61 +85,61 @@
     pub fn new(terms: Terms, open_ids: OpenIds, counts: Counts) -> Self {
         Proxy {
             budget: Budget::new(terms.sockets),
-            terms,
+            settings: terms,
             servers: ServerTable::default(),
             probes: Probes::default(),
             sessions: Sessions::new(open_ids),
             attempts: Attempts::default(),
             pending_dials: BTreeMap::new(),
             guard: RequestGuard::default(),
-            complaints: LogRateLimiter::default(),
-            again: Vec::new(),
-            sighted: Vec::new(),
-            leaves: VecDeque::new(),
-            leaves_in: 0,
+            log_limiter: LogRateLimiter::default(),
+            unfinished: Vec::new(),
+            delay_reporters: Vec::new(),
+            pending_migrations: VecDeque::new(),
+            migration_batches_left: 0,
             counts,
-            others_hold: 0,
-            closing: false,
+            sibling_descriptors: 0,
+            is_shutting_down: false,
             has_successor: false,
         }
     }
 
     /// Puts other terms in force; peers that are here stay.
-    pub fn take_terms(&mut self, terms: Terms) {
-        self.terms = terms;
-        self.others_hold(self.others_hold);
+    pub fn update_settings(&mut self, terms: Terms) {
+        self.settings = terms;
+        self.set_sibling_descriptors(self.sibling_descriptors);
     }
 
     /// Another process of this balancer holds so many of the descriptors.
-    pub fn others_hold(&mut self, descriptors: usize) {
-        self.others_hold = descriptors;
-        self.budget.set_limit(self.terms.sockets.saturating_sub(descriptors));
+    pub fn set_sibling_descriptors(&mut self, descriptors: usize) {
+        self.sibling_descriptors = descriptors;
+        self.budget.set_limit(self.settings.sockets.saturating_sub(descriptors));
     }
 
     /// Takes in a list from discovery: what the module is told of it.
-    pub fn take_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
+    pub fn apply_endpoint_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
-        self.servers.take(list, self.terms.most_servers, |server| attempts.any_at(server))
+        self.servers.apply_list(list, self.settings.most_servers, |server| attempts.has_server(server))
     }
 }
 
 /// Descriptors.
 impl Proxy {
-    fn held(&self) -> Held {
+    fn descriptors_in_use(&self) -> Held {
         let all = self.sessions.len() + self.attempts.len() + self.probes.len();
-        Held { all, unserved: self.sessions.unserved() }
+        Held { all, unserved: self.sessions.idle_count() }
     }
 
     /// Whether a connection to a server can be had and enough is left to answer clients.
-    pub fn has_room(&self) -> bool {
-        self.budget.has_room(self.held())
+    pub fn has_capacity(&self) -> bool {
+        self.budget.has_room(self.descriptors_in_use())
     }
 
     /// Has a descriptor for a connection to a server, at the cost of those who ask for nothing.
-    fn make_room(&mut self, turn: &mut LoopContext) -> bool {
-        while !self.has_room() {
-            if !self.budget.can_make_room(self.held()) || !self.evict(turn) {
+    fn ensure_capacity(&mut self, turn: &mut LoopContext) -> bool {
+        while !self.has_capacity() {
+            if !self.budget.can_make_room(self.descriptors_in_use()) || !self.evict_idle(turn) {
                 return false;
             }
         }
@@ -149,13 +149,13 @@
     /// Ends the one that can best be done without, of those that ask for nothing; false where nobody does. What it has
     /// sent by now is read first: a whole line is a request that was taken, and a close over unread input would be a
     /// reset, which could overtake last words.
-    fn evict(&mut self, turn: &mut LoopContext) -> bool {
-        let Some(id) = self.sessions.least_needed() else { return false };
+    fn evict_idle(&mut self, turn: &mut LoopContext) -> bool {
+        let Some(id) = self.sessions.eviction_candidate() else { return false };
         self.on_session_ready(turn, id, Readiness::READ);
         if self
             .sessions
             .get(id)
-            .is_some_and(|s| matches!(s.stage(), SessionStage::Opening | SessionStage::Closing))
+            .is_some_and(|s| matches!(s.stage(), SessionStage::AwaitingRequest | SessionStage::Closing))
         {
             self.close_session(turn, id, Cause::Descriptors);
         }
@@ -163,67 +163,67 @@
     }
 
     /// Whether one more client can be accepted. Nobody goes for it before it has come.
-    pub fn may_accept(&self) -> bool {
-        self.budget.may_accept(self.held())
+    pub fn can_accept(&self) -> bool {
+        self.budget.may_accept(self.descriptors_in_use())
     }
 
     /// Descriptors have run out, or there are some again.
-    pub fn note_short(&mut self, short: bool) {
-        self.budget.note_short(short, self.held());
+    pub fn set_descriptor_shortage(&mut self, short: bool) {
+        self.budget.note_short(short, self.descriptors_in_use());
     }
 }
 
 /// Clients, from their first line to their answer.
 impl Proxy {
     /// A client has connected.
-    pub fn client_comes(&mut self, turn: &mut LoopContext, stream: TcpStream, from: SocketAddr) {
+    pub fn accept_client(&mut self, turn: &mut LoopContext, stream: TcpStream, from: SocketAddr) {
         let attempts = &self.attempts;
-        let Some(id) = self.sessions.begin(turn, stream, from, |id| attempts.has(id)) else { return };
+        let Some(id) = self.sessions.accept(turn, stream, from, |id| attempts.has(id)) else { return };
         // Who has asked for nothing for longest goes first: the one that has just come is the last.
-        while self.budget.is_over(self.held()) && self.evict(turn) {}
+        while self.budget.is_over(self.descriptors_in_use()) && self.evict_idle(turn) {}
         self.on_session_ready(turn, id, Readiness::default());
     }
 
     /// A client's connection is ready.
     pub fn on_session_ready(&mut self, turn: &mut LoopContext, id: RequestId, ready: Readiness) {
         let Some(s) = self.sessions.get_mut(id) else { return };
-        s.link.ready(ready);
+        s.connection.on_ready(ready);
         match s.stage() {
-            SessionStage::Opening => {
-                let from = s.from();
-                match s.opens(turn.now, &turn.pool) {
-                    FirstLine::Part => self.sessions.arm(turn, id),
+            SessionStage::AwaitingRequest => {
+                let from = s.client_address();
+                match s.read_first_line(turn.now, &turn.buffers) {
+                    FirstLine::Incomplete => self.sessions.schedule_timer(turn, id),
                     FirstLine::Line(line) => self.on_request(turn, id, &line),
-                    FirstLine::Closed => self.half_line(turn, id),
-                    FirstLine::TooMany => self.malformed(turn, id, "too many commands at a time"),
+                    FirstLine::Closed => self.on_incomplete_request(turn, id),
+                    FirstLine::TooManyPings => self.reject_malformed(turn, id, "too many commands at a time"),
                     FirstLine::LineTooLong => {
-                        if self.complaints.may(turn) {
+                        if self.log_limiter.may(turn) {
                             warn!(event = "line-too-long", peer = "client", client = %from);
                         }
                         self.answer(turn, id, FinalAnswer::Failed, Cause::BadRequest);
                     }
                 }
             }
-            SessionStage::Waiting => match s.waits_on(&turn.pool) {
-                WaitingActivity::Waits => {}
+            SessionStage::AwaitingAnswer => match s.poll_while_waiting(&turn.buffers) {
+                WaitingActivity::Silent => {}
                 // The protocol has it wait. What follows its line belongs to no connection yet: passed on
                 // later, it would make the server close a connection that has just come up.
-                WaitingActivity::Spoke => self.malformed(turn, id, "spoke before its answer"),
-                WaitingActivity::Left => self.client_leaves(turn, id),
+                WaitingActivity::SentData => self.reject_malformed(turn, id, "spoke before its answer"),
+                WaitingActivity::Closed => self.on_client_left(turn, id),
             },
-            SessionStage::Open | SessionStage::Moving => self.relay(turn, id),
-            SessionStage::Closing => self.session_ends(turn, id),
+            SessionStage::Established | SessionStage::Migrating => self.relay(turn, id),
+            SessionStage::Closing => self.continue_close(turn, id),
         }
     }
 
     /// A client ended, or took too long, with its first line unfinished or unsaid. What it may be sending just now must not
     /// make the close a reset: the sending is ended, and the input read out for a moment.
-    fn half_line(&mut self, turn: &mut LoopContext, id: RequestId) {
+    fn on_incomplete_request(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(s) = self.sessions.get(id) else { return };
-        let has_ended = s.link.ended.is_some();
-        if !s.link.held().is_empty() {
-            let from = s.from();
-            if self.complaints.may(turn) {
+        let has_ended = s.connection.peer_close.is_some();
+        if !s.connection.pending_input().is_empty() {
+            let from = s.client_address();
+            if self.log_limiter.may(turn) {
                 warn!(event = "half-line", client = %from);
             }
         }
@@ -234,10 +234,10 @@
     }
 
     /// A client said what can't be used: it gets an error, and only its own connection ends.
-    fn malformed(&mut self, turn: &mut LoopContext, id: RequestId, why: &str) {
+    fn reject_malformed(&mut self, turn: &mut LoopContext, id: RequestId, why: &str) {
         let Some(s) = self.sessions.get(id) else { return };
-        let (from, waits) = (s.from(), s.waits());
-        if self.complaints.may(turn) {
+        let (from, waits) = (s.client_address(), s.is_waiting());
+        if self.log_limiter.may(turn) {
             warn!(event = "malformed", client = %from, why);
         }
         if waits {
@@ -248,20 +248,20 @@
     }
 
     fn on_request(&mut self, turn: &mut LoopContext, id: RequestId, line: &[u8]) {
-        let open = match parse_open(line, &self.terms.names) {
+        let open = match parse_open(line, &self.settings.names) {
             Ok(open) => open,
             Err(why) => {
-                let class = class_of(line, &self.terms.names);
-                self.sessions.get_mut(id).zip(class).into_iter().for_each(|(s, class)| s.is_of(class));
-                return self.malformed(turn, id, why);
+                let class = class_of(line, &self.settings.names);
+                self.sessions.get_mut(id).zip(class).into_iter().for_each(|(s, class)| s.set_class(class));
+                return self.reject_malformed(turn, id, why);
             }
         };
-        self.sessions.get_mut(id).into_iter().for_each(|s| s.is_of(open.class));
+        self.sessions.get_mut(id).into_iter().for_each(|s| s.set_class(open.class));
         let home = open.previous_server.as_deref().map(server_id);
         if home.is_some_and(|home| !self.servers.is_listed(home)) {
-            return self.malformed(turn, id, "at= names no server");
+            return self.reject_malformed(turn, id, "at= names no server");
         }
-        let wait = open.timeout.or(self.terms.give_up.get(open.class).copied()).unwrap_or(0);
+        let wait = open.timeout.or(self.settings.give_up.get(open.class).copied()).unwrap_or(0);
         let req = ReceivedRequest {
             id,
             class: open.class,
@@ -273,14 +273,18 @@
             is_returning: open.is_returning,
         };
         let until = if home.is_some() { turn.now + RESTORE_TIMEOUT } else { req.deadline };
-        if !self.sessions.ask(turn, id, SessionRequest { line, open_id: open.id, req, home, until }) {
+        if !self.sessions.open_request(
+            turn,
+            id,
+            SessionRequest { line, open_id: open.id, request: req, previous_server: home, deadline: until },
+        ) {
             // The id of another client's request. Whoever retries or was moved comes under a new one, and the
             // one from before was let go with its answer or its MOVE.
-            return self.malformed(turn, id, "the id is in use");
+            return self.reject_malformed(turn, id, "the id is in use");
         }
-        self.guard.receive(id, self.terms.idempotency_of(open.class));
+        self.guard.receive(id, self.settings.idempotency_of(open.class));
         debug!(event = "received", req = id.0, id = %format_args!("{:x}", open.id), class = open.class);
-        if self.closing {
+        if self.is_shutting_down {
             // What is taken now would only have to move: the front stops sending here in a moment.
             let after = if self.has_successor { RETRY_AFTER_WITH_SUCCESSOR } else { LEAVE_AFTER };
             return self.answer_unserved(turn, id, after, Cause::Shutdown);
@@ -289,14 +293,14 @@
             // Guards those who stand: a refusal costs a tenth of a set-up.
             return self.answer_unserved(turn, id, RETRY_AFTER_OVERLOAD, Cause::Overload);
         }
-        if !self.make_room(turn) {
+        if !self.ensure_capacity(turn) {
             // Guards the descriptor limit: refused before a attempt could need one more.
-            self.note_short(true);
+            self.set_descriptor_shortage(true);
             return self.answer_unserved(turn, id, RETRY_AFTER, Cause::Descriptors);
         }
         // The client may have left behind its line already, or said more than it should.
         self.on_session_ready(turn, id, Readiness::default());
-        if !self.sessions.get(id).is_some_and(Session::waits) {
+        if !self.sessions.get(id).is_some_and(Session::is_waiting) {
             return;
         }
         match home {
@@ -311,9 +315,9 @@
     }
 
     /// A client that waited has gone: nobody needs the attempt any more.
-    fn client_leaves(&mut self, turn: &mut LoopContext, id: RequestId) {
+    fn on_client_left(&mut self, turn: &mut LoopContext, id: RequestId) {
         turn.emit(NetworkEvent::ClientLeft(id));
-        self.counted(id, Reply::Error);
+        self.count_reply(id, Reply::Error);
         debug!(event = "client-left", req = id.0, attempts = self.guard.attempts(id));
         self.guard.abandon(id);
         self.close_session(turn, id, Cause::Decision);
@@ -321,15 +325,15 @@
     }
 
     /// A connection has come up or has ended, whichever was first: it counts once.
-    fn counted(&mut self, id: RequestId, reply: Reply) {
-        if let Some(class) = self.sessions.get_mut(id).and_then(Session::is_counted) {
+    fn count_reply(&mut self, id: RequestId, reply: Reply) {
+        if let Some(class) = self.sessions.get_mut(id).and_then(Session::take_uncounted_class) {
             self.counts.replied(class, reply);
         }
     }
 
     /// Tells operators how many connections are held that were taken.
-    pub fn note_held(&self) {
-        let held = self.held();
+    pub fn publish_gauges(&self) {
+        let held = self.descriptors_in_use();
         self.counts.holds(self.sessions.len() - held.unserved, held.all);
     }
 }
@@ -338,7 +342,7 @@
 impl Proxy {
     /// A standing connection's own server is asked for even while it drains.
     fn address_for(&self, id: RequestId, server: ServerId) -> Option<SocketAddr> {
-        match self.sessions.get(id).map(Session::home) {
+        match self.sessions.get(id).map(Session::previous_server) {
             Some(Some(home)) if home == server => self.servers.address(server),
             _ => self.servers.ready_address(server),
         }
@@ -356,52 +360,52 @@
         if self.attempts.has(id) || self.pending_dials.contains_key(&id) {
             return;
         }
-        let waits = |s: &Self| s.sessions.get(id).is_some_and(Session::waits);
+        let waits = |s: &Self| s.sessions.get(id).is_some_and(Session::is_waiting);
         if waits(self) {
             // The client may have gone, and the loop not have told of it yet: it was accepted with its end, or a server's
             // refusal was heard first.
             self.on_session_ready(turn, id, Readiness::READ);
         }
         if !waits(self) {
-            return self.attempt_ended(turn, id, Outcome::NotSent);
+            return self.report_attempt_end(turn, id, Outcome::NotSent);
         }
-        let address = self.address_for(id, server).filter(|_| self.make_room(turn));
+        let address = self.address_for(id, server).filter(|_| self.ensure_capacity(turn));
         let Some(address) = address else {
-            return self.attempt_ended(turn, id, Outcome::NotSent);
+            return self.report_attempt_end(turn, id, Outcome::NotSent);
         };
         if let Err(violation) = self.guard.begin_attempt(id, self.servers.target(server)) {
             self.report_violation(&violation, Cause::Decision);
-            return self.attempt_ended(turn, id, Outcome::NotSent);
+            return self.report_attempt_end(turn, id, Outcome::NotSent);
         }
         let attempt = self.guard.attempts(id);
         let name = self.servers.name(Some(server));
         debug!(event = "attempt", req = id.0, attempt, server = name, us = patience);
         let until = turn.now.saturating_add(patience);
-        self.dial(turn, id, PendingDial { server, until, tries: 0 }, address);
+        self.dial(turn, id, PendingDial { server, deadline: until, failures: 0 }, address);
     }
 
     /// Tells how a attempt ended; a carried connection that never came up was never told of.
-    fn attempt_ended(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
-        match self.sessions.get(id).map(|s| (s.home(), s.waits())) {
-            Some((Some(home), true)) => self.carried_attempt_ended(turn, id, home, outcome),
+    fn report_attempt_end(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
+        match self.sessions.get(id).map(|s| (s.previous_server(), s.is_waiting())) {
+            Some((Some(home), true)) => self.on_restored_attempt_ended(turn, id, home, outcome),
             _ => turn.emit(NetworkEvent::AttemptEnded(id, outcome)),
         }
     }
 
     /// A connection from before the start has not come up: it is tried again while that is harmless.
-    fn carried_attempt_ended(
+    fn on_restored_attempt_ended(
         &mut self,
         turn: &mut LoopContext,
         id: RequestId,
         home: ServerId,
         outcome: Outcome,
     ) {
-        if self.sessions.get_mut(id).is_some_and(|s| s.carry_failed(turn.now)) {
+        if self.sessions.get_mut(id).is_some_and(|s| s.on_restore_failed(turn.now)) {
             warn!(event = "carried-not-up", server = self.servers.name(Some(home)), ?outcome);
         }
         // What has never run is tried again.
         match outcome.never_ran() {
-            true => self.sessions.arm(turn, id),
+            true => self.sessions.schedule_timer(turn, id),
             false => self.answer(turn, id, FinalAnswer::Failed, Cause::Server),
         }
     }
@@ -413,13 +417,13 @@
         if self.attempts.end(turn, id) || is_pending {
             self.guard.end_attempt(id, outcome);
             debug!(event = "attempt-ended", req = id.0, server = self.servers.name(server), ?outcome);
-            self.attempt_ended(turn, id, outcome);
+            self.report_attempt_end(turn, id, outcome);
         }
     }
 
     /// A attempt's timer has come.
     pub fn on_attempt_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
-        if let Some(outcome) = self.attempts.alarmed(turn, id) {
+        if let Some(outcome) = self.attempts.on_timer(turn, id) {
             self.end_attempt(turn, id, outcome);
         }
     }
@@ -427,9 +431,9 @@
     /// A attempt's connection is ready.
     pub fn on_attempt_ready(&mut self, turn: &mut LoopContext, id: RequestId, ready: Readiness) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        attempt.link.ready(ready);
+        attempt.connection.on_ready(ready);
         match attempt.stage() {
-            AttemptStage::Up => self.relay(turn, id),
+            AttemptStage::Established => self.relay(turn, id),
             _ => self.advance_attempt(turn, id),
         }
     }
@@ -437,7 +441,7 @@
     fn advance_attempt(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.stage() == AttemptStage::Connecting {
-            match attempt.link.connected() {
+            match attempt.connection.is_connected() {
                 Ok(false) => return,
                 Ok(true) => {}
                 Err(_) => return self.end_attempt(turn, id, Outcome::ConnectFailed),
@@ -458,18 +462,18 @@
                 }
             }
             let Some(line) = self.sessions.get(id).and_then(Session::first_line) else { return };
-            self.attempts.get_mut(id).into_iter().for_each(|f| f.ask(turn.now, &turn.pool, line));
+            self.attempts.get_mut(id).into_iter().for_each(|f| f.send_request(turn.now, &turn.buffers, line));
         }
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        if attempt.is_dispatched() {
+        if attempt.take_dispatched() {
             self.counts.dispatched();
         }
         let server = self.servers.name(Some(attempt.server()));
-        let outcome = match attempt.answer(&turn.pool) {
+        let outcome = match attempt.read_answer(&turn.buffers) {
             None => return,
-            Some(ServerAnswer::Up) => return self.attempt_taken(turn, id),
-            Some(ServerAnswer::Over(outcome)) => outcome,
-            Some(ServerAnswer::Odd(line)) => {
+            Some(ServerAnswer::Accepted) => return self.on_attempt_established(turn, id),
+            Some(ServerAnswer::Ended(outcome)) => outcome,
+            Some(ServerAnswer::Unexpected(line)) => {
                 warn!(event = "odd-answer", server, line);
                 Outcome::Error
             }
@@ -485,16 +489,16 @@
     }
 
     /// A server has taken a client.
-    fn attempt_taken(&mut self, turn: &mut LoopContext, id: RequestId) {
+    fn on_attempt_established(&mut self, turn: &mut LoopContext, id: RequestId) {
         let (Some(f), Some(s)) = (self.attempts.get_mut(id), self.sessions.get_mut(id)) else { return };
-        debug!(event = "up", req = id.0, client = %s.from(), server = self.servers.name(Some(f.server())));
-        f.stands(turn.now, id);
-        s.stands();
+        debug!(event = "up", req = id.0, client = %s.client_address(), server = self.servers.name(Some(f.server())));
+        f.establish(turn.now, id);
+        s.establish();
         self.guard.serve(id);
-        if let Some(class) = s.is_counted() {
+        if let Some(class) = s.take_uncounted_class() {
             self.counts.replied(class, Reply::Success);
         }
-        turn.emit(match (s.home(), s.req()) {
+        turn.emit(match (s.previous_server(), s.restored_request()) {
             (Some(server), Some(req)) => NetworkEvent::ConnectionRestored(req, server),
             _ => NetworkEvent::AttemptEstablished(id),
         });
--- a/crates/balancer/src/proxy/relay.rs
+++ b/crates/balancer/src/proxy/relay.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct RelayOutcome {
     /// Figures of `LOAD` lines, in their order.
-    pub told: Vec<f64>,
+    pub load_figures: Vec<f64>,
     /// There is more to carry once others have had their turn.
-    pub more: bool,
+    pub has_more: bool,
     /// Who said a line over the limit: `client` or `server`.
     pub too_long: Option<&'static str>,
 }
@@ -26,23 +26,23 @@
 pub fn relay(turn: &LoopContext, id: RequestId, s: &mut Session, f: &mut Attempt) -> RelayOutcome {
     let mut relayed = RelayOutcome::default();
     for round in 0.. {
-        let (mut went, looked) = s.take_in(turn.now, &turn.pool);
+        let (mut went, looked) = s.read_lines(turn.now, &turn.buffers);
         if looked.is_err() {
             relayed.too_long = Some("client");
         }
-        went |= s.link.carry(&mut f.link, false);
-        let (came, looked) = f.take_in(turn, id, s.asked(), &mut relayed.told);
+        went |= s.connection.forward_to(&mut f.connection, false);
+        let (came, looked) = f.read_lines(turn, id, s.unanswered_since_mut(), &mut relayed.load_figures);
         if looked.is_err() {
             relayed.too_long = Some("server");
         }
         went |= came;
-        let moving = s.stage() == SessionStage::Moving;
-        went |= f.link.carry(&mut s.link, moving);
+        let moving = s.stage() == SessionStage::Migrating;
+        went |= f.connection.forward_to(&mut s.connection, moving);
         if !went || relayed.too_long.is_some() {
             break;
         }
         if round >= MAX_ROUNDS {
-            relayed.more = true;
+            relayed.has_more = true;
             break;
         }
     }
@@ -53,13 +53,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayDecision {
     /// It stands.
-    Stands,
+    Continue,
     /// Its server has ended it: the client's side ends the same way, and this is how it counts.
-    ServerEnded(PeerClose, Outcome),
+    CloseAsServer(PeerClose, Outcome),
     /// The client has broken it off.
-    ClientBroke,
+    ClientReset,
     /// The client can be told to move.
-    Moves,
+    Migrate,
 }
 
 /// Passes on the end of either side, as far as the lines before it have gone.
@@ -68,28 +68,28 @@
     // read as a reset it would be locked, and its other clients would be spread over the rest.
     // Servers close on what they can't read: an end in good order with a client's line unanswered says as
     // much of the line as of the server.
-    let read_badly = f.link.ended == Some(PeerClose::Fin) && s.asked_since().is_some();
+    let read_badly = f.connection.peer_close == Some(PeerClose::Fin) && s.unanswered_since().is_some();
     let outcome = match f.outcome() {
-        Outcome::Reset if s.link.ended.is_some() || read_badly => Outcome::Cancelled,
+        Outcome::Reset if s.connection.peer_close.is_some() || read_badly => Outcome::Cancelled,
         other => other,
     };
-    match (f.link.ended, s.link.ended) {
-        (Some(PeerClose::Reset), _) => return RelayDecision::ServerEnded(PeerClose::Reset, outcome),
-        (_, Some(PeerClose::Reset)) => return RelayDecision::ClientBroke,
-        (Some(PeerClose::Fin), _) if f.link.quiet() => {
-            return RelayDecision::ServerEnded(PeerClose::Fin, outcome);
+    match (f.connection.peer_close, s.connection.peer_close) {
+        (Some(PeerClose::Reset), _) => return RelayDecision::CloseAsServer(PeerClose::Reset, outcome),
+        (_, Some(PeerClose::Reset)) => return RelayDecision::ClientReset,
+        (Some(PeerClose::Fin), _) if f.connection.is_drained() => {
+            return RelayDecision::CloseAsServer(PeerClose::Fin, outcome);
         }
-        (Some(PeerClose::Fin), _) => s.half_opens(now),
-        (None, _) if s.stage() == SessionStage::Moving && s.link.between_lines() => {
-            return RelayDecision::Moves;
+        (Some(PeerClose::Fin), _) => s.begin_half_open(now),
+        (None, _) if s.stage() == SessionStage::Migrating && s.connection.is_at_line_boundary() => {
+            return RelayDecision::Migrate;
         }
         (None, Some(PeerClose::Fin)) => {
-            if s.link.quiet() {
-                f.link.shut();
+            if s.connection.is_drained() {
+                f.connection.shutdown_write();
             }
-            s.half_opens(now);
+            s.begin_half_open(now);
         }
         (None, None) => {}
     }
-    RelayDecision::Stands
+    RelayDecision::Continue
 }
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -18,15 +18,15 @@
 
 impl Proxy {
     /// Log lines were left out a moment ago.
-    pub fn complaints_due(&mut self, now: Micros) {
-        self.complaints.due(now);
+    pub fn flush_log_limiter(&mut self, now: Micros) {
+        self.log_limiter.due(now);
     }
 
     /// A session's timer has come: what is due of it, and what comes next.
     pub fn on_session_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
-        if self.sessions.alarmed(turn, id) {
+        if self.sessions.on_timer(turn, id) {
             self.on_session_due(turn, id);
-            self.sessions.arm(turn, id);
+            self.sessions.schedule_timer(turn, id);
         }
     }
 
@@ -34,39 +34,42 @@
         let now = turn.now;
         let Some(s) = self.sessions.get_mut(id) else { return };
         match s.stage() {
-            SessionStage::Opening if s.is_late(now) => {
+            SessionStage::AwaitingRequest if s.is_past_deadline(now) => {
                 // A line that has come by now is a request that was taken.
                 self.on_session_ready(turn, id, Readiness::READ);
-                if self.sessions.get(id).is_some_and(|s| s.stage() == SessionStage::Opening && s.is_late(now))
+                if self
+                    .sessions
+                    .get(id)
+                    .is_some_and(|s| s.stage() == SessionStage::AwaitingRequest && s.is_past_deadline(now))
                 {
-                    self.half_line(turn, id);
+                    self.on_incomplete_request(turn, id);
                 }
             }
-            SessionStage::Waiting if !s.is_late(now) && s.carries_again(now) => {
-                let left = s.until() - now;
-                if let Some(home) = s.home() {
+            SessionStage::AwaitingAnswer if !s.is_past_deadline(now) && s.take_due_restore(now) => {
+                let left = s.deadline() - now;
+                if let Some(home) = s.previous_server() {
                     self.begin_attempt(turn, id, home, left);
                 }
             }
             // Guards the rule that every request is answered before its client gives up.
-            SessionStage::Waiting if s.is_overdue(now) => {
-                error!(event = "overdue", req = id.0, client = %s.from());
+            SessionStage::AwaitingAnswer if s.is_overdue(now) => {
+                error!(event = "overdue", req = id.0, client = %s.client_address());
                 turn.emit(NetworkEvent::ClientLeft(id));
                 self.end_attempt(turn, id, Outcome::TimedOut);
                 self.answer_unserved(turn, id, RETRY_AFTER, Cause::Overdue);
             }
-            SessionStage::Open | SessionStage::Moving => {
-                if s.half_open_due(now) {
-                    let ended = s.link.ended;
+            SessionStage::Established | SessionStage::Migrating => {
+                if s.is_half_open_expired(now) {
+                    let ended = s.connection.peer_close;
                     let outcome = if ended.is_some() { Outcome::Cancelled } else { Outcome::Reset };
-                    self.end_both(turn, id, PeerClose::Fin, outcome);
-                } else if let Some(since) = s.silent_since(turn) {
-                    let from = s.from();
+                    self.close_both(turn, id, PeerClose::Fin, outcome);
+                } else if let Some(since) = s.server_silent_since(turn) {
+                    let from = s.client_address();
                     warn!(event = "silent", server = self.server_name(id), client = %from);
-                    self.silent(turn, id, since);
+                    self.on_silent_server(turn, id, since);
                 }
             }
-            SessionStage::Closing if s.is_late(now) => self.close_session(turn, id, Cause::Idle),
+            SessionStage::Closing if s.is_past_deadline(now) => self.close_session(turn, id, Cause::Idle),
             _ => {}
         }
     }
@@ -76,16 +79,18 @@
     pub fn report_delays(&mut self, turn: &mut LoopContext) {
         let mut seen = BTreeMap::<ServerId, Vec<DelaySample>>::new();
         let (sessions, attempts) = (&mut self.sessions, &self.attempts);
-        self.sighted.retain(|id| {
+        self.delay_reporters.retain(|id| {
             let Some((s, f)) = sessions.get_mut(*id).zip(attempts.get(*id)) else { return false };
-            let sight =
-                DelaySample { asked: s.asked_since().map(|at| turn.took_since(at)), answered: f.answered() };
-            if s.stage() == SessionStage::Open && f.stage() == AttemptStage::Up {
+            let sight = DelaySample {
+                unanswered_since: s.unanswered_since().map(|at| turn.waiting_since(at)),
+                last_answer: f.last_answer(),
+            };
+            if s.stage() == SessionStage::Established && f.stage() == AttemptStage::Established {
                 seen.entry(f.server()).or_default().push(sight);
             }
-            s.stays_sighted(sight.says_something(turn.now))
+            s.set_reports_delay(sight.is_informative(turn.now))
         });
-        for (server, delay) in self.servers.delays(turn.now, self.terms.message_aim / 3, &seen) {
+        for (server, delay) in self.servers.delay_reports(turn.now, self.settings.message_aim / 3, &seen) {
             debug!(event = "seen", server = self.servers.name(Some(server)), us = delay);
             turn.emit(NetworkEvent::MessageDelayReported(server, delay));
         }
@@ -95,34 +100,34 @@
 /// The planned end.
 impl Proxy {
     /// From now on nobody new is served; tells how many stand, and how many wait.
-    pub fn close(&mut self) -> (usize, usize) {
-        self.closing = true;
-        let stands = |s: &Session| matches!(s.stage(), SessionStage::Open | SessionStage::Moving);
-        (self.sessions.those(stands).len(), self.sessions.those(Session::waits).len())
+    pub fn begin_shutdown(&mut self) -> (usize, usize) {
+        self.is_shutting_down = true;
+        let stands = |s: &Session| matches!(s.stage(), SessionStage::Established | SessionStage::Migrating);
+        (self.sessions.ids_where(stands).len(), self.sessions.ids_where(Session::is_waiting).len())
     }
 
     /// Clients that are still here.
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.sessions.len()
     }
 
     /// Moves an even part of the standing sessions, with so many more parts to come.
-    pub fn move_some(&mut self, turn: &mut LoopContext, parts_left: Micros) {
-        let open = self.sessions.those(|s| s.stage() == SessionStage::Open);
+    pub fn migrate_batch(&mut self, turn: &mut LoopContext, parts_left: Micros) {
+        let open = self.sessions.ids_where(|s| s.stage() == SessionStage::Established);
         let n = open.len().div_ceil(parts_left as usize + 1);
-        open.into_iter().take(n).for_each(|id| self.move_away(turn, id));
+        open.into_iter().take(n).for_each(|id| self.migrate(turn, id));
     }
 
     /// Answers who still waits, and ends those that have asked for nothing by now. A request that may have run can't be
     /// refused: it waits for its server until its own deadline, or until `is_last_call`, and fails then.
-    pub fn answer_waiting(&mut self, turn: &mut LoopContext, is_last_call: bool) {
-        for id in self.sessions.those(|s| s.stage() == SessionStage::Opening) {
+    pub fn answer_waiting_clients(&mut self, turn: &mut LoopContext, is_last_call: bool) {
+        for id in self.sessions.ids_where(|s| s.stage() == SessionStage::AwaitingRequest) {
             self.on_session_ready(turn, id, Readiness::READ);
-            if self.sessions.get(id).is_some_and(|s| s.stage() == SessionStage::Opening) {
+            if self.sessions.get(id).is_some_and(|s| s.stage() == SessionStage::AwaitingRequest) {
                 self.answer(turn, id, Answer::Closed, Cause::Shutdown);
             }
         }
-        for id in self.sessions.those(Session::waits) {
+        for id in self.sessions.ids_where(Session::is_waiting) {
             if !is_last_call && !self.guard.is_refusable(id) {
                 continue;
             }
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -18,15 +18,15 @@
 
 impl Proxy {
     /// Standing connections that can go on in another process.
-    pub fn can_go(&self) -> Vec<RequestId> {
-        let mut can = self.sessions.those(Session::can_go);
-        can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::can_go));
+    pub fn transferable_connections(&self) -> Vec<RequestId> {
+        let mut can = self.sessions.ids_where(Session::is_transferable);
+        can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::is_transferable));
         can
     }
 
     /// Takes one of them out of this process, with what the module has of it, as it is to go on in another one. What the
     /// module had there has ended for it.
-    pub fn goes(
+    pub fn detach_for_transfer(
         &mut self,
         turn: &mut LoopContext,
         id: RequestId,
@@ -34,40 +34,40 @@
     ) -> Option<Handed> {
         let (s, f) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
         let standing = Standing {
-            client: s.from(),
+            client: s.client_address(),
             server: f.server().0,
             id: s.open_id()?,
-            class: name(&self.terms.names.classes, request.class),
-            tenant: name(&self.terms.names.tenants, request.tenant),
+            class: name(&self.settings.names.classes, request.class),
+            tenant: name(&self.settings.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
             hint: request.load,
             load,
-            asked: s.asked_since(),
-            at_client: s.link.on_the_way(),
-            at_server: f.link.on_the_way(),
+            asked: s.unanswered_since(),
+            at_client: s.connection.buffered(),
+            at_server: f.connection.buffered(),
         };
         // What is watched is the connection, which goes on, and not this process's descriptor of it.
-        turn.poller.unwatch(&mut s.link);
-        turn.poller.unwatch(&mut f.link);
+        turn.registry.deregister(&mut s.connection);
+        turn.registry.deregister(&mut f.connection);
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, Cause::Handover);
         }
         let (s, f) = (self.sessions.take(turn, id)?, self.attempts.take(turn, id)?);
         turn.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((standing, s.link.into_stream(), f.link.into_stream()))
+        Some((standing, s.connection.into_stream(), f.connection.into_stream()))
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
-    pub fn take_over(&mut self, turn: &mut LoopContext, (standing, client, server): Handed) -> bool {
-        let names = &self.terms.names;
+    pub fn adopt_transferred(&mut self, turn: &mut LoopContext, (standing, client, server): Handed) -> bool {
+        let names = &self.settings.names;
         let class = names.classes.get(&standing.class).copied();
         let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
         let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Connection::going_on(client, &turn.pool, &standing.at_client);
-        let server = Connection::going_on(server, &turn.pool, &standing.at_server);
+        let client = Connection::resume(client, &turn.buffers, &standing.at_client);
+        let server = Connection::resume(server, &turn.buffers, &standing.at_server);
         let (Some(client), Some(server)) = (client, server) else { return false };
-        let between_lines = client.between_lines();
+        let between_lines = client.is_at_line_boundary();
         let adopted =
             self.sessions.adopt(turn, client, standing.client, (standing.id, asked), |id| attempts.has(id));
         let Some(id) = adopted else { return false };
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -23,14 +23,14 @@
     /// The first line is out, or on its way; the answer is awaited.
     Sent,
     /// The server has taken the client.
-    Up,
+    Established,
 }
 
 /// What a server said last, which tells how its end is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FinalReply {
-    Bye,
-    Move,
+    Completed,
+    Migrate,
     Other,
 }
 
@@ -38,11 +38,11 @@
 #[derive(Debug, PartialEq)]
 pub enum ServerAnswer {
     /// It has taken the client.
-    Up,
+    Accepted,
     /// The attempt is over.
-    Over(Outcome),
+    Ended(Outcome),
     /// It said something that the protocol has no meaning for; the beginning of that.
-    Odd(String),
+    Unexpected(String),
     /// It said a line over the limit.
     LineTooLong,
 }
@@ -53,9 +53,9 @@
     /// Descriptors have run out.
     Shortage,
     /// The loop takes no more connections.
-    Unwatched,
+    NotRegistered,
     /// This machine could not begin a connection, which says nothing of the server.
-    Local,
+    LocalFailure,
     /// The connect failed at once.
     Refused,
 }
@@ -64,7 +64,7 @@
     if is_shortage(error) {
         DialError::Shortage
     } else if is_local_failure(error) {
-        DialError::Local
+        DialError::LocalFailure
     } else {
         DialError::Refused
     }
@@ -74,22 +74,22 @@
 #[derive(Debug, Default)]
 struct ServerActivity {
     last: Cell<Option<(Micros, RequestId)>>,
-    before: Cell<Option<Micros>>,
+    last_to_other: Cell<Option<Micros>>,
 }
 
 impl ServerActivity {
-    fn hears(&self, now: Micros, id: RequestId) {
+    fn record(&self, now: Micros, id: RequestId) {
         if let Some((at, other)) = self.last.replace(Some((now, id)))
             && other != id
         {
-            self.before.set(Some(at));
+            self.last_to_other.set(Some(at));
         }
     }
 
     /// Whether it has said anything to another one since then.
-    fn lives(&self, id: RequestId, since: Micros) -> bool {
+    fn is_alive_for_others(&self, id: RequestId, since: Micros) -> bool {
         let last = self.last.get().filter(|(_, to)| *to != id).map(|(at, _)| at);
-        last.max(self.before.get()).is_some_and(|at| at > since)
+        last.max(self.last_to_other.get()).is_some_and(|at| at > since)
     }
 }
 
@@ -97,19 +97,19 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The connection itself.
-    pub link: Connection,
+    pub connection: Connection,
     server: ServerId,
-    voice: Rc<ServerActivity>,
+    activity: Rc<ServerActivity>,
     stage: AttemptStage,
     /// It should be connected by then.
     connected_by: Micros,
-    until: Micros,
-    last: FinalReply,
-    alarm: TimerHandle,
+    deadline: Micros,
+    last_reply: FinalReply,
+    timer: TimerHandle,
     /// When it last answered a line of the client's, and how long that took.
-    answered: Option<(Micros, Micros)>,
+    last_answer: Option<(Micros, Micros)>,
     /// The first line has gone out to its last byte, and that was told.
-    dispatched: bool,
+    is_dispatched: bool,
 }
 
 impl Attempt {
@@ -124,77 +124,79 @@
     }
 
     /// When a line of the client's was answered last, and how long that took.
-    pub fn answered(&self) -> Option<(Micros, Micros)> {
-        self.answered
+    pub fn last_answer(&self) -> Option<(Micros, Micros)> {
+        self.last_answer
     }
 
     /// Writes the first line on a connection that has come up, with what is left of the time as its `d`.
-    pub fn ask(&mut self, now: Micros, pool: &BufferPool, line: &[u8]) {
+    pub fn send_request(&mut self, now: Micros, pool: &BufferPool, line: &[u8]) {
         self.stage = AttemptStage::Sent;
-        self.link.say(pool, &with_timeout(line, self.until.saturating_sub(now)));
+        self.connection.send(pool, &with_timeout(line, self.deadline.saturating_sub(now)));
     }
 
     /// Whether the last byte of the first line has gone out, which is told once.
-    pub fn is_dispatched(&mut self) -> bool {
-        !self.dispatched && self.stage == AttemptStage::Sent && {
-            self.dispatched = self.link.flush();
-            self.dispatched
+    pub fn take_dispatched(&mut self) -> bool {
+        !self.is_dispatched && self.stage == AttemptStage::Sent && {
+            self.is_dispatched = self.connection.flush();
+            self.is_dispatched
         }
     }
 
     /// Reads on for the server's answer; none as long as there is none.
-    pub fn answer(&mut self, pool: &BufferPool) -> Option<ServerAnswer> {
-        let sent = self.link.flush();
-        self.link.fill(pool);
-        let ended = self.link.ended;
-        Some(match self.link.look().map(|line| line.map(parse_message)) {
-            Ok(Some(Message::Accepted(_))) => ServerAnswer::Up,
-            Ok(Some(Message::Rejected(_))) => ServerAnswer::Over(Outcome::Rejected),
-            Ok(Some(Message::Migrate)) => ServerAnswer::Over(Outcome::Cancelled),
-            Ok(Some(Message::Completed)) => ServerAnswer::Over(Outcome::Ok),
-            Ok(Some(Message::Failed)) => ServerAnswer::Over(Outcome::Error),
+    pub fn read_answer(&mut self, pool: &BufferPool) -> Option<ServerAnswer> {
+        let sent = self.connection.flush();
+        self.connection.read_available(pool);
+        let ended = self.connection.peer_close;
+        Some(match self.connection.inspect_line().map(|line| line.map(parse_message)) {
+            Ok(Some(Message::Accepted(_))) => ServerAnswer::Accepted,
+            Ok(Some(Message::Rejected(_))) => ServerAnswer::Ended(Outcome::Rejected),
+            Ok(Some(Message::Migrate)) => ServerAnswer::Ended(Outcome::Cancelled),
+            Ok(Some(Message::Completed)) => ServerAnswer::Ended(Outcome::Ok),
+            Ok(Some(Message::Failed)) => ServerAnswer::Ended(Outcome::Error),
             Ok(Some(other)) => {
                 let line = other.to_string();
                 let line = line.trim_end().as_bytes();
-                ServerAnswer::Odd(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned())
+                ServerAnswer::Unexpected(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned())
             }
             Err(LineTooLong) => ServerAnswer::LineTooLong,
             Ok(None) if ended.is_none() => return None,
             // Broken before the line's last byte was written: it has never run.
-            Ok(None) if !sent => ServerAnswer::Over(Outcome::ConnectFailed),
-            Ok(None) => ServerAnswer::Over(Outcome::Reset),
+            Ok(None) if !sent => ServerAnswer::Ended(Outcome::ConnectFailed),
+            Ok(None) => ServerAnswer::Ended(Outcome::Reset),
         })
     }
 
     /// Whether it can go on in another process.
-    pub fn can_go(&self) -> bool {
-        self.stage == AttemptStage::Up && self.last == FinalReply::Other && self.link.can_go()
+    pub fn is_transferable(&self) -> bool {
+        self.stage == AttemptStage::Established
+            && self.last_reply == FinalReply::Other
+            && self.connection.is_transferable()
     }
 
     /// The server has taken the client.
-    pub fn stands(&mut self, now: Micros, id: RequestId) {
-        self.stage = AttemptStage::Up;
-        self.voice.hears(now, id);
+    pub fn establish(&mut self, now: Micros, id: RequestId) {
+        self.stage = AttemptStage::Established;
+        self.activity.record(now, id);
     }
 
     /// When it should have come further; never where it stands.
-    fn due(&self, judges_from: Micros) -> Option<Micros> {
+    fn next_deadline(&self, judges_from: Micros) -> Option<Micros> {
         match self.stage {
-            AttemptStage::Connecting => Some(self.connected_by.max(judges_from).min(self.until)),
-            AttemptStage::Sent => Some(self.until),
-            AttemptStage::Up => None,
+            AttemptStage::Connecting => Some(self.connected_by.max(judges_from).min(self.deadline)),
+            AttemptStage::Sent => Some(self.deadline),
+            AttemptStage::Established => None,
         }
     }
 
     /// How it ends for want of time, if it does now.
-    fn is_late(&self, now: Micros, judges_from: Micros) -> Option<Outcome> {
+    fn timeout_outcome(&self, now: Micros, judges_from: Micros) -> Option<Outcome> {
         match self.stage {
             // What was never written has never run; what was may have.
             AttemptStage::Connecting if now >= self.connected_by.max(judges_from) => {
                 Some(Outcome::ConnectFailed)
             }
-            AttemptStage::Connecting if now >= self.until => Some(Outcome::NotSent),
-            AttemptStage::Sent if now >= self.until => Some(Outcome::TimedOut),
+            AttemptStage::Connecting if now >= self.deadline => Some(Outcome::NotSent),
+            AttemptStage::Sent if now >= self.deadline => Some(Outcome::TimedOut),
             _ => None,
         }
     }
@@ -202,22 +204,22 @@
     /// Takes in the lines that have come from a server on a standing connection. Each is carried on as it
     /// is; the figures of its `LOAD` lines go to `told`. A line unanswered since `asked` is answered by any other
     /// one. Tells whether anything came, and whether a line is over the limit.
-    pub fn take_in(
+    pub fn read_lines(
         &mut self,
         turn: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
     ) -> (bool, Result<(), LineTooLong>) {
-        let came = self.link.fill(&turn.pool);
-        let looked = self.look(turn, id, asked, told);
-        if self.link.ended == Some(PeerClose::Fin) {
-            self.link.look_at_rest();
+        let came = self.connection.read_available(&turn.buffers);
+        let looked = self.inspect_lines(turn, id, asked, told);
+        if self.connection.peer_close == Some(PeerClose::Fin) {
+            self.connection.inspect_rest();
         }
         (came, looked)
     }
 
-    fn look(
+    fn inspect_lines(
         &mut self,
         turn: &LoopContext,
         id: RequestId,
@@ -225,16 +227,17 @@
         told: &mut Vec<f64>,
     ) -> Result<(), LineTooLong> {
         let now = turn.now;
-        while let Some(line) = self.link.look()? {
-            self.voice.hears(now, id);
-            self.last = FinalReply::Other;
+        while let Some(line) = self.connection.inspect_line()? {
+            self.activity.record(now, id);
+            self.last_reply = FinalReply::Other;
             match parse_message(line) {
-                Message::Completed => self.last = FinalReply::Bye,
-                Message::Migrate => self.last = FinalReply::Move,
+                Message::Completed => self.last_reply = FinalReply::Completed,
+                Message::Migrate => self.last_reply = FinalReply::Migrate,
                 Message::LoadReport(load) => told.extend(load),
                 // The time from a client's line to the server's answer is what a message takes there.
                 _ => {
-                    self.answered = asked.take().map(|at| (now, now - turn.took_since(at))).or(self.answered)
+                    self.last_answer =
+                        asked.take().map(|at| (now, now - turn.waiting_since(at))).or(self.last_answer)
                 }
             }
         }
@@ -243,9 +246,9 @@
 
     /// How the end of a standing connection counts.
     pub fn outcome(&self) -> Outcome {
-        match self.last {
-            FinalReply::Bye => Outcome::Ok,
-            FinalReply::Move => Outcome::Cancelled,
+        match self.last_reply {
+            FinalReply::Completed => Outcome::Ok,
+            FinalReply::Migrate => Outcome::Cancelled,
             FinalReply::Other => Outcome::Reset,
         }
     }
@@ -258,7 +261,7 @@
     /// Boxed: the table of a large fleet has room for more than it holds.
     table: FxHashMap<RequestId, Box<Attempt>>,
     /// By server, for as long as it has any.
-    voices: FxHashMap<ServerId, Rc<ServerActivity>>,
+    activity: FxHashMap<ServerId, Rc<ServerActivity>>,
 }
 
 impl Attempts {
@@ -272,19 +275,29 @@
         connect_timeout: Micros,
     ) -> Result<(), DialError> {
         let mut link = Connection::connect(address).map_err(|e| dial_error_of(&e))?;
-        if !turn.poller.watch(&mut link, EventSource::Attempt(id)) {
-            return Err(DialError::Unwatched);
+        if !turn.registry.register(&mut link, EventSource::Attempt(id)) {
+            return Err(DialError::NotRegistered);
         }
         // A client that leaves less time than a connect may take must not get its server locked.
         let connected_by = if connect_timeout <= patience { turn.now + connect_timeout } else { Micros::MAX };
         let (stage, last, until) =
             (AttemptStage::Connecting, FinalReply::Other, turn.now.saturating_add(patience));
-        let voice = Rc::clone(self.voices.entry(server).or_default());
+        let voice = Rc::clone(self.activity.entry(server).or_default());
         let (alarm, answered, dispatched) = (TimerHandle::default(), None, false);
-        let attempt =
-            Attempt { link, server, voice, stage, connected_by, until, last, alarm, answered, dispatched };
+        let attempt = Attempt {
+            connection: link,
+            server,
+            activity: voice,
+            stage,
+            connected_by,
+            deadline: until,
+            last_reply: last,
+            timer: alarm,
+            last_answer: answered,
+            is_dispatched: dispatched,
+        };
         self.table.insert(id, Box::new(attempt));
-        self.arm(turn, id);
+        self.schedule_timer(turn, id);
         Ok(())
     }
 
@@ -296,14 +309,25 @@
         server: ServerId,
         mut link: Connection,
     ) -> bool {
-        if !turn.poller.watch(&mut link, EventSource::Attempt(id)) {
+        if !turn.registry.register(&mut link, EventSource::Attempt(id)) {
             return false;
         }
-        let voice = Rc::clone(self.voices.entry(server).or_default());
-        let (stage, last, connected_by, until) = (AttemptStage::Up, FinalReply::Other, turn.now, turn.now);
+        let voice = Rc::clone(self.activity.entry(server).or_default());
+        let (stage, last, connected_by, until) =
+            (AttemptStage::Established, FinalReply::Other, turn.now, turn.now);
         let (alarm, answered, dispatched) = (TimerHandle::default(), None, true);
-        let attempt =
-            Attempt { link, server, voice, stage, connected_by, until, last, alarm, answered, dispatched };
+        let attempt = Attempt {
+            connection: link,
+            server,
+            activity: voice,
+            stage,
+            connected_by,
+            deadline: until,
+            last_reply: last,
+            timer: alarm,
+            last_answer: answered,
+            is_dispatched: dispatched,
+        };
         self.table.insert(id, Box::new(attempt));
         true
     }
@@ -336,34 +360,34 @@
     /// Takes a req's attempt out, with its connection.
     pub fn take(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Box<Attempt>> {
         let mut attempt = self.table.remove(&id)?;
-        attempt.alarm.off(turn);
+        attempt.timer.cancel(turn);
         // The table's own is the other one that is left.
-        if Rc::strong_count(&attempt.voice) == 2 {
-            self.voices.remove(&attempt.server);
+        if Rc::strong_count(&attempt.activity) == 2 {
+            self.activity.remove(&attempt.server);
         }
         Some(attempt)
     }
 
-    fn arm(&mut self, turn: &mut LoopContext, id: RequestId) {
+    fn schedule_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.table.get_mut(&id) else { return };
-        let due = attempt.due(turn.judges_from());
-        attempt.alarm.by(turn, due, TimerEvent::Attempt(id));
+        let due = attempt.next_deadline(turn.earliest_timeout());
+        attempt.timer.schedule_by(turn, due, TimerEvent::Attempt(id));
     }
 
     /// The timer of a req's attempt has come: how it ends, if it does.
-    pub fn alarmed(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Outcome> {
+    pub fn on_timer(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Outcome> {
         let attempt = self.table.get_mut(&id)?;
-        attempt.alarm.came();
-        let late = attempt.is_late(turn.now, turn.judges_from());
+        attempt.timer.on_fired();
+        let late = attempt.timeout_outcome(turn.now, turn.earliest_timeout());
         if late.is_none() {
-            self.arm(turn, id);
+            self.schedule_timer(turn, id);
         }
         late
     }
 
     /// Whether the server of this req's attempt has said anything to another one since then.
-    pub fn server_lives(&self, id: RequestId, since: Micros) -> bool {
-        self.table.get(&id).is_some_and(|f| f.voice.lives(id, since))
+    pub fn is_server_alive(&self, id: RequestId, since: Micros) -> bool {
+        self.table.get(&id).is_some_and(|f| f.activity.is_alive_for_others(id, since))
     }
 
     /// How many there are.
@@ -372,8 +396,8 @@
     }
 
     /// Whether a server has any.
-    pub fn any_at(&self, server: ServerId) -> bool {
-        self.voices.contains_key(&server)
+    pub fn has_server(&self, server: ServerId) -> bool {
+        self.activity.contains_key(&server)
     }
 }
 
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -17,28 +17,28 @@
 
 /// What the timers that have come by then make of the attempt.
 fn late(attempts: &mut Attempts, turn: &mut LoopContext, now: Micros) -> Vec<Outcome> {
-    turn.ends(now);
-    turn.begin(now);
-    let due: Vec<_> = std::iter::from_fn(|| turn.timers.due()).collect();
+    turn.end_iteration(now);
+    turn.begin_iteration(now);
+    let due: Vec<_> = std::iter::from_fn(|| turn.timers.pop_due()).collect();
     assert!(due.iter().all(|due| *due == TimerEvent::Attempt(ID)), "{due:?}");
-    due.iter().filter_map(|_| attempts.alarmed(turn, ID)).collect()
+    due.iter().filter_map(|_| attempts.on_timer(turn, ID)).collect()
 }
 
 #[test]
 fn a_timer_ends_only_the_fetch_that_it_was_set_for() {
     let (mut turn, mut attempts) = (turn(1_000_000), Attempts::default());
     let _old = begin(&mut attempts, &mut turn, 700_000);
-    assert!(attempts.end(&mut turn, ID) && !attempts.end(&mut turn, ID) && !attempts.any_at(SERVER));
-    turn.begin(1_100_000);
+    assert!(attempts.end(&mut turn, ID) && !attempts.end(&mut turn, ID) && !attempts.has_server(SERVER));
+    turn.begin_iteration(1_100_000);
     let _new = begin(&mut attempts, &mut turn, 700_000);
     assert_eq!(late(&mut attempts, &mut turn, 1_349_000), []);
     assert_eq!(late(&mut attempts, &mut turn, 1_350_000), [Outcome::ConnectFailed]);
-    attempts.get_mut(ID).expect("out").ask(1_350_000, &turn.pool, b"OPEN 1 2 d=9");
-    attempts.arm(&mut turn, ID);
+    attempts.get_mut(ID).expect("out").send_request(1_350_000, &turn.buffers, b"OPEN 1 2 d=9");
+    attempts.schedule_timer(&mut turn, ID);
     assert_eq!(late(&mut attempts, &mut turn, 1_799_000), []);
     assert_eq!(late(&mut attempts, &mut turn, 1_800_000), [Outcome::TimedOut]);
-    attempts.get_mut(ID).expect("out").stands(1_800_000, ID);
-    attempts.arm(&mut turn, ID);
+    attempts.get_mut(ID).expect("out").establish(1_800_000, ID);
+    attempts.schedule_timer(&mut turn, ID);
     assert_eq!(late(&mut attempts, &mut turn, 9_000_000), []);
 }
 
@@ -54,27 +54,27 @@
     let (mut turn, mut attempts) = (turn(1000), Attempts::default());
     let mut server = begin(&mut attempts, &mut turn, 700);
     let attempt = attempts.get_mut(ID).expect("out");
-    attempt.link.ready(READ);
-    attempt.ask(1000, &turn.pool, b"OPEN 1 2 c=chat,d=9");
+    attempt.connection.on_ready(READ);
+    attempt.send_request(1000, &turn.buffers, b"OPEN 1 2 c=chat,d=9");
     let mut line = [0; 21];
     server.read_exact(&mut line).expect("the first line");
     assert_eq!(&line, b"OPEN 1 2 c=chat,d=1\r\n");
     server.write_all(b"UP 7\r\nM 1\r\nLOAD 5.5\r\nBYE\r\n").expect("open");
-    turn.begin(2000);
+    turn.begin_iteration(2000);
     let (mut asked, mut told) = (Some(1500), Vec::new());
     until(|| {
-        attempt.link.ready(READ);
-        attempt.answer(&turn.pool) == Some(ServerAnswer::Up)
+        attempt.connection.on_ready(READ);
+        attempt.read_answer(&turn.buffers) == Some(ServerAnswer::Accepted)
     });
-    attempt.stands(1600, ID);
+    attempt.establish(1600, ID);
     until(|| {
-        attempt.link.ready(READ);
-        assert_eq!(attempt.take_in(&turn, ID, &mut asked, &mut told).1, Ok(()));
+        attempt.connection.on_ready(READ);
+        assert_eq!(attempt.read_lines(&turn, ID, &mut asked, &mut told).1, Ok(()));
         attempt.outcome() == Outcome::Ok // Its last word was BYE.
     });
-    assert_eq!((asked, told, attempt.answered()), (None, vec![5.5], Some((2000, 500))));
-    assert!(!attempts.server_lives(ID, 1700), "it has said nothing to others");
-    attempts.get(ID).expect("out").voice.hears(2100, RequestId(8));
-    assert!(attempts.server_lives(ID, 2099) && !attempts.server_lives(ID, 2100));
-    assert!(attempts.server_lives(RequestId(7), 1700) && !attempts.server_lives(RequestId(8), 1700));
+    assert_eq!((asked, told, attempt.last_answer()), (None, vec![5.5], Some((2000, 500))));
+    assert!(!attempts.is_server_alive(ID, 1700), "it has said nothing to others");
+    attempts.get(ID).expect("out").activity.record(2100, RequestId(8));
+    assert!(attempts.is_server_alive(ID, 2099) && !attempts.is_server_alive(ID, 2100));
+    assert!(attempts.is_server_alive(RequestId(7), 1700) && !attempts.is_server_alive(RequestId(8), 1700));
 }
