--- a/crates/balancer/src/servers/delays.rs
+++ b/crates/balancer/src/servers/delays.rs
@@ -35,43 +35,43 @@
     /// Milliseconds that a message takes at the server.
     Delay,
     /// It may be either, and is taken for neither.
-    Unclear,
+    Ambiguous,
 }
 
 /// What the figures of a server's `CERTAIN_LOAD_FROM` lines have been.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadFigureClassifier {
     /// The last one that was a delay or may have been one.
-    last: Option<(Micros, f64)>,
+    last_delay: Option<(Micros, f64)>,
     /// When the last delay came.
-    delayed: Option<Micros>,
+    delay_reported_at: Option<Micros>,
 }
 
 impl LoadFigureClassifier {
     /// What this figure, which has come now, is.
-    pub fn read(&mut self, now: Micros, figure: f64) -> LoadFigure {
+    pub fn classify(&mut self, now: Micros, figure: f64) -> LoadFigure {
         let in_rhythm = |(at, last): (Micros, f64)| {
             DELAY_REPORT_INTERVAL.contains(&(now - at))
                 && figure < last + MAX_DELAY_GROWTH_MS
                 && figure < MAX_DELAY_MS
         };
-        let kind = if figure < CERTAIN_DELAY_BELOW_MS || self.last.is_some_and(in_rhythm) {
+        let kind = if figure < CERTAIN_DELAY_BELOW_MS || self.last_delay.is_some_and(in_rhythm) {
             LoadFigure::Delay
         } else if figure < CERTAIN_LOAD_FROM {
-            LoadFigure::Unclear
+            LoadFigure::Ambiguous
         } else {
             return LoadFigure::Load;
         };
-        self.last = Some((now, figure));
+        self.last_delay = Some((now, figure));
         if kind == LoadFigure::Delay {
-            self.delayed = Some(now);
+            self.delay_reported_at = Some(now);
         }
         kind
     }
 
     /// Whether a delay that was told a moment ago still stands.
-    pub fn stands(&self, now: Micros) -> bool {
-        self.delayed.is_some_and(|at| now - at < REPORTED_DELAY_LIFETIME)
+    pub fn has_recent_delay(&self, now: Micros) -> bool {
+        self.delay_reported_at.is_some_and(|at| now - at < REPORTED_DELAY_LIFETIME)
     }
 }
 
@@ -79,24 +79,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DelaySample {
     /// Since when a line of the client's has gone unanswered.
-    pub asked: Option<Micros>,
+    pub unanswered_since: Option<Micros>,
     /// When a line was answered last, and how long that took.
-    pub answered: Option<(Micros, Micros)>,
+    pub last_answer: Option<(Micros, Micros)>,
 }
 
 impl DelaySample {
     /// Whether it says anything of its server, now or later without another line.
-    pub fn says_something(&self, now: Micros) -> bool {
-        self.asked.is_some() || self.answered.is_some_and(|(at, _)| now - at < MAX_ANSWER_AGE)
+    pub fn is_informative(&self, now: Micros) -> bool {
+        self.unanswered_since.is_some() || self.last_answer.is_some_and(|(at, _)| now - at < MAX_ANSWER_AGE)
     }
 }
 
 /// What a message takes for most of a server's connections; none where too little is known. Waiting counts
 /// from `least` on: an answer that is still out takes at least as long as it has been waited for.
 pub fn median_delay(now: Micros, least: Micros, seen: &[DelaySample]) -> Option<Micros> {
-    let wait = |s: &DelaySample| s.asked.map(|at| now - at).filter(|w| *w > least);
+    let wait = |s: &DelaySample| s.unanswered_since.map(|at| now - at).filter(|w| *w > least);
     let fresh =
-        |s: &DelaySample| s.answered.filter(|(at, _)| now - at < MAX_ANSWER_AGE).map(|(_, took)| took);
+        |s: &DelaySample| s.last_answer.filter(|(at, _)| now - at < MAX_ANSWER_AGE).map(|(_, took)| took);
     let waiting = seen.iter().filter(|s| wait(s).is_some()).count();
     let mut figures: Vec<Micros> = seen.iter().filter_map(|s| wait(s).or_else(|| fresh(s))).collect();
     figures.sort_unstable();
--- a/crates/balancer/src/servers/delays/tests.rs
+++ b/crates/balancer/src/servers/delays/tests.rs
@@ -5,11 +5,11 @@
 const NOW: Micros = 100_000_000;
 
 fn waits(for_us: Micros) -> DelaySample {
-    DelaySample { asked: Some(NOW - for_us), answered: None }
+    DelaySample { unanswered_since: Some(NOW - for_us), last_answer: None }
 }
 
 fn answered(ago: Micros, took: Micros) -> DelaySample {
-    DelaySample { asked: None, answered: Some((NOW - ago, took)) }
+    DelaySample { unanswered_since: None, last_answer: Some((NOW - ago, took)) }
 }
 
 #[test]
@@ -22,7 +22,7 @@
         // Too small for a load.
         (100_000, 1_593.3, Delay),
         // Between its fellows in time, and too long for one.
-        (600_000, 2_973.3, Unclear),
+        (600_000, 2_973.3, Ambiguous),
         (1_100_000, 255_465.0, Load),
         (1_600_000, 2_742.8, Delay),
         (2_600_000, 3_900.0, Delay),
@@ -30,11 +30,11 @@
         (3_600_000, 4_200.0, Delay),
         (4_600_000, 14_200.0, Load),
         // Out of its rhythm a long one may be either.
-        (9_000_000, 2_742.8, Unclear),
+        (9_000_000, 2_742.8, Ambiguous),
         (10_000_000, 2_900.0, Delay),
         (20_000_000, 4.0, Delay),
     ] {
-        assert_eq!(figures.read(NOW + at, figure), kind, "{figure} at {at}");
+        assert_eq!(figures.classify(NOW + at, figure), kind, "{figure} at {at}");
     }
 }
 
--- a/crates/balancer/src/servers/disabled.rs
+++ b/crates/balancer/src/servers/disabled.rs
@@ -10,14 +10,14 @@
     /// Its name, as far as it is known.
     pub name: Box<str>,
     /// When it was taken out, in seconds on the module's clock.
-    pub since: f64,
+    pub disabled_at: f64,
 }
 
 /// A server that was put back and may have been restarted while it was out, which the list has not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct EnabledServer {
-    since: f64,
-    at: f64,
+    disabled_at: f64,
+    enabled_at: f64,
 }
 
 /// What has changed by hand.
@@ -41,31 +41,31 @@
 /// Servers taken out, whether the list names them or not. Only a call puts one back.
 #[derive(Clone, Debug, Default)]
 pub struct DisabledServers {
-    out: BTreeMap<ServerId, DisabledServer>,
-    back: BTreeMap<ServerId, EnabledServer>,
+    disabled: BTreeMap<ServerId, DisabledServer>,
+    enabled: BTreeMap<ServerId, EnabledServer>,
 }
 
 impl DisabledServers {
     /// Whether a server is out.
-    pub fn is_out(&self, server: ServerId) -> bool {
-        self.out.contains_key(&server)
+    pub fn is_disabled(&self, server: ServerId) -> bool {
+        self.disabled.contains_key(&server)
     }
 
     /// Those that are out.
     pub fn all(&self) -> &BTreeMap<ServerId, DisabledServer> {
-        &self.out
+        &self.disabled
     }
 
     /// Takes a change in; false where it was so before.
-    pub fn take(&mut self, change: AdminChange) -> bool {
+    pub fn apply(&mut self, change: AdminChange) -> bool {
         match change {
             AdminChange::Disabled(server, out) => {
-                self.back.remove(&server);
-                self.out.insert(server, out).is_none()
+                self.enabled.remove(&server);
+                self.disabled.insert(server, out).is_none()
             }
             AdminChange::Enabled(server, at) => {
-                let Some(out) = self.out.remove(&server) else { return false };
-                self.back.insert(server, EnabledServer { since: out.since, at });
+                let Some(out) = self.disabled.remove(&server) else { return false };
+                self.enabled.insert(server, EnabledServer { disabled_at: out.disabled_at, enabled_at: at });
                 true
             }
         }
@@ -73,15 +73,15 @@
 
     /// A server is forgotten unless it is out.
     pub fn forget(&mut self, server: ServerId) {
-        self.back.remove(&server);
+        self.enabled.remove(&server);
     }
 
     /// What the module is told of a server that is listed like this: one that is out drains; one that was put back is as
     /// cold as it would be after a restart, unless the list has told of one since.
-    pub fn seen(&self, listed: ServerEntry) -> ServerEntry {
-        let out = self.is_out(listed.server) && listed.state == ServerState::Ready;
-        let born = match self.back.get(&listed.server) {
-            Some(back) if listed.started_at < back.since => back.at,
+    pub fn effective_entry(&self, listed: ServerEntry) -> ServerEntry {
+        let out = self.is_disabled(listed.server) && listed.state == ServerState::Ready;
+        let born = match self.enabled.get(&listed.server) {
+            Some(back) if listed.started_at < back.disabled_at => back.enabled_at,
             _ => listed.started_at,
         };
         ServerEntry {
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -19,14 +19,14 @@
 /// A check on a server.
 #[derive(Debug)]
 struct Probe {
-    link: Connection,
+    connection: Connection,
     server: ServerId,
-    asked: bool,
-    begun: Micros,
+    is_ping_sent: bool,
+    started_at: Micros,
     timer: TimerKey,
     /// The other workers that want it too, and whether this one does.
-    others: Vec<usize>,
-    own: bool,
+    waiting_workers: Vec<usize>,
+    is_wanted_here: bool,
 }
 
 /// The table of probes, by number. Each that was asked for is told of once, when it is over; a server has one at a time,
@@ -34,9 +34,9 @@
 #[derive(Debug, Default)]
 pub struct Probes {
     table: BTreeMap<u64, Probe>,
-    begun: u64,
+    last_number: u64,
     /// What other workers are to be told.
-    for_others: Vec<(usize, ServerId, Outcome)>,
+    worker_results: Vec<(usize, ServerId, Outcome)>,
 }
 
 impl Probes {
@@ -49,85 +49,87 @@
         other: Option<usize>,
     ) {
         if let Some(probe) =
-            self.table.values_mut().find(|p| p.server == server && (other.is_some() || !p.own))
+            self.table.values_mut().find(|p| p.server == server && (other.is_some() || !p.is_wanted_here))
         {
-            probe.own |= other.is_none();
-            probe.others.extend(other);
+            probe.is_wanted_here |= other.is_none();
+            probe.waiting_workers.extend(other);
             return;
         }
-        self.begun += 1;
-        let number = self.begun;
-        let watched = |mut link| turn.poller.watch(&mut link, EventSource::Probe(number)).then_some(link);
+        self.last_number += 1;
+        let number = self.last_number;
+        let watched =
+            |mut link| turn.registry.register(&mut link, EventSource::Probe(number)).then_some(link);
         let Some(link) = address.and_then(|to| Connection::connect(to).ok()).and_then(watched) else {
             return match other {
-                Some(other) => self.for_others.push((other, server, Outcome::ConnectFailed)),
+                Some(other) => self.worker_results.push((other, server, Outcome::ConnectFailed)),
                 None => turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
             };
         };
-        let (timer, begun) = (turn.after(PROBE_TIMEOUT, TimerEvent::Probe(number)), turn.now);
+        let (timer, begun) = (turn.schedule_after(PROBE_TIMEOUT, TimerEvent::Probe(number)), turn.now);
         self.table.insert(
             number,
             Probe {
-                link,
+                connection: link,
                 server,
-                asked: false,
-                begun,
+                is_ping_sent: false,
+                started_at: begun,
                 timer,
-                others: Vec::from_iter(other),
-                own: other.is_none(),
+                waiting_workers: Vec::from_iter(other),
+                is_wanted_here: other.is_none(),
             },
         );
-        self.ready(turn, number, Readiness::default());
+        self.on_ready(turn, number, Readiness::default());
     }
 
     /// A probe's connection is ready.
-    pub fn ready(&mut self, turn: &mut LoopContext, number: u64, ready: Readiness) {
+    pub fn on_ready(&mut self, turn: &mut LoopContext, number: u64, ready: Readiness) {
         let Some(probe) = self.table.get_mut(&number) else { return };
-        probe.link.ready(ready);
-        if !probe.asked {
-            match probe.link.connected() {
+        probe.connection.on_ready(ready);
+        if !probe.is_ping_sent {
+            match probe.connection.is_connected() {
                 Ok(false) => return,
-                Ok(true) => probe.asked = probe.link.say(&turn.pool, b"PING\r\n"),
-                Err(_) => return self.end(turn, number, Outcome::ConnectFailed),
+                Ok(true) => probe.is_ping_sent = probe.connection.send(&turn.buffers, b"PING\r\n"),
+                Err(_) => return self.finish(turn, number, Outcome::ConnectFailed),
             }
         }
-        probe.link.flush();
-        probe.link.fill(&turn.pool);
-        let ended = probe.link.ended;
-        let outcome = match probe.link.look() {
+        probe.connection.flush();
+        probe.connection.read_available(&turn.buffers);
+        let ended = probe.connection.peer_close;
+        let outcome = match probe.connection.inspect_line() {
             Ok(Some(b"PONG")) => Outcome::Ok,
             Ok(None) if ended.is_none() => return,
             Ok(None) => Outcome::Reset,
             _ => Outcome::Error,
         };
-        self.end(turn, number, outcome);
+        self.finish(turn, number, outcome);
     }
 
     /// Ends a probe, and tells how; nothing happens where it is over already.
-    pub fn end(&mut self, turn: &mut LoopContext, number: u64, outcome: Outcome) {
+    pub fn finish(&mut self, turn: &mut LoopContext, number: u64, outcome: Outcome) {
         if let Some(probe) = self.table.remove(&number) {
             turn.timers.cancel(probe.timer);
-            let (server, us) = (probe.server.0, turn.now - probe.begun);
+            let (server, us) = (probe.server.0, turn.now - probe.started_at);
             debug!(event = "probed", server, us, outcome = ?outcome);
-            if probe.own {
+            if probe.is_wanted_here {
                 turn.emit(NetworkEvent::ProbeEnded(probe.server, outcome));
             }
-            self.for_others.extend(probe.others.into_iter().map(|other| (other, probe.server, outcome)));
+            self.worker_results
+                .extend(probe.waiting_workers.into_iter().map(|other| (other, probe.server, outcome)));
         }
     }
 
     /// Takes out what other workers are to be told.
-    pub fn take_for_others(&mut self) -> Vec<(usize, ServerId, Outcome)> {
-        std::mem::take(&mut self.for_others)
+    pub fn take_worker_results(&mut self) -> Vec<(usize, ServerId, Outcome)> {
+        std::mem::take(&mut self.worker_results)
     }
 
     /// A probe's timer has come.
-    pub fn alarmed(&mut self, turn: &mut LoopContext, number: u64) {
+    pub fn on_timer(&mut self, turn: &mut LoopContext, number: u64) {
         match self.table.get_mut(&number) {
-            Some(probe) if turn.now < turn.judges_from() => {
-                probe.timer = turn.timers.set(turn.judges_from(), TimerEvent::Probe(number));
+            Some(probe) if turn.now < turn.earliest_timeout() => {
+                probe.timer = turn.timers.schedule(turn.earliest_timeout(), TimerEvent::Probe(number));
             }
-            _ => self.end(turn, number, Outcome::TimedOut),
+            _ => self.finish(turn, number, Outcome::TimedOut),
         }
     }
 
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 
 fn told(turn: &mut LoopContext) -> Option<Outcome> {
-    turn.next().map(|h| match h {
+    turn.next_event().map(|h| match h {
         NetworkEvent::ProbeEnded(ServerId(4), outcome) => outcome,
         other => panic!("{other:?}"),
     })
@@ -23,19 +23,19 @@
         let (mut server, _) = listener.accept().expect("the probe");
         server.write_all(answer.as_bytes()).expect("open");
         until(|| {
-            probes.ready(&mut turn, number, READ);
+            probes.on_ready(&mut turn, number, READ);
             probes.len() == 0
         });
-        probes.end(&mut turn, number, Outcome::TimedOut);
+        probes.finish(&mut turn, number, Outcome::TimedOut);
         assert_eq!((told(&mut turn), told(&mut turn)), (Some(outcome), None));
     }
     probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), None);
-    turn.begin(PROBE_TIMEOUT);
-    assert_eq!(turn.timers.due(), Some(TimerEvent::Probe(4)));
+    turn.begin_iteration(PROBE_TIMEOUT);
+    assert_eq!(turn.timers.pop_due(), Some(TimerEvent::Probe(4)));
     // Another worker wants the same, and gets the same answer without a probe of its own.
     probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), Some(2));
     assert_eq!(probes.len(), 1);
-    probes.end(&mut turn, 4, Outcome::TimedOut);
+    probes.finish(&mut turn, 4, Outcome::TimedOut);
     assert_eq!((told(&mut turn), probes.len()), (Some(Outcome::TimedOut), 0));
-    assert_eq!(probes.take_for_others(), [(2, ServerId(4), Outcome::TimedOut)]);
+    assert_eq!(probes.take_worker_results(), [(2, ServerId(4), Outcome::TimedOut)]);
 }
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -42,13 +42,13 @@
 pub struct ServerTable {
     table: BTreeMap<ServerId, KnownServer>,
     /// Those that are gone and still here.
-    gone: BTreeSet<ServerId>,
+    removed: BTreeSet<ServerId>,
     /// Lists that have been taken in.
-    lists: u64,
+    lists_applied: u64,
     wall_clock: WallClock,
     /// Servers are left out for want of room.
-    over: bool,
-    taken_out: DisabledServers,
+    is_over_limit: bool,
+    disabled: DisabledServers,
 }
 
 /// The stages that servers have left for others in a list, each with the first; none for those that are new.
@@ -57,16 +57,16 @@
 impl ServerTable {
     /// Takes in a list from discovery: what the module is told of it. Those that are gone and not `in_use` are
     /// forgotten. No more than `most` are taken up by changes.
-    pub fn take(
+    pub fn apply_list(
         &mut self,
         list: Incoming,
         most: usize,
         in_use: impl Fn(ServerId) -> bool,
     ) -> Vec<ServerEntry> {
-        let (entries, before) = self.apply(list, most);
-        self.tell(&before);
-        let (table, taken_out) = (&mut self.table, &mut self.taken_out);
-        self.gone.retain(|id| {
+        let (entries, before) = self.update_entries(list, most);
+        self.log_changes(&before);
+        let (table, taken_out) = (&mut self.table, &mut self.disabled);
+        self.removed.retain(|id| {
             let stays = in_use(*id);
             if !stays {
                 table.remove(id);
@@ -78,13 +78,13 @@
     }
 
     /// The same for the list that is known at the start, which is no news to anybody.
-    pub fn take_quietly(&mut self, list: Incoming, most: usize) -> Vec<ServerEntry> {
-        self.apply(list, most).0
+    pub fn load_initial_list(&mut self, list: Incoming, most: usize) -> Vec<ServerEntry> {
+        self.update_entries(list, most).0
     }
 
-    fn apply(&mut self, list: Incoming, most: usize) -> (Vec<ServerEntry>, PreviousStates) {
-        self.lists += 1;
-        let (number, mut before, mut left_out) = (self.lists, PreviousStates::new(), list.left_out);
+    fn update_entries(&mut self, list: Incoming, most: usize) -> (Vec<ServerEntry>, PreviousStates) {
+        self.lists_applied += 1;
+        let (number, mut before, mut left_out) = (self.lists_applied, PreviousStates::new(), list.left_out);
         let mut entries = Vec::with_capacity(list.entries.len());
         for Entry { name, address, entry: listed } in list.entries {
             let (id, stage) = (listed.server, listed.state);
@@ -116,10 +116,10 @@
                 }
             }
             match stage {
-                ServerState::Removed => self.gone.insert(id),
-                _ => self.gone.remove(&id),
+                ServerState::Removed => self.removed.insert(id),
+                _ => self.removed.remove(&id),
             };
-            entries.push(self.taken_out.seen(entry));
+            entries.push(self.disabled.effective_entry(entry));
         }
         if list.snapshot {
             for (id, b) in self
@@ -129,10 +129,10 @@
             {
                 before.entry(*id).or_insert(Some(b.entry.state));
                 b.entry.state = ServerState::Removed;
-                self.gone.insert(*id);
+                self.removed.insert(*id);
             }
         }
-        self.note_over(left_out, list.snapshot, most);
+        self.log_limit_change(left_out, list.snapshot, most);
         (entries, before)
     }
 
@@ -150,16 +150,16 @@
     }
 
     /// Says once that servers are left out, and once that a whole list fits again.
-    fn note_over(&mut self, left_out: usize, whole: bool, most: usize) {
-        if left_out > 0 && !std::mem::replace(&mut self.over, true) {
+    fn log_limit_change(&mut self, left_out: usize, whole: bool, most: usize) {
+        if left_out > 0 && !std::mem::replace(&mut self.is_over_limit, true) {
             warn!(event = "list-over-limit", servers = most, "left-out" = left_out);
-        } else if left_out == 0 && whole && std::mem::replace(&mut self.over, false) {
+        } else if left_out == 0 && whole && std::mem::replace(&mut self.is_over_limit, false) {
             info!(event = "list-within-limit", servers = most);
         }
     }
 
     /// Logs what has changed in the end: a whole list names every server, most of them as before.
-    fn tell(&self, before: &PreviousStates) {
+    fn log_changes(&self, before: &PreviousStates) {
         let mut more = 0;
         for (id, before) in before {
             let Some(b) = self.table.get(id).filter(|b| Some(b.entry.state) != *before) else { continue };
@@ -189,14 +189,14 @@
 
     /// The list in discovery's form, as it stands but for who is taken out: that is kept apart.
     pub fn endpoints(&self, names: &NameIndex) -> Vec<Endpoint> {
-        self.some_endpoints(names, None, usize::MAX)
+        self.endpoints_after(names, None, usize::MAX)
             .into_iter()
             .filter_map(|(_, endpoint)| endpoint)
             .collect()
     }
 
     /// The same for so many servers behind this one; none for a server that is in use and no longer listed.
-    pub fn some_endpoints(
+    pub fn endpoints_after(
         &self,
         names: &NameIndex,
         behind: Option<ServerId>,
@@ -214,23 +214,23 @@
             since_ms: self.listed_start(b) * 1e3,
         };
         let some = self.table.range((behind.map_or(Unbounded, Excluded), Unbounded)).take(most);
-        some.map(|(id, b)| (*id, (!self.gone.contains(id)).then(|| endpoint(b)))).collect()
+        some.map(|(id, b)| (*id, (!self.removed.contains(id)).then(|| endpoint(b)))).collect()
     }
 
     /// When a server's process started, by the wall clock; a server that was put back by hand starts anew.
     fn listed_start(&self, server: &KnownServer) -> f64 {
-        let born = self.taken_out.seen(server.entry).started_at;
+        let born = self.disabled.effective_entry(server.entry).started_at;
         if born == server.entry.started_at { server.listed_start } else { born }
     }
 
     /// Servers that the last list names.
-    pub fn listed(&self) -> usize {
-        self.table.len() - self.gone.len()
+    pub fn listed_count(&self) -> usize {
+        self.table.len() - self.removed.len()
     }
 
     /// Of these servers, those that the last list names.
-    pub fn listed_of(&self, servers: &[ServerId]) -> usize {
-        let listed = |id: &&ServerId| self.table.contains_key(*id) && !self.gone.contains(*id);
+    pub fn listed_count_of(&self, servers: &[ServerId]) -> usize {
+        let listed = |id: &&ServerId| self.table.contains_key(*id) && !self.removed.contains(*id);
         servers.iter().filter(listed).count()
     }
 
@@ -247,28 +247,28 @@
 
     /// Where a server is that takes something new; none for any other.
     pub fn ready_address(&self, server: ServerId) -> Option<SocketAddr> {
-        let seen = |b: &&KnownServer| self.taken_out.seen(b.entry).state == ServerState::Ready;
+        let seen = |b: &&KnownServer| self.disabled.effective_entry(b.entry).state == ServerState::Ready;
         self.table.get(&server).filter(seen).map(|b| b.address)
     }
 
     /// Who is taken out by hand.
-    pub fn taken_out(&self) -> &DisabledServers {
-        &self.taken_out
+    pub fn disabled(&self) -> &DisabledServers {
+        &self.disabled
     }
 
     /// Whether a server of this name is here, listed or still in use.
-    pub fn is_known(&self, server: ServerId, name: &str) -> bool {
+    pub fn has_name(&self, server: ServerId, name: &str) -> bool {
         self.table.get(&server).is_some_and(|b| &*b.name == name)
     }
 
     /// Takes in what was changed by hand; what the module is to be told, where the server is here and anything has
     /// changed.
-    pub fn change(&mut self, change: AdminChange) -> Option<ServerEntry> {
+    pub fn apply_admin_change(&mut self, change: AdminChange) -> Option<ServerEntry> {
         let server = change.server();
-        if !self.taken_out.take(change) {
+        if !self.disabled.apply(change) {
             return None;
         }
-        self.table.get(&server).map(|b| self.taken_out.seen(b.entry))
+        self.table.get(&server).map(|b| self.disabled.effective_entry(b.entry))
     }
 
     /// A server's name, for the log.
@@ -277,13 +277,13 @@
     }
 
     /// What a figure in a `LOAD` line of this server's is.
-    pub fn read_figure(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadFigure {
-        self.table.get_mut(&server).map_or(LoadFigure::Load, |b| b.figures.read(now, figure))
+    pub fn classify_load(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadFigure {
+        self.table.get_mut(&server).map_or(LoadFigure::Load, |b| b.figures.classify(now, figure))
     }
 
     /// What messages take, from what connections have `seen` of each server: those where that is over `least`, and
     /// once more each that is back under it.
-    pub fn delays(
+    pub fn delay_reports(
         &mut self,
         now: Micros,
         least: Micros,
@@ -293,7 +293,7 @@
             let delay = median_delay(now, least, sights)?;
             let b = self.table.get_mut(server)?;
             // What the server tells of itself goes before what its answers take.
-            if b.figures.stands(now) {
+            if b.figures.has_recent_delay(now) {
                 return None;
             }
             let slow = delay > least;
--- a/crates/balancer/src/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -17,13 +17,13 @@
     let [a, b, c] = ["a", "b", "c"].map(server_id);
     let at = |port: u16| Some(SocketAddr::from(([127, 0, 0, 1], port)));
     let first = [("a", "127.0.0.1:1", "Ready"), ("b", "127.0.0.1:2", "Ready"), ("c", "nowhere", "Ready")];
-    assert_eq!(servers.take(listing(true, &first), 3, |_| false).len(), 2, "c has no address");
+    assert_eq!(servers.apply_list(listing(true, &first), 3, |_| false).len(), 2, "c has no address");
     let news = [("a", "127.0.0.1:3", "Terminating"), ("c", "127.0.0.1:4", "New")];
-    servers.take(listing(false, &news), 3, |_| false);
+    servers.apply_list(listing(false, &news), 3, |_| false);
     assert_eq!([a, b, c].map(|s| servers.ready_address(s)), [None, at(2), None]);
     assert_eq!([a, b, c].map(|s| servers.address(s)), [at(3), at(2), at(4)]);
     // A whole list without them: what is in use can still be reached, and nothing is left of the rest.
-    servers.take(listing(true, &[]), 3, |s| s == b);
+    servers.apply_list(listing(true, &[]), 3, |s| s == b);
     assert_eq!([a, b, c].map(|s| servers.address(s)), [None, at(2), None]);
     assert_eq!((servers.ready_address(b), servers.name(Some(b)), servers.name(Some(a))), (None, "b", "?"));
 }
@@ -37,32 +37,36 @@
         listing(snapshot, &servers)
     };
     let mut servers = ServerTable::default();
-    servers.take(list(true, 0..90), 90, |_| false);
-    let told = servers.take(list(true, 100..190), 90, |_| false);
-    assert_eq!((told.len(), servers.table.len(), servers.gone.len()), (90, 90, 0));
-    let told = servers.take(list(false, 188..195), 90, |_| false);
-    assert_eq!((told.len(), servers.table.len(), servers.over), (2, 90, true), "two are known, five are not");
-    let told = servers.take(list(true, 100..250), 100, |_| false);
-    assert_eq!((told.len(), servers.over), (100, true), "a whole list has its own limit");
-    servers.take(list(true, 100..110), 100, |_| false);
-    assert!(!servers.over);
+    servers.apply_list(list(true, 0..90), 90, |_| false);
+    let told = servers.apply_list(list(true, 100..190), 90, |_| false);
+    assert_eq!((told.len(), servers.table.len(), servers.removed.len()), (90, 90, 0));
+    let told = servers.apply_list(list(false, 188..195), 90, |_| false);
+    assert_eq!(
+        (told.len(), servers.table.len(), servers.is_over_limit),
+        (2, 90, true),
+        "two are known, five are not"
+    );
+    let told = servers.apply_list(list(true, 100..250), 100, |_| false);
+    assert_eq!((told.len(), servers.is_over_limit), (100, true), "a whole list has its own limit");
+    servers.apply_list(list(true, 100..110), 100, |_| false);
+    assert!(!servers.is_over_limit);
 }
 
 #[test]
 fn a_slow_server_is_reported_and_once_more_when_it_no_longer_is() {
     let (mut servers, a) = (ServerTable::default(), server_id("a"));
-    servers.take(listing(true, &[("a", "127.0.0.1:1", "Ready")]), 3, |_| false);
+    servers.apply_list(listing(true, &[("a", "127.0.0.1:1", "Ready")]), 3, |_| false);
     let mut report = |now, took| {
-        let seen = [(a, vec![DelaySample { asked: None, answered: Some((now, took)) }])].into();
-        servers.delays(now, 100, &seen)
+        let seen = [(a, vec![DelaySample { unanswered_since: None, last_answer: Some((now, took)) }])].into();
+        servers.delay_reports(now, 100, &seen)
     };
     assert_eq!(report(0, 50), []);
     assert_eq!(report(1, 500), [(a, 500)]);
     assert_eq!(report(2, 60), [(a, 60)]);
     assert_eq!(report(3, 60), []);
-    assert_eq!(servers.read_figure(4, a, 900.0), LoadFigure::Delay);
-    let seen = [(a, vec![DelaySample { asked: None, answered: Some((5, 500)) }])].into();
-    assert_eq!(servers.delays(5, 100, &seen), [], "what it told itself goes first");
+    assert_eq!(servers.classify_load(4, a, 900.0), LoadFigure::Delay);
+    let seen = [(a, vec![DelaySample { unanswered_since: None, last_answer: Some((5, 500)) }])].into();
+    assert_eq!(servers.delay_reports(5, 100, &seen), [], "what it told itself goes first");
 }
 
 #[test]
@@ -74,17 +78,17 @@
         Incoming::of(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
     };
     let start = |told: Vec<ServerEntry>| told[0].started_at;
-    assert_eq!(start(servers.take(list(10_000_000.0), 3, |_| false)), 10_000.0);
+    assert_eq!(start(servers.apply_list(list(10_000_000.0), 3, |_| false)), 10_000.0);
     // An hour back, 100 s later: the same start is the same time.
     servers.set_wall_clock(WallClock::at(10_100.0, 6_500.0));
-    assert_eq!(start(servers.take(list(10_000_000.0), 3, |_| false)), 10_000.0);
+    assert_eq!(start(servers.apply_list(list(10_000_000.0), 3, |_| false)), 10_000.0);
     // It starts again, 90 s after the first start.
-    assert_eq!(start(servers.take(list(6_490_000.0), 3, |_| false)), 10_090.0);
+    assert_eq!(start(servers.apply_list(list(6_490_000.0), 3, |_| false)), 10_090.0);
     assert_eq!(servers.endpoints(&NameIndex::default())[0].since_ms, 6_490_000.0);
     // A time that is in the future either way is now.
-    assert_eq!(start(servers.take(list(99_000_000.0), 3, |_| false)), 10_100.0);
+    assert_eq!(start(servers.apply_list(list(99_000_000.0), 3, |_| false)), 10_100.0);
     // Forward: noted before the step or after it, the later possible time counts.
     servers.set_wall_clock(WallClock::at(10_200.0, 13_800.0));
-    assert_eq!(start(servers.take(list(13_790_000.0), 3, |_| false)), 10_190.0);
-    assert_eq!(start(servers.take(list(0.0), 3, |_| false)), 0.0, "long ago");
+    assert_eq!(start(servers.apply_list(list(13_790_000.0), 3, |_| false)), 10_190.0);
+    assert_eq!(start(servers.apply_list(list(0.0), 3, |_| false)), 0.0, "long ago");
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -130,11 +130,11 @@
 
 impl Keeping {
     /// A record is begun, or read on; the next turn for it is set.
-    pub fn turn(&mut self, net: &mut EventLoop, driver: &mut Driver) {
-        if !std::mem::take(&mut net.reads_out) {
+    pub fn on_iteration(&mut self, net: &mut EventLoop, driver: &mut Driver) {
+        if !std::mem::take(&mut net.is_snapshot_due) {
             return;
         }
-        let now = net.turn.now;
+        let now = net.context.now;
         match self.writer.told() {
             Some(Ok(lines)) => {
                 self.fails = false;
@@ -154,13 +154,13 @@
                 Some((self.began + self.every).saturating_sub(now)).filter(|n| *n > 0).unwrap_or(self.every)
             }
         };
-        net.turn.after(next, TimerEvent::Snapshot);
+        net.context.schedule_after(next, TimerEvent::Snapshot);
     }
 
     /// Reads a portion, of a new record where none is being read and the one before is on the disk.
     fn goes_on(&mut self, net: &EventLoop, gate: &AdmissionGate) {
         if self.at.is_none() && self.writer.is_idle() {
-            self.began = net.turn.now;
+            self.began = net.context.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
             let (taken, index) = (unix(), net.discovery.index());
             self.writer.begin(Head { snapshot: VERSION, balancer, worker, workers, taken, index });
@@ -185,8 +185,8 @@
         let mut lines = Vec::new();
         self.at = match at {
             At::Servers(behind) => {
-                let terms = &net.serving.terms;
-                let some = net.serving.servers.some_endpoints(&terms.names, behind, SERVERS);
+                let terms = &net.proxy.settings;
+                let some = net.proxy.servers.endpoints_after(&terms.names, behind, SERVERS);
                 let (read, last) = (some.len(), some.last().map(|(id, _)| *id));
                 lines.extend(some.into_iter().filter_map(|(_, endpoint)| endpoint.map(Line::Endpoint)));
                 Some(if read < SERVERS { At::Known(Cursor::default()) } else { At::Servers(last) })
--- a/crates/balancer/src/transport/buffer_pool.rs
+++ b/crates/balancer/src/transport/buffer_pool.rs
@@ -19,7 +19,7 @@
     /// An empty buffer.
     pub fn take(&self) -> Buffer {
         let bytes = self.0.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
-        Buffer { bytes: Some(bytes), start: 0, end: 0, home: Rc::clone(&self.0) }
+        Buffer { bytes: Some(bytes), start: 0, end: 0, free_list: Rc::clone(&self.0) }
     }
 }
 
@@ -30,7 +30,7 @@
     // Narrow: every connection has room for the handles of its buffers.
     start: u16,
     end: u16,
-    home: FreeList,
+    free_list: FreeList,
 }
 
 impl Buffer {
@@ -39,12 +39,12 @@
     }
 
     /// What it holds.
-    pub fn held(&self) -> &[u8] {
+    pub fn contents(&self) -> &[u8] {
         &self.bytes.as_ref().expect("held until dropped")[usize::from(self.start)..usize::from(self.end)]
     }
 
     /// Room behind what it holds; what it holds is moved to the front if that makes any.
-    pub fn room(&mut self) -> &mut [u8] {
+    pub fn spare(&mut self) -> &mut [u8] {
         if self.start > 0 {
             let (start, end) = (self.start, self.end);
             self.bytes().copy_within(usize::from(start)..usize::from(end), 0);
@@ -55,22 +55,22 @@
     }
 
     /// So many bytes were written into the room.
-    pub fn added(&mut self, n: usize) {
+    pub fn commit(&mut self, n: usize) {
         self.end = (usize::from(self.end) + n).min(BUFFER_BYTES) as u16;
     }
 
     /// So many bytes at the front are done with.
-    pub fn used(&mut self, n: usize) {
+    pub fn consume(&mut self, n: usize) {
         self.start = (usize::from(self.start) + n).min(usize::from(self.end)) as u16;
     }
 
     /// Appends all of `bytes`, or nothing and false where they don't fit.
     pub fn append(&mut self, bytes: &[u8]) -> bool {
-        let room = self.room();
+        let room = self.spare();
         let fits = bytes.len() <= room.len();
         if fits {
             room[..bytes.len()].copy_from_slice(bytes);
-            self.added(bytes.len());
+            self.commit(bytes.len());
         }
         fits
     }
@@ -78,7 +78,7 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        let mut home = self.home.borrow_mut();
+        let mut home = self.free_list.borrow_mut();
         if let Some(bytes) = self.bytes.take().filter(|_| home.len() < MAX_FREE_BUFFERS) {
             home.push(bytes);
         }
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -28,19 +28,19 @@
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    inbox: Option<Buffer>,
+    input: Option<Buffer>,
     /// Bytes at the inbox's front that are whole lines and have been looked at.
-    seen: usize,
-    outbox: Option<Buffer>,
+    inspected: usize,
+    output: Option<Buffer>,
     can_read: bool,
     can_write: bool,
     /// The loop has seen its end, which reading on comes to.
-    ends: bool,
+    is_closed_event_pending: bool,
     /// How the peer ended, once it has.
-    pub ended: Option<PeerClose>,
-    shut: bool,
+    pub peer_close: Option<PeerClose>,
+    is_write_shut: bool,
     /// Part of a line has gone out, its rest has not.
-    mid_line: bool,
+    is_mid_line: bool,
 }
 
 impl Connection {
@@ -48,15 +48,15 @@
     pub fn new(stream: TcpStream) -> Self {
         Connection {
             stream,
-            inbox: None,
-            seen: 0,
-            outbox: None,
+            input: None,
+            inspected: 0,
+            output: None,
             can_read: true,
             can_write: true,
-            ends: false,
-            ended: None,
-            shut: false,
-            mid_line: false,
+            is_closed_event_pending: false,
+            peer_close: None,
+            is_write_shut: false,
+            is_mid_line: false,
         }
     }
 
@@ -81,14 +81,19 @@
     }
 
     /// Whether it can go on elsewhere, with what is on its way here.
-    pub fn can_go(&self) -> bool {
-        self.ended.is_none() && !self.shut
+    pub fn is_transferable(&self) -> bool {
+        self.peer_close.is_none() && !self.is_write_shut
     }
 
     /// What is on its way here.
-    pub fn on_the_way(&self) -> OnTheWay {
-        let said = self.outbox.as_ref().map_or(&[][..], Buffer::held).to_vec();
-        OnTheWay { came: self.held().to_vec(), seen: self.seen, said, mid_line: self.mid_line }
+    pub fn buffered(&self) -> OnTheWay {
+        let said = self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec();
+        OnTheWay {
+            came: self.pending_input().to_vec(),
+            seen: self.inspected,
+            said,
+            mid_line: self.is_mid_line,
+        }
     }
 
     /// The connection itself, to go on elsewhere.
@@ -97,15 +102,15 @@
     }
 
     /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
-    pub fn going_on(stream: TcpStream, pool: &BufferPool, on_the_way: &OnTheWay) -> Option<Self> {
-        let mut link = Connection { mid_line: on_the_way.mid_line, ..Connection::new(stream) };
-        for (bytes, buffer) in [(&on_the_way.came, &mut link.inbox), (&on_the_way.said, &mut link.outbox)] {
+    pub fn resume(stream: TcpStream, pool: &BufferPool, on_the_way: &OnTheWay) -> Option<Self> {
+        let mut link = Connection { is_mid_line: on_the_way.mid_line, ..Connection::new(stream) };
+        for (bytes, buffer) in [(&on_the_way.came, &mut link.input), (&on_the_way.said, &mut link.output)] {
             if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
                 return None;
             }
         }
-        link.seen = on_the_way.seen;
-        (link.seen <= on_the_way.came.len()).then_some(link)
+        link.inspected = on_the_way.seen;
+        (link.inspected <= on_the_way.came.len()).then_some(link)
     }
 
     /// The stream, for the loop to watch.
@@ -114,42 +119,42 @@
     }
 
     /// What the loop says the connection is ready for.
-    pub fn ready(&mut self, ready: Readiness) {
-        self.can_read |= ready.read;
-        self.can_write |= ready.write;
-        self.ends |= ready.ends;
+    pub fn on_ready(&mut self, ready: Readiness) {
+        self.can_read |= ready.is_readable;
+        self.can_write |= ready.is_writable;
+        self.is_closed_event_pending |= ready.is_closed;
     }
 
     /// Whether a started connection is up (or not yet), or why it failed.
-    pub fn connected(&self) -> io::Result<bool> {
-        if !self.can_write || !self.ends {
+    pub fn is_connected(&self) -> io::Result<bool> {
+        if !self.can_write || !self.is_closed_event_pending {
             return Ok(self.can_write);
         }
         self.stream.take_error()?.map_or(Ok(true), Err)
     }
 
     /// Reads what there is room for; true if anything came, the end included.
-    pub fn fill(&mut self, pool: &BufferPool) -> bool {
+    pub fn read_available(&mut self, pool: &BufferPool) -> bool {
         let mut any = false;
-        while self.can_read && self.ended.is_none() {
-            let inbox = self.inbox.get_or_insert_with(|| pool.take());
-            let room = inbox.room();
+        while self.can_read && self.peer_close.is_none() {
+            let inbox = self.input.get_or_insert_with(|| pool.take());
+            let room = inbox.spare();
             if room.is_empty() {
                 break;
             }
             match (&self.stream).read(room) {
-                Ok(0) => self.ended = Some(PeerClose::Fin),
+                Ok(0) => self.peer_close = Some(PeerClose::Fin),
                 Ok(n) => {
                     // A read may return less than there is (read(2)), and the loop tells of what has come only once:
                     // only the system's own word that there is no more ends the reading.
-                    inbox.added(n);
+                    inbox.commit(n);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.can_read = false;
                     break;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => self.ended = Some(PeerClose::Reset),
+                Err(_) => self.peer_close = Some(PeerClose::Reset),
             }
             any = true;
         }
@@ -158,60 +163,65 @@
     }
 
     fn tidy(&mut self) {
-        self.inbox.take_if(|b| b.held().is_empty());
-        self.outbox.take_if(|b| b.held().is_empty());
+        self.input.take_if(|b| b.contents().is_empty());
+        self.output.take_if(|b| b.contents().is_empty());
     }
 
     /// What has come in and is not handed on yet.
-    pub fn held(&self) -> &[u8] {
-        self.inbox.as_ref().map_or(&[], Buffer::held)
+    pub fn pending_input(&self) -> &[u8] {
+        self.input.as_ref().map_or(&[], Buffer::contents)
     }
 
     /// The next line that nobody has looked at; it stays in the inbox to be carried on.
-    pub fn look(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
-        let from = self.seen;
-        match scan_line(&self.held()[from..]) {
+    pub fn inspect_line(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
+        let from = self.inspected;
+        match scan_line(&self.pending_input()[from..]) {
             LineScan::Incomplete => Ok(None),
             LineScan::TooLong => Err(LineTooLong),
             LineScan::Complete(n) => {
-                self.seen += n;
-                Ok(Some(&self.held()[from..from + n - 2]))
+                self.inspected += n;
+                Ok(Some(&self.pending_input()[from..from + n - 2]))
             }
         }
     }
 
     /// Takes the next line out of the inbox.
-    pub fn line(&mut self) -> Result<Option<Vec<u8>>, LineTooLong> {
-        let line = self.look()?.map(<[u8]>::to_vec);
-        self.drop_seen();
+    pub fn take_line(&mut self) -> Result<Option<Vec<u8>>, LineTooLong> {
+        let line = self.inspect_line()?.map(<[u8]>::to_vec);
+        self.discard_inspected();
         Ok(line)
     }
 
     /// Throws away the lines that were looked at.
-    pub fn drop_seen(&mut self) {
-        let n = std::mem::take(&mut self.seen);
-        self.inbox.iter_mut().for_each(|b| b.used(n));
+    pub fn discard_inspected(&mut self) {
+        let n = std::mem::take(&mut self.inspected);
+        self.input.iter_mut().for_each(|b| b.consume(n));
         self.tidy();
     }
 
     /// Takes so many bytes out of the inbox, lines or not.
-    pub fn take(&mut self, n: usize) {
-        self.inbox.iter_mut().for_each(|b| b.used(n));
+    pub fn discard(&mut self, n: usize) {
+        self.input.iter_mut().for_each(|b| b.consume(n));
         self.tidy();
     }
 
     /// Throws away all input.
-    pub fn drop_input(&mut self) {
-        self.inbox = None;
-        self.seen = 0;
+    pub fn discard_input(&mut self) {
+        self.input = None;
+        self.inspected = 0;
     }
 
     /// After its end a peer's unfinished last line counts as looked at: it is carried on as it came.
-    pub fn look_at_rest(&mut self) {
-        self.seen = self.held().len();
+    pub fn inspect_rest(&mut self) {
+        self.inspected = self.pending_input().len();
     }
 
-    fn put(stream: &TcpStream, can_write: &mut bool, ended: &mut Option<PeerClose>, bytes: &[u8]) -> usize {
+    fn write_available(
+        stream: &TcpStream,
+        can_write: &mut bool,
+        ended: &mut Option<PeerClose>,
+        bytes: &[u8],
+    ) -> usize {
         let mut put = 0;
         while put < bytes.len() && *can_write && *ended != Some(PeerClose::Reset) {
             match (&*stream).write(&bytes[put..]) {
@@ -227,66 +237,71 @@
     }
 
     /// Says something of the balancer's own; it goes out before anything that is carried later.
-    pub fn say(&mut self, pool: &BufferPool, words: &[u8]) -> bool {
-        let said = self.outbox.get_or_insert_with(|| pool.take()).append(words);
+    pub fn send(&mut self, pool: &BufferPool, words: &[u8]) -> bool {
+        let said = self.output.get_or_insert_with(|| pool.take()).append(words);
         self.flush();
         said
     }
 
     /// Sends what the balancer said; true once all of it is out.
     pub fn flush(&mut self) -> bool {
-        if let Some(out) = self.outbox.as_mut() {
-            let n = Connection::put(&self.stream, &mut self.can_write, &mut self.ended, out.held());
-            out.used(n);
+        if let Some(out) = self.output.as_mut() {
+            let n = Connection::write_available(
+                &self.stream,
+                &mut self.can_write,
+                &mut self.peer_close,
+                out.contents(),
+            );
+            out.consume(n);
         }
         self.tidy();
-        self.outbox.is_none()
+        self.output.is_none()
     }
 
     /// Carries lines that were looked at to the other side, unchanged; true if any bytes went. With
     /// `to_line_end`, only the rest of a line that has begun to go out.
-    pub fn carry(&mut self, to: &mut Connection, to_line_end: bool) -> bool {
-        if !to.flush() || (to_line_end && !to.mid_line) || to.shut {
+    pub fn forward_to(&mut self, to: &mut Connection, to_line_end: bool) -> bool {
+        if !to.flush() || (to_line_end && !to.is_mid_line) || to.is_write_shut {
             return false;
         }
-        let Some(inbox) = self.inbox.as_mut().filter(|_| self.seen > 0) else { return false };
-        let mut whole = &inbox.held()[..self.seen];
+        let Some(inbox) = self.input.as_mut().filter(|_| self.inspected > 0) else { return false };
+        let mut whole = &inbox.contents()[..self.inspected];
         if to_line_end {
             whole = match scan_line(whole) {
                 LineScan::Complete(n) => &whole[..n],
                 _ => whole,
             };
         }
-        let n = Connection::put(&to.stream, &mut to.can_write, &mut to.ended, whole);
+        let n = Connection::write_available(&to.stream, &mut to.can_write, &mut to.peer_close, whole);
         if n > 0 {
-            to.mid_line = whole[n - 1] != b'\n';
+            to.is_mid_line = whole[n - 1] != b'\n';
         }
-        inbox.used(n);
-        self.seen -= n;
+        inbox.consume(n);
+        self.inspected -= n;
         self.tidy();
         n > 0
     }
 
     /// Whether the last thing sent was a line's end, so that words of the balancer's own may follow.
-    pub fn between_lines(&self) -> bool {
-        !self.mid_line
+    pub fn is_at_line_boundary(&self) -> bool {
+        !self.is_mid_line
     }
 
     /// Everything that was looked at, or said, has gone out.
-    pub fn quiet(&self) -> bool {
-        self.seen == 0 && self.outbox.is_none()
+    pub fn is_drained(&self) -> bool {
+        self.inspected == 0 && self.output.is_none()
     }
 
     /// Ends the sending.
-    pub fn shut(&mut self) {
-        if !std::mem::replace(&mut self.shut, true) {
+    pub fn shutdown_write(&mut self) {
+        if !std::mem::replace(&mut self.is_write_shut, true) {
             // Fails only where the connection is gone already.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
     }
 
     /// Makes the close a reset.
-    pub fn break_off(&mut self) {
+    pub fn reset_on_close(&mut self) {
         // Fails only where the connection is gone already.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -80,48 +80,48 @@
 
 impl Worker {
     /// A turn: each peer that the loop has seen something of acts, and the module hears of it before the next does.
-    fn turn(&mut self, now: Micros, seen: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
-        self.net.begin(now);
+    fn run_iteration(&mut self, now: Micros, seen: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
+        self.net.begin_iteration(now);
         let gate = self.driver.gate();
-        let first = seen.clone().filter(|s| s.0.comes_first());
-        self.net.serve_operators(first, || gate.avoided(seconds_from_micros(now)));
+        let first = seen.clone().filter(|s| s.0.is_prioritized());
+        self.net.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
         self.driver.process_events(&mut self.net);
-        for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
+        for (owner, ready) in seen.filter(|s| !s.0.is_prioritized()) {
             match owner {
                 EventSource::Signals => self.signalled(),
-                EventSource::Orders => self.ordered(),
-                EventSource::Successors => {
+                EventSource::WorkerMessages => self.ordered(),
+                EventSource::HandoverListener => {
                     let gate = self.driver.gate();
-                    self.net.successors_ask(|| everything(gate));
+                    self.net.on_successors_connecting(|| everything(gate));
                 }
-                owner => self.net.seen(owner, ready),
+                owner => self.net.dispatch_readiness(owner, ready),
             }
             self.driver.process_events(&mut self.net);
         }
         let driver = &mut self.driver;
-        self.net.finish(|net| driver.process_events(net));
+        self.net.finish_iteration(|net| driver.process_events(net));
         let gate = driver.gate();
-        self.net.hands_over(|id| gate.standing(id));
+        self.net.hand_over_connections(|id| gate.standing(id));
         driver.process_events(&mut self.net);
-        if self.net.shares_anew().is_some() {
+        if self.net.take_sharing_change().is_some() {
             self.enforce();
         }
-        if let Some(tells) = &mut self.net.tells
+        if let Some(tells) = &mut self.net.gossip
             && tells.is_due()
         {
-            tells.tell(&mut self.net.turn, self.driver.gate().holds());
+            tells.tell(&mut self.net.context, self.driver.gate().holds());
             self.driver.process_events(&mut self.net);
         }
         if let Some(keeping) = &mut self.keeping {
-            keeping.turn(&mut self.net, &mut self.driver);
+            keeping.on_iteration(&mut self.net, &mut self.driver);
         }
     }
 
     /// Puts the configuration in force again: another process of this balancer has come or gone.
     fn enforce(&mut self) {
         let Some(lead) = &self.lead else { return };
-        let shares = self.net.shares();
-        self.net.tell_others(|worker| Order::Config(Box::new(lead.own(worker, shares))));
+        let shares = self.net.is_sharing_clients();
+        self.net.broadcast(|worker| Order::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
             budgets.take(fleet);
         }
@@ -129,10 +129,10 @@
     }
 
     fn ordered(&mut self) {
-        while let Some(order) = self.net.next_order() {
+        while let Some(order) = self.net.next_message() {
             match order {
                 Order::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
-                order => self.net.order(order),
+                order => self.net.on_message(order),
             }
             self.driver.process_events(&mut self.net);
         }
@@ -145,8 +145,8 @@
             if signal == SIGHUP {
                 self.reload();
             } else {
-                self.net.tell_others(|_| Order::Stop);
-                self.net.stop_soon();
+                self.net.broadcast(|_| Order::Stop);
+                self.net.begin_shutdown();
             }
         }
     }
@@ -184,20 +184,20 @@
     fn work(mut self) -> io::Result<usize> {
         let (config, clock) = (self.config, self.clock);
         let mut place = self.place;
-        let poller = self.watch.poller()?;
-        poller.listen(&mut place.listener, EventSource::Listener)?;
+        let poller = self.watch.registry()?;
+        poller.register_readable(&mut place.listener, EventSource::Listener)?;
         let address = place.listener.local_addr()?;
-        let operator = place.desk.as_ref().and_then(|desk| desk.listener.local_addr().ok());
-        if let Some(desk) = &mut place.desk {
-            poller.listen(&mut desk.listener, EventSource::Operators)?;
+        let operator = place.admin.as_ref().and_then(|desk| desk.listener.local_addr().ok());
+        if let Some(desk) = &mut place.admin {
+            poller.register_readable(&mut desk.listener, EventSource::AdminListener)?;
         }
         let turn = LoopContext::new(poller, clock.read());
         let mut net = EventLoop::new(turn, place, config.discovery, Terms::from(&config));
         if let Some(peers) = &config.peers {
-            net.tells = Some(Tells::new(&mut net.turn, &config.name, address, peers, config.seed));
+            net.gossip = Some(Tells::new(&mut net.context, &config.name, address, peers, config.seed));
         }
         // Held once: by the tables from now on.
-        let known = net.list_known(&self.known);
+        let known = net.restore_endpoints(&self.known);
         drop(self.known);
         let servers = known.len();
         let budgets = self.shares.as_ref().and_then(|s| s.admission(&config));
@@ -209,7 +209,8 @@
             memory.recall(net.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            net.turn.after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
+            net.context
+                .schedule_after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
         }
         if let Some(lead) = &self.lead {
             // The address that is bound: the port may have been left to the system.
@@ -219,7 +220,7 @@
             supervisor::serves();
         }
         let mut worker = Worker { net, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
-        worker.turn(clock.read(), std::iter::empty());
+        worker.run_iteration(clock.read(), std::iter::empty());
         loop {
             if let Some(clients) = worker.net.is_done() {
                 if let Some(keeping) = worker.keeping {
@@ -231,9 +232,9 @@
                 return Ok(clients);
             }
             let now = clock.read();
-            let wait = worker.net.ends(now).saturating_sub(now);
+            let wait = worker.net.end_iteration(now).saturating_sub(now);
             self.watch.wait(Duration::from_micros(wait))?;
-            worker.turn(clock.read(), self.watch.seen());
+            worker.run_iteration(clock.read(), self.watch.events());
         }
     }
 }
@@ -363,7 +364,7 @@
     let watches = (0..workers).map(|_| EventPoller::new()).collect::<io::Result<Vec<_>>>()?;
     // Before anything is opened: a SIGHUP that nobody waits for ends the program.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    watches[0].poller()?.listen(&mut signals, EventSource::Signals)?;
+    watches[0].registry()?.register_readable(&mut signals, EventSource::Signals)?;
     // Where operators may call there may be another process of this balancer, with as many listeners.
     let mut folder = config.operator_at.filter(|_| config.listen.port() != 0);
     let mut folder = folder.take().and_then(|_| common_folder(config.listen));
@@ -421,21 +422,21 @@
     let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.place(SOCKET));
     let ends = take_over.is_some();
     if let Some(place) = take_over.or(place) {
-        kin = between(place, &listeners, inherited, ends, &watches[0].poller()?)?;
+        kin = between(place, &listeners, inherited, ends, &watches[0].registry()?)?;
     }
     let mut kin = Some(kin);
     let place = |((listener, crew), own): (_, &Counts)| WorkerContext {
         listener: TcpListener::from_std(listener),
-        crew,
+        workers: crew,
         open_ids: open_ids.clone(),
         counts: own.clone(),
-        desk: door.take().map(|door| Opened {
+        admin: door.take().map(|door| Opened {
             listener: TcpListener::from_std(door),
             counts: counts.clone(),
             folder: folder.take(),
         }),
-        taken_out: taken_out.clone(),
-        kin: kin.take().unwrap_or_default(),
+        disabled_servers: taken_out.clone(),
+        siblings: kin.take().unwrap_or_default(),
     };
     let places = listeners.into_iter().zip(crew).zip(&counts).map(place);
     let mut starts: Vec<Start> = watches
