--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -45,8 +45,8 @@
 
 impl Caller {
     /// Reads on for the call; none while it is not whole. What follows it is not looked at.
-    fn call(&mut self, turn: &LoopContext) -> Option<Result<Command, CommandError>> {
-        self.link.read_available(&turn.buffers);
+    fn call(&mut self, context: &LoopContext) -> Option<Result<Command, CommandError>> {
+        self.link.read_available(&context.buffers);
         let held = self.link.pending_input();
         let Some(n) = held.iter().position(|b| *b == b'\n') else {
             return (held.len() > MAX_COMMAND_BYTES).then_some(Err(CommandError::TooLong));
@@ -59,10 +59,10 @@
     }
 
     /// Says on what is left of the answer and ends; true once it is over.
-    fn goes_on(&mut self, turn: &LoopContext) -> bool {
+    fn goes_on(&mut self, context: &LoopContext) -> bool {
         while !self.rest.is_empty() && self.link.flush() {
             let some = self.rest.len().min(BUFFER_BYTES);
-            if !self.link.send(&turn.buffers, &self.rest[..some]) {
+            if !self.link.send(&context.buffers, &self.rest[..some]) {
                 break;
             }
             self.rest.drain(..some);
@@ -71,7 +71,7 @@
             self.link.shutdown_write();
         }
         // What else it says is nothing to anybody; unread it would make the close a reset.
-        self.link.read_available(&turn.buffers);
+        self.link.read_available(&context.buffers);
         self.link.discard_input();
         self.link.peer_close.is_some()
     }
@@ -96,17 +96,17 @@
     }
 
     /// What the loop has seen of it: calls that have come are taken out by [`Door::take_calls`].
-    pub fn ready(&mut self, turn: &mut LoopContext, owner: EventSource, ready: Readiness) {
+    pub fn ready(&mut self, context: &mut LoopContext, owner: EventSource, ready: Readiness) {
         match owner {
             EventSource::AdminConnection(number) => {
                 if let Some(caller) = self.callers.get_mut(&number) {
                     caller.link.on_ready(ready);
-                    self.goes_on(turn, number);
+                    self.goes_on(context, number);
                 }
             }
             _ => {
                 self.can_accept = true;
-                self.accept(turn);
+                self.accept(context);
             }
         }
     }
@@ -117,67 +117,67 @@
     }
 
     /// Takes in callers that wait.
-    pub fn accept(&mut self, turn: &mut LoopContext) {
+    pub fn accept(&mut self, context: &mut LoopContext) {
         for _ in 0..ACCEPTS {
             if !self.can_accept {
                 break;
             }
             match self.listener.accept() {
-                Ok((stream, _)) => self.comes(turn, Connection::new(stream)),
+                Ok((stream, _)) => self.comes(context, Connection::new(stream)),
                 // Nobody waits, or one left: whatever it is, the next caller is told of by the loop.
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     self.can_accept = false;
                     if e.kind() != std::io::ErrorKind::WouldBlock {
                         warn!(event = "accept-failed", at = "operator", error = %e);
-                        turn.schedule_after(PATIENCE / 25, TimerEvent::AdminAccept);
+                        context.schedule_after(PATIENCE / 25, TimerEvent::AdminAccept);
                     }
                 }
             }
         }
     }
 
-    fn comes(&mut self, turn: &mut LoopContext, mut link: Connection) {
+    fn comes(&mut self, context: &mut LoopContext, mut link: Connection) {
         if self.callers.len() >= CALLERS {
-            self.make_room(turn);
+            self.make_room(context);
         }
         self.next += 1;
         let number = self.next;
-        if !turn.registry.register(&mut link, EventSource::AdminConnection(number)) {
+        if !context.registry.register(&mut link, EventSource::AdminConnection(number)) {
             return;
         }
-        let until = turn.now + PATIENCE;
+        let until = context.now + PATIENCE;
         let mut alarm = TimerHandle::default();
-        alarm.schedule_by(turn, Some(until), TimerEvent::AdminConnection(number));
+        alarm.schedule_by(context, Some(until), TimerEvent::AdminConnection(number));
         let (stage, end, rest) = (Stage::Calling, "\n", Vec::new());
         self.callers.insert(number, Caller { link, stage, until, end, rest, alarm });
-        self.goes_on(turn, number);
+        self.goes_on(context, number);
     }
 
     /// Ends the one that has said nothing whole for longest, else the oldest: one that has called is answered in the same
     /// turn, and only has to take it.
-    fn make_room(&mut self, turn: &mut LoopContext) {
+    fn make_room(&mut self, context: &mut LoopContext) {
         let mute = self.callers.iter().find(|(_, c)| c.stage == Stage::Calling);
         if let Some(number) = mute.or(self.callers.iter().next()).map(|(number, _)| *number) {
-            self.end(turn, number);
+            self.end(context, number);
         }
     }
 
-    fn goes_on(&mut self, turn: &mut LoopContext, number: u64) {
+    fn goes_on(&mut self, context: &mut LoopContext, number: u64) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         match caller.stage {
             Stage::Calling => {
-                if let Some(call) = caller.call(turn) {
+                if let Some(call) = caller.call(context) {
                     caller.stage = Stage::Called;
                     self.calls.push((number, call));
                 } else if caller.link.peer_close.is_some() {
-                    self.end(turn, number);
+                    self.end(context, number);
                 }
             }
             Stage::Called => {}
             Stage::Answered => {
-                if caller.goes_on(turn) {
-                    self.end(turn, number);
+                if caller.goes_on(context) {
+                    self.end(context, number);
                 }
             }
         }
@@ -189,30 +189,30 @@
     }
 
     /// Answers a caller.
-    pub fn answer(&mut self, turn: &mut LoopContext, number: u64, answer: &CommandReply) {
+    pub fn answer(&mut self, context: &mut LoopContext, number: u64, answer: &CommandReply) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         caller.stage = Stage::Answered;
         caller.rest = answer.text(caller.end).into_bytes();
-        caller.until = turn.now + PATIENCE;
-        self.goes_on(turn, number);
+        caller.until = context.now + PATIENCE;
+        self.goes_on(context, number);
     }
 
     /// A caller's timer has come.
-    pub fn alarmed(&mut self, turn: &mut LoopContext, number: u64) {
+    pub fn alarmed(&mut self, context: &mut LoopContext, number: u64) {
         let Some(caller) = self.callers.get_mut(&number) else { return };
         caller.alarm.on_fired();
         // A machine that stood still heard nobody.
-        let until = caller.until.max(turn.earliest_timeout());
-        if turn.now >= until {
-            self.end(turn, number);
+        let until = caller.until.max(context.earliest_timeout());
+        if context.now >= until {
+            self.end(context, number);
         } else {
-            caller.alarm.schedule_by(turn, Some(until), TimerEvent::AdminConnection(number));
+            caller.alarm.schedule_by(context, Some(until), TimerEvent::AdminConnection(number));
         }
     }
 
-    fn end(&mut self, turn: &mut LoopContext, number: u64) {
+    fn end(&mut self, context: &mut LoopContext, number: u64) {
         if let Some(mut caller) = self.callers.remove(&number) {
-            caller.alarm.cancel(turn);
+            caller.alarm.cancel(context);
         }
     }
 }
--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -190,8 +190,8 @@
     }
 
     /// When something of it is due next.
-    pub(crate) fn next_deadline(&self, turn: &LoopContext) -> Option<Micros> {
-        let judges_from = turn.earliest_timeout();
+    pub(crate) fn next_deadline(&self, context: &LoopContext) -> Option<Micros> {
+        let judges_from = context.earliest_timeout();
         let first = |a: Option<Micros>, b: Option<Micros>| a.into_iter().chain(b).min();
         match self.stage {
             SessionStage::AwaitingRequest => Some(self.deadline.max(judges_from)),
@@ -201,7 +201,8 @@
                 Some(self.deadline + OVERDUE_ANSWER_GRACE),
             ),
             SessionStage::Established | SessionStage::Migrating => {
-                let silent = self.unanswered_since.map(|at| turn.waiting_since(at) + SILENT_SERVER_TIMEOUT);
+                let silent =
+                    self.unanswered_since.map(|at| context.waiting_since(at) + SILENT_SERVER_TIMEOUT);
                 first(self.half_open_deadline.map(|at| at.max(judges_from)), silent)
             }
         }
@@ -284,8 +285,8 @@
     }
 
     /// Since when a line has gone unanswered for so long that the connection is dead.
-    pub fn server_silent_since(&self, turn: &LoopContext) -> Option<Micros> {
-        self.unanswered_since.filter(|at| turn.now >= turn.waiting_since(*at) + SILENT_SERVER_TIMEOUT)
+    pub fn server_silent_since(&self, context: &LoopContext) -> Option<Micros> {
+        self.unanswered_since.filter(|at| context.now >= context.waiting_since(*at) + SILENT_SERVER_TIMEOUT)
     }
 
     /// Reads on for the first line; a front's commands are answered on the way.
--- a/crates/balancer/src/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -36,7 +36,7 @@
     /// has; none where its connection is gone already or can't be watched.
     pub fn accept(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         stream: TcpStream,
         from: SocketAddr,
         in_use: impl Fn(RequestId) -> bool,
@@ -44,12 +44,12 @@
         let mut link = Connection::new(stream);
         let id = next_free_id(RequestId(self.next_id), |id| self.table.contains_key(&id) || in_use(id));
         self.next_id = id.0.wrapping_add(1);
-        if !turn.registry.register(&mut link, EventSource::Session(id)) {
+        if !context.registry.register(&mut link, EventSource::Session(id)) {
             return None;
         }
-        self.table.insert(id, Box::new(Session::new(link, from, turn.now)));
-        self.idle.add_opening(turn.now, id);
-        self.schedule_timer(turn, id);
+        self.table.insert(id, Box::new(Session::new(link, from, context.now)));
+        self.idle.add_opening(context.now, id);
+        self.schedule_timer(context, id);
         Some(id)
     }
 
@@ -57,7 +57,7 @@
     /// it can't be watched.
     pub fn adopt(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         mut link: Connection,
         from: SocketAddr,
         (open_id, asked): (u64, Option<Micros>),
@@ -68,84 +68,86 @@
         if !self.open_ids.claim(open_id) {
             return None;
         }
-        if !turn.registry.register(&mut link, EventSource::Session(id)) {
+        if !context.registry.register(&mut link, EventSource::Session(id)) {
             self.open_ids.release(open_id);
             return None;
         }
-        let session = Session::adopted(link, from, turn.now, (open_id, asked));
+        let session = Session::adopted(link, from, context.now, (open_id, asked));
         self.table.insert(id, Box::new(session));
-        self.schedule_timer(turn, id);
+        self.schedule_timer(context, id);
         Some(id)
     }
 
     /// A session.
     pub fn get(&self, id: RequestId) -> Option<&Session> {
-        self.table.get(&id).map(|s| &**s)
+        self.table.get(&id).map(|session| &**session)
     }
 
     /// A session, to act on.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Session> {
-        self.table.get_mut(&id).map(|s| &mut **s)
+        self.table.get_mut(&id).map(|session| &mut **session)
     }
 
     /// Sees to it that what is due of a session next is not missed. Whoever has changed its deadlines says so.
-    pub fn schedule_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
-        let Some(s) = self.table.get_mut(&id) else { return };
-        let due = s.next_deadline(turn);
-        s.timer.schedule_by(turn, due, TimerEvent::Session(id));
+    pub fn schedule_timer(&mut self, context: &mut LoopContext, id: RequestId) {
+        let Some(session) = self.table.get_mut(&id) else { return };
+        let due = session.next_deadline(context);
+        session.timer.schedule_by(context, due, TimerEvent::Session(id));
     }
 
     /// A session's timer has come; whether anything of it is due.
-    pub fn on_timer(&mut self, turn: &mut LoopContext, id: RequestId) -> bool {
-        let Some(s) = self.table.get_mut(&id) else { return false };
-        s.timer.on_fired();
-        let is_due = s.next_deadline(turn).is_some_and(|at| at <= turn.now);
+    pub fn on_timer(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
+        let Some(session) = self.table.get_mut(&id) else { return false };
+        session.timer.on_fired();
+        let is_due = session.next_deadline(context).is_some_and(|at| at <= context.now);
         if !is_due {
-            self.schedule_timer(turn, id);
+            self.schedule_timer(context, id);
         }
         is_due
     }
 
     /// A session's first line has come; false, and nothing has changed, where an open request has its id.
-    pub fn open_request(&mut self, turn: &mut LoopContext, id: RequestId, asking: SessionRequest) -> bool {
-        let Some(s) = self.table.get_mut(&id) else { return false };
+    pub fn open_request(&mut self, context: &mut LoopContext, id: RequestId, asking: SessionRequest) -> bool {
+        let Some(session) = self.table.get_mut(&id) else { return false };
         if !self.open_ids.claim(asking.open_id) {
             return false;
         }
-        self.idle.remove(s.stage_since(), id);
-        s.begin_request(turn.now, &turn.buffers, asking);
-        self.schedule_timer(turn, id);
+        self.idle.remove(session.stage_since(), id);
+        session.begin_request(context.now, &context.buffers, asking);
+        self.schedule_timer(context, id);
         true
     }
 
     /// Says a session's last words and awaits its end; false if it had them before.
-    pub fn begin_close(&mut self, turn: &mut LoopContext, id: RequestId, words: &[u8]) -> bool {
-        let Some(s) = self.table.get_mut(&id).filter(|s| s.stage() != SessionStage::Closing) else {
+    pub fn begin_close(&mut self, context: &mut LoopContext, id: RequestId, words: &[u8]) -> bool {
+        let Some(session) =
+            self.table.get_mut(&id).filter(|session| session.stage() != SessionStage::Closing)
+        else {
             return false;
         };
-        self.idle.remove(s.stage_since(), id);
-        if let Some(open_id) = s.begin_close(turn.now, &turn.buffers, words) {
+        self.idle.remove(session.stage_since(), id);
+        if let Some(open_id) = session.begin_close(context.now, &context.buffers, words) {
             self.open_ids.release(open_id);
         }
-        self.idle.add_closing(turn.now, id);
-        self.schedule_timer(turn, id);
+        self.idle.add_closing(context.now, id);
+        self.schedule_timer(context, id);
         true
     }
 
     /// Ends a session's connection, whatever is still on its way.
-    pub fn remove(&mut self, turn: &mut LoopContext, id: RequestId) {
-        self.take(turn, id);
+    pub fn remove(&mut self, context: &mut LoopContext, id: RequestId) {
+        self.take(context, id);
     }
 
     /// Takes a session out, with its connection; its id is free.
-    pub fn take(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Box<Session>> {
-        let mut s = self.table.remove(&id)?;
-        s.timer.cancel(turn);
-        self.idle.remove(s.stage_since(), id);
-        if let Some(open_id) = s.open_id() {
+    pub fn take(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Box<Session>> {
+        let mut session = self.table.remove(&id)?;
+        session.timer.cancel(context);
+        self.idle.remove(session.stage_since(), id);
+        if let Some(open_id) = session.open_id() {
             self.open_ids.release(open_id);
         }
-        Some(s)
+        Some(session)
     }
 
     /// How many there are.
@@ -165,7 +167,8 @@
 
     /// Those of a kind, by number: the order is the one in which they came.
     pub fn ids_where(&self, of: impl Fn(&Session) -> bool) -> Vec<RequestId> {
-        let mut those: Vec<_> = self.table.iter().filter(|(_, s)| of(s)).map(|(id, _)| *id).collect();
+        let mut those: Vec<_> =
+            self.table.iter().filter(|(_, session)| of(session)).map(|(id, _)| *id).collect();
         those.sort_unstable();
         those
     }
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -93,32 +93,32 @@
     /// Discovery is at another address from now on. Guards against an old list: the watch at the address
     /// before may live on for seconds and tell nothing, so a new one starts at once. It goes on from the
     /// version that is held; the list stays in force meanwhile.
-    pub fn moves(&mut self, turn: &mut LoopContext, at: SocketAddr) -> Vec<DiscoveryEvent> {
+    pub fn moves(&mut self, context: &mut LoopContext, at: SocketAddr) -> Vec<DiscoveryEvent> {
         if std::mem::replace(&mut self.at, at) == at {
             return Vec::new();
         }
         self.link = None;
-        if self.wanted { self.watch(turn) } else { Vec::new() }
+        if self.wanted { self.watch(context) } else { Vec::new() }
     }
 
     /// Opens the watch, unless it is open.
-    pub fn watch(&mut self, turn: &mut LoopContext) -> Vec<DiscoveryEvent> {
+    pub fn watch(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
         self.wanted = true;
         if self.link.is_some() {
             return Vec::new();
         }
         let mut link = match Connection::connect(self.at) {
             Ok(link) => link,
-            Err(e) => return self.failed(turn, Vec::new(), &e.to_string()),
+            Err(e) => return self.failed(context, Vec::new(), &e.to_string()),
         };
-        if !turn.registry.register(&mut link, EventSource::DiscoveryClient) {
-            return self.failed(turn, Vec::new(), "the loop takes no more connections");
+        if !context.registry.register(&mut link, EventSource::DiscoveryClient) {
+            return self.failed(context, Vec::new(), "the loop takes no more connections");
         }
-        (self.link, self.asked, self.answer, self.heard) = (Some(link), false, Answer::new(), turn.now);
+        (self.link, self.asked, self.answer, self.heard) = (Some(link), false, Answer::new(), context.now);
         self.tells = false;
         // Nothing of a list that did not come to its end counts.
         (self.reader, self.incoming) = (Reader::new(), Incoming::default());
-        self.arm(turn);
+        self.arm(context);
         Vec::new()
     }
 
@@ -128,7 +128,12 @@
     }
 
     /// The watch's connection is ready.
-    pub fn ready(&mut self, turn: &mut LoopContext, terms: &Terms, ready: Readiness) -> Vec<DiscoveryEvent> {
+    pub fn ready(
+        &mut self,
+        context: &mut LoopContext,
+        terms: &Terms,
+        ready: Readiness,
+    ) -> Vec<DiscoveryEvent> {
         let mut news = Vec::new();
         self.more = false;
         let Some(link) = self.link.as_mut() else { return news };
@@ -137,19 +142,19 @@
             match link.is_connected() {
                 Ok(false) => return news,
                 Ok(true) => {}
-                Err(e) => return self.failed(turn, news, &e.to_string()),
+                Err(e) => return self.failed(context, news, &e.to_string()),
             }
             self.asked = true;
             let call = format!(
                 "GET /v1/servers?follow=1&since={} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
                 self.index, self.at
             );
-            link.send(&turn.buffers, call.as_bytes());
+            link.send(&context.buffers, call.as_bytes());
         }
         link.flush();
         let (mut lists, mut failure) = (Vec::new(), None);
         for piece in 0.. {
-            let any = link.read_available(&turn.buffers);
+            let any = link.read_available(&context.buffers);
             let (reader, incoming) = (&mut self.reader, &mut self.incoming);
             let mut part = |part| match part {
                 Part::Entry(e) => incoming.add(&e, &terms.names, terms.most_servers),
@@ -168,7 +173,7 @@
             };
             link.discard(took);
             if any && self.tells {
-                self.heard = turn.now;
+                self.heard = context.now;
             }
             if !any || (took == 0 && link.peer_close.is_none()) {
                 failure = link.peer_close.map(|_| "the connection ended".to_owned());
@@ -181,7 +186,7 @@
         }
         news.extend(lists.into_iter().map(|list| self.says(list)));
         match failure {
-            Some(why) => self.failed(turn, news, &why),
+            Some(why) => self.failed(context, news, &why),
             None => news,
         }
     }
@@ -196,12 +201,12 @@
 
     fn failed(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         mut news: Vec<DiscoveryEvent>,
         why: &str,
     ) -> Vec<DiscoveryEvent> {
         self.link = None;
-        self.alarm.cancel(turn);
+        self.alarm.cancel(context);
         if !std::mem::replace(&mut self.failing, true) {
             warn!(event = "discovery-failed", why);
         }
@@ -210,23 +215,23 @@
     }
 
     /// By when the watch must have said something.
-    fn due(&self, turn: &LoopContext) -> Option<Micros> {
+    fn due(&self, context: &LoopContext) -> Option<Micros> {
         let limit = if self.tells { SILENT } else { FIRST };
-        self.link.as_ref().map(|_| (self.heard + limit).max(turn.earliest_timeout()))
+        self.link.as_ref().map(|_| (self.heard + limit).max(context.earliest_timeout()))
     }
 
-    fn arm(&mut self, turn: &mut LoopContext) {
-        let due = self.due(turn);
-        self.alarm.schedule_by(turn, due, TimerEvent::DiscoveryClient);
+    fn arm(&mut self, context: &mut LoopContext) {
+        let due = self.due(context);
+        self.alarm.schedule_by(context, due, TimerEvent::DiscoveryClient);
     }
 
     /// The timer has come: ends a watch that has been silent for too long.
-    pub fn alarmed(&mut self, turn: &mut LoopContext) -> Vec<DiscoveryEvent> {
+    pub fn alarmed(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
         self.alarm.on_fired();
-        if self.due(turn).is_some_and(|due| turn.now >= due) {
-            return self.failed(turn, Vec::new(), "silence");
+        if self.due(context).is_some_and(|due| context.now >= due) {
+            return self.failed(context, Vec::new(), "silence");
         }
-        self.arm(turn);
+        self.arm(context);
         Vec::new()
     }
 }
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -1,21 +1,21 @@
 //! The watch in virtual time, against a listener that the test plays.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, turn, until};
+use crate::event_loop::iteration::tests::{READ, context, until};
 use std::io::Write;
 use std::net::TcpListener;
 
 /// What comes of the timer, if it comes, so much later.
 fn alarmed(
     discovery: &mut DiscoveryClient,
-    turn: &mut LoopContext,
+    context: &mut LoopContext,
     later: Micros,
 ) -> Option<Vec<DiscoveryEvent>> {
-    turn.end_iteration(turn.now + later);
-    turn.begin_iteration(turn.now + later);
-    turn.timers.pop_due().map(|due| {
+    context.end_iteration(context.now + later);
+    context.begin_iteration(context.now + later);
+    context.timers.pop_due().map(|due| {
         assert_eq!(due, TimerEvent::DiscoveryClient);
-        discovery.alarmed(turn)
+        discovery.alarmed(context)
     })
 }
 
@@ -23,22 +23,22 @@
 fn a_silent_address_is_given_up_in_time_for_another_call() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
-    let (mut turn, terms) = (turn(1_000_000), Terms::few());
-    assert_eq!(discovery.watch(&mut turn), []);
-    assert_eq!(alarmed(&mut discovery, &mut turn, FIRST - 1), None);
-    assert_eq!(alarmed(&mut discovery, &mut turn, 1), Some(vec![DiscoveryEvent::Failed]));
-    assert_eq!(discovery.watch(&mut turn), []);
+    let (mut context, terms) = (context(1_000_000), Terms::few());
+    assert_eq!(discovery.watch(&mut context), []);
+    assert_eq!(alarmed(&mut discovery, &mut context, FIRST - 1), None);
+    assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
+    assert_eq!(discovery.watch(&mut context), []);
     let (_first, (mut second, _)) = (listener.accept(), listener.accept().expect("a second call"));
     second.write_all(b"HTTP/1.1 200 OK\r\n\r\n{\"index\":7}\n").expect("open");
     let mut news = Vec::new();
     until(|| {
-        news.extend(discovery.ready(&mut turn, &terms, READ));
+        news.extend(discovery.ready(&mut context, &terms, READ));
         !news.is_empty()
     });
     assert!(matches!(&news[..], [DiscoveryEvent::List(listing)] if listing.index == 7));
     // A timer that comes for what is no longer due finds the next one.
-    assert_eq!(alarmed(&mut discovery, &mut turn, SILENT - 1), Some(vec![]));
-    assert_eq!(alarmed(&mut discovery, &mut turn, 1), Some(vec![DiscoveryEvent::Failed]));
+    assert_eq!(alarmed(&mut discovery, &mut context, SILENT - 1), Some(vec![]));
+    assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
 }
 
 /// A call that is accepted, and perhaps answered with a head, and whose list never begins.
@@ -46,16 +46,16 @@
 fn a_call_whose_list_does_not_begin_is_given_up_as_soon_as_one_that_says_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
-    let (mut turn, terms) = (turn(1_000_000), Terms::few());
-    assert_eq!(discovery.watch(&mut turn), []);
+    let (mut context, terms) = (context(1_000_000), Terms::few());
+    assert_eq!(discovery.watch(&mut context), []);
     let (mut call, _) = listener.accept().expect("a call");
-    turn.end_iteration(2_000_000);
-    turn.begin_iteration(2_000_000);
+    context.end_iteration(2_000_000);
+    context.begin_iteration(2_000_000);
     call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4").expect("open");
     until(|| {
-        assert_eq!(discovery.ready(&mut turn, &terms, READ), []);
+        assert_eq!(discovery.ready(&mut context, &terms, READ), []);
         discovery.link.as_ref().is_some_and(|link| link.pending_input() == b"4")
     });
-    assert_eq!(alarmed(&mut discovery, &mut turn, FIRST - 1_000_001), None, "it began 1 s ago");
-    assert_eq!(alarmed(&mut discovery, &mut turn, 1), Some(vec![DiscoveryEvent::Failed]));
+    assert_eq!(alarmed(&mut discovery, &mut context, FIRST - 1_000_001), None, "it began 1 s ago");
+    assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
 }
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -111,9 +111,9 @@
 
 impl EventLoop {
     /// Peers of a program that listens here and asks discovery there; nobody has come yet.
-    pub fn new(turn: LoopContext, at: WorkerContext, discovery: SocketAddr, terms: Terms) -> Self {
-        let mut net = EventLoop {
-            context: turn,
+    pub fn new(context: LoopContext, at: WorkerContext, discovery: SocketAddr, terms: Terms) -> Self {
+        let mut event_loop = EventLoop {
+            context: context,
             listener: at.listener,
             workers: at.workers,
             can_accept_for_neighbour: false,
@@ -130,16 +130,16 @@
             shutdown_started_at: None,
             clients_at_end: None,
         };
-        net.context.overload.set_aim(net.proxy.settings.message_aim);
-        net.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
+        event_loop.context.overload.set_aim(event_loop.proxy.settings.message_aim);
+        event_loop.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
         for (server, out) in at.disabled_servers {
             // Before anything is listed: the first list is told as it stands with them out.
-            net.proxy.servers.apply_admin_change(AdminChange::Disabled(server, out));
+            event_loop.proxy.servers.apply_admin_change(AdminChange::Disabled(server, out));
         }
-        net.read_shared_folder();
+        event_loop.read_shared_folder();
         // What the old process holds is taken off the limit from the start.
-        net.on_sibling_ready(EventSource::Predecessor);
-        net
+        event_loop.on_sibling_ready(EventSource::Predecessor);
+        event_loop
     }
 
     /// The list that the configuration knows: whole, though it may be old.
@@ -165,13 +165,13 @@
 
     /// What the loop has seen of a connection goes to whom it belongs to.
     pub fn dispatch_readiness(&mut self, owner: EventSource, ready: Readiness) {
-        let turn = &mut self.context;
+        let context = &mut self.context;
         match owner {
-            EventSource::Session(id) => self.proxy.on_session_ready(turn, id, ready),
-            EventSource::Attempt(id) => self.proxy.on_attempt_ready(turn, id, ready),
-            EventSource::Probe(number) => self.proxy.probes.on_ready(turn, number, ready),
+            EventSource::Session(id) => self.proxy.on_session_ready(context, id, ready),
+            EventSource::Attempt(id) => self.proxy.on_attempt_ready(context, id, ready),
+            EventSource::Probe(number) => self.proxy.probes.on_ready(context, number, ready),
             EventSource::DiscoveryClient => {
-                let news = self.discovery.ready(turn, &self.proxy.settings, ready);
+                let news = self.discovery.ready(context, &self.proxy.settings, ready);
                 self.on_discovery_events(news);
             }
             // Those who are here come first: what they do may make room, and the module should know of it.
@@ -182,7 +182,7 @@
             // Orders are not the peers', and who asks for what is known asks the worker.
             EventSource::Signals | EventSource::WorkerMessages | EventSource::HandoverListener => {}
             EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(owner),
-            EventSource::Gossip => self.gossip.iter_mut().for_each(|t| t.ready(turn.now)),
+            EventSource::Gossip => self.gossip.iter_mut().for_each(|t| t.ready(context.now)),
             EventSource::AdminListener | EventSource::AdminConnection(_) => {
                 self.admin.iter_mut().for_each(|d| d.door.ready(&mut self.context, owner, ready));
             }
@@ -222,15 +222,15 @@
     }
 
     fn on_timer(&mut self, due: TimerEvent) {
-        let turn = &mut self.context;
+        let context = &mut self.context;
         match due {
-            TimerEvent::Driver(token) => turn.emit(NetworkEvent::TimerFired(token)),
-            TimerEvent::Session(id) => self.proxy.on_session_timer(turn, id),
-            TimerEvent::Attempt(id) => self.proxy.on_attempt_timer(turn, id),
-            TimerEvent::RetryDial(id) => self.proxy.retry_dial(turn, id),
-            TimerEvent::Probe(number) => self.proxy.probes.on_timer(turn, number),
+            TimerEvent::Driver(token) => context.emit(NetworkEvent::TimerFired(token)),
+            TimerEvent::Session(id) => self.proxy.on_session_timer(context, id),
+            TimerEvent::Attempt(id) => self.proxy.on_attempt_timer(context, id),
+            TimerEvent::RetryDial(id) => self.proxy.retry_dial(context, id),
+            TimerEvent::Probe(number) => self.proxy.probes.on_timer(context, number),
             TimerEvent::DiscoveryClient => {
-                let news = self.discovery.alarmed(turn);
+                let news = self.discovery.alarmed(context);
                 self.on_discovery_events(news);
             }
             TimerEvent::Accept => {
@@ -240,27 +240,27 @@
                     self.proxy.set_descriptor_shortage(false);
                 }
             }
-            TimerEvent::LogRateLimiter => self.proxy.flush_log_limiter(turn.now),
+            TimerEvent::LogRateLimiter => self.proxy.flush_log_limiter(context.now),
             TimerEvent::ShutdownStep => self.on_shutdown_step(),
             TimerEvent::ReportDelays => {
                 // What is still to be read would look like a delay.
-                if turn.now >= turn.earliest_timeout() {
-                    self.proxy.report_delays(turn);
+                if context.now >= context.earliest_timeout() {
+                    self.proxy.report_delays(context);
                 }
-                turn.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
+                context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
             }
-            TimerEvent::Gossip => self.gossip.iter_mut().for_each(|t| t.alarmed(turn)),
+            TimerEvent::Gossip => self.gossip.iter_mut().for_each(|t| t.alarmed(context)),
             TimerEvent::ReadSharedFolder => self.read_shared_folder(),
             TimerEvent::NotifySuccessors => self.notify_successors(),
-            TimerEvent::MigrationBatch => self.proxy.run_migration_batch(turn),
+            TimerEvent::MigrationBatch => self.proxy.run_migration_batch(context),
             TimerEvent::AdminConnection(number) => {
-                self.admin.iter_mut().for_each(|d| d.door.alarmed(turn, number))
+                self.admin.iter_mut().for_each(|d| d.door.alarmed(context, number))
             }
             TimerEvent::Snapshot => self.is_snapshot_due = true,
             TimerEvent::AdminAccept => self
                 .admin
                 .iter_mut()
-                .for_each(|d| d.door.ready(turn, EventSource::AdminListener, Readiness::default())),
+                .for_each(|d| d.door.ready(context, EventSource::AdminListener, Readiness::default())),
         }
     }
 
--- a/crates/balancer/src/event_loop/iteration.rs
+++ b/crates/balancer/src/event_loop/iteration.rs
@@ -59,11 +59,11 @@
 
 impl TimerHandle {
     /// Has the timer come by then at the latest; nothing where nothing is due.
-    pub fn schedule_by(&mut self, turn: &mut LoopContext, when: Option<Micros>, due: TimerEvent) {
+    pub fn schedule_by(&mut self, context: &mut LoopContext, when: Option<Micros>, due: TimerEvent) {
         let Some(when) = when else { return };
         if self.0.is_none_or(|(at, _)| at > when) {
-            self.cancel(turn);
-            self.0 = Some((when, turn.timers.schedule(when, due)));
+            self.cancel(context);
+            self.0 = Some((when, context.timers.schedule(when, due)));
         }
     }
 
@@ -73,9 +73,9 @@
     }
 
     /// Takes the timer back.
-    pub fn cancel(&mut self, turn: &mut LoopContext) {
+    pub fn cancel(&mut self, context: &mut LoopContext) {
         if let Some((_, key)) = self.0.take() {
-            turn.timers.cancel(key);
+            context.timers.cancel(key);
         }
     }
 }
--- a/crates/balancer/src/event_loop/iteration/tests.rs
+++ b/crates/balancer/src/event_loop/iteration/tests.rs
@@ -9,7 +9,7 @@
 pub const READ: Readiness = Readiness { is_readable: true, is_writable: true, is_closed: true };
 
 /// A turn at this time with a loop that nobody runs.
-pub fn turn(now: Micros) -> LoopContext {
+pub fn context(now: Micros) -> LoopContext {
     LoopContext::new(EventPoller::new().and_then(|w| w.registry()).expect("a loop"), now)
 }
 
@@ -24,14 +24,14 @@
 
 #[test]
 fn a_machine_that_stood_still_judges_nobody_at_once() {
-    let mut turn = turn(1_000_000);
-    turn.end_iteration(2_000_000);
-    turn.begin_iteration(2_000_000 + STALL_THRESHOLD - 1);
-    assert_eq!(turn.earliest_timeout(), 0, "a little late is no standstill");
-    turn.end_iteration(3_000_000);
-    turn.begin_iteration(9_000_000);
-    assert_eq!(turn.earliest_timeout(), 9_000_000 + GRACE_AFTER_STALL);
-    assert_eq!([2_000_000, 9_500_000].map(|asked| turn.waiting_since(asked)), [9_000_000, 9_500_000]);
+    let mut context = context(1_000_000);
+    context.end_iteration(2_000_000);
+    context.begin_iteration(2_000_000 + STALL_THRESHOLD - 1);
+    assert_eq!(context.earliest_timeout(), 0, "a little late is no standstill");
+    context.end_iteration(3_000_000);
+    context.begin_iteration(9_000_000);
+    assert_eq!(context.earliest_timeout(), 9_000_000 + GRACE_AFTER_STALL);
+    assert_eq!([2_000_000, 9_500_000].map(|asked| context.waiting_since(asked)), [9_000_000, 9_500_000]);
 }
 
 /// The two ends of a connection, the second as the program has it.
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -52,11 +52,11 @@
 
 impl Tells {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
-    pub fn new(turn: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
-        turn.schedule_after(0, TimerEvent::Gossip);
+    pub fn new(context: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
+        context.schedule_after(0, TimerEvent::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
-        let gossip = Gossip::new(turn.now, life, name, &names, peers.key.clone(), peers.rules, seed);
+        let gossip = Gossip::new(context.now, life, name, &names, peers.key.clone(), peers.rules, seed);
         Tells {
             at,
             socket: None,
@@ -65,8 +65,8 @@
             every: peers.rules.every,
             more: false,
             due: false,
-            told: turn.now,
-            logged: turn.now,
+            told: context.now,
+            logged: context.now,
             together: None,
             unsent: 0,
             said_untold: false,
@@ -81,23 +81,23 @@
     }
 
     /// The timer has come.
-    pub fn alarmed(&mut self, turn: &mut LoopContext) {
+    pub fn alarmed(&mut self, context: &mut LoopContext) {
         if self.socket.is_none() {
             let opened = UdpSocket::bind(self.at).and_then(|mut socket| {
-                turn.registry.register_readable(&mut socket, EventSource::Gossip)?;
+                context.registry.register_readable(&mut socket, EventSource::Gossip)?;
                 Ok(socket)
             });
             match opened {
                 Ok(socket) => self.socket = Some(socket),
                 Err(e) => {
                     warn!(event = "gossip-off", at = %self.at, error = %e);
-                    turn.schedule_after(AGAIN, TimerEvent::Gossip);
+                    context.schedule_after(AGAIN, TimerEvent::Gossip);
                     return;
                 }
             }
         }
         self.due = true;
-        turn.schedule_after(self.every, TimerEvent::Gossip);
+        context.schedule_after(self.every, TimerEvent::Gossip);
     }
 
     /// Whether it is time to tell, which is said once.
@@ -130,14 +130,14 @@
     }
 
     /// Tells others what is held here, and the module what they hold.
-    pub fn tell(&mut self, turn: &mut LoopContext, holds: Vec<Holding>) {
+    pub fn tell(&mut self, context: &mut LoopContext, holds: Vec<Holding>) {
         let held = |h: Holding| Held {
             server: h.server.0,
             group: h.group as u32,
             load: h.load.max(0.0) as f32,
             open: u16::try_from(h.open).unwrap_or(u16::MAX),
         };
-        let out = self.gossip.due(turn.now, holds.into_iter().map(held).collect());
+        let out = self.gossip.due(context.now, holds.into_iter().map(held).collect());
         if let Some(socket) = &self.socket {
             for (place, datagram) in out {
                 if socket.send_to(&datagram, self.others[place].1).is_err() {
@@ -145,9 +145,9 @@
                 }
             }
         }
-        if turn.now >= self.told + TELL {
-            self.told = turn.now;
-            let elsewhere = self.gossip.elsewhere(turn.now);
+        if context.now >= self.told + TELL {
+            self.told = context.now;
+            let elsewhere = self.gossip.elsewhere(context.now);
             let together = elsewhere.is_some();
             if self.together.replace(together) != Some(together) {
                 let heard = elsewhere.as_ref().map_or(0.0, |e| e.heard);
@@ -159,14 +159,14 @@
                     others = self.others.len()
                 );
             }
-            turn.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
+            context.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
         }
         let untold = self.gossip.stats().untold;
         if untold > 0 && !std::mem::replace(&mut self.said_untold, true) {
             warn!(event = "gossip-untold", most = MOST_HELD);
         }
-        if turn.now >= self.logged + LOG {
-            self.logged = turn.now;
+        if context.now >= self.logged + LOG {
+            self.logged = context.now;
             let s = self.gossip.stats();
             let refused = |why: Refusal| s.refused.get(&why).copied().unwrap_or(0);
             debug!(
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -234,8 +234,10 @@
             if leads && !self.siblings.successors.as_mut().is_some_and(Successors::can_hand_over) {
                 return;
             }
-            let mut own = |net: &mut EventLoop| {
-                can.by_ref().find_map(|id| net.proxy.detach_for_transfer(&mut net.context, id, module(id)?))
+            let mut own = |event_loop: &mut EventLoop| {
+                can.by_ref().find_map(|id| {
+                    event_loop.proxy.detach_for_transfer(&mut event_loop.context, id, module(id)?)
+                })
             };
             let Some(handed) = self.siblings.going.pop_front().or_else(|| own(self)) else { return };
             let from = handed.0.client;
--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -20,11 +20,11 @@
 
 impl LogRateLimiter {
     /// Whether what a client has done wrong may be logged now; else it is counted.
-    pub fn may(&mut self, turn: &mut LoopContext) -> bool {
-        self.due(turn.now);
-        let may = self.written < turn.overload.log_lines(MOST);
+    pub fn may(&mut self, context: &mut LoopContext) -> bool {
+        self.due(context.now);
+        let may = self.written < context.overload.log_lines(MOST);
         if !may && self.left_out == 0 {
-            turn.timers.schedule(self.began + SECOND, TimerEvent::LogRateLimiter);
+            context.timers.schedule(self.began + SECOND, TimerEvent::LogRateLimiter);
         }
         *if may { &mut self.written } else { &mut self.left_out } += 1;
         may
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -37,8 +37,8 @@
 
 impl Proxy {
     /// Says a client's last word and ends its connection; nothing where that was said before.
-    pub fn answer(&mut self, turn: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
-        if self.sessions.get(id).is_none_or(|s| s.stage() == SessionStage::Closing) {
+    pub fn answer(&mut self, context: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
+        if self.sessions.get(id).is_none_or(|session| session.stage() == SessionStage::Closing) {
             return;
         }
         let answer = match self.guard.answer(id, answer, cause) {
@@ -54,25 +54,25 @@
         if let Some(reply) = counted_reply(answer) {
             self.count_reply(id, reply);
         }
-        self.log_answer(turn, id, answer, cause);
-        if self.sessions.begin_close(turn, id, answer_line(answer).as_bytes()) {
-            self.continue_close(turn, id);
+        self.log_answer(context, id, answer, cause);
+        if self.sessions.begin_close(context, id, answer_line(answer).as_bytes()) {
+            self.continue_close(context, id);
         }
     }
 
     /// Answers a client that is not served: a refusal where trying again is harmless, and else a failure.
-    pub fn answer_unserved(&mut self, turn: &mut LoopContext, id: RequestId, after: Micros, cause: Cause) {
+    pub fn answer_unserved(&mut self, context: &mut LoopContext, id: RequestId, after: Micros, cause: Cause) {
         let answer = self.guard.unserved_answer(id, after);
-        self.answer(turn, id, answer, cause);
+        self.answer(context, id, answer, cause);
     }
 
-    fn log_answer(&mut self, turn: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
+    fn log_answer(&mut self, context: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
         let (attempts, may_have_run) = (self.guard.attempts(id), self.guard.may_have_run(id));
         let words = answer_line(answer);
         let words = words.trim_end();
         debug!(event = "answered", req = id.0, words, %cause, attempts, may_have_run);
         let is_given_up = matches!(cause, Cause::Shutdown | Cause::Overdue) && answer == Answer::Failed;
-        if is_given_up && self.log_limiter.may(turn) {
+        if is_given_up && self.log_limiter.may(context) {
             warn!(event = "given-up", req = id.0, %cause, attempts, may_have_run);
         }
     }
@@ -86,17 +86,17 @@
     }
 
     /// Ends a client's connection, whatever is still on its way.
-    pub(crate) fn close_session(&mut self, turn: &mut LoopContext, id: RequestId, cause: Cause) {
+    pub(crate) fn close_session(&mut self, context: &mut LoopContext, id: RequestId, cause: Cause) {
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
         }
-        self.sessions.remove(turn, id);
+        self.sessions.remove(context, id);
     }
 
     /// Goes on with the end of a client's connection, as far as that goes now.
-    pub(crate) fn continue_close(&mut self, turn: &mut LoopContext, id: RequestId) {
-        match self.sessions.get_mut(id).map(|s| s.continue_close(&turn.buffers)) {
-            Some(CloseProgress::Done) => self.close_session(turn, id, Cause::Server),
+    pub(crate) fn continue_close(&mut self, context: &mut LoopContext, id: RequestId) {
+        match self.sessions.get_mut(id).map(|session| session.continue_close(&context.buffers)) {
+            Some(CloseProgress::Done) => self.close_session(context, id, Cause::Server),
             Some(CloseProgress::MoreToRead) => self.unfinished.push(id),
             Some(CloseProgress::AwaitingPeer) | None => {}
         }
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -28,26 +28,28 @@
     /// Begins the connection of an attempt that the guard has let pass.
     pub(crate) fn dial(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         id: RequestId,
         mut dial: PendingDial,
         address: SocketAddr,
     ) {
-        let (to, patience) = ((dial.server, address), dial.deadline.saturating_sub(turn.now));
-        match self.attempts.begin(turn, id, to, patience, self.settings.connect_timeout) {
-            Ok(()) => return self.advance_attempt(turn, id),
-            Err(DialError::Refused) => return self.on_attempt_not_started(turn, id, Outcome::ConnectFailed),
+        let (to, patience) = ((dial.server, address), dial.deadline.saturating_sub(context.now));
+        match self.attempts.begin(context, id, to, patience, self.settings.connect_timeout) {
+            Ok(()) => return self.advance_attempt(context, id),
+            Err(DialError::Refused) => {
+                return self.on_attempt_not_started(context, id, Outcome::ConnectFailed);
+            }
             Err(error) => self.record_dial_error(id, dial.failures, error),
         }
         let pause =
-            DIAL_RETRY_DELAYS.get(dial.failures).copied().filter(|pause| turn.now + pause < dial.deadline);
+            DIAL_RETRY_DELAYS.get(dial.failures).copied().filter(|pause| context.now + pause < dial.deadline);
         dial.failures += 1;
         match pause {
             Some(pause) => {
                 self.pending_dials.insert(id, dial);
-                turn.schedule_after(pause, TimerEvent::RetryDial(id));
+                context.schedule_after(pause, TimerEvent::RetryDial(id));
             }
-            None => self.on_attempt_not_started(turn, id, Outcome::NotSent),
+            None => self.on_attempt_not_started(context, id, Outcome::NotSent),
         }
     }
 
@@ -59,18 +61,18 @@
     }
 
     /// The pause before a connection is begun again is over.
-    pub fn retry_dial(&mut self, turn: &mut LoopContext, id: RequestId) {
+    pub fn retry_dial(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(dial) = self.pending_dials.remove(&id) else { return };
-        let address = self.address_for(id, dial.server).filter(|_| self.ensure_capacity(turn));
+        let address = self.address_for(id, dial.server).filter(|_| self.ensure_capacity(context));
         match address {
-            Some(address) => self.dial(turn, id, dial, address),
-            None => self.on_attempt_not_started(turn, id, Outcome::NotSent),
+            Some(address) => self.dial(context, id, dial, address),
+            None => self.on_attempt_not_started(context, id, Outcome::NotSent),
         }
     }
 
     /// An attempt has failed before there was a connection to watch.
-    fn on_attempt_not_started(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
+    fn on_attempt_not_started(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         self.guard.end_attempt(id, outcome);
-        self.report_attempt_end(turn, id, outcome);
+        self.report_attempt_end(context, id, outcome);
     }
 }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -137,9 +137,9 @@
     }
 
     /// Has a descriptor for a connection to a server, at the cost of those who ask for nothing.
-    fn ensure_capacity(&mut self, turn: &mut LoopContext) -> bool {
+    fn ensure_capacity(&mut self, context: &mut LoopContext) -> bool {
         while !self.has_capacity() {
-            if !self.budget.can_make_room(self.descriptors_in_use()) || !self.evict_idle(turn) {
+            if !self.budget.can_make_room(self.descriptors_in_use()) || !self.evict_idle(context) {
                 return false;
             }
         }
@@ -149,15 +149,13 @@
     /// Ends the one that can best be done without, of those that ask for nothing; false where nobody does. What it has
     /// sent by now is read first: a whole line is a request that was taken, and a close over unread input would be a
     /// reset, which could overtake last words.
-    fn evict_idle(&mut self, turn: &mut LoopContext) -> bool {
+    fn evict_idle(&mut self, context: &mut LoopContext) -> bool {
         let Some(id) = self.sessions.eviction_candidate() else { return false };
-        self.on_session_ready(turn, id, Readiness::READ);
-        if self
-            .sessions
-            .get(id)
-            .is_some_and(|s| matches!(s.stage(), SessionStage::AwaitingRequest | SessionStage::Closing))
-        {
-            self.close_session(turn, id, Cause::Descriptors);
+        self.on_session_ready(context, id, Readiness::READ);
+        if self.sessions.get(id).is_some_and(|session| {
+            matches!(session.stage(), SessionStage::AwaitingRequest | SessionStage::Closing)
+        }) {
+            self.close_session(context, id, Cause::Descriptors);
         }
         true
     }
@@ -176,90 +174,96 @@
 /// Clients, from their first line to their answer.
 impl Proxy {
     /// A client has connected.
-    pub fn accept_client(&mut self, turn: &mut LoopContext, stream: TcpStream, from: SocketAddr) {
+    pub fn accept_client(&mut self, context: &mut LoopContext, stream: TcpStream, from: SocketAddr) {
         let attempts = &self.attempts;
-        let Some(id) = self.sessions.accept(turn, stream, from, |id| attempts.has(id)) else { return };
+        let Some(id) = self.sessions.accept(context, stream, from, |id| attempts.has(id)) else { return };
         // Who has asked for nothing for longest goes first: the one that has just come is the last.
-        while self.budget.is_over(self.descriptors_in_use()) && self.evict_idle(turn) {}
-        self.on_session_ready(turn, id, Readiness::default());
+        while self.budget.is_over(self.descriptors_in_use()) && self.evict_idle(context) {}
+        self.on_session_ready(context, id, Readiness::default());
     }
 
     /// A client's connection is ready.
-    pub fn on_session_ready(&mut self, turn: &mut LoopContext, id: RequestId, ready: Readiness) {
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        s.connection.on_ready(ready);
-        match s.stage() {
+    pub fn on_session_ready(&mut self, context: &mut LoopContext, id: RequestId, ready: Readiness) {
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        session.connection.on_ready(ready);
+        match session.stage() {
             SessionStage::AwaitingRequest => {
-                let from = s.client_address();
-                match s.read_first_line(turn.now, &turn.buffers) {
-                    FirstLine::Incomplete => self.sessions.schedule_timer(turn, id),
-                    FirstLine::Line(line) => self.on_request(turn, id, &line),
-                    FirstLine::Closed => self.on_incomplete_request(turn, id),
-                    FirstLine::TooManyPings => self.reject_malformed(turn, id, "too many commands at a time"),
+                let from = session.client_address();
+                match session.read_first_line(context.now, &context.buffers) {
+                    FirstLine::Incomplete => self.sessions.schedule_timer(context, id),
+                    FirstLine::Line(line) => self.on_request(context, id, &line),
+                    FirstLine::Closed => self.on_incomplete_request(context, id),
+                    FirstLine::TooManyPings => {
+                        self.reject_malformed(context, id, "too many commands at a time")
+                    }
                     FirstLine::LineTooLong => {
-                        if self.log_limiter.may(turn) {
+                        if self.log_limiter.may(context) {
                             warn!(event = "line-too-long", peer = "client", client = %from);
                         }
-                        self.answer(turn, id, FinalAnswer::Failed, Cause::BadRequest);
+                        self.answer(context, id, FinalAnswer::Failed, Cause::BadRequest);
                     }
                 }
             }
-            SessionStage::AwaitingAnswer => match s.poll_while_waiting(&turn.buffers) {
+            SessionStage::AwaitingAnswer => match session.poll_while_waiting(&context.buffers) {
                 WaitingActivity::Silent => {}
                 // The protocol has it wait. What follows its line belongs to no connection yet: passed on
                 // later, it would make the server close a connection that has just come up.
-                WaitingActivity::SentData => self.reject_malformed(turn, id, "spoke before its answer"),
-                WaitingActivity::Closed => self.on_client_left(turn, id),
+                WaitingActivity::SentData => self.reject_malformed(context, id, "spoke before its answer"),
+                WaitingActivity::Closed => self.on_client_left(context, id),
             },
-            SessionStage::Established | SessionStage::Migrating => self.relay(turn, id),
-            SessionStage::Closing => self.continue_close(turn, id),
+            SessionStage::Established | SessionStage::Migrating => self.relay(context, id),
+            SessionStage::Closing => self.continue_close(context, id),
         }
     }
 
     /// A client ended, or took too long, with its first line unfinished or unsaid. What it may be sending just now must not
     /// make the close a reset: the sending is ended, and the input read out for a moment.
-    fn on_incomplete_request(&mut self, turn: &mut LoopContext, id: RequestId) {
-        let Some(s) = self.sessions.get(id) else { return };
-        let has_ended = s.connection.peer_close.is_some();
-        if !s.connection.pending_input().is_empty() {
-            let from = s.client_address();
-            if self.log_limiter.may(turn) {
+    fn on_incomplete_request(&mut self, context: &mut LoopContext, id: RequestId) {
+        let Some(session) = self.sessions.get(id) else { return };
+        let has_ended = session.connection.peer_close.is_some();
+        if !session.connection.pending_input().is_empty() {
+            let from = session.client_address();
+            if self.log_limiter.may(context) {
                 warn!(event = "half-line", client = %from);
             }
         }
         match has_ended {
-            true => self.close_session(turn, id, Cause::Idle),
-            false => self.answer(turn, id, FinalAnswer::Closed, Cause::Idle),
+            true => self.close_session(context, id, Cause::Idle),
+            false => self.answer(context, id, FinalAnswer::Closed, Cause::Idle),
         }
     }
 
     /// A client said what can't be used: it gets an error, and only its own connection ends.
-    fn reject_malformed(&mut self, turn: &mut LoopContext, id: RequestId, why: &str) {
-        let Some(s) = self.sessions.get(id) else { return };
-        let (from, waits) = (s.client_address(), s.is_waiting());
-        if self.log_limiter.may(turn) {
+    fn reject_malformed(&mut self, context: &mut LoopContext, id: RequestId, why: &str) {
+        let Some(session) = self.sessions.get(id) else { return };
+        let (from, waits) = (session.client_address(), session.is_waiting());
+        if self.log_limiter.may(context) {
             warn!(event = "malformed", client = %from, why);
         }
         if waits {
-            turn.emit(NetworkEvent::ClientLeft(id));
-            self.end_attempt(turn, id, Outcome::Cancelled);
+            context.emit(NetworkEvent::ClientLeft(id));
+            self.end_attempt(context, id, Outcome::Cancelled);
         }
-        self.answer(turn, id, FinalAnswer::Failed, Cause::BadRequest);
+        self.answer(context, id, FinalAnswer::Failed, Cause::BadRequest);
     }
 
-    fn on_request(&mut self, turn: &mut LoopContext, id: RequestId, line: &[u8]) {
+    fn on_request(&mut self, context: &mut LoopContext, id: RequestId, line: &[u8]) {
         let open = match parse_open(line, &self.settings.names) {
             Ok(open) => open,
             Err(why) => {
                 let class = class_of(line, &self.settings.names);
-                self.sessions.get_mut(id).zip(class).into_iter().for_each(|(s, class)| s.set_class(class));
-                return self.reject_malformed(turn, id, why);
+                self.sessions
+                    .get_mut(id)
+                    .zip(class)
+                    .into_iter()
+                    .for_each(|(session, class)| session.set_class(class));
+                return self.reject_malformed(context, id, why);
             }
         };
-        self.sessions.get_mut(id).into_iter().for_each(|s| s.set_class(open.class));
+        self.sessions.get_mut(id).into_iter().for_each(|session| session.set_class(open.class));
         let home = open.previous_server.as_deref().map(server_id);
         if home.is_some_and(|home| !self.servers.is_listed(home)) {
-            return self.reject_malformed(turn, id, "at= names no server");
+            return self.reject_malformed(context, id, "at= names no server");
         }
         let wait = open.timeout.or(self.settings.give_up.get(open.class).copied()).unwrap_or(0);
         let req = ReceivedRequest {
@@ -267,61 +271,61 @@
             class: open.class,
             tenant: open.tenant,
             key: open.key,
-            deadline: turn.now + wait,
+            deadline: context.now + wait,
             load: open.load,
             group: open.group,
             is_returning: open.is_returning,
         };
-        let until = if home.is_some() { turn.now + RESTORE_TIMEOUT } else { req.deadline };
+        let until = if home.is_some() { context.now + RESTORE_TIMEOUT } else { req.deadline };
         if !self.sessions.open_request(
-            turn,
+            context,
             id,
             SessionRequest { line, open_id: open.id, request: req, previous_server: home, deadline: until },
         ) {
             // The id of another client's request. Whoever retries or was moved comes under a new one, and the
             // one from before was let go with its answer or its MOVE.
-            return self.reject_malformed(turn, id, "the id is in use");
+            return self.reject_malformed(context, id, "the id is in use");
         }
         self.guard.receive(id, self.settings.idempotency_of(open.class));
         debug!(event = "received", req = id.0, id = %format_args!("{:x}", open.id), class = open.class);
         if self.is_shutting_down {
             // What is taken now would only have to move: the front stops sending here in a moment.
             let after = if self.has_successor { RETRY_AFTER_WITH_SUCCESSOR } else { LEAVE_AFTER };
-            return self.answer_unserved(turn, id, after, Cause::Shutdown);
+            return self.answer_unserved(context, id, after, Cause::Shutdown);
         }
-        if home.is_none() && !turn.overload.admits() {
+        if home.is_none() && !context.overload.admits() {
             // Guards those who stand: a refusal costs a tenth of a set-up.
-            return self.answer_unserved(turn, id, RETRY_AFTER_OVERLOAD, Cause::Overload);
+            return self.answer_unserved(context, id, RETRY_AFTER_OVERLOAD, Cause::Overload);
         }
-        if !self.ensure_capacity(turn) {
+        if !self.ensure_capacity(context) {
             // Guards the descriptor limit: refused before a attempt could need one more.
             self.set_descriptor_shortage(true);
-            return self.answer_unserved(turn, id, RETRY_AFTER, Cause::Descriptors);
+            return self.answer_unserved(context, id, RETRY_AFTER, Cause::Descriptors);
         }
         // The client may have left behind its line already, or said more than it should.
-        self.on_session_ready(turn, id, Readiness::default());
+        self.on_session_ready(context, id, Readiness::default());
         if !self.sessions.get(id).is_some_and(Session::is_waiting) {
             return;
         }
         match home {
-            Some(server) => self.begin_attempt(turn, id, server, RESTORE_TIMEOUT),
+            Some(server) => self.begin_attempt(context, id, server, RESTORE_TIMEOUT),
             None => {
                 let (group, key) = (req.group, req.key);
                 debug!(event = "asked", req = id.0, group, key, returning = req.is_returning);
                 self.guard.queue(id);
-                turn.emit(NetworkEvent::RequestReceived(req));
+                context.emit(NetworkEvent::RequestReceived(req));
             }
         }
     }
 
     /// A client that waited has gone: nobody needs the attempt any more.
-    fn on_client_left(&mut self, turn: &mut LoopContext, id: RequestId) {
-        turn.emit(NetworkEvent::ClientLeft(id));
+    fn on_client_left(&mut self, context: &mut LoopContext, id: RequestId) {
+        context.emit(NetworkEvent::ClientLeft(id));
         self.count_reply(id, Reply::Error);
         debug!(event = "client-left", req = id.0, attempts = self.guard.attempts(id));
         self.guard.abandon(id);
-        self.close_session(turn, id, Cause::Decision);
-        self.end_attempt(turn, id, Outcome::Cancelled);
+        self.close_session(context, id, Cause::Decision);
+        self.end_attempt(context, id, Outcome::Cancelled);
     }
 
     /// A connection has come up or has ended, whichever was first: it counts once.
@@ -351,7 +355,7 @@
     /// Begins a attempt; it may take so long.
     pub fn begin_attempt(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         id: RequestId,
         server: ServerId,
         patience: Micros,
@@ -360,118 +364,121 @@
         if self.attempts.has(id) || self.pending_dials.contains_key(&id) {
             return;
         }
-        let waits = |s: &Self| s.sessions.get(id).is_some_and(Session::is_waiting);
+        let waits = |session: &Self| session.sessions.get(id).is_some_and(Session::is_waiting);
         if waits(self) {
             // The client may have gone, and the loop not have told of it yet: it was accepted with its end, or a server's
             // refusal was heard first.
-            self.on_session_ready(turn, id, Readiness::READ);
+            self.on_session_ready(context, id, Readiness::READ);
         }
         if !waits(self) {
-            return self.report_attempt_end(turn, id, Outcome::NotSent);
+            return self.report_attempt_end(context, id, Outcome::NotSent);
         }
-        let address = self.address_for(id, server).filter(|_| self.ensure_capacity(turn));
+        let address = self.address_for(id, server).filter(|_| self.ensure_capacity(context));
         let Some(address) = address else {
-            return self.report_attempt_end(turn, id, Outcome::NotSent);
+            return self.report_attempt_end(context, id, Outcome::NotSent);
         };
         if let Err(violation) = self.guard.begin_attempt(id, self.servers.target(server)) {
             self.report_violation(&violation, Cause::Decision);
-            return self.report_attempt_end(turn, id, Outcome::NotSent);
+            return self.report_attempt_end(context, id, Outcome::NotSent);
         }
         let attempt = self.guard.attempts(id);
         let name = self.servers.name(Some(server));
         debug!(event = "attempt", req = id.0, attempt, server = name, us = patience);
-        let until = turn.now.saturating_add(patience);
-        self.dial(turn, id, PendingDial { server, deadline: until, failures: 0 }, address);
+        let until = context.now.saturating_add(patience);
+        self.dial(context, id, PendingDial { server, deadline: until, failures: 0 }, address);
     }
 
     /// Tells how a attempt ended; a carried connection that never came up was never told of.
-    fn report_attempt_end(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
-        match self.sessions.get(id).map(|s| (s.previous_server(), s.is_waiting())) {
-            Some((Some(home), true)) => self.on_restored_attempt_ended(turn, id, home, outcome),
-            _ => turn.emit(NetworkEvent::AttemptEnded(id, outcome)),
+    fn report_attempt_end(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
+        match self.sessions.get(id).map(|session| (session.previous_server(), session.is_waiting())) {
+            Some((Some(home), true)) => self.on_restored_attempt_ended(context, id, home, outcome),
+            _ => context.emit(NetworkEvent::AttemptEnded(id, outcome)),
         }
     }
 
     /// A connection from before the start has not come up: it is tried again while that is harmless.
     fn on_restored_attempt_ended(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         id: RequestId,
         home: ServerId,
         outcome: Outcome,
     ) {
-        if self.sessions.get_mut(id).is_some_and(|s| s.on_restore_failed(turn.now)) {
+        if self.sessions.get_mut(id).is_some_and(|session| session.on_restore_failed(context.now)) {
             warn!(event = "carried-not-up", server = self.servers.name(Some(home)), ?outcome);
         }
         // What has never run is tried again.
         match outcome.never_ran() {
-            true => self.sessions.schedule_timer(turn, id),
-            false => self.answer(turn, id, FinalAnswer::Failed, Cause::Server),
+            true => self.sessions.schedule_timer(context, id),
+            false => self.answer(context, id, FinalAnswer::Failed, Cause::Server),
         }
     }
 
     /// Ends the attempt that is out, on the network and for the module.
-    pub fn end_attempt(&mut self, turn: &mut LoopContext, id: RequestId, outcome: Outcome) {
+    pub fn end_attempt(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         let server = self.attempts.server(id);
         let is_pending = self.pending_dials.remove(&id).is_some();
-        if self.attempts.end(turn, id) || is_pending {
+        if self.attempts.end(context, id) || is_pending {
             self.guard.end_attempt(id, outcome);
             debug!(event = "attempt-ended", req = id.0, server = self.servers.name(server), ?outcome);
-            self.report_attempt_end(turn, id, outcome);
+            self.report_attempt_end(context, id, outcome);
         }
     }
 
     /// A attempt's timer has come.
-    pub fn on_attempt_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
-        if let Some(outcome) = self.attempts.on_timer(turn, id) {
-            self.end_attempt(turn, id, outcome);
+    pub fn on_attempt_timer(&mut self, context: &mut LoopContext, id: RequestId) {
+        if let Some(outcome) = self.attempts.on_timer(context, id) {
+            self.end_attempt(context, id, outcome);
         }
     }
 
     /// A attempt's connection is ready.
-    pub fn on_attempt_ready(&mut self, turn: &mut LoopContext, id: RequestId, ready: Readiness) {
+    pub fn on_attempt_ready(&mut self, context: &mut LoopContext, id: RequestId, ready: Readiness) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.connection.on_ready(ready);
         match attempt.stage() {
-            AttemptStage::Established => self.relay(turn, id),
-            _ => self.advance_attempt(turn, id),
+            AttemptStage::Established => self.relay(context, id),
+            _ => self.advance_attempt(context, id),
         }
     }
 
-    fn advance_attempt(&mut self, turn: &mut LoopContext, id: RequestId) {
+    fn advance_attempt(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.stage() == AttemptStage::Connecting {
             match attempt.connection.is_connected() {
                 Ok(false) => return,
                 Ok(true) => {}
-                Err(_) => return self.end_attempt(turn, id, Outcome::ConnectFailed),
+                Err(_) => return self.end_attempt(context, id, Outcome::ConnectFailed),
             }
             // The client may have gone while the connection came up, and the loop not have told of it yet.
-            self.on_session_ready(turn, id, Readiness::READ);
+            self.on_session_ready(context, id, Readiness::READ);
             let Some(attempt) = self.attempts.get(id) else { return };
             // The server may have begun to leave meanwhile: it gets nothing new.
             if self.address_for(id, attempt.server()).is_none() {
-                return self.end_attempt(turn, id, Outcome::NotSent);
+                return self.end_attempt(context, id, Outcome::NotSent);
             }
-            match self.guard.send(id, turn.now) {
+            match self.guard.send(id, context.now) {
                 Ok(true) => {}
-                Ok(false) => return self.end_attempt(turn, id, Outcome::NotSent),
+                Ok(false) => return self.end_attempt(context, id, Outcome::NotSent),
                 Err(violation) => {
                     self.report_violation(&violation, Cause::Decision);
-                    return self.end_attempt(turn, id, Outcome::NotSent);
+                    return self.end_attempt(context, id, Outcome::NotSent);
                 }
             }
             let Some(line) = self.sessions.get(id).and_then(Session::first_line) else { return };
-            self.attempts.get_mut(id).into_iter().for_each(|f| f.send_request(turn.now, &turn.buffers, line));
+            self.attempts
+                .get_mut(id)
+                .into_iter()
+                .for_each(|attempt| attempt.send_request(context.now, &context.buffers, line));
         }
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if attempt.take_dispatched() {
             self.counts.dispatched();
         }
         let server = self.servers.name(Some(attempt.server()));
-        let outcome = match attempt.read_answer(&turn.buffers) {
+        let outcome = match attempt.read_answer(&context.buffers) {
             None => return,
-            Some(ServerAnswer::Accepted) => return self.on_attempt_established(turn, id),
+            Some(ServerAnswer::Accepted) => return self.on_attempt_established(context, id),
             Some(ServerAnswer::Ended(outcome)) => outcome,
             Some(ServerAnswer::Unexpected(line)) => {
                 warn!(event = "odd-answer", server, line);
@@ -482,27 +489,29 @@
                 Outcome::Error
             }
         };
-        self.end_attempt(turn, id, outcome);
+        self.end_attempt(context, id, outcome);
         if outcome == Outcome::Ok {
-            self.answer(turn, id, FinalAnswer::Served, Cause::Server);
+            self.answer(context, id, FinalAnswer::Served, Cause::Server);
         }
     }
 
     /// A server has taken a client.
-    fn on_attempt_established(&mut self, turn: &mut LoopContext, id: RequestId) {
-        let (Some(f), Some(s)) = (self.attempts.get_mut(id), self.sessions.get_mut(id)) else { return };
-        debug!(event = "up", req = id.0, client = %s.client_address(), server = self.servers.name(Some(f.server())));
-        f.establish(turn.now, id);
-        s.establish();
+    fn on_attempt_established(&mut self, context: &mut LoopContext, id: RequestId) {
+        let (Some(attempt), Some(session)) = (self.attempts.get_mut(id), self.sessions.get_mut(id)) else {
+            return;
+        };
+        debug!(event = "up", req = id.0, client = %session.client_address(), server = self.servers.name(Some(attempt.server())));
+        attempt.establish(context.now, id);
+        session.establish();
         self.guard.serve(id);
-        if let Some(class) = s.take_uncounted_class() {
+        if let Some(class) = session.take_uncounted_class() {
             self.counts.replied(class, Reply::Success);
         }
-        turn.emit(match (s.previous_server(), s.restored_request()) {
+        context.emit(match (session.previous_server(), session.restored_request()) {
             (Some(server), Some(req)) => NetworkEvent::ConnectionRestored(req, server),
             _ => NetworkEvent::AttemptEstablished(id),
         });
-        self.relay(turn, id);
+        self.relay(context, id);
     }
 
     fn server_name(&self, id: RequestId) -> &str {
--- a/crates/balancer/src/proxy/relay.rs
+++ b/crates/balancer/src/proxy/relay.rs
@@ -23,21 +23,27 @@
 }
 
 /// Passes lines on, both ways, as far as they go now.
-pub fn relay(turn: &LoopContext, id: RequestId, s: &mut Session, f: &mut Attempt) -> RelayOutcome {
+pub fn relay(
+    context: &LoopContext,
+    id: RequestId,
+    session: &mut Session,
+    attempt: &mut Attempt,
+) -> RelayOutcome {
     let mut relayed = RelayOutcome::default();
     for round in 0.. {
-        let (mut went, looked) = s.read_lines(turn.now, &turn.buffers);
+        let (mut went, looked) = session.read_lines(context.now, &context.buffers);
         if looked.is_err() {
             relayed.too_long = Some("client");
         }
-        went |= s.connection.forward_to(&mut f.connection, false);
-        let (came, looked) = f.read_lines(turn, id, s.unanswered_since_mut(), &mut relayed.load_figures);
+        went |= session.connection.forward_to(&mut attempt.connection, false);
+        let (came, looked) =
+            attempt.read_lines(context, id, session.unanswered_since_mut(), &mut relayed.load_figures);
         if looked.is_err() {
             relayed.too_long = Some("server");
         }
         went |= came;
-        let moving = s.stage() == SessionStage::Migrating;
-        went |= f.connection.forward_to(&mut s.connection, moving);
+        let moving = session.stage() == SessionStage::Migrating;
+        went |= attempt.connection.forward_to(&mut session.connection, moving);
         if !went || relayed.too_long.is_some() {
             break;
         }
@@ -63,31 +69,34 @@
 }
 
 /// Passes on the end of either side, as far as the lines before it have gone.
-pub fn ends(now: Micros, s: &mut Session, f: &mut Attempt) -> RelayDecision {
+pub fn ends(now: Micros, session: &mut Session, attempt: &mut Attempt) -> RelayDecision {
     // A server that ends without a word because its client has left is no server that drops clients:
     // read as a reset it would be locked, and its other clients would be spread over the rest.
     // Servers close on what they can't read: an end in good order with a client's line unanswered says as
     // much of the line as of the server.
-    let read_badly = f.connection.peer_close == Some(PeerClose::Fin) && s.unanswered_since().is_some();
-    let outcome = match f.outcome() {
-        Outcome::Reset if s.connection.peer_close.is_some() || read_badly => Outcome::Cancelled,
+    let read_badly =
+        attempt.connection.peer_close == Some(PeerClose::Fin) && session.unanswered_since().is_some();
+    let outcome = match attempt.outcome() {
+        Outcome::Reset if session.connection.peer_close.is_some() || read_badly => Outcome::Cancelled,
         other => other,
     };
-    match (f.connection.peer_close, s.connection.peer_close) {
+    match (attempt.connection.peer_close, session.connection.peer_close) {
         (Some(PeerClose::Reset), _) => return RelayDecision::CloseAsServer(PeerClose::Reset, outcome),
         (_, Some(PeerClose::Reset)) => return RelayDecision::ClientReset,
-        (Some(PeerClose::Fin), _) if f.connection.is_drained() => {
+        (Some(PeerClose::Fin), _) if attempt.connection.is_drained() => {
             return RelayDecision::CloseAsServer(PeerClose::Fin, outcome);
         }
-        (Some(PeerClose::Fin), _) => s.begin_half_open(now),
-        (None, _) if s.stage() == SessionStage::Migrating && s.connection.is_at_line_boundary() => {
+        (Some(PeerClose::Fin), _) => session.begin_half_open(now),
+        (None, _)
+            if session.stage() == SessionStage::Migrating && session.connection.is_at_line_boundary() =>
+        {
             return RelayDecision::Migrate;
         }
         (None, Some(PeerClose::Fin)) => {
-            if s.connection.is_drained() {
-                f.connection.shutdown_write();
+            if session.connection.is_drained() {
+                attempt.connection.shutdown_write();
             }
-            s.begin_half_open(now);
+            session.begin_half_open(now);
         }
         (None, None) => {}
     }
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -23,76 +23,78 @@
     }
 
     /// A session's timer has come: what is due of it, and what comes next.
-    pub fn on_session_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
-        if self.sessions.on_timer(turn, id) {
-            self.on_session_due(turn, id);
-            self.sessions.schedule_timer(turn, id);
+    pub fn on_session_timer(&mut self, context: &mut LoopContext, id: RequestId) {
+        if self.sessions.on_timer(context, id) {
+            self.on_session_due(context, id);
+            self.sessions.schedule_timer(context, id);
         }
     }
 
-    fn on_session_due(&mut self, turn: &mut LoopContext, id: RequestId) {
-        let now = turn.now;
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        match s.stage() {
-            SessionStage::AwaitingRequest if s.is_past_deadline(now) => {
+    fn on_session_due(&mut self, context: &mut LoopContext, id: RequestId) {
+        let now = context.now;
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        match session.stage() {
+            SessionStage::AwaitingRequest if session.is_past_deadline(now) => {
                 // A line that has come by now is a request that was taken.
-                self.on_session_ready(turn, id, Readiness::READ);
-                if self
-                    .sessions
-                    .get(id)
-                    .is_some_and(|s| s.stage() == SessionStage::AwaitingRequest && s.is_past_deadline(now))
-                {
-                    self.on_incomplete_request(turn, id);
+                self.on_session_ready(context, id, Readiness::READ);
+                if self.sessions.get(id).is_some_and(|session| {
+                    session.stage() == SessionStage::AwaitingRequest && session.is_past_deadline(now)
+                }) {
+                    self.on_incomplete_request(context, id);
                 }
             }
-            SessionStage::AwaitingAnswer if !s.is_past_deadline(now) && s.take_due_restore(now) => {
-                let left = s.deadline() - now;
-                if let Some(home) = s.previous_server() {
-                    self.begin_attempt(turn, id, home, left);
+            SessionStage::AwaitingAnswer
+                if !session.is_past_deadline(now) && session.take_due_restore(now) =>
+            {
+                let left = session.deadline() - now;
+                if let Some(home) = session.previous_server() {
+                    self.begin_attempt(context, id, home, left);
                 }
             }
             // Guards the rule that every request is answered before its client gives up.
-            SessionStage::AwaitingAnswer if s.is_overdue(now) => {
-                error!(event = "overdue", req = id.0, client = %s.client_address());
-                turn.emit(NetworkEvent::ClientLeft(id));
-                self.end_attempt(turn, id, Outcome::TimedOut);
-                self.answer_unserved(turn, id, RETRY_AFTER, Cause::Overdue);
+            SessionStage::AwaitingAnswer if session.is_overdue(now) => {
+                error!(event = "overdue", req = id.0, client = %session.client_address());
+                context.emit(NetworkEvent::ClientLeft(id));
+                self.end_attempt(context, id, Outcome::TimedOut);
+                self.answer_unserved(context, id, RETRY_AFTER, Cause::Overdue);
             }
             SessionStage::Established | SessionStage::Migrating => {
-                if s.is_half_open_expired(now) {
-                    let ended = s.connection.peer_close;
+                if session.is_half_open_expired(now) {
+                    let ended = session.connection.peer_close;
                     let outcome = if ended.is_some() { Outcome::Cancelled } else { Outcome::Reset };
-                    self.close_both(turn, id, PeerClose::Fin, outcome);
-                } else if let Some(since) = s.server_silent_since(turn) {
-                    let from = s.client_address();
+                    self.close_both(context, id, PeerClose::Fin, outcome);
+                } else if let Some(since) = session.server_silent_since(context) {
+                    let from = session.client_address();
                     warn!(event = "silent", server = self.server_name(id), client = %from);
-                    self.on_silent_server(turn, id, since);
+                    self.on_silent_server(context, id, since);
                 }
             }
-            SessionStage::Closing if s.is_past_deadline(now) => self.close_session(turn, id, Cause::Idle),
+            SessionStage::Closing if session.is_past_deadline(now) => {
+                self.close_session(context, id, Cause::Idle)
+            }
             _ => {}
         }
     }
 
     /// Reports what messages take: for each server once a period while that is over a third of the
     /// shortest aim, and once more when it is back under.
-    pub fn report_delays(&mut self, turn: &mut LoopContext) {
+    pub fn report_delays(&mut self, context: &mut LoopContext) {
         let mut seen = BTreeMap::<ServerId, Vec<DelaySample>>::new();
         let (sessions, attempts) = (&mut self.sessions, &self.attempts);
         self.delay_reporters.retain(|id| {
-            let Some((s, f)) = sessions.get_mut(*id).zip(attempts.get(*id)) else { return false };
+            let Some((session, attempt)) = sessions.get_mut(*id).zip(attempts.get(*id)) else { return false };
             let sight = DelaySample {
-                unanswered_since: s.unanswered_since().map(|at| turn.waiting_since(at)),
-                last_answer: f.last_answer(),
+                unanswered_since: session.unanswered_since().map(|at| context.waiting_since(at)),
+                last_answer: attempt.last_answer(),
             };
-            if s.stage() == SessionStage::Established && f.stage() == AttemptStage::Established {
-                seen.entry(f.server()).or_default().push(sight);
+            if session.stage() == SessionStage::Established && attempt.stage() == AttemptStage::Established {
+                seen.entry(attempt.server()).or_default().push(sight);
             }
-            s.set_reports_delay(sight.is_informative(turn.now))
+            session.set_reports_delay(sight.is_informative(context.now))
         });
-        for (server, delay) in self.servers.delay_reports(turn.now, self.settings.message_aim / 3, &seen) {
+        for (server, delay) in self.servers.delay_reports(context.now, self.settings.message_aim / 3, &seen) {
             debug!(event = "seen", server = self.servers.name(Some(server)), us = delay);
-            turn.emit(NetworkEvent::MessageDelayReported(server, delay));
+            context.emit(NetworkEvent::MessageDelayReported(server, delay));
         }
     }
 }
@@ -102,7 +104,9 @@
     /// From now on nobody new is served; tells how many stand, and how many wait.
     pub fn begin_shutdown(&mut self) -> (usize, usize) {
         self.is_shutting_down = true;
-        let stands = |s: &Session| matches!(s.stage(), SessionStage::Established | SessionStage::Migrating);
+        let stands = |session: &Session| {
+            matches!(session.stage(), SessionStage::Established | SessionStage::Migrating)
+        };
         (self.sessions.ids_where(stands).len(), self.sessions.ids_where(Session::is_waiting).len())
     }
 
@@ -112,28 +116,28 @@
     }
 
     /// Moves an even part of the standing sessions, with so many more parts to come.
-    pub fn migrate_batch(&mut self, turn: &mut LoopContext, parts_left: Micros) {
-        let open = self.sessions.ids_where(|s| s.stage() == SessionStage::Established);
+    pub fn migrate_batch(&mut self, context: &mut LoopContext, parts_left: Micros) {
+        let open = self.sessions.ids_where(|session| session.stage() == SessionStage::Established);
         let n = open.len().div_ceil(parts_left as usize + 1);
-        open.into_iter().take(n).for_each(|id| self.migrate(turn, id));
+        open.into_iter().take(n).for_each(|id| self.migrate(context, id));
     }
 
     /// Answers who still waits, and ends those that have asked for nothing by now. A request that may have run can't be
     /// refused: it waits for its server until its own deadline, or until `is_last_call`, and fails then.
-    pub fn answer_waiting_clients(&mut self, turn: &mut LoopContext, is_last_call: bool) {
-        for id in self.sessions.ids_where(|s| s.stage() == SessionStage::AwaitingRequest) {
-            self.on_session_ready(turn, id, Readiness::READ);
-            if self.sessions.get(id).is_some_and(|s| s.stage() == SessionStage::AwaitingRequest) {
-                self.answer(turn, id, Answer::Closed, Cause::Shutdown);
+    pub fn answer_waiting_clients(&mut self, context: &mut LoopContext, is_last_call: bool) {
+        for id in self.sessions.ids_where(|session| session.stage() == SessionStage::AwaitingRequest) {
+            self.on_session_ready(context, id, Readiness::READ);
+            if self.sessions.get(id).is_some_and(|session| session.stage() == SessionStage::AwaitingRequest) {
+                self.answer(context, id, Answer::Closed, Cause::Shutdown);
             }
         }
         for id in self.sessions.ids_where(Session::is_waiting) {
             if !is_last_call && !self.guard.is_refusable(id) {
                 continue;
             }
-            turn.emit(NetworkEvent::ClientLeft(id));
-            self.end_attempt(turn, id, Outcome::Cancelled);
-            self.answer_unserved(turn, id, RETRY_AFTER, Cause::Shutdown);
+            context.emit(NetworkEvent::ClientLeft(id));
+            self.end_attempt(context, id, Outcome::Cancelled);
+            self.answer_unserved(context, id, RETRY_AFTER, Cause::Shutdown);
         }
     }
 }
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -28,64 +28,77 @@
     /// module had there has ended for it.
     pub fn detach_for_transfer(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         id: RequestId,
         (request, load): (Request, Option<f64>),
     ) -> Option<Handed> {
-        let (s, f) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
+        let (session, attempt) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
         let standing = Standing {
-            client: s.client_address(),
-            server: f.server().0,
-            id: s.open_id()?,
+            client: session.client_address(),
+            server: attempt.server().0,
+            id: session.open_id()?,
             class: name(&self.settings.names.classes, request.class),
             tenant: name(&self.settings.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
             hint: request.load,
             load,
-            asked: s.unanswered_since(),
-            at_client: s.connection.buffered(),
-            at_server: f.connection.buffered(),
+            asked: session.unanswered_since(),
+            at_client: session.connection.buffered(),
+            at_server: attempt.connection.buffered(),
         };
         // What is watched is the connection, which goes on, and not this process's descriptor of it.
-        turn.registry.deregister(&mut s.connection);
-        turn.registry.deregister(&mut f.connection);
+        context.registry.deregister(&mut session.connection);
+        context.registry.deregister(&mut attempt.connection);
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, Cause::Handover);
         }
-        let (s, f) = (self.sessions.take(turn, id)?, self.attempts.take(turn, id)?);
-        turn.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((standing, s.connection.into_stream(), f.connection.into_stream()))
+        let (session, attempt) = (self.sessions.take(context, id)?, self.attempts.take(context, id)?);
+        context.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
+        Some((standing, session.connection.into_stream(), attempt.connection.into_stream()))
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
-    pub fn adopt_transferred(&mut self, turn: &mut LoopContext, (standing, client, server): Handed) -> bool {
+    pub fn adopt_transferred(
+        &mut self,
+        context: &mut LoopContext,
+        (standing, client, server): Handed,
+    ) -> bool {
         let names = &self.settings.names;
         let class = names.classes.get(&standing.class).copied();
         let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
         let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Connection::resume(client, &turn.buffers, &standing.at_client);
-        let server = Connection::resume(server, &turn.buffers, &standing.at_server);
+        let client = Connection::resume(client, &context.buffers, &standing.at_client);
+        let server = Connection::resume(server, &context.buffers, &standing.at_server);
         let (Some(client), Some(server)) = (client, server) else { return false };
         let between_lines = client.is_at_line_boundary();
-        let adopted =
-            self.sessions.adopt(turn, client, standing.client, (standing.id, asked), |id| attempts.has(id));
+        let adopted = self
+            .sessions
+            .adopt(context, client, standing.client, (standing.id, asked), |id| attempts.has(id));
         let Some(id) = adopted else { return false };
         let at = ServerId(standing.server);
         // Its server still answers: whoever can't go on here is told to come again, and not cut off.
-        let Some(class) = class.filter(|_| self.attempts.adopt(turn, id, at, server)) else {
+        let Some(class) = class.filter(|_| self.attempts.adopt(context, id, at, server)) else {
             let answer = if between_lines { Answer::Moved } else { Answer::Closed };
-            self.answer(turn, id, answer, Cause::Handover);
+            self.answer(context, id, answer, Cause::Handover);
             return false;
         };
         let (key, group, load) = (standing.key, standing.group, standing.hint);
-        let req =
-            ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, is_returning: false };
-        turn.emit(NetworkEvent::ConnectionRestored(req, at));
+        let req = ReceivedRequest {
+            id,
+            class,
+            tenant,
+            key,
+            deadline: context.now,
+            load,
+            group,
+            is_returning: false,
+        };
+        context.emit(NetworkEvent::ConnectionRestored(req, at));
         if let Some(load) = standing.load.filter(|load| load.is_finite() && *load > 0.0) {
-            turn.emit(NetworkEvent::LoadReported(id, load));
+            context.emit(NetworkEvent::LoadReported(id, load));
         }
-        self.relay(turn, id);
+        self.relay(context, id);
         true
     }
 }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -28,10 +28,10 @@
 
 /// Puts a configuration in force at a worker. Connections, the list of servers and what the module has learned stay as
 /// they are.
-pub fn apply(config: &Config, net: &mut EventLoop, driver: &mut Driver) {
-    net.update_settings(Terms::from(config), config.discovery);
-    if let (Some(tells), Some(peers)) = (&mut net.gossip, &config.peers) {
+pub fn apply(config: &Config, event_loop: &mut EventLoop, driver: &mut Driver) {
+    event_loop.update_settings(Terms::from(config), config.discovery);
+    if let (Some(tells), Some(peers)) = (&mut event_loop.gossip, &config.peers) {
         tells.take_peers(peers);
     }
-    driver.update_settings(net.now(), config.settings.clone(), &config.operator);
+    driver.update_settings(event_loop.now(), config.settings.clone(), &config.operator);
 }
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -206,13 +206,13 @@
     /// one. Tells whether anything came, and whether a line is over the limit.
     pub fn read_lines(
         &mut self,
-        turn: &LoopContext,
+        context: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
     ) -> (bool, Result<(), LineTooLong>) {
-        let came = self.connection.read_available(&turn.buffers);
-        let looked = self.inspect_lines(turn, id, asked, told);
+        let came = self.connection.read_available(&context.buffers);
+        let looked = self.inspect_lines(context, id, asked, told);
         if self.connection.peer_close == Some(PeerClose::Fin) {
             self.connection.inspect_rest();
         }
@@ -221,12 +221,12 @@
 
     fn inspect_lines(
         &mut self,
-        turn: &LoopContext,
+        context: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
     ) -> Result<(), LineTooLong> {
-        let now = turn.now;
+        let now = context.now;
         while let Some(line) = self.connection.inspect_line()? {
             self.activity.record(now, id);
             self.last_reply = FinalReply::Other;
@@ -237,7 +237,7 @@
                 // The time from a client's line to the server's answer is what a message takes there.
                 _ => {
                     self.last_answer =
-                        asked.take().map(|at| (now, now - turn.waiting_since(at))).or(self.last_answer)
+                        asked.take().map(|at| (now, now - context.waiting_since(at))).or(self.last_answer)
                 }
             }
         }
@@ -268,20 +268,21 @@
     /// Begins a attempt, which may take as long as `patience`; none may be out for this req.
     pub fn begin(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         id: RequestId,
         (server, address): (ServerId, SocketAddr),
         patience: Micros,
         connect_timeout: Micros,
     ) -> Result<(), DialError> {
         let mut link = Connection::connect(address).map_err(|e| dial_error_of(&e))?;
-        if !turn.registry.register(&mut link, EventSource::Attempt(id)) {
+        if !context.registry.register(&mut link, EventSource::Attempt(id)) {
             return Err(DialError::NotRegistered);
         }
         // A client that leaves less time than a connect may take must not get its server locked.
-        let connected_by = if connect_timeout <= patience { turn.now + connect_timeout } else { Micros::MAX };
+        let connected_by =
+            if connect_timeout <= patience { context.now + connect_timeout } else { Micros::MAX };
         let (stage, last, until) =
-            (AttemptStage::Connecting, FinalReply::Other, turn.now.saturating_add(patience));
+            (AttemptStage::Connecting, FinalReply::Other, context.now.saturating_add(patience));
         let voice = Rc::clone(self.activity.entry(server).or_default());
         let (alarm, answered, dispatched) = (TimerHandle::default(), None, false);
         let attempt = Attempt {
@@ -297,24 +298,24 @@
             is_dispatched: dispatched,
         };
         self.table.insert(id, Box::new(attempt));
-        self.schedule_timer(turn, id);
+        self.schedule_timer(context, id);
         Ok(())
     }
 
     /// Takes in a attempt that stands, from another process of this balancer; false where it can't be watched.
     pub fn adopt(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         id: RequestId,
         server: ServerId,
         mut link: Connection,
     ) -> bool {
-        if !turn.registry.register(&mut link, EventSource::Attempt(id)) {
+        if !context.registry.register(&mut link, EventSource::Attempt(id)) {
             return false;
         }
         let voice = Rc::clone(self.activity.entry(server).or_default());
         let (stage, last, connected_by, until) =
-            (AttemptStage::Established, FinalReply::Other, turn.now, turn.now);
+            (AttemptStage::Established, FinalReply::Other, context.now, context.now);
         let (alarm, answered, dispatched) = (TimerHandle::default(), None, true);
         let attempt = Attempt {
             connection: link,
@@ -334,12 +335,12 @@
 
     /// A req's attempt.
     pub fn get(&self, id: RequestId) -> Option<&Attempt> {
-        self.table.get(&id).map(|f| &**f)
+        self.table.get(&id).map(|attempt| &**attempt)
     }
 
     /// A req's attempt, to act on.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Attempt> {
-        self.table.get_mut(&id).map(|f| &mut **f)
+        self.table.get_mut(&id).map(|attempt| &mut **attempt)
     }
 
     /// Whether a attempt is out, or stands, for a req.
@@ -349,18 +350,18 @@
 
     /// The server that a req's attempt goes to.
     pub fn server(&self, id: RequestId) -> Option<ServerId> {
-        self.table.get(&id).map(|f| f.server)
+        self.table.get(&id).map(|attempt| attempt.server)
     }
 
     /// Ends a req's attempt; false where there is none.
-    pub fn end(&mut self, turn: &mut LoopContext, id: RequestId) -> bool {
-        self.take(turn, id).is_some()
+    pub fn end(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
+        self.take(context, id).is_some()
     }
 
     /// Takes a req's attempt out, with its connection.
-    pub fn take(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Box<Attempt>> {
+    pub fn take(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Box<Attempt>> {
         let mut attempt = self.table.remove(&id)?;
-        attempt.timer.cancel(turn);
+        attempt.timer.cancel(context);
         // The table's own is the other one that is left.
         if Rc::strong_count(&attempt.activity) == 2 {
             self.activity.remove(&attempt.server);
@@ -368,26 +369,26 @@
         Some(attempt)
     }
 
-    fn schedule_timer(&mut self, turn: &mut LoopContext, id: RequestId) {
+    fn schedule_timer(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.table.get_mut(&id) else { return };
-        let due = attempt.next_deadline(turn.earliest_timeout());
-        attempt.timer.schedule_by(turn, due, TimerEvent::Attempt(id));
+        let due = attempt.next_deadline(context.earliest_timeout());
+        attempt.timer.schedule_by(context, due, TimerEvent::Attempt(id));
     }
 
     /// The timer of a req's attempt has come: how it ends, if it does.
-    pub fn on_timer(&mut self, turn: &mut LoopContext, id: RequestId) -> Option<Outcome> {
+    pub fn on_timer(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Outcome> {
         let attempt = self.table.get_mut(&id)?;
         attempt.timer.on_fired();
-        let late = attempt.timeout_outcome(turn.now, turn.earliest_timeout());
+        let late = attempt.timeout_outcome(context.now, context.earliest_timeout());
         if late.is_none() {
-            self.schedule_timer(turn, id);
+            self.schedule_timer(context, id);
         }
         late
     }
 
     /// Whether the server of this req's attempt has said anything to another one since then.
     pub fn is_server_alive(&self, id: RequestId, since: Micros) -> bool {
-        self.table.get(&id).is_some_and(|f| f.activity.is_alive_for_others(id, since))
+        self.table.get(&id).is_some_and(|attempt| attempt.activity.is_alive_for_others(id, since))
     }
 
     /// How many there are.
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -1,75 +1,77 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, turn, until};
+use crate::event_loop::iteration::tests::{READ, context, until};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
 const ID: RequestId = RequestId(7);
 const SERVER: ServerId = ServerId(1);
 
-fn begin(attempts: &mut Attempts, turn: &mut LoopContext, patience: Micros) -> TcpStream {
+fn begin(attempts: &mut Attempts, context: &mut LoopContext, patience: Micros) -> TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
-    attempts.begin(turn, ID, (SERVER, at), patience, 250_000).expect("begun");
+    attempts.begin(context, ID, (SERVER, at), patience, 250_000).expect("begun");
     listener.accept().expect("the attempt").0
 }
 
 /// What the timers that have come by then make of the attempt.
-fn late(attempts: &mut Attempts, turn: &mut LoopContext, now: Micros) -> Vec<Outcome> {
-    turn.end_iteration(now);
-    turn.begin_iteration(now);
-    let due: Vec<_> = std::iter::from_fn(|| turn.timers.pop_due()).collect();
+fn late(attempts: &mut Attempts, context: &mut LoopContext, now: Micros) -> Vec<Outcome> {
+    context.end_iteration(now);
+    context.begin_iteration(now);
+    let due: Vec<_> = std::iter::from_fn(|| context.timers.pop_due()).collect();
     assert!(due.iter().all(|due| *due == TimerEvent::Attempt(ID)), "{due:?}");
-    due.iter().filter_map(|_| attempts.on_timer(turn, ID)).collect()
+    due.iter().filter_map(|_| attempts.on_timer(context, ID)).collect()
 }
 
 #[test]
 fn a_timer_ends_only_the_fetch_that_it_was_set_for() {
-    let (mut turn, mut attempts) = (turn(1_000_000), Attempts::default());
-    let _old = begin(&mut attempts, &mut turn, 700_000);
-    assert!(attempts.end(&mut turn, ID) && !attempts.end(&mut turn, ID) && !attempts.has_server(SERVER));
-    turn.begin_iteration(1_100_000);
-    let _new = begin(&mut attempts, &mut turn, 700_000);
-    assert_eq!(late(&mut attempts, &mut turn, 1_349_000), []);
-    assert_eq!(late(&mut attempts, &mut turn, 1_350_000), [Outcome::ConnectFailed]);
-    attempts.get_mut(ID).expect("out").send_request(1_350_000, &turn.buffers, b"OPEN 1 2 d=9");
-    attempts.schedule_timer(&mut turn, ID);
-    assert_eq!(late(&mut attempts, &mut turn, 1_799_000), []);
-    assert_eq!(late(&mut attempts, &mut turn, 1_800_000), [Outcome::TimedOut]);
+    let (mut context, mut attempts) = (context(1_000_000), Attempts::default());
+    let _old = begin(&mut attempts, &mut context, 700_000);
+    assert!(
+        attempts.end(&mut context, ID) && !attempts.end(&mut context, ID) && !attempts.has_server(SERVER)
+    );
+    context.begin_iteration(1_100_000);
+    let _new = begin(&mut attempts, &mut context, 700_000);
+    assert_eq!(late(&mut attempts, &mut context, 1_349_000), []);
+    assert_eq!(late(&mut attempts, &mut context, 1_350_000), [Outcome::ConnectFailed]);
+    attempts.get_mut(ID).expect("out").send_request(1_350_000, &context.buffers, b"OPEN 1 2 d=9");
+    attempts.schedule_timer(&mut context, ID);
+    assert_eq!(late(&mut attempts, &mut context, 1_799_000), []);
+    assert_eq!(late(&mut attempts, &mut context, 1_800_000), [Outcome::TimedOut]);
     attempts.get_mut(ID).expect("out").establish(1_800_000, ID);
-    attempts.schedule_timer(&mut turn, ID);
-    assert_eq!(late(&mut attempts, &mut turn, 9_000_000), []);
+    attempts.schedule_timer(&mut context, ID);
+    assert_eq!(late(&mut attempts, &mut context, 9_000_000), []);
 }
 
 #[test]
 fn a_client_in_a_hurry_sets_no_limit_to_the_connect() {
-    let (mut turn, mut attempts) = (turn(1_000_000), Attempts::default());
-    let _server = begin(&mut attempts, &mut turn, 249_000);
-    assert_eq!(late(&mut attempts, &mut turn, 2_000_000), [Outcome::NotSent]);
+    let (mut context, mut attempts) = (context(1_000_000), Attempts::default());
+    let _server = begin(&mut attempts, &mut context, 249_000);
+    assert_eq!(late(&mut attempts, &mut context, 2_000_000), [Outcome::NotSent]);
 }
 
 #[test]
 fn a_server_lives_by_what_it_says_to_others() {
-    let (mut turn, mut attempts) = (turn(1000), Attempts::default());
-    let mut server = begin(&mut attempts, &mut turn, 700);
+    let (mut context, mut attempts) = (context(1000), Attempts::default());
+    let mut server = begin(&mut attempts, &mut context, 700);
     let attempt = attempts.get_mut(ID).expect("out");
     attempt.connection.on_ready(READ);
-    attempt.send_request(1000, &turn.buffers, b"OPEN 1 2 c=chat,d=9");
+    attempt.send_request(1000, &context.buffers, b"OPEN 1 2 c=chat,d=9");
     let mut line = [0; 21];
     server.read_exact(&mut line).expect("the first line");
     assert_eq!(&line, b"OPEN 1 2 c=chat,d=1\r\n");
     server.write_all(b"UP 7\r\nM 1\r\nLOAD 5.5\r\nBYE\r\n").expect("open");
-    turn.begin_iteration(2000);
+    context.begin_iteration(2000);
     let (mut asked, mut told) = (Some(1500), Vec::new());
     until(|| {
         attempt.connection.on_ready(READ);
-        attempt.read_answer(&turn.buffers) == Some(ServerAnswer::Accepted)
+        attempt.read_answer(&context.buffers) == Some(ServerAnswer::Accepted)
     });
     attempt.establish(1600, ID);
     until(|| {
         attempt.connection.on_ready(READ);
-        assert_eq!(attempt.read_lines(&turn, ID, &mut asked, &mut told).1, Ok(()));
+        assert_eq!(attempt.read_lines(&context, ID, &mut asked, &mut told).1, Ok(()));
         attempt.outcome() == Outcome::Ok // Its last word was BYE.
     });
     assert_eq!((asked, told, attempt.last_answer()), (None, vec![5.5], Some((2000, 500))));
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -43,7 +43,7 @@
     /// Checks on a server, for another worker or for this one; without an address there is nothing to be reached.
     pub fn begin(
         &mut self,
-        turn: &mut LoopContext,
+        context: &mut LoopContext,
         server: ServerId,
         address: Option<SocketAddr>,
         other: Option<usize>,
@@ -58,14 +58,14 @@
         self.last_number += 1;
         let number = self.last_number;
         let watched =
-            |mut link| turn.registry.register(&mut link, EventSource::Probe(number)).then_some(link);
+            |mut link| context.registry.register(&mut link, EventSource::Probe(number)).then_some(link);
         let Some(link) = address.and_then(|to| Connection::connect(to).ok()).and_then(watched) else {
             return match other {
                 Some(other) => self.worker_results.push((other, server, Outcome::ConnectFailed)),
-                None => turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
+                None => context.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
             };
         };
-        let (timer, begun) = (turn.schedule_after(PROBE_TIMEOUT, TimerEvent::Probe(number)), turn.now);
+        let (timer, begun) = (context.schedule_after(PROBE_TIMEOUT, TimerEvent::Probe(number)), context.now);
         self.table.insert(
             number,
             Probe {
@@ -78,22 +78,22 @@
                 is_wanted_here: other.is_none(),
             },
         );
-        self.on_ready(turn, number, Readiness::default());
+        self.on_ready(context, number, Readiness::default());
     }
 
     /// A probe's connection is ready.
-    pub fn on_ready(&mut self, turn: &mut LoopContext, number: u64, ready: Readiness) {
+    pub fn on_ready(&mut self, context: &mut LoopContext, number: u64, ready: Readiness) {
         let Some(probe) = self.table.get_mut(&number) else { return };
         probe.connection.on_ready(ready);
         if !probe.is_ping_sent {
             match probe.connection.is_connected() {
                 Ok(false) => return,
-                Ok(true) => probe.is_ping_sent = probe.connection.send(&turn.buffers, b"PING\r\n"),
-                Err(_) => return self.finish(turn, number, Outcome::ConnectFailed),
+                Ok(true) => probe.is_ping_sent = probe.connection.send(&context.buffers, b"PING\r\n"),
+                Err(_) => return self.finish(context, number, Outcome::ConnectFailed),
             }
         }
         probe.connection.flush();
-        probe.connection.read_available(&turn.buffers);
+        probe.connection.read_available(&context.buffers);
         let ended = probe.connection.peer_close;
         let outcome = match probe.connection.inspect_line() {
             Ok(Some(b"PONG")) => Outcome::Ok,
@@ -101,17 +101,17 @@
             Ok(None) => Outcome::Reset,
             _ => Outcome::Error,
         };
-        self.finish(turn, number, outcome);
+        self.finish(context, number, outcome);
     }
 
     /// Ends a probe, and tells how; nothing happens where it is over already.
-    pub fn finish(&mut self, turn: &mut LoopContext, number: u64, outcome: Outcome) {
+    pub fn finish(&mut self, context: &mut LoopContext, number: u64, outcome: Outcome) {
         if let Some(probe) = self.table.remove(&number) {
-            turn.timers.cancel(probe.timer);
-            let (server, us) = (probe.server.0, turn.now - probe.started_at);
+            context.timers.cancel(probe.timer);
+            let (server, us) = (probe.server.0, context.now - probe.started_at);
             debug!(event = "probed", server, us, outcome = ?outcome);
             if probe.is_wanted_here {
-                turn.emit(NetworkEvent::ProbeEnded(probe.server, outcome));
+                context.emit(NetworkEvent::ProbeEnded(probe.server, outcome));
             }
             self.worker_results
                 .extend(probe.waiting_workers.into_iter().map(|other| (other, probe.server, outcome)));
@@ -124,12 +124,12 @@
     }
 
     /// A probe's timer has come.
-    pub fn on_timer(&mut self, turn: &mut LoopContext, number: u64) {
+    pub fn on_timer(&mut self, context: &mut LoopContext, number: u64) {
         match self.table.get_mut(&number) {
-            Some(probe) if turn.now < turn.earliest_timeout() => {
-                probe.timer = turn.timers.schedule(turn.earliest_timeout(), TimerEvent::Probe(number));
+            Some(probe) if context.now < context.earliest_timeout() => {
+                probe.timer = context.timers.schedule(context.earliest_timeout(), TimerEvent::Probe(number));
             }
-            _ => self.finish(turn, number, Outcome::TimedOut),
+            _ => self.finish(context, number, Outcome::TimedOut),
         }
     }
 
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, turn, until};
+use crate::event_loop::iteration::tests::{READ, context, until};
 use std::io::Write;
 use std::net::TcpListener;
 
-fn told(turn: &mut LoopContext) -> Option<Outcome> {
-    turn.next_event().map(|h| match h {
+fn told(context: &mut LoopContext) -> Option<Outcome> {
+    context.next_event().map(|h| match h {
         NetworkEvent::ProbeEnded(ServerId(4), outcome) => outcome,
         other => panic!("{other:?}"),
     })
@@ -14,28 +14,28 @@
 
 #[test]
 fn a_probe_is_told_of_once_whatever_comes_first() {
-    let (mut turn, mut probes) = (turn(0), Probes::default());
-    probes.begin(&mut turn, ServerId(4), None, None);
-    assert_eq!(told(&mut turn), Some(Outcome::ConnectFailed), "there is nothing to be reached");
+    let (mut context, mut probes) = (context(0), Probes::default());
+    probes.begin(&mut context, ServerId(4), None, None);
+    assert_eq!(told(&mut context), Some(Outcome::ConnectFailed), "there is nothing to be reached");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     for (number, answer, outcome) in [(2, "PONG\r\n", Outcome::Ok), (3, "NO\r\n", Outcome::Error)] {
-        probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), None);
+        probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), None);
         let (mut server, _) = listener.accept().expect("the probe");
         server.write_all(answer.as_bytes()).expect("open");
         until(|| {
-            probes.on_ready(&mut turn, number, READ);
+            probes.on_ready(&mut context, number, READ);
             probes.len() == 0
         });
-        probes.finish(&mut turn, number, Outcome::TimedOut);
-        assert_eq!((told(&mut turn), told(&mut turn)), (Some(outcome), None));
+        probes.finish(&mut context, number, Outcome::TimedOut);
+        assert_eq!((told(&mut context), told(&mut context)), (Some(outcome), None));
     }
-    probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), None);
-    turn.begin_iteration(PROBE_TIMEOUT);
-    assert_eq!(turn.timers.pop_due(), Some(TimerEvent::Probe(4)));
+    probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), None);
+    context.begin_iteration(PROBE_TIMEOUT);
+    assert_eq!(context.timers.pop_due(), Some(TimerEvent::Probe(4)));
     // Another worker wants the same, and gets the same answer without a probe of its own.
-    probes.begin(&mut turn, ServerId(4), listener.local_addr().ok(), Some(2));
+    probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), Some(2));
     assert_eq!(probes.len(), 1);
-    probes.finish(&mut turn, 4, Outcome::TimedOut);
-    assert_eq!((told(&mut turn), probes.len()), (Some(Outcome::TimedOut), 0));
+    probes.finish(&mut context, 4, Outcome::TimedOut);
+    assert_eq!((told(&mut context), probes.len()), (Some(Outcome::TimedOut), 0));
     assert_eq!(probes.take_worker_results(), [(2, ServerId(4), Outcome::TimedOut)]);
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -130,11 +130,11 @@
 
 impl Keeping {
     /// A record is begun, or read on; the next turn for it is set.
-    pub fn on_iteration(&mut self, net: &mut EventLoop, driver: &mut Driver) {
-        if !std::mem::take(&mut net.is_snapshot_due) {
+    pub fn on_iteration(&mut self, event_loop: &mut EventLoop, driver: &mut Driver) {
+        if !std::mem::take(&mut event_loop.is_snapshot_due) {
             return;
         }
-        let now = net.context.now;
+        let now = event_loop.context.now;
         match self.writer.told() {
             Some(Ok(lines)) => {
                 self.fails = false;
@@ -146,7 +146,7 @@
             }
             Some(Err(_)) | None => {}
         }
-        self.goes_on(net, driver.gate());
+        self.goes_on(event_loop, driver.gate());
         let next = match self.at {
             Some(_) => STEP,
             // A disk that takes longer than that is not asked for more.
@@ -154,39 +154,39 @@
                 Some((self.began + self.every).saturating_sub(now)).filter(|n| *n > 0).unwrap_or(self.every)
             }
         };
-        net.context.schedule_after(next, TimerEvent::Snapshot);
+        event_loop.context.schedule_after(next, TimerEvent::Snapshot);
     }
 
     /// Reads a portion, of a new record where none is being read and the one before is on the disk.
-    fn goes_on(&mut self, net: &EventLoop, gate: &AdmissionGate) {
+    fn goes_on(&mut self, event_loop: &EventLoop, gate: &AdmissionGate) {
         if self.at.is_none() && self.writer.is_idle() {
-            self.began = net.context.now;
+            self.began = event_loop.context.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
-            let (taken, index) = (unix(), net.discovery.index());
+            let (taken, index) = (unix(), event_loop.discovery.index());
             self.writer.begin(Head { snapshot: VERSION, balancer, worker, workers, taken, index });
             self.at = Some(At::Servers(None));
         }
         if let Some(at) = self.at.take() {
-            self.reads(at, net, gate);
+            self.reads(at, event_loop, gate);
         }
     }
 
     /// The program has ended: what it knew last is read out whole, and written before the thread is let go.
-    pub fn ends(mut self, net: &EventLoop, driver: &mut Driver) {
+    pub fn ends(mut self, event_loop: &EventLoop, driver: &mut Driver) {
         loop {
-            self.goes_on(net, driver.gate());
+            self.goes_on(event_loop, driver.gate());
             if self.at.is_none() {
                 return;
             }
         }
     }
 
-    fn reads(&mut self, at: At, net: &EventLoop, gate: &AdmissionGate) {
+    fn reads(&mut self, at: At, event_loop: &EventLoop, gate: &AdmissionGate) {
         let mut lines = Vec::new();
         self.at = match at {
             At::Servers(behind) => {
-                let terms = &net.proxy.settings;
-                let some = net.proxy.servers.endpoints_after(&terms.names, behind, SERVERS);
+                let terms = &event_loop.proxy.settings;
+                let some = event_loop.proxy.servers.endpoints_after(&terms.names, behind, SERVERS);
                 let (read, last) = (some.len(), some.last().map(|(id, _)| *id));
                 lines.extend(some.into_iter().filter_map(|(_, endpoint)| endpoint.map(Line::Endpoint)));
                 Some(if read < SERVERS { At::Known(Cursor::default()) } else { At::Servers(last) })
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -71,7 +71,7 @@
 
 /// The peers of a worker, and the driver that stands between them and the decisions.
 struct Worker {
-    net: EventLoop,
+    event_loop: EventLoop,
     driver: Driver,
     lead: Option<Lead>,
     keeping: Option<Keeping>,
@@ -81,60 +81,60 @@
 impl Worker {
     /// A turn: each peer that the loop has seen something of acts, and the module hears of it before the next does.
     fn run_iteration(&mut self, now: Micros, seen: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
-        self.net.begin_iteration(now);
+        self.event_loop.begin_iteration(now);
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.is_prioritized());
-        self.net.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
-        self.driver.process_events(&mut self.net);
+        self.event_loop.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
+        self.driver.process_events(&mut self.event_loop);
         for (owner, ready) in seen.filter(|s| !s.0.is_prioritized()) {
             match owner {
                 EventSource::Signals => self.signalled(),
                 EventSource::WorkerMessages => self.ordered(),
                 EventSource::HandoverListener => {
                     let gate = self.driver.gate();
-                    self.net.on_successors_connecting(|| everything(gate));
+                    self.event_loop.on_successors_connecting(|| everything(gate));
                 }
-                owner => self.net.dispatch_readiness(owner, ready),
+                owner => self.event_loop.dispatch_readiness(owner, ready),
             }
-            self.driver.process_events(&mut self.net);
+            self.driver.process_events(&mut self.event_loop);
         }
         let driver = &mut self.driver;
-        self.net.finish_iteration(|net| driver.process_events(net));
+        self.event_loop.finish_iteration(|event_loop| driver.process_events(event_loop));
         let gate = driver.gate();
-        self.net.hand_over_connections(|id| gate.standing(id));
-        driver.process_events(&mut self.net);
-        if self.net.take_sharing_change().is_some() {
+        self.event_loop.hand_over_connections(|id| gate.standing(id));
+        driver.process_events(&mut self.event_loop);
+        if self.event_loop.take_sharing_change().is_some() {
             self.enforce();
         }
-        if let Some(tells) = &mut self.net.gossip
+        if let Some(tells) = &mut self.event_loop.gossip
             && tells.is_due()
         {
-            tells.tell(&mut self.net.context, self.driver.gate().holds());
-            self.driver.process_events(&mut self.net);
+            tells.tell(&mut self.event_loop.context, self.driver.gate().holds());
+            self.driver.process_events(&mut self.event_loop);
         }
         if let Some(keeping) = &mut self.keeping {
-            keeping.on_iteration(&mut self.net, &mut self.driver);
+            keeping.on_iteration(&mut self.event_loop, &mut self.driver);
         }
     }
 
     /// Puts the configuration in force again: another process of this balancer has come or gone.
     fn enforce(&mut self) {
         let Some(lead) = &self.lead else { return };
-        let shares = self.net.is_sharing_clients();
-        self.net.broadcast(|worker| Order::Config(Box::new(lead.own(worker, shares))));
+        let shares = self.event_loop.is_sharing_clients();
+        self.event_loop.broadcast(|worker| Order::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
             budgets.take(fleet);
         }
-        reload::apply(&lead.own(0, shares), &mut self.net, &mut self.driver);
+        reload::apply(&lead.own(0, shares), &mut self.event_loop, &mut self.driver);
     }
 
     fn ordered(&mut self) {
-        while let Some(order) = self.net.next_message() {
+        while let Some(order) = self.event_loop.next_message() {
             match order {
-                Order::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
-                order => self.net.on_message(order),
+                Order::Config(config) => reload::apply(&config, &mut self.event_loop, &mut self.driver),
+                order => self.event_loop.on_message(order),
             }
-            self.driver.process_events(&mut self.net);
+            self.driver.process_events(&mut self.event_loop);
         }
     }
 
@@ -145,8 +145,8 @@
             if signal == SIGHUP {
                 self.reload();
             } else {
-                self.net.broadcast(|_| Order::Stop);
-                self.net.begin_shutdown();
+                self.event_loop.broadcast(|_| Order::Stop);
+                self.event_loop.begin_shutdown();
             }
         }
     }
@@ -191,25 +191,28 @@
         if let Some(desk) = &mut place.admin {
             poller.register_readable(&mut desk.listener, EventSource::AdminListener)?;
         }
-        let turn = LoopContext::new(poller, clock.read());
-        let mut net = EventLoop::new(turn, place, config.discovery, Terms::from(&config));
+        let context = LoopContext::new(poller, clock.read());
+        let mut event_loop = EventLoop::new(context, place, config.discovery, Terms::from(&config));
         if let Some(peers) = &config.peers {
-            net.gossip = Some(Tells::new(&mut net.context, &config.name, address, peers, config.seed));
+            event_loop.gossip =
+                Some(Tells::new(&mut event_loop.context, &config.name, address, peers, config.seed));
         }
         // Held once: by the tables from now on.
-        let known = net.restore_endpoints(&self.known);
+        let known = event_loop.restore_endpoints(&self.known);
         drop(self.known);
         let servers = known.len();
         let budgets = self.shares.as_ref().and_then(|s| s.admission(&config));
-        let mut driver = Driver::start(config.settings, &config.operator, config.seed, known, &mut net);
+        let mut driver =
+            Driver::start(config.settings, &config.operator, config.seed, known, &mut event_loop);
         if let Some(budgets) = budgets {
             driver.gate().set_budgets(budgets);
         }
         if let Some(memory) = self.memory {
-            memory.recall(net.now(), driver.gate());
+            memory.recall(event_loop.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            net.context
+            event_loop
+                .context
                 .schedule_after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
         }
         if let Some(lead) = &self.lead {
@@ -219,12 +222,13 @@
             info!(event = "serving", name = config.name, listen = %address, operator, servers, workers);
             supervisor::serves();
         }
-        let mut worker = Worker { net, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
+        let mut worker =
+            Worker { event_loop, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
         worker.run_iteration(clock.read(), std::iter::empty());
         loop {
-            if let Some(clients) = worker.net.is_done() {
+            if let Some(clients) = worker.event_loop.is_done() {
                 if let Some(keeping) = worker.keeping {
-                    keeping.ends(&worker.net, &mut worker.driver);
+                    keeping.ends(&worker.event_loop, &mut worker.driver);
                 }
                 if let Some(shares) = worker.shares {
                     shares.leave();
@@ -232,7 +236,7 @@
                 return Ok(clients);
             }
             let now = clock.read();
-            let wait = worker.net.end_iteration(now).saturating_sub(now);
+            let wait = worker.event_loop.end_iteration(now).saturating_sub(now);
             self.watch.wait(Duration::from_micros(wait))?;
             worker.run_iteration(clock.read(), self.watch.events());
         }
