--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -1,222 +1,99 @@
-//! What the calls ask for, done: the door's words go to those whose they are.
+//! What operators act on, at the primary worker: their connections, the counters of all workers, and the folder in
+//! which disabled servers are kept for other processes.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
 
 use mio::net::TcpListener;
 use shorewharf_decisions::interface::ServerId;
-use shorewharf_driver::NetworkEvent;
-use shorewharf_protocol::admin::{Command, CommandError, CommandReply, Metrics};
-use shorewharf_units::{Micros, seconds_from_micros};
-use tracing::{info, warn};
+use tracing::warn;
 
 use crate::admin::counters::Counts;
 use crate::admin::server::Door;
 use crate::admin::shared_folder::Folder;
-use crate::discovery::update::server_id;
-use crate::event_loop::hub::EventLoop;
-use crate::event_loop::iteration::TimerEvent;
-use crate::event_loop::poll::{EventSource, Readiness};
 use crate::servers::disabled::{AdminChange, DisabledServer};
-use crate::workers::pool::Order;
 
-/// How often it is looked for what other processes of this balancer have changed: they hear of a call within its second.
-const LOOK: Micros = 100_000;
-
-/// What there is of it before the loop starts.
+/// What the primary worker is given at its start.
 #[derive(Debug)]
 pub struct Opened {
-    /// Where operators call.
+    /// Where operators connect.
     pub listener: TcpListener,
-    /// What each loop counts.
+    /// The counters of each worker.
     pub counts: Vec<Counts>,
-    /// What is kept for the next process; none where there is no place for it.
+    /// Where disabled servers are kept; `None` if there is no place for it.
     pub folder: Option<Folder>,
 }
 
 impl From<Opened> for Desk {
     fn from(opened: Opened) -> Self {
         let Opened { listener, counts, folder } = opened;
-        Desk { door: Door::new(listener), counts, folder, unkept: BTreeSet::new(), ails: false }
+        Desk { door: Door::new(listener), counts, folder, unsaved: BTreeSet::new(), is_folder_failing: false }
     }
 }
 
-/// Operators' side at the loop that leads.
+/// The operators' side of the primary worker.
 #[derive(Debug)]
 pub struct Desk {
-    /// Where they call.
+    /// The connections of operators.
     pub door: Door,
-    /// What each loop counts.
+    /// The counters of each worker.
     pub counts: Vec<Counts>,
-    /// What is kept for the next process; none where there is no place for it.
+    /// Where disabled servers are kept; `None` if there is no place for it.
     pub folder: Option<Folder>,
-    /// Servers that are out and could not be kept: that the folder does not have them says nothing.
-    unkept: BTreeSet<ServerId>,
-    /// The folder could not be read or written, and that was told.
-    ails: bool,
+    /// Disabled servers that could not be saved: that they are missing in the folder doesn't enable them.
+    unsaved: BTreeSet<ServerId>,
+    /// The folder could not be read or written, and that was logged.
+    is_folder_failing: bool,
 }
 
 impl Desk {
-    fn told(&mut self, done: std::io::Result<()>) {
-        match done {
-            Ok(()) => self.ails = false,
-            Err(e) => {
-                if !std::mem::replace(&mut self.ails, true) {
-                    warn!(event = "not-kept", error = %e, why = "other processes of this balancer do not hear of calls");
-                }
-            }
-        }
-    }
-}
-
-impl EventLoop {
-    /// Looks at operators, before anybody else, and answers them. `avoided` tells which servers get nothing now.
-    pub fn serve_admin(
-        &mut self,
-        seen: impl Iterator<Item = (EventSource, Readiness)>,
-        avoided: impl Fn() -> Vec<ServerId>,
-    ) {
-        let Some(desk) = &mut self.admin else { return };
-        seen.for_each(|(owner, ready)| desk.door.ready(&mut self.context, owner, ready));
-        desk.door.accept(&mut self.context);
-        for (number, call) in desk.door.take_calls() {
-            let answer = match call {
-                Ok(call) => self.execute_command(call, &avoided),
-                Err(why) => CommandReply::Rejected(why),
-            };
-            let Some(desk) = &mut self.admin else { return };
-            desk.door.answer(&mut self.context, number, &answer);
-        }
-    }
-
-    fn execute_command(&mut self, call: Command, avoided: impl Fn() -> Vec<ServerId>) -> CommandReply {
-        match call {
-            Command::Readiness if self.shutdown_started_at.is_none() => CommandReply::Done,
-            Command::Readiness => CommandReply::Rejected(CommandError::NotReady(
-                "this process is about to end and takes no clients",
-            )),
-            Command::Metrics => CommandReply::Metrics(self.metrics(&avoided()).lines()),
-            Command::Disable(name) => self.disable_server(name),
-            Command::Enable(name) => self.enable_server(name),
-        }
-    }
-
-    fn disable_server(&mut self, name: String) -> CommandReply {
-        let server = server_id(&name);
-        let servers = &self.proxy.servers;
-        match (servers.disabled().is_disabled(server), servers.has_name(server, &name)) {
-            // Kept again: it may not have been the first time.
-            (true, _) => {}
-            (false, false) => return CommandReply::Rejected(CommandError::UnknownServer(name)),
-            (false, true) => {
-                let out = DisabledServer {
-                    name: name.as_str().into(),
-                    disabled_at: seconds_from_micros(self.context.now),
-                };
-                self.announce_admin_change(AdminChange::Disabled(server, out), "a call");
-            }
-        }
-        if let Some(desk) = &mut self.admin {
-            let done = desk.folder.as_ref().map_or(Ok(()), |folder| folder.keep(server, &name));
-            match done {
-                Ok(()) => desk.unkept.remove(&server),
-                Err(_) => desk.unkept.insert(server),
-            };
-            desk.told(done);
-        }
-        CommandReply::Done
+    /// Saves that a server is disabled, for other processes of this balancer.
+    pub fn save_disabled(&mut self, server: ServerId, name: &str) {
+        let saved = self.folder.as_ref().map_or(Ok(()), |folder| folder.keep(server, name));
+        match saved {
+            Ok(()) => self.unsaved.remove(&server),
+            Err(_) => self.unsaved.insert(server),
+        };
+        self.log_folder_result(saved);
     }
 
-    fn enable_server(&mut self, name: String) -> CommandReply {
-        let server = server_id(&name);
-        let servers = &self.proxy.servers;
-        if !servers.disabled().is_disabled(server) && !servers.has_name(server, &name) {
-            return CommandReply::Rejected(CommandError::UnknownServer(name));
-        }
-        // The file first: as long as it is there it would be taken out again.
-        if let Some(desk) = &mut self.admin {
-            let done = desk.folder.as_ref().map_or(Ok(()), |folder| folder.let_go(server));
-            desk.unkept.remove(&server);
-            desk.told(done);
-        }
-        self.announce_admin_change(
-            AdminChange::Enabled(server, seconds_from_micros(self.context.now)),
-            "a call",
-        );
-        CommandReply::Done
+    /// Saves that a server is enabled, for other processes of this balancer.
+    pub fn save_enabled(&mut self, server: ServerId) {
+        let saved = self.folder.as_ref().map_or(Ok(()), |folder| folder.let_go(server));
+        self.unsaved.remove(&server);
+        self.log_folder_result(saved);
     }
 
-    /// Something is changed by hand, for all workers.
-    fn announce_admin_change(&mut self, change: AdminChange, by: &str) {
-        let name = match &change {
-            AdminChange::Disabled(_, out) => out.name.clone(),
-            AdminChange::Enabled(server, _) => {
-                let out = self.proxy.servers.disabled().all().get(server);
-                out.map_or_else(Default::default, |out| out.name.clone())
+    /// Reads what other processes have changed since `known` was disabled; `now` is in seconds.
+    pub fn read_changes(&mut self, known: &BTreeMap<ServerId, DisabledServer>, now: f64) -> Vec<AdminChange> {
+        let Some(folder) = &mut self.folder else { return Vec::new() };
+        let saved = match folder.read(known) {
+            Ok(saved) => saved,
+            Err(e) => {
+                self.log_folder_result(Err(e));
+                return Vec::new();
             }
         };
-        match &change {
-            AdminChange::Disabled(..) => info!(event = "server-taken-out", server = %name, by),
-            AdminChange::Enabled(server, _) if self.proxy.servers.disabled().is_disabled(*server) => {
-                info!(event = "server-put-back", server = %name, by);
-            }
-            AdminChange::Enabled(..) => {}
-        }
-        self.broadcast(|_| Order::Changed(change.clone()));
-        self.apply_admin_change(change);
+        self.is_folder_failing &= !self.unsaved.is_empty();
+        let enabled = known
+            .keys()
+            .filter(|server| !saved.contains_key(server) && !self.unsaved.contains(server))
+            .map(|server| AdminChange::Enabled(*server, now));
+        let mut changes: Vec<_> = enabled.collect();
+        let disabled = saved.into_iter().filter(|(server, _)| !known.contains_key(server));
+        changes.extend(disabled.map(|(server, disabled)| AdminChange::Disabled(server, disabled)));
+        changes
     }
 
-    /// Something was changed by hand: the module hears of it as of a change of the list, which is no news of
-    /// discovery's.
-    pub fn apply_admin_change(&mut self, change: AdminChange) {
-        if let Some(entry) = self.proxy.servers.apply_admin_change(change) {
-            self.context.emit(NetworkEvent::EndpointListReceived {
-                full: false,
-                cached: true,
-                entries: vec![entry],
-            });
-        }
-    }
-
-    /// Looks for what other processes of this balancer have changed.
-    pub fn read_shared_folder(&mut self) {
-        let known = self.proxy.servers.disabled().all().clone();
-        let Some(desk) = &mut self.admin else { return };
-        let Some(folder) = &mut desk.folder else { return };
-        self.context.schedule_after(LOOK, TimerEvent::ReadSharedFolder);
-        match folder.read(&known) {
-            Ok(out) => {
-                desk.ails &= !desk.unkept.is_empty();
-                // What could not be kept is out all the same.
-                let back = known
-                    .keys()
-                    .filter(|server| !out.contains_key(server) && !desk.unkept.contains(server))
-                    .copied();
-                let back: Vec<_> = back
-                    .map(|server| AdminChange::Enabled(server, seconds_from_micros(self.context.now)))
-                    .collect();
-                let news = out.into_iter().filter(|(server, _)| !known.contains_key(server));
-                let news: Vec<_> = news.map(|(server, out)| AdminChange::Disabled(server, out)).collect();
-                back.into_iter()
-                    .chain(news)
-                    .for_each(|change| self.announce_admin_change(change, "another process"));
+    /// Logs that the folder fails, once until it works again.
+    fn log_folder_result(&mut self, result: io::Result<()>) {
+        match result {
+            Ok(()) => self.is_folder_failing = false,
+            Err(e) => {
+                if !std::mem::replace(&mut self.is_folder_failing, true) {
+                    warn!(event = "not-kept", error = %e, why = "other processes of this balancer do not hear of calls");
+                }
             }
-            Err(e) => desk.told(Err(e)),
         }
     }
-
-    /// All that is reported, as it is now.
-    fn metrics(&self, avoided: &[ServerId]) -> Metrics {
-        self.proxy.publish_gauges();
-        let sums = Counts::of_all(self.admin.as_ref().map_or(&[], |desk| &desk.counts));
-        let mut classes: Vec<_> = self.proxy.settings.names.classes.iter().collect();
-        classes.sort_by_key(|(_, at)| **at);
-        let replies = classes
-            .into_iter()
-            .map(|(name, at)| (name.clone(), sums.replies.get(*at).copied().unwrap_or_default()))
-            .collect();
-        let servers = &self.proxy.servers;
-        let (targets, targets_disabled) = (servers.listed_count(), servers.listed_count_of(avoided));
-        let (dispatches, concurrent) = (sums.dispatches, sums.concurrent);
-        Metrics { replies, dispatches, concurrent, targets, targets_disabled }
-    }
 }
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -7,10 +7,11 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
-use crate::event_loop::poll::{EventSource, Readiness};
+use crate::event_loop::context::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::EventSource;
 use crate::transport::buffer_pool::BUFFER_BYTES;
 use crate::transport::connection::Connection;
+use crate::transport::readiness::Readiness;
 
 /// Callers held at once. Guards clients' descriptors: these are apart from theirs.
 pub const CALLERS: usize = 16;
--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -6,7 +6,7 @@
 use shorewharf_driver::ReceivedRequest;
 use shorewharf_units::Micros;
 
-use crate::event_loop::iteration::{LoopContext, TimerHandle};
+use crate::event_loop::context::{LoopContext, TimerHandle};
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use crate::transport::connection::{Connection, LineTooLong, PeerClose};
 
--- a/crates/balancer/src/clients/session/tests.rs
+++ b/crates/balancer/src/clients/session/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::{context, pair};
+use crate::event_loop::context::tests::{context, pair};
 
 #[test]
 fn a_line_unanswered_for_a_second_and_a_half_shows_a_dead_connection() {
--- a/crates/balancer/src/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -11,7 +11,7 @@
 use crate::clients::idle_connections::IdleConnections;
 use crate::clients::open_ids::OpenIds;
 use crate::clients::session::{Session, SessionRequest, SessionStage, next_free_id};
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
 use crate::transport::connection::Connection;
 
--- a/crates/balancer/src/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::clients::session::{CloseProgress, FirstLine, WaitingActivity};
-use crate::event_loop::iteration::tests::{READ, context, pair, until};
+use crate::event_loop::context::tests::{READ, context, pair, until};
 use shorewharf_driver::ReceivedRequest;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -10,9 +10,10 @@
 use crate::discovery::reader::{Part, Reader};
 use crate::discovery::response::Answer;
 use crate::discovery::update::Incoming;
-use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
-use crate::event_loop::poll::{EventSource, Readiness};
+use crate::event_loop::context::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::EventSource;
 use crate::transport::connection::Connection;
+use crate::transport::readiness::Readiness;
 
 /// A call of whose list nothing has come by then has failed, whatever else of it has come up: discovery itself gives up
 /// after about a second. After a reload its news counts as told within 4 s, and there must be time for another call by then.
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -1,7 +1,7 @@
 //! The watch in virtual time, against a listener that the test plays.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, context, until};
+use crate::event_loop::context::tests::{READ, context, until};
 use std::io::Write;
 use std::net::TcpListener;
 
--- /dev/null
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -0,0 +1,290 @@
+//! The event loop of one worker: owns the worker's components and passes them what happens.
+//!
+//! An iteration serves admin connections first, then sockets that are ready, then work left over from the iteration
+//! before, due timers and new clients. After each step the driver processes what the component has reported, so that
+//! each event is decided on before the next one is taken up.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use mio::net::TcpListener;
+use shorewharf_decisions::interface::{ServerEntry, ServerId};
+use shorewharf_driver::NetworkEvent;
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_units::Micros;
+
+use crate::admin::counters::Counts;
+use crate::admin::handler::{Desk, Opened};
+use crate::clients::open_ids::OpenIds;
+use crate::config::proxy_settings::Terms;
+use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
+use crate::discovery::update::Incoming;
+use crate::discovery::wall_clock::WallClock;
+use crate::event_loop::accept::Acceptor;
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::poll::EventSource;
+use crate::fleet::gossip::Tells;
+use crate::handover::siblings::Kin;
+use crate::proxy::Proxy;
+use crate::servers::disabled::{AdminChange, DisabledServer};
+use crate::transport::readiness::Readiness;
+use crate::workers::pool::{Crew, Order};
+
+/// The longest wait for an event.
+const MAX_WAIT: Micros = 1_000_000;
+/// How often the message delays of servers are reported, as on the simulator's wire.
+const DELAY_REPORT_INTERVAL: Micros = 1_000_000;
+
+/// What a worker is given at its start.
+#[derive(Debug)]
+pub struct WorkerContext {
+    /// Where clients connect.
+    pub listener: TcpListener,
+    /// The other workers; `None` if this is the only one.
+    pub workers: Option<Crew>,
+    /// The ids of open requests, shared by all workers.
+    pub open_ids: OpenIds,
+    /// The counters of this worker.
+    pub counts: Counts,
+    /// Where operators connect, and the counters of all workers; only at the primary worker.
+    pub admin: Option<Opened>,
+    /// Servers that operators have disabled.
+    pub disabled_servers: BTreeMap<ServerId, DisabledServer>,
+    /// Other processes of this balancer.
+    pub siblings: Kin,
+}
+
+/// The components of a worker.
+#[derive(Debug)]
+pub struct EventLoop {
+    pub(crate) context: LoopContext,
+    pub(super) acceptor: Acceptor,
+    /// The other workers; `None` if this is the only one.
+    pub(crate) workers: Option<Crew>,
+    pub(crate) proxy: Proxy,
+    pub(crate) discovery: DiscoveryClient,
+    /// Connections of operators; only at the primary worker.
+    pub(crate) admin: Option<Desk>,
+    /// Other processes of this balancer.
+    pub(crate) siblings: Kin,
+    /// Other balancers of the fleet, if gossip is configured.
+    pub(crate) gossip: Option<Tells>,
+    /// Established connections are to be handed over in this iteration.
+    pub(crate) is_handover_due: bool,
+    /// A snapshot is to be begun or continued in this iteration.
+    pub(crate) is_snapshot_due: bool,
+    pub(crate) shutdown_started_at: Option<Micros>,
+    /// Set when the loop has ended: clients that were still connected.
+    pub(super) clients_at_end: Option<usize>,
+}
+
+impl EventLoop {
+    /// Creates an event loop that accepts clients on the listener of `worker` and watches the endpoint list at
+    /// `discovery`.
+    pub fn new(context: LoopContext, worker: WorkerContext, discovery: SocketAddr, settings: Terms) -> Self {
+        let mut event_loop = EventLoop {
+            context,
+            acceptor: Acceptor::new(worker.listener),
+            workers: worker.workers,
+            proxy: Proxy::new(settings, worker.open_ids, worker.counts),
+            discovery: DiscoveryClient::new(discovery),
+            admin: worker.admin.map(Desk::from),
+            siblings: worker.siblings,
+            gossip: None,
+            is_handover_due: false,
+            is_snapshot_due: false,
+            shutdown_started_at: None,
+            clients_at_end: None,
+        };
+        event_loop.context.overload.set_aim(event_loop.proxy.settings.message_aim);
+        event_loop.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
+        for (server, disabled) in worker.disabled_servers {
+            // Before the first endpoint list: that one is reported with these servers draining.
+            event_loop.proxy.servers.apply_admin_change(AdminChange::Disabled(server, disabled));
+        }
+        event_loop.read_shared_folder();
+        // The descriptors of a predecessor are deducted from the limit from the start.
+        event_loop.on_sibling_ready(EventSource::Predecessor);
+        event_loop
+    }
+
+    /// Takes in the endpoint list that is known at the start: complete, though it may be outdated. Returns what the
+    /// driver starts with.
+    pub fn restore_endpoints(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
+        self.discovery.knows(known.index);
+        let settings = &self.proxy.settings;
+        let update = Incoming::of(known, &settings.names, settings.most_servers);
+        self.proxy.servers.load_initial_list(update, settings.most_servers)
+    }
+
+    /// Begins an iteration at `now`. Time never goes back.
+    pub fn begin_iteration(&mut self, now: Micros) {
+        self.context.begin_iteration(now);
+    }
+
+    /// Puts other settings in force; connections and the endpoint list stay.
+    pub fn update_settings(&mut self, settings: Terms, discovery: SocketAddr) {
+        self.context.overload.set_aim(settings.message_aim);
+        self.proxy.update_settings(settings);
+        let events = self.discovery.moves(&mut self.context, discovery);
+        self.on_discovery_events(events);
+    }
+
+    /// Passes the readiness of a source to the component that it belongs to.
+    pub fn dispatch_readiness(&mut self, source: EventSource, readiness: Readiness) {
+        let context = &mut self.context;
+        match source {
+            EventSource::Session(id) => self.proxy.on_session_ready(context, id, readiness),
+            EventSource::Attempt(id) => self.proxy.on_attempt_ready(context, id, readiness),
+            EventSource::Probe(number) => self.proxy.probes.on_ready(context, number, readiness),
+            EventSource::DiscoveryClient => {
+                let events = self.discovery.ready(context, &self.proxy.settings, readiness);
+                self.on_discovery_events(events);
+            }
+            // Accepted at the end of the iteration: what connected clients do may free capacity.
+            EventSource::Listener => self.acceptor.on_listener_ready(),
+            EventSource::NeighbourListener => self.acceptor.on_neighbour_ready(),
+            // Served by the worker, which has the driver at hand.
+            EventSource::Signals | EventSource::WorkerMessages | EventSource::HandoverListener => {}
+            EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(source),
+            EventSource::Gossip => {
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.ready(context.now);
+                }
+            }
+            EventSource::AdminListener | EventSource::AdminConnection(_) => {
+                if let Some(admin) = &mut self.admin {
+                    admin.door.ready(context, source, readiness);
+                }
+            }
+        }
+    }
+
+    /// Does what is due at the end of an iteration, whatever was ready. Calls `process_events` after each step: a client
+    /// must not be placed by a state from before the one that was accepted ahead of it.
+    pub fn finish_iteration(&mut self, mut process_events: impl FnMut(&mut Self)) {
+        for id in self.proxy.take_unfinished() {
+            self.proxy.resume(&mut self.context, id);
+            process_events(self);
+        }
+        if self.discovery.is_busy() {
+            self.dispatch_readiness(EventSource::DiscoveryClient, Readiness::default());
+            process_events(self);
+        }
+        if self.has_sibling_work() {
+            self.on_sibling_ready(EventSource::Predecessor);
+            process_events(self);
+        }
+        if self.gossip.as_ref().is_some_and(Tells::is_busy) {
+            self.dispatch_readiness(EventSource::Gossip, Readiness::default());
+        }
+        while let Some(event) = self.context.timers.pop_due() {
+            self.on_timer(event);
+            process_events(self);
+        }
+        if self.acceptor.take_due() {
+            self.accept_clients(process_events);
+        }
+        if self.proxy.has_descriptor_shortage() {
+            self.schedule_accept_retry();
+        }
+        self.run_housekeeping();
+    }
+
+    /// Passes a due timer to the component that has set it.
+    fn on_timer(&mut self, event: TimerEvent) {
+        let context = &mut self.context;
+        match event {
+            TimerEvent::Driver(token) => context.emit(NetworkEvent::TimerFired(token)),
+            TimerEvent::Session(id) => self.proxy.on_session_timer(context, id),
+            TimerEvent::Attempt(id) => self.proxy.on_attempt_timer(context, id),
+            TimerEvent::RetryDial(id) => self.proxy.retry_dial(context, id),
+            TimerEvent::Probe(number) => self.proxy.probes.on_timer(context, number),
+            TimerEvent::MigrationBatch => self.proxy.run_migration_batch(context),
+            TimerEvent::LogRateLimiter => self.proxy.flush_log_limiter(context.now),
+            TimerEvent::ReportDelays => self.report_delays(),
+            TimerEvent::DiscoveryClient => {
+                let events = self.discovery.alarmed(context);
+                self.on_discovery_events(events);
+            }
+            TimerEvent::Gossip => {
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.alarmed(context);
+                }
+            }
+            TimerEvent::AdminConnection(number) => {
+                if let Some(admin) = &mut self.admin {
+                    admin.door.alarmed(context, number);
+                }
+            }
+            TimerEvent::AdminAccept => {
+                self.dispatch_readiness(EventSource::AdminListener, Readiness::default());
+            }
+            TimerEvent::Accept => self.on_accept_timer(),
+            TimerEvent::ShutdownStep => self.on_shutdown_step(),
+            TimerEvent::ReadSharedFolder => self.read_shared_folder(),
+            TimerEvent::NotifySuccessors => self.notify_successors(),
+            TimerEvent::Snapshot => self.is_snapshot_due = true,
+        }
+    }
+
+    fn report_delays(&mut self) {
+        // After a standstill, unread input would look like a delay.
+        if self.context.now >= self.context.earliest_timeout() {
+            self.proxy.report_delays(&mut self.context);
+        }
+        self.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
+    }
+
+    /// Ends an iteration at `now`. Returns when the next one is to begin if no event comes before, which may be at once.
+    pub fn end_iteration(&mut self, now: Micros) -> Micros {
+        self.context.overload.record_iteration(self.context.now, now, self.acceptor.is_due());
+        self.proxy.publish_gauges();
+        let next = if self.has_unfinished_work() {
+            self.context.now
+        } else {
+            self.context.timers.next_deadline().unwrap_or(self.context.now + MAX_WAIT)
+        };
+        self.context.end_iteration(next);
+        if let Some(workers) = &self.workers {
+            workers.turns(self.proxy.client_count(), next);
+        }
+        next
+    }
+
+    /// Whether any component has left work for the next iteration.
+    fn has_unfinished_work(&self) -> bool {
+        self.proxy.has_unfinished()
+            || self.discovery.is_busy()
+            || self.acceptor.is_due()
+            || self.admin.as_ref().is_some_and(|admin| admin.door.is_busy())
+            || self.has_sibling_work()
+            || self.gossip.as_ref().is_some_and(Tells::is_busy)
+    }
+
+    /// Once the loop has ended, the number of clients that were still connected.
+    pub fn clients_at_end(&self) -> Option<usize> {
+        self.clients_at_end
+    }
+
+    /// Applies events of discovery here and at all other workers.
+    pub(super) fn on_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
+        for event in events {
+            self.broadcast(|_| Order::DiscoveryEvent(event.clone()));
+            self.apply_discovery_event(event);
+        }
+    }
+
+    /// Updates the server table with an event of discovery and reports it to the driver.
+    pub(super) fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
+        let report = match event {
+            DiscoveryEvent::List(update) => {
+                let full = update.snapshot;
+                let entries = self.proxy.apply_endpoint_list(update, WallClock::read(self.context.now));
+                NetworkEvent::EndpointListReceived { full, cached: false, entries }
+            }
+            DiscoveryEvent::Failed => NetworkEvent::DiscoveryFailed,
+        };
+        self.context.emit(report);
+    }
+}
--- a/crates/balancer/src/event_loop/mod.rs
+++ b/crates/balancer/src/event_loop/mod.rs
@@ -1,6 +1,16 @@
-//! The event loop of a worker: waiting for sockets, timers, and the work of one iteration.
+//! The event loop of a worker: waits for sockets and timers and passes what happens to the components.
+//!
+//! [`dispatch::EventLoop`] composes the components of a worker. Each component owns its own state; what it needs of the
+//! current iteration comes as a [`context::LoopContext`]. Decisions about requests are the driver's, which calls the
+//! event loop through its `Effects`.
 
-pub mod hub;
-pub mod iteration;
+mod accept;
+mod admin;
+pub mod context;
+pub mod dispatch;
+mod driver_effects;
+mod handover;
 pub mod poll;
+mod shutdown;
 pub mod timers;
+mod worker_messages;
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -1,61 +1,59 @@
-//! Between the loop and the peers: which connections the loop watches, and what it has seen of them.
-//!
-//! `mio` rather than a loop of callbacks: those cost an allocation for each connection, and the loop that was here
-//! before made five system calls for a wait where one does.
+//! Waiting for sockets with `mio`: which sources the event loop watches, and what they are ready for.
 
 use std::io;
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-use mio::event::{Event, Source};
+use mio::event::Source;
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 use shorewharf_decisions::interface::RequestId;
 
 use crate::transport::connection::Connection;
+use crate::transport::readiness::Readiness;
 
-/// What is told of connections in one turn at most; the rest is told in the next.
+/// Events reported by one wait; further ones are reported by the next.
 const MAX_EVENTS_PER_WAIT: usize = 1024;
 
-/// Who something that is watched belongs to.
+/// What an event is about.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventSource {
     /// A client session.
     Session(RequestId),
-    /// The attempt for a req.
+    /// The attempt of a request.
     Attempt(RequestId),
     /// The probe of this number.
     Probe(u64),
-    /// The discovery's watch.
+    /// The connection to discovery.
     DiscoveryClient,
-    /// The listener: clients wait to be accepted.
+    /// The listener for clients.
     Listener,
-    /// Signals of the system's.
+    /// Signals to the process.
     Signals,
-    /// Orders of other workers.
+    /// Messages of other workers.
     WorkerMessages,
     /// The listener of a worker that stalls.
     NeighbourListener,
-    /// The door at which operators call.
+    /// The listener for operators.
     AdminListener,
     /// The operator's connection of this number.
     AdminConnection(u64),
-    /// The socket at which new processes of this balancer ask.
+    /// The socket at which new processes of this balancer connect.
     HandoverListener,
-    /// The one of this number, which has asked.
+    /// The connection of the new process of this number.
     Successor(u64),
-    /// The process that this one has asked.
+    /// The connection to the process that this one replaces.
     Predecessor,
     /// Datagrams of other balancers.
     Gossip,
 }
 
-/// An owner's kind stands in a token above its number.
+/// A token holds the kind of its source above the source's number.
 const KIND_SHIFT: u32 = 56;
 const _: () = assert!(usize::BITS == 64, "tokens hold a kind above a number of 56 bits");
 
 impl EventSource {
-    /// Whether it is looked at before clients are: operators wait for one turn at most, whatever the load.
+    /// Whether the source is served ahead of clients: operators wait for one iteration at most, whatever the load.
     pub fn is_prioritized(self) -> bool {
         matches!(self, EventSource::AdminListener | EventSource::AdminConnection(_))
     }
@@ -101,34 +99,7 @@
     }
 }
 
-/// What a connection is ready for.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Readiness {
-    /// Something can be read.
-    pub is_readable: bool,
-    /// Something can be written, or the connect has failed.
-    pub is_writable: bool,
-    /// The peer has ended its side or the connection broke: reading on comes to that.
-    pub is_closed: bool,
-}
-
-impl Readiness {
-    /// Something may be there to be read of which the loop has not told yet.
-    pub const READ: Readiness = Readiness { is_readable: true, is_writable: false, is_closed: false };
-}
-
-impl From<&Event> for Readiness {
-    fn from(event: &Event) -> Self {
-        let ends = event.is_read_closed() || event.is_error();
-        Readiness {
-            is_readable: event.is_readable() || ends,
-            is_writable: event.is_writable() || event.is_error(),
-            is_closed: ends,
-        }
-    }
-}
-
-/// What the loop waits with.
+/// Waits for events.
 #[derive(Debug)]
 pub struct EventPoller {
     poll: Poll,
@@ -136,72 +107,100 @@
 }
 
 impl EventPoller {
-    /// Nothing is watched yet.
+    /// Creates a poller that watches nothing yet.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no descriptor for it.
     pub fn new() -> io::Result<Self> {
         Ok(EventPoller { poll: Poll::new()?, events: Events::with_capacity(MAX_EVENTS_PER_WAIT) })
     }
 
-    /// What has connections watched.
+    /// The registry of the sources that this poller watches.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no descriptor for it.
     pub fn registry(&self) -> io::Result<SourceRegistry> {
         Ok(SourceRegistry(self.poll.registry().try_clone()?))
     }
 
-    /// What wakes the loop for orders.
+    /// What wakes this poller when a message of another worker has been sent.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no descriptor for it.
     pub fn waker(&self) -> io::Result<Waker> {
         Waker::new(self.poll.registry(), EventSource::WorkerMessages.to_token())
     }
 
-    /// Waits until something has come, at most so long, rounded up to whole milliseconds.
-    pub fn wait(&mut self, most: Duration) -> io::Result<()> {
-        match self.poll.poll(&mut self.events, Some(most)) {
+    /// Waits for events, at most `timeout`, rounded up to whole milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// If polling fails for any reason but a signal.
+    pub fn wait(&mut self, timeout: Duration) -> io::Result<()> {
+        match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
             _ => Ok(()),
         }
     }
 
-    /// What has come; owners may be gone by now.
+    /// The events of the last wait. Their sources may be gone by now.
     pub fn events(&self) -> impl Iterator<Item = (EventSource, Readiness)> + Clone {
         self.events.iter().map(|event| (EventSource::from_token(event.token()), Readiness::from(event)))
     }
 }
 
-/// Has the loop watch connections.
+/// Registers the sources that a poller watches. All of them are edge-triggered.
 #[derive(Debug)]
 pub struct SourceRegistry(Registry);
 
 impl SourceRegistry {
-    /// Has the loop watch a connection; false where it can't. Edge-triggered, for both directions and from start
-    /// to end: the link remembers what it is ready for. Its end is the end of the watch.
-    pub fn register(&self, link: &mut Connection, owner: EventSource) -> bool {
-        self.0.register(link.stream(), owner.to_token(), Interest::READABLE | Interest::WRITABLE).is_ok()
+    /// Registers a connection, until it is closed, for reading and writing: it remembers what it is ready for. Returns
+    /// false if it could not be registered.
+    pub fn register(&self, connection: &mut Connection, source: EventSource) -> bool {
+        self.register_source(connection.stream(), source).is_ok()
     }
 
-    /// No longer, though its other side goes on elsewhere.
-    pub fn deregister(&self, link: &mut Connection) {
-        // Fails only where it was not watched.
-        let _ = self.0.deregister(link.stream());
+    /// Ends the registration of a connection that another process goes on with.
+    pub fn deregister(&self, connection: &mut Connection) {
+        // Fails only if it was not registered.
+        let _ = self.0.deregister(connection.stream());
     }
 
-    /// The same for what is no link.
-    pub fn register_source(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
-        self.0.register(source, owner.to_token(), Interest::READABLE | Interest::WRITABLE)
+    /// Registers any source for reading and writing.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not watch it.
+    pub fn register_source(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
+        self.0.register(stream, source.to_token(), Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Has the loop watch something that is only read.
-    pub fn register_readable(&self, source: &mut impl Source, owner: EventSource) -> io::Result<()> {
-        self.0.register(source, owner.to_token(), Interest::READABLE)
+    /// Registers a source that is only read.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not watch it.
+    pub fn register_readable(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
+        self.0.register(stream, source.to_token(), Interest::READABLE)
     }
 
-    /// Has the loop watch another worker's listener.
+    /// Registers the listener of another worker.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not watch it.
     pub fn register_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
-        self.0.register(
-            &mut SourceFd(&listener.as_raw_fd()),
-            EventSource::NeighbourListener.to_token(),
-            Interest::READABLE,
-        )
+        self.register_readable(&mut SourceFd(&listener.as_raw_fd()), EventSource::NeighbourListener)
     }
 
-    /// No longer.
+    /// Ends the registration of another worker's listener.
+    ///
+    /// # Errors
+    ///
+    /// If it was not registered.
     pub fn deregister_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.0.deregister(&mut SourceFd(&listener.as_raw_fd()))
     }
--- a/crates/balancer/src/event_loop/poll/tests.rs
+++ b/crates/balancer/src/event_loop/poll/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the module that these stand beside.
+//! Tests of event sources and their tokens.
 
 use super::*;
 
 #[test]
-fn a_token_tells_its_owner() {
+fn a_token_identifies_its_source() {
     let id = RequestId(u32::MAX);
-    for owner in [
+    for source in [
         EventSource::Session(id),
         EventSource::Attempt(id),
         EventSource::Probe(1 << 40),
@@ -21,6 +21,6 @@
         EventSource::Predecessor,
         EventSource::Gossip,
     ] {
-        assert_eq!(EventSource::from_token(owner.to_token()), owner);
+        assert_eq!(EventSource::from_token(source.to_token()), source);
     }
 }
--- /dev/null
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -0,0 +1,73 @@
+//! The graceful shutdown of a worker: waiting requests are answered, clients migrated, then the loop ends.
+
+use shorewharf_units::Micros;
+use tracing::info;
+
+use crate::event_loop::context::TimerEvent;
+use crate::event_loop::dispatch::EventLoop;
+use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
+use crate::workers::pool::Crew;
+
+/// The time between two steps of a graceful shutdown.
+const SHUTDOWN_STEP_INTERVAL: Micros = 100_000;
+
+impl EventLoop {
+    /// Begins the graceful shutdown; does nothing if it has begun before.
+    pub fn begin_shutdown(&mut self) {
+        if self.shutdown_started_at.is_some() {
+            return;
+        }
+        self.shutdown_started_at = Some(self.context.now);
+        self.poll_successors();
+        let (sessions, waiting) = self.proxy.begin_shutdown();
+        let worker = self.workers.as_ref().map(Crew::me);
+        let successor = self.proxy.has_successor;
+        info!(event = "leaving", worker, sessions, waiting, successor);
+        self.context.schedule_after(SHUTDOWN_STEP_INTERVAL, TimerEvent::ShutdownStep);
+        self.is_handover_due = successor;
+    }
+
+    /// One step of the shutdown: answers waiting requests and migrates clients when the schedule says so, and ends the
+    /// loop once no client is left or the time is up.
+    pub(super) fn on_shutdown_step(&mut self) {
+        let Some(elapsed) = self.shutdown_started_at.map(|at| self.context.now - at) else { return };
+        let schedule = self.shutdown_schedule();
+        if elapsed >= schedule.answers {
+            self.proxy.answer_waiting_clients(&mut self.context, elapsed >= schedule.last_call);
+        }
+        if elapsed >= schedule.move_from {
+            let steps_left = schedule.move_until.saturating_sub(elapsed) / SHUTDOWN_STEP_INTERVAL;
+            self.proxy.migrate_batch(&mut self.context, steps_left);
+        }
+        let has_successor = self.proxy.has_successor;
+        self.is_handover_due = has_successor;
+        // Connections that other workers have queued here before they ended.
+        while let Some(message) = self.next_message() {
+            self.on_message(message);
+        }
+        let clients = self.proxy.client_count() + usize::from(self.has_transfers_pending());
+        let is_empty = clients == 0 && (has_successor || elapsed >= LEAVE_AFTER + SHUTDOWN_STEP_INTERVAL);
+        // A client that waits at the listener would be cut off with it.
+        if elapsed >= schedule.last || (is_empty && (has_successor || !self.accept_last_client())) {
+            self.proxy.log_totals();
+            self.clients_at_end = Some(clients);
+        }
+        self.context.schedule_after(SHUTDOWN_STEP_INTERVAL, TimerEvent::ShutdownStep);
+    }
+
+    fn shutdown_schedule(&self) -> ShutdownSchedule {
+        let request_timeouts = &self.proxy.settings.give_up;
+        if self.proxy.has_successor {
+            ShutdownSchedule::with_successor(request_timeouts)
+        } else {
+            ShutdownSchedule::new(request_timeouts)
+        }
+    }
+
+    /// Whether connections are on their way to a successor, or other workers may still send some.
+    fn has_transfers_pending(&self) -> bool {
+        let waits_for_workers =
+            || self.workers.as_ref().is_some_and(|workers| workers.leads() && !workers.is_alone());
+        self.connections_in_transfer() > 0 || (self.proxy.has_successor && waits_for_workers())
+    }
+}
--- a/crates/balancer/src/event_loop/timers.rs
+++ b/crates/balancer/src/event_loop/timers.rs
@@ -1,187 +1,213 @@
-//! Deadlines, in a hierarchical wheel: setting one and taking it back cost the same however many there are, and a
-//! fleet's worth of them that are never due costs nothing.
+//! A hierarchical timer wheel: setting and cancelling a timer take constant time, however many are set.
 //!
-//! A wheel of its own, since no kept crate fits. tokio's is private, and its queue of delays lives on tokio's clock;
-//! `hierarchical_hash_wheel_timer` takes timers back by a name that it hashes, and allocates for each. A slab with a
-//! heap is the simplest that can take one back, and is what this is measured against (`benches/parts.rs`): from
-//! some thousand timers on, each costs it a walk through memory.
+//! It is written here since no maintained crate fits: tokio's wheel is private and its delay queue lives on tokio's
+//! clock, and `hierarchical_hash_wheel_timer` allocates and hashes for each timer. `benches/parts.rs` compares it with a
+//! heap over a slab.
 
-use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
+use shorewharf_units::Micros;
 use slotmap::{SlotMap, new_key_type};
 
-/// A tick of the wheel. The loop waits in whole milliseconds.
+/// The resolution of the wheel: the event loop waits in whole milliseconds.
 const TICK_MICROS: Micros = 1_000;
-/// Slots in a level, as bits of a tick's number.
+/// Bits of a tick's number that select the slot in one level.
 const SLOT_BITS: u32 = 6;
 const SLOTS_PER_LEVEL: usize = 1 << SLOT_BITS;
-/// Levels. All ticks up to the year 2109 differ in these bits only, so that no timer is beyond the last level.
+/// Enough for all ticks up to the year 2109, so that no timer lies beyond the last level.
 const LEVELS: usize = 7;
 const LAST_TICK: u64 = (1 << (SLOT_BITS * LEVELS as u32)) - 1;
 
 new_key_type! {
-    /// A timer that is set. Once it has come or was taken back, its key means none.
+    /// Identifies a timer. After the timer has fired or was cancelled, the key is never used again.
     pub struct TimerKey;
 }
 
+/// A slot of the wheel. Narrow, since each timer holds one.
+#[derive(Clone, Copy, Debug)]
+struct Position {
+    level: u8,
+    slot: u8,
+}
+
 #[derive(Debug)]
 struct Timer<T> {
-    when: Micros,
-    /// Of those that are due at one time, the one that was set first comes first.
-    set: u64,
-    what: T,
-    place: Option<(u8, u8)>,
-    before: Option<TimerKey>,
-    after: Option<TimerKey>,
+    deadline: Micros,
+    /// Orders timers with the same deadline.
+    sequence: u64,
+    event: T,
+    /// `None` once the timer is due.
+    position: Option<Position>,
+    /// Neighbours in the list of the slot.
+    previous: Option<TimerKey>,
+    next: Option<TimerKey>,
 }
 
-/// What is due when. TimerWheel come by time, and of those for one time the one that was set first; none comes early,
-/// and none later than at the end of its tick.
+/// Timers with events of type `T`. They fire in the order of their deadlines, and for the same deadline in the order in
+/// which they were set; never early, and no later than at the end of the tick of their deadline.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     timers: SlotMap<TimerKey, Timer<T>>,
     /// The first timer of each slot.
     slots: Box<[[Option<TimerKey>; SLOTS_PER_LEVEL]; LEVELS]>,
-    /// Which slots of each level hold any.
-    held: [u64; LEVELS],
-    /// All timers up to this tick are due.
+    /// A bit for each slot that is not empty.
+    occupied: [u64; LEVELS],
+    /// The present tick: all timers up to it are due.
     tick: u64,
     now: Micros,
     due: VecDeque<TimerKey>,
-    set: u64,
+    next_sequence: u64,
 }
 
 impl<T> TimerWheel<T> {
-    /// No timers, at this time.
+    /// Creates an empty wheel that stands at `now`.
     pub fn new(now: Micros) -> Self {
         TimerWheel {
             timers: SlotMap::with_key(),
             slots: Box::new([[None; SLOTS_PER_LEVEL]; LEVELS]),
-            held: [0; LEVELS],
+            occupied: [0; LEVELS],
             tick: (now / TICK_MICROS).min(LAST_TICK),
             now,
             due: VecDeque::new(),
-            set: 0,
+            next_sequence: 0,
         }
     }
 
-    /// How many are set.
+    /// The number of timers that are set, due ones included.
     pub fn len(&self) -> usize {
         self.timers.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.timers.is_empty()
     }
 
-    /// Sets a timer.
-    pub fn schedule(&mut self, when: Micros, what: T) -> TimerKey {
-        self.set += 1;
-        let timer = Timer { when, set: self.set, what, place: None, before: None, after: None };
+    /// Sets a timer that fires at `deadline`; one in the past is due at once, after all that are due already.
+    pub fn schedule(&mut self, deadline: Micros, event: T) -> TimerKey {
+        self.next_sequence += 1;
+        let sequence = self.next_sequence;
+        let timer = Timer { deadline, sequence, event, position: None, previous: None, next: None };
         let key = self.timers.insert(timer);
-        // What is due already comes after all that were due before it.
-        if when <= self.now {
+        if deadline <= self.now {
             self.due.push_back(key)
         } else {
-            self.put(key, when)
+            self.link(key, deadline)
         }
         key
     }
 
-    /// Takes a timer back; none if it has come.
+    /// Cancels a timer and returns its event; `None` if it has fired or was cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let timer = self.timers.remove(key)?;
         self.unlink(&timer);
-        Some(timer.what)
+        Some(timer.event)
     }
 
-    /// When to look again: no later than the next timer, and at times earlier.
+    /// When to call [`TimerWheel::advance`] next: no later than the next deadline, and at times earlier.
     pub fn next_deadline(&self) -> Option<Micros> {
         if !self.due.is_empty() {
             return Some(self.now);
         }
-        self.first_slot().map(|(_, _, tick)| tick * TICK_MICROS)
+        self.first_occupied().map(|(_, first_tick)| first_tick * TICK_MICROS)
     }
 
-    /// Time has come so far; it never goes back.
+    /// Moves the time on to `now`. Time never goes back.
     pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let tick = (self.now / TICK_MICROS).min(LAST_TICK);
-        while let Some((level, slot, at)) = self.first_slot().filter(|s| s.2 <= tick) {
-            self.tick = at;
-            self.empty(level, slot);
+        while let Some((position, first_tick)) = self.first_occupied() {
+            if first_tick > tick {
+                break;
+            }
+            self.tick = first_tick;
+            self.drain_slot(position);
         }
         self.tick = tick;
     }
 
-    /// Takes out the next one that is due.
+    /// Takes the event of the next timer that is due.
     pub fn pop_due(&mut self) -> Option<T> {
         loop {
             let key = self.due.pop_front()?;
             if let Some(timer) = self.timers.remove(key) {
-                return Some(timer.what);
+                return Some(timer.event);
             }
         }
     }
 
-    /// The slot that comes first, and its first tick: levels are nested, so the lowest that holds any has it.
-    fn first_slot(&self) -> Option<(usize, usize, u64)> {
-        let level = self.held.iter().position(|held| *held != 0)?;
-        let slot = self.held[level].trailing_zeros();
+    /// The slot with the earliest timers, and its first tick. Levels are nested, so it is in the lowest level that has any.
+    fn first_occupied(&self) -> Option<(Position, u64)> {
+        let level = self.occupied.iter().position(|occupied| *occupied != 0)?;
+        let slot = self.occupied[level].trailing_zeros();
         let shift = SLOT_BITS * level as u32;
-        let round = self.tick >> (shift + SLOT_BITS) << (shift + SLOT_BITS);
-        Some((level, slot as usize, round | u64::from(slot) << shift))
+        let level_start = self.tick >> (shift + SLOT_BITS) << (shift + SLOT_BITS);
+        let position = Position { level: level as u8, slot: slot as u8 };
+        Some((position, level_start | u64::from(slot) << shift))
     }
 
     /// Puts a timer into the lowest level in which its tick and the present one differ.
-    fn put(&mut self, key: TimerKey, when: Micros) {
-        let tick = when.div_ceil(TICK_MICROS).clamp(self.tick + 1, LAST_TICK);
+    fn link(&mut self, key: TimerKey, deadline: Micros) {
+        let tick = deadline.div_ceil(TICK_MICROS).clamp(self.tick + 1, LAST_TICK);
         let level = (63 - (tick ^ self.tick | 1).leading_zeros()) / SLOT_BITS;
         let slot = (tick >> (SLOT_BITS * level)) as usize % SLOTS_PER_LEVEL;
-        let level = level as usize;
-        let first = self.slots[level][slot].replace(key);
-        self.held[level] |= 1 << slot;
+        let position = Position { level: level as u8, slot: slot as u8 };
+        let first = self.slot_mut(position).replace(key);
+        self.set_occupied(position, true);
         if let Some(first) = first {
-            self.timers[first].before = Some(key);
+            self.timers[first].previous = Some(key);
         }
         let timer = &mut self.timers[key];
-        (timer.place, timer.before, timer.after) = (Some((level as u8, slot as u8)), None, first);
+        timer.position = Some(position);
+        timer.previous = None;
+        timer.next = first;
     }
 
     fn unlink(&mut self, timer: &Timer<T>) {
-        let Some((level, slot)) = timer.place.map(|(l, s)| (usize::from(l), usize::from(s))) else { return };
-        match timer.before {
-            Some(before) => self.timers[before].after = timer.after,
-            None => self.slots[level][slot] = timer.after,
+        let Some(position) = timer.position else { return };
+        match timer.previous {
+            Some(previous) => self.timers[previous].next = timer.next,
+            None => *self.slot_mut(position) = timer.next,
         }
-        if let Some(after) = timer.after {
-            self.timers[after].before = timer.before;
+        if let Some(next) = timer.next {
+            self.timers[next].previous = timer.previous;
         }
-        if self.slots[level][slot].is_none() {
-            self.held[level] &= !(1 << slot);
+        if self.slot_mut(position).is_none() {
+            self.set_occupied(position, false);
         }
     }
 
-    /// Takes all timers out of a slot whose first tick has come: they are due, or find a lower level.
-    fn empty(&mut self, level: usize, slot: usize) {
-        self.held[level] &= !(1 << slot);
-        let mut next = self.slots[level][slot].take();
+    /// Takes all timers out of a slot whose first tick has come: each is due, or moves to a lower level.
+    fn drain_slot(&mut self, position: Position) {
+        self.set_occupied(position, false);
+        let mut next = self.slot_mut(position).take();
         let mut due = Vec::new();
         while let Some(key) = next {
             let timer = &mut self.timers[key];
-            next = timer.after;
-            timer.place = None;
-            let when = timer.when;
-            if when.div_ceil(TICK_MICROS) <= self.tick {
-                due.push((when, timer.set, key))
+            next = timer.next;
+            timer.position = None;
+            let deadline = timer.deadline;
+            if deadline.div_ceil(TICK_MICROS) <= self.tick {
+                due.push((deadline, timer.sequence, key))
             } else {
-                self.put(key, when)
+                self.link(key, deadline)
             }
         }
         due.sort_unstable();
-        self.due.extend(due.into_iter().map(|d| d.2));
+        self.due.extend(due.into_iter().map(|(_, _, key)| key));
+    }
+
+    fn slot_mut(&mut self, position: Position) -> &mut Option<TimerKey> {
+        &mut self.slots[usize::from(position.level)][usize::from(position.slot)]
+    }
+
+    fn set_occupied(&mut self, position: Position, is_occupied: bool) {
+        let occupied = &mut self.occupied[usize::from(position.level)];
+        if is_occupied {
+            *occupied |= 1 << position.slot;
+        } else {
+            *occupied &= !(1 << position.slot);
+        }
     }
 }
 
--- a/crates/balancer/src/event_loop/timers/tests.rs
+++ b/crates/balancer/src/event_loop/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Tests of the timer wheel, beside a sorted list.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn timers_come_by_time_and_then_in_the_order_they_were_set() {
+fn timers_fire_by_deadline_and_then_in_the_order_they_were_set() {
     let mut timers = TimerWheel::new(5);
     let keys = [(30_000, 0), (10_000, 1), (20_000, 2), (10_000, 3), (5, 4)]
         .map(|(when, n)| timers.schedule(when, n));
@@ -19,7 +19,7 @@
         (timers.cancel(keys[1]), timers.cancel(keys[0]), timers.next_deadline()),
         (None, Some(0), None)
     );
-    // A clock that has jumped by a day brings what was due meanwhile, once and in order.
+    // After a jump of a day, what was due meanwhile fires once and in order.
     for n in 0..1000 {
         timers.schedule(60_000_000 * (1000 - n as u64), n);
     }
@@ -28,10 +28,9 @@
 }
 
 proptest! {
-    /// Whatever is set, taken back and waited for: nothing comes early, late, twice, out of order or after it
-    /// was taken back.
+    /// Whatever is set, cancelled and waited for: no timer fires early, late, twice, out of order or after it was cancelled.
     #[test]
-    fn a_wheel_does_as_a_sorted_list(
+    fn the_wheel_fires_like_a_sorted_list(
         start in 0..u64::MAX / 4,
         steps in proptest::collection::vec((0..4_u8, 0..40_u32, 1..1000_u64), 1..200),
     ) {
--- /dev/null
+++ b/crates/balancer/src/event_loop/worker_messages.rs
@@ -0,0 +1,70 @@
+//! Messages between the event loops of a process: what one worker does for another.
+
+use shorewharf_decisions::interface::ServerId;
+use shorewharf_driver::{Effects, NetworkEvent};
+use tracing::error;
+
+use crate::event_loop::dispatch::EventLoop;
+use crate::servers::probes::Requester;
+use crate::workers::pool::{Crew, Help, Order};
+
+impl EventLoop {
+    /// The next message of another worker, to be handled by [`EventLoop::on_message`] unless it is a configuration.
+    pub fn next_message(&self) -> Option<Order> {
+        self.workers.as_ref().and_then(Crew::next)
+    }
+
+    /// Handles a message of another worker. A configuration concerns the whole worker, which handles it itself.
+    pub fn on_message(&mut self, message: Order) {
+        match message {
+            Order::Client(stream, client) => self.proxy.accept_client(&mut self.context, stream, client),
+            Order::DiscoveryEvent(event) => self.apply_discovery_event(event),
+            Order::Watch => self.watch_endpoints(),
+            Order::Probe(worker, server) => self.begin_probe(server, Requester::Worker(worker)),
+            Order::Changed(change) => self.apply_admin_change(change),
+            Order::OthersHold(descriptors) => self.proxy.set_sibling_descriptors(descriptors),
+            Order::Successor(has_successor) => self.set_has_successor(has_successor),
+            Order::Probed(server, outcome) => self.context.emit(NetworkEvent::ProbeEnded(server, outcome)),
+            Order::Stop => self.begin_shutdown(),
+            Order::GoesAlong(transferred) => self.queue_for_transfer(*transferred),
+            Order::Stands(transferred) => self.adopt_transferred(*transferred),
+            Order::Config(_) => {}
+        }
+    }
+
+    /// Sends all other workers a message, built from the number of each.
+    pub fn broadcast(&self, message: impl Fn(usize) -> Order) {
+        if let Some(workers) = &self.workers {
+            workers.tell_others(message);
+        }
+    }
+
+    /// Probes a server for this worker or another one.
+    pub(super) fn begin_probe(&mut self, server: ServerId, requester: Requester) {
+        let address = self.proxy.servers.address(server).filter(|_| self.proxy.has_capacity());
+        self.proxy.probes.begin(&mut self.context, server, address, requester);
+    }
+
+    /// Sends other workers the results of their probes, and takes over the neighbour's listener while that worker stalls.
+    pub(super) fn run_housekeeping(&mut self) {
+        let Some(workers) = &mut self.workers else { return };
+        for result in self.proxy.probes.take_worker_results() {
+            // A worker that has ended needs no result.
+            let _ = workers.tell(result.worker, Order::Probed(result.server, result.outcome));
+        }
+        // After a standstill of the whole machine every worker seems to have stalled.
+        if self.context.now < self.context.earliest_timeout() {
+            return;
+        }
+        let registry = &self.context.registry;
+        let (is_serving, registered) = match workers.looks_after(self.context.now) {
+            Some(Help::Begins(listener)) => (true, registry.register_neighbour_listener(listener)),
+            Some(Help::Ends(listener)) => (false, registry.deregister_neighbour_listener(listener)),
+            None => return,
+        };
+        self.acceptor.set_serving_neighbour(is_serving);
+        if let Err(e) = registered {
+            error!(event = "cannot-help", error = %e);
+        }
+    }
+}
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -15,7 +15,7 @@
 use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
 use crate::fleet::peers::Peers;
 
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::until;
+use crate::event_loop::context::tests::until;
 use crate::event_loop::poll::EventPoller;
 use crate::handover::messages::held;
 use crate::handover::successors::Successors;
--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -4,7 +4,7 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::context::{LoopContext, TimerEvent};
 
 /// Log lines a second that clients may cause.
 const MOST: u32 = 50;
--- a/crates/balancer/src/overload/log_rate_limiter/tests.rs
+++ b/crates/balancer/src/overload/log_rate_limiter/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::context;
+use crate::event_loop::context::tests::context;
 
 #[test]
 fn a_flood_is_counted_and_the_next_second_is_a_new_one() {
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -11,7 +11,7 @@
 
 use crate::admin::counters::Reply;
 use crate::clients::session::{CloseProgress, SessionStage};
-use crate::event_loop::iteration::LoopContext;
+use crate::event_loop::context::LoopContext;
 use crate::proxy::Proxy;
 
 /// The line that says an answer; none for the end of a connection without a word.
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -6,7 +6,7 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::proxy::Proxy;
 use crate::servers::attempts::DialError;
 
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, warn};
 
 use crate::clients::session::{Session, SessionStage};
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
+use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::proxy::Proxy;
 use crate::proxy::relay::{RelayDecision, ends, relay};
 use crate::servers::delays::LoadFigure;
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -26,14 +26,14 @@
 use crate::config::proxy_settings::Terms;
 use crate::discovery::update::{Incoming, server_id};
 use crate::discovery::wall_clock::WallClock;
-use crate::event_loop::iteration::LoopContext;
-use crate::event_loop::poll::Readiness;
+use crate::event_loop::context::LoopContext;
 use crate::overload::descriptor_budget::{Budget, Held};
 use crate::overload::log_rate_limiter::LogRateLimiter;
 use crate::servers::attempts::{AttemptStage, Attempts, ServerAnswer};
 use crate::servers::probes::Probes;
 use crate::servers::server_table::ServerTable;
 use crate::shutdown::LEAVE_AFTER;
+use crate::transport::readiness::Readiness;
 
 use dialing::PendingDial;
 
--- a/crates/balancer/src/proxy/relay.rs
+++ b/crates/balancer/src/proxy/relay.rs
@@ -4,7 +4,7 @@
 use shorewharf_units::Micros;
 
 use crate::clients::session::{Session, SessionStage};
-use crate::event_loop::iteration::LoopContext;
+use crate::event_loop::context::LoopContext;
 use crate::servers::attempts::Attempt;
 use crate::transport::connection::PeerClose;
 
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -10,11 +10,11 @@
 
 use super::{Proxy, RETRY_AFTER};
 use crate::clients::session::{Session, SessionStage};
-use crate::event_loop::iteration::LoopContext;
-use crate::event_loop::poll::Readiness;
+use crate::event_loop::context::LoopContext;
 use crate::servers::attempts::AttemptStage;
 use crate::servers::delays::DelaySample;
 use crate::transport::connection::PeerClose;
+use crate::transport::readiness::Readiness;
 
 impl Proxy {
     /// Log lines were left out a moment ago.
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -5,7 +5,7 @@
 use shorewharf_lifecycle::{Answer, Cause};
 
 use crate::clients::session::Session;
-use crate::event_loop::iteration::LoopContext;
+use crate::event_loop::context::LoopContext;
 use crate::handover::messages::{Handed, Standing};
 use crate::proxy::Proxy;
 use crate::servers::attempts::Attempt;
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
-use crate::event_loop::hub::EventLoop;
+use crate::event_loop::dispatch::EventLoop;
 use shorewharf_driver::{Driver, Effects};
 use tracing::info;
 
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -10,7 +10,7 @@
 use shorewharf_protocol::open_request::with_timeout;
 use shorewharf_units::Micros;
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::context::{LoopContext, TimerEvent, TimerHandle};
 use crate::event_loop::poll::EventSource;
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::connection::{Connection, LineTooLong, PeerClose, is_local_failure, is_shortage};
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, context, until};
+use crate::event_loop::context::tests::{READ, context, until};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: checks on servers.
+//! Probes: a connection to a server, a `PING`, and how that ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,15 +8,36 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
-use crate::event_loop::poll::{EventSource, Readiness};
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::poll::EventSource;
 use crate::event_loop::timers::TimerKey;
 use crate::transport::connection::Connection;
+use crate::transport::readiness::Readiness;
 
-/// How long a probe may take.
+/// A probe that takes longer has failed.
 const PROBE_TIMEOUT: Micros = 500_000;
 
-/// A check on a server.
+/// Who wants a server probed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Requester {
+    /// The decisions of this worker, which receive the result as an event.
+    ThisWorker,
+    /// The worker of this number.
+    Worker(usize),
+}
+
+/// The result of a probe for another worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WorkerProbeResult {
+    /// The worker that wants it.
+    pub worker: usize,
+    /// The server that was probed.
+    pub server: ServerId,
+    /// How the probe ended.
+    pub outcome: Outcome,
+}
+
+/// A probe that is out.
 #[derive(Debug)]
 struct Probe {
     connection: Connection,
@@ -24,67 +45,62 @@
     is_ping_sent: bool,
     started_at: Micros,
     timer: TimerKey,
-    /// The other workers that want it too, and whether this one does.
-    waiting_workers: Vec<usize>,
-    is_wanted_here: bool,
+    requesters: Vec<Requester>,
 }
 
-/// The table of probes, by number. Each that was asked for is told of once, when it is over; a server has one at a time,
-/// whoever wants it.
+/// The probes that are out, by number. A server has one at most, which all requesters share; each requester receives one
+/// result for each request.
 #[derive(Debug, Default)]
 pub struct Probes {
     table: BTreeMap<u64, Probe>,
     last_number: u64,
-    /// What other workers are to be told.
-    worker_results: Vec<(usize, ServerId, Outcome)>,
+    /// Results that other workers are to be sent.
+    worker_results: Vec<WorkerProbeResult>,
 }
 
 impl Probes {
-    /// Checks on a server, for another worker or for this one; without an address there is nothing to be reached.
+    /// Starts a probe of a server, or joins the one that is out. Without an address the server can't be reached.
     pub fn begin(
         &mut self,
         context: &mut LoopContext,
         server: ServerId,
         address: Option<SocketAddr>,
-        other: Option<usize>,
+        requester: Requester,
     ) {
-        if let Some(probe) =
-            self.table.values_mut().find(|p| p.server == server && (other.is_some() || !p.is_wanted_here))
-        {
-            probe.is_wanted_here |= other.is_none();
-            probe.waiting_workers.extend(other);
+        if let Some(probe) = self.find_joinable(server, requester) {
+            probe.requesters.push(requester);
             return;
         }
         self.last_number += 1;
         let number = self.last_number;
-        let watched =
-            |mut link| context.registry.register(&mut link, EventSource::Probe(number)).then_some(link);
-        let Some(link) = address.and_then(|to| Connection::connect(to).ok()).and_then(watched) else {
-            return match other {
-                Some(other) => self.worker_results.push((other, server, Outcome::ConnectFailed)),
-                None => context.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed)),
-            };
+        let Some(connection) = address.and_then(|to| connect(context, to, number)) else {
+            return self.report(context, server, Outcome::ConnectFailed, &[requester]);
         };
-        let (timer, begun) = (context.schedule_after(PROBE_TIMEOUT, TimerEvent::Probe(number)), context.now);
-        self.table.insert(
-            number,
-            Probe {
-                connection: link,
-                server,
-                is_ping_sent: false,
-                started_at: begun,
-                timer,
-                waiting_workers: Vec::from_iter(other),
-                is_wanted_here: other.is_none(),
-            },
-        );
+        let probe = Probe {
+            connection,
+            server,
+            is_ping_sent: false,
+            started_at: context.now,
+            timer: context.schedule_after(PROBE_TIMEOUT, TimerEvent::Probe(number)),
+            requesters: vec![requester],
+        };
+        self.table.insert(number, probe);
         self.on_ready(context, number, Readiness::default());
     }
 
-    /// A probe's connection is ready.
-    pub fn on_ready(&mut self, context: &mut LoopContext, number: u64, ready: Readiness) {
+    /// A probe of the server whose result the requester can share. A second request of this worker gets its own probe.
+    fn find_joinable(&mut self, server: ServerId, requester: Requester) -> Option<&mut Probe> {
+        self.table.values_mut().find(|probe| {
+            let is_own_again =
+                requester == Requester::ThisWorker && probe.requesters.contains(&Requester::ThisWorker);
+            probe.server == server && !is_own_again
+        })
+    }
+
+    /// The connection of a probe is ready.
+    pub fn on_ready(&mut self, context: &mut LoopContext, number: u64, readiness: Readiness) {
         let Some(probe) = self.table.get_mut(&number) else { return };
-        probe.connection.on_ready(ready);
+        probe.connection.on_ready(readiness);
         if !probe.is_ping_sent {
             match probe.connection.is_connected() {
                 Ok(false) => return,
@@ -94,50 +110,68 @@
         }
         probe.connection.flush();
         probe.connection.read_available(&context.buffers);
-        let ended = probe.connection.peer_close;
+        let is_closed = probe.connection.peer_close.is_some();
         let outcome = match probe.connection.inspect_line() {
             Ok(Some(b"PONG")) => Outcome::Ok,
-            Ok(None) if ended.is_none() => return,
+            Ok(None) if !is_closed => return,
             Ok(None) => Outcome::Reset,
             _ => Outcome::Error,
         };
         self.finish(context, number, outcome);
     }
 
-    /// Ends a probe, and tells how; nothing happens where it is over already.
+    /// Ends a probe and reports how; does nothing if it has ended before.
     pub fn finish(&mut self, context: &mut LoopContext, number: u64, outcome: Outcome) {
-        if let Some(probe) = self.table.remove(&number) {
-            context.timers.cancel(probe.timer);
-            let (server, us) = (probe.server.0, context.now - probe.started_at);
-            debug!(event = "probed", server, us, outcome = ?outcome);
-            if probe.is_wanted_here {
-                context.emit(NetworkEvent::ProbeEnded(probe.server, outcome));
+        let Some(probe) = self.table.remove(&number) else { return };
+        context.timers.cancel(probe.timer);
+        let (server, us) = (probe.server.0, context.now - probe.started_at);
+        debug!(event = "probed", server, us, outcome = ?outcome);
+        self.report(context, probe.server, outcome, &probe.requesters);
+    }
+
+    fn report(
+        &mut self,
+        context: &mut LoopContext,
+        server: ServerId,
+        outcome: Outcome,
+        requesters: &[Requester],
+    ) {
+        for requester in requesters {
+            match *requester {
+                Requester::ThisWorker => context.emit(NetworkEvent::ProbeEnded(server, outcome)),
+                Requester::Worker(worker) => {
+                    self.worker_results.push(WorkerProbeResult { worker, server, outcome });
+                }
             }
-            self.worker_results
-                .extend(probe.waiting_workers.into_iter().map(|other| (other, probe.server, outcome)));
         }
     }
 
-    /// Takes out what other workers are to be told.
-    pub fn take_worker_results(&mut self) -> Vec<(usize, ServerId, Outcome)> {
+    /// Takes the results that other workers are to be sent.
+    pub fn take_worker_results(&mut self) -> Vec<WorkerProbeResult> {
         std::mem::take(&mut self.worker_results)
     }
 
-    /// A probe's timer has come.
+    /// The timer of a probe has fired.
     pub fn on_timer(&mut self, context: &mut LoopContext, number: u64) {
+        let earliest_timeout = context.earliest_timeout();
         match self.table.get_mut(&number) {
-            Some(probe) if context.now < context.earliest_timeout() => {
-                probe.timer = context.timers.schedule(context.earliest_timeout(), TimerEvent::Probe(number));
+            Some(probe) if context.now < earliest_timeout => {
+                probe.timer = context.timers.schedule(earliest_timeout, TimerEvent::Probe(number));
             }
             _ => self.finish(context, number, Outcome::TimedOut),
         }
     }
 
-    /// How many there are.
+    /// The number of probes that are out.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 }
 
+fn connect(context: &LoopContext, to: SocketAddr, number: u64) -> Option<Connection> {
+    let mut connection = Connection::connect(to).ok()?;
+    context.registry.register(&mut connection, EventSource::Probe(number)).then_some(connection)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -1,25 +1,25 @@
-//! Tests of the module that these stand beside.
+//! Tests of probes, against a listener on loopback.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, context, until};
+use crate::event_loop::context::tests::{READ, context, until};
 use std::io::Write;
 use std::net::TcpListener;
 
-fn told(context: &mut LoopContext) -> Option<Outcome> {
-    context.next_event().map(|h| match h {
+fn reported(context: &mut LoopContext) -> Option<Outcome> {
+    context.next_event().map(|event| match event {
         NetworkEvent::ProbeEnded(ServerId(4), outcome) => outcome,
         other => panic!("{other:?}"),
     })
 }
 
 #[test]
-fn a_probe_is_told_of_once_whatever_comes_first() {
+fn a_probe_is_reported_once_whatever_comes_first() {
     let (mut context, mut probes) = (context(0), Probes::default());
-    probes.begin(&mut context, ServerId(4), None, None);
-    assert_eq!(told(&mut context), Some(Outcome::ConnectFailed), "there is nothing to be reached");
+    probes.begin(&mut context, ServerId(4), None, Requester::ThisWorker);
+    assert_eq!(reported(&mut context), Some(Outcome::ConnectFailed), "the server has no address");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     for (number, answer, outcome) in [(2, "PONG\r\n", Outcome::Ok), (3, "NO\r\n", Outcome::Error)] {
-        probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), None);
+        probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), Requester::ThisWorker);
         let (mut server, _) = listener.accept().expect("the probe");
         server.write_all(answer.as_bytes()).expect("open");
         until(|| {
@@ -27,15 +27,18 @@
             probes.len() == 0
         });
         probes.finish(&mut context, number, Outcome::TimedOut);
-        assert_eq!((told(&mut context), told(&mut context)), (Some(outcome), None));
+        assert_eq!((reported(&mut context), reported(&mut context)), (Some(outcome), None));
     }
-    probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), None);
+    probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), Requester::ThisWorker);
     context.begin_iteration(PROBE_TIMEOUT);
     assert_eq!(context.timers.pop_due(), Some(TimerEvent::Probe(4)));
-    // Another worker wants the same, and gets the same answer without a probe of its own.
-    probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), Some(2));
+    // Another worker's request shares the probe that is out.
+    probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), Requester::Worker(2));
     assert_eq!(probes.len(), 1);
     probes.finish(&mut context, 4, Outcome::TimedOut);
-    assert_eq!((told(&mut context), probes.len()), (Some(Outcome::TimedOut), 0));
-    assert_eq!(probes.take_worker_results(), [(2, ServerId(4), Outcome::TimedOut)]);
+    assert_eq!((reported(&mut context), probes.len()), (Some(Outcome::TimedOut), 0));
+    assert_eq!(
+        probes.take_worker_results(),
+        [WorkerProbeResult { worker: 2, server: ServerId(4), outcome: Outcome::TimedOut }]
+    );
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -18,8 +18,8 @@
 use tracing::{debug, info, warn};
 
 use crate::config::Config;
-use crate::event_loop::hub::EventLoop;
-use crate::event_loop::iteration::TimerEvent;
+use crate::event_loop::context::TimerEvent;
+use crate::event_loop::dispatch::EventLoop;
 
 /// Read out in one turn: servers with their names, and things known; each takes well under 0.2 ms.
 const SERVERS: usize = 64;
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -7,9 +7,9 @@
 use mio::net::TcpStream;
 use socket2::SockRef;
 
-use crate::event_loop::poll::Readiness;
 use crate::handover::messages::OnTheWay;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
+use crate::transport::readiness::Readiness;
 use shorewharf_protocol::line::{LineScan, scan_line};
 
 /// How often a connection is begun that this machine itself could not begin. Most such failures are over with the call.
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -26,9 +26,9 @@
 use crate::clock::Clock;
 use crate::config::proxy_settings::Terms;
 use crate::config::{Config, ConfigError};
-use crate::event_loop::hub::{EventLoop, WorkerContext};
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
-use crate::event_loop::poll::{EventPoller, EventSource, Readiness, SourceRegistry};
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::dispatch::{EventLoop, WorkerContext};
+use crate::event_loop::poll::{EventPoller, EventSource, SourceRegistry};
 use crate::fleet::budgets::Shares;
 use crate::fleet::gossip::Tells;
 use crate::handover::predecessor::{self, Inherited, Predecessor};
@@ -38,6 +38,7 @@
 use crate::snapshot::{self, Keeping, Memory, everything};
 use crate::supervisor;
 use crate::transport::connection::is_shortage;
+use crate::transport::readiness::Readiness;
 use crate::workers::pool::{Crew, Order, Seat};
 
 /// Connections that the system holds until they are accepted.
@@ -120,7 +121,7 @@
     /// Puts the configuration in force again: another process of this balancer has come or gone.
     fn enforce(&mut self) {
         let Some(lead) = &self.lead else { return };
-        let shares = self.event_loop.is_sharing_clients();
+        let shares = self.event_loop.siblings.is_sharing_clients();
         self.event_loop.broadcast(|worker| Order::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
             budgets.take(fleet);
@@ -226,7 +227,7 @@
             Worker { event_loop, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
         worker.run_iteration(clock.read(), std::iter::empty());
         loop {
-            if let Some(clients) = worker.event_loop.is_done() {
+            if let Some(clients) = worker.event_loop.clients_at_end() {
                 if let Some(keeping) = worker.keeping {
                     keeping.ends(&worker.event_loop, &mut worker.driver);
                 }
