--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -13,7 +13,7 @@
 use crate::event_loop::poll::EventSource;
 use crate::servers::disabled::{AdminChange, DisabledServer};
 use crate::transport::readiness::Readiness;
-use crate::workers::pool::Order;
+use crate::workers::pool::WorkerMessage;
 
 /// How often changes of other processes are looked for: they must apply a command within its second.
 const SHARED_FOLDER_INTERVAL: Micros = 100_000;
@@ -104,7 +104,7 @@
                 }
             }
         }
-        self.broadcast(|_| Order::Changed(change.clone()));
+        self.broadcast(|_| WorkerMessage::ServerChanged(change.clone()));
         self.apply_admin_change(change);
     }
 
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -20,15 +20,15 @@
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::update::Incoming;
 use crate::discovery::wall_clock::WallClock;
-use crate::event_loop::accept::Acceptor;
+use crate::event_loop::acceptor::Acceptor;
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
 use crate::fleet::gossip::Tells;
-use crate::handover::siblings::Kin;
+use crate::handover::siblings::SiblingProcesses;
 use crate::proxy::Proxy;
 use crate::servers::disabled::{AdminChange, DisabledServer};
 use crate::transport::readiness::Readiness;
-use crate::workers::pool::{Crew, Order};
+use crate::workers::pool::{WorkerMessage, WorkerPool};
 
 /// The longest wait for an event.
 const MAX_WAIT: Micros = 1_000_000;
@@ -41,7 +41,7 @@
     /// Where clients connect.
     pub listener: TcpListener,
     /// The other workers; `None` if this is the only one.
-    pub workers: Option<Crew>,
+    pub workers: Option<WorkerPool>,
     /// The ids of open requests, shared by all workers.
     pub open_ids: OpenIds,
     /// The counters of this worker.
@@ -51,7 +51,7 @@
     /// Servers that operators have disabled.
     pub disabled_servers: BTreeMap<ServerId, DisabledServer>,
     /// Other processes of this balancer.
-    pub siblings: Kin,
+    pub siblings: SiblingProcesses,
 }
 
 /// The components of a worker.
@@ -60,13 +60,13 @@
     pub(crate) context: LoopContext,
     pub(super) acceptor: Acceptor,
     /// The other workers; `None` if this is the only one.
-    pub(crate) workers: Option<Crew>,
+    pub(crate) workers: Option<WorkerPool>,
     pub(crate) proxy: Proxy,
     pub(crate) discovery: DiscoveryClient,
     /// Connections of operators; only at the primary worker.
     pub(crate) admin: Option<Desk>,
     /// Other processes of this balancer.
-    pub(crate) siblings: Kin,
+    pub(crate) siblings: SiblingProcesses,
     /// Other balancers of the fleet, if gossip is configured.
     pub(crate) gossip: Option<Tells>,
     /// Established connections are to be handed over in this iteration.
@@ -247,7 +247,7 @@
         };
         self.context.end_iteration(next);
         if let Some(workers) = &self.workers {
-            workers.turns(self.proxy.client_count(), next);
+            workers.publish_state(self.proxy.client_count(), next);
         }
         next
     }
@@ -270,7 +270,7 @@
     /// Applies events of discovery here and at all other workers.
     pub(super) fn on_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
         for event in events {
-            self.broadcast(|_| Order::DiscoveryEvent(event.clone()));
+            self.broadcast(|_| WorkerMessage::DiscoveryEvent(event.clone()));
             self.apply_discovery_event(event);
         }
     }
--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -9,7 +9,7 @@
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 use crate::servers::probes::Requester;
-use crate::workers::pool::Order;
+use crate::workers::pool::WorkerMessage;
 
 /// The worker that watches discovery and probes servers for all.
 const PRIMARY_WORKER: usize = 0;
@@ -46,8 +46,9 @@
 
     fn probe(&mut self, server: ServerId) {
         match &self.workers {
-            Some(workers) if !workers.leads() => {
-                if workers.tell(PRIMARY_WORKER, Order::Probe(workers.me(), server)).is_err() {
+            Some(workers) if !workers.is_primary() => {
+                if workers.send(PRIMARY_WORKER, WorkerMessage::RequestProbe(workers.index(), server)).is_err()
+                {
                     self.context.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
                 }
             }
@@ -58,7 +59,9 @@
     fn watch_endpoints(&mut self) {
         match &self.workers {
             // If the primary worker has ended, the whole process is about to end.
-            Some(workers) if !workers.leads() => drop(workers.tell(PRIMARY_WORKER, Order::Watch)),
+            Some(workers) if !workers.is_primary() => {
+                drop(workers.send(PRIMARY_WORKER, WorkerMessage::WatchEndpoints))
+            }
             _ => {
                 let events = self.discovery.watch(&mut self.context);
                 self.on_discovery_events(events);
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -10,10 +10,10 @@
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 use crate::event_loop::poll::EventSource;
-use crate::handover::messages::{Estate, Handed, LEAVES, VERSION, held};
+use crate::handover::messages::{HandoverState, LEAVES, TransferredConnection, VERSION, held};
 use crate::handover::successors::Successors;
 use crate::overload::descriptor_budget::OWN_DESCRIPTORS;
-use crate::workers::pool::{Crew, Order};
+use crate::workers::pool::{WorkerMessage, WorkerPool};
 
 /// How often a successor is told how many descriptors this process holds: as clients leave, it may take more.
 const NOTIFY_INTERVAL: Micros = 100_000;
@@ -54,7 +54,7 @@
 
     /// New processes connect: each is sent what this one hands over. `export_state` reads what the decisions know.
     pub fn on_successors_connecting(&mut self, export_state: impl FnOnce() -> Vec<Learned>) {
-        let offer = Estate {
+        let offer = HandoverState {
             version: VERSION,
             listeners: 0,
             held: self.descriptor_allowance(),
@@ -89,7 +89,7 @@
             }
         }
         if has_successor != self.proxy.has_successor {
-            self.broadcast(|_| Order::Successor(has_successor));
+            self.broadcast(|_| WorkerMessage::SuccessorServing(has_successor));
             self.set_has_successor(has_successor);
         }
         if has_successor && self.siblings.descriptor_allowance.is_none() {
@@ -97,7 +97,7 @@
         }
         let ends_this = self.siblings.successors.as_ref().is_some_and(Successors::ends_this);
         if self.shutdown_started_at.is_none() && ends_this {
-            self.broadcast(|_| Order::Stop);
+            self.broadcast(|_| WorkerMessage::Shutdown);
             self.begin_shutdown();
         }
     }
@@ -130,15 +130,19 @@
 /// Established connections that are transferred.
 impl EventLoop {
     /// Takes over a transferred connection: at this worker, or at another one that has fewer.
-    fn place_transferred(&mut self, transferred: Handed) {
+    fn place_transferred(&mut self, transferred: TransferredConnection) {
         let (now, clients) = (self.context.now, self.proxy.client_count());
-        let less_loaded =
-            self.workers.as_ref().and_then(|workers| Some((workers, workers.better(now, clients)?)));
+        let less_loaded = self
+            .workers
+            .as_ref()
+            .and_then(|workers| Some((workers, workers.less_loaded_worker(now, clients)?)));
         let kept = match less_loaded {
-            Some((workers, worker)) => match workers.tell(worker, Order::Stands(Box::new(transferred))) {
-                Err(Order::Stands(transferred)) => Some(*transferred),
-                _ => None,
-            },
+            Some((workers, worker)) => {
+                match workers.send(worker, WorkerMessage::AdoptConnection(Box::new(transferred))) {
+                    Err(WorkerMessage::AdoptConnection(transferred)) => Some(*transferred),
+                    _ => None,
+                }
+            }
             None => Some(transferred),
         };
         if let Some(transferred) = kept {
@@ -147,7 +151,7 @@
     }
 
     /// Takes over a transferred connection at this worker.
-    pub(super) fn adopt_transferred(&mut self, transferred: Handed) {
+    pub(super) fn adopt_transferred(&mut self, transferred: TransferredConnection) {
         let client = transferred.0.client;
         if !self.proxy.adopt_transferred(&mut self.context, transferred) {
             warn!(event = "not-taken-over", client = %client);
@@ -160,7 +164,7 @@
         if !std::mem::take(&mut self.is_handover_due) {
             return;
         }
-        let is_primary = self.workers.as_ref().is_none_or(Crew::leads);
+        let is_primary = self.workers.as_ref().is_none_or(WorkerPool::is_primary);
         if is_primary {
             // Other workers know of the successor what this one tells them.
             if let Some(successors) = &mut self.siblings.successors {
@@ -193,7 +197,7 @@
     }
 
     /// Sends a connection to the successor; returns false if it could not be sent and is to be taken back.
-    fn send_to_successor(&mut self, transferred: Handed) -> bool {
+    fn send_to_successor(&mut self, transferred: TransferredConnection) -> bool {
         match &mut self.siblings.successors {
             Some(successors) => successors.hand_over(self.context.now, transferred),
             None => {
@@ -203,19 +207,19 @@
         }
     }
 
-    fn send_to_primary(&mut self, transferred: Handed) {
-        let message = Order::GoesAlong(Box::new(transferred));
+    fn send_to_primary(&mut self, transferred: TransferredConnection) {
+        let message = WorkerMessage::TransferToSuccessor(Box::new(transferred));
         let undelivered = match &self.workers {
-            Some(workers) => workers.tell(PRIMARY_WORKER, message).err(),
+            Some(workers) => workers.send(PRIMARY_WORKER, message).err(),
             None => Some(message),
         };
-        if let Some(Order::GoesAlong(transferred)) = undelivered {
+        if let Some(WorkerMessage::TransferToSuccessor(transferred)) = undelivered {
             self.adopt_transferred(*transferred);
         }
     }
 
     /// Queues a connection of another worker for its transfer to the successor.
-    pub(super) fn queue_for_transfer(&mut self, transferred: Handed) {
+    pub(super) fn queue_for_transfer(&mut self, transferred: TransferredConnection) {
         if self.proxy.has_successor {
             self.siblings.queued.push_back(transferred);
             self.is_handover_due = true;
@@ -248,7 +252,7 @@
     }
 
     fn worker_count(&self) -> usize {
-        self.workers.as_ref().map_or(1, Crew::len)
+        self.workers.as_ref().map_or(1, WorkerPool::worker_count)
     }
 
     /// Descriptors that this process may hold beside another one: half of all, or what it holds if that is more. During a
@@ -266,7 +270,7 @@
     /// Deducts the descriptors of another process from the limits of all workers.
     fn set_sibling_descriptors(&mut self, descriptors: usize) {
         let per_worker = descriptors / self.worker_count();
-        self.broadcast(|_| Order::OthersHold(per_worker));
+        self.broadcast(|_| WorkerMessage::DescriptorsHeldBySiblings(per_worker));
         self.proxy.set_sibling_descriptors(per_worker);
     }
 
--- a/crates/balancer/src/event_loop/mod.rs
+++ b/crates/balancer/src/event_loop/mod.rs
@@ -5,6 +5,7 @@
 //! event loop through its `Effects`.
 
 mod accept;
+mod acceptor;
 mod admin;
 pub mod context;
 pub mod dispatch;
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
-use crate::workers::pool::Crew;
+use crate::workers::pool::WorkerPool;
 
 /// The time between two steps of a graceful shutdown.
 const SHUTDOWN_STEP_INTERVAL: Micros = 100_000;
@@ -20,7 +20,7 @@
         self.shutdown_started_at = Some(self.context.now);
         self.poll_successors();
         let (sessions, waiting) = self.proxy.begin_shutdown();
-        let worker = self.workers.as_ref().map(Crew::me);
+        let worker = self.workers.as_ref().map(WorkerPool::index);
         let successor = self.proxy.has_successor;
         info!(event = "leaving", worker, sessions, waiting, successor);
         self.context.schedule_after(SHUTDOWN_STEP_INTERVAL, TimerEvent::ShutdownStep);
@@ -66,8 +66,9 @@
 
     /// Whether connections are on their way to a successor, or other workers may still send some.
     fn has_transfers_pending(&self) -> bool {
-        let waits_for_workers =
-            || self.workers.as_ref().is_some_and(|workers| workers.leads() && !workers.is_alone());
+        let waits_for_workers = || {
+            self.workers.as_ref().is_some_and(|workers| workers.is_primary() && !workers.have_others_ended())
+        };
         self.connections_in_transfer() > 0 || (self.proxy.has_successor && waits_for_workers())
     }
 }
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -5,13 +5,13 @@
 
 use std::collections::VecDeque;
 
-use crate::handover::messages::Handed;
+use crate::handover::messages::TransferredConnection;
 use crate::handover::predecessor::Predecessor;
 use crate::handover::successors::Successors;
 
 /// The other processes of this balancer, as far as they are there.
 #[derive(Debug, Default)]
-pub struct Kin {
+pub struct SiblingProcesses {
     /// Where a new process connects; `None` without a shared folder.
     pub successors: Option<Successors>,
     /// The process that this one replaces, until it has ended.
@@ -21,13 +21,13 @@
     /// Descriptors that this process may hold beside a successor, as it was told last.
     pub descriptor_allowance: Option<usize>,
     /// Established connections of other workers that wait for their transfer.
-    pub queued: VecDeque<Handed>,
+    pub queued: VecDeque<TransferredConnection>,
 }
 
-impl Kin {
+impl SiblingProcesses {
     /// The processes that are there at the start.
     pub fn new(successors: Option<Successors>, predecessor: Option<Predecessor>) -> Self {
-        Kin { successors, predecessor, ..Kin::default() }
+        SiblingProcesses { successors, predecessor, ..SiblingProcesses::default() }
     }
 
     /// Whether another process has taken over from this one.
@@ -42,7 +42,7 @@
         (std::mem::replace(&mut self.is_sharing_clients, is_sharing) != is_sharing).then_some(is_sharing)
     }
 
-    /// Whether two processes accept clients, as of the last [`Kin::take_sharing_change`].
+    /// Whether two processes accept clients, as of the last [`SiblingProcesses::take_sharing_change`].
     pub fn is_sharing_clients(&self) -> bool {
         self.is_sharing_clients
     }
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -1,4 +1,4 @@
-//! Standing connections that go on in another process of this balancer, and those that come from one.
+//! EstablishedConnection connections that go on in another process of this balancer, and those that come from one.
 
 use shorewharf_decisions::interface::{Outcome, Request, RequestId, ServerId};
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
@@ -6,7 +6,7 @@
 
 use crate::clients::session::Session;
 use crate::event_loop::context::LoopContext;
-use crate::handover::messages::{Handed, Standing};
+use crate::handover::messages::{EstablishedConnection, TransferredConnection};
 use crate::proxy::Proxy;
 use crate::servers::attempts::Attempt;
 use crate::transport::connection::Connection;
@@ -31,9 +31,9 @@
         context: &mut LoopContext,
         id: RequestId,
         (request, load): (Request, Option<f64>),
-    ) -> Option<Handed> {
+    ) -> Option<TransferredConnection> {
         let (session, attempt) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
-        let standing = Standing {
+        let standing = EstablishedConnection {
             client: session.client_address(),
             server: attempt.server().0,
             id: session.open_id()?,
@@ -62,7 +62,7 @@
     pub fn adopt_transferred(
         &mut self,
         context: &mut LoopContext,
-        (standing, client, server): Handed,
+        (standing, client, server): TransferredConnection,
     ) -> bool {
         let names = &self.settings.names;
         let class = names.classes.get(&standing.class).copied();
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpStream;
 use socket2::SockRef;
 
-use crate::handover::messages::OnTheWay;
+use crate::handover::messages::BufferedBytes;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use crate::transport::readiness::Readiness;
 use shorewharf_protocol::line::{LineScan, scan_line};
@@ -86,9 +86,9 @@
     }
 
     /// What is on its way here.
-    pub fn buffered(&self) -> OnTheWay {
+    pub fn buffered(&self) -> BufferedBytes {
         let said = self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec();
-        OnTheWay {
+        BufferedBytes {
             came: self.pending_input().to_vec(),
             seen: self.inspected,
             said,
@@ -102,7 +102,7 @@
     }
 
     /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
-    pub fn resume(stream: TcpStream, pool: &BufferPool, on_the_way: &OnTheWay) -> Option<Self> {
+    pub fn resume(stream: TcpStream, pool: &BufferPool, on_the_way: &BufferedBytes) -> Option<Self> {
         let mut link = Connection { is_mid_line: on_the_way.mid_line, ..Connection::new(stream) };
         for (bytes, buffer) in [(&on_the_way.came, &mut link.input), (&on_the_way.said, &mut link.output)] {
             if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
