--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -127,7 +127,7 @@
 /// Descriptors.
 impl Proxy {
     fn descriptors_in_use(&self) -> Held {
-        let all = self.sessions.len() + self.attempts.len() + self.probes.len();
+        let all = self.sessions.len() + self.attempts.count() + self.probes.count();
         Held { all, unserved: self.sessions.idle_count() }
     }
 
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -392,7 +392,7 @@
     }
 
     /// How many there are.
-    pub fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.table.len()
     }
 
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -163,7 +163,7 @@
     }
 
     /// The number of probes that are out.
-    pub fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.table.len()
     }
 }
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -24,7 +24,7 @@
         server.write_all(answer.as_bytes()).expect("open");
         until(|| {
             probes.on_ready(&mut context, number, READ);
-            probes.len() == 0
+            probes.count() == 0
         });
         probes.finish(&mut context, number, Outcome::TimedOut);
         assert_eq!((reported(&mut context), reported(&mut context)), (Some(outcome), None));
@@ -34,9 +34,9 @@
     assert_eq!(context.timers.pop_due(), Some(TimerEvent::Probe(4)));
     // Another worker's request shares the probe that is out.
     probes.begin(&mut context, ServerId(4), listener.local_addr().ok(), Requester::Worker(2));
-    assert_eq!(probes.len(), 1);
+    assert_eq!(probes.count(), 1);
     probes.finish(&mut context, 4, Outcome::TimedOut);
-    assert_eq!((reported(&mut context), probes.len()), (Some(Outcome::TimedOut), 0));
+    assert_eq!((reported(&mut context), probes.count()), (Some(Outcome::TimedOut), 0));
     assert_eq!(
         probes.take_worker_results(),
         [WorkerProbeResult { worker: 2, server: ServerId(4), outcome: Outcome::TimedOut }]
