--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -2,7 +2,7 @@
 
 use shorewharf_decisions::interface::{Request, RequestId};
 use shorewharf_protocol::endpoint_list::EndpointList;
-use shorewharf_recovery::memory::Learned;
+use shorewharf_recovery::snapshot_state::SnapshotEntry;
 use shorewharf_units::Micros;
 use tracing::warn;
 
@@ -53,7 +53,7 @@
     }
 
     /// New processes connect: each is sent what this one hands over. `export_state` reads what the decisions know.
-    pub fn on_successors_connecting(&mut self, export_state: impl FnOnce() -> Vec<Learned>) {
+    pub fn on_successors_connecting(&mut self, export_state: impl FnOnce() -> Vec<SnapshotEntry>) {
         let offer = HandoverState {
             version: VERSION,
             listeners: 0,
