--- a/crates/balancer/src/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -10,10 +10,10 @@
 
 use crate::clients::idle_connections::IdleConnections;
 use crate::clients::open_ids::OpenIds;
-use crate::clients::session::{Asking, Session, Stage, next_free};
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::Owner;
-use crate::transport::connection::Link;
+use crate::clients::session::{Session, SessionRequest, SessionStage, next_free_id};
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::poll::EventSource;
+use crate::transport::connection::Connection;
 
 /// All sessions. An open id belongs to the one session that opened with it, until that has had its last words;
 /// who is opening or ending asks for nothing, and nobody else does.
@@ -22,8 +22,8 @@
     /// Boxed: the table of a large fleet has room for more than it holds.
     table: FxHashMap<RequestId, Box<Session>>,
     open_ids: OpenIds,
-    unserved: IdleConnections,
-    next: u32,
+    idle: IdleConnections,
+    next_id: u32,
 }
 
 impl Sessions {
@@ -34,22 +34,22 @@
 
     /// Takes in a client that has connected, under a number that neither a session nor whatever else is `in_use`
     /// has; none where its connection is gone already or can't be watched.
-    pub fn begin(
+    pub fn accept(
         &mut self,
-        turn: &mut Turn,
+        context: &mut LoopContext,
         stream: TcpStream,
         from: SocketAddr,
         in_use: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
-        let mut link = Link::new(stream);
-        let id = next_free(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
-        self.next = id.0.wrapping_add(1);
-        if !turn.poller.watch(&mut link, Owner::Session(id)) {
+        let mut link = Connection::new(stream);
+        let id = next_free_id(RequestId(self.next_id), |id| self.table.contains_key(&id) || in_use(id));
+        self.next_id = id.0.wrapping_add(1);
+        if !context.registry.register(&mut link, EventSource::Session(id)) {
             return None;
         }
-        self.table.insert(id, Box::new(Session::new(link, from, turn.now)));
-        self.unserved.opens(turn.now, id);
-        self.arm(turn, id);
+        self.table.insert(id, Box::new(Session::new(link, from, context.now)));
+        self.idle.add_opening(context.now, id);
+        self.schedule_timer(context, id);
         Some(id)
     }
 
@@ -57,93 +57,97 @@
     /// it can't be watched.
     pub fn adopt(
         &mut self,
-        turn: &mut Turn,
-        mut link: Link,
+        context: &mut LoopContext,
+        mut link: Connection,
         from: SocketAddr,
         (open_id, asked): (u64, Option<Micros>),
         in_use: impl Fn(RequestId) -> bool,
     ) -> Option<RequestId> {
-        let id = next_free(RequestId(self.next), |id| self.table.contains_key(&id) || in_use(id));
-        self.next = id.0.wrapping_add(1);
+        let id = next_free_id(RequestId(self.next_id), |id| self.table.contains_key(&id) || in_use(id));
+        self.next_id = id.0.wrapping_add(1);
         if !self.open_ids.claim(open_id) {
             return None;
         }
-        if !turn.poller.watch(&mut link, Owner::Session(id)) {
-            self.open_ids.free(open_id);
+        if !context.registry.register(&mut link, EventSource::Session(id)) {
+            self.open_ids.release(open_id);
             return None;
         }
-        let session = Session::adopted(link, from, turn.now, (open_id, asked));
+        let session = Session::adopted(link, from, context.now, (open_id, asked));
         self.table.insert(id, Box::new(session));
-        self.arm(turn, id);
+        self.schedule_timer(context, id);
         Some(id)
     }
 
     /// A session.
     pub fn get(&self, id: RequestId) -> Option<&Session> {
-        self.table.get(&id).map(|s| &**s)
+        self.table.get(&id).map(|session| &**session)
     }
 
     /// A session, to act on.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Session> {
-        self.table.get_mut(&id).map(|s| &mut **s)
+        self.table.get_mut(&id).map(|session| &mut **session)
     }
 
     /// Sees to it that what is due of a session next is not missed. Whoever has changed its deadlines says so.
-    pub fn arm(&mut self, turn: &mut Turn, id: RequestId) {
-        let Some(s) = self.table.get_mut(&id) else { return };
-        let due = s.due(turn);
-        s.alarm.by(turn, due, Due::Session(id));
+    pub fn schedule_timer(&mut self, context: &mut LoopContext, id: RequestId) {
+        let Some(session) = self.table.get_mut(&id) else { return };
+        let due = session.next_deadline(context);
+        session.timer.schedule_by(context, due, TimerEvent::Session(id));
     }
 
     /// A session's timer has come; whether anything of it is due.
-    pub fn alarmed(&mut self, turn: &mut Turn, id: RequestId) -> bool {
-        let Some(s) = self.table.get_mut(&id) else { return false };
-        s.alarm.came();
-        let is_due = s.due(turn).is_some_and(|at| at <= turn.now);
+    pub fn on_timer(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
+        let Some(session) = self.table.get_mut(&id) else { return false };
+        session.timer.on_fired();
+        let is_due = session.next_deadline(context).is_some_and(|at| at <= context.now);
         if !is_due {
-            self.arm(turn, id);
+            self.schedule_timer(context, id);
         }
         is_due
     }
 
     /// A session's first line has come; false, and nothing has changed, where an open request has its id.
-    pub fn ask(&mut self, turn: &mut Turn, id: RequestId, asking: Asking) -> bool {
-        let Some(s) = self.table.get_mut(&id) else { return false };
+    pub fn open_request(&mut self, context: &mut LoopContext, id: RequestId, asking: SessionRequest) -> bool {
+        let Some(session) = self.table.get_mut(&id) else { return false };
         if !self.open_ids.claim(asking.open_id) {
             return false;
         }
-        self.unserved.forget(s.since(), id);
-        s.asks(turn.now, &turn.pool, asking);
-        self.arm(turn, id);
+        self.idle.remove(session.stage_since(), id);
+        session.begin_request(context.now, &context.buffers, asking);
+        self.schedule_timer(context, id);
         true
     }
 
     /// Says a session's last words and awaits its end; false if it had them before.
-    pub fn answer(&mut self, turn: &mut Turn, id: RequestId, words: &[u8]) -> bool {
-        let Some(s) = self.table.get_mut(&id).filter(|s| s.stage() != Stage::Ending) else { return false };
-        self.unserved.forget(s.since(), id);
-        if let Some(open_id) = s.ends(turn.now, &turn.pool, words) {
-            self.open_ids.free(open_id);
+    pub fn begin_close(&mut self, context: &mut LoopContext, id: RequestId, words: &[u8]) -> bool {
+        let Some(session) =
+            self.table.get_mut(&id).filter(|session| session.stage() != SessionStage::Closing)
+        else {
+            return false;
+        };
+        self.idle.remove(session.stage_since(), id);
+        if let Some(open_id) = session.begin_close(context.now, &context.buffers, words) {
+            self.open_ids.release(open_id);
         }
-        self.unserved.ends(turn.now, id);
-        self.arm(turn, id);
+        self.idle.add_closing(context.now, id);
+        self.schedule_timer(context, id);
         true
     }
 
     /// Ends a session's connection, whatever is still on its way.
-    pub fn drop(&mut self, turn: &mut Turn, id: RequestId) {
-        self.take(turn, id);
+    pub fn remove(&mut self, context: &mut LoopContext, id: RequestId) {
+        self.take(context, id);
     }
 
     /// Takes a session out, with its connection; its id is free.
-    pub fn take(&mut self, turn: &mut Turn, id: RequestId) -> Option<Box<Session>> {
-        let mut s = self.table.remove(&id)?;
-        s.alarm.off(turn);
-        self.unserved.forget(s.since(), id);
-        if let Some(open_id) = s.open_id() {
-            self.open_ids.free(open_id);
+    pub fn take(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Box<Session>> {
+        let mut session = self.table.remove(&id)?;
+        session.timer.cancel(context);
+        self.idle.remove(session.stage_since(), id);
+        if let Some(open_id) = session.open_id() {
+            self.open_ids.release(open_id);
         }
-        Some(s)
+        Some(session)
     }
 
     /// How many there are.
@@ -152,18 +156,19 @@
     }
 
     /// How many ask for nothing.
-    pub fn unserved(&self) -> usize {
-        self.unserved.len()
+    pub fn idle_count(&self) -> usize {
+        self.idle.len()
     }
 
     /// The one that can best be done without, of those that ask for nothing.
-    pub fn least_needed(&self) -> Option<RequestId> {
-        self.unserved.oldest()
+    pub fn eviction_candidate(&self) -> Option<RequestId> {
+        self.idle.oldest()
     }
 
     /// Those of a kind, by number: the order is the one in which they came.
-    pub fn those(&self, of: impl Fn(&Session) -> bool) -> Vec<RequestId> {
-        let mut those: Vec<_> = self.table.iter().filter(|(_, s)| of(s)).map(|(id, _)| *id).collect();
+    pub fn ids_where(&self, of: impl Fn(&Session) -> bool) -> Vec<RequestId> {
+        let mut those: Vec<_> =
+            self.table.iter().filter(|(_, session)| of(session)).map(|(id, _)| *id).collect();
         those.sort_unstable();
         those
     }
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -1,200 +1,207 @@
-//! Between the loop and the peers: which connections the loop watches, and what it has seen of them.
-//!
-//! `mio` rather than a loop of callbacks: those cost an allocation for each connection, and the loop that was here
-//! before made five system calls for a wait where one does.
+//! Waiting for sockets with `mio`: which sources the event loop watches, and what they are ready for.
 
 use std::io;
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-use mio::event::{Event, Source};
+use mio::event::Source;
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 use shorewharf_decisions::interface::RequestId;
 
-use crate::transport::connection::Link;
+use crate::transport::connection::Connection;
+use crate::transport::readiness::Readiness;
 
-/// What is told of connections in one turn at most; the rest is told in the next.
-const EVENTS: usize = 1024;
+/// Events reported by one wait; further ones are reported by the next.
+const MAX_EVENTS_PER_WAIT: usize = 1024;
 
-/// Who something that is watched belongs to.
+/// What an event is about.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Owner {
+pub enum EventSource {
     /// A client session.
     Session(RequestId),
-    /// The attempt for a req.
+    /// The attempt of a request.
     Attempt(RequestId),
     /// The probe of this number.
     Probe(u64),
-    /// The discovery's watch.
+    /// The connection to discovery.
     DiscoveryClient,
-    /// The listener: clients wait to be accepted.
+    /// The listener for clients.
     Listener,
-    /// Signals of the system's.
+    /// Signals to the process.
     Signals,
-    /// Orders of other workers.
-    Orders,
+    /// Messages of other workers.
+    WorkerMessages,
     /// The listener of a worker that stalls.
-    Neighbour,
-    /// The door at which operators call.
-    Operators,
+    NeighbourListener,
+    /// The listener for operators.
+    AdminListener,
     /// The operator's connection of this number.
-    Caller(u64),
-    /// The socket at which new processes of this balancer ask.
-    Successors,
-    /// The one of this number, which has asked.
+    AdminConnection(u64),
+    /// The socket at which new processes of this balancer connect.
+    HandoverListener,
+    /// The connection of the new process of this number.
     Successor(u64),
-    /// The process that this one has asked.
+    /// The connection to the process that this one replaces.
     Predecessor,
     /// Datagrams of other balancers.
     Gossip,
 }
 
-/// An owner's kind stands in a token above its number.
-const KIND: u32 = 56;
+/// A token holds the kind of its source above the source's number.
+const KIND_SHIFT: u32 = 56;
 const _: () = assert!(usize::BITS == 64, "tokens hold a kind above a number of 56 bits");
 
-impl Owner {
-    /// Whether it is looked at before clients are: operators wait for one turn at most, whatever the load.
-    pub fn comes_first(self) -> bool {
-        matches!(self, Owner::Operators | Owner::Caller(_))
+impl EventSource {
+    /// Whether the source is served ahead of clients: operators wait for one iteration at most, whatever the load.
+    pub fn is_prioritized(self) -> bool {
+        matches!(self, EventSource::AdminListener | EventSource::AdminConnection(_))
     }
 
-    fn token(self) -> Token {
+    fn to_token(self) -> Token {
         let (kind, number) = match self {
-            Owner::Session(id) => (0, u64::from(id.0)),
-            Owner::Attempt(id) => (1, u64::from(id.0)),
-            Owner::Probe(number) => (2, number),
-            Owner::DiscoveryClient => (3, 0),
-            Owner::Listener => (4, 0),
-            Owner::Signals => (5, 0),
-            Owner::Orders => (6, 0),
-            Owner::Neighbour => (7, 0),
-            Owner::Operators => (8, 0),
-            Owner::Caller(number) => (9, number),
-            Owner::Successors => (10, 0),
-            Owner::Successor(number) => (11, number),
-            Owner::Predecessor => (12, 0),
-            Owner::Gossip => (13, 0),
+            EventSource::Session(id) => (0, u64::from(id.0)),
+            EventSource::Attempt(id) => (1, u64::from(id.0)),
+            EventSource::Probe(number) => (2, number),
+            EventSource::DiscoveryClient => (3, 0),
+            EventSource::Listener => (4, 0),
+            EventSource::Signals => (5, 0),
+            EventSource::WorkerMessages => (6, 0),
+            EventSource::NeighbourListener => (7, 0),
+            EventSource::AdminListener => (8, 0),
+            EventSource::AdminConnection(number) => (9, number),
+            EventSource::HandoverListener => (10, 0),
+            EventSource::Successor(number) => (11, number),
+            EventSource::Predecessor => (12, 0),
+            EventSource::Gossip => (13, 0),
         };
-        Token((kind << KIND | number) as usize)
+        Token((kind << KIND_SHIFT | number) as usize)
     }
 
-    fn of(token: Token) -> Owner {
-        let number = token.0 as u64 & ((1 << KIND) - 1);
-        match token.0 as u64 >> KIND {
-            0 => Owner::Session(RequestId(number as u32)),
-            1 => Owner::Attempt(RequestId(number as u32)),
-            2 => Owner::Probe(number),
-            3 => Owner::DiscoveryClient,
-            4 => Owner::Listener,
-            5 => Owner::Signals,
-            6 => Owner::Orders,
-            7 => Owner::Neighbour,
-            8 => Owner::Operators,
-            9 => Owner::Caller(number),
-            10 => Owner::Successors,
-            11 => Owner::Successor(number),
-            12 => Owner::Predecessor,
-            _ => Owner::Gossip,
+    fn from_token(token: Token) -> EventSource {
+        let number = token.0 as u64 & ((1 << KIND_SHIFT) - 1);
+        match token.0 as u64 >> KIND_SHIFT {
+            0 => EventSource::Session(RequestId(number as u32)),
+            1 => EventSource::Attempt(RequestId(number as u32)),
+            2 => EventSource::Probe(number),
+            3 => EventSource::DiscoveryClient,
+            4 => EventSource::Listener,
+            5 => EventSource::Signals,
+            6 => EventSource::WorkerMessages,
+            7 => EventSource::NeighbourListener,
+            8 => EventSource::AdminListener,
+            9 => EventSource::AdminConnection(number),
+            10 => EventSource::HandoverListener,
+            11 => EventSource::Successor(number),
+            12 => EventSource::Predecessor,
+            _ => EventSource::Gossip,
         }
     }
 }
 
-/// What a connection is ready for.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ready {
-    /// Something can be read.
-    pub read: bool,
-    /// Something can be written, or the connect has failed.
-    pub write: bool,
-    /// The peer has ended its side or the connection broke: reading on comes to that.
-    pub ends: bool,
-}
-
-impl Ready {
-    /// Something may be there to be read of which the loop has not told yet.
-    pub const READ: Ready = Ready { read: true, write: false, ends: false };
-}
-
-impl From<&Event> for Ready {
-    fn from(event: &Event) -> Self {
-        let ends = event.is_read_closed() || event.is_error();
-        Ready { read: event.is_readable() || ends, write: event.is_writable() || event.is_error(), ends }
-    }
-}
-
-/// What the loop waits with.
+/// Waits for events.
 #[derive(Debug)]
-pub struct Watch {
+pub struct EventPoller {
     poll: Poll,
     events: Events,
 }
 
-impl Watch {
-    /// Nothing is watched yet.
+impl EventPoller {
+    /// Creates a poller that watches nothing yet.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no descriptor for it.
     pub fn new() -> io::Result<Self> {
-        Ok(Watch { poll: Poll::new()?, events: Events::with_capacity(EVENTS) })
+        Ok(EventPoller { poll: Poll::new()?, events: Events::with_capacity(MAX_EVENTS_PER_WAIT) })
     }
 
-    /// What has connections watched.
-    pub fn poller(&self) -> io::Result<Poller> {
-        Ok(Poller(self.poll.registry().try_clone()?))
+    /// The registry of the sources that this poller watches.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no descriptor for it.
+    pub fn registry(&self) -> io::Result<SourceRegistry> {
+        Ok(SourceRegistry(self.poll.registry().try_clone()?))
     }
 
-    /// What wakes the loop for orders.
+    /// What wakes this poller when a message of another worker has been sent.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no descriptor for it.
     pub fn waker(&self) -> io::Result<Waker> {
-        Waker::new(self.poll.registry(), Owner::Orders.token())
+        Waker::new(self.poll.registry(), EventSource::WorkerMessages.to_token())
     }
 
-    /// Waits until something has come, at most so long, rounded up to whole milliseconds.
-    pub fn wait(&mut self, most: Duration) -> io::Result<()> {
-        match self.poll.poll(&mut self.events, Some(most)) {
+    /// Waits for events, at most `timeout`, rounded up to whole milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// If polling fails for any reason but a signal.
+    pub fn wait(&mut self, timeout: Duration) -> io::Result<()> {
+        match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
             _ => Ok(()),
         }
     }
 
-    /// What has come; owners may be gone by now.
-    pub fn seen(&self) -> impl Iterator<Item = (Owner, Ready)> + Clone {
-        self.events.iter().map(|event| (Owner::of(event.token()), Ready::from(event)))
+    /// The events of the last wait. Their sources may be gone by now.
+    pub fn events(&self) -> impl Iterator<Item = (EventSource, Readiness)> + Clone {
+        self.events.iter().map(|event| (EventSource::from_token(event.token()), Readiness::from(event)))
     }
 }
 
-/// Has the loop watch connections.
+/// Registers the sources that a poller watches. All of them are edge-triggered.
 #[derive(Debug)]
-pub struct Poller(Registry);
+pub struct SourceRegistry(Registry);
 
-impl Poller {
-    /// Has the loop watch a connection; false where it can't. Edge-triggered, for both directions and from start
-    /// to end: the link remembers what it is ready for. Its end is the end of the watch.
-    pub fn watch(&self, link: &mut Link, owner: Owner) -> bool {
-        self.0.register(link.stream(), owner.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
+impl SourceRegistry {
+    /// Registers a connection, until it is closed, for reading and writing: it remembers what it is ready for. Returns
+    /// false if it could not be registered.
+    pub fn register(&self, connection: &mut Connection, source: EventSource) -> bool {
+        self.register_source(connection.stream(), source).is_ok()
     }
 
-    /// No longer, though its other side goes on elsewhere.
-    pub fn unwatch(&self, link: &mut Link) {
-        // Fails only where it was not watched.
-        let _ = self.0.deregister(link.stream());
+    /// Ends the registration of a connection that another process goes on with.
+    pub fn deregister(&self, connection: &mut Connection) {
+        // Fails only if it was not registered.
+        let _ = self.0.deregister(connection.stream());
     }
 
-    /// The same for what is no link.
-    pub fn watch_source(&self, source: &mut impl Source, owner: Owner) -> io::Result<()> {
-        self.0.register(source, owner.token(), Interest::READABLE | Interest::WRITABLE)
+    /// Registers any source for reading and writing.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not watch it.
+    pub fn register_source(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
+        self.0.register(stream, source.to_token(), Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Has the loop watch something that is only read.
-    pub fn listen(&self, source: &mut impl Source, owner: Owner) -> io::Result<()> {
-        self.0.register(source, owner.token(), Interest::READABLE)
+    /// Registers a source that is only read.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not watch it.
+    pub fn register_readable(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
+        self.0.register(stream, source.to_token(), Interest::READABLE)
     }
 
-    /// Has the loop watch another worker's listener.
-    pub fn help(&self, listener: &impl AsRawFd) -> io::Result<()> {
-        self.0.register(&mut SourceFd(&listener.as_raw_fd()), Owner::Neighbour.token(), Interest::READABLE)
+    /// Registers the listener of another worker.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not watch it.
+    pub fn register_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
+        self.register_readable(&mut SourceFd(&listener.as_raw_fd()), EventSource::NeighbourListener)
     }
 
-    /// No longer.
-    pub fn help_no_more(&self, listener: &impl AsRawFd) -> io::Result<()> {
+    /// Ends the registration of another worker's listener.
+    ///
+    /// # Errors
+    ///
+    /// If it was not registered.
+    pub fn deregister_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.0.deregister(&mut SourceFd(&listener.as_raw_fd()))
     }
 }
--- a/crates/balancer/src/event_loop/poll/tests.rs
+++ b/crates/balancer/src/event_loop/poll/tests.rs
@@ -1,26 +1,26 @@
-//! Tests of the module that these stand beside.
+//! Tests of event sources and their tokens.
 
 use super::*;
 
 #[test]
-fn a_token_tells_its_owner() {
+fn a_token_identifies_its_source() {
     let id = RequestId(u32::MAX);
-    for owner in [
-        Owner::Session(id),
-        Owner::Attempt(id),
-        Owner::Probe(1 << 40),
-        Owner::DiscoveryClient,
-        Owner::Listener,
-        Owner::Signals,
-        Owner::Orders,
-        Owner::Neighbour,
-        Owner::Operators,
-        Owner::Caller(1 << 40),
-        Owner::Successors,
-        Owner::Successor(7),
-        Owner::Predecessor,
-        Owner::Gossip,
+    for source in [
+        EventSource::Session(id),
+        EventSource::Attempt(id),
+        EventSource::Probe(1 << 40),
+        EventSource::DiscoveryClient,
+        EventSource::Listener,
+        EventSource::Signals,
+        EventSource::WorkerMessages,
+        EventSource::NeighbourListener,
+        EventSource::AdminListener,
+        EventSource::AdminConnection(1 << 40),
+        EventSource::HandoverListener,
+        EventSource::Successor(7),
+        EventSource::Predecessor,
+        EventSource::Gossip,
     ] {
-        assert_eq!(Owner::of(owner.token()), owner);
+        assert_eq!(EventSource::from_token(source.to_token()), source);
     }
 }
--- a/crates/balancer/src/servers/delays/tests.rs
+++ b/crates/balancer/src/servers/delays/tests.rs
@@ -4,25 +4,25 @@
 
 const NOW: Micros = 100_000_000;
 
-fn waits(for_us: Micros) -> Sight {
-    Sight { asked: Some(NOW - for_us), answered: None }
+fn waits(for_us: Micros) -> DelaySample {
+    DelaySample { unanswered_since: Some(NOW - for_us), last_answer: None }
 }
 
-fn answered(ago: Micros, took: Micros) -> Sight {
-    Sight { asked: None, answered: Some((NOW - ago, took)) }
+fn answered(ago: Micros, took: Micros) -> DelaySample {
+    DelaySample { unanswered_since: None, last_answer: Some((NOW - ago, took)) }
 }
 
 #[test]
 fn a_delay_is_told_from_a_load_by_its_size_and_its_rhythm() {
-    use Figure::*;
-    let mut figures = Figures::default();
+    use LoadFigure::*;
+    let mut figures = LoadFigureClassifier::default();
     for (at, figure, kind) in [
         (0, 255_465.125, Load),
         (10_000, 3_107.0, Load),
         // Too small for a load.
         (100_000, 1_593.3, Delay),
         // Between its fellows in time, and too long for one.
-        (600_000, 2_973.3, Unclear),
+        (600_000, 2_973.3, Ambiguous),
         (1_100_000, 255_465.0, Load),
         (1_600_000, 2_742.8, Delay),
         (2_600_000, 3_900.0, Delay),
@@ -30,11 +30,11 @@
         (3_600_000, 4_200.0, Delay),
         (4_600_000, 14_200.0, Load),
         // Out of its rhythm a long one may be either.
-        (9_000_000, 2_742.8, Unclear),
+        (9_000_000, 2_742.8, Ambiguous),
         (10_000_000, 2_900.0, Delay),
         (20_000_000, 4.0, Delay),
     ] {
-        assert_eq!(figures.read(NOW + at, figure), kind, "{figure} at {at}");
+        assert_eq!(figures.classify(NOW + at, figure), kind, "{figure} at {at}");
     }
 }
 
@@ -56,6 +56,6 @@
         (vec![waits(1_000)], None),
         (vec![answered(3_000_000, 300), waits(900_000), waits(800_000)], Some(800_000)),
     ] {
-        assert_eq!(typical(NOW, least, &seen), figure, "{seen:?}");
+        assert_eq!(median_delay(NOW, least, &seen), figure, "{seen:?}");
     }
 }
--- a/crates/balancer/src/workers/pool.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::discovery::client::DiscoveryEvent;
 use crate::handover::messages::TransferredConnection;
-use crate::servers::disabled::Change;
+use crate::servers::disabled::AdminChange;
 
 /// A worker whose iteration is overdue by this much has stalled.
 const STALL_TIMEOUT: Micros = 1_000_000;
@@ -41,7 +41,7 @@
     /// The result of such a probe.
     ProbeEnded(ServerId, Outcome),
     /// An operator has disabled or enabled a server.
-    ServerChanged(Change),
+    ServerChanged(AdminChange),
     /// Another process of this balancer holds so many of this worker's descriptors.
     DescriptorsHeldBySiblings(usize),
     /// Whether another process serves in place of this one.
