--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -18,8 +18,8 @@
 use shorewharf_units::Micros;
 use tracing::{debug, info, warn};
 
-use crate::event_loop::iteration::{Due, Turn};
-use crate::event_loop::poll::Owner;
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::poll::EventSource;
 use crate::fleet::peers::Peers;
 
 /// What others hold is told to the module this often.
@@ -55,13 +55,13 @@
 
 impl Tells {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
-    pub fn new(turn: &mut Turn, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
-        turn.after(0, Due::Gossip);
+    pub fn new(context: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
+        context.schedule_after(0, TimerEvent::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
         let identity = Identity { name, incarnation: life };
         let options = GossipOptions { key: peers.key.clone(), settings: peers.rules, seed };
-        let gossip = Gossip::new(turn.now, identity, &names, options);
+        let gossip = Gossip::new(context.now, identity, &names, options);
         Tells {
             at,
             socket: None,
@@ -70,8 +70,8 @@
             every: peers.rules.interval,
             more: false,
             due: false,
-            told: turn.now,
-            logged: turn.now,
+            told: context.now,
+            logged: context.now,
             together: None,
             unsent: 0,
             said_untold: false,
@@ -86,23 +86,23 @@
     }
 
     /// The timer has come.
-    pub fn alarmed(&mut self, turn: &mut Turn) {
+    pub fn alarmed(&mut self, context: &mut LoopContext) {
         if self.socket.is_none() {
             let opened = UdpSocket::bind(self.at).and_then(|mut socket| {
-                turn.poller.listen(&mut socket, Owner::Gossip)?;
+                context.registry.register_readable(&mut socket, EventSource::Gossip)?;
                 Ok(socket)
             });
             match opened {
                 Ok(socket) => self.socket = Some(socket),
                 Err(e) => {
                     warn!(event = "gossip-off", at = %self.at, error = %e);
-                    turn.after(AGAIN, Due::Gossip);
+                    context.schedule_after(AGAIN, TimerEvent::Gossip);
                     return;
                 }
             }
         }
         self.due = true;
-        turn.after(self.every, Due::Gossip);
+        context.schedule_after(self.every, TimerEvent::Gossip);
     }
 
     /// Whether it is time to tell, which is said once.
@@ -135,14 +135,14 @@
     }
 
     /// Tells others what is held here, and the module what they hold.
-    pub fn tell(&mut self, turn: &mut Turn, holds: Vec<Holding>) {
+    pub fn tell(&mut self, context: &mut LoopContext, holds: Vec<Holding>) {
         let held = |h: Holding| AnnouncedHolding {
             server: h.server.0,
             group: h.group as u32,
             load: h.load.max(0.0) as f32,
             connections: u16::try_from(h.open).unwrap_or(u16::MAX),
         };
-        let out = self.gossip.outgoing(turn.now, holds.into_iter().map(held).collect());
+        let out = self.gossip.outgoing(context.now, holds.into_iter().map(held).collect());
         if let Some(socket) = &self.socket {
             for OutgoingDatagram { peer, bytes } in out {
                 if socket.send_to(&bytes, self.others[peer].1).is_err() {
@@ -150,9 +150,9 @@
                 }
             }
         }
-        if turn.now >= self.told + TELL {
-            self.told = turn.now;
-            let elsewhere = self.gossip.peer_loads(turn.now);
+        if context.now >= self.told + TELL {
+            self.told = context.now;
+            let elsewhere = self.gossip.peer_loads(context.now);
             let together = elsewhere.is_some();
             if self.together.replace(together) != Some(together) {
                 let heard = elsewhere.as_ref().map_or(0.0, |loads| loads.coverage);
@@ -164,14 +164,14 @@
                     others = self.others.len()
                 );
             }
-            turn.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
+            context.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
         }
         let untold = self.gossip.stats().oversized;
         if untold > 0 && !std::mem::replace(&mut self.said_untold, true) {
             warn!(event = "gossip-untold", most = MAX_HOLDINGS);
         }
-        if turn.now >= self.logged + LOG {
-            self.logged = turn.now;
+        if context.now >= self.logged + LOG {
+            self.logged = context.now;
             let s = self.gossip.stats();
             let refused = |why: RejectReason| s.rejected.get(&why).copied().unwrap_or(0);
             debug!(
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -5,87 +5,100 @@
 use shorewharf_lifecycle::{Answer, Cause};
 
 use crate::clients::session::Session;
-use crate::event_loop::iteration::Turn;
+use crate::event_loop::context::LoopContext;
 use crate::handover::messages::{EstablishedConnection, TransferredConnection};
-use crate::proxy::Serving;
+use crate::proxy::Proxy;
 use crate::servers::attempts::Attempt;
-use crate::transport::connection::Link;
+use crate::transport::connection::Connection;
 
 /// The name that stands at this place.
 fn name(names: &std::collections::HashMap<String, usize>, place: usize) -> String {
     names.iter().find(|(_, at)| **at == place).map_or_else(String::new, |(name, _)| name.clone())
 }
 
-impl Serving {
-    /// EstablishedConnection connections that can go on in another process.
-    pub fn can_go(&self) -> Vec<RequestId> {
-        let mut can = self.sessions.those(Session::can_go);
-        can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::can_go));
+impl Proxy {
+    /// Standing connections that can go on in another process.
+    pub fn transferable_connections(&self) -> Vec<RequestId> {
+        let mut can = self.sessions.ids_where(Session::is_transferable);
+        can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::is_transferable));
         can
     }
 
     /// Takes one of them out of this process, with what the module has of it, as it is to go on in another one. What the
     /// module had there has ended for it.
-    pub fn goes(
+    pub fn detach_for_transfer(
         &mut self,
-        turn: &mut Turn,
+        context: &mut LoopContext,
         id: RequestId,
         (request, load): (Request, Option<f64>),
     ) -> Option<TransferredConnection> {
-        let (s, f) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
+        let (session, attempt) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
         let standing = EstablishedConnection {
-            client: s.from(),
-            server: f.server().0,
-            id: s.open_id()?,
-            class: name(&self.terms.names.classes, request.class),
-            tenant: name(&self.terms.names.tenants, request.tenant),
+            client: session.client_address(),
+            server: attempt.server().0,
+            id: session.open_id()?,
+            class: name(&self.settings.names.classes, request.class),
+            tenant: name(&self.settings.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
             hint: request.load,
             load,
-            asked: s.asked_since(),
-            at_client: s.link.on_the_way(),
-            at_server: f.link.on_the_way(),
+            asked: session.unanswered_since(),
+            at_client: session.connection.buffered(),
+            at_server: attempt.connection.buffered(),
         };
         // What is watched is the connection, which goes on, and not this process's descriptor of it.
-        turn.poller.unwatch(&mut s.link);
-        turn.poller.unwatch(&mut f.link);
+        context.registry.deregister(&mut session.connection);
+        context.registry.deregister(&mut attempt.connection);
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, Cause::Handover);
         }
-        let (s, f) = (self.sessions.take(turn, id)?, self.attempts.take(turn, id)?);
-        turn.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((standing, s.link.into_stream(), f.link.into_stream()))
+        let (session, attempt) = (self.sessions.take(context, id)?, self.attempts.take(context, id)?);
+        context.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
+        Some((standing, session.connection.into_stream(), attempt.connection.into_stream()))
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
-    pub fn take_over(&mut self, turn: &mut Turn, (standing, client, server): TransferredConnection) -> bool {
-        let names = &self.terms.names;
+    pub fn adopt_transferred(
+        &mut self,
+        context: &mut LoopContext,
+        (standing, client, server): TransferredConnection,
+    ) -> bool {
+        let names = &self.settings.names;
         let class = names.classes.get(&standing.class).copied();
         let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
         let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Link::going_on(client, &turn.pool, &standing.at_client);
-        let server = Link::going_on(server, &turn.pool, &standing.at_server);
+        let client = Connection::resume(client, &context.buffers, &standing.at_client);
+        let server = Connection::resume(server, &context.buffers, &standing.at_server);
         let (Some(client), Some(server)) = (client, server) else { return false };
-        let between_lines = client.between_lines();
-        let adopted =
-            self.sessions.adopt(turn, client, standing.client, (standing.id, asked), |id| attempts.has(id));
+        let between_lines = client.is_at_line_boundary();
+        let adopted = self
+            .sessions
+            .adopt(context, client, standing.client, (standing.id, asked), |id| attempts.has(id));
         let Some(id) = adopted else { return false };
         let at = ServerId(standing.server);
         // Its server still answers: whoever can't go on here is told to come again, and not cut off.
-        let Some(class) = class.filter(|_| self.attempts.adopt(turn, id, at, server)) else {
+        let Some(class) = class.filter(|_| self.attempts.adopt(context, id, at, server)) else {
             let answer = if between_lines { Answer::Moved } else { Answer::Closed };
-            self.answer(turn, id, answer, Cause::Handover);
+            self.answer(context, id, answer, Cause::Handover);
             return false;
         };
         let (key, group, load) = (standing.key, standing.group, standing.hint);
-        let req =
-            ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, is_returning: false };
-        turn.emit(NetworkEvent::ConnectionRestored(req, at));
+        let req = ReceivedRequest {
+            id,
+            class,
+            tenant,
+            key,
+            deadline: context.now,
+            load,
+            group,
+            is_returning: false,
+        };
+        context.emit(NetworkEvent::ConnectionRestored(req, at));
         if let Some(load) = standing.load.filter(|load| load.is_finite() && *load > 0.0) {
-            turn.emit(NetworkEvent::LoadReported(id, load));
+            context.emit(NetworkEvent::LoadReported(id, load));
         }
-        self.relay(turn, id);
+        self.relay(context, id);
         true
     }
 }
--- a/crates/balancer/src/servers/disabled.rs
+++ b/crates/balancer/src/servers/disabled.rs
@@ -6,66 +6,66 @@
 
 /// A server that is out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Out {
+pub struct DisabledServer {
     /// Its name, as far as it is known.
     pub name: Box<str>,
     /// When it was taken out, in seconds on the module's clock.
-    pub since: f64,
+    pub disabled_at: f64,
 }
 
 /// A server that was put back and may have been restarted while it was out, which the list has not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Back {
-    since: f64,
-    at: f64,
+struct EnabledServer {
+    disabled_at: f64,
+    enabled_at: f64,
 }
 
 /// What has changed by hand.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum AdminChange {
     /// A server is taken out.
-    Out(ServerId, Out),
+    Disabled(ServerId, DisabledServer),
     /// It may serve again, from this time on.
-    Back(ServerId, f64),
+    Enabled(ServerId, f64),
 }
 
-impl Change {
+impl AdminChange {
     /// The server that it is about.
     pub fn server(&self) -> ServerId {
         match self {
-            Change::Out(server, _) | Change::Back(server, _) => *server,
+            AdminChange::Disabled(server, _) | AdminChange::Enabled(server, _) => *server,
         }
     }
 }
 
 /// Servers taken out, whether the list names them or not. Only a call puts one back.
 #[derive(Clone, Debug, Default)]
-pub struct TakenOut {
-    out: BTreeMap<ServerId, Out>,
-    back: BTreeMap<ServerId, Back>,
+pub struct DisabledServers {
+    disabled: BTreeMap<ServerId, DisabledServer>,
+    enabled: BTreeMap<ServerId, EnabledServer>,
 }
 
-impl TakenOut {
+impl DisabledServers {
     /// Whether a server is out.
-    pub fn is_out(&self, server: ServerId) -> bool {
-        self.out.contains_key(&server)
+    pub fn is_disabled(&self, server: ServerId) -> bool {
+        self.disabled.contains_key(&server)
     }
 
     /// Those that are out.
-    pub fn all(&self) -> &BTreeMap<ServerId, Out> {
-        &self.out
+    pub fn all(&self) -> &BTreeMap<ServerId, DisabledServer> {
+        &self.disabled
     }
 
     /// Takes a change in; false where it was so before.
-    pub fn take(&mut self, change: Change) -> bool {
+    pub fn apply(&mut self, change: AdminChange) -> bool {
         match change {
-            Change::Out(server, out) => {
-                self.back.remove(&server);
-                self.out.insert(server, out).is_none()
+            AdminChange::Disabled(server, out) => {
+                self.enabled.remove(&server);
+                self.disabled.insert(server, out).is_none()
             }
-            Change::Back(server, at) => {
-                let Some(out) = self.out.remove(&server) else { return false };
-                self.back.insert(server, Back { since: out.since, at });
+            AdminChange::Enabled(server, at) => {
+                let Some(out) = self.disabled.remove(&server) else { return false };
+                self.enabled.insert(server, EnabledServer { disabled_at: out.disabled_at, enabled_at: at });
                 true
             }
         }
@@ -73,15 +73,15 @@
 
     /// A server is forgotten unless it is out.
     pub fn forget(&mut self, server: ServerId) {
-        self.back.remove(&server);
+        self.enabled.remove(&server);
     }
 
     /// What the module is told of a server that is listed like this: one that is out drains; one that was put back is as
     /// cold as it would be after a restart, unless the list has told of one since.
-    pub fn seen(&self, listed: ServerEntry) -> ServerEntry {
-        let out = self.is_out(listed.server) && listed.state == ServerState::Ready;
-        let born = match self.back.get(&listed.server) {
-            Some(back) if listed.started_at < back.since => back.at,
+    pub fn effective_entry(&self, listed: ServerEntry) -> ServerEntry {
+        let out = self.is_disabled(listed.server) && listed.state == ServerState::Ready;
+        let born = match self.enabled.get(&listed.server) {
+            Some(back) if listed.started_at < back.disabled_at => back.enabled_at,
             _ => listed.started_at,
         };
         ServerEntry {
