--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -9,11 +9,11 @@
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Snapshot;
-use shorewharf_snapshot::choice::choose;
-use shorewharf_snapshot::folder::Folder;
-use shorewharf_snapshot::judge::{Asks, later};
-use shorewharf_snapshot::record::{Head, Line, VERSION};
-use shorewharf_snapshot::writer::Writer;
+use shorewharf_snapshot::folder::SnapshotFolder;
+use shorewharf_snapshot::record::{Header, Line, VERSION};
+use shorewharf_snapshot::selection::{RejectedSnapshot, SelectedSnapshot, select};
+use shorewharf_snapshot::validation::{RestoreCriteria, newer_list};
+use shorewharf_snapshot::writer::SnapshotWriter;
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use tracing::{debug, info, warn};
 
@@ -61,7 +61,7 @@
 /// The folder of one worker.
 #[derive(Debug)]
 pub struct Keeping {
-    writer: Writer<SnapshotEntry>,
+    writer: SnapshotWriter<SnapshotEntry>,
     every: Micros,
     balancer: String,
     worker: usize,
@@ -89,9 +89,9 @@
 ) -> Option<(Keeping, Option<(Memory, EndpointList)>)> {
     let set = &config.operator.snapshot;
     let path = set.folder.as_ref()?;
-    let opened = Folder::open(path, worker, set.keep).and_then(|folder| {
+    let opened = SnapshotFolder::open(path, worker, set.keep).and_then(|folder| {
         let found = find(&folder, config, set, (worker, workers))?;
-        Ok((Writer::start(folder)?, found))
+        Ok((SnapshotWriter::start(folder)?, found))
     });
     let (writer, found) =
         opened.inspect_err(|e| warn!(event = "no-snapshots", folder = %path.display(), error = %e)).ok()?;
@@ -107,24 +107,25 @@
 }
 
 fn find(
-    folder: &Folder,
+    folder: &SnapshotFolder,
     config: &Config,
     set: &Snapshot,
     (worker, workers): (usize, usize),
 ) -> io::Result<Option<(Memory, EndpointList)>> {
-    let (balancer, now, oldest, list) =
+    let (balancer, now, max_age, list) =
         (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
-    let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
-    for (path, why) in &choice.left {
-        warn!(event = "snapshot-left-aside", file = %path.display(), %why);
+    let criteria = RestoreCriteria { balancer, worker, worker_count: workers, now, max_age, list };
+    let selection = select(folder, &criteria)?;
+    for RejectedSnapshot { path, cause } in &selection.rejected {
+        warn!(event = "snapshot-left-aside", file = %path.display(), why = %cause);
     }
-    Ok(choice.taken.map(|(path, record, _)| {
-        if record.unknown > 0 {
-            warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown);
+    Ok(selection.selected.map(|SelectedSnapshot { path, record, .. }| {
+        if record.unknown_lines > 0 {
+            warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown_lines);
         }
         let from = path.display().to_string();
-        let memory = Memory { learned: record.known, taken: record.head.taken, away: true, from };
-        (memory, later(list, &record.list).clone())
+        let memory = Memory { learned: record.entries, taken: record.header.taken_at, away: true, from };
+        (memory, newer_list(list, &record.list).clone())
     }))
 }
 
@@ -135,7 +136,7 @@
             return;
         }
         let now = event_loop.context.now;
-        match self.writer.told() {
+        match self.writer.take_result() {
             Some(Ok(lines)) => {
                 self.fails = false;
                 debug!(event = "snapshot-written", lines, ms = (now - self.began) / 1000);
@@ -162,8 +163,15 @@
         if self.at.is_none() && self.writer.is_idle() {
             self.began = event_loop.context.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
-            let (taken, index) = (unix(), event_loop.discovery.index());
-            self.writer.begin(Head { snapshot: VERSION, balancer, worker, workers, taken, index });
+            let (taken_at, list_index) = (unix(), event_loop.discovery.index());
+            self.writer.begin(Header {
+                version: VERSION,
+                balancer,
+                worker,
+                worker_count: workers,
+                taken_at,
+                list_index,
+            });
             self.at = Some(At::Servers(None));
         }
         if let Some(at) = self.at.take() {
@@ -194,13 +202,13 @@
             At::Known(cursor) => {
                 let mut learned = Vec::new();
                 let cursor = gate.recollect(cursor, THINGS, &mut learned);
-                lines.extend(learned.into_iter().map(Line::Known));
+                lines.extend(learned.into_iter().map(Line::State));
                 (cursor != ExportCursor::End).then_some(At::Known(cursor))
             }
         };
-        self.writer.lines(lines);
+        self.writer.write(lines);
         if self.at.is_none() {
-            self.writer.end();
+            self.writer.finish();
         }
     }
 }
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -15,7 +15,7 @@
 use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Operator;
-use shorewharf_snapshot::record::{Encoder, Head, Line, VERSION, decode};
+use shorewharf_snapshot::record::{Encoder, Header, Line, VERSION, decode};
 
 /// Servers that are listed where a record is recalled.
 const SERVERS: u64 = 5;
@@ -73,10 +73,10 @@
 }
 
 fn record(lines: &[Value]) -> Vec<u8> {
-    let head = Head { snapshot: VERSION, balancer: "n1".into(), workers: 1, ..Head::default() };
-    let mut encoder = Encoder::begin(Vec::new(), &head).expect("memory");
-    lines.iter().for_each(|line| encoder.line(&Line::Known(line)).expect("memory"));
-    encoder.end().expect("memory").0
+    let header = Header { version: VERSION, balancer: "n1".into(), worker_count: 1, ..Header::default() };
+    let mut encoder = Encoder::begin(Vec::new(), &header).expect("memory");
+    lines.iter().for_each(|line| encoder.write_line(&Line::State(line)).expect("memory"));
+    encoder.finish().expect("memory").0
 }
 
 /// A first record, of an instance that has learned of everything.
@@ -147,7 +147,7 @@
     }
 
     fn lines(&mut self, bytes: &[u8]) -> Vec<Value> {
-        let mut lines: Vec<Value> = decode::<Value>(bytes).map(|r| r.known).unwrap_or_default();
+        let mut lines: Vec<Value> = decode::<Value>(bytes).map(|record| record.entries).unwrap_or_default();
         for _ in 0..1 + self.below(6) {
             if lines.is_empty() {
                 break;
@@ -170,8 +170,8 @@
 /// Recalls a record and goes on from there; what came of it, roughly.
 fn play(bytes: &[u8], past: f64) -> Result<String, String> {
     let record = decode::<SnapshotEntry>(bytes).map_err(|e| e.to_string())?;
-    let (mut gate, unknown) = (gate(), record.unknown);
-    let recalled = gate.recall(100.3, past, true, record.known);
+    let (mut gate, unknown) = (gate(), record.unknown_lines);
+    let recalled = gate.recall(100.3, past, true, record.entries);
     let mut timers = Vec::new();
     let mut answered = BTreeSet::new();
     for id in 20..28 {
--- a/crates/recovery/tests/snapshot_format.rs
+++ b/crates/recovery/tests/snapshot_format.rs
@@ -5,19 +5,19 @@
 use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
 use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::snapshot_state::{LoadModel, ServerCapacity, SnapshotEntry};
-use shorewharf_snapshot::record::{Encoder, Head, Line, VERSION, decode};
+use shorewharf_snapshot::record::{Encoder, Header, Line, VERSION, decode};
 
 const STORED: &[u8] = include_bytes!("fixtures/every-line.snapshot");
 
 /// A record that holds every kind of line, with every optional field both set and unset.
-fn record() -> (Head, Vec<Line<SnapshotEntry>>) {
-    let head = Head {
-        snapshot: VERSION,
+fn record() -> (Header, Vec<Line<SnapshotEntry>>) {
+    let header = Header {
+        version: VERSION,
         balancer: "n1".into(),
         worker: 1,
-        workers: 4,
-        taken: 1_800_000_000,
-        index: 7,
+        worker_count: 4,
+        taken_at: 1_800_000_000,
+        list_index: 7,
     };
     let endpoint = json!({"name": "s-1", "address": "127.0.0.1:1", "zone": "z", "type": "large", "group": 3,
         "status": "Ready", "weight": 2.5, "since_ms": 12.5});
@@ -72,18 +72,18 @@
             excluded_until: None,
         }),
     ];
-    let known = known.into_iter().map(SnapshotEntry::Balancer).chain(learned).map(Line::Known);
-    (head, std::iter::once(Line::Endpoint(endpoint)).chain(known).collect())
+    let known = known.into_iter().map(SnapshotEntry::Balancer).chain(learned).map(Line::State);
+    (header, std::iter::once(Line::Endpoint(endpoint)).chain(known).collect())
 }
 
 #[test]
 fn a_record_is_written_byte_for_byte_as_stored_ones_are() {
-    let (head, lines) = record();
-    let mut encoder = Encoder::begin(Vec::new(), &head).expect("memory");
+    let (header, lines) = record();
+    let mut encoder = Encoder::begin(Vec::new(), &header).expect("memory");
     for line in &lines {
-        encoder.line(line).expect("memory");
+        encoder.write_line(line).expect("memory");
     }
-    let (written, count) = encoder.end().expect("memory");
+    let (written, count) = encoder.finish().expect("memory");
     assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(STORED));
     assert_eq!((count, VERSION), (11, 1));
 }
@@ -91,14 +91,14 @@
 #[test]
 fn a_stored_record_is_read_back_as_what_was_written() {
     let stored = decode::<SnapshotEntry>(STORED).expect("a good record");
-    let (head, lines) = record();
-    let (mut endpoints, mut known) = (Vec::new(), Vec::new());
+    let (header, lines) = record();
+    let (mut endpoints, mut entries) = (Vec::new(), Vec::new());
     for line in lines {
         match line {
             Line::Endpoint(endpoint) => endpoints.push(endpoint),
-            Line::Known(learned) => known.push(learned),
+            Line::State(entry) => entries.push(entry),
         }
     }
-    assert_eq!((stored.list.index, stored.list.snapshot, stored.unknown), (head.index, true, 0));
-    assert_eq!((stored.head, stored.list.endpoints, stored.known), (head, endpoints, known));
+    assert_eq!((stored.list.index, stored.list.snapshot, stored.unknown_lines), (header.list_index, true, 0));
+    assert_eq!((stored.header, stored.list.endpoints, stored.entries), (header, endpoints, entries));
 }
--- a/crates/snapshot/src/folder.rs
+++ b/crates/snapshot/src/folder.rs
@@ -1,5 +1,7 @@
-//! A folder with a few generations of records. Each is made whole under another name and then renamed, so a name that
-//! ends as a record's does was written to its end; what a crash of the machine does to it all the same is found by its sum.
+//! A folder with a few generations of records.
+//!
+//! Each record is written under another name and then renamed, so that a file with a record's name was written to its
+//! end; what a crash of the machine does to it all the same is found by its checksum.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufWriter};
@@ -9,44 +11,50 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::record::{Encoder, Head, LARGEST, Line, Record, Unreadable, decode};
+use crate::record::{DecodeError, Encoder, Header, Line, MAX_RECORD_BYTES, Record, decode};
 
-/// What a record's name ends with.
-const WHOLE: &str = ".snapshot";
+/// The extension of a complete record's name.
+const EXTENSION: &str = ".snapshot";
+/// Access to the folder for its owner alone.
+const FOLDER_MODE: u32 = 0o700;
+/// Access to a record for its owner alone.
+const FILE_MODE: u32 = 0o600;
 
-/// Where the records of one worker are.
+/// The folder with the records of one worker.
 #[derive(Clone, Debug)]
-pub struct Folder {
+pub struct SnapshotFolder {
     path: PathBuf,
     worker: usize,
-    keep: usize,
+    generations: usize,
 }
 
-impl Folder {
-    /// The folder, made for its owner alone where it is missing; so many generations are kept.
+impl SnapshotFolder {
+    /// Opens the folder, and makes it for its owner alone where it is missing. So many generations are kept.
     ///
     /// # Errors
-    /// Where it can't be made.
-    pub fn open(path: &Path, worker: usize, keep: usize) -> io::Result<Folder> {
-        fs::DirBuilder::new().recursive(true).mode(0o700).create(path)?;
-        Ok(Folder { path: path.to_owned(), worker, keep: keep.max(1) })
+    ///
+    /// Returns an error if the folder can't be made.
+    pub fn open(path: &Path, worker: usize, generations: usize) -> io::Result<SnapshotFolder> {
+        fs::DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(path)?;
+        Ok(SnapshotFolder { path: path.to_owned(), worker, generations: generations.max(1) })
     }
 
     fn prefix(&self) -> String {
         format!("worker-{}.", self.worker)
     }
 
-    /// Records that are there, the latest first.
+    /// Paths of the complete records, the latest first.
     ///
     /// # Errors
-    /// Where the folder can't be read.
+    ///
+    /// Returns an error if the folder can't be read.
     pub fn records(&self) -> io::Result<Vec<PathBuf>> {
         let prefix = self.prefix();
         let mut names = Vec::new();
         for file in fs::read_dir(&self.path)? {
             if let Ok(name) = file?.file_name().into_string()
                 && name.starts_with(&prefix)
-                && name.ends_with(WHOLE)
+                && name.ends_with(EXTENSION)
             {
                 names.push(name);
             }
@@ -56,58 +64,64 @@
         Ok(names.into_iter().map(|name| self.path.join(name)).collect())
     }
 
-    /// Begins a record. Its name is not a whole one's until [`Folder::end`].
+    /// Begins a record. Its file does not have a record's name until [`SnapshotFolder::commit`].
     ///
     /// # Errors
-    /// Where it can't be made or written.
-    pub fn begin(&self, head: &Head) -> io::Result<Writing> {
+    ///
+    /// Returns an error if the file can't be made or written.
+    pub fn begin(&self, header: &Header) -> io::Result<PartialRecord> {
         let path = self.path.join(format!("{}{}.part", self.prefix(), std::process::id()));
-        let file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&path)?;
-        let name = format!("{}{:020}{WHOLE}", self.prefix(), head.taken);
-        // From here on what fails leaves nothing behind.
-        let mut writing = Writing { encoder: None, path, name };
-        writing.encoder = Some(Encoder::begin(BufWriter::new(file), head)?);
-        Ok(writing)
+        let file = OpenOptions::new().write(true).create(true).truncate(true).mode(FILE_MODE).open(&path)?;
+        let name = format!("{}{:020}{EXTENSION}", self.prefix(), header.taken_at);
+        // Dropped at an error from here on, it removes its file.
+        let mut partial = PartialRecord { encoder: None, path, name };
+        partial.encoder = Some(Encoder::begin(BufWriter::new(file), header)?);
+        Ok(partial)
     }
 
-    /// Ends a record: it is on the disk, and in the folder, before those that are more than enough go. How many lines
-    /// it holds.
+    /// Ends a record: it is on the disk, and in the folder, before older generations are removed. Returns how many
+    /// lines it holds.
     ///
     /// # Errors
-    /// Where it can't be written; nothing of the generations before it has changed then.
-    pub fn end(&self, mut writing: Writing) -> io::Result<u64> {
-        let Some(encoder) = writing.encoder.take() else { return Ok(0) };
-        let (file, lines) = encoder.end()?;
+    ///
+    /// Returns an error if the record can't be written; no earlier generation has changed then.
+    pub fn commit(&self, mut partial: PartialRecord) -> io::Result<u64> {
+        let Some(encoder) = partial.encoder.take() else { return Ok(0) };
+        let (file, lines) = encoder.finish()?;
         file.into_inner().map_err(io::IntoInnerError::into_error)?.sync_all()?;
-        let there = std::mem::take(&mut writing.path);
-        fs::rename(&there, self.path.join(&writing.name)).inspect_err(|_| drop(fs::remove_file(&there)))?;
+        let path = std::mem::take(&mut partial.path);
+        fs::rename(&path, self.path.join(&partial.name)).inspect_err(|_| drop(fs::remove_file(&path)))?;
         File::open(&self.path)?.sync_all()?;
-        for old in self.records()?.into_iter().skip(self.keep) {
-            // Another process of this balancer may have been faster.
+        for old in self.records()?.into_iter().skip(self.generations) {
+            // Another process of this balancer may have removed it already.
             let _ = fs::remove_file(old);
         }
         Ok(lines)
     }
 }
 
-/// A record that is being written. Dropped before its end, it leaves nothing behind.
-pub struct Writing {
+/// A record that is being written. Dropped before its commit, it leaves nothing behind.
+pub struct PartialRecord {
     encoder: Option<Encoder<BufWriter<File>>>,
     path: PathBuf,
     name: String,
 }
 
-impl Writing {
+impl PartialRecord {
     /// Writes one more line.
     ///
     /// # Errors
-    /// Where it can't be written.
-    pub fn line<T: Serialize>(&mut self, line: &Line<T>) -> io::Result<()> {
-        self.encoder.as_mut().map_or(Ok(()), |encoder| encoder.line(line))
+    ///
+    /// Returns an error if the line can't be written.
+    pub fn write_line<T: Serialize>(&mut self, line: &Line<T>) -> io::Result<()> {
+        match &mut self.encoder {
+            Some(encoder) => encoder.write_line(line),
+            None => Ok(()),
+        }
     }
 }
 
-impl Drop for Writing {
+impl Drop for PartialRecord {
     fn drop(&mut self) {
         if !self.path.as_os_str().is_empty() {
             let _ = fs::remove_file(&self.path);
@@ -118,11 +132,12 @@
 /// Reads a record.
 ///
 /// # Errors
-/// Where it can't be read, or is not what was written.
-pub fn read<T: DeserializeOwned>(path: &Path) -> Result<Record<T>, Unreadable> {
+///
+/// Returns an error if the file can't be read, or is not what was written.
+pub fn read<T: DeserializeOwned>(path: &Path) -> Result<Record<T>, DecodeError> {
     let length = fs::metadata(path)?.len();
-    if length > LARGEST {
-        return Err(Unreadable::TooLarge(length));
+    if length > MAX_RECORD_BYTES {
+        return Err(DecodeError::TooLarge(length));
     }
     decode(&fs::read(path)?)
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,10 +1,13 @@
-//! What a balancer knows, kept over its end. A [`record`] is text: a head, a line for each thing that is known, and a
-//! last line with a checksum over all before it. A [`folder`] holds a few generations of them; a [`writer`] on a thread
-//! of its own writes them, so that no loop waits for a disk. Whether a record may be believed is [`judge`]d by its head
-//! alone; what of it still holds is for those to say who learned it. None of it knows what the things are.
+//! Snapshots: the learned state of a balancer, kept across restarts.
+//!
+//! A [`record`] is text: a header, a line for each entry of state, and a last line with a checksum over all before it. A
+//! [`folder`] holds a few generations of records; a [`writer`] writes them on a thread of its own, so that no event loop
+//! waits for a disk. Whether a record may be used at all is decided by its header and its endpoint list
+//! ([`validation`]), and the latest usable one is found by [`selection`]. What of its state still holds is for those to
+//! say who exported it: nothing here knows what the entries mean.
 
-pub mod choice;
 pub mod folder;
-pub mod judge;
 pub mod record;
+pub mod selection;
+pub mod validation;
 pub mod writer;
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes records on a thread of its own: a loop hands it portions and never waits for the disk.
+//! Writes records on a thread of its own: an event loop hands it portions and never waits for the disk.
 
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, TryRecvError, channel};
@@ -6,118 +6,127 @@
 
 use serde::Serialize;
 
-use crate::folder::{Folder, Writing};
-use crate::record::{Head, Line};
+use crate::folder::{PartialRecord, SnapshotFolder};
+use crate::record::{Header, Line};
 
+/// What the thread is asked to do.
 #[derive(Debug)]
-enum Job<T> {
-    Begin(Box<Head>),
-    Lines(Vec<Line<T>>),
-    End,
+enum Command<T> {
+    Begin(Box<Header>),
+    Write(Vec<Line<T>>),
+    Finish,
 }
 
-/// The thread. Dropped, it ends what was handed to it and is waited for.
+/// The writing thread. Dropped, it finishes what was handed to it and is waited for.
 #[derive(Debug)]
-pub struct Writer<T: Serialize + Send + 'static> {
-    jobs: Option<Sender<Job<T>>>,
-    done: Receiver<io::Result<u64>>,
-    /// A record is begun, and what became of it has not been told.
-    busy: bool,
+pub struct SnapshotWriter<T: Serialize + Send + 'static> {
+    commands: Option<Sender<Command<T>>>,
+    results: Receiver<io::Result<u64>>,
+    /// A record is begun, and its result was not fetched.
+    is_busy: bool,
     thread: Option<JoinHandle<()>>,
 }
 
-impl<T: Serialize + Send + 'static> Writer<T> {
-    /// Starts it.
+impl<T: Serialize + Send + 'static> SnapshotWriter<T> {
+    /// Starts the thread.
     ///
     /// # Errors
-    /// Where there can be no thread.
-    pub fn start(folder: Folder) -> io::Result<Self> {
-        let (jobs, work) = channel();
-        let (tell, done) = channel();
+    ///
+    /// Returns an error if the system gives no thread.
+    pub fn start(folder: SnapshotFolder) -> io::Result<Self> {
+        let (commands, received) = channel();
+        let (finished, results) = channel();
         let run = move || {
-            let mut writing = Ok(None);
-            while let Ok(job) = work.recv() {
-                if let Some(told) = step(&folder, &mut writing, job)
-                    && tell.send(told).is_err()
+            let mut record = Ok(None);
+            while let Ok(command) = received.recv() {
+                if let Some(result) = execute(&folder, &mut record, command)
+                    && finished.send(result).is_err()
                 {
                     return;
                 }
             }
         };
         let thread = Some(Builder::new().name("snapshot".into()).spawn(run)?);
-        Ok(Writer { jobs: Some(jobs), done, busy: false, thread })
+        Ok(SnapshotWriter { commands: Some(commands), results, is_busy: false, thread })
     }
 
-    fn tell(&self, job: Job<T>) {
-        // A thread that is gone tells of it by its silence.
-        if let Some(jobs) = &self.jobs {
-            let _ = jobs.send(job);
+    fn send(&self, command: Command<T>) {
+        // That the thread has ended shows when its result is fetched.
+        if let Some(commands) = &self.commands {
+            let _ = commands.send(command);
         }
     }
 
-    /// Begins a record; only where [`Writer::is_idle`], so that no more than one record is held in memory.
-    pub fn begin(&mut self, head: Head) {
-        self.busy = true;
-        self.tell(Job::Begin(Box::new(head)));
+    /// Begins a record; only where [`SnapshotWriter::is_idle`], so that no more than one record is held in memory.
+    pub fn begin(&mut self, header: Header) {
+        self.is_busy = true;
+        self.send(Command::Begin(Box::new(header)));
     }
 
-    /// Hands it a portion.
-    pub fn lines(&self, lines: Vec<Line<T>>) {
-        self.tell(Job::Lines(lines));
+    /// Writes some lines.
+    pub fn write(&self, lines: Vec<Line<T>>) {
+        self.send(Command::Write(lines));
     }
 
-    /// That was all of the record.
-    pub fn end(&self) {
-        self.tell(Job::End);
+    /// Ends the record.
+    pub fn finish(&self) {
+        self.send(Command::Finish);
     }
 
     /// Whether a record can be begun.
     pub fn is_idle(&self) -> bool {
-        !self.busy
+        !self.is_busy
     }
 
-    /// What became of the record that was begun last, once that is known, which is told once: how many lines it holds.
-    pub fn told(&mut self) -> Option<io::Result<u64>> {
-        match self.done.try_recv() {
-            Ok(told) => {
-                self.busy = false;
-                Some(told)
+    /// Fetches the result of the record that was begun last, once it is there: how many lines it holds. Each result is
+    /// returned once.
+    pub fn take_result(&mut self) -> Option<io::Result<u64>> {
+        match self.results.try_recv() {
+            Ok(result) => {
+                self.is_busy = false;
+                Some(result)
             }
             Err(TryRecvError::Empty) => None,
             Err(TryRecvError::Disconnected) => {
-                let first = std::mem::replace(&mut self.busy, false);
-                first.then(|| Err(io::Error::other("the thread that writes is gone")))
+                let was_busy = std::mem::replace(&mut self.is_busy, false);
+                was_busy.then(|| Err(io::Error::other("the thread that writes is gone")))
             }
         }
     }
 }
 
-/// Carries out a job; tells what became of a record that is over.
-fn step<T: Serialize>(
-    folder: &Folder,
-    writing: &mut io::Result<Option<Writing>>,
-    job: Job<T>,
+/// Executes a command; returns the result of a record that is finished.
+fn execute<T: Serialize>(
+    folder: &SnapshotFolder,
+    record: &mut io::Result<Option<PartialRecord>>,
+    command: Command<T>,
 ) -> Option<io::Result<u64>> {
-    match job {
-        Job::Begin(head) => *writing = folder.begin(&head).map(Some),
-        Job::Lines(lines) => {
-            if let Ok(Some(record)) = writing
-                && let Err(e) = lines.iter().try_for_each(|line| record.line(line))
+    match command {
+        Command::Begin(header) => *record = folder.begin(&header).map(Some),
+        Command::Write(lines) => {
+            if let Ok(Some(partial)) = record
+                && let Err(error) = lines.iter().try_for_each(|line| partial.write_line(line))
             {
-                *writing = Err(e);
+                *record = Err(error);
             }
         }
-        Job::End => {
-            let over = std::mem::replace(writing, Ok(None));
-            return Some(over.and_then(|record| record.map_or(Ok(0), |record| folder.end(record))));
-        }
+        Command::Finish => return Some(finish(folder, std::mem::replace(record, Ok(None)))),
     }
     None
 }
 
-impl<T: Serialize + Send + 'static> Drop for Writer<T> {
+fn finish(folder: &SnapshotFolder, record: io::Result<Option<PartialRecord>>) -> io::Result<u64> {
+    match record? {
+        Some(partial) => folder.commit(partial),
+        None => Ok(0),
+    }
+}
+
+impl<T: Serialize + Send + 'static> Drop for SnapshotWriter<T> {
     fn drop(&mut self) {
-        self.jobs = None;
-        self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
+        self.commands = None;
+        if let Some(thread) = self.thread.take() {
+            drop(thread.join());
+        }
     }
 }
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -8,11 +8,11 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use shorewharf_protocol::endpoint_list::EndpointList;
-use shorewharf_snapshot::choice::{Why, choose};
-use shorewharf_snapshot::folder::Folder;
-use shorewharf_snapshot::judge::{Aside, Asks, judge, later};
-use shorewharf_snapshot::record::{Encoder, Head, Line, Unreadable, VERSION, decode};
-use shorewharf_snapshot::writer::Writer;
+use shorewharf_snapshot::folder::SnapshotFolder;
+use shorewharf_snapshot::record::{DecodeError, Encoder, Header, Line, VERSION, decode};
+use shorewharf_snapshot::selection::{RejectionCause, SelectedSnapshot, select};
+use shorewharf_snapshot::validation::{RestoreCriteria, ValidationError, newer_list, validate};
+use shorewharf_snapshot::writer::SnapshotWriter;
 
 const NOW: u64 = 1_800_000_000_000_000;
 
@@ -29,8 +29,8 @@
     EndpointList { index, snapshot: true, endpoints }
 }
 
-fn head(taken: u64) -> Head {
-    Head { snapshot: VERSION, balancer: "n1".into(), worker: 0, workers: 1, taken, index: 7 }
+fn header(taken_at: u64) -> Header {
+    Header { version: VERSION, balancer: "n1".into(), worker: 0, worker_count: 1, taken_at, list_index: 7 }
 }
 
 fn things() -> Vec<Thing> {
@@ -39,39 +39,39 @@
 
 fn lines() -> Vec<Line<Thing>> {
     let endpoints = list(7, 0..3).endpoints.into_iter().map(Line::Endpoint);
-    endpoints.chain(things().into_iter().map(Line::Known)).collect()
+    endpoints.chain(things().into_iter().map(Line::State)).collect()
 }
 
-fn written(head: &Head, lines: &[Line<impl Serialize>]) -> Vec<u8> {
-    let mut encoder = Encoder::begin(Vec::new(), head).expect("memory");
-    lines.iter().for_each(|line| encoder.line(line).expect("memory"));
-    encoder.end().expect("memory").0
+fn written(header: &Header, lines: &[Line<impl Serialize>]) -> Vec<u8> {
+    let mut encoder = Encoder::begin(Vec::new(), header).expect("memory");
+    lines.iter().for_each(|line| encoder.write_line(line).expect("memory"));
+    encoder.finish().expect("memory").0
 }
 
-fn asks(list: &EndpointList) -> Asks<'_> {
-    Asks { balancer: "n1", worker: 0, workers: 1, now: NOW, oldest: 600_000_000, list }
+fn criteria(list: &EndpointList) -> RestoreCriteria<'_> {
+    RestoreCriteria { balancer: "n1", worker: 0, worker_count: 1, now: NOW, max_age: 600_000_000, list }
 }
 
 /// Writes a record as the program does.
-fn put(folder: &Folder, head: &Head) {
-    let mut writing = folder.begin(head).expect("a file");
-    lines().iter().for_each(|line| writing.line(line).expect("room"));
-    folder.end(writing).expect("room");
+fn put(folder: &SnapshotFolder, header: &Header) {
+    let mut partial = folder.begin(header).expect("a file");
+    lines().iter().for_each(|line| partial.write_line(line).expect("room"));
+    folder.commit(partial).expect("room");
 }
 
 #[test]
 fn a_record_is_read_as_it_was_written_and_words_of_another_program_are_passed_over() {
-    let record = decode::<Thing>(&written(&head(NOW), &lines())).expect("good");
-    assert_eq!((record.head, record.known, record.unknown), (head(NOW), things(), 0));
+    let record = decode::<Thing>(&written(&header(NOW), &lines())).expect("good");
+    assert_eq!((record.header, record.entries, record.unknown_lines), (header(NOW), things(), 0));
     assert_eq!(record.list, list(7, 0..3));
-    let newer = [json!({"mean": 0.5}), json!({"tide": 3}), json!({"mean": "x"})].map(Line::Known);
-    let record = decode::<Thing>(&written(&head(NOW), &newer)).expect("good");
-    assert_eq!((record.known, record.unknown), (vec![Thing::Mean(0.5)], 2));
+    let newer = [json!({"mean": 0.5}), json!({"tide": 3}), json!({"mean": "x"})].map(Line::State);
+    let record = decode::<Thing>(&written(&header(NOW), &newer)).expect("good");
+    assert_eq!((record.entries, record.unknown_lines), (vec![Thing::Mean(0.5)], 2));
 }
 
 #[test]
 fn every_byte_changed_and_every_cut_is_found_and_told() {
-    let whole = written(&head(NOW), &lines());
+    let whole = written(&header(NOW), &lines());
     for at in 0..whole.len() {
         for change in [0x01, 0x20, 0x80, 0xff] {
             let mut bad = whole.clone();
@@ -89,8 +89,8 @@
 
 #[test]
 fn another_version_is_told_by_its_number_whatever_else_it_says() {
-    let later = written(&Head { snapshot: 9, ..self::head(NOW) }, &lines());
-    assert!(matches!(decode::<Thing>(&later), Err(Unreadable::Version(9))));
+    let later = written(&Header { version: 9, ..header(NOW) }, &lines());
+    assert!(matches!(decode::<Thing>(&later), Err(DecodeError::UnsupportedVersion(9))));
     assert_eq!(
         decode::<Thing>(&later).expect_err("9").to_string(),
         "line 1: version 9, and this program reads 1"
@@ -100,34 +100,37 @@
 #[test]
 fn what_is_anothers_old_or_from_the_future_is_left_aside_with_a_reason() {
     let list = list(3, 0..3);
-    let asks = asks(&list);
-    assert_eq!(judge(&head(NOW - 9), &list, &asks), Ok(9));
-    assert_eq!(judge(&head(NOW + 4_000_000), &list, &asks), Ok(0), "clocks differ a little");
-    let said = |head: Head| judge(&head, &list, &asks).expect_err("left aside").to_string();
-    assert_eq!(said(head(NOW + 60_000_000)), "it is 60 s from the future");
-    assert_eq!(said(head(NOW - 601_000_000)), "it is 601 s old, and 600 s at most are believed");
-    assert_eq!(said(Head { balancer: "n2".into(), ..head(NOW) }), "it is of balancer 'n2'");
-    assert_eq!(said(Head { workers: 4, ..head(NOW) }), "it is of worker 0 of 4");
+    let criteria = criteria(&list);
+    assert_eq!(validate(&header(NOW - 9), &list, &criteria), Ok(9));
+    assert_eq!(validate(&header(NOW + 4_000_000), &list, &criteria), Ok(0), "clocks differ a little");
+    let error = |header: Header| validate(&header, &list, &criteria).expect_err("left aside").to_string();
+    assert_eq!(error(header(NOW + 60_000_000)), "it is 60 s from the future");
+    assert_eq!(error(header(NOW - 601_000_000)), "it is 601 s old, and 600 s at most are believed");
+    assert_eq!(error(Header { balancer: "n2".into(), ..header(NOW) }), "it is of balancer 'n2'");
+    assert_eq!(error(Header { worker_count: 4, ..header(NOW) }), "it is of worker 0 of 4");
     let others = self::list(3, 2..9);
-    let other = Asks { list: &others, ..asks };
-    assert_eq!(judge(&head(NOW), &list, &other), Err(Aside::Fleet { here: 1, known: 7 }));
+    let other = RestoreCriteria { list: &others, ..criteria };
+    assert_eq!(
+        validate(&header(NOW), &list, &other),
+        Err(ValidationError::OtherFleet { found: 1, listed: 7 })
+    );
 }
 
 #[test]
 fn the_later_list_is_the_one_to_start_with() {
     let (own, newer, empty) = (list(5, 0..3), list(7, 0..2), list(9, 0..0));
-    assert_eq!(later(&own, &newer).index, 7);
-    assert_eq!(later(&newer, &own).index, 7);
-    assert_eq!(later(&own, &empty).index, 5, "a list of nobody says nothing");
+    assert_eq!(newer_list(&own, &newer).index, 7);
+    assert_eq!(newer_list(&newer, &own).index, 7);
+    assert_eq!(newer_list(&own, &empty).index, 5, "a list of nobody says nothing");
 }
 
 #[test]
 fn a_damaged_generation_is_named_and_the_one_before_is_taken() {
     let place = tempfile::tempdir().expect("a folder");
-    let folder = Folder::open(&place.path().join("deep/er"), 0, 3).expect("a folder");
-    assert!(choose::<Thing>(&folder, &asks(&list(1, 0..3))).expect("empty").taken.is_none());
+    let folder = SnapshotFolder::open(&place.path().join("deep/er"), 0, 3).expect("a folder");
+    assert!(select::<Thing>(&folder, &criteria(&list(1, 0..3))).expect("empty").selected.is_none());
     for age in [5, 4, 3, 2, 1] {
-        put(&folder, &head(NOW - age * 1_000_000));
+        put(&folder, &header(NOW - age * 1_000_000));
     }
     let records = folder.records().expect("a folder");
     assert_eq!(records.len(), 3, "three generations are kept");
@@ -140,50 +143,54 @@
     // A process that was killed while it wrote.
     fs::write(place.path().join("deep/er/worker-0.77.part"), b"{\"snapshot\":1").expect("a file");
     let known = list(1, 0..3);
-    let choice = choose::<Thing>(&folder, &asks(&known)).expect("a folder");
-    let (path, record, age) = choice.taken.expect("the third");
-    assert_eq!((path, record.known, age), (records[2].clone(), things(), 3_000_000));
-    let left: Vec<_> = choice.left.iter().map(|(path, why)| (path.clone(), why.to_string())).collect();
+    let selection = select::<Thing>(&folder, &criteria(&known)).expect("a folder");
+    let SelectedSnapshot { path, record, age } = selection.selected.expect("the third");
+    assert_eq!((path, record.entries, age), (records[2].clone(), things(), 3_000_000));
+    let left: Vec<_> = selection
+        .rejected
+        .iter()
+        .map(|rejected| (rejected.path.clone(), rejected.cause.to_string()))
+        .collect();
     assert_eq!((left.len(), &left[0].0, &left[1].0), (2, &records[0], &records[1]));
     assert!(left[0].1.contains("cut off") && left[1].1.contains("the sum is"), "{left:?}");
-    assert!(matches!(choice.left[0].1, Why::Unreadable(_)));
+    assert!(matches!(selection.rejected[0].cause, RejectionCause::Unreadable(_)));
 }
 
 #[test]
 fn a_disk_that_is_full_is_an_error_and_changes_nothing() {
     let full = fs::OpenOptions::new().write(true).open("/dev/full").expect("Linux");
-    let begun = Encoder::begin(io::BufWriter::new(full), &head(NOW));
+    let begun = Encoder::begin(io::BufWriter::new(full), &header(NOW));
     let why = begun.and_then(|mut encoder| {
-        lines().iter().try_for_each(|line| encoder.line(line))?;
-        encoder.end().map(drop)
+        lines().iter().try_for_each(|line| encoder.write_line(line))?;
+        encoder.finish().map(drop)
     });
     assert_eq!(why.expect_err("full").kind(), io::ErrorKind::StorageFull);
     // In a folder: the part goes to a full device, the generations before stay, nothing is left over.
     let place = tempfile::tempdir().expect("a folder");
-    let folder = Folder::open(place.path(), 0, 2).expect("a folder");
-    put(&folder, &head(NOW - 1));
+    let folder = SnapshotFolder::open(place.path(), 0, 2).expect("a folder");
+    put(&folder, &header(NOW - 1));
     let part = place.path().join(format!("worker-0.{}.part", std::process::id()));
     std::os::unix::fs::symlink("/dev/full", &part).expect("a link");
-    let mut writer = Writer::start(folder.clone()).expect("a thread");
-    writer.begin(head(NOW));
-    writer.lines(lines());
-    writer.end();
-    assert_eq!(told(&mut writer).expect_err("full").kind(), io::ErrorKind::StorageFull);
+    let mut writer = SnapshotWriter::start(folder.clone()).expect("a thread");
+    writer.begin(header(NOW));
+    writer.write(lines());
+    writer.finish();
+    assert_eq!(wait_for_result(&mut writer).expect_err("full").kind(), io::ErrorKind::StorageFull);
     assert_eq!((folder.records().expect("a folder").len(), part.exists()), (1, false));
     // Room again: the next one is written.
-    writer.begin(head(NOW + 1));
-    writer.lines(lines());
-    writer.end();
-    assert_eq!(told(&mut writer).expect("room"), 6);
+    writer.begin(header(NOW + 1));
+    writer.write(lines());
+    writer.finish();
+    assert_eq!(wait_for_result(&mut writer).expect("room"), 6);
     assert_eq!(folder.records().expect("a folder").len(), 2);
 }
 
-fn told(writer: &mut Writer<Thing>) -> io::Result<u64> {
+fn wait_for_result(writer: &mut SnapshotWriter<Thing>) -> io::Result<u64> {
     let began = std::time::Instant::now();
     loop {
-        if let Some(told) = writer.told() {
+        if let Some(result) = writer.take_result() {
             assert!(writer.is_idle());
-            return told;
+            return result;
         }
         assert!(began.elapsed().as_secs() < 60, "nothing is told");
         std::thread::yield_now();
@@ -193,18 +200,21 @@
 #[test]
 fn a_writer_that_is_dropped_ends_what_was_handed_to_it_and_leaves_out_what_has_no_end() {
     let place = tempfile::tempdir().expect("a folder");
-    let folder = Folder::open(place.path(), 3, 2).expect("a folder");
-    let mut writer = Writer::start(folder.clone()).expect("a thread");
-    writer.begin(head(NOW));
-    writer.lines(lines());
-    writer.end();
+    let folder = SnapshotFolder::open(place.path(), 3, 2).expect("a folder");
+    let mut writer = SnapshotWriter::start(folder.clone()).expect("a thread");
+    writer.begin(header(NOW));
+    writer.write(lines());
+    writer.finish();
     drop(writer);
-    let mut writer = Writer::<Thing>::start(folder.clone()).expect("a thread");
-    writer.begin(head(NOW + 1));
+    let mut writer = SnapshotWriter::<Thing>::start(folder.clone()).expect("a thread");
+    writer.begin(header(NOW + 1));
     drop(writer);
     let names = |path: &Path| fs::read_dir(path).expect("a folder").count();
     assert_eq!((folder.records().expect("a folder").len(), names(place.path())), (1, 1));
-    assert_eq!(Folder::open(place.path(), 0, 2).and_then(|f| f.records()).expect("a folder").len(), 0);
+    assert_eq!(
+        SnapshotFolder::open(place.path(), 0, 2).and_then(|f| f.records()).expect("a folder").len(),
+        0
+    );
 }
 
 proptest! {
@@ -215,7 +225,7 @@
         cuts in prop::collection::vec((0usize..400, 0usize..400, any::<bool>()), 1..4),
         noise in prop::collection::vec(any::<u8>(), 0..40),
     ) {
-        let whole = written(&head(NOW), &lines());
+        let whole = written(&header(NOW), &lines());
         // Pieces of a good record in another order, doubled, with noise between.
         let mut bytes = Vec::new();
         for (from, length, noisy) in cuts {
@@ -226,7 +236,7 @@
         }
         if let Ok(record) = decode::<Thing>(&bytes) {
             prop_assert_eq!(bytes, whole);
-            prop_assert_eq!(record.known, things());
+            prop_assert_eq!(record.entries, things());
         }
     }
 }
