--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -135,7 +135,7 @@
             server: h.server.0,
             group: h.group as u32,
             load: h.load.max(0.0) as f32,
-            open: u16::try_from(h.open).unwrap_or(u16::MAX),
+            open: u16::try_from(h.connections).unwrap_or(u16::MAX),
         };
         let out = self.gossip.due(turn.now, holds.into_iter().map(held).collect());
         if let Some(socket) = &self.socket {
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -1,6 +1,8 @@
 //! Tests of the module that these stand beside.
 
-use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
+use shorewharf_decisions::persistence::{
+    GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
+};
 use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::memory::{Bears, Loads};
 
@@ -49,29 +51,29 @@
 
 /// One of each thing that a module knows.
 fn learned() -> Vec<Learned> {
-    let place = Place { key: 11, server: 7, load: 0.75, until: 1_764_747_090.5 };
+    let place = ReservationRecord { key: 11, server: 7, load: 0.75, expires_at: 1_764_747_090.5 };
     vec![
-        Learned::Module(Known::Flow(Flow {
-            seen: 12.5,
-            rate: 3.25,
-            span: 4.5,
-            moves: 0.5,
-            mean: 1.75,
-            class_load: vec![0.25, 2.0],
-            pace: 40.5,
+        Learned::Module(StateRecord::Instance(InstanceRecord {
+            total_clients: 12.5,
+            arrivals: 3.25,
+            arrival_seconds: 4.5,
+            migration_credit: 0.5,
+            mean_load: 1.75,
+            class_loads: vec![0.25, 2.0],
+            setups_per_second: 40.5,
         })),
-        Learned::Module(Known::Server(KnownServer {
+        Learned::Module(StateRecord::Server(ServerRecord {
             server: 7,
-            born: 1_764_740_000.5,
+            started_at: 1_764_740_000.5,
             health: 0.875,
-            spent_until: 1_764_747_001.5,
-            locked: Some((1_764_747_002.5, 0.25)),
-            entries: 6.5,
-            drops: 1.5,
+            unavailable_until: 1_764_747_001.5,
+            quarantine: Some(QuarantineRecord { trial_at: 1_764_747_002.5, backoff: 0.25 }),
+            warm_up_admissions: 6.5,
+            recent_resets: 1.5,
         })),
-        Learned::Module(Known::Group { group: 9, seen: 2.5, last: Some(7) }),
-        Learned::Module(Known::Place(place)),
-        Learned::Module(Known::Stands(Place { key: 12, ..place })),
+        Learned::Module(StateRecord::Group(GroupRecord { group: 9, clients: 2.5, last_server: Some(7) })),
+        Learned::Module(StateRecord::Reservation(place)),
+        Learned::Module(StateRecord::Connection(ReservationRecord { key: 12, ..place })),
         Learned::Loads(Loads { mean: 1.5, loads: 20.5, work: -0.5, set_ups: 30.5 }),
         Learned::Bears(Bears {
             server: 7,
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -46,7 +46,8 @@
         let age = now.saturating_sub(self.taken);
         let recalled =
             gate.recall(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
-        let (taken, outdated, faded, odd) = (recalled.taken, recalled.outdated, recalled.faded, recalled.odd);
+        let (taken, outdated) = (recalled.restored, recalled.outdated);
+        let (faded, odd) = (recalled.expired, recalled.invalid);
         info!(event = "recalled", from = self.from, ms = age / 1000, taken, outdated, faded, odd);
     }
 }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -1,22 +1,22 @@
-//! The module's interface: everything that goes into [`crate::policy::Balancer`] and comes out of it.
+//! The interface of the decisions: everything that goes into a balancer and comes out of it.
 //!
-//! Times are seconds on the caller's clock, which only goes forward. Ids carry no meaning.
+//! Times are seconds on the caller's clock, which never goes back. Loads are work a second in the unit of list weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A server, the same at every proxy and across restarts of its process.
+/// A server, the same at every instance and across restarts of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// A client's request for a connection; a client's own retry carries a new one.
+/// A client's request for a connection. A client's own retry is a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// Which servers drop the repeats of a keyed request.
+/// The servers that share the idempotency keys they have seen, and drop repeated requests by them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every server.
+    /// All servers.
     All,
     /// Servers of one zone.
     Zone,
@@ -27,120 +27,120 @@
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Safe to repeat and to refuse at will.
+    /// Harmless to repeat and to reject.
     Idempotent,
-    /// Repeats are dropped by the servers of a scope, for so many seconds after the first send.
+    /// Carries an idempotency key: the servers of a scope drop repeats for this many seconds after the first attempt.
     Keyed(DeduplicationScope, f64),
     /// Must not be repeated unless no earlier attempt can have run.
     NonIdempotent,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Set-up within this time earns full worth.
+    /// A set-up within this many seconds counts in full.
     pub latency_objective: f64,
-    /// Worth of a request or second, in the operator's units.
+    /// The weight of a request, in the operator's units.
     pub priority_weight: f64,
-    /// What repeating it may do.
+    /// What repeating a request may do.
     pub idempotency: Idempotency,
-    /// A message on an open connection is wanted within this time.
+    /// A message on an established connection is wanted within this many seconds.
     pub message_latency_objective: f64,
 }
 
-/// What the weights in the server list mean.
+/// What the weights of the endpoint list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Nothing: all the same.
+    /// Nothing: all servers count alike.
     Uniform,
-    /// The size, exactly or roughly.
+    /// The capacity, exactly or roughly.
     Capacity,
-    /// The size, lowered by the load some time ago.
+    /// The capacity, lowered by the load of some time ago.
     LoadAdjusted,
 }
 
-/// What an instance is told once, at its start.
+/// The settings of an instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This proxy's number, from 0.
+    /// This instance's index, from 0.
     pub instance_index: u64,
-    /// How many proxies there are.
+    /// How many instances there are.
     pub instance_count: f64,
-    /// This proxy's zone.
+    /// This instance's zone.
     pub zone: u32,
     /// How many zones there are.
     pub zone_count: f64,
-    /// Request classes, by index.
+    /// Request classes by index.
     pub classes: Vec<RequestClass>,
-    /// Open connections over all proxies within each tenant's share; empty where unknown.
+    /// By tenant, the connections that it may hold at all instances together; empty where that is not known.
     pub tenant_connection_quotas: Vec<f64>,
-    /// New connections a second over all proxies within each tenant's share; empty where unknown.
+    /// By tenant, its new connections a second at all instances together; empty where that is not known.
     pub tenant_rate_quotas: Vec<f64>,
-    /// The registry must be asked; else it pushes.
+    /// Discovery has to be polled; else it pushes.
     pub polls_discovery: bool,
-    /// Asking at least this often counts as keeping up.
+    /// Polling at least this often, in seconds, counts as keeping up.
     pub poll_interval: f64,
-    /// A server starts at this share of its capacity or more.
+    /// A server starts with at least this share of its capacity.
     pub cold_capacity_ratio: f64,
-    /// A server is warm after this at the latest.
+    /// A server is warm after this many seconds at the latest.
     pub warm_up_time: f64,
-    /// A cold server falls over when sent more than this multiple of its capacity.
+    /// A warming server fails when it is sent more than this multiple of its capacity ...
     pub overload_ratio: f64,
-    /// For so long.
+    /// ... for this many seconds.
     pub overload_window: f64,
     /// Attempts allowed for a request.
     pub max_attempts: u32,
-    /// A connection not made within this time has failed.
+    /// A connection that is not made within this many seconds has failed.
     pub connect_timeout: f64,
-    /// The longest wait that a refused client honours.
+    /// The longest wait, in seconds, that a rejected client keeps.
     pub max_retry_after: f64,
-    /// Whether refused clients are told a wait.
+    /// Whether rejected clients are told a wait.
     pub sends_retry_after: bool,
     /// Whether probes are allowed.
     pub may_probe: bool,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Connections pass through and may reach another proxy.
+    /// Whether packets pass through, so that a connection may reach another instance.
     pub is_pass_through: bool,
-    /// How long a server keeps a connection whose packets have stopped (pass-through only).
+    /// How long, in seconds, a server keeps a connection whose packets have stopped (pass-through only).
     pub parked_connection_timeout: f64,
-    /// Connections come in groups that share work on a server.
+    /// Whether connections come in groups that share work on a server.
     pub has_groups: bool,
     /// What list weights mean.
     pub weight_kind: WeightKind,
-    /// Price of a zone crossing per first try, in parts of the whole result.
+    /// Cost of crossing zones over the value of a first attempt.
     pub zone_crossing_cost: f64,
-    /// Price of moving a client, per first try, in parts of the whole result.
+    /// Cost of migrating a client over the value of a first attempt.
     pub migration_cost: f64,
-    /// Events come at most this often.
+    /// The shortest time between two events, in seconds.
     pub tick: f64,
 }
 
-/// A server's state as the registry lists it.
+/// The state of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     /// Takes clients.
     Ready,
-    /// Finishing its work; nothing new.
+    /// Finishes its work and takes nothing new.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Removed,
 }
 
-/// One entry of a server list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
-    /// Its cell: servers that share which keys they have seen.
+    /// Its cell.
     pub cell: u32,
     /// Its state.
     pub state: ServerState,
     /// Its weight, see [`WeightKind`].
     pub weight: f64,
-    /// When its process last started; 0 for long past.
+    /// When its process last started; 0 for long ago.
     pub started_at: f64,
 }
 
@@ -157,32 +157,32 @@
     pub key: u64,
     /// The client stops waiting at this time.
     pub deadline: f64,
-    /// Expected load in work a second, where a hint came along.
+    /// Expected load, where the client gave a hint.
     pub load: Option<f64>,
-    /// The group it belongs to; 0 for none.
+    /// The group that it belongs to; 0 for none.
     pub group: u64,
-    /// Packets of an open connection that another proxy carried before.
+    /// Packets of an established connection that another instance carried before.
     pub is_mid_flow: bool,
-    /// The client comes again after a break, a move or a failed try.
+    /// The client comes again after a break, a migration or a failed attempt.
     pub is_returning: bool,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt, a connection or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The server failed; it may have run.
+    /// The server failed; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The server rejected it without running it.
     Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection could be made.
     ConnectFailed,
-    /// The connection dropped; it may have run.
+    /// The connection broke; it may have run.
     Reset,
-    /// Cancelled or moved; it may have run.
+    /// Cancelled or migrated; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -195,74 +195,73 @@
     }
 }
 
-/// What other proxies hold at one server.
+/// What other instances hold at one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RemoteLoad {
-    /// Load of their connections, as work a second in the unit of list weights.
+    /// Load of their connections.
     pub load: f64,
     /// How many connections.
     pub connections: f64,
-    /// The groups of which they hold any: the lower halves of their ids.
+    /// The groups of which they hold any connection: the lower halves of their ids.
     pub groups: BTreeSet<u32>,
 }
 
 /// What happens to an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The instance starts; comes once, first.
+    /// The instance starts; comes once and first.
     Start,
-    /// The registry's list: the whole of it, or changes.
+    /// The endpoint list, or changes of it.
     EndpointList {
-        /// Servers missing from the list are gone.
+        /// Whether servers that are missing from the entries are removed.
         is_complete: bool,
-        /// The list is this instance's own old copy rather than news.
+        /// Whether the list is an old copy of this instance's own rather than new.
         is_cached: bool,
         /// The entries.
         entries: Arc<[ServerEntry]>,
     },
-    /// A registry call failed or the subscription broke.
+    /// A call to discovery failed or its subscription broke.
     DiscoveryFailed,
-    /// A client asks for a connection.
+    /// A client requests a connection.
     RequestReceived(Request),
-    /// A connection that already stands through this proxy at its start.
+    /// A connection through this instance was established before its start.
     ConnectionRestored(Request, ServerId),
-    /// The connection of an attempt stands.
+    /// The connection of an attempt is established.
     Established {
         /// The request.
         request: RequestId,
         /// Which attempt, from 0.
         attempt: u32,
     },
-    /// A connection's load is now so much work a second.
+    /// A connection's load has changed.
     LoadChanged {
         /// The request.
         request: RequestId,
-        /// Work a second.
+        /// The load now.
         load: f64,
     },
-    /// Messages at a server take so many seconds now.
+    /// Messages at a server take this long now.
     MessageDelay {
         /// The server.
         server: ServerId,
         /// Seconds that a message takes.
         delay: f64,
     },
-    /// An estimate beside the module: what a server bears now.
+    /// A new estimate, made elsewhere, of what a server can sustain.
     CapacityEstimated {
         /// The server.
         server: ServerId,
-        /// Load of this proxy's that it bears: work a second in the unit of list weights, what it costs to hold
-        /// connections and their groups included.
+        /// Load of this instance's that it can sustain, overheads of connections and groups included.
         load: f64,
-        /// Set-ups of this proxy's a second while it is cold.
+        /// Set-ups of this instance's a second while it warms up.
         setup_rate: f64,
     },
-    /// The same estimate: mean load of a standing connection, for those whose own is not known.
+    /// A new estimate, made elsewhere, of the mean load of a connection, for those whose own is not known.
     MeanLoadEstimated(f64),
-    /// What other proxies hold at each server by now, as they told it; none where too few of them are heard of. It is told
-    /// several times a second.
+    /// What other instances hold at each server, as they have reported it; `None` where too few are heard of. Comes several
+    /// times a second.
     RemoteLoadsUpdated(Option<Arc<BTreeMap<ServerId, RemoteLoad>>>),
-    /// An attempt ended.
+    /// An attempt or an established connection has ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -270,24 +269,24 @@
         server: ServerId,
         /// Which attempt, from 0.
         attempt: u32,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The client has its final answer.
+        /// Whether the client has its final answer.
         is_answered: bool,
-        /// The server's load over its capacity, where a report came along.
+        /// The server's load over its capacity, where it was reported.
         load_ratio: Option<f64>,
     },
     /// Nobody waits for this request any more.
     ClientLeft(RequestId),
-    /// A timer has come.
+    /// A timer has fired; its token.
     TimerFired(u64),
-    /// A probe ended.
+    /// A probe has ended.
     ProbeEnded {
         /// The server.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The server's load over its capacity, where a report came along.
+        /// The server's load over its capacity, where it was reported.
         load_ratio: Option<f64>,
     },
 }
@@ -301,14 +300,14 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// The attempt's time-out from now.
+        /// The attempt's time-out in seconds from now.
         timeout: f64,
     },
-    /// Final answer: not served, and harmless to try again.
+    /// Final answer: not served, and harmless to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Advice to the client; 0 for none.
+        /// Seconds that the client should wait before it retries; 0 for no advice.
         retry_after: f64,
     },
     /// Final answer: failed.
@@ -320,19 +319,19 @@
         /// Which attempt, from 0.
         attempt: u32,
     },
-    /// Ask a connected client to come again.
+    /// Ask a connected client to come again, to another server.
     Migrate(RequestId),
-    /// Wake this instance after so long.
+    /// Wake this instance later.
     SetTimer {
-        /// From now.
+        /// Seconds from now.
         after: f64,
-        /// Comes back as given.
+        /// Comes back in [`Event::TimerFired`].
         token: u64,
     },
-    /// Check a server.
+    /// Probe a server.
     Probe(ServerId),
-    /// Ask the registry for a standing subscription.
+    /// Subscribe to the endpoint list.
     Subscribe,
-    /// A line for the operators' journal.
+    /// A line for the log.
     Log(String),
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,21 +1,35 @@
-//! Every decision about a request: which server it goes to, whether it is tried again, what is turned away.
-//! Events in, actions out, with the time as an argument: no I/O, no clock, no text.
+//! The decisions of the balancer: which server a request goes to, whether it is retried, and when it is rejected.
+//!
+//! A [`Balancer`] takes events and appends actions ([`interface`]). It does no I/O and has no clock: the time is an
+//! argument, and all randomness comes from a seed.
 
+mod arrival_rate;
+mod attempts;
+mod embedding_api;
+mod fleet_placement;
 mod fleet_view;
+mod groups;
+pub mod hashing;
 pub mod interface;
 mod load;
-pub mod memory;
-pub mod outside;
-mod pace;
+mod numeric;
+pub mod persistence;
 mod placement;
-pub mod policy;
+mod policy;
+mod probe_table;
 mod probing;
+mod rate_limit;
+mod reconnect_surge;
+mod requests;
+mod reservations;
 mod retry;
 mod server_health;
+mod servers;
 mod slow_servers;
 mod slow_start;
 mod state;
+mod timers;
 
-pub use fleet_view::Holding;
+pub use embedding_api::Holding;
 pub use interface::{Action, Event, Outcome, RequestId, ServerId, Settings};
-pub use policy::Balancer;
+pub use state::Balancer;
--- a/crates/decisions/src/load.rs
+++ b/crates/decisions/src/load.rs
@@ -1,88 +1,121 @@
-//! What this proxy's clients load each server with, in the unit of list weights, and whether that leaves room for one
-//! more. It keeps books; what a server bears is told from outside ([`Event::Bears`](crate::interface::Event::Bears)).
+//! Loads: what a request is expected to cost, what this instance has put on a server, and whether the server can sustain
+//! one more. Loads are work a second in the unit of list weights. What a server can sustain is estimated outside
+//! ([`Event::CapacityEstimated`](crate::interface::Event::CapacityEstimated)).
 
-use crate::interface::ServerId;
-use crate::state::{Balancer, Client, Server};
+use std::collections::BTreeMap;
 
-/// What holding a connection costs its server beside the connection's own load, in mean loads.
-pub(crate) const HOLDING: f64 = 0.1;
-/// What a server pays for each group it holds any of, in mean loads. The platform states 2 of them; proxies that hold
-/// some of the same group count it once each, so it counts for less here. With 1 to 1.4 service was best, with 2 there
-/// were 10 % more tries.
-const GROUP: f64 = 1.4;
-/// Set-ups in hand at a server that is as full as it may be, and so many more at one that is empty, for all proxies
-/// together: each takes a core while it lasts, and a burst of them piles up work for those who stand.
-const HAND: f64 = 1.0;
-const HAND_MORE: f64 = 8.0;
+use crate::interface::{Request, ServerId, Settings};
+use crate::numeric::positive;
+use crate::requests::TrackedRequest;
+use crate::servers::Server;
 
-/// What a server bears of this proxy's.
+/// What a server pays for holding a connection, beside the connection's own load, in mean loads.
+pub(crate) const CONNECTION_OVERHEAD_LOADS: f64 = 0.1;
+/// What a server pays for each group that it holds any connection of, in mean loads. Other instances may hold some of the
+/// same group, so each counts a part of the whole cost.
+const GROUP_OVERHEAD_LOADS: f64 = 1.4;
+/// Concurrent set-ups at a full server. Each takes a core while it lasts.
+const MAX_CONCURRENT_SETUPS: f64 = 1.0;
+/// Further concurrent set-ups at an empty server, for all instances together.
+const MAX_EXTRA_CONCURRENT_SETUPS: f64 = 8.0;
+/// Weight of a new hint in the mean load of its class.
+const CLASS_LOAD_SMOOTHING: f64 = 0.05;
+/// A request of which nothing is known has this load.
+const DEFAULT_LOAD: f64 = 1.0;
+/// Below this part of a server, in mean connections, an instance's own load says nothing of the server.
+const MIN_OBSERVABLE_CONNECTIONS: f64 = 0.35;
+
+/// What a server can sustain of this instance's load.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Borne {
-    /// Work a second, what holding connections and groups costs included.
+pub(crate) struct CapacityEstimate {
+    /// Work a second, overheads included.
     pub load: f64,
-    /// Set-ups a second while it is cold.
-    pub entries: f64,
+    /// Set-ups a second while it is warming up.
+    pub setup_rate: f64,
 }
 
-impl Balancer {
-    /// What this proxy has put on a server, as work a second in the unit of list weights: loads that were told, the
-    /// mean for the others, what is reserved there, and what holding connections and groups costs. 0 where the server
-    /// is unknown.
-    pub fn placed(&self, server: ServerId) -> f64 {
-        self.servers.get(&server).map_or(0.0, |s| self.load_on(s))
-    }
+/// Mean loads and the servers' capacities.
+#[derive(Debug, Default)]
+pub(crate) struct LoadEstimates {
+    /// Mean load of a connection; 0 while it is not known.
+    pub mean_load: f64,
+    /// Mean hinted load by class; 0 where there was no hint.
+    pub class_loads: Vec<f64>,
+    capacities: BTreeMap<ServerId, CapacityEstimate>,
+}
 
-    /// Requests that wait for a server to have room.
-    pub fn waiting(&self) -> usize {
-        self.held().len()
+impl LoadEstimates {
+    pub fn new(class_count: usize) -> Self {
+        LoadEstimates { class_loads: vec![0.0; class_count], ..LoadEstimates::default() }
     }
 
-    pub(crate) fn load_on(&self, s: &Server) -> f64 {
-        s.used + self.mean * (HOLDING * f64::from(s.open) + GROUP * s.groups.len() as f64)
+    pub fn set_capacity(&mut self, server: ServerId, capacity: CapacityEstimate) {
+        self.capacities.insert(server, capacity);
     }
 
-    /// Whether a server bears this client's load too. One that holds nothing takes one in any case: what it bears was
-    /// guessed.
-    pub(crate) fn bears_load(&self, s: &Server, c: &Client) -> bool {
-        let Some(borne) = self.borne.get(&s.entry.server).filter(|_| self.mean > 0.0) else { return true };
-        let new = c.group.is_some_and(|g| !s.groups.contains_key(&g));
-        let cost = self.mean * (1.0 + HOLDING + if new { GROUP } else { 0.0 });
-        self.load_on(s) + cost <= borne.load || s.open == 0
+    pub fn capacity(&self, server: ServerId) -> Option<&CapacityEstimate> {
+        self.capacities.get(&server)
     }
 
-    /// Whether a server can set up one more now, beside those that it has in hand.
-    pub(crate) fn has_a_hand(&self, s: &Server) -> bool {
-        let Some(borne) = self.borne.get(&s.entry.server).filter(|_| self.mean > 0.0) else { return true };
-        let spare = (1.0 - self.load_on(s) / borne.load.max(f64::MIN_POSITIVE)).max(0.0);
-        f64::from(s.in_hand) < HAND + HAND_MORE * spare / self.set.instance_count
+    /// The capacity of a server, if it can be compared with loads.
+    pub fn comparable_capacity(&self, server: ServerId) -> Option<&CapacityEstimate> {
+        self.capacity(server).filter(|_| self.mean_load > 0.0)
     }
 
-    /// Counts one more (or one less) client of a group at a server.
-    pub(crate) fn count_at(&mut self, server: ServerId, group: Option<u64>, more: bool) {
-        let (Some(g), Some(s)) = (group, self.servers.get_mut(&server)) else { return };
-        let n = s.groups.entry(g).or_insert(0);
-        *n = if more { *n + 1 } else { n.saturating_sub(1) };
-        if *n == 0 {
-            s.groups.remove(&g);
+    /// The load of a new request: its hint, or the mean of its class, of another class, of all connections. A hint counts
+    /// towards the mean of the class.
+    pub fn estimate(&mut self, request: &Request) -> f64 {
+        let hint = request.load.and_then(positive);
+        if let (Some(load), Some(mean)) = (hint, self.class_loads.get_mut(request.class)) {
+            *mean = if *mean > 0.0 { *mean + CLASS_LOAD_SMOOTHING * (load - *mean) } else { load };
         }
+        let of_class = self.class_loads.get(request.class).copied().and_then(positive);
+        let of_any_class = || self.class_loads.iter().copied().find_map(positive);
+        hint.or(of_class).or_else(of_any_class).or(positive(self.mean_load)).unwrap_or(DEFAULT_LOAD)
     }
 
-    /// The mean load is another one: whose load was never told counts with it.
-    pub(crate) fn revalue(&mut self, mean: f64) {
-        self.mean = mean;
-        self.servers.values_mut().for_each(|s| s.used = 0.0);
-        for c in self.clients.values_mut() {
-            if !c.told && c.request.load.is_none() {
-                c.load = mean;
-            }
-            if let Some(s) = c.out.or(c.on).and_then(|at| self.servers.get_mut(&at)) {
-                s.used += c.load;
-            }
-        }
-        for r in self.reserved.values() {
-            if let Some(s) = self.servers.get_mut(&r.server) {
-                s.used += r.load;
-            }
+    /// What this instance has put on a server, overheads included.
+    pub fn load_on(&self, server: &Server) -> f64 {
+        let groups = server.group_connections.len() as f64;
+        let overheads =
+            CONNECTION_OVERHEAD_LOADS * f64::from(server.connections) + GROUP_OVERHEAD_LOADS * groups;
+        server.assigned_load + self.mean_load * overheads
+    }
+
+    /// Whether a server can sustain a request's load too. One that holds nothing takes a first one whatever its estimate.
+    pub fn can_sustain(&self, server: &Server, tracked: &TrackedRequest) -> bool {
+        let Some(capacity) = self.comparable_capacity(server.entry.server) else { return true };
+        let is_new_group = tracked.group.is_some_and(|group| !server.group_connections.contains_key(&group));
+        let group_overhead = if is_new_group { GROUP_OVERHEAD_LOADS } else { 0.0 };
+        let added = self.mean_load * (1.0 + CONNECTION_OVERHEAD_LOADS + group_overhead);
+        self.load_on(server) + added <= capacity.load || server.connections == 0
+    }
+
+    /// Whether a server can set up one more connection now, beside those that are pending.
+    pub fn has_free_setup_slot(&self, server: &Server, instance_count: f64) -> bool {
+        let Some(capacity) = self.comparable_capacity(server.entry.server) else { return true };
+        let free_ratio = (1.0 - self.load_on(server) / capacity.load.max(f64::MIN_POSITIVE)).max(0.0);
+        let slots = MAX_CONCURRENT_SETUPS + MAX_EXTRA_CONCURRENT_SETUPS * free_ratio / instance_count;
+        f64::from(server.pending_setups) < slots
+    }
+
+    /// This instance's even part of a server, in mean connections. While no load is known, it is taken from the tenants'
+    /// quotas; infinite where those are not known.
+    pub fn connections_per_server(&self, settings: &Settings, server_count: usize) -> f64 {
+        if self.mean_load <= 0.0 || self.capacities.is_empty() {
+            let quota: f64 = settings.tenant_connection_quotas.iter().sum();
+            let parts = settings.instance_count * server_count as f64;
+            return if quota > 0.0 && parts > 0.0 { quota / parts } else { f64::INFINITY };
         }
+        let total: f64 = self.capacities.values().map(|capacity| capacity.load).sum();
+        total / self.capacities.len() as f64 / self.mean_load
+    }
+
+    /// Whether this instance's part of the servers is so small that its own load says nothing of them, and it may probe.
+    pub fn lacks_own_load_signal(&self, settings: &Settings, server_count: usize) -> bool {
+        settings.may_probe
+            && !settings.is_pass_through
+            && server_count > 0
+            && self.connections_per_server(settings, server_count) < MIN_OBSERVABLE_CONNECTIONS
     }
 }
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,134 +1,215 @@
-//! Placement: which server a client goes to, of those that may take one: the one reserved for it, one that holds its
-//! group, or the least used of its group's pool.
-
-use crate::interface::*;
-use crate::policy::PERIOD;
-use crate::state::{Balancer, Client, Server, hash, unit};
-
-/// A server, whether it is far, and its rank.
-type Ranked<'a> = (bool, f64, &'a Server);
-
-/// Servers per pool member wanted: a group's pool is this many times its share of the fleet.
-const SPREAD: f64 = 1.0;
-/// Clients subtracted from a group's count: one sighting says little of a group's true size.
-const DISCOUNT: f64 = 0.75;
-/// Clients assumed elsewhere when few have been seen, so that the first one's group is not taken for all.
-const PRIOR: f64 = 3.0;
-/// Crossing price (parts of the result) from which pools are cut to the proxy's own zone.
-const LOCAL_PRICE: f64 = 0.05;
-/// A pool whose members are spent reaches so many ranks further down before clients are refused.
-const REACH: usize = 1;
-/// A pool member is passed over above this multiple of the mean usage plus this many mean clients.
-const BOUND: f64 = 1.25;
-const BOUND_CLIENTS: f64 = 3.0;
+//! Placement: which server a request is sent to. An instance that knows the loads of the others goes by them
+//! (`fleet_placement`), one whose own load says nothing probes (`probing`), and any other goes by its own load, as here:
+//! the server reserved for the client, one that holds its group, or the least used of its group's pool.
+
+use crate::groups::placement_group;
+use crate::hashing::{hash_pair, rendezvous_rank};
+use crate::interface::{Action, ServerId, WeightKind};
+use crate::requests::TrackedRequest;
+use crate::servers::Server;
+use crate::state::Balancer;
+use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
+
+/// Zone crossing cost from which on servers of other zones come after all of this instance's own.
+const LOCAL_ZONE_MIN_CROSSING_COST: f64 = 0.05;
+/// Servers beyond a group's pool that are taken while members of the pool are unavailable. Beyond them the group is
+/// rejected, since each server that holds any of it pays for the group.
+const POOL_OVERFLOW_SERVERS: usize = 1;
+/// A pool member is passed over above this multiple of the mean usage ...
+const MAX_USAGE_RATIO: f64 = 1.25;
+/// ... and this many mean connections on top of it.
+const MAX_USAGE_EXTRA_CONNECTIONS: f64 = 3.0;
+/// A server with clients that has not reported slow messages for this long is well.
+const QUIET_SECONDS: f64 = 2.0 * HOUSEKEEPING_PERIOD_SECONDS;
+
+/// Where a request goes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Placement {
+    Server(ServerId),
+    /// Probes are out that will tell.
+    AwaitProbes,
+    /// No server takes it now.
+    NoServer,
+}
+
+impl Placement {
+    pub fn from_choice(choice: Option<ServerId>) -> Self {
+        choice.map_or(Placement::NoServer, Placement::Server)
+    }
+}
+
+/// The usage up to which a pool member is preferred to the ranks behind it.
+#[derive(Clone, Copy, Debug)]
+struct UsageLimit {
+    /// Load over effective weight.
+    ratio: f64,
+    /// Load on top of it.
+    extra_load: f64,
+}
+
+/// A server of a group's pool.
+struct PoolMember<'a> {
+    is_remote: bool,
+    rank: f64,
+    server: &'a Server,
+}
+
+impl PoolMember<'_> {
+    fn by_rank(a: &Self, b: &Self) -> std::cmp::Ordering {
+        a.is_remote.cmp(&b.is_remote).then(a.rank.total_cmp(&b.rank))
+    }
+}
 
 impl Balancer {
-    /// How many of `fleet` servers make up a group's pool.
-    pub(crate) fn pool_size(&self, group: Option<u64>, fleet: usize) -> usize {
-        let Some(group) = group else { return fleet };
-        let n = (self.groups.get(&group).map_or(0.0, |g| g.0) - DISCOUNT).max(0.0);
-        let share = n / (self.seen + PRIOR);
-        ((SPREAD * share * fleet as f64).round() as usize).clamp(1, fleet.max(1))
+    /// Chooses a server for a request; appends the probes that have to come first.
+    pub(crate) fn place(&mut self, now: f64, tracked: &TrackedRequest, out: &mut Vec<Action>) -> Placement {
+        if let Some(remote_loads) = self.fleet.current(now) {
+            return Placement::from_choice(self.choose_by_fleet_load(now, tracked, &remote_loads));
+        }
+        if self.loads.lacks_own_load_signal(&self.settings, self.servers.len()) {
+            return self.choose_by_probes(now, tracked, out);
+        }
+        Placement::from_choice(self.choose_by_own_load(now, tracked))
     }
 
-    /// Where crossing zones costs much, the other zones' servers come after all of the proxy's own.
-    pub(crate) fn far(&self, s: &Server) -> bool {
-        self.set.zone_crossing_cost >= LOCAL_PRICE && s.entry.zone != self.set.zone
+    /// Whether a server comes after those of this instance's zone.
+    pub(crate) fn is_remote(&self, server: &Server) -> bool {
+        self.settings.zone_crossing_cost >= LOCAL_ZONE_MIN_CROSSING_COST
+            && server.entry.zone != self.settings.zone
     }
 
-    /// A server's place for a group, the same at every proxy: weighted rendezvous hashing, lowest first.
-    pub(crate) fn rank(&self, group: Option<u64>, s: &Server) -> f64 {
-        let size = if self.set.weight_kind == WeightKind::LoadAdjusted { 1.0 } else { s.entry.weight };
-        -unit(hash(group.unwrap_or(0), s.entry.server.0)).ln() / size
+    /// A server's rank for a group, the same at every instance; the lowest comes first.
+    pub(crate) fn rank(&self, group: u64, server: &Server) -> f64 {
+        let is_load_adjusted = self.settings.weight_kind == WeightKind::LoadAdjusted;
+        let weight = if is_load_adjusted { 1.0 } else { server.entry.weight };
+        rendezvous_rank(group, server.entry.server, weight)
     }
 
-    /// The server for a client: its reserved one, else the lowest usage in its group's pool.
-    pub(crate) fn choose(&mut self, now: f64, c: &Client) -> Option<ServerId> {
-        let usable = |b: &Self, s: &Server| {
-            now >= s.slow_until
-                && b.bears_load(s, c)
-                && b.has_a_hand(s)
-                && b.entry_open(s, now)
-                && b.may_send(c, s, now)
-                && !c.tried.contains(&s.entry.server)
-        };
-        if let Some(r) = self.reserved.get(&c.request.key).filter(|_| c.request.key != 0)
-            && self.servers.get(&r.server).is_some_and(|s| self.in_service(s, now) && usable(self, s))
+    fn choose_by_own_load(&self, now: f64, tracked: &TrackedRequest) -> Option<ServerId> {
+        if let Some(reservation) = self.reservations.get(tracked.request.key)
+            && let Some(server) = self.servers.get(reservation.server)
+            && self.is_candidate(server, tracked, now)
         {
-            return Some(r.server);
-        }
-        let group = self.group_of(&c.request);
-        let far = |s: &Server| self.far(s);
-        // Whoever puts a server back wants to see it used, and ranks may send nobody there: one client is.
-        let thawed = |s: &&Server| s.thawed && !far(s) && self.in_service(s, now) && usable(self, s);
-        if let Some(s) = self.servers.values().find(thawed) {
-            return Some(s.entry.server);
+            return Some(reservation.server);
         }
-        let rank = |s: &Server| self.rank(group, s);
-        let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
-        let near = ready.filter(|s| !far(s)).count();
-        let (bound, client) = self.bound(now);
-        let over = |s: &Server| s.used > bound * self.have(s, now) + client;
-        // Servers where this proxy holds some of the group have paid for it: they come before the pool.
-        let paid = self.holding(group).into_iter().filter_map(|id| self.servers.get(&id));
-        let home = paid.filter(|s| self.in_service(s, now) && usable(self, s) && !over(s) && !far(s));
-        if let Some(server) = self.lowest(now, c, home) {
-            return Some(server);
+        // Whoever puts a server back in service wants to see it used, and the ranks may send nobody there.
+        let is_unused = |server: &&Server| server.is_back_from_draining && !self.is_remote(server);
+        let mut unused = self.servers.iter().filter(is_unused);
+        if let Some(server) = unused.find(|server| self.is_candidate(server, tracked, now)) {
+            return Some(server.entry.server);
         }
-        let mut pool: Vec<Ranked> =
-            self.servers.values().filter(|s| self.in_service(s, now)).map(|s| (far(s), rank(s), s)).collect();
-        let k = self.pool_size(group, near).min(pool.len());
-        if k == 0 {
+        let group = placement_group(&self.settings, &tracked.request);
+        let limit = self.usage_limit(now);
+        self.choose_group_holder(now, tracked, group, limit)
+            .or_else(|| self.choose_pool_member(now, tracked, group, limit))
+    }
+
+    /// Whether a server is in service and can take a request.
+    fn is_candidate(&self, server: &Server, tracked: &TrackedRequest, now: f64) -> bool {
+        server.is_in_service(&self.settings, now) && self.can_take(server, tracked, now)
+    }
+
+    fn can_take(&self, server: &Server, tracked: &TrackedRequest, now: f64) -> bool {
+        now >= server.unavailable_until
+            && self.loads.can_sustain(server, tracked)
+            && self.loads.has_free_setup_slot(server, self.settings.instance_count)
+            && self.is_past_slow_start(server, now)
+            && self.may_attempt(tracked, server, now)
+            && !tracked.tried_servers.contains(&server.entry.server)
+    }
+
+    /// The least used server that holds some of the request's group: it has paid for the group already.
+    fn choose_group_holder(
+        &self,
+        now: f64,
+        tracked: &TrackedRequest,
+        group: Option<u64>,
+        limit: UsageLimit,
+    ) -> Option<ServerId> {
+        let holders = self.servers_holding(group?).into_iter().filter_map(|id| self.servers.get(id));
+        let candidates = holders.filter(|server| {
+            self.is_candidate(server, tracked, now)
+                && !self.is_over_limit(server, limit, now)
+                && !self.is_remote(server)
+        });
+        self.least_used(now, tracked, candidates)
+    }
+
+    /// The least used server of the request's pool, or of the ranks right behind it.
+    fn choose_pool_member(
+        &self,
+        now: f64,
+        tracked: &TrackedRequest,
+        group: Option<u64>,
+        limit: UsageLimit,
+    ) -> Option<ServerId> {
+        let local_count = self.servers.ready().filter(|server| !self.is_remote(server)).count();
+        let in_service = self.servers.in_service(&self.settings, now);
+        let mut pool: Vec<PoolMember> = in_service
+            .map(|server| PoolMember {
+                is_remote: self.is_remote(server),
+                rank: self.rank(group.unwrap_or(0), server),
+                server,
+            })
+            .collect();
+        let pool_size = self.groups.pool_size(group, local_count).min(pool.len());
+        if pool_size == 0 {
             return None;
         }
-        // Past its reach a group is refused rather than scattered: each server that holds it pays for it.
-        let passes = c.passes && group.is_some();
-        let reach = (k + REACH + usize::from(passes)).min(pool.len());
-        let by_rank = |a: &Ranked, b: &Ranked| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
+        let skips_first_rank = tracked.skips_first_rank && group.is_some();
+        let reach = (pool_size + POOL_OVERFLOW_SERVERS + usize::from(skips_first_rank)).min(pool.len());
         if reach < pool.len() {
-            pool.select_nth_unstable_by(reach - 1, by_rank);
+            pool.select_nth_unstable_by(reach - 1, PoolMember::by_rank);
             pool.truncate(reach);
         }
-        pool.sort_by(by_rank);
-        if passes && pool.len() > 1 && !self.heard_well(pool[0].2, now) {
+        pool.sort_by(PoolMember::by_rank);
+        if skips_first_rank && pool.len() > 1 && !self.is_known_well(pool[0].server, now) {
             pool.remove(0);
         }
-        pool.retain(|p| usable(self, p.2));
-        pool.sort_by_key(|p| (over(p.2), p.0));
-        let k = k.min(pool.len());
-        self.lowest(now, c, pool[..k].iter().map(|p| p.2))
+        pool.retain(|member| self.can_take(member.server, tracked, now));
+        pool.sort_by_key(|member| (self.is_over_limit(member.server, limit, now), member.is_remote));
+        let members = pool.iter().take(pool_size).map(|member| member.server);
+        self.least_used(now, tracked, members)
     }
 
-    /// Clients here would have told of slow messages, and have not lately. A cold server has its own guard.
-    pub(crate) fn heard_well(&self, s: &Server, now: f64) -> bool {
-        self.ramp(s, now) < 1.0 || (s.open > 0 && now >= s.delay.1 + 2.0 * PERIOD)
+    /// Whether slow messages would have been reported by clients here, and were not. A warming server has its own bound.
+    fn is_known_well(&self, server: &Server, now: f64) -> bool {
+        let is_quiet = server.connections > 0 && now >= server.last_delay.reported_at + QUIET_SECONDS;
+        server.warm_up_ratio(&self.settings, now) < 1.0 || is_quiet
     }
 
-    /// Looky's weighted seed: the lowest usage; ties, most cases on a large fleet, by lots.
-    pub(crate) fn lowest<'a>(
+    /// The server with the lowest usage. Ties, which are the rule on a large fleet, are broken at random by the client's key.
+    fn least_used<'a>(
         &self,
         now: f64,
-        c: &Client,
-        of: impl Iterator<Item = &'a Server>,
+        tracked: &TrackedRequest,
+        servers: impl Iterator<Item = &'a Server>,
     ) -> Option<ServerId> {
-        let salt = hash(c.request.key, self.set.instance_index);
-        let weighed = of.map(|s| {
-            let have = self.have(s, now).max(f64::MIN_POSITIVE);
-            let lot = -unit(hash(salt, s.entry.server.0)).ln() / have;
-            (s.used * 100.0 / have, lot, s.entry.server)
+        let client_hash = hash_pair(tracked.request.key, self.settings.instance_index);
+        let weighed = servers.map(|server| {
+            let weight = server.effective_weight(&self.settings, now).max(f64::MIN_POSITIVE);
+            let tie_break = rendezvous_rank(client_hash, server.entry.server, weight);
+            (server.assigned_load * 100.0 / weight, tie_break, server.entry.server)
         });
-        weighed.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|b| b.2)
+        let least = weighed.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        least.map(|(_, _, server)| server)
     }
 
-    /// The usage that a pool member may show before the pool grows past it, and the slack of a mean client.
-    pub(crate) fn bound(&self, now: f64) -> (f64, f64) {
-        let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
-        let (used, have, open) =
-            ready.fold((0.0, 0.0, 0), |t, s| (t.0 + s.used, t.1 + self.have(s, now), t.2 + s.open));
-        (BOUND * used / f64::max(have, f64::MIN_POSITIVE), BOUND_CLIENTS * used / f64::from(open.max(1)))
+    fn usage_limit(&self, now: f64) -> UsageLimit {
+        let (mut load, mut weight, mut connections) = (0.0, 0.0, 0);
+        for server in self.servers.ready() {
+            load += server.assigned_load;
+            weight += server.effective_weight(&self.settings, now);
+            connections += server.connections;
+        }
+        UsageLimit {
+            ratio: MAX_USAGE_RATIO * load / f64::max(weight, f64::MIN_POSITIVE),
+            extra_load: MAX_USAGE_EXTRA_CONNECTIONS * load / f64::from(connections.max(1)),
+        }
     }
 
-    pub(crate) fn have(&self, s: &Server, now: f64) -> f64 {
-        s.entry.weight * s.health * self.ramp(s, now)
+    fn is_over_limit(&self, server: &Server, limit: UsageLimit, now: f64) -> bool {
+        let weight = server.effective_weight(&self.settings, now);
+        server.assigned_load > limit.ratio * weight + limit.extra_load
     }
 }
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -1,81 +1,105 @@
-//! Retries and final answers: whether a request may be sent again, held for a moment, or has to be answered.
+//! Retries and final answers: whether a request may have another attempt, is deferred, or has to be answered.
 
-use crate::interface::*;
-use crate::policy::HOLD;
-use crate::state::{Balancer, Client, Server};
+use crate::interface::{Action, DeduplicationScope, Idempotency, RequestId};
+use crate::requests::TrackedRequest;
+use crate::servers::Server;
+use crate::state::Balancer;
+use crate::timers::Timer;
 
-/// Who may wait for a moment is looked at again so soon, in aims.
-const LOOK: f64 = 0.1;
-/// Clients that wait for each server that bears more and has its hands full: so many are set up in an aim.
-const SOON: usize = 4;
+/// Deferred requests are placed again after this share of the latency objective.
+const DEFER_RATIO: f64 = 0.1;
+/// Requests that may be deferred for each server that can sustain more: about as many as it sets up within the objective.
+const MAX_DEFERRED_PER_SERVER: usize = 4;
+/// No request is deferred within this many ticks of its deadline.
+const DEFER_MARGIN_TICKS: f64 = 4.0;
+/// The deadline timer answers a request this many ticks early.
+const DEADLINE_MARGIN_TICKS: f64 = 2.0;
+/// The mean wait that rejected clients are advised, over the longest one.
+const RETRY_AFTER_RATIO: f64 = 0.5;
 
 impl Balancer {
-    pub(crate) fn may_send(&self, c: &Client, s: &Server, now: f64) -> bool {
-        let Some((first, sent, _)) = c.ran else { return true };
-        match c.idempotency {
+    /// Whether an attempt at a server can do no harm, by what the earlier ones may have done.
+    pub(crate) fn may_attempt(&self, tracked: &TrackedRequest, server: &Server, now: f64) -> bool {
+        let Some(run) = tracked.possible_run else { return true };
+        match tracked.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed(scope, window) => {
-                let Some(f) = self.servers.get(&first) else { return false };
-                // It counts once its last byte has come, which a dial may hold up.
-                let dial = self.set.connect_timeout.min(c.request.deadline - now);
-                now + dial < sent + window - self.set.tick
-                    && match scope {
-                        DeduplicationScope::All => true,
-                        DeduplicationScope::Zone => f.entry.zone == s.entry.zone,
-                        DeduplicationScope::Cell => f.entry.cell == s.entry.cell,
-                    }
+                let Some(first) = self.servers.get(run.server) else { return false };
+                // It counts when its last byte has come, which the connect may hold up.
+                let connect_time = self.settings.connect_timeout.min(tracked.request.deadline - now);
+                let is_in_scope = match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first.entry.zone == server.entry.zone,
+                    DeduplicationScope::Cell => first.entry.cell == server.entry.cell,
+                };
+                now + connect_time < run.sent_at + window - self.settings.tick && is_in_scope
             }
         }
     }
 
-    /// Whether a server bears this client and only has its hands full of set-ups, or opens to one more as
-    /// it warms up: room comes within moments. Without that nobody is kept waiting: no room is told at once.
-    pub(crate) fn soon(&self, now: f64, c: &Client) -> bool {
-        let opens = |s: &&Server| self.in_service(s, now) && now >= s.slow_until && self.bears_load(s, c);
-        c.attempts == 0 && self.held().len() <= SOON * self.servers.values().filter(opens).count()
+    /// Whether a request that no server takes is worth deferring: set-up slots come free, or slow start admits more, within
+    /// moments. Otherwise a rejection is due at once.
+    pub(crate) fn is_capacity_imminent(&self, now: f64, tracked: &TrackedRequest) -> bool {
+        if self.servers.are_all_leaving() {
+            return false;
+        }
+        let in_service: Vec<&Server> = self.servers.in_service(&self.settings, now).collect();
+        if in_service.is_empty() {
+            return true;
+        }
+        let can_sustain =
+            |server: &&Server| now >= server.unavailable_until && self.loads.can_sustain(server, tracked);
+        let available = in_service.into_iter().filter(can_sustain).count();
+        tracked.attempts == 0 && self.requests.waiting().len() <= MAX_DEFERRED_PER_SERVER * available
     }
 
-    pub(crate) fn hold(&mut self, now: f64, c: &Client, out: &mut Vec<Action>) {
-        let aim = self.set.classes.get(c.request.class).map_or(0.0, |k| k.latency_objective);
-        let wait = (aim * LOOK).max(self.set.tick);
-        if now + wait > c.arrived + aim || now + wait > c.request.deadline - 4.0 * self.set.tick {
-            return self.answer(c.request.id, out);
+    /// Has a request wait for a moment, or answers it where that would miss its objective or deadline.
+    pub(crate) fn defer(&mut self, now: f64, tracked: &TrackedRequest, out: &mut Vec<Action>) {
+        let objective = self.latency_objective(&tracked.request);
+        let after = (objective * DEFER_RATIO).max(self.settings.tick);
+        let latest = tracked.request.deadline - DEFER_MARGIN_TICKS * self.settings.tick;
+        if now + after > tracked.received_at + objective || now + after > latest {
+            return self.answer_unserved(tracked.request.id, out);
         }
-        if let Some(c) = self.clients.get_mut(&c.request.id) {
-            c.tried.clear();
+        if let Some(tracked) = self.requests.get_mut(tracked.request.id) {
+            tracked.tried_servers.clear();
         }
-        if !std::mem::replace(&mut self.looks, true) {
-            out.push(Action::SetTimer { after: wait, token: HOLD });
+        if !self.is_defer_timer_set {
+            self.is_defer_timer_set = true;
+            out.push(Action::SetTimer { after, token: Timer::DeferredRequests.token() });
         }
     }
 
-    /// The final answer to a client that is not served: a refusal where that is known to be harmless.
-    pub(crate) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(c) = self.clients.get(&id).filter(|c| !c.answered) else { return };
-        let harmless = c.out.is_none()
-            && (c.ran.is_none()
-                || matches!(
-                    c.idempotency,
-                    Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
-                ));
-        let wait = if self.set.sends_retry_after { self.set.max_retry_after * 0.5 } else { 0.0 };
-        if harmless {
-            let retry_after = wait * (0.5 + self.draw());
+    /// The final answer to a request that is not served: a rejection where a retry is known to be harmless.
+    pub(crate) fn answer_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(tracked) = self.requests.get(id).filter(|tracked| !tracked.is_answered) else { return };
+        let is_idempotent = matches!(
+            tracked.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
+        );
+        let is_harmless =
+            tracked.attempt_server.is_none() && (tracked.possible_run.is_none() || is_idempotent);
+        if is_harmless {
+            let longest = if self.settings.sends_retry_after { self.settings.max_retry_after } else { 0.0 };
+            let retry_after = longest * RETRY_AFTER_RATIO * (0.5 + self.draw());
             out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
-        self.finish(id);
+        self.requests.mark_answered(id);
     }
 
-    pub(crate) fn give_up(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
-        let Some(c) = self.clients.get(&id) else { return };
-        if c.on.is_none() && !c.answered && now >= c.request.deadline - 2.0 * self.set.tick {
-            if c.out.is_some() && self.set.may_cancel {
-                out.push(Action::CancelAttempt { request: id, attempt: c.attempts - 1 });
-            }
-            self.answer(id, out);
+    /// The deadline of a request is near: it is answered now, unless its connection is established.
+    pub(crate) fn on_deadline(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
+        let Some(tracked) = self.requests.get(id) else { return };
+        let due_at = tracked.request.deadline - DEADLINE_MARGIN_TICKS * self.settings.tick;
+        if tracked.connected_server.is_some() || tracked.is_answered || now < due_at {
+            return;
+        }
+        if tracked.attempt_server.is_some() && self.settings.may_cancel {
+            out.push(Action::CancelAttempt { request: id, attempt: tracked.attempts - 1 });
         }
+        self.answer_unserved(id, out);
     }
 }
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -1,76 +1,79 @@
-//! What is believed of a server after attempts and probes: its share of its size, its lock, its drops.
+//! What the ends of attempts say of a server: reduced health, quarantine, and the rate limit of all set-ups.
 
-use crate::interface::*;
-use crate::policy::{DROPPED, DROPS, FALL, LEAST, PERIOD, SHED_HOLD};
-use crate::probing::CROWD;
-use crate::state::{Balancer, Server};
+use crate::interface::{Outcome, ServerId};
+use crate::state::Balancer;
+use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
-/// Lock after a failed connect, in connect time-outs; doubles up to the cap, in warm-up times.
-const LOCK: f64 = 4.0;
-const LOCK_MOST: f64 = 0.5;
+/// The first pause of a quarantine, in connect time-outs; it doubles at each failed trial.
+const QUARANTINE_CONNECT_TIMEOUTS: f64 = 4.0;
+/// The longest pause of a quarantine, in warm-up times.
+const MAX_QUARANTINE_WARM_UP_TIMES: f64 = 0.5;
+/// A server that rejects a set-up, or is too slow for one, gets nothing new for this time.
+const FAILED_SETUP_UNAVAILABLE_SECONDS: f64 = HOUSEKEEPING_PERIOD_SECONDS;
+/// A server that sheds its connections gets nothing new for this time.
+const SHEDDING_UNAVAILABLE_SECONDS: f64 = 12.0 * HOUSEKEEPING_PERIOD_SECONDS;
+/// Failed set-ups count as concurrent within this time.
+const SETUP_FAILURE_WINDOW_SECONDS: f64 = 2.0 * HOUSEKEEPING_PERIOD_SECONDS;
+/// The rate limit is lowered when set-ups fail at more than this share of the servers.
+const WIDESPREAD_FAILURE_RATIO: f64 = 0.5;
 
 impl Balancer {
-    /// Neither frozen nor locked: part of the pools. A locked server takes one trial when its time is up.
-    pub(crate) fn in_service(&self, s: &Server, now: f64) -> bool {
-        s.entry.state == ServerState::Ready && (!s.locked || (!self.set.may_probe && now >= s.retry_at))
-    }
-
-    pub(crate) fn lower(&mut self, now: f64, server: ServerId, spent_for: f64) {
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.health = (s.health * FALL).max(LEAST);
-            s.slow_until = s.slow_until.max(now + spent_for);
+    /// Lowers a server's health and sends it nothing new for `unavailable_for` seconds.
+    pub(crate) fn reduce_health(&mut self, now: f64, id: ServerId, unavailable_for: f64) {
+        if let Some(server) = self.servers.get_mut(id) {
+            server.reduce_health(now, unavailable_for);
         }
     }
 
-    pub(crate) fn lock(&mut self, now: f64, server: ServerId) {
+    /// Takes a server out of service that can't be reached, until a probe or a single trial succeeds.
+    pub(crate) fn quarantine(&mut self, now: f64, id: ServerId) {
         let jitter = 0.75 + 0.5 * self.draw();
-        let (first, most) = (self.set.connect_timeout * LOCK, self.set.warm_up_time * LOCK_MOST);
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.backoff = if s.locked { (s.backoff * 2.0).min(most.max(first)) } else { first };
-            s.locked = true;
-            s.retry_at = now + s.backoff * jitter;
+        let initial = self.settings.connect_timeout * QUARANTINE_CONNECT_TIMEOUTS;
+        let longest = (self.settings.warm_up_time * MAX_QUARANTINE_WARM_UP_TIMES).max(initial);
+        if let Some(server) = self.servers.get_mut(id) {
+            let doubled = (server.trial_backoff * 2.0).min(longest);
+            server.trial_backoff = if server.is_quarantined { doubled } else { initial };
+            server.is_quarantined = true;
+            server.trial_at = now + server.trial_backoff * jitter;
         }
     }
 
-    pub(crate) fn probed(&mut self, now: f64, server: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
-        let turned_away = self.heard(now, server, outcome);
+    /// What the end of an attempt, or of an established connection, says of its server.
+    pub(crate) fn judge_outcome(&mut self, now: f64, id: ServerId, outcome: Outcome, was_established: bool) {
+        let connections_left = self.servers.get(id).map_or(0, |server| server.connections);
         match outcome {
-            Outcome::Ok => self.servers.get_mut(&server).into_iter().for_each(|s| s.locked = false),
-            _ if turned_away => {}
-            _ => self.lock(now, server),
-        }
-        let mut waiting = if self.is_blind() { self.held() } else { Vec::new() };
-        // A crowd is left to the timer: looking at all of it at each probe's end costs more than it brings.
-        if waiting.len() > CROWD {
-            waiting.clear();
-        }
-        waiting.into_iter().for_each(|id| self.place(now, id, out));
-    }
-
-    /// What an attempt's end says of its server.
-    pub(crate) fn judge(&mut self, now: f64, server: ServerId, outcome: Outcome, stood: bool) {
-        let left = self.servers.get(&server).map_or(0, |s| s.open);
-        match outcome {
-            Outcome::ConnectFailed => self.lock(now, server),
+            Outcome::ConnectFailed => self.quarantine(now, id),
             Outcome::Rejected | Outcome::TimedOut => {
-                self.lower(now, server, PERIOD);
-                self.set_up_failed(now, server);
+                self.reduce_health(now, id, FAILED_SETUP_UNAVAILABLE_SECONDS);
+                self.on_setup_failed(now, id);
+            }
+            // The last connection broke: the server may be down, which a trial will show.
+            Outcome::Reset if was_established && connections_left == 0 => self.quarantine(now, id),
+            Outcome::Reset => {
+                if self.servers.get_mut(id).is_some_and(|server| server.record_reset()) {
+                    self.reduce_health(now, id, SHEDDING_UNAVAILABLE_SECONDS);
+                }
             }
-            // The last connection broke: the server may be down. A trial will tell.
-            Outcome::Reset if stood && left == 0 => self.lock(now, server),
-            Outcome::Reset => self.dropped(now, server),
-            Outcome::Error => self.lower(now, server, 0.0),
+            Outcome::Error => self.reduce_health(now, id, 0.0),
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    /// A server that sheds a good part of its clients while others stay has no room, as if it had said so.
-    /// Connections break one by one on a bad network too, and that is no fault of their server.
-    pub(crate) fn dropped(&mut self, now: f64, server: ServerId) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.drops += 1.0;
-        if s.drops >= DROPS && s.drops >= DROPPED * (s.drops + f64::from(s.open)) {
-            self.lower(now, server, SHED_HOLD * PERIOD);
+    /// A set-up failed. Only failures at many servers say something of what they share, and slow all set-ups down; clients
+    /// are not kept from sound servers for a single bad one.
+    fn on_setup_failed(&mut self, now: f64, id: ServerId) {
+        if let Some(server) = self.servers.get_mut(id) {
+            server.setup_failed_at = now;
+        }
+        let (mut failing, mut total) = (0.0, 0.0);
+        for server in self.servers.in_service(&self.settings, now) {
+            total += 1.0;
+            if now < server.setup_failed_at + SETUP_FAILURE_WINDOW_SECONDS {
+                failing += 1.0;
+            }
+        }
+        if failing > WIDESPREAD_FAILURE_RATIO * total {
+            self.setup_limiter.reduce(now);
         }
     }
 }
--- /dev/null
+++ b/crates/decisions/src/servers.rs
@@ -0,0 +1,287 @@
+//! The server table: the endpoint list as it was last received, and what this instance has observed of each server.
+
+use std::collections::BTreeMap;
+use std::ops::Bound::{Excluded, Unbounded};
+
+use crate::interface::{ServerEntry, ServerId, ServerState, Settings, WeightKind};
+use crate::numeric::positive;
+
+/// Health falls to this share of itself at each sign of trouble.
+const HEALTH_REDUCTION_RATIO: f64 = 0.6;
+/// Share of the gap to full health that a server regains in a housekeeping period.
+pub(crate) const HEALTH_RECOVERY_RATIO: f64 = 0.03;
+/// Health never falls below this.
+pub(crate) const MIN_HEALTH: f64 = 0.05;
+/// Share of the recent resets that still counts a housekeeping period later.
+pub(crate) const RESET_DECAY_RATIO: f64 = 0.7;
+/// Recent resets below this count are put down to the network.
+const MIN_RESETS: f64 = 1.8;
+/// Share of a server's connections that has to break before it counts as shedding them.
+const MIN_RESET_RATIO: f64 = 0.2;
+
+/// A report that messages at a server take long.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct DelayReport {
+    /// Seconds that a message takes.
+    pub delay: f64,
+    /// When it was reported.
+    pub reported_at: f64,
+}
+
+/// A server and what this instance knows of it. Times are seconds on the caller's clock.
+#[derive(Clone, Debug)]
+pub(crate) struct Server {
+    /// The server as listed, with a weight that can be used.
+    pub entry: ServerEntry,
+    /// Load of this instance's attempts, connections and reservations, as work a second.
+    pub assigned_load: f64,
+    /// This instance's attempts and connections.
+    pub connections: u32,
+    /// Share of its weight that the server is believed to have now, up to 1.
+    pub health: f64,
+    /// The server gets nothing new before this time.
+    pub unavailable_until: f64,
+    /// The last report of its message delay.
+    pub last_delay: DelayReport,
+    /// It could not be reached; it gets nothing but a trial.
+    pub is_quarantined: bool,
+    /// When the next trial of a quarantined server is due.
+    pub trial_at: f64,
+    /// Pause before the next trial.
+    pub trial_backoff: f64,
+    /// Requests sent to it while it was warming up, less what its capacity has grown by since.
+    pub warm_up_admissions: f64,
+    /// When a request was last sent to it.
+    pub last_admitted_at: f64,
+    /// When a set-up failed there that no successful one has followed.
+    pub setup_failed_at: f64,
+    /// Connections that broke there, decayed.
+    pub recent_resets: f64,
+    /// It was draining and is ready again, and nothing has been sent to it since.
+    pub is_back_from_draining: bool,
+    /// Attempts whose connections are not established yet.
+    pub pending_setups: u32,
+    /// This instance's attempts and connections by group.
+    pub group_connections: BTreeMap<u64, u32>,
+}
+
+impl Server {
+    pub fn new(entry: ServerEntry) -> Self {
+        Server {
+            entry,
+            assigned_load: 0.0,
+            connections: 0,
+            health: 1.0,
+            unavailable_until: 0.0,
+            last_delay: DelayReport::default(),
+            is_quarantined: false,
+            trial_at: 0.0,
+            trial_backoff: 0.0,
+            warm_up_admissions: 0.0,
+            last_admitted_at: f64::NEG_INFINITY,
+            setup_failed_at: f64::NEG_INFINITY,
+            recent_resets: 0.0,
+            is_back_from_draining: false,
+            pending_setups: 0,
+            group_connections: BTreeMap::new(),
+        }
+    }
+
+    /// Takes over a new list entry. A restarted process keeps the connections and loses what was learned of the old one.
+    fn update_entry(&mut self, entry: ServerEntry) {
+        let is_back = self.entry.state == ServerState::Draining && entry.state == ServerState::Ready;
+        if self.entry.started_at != entry.started_at {
+            *self = Server {
+                assigned_load: self.assigned_load,
+                connections: self.connections,
+                pending_setups: self.pending_setups,
+                group_connections: std::mem::take(&mut self.group_connections),
+                ..Server::new(entry)
+            };
+        }
+        self.entry = entry;
+        self.is_back_from_draining =
+            is_back || (self.is_back_from_draining && entry.state == ServerState::Ready);
+    }
+
+    pub fn is_ready(&self) -> bool {
+        self.entry.state == ServerState::Ready
+    }
+
+    /// Whether the server takes part in placement: ready, and not quarantined unless this request may be the trial.
+    pub fn is_in_service(&self, settings: &Settings, now: f64) -> bool {
+        self.is_ready() && (!self.is_quarantined || (!settings.may_probe && now >= self.trial_at))
+    }
+
+    /// Share of its capacity that a server has by now as it warms up.
+    pub fn warm_up_ratio(&self, settings: &Settings, now: f64) -> f64 {
+        let age = now - self.entry.started_at;
+        if self.entry.started_at <= 0.0 || age >= settings.warm_up_time {
+            return 1.0;
+        }
+        let initial = settings.cold_capacity_ratio.clamp(0.0, 1.0);
+        initial + (1.0 - initial) * (age / settings.warm_up_time).max(0.0)
+    }
+
+    /// The weight that the server is believed to have now, by its health and warm-up.
+    pub fn effective_weight(&self, settings: &Settings, now: f64) -> f64 {
+        self.entry.weight * self.health * self.warm_up_ratio(settings, now)
+    }
+
+    /// Lowers the health at a sign of trouble and sends nothing new for `unavailable_for` seconds.
+    pub fn reduce_health(&mut self, now: f64, unavailable_for: f64) {
+        self.health = (self.health * HEALTH_REDUCTION_RATIO).max(MIN_HEALTH);
+        self.unavailable_until = self.unavailable_until.max(now + unavailable_for);
+    }
+
+    /// Records that a connection broke. True if the server is shedding its connections: several broke lately, and they
+    /// are a good part of what it had. Single connections break on a bad network too.
+    pub fn record_reset(&mut self) -> bool {
+        self.recent_resets += 1.0;
+        let total = self.recent_resets + f64::from(self.connections);
+        self.recent_resets >= MIN_RESETS && self.recent_resets >= MIN_RESET_RATIO * total
+    }
+
+    /// Records that a request is sent here. `sustained_connections` is this instance's part of what the server can hold
+    /// by now: admissions that were not used as it grew are lost, so that they can't be spent in one burst.
+    pub fn record_admission(&mut self, now: f64, sustained_connections: Option<f64>) {
+        let unused_floor = sustained_connections.unwrap_or(0.0) - 1.0;
+        self.warm_up_admissions = self.warm_up_admissions.max(unused_floor) + 1.0;
+        self.last_admitted_at = now;
+    }
+
+    pub fn add_group_connection(&mut self, group: Option<u64>) {
+        if let Some(group) = group {
+            *self.group_connections.entry(group).or_insert(0) += 1;
+        }
+    }
+
+    pub fn remove_group_connection(&mut self, group: Option<u64>) {
+        let Some(group) = group else { return };
+        if let Some(count) = self.group_connections.get_mut(&group) {
+            *count = count.saturating_sub(1);
+            if *count == 0 {
+                self.group_connections.remove(&group);
+            }
+        }
+    }
+
+    /// Takes load off; negative load is added.
+    pub fn release_load(&mut self, load: f64) {
+        self.assigned_load = (self.assigned_load - load).max(0.0);
+    }
+
+    fn run_housekeeping(&mut self, now: f64) {
+        self.recent_resets *= RESET_DECAY_RATIO;
+        if now >= self.unavailable_until {
+            self.health += (1.0 - self.health) * HEALTH_RECOVERY_RATIO;
+        }
+    }
+}
+
+/// All servers by id.
+#[derive(Debug, Default)]
+pub(crate) struct ServerTable {
+    servers: BTreeMap<ServerId, Server>,
+    /// The largest total weight of ready servers that has been listed.
+    peak_weight: f64,
+}
+
+impl ServerTable {
+    /// Takes over a received list. Servers that are missing from a complete one are removed once they hold nothing.
+    pub fn update(&mut self, is_complete: bool, entries: &[ServerEntry], weight_kind: WeightKind) {
+        if is_complete {
+            for server in self.servers.values_mut() {
+                server.entry.state = ServerState::Removed;
+            }
+        }
+        for listed in entries {
+            let weight =
+                positive(listed.weight).filter(|_| weight_kind != WeightKind::Uniform).unwrap_or(1.0);
+            let entry = ServerEntry { weight, ..*listed };
+            self.servers.entry(listed.server).or_insert_with(|| Server::new(entry)).update_entry(entry);
+        }
+        self.servers.retain(|_, server| server.entry.state != ServerState::Removed || server.connections > 0);
+        let ready_weight: f64 = self.ready().map(|server| server.entry.weight).sum();
+        self.peak_weight = ready_weight.max(self.peak_weight);
+    }
+
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.servers.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.servers.get_mut(&id)
+    }
+
+    pub fn contains(&self, id: ServerId) -> bool {
+        self.servers.contains_key(&id)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &Server> {
+        self.servers.values()
+    }
+
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.servers.values_mut()
+    }
+
+    /// Servers behind an id in the order of ids, from the first one for `None`.
+    pub fn after(&self, id: Option<ServerId>) -> impl Iterator<Item = &Server> {
+        self.servers.range((id.map_or(Unbounded, Excluded), Unbounded)).map(|(_, server)| server)
+    }
+
+    pub fn len(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// Servers that are listed as ready.
+    pub fn ready(&self) -> impl Iterator<Item = &Server> {
+        self.servers.values().filter(|server| server.is_ready())
+    }
+
+    /// Servers that take part in placement.
+    pub fn in_service(&self, settings: &Settings, now: f64) -> impl Iterator<Item = &Server> {
+        self.servers.values().filter(move |server| server.is_in_service(settings, now))
+    }
+
+    pub fn draining(&self) -> Vec<ServerId> {
+        let is_draining = |server: &&Server| server.entry.state == ServerState::Draining;
+        self.servers.values().filter(is_draining).map(|server| server.entry.server).collect()
+    }
+
+    /// Whether servers are known and none of them is ready: none comes back within a moment.
+    pub fn are_all_leaving(&self) -> bool {
+        !self.servers.is_empty() && !self.servers.values().any(Server::is_ready)
+    }
+
+    /// The largest total weight of ready servers that has been listed: what the whole fleet can do.
+    pub fn peak_weight(&self) -> f64 {
+        self.peak_weight
+    }
+
+    /// Takes load off a server, if it is known; negative load is added.
+    pub fn release_load(&mut self, id: ServerId, load: f64) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.release_load(load);
+        }
+    }
+
+    pub fn run_housekeeping(&mut self, now: f64) {
+        for server in self.servers.values_mut() {
+            server.run_housekeeping(now);
+        }
+    }
+
+    /// Quarantined servers whose trial is due; their next trials are put off by their backoffs.
+    pub fn take_due_trials(&mut self, now: f64) -> Vec<ServerId> {
+        let mut due = Vec::new();
+        for (id, server) in &mut self.servers {
+            if server.is_quarantined && now >= server.trial_at && server.is_ready() {
+                server.trial_at = now + server.trial_backoff;
+                due.push(*id);
+            }
+        }
+        due
+    }
+}
--- a/crates/decisions/src/slow_servers.rs
+++ b/crates/decisions/src/slow_servers.rs
@@ -1,59 +1,105 @@
-//! Servers with slow messages: they get nothing new, and a part of their clients is asked to come again elsewhere.
+//! Servers with slow messages: they get nothing new, and some of their clients are migrated.
 
-use crate::interface::*;
-use crate::policy::{PERIOD, SLOW_HOLD};
-use crate::state::{Balancer, Client, sane};
+use crate::interface::{Action, RequestId, ServerId};
+use crate::numeric::positive;
+use crate::requests::TrackedRequest;
+use crate::servers::DelayReport;
+use crate::state::Balancer;
+use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
-/// Delay over message aim at which a server counts as slow and clients start to leave it.
-const SLOW: f64 = 0.4;
-/// A slow server's pile of work should be gone within this many periods: so much of its load must leave.
-const DRAIN: f64 = 0.4;
-const LEAVE_MOST: f64 = 0.5;
+/// Delay over the message latency objective from which on a server counts as slow.
+const SLOW_DELAY_RATIO: f64 = 0.4;
+/// A slow server gets nothing new until shortly after its next report.
+const SLOW_UNAVAILABLE_SECONDS: f64 = 1.2 * HOUSEKEEPING_PERIOD_SECONDS;
+/// The backlog of a slow server is to be gone after this time.
+const BACKLOG_DRAIN_SECONDS: f64 = 0.4 * HOUSEKEEPING_PERIOD_SECONDS;
+/// The largest share of a slow server's load that is migrated at once.
+const MAX_MIGRATED_RATIO: f64 = 0.5;
+/// Reports further apart than this say nothing of the backlog's growth.
+const MAX_REPORT_GAP_SECONDS: f64 = 1.5 * HOUSEKEEPING_PERIOD_SECONDS;
+/// Reports closer together than this count as this far apart.
+const MIN_REPORT_GAP_SECONDS: f64 = 0.5 * HOUSEKEEPING_PERIOD_SECONDS;
+
+/// A client that may be migrated.
+struct MigrationCandidate {
+    request: RequestId,
+    load: f64,
+    /// Its class can live with the server's delay.
+    tolerates_delay: bool,
+}
+
+/// The share of a server's load that has to leave. A backlog grows by the load beyond what the server can do and shrinks by
+/// what it has free, so the growth since the last report counts: a backlog that drains already sheds nobody.
+fn excess_load_ratio(report: DelayReport, previous: DelayReport) -> f64 {
+    let gap = report.reported_at - previous.reported_at;
+    let growth = if gap < MAX_REPORT_GAP_SECONDS {
+        (report.delay - previous.delay) / gap.max(MIN_REPORT_GAP_SECONDS)
+    } else {
+        0.0
+    };
+    (growth + report.delay / BACKLOG_DRAIN_SECONDS) / (1.0 + growth.max(0.0))
+}
 
 impl Balancer {
-    /// Messages are slow: the server has no room now, and some of its clients do better elsewhere.
-    pub(crate) fn message_delay(&mut self, now: f64, server: ServerId, delay: f64, out: &mut Vec<Action>) {
-        let Some(delay) = sane(delay) else { return };
-        let aim = self.message_aim();
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        let (before, at) = std::mem::replace(&mut s.delay, (delay, now));
-        if delay / aim < SLOW {
-            s.slow_until = s.slow_until.min(now);
+    /// Messages at a server take `delay` seconds.
+    pub(crate) fn on_message_delay(&mut self, now: f64, id: ServerId, delay: f64, out: &mut Vec<Action>) {
+        let Some(delay) = positive(delay) else { return };
+        let objective = self.message_latency_objective();
+        let Some(server) = self.servers.get_mut(id) else { return };
+        let report = DelayReport { delay, reported_at: now };
+        let previous = std::mem::replace(&mut server.last_delay, report);
+        if delay / objective < SLOW_DELAY_RATIO {
+            server.unavailable_until = server.unavailable_until.min(now);
             return;
         }
-        // A pile grows by the load beyond what the server can do, and shrinks by its room: growth since the
-        // last note tells how much must leave. Without it a pile that already drains sheds clients again.
-        let growth =
-            if now - at < 1.5 * PERIOD { (delay - before) / (now - at).max(PERIOD * 0.5) } else { 0.0 };
-        let share = (growth + delay / (DRAIN * PERIOD)) / (1.0 + growth.max(0.0));
-        self.lower(now, server, SLOW_HOLD * PERIOD);
+        server.reduce_health(now, SLOW_UNAVAILABLE_SECONDS);
+        let share = excess_load_ratio(report, previous);
         if share > 0.0 {
-            self.leave(server, share.min(LEAVE_MOST), delay, out);
+            self.migrate_share(id, share.min(MAX_MIGRATED_RATIO), delay, out);
         }
     }
 
-    /// Asks a share of the load on a server to come again, heaviest first: fewer clients are moved.
-    pub(crate) fn leave(&mut self, server: ServerId, share: f64, delay: f64, out: &mut Vec<Action>) {
-        let on = |c: &&Client| c.on == Some(server) && !c.answered;
-        // Those whose class can still live with the delay lose by leaving: they come last.
-        let hurt = |c: &Client| {
-            self.set.classes.get(c.request.class).is_none_or(|k| k.message_latency_objective <= delay)
-        };
-        let mut there: Vec<(bool, f64, RequestId)> =
-            self.clients.values().filter(on).map(|c| (!hurt(c), c.load, c.request.id)).collect();
-        there.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
-        let mut due = there.iter().map(|c| c.1).sum::<f64>() * share;
-        for (_, load, id) in there {
-            // Whole clients only: one that is more than what is due leaves with that chance.
-            if due <= 0.0 || self.moves < 1.0 || (due < load && self.draw() * load >= due) {
+    /// The strictest objective of any class.
+    fn message_latency_objective(&self) -> f64 {
+        let objectives = self.settings.classes.iter().map(|class| class.message_latency_objective);
+        objectives.fold(f64::INFINITY, f64::min)
+    }
+
+    /// Migrates clients with this share of a server's load, the heaviest first so that few are migrated. Those whose class
+    /// can live with the delay come last.
+    pub(crate) fn migrate_share(&mut self, id: ServerId, share: f64, delay: f64, out: &mut Vec<Action>) {
+        let candidates = self.migration_candidates(id, delay);
+        let mut due = candidates.iter().map(|candidate| candidate.load).sum::<f64>() * share;
+        for MigrationCandidate { request, load, .. } in candidates {
+            if due <= 0.0 || self.migration_credit < 1.0 {
+                break;
+            }
+            // A client with more than the load that is still due leaves with that chance.
+            if due < load && self.draw() * load >= due {
                 break;
             }
             due -= load;
-            self.moves -= 1.0;
-            out.push(Action::Migrate(id));
-            if let Some(c) = self.clients.get_mut(&id) {
-                c.answered = true;
+            self.migration_credit -= 1.0;
+            out.push(Action::Migrate(request));
+            if let Some(tracked) = self.requests.get_mut(request) {
+                tracked.is_answered = true;
             }
         }
     }
+
+    fn migration_candidates(&self, id: ServerId, delay: f64) -> Vec<MigrationCandidate> {
+        let is_there =
+            |tracked: &&TrackedRequest| tracked.connected_server == Some(id) && !tracked.is_answered;
+        let candidate = |tracked: &TrackedRequest| {
+            let class = self.settings.classes.get(tracked.request.class);
+            MigrationCandidate {
+                request: tracked.request.id,
+                load: tracked.load,
+                tolerates_delay: class.is_some_and(|class| class.message_latency_objective > delay),
+            }
+        };
+        let mut candidates: Vec<_> = self.requests.iter().filter(is_there).map(candidate).collect();
+        candidates.sort_by(|a, b| a.tolerates_delay.cmp(&b.tolerates_delay).then(b.load.total_cmp(&a.load)));
+        candidates
+    }
 }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,294 +1,147 @@
-//! What an instance remembers, and the hashing it draws lots with. No decisions.
-
-use std::collections::BTreeMap;
+//! The balancer: one instance's state, composed of the tables and estimates that the decisions go by.
 
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 
-use crate::fleet_view::Others;
-use crate::interface::*;
-use crate::load::Borne;
-use crate::probing::ProbeTable;
-use crate::slow_start::Crowd;
-
-/// Bound on remembered groups: what the table may grow to.
-pub(crate) const GROUPS_MOST: usize = 2048;
-
-#[derive(Clone, Debug)]
-pub(crate) struct Server {
-    pub entry: ServerEntry,
-    pub used: f64,
-    pub open: u32,
-    pub health: f64,
-    pub slow_until: f64,
-    pub delay: (f64, f64),
-    pub locked: bool,
-    pub retry_at: f64,
-    pub backoff: f64,
-    pub entries: f64,
-    /// When it was last sent a client.
-    pub entered: f64,
-    /// When a set-up failed there that no good one has followed.
-    pub failed_at: f64,
-    /// Connections that broke there lately.
-    pub drops: f64,
-    /// It drained and is ready again, and nobody was sent there since.
-    pub thawed: bool,
-    /// Set-ups in hand.
-    pub in_hand: u32,
-    /// This proxy's clients there, by group.
-    pub groups: BTreeMap<u64, u32>,
-}
-
-#[derive(Clone, Debug)]
-pub(crate) struct Client {
-    pub request: Request,
-    /// What repeating it may do, as its class stood when it arrived: new settings change nothing of what has been sent.
-    pub idempotency: Idempotency,
-    pub group: Option<u64>,
-    pub load: f64,
-    /// Its load was told.
-    pub told: bool,
-    pub attempts: u32,
-    pub out: Option<ServerId>,
-    pub on: Option<ServerId>,
-    pub ran: Option<(ServerId, f64, u32)>,
-    pub tried: Vec<ServerId>,
-    /// Servers that answered with an error.
-    pub errors: Vec<ServerId>,
-    /// When its last attempt went out.
-    pub sent: f64,
-    pub arrived: f64,
-    /// It passes over its group's first rank where nothing is heard of it.
-    pub passes: bool,
-    pub answered: bool,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Reservation {
-    pub server: ServerId,
-    pub load: f64,
-    pub until: f64,
-}
-
-impl Server {
-    pub fn new(entry: ServerEntry) -> Self {
-        Server {
-            entry,
-            used: 0.0,
-            open: 0,
-            health: 1.0,
-            slow_until: 0.0,
-            delay: (0.0, 0.0),
-            locked: false,
-            retry_at: 0.0,
-            backoff: 0.0,
-            entries: 0.0,
-            entered: f64::NEG_INFINITY,
-            failed_at: f64::NEG_INFINITY,
-            drops: 0.0,
-            thawed: false,
-            in_hand: 0,
-            groups: BTreeMap::new(),
-        }
-    }
-}
-
-fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
-}
-
-pub(crate) fn hash(a: u64, b: u64) -> u64 {
-    mix(mix(a.wrapping_add(0x9e37_79b9_7f4a_7c15)).wrapping_add(b))
-}
-
-/// A hash as a number in (0, 1).
-pub(crate) fn unit(x: u64) -> f64 {
-    ((x >> 11) as f64 + 0.5) / (1u64 << 53) as f64
-}
-
-pub(crate) fn sane(x: f64) -> Option<f64> {
-    (x.is_finite() && x > 0.0).then_some(x)
-}
-
-/// One proxy's decisions. Feed it events, carry out its actions.
+use crate::arrival_rate::ArrivalRate;
+use crate::fleet_view::FleetView;
+use crate::groups::{GroupTable, placement_group};
+use crate::hashing::to_unit_interval;
+use crate::interface::{Idempotency, Request, ServerId, Settings};
+use crate::load::LoadEstimates;
+use crate::probe_table::ProbeTable;
+use crate::rate_limit::SetupRateLimiter;
+use crate::requests::{RequestTable, TrackedRequest};
+use crate::reservations::{Reservation, ReservationTable};
+use crate::servers::{Server, ServerTable};
+use crate::slow_start::{SlowStart, SlowStartInputs};
+
+/// The decisions of one instance: takes events, appends actions. Without I/O, clock and randomness of its own.
 #[derive(Debug)]
 pub struct Balancer {
-    pub(crate) set: Settings,
-    pub(crate) rng: Pcg64Mcg,
-    pub(crate) servers: BTreeMap<ServerId, Server>,
-    pub(crate) clients: BTreeMap<RequestId, Client>,
-    pub(crate) reserved: BTreeMap<u64, Reservation>,
-    pub(crate) groups: BTreeMap<u64, (f64, Option<ServerId>)>,
-    pub(crate) seen: f64,
-    pub(crate) rate: f64,
-    pub(crate) span: f64,
-    pub(crate) steady: f64,
-    pub(crate) class_load: Vec<f64>,
-    pub(crate) moves: f64,
-    /// Mean load of a connection, 0 while it is not known.
-    pub(crate) mean: f64,
-    pub(crate) borne: BTreeMap<ServerId, Borne>,
-    pub(crate) probing: ProbeTable,
-    pub(crate) others: Others,
-    /// A look at who waits is due.
-    pub(crate) looks: bool,
-    pub(crate) pace: f64,
-    pub(crate) permits: f64,
-    pub(crate) paced_at: f64,
-    pub(crate) fell_at: f64,
-    pub(crate) sends: f64,
-    pub(crate) subscribed: bool,
-    /// When this proxy started.
-    pub(crate) began: f64,
-    pub(crate) crowd: Crowd,
-    /// The sizes of all ready servers together, at the most that was listed.
-    pub(crate) sizes: f64,
-    /// Attempts may be repeated.
-    pub(crate) repeats: bool,
+    pub(crate) settings: Settings,
+    rng: Pcg64Mcg,
+    pub(crate) servers: ServerTable,
+    pub(crate) requests: RequestTable,
+    pub(crate) reservations: ReservationTable,
+    pub(crate) groups: GroupTable,
+    pub(crate) arrivals: ArrivalRate,
+    pub(crate) loads: LoadEstimates,
+    pub(crate) probes: ProbeTable,
+    pub(crate) fleet: FleetView,
+    pub(crate) setup_limiter: SetupRateLimiter,
+    pub(crate) slow_start: SlowStart,
+    /// Migrations that are allowed now.
+    pub(crate) migration_credit: f64,
+    /// The timer is set that places deferred requests again.
+    pub(crate) is_defer_timer_set: bool,
+    pub(crate) is_subscribed: bool,
+    pub(crate) are_retries_allowed: bool,
 }
 
 impl Balancer {
-    /// A fresh one whose set-ups have this pace.
-    pub(crate) fn fresh(set: Settings, seed: u64, pace: f64) -> Self {
-        let class_load = vec![0.0; set.classes.len()];
+    /// Creates an instance that knows no server yet; all its randomness comes from `seed`.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let loads = LoadEstimates::new(settings.classes.len());
         Balancer {
-            set,
+            settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            servers: BTreeMap::new(),
-            clients: BTreeMap::new(),
-            reserved: BTreeMap::new(),
-            groups: BTreeMap::new(),
-            seen: 0.0,
-            rate: 0.0,
-            span: 1.0,
-            steady: 0.0,
-            class_load,
-            moves: 0.0,
-            mean: 0.0,
-            borne: BTreeMap::new(),
-            probing: ProbeTable::default(),
-            others: Others::default(),
-            looks: false,
-            pace,
-            permits: 1.0,
-            paced_at: 0.0,
-            fell_at: 0.0,
-            sends: 0.0,
-            subscribed: false,
-            began: f64::NEG_INFINITY,
-            crowd: Crowd::default(),
-            sizes: 0.0,
-            repeats: true,
+            servers: ServerTable::default(),
+            requests: RequestTable::default(),
+            reservations: ReservationTable::default(),
+            groups: GroupTable::default(),
+            arrivals: ArrivalRate::default(),
+            loads,
+            probes: ProbeTable::default(),
+            fleet: FleetView::default(),
+            setup_limiter: SetupRateLimiter::default(),
+            slow_start: SlowStart::default(),
+            migration_credit: 0.0,
+            is_defer_timer_set: false,
+            is_subscribed: false,
+            are_retries_allowed: true,
         }
     }
 
-    /// Puts new settings in force; all that was learned stays. Classes that are known keep their places.
-    pub fn take_settings(&mut self, set: Settings) {
-        self.class_load.resize(set.classes.len(), 0.0);
-        self.set = set;
-    }
-
-    /// What the ranks go by: the group, or where packets pass through the key, for the next proxy to find.
-    pub(crate) fn group_of(&self, r: &Request) -> Option<u64> {
-        let of = if self.set.is_pass_through { r.key } else { r.group };
-        ((self.set.is_pass_through || self.set.has_groups) && of != 0).then_some(of)
+    /// Puts new settings in force; everything learned stays. Classes that are known keep their indices.
+    pub fn update_settings(&mut self, settings: Settings) {
+        self.loads.class_loads.resize(settings.classes.len(), 0.0);
+        self.settings = settings;
     }
 
+    /// A random number between 0 and 1.
     pub(crate) fn draw(&mut self) -> f64 {
-        unit(self.rng.next_u64())
-    }
-
-    /// Whether all that are here leave, or were taken out: none of them comes back within a moment.
-    pub(crate) fn barred(&self) -> bool {
-        !self.servers.is_empty() && self.servers.values().all(|s| s.entry.state != ServerState::Ready)
+        to_unit_interval(self.rng.next_u64())
     }
 
-    pub(crate) fn unuse(&mut self, server: ServerId, load: f64) {
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.used = (s.used - load).max(0.0);
+    pub(crate) fn slow_start_inputs(&self, now: f64) -> SlowStartInputs<'_> {
+        SlowStartInputs {
+            settings: &self.settings,
+            servers: &self.servers,
+            loads: &self.loads,
+            arrivals_per_second: self.arrivals.per_second,
+            is_fleet_known: self.fleet.is_current(now),
         }
     }
 
-    pub(crate) fn finish(&mut self, id: RequestId) {
-        let Some(c) = self.clients.get_mut(&id) else { return };
-        c.answered = true;
-        if c.out.is_none() && c.on.is_none() {
-            self.clients.remove(&id);
-        }
+    /// Whether slow start lets this instance send a request to a server now.
+    pub(crate) fn is_past_slow_start(&self, server: &Server, now: f64) -> bool {
+        self.slow_start.may_admit(&self.slow_start_inputs(now), server, now)
     }
 
-    pub(crate) fn load_of(&mut self, r: &Request) -> f64 {
-        let hint = r.load.and_then(sane);
-        if let (Some(load), Some(mean)) = (hint, self.class_load.get_mut(r.class)) {
-            *mean = if *mean > 0.0 { *mean + 0.05 * (load - *mean) } else { load };
-        }
-        let class = self.class_load.get(r.class).copied().and_then(sane);
-        let known = || self.class_load.iter().copied().find_map(sane);
-        hint.or(class).or_else(known).or(sane(self.mean)).unwrap_or(1.0)
+    /// A record of a new request; it counts towards the mean load of its class and the clients of its group.
+    pub(crate) fn track(&mut self, now: f64, request: Request) -> TrackedRequest {
+        let load = self.loads.estimate(&request);
+        let group = placement_group(&self.settings, &request);
+        self.groups.record_client(group);
+        let class = self.settings.classes.get(request.class);
+        let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
+        TrackedRequest::new(now, request, idempotency, group, load)
     }
 
-    pub(crate) fn client(&mut self, now: f64, request: Request) -> Client {
-        let load = self.load_of(&request);
-        self.count_group(&request);
-        Client {
-            request,
-            idempotency: self
-                .set
-                .classes
-                .get(request.class)
-                .map_or(Idempotency::NonIdempotent, |k| k.idempotency),
-            group: self.group_of(&request),
-            load,
-            told: false,
-            attempts: 0,
-            out: None,
-            on: None,
-            ran: None,
-            tried: Vec::new(),
-            errors: Vec::new(),
-            sent: now,
-            arrived: now,
-            passes: false,
-            answered: false,
-        }
+    /// The class's objective for the set-up of a request, in seconds.
+    pub(crate) fn latency_objective(&self, request: &Request) -> f64 {
+        self.settings.classes.get(request.class).map_or(0.0, |class| class.latency_objective)
     }
 
-    pub(crate) fn drop_reservation(&mut self, key: u64) {
-        if let Some(r) = self.reserved.remove(&key) {
-            self.unuse(r.server, r.load);
-        }
+    /// Reserves load on a server for a client that is expected back.
+    pub(crate) fn insert_reservation(&mut self, key: u64, reservation: Reservation) {
+        self.reservations.insert(key, reservation);
+        self.servers.release_load(reservation.server, -reservation.load);
     }
 
-    pub(crate) fn count_group(&mut self, r: &Request) {
-        self.seen += 1.0;
-        let Some(group) = self.group_of(r) else { return };
-        if self.groups.len() < GROUPS_MOST || self.groups.contains_key(&group) {
-            self.groups.entry(group).or_insert((0.0, None)).0 += 1.0;
+    /// Gives up a client's reservation, if it has one.
+    pub(crate) fn remove_reservation(&mut self, key: u64) {
+        if let Some(reservation) = self.reservations.remove(key) {
+            self.servers.release_load(reservation.server, reservation.load);
         }
     }
 
-    pub(crate) fn message_aim(&self) -> f64 {
-        self.set.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min)
-    }
-
-    /// Servers known to hold some of a group: those of its clients here, and where the last one was placed.
-    pub(crate) fn holding(&self, group: Option<u64>) -> Vec<ServerId> {
-        let Some(group) = group else { return Vec::new() };
-        let same = self.clients.values().filter(|c| c.group == Some(group));
-        let last = self.groups.get(&group).and_then(|g| g.1);
-        same.filter_map(|c| c.on.or(c.out)).chain(last).collect()
+    /// Servers known to hold some of a group: those of its clients here, and where the last one was connected.
+    pub(crate) fn servers_holding(&self, group: u64) -> Vec<ServerId> {
+        let members = self.requests.iter().filter(|tracked| tracked.group == Some(group));
+        let last = self.groups.last_server(group);
+        members.filter_map(TrackedRequest::server).chain(last).collect()
     }
 
-    /// Requests that wait for a server: those who come again first, then who has waited for longest.
-    pub(crate) fn held(&self) -> Vec<RequestId> {
-        let waiting = |c: &&Client| !c.answered && c.out.is_none() && c.on.is_none();
-        let mut held: Vec<&Client> = self.clients.values().filter(waiting).collect();
-        held.sort_by(|a, b| {
-            b.request.is_returning.cmp(&a.request.is_returning).then(a.arrived.total_cmp(&b.arrived))
-        });
-        held.into_iter().map(|c| c.request.id).collect()
+    /// Puts a new mean load in force; requests whose own load is not known count with it.
+    pub(crate) fn set_mean_load(&mut self, mean_load: f64) {
+        self.loads.mean_load = mean_load;
+        for server in self.servers.iter_mut() {
+            server.assigned_load = 0.0;
+        }
+        for tracked in self.requests.iter_mut() {
+            if !tracked.is_load_reported && tracked.request.load.is_none() {
+                tracked.load = mean_load;
+            }
+            if let Some(server) = tracked.server().and_then(|id| self.servers.get_mut(id)) {
+                server.assigned_load += tracked.load;
+            }
+        }
+        for reservation in self.reservations.iter() {
+            if let Some(server) = self.servers.get_mut(reservation.server) {
+                server.assigned_load += reservation.load;
+            }
+        }
     }
 }
--- a/crates/decisions/tests/outside.rs
+++ b/crates/decisions/tests/embedding_api.rs
@@ -13,7 +13,7 @@
         let next = ServerId(home.0 % 12 + 1);
         // Others on the new server: by usage alone the client would not go there.
         (20..30).for_each(|id| drop(p.give(Event::ConnectionRestored(request(id, 100.0), next))));
-        p.module.sent_away(RequestId(1), Some(next), p.now + 3.0);
+        p.module.on_migrated(RequestId(1), Some(next), p.now + 3.0);
         p.end_as(1, home, 0, Outcome::Cancelled, true);
         p.give(list(
             &(1..=12)
@@ -31,7 +31,7 @@
     for allowed in [true, false] {
         let mut p = Proxy::new(settings(), 12);
         let first = sent(&p.arrive(request(1, p.now))).expect("there is room");
-        p.module.allow_repeats(allowed);
+        p.module.allow_retries(allowed);
         let then = p.end(1, first, 0, Outcome::Rejected);
         assert_eq!((sent(&then).is_some(), refused(&then)), (allowed, !allowed));
     }
--- a/crates/decisions/tests/together.rs
+++ b/crates/decisions/tests/fleet_placement.rs
@@ -132,9 +132,9 @@
 impl Fleet {
     fn told(&self) -> Told {
         let mut told = Told::new();
-        for h in self.proxies.iter().flat_map(|p| p.module.holds()) {
+        for h in self.proxies.iter().flat_map(|p| p.module.holdings()) {
             let away = told.entry(h.server).or_default();
-            (away.load, away.connections) = (away.load + h.load, away.connections + f64::from(h.open));
+            (away.load, away.connections) = (away.load + h.load, away.connections + f64::from(h.connections));
             away.groups.insert(h.group as u32);
         }
         told
--- a/crates/decisions/tests/placing.rs
+++ b/crates/decisions/tests/placement.rs
@@ -407,7 +407,7 @@
     }
     p.give(Event::LoadChanged { request: RequestId(0), load: 0.3 });
     p.give(Event::MeanLoadEstimated(0.1));
-    let placed = p.module.placed(ServerId(1));
+    let placed = p.module.assigned_load(ServerId(1));
     assert!((placed - (0.3 + 4.0 * 0.1 + 5.0 * 0.01)).abs() < 1e-9, "{placed}");
 }
 
--- a/crates/decisions/tests/blind.rs
+++ b/crates/decisions/tests/probing.rs
@@ -96,7 +96,7 @@
     assert_eq!(sent(&p.give(probed(asked[0], Outcome::Error))), None);
     p.now += 0.004;
     assert_eq!(sent(&p.give(probed(asked[1], Outcome::Ok))), Some(asked[1]));
-    assert!(!p.module.avoided(p.now).contains(&asked[0]));
+    assert!(!p.module.unavailable_servers(p.now).contains(&asked[0]));
 }
 
 /// A fleet whose servers answer probes as the platform's do: at full pace up to 0.3 of their load, at a fifth of it from
--- a/crates/decisions/tests/replay.rs
+++ b/crates/decisions/tests/replay.rs
@@ -12,7 +12,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::Balancer;
 use shorewharf_decisions::interface::*;
-use shorewharf_decisions::memory::Cursor;
+use shorewharf_decisions::persistence::ExportCursor;
 use twox_hash::XxHash3_64;
 
 const SERVERS: u64 = 12;
@@ -108,19 +108,21 @@
 
     fn write_state(&mut self) {
         for server in 1..=SERVERS {
-            let placed = self.module.placed(ServerId(server));
+            let placed = self.module.assigned_load(ServerId(server));
             writeln!(self.text, "placed {server} {:x}", placed.to_bits()).expect("memory");
         }
-        for holding in self.module.holds() {
-            let (server, group, open) = (holding.server.0, holding.group, holding.open);
+        for holding in self.module.holdings() {
+            let (server, group, open) = (holding.server.0, holding.group, holding.connections);
             writeln!(self.text, "holds {server} {group} {open} {:x}", holding.load.to_bits())
                 .expect("memory");
         }
-        let avoided: Vec<u64> = self.module.avoided(self.now).iter().map(|server| server.0).collect();
-        writeln!(self.text, "avoided {avoided:?} waiting {}", self.module.waiting()).expect("memory");
-        let (mut known, mut at) = (Vec::new(), Cursor::default());
-        while at != Cursor::End {
-            at = self.module.recollect(at, 7, &mut known);
+        let avoided: Vec<u64> =
+            self.module.unavailable_servers(self.now).iter().map(|server| server.0).collect();
+        writeln!(self.text, "avoided {avoided:?} waiting {}", self.module.waiting_requests())
+            .expect("memory");
+        let (mut known, mut at) = (Vec::new(), ExportCursor::default());
+        while at != ExportCursor::End {
+            at = self.module.export_state(at, 7, &mut known);
         }
         let json = serde_json::to_string(&known).expect("json");
         writeln!(self.text, "{json}").expect("memory");
@@ -280,14 +282,14 @@
             34 => {
                 let Some((id, ..)) = self.some_request() else { return };
                 let (to, until) = (self.server(), self.now + self.number());
-                let standing = self.module.standing(RequestId(id));
+                let standing = self.module.established(RequestId(id));
                 writeln!(self.text, "standing {:?}", standing.map(|s| s.1.map(f64::to_bits)))
                     .expect("memory");
-                self.module.sent_away(RequestId(id), Some(to), until);
+                self.module.on_migrated(RequestId(id), Some(to), until);
             }
             35 => {
                 let yes = self.below(4) > 0;
-                self.module.allow_repeats(yes);
+                self.module.allow_retries(yes);
             }
             _ => {
                 let span = self.number() * 0.1;
@@ -331,17 +333,17 @@
             replay.write_state();
         }
     }
-    let (mut known, mut at) = (Vec::new(), Cursor::default());
-    while at != Cursor::End {
-        at = replay.module.recollect(at, 64, &mut known);
+    let (mut known, mut at) = (Vec::new(), ExportCursor::default());
+    while at != ExportCursor::End {
+        at = replay.module.export_state(at, 64, &mut known);
     }
     for away in [false, true] {
         let mut next = Replay::new(set.clone(), seed + 1);
         next.now = replay.now + 0.7;
         next.entries.clone_from(&replay.entries);
         next.give_list(true);
-        let recalled = next.module.recall(next.now, 0.7, away, &known);
-        let counts = (recalled.taken, recalled.outdated, recalled.faded, recalled.odd);
+        let counts = next.module.restore(next.now, 0.7, away, &known);
+        let counts = (counts.restored, counts.outdated, counts.expired, counts.invalid);
         writeln!(next.text, "recalled {counts:?}").expect("memory");
         for _ in 0..STEPS / 4 {
             next.step(day, set.classes.len());
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -199,7 +199,13 @@
         }
     }
     let few = |n: usize| n.min(3);
-    Ok(format!("{} {} {} {}", few(recalled.outdated), few(recalled.faded), few(recalled.odd), few(unknown)))
+    Ok(format!(
+        "{} {} {} {}",
+        few(recalled.outdated),
+        few(recalled.expired),
+        few(recalled.invalid),
+        few(unknown)
+    ))
 }
 
 fn note(out: &[Action], now: f64, timers: &mut Vec<(f64, u64)>, answered: &mut BTreeSet<RequestId>) {
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::Holding;
 use shorewharf_decisions::interface::*;
-use shorewharf_decisions::memory::Recalled;
+use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_recovery::care::{Care, Guarded, Options};
 use shorewharf_recovery::estimate::Fleet;
 use shorewharf_recovery::memory::{Cursor, Learned};
@@ -140,7 +140,7 @@
 
     /// Recalls what one before has known `past` seconds ago. The list is to be told first; clients that stood then are
     /// expected back if their connections are `away`.
-    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<Learned>) -> Recalled {
+    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<Learned>) -> RestoreCounts {
         self.balancer.recall(now, past, away, learned)
     }
 
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -45,7 +45,7 @@
         for h in before.held.get(&who).into_iter().flatten() {
             if let Some(away) = others.get_mut(&h.server) {
                 away.load = (away.load - h.load).max(0.0);
-                away.connections = (away.connections - f64::from(h.open)).max(0.0);
+                away.connections = (away.connections - f64::from(h.connections)).max(0.0);
             }
         }
         Some(Arc::new(others))
@@ -57,7 +57,7 @@
     for h in held.values().flatten() {
         let away = all.entry(h.server).or_default();
         away.load += h.load;
-        away.connections += f64::from(h.open);
+        away.connections += f64::from(h.connections);
         if h.group != 0 {
             // Notes name groups by the lower half of their ids.
             away.groups.insert(h.group as u32);
--- a/crates/recovery/src/care.rs
+++ b/crates/recovery/src/care.rs
@@ -191,7 +191,7 @@
         }
         let closed = || self.retry.closed(now) || self.measures().repeats == Repeats::None;
         let may = repeat.unwrap_or_else(|| !closed());
-        module.allow_repeats(may || !self.options.repeats);
+        module.allow_retries(may || !self.options.repeats);
         true
     }
 
@@ -404,7 +404,7 @@
         let mut moves = std::mem::take(&mut self.moves);
         self.rebalance.step(now, pace, &mut self.table, self.groups, self.proxies, &mut moves);
         for m in moves.drain(..) {
-            module.sent_away(m.request, Some(m.to), now + PLACE);
+            module.on_migrated(m.request, Some(m.to), now + PLACE);
             out.push(Action::Migrate(m.request));
         }
         self.moves = moves;
@@ -483,7 +483,7 @@
         if now >= self.looked + LOOK {
             self.looked = now;
             let fleet = self.estimate.fleet(now, &self.module);
-            out.extend(self.shortage.look(self.module.waiting(), &fleet).map(Action::Log));
+            out.extend(self.shortage.look(self.module.waiting_requests(), &fleet).map(Action::Log));
         }
         self.care.sees(now, first, &event, out, &mut self.module);
     }
@@ -494,7 +494,7 @@
         self.care.take_settings(&set);
         self.estimate.take_settings(&set);
         self.queue.take_settings(&set);
-        self.module.take_settings(set);
+        self.module.update_settings(set);
     }
 
     /// A standing client was asked to move by someone else.
@@ -509,22 +509,22 @@
 
     /// What is known of a standing connection: what it asked for, and its load where that was told.
     pub fn standing(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
-        self.module.standing(id)
+        self.module.established(id)
     }
 
     /// What is held here, to be told to other balancers.
     pub fn holds(&self) -> Vec<Holding> {
-        self.module.holds()
+        self.module.holdings()
     }
 
     /// Servers that get nothing new now.
     pub fn avoided(&self, now: f64) -> Vec<ServerId> {
-        self.module.avoided(now)
+        self.module.unavailable_servers(now)
     }
 
     /// Clients that wait for room here, and how many hold a place to come back, about.
     pub fn waiting(&self, now: f64) -> (usize, f64) {
-        (self.module.waiting(), self.queue.length(now))
+        (self.module.waiting_requests(), self.queue.length(now))
     }
 
     /// The care.
--- a/crates/recovery/src/estimate.rs
+++ b/crates/recovery/src/estimate.rs
@@ -100,7 +100,7 @@
 
 impl Placed for shorewharf_decisions::Balancer {
     fn placed(&self, server: ServerId) -> f64 {
-        shorewharf_decisions::Balancer::placed(self, server)
+        shorewharf_decisions::Balancer::assigned_load(self, server)
     }
 }
 
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 use shorewharf_decisions::interface::ServerId;
-use shorewharf_decisions::memory::{Known, Recalled, load};
+use shorewharf_decisions::persistence::{RestoreCounts, StateRecord, valid_load};
 
 use crate::care::Guarded;
 use crate::estimate::Estimate;
@@ -14,7 +14,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum Learned {
     /// By the decision module.
-    Module(Known),
+    Module(StateRecord),
     /// Of loads and set-ups as a whole.
     Loads(Loads),
     /// What a server bears, and whether attempts failed there.
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cursor {
     /// In the decision module's memory.
-    Module(shorewharf_decisions::memory::Cursor),
+    Module(shorewharf_decisions::persistence::ExportCursor),
     /// Behind this server.
     Servers(Option<ServerId>),
     /// Everything was read.
@@ -72,10 +72,10 @@
         match from {
             Cursor::Module(at) => {
                 let mut known = Vec::new();
-                let at = self.module.recollect(at, most, &mut known);
+                let at = self.module.export_state(at, most, &mut known);
                 out.extend(known.into_iter().map(Learned::Module));
                 match at {
-                    shorewharf_decisions::memory::Cursor::End => Cursor::Servers(None),
+                    shorewharf_decisions::persistence::ExportCursor::End => Cursor::Servers(None),
                     at => Cursor::Module(at),
                 }
             }
@@ -98,33 +98,33 @@
 
     /// Recalls what one before has known `past` seconds ago; the list is to be told first. Clients that stood are expected
     /// back if their connections are `away`.
-    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<Learned>) -> Recalled {
+    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<Learned>) -> RestoreCounts {
         let mut known = Vec::new();
-        let mut recalled = Recalled::default();
+        let mut recalled = RestoreCounts::default();
         for learned in learned {
             match learned {
                 Learned::Module(one) => known.push(one),
                 Learned::Loads(loads) => match self.estimate.recall_loads(&loads) {
                     true => {
                         self.care.table_mut().recall_mean(loads.mean);
-                        recalled.taken += 1;
+                        recalled.restored += 1;
                     }
-                    false => recalled.odd += 1,
+                    false => recalled.invalid += 1,
                 },
                 Learned::Bears(bears) => {
                     let fate = self.estimate.recall(now, past, &bears);
                     match fate {
-                        None => recalled.odd += 1,
+                        None => recalled.invalid += 1,
                         Some(false) => recalled.outdated += 1,
                         Some(true) => {
                             self.care.table_mut().recall(now, ServerId(bears.server), bears.barred);
-                            recalled.taken += 1;
+                            recalled.restored += 1;
                         }
                     }
                 }
             }
         }
-        self.module.recall(now, past, away, &known).and(recalled)
+        self.module.restore(now, past, away, &known).and(recalled)
     }
 }
 
@@ -139,7 +139,7 @@
     /// Recalls what loads and set-ups were like; false where a number can't be.
     fn recall_loads(&mut self, known: &Loads) -> bool {
         let all = [known.mean, known.loads, known.work, known.set_ups];
-        let mean = known.mean == 0.0 || load(known.mean).is_some();
+        let mean = known.mean == 0.0 || valid_load(known.mean).is_some();
         let good = all.into_iter().all(f64::is_finite) && mean && known.loads >= 0.0;
         if good && known.set_ups >= 0.0 {
             self.start_from(known);
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use shorewharf_decisions::outside::{lot, rank};
+use shorewharf_decisions::hashing::{random_rank, rendezvous_rank};
 use shorewharf_decisions::{RequestId, ServerId};
 
 use crate::table::{At, Conn, Table};
@@ -308,12 +308,13 @@
     fn unit(&self, terms: &Terms<'_>, from: usize, to: usize, group: u64, held: &[There]) -> Option<Unit> {
         let (a, b) = (&self.nodes[from], &self.nodes[to]);
         let paid = group == 0 || self.there[to].contains_key(&group);
-        let home = group != 0 && rank(group, b.id, b.weight) < rank(group, a.id, a.weight);
+        let home =
+            group != 0 && rendezvous_rank(group, b.id, b.weight) < rendezvous_rank(group, a.id, a.weight);
         if b.cold {
             let age = terms.now - b.born;
             let open = ((age - OPENS) / (terms.warm - OPENS).max(0.1)).clamp(0.0, 1.0);
             let of = if group == 0 { held.first()?.id.0.into() } else { group };
-            if !paid && lot(of, b.id, b.born) > open {
+            if !paid && random_rank(of, b.id, b.born) > open {
                 return None;
             }
         }
--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -381,7 +381,8 @@
         self.tell(Event::Start);
         self.list(true);
         let r = self.balancer.recall(self.now, 2.5, true, learned);
-        writeln!(self.text, "recalled {} {} {} {}", r.taken, r.outdated, r.faded, r.odd).expect("memory");
+        writeln!(self.text, "recalled {} {} {} {}", r.restored, r.outdated, r.expired, r.invalid)
+            .expect("memory");
         self.plan(0.0, Due::Arrival);
         self.plan(0.5, Due::Minute);
     }
--- a/crates/recovery/tests/snapshot_format.rs
+++ b/crates/recovery/tests/snapshot_format.rs
@@ -2,7 +2,9 @@
 //! next version has to read what this one wrote.
 
 use serde_json::json;
-use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
+use shorewharf_decisions::persistence::{
+    GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
+};
 use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::memory::{Bears, Learned, Loads};
 use shorewharf_snapshot::record::{Encoder, Head, Line, VERSION, decode};
@@ -22,33 +24,33 @@
     let endpoint = json!({"name": "s-1", "address": "127.0.0.1:1", "zone": "z", "type": "large", "group": 3,
         "status": "Ready", "weight": 2.5, "since_ms": 12.5});
     let endpoint: Endpoint = serde_json::from_value(endpoint).expect("an endpoint");
-    let flow = Flow {
-        seen: 12.5,
-        rate: 3.25,
-        span: 1.5,
-        moves: 58.0,
-        mean: 0.2,
-        class_load: vec![0.3, 0.7],
-        pace: 50.0,
+    let flow = InstanceRecord {
+        total_clients: 12.5,
+        arrivals: 3.25,
+        arrival_seconds: 1.5,
+        migration_credit: 58.0,
+        mean_load: 0.2,
+        class_loads: vec![0.3, 0.7],
+        setups_per_second: 50.0,
     };
-    let server = KnownServer {
+    let server = ServerRecord {
         server: 1,
-        born: 95.0,
+        started_at: 95.0,
         health: 0.6,
-        spent_until: 101.4,
-        locked: Some((101.5, 1.25)),
-        entries: 4.0,
-        drops: 1.5,
+        unavailable_until: 101.4,
+        quarantine: Some(QuarantineRecord { trial_at: 101.5, backoff: 1.25 }),
+        warm_up_admissions: 4.0,
+        recent_resets: 1.5,
     };
-    let place = |key| Place { key, server: 4, load: 0.25, until: 102.5 };
+    let place = |key| ReservationRecord { key, server: 4, load: 0.25, expires_at: 102.5 };
     let known = [
-        Known::Flow(flow),
-        Known::Server(server.clone()),
-        Known::Server(KnownServer { server: 2, locked: None, ..server }),
-        Known::Group { group: 1, seen: 3.5, last: Some(4) },
-        Known::Group { group: 2, seen: 4.5, last: None },
-        Known::Place(place(u64::MAX)),
-        Known::Stands(place(5)),
+        StateRecord::Instance(flow),
+        StateRecord::Server(server.clone()),
+        StateRecord::Server(ServerRecord { server: 2, quarantine: None, ..server }),
+        StateRecord::Group(GroupRecord { group: 1, clients: 3.5, last_server: Some(4) }),
+        StateRecord::Group(GroupRecord { group: 2, clients: 4.5, last_server: None }),
+        StateRecord::Reservation(place(u64::MAX)),
+        StateRecord::Connection(place(5)),
     ];
     let learned = [
         Learned::Loads(Loads { mean: 0.2, loads: 12.0, work: -4.5, set_ups: 9.0 }),
