--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -35,7 +35,7 @@
 }
 
 impl Balancer {
-    pub(crate) fn on_request(&mut self, now: f64, request: Request, out: &mut Vec<Action>) {
+    pub(crate) fn on_request(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
         if !request.is_returning {
             // A reconnect surge must not raise the rate that is expected of a warming server.
             self.arrivals.record();
@@ -48,8 +48,8 @@
         // Every request has a deadline timer: whatever else fails, it gets its answer in time.
         let margin = DEADLINE_TIMER_MARGIN_TICKS * self.settings.tick;
         let after = (request.deadline - now - margin).max(0.0);
-        out.push(Action::SetTimer { after, token: Timer::Deadline(request.id).token() });
-        self.dispatch(now, request.id, out);
+        actions.push(Action::SetTimer { after, token: Timer::Deadline(request.id).token() });
+        self.dispatch(now, request.id, actions);
     }
 
     /// A connection that was established before this instance started.
@@ -67,22 +67,24 @@
     }
 
     /// Places a request that waits: an attempt begins, or it is deferred, rejected or failed.
-    pub(crate) fn dispatch(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn dispatch(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id).filter(|tracked| tracked.is_waiting()) else { return };
         let tracked = tracked.clone();
         let time_left = tracked.request.deadline - now - ATTEMPT_MARGIN_TICKS * self.settings.tick;
         let is_retry_forbidden = tracked.attempts > 0 && !self.are_retries_allowed;
         if time_left <= 0.0 || tracked.attempts >= self.settings.max_attempts || is_retry_forbidden {
-            return self.answer_unserved(id, out);
+            return self.answer_unserved(id, actions);
         }
         if !self.setup_limiter.refill(now) {
-            return self.defer(now, &tracked, out);
+            return self.defer(now, &tracked, actions);
         }
-        match self.place(now, &tracked, out) {
-            Placement::Server(server) => self.begin_attempt(now, &tracked, server, time_left, out),
+        match self.choose_server(now, &tracked, actions) {
+            Placement::Server(server) => self.begin_attempt(now, &tracked, server, time_left, actions),
             Placement::AwaitProbes => {}
-            Placement::NoServer if self.is_capacity_imminent(now, &tracked) => self.defer(now, &tracked, out),
-            Placement::NoServer => self.answer_unserved(id, out),
+            Placement::NoServer if self.is_capacity_imminent(now, &tracked) => {
+                self.defer(now, &tracked, actions)
+            }
+            Placement::NoServer => self.answer_unserved(id, actions),
         }
     }
 
@@ -92,7 +94,7 @@
         tracked: &TrackedRequest,
         id: ServerId,
         time_left: f64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.setup_limiter.record_attempt();
         self.remove_reservation(tracked.request.key);
@@ -116,7 +118,7 @@
         tracked.possible_run.get_or_insert(run);
         tracked.attempts += 1;
         // The whole time left: a set-up that is given up early is wasted work, and its retry is more of it.
-        out.push(Action::BeginAttempt { request, server: id, timeout: time_left });
+        actions.push(Action::BeginAttempt { request, server: id, timeout: time_left });
     }
 
     pub(crate) fn on_established(&mut self, now: f64, id: RequestId) {
@@ -146,7 +148,7 @@
         self.servers.release_load(server, -increase);
     }
 
-    pub(crate) fn on_attempt_ended(&mut self, now: f64, end: AttemptEnd, out: &mut Vec<Action>) {
+    pub(crate) fn on_attempt_ended(&mut self, now: f64, end: AttemptEnd, actions: &mut Vec<Action>) {
         let is_current = |tracked: &&mut TrackedRequest| {
             tracked.server() == Some(end.server) && end.attempt + 1 == tracked.attempts
         };
@@ -168,7 +170,7 @@
         if tracked.is_answered {
             self.requests.remove(end.request);
         } else {
-            self.dispatch(now, end.request, out);
+            self.dispatch(now, end.request, actions);
         }
     }
 
--- a/crates/decisions/src/groups.rs
+++ b/crates/decisions/src/groups.rs
@@ -46,7 +46,7 @@
     pub fn record_client(&mut self, group: Option<u64>) {
         self.total_clients += 1.0;
         if let Some(group) = group
-            && self.has_room_for(group)
+            && self.has_capacity_for(group)
         {
             self.groups.entry(group).or_default().clients += 1.0;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Whether a group is counted already or there is room for one more.
-    pub fn has_room_for(&self, group: u64) -> bool {
+    pub fn has_capacity_for(&self, group: u64) -> bool {
         self.groups.len() < MAX_GROUPS || self.groups.contains_key(&group)
     }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -62,12 +62,17 @@
 
 impl Balancer {
     /// Chooses a server for a request; appends the probes that have to come first.
-    pub(crate) fn place(&mut self, now: f64, tracked: &TrackedRequest, out: &mut Vec<Action>) -> Placement {
+    pub(crate) fn choose_server(
+        &mut self,
+        now: f64,
+        tracked: &TrackedRequest,
+        actions: &mut Vec<Action>,
+    ) -> Placement {
         if let Some(remote_loads) = self.fleet.current(now) {
             return Placement::from_choice(self.choose_by_fleet_load(now, tracked, &remote_loads));
         }
         if self.loads.lacks_own_load_signal(&self.settings, self.servers.len()) {
-            return self.choose_by_probes(now, tracked, out);
+            return self.choose_by_probes(now, tracked, actions);
         }
         Placement::from_choice(self.choose_by_own_load(now, tracked))
     }
@@ -163,7 +168,7 @@
             pool.truncate(reach);
         }
         pool.sort_by(PoolMember::by_rank);
-        if skips_first_rank && pool.len() > 1 && !self.is_known_well(pool[0].server, now) {
+        if skips_first_rank && pool.len() > 1 && !self.has_normal_delay(pool[0].server, now) {
             pool.remove(0);
         }
         pool.retain(|member| self.can_take(member.server, tracked, now));
@@ -173,7 +178,7 @@
     }
 
     /// Whether slow messages would have been reported by clients here, and were not. A warming server has its own bound.
-    fn is_known_well(&self, server: &Server, now: f64) -> bool {
+    fn has_normal_delay(&self, server: &Server, now: f64) -> bool {
         let is_quiet = server.connections > 0 && now >= server.last_delay.reported_at + QUIET_SECONDS;
         server.warm_up_ratio(&self.settings, now) < 1.0 || is_quiet
     }
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -18,18 +18,18 @@
 
 impl Balancer {
     /// Takes one event and appends the actions that follow from it.
-    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Start => self.on_start(now, out),
+            Event::Start => self.on_start(now, actions),
             Event::EndpointList { is_complete, entries, .. } => {
-                self.on_endpoint_list(now, is_complete, &entries, out);
+                self.on_endpoint_list(now, is_complete, &entries, actions);
             }
-            Event::DiscoveryFailed => self.schedule_subscription(out),
-            Event::RequestReceived(request) => self.on_request(now, request, out),
+            Event::DiscoveryFailed => self.schedule_subscription(actions),
+            Event::RequestReceived(request) => self.on_request(now, request, actions),
             Event::ConnectionRestored(request, server) => self.on_connection_restored(now, request, server),
             Event::Established { request, .. } => self.on_established(now, request),
             Event::LoadChanged { request, load } => self.on_load_changed(request, load),
-            Event::MessageDelay { server, delay } => self.on_message_delay(now, server, delay, out),
+            Event::MessageDelay { server, delay } => self.on_message_delay(now, server, delay, actions),
             Event::CapacityEstimated { server, load, setup_rate } => {
                 self.loads.set_capacity(server, CapacityEstimate { load, setup_rate });
             }
@@ -41,41 +41,41 @@
             }
             Event::AttemptEnded { request, server, attempt, outcome, is_answered, .. } => {
                 let end = AttemptEnd { request, server, attempt, outcome, is_answered };
-                self.on_attempt_ended(now, end, out);
+                self.on_attempt_ended(now, end, actions);
             }
             Event::ClientLeft(request) => self.requests.mark_answered(request),
-            Event::TimerFired(token) => self.on_timer(now, token, out),
-            Event::ProbeEnded { server, outcome, .. } => self.on_probe_ended(now, server, outcome, out),
+            Event::TimerFired(token) => self.on_timer(now, token, actions),
+            Event::ProbeEnded { server, outcome, .. } => self.on_probe_ended(now, server, outcome, actions),
         }
     }
 
-    fn on_start(&mut self, now: f64, out: &mut Vec<Action>) {
+    fn on_start(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.slow_start.on_instance_start(now);
         let after = HOUSEKEEPING_PERIOD_SECONDS * (0.5 + self.draw());
-        out.push(Action::SetTimer { after, token: Timer::Housekeeping.token() });
+        actions.push(Action::SetTimer { after, token: Timer::Housekeeping.token() });
         if self.settings.polls_discovery {
             // Spread at random, as all instances may start at once.
             let interval = self.settings.poll_interval.min(MAX_POLL_INTERVAL_SECONDS);
             let after = interval * FIRST_POLL_SPREAD_RATIO * self.draw();
-            out.push(Action::SetTimer { after, token: Timer::Subscribe.token() });
+            actions.push(Action::SetTimer { after, token: Timer::Subscribe.token() });
         }
     }
 
     /// Schedules the next call to discovery, after a random pause of one to three times the shortest.
-    fn schedule_subscription(&mut self, out: &mut Vec<Action>) {
+    fn schedule_subscription(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.polls_discovery {
             return;
         }
         self.is_subscribed = false;
         let interval = self.settings.poll_interval.min(MAX_POLL_INTERVAL_SECONDS);
         let after = interval * MIN_POLL_PAUSE_RATIO * (1.0 + 2.0 * self.draw());
-        out.push(Action::SetTimer { after, token: Timer::Subscribe.token() });
+        actions.push(Action::SetTimer { after, token: Timer::Subscribe.token() });
     }
 
-    fn subscribe(&mut self, out: &mut Vec<Action>) {
+    fn subscribe(&mut self, actions: &mut Vec<Action>) {
         if self.settings.polls_discovery && !self.is_subscribed {
             self.is_subscribed = true;
-            out.push(Action::Subscribe);
+            actions.push(Action::Subscribe);
         }
     }
 
@@ -84,36 +84,36 @@
         now: f64,
         is_complete: bool,
         entries: &[ServerEntry],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.servers.update(is_complete, entries, self.settings.weight_kind);
         for server in self.servers.draining() {
-            self.migrate_share(server, 1.0, f64::INFINITY, out);
+            self.migrate_share(server, 1.0, f64::INFINITY, actions);
         }
-        self.dispatch_waiting(now, out);
+        self.dispatch_waiting(now, actions);
     }
 
-    fn on_timer(&mut self, now: f64, token: u64, out: &mut Vec<Action>) {
+    fn on_timer(&mut self, now: f64, token: u64, actions: &mut Vec<Action>) {
         match Timer::from_token(token) {
-            Some(Timer::Housekeeping) => self.run_housekeeping(now, out),
-            Some(Timer::Subscribe) => self.subscribe(out),
+            Some(Timer::Housekeeping) => self.run_housekeeping(now, actions),
+            Some(Timer::Subscribe) => self.subscribe(actions),
             Some(Timer::DeferredRequests) => {
                 self.is_defer_timer_set = false;
-                self.dispatch_waiting(now, out);
+                self.dispatch_waiting(now, actions);
             }
             Some(Timer::PendingProbes) => {
                 self.probes.is_timer_set = false;
                 self.probes.remove_expired(now);
-                self.dispatch_waiting(now, out);
+                self.dispatch_waiting(now, actions);
             }
-            Some(Timer::Deadline(request)) => self.on_deadline(now, request, out),
+            Some(Timer::Deadline(request)) => self.on_deadline(now, request, actions),
             None => {}
         }
     }
 
-    fn run_housekeeping(&mut self, now: f64, out: &mut Vec<Action>) {
+    fn run_housekeeping(&mut self, now: f64, actions: &mut Vec<Action>) {
         let after = HOUSEKEEPING_PERIOD_SECONDS;
-        out.push(Action::SetTimer { after, token: Timer::Housekeeping.token() });
+        actions.push(Action::SetTimer { after, token: Timer::Housekeeping.token() });
         self.servers.run_housekeeping(now);
         self.groups.run_housekeeping();
         self.arrivals.run_housekeeping();
@@ -122,14 +122,14 @@
             self.remove_reservation(key);
         }
         if self.settings.may_probe {
-            out.extend(self.servers.take_due_trials(now).into_iter().map(Action::Probe));
+            actions.extend(self.servers.take_due_trials(now).into_iter().map(Action::Probe));
         }
     }
 
     /// Places all requests that wait for a server.
-    pub(crate) fn dispatch_waiting(&mut self, now: f64, out: &mut Vec<Action>) {
+    pub(crate) fn dispatch_waiting(&mut self, now: f64, actions: &mut Vec<Action>) {
         for request in self.requests.waiting() {
-            self.dispatch(now, request, out);
+            self.dispatch(now, request, actions);
         }
     }
 }
--- a/crates/decisions/src/probing.rs
+++ b/crates/decisions/src/probing.rs
@@ -44,7 +44,7 @@
         &mut self,
         now: f64,
         tracked: &TrackedRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Placement {
         let most = PROBES_PER_ROUND * MAX_PROBE_ROUNDS;
         let probed_count = (self.servers.len() / SERVERS_PER_PROBE).clamp(MIN_PROBED_SERVERS, most);
@@ -66,7 +66,7 @@
                 }
             }
             if !missing.is_empty() {
-                self.send_probes(now, missing, out);
+                self.send_probes(now, missing, actions);
                 return Placement::AwaitProbes;
             }
         }
@@ -130,16 +130,16 @@
         server.warm_up_ratio(&self.settings, now).sqrt()
     }
 
-    fn send_probes(&mut self, now: f64, servers: Vec<ServerId>, out: &mut Vec<Action>) {
+    fn send_probes(&mut self, now: f64, servers: Vec<ServerId>, actions: &mut Vec<Action>) {
         for server in servers {
             if self.probes.begin(now, server) {
-                out.push(Action::Probe(server));
+                actions.push(Action::Probe(server));
             }
         }
         if !self.probes.is_timer_set {
             self.probes.is_timer_set = true;
             let after = self.settings.connect_timeout * PROBE_CHECK_RATIO;
-            out.push(Action::SetTimer { after, token: Timer::PendingProbes.token() });
+            actions.push(Action::SetTimer { after, token: Timer::PendingProbes.token() });
         }
     }
 
@@ -149,7 +149,7 @@
         now: f64,
         server: ServerId,
         outcome: Outcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let was_placement_probe = self.record_probe(now, server, outcome);
         match outcome {
@@ -168,7 +168,7 @@
         let waiting = self.requests.waiting();
         if waiting.len() <= MAX_WAITING_PER_PROBE {
             for request in waiting {
-                self.dispatch(now, request, out);
+                self.dispatch(now, request, actions);
             }
         }
     }
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -41,7 +41,7 @@
     /// Whether a request that no server takes is worth deferring: set-up slots come free, or slow start admits more, within
     /// moments. Otherwise a rejection is due at once.
     pub(crate) fn is_capacity_imminent(&self, now: f64, tracked: &TrackedRequest) -> bool {
-        if self.servers.are_all_leaving() {
+        if self.servers.are_none_ready() {
             return false;
         }
         let in_service: Vec<&Server> = self.servers.in_service(&self.settings, now).collect();
@@ -55,24 +55,24 @@
     }
 
     /// Has a request wait for a moment, or answers it where that would miss its objective or deadline.
-    pub(crate) fn defer(&mut self, now: f64, tracked: &TrackedRequest, out: &mut Vec<Action>) {
+    pub(crate) fn defer(&mut self, now: f64, tracked: &TrackedRequest, actions: &mut Vec<Action>) {
         let objective = self.latency_objective(&tracked.request);
         let after = (objective * DEFER_RATIO).max(self.settings.tick);
         let latest = tracked.request.deadline - DEFER_MARGIN_TICKS * self.settings.tick;
         if now + after > tracked.received_at + objective || now + after > latest {
-            return self.answer_unserved(tracked.request.id, out);
+            return self.answer_unserved(tracked.request.id, actions);
         }
         if let Some(tracked) = self.requests.get_mut(tracked.request.id) {
             tracked.tried_servers.clear();
         }
         if !self.is_defer_timer_set {
             self.is_defer_timer_set = true;
-            out.push(Action::SetTimer { after, token: Timer::DeferredRequests.token() });
+            actions.push(Action::SetTimer { after, token: Timer::DeferredRequests.token() });
         }
     }
 
     /// The final answer to a request that is not served: a rejection where a retry is known to be harmless.
-    pub(crate) fn answer_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn answer_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id).filter(|tracked| !tracked.is_answered) else { return };
         let is_idempotent = matches!(
             tracked.idempotency,
@@ -83,23 +83,23 @@
         if is_harmless {
             let longest = if self.settings.sends_retry_after { self.settings.max_retry_after } else { 0.0 };
             let retry_after = longest * RETRY_AFTER_RATIO * (0.5 + self.draw());
-            out.push(Action::Reject { request: id, retry_after });
+            actions.push(Action::Reject { request: id, retry_after });
         } else {
-            out.push(Action::Fail(id));
+            actions.push(Action::Fail(id));
         }
         self.requests.mark_answered(id);
     }
 
     /// The deadline of a request is near: it is answered now, unless its connection is established.
-    pub(crate) fn on_deadline(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn on_deadline(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id) else { return };
         let due_at = tracked.request.deadline - DEADLINE_MARGIN_TICKS * self.settings.tick;
         if tracked.connected_server.is_some() || tracked.is_answered || now < due_at {
             return;
         }
         if tracked.attempt_server.is_some() && self.settings.may_cancel {
-            out.push(Action::CancelAttempt { request: id, attempt: tracked.attempts - 1 });
+            actions.push(Action::CancelAttempt { request: id, attempt: tracked.attempts - 1 });
         }
-        self.answer_unserved(id, out);
+        self.answer_unserved(id, actions);
     }
 }
--- a/crates/decisions/src/servers.rs
+++ b/crates/decisions/src/servers.rs
@@ -251,7 +251,7 @@
     }
 
     /// Whether servers are known and none of them is ready: none comes back within a moment.
-    pub fn are_all_leaving(&self) -> bool {
+    pub fn are_none_ready(&self) -> bool {
         !self.servers.is_empty() && !self.servers.values().any(Server::is_ready)
     }
 
--- a/crates/decisions/src/slow_servers.rs
+++ b/crates/decisions/src/slow_servers.rs
@@ -42,7 +42,7 @@
 
 impl Balancer {
     /// Messages at a server take `delay` seconds.
-    pub(crate) fn on_message_delay(&mut self, now: f64, id: ServerId, delay: f64, out: &mut Vec<Action>) {
+    pub(crate) fn on_message_delay(&mut self, now: f64, id: ServerId, delay: f64, actions: &mut Vec<Action>) {
         let Some(delay) = positive(delay) else { return };
         let objective = self.message_latency_objective();
         let Some(server) = self.servers.get_mut(id) else { return };
@@ -55,7 +55,7 @@
         server.reduce_health(now, SLOW_UNAVAILABLE_SECONDS);
         let share = excess_load_ratio(report, previous);
         if share > 0.0 {
-            self.migrate_share(id, share.min(MAX_MIGRATED_RATIO), delay, out);
+            self.migrate_share(id, share.min(MAX_MIGRATED_RATIO), delay, actions);
         }
     }
 
@@ -67,7 +67,7 @@
 
     /// Migrates clients with this share of a server's load, the heaviest first so that few are migrated. Those whose class
     /// can live with the delay come last.
-    pub(crate) fn migrate_share(&mut self, id: ServerId, share: f64, delay: f64, out: &mut Vec<Action>) {
+    pub(crate) fn migrate_share(&mut self, id: ServerId, share: f64, delay: f64, actions: &mut Vec<Action>) {
         let candidates = self.migration_candidates(id, delay);
         let mut due = candidates.iter().map(|candidate| candidate.load).sum::<f64>() * share;
         for MigrationCandidate { request, load, .. } in candidates {
@@ -80,7 +80,7 @@
             }
             due -= load;
             self.migration_credit -= 1.0;
-            out.push(Action::Migrate(request));
+            actions.push(Action::Migrate(request));
             if let Some(tracked) = self.requests.get_mut(request) {
                 tracked.is_answered = true;
             }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -67,7 +67,7 @@
 
     /// Whether this instance's part of a server is so small that most of its slots pass unused. It goes by the quotas where
     /// they are known: a mean load that was learned from a few connections is too uncertain.
-    fn leaves_slots_unused(&self) -> bool {
+    fn has_mostly_unused_slots(&self) -> bool {
         let (settings, server_count) = (self.settings, self.servers.len());
         let quota: f64 = settings.tenant_connection_quotas.iter().sum();
         let connections = if quota > 0.0 {
@@ -154,7 +154,7 @@
     // before it and within itself.
     let most = SLOT_SAFETY_RATIO * tolerated - 1.0;
     let strict = f64::max(most * 0.5, most - settings.instance_count.max(1.0));
-    let dealt = if is_surge || !inputs.leaves_slots_unused() {
+    let dealt = if is_surge || !inputs.has_mostly_unused_slots() {
         strict
     } else if inputs.loads.lacks_own_load_signal(settings, inputs.servers.len()) {
         PROBING_SLOT_RATIO * tolerated
