--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the module on standard input and output.
+//! Hosts instances of the decisions for the simulator, on standard input and output.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -10,12 +10,16 @@
 use shorewharf_decisions::{Action, Event};
 use shorewharf_driver::AdmissionGate;
 use shorewharf_logging::LogArgs;
-use shorewharf_settings::operator::Operator;
-use shorewharf_settings::settings;
+use shorewharf_settings::operator::{Operator, OperatorError};
+use shorewharf_settings::{SettingsError, settings};
 use shorewharf_units::micros_from_seconds;
-use shorewharf_wire::{Decoder, Encoder, MAX_FRAME, Record, WireError};
+use shorewharf_wire::{Batch, Decoder, Encoder, InstanceRecord, MAX_FRAME_BYTES, Record, WireError};
+use thiserror::Error;
 use tracing::error;
 
+/// Bytes of the input that are read at once.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+
 /// Hosts instances of the decision module on the simulator's wire, on standard input and output
 #[derive(Parser)]
 #[command(name = "shorewharf-adapter", version)]
@@ -27,103 +31,152 @@
     log: LogArgs,
 }
 
+/// Why the adapter ends.
+#[derive(Debug, Error)]
+enum AdapterError {
+    /// The operator's file can't be read.
+    #[error("{}: {source}", path.display())]
+    ReadOperatorFile { path: PathBuf, source: io::Error },
+    /// The operator's file can't be used.
+    #[error("{}: {source}", path.display())]
+    InvalidOperatorFile { path: PathBuf, source: Box<OperatorError> },
+    /// The input ends in the middle of a frame.
+    #[error("offset {offset}: input ends inside a frame, {missing} more bytes wanted")]
+    InputEnded { offset: usize, missing: usize },
+    /// A frame that can't be decoded.
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    /// Input or output has failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Why an instance could not take a record; the simulator is told, and the instance goes on.
+#[derive(Debug, Error)]
+enum InstanceFault {
+    /// Its settings can't be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Its code has panicked.
+    #[error("{0}")]
+    Panic(String),
+}
+
 #[derive(Default)]
 struct Host {
     operator: Operator,
     decoder: Decoder,
-    balancers: BTreeMap<u16, AdmissionGate>,
-    columns: BTreeMap<u16, Option<usize>>,
+    instances: BTreeMap<u16, AdmissionGate>,
+    /// By instance, which value of a load report is the load over capacity.
+    load_columns: BTreeMap<u16, usize>,
 }
 
 impl Host {
+    /// The reply to a batch.
     fn reply(&mut self, body: &[u8]) -> Result<Vec<u8>, WireError> {
-        let columns = &self.columns;
-        let batch = self.decoder.batch(body, |i| columns.get(&i).copied().flatten())?;
-        let mut out = Encoder::default();
-        let (mut current, mut actions) = (None, Vec::new());
-        for (i, record) in batch.records {
+        let load_columns = &self.load_columns;
+        let column = |id: u16| load_columns.get(&id).copied();
+        let Batch { now, records } = self.decoder.decode(body, column)?;
+        let mut encoder = Encoder::default();
+        let mut selected = None;
+        let mut actions = Vec::new();
+        for InstanceRecord { instance, record } in records {
             actions.clear();
-            let fault = self.apply(batch.now, i, record, &mut actions).err();
-            if (fault.is_some() || !actions.is_empty()) && current != Some(i) {
-                out.instance(i);
-                current = Some(i);
+            let fault = self.apply(now, instance, record, &mut actions).err();
+            if (fault.is_some() || !actions.is_empty()) && selected != Some(instance) {
+                encoder.select_instance(instance);
+                selected = Some(instance);
+            }
+            for action in &actions {
+                encoder.action(action);
             }
-            actions.iter().for_each(|a| out.action(a));
-            if let Some(reason) = fault {
-                out.fault(&reason);
+            if let Some(fault) = fault {
+                encoder.fault(&fault.to_string());
             }
         }
-        Ok(out.finish())
+        Ok(encoder.finish())
     }
 
-    fn apply(&mut self, now: f64, i: u16, record: Record, out: &mut Vec<Action>) -> Result<(), String> {
+    fn apply(
+        &mut self,
+        now: f64,
+        id: u16,
+        record: Record,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), InstanceFault> {
         let event = match record {
             Record::Shutdown => {
-                self.balancers.remove(&i);
+                self.instances.remove(&id);
                 return Ok(());
             }
-            Record::Attach(seed, text) => {
-                let (set, column) = settings(&text).map_err(|e| e.to_string())?;
-                self.columns.insert(i, column);
-                let gate = AdmissionGate::new(micros_from_seconds(now), set, seed, &self.operator);
-                self.balancers.insert(i, gate);
+            Record::Attach { seed, settings: text } => {
+                let (settings, load_column) = settings(&text)?;
+                let gate = AdmissionGate::new(micros_from_seconds(now), settings, seed, &self.operator);
+                self.instances.insert(id, gate);
+                match load_column {
+                    Some(column) => self.load_columns.insert(id, column),
+                    None => self.load_columns.remove(&id),
+                };
                 Event::Start
             }
             Record::Event(event) => event,
         };
-        let Some(balancer) = self.balancers.get_mut(&i) else { return Ok(()) };
-        catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, out))).map_err(|panic| {
-            let text = panic.downcast_ref::<String>().map(String::as_str);
-            text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic").to_owned()
-        })
+        let Some(instance) = self.instances.get_mut(&id) else { return Ok(()) };
+        catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, actions)))
+            .map_err(|payload| InstanceFault::Panic(panic_text(payload.as_ref())))
     }
 }
 
-/// Fills `buf` from the input; false at a clean end before the first byte.
-fn fill(input: &mut impl Read, buf: &mut [u8]) -> io::Result<bool> {
-    let mut got = 0;
-    while got < buf.len() {
-        match input.read(&mut buf[got..]) {
-            Ok(0) if got == 0 => return Ok(false),
+fn panic_text(payload: &(dyn std::any::Any + Send)) -> String {
+    let owned = payload.downcast_ref::<String>().map(String::as_str);
+    owned.or(payload.downcast_ref::<&str>().copied()).unwrap_or("panic").to_owned()
+}
+
+/// Fills the buffer from the input; false at the end of the input before the first byte.
+fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, AdapterError> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
             Ok(0) => {
-                let text =
-                    format!("offset {got}: input ends inside a frame, {} more bytes wanted", buf.len() - got);
-                return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
+                return Err(AdapterError::InputEnded { offset: filled, missing: buffer.len() - filled });
             }
-            Ok(n) => got += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Ok(count) => filled += count,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error.into()),
         }
     }
     Ok(true)
 }
 
-/// Reads a body in pieces, so that a false length does not allocate.
-fn read_body(input: &mut impl Read, length: usize) -> io::Result<Vec<u8>> {
+/// Reads the body of a frame; memory is taken as bytes arrive, not by the length that a frame claims.
+fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
     let mut body = Vec::new();
-    let got = input.take(length as u64).read_to_end(&mut body)?;
-    if got < length {
-        let text = format!("offset {got}: input ends inside a frame, {} more bytes wanted", length - got);
-        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
+    let count = input.take(length as u64).read_to_end(&mut body)?;
+    if count < length {
+        return Err(AdapterError::InputEnded { offset: count, missing: length - count });
     }
     Ok(body)
 }
 
-fn operator(path: Option<&Path>) -> Result<Operator, Box<dyn std::error::Error>> {
+fn read_operator_file(path: Option<&Path>) -> Result<Operator, AdapterError> {
     let Some(path) = path else { return Ok(Operator::default()) };
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(Operator::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?)
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| AdapterError::ReadOperatorFile { path: path.to_owned(), source })?;
+    Operator::parse(&text)
+        .map_err(Box::new)
+        .map_err(|source| AdapterError::InvalidOperatorFile { path: path.to_owned(), source })
 }
 
-fn serve(path: Option<&Path>) -> Result<(), Box<dyn std::error::Error>> {
-    let mut input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
+fn serve(operator_path: Option<&Path>) -> Result<(), AdapterError> {
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = Host { operator: operator(path)?, ..Host::default() };
+    let mut host = Host { operator: read_operator_file(operator_path)?, ..Host::default() };
     let mut length = [0; 4];
-    while fill(&mut input, &mut length)? {
+    while read_full(&mut input, &mut length)? {
         let length = u32::from_le_bytes(length) as usize;
-        if length > MAX_FRAME {
-            return Err(WireError::Oversize(length).into());
+        if length > MAX_FRAME_BYTES {
+            return Err(WireError::FrameTooLarge { length }.into());
         }
         let body = read_body(&mut input, length)?;
         output.write_all(&host.reply(&body)?)?;
@@ -135,12 +188,12 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     cli.log.start();
-    // The panic's text goes out as a fault; the default hook would print it a second time.
+    // A panic's text is reported as a fault; the default hook would print it a second time.
     std::panic::set_hook(Box::new(|info| error!(event = "panic", text = %info)));
     match serve(cli.operator.as_deref()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            error!(event = "cannot-run", error = %e);
+        Err(error) => {
+            error!(event = "cannot-run", error = %error);
             ExitCode::FAILURE
         }
     }
--- a/crates/wire/tests/adapter.rs
+++ b/crates/wire/tests/adapter.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::interface::*;
 use shorewharf_settings::settings;
-use shorewharf_wire::{Batch, Decoder, Encoder, Record, WireError};
+use shorewharf_wire::{Batch, Decoder, Encoder, InstanceRecord, Record, WireError};
 
 const SETTINGS: &str = r#"{"classes":[{"promise_s":0.5,"semantics":"read_like"}],"group_size":2,
     "limits":{"max_attempts":3,"connect_timeout_s":0.25},"tick_s":0.005}"#;
@@ -175,7 +175,7 @@
     };
     let body = hex("508d976e12d32040 04000000 6a040300 6004 07000000 00 0000fa43 0a124a07 5b1b 02 \
                     2404 4d00000000000000 1004 07000000 0a124a07 5b1b 01 02 f701 0000000000000000 01 0000003f");
-    let batch = Decoder::default().batch(&body, |_| Some(0)).unwrap();
+    let batch = Decoder::default().decode(&body, |_| Some(0)).unwrap();
     let server = ServerId(0x0a12_4a07_1b5b);
     let ended = Event::AttemptEnded {
         request: RequestId(7),
@@ -186,11 +186,12 @@
         load_ratio: Some(0.5),
     };
     let events = [Event::MessageDelay { server, delay: 0.5 }, Event::TimerFired(77), ended];
-    let records = events.into_iter().map(|e| (3, Record::Event(e))).collect();
+    let record = |event| InstanceRecord { instance: 3, record: Record::Event(event) };
+    let records = events.into_iter().map(record).collect();
     assert_eq!(batch, Batch { now: f64::from_le_bytes(body[..8].try_into().unwrap()), records });
     assert_eq!(
-        Decoder::default().batch(&body[..body.len() - 2], |_| None),
-        Err(WireError::Truncated(body.len() - 4, 2))
+        Decoder::default().decode(&body[..body.len() - 2], |_| None),
+        Err(WireError::Truncated { offset: body.len() - 4, missing: 2 })
     );
 }
 
@@ -198,7 +199,7 @@
 fn actions_encode_to_written_bytes() {
     let mut e = Encoder::default();
     let (request, server) = (RequestId(0x5d3a_91c4), ServerId(0x0a12_4a07_1b5b));
-    e.instance(3);
+    e.select_instance(3);
     e.action(&Action::BeginAttempt { request, server, timeout: 0.08 });
     e.action(&Action::Reject { request, retry_after: 0.25 });
     e.action(&Action::Fail(request));
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! The simulator's messages as exact bytes: a renamed event, action or field must not move one of them.
 
 use shorewharf_decisions::interface::*;
-use shorewharf_wire::{Decoder, Encoder, Record};
+use shorewharf_wire::{Decoder, Encoder, InstanceRecord, Record};
 
 const EVENTS: &str = include_str!("fixtures/events.hex");
 const ACTIONS: &str = include_str!("fixtures/actions.hex");
@@ -144,11 +144,13 @@
 
 #[test]
 fn every_record_and_event_is_read_from_its_bytes() {
-    let batch = Decoder::default().batch(&bytes(EVENTS), |_| Some(1)).expect("a good batch");
-    let attach = Record::Attach(0x0102_0304_0506_0708, br#"{"me":1}"#.to_vec());
-    let mut expected = vec![(3, attach)];
-    expected.extend(events().into_iter().map(|event| (3, Record::Event(event))));
-    expected.extend([(65_534, Record::Event(Event::TimerFired(1))), (65_534, Record::Shutdown)]);
+    let batch = Decoder::default().decode(&bytes(EVENTS), |_| Some(1)).expect("a good batch");
+    let attach = Record::Attach { seed: 0x0102_0304_0506_0708, settings: br#"{"me":1}"#.to_vec() };
+    let mut records = vec![(3, attach)];
+    records.extend(events().into_iter().map(|event| (3, Record::Event(event))));
+    records.extend([(65_534, Record::Event(Event::TimerFired(1))), (65_534, Record::Shutdown)]);
+    let expected = records.into_iter().map(|(instance, record)| InstanceRecord { instance, record });
+    let expected: Vec<InstanceRecord> = expected.collect();
     assert_eq!(batch.now, 38_034.5);
     assert_eq!(batch.records.len(), expected.len());
     for (read, expected) in batch.records.into_iter().zip(expected) {
@@ -160,7 +162,7 @@
 fn every_action_is_written_as_its_bytes() {
     let request = RequestId(0x5d3a_91c4);
     let mut encoder = Encoder::default();
-    encoder.instance(3);
+    encoder.select_instance(3);
     encoder.action(&Action::BeginAttempt { request, server: FIRST, timeout: 0.08 });
     encoder.action(&Action::Reject { request, retry_after: 0.0 });
     encoder.action(&Action::Reject { request, retry_after: 0.25 });
@@ -172,7 +174,7 @@
     encoder.action(&Action::Subscribe);
     encoder.action(&Action::Log("a line — of text".to_owned()));
     encoder.action(&Action::Log(String::new()));
-    encoder.instance(65_534);
+    encoder.select_instance(65_534);
     encoder.fault("it failed");
     let frame = encoder.finish();
     assert_eq!(frame, bytes(ACTIONS));
