--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -541,7 +541,7 @@
     }
 
     fn reject(&mut self, req: RequestId, after: Micros) {
-        self.serving.answer(&mut self.turn, req, Answer::Refused { after }, Cause::Decision);
+        self.serving.answer(&mut self.turn, req, Answer::Rejected { retry_after: after }, Cause::Decision);
     }
 
     fn fail(&mut self, req: RequestId) {
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -17,10 +17,10 @@
 /// The line that says an answer; none for the end of a connection without a word.
 fn line_of(answer: Answer) -> String {
     match answer {
-        Answer::Refused { after } => busy(after).to_string(),
+        Answer::Rejected { retry_after } => busy(retry_after).to_string(),
         Answer::Failed => "ERR\r\n".to_owned(),
         Answer::Served => "BYE\r\n".to_owned(),
-        Answer::Moved => "MOVE\r\n".to_owned(),
+        Answer::Migrated => "MOVE\r\n".to_owned(),
         Answer::Closed => String::new(),
     }
 }
@@ -28,10 +28,10 @@
 /// What operators count an answer as.
 fn reply_of(answer: Answer) -> Option<Reply> {
     match answer {
-        Answer::Refused { .. } => Some(Reply::Overload),
+        Answer::Rejected { .. } => Some(Reply::Overload),
         Answer::Failed => Some(Reply::Error),
         Answer::Served => Some(Reply::Success),
-        Answer::Moved | Answer::Closed => None,
+        Answer::Migrated | Answer::Closed => None,
     }
 }
 
@@ -43,10 +43,10 @@
         }
         let answer = match self.guard.answer(id, answer, cause) {
             Ok(()) => answer,
-            Err((violation, instead)) => {
-                self.report_violation(&violation, cause);
-                match instead {
-                    Some(instead) => instead,
+            Err(forbidden) => {
+                self.report_violation(&forbidden.violation, cause);
+                match forbidden.replacement {
+                    Some(replacement) => replacement,
                     None => return,
                 }
             }
@@ -62,7 +62,7 @@
 
     /// Answers a client that is not served: a refusal where trying again is harmless, and else a failure.
     pub fn answer_unserved(&mut self, turn: &mut Turn, id: RequestId, after: Micros, cause: Cause) {
-        let answer = self.guard.unserved_answer(id, after);
+        let answer = self.guard.answer_for_unserved(id, after);
         self.answer(turn, id, answer, cause);
     }
 
@@ -109,7 +109,7 @@
             event = "requests",
             first_attempts = stats.first_attempts,
             retries = stats.retries,
-            withheld = stats.withheld,
+            withheld = stats.window_expired,
             attempts_ended = counts(&stats.attempts_ended),
             answers = counts(&stats.answers),
             violations = counts(&stats.violations),
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -108,7 +108,7 @@
             }
             Fate::Moves => {
                 self.end_attempt(turn, id, Outcome::Cancelled);
-                self.answer(turn, id, Answer::Moved, Cause::Move);
+                self.answer(turn, id, Answer::Migrated, Cause::Migration);
             }
         }
     }
@@ -143,7 +143,7 @@
         let lives = self.attempts.server_lives(id, since);
         self.end_attempt(turn, id, if lives { Outcome::Cancelled } else { Outcome::Reset });
         if self.sessions.get(id).is_some_and(|s| s.link.between_lines()) {
-            self.answer(turn, id, Answer::Moved, Cause::Silent);
+            self.answer(turn, id, Answer::Migrated, Cause::Unresponsive);
         } else {
             self.end_both(turn, id, End::Reset, Outcome::Reset);
         }
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -122,7 +122,7 @@
             }
         }
         for id in self.sessions.those(Session::waits) {
-            if !is_last_call && !self.guard.is_refusable(id) {
+            if !is_last_call && !self.guard.is_rejectable(id) {
                 continue;
             }
             turn.emit(NetworkEvent::ClientLeft(id));
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -74,7 +74,7 @@
         let at = ServerId(standing.server);
         // Its server still answers: whoever can't go on here is told to come again, and not cut off.
         let Some(class) = class.filter(|_| self.attempts.adopt(turn, id, at, server)) else {
-            let answer = if between_lines { Answer::Moved } else { Answer::Closed };
+            let answer = if between_lines { Answer::Migrated } else { Answer::Closed };
             self.answer(turn, id, answer, Cause::Handover);
             return false;
         };
--- a/crates/lifecycle/src/cause.rs
+++ b/crates/lifecycle/src/cause.rs
@@ -5,27 +5,27 @@
 /// Why a client gets its final answer, as the log tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The decision module, or an admission before it, says so.
+    /// The decisions, or an admission check before them.
     Decision,
-    /// The process is about to end.
+    /// The process shuts down.
     Shutdown,
     /// The event loop can't keep up.
     Overload,
     /// There are no descriptors left.
     Descriptors,
-    /// Nobody has answered by the deadline.
+    /// The deadline has passed without an answer.
     Overdue,
-    /// What the client said can't be used.
+    /// The client's request is malformed.
     BadRequest,
-    /// It asked for nothing, or not whole, in the time for that.
+    /// The client sent no complete request in time.
     Idle,
-    /// Its server has answered or ended.
+    /// Its server has answered or closed the connection.
     Server,
     /// Its server no longer answers.
-    Silent,
-    /// It is moved off its server.
-    Move,
-    /// It can't go on in this process.
+    Unresponsive,
+    /// It is migrated off its server.
+    Migration,
+    /// It can't go on in this process, and is not handed over.
     Handover,
 }
 
@@ -40,8 +40,8 @@
             Cause::BadRequest => "bad-request",
             Cause::Idle => "idle",
             Cause::Server => "server",
-            Cause::Silent => "silent",
-            Cause::Move => "move",
+            Cause::Unresponsive => "silent",
+            Cause::Migration => "move",
             Cause::Handover => "handover",
         })
     }
--- a/crates/lifecycle/src/guard.rs
+++ b/crates/lifecycle/src/guard.rs
@@ -1,13 +1,15 @@
-//! The guard: all requests of a process, and what was forbidden of them.
+//! The guard: checks each attempt and each final answer of all requests of a process.
 
 use rustc_hash::FxHashMap;
 use shorewharf_decisions::interface::{Idempotency, Outcome, RequestId, ServerId};
 use shorewharf_units::Micros;
 use thiserror::Error;
 
+use crate::answer::Answer;
 use crate::cause::Cause;
-use crate::request::{Answer, Request, RequestState, SendError, Target};
-use crate::stats::{Rule, Stats};
+use crate::request::{Request, RequestState, SendError, Target};
+use crate::rule::Rule;
+use crate::stats::Stats;
 
 /// Something that was to be done and is forbidden.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -23,6 +25,16 @@
     pub server: Option<ServerId>,
 }
 
+/// A final answer that is forbidden.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("{violation}")]
+pub struct ForbiddenAnswer {
+    /// The rule that it would have broken.
+    pub violation: Violation,
+    /// The harmless answer to be given instead; none where the client has had its answer.
+    pub replacement: Option<Answer>,
+}
+
 /// All requests that have been read and whose connections have not ended.
 #[derive(Debug, Default)]
 pub struct RequestGuard {
@@ -36,7 +48,7 @@
         self.requests.insert(id, Request::new(idempotency));
     }
 
-    /// The decision module has been told of a request.
+    /// The decisions have been told of a request.
     pub fn queue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.queue();
@@ -44,6 +56,10 @@
     }
 
     /// An attempt is to begin.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a rule forbids it; nothing has begun then.
     pub fn begin_attempt(&mut self, id: RequestId, target: Target) -> Result<(), Violation> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Err(self.violation(id, Rule::AttemptAfterAnswer));
@@ -52,15 +68,19 @@
         let attempts = request.attempts();
         match begun {
             Ok(()) => {
-                self.stats.attempt_began(attempts);
+                self.stats.record_attempt(attempts);
                 Ok(())
             }
             Err(rule) => Err(self.violation(id, rule)),
         }
     }
 
-    /// The first line of the attempt that is out is to be written. It may be where there is no fault; false where the
-    /// window for repeats is over.
+    /// The first line of the attempt that is out is to be written. False where the deduplication window is over: the line
+    /// must not be written, and that is no fault.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a rule forbids it.
     pub fn send(&mut self, id: RequestId, now: Micros) -> Result<bool, Violation> {
         let sent = match self.requests.get_mut(&id) {
             Some(request) => request.send(now),
@@ -69,32 +89,32 @@
         match sent {
             Ok(()) => Ok(true),
             Err(SendError::WindowOver) => {
-                self.stats.withheld += 1;
+                self.stats.window_expired += 1;
                 Ok(false)
             }
             Err(SendError::Forbidden(rule)) => Err(self.violation(id, rule)),
         }
     }
 
-    /// The attempt that is out has ended without being taken.
+    /// The attempt that is out has ended without being accepted.
     pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if matches!(request.state(), RequestState::Connecting | RequestState::Sent) {
-            self.stats.attempt_ended(outcome);
+            self.stats.record_attempt_end(outcome);
         }
         request.end_attempt(outcome);
     }
 
-    /// A server has taken a request.
+    /// A server has accepted a request.
     pub fn serve(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.serve();
         }
     }
 
-    /// Whether a request may be refused now. An attempt that is out counts as one that may yet run.
-    pub fn is_refusable(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_none_or(Request::is_refusable)
+    /// Whether a request may be rejected now. An attempt that is out counts as one that may yet run.
+    pub fn is_rejectable(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_none_or(Request::is_rejectable)
     }
 
     /// Whether any server may have run a request.
@@ -107,40 +127,42 @@
         self.requests.get(&id).map_or(0, Request::attempts)
     }
 
-    /// The answer to a client that is not served, whatever the reason: a refusal where that is harmless.
-    pub fn unserved_answer(&self, id: RequestId, after: Micros) -> Answer {
-        if self.is_refusable(id) { Answer::Refused { after } } else { Answer::Failed }
+    /// The answer to a client that is not served, whatever the reason: a rejection where that is harmless.
+    pub fn answer_for_unserved(&self, id: RequestId, retry_after: Micros) -> Answer {
+        if self.is_rejectable(id) { Answer::Rejected { retry_after } } else { Answer::Failed }
     }
 
-    /// A final answer is to be given. Where it is forbidden, the error comes with the harmless one in its place, which
-    /// counts as given; none where the client has had its answer.
-    pub fn answer(
-        &mut self,
-        id: RequestId,
-        answer: Answer,
-        cause: Cause,
-    ) -> Result<(), (Violation, Option<Answer>)> {
+    /// A final answer is to be given.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the answer is forbidden, and says which one counts as given in its place.
+    pub fn answer(&mut self, id: RequestId, answer: Answer, cause: Cause) -> Result<(), ForbiddenAnswer> {
         let Some(request) = self.requests.get_mut(&id) else { return Ok(()) };
         let Err(rule) = request.answer(answer) else {
-            self.stats.answered(answer, cause);
+            self.stats.record_answer(answer, cause);
             return Ok(());
         };
-        let instead = (rule != Rule::SecondAnswer).then_some(Answer::Failed);
-        if instead.is_some() {
+        let replacement = (rule != Rule::SecondAnswer).then_some(Answer::Failed);
+        if replacement.is_some() {
             request.abandon();
-            self.stats.answered(Answer::Failed, cause);
+            self.stats.record_answer(Answer::Failed, cause);
         }
-        Err((self.violation(id, rule), instead))
+        Err(ForbiddenAnswer { violation: self.violation(id, rule), replacement })
     }
 
-    /// The client of a request has gone: nothing is owed to it.
+    /// The client of a request has left: nothing is owed to it.
     pub fn abandon(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.abandon();
         }
     }
 
-    /// A request's connection is closed and its number is free. One that still waited for its answer is lost.
+    /// A request's connection is closed and its id is free.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the request still waited for its answer.
     pub fn close(&mut self, id: RequestId) -> Result<(), Violation> {
         let is_lost = self.requests.get(&id).is_some_and(Request::is_waiting);
         let closed = if is_lost { Err(self.violation(id, Rule::ClosedUnanswered)) } else { Ok(()) };
@@ -154,7 +176,7 @@
     }
 
     fn violation(&mut self, id: RequestId, rule: Rule) -> Violation {
-        self.stats.violated(rule);
+        self.stats.record_violation(rule);
         let request = self.requests.get(&id);
         Violation {
             rule,
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -4,13 +4,14 @@
 use shorewharf_units::Micros;
 use thiserror::Error;
 
-use crate::stats::Rule;
+use crate::answer::Answer;
+use crate::rule::Rule;
 
-/// The process may be held up for so long between reading its clock and writing: a repeat that could reach its server
-/// after the window of its class is not written.
-const HOLD_UP: Micros = 150_000;
+/// The longest time between reading the clock and writing. A repeat that could reach its server after the deduplication
+/// window of its class is not written.
+const MAX_WRITE_DELAY: Micros = 150_000;
 
-/// Where an attempt goes. Zone and cell are kept as they were when it began: the list may change them.
+/// The server of an attempt. Zone and cell are those of the time when it began: the list may change them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The server.
@@ -26,42 +27,24 @@
 pub enum RequestState {
     /// Its first line has been read.
     Received,
-    /// The decision module has it; no attempt is out.
+    /// The decisions know of it; no attempt is out.
     Queued,
     /// An attempt's connection is being made: its server knows nothing of the request.
     Connecting,
     /// An attempt's first line is being written or has been: its server may run it.
     Sent,
-    /// A server has taken it and lines are passed on.
+    /// A server has accepted it, and lines are relayed.
     Serving,
-    /// Its client has been told to come again elsewhere.
-    Moved,
-    /// It has had its final answer, or its client has gone.
+    /// Its client has been told to migrate.
+    Migrated,
+    /// It has had its final answer, or its client has left.
     Answered,
 }
 
-/// The last word to a client.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// Refused: trying again is harmless. Wait so long first, if that is more than 0.
-    Refused {
-        /// The wait in microseconds.
-        after: Micros,
-    },
-    /// Failed: it may have run.
-    Failed,
-    /// A server has served it to its end.
-    Served,
-    /// Come again elsewhere.
-    Moved,
-    /// The end of a connection without a word.
-    Closed,
-}
-
 /// Why a first line must not be written.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SendError {
-    /// The window of its class may be over when the line arrives. Time passes while a connection is made, so this is
+    /// The deduplication window may be over when the line arrives. Time passes while a connection is made, so this is
     /// no fault: the attempt counts as never sent.
     #[error("the window for repeats is over")]
     WindowOver,
@@ -90,7 +73,7 @@
 }
 
 impl Request {
-    /// A request that has been read. What repeating it may do is settled now: a new configuration does not change it.
+    /// A request that has been read. What repeating it may do is fixed now: a new configuration does not change it.
     pub fn new(idempotency: Idempotency) -> Self {
         Request { idempotency, state: RequestState::Received, attempts: 0, target: None, possible_run: None }
     }
@@ -115,12 +98,16 @@
 
     /// Whether it still waits for its final answer.
     pub fn is_waiting(&self) -> bool {
-        use RequestState::*;
-        matches!(self.state, Received | Queued | Connecting | Sent)
+        match self.state {
+            RequestState::Received | RequestState::Queued | RequestState::Connecting | RequestState::Sent => {
+                true
+            }
+            RequestState::Serving | RequestState::Migrated | RequestState::Answered => false,
+        }
     }
 
-    /// Whether a client that is told to try again can do no harm by it.
-    pub fn is_refusable(&self) -> bool {
+    /// Whether a client that retries it can do no harm.
+    pub fn is_rejectable(&self) -> bool {
         !self.may_have_run()
             || matches!(
                 self.idempotency,
@@ -138,8 +125,8 @@
     pub fn begin_attempt(&mut self, target: Target) -> Result<(), Rule> {
         match self.state {
             RequestState::Received | RequestState::Queued => {}
-            RequestState::Connecting | RequestState::Sent => return Err(Rule::SecondCopy),
-            RequestState::Serving | RequestState::Moved | RequestState::Answered => {
+            RequestState::Connecting | RequestState::Sent => return Err(Rule::ConcurrentAttempt),
+            RequestState::Serving | RequestState::Migrated | RequestState::Answered => {
                 return Err(Rule::AttemptAfterAnswer);
             }
         }
@@ -165,7 +152,7 @@
         Ok(())
     }
 
-    /// The attempt that is out has ended without being taken.
+    /// The attempt that is out has ended without being accepted.
     pub fn end_attempt(&mut self, outcome: Outcome) {
         if !matches!(self.state, RequestState::Connecting | RequestState::Sent) {
             return;
@@ -178,36 +165,33 @@
         self.target = None;
     }
 
-    /// A server has taken it.
+    /// A server has accepted it.
     pub fn serve(&mut self) {
         if self.state == RequestState::Sent {
             self.state = RequestState::Serving;
         }
     }
 
-    /// The final answer; what rule it breaks, if it does.
+    /// The final answer is given.
     pub fn answer(&mut self, answer: Answer) -> Result<(), Rule> {
         self.check_answer(answer)?;
-        self.state = if answer == Answer::Moved { RequestState::Moved } else { RequestState::Answered };
+        self.state = if answer == Answer::Migrated { RequestState::Migrated } else { RequestState::Answered };
         Ok(())
     }
 
     fn check_answer(&self, answer: Answer) -> Result<(), Rule> {
-        use RequestState::*;
-        match (self.state, answer) {
-            (Moved | Answered, _) => Err(Rule::SecondAnswer),
-            (Received | Queued | Connecting | Sent, Answer::Refused { .. }) if !self.is_refusable() => {
-                Err(Rule::RefusedAfterRun)
-            }
-            (Received | Queued | Connecting | Sent, Answer::Closed | Answer::Moved) => {
-                Err(Rule::ClosedUnanswered)
-            }
-            (Serving, Answer::Refused { .. }) => Err(Rule::RefusedAfterRun),
+        if matches!(self.state, RequestState::Migrated | RequestState::Answered) {
+            return Err(Rule::SecondAnswer);
+        }
+        let is_waiting = self.is_waiting();
+        match answer {
+            Answer::Rejected { .. } if !is_waiting || !self.is_rejectable() => Err(Rule::RejectedAfterRun),
+            Answer::Closed | Answer::Migrated if is_waiting => Err(Rule::ClosedUnanswered),
             _ => Ok(()),
         }
     }
 
-    /// The client has gone: nothing is owed to it.
+    /// The client has left: nothing is owed to it.
     pub fn abandon(&mut self) {
         self.state = RequestState::Answered;
     }
@@ -229,6 +213,6 @@
             return false;
         };
         let window = (window * 1e6) as Micros;
-        now + HOLD_UP >= run.sent_at + window
+        now + MAX_WRITE_DELAY >= run.sent_at + window
     }
 }
--- a/crates/lifecycle/src/stats.rs
+++ b/crates/lifecycle/src/stats.rs
@@ -4,33 +4,10 @@
 use std::fmt;
 
 use shorewharf_decisions::interface::Outcome;
-use thiserror::Error;
 
+use crate::answer::Answer;
 use crate::cause::Cause;
-use crate::request::Answer;
-
-/// A rule that the guard keeps.
-#[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Rule {
-    /// A request that may have run was to be refused, which invites its client to send it again.
-    #[error("refused-after-run")]
-    RefusedAfterRun,
-    /// A request that may have run was to be sent again where it must not be.
-    #[error("repeated-after-run")]
-    RepeatedAfterRun,
-    /// Two attempts of one request were to be out at once.
-    #[error("second-copy")]
-    SecondCopy,
-    /// An attempt was to begin or to be sent after the request's end.
-    #[error("attempt-after-answer")]
-    AttemptAfterAnswer,
-    /// A request was to have two final answers.
-    #[error("second-answer")]
-    SecondAnswer,
-    /// A request was to end without its final answer.
-    #[error("closed-unanswered")]
-    ClosedUnanswered,
-}
+use crate::rule::Rule;
 
 /// What answers are counted by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,20 +29,20 @@
 pub struct Stats {
     /// First attempts begun.
     pub first_attempts: u64,
-    /// Further attempts begun.
+    /// Retries begun.
     pub retries: u64,
-    /// Attempts whose connection came up after the window for repeats.
-    pub withheld: u64,
-    /// Attempts that were not taken, by how they ended.
+    /// Retries that were not sent, as their connection was established after the deduplication window.
+    pub window_expired: u64,
+    /// Attempts that no server accepted, by how they ended.
     pub attempts_ended: BTreeMap<&'static str, u64>,
     /// Final answers by kind and cause.
     pub answers: BTreeMap<AnswerCount, u64>,
-    /// What was forbidden, by rule.
+    /// What was forbidden, by the rule that it breaks.
     pub violations: BTreeMap<Rule, u64>,
 }
 
 impl Stats {
-    pub(crate) fn attempt_began(&mut self, number: u32) {
+    pub(crate) fn record_attempt(&mut self, number: u32) {
         if number > 1 {
             self.retries += 1;
         } else {
@@ -73,20 +50,20 @@
         }
     }
 
-    pub(crate) fn attempt_ended(&mut self, outcome: Outcome) {
+    pub(crate) fn record_attempt_end(&mut self, outcome: Outcome) {
         *self.attempts_ended.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    pub(crate) fn answered(&mut self, answer: Answer, cause: Cause) {
+    pub(crate) fn record_answer(&mut self, answer: Answer, cause: Cause) {
         let kind = answer_name(answer);
         *self.answers.entry(AnswerCount { kind, cause }).or_default() += 1;
     }
 
-    pub(crate) fn violated(&mut self, rule: Rule) {
+    pub(crate) fn record_violation(&mut self, rule: Rule) {
         *self.violations.entry(rule).or_default() += 1;
     }
 
-    /// All that was forbidden.
+    /// Everything that was forbidden.
     pub fn violations_total(&self) -> u64 {
         self.violations.values().sum()
     }
@@ -113,10 +90,10 @@
 
 fn answer_name(answer: Answer) -> &'static str {
     match answer {
-        Answer::Refused { .. } => "refused",
+        Answer::Rejected { .. } => "refused",
         Answer::Failed => "failed",
         Answer::Served => "served",
-        Answer::Moved => "moved",
+        Answer::Migrated => "moved",
         Answer::Closed => "closed",
     }
 }
--- a/crates/lifecycle/tests/duplicates.rs
+++ b/crates/lifecycle/tests/duplicates.rs
@@ -118,7 +118,7 @@
     let wanted = if model.is_answered {
         Some(Rule::AttemptAfterAnswer)
     } else if model.out().is_some() {
-        Some(Rule::SecondCopy)
+        Some(Rule::ConcurrentAttempt)
     } else if !model.may_go_to(target) {
         Some(Rule::RepeatedAfterRun)
     } else {
@@ -146,14 +146,14 @@
 fn answer(guard: &mut RequestGuard, model: &mut Model, answer: Answer) {
     let wanted = match answer {
         _ if model.is_answered => Some(Rule::SecondAnswer),
-        Answer::Refused { .. } if !model.may_refuse() => Some(Rule::RefusedAfterRun),
+        Answer::Rejected { .. } if !model.may_refuse() => Some(Rule::RejectedAfterRun),
         Answer::Closed => Some(Rule::ClosedUnanswered),
         _ => None,
     };
     // Whatever was wanted, what is said in its place is no refusal, and said once.
     let given = guard.answer(ID, answer, Cause::Decision);
-    let instead = given.as_ref().err().and_then(|(_, instead)| *instead);
-    assert_eq!(given.map_err(|(violation, _)| violation.rule).err(), wanted);
+    let instead = given.as_ref().err().and_then(|forbidden| forbidden.replacement);
+    assert_eq!(given.map_err(|forbidden| forbidden.violation.rule).err(), wanted);
     assert_eq!(instead, wanted.filter(|rule| *rule != Rule::SecondAnswer).map(|_| Answer::Failed));
     model.is_answered = true;
 }
@@ -173,14 +173,14 @@
                 model.out().into_iter().for_each(|attempt| attempt.outcome = Some(outcome));
             }
             Step::End(_) => {}
-            Step::Refuse => answer(&mut guard, &mut model, Answer::Refused { after: 300_000 }),
+            Step::Refuse => answer(&mut guard, &mut model, Answer::Rejected { retry_after: 300_000 }),
             Step::Fail => answer(&mut guard, &mut model, Answer::Failed),
             Step::Close => answer(&mut guard, &mut model, Answer::Closed),
             Step::Wait(time) => now += time,
         }
         if !model.is_answered {
-            assert_eq!(guard.is_refusable(ID), model.may_refuse());
-            let refused = matches!(guard.unserved_answer(ID, 1), Answer::Refused { .. });
+            assert_eq!(guard.is_rejectable(ID), model.may_refuse());
+            let refused = matches!(guard.answer_for_unserved(ID, 1), Answer::Rejected { .. });
             assert_eq!(refused, model.may_refuse());
         }
     }
@@ -206,17 +206,18 @@
     let target = Target { server: ServerId(1), zone: 0, cell: 0 };
     guard.receive(ID, Idempotency::NonIdempotent);
     assert_eq!(guard.begin_attempt(ID, target), Ok(()));
-    assert_eq!(guard.begin_attempt(ID, target).expect_err("two at once").rule, Rule::SecondCopy);
+    assert_eq!(guard.begin_attempt(ID, target).expect_err("two at once").rule, Rule::ConcurrentAttempt);
     assert_eq!(guard.send(ID, 5), Ok(true));
     guard.end_attempt(ID, Outcome::Reset);
     assert_eq!(guard.begin_attempt(ID, target).expect_err("sent again").rule, Rule::RepeatedAfterRun);
-    let (violation, instead) =
-        guard.answer(ID, Answer::Refused { after: 0 }, Cause::Shutdown).expect_err("it may have run");
+    let forbidden =
+        guard.answer(ID, Answer::Rejected { retry_after: 0 }, Cause::Shutdown).expect_err("it may have run");
+    let violation = forbidden.violation;
     assert_eq!(
         (violation.rule, violation.attempt, violation.server),
-        (Rule::RefusedAfterRun, 1, Some(ServerId(1)))
+        (Rule::RejectedAfterRun, 1, Some(ServerId(1)))
     );
-    assert_eq!(instead, Some(Answer::Failed));
+    assert_eq!(forbidden.replacement, Some(Answer::Failed));
     assert_eq!(guard.close(ID), Ok(()));
     let stats = guard.stats();
     assert_eq!((stats.first_attempts, stats.retries, stats.violations_total()), (1, 0, 3));
