--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -4,7 +4,7 @@
     GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
 };
 use shorewharf_protocol::endpoint_list::Endpoint;
-use shorewharf_recovery::memory::{Bears, Loads};
+use shorewharf_recovery::snapshot_state::{LoadModel, ServerCapacity};
 
 use super::*;
 
@@ -50,10 +50,10 @@
 }
 
 /// One of each thing that a module knows.
-fn learned() -> Vec<Learned> {
+fn learned() -> Vec<SnapshotEntry> {
     let place = ReservationRecord { key: 11, server: 7, load: 0.75, expires_at: 1_764_747_090.5 };
     vec![
-        Learned::Module(StateRecord::Instance(InstanceRecord {
+        SnapshotEntry::Balancer(StateRecord::Instance(InstanceRecord {
             total_clients: 12.5,
             arrivals: 3.25,
             arrival_seconds: 4.5,
@@ -62,7 +62,7 @@
             class_loads: vec![0.25, 2.0],
             setups_per_second: 40.5,
         })),
-        Learned::Module(StateRecord::Server(ServerRecord {
+        SnapshotEntry::Balancer(StateRecord::Server(ServerRecord {
             server: 7,
             started_at: 1_764_740_000.5,
             health: 0.875,
@@ -71,16 +71,25 @@
             warm_up_admissions: 6.5,
             recent_resets: 1.5,
         })),
-        Learned::Module(StateRecord::Group(GroupRecord { group: 9, clients: 2.5, last_server: Some(7) })),
-        Learned::Module(StateRecord::Reservation(place)),
-        Learned::Module(StateRecord::Connection(ReservationRecord { key: 12, ..place })),
-        Learned::Loads(Loads { mean: 1.5, loads: 20.5, work: -0.5, set_ups: 30.5 }),
-        Learned::Bears(Bears {
+        SnapshotEntry::Balancer(StateRecord::Group(GroupRecord {
+            group: 9,
+            clients: 2.5,
+            last_server: Some(7),
+        })),
+        SnapshotEntry::Balancer(StateRecord::Reservation(place)),
+        SnapshotEntry::Balancer(StateRecord::Connection(ReservationRecord { key: 12, ..place })),
+        SnapshotEntry::LoadModel(LoadModel {
+            mean_load: 1.5,
+            load_samples: 20.5,
+            log_setup_work: -0.5,
+            setup_samples: 30.5,
+        }),
+        SnapshotEntry::ServerCapacity(ServerCapacity {
             server: 7,
-            born: 1_764_740_000.5,
+            started_at: 1_764_740_000.5,
             factor: 1.25,
-            noted: Some(1_764_747_003.5),
-            barred: Some(1_764_747_004.5),
+            slow_reported_at: Some(1_764_747_003.5),
+            excluded_until: Some(1_764_747_004.5),
         }),
     ]
 }
