--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -32,7 +32,7 @@
     }
 
     fn reject(&mut self, request: RequestId, retry_after: Micros) {
-        let answer = Answer::Refused { after: retry_after };
+        let answer = Answer::Rejected { retry_after };
         self.proxy.answer(&mut self.context, request, answer, Cause::Decision);
     }
 
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -79,7 +79,7 @@
         let at = ServerId(standing.server);
         // Its server still answers: whoever can't go on here is told to come again, and not cut off.
         let Some(class) = class.filter(|_| self.attempts.adopt(context, id, at, server)) else {
-            let answer = if between_lines { Answer::Moved } else { Answer::Closed };
+            let answer = if between_lines { Answer::Migrated } else { Answer::Closed };
             self.answer(context, id, answer, Cause::Handover);
             return false;
         };
--- a/crates/recovery/src/controller.rs
+++ b/crates/recovery/src/controller.rs
@@ -214,7 +214,7 @@
             Some(permit) => permit.is_granted(),
             None => !self.retry_budget.is_closed(now) && self.policy().retries != RetryPolicy::Never,
         };
-        balancer.allow_repeats(may_retry || !self.options.retry_budget);
+        balancer.allow_retries(may_retry || !self.options.retry_budget);
         true
     }
 
@@ -397,7 +397,7 @@
         let pace = if self.options.rebalance { self.policy().migration_pace } else { 0.0 };
         let settings = StepSettings { pace, cluster: self.cluster };
         for migration in self.rebalancer.step(now, &settings, &mut self.view) {
-            balancer.sent_away(migration.request, Some(migration.to), now + RESERVATION_SECONDS);
+            balancer.on_migrated(migration.request, Some(migration.to), now + RESERVATION_SECONDS);
             actions.push(Action::Migrate(migration.request));
         }
     }
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -4,7 +4,7 @@
 //! events through them in a fixed order.
 
 use shorewharf_decisions::interface::{Action, Event, Request};
-use shorewharf_decisions::memory::Recalled;
+use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_decisions::{Balancer, Holding, RequestId, ServerId, Settings};
 
 use crate::capacity_estimate::{CapacityEstimator, FleetEstimate, Restored};
@@ -68,7 +68,7 @@
         if now >= self.shortage_checked_at + SHORTAGE_CHECK_PERIOD {
             self.shortage_checked_at = now;
             let fleet = self.estimator.fleet(now, &self.balancer);
-            actions.extend(self.shortage.check(self.balancer.waiting(), &fleet).map(Action::Log));
+            actions.extend(self.shortage.check(self.balancer.waiting_requests(), &fleet).map(Action::Log));
         }
         let handled = HandledEvent { event: &event, first_action: first, actions };
         self.controller.observe_actions(now, handled, &mut self.balancer);
@@ -94,7 +94,7 @@
         self.controller.update_settings(&settings);
         self.estimator.update_settings(&settings);
         self.retry_after.update_settings(&settings);
-        self.balancer.take_settings(settings);
+        self.balancer.update_settings(settings);
     }
 
     /// A connection was asked to migrate by someone else.
@@ -109,22 +109,22 @@
 
     /// What is known of an established connection: its request, and its load where that was reported.
     pub fn established(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
-        self.balancer.standing(id)
+        self.balancer.established(id)
     }
 
     /// The connections of this instance, to be told to other balancers.
     pub fn holdings(&self) -> Vec<Holding> {
-        self.balancer.holds()
+        self.balancer.holdings()
     }
 
     /// Servers that get no new connections now.
-    pub fn avoided(&self, now: f64) -> Vec<ServerId> {
-        self.balancer.avoided(now)
+    pub fn unavailable_servers(&self, now: f64) -> Vec<ServerId> {
+        self.balancer.unavailable_servers(now)
     }
 
     /// Clients that wait for capacity here.
     pub fn waiting(&self, now: f64) -> WaitingClients {
-        WaitingClients { held: self.balancer.waiting(), in_backoff: self.retry_after.length(now) }
+        WaitingClients { held: self.balancer.waiting_requests(), in_backoff: self.retry_after.length(now) }
     }
 
     /// The overload controller.
@@ -153,15 +153,15 @@
 
     fn export_balancer(
         &self,
-        from: shorewharf_decisions::memory::Cursor,
+        from: shorewharf_decisions::persistence::ExportCursor,
         most: usize,
         out: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
         let mut known = Vec::new();
-        let next = self.balancer.recollect(from, most, &mut known);
+        let next = self.balancer.export_state(from, most, &mut known);
         out.extend(known.into_iter().map(SnapshotEntry::Balancer));
         match next {
-            shorewharf_decisions::memory::Cursor::End => ExportCursor::Servers(None),
+            shorewharf_decisions::persistence::ExportCursor::End => ExportCursor::Servers(None),
             next => ExportCursor::Balancer(next),
         }
     }
@@ -193,9 +193,9 @@
         age: f64,
         connections_are_lost: bool,
         entries: Vec<SnapshotEntry>,
-    ) -> Recalled {
+    ) -> RestoreCounts {
         let mut known = Vec::new();
-        let mut counts = Recalled::default();
+        let mut counts = RestoreCounts::default();
         for entry in entries {
             let restored = match entry {
                 SnapshotEntry::Balancer(one) => {
@@ -206,12 +206,12 @@
                 SnapshotEntry::ServerCapacity(capacity) => self.restore_server(now, age, &capacity),
             };
             match restored {
-                Restored::Accepted => counts.taken += 1,
+                Restored::Accepted => counts.restored += 1,
                 Restored::Outdated => counts.outdated += 1,
-                Restored::Invalid => counts.odd += 1,
+                Restored::Invalid => counts.invalid += 1,
             }
         }
-        self.balancer.recall(now, age, connections_are_lost, &known).and(counts)
+        self.balancer.restore(now, age, connections_are_lost, &known).and(counts)
     }
 
     fn restore_load_model(&mut self, model: &LoadModel) -> Restored {
