--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -1,6 +1,8 @@
 //! Tests of the module that these stand beside.
 
-use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
+use shorewharf_decisions::persistence::{
+    GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
+};
 use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::snapshot_state::{LoadModel, ServerCapacity};
 
@@ -49,29 +51,33 @@
 
 /// One of each thing that a module knows.
 fn learned() -> Vec<SnapshotEntry> {
-    let place = Place { key: 11, server: 7, load: 0.75, until: 1_764_747_090.5 };
+    let place = ReservationRecord { key: 11, server: 7, load: 0.75, expires_at: 1_764_747_090.5 };
     vec![
-        SnapshotEntry::Balancer(Known::Flow(Flow {
-            seen: 12.5,
-            rate: 3.25,
-            span: 4.5,
-            moves: 0.5,
-            mean: 1.75,
-            class_load: vec![0.25, 2.0],
-            pace: 40.5,
+        SnapshotEntry::Balancer(StateRecord::Instance(InstanceRecord {
+            total_clients: 12.5,
+            arrivals: 3.25,
+            arrival_seconds: 4.5,
+            migration_credit: 0.5,
+            mean_load: 1.75,
+            class_loads: vec![0.25, 2.0],
+            setups_per_second: 40.5,
         })),
-        SnapshotEntry::Balancer(Known::Server(KnownServer {
+        SnapshotEntry::Balancer(StateRecord::Server(ServerRecord {
             server: 7,
-            born: 1_764_740_000.5,
+            started_at: 1_764_740_000.5,
             health: 0.875,
-            spent_until: 1_764_747_001.5,
-            locked: Some((1_764_747_002.5, 0.25)),
-            entries: 6.5,
-            drops: 1.5,
+            unavailable_until: 1_764_747_001.5,
+            quarantine: Some(QuarantineRecord { trial_at: 1_764_747_002.5, backoff: 0.25 }),
+            warm_up_admissions: 6.5,
+            recent_resets: 1.5,
+        })),
+        SnapshotEntry::Balancer(StateRecord::Group(GroupRecord {
+            group: 9,
+            clients: 2.5,
+            last_server: Some(7),
         })),
-        SnapshotEntry::Balancer(Known::Group { group: 9, seen: 2.5, last: Some(7) }),
-        SnapshotEntry::Balancer(Known::Place(place)),
-        SnapshotEntry::Balancer(Known::Stands(Place { key: 12, ..place })),
+        SnapshotEntry::Balancer(StateRecord::Reservation(place)),
+        SnapshotEntry::Balancer(StateRecord::Connection(ReservationRecord { key: 12, ..place })),
         SnapshotEntry::LoadModel(LoadModel {
             mean_load: 1.5,
             load_samples: 20.5,
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -132,7 +132,7 @@
             }
         }
         for id in self.sessions.ids_where(Session::is_waiting) {
-            if !is_last_call && !self.guard.is_refusable(id) {
+            if !is_last_call && !self.guard.is_rejectable(id) {
                 continue;
             }
             context.emit(NetworkEvent::ClientLeft(id));
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::Holding;
 use shorewharf_decisions::interface::*;
-use shorewharf_decisions::memory::Recalled;
+use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_recovery::capacity_estimate::FleetEstimate;
 use shorewharf_recovery::controller::{Options, OverloadController};
 use shorewharf_recovery::protected_balancer::{ProtectedBalancer, WaitingClients};
@@ -131,7 +131,7 @@
 
     /// Servers that get nothing new now, whatever the reason.
     pub fn avoided(&self, now: f64) -> Vec<ServerId> {
-        self.balancer.avoided(now)
+        self.balancer.unavailable_servers(now)
     }
 
     /// Reads on in what is known, so many things at most, and where to go on from.
@@ -141,7 +141,7 @@
 
     /// Recalls what one before has known `past` seconds ago. The list is to be told first; clients that stood then are
     /// expected back if their connections are `away`.
-    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<SnapshotEntry>) -> Recalled {
+    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<SnapshotEntry>) -> RestoreCounts {
         self.balancer.restore_state(now, past, away, learned)
     }
 
--- a/crates/recovery/src/snapshot_state.rs
+++ b/crates/recovery/src/snapshot_state.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 use shorewharf_decisions::interface::ServerId;
-use shorewharf_decisions::memory::Known;
+use shorewharf_decisions::persistence::StateRecord;
 
 /// One record of learned state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SnapshotEntry {
     /// State of the decision module.
     #[serde(rename = "module")]
-    Balancer(Known),
+    Balancer(StateRecord),
     /// What is known of loads and set-ups as a whole.
     #[serde(rename = "loads")]
     LoadModel(LoadModel),
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ExportCursor {
     /// In the decision module's state.
-    Balancer(shorewharf_decisions::memory::Cursor),
+    Balancer(shorewharf_decisions::persistence::ExportCursor),
     /// Behind this server.
     Servers(Option<ServerId>),
     /// Everything was exported.
