--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -7,7 +7,7 @@
 use shorewharf_decisions::interface::*;
 use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_recovery::capacity_estimate::FleetEstimate;
-use shorewharf_recovery::controller::{Options, OverloadController};
+use shorewharf_recovery::controller::{ControllerOptions, OverloadController};
 use shorewharf_recovery::protected_balancer::{ProtectedBalancer, WaitingClients};
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::{Operator, Recovery};
@@ -23,9 +23,9 @@
 const REJECTION_LOG_INTERVAL: Micros = 10_000_000;
 const MAX_LOGGED_TENANTS: usize = 8;
 
-fn controller_options(operator: &Operator) -> Options {
+fn controller_options(operator: &Operator) -> ControllerOptions {
     let Recovery { levels, repeats, rebalance } = operator.recovery;
-    Options { levels, retry_budget: repeats, rebalance }
+    ControllerOptions { levels, retry_budget: repeats, rebalance }
 }
 
 /// Who is asked, in this order.
--- a/crates/recovery/src/capacity_estimate/mod.rs
+++ b/crates/recovery/src/capacity_estimate/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::snapshot_state::{LoadModel, ServerCapacity};
 use platform::{PlatformLimits, TARGET_UTILIZATION};
-use server::{AnnouncedCapacity, REPORT_PERIOD, ServerRecord, Setup};
+use server::{AnnouncedCapacity, REPORT_PERIOD, ServerModel, Setup};
 use setup_model::SetupModel;
 
 /// Weight of one load report in the mean, once there are many.
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct CapacityEstimator {
     limits: PlatformLimits,
-    servers: BTreeMap<ServerId, ServerRecord>,
+    servers: BTreeMap<ServerId, ServerModel>,
     attempts: BTreeMap<RequestId, Attempt>,
     mean_load: f64,
     load_samples: f64,
@@ -144,8 +144,8 @@
                 self.mean_load += (load - self.mean_load) * weight;
             }
             Event::MessageDelay { server, delay } if delay.is_finite() && *delay > 0.0 => {
-                if let Some(record) = self.servers.get_mut(server) {
-                    record.on_message_delay(now, *delay, loads.local_load(*server), &self.limits);
+                if let Some(model) = self.servers.get_mut(server) {
+                    model.on_message_delay(now, *delay, loads.local_load(*server), &self.limits);
                 }
             }
             Event::AttemptEnded { request, .. } => {
@@ -155,8 +155,8 @@
         }
         if now >= self.grown_at + REPORT_PERIOD {
             self.grown_at = now;
-            for (id, record) in &mut self.servers {
-                record.grow(now, loads.local_load(*id), &self.limits);
+            for (id, model) in &mut self.servers {
+                model.grow(now, loads.local_load(*id), &self.limits);
             }
         }
     }
@@ -166,8 +166,8 @@
         for action in actions {
             let Action::BeginAttempt { request, server, .. } = action else { continue };
             self.attempts.insert(*request, Attempt { server: *server, sent_at: now });
-            if let Some(record) = self.servers.get_mut(server) {
-                record.on_attempt(now);
+            if let Some(model) = self.servers.get_mut(server) {
+                model.on_attempt(now);
             }
         }
     }
@@ -184,15 +184,15 @@
             events.push(Event::MeanLoadEstimated(self.mean_load));
         }
         let limits = self.limits;
-        for (id, record) in &mut self.servers {
-            let load = record.bound(now, &limits);
-            let setup_rate = COLD_SETUP_RATIO * limits.overload_ratio * record.entry.weight
+        for (id, model) in &mut self.servers {
+            let load = model.bound(now, &limits);
+            let setup_rate = COLD_SETUP_RATIO * limits.overload_ratio * model.entry.weight
                 / self.mean_load
                 / limits.warm_up_time
                 / limits.instance_count;
-            let announced = record.announced;
+            let announced = model.announced;
             if has_changed(load, announced.load) || has_changed(setup_rate, announced.setup_rate) {
-                record.announced = AnnouncedCapacity { load, setup_rate };
+                model.announced = AnnouncedCapacity { load, setup_rate };
                 events.push(Event::CapacityEstimated { server: *id, load, setup_rate });
             }
         }
@@ -200,18 +200,18 @@
 
     /// The estimates for all servers.
     pub fn fleet(&self, now: f64, loads: &impl LocalLoad) -> FleetEstimate {
-        let estimate = |(id, record): (&ServerId, &ServerRecord)| {
+        let estimate = |(id, model): (&ServerId, &ServerModel)| {
             let local_load = loads.local_load(*id);
-            let is_reported = record.is_recently_slow(now);
+            let is_reported = model.is_recently_slow(now);
             let estimate = ServerEstimate {
-                state: record.entry.state,
-                weight: record.entry.weight,
-                warm_up_ratio: self.limits.warm_up_ratio(&record.entry, now),
-                capacity: record.bound(now, &self.limits) * self.limits.instance_count / TARGET_UTILIZATION,
+                state: model.entry.state,
+                weight: model.entry.weight,
+                warm_up_ratio: self.limits.warm_up_ratio(&model.entry, now),
+                capacity: model.bound(now, &self.limits) * self.limits.instance_count / TARGET_UTILIZATION,
                 load: local_load * self.limits.instance_count,
                 local_load,
                 uncertainty: if is_reported { UNCERTAINTY_AFTER_REPORT } else { UNCERTAINTY },
-                updated_at: record.updated_at,
+                updated_at: model.updated_at,
             };
             (*id, estimate)
         };
@@ -227,23 +227,23 @@
                 self.servers.remove(&entry.server);
                 continue;
             }
-            let record = self.servers.entry(entry.server).or_insert_with(|| ServerRecord::new(*entry, now));
-            if record.entry.started_at != entry.started_at {
+            let model = self.servers.entry(entry.server).or_insert_with(|| ServerModel::new(*entry, now));
+            if model.entry.started_at != entry.started_at {
                 // What was learned of the process before says nothing of this one.
-                *record = ServerRecord::new(*entry, now);
+                *model = ServerModel::new(*entry, now);
             }
-            record.entry = *entry;
+            model.entry = *entry;
         }
     }
 
     fn on_setup(&mut self, now: f64, attempt: Attempt, loads: &impl LocalLoad) {
-        let Some(record) = self.servers.get_mut(&attempt.server) else { return };
-        record.updated_at = now;
+        let Some(model) = self.servers.get_mut(&attempt.server) else { return };
+        model.updated_at = now;
         let has_unit = self.mean_load > 0.0 && self.limits.has_capacity_weights;
-        if has_unit && record.has_comparable_setups(now) {
+        if has_unit && model.has_comparable_setups(now) {
             let setup =
                 Setup { seconds: now - attempt.sent_at, local_load: loads.local_load(attempt.server) };
-            record.on_setup(now, setup, &mut self.setups, &self.limits);
+            model.on_setup(now, setup, &mut self.setups, &self.limits);
         }
     }
 
@@ -260,11 +260,11 @@
     /// What was learned of the servers behind this one, so many at most. Exclusions are not known here.
     pub(crate) fn server_capacities(&self, behind: Option<ServerId>, most: usize) -> Vec<ServerCapacity> {
         let from = behind.map_or(Unbounded, Excluded);
-        let capacity = |(id, record): (&ServerId, &ServerRecord)| ServerCapacity {
+        let capacity = |(id, model): (&ServerId, &ServerModel)| ServerCapacity {
             server: id.0,
-            started_at: record.entry.started_at,
-            factor: record.factor,
-            slow_reported_at: record.slow_reported_at.is_finite().then_some(record.slow_reported_at),
+            started_at: model.entry.started_at,
+            factor: model.factor,
+            slow_reported_at: model.slow_reported_at.is_finite().then_some(model.slow_reported_at),
             excluded_until: None,
         };
         self.servers.range((from, Unbounded)).take(most).map(capacity).collect()
@@ -296,8 +296,8 @@
         let log_factor = capacity.factor.ln() * CAPACITY_RETENTION_PER_SECOND.powf(age.max(0.0));
         let slow_reported_at = capacity.slow_reported_at.filter(|at| at.is_finite() && *at <= now);
         match self.servers.get_mut(&ServerId(capacity.server)) {
-            Some(record) if record.entry.started_at == capacity.started_at => {
-                record.restore(log_factor.exp(), slow_reported_at);
+            Some(model) if model.entry.started_at == capacity.started_at => {
+                model.restore(log_factor.exp(), slow_reported_at);
                 Restored::Accepted
             }
             _ => Restored::Outdated,
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -62,9 +62,9 @@
     pub local_load: f64,
 }
 
-/// One server's record.
+/// What was learned of one server.
 #[derive(Clone, Debug)]
-pub(super) struct ServerRecord {
+pub(super) struct ServerModel {
     pub entry: ServerEntry,
     /// Load that this instance may put on the server, over its even share.
     pub factor: f64,
@@ -79,9 +79,9 @@
     pub announced: AnnouncedCapacity,
 }
 
-impl ServerRecord {
+impl ServerModel {
     pub fn new(entry: ServerEntry, now: f64) -> Self {
-        ServerRecord {
+        ServerModel {
             entry,
             factor: 1.0,
             last_delay: DelayReport { delay: 0.0, at: f64::NEG_INFINITY },
--- a/crates/recovery/src/instance_view.rs
+++ b/crates/recovery/src/instance_view/mod.rs
@@ -1,133 +1,24 @@
 //! What one instance knows of the servers and of its own connections: where each connection is, since when, and with
 //! what load. It decides nothing.
 
+mod connection;
+mod server_record;
+
 use std::collections::BTreeMap;
 
 use shorewharf_decisions::interface::{Request, ServerEntry, ServerState, WeightKind};
 use shorewharf_decisions::{Outcome, RequestId, ServerId, Settings};
 
-use crate::retry_budget::is_server_failure;
+pub(crate) use connection::{Connection, Placement};
+pub(crate) use server_record::ServerRecord;
 
-/// The mean load counts as so many seconds of a connection's own load: its load just now says little of what it will
-/// be once it has migrated.
-const PRIOR_LOAD_SECONDS: f64 = 20.0;
 /// Weight of one load report in the mean of all.
 const MEAN_LOAD_WEIGHT: f64 = 0.02;
 /// A server that went without draining counts as missing for so long.
 const MISSING_SECONDS: f64 = 300.0;
-/// A server where an attempt failed is no migration target for so long; each further failure doubles it.
-const EXCLUDED_SECONDS: f64 = 3.0;
-/// The longest such exclusion.
-const MAX_EXCLUDED_SECONDS: f64 = 30.0;
 /// Servers remembered at most.
 const MAX_SERVERS: usize = 4096;
 
-/// A server as this instance knows it.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct ServerRecord {
-    pub entry: ServerEntry,
-    /// When the server went without having drained.
-    pub missing_since: Option<f64>,
-    /// Attempts failed there: it is no migration target before this time.
-    pub excluded_until: f64,
-    /// Length of the next exclusion, in seconds.
-    next_exclusion: f64,
-    /// The last connection to it could not be made.
-    pub is_unreachable: bool,
-    /// When it last reported slow messages.
-    pub slow_reported_at: f64,
-}
-
-impl ServerRecord {
-    fn new(entry: ServerEntry) -> Self {
-        ServerRecord {
-            entry,
-            missing_since: None,
-            excluded_until: f64::NEG_INFINITY,
-            next_exclusion: EXCLUDED_SECONDS,
-            is_unreachable: false,
-            slow_reported_at: f64::NEG_INFINITY,
-        }
-    }
-
-    /// Whether it is listed as ready and can be reached.
-    pub fn is_in_service(&self) -> bool {
-        self.entry.state == ServerState::Ready && !self.is_unreachable
-    }
-}
-
-/// Where a connection is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Placement {
-    /// It waits for a server.
-    Waiting,
-    /// An attempt is under way at this server.
-    Connecting(ServerId),
-    /// It is established at this server.
-    Established(ServerId),
-}
-
-/// A connection of this instance.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Connection {
-    pub placement: Placement,
-    pub attempts: u32,
-    /// The client's key; 0 for none.
-    pub key: u64,
-    /// Its group; 0 for none.
-    pub group: u64,
-    /// When it was established, or began to wait.
-    pub since: f64,
-    /// The client had been connected before.
-    pub is_returning: bool,
-    /// It was asked to migrate.
-    pub is_migrating: bool,
-    load: Option<f64>,
-    load_reported_at: f64,
-    /// The past loads' integral over time, and the time.
-    load_seconds: f64,
-    loaded_seconds: f64,
-}
-
-impl Connection {
-    fn new(request: &Request, placement: Placement, now: f64) -> Self {
-        Connection {
-            placement,
-            attempts: 0,
-            key: request.key,
-            group: request.group,
-            since: now,
-            is_returning: request.is_returning,
-            is_migrating: false,
-            load: request.load.filter(|load| load.is_finite() && *load > 0.0),
-            load_reported_at: now,
-            load_seconds: 0.0,
-            loaded_seconds: 0.0,
-        }
-    }
-
-    /// The load that it is expected to have from now on: its own mean so far, shrunk towards the mean of all.
-    pub fn expected_load(&self, now: f64, mean_load: f64) -> f64 {
-        let (load_seconds, seconds) = self.loads_until(now);
-        (mean_load * PRIOR_LOAD_SECONDS + load_seconds) / (PRIOR_LOAD_SECONDS + seconds)
-    }
-
-    /// The integral of its load until now, and the time that it is taken over.
-    fn loads_until(&self, now: f64) -> (f64, f64) {
-        let elapsed = (now - self.load_reported_at).max(0.0);
-        match self.load {
-            Some(load) => (self.load_seconds + load * elapsed, self.loaded_seconds + elapsed),
-            None => (self.load_seconds, self.loaded_seconds),
-        }
-    }
-
-    fn on_load(&mut self, now: f64, load: f64) {
-        (self.load_seconds, self.loaded_seconds) = self.loads_until(now);
-        self.load = Some(load);
-        self.load_reported_at = now;
-    }
-}
-
 /// A connection whose attempt, or which itself, has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
@@ -288,8 +179,9 @@
 
     /// A connection was established before the start of this instance.
     pub fn on_restored(&mut self, now: f64, request: &Request, server: ServerId) {
-        let connection = Connection::new(request, Placement::Established(server), now);
-        self.connections.insert(request.id, Connection { attempts: 1, ..connection });
+        let mut connection = Connection::new(request, Placement::Established(server), now);
+        connection.attempts = 1;
+        self.connections.insert(request.id, connection);
         self.established += 1;
     }
 
@@ -306,21 +198,17 @@
         Some(*connection)
     }
 
-    /// An attempt was established; returns the server, and the connection with the time since which it waited.
+    /// An attempt was established; returns the server, and the connection as it was while it waited.
     pub fn on_established(&mut self, now: f64, id: RequestId) -> Option<(ServerId, Connection)> {
         let connection = self.connections.get_mut(&id)?;
         let Placement::Connecting(server) = connection.placement else { return None };
         let waiting = *connection;
-        connection.placement = Placement::Established(server);
-        connection.since = now;
-        connection.load_reported_at = now;
-        let established = Connection { since: waiting.since, ..*connection };
+        connection.on_established(now, server);
         self.established += 1;
         if let Some(record) = self.servers.get_mut(&server) {
-            record.is_unreachable = false;
-            record.next_exclusion = EXCLUDED_SECONDS;
+            record.on_established();
         }
-        Some((server, established))
+        Some((server, waiting))
     }
 
     /// A connection reports its load.
@@ -355,21 +243,12 @@
         if was_established || is_answered {
             self.connections.remove(&id);
         }
-        if !was_established {
-            self.on_failed_attempt(now, server, outcome);
+        if let Some(record) = self.servers.get_mut(&server).filter(|_| !was_established) {
+            record.on_attempt_failed(now, outcome);
         }
         Some(EndedAttempt { connection, server, was_established })
     }
 
-    fn on_failed_attempt(&mut self, now: f64, server: ServerId, outcome: Outcome) {
-        let Some(record) = self.servers.get_mut(&server) else { return };
-        record.is_unreachable |= outcome == Outcome::ConnectFailed;
-        if is_server_failure(outcome) {
-            record.excluded_until = now + record.next_exclusion;
-            record.next_exclusion = (record.next_exclusion * 2.0).min(MAX_EXCLUDED_SECONDS);
-        }
-    }
-
     /// Until when a server is no migration target, where attempts have failed there.
     pub fn excluded_until(&self, server: ServerId) -> Option<f64> {
         self.servers.get(&server).map(|record| record.excluded_until).filter(|until| until.is_finite())
@@ -379,7 +258,7 @@
     pub fn restore_exclusion(&mut self, now: f64, server: ServerId, excluded_until: Option<f64>) {
         let Some(until) = excluded_until.filter(|until| *until > now) else { return };
         if let Some(record) = self.servers.get_mut(&server) {
-            record.excluded_until = record.excluded_until.max(until.min(now + MAX_EXCLUDED_SECONDS));
+            record.exclude_until(now, until);
         }
     }
 
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -9,7 +9,7 @@
 
 use crate::capacity_estimate::{CapacityEstimator, FleetEstimate, Restored};
 use crate::capacity_shortage::CapacityShortage;
-use crate::controller::{HandledEvent, Options, OverloadController};
+use crate::controller::{ControllerOptions, HandledEvent, OverloadController};
 use crate::retry_after::RetryAfterQueue;
 use crate::snapshot_state::{ExportCursor, LoadModel, ServerCapacity, SnapshotEntry};
 
@@ -40,7 +40,7 @@
 
 impl ProtectedBalancer {
     /// Creates a decision module with its protection; all randomness comes from `seed`.
-    pub fn new(settings: Settings, seed: u64, options: Options) -> Self {
+    pub fn new(settings: Settings, seed: u64, options: ControllerOptions) -> Self {
         ProtectedBalancer {
             controller: OverloadController::new(&settings, seed, options),
             estimator: CapacityEstimator::new(&settings),
@@ -89,7 +89,7 @@
     }
 
     /// Applies other settings and options; what was learned stays.
-    pub fn update_settings(&mut self, settings: Settings, options: Options) {
+    pub fn update_settings(&mut self, settings: Settings, options: ControllerOptions) {
         self.controller.set_options(options);
         self.controller.update_settings(&settings);
         self.estimator.update_settings(&settings);
