--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -10,7 +10,7 @@
 use shorewharf_decisions::interface::{
     Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
 };
-use shorewharf_recovery::controller::{CapacityEstimate, Options};
+use shorewharf_recovery::controller::{CapacityEstimate, ControllerOptions};
 use shorewharf_recovery::protected_balancer::ProtectedBalancer;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 
@@ -82,7 +82,7 @@
         let mut day = Day {
             now: 1000.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            balancer: ProtectedBalancer::new(set, seed, Options::ALL),
+            balancer: ProtectedBalancer::new(set, seed, ControllerOptions::ALL),
             weather: Weather { requests: 6.0, failing: 2, slow: 1 },
             has_estimate: seed == 1,
             lasting: if seed == 4 { 10 } else { 1 },
@@ -406,7 +406,7 @@
         let entries = self.state();
         let stored = serde_json::to_string(&entries).expect("a record");
         self.note(&stored);
-        self.balancer = ProtectedBalancer::new(set, seed, Options::ALL);
+        self.balancer = ProtectedBalancer::new(set, seed, ControllerOptions::ALL);
         (self.out, self.due) = (BTreeMap::new(), BinaryHeap::new());
         self.tell(Event::Start);
         self.list(true);
