--- a/crates/recovery/tests/capacity_estimate.rs
+++ b/crates/recovery/tests/capacity_estimate.rs
@@ -1,10 +1,12 @@
 //! What is learned of servers: each test names what would be believed wrongly.
 
 use proptest::prelude::*;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, RequestId, ServerEntry, ServerId, ServerState, Settings,
+};
 use shorewharf_recovery::capacity_estimate::{CapacityEstimator, LocalLoad};
 
-/// This balancer has load the same on every server.
+/// This balancer has the same load on every server.
 struct SameLoad(f64);
 
 impl LocalLoad for SameLoad {
@@ -22,25 +24,18 @@
     shorewharf_settings::settings(text).expect("valid settings").0
 }
 
-fn entry(id: u64, born: f64) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(id),
-        zone: 0,
-        cell: 0,
-        state: ServerState::Ready,
-        weight: 8.0,
-        started_at: born,
-    }
+fn entry(id: u64, started_at: f64) -> ServerEntry {
+    ServerEntry { server: ServerId(id), zone: 0, cell: 0, state: ServerState::Ready, weight: 8.0, started_at }
 }
 
-fn list(entries: &[ServerEntry]) -> Event {
+fn endpoint_list(entries: &[ServerEntry]) -> Event {
     Event::EndpointList { is_complete: true, is_cached: false, entries: entries.to_vec().into() }
 }
 
-/// Servers 1 and 2, warm, and a load that was announced.
-fn known(load: &SameLoad) -> CapacityEstimator {
+/// An estimator that knows servers 1 and 2, warm, and was told of a load.
+fn estimator_with_two_servers(load: &SameLoad) -> CapacityEstimator {
     let mut estimator = CapacityEstimator::new(&settings());
-    estimator.observe_event(0.0, &list(&[entry(1, 0.0), entry(2, 0.0)]), load);
+    estimator.observe_event(0.0, &endpoint_list(&[entry(1, 0.0), entry(2, 0.0)]), load);
     estimator.observe_event(0.0, &Event::LoadChanged { request: RequestId(0), load: 0.1 }, load);
     estimator
 }
@@ -54,9 +49,9 @@
 }
 
 #[test]
-fn a_growing_pile_tells_the_load_and_a_draining_one_is_no_reason_to_give_way() {
+fn a_growing_backlog_tells_the_load_and_a_draining_one_is_no_reason_to_give_way() {
     let load = SameLoad(3.0);
-    let mut estimator = known(&load);
+    let mut estimator = estimator_with_two_servers(&load);
     report_delay(&mut estimator, 1.0, &load, 0.1);
     report_delay(&mut estimator, 2.0, &load, 0.3);
     // 20 % a second too much: of two balancers that load 3 there each, it bears 5.
@@ -65,7 +60,7 @@
         "{}",
         capacity(&estimator, 2.0, &load, 1)
     );
-    // Nothing more was sent and the pile drains at 15 % a second: the server is not to be kept empty for it.
+    // Nothing more was sent and the backlog drains at 15 % a second: the server is not to be kept empty for it.
     let before = capacity(&estimator, 2.0, &load, 1);
     report_delay(&mut estimator, 3.0, &load, 0.15);
     assert!(capacity(&estimator, 3.0, &load, 1) > before);
@@ -75,7 +70,7 @@
 #[test]
 fn silence_at_the_bound_gives_more_and_silence_below_it_nothing() {
     for (load, more) in [(SameLoad(3.4), true), (SameLoad(1.0), false)] {
-        let mut estimator = known(&load);
+        let mut estimator = estimator_with_two_servers(&load);
         for second in 1..=5 {
             estimator.observe_event(f64::from(second), &Event::TimerFired(0), &load);
         }
@@ -87,7 +82,7 @@
 fn set_ups_that_take_long_lower_the_bound_before_messages_do() {
     // Full enough for times to speak, and below the bound, where silence would raise it.
     let load = SameLoad(2.2);
-    let mut estimator = known(&load);
+    let mut estimator = estimator_with_two_servers(&load);
     for i in 0..60_u32 {
         let (now, server) = (f64::from(i), ServerId(u64::from(i % 2) + 1));
         estimator
@@ -101,10 +96,10 @@
 #[test]
 fn a_restarted_server_is_another_one_and_fills_with_its_ramp() {
     let load = SameLoad(0.1);
-    let mut estimator = known(&load);
+    let mut estimator = estimator_with_two_servers(&load);
     report_delay(&mut estimator, 1.0, &load, 0.1);
     report_delay(&mut estimator, 2.0, &load, 0.9);
-    estimator.observe_event(3.0, &list(&[entry(1, 3.0), entry(2, 0.0)]), &load);
+    estimator.observe_event(3.0, &endpoint_list(&[entry(1, 3.0), entry(2, 0.0)]), &load);
     assert!((capacity(&estimator, 3.0, &load, 1) - 0.2 * 8.0).abs() < 1e-9);
     assert!((capacity(&estimator, 13.0, &load, 1) - 0.6 * 8.0).abs() < 1e-9);
 }
@@ -113,7 +108,7 @@
 fn nothing_is_told_before_loads_have_a_unit() {
     let load = SameLoad(3.0);
     let (mut estimator, mut announced) = (CapacityEstimator::new(&settings()), Vec::new());
-    estimator.observe_event(0.0, &list(&[entry(1, 0.0)]), &load);
+    estimator.observe_event(0.0, &endpoint_list(&[entry(1, 0.0)]), &load);
     estimator.announce(0.0, &mut announced);
     assert!(announced.is_empty());
     estimator.observe_event(1.0, &Event::LoadChanged { request: RequestId(0), load: 0.1 }, &load);
@@ -126,7 +121,7 @@
     fn bounds_stay_within_reason_whatever_is_heard(
         heard in prop::collection::vec((0.0..2.0_f64, any::<f64>(), any::<f64>(), 0..4_u8), 1..60),
     ) {
-        let mut estimator = known(&SameLoad(1.0));
+        let mut estimator = estimator_with_two_servers(&SameLoad(1.0));
         let (mut now, mut announced) = (0.0, Vec::new());
         for (pass, x, load, what) in heard {
             now += pass;
@@ -134,7 +129,7 @@
             match what {
                 0 => report_delay(&mut estimator, now, &load, x),
                 1 => estimator.observe_event(now, &Event::LoadChanged { request: RequestId(0), load: x.min(1e3) }, &load),
-                2 => estimator.observe_event(now, &list(&[entry(1, if x.is_finite() { x } else { 0.0 })]), &load),
+                2 => estimator.observe_event(now, &endpoint_list(&[entry(1, if x.is_finite() { x } else { 0.0 })]), &load),
                 _ => estimator.observe_event(now, &Event::TimerFired(0), &load),
             }
             estimator.announce(now, &mut announced);
--- a/crates/recovery/tests/levels.rs
+++ b/crates/recovery/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Levels under load that swings, and the budget for repeats under failures that are alike.
+//! Levels under load that swings, and the retry budget under correlated failures.
 
 use std::collections::BTreeMap;
 
@@ -21,11 +21,11 @@
     LoadSignals { backoff_ratio, ..LoadSignals::default() }
 }
 
-fn play(severities: impl Iterator<Item = f64>, step: f64) -> Vec<LevelChange> {
+fn changes_under(severities: impl Iterator<Item = f64>, step: f64) -> Vec<LevelChange> {
     let mut levels = LevelController::new();
     severities
         .enumerate()
-        .filter_map(|(i, severity)| levels.update(i as f64 * step, &signals(severity)))
+        .filter_map(|(index, severity)| levels.update(index as f64 * step, &signals(severity)))
         .collect()
 }
 
@@ -40,7 +40,7 @@
     ) {
         let base = threshold as f64;
         let severities = swings.iter().flat_map(|(n, off)| std::iter::repeat_n(base + off, *n as usize));
-        let changes = play(severities, 0.25);
+        let changes = changes_under(severities, 0.25);
         // From calm to a threshold above the first the level may jump, but that is one change.
         for pair in changes.windows(2) {
             prop_assert!(pair[1].at - pair[0].at >= MIN_SECONDS_BETWEEN_CHANGES, "{} after {}", pair[1], pair[0]);
@@ -57,13 +57,13 @@
             swings.iter().flat_map(|(n, s)| std::iter::repeat_n(*s, *n as usize)).collect();
         let mut levels = LevelController::new();
         let mut last = f64::NEG_INFINITY;
-        for (i, s) in severities.iter().enumerate() {
-            let now = i as f64 * 0.25;
+        for (index, severity) in severities.iter().enumerate() {
+            let now = index as f64 * 0.25;
             let before = levels.level();
-            let change = levels.update(now, &signals(*s));
+            let change = levels.update(now, &signals(*severity));
             if now - last >= MIN_SECONDS_BETWEEN_CHANGES {
-                let due = Level::ALL[(*s - 1e-9).max(0.0) as usize];
-                prop_assert!(levels.level() >= due, "severity {s} is not acted on at {now}");
+                let due = Level::ALL[(*severity - 1e-9).max(0.0) as usize];
+                prop_assert!(levels.level() >= due, "severity {severity} is not acted on at {now}");
             }
             let Some(change) = change else { continue };
             if change.to > change.from {
@@ -71,7 +71,7 @@
                 prop_assert!(now - last >= MIN_SECONDS_BETWEEN_CHANGES || clear, "{change} is too soon after {last}");
             } else {
                 prop_assert!(now - last >= MIN_SECONDS_BETWEEN_CHANGES, "{change} is too soon after {last}");
-                let quiet = &severities[i.saturating_sub((MIN_SECONDS_BETWEEN_CHANGES / 0.25) as usize - 1)..=i];
+                let quiet = &severities[index.saturating_sub((MIN_SECONDS_BETWEEN_CHANGES / 0.25) as usize - 1)..=index];
                 let cause = before as usize as f64 - HYSTERESIS;
                 prop_assert!(quiet.iter().all(|s| *s < cause + 1e-9), "{change}: its cause is not gone");
             }
--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -18,7 +18,7 @@
 const SERVERS: u64 = 10;
 /// Figures are written out every so many seconds.
 const FIGURES_EVERY: f64 = 5.0;
-/// Actions are written out in full in the first seconds of a day, and as a digest a second after that.
+/// Actions are written out in full in the first seconds of a run, and as a digest a second after that.
 const FULL_FOR: f64 = 6.0;
 
 fn settings(weights: &str, retry_after: bool) -> Settings {
@@ -32,9 +32,9 @@
     shorewharf_settings::settings(text.as_bytes()).expect("valid settings").0
 }
 
-/// How bad a stretch of the day is.
+/// What happens in a part of a run.
 #[derive(Clone, Copy)]
-struct Weather {
+struct Conditions {
     /// Requests a second.
     requests: f64,
     /// Of a hundred attempts, how many fail.
@@ -44,95 +44,106 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Timer(u64),
-    Attempt(RequestId),
-    Life(RequestId),
-    Probe(ServerId),
-    Moved(RequestId),
-    Arrival,
-    Minute,
+enum FleetEvent {
+    TimerFires(u64),
+    AttemptEnds(RequestId),
+    ConnectionEnds(RequestId),
+    ProbeEnds(ServerId),
+    ClientMigrates(RequestId),
+    ClientArrives,
+    ConditionsChange,
 }
 
-/// One balancer before a made-up fleet.
-struct Day {
+/// A server as the endpoint list has it.
+#[derive(Clone, Copy)]
+struct ListedServer {
+    state: ServerState,
+    started_at: f64,
+}
+
+#[derive(Clone, Copy)]
+struct Attempt {
+    server: ServerId,
+    number: u32,
+}
+
+/// One balancer before a model fleet.
+struct Run {
     now: f64,
     rng: Pcg64Mcg,
     balancer: ProtectedBalancer,
-    weather: Weather,
+    conditions: Conditions,
     /// The controller is told of demand and capacity.
     has_estimate: bool,
     /// Connections last this many times as long as usual, and clients are as many times fewer.
-    lasting: u64,
-    stages: BTreeMap<u64, (ServerState, f64)>,
-    /// Requests that are out or stand: where, which attempt, whose.
-    out: BTreeMap<RequestId, (ServerId, u32, u64)>,
-    keys: BTreeMap<RequestId, u64>,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    lifetime_factor: u64,
+    servers: BTreeMap<u64, ListedServer>,
+    /// The last attempt of each request that was not answered, and of each connection.
+    attempts: BTreeMap<RequestId, Attempt>,
+    events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     serial: u64,
     digest: u64,
     text: String,
 }
 
-impl Day {
-    fn new(seed: u64, set: Settings) -> Day {
-        let stages = (0..SERVERS)
-            .map(|id| (id, (ServerState::Ready, if id % 2 == 1 { 999.0 } else { 0.0 })))
-            .collect();
-        let mut day = Day {
+impl Run {
+    fn new(seed: u64, set: Settings) -> Run {
+        let listed = |id| {
+            let started_at = if id % 2 == 1 { 999.0 } else { 0.0 };
+            (id, ListedServer { state: ServerState::Ready, started_at })
+        };
+        let mut fleet = Run {
             now: 1000.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             balancer: ProtectedBalancer::new(set, seed, ControllerOptions::ALL),
-            weather: Weather { requests: 6.0, failing: 2, slow: 1 },
+            conditions: Conditions { requests: 6.0, failing: 2, slow: 1 },
             has_estimate: seed == 1,
-            lasting: if seed == 4 { 10 } else { 1 },
-            stages,
-            out: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            due: BinaryHeap::new(),
+            lifetime_factor: if seed == 4 { 10 } else { 1 },
+            servers: (0..SERVERS).map(listed).collect(),
+            attempts: BTreeMap::new(),
+            events: BinaryHeap::new(),
             serial: 0,
             digest: 0xcbf2_9ce4_8422_2325,
             text: String::new(),
         };
-        day.tell(Event::Start);
-        day.list(true);
-        day.plan(0.0, Due::Arrival);
-        day.plan(0.5, Due::Minute);
+        fleet.dispatch(Event::Start);
+        fleet.announce_servers(true);
+        fleet.schedule_after(0.0, FleetEvent::ClientArrives);
+        fleet.schedule_after(0.5, FleetEvent::ConditionsChange);
         for id in 0..200 {
-            let request = day.request(RequestId(1 << 24 | id));
+            let request = fleet.request(RequestId(1 << 24 | id));
             let server = ServerId(u64::from(id) % SERVERS / 2 * 2);
-            day.out.insert(request.id, (server, 0, request.key));
-            day.tell(Event::ConnectionRestored(request, server));
-            day.plan_life(request.id);
+            fleet.attempts.insert(request.id, Attempt { server, number: 0 });
+            fleet.dispatch(Event::ConnectionRestored(request, server));
+            fleet.schedule_end(request.id);
         }
-        day
+        fleet
     }
 
-    fn below(&mut self, n: u64) -> u64 {
+    fn random_below(&mut self, n: u64) -> u64 {
         (self.rng.next_u64() >> 11) % n
     }
 
-    fn draw(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn plan(&mut self, after: f64, due: Due) {
+    fn schedule_after(&mut self, after: f64, due: FleetEvent) {
         self.serial += 1;
-        self.due.push(Reverse((((self.now + after) * 1e6) as u64, self.serial, due)));
+        self.events.push(Reverse((((self.now + after) * 1e6) as u64, self.serial, due)));
     }
 
-    fn plan_life(&mut self, id: RequestId) {
-        let load = 0.01 + 0.05 * self.draw();
-        self.tell(Event::LoadChanged { request: id, load });
-        let life = (5.0 + 60.0 * self.draw()) * self.lasting as f64;
-        self.plan(life, Due::Life(id));
+    fn schedule_end(&mut self, id: RequestId) {
+        let load = 0.01 + 0.05 * self.random_unit();
+        self.dispatch(Event::LoadChanged { request: id, load });
+        let life = (5.0 + 60.0 * self.random_unit()) * self.lifetime_factor as f64;
+        self.schedule_after(life, FleetEvent::ConnectionEnds(id));
     }
 
     fn request(&mut self, id: RequestId) -> Request {
-        let key = 1 + self.below(3_000 / self.lasting);
-        self.keys.insert(id, key);
-        let load = (self.below(4) == 0).then_some(0.03);
-        let returning = self.below(3) == 0;
+        let key = 1 + self.random_below(3_000 / self.lifetime_factor);
+        let load = (self.random_below(4) == 0).then_some(0.03);
+        let returning = self.random_below(3) == 0;
         Request {
             id,
             class: 0,
@@ -146,22 +157,22 @@
         }
     }
 
-    fn list(&mut self, full: bool) {
-        let entry = |(id, (stage, born)): (&u64, &(ServerState, f64))| ServerEntry {
+    fn announce_servers(&mut self, full: bool) {
+        let entry = |(id, listed): (&u64, &ListedServer)| ServerEntry {
             server: ServerId(*id),
             zone: 0,
             cell: 0,
             weight: [0.8, 1.2, 1.6][*id as usize % 3],
-            started_at: *born,
-            state: *stage,
+            started_at: listed.started_at,
+            state: listed.state,
         };
-        let entries: Vec<ServerEntry> = self.stages.iter().map(entry).collect();
-        let cached = self.below(10) == 0;
-        self.tell(Event::EndpointList { is_complete: full, is_cached: cached, entries: entries.into() });
+        let entries: Vec<ServerEntry> = self.servers.iter().map(entry).collect();
+        let cached = self.random_below(10) == 0;
+        self.dispatch(Event::EndpointList { is_complete: full, is_cached: cached, entries: entries.into() });
     }
 
-    /// Notes one line of what comes out: whole at the begin of a day, as a digest later.
-    fn note(&mut self, line: &str) {
+    /// Records one line of what comes out: in full at the begin of a run, as a digest later.
+    fn record(&mut self, line: &str) {
         let fold = |digest: u64, byte: u8| (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         self.digest = line.bytes().fold(self.digest, fold);
         if self.now < 1000.0 + FULL_FOR {
@@ -169,61 +180,60 @@
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         for action in out {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::SetTimer { after, token } => {
-                self.note(&format!("timer {after} {token}"));
-                self.plan(after.max(1e-3), Due::Timer(token));
+                self.record(&format!("timer {after} {token}"));
+                self.schedule_after(after.max(1e-3), FleetEvent::TimerFires(token));
             }
             Action::BeginAttempt { request, server, timeout } => {
-                self.note(&format!("send {} {} {timeout}", request.0, server.0));
-                let attempt = self.out.get(&request).map_or(0, |o| o.1 + 1);
-                let key = self.keys.get(&request).copied().unwrap_or(0);
-                self.out.insert(request, (server, attempt, key));
-                let took = 0.01 + 0.1 * self.draw();
-                self.plan(took, Due::Attempt(request));
+                self.record(&format!("send {} {} {timeout}", request.0, server.0));
+                let number = self.attempts.get(&request).map_or(0, |attempt| attempt.number + 1);
+                self.attempts.insert(request, Attempt { server, number });
+                let took = 0.01 + 0.1 * self.random_unit();
+                self.schedule_after(took, FleetEvent::AttemptEnds(request));
             }
             Action::Reject { request, retry_after } => {
-                self.note(&format!("refuse {} {retry_after}", request.0));
-                self.out.remove(&request);
+                self.record(&format!("refuse {} {retry_after}", request.0));
+                self.attempts.remove(&request);
             }
             Action::Fail(request) => {
-                self.note(&format!("fail {}", request.0));
-                self.out.remove(&request);
+                self.record(&format!("fail {}", request.0));
+                self.attempts.remove(&request);
             }
             Action::CancelAttempt { request, attempt } => {
-                self.note(&format!("cancel {} {attempt}", request.0))
+                self.record(&format!("cancel {} {attempt}", request.0))
             }
             Action::Migrate(request) => {
-                self.note(&format!("move {}", request.0));
-                self.plan(0.05, Due::Moved(request));
+                self.record(&format!("move {}", request.0));
+                self.schedule_after(0.05, FleetEvent::ClientMigrates(request));
             }
             Action::Probe(server) => {
-                self.note(&format!("probe {}", server.0));
-                self.plan(0.05, Due::Probe(server));
+                self.record(&format!("probe {}", server.0));
+                self.schedule_after(0.05, FleetEvent::ProbeEnds(server));
             }
-            Action::Subscribe => self.note("subscribe"),
-            Action::Log(line) => self.note(&format!("log {line}")),
+            Action::Subscribe => self.record("subscribe"),
+            Action::Log(line) => self.record(&format!("log {line}")),
         }
     }
 
-    fn attempt(&mut self, id: RequestId) {
-        let Some(&(server, attempt, _)) = self.out.get(&id) else { return };
-        let gone = self.stages.get(&server.0).is_none_or(|s| s.0 == ServerState::Removed);
-        if !gone && self.below(100) >= self.weather.failing {
-            self.tell(Event::Established { request: id, attempt });
-            self.plan_life(id);
+    fn end_attempt(&mut self, id: RequestId) {
+        let Some(Attempt { server, number: attempt }) = self.attempts.get(&id).copied() else { return };
+        let gone = self.servers.get(&server.0).is_none_or(|listed| listed.state == ServerState::Removed);
+        if !gone && self.random_below(100) >= self.conditions.failing {
+            self.dispatch(Event::Established { request: id, attempt });
+            self.schedule_end(id);
             return;
         }
-        let outcome = match self.below(6) {
+        let outcome = match self.random_below(6) {
             _ if gone => Outcome::ConnectFailed,
             0 => Outcome::ConnectFailed,
             1 => Outcome::TimedOut,
@@ -231,8 +241,8 @@
             3 => Outcome::Reset,
             _ => Outcome::Rejected,
         };
-        let load_ratio = (self.below(3) == 0).then_some(0.9);
-        self.tell(Event::AttemptEnded {
+        let load_ratio = (self.random_below(3) == 0).then_some(0.9);
+        self.dispatch(Event::AttemptEnded {
             request: id,
             server,
             attempt,
@@ -242,9 +252,9 @@
         });
     }
 
-    fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let Some((server, attempt, _)) = self.out.remove(&id) else { return };
-        self.tell(Event::AttemptEnded {
+    fn end_connection(&mut self, id: RequestId, outcome: Outcome) {
+        let Some(Attempt { server, number: attempt }) = self.attempts.remove(&id) else { return };
+        self.dispatch(Event::AttemptEnded {
             request: id,
             server,
             attempt,
@@ -257,93 +267,102 @@
             let id = RequestId(self.serial as u32);
             let mut request = self.request(id);
             request.is_returning = true;
-            self.tell(Event::RequestReceived(request));
+            self.dispatch(Event::RequestReceived(request));
         }
     }
 
-    fn half_second(&mut self) {
+    fn change_server(&mut self, id: u64) {
+        let ListedServer { state, started_at } = self.servers[&id];
+        let next = match state {
+            ServerState::Ready if self.random_below(2) == 0 => {
+                ListedServer { state: ServerState::Draining, started_at }
+            }
+            ServerState::Ready | ServerState::Draining => {
+                ListedServer { state: ServerState::Removed, started_at }
+            }
+            ServerState::Removed => ListedServer { state: ServerState::Ready, started_at: self.now },
+        };
+        self.servers.insert(id, next);
+    }
+
+    fn change_conditions(&mut self) {
         for id in 0..SERVERS {
-            if self.below(100) < self.weather.slow {
-                let delay = 0.01 + 0.2 * self.draw();
-                self.tell(Event::MessageDelay { server: ServerId(id), delay });
+            if self.random_below(100) < self.conditions.slow {
+                let delay = 0.01 + 0.2 * self.random_unit();
+                self.dispatch(Event::MessageDelay { server: ServerId(id), delay });
             }
         }
-        if self.below(40) == 0 {
-            self.tell(Event::DiscoveryFailed);
+        if self.random_below(40) == 0 {
+            self.dispatch(Event::DiscoveryFailed);
         }
-        if self.below(30) == 0 {
+        if self.random_below(30) == 0 {
             self.balancer.controller_mut().set_loop_lag(0.1);
         }
-        if self.has_estimate && self.below(50) == 0 {
-            let demand = 3.0 + 20.0 * self.draw();
+        if self.has_estimate && self.random_below(50) == 0 {
+            let demand = 3.0 + 20.0 * self.random_unit();
             self.balancer.controller_mut().set_capacity_estimate(CapacityEstimate {
                 demand,
                 capacity: 12.0,
                 uncertainty: 0.1,
             });
         }
-        if self.below(12) == 0 {
-            let id = self.below(SERVERS);
-            let (stage, born) = self.stages[&id];
-            let next = match stage {
-                ServerState::Ready if self.below(2) == 0 => (ServerState::Draining, born),
-                ServerState::Ready | ServerState::Draining => (ServerState::Removed, born),
-                ServerState::Removed => (ServerState::Ready, self.now),
-            };
-            self.stages.insert(id, next);
-            let full = self.below(2) == 0;
-            self.list(full);
+        if self.random_below(12) == 0 {
+            let id = self.random_below(SERVERS);
+            self.change_server(id);
+            let is_complete = self.random_below(2) == 0;
+            self.announce_servers(is_complete);
         }
-        self.plan(0.5, Due::Minute);
+        self.schedule_after(0.5, FleetEvent::ConditionsChange);
     }
 
-    fn happens(&mut self, due: Due) {
+    fn handle(&mut self, due: FleetEvent) {
         match due {
-            Due::Timer(token) => self.tell(Event::TimerFired(token)),
-            Due::Attempt(id) => self.attempt(id),
-            Due::Life(id) => {
-                let outcome = if self.below(4) == 0 { Outcome::Reset } else { Outcome::Ok };
-                self.end(id, outcome);
+            FleetEvent::TimerFires(token) => self.dispatch(Event::TimerFired(token)),
+            FleetEvent::AttemptEnds(id) => self.end_attempt(id),
+            FleetEvent::ConnectionEnds(id) => {
+                let outcome = if self.random_below(4) == 0 { Outcome::Reset } else { Outcome::Ok };
+                self.end_connection(id, outcome);
             }
-            Due::Moved(id) => self.end(id, Outcome::Cancelled),
-            Due::Probe(server) => {
-                let good = self.stages.get(&server.0).is_some_and(|s| s.0 != ServerState::Removed)
-                    && self.below(3) > 0;
+            FleetEvent::ClientMigrates(id) => self.end_connection(id, Outcome::Cancelled),
+            FleetEvent::ProbeEnds(server) => {
+                let good =
+                    self.servers.get(&server.0).is_some_and(|listed| listed.state != ServerState::Removed)
+                        && self.random_below(3) > 0;
                 let outcome = if good { Outcome::Ok } else { Outcome::ConnectFailed };
-                self.tell(Event::ProbeEnded { server, outcome, load_ratio: None });
+                self.dispatch(Event::ProbeEnded { server, outcome, load_ratio: None });
             }
-            Due::Arrival => {
+            FleetEvent::ClientArrives => {
                 self.serial += 1;
                 let request = self.request(RequestId(self.serial as u32));
-                self.tell(Event::RequestReceived(request));
-                if self.below(50) == 0 {
-                    self.out.remove(&request.id);
-                    self.tell(Event::ClientLeft(request.id));
+                self.dispatch(Event::RequestReceived(request));
+                if self.random_below(50) == 0 {
+                    self.attempts.remove(&request.id);
+                    self.dispatch(Event::ClientLeft(request.id));
                 }
-                let pause = 2.0 * self.draw() / self.weather.requests;
-                self.plan(pause, Due::Arrival);
+                let pause = 2.0 * self.random_unit() / self.conditions.requests;
+                self.schedule_after(pause, FleetEvent::ClientArrives);
             }
-            Due::Minute => self.half_second(),
+            FleetEvent::ConditionsChange => self.change_conditions(),
         }
     }
 
-    fn play(&mut self, until: f64) {
+    fn run_until(&mut self, until: f64) {
         let mut figures_at = self.now + FIGURES_EVERY;
-        while let Some(Reverse((at, _, due))) = self.due.pop() {
+        while let Some(Reverse((at, _, due))) = self.events.pop() {
             if at as f64 / 1e6 >= until {
-                self.due.push(Reverse((at, 0, due)));
+                self.events.push(Reverse((at, 0, due)));
                 break;
             }
             self.now = at as f64 / 1e6;
-            self.happens(due);
+            self.handle(due);
             if self.now >= figures_at {
                 figures_at += FIGURES_EVERY;
-                self.figures();
+                self.record_figures();
             }
         }
     }
 
-    fn figures(&mut self) {
+    fn record_figures(&mut self) {
         let fleet = self.balancer.fleet(self.now);
         let (controller, waiting) = (self.balancer.controller(), self.balancer.waiting(self.now));
         let (stats, policy) = (controller.stats(), controller.policy());
@@ -405,38 +424,38 @@
     fn restart(&mut self, set: Settings, seed: u64) {
         let entries = self.state();
         let stored = serde_json::to_string(&entries).expect("a record");
-        self.note(&stored);
+        self.record(&stored);
         self.balancer = ProtectedBalancer::new(set, seed, ControllerOptions::ALL);
-        (self.out, self.due) = (BTreeMap::new(), BinaryHeap::new());
-        self.tell(Event::Start);
-        self.list(true);
+        (self.attempts, self.events) = (BTreeMap::new(), BinaryHeap::new());
+        self.dispatch(Event::Start);
+        self.announce_servers(true);
         let r = self.balancer.restore_state(self.now, 2.5, true, entries);
         writeln!(self.text, "recalled {} {} {} {}", r.restored, r.outdated, r.expired, r.invalid)
             .expect("memory");
-        self.plan(0.0, Due::Arrival);
-        self.plan(0.5, Due::Minute);
+        self.schedule_after(0.0, FleetEvent::ClientArrives);
+        self.schedule_after(0.5, FleetEvent::ConditionsChange);
     }
 }
 
 /// A calm stretch with half of the servers cold, a storm, and a recovery; then another process goes on.
-fn day(seed: u64, weights: &str, retry_after: bool) -> String {
+fn run(seed: u64, weights: &str, retry_after: bool) -> String {
     let set = settings(weights, retry_after);
-    let mut day = Day::new(seed, set.clone());
-    day.play(1060.0);
-    day.weather = Weather { requests: 40.0, failing: 45, slow: 25 };
-    day.play(1100.0);
-    day.weather = Weather { requests: 5.0, failing: 3, slow: 0 };
-    day.play(1180.0);
-    day.restart(set, seed + 1);
-    day.play(1220.0);
-    day.figures();
-    day.text
+    let mut fleet = Run::new(seed, set.clone());
+    fleet.run_until(1060.0);
+    fleet.conditions = Conditions { requests: 40.0, failing: 45, slow: 25 };
+    fleet.run_until(1100.0);
+    fleet.conditions = Conditions { requests: 5.0, failing: 3, slow: 0 };
+    fleet.run_until(1180.0);
+    fleet.restart(set, seed + 1);
+    fleet.run_until(1220.0);
+    fleet.record_figures();
+    fleet.text
 }
 
 #[test]
 fn pinned_random_events_come_out_as_in_the_fixture() {
     let replayed =
-        [day(1, "nominal", true), day(2, "nominal", false), day(3, "none", true), day(4, "nominal", true)]
+        [run(1, "nominal", true), run(2, "nominal", false), run(3, "none", true), run(4, "nominal", true)]
             .concat();
     if replayed != FIXTURE {
         let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/recovery-replay.txt");
