--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -13,7 +13,7 @@
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, recvmsg};
 use tracing::warn;
 
-use crate::event_loop::poll::{Owner, Poller};
+use crate::event_loop::poll::{EventSource, SourceRegistry};
 use crate::handover::is_own;
 use crate::handover::messages::{
     ENDS, EstablishedConnection, HandoverState, KEEPS, LEAVES, LISTENERS, LONGEST, SERVES, TAKES,
@@ -27,7 +27,7 @@
 /// text.
 const LINE: usize = 64 << 10;
 
-/// EstablishedConnection connections that are taken in in one turn: their lines wait no longer than that.
+/// Standing connections that are taken in in one turn: their lines wait no longer than that.
 const PORTION: usize = 64;
 
 /// What the old process has left.
@@ -90,7 +90,7 @@
     pub leaves: bool,
     /// Descriptors that came along, in their order.
     ends: VecDeque<OwnedFd>,
-    /// EstablishedConnection connections that came along and are not this process's yet.
+    /// Standing connections that came along and are not this process's yet.
     stands: Vec<TransferredConnection>,
     /// So many are.
     took: u64,
@@ -104,10 +104,10 @@
 
 impl Predecessor {
     /// The old process, told that this one serves, and that it is to end if it is.
-    pub fn told(inherited: ReceivedHandover, ends: bool, poller: &Poller) -> io::Result<Self> {
+    pub fn told(inherited: ReceivedHandover, ends: bool, poller: &SourceRegistry) -> io::Result<Self> {
         inherited.stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(inherited.stream);
-        poller.watch_source(&mut stream, Owner::Predecessor)?;
+        poller.watch_source(&mut stream, EventSource::Predecessor)?;
         stream.write_all(&[TAKES, b"\n", SERVES, b"\n"].concat())?;
         if ends {
             stream.write_all(&[ENDS, b"\n"].concat())?;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// EstablishedConnection connections that are this process's from now on. Each is exactly one's: the old process is told before
+    /// Standing connections that are this process's from now on. Each is exactly one's: the old process is told before
     /// anything is passed on here, and goes on with those it was not told of, which it says, unless it is gone.
     pub fn taken(&mut self, gone: bool) -> Vec<TransferredConnection> {
         if gone && !self.keeps {
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -10,9 +10,9 @@
 use tracing::warn;
 
 use crate::admin::counters::Counts;
-use crate::event_loop::hub::Net;
-use crate::event_loop::iteration::Due;
-use crate::event_loop::poll::Owner;
+use crate::event_loop::hub::EventLoop;
+use crate::event_loop::iteration::TimerEvent;
+use crate::event_loop::poll::EventSource;
 use crate::handover::messages::{HandoverState, LEAVES, TransferredConnection, VERSION, held};
 use crate::handover::predecessor::Predecessor;
 use crate::handover::successors::Successors;
@@ -21,7 +21,7 @@
 
 /// How often the old process tells what it holds: as its clients leave, the new one may take more.
 const TELL: Micros = 100_000;
-/// EstablishedConnection connections that go along in one turn: those that stay, or wait for their turn to go, are not held up.
+/// Standing connections that go along in one turn: those that stay, or wait for their turn to go, are not held up.
 const PORTION: usize = 64;
 
 /// The other processes of this balancer, as far as they are there.
@@ -56,7 +56,7 @@
     }
 }
 
-impl Net {
+impl EventLoop {
     /// Whether two processes of this balancer take clients now, where that is to be put in force anew.
     pub fn shares_anew(&mut self) -> Option<bool> {
         let shares = self.kin.shares(self.leaving.is_some());
@@ -69,10 +69,10 @@
     }
 
     /// The loop has seen something of another process.
-    pub fn kin_ready(&mut self, owner: Owner) {
+    pub fn kin_ready(&mut self, owner: EventSource) {
         let poller = &self.turn.poller;
         match owner {
-            Owner::Successor(number) => {
+            EventSource::Successor(number) => {
                 let now = self.turn.now;
                 self.kin.successors.iter_mut().for_each(|successors| successors.ready(poller, now, number));
                 // There may be room for more to go along.
@@ -147,7 +147,7 @@
         self.hands_over || self.kin.predecessor.as_ref().is_some_and(|predecessor| predecessor.more)
     }
 
-    /// EstablishedConnection connections that are on their way to another process, or wait for that.
+    /// Standing connections that are on their way to another process, or wait for that.
     pub fn on_their_way(&self) -> usize {
         self.kin.going.len() + self.kin.successors.as_ref().map_or(0, Successors::on_their_way)
     }
@@ -203,7 +203,7 @@
             successors.tell(held(may).as_bytes());
         }
         self.others_hold(self.serving.terms.sockets * self.workers() - may);
-        self.turn.after(TELL, Due::Kin);
+        self.turn.after(TELL, TimerEvent::Kin);
     }
 
     /// Hands standing connections to the process in this one's place, a portion of them. `module` tells what the module has
@@ -229,8 +229,9 @@
             if leads && !self.kin.successors.as_mut().is_some_and(Successors::can_hand_over) {
                 return;
             }
-            let mut own =
-                |net: &mut Net| can.by_ref().find_map(|id| net.serving.goes(&mut net.turn, id, module(id)?));
+            let mut own = |net: &mut EventLoop| {
+                can.by_ref().find_map(|id| net.serving.goes(&mut net.turn, id, module(id)?))
+            };
             let Some(handed) = self.kin.going.pop_front().or_else(|| own(self)) else { return };
             let from = handed.0.client;
             match (&mut self.kin.successors, &self.crew) {
