--- a/crates/balancer/src/admin/counters.rs
+++ b/crates/balancer/src/admin/counters.rs
@@ -47,9 +47,9 @@
 
 /// The sums of one loop, which alone writes them; the loop at whose door operators call reads those of all.
 #[derive(Clone, Debug, Default)]
-pub struct Counts(Arc<Mutex<Sums>>);
+pub struct WorkerCounters(Arc<Mutex<Sums>>);
 
-impl Counts {
+impl WorkerCounters {
     fn sums(&self) -> MutexGuard<'_, Sums> {
         // Sums are whole between any two calls, whoever panics.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -81,7 +81,7 @@
     }
 
     /// All loops' sums together.
-    pub fn of_all(all: &[Counts]) -> Sums {
+    pub fn of_all(all: &[WorkerCounters]) -> Sums {
         let mut sums = Sums::default();
         all.iter().for_each(|one| sums.add(&one.sums()));
         sums
--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -9,9 +9,9 @@
 use shorewharf_units::{Micros, seconds_from_micros};
 use tracing::{info, warn};
 
-use crate::admin::counters::Counts;
-use crate::admin::server::Door;
-use crate::admin::shared_folder::Folder;
+use crate::admin::counters::WorkerCounters;
+use crate::admin::server::AdminServer;
+use crate::admin::shared_folder::SharedFolder;
 use crate::discovery::update::server_id;
 use crate::event_loop::hub::EventLoop;
 use crate::event_loop::iteration::TimerEvent;
@@ -24,38 +24,44 @@
 
 /// What there is of it before the loop starts.
 #[derive(Debug)]
-pub struct Opened {
+pub struct AdminListener {
     /// Where operators call.
     pub listener: TcpListener,
     /// What each loop counts.
-    pub counts: Vec<Counts>,
+    pub counts: Vec<WorkerCounters>,
     /// What is kept for the next process; none where there is no place for it.
-    pub folder: Option<Folder>,
+    pub folder: Option<SharedFolder>,
 }
 
-impl From<Opened> for Desk {
-    fn from(opened: Opened) -> Self {
-        let Opened { listener, counts, folder } = opened;
-        Desk { door: Door::new(listener), counts, folder, unkept: BTreeSet::new(), ails: false }
+impl From<AdminListener> for AdminHandler {
+    fn from(opened: AdminListener) -> Self {
+        let AdminListener { listener, counts, folder } = opened;
+        AdminHandler {
+            door: AdminServer::new(listener),
+            counts,
+            folder,
+            unkept: BTreeSet::new(),
+            ails: false,
+        }
     }
 }
 
 /// Operators' side at the loop that leads.
 #[derive(Debug)]
-pub struct Desk {
+pub struct AdminHandler {
     /// Where they call.
-    pub door: Door,
+    pub door: AdminServer,
     /// What each loop counts.
-    pub counts: Vec<Counts>,
+    pub counts: Vec<WorkerCounters>,
     /// What is kept for the next process; none where there is no place for it.
-    pub folder: Option<Folder>,
+    pub folder: Option<SharedFolder>,
     /// Servers that are out and could not be kept: that the folder does not have them says nothing.
     unkept: BTreeSet<ServerId>,
     /// The folder could not be read or written, and that was told.
     ails: bool,
 }
 
-impl Desk {
+impl AdminHandler {
     fn told(&mut self, done: std::io::Result<()>) {
         match done {
             Ok(()) => self.ails = false,
@@ -70,37 +76,37 @@
 
 impl EventLoop {
     /// Looks at operators, before anybody else, and answers them. `avoided` tells which servers get nothing now.
-    pub fn serve_operators(
+    pub fn serve_admin(
         &mut self,
         seen: impl Iterator<Item = (EventSource, Readiness)>,
         avoided: impl Fn() -> Vec<ServerId>,
     ) {
-        let Some(desk) = &mut self.desk else { return };
+        let Some(desk) = &mut self.admin else { return };
         seen.for_each(|(owner, ready)| desk.door.ready(&mut self.turn, owner, ready));
         desk.door.accept(&mut self.turn);
         for (number, call) in desk.door.take_calls() {
             let answer = match call {
-                Ok(call) => self.carry_out(call, &avoided),
+                Ok(call) => self.execute_command(call, &avoided),
                 Err(why) => CommandReply::Rejected(why),
             };
-            let Some(desk) = &mut self.desk else { return };
+            let Some(desk) = &mut self.admin else { return };
             desk.door.answer(&mut self.turn, number, &answer);
         }
     }
 
-    fn carry_out(&mut self, call: Command, avoided: impl Fn() -> Vec<ServerId>) -> CommandReply {
+    fn execute_command(&mut self, call: Command, avoided: impl Fn() -> Vec<ServerId>) -> CommandReply {
         match call {
-            Command::Readiness if self.leaving.is_none() => CommandReply::Done,
+            Command::Readiness if self.shutdown_started_at.is_none() => CommandReply::Done,
             Command::Readiness => CommandReply::Rejected(CommandError::NotReady(
                 "this process is about to end and takes no clients",
             )),
-            Command::Metrics => CommandReply::Metrics(self.figures(&avoided()).lines()),
-            Command::Disable(name) => self.take_out(name),
-            Command::Enable(name) => self.put_back(name),
+            Command::Metrics => CommandReply::Metrics(self.metrics(&avoided()).lines()),
+            Command::Disable(name) => self.disable_server(name),
+            Command::Enable(name) => self.enable_server(name),
         }
     }
 
-    fn take_out(&mut self, name: String) -> CommandReply {
+    fn disable_server(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
         let servers = &self.serving.servers;
         match (servers.taken_out().is_out(server), servers.is_known(server, &name)) {
@@ -110,10 +116,10 @@
             (false, true) => {
                 let out =
                     DisabledServer { name: name.as_str().into(), since: seconds_from_micros(self.turn.now) };
-                self.change(AdminChange::Disabled(server, out), "a call");
+                self.broadcast_change(AdminChange::Disabled(server, out), "a call");
             }
         }
-        if let Some(desk) = &mut self.desk {
+        if let Some(desk) = &mut self.admin {
             let done = desk.folder.as_ref().map_or(Ok(()), |folder| folder.keep(server, &name));
             match done {
                 Ok(()) => desk.unkept.remove(&server),
@@ -124,24 +130,24 @@
         CommandReply::Done
     }
 
-    fn put_back(&mut self, name: String) -> CommandReply {
+    fn enable_server(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
         let servers = &self.serving.servers;
         if !servers.taken_out().is_out(server) && !servers.is_known(server, &name) {
             return CommandReply::Rejected(CommandError::UnknownServer(name));
         }
         // The file first: as long as it is there it would be taken out again.
-        if let Some(desk) = &mut self.desk {
+        if let Some(desk) = &mut self.admin {
             let done = desk.folder.as_ref().map_or(Ok(()), |folder| folder.let_go(server));
             desk.unkept.remove(&server);
             desk.told(done);
         }
-        self.change(AdminChange::Enabled(server, seconds_from_micros(self.turn.now)), "a call");
+        self.broadcast_change(AdminChange::Enabled(server, seconds_from_micros(self.turn.now)), "a call");
         CommandReply::Done
     }
 
     /// Something is changed by hand, for all workers.
-    fn change(&mut self, change: AdminChange, by: &str) {
+    fn broadcast_change(&mut self, change: AdminChange, by: &str) {
         let name = match &change {
             AdminChange::Disabled(_, out) => out.name.clone(),
             AdminChange::Enabled(server, _) => {
@@ -156,13 +162,13 @@
             }
             AdminChange::Enabled(..) => {}
         }
-        self.tell_others(|_| WorkerMessage::ServerChanged(change.clone()));
-        self.changes(change);
+        self.broadcast(|_| WorkerMessage::ServerChanged(change.clone()));
+        self.apply_change(change);
     }
 
     /// Something was changed by hand: the module hears of it as of a change of the list, which is no news of
     /// discovery's.
-    pub fn changes(&mut self, change: AdminChange) {
+    pub fn apply_change(&mut self, change: AdminChange) {
         if let Some(entry) = self.serving.servers.change(change) {
             self.turn.emit(NetworkEvent::EndpointListReceived {
                 full: false,
@@ -173,11 +179,11 @@
     }
 
     /// Looks for what other processes of this balancer have changed.
-    pub fn looks_into_folder(&mut self) {
+    pub fn sync_shared_folder(&mut self) {
         let known = self.serving.servers.taken_out().all().clone();
-        let Some(desk) = &mut self.desk else { return };
+        let Some(desk) = &mut self.admin else { return };
         let Some(folder) = &mut desk.folder else { return };
-        self.turn.after(LOOK, TimerEvent::Folder);
+        self.turn.after(LOOK, TimerEvent::SyncSharedFolder);
         match folder.read(&known) {
             Ok(out) => {
                 desk.ails &= !desk.unkept.is_empty();
@@ -191,16 +197,18 @@
                     .collect();
                 let news = out.into_iter().filter(|(server, _)| !known.contains_key(server));
                 let news: Vec<_> = news.map(|(server, out)| AdminChange::Disabled(server, out)).collect();
-                back.into_iter().chain(news).for_each(|change| self.change(change, "another process"));
+                back.into_iter()
+                    .chain(news)
+                    .for_each(|change| self.broadcast_change(change, "another process"));
             }
             Err(e) => desk.told(Err(e)),
         }
     }
 
     /// All that is reported, as it is now.
-    fn figures(&self, avoided: &[ServerId]) -> Metrics {
+    fn metrics(&self, avoided: &[ServerId]) -> Metrics {
         self.serving.note_held();
-        let sums = Counts::of_all(self.desk.as_ref().map_or(&[], |desk| &desk.counts));
+        let sums = WorkerCounters::of_all(self.admin.as_ref().map_or(&[], |desk| &desk.counts));
         let mut classes: Vec<_> = self.serving.terms.names.classes.iter().collect();
         classes.sort_by_key(|(_, at)| **at);
         let replies = classes
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -32,7 +32,7 @@
 
 /// One operator's connection.
 #[derive(Debug)]
-struct Caller {
+struct AdminConnection {
     link: Connection,
     stage: Stage,
     until: Micros,
@@ -43,7 +43,7 @@
     alarm: TimerHandle,
 }
 
-impl Caller {
+impl AdminConnection {
     /// Reads on for the call; none while it is not whole. What follows it is not looked at.
     fn call(&mut self, turn: &LoopContext) -> Option<Result<Command, CommandError>> {
         self.link.fill(&turn.pool);
@@ -79,26 +79,26 @@
 
 /// The listener and its callers, by number.
 #[derive(Debug)]
-pub struct Door {
+pub struct AdminServer {
     listener: TcpListener,
     /// Callers may wait at the listener.
     can_accept: bool,
-    callers: BTreeMap<u64, Caller>,
+    callers: BTreeMap<u64, AdminConnection>,
     next: u64,
     /// Calls that are to be carried out, in the order in which they came.
     calls: Vec<(u64, Result<Command, CommandError>)>,
 }
 
-impl Door {
+impl AdminServer {
     /// A door at which nobody has called.
     pub fn new(listener: TcpListener) -> Self {
-        Door { listener, can_accept: true, callers: BTreeMap::new(), next: 0, calls: Vec::new() }
+        AdminServer { listener, can_accept: true, callers: BTreeMap::new(), next: 0, calls: Vec::new() }
     }
 
-    /// What the loop has seen of it: calls that have come are taken out by [`Door::take_calls`].
+    /// What the loop has seen of it: calls that have come are taken out by [`AdminServer::take_calls`].
     pub fn ready(&mut self, turn: &mut LoopContext, owner: EventSource, ready: Readiness) {
         match owner {
-            EventSource::Caller(number) => {
+            EventSource::AdminConnection(number) => {
                 if let Some(caller) = self.callers.get_mut(&number) {
                     caller.link.ready(ready);
                     self.goes_on(turn, number);
@@ -130,7 +130,7 @@
                     self.can_accept = false;
                     if e.kind() != std::io::ErrorKind::WouldBlock {
                         warn!(event = "accept-failed", at = "operator", error = %e);
-                        turn.after(PATIENCE / 25, TimerEvent::Door);
+                        turn.after(PATIENCE / 25, TimerEvent::AcceptAdmin);
                     }
                 }
             }
@@ -143,14 +143,14 @@
         }
         self.next += 1;
         let number = self.next;
-        if !turn.poller.watch(&mut link, EventSource::Caller(number)) {
+        if !turn.poller.watch(&mut link, EventSource::AdminConnection(number)) {
             return;
         }
         let until = turn.now + PATIENCE;
         let mut alarm = TimerHandle::default();
-        alarm.by(turn, Some(until), TimerEvent::Caller(number));
+        alarm.by(turn, Some(until), TimerEvent::AdminConnection(number));
         let (stage, end, rest) = (Stage::Calling, "\n", Vec::new());
-        self.callers.insert(number, Caller { link, stage, until, end, rest, alarm });
+        self.callers.insert(number, AdminConnection { link, stage, until, end, rest, alarm });
         self.goes_on(turn, number);
     }
 
@@ -206,7 +206,7 @@
         if turn.now >= until {
             self.end(turn, number);
         } else {
-            caller.alarm.by(turn, Some(until), TimerEvent::Caller(number));
+            caller.alarm.by(turn, Some(until), TimerEvent::AdminConnection(number));
         }
     }
 
--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -5,27 +5,27 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-fn door() -> (Door, SocketAddr) {
+fn door() -> (AdminServer, SocketAddr) {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let at = listener.local_addr().expect("bound");
-    (Door::new(listener), at)
+    (AdminServer::new(listener), at)
 }
 
 /// Looks until so many callers were taken in.
-fn held(door: &mut Door, turn: &mut LoopContext, begun: u64) {
+fn held(door: &mut AdminServer, turn: &mut LoopContext, begun: u64) {
     until(|| {
-        door.ready(turn, EventSource::Operators, READ);
+        door.ready(turn, EventSource::AdminListener, READ);
         door.next == begun
     });
 }
 
 /// The next call, however many looks it takes.
-fn call(door: &mut Door, turn: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
+fn call(door: &mut AdminServer, turn: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
     let mut calls = Vec::new();
     until(|| {
-        door.ready(turn, EventSource::Operators, READ);
+        door.ready(turn, EventSource::AdminListener, READ);
         let numbers: Vec<u64> = door.callers.keys().copied().collect();
-        numbers.into_iter().for_each(|number| door.ready(turn, EventSource::Caller(number), READ));
+        numbers.into_iter().for_each(|number| door.ready(turn, EventSource::AdminConnection(number), READ));
         calls.extend(door.take_calls());
         !calls.is_empty()
     });
@@ -40,7 +40,7 @@
         for byte in line.as_bytes() {
             assert!(door.calls.is_empty());
             caller.write_all(&[*byte]).expect("open");
-            door.ready(&mut turn, EventSource::Operators, READ);
+            door.ready(&mut turn, EventSource::AdminListener, READ);
         }
         let (number, said) = call(&mut door, &mut turn);
         assert_eq!(said, Ok(Command::Disable("s-1".into())));
@@ -52,7 +52,9 @@
     }
     until(|| {
         let numbers: Vec<u64> = door.callers.keys().copied().collect();
-        numbers.into_iter().for_each(|number| door.ready(&mut turn, EventSource::Caller(number), READ));
+        numbers
+            .into_iter()
+            .for_each(|number| door.ready(&mut turn, EventSource::AdminConnection(number), READ));
         door.callers.is_empty()
     });
 }
@@ -71,7 +73,7 @@
     turn.begin(now);
     while let Some(due) = turn.timers.due() {
         match due {
-            TimerEvent::Caller(number) => door.alarmed(&mut turn, number),
+            TimerEvent::AdminConnection(number) => door.alarmed(&mut turn, number),
             other => panic!("{other:?}"),
         }
     }
@@ -94,7 +96,7 @@
         caller.read_to_string(&mut heard).map(|_| heard)
     });
     until(|| {
-        door.ready(&mut turn, EventSource::Caller(number), READ);
+        door.ready(&mut turn, EventSource::AdminConnection(number), READ);
         reader.is_finished()
     });
     let heard = reader.join().expect("no panic").expect("an answer and an end");
--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -19,7 +19,7 @@
 
 /// The folder.
 #[derive(Debug)]
-pub struct Folder {
+pub struct SharedFolder {
     /// The balancer's own.
     path: PathBuf,
     /// NameIndex of files that can't be read, each told of once.
@@ -30,13 +30,13 @@
     format!("{:016x}", server.0)
 }
 
-impl Folder {
+impl SharedFolder {
     /// The folder of the balancer that listens there, made where it is missing.
     pub fn open(common: &Path, listen: SocketAddr) -> io::Result<Self> {
         let name = format!("shorewharf-{}", listen.to_string().replace(':', "-"));
         let path = common.join(name);
         fs::create_dir_all(path.join("out"))?;
-        Ok(Folder { path, odd: BTreeSet::new() })
+        Ok(SharedFolder { path, odd: BTreeSet::new() })
     }
 
     /// A place in it.
--- a/crates/balancer/src/admin/shared_folder/tests.rs
+++ b/crates/balancer/src/admin/shared_folder/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::discovery::update::server_id;
 
-fn folder(common: &Path) -> Folder {
-    Folder::open(common, "127.0.0.1:8000".parse().expect("an address")).expect("a folder")
+fn folder(common: &Path) -> SharedFolder {
+    SharedFolder::open(common, "127.0.0.1:8000".parse().expect("an address")).expect("a folder")
 }
 
-fn ids(folder: &mut Folder) -> Vec<u64> {
+fn ids(folder: &mut SharedFolder) -> Vec<u64> {
     folder.read(&BTreeMap::new()).expect("readable").keys().map(|id| id.0).collect()
 }
 
@@ -32,7 +32,7 @@
     assert_eq!(ids(&mut other), [8, 10]);
     // Another balancer's is another folder.
     let mut third =
-        Folder::open(common.path(), "127.0.0.1:8001".parse().expect("an address")).expect("a folder");
+        SharedFolder::open(common.path(), "127.0.0.1:8001".parse().expect("an address")).expect("a folder");
     assert!(ids(&mut third).is_empty());
 }
 
@@ -87,7 +87,8 @@
         ("[::1]:8000", "shorewharf-[--1]-8000/out/ace623f1fdc27c8a"),
     ] {
         let common = tempfile::tempdir().expect("a folder");
-        let folder = Folder::open(common.path(), listen.parse().expect("an address")).expect("a folder");
+        let folder =
+            SharedFolder::open(common.path(), listen.parse().expect("an address")).expect("a folder");
         folder.keep(server_id(SERVER), SERVER).expect("kept");
         assert_eq!(files(common.path()), [name]);
         assert_eq!(fs::read_to_string(common.path().join(name)).expect("a file"), FILE);
--- a/crates/balancer/src/config/proxy_settings.rs
+++ b/crates/balancer/src/config/proxy_settings.rs
@@ -8,7 +8,7 @@
 
 /// What the configuration says of the peers.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ProxySettings {
     /// NameIndex in first lines and lists.
     pub names: NameIndex,
     /// What repeating a request of each class may do.
@@ -35,14 +35,14 @@
 const FEWEST_SERVERS: usize = 1000;
 
 #[cfg(test)]
-impl Terms {
+impl ProxySettings {
     /// What a test needs of them.
     pub fn few() -> Self {
         let (names, give_up, idempotency) =
             (NameIndex::default(), vec![3_000_000], vec![Idempotency::Idempotent]);
         let (connect_timeout, message_aim, tells_delay) = (250_000, 50_000, false);
         let (sockets, most_servers) = (1000, 1000);
-        Terms {
+        ProxySettings {
             names,
             idempotency,
             give_up,
@@ -55,10 +55,10 @@
     }
 }
 
-impl From<&Config> for Terms {
+impl From<&Config> for ProxySettings {
     fn from(config: &Config) -> Self {
         let aims = config.settings.classes.iter().map(|c| c.message_latency_objective);
-        Terms {
+        ProxySettings {
             names: config.names.clone(),
             idempotency: config.settings.classes.iter().map(|class| class.idempotency).collect(),
             give_up: config.give_up.clone(),
@@ -72,7 +72,7 @@
     }
 }
 
-impl Terms {
+impl ProxySettings {
     /// What repeating a request of this class may do; the strictest for a class that is not known.
     pub fn idempotency_of(&self, class: usize) -> Idempotency {
         self.idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent)
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -6,7 +6,7 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::reader::{Part, Reader};
 use crate::discovery::response::Answer;
 use crate::discovery::update::Incoming;
@@ -128,7 +128,12 @@
     }
 
     /// The watch's connection is ready.
-    pub fn ready(&mut self, turn: &mut LoopContext, terms: &Terms, ready: Readiness) -> Vec<DiscoveryEvent> {
+    pub fn ready(
+        &mut self,
+        turn: &mut LoopContext,
+        terms: &ProxySettings,
+        ready: Readiness,
+    ) -> Vec<DiscoveryEvent> {
         let mut news = Vec::new();
         self.more = false;
         let Some(link) = self.link.as_mut() else { return news };
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -12,16 +12,16 @@
 use shorewharf_units::Micros;
 use tracing::{error, info};
 
-use crate::admin::counters::Counts;
-use crate::admin::handler::{Desk, Opened};
+use crate::admin::counters::WorkerCounters;
+use crate::admin::handler::{AdminHandler, AdminListener};
 use crate::clients::open_ids::OpenIds;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::update::Incoming;
 use crate::discovery::wall_clock::WallClock;
 use crate::event_loop::iteration::{LoopContext, TimerEvent};
 use crate::event_loop::poll::{EventSource, Readiness};
-use crate::fleet::gossip::Tells;
+use crate::fleet::gossip::GossipTransport;
 use crate::handover::siblings::SiblingProcesses;
 use crate::proxy::Proxy;
 use crate::servers::disabled::{AdminChange, DisabledServer};
@@ -44,17 +44,17 @@
     /// Where clients connect.
     pub listener: TcpListener,
     /// The other workers, if there are any.
-    pub crew: Option<WorkerPool>,
+    pub worker_pool: Option<WorkerPool>,
     /// The ids that clients have opened with, at all workers.
     pub open_ids: OpenIds,
     /// What is counted for operators here.
-    pub counts: Counts,
+    pub counts: WorkerCounters,
     /// Where operators call, and what all workers count, at the one that leads.
-    pub desk: Option<Opened>,
+    pub admin: Option<AdminListener>,
     /// Servers that are taken out by hand.
     pub taken_out: BTreeMap<ServerId, DisabledServer>,
     /// Other processes of this balancer.
-    pub kin: SiblingProcesses,
+    pub siblings: SiblingProcesses,
 }
 
 /// How often accepting is tried that failed for want of descriptors or memory, or was interrupted: mostly the next call
@@ -82,7 +82,7 @@
     pub(crate) turn: LoopContext,
     listener: TcpListener,
     /// The other workers, if there are any.
-    pub(crate) crew: Option<WorkerPool>,
+    pub(crate) worker_pool: Option<WorkerPool>,
     /// Clients may wait at the listener of a neighbour that stalls.
     can_help: bool,
     /// Clients may wait to be accepted: the last look did not show that none does.
@@ -94,40 +94,40 @@
     pub(crate) serving: Proxy,
     pub(crate) discovery: DiscoveryClient,
     /// Where operators call.
-    pub(crate) desk: Option<Desk>,
+    pub(crate) admin: Option<AdminHandler>,
     /// Other processes of this balancer.
-    pub(crate) kin: SiblingProcesses,
+    pub(crate) siblings: SiblingProcesses,
     /// Other balancers of the fleet, where they are told.
-    pub(crate) tells: Option<Tells>,
+    pub(crate) gossip: Option<GossipTransport>,
     /// Standing connections are to go on in another process, in this turn.
-    pub(crate) hands_over: bool,
+    pub(crate) has_connections_to_transfer: bool,
     /// What is known is to be read out, or read on, in this turn.
-    pub(crate) reads_out: bool,
+    pub(crate) is_snapshot_due: bool,
     /// When SIGTERM came.
-    pub(crate) leaving: Option<Micros>,
+    pub(crate) shutdown_started_at: Option<Micros>,
     /// It has ended, with so many clients still here.
     done: Option<usize>,
 }
 
 impl EventLoop {
     /// Peers of a program that listens here and asks discovery there; nobody has come yet.
-    pub fn new(turn: LoopContext, at: WorkerContext, discovery: SocketAddr, terms: Terms) -> Self {
+    pub fn new(turn: LoopContext, at: WorkerContext, discovery: SocketAddr, terms: ProxySettings) -> Self {
         let mut net = EventLoop {
             turn,
             listener: at.listener,
-            crew: at.crew,
+            worker_pool: at.worker_pool,
             can_help: false,
             can_accept: true,
             accepts: true,
             waits_for_room: false,
             serving: Proxy::new(terms, at.open_ids, at.counts),
             discovery: DiscoveryClient::new(discovery),
-            desk: at.desk.map(Desk::from),
-            kin: at.kin,
-            tells: None,
-            hands_over: false,
-            reads_out: false,
-            leaving: None,
+            admin: at.admin.map(AdminHandler::from),
+            siblings: at.siblings,
+            gossip: None,
+            has_connections_to_transfer: false,
+            is_snapshot_due: false,
+            shutdown_started_at: None,
             done: None,
         };
         net.turn.overload.set_aim(net.serving.terms.message_aim);
@@ -136,9 +136,9 @@
             // Before anything is listed: the first list is told as it stands with them out.
             net.serving.servers.change(AdminChange::Disabled(server, out));
         }
-        net.looks_into_folder();
+        net.sync_shared_folder();
         // What the old process holds is taken off the limit from the start.
-        net.kin_ready(EventSource::Predecessor);
+        net.on_sibling_ready(EventSource::Predecessor);
         net
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Puts another configuration's terms in force; connections and the list stay.
-    pub fn take_terms(&mut self, terms: Terms, discovery: SocketAddr) {
+    pub fn take_terms(&mut self, terms: ProxySettings, discovery: SocketAddr) {
         self.turn.overload.set_aim(terms.message_aim);
         self.serving.take_terms(terms);
         let news = self.discovery.moves(&mut self.turn, discovery);
@@ -178,11 +178,11 @@
             EventSource::Listener => (self.can_accept, self.accepts) = (true, true),
             EventSource::Neighbour => (self.can_help, self.accepts) = (true, true),
             // Orders are not the peers', and who asks for what is known asks the worker.
-            EventSource::Signals | EventSource::Orders | EventSource::Successors => {}
-            EventSource::Successor(_) | EventSource::Predecessor => self.kin_ready(owner),
-            EventSource::Gossip => self.tells.iter_mut().for_each(|t| t.ready(turn.now)),
-            EventSource::Operators | EventSource::Caller(_) => {
-                self.desk.iter_mut().for_each(|d| d.door.ready(&mut self.turn, owner, ready));
+            EventSource::Signals | EventSource::WorkerMessages | EventSource::Successors => {}
+            EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(owner),
+            EventSource::Gossip => self.gossip.iter_mut().for_each(|t| t.ready(turn.now)),
+            EventSource::AdminListener | EventSource::AdminConnection(_) => {
+                self.admin.iter_mut().for_each(|d| d.door.ready(&mut self.turn, owner, ready));
             }
         }
     }
@@ -199,11 +199,11 @@
             self.seen(EventSource::DiscoveryClient, Readiness::default());
             heard(self);
         }
-        if self.kin_is_busy() {
-            self.kin_ready(EventSource::Predecessor);
+        if self.has_sibling_work() {
+            self.on_sibling_ready(EventSource::Predecessor);
             heard(self);
         }
-        if self.tells.as_ref().is_some_and(Tells::is_busy) {
+        if self.gossip.as_ref().is_some_and(GossipTransport::is_busy) {
             self.seen(EventSource::Gossip, Readiness::default());
         }
         while let Some(due) = self.turn.timers.due() {
@@ -247,16 +247,18 @@
                 }
                 turn.after(DELAY_REPORT_INTERVAL, TimerEvent::Delays);
             }
-            TimerEvent::Gossip => self.tells.iter_mut().for_each(|t| t.alarmed(turn)),
-            TimerEvent::Folder => self.looks_into_folder(),
-            TimerEvent::Kin => self.tells_successors(),
+            TimerEvent::Gossip => self.gossip.iter_mut().for_each(|t| t.alarmed(turn)),
+            TimerEvent::SyncSharedFolder => self.sync_shared_folder(),
+            TimerEvent::AnnounceDescriptors => self.announce_descriptors(),
             TimerEvent::Leaves => self.serving.leave_some(turn),
-            TimerEvent::Caller(number) => self.desk.iter_mut().for_each(|d| d.door.alarmed(turn, number)),
-            TimerEvent::Snapshot => self.reads_out = true,
-            TimerEvent::Door => self
-                .desk
+            TimerEvent::AdminConnection(number) => {
+                self.admin.iter_mut().for_each(|d| d.door.alarmed(turn, number))
+            }
+            TimerEvent::Snapshot => self.is_snapshot_due = true,
+            TimerEvent::AcceptAdmin => self
+                .admin
                 .iter_mut()
-                .for_each(|d| d.door.ready(turn, EventSource::Operators, Readiness::default())),
+                .for_each(|d| d.door.ready(turn, EventSource::AdminListener, Readiness::default())),
         }
     }
 
@@ -264,19 +266,19 @@
     pub fn ends(&mut self, now: Micros) -> Micros {
         self.turn.overload.turn(self.turn.now, now, self.accepts);
         self.serving.note_held();
-        let calls = self.desk.as_ref().is_some_and(|d| d.door.is_busy());
+        let calls = self.admin.as_ref().is_some_and(|d| d.door.is_busy());
         let next = match self.serving.is_busy()
             || self.discovery.is_busy()
             || self.accepts
             || calls
-            || self.kin_is_busy()
-            || self.tells.as_ref().is_some_and(Tells::is_busy)
+            || self.has_sibling_work()
+            || self.gossip.as_ref().is_some_and(GossipTransport::is_busy)
         {
             true => self.turn.now,
             false => self.turn.timers.next().unwrap_or(self.turn.now + MAX_WAIT),
         };
         self.turn.ends(next);
-        if let Some(crew) = &self.crew {
+        if let Some(crew) = &self.worker_pool {
             crew.publish_state(self.serving.clients(), next);
         }
         next
@@ -293,7 +295,7 @@
     }
 
     fn accept(&mut self, mut heard: impl FnMut(&mut Self)) {
-        if self.leaving.is_some() && self.serving.has_successor {
+        if self.shutdown_started_at.is_some() && self.serving.has_successor {
             // Those who wait are the other process's, which has the same listener.
             return;
         }
@@ -343,7 +345,7 @@
     /// Discovery's news, for all workers.
     fn news(&mut self, news: Vec<DiscoveryEvent>) {
         for news in news {
-            if let Some(crew) = &self.crew {
+            if let Some(crew) = &self.worker_pool {
                 crew.broadcast(|_| WorkerMessage::DiscoveryEvent(news.clone()));
             }
             self.listed(news);
@@ -364,21 +366,21 @@
 
     /// The planned end begins.
     pub fn stop_soon(&mut self) {
-        if self.leaving.is_none() {
-            self.leaving = Some(self.turn.now);
-            self.hears_successors();
+        if self.shutdown_started_at.is_none() {
+            self.shutdown_started_at = Some(self.turn.now);
+            self.receive_from_successors();
             let (sessions, waiting) = self.serving.close();
-            let worker = self.crew.as_ref().map(WorkerPool::index);
+            let worker = self.worker_pool.as_ref().map(WorkerPool::index);
             let successor = self.serving.has_successor;
             info!(event = "leaving", worker, sessions, waiting, successor);
             self.turn.after(SHUTDOWN_STEP_INTERVAL, TimerEvent::Leave);
-            self.hands_over = successor;
+            self.has_connections_to_transfer = successor;
         }
     }
 
     /// The steps of a planned end: accept and answer, move everybody, answer who still waits, go.
     fn leave(&mut self) {
-        let Some(since) = self.leaving.map(|at| self.turn.now - at) else { return };
+        let Some(since) = self.shutdown_started_at.map(|at| self.turn.now - at) else { return };
         let give_up = &self.serving.terms.give_up;
         let has_successor = self.serving.has_successor;
         let shutdown = if has_successor {
@@ -395,14 +397,17 @@
                 shutdown.move_until.saturating_sub(since) / SHUTDOWN_STEP_INTERVAL,
             );
         }
-        self.hands_over = has_successor;
+        self.has_connections_to_transfer = has_successor;
         // What other workers have given before they ended is theirs no more.
-        while let Some(order) = self.next_order() {
-            self.order(order);
+        while let Some(order) = self.next_worker_message() {
+            self.on_worker_message(order);
         }
-        let waits = self.on_their_way() > 0
+        let waits = self.connections_in_transit() > 0
             || (has_successor
-                && self.crew.as_ref().is_some_and(|crew| crew.is_primary() && !crew.have_others_ended()));
+                && self
+                    .worker_pool
+                    .as_ref()
+                    .is_some_and(|crew| crew.is_primary() && !crew.have_others_ended()));
         let clients = self.serving.clients() + usize::from(waits);
         let over = clients == 0 && (has_successor || since >= LEAVE_AFTER + SHUTDOWN_STEP_INTERVAL);
         // Whoever waits at the listener would be cut off with it.
@@ -432,12 +437,12 @@
 /// Other workers.
 impl EventLoop {
     /// The next order, to be carried out by [`EventLoop::order`] unless it is a configuration.
-    pub fn next_order(&self) -> Option<WorkerMessage> {
-        self.crew.as_ref().and_then(WorkerPool::next_message)
+    pub fn next_worker_message(&self) -> Option<WorkerMessage> {
+        self.worker_pool.as_ref().and_then(WorkerPool::next_message)
     }
 
     /// Carries out what another worker wants.
-    pub fn order(&mut self, order: WorkerMessage) {
+    pub fn on_worker_message(&mut self, order: WorkerMessage) {
         match order {
             WorkerMessage::ForwardedClient(stream, from) => {
                 self.serving.client_comes(&mut self.turn, stream, from)
@@ -445,25 +450,25 @@
             WorkerMessage::DiscoveryEvent(news) => self.listed(news),
             WorkerMessage::WatchEndpoints => self.watch_endpoints(),
             WorkerMessage::RequestProbe(other, server) => self.check_on(server, Some(other)),
-            WorkerMessage::ServerChanged(change) => self.changes(change),
+            WorkerMessage::ServerChanged(change) => self.apply_change(change),
             WorkerMessage::DescriptorsHeldBySiblings(descriptors) => self.serving.others_hold(descriptors),
-            WorkerMessage::SuccessorServing(has) => self.has_successor(has),
+            WorkerMessage::SuccessorServing(has) => self.set_successor_serving(has),
             WorkerMessage::ProbeEnded(server, outcome) => {
                 self.turn.emit(NetworkEvent::ProbeEnded(server, outcome))
             }
             WorkerMessage::Shutdown => self.stop_soon(),
-            WorkerMessage::TransferToSuccessor(handed) => self.goes_along(*handed),
+            WorkerMessage::TransferToSuccessor(handed) => self.queue_for_successor(*handed),
             WorkerMessage::AdoptConnection(handed) => {
                 let from = handed.0.client;
-                self.stands_here(*handed, from);
+                self.adopt_connection(*handed, from);
             }
             WorkerMessage::Config(_) => {}
         }
     }
 
     /// Gives all others an order.
-    pub fn tell_others(&self, order: impl Fn(usize) -> WorkerMessage) {
-        if let Some(crew) = &self.crew {
+    pub fn broadcast(&self, order: impl Fn(usize) -> WorkerMessage) {
+        if let Some(crew) = &self.worker_pool {
             crew.broadcast(order);
         }
     }
@@ -481,7 +486,7 @@
                 accepted => return accepted,
             }
         }
-        match self.crew.as_ref().and_then(WorkerPool::neighbour_listener) {
+        match self.worker_pool.as_ref().and_then(WorkerPool::neighbour_listener) {
             Some(listener) if self.can_help => accept_with_retries(listener),
             _ => Err(io::ErrorKind::WouldBlock.into()),
         }
@@ -490,7 +495,7 @@
     /// Takes in a client that has connected, unless another worker has far fewer.
     fn client_comes(&mut self, stream: TcpStream, from: SocketAddr) {
         let better = self
-            .crew
+            .worker_pool
             .as_ref()
             .and_then(|crew| Some((crew, crew.less_loaded_worker(self.turn.now, self.serving.clients())?)));
         let left = match better {
@@ -504,7 +509,7 @@
 
     /// Tells other workers of their probes, and looks after the neighbour.
     fn look_round(&mut self) {
-        let Some(crew) = &mut self.crew else { return };
+        let Some(crew) = &mut self.worker_pool else { return };
         for (who, server, outcome) in self.serving.probes.take_for_others() {
             // Who has ended needs nothing.
             let _ = crew.send(who, WorkerMessage::ProbeEnded(server, outcome));
@@ -557,7 +562,7 @@
     }
 
     fn probe(&mut self, server: ServerId) {
-        match &self.crew {
+        match &self.worker_pool {
             Some(crew) if !crew.is_primary() => {
                 if crew.send(0, WorkerMessage::RequestProbe(crew.index(), server)).is_err() {
                     self.turn.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
@@ -568,7 +573,7 @@
     }
 
     fn watch_endpoints(&mut self) {
-        match &self.crew {
+        match &self.worker_pool {
             // Without the one that leads, the whole process is about to end.
             Some(crew) if !crew.is_primary() => drop(crew.send(0, WorkerMessage::WatchEndpoints)),
             _ => {
--- a/crates/balancer/src/event_loop/iteration.rs
+++ b/crates/balancer/src/event_loop/iteration.rs
@@ -37,15 +37,15 @@
     /// The next step of a planned end.
     Leave,
     /// An operator that has not come further by now has to go.
-    Caller(u64),
+    AdminConnection(u64),
     /// What other processes of this balancer have changed is looked for.
-    Folder,
+    SyncSharedFolder,
     /// More clients leave servers that were taken out.
     Leaves,
     /// Other processes of this balancer are told what this one holds.
-    Kin,
+    AnnounceDescriptors,
     /// Operators that could not be accepted may be by now.
-    Door,
+    AcceptAdmin,
     /// Other balancers are told.
     Gossip,
     /// What is known is read out, or read on.
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -33,13 +33,13 @@
     /// Signals of the system's.
     Signals,
     /// Orders of other workers.
-    Orders,
+    WorkerMessages,
     /// The listener of a worker that stalls.
     Neighbour,
     /// The door at which operators call.
-    Operators,
+    AdminListener,
     /// The operator's connection of this number.
-    Caller(u64),
+    AdminConnection(u64),
     /// The socket at which new processes of this balancer ask.
     Successors,
     /// The one of this number, which has asked.
@@ -57,7 +57,7 @@
 impl EventSource {
     /// Whether it is looked at before clients are: operators wait for one turn at most, whatever the load.
     pub fn comes_first(self) -> bool {
-        matches!(self, EventSource::Operators | EventSource::Caller(_))
+        matches!(self, EventSource::AdminListener | EventSource::AdminConnection(_))
     }
 
     fn token(self) -> Token {
@@ -68,10 +68,10 @@
             EventSource::DiscoveryClient => (3, 0),
             EventSource::Listener => (4, 0),
             EventSource::Signals => (5, 0),
-            EventSource::Orders => (6, 0),
+            EventSource::WorkerMessages => (6, 0),
             EventSource::Neighbour => (7, 0),
-            EventSource::Operators => (8, 0),
-            EventSource::Caller(number) => (9, number),
+            EventSource::AdminListener => (8, 0),
+            EventSource::AdminConnection(number) => (9, number),
             EventSource::Successors => (10, 0),
             EventSource::Successor(number) => (11, number),
             EventSource::Predecessor => (12, 0),
@@ -89,10 +89,10 @@
             3 => EventSource::DiscoveryClient,
             4 => EventSource::Listener,
             5 => EventSource::Signals,
-            6 => EventSource::Orders,
+            6 => EventSource::WorkerMessages,
             7 => EventSource::Neighbour,
-            8 => EventSource::Operators,
-            9 => EventSource::Caller(number),
+            8 => EventSource::AdminListener,
+            9 => EventSource::AdminConnection(number),
             10 => EventSource::Successors,
             11 => EventSource::Successor(number),
             12 => EventSource::Predecessor,
@@ -144,7 +144,7 @@
 
     /// What wakes the loop for orders.
     pub fn waker(&self) -> io::Result<Waker> {
-        Waker::new(self.poll.registry(), EventSource::Orders.token())
+        Waker::new(self.poll.registry(), EventSource::WorkerMessages.token())
     }
 
     /// Waits until something has come, at most so long, rounded up to whole milliseconds.
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -30,7 +30,7 @@
 
 /// This balancer's end.
 #[derive(Debug)]
-pub struct Tells {
+pub struct GossipTransport {
     at: SocketAddr,
     socket: Option<UdpSocket>,
     others: Vec<(String, SocketAddr)>,
@@ -50,14 +50,14 @@
     said_untold: bool,
 }
 
-impl Tells {
+impl GossipTransport {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
     pub fn new(turn: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
         turn.after(0, TimerEvent::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
         let gossip = Gossip::new(turn.now, life, name, &names, peers.key.clone(), peers.rules, seed);
-        Tells {
+        GossipTransport {
             at,
             socket: None,
             others: peers.others.clone(),
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -19,11 +19,11 @@
 use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
-use crate::admin::counters::{Counts, Reply};
+use crate::admin::counters::{Reply, WorkerCounters};
 use crate::clients::open_ids::OpenIds;
 use crate::clients::session::{FirstLine, Session, SessionRequest, SessionStage, WaitingActivity};
 use crate::clients::sessions::Sessions;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::update::{Incoming, server_id};
 use crate::discovery::wall_clock::WallClock;
 use crate::event_loop::iteration::LoopContext;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Proxy {
     /// What the configuration says of them.
-    pub terms: Terms,
+    pub terms: ProxySettings,
     /// The servers as listed.
     pub servers: ServerTable,
     /// Checks on servers.
@@ -71,7 +71,7 @@
     leaves: VecDeque<RequestId>,
     leaves_in: usize,
     /// What operators are told of.
-    counts: Counts,
+    counts: WorkerCounters,
     /// Descriptors that another process of this balancer holds.
     others_hold: usize,
     /// The program is about to end: nobody new is served.
@@ -82,7 +82,7 @@
 
 impl Proxy {
     /// Nobody has come yet.
-    pub fn new(terms: Terms, open_ids: OpenIds, counts: Counts) -> Self {
+    pub fn new(terms: ProxySettings, open_ids: OpenIds, counts: WorkerCounters) -> Self {
         Proxy {
             budget: Budget::new(terms.sockets),
             terms,
@@ -105,7 +105,7 @@
     }
 
     /// Puts other terms in force; peers that are here stay.
-    pub fn take_terms(&mut self, terms: Terms) {
+    pub fn take_terms(&mut self, terms: ProxySettings) {
         self.terms = terms;
         self.others_hold(self.others_hold);
     }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,6 +1,6 @@
 //! A new configuration while the program runs: taken whole or not at all.
 
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::config::{Config, ConfigError};
 use crate::event_loop::hub::EventLoop;
 use shorewharf_driver::{Driver, Effects};
@@ -29,8 +29,8 @@
 /// Puts a configuration in force at a worker. Connections, the list of servers and what the module has learned stay as
 /// they are.
 pub fn apply(config: &Config, net: &mut EventLoop, driver: &mut Driver) {
-    net.take_terms(Terms::from(config), config.discovery);
-    if let (Some(tells), Some(peers)) = (&mut net.tells, &config.peers) {
+    net.take_terms(ProxySettings::from(config), config.discovery);
+    if let (Some(tells), Some(peers)) = (&mut net.gossip, &config.peers) {
         tells.take_peers(peers);
     }
     driver.update_settings(net.now(), config.settings.clone(), &config.operator);
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -29,7 +29,7 @@
 
 /// What one before has known, and how long ago that was.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct SnapshotState {
     /// All of it.
     pub learned: Vec<Learned>,
     /// When it was read out, on this program's clock.
@@ -40,7 +40,7 @@
     pub from: String,
 }
 
-impl Memory {
+impl SnapshotState {
     /// Has the module recall it, and says what became of it.
     pub fn recall(self, now: Micros, gate: &mut AdmissionGate) {
         let age = now.saturating_sub(self.taken);
@@ -60,7 +60,7 @@
 
 /// The folder of one worker.
 #[derive(Debug)]
-pub struct Keeping {
+pub struct SnapshotTask {
     writer: Writer<Learned>,
     every: Micros,
     balancer: String,
@@ -86,7 +86,7 @@
 pub fn open(
     config: &Config,
     (worker, workers): (usize, usize),
-) -> Option<(Keeping, Option<(Memory, EndpointList)>)> {
+) -> Option<(SnapshotTask, Option<(SnapshotState, EndpointList)>)> {
     let set = &config.operator.snapshot;
     let path = set.folder.as_ref()?;
     let opened = Folder::open(path, worker, set.keep).and_then(|folder| {
@@ -98,7 +98,7 @@
     let balancer = config.name.clone();
     let (at, began, fails) = (None, 0, false);
     let every = micros_from_seconds(set.every_s);
-    Some((Keeping { writer, every, balancer, worker, workers, at, began, fails }, found))
+    Some((SnapshotTask { writer, every, balancer, worker, workers, at, began, fails }, found))
 }
 
 /// Unix time in microseconds.
@@ -111,7 +111,7 @@
     config: &Config,
     set: &Snapshot,
     (worker, workers): (usize, usize),
-) -> io::Result<Option<(Memory, EndpointList)>> {
+) -> io::Result<Option<(SnapshotState, EndpointList)>> {
     let (balancer, now, oldest, list) =
         (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
     let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
@@ -123,15 +123,15 @@
             warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown);
         }
         let from = path.display().to_string();
-        let memory = Memory { learned: record.known, taken: record.head.taken, away: true, from };
+        let memory = SnapshotState { learned: record.known, taken: record.head.taken, away: true, from };
         (memory, later(list, &record.list).clone())
     }))
 }
 
-impl Keeping {
+impl SnapshotTask {
     /// A record is begun, or read on; the next turn for it is set.
     pub fn turn(&mut self, net: &mut EventLoop, driver: &mut Driver) {
-        if !std::mem::take(&mut net.reads_out) {
+        if !std::mem::take(&mut net.is_snapshot_due) {
             return;
         }
         let now = net.turn.now;
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -19,23 +19,23 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-use crate::admin::counters::Counts;
-use crate::admin::handler::Opened;
-use crate::admin::shared_folder::Folder;
+use crate::admin::counters::WorkerCounters;
+use crate::admin::handler::AdminListener;
+use crate::admin::shared_folder::SharedFolder;
 use crate::clients::open_ids::OpenIds;
 use crate::clock::Clock;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::config::{Config, ConfigError};
 use crate::event_loop::hub::{EventLoop, WorkerContext};
 use crate::event_loop::iteration::{LoopContext, TimerEvent};
 use crate::event_loop::poll::{EventPoller, EventSource, Readiness, SourceRegistry};
 use crate::fleet::budgets::Shares;
-use crate::fleet::gossip::Tells;
+use crate::fleet::gossip::GossipTransport;
 use crate::handover::predecessor::{self, Predecessor, ReceivedHandover};
 use crate::handover::siblings::SiblingProcesses;
 use crate::handover::successors::Successors;
 use crate::reload;
-use crate::snapshot::{self, Keeping, Memory, everything};
+use crate::snapshot::{self, SnapshotState, SnapshotTask, everything};
 use crate::supervisor;
 use crate::transport::connection::is_shortage;
 use crate::workers::pool::{NewWorker, WorkerMessage, WorkerPool};
@@ -74,7 +74,7 @@
     net: EventLoop,
     driver: Driver,
     lead: Option<Lead>,
-    keeping: Option<Keeping>,
+    keeping: Option<SnapshotTask>,
     shares: Option<Shares>,
 }
 
@@ -84,15 +84,15 @@
         self.net.begin(now);
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.comes_first());
-        self.net.serve_operators(first, || gate.avoided(seconds_from_micros(now)));
+        self.net.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
         self.driver.process_events(&mut self.net);
         for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
             match owner {
                 EventSource::Signals => self.signalled(),
-                EventSource::Orders => self.ordered(),
+                EventSource::WorkerMessages => self.ordered(),
                 EventSource::Successors => {
                     let gate = self.driver.gate();
-                    self.net.successors_ask(|| everything(gate));
+                    self.net.accept_successors(|| everything(gate));
                 }
                 owner => self.net.seen(owner, ready),
             }
@@ -101,12 +101,12 @@
         let driver = &mut self.driver;
         self.net.finish(|net| driver.process_events(net));
         let gate = driver.gate();
-        self.net.hands_over(|id| gate.standing(id));
+        self.net.transfer_connections(|id| gate.standing(id));
         driver.process_events(&mut self.net);
-        if self.net.shares_anew().is_some() {
+        if self.net.update_sharing().is_some() {
             self.enforce();
         }
-        if let Some(tells) = &mut self.net.tells
+        if let Some(tells) = &mut self.net.gossip
             && tells.is_due()
         {
             tells.tell(&mut self.net.turn, self.driver.gate().holds());
@@ -120,8 +120,8 @@
     /// Puts the configuration in force again: another process of this balancer has come or gone.
     fn enforce(&mut self) {
         let Some(lead) = &self.lead else { return };
-        let shares = self.net.shares();
-        self.net.tell_others(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
+        let shares = self.net.shares_limits();
+        self.net.broadcast(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
             budgets.take(fleet);
         }
@@ -129,10 +129,10 @@
     }
 
     fn ordered(&mut self) {
-        while let Some(order) = self.net.next_order() {
+        while let Some(order) = self.net.next_worker_message() {
             match order {
                 WorkerMessage::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
-                order => self.net.order(order),
+                order => self.net.on_worker_message(order),
             }
             self.driver.process_events(&mut self.net);
         }
@@ -145,7 +145,7 @@
             if signal == SIGHUP {
                 self.reload();
             } else {
-                self.net.tell_others(|_| WorkerMessage::Shutdown);
+                self.net.broadcast(|_| WorkerMessage::Shutdown);
                 self.net.stop_soon();
             }
         }
@@ -170,9 +170,9 @@
     config: Config,
     known: Arc<EndpointList>,
     clock: Clock,
-    keeping: Option<Keeping>,
+    keeping: Option<SnapshotTask>,
     /// What one before has known.
-    memory: Option<Memory>,
+    memory: Option<SnapshotState>,
     /// The first one's.
     lead: Option<Lead>,
     /// The fleet's budgets.
@@ -187,14 +187,14 @@
         let poller = self.watch.poller()?;
         poller.listen(&mut place.listener, EventSource::Listener)?;
         let address = place.listener.local_addr()?;
-        let operator = place.desk.as_ref().and_then(|desk| desk.listener.local_addr().ok());
-        if let Some(desk) = &mut place.desk {
-            poller.listen(&mut desk.listener, EventSource::Operators)?;
+        let operator = place.admin.as_ref().and_then(|desk| desk.listener.local_addr().ok());
+        if let Some(desk) = &mut place.admin {
+            poller.listen(&mut desk.listener, EventSource::AdminListener)?;
         }
         let turn = LoopContext::new(poller, clock.read());
-        let mut net = EventLoop::new(turn, place, config.discovery, Terms::from(&config));
+        let mut net = EventLoop::new(turn, place, config.discovery, ProxySettings::from(&config));
         if let Some(peers) = &config.peers {
-            net.tells = Some(Tells::new(&mut net.turn, &config.name, address, peers, config.seed));
+            net.gossip = Some(GossipTransport::new(&mut net.turn, &config.name, address, peers, config.seed));
         }
         // Held once: by the tables from now on.
         let known = net.list_known(&self.known);
@@ -286,10 +286,10 @@
 }
 
 /// What processes of this balancer have in common; none where there is no place for it.
-fn common_folder(listen: SocketAddr) -> Option<Folder> {
+fn common_folder(listen: SocketAddr) -> Option<SharedFolder> {
     let common = std::env::var_os("TMPDIR").filter(|path| !path.is_empty());
     let opened = match &common {
-        Some(path) => Folder::open(Path::new(path), listen),
+        Some(path) => SharedFolder::open(Path::new(path), listen),
         None => Err(io::Error::new(io::ErrorKind::NotFound, "TMPDIR is not set")),
     };
     opened
@@ -405,7 +405,7 @@
         folder = common_folder(at);
     }
     let taken_out = folder.as_mut().and_then(|f| f.read(&BTreeMap::new()).ok()).unwrap_or_default();
-    let counts: Vec<_> = (0..workers).map(|_| Counts::default()).collect();
+    let counts: Vec<_> = (0..workers).map(|_| WorkerCounters::default()).collect();
     let opened =
         |worker| snapshot::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
     let mut kept: Vec<_> = (0..workers).map(opened).collect();
@@ -413,7 +413,7 @@
         // What the process before knows goes before what was kept of it.
         kept.iter_mut().for_each(|(_, found)| *found = None);
         let (learned, taken) = (std::mem::take(&mut inherited.estate.memory), inherited.estate.taken);
-        let memory = Memory { learned, taken, away: false, from: "the process before".to_owned() };
+        let memory = SnapshotState { learned, taken, away: false, from: "the process before".to_owned() };
         kept[0].1 = Some((memory, std::mem::take(&mut inherited.estate.known)));
     }
     if let Some((_, list)) = kept[0].1.as_ref().filter(|(_, list)| !list.endpoints.is_empty()) {
@@ -427,18 +427,18 @@
         kin = between(place, &listeners, inherited, ends, &watches[0].poller()?)?;
     }
     let mut kin = Some(kin);
-    let place = |((listener, crew), own): (_, &Counts)| WorkerContext {
+    let place = |((listener, crew), own): (_, &WorkerCounters)| WorkerContext {
         listener: TcpListener::from_std(listener),
-        crew,
+        worker_pool: crew,
         open_ids: open_ids.clone(),
         counts: own.clone(),
-        desk: door.take().map(|door| Opened {
+        admin: door.take().map(|door| AdminListener {
             listener: TcpListener::from_std(door),
             counts: counts.clone(),
             folder: folder.take(),
         }),
         taken_out: taken_out.clone(),
-        kin: kin.take().unwrap_or_default(),
+        siblings: kin.take().unwrap_or_default(),
     };
     let places = listeners.into_iter().zip(crew).zip(&counts).map(place);
     let mut starts: Vec<Start> = watches
