--- a/crates/balancer/src/admin/counters.rs
+++ b/crates/balancer/src/admin/counters.rs
@@ -1,43 +1,43 @@
-//! What is counted for operators: each thing once, where it happens, by the loop that it happens in.
+//! Counters for operators. Each event is counted once, where it happens, by the worker that it happens at.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use shorewharf_protocol::admin::ReplyCounts;
 
-/// How a connection has ended for the client, as far as operators count it.
+/// The reply that a client has had, as operators count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A server has taken it.
+    /// A server has accepted the connection.
     Success,
-    /// It was refused.
+    /// The connection was rejected.
     Overload,
-    /// It failed, or its client left before it was answered.
+    /// The connection failed, or its client left before a reply.
     Error,
 }
 
-/// Sums since the start of the process, and what one loop holds now.
+/// Counts since the start of the process, and what is held now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
-    /// By class.
+pub struct Totals {
+    /// Replies by class index.
     pub replies: Vec<ReplyCounts>,
-    /// Attempts written whole to servers.
+    /// Attempts whose first line has been written to a server.
     pub dispatches: u64,
-    /// Connections that were taken and have not ended.
+    /// Client connections that have not ended.
     pub concurrent: usize,
     /// Descriptors that connections hold.
     pub descriptors: usize,
 }
 
-impl Sums {
-    /// Takes in what another loop has counted.
-    pub fn add(&mut self, other: &Sums) {
+impl Totals {
+    /// Adds the counts of another worker.
+    pub fn add(&mut self, other: &Totals) {
         if self.replies.len() < other.replies.len() {
             self.replies.resize(other.replies.len(), ReplyCounts::default());
         }
-        for (all, one) in self.replies.iter_mut().zip(&other.replies) {
-            all.success += one.success;
-            all.overload += one.overload;
-            all.error += one.error;
+        for (total, counts) in self.replies.iter_mut().zip(&other.replies) {
+            total.success += counts.success;
+            total.overload += counts.overload;
+            total.error += counts.error;
         }
         self.dispatches += other.dispatches;
         self.concurrent += other.concurrent;
@@ -45,46 +45,49 @@
     }
 }
 
-/// The sums of one loop, which alone writes them; the loop at whose door operators call reads those of all.
+/// The counters of one worker, which alone writes them. The primary worker reads those of all.
 #[derive(Clone, Debug, Default)]
-pub struct WorkerCounters(Arc<Mutex<Sums>>);
+pub struct WorkerCounters(Arc<Mutex<Totals>>);
 
 impl WorkerCounters {
-    fn sums(&self) -> MutexGuard<'_, Sums> {
-        // Sums are whole between any two calls, whoever panics.
+    fn lock(&self) -> MutexGuard<'_, Totals> {
+        // The counts are consistent between any two calls, whichever thread panics.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection of this class has had its one end, or has come up.
-    pub fn replied(&self, class: usize, reply: Reply) {
-        let mut sums = self.sums();
-        if sums.replies.len() <= class {
-            sums.replies.resize(class + 1, ReplyCounts::default());
+    /// Counts the reply to a client of this class.
+    pub fn record_reply(&self, class: usize, reply: Reply) {
+        let mut totals = self.lock();
+        if totals.replies.len() <= class {
+            totals.replies.resize(class + 1, ReplyCounts::default());
+        }
+        let counts = &mut totals.replies[class];
+        match reply {
+            Reply::Success => counts.success += 1,
+            Reply::Overload => counts.overload += 1,
+            Reply::Error => counts.error += 1,
         }
-        let replies = &mut sums.replies[class];
-        *match reply {
-            Reply::Success => &mut replies.success,
-            Reply::Overload => &mut replies.overload,
-            Reply::Error => &mut replies.error,
-        } += 1;
     }
 
-    /// The last byte of an attempt's first line has been written.
-    pub fn dispatched(&self) {
-        self.sums().dispatches += 1;
+    /// Counts an attempt whose first line has been written.
+    pub fn record_dispatch(&self) {
+        self.lock().dispatches += 1;
     }
 
-    /// So many connections that were taken have not ended, and so many descriptors are held in all.
-    pub fn holds(&self, concurrent: usize, descriptors: usize) {
-        let mut sums = self.sums();
-        (sums.concurrent, sums.descriptors) = (concurrent, descriptors);
+    /// Sets the number of client connections that have not ended, and of descriptors held.
+    pub fn set_held(&self, concurrent: usize, descriptors: usize) {
+        let mut totals = self.lock();
+        totals.concurrent = concurrent;
+        totals.descriptors = descriptors;
     }
 
-    /// All loops' sums together.
-    pub fn of_all(all: &[WorkerCounters]) -> Sums {
-        let mut sums = Sums::default();
-        all.iter().for_each(|one| sums.add(&one.sums()));
-        sums
+    /// The totals of these workers.
+    pub fn sum(workers: &[WorkerCounters]) -> Totals {
+        let mut totals = Totals::default();
+        for worker in workers {
+            totals.add(&worker.lock());
+        }
+        totals
     }
 }
 
--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! Operators' side: the door at which they call, and what is counted for them. What a call asks for is done by the
-//! caller of this module; nothing here knows of clients or servers.
+//! The admin side of the balancer: a second listener for operators, the counters that they read, and the servers that they
+//! disable. Commands are executed by the event loop; nothing here knows clients or sessions.
 
 pub mod counters;
 pub mod handler;
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -1,6 +1,7 @@
-//! The door at which operators call: one line to a connection, answered at once, then the end.
+//! The connections of operators: one command to a connection, answered at once, then closed.
 
 use std::collections::BTreeMap;
+use std::io::ErrorKind;
 
 use mio::net::TcpListener;
 use shorewharf_protocol::admin::{Command, CommandError, CommandReply, MAX_COMMAND_BYTES, parse_command};
@@ -12,207 +13,218 @@
 use crate::transport::buffer_pool::BUFFER_BYTES;
 use crate::transport::connection::Connection;
 
-/// Callers held at once. Guards clients' descriptors: these are apart from theirs.
-pub const CALLERS: usize = 16;
-/// Callers taken in one turn: those of a flood must not hold up the clients.
-const ACCEPTS: usize = 16;
-/// A caller has this long to make its call, and the same again to take the answer.
-const PATIENCE: Micros = 2_500_000;
+/// The most connections at once. Their descriptors are reserved, so they never compete with those of clients.
+pub const MAX_CONNECTIONS: usize = 16;
+/// The most connections accepted in one iteration: a flood of them must not delay clients.
+const MAX_ACCEPTS_PER_ITERATION: usize = 16;
+/// Time to send a command, and the same again to take the reply.
+const TIMEOUT: Micros = 2_500_000;
+/// Pause before accepting again after a failure.
+const ACCEPT_RETRY_DELAY: Micros = 100_000;
 
-/// How far a caller has come.
+/// How far a connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    /// Its call is still to come, or a part of it.
-    Calling,
-    /// Its call is being carried out.
-    Called,
-    /// The answer is on its way, or the caller's end is awaited.
-    Answered,
+enum State {
+    /// The command, or a part of it, is still to come.
+    AwaitingCommand,
+    /// The command is being executed.
+    Executing,
+    /// The reply is being sent, or the operator's end of the connection is awaited.
+    Replied,
 }
 
-/// One operator's connection.
+/// A connection of an operator.
 #[derive(Debug)]
 struct AdminConnection {
-    link: Connection,
-    stage: Stage,
-    until: Micros,
-    /// How the call's line ended, and its answer's will.
-    end: &'static str,
-    /// What is still to be said.
-    rest: Vec<u8>,
-    alarm: TimerHandle,
+    connection: Connection,
+    state: State,
+    deadline: Micros,
+    /// The end of the command's line, which the reply's lines take over.
+    line_end: &'static str,
+    /// What is still to be sent of the reply.
+    unsent: Vec<u8>,
+    timer: TimerHandle,
 }
 
 impl AdminConnection {
-    /// Reads on for the call; none while it is not whole. What follows it is not looked at.
-    fn call(&mut self, turn: &LoopContext) -> Option<Result<Command, CommandError>> {
-        self.link.fill(&turn.pool);
-        let held = self.link.held();
-        let Some(n) = held.iter().position(|b| *b == b'\n') else {
-            return (held.len() > MAX_COMMAND_BYTES).then_some(Err(CommandError::TooLong));
+    fn new(connection: Connection, deadline: Micros) -> Self {
+        AdminConnection {
+            connection,
+            state: State::AwaitingCommand,
+            deadline,
+            line_end: "\n",
+            unsent: Vec::new(),
+            timer: TimerHandle::default(),
+        }
+    }
+
+    /// Reads on; returns the command once its line is complete. What follows the line is ignored.
+    fn read_command(&mut self, context: &LoopContext) -> Option<Result<Command, CommandError>> {
+        self.connection.fill(&context.pool);
+        let received = self.connection.held();
+        let Some(end) = received.iter().position(|byte| *byte == b'\n') else {
+            return (received.len() > MAX_COMMAND_BYTES).then_some(Err(CommandError::TooLong));
         };
-        let line = &held[..n];
-        let (line, end) = line.strip_suffix(b"\r").map_or((line, "\n"), |line| (line, "\r\n"));
-        let call = parse_command(line);
-        self.end = end;
-        Some(call)
+        let line = &received[..end];
+        let (line, line_end) = line.strip_suffix(b"\r").map_or((line, "\n"), |line| (line, "\r\n"));
+        let command = parse_command(line);
+        self.line_end = line_end;
+        Some(command)
     }
 
-    /// Says on what is left of the answer and ends; true once it is over.
-    fn goes_on(&mut self, turn: &LoopContext) -> bool {
-        while !self.rest.is_empty() && self.link.flush() {
-            let some = self.rest.len().min(BUFFER_BYTES);
-            if !self.link.say(&turn.pool, &self.rest[..some]) {
+    /// Sends what is left of the reply and closes; returns whether the connection has ended.
+    fn send_reply(&mut self, context: &LoopContext) -> bool {
+        while !self.unsent.is_empty() && self.connection.flush() {
+            let portion = self.unsent.len().min(BUFFER_BYTES);
+            if !self.connection.say(&context.pool, &self.unsent[..portion]) {
                 break;
             }
-            self.rest.drain(..some);
+            self.unsent.drain(..portion);
         }
-        if self.rest.is_empty() && self.link.flush() {
-            self.link.shut();
+        if self.unsent.is_empty() && self.connection.flush() {
+            self.connection.shut();
         }
-        // What else it says is nothing to anybody; unread it would make the close a reset.
-        self.link.fill(&turn.pool);
-        self.link.drop_input();
-        self.link.ended.is_some()
+        // Further input is ignored, but left unread it would turn the close into a reset.
+        self.connection.fill(&context.pool);
+        self.connection.drop_input();
+        self.connection.ended.is_some()
     }
 }
 
-/// The listener and its callers, by number.
+/// The admin listener and its connections, by number.
 #[derive(Debug)]
 pub struct AdminServer {
     listener: TcpListener,
-    /// Callers may wait at the listener.
+    /// Connections may be waiting at the listener.
     can_accept: bool,
-    callers: BTreeMap<u64, AdminConnection>,
-    next: u64,
-    /// Calls that are to be carried out, in the order in which they came.
-    calls: Vec<(u64, Result<Command, CommandError>)>,
+    connections: BTreeMap<u64, AdminConnection>,
+    last_number: u64,
+    /// Commands to be executed, in the order in which they came, with the number of the connection.
+    commands: Vec<(u64, Result<Command, CommandError>)>,
 }
 
 impl AdminServer {
-    /// A door at which nobody has called.
+    /// A server for this listener, without connections.
     pub fn new(listener: TcpListener) -> Self {
-        AdminServer { listener, can_accept: true, callers: BTreeMap::new(), next: 0, calls: Vec::new() }
+        let (connections, commands) = (BTreeMap::new(), Vec::new());
+        AdminServer { listener, can_accept: true, connections, last_number: 0, commands }
     }
 
-    /// What the loop has seen of it: calls that have come are taken out by [`AdminServer::take_calls`].
-    pub fn ready(&mut self, turn: &mut LoopContext, owner: EventSource, ready: Readiness) {
-        match owner {
-            EventSource::AdminConnection(number) => {
-                if let Some(caller) = self.callers.get_mut(&number) {
-                    caller.link.ready(ready);
-                    self.goes_on(turn, number);
-                }
-            }
-            _ => {
-                self.can_accept = true;
-                self.accept(turn);
+    /// The listener or a connection is ready. Commands that are complete then are returned by
+    /// [`AdminServer::take_commands`].
+    pub fn on_ready(&mut self, context: &mut LoopContext, source: EventSource, readiness: Readiness) {
+        if let EventSource::AdminConnection(number) = source {
+            if let Some(admin) = self.connections.get_mut(&number) {
+                admin.connection.ready(readiness);
+                self.advance(context, number);
             }
+        } else {
+            self.can_accept = true;
+            self.accept(context);
         }
     }
 
-    /// Whether more callers wait than one turn takes.
-    pub fn is_busy(&self) -> bool {
+    /// Whether more connections may be waiting than one iteration accepts.
+    pub fn has_backlog(&self) -> bool {
         self.can_accept
     }
 
-    /// Takes in callers that wait.
-    pub fn accept(&mut self, turn: &mut LoopContext) {
-        for _ in 0..ACCEPTS {
+    /// Accepts connections that are waiting.
+    pub fn accept(&mut self, context: &mut LoopContext) {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             if !self.can_accept {
                 break;
             }
             match self.listener.accept() {
-                Ok((stream, _)) => self.comes(turn, Connection::new(stream)),
-                // Nobody waits, or one left: whatever it is, the next caller is told of by the loop.
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
+                Ok((stream, _)) => self.add(context, Connection::new(stream)),
+                Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     self.can_accept = false;
-                    if e.kind() != std::io::ErrorKind::WouldBlock {
+                    if e.kind() != ErrorKind::WouldBlock {
                         warn!(event = "accept-failed", at = "operator", error = %e);
-                        turn.after(PATIENCE / 25, TimerEvent::AcceptAdmin);
+                        context.after(ACCEPT_RETRY_DELAY, TimerEvent::AcceptAdmin);
                     }
                 }
             }
         }
     }
 
-    fn comes(&mut self, turn: &mut LoopContext, mut link: Connection) {
-        if self.callers.len() >= CALLERS {
-            self.make_room(turn);
+    fn add(&mut self, context: &mut LoopContext, mut connection: Connection) {
+        if self.connections.len() >= MAX_CONNECTIONS {
+            self.close_oldest(context);
         }
-        self.next += 1;
-        let number = self.next;
-        if !turn.poller.watch(&mut link, EventSource::AdminConnection(number)) {
+        self.last_number += 1;
+        let number = self.last_number;
+        if !context.poller.watch(&mut connection, EventSource::AdminConnection(number)) {
             return;
         }
-        let until = turn.now + PATIENCE;
-        let mut alarm = TimerHandle::default();
-        alarm.by(turn, Some(until), TimerEvent::AdminConnection(number));
-        let (stage, end, rest) = (Stage::Calling, "\n", Vec::new());
-        self.callers.insert(number, AdminConnection { link, stage, until, end, rest, alarm });
-        self.goes_on(turn, number);
+        let deadline = context.now + TIMEOUT;
+        let mut admin = AdminConnection::new(connection, deadline);
+        admin.timer.by(context, Some(deadline), TimerEvent::AdminConnection(number));
+        self.connections.insert(number, admin);
+        self.advance(context, number);
     }
 
-    /// Ends the one that has said nothing whole for longest, else the oldest: one that has called is answered in the same
-    /// turn, and only has to take it.
-    fn make_room(&mut self, turn: &mut LoopContext) {
-        let mute = self.callers.iter().find(|(_, c)| c.stage == Stage::Calling);
-        if let Some(number) = mute.or(self.callers.iter().next()).map(|(number, _)| *number) {
-            self.end(turn, number);
+    /// Closes the oldest connection without a complete command, else the oldest: commands are answered in the same
+    /// iteration, so that one only has to take its reply.
+    fn close_oldest(&mut self, context: &mut LoopContext) {
+        let mut silent = self.connections.iter().filter(|(_, admin)| admin.state == State::AwaitingCommand);
+        let oldest = silent.next().or(self.connections.iter().next());
+        if let Some(number) = oldest.map(|(number, _)| *number) {
+            self.close(context, number);
         }
     }
 
-    fn goes_on(&mut self, turn: &mut LoopContext, number: u64) {
-        let Some(caller) = self.callers.get_mut(&number) else { return };
-        match caller.stage {
-            Stage::Calling => {
-                if let Some(call) = caller.call(turn) {
-                    caller.stage = Stage::Called;
-                    self.calls.push((number, call));
-                } else if caller.link.ended.is_some() {
-                    self.end(turn, number);
+    fn advance(&mut self, context: &mut LoopContext, number: u64) {
+        let Some(admin) = self.connections.get_mut(&number) else { return };
+        match admin.state {
+            State::AwaitingCommand => {
+                if let Some(command) = admin.read_command(context) {
+                    admin.state = State::Executing;
+                    self.commands.push((number, command));
+                } else if admin.connection.ended.is_some() {
+                    self.close(context, number);
                 }
             }
-            Stage::Called => {}
-            Stage::Answered => {
-                if caller.goes_on(turn) {
-                    self.end(turn, number);
+            State::Executing => {}
+            State::Replied => {
+                if admin.send_reply(context) {
+                    self.close(context, number);
                 }
             }
         }
     }
 
-    /// Takes out the calls that have come.
-    pub fn take_calls(&mut self) -> Vec<(u64, Result<Command, CommandError>)> {
-        std::mem::take(&mut self.calls)
+    /// Takes the commands that have come.
+    pub fn take_commands(&mut self) -> Vec<(u64, Result<Command, CommandError>)> {
+        std::mem::take(&mut self.commands)
     }
 
-    /// Answers a caller.
-    pub fn answer(&mut self, turn: &mut LoopContext, number: u64, answer: &CommandReply) {
-        let Some(caller) = self.callers.get_mut(&number) else { return };
-        caller.stage = Stage::Answered;
-        caller.rest = answer.text(caller.end).into_bytes();
-        caller.until = turn.now + PATIENCE;
-        self.goes_on(turn, number);
+    /// Replies to the command of the connection of this number.
+    pub fn reply(&mut self, context: &mut LoopContext, number: u64, reply: &CommandReply) {
+        let Some(admin) = self.connections.get_mut(&number) else { return };
+        admin.state = State::Replied;
+        admin.unsent = reply.text(admin.line_end).into_bytes();
+        admin.deadline = context.now + TIMEOUT;
+        self.advance(context, number);
     }
 
-    /// A caller's timer has come.
-    pub fn alarmed(&mut self, turn: &mut LoopContext, number: u64) {
-        let Some(caller) = self.callers.get_mut(&number) else { return };
-        caller.alarm.came();
-        // A machine that stood still heard nobody.
-        let until = caller.until.max(turn.judges_from());
-        if turn.now >= until {
-            self.end(turn, number);
+    /// The timer of the connection of this number has fired: closes it if its time is up.
+    pub fn on_timer(&mut self, context: &mut LoopContext, number: u64) {
+        let Some(admin) = self.connections.get_mut(&number) else { return };
+        admin.timer.came();
+        // A process that was held up has not listened meanwhile.
+        let deadline = admin.deadline.max(context.judges_from());
+        if context.now >= deadline {
+            self.close(context, number);
         } else {
-            caller.alarm.by(turn, Some(until), TimerEvent::AdminConnection(number));
+            admin.timer.by(context, Some(deadline), TimerEvent::AdminConnection(number));
         }
     }
 
-    fn end(&mut self, turn: &mut LoopContext, number: u64) {
-        if let Some(mut caller) = self.callers.remove(&number) {
-            caller.alarm.off(turn);
+    fn close(&mut self, context: &mut LoopContext, number: u64) {
+        if let Some(mut admin) = self.connections.remove(&number) {
+            admin.timer.off(context);
         }
     }
 }
--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -5,28 +5,30 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-fn door() -> (AdminServer, SocketAddr) {
+fn server() -> (AdminServer, SocketAddr) {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let at = listener.local_addr().expect("bound");
     (AdminServer::new(listener), at)
 }
 
 /// Looks until so many callers were taken in.
-fn held(door: &mut AdminServer, turn: &mut LoopContext, begun: u64) {
+fn accept_until(server: &mut AdminServer, turn: &mut LoopContext, begun: u64) {
     until(|| {
-        door.ready(turn, EventSource::AdminListener, READ);
-        door.next == begun
+        server.on_ready(turn, EventSource::AdminListener, READ);
+        server.last_number == begun
     });
 }
 
 /// The next call, however many looks it takes.
-fn call(door: &mut AdminServer, turn: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
+fn call(server: &mut AdminServer, turn: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
     let mut calls = Vec::new();
     until(|| {
-        door.ready(turn, EventSource::AdminListener, READ);
-        let numbers: Vec<u64> = door.callers.keys().copied().collect();
-        numbers.into_iter().for_each(|number| door.ready(turn, EventSource::AdminConnection(number), READ));
-        calls.extend(door.take_calls());
+        server.on_ready(turn, EventSource::AdminListener, READ);
+        let numbers: Vec<u64> = server.connections.keys().copied().collect();
+        numbers
+            .into_iter()
+            .for_each(|number| server.on_ready(turn, EventSource::AdminConnection(number), READ));
+        calls.extend(server.take_commands());
         !calls.is_empty()
     });
     calls.remove(0)
@@ -34,69 +36,70 @@
 
 #[test]
 fn a_call_in_pieces_is_answered_as_its_line_ended() {
-    let (mut turn, (mut door, at)) = (turn(1000), door());
+    let (mut turn, (mut server, at)) = (turn(1000), server());
     for (line, end) in [("exclude s-1\n", "\n"), ("exclude s-1\r\n", "\r\n")] {
-        let mut caller = TcpStream::connect(at).expect("a door");
+        let mut caller = TcpStream::connect(at).expect("a listener");
         for byte in line.as_bytes() {
-            assert!(door.calls.is_empty());
+            assert!(server.commands.is_empty());
             caller.write_all(&[*byte]).expect("open");
-            door.ready(&mut turn, EventSource::AdminListener, READ);
+            server.on_ready(&mut turn, EventSource::AdminListener, READ);
         }
-        let (number, said) = call(&mut door, &mut turn);
+        let (number, said) = call(&mut server, &mut turn);
         assert_eq!(said, Ok(Command::Disable("s-1".into())));
-        door.answer(&mut turn, number, &CommandReply::Done);
+        server.reply(&mut turn, number, &CommandReply::Done);
         let mut heard = String::new();
         caller.read_to_string(&mut heard).expect("an answer and an end");
         assert_eq!(heard, format!("YES{end}"));
         drop(caller);
     }
     until(|| {
-        let numbers: Vec<u64> = door.callers.keys().copied().collect();
+        let numbers: Vec<u64> = server.connections.keys().copied().collect();
         numbers
             .into_iter()
-            .for_each(|number| door.ready(&mut turn, EventSource::AdminConnection(number), READ));
-        door.callers.is_empty()
+            .for_each(|number| server.on_ready(&mut turn, EventSource::AdminConnection(number), READ));
+        server.connections.is_empty()
     });
 }
 
 #[test]
 fn mute_callers_are_bounded_in_number_and_time_and_keep_nobody_out() {
-    let (mut turn, (mut door, at)) = (turn(1000), door());
-    let mutes: Vec<_> = (0..3 * CALLERS).map(|_| TcpStream::connect(at).expect("a door")).collect();
-    held(&mut door, &mut turn, mutes.len() as u64);
-    assert_eq!(door.callers.len(), CALLERS);
-    let mut caller = TcpStream::connect(at).expect("a door");
+    let (mut turn, (mut server, at)) = (turn(1000), server());
+    let mutes: Vec<_> =
+        (0..3 * MAX_CONNECTIONS).map(|_| TcpStream::connect(at).expect("a listener")).collect();
+    accept_until(&mut server, &mut turn, mutes.len() as u64);
+    assert_eq!(server.connections.len(), MAX_CONNECTIONS);
+    let mut caller = TcpStream::connect(at).expect("a listener");
     caller.write_all(b"readyz\n").expect("open");
-    assert_eq!(call(&mut door, &mut turn).1, Ok(Command::Readiness));
-    let now = turn.now + PATIENCE;
+    assert_eq!(call(&mut server, &mut turn).1, Ok(Command::Readiness));
+    let now = turn.now + TIMEOUT;
     turn.ends(now);
     turn.begin(now);
     while let Some(due) = turn.timers.due() {
         match due {
-            TimerEvent::AdminConnection(number) => door.alarmed(&mut turn, number),
+            TimerEvent::AdminConnection(number) => server.on_timer(&mut turn, number),
             other => panic!("{other:?}"),
         }
     }
-    assert!(door.callers.is_empty(), "the time is up");
+    assert!(server.connections.is_empty(), "the time is up");
 }
 
 #[test]
 fn a_line_that_never_ends_is_refused_and_a_large_answer_comes_whole_to_a_slow_reader() {
-    let (mut turn, (mut door, at)) = (turn(1000), door());
-    let mut caller = TcpStream::connect(at).expect("a door");
+    let (mut turn, (mut server, at)) = (turn(1000), server());
+    let mut caller = TcpStream::connect(at).expect("a listener");
     caller.write_all(&[b'x'; MAX_COMMAND_BYTES + 1]).expect("open");
-    let (number, said) = call(&mut door, &mut turn);
+    let (number, said) = call(&mut server, &mut turn);
     assert_eq!(said, Err(CommandError::TooLong));
     let lines = "svc.x:1|c\n".repeat(1_000_000);
     let whole = CommandReply::Metrics(lines.clone());
-    door.answer(&mut turn, number, &whole);
-    assert!(!door.callers[&number].rest.is_empty(), "the sockets' buffers took it all");
+    server.reply(&mut turn, number, &whole);
+    assert!(!server.connections[&number].unsent.is_empty(), "the sockets' buffers took it all");
     let reader = std::thread::spawn(move || {
         let mut heard = String::new();
         caller.read_to_string(&mut heard).map(|_| heard)
     });
     until(|| {
-        door.ready(&mut turn, EventSource::AdminConnection(number), READ);
+        server.on_ready(&mut turn, EventSource::AdminConnection(number), READ);
         reader.is_finished()
     });
     let heard = reader.join().expect("no panic").expect("an answer and an end");
--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -1,9 +1,10 @@
-//! What processes of one balancer have in common: a folder in `$TMPDIR`, with a small file for each server that is taken out.
-//! A file is named by the server's id and made and removed whole, so that nothing is lost when two processes are called at
-//! once, or when one dies in the middle.
+//! The folder that the processes of one balancer share: in `$TMPDIR`, with a small file for each disabled server.
+//!
+//! A file is named by the server's id, and created and removed atomically, so nothing is lost when two processes change the
+//! folder at once or one dies while it does.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::fs;
+use std::fs::{self, DirEntry};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,92 +15,114 @@
 
 use crate::servers::disabled::DisabledServer;
 
-/// A file's text is the server's name, for whoever looks; what is longer is none.
-const LONGEST: u64 = 4096;
+/// The name of the folder of disabled servers, which is stored.
+const DISABLED_SERVERS: &str = "out";
+/// A file's text is the server's name, for people to read. A longer text is not one.
+const MAX_NAME_BYTES: u64 = 4096;
 
-/// The folder.
+/// The shared folder of one balancer.
 #[derive(Debug)]
 pub struct SharedFolder {
-    /// The balancer's own.
     path: PathBuf,
-    /// NameIndex of files that can't be read, each told of once.
-    odd: BTreeSet<PathBuf>,
+    /// Files that can't be read and have been logged.
+    reported: BTreeSet<PathBuf>,
 }
 
-fn hex(server: ServerId) -> String {
+/// The name of a server's file.
+fn file_name(server: ServerId) -> String {
     format!("{:016x}", server.0)
 }
 
+/// The server whose file has this name.
+fn parse_file_name(name: &str) -> Option<ServerId> {
+    if name.len() != 16 {
+        return None;
+    }
+    u64::from_str_radix(name, 16).ok().map(ServerId)
+}
+
 impl SharedFolder {
-    /// The folder of the balancer that listens there, made where it is missing.
-    pub fn open(common: &Path, listen: SocketAddr) -> io::Result<Self> {
+    /// Opens the folder of the balancer that listens at this address, below `parent`; creates it if necessary.
+    ///
+    /// # Errors
+    /// The folder can't be created.
+    pub fn open(parent: &Path, listen: SocketAddr) -> io::Result<Self> {
         let name = format!("shorewharf-{}", listen.to_string().replace(':', "-"));
-        let path = common.join(name);
-        fs::create_dir_all(path.join("out"))?;
-        Ok(SharedFolder { path, odd: BTreeSet::new() })
+        let path = parent.join(name);
+        fs::create_dir_all(path.join(DISABLED_SERVERS))?;
+        Ok(SharedFolder { path, reported: BTreeSet::new() })
     }
 
-    /// A place in it.
-    pub fn place(&self, name: &str) -> PathBuf {
+    /// The path of a file in the folder.
+    pub fn join(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
     fn file(&self, server: ServerId) -> PathBuf {
-        self.path.join("out").join(hex(server))
+        self.path.join(DISABLED_SERVERS).join(file_name(server))
     }
 
-    /// Keeps that a server is out.
-    pub fn keep(&self, server: ServerId, name: &str) -> io::Result<()> {
-        // Not in the folder that is read, and not another process's.
-        let whole = self.path.join(format!("{}.{}", hex(server), std::process::id()));
-        fs::write(&whole, name)?;
-        fs::rename(&whole, self.file(server)).inspect_err(|_| drop(fs::remove_file(&whole)))
+    /// Stores that a server is disabled.
+    ///
+    /// # Errors
+    /// The file can't be written.
+    pub fn store(&self, server: ServerId, name: &str) -> io::Result<()> {
+        // Outside the folder that is read, and apart from other processes' files.
+        let temporary = self.path.join(format!("{}.{}", file_name(server), std::process::id()));
+        fs::write(&temporary, name)?;
+        fs::rename(&temporary, self.file(server)).inspect_err(|_| drop(fs::remove_file(&temporary)))
     }
 
-    /// Keeps that a server is no longer out.
-    pub fn let_go(&self, server: ServerId) -> io::Result<()> {
+    /// Removes a server that is enabled again.
+    ///
+    /// # Errors
+    /// The file is there and can't be removed.
+    pub fn remove(&self, server: ServerId) -> io::Result<()> {
         match fs::remove_file(self.file(server)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
             _ => Ok(()),
         }
     }
 
-    /// Which servers are out, by what `known` says of those that are known to be; none where the folder can't be read.
+    /// Reads the disabled servers. Files of those in `known` are not opened again.
+    ///
+    /// # Errors
+    /// The folder can't be read.
     pub fn read(
         &mut self,
         known: &BTreeMap<ServerId, DisabledServer>,
     ) -> io::Result<BTreeMap<ServerId, DisabledServer>> {
-        let mut out = BTreeMap::new();
-        for file in fs::read_dir(self.path.join("out"))? {
+        let mut disabled = BTreeMap::new();
+        for file in fs::read_dir(self.path.join(DISABLED_SERVERS))? {
             let file = file?;
-            let name = file.file_name();
-            let server =
-                name.to_str().filter(|n| n.len() == 16).and_then(|n| u64::from_str_radix(n, 16).ok());
-            let Some(server) = server.map(ServerId) else {
-                self.is_odd(&file.path(), "its name is no server's id");
+            let Some(server) = file.file_name().to_str().and_then(parse_file_name) else {
+                self.report(&file.path(), "its name is no server's id");
                 continue;
             };
-            if let Some(one) = known.get(&server) {
-                out.insert(server, one.clone());
-                continue;
-            }
-            // That it is there is what counts; its text is for people.
-            let Ok(meta) = file.metadata() else { continue };
-            let since = meta.modified().ok().and_then(|t| t.duration_since(UNIX_EPOCH).ok());
-            let since = since.map_or(0.0, |t| t.as_secs_f64());
-            let text =
-                if meta.len() <= LONGEST { fs::read_to_string(file.path()) } else { Ok(String::new()) };
-            let name = text.unwrap_or_default();
-            if name.is_empty() || name.chars().any(char::is_control) {
-                self.is_odd(&file.path(), "its text is no server's name; the server is out all the same");
-            }
-            out.insert(server, DisabledServer { name: name.into(), since });
+            let entry = known.get(&server).cloned().or_else(|| self.read_file(&file));
+            disabled.extend(entry.map(|entry| (server, entry)));
+        }
+        Ok(disabled)
+    }
+
+    /// Reads a server's file; none if it is gone. The file's existence is what counts, its text is for people.
+    fn read_file(&mut self, file: &DirEntry) -> Option<DisabledServer> {
+        let metadata = file.metadata().ok()?;
+        let modified = metadata.modified().ok().and_then(|time| time.duration_since(UNIX_EPOCH).ok());
+        let since = modified.map_or(0.0, |time| time.as_secs_f64());
+        let mut name = String::new();
+        if metadata.len() <= MAX_NAME_BYTES {
+            name = fs::read_to_string(file.path()).unwrap_or_default();
+        }
+        if name.is_empty() || name.chars().any(char::is_control) {
+            self.report(&file.path(), "its text is no server's name; the server is out all the same");
         }
-        Ok(out)
+        Some(DisabledServer { name: name.into(), since })
     }
 
-    fn is_odd(&mut self, file: &Path, why: &str) {
-        if self.odd.insert(file.to_owned()) {
+    /// Logs a file that can't be read, once.
+    fn report(&mut self, file: &Path, why: &str) {
+        if self.reported.insert(file.to_owned()) {
             warn!(event = "odd-file", file = %file.display(), why);
         }
     }
--- a/crates/balancer/src/admin/shared_folder/tests.rs
+++ b/crates/balancer/src/admin/shared_folder/tests.rs
@@ -15,9 +15,9 @@
 fn what_one_process_keeps_the_other_reads_whole_whatever_lies_beside_it() {
     let common = tempfile::tempdir().expect("a folder");
     let (one, mut other) = (folder(common.path()), folder(common.path()));
-    one.keep(ServerId(7), "s-7").expect("kept");
-    one.keep(ServerId(7), "s-7").expect("kept again");
-    other.keep(ServerId(8), "s-8").expect("kept");
+    one.store(ServerId(7), "s-7").expect("kept");
+    one.store(ServerId(7), "s-7").expect("kept again");
+    other.store(ServerId(8), "s-8").expect("kept");
     // A process died while it wrote, and somebody has left something.
     fs::write(one.path.join("0000000000000009.1"), "").expect("a file");
     fs::write(one.path.join("out/readme"), "hello").expect("a file");
@@ -26,9 +26,9 @@
     assert_eq!(out.keys().map(|id| id.0).collect::<Vec<_>>(), [7, 8, 10]);
     assert_eq!((&*out[&ServerId(7)].name, &*out[&ServerId(10)].name), ("s-7", ""));
     assert!(out[&ServerId(7)].since > 1e9);
-    assert_eq!(other.odd.len(), 2);
-    one.let_go(ServerId(7)).expect("gone");
-    one.let_go(ServerId(7)).expect("gone before");
+    assert_eq!(other.reported.len(), 2);
+    one.remove(ServerId(7)).expect("gone");
+    one.remove(ServerId(7)).expect("gone before");
     assert_eq!(ids(&mut other), [8, 10]);
     // Another balancer's is another folder.
     let mut third =
@@ -45,9 +45,9 @@
             s.spawn(move || {
                 let folder = folder(path);
                 for i in 0..200 {
-                    folder.keep(ServerId(process * 1000 + i), "s").expect("kept");
+                    folder.store(ServerId(process * 1000 + i), "s").expect("kept");
                     if i % 2 == 1 {
-                        folder.let_go(ServerId(process * 1000 + i)).expect("gone");
+                        folder.remove(ServerId(process * 1000 + i)).expect("gone");
                     }
                 }
             });
@@ -89,7 +89,7 @@
         let common = tempfile::tempdir().expect("a folder");
         let folder =
             SharedFolder::open(common.path(), listen.parse().expect("an address")).expect("a folder");
-        folder.keep(server_id(SERVER), SERVER).expect("kept");
+        folder.store(server_id(SERVER), SERVER).expect("kept");
         assert_eq!(files(common.path()), [name]);
         assert_eq!(fs::read_to_string(common.path().join(name)).expect("a file"), FILE);
     }
--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -15,7 +15,7 @@
 use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Operator;
 
-use crate::admin::server::CALLERS;
+use crate::admin::server::MAX_CONNECTIONS;
 pub use crate::config::error::ConfigError;
 use crate::fleet::budget_config::Fleet;
 use crate::fleet::peers::Peers;
@@ -25,7 +25,7 @@
 /// Descriptors of the program's own and those kept for refusals leave nothing of fewer.
 const FEWEST_SOCKETS: usize = 32;
 /// Descriptors that are kept for operators where they may call: their listener and those who call.
-const OPERATORS_SOCKETS: usize = CALLERS + 1;
+const OPERATORS_SOCKETS: usize = MAX_CONNECTIONS + 1;
 /// NameIndex the operator's own file (TOML): what the platform's configuration says nothing of.
 pub const OPERATOR: &str = "SHOREWHARF_OPERATOR";
 
--- a/crates/balancer/src/event_loop/hub.rs
+++ b/crates/balancer/src/event_loop/hub.rs
@@ -182,7 +182,7 @@
             EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(owner),
             EventSource::Gossip => self.gossip.iter_mut().for_each(|t| t.ready(turn.now)),
             EventSource::AdminListener | EventSource::AdminConnection(_) => {
-                self.admin.iter_mut().for_each(|d| d.door.ready(&mut self.turn, owner, ready));
+                self.admin.iter_mut().for_each(|d| d.server.on_ready(&mut self.turn, owner, ready));
             }
         }
     }
@@ -252,13 +252,13 @@
             TimerEvent::AnnounceDescriptors => self.announce_descriptors(),
             TimerEvent::Leaves => self.serving.leave_some(turn),
             TimerEvent::AdminConnection(number) => {
-                self.admin.iter_mut().for_each(|d| d.door.alarmed(turn, number))
+                self.admin.iter_mut().for_each(|d| d.server.on_timer(turn, number))
             }
             TimerEvent::Snapshot => self.is_snapshot_due = true,
             TimerEvent::AcceptAdmin => self
                 .admin
                 .iter_mut()
-                .for_each(|d| d.door.ready(turn, EventSource::AdminListener, Readiness::default())),
+                .for_each(|d| d.server.on_ready(turn, EventSource::AdminListener, Readiness::default())),
         }
     }
 
@@ -266,7 +266,7 @@
     pub fn ends(&mut self, now: Micros) -> Micros {
         self.turn.overload.turn(self.turn.now, now, self.accepts);
         self.serving.note_held();
-        let calls = self.admin.as_ref().is_some_and(|d| d.door.is_busy());
+        let calls = self.admin.as_ref().is_some_and(|d| d.server.has_backlog());
         let next = match self.serving.is_busy()
             || self.discovery.is_busy()
             || self.accepts
@@ -457,11 +457,8 @@
                 self.turn.emit(NetworkEvent::ProbeEnded(server, outcome))
             }
             WorkerMessage::Shutdown => self.stop_soon(),
-            WorkerMessage::TransferToSuccessor(handed) => self.queue_for_successor(*handed),
-            WorkerMessage::AdoptConnection(handed) => {
-                let from = handed.0.client;
-                self.adopt_connection(*handed, from);
-            }
+            WorkerMessage::TransferToSuccessor(connection) => self.queue_for_successor(*connection),
+            WorkerMessage::AdoptConnection(connection) => self.adopt_connection(*connection),
             WorkerMessage::Config(_) => {}
         }
     }
--- a/crates/balancer/src/handover/messages.rs
+++ b/crates/balancer/src/handover/messages.rs
@@ -1,6 +1,9 @@
-//! What the two processes tell each other, a line each, over a Unix socket that nobody else is to use. The listening
-//! descriptors come along with the first bytes of the first line.
+//! Messages between two processes of one balancer during a hand-over: lines of text over a Unix socket.
+//!
+//! The old process sends a [`HandoverState`] first, with its listening descriptors, then [`PredecessorMessage`]s. The new
+//! process sends [`SuccessorMessage`]s.
 
+use std::fmt;
 use std::net::SocketAddr;
 
 use mio::net::TcpStream;
@@ -9,154 +12,216 @@
 use shorewharf_recovery::memory::Learned;
 use shorewharf_units::Micros;
 
-/// Another form of these lines is another version; who finds one starts by itself.
+/// Version of the messages. A process that finds another one starts on its own.
 pub const VERSION: u32 = 1;
-/// Listeners that are handed over at most: one for each worker.
-pub const LISTENERS: usize = 16;
-/// The first line is no longer than this: a list takes up to a quarter of the memory, and more than this none.
-pub const LONGEST: usize = 16 << 20;
-/// The new process takes clients from now on.
-pub const SERVES: &[u8] = b"SERVES";
-/// The new process takes standing connections with what is on its way on them, and says of each that it is its own.
-pub const TAKES: &[u8] = b"TAKES 2";
-/// The old process is to end now: whoever started the new one won't say so.
-pub const ENDS: &[u8] = b"ENDS";
-/// The old process goes on with all that the new one has not said of that it took it.
-pub const KEEPS: &[u8] = b"KEEPS";
-/// The old process takes none from now on.
-pub const LEAVES: &[u8] = b"LEAVES";
-
-/// The first line: what the old process leaves to the new one.
+/// The most listeners that are handed over: one for each worker.
+pub const MAX_LISTENERS: usize = 16;
+/// The longest first line. The endpoint list takes up to a quarter of the memory, which is never more than this.
+pub const MAX_STATE_BYTES: usize = 16 << 20;
+
+/// The first line: what the old process hands over at once.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HandoverState {
-    /// The version of these words.
+    /// Version of the messages.
     pub version: u32,
-    /// Listeners that come along.
-    pub listeners: usize,
-    /// Descriptors that the old process holds or may take.
-    pub held: usize,
-    /// The list as it stands.
-    pub known: EndpointList,
-    /// What the first worker knows; its standing connections come by themselves, later.
-    #[serde(default)]
-    pub memory: Vec<Learned>,
-    /// When that was read out, in microseconds of Unix time.
-    #[serde(default)]
-    pub taken: Micros,
+    /// How many listening descriptors come along.
+    #[serde(rename = "listeners")]
+    pub listener_count: usize,
+    /// Descriptors that the old process holds or may still open.
+    #[serde(rename = "held")]
+    pub descriptors: usize,
+    /// The endpoint list.
+    #[serde(rename = "known")]
+    pub endpoints: EndpointList,
+    /// What the decisions of the primary worker have learned, but for its established connections.
+    #[serde(default, rename = "memory")]
+    pub learned: Vec<Learned>,
+    /// When that was exported, in microseconds of Unix time.
+    #[serde(default, rename = "taken")]
+    pub exported_at: Micros,
 }
 
-/// A standing connection that goes along; the client's descriptor and the server's come with its first byte.
+/// The state of an established connection that moves to the new process. The descriptors of its client and its server
+/// come with the first byte of its line.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EstablishedConnection {
-    /// Where the client comes from.
+    /// The client's address.
     pub client: SocketAddr,
     /// The server's id.
     pub server: u64,
-    /// The id that it opened with.
-    pub id: u64,
-    /// Its class, by name.
+    /// The id that the client opened the connection with.
+    #[serde(rename = "id")]
+    pub open_id: u64,
+    /// Name of its class.
     pub class: String,
-    /// Its tenant, by name; empty where it named none.
+    /// Name of its tenant; empty without one.
     pub tenant: String,
-    /// Its key.
+    /// Its flow key.
     pub key: u64,
     /// Its group.
     pub group: u64,
-    /// Its load as it was guessed first, in work a second.
-    pub hint: Option<f64>,
-    /// Its load as it was told last.
+    /// Its load as the client estimated it, in work per second.
+    #[serde(rename = "hint")]
+    pub load_hint: Option<f64>,
+    /// Its load as reported last.
     pub load: Option<f64>,
-    /// Since when a line of the client's has gone unanswered, in microseconds of Unix time.
-    pub asked: Option<Micros>,
-    /// What is on its way from and to the client.
-    #[serde(default, skip_serializing_if = "BufferedBytes::is_nothing")]
-    pub at_client: BufferedBytes,
-    /// The same for the server.
-    #[serde(default, skip_serializing_if = "BufferedBytes::is_nothing")]
-    pub at_server: BufferedBytes,
+    /// Since when a message of the client has been without a reply, in microseconds of Unix time.
+    #[serde(rename = "asked")]
+    pub unanswered_since: Option<Micros>,
+    /// Bytes in flight from and to the client.
+    #[serde(default, rename = "at_client", skip_serializing_if = "BufferedBytes::is_empty")]
+    pub client_buffers: BufferedBytes,
+    /// Bytes in flight from and to the server.
+    #[serde(default, rename = "at_server", skip_serializing_if = "BufferedBytes::is_empty")]
+    pub server_buffers: BufferedBytes,
 }
 
-/// What is on its way on one end of a connection.
+impl EstablishedConnection {
+    /// The message that transfers it, with its end.
+    pub fn to_line(&self) -> String {
+        // Names and numbers, which can be written as JSON.
+        format!("STANDS {}\n", serde_json::to_string(self).unwrap_or_default())
+    }
+}
+
+/// Bytes in flight at one end of a connection.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BufferedBytes {
-    /// Bytes that came from there and were not passed on.
-    #[serde(default, with = "bytes", skip_serializing_if = "Vec::is_empty")]
-    pub came: Vec<u8>,
-    /// So many of them are lines that were looked at.
-    #[serde(default)]
-    pub seen: usize,
-    /// Words of the balancer's own that could not be sent there yet.
-    #[serde(default, with = "bytes", skip_serializing_if = "Vec::is_empty")]
-    pub said: Vec<u8>,
-    /// A part of a line has gone out there.
+    /// Received and not passed on.
+    #[serde(default, rename = "came", with = "base64_text", skip_serializing_if = "Vec::is_empty")]
+    pub received: Vec<u8>,
+    /// How many of them are lines that have been examined.
+    #[serde(default, rename = "seen")]
+    pub examined: usize,
+    /// Messages of the balancer's own that are still to be sent.
+    #[serde(default, rename = "said", with = "base64_text", skip_serializing_if = "Vec::is_empty")]
+    pub unsent: Vec<u8>,
+    /// The last line sent is incomplete.
     #[serde(default)]
     pub mid_line: bool,
 }
 
 impl BufferedBytes {
-    fn is_nothing(&self) -> bool {
+    fn is_empty(&self) -> bool {
         *self == BufferedBytes::default()
     }
 }
 
-/// Bytes as text.
-mod bytes {
+/// Bytes as base64 text without padding.
+mod base64_text {
+    use std::borrow::Cow;
+
     use base64::Engine;
     use base64::engine::general_purpose::STANDARD_NO_PAD;
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-    pub fn serialize<S: Serializer>(bytes: &[u8], to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(&STANDARD_NO_PAD.encode(bytes))
+    pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(&STANDARD_NO_PAD.encode(bytes))
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(from)?;
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
+        let text = Cow::<str>::deserialize(deserializer)?;
         STANDARD_NO_PAD.decode(text.as_bytes()).map_err(D::Error::custom)
     }
 }
 
-/// What such a line begins with.
-const STANDS: &[u8] = b"STANDS ";
+/// An established connection on its way between two processes, with its descriptors.
+#[derive(Debug)]
+pub struct TransferredConnection {
+    /// Its state.
+    pub state: EstablishedConnection,
+    /// The client's end.
+    pub client: TcpStream,
+    /// The server's end.
+    pub server: TcpStream,
+}
 
-impl EstablishedConnection {
-    /// Its line.
-    pub fn line(&self) -> Vec<u8> {
-        // NameIndex and numbers, which can be written as JSON.
-        [STANDS, &serde_json::to_vec(self).unwrap_or_default(), b"\n"].concat()
-    }
+/// A message of the old process.
+#[derive(Clone, Debug, PartialEq)]
+pub enum PredecessorMessage {
+    /// `STANDS JSON`: an established connection, whose descriptors come along.
+    Connection(Box<EstablishedConnection>),
+    /// `HELD N`: descriptors that the old process holds or may still open.
+    Descriptors(usize),
+    /// `LEAVES`: the old process accepts no more clients.
+    Draining,
+    /// `KEEPS`: the old process keeps every connection that has not been acknowledged.
+    KeepsUnacknowledged,
+}
 
-    /// Reads a line, without its end; none where it is another one.
-    pub fn read(line: &[u8]) -> Option<Result<Self, serde_json::Error>> {
-        line.strip_prefix(STANDS).map(serde_json::from_slice)
+impl PredecessorMessage {
+    /// Parses a line, without its end; none for a line of another kind.
+    ///
+    /// # Errors
+    /// A connection whose state can't be parsed.
+    pub fn parse(line: &[u8]) -> Result<Option<Self>, serde_json::Error> {
+        if let Some(json) = line.strip_prefix(b"STANDS ") {
+            return Ok(Some(Self::Connection(serde_json::from_slice(json)?)));
+        }
+        Ok(match line {
+            b"LEAVES" => Some(Self::Draining),
+            b"KEEPS" => Some(Self::KeepsUnacknowledged),
+            _ => parse_number(line, b"HELD ").map(Self::Descriptors),
+        })
     }
 }
 
-/// The line that tells how many descriptors the old process holds or may take.
-pub fn held(descriptors: usize) -> String {
-    format!("HELD {descriptors}\n")
+/// Writes the line with its end.
+impl fmt::Display for PredecessorMessage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Connection(connection) => f.write_str(&connection.to_line()),
+            Self::Descriptors(count) => writeln!(f, "HELD {count}"),
+            Self::Draining => writeln!(f, "LEAVES"),
+            Self::KeepsUnacknowledged => writeln!(f, "KEEPS"),
+        }
+    }
 }
 
-/// Reads that line, without its end.
-pub fn read_held(line: &[u8]) -> Option<usize> {
-    std::str::from_utf8(line.strip_prefix(b"HELD ")?).ok()?.parse().ok()
+/// A message of the new process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SuccessorMessage {
+    /// `TAKES 2`: the new process takes established connections with the bytes in flight, and acknowledges each.
+    AcceptsConnections,
+    /// `SERVES`: the new process accepts clients.
+    Serving,
+    /// `ENDS`: the old process is to terminate.
+    Terminate,
+    /// `TOOK N`: the first so many connections, counted from the first one sent, belong to the new process.
+    Acknowledged(u64),
 }
 
-/// The line that tells that so many standing connections, counted from the first, are the new process's own.
-pub fn took(connections: u64) -> String {
-    format!("TOOK {connections}\n")
+impl SuccessorMessage {
+    /// Parses a line, without its end; none for a line of another kind.
+    pub fn parse(line: &[u8]) -> Option<Self> {
+        match line {
+            b"TAKES 2" => Some(Self::AcceptsConnections),
+            b"SERVES" => Some(Self::Serving),
+            b"ENDS" => Some(Self::Terminate),
+            _ => parse_number(line, b"TOOK ").map(Self::Acknowledged),
+        }
+    }
 }
 
-/// Reads that line, without its end.
-pub fn read_took(line: &[u8]) -> Option<u64> {
-    std::str::from_utf8(line.strip_prefix(b"TOOK ")?).ok()?.parse().ok()
+/// Writes the line with its end.
+impl fmt::Display for SuccessorMessage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::AcceptsConnections => writeln!(f, "TAKES 2"),
+            Self::Serving => writeln!(f, "SERVES"),
+            Self::Terminate => writeln!(f, "ENDS"),
+            Self::Acknowledged(connections) => writeln!(f, "TOOK {connections}"),
+        }
+    }
 }
 
-/// A standing connection between two processes: its words, the client's end and the server's.
-pub type TransferredConnection = (EstablishedConnection, TcpStream, TcpStream);
+fn parse_number<N: std::str::FromStr>(line: &[u8], prefix: &[u8]) -> Option<N> {
+    std::str::from_utf8(line.strip_prefix(prefix)?).ok()?.parse().ok()
+}
 
-/// Takes the next line out of what has come, without its end.
-pub fn line(inbox: &mut Vec<u8>) -> Option<Vec<u8>> {
-    let end = inbox.iter().position(|b| *b == b'\n')?;
+/// Removes the next complete line from `inbox` and returns it without its end.
+pub fn take_line(inbox: &mut Vec<u8>) -> Option<Vec<u8>> {
+    let end = inbox.iter().position(|byte| *byte == b'\n')?;
     let mut line: Vec<u8> = inbox.drain(..=end).collect();
     line.pop();
     Some(line)
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -8,11 +8,18 @@
 
 #[test]
 fn lines_come_out_one_by_one_and_tell_what_was_said() {
-    let mut inbox = [held(17).as_bytes(), LEAVES, b"\nHEL"].concat();
-    assert_eq!(line(&mut inbox).as_deref().and_then(read_held), Some(17));
-    assert_eq!(line(&mut inbox).as_deref(), Some(LEAVES));
-    assert_eq!((line(&mut inbox), inbox.as_slice()), (None, &b"HEL"[..]));
-    assert_eq!([&b"HELD"[..], b"HELD x", b"HELD -1"].map(read_held), [None; 3]);
+    let mut inbox = b"HELD 17\nLEAVES\nHEL".to_vec();
+    let mut next = || take_line(&mut inbox).map(|line| PredecessorMessage::parse(&line).expect("no JSON"));
+    assert_eq!(next(), Some(Some(PredecessorMessage::Descriptors(17))));
+    assert_eq!(next(), Some(Some(PredecessorMessage::Draining)));
+    assert_eq!(next(), None);
+    assert_eq!(inbox, b"HEL");
+    for line in [&b"HELD"[..], b"HELD x", b"HELD -1", b"LEAVES 1", b"KEEPS ", b""] {
+        assert!(matches!(PredecessorMessage::parse(line), Ok(None)), "{line:?}");
+    }
+    for line in [&b"TAKES"[..], b"TAKES 1", b"TOOK", b"TOOK x", b"serves"] {
+        assert_eq!(SuccessorMessage::parse(line), None, "{line:?}");
+    }
 }
 
 /// The bytes that a process of this version writes, and reads from the one before it: stored names are not the code's to change.
@@ -86,11 +93,11 @@
 fn estate() -> HandoverState {
     HandoverState {
         version: VERSION,
-        listeners: 2,
-        held: 512,
-        known: servers(),
-        memory: learned(),
-        taken: 1_764_747_000_000_000,
+        listener_count: 2,
+        descriptors: 512,
+        endpoints: servers(),
+        learned: learned(),
+        exported_at: 1_764_747_000_000_000,
     }
 }
 
@@ -106,7 +113,7 @@
 fn the_first_line_of_a_process_without_memory_is_read() {
     let read: HandoverState =
         serde_json::from_str(fixture!("estate-without-memory.jsonl")).expect("an estate");
-    assert_eq!(read, HandoverState { memory: Vec::new(), taken: 0, ..estate() });
+    assert_eq!(read, HandoverState { learned: Vec::new(), exported_at: 0, ..estate() });
 }
 
 /// A connection with all that may be left out, and bytes that are no text.
@@ -114,24 +121,24 @@
     EstablishedConnection {
         client: "10.0.0.9:50123".parse().expect("an address"),
         server: 0xfedc_ba98_7654_3210,
-        id: 0x9b1f_03aa_5c7e_2d41,
+        open_id: 0x9b1f_03aa_5c7e_2d41,
         class: "chat".into(),
         tenant: "acme".into(),
         key: 0x7f3a_9c21_e0b4_d655,
         group: 0x5c0f,
-        hint: Some(0.25),
+        load_hint: Some(0.25),
         load: Some(255_465.125),
-        asked: Some(1_764_747_000_000_001),
-        at_client: BufferedBytes {
-            came: b"hello\r\nwor".to_vec(),
-            seen: 7,
-            said: b"MOVE\r\n".to_vec(),
+        unanswered_since: Some(1_764_747_000_000_001),
+        client_buffers: BufferedBytes {
+            received: b"hello\r\nwor".to_vec(),
+            examined: 7,
+            unsent: b"MOVE\r\n".to_vec(),
             mid_line: true,
         },
-        at_server: BufferedBytes {
-            came: vec![0xff, 0x00, b'\n'],
-            seen: 1,
-            said: b"STATS\r\n".to_vec(),
+        server_buffers: BufferedBytes {
+            received: vec![0xff, 0x00, b'\n'],
+            examined: 1,
+            unsent: b"STATS\r\n".to_vec(),
             mid_line: true,
         },
     }
@@ -141,37 +148,54 @@
 fn quiet() -> EstablishedConnection {
     let nothing = BufferedBytes::default;
     EstablishedConnection {
-        hint: None,
+        load_hint: None,
         load: None,
-        asked: None,
-        at_client: nothing(),
-        at_server: nothing(),
+        unanswered_since: None,
+        client_buffers: nothing(),
+        server_buffers: nothing(),
         ..busy()
     }
 }
 
 #[test]
-fn a_standing_connection_is_written_and_read_byte_for_byte() {
-    let in_part = BufferedBytes { said: b"MOVE\r\n".to_vec(), ..BufferedBytes::default() };
-    for (standing, line) in [
+fn an_established_connection_is_written_and_read_byte_for_byte() {
+    let in_part = BufferedBytes { unsent: b"MOVE\r\n".to_vec(), ..BufferedBytes::default() };
+    for (connection, line) in [
         (busy(), fixture!("standing.txt")),
         (quiet(), fixture!("standing-quiet.txt")),
-        (EstablishedConnection { at_client: in_part, ..quiet() }, fixture!("standing-in-part.txt")),
+        (EstablishedConnection { client_buffers: in_part, ..quiet() }, fixture!("standing-in-part.txt")),
     ] {
-        assert_eq!(String::from_utf8(standing.line()).expect("text"), line);
-        let read = EstablishedConnection::read(line.trim_end().as_bytes())
-            .expect("such a line")
-            .expect("a connection");
-        assert_eq!(read, standing);
+        let message = PredecessorMessage::Connection(Box::new(connection));
+        assert_eq!(message.to_string(), line);
+        let read = PredecessorMessage::parse(line.trim_end().as_bytes()).expect("JSON");
+        assert_eq!(read, Some(message));
     }
-    assert!(EstablishedConnection::read(b"HELD 17").is_none());
+    assert!(PredecessorMessage::parse(b"STANDS {}").is_err());
 }
 
 #[test]
 fn the_short_lines_are_written_and_read_byte_for_byte() {
-    let lines =
-        [SERVES, TAKES, ENDS, KEEPS, LEAVES].map(|line| String::from_utf8_lossy(line).into_owned() + "\n");
-    let text = lines.concat() + &held(1024) + &took(17);
-    assert_eq!(text, fixture!("short-lines.txt"));
-    assert_eq!((read_held(b"HELD 1024"), read_took(b"TOOK 17")), (Some(1024), Some(17)));
+    let successor = [
+        SuccessorMessage::Serving,
+        SuccessorMessage::AcceptsConnections,
+        SuccessorMessage::Terminate,
+        SuccessorMessage::Acknowledged(17),
+    ];
+    let predecessor = [
+        PredecessorMessage::KeepsUnacknowledged,
+        PredecessorMessage::Draining,
+        PredecessorMessage::Descriptors(1024),
+    ];
+    let [serving, accepts, terminate, acknowledged] = successor.map(|message| message.to_string());
+    let [keeps, draining, descriptors] = predecessor.clone().map(|message| message.to_string());
+    let text =
+        [&serving, &accepts, &terminate, &keeps, &draining, &descriptors, &acknowledged].map(String::as_str);
+    assert_eq!(text.concat(), fixture!("short-lines.txt"));
+    for message in successor {
+        assert_eq!(SuccessorMessage::parse(message.to_string().trim_end().as_bytes()), Some(message));
+    }
+    for message in predecessor {
+        let line = message.to_string();
+        assert_eq!(PredecessorMessage::parse(line.trim_end().as_bytes()).expect("no JSON"), Some(message));
+    }
 }
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -1,204 +1,238 @@
-//! The new process's side: what the old one leaves, and whether it is still there.
+//! The new process's end of a hand-over: it requests the state of the old one, then takes its established connections.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSliceMut, Write};
 use std::mem::MaybeUninit;
 use std::net::TcpListener;
-use std::os::fd::OwnedFd;
+use std::os::fd::{AsFd, OwnedFd};
 use std::os::unix::net::UnixStream as StdUnixStream;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 use mio::net::{TcpStream, UnixStream};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, recvmsg};
+use thiserror::Error;
 use tracing::warn;
 
-use crate::event_loop::poll::{EventSource, SourceRegistry};
-use crate::handover::is_own;
-use crate::handover::messages::{
-    ENDS, EstablishedConnection, HandoverState, KEEPS, LEAVES, LISTENERS, LONGEST, SERVES, TAKES,
-    TransferredConnection, VERSION, line, read_held, took,
+use super::check_same_user;
+use super::messages::{
+    EstablishedConnection, HandoverState, MAX_LISTENERS, MAX_STATE_BYTES, PredecessorMessage,
+    SuccessorMessage, TransferredConnection, VERSION, take_line,
 };
+use crate::event_loop::poll::{EventSource, SourceRegistry};
 
-/// The old process has this long to answer: its loop may be busy, and the start has 6 s in all.
-const PATIENCE: Duration = Duration::from_millis(1500);
-
-/// A line of the old process's is no longer: names are lines of the platform's at the most, and four buffers go along as
-/// text.
-const LINE: usize = 64 << 10;
-
-/// Standing connections that are taken in in one turn: their lines wait no longer than that.
-const PORTION: usize = 64;
+/// The old process must answer within this time: its loop may be busy, and the start has 6 s in all.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The longest line after the first: names are as long as a line of the protocol, and four buffers come along as text.
+const MAX_LINE_BYTES: usize = 64 << 10;
+/// Connections that are taken in one iteration of the event loop.
+const MAX_CONNECTIONS_PER_ITERATION: usize = 64;
 
-/// What the old process has left.
+/// What the old process has handed over at once.
 #[derive(Debug)]
 pub struct ReceivedHandover {
     /// Its listeners.
     pub listeners: Vec<TcpListener>,
-    /// The rest.
-    pub estate: HandoverState,
+    /// Its state.
+    pub state: HandoverState,
     stream: StdUnixStream,
 }
 
-/// Asks the process that listens at the path.
+/// A state that can't be used.
+#[derive(Debug, Error)]
+enum InvalidState {
+    #[error("the estate is longer than {MAX_STATE_BYTES} bytes")]
+    TooLong,
+    #[error("the estate: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error("version {version} with {received} listeners of {announced}")]
+    Mismatch { version: u32, received: usize, announced: usize },
+}
+
+impl From<InvalidState> for io::Error {
+    fn from(error: InvalidState) -> Self {
+        io::Error::new(ErrorKind::InvalidData, error)
+    }
+}
+
+/// Receives bytes, and with them the descriptors that come along.
+fn receive(
+    stream: impl AsFd,
+    buffer: &mut [u8],
+    mut on_descriptor: impl FnMut(OwnedFd),
+) -> io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
+    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let received = recvmsg(stream, &mut [IoSliceMut::new(buffer)], &mut control, RecvFlags::CMSG_CLOEXEC);
+    for message in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+            descriptors.for_each(&mut on_descriptor);
+        }
+    }
+    Ok(received?.bytes)
+}
+
+/// Requests the state of the process that listens at `path`.
 ///
 /// # Errors
-/// Where nobody does, where it does not answer in time, or with what can't be used.
-pub fn ask(path: &Path) -> io::Result<ReceivedHandover> {
+/// No process listens there, it does not answer in time, or its state can't be used.
+pub fn request_state(path: &Path) -> io::Result<ReceivedHandover> {
     let stream = StdUnixStream::connect(path)?;
-    is_own(&stream)?;
-    let began = Instant::now();
+    check_same_user(&stream)?;
+    let started = Instant::now();
     let (mut text, mut listeners) = (Vec::new(), Vec::new());
-    let bad = |why: String| io::Error::new(ErrorKind::InvalidData, why);
-    let mut bytes = vec![0; 64 << 10];
+    let mut buffer = vec![0; 64 << 10];
     while text.last() != Some(&b'\n') {
-        let left = PATIENCE.checked_sub(began.elapsed()).filter(|left| !left.is_zero());
-        stream.set_read_timeout(Some(left.ok_or(ErrorKind::TimedOut)?))?;
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
-        let mut control = RecvAncillaryBuffer::new(&mut space);
-        let got =
-            recvmsg(&stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
-        for message in control.drain() {
-            if let RecvAncillaryMessage::ScmRights(fds) = message {
-                listeners.extend(fds.map(TcpListener::from));
-            }
-        }
-        if got.bytes == 0 {
+        let remaining = RESPONSE_TIMEOUT.checked_sub(started.elapsed()).filter(|left| !left.is_zero());
+        stream.set_read_timeout(Some(remaining.ok_or(ErrorKind::TimedOut)?))?;
+        let received = receive(&stream, &mut buffer, |fd| listeners.push(TcpListener::from(fd)))?;
+        if received == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
-        text.extend_from_slice(&bytes[..got.bytes]);
-        if text.len() > LONGEST {
-            return Err(bad(format!("the estate is longer than {LONGEST} bytes")));
+        text.extend_from_slice(&buffer[..received]);
+        if text.len() > MAX_STATE_BYTES {
+            return Err(InvalidState::TooLong.into());
         }
     }
-    let estate: HandoverState = serde_json::from_slice(&text).map_err(|e| bad(format!("the estate: {e}")))?;
-    if estate.version != VERSION || estate.listeners != listeners.len() {
-        let (version, n) = (estate.version, listeners.len());
-        return Err(bad(format!("version {version} with {n} listeners of {}", estate.listeners)));
+    let state: HandoverState = serde_json::from_slice(&text).map_err(InvalidState::Malformed)?;
+    if state.version != VERSION || state.listener_count != listeners.len() {
+        let (received, announced) = (listeners.len(), state.listener_count);
+        return Err(InvalidState::Mismatch { version: state.version, received, announced }.into());
     }
-    Ok(ReceivedHandover { listeners, estate, stream })
+    Ok(ReceivedHandover { listeners, state, stream })
 }
 
-/// The old process, while it is there.
+/// The old process, while it runs.
 #[derive(Debug)]
 pub struct Predecessor {
     stream: UnixStream,
     inbox: Vec<u8>,
-    /// Descriptors that it holds or may take.
-    pub held: usize,
-    /// It takes no clients any more.
-    pub leaves: bool,
-    /// Descriptors that came along, in their order.
-    ends: VecDeque<OwnedFd>,
-    /// Standing connections that came along and are not this process's yet.
-    stands: Vec<TransferredConnection>,
-    /// So many are.
-    took: u64,
-    /// The old process goes on with those that it was not told of.
-    keeps: bool,
-    /// It can't be told any more, or not now.
-    deaf: bool,
-    /// More may have come than was taken in.
-    pub more: bool,
+    /// Descriptors that it holds or may still open.
+    pub descriptors: usize,
+    /// It accepts no more clients.
+    pub is_draining: bool,
+    /// Descriptors received and not yet assigned to a connection, in their order.
+    received_fds: VecDeque<OwnedFd>,
+    /// Connections received and not yet acknowledged.
+    unacknowledged: Vec<TransferredConnection>,
+    /// How many connections have been acknowledged.
+    acknowledged: u64,
+    /// It keeps the connections that were not acknowledged.
+    keeps_unacknowledged: bool,
+    /// No acknowledgement can be sent any more.
+    is_unreachable: bool,
+    /// More may be waiting at the socket than was received.
+    pub has_more: bool,
 }
 
 impl Predecessor {
-    /// The old process, told that this one serves, and that it is to end if it is.
-    pub fn told(inherited: ReceivedHandover, ends: bool, poller: &SourceRegistry) -> io::Result<Self> {
-        inherited.stream.set_nonblocking(true)?;
-        let mut stream = UnixStream::from_std(inherited.stream);
+    /// Tells the old process that this one serves, and to terminate if `terminate` is set.
+    ///
+    /// # Errors
+    /// The socket can't be watched or written to.
+    pub fn announce(
+        handover: ReceivedHandover,
+        terminate: bool,
+        poller: &SourceRegistry,
+    ) -> io::Result<Self> {
+        handover.stream.set_nonblocking(true)?;
+        let mut stream = UnixStream::from_std(handover.stream);
         poller.watch_source(&mut stream, EventSource::Predecessor)?;
-        stream.write_all(&[TAKES, b"\n", SERVES, b"\n"].concat())?;
-        if ends {
-            stream.write_all(&[ENDS, b"\n"].concat())?;
+        let ready = format!("{}{}", SuccessorMessage::AcceptsConnections, SuccessorMessage::Serving);
+        stream.write_all(ready.as_bytes())?;
+        if terminate {
+            stream.write_all(SuccessorMessage::Terminate.to_string().as_bytes())?;
         }
         Ok(Predecessor {
             stream,
             inbox: Vec::new(),
-            held: inherited.estate.held,
-            leaves: false,
-            ends: VecDeque::new(),
-            stands: Vec::new(),
-            took: 0,
-            keeps: false,
-            deaf: false,
-            more: false,
+            descriptors: handover.state.descriptors,
+            is_draining: false,
+            received_fds: VecDeque::new(),
+            unacknowledged: Vec::new(),
+            acknowledged: 0,
+            keeps_unacknowledged: false,
+            is_unreachable: false,
+            has_more: false,
         })
     }
 
-    /// Hears what it says, up to a portion of standing connections; false once it is gone.
-    pub fn ready(&mut self) -> bool {
-        let mut bytes = [0; LINE];
-        self.more = false;
+    /// Receives messages, up to a number of connections; returns false once the old process is gone.
+    pub fn receive(&mut self) -> bool {
+        let mut buffer = [0; MAX_LINE_BYTES];
+        self.has_more = false;
         loop {
-            if self.stands.len() >= PORTION && !self.deaf {
-                self.more = true;
+            if self.unacknowledged.len() >= MAX_CONNECTIONS_PER_ITERATION && !self.is_unreachable {
+                self.has_more = true;
                 return true;
             }
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
-            let mut control = RecvAncillaryBuffer::new(&mut space);
-            let into = &mut [IoSliceMut::new(&mut bytes)];
-            let got = recvmsg(&self.stream, into, &mut control, RecvFlags::CMSG_CLOEXEC);
-            for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(fds) = message {
-                    self.ends.extend(fds);
-                }
-            }
-            match got.map_err(io::Error::from) {
-                Ok(got) if got.bytes == 0 => return false,
-                Ok(got) => self.inbox.extend_from_slice(&bytes[..got.bytes]),
+            match receive(&self.stream, &mut buffer, |fd| self.received_fds.push_back(fd)) {
+                Ok(0) => return false,
+                Ok(received) => self.inbox.extend_from_slice(&buffer[..received]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
-            while let Some(line) = line(&mut self.inbox) {
-                self.leaves |= line == LEAVES;
-                self.keeps |= line == KEEPS;
-                self.held = read_held(&line).unwrap_or(self.held);
-                if let Some(standing) = EstablishedConnection::read(&line) {
-                    self.comes_along(standing);
-                }
+            while let Some(line) = take_line(&mut self.inbox) {
+                self.on_line(&line);
             }
-            if self.inbox.len() > LINE {
+            if self.inbox.len() > MAX_LINE_BYTES {
                 return false;
             }
         }
     }
 
-    /// Standing connections that are this process's from now on. Each is exactly one's: the old process is told before
-    /// anything is passed on here, and goes on with those it was not told of, which it says, unless it is gone.
-    pub fn taken(&mut self, gone: bool) -> Vec<TransferredConnection> {
-        if gone && !self.keeps {
-            return std::mem::take(&mut self.stands);
+    fn on_line(&mut self, line: &[u8]) {
+        match PredecessorMessage::parse(line) {
+            Ok(Some(PredecessorMessage::Connection(state))) => self.on_connection(*state),
+            Ok(Some(PredecessorMessage::Descriptors(count))) => self.descriptors = count,
+            Ok(Some(PredecessorMessage::Draining)) => self.is_draining = true,
+            Ok(Some(PredecessorMessage::KeepsUnacknowledged)) => self.keeps_unacknowledged = true,
+            Ok(None) => {}
+            Err(e) => {
+                drop(self.take_descriptors());
+                warn!(event = "not-taken-over", why = %e);
+            }
+        }
+    }
+
+    /// Takes the connections that belong to this process from now on. Each belongs to exactly one process: the old one
+    /// receives the acknowledgement before anything is relayed here, and keeps the connections that were not
+    /// acknowledged, unless it is `gone` without having said so.
+    pub fn take_connections(&mut self, gone: bool) -> Vec<TransferredConnection> {
+        if gone && !self.keeps_unacknowledged {
+            return std::mem::take(&mut self.unacknowledged);
         }
-        let all = self.took + self.stands.len() as u64;
-        if gone || self.deaf || self.stands.is_empty() {
+        if gone || self.is_unreachable || self.unacknowledged.is_empty() {
             return Vec::new();
         }
-        // One line is far less than the socket holds: it goes whole or not at all.
-        let line = took(all);
-        self.deaf = !matches!((&self.stream).write(line.as_bytes()), Ok(n) if n == line.len());
-        if self.deaf {
+        let all = self.acknowledged + self.unacknowledged.len() as u64;
+        let line = SuccessorMessage::Acknowledged(all).to_string();
+        // One line is far less than the socket buffers: it is written completely or not at all.
+        let is_sent = matches!((&self.stream).write(line.as_bytes()), Ok(written) if written == line.len());
+        self.is_unreachable = !is_sent;
+        if self.is_unreachable {
             return Vec::new();
         }
-        self.took = all;
-        std::mem::take(&mut self.stands)
+        self.acknowledged = all;
+        std::mem::take(&mut self.unacknowledged)
     }
 
-    /// A standing connection has come along. Its ends came with the first byte of its line, so they are here.
-    fn comes_along(&mut self, standing: Result<EstablishedConnection, serde_json::Error>) {
-        let (client, server) = (self.ends.pop_front(), self.ends.pop_front());
-        match (standing, client, server) {
-            (Ok(standing), Some(client), Some(server)) => {
-                let [client, server] = [client, server].map(|end| TcpStream::from_std(end.into()));
-                self.stands.push((standing, client, server));
-            }
-            (standing, ..) => {
-                let why =
-                    standing.err().map_or_else(|| "without its descriptors".to_owned(), |e| e.to_string());
-                warn!(event = "not-taken-over", why);
-            }
-        }
+    /// Assigns a connection its descriptors.
+    fn on_connection(&mut self, state: EstablishedConnection) {
+        let Some([client, server]) = self.take_descriptors() else {
+            warn!(event = "not-taken-over", why = "without its descriptors");
+            return;
+        };
+        let [client, server] = [client, server].map(|fd| TcpStream::from_std(fd.into()));
+        self.unacknowledged.push(TransferredConnection { state, client, server });
+    }
+
+    /// The client's and the server's descriptor of the next connection. They come with the first byte of its line, so they
+    /// have been received when the line is complete.
+    fn take_descriptors(&mut self) -> Option<[OwnedFd; 2]> {
+        let (client, server) = (self.received_fds.pop_front(), self.received_fds.pop_front());
+        Some([client?, server?])
     }
 }
 
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -1,75 +1,99 @@
-//! The old process's side: whoever asks gets the listeners and the list, and is a successor once it serves.
+//! The old process's end of a hand-over: it offers its listeners and its state to any process that connects, and transfers
+//! its established connections to the one that serves.
 
-use shorewharf_units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::Permissions;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::mem::MaybeUninit;
 use std::net::{Shutdown, TcpListener};
-use std::os::fd::AsFd;
+use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
 use mio::net::{UnixListener, UnixStream};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
-
+use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::poll::{EventSource, SourceRegistry};
-use crate::handover::is_own;
-use crate::handover::messages::{
-    ENDS, HandoverState, KEEPS, LISTENERS, SERVES, TAKES, TransferredConnection, line, read_took,
+use super::check_same_user;
+use super::messages::{
+    HandoverState, MAX_LISTENERS, PredecessorMessage, SuccessorMessage, TransferredConnection, take_line,
 };
+use crate::event_loop::poll::{EventSource, SourceRegistry};
 
-/// Processes that may have asked at once: one, a second one before the first serves, and some that hang.
-const SUCCESSORS: usize = 4;
-/// A line of a successor's is no longer.
-const LINE: usize = 64;
+/// The most connected processes: one that serves, a second one before the first serves, and some that hang.
+const MAX_SUCCESSORS: usize = 4;
+/// The longest line of a successor.
+const MAX_LINE_BYTES: usize = 64;
+/// A successor that acknowledges nothing for this long, with connections in transit to it, has stalled.
+const STALL_TIMEOUT: Micros = 500_000;
 
-/// A successor that takes nothing for so long, of what is on its way to it, stands still: its clients wait.
-const STALLS: Micros = 500_000;
+/// Sends bytes with descriptors. Returns how many bytes were sent.
+fn send_with_descriptors(
+    stream: &UnixStream,
+    bytes: &[u8],
+    descriptors: &[BorrowedFd<'_>],
+) -> io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
+    let mut control = SendAncillaryBuffer::new(&mut space);
+    control.push(SendAncillaryMessage::ScmRights(descriptors));
+    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?)
+}
 
-/// A process that has asked.
+/// A process that has connected.
 #[derive(Debug)]
 struct Successor {
     stream: UnixStream,
     inbox: Vec<u8>,
     outbox: Vec<u8>,
-    /// The listeners have gone out, with the first bytes.
-    given: bool,
-    serves: bool,
-    /// It says of each standing connection that it took it.
-    takes: bool,
-    /// It took nothing for long.
-    stalls: bool,
-    /// This process is to end, by its word.
-    ends: bool,
-    /// Standing connections on their way there, in their order.
-    out: VecDeque<TransferredConnection>,
-    /// So many before those are its own.
-    took: u64,
-    /// When it took one last, or the first that is on its way was sent.
-    since: Micros,
+    /// The listeners have been sent, with the first bytes.
+    has_listeners: bool,
+    is_serving: bool,
+    /// It takes established connections and acknowledges each.
+    accepts_connections: bool,
+    /// It has acknowledged nothing for too long.
+    is_stalled: bool,
+    /// It asks this process to terminate.
+    wants_termination: bool,
+    /// Connections that were sent and not acknowledged, in their order.
+    in_transit: VecDeque<TransferredConnection>,
+    /// How many were acknowledged before those.
+    acknowledged: u64,
+    /// Time of the last acknowledgement, or of the first connection in transit.
+    last_progress: Micros,
 }
 
 impl Successor {
-    /// Writes what is to be written; false where the other side is gone.
-    fn writes(&mut self, listeners: &[TcpListener]) -> bool {
+    /// A connected process that is to be sent these bytes first.
+    fn new(stream: UnixStream, outbox: Vec<u8>) -> Self {
+        Successor {
+            stream,
+            inbox: Vec::new(),
+            outbox,
+            has_listeners: false,
+            is_serving: false,
+            accepts_connections: false,
+            is_stalled: false,
+            wants_termination: false,
+            in_transit: VecDeque::new(),
+            acknowledged: 0,
+            last_progress: 0,
+        }
+    }
+
+    /// Writes what the socket takes of the outbox; returns false if the process is gone.
+    fn flush(&mut self, listeners: &[TcpListener]) -> bool {
         while !self.outbox.is_empty() {
-            let wrote = if self.given {
+            let written = if self.has_listeners {
                 (&self.stream).write(&self.outbox)
             } else {
-                let fds: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
-                let mut control = SendAncillaryBuffer::new(&mut space);
-                control.push(SendAncillaryMessage::ScmRights(&fds));
-                let sent =
-                    sendmsg(&self.stream, &[IoSlice::new(&self.outbox)], &mut control, SendFlags::NOSIGNAL);
-                self.given = sent.is_ok();
-                sent.map_err(io::Error::from)
+                let descriptors: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
+                let sent = send_with_descriptors(&self.stream, &self.outbox, &descriptors);
+                self.has_listeners = sent.is_ok();
+                sent
             };
-            match wrote {
-                Ok(n) => drop(self.outbox.drain(..n)),
+            match written {
+                Ok(count) => drop(self.outbox.drain(..count)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
@@ -78,225 +102,239 @@
         true
     }
 
-    /// Reads what it says; false where it is gone.
-    fn reads(&mut self, now: Micros) -> bool {
-        let mut bytes = [0; LINE];
+    /// Receives messages; returns false if the process is gone.
+    fn receive(&mut self, now: Micros) -> bool {
+        let mut buffer = [0; MAX_LINE_BYTES];
         loop {
-            match self.stream.read(&mut bytes) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return false,
-                Ok(n) => self.inbox.extend_from_slice(&bytes[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
+                Ok(count) => self.inbox.extend_from_slice(&buffer[..count]),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
-            while let Some(line) = line(&mut self.inbox) {
-                self.serves |= line == SERVES;
-                self.takes |= line == TAKES;
-                self.ends |= line == ENDS;
-                if let Some(all) = read_took(&line) {
-                    let some = all.saturating_sub(self.took).min(self.out.len() as u64);
-                    // Its own from now on: what is let go here is this process's descriptors of them.
-                    self.out.drain(..some as usize);
-                    (self.took, self.since) = (self.took + some, now);
+            while let Some(line) = take_line(&mut self.inbox) {
+                if let Some(message) = SuccessorMessage::parse(&line) {
+                    self.on_message(now, message);
                 }
             }
-            if self.inbox.len() > LINE {
+            if self.inbox.len() > MAX_LINE_BYTES {
                 return false;
             }
         }
-        true
+    }
+
+    fn on_message(&mut self, now: Micros, message: SuccessorMessage) {
+        match message {
+            SuccessorMessage::Serving => self.is_serving = true,
+            SuccessorMessage::AcceptsConnections => self.accepts_connections = true,
+            SuccessorMessage::Terminate => self.wants_termination = true,
+            SuccessorMessage::Acknowledged(all) => {
+                let newly = all.saturating_sub(self.acknowledged).min(self.in_transit.len() as u64);
+                // The connections are its own now; this process closes its descriptors of them.
+                self.in_transit.drain(..newly as usize);
+                self.acknowledged += newly;
+                self.last_progress = now;
+            }
+        }
+    }
+
+    /// Sends a connection with its descriptors.
+    fn send(&mut self, connection: &TransferredConnection) -> io::Result<()> {
+        let line = connection.state.to_line();
+        let descriptors = [connection.client.as_fd(), connection.server.as_fd()];
+        let sent = send_with_descriptors(&self.stream, line.as_bytes(), &descriptors)?;
+        // The rest of the line follows when the socket takes it.
+        self.outbox.extend_from_slice(&line.as_bytes()[sent..]);
+        Ok(())
+    }
+
+    fn add_in_transit(&mut self, now: Micros, connection: TransferredConnection) {
+        if self.in_transit.is_empty() {
+            self.last_progress = now;
+        }
+        self.in_transit.push_back(connection);
+    }
+
+    fn has_stalled(&self, now: Micros) -> bool {
+        !self.in_transit.is_empty() && now >= self.last_progress + STALL_TIMEOUT
     }
 }
 
-/// Where new processes ask, and those that have.
+/// The socket that new processes connect to, and those that have.
 #[derive(Debug)]
 pub struct Successors {
     path: PathBuf,
-    listener: UnixListener,
-    /// What is handed over.
+    socket: UnixListener,
+    /// The TCP listeners that are handed over.
     listeners: Vec<TcpListener>,
-    table: BTreeMap<u64, Successor>,
-    next: u64,
-    /// Standing connections that their successor has not taken, and will not.
-    back: Vec<TransferredConnection>,
+    by_number: BTreeMap<u64, Successor>,
+    last_number: u64,
+    /// Connections that a successor has not acknowledged, and never will.
+    returned: Vec<TransferredConnection>,
 }
 
-/// Listens at the path, in the place of whoever did before.
+/// Listens at the path, in the place of whichever process did before.
 fn listen(path: &Path) -> io::Result<UnixListener> {
-    let own = path.with_extension(std::process::id().to_string());
-    // Left over by a process of this number, long ago.
-    let _ = std::fs::remove_file(&own);
-    let listener = UnixListener::bind(&own)?;
-    std::fs::set_permissions(&own, Permissions::from_mode(0o600))?;
-    std::fs::rename(&own, path)?;
-    Ok(listener)
+    let own_path = path.with_extension(std::process::id().to_string());
+    // Left behind by an earlier process of this number.
+    let _ = std::fs::remove_file(&own_path);
+    let socket = UnixListener::bind(&own_path)?;
+    std::fs::set_permissions(&own_path, Permissions::from_mode(0o600))?;
+    std::fs::rename(&own_path, path)?;
+    Ok(socket)
 }
 
 impl Successors {
-    /// Offers these listeners at the path from now on.
+    /// Offers these listeners at the path.
+    ///
+    /// # Errors
+    /// More than [`MAX_LISTENERS`] listeners, or a socket that can't be opened at the path.
     pub fn open(path: PathBuf, listeners: Vec<TcpListener>, poller: &SourceRegistry) -> io::Result<Self> {
-        if listeners.len() > LISTENERS {
-            let why = format!("{} listeners are more than can be handed over, {LISTENERS}", listeners.len());
-            return Err(io::Error::new(ErrorKind::InvalidInput, why));
+        if listeners.len() > MAX_LISTENERS {
+            let count = listeners.len();
+            let reason = format!("{count} listeners are more than can be handed over, {MAX_LISTENERS}");
+            return Err(io::Error::new(ErrorKind::InvalidInput, reason));
         }
-        let mut listener = listen(&path)?;
-        poller.listen(&mut listener, EventSource::Successors)?;
-        Ok(Successors { path, listener, listeners, table: BTreeMap::new(), next: 0, back: Vec::new() })
+        let mut socket = listen(&path)?;
+        poller.listen(&mut socket, EventSource::Successors)?;
+        let (by_number, returned) = (BTreeMap::new(), Vec::new());
+        Ok(Successors { path, socket, listeners, by_number, last_number: 0, returned })
     }
 
-    /// Processes ask: each is given the estate.
-    pub fn comes(&mut self, poller: &SourceRegistry, estate: impl Fn() -> HandoverState) {
-        while let Ok((mut stream, _)) = self.listener.accept() {
-            if let Err(e) = is_own(&stream) {
+    /// Accepts processes that connect, and sends each the state.
+    pub fn accept(&mut self, poller: &SourceRegistry, state: impl Fn() -> HandoverState) {
+        while let Ok((mut stream, _)) = self.socket.accept() {
+            if let Err(e) = check_same_user(&stream) {
                 warn!(event = "successor-refused", why = %e);
                 continue;
             }
-            self.next += 1;
-            let number = self.next;
-            if poller.watch_source(&mut stream, EventSource::Successor(number)).is_err() {
+            self.last_number += 1;
+            let number = self.last_number;
+            if poller.watch_source(&mut stream, EventSource::Successor(number)).is_err() || !self.make_room()
+            {
                 continue;
             }
-            if self.table.len() >= SUCCESSORS {
-                // One that stands still must hear that it may take nothing.
-                let idle = |successor: &Successor| !successor.serves && !successor.stalls;
-                let idle =
-                    self.table.iter().find(|(_, successor)| idle(successor)).map(|(number, _)| *number);
-                let Some(idle) = idle else { continue };
-                self.table.remove(&idle);
-            }
-            let estate = HandoverState { listeners: self.listeners.len(), ..estate() };
+            let state = HandoverState { listener_count: self.listeners.len(), ..state() };
             // A list is text and numbers, which can be written as JSON.
-            let Ok(mut outbox) = serde_json::to_vec(&estate) else { continue };
+            let Ok(mut outbox) = serde_json::to_vec(&state) else { continue };
             outbox.push(b'\n');
-            let successor = Successor {
-                stream,
-                inbox: Vec::new(),
-                outbox,
-                given: false,
-                serves: false,
-                takes: false,
-                stalls: false,
-                ends: false,
-                out: VecDeque::new(),
-                took: 0,
-                since: 0,
-            };
-            self.table.insert(number, successor);
-            self.ready(poller, 0, number);
+            self.by_number.insert(number, Successor::new(stream, outbox));
+            self.on_ready(poller, 0, number);
+        }
+    }
+
+    /// Drops the oldest idle successor if there are too many; returns false if none is idle. A stalled one is not idle: it
+    /// must learn that its connections are no longer its own.
+    fn make_room(&mut self) -> bool {
+        if self.by_number.len() < MAX_SUCCESSORS {
+            return true;
         }
+        let mut successors = self.by_number.iter();
+        let idle = successors.find(|(_, successor)| !successor.is_serving && !successor.is_stalled);
+        let Some(number) = idle.map(|(number, _)| *number) else { return false };
+        self.by_number.remove(&number).is_some()
     }
 
-    /// One of them is ready to be heard or written to.
-    pub fn ready(&mut self, poller: &SourceRegistry, now: Micros, number: u64) {
-        let Some(successor) = self.table.get_mut(&number) else { return };
-        // What it has said before its end counts, whether it can be written to or not.
-        let writes = successor.writes(&self.listeners);
-        if successor.reads(now) && writes {
+    /// A successor's socket is readable or writable.
+    pub fn on_ready(&mut self, poller: &SourceRegistry, now: Micros, number: u64) {
+        let Some(successor) = self.by_number.get_mut(&number) else { return };
+        // What it sent before its end counts, whether it can be written to or not.
+        let is_writable = successor.flush(&self.listeners);
+        if successor.receive(now) && is_writable {
             return;
         }
-        let served = successor.serves;
-        if let Some(successor) = self.table.remove(&number) {
-            self.back.extend(successor.out);
+        let was_serving = successor.is_serving;
+        if let Some(successor) = self.by_number.remove(&number) {
+            self.returned.extend(successor.in_transit);
         }
-        // The last of them had taken the path; the next one must find this process again.
-        if served
-            && !self.has_one()
-            && let Ok(mut listener) = listen(&self.path)
-            && poller.listen(&mut listener, EventSource::Successors).is_ok()
+        // The last one that served had replaced the socket at the path; the next process must find this one again.
+        if was_serving
+            && !self.is_any_serving()
+            && let Ok(mut socket) = listen(&self.path)
+            && poller.listen(&mut socket, EventSource::Successors).is_ok()
         {
-            self.listener = listener;
+            self.socket = socket;
         }
     }
 
-    /// Hears all of them now: what they have said must not be overlooked.
-    pub fn hears_all(&mut self, poller: &SourceRegistry, now: Micros) {
-        for number in self.table.keys().copied().collect::<Vec<_>>() {
-            self.ready(poller, now, number);
+    /// Receives the messages of all successors now.
+    pub fn receive_all(&mut self, poller: &SourceRegistry, now: Micros) {
+        for number in self.by_number.keys().copied().collect::<Vec<_>>() {
+            self.on_ready(poller, now, number);
         }
     }
 
-    /// Looks after those that have standing connections on their way to them and take none: such a successor stands still. From
-    /// here on it can't take any: what it says is not heard any more, which it finds out when it says so, and it is told.
-    pub fn look_after(&mut self, now: Micros) {
-        for successor in self.table.values_mut() {
-            if successor.out.is_empty() || now < successor.since + STALLS {
-                continue;
-            }
-            // Fails only where the other side is gone.
+    /// Takes back the connections in transit to successors that have stalled. From here on such a successor can't
+    /// acknowledge any: its messages are not received any more, which it notices when it sends one, and it is told.
+    pub fn check_stalled(&mut self, now: Micros) {
+        for successor in self.by_number.values_mut().filter(|successor| successor.has_stalled(now)) {
+            // Fails only if the process is gone.
             let _ = successor.stream.shutdown(Shutdown::Read);
-            successor.reads(now);
-            (successor.serves, successor.takes, successor.stalls) = (false, false, true);
-            successor.outbox.extend_from_slice(&[KEEPS, b"\n"].concat());
-            successor.writes(&self.listeners);
-            warn!(event = "successor-stalls", back = successor.out.len());
-            self.back.extend(successor.out.drain(..));
+            successor.receive(now);
+            successor.is_serving = false;
+            successor.accepts_connections = false;
+            successor.is_stalled = true;
+            let keeps = PredecessorMessage::KeepsUnacknowledged.to_string();
+            successor.outbox.extend_from_slice(keeps.as_bytes());
+            successor.flush(&self.listeners);
+            warn!(event = "successor-stalls", back = successor.in_transit.len());
+            self.returned.extend(successor.in_transit.drain(..));
         }
     }
 
-    /// Standing connections that are this process's again.
-    pub fn take_back(&mut self) -> Vec<TransferredConnection> {
-        std::mem::take(&mut self.back)
+    /// Takes the connections that are this process's again.
+    pub fn take_returned(&mut self) -> Vec<TransferredConnection> {
+        std::mem::take(&mut self.returned)
     }
 
-    /// Standing connections that are on their way.
-    pub fn on_their_way(&self) -> usize {
-        self.table.values().map(|successor| successor.out.len()).sum()
+    /// How many connections were sent and not acknowledged.
+    pub fn in_transit(&self) -> usize {
+        self.by_number.values().map(|successor| successor.in_transit.len()).sum()
     }
 
-    /// Whether a standing connection can be sent to the one that serves now.
-    pub fn can_hand_over(&mut self) -> bool {
-        let successor = self.table.values_mut().rev().find(|successor| successor.serves);
+    /// Whether a connection can be sent to the successor that serves.
+    pub fn can_transfer(&mut self) -> bool {
+        let successor = self.by_number.values_mut().rev().find(|successor| successor.is_serving);
         successor.is_some_and(|successor| {
-            successor.takes && successor.writes(&self.listeners) && successor.outbox.is_empty()
+            successor.accepts_connections && successor.flush(&self.listeners) && successor.outbox.is_empty()
         })
     }
 
-    /// Whether one of them serves.
-    pub fn has_one(&self) -> bool {
-        self.table.values().any(|successor| successor.serves)
+    /// Whether a successor serves.
+    pub fn is_any_serving(&self) -> bool {
+        self.by_number.values().any(|successor| successor.is_serving)
     }
 
-    /// Whether one that serves has said that this process is to end.
-    pub fn ends_this(&self) -> bool {
-        self.table.values().any(|successor| successor.serves && successor.ends)
+    /// Whether a successor that serves asks this process to terminate.
+    pub fn wants_termination(&self) -> bool {
+        self.by_number.values().any(|successor| successor.is_serving && successor.wants_termination)
     }
 
-    /// Hands a standing connection to the one that serves. What can't be sent now is this process's again.
-    pub fn hand_over(&mut self, now: Micros, handed: TransferredConnection) -> bool {
-        let line = handed.0.line();
-        let successor = self.table.values_mut().rev().find(|successor| successor.serves && successor.takes);
-        let sent = successor.and_then(|successor| {
-            let ends = [handed.1.as_fd(), handed.2.as_fd()];
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-            let mut control = SendAncillaryBuffer::new(&mut space);
-            control.push(SendAncillaryMessage::ScmRights(&ends));
-            let sent =
-                sendmsg(&successor.stream, &[IoSlice::new(&line)], &mut control, SendFlags::NOSIGNAL).ok()?;
-            // What is sent is sent whole, the rest when there is room.
-            successor.outbox.extend_from_slice(&line[sent..]);
-            if successor.out.is_empty() {
-                successor.since = now;
-            }
-            Some(successor)
-        });
-        match sent {
-            Some(successor) => {
-                successor.out.push_back(handed);
-                successor.writes(&self.listeners);
+    /// Sends a connection to the successor that serves; returns whether that was possible. One that can't be sent now is
+    /// returned by [`Successors::take_returned`].
+    pub fn transfer(&mut self, now: Micros, connection: TransferredConnection) -> bool {
+        let mut newest_first = self.by_number.values_mut().rev();
+        let serving = newest_first.find(|successor| successor.is_serving && successor.accepts_connections);
+        match serving {
+            Some(successor) if successor.send(&connection).is_ok() => {
+                successor.add_in_transit(now, connection);
+                successor.flush(&self.listeners);
                 true
             }
-            None => {
-                self.back.push(handed);
+            _ => {
+                self.returned.push(connection);
                 false
             }
         }
     }
 
-    /// Tells them a line; one that does not read gets what it can hold.
-    pub fn tell(&mut self, line: &[u8]) {
-        for successor in self.table.values_mut().filter(|successor| successor.outbox.is_empty()) {
-            successor.outbox.extend_from_slice(line);
-            successor.writes(&self.listeners);
+    /// Sends a message to each successor that has taken all that was sent before.
+    pub fn broadcast(&mut self, message: &PredecessorMessage) {
+        let line = message.to_string();
+        for successor in self.by_number.values_mut().filter(|successor| successor.outbox.is_empty()) {
+            successor.outbox.extend_from_slice(line.as_bytes());
+            successor.flush(&self.listeners);
         }
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -18,5 +18,5 @@
 mod transport;
 mod workers;
 
-pub use admin::server::CALLERS;
+pub use admin::server::MAX_CONNECTIONS;
 pub use workers::startup::{Failure, run};
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -323,14 +323,14 @@
     /// A connection has come up or has ended, whichever was first: it counts once.
     fn counted(&mut self, id: RequestId, reply: Reply) {
         if let Some(class) = self.sessions.get_mut(id).and_then(Session::is_counted) {
-            self.counts.replied(class, reply);
+            self.counts.record_reply(class, reply);
         }
     }
 
     /// Tells operators how many connections are held that were taken.
     pub fn note_held(&self) {
         let held = self.held();
-        self.counts.holds(self.sessions.len() - held.unserved, held.all);
+        self.counts.set_held(self.sessions.len() - held.unserved, held.all);
     }
 }
 
@@ -462,7 +462,7 @@
         }
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if attempt.is_dispatched() {
-            self.counts.dispatched();
+            self.counts.record_dispatch();
         }
         let server = self.servers.name(Some(attempt.server()));
         let outcome = match attempt.answer(&turn.pool) {
@@ -492,7 +492,7 @@
         s.stands();
         self.guard.serve(id);
         if let Some(class) = s.is_counted() {
-            self.counts.replied(class, Reply::Success);
+            self.counts.record_reply(class, Reply::Success);
         }
         turn.emit(match (s.home(), s.req()) {
             (Some(server), Some(req)) => NetworkEvent::ConnectionRestored(req, server),
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -36,16 +36,16 @@
         let standing = EstablishedConnection {
             client: s.from(),
             server: f.server().0,
-            id: s.open_id()?,
+            open_id: s.open_id()?,
             class: name(&self.terms.names.classes, request.class),
             tenant: name(&self.terms.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
-            hint: request.load,
+            load_hint: request.load,
             load,
-            asked: s.asked_since(),
-            at_client: s.link.on_the_way(),
-            at_server: f.link.on_the_way(),
+            unanswered_since: s.asked_since(),
+            client_buffers: s.link.on_the_way(),
+            server_buffers: f.link.on_the_way(),
         };
         // What is watched is the connection, which goes on, and not this process's descriptor of it.
         turn.poller.unwatch(&mut s.link);
@@ -55,25 +55,24 @@
         }
         let (s, f) = (self.sessions.take(turn, id)?, self.attempts.take(turn, id)?);
         turn.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((standing, s.link.into_stream(), f.link.into_stream()))
+        let (client, server) = (s.link.into_stream(), f.link.into_stream());
+        Some(TransferredConnection { state: standing, client, server })
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
-    pub fn take_over(
-        &mut self,
-        turn: &mut LoopContext,
-        (standing, client, server): TransferredConnection,
-    ) -> bool {
+    pub fn take_over(&mut self, turn: &mut LoopContext, connection: TransferredConnection) -> bool {
+        let TransferredConnection { state: standing, client, server } = connection;
         let names = &self.terms.names;
         let class = names.classes.get(&standing.class).copied();
         let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
-        let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Connection::going_on(client, &turn.pool, &standing.at_client);
-        let server = Connection::going_on(server, &turn.pool, &standing.at_server);
+        let (attempts, asked) = (&self.attempts, standing.unanswered_since);
+        let client = Connection::going_on(client, &turn.pool, &standing.client_buffers);
+        let server = Connection::going_on(server, &turn.pool, &standing.server_buffers);
         let (Some(client), Some(server)) = (client, server) else { return false };
         let between_lines = client.between_lines();
-        let adopted =
-            self.sessions.adopt(turn, client, standing.client, (standing.id, asked), |id| attempts.has(id));
+        let adopted = self
+            .sessions
+            .adopt(turn, client, standing.client, (standing.open_id, asked), |id| attempts.has(id));
         let Some(id) = adopted else { return false };
         let at = ServerId(standing.server);
         // Its server still answers: whoever can't go on here is told to come again, and not cut off.
@@ -82,7 +81,7 @@
             self.answer(turn, id, answer, Cause::Handover);
             return false;
         };
-        let (key, group, load) = (standing.key, standing.group, standing.hint);
+        let (key, group, load) = (standing.key, standing.group, standing.load_hint);
         let req =
             ReceivedRequest { id, class, tenant, key, deadline: turn.now, load, group, is_returning: false };
         turn.emit(NetworkEvent::ConnectionRestored(req, at));
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -88,7 +88,12 @@
     /// What is on its way here.
     pub fn on_the_way(&self) -> BufferedBytes {
         let said = self.outbox.as_ref().map_or(&[][..], Buffer::held).to_vec();
-        BufferedBytes { came: self.held().to_vec(), seen: self.seen, said, mid_line: self.mid_line }
+        BufferedBytes {
+            received: self.held().to_vec(),
+            examined: self.seen,
+            unsent: said,
+            mid_line: self.mid_line,
+        }
     }
 
     /// The connection itself, to go on elsewhere.
@@ -99,13 +104,15 @@
     /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
     pub fn going_on(stream: TcpStream, pool: &BufferPool, on_the_way: &BufferedBytes) -> Option<Self> {
         let mut link = Connection { mid_line: on_the_way.mid_line, ..Connection::new(stream) };
-        for (bytes, buffer) in [(&on_the_way.came, &mut link.inbox), (&on_the_way.said, &mut link.outbox)] {
+        for (bytes, buffer) in
+            [(&on_the_way.received, &mut link.inbox), (&on_the_way.unsent, &mut link.outbox)]
+        {
             if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
                 return None;
             }
         }
-        link.seen = on_the_way.seen;
-        (link.seen <= on_the_way.came.len()).then_some(link)
+        link.seen = on_the_way.examined;
+        (link.seen <= on_the_way.received.len()).then_some(link)
     }
 
     /// The stream, for the loop to watch.
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -103,7 +103,7 @@
         let gate = driver.gate();
         self.net.transfer_connections(|id| gate.standing(id));
         driver.process_events(&mut self.net);
-        if self.net.update_sharing().is_some() {
+        if self.net.update_sharing() {
             self.enforce();
         }
         if let Some(tells) = &mut self.net.gossip
@@ -307,7 +307,7 @@
     path: &Path,
     config: &Config,
 ) -> io::Result<Option<(Vec<std::net::TcpListener>, ReceivedHandover)>> {
-    let mut inherited = match predecessor::ask(path) {
+    let mut inherited = match predecessor::request_state(path) {
         Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
             return Ok(None);
         }
@@ -336,7 +336,7 @@
     let successors = Successors::open(path, listeners, poller).inspect_err(|e| {
         warn!(event = "not-offered", why = %e);
     });
-    let predecessor = inherited.map(|i| Predecessor::told(i, ends, poller)).transpose();
+    let predecessor = inherited.map(|i| Predecessor::announce(i, ends, poller)).transpose();
     Ok(SiblingProcesses::new(successors.ok(), predecessor.unwrap_or(None)))
 }
 
@@ -375,7 +375,7 @@
         (Some(path), _) => inherit(path, &config).map_err(|e| {
             io::Error::new(e.kind(), format!("nothing is taken over from {}: {e}", path.display()))
         })?,
-        (None, Some(folder)) => inherit(&folder.place(SOCKET), &config).unwrap_or_else(|e| {
+        (None, Some(folder)) => inherit(&folder.join(SOCKET), &config).unwrap_or_else(|e| {
             warn!(event = "not-inherited", why = %e);
             None
         }),
@@ -412,16 +412,16 @@
     if let Some(inherited) = &mut inherited {
         // What the process before knows goes before what was kept of it.
         kept.iter_mut().for_each(|(_, found)| *found = None);
-        let (learned, taken) = (std::mem::take(&mut inherited.estate.memory), inherited.estate.taken);
+        let (learned, taken) = (std::mem::take(&mut inherited.state.learned), inherited.state.exported_at);
         let memory = SnapshotState { learned, taken, away: false, from: "the process before".to_owned() };
-        kept[0].1 = Some((memory, std::mem::take(&mut inherited.estate.known)));
+        kept[0].1 = Some((memory, std::mem::take(&mut inherited.state.endpoints)));
     }
     if let Some((_, list)) = kept[0].1.as_ref().filter(|(_, list)| !list.endpoints.is_empty()) {
         config.known = list.clone();
     }
     let known = Arc::new(std::mem::take(&mut config.known));
     let mut kin = SiblingProcesses::default();
-    let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.place(SOCKET));
+    let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.join(SOCKET));
     let ends = take_over.is_some();
     if let Some(place) = take_over.or(place) {
         kin = between(place, &listeners, inherited, ends, &watches[0].poller()?)?;
@@ -434,7 +434,7 @@
         counts: own.clone(),
         admin: door.take().map(|door| AdminListener {
             listener: TcpListener::from_std(door),
-            counts: counts.clone(),
+            counters: counts.clone(),
             folder: folder.take(),
         }),
         taken_out: taken_out.clone(),
