--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -316,13 +316,13 @@
     pub fn transfer(&mut self, now: Micros, connection: TransferredConnection) -> bool {
         let mut newest_first = self.by_number.values_mut().rev();
         let serving = newest_first.find(|successor| successor.is_serving && successor.accepts_connections);
-        match serving {
-            Some(successor) if successor.send(&connection).is_ok() => {
+        match serving.and_then(|successor| successor.send(&connection).is_ok().then_some(successor)) {
+            Some(successor) => {
                 successor.add_in_transit(now, connection);
                 successor.flush(&self.listeners);
                 true
             }
-            _ => {
+            None => {
                 self.returned.push(connection);
                 false
             }
