--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -8,10 +8,11 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::event_loop::iteration::{LoopContext, TimerEvent, TimerHandle};
-use crate::event_loop::poll::{EventSource, Readiness};
+use crate::event_loop::context::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::EventSource;
 use crate::transport::buffer_pool::BUFFER_BYTES;
 use crate::transport::connection::Connection;
+use crate::transport::readiness::Readiness;
 
 /// The most connections at once. Their descriptors are reserved, so they never compete with those of clients.
 pub const MAX_CONNECTIONS: usize = 16;
@@ -60,8 +61,8 @@
 
     /// Reads on; returns the command once its line is complete. What follows the line is ignored.
     fn read_command(&mut self, context: &LoopContext) -> Option<Result<Command, CommandError>> {
-        self.connection.fill(&context.pool);
-        let received = self.connection.held();
+        self.connection.read_available(&context.buffers);
+        let received = self.connection.pending_input();
         let Some(end) = received.iter().position(|byte| *byte == b'\n') else {
             return (received.len() > MAX_COMMAND_BYTES).then_some(Err(CommandError::TooLong));
         };
@@ -76,18 +77,18 @@
     fn send_reply(&mut self, context: &LoopContext) -> bool {
         while !self.unsent.is_empty() && self.connection.flush() {
             let portion = self.unsent.len().min(BUFFER_BYTES);
-            if !self.connection.say(&context.pool, &self.unsent[..portion]) {
+            if !self.connection.send(&context.buffers, &self.unsent[..portion]) {
                 break;
             }
             self.unsent.drain(..portion);
         }
         if self.unsent.is_empty() && self.connection.flush() {
-            self.connection.shut();
+            self.connection.shutdown_write();
         }
         // Further input is ignored, but left unread it would turn the close into a reset.
-        self.connection.fill(&context.pool);
-        self.connection.drop_input();
-        self.connection.ended.is_some()
+        self.connection.read_available(&context.buffers);
+        self.connection.discard_input();
+        self.connection.peer_close.is_some()
     }
 }
 
@@ -115,7 +116,7 @@
     pub fn on_ready(&mut self, context: &mut LoopContext, source: EventSource, readiness: Readiness) {
         if let EventSource::AdminConnection(number) = source {
             if let Some(admin) = self.connections.get_mut(&number) {
-                admin.connection.ready(readiness);
+                admin.connection.on_ready(readiness);
                 self.advance(context, number);
             }
         } else {
@@ -142,7 +143,7 @@
                     self.can_accept = false;
                     if e.kind() != ErrorKind::WouldBlock {
                         warn!(event = "accept-failed", at = "operator", error = %e);
-                        context.after(ACCEPT_RETRY_DELAY, TimerEvent::AcceptAdmin);
+                        context.schedule_after(ACCEPT_RETRY_DELAY, TimerEvent::AdminAccept);
                     }
                 }
             }
@@ -155,12 +156,12 @@
         }
         self.last_number += 1;
         let number = self.last_number;
-        if !context.poller.watch(&mut connection, EventSource::AdminConnection(number)) {
+        if !context.registry.register(&mut connection, EventSource::AdminConnection(number)) {
             return;
         }
         let deadline = context.now + TIMEOUT;
         let mut admin = AdminConnection::new(connection, deadline);
-        admin.timer.by(context, Some(deadline), TimerEvent::AdminConnection(number));
+        admin.timer.schedule_by(context, Some(deadline), TimerEvent::AdminConnection(number));
         self.connections.insert(number, admin);
         self.advance(context, number);
     }
@@ -182,7 +183,7 @@
                 if let Some(command) = admin.read_command(context) {
                     admin.state = State::Executing;
                     self.commands.push((number, command));
-                } else if admin.connection.ended.is_some() {
+                } else if admin.connection.peer_close.is_some() {
                     self.close(context, number);
                 }
             }
@@ -212,19 +213,19 @@
     /// The timer of the connection of this number has fired: closes it if its time is up.
     pub fn on_timer(&mut self, context: &mut LoopContext, number: u64) {
         let Some(admin) = self.connections.get_mut(&number) else { return };
-        admin.timer.came();
+        admin.timer.on_fired();
         // A process that was held up has not listened meanwhile.
-        let deadline = admin.deadline.max(context.judges_from());
+        let deadline = admin.deadline.max(context.earliest_timeout());
         if context.now >= deadline {
             self.close(context, number);
         } else {
-            admin.timer.by(context, Some(deadline), TimerEvent::AdminConnection(number));
+            admin.timer.schedule_by(context, Some(deadline), TimerEvent::AdminConnection(number));
         }
     }
 
     fn close(&mut self, context: &mut LoopContext, number: u64) {
         if let Some(mut admin) = self.connections.remove(&number) {
-            admin.timer.off(context);
+            admin.timer.cancel(context);
         }
     }
 }
--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::{READ, turn, until};
+use crate::event_loop::context::tests::{READ, context, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -12,22 +12,22 @@
 }
 
 /// Looks until so many callers were taken in.
-fn accept_until(server: &mut AdminServer, turn: &mut LoopContext, begun: u64) {
+fn accept_until(server: &mut AdminServer, context: &mut LoopContext, begun: u64) {
     until(|| {
-        server.on_ready(turn, EventSource::AdminListener, READ);
+        server.on_ready(context, EventSource::AdminListener, READ);
         server.last_number == begun
     });
 }
 
 /// The next call, however many looks it takes.
-fn call(server: &mut AdminServer, turn: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
+fn call(server: &mut AdminServer, context: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
     let mut calls = Vec::new();
     until(|| {
-        server.on_ready(turn, EventSource::AdminListener, READ);
+        server.on_ready(context, EventSource::AdminListener, READ);
         let numbers: Vec<u64> = server.connections.keys().copied().collect();
         numbers
             .into_iter()
-            .for_each(|number| server.on_ready(turn, EventSource::AdminConnection(number), READ));
+            .for_each(|number| server.on_ready(context, EventSource::AdminConnection(number), READ));
         calls.extend(server.take_commands());
         !calls.is_empty()
     });
@@ -36,17 +36,17 @@
 
 #[test]
 fn a_call_in_pieces_is_answered_as_its_line_ended() {
-    let (mut turn, (mut server, at)) = (turn(1000), server());
+    let (mut context, (mut server, at)) = (context(1000), server());
     for (line, end) in [("exclude s-1\n", "\n"), ("exclude s-1\r\n", "\r\n")] {
         let mut caller = TcpStream::connect(at).expect("a listener");
         for byte in line.as_bytes() {
             assert!(server.commands.is_empty());
             caller.write_all(&[*byte]).expect("open");
-            server.on_ready(&mut turn, EventSource::AdminListener, READ);
+            server.on_ready(&mut context, EventSource::AdminListener, READ);
         }
-        let (number, said) = call(&mut server, &mut turn);
+        let (number, said) = call(&mut server, &mut context);
         assert_eq!(said, Ok(Command::Disable("s-1".into())));
-        server.reply(&mut turn, number, &CommandReply::Done);
+        server.reply(&mut context, number, &CommandReply::Done);
         let mut heard = String::new();
         caller.read_to_string(&mut heard).expect("an answer and an end");
         assert_eq!(heard, format!("YES{end}"));
@@ -56,27 +56,27 @@
         let numbers: Vec<u64> = server.connections.keys().copied().collect();
         numbers
             .into_iter()
-            .for_each(|number| server.on_ready(&mut turn, EventSource::AdminConnection(number), READ));
+            .for_each(|number| server.on_ready(&mut context, EventSource::AdminConnection(number), READ));
         server.connections.is_empty()
     });
 }
 
 #[test]
 fn mute_callers_are_bounded_in_number_and_time_and_keep_nobody_out() {
-    let (mut turn, (mut server, at)) = (turn(1000), server());
+    let (mut context, (mut server, at)) = (context(1000), server());
     let mutes: Vec<_> =
         (0..3 * MAX_CONNECTIONS).map(|_| TcpStream::connect(at).expect("a listener")).collect();
-    accept_until(&mut server, &mut turn, mutes.len() as u64);
+    accept_until(&mut server, &mut context, mutes.len() as u64);
     assert_eq!(server.connections.len(), MAX_CONNECTIONS);
     let mut caller = TcpStream::connect(at).expect("a listener");
     caller.write_all(b"readyz\n").expect("open");
-    assert_eq!(call(&mut server, &mut turn).1, Ok(Command::Readiness));
-    let now = turn.now + TIMEOUT;
-    turn.ends(now);
-    turn.begin(now);
-    while let Some(due) = turn.timers.due() {
+    assert_eq!(call(&mut server, &mut context).1, Ok(Command::Readiness));
+    let now = context.now + TIMEOUT;
+    context.end_iteration(now);
+    context.begin_iteration(now);
+    while let Some(due) = context.timers.pop_due() {
         match due {
-            TimerEvent::AdminConnection(number) => server.on_timer(&mut turn, number),
+            TimerEvent::AdminConnection(number) => server.on_timer(&mut context, number),
             other => panic!("{other:?}"),
         }
     }
@@ -85,21 +85,21 @@
 
 #[test]
 fn a_line_that_never_ends_is_refused_and_a_large_answer_comes_whole_to_a_slow_reader() {
-    let (mut turn, (mut server, at)) = (turn(1000), server());
+    let (mut context, (mut server, at)) = (context(1000), server());
     let mut caller = TcpStream::connect(at).expect("a listener");
     caller.write_all(&[b'x'; MAX_COMMAND_BYTES + 1]).expect("open");
-    let (number, said) = call(&mut server, &mut turn);
+    let (number, said) = call(&mut server, &mut context);
     assert_eq!(said, Err(CommandError::TooLong));
     let lines = "svc.x:1|c\n".repeat(1_000_000);
     let whole = CommandReply::Metrics(lines.clone());
-    server.reply(&mut turn, number, &whole);
+    server.reply(&mut context, number, &whole);
     assert!(!server.connections[&number].unsent.is_empty(), "the sockets' buffers took it all");
     let reader = std::thread::spawn(move || {
         let mut heard = String::new();
         caller.read_to_string(&mut heard).map(|_| heard)
     });
     until(|| {
-        server.on_ready(&mut turn, EventSource::AdminConnection(number), READ);
+        server.on_ready(&mut context, EventSource::AdminConnection(number), READ);
         reader.is_finished()
     });
     let heard = reader.join().expect("no panic").expect("an answer and an end");
--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -109,7 +109,7 @@
     fn read_file(&mut self, file: &DirEntry) -> Option<DisabledServer> {
         let metadata = file.metadata().ok()?;
         let modified = metadata.modified().ok().and_then(|time| time.duration_since(UNIX_EPOCH).ok());
-        let since = modified.map_or(0.0, |time| time.as_secs_f64());
+        let disabled_at = modified.map_or(0.0, |time| time.as_secs_f64());
         let mut name = String::new();
         if metadata.len() <= MAX_NAME_BYTES {
             name = fs::read_to_string(file.path()).unwrap_or_default();
@@ -117,7 +117,7 @@
         if name.is_empty() || name.chars().any(char::is_control) {
             self.report(&file.path(), "its text is no server's name; the server is out all the same");
         }
-        Some(DisabledServer { name: name.into(), since })
+        Some(DisabledServer { name: name.into(), disabled_at })
     }
 
     /// Logs a file that can't be read, once.
--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Executes the commands of operators at the primary worker, and applies to all workers what they change.
+//! Commands of operators, carried out by the event loop of the primary worker.
 
 use shorewharf_decisions::interface::ServerId;
 use shorewharf_driver::NetworkEvent;
@@ -6,19 +6,24 @@
 use shorewharf_units::{Micros, seconds_from_micros};
 use tracing::info;
 
-use super::hub::EventLoop;
-use super::iteration::TimerEvent;
-use super::poll::{EventSource, Readiness};
 use crate::admin::counters::WorkerCounters;
 use crate::discovery::update::server_id;
+use crate::event_loop::context::TimerEvent;
+use crate::event_loop::dispatch::EventLoop;
+use crate::event_loop::poll::EventSource;
 use crate::servers::disabled::{AdminChange, DisabledServer};
+use crate::transport::readiness::Readiness;
 use crate::workers::pool::WorkerMessage;
 
-/// How often the shared folder is read: other processes must apply a command within a second.
-const FOLDER_SYNC_INTERVAL: Micros = 100_000;
+/// How often changes of other processes are looked for: they must apply a command within its second.
+const SHARED_FOLDER_INTERVAL: Micros = 100_000;
+/// Who has disabled or enabled a server, as the log says it.
+const BY_COMMAND: &str = "a call";
+const BY_OTHER_PROCESS: &str = "another process";
 
 impl EventLoop {
-    /// Serves operators, ahead of all others. `avoided_servers` returns the servers that get no requests now.
+    /// Serves connections of operators, ahead of all others. `avoided_servers` returns the servers that currently get no
+    /// requests.
     pub fn serve_admin(
         &mut self,
         ready: impl Iterator<Item = (EventSource, Readiness)>,
@@ -26,16 +31,16 @@
     ) {
         let Some(admin) = &mut self.admin else { return };
         for (source, readiness) in ready {
-            admin.server.on_ready(&mut self.turn, source, readiness);
+            admin.server.on_ready(&mut self.context, source, readiness);
         }
-        admin.server.accept(&mut self.turn);
+        admin.server.accept(&mut self.context);
         for (connection, command) in admin.server.take_commands() {
             let reply = match command {
                 Ok(command) => self.execute_command(command, &avoided_servers),
                 Err(error) => CommandReply::Rejected(error),
             };
             let Some(admin) = &mut self.admin else { return };
-            admin.server.reply(&mut self.turn, connection, &reply);
+            admin.server.reply(&mut self.context, connection, &reply);
         }
     }
 
@@ -57,93 +62,90 @@
 
     fn disable_server(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
-        let servers = &self.serving.servers;
-        if !servers.taken_out().is_out(server) {
-            if !servers.is_known(server, &name) {
+        let servers = &self.proxy.servers;
+        if !servers.disabled().is_disabled(server) {
+            if !servers.has_name(server, &name) {
                 return CommandReply::Rejected(CommandError::UnknownServer(name));
             }
-            let since = seconds_from_micros(self.turn.now);
-            let entry = DisabledServer { name: name.as_str().into(), since };
-            self.broadcast_change(AdminChange::Disabled(server, entry), "a call");
+            let disabled_at = seconds_from_micros(self.context.now);
+            let disabled = DisabledServer { name: name.as_str().into(), disabled_at };
+            self.change_servers(AdminChange::Disabled(server, disabled), BY_COMMAND);
         }
-        // Stored again if it was disabled before: the first time may have failed.
+        // Saved again even if it was disabled before: saving may have failed then.
         if let Some(admin) = &mut self.admin {
-            admin.store_disabled(server, &name);
+            admin.save_disabled(server, &name);
         }
         CommandReply::Done
     }
 
     fn enable_server(&mut self, name: String) -> CommandReply {
         let server = server_id(&name);
-        let servers = &self.serving.servers;
-        if !servers.taken_out().is_out(server) && !servers.is_known(server, &name) {
+        let servers = &self.proxy.servers;
+        if !servers.disabled().is_disabled(server) && !servers.has_name(server, &name) {
             return CommandReply::Rejected(CommandError::UnknownServer(name));
         }
-        // The file first: as long as it is there, the next sync would disable the server again.
+        // The file first: as long as it exists the server would be disabled again.
         if let Some(admin) = &mut self.admin {
-            admin.store_enabled(server);
+            admin.save_enabled(server);
         }
-        let now = seconds_from_micros(self.turn.now);
-        self.broadcast_change(AdminChange::Enabled(server, now), "a call");
+        let enabled_at = seconds_from_micros(self.context.now);
+        self.change_servers(AdminChange::Enabled(server, enabled_at), BY_COMMAND);
         CommandReply::Done
     }
 
-    /// Applies a change at all workers.
-    fn broadcast_change(&mut self, change: AdminChange, by: &str) {
-        let disabled = self.serving.servers.taken_out().all();
+    /// Logs and applies a change, here and at all other workers.
+    fn change_servers(&mut self, change: AdminChange, by: &str) {
+        let disabled = self.proxy.servers.disabled();
         match &change {
-            AdminChange::Disabled(_, entry) => info!(event = "server-taken-out", server = %entry.name, by),
-            AdminChange::Enabled(server, _) => {
-                if let Some(entry) = disabled.get(server) {
-                    info!(event = "server-put-back", server = %entry.name, by);
+            AdminChange::Disabled(_, server) => info!(event = "server-taken-out", server = %server.name, by),
+            AdminChange::Enabled(id, _) => {
+                if let Some(server) = disabled.all().get(id) {
+                    info!(event = "server-put-back", server = %server.name, by);
                 }
             }
         }
         self.broadcast(|_| WorkerMessage::ServerChanged(change.clone()));
-        self.apply_change(change);
+        self.apply_admin_change(change);
     }
 
-    /// Applies a change at this worker. The decisions see it as an update of the endpoint list that did not come from the
-    /// discovery service.
-    pub fn apply_change(&mut self, change: AdminChange) {
-        if let Some(entry) = self.serving.servers.change(change) {
-            self.turn.emit(NetworkEvent::EndpointListReceived {
-                full: false,
-                cached: true,
-                entries: vec![entry],
-            });
+    /// Applies a change at this worker. The driver receives it as a change of the endpoint list that does not come from
+    /// discovery.
+    pub(super) fn apply_admin_change(&mut self, change: AdminChange) {
+        if let Some(entry) = self.proxy.servers.apply_admin_change(change) {
+            let entries = vec![entry];
+            self.context.emit(NetworkEvent::EndpointListReceived { full: false, cached: true, entries });
         }
     }
 
     /// Applies what other processes of this balancer have changed in the shared folder.
-    pub fn sync_shared_folder(&mut self) {
-        let Some(admin) = self.admin.as_mut().filter(|admin| admin.has_folder()) else { return };
-        let changes =
-            admin.read_changes(self.serving.servers.taken_out().all(), seconds_from_micros(self.turn.now));
-        self.turn.after(FOLDER_SYNC_INTERVAL, TimerEvent::SyncSharedFolder);
-        for change in changes {
-            self.broadcast_change(change, "another process");
+    pub(super) fn read_shared_folder(&mut self) {
+        let Some(admin) = &mut self.admin else { return };
+        if admin.folder.is_none() {
+            return;
+        }
+        self.context.schedule_after(SHARED_FOLDER_INTERVAL, TimerEvent::ReadSharedFolder);
+        let now = seconds_from_micros(self.context.now);
+        for change in admin.read_changes(self.proxy.servers.disabled().all(), now) {
+            self.change_servers(change, BY_OTHER_PROCESS);
         }
     }
 
-    /// The metrics of all workers, as they are now.
+    /// What is reported to operators, as it is now.
     fn metrics(&self, avoided_servers: &[ServerId]) -> Metrics {
-        self.serving.note_held();
-        let counters = self.admin.as_ref().map_or(&[][..], |admin| &admin.counters);
-        let totals = WorkerCounters::sum(counters);
-        let mut classes: Vec<_> = self.serving.terms.names.classes.iter().collect();
-        classes.sort_by_key(|(_, index)| **index);
+        self.proxy.publish_gauges();
+        let sums = WorkerCounters::sum(self.admin.as_ref().map_or(&[], |admin| &admin.counters));
+        let mut classes: Vec<_> = self.proxy.settings.names.classes.iter().collect();
+        classes.sort_by_key(|(_, class)| **class);
         let replies = classes
             .into_iter()
-            .map(|(name, index)| (name.clone(), totals.replies.get(*index).copied().unwrap_or_default()))
+            .map(|(name, class)| (name.clone(), sums.replies.get(*class).copied().unwrap_or_default()))
             .collect();
-        let servers = &self.serving.servers;
         Metrics {
             replies,
-            dispatches: totals.dispatches,
-            concurrent: totals.concurrent,
-            targets: servers.listed(),
-            targets_disabled: servers.listed_of(avoided_servers),
+            dispatches: sums.dispatches,
+            concurrent: sums.concurrent,
+            targets: self.proxy.servers.listed_count(),
+            targets_disabled: self.proxy.servers.listed_count_of(avoided_servers),
         }
     }
 }
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -133,11 +133,11 @@
     pub fn announce(
         handover: ReceivedHandover,
         terminate: bool,
-        poller: &SourceRegistry,
+        registry: &SourceRegistry,
     ) -> io::Result<Self> {
         handover.stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(handover.stream);
-        poller.watch_source(&mut stream, EventSource::Predecessor)?;
+        registry.register_source(&mut stream, EventSource::Predecessor)?;
         let ready = format!("{}{}", SuccessorMessage::AcceptsConnections, SuccessorMessage::Serving);
         stream.write_all(ready.as_bytes())?;
         if terminate {
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -1,13 +1,13 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
-use crate::event_loop::iteration::tests::until;
+use crate::event_loop::context::tests::until;
 use crate::event_loop::poll::EventPoller;
 use crate::handover::successors::Successors;
 use shorewharf_protocol::endpoint_list::EndpointList;
 
 fn poller() -> SourceRegistry {
-    EventPoller::new().and_then(|watch| watch.poller()).expect("a loop")
+    EventPoller::new().and_then(|watch| watch.registry()).expect("a loop")
 }
 
 fn listener() -> TcpListener {
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -190,20 +190,20 @@
     ///
     /// # Errors
     /// More than [`MAX_LISTENERS`] listeners, or a socket that can't be opened at the path.
-    pub fn open(path: PathBuf, listeners: Vec<TcpListener>, poller: &SourceRegistry) -> io::Result<Self> {
+    pub fn open(path: PathBuf, listeners: Vec<TcpListener>, registry: &SourceRegistry) -> io::Result<Self> {
         if listeners.len() > MAX_LISTENERS {
             let count = listeners.len();
             let reason = format!("{count} listeners are more than can be handed over, {MAX_LISTENERS}");
             return Err(io::Error::new(ErrorKind::InvalidInput, reason));
         }
         let mut socket = listen(&path)?;
-        poller.listen(&mut socket, EventSource::Successors)?;
+        registry.register_readable(&mut socket, EventSource::HandoverListener)?;
         let (by_number, returned) = (BTreeMap::new(), Vec::new());
         Ok(Successors { path, socket, listeners, by_number, last_number: 0, returned })
     }
 
     /// Accepts processes that connect, and sends each the state.
-    pub fn accept(&mut self, poller: &SourceRegistry, state: impl Fn() -> HandoverState) {
+    pub fn accept(&mut self, registry: &SourceRegistry, state: impl Fn() -> HandoverState) {
         while let Ok((mut stream, _)) = self.socket.accept() {
             if let Err(e) = check_same_user(&stream) {
                 warn!(event = "successor-refused", why = %e);
@@ -211,7 +211,8 @@
             }
             self.last_number += 1;
             let number = self.last_number;
-            if poller.watch_source(&mut stream, EventSource::Successor(number)).is_err() || !self.make_room()
+            if registry.register_source(&mut stream, EventSource::Successor(number)).is_err()
+                || !self.make_room()
             {
                 continue;
             }
@@ -220,7 +221,7 @@
             let Ok(mut outbox) = serde_json::to_vec(&state) else { continue };
             outbox.push(b'\n');
             self.by_number.insert(number, Successor::new(stream, outbox));
-            self.on_ready(poller, 0, number);
+            self.on_ready(registry, 0, number);
         }
     }
 
@@ -237,7 +238,7 @@
     }
 
     /// A successor's socket is readable or writable.
-    pub fn on_ready(&mut self, poller: &SourceRegistry, now: Micros, number: u64) {
+    pub fn on_ready(&mut self, registry: &SourceRegistry, now: Micros, number: u64) {
         let Some(successor) = self.by_number.get_mut(&number) else { return };
         // What it sent before its end counts, whether it can be written to or not.
         let is_writable = successor.flush(&self.listeners);
@@ -252,16 +253,16 @@
         if was_serving
             && !self.is_any_serving()
             && let Ok(mut socket) = listen(&self.path)
-            && poller.listen(&mut socket, EventSource::Successors).is_ok()
+            && registry.register_readable(&mut socket, EventSource::HandoverListener).is_ok()
         {
             self.socket = socket;
         }
     }
 
     /// Receives the messages of all successors now.
-    pub fn receive_all(&mut self, poller: &SourceRegistry, now: Micros) {
+    pub fn receive_all(&mut self, registry: &SourceRegistry, now: Micros) {
         for number in self.by_number.keys().copied().collect::<Vec<_>>() {
-            self.on_ready(poller, now, number);
+            self.on_ready(registry, now, number);
         }
     }
 
--- a/crates/balancer/src/overload/monitor/tests.rs
+++ b/crates/balancer/src/overload/monitor/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Plays turns for so long: each takes `took` after a wait of `waited`, and leaves clients in the backlog or not.
-/// Tells how many of a hundred clients are taken at the end.
+/// GossipTransport how many of a hundred clients are taken at the end.
 fn play(
     p: &mut OverloadMonitor,
     now: &mut Micros,
@@ -14,7 +14,7 @@
     while *now < end {
         let began = *now + waited;
         *now = began + took;
-        p.turn(began, *now, backlog);
+        p.record_iteration(began, *now, backlog);
     }
     (0..100).filter(|_| p.admits()).count()
 }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -26,9 +26,9 @@
 use crate::clock::Clock;
 use crate::config::proxy_settings::ProxySettings;
 use crate::config::{Config, ConfigError};
-use crate::event_loop::hub::{EventLoop, WorkerContext};
-use crate::event_loop::iteration::{LoopContext, TimerEvent};
-use crate::event_loop::poll::{EventPoller, EventSource, Readiness, SourceRegistry};
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::dispatch::{EventLoop, WorkerContext};
+use crate::event_loop::poll::{EventPoller, EventSource, SourceRegistry};
 use crate::fleet::budgets::Shares;
 use crate::fleet::gossip::GossipTransport;
 use crate::handover::predecessor::{self, Predecessor, ReceivedHandover};
@@ -38,6 +38,7 @@
 use crate::snapshot::{self, SnapshotState, SnapshotTask, everything};
 use crate::supervisor;
 use crate::transport::connection::is_shortage;
+use crate::transport::readiness::Readiness;
 use crate::workers::pool::{NewWorker, WorkerMessage, WorkerPool};
 
 /// Connections that the system holds until they are accepted.
@@ -71,7 +72,7 @@
 
 /// The peers of a worker, and the driver that stands between them and the decisions.
 struct Worker {
-    net: EventLoop,
+    event_loop: EventLoop,
     driver: Driver,
     lead: Option<Lead>,
     keeping: Option<SnapshotTask>,
@@ -80,61 +81,63 @@
 
 impl Worker {
     /// A turn: each peer that the loop has seen something of acts, and the module hears of it before the next does.
-    fn turn(&mut self, now: Micros, seen: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
-        self.net.begin(now);
+    fn run_iteration(&mut self, now: Micros, seen: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
+        self.event_loop.begin_iteration(now);
         let gate = self.driver.gate();
-        let first = seen.clone().filter(|s| s.0.comes_first());
-        self.net.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
-        self.driver.process_events(&mut self.net);
-        for (owner, ready) in seen.filter(|s| !s.0.comes_first()) {
+        let first = seen.clone().filter(|s| s.0.is_prioritized());
+        self.event_loop.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
+        self.driver.process_events(&mut self.event_loop);
+        for (owner, ready) in seen.filter(|s| !s.0.is_prioritized()) {
             match owner {
                 EventSource::Signals => self.signalled(),
                 EventSource::WorkerMessages => self.ordered(),
-                EventSource::Successors => {
+                EventSource::HandoverListener => {
                     let gate = self.driver.gate();
-                    self.net.accept_successors(|| everything(gate));
+                    self.event_loop.on_successors_connecting(|| everything(gate));
                 }
-                owner => self.net.seen(owner, ready),
+                owner => self.event_loop.dispatch_readiness(owner, ready),
             }
-            self.driver.process_events(&mut self.net);
+            self.driver.process_events(&mut self.event_loop);
         }
         let driver = &mut self.driver;
-        self.net.finish(|net| driver.process_events(net));
+        self.event_loop.finish_iteration(|event_loop| driver.process_events(event_loop));
         let gate = driver.gate();
-        self.net.transfer_connections(|id| gate.standing(id));
-        driver.process_events(&mut self.net);
-        if self.net.update_sharing() {
+        self.event_loop.hand_over_connections(|id| gate.standing(id));
+        driver.process_events(&mut self.event_loop);
+        if self.event_loop.take_sharing_change().is_some() {
             self.enforce();
         }
-        if let Some(tells) = &mut self.net.gossip
+        if let Some(tells) = &mut self.event_loop.gossip
             && tells.is_due()
         {
-            tells.tell(&mut self.net.turn, self.driver.gate().holds());
-            self.driver.process_events(&mut self.net);
+            tells.tell(&mut self.event_loop.context, self.driver.gate().holds());
+            self.driver.process_events(&mut self.event_loop);
         }
         if let Some(keeping) = &mut self.keeping {
-            keeping.turn(&mut self.net, &mut self.driver);
+            keeping.on_iteration(&mut self.event_loop, &mut self.driver);
         }
     }
 
     /// Puts the configuration in force again: another process of this balancer has come or gone.
     fn enforce(&mut self) {
         let Some(lead) = &self.lead else { return };
-        let shares = self.net.shares_limits();
-        self.net.broadcast(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
+        let shares = self.event_loop.siblings.is_sharing_clients();
+        self.event_loop.broadcast(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
             budgets.take(fleet);
         }
-        reload::apply(&lead.own(0, shares), &mut self.net, &mut self.driver);
+        reload::apply(&lead.own(0, shares), &mut self.event_loop, &mut self.driver);
     }
 
     fn ordered(&mut self) {
-        while let Some(order) = self.net.next_worker_message() {
+        while let Some(order) = self.event_loop.next_message() {
             match order {
-                WorkerMessage::Config(config) => reload::apply(&config, &mut self.net, &mut self.driver),
-                order => self.net.on_worker_message(order),
+                WorkerMessage::Config(config) => {
+                    reload::apply(&config, &mut self.event_loop, &mut self.driver)
+                }
+                order => self.event_loop.on_message(order),
             }
-            self.driver.process_events(&mut self.net);
+            self.driver.process_events(&mut self.event_loop);
         }
     }
 
@@ -145,8 +148,8 @@
             if signal == SIGHUP {
                 self.reload();
             } else {
-                self.net.broadcast(|_| WorkerMessage::Shutdown);
-                self.net.stop_soon();
+                self.event_loop.broadcast(|_| WorkerMessage::Shutdown);
+                self.event_loop.begin_shutdown();
             }
         }
     }
@@ -184,32 +187,41 @@
     fn work(mut self) -> io::Result<usize> {
         let (config, clock) = (self.config, self.clock);
         let mut place = self.place;
-        let poller = self.watch.poller()?;
-        poller.listen(&mut place.listener, EventSource::Listener)?;
+        let poller = self.watch.registry()?;
+        poller.register_readable(&mut place.listener, EventSource::Listener)?;
         let address = place.listener.local_addr()?;
         let operator = place.admin.as_ref().and_then(|desk| desk.listener.local_addr().ok());
         if let Some(desk) = &mut place.admin {
-            poller.listen(&mut desk.listener, EventSource::AdminListener)?;
+            poller.register_readable(&mut desk.listener, EventSource::AdminListener)?;
         }
-        let turn = LoopContext::new(poller, clock.read());
-        let mut net = EventLoop::new(turn, place, config.discovery, ProxySettings::from(&config));
+        let context = LoopContext::new(poller, clock.read());
+        let mut event_loop = EventLoop::new(context, place, config.discovery, ProxySettings::from(&config));
         if let Some(peers) = &config.peers {
-            net.gossip = Some(GossipTransport::new(&mut net.turn, &config.name, address, peers, config.seed));
+            event_loop.gossip = Some(GossipTransport::new(
+                &mut event_loop.context,
+                &config.name,
+                address,
+                peers,
+                config.seed,
+            ));
         }
         // Held once: by the tables from now on.
-        let known = net.list_known(&self.known);
+        let known = event_loop.restore_endpoints(&self.known);
         drop(self.known);
         let servers = known.len();
         let budgets = self.shares.as_ref().and_then(|s| s.admission(&config));
-        let mut driver = Driver::start(config.settings, &config.operator, config.seed, known, &mut net);
+        let mut driver =
+            Driver::start(config.settings, &config.operator, config.seed, known, &mut event_loop);
         if let Some(budgets) = budgets {
             driver.gate().set_budgets(budgets);
         }
         if let Some(memory) = self.memory {
-            memory.recall(net.now(), driver.gate());
+            memory.recall(event_loop.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            net.turn.after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
+            event_loop
+                .context
+                .schedule_after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
         }
         if let Some(lead) = &self.lead {
             // The address that is bound: the port may have been left to the system.
@@ -218,12 +230,13 @@
             info!(event = "serving", name = config.name, listen = %address, operator, servers, workers);
             supervisor::serves();
         }
-        let mut worker = Worker { net, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
-        worker.turn(clock.read(), std::iter::empty());
+        let mut worker =
+            Worker { event_loop, driver, lead: self.lead, keeping: self.keeping, shares: self.shares };
+        worker.run_iteration(clock.read(), std::iter::empty());
         loop {
-            if let Some(clients) = worker.net.is_done() {
+            if let Some(clients) = worker.event_loop.clients_at_end() {
                 if let Some(keeping) = worker.keeping {
-                    keeping.ends(&worker.net, &mut worker.driver);
+                    keeping.ends(&worker.event_loop, &mut worker.driver);
                 }
                 if let Some(shares) = worker.shares {
                     shares.leave();
@@ -231,9 +244,9 @@
                 return Ok(clients);
             }
             let now = clock.read();
-            let wait = worker.net.ends(now).saturating_sub(now);
+            let wait = worker.event_loop.end_iteration(now).saturating_sub(now);
             self.watch.wait(Duration::from_micros(wait))?;
-            worker.turn(clock.read(), self.watch.seen());
+            worker.run_iteration(clock.read(), self.watch.events());
         }
     }
 }
@@ -366,7 +379,7 @@
     let watches = (0..workers).map(|_| EventPoller::new()).collect::<io::Result<Vec<_>>>()?;
     // Before anything is opened: a SIGHUP that nobody waits for ends the program.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    watches[0].poller()?.listen(&mut signals, EventSource::Signals)?;
+    watches[0].registry()?.register_readable(&mut signals, EventSource::Signals)?;
     // Where operators may call there may be another process of this balancer, with as many listeners.
     let mut folder = config.operator_at.filter(|_| config.listen.port() != 0);
     let mut folder = folder.take().and_then(|_| common_folder(config.listen));
@@ -405,7 +418,7 @@
         folder = common_folder(at);
     }
     let taken_out = folder.as_mut().and_then(|f| f.read(&BTreeMap::new()).ok()).unwrap_or_default();
-    let counts: Vec<_> = (0..workers).map(|_| WorkerCounters::default()).collect();
+    let counters: Vec<_> = (0..workers).map(|_| WorkerCounters::default()).collect();
     let opened =
         |worker| snapshot::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
     let mut kept: Vec<_> = (0..workers).map(opened).collect();
@@ -424,23 +437,23 @@
     let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.join(SOCKET));
     let ends = take_over.is_some();
     if let Some(place) = take_over.or(place) {
-        kin = between(place, &listeners, inherited, ends, &watches[0].poller()?)?;
+        kin = between(place, &listeners, inherited, ends, &watches[0].registry()?)?;
     }
     let mut kin = Some(kin);
     let place = |((listener, crew), own): (_, &WorkerCounters)| WorkerContext {
         listener: TcpListener::from_std(listener),
-        worker_pool: crew,
+        workers: crew,
         open_ids: open_ids.clone(),
-        counts: own.clone(),
+        counters: own.clone(),
         admin: door.take().map(|door| AdminListener {
             listener: TcpListener::from_std(door),
-            counters: counts.clone(),
+            counters: counters.clone(),
             folder: folder.take(),
         }),
-        taken_out: taken_out.clone(),
+        disabled_servers: taken_out.clone(),
         siblings: kin.take().unwrap_or_default(),
     };
-    let places = listeners.into_iter().zip(crew).zip(&counts).map(place);
+    let places = listeners.into_iter().zip(crew).zip(&counters).map(place);
     let mut starts: Vec<Start> = watches
         .into_iter()
         .zip(places)
