--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -20,7 +20,7 @@
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::update::Incoming;
 use crate::discovery::wall_clock::WallClock;
-use crate::event_loop::accept::Acceptor;
+use crate::event_loop::acceptor::Acceptor;
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
 use crate::fleet::gossip::GossipTransport;
--- a/crates/balancer/src/handover/messages.rs
+++ b/crates/balancer/src/handover/messages.rs
@@ -9,7 +9,7 @@
 use mio::net::TcpStream;
 use serde::{Deserialize, Serialize};
 use shorewharf_protocol::endpoint_list::EndpointList;
-use shorewharf_recovery::memory::Learned;
+use shorewharf_recovery::snapshot_state::SnapshotEntry;
 use shorewharf_units::Micros;
 
 /// Version of the messages. A process that finds another one starts on its own.
@@ -35,7 +35,7 @@
     pub endpoints: EndpointList,
     /// What the decisions of the primary worker have learned, but for its established connections.
     #[serde(default, rename = "memory")]
-    pub learned: Vec<Learned>,
+    pub learned: Vec<SnapshotEntry>,
     /// When that was exported, in microseconds of Unix time.
     #[serde(default, rename = "taken")]
     pub exported_at: Micros,
