--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -6,11 +6,11 @@
 use shorewharf_units::Micros;
 use tracing::warn;
 
-use crate::admin::counters::Counts;
+use crate::admin::counters::WorkerCounters;
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 use crate::event_loop::poll::EventSource;
-use crate::handover::messages::{HandoverState, LEAVES, TransferredConnection, VERSION, held};
+use crate::handover::messages::{HandoverState, PredecessorMessage, TransferredConnection, VERSION};
 use crate::handover::successors::Successors;
 use crate::overload::descriptor_budget::OWN_DESCRIPTORS;
 use crate::workers::pool::{WorkerMessage, WorkerPool};
@@ -28,7 +28,7 @@
     pub(super) fn on_sibling_ready(&mut self, source: EventSource) {
         if let EventSource::Successor(number) = source {
             if let Some(successors) = &mut self.siblings.successors {
-                successors.ready(&self.context.registry, self.context.now, number);
+                successors.on_ready(&self.context.registry, self.context.now, number);
             }
             // It may take more connections now.
             self.is_handover_due |= self.shutdown_started_at.is_some();
@@ -41,8 +41,8 @@
     /// Takes over what the predecessor has sent. Returns whether there is one.
     fn read_predecessor(&mut self) -> bool {
         let Some(predecessor) = &mut self.siblings.predecessor else { return false };
-        let is_there = predecessor.ready();
-        for transferred in predecessor.taken(!is_there) {
+        let is_there = predecessor.receive();
+        for transferred in predecessor.take_connections(!is_there) {
             self.place_transferred(transferred);
         }
         if !is_there {
@@ -56,14 +56,14 @@
     pub fn on_successors_connecting(&mut self, export_state: impl FnOnce() -> Vec<SnapshotEntry>) {
         let offer = HandoverState {
             version: VERSION,
-            listeners: 0,
-            held: self.descriptor_allowance(),
-            known: self.endpoint_list(),
-            memory: export_state(),
-            taken: self.context.now,
+            listener_count: 0,
+            descriptors: self.descriptor_allowance(),
+            endpoints: self.endpoint_list(),
+            learned: export_state(),
+            exported_at: self.context.now,
         };
         if let Some(successors) = &mut self.siblings.successors {
-            successors.comes(&self.context.registry, || offer.clone());
+            successors.accept(&self.context.registry, || offer.clone());
         }
         self.on_successors_changed();
     }
@@ -72,13 +72,13 @@
     /// to end.
     pub(super) fn poll_successors(&mut self) {
         if let Some(successors) = &mut self.siblings.successors {
-            successors.hears_all(&self.context.registry, self.context.now);
+            successors.receive_all(&self.context.registry, self.context.now);
         }
         self.on_successors_changed();
     }
 
     fn on_successors_changed(&mut self) {
-        let returned = self.siblings.successors.as_mut().map(Successors::take_back).unwrap_or_default();
+        let returned = self.siblings.successors.as_mut().map(Successors::take_returned).unwrap_or_default();
         for transferred in returned {
             self.adopt_transferred(transferred);
         }
@@ -95,7 +95,7 @@
         if has_successor && self.siblings.descriptor_allowance.is_none() {
             self.notify_successors();
         }
-        let ends_this = self.siblings.successors.as_ref().is_some_and(Successors::ends_this);
+        let ends_this = self.siblings.successors.as_ref().is_some_and(Successors::wants_termination);
         if self.shutdown_started_at.is_none() && ends_this {
             self.broadcast(|_| WorkerMessage::Shutdown);
             self.begin_shutdown();
@@ -152,7 +152,7 @@
 
     /// Takes over a transferred connection at this worker.
     pub(super) fn adopt_transferred(&mut self, transferred: TransferredConnection) {
-        let client = transferred.0.client;
+        let client = transferred.state.client;
         if !self.proxy.adopt_transferred(&mut self.context, transferred) {
             warn!(event = "not-taken-over", client = %client);
         }
@@ -168,7 +168,7 @@
         if is_primary {
             // Other workers know of the successor what this one tells them.
             if let Some(successors) = &mut self.siblings.successors {
-                successors.look_after(self.context.now);
+                successors.check_stalled(self.context.now);
             }
             self.on_successors_changed();
         }
@@ -178,7 +178,7 @@
         let mut candidates = self.proxy.transferable_connections().into_iter();
         for _ in 0..MAX_TRANSFERS_PER_ITERATION {
             // Poll reports when a successor that is full can take more.
-            if is_primary && !self.siblings.successors.as_mut().is_some_and(Successors::can_hand_over) {
+            if is_primary && !self.siblings.successors.as_mut().is_some_and(Successors::can_transfer) {
                 return;
             }
             let next = self.siblings.queued.pop_front().or_else(|| {
@@ -199,7 +199,7 @@
     /// Sends a connection to the successor; returns false if it could not be sent and is to be taken back.
     fn send_to_successor(&mut self, transferred: TransferredConnection) -> bool {
         match &mut self.siblings.successors {
-            Some(successors) => successors.hand_over(self.context.now, transferred),
+            Some(successors) => successors.transfer(self.context.now, transferred),
             None => {
                 self.adopt_transferred(transferred);
                 true
@@ -231,7 +231,7 @@
 
 /// Descriptors that two processes share.
 impl EventLoop {
-    /// Tells successors how many descriptors this process holds or may take, and keeps to that.
+    /// GossipTransport successors how many descriptors this process holds or may take, and keeps to that.
     pub(super) fn notify_successors(&mut self) {
         if !self.siblings.has_successor() {
             self.siblings.descriptor_allowance = None;
@@ -243,9 +243,9 @@
         self.siblings.descriptor_allowance = Some(allowance);
         if let Some(successors) = &mut self.siblings.successors {
             if self.shutdown_started_at.is_some() {
-                successors.tell(&[LEAVES, b"\n"].concat());
+                successors.broadcast(&PredecessorMessage::Draining);
             }
-            successors.tell(held(allowance).as_bytes());
+            successors.broadcast(&PredecessorMessage::Descriptors(allowance));
         }
         self.set_sibling_descriptors(self.proxy.settings.sockets * self.worker_count() - allowance);
         self.context.schedule_after(NOTIFY_INTERVAL, TimerEvent::NotifySuccessors);
@@ -259,7 +259,7 @@
     /// shutdown it takes no more than its remaining clients need.
     fn descriptor_allowance(&self) -> usize {
         self.proxy.publish_gauges();
-        let sums = self.admin.as_ref().map(|admin| Counts::of_all(&admin.counts)).unwrap_or_default();
+        let sums = self.admin.as_ref().map(|admin| WorkerCounters::sum(&admin.counters)).unwrap_or_default();
         let limit = self.proxy.settings.sockets * self.worker_count();
         let in_use =
             OWN_DESCRIPTORS * self.worker_count() + sums.descriptors + 2 * self.connections_in_transfer();
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -33,7 +33,7 @@
 
 /// This balancer's end.
 #[derive(Debug)]
-pub struct Tells {
+pub struct GossipTransport {
     at: SocketAddr,
     socket: Option<UdpSocket>,
     others: Vec<(String, SocketAddr)>,
@@ -53,7 +53,7 @@
     said_untold: bool,
 }
 
-impl Tells {
+impl GossipTransport {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
     pub fn new(context: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
         context.schedule_after(0, TimerEvent::Gossip);
@@ -62,7 +62,7 @@
         let identity = Identity { name, incarnation: life };
         let options = GossipOptions { key: peers.key.clone(), settings: peers.rules, seed };
         let gossip = Gossip::new(context.now, identity, &names, options);
-        Tells {
+        GossipTransport {
             at,
             socket: None,
             others: peers.others.clone(),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Tells others what is held here, and the module what they hold.
+    /// Announces this balancer's holdings to its peers, and passes theirs on to the decisions.
     pub fn tell(&mut self, context: &mut LoopContext, holds: Vec<Holding>) {
         let held = |h: Holding| AnnouncedHolding {
             server: h.server.0,
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Tells the log what has become of all requests.
+    /// GossipTransport the log what has become of all requests.
     pub fn log_totals(&self) {
         let stats = self.guard.stats();
         tracing::info!(
@@ -117,7 +117,7 @@
     }
 }
 
-/// Counts as a log line has them: `name:count`, separated by commas.
+/// WorkerCounters as a log line has them: `name:count`, separated by commas.
 fn counts<T: Display>(counts: &BTreeMap<T, u64>) -> String {
     let words: Vec<String> = counts.iter().map(|(what, count)| format!("{what}:{count}")).collect();
     words.join(",")
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -203,7 +203,7 @@
 
     /// Takes in the lines that have come from a server on a standing connection. Each is carried on as it
     /// is; the figures of its `LOAD` lines go to `told`. A line unanswered since `asked` is answered by any other
-    /// one. Tells whether anything came, and whether a line is over the limit.
+    /// one. GossipTransport whether anything came, and whether a line is over the limit.
     pub fn read_lines(
         &mut self,
         context: &LoopContext,
