--- a/crates/rolling-restart/src/lib.rs
+++ b/crates/rolling-restart/src/lib.rs
@@ -1,120 +1,195 @@
-//! Restarts of a fleet's balancers, one after the other: each is to be back and knowing before the next goes. Decides only;
-//! [`Fleet`] does what is to be done, and tells what is so.
+//! Rolling restarts of a fleet of balancers: each balancer must have recovered before the next one is restarted.
+//!
+//! This crate only decides. A [`Fleet`] restarts the balancers and reports their status.
 
+use std::error::Error;
 use std::time::Duration;
 
-/// What a balancer tells of itself.
+use thiserror::Error as ThisError;
+
+/// The status that a balancer reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
-    /// It takes clients.
-    pub ready: bool,
-    /// Servers in its list.
-    pub targets: u64,
-    /// Of them, those that it avoids.
-    pub avoided: u64,
+pub struct BalancerStatus {
+    /// Whether it accepts clients.
+    pub is_ready: bool,
+    /// Servers in its endpoint list.
+    pub servers: u64,
+    /// Servers of the list that it avoids.
+    pub avoided_servers: u64,
 }
 
-impl Health {
-    /// Whether it knows as much of the fleet as it did: half of the servers at least, and it does not avoid most of them. One that
-    /// knew of none has nothing to learn.
-    pub fn knows(self, before: Health) -> bool {
-        self.ready && self.targets * 2 >= before.targets && self.avoided * 2 <= self.targets
+impl BalancerStatus {
+    /// Whether the balancer has recovered from a restart: it is ready, knows at least half as many servers as before, and
+    /// does not avoid most of them.
+    pub fn has_recovered(self, before: BalancerStatus) -> bool {
+        self.is_ready && self.servers * 2 >= before.servers && self.avoided_servers * 2 <= self.servers
     }
 }
 
-/// Those who are restarted.
+/// The balancers, by their number.
 pub trait Fleet {
-    /// Restarts one and waits until that is done.
+    /// Why a balancer can't be restarted or does not report its status.
+    type Error: Error;
+
+    /// Restarts a balancer and waits until the restart is done.
     ///
     /// # Errors
-    /// Why that failed.
-    fn restart(&mut self, balancer: usize) -> Result<(), String>;
-    /// Asks one how it is.
+    /// If the restart failed.
+    fn restart(&mut self, balancer: usize) -> Result<(), Self::Error>;
+
+    /// The status of a balancer.
     ///
     /// # Errors
-    /// Why there is no answer.
-    fn ask(&mut self, balancer: usize) -> Result<Health, String>;
-    /// Lets time pass before the next look; how long.
-    fn pause(&mut self) -> Duration;
+    /// If the balancer does not report it.
+    fn status(&mut self, balancer: usize) -> Result<BalancerStatus, Self::Error>;
+
+    /// Waits before the next poll of a status, and returns how long.
+    fn wait(&mut self) -> Duration;
 }
 
-/// How long to be patient.
+/// When a balancer counts as recovered.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// A balancer is to be back and knowing within this.
-    pub within: Duration,
-    /// It is to stay so for this long.
-    pub settle: Duration,
+pub struct RecoveryPolicy {
+    /// The time within which a balancer must have recovered.
+    pub timeout: Duration,
+    /// The time for which it must stay so.
+    pub stable_for: Duration,
 }
 
-/// What became of it.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
-    /// Restarted, back and knowing, in this order.
-    pub done: Vec<usize>,
-    /// The one where it stopped, and why.
-    pub stopped: Option<(usize, String)>,
-    /// Not restarted.
-    pub left: Vec<usize>,
+/// Why a rolling restart stopped at a balancer.
+#[derive(Clone, Debug, PartialEq, Eq, ThisError)]
+pub enum StopCause<E: Error> {
+    /// The balancer can't be restarted, or does not report its status before a restart.
+    #[error("{0}")]
+    Failed(E),
+    /// It does not accept clients though it was not restarted.
+    #[error("it does not take clients")]
+    NotReady,
+    /// It does not accept clients after its restart.
+    #[error("it does not take clients after {} s", .timeout.as_secs_f64())]
+    NotReadyInTime {
+        /// The time it had.
+        timeout: Duration,
+    },
+    /// It knows too few servers after its restart, or avoids too many.
+    #[error(
+        "after {} s it knows {} servers, {} of them avoided, and knew {} before",
+        .timeout.as_secs_f64(), .after.servers, .after.avoided_servers, .before.servers
+    )]
+    NotRecovered {
+        /// The time it had.
+        timeout: Duration,
+        /// Its status before the restart.
+        before: BalancerStatus,
+        /// Its last status.
+        after: BalancerStatus,
+    },
+    /// It does not report its status after its restart.
+    #[error("after {} s: {error}", .timeout.as_secs_f64())]
+    NoStatus {
+        /// The time it had.
+        timeout: Duration,
+        /// Why there is no status.
+        error: E,
+    },
 }
 
-/// Restarts all of so many balancers in their order, as far as all goes well.
-pub fn roll(fleet: &mut impl Fleet, balancers: usize, terms: Terms) -> Report {
-    let mut report = Report { left: (0..balancers).collect(), ..Report::default() };
-    while let Some(next) = report.left.first().copied() {
-        // Nobody is restarted while another one is not well: the rest would carry the share of both.
-        let before = match well(fleet, balancers) {
-            Ok(healths) => healths[next],
-            Err(stopped) => {
-                report.stopped = Some(stopped);
+/// Where a rolling restart stopped.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Stop<E: Error> {
+    /// The balancer.
+    pub balancer: usize,
+    /// The cause.
+    pub cause: StopCause<E>,
+}
+
+/// The outcome of a rolling restart.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RestartReport<E: Error> {
+    /// Balancers that were restarted and have recovered, in this order.
+    pub restarted: Vec<usize>,
+    /// Where it stopped; `None` if all were restarted.
+    pub stopped: Option<Stop<E>>,
+    /// Balancers that were not restarted.
+    pub remaining: Vec<usize>,
+}
+
+/// Restarts the balancers one after the other, until one does not recover.
+pub fn rolling_restart<F: Fleet>(
+    fleet: &mut F,
+    balancers: usize,
+    policy: RecoveryPolicy,
+) -> RestartReport<F::Error> {
+    let mut report =
+        RestartReport { restarted: Vec::new(), stopped: None, remaining: (0..balancers).collect() };
+    while let Some(next) = report.remaining.first().copied() {
+        // None is restarted while another one is not ready: the rest would carry the load of both.
+        let before = match all_ready(fleet, balancers) {
+            Ok(statuses) => statuses[next],
+            Err(stop) => {
+                report.stopped = Some(stop);
                 return report;
             }
         };
-        report.left.remove(0);
-        if let Err(why) = fleet.restart(next).and_then(|()| back(fleet, next, before, terms)) {
-            report.stopped = Some((next, why));
+        report.remaining.remove(0);
+        if let Err(cause) = restart_one(fleet, next, before, policy) {
+            report.stopped = Some(Stop { balancer: next, cause });
             return report;
         }
-        report.done.push(next);
+        report.restarted.push(next);
     }
     report
 }
 
-fn well(fleet: &mut impl Fleet, balancers: usize) -> Result<Vec<Health>, (usize, String)> {
-    let one = |balancer| match fleet.ask(balancer) {
-        Ok(health) if health.ready => Ok(health),
-        Ok(_) => Err((balancer, "it does not take clients".to_owned())),
-        Err(why) => Err((balancer, why)),
-    };
-    (0..balancers).map(one).collect()
+/// The statuses of all balancers, if all are ready.
+fn all_ready<F: Fleet>(fleet: &mut F, balancers: usize) -> Result<Vec<BalancerStatus>, Stop<F::Error>> {
+    let mut statuses = Vec::with_capacity(balancers);
+    for balancer in 0..balancers {
+        match fleet.status(balancer) {
+            Ok(status) if status.is_ready => statuses.push(status),
+            Ok(_) => return Err(Stop { balancer, cause: StopCause::NotReady }),
+            Err(e) => return Err(Stop { balancer, cause: StopCause::Failed(e) }),
+        }
+    }
+    Ok(statuses)
 }
 
-/// Waits until one is back and knowing, and has stayed so.
-fn back(fleet: &mut impl Fleet, balancer: usize, before: Health, terms: Terms) -> Result<(), String> {
-    let (mut waited, mut well_for) = (Duration::ZERO, None);
+/// Restarts a balancer and waits until it has recovered and has stayed so.
+fn restart_one<F: Fleet>(
+    fleet: &mut F,
+    balancer: usize,
+    before: BalancerStatus,
+    policy: RecoveryPolicy,
+) -> Result<(), StopCause<F::Error>> {
+    fleet.restart(balancer).map_err(StopCause::Failed)?;
+    let mut waited = Duration::ZERO;
+    let mut recovered_at = None;
     loop {
-        let said = fleet.ask(balancer);
-        match &said {
-            Ok(health) if health.knows(before) => {
-                let since = *well_for.get_or_insert(waited);
-                if waited - since >= terms.settle {
-                    return Ok(());
-                }
+        let status = fleet.status(balancer);
+        if status.as_ref().is_ok_and(|status| status.has_recovered(before)) {
+            let since = *recovered_at.get_or_insert(waited);
+            if waited - since >= policy.stable_for {
+                return Ok(());
             }
-            _ => well_for = None,
+        } else {
+            recovered_at = None;
         }
-        // One that is well by then is given the time to stay so.
-        if waited >= terms.within && well_for.is_none() {
-            let seconds = terms.within.as_secs_f64();
-            return Err(match said {
-                Ok(h) if !h.ready => format!("it does not take clients after {seconds} s"),
-                Ok(h) => format!(
-                    "after {seconds} s it knows {} servers, {} of them avoided, and knew {} before",
-                    h.targets, h.avoided, before.targets
-                ),
-                Err(why) => format!("after {seconds} s: {why}"),
-            });
+        // A balancer that recovers just in time still gets the time to stay so.
+        if waited >= policy.timeout && recovered_at.is_none() {
+            return Err(timeout_cause(status, before, policy.timeout));
         }
-        waited += fleet.pause();
+        waited += fleet.wait();
+    }
+}
+
+fn timeout_cause<E: Error>(
+    status: Result<BalancerStatus, E>,
+    before: BalancerStatus,
+    timeout: Duration,
+) -> StopCause<E> {
+    match status {
+        Ok(status) if !status.is_ready => StopCause::NotReadyInTime { timeout },
+        Ok(after) => StopCause::NotRecovered { timeout, before, after },
+        Err(error) => StopCause::NoStatus { timeout, error },
     }
 }
