--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,13 +1,25 @@
-//! Trials: many processes of the program on a day of the platform, what is broken between them and when, and what has to
-//! hold all the same.
+//! Fault scenarios: many processes of the program on a day of the platform, the faults that are injected between them, and
+//! what must hold all the same.
 //!
-//! [`Trial::read`] takes the file's text, [`Trial::breaks`] draws who is struck, and [`judge`] holds what was seen at the
-//! stand-ins against the promises; [`Evenness`] and [`bursts`] tell how evenly nodes were used. Nothing here starts a process or reads a clock.
+//! [`Scenario::read`] reads a scenario's file, [`Scenario::network_faults`] and [`Scenario::store_faults`] select whom its
+//! faults affect, and [`evaluate`] compares what was observed at the stubs with the [`Expectations`]. [`LoadDistribution`]
+//! and [`worst_setup_burst`] measure how evenly nodes were used. Nothing here starts a process or reads a clock.
 
-mod even;
-mod file;
-mod judge;
+mod error;
+mod evaluate;
+mod expectations;
+mod fault;
+mod load_distribution;
+mod rules;
+mod scenario;
+mod selection;
+mod verdict;
 
-pub use even::{Evenness, Worst, bursts};
-pub use file::{Band, Group, Holds, Kind, Problem, Promises, Rift, StoreBreak, Trial, Within};
-pub use judge::{Seen, Verdict, judge};
+pub use error::ScenarioError;
+pub use evaluate::{Observations, WeightedRequests, evaluate};
+pub use expectations::{ConnectionBound, Expectations, Interval, RateBound, ServedBound};
+pub use fault::{FaultKind, InjectedFault, StoreFault};
+pub use load_distribution::{LoadDistribution, WorstInterval, worst_setup_burst};
+pub use scenario::Scenario;
+pub use selection::Selection;
+pub use verdict::Verdict;
--- /dev/null
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -0,0 +1,114 @@
+//! A scenario's file, and whom its faults affect.
+
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use serde::Deserialize;
+use shorewharf_emulator::day::Day;
+use shorewharf_emulator::edge::{BalancerId, NodeId};
+use shorewharf_emulator::sockets::between::Break;
+
+use crate::error::ScenarioError;
+use crate::expectations::Expectations;
+use crate::fault::{InjectedFault, Shared, StoreFault};
+use crate::selection::Selection;
+
+/// Distinguishes the random selections from others with the day's seed.
+const NETWORK_SALT: u64 = 0x7269_6674;
+const STORE_SALT: u64 = 0x7374_6f72;
+
+/// A scenario as it is written.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct Scenario {
+    /// What it shows.
+    pub about: String,
+    /// The file of the day, relative to this file.
+    pub day: String,
+    /// Whether the balancers gossip.
+    #[serde(rename = "together", default)]
+    pub gossip: bool,
+    /// Budgets that the balancers share: the operator's settings without the store and the members, which the lab adds.
+    pub budgets: Option<toml::Table>,
+    /// The injected faults.
+    #[serde(rename = "breaks", default)]
+    pub faults: Vec<InjectedFault>,
+    /// What must hold.
+    #[serde(rename = "promises", default)]
+    pub expectations: Expectations,
+}
+
+impl Scenario {
+    /// Reads a file's text.
+    ///
+    /// # Errors
+    /// If the text is not TOML of this form, or a value is not allowed.
+    pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
+        let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError::Syntax(e.to_string()))?;
+        scenario.check()?;
+        Ok(scenario)
+    }
+
+    fn check(&self) -> Result<(), ScenarioError> {
+        let shared = Shared { gossip: self.gossip, budgets: self.budgets.is_some() };
+        for (index, fault) in self.faults.iter().enumerate() {
+            fault.check(index, shared)?;
+        }
+        if shared.budgets && shared.gossip {
+            return Err(ScenarioError::invalid("budgets", "and together: not both yet"));
+        }
+        self.expectations.check()
+    }
+
+    /// The faults between processes on this day. Random selections are drawn by the day's seed.
+    ///
+    /// # Errors
+    /// If a selection names what the day does not have.
+    pub fn network_faults(&self, day: &Day) -> Result<Vec<Break>, ScenarioError> {
+        let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ NETWORK_SALT);
+        let balancers: Vec<u32> = day.balancers.iter().map(|balancer| balancer.zone).collect();
+        let nodes: Vec<u32> = day.nodes.iter().map(|node| node.zone).collect();
+        let all = Selection::default();
+        let mut faults = Vec::new();
+        for (index, fault) in self.faults.iter().enumerate() {
+            let Some(what) = fault.network_fault() else { continue };
+            let mut select = |selection: &Selection, name: &str, members: &[u32]| {
+                selection.select(&format!("breaks[{index}].{name}"), &day.zones, members, &mut rng)
+            };
+            let affected = select(&fault.balancers, "balancers", &balancers)?;
+            let to_nodes = select(fault.nodes.as_ref().unwrap_or(&all), "nodes", &nodes)?;
+            let to_peers = select(fault.gossip_peers.as_ref().unwrap_or(&all), "others", &balancers)?;
+            faults.push(Break {
+                what,
+                from: fault.from(),
+                to: fault.to(),
+                balancers: affected.into_iter().map(BalancerId).collect(),
+                nodes: to_nodes.into_iter().map(NodeId).collect(),
+                others: to_peers.into_iter().map(BalancerId).collect(),
+            });
+        }
+        Ok(faults)
+    }
+
+    /// The faults of the store on this day. Random selections are drawn by the day's seed.
+    ///
+    /// # Errors
+    /// If a selection names what the day does not have.
+    pub fn store_faults(&self, day: &Day) -> Result<Vec<StoreFault>, ScenarioError> {
+        let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ STORE_SALT);
+        let balancers: Vec<u32> = day.balancers.iter().map(|balancer| balancer.zone).collect();
+        let mut faults = Vec::new();
+        for (index, fault) in self.faults.iter().enumerate() {
+            if fault.kind.is_of_store() {
+                let key = format!("breaks[{index}].balancers");
+                let affected = fault.balancers.select(&key, &day.zones, &balancers, &mut rng)?;
+                faults.push(StoreFault {
+                    kind: fault.kind,
+                    from: fault.from(),
+                    to: fault.to(),
+                    balancers: affected,
+                });
+            }
+        }
+        Ok(faults)
+    }
+}
--- a/crates/fault-scenarios/tests/judge.rs
+++ b/crates/fault-scenarios/tests/evaluate.rs
@@ -1,39 +1,43 @@
-//! Promises against made-up sights: each is broken by the one thing that it forbids, and by nothing else.
+//! Expectations against made-up observations: each is broken by the one thing that it forbids, and by nothing else.
 
 use shorewharf_emulator::audit::{Break as Broken, Reason, Verdict as Rules};
 use shorewharf_emulator::edge::{BalancerId, NodeId};
 use shorewharf_emulator::sockets::between::{Break, What};
 use shorewharf_emulator::world::series::NodeSeries;
-use shorewharf_fault_scenarios::{Problem, Promises, Seen, Trial, judge};
+use shorewharf_fault_scenarios::{
+    Expectations, Observations, Scenario, ScenarioError, WeightedRequests, evaluate,
+};
+
+const STEP: WeightedRequests = WeightedRequests { requested: 10.0, served: 9.0 };
 
 const HEAD: &str = "about = \"a\"\nday = \"d.toml\"\n";
 
-fn promises(text: &str) -> Promises {
-    Trial::read(&format!("{HEAD}[promises]\n{text}")).expect("a trial").promises
+fn expectations(text: &str) -> Expectations {
+    Scenario::read(&format!("{HEAD}[promises]\n{text}")).expect("a scenario").expectations
 }
 
 fn node(load: &[f32]) -> NodeSeries {
     NodeSeries { load: load.to_vec(), takes: vec![true; load.len()], ..NodeSeries::default() }
 }
 
-fn broken(seen: &Seen<'_>, promises: &str) -> Vec<String> {
-    let all = judge(&self::promises(promises), seen);
-    all.into_iter().filter(|v| !v.kept).map(|v| v.promise).collect()
+fn broken(observed: &Observations<'_>, text: &str) -> Vec<String> {
+    let all = evaluate(&expectations(text), observed);
+    all.into_iter().filter(|v| !v.is_met).map(|v| v.expectation).collect()
 }
 
-fn seen<'a>(rules: &'a Rules, nodes: &'a [NodeSeries], breaks: &'a [Break]) -> Seen<'a> {
-    Seen {
+fn observations<'a>(rules: &'a Rules, nodes: &'a [NodeSeries], breaks: &'a [Break]) -> Observations<'a> {
+    Observations {
         rules,
         served: 0.9,
-        worth: &[(10.0, 9.0); 12],
+        weighted_requests: &[STEP; 12],
         step_s: 1.0,
         nodes,
-        set_ups: &[],
+        setups: &[],
         tenants: &[],
-        held_most: &[],
+        max_connections: &[],
         slot_s: 0.2,
-        crashed: Vec::new(),
-        breaks,
+        crashes: Vec::new(),
+        faults: breaks,
     }
 }
 
@@ -42,33 +46,36 @@
     let rules = Rules::default();
     let even = [node(&[0.5; 12]), node(&[0.5; 12]), node(&[0.4; 12])];
     let all = "load_most = 0.8\nover_mean_most = 1.5\nunder_mean_least = 0.5\nsettled_s = [[2, 10]]";
-    assert_eq!(broken(&seen(&rules, &even, &[]), all), [""; 0]);
+    assert_eq!(broken(&observations(&rules, &even, &[]), all), [""; 0]);
     // A peak of a second, and one before it has settled, are none.
     let mut peak = even.clone();
     peak[0].load[5] = 1.05;
     peak[1].load[0] = 9.0;
-    assert_eq!(broken(&seen(&rules, &peak, &[]), all), [""; 0]);
+    assert_eq!(broken(&observations(&rules, &peak, &[]), all), [""; 0]);
     peak[0].load[6] = 1.05;
-    assert_eq!(broken(&seen(&rules, &peak, &[]), all), ["load_most", "over_mean_most"]);
+    assert_eq!(broken(&observations(&rules, &peak, &[]), all), ["load_most", "over_mean_most"]);
     let mut idle = even.clone();
     idle[2].load[4..6].fill(0.0);
-    assert_eq!(broken(&seen(&rules, &idle, &[]), all), [""; 0], "two seconds of five");
+    assert_eq!(broken(&observations(&rules, &idle, &[]), all), [""; 0], "two seconds of five");
     idle[2].load[2..9].fill(0.0);
-    assert_eq!(broken(&seen(&rules, &idle, &[]), all), ["under_mean_least"]);
+    assert_eq!(broken(&observations(&rules, &idle, &[]), all), ["under_mean_least"]);
     // Nobody is to be sent to one that takes nobody.
     idle[2].takes[2..9].fill(false);
-    assert_eq!(broken(&seen(&rules, &idle, &[]), all), [""; 0]);
-    assert_eq!(broken(&seen(&rules, &[], &[]), all), ["load_most", "over_mean_most", "under_mean_least"]);
+    assert_eq!(broken(&observations(&rules, &idle, &[]), all), [""; 0]);
+    assert_eq!(
+        broken(&observations(&rules, &[], &[]), all),
+        ["load_most", "over_mean_most", "under_mean_least"]
+    );
 }
 
 #[test]
 fn a_burst_is_more_than_a_multiple_of_the_even_part_or_of_one() {
     let rules = Rules::default();
-    let mut s = seen(&rules, &[], &[]);
+    let mut s = observations(&rules, &[], &[]);
     let slots = [vec![3, 0, 0, 0], vec![8, 6, 5, 5], vec![7, 1, 0, 0]]; // Parts of 1, 6 and 2.
-    s.set_ups = &slots[..2];
+    s.setups = &slots[..2];
     assert_eq!(broken(&s, "set_ups_most = 3"), [""; 0]);
-    s.set_ups = &slots;
+    s.setups = &slots;
     assert_eq!(broken(&s, "set_ups_most = 3"), ["set_ups_most"]);
     assert_eq!(broken(&s, "set_ups_most = 3.5"), [""; 0]);
 }
@@ -76,12 +83,12 @@
 #[test]
 fn service_and_processes_are_held_against_what_was_seen() {
     let rules = Rules::default();
-    let mut s = seen(&rules, &[], &[]);
+    let mut s = observations(&rules, &[], &[]);
     assert_eq!(broken(&s, "served = 0.9\nserved_within = [{ from_s = 3, to_s = 5, least = 0.9 }]"), [""; 0]);
     assert_eq!(broken(&s, "served = 0.91"), ["served"]);
-    let mut worth = [(10.0, 9.0); 12];
-    worth[4].1 = 0.0;
-    s.worth = &worth;
+    let mut steps = [STEP; 12];
+    steps[4].served = 0.0;
+    s.weighted_requests = &steps;
     assert_eq!(
         broken(&s, "served_within = [{ from_s = 3, to_s = 5, least = 0.5 }]"),
         ["served from 3 to 5 s"]
@@ -92,7 +99,7 @@
         1,
         "nobody asked"
     );
-    s.crashed = vec!["balancer 3: signal 6".to_owned()];
+    s.crashes = vec!["balancer 3: signal 6".to_owned()];
     assert_eq!(broken(&s, ""), ["processes"]);
 }
 
@@ -108,7 +115,7 @@
         let (balancers, nodes) = (vec![BalancerId(1)], vec![NodeId(2)]);
         [Break { what, from: 5_000_000, to: 7_000_000, balancers, nodes, others: Vec::new() }]
     };
-    let judged = |rules: &Rules, what| broken(&seen(rules, &[], &between(what)), "").is_empty();
+    let judged = |rules: &Rules, what| broken(&observations(rules, &[], &between(what)), "").is_empty();
     for (what, reason, at, balancer, node, excused) in [
         (What::Stall, Reason::NoAnswer, 6_000_000, 1, None, true),
         (What::Stall, Reason::NoAnswer, 6_000_000, 2, None, false),
@@ -132,30 +139,30 @@
         assert_eq!(judged(&rules, what), excused, "{what:?} {reason:?} at {at} by {balancer} on {node:?}");
     }
     let rules = by(Reason::NoAnswer, 1, 1, None);
-    assert_eq!(broken(&seen(&rules, &[], &[]), "rules = false"), [""; 0]);
+    assert_eq!(broken(&observations(&rules, &[], &[]), "rules = false"), [""; 0]);
 }
 
 #[test]
 fn budgets_are_held_against_every_length_of_time_and_every_second() {
     let rules = Rules::default();
-    let mut s = seen(&rules, &[], &[]);
+    let mut s = observations(&rules, &[], &[]);
     let within = "set_ups_within = { per_s = 10, over = 4 }";
     assert_eq!(broken(&s, within), ["set_ups_within"], "nobody came");
     // Two in each fifth of a second are ten a second.
     let even = vec![vec![1, 1]; 150];
-    s.set_ups = &even;
+    s.setups = &even;
     assert_eq!(broken(&s, within), [""; 0]);
     let burst = [&even[..70], &[vec![4, 3]], &even[..70]].concat();
-    s.set_ups = &burst;
+    s.setups = &burst;
     assert_eq!(broken(&s, within), ["set_ups_within"], "seven where two and four are allowed");
     assert_eq!(broken(&s, "set_ups_within = { per_s = 10, over = 4, from_s = 20 }"), [""; 0]);
     // A little too much for long: five in every two fifths.
     let long: Vec<Vec<u32>> = (0..150).map(|i| vec![1, 1 + i % 2]).collect();
-    s.set_ups = &long;
+    s.setups = &long;
     assert_eq!(broken(&s, within), ["set_ups_within"]);
     let (tenants, held) =
         (["a".to_owned(), "b".to_owned()], [vec![3.0, 8.0], vec![4.0, 9.0], vec![9.0, 1.0]]);
-    (s.tenants, s.held_most) = (&tenants, &held);
+    (s.tenants, s.max_connections) = (&tenants, &held);
     assert_eq!(broken(&s, "holds_most = [{ tenant = \"b\", most = 9 }]"), [""; 0]);
     assert_eq!(broken(&s, "holds_most = [{ tenant = \"b\", most = 8 }]"), ["holds_most b"]);
     assert_eq!(broken(&s, "holds_most = [{ tenant = \"b\", most = 8, from_s = 2 }]"), [""; 0]);
@@ -164,7 +171,7 @@
 
 #[test]
 fn a_file_that_means_nothing_is_refused_by_key_or_line() {
-    let rift = |text: &str| Trial::read(&format!("{HEAD}[[breaks]]\n{text}"));
+    let fault = |text: &str| Scenario::read(&format!("{HEAD}[[breaks]]\n{text}"));
     for (text, words) in [
         ("what = \"odd\"\nat_s = 1\nlen_s = 1", "unknown variant `odd`"),
         ("what = \"odd\"\nat_s = 1\nlen_s = 1", "line 4"),
@@ -177,13 +184,13 @@
         ("what = \"reset\"\nat_s = nan", "breaks[0].at_s"),
         ("what = \"store-silent\"\nat_s = 1\nlen_s = 1", "breaks[0].what: needs [budgets]"),
     ] {
-        let problem = rift(text).expect_err(text).to_string();
+        let problem = fault(text).expect_err(text).to_string();
         assert!(problem.contains(words), "{problem}");
     }
-    let promise = Trial::read(&format!("{HEAD}[promises]\nload_most = 0.9"));
+    let promise = Scenario::read(&format!("{HEAD}[promises]\nload_most = 0.9"));
     assert!(
-        matches!(promise, Err(Problem::Figure { ref key, .. }) if key == "promises.settled_s"),
+        matches!(promise, Err(ScenarioError::InvalidValue { ref key, .. }) if key == "promises.settled_s"),
         "{promise:?}"
     );
-    assert!(rift("what = \"reset\"\nat_s = 1").is_ok());
+    assert!(fault("what = \"reset\"\nat_s = 1").is_ok());
 }
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -7,7 +7,7 @@
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_emulator::sockets::directory::Directory;
-use shorewharf_fault_scenarios::{Kind, StoreBreak};
+use shorewharf_fault_scenarios::{FaultKind, StoreFault};
 use shorewharf_store::standin::{Cluster, Fault, Member};
 use shorewharf_units::Micros;
 use tempfile::TempDir;
@@ -18,7 +18,7 @@
 pub struct Shared {
     cluster: Cluster,
     members: Vec<Member>,
-    breaks: Vec<(StoreBreak, Step)>,
+    breaks: Vec<(StoreFault, Step)>,
     folder: TempDir,
 }
 
@@ -32,7 +32,7 @@
 
 impl Shared {
     /// Starts the store and writes each balancer's file: the terms, its own member of the store, and all names.
-    pub fn start(day: &Day, terms: &toml::Table, breaks: Vec<StoreBreak>) -> Result<Shared, Failure> {
+    pub fn start(day: &Day, terms: &toml::Table, breaks: Vec<StoreFault>) -> Result<Shared, Failure> {
         let outside = |e: std::io::Error| Failure::Outside(format!("the store's stand-in: {e}"));
         let (cluster, folder) = (Cluster::new(), TempDir::with_prefix("shorewharf-store-").map_err(outside)?);
         let n = day.balancers.len();
@@ -70,15 +70,15 @@
             if std::mem::replace(step, next) == next {
                 continue;
             }
-            let fault = match (next, b.what) {
-                (Step::On, Kind::StoreEmptied) => {
+            let fault = match (next, b.kind) {
+                (Step::On, FaultKind::StoreEmptied) => {
                     self.cluster.wipe();
                     continue;
                 }
-                (Step::On, Kind::StoreRefused) => Fault::Refuses,
-                (Step::On, Kind::StoreAnswersLost) => Fault::LosesAnswers,
+                (Step::On, FaultKind::StoreRefused) => Fault::Refuses,
+                (Step::On, FaultKind::StoreAnswersLost) => Fault::LosesAnswers,
                 (Step::On, _) => Fault::Silent,
-                (_, Kind::StoreEmptied) => continue,
+                (_, FaultKind::StoreEmptied) => continue,
                 _ => Fault::None,
             };
             for who in &b.balancers {
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::world::series::SLOT;
-use shorewharf_fault_scenarios::{Evenness, Trial, Worst, bursts};
+use shorewharf_fault_scenarios::{LoadDistribution, Scenario, WorstInterval, worst_setup_burst};
 
 use crate::cli;
 use crate::error::{Done, Failure};
@@ -47,8 +47,8 @@
             .collect();
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
         let runs = runner::each(&jobs, args.threads, &|policy, day, result| {
-            let even = Evenness::of(&trial.promises, &result.series.nodes);
-            let figure = |worst: Option<Worst>| worst.map(|w| round(w.x, 3));
+            let even = LoadDistribution::of(&trial.expectations, &result.series.nodes);
+            let figure = |worst: Option<WorstInterval>| worst.map(|w| round(w.value, 3));
             Played {
                 trial: name.to_string(),
                 balancers: day.balancers.len(),
@@ -56,10 +56,10 @@
                 seed: day.seed,
                 policy: policy.to_owned(),
                 served: round(result.outcome.whole, 4),
-                load_most: figure(even.load_most),
-                over_mean_most: figure(even.over_mean_most),
-                under_mean_least: figure(even.under_mean_least),
-                set_ups_most: figure(bursts(&result.series.set_ups, seconds_from_micros(SLOT))),
+                load_most: figure(even.max_load),
+                over_mean_most: figure(even.max_over_mean),
+                under_mean_least: figure(even.min_under_mean),
+                set_ups_most: figure(worst_setup_burst(&result.series.set_ups, seconds_from_micros(SLOT))),
                 rules_kept: result.verdict.clean(),
             }
         })?;
@@ -82,11 +82,11 @@
 }
 
 /// A trial, and its day with each of the seeds.
-fn days(path: &Path, args: &cli::Even) -> Result<(Trial, Vec<Day>), Failure> {
+fn days(path: &Path, args: &cli::Even) -> Result<(Scenario, Vec<Day>), Failure> {
     let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
-    let trial = Trial::read(&text).map_err(|e| wrong(&e))?;
-    if trial.promises.settled_s.is_empty() {
+    let trial = Scenario::read(&text).map_err(|e| wrong(&e))?;
+    if trial.expectations.settled.is_empty() {
         return Err(wrong(&"promises.settled_s: says when the day has settled, and is missing"));
     }
     let sets = files::single(&args.set)?;
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use shorewharf_emulator::sockets::platform::SocketsRun;
 use shorewharf_emulator::world::series::SLOT;
-use shorewharf_fault_scenarios::{Seen, Trial, Verdict, judge};
+use shorewharf_fault_scenarios::{Observations, Scenario, Verdict, WeightedRequests, evaluate};
 
 use crate::balancer;
 use crate::budgets::Shared;
@@ -26,12 +26,12 @@
     let path = &args.trial;
     let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
-    let mut trial = Trial::read(&text).map_err(|e| wrong(&e))?;
-    trial.together |= args.together;
+    let mut trial = Scenario::read(&text).map_err(|e| wrong(&e))?;
+    trial.gossip |= args.together;
     let day = path.parent().unwrap_or(Path::new("")).join(&trial.day);
     let scenario = files::load(&day, &files::single(&args.set)?, args.seed)?;
     let day = &scenario.day;
-    let breaks = trial.breaks(day).map_err(|e| wrong(&e))?;
+    let breaks = trial.network_faults(day).map_err(|e| wrong(&e))?;
     let program = balancer::find(args.balancer.as_deref())?;
     if let Some(needs) = sockets::too_many(day) {
         return Err(Failure::Input(format!("{}: {needs}", path.display())));
@@ -42,19 +42,19 @@
                 "--operator: the trial's [budgets] make a file for each balancer".to_owned(),
             ));
         }
-        Some(terms) => Some(Shared::start(day, terms, trial.store_breaks(day).map_err(|e| wrong(&e))?)?),
+        Some(terms) => Some(Shared::start(day, terms, trial.store_faults(day).map_err(|e| wrong(&e))?)?),
         None => None,
     };
     let run = sockets::between(
         day,
         &program,
         args.operator.as_deref(),
-        (&breaks, trial.together),
+        (&breaks, trial.gossip),
         shared.as_mut(),
         args.logs.as_deref(),
     )?;
     let verdicts = judged(&trial, day, &run, &breaks);
-    let kept = verdicts.iter().all(|v| v.kept);
+    let kept = verdicts.iter().all(|v| v.is_met);
     let void = run.report.void.clone();
     let ended = match (&void, kept) {
         (Some(_), _) => "void",
@@ -66,15 +66,15 @@
     let mut record = runner::record(day, &name, "sockets", &run.result);
     record.sockets = Some(sockets::facts(&run.report));
     record.about.clone_from(&trial.about);
-    let of_store = trial.store_breaks(day).unwrap_or_default();
+    let of_store = trial.store_faults(day).unwrap_or_default();
     for b in &of_store {
-        let kind = format!("between: {:?}", b.what).to_lowercase();
+        let kind = format!("between: {}", b.kind.label());
         let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
         record.faults.push(Band { kind, from_s, to_s, struck: b.balancers.len() });
     }
-    let rifts = trial.rifts.iter().filter(|r| !r.what.is_of_store());
-    for (rift, b) in rifts.zip(&breaks) {
-        let kind = format!("{:?}", rift.what).to_lowercase();
+    let faults = trial.faults.iter().filter(|fault| !fault.kind.is_of_store());
+    for (fault, b) in faults.zip(&breaks) {
+        let kind = fault.kind.label();
         let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
         record.faults.push(Band {
             kind: format!("between: {kind}"),
@@ -109,35 +109,36 @@
 
 /// What became of a trial's promises.
 pub fn judged(
-    trial: &Trial,
+    trial: &Scenario,
     day: &shorewharf_emulator::day::Day,
     run: &SocketsRun,
     breaks: &[shorewharf_emulator::sockets::between::Break],
 ) -> Vec<Verdict> {
     let outcome = &run.result.outcome;
-    let worth: Vec<(f64, f64)> = outcome.seconds.iter().map(|s| (s.asked, s.earned)).collect();
+    let weighted = outcome.seconds.iter().map(|s| WeightedRequests { requested: s.asked, served: s.earned });
+    let weighted: Vec<WeightedRequests> = weighted.collect();
     let tenants: Vec<String> = day.tenants.iter().map(|t| t.name.clone()).collect();
     let crashed = run.report.lives.iter().filter(|l| l.crashed);
-    judge(
-        &trial.promises,
-        &Seen {
+    evaluate(
+        &trial.expectations,
+        &Observations {
             rules: &run.result.verdict,
             served: outcome.whole,
-            worth: &worth,
+            weighted_requests: &weighted,
             step_s: 1.0,
             nodes: &run.result.series.nodes,
-            set_ups: &run.result.series.set_ups,
+            setups: &run.result.series.set_ups,
             tenants: &tenants,
-            held_most: &outcome.held_most,
+            max_connections: &outcome.held_most,
             slot_s: seconds_from_micros(SLOT),
-            crashed: crashed.map(|l| format!("balancer {}: {}", l.balancer, l.how)).collect(),
-            breaks,
+            crashes: crashed.map(|l| format!("balancer {}: {}", l.balancer, l.how)).collect(),
+            faults: breaks,
         },
     )
 }
 
 fn table(
-    trial: &Trial,
+    trial: &Scenario,
     day: &shorewharf_emulator::day::Day,
     ended: &str,
     verdicts: &[Verdict],
@@ -154,15 +155,15 @@
     );
     let mut table = tables::table(&["promise", "", "seen", "promised"], false, style);
     for v in verdicts {
-        let how = if v.kept { "kept".to_owned() } else { style.bad("BROKEN") };
-        table.add_row([v.promise.clone(), how, v.seen.clone(), v.wanted.clone()]);
+        let how = if v.is_met { "kept".to_owned() } else { style.bad("BROKEN") };
+        table.add_row([v.expectation.clone(), how, v.observed.clone(), v.expected.clone()]);
     }
     text += &format!("{table}\n");
     text
 }
 
 fn json_text(
-    trial: &Trial,
+    trial: &Scenario,
     seed: u64,
     ended: &str,
     verdicts: &[Verdict],
@@ -170,7 +171,9 @@
 ) -> String {
     let promises: Vec<_> = verdicts
         .iter()
-        .map(|v| json!({"promise": v.promise, "kept": v.kept, "seen": v.seen, "wanted": v.wanted}))
+        .map(
+            |v| json!({"promise": v.expectation, "kept": v.is_met, "seen": v.observed, "wanted": v.expected}),
+        )
         .collect();
     let value = json!({
         "about": trial.about, "seed": seed, "ended": ended, "promises": promises,
