--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -15,9 +15,11 @@
 
 use tracing::warn;
 
-use crate::event_loop::poll::{Owner, Poller};
+use crate::event_loop::poll::{EventSource, SourceRegistry};
 use crate::handover::is_own;
-use crate::handover::messages::{ENDS, Estate, Handed, KEEPS, LISTENERS, SERVES, TAKES, line, read_took};
+use crate::handover::messages::{
+    ENDS, HandoverState, KEEPS, LISTENERS, SERVES, TAKES, TransferredConnection, line, read_took,
+};
 
 /// Processes that may have asked at once: one, a second one before the first serves, and some that hang.
 const SUCCESSORS: usize = 4;
@@ -42,8 +44,8 @@
     stalls: bool,
     /// This process is to end, by its word.
     ends: bool,
-    /// Standing connections on their way there, in their order.
-    out: VecDeque<Handed>,
+    /// EstablishedConnection connections on their way there, in their order.
+    out: VecDeque<TransferredConnection>,
     /// So many before those are its own.
     took: u64,
     /// When it took one last, or the first that is on its way was sent.
@@ -115,8 +117,8 @@
     listeners: Vec<TcpListener>,
     table: BTreeMap<u64, Successor>,
     next: u64,
-    /// Standing connections that their successor has not taken, and will not.
-    back: Vec<Handed>,
+    /// EstablishedConnection connections that their successor has not taken, and will not.
+    back: Vec<TransferredConnection>,
 }
 
 /// Listens at the path, in the place of whoever did before.
@@ -132,18 +134,18 @@
 
 impl Successors {
     /// Offers these listeners at the path from now on.
-    pub fn open(path: PathBuf, listeners: Vec<TcpListener>, poller: &Poller) -> io::Result<Self> {
+    pub fn open(path: PathBuf, listeners: Vec<TcpListener>, poller: &SourceRegistry) -> io::Result<Self> {
         if listeners.len() > LISTENERS {
             let why = format!("{} listeners are more than can be handed over, {LISTENERS}", listeners.len());
             return Err(io::Error::new(ErrorKind::InvalidInput, why));
         }
         let mut listener = listen(&path)?;
-        poller.listen(&mut listener, Owner::Successors)?;
+        poller.register_readable(&mut listener, EventSource::HandoverListener)?;
         Ok(Successors { path, listener, listeners, table: BTreeMap::new(), next: 0, back: Vec::new() })
     }
 
     /// Processes ask: each is given the estate.
-    pub fn comes(&mut self, poller: &Poller, estate: impl Fn() -> Estate) {
+    pub fn comes(&mut self, poller: &SourceRegistry, estate: impl Fn() -> HandoverState) {
         while let Ok((mut stream, _)) = self.listener.accept() {
             if let Err(e) = is_own(&stream) {
                 warn!(event = "successor-refused", why = %e);
@@ -151,7 +153,7 @@
             }
             self.next += 1;
             let number = self.next;
-            if poller.watch_source(&mut stream, Owner::Successor(number)).is_err() {
+            if poller.register_source(&mut stream, EventSource::Successor(number)).is_err() {
                 continue;
             }
             if self.table.len() >= SUCCESSORS {
@@ -162,7 +164,7 @@
                 let Some(idle) = idle else { continue };
                 self.table.remove(&idle);
             }
-            let estate = Estate { listeners: self.listeners.len(), ..estate() };
+            let estate = HandoverState { listeners: self.listeners.len(), ..estate() };
             // A list is text and numbers, which can be written as JSON.
             let Ok(mut outbox) = serde_json::to_vec(&estate) else { continue };
             outbox.push(b'\n');
@@ -185,7 +187,7 @@
     }
 
     /// One of them is ready to be heard or written to.
-    pub fn ready(&mut self, poller: &Poller, now: Micros, number: u64) {
+    pub fn ready(&mut self, poller: &SourceRegistry, now: Micros, number: u64) {
         let Some(successor) = self.table.get_mut(&number) else { return };
         // What it has said before its end counts, whether it can be written to or not.
         let writes = successor.writes(&self.listeners);
@@ -200,14 +202,14 @@
         if served
             && !self.has_one()
             && let Ok(mut listener) = listen(&self.path)
-            && poller.listen(&mut listener, Owner::Successors).is_ok()
+            && poller.register_readable(&mut listener, EventSource::HandoverListener).is_ok()
         {
             self.listener = listener;
         }
     }
 
     /// Hears all of them now: what they have said must not be overlooked.
-    pub fn hears_all(&mut self, poller: &Poller, now: Micros) {
+    pub fn hears_all(&mut self, poller: &SourceRegistry, now: Micros) {
         for number in self.table.keys().copied().collect::<Vec<_>>() {
             self.ready(poller, now, number);
         }
@@ -231,12 +233,12 @@
         }
     }
 
-    /// Standing connections that are this process's again.
-    pub fn take_back(&mut self) -> Vec<Handed> {
+    /// EstablishedConnection connections that are this process's again.
+    pub fn take_back(&mut self) -> Vec<TransferredConnection> {
         std::mem::take(&mut self.back)
     }
 
-    /// Standing connections that are on their way.
+    /// EstablishedConnection connections that are on their way.
     pub fn on_their_way(&self) -> usize {
         self.table.values().map(|successor| successor.out.len()).sum()
     }
@@ -260,7 +262,7 @@
     }
 
     /// Hands a standing connection to the one that serves. What can't be sent now is this process's again.
-    pub fn hand_over(&mut self, now: Micros, handed: Handed) -> bool {
+    pub fn hand_over(&mut self, now: Micros, handed: TransferredConnection) -> bool {
         let line = handed.0.line();
         let successor = self.table.values_mut().rev().find(|successor| successor.serves && successor.takes);
         let sent = successor.and_then(|successor| {
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -8,126 +8,136 @@
 use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
-use super::{COME_BACK, Serving};
-use crate::clients::session::{Session, Stage};
-use crate::event_loop::iteration::Turn;
-use crate::event_loop::poll::Ready;
-use crate::servers::attempts;
-use crate::servers::delays::Sight;
-use crate::transport::connection::End;
+use super::{Proxy, RETRY_AFTER};
+use crate::clients::session::{Session, SessionStage};
+use crate::event_loop::context::LoopContext;
+use crate::servers::attempts::AttemptStage;
+use crate::servers::delays::DelaySample;
+use crate::transport::connection::PeerClose;
+use crate::transport::readiness::Readiness;
 
-impl Serving {
+impl Proxy {
     /// Log lines were left out a moment ago.
-    pub fn complaints_due(&mut self, now: Micros) {
-        self.complaints.due(now);
+    pub fn flush_log_limiter(&mut self, now: Micros) {
+        self.log_limiter.due(now);
     }
 
     /// A session's timer has come: what is due of it, and what comes next.
-    pub fn on_session_timer(&mut self, turn: &mut Turn, id: RequestId) {
-        if self.sessions.alarmed(turn, id) {
-            self.on_session_due(turn, id);
-            self.sessions.arm(turn, id);
+    pub fn on_session_timer(&mut self, context: &mut LoopContext, id: RequestId) {
+        if self.sessions.on_timer(context, id) {
+            self.on_session_due(context, id);
+            self.sessions.schedule_timer(context, id);
         }
     }
 
-    fn on_session_due(&mut self, turn: &mut Turn, id: RequestId) {
-        let now = turn.now;
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        match s.stage() {
-            Stage::Opening if s.is_late(now) => {
+    fn on_session_due(&mut self, context: &mut LoopContext, id: RequestId) {
+        let now = context.now;
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        match session.stage() {
+            SessionStage::AwaitingRequest if session.is_past_deadline(now) => {
                 // A line that has come by now is a request that was taken.
-                self.on_session_ready(turn, id, Ready::READ);
-                if self.sessions.get(id).is_some_and(|s| s.stage() == Stage::Opening && s.is_late(now)) {
-                    self.half_line(turn, id);
+                self.on_session_ready(context, id, Readiness::READ);
+                if self.sessions.get(id).is_some_and(|session| {
+                    session.stage() == SessionStage::AwaitingRequest && session.is_past_deadline(now)
+                }) {
+                    self.on_incomplete_request(context, id);
                 }
             }
-            Stage::Waiting if !s.is_late(now) && s.carries_again(now) => {
-                let left = s.until() - now;
-                if let Some(home) = s.home() {
-                    self.begin_attempt(turn, id, home, left);
+            SessionStage::AwaitingAnswer
+                if !session.is_past_deadline(now) && session.take_due_restore(now) =>
+            {
+                let left = session.deadline() - now;
+                if let Some(home) = session.previous_server() {
+                    self.begin_attempt(context, id, home, left);
                 }
             }
             // Guards the rule that every request is answered before its client gives up.
-            Stage::Waiting if s.is_overdue(now) => {
-                error!(event = "overdue", req = id.0, client = %s.from());
-                turn.emit(NetworkEvent::ClientLeft(id));
-                self.end_attempt(turn, id, Outcome::TimedOut);
-                self.answer_unserved(turn, id, COME_BACK, Cause::Overdue);
+            SessionStage::AwaitingAnswer if session.is_overdue(now) => {
+                error!(event = "overdue", req = id.0, client = %session.client_address());
+                context.emit(NetworkEvent::ClientLeft(id));
+                self.end_attempt(context, id, Outcome::TimedOut);
+                self.answer_unserved(context, id, RETRY_AFTER, Cause::Overdue);
             }
-            Stage::Open | Stage::Moving => {
-                if s.half_open_due(now) {
-                    let ended = s.link.ended;
+            SessionStage::Established | SessionStage::Migrating => {
+                if session.is_half_open_expired(now) {
+                    let ended = session.connection.peer_close;
                     let outcome = if ended.is_some() { Outcome::Cancelled } else { Outcome::Reset };
-                    self.end_both(turn, id, End::Fin, outcome);
-                } else if let Some(since) = s.silent_since(turn) {
-                    let from = s.from();
+                    self.close_both(context, id, PeerClose::Fin, outcome);
+                } else if let Some(since) = session.server_silent_since(context) {
+                    let from = session.client_address();
                     warn!(event = "silent", server = self.server_name(id), client = %from);
-                    self.silent(turn, id, since);
+                    self.on_silent_server(context, id, since);
                 }
             }
-            Stage::Ending if s.is_late(now) => self.close_session(turn, id, Cause::Idle),
+            SessionStage::Closing if session.is_past_deadline(now) => {
+                self.close_session(context, id, Cause::Idle)
+            }
             _ => {}
         }
     }
 
     /// Reports what messages take: for each server once a period while that is over a third of the
     /// shortest aim, and once more when it is back under.
-    pub fn report_delays(&mut self, turn: &mut Turn) {
-        let mut seen = BTreeMap::<ServerId, Vec<Sight>>::new();
+    pub fn report_delays(&mut self, context: &mut LoopContext) {
+        let mut seen = BTreeMap::<ServerId, Vec<DelaySample>>::new();
         let (sessions, attempts) = (&mut self.sessions, &self.attempts);
-        self.sighted.retain(|id| {
-            let Some((s, f)) = sessions.get_mut(*id).zip(attempts.get(*id)) else { return false };
-            let sight =
-                Sight { asked: s.asked_since().map(|at| turn.took_since(at)), answered: f.answered() };
-            if s.stage() == Stage::Open && f.stage() == attempts::Stage::Up {
-                seen.entry(f.server()).or_default().push(sight);
+        self.delay_reporters.retain(|id| {
+            let Some((session, attempt)) = sessions.get_mut(*id).zip(attempts.get(*id)) else { return false };
+            let sight = DelaySample {
+                unanswered_since: session.unanswered_since().map(|at| context.waiting_since(at)),
+                last_answer: attempt.last_answer(),
+            };
+            if session.stage() == SessionStage::Established && attempt.stage() == AttemptStage::Established {
+                seen.entry(attempt.server()).or_default().push(sight);
             }
-            s.stays_sighted(sight.says_something(turn.now))
+            session.set_reports_delay(sight.is_informative(context.now))
         });
-        for (server, delay) in self.servers.delays(turn.now, self.terms.message_aim / 3, &seen) {
+        for (server, delay) in self.servers.delay_reports(context.now, self.settings.message_aim / 3, &seen) {
             debug!(event = "seen", server = self.servers.name(Some(server)), us = delay);
-            turn.emit(NetworkEvent::MessageDelayReported(server, delay));
+            context.emit(NetworkEvent::MessageDelayReported(server, delay));
         }
     }
 }
 
 /// The planned end.
-impl Serving {
+impl Proxy {
     /// From now on nobody new is served; tells how many stand, and how many wait.
-    pub fn close(&mut self) -> (usize, usize) {
-        self.closing = true;
-        let stands = |s: &Session| matches!(s.stage(), Stage::Open | Stage::Moving);
-        (self.sessions.those(stands).len(), self.sessions.those(Session::waits).len())
+    pub fn begin_shutdown(&mut self) -> (usize, usize) {
+        self.is_shutting_down = true;
+        let stands = |session: &Session| {
+            matches!(session.stage(), SessionStage::Established | SessionStage::Migrating)
+        };
+        (self.sessions.ids_where(stands).len(), self.sessions.ids_where(Session::is_waiting).len())
     }
 
     /// Clients that are still here.
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.sessions.len()
     }
 
     /// Moves an even part of the standing sessions, with so many more parts to come.
-    pub fn move_some(&mut self, turn: &mut Turn, parts_left: Micros) {
-        let open = self.sessions.those(|s| s.stage() == Stage::Open);
+    pub fn migrate_batch(&mut self, context: &mut LoopContext, parts_left: Micros) {
+        let open = self.sessions.ids_where(|session| session.stage() == SessionStage::Established);
         let n = open.len().div_ceil(parts_left as usize + 1);
-        open.into_iter().take(n).for_each(|id| self.move_away(turn, id));
+        open.into_iter().take(n).for_each(|id| self.migrate(context, id));
     }
 
     /// Answers who still waits, and ends those that have asked for nothing by now. A request that may have run can't be
     /// refused: it waits for its server until its own deadline, or until `is_last_call`, and fails then.
-    pub fn answer_waiting(&mut self, turn: &mut Turn, is_last_call: bool) {
-        for id in self.sessions.those(|s| s.stage() == Stage::Opening) {
-            self.on_session_ready(turn, id, Ready::READ);
-            if self.sessions.get(id).is_some_and(|s| s.stage() == Stage::Opening) {
-                self.answer(turn, id, Answer::Closed, Cause::Shutdown);
+    pub fn answer_waiting_clients(&mut self, context: &mut LoopContext, is_last_call: bool) {
+        for id in self.sessions.ids_where(|session| session.stage() == SessionStage::AwaitingRequest) {
+            self.on_session_ready(context, id, Readiness::READ);
+            if self.sessions.get(id).is_some_and(|session| session.stage() == SessionStage::AwaitingRequest) {
+                self.answer(context, id, Answer::Closed, Cause::Shutdown);
             }
         }
-        for id in self.sessions.those(Session::waits) {
+        for id in self.sessions.ids_where(Session::is_waiting) {
             if !is_last_call && !self.guard.is_refusable(id) {
                 continue;
             }
-            turn.emit(NetworkEvent::ClientLeft(id));
-            self.end_attempt(turn, id, Outcome::Cancelled);
-            self.answer_unserved(turn, id, COME_BACK, Cause::Shutdown);
+            context.emit(NetworkEvent::ClientLeft(id));
+            self.end_attempt(context, id, Outcome::Cancelled);
+            self.answer_unserved(context, id, RETRY_AFTER, Cause::Shutdown);
         }
     }
 }
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -10,41 +10,41 @@
 use shorewharf_protocol::open_request::with_timeout;
 use shorewharf_units::Micros;
 
-use crate::event_loop::iteration::{Alarm, Due, Turn};
-use crate::event_loop::poll::Owner;
-use crate::transport::buffer_pool::Pool;
-use crate::transport::connection::{End, Link, TooLong, is_local_failure, is_shortage};
+use crate::event_loop::context::{LoopContext, TimerEvent, TimerHandle};
+use crate::event_loop::poll::EventSource;
+use crate::transport::buffer_pool::BufferPool;
+use crate::transport::connection::{Connection, LineTooLong, PeerClose, is_local_failure, is_shortage};
 
 /// How far a attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum AttemptStage {
     /// Its connection is not up yet.
     Connecting,
     /// The first line is out, or on its way; the answer is awaited.
     Sent,
     /// The server has taken the client.
-    Up,
+    Established,
 }
 
 /// What a server said last, which tells how its end is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LastWord {
-    Bye,
-    Move,
+enum FinalReply {
+    Completed,
+    Migrate,
     Other,
 }
 
 /// What a server answers to a first line.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum ServerAnswer {
     /// It has taken the client.
-    Up,
+    Accepted,
     /// The attempt is over.
-    Over(Outcome),
+    Ended(Outcome),
     /// It said something that the protocol has no meaning for; the beginning of that.
-    Odd(String),
+    Unexpected(String),
     /// It said a line over the limit.
-    TooLong,
+    LineTooLong,
 }
 
 /// Why a attempt could not begin.
@@ -53,9 +53,9 @@
     /// Descriptors have run out.
     Shortage,
     /// The loop takes no more connections.
-    Unwatched,
+    NotRegistered,
     /// This machine could not begin a connection, which says nothing of the server.
-    Local,
+    LocalFailure,
     /// The connect failed at once.
     Refused,
 }
@@ -64,7 +64,7 @@
     if is_shortage(error) {
         DialError::Shortage
     } else if is_local_failure(error) {
-        DialError::Local
+        DialError::LocalFailure
     } else {
         DialError::Refused
     }
@@ -72,24 +72,24 @@
 
 /// What a server has said last, whatever the connection: to one, and before that to another. Shared by its attempts.
 #[derive(Debug, Default)]
-struct Voice {
+struct ServerActivity {
     last: Cell<Option<(Micros, RequestId)>>,
-    before: Cell<Option<Micros>>,
+    last_to_other: Cell<Option<Micros>>,
 }
 
-impl Voice {
-    fn hears(&self, now: Micros, id: RequestId) {
+impl ServerActivity {
+    fn record(&self, now: Micros, id: RequestId) {
         if let Some((at, other)) = self.last.replace(Some((now, id)))
             && other != id
         {
-            self.before.set(Some(at));
+            self.last_to_other.set(Some(at));
         }
     }
 
     /// Whether it has said anything to another one since then.
-    fn lives(&self, id: RequestId, since: Micros) -> bool {
+    fn is_alive_for_others(&self, id: RequestId, since: Micros) -> bool {
         let last = self.last.get().filter(|(_, to)| *to != id).map(|(at, _)| at);
-        last.max(self.before.get()).is_some_and(|at| at > since)
+        last.max(self.last_to_other.get()).is_some_and(|at| at > since)
     }
 }
 
@@ -97,19 +97,19 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The connection itself.
-    pub link: Link,
+    pub connection: Connection,
     server: ServerId,
-    voice: Rc<Voice>,
-    stage: Stage,
+    activity: Rc<ServerActivity>,
+    stage: AttemptStage,
     /// It should be connected by then.
     connected_by: Micros,
-    until: Micros,
-    last: LastWord,
-    alarm: Alarm,
+    deadline: Micros,
+    last_reply: FinalReply,
+    timer: TimerHandle,
     /// When it last answered a line of the client's, and how long that took.
-    answered: Option<(Micros, Micros)>,
+    last_answer: Option<(Micros, Micros)>,
     /// The first line has gone out to its last byte, and that was told.
-    dispatched: bool,
+    is_dispatched: bool,
 }
 
 impl Attempt {
@@ -119,80 +119,84 @@
     }
 
     /// How far it has come.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> AttemptStage {
         self.stage
     }
 
     /// When a line of the client's was answered last, and how long that took.
-    pub fn answered(&self) -> Option<(Micros, Micros)> {
-        self.answered
+    pub fn last_answer(&self) -> Option<(Micros, Micros)> {
+        self.last_answer
     }
 
     /// Writes the first line on a connection that has come up, with what is left of the time as its `d`.
-    pub fn ask(&mut self, now: Micros, pool: &Pool, line: &[u8]) {
-        self.stage = Stage::Sent;
-        self.link.say(pool, &with_timeout(line, self.until.saturating_sub(now)));
+    pub fn send_request(&mut self, now: Micros, pool: &BufferPool, line: &[u8]) {
+        self.stage = AttemptStage::Sent;
+        self.connection.send(pool, &with_timeout(line, self.deadline.saturating_sub(now)));
     }
 
     /// Whether the last byte of the first line has gone out, which is told once.
-    pub fn is_dispatched(&mut self) -> bool {
-        !self.dispatched && self.stage == Stage::Sent && {
-            self.dispatched = self.link.flush();
-            self.dispatched
+    pub fn take_dispatched(&mut self) -> bool {
+        !self.is_dispatched && self.stage == AttemptStage::Sent && {
+            self.is_dispatched = self.connection.flush();
+            self.is_dispatched
         }
     }
 
     /// Reads on for the server's answer; none as long as there is none.
-    pub fn answer(&mut self, pool: &Pool) -> Option<Answer> {
-        let sent = self.link.flush();
-        self.link.fill(pool);
-        let ended = self.link.ended;
-        Some(match self.link.look().map(|line| line.map(parse_message)) {
-            Ok(Some(Message::Accepted(_))) => Answer::Up,
-            Ok(Some(Message::Rejected(_))) => Answer::Over(Outcome::Rejected),
-            Ok(Some(Message::Migrate)) => Answer::Over(Outcome::Cancelled),
-            Ok(Some(Message::Completed)) => Answer::Over(Outcome::Ok),
-            Ok(Some(Message::Failed)) => Answer::Over(Outcome::Error),
+    pub fn read_answer(&mut self, pool: &BufferPool) -> Option<ServerAnswer> {
+        let sent = self.connection.flush();
+        self.connection.read_available(pool);
+        let ended = self.connection.peer_close;
+        Some(match self.connection.inspect_line().map(|line| line.map(parse_message)) {
+            Ok(Some(Message::Accepted(_))) => ServerAnswer::Accepted,
+            Ok(Some(Message::Rejected(_))) => ServerAnswer::Ended(Outcome::Rejected),
+            Ok(Some(Message::Migrate)) => ServerAnswer::Ended(Outcome::Cancelled),
+            Ok(Some(Message::Completed)) => ServerAnswer::Ended(Outcome::Ok),
+            Ok(Some(Message::Failed)) => ServerAnswer::Ended(Outcome::Error),
             Ok(Some(other)) => {
                 let line = other.to_string();
                 let line = line.trim_end().as_bytes();
-                Answer::Odd(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned())
+                ServerAnswer::Unexpected(String::from_utf8_lossy(&line[..line.len().min(80)]).into_owned())
             }
-            Err(TooLong) => Answer::TooLong,
+            Err(LineTooLong) => ServerAnswer::LineTooLong,
             Ok(None) if ended.is_none() => return None,
             // Broken before the line's last byte was written: it has never run.
-            Ok(None) if !sent => Answer::Over(Outcome::ConnectFailed),
-            Ok(None) => Answer::Over(Outcome::Reset),
+            Ok(None) if !sent => ServerAnswer::Ended(Outcome::ConnectFailed),
+            Ok(None) => ServerAnswer::Ended(Outcome::Reset),
         })
     }
 
     /// Whether it can go on in another process.
-    pub fn can_go(&self) -> bool {
-        self.stage == Stage::Up && self.last == LastWord::Other && self.link.can_go()
+    pub fn is_transferable(&self) -> bool {
+        self.stage == AttemptStage::Established
+            && self.last_reply == FinalReply::Other
+            && self.connection.is_transferable()
     }
 
     /// The server has taken the client.
-    pub fn stands(&mut self, now: Micros, id: RequestId) {
-        self.stage = Stage::Up;
-        self.voice.hears(now, id);
+    pub fn establish(&mut self, now: Micros, id: RequestId) {
+        self.stage = AttemptStage::Established;
+        self.activity.record(now, id);
     }
 
     /// When it should have come further; never where it stands.
-    fn due(&self, judges_from: Micros) -> Option<Micros> {
+    fn next_deadline(&self, judges_from: Micros) -> Option<Micros> {
         match self.stage {
-            Stage::Connecting => Some(self.connected_by.max(judges_from).min(self.until)),
-            Stage::Sent => Some(self.until),
-            Stage::Up => None,
+            AttemptStage::Connecting => Some(self.connected_by.max(judges_from).min(self.deadline)),
+            AttemptStage::Sent => Some(self.deadline),
+            AttemptStage::Established => None,
         }
     }
 
     /// How it ends for want of time, if it does now.
-    fn is_late(&self, now: Micros, judges_from: Micros) -> Option<Outcome> {
+    fn timeout_outcome(&self, now: Micros, judges_from: Micros) -> Option<Outcome> {
         match self.stage {
             // What was never written has never run; what was may have.
-            Stage::Connecting if now >= self.connected_by.max(judges_from) => Some(Outcome::ConnectFailed),
-            Stage::Connecting if now >= self.until => Some(Outcome::NotSent),
-            Stage::Sent if now >= self.until => Some(Outcome::TimedOut),
+            AttemptStage::Connecting if now >= self.connected_by.max(judges_from) => {
+                Some(Outcome::ConnectFailed)
+            }
+            AttemptStage::Connecting if now >= self.deadline => Some(Outcome::NotSent),
+            AttemptStage::Sent if now >= self.deadline => Some(Outcome::TimedOut),
             _ => None,
         }
     }
@@ -200,39 +204,40 @@
     /// Takes in the lines that have come from a server on a standing connection. Each is carried on as it
     /// is; the figures of its `LOAD` lines go to `told`. A line unanswered since `asked` is answered by any other
     /// one. Tells whether anything came, and whether a line is over the limit.
-    pub fn take_in(
+    pub fn read_lines(
         &mut self,
-        turn: &Turn,
+        context: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
-    ) -> (bool, Result<(), TooLong>) {
-        let came = self.link.fill(&turn.pool);
-        let looked = self.look(turn, id, asked, told);
-        if self.link.ended == Some(End::Fin) {
-            self.link.look_at_rest();
+    ) -> (bool, Result<(), LineTooLong>) {
+        let came = self.connection.read_available(&context.buffers);
+        let looked = self.inspect_lines(context, id, asked, told);
+        if self.connection.peer_close == Some(PeerClose::Fin) {
+            self.connection.inspect_rest();
         }
         (came, looked)
     }
 
-    fn look(
+    fn inspect_lines(
         &mut self,
-        turn: &Turn,
+        context: &LoopContext,
         id: RequestId,
         asked: &mut Option<Micros>,
         told: &mut Vec<f64>,
-    ) -> Result<(), TooLong> {
-        let now = turn.now;
-        while let Some(line) = self.link.look()? {
-            self.voice.hears(now, id);
-            self.last = LastWord::Other;
+    ) -> Result<(), LineTooLong> {
+        let now = context.now;
+        while let Some(line) = self.connection.inspect_line()? {
+            self.activity.record(now, id);
+            self.last_reply = FinalReply::Other;
             match parse_message(line) {
-                Message::Completed => self.last = LastWord::Bye,
-                Message::Migrate => self.last = LastWord::Move,
+                Message::Completed => self.last_reply = FinalReply::Completed,
+                Message::Migrate => self.last_reply = FinalReply::Migrate,
                 Message::LoadReport(load) => told.extend(load),
                 // The time from a client's line to the server's answer is what a message takes there.
                 _ => {
-                    self.answered = asked.take().map(|at| (now, now - turn.took_since(at))).or(self.answered)
+                    self.last_answer =
+                        asked.take().map(|at| (now, now - context.waiting_since(at))).or(self.last_answer)
                 }
             }
         }
@@ -241,10 +246,10 @@
 
     /// How the end of a standing connection counts.
     pub fn outcome(&self) -> Outcome {
-        match self.last {
-            LastWord::Bye => Outcome::Ok,
-            LastWord::Move => Outcome::Cancelled,
-            LastWord::Other => Outcome::Reset,
+        match self.last_reply {
+            FinalReply::Completed => Outcome::Ok,
+            FinalReply::Migrate => Outcome::Cancelled,
+            FinalReply::Other => Outcome::Reset,
         }
     }
 }
@@ -256,57 +261,86 @@
     /// Boxed: the table of a large fleet has room for more than it holds.
     table: FxHashMap<RequestId, Box<Attempt>>,
     /// By server, for as long as it has any.
-    voices: FxHashMap<ServerId, Rc<Voice>>,
+    activity: FxHashMap<ServerId, Rc<ServerActivity>>,
 }
 
 impl Attempts {
     /// Begins a attempt, which may take as long as `patience`; none may be out for this req.
     pub fn begin(
         &mut self,
-        turn: &mut Turn,
+        context: &mut LoopContext,
         id: RequestId,
         (server, address): (ServerId, SocketAddr),
         patience: Micros,
         connect_timeout: Micros,
     ) -> Result<(), DialError> {
-        let mut link = Link::connect(address).map_err(|e| dial_error_of(&e))?;
-        if !turn.poller.watch(&mut link, Owner::Attempt(id)) {
-            return Err(DialError::Unwatched);
+        let mut link = Connection::connect(address).map_err(|e| dial_error_of(&e))?;
+        if !context.registry.register(&mut link, EventSource::Attempt(id)) {
+            return Err(DialError::NotRegistered);
         }
         // A client that leaves less time than a connect may take must not get its server locked.
-        let connected_by = if connect_timeout <= patience { turn.now + connect_timeout } else { Micros::MAX };
-        let (stage, last, until) = (Stage::Connecting, LastWord::Other, turn.now.saturating_add(patience));
-        let voice = Rc::clone(self.voices.entry(server).or_default());
-        let (alarm, answered, dispatched) = (Alarm::default(), None, false);
-        let attempt =
-            Attempt { link, server, voice, stage, connected_by, until, last, alarm, answered, dispatched };
+        let connected_by =
+            if connect_timeout <= patience { context.now + connect_timeout } else { Micros::MAX };
+        let (stage, last, until) =
+            (AttemptStage::Connecting, FinalReply::Other, context.now.saturating_add(patience));
+        let voice = Rc::clone(self.activity.entry(server).or_default());
+        let (alarm, answered, dispatched) = (TimerHandle::default(), None, false);
+        let attempt = Attempt {
+            connection: link,
+            server,
+            activity: voice,
+            stage,
+            connected_by,
+            deadline: until,
+            last_reply: last,
+            timer: alarm,
+            last_answer: answered,
+            is_dispatched: dispatched,
+        };
         self.table.insert(id, Box::new(attempt));
-        self.arm(turn, id);
+        self.schedule_timer(context, id);
         Ok(())
     }
 
     /// Takes in a attempt that stands, from another process of this balancer; false where it can't be watched.
-    pub fn adopt(&mut self, turn: &mut Turn, id: RequestId, server: ServerId, mut link: Link) -> bool {
-        if !turn.poller.watch(&mut link, Owner::Attempt(id)) {
+    pub fn adopt(
+        &mut self,
+        context: &mut LoopContext,
+        id: RequestId,
+        server: ServerId,
+        mut link: Connection,
+    ) -> bool {
+        if !context.registry.register(&mut link, EventSource::Attempt(id)) {
             return false;
         }
-        let voice = Rc::clone(self.voices.entry(server).or_default());
-        let (stage, last, connected_by, until) = (Stage::Up, LastWord::Other, turn.now, turn.now);
-        let (alarm, answered, dispatched) = (Alarm::default(), None, true);
-        let attempt =
-            Attempt { link, server, voice, stage, connected_by, until, last, alarm, answered, dispatched };
+        let voice = Rc::clone(self.activity.entry(server).or_default());
+        let (stage, last, connected_by, until) =
+            (AttemptStage::Established, FinalReply::Other, context.now, context.now);
+        let (alarm, answered, dispatched) = (TimerHandle::default(), None, true);
+        let attempt = Attempt {
+            connection: link,
+            server,
+            activity: voice,
+            stage,
+            connected_by,
+            deadline: until,
+            last_reply: last,
+            timer: alarm,
+            last_answer: answered,
+            is_dispatched: dispatched,
+        };
         self.table.insert(id, Box::new(attempt));
         true
     }
 
     /// A req's attempt.
     pub fn get(&self, id: RequestId) -> Option<&Attempt> {
-        self.table.get(&id).map(|f| &**f)
+        self.table.get(&id).map(|attempt| &**attempt)
     }
 
     /// A req's attempt, to act on.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Attempt> {
-        self.table.get_mut(&id).map(|f| &mut **f)
+        self.table.get_mut(&id).map(|attempt| &mut **attempt)
     }
 
     /// Whether a attempt is out, or stands, for a req.
@@ -316,55 +350,55 @@
 
     /// The server that a req's attempt goes to.
     pub fn server(&self, id: RequestId) -> Option<ServerId> {
-        self.table.get(&id).map(|f| f.server)
+        self.table.get(&id).map(|attempt| attempt.server)
     }
 
     /// Ends a req's attempt; false where there is none.
-    pub fn end(&mut self, turn: &mut Turn, id: RequestId) -> bool {
-        self.take(turn, id).is_some()
+    pub fn end(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
+        self.take(context, id).is_some()
     }
 
     /// Takes a req's attempt out, with its connection.
-    pub fn take(&mut self, turn: &mut Turn, id: RequestId) -> Option<Box<Attempt>> {
+    pub fn take(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Box<Attempt>> {
         let mut attempt = self.table.remove(&id)?;
-        attempt.alarm.off(turn);
+        attempt.timer.cancel(context);
         // The table's own is the other one that is left.
-        if Rc::strong_count(&attempt.voice) == 2 {
-            self.voices.remove(&attempt.server);
+        if Rc::strong_count(&attempt.activity) == 2 {
+            self.activity.remove(&attempt.server);
         }
         Some(attempt)
     }
 
-    fn arm(&mut self, turn: &mut Turn, id: RequestId) {
+    fn schedule_timer(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.table.get_mut(&id) else { return };
-        let due = attempt.due(turn.judges_from());
-        attempt.alarm.by(turn, due, Due::Attempt(id));
+        let due = attempt.next_deadline(context.earliest_timeout());
+        attempt.timer.schedule_by(context, due, TimerEvent::Attempt(id));
     }
 
     /// The timer of a req's attempt has come: how it ends, if it does.
-    pub fn alarmed(&mut self, turn: &mut Turn, id: RequestId) -> Option<Outcome> {
+    pub fn on_timer(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Outcome> {
         let attempt = self.table.get_mut(&id)?;
-        attempt.alarm.came();
-        let late = attempt.is_late(turn.now, turn.judges_from());
+        attempt.timer.on_fired();
+        let late = attempt.timeout_outcome(context.now, context.earliest_timeout());
         if late.is_none() {
-            self.arm(turn, id);
+            self.schedule_timer(context, id);
         }
         late
     }
 
     /// Whether the server of this req's attempt has said anything to another one since then.
-    pub fn server_lives(&self, id: RequestId, since: Micros) -> bool {
-        self.table.get(&id).is_some_and(|f| f.voice.lives(id, since))
+    pub fn is_server_alive(&self, id: RequestId, since: Micros) -> bool {
+        self.table.get(&id).is_some_and(|attempt| attempt.activity.is_alive_for_others(id, since))
     }
 
     /// How many there are.
-    pub fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.table.len()
     }
 
     /// Whether a server has any.
-    pub fn any_at(&self, server: ServerId) -> bool {
-        self.voices.contains_key(&server)
+    pub fn has_server(&self, server: ServerId) -> bool {
+        self.activity.contains_key(&server)
     }
 }
 
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -7,7 +7,7 @@
 use shorewharf_decisions::ServerId;
 use shorewharf_driver::{AdmissionGate, Driver};
 use shorewharf_protocol::endpoint_list::EndpointList;
-use shorewharf_recovery::memory::{Cursor, Learned};
+use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Snapshot;
 use shorewharf_snapshot::choice::choose;
 use shorewharf_snapshot::folder::Folder;
@@ -18,8 +18,8 @@
 use tracing::{debug, info, warn};
 
 use crate::config::Config;
-use crate::event_loop::hub::Net;
-use crate::event_loop::iteration::Due;
+use crate::event_loop::context::TimerEvent;
+use crate::event_loop::dispatch::EventLoop;
 
 /// Read out in one turn: servers with their names, and things known; each takes well under 0.2 ms.
 const SERVERS: usize = 64;
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Memory {
     /// All of it.
-    pub learned: Vec<Learned>,
+    pub learned: Vec<SnapshotEntry>,
     /// When it was read out, on this program's clock.
     pub taken: Micros,
     /// The connections of the one before are gone, and their clients expected back.
@@ -55,13 +55,13 @@
 #[derive(Debug)]
 enum At {
     Servers(Option<ServerId>),
-    Known(Cursor),
+    Known(ExportCursor),
 }
 
 /// The folder of one worker.
 #[derive(Debug)]
 pub struct Keeping {
-    writer: Writer<Learned>,
+    writer: Writer<SnapshotEntry>,
     every: Micros,
     balancer: String,
     worker: usize,
@@ -73,9 +73,9 @@
 }
 
 /// All that is known, at once.
-pub fn everything(gate: &AdmissionGate) -> Vec<Learned> {
-    let (mut learned, mut at) = (Vec::new(), Cursor::default());
-    while at != Cursor::End {
+pub fn everything(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
+    let (mut learned, mut at) = (Vec::new(), ExportCursor::default());
+    while at != ExportCursor::End {
         at = gate.recollect(at, THINGS, &mut learned);
     }
     learned
@@ -130,11 +130,11 @@
 
 impl Keeping {
     /// A record is begun, or read on; the next turn for it is set.
-    pub fn turn(&mut self, net: &mut Net, driver: &mut Driver) {
-        if !std::mem::take(&mut net.reads_out) {
+    pub fn on_iteration(&mut self, event_loop: &mut EventLoop, driver: &mut Driver) {
+        if !std::mem::take(&mut event_loop.is_snapshot_due) {
             return;
         }
-        let now = net.turn.now;
+        let now = event_loop.context.now;
         match self.writer.told() {
             Some(Ok(lines)) => {
                 self.fails = false;
@@ -146,7 +146,7 @@
             }
             Some(Err(_)) | None => {}
         }
-        self.goes_on(net, driver.gate());
+        self.goes_on(event_loop, driver.gate());
         let next = match self.at {
             Some(_) => STEP,
             // A disk that takes longer than that is not asked for more.
@@ -154,48 +154,48 @@
                 Some((self.began + self.every).saturating_sub(now)).filter(|n| *n > 0).unwrap_or(self.every)
             }
         };
-        net.turn.after(next, Due::Snapshot);
+        event_loop.context.schedule_after(next, TimerEvent::Snapshot);
     }
 
     /// Reads a portion, of a new record where none is being read and the one before is on the disk.
-    fn goes_on(&mut self, net: &Net, gate: &AdmissionGate) {
+    fn goes_on(&mut self, event_loop: &EventLoop, gate: &AdmissionGate) {
         if self.at.is_none() && self.writer.is_idle() {
-            self.began = net.turn.now;
+            self.began = event_loop.context.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
-            let (taken, index) = (unix(), net.discovery.index());
+            let (taken, index) = (unix(), event_loop.discovery.index());
             self.writer.begin(Head { snapshot: VERSION, balancer, worker, workers, taken, index });
             self.at = Some(At::Servers(None));
         }
         if let Some(at) = self.at.take() {
-            self.reads(at, net, gate);
+            self.reads(at, event_loop, gate);
         }
     }
 
     /// The program has ended: what it knew last is read out whole, and written before the thread is let go.
-    pub fn ends(mut self, net: &Net, driver: &mut Driver) {
+    pub fn ends(mut self, event_loop: &EventLoop, driver: &mut Driver) {
         loop {
-            self.goes_on(net, driver.gate());
+            self.goes_on(event_loop, driver.gate());
             if self.at.is_none() {
                 return;
             }
         }
     }
 
-    fn reads(&mut self, at: At, net: &Net, gate: &AdmissionGate) {
+    fn reads(&mut self, at: At, event_loop: &EventLoop, gate: &AdmissionGate) {
         let mut lines = Vec::new();
         self.at = match at {
             At::Servers(behind) => {
-                let terms = &net.serving.terms;
-                let some = net.serving.servers.some_endpoints(&terms.names, behind, SERVERS);
+                let terms = &event_loop.proxy.settings;
+                let some = event_loop.proxy.servers.endpoints_after(&terms.names, behind, SERVERS);
                 let (read, last) = (some.len(), some.last().map(|(id, _)| *id));
                 lines.extend(some.into_iter().filter_map(|(_, endpoint)| endpoint.map(Line::Endpoint)));
-                Some(if read < SERVERS { At::Known(Cursor::default()) } else { At::Servers(last) })
+                Some(if read < SERVERS { At::Known(ExportCursor::default()) } else { At::Servers(last) })
             }
             At::Known(cursor) => {
                 let mut learned = Vec::new();
                 let cursor = gate.recollect(cursor, THINGS, &mut learned);
                 lines.extend(learned.into_iter().map(Line::Known));
-                (cursor != Cursor::End).then_some(At::Known(cursor))
+                (cursor != ExportCursor::End).then_some(At::Known(cursor))
             }
         };
         self.writer.lines(lines);
--- a/crates/fault-scenarios/src/evaluate.rs
+++ b/crates/fault-scenarios/src/evaluate.rs
@@ -1,7 +1,7 @@
 //! Compares what was observed at the stubs with the expectations. What a balancer says of itself does not count.
 
 use shorewharf_emulator::audit::Verdict as AuditVerdict;
-use shorewharf_emulator::sockets::between::Break;
+use shorewharf_emulator::sockets::network_faults::NetworkFault;
 use shorewharf_emulator::world::series::NodeSeries;
 
 use crate::expectations::{ConnectionBound, Expectations, RateBound, ServedBound};
@@ -48,7 +48,7 @@
     /// The processes that ended by themselves, and how.
     pub crashes: Vec<String>,
     /// The faults that were injected.
-    pub faults: &'a [Break],
+    pub faults: &'a [NetworkFault],
 }
 
 /// Compares observations with expectations. The verdicts are in the order in which people should read them.
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -1,7 +1,7 @@
 //! The faults that a scenario injects between processes.
 
 use serde::Deserialize;
-use shorewharf_emulator::sockets::between::What;
+use shorewharf_emulator::sockets::network_faults::NetworkFaultKind;
 use shorewharf_units::{Micros, micros_from_seconds};
 
 use crate::error::{ScenarioError, check_range};
@@ -51,19 +51,19 @@
     }
 
     /// What breaks between the processes; `None` for a fault of the store.
-    pub(crate) fn network_fault(&self) -> Option<What> {
+    pub(crate) fn network_fault(&self) -> Option<NetworkFaultKind> {
         let delay = micros_from_seconds(self.delay_ms.unwrap_or(0.0) / MILLISECONDS_PER_SECOND);
         Some(match self.kind {
-            FaultKind::ConnectionsRefused => What::Refused,
-            FaultKind::HalfOpen => What::Silent,
-            FaultKind::AnswersLost => What::AnswersLost,
-            FaultKind::ConnectionsReset => What::Reset,
-            FaultKind::AnswersDelayed => What::Slow(delay),
-            FaultKind::EndpointListLost => What::NewsLost,
-            FaultKind::GossipLost => What::NotesLost,
-            FaultKind::GossipDuplicated => What::NotesDoubled,
-            FaultKind::GossipDelayed => What::NotesLate(delay),
-            FaultKind::ProcessStopped => What::Stall,
+            FaultKind::ConnectionsRefused => NetworkFaultKind::Refused,
+            FaultKind::HalfOpen => NetworkFaultKind::Silent,
+            FaultKind::AnswersLost => NetworkFaultKind::AnswersLost,
+            FaultKind::ConnectionsReset => NetworkFaultKind::Reset,
+            FaultKind::AnswersDelayed => NetworkFaultKind::Slow(delay),
+            FaultKind::EndpointListLost => NetworkFaultKind::NewsLost,
+            FaultKind::GossipLost => NetworkFaultKind::NotesLost,
+            FaultKind::GossipDuplicated => NetworkFaultKind::NotesDoubled,
+            FaultKind::GossipDelayed => NetworkFaultKind::NotesLate(delay),
+            FaultKind::ProcessStopped => NetworkFaultKind::Stall,
             FaultKind::StoreSilent
             | FaultKind::StoreRefused
             | FaultKind::StoreAnswersLost
--- a/crates/fault-scenarios/src/rules.rs
+++ b/crates/fault-scenarios/src/rules.rs
@@ -1,7 +1,7 @@
 //! Broken rules, without those that an injected fault explains.
 
-use shorewharf_emulator::audit::{Break as Violation, Reason, Rule, Verdict as AuditVerdict};
-use shorewharf_emulator::sockets::between::{Break, What};
+use shorewharf_emulator::audit::{Reason, Rule, RuleViolation as Violation, Verdict as AuditVerdict};
+use shorewharf_emulator::sockets::network_faults::{NetworkFault, NetworkFaultKind};
 use shorewharf_units::{Micros, seconds_from_micros};
 
 use crate::verdict::Verdict;
@@ -14,7 +14,7 @@
 const ENDPOINT_LIST_TIMEOUT: Micros = 6_000_000;
 
 /// The verdict on the rules of the platform.
-pub(crate) fn evaluate_rules(audit: &AuditVerdict, faults: &[Break]) -> Verdict {
+pub(crate) fn evaluate_rules(audit: &AuditVerdict, faults: &[NetworkFault]) -> Verdict {
     let is_excused = |violation: &&Violation| faults.iter().any(|fault| explains(fault, violation));
     let unexcused: Vec<&Violation> = audit.breaks.iter().filter(|violation| !is_excused(violation)).collect();
     // Only some violations of each reason are kept: if all of those are excused, so are the others.
@@ -37,27 +37,34 @@
 }
 
 /// Whether an injected fault, and not the balancer, is why a rule looks broken.
-fn explains(fault: &Break, violation: &Violation) -> bool {
+fn explains(fault: &NetworkFault, violation: &Violation) -> bool {
     let is_affected = fault.balancers.iter().any(|balancer| balancer.0 == violation.balancer);
     let is_between = |extra: Micros| is_affected && (fault.from..=fault.to + extra).contains(&violation.at);
     match fault.what {
         // A stopped process answers nobody. What it sends once it continues is its own fault.
-        What::Stall => {
+        NetworkFaultKind::Stall => {
             let is_of_silence =
                 matches!(violation.reason.rule(), Rule::NoRequestDropped | Rule::NoConnectionLost);
             is_between(EXCUSED_AFTER_END) && is_of_silence && !is_of_content(violation.reason)
         }
         // Lines wait for the connection, not for the balancer.
-        What::Silent => {
+        NetworkFaultKind::Silent => {
             let is_on_connection =
                 violation.node.is_some_and(|node| fault.nodes.iter().any(|affected| affected.0 == node));
             is_between(EXCUSED_AFTER_END) && is_on_connection && violation.reason == Reason::LineHeld
         }
         // An endpoint list counts as received 6 s after its watch fell silent, though it can't arrive.
-        What::NewsLost => is_between(ENDPOINT_LIST_TIMEOUT) && violation.reason == Reason::SentToDraining,
-        What::Refused | What::AnswersLost | What::Reset | What::Slow(_) => false,
+        NetworkFaultKind::NewsLost => {
+            is_between(ENDPOINT_LIST_TIMEOUT) && violation.reason == Reason::SentToDraining
+        }
+        NetworkFaultKind::Refused
+        | NetworkFaultKind::AnswersLost
+        | NetworkFaultKind::Reset
+        | NetworkFaultKind::Slow(_) => false,
         // No rule depends on gossip.
-        What::NotesLost | What::NotesDoubled | What::NotesLate(_) => false,
+        NetworkFaultKind::NotesLost | NetworkFaultKind::NotesDoubled | NetworkFaultKind::NotesLate(_) => {
+            false
+        }
     }
 }
 
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, NodeId};
-use shorewharf_emulator::sockets::between::Break;
+use shorewharf_emulator::sockets::network_faults::NetworkFault;
 
 use crate::error::ScenarioError;
 use crate::expectations::Expectations;
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// If a selection names what the day does not have.
-    pub fn network_faults(&self, day: &Day) -> Result<Vec<Break>, ScenarioError> {
+    pub fn network_faults(&self, day: &Day) -> Result<Vec<NetworkFault>, ScenarioError> {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ NETWORK_SALT);
         let balancers: Vec<u32> = day.balancers.iter().map(|balancer| balancer.zone).collect();
         let nodes: Vec<u32> = day.nodes.iter().map(|node| node.zone).collect();
@@ -77,7 +77,7 @@
             let affected = select(&fault.balancers, "balancers", &balancers)?;
             let to_nodes = select(fault.nodes.as_ref().unwrap_or(&all), "nodes", &nodes)?;
             let to_peers = select(fault.gossip_peers.as_ref().unwrap_or(&all), "others", &balancers)?;
-            faults.push(Break {
+            faults.push(NetworkFault {
                 what,
                 from: fault.from(),
                 to: fault.to(),
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -112,7 +112,7 @@
     trial: &Scenario,
     day: &shorewharf_emulator::day::Day,
     run: &SocketsRun,
-    breaks: &[shorewharf_emulator::sockets::between::Break],
+    breaks: &[shorewharf_emulator::sockets::network_faults::NetworkFault],
 ) -> Vec<Verdict> {
     let outcome = &run.result.outcome;
     let weighted = outcome.seconds.iter().map(|s| WeightedRequests { requested: s.asked, served: s.earned });
