--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -4,27 +4,27 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use crate::error::Failure;
+use crate::error::CommandError;
 
 const NAME: &str = "shorewharf";
 
 /// The program to test.
-pub fn find(named: Option<&Path>) -> Result<PathBuf, Failure> {
+pub fn find(named: Option<&Path>) -> Result<PathBuf, CommandError> {
     if let Some(path) = named {
         return match path.is_file() {
             true => Ok(path.to_owned()),
-            false => Err(Failure::Input(format!("--balancer {}: no such program", path.display()))),
+            false => Err(CommandError::Input(format!("--balancer {}: no such program", path.display()))),
         };
     }
-    let exe =
-        std::env::current_exe().map_err(|e| Failure::Outside(format!("this program's own path: {e}")))?;
+    let exe = std::env::current_exe()
+        .map_err(|e| CommandError::Outside(format!("this program's own path: {e}")))?;
     let beside = exe.with_file_name(NAME);
     if beside.is_file() {
         return Ok(beside);
     }
     let here = std::env::current_dir().unwrap_or_default();
     let root = workspace(&exe).or_else(|| workspace(&here)).ok_or_else(|| {
-        Failure::Outside(format!(
+        CommandError::Outside(format!(
             "there is no {} and no checkout to build it from; name the program with --balancer",
             beside.display()
         ))
@@ -40,16 +40,16 @@
     above.map(Path::to_owned)
 }
 
-fn build(root: &Path) -> Result<PathBuf, Failure> {
+fn build(root: &Path) -> Result<PathBuf, CommandError> {
     // Cargo knows where it puts the program; nobody else has to.
     let output = Command::new("cargo")
         .current_dir(root)
         .args(["build", "--release", "--locked", "-p", NAME, "--message-format=json-render-diagnostics"])
         .stderr(Stdio::inherit())
         .output()
-        .map_err(|e| Failure::Outside(format!("cargo can't be started: {e}")))?;
+        .map_err(|e| CommandError::Outside(format!("cargo can't be started: {e}")))?;
     if !output.status.success() {
-        return Err(Failure::Outside(format!("cargo build -p {NAME} failed: {}", output.status)));
+        return Err(CommandError::Outside(format!("cargo build -p {NAME} failed: {}", output.status)));
     }
     let messages = String::from_utf8_lossy(&output.stdout);
     let built = messages
@@ -57,5 +57,5 @@
         .filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok())
         .filter(|m| m["target"]["name"] == NAME)
         .find_map(|m| m["executable"].as_str().map(PathBuf::from));
-    built.ok_or_else(|| Failure::Outside(format!("cargo built no program {NAME}")))
+    built.ok_or_else(|| CommandError::Outside(format!("cargo built no program {NAME}")))
 }
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -12,28 +12,32 @@
 use shorewharf_units::Micros;
 use tempfile::TempDir;
 
-use crate::error::Failure;
+use crate::error::CommandError;
 
 /// A store, and what fails between it and the balancers.
-pub struct Shared {
+pub struct SharedStore {
     cluster: Cluster,
     members: Vec<Member>,
-    breaks: Vec<(StoreFault, Step)>,
+    breaks: Vec<(StoreFault, BreakStage)>,
     folder: TempDir,
 }
 
 /// How far a break is.
 #[derive(Clone, Copy, PartialEq)]
-enum Step {
+enum BreakStage {
     Ahead,
     On,
     Over,
 }
 
-impl Shared {
+impl SharedStore {
     /// Starts the store and writes each balancer's file: the terms, its own member of the store, and all names.
-    pub fn start(day: &Day, terms: &toml::Table, breaks: Vec<StoreFault>) -> Result<Shared, Failure> {
-        let outside = |e: std::io::Error| Failure::Outside(format!("the store's stand-in: {e}"));
+    pub fn start(
+        day: &Day,
+        terms: &toml::Table,
+        breaks: Vec<StoreFault>,
+    ) -> Result<SharedStore, CommandError> {
+        let outside = |e: std::io::Error| CommandError::Outside(format!("the store's stand-in: {e}"));
         let (cluster, folder) = (Cluster::new(), TempDir::with_prefix("shorewharf-store-").map_err(outside)?);
         let n = day.balancers.len();
         let members = (0..n).map(|_| cluster.member()).collect::<Result<Vec<_>, _>>().map_err(outside)?;
@@ -46,11 +50,11 @@
             budgets.insert("members".to_owned(), list.display().to_string().into());
             let file: toml::Table =
                 [("budgets".to_owned(), toml::Value::Table(budgets))].into_iter().collect();
-            let text = toml::to_string(&file).map_err(|e| Failure::Input(format!("budgets: {e}")))?;
+            let text = toml::to_string(&file).map_err(|e| CommandError::Input(format!("budgets: {e}")))?;
             fs::write(folder.path().join(format!("{i}.toml")), text).map_err(outside)?;
         }
-        let breaks = breaks.into_iter().map(|b| (b, Step::Ahead)).collect();
-        Ok(Shared { cluster, members, breaks, folder })
+        let breaks = breaks.into_iter().map(|b| (b, BreakStage::Ahead)).collect();
+        Ok(SharedStore { cluster, members, breaks, folder })
     }
 
     /// Each balancer's arguments.
@@ -63,21 +67,21 @@
     pub fn look(&mut self, now: Micros) {
         for (b, step) in &mut self.breaks {
             let next = match *step {
-                Step::Ahead if now >= b.from => Step::On,
-                Step::On if now >= b.to => Step::Over,
+                BreakStage::Ahead if now >= b.from => BreakStage::On,
+                BreakStage::On if now >= b.to => BreakStage::Over,
                 step => step,
             };
             if std::mem::replace(step, next) == next {
                 continue;
             }
             let fault = match (next, b.kind) {
-                (Step::On, FaultKind::StoreEmptied) => {
+                (BreakStage::On, FaultKind::StoreEmptied) => {
                     self.cluster.wipe();
                     continue;
                 }
-                (Step::On, FaultKind::StoreRefused) => Fault::Refuses,
-                (Step::On, FaultKind::StoreAnswersLost) => Fault::LosesAnswers,
-                (Step::On, _) => Fault::Silent,
+                (BreakStage::On, FaultKind::StoreRefused) => Fault::Refuses,
+                (BreakStage::On, FaultKind::StoreAnswersLost) => Fault::LosesAnswers,
+                (BreakStage::On, _) => Fault::Silent,
                 (_, FaultKind::StoreEmptied) => continue,
                 _ => Fault::None,
             };
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -42,7 +42,7 @@
     pub log_format: LogFormat,
     /// Colours and redrawn tables; auto: on a terminal only
     #[arg(long, global = true, default_value = "auto", value_enum, help_heading = "Output")]
-    pub color: When,
+    pub color: ColorMode,
 }
 
 /// Form of the log.
@@ -56,7 +56,7 @@
 
 /// When to use colours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum When {
+pub enum ColorMode {
     /// On a terminal, unless NO_COLOR is set
     Auto,
     /// Always
@@ -107,7 +107,7 @@
 
 /// Which scenario, and what is changed in it.
 #[derive(Args, Clone, Debug)]
-pub struct Which {
+pub struct ScenarioArgs {
     /// The scenario file (TOML); or a drawn day (JSON)
     pub scenario: PathBuf,
     /// Change a key before the run; may be given several times. Names, places and * pick list entries
@@ -120,7 +120,7 @@
 
 /// How a day is played.
 #[derive(Args, Clone, Debug)]
-pub struct How {
+pub struct RunArgs {
     /// Which clock plays the day
     #[arg(long, value_enum, default_value = "virtual")]
     pub clock: Clock,
@@ -174,10 +174,10 @@
 pub struct Run {
     /// Which scenario.
     #[command(flatten)]
-    pub which: Which,
+    pub which: ScenarioArgs,
     /// How it is played.
     #[command(flatten)]
-    pub how: How,
+    pub how: RunArgs,
     /// Write the result as JSON; - for standard output, in place of the table
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
@@ -412,7 +412,7 @@
 pub struct Show {
     /// Which scenario.
     #[command(flatten)]
-    pub which: Which,
+    pub which: ScenarioArgs,
     /// As JSON
     #[arg(long)]
     pub json: bool,
--- a/crates/lab/src/clocks.rs
+++ b/crates/lab/src/clocks.rs
@@ -11,7 +11,7 @@
 
 use crate::balancer;
 use crate::cli::Clocks;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::record::Record;
 use crate::runner;
@@ -57,10 +57,10 @@
 }
 
 /// `clocks`.
-pub fn clocks(args: &Clocks, style: &Style) -> Result<Done, Failure> {
+pub fn clocks(args: &Clocks, style: &Style) -> Result<CommandOutcome, CommandError> {
     let program = balancer::find(args.balancer.as_deref())?;
     let load = |path: &PathBuf| Ok((name(path), files::load(path, &[], args.seed)?.day));
-    let days: Vec<(String, Day)> = args.scenarios.iter().map(load).collect::<Result<_, Failure>>()?;
+    let days: Vec<(String, Day)> = args.scenarios.iter().map(load).collect::<Result<_, CommandError>>()?;
     let real = in_real_time(&days, &program, args.at_once)?;
     // All figures of a day are in the day: another seed changes the luck alone.
     let draw = |day: &Day, n: u64| Day { seed: (day.seed + n * NEXT_SEED) & i64::MAX as u64, ..day.clone() };
@@ -83,7 +83,7 @@
     }
     say(&print(&pairs, median, style));
     let well = median.is_some_and(|m| m <= NEAR) && pairs.iter().all(|p| p.rules_kept);
-    Ok(if well { Done::Well } else { Done::Badly })
+    Ok(if well { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
 
 fn name(path: &Path) -> String {
@@ -91,7 +91,7 @@
 }
 
 /// Plays all days on sockets, so many at once.
-fn in_real_time(days: &[(String, Day)], program: &Path, at_once: usize) -> Result<Vec<Record>, Failure> {
+fn in_real_time(days: &[(String, Day)], program: &Path, at_once: usize) -> Result<Vec<Record>, CommandError> {
     let bar = ProgressBar::new(days.len() as u64);
     let style = ProgressStyle::with_template("on sockets {wide_bar} {pos} of {len} days")
         .unwrap_or_else(|_| ProgressStyle::default_bar());
@@ -117,7 +117,7 @@
     played.into_iter().map(|(_, record)| record).collect()
 }
 
-fn unless_late(day: &Day, program: &Path) -> Result<Record, Failure> {
+fn unless_late(day: &Day, program: &Path) -> Result<Record, CommandError> {
     let mut record = sockets::play(day, program, None, &mut |_| {})?;
     for _ in 1..TRIES {
         if void(&record).is_none() {
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::cli::Compare;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::record::{self, Record};
 use crate::runner;
@@ -48,18 +48,18 @@
 }
 
 /// `compare`.
-pub fn compare(args: &Compare, style: &Style) -> Result<Done, Failure> {
+pub fn compare(args: &Compare, style: &Style) -> Result<CommandOutcome, CommandError> {
     if !(0.5..1.0).contains(&args.level) {
-        return Err(Failure::Input(format!("--level {}: must be 0.5 or more and under 1", args.level)));
+        return Err(CommandError::Input(format!("--level {}: must be 0.5 or more and under 1", args.level)));
     }
     let [policy_a, policy_b] = match &args.policies[..] {
         [one] => [one, one],
         [a, b] => [a, b],
-        more => return Err(Failure::Input(format!("--policies: one or two, not {}", more.len()))),
+        more => return Err(CommandError::Input(format!("--policies: one or two, not {}", more.len()))),
     };
     let path_b = args.b.as_ref().unwrap_or(&args.a);
     if args.b.is_none() && policy_a == policy_b {
-        return Err(Failure::Input("name a second scenario or result, or two --policies".into()));
+        return Err(CommandError::Input("name a second scenario or result, or two --policies".into()));
     }
     let mut a = side(args, &args.a, policy_a)?;
     let mut b = side(args, path_b, policy_b)?;
@@ -68,11 +68,11 @@
     let pairs: Vec<(&Record, &Record)> =
         a.iter().filter_map(|x| b.iter().find(|y| y.seed == x.seed).map(|y| (x, y))).collect();
     if pairs.is_empty() {
-        return Err(Failure::Input("no seed is on both sides: nothing can be paired".into()));
+        return Err(CommandError::Input("no seed is on both sides: nothing can be paired".into()));
     }
     if let Some(seed) = a.windows(2).chain(b.windows(2)).find(|w| w[0].seed == w[1].seed).map(|w| w[0].seed) {
         let message = format!("seed {seed} is there twice on one side; compare single points of a sweep");
-        return Err(Failure::Input(message));
+        return Err(CommandError::Input(message));
     }
     let broken = |runs: &mut dyn Iterator<Item = &Record>| runs.filter(|r| !r.rules.kept).count();
     let comparison = Comparison {
@@ -91,10 +91,10 @@
         say(&print(&comparison, style));
     }
     let kept = comparison.rules_broken_in_a + comparison.rules_broken_in_b == 0;
-    Ok(if kept { Done::Well } else { Done::Badly })
+    Ok(if kept { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
 
-fn side(args: &Compare, path: &Path, policy: &str) -> Result<Vec<Record>, Failure> {
+fn side(args: &Compare, path: &Path, policy: &str) -> Result<Vec<Record>, CommandError> {
     if path.extension().is_some_and(|e| e == "json") && !is_day(path) {
         return record::read(path);
     }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -9,7 +9,7 @@
 
 use crate::balancer;
 use crate::cli::Demo;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::run;
 use crate::runner;
 use crate::scenario;
@@ -21,9 +21,9 @@
 const BAR: usize = 24;
 
 /// `demo`.
-pub fn demo(args: &Demo, style: &Style) -> Result<Done, Failure> {
+pub fn demo(args: &Demo, style: &Style) -> Result<CommandOutcome, CommandError> {
     let mut day = scenario::from_text(Path::new("demo.toml"), DAY, &[], Some(args.seed))
-        .map_err(|e| Failure::Input(e.to_string()))?
+        .map_err(|e| CommandError::Input(e.to_string()))?
         .day;
     fit(&mut day, args.seconds * 1_000_000);
     let program = balancer::find(args.balancer.as_deref())?;
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -6,7 +6,7 @@
 
 /// How a command that got to its end ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum CommandOutcome {
     /// Nothing was found wrong.
     Well,
     /// A rule was broken, a connection lost, or something that was checked is wrong.
@@ -15,7 +15,7 @@
 
 /// Why a command did not get to its end.
 #[derive(Debug, Error)]
-pub enum Failure {
+pub enum CommandError {
     /// The command line or an input file can't be used; the text names it.
     #[error("{0}")]
     Input(String),
@@ -25,11 +25,11 @@
 }
 
 /// The exit code of an ending.
-pub fn exit_code(ended: &Result<Done, Failure>) -> ExitCode {
+pub fn exit_code(ended: &Result<CommandOutcome, CommandError>) -> ExitCode {
     ExitCode::from(match ended {
-        Ok(Done::Well) => 0,
-        Ok(Done::Badly) => 1,
-        Err(Failure::Input(_)) => 2,
-        Err(Failure::Outside(_)) => 3,
+        Ok(CommandOutcome::Well) => 0,
+        Ok(CommandOutcome::Badly) => 1,
+        Err(CommandError::Input(_)) => 2,
+        Err(CommandError::Outside(_)) => 3,
     })
 }
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -8,7 +8,7 @@
 use shorewharf_fault_scenarios::{LoadDistribution, Scenario, WorstInterval, worst_setup_burst};
 
 use crate::cli;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::record::round;
 use crate::runner;
@@ -19,7 +19,7 @@
 
 /// One day under one policy.
 #[derive(Debug, Serialize)]
-struct Played {
+struct EvenRun {
     trial: String,
     balancers: usize,
     nodes: usize,
@@ -35,7 +35,7 @@
 }
 
 /// `even`.
-pub fn even(args: &cli::Even, style: &Style) -> Result<Done, Failure> {
+pub fn even(args: &cli::Even, style: &Style) -> Result<CommandOutcome, CommandError> {
     let mut played = Vec::new();
     let mut text = String::new();
     for path in &args.trials {
@@ -49,7 +49,7 @@
         let runs = runner::each(&jobs, args.threads, &|policy, day, result| {
             let even = LoadDistribution::of(&trial.expectations, &result.series.nodes);
             let figure = |worst: Option<WorstInterval>| worst.map(|w| round(w.value, 3));
-            Played {
+            EvenRun {
                 trial: name.to_string(),
                 balancers: day.balancers.len(),
                 nodes: day.nodes.len(),
@@ -77,13 +77,13 @@
             path.map_or(Ok(()), |path| files::write(path, &json))?;
         }
     }
-    let kept = |p: &Played| p.rules_kept || !p.policy.starts_with("module");
-    Ok(if played.iter().all(kept) { Done::Well } else { Done::Badly })
+    let kept = |p: &EvenRun| p.rules_kept || !p.policy.starts_with("module");
+    Ok(if played.iter().all(kept) { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
 
 /// A trial, and its day with each of the seeds.
-fn days(path: &Path, args: &cli::Even) -> Result<(Scenario, Vec<Day>), Failure> {
-    let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", path.display()));
+fn days(path: &Path, args: &cli::Even) -> Result<(Scenario, Vec<Day>), CommandError> {
+    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
     let trial = Scenario::read(&text).map_err(|e| wrong(&e))?;
     if trial.expectations.settled.is_empty() {
@@ -92,11 +92,11 @@
     let sets = files::single(&args.set)?;
     let day = path.parent().unwrap_or(Path::new("")).join(&trial.day);
     let all = args.seeds.0.iter().map(|seed| Ok(files::load(&day, &sets, Some(*seed))?.day));
-    let all = all.collect::<Result<_, Failure>>()?;
+    let all = all.collect::<Result<_, CommandError>>()?;
     Ok((trial, all))
 }
 
-fn table(runs: &[Played], seeds: usize, style: &Style) -> String {
+fn table(runs: &[EvenRun], seeds: usize, style: &Style) -> String {
     let columns = [
         "policy",
         "served",
@@ -113,7 +113,7 @@
     for of in runs.chunks(seeds.max(1)) {
         let served: Vec<f64> = of.iter().map(|p| p.served).collect();
         let mut row = vec![of[0].policy.clone(), format!("{:.3}", stats::mean(&served).unwrap_or(0.0))];
-        let mut add = |figure: &dyn Fn(&Played) -> Option<f64>, most: bool| {
+        let mut add = |figure: &dyn Fn(&EvenRun) -> Option<f64>, most: bool| {
             let xs: Vec<f64> = of.iter().filter_map(figure).collect();
             let worst = xs.iter().copied().reduce(if most { f64::max } else { f64::min });
             let text = |x: Option<f64>| x.map_or("-".to_owned(), |x| format!("{x:.2}"));
--- a/crates/lab/src/fidelity.rs
+++ b/crates/lab/src/fidelity.rs
@@ -8,7 +8,7 @@
 use shorewharf_emulator::day::Day;
 
 use crate::cli::Fidelity;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::record::Record;
 use crate::runner;
@@ -58,7 +58,7 @@
 }
 
 /// `fidelity`.
-pub fn fidelity(args: &Fidelity, style: &Style) -> Result<Done, Failure> {
+pub fn fidelity(args: &Fidelity, style: &Style) -> Result<CommandOutcome, CommandError> {
     let days = drawn(&args.days)?;
     let mut jobs = Vec::new();
     let mut simulated = Vec::new();
@@ -98,11 +98,11 @@
         files::write(path, &(serde_json::to_string_pretty(&whole).expect("keys are text") + "\n"))?;
     }
     say(&print(&pairs, &near, style));
-    Ok(Done::Well)
+    Ok(CommandOutcome::Well)
 }
 
-fn drawn(folder: &Path) -> Result<Vec<PathBuf>, Failure> {
-    let wrong = |e: std::io::Error| Failure::Input(format!("{}: {e}", folder.display()));
+fn drawn(folder: &Path) -> Result<Vec<PathBuf>, CommandError> {
+    let wrong = |e: std::io::Error| CommandError::Input(format!("{}: {e}", folder.display()));
     let mut days = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(wrong)? {
         let path = entry.map_err(wrong)?.path();
@@ -113,19 +113,19 @@
     }
     days.sort();
     if days.is_empty() {
-        return Err(Failure::Input(format!("{}: holds no drawn days (NAME.json)", folder.display())));
+        return Err(CommandError::Input(format!("{}: holds no drawn days (NAME.json)", folder.display())));
     }
     Ok(days)
 }
 
 /// The simulator's result beside a day; made by the simulator if it is missing and a simulator is named.
-fn simulator(args: &Fidelity, day: &Path, policy: &str) -> Result<Simulated, Failure> {
+fn simulator(args: &Fidelity, day: &Path, policy: &str) -> Result<Simulated, CommandError> {
     let stem = day.file_stem().unwrap_or_default().to_string_lossy();
     let kept = day.with_file_name(format!("{stem}.{policy}.sim.json"));
     if !kept.exists() {
         let Some(program) = &args.simulator else {
             let message = format!("{}: is missing; --simulator PROGRAM makes it", kept.display());
-            return Err(Failure::Input(message));
+            return Err(CommandError::Input(message));
         };
         let mut command = Command::new(program);
         command.arg("run").arg(day).args([
@@ -137,7 +137,7 @@
         if policy != "module" {
             command.args(["--native", policy]);
         }
-        let outside = |e: String| Failure::Outside(format!("{}: {e}", program.display()));
+        let outside = |e: String| CommandError::Outside(format!("{}: {e}", program.display()));
         let output = command.output().map_err(|e| outside(e.to_string()))?;
         if !output.status.success() {
             return Err(outside(String::from_utf8_lossy(&output.stderr).trim().to_owned()));
@@ -150,7 +150,7 @@
             .ok_or_else(|| outside(format!("printed no JSON for {}", day.display())))?;
         files::write(&kept, &format!("{value}\n"))?;
     }
-    let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", kept.display()));
+    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", kept.display()));
     let text = std::fs::read_to_string(&kept).map_err(|e| wrong(&e))?;
     serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(&text)).map_err(|e| wrong(&e))
 }
--- a/crates/lab/src/files.rs
+++ b/crates/lab/src/files.rs
@@ -2,23 +2,23 @@
 
 use std::path::Path;
 
-use crate::cli::{Check, Import, Show, Which};
-use crate::error::{Done, Failure};
+use crate::cli::{Check, Import, ScenarioArgs, Show};
+use crate::error::{CommandError, CommandOutcome};
 use crate::scenario::set::Axis;
 use crate::scenario::{self, Scenario};
 use crate::style::{Style, say};
 
 /// A scenario as the command line names it: a TOML file, or a drawn day (JSON).
-pub fn scenario(which: &Which) -> Result<Scenario, Failure> {
+pub fn scenario(which: &ScenarioArgs) -> Result<Scenario, CommandError> {
     load(&which.scenario, &single(&which.set)?, which.seed)
 }
 
 /// Changes of keys with one value each.
-pub fn single(set: &[Axis]) -> Result<Vec<(String, String)>, Failure> {
+pub fn single(set: &[Axis]) -> Result<Vec<(String, String)>, CommandError> {
     set.iter()
         .map(|axis| match &axis.values[..] {
             [one] => Ok((axis.key.clone(), one.clone())),
-            more => Err(Failure::Input(format!(
+            more => Err(CommandError::Input(format!(
                 "--set {}: one value, not {}; sweep plays several (a list is written [{}])",
                 axis.key,
                 more.len(),
@@ -29,33 +29,35 @@
 }
 
 /// A scenario file or a drawn day with changes.
-pub fn load(path: &Path, sets: &[(String, String)], seed: Option<u64>) -> Result<Scenario, Failure> {
+pub fn load(path: &Path, sets: &[(String, String)], seed: Option<u64>) -> Result<Scenario, CommandError> {
     if path.extension().is_some_and(|e| e == "json") {
-        let day = crate::import::read(path).map_err(|e| Failure::Input(e.to_string()))?;
-        let text = scenario::show(&day).map_err(|e| Failure::Input(format!("{}: {e}", path.display())))?;
-        return scenario::from_text(path, &text, sets, seed).map_err(|e| Failure::Input(e.to_string()));
+        let day = crate::import::read(path).map_err(|e| CommandError::Input(e.to_string()))?;
+        let text =
+            scenario::show(&day).map_err(|e| CommandError::Input(format!("{}: {e}", path.display())))?;
+        return scenario::from_text(path, &text, sets, seed).map_err(|e| CommandError::Input(e.to_string()));
     }
-    scenario::load(path, sets, seed).map_err(|e| Failure::Input(e.to_string()))
+    scenario::load(path, sets, seed).map_err(|e| CommandError::Input(e.to_string()))
 }
 
 /// `import`.
-pub fn import(args: &Import) -> Result<Done, Failure> {
-    let day = crate::import::read(&args.day).map_err(|e| Failure::Input(e.to_string()))?;
-    let text = scenario::show(&day).map_err(|e| Failure::Input(format!("{}: {e}", args.day.display())))?;
+pub fn import(args: &Import) -> Result<CommandOutcome, CommandError> {
+    let day = crate::import::read(&args.day).map_err(|e| CommandError::Input(e.to_string()))?;
+    let text =
+        scenario::show(&day).map_err(|e| CommandError::Input(format!("{}: {e}", args.day.display())))?;
     match &args.output {
         Some(path) => write(path, &text)?,
         None => say(&text),
     }
-    Ok(Done::Well)
+    Ok(CommandOutcome::Well)
 }
 
 /// `check`.
-pub fn check(args: &Check, style: &Style) -> Result<Done, Failure> {
-    let mut done = Done::Well;
+pub fn check(args: &Check, style: &Style) -> Result<CommandOutcome, CommandError> {
+    let mut done = CommandOutcome::Well;
     for path in &args.scenarios {
         match load(path, &[], None) {
             Err(e) => {
-                done = Done::Badly;
+                done = CommandOutcome::Badly;
                 say(&format!("{} {}\n", style.bad("wrong"), path.display()));
                 say(&format!("{}\n", indent(&e.to_string())));
             }
@@ -69,7 +71,7 @@
             }
             Ok(scenario) => {
                 if args.strict {
-                    done = Done::Badly;
+                    done = CommandOutcome::Badly;
                 }
                 say(&format!("{} {}\n", style.warn("odd  "), path.display()));
                 for problem in &scenario.odd {
@@ -86,22 +88,22 @@
 }
 
 /// `show`.
-pub fn show(args: &Show) -> Result<Done, Failure> {
+pub fn show(args: &Show) -> Result<CommandOutcome, CommandError> {
     let day = scenario(&args.which)?.day;
     let text = if args.json {
-        serde_json::to_string_pretty(&day).map_err(|e| Failure::Input(e.to_string()))? + "\n"
+        serde_json::to_string_pretty(&day).map_err(|e| CommandError::Input(e.to_string()))? + "\n"
     } else {
-        scenario::show(&day).map_err(|e| Failure::Input(e.to_string()))?
+        scenario::show(&day).map_err(|e| CommandError::Input(e.to_string()))?
     };
     say(&text);
-    Ok(Done::Well)
+    Ok(CommandOutcome::Well)
 }
 
 /// Writes a file, or to standard output for `-`.
-pub fn write(path: &Path, text: &str) -> Result<(), Failure> {
+pub fn write(path: &Path, text: &str) -> Result<(), CommandError> {
     if path == Path::new("-") {
         say(text);
         return Ok(());
     }
-    std::fs::write(path, text).map_err(|e| Failure::Outside(format!("{}: {e}", path.display())))
+    std::fs::write(path, text).map_err(|e| CommandError::Outside(format!("{}: {e}", path.display())))
 }
--- a/crates/lab/src/import.rs
+++ b/crates/lab/src/import.rs
@@ -51,7 +51,7 @@
 const ANSWER_SLACK: Micros = 50_000;
 
 #[derive(Deserialize)]
-struct Drawn {
+struct ImportedDay {
     site: String,
     family: String,
     kind: String,
@@ -59,29 +59,29 @@
     length: f64,
     tick: f64,
     zones: Vec<String>,
-    net: DrawnNet,
+    net: ImportedNetwork,
     entry: String,
     front_notice: f64,
-    traffic: DrawnTraffic,
-    clients: DrawnClients,
-    discovery: DrawnDiscovery,
-    allow: DrawnAllow,
+    traffic: ImportedTraffic,
+    clients: ImportedClients,
+    discovery: ImportedDiscovery,
+    allow: ImportedLimits,
     drain_grace: f64,
     fall_multiple: f64,
     fall_for: f64,
     goal: Goal,
-    prices: DrawnPrices,
-    classes: Vec<DrawnClass>,
+    prices: ImportedCosts,
+    classes: Vec<ImportedClass>,
     tenants: Vec<Tenant>,
-    tiers: Vec<DrawnTier>,
-    servers: Vec<DrawnServer>,
-    balancers: Vec<DrawnBalancer>,
-    troubles: Vec<DrawnTrouble>,
-    fam: DrawnFamily,
+    tiers: Vec<ImportedTier>,
+    servers: Vec<ImportedServer>,
+    balancers: Vec<ImportedBalancer>,
+    troubles: Vec<ImportedFault>,
+    fam: ImportedConnectionModel,
 }
 
 #[derive(Deserialize)]
-struct DrawnNet {
+struct ImportedNetwork {
     same: f64,
     cross: f64,
     client: f64,
@@ -89,7 +89,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnTraffic {
+struct ImportedTraffic {
     load: f64,
     shape: Vec<(f64, f64)>,
     burst_cv: f64,
@@ -99,7 +99,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnClients {
+struct ImportedClients {
     retries: u32,
     try_share: f64,
     backoff: Backoff,
@@ -111,7 +111,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnDiscovery {
+struct ImportedDiscovery {
     notice: f64,
     silent_notice: f64,
     add: f64,
@@ -123,7 +123,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnAllow {
+struct ImportedLimits {
     probes: bool,
     cancel: bool,
     retry_after: bool,
@@ -132,7 +132,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnPrices {
+struct ImportedCosts {
     cross_zone: f64,
     waste: f64,
     connection: f64,
@@ -143,7 +143,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnClass {
+struct ImportedClass {
     name: String,
     share: f64,
     work: f64,
@@ -155,8 +155,8 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnTier {
-    kinds: Vec<DrawnKind>,
+struct ImportedTier {
+    kinds: Vec<ImportedMachineKind>,
     handshake_rtts: f64,
     conn_idle: f64,
     connect_timeout: f64,
@@ -168,7 +168,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnKind {
+struct ImportedMachineKind {
     name: String,
     cores: u32,
     slots: u32,
@@ -184,7 +184,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnServer {
+struct ImportedServer {
     zone: u32,
     kind: u32,
     cell: u32,
@@ -194,13 +194,13 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnBalancer {
+struct ImportedBalancer {
     zone: u32,
     start: f64,
 }
 
 #[derive(Deserialize)]
-struct DrawnTrouble {
+struct ImportedFault {
     kind: String,
     at: f64,
     len: f64,
@@ -209,7 +209,7 @@
 }
 
 #[derive(Deserialize)]
-struct DrawnFamily {
+struct ImportedConnectionModel {
     pass: bool,
     per_core: f64,
     cap: f64,
@@ -229,11 +229,11 @@
     tells_delay: bool,
     rejoin: f64,
     move_gap: f64,
-    uses: Vec<DrawnUse>,
+    uses: Vec<ImportedUsage>,
 }
 
 #[derive(Deserialize)]
-struct DrawnUse {
+struct ImportedUsage {
     load: f64,
     life: f64,
     load_sigma: f64,
@@ -253,7 +253,7 @@
 /// Reads a drawn day from its text; `path` names it in messages and gives the day its name.
 pub fn parse(path: &Path, text: &str) -> Result<Day, ImportError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let drawn: Drawn = serde_path_to_error::deserialize(&mut json)
+    let drawn: ImportedDay = serde_path_to_error::deserialize(&mut json)
         .map_err(|e| ImportError::Form { path: path.into(), source: Box::new(e) })?;
     let name = path.file_stem().map_or_else(|| drawn.kind.clone(), |s| s.to_string_lossy().into_owned());
     drawn.day(name).map_err(|(key, found, allowed)| ImportError::Unknown {
@@ -264,19 +264,19 @@
     })
 }
 
-type Refused = (String, String, &'static str);
+type UnsupportedKey = (String, String, &'static str);
 
 /// Whole microseconds; drawn days hold fractions of one.
 fn us(t: f64) -> Micros {
     t.max(0.0).round() as Micros
 }
 
-fn only(ok: bool, key: &str, found: &str, allowed: &'static str) -> Result<(), Refused> {
+fn only(ok: bool, key: &str, found: &str, allowed: &'static str) -> Result<(), UnsupportedKey> {
     if ok { Ok(()) } else { Err((key.to_owned(), found.to_owned(), allowed)) }
 }
 
-impl Drawn {
-    fn day(self, name: String) -> Result<Day, Refused> {
+impl ImportedDay {
+    fn day(self, name: String) -> Result<Day, UnsupportedKey> {
         only(self.family == "conn", "family", &self.family, "conn")?;
         only(self.entry == "front", "entry", &self.entry, "front")?;
         only(!self.fam.pass, "fam.pass", "true", "false")?;
@@ -305,8 +305,8 @@
             classes: self.classes.iter().zip(&self.fam.uses).map(|(c, u)| c.class(u)).collect(),
             tenants: self.tenants,
             streams: self.fam.streams()?,
-            kinds: tier.kinds.iter().map(DrawnKind::kind).collect(),
-            nodes: self.servers.iter().map(DrawnServer::node).collect(),
+            kinds: tier.kinds.iter().map(ImportedMachineKind::kind).collect(),
+            nodes: self.servers.iter().map(ImportedServer::node).collect(),
             balancers: self.balancers.iter().map(|b| Balancer { zone: b.zone, start: us(b.start) }).collect(),
             limits: tier.limits(&self.allow),
             rules: Rules {
@@ -334,7 +334,7 @@
     }
 }
 
-impl DrawnDiscovery {
+impl ImportedDiscovery {
     fn discovery(&self) -> Discovery {
         Discovery {
             notice: us(self.notice),
@@ -349,7 +349,7 @@
     }
 }
 
-impl DrawnTraffic {
+impl ImportedTraffic {
     fn traffic(self) -> Traffic {
         Traffic {
             load: self.load,
@@ -364,8 +364,8 @@
     }
 }
 
-impl DrawnClients {
-    fn clients(&self, fam: &DrawnFamily) -> Clients {
+impl ImportedClients {
+    fn clients(&self, fam: &ImportedConnectionModel) -> Clients {
         Clients {
             retries: self.retries,
             try_share: self.try_share,
@@ -382,8 +382,8 @@
     }
 }
 
-impl DrawnClass {
-    fn class(&self, u: &DrawnUse) -> Class {
+impl ImportedClass {
+    fn class(&self, u: &ImportedUsage) -> Class {
         Class {
             name: self.name.clone(),
             share: self.share,
@@ -404,8 +404,8 @@
     }
 }
 
-impl DrawnFamily {
-    fn streams(&self) -> Result<Streams, Refused> {
+impl ImportedConnectionModel {
+    fn streams(&self) -> Result<Streams, UnsupportedKey> {
         Ok(Streams {
             per_core: self.per_core,
             cap: self.cap,
@@ -438,7 +438,7 @@
     }
 }
 
-impl DrawnKind {
+impl ImportedMachineKind {
     fn kind(&self) -> Kind {
         Kind {
             name: self.name.clone(),
@@ -457,15 +457,15 @@
     }
 }
 
-impl DrawnServer {
+impl ImportedServer {
     fn node(&self) -> Node {
         let Self { zone, kind, cell, speed, weight, up } = *self;
         Node { zone, kind, cell, speed, weight, up }
     }
 }
 
-impl DrawnTier {
-    fn limits(&self, allow: &DrawnAllow) -> Limits {
+impl ImportedTier {
+    fn limits(&self, allow: &ImportedLimits) -> Limits {
         let (cores, memory_mb, sockets) = SOCKETS;
         Limits {
             probes: allow.probes,
@@ -486,8 +486,8 @@
     }
 }
 
-impl DrawnTrouble {
-    fn fault(&self, place: usize) -> Result<Fault, Refused> {
+impl ImportedFault {
+    fn fault(&self, place: usize) -> Result<Fault, UnsupportedKey> {
         let kind = match self.kind.as_str() {
             "crash" => FaultKind::Crash,
             "discovery_stale" => FaultKind::ListStale,
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -15,19 +15,19 @@
 /// have to see the same, whoever comes first.
 const BACK: u64 = 2;
 
-type Told = Arc<BTreeMap<ServerId, RemoteLoad>>;
+type PublishedLoads = Arc<BTreeMap<ServerId, RemoteLoad>>;
 
 #[derive(Debug, Default)]
 struct Moment {
     held: BTreeMap<BalancerId, Vec<Holding>>,
-    all: Option<Told>,
+    all: Option<PublishedLoads>,
 }
 
 /// What all balancers held, at the last few times.
 #[derive(Debug, Default)]
-pub(super) struct Board(Mutex<BTreeMap<u64, Moment>>);
+pub(super) struct SharedLoadBoard(Mutex<BTreeMap<u64, Moment>>);
 
-impl Board {
+impl SharedLoadBoard {
     /// Which time this is.
     pub(super) fn time(now: Micros) -> u64 {
         now / EVERY
@@ -35,7 +35,7 @@
 
     /// Puts up what one holds at a time, and takes down what the others held two times before; none where nobody had put up
     /// anything.
-    pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<Told> {
+    pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<PublishedLoads> {
         let mut moments = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         moments.retain(|at, _| at + 2 * BACK > time);
         moments.entry(time).or_default().held.insert(who, holds);
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -21,15 +21,15 @@
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use thiserror::Error;
 
-use board::Board;
+use board::SharedLoadBoard;
 use oracle::Oracle;
-pub use peers::Emulated;
-pub use places::Places;
-use policies::{Pick, Policy};
+pub use peers::EmulatedPeers;
+pub use places::NodeDirectory;
+use policies::{Pick, PlainPolicy};
 
 /// Who decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum PolicyChoice {
     /// The project's driver and decision module.
     Module,
     /// Any server that is listed as ready.
@@ -67,16 +67,16 @@
     Operator(PathBuf, Box<OperatorError>),
 }
 
-impl std::str::FromStr for Who {
+impl std::str::FromStr for PolicyChoice {
     type Err = UnknownPolicy;
     fn from_str(name: &str) -> Result<Self, UnknownPolicy> {
         Ok(match name {
-            "module" => Who::Module,
-            "random" => Who::Random,
-            "round-robin" => Who::RoundRobin,
-            "fewest" => Who::Fewest,
-            "two-choices" => Who::TwoChoices,
-            "oracle" => Who::Oracle,
+            "module" => PolicyChoice::Module,
+            "random" => PolicyChoice::Random,
+            "round-robin" => PolicyChoice::RoundRobin,
+            "fewest" => PolicyChoice::Fewest,
+            "two-choices" => PolicyChoice::TwoChoices,
+            "oracle" => PolicyChoice::Oracle,
             _ => return Err(UnknownPolicy(name.to_owned())),
         })
     }
@@ -84,36 +84,36 @@
 
 /// Hosts one kind of balancer.
 #[derive(Debug)]
-pub struct Hosts {
-    who: Who,
+pub struct PolicyHosts {
+    who: PolicyChoice,
     operator: Operator,
     truth: Arc<RwLock<Vec<GroundTruth>>>,
     /// What the module knows is kept over its end.
     keeps: bool,
     /// Where balancers tell each other what they hold.
-    board: Option<Arc<Board>>,
+    board: Option<Arc<SharedLoadBoard>>,
     /// The module may sound servers by probes, where the day allows it.
     sounds: bool,
 }
 
-impl Hosts {
+impl PolicyHosts {
     /// Hosts balancers that are run by `who`.
-    pub fn new(who: Who) -> Self {
+    pub fn new(who: PolicyChoice) -> Self {
         let (operator, truth) = Default::default();
-        Hosts { who, operator, truth, keeps: false, board: None, sounds: true }
+        PolicyHosts { who, operator, truth, keeps: false, board: None, sounds: true }
     }
 
     /// Hosts balancers that are run by the policy of this name. The module takes an operator's file behind an `@`.
-    pub fn named(policy: &str) -> Result<Hosts, PolicyError> {
+    pub fn named(policy: &str) -> Result<PolicyHosts, PolicyError> {
         let care = |recovery| Operator { recovery, ..Operator::default() };
         if policy == "module-with-snapshot" {
-            return Ok(Hosts { keeps: true, ..Hosts::new(Who::Module) });
+            return Ok(PolicyHosts { keeps: true, ..PolicyHosts::new(PolicyChoice::Module) });
         }
         if policy == "module-told" {
-            return Ok(Hosts { board: Some(Arc::default()), ..Hosts::new(Who::Module) });
+            return Ok(PolicyHosts { board: Some(Arc::default()), ..PolicyHosts::new(PolicyChoice::Module) });
         }
         if policy == "module-unsounded" {
-            return Ok(Hosts { sounds: false, ..Hosts::new(Who::Module) });
+            return Ok(PolicyHosts { sounds: false, ..PolicyHosts::new(PolicyChoice::Module) });
         }
         let tenancy = |on| Operator { tenancy: Tenancy { on, ..Tenancy::default() }, ..Operator::default() };
         let operator = match policy {
@@ -125,7 +125,7 @@
             "module-moves" => care(Recovery { rebalance: true, ..Recovery::OFF }),
             "module-care" => care(Recovery::ALL),
             other => match other.strip_prefix("module@").map(PathBuf::from) {
-                None => return Ok(Hosts::new(other.parse()?)),
+                None => return Ok(PolicyHosts::new(other.parse()?)),
                 Some(path) => match std::fs::read_to_string(&path) {
                     Ok(text) => {
                         Operator::parse(&text).map_err(|e| PolicyError::Operator(path, Box::new(e)))?
@@ -134,25 +134,29 @@
                 },
             },
         };
-        Ok(Hosts { operator, ..Hosts::new(Who::Module) })
+        Ok(PolicyHosts { operator, ..PolicyHosts::new(PolicyChoice::Module) })
     }
 }
 
-impl Host for Hosts {
+impl Host for PolicyHosts {
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance> {
         let settings = shorewharf_settings::settings(settings.as_bytes()).map(|s| s.0);
         // The text was written by the emulator for this very reader.
         let mut settings = settings.expect("settings that the emulator wrote are read");
         settings.may_probe &= self.sounds;
         let first_link = u64::from(id.0) << 40;
-        let make = Make { who: self.who, operator: self.operator.clone(), truth: Arc::clone(&self.truth) };
-        let (places, life, kept) = (Places::new(day), None, self.keeps.then(Kept::default));
-        let told = self.board.clone().map(|board| ByBoard { board, id, next: 0 });
-        Box::new(Hosted { places, settings, make, next_link: first_link, life, kept, told })
+        let make = InstanceFactory {
+            who: self.who,
+            operator: self.operator.clone(),
+            truth: Arc::clone(&self.truth),
+        };
+        let (places, life, kept) = (NodeDirectory::new(day), None, self.keeps.then(SavedState::default));
+        let told = self.board.clone().map(|board| BoardView { board, id, next: 0 });
+        Box::new(HostedBalancer { places, settings, make, next_link: first_link, life, kept, told })
     }
 
     fn wants_truth(&self) -> bool {
-        self.who == Who::Oracle
+        self.who == PolicyChoice::Oracle
     }
 
     fn truth(&self, _now: Micros, nodes: &[GroundTruth]) {
@@ -162,44 +166,50 @@
     }
 }
 
-struct Make {
-    who: Who,
+struct InstanceFactory {
+    who: PolicyChoice,
     operator: Operator,
     truth: Arc<RwLock<Vec<GroundTruth>>>,
 }
 
-enum Brain {
+enum Policy {
     Module(Box<Driver>),
-    Policy(Policy),
+    Plain(PlainPolicy),
     Oracle(Oracle),
 }
 
-impl Brain {
-    fn settle(&mut self, peers: &mut Emulated) {
+impl Policy {
+    fn process_events(&mut self, peers: &mut EmulatedPeers) {
         match self {
-            Brain::Module(driver) => driver.process_events(peers),
-            Brain::Policy(policy) => policy.settle(peers),
-            Brain::Oracle(oracle) => oracle.settle(peers),
+            Policy::Module(driver) => driver.process_events(peers),
+            Policy::Plain(policy) => policy.settle(peers),
+            Policy::Oracle(oracle) => oracle.settle(peers),
         }
     }
 }
 
-impl Make {
-    fn brain(&self, set: &Settings, seed: u64, known: Vec<ServerEntry>, peers: &mut Emulated) -> Brain {
+impl InstanceFactory {
+    fn policy(
+        &self,
+        set: &Settings,
+        seed: u64,
+        known: Vec<ServerEntry>,
+        peers: &mut EmulatedPeers,
+    ) -> Policy {
         let pick = match self.who {
-            Who::Module => {
+            PolicyChoice::Module => {
                 let driver = Driver::start(set.clone(), &self.operator, seed, known, peers);
-                return Brain::Module(Box::new(driver));
+                return Policy::Module(Box::new(driver));
             }
-            Who::Random => Pick::Random,
-            Who::RoundRobin => Pick::Next,
-            Who::Fewest => Pick::Fewest,
-            Who::TwoChoices => Pick::TwoChoices,
-            Who::Oracle => {
-                return Brain::Oracle(Oracle::start(Arc::clone(&self.truth), set, &known, peers));
+            PolicyChoice::Random => Pick::Random,
+            PolicyChoice::RoundRobin => Pick::Next,
+            PolicyChoice::Fewest => Pick::Fewest,
+            PolicyChoice::TwoChoices => Pick::TwoChoices,
+            PolicyChoice::Oracle => {
+                return Policy::Oracle(Oracle::start(Arc::clone(&self.truth), set, &known, peers));
             }
         };
-        Brain::Policy(Policy::start(pick, set, seed, known, peers))
+        Policy::Plain(PlainPolicy::start(pick, set, seed, known, peers))
     }
 }
 
@@ -208,15 +218,15 @@
 
 /// What a balancer knew when it was read out last.
 #[derive(Default)]
-struct Kept {
+struct SavedState {
     at: Micros,
     learned: Vec<SnapshotEntry>,
 }
 
-impl Kept {
+impl SavedState {
     /// Reads out what a module knows, if it is time to.
-    fn read(&mut self, now: Micros, brain: &mut Brain) {
-        let Brain::Module(driver) = brain else { return };
+    fn read(&mut self, now: Micros, policy: &mut Policy) {
+        let Policy::Module(driver) = policy else { return };
         if now < self.at + KEEP_EVERY {
             return;
         }
@@ -228,8 +238,8 @@
     }
 
     /// Has the module of the next life recall it.
-    fn recall(&mut self, now: Micros, brain: &mut Brain) {
-        if let Brain::Module(driver) = brain {
+    fn recall(&mut self, now: Micros, policy: &mut Policy) {
+        if let Policy::Module(driver) = policy {
             let (past, learned) =
                 (seconds_from_micros(now.saturating_sub(self.at)), std::mem::take(&mut self.learned));
             driver.gate().recall(seconds_from_micros(now), past, true, learned);
@@ -238,18 +248,18 @@
 }
 
 /// A balancer's sight of what others hold.
-struct ByBoard {
-    board: Arc<Board>,
+struct BoardView {
+    board: Arc<SharedLoadBoard>,
     id: BalancerId,
     /// The time at which it looks next.
     next: u64,
 }
 
-impl ByBoard {
+impl BoardView {
     /// Puts up what is held and hears of others, if it is time to.
-    fn look(&mut self, now: Micros, peers: &mut Emulated, brain: &mut Brain) {
-        let Brain::Module(driver) = brain else { return };
-        let time = Board::time(now);
+    fn look(&mut self, now: Micros, peers: &mut EmulatedPeers, policy: &mut Policy) {
+        let Policy::Module(driver) = policy else { return };
+        let time = SharedLoadBoard::time(now);
         if time >= self.next {
             self.next = time + 1;
             peers.tell(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
@@ -262,17 +272,17 @@
 }
 
 /// A balancer through all its lives.
-struct Hosted {
-    places: Places,
+struct HostedBalancer {
+    places: NodeDirectory,
     settings: Settings,
-    make: Make,
+    make: InstanceFactory,
     next_link: u64,
-    life: Option<(Emulated, Brain)>,
-    kept: Option<Kept>,
-    told: Option<ByBoard>,
+    life: Option<(EmulatedPeers, Policy)>,
+    kept: Option<SavedState>,
+    told: Option<BoardView>,
 }
 
-impl Instance for Hosted {
+impl Instance for HostedBalancer {
     fn turn(&mut self, now: Micros, came: &[ToBalancer], out: &mut Vec<FromBalancer>) {
         if let Some((peers, _)) = &mut self.life {
             peers.clock(now);
@@ -280,7 +290,7 @@
         for what in came {
             match what {
                 ToBalancer::Start { seed, known } => {
-                    let mut peers = Emulated::new(
+                    let mut peers = EmulatedPeers::new(
                         self.places.clone(),
                         micros_from_seconds(self.settings.connect_timeout),
                         now,
@@ -288,10 +298,10 @@
                     );
                     out.push(FromBalancer::Ready);
                     let known = peers.listed(true, known);
-                    let mut brain = self.make.brain(&self.settings, *seed, known, &mut peers);
-                    brain.settle(&mut peers);
-                    self.kept.iter_mut().for_each(|kept| kept.recall(now, &mut brain));
-                    self.life = Some((peers, brain));
+                    let mut policy = self.make.policy(&self.settings, *seed, known, &mut peers);
+                    policy.process_events(&mut peers);
+                    self.kept.iter_mut().for_each(|kept| kept.recall(now, &mut policy));
+                    self.life = Some((peers, policy));
                 }
                 ToBalancer::Kill => {
                     // What it would have done at the end of this tick it did not live to do.
@@ -300,19 +310,19 @@
                     }
                 }
                 what => {
-                    if let Some((peers, brain)) = &mut self.life {
+                    if let Some((peers, policy)) = &mut self.life {
                         peers.take(what);
-                        brain.settle(peers);
+                        policy.process_events(peers);
                     }
                 }
             }
         }
         // What came within the tick came before what is due at its end.
-        if let Some((peers, brain)) = &mut self.life {
+        if let Some((peers, policy)) = &mut self.life {
             peers.due();
-            self.told.iter_mut().for_each(|told| told.look(now, peers, brain));
-            brain.settle(peers);
-            self.kept.iter_mut().for_each(|kept| kept.read(now, brain));
+            self.told.iter_mut().for_each(|told| told.look(now, peers, policy));
+            policy.process_events(peers);
+            self.kept.iter_mut().for_each(|kept| kept.read(now, policy));
             self.next_link = peers.next_link();
             peers.hand_over(out);
         }
@@ -324,9 +334,9 @@
     }
 
     fn tells(&mut self, told: &mut InstanceReport) {
-        let Some((peers, brain)) = &mut self.life else { return };
+        let Some((peers, policy)) = &mut self.life else { return };
         told.lines = peers.said();
-        if let Brain::Module(driver) = brain {
+        if let Policy::Module(driver) = policy {
             let stats = driver.gate().care().stats();
             told.level = stats.level.level.name();
             let moves = &stats.rebalance;
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -11,14 +11,14 @@
 use shorewharf_emulator::virtual_time::GroundTruth;
 use shorewharf_units::Micros;
 
-use super::Emulated;
+use super::EmulatedPeers;
 
 /// The watch on the list is opened again so long after it broke.
 const WATCH_AGAIN: Micros = 1_000_000;
 /// With less of its client's time left a request is not tried again.
 const LEAST: Micros = 20_000;
 /// How often it looks whether there is room for who waits.
-const LOOK_EVERY: Micros = 10_000;
+const REBALANCE_INTERVAL: Micros = 10_000;
 /// How often connections are taken off nodes that are too full.
 const RELIEVE_EVERY: Micros = 250_000;
 const WATCH: u64 = 1;
@@ -40,7 +40,7 @@
 const RELIEVED: f64 = 0.88;
 
 #[derive(Debug)]
-struct Held {
+struct AssignedRequest {
     deadline: Micros,
     attempts: u32,
     group: u64,
@@ -56,7 +56,7 @@
     max_attempts: u32,
     proxies: f64,
     ready: BTreeSet<ServerId>,
-    held: BTreeMap<RequestId, Held>,
+    held: BTreeMap<RequestId, AssignedRequest>,
     waiting: Vec<RequestId>,
     looks: bool,
     /// What it has placed since it saw the nodes' state last.
@@ -69,7 +69,7 @@
         truth: Arc<RwLock<Vec<GroundTruth>>>,
         set: &Settings,
         known: &[ServerEntry],
-        peers: &mut Emulated,
+        peers: &mut EmulatedPeers,
     ) -> Oracle {
         let mut oracle = Oracle {
             truth,
@@ -88,7 +88,7 @@
         oracle
     }
 
-    pub(super) fn settle(&mut self, peers: &mut Emulated) {
+    pub(super) fn settle(&mut self, peers: &mut EmulatedPeers) {
         while let Some(happening) = peers.next_event() {
             self.happened(happening, peers);
         }
@@ -107,7 +107,7 @@
         }
     }
 
-    fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
+    fn happened(&mut self, happening: NetworkEvent, peers: &mut EmulatedPeers) {
         match happening {
             NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
             NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
@@ -115,7 +115,7 @@
             NetworkEvent::TimerFired(LOOK) => self.look(peers),
             NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
-                let held = Held {
+                let held = AssignedRequest {
                     deadline: req.deadline,
                     attempts: 0,
                     group: req.group,
@@ -128,7 +128,7 @@
                 self.try_it(req.id, peers);
             }
             NetworkEvent::ConnectionRestored(req, server) => {
-                let held = Held {
+                let held = AssignedRequest {
                     deadline: 0,
                     attempts: 1,
                     group: req.group,
@@ -170,7 +170,7 @@
     }
 
     /// Sends it where there is room; else it waits, and is refused at the end of its client's patience.
-    fn try_it(&mut self, id: RequestId, peers: &mut Emulated) {
+    fn try_it(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
         let now = peers.now();
         let Some(h) = self.held.get(&id).filter(|h| !h.out && h.on.is_none()) else { return };
         let left = h.deadline.saturating_sub(now);
@@ -182,7 +182,7 @@
         let Some(server) = self.choose(now, group, not, peers) else {
             self.waiting.push(id);
             if !std::mem::replace(&mut self.looks, true) {
-                peers.set_timer(LOOK_EVERY, LOOK);
+                peers.set_timer(REBALANCE_INTERVAL, LOOK);
             }
             return;
         };
@@ -193,7 +193,7 @@
         peers.begin_attempt(id, server, left);
     }
 
-    fn look(&mut self, peers: &mut Emulated) {
+    fn look(&mut self, peers: &mut EmulatedPeers) {
         self.looks = false;
         for id in std::mem::take(&mut self.waiting) {
             self.try_it(id, peers);
@@ -205,7 +205,7 @@
         now: Micros,
         group: u64,
         not: Option<ServerId>,
-        peers: &Emulated,
+        peers: &EmulatedPeers,
     ) -> Option<ServerId> {
         if std::mem::replace(&mut self.seen, now) != now {
             self.placed.clear();
@@ -232,7 +232,7 @@
     }
 
     /// Takes the heaviest connections off nodes that are too full, each balancer its own part.
-    fn relieve(&mut self, peers: &mut Emulated) {
+    fn relieve(&mut self, peers: &mut EmulatedPeers) {
         peers.set_timer(RELIEVE_EVERY, RELIEVE);
         let truths = self.truth.read().unwrap_or_else(PoisonError::into_inner).clone();
         let mut moves = Vec::new();
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -12,7 +12,7 @@
 use shorewharf_emulator::virtual_time::GroundTruth;
 use shorewharf_units::Micros;
 
-use super::places::Places;
+use super::places::NodeDirectory;
 
 /// A line that goes unanswered for so long shows a dead connection, as in the real program.
 const SILENT: Micros = 1_500_000;
@@ -29,7 +29,7 @@
 const COME_BACK: Micros = 300_000;
 /// What a timer is for. Those of a fetch carry its link: it may be over when they come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerEvent {
     Module(u64),
     Connect(RequestId, LinkId),
     Patience(RequestId, LinkId),
@@ -42,7 +42,7 @@
 
 /// How far a client's connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum SessionStage {
     Waiting,
     Open,
 }
@@ -50,17 +50,17 @@
 #[derive(Clone, Debug)]
 struct Session {
     conn: ConnId,
-    at: At,
+    at: SessionStage,
     req: ReceivedRequest,
     home: Option<ServerId>,
     until: Micros,
     /// A line of the client's has gone unanswered since then.
     asked: Option<Micros>,
-    fetch: Option<Fetch>,
+    fetch: Option<Attempt>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Fetch {
+struct Attempt {
     link: LinkId,
     server: ServerId,
     up_line: bool,
@@ -69,19 +69,19 @@
 
 /// When a server last said anything, and on which connection; and the same of another connection.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ServerActivity {
     last: (Micros, RequestId),
     other: Micros,
 }
 
 /// All peers of one life of a balancer.
 #[derive(Debug)]
-pub struct Emulated {
-    places: Places,
+pub struct EmulatedPeers {
+    places: NodeDirectory,
     connect_timeout: Micros,
     now: Micros,
     happenings: VecDeque<NetworkEvent>,
-    timers: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, u64, TimerEvent)>>,
     serial: u64,
     /// Numbers of links go on over all lives.
     next_link: u64,
@@ -91,7 +91,7 @@
     by_link: HashMap<LinkId, RequestId>,
     probes: HashMap<LinkId, ServerId>,
     stages: Vec<Option<ServerState>>,
-    heard: Vec<Option<Heard>>,
+    heard: Vec<Option<ServerActivity>>,
     watching: bool,
     leaving: Option<Micros>,
     exited: bool,
@@ -99,11 +99,11 @@
     said: Vec<(Micros, String)>,
 }
 
-impl Emulated {
+impl EmulatedPeers {
     /// Peers of a process that begins now. `first_link` is above every link of the lives before.
-    pub fn new(places: Places, connect_timeout: Micros, now: Micros, first_link: u64) -> Self {
+    pub fn new(places: NodeDirectory, connect_timeout: Micros, now: Micros, first_link: u64) -> Self {
         let nodes = places.len();
-        Emulated {
+        EmulatedPeers {
             places,
             connect_timeout,
             now,
@@ -160,18 +160,18 @@
             }
             self.timers.pop();
             match due {
-                Due::Module(token) => self.tell(NetworkEvent::TimerFired(token)),
-                Due::Connect(id, link) => {
+                TimerEvent::Module(token) => self.tell(NetworkEvent::TimerFired(token)),
+                TimerEvent::Connect(id, link) => {
                     if self.fetch_on(id, link).is_some_and(|f| !f.up_line) {
                         self.fetch_over(id, Outcome::ConnectFailed);
                     }
                 }
-                Due::Patience(id, link) => self.patience_due(id, link),
-                Due::Silent(id, since) => self.silent(id, since),
-                Due::Overdue(id) => self.overdue(id),
-                Due::Carry(id) => self.carry(id),
-                Due::Probe(link) => self.probe_over(link, Outcome::TimedOut),
-                Due::Leave => self.leave(),
+                TimerEvent::Patience(id, link) => self.patience_due(id, link),
+                TimerEvent::Silent(id, since) => self.silent(id, since),
+                TimerEvent::Overdue(id) => self.overdue(id),
+                TimerEvent::Carry(id) => self.carry(id),
+                TimerEvent::Probe(link) => self.probe_over(link, Outcome::TimedOut),
+                TimerEvent::Leave => self.leave(),
             }
         }
     }
@@ -205,7 +205,7 @@
             }
             ToBalancer::Terminate if self.leaving.is_none() => {
                 self.leaving = Some(self.now);
-                self.at(self.now + SWEEP, Due::Leave);
+                self.at(self.now + SWEEP, TimerEvent::Leave);
             }
             _ => {}
         }
@@ -229,12 +229,12 @@
         self.happenings.push_back(happening);
     }
 
-    fn at(&mut self, when: Micros, due: Due) {
+    fn at(&mut self, when: Micros, due: TimerEvent) {
         self.serial += 1;
         self.timers.push(Reverse((when, self.serial, due)));
     }
 
-    fn fetch_on(&self, id: RequestId, link: LinkId) -> Option<Fetch> {
+    fn fetch_on(&self, id: RequestId, link: LinkId) -> Option<Attempt> {
         self.sessions.get(&id).and_then(|s| s.fetch).filter(|f| f.link == link)
     }
 
@@ -256,10 +256,11 @@
         }
         let home = ask.home.map(|n| self.places.server(n));
         let until = self.now + if home.is_some() { CARRY } else { left };
-        let session = Session { conn: ask.conn, at: At::Waiting, req, home, until, asked: None, fetch: None };
+        let session =
+            Session { conn: ask.conn, at: SessionStage::Waiting, req, home, until, asked: None, fetch: None };
         self.sessions.insert(id, session);
         self.by_conn.insert(ask.conn, id);
-        self.at(until + OVERDUE, Due::Overdue(id));
+        self.at(until + OVERDUE, TimerEvent::Overdue(id));
         match home {
             Some(server) => self.fetch_begins(id, server, CARRY),
             None => self.tell(NetworkEvent::RequestReceived(req)),
@@ -267,7 +268,8 @@
     }
 
     fn fetch_begins(&mut self, id: RequestId, server: ServerId, patience: Micros) {
-        let Some(s) = self.sessions.get(&id).filter(|s| s.at == At::Waiting && s.fetch.is_none()) else {
+        let Some(s) = self.sessions.get(&id).filter(|s| s.at == SessionStage::Waiting && s.fetch.is_none())
+        else {
             return;
         };
         let home = s.home == Some(server);
@@ -282,26 +284,26 @@
         self.next_link += 1;
         let until = self.now + patience;
         if let Some(s) = self.sessions.get_mut(&id) {
-            s.fetch = Some(Fetch { link, server, up_line: false, last: None });
+            s.fetch = Some(Attempt { link, server, up_line: false, last: None });
         }
         self.by_link.insert(link, id);
         self.did.push(FromBalancer::Link { link, node, conn: Some(conn) });
         self.did.push(FromBalancer::Forward { link, patience });
         // A client that leaves less time than a connect may take must not get its server locked.
         if self.connect_timeout <= patience {
-            self.at(self.now + self.connect_timeout, Due::Connect(id, link));
+            self.at(self.now + self.connect_timeout, TimerEvent::Connect(id, link));
         }
-        self.at(until, Due::Patience(id, link));
+        self.at(until, TimerEvent::Patience(id, link));
     }
 
     fn fetch_ended(&mut self, id: RequestId, outcome: Outcome) {
         let Some(s) = self.sessions.get(&id) else {
             return self.tell(NetworkEvent::AttemptEnded(id, outcome));
         };
-        if s.home.is_some() && s.at == At::Waiting {
+        if s.home.is_some() && s.at == SessionStage::Waiting {
             // Not told of: the module does not know it yet. Tried again while that is harmless.
             if outcome.never_ran() {
-                self.at(self.now + CARRY_PAUSE, Due::Carry(id));
+                self.at(self.now + CARRY_PAUSE, TimerEvent::Carry(id));
             } else {
                 self.answer(id, Answer::Err);
             }
@@ -311,7 +313,7 @@
     }
 
     fn carry(&mut self, id: RequestId) {
-        let due = |s: &&Session| s.at == At::Waiting && s.fetch.is_none() && self.now < s.until;
+        let due = |s: &&Session| s.at == SessionStage::Waiting && s.fetch.is_none() && self.now < s.until;
         let home = self.sessions.get(&id).filter(due).and_then(|s| s.home.map(|h| (h, s.until)));
         if let Some((server, until)) = home {
             self.fetch_begins(id, server, until - self.now);
@@ -333,7 +335,7 @@
         }
     }
 
-    fn drop_fetch(&mut self, id: RequestId) -> Option<Fetch> {
+    fn drop_fetch(&mut self, id: RequestId) -> Option<Attempt> {
         let f = self.sessions.get_mut(&id).and_then(|s| s.fetch.take())?;
         self.by_link.remove(&f.link);
         Some(f)
@@ -342,8 +344,8 @@
     fn patience_due(&mut self, id: RequestId, link: LinkId) {
         let Some(f) = self.fetch_on(id, link) else { return };
         match self.sessions.get(&id).map(|s| s.at) {
-            Some(At::Waiting) if f.up_line => self.fetch_over(id, Outcome::TimedOut),
-            Some(At::Waiting) => self.fetch_over(id, Outcome::NotSent),
+            Some(SessionStage::Waiting) if f.up_line => self.fetch_over(id, Outcome::TimedOut),
+            Some(SessionStage::Waiting) => self.fetch_over(id, Outcome::NotSent),
             _ => {}
         }
     }
@@ -376,7 +378,7 @@
         f.up_line = true;
         f.last = Some(word);
         let server = f.server;
-        if s.at == At::Open {
+        if s.at == SessionStage::Open {
             match word {
                 NodeMessage::Load(load) => self.tell(NetworkEvent::LoadReported(id, load / 1e6)),
                 NodeMessage::Delay(ms) => {
@@ -402,7 +404,7 @@
 
     fn up(&mut self, id: RequestId, server: ServerId, link: LinkId) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
-        s.at = At::Open;
+        s.at = SessionStage::Open;
         let (conn, req, carried) = (s.conn, s.req, s.home.is_some());
         self.hear(server, self.now, id);
         self.did.push(FromBalancer::Answer(conn, Answer::Up(link)));
@@ -417,9 +419,9 @@
         let Some(node) = self.places.node(server) else { return };
         let h = &mut self.heard[node.0 as usize];
         *h = Some(match *h {
-            Some(Heard { last, other }) if last.1 == id => Heard { last: (now, id), other },
-            Some(Heard { last, .. }) => Heard { last: (now, id), other: last.0 },
-            None => Heard { last: (now, id), other: 0 },
+            Some(ServerActivity { last, other }) if last.1 == id => ServerActivity { last: (now, id), other },
+            Some(ServerActivity { last, .. }) => ServerActivity { last: (now, id), other: last.0 },
+            None => ServerActivity { last: (now, id), other: 0 },
         });
     }
 
@@ -437,7 +439,7 @@
         let Some(s) = self.sessions.get(&id) else { return };
         let (conn, at) = (s.conn, s.at);
         let last = s.fetch.and_then(|f| f.last);
-        if at == At::Waiting {
+        if at == SessionStage::Waiting {
             return self.fetch_broke(id, Outcome::Reset);
         }
         let outcome = match last {
@@ -455,13 +457,14 @@
     fn client_line(&mut self, conn: ConnId) {
         let now = self.now;
         let Some(&id) = self.by_conn.get(&conn) else { return };
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.at == At::Open && s.asked.is_none()) else {
+        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.at == SessionStage::Open && s.asked.is_none())
+        else {
             return;
         };
         s.asked = Some(now);
         // Silence is looked for by the sweep, which may be a part of its period away.
         let due = (now + SILENT).div_ceil(SWEEP) * SWEEP;
-        self.at(due, Due::Silent(id, now));
+        self.at(due, TimerEvent::Silent(id, now));
     }
 
     /// The server answers nothing: its client is moved. One that has answered others meanwhile is not blamed.
@@ -475,7 +478,7 @@
 
     fn client_ended(&mut self, conn: ConnId) {
         let Some(&id) = self.by_conn.get(&conn) else { return };
-        if self.sessions.get(&id).is_some_and(|s| s.at == At::Waiting) {
+        if self.sessions.get(&id).is_some_and(|s| s.at == SessionStage::Waiting) {
             self.tell(NetworkEvent::ClientLeft(id));
         }
         self.fetch_over(id, Outcome::Cancelled);
@@ -483,7 +486,7 @@
     }
 
     fn overdue(&mut self, id: RequestId) {
-        if self.sessions.get(&id).is_some_and(|s| s.at == At::Waiting) {
+        if self.sessions.get(&id).is_some_and(|s| s.at == SessionStage::Waiting) {
             self.tell(NetworkEvent::ClientLeft(id));
             self.fetch_over(id, Outcome::TimedOut);
             self.answer(id, Answer::Busy(COME_BACK));
@@ -515,7 +518,7 @@
     }
 }
 
-impl Effects for Emulated {
+impl Effects for EmulatedPeers {
     fn now(&self) -> Micros {
         self.places.clock(self.now)
     }
@@ -541,7 +544,7 @@
     }
 
     fn migrate(&mut self, req: RequestId) {
-        if self.sessions.get(&req).is_some_and(|s| s.at == At::Open) {
+        if self.sessions.get(&req).is_some_and(|s| s.at == SessionStage::Open) {
             self.fetch_over(req, Outcome::Cancelled);
             self.answer(req, Answer::Move);
         }
@@ -556,7 +559,7 @@
         self.probes.insert(link, server);
         self.did.push(FromBalancer::Link { link, node, conn: None });
         self.did.push(FromBalancer::Probe(link));
-        self.at(self.now + PROBE, Due::Probe(link));
+        self.at(self.now + PROBE, TimerEvent::Probe(link));
     }
 
     fn watch_endpoints(&mut self) {
@@ -566,7 +569,7 @@
     }
 
     fn set_timer(&mut self, after: Micros, token: u64) {
-        self.at(self.now + after.max(1), Due::Module(token));
+        self.at(self.now + after.max(1), TimerEvent::Module(token));
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/lab/src/instances/peers/leaving.rs
+++ b/crates/lab/src/instances/peers/leaving.rs
@@ -6,7 +6,7 @@
 use shorewharf_emulator::edge::{Answer, FromBalancer};
 use shorewharf_units::Micros;
 
-use super::{At, COME_BACK, Due, Emulated, SWEEP};
+use super::{COME_BACK, EmulatedPeers, SWEEP, SessionStage, TimerEvent};
 
 /// After SIGTERM the front still sends clients for 0.4 s; moved any sooner, they would come back here.
 pub(super) const LEAVE_AFTER: Micros = 450_000;
@@ -14,7 +14,7 @@
 const GRACE: Micros = 700_000;
 const GRACE_WAIT: Micros = 3_000_000;
 
-impl Emulated {
+impl EmulatedPeers {
     /// The steps of a planned end: accept and answer, move everybody, refuse who still waits, go.
     pub(super) fn leave(&mut self) {
         let Some(from) = self.leaving else { return };
@@ -25,10 +25,11 @@
         let move_from = move_until.saturating_sub(900_000).max(LEAVE_AFTER);
         let (answers, last) = (move_until.saturating_sub(500_000), longest - 300_000);
         let move_until = move_until.max(LEAVE_AFTER + SWEEP);
-        let mut ids: Vec<(RequestId, At)> = self.sessions.iter().map(|(id, s)| (*id, s.at)).collect();
+        let mut ids: Vec<(RequestId, SessionStage)> =
+            self.sessions.iter().map(|(id, s)| (*id, s.at)).collect();
         ids.sort_unstable_by_key(|(id, _)| *id);
         if since >= answers {
-            for &(id, _) in ids.iter().filter(|(_, at)| *at == At::Waiting) {
+            for &(id, _) in ids.iter().filter(|(_, at)| *at == SessionStage::Waiting) {
                 self.tell(NetworkEvent::ClientLeft(id));
                 self.fetch_over(id, Outcome::Cancelled);
                 self.answer(id, Answer::Busy(COME_BACK));
@@ -36,7 +37,7 @@
         }
         if since >= move_from {
             let open: Vec<RequestId> =
-                ids.iter().filter(|(_, at)| *at == At::Open).map(|(id, _)| *id).collect();
+                ids.iter().filter(|(_, at)| *at == SessionStage::Open).map(|(id, _)| *id).collect();
             let parts = move_until.saturating_sub(since) / SWEEP;
             let n = open.len().div_ceil(parts as usize + 1);
             open.into_iter().take(n).for_each(|id| self.migrate(id));
@@ -47,6 +48,6 @@
             }
             return;
         }
-        self.at(self.now + SWEEP, Due::Leave);
+        self.at(self.now + SWEEP, TimerEvent::Leave);
     }
 }
--- a/crates/lab/src/instances/places.rs
+++ b/crates/lab/src/instances/places.rs
@@ -20,7 +20,7 @@
 
 /// The nodes as a list names them. Cheap to clone.
 #[derive(Clone, Debug)]
-pub struct Places(Arc<Table>);
+pub struct NodeDirectory(Arc<Table>);
 
 /// A server's id: fixed by the node's place, and telling nothing of it, as names do.
 fn server_id(node: usize) -> ServerId {
@@ -31,7 +31,7 @@
     ServerId(x ^ (x >> 31))
 }
 
-impl Places {
+impl NodeDirectory {
     /// The nodes of a day.
     pub fn new(day: &Day) -> Self {
         let server =
@@ -39,7 +39,7 @@
         let servers: Vec<_> = day.nodes.iter().enumerate().map(server).collect();
         let nodes = servers.iter().enumerate().map(|(i, s)| (s.0, NodeId(i as u32))).collect();
         let longest_wait = day.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
-        Places(Arc::new(Table { servers, nodes, longest_wait }))
+        NodeDirectory(Arc::new(Table { servers, nodes, longest_wait }))
     }
 
     /// How many nodes there are.
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -10,7 +10,7 @@
 use shorewharf_driver::{Effects, NetworkEvent};
 use shorewharf_units::Micros;
 
-use super::Emulated;
+use super::EmulatedPeers;
 
 /// The watch on the list is opened again so long after it broke.
 const WATCH_AGAIN: Micros = 1_000_000;
@@ -38,7 +38,7 @@
 }
 
 /// A policy with what it must remember of requests.
-pub(super) struct Policy {
+pub(super) struct PlainPolicy {
     pick: Pick,
     rng: Pcg64Mcg,
     max_attempts: u32,
@@ -49,15 +49,15 @@
     held: BTreeMap<ServerId, u32>,
 }
 
-impl Policy {
+impl PlainPolicy {
     pub(super) fn start(
         pick: Pick,
         set: &Settings,
         seed: u64,
         known: Vec<ServerEntry>,
-        peers: &mut Emulated,
-    ) -> Policy {
-        let mut policy = Policy {
+        peers: &mut EmulatedPeers,
+    ) -> PlainPolicy {
+        let mut policy = PlainPolicy {
             pick,
             rng: Pcg64Mcg::seed_from_u64(seed),
             max_attempts: set.max_attempts,
@@ -73,7 +73,7 @@
         policy
     }
 
-    pub(super) fn settle(&mut self, peers: &mut Emulated) {
+    pub(super) fn settle(&mut self, peers: &mut EmulatedPeers) {
         while let Some(happening) = peers.next_event() {
             self.happened(happening, peers);
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
+    fn happened(&mut self, happening: NetworkEvent, peers: &mut EmulatedPeers) {
         match happening {
             NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
             NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn try_it(&mut self, id: RequestId, peers: &mut Emulated) {
+    fn try_it(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
         let now = peers.now();
         let Some(w) = self.reqs.get(&id) else { return };
         let (left, last) = (w.deadline.saturating_sub(now), w.last);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,7 +9,7 @@
 
 use crate::balancer;
 use crate::cli::Load;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::style::{Style, say};
 
@@ -21,14 +21,14 @@
 }
 
 /// `load`.
-pub fn load(args: &Load, style: &Style) -> Result<Done, Failure> {
+pub fn load(args: &Load, style: &Style) -> Result<CommandOutcome, CommandError> {
     let path = balancer::find(args.balancer.as_deref())?;
     let descriptors = raise_descriptors();
     tracing::info!(descriptors, program = %path.display(), "loading");
     let most = u32::try_from(descriptors).unwrap_or(u32::MAX).min(MOST_SOCKETS);
     let sockets = args.sockets.unwrap_or(most);
     if sockets > most {
-        return Err(Failure::Input(format!("--sockets {sockets}: this system allows {most}")));
+        return Err(CommandError::Input(format!("--sockets {sockets}: this system allows {most}")));
     }
     let limits = ProcessLimits { sockets, memory_mb: args.memory_mb };
     let options = Options {
@@ -42,10 +42,10 @@
         settings: settings::json,
     };
     let folder = tempfile::TempDir::with_prefix("shorewharf-load-")
-        .map_err(|e| Failure::Outside(format!("a folder for the balancer's files: {e}")))?;
+        .map_err(|e| CommandError::Outside(format!("a folder for the balancer's files: {e}")))?;
     let outcome = load::run(&options, folder.path()).map_err(|e| match e {
-        LoadError::Figure(..) => Failure::Input(e.to_string()),
-        e => Failure::Outside(e.to_string()),
+        LoadError::Figure(..) => CommandError::Input(e.to_string()),
+        e => CommandError::Outside(e.to_string()),
     })?;
     if let Some(path) = &args.json {
         files::write(path, &(serde_json::to_string_pretty(&outcome).expect("keys are text") + "\n"))?;
@@ -57,5 +57,5 @@
         eprintln!("{} {why}", style.bad("none of this counts:"));
     }
     let sound = outcome.void.is_none() && !outcome.life.crashed;
-    Ok(if sound { Done::Well } else { Done::Badly })
+    Ok(if sound { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
--- a/crates/lab/src/log.rs
+++ b/crates/lab/src/log.rs
@@ -4,11 +4,11 @@
 use tracing_subscriber::prelude::*;
 
 use crate::cli::LogFormat;
-use crate::error::Failure;
+use crate::error::CommandError;
 
 /// Begins the log. `level` is a level or a list such as `warn,shorewharf_emulator=debug`.
-pub fn begin(level: &str, format: LogFormat) -> Result<(), Failure> {
-    let filter = EnvFilter::try_new(level).map_err(|e| Failure::Input(format!("--log {level}: {e}")))?;
+pub fn begin(level: &str, format: LogFormat) -> Result<(), CommandError> {
+    let filter = EnvFilter::try_new(level).map_err(|e| CommandError::Input(format!("--log {level}: {e}")))?;
     let registry = tracing_subscriber::registry().with(filter);
     let begun = match format {
         LogFormat::Logfmt => {
@@ -18,5 +18,5 @@
             registry.with(tracing_subscriber::fmt::layer().json().with_writer(std::io::stderr)).try_init()
         }
     };
-    begun.map_err(|e| Failure::Outside(format!("the log can't begin: {e}")))
+    begun.map_err(|e| CommandError::Outside(format!("the log can't begin: {e}")))
 }
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -15,7 +15,7 @@
 use shorewharf_units::Micros;
 
 use acts::{Act, Acts};
-use tracks::Tracks;
+use tracks::MutantHistory;
 
 /// Every so many-th connection is struck, where a fault strikes single ones.
 const STRIKES: u64 = 5;
@@ -24,7 +24,7 @@
 /// The time between an act of a mutant's own and the next one.
 const STEP: Micros = 5_000;
 /// A connection stands this long before it is mistreated.
-const STOOD: Micros = 2_000_000;
+const ESTABLISHED_BEFORE_START: Micros = 2_000_000;
 /// A node whose start was told draws everything to it for so long.
 const OVERRUN: Micros = 4_000_000;
 /// When the one that exits does so.
@@ -32,7 +32,7 @@
 
 /// What a mutant does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wrong {
+pub enum Mutation {
     /// It never answers some clients.
     Mute,
     /// It answers some clients after their time.
@@ -69,49 +69,49 @@
     Exits,
 }
 
-impl Wrong {
+impl Mutation {
     /// All of them.
-    pub const ALL: &[Wrong] = &[
-        Wrong::Mute,
-        Wrong::Late,
-        Wrong::HangsUp,
-        Wrong::Forges,
-        Wrong::AnswersTwice,
-        Wrong::TwoAtOnce,
-        Wrong::NeverGivesUp,
-        Wrong::SendsAfterEnd,
-        Wrong::IgnoresDrains,
-        Wrong::OverrunsStarts,
-        Wrong::CutsOff,
-        Wrong::KeepsEnded,
-        Wrong::KeepsSevered,
-        Wrong::KeepsSilent,
-        Wrong::IgnoresTerm,
-        Wrong::CutsOffAtTerm,
-        Wrong::Exits,
+    pub const ALL: &[Mutation] = &[
+        Mutation::Mute,
+        Mutation::Late,
+        Mutation::HangsUp,
+        Mutation::Forges,
+        Mutation::AnswersTwice,
+        Mutation::TwoAtOnce,
+        Mutation::NeverGivesUp,
+        Mutation::SendsAfterEnd,
+        Mutation::IgnoresDrains,
+        Mutation::OverrunsStarts,
+        Mutation::CutsOff,
+        Mutation::KeepsEnded,
+        Mutation::KeepsSevered,
+        Mutation::KeepsSilent,
+        Mutation::IgnoresTerm,
+        Mutation::CutsOffAtTerm,
+        Mutation::Exits,
     ];
 
     /// The reason for which it is to be caught. An answer is only late while its client is still there: the clients' delay
     /// must be over a tick, or it crosses with the end of one that has waited long enough and counts as none.
     pub fn caught_for(self) -> Reason {
         match self {
-            Wrong::Mute => Reason::NoAnswer,
-            Wrong::Late => Reason::LateAnswer,
-            Wrong::HangsUp => Reason::EndedUnanswered,
-            Wrong::Forges => Reason::Forged,
-            Wrong::AnswersTwice => Reason::SecondAnswer,
-            Wrong::TwoAtOnce => Reason::SecondCopy,
-            Wrong::NeverGivesUp => Reason::TooManyAttempts,
-            Wrong::SendsAfterEnd => Reason::SentAfterEnd,
-            Wrong::IgnoresDrains => Reason::SentToDraining,
-            Wrong::OverrunsStarts => Reason::PushedOver,
-            Wrong::CutsOff => Reason::CutOff,
-            Wrong::KeepsEnded => Reason::EndedKept,
-            Wrong::KeepsSevered => Reason::SeveredKept,
-            Wrong::KeepsSilent => Reason::SilentKept,
-            Wrong::IgnoresTerm => Reason::HeldAtKill,
-            Wrong::CutsOffAtTerm => Reason::CutOffAtRestart,
-            Wrong::Exits => Reason::Exited,
+            Mutation::Mute => Reason::NoAnswer,
+            Mutation::Late => Reason::LateAnswer,
+            Mutation::HangsUp => Reason::EndedUnanswered,
+            Mutation::Forges => Reason::Forged,
+            Mutation::AnswersTwice => Reason::SecondAnswer,
+            Mutation::TwoAtOnce => Reason::SecondCopy,
+            Mutation::NeverGivesUp => Reason::TooManyAttempts,
+            Mutation::SendsAfterEnd => Reason::SentAfterEnd,
+            Mutation::IgnoresDrains => Reason::SentToDraining,
+            Mutation::OverrunsStarts => Reason::PushedOver,
+            Mutation::CutsOff => Reason::CutOff,
+            Mutation::KeepsEnded => Reason::EndedKept,
+            Mutation::KeepsSevered => Reason::SeveredKept,
+            Mutation::KeepsSilent => Reason::SilentKept,
+            Mutation::IgnoresTerm => Reason::HeldAtKill,
+            Mutation::CutsOffAtTerm => Reason::CutOffAtRestart,
+            Mutation::Exits => Reason::Exited,
         }
     }
 }
@@ -119,12 +119,12 @@
 /// Hosts mutants round the instances of another host.
 pub struct Mutants<H> {
     sound: H,
-    wrong: Wrong,
+    wrong: Mutation,
 }
 
 impl<H: Host> Mutants<H> {
     /// Balancers of `sound` that do this wrong.
-    pub fn new(sound: H, wrong: Wrong) -> Self {
+    pub fn new(sound: H, wrong: Mutation) -> Self {
         Mutants { sound, wrong }
     }
 }
@@ -137,7 +137,7 @@
             most: u64::from(day.limits.max_attempts),
             late: day.rules.answer_slack + 1,
             acts: Acts::new(OWN_LINKS + (u64::from(id.0) << 40)),
-            tracks: Tracks::default(),
+            tracks: MutantHistory::default(),
             silenced: false,
             due: None,
         })
@@ -154,13 +154,13 @@
 
 struct Mutant {
     sound: Box<dyn Instance>,
-    wrong: Wrong,
+    wrong: Mutation,
     /// Attempts that are allowed.
     most: u64,
     /// So long after the deadline an answer is late.
     late: Micros,
     acts: Acts,
-    tracks: Tracks,
+    tracks: MutantHistory,
     /// It has exited and does nothing until it starts again.
     silenced: bool,
     /// Its own exit.
@@ -210,7 +210,7 @@
             ToBalancer::Start { known, .. } => {
                 self.silenced = false;
                 self.tracks.started(known);
-                if self.wrong == Wrong::Exits && now < EXITS {
+                if self.wrong == Mutation::Exits && now < EXITS {
                     self.due = Some(EXITS);
                 }
             }
@@ -230,22 +230,21 @@
             }
         }
         let pass = match (self.wrong, word) {
-            (Wrong::IgnoresDrains, ToBalancer::List { full, entries }) => {
+            (Mutation::IgnoresDrains, ToBalancer::List { full, entries }) => {
                 let entries = self.tracks.all_ready(*full, entries);
                 heard.push(ToBalancer::List { full: *full, entries });
                 false
             }
-            (Wrong::OverrunsStarts, ToBalancer::List { entries, .. }) => {
+            (Mutation::OverrunsStarts, ToBalancer::List { entries, .. }) => {
                 self.tracks.starts(now + OVERRUN, entries);
                 true
             }
-            (Wrong::KeepsEnded, ToBalancer::NodeEnded(link, _)) => {
+            (Mutation::KeepsEnded, ToBalancer::NodeEnded(link, _)) => {
                 self.tracks.stands(*link).is_none_or(|conn| self.tracks.struck(conn).is_none())
             }
-            (Wrong::KeepsSilent, ToBalancer::ClientLine(_)) | (Wrong::IgnoresTerm, ToBalancer::Terminate) => {
-                false
-            }
-            (Wrong::CutsOffAtTerm, ToBalancer::Terminate) => {
+            (Mutation::KeepsSilent, ToBalancer::ClientLine(_))
+            | (Mutation::IgnoresTerm, ToBalancer::Terminate) => false,
+            (Mutation::CutsOffAtTerm, ToBalancer::Terminate) => {
                 for conn in self.tracks.standing() {
                     self.cuts_off(now, conn);
                 }
@@ -267,13 +266,13 @@
     fn mistreats(&mut self, now: Micros, ask: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
         let conn = ask.conn;
         match self.wrong {
-            Wrong::HangsUp => out.push(FromBalancer::EndClient(conn, End::Fin)),
-            Wrong::Forges => out.push(FromBalancer::Answer(conn, Answer::Forged)),
-            Wrong::SendsAfterEnd => {
+            Mutation::HangsUp => out.push(FromBalancer::EndClient(conn, End::Fin)),
+            Mutation::Forges => out.push(FromBalancer::Answer(conn, Answer::Forged)),
+            Mutation::SendsAfterEnd => {
                 out.push(FromBalancer::Answer(conn, Answer::Busy(0)));
                 self.acts.tries(now + STEP, conn, self.tracks.some_node(conn), STEP);
             }
-            Wrong::NeverGivesUp => {
+            Mutation::NeverGivesUp => {
                 for i in 0..=self.most {
                     self.acts.tries(now + 2 * i * STEP, conn, self.tracks.some_node(conn), STEP);
                 }
@@ -304,7 +303,7 @@
             _ => None,
         };
         let word = match (self.wrong, word) {
-            (Wrong::OverrunsStarts, FromBalancer::Link { link, conn: Some(conn), node }) => {
+            (Mutation::OverrunsStarts, FromBalancer::Link { link, conn: Some(conn), node }) => {
                 let node = self.tracks.overrun(now).unwrap_or(node);
                 FromBalancer::Link { link, node, conn: Some(conn) }
             }
@@ -312,27 +311,30 @@
         };
         let Some(late) = about.and_then(|conn| self.tracks.struck(conn)) else { return out.push(word) };
         match (self.wrong, word) {
-            (Wrong::Mute, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) => {}
-            (Wrong::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late > now => {
+            (Mutation::Mute, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) => {}
+            (Mutation::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late > now => {
                 self.acts.at(late, Act::Does(word));
             }
-            (Wrong::AnswersTwice, FromBalancer::Answer(conn, Answer::Up(_))) => {
+            (Mutation::AnswersTwice, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(word);
-                self.acts.at(now + STOOD, Act::Does(FromBalancer::Answer(conn, Answer::Err)));
-                self.acts.at(now + STOOD, Act::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
+                self.acts
+                    .at(now + ESTABLISHED_BEFORE_START, Act::Does(FromBalancer::Answer(conn, Answer::Err)));
+                self.acts
+                    .at(now + ESTABLISHED_BEFORE_START, Act::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
             }
-            (Wrong::TwoAtOnce, FromBalancer::Link { node, conn: Some(conn), .. }) => {
+            (Mutation::TwoAtOnce, FromBalancer::Link { node, conn: Some(conn), .. }) => {
                 out.push(word);
                 let other = self.tracks.other_than(node);
                 self.acts.tries(now, conn, other, STEP);
             }
-            (Wrong::CutsOff, FromBalancer::Answer(conn, Answer::Up(_))) => {
+            (Mutation::CutsOff, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(word);
-                self.cuts_off(now + STOOD, conn);
+                self.cuts_off(now + ESTABLISHED_BEFORE_START, conn);
             }
-            (Wrong::KeepsSevered, FromBalancer::Answer(_, Answer::Up(link))) => {
+            (Mutation::KeepsSevered, FromBalancer::Answer(_, Answer::Up(link))) => {
                 out.push(word);
-                self.acts.at(now + STOOD, Act::Does(FromBalancer::EndLink(link, End::Fin)));
+                self.acts
+                    .at(now + ESTABLISHED_BEFORE_START, Act::Does(FromBalancer::EndLink(link, End::Fin)));
             }
             _ => out.push(word),
         }
--- a/crates/lab/src/mutants/tracks.rs
+++ b/crates/lab/src/mutants/tracks.rs
@@ -7,7 +7,7 @@
 
 /// Kept for one life of a process.
 #[derive(Debug, Default)]
-pub struct Tracks {
+pub struct MutantHistory {
     /// The nodes that the list has named, as they were when they were ready.
     named: BTreeMap<NodeId, Listed>,
     /// Standing connections by link, and links by connection.
@@ -19,10 +19,10 @@
     fresh: Option<(NodeId, Micros)>,
 }
 
-impl Tracks {
+impl MutantHistory {
     /// The process is gone.
     pub fn clear(&mut self) {
-        *self = Tracks::default();
+        *self = MutantHistory::default();
     }
 
     /// A process begins with this list.
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use crate::cli::Report;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::plots;
 use crate::record::{self, Record};
@@ -24,18 +24,18 @@
 .tables{display:flex;flex-wrap:wrap;align-items:flex-start;gap:20px 48px}";
 
 /// `report`.
-pub fn report(args: &Report) -> Result<Done, Failure> {
+pub fn report(args: &Report) -> Result<CommandOutcome, CommandError> {
     let runs = record::read(&args.result)?;
     let output = args.output.clone().unwrap_or_else(|| args.result.with_extension("html"));
     if runs.is_empty() {
-        return Err(Failure::Input(format!("{}: holds no run", args.result.display())));
+        return Err(CommandError::Input(format!("{}: holds no run", args.result.display())));
     }
     for (i, run) in runs.iter().enumerate() {
         let path = if i == 0 { output.clone() } else { numbered(&output, i + 1) };
         write(&path, run)?;
         crate::style::say(&format!("{}\n", path.display()));
     }
-    Ok(Done::Well)
+    Ok(CommandOutcome::Well)
 }
 
 fn numbered(path: &Path, n: usize) -> PathBuf {
@@ -44,7 +44,7 @@
 }
 
 /// Writes a run's page.
-pub fn write(path: &Path, record: &Record) -> Result<(), Failure> {
+pub fn write(path: &Path, record: &Record) -> Result<(), CommandError> {
     files::write(path, &page(record))
 }
 
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -4,7 +4,7 @@
 use plotters::prelude::*;
 
 use crate::plots_service;
-use crate::record::{Band, Record};
+use crate::record::{FaultInterval, Record};
 
 const WIDTH: u32 = 1000;
 pub(crate) const TEXT: (&str, i32) = ("sans-serif", 14);
@@ -25,7 +25,7 @@
 const MOST_COLUMNS: usize = 160;
 
 pub(crate) type Root<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-pub(crate) type Drawn = Result<(), DrawingAreaErrorKind<std::io::Error>>;
+pub(crate) type DrawResult = Result<(), DrawingAreaErrorKind<std::io::Error>>;
 
 /// One plot of a page.
 pub struct Plot {
@@ -89,7 +89,7 @@
     plots
 }
 
-fn drawn(height: u32, draw: impl FnOnce(&Root<'_>) -> Drawn) -> String {
+fn drawn(height: u32, draw: impl FnOnce(&Root<'_>) -> DrawResult) -> String {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (WIDTH, height)).into_drawing_area();
@@ -111,7 +111,7 @@
 }
 
 pub(crate) fn bands<'a>(
-    bands: &'a [Band],
+    bands: &'a [FaultInterval],
     end: f64,
     top: f64,
 ) -> impl Iterator<Item = Rectangle<(f64, f64)>> + 'a {
@@ -122,7 +122,7 @@
     })
 }
 
-pub(crate) fn named(bands: &[Band], end: f64, top: f64) -> Vec<Text<'static, (f64, f64), String>> {
+pub(crate) fn named(bands: &[FaultInterval], end: f64, top: f64) -> Vec<Text<'static, (f64, f64), String>> {
     // Labels that would lie on one another go to the next of four lines.
     let mut used_to = [f64::MIN; 4];
     let named = bands.iter().filter(|b| b.from_s < end).filter_map(|b| {
@@ -136,7 +136,7 @@
     named.collect()
 }
 
-fn served(root: &Root<'_>, record: &Record) -> Drawn {
+fn served(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_of(record);
     let top = 1.2;
     let mut chart = ChartBuilder::on(root)
@@ -213,7 +213,7 @@
     }
 }
 
-fn load(root: &Root<'_>, record: &Record) -> Drawn {
+fn load(root: &Root<'_>, record: &Record) -> DrawResult {
     let order = order(record);
     let end = end_of(record);
     let steps = record.series.asked.len().max(1);
@@ -275,7 +275,7 @@
     Ok(())
 }
 
-fn connections(root: &Root<'_>, record: &Record) -> Drawn {
+fn connections(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_of(record);
     let step = record.series.step_s;
     let per = |i: usize, c: u32| f64::from(c) / record.nodes[i].capacity.max(0.01);
@@ -322,7 +322,7 @@
 
 type Axes = Cartesian2d<plotters::coord::types::RangedCoordf64, plotters::coord::types::RangedCoordf64>;
 
-pub(crate) fn legend<'a, 'b: 'a>(chart: &mut ChartContext<'a, SVGBackend<'b>, Axes>) -> Drawn {
+pub(crate) fn legend<'a, 'b: 'a>(chart: &mut ChartContext<'a, SVGBackend<'b>, Axes>) -> DrawResult {
     chart
         .configure_series_labels()
         .position(SeriesLabelPosition::UpperRight)
@@ -332,7 +332,7 @@
         .draw()
 }
 
-fn refusals(root: &Root<'_>, record: &Record) -> Drawn {
+fn refusals(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_of(record);
     let step = record.series.step_s;
     let steps = record.series.refusals.values().map(Vec::len).max().unwrap_or(0);
@@ -380,7 +380,7 @@
     Ok(())
 }
 
-fn set_ups(root: &Root<'_>, record: &Record) -> Drawn {
+fn set_ups(root: &Root<'_>, record: &Record) -> DrawResult {
     let points = &record.set_up.within_ms;
     let most = points.last().map_or(1.0, |p| p.1).max(1.0) * 1.1;
     // "Nines": 0.5 stands at 0.3, 0.9 at 1, 0.99 at 2; what is true of all stands at the right end.
--- a/crates/lab/src/plots_service.rs
+++ b/crates/lab/src/plots_service.rs
@@ -2,7 +2,7 @@
 
 use plotters::prelude::*;
 
-use crate::plots::{COLOURS, Drawn, Root, TEXT, bands, end_of, legend, named, whole};
+use crate::plots::{COLOURS, DrawResult, Root, TEXT, bands, end_of, legend, named, whole};
 use crate::record::Record;
 
 // White to red; blue is kept for load.
@@ -30,7 +30,7 @@
 }
 
 /// A row for each balancer.
-pub fn levels(root: &Root<'_>, record: &Record) -> Drawn {
+pub fn levels(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_of(record);
     let balancers = &record.series.balancers;
     let (plot, key) = root.split_vertically(root.get_pixel_range().1.len() as i32 - 34);
@@ -91,7 +91,7 @@
 }
 
 /// The largest load over capacity of all nodes that are up, over the mean of them; and moves for balance.
-pub fn balance(root: &Root<'_>, record: &Record) -> Drawn {
+pub fn balance(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_of(record);
     let step = record.series.step_s;
     let moves = moves(record);
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use shorewharf_emulator::sockets::datagram_proxy::DatagramStatistics;
 
-use crate::error::Failure;
+use crate::error::CommandError;
 
 /// One run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -35,7 +35,7 @@
     /// Share served by tenant, within what it has agreed on.
     pub tenants: Vec<Part>,
     /// What was taken off.
-    pub prices: Vec<Price>,
+    pub prices: Vec<Cost>,
     /// Everything that was counted, by name.
     pub counts: BTreeMap<String, f64>,
     /// What clients were answered other than `UP`, by cause.
@@ -53,7 +53,7 @@
     /// The nodes.
     pub nodes: Vec<NodeName>,
     /// What went wrong, and when.
-    pub faults: Vec<Band>,
+    pub faults: Vec<FaultInterval>,
     /// The course of the day.
     pub series: Series,
     /// What only a run in real time shows.
@@ -77,7 +77,7 @@
     /// What that took.
     pub round: Times,
     /// The balancers' processes.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessIncarnation>,
     /// How bad clients fared, by kind.
     pub bad: Vec<(String, String)>,
     /// What else was odd.
@@ -102,7 +102,7 @@
 
 /// One life of a balancer's process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Life {
+pub struct ProcessIncarnation {
     /// Whose.
     pub balancer: u32,
     /// Its begin.
@@ -141,7 +141,7 @@
 
 /// A price.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Price {
+pub struct Cost {
     /// What for.
     pub name: String,
     /// How much there was of it, in the price's own unit.
@@ -194,12 +194,12 @@
     /// What looks like a break and is none, by reason.
     pub excused: BTreeMap<String, u64>,
     /// The first breaks in full.
-    pub examples: Vec<Break>,
+    pub examples: Vec<RuleViolation>,
 }
 
 /// One break of a rule.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Break {
+pub struct RuleViolation {
     /// The rule.
     pub rule: String,
     /// Why it is a break.
@@ -225,7 +225,7 @@
 
 /// A fault, as a stretch of the day.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Band {
+pub struct FaultInterval {
     /// Its kind.
     pub kind: String,
     /// Its begin.
@@ -326,12 +326,12 @@
 }
 
 /// Reads the runs of a result file: one run, or all those of a sweep.
-pub fn read(path: &Path) -> Result<Vec<Record>, Failure> {
+pub fn read(path: &Path) -> Result<Vec<Record>, CommandError> {
     #[derive(Deserialize)]
     struct Several {
         runs: Vec<Record>,
     }
-    let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", path.display()));
+    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
     let value: serde_json::Value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
     if value.get("runs").is_some() {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -4,7 +4,7 @@
 
 use crate::balancer;
 use crate::cli::{Clock, Run};
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::page;
 use crate::record::Record;
@@ -14,7 +14,7 @@
 use crate::tables;
 
 /// `run`.
-pub fn run(args: &Run, style: &Style) -> Result<Done, Failure> {
+pub fn run(args: &Run, style: &Style) -> Result<CommandOutcome, CommandError> {
     let scenario = files::scenario(&args.which)?;
     for problem in &scenario.odd {
         tracing::warn!(place = %problem.place, key = problem.key, "{}", problem.message);
@@ -44,7 +44,7 @@
     json: Option<&Path>,
     report: Option<&Path>,
     style: &Style,
-) -> Result<Done, Failure> {
+) -> Result<CommandOutcome, CommandError> {
     if json != Some(Path::new("-")) {
         say(&tables::run(record, style));
         if let Some(facts) = &record.sockets {
@@ -58,5 +58,5 @@
     if let Some(path) = report {
         page::write(path, record)?;
     }
-    Ok(if record.sound() { Done::Well } else { Done::Badly })
+    Ok(if record.sound() { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -13,11 +13,11 @@
 use shorewharf_emulator::score::TenantSecond;
 use shorewharf_emulator::virtual_time::{self, Options, RunResult};
 
-use crate::error::Failure;
-use crate::instances::Hosts;
+use crate::error::CommandError;
+use crate::instances::PolicyHosts;
 use crate::record::{
-    BalancerSeries, Band, Break, NodeName, NodeSeries, Part, Price, Record, Series, SetUp, TenantSeries,
-    Verdict, Window, round,
+    BalancerSeries, Cost, FaultInterval, NodeName, NodeSeries, Part, Record, RuleViolation, Series, SetUp,
+    TenantSeries, Verdict, Window, round,
 };
 use shorewharf_units::seconds_from_micros;
 
@@ -27,12 +27,12 @@
 }
 
 /// Hosts of the policy of this name.
-pub fn hosts(policy: &str) -> Result<Hosts, Failure> {
-    Hosts::named(policy).map_err(|e| Failure::Input(format!("--policy: {e}")))
+pub fn hosts(policy: &str) -> Result<PolicyHosts, CommandError> {
+    PolicyHosts::named(policy).map_err(|e| CommandError::Input(format!("--policy: {e}")))
 }
 
 /// Plays one day in virtual time and shows how far it is. Also tells how long that took.
-pub fn one(day: &Day, policy: &str, threads: Option<usize>) -> Result<(Record, Duration), Failure> {
+pub fn one(day: &Day, policy: &str, threads: Option<usize>) -> Result<(Record, Duration), CommandError> {
     let bar = ProgressBar::new(day.length / 1_000);
     bar.set_style(bar_style("{msg} {wide_bar} {percent} %  {eta} left"));
     bar.set_message(day.name.clone());
@@ -53,7 +53,7 @@
 
 /// Plays many days, each on one core, and as many at once as `threads` says. The records come in the days' order,
 /// without the course of single nodes, which would fill the memory of a large sweep.
-pub fn all(jobs: &[(String, Day)], threads: Option<usize>) -> Result<Vec<Record>, Failure> {
+pub fn all(jobs: &[(String, Day)], threads: Option<usize>) -> Result<Vec<Record>, CommandError> {
     each(jobs, threads, &|policy, day, result| {
         let mut record = record(day, policy, "virtual", result);
         record.series.nodes.clear();
@@ -67,7 +67,7 @@
     jobs: &[(String, Day)],
     threads: Option<usize>,
     keep: &(dyn Fn(&str, &Day, &RunResult) -> T + Sync),
-) -> Result<Vec<T>, Failure> {
+) -> Result<Vec<T>, CommandError> {
     for (policy, _) in jobs {
         hosts(policy)?;
     }
@@ -76,7 +76,7 @@
     bar.enable_steady_tick(Duration::from_millis(250));
     let next = AtomicUsize::new(0);
     let failed = AtomicBool::new(false);
-    let done: Vec<Mutex<Option<Result<T, Failure>>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
+    let done: Vec<Mutex<Option<Result<T, CommandError>>>> = jobs.iter().map(|_| Mutex::new(None)).collect();
     std::thread::scope(|scope| {
         for _ in 0..threads.unwrap_or_else(cores).clamp(1, jobs.len().max(1)) {
             scope.spawn(|| {
@@ -98,14 +98,14 @@
     results.collect()
 }
 
-fn play(day: &Day, policy: &str, options: &Options<'_>) -> Result<Record, Failure> {
+fn play(day: &Day, policy: &str, options: &Options<'_>) -> Result<Record, CommandError> {
     Ok(record(day, policy, "virtual", &result(day, policy, options)?))
 }
 
-fn result(day: &Day, policy: &str, options: &Options<'_>) -> Result<RunResult, Failure> {
+fn result(day: &Day, policy: &str, options: &Options<'_>) -> Result<RunResult, CommandError> {
     let hosts = hosts(policy)?;
     virtual_time::run(day, &hosts, options)
-        .map_err(|e| Failure::Input(format!("{}, seed {}: {e}", day.name, day.seed)))
+        .map_err(|e| CommandError::Input(format!("{}, seed {}: {e}", day.name, day.seed)))
 }
 
 fn named(causes: &BTreeMap<&'static str, u64>) -> BTreeMap<String, u64> {
@@ -160,9 +160,7 @@
         worst_window: Window { from_s: f64::from(o.worst_window.from_s), share: o.worst_window.share },
         classes: parts(&o.classes),
         tenants: parts(&o.tenants),
-        prices: prices
-            .map(|(name, p)| Price { name: name.to_owned(), amount: p.rate, cost: p.cost })
-            .to_vec(),
+        prices: prices.map(|(name, p)| Cost { name: name.to_owned(), amount: p.rate, cost: p.cost }).to_vec(),
         counts: counts.map(|(name, n)| (name.to_owned(), n)).into(),
         refusals: named(&s.answers),
         attempts: named(&s.attempts),
@@ -174,7 +172,7 @@
         faults: result
             .faults
             .iter()
-            .map(|b| Band {
+            .map(|b| FaultInterval {
                 kind: word(&b.kind),
                 from_s: seconds_from_micros(b.from),
                 to_s: seconds_from_micros(b.to),
@@ -267,7 +265,7 @@
                 let conn = b.conn.map(|c| format!(", connection {c:x}")).unwrap_or_default();
                 let node = b.node.map(|n| format!(", node {}", NodeId(n).0)).unwrap_or_default();
                 let trace = b.trace.iter().map(|t| format!("{:10.6} {}", seconds_from_micros(t.at), t.what));
-                Break {
+                RuleViolation {
                     rule: word(&b.rule),
                     reason: b.reason.text().to_owned(),
                     at_s: seconds_from_micros(b.at),
--- a/crates/lab/src/scenario/expand.rs
+++ b/crates/lab/src/scenario/expand.rs
@@ -8,7 +8,7 @@
 use toml::Value;
 
 use super::Problem;
-use super::tree::{Form, Place, Tree};
+use super::tree::{Form, SourceLocation, Tree};
 
 /// Machines of one kind, written together.
 #[derive(Deserialize)]
@@ -193,7 +193,7 @@
 // More would be a slip of the pen: the largest fleet that is planned has some hundreds.
 const MOST_NODES: u32 = 100_000;
 
-fn node(place: &Place, zone: u32, kind: u32, fleet: &Fleet, speed: f64, weight: f64) -> Tree {
+fn node(place: &SourceLocation, zone: u32, kind: u32, fleet: &Fleet, speed: f64, weight: f64) -> Tree {
     let entries = [
         ("zone", Value::Integer(zone.into())),
         ("kind", Value::Integer(kind.into())),
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -12,7 +12,7 @@
 use shorewharf_emulator::day::Day;
 use thiserror::Error;
 
-pub use tree::Place;
+pub use tree::SourceLocation;
 use tree::{Form, Tree};
 
 /// One thing that is wrong or odd.
@@ -20,7 +20,7 @@
 #[error("{place}: {key}: {message}")]
 pub struct Problem {
     /// Where it was written.
-    pub place: Place,
+    pub place: SourceLocation,
     /// The key's path.
     pub key: String,
     /// What is wrong, and what is allowed.
@@ -28,11 +28,11 @@
 }
 
 impl Problem {
-    fn at(place: &Place, key: &str, message: impl Into<String>) -> Self {
+    fn at(place: &SourceLocation, key: &str, message: impl Into<String>) -> Self {
         Self { place: place.clone(), key: key.to_owned(), message: message.into() }
     }
 
-    fn unknown(place: &Place, key: &str, name: &str, known: &[String]) -> Self {
+    fn unknown(place: &SourceLocation, key: &str, name: &str, known: &[String]) -> Self {
         let near = known.iter().max_by(|a, b| strsim::jaro(a, name).total_cmp(&strsim::jaro(b, name)));
         let hint = match near.filter(|k| strsim::jaro(k, name) > 0.75) {
             Some(near) => format!(" (did you mean {near}?)"),
@@ -58,7 +58,7 @@
     #[error("{place}: {message}")]
     Syntax {
         /// Where.
-        place: Place,
+        place: SourceLocation,
         /// What the parser says.
         message: String,
     },
@@ -66,7 +66,7 @@
     #[error("{place}: extends: {path} extends itself by way of other files")]
     Circle {
         /// Where.
-        place: Place,
+        place: SourceLocation,
         /// The file that came again.
         path: PathBuf,
     },
--- a/crates/lab/src/scenario/set.rs
+++ b/crates/lab/src/scenario/set.rs
@@ -2,7 +2,7 @@
 //! `--set traffic.load=0.3,0.5`. A key is a path of keys, places and names: `kinds.fast.cold_s`, `fleet[0].count`,
 //! `faults.*.len_s`.
 
-use super::tree::{Form, Place, Tree};
+use super::tree::{Form, SourceLocation, Tree};
 
 /// One key with the values that it takes in turn.
 #[derive(Clone, Debug, PartialEq)]
@@ -64,7 +64,7 @@
 
 /// Sets one value; what is no TOML value is taken as text.
 pub fn apply(tree: &mut Tree, key: &str, value: &str) -> Result<(), String> {
-    let place = Place { file: format!("--set {key}").into(), line: 0 };
+    let place = SourceLocation { file: format!("--set {key}").into(), line: 0 };
     let parsed = toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut t| t.remove("v"));
     let value = parsed.unwrap_or_else(|| toml::Value::String(value.to_owned()));
     let steps: Vec<&str> = key.split(['.', '[', ']']).filter(|s| !s.is_empty()).collect();
--- a/crates/lab/src/scenario/tree.rs
+++ b/crates/lab/src/scenario/tree.rs
@@ -9,14 +9,14 @@
 
 /// Where a value was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct SourceLocation {
     /// The file as it was named, or what else gave the value (`--set`).
     pub file: Arc<str>,
     /// The line, from 1; 0 where there are no lines.
     pub line: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourceLocation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
             0 => write!(f, "{}", self.file),
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Tree {
     /// Where it was written.
-    pub place: Place,
+    pub place: SourceLocation,
     /// What it is.
     pub form: Form,
 }
@@ -46,13 +46,13 @@
 }
 
 /// Reads TOML. The error gives line and message.
-pub fn parse(file: &str, text: &str) -> Result<Tree, (Place, String)> {
+pub fn parse(file: &str, text: &str) -> Result<Tree, (SourceLocation, String)> {
     let file: Arc<str> = file.into();
     let spans = DeTable::parse(text).map_err(|e| {
         let line = e.span().map_or(0, |s| line_of(text, s.start));
-        (Place { file: file.clone(), line }, e.message().to_owned())
+        (SourceLocation { file: file.clone(), line }, e.message().to_owned())
     })?;
-    let start = Place { file: file.clone(), line: 1 };
+    let start = SourceLocation { file: file.clone(), line: 1 };
     let values: toml::Table = toml::from_str(text).map_err(|e| (start.clone(), e.message().to_owned()))?;
     Ok(table(&file, text, 1, spans.get_ref(), values))
 }
@@ -69,7 +69,7 @@
         let line = line_of(text, spanned_key.span().start);
         (key, tree(file, text, line, spanned.get_ref(), value))
     });
-    Tree { place: Place { file: file.clone(), line }, form: Form::Table(entries.collect()) }
+    Tree { place: SourceLocation { file: file.clone(), line }, form: Form::Table(entries.collect()) }
 }
 
 fn tree(file: &Arc<str>, text: &str, line: usize, spans: &DeValue<'_>, value: toml::Value) -> Tree {
@@ -80,15 +80,15 @@
                 let line = line_of(text, s.span().start);
                 tree(file, text, line, s.get_ref(), v)
             });
-            Tree { place: Place { file: file.clone(), line }, form: Form::List(items.collect()) }
+            Tree { place: SourceLocation { file: file.clone(), line }, form: Form::List(items.collect()) }
         }
-        (_, value) => Tree { place: Place { file: file.clone(), line }, form: Form::Leaf(value) },
+        (_, value) => Tree { place: SourceLocation { file: file.clone(), line }, form: Form::Leaf(value) },
     }
 }
 
 impl Tree {
     /// A value made by the program, with the place of what it was made from.
-    pub fn made(place: &Place, value: toml::Value) -> Self {
+    pub fn made(place: &SourceLocation, value: toml::Value) -> Self {
         let form = match value {
             toml::Value::Table(t) => {
                 Form::Table(t.into_iter().map(|(k, v)| (k, Self::made(place, v))).collect())
@@ -161,7 +161,7 @@
     }
 
     /// Place of the value at a path such as `kinds[0].cores`, or of the deepest part of the path that there is.
-    pub fn place_of(&self, path: &str) -> &Place {
+    pub fn place_of(&self, path: &str) -> &SourceLocation {
         let mut at = self;
         for step in path.split(['.', '[', ']']).filter(|s| !s.is_empty()) {
             let next = match &at.form {
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -7,14 +7,14 @@
 
 /// What was found, each with the path of its key.
 #[derive(Default)]
-pub(super) struct Found {
+pub(super) struct Findings {
     /// What can't be played.
     pub wrong: Vec<(String, String)>,
     /// What can, but is odd.
     pub odd: Vec<(String, String)>,
 }
 
-impl Found {
+impl Findings {
     fn wrong(&mut self, key: impl Into<String>, message: impl Into<String>) {
         self.wrong.push((key.into(), message.into()));
     }
@@ -66,8 +66,8 @@
 const LARGE: f64 = 1e9;
 
 /// Looks at every figure.
-pub(super) fn validate(day: &Day) -> Found {
-    let mut found = Found::default();
+pub(super) fn validate(day: &Day) -> Findings {
+    let mut found = Findings::default();
     whole(day, &mut found);
     traffic(day, &mut found);
     classes_and_tenants(day, &mut found);
@@ -78,7 +78,7 @@
     found
 }
 
-fn whole(day: &Day, f: &mut Found) {
+fn whole(day: &Day, f: &mut Findings) {
     f.some_time("tick_ms", day.tick);
     if day.tick > 1_000_000 {
         f.wrong("tick_ms", "must be 1000 at most");
@@ -141,7 +141,7 @@
     }
 }
 
-fn traffic(day: &Day, f: &mut Found) {
+fn traffic(day: &Day, f: &mut Findings) {
     let t = &day.traffic;
     f.within("traffic.load", t.load, 0.0, 100.0);
     if let Some(rate) = t.arrivals_per_s {
@@ -194,7 +194,7 @@
     }
 }
 
-fn classes_and_tenants(day: &Day, f: &mut Found) {
+fn classes_and_tenants(day: &Day, f: &mut Findings) {
     for (i, c) in day.classes.iter().enumerate() {
         let key = |k: &str| format!("classes[{i}].{k}");
         f.within(key("share"), c.share, 0.0, LARGE);
@@ -222,7 +222,7 @@
     f.sums_to_one("tenants", "the shares of traffic", day.tenants.iter().map(|t| t.traffic).sum());
 }
 
-fn streams(day: &Day, f: &mut Found) {
+fn streams(day: &Day, f: &mut Findings) {
     let s = &day.streams;
     f.above_zero("streams.per_core", s.per_core);
     f.within("streams.cap", s.cap, 0.0, LARGE);
@@ -237,7 +237,7 @@
     f.within("streams.start_skew", s.start_skew, 0.0, 10.0);
 }
 
-fn machines(day: &Day, f: &mut Found) {
+fn machines(day: &Day, f: &mut Findings) {
     for (i, k) in day.kinds.iter().enumerate() {
         let key = |k: &str| format!("kinds[{i}].{k}");
         f.within(key("cores"), k.cores.into(), 1.0, 1e4);
@@ -273,7 +273,7 @@
     }
 }
 
-fn limits_and_rules(day: &Day, f: &mut Found) {
+fn limits_and_rules(day: &Day, f: &mut Findings) {
     let l = &day.limits;
     f.within("limits.max_attempts", l.max_attempts.into(), 1.0, 1e6);
     f.some_time("limits.connect_timeout_ms", l.connect_timeout);
@@ -301,7 +301,7 @@
     }
 }
 
-fn faults(day: &Day, f: &mut Found) {
+fn faults(day: &Day, f: &mut Findings) {
     use FaultKind::*;
     for (i, fault) in day.faults.iter().enumerate() {
         let key = |k: &str| format!("faults[{i}].{k}");
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -13,9 +13,9 @@
 use shorewharf_emulator::sockets::run::{Options, Report, RunError, raise_descriptors};
 use shorewharf_emulator::world::settings;
 
-use crate::budgets::Shared;
-use crate::error::Failure;
-use crate::record::{Life, Record, SocketFacts, Times, round};
+use crate::budgets::SharedStore;
+use crate::error::CommandError;
+use crate::record::{ProcessIncarnation, Record, SocketFacts, Times, round};
 use crate::runner;
 use shorewharf_units::seconds_from_micros;
 
@@ -31,7 +31,7 @@
     path: &Path,
     operator: Option<&Path>,
     watch: &mut dyn FnMut(&StatusSample<'_>),
-) -> Result<Record, Failure> {
+) -> Result<Record, CommandError> {
     let run = run(day, path, operator, (&[], None, false), Vec::new(), watch)?;
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let mut record = runner::record(day, &name, "sockets", &run.result);
@@ -60,9 +60,9 @@
     path: &Path,
     operator: Option<&Path>,
     (breaks, together): (&[NetworkFault], bool),
-    mut shared: Option<&mut Shared>,
+    mut shared: Option<&mut SharedStore>,
     logs: Option<&Path>,
-) -> Result<SocketsRun, Failure> {
+) -> Result<SocketsRun, CommandError> {
     let bar = bar(day);
     let own_args = shared.as_ref().map_or(Vec::new(), |s| s.args());
     let played = run(day, path, operator, (breaks, logs, together), own_args, &mut |glance| {
@@ -80,14 +80,14 @@
     (breaks, logs, together): (&[NetworkFault], Option<&Path>, bool),
     own_args: Vec<Vec<OsString>>,
     watch: &mut dyn FnMut(&StatusSample<'_>),
-) -> Result<SocketsRun, Failure> {
+) -> Result<SocketsRun, CommandError> {
     let descriptors = raise_descriptors();
     tracing::info!(descriptors, program = %path.display(), "playing on sockets");
     let mut program = program(day, path);
     let mut text = together.then(String::new);
     if let (Some(text), Some(file)) = (&mut text, operator) {
-        *text =
-            std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{}: {e}", file.display())))?;
+        *text = std::fs::read_to_string(file)
+            .map_err(|e| CommandError::Input(format!("{}: {e}", file.display())))?;
     } else if let Some(file) = operator {
         // The program starts elsewhere.
         let file = std::path::absolute(file).unwrap_or_else(|_| file.to_owned());
@@ -102,13 +102,13 @@
         own_args,
     };
     platform::run(day, &options, watch).map_err(|e| match e {
-        RunError::TooMany(..) | RunError::Bad(_) => Failure::Input(format!("{}: {e}", day.name)),
-        e => Failure::Outside(e.to_string()),
+        RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
+        e => CommandError::Outside(e.to_string()),
     })
 }
 
 /// Plays a day in real time, with a bar.
-pub fn with_bar(day: &Day, path: &Path, operator: Option<&Path>) -> Result<Record, Failure> {
+pub fn with_bar(day: &Day, path: &Path, operator: Option<&Path>) -> Result<Record, CommandError> {
     let bar = bar(day);
     let played = play(day, path, operator, &mut |glance| bar.set_position(glance.now / 1_000_000));
     bar.finish_and_clear();
@@ -146,7 +146,7 @@
         lives: report
             .lives
             .iter()
-            .map(|l| Life {
+            .map(|l| ProcessIncarnation {
                 balancer: l.balancer,
                 began_s: seconds_from_micros(l.began),
                 ended_s: l.ended.map(|t| seconds_from_micros(t)),
--- a/crates/lab/src/style.rs
+++ b/crates/lab/src/style.rs
@@ -2,7 +2,7 @@
 
 use std::io::{IsTerminal, Write};
 
-use crate::cli::When;
+use crate::cli::ColorMode;
 
 /// Whether to use colours on standard output.
 #[derive(Clone, Copy, Debug)]
@@ -15,16 +15,16 @@
 
 impl Style {
     /// Looks at standard output, once.
-    pub fn of(when: When) -> Self {
+    pub fn of(when: ColorMode) -> Self {
         let terminal = std::io::stdout().is_terminal();
         let plain = std::env::var_os("NO_COLOR").is_some_and(|v| !v.is_empty());
         Self {
             colours: match when {
-                When::Auto => terminal && !plain,
-                When::Always => true,
-                When::Never => false,
+                ColorMode::Auto => terminal && !plain,
+                ColorMode::Always => true,
+                ColorMode::Never => false,
             },
-            redraw: terminal && when != When::Never,
+            redraw: terminal && when != ColorMode::Never,
         }
     }
 
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -4,7 +4,7 @@
 use shorewharf_emulator::day::Day;
 
 use crate::cli::Sweep;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::record::Record;
 use crate::runner;
@@ -29,7 +29,7 @@
 }
 
 /// `sweep`.
-pub fn sweep(args: &Sweep, style: &Style) -> Result<Done, Failure> {
+pub fn sweep(args: &Sweep, style: &Style) -> Result<CommandOutcome, CommandError> {
     let grid = set::grid(&args.set);
     let seeds = &args.seeds.0;
     let mut points = Vec::new();
@@ -67,7 +67,7 @@
         say(&print(args, &table, style));
     }
     let kept = table.iter().all(|p| p.rules_broken_in == 0);
-    Ok(if kept { Done::Well } else { Done::Badly })
+    Ok(if kept { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
 
 type Grid<'a> = (&'a String, &'a Vec<(String, String)>);
@@ -169,6 +169,6 @@
     scenario: &std::path::Path,
     sets: &[(String, String)],
     seeds: &[u64],
-) -> Result<Vec<Day>, Failure> {
+) -> Result<Vec<Day>, CommandError> {
     seeds.iter().map(|seed| Ok(files::load(scenario, sets, Some(*seed))?.day)).collect()
 }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -9,12 +9,12 @@
 use shorewharf_fault_scenarios::{Observations, Scenario, Verdict, WeightedRequests, evaluate};
 
 use crate::balancer;
-use crate::budgets::Shared;
+use crate::budgets::SharedStore;
 use crate::cli;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::page;
-use crate::record::{Band, round};
+use crate::record::{FaultInterval, round};
 use crate::runner;
 use crate::sockets;
 use crate::style::{Style, say};
@@ -22,9 +22,9 @@
 use shorewharf_units::seconds_from_micros;
 
 /// `trial`.
-pub fn trial(args: &cli::Trial, style: &Style) -> Result<Done, Failure> {
+pub fn trial(args: &cli::Trial, style: &Style) -> Result<CommandOutcome, CommandError> {
     let path = &args.trial;
-    let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", path.display()));
+    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
     let mut trial = Scenario::read(&text).map_err(|e| wrong(&e))?;
     trial.gossip |= args.together;
@@ -34,15 +34,15 @@
     let breaks = trial.network_faults(day).map_err(|e| wrong(&e))?;
     let program = balancer::find(args.balancer.as_deref())?;
     if let Some(needs) = sockets::too_many(day) {
-        return Err(Failure::Input(format!("{}: {needs}", path.display())));
+        return Err(CommandError::Input(format!("{}: {needs}", path.display())));
     }
     let mut shared = match &trial.budgets {
         Some(_) if args.operator.is_some() => {
-            return Err(Failure::Input(
+            return Err(CommandError::Input(
                 "--operator: the trial's [budgets] make a file for each balancer".to_owned(),
             ));
         }
-        Some(terms) => Some(Shared::start(day, terms, trial.store_faults(day).map_err(|e| wrong(&e))?)?),
+        Some(terms) => Some(SharedStore::start(day, terms, trial.store_faults(day).map_err(|e| wrong(&e))?)?),
         None => None,
     };
     let run = sockets::between(
@@ -70,13 +70,13 @@
     for b in &of_store {
         let kind = format!("between: {}", b.kind.label());
         let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
-        record.faults.push(Band { kind, from_s, to_s, struck: b.balancers.len() });
+        record.faults.push(FaultInterval { kind, from_s, to_s, struck: b.balancers.len() });
     }
     let faults = trial.faults.iter().filter(|fault| !fault.kind.is_of_store());
     for (fault, b) in faults.zip(&breaks) {
         let kind = fault.kind.label();
         let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
-        record.faults.push(Band {
+        record.faults.push(FaultInterval {
             kind: format!("between: {kind}"),
             from_s,
             to_s,
@@ -102,8 +102,8 @@
     }
     match void {
         // It says nothing of the program, so it is neither kept nor broken.
-        Some(why) => Err(Failure::Outside(format!("the trial is void: {why}"))),
-        None => Ok(if kept { Done::Well } else { Done::Badly }),
+        Some(why) => Err(CommandError::Outside(format!("the trial is void: {why}"))),
+        None => Ok(if kept { CommandOutcome::Well } else { CommandOutcome::Badly }),
     }
 }
 
--- a/crates/lab/tests/auditor.rs
+++ b/crates/lab/tests/auditor.rs
@@ -8,8 +8,8 @@
 use rayon::prelude::*;
 use shorewharf_emulator::audit::{Reason, Verdict};
 use shorewharf_emulator::virtual_time::{Host, Options, run};
-use shorewharf_lab::instances::{Hosts, Who};
-use shorewharf_lab::mutants::{Mutants, Wrong};
+use shorewharf_lab::instances::{PolicyChoice, PolicyHosts};
+use shorewharf_lab::mutants::{Mutants, Mutation};
 use shorewharf_lab::scenario::from_text;
 
 /// Three balancers in two zones, ten nodes, and these faults.
@@ -61,7 +61,7 @@
                 let fault = FAULTS[(seed as usize * 3 + i) % FAULTS.len()];
                 rest += &format!("[[faults]]\nat_s = {}\n{fault}\n", rng.random_range(4..14));
             }
-            let verdict = judge(&Hosts::new(Who::Module), 30, &rest, seed);
+            let verdict = judge(&PolicyHosts::new(PolicyChoice::Module), 30, &rest, seed);
             assert!(verdict.counts.up > 50, "seed {seed}: {:?}", verdict.counts);
             (!verdict.clean())
                 .then(|| format!("seed {seed}: {:?}\n{rest}{}", verdict.reasons, told(&verdict)))
@@ -73,24 +73,24 @@
 /// Failure: balancers that break one rule each. Promise: each is caught for its reason, and for no other.
 #[test]
 fn each_mutant_is_caught_for_what_it_does() {
-    let found: Vec<String> = Wrong::ALL
+    let found: Vec<String> = Mutation::ALL
         .par_iter()
         .filter_map(|&wrong| {
             let rest = match wrong {
-                Wrong::Late => "[net]\nclient_ms = 12\n",
-                Wrong::IgnoresDrains => {
+                Mutation::Late => "[net]\nclient_ms = 12\n",
+                Mutation::IgnoresDrains => {
                     "[[faults]]\nkind = \"drain\"\nat_s = 8\nlen_s = 12\non = [0, 1, 2, 3]\n"
                 }
-                Wrong::OverrunsStarts => {
+                Mutation::OverrunsStarts => {
                     "[streams]\nlife_s = 4\n[[faults]]\nkind = \"crash\"\nat_s = 6\nlen_s = 4\non = [0]\n"
                 }
-                Wrong::KeepsSilent => "[[faults]]\nkind = \"hang\"\nat_s = 8\nlen_s = 14\non = [0, 1]\n",
-                Wrong::IgnoresTerm | Wrong::CutsOffAtTerm => {
+                Mutation::KeepsSilent => "[[faults]]\nkind = \"hang\"\nat_s = 8\nlen_s = 14\non = [0, 1]\n",
+                Mutation::IgnoresTerm | Mutation::CutsOffAtTerm => {
                     "[[faults]]\nkind = \"balancer-restart\"\nat_s = 8\nlen_s = 3\non = [0]\n"
                 }
                 _ => "",
             };
-            let verdict = judge(&Mutants::new(Hosts::new(Who::Module), wrong), 30, rest, 7);
+            let verdict = judge(&Mutants::new(PolicyHosts::new(PolicyChoice::Module), wrong), 30, rest, 7);
             let found: Vec<Reason> = verdict.reasons.keys().copied().collect();
             (found != [wrong.caught_for()])
                 .then(|| format!("{wrong:?}: {:?}\n{}", verdict.reasons, told(&verdict)))
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -7,7 +7,7 @@
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_emulator::virtual_time::{Options, RunResult, run};
 use shorewharf_emulator::world::settings;
-use shorewharf_lab::instances::{Hosts, Who};
+use shorewharf_lab::instances::{PolicyChoice, PolicyHosts};
 use shorewharf_lab::scenario;
 use shorewharf_units::{Micros, seconds_from_micros};
 
@@ -18,8 +18,8 @@
         .day
 }
 
-fn play(day: &Day, who: Who, threads: usize) -> RunResult {
-    run(day, &Hosts::new(who), &Options { threads, progress: None }).expect("a run")
+fn play(day: &Day, who: PolicyChoice, threads: usize) -> RunResult {
+    run(day, &PolicyHosts::new(who), &Options { threads, progress: None }).expect("a run")
 }
 
 fn bytes(r: &RunResult) -> Vec<u8> {
@@ -75,7 +75,7 @@
 #[test]
 fn the_same_day_gives_the_same_bytes_on_any_number_of_threads() {
     let mut day = day(ALL_SORTS);
-    for who in [Who::Module, Who::Oracle] {
+    for who in [PolicyChoice::Module, PolicyChoice::Oracle] {
         let one = play(&day, who, 1);
         assert!(
             one.series.seconds.iter().map(|s| s.ups).sum::<u32>() > 200,
@@ -88,16 +88,16 @@
             );
         }
     }
-    let before = bytes(&play(&day, Who::Module, 1));
+    let before = bytes(&play(&day, PolicyChoice::Module, 1));
     day.seed += 1;
-    assert!(before != bytes(&play(&day, Who::Module, 1)), "another seed draws the same day");
+    assert!(before != bytes(&play(&day, PolicyChoice::Module, 1)), "another seed draws the same day");
 }
 
 /// The module keeps the rules on a day with every kind of trouble; a fault of the emulated peers (an answer lost, a
 /// second attempt, a line to a node that drains) shows here as a break.
 #[test]
 fn the_module_keeps_the_rules_through_all_sorts_of_trouble() {
-    let result = play(&day(ALL_SORTS), Who::Module, 1);
+    let result = play(&day(ALL_SORTS), PolicyChoice::Module, 1);
     assert!(result.verdict.clean(), "{:#?}", result.verdict.lines().collect::<Vec<_>>());
     assert!(result.outcome.g > 0.5, "G {}", result.outcome.g);
 }
@@ -113,7 +113,7 @@
     for kind in ["hang", "cut-off"] {
         let text =
             format!("length_s = 30\n[[faults]]\nkind = \"{kind}\"\nat_s = 10\nlen_s = 15\non = [0, 1, 2]\n");
-        let result = play(&day(&text), Who::Module, 1);
+        let result = play(&day(&text), PolicyChoice::Module, 1);
         let held = |second| (0..3).map(|n| standing(&result, n, second)).sum::<u32>();
         let moved: u32 = result.series.seconds[10..14].iter().map(|s| s.moves).sum();
         assert!(held(8) > 10, "{kind}: too few stood there to show anything");
@@ -132,9 +132,9 @@
     let text = |kind: &str| {
         format!("length_s = 30\n[[faults]]\nkind = \"{kind}\"\nat_s = 10\nlen_s = 5\non = [0]\n")
     };
-    let calm = play(&day("length_s = 30"), Who::Module, 1);
-    let killed = play(&day(&text("balancer-kill")), Who::Module, 1);
-    let planned = play(&day(&text("balancer-restart")), Who::Module, 1);
+    let calm = play(&day("length_s = 30"), PolicyChoice::Module, 1);
+    let killed = play(&day(&text("balancer-kill")), PolicyChoice::Module, 1);
+    let planned = play(&day(&text("balancer-restart")), PolicyChoice::Module, 1);
     let broken = |r: &RunResult| r.series.ends.get("broken").copied().unwrap_or(0);
     assert_eq!(broken(&calm), 0, "connections broke on a calm day");
     assert!(broken(&killed) >= 5, "{} broke with their balancer", broken(&killed));
@@ -158,7 +158,8 @@
         };
         (1..=3).map(sum).sum::<f64>() / 3.0
     };
-    let (module, random, oracle) = (g(Who::Module), g(Who::Random), g(Who::Oracle));
+    let (module, random, oracle) =
+        (g(PolicyChoice::Module), g(PolicyChoice::Random), g(PolicyChoice::Oracle));
     assert!(module > random + 0.05, "module {module:.3}, random {random:.3}");
     assert!(oracle > random + 0.05, "oracle {oracle:.3}, random {random:.3}");
 }
@@ -166,7 +167,7 @@
 /// What stands from before the day stands at its very start: the first second must not be lost to set-ups.
 #[test]
 fn connections_from_before_the_day_stand_at_its_start() {
-    let result = play(&day("length_s = 5"), Who::Module, 1);
+    let result = play(&day("length_s = 5"), PolicyChoice::Module, 1);
     let first = &result.outcome.seconds[0];
     assert!(first.asked > 20.0 && first.earned > 0.95 * first.asked, "{first:?}");
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use shorewharf_emulator::virtual_time::{Options, RunResult, run};
-use shorewharf_lab::instances::{Hosts, Who};
+use shorewharf_lab::instances::{PolicyChoice, PolicyHosts};
 use shorewharf_lab::scenario;
 
 fn play(name: &str, set: &[(String, String)], seed: u64) -> (Vec<u32>, RunResult) {
@@ -11,7 +11,8 @@
     let day = scenario::load(&file, set, Some(seed)).expect("a scenario").day;
     assert_eq!(day.balancers.len(), 100);
     let zones = day.nodes.iter().map(|n| n.zone).collect();
-    let result = run(&day, &Hosts::new(Who::Module), &Options { threads: 1, progress: None }).expect("a run");
+    let result = run(&day, &PolicyHosts::new(PolicyChoice::Module), &Options { threads: 1, progress: None })
+        .expect("a run");
     assert!(result.verdict.clean(), "{name} {seed}: {:?}", result.verdict.lines().collect::<Vec<_>>());
     (zones, result)
 }
--- a/crates/lab/tests/tenants.rs
+++ b/crates/lab/tests/tenants.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use shorewharf_emulator::virtual_time::{Options, RunResult, run};
-use shorewharf_lab::instances::Hosts;
+use shorewharf_lab::instances::PolicyHosts;
 use shorewharf_lab::scenario;
 
 const FLOODER: usize = 2;
@@ -11,7 +11,7 @@
 fn play(name: &str, policy: &str, seed: u64) -> RunResult {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name);
     let day = scenario::load(&path, &[], Some(seed)).expect("a scenario").day;
-    run(&day, &Hosts::named(policy).expect("a policy"), &Options { threads: 2, progress: None })
+    run(&day, &PolicyHosts::named(policy).expect("a policy"), &Options { threads: 2, progress: None })
         .expect("a run")
 }
 
