--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -8,48 +8,54 @@
 use shorewharf_decisions::interface::ServerId;
 use tracing::warn;
 
-use crate::admin::counters::Counts;
-use crate::admin::server::Door;
-use crate::admin::shared_folder::Folder;
+use crate::admin::counters::WorkerCounters;
+use crate::admin::server::AdminServer;
+use crate::admin::shared_folder::SharedFolder;
 use crate::servers::disabled::{AdminChange, DisabledServer};
 
 /// What the primary worker is given at its start.
 #[derive(Debug)]
-pub struct Opened {
+pub struct AdminListener {
     /// Where operators connect.
     pub listener: TcpListener,
     /// The counters of each worker.
-    pub counts: Vec<Counts>,
+    pub counters: Vec<WorkerCounters>,
     /// Where disabled servers are kept; `None` if there is no place for it.
-    pub folder: Option<Folder>,
+    pub folder: Option<SharedFolder>,
 }
 
-impl From<Opened> for Desk {
-    fn from(opened: Opened) -> Self {
-        let Opened { listener, counts, folder } = opened;
-        Desk { door: Door::new(listener), counts, folder, unsaved: BTreeSet::new(), is_folder_failing: false }
+impl From<AdminListener> for AdminHandler {
+    fn from(listener: AdminListener) -> Self {
+        let AdminListener { listener, counters, folder } = listener;
+        AdminHandler {
+            server: AdminServer::new(listener),
+            counters,
+            folder,
+            unsaved: BTreeSet::new(),
+            is_folder_failing: false,
+        }
     }
 }
 
 /// The operators' side of the primary worker.
 #[derive(Debug)]
-pub struct Desk {
+pub struct AdminHandler {
     /// The connections of operators.
-    pub door: Door,
+    pub server: AdminServer,
     /// The counters of each worker.
-    pub counts: Vec<Counts>,
+    pub counters: Vec<WorkerCounters>,
     /// Where disabled servers are kept; `None` if there is no place for it.
-    pub folder: Option<Folder>,
+    pub folder: Option<SharedFolder>,
     /// Disabled servers that could not be saved: that they are missing in the folder doesn't enable them.
     unsaved: BTreeSet<ServerId>,
     /// The folder could not be read or written, and that was logged.
     is_folder_failing: bool,
 }
 
-impl Desk {
+impl AdminHandler {
     /// Saves that a server is disabled, for other processes of this balancer.
     pub fn save_disabled(&mut self, server: ServerId, name: &str) {
-        let saved = self.folder.as_ref().map_or(Ok(()), |folder| folder.keep(server, name));
+        let saved = self.folder.as_ref().map_or(Ok(()), |folder| folder.store(server, name));
         match saved {
             Ok(()) => self.unsaved.remove(&server),
             Err(_) => self.unsaved.insert(server),
@@ -59,7 +65,7 @@
 
     /// Saves that a server is enabled, for other processes of this balancer.
     pub fn save_enabled(&mut self, server: ServerId) {
-        let saved = self.folder.as_ref().map_or(Ok(()), |folder| folder.let_go(server));
+        let saved = self.folder.as_ref().map_or(Ok(()), |folder| folder.remove(server));
         self.unsaved.remove(&server);
         self.log_folder_result(saved);
     }
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -1,4 +1,4 @@
-//! EstablishedConnection connections that go on in another process of this balancer, and those that come from one.
+//! Established connections that go on in another process of this balancer, and those that come from one.
 
 use shorewharf_decisions::interface::{Outcome, Request, RequestId, ServerId};
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
@@ -17,7 +17,7 @@
 }
 
 impl Proxy {
-    /// Standing connections that can go on in another process.
+    /// Established connections that can go on in another process.
     pub fn transferable_connections(&self) -> Vec<RequestId> {
         let mut can = self.sessions.ids_where(Session::is_transferable);
         can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::is_transferable));
@@ -33,19 +33,19 @@
         (request, load): (Request, Option<f64>),
     ) -> Option<TransferredConnection> {
         let (session, attempt) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
-        let standing = EstablishedConnection {
+        let state = EstablishedConnection {
             client: session.client_address(),
             server: attempt.server().0,
-            id: session.open_id()?,
+            open_id: session.open_id()?,
             class: name(&self.settings.names.classes, request.class),
             tenant: name(&self.settings.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
-            hint: request.load,
+            load_hint: request.load,
             load,
-            asked: session.unanswered_since(),
-            at_client: session.connection.buffered(),
-            at_server: attempt.connection.buffered(),
+            unanswered_since: session.unanswered_since(),
+            client_buffers: session.connection.buffered(),
+            server_buffers: attempt.connection.buffered(),
         };
         // What is watched is the connection, which goes on, and not this process's descriptor of it.
         context.registry.deregister(&mut session.connection);
@@ -55,35 +55,36 @@
         }
         let (session, attempt) = (self.sessions.take(context, id)?, self.attempts.take(context, id)?);
         context.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((standing, session.connection.into_stream(), attempt.connection.into_stream()))
+        let (client, server) = (session.connection.into_stream(), attempt.connection.into_stream());
+        Some(TransferredConnection { state, client, server })
     }
 
     /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
     pub fn adopt_transferred(
         &mut self,
         context: &mut LoopContext,
-        (standing, client, server): TransferredConnection,
+        connection: TransferredConnection,
     ) -> bool {
+        let TransferredConnection { state, client, server } = connection;
         let names = &self.settings.names;
-        let class = names.classes.get(&standing.class).copied();
-        let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
-        let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Connection::resume(client, &context.buffers, &standing.at_client);
-        let server = Connection::resume(server, &context.buffers, &standing.at_server);
+        let class = names.classes.get(&state.class).copied();
+        let tenant = names.tenants.get(&state.tenant).copied().unwrap_or(0);
+        let (attempts, asked) = (&self.attempts, state.unanswered_since);
+        let client = Connection::resume(client, &context.buffers, &state.client_buffers);
+        let server = Connection::resume(server, &context.buffers, &state.server_buffers);
         let (Some(client), Some(server)) = (client, server) else { return false };
         let between_lines = client.is_at_line_boundary();
-        let adopted = self
-            .sessions
-            .adopt(context, client, standing.client, (standing.id, asked), |id| attempts.has(id));
+        let adopted =
+            self.sessions.adopt(context, client, state.client, (state.open_id, asked), |id| attempts.has(id));
         let Some(id) = adopted else { return false };
-        let at = ServerId(standing.server);
+        let at = ServerId(state.server);
         // Its server still answers: whoever can't go on here is told to come again, and not cut off.
         let Some(class) = class.filter(|_| self.attempts.adopt(context, id, at, server)) else {
             let answer = if between_lines { Answer::Migrated } else { Answer::Closed };
             self.answer(context, id, answer, Cause::Handover);
             return false;
         };
-        let (key, group, load) = (standing.key, standing.group, standing.hint);
+        let (key, group, load) = (state.key, state.group, state.load_hint);
         let req = ReceivedRequest {
             id,
             class,
@@ -95,7 +96,7 @@
             is_returning: false,
         };
         context.emit(NetworkEvent::ConnectionRestored(req, at));
-        if let Some(load) = standing.load.filter(|load| load.is_finite() && *load > 0.0) {
+        if let Some(load) = state.load.filter(|load| load.is_finite() && *load > 0.0) {
             context.emit(NetworkEvent::LoadReported(id, load));
         }
         self.relay(context, id);
