--- a/crates/tenancy/tests/model.rs
+++ b/crates/tenancy/tests/model.rs
@@ -41,7 +41,12 @@
 
 impl Model {
     fn connections(&self, tenant: usize) -> usize {
-        self.established.iter().filter(|p| **p == tenant).count()
+        self.established.iter().filter(|other| **other == tenant).count()
+    }
+
+    /// A tenant's connections over its quota.
+    fn fullness(&self, tenant: usize) -> f64 {
+        self.connections(tenant) as f64 / self.quotas[tenant].max(f64::MIN_POSITIVE)
     }
 }
 
@@ -58,11 +63,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Failure: any mix of floods, ends, lowered quotas, removals and refusals. Promises: what is borrowed and what is
+    /// Failure: any mix of floods, ends, lowered quotas, removals and rejections. Promises: what is borrowed and what is
     /// within the quota come to all connections; a tenant within its local quota is never rejected; beyond the lending limit nobody is admitted
     /// who is the furthest beyond its quota; and nothing ends or migrates but for a removed tenant.
     #[test]
-    fn shares_add_up_and_hold(events in prop::collection::vec(event(), 1..400)) {
+    fn quotas_add_up_and_hold(events in prop::collection::vec(event(), 1..400)) {
         let mut now: Micros = 1_000_000;
         let settings = TenancySettings { migrations_per_second: 50.0, ..TenancySettings::new(4.0) };
         let mut tenancy = Tenancy::new(settings, now);
@@ -83,13 +88,11 @@
                             prop_assert!(!model.removed[tenant], "a removed tenant's client was admitted");
                             if before.connections as f64 + 1.0 > before.local_quota {
                                 prop_assert!(!before.is_over_lowered_quota, "lent to a tenant that is over a lowered share");
-                                let fuller = (0..TENANTS).any(|p| {
-                                    let quota = |p: usize| model.quotas[p].max(f64::MIN_POSITIVE);
-                                    let full = |p: usize| model.connections(p) as f64 / quota(p);
-                                    p != tenant && full(p) > full(tenant) / 1.1
+                                let is_fullest = !(0..TENANTS).any(|other| {
+                                    other != tenant && model.fullness(other) > model.fullness(tenant) / 1.1
                                 });
-                                let room = stats.connections < stats.lending_limit;
-                                prop_assert!(room || fuller, "lent {stats:?} to the fullest, {tenant}");
+                                let is_spare = stats.connections < stats.lending_limit;
+                                prop_assert!(is_spare || !is_fullest, "lent {stats:?} to the fullest, {tenant}");
                             }
                             tenancy.on_admitted(now);
                             if rejected {
@@ -127,9 +130,9 @@
             if tenancy.next_deadline().is_some_and(|due| due <= now) {
                 for migrations in tenancy.due_migrations(now) {
                     let tenant = migrations.tenant.0;
-                    prop_assert!(model.removed[tenant], "a stream of a tenant that lives was moved");
+                    prop_assert!(model.removed[tenant], "a connection of a tenant that was not removed migrated");
                     migrating[tenant] += migrations.count as usize;
-                    prop_assert!(migrating[tenant] <= model.connections(tenant), "more was moved than stands");
+                    prop_assert!(migrating[tenant] <= model.connections(tenant), "more migrated than there are");
                 }
             }
             let stats = tenancy.stats(now);
