--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Thing {
+enum Entry {
     Server { id: u64, health: f64 },
     Mean(f64),
 }
@@ -33,13 +33,13 @@
     Header { version: VERSION, balancer: "n1".into(), worker: 0, worker_count: 1, taken_at, list_index: 7 }
 }
 
-fn things() -> Vec<Thing> {
-    vec![Thing::Mean(0.1), Thing::Server { id: u64::MAX, health: 0.05 }, Thing::Server { id: 1, health: 1.0 }]
+fn entries() -> Vec<Entry> {
+    vec![Entry::Mean(0.1), Entry::Server { id: u64::MAX, health: 0.05 }, Entry::Server { id: 1, health: 1.0 }]
 }
 
-fn lines() -> Vec<Line<Thing>> {
+fn lines() -> Vec<Line<Entry>> {
     let endpoints = list(7, 0..3).endpoints.into_iter().map(Line::Endpoint);
-    endpoints.chain(things().into_iter().map(Line::State)).collect()
+    endpoints.chain(entries().into_iter().map(Line::State)).collect()
 }
 
 fn written(header: &Header, lines: &[Line<impl Serialize>]) -> Vec<u8> {
@@ -52,8 +52,8 @@
     RestoreCriteria { balancer: "n1", worker: 0, worker_count: 1, now: NOW, max_age: 600_000_000, list }
 }
 
-/// Writes a record as the program does.
-fn put(folder: &SnapshotFolder, header: &Header) {
+/// Writes a record to a folder, as the program does.
+fn write_record(folder: &SnapshotFolder, header: &Header) {
     let mut partial = folder.begin(header).expect("a file");
     lines().iter().for_each(|line| partial.write_line(line).expect("room"));
     folder.commit(partial).expect("room");
@@ -61,12 +61,12 @@
 
 #[test]
 fn a_record_is_read_as_it_was_written_and_words_of_another_program_are_passed_over() {
-    let record = decode::<Thing>(&written(&header(NOW), &lines())).expect("good");
-    assert_eq!((record.header, record.entries, record.unknown_lines), (header(NOW), things(), 0));
+    let record = decode::<Entry>(&written(&header(NOW), &lines())).expect("good");
+    assert_eq!((record.header, record.entries, record.unknown_lines), (header(NOW), entries(), 0));
     assert_eq!(record.list, list(7, 0..3));
     let newer = [json!({"mean": 0.5}), json!({"tide": 3}), json!({"mean": "x"})].map(Line::State);
-    let record = decode::<Thing>(&written(&header(NOW), &newer)).expect("good");
-    assert_eq!((record.entries, record.unknown_lines), (vec![Thing::Mean(0.5)], 2));
+    let record = decode::<Entry>(&written(&header(NOW), &newer)).expect("good");
+    assert_eq!((record.entries, record.unknown_lines), (vec![Entry::Mean(0.5)], 2));
 }
 
 #[test]
@@ -76,23 +76,23 @@
         for change in [0x01, 0x20, 0x80, 0xff] {
             let mut bad = whole.clone();
             bad[at] ^= change;
-            let why = decode::<Thing>(&bad).expect_err("a changed byte");
-            assert!(why.to_string().starts_with("line "), "byte {at}: {why}");
+            let error = decode::<Entry>(&bad).expect_err("a changed byte");
+            assert!(error.to_string().starts_with("line "), "byte {at}: {error}");
         }
-        let why = decode::<Thing>(&whole[..at]).expect_err("a cut");
-        assert!(why.to_string().starts_with("line "), "cut at {at}: {why}");
+        let error = decode::<Entry>(&whole[..at]).expect_err("a cut");
+        assert!(error.to_string().starts_with("line "), "cut at {at}: {error}");
     }
     for more in [&b"{}\n"[..], b"x", b"\n", b"end 3 0\n"] {
-        assert!(decode::<Thing>(&[&whole, more].concat()).is_err(), "{more:?} behind the end");
+        assert!(decode::<Entry>(&[&whole, more].concat()).is_err(), "{more:?} behind the end");
     }
 }
 
 #[test]
 fn another_version_is_told_by_its_number_whatever_else_it_says() {
     let later = written(&Header { version: 9, ..header(NOW) }, &lines());
-    assert!(matches!(decode::<Thing>(&later), Err(DecodeError::UnsupportedVersion(9))));
+    assert!(matches!(decode::<Entry>(&later), Err(DecodeError::UnsupportedVersion(9))));
     assert_eq!(
-        decode::<Thing>(&later).expect_err("9").to_string(),
+        decode::<Entry>(&later).expect_err("9").to_string(),
         "line 1: version 9, and this program reads 1"
     );
 }
@@ -126,11 +126,11 @@
 
 #[test]
 fn a_damaged_generation_is_named_and_the_one_before_is_taken() {
-    let place = tempfile::tempdir().expect("a folder");
-    let folder = SnapshotFolder::open(&place.path().join("deep/er"), 0, 3).expect("a folder");
-    assert!(select::<Thing>(&folder, &criteria(&list(1, 0..3))).expect("empty").selected.is_none());
+    let temporary = tempfile::tempdir().expect("a folder");
+    let folder = SnapshotFolder::open(&temporary.path().join("deep/er"), 0, 3).expect("a folder");
+    assert!(select::<Entry>(&folder, &criteria(&list(1, 0..3))).expect("empty").selected.is_none());
     for age in [5, 4, 3, 2, 1] {
-        put(&folder, &header(NOW - age * 1_000_000));
+        write_record(&folder, &header(NOW - age * 1_000_000));
     }
     let records = folder.records().expect("a folder");
     assert_eq!(records.len(), 3, "three generations are kept");
@@ -141,11 +141,11 @@
     bad[40] ^= 1;
     fs::write(&records[1], bad).expect("a file");
     // A process that was killed while it wrote.
-    fs::write(place.path().join("deep/er/worker-0.77.part"), b"{\"snapshot\":1").expect("a file");
+    fs::write(temporary.path().join("deep/er/worker-0.77.part"), b"{\"snapshot\":1").expect("a file");
     let known = list(1, 0..3);
-    let selection = select::<Thing>(&folder, &criteria(&known)).expect("a folder");
+    let selection = select::<Entry>(&folder, &criteria(&known)).expect("a folder");
     let SelectedSnapshot { path, record, age } = selection.selected.expect("the third");
-    assert_eq!((path, record.entries, age), (records[2].clone(), things(), 3_000_000));
+    assert_eq!((path, record.entries, age), (records[2].clone(), entries(), 3_000_000));
     let left: Vec<_> = selection
         .rejected
         .iter()
@@ -160,16 +160,16 @@
 fn a_disk_that_is_full_is_an_error_and_changes_nothing() {
     let full = fs::OpenOptions::new().write(true).open("/dev/full").expect("Linux");
     let begun = Encoder::begin(io::BufWriter::new(full), &header(NOW));
-    let why = begun.and_then(|mut encoder| {
+    let error = begun.and_then(|mut encoder| {
         lines().iter().try_for_each(|line| encoder.write_line(line))?;
         encoder.finish().map(drop)
     });
-    assert_eq!(why.expect_err("full").kind(), io::ErrorKind::StorageFull);
+    assert_eq!(error.expect_err("full").kind(), io::ErrorKind::StorageFull);
     // In a folder: the part goes to a full device, the generations before stay, nothing is left over.
-    let place = tempfile::tempdir().expect("a folder");
-    let folder = SnapshotFolder::open(place.path(), 0, 2).expect("a folder");
-    put(&folder, &header(NOW - 1));
-    let part = place.path().join(format!("worker-0.{}.part", std::process::id()));
+    let temporary = tempfile::tempdir().expect("a folder");
+    let folder = SnapshotFolder::open(temporary.path(), 0, 2).expect("a folder");
+    write_record(&folder, &header(NOW - 1));
+    let part = temporary.path().join(format!("worker-0.{}.part", std::process::id()));
     std::os::unix::fs::symlink("/dev/full", &part).expect("a link");
     let mut writer = SnapshotWriter::start(folder.clone()).expect("a thread");
     writer.begin(header(NOW));
@@ -185,7 +185,7 @@
     assert_eq!(folder.records().expect("a folder").len(), 2);
 }
 
-fn wait_for_result(writer: &mut SnapshotWriter<Thing>) -> io::Result<u64> {
+fn wait_for_result(writer: &mut SnapshotWriter<Entry>) -> io::Result<u64> {
     let began = std::time::Instant::now();
     loop {
         if let Some(result) = writer.take_result() {
@@ -199,20 +199,20 @@
 
 #[test]
 fn a_writer_that_is_dropped_ends_what_was_handed_to_it_and_leaves_out_what_has_no_end() {
-    let place = tempfile::tempdir().expect("a folder");
-    let folder = SnapshotFolder::open(place.path(), 3, 2).expect("a folder");
+    let temporary = tempfile::tempdir().expect("a folder");
+    let folder = SnapshotFolder::open(temporary.path(), 3, 2).expect("a folder");
     let mut writer = SnapshotWriter::start(folder.clone()).expect("a thread");
     writer.begin(header(NOW));
     writer.write(lines());
     writer.finish();
     drop(writer);
-    let mut writer = SnapshotWriter::<Thing>::start(folder.clone()).expect("a thread");
+    let mut writer = SnapshotWriter::<Entry>::start(folder.clone()).expect("a thread");
     writer.begin(header(NOW + 1));
     drop(writer);
     let names = |path: &Path| fs::read_dir(path).expect("a folder").count();
-    assert_eq!((folder.records().expect("a folder").len(), names(place.path())), (1, 1));
+    assert_eq!((folder.records().expect("a folder").len(), names(temporary.path())), (1, 1));
     assert_eq!(
-        SnapshotFolder::open(place.path(), 0, 2).and_then(|f| f.records()).expect("a folder").len(),
+        SnapshotFolder::open(temporary.path(), 0, 2).and_then(|f| f.records()).expect("a folder").len(),
         0
     );
 }
@@ -234,9 +234,9 @@
             bytes.extend_from_slice(&whole[from..to]);
             if noisy { bytes.extend_from_slice(&noise); }
         }
-        if let Ok(record) = decode::<Thing>(&bytes) {
+        if let Ok(record) = decode::<Entry>(&bytes) {
             prop_assert_eq!(bytes, whole);
-            prop_assert_eq!(record.entries, things());
+            prop_assert_eq!(record.entries, entries());
         }
     }
 }
