--- /dev/null
+++ b/crates/balancer/src/event_loop/accept.rs
@@ -0,0 +1,105 @@
+//! Accepting clients, as much as descriptors and load allow, and sharing them with other workers.
+
+use std::io;
+use std::net::SocketAddr;
+
+use mio::net::TcpStream;
+use shorewharf_units::Micros;
+use tracing::error;
+
+use crate::event_loop::acceptor::is_transient;
+use crate::event_loop::context::TimerEvent;
+use crate::event_loop::dispatch::EventLoop;
+use crate::transport::connection::is_shortage;
+use crate::workers::pool::WorkerMessage;
+
+/// How long clients wait in the backlog before capacity is checked again.
+const ACCEPT_RETRY_DELAY: Micros = 100_000;
+
+impl EventLoop {
+    /// Accepts waiting clients, as many as one iteration may. Calls `process_events` after each.
+    pub(super) fn accept_clients(&mut self, mut process_events: impl FnMut(&mut Self)) {
+        if self.shutdown_started_at.is_some() && self.proxy.has_successor {
+            // The successor has the same listener: the waiting clients are its own.
+            return;
+        }
+        for _ in 0..self.context.overload.accepts() {
+            if !self.acceptor.has_waiting_clients() {
+                break;
+            }
+            // Without descriptors, clients wait in the backlog.
+            if !self.proxy.can_accept() {
+                return self.on_accept_shortage();
+            }
+            match self.acceptor.accept(self.workers.as_ref()) {
+                Ok((stream, client)) => {
+                    self.assign_client(stream, client);
+                    process_events(self);
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.acceptor.on_backlogs_empty(),
+                Err(e) if is_shortage(&e) => return self.on_accept_shortage(),
+                // The next client may be fine.
+                Err(e) if is_transient(&e) => {}
+                // A permanent error must not become a busy loop.
+                Err(e) => {
+                    error!(event = "accept-failed", error = %e);
+                    return self.schedule_accept_retry();
+                }
+            }
+        }
+        // A flood must not keep the loop busy with rejecting clients.
+        if self.proxy.has_capacity() {
+            self.acceptor.accept_if_waiting();
+        } else {
+            self.schedule_accept_retry();
+        }
+    }
+
+    fn on_accept_shortage(&mut self) {
+        self.proxy.set_descriptor_shortage(true);
+        self.schedule_accept_retry();
+    }
+
+    pub(super) fn schedule_accept_retry(&mut self) {
+        if !self.acceptor.mark_retry_scheduled() {
+            self.context.schedule_after(ACCEPT_RETRY_DELAY, TimerEvent::Accept);
+        }
+    }
+
+    /// The delay after a shortage is over: clients are accepted again.
+    pub(super) fn on_accept_timer(&mut self) {
+        self.acceptor.on_retry_timer();
+        if self.proxy.has_capacity() {
+            self.proxy.set_descriptor_shortage(false);
+        }
+    }
+
+    /// Accepts one client before the listener is closed; further ones are accepted in this iteration and the next.
+    /// Returns whether any may wait.
+    pub(super) fn accept_last_client(&mut self) -> bool {
+        self.acceptor.on_listener_ready();
+        match self.acceptor.accept(self.workers.as_ref()) {
+            Ok((stream, client)) => {
+                self.assign_client(stream, client);
+                true
+            }
+            Err(e) => e.kind() != io::ErrorKind::WouldBlock,
+        }
+    }
+
+    /// Takes an accepted client, or passes it to a worker that has far fewer.
+    fn assign_client(&mut self, stream: TcpStream, client: SocketAddr) {
+        let less_loaded = self.workers.as_ref().and_then(|workers| {
+            Some((workers, workers.less_loaded_worker(self.context.now, self.proxy.client_count())?))
+        });
+        let kept = match less_loaded {
+            Some((workers, worker)) => {
+                workers.send(worker, WorkerMessage::ForwardedClient(stream, client)).err()
+            }
+            None => Some(WorkerMessage::ForwardedClient(stream, client)),
+        };
+        if let Some(WorkerMessage::ForwardedClient(stream, client)) = kept {
+            self.proxy.accept_client(&mut self.context, stream, client);
+        }
+    }
+}
