--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -370,7 +370,7 @@
         stands
     }
 
-    /// Takes in the lines that have come on a standing connection, each carried on as it is. Tells whether anything
+    /// Takes in the lines that have come on a standing connection, each carried on as it is. GossipTransport whether anything
     /// came, and whether a line is over the limit.
     pub fn read_lines(&mut self, now: Micros, pool: &BufferPool) -> (bool, Result<(), LineTooLong>) {
         let came = self.half_open_deadline.is_none() && self.connection.read_available(pool);
@@ -409,7 +409,7 @@
         self.restored.as_mut().is_some_and(|c| c.retry_at.take_if(|at| now >= *at).is_some())
     }
 
-    /// Says its last words; its end is awaited from now on. Tells the id that it had opened with, which is free.
+    /// Says its last words; its end is awaited from now on. GossipTransport the id that it had opened with, which is free.
     pub(crate) fn begin_close(&mut self, now: Micros, pool: &BufferPool, words: &[u8]) -> Option<u64> {
         (self.stage, self.stage_since, self.deadline) = (SessionStage::Closing, now, now + CLOSE_TIMEOUT);
         (self.first_line, self.half_open_deadline) = (None, None);
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -32,13 +32,13 @@
 
     /// Whether another process has taken over from this one.
     pub fn has_successor(&self) -> bool {
-        self.successors.as_ref().is_some_and(Successors::has_one)
+        self.successors.as_ref().is_some_and(Successors::is_any_serving)
     }
 
     /// Whether two processes accept clients since or until now, if that has changed since the last call.
     pub fn take_sharing_change(&mut self, is_shutting_down: bool) -> Option<bool> {
         let is_sharing = (self.has_successor() && !is_shutting_down)
-            || self.predecessor.as_ref().is_some_and(|predecessor| !predecessor.leaves);
+            || self.predecessor.as_ref().is_some_and(|predecessor| !predecessor.is_draining);
         (std::mem::replace(&mut self.is_sharing_clients, is_sharing) != is_sharing).then_some(is_sharing)
     }
 
@@ -49,16 +49,16 @@
 
     /// Whether the predecessor may have sent more than was read.
     pub fn has_unread(&self) -> bool {
-        self.predecessor.as_ref().is_some_and(|predecessor| predecessor.more)
+        self.predecessor.as_ref().is_some_and(|predecessor| predecessor.has_more)
     }
 
     /// Descriptors that the predecessor holds.
     pub fn predecessor_descriptors(&self) -> usize {
-        self.predecessor.as_ref().map_or(0, |predecessor| predecessor.held)
+        self.predecessor.as_ref().map_or(0, |predecessor| predecessor.descriptors)
     }
 
     /// Established connections that are on their way to a successor, or wait for that.
     pub fn connections_in_transfer(&self) -> usize {
-        self.queued.len() + self.successors.as_ref().map_or(0, Successors::on_their_way)
+        self.queued.len() + self.successors.as_ref().map_or(0, Successors::in_transit)
     }
 }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -19,11 +19,11 @@
 use shorewharf_units::Micros;
 use tracing::{debug, warn};
 
-use crate::admin::counters::{Counts, Reply};
+use crate::admin::counters::{Reply, WorkerCounters};
 use crate::clients::open_ids::OpenIds;
 use crate::clients::session::{FirstLine, Session, SessionRequest, SessionStage, WaitingActivity};
 use crate::clients::sessions::Sessions;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::update::{Incoming, server_id};
 use crate::discovery::wall_clock::WallClock;
 use crate::event_loop::context::LoopContext;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Proxy {
     /// What the configuration says of them.
-    pub settings: Terms,
+    pub settings: ProxySettings,
     /// The servers as listed.
     pub servers: ServerTable,
     /// Checks on servers.
@@ -71,7 +71,7 @@
     pending_migrations: VecDeque<RequestId>,
     migration_batches_left: usize,
     /// What operators are told of.
-    counts: Counts,
+    counters: WorkerCounters,
     /// Descriptors that another process of this balancer holds.
     sibling_descriptors: usize,
     /// The program is about to end: nobody new is served.
@@ -82,7 +82,7 @@
 
 impl Proxy {
     /// Nobody has come yet.
-    pub fn new(terms: Terms, open_ids: OpenIds, counts: Counts) -> Self {
+    pub fn new(terms: ProxySettings, open_ids: OpenIds, counters: WorkerCounters) -> Self {
         Proxy {
             budget: Budget::new(terms.sockets),
             settings: terms,
@@ -97,7 +97,7 @@
             delay_reporters: Vec::new(),
             pending_migrations: VecDeque::new(),
             migration_batches_left: 0,
-            counts,
+            counters,
             sibling_descriptors: 0,
             is_shutting_down: false,
             has_successor: false,
@@ -105,7 +105,7 @@
     }
 
     /// Puts other terms in force; peers that are here stay.
-    pub fn update_settings(&mut self, terms: Terms) {
+    pub fn update_settings(&mut self, terms: ProxySettings) {
         self.settings = terms;
         self.set_sibling_descriptors(self.sibling_descriptors);
     }
@@ -331,14 +331,14 @@
     /// A connection has come up or has ended, whichever was first: it counts once.
     fn count_reply(&mut self, id: RequestId, reply: Reply) {
         if let Some(class) = self.sessions.get_mut(id).and_then(Session::take_uncounted_class) {
-            self.counts.replied(class, reply);
+            self.counters.record_reply(class, reply);
         }
     }
 
-    /// Tells operators how many connections are held that were taken.
+    /// GossipTransport operators how many connections are held that were taken.
     pub fn publish_gauges(&self) {
         let held = self.descriptors_in_use();
-        self.counts.holds(self.sessions.len() - held.unserved, held.all);
+        self.counters.set_held(self.sessions.len() - held.unserved, held.all);
     }
 }
 
@@ -388,7 +388,7 @@
         self.dial(context, id, PendingDial { server, deadline: until, failures: 0 }, address);
     }
 
-    /// Tells how a attempt ended; a carried connection that never came up was never told of.
+    /// GossipTransport how a attempt ended; a carried connection that never came up was never told of.
     fn report_attempt_end(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         match self.sessions.get(id).map(|session| (session.previous_server(), session.is_waiting())) {
             Some((Some(home), true)) => self.on_restored_attempt_ended(context, id, home, outcome),
@@ -473,7 +473,7 @@
         }
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if attempt.take_dispatched() {
-            self.counts.dispatched();
+            self.counters.record_dispatch();
         }
         let server = self.servers.name(Some(attempt.server()));
         let outcome = match attempt.read_answer(&context.buffers) {
@@ -505,7 +505,7 @@
         session.establish();
         self.guard.serve(id);
         if let Some(class) = session.take_uncounted_class() {
-            self.counts.replied(class, Reply::Success);
+            self.counters.record_reply(class, Reply::Success);
         }
         context.emit(match (session.previous_server(), session.restored_request()) {
             (Some(server), Some(req)) => NetworkEvent::ConnectionRestored(req, server),
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,6 +1,6 @@
 //! A new configuration while the program runs: taken whole or not at all.
 
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::config::{Config, ConfigError};
 use crate::event_loop::dispatch::EventLoop;
 use shorewharf_driver::{Driver, Effects};
@@ -29,7 +29,7 @@
 /// Puts a configuration in force at a worker. Connections, the list of servers and what the module has learned stay as
 /// they are.
 pub fn apply(config: &Config, event_loop: &mut EventLoop, driver: &mut Driver) {
-    event_loop.update_settings(Terms::from(config), config.discovery);
+    event_loop.update_settings(ProxySettings::from(config), config.discovery);
     if let (Some(tells), Some(peers)) = (&mut event_loop.gossip, &config.peers) {
         tells.take_peers(peers);
     }
