--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -113,7 +113,11 @@
     pub(super) fn apply_admin_change(&mut self, change: AdminChange) {
         if let Some(entry) = self.proxy.servers.apply_admin_change(change) {
             let entries = vec![entry];
-            self.context.emit(NetworkEvent::EndpointListReceived { full: false, cached: true, entries });
+            self.context.emit(NetworkEvent::EndpointListReceived {
+                is_complete: false,
+                is_cached: true,
+                entries,
+            });
         }
     }
 
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -286,7 +286,7 @@
             DiscoveryEvent::List(update) => {
                 let full = update.snapshot;
                 let entries = self.proxy.apply_endpoint_list(update, WallClock::read(self.context.now));
-                NetworkEvent::EndpointListReceived { full, cached: false, entries }
+                NetworkEvent::EndpointListReceived { is_complete: full, is_cached: false, entries }
             }
             DiscoveryEvent::Failed => NetworkEvent::DiscoveryFailed,
         };
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -45,7 +45,7 @@
     pub fn recall(self, now: Micros, gate: &mut AdmissionGate) {
         let age = now.saturating_sub(self.taken);
         let recalled =
-            gate.recall(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
+            gate.restore_state(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
         let (taken, outdated) = (recalled.restored, recalled.outdated);
         let (faded, odd) = (recalled.expired, recalled.invalid);
         info!(event = "recalled", from = self.from, ms = age / 1000, taken, outdated, faded, odd);
@@ -77,7 +77,7 @@
 pub fn everything(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
     let (mut learned, mut at) = (Vec::new(), ExportCursor::default());
     while at != ExportCursor::End {
-        at = gate.recollect(at, THINGS, &mut learned);
+        at = gate.export_state(at, THINGS, &mut learned);
     }
     learned
 }
@@ -194,7 +194,7 @@
             }
             At::Known(cursor) => {
                 let mut learned = Vec::new();
-                let cursor = gate.recollect(cursor, THINGS, &mut learned);
+                let cursor = gate.export_state(cursor, THINGS, &mut learned);
                 lines.extend(learned.into_iter().map(Line::Known));
                 (cursor != ExportCursor::End).then_some(At::Known(cursor))
             }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -85,7 +85,7 @@
         self.event_loop.begin_iteration(now);
         let gate = self.driver.gate();
         let first = seen.clone().filter(|s| s.0.is_prioritized());
-        self.event_loop.serve_admin(first, || gate.avoided(seconds_from_micros(now)));
+        self.event_loop.serve_admin(first, || gate.unavailable_servers(seconds_from_micros(now)));
         self.driver.process_events(&mut self.event_loop);
         for (owner, ready) in seen.filter(|s| !s.0.is_prioritized()) {
             match owner {
@@ -102,7 +102,7 @@
         let driver = &mut self.driver;
         self.event_loop.finish_iteration(|event_loop| driver.process_events(event_loop));
         let gate = driver.gate();
-        self.event_loop.hand_over_connections(|id| gate.standing(id));
+        self.event_loop.hand_over_connections(|id| gate.established(id));
         driver.process_events(&mut self.event_loop);
         if self.event_loop.take_sharing_change().is_some() {
             self.enforce();
@@ -110,7 +110,7 @@
         if let Some(tells) = &mut self.event_loop.gossip
             && tells.is_due()
         {
-            tells.tell(&mut self.event_loop.context, self.driver.gate().holds());
+            tells.tell(&mut self.event_loop.context, self.driver.gate().holdings());
             self.driver.process_events(&mut self.event_loop);
         }
         if let Some(keeping) = &mut self.keeping {
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -67,7 +67,7 @@
 fn read(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
     let (mut all, mut at) = (Vec::new(), ExportCursor::default());
     while at != ExportCursor::End {
-        at = gate.recollect(at, 16, &mut all);
+        at = gate.export_state(at, 16, &mut all);
     }
     all
 }
@@ -171,7 +171,7 @@
 fn play(bytes: &[u8], past: f64) -> Result<String, String> {
     let record = decode::<SnapshotEntry>(bytes).map_err(|e| e.to_string())?;
     let (mut gate, unknown) = (gate(), record.unknown);
-    let recalled = gate.recall(100.3, past, true, record.known);
+    let recalled = gate.restore_state(100.3, past, true, record.known);
     let mut timers = Vec::new();
     let mut answered = BTreeSet::new();
     for id in 20..28 {
--- a/crates/driver/src/admission.rs
+++ b/crates/driver/src/admission.rs
@@ -1,62 +1,70 @@
-//! Who is asked before the module is told of a request, and what they are told of it afterwards.
+//! Admission checks: decisions on a request that come before the balancer's, and what they are told of it afterwards.
 
 use shorewharf_decisions::interface::{Event, Outcome, Request, Settings};
-
 use shorewharf_settings::operator::Operator;
 use shorewharf_units::Micros;
 
-/// What becomes of a client that asks.
+/// What an admission check decides on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// Let it on.
+    /// The request goes on.
     Admit,
-    /// It is refused at once; the module never hears of it.
+    /// The request is rejected at once; the balancer never hears of it.
     Reject {
-        /// When to come back, from now; 0 where it is not told.
-        after: Micros,
-        /// The reason, to be counted.
-        why: &'static str,
+        /// How long the client should wait before it retries; 0 for no advice.
+        retry_after: Micros,
+        /// The reason's name, by which rejections are counted.
+        reason: &'static str,
     },
 }
 
-/// What became of a request that was taken.
+/// What became of an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmittedOutcome {
-    /// Its connection stands.
+    /// Its connection is established.
     Established,
-    /// Its connection, which stood, has ended so.
+    /// Its established connection has ended.
     ConnectionEnded(Outcome),
-    /// The module refused it, or failed it, before it stood.
+    /// The balancer rejected or failed it before it was established.
     Rejected,
-    /// Its client went away before it stood, or wants nothing more.
+    /// Its client left before it was established, or wants nothing more.
     ClientLeft,
 }
 
-/// Decisions that come before the module's: tenants' shares, an outage's end. Each sees every event, may turn clients
-/// away, and may have standing connections of a tenant moved.
+/// Established connections of a tenant that are to be migrated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TenantMigrations {
+    /// Index of the tenant.
+    pub tenant: usize,
+    /// How many connections.
+    pub count: u32,
+}
+
+/// A decision that comes before the balancer's, such as a tenant's quota. It sees every event, may reject requests, and
+/// may have established connections of a tenant migrated.
 ///
-/// All are asked in order, until one turns the client away. Only a client that nobody turned away is taken, so that
-/// nobody counts one that another has refused. A request that was taken may come up once, and has exactly one of the
-/// other fates after that.
+/// All checks are asked in order until one rejects the request. Only a request that none rejects is admitted, so that no
+/// check counts one that another has rejected. An admitted request may be established once, and has exactly one of the
+/// other outcomes after that.
 pub trait Admission {
-    /// A client asks. Nothing may be counted yet of one that is let on.
+    /// Decides on a request. Nothing may be counted yet of one that is let on.
     fn check(&mut self, now: Micros, request: &Request) -> AdmissionDecision;
-    /// The client that was asked about last goes on to the module.
+    /// The request that was checked last is admitted.
     fn on_admitted(&mut self, _now: Micros, _request: &Request) {}
-    /// A connection from before the start stands.
+    /// A connection was established before the start.
     fn on_restored(&mut self, _now: Micros, _request: &Request) {}
-    /// What became of a request that was taken or carried.
-    fn on_outcome(&mut self, _now: Micros, _request: &Request, _fate: AdmittedOutcome) {}
-    /// Anything that happens, before the module hears of it.
+    /// An admitted or restored request has an outcome.
+    fn on_outcome(&mut self, _now: Micros, _request: &Request, _outcome: AdmittedOutcome) {}
+    /// Any event, before the balancer sees it.
     fn on_event(&mut self, _now: Micros, _event: &Event) {}
-    /// Which tenants' standing connections are to be moved now, and how many.
-    fn due_migrations(&mut self, _now: Micros, _moves: &mut Vec<(usize, u32)>) {}
-    /// So many of those moves had no connection to go by.
+    /// Appends the migrations that are due now.
+    fn due_migrations(&mut self, _now: Micros, _due: &mut Vec<TenantMigrations>) {}
+    /// Fewer connections than asked for could be migrated: `count` are missing.
     fn on_migration_unavailable(&mut self, _tenant: usize, _count: u32) {}
-    /// When [`Admission::due`] is to be called again, if at all.
+    /// When [`Admission::due_migrations`] is to be called again, if at all.
     fn next_deadline(&self) -> Option<Micros> {
         None
     }
-    /// Other settings are in force.
-    fn update_settings(&mut self, _now: Micros, _set: &Settings, _operator: &Operator) {}
+    /// New settings are in force.
+    fn update_settings(&mut self, _now: Micros, _settings: &Settings, _operator: &Operator) {}
 }
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -1,136 +1,174 @@
-//! Budgets of the whole fleet as an admission: this balancer's parts are held against each request, at the moment it asks.
+//! Budgets of the whole fleet as an admission check: each request is checked against this balancer's allocations of them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use shorewharf_budgets::Allocations;
 use shorewharf_decisions::interface::{Request, Settings};
 use shorewharf_settings::operator::Operator;
-use shorewharf_units::{Micros, micros_from_seconds};
+use shorewharf_units::{MICROS_PER_SECOND, Micros, micros_from_seconds};
 
-use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome};
+use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome, TenantMigrations};
 
-/// Standing connections that were asked to move have so long to do so before they are asked for again.
-const MOVES: Micros = 1_000_000;
-/// Multiples of it, without their whole parts, spread evenly however many there are.
-const GOLDEN: f64 = 0.618_033_988_749_895;
+/// Connections that were migrated have this long to end before more of their tenant are.
+const MIGRATION_TIMEOUT: Micros = 1_000_000;
+/// Excess connections are looked for at most this often.
+const MIGRATION_CHECK_INTERVAL: Micros = MIGRATION_TIMEOUT / 2;
+/// The fractional parts of its multiples are spread evenly, however many there are.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
+const CONNECTIONS_EXHAUSTED: &str = "fleet's budget of its connections";
+const SETUPS_EXHAUSTED: &str = "fleet's budget of set-ups";
 
-/// Which budgets requests are held against. The parts change from another thread; they are locked for a few instructions.
+/// The check of requests against this balancer's allocations. They change on another thread, and are locked for a few
+/// instructions at a time.
 #[derive(Clone, Debug)]
 pub struct Budgets {
-    parts: Arc<Mutex<Allocations>>,
-    /// The budget of set-ups a second.
-    set_ups: Option<usize>,
-    /// By tenant, the budget of its standing connections.
-    tenants: Vec<Option<usize>>,
-    /// The longest time to come back that may be told; 0 for none.
-    longest: Micros,
-    /// The place in the queue that was told last ends then.
-    queue: Micros,
-    /// Where in their range the last time was that told of no room.
-    spread: f64,
-    /// By tenant, until when those that were asked to move are waited for.
-    moves: Vec<Micros>,
-    /// When it was looked at last whether some have to move.
-    looked: Micros,
+    allocations: Arc<Mutex<Allocations>>,
+    /// Index of the budget of set-ups a second.
+    setup_budget: Option<usize>,
+    /// By tenant, index of the budget of its connections.
+    tenant_budgets: Vec<Option<usize>>,
+    /// The longest wait that clients are advised; 0 for no advice.
+    max_retry_after: Micros,
+    /// When the wait ends that was advised last for a lack of set-ups.
+    queue_end: Micros,
+    /// Where in their range the last wait was that was advised for a lack of connections, from 0 to 1.
+    wait_position: f64,
+    /// By tenant, until when its migrated connections are waited for.
+    migrating_until: Vec<Micros>,
+    migrations_checked_at: Micros,
+}
+
+/// A budget that has nothing left.
+enum ExhaustedBudget {
+    /// The tenant's connections.
+    Connections,
+    /// Set-ups, of which so many a second are allowed.
+    Setups { per_second: f64 },
 }
 
 impl Budgets {
-    /// The set-ups of all, and each tenant's connections, where there is a budget of them.
+    /// Creates the check from the indices of the budgets of set-ups and of each tenant's connections, where there are any.
     pub fn new(
-        parts: Arc<Mutex<Allocations>>,
-        set_ups: Option<usize>,
-        tenants: Vec<Option<usize>>,
-        set: &Settings,
+        allocations: Arc<Mutex<Allocations>>,
+        setup_budget: Option<usize>,
+        tenant_budgets: Vec<Option<usize>>,
+        settings: &Settings,
     ) -> Budgets {
-        let moves = vec![0; tenants.len()];
-        Budgets { parts, set_ups, tenants, longest: longest(set), queue: 0, spread: 0.0, moves, looked: 0 }
+        let migrating_until = vec![0; tenant_budgets.len()];
+        Budgets {
+            allocations,
+            setup_budget,
+            tenant_budgets,
+            max_retry_after: max_retry_after(settings),
+            queue_end: 0,
+            wait_position: 0.0,
+            migrating_until,
+            migrations_checked_at: 0,
+        }
     }
 
-    fn parts(&self) -> MutexGuard<'_, Allocations> {
-        self.parts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn allocations(&self) -> MutexGuard<'_, Allocations> {
+        self.allocations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn of(&self, request: &Request) -> Option<usize> {
-        self.tenants.get(request.tenant).copied().flatten()
+    fn connection_budget(&self, request: &Request) -> Option<usize> {
+        self.tenant_budgets.get(request.tenant).copied().flatten()
     }
 
-    /// When to come back: one after the other, as a rate of so many a second makes room.
-    fn turn(&mut self, now: Micros, rate: f64) -> Micros {
-        let every = if rate > 0.0 { (1e6 / rate) as Micros } else { self.longest };
-        self.queue = self.queue.max(now).saturating_add(every).min(now + self.longest);
-        self.queue - now
+    /// The first budget that has nothing left for a request.
+    fn exhausted_budget(&self, now: Micros, request: &Request) -> Option<ExhaustedBudget> {
+        let mut allocations = self.allocations();
+        if let Some(budget) = self.connection_budget(request)
+            && allocations.check(now, budget).is_err()
+        {
+            return Some(ExhaustedBudget::Connections);
+        }
+        let exhausted = allocations.check(now, self.setup_budget?).err()?;
+        Some(ExhaustedBudget::Setups { per_second: exhausted.in_force })
     }
 
-    /// When to come back where nothing tells when there will be room: spread, so that not all come at once.
-    fn some_time(&mut self) -> Micros {
-        self.spread = (self.spread + GOLDEN).fract();
-        (self.longest as f64 * 0.5 * (1.0 + self.spread)) as Micros
+    /// A wait until set-ups are free again: clients come back one after the other at the rate of the budget.
+    fn wait_for_setups(&mut self, now: Micros, setups_per_second: f64) -> Micros {
+        let interval = if setups_per_second > 0.0 {
+            (MICROS_PER_SECOND as f64 / setups_per_second) as Micros
+        } else {
+            self.max_retry_after
+        };
+        let latest = now + self.max_retry_after;
+        self.queue_end = self.queue_end.max(now).saturating_add(interval).min(latest);
+        self.queue_end - now
+    }
+
+    /// A wait for connections, whose ends nobody knows: spread over the upper half of what may be advised.
+    fn wait_for_connections(&mut self) -> Micros {
+        self.wait_position = (self.wait_position + GOLDEN_RATIO_FRACTION).fract();
+        (self.max_retry_after as f64 * 0.5 * (1.0 + self.wait_position)) as Micros
     }
 }
 
-fn longest(set: &Settings) -> Micros {
-    if set.sends_retry_after { micros_from_seconds(set.max_retry_after) } else { 0 }
+fn max_retry_after(settings: &Settings) -> Micros {
+    if settings.sends_retry_after { micros_from_seconds(settings.max_retry_after) } else { 0 }
 }
 
 impl Admission for Budgets {
     fn check(&mut self, now: Micros, request: &Request) -> AdmissionDecision {
-        let tenant = self.of(request);
-        let refused = {
-            let mut parts = self.parts();
-            let connections = tenant.map_or(Ok(()), |place| parts.check(now, place));
-            let connections = connections.map_err(|_| (None, "fleet's budget of its connections"));
-            connections.and_then(|()| {
-                let set_ups = self.set_ups.map_or(Ok(()), |place| parts.check(now, place));
-                set_ups.map_err(|exhausted| (Some(exhausted.in_force), "fleet's budget of set-ups"))
-            })
-        };
-        match refused {
-            Ok(()) => AdmissionDecision::Admit,
-            Err((Some(rate), why)) => AdmissionDecision::Reject { after: self.turn(now, rate), why },
-            // Nothing tells when a connection ends.
-            Err((None, why)) => AdmissionDecision::Reject { after: self.some_time(), why },
+        match self.exhausted_budget(now, request) {
+            None => AdmissionDecision::Admit,
+            Some(ExhaustedBudget::Connections) => AdmissionDecision::Reject {
+                retry_after: self.wait_for_connections(),
+                reason: CONNECTIONS_EXHAUSTED,
+            },
+            Some(ExhaustedBudget::Setups { per_second }) => AdmissionDecision::Reject {
+                retry_after: self.wait_for_setups(now, per_second),
+                reason: SETUPS_EXHAUSTED,
+            },
         }
     }
 
     fn on_admitted(&mut self, now: Micros, request: &Request) {
-        let (tenant, set_ups) = (self.of(request), self.set_ups);
-        let mut parts = self.parts();
-        tenant.into_iter().chain(set_ups).for_each(|place| parts.acquire(now, place));
+        let budgets = [self.connection_budget(request), self.setup_budget];
+        let mut allocations = self.allocations();
+        for budget in budgets.into_iter().flatten() {
+            allocations.acquire(now, budget);
+        }
     }
 
     fn on_restored(&mut self, now: Micros, request: &Request) {
-        if let Some(place) = self.of(request) {
-            self.parts().acquire(now, place);
+        if let Some(budget) = self.connection_budget(request) {
+            self.allocations().acquire(now, budget);
         }
     }
 
-    fn on_outcome(&mut self, _now: Micros, request: &Request, fate: AdmittedOutcome) {
-        if let (
-            AdmittedOutcome::ConnectionEnded(_) | AdmittedOutcome::Rejected | AdmittedOutcome::ClientLeft,
-            Some(place),
-        ) = (fate, self.of(request))
-        {
-            self.parts().release(place);
+    fn on_outcome(&mut self, _now: Micros, request: &Request, outcome: AdmittedOutcome) {
+        if outcome == AdmittedOutcome::Established {
+            return;
+        }
+        if let Some(budget) = self.connection_budget(request) {
+            self.allocations().release(budget);
         }
     }
 
-    fn due_migrations(&mut self, now: Micros, moves: &mut Vec<(usize, u32)>) {
-        self.looked = now;
-        for tenant in 0..self.tenants.len() {
-            let Some(place) = self.tenants[tenant].filter(|_| now >= self.moves[tenant]) else { continue };
-            let count = self.parts().excess(now, place);
+    fn due_migrations(&mut self, now: Micros, due: &mut Vec<TenantMigrations>) {
+        self.migrations_checked_at = now;
+        for tenant in 0..self.tenant_budgets.len() {
+            let Some(budget) = self.tenant_budgets[tenant] else { continue };
+            if now < self.migrating_until[tenant] {
+                continue;
+            }
+            let count = self.allocations().excess(now, budget);
             if count > 0 {
-                self.moves[tenant] = now + MOVES;
-                moves.push((tenant, count));
+                self.migrating_until[tenant] = now + MIGRATION_TIMEOUT;
+                due.push(TenantMigrations { tenant, count });
             }
         }
     }
 
     fn next_deadline(&self) -> Option<Micros> {
-        Some(self.parts().next_excess_at().max(self.looked + MOVES / 2))
+        let next_check = self.migrations_checked_at + MIGRATION_CHECK_INTERVAL;
+        Some(self.allocations().next_excess_at().max(next_check))
     }
 
-    fn update_settings(&mut self, _now: Micros, set: &Settings, _operator: &Operator) {
-        self.longest = longest(set);
+    fn update_settings(&mut self, _now: Micros, settings: &Settings, _operator: &Operator) {
+        self.max_retry_after = max_retry_after(settings);
     }
 }
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -1,10 +1,11 @@
-//! The module behind its admissions: the same words go in and come out, so that whoever drives the module (the real
-//! program's driver, the simulator's adapter) drives both alike.
+//! The balancer behind its admission checks. It takes the same events and appends the same actions as the balancer alone,
+//! so the real program and the simulator's adapter drive both alike.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
 use shorewharf_decisions::Holding;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{Action, Event, Outcome, Request, RequestId, ServerId, Settings};
 use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_recovery::capacity_estimate::FleetEstimate;
 use shorewharf_recovery::controller::{Options, OverloadController};
@@ -17,10 +18,11 @@
 use crate::budgets::Budgets;
 use crate::tenants::Tenants;
 
-/// The gate's own timer; the module's tokens lie far below.
-const DUE: u64 = 1 << 63;
-/// Who was turned away is told to the log so often at most, and of so many tenants: a flood must not fill the log too.
+/// The gate's own timer; the tokens of the decisions are far below.
+const MIGRATION_TIMER: u64 = 1 << 63;
+/// Rejections are logged at most this often: a flood of requests must not flood the log too.
 const REJECTION_LOG_INTERVAL: Micros = 10_000_000;
+/// Tenants in a line of the log.
 const MAX_LOGGED_TENANTS: usize = 8;
 
 fn controller_options(operator: &Operator) -> Options {
@@ -28,53 +30,75 @@
     Options { levels, retry_budget: repeats, rebalance }
 }
 
-/// Who is asked, in this order.
+/// The admission checks, in the order in which they are asked.
 #[derive(Debug, Default)]
-struct Admissions {
+struct AdmissionChecks {
     tenants: Option<Tenants>,
     budgets: Option<Budgets>,
 }
 
-impl Admissions {
-    fn all(&mut self) -> impl Iterator<Item = &mut dyn Admission> {
-        let tenants = self.tenants.as_mut().map(|t| t as &mut dyn Admission);
-        let budgets = self.budgets.as_mut().map(|b| b as &mut dyn Admission);
+impl AdmissionChecks {
+    fn is_empty(&self) -> bool {
+        self.tenants.is_none() && self.budgets.is_none()
+    }
+
+    fn iter_mut(&mut self) -> impl Iterator<Item = &mut dyn Admission> {
+        let tenants = self.tenants.as_mut().map(|tenants| tenants as &mut dyn Admission);
+        let budgets = self.budgets.as_mut().map(|budgets| budgets as &mut dyn Admission);
         tenants.into_iter().chain(budgets)
     }
 }
 
-/// A request that was taken, or whose connection stood before the start.
+/// An admitted request, or one whose connection was established before the start.
 #[derive(Clone, Copy, Debug)]
 struct AdmittedRequest {
     request: Request,
-    /// An attempt is out.
     has_attempt_out: bool,
     is_established: bool,
-    /// It has been asked to move by an admission.
+    /// A check has had it migrated.
     is_migrating: bool,
 }
 
-/// The module and its admissions.
+impl AdmittedRequest {
+    fn new(request: Request) -> Self {
+        AdmittedRequest { request, has_attempt_out: false, is_established: false, is_migrating: false }
+    }
+}
+
+/// The last outcome of an admitted request.
+#[derive(Clone, Copy, Debug)]
+struct EndedRequest {
+    id: RequestId,
+    outcome: AdmittedOutcome,
+}
+
+/// What rejections are logged by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RejectionKey {
+    tenant: usize,
+    reason: &'static str,
+}
+
+/// The balancer and its admission checks.
 #[derive(Debug)]
 pub struct AdmissionGate {
     balancer: ProtectedBalancer,
-    admissions: Admissions,
+    checks: AdmissionChecks,
     admitted: HashMap<RequestId, AdmittedRequest>,
-    /// The gate's timer comes then.
+    /// When the migration timer fires next.
     timer_at: Option<Micros>,
     rejections: BTreeMap<&'static str, u64>,
-    /// By tenant and reason, since the log was told last.
-    unlogged_rejections: BTreeMap<(usize, &'static str), u64>,
+    unlogged_rejections: BTreeMap<RejectionKey, u64>,
     logged_at: Micros,
 }
 
 impl AdmissionGate {
-    /// A fresh module of these settings behind what the operator wants before it.
-    pub fn new(now: Micros, set: Settings, seed: u64, operator: &Operator) -> AdmissionGate {
-        let tenants = Tenants::new(now, &set, operator);
+    /// Creates a balancer of these settings behind the checks that the operator's file asks for.
+    pub fn new(now: Micros, settings: Settings, seed: u64, operator: &Operator) -> AdmissionGate {
+        let tenants = Tenants::new(now, &settings, operator);
         AdmissionGate {
-            balancer: ProtectedBalancer::new(set, seed, controller_options(operator)),
-            admissions: Admissions { tenants, budgets: None },
+            balancer: ProtectedBalancer::new(settings, seed, controller_options(operator)),
+            checks: AdmissionChecks { tenants, budgets: None },
             admitted: HashMap::new(),
             timer_at: None,
             rejections: BTreeMap::new(),
@@ -83,227 +107,279 @@
         }
     }
 
-    /// Puts new settings in force; what was learned stays. Which admissions there are is decided at the start.
-    pub fn update_settings(&mut self, now: Micros, set: Settings, operator: &Operator) {
-        self.admissions.all().for_each(|a| a.update_settings(now, &set, operator));
-        self.balancer.update_settings(set, controller_options(operator));
+    /// Puts new settings in force; everything learned stays, and so do the checks that there are.
+    pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &Operator) {
+        for check in self.checks.iter_mut() {
+            check.update_settings(now, &settings, operator);
+        }
+        self.balancer.update_settings(settings, controller_options(operator));
     }
 
-    /// Clients turned away before the module heard of them, by reason.
+    /// Requests that admission checks have rejected, by reason.
     pub fn rejections(&self) -> &BTreeMap<&'static str, u64> {
         &self.rejections
     }
 
-    /// Tenants' shares, where they are kept.
+    /// The tenants' quotas, where they are in force.
     pub fn tenants(&mut self) -> Option<&mut Tenants> {
-        self.admissions.tenants.as_mut()
+        self.checks.tenants.as_mut()
     }
 
-    /// Keeps to budgets of the whole fleet from now on.
+    /// Checks requests against budgets of the whole fleet from now on.
     pub fn set_budgets(&mut self, budgets: Budgets) {
-        self.admissions.budgets = Some(budgets);
+        self.checks.budgets = Some(budgets);
     }
 
-    /// What is believed of the fleet.
-    pub fn fleet(&self, now: f64) -> FleetEstimate {
+    /// What is estimated of the fleet.
+    pub fn fleet_estimate(&self, now: f64) -> FleetEstimate {
         self.balancer.fleet(now)
     }
 
-    /// Clients that wait for room here, and how many hold a place to come back, about.
-    pub fn waiting(&self, now: f64) -> WaitingClients {
+    /// Clients that wait for capacity.
+    pub fn waiting_clients(&self, now: f64) -> WaitingClients {
         self.balancer.waiting(now)
     }
 
-    /// Levels, repeats and moves of this instance.
-    pub fn care(&self) -> &OverloadController {
+    /// The overload controller of this instance.
+    pub fn overload_controller(&self) -> &OverloadController {
         self.balancer.controller()
     }
 
-    /// What is known of a standing connection: what it asked for, and its load where that was told.
-    pub fn standing(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
+    /// The request of an established connection, and its load if that was reported.
+    pub fn established(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
         self.balancer.established(id)
     }
 
-    /// What is held here, to be told to other balancers.
-    pub fn holds(&self) -> Vec<Holding> {
+    /// The attempts and connections of this instance, to be reported to others.
+    pub fn holdings(&self) -> Vec<Holding> {
         self.balancer.holdings()
     }
 
-    /// Servers that get nothing new now, whatever the reason.
-    pub fn avoided(&self, now: f64) -> Vec<ServerId> {
+    /// Servers that get nothing new now, for whatever reason.
+    pub fn unavailable_servers(&self, now: f64) -> Vec<ServerId> {
         self.balancer.unavailable_servers(now)
     }
 
-    /// Reads on in what is known, so many things at most, and where to go on from.
-    pub fn recollect(&self, from: ExportCursor, most: usize, out: &mut Vec<SnapshotEntry>) -> ExportCursor {
-        self.balancer.export_state(from, most, out)
+    /// Exports at most `limit` further entries of what was learned, and returns where to go on.
+    pub fn export_state(
+        &self,
+        from: ExportCursor,
+        limit: usize,
+        entries: &mut Vec<SnapshotEntry>,
+    ) -> ExportCursor {
+        self.balancer.export_state(from, limit, entries)
     }
 
-    /// Recalls what one before has known `past` seconds ago. The list is to be told first; clients that stood then are
-    /// expected back if their connections are `away`.
-    pub fn recall(&mut self, now: f64, past: f64, away: bool, learned: Vec<SnapshotEntry>) -> RestoreCounts {
-        self.balancer.restore_state(now, past, away, learned)
+    /// Restores what an instance has exported `age` seconds ago; the endpoint list has to be known. Clients that were
+    /// connected then are expected back if their connections are lost.
+    pub fn restore_state(
+        &mut self,
+        now: f64,
+        age: f64,
+        are_connections_lost: bool,
+        entries: Vec<SnapshotEntry>,
+    ) -> RestoreCounts {
+        self.balancer.restore_state(now, age, are_connections_lost, entries)
     }
 
-    /// Takes one event, as the module does, and appends what is to be done.
-    pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
-        if self.admissions.all().next().is_none() {
-            return self.balancer.handle(now, event, out);
+    /// Takes one event and appends the actions that follow from it.
+    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
+        if self.checks.is_empty() {
+            return self.balancer.handle(now, event, actions);
         }
         let at = micros_from_seconds(now);
-        self.admissions.all().for_each(|a| a.on_event(at, &event));
-        let first = out.len();
-        let ends = match &event {
-            Event::TimerFired(DUE) => {
-                self.timer_at = None;
-                self.migrate_due(at, out);
-                return self.schedule_timer(at, out);
-            }
+        for check in self.checks.iter_mut() {
+            check.on_event(at, &event);
+        }
+        match &event {
+            Event::TimerFired(MIGRATION_TIMER) => return self.on_migration_timer(at, actions),
             Event::RequestReceived(request) => {
-                if let Some(after) = self.check_admission(at, request) {
-                    out.push(Action::Reject { request: request.id, retry_after: seconds_from_micros(after) });
-                    return self.log_rejections(at, out);
+                if let Some(rejection) = self.check_admission(at, request) {
+                    actions.push(rejection);
+                    return self.log_rejections(at, actions);
                 }
-                None
-            }
-            Event::ConnectionRestored(request, _) => {
-                let held = AdmittedRequest {
-                    request: *request,
-                    has_attempt_out: false,
-                    is_established: true,
-                    is_migrating: false,
-                };
-                self.admitted.insert(request.id, held);
-                self.admissions.all().for_each(|a| a.on_restored(at, request));
-                None
-            }
-            Event::Established { request, .. } => {
-                self.on_established(at, *request);
-                None
-            }
-            Event::AttemptEnded { request, outcome, is_answered: complete, .. } => {
-                self.on_attempt_ended(*request, *outcome, *complete)
             }
-            Event::ClientLeft(id) => self
-                .admitted
-                .get(id)
-                .filter(|h| !h.has_attempt_out && !h.is_established)
-                .map(|_| (*id, AdmittedOutcome::ClientLeft)),
-            _ => None,
-        };
-        self.balancer.handle(now, event, out);
-        if let Some((id, fate)) = ends {
-            self.on_outcome(at, id, fate);
+            _ => {}
         }
-        for action in &out[first..] {
-            match action {
-                Action::BeginAttempt { request, .. } => {
-                    self.admitted.entry(*request).and_modify(|h| h.has_attempt_out = true);
-                }
-                Action::Reject { request, .. } | Action::Fail(request) => {
-                    self.on_outcome(at, *request, AdmittedOutcome::Rejected);
-                }
-                _ => {}
-            }
+        let ended = self.track_event(at, &event);
+        let first_new = actions.len();
+        self.balancer.handle(now, event, actions);
+        if let Some(ended) = ended {
+            self.on_outcome(at, ended);
         }
-        self.schedule_timer(at, out);
+        self.track_actions(at, &actions[first_new..]);
+        self.schedule_timer(at, actions);
     }
 
-    /// When a client that is turned away should come back; none if it is taken.
-    fn check_admission(&mut self, now: Micros, request: &Request) -> Option<Micros> {
-        for admission in self.admissions.all() {
-            if let AdmissionDecision::Reject { after, why } = admission.check(now, request) {
-                *self.rejections.entry(why).or_default() += 1;
-                *self.unlogged_rejections.entry((request.tenant, why)).or_default() += 1;
-                return Some(after);
+    /// Asks all checks; the rejection, if one of them rejects the request.
+    fn check_admission(&mut self, now: Micros, request: &Request) -> Option<Action> {
+        for check in self.checks.iter_mut() {
+            if let AdmissionDecision::Reject { retry_after, reason } = check.check(now, request) {
+                let key = RejectionKey { tenant: request.tenant, reason };
+                *self.rejections.entry(reason).or_default() += 1;
+                *self.unlogged_rejections.entry(key).or_default() += 1;
+                let retry_after = seconds_from_micros(retry_after);
+                return Some(Action::Reject { request: request.id, retry_after });
             }
         }
-        self.admissions.all().for_each(|a| a.on_admitted(now, request));
-        let held = AdmittedRequest {
-            request: *request,
-            has_attempt_out: false,
-            is_established: false,
-            is_migrating: false,
-        };
-        self.admitted.insert(request.id, held);
+        for check in self.checks.iter_mut() {
+            check.on_admitted(now, request);
+        }
+        self.admitted.insert(request.id, AdmittedRequest::new(*request));
         None
     }
 
-    /// Tells the log who was turned away, those most often first.
-    fn log_rejections(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Logs the rejections since the last line, the most frequent first.
+    fn log_rejections(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now < self.logged_at + REJECTION_LOG_INTERVAL {
             return;
         }
         self.logged_at = now;
-        let mut all: Vec<_> = std::mem::take(&mut self.unlogged_rejections).into_iter().collect();
-        all.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-        let some = all.iter().take(MAX_LOGGED_TENANTS);
-        let texts: Vec<String> =
-            some.map(|((tenant, why), count)| format!("tenant {tenant} {why} {count}")).collect();
-        out.push(Action::Log(format!("turned away since the last line: {}", texts.join(", "))));
+        let mut rejections: Vec<_> = std::mem::take(&mut self.unlogged_rejections).into_iter().collect();
+        rejections.sort_by_key(|(_, count)| Reverse(*count));
+        let texts: Vec<String> = rejections
+            .iter()
+            .take(MAX_LOGGED_TENANTS)
+            .map(|(RejectionKey { tenant, reason }, count)| format!("tenant {tenant} {reason} {count}"))
+            .collect();
+        actions.push(Action::Log(format!("turned away since the last line: {}", texts.join(", "))));
+    }
+
+    /// Follows the admitted requests through an event; the one that it ends.
+    fn track_event(&mut self, now: Micros, event: &Event) -> Option<EndedRequest> {
+        match event {
+            Event::ConnectionRestored(request, _) => {
+                let admitted = AdmittedRequest { is_established: true, ..AdmittedRequest::new(*request) };
+                self.admitted.insert(request.id, admitted);
+                for check in self.checks.iter_mut() {
+                    check.on_restored(now, request);
+                }
+                None
+            }
+            Event::Established { request, .. } => {
+                self.on_established(now, *request);
+                None
+            }
+            Event::AttemptEnded { request, outcome, is_answered, .. } => {
+                self.on_attempt_ended(*request, *outcome, *is_answered)
+            }
+            Event::ClientLeft(id) => {
+                let admitted = self.admitted.get(id)?;
+                let is_waiting = !admitted.has_attempt_out && !admitted.is_established;
+                is_waiting.then_some(EndedRequest { id: *id, outcome: AdmittedOutcome::ClientLeft })
+            }
+            _ => None,
+        }
     }
 
     fn on_established(&mut self, now: Micros, id: RequestId) {
-        let Some(held) = self.admitted.get_mut(&id).filter(|h| !h.is_established) else { return };
-        (held.is_established, held.has_attempt_out) = (true, false);
-        let request = held.request;
-        self.admissions.all().for_each(|a| a.on_outcome(now, &request, AdmittedOutcome::Established));
+        let Some(admitted) = self.admitted.get_mut(&id).filter(|admitted| !admitted.is_established) else {
+            return;
+        };
+        admitted.is_established = true;
+        admitted.has_attempt_out = false;
+        let request = admitted.request;
+        for check in self.checks.iter_mut() {
+            check.on_outcome(now, &request, AdmittedOutcome::Established);
+        }
     }
 
-    /// An attempt has ended, or a connection that stood; the request's fate, if that was its end.
+    /// An attempt or an established connection has ended; the request's end, if that is one.
     fn on_attempt_ended(
         &mut self,
         id: RequestId,
         outcome: Outcome,
-        complete: bool,
-    ) -> Option<(RequestId, AdmittedOutcome)> {
-        let held = self.admitted.get_mut(&id)?;
-        held.has_attempt_out = false;
-        match (held.is_established, complete) {
-            (true, _) => Some((id, AdmittedOutcome::ConnectionEnded(outcome))),
-            (false, true) => Some((id, AdmittedOutcome::ClientLeft)),
-            // The module may try again; else it refuses.
-            (false, false) => None,
+        is_answered: bool,
+    ) -> Option<EndedRequest> {
+        let admitted = self.admitted.get_mut(&id)?;
+        admitted.has_attempt_out = false;
+        let outcome = match (admitted.is_established, is_answered) {
+            (true, _) => AdmittedOutcome::ConnectionEnded(outcome),
+            (false, true) => AdmittedOutcome::ClientLeft,
+            // The balancer retries it or rejects it.
+            (false, false) => return None,
+        };
+        Some(EndedRequest { id, outcome })
+    }
+
+    /// Follows the admitted requests through the balancer's actions.
+    fn track_actions(&mut self, now: Micros, actions: &[Action]) {
+        for action in actions {
+            match action {
+                Action::BeginAttempt { request, .. } => {
+                    if let Some(admitted) = self.admitted.get_mut(request) {
+                        admitted.has_attempt_out = true;
+                    }
+                }
+                Action::Reject { request, .. } | Action::Fail(request) => {
+                    self.on_outcome(now, EndedRequest { id: *request, outcome: AdmittedOutcome::Rejected });
+                }
+                _ => {}
+            }
         }
     }
 
-    fn on_outcome(&mut self, now: Micros, id: RequestId, fate: AdmittedOutcome) {
-        if let Some(held) = self.admitted.remove(&id) {
-            self.admissions.all().for_each(|a| a.on_outcome(now, &held.request, fate));
+    fn on_outcome(&mut self, now: Micros, ended: EndedRequest) {
+        let Some(admitted) = self.admitted.remove(&ended.id) else { return };
+        for check in self.checks.iter_mut() {
+            check.on_outcome(now, &admitted.request, ended.outcome);
         }
     }
 
-    /// Has standing connections moved, those that have stood for longest by their numbers first.
-    fn migrate_due(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let mut moves = Vec::new();
-        for admission in self.admissions.all() {
-            moves.clear();
-            admission.due_migrations(now, &mut moves);
-            for &(tenant, count) in &moves {
-                let there =
-                    |h: &AdmittedRequest| h.request.tenant == tenant && h.is_established && !h.is_migrating;
-                let mut ids: Vec<RequestId> =
-                    self.admitted.iter().filter(|(_, h)| there(h)).map(|(id, _)| *id).collect();
-                ids.sort_unstable();
-                ids.truncate(count as usize);
-                if ids.len() < count as usize {
-                    admission.on_migration_unavailable(tenant, count - ids.len() as u32);
+    fn on_migration_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.timer_at = None;
+        self.migrate_due(now, actions);
+        self.schedule_timer(now, actions);
+    }
+
+    /// Migrates connections that checks want away, those with the lowest ids, which are the oldest, first.
+    fn migrate_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let mut due = Vec::new();
+        for check in self.checks.iter_mut() {
+            due.clear();
+            check.due_migrations(now, &mut due);
+            for migrations in &due {
+                let count = migrations.count as usize;
+                let ids = oldest_connections(&self.admitted, migrations.tenant, count);
+                if ids.len() < count {
+                    let missing = migrations.count - ids.len() as u32;
+                    check.on_migration_unavailable(migrations.tenant, missing);
                 }
                 for id in ids {
-                    self.admitted.entry(id).and_modify(|h| h.is_migrating = true);
+                    if let Some(admitted) = self.admitted.get_mut(&id) {
+                        admitted.is_migrating = true;
+                    }
                     self.balancer.on_migrated_elsewhere(id);
-                    out.push(Action::Migrate(id));
+                    actions.push(Action::Migrate(id));
                 }
             }
         }
     }
 
-    /// Sets the timer for what is due next.
-    fn schedule_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(next) = self.admissions.all().filter_map(|a| a.next_deadline()).min() else { return };
-        if self.timer_at.is_none_or(|at| next < at) {
-            self.timer_at = Some(next);
-            out.push(Action::SetTimer { after: seconds_from_micros(next.saturating_sub(now)), token: DUE });
+    /// Sets the timer for the checks' next deadline, unless it fires before that.
+    fn schedule_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let deadlines = self.checks.iter_mut().filter_map(|check| check.next_deadline());
+        let Some(deadline) = deadlines.min() else { return };
+        if self.timer_at.is_none_or(|timer_at| deadline < timer_at) {
+            self.timer_at = Some(deadline);
+            let after = seconds_from_micros(deadline.saturating_sub(now));
+            actions.push(Action::SetTimer { after, token: MIGRATION_TIMER });
         }
     }
 }
+
+/// The established connections of a tenant with the lowest ids that don't migrate yet, at most `count`.
+fn oldest_connections(
+    admitted: &HashMap<RequestId, AdmittedRequest>,
+    tenant: usize,
+    count: usize,
+) -> Vec<RequestId> {
+    let may_migrate = |admitted: &AdmittedRequest| {
+        admitted.request.tenant == tenant && admitted.is_established && !admitted.is_migrating
+    };
+    let mut ids: Vec<RequestId> =
+        admitted.iter().filter(|(_, admitted)| may_migrate(admitted)).map(|(id, _)| *id).collect();
+    ids.sort_unstable();
+    ids.truncate(count);
+    ids
+}
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -1,58 +1,63 @@
-//! Tenants' shares as an admission, by the settings' quotas and the operator's terms.
+//! Tenants' quotas as an admission check, by the settings and the operator's file.
 
 use shorewharf_decisions::interface::{Request, Settings};
 use shorewharf_settings::operator::Operator;
 use shorewharf_tenancy::{QuotaDecision, Tenancy, TenancySettings, TenantIndex, TenantLimits};
 use shorewharf_units::{Micros, micros_from_seconds};
 
-use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome};
+use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome, TenantMigrations};
 
-/// Tenants' shares, and what the operator said of them.
+/// The check of requests against their tenants' quotas.
 #[derive(Clone, Debug)]
 pub struct Tenants {
     tenancy: Tenancy,
 }
 
-/// Each worker is an instance of its own; the other balancers are taken to have as many.
-fn tenancy_settings(set: &Settings, operator: &Operator) -> TenancySettings {
-    let (terms, workers) = (&operator.tenancy, operator.workers.max(1) as f64);
-    let wait = if set.sends_retry_after { micros_from_seconds(set.max_retry_after) } else { 0 };
+/// Each worker is an instance of its own; the other balancers are assumed to have as many.
+fn tenancy_settings(settings: &Settings, operator: &Operator) -> TenancySettings {
+    let (tenancy, workers) = (&operator.tenancy, operator.workers.max(1) as f64);
+    let longest_wait =
+        if settings.sends_retry_after { micros_from_seconds(settings.max_retry_after) } else { 0 };
     TenancySettings {
-        lending_ratio: terms.lend,
-        rations_within_quota: terms.ration,
-        migrations_per_second: terms.moves_per_s / workers,
-        longest_wait: wait,
-        ..TenancySettings::new(set.instance_count * workers)
+        lending_ratio: tenancy.lend,
+        rations_within_quota: tenancy.ration,
+        migrations_per_second: tenancy.moves_per_s / workers,
+        longest_wait,
+        ..TenancySettings::new(settings.instance_count * workers)
     }
 }
 
-/// A tenant's limits by the settings; none where they say nothing that could be kept.
-fn limits(set: &Settings, tenant: usize) -> Option<TenantLimits> {
-    let quota = set.tenant_connection_quotas.get(tenant).copied().filter(|q| *q > 0.0)?;
-    // Without a word on set-ups, all of a share may be set up within a second.
-    let rate = set.tenant_rate_quotas.get(tenant).copied().filter(|r| *r > 0.0).unwrap_or(quota);
-    TenantLimits::new(quota, rate).ok()
+/// A tenant's limits; none without a quota that can be enforced. Without a quota of set-ups, all of its connections may be
+/// set up within a second.
+fn tenant_limits(settings: &Settings, tenant: usize) -> Option<TenantLimits> {
+    let positive = |quotas: &[f64]| quotas.get(tenant).copied().filter(|quota| *quota > 0.0);
+    let connections = positive(&settings.tenant_connection_quotas)?;
+    let setups_per_second = positive(&settings.tenant_rate_quotas).unwrap_or(connections);
+    TenantLimits::new(connections, setups_per_second).ok()
 }
 
 impl Tenants {
-    /// The tenants of these settings; none where shares are not to be kept or the settings know of none.
-    pub fn new(now: Micros, set: &Settings, said: &Operator) -> Option<Tenants> {
-        if !said.tenancy.on || set.tenant_connection_quotas.iter().all(|q| *q <= 0.0) {
+    /// Creates the check; none where the operator does not want it or the settings have no quotas.
+    pub fn new(now: Micros, settings: &Settings, operator: &Operator) -> Option<Tenants> {
+        let has_quotas = !settings.tenant_connection_quotas.iter().all(|quota| *quota <= 0.0);
+        if !operator.tenancy.on || !has_quotas {
             return None;
         }
-        let mut tenants = Tenants { tenancy: Tenancy::new(tenancy_settings(set, said), now) };
-        tenants.take(now, set);
+        let mut tenants = Tenants { tenancy: Tenancy::new(tenancy_settings(settings, operator), now) };
+        tenants.update_limits(now, settings);
         Some(tenants)
     }
 
-    fn take(&mut self, now: Micros, set: &Settings) {
-        // A first line that names no tenant counts as the first one's, so there is always a place for it.
-        for tenant in 0..set.tenant_connection_quotas.len().max(set.tenant_rate_quotas.len()).max(1) {
-            self.tenancy.set_limits(now, TenantIndex(tenant), limits(set, tenant));
+    fn update_limits(&mut self, now: Micros, settings: &Settings) {
+        let (connections, rates) = (&settings.tenant_connection_quotas, &settings.tenant_rate_quotas);
+        // A request that names no tenant counts as the first one's, so there is always one.
+        let tenant_count = connections.len().max(rates.len()).max(1);
+        for tenant in 0..tenant_count {
+            self.tenancy.set_limits(now, TenantIndex(tenant), tenant_limits(settings, tenant));
         }
     }
 
-    /// The shares, for reports and for changes while the program runs.
+    /// The quotas, for reports and for changes at run time.
     pub fn tenancy(&mut self) -> &mut Tenancy {
         &mut self.tenancy
     }
@@ -63,7 +68,7 @@
         match self.tenancy.check(now, TenantIndex(request.tenant), request.is_returning) {
             QuotaDecision::Admit => AdmissionDecision::Admit,
             QuotaDecision::Reject { retry_after, reason } => {
-                AdmissionDecision::Reject { after: retry_after, why: reason.name() }
+                AdmissionDecision::Reject { retry_after, reason: reason.name() }
             }
         }
     }
@@ -76,9 +81,9 @@
         self.tenancy.on_restored(now, TenantIndex(request.tenant));
     }
 
-    fn on_outcome(&mut self, now: Micros, request: &Request, fate: AdmittedOutcome) {
+    fn on_outcome(&mut self, now: Micros, request: &Request, outcome: AdmittedOutcome) {
         let tenant = TenantIndex(request.tenant);
-        match fate {
+        match outcome {
             AdmittedOutcome::Established => self.tenancy.on_established(now, tenant),
             AdmittedOutcome::ConnectionEnded(_) => self.tenancy.on_connection_ended(now, tenant),
             AdmittedOutcome::Rejected => self.tenancy.on_rejected(now, tenant),
@@ -86,8 +91,9 @@
         }
     }
 
-    fn due_migrations(&mut self, now: Micros, moves: &mut Vec<(usize, u32)>) {
-        moves.extend(self.tenancy.due_migrations(now).into_iter().map(|due| (due.tenant.0, due.count)));
+    fn due_migrations(&mut self, now: Micros, due: &mut Vec<TenantMigrations>) {
+        let migrations = self.tenancy.due_migrations(now).into_iter();
+        due.extend(migrations.map(|due| TenantMigrations { tenant: due.tenant.0, count: due.count }));
     }
 
     fn on_migration_unavailable(&mut self, tenant: usize, count: u32) {
@@ -98,8 +104,8 @@
         self.tenancy.next_deadline()
     }
 
-    fn update_settings(&mut self, now: Micros, set: &Settings, said: &Operator) {
-        self.tenancy.update_settings(tenancy_settings(set, said));
-        self.take(now, set);
+    fn update_settings(&mut self, now: Micros, settings: &Settings, operator: &Operator) {
+        self.tenancy.update_settings(tenancy_settings(settings, operator));
+        self.update_limits(now, settings);
     }
 }
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -200,7 +200,8 @@
     let server = fetched(&rig.asked(7));
     rig.happens(NetworkEvent::AttemptEstablished(ID));
     let entries = vec![entry(server.0, ServerState::Draining)];
-    let calls = rig.happens(NetworkEvent::EndpointListReceived { full: false, cached: false, entries });
+    let calls =
+        rig.happens(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries });
     assert_eq!(calls, [Call::Move(ID)]);
     assert_eq!(rig.driver.open_requests(), 0);
     for id in 8..20 {
@@ -227,7 +228,7 @@
     assert_eq!(rig.waits(5_000_000).iter().filter(|c| **c != Call::Watch).count(), 0);
     let entries = vec![entry(1, ServerState::Draining)];
     assert_eq!(
-        rig.happens(NetworkEvent::EndpointListReceived { full: false, cached: false, entries }),
+        rig.happens(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries }),
         [Call::Move(ID)]
     );
 }
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -223,7 +223,7 @@
         (self.at, self.learned) = (now, Vec::new());
         let mut at = ExportCursor::default();
         while at != ExportCursor::End {
-            at = driver.gate().recollect(at, 512, &mut self.learned);
+            at = driver.gate().export_state(at, 512, &mut self.learned);
         }
     }
 
@@ -232,7 +232,7 @@
         if let Brain::Module(driver) = brain {
             let (past, learned) =
                 (seconds_from_micros(now.saturating_sub(self.at)), std::mem::take(&mut self.learned));
-            driver.gate().recall(seconds_from_micros(now), past, true, learned);
+            driver.gate().restore_state(seconds_from_micros(now), past, true, learned);
         }
     }
 }
@@ -255,7 +255,7 @@
             peers.tell(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
                 time,
                 self.id,
-                driver.gate().holds(),
+                driver.gate().holdings(),
             )));
         }
     }
@@ -327,7 +327,7 @@
         let Some((peers, brain)) = &mut self.life else { return };
         told.lines = peers.said();
         if let Brain::Module(driver) = brain {
-            let stats = driver.gate().care().stats();
+            let stats = driver.gate().overload_controller().stats();
             told.level = stats.level.level.name();
             let moves = &stats.rebalance;
             told.gauges = vec![
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -109,7 +109,9 @@
 
     fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
         match happening {
-            NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
+            NetworkEvent::EndpointListReceived { is_complete, entries, .. } => {
+                self.listed(is_complete, &entries)
+            }
             NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
             NetworkEvent::TimerFired(RELIEVE) => self.relieve(peers),
             NetworkEvent::TimerFired(LOOK) => self.look(peers),
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -193,7 +193,11 @@
             ToBalancer::NodeEnded(link, end) => self.node_ended(*link, *end),
             ToBalancer::List { full, entries } => {
                 let entries = self.listed(*full, entries);
-                self.tell(NetworkEvent::EndpointListReceived { full: *full, cached: false, entries });
+                self.tell(NetworkEvent::EndpointListReceived {
+                    is_complete: *full,
+                    is_cached: false,
+                    entries,
+                });
             }
             ToBalancer::ListFailed => {
                 self.watching = false;
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -93,7 +93,9 @@
 
     fn happened(&mut self, happening: NetworkEvent, peers: &mut Emulated) {
         match happening {
-            NetworkEvent::EndpointListReceived { full, entries, .. } => self.listed(full, &entries),
+            NetworkEvent::EndpointListReceived { is_complete, entries, .. } => {
+                self.listed(is_complete, &entries)
+            }
             NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
             NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
