--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -59,9 +59,9 @@
     }
     std::thread::sleep(SETTLE);
     recorder.end();
-    let machine_late = lateness.join().unwrap_or_default();
+    recorder.ledger().machine_late = lateness.join().unwrap_or_default();
     let process_faults = std::mem::take(&mut *process_faults.lock().expect("no panic"));
-    Ok(evaluate(plan, &recorder, &fleet, machine_late, process_faults))
+    Ok(evaluate(plan, &recorder, &fleet, process_faults))
 }
 
 fn endpoint(number: usize, server: &Server) -> Endpoint {
@@ -99,13 +99,7 @@
 }
 
 /// Ends all processes and evaluates what was observed.
-fn evaluate(
-    plan: &Plan,
-    recorder: &Recorder,
-    fleet: &Fleet,
-    machine_late: Duration,
-    mut faults: Vec<String>,
-) -> Verdict {
+fn evaluate(plan: &Plan, recorder: &Recorder, fleet: &Fleet, mut faults: Vec<String>) -> Verdict {
     faults.extend(fleet.unexpected_exits());
     fleet.stop();
     let log = fleet.log();
@@ -113,7 +107,6 @@
     let logged = log.iter().filter(|line| is_fault(&line.text));
     faults.extend(logged.map(|line| format!("n{}: {}", line.balancer, line.text)));
     let mut ledger = recorder.ledger();
-    ledger.machine_late = machine_late;
     // A line that a server read before its client broke off sending has no request.
     ledger.requests.retain(|_, request| request.sent_at > Duration::ZERO);
     let mut answers = BTreeMap::new();
@@ -126,7 +119,7 @@
         violations: ledger.violations(&plan.classes),
         faults,
         latest_answer: ledger.latest_answer(&plan.classes),
-        machine_late,
+        machine_late: ledger.machine_late,
         log,
     }
 }
--- a/crates/store/examples/measure.rs
+++ b/crates/store/examples/measure.rs
@@ -1,10 +1,10 @@
-//! Measures the store: changes a second, reads a second, opening and memory with many tenants, beside a plain JSON
-//! file that is rewritten and synced for each change.
+//! Measures the store with many tenants: changes and reads a second, opening and memory, compared with a plain JSON file that
+//! is rewritten and synced for each change.
 //!
 //! `cargo run --release -p shorewharf-store --example measure -- --tenants 10000 --dir FOLDER`
 //!
-//! The folder decides which disk is measured. The replicated engine is measured against the stand-in in memory:
-//! that shows what this side costs, not what a cluster does.
+//! The folder decides which disk is measured. The replicated engine is measured against a stub in memory, which shows the
+//! cost of the client, not of a cluster.
 
 use clap::Parser;
 use comfy_table::Table;
@@ -39,10 +39,10 @@
     /// For how many seconds each rate is measured.
     #[arg(long, default_value_t = 2.0)]
     seconds: f64,
-    /// Opens a file, tells how long that took and how much memory, and does nothing else.
+    /// Only opens a file, and prints how long that took and how much memory it uses.
     #[arg(long, hide = true)]
     open: Option<PathBuf>,
-    /// Where the files are made; a folder of the system's for such files unless told otherwise.
+    /// Where the files are created; the system's temporary folder by default.
     #[arg(long)]
     dir: Option<PathBuf>,
 }
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// How often a second something is done, `each` at a time.
+/// How often a second `work` is done, which does `each` at a time.
 fn rate(seconds: f64, each: u32, mut work: impl FnMut(u32)) -> f64 {
     let begun = Instant::now();
     let mut done = 0;
@@ -98,11 +98,11 @@
     kib.unwrap_or(f64::NAN) / 1024.0
 }
 
-fn made(store: &mut dyn Store, requests: &[ChangeRequest]) {
+fn execute_all(store: &mut dyn Store, requests: &[ChangeRequest]) {
     assert!(execute(store, requests, NOW).iter().all(Result::is_ok), "a change was refused");
 }
 
-/// The baseline: all tenants in one JSON file, written anew, synced and renamed for each change.
+/// The baseline: all tenants in one JSON file, which is rewritten, synced and renamed for each change.
 fn baseline(dir: &Path, tenants: u32, seconds: f64) -> Result<f64, Box<dyn Error>> {
     let mut all: BTreeMap<String, NewTenant> =
         (0..tenants).map(|i| (tenant(i).canonical(), NewTenant::named(tenant(i)))).collect();
@@ -121,8 +121,8 @@
     }))
 }
 
-/// Opens a store and reads what an instance knows; prints milliseconds and MiB of both.
-fn look(path: &Path) -> Result<(), StoreError> {
+/// Opens a store and fills a directory from it; prints milliseconds and MiB of both.
+fn measure_opening(path: &Path) -> Result<(), StoreError> {
     let before = resident();
     let (store, opening) = timed(|| Embedded::open(path, Create::Never, NOW));
     let mut cached = CachedStore::new(Box::new(store?), None);
@@ -137,7 +137,7 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let Arguments { tenants, seconds, dir, open } = Arguments::parse();
     if let Some(path) = open {
-        return Ok(look(&path)?);
+        return Ok(measure_opening(&path)?);
     }
     let dir = match dir {
         Some(dir) => tempfile::tempdir_in(dir)?,
@@ -152,13 +152,13 @@
     };
 
     let mut store = Embedded::open(&path, Create::IfMissing, NOW)?;
-    let (filled, took) = timed(|| fill(&mut store, tenants));
+    let (filled, elapsed) = timed(|| fill(&mut store, tenants));
     filled?;
-    row(&format!("one file: making {tenants} tenants"), took, "ms");
+    row(&format!("one file: making {tenants} tenants"), elapsed, "ms");
     row("one file: its size", fs::metadata(&path)?.len() as f64 / 1048576.0, "MiB");
-    let single = rate(seconds, 1, |i| made(&mut store, &changes(i, 1, tenants)));
+    let single = rate(seconds, 1, |i| execute_all(&mut store, &changes(i, 1, tenants)));
     row("one file: changes, one at a time, each synced", single, "a second");
-    let grouped = rate(seconds, 64, |i| made(&mut store, &changes(i, 64, tenants)));
+    let grouped = rate(seconds, 64, |i| execute_all(&mut store, &changes(i, 64, tenants)));
     row("one file: changes, 64 waiting, written together", grouped, "a second");
     let reads = rate(seconds, 1, |i| {
         look_up(&mut store, &Lookup::Tenant(tenant(i * 7919 % tenants)), NOW).expect("a tenant");
@@ -180,22 +180,22 @@
     for (minute, note) in [(1, "the first"), (2, "the next")] {
         let report = UsageReport::new(InstanceName::new("n1")?, minute, usage_by_id.clone())?;
         let request = ChangeRequest::new(Actor::Service, Command::RecordUsage(report));
-        let ((), took) = timed(|| made(&mut store, &[request]));
-        row(&format!("one file: counting a minute of all tenants, {note}"), took, "ms");
+        let ((), elapsed) = timed(|| execute_all(&mut store, &[request]));
+        row(&format!("one file: counting a minute of all tenants, {note}"), elapsed, "ms");
     }
-    let (kept, took) = timed(|| backup(&mut store, &dir.path().join("backup"), NOW));
+    let (kept, elapsed) = timed(|| backup(&mut store, &dir.path().join("backup"), NOW));
     kept?;
-    row("one file: backup", took, "ms");
-    let (kept, took) = timed(|| export(&mut store, &mut std::io::sink(), NOW));
+    row("one file: backup", elapsed, "ms");
+    let (kept, elapsed) = timed(|| export(&mut store, &mut std::io::sink(), NOW));
     kept?;
-    row("one file: export", took, "ms");
-    let (faults, took) = timed(|| check(&mut store, NOW));
+    row("one file: export", elapsed, "ms");
+    let (faults, elapsed) = timed(|| check(&mut store, NOW));
     assert!(faults?.is_empty(), "the check found faults");
-    row("one file: check of everything", took, "ms");
+    row("one file: check of everything", elapsed, "ms");
     row("one file: its size after all that", fs::metadata(&path)?.len() as f64 / 1048576.0, "MiB");
     drop(store);
 
-    // In a process of its own, whose memory nothing else has used before.
+    // In a process of its own, whose memory has not been used before.
     let child = process::Command::new(std::env::current_exe()?).arg("--open").arg(&path).output()?;
     let told = String::from_utf8(child.stdout)?;
     let figures: Vec<f64> = told.split_whitespace().map(str::parse).collect::<Result<_, _>>()?;
@@ -216,9 +216,9 @@
     let mut store = Replicated::new(&Options::new(vec![member.endpoint()], "measured", "n1", 1))?;
     fill(&mut store, tenants.min(1000))?;
     let few = tenants.min(1000);
-    let single = rate(seconds, 1, |i| made(&mut store, &changes(i, 1, few)));
+    let single = rate(seconds, 1, |i| execute_all(&mut store, &changes(i, 1, few)));
     row("replicated, stand-in: changes, one at a time", single, "a second");
-    let grouped = rate(seconds, 64, |i| made(&mut store, &changes(i, 64, few)));
+    let grouped = rate(seconds, 64, |i| execute_all(&mut store, &changes(i, 64, few)));
     row("replicated, stand-in: changes, 64 waiting", grouped, "a second");
     println!("{table}");
     Ok(())
--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -84,8 +84,8 @@
         return Err(StoreError::corrupt(location, cause));
     }
     let after = json!({ "revision": revision });
-    let source = ReplacementSource { action: AuditAction::Restore, target: location, after };
-    replace_all_records(store, records, source, actor, now)
+    let source = ReplacementSource { actor, action: AuditAction::Restore, target: location, after };
+    replace_all_records(store, records, source, now)
 }
 
 fn read_backup(from: &Path, now: Micros) -> Result<(Records, Revision), StoreError> {
@@ -104,8 +104,9 @@
     }
 }
 
-/// Where the records of a replacement come from, as the audit trail says it.
-pub(crate) struct ReplacementSource {
+/// Who replaces all records, and where the new ones come from.
+pub(crate) struct ReplacementSource<'a> {
+    pub(crate) actor: &'a Actor,
     pub(crate) action: AuditAction,
     pub(crate) target: String,
     pub(crate) after: Value,
@@ -115,8 +116,7 @@
 pub(crate) fn replace_all_records(
     store: &mut dyn Store,
     mut records: Records,
-    source: ReplacementSource,
-    actor: &Actor,
+    source: ReplacementSource<'_>,
     now: Micros,
 ) -> Result<CopySummary, StoreError> {
     for name in [NEXT_TENANT_ID, NEXT_CLASS_ID] {
@@ -130,7 +130,7 @@
     let entry = AuditEntry {
         number,
         at: now,
-        actor: actor.clone(),
+        actor: source.actor.clone(),
         action: source.action,
         target: source.target,
         before: None,
--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -36,7 +36,11 @@
 type Results = Vec<Result<Completed, StoreError>>;
 
 /// Makes changes in their order, and returns the result of each.
-pub fn execute(store: &mut dyn Store, requests: &[ChangeRequest], now: Micros) -> Results {
+pub fn execute(
+    store: &mut dyn Store,
+    requests: &[ChangeRequest],
+    now: Micros,
+) -> Vec<Result<Completed, StoreError>> {
     let mut results = Vec::with_capacity(requests.len());
     while results.len() < requests.len() {
         let remaining = &requests[results.len()..];
@@ -165,7 +169,7 @@
     match &request.command {
         Command::CreateTenant(new) => tenants::create(transaction, actor, new),
         Command::ChangeTenant { name, expected, change } => {
-            tenants::change(transaction, actor, name, *expected, change)
+            tenants::change(transaction, actor, &tenants::Change { name, expected: *expected, change })
         }
         Command::RemoveTenant { name, expected } => tenants::remove(transaction, actor, name, *expected),
         Command::PutClass { class, expected } => classes::put(transaction, actor, class, *expected),
--- a/crates/store/src/commands/tenants.rs
+++ b/crates/store/src/commands/tenants.rs
@@ -124,18 +124,15 @@
     Ok(Reply::Tenant(Versioned { version: PENDING_REVISION, record }))
 }
 
-pub(super) fn change(
+/// The tenant after a change.
+fn apply_change(
     transaction: &mut Transaction<'_>,
-    actor: &Actor,
-    name: &TenantName,
-    expected: Option<Revision>,
+    before: &TenantRecord,
     change: &TenantChange,
-) -> Result<Reply, StoreError> {
-    let key = tenant_key(name);
-    let (_, before): (_, TenantRecord) = transaction.require(&key, expected)?;
+) -> Result<TenantRecord, StoreError> {
     let mut record = before.clone();
     if let Some(name) = &change.name {
-        if name.canonical() != key.name {
+        if name.canonical() != before.name.canonical() {
             let cause = format!("{:?} is another name, not another spelling", name.as_str());
             return Err(InvalidValue::new("name", cause).into());
         }
@@ -150,6 +147,25 @@
     record.state = change.state.unwrap_or(record.state);
     record.origin = change.origin.unwrap_or(record.origin);
     record.changed = transaction.now;
+    Ok(record)
+}
+
+/// A change of a tenant.
+pub(super) struct Change<'a> {
+    pub(super) name: &'a TenantName,
+    /// The version that the tenant must have.
+    pub(super) expected: Option<Revision>,
+    pub(super) change: &'a TenantChange,
+}
+
+pub(super) fn change(
+    transaction: &mut Transaction<'_>,
+    actor: &Actor,
+    request: &Change<'_>,
+) -> Result<Reply, StoreError> {
+    let key = tenant_key(request.name);
+    let (_, before): (_, TenantRecord) = transaction.require(&key, request.expected)?;
+    let record = apply_change(transaction, &before, request.change)?;
     transaction.put(&key, &record)?;
     if record.name != before.name {
         let key = id_assignment_key(record.id);
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -178,8 +178,8 @@
 ) -> Result<CopySummary, ImportError> {
     let (records, revision) = reader::read(document)?;
     let after = json!({ "revision": revision });
-    let source = ReplacementSource { action: AuditAction::Import, target: "export".into(), after };
-    Ok(replace_all_records(store, records, source, actor, now)?)
+    let source = ReplacementSource { actor, action: AuditAction::Import, target: "export".into(), after };
+    Ok(replace_all_records(store, records, source, now)?)
 }
 
 /// Checks a document without importing it, and returns the number of its records.
--- a/crates/store/tests/rig/story.rs
+++ b/crates/store/tests/common/conformance.rs
@@ -1,4 +1,4 @@
-//! The story that every engine is told: what callers are promised.
+//! Conformance tests that every engine must pass.
 
 use super::{NOW, create, execute_one, name, report};
 use shorewharf_store::check::check;
@@ -17,20 +17,20 @@
     look_up(store, &lookup, NOW).unwrap()
 }
 
-fn two_people_change_one_tenant_and_the_second_is_told(store: &mut dyn Store) {
-    let made = create(store, "grad-uprava").unwrap();
+fn a_change_of_an_outdated_version_is_a_conflict(store: &mut dyn Store) {
+    let created = create(store, "grad-uprava").unwrap();
     let weight = |w: u32| TenantChange { weight: Some(w.try_into().unwrap()), ..TenantChange::default() };
     let change = |w, expected| Command::ChangeTenant {
         name: name("GRAD-uprava"),
         expected: Some(expected),
         change: weight(w),
     };
-    // Both have read the same version, and both calls wait when the store's thread looks.
-    let both =
-        [change(200, made.version), change(300, made.version)].map(|c| ChangeRequest::new(Actor::File, c));
+    // Both have read the same version, and both requests are in one group.
+    let both = [change(200, created.version), change(300, created.version)]
+        .map(|c| ChangeRequest::new(Actor::File, c));
     let done = execute(store, &both, NOW + 1);
     let Ok(Reply::Tenant(first)) = done[0].as_ref().map(|d| &d.reply) else { panic!("{done:?}") };
-    assert!(first.version > made.version && first.record.weight.get() == 200);
+    assert!(first.version > created.version && first.record.weight.get() == 200);
     assert!(
         matches!(&done[1], Err(StoreError::Conflict { key, .. }) if key == "tenant/grad-uprava"),
         "{done:?}"
@@ -40,7 +40,7 @@
     assert_eq!(found(store, Lookup::Tenant(name("grad-uprava"))), LookupResult::Tenant(third));
 }
 
-fn a_tenant_made_anew_under_its_name_gets_another_place(store: &mut dyn Store) {
+fn a_tenant_created_again_under_its_name_gets_another_id(store: &mut dyn Store) {
     let before = create(store, "bolnica-sjever").unwrap();
     let remove = || Command::RemoveTenant { name: name("bolnica-sjever"), expected: None };
     let anew = [remove(), Command::CreateTenant(NewTenant::named(name("Bolnica-Sjever")))];
@@ -55,7 +55,7 @@
     assert!(matches!(create(store, "BOLNICA-SJEVER"), Err(StoreError::AlreadyExists { .. })));
 }
 
-fn names_that_look_alike_in_two_scripts_are_refused_until_the_first_is_gone(store: &mut dyn Store) {
+fn confusable_names_are_rejected_until_the_first_is_removed(store: &mut dyn Store) {
     create(store, "pay").unwrap();
     assert!(
         matches!(create(store, "рау"), Err(StoreError::ConfusableName { existing, .. }) if existing == "pay")
@@ -64,12 +64,12 @@
     create(store, "рау").unwrap();
     assert!(matches!(create(store, "PAY"), Err(StoreError::ConfusableName { .. })));
     for long in ["x".repeat(4096), "長".repeat(1365), "я".into()] {
-        let kept = create(store, &long).unwrap();
-        assert_eq!(found(store, Lookup::Tenant(name(&long))), LookupResult::Tenant(kept));
+        let stored = create(store, &long).unwrap();
+        assert_eq!(found(store, Lookup::Tenant(name(&long))), LookupResult::Tenant(stored));
     }
 }
 
-fn a_repeated_call_gets_its_answer_again_and_changes_nothing(store: &mut dyn Store) {
+fn a_request_with_a_used_idempotency_key_gets_its_reply_replayed(store: &mut dyn Store) {
     let call = |tenant: &str| Command::CreateTenant(NewTenant::named(name(tenant)));
     let once = |body: &[u8]| Some(IdempotencyKey::new("token-1", "key-1", body, NOW + 1000).unwrap());
     let ask = |c, body| ChangeRequest { actor: Actor::File, command: c, idempotency_key: once(body) };
@@ -83,7 +83,7 @@
     assert!(matches!(late, Err(StoreError::AlreadyExists { .. })), "{late:?}");
 }
 
-fn classes_and_limits_hold_for_tenants_made_later(store: &mut dyn Store) {
+fn classes_and_limits_hold_for_tenants_created_later(store: &mut dyn Store) {
     let class = ClassName::new("ticket-stream").unwrap();
     let record = |priority_weight| {
         let objectives = ClassObjectives { setup_ms: 800.0, message_ms: 50.0, priority_weight };
@@ -120,7 +120,7 @@
     execute_one(store, Command::RemoveClass { name: class, expected: None }, NOW).unwrap();
 }
 
-fn a_token_is_kept_as_a_hash_and_ends_when_it_is_revoked(store: &mut dyn Store) {
+fn a_token_is_stored_as_a_hash_and_ends_when_it_is_revoked(store: &mut dyn Store) {
     let new = NewToken { role: Role::Viewer, label: "night shift".into(), expires: Some(NOW + 100) };
     let Reply::Token { token, text: Some(text) } =
         execute_one(store, Command::CreateToken { new, seed: TokenSeed([7; 40]) }, NOW).unwrap().reply
@@ -148,9 +148,9 @@
     assert_eq!(refused.to_string(), "place: no tenant stands at place 9999");
 }
 
-fn usage_is_counted_once_whatever_comes_again(store: &mut dyn Store) {
+fn usage_is_recorded_once_however_often_it_is_reported(store: &mut dyn Store) {
     let day = 20_000 * 24 * 60;
-    // A chunk's border lies between 63 and 64, and 6,000 places are more chunks than one batch takes.
+    // Ids 63 and 64 are in two chunks, and 6,000 ids are more chunks than fit into one batch.
     let many: Vec<(u32, u64)> = (0..6000).step_by(3).map(|p| (p, u64::from(p) + 1)).collect();
     for (instance, minute) in [("a@1", day + 59), ("a@1", day + 60), ("b@1", day + 59)] {
         assert_eq!(
@@ -180,7 +180,7 @@
     assert_eq!(rows(63, Granularity::Hour), [(0, 128, 64), (60, 64, 32)]);
     assert_eq!(rows(5997, Granularity::Day), [(0, 3 * 5998, 3 * 2999)]);
     assert_eq!(rows(64, Granularity::Day), []);
-    // Long after, the minutes are tidied away; what comes again even then is seen.
+    // Long after, usage by minute has expired; a repeated report is still recognised.
     let later = (day + 5 * 24 * 60) * minute;
     for place in 0..130 {
         create(store, &format!("filler-{place}")).unwrap();
@@ -192,7 +192,7 @@
     assert_eq!(again, Reply::UsageRecorded { new: false });
 }
 
-fn every_change_is_in_the_trail_with_what_was_before(store: &mut dyn Store) {
+fn every_change_has_its_audit_entry(store: &mut dyn Store) {
     let mut entries = Vec::new();
     let mut before = None;
     loop {
@@ -213,14 +213,14 @@
     assert!(entries.iter().all(|e| !e.after.as_ref().is_some_and(|a| a.to_string().contains("hash"))));
 }
 
-pub fn story(store: &mut dyn Store) {
-    two_people_change_one_tenant_and_the_second_is_told(store);
-    a_tenant_made_anew_under_its_name_gets_another_place(store);
-    names_that_look_alike_in_two_scripts_are_refused_until_the_first_is_gone(store);
-    a_repeated_call_gets_its_answer_again_and_changes_nothing(store);
-    a_token_is_kept_as_a_hash_and_ends_when_it_is_revoked(store);
-    usage_is_counted_once_whatever_comes_again(store);
-    classes_and_limits_hold_for_tenants_made_later(store);
-    every_change_is_in_the_trail_with_what_was_before(store);
+pub fn run_conformance(store: &mut dyn Store) {
+    a_change_of_an_outdated_version_is_a_conflict(store);
+    a_tenant_created_again_under_its_name_gets_another_id(store);
+    confusable_names_are_rejected_until_the_first_is_removed(store);
+    a_request_with_a_used_idempotency_key_gets_its_reply_replayed(store);
+    a_token_is_stored_as_a_hash_and_ends_when_it_is_revoked(store);
+    usage_is_recorded_once_however_often_it_is_reported(store);
+    classes_and_limits_hold_for_tenants_created_later(store);
+    every_change_has_its_audit_entry(store);
     assert_eq!(check(store, NOW).unwrap(), []);
 }
--- a/crates/store/tests/rig/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of the store share.
+//! Helpers that the tests of the store share.
 #![allow(dead_code, reason = "each test program uses its part")]
 
+pub mod conformance;
 pub mod recorder;
-pub mod story;
 
 use shorewharf_store::commands::{ChangeRequest, Command, Completed, Reply, execute};
 use shorewharf_store::error::StoreError;
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,13 +1,13 @@
-//! Full disks and damaged files: each is refused by name, nothing is half read, and nothing panics out of the
-//! crate. Seeds are pinned; `STORE_DAMAGES` says how many places are damaged (60 unless told otherwise).
+//! Full disks and damaged files: each is an error that names the file, nothing is read in part, and no panic leaves the
+//! crate. Seeds are pinned; `STORE_DAMAGES` sets how many files are damaged (60 by default).
 
-mod rig;
+mod common;
 
+use common::{NOW, create, execute_one, name, report};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use rig::{NOW, create, execute_one, name, report};
 use shorewharf_store::backup::{backup, restore, restore_anew};
 use shorewharf_store::check::check;
 use shorewharf_store::commands::Command;
@@ -34,13 +34,13 @@
     Ok(all)
 }
 
-fn weigh(store: &mut dyn Store, tenant: &str, weight: u32) -> Result<(), StoreError> {
+fn set_weight(store: &mut dyn Store, tenant: &str, weight: u32) -> Result<(), StoreError> {
     let change = TenantChange { weight: Some(weight.try_into().unwrap()), ..TenantChange::default() };
     execute_one(store, Command::ChangeTenant { name: name(tenant), expected: None, change }, NOW).map(drop)
 }
 
-/// A store with enough in it for trees of some depth.
-fn filled(path: &Path) -> Records {
+/// Creates a store with enough records for trees of some depth.
+fn create_filled(path: &Path) -> Records {
     let mut store = Embedded::open(path, Create::IfMissing, NOW).unwrap();
     for i in 0..150 {
         create(&mut store, &format!("tenant-{i}")).unwrap();
@@ -53,7 +53,7 @@
 fn a_file_damaged_anywhere_is_refused_by_name_or_reads_as_it_was_written() {
     let dir = tempfile::tempdir().unwrap();
     let (whole, path) = (dir.path().join("whole"), dir.path().join("store"));
-    let written = filled(&whole);
+    let written = create_filled(&whole);
     let bytes = std::fs::read(&whole).unwrap();
     let head = std::fs::read(dir.path().join("whole.head")).unwrap();
     let damages = std::env::var("STORE_DAMAGES").ok().and_then(|v| v.parse().ok()).unwrap_or(60);
@@ -61,7 +61,7 @@
     for seed in 0..damages {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut bad = bytes.clone();
-        // Every third time within the part of the file that says where all else is.
+        // Every third file is damaged in its header.
         let within = if seed % 3 == 0 { 4096 } else { bad.len() };
         match rng.random_range(0..4) {
             0 => bad[rng.random_range(0..within)] ^= 1 << rng.random_range(0..8),
@@ -102,17 +102,17 @@
 fn damage_under_a_running_store_is_never_read_as_something_else() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("store");
-    let written = filled(&path);
+    let written = create_filled(&path);
     let bytes = std::fs::read(&path).unwrap();
     for seed in 0..20 {
-        let memory = Arc::new(Shared::default());
-        memory.0.set_len(bytes.len() as u64).unwrap();
-        memory.0.write(0, &bytes).unwrap();
+        let memory = Arc::new(LimitedMemory::default());
+        memory.memory.set_len(bytes.len() as u64).unwrap();
+        memory.memory.write(0, &bytes).unwrap();
         let mut store = Embedded::open_with(memory.clone().backend(), NOW).unwrap();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let place = rng.random_range(4096..bytes.len() - 512) as u64;
-        memory.0.write(place, &[0xa5; 512]).unwrap();
-        // What is in the engine's cache may be served as it was; what comes from the storage is checked.
+        let offset = rng.random_range(4096..bytes.len() - 512) as u64;
+        memory.memory.write(offset, &[0xa5; 512]).unwrap();
+        // What is in the engine's cache may still be read; what comes from the storage is verified.
         for key in written.keys().step_by(3) {
             let (space, name) = key.split_once('/').unwrap();
             let key = shorewharf_store::key::Key::new(Collection::parse(space).unwrap(), name);
@@ -147,47 +147,52 @@
     std::fs::remove_file(&path).unwrap();
     let refused = Embedded::open(&path, Create::IfMissing, NOW).map(drop).unwrap_err().to_string();
     assert!(refused.ends_with("the file is gone, though revision 2 was acknowledged"), "{refused}");
-    // Restored on purpose: places that the lost store gave after the backup are not given again.
+    // Restored on purpose: ids that the lost store assigned after the backup are not assigned again.
     let actor = Actor::console("operator").unwrap();
     let taken = restore_anew(&path, &old, &actor, NOW).unwrap();
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert!(taken.revision > late.version);
     assert!(create(&mut store, "next").unwrap().record.id > late.record.id);
     assert_eq!(check(&mut store, NOW).unwrap(), []);
-    // A store that still stands knows what it gave.
+    // A store that was not lost knows which ids it assigned.
     restore(&mut store, &old, &actor, NOW).unwrap();
     let next = create(&mut store, "late").unwrap();
     assert_eq!(next.record.id.0, 65_536 + 2, "the backup's one, those left out, and \"next\"");
 }
 
-/// Storage with so much room, and a number of writes after which everything fails.
+/// Storage of limited size, on which everything fails after a number of writes.
 #[derive(Debug, Default)]
-struct Shared(InMemoryBackend, AtomicU64, AtomicU64, AtomicBool);
+struct LimitedMemory {
+    memory: InMemoryBackend,
+    max_bytes: AtomicU64,
+    writes_left: AtomicU64,
+    is_limited: AtomicBool,
+}
 
-impl Shared {
-    /// `room` in bytes; `writes` before the storage is full altogether.
-    fn limited(room: u64, writes: u64) -> Arc<Shared> {
-        let shared = Shared::default();
-        shared.1.store(room, SeqCst);
-        shared.2.store(writes, SeqCst);
-        shared.3.store(true, SeqCst);
-        Arc::new(shared)
+impl LimitedMemory {
+    fn limited(max_bytes: u64, writes: u64) -> Arc<LimitedMemory> {
+        Arc::new(LimitedMemory {
+            memory: InMemoryBackend::default(),
+            max_bytes: AtomicU64::new(max_bytes),
+            writes_left: AtomicU64::new(writes),
+            is_limited: AtomicBool::new(true),
+        })
     }
 
-    fn backend(self: Arc<Shared>) -> StorageFactory {
+    fn backend(self: Arc<LimitedMemory>) -> StorageFactory {
         Box::new(move || Ok(Box::new(Storage(self.clone()))))
     }
 }
 
 #[derive(Debug)]
-struct Storage(Arc<Shared>);
+struct Storage(Arc<LimitedMemory>);
 
 impl Storage {
-    fn room(&self, end: u64) -> io::Result<()> {
-        let Shared(_, room, writes, limited) = &*self.0;
-        let left = writes.load(SeqCst);
-        if !limited.load(SeqCst) || (end <= room.load(SeqCst) && left > 0) {
-            writes.store(left.saturating_sub(1), SeqCst);
+    fn check_space(&self, end: u64) -> io::Result<()> {
+        let LimitedMemory { max_bytes, writes_left, is_limited, .. } = &*self.0;
+        let left = writes_left.load(SeqCst);
+        if !is_limited.load(SeqCst) || (end <= max_bytes.load(SeqCst) && left > 0) {
+            writes_left.store(left.saturating_sub(1), SeqCst);
             return Ok(());
         }
         Err(io::ErrorKind::StorageFull.into())
@@ -196,48 +201,48 @@
 
 impl StorageBackend for Storage {
     fn len(&self) -> io::Result<u64> {
-        self.0.0.len()
+        self.0.memory.len()
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.0.0.read(offset, out)
+        self.0.memory.read(offset, out)
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.room(len)?;
-        self.0.0.set_len(len)
+        self.check_space(len)?;
+        self.0.memory.set_len(len)
     }
     fn sync_data(&self) -> io::Result<()> {
-        self.room(0)
+        self.check_space(0)
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.room(offset + data.len() as u64)?;
-        self.0.0.write(offset, data)
+        self.check_space(offset + data.len() as u64)?;
+        self.0.memory.write(offset, data)
     }
 }
 
 #[test]
 fn a_disk_that_fills_at_any_moment_refuses_changes_and_keeps_what_it_acknowledged() {
-    let (mut full, mut unsure) = (0, 0);
+    let (mut full, mut unknown) = (0, 0);
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let shared = Shared::limited(u64::MAX, u64::MAX);
-        let mut store = Embedded::open_with(shared.clone().backend(), NOW).unwrap();
+        let limited = LimitedMemory::limited(u64::MAX, u64::MAX);
+        let mut store = Embedded::open_with(limited.clone().backend(), NOW).unwrap();
         create(&mut store, "grad").unwrap();
-        shared.2.store(rng.random_range(0..400), SeqCst);
-        let (mut kept, mut weight) = (100, 100);
+        limited.writes_left.store(rng.random_range(0..400), SeqCst);
+        let (mut stored, mut weight) = (100, 100);
         let mut failed = false;
         for _ in 0..60 {
             weight += 1;
-            match weigh(&mut store, "grad", weight) {
+            match set_weight(&mut store, "grad", weight) {
                 Ok(()) => {
                     assert!(!failed, "seed {seed}: a full disk took a change");
-                    kept = weight;
+                    stored = weight;
                 }
                 Err(e) => {
                     assert!(e.is_transient(), "seed {seed}: {e}");
                     assert!(e.to_string().starts_with("storage: "), "seed {seed}: {e}");
                     match e {
                         StoreError::NoSpace { .. } => full += 1,
-                        StoreError::OutcomeUnknown { .. } => unsure += 1,
+                        StoreError::OutcomeUnknown { .. } => unknown += 1,
                         StoreError::Io { .. } => {}
                         other => panic!("seed {seed}: {other}"),
                     }
@@ -245,39 +250,39 @@
                 }
             }
         }
-        // There is room again: what was acknowledged is there, or the one change that nobody knew of.
-        shared.3.store(false, SeqCst);
+        // With space again, the acknowledged change is there, or the one whose outcome was unknown.
+        limited.is_limited.store(false, SeqCst);
         let all = records(&mut store).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         let found =
             serde_json::from_slice::<serde_json::Value>(&all["tenant/grad"].1).unwrap()["weight"].clone();
-        assert!(found == kept || failed && found == kept + 1, "seed {seed}: {found} for {kept}");
+        assert!(found == stored || failed && found == stored + 1, "seed {seed}: {found} for {stored}");
         assert_eq!(check(&mut store, NOW).unwrap(), [], "seed {seed}");
-        weigh(&mut store, "grad", 77).unwrap();
+        set_weight(&mut store, "grad", 77).unwrap();
         drop(store);
-        let mut again = Embedded::open_with(shared.backend(), NOW).unwrap();
+        let mut again = Embedded::open_with(limited.backend(), NOW).unwrap();
         assert!(
             String::from_utf8_lossy(&records(&mut again).unwrap()["tenant/grad"].1).contains("\"weight\":77")
         );
     }
-    println!("{full} changes refused for want of space, {unsure} of which it was not known");
+    println!("{full} changes refused for want of space, {unknown} of which it was not known");
     assert!(full > 0);
 }
 
-/// Grows the store until the system refuses; tells how far it came.
+/// Grows the store until the system refuses, and prints how many tenants it created.
 #[test]
 #[ignore = "the child that runs under a limit of the system"]
 fn child() {
     let Ok(path) = std::env::var("STORE_CHILD") else { return };
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
-    let mut made = 0;
+    let mut created = 0;
     let e = loop {
-        match create(&mut store, &format!("{made}-{}", "x".repeat(3000))) {
-            Ok(_) => made += 1,
+        match create(&mut store, &format!("{created}-{}", "x".repeat(3000))) {
+            Ok(_) => created += 1,
             Err(e) => break e,
         }
     };
-    println!("\nmade {made}\nerror {e}");
-    assert_eq!(records(&mut store).unwrap().keys().filter(|k| k.starts_with("tenant/")).count(), made);
+    println!("\nmade {created}\nerror {e}");
+    assert_eq!(records(&mut store).unwrap().keys().filter(|k| k.starts_with("tenant/")).count(), created);
 }
 
 #[test]
@@ -296,8 +301,8 @@
         |word: &str| text.lines().find_map(|l| l.strip_prefix(word)).unwrap_or_else(|| panic!("{text}"));
     assert!(line("error ").starts_with(&format!("{}: ", path.display())), "{text}");
     assert!(line("error ").contains("File too large"), "{text}");
-    let made: usize = line("made ").parse().unwrap();
+    let created: usize = line("made ").parse().unwrap();
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
-    let kept = records(&mut store).unwrap().keys().filter(|k| k.starts_with("tenant/")).count();
-    assert!(made > 0 && kept == made, "{kept} of {made}");
+    let stored = records(&mut store).unwrap().keys().filter(|k| k.starts_with("tenant/")).count();
+    assert!(created > 0 && stored == created, "{stored} of {created}");
 }
--- a/crates/store/tests/exchange.rs
+++ b/crates/store/tests/exchange.rs
@@ -1,9 +1,9 @@
-//! Backups of a running store, and documents that are exported and imported.
+//! Backups of a running store, and export and import of documents.
 
-mod rig;
+mod common;
 
-use rig::story::story;
-use rig::{NOW, execute_one, name};
+use common::conformance::run_conformance;
+use common::{NOW, execute_one, name};
 use serde_json::{Value, json};
 use shorewharf_store::backup::{backup, restore};
 use shorewharf_store::check::check;
@@ -25,7 +25,7 @@
 fn a_document_brings_everything_into_another_store_and_a_bad_one_brings_nothing() {
     let dir = tempfile::tempdir().unwrap();
     let mut first = Embedded::open(dir.path().join("first"), Create::IfMissing, NOW).unwrap();
-    story(&mut first);
+    run_conformance(&mut first);
     let mut document = exported(&mut first);
     let mut second = Embedded::open(dir.path().join("second"), Create::IfMissing, NOW).unwrap();
     let empty = exported(&mut second);
@@ -34,16 +34,19 @@
     import(&mut second, &document.to_string(), &actor, NOW).unwrap();
     assert_eq!(check(&mut second, NOW).unwrap(), []);
     let mut again = exported(&mut second);
-    let told = again["audit"].as_array_mut().unwrap().pop().unwrap();
-    assert_eq!((told["deed"].as_str(), &told["after"]["revision"]), (Some("import"), &document["revision"]));
+    let reported = again["audit"].as_array_mut().unwrap().pop().unwrap();
+    assert_eq!(
+        (reported["deed"].as_str(), &reported["after"]["revision"]),
+        (Some("import"), &document["revision"])
+    );
     for same in ["audit", "classes", "places", "tenants", "tokens", "limits", "usage"] {
         assert!(!document[same].is_null() && document[same] == again[same], "{same} differs");
     }
-    // Places that either store gave are not given again.
+    // Ids that either store assigned are not assigned again.
     let usage_by_id = document["counters"]["tenant-places"].as_u64().unwrap();
     assert!(again["counters"]["tenant-places"].as_u64().unwrap() >= usage_by_id);
 
-    // Every fault is told with its path, whatever it is, and nothing has changed.
+    // Every fault is reported with its path, and nothing is changed.
     let before = second.health().revision;
     let tenants = document["tenants"].as_array().unwrap().len();
     document["schema"] = json!(99);
@@ -58,9 +61,9 @@
     let Err(ImportError::Invalid(faults)) = import(&mut second, &document.to_string(), &actor, NOW) else {
         panic!()
     };
-    let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    let reported: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert_eq!(
-        told,
+        reported,
         [
             "schema: 99 is not between 1 and 2",
             "audit[2].deed: unknown variant `nonsense`, expected one of `tenant-create`, `tenant-change`, `tenant-remove`, \
@@ -74,7 +77,7 @@
             "usage[0]: has not level, chunk, interval, instance and record",
         ]
     );
-    // Records that are well alone and do not agree.
+    // Records that are valid alone but contradict each other.
     let mut document = exported(&mut first);
     document["tenants"][5]["place"] = document["tenants"][6]["place"].clone();
     document["places"].as_array_mut().unwrap().pop();
@@ -95,7 +98,7 @@
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("backup");
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
-    story(&mut store);
+    run_conformance(&mut store);
     let actor = Actor::console("operator").unwrap();
     let at = store.health().revision;
     let taken = backup(&mut store, &file, NOW).unwrap();
@@ -117,7 +120,7 @@
     assert!(restored.revision > removed);
     assert_eq!(exported(&mut store)["tenants"], documented["tenants"]);
     assert_eq!(std::fs::read(&file).unwrap(), whole, "restoring changed the backup");
-    // A backup that can't be written leaves the old one and no remains.
+    // A backup that can't be written leaves the old one and no temporary files.
     let nowhere = backup(&mut store, &dir.path().join("no/where"), NOW).unwrap_err();
     assert!(nowhere.to_string().contains("no/where"), "{nowhere}");
     execute_one(&mut store, Command::RemoveTenant { name: name("я"), expected: None }, NOW).unwrap();
--- a/crates/store/tests/life.rs
+++ b/crates/store/tests/life.rs
@@ -1,9 +1,9 @@
-//! What callers are promised, in one file and through the store's thread.
+//! The embedded engine, and the store's thread above it.
 
-mod rig;
+mod common;
 
-use rig::story::story;
-use rig::{NOW, create, name};
+use common::conformance::run_conformance;
+use common::{NOW, create, name};
 use shorewharf_store::check::check;
 use shorewharf_store::commands::{ChangeRequest, Command, Lookup, LookupResult, Reply};
 use shorewharf_store::directory::Directory;
@@ -14,14 +14,14 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// Far beyond what anything here takes.
-const LONG: Duration = Duration::from_secs(30);
+/// Far longer than anything here takes.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
-fn the_story_holds_in_one_file() {
+fn the_embedded_engine_conforms() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("store");
-    story(&mut Embedded::open(&path, Create::IfMissing, NOW).unwrap());
+    run_conformance(&mut Embedded::open(&path, Create::IfMissing, NOW).unwrap());
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert_eq!(check(&mut store, NOW).unwrap(), []);
     let second = Embedded::open(&path, Create::Never, NOW).map(drop);
@@ -31,18 +31,18 @@
     );
 }
 
-/// Looks until something is found.
-fn until<T>(
-    service: &mut StoreThread,
+/// Polls until `find` returns something.
+fn wait_for<T>(
+    thread: &mut StoreThread,
     woken: &Receiver<()>,
     mut find: impl FnMut(Notification) -> Option<T>,
 ) -> T {
     loop {
-        let found: Vec<T> = service.poll().into_iter().filter_map(&mut find).collect();
+        let found: Vec<T> = thread.poll().into_iter().filter_map(&mut find).collect();
         if let Some(found) = found.into_iter().next() {
             return found;
         }
-        woken.recv_timeout(LONG).expect("the store's thread told nothing");
+        woken.recv_timeout(TIMEOUT).expect("the store's thread reported nothing");
     }
 }
 
@@ -53,15 +53,16 @@
     let (wake, woken) = channel();
     let wake = Box::new(move || wake.send(()).unwrap_or_default());
     let options = Options { queue_capacity: 32, ..Options::default() };
-    let mut service = StoreThread::start(Box::new(store), options, Box::new(|| NOW), wake).unwrap();
-    // A burst: what the queue can't hold is refused at once, and the rest is written together.
+    let mut thread = StoreThread::start(Box::new(store), options, Box::new(|| NOW), wake).unwrap();
+    // A burst: what does not fit into the queue is rejected at once, the rest is written together.
     let tenant = |i| Command::CreateTenant(NewTenant::named(name(&format!("t{i}"))));
-    let asked: Vec<_> = (0..40).map(|i| service.change(ChangeRequest::new(Actor::File, tenant(i)))).collect();
-    assert!(asked[..32].iter().all(Result::is_ok));
-    assert_eq!(asked[32..].iter().filter(|a| **a == Err(StoreError::QueueFull { pending: 32 })).count(), 8);
+    let tickets: Vec<_> =
+        (0..40).map(|i| thread.change(ChangeRequest::new(Actor::File, tenant(i)))).collect();
+    assert!(tickets[..32].iter().all(Result::is_ok));
+    assert_eq!(tickets[32..].iter().filter(|a| **a == Err(StoreError::QueueFull { pending: 32 })).count(), 8);
     let mut directory = Directory::default();
     let mut done = 0;
-    until(&mut service, &woken, |notification| {
+    wait_for(&mut thread, &woken, |notification| {
         match notification {
             Notification::Changed(_, answer) => done += usize::from(answer.is_ok()),
             Notification::RecordsChanged(batch) => assert_eq!(directory.apply(&batch), []),
@@ -71,22 +72,22 @@
     });
     let token = NewToken { role: Role::TenantAdmin(NumericId(3)), label: String::new(), expires: None };
     let seed = TokenSeed([9; 40]);
-    service.change(ChangeRequest::new(Actor::File, Command::CreateToken { new: token, seed })).unwrap();
+    thread.change(ChangeRequest::new(Actor::File, Command::CreateToken { new: token, seed })).unwrap();
     let mut text = None;
-    let id = until(&mut service, &woken, |notification| match notification {
+    let id = wait_for(&mut thread, &woken, |notification| match notification {
         Notification::Changed(_, Ok(done)) => {
-            let Reply::Token { token, text: made } = done.reply else { panic!() };
-            text = made;
+            let Reply::Token { token, text: created } = done.reply else { panic!() };
+            text = created;
             Some(token.record.id)
         }
         Notification::RecordsChanged(batch) => directory.apply(&batch).pop().map(|e| panic!("{e}")),
         _ => None,
     });
     let text = text.unwrap();
-    // The tenant goes, and its admin with it, whoever holds the token; its place is nobody's.
-    let gone = Command::RemoveTenant { name: name("T3"), expected: None };
-    service.change(ChangeRequest::new(Actor::File, gone)).unwrap();
-    until(&mut service, &woken, |notification| match notification {
+    // With the tenant its admin's token ends, and its id is nobody's.
+    let removal = Command::RemoveTenant { name: name("T3"), expected: None };
+    thread.change(ChangeRequest::new(Actor::File, removal)).unwrap();
+    wait_for(&mut thread, &woken, |notification| match notification {
         Notification::RecordsChanged(batch) => {
             directory.apply(&batch);
             (directory.tenant(&name("t3")).is_none()).then_some(())
@@ -102,8 +103,8 @@
         (directory.limits().version.0, directory.classes().count(), directory.age(NOW + 5)),
         (0, 0, Some(5))
     );
-    let ticket = service.look_up(Lookup::Audit { before: None, limit: 1 }).unwrap();
-    let last = service.close().into_iter().find_map(|notification| match notification {
+    let ticket = thread.look_up(Lookup::Audit { before: None, limit: 1 }).unwrap();
+    let last = thread.close().into_iter().find_map(|notification| match notification {
         Notification::LookedUp(t, Ok(LookupResult::Audit(entries, _))) if t == ticket => {
             entries.into_iter().next()
         }
--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -1,13 +1,13 @@
-//! What earlier versions have stored or sent, byte for byte. `fixtures/` was written by the version before the fields of
-//! records got other names in the code; a name in the code that changes a stored one makes a test here fail.
+//! Compatibility with what earlier versions have stored and sent, byte for byte. `fixtures/` was written by such a version:
+//! a renamed field that changes a stored name makes a test here fail.
 //!
-//! The fixtures are written anew only for another schema:
+//! The fixtures are written again only for another schema:
 //! `cargo test -p shorewharf-store --test stored -- --ignored write_fixtures`
 
-mod rig;
+mod common;
 
-use rig::recorder::Recorder;
-use rig::{NOW, name};
+use common::recorder::Recorder;
+use common::{NOW, name};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -44,10 +44,10 @@
 const EXPORT: &str = include_str!("fixtures/export.json");
 const COPY: &str = include_str!("fixtures/copy");
 
-/// The last revision that the file beside the store says was acknowledged, with its checksum.
+/// The last acknowledged revision, as it stands in the file beside the store.
 const HEAD: &str = "1800000000000000";
 
-/// Idempotency keys are kept until then.
+/// When the idempotency keys expire.
 const EXPIRES: u64 = NOW + 3_600_000_000;
 
 fn rate(per_second: f64) -> Option<PerSecond> {
@@ -109,8 +109,8 @@
     }
 }
 
-/// Calls of each kind, by actors of each kind, that leave records of each kind.
-fn calls() -> Vec<(Actor, Command)> {
+/// Commands of each kind, by actors of each kind, that write records of each kind.
+fn commands() -> Vec<(Actor, Command)> {
     let plain = |text: &str, state| NewTenant { state, ..NewTenant::named(name(text)) };
     let change = TenantChange {
         name: Some(name("GRAD-Uprava")),
@@ -155,9 +155,9 @@
     ]
 }
 
-/// The requests that [`fill`] makes: the later of two calls at an instant is another request.
+/// The requests that [`fill`] makes, each with its own idempotency key.
 fn requests() -> Vec<ChangeRequest> {
-    let numbered = calls().into_iter().enumerate();
+    let numbered = commands().into_iter().enumerate();
     numbered
         .map(|(number, (actor, command))| {
             let key =
@@ -222,8 +222,8 @@
     store
 }
 
-/// What the replicated engine is sent and holds after all kinds of calls, one of which loses its answer.
-fn replicated() -> (String, String) {
+/// The requests to the replicated engine, and the keys it holds, after calls of all kinds, one of which loses its answer.
+fn run_replicated() -> (String, String) {
     let cluster = Cluster::new();
     let members = [cluster.member().unwrap(), cluster.member().unwrap()];
     let recorder = Recorder::default();
@@ -261,7 +261,7 @@
 }
 
 #[test]
-#[ignore = "writes the fixtures anew"]
+#[ignore = "writes the fixtures"]
 fn write_fixtures() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
     let write = |file: &str, bytes: &[u8]| std::fs::write(folder.join(file), bytes).unwrap();
@@ -275,7 +275,7 @@
     for (file, written) in [("store.redb", "store"), ("backup.redb", "backup"), ("copy", "copy")] {
         write(file, &std::fs::read(dir.path().join(written)).unwrap());
     }
-    let (requests, keys) = replicated();
+    let (requests, keys) = run_replicated();
     write("gateway.requests", requests.as_bytes());
     write("gateway.keys", keys.as_bytes());
 }
@@ -306,12 +306,14 @@
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert_eq!(rows(&mut store), STORE_ROWS);
     assert_eq!(check(&mut store, NOW).unwrap(), []);
-    // Each is read into its type, and the stored answer of each call is given again.
-    for (number, (request, made)) in requests().iter().zip(new_answers()).enumerate() {
+    // Each record is decoded, and the stored reply to each request is replayed.
+    for (number, (request, created)) in requests().iter().zip(new_replies()).enumerate() {
         let again = execute(&mut store, std::slice::from_ref(request), NOW + 500).remove(0).unwrap();
         match &request.command {
             Command::RecordUsage(_) => assert_eq!(again.reply, Reply::UsageRecorded { new: false }),
-            _ => assert_eq!((again.replayed, again.reply), (true, without_secret(made)), "request {number}"),
+            _ => {
+                assert_eq!((again.replayed, again.reply), (true, without_secret(created)), "request {number}")
+            }
         }
     }
     let LookupResult::Tenant(tenant) =
@@ -328,14 +330,14 @@
     assert_eq!(used, [UsageRow { start: 1_774_915_200_000_000, usage: three }]);
 }
 
-/// The answers of [`fill`].
-fn new_answers() -> Vec<Reply> {
+/// The replies to [`fill`].
+fn new_replies() -> Vec<Reply> {
     let dir = tempfile::tempdir().unwrap();
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
     fill(&mut store).into_iter().map(|done| done.reply).collect()
 }
 
-/// An answer as it is repeated: a token's text is not kept.
+/// A reply as it is replayed: a token's text is not stored.
 fn without_secret(answer: Reply) -> Reply {
     match answer {
         Reply::Token { token, .. } => Reply::Token { token, text: None },
@@ -355,11 +357,11 @@
         assert_eq!(imported.get(&key), Some(&record), "{key}");
     }
     let entry = &imported["audit/00000000000000000020"];
-    let told = json!({
+    let reported = json!({
         "number": 20, "at": NOW + 300, "who": {"by": "console", "user": "root"}, "deed": "import", "target": "export",
         "after": {"revision": 24},
     });
-    assert_eq!(*entry, told);
+    assert_eq!(*entry, reported);
     assert_eq!(
         (&imported["meta/tenant-places"], &imported["meta/class-places"]),
         (&json!(65_540), &json!(65_540))
@@ -390,13 +392,13 @@
 
 #[test]
 fn the_replicated_engine_is_sent_and_holds_what_it_always_was() {
-    let (requests, keys) = replicated();
+    let (requests, keys) = run_replicated();
     for (number, (sent, expected)) in requests.lines().zip(GATEWAY_REQUESTS.lines()).enumerate() {
         assert_eq!(sent, expected, "request {number}");
     }
     assert_eq!(requests.lines().count(), GATEWAY_REQUESTS.lines().count());
     assert_eq!(keys, GATEWAY_KEYS);
-    // And it is read by an instance that finds it so.
+    // Another instance reads the same keys.
     let cluster = Cluster::new();
     let member = cluster.member().unwrap();
     for row in GATEWAY_KEYS.lines() {
@@ -406,7 +408,7 @@
     let mut store = Replicated::new(&Options::new(vec![member.endpoint()], "shorewharf", "n2", 8)).unwrap();
     let mut without_versions = unversioned(STORE_ROWS);
     let found = rows(&mut store);
-    // Answers hold no revision until they are repeated, so the records are the same in both engines.
+    // Stored replies hold no revision until they are replayed, so both engines hold the same records.
     let mut found = unversioned(&found);
     found.sort_unstable();
     without_versions.sort_unstable();
@@ -414,34 +416,37 @@
     assert_eq!(check(&mut store, NOW).unwrap(), []);
 }
 
-/// A value is written as this JSON, and is read from it.
-fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+/// Checks that a value is encoded as this JSON, and decoded from it.
+fn assert_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).unwrap(), text);
     assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
 }
 
 #[test]
 fn values_that_callers_send_and_read_have_their_json() {
-    same(
+    assert_json(
         &full_tenant(),
         r#"{"name":"Grad-Uprava","weight":250,"limits":{"connections":5000,"set_ups":12.5,"returns":40.0},"classes":["plain","ticket-stream"],"state":"active","origin":"file"}"#,
     );
     let change = TenantChange { classes: Some(None), ..TenantChange::default() };
-    same(&change, r#"{"name":null,"weight":null,"limits":null,"classes":null,"state":null,"origin":null}"#);
-    same(
+    assert_json(
+        &change,
+        r#"{"name":null,"weight":null,"limits":null,"classes":null,"state":null,"origin":null}"#,
+    );
+    assert_json(
         &NewToken { role: Role::TenantAdmin(NumericId(3)), label: "l".into(), expires: Some(9) },
         r#"{"role":"tenant-admin","place":3,"label":"l","expires":9}"#,
     );
-    same(
+    assert_json(
         &UsageRow { start: 60, usage: usage(7) },
         r#"{"start":60,"usage":{"c":60000000,"s":7,"r":{"overload":1,"quota":2},"m":3,"l":400,"b":5000}}"#,
     );
     for (granularity, text) in
         [(Granularity::Minute, "\"minute\""), (Granularity::Hour, "\"hour\""), (Granularity::Day, "\"day\"")]
     {
-        same(&granularity, text);
+        assert_json(&granularity, text);
     }
-    same(&Reply::UsageRecorded { new: true }, r#"{"kind":"counted","of":{"new":true}}"#);
+    assert_json(&Reply::UsageRecorded { new: true }, r#"{"kind":"counted","of":{"new":true}}"#);
     let health = StoreHealth {
         engine: "file x".into(),
         revision: Revision(4),
@@ -481,7 +486,7 @@
         let actor =
             Actor::Token { id: token_id(2), role: Role::TenantAdmin(NumericId(7)), label: "l".into() };
         let (before, after) = (Some(json!(1)), Some(Value::Bool(true)));
-        same(
+        assert_json(
             &AuditEntry { number: 3, at: 4, actor, action, target: "t".into(), before, after },
             &format!(
                 r#"{{"number":3,"at":4,"who":{{"by":"token","id":"0202020202020202","role":"tenant-admin","place":7,"label":"l"}},"deed":"{text}","target":"t","before":1,"after":true}}"#
