--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -112,7 +112,7 @@
             }
             RelayDecision::Migrate => {
                 self.end_attempt(context, id, Outcome::Cancelled);
-                self.answer(context, id, Answer::Moved, Cause::Move);
+                self.answer(context, id, Answer::Migrated, Cause::Migration);
             }
         }
     }
@@ -156,7 +156,7 @@
         let lives = self.attempts.is_server_alive(id, since);
         self.end_attempt(context, id, if lives { Outcome::Cancelled } else { Outcome::Reset });
         if self.sessions.get(id).is_some_and(|session| session.connection.is_at_line_boundary()) {
-            self.answer(context, id, Answer::Moved, Cause::Silent);
+            self.answer(context, id, Answer::Migrated, Cause::Unresponsive);
         } else {
             self.close_both(context, id, PeerClose::Reset, Outcome::Reset);
         }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -9,11 +9,11 @@
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Snapshot;
-use shorewharf_snapshot::choice::choose;
-use shorewharf_snapshot::folder::Folder;
-use shorewharf_snapshot::judge::{Asks, later};
-use shorewharf_snapshot::record::{Head, Line, VERSION};
-use shorewharf_snapshot::writer::Writer;
+use shorewharf_snapshot::folder::SnapshotFolder;
+use shorewharf_snapshot::record::{Header, Line, VERSION};
+use shorewharf_snapshot::selection::{RejectedSnapshot, SelectedSnapshot, select};
+use shorewharf_snapshot::validation::{RestoreCriteria, newer_list};
+use shorewharf_snapshot::writer::SnapshotWriter;
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use tracing::{debug, info, warn};
 
@@ -29,7 +29,7 @@
 
 /// What one before has known, and how long ago that was.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct SnapshotState {
     /// All of it.
     pub learned: Vec<SnapshotEntry>,
     /// When it was read out, on this program's clock.
@@ -40,13 +40,14 @@
     pub from: String,
 }
 
-impl Memory {
+impl SnapshotState {
     /// Has the module recall it, and says what became of it.
     pub fn recall(self, now: Micros, gate: &mut AdmissionGate) {
         let age = now.saturating_sub(self.taken);
         let recalled =
             gate.recall(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
-        let (taken, outdated, faded, odd) = (recalled.taken, recalled.outdated, recalled.faded, recalled.odd);
+        let (taken, outdated) = (recalled.restored, recalled.outdated);
+        let (faded, odd) = (recalled.expired, recalled.invalid);
         info!(event = "recalled", from = self.from, ms = age / 1000, taken, outdated, faded, odd);
     }
 }
@@ -60,8 +61,8 @@
 
 /// The folder of one worker.
 #[derive(Debug)]
-pub struct Keeping {
-    writer: Writer<SnapshotEntry>,
+pub struct SnapshotTask {
+    writer: SnapshotWriter<SnapshotEntry>,
     every: Micros,
     balancer: String,
     worker: usize,
@@ -86,19 +87,19 @@
 pub fn open(
     config: &Config,
     (worker, workers): (usize, usize),
-) -> Option<(Keeping, Option<(Memory, EndpointList)>)> {
+) -> Option<(SnapshotTask, Option<(SnapshotState, EndpointList)>)> {
     let set = &config.operator.snapshot;
     let path = set.folder.as_ref()?;
-    let opened = Folder::open(path, worker, set.keep).and_then(|folder| {
+    let opened = SnapshotFolder::open(path, worker, set.keep).and_then(|folder| {
         let found = find(&folder, config, set, (worker, workers))?;
-        Ok((Writer::start(folder)?, found))
+        Ok((SnapshotWriter::start(folder)?, found))
     });
     let (writer, found) =
         opened.inspect_err(|e| warn!(event = "no-snapshots", folder = %path.display(), error = %e)).ok()?;
     let balancer = config.name.clone();
     let (at, began, fails) = (None, 0, false);
     let every = micros_from_seconds(set.every_s);
-    Some((Keeping { writer, every, balancer, worker, workers, at, began, fails }, found))
+    Some((SnapshotTask { writer, every, balancer, worker, workers, at, began, fails }, found))
 }
 
 /// Unix time in microseconds.
@@ -107,35 +108,37 @@
 }
 
 fn find(
-    folder: &Folder,
+    folder: &SnapshotFolder,
     config: &Config,
     set: &Snapshot,
     (worker, workers): (usize, usize),
-) -> io::Result<Option<(Memory, EndpointList)>> {
-    let (balancer, now, oldest, list) =
+) -> io::Result<Option<(SnapshotState, EndpointList)>> {
+    let (balancer, now, max_age, list) =
         (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
-    let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
-    for (path, why) in &choice.left {
-        warn!(event = "snapshot-left-aside", file = %path.display(), %why);
+    let criteria = RestoreCriteria { balancer, worker, worker_count: workers, now, max_age, list };
+    let selection = select(folder, &criteria)?;
+    for RejectedSnapshot { path, cause } in &selection.rejected {
+        warn!(event = "snapshot-left-aside", file = %path.display(), why = %cause);
     }
-    Ok(choice.taken.map(|(path, record, _)| {
-        if record.unknown > 0 {
-            warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown);
+    Ok(selection.selected.map(|SelectedSnapshot { path, record, .. }| {
+        if record.unknown_lines > 0 {
+            warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown_lines);
         }
         let from = path.display().to_string();
-        let memory = Memory { learned: record.known, taken: record.head.taken, away: true, from };
-        (memory, later(list, &record.list).clone())
+        let memory =
+            SnapshotState { learned: record.entries, taken: record.header.taken_at, away: true, from };
+        (memory, newer_list(list, &record.list).clone())
     }))
 }
 
-impl Keeping {
+impl SnapshotTask {
     /// A record is begun, or read on; the next turn for it is set.
     pub fn on_iteration(&mut self, event_loop: &mut EventLoop, driver: &mut Driver) {
         if !std::mem::take(&mut event_loop.is_snapshot_due) {
             return;
         }
         let now = event_loop.context.now;
-        match self.writer.told() {
+        match self.writer.take_result() {
             Some(Ok(lines)) => {
                 self.fails = false;
                 debug!(event = "snapshot-written", lines, ms = (now - self.began) / 1000);
@@ -162,8 +165,15 @@
         if self.at.is_none() && self.writer.is_idle() {
             self.began = event_loop.context.now;
             let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
-            let (taken, index) = (unix(), event_loop.discovery.index());
-            self.writer.begin(Head { snapshot: VERSION, balancer, worker, workers, taken, index });
+            let (taken_at, list_index) = (unix(), event_loop.discovery.index());
+            self.writer.begin(Header {
+                version: VERSION,
+                balancer,
+                worker,
+                worker_count: workers,
+                taken_at,
+                list_index,
+            });
             self.at = Some(At::Servers(None));
         }
         if let Some(at) = self.at.take() {
@@ -194,13 +204,13 @@
             At::Known(cursor) => {
                 let mut learned = Vec::new();
                 let cursor = gate.recollect(cursor, THINGS, &mut learned);
-                lines.extend(learned.into_iter().map(Line::Known));
+                lines.extend(learned.into_iter().map(Line::State));
                 (cursor != ExportCursor::End).then_some(At::Known(cursor))
             }
         };
-        self.writer.lines(lines);
+        self.writer.write(lines);
         if self.at.is_none() {
-            self.writer.end();
+            self.writer.finish();
         }
     }
 }
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -89,9 +89,9 @@
     pub fn buffered(&self) -> BufferedBytes {
         let said = self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec();
         BufferedBytes {
-            came: self.pending_input().to_vec(),
-            seen: self.inspected,
-            said,
+            received: self.pending_input().to_vec(),
+            examined: self.inspected,
+            unsent: said,
             mid_line: self.is_mid_line,
         }
     }
@@ -104,13 +104,15 @@
     /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
     pub fn resume(stream: TcpStream, pool: &BufferPool, on_the_way: &BufferedBytes) -> Option<Self> {
         let mut link = Connection { is_mid_line: on_the_way.mid_line, ..Connection::new(stream) };
-        for (bytes, buffer) in [(&on_the_way.came, &mut link.input), (&on_the_way.said, &mut link.output)] {
+        for (bytes, buffer) in
+            [(&on_the_way.received, &mut link.input), (&on_the_way.unsent, &mut link.output)]
+        {
             if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
                 return None;
             }
         }
-        link.inspected = on_the_way.seen;
-        (link.inspected <= on_the_way.came.len()).then_some(link)
+        link.inspected = on_the_way.examined;
+        (link.inspected <= on_the_way.received.len()).then_some(link)
     }
 
     /// The stream, for the loop to watch.
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -19,23 +19,23 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-use crate::admin::counters::Counts;
-use crate::admin::handler::Opened;
-use crate::admin::shared_folder::Folder;
+use crate::admin::counters::WorkerCounters;
+use crate::admin::handler::AdminListener;
+use crate::admin::shared_folder::SharedFolder;
 use crate::clients::open_ids::OpenIds;
 use crate::clock::Clock;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::config::{Config, ConfigError};
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::dispatch::{EventLoop, WorkerContext};
 use crate::event_loop::poll::{EventPoller, EventSource, SourceRegistry};
 use crate::fleet::budgets::Shares;
-use crate::fleet::gossip::Tells;
+use crate::fleet::gossip::GossipTransport;
 use crate::handover::predecessor::{self, Predecessor, ReceivedHandover};
 use crate::handover::siblings::SiblingProcesses;
 use crate::handover::successors::Successors;
 use crate::reload;
-use crate::snapshot::{self, Keeping, Memory, everything};
+use crate::snapshot::{self, SnapshotState, SnapshotTask, everything};
 use crate::supervisor;
 use crate::transport::connection::is_shortage;
 use crate::transport::readiness::Readiness;
@@ -75,7 +75,7 @@
     event_loop: EventLoop,
     driver: Driver,
     lead: Option<Lead>,
-    keeping: Option<Keeping>,
+    keeping: Option<SnapshotTask>,
     shares: Option<Shares>,
 }
 
@@ -173,9 +173,9 @@
     config: Config,
     known: Arc<EndpointList>,
     clock: Clock,
-    keeping: Option<Keeping>,
+    keeping: Option<SnapshotTask>,
     /// What one before has known.
-    memory: Option<Memory>,
+    memory: Option<SnapshotState>,
     /// The first one's.
     lead: Option<Lead>,
     /// The fleet's budgets.
@@ -195,10 +195,15 @@
             poller.register_readable(&mut desk.listener, EventSource::AdminListener)?;
         }
         let context = LoopContext::new(poller, clock.read());
-        let mut event_loop = EventLoop::new(context, place, config.discovery, Terms::from(&config));
+        let mut event_loop = EventLoop::new(context, place, config.discovery, ProxySettings::from(&config));
         if let Some(peers) = &config.peers {
-            event_loop.gossip =
-                Some(Tells::new(&mut event_loop.context, &config.name, address, peers, config.seed));
+            event_loop.gossip = Some(GossipTransport::new(
+                &mut event_loop.context,
+                &config.name,
+                address,
+                peers,
+                config.seed,
+            ));
         }
         // Held once: by the tables from now on.
         let known = event_loop.restore_endpoints(&self.known);
@@ -294,10 +299,10 @@
 }
 
 /// What processes of this balancer have in common; none where there is no place for it.
-fn common_folder(listen: SocketAddr) -> Option<Folder> {
+fn common_folder(listen: SocketAddr) -> Option<SharedFolder> {
     let common = std::env::var_os("TMPDIR").filter(|path| !path.is_empty());
     let opened = match &common {
-        Some(path) => Folder::open(Path::new(path), listen),
+        Some(path) => SharedFolder::open(Path::new(path), listen),
         None => Err(io::Error::new(io::ErrorKind::NotFound, "TMPDIR is not set")),
     };
     opened
@@ -315,7 +320,7 @@
     path: &Path,
     config: &Config,
 ) -> io::Result<Option<(Vec<std::net::TcpListener>, ReceivedHandover)>> {
-    let mut inherited = match predecessor::ask(path) {
+    let mut inherited = match predecessor::request_state(path) {
         Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
             return Ok(None);
         }
@@ -344,7 +349,7 @@
     let successors = Successors::open(path, listeners, poller).inspect_err(|e| {
         warn!(event = "not-offered", why = %e);
     });
-    let predecessor = inherited.map(|i| Predecessor::told(i, ends, poller)).transpose();
+    let predecessor = inherited.map(|i| Predecessor::announce(i, ends, poller)).transpose();
     Ok(SiblingProcesses::new(successors.ok(), predecessor.unwrap_or(None)))
 }
 
@@ -383,7 +388,7 @@
         (Some(path), _) => inherit(path, &config).map_err(|e| {
             io::Error::new(e.kind(), format!("nothing is taken over from {}: {e}", path.display()))
         })?,
-        (None, Some(folder)) => inherit(&folder.place(SOCKET), &config).unwrap_or_else(|e| {
+        (None, Some(folder)) => inherit(&folder.join(SOCKET), &config).unwrap_or_else(|e| {
             warn!(event = "not-inherited", why = %e);
             None
         }),
@@ -413,42 +418,42 @@
         folder = common_folder(at);
     }
     let taken_out = folder.as_mut().and_then(|f| f.read(&BTreeMap::new()).ok()).unwrap_or_default();
-    let counts: Vec<_> = (0..workers).map(|_| Counts::default()).collect();
+    let counters: Vec<_> = (0..workers).map(|_| WorkerCounters::default()).collect();
     let opened =
         |worker| snapshot::open(&config, (worker, workers)).map_or((None, None), |(k, f)| (Some(k), f));
     let mut kept: Vec<_> = (0..workers).map(opened).collect();
     if let Some(inherited) = &mut inherited {
         // What the process before knows goes before what was kept of it.
         kept.iter_mut().for_each(|(_, found)| *found = None);
-        let (learned, taken) = (std::mem::take(&mut inherited.estate.memory), inherited.estate.taken);
-        let memory = Memory { learned, taken, away: false, from: "the process before".to_owned() };
-        kept[0].1 = Some((memory, std::mem::take(&mut inherited.estate.known)));
+        let (learned, taken) = (std::mem::take(&mut inherited.state.learned), inherited.state.exported_at);
+        let memory = SnapshotState { learned, taken, away: false, from: "the process before".to_owned() };
+        kept[0].1 = Some((memory, std::mem::take(&mut inherited.state.endpoints)));
     }
     if let Some((_, list)) = kept[0].1.as_ref().filter(|(_, list)| !list.endpoints.is_empty()) {
         config.known = list.clone();
     }
     let known = Arc::new(std::mem::take(&mut config.known));
     let mut kin = SiblingProcesses::default();
-    let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.place(SOCKET));
+    let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.join(SOCKET));
     let ends = take_over.is_some();
     if let Some(place) = take_over.or(place) {
         kin = between(place, &listeners, inherited, ends, &watches[0].registry()?)?;
     }
     let mut kin = Some(kin);
-    let place = |((listener, crew), own): (_, &Counts)| WorkerContext {
+    let place = |((listener, crew), own): (_, &WorkerCounters)| WorkerContext {
         listener: TcpListener::from_std(listener),
         workers: crew,
         open_ids: open_ids.clone(),
-        counts: own.clone(),
-        admin: door.take().map(|door| Opened {
+        counters: own.clone(),
+        admin: door.take().map(|door| AdminListener {
             listener: TcpListener::from_std(door),
-            counts: counts.clone(),
+            counters: counters.clone(),
             folder: folder.take(),
         }),
         disabled_servers: taken_out.clone(),
         siblings: kin.take().unwrap_or_default(),
     };
-    let places = listeners.into_iter().zip(crew).zip(&counts).map(place);
+    let places = listeners.into_iter().zip(crew).zip(&counters).map(place);
     let mut starts: Vec<Start> = watches
         .into_iter()
         .zip(places)
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -1,6 +1,6 @@
 //! The choice of the next migration: what it gains, what it costs, and which connections migrate together.
 
-use shorewharf_decisions::outside::{lot, rank};
+use shorewharf_decisions::hashing::{random_rank, rendezvous_rank};
 use shorewharf_decisions::{RequestId, ServerId};
 
 use super::cluster_snapshot::{ClusterSnapshot, GROUP_COST, LEVEL_TOLERANCE, PlacedConnection, ServerLoad};
@@ -170,8 +170,9 @@
     ) -> Candidate<'a> {
         let is_paid_at_target = group == 0 || self.connections[target].contains_key(&group);
         let (source, target) = (&self.servers[source], &self.servers[target]);
-        let is_group_home =
-            group != 0 && rank(group, target.id, target.weight) < rank(group, source.id, source.weight);
+        let is_group_home = group != 0
+            && rendezvous_rank(group, target.id, target.weight)
+                < rendezvous_rank(group, source.id, source.weight);
         Candidate { source, target, group, members, is_paid_at_target, is_group_home }
     }
 
@@ -265,6 +266,6 @@
         let age = context.now - self.target.started_at;
         let opening_time = (context.warm_up_time - FIRST_GROUP_AGE).max(0.1);
         let open_ratio = ((age - FIRST_GROUP_AGE) / opening_time).clamp(0.0, 1.0);
-        lot(self.group, self.target.id, self.target.started_at) <= open_ratio
+        random_rank(self.group, self.target.id, self.target.started_at) <= open_ratio
     }
 }
