--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Goes on from an earlier state under the total and reserve of other settings.
+    /// Takes over an earlier state under the total and reserve of other settings.
     pub fn continue_from(&mut self, earlier: &Allocation) {
         *self = Allocation { total: self.total, reserve: self.reserve, ..earlier.clone() };
     }
--- a/crates/budgets/src/allocations.rs
+++ b/crates/budgets/src/allocations.rs
@@ -38,8 +38,8 @@
 }
 
 impl Allocations {
-    /// Nothing but the reserve, and that only after a lease, if the store has not said before that no other process of
-    /// this name may use it.
+    /// Creates allocations with nothing but the reserve, and that only after a lease, unless the store shows before
+    /// that no other process of this name may use it.
     pub fn new(now: Micros, settings: &BudgetSettings) -> Allocations {
         let allocations =
             settings.budgets.iter().map(|budget| Allocation::new(now, budget, settings)).collect();
@@ -125,8 +125,8 @@
         self.drain_time / 4 * 3
     }
 
-    /// How many connections of a concurrency must migrate now: those beyond what is in force, once three quarters of the
-    /// drain time have passed since the grant ended, or since it was made smaller than what is in use.
+    /// How many connections of a concurrency must migrate now: those beyond what is in force, once three quarters of
+    /// the drain time have passed since the grant ended, or since it was made smaller than what is in use.
     pub fn excess(&self, now: Micros, index: usize) -> u32 {
         let allocation = self.allocations.get(index).filter(|a| a.kind == BudgetKind::Concurrency);
         let Some(allocation) = allocation else { return 0 };
--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -1,8 +1,8 @@
 //! The leader: what it knows of the members, and what it allocates to them.
 //!
 //! Of each member it keeps what *may* be in use there. That goes up with what is allocated, before it is written, and
-//! down only when the member has acknowledged less, or when its lease has surely ended: one lease and a margin after its
-//! last heartbeat was read. All that may be in use together is never above what is divided.
+//! down only when the member has acknowledged less, or when its lease has surely ended: one lease and a margin after
+//! its last heartbeat was read. All that may be in use together is never above what is divided.
 
 mod grants;
 mod targets;
@@ -181,7 +181,7 @@
         settings: &BudgetSettings,
         records: Vec<(String, MemberRecord)>,
     ) {
-        // Records that are there when the term begins may be of the dead: whoever is alive writes another soon.
+        // Records that are there when the term begins may be those of dead members: living ones write another soon.
         let is_alive = std::mem::replace(&mut self.has_read_records, true);
         for (name, record) in records {
             let key = MemberKey { name, incarnation: record.incarnation };
@@ -220,7 +220,7 @@
             if now < lease_ends_at {
                 continue;
             }
-            // What it had is not what it has if it is heard of again: that is written anew.
+            // If the member returns, its allocation is granted anew.
             (member.allocation, member.epoch) = (BudgetAmounts::new(), 0);
             for budget in &settings.budgets {
                 let drain_time = if budget.kind == BudgetKind::Concurrency { settings.drain_time } else { 0 };
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! One process among the members: its own record, the grants that it goes by, and its turn as the leader.
+//! One process among the members: its own record, the grants that it receives, and its turn as the leader.
 //!
-//! [`Member`] is a state machine: it owns a queue of operations, of which each makes one request to the store. `own_record`
-//! holds what concerns its own record and grants, `leadership` how it comes to lead and what it does then.
+//! [`Member`] is a state machine: it owns a queue of operations, of which each makes one request to the store.
+//! `own_record` holds what concerns its own record and grants, `leadership` how it comes to lead and what it does then.
 
 mod leadership;
 mod own_record;
@@ -111,11 +111,11 @@
     has_joined: bool,
     /// Another process has taken the name.
     is_superseded: bool,
-    /// The grant that is gone by.
+    /// The grant in force.
     acknowledged: GrantNumber,
     /// The highest term that was seen.
     term: u64,
-    /// What the last heartbeat said.
+    /// The record of the last heartbeat.
     announced: MemberRecord,
     /// A heartbeat is due, whenever the last one was.
     has_news: bool,
@@ -138,8 +138,8 @@
 }
 
 impl Member {
-    /// Creates a member of this name. `incarnation` has to be higher than that of any process of this name before; where a
-    /// record of a higher one is found, a later one than that is taken.
+    /// Creates a member of this name. `incarnation` has to be higher than that of any process of this name before;
+    /// where a record of a higher one is found, a later one than that is taken.
     pub fn new(now: Micros, settings: BudgetSettings, name: &str, incarnation: u64) -> Member {
         Member {
             settings,
@@ -337,7 +337,7 @@
             Operation::WriteHeartbeat => {
                 (self.own_record, self.has_news) = (OwnRecordState::Unknown, true);
             }
-            // The leader's record tells at the next poll whether the grants were written.
+            // The next poll of the leader's record shows whether the grants were written.
             Operation::WriteGrants => {
                 let unconfirmed = std::mem::take(&mut self.unconfirmed_grants);
                 if let Some(leadership) = &mut self.leadership {
--- a/crates/budgets/src/member/own_record.rs
+++ b/crates/budgets/src/member/own_record.rs
@@ -1,4 +1,4 @@
-//! A member's own record and the grants that it goes by.
+//! A member's own record, and the grants that it receives.
 
 use std::cmp::Ordering;
 
--- a/crates/budgets/src/model/defect.rs
+++ b/crates/budgets/src/model/defect.rs
@@ -50,9 +50,9 @@
 /// The settings of a process with a defect.
 #[derive(Clone, Debug)]
 pub(super) struct ProcessSettings {
-    /// What its member goes by.
+    /// The member's settings.
     pub member: BudgetSettings,
-    /// What its allocations go by.
+    /// The settings of its allocations.
     pub allocations: BudgetSettings,
 }
 
--- a/crates/budgets/src/model/observer.rs
+++ b/crates/budgets/src/model/observer.rs
@@ -89,7 +89,7 @@
             self.living()
                 .any(|other| other.member_index == process.member_index && !std::ptr::eq(other, process))
         };
-        // A process with a namesake goes on with its reserve until it has read of that, for which it must reach the store.
+        // A process with a namesake uses its reserve until it reads of that, for which it must reach the store.
         let is_excused = !was_reachable && has_namesake();
         let excused = if is_excused { process.reserve(index, budget.kind) } else { 0.0 };
         (process.observed_use(self.now, index, budget.kind) - excused).max(0.0)
--- a/crates/budgets/src/model/process.rs
+++ b/crates/budgets/src/model/process.rs
@@ -185,7 +185,7 @@
         self.totals_lowered_at = Some(now);
     }
 
-    /// The total by which it goes, or up to which something may still be in use.
+    /// The total in its settings, or the earlier one up to which something may still be in use.
     pub(super) fn total(&self, index: usize) -> f64 {
         self.totals[index]
     }
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Its part of a budget's reserve, by the total that it goes by.
+    /// Its part of a budget's reserve, by the total in its settings.
     pub(super) fn reserve(&self, index: usize, kind: BudgetKind) -> f64 {
         self.settings.own_reserve(kind, self.totals[index])
     }
--- a/crates/budgets/src/records.rs
+++ b/crates/budgets/src/records.rs
@@ -65,7 +65,7 @@
     pub heartbeat: u64,
     /// The highest term that it has seen.
     pub term: u64,
-    /// The grant that it goes by.
+    /// The grant in force.
     #[serde(rename = "acked")]
     pub acknowledged: GrantNumber,
     /// What it could use.
--- a/crates/budgets/src/settings.rs
+++ b/crates/budgets/src/settings.rs
@@ -47,7 +47,7 @@
     pub member_index: usize,
 }
 
-/// Settings that can't be kept. Its text says why; [`SettingsError::key`] names the setting.
+/// Settings that can't be kept. The text is the reason; [`SettingsError::key`] names the setting.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// The lease would end before it is renewed.
@@ -105,8 +105,8 @@
 
 /// Heartbeats in a lease: two may be lost.
 const HEARTBEATS_PER_LEASE: u64 = 3;
-/// Polls in a lease at the least: one may take as long as the next one begins, and a heartbeat has to be read, confirmed
-/// and seen by polls.
+/// Polls in a lease at the least: one may take as long as the next one begins, and a heartbeat has to be read,
+/// confirmed and seen by polls.
 const POLLS_PER_LEASE: u64 = 8;
 /// The clock margin is at most the lease over this.
 const LEASE_PER_CLOCK_MARGIN: u64 = 4;
--- a/crates/budgets/src/store_request.rs
+++ b/crates/budgets/src/store_request.rs
@@ -51,6 +51,6 @@
     Conflict,
 }
 
-/// No response came, or one that says nothing: whether a batch was written is not known.
+/// No response came, or an unusable one: whether a batch was written is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoResponse;
--- a/crates/gossip/src/announcement.rs
+++ b/crates/gossip/src/announcement.rs
@@ -32,7 +32,7 @@
 /// What one balancer holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announcement {
-    /// The balancer that it speaks of.
+    /// The balancer that made it.
     pub sender: u64,
     /// The balancer's incarnation: when its process began, as Unix time in microseconds.
     pub incarnation: u64,
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -130,8 +130,8 @@
 
     /// Returns the datagrams of a round, in which this balancer holds `holdings`.
     ///
-    /// A balancer that holds more than fits into an announcement says nothing of it, and relays the announcements of
-    /// others: a part would make the servers that are left out look empty to all others.
+    /// A balancer that holds more than fits into an announcement makes none, and only relays those of others: a partial
+    /// one would make the servers that are left out look empty.
     pub fn outgoing(&mut self, now: Micros, holdings: Vec<AnnouncedHolding>) -> Vec<OutgoingDatagram> {
         self.announce(now, holdings);
         let mut indices: Vec<usize> = (0..self.peers.len()).collect();
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,9 +1,9 @@
 //! Gossip between balancers: what connections each of them holds.
 //!
-//! Each balancer says what it holds in an [`Announcement`], and relays the announcements of others that it has received
-//! lately, to a few peers drawn at random ([`Gossip::outgoing`]). Datagrams are sealed with a shared key. What was
-//! received counts for as long as its age allows ([`Gossip::peer_loads`]); when too few peers are heard of, nothing
-//! does, and a balancer goes by its own connections.
+//! Each balancer announces what it holds in an [`Announcement`], and relays the announcements of others that it has
+//! received lately, to a few peers drawn at random ([`Gossip::outgoing`]). Datagrams are sealed with a shared key. What
+//! was received counts for as long as its age allows ([`Gossip::peer_loads`]); when too few peers are heard of, nothing
+//! does, and a balancer decides by its own connections alone.
 //!
 //! Nothing here opens a socket or reads a clock: times are whole microseconds on the caller's monotonic clock, and
 //! random numbers come from a seed.
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -20,8 +20,8 @@
 }
 
 impl Default for GossipSettings {
-    /// With 300 balancers most receive a change within five rounds, and nine in ten of each heartbeat. A peer that is not
-    /// heard of for two heartbeats may be gone, and its connections with it.
+    /// With 300 balancers most receive a change within five rounds, and nine in ten of each heartbeat. A peer that is
+    /// not heard of for two heartbeats may be gone, and its connections with it.
     fn default() -> Self {
         GossipSettings {
             interval: 50_000,
--- a/crates/recovery/src/backoff_clients.rs
+++ b/crates/recovery/src/backoff_clients.rs
@@ -6,11 +6,11 @@
 
 /// A rejected client that has not come again for so long, in seconds, is served elsewhere or has given up.
 const MIN_EXPECTED_SECONDS: f64 = 3.0;
-/// The same over the longest wait that clients are told.
+/// The same, as a multiple of the longest Retry-After.
 const EXPECTED_WAIT_RATIO: f64 = 2.0;
 /// Clients remembered at most.
 const MAX_CLIENTS: usize = 8192;
-/// Marks the entry of a client that has no key and goes by its request's id.
+/// Marks a client without a key, which is identified by its request's id.
 const BY_REQUEST: u64 = 1 << 63;
 
 /// Clients in backoff, by key, and when they were rejected last.
@@ -26,7 +26,7 @@
         BackoffClients { rejected_at: BTreeMap::new(), expected_for: MIN_EXPECTED_SECONDS }
     }
 
-    /// Sets the longest wait that clients are told, in seconds.
+    /// Sets the longest Retry-After, in seconds.
     pub fn set_longest_wait(&mut self, longest_wait: f64) {
         self.expected_for = MIN_EXPECTED_SECONDS.max(EXPECTED_WAIT_RATIO * longest_wait);
     }
--- a/crates/recovery/src/capacity_estimate/mod.rs
+++ b/crates/recovery/src/capacity_estimate/mod.rs
@@ -1,9 +1,9 @@
-//! Estimates what load each server can take, as far as one balancer can tell: its listed weight and its slow start to
-//! begin with, then whatever shows its true load.
+//! Estimates the load that each server can take, from what one balancer observes: its listed weight and slow start to
+//! begin with, then message delays, set-up times and silence.
 //!
 //! All of it is kept as one factor for each server: the load that this instance may put there, over its even share of
-//! the listed size. What the other instances put there need not be known apart: a report of slow messages speaks of all
-//! loads together, and all that hear it give way or grow by the same share.
+//! the listed size. What the other instances put there need not be known: a report of slow messages is caused by all
+//! loads together, and all instances that receive it reduce their load by the same share.
 
 mod platform;
 mod server;
@@ -28,9 +28,9 @@
 const COLD_SETUP_RATIO: f64 = 0.67;
 /// Changes of a bound smaller than this share are not announced.
 const MIN_ANNOUNCED_CHANGE: f64 = 0.004;
-/// A report tells a load within this share of itself ...
+/// After a report of slow messages a load is known within this share of itself ...
 const UNCERTAINTY_AFTER_REPORT: f64 = 0.1;
-/// ... and before the first report the load of other instances is a guess.
+/// ... and without one the load of other instances is a guess.
 const UNCERTAINTY: f64 = 0.25;
 /// Part of what was learned of a server that still holds a second later: after half a minute about half is left.
 const CAPACITY_RETENTION_PER_SECOND: f64 = 0.98;
@@ -52,7 +52,7 @@
     pub local_load: f64,
     /// `capacity` may be off by this share of itself, to either side.
     pub uncertainty: f64,
-    /// When anything was last heard of the server's state.
+    /// When the server's state was last observed.
     pub updated_at: f64,
 }
 
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Restored {
     Accepted,
-    /// It speaks of an earlier process of the server, or of a server that is not listed.
+    /// It belongs to an earlier process of the server, or to a server that is not listed.
     Outdated,
     /// It holds a number that can't be.
     Invalid,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Appends the estimates that the decision module has to be told of, since they have changed. Nothing is announced
+    /// Appends events for the estimates that have changed. Nothing is announced
     /// before the first load report, since loads have no unit until then.
     pub fn announce(&mut self, now: f64, events: &mut Vec<Event>) {
         if self.mean_load <= 0.0 || !self.limits.has_capacity_weights {
@@ -229,7 +229,7 @@
             }
             let model = self.servers.entry(entry.server).or_insert_with(|| ServerModel::new(*entry, now));
             if model.entry.started_at != entry.started_at {
-                // What was learned of the process before says nothing of this one.
+                // What was learned of an earlier process does not apply to this one.
                 *model = ServerModel::new(*entry, now);
             }
             model.entry = *entry;
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -12,10 +12,10 @@
 const CONSECUTIVE_WITHIN: f64 = 1.5 * REPORT_PERIOD;
 /// A delay over this part of the latency objective is reported as slow.
 const SLOW_REPORT_RATIO: f64 = 1.0 / 3.0;
-/// Utilization that a single slow report stands for: without a backlog (its delay is under the objective) and with one.
+/// Utilization implied by a single slow report: without a backlog (its delay is under the objective) and with one.
 const UTILIZATION_WITHOUT_BACKLOG: f64 = 0.95;
 const UTILIZATION_WITH_BACKLOG: f64 = 1.05;
-/// Bounds of the utilization that two consecutive reports stand for.
+/// Bounds of the utilization implied by two consecutive reports.
 const MIN_REPORTED_UTILIZATION: f64 = 0.7;
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
 /// Two consecutive reports change the factor by this much at most, since the second may have come late.
@@ -46,7 +46,7 @@
     at: f64,
 }
 
-/// The capacity that the decision module was last told of.
+/// The capacity that was last announced to the decision module.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AnnouncedCapacity {
     pub load: f64,
@@ -74,7 +74,7 @@
     /// Attempts sent lately, decaying within about a second, as of `attempted_at`.
     recent_attempts: f64,
     attempted_at: f64,
-    /// When anything was last heard of the server's state.
+    /// When the server's state was last observed.
     pub updated_at: f64,
     pub announced: AnnouncedCapacity,
 }
@@ -115,8 +115,8 @@
 
     /// Messages at the server take `delay` seconds while this instance's load there is `local_load`.
     ///
-    /// Two reports a second apart while work is backed up tell the load exactly, since a backlog grows by the load
-    /// beyond what the server can do; a single one bounds it.
+    /// Two reports a second apart while work is backed up determine the load, since a backlog grows by the load
+    /// beyond the server's capacity; a single one only bounds it.
     pub fn on_message_delay(&mut self, now: f64, delay: f64, local_load: f64, limits: &PlatformLimits) {
         let objective = limits.message_latency_objective;
         let before = std::mem::replace(&mut self.last_delay, DelayReport { delay, at: now });
@@ -133,7 +133,7 @@
                 factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, MAX_REPORTED_UTILIZATION))
                     .clamp(least, most)
             } else {
-                // The backlog was gone before the second report: the load is less than it says.
+                // The backlog was gone before the second report, so this is an upper bound of the load.
                 self.factor.max(factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, 1.0)).min(most))
             }
         } else if delay > objective {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Whether a set-up's time says anything of the server now.
+    /// Whether the time of a set-up can be compared now.
     pub fn has_comparable_setups(&self, now: f64) -> bool {
         self.decayed_attempts(now) <= BURST_ATTEMPTS
     }
@@ -183,7 +183,7 @@
         self.factor = (self.factor * (1.0 + growth)).min(MAX_FACTOR);
     }
 
-    /// Goes on from a factor that an earlier instance had learned.
+    /// Restores a factor that an earlier instance had learned.
     pub fn restore(&mut self, factor: f64, slow_reported_at: Option<f64>) {
         self.factor = factor.clamp(MIN_FACTOR, MAX_FACTOR);
         if let Some(at) = slow_reported_at {
--- a/crates/recovery/src/capacity_estimate/setup_model.rs
+++ b/crates/recovery/src/capacity_estimate/setup_model.rs
@@ -22,8 +22,8 @@
 }
 
 impl SetupModel {
-    /// Learns from one set-up that took `seconds` on a server of `capacity` at `utilization`. Returns by how much it was
-    /// faster than usual, as a natural logarithm, once enough samples were seen.
+    /// Learns from one set-up that took `seconds` on a server of `capacity` at `utilization`. Returns by how much it
+    /// was faster than usual, as a natural logarithm, once enough samples were seen.
     pub fn observe(&mut self, seconds: f64, capacity: SetupCapacity, utilization: f64) -> Option<f64> {
         let log_speed = (SPEED_AT_NO_LOAD - utilization).clamp(MIN_SPEED, 1.0).ln();
         let log_time = (seconds.max(MIN_SETUP_SECONDS) * capacity.weight * capacity.warm_up_ratio).ln();
--- a/crates/recovery/src/instance_view/connection.rs
+++ b/crates/recovery/src/instance_view/connection.rs
@@ -3,8 +3,8 @@
 use shorewharf_decisions::ServerId;
 use shorewharf_decisions::interface::Request;
 
-/// The mean load counts as so many seconds of a connection's own load: its load just now says little of what it will
-/// be once it has migrated.
+/// The mean load counts as so many seconds of a connection's own load: its load just now is a poor
+/// estimate of its load once it has migrated.
 const PRIOR_LOAD_SECONDS: f64 = 20.0;
 
 /// Where a connection is.
--- a/crates/recovery/src/instance_view/mod.rs
+++ b/crates/recovery/src/instance_view/mod.rs
@@ -147,7 +147,7 @@
                 {
                     server.entry = *entry;
                 }
-                // What was learned of an earlier process says nothing of this one.
+                // What was learned of an earlier process does not apply to this one.
                 known => {
                     let is_recent = known.is_some() || now - entry.started_at < self.warm_up_time;
                     started += u32::from(entry.started_at > 0.0 && is_recent);
--- a/crates/recovery/src/levels/gauge.rs
+++ b/crates/recovery/src/levels/gauge.rs
@@ -2,7 +2,7 @@
 
 /// Length of one slot of the window, in seconds.
 const SLOT_SECONDS: f64 = 0.5;
-/// Slots of the window: five seconds tell a rate from chance, and show a failure within one.
+/// Slots of the window: five seconds separate a rate from chance, and still show a failure within one.
 const SLOTS: usize = 10;
 
 /// Counts of one slot, or of the whole window.
--- a/crates/recovery/src/levels/mod.rs
+++ b/crates/recovery/src/levels/mod.rs
@@ -27,7 +27,7 @@
 const RELAPSE_SECONDS: f64 = 2.0 * MIN_SECONDS_BETWEEN_CHANGES;
 /// The slowest that a level is left, over the usual time.
 const MAX_EXIT_DELAY_FACTOR: f64 = 4.0;
-/// An endpoint list of this age is stale: what it says of servers may be over.
+/// An endpoint list of this age is stale.
 const STALE_LIST_AGE: f64 = 1.0;
 /// Changes kept for reports.
 const MAX_RECENT_CHANGES: usize = 256;
@@ -120,7 +120,7 @@
     fn note_causes(&mut self, now: f64, signals: &LoadSignals) {
         let is_list_stale = signals.list_age >= STALE_LIST_AGE;
         for (level, seen_at) in self.cause_seen_at.iter_mut().enumerate().skip(1) {
-            // A stale list can't tell that servers are back, so that no cause is taken for gone.
+            // A stale list does not show that servers are back, so no cause counts as gone.
             let is_kept = is_list_stale && now - *seen_at < MIN_SECONDS_BETWEEN_CHANGES;
             if self.severity >= level as f64 - HYSTERESIS || is_kept {
                 *seen_at = now;
--- a/crates/recovery/src/levels/signals.rs
+++ b/crates/recovery/src/levels/signals.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// How bad things are, and which signal says so.
+/// How degraded the service is, and by which signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Severity {
     /// 0 where all is well; 1, 2 and 3 are the thresholds of the three levels below normal.
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -112,7 +112,7 @@
         self.balancer.established(id)
     }
 
-    /// The connections of this instance, to be told to other balancers.
+    /// The connections of this instance, for gossip with other balancers.
     pub fn holdings(&self) -> Vec<Holding> {
         self.balancer.holdings()
     }
@@ -132,7 +132,7 @@
         &self.controller
     }
 
-    /// The overload controller, to be told what it can't observe.
+    /// The overload controller, for what it can't observe itself.
     pub fn controller_mut(&mut self) -> &mut OverloadController {
         &mut self.controller
     }
--- a/crates/recovery/src/rebalance/cluster_snapshot.rs
+++ b/crates/recovery/src/rebalance/cluster_snapshot.rs
@@ -11,12 +11,11 @@
 pub(super) const GROUP_COST: f64 = 2.0;
 /// Mean loads that an open connection costs whatever it does.
 const OPEN_CONNECTION_COST: f64 = 0.1;
-/// A connection that was placed so lately, in seconds, is left alone.
+/// A younger connection does not migrate, in seconds.
 const MIN_AGE: f64 = 5.0;
-/// The same for one that came again, since another instance may have migrated it: two instances could send clients to
-/// and fro.
+/// The same for a returning client, which another instance may have migrated: two instances could send it to and fro.
 const MIN_AGE_AFTER_RETURN: f64 = 12.0;
-/// A server that reported slow messages so lately is no target, in seconds.
+/// A server is no target for so long after it reported slow messages, in seconds.
 const SLOW_REPORT_VALID_SECONDS: f64 = 5.0;
 /// Connections on a server from which on what they show of its utilization is half the truth.
 const HALF_CONFIDENCE_CONNECTIONS: f64 = 2.0;
@@ -28,7 +27,7 @@
 /// All instances together fill a cold server up to this part of what it can do by its slow start.
 const COLD_FILL_LIMIT: f64 = 0.7;
 
-/// What a migration decision goes by, over all servers.
+/// Settings of the cluster that migrations depend on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClusterSettings {
     /// Connections come in groups that share work on a server.
@@ -116,7 +115,7 @@
 }
 
 /// Instances that have members of a group on a server where this one has `own_mean` on average. Members fall to
-/// instances by chance, so that the mean of those that are seen at all, `m / (1 - e^-m)`, tells the mean `m` of all.
+/// instances by chance, so that the mean of those that are seen at all, `m / (1 - e^-m)`, gives the mean `m` of all.
 fn group_holders(own_mean: f64, instance_count: f64) -> f64 {
     let own_mean = own_mean.max(1.0);
     let mean = (0..FIXED_POINT_ITERATIONS).fold(own_mean, |mean, _| own_mean * (1.0 - (-mean).exp()));
--- a/crates/recovery/src/rebalance/mod.rs
+++ b/crates/recovery/src/rebalance/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Servers that come back stay empty for as long as connections last, while those that held out are crowded. So
 //! connections migrate there, each instance its own, at a pace that the fleet can take. Migrations pause at any failure
-//! and go on once all has been well for a while; and between two thresholds of imbalance nothing changes, so that chance
-//! moves nobody to and fro.
+//! and go on once all has been well for a while; and between two thresholds of imbalance nothing changes, so that
+//! chance moves nobody to and fro.
 
 mod cluster_snapshot;
 mod pacing;
@@ -117,7 +117,7 @@
     on_target: u64,
 }
 
-/// What a step goes by.
+/// Inputs of a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepSettings {
     /// Pace of migrations over the usual one; 0 for none.
--- a/crates/recovery/src/rebalance/pacing.rs
+++ b/crates/recovery/src/rebalance/pacing.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct TargetBucket {
     tokens: f64,
-    /// The server's process that this speaks of.
+    /// Start time of the server's process that the tokens belong to.
     started_at: f64,
 }
 
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -88,7 +88,7 @@
     pub gain_ratio: f64,
 }
 
-/// What a choice goes by beside the snapshot.
+/// Inputs of a choice beside the snapshot.
 pub(super) struct PlanningContext<'a> {
     pub now: f64,
     pub warm_up_time: f64,
--- a/crates/recovery/src/retry_budget.rs
+++ b/crates/recovery/src/retry_budget.rs
@@ -1,9 +1,9 @@
 //! The budget for retries of failed attempts.
 //!
 //! A retry is work that the fleet does twice, and a failure with the same cause everywhere (a fleet that is full, a
-//! store that is gone) makes every retry fail as well. So an attempt is retried only where the failure says nothing of
-//! the other servers, and within a share of first attempts. Once failures are correlated the budget is suspended, and
-//! a single trial finds out whether servers answer again.
+//! store that is gone) makes every retry fail as well. So an attempt is retried only where the failure is not
+//! correlated with those of other servers, and within a share of first attempts. Once failures are correlated the
+//! budget is suspended, and a single trial finds out whether servers answer again.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 const EARNED_PER_FIRST_ATTEMPT: f64 = 0.25;
 /// Retries saved up at most, and at the start, since one server's end strands a few requests at once.
 const MAX_SAVED: f64 = 10.0;
-/// An outcome says something of its server for so long.
+/// An outcome counts for so long.
 const OUTCOME_VALID_SECONDS: f64 = 3.0;
 /// Failures are correlated from this many failing servers on ...
 const MIN_FAILING_SERVERS: usize = 2;
@@ -154,7 +154,7 @@
 
     /// An attempt at a server has ended or was established.
     pub fn on_outcome(&mut self, now: f64, server: ServerId, outcome: Outcome) {
-        // A refused connection says something of this server alone, and trying costs the fleet nothing.
+        // A refused connection concerns this server alone, and trying costs the fleet nothing.
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::ConnectFailed) {
             return;
         }
--- a/crates/tenancy/src/decision.rs
+++ b/crates/tenancy/src/decision.rs
@@ -59,7 +59,7 @@
     Admit,
     /// It is rejected at once.
     Reject {
-        /// When to come back, from now; 0 where clients are not told.
+        /// When to come back, from now; 0 where no advice is sent.
         retry_after: Micros,
         /// Why, to be counted.
         reason: RejectReason,
--- a/crates/tenancy/src/resource.rs
+++ b/crates/tenancy/src/resource.rs
@@ -20,8 +20,8 @@
 /// Ticks of a tenant's last action in a time constant.
 const TICKS_PER_TIME_CONSTANT: u64 = 1000;
 
-/// What one tenant may use and uses. Single precision, so that 10,000 of them stay in a core's cache: 24 bits tell every
-/// connection of a tenant that has under 16 million.
+/// One tenant's quota and use. Single precision, so that 10,000 of them stay in a core's cache: 24 bits
+/// count connections exactly up to 16 million.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantUse {
     /// Quota of the whole fleet.
--- a/crates/tenancy/src/retry_after.rs
+++ b/crates/tenancy/src/retry_after.rs
@@ -9,7 +9,7 @@
 const MIN_WAIT: Micros = 100_000;
 /// Waits lie between this part of the expected time and the whole.
 const SPREAD_FROM_RATIO: f64 = 0.5;
-/// Time constant of the clients that were told to come back, in microseconds.
+/// Time constant of the count of clients with a Retry-After, in microseconds.
 const EXPECTED_CLIENTS_TIME_CONSTANT: f64 = 1e6;
 /// No capacity is expected later than this, in microseconds.
 const MAX_EXPECTED_TIME: f64 = 1e12;
@@ -38,7 +38,7 @@
 }
 
 impl RetryAfterSequence {
-    /// The next wait, behind the clients that were told one already; 0 where clients are told none.
+    /// The next wait, behind the clients that were given one already; 0 where no advice is sent.
     pub fn next_wait(&mut self, now: Micros, capacity: ExpectedCapacity, longest: Micros) -> Micros {
         self.issued = self.issued.wrapping_add(1);
         if longest == 0 {
--- a/crates/tenancy/src/settings.rs
+++ b/crates/tenancy/src/settings.rs
@@ -37,7 +37,8 @@
 }
 
 impl TenantLimits {
-    /// Limits for all instances together: connections, and set-ups a second. The weight is 1, and the tenant may borrow.
+    /// Limits for all instances together: connections, and set-ups a second. The weight is 1, and the tenant may
+    /// borrow.
     ///
     /// # Errors
     ///
@@ -95,7 +96,7 @@
     /// When capacity is short, tenants within their quotas are ranked as well, by weight and use; else only those
     /// beyond their quotas wait.
     pub rations_within_quota: bool,
-    /// The longest time to come back that clients heed, in microseconds; 0 where they are told none.
+    /// The longest Retry-After that clients honour, in microseconds; 0 where none is sent.
     pub longest_wait: Micros,
     /// Connections of removed tenants that migrate a second, of all such tenants together.
     pub migrations_per_second: f64,
--- a/crates/tenancy/src/shortage.rs
+++ b/crates/tenancy/src/shortage.rs
@@ -1,7 +1,7 @@
 //! Whether capacity is short: the decision module rejects what was admitted.
 //!
-//! Only the decision module knows servers. What it says by rejecting is taken as a limit on all connections here: a
-//! little under what was established when it rejected, lower while it goes on rejecting, and rising again by itself.
+//! Only the decision module knows servers. Its rejections set a limit on all connections here: a little under
+//! what was established at the time, lower with further rejections, and rising again by itself.
 
 use shorewharf_units::Micros;
 
--- a/crates/tenancy/src/tenancy/admission.rs
+++ b/crates/tenancy/src/tenancy/admission.rs
@@ -14,11 +14,11 @@
 const CHANCE_DEVIATIONS: f64 = 1.5;
 /// ... and so many set-ups: a tenant of few clients is not rejected for two that came together.
 const CHANCE_SETUPS: f64 = 2.0;
-/// Where nothing is left to lend, the level lies so many connections below what is in use, so that the fullest tenant is
+/// Where nothing is left to lend, the level is so many connections below what is in use, so that the fullest tenant is
 /// above it.
 const LEVEL_MARGIN: f64 = 0.5;
 
-/// How a request stands to its tenant's quota.
+/// How a request relates to its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum QuotaStanding {
     /// It is within the local quota.
@@ -40,8 +40,8 @@
 }
 
 impl Tenancy {
-    /// Decides on a client's request; `is_returning` if the client says that it comes again. Nothing is counted of one
-    /// that is admitted until [`Tenancy::on_admitted`] says that nobody else rejected it.
+    /// Decides on a client's request; `is_returning` if the client claims to reconnect. An admitted request
+    /// is counted by [`Tenancy::on_admitted`], once no other admission has rejected it.
     pub fn check(&mut self, now: Micros, tenant: TenantIndex, is_returning: bool) -> QuotaDecision {
         self.pending = None;
         let Some(record) = self.tenants.get(tenant.0) else {
@@ -56,7 +56,7 @@
             self.pending = Some(PendingAdmission { tenant, kind: None, is_borrowing: false });
             return QuotaDecision::Admit;
         };
-        // A client that only says that it returns, where no connection ended lately, is new.
+        // A client that claims to reconnect where no connection ended lately is new.
         let is_reconnect = is_returning && record.may_reconnect(now);
         let kind = if is_reconnect { SetupKind::Reconnect } else { SetupKind::New };
         let standings =
@@ -100,7 +100,7 @@
         self.shortage.on_admitted(now);
     }
 
-    /// How one more connection stands to the tenant's quota of connections.
+    /// How one more connection relates to the tenant's quota of connections.
     fn connection_standing(&self, now: Micros, tenant: TenantIndex, limits: TenantLimits) -> QuotaStanding {
         let record = &self.tenants[tenant.0];
         let resource = &self.connections;
@@ -138,7 +138,7 @@
         exceeded(if is_short { RejectReason::CapacityShort } else { RejectReason::Connections })
     }
 
-    /// How one more set-up stands to the tenant's quota of set-ups or reconnects.
+    /// How one more set-up relates to the tenant's quota of set-ups or reconnects.
     fn rate_standing(
         &self,
         now: Micros,
--- a/crates/tenancy/src/tenancy/connections.rs
+++ b/crates/tenancy/src/tenancy/connections.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A client left before its connection was established; that says nothing of anybody.
+    /// A client left before its connection was established, which is nobody's failure.
     pub fn on_client_left(&mut self, now: Micros, tenant: TenantIndex) {
         if self.release(now, tenant) {
             self.on_setup_failed(now, tenant);
--- a/crates/tenancy/src/tenancy/mod.rs
+++ b/crates/tenancy/src/tenancy/mod.rs
@@ -21,8 +21,8 @@
 
 /// Time constant of the rates of set-ups and reconnects, in microseconds.
 const RATE_TIME_CONSTANT: Micros = 4_000_000;
-/// All of a quota may reconnect within this time, in microseconds: a server takes its part of a whole fleet's set-ups in
-/// about as long.
+/// All of a quota may reconnect within this time, in microseconds: a server takes its part of a whole fleet's set-ups
+/// in about as long.
 const RECONNECT_PERIOD: f64 = 8e6;
 const MICROS_PER_SECOND: f64 = shorewharf_units::MICROS_PER_SECOND as f64;
 
--- a/crates/tenancy/src/tenant.rs
+++ b/crates/tenancy/src/tenant.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// A connection is no longer being set up. Its kind is not known, so it is taken for the more frequent one, which is
-    /// right on the whole; returns that kind.
+    /// A connection is no longer being set up. Its kind is not known, so it is taken for the more frequent one, which
+    /// is right on the whole; returns that kind.
     pub fn on_setup_ended(&mut self) -> Option<SetupKind> {
         let [new, reconnects] = self.setting_up;
         let kind = if reconnects > new { SetupKind::Reconnect } else { SetupKind::New };
