--- a/crates/budgets/src/member/leadership.rs
+++ b/crates/budgets/src/member/leadership.rs
@@ -13,7 +13,7 @@
 
 /// The leader's record as it was read.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct SeenLeader {
+pub(super) struct ObservedLeader {
     revision: u64,
     record: LeaderRecord,
 }
@@ -21,7 +21,7 @@
 /// What was seen of the leader's record.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderView {
-    leader: Option<SeenLeader>,
+    leader: Option<ObservedLeader>,
     /// Since when it has been seen to be so without a gap.
     unchanged_since: Micros,
     /// When the last poll was sent.
@@ -32,8 +32,8 @@
 
 impl LeaderView {
     /// Whether the store was not set back between this view and a leader's record that was read later.
-    fn is_intact(&self, later: Option<&SeenLeader>) -> bool {
-        let number = |leader: Option<&SeenLeader>| {
+    fn is_intact(&self, later: Option<&ObservedLeader>) -> bool {
+        let number = |leader: Option<&ObservedLeader>| {
             leader.map_or((0, 0), |leader| (leader.revision, leader.record.term))
         };
         let (before, after) = (number(self.leader.as_ref()), number(later));
@@ -69,8 +69,9 @@
         allocations: &mut Allocations,
     ) {
         let stored = |index: usize| records.get(index).and_then(Option::as_ref);
-        let leader = stored(0)
-            .and_then(|stored| Some(SeenLeader { revision: stored.revision, record: decode(&stored.text)? }));
+        let leader = stored(0).and_then(|stored| {
+            Some(ObservedLeader { revision: stored.revision, record: decode(&stored.text)? })
+        });
         if let Some(seen) = &leader
             && seen.record.term > self.term
         {
@@ -84,7 +85,7 @@
         }
     }
 
-    fn on_leader_record(&mut self, now: Micros, sent_at: Micros, leader: Option<SeenLeader>) {
+    fn on_leader_record(&mut self, now: Micros, sent_at: Micros, leader: Option<ObservedLeader>) {
         if let Some(leadership) = &mut self.leadership {
             match leader {
                 Some(seen) if seen.record == leadership.record => leadership.revision = seen.revision,
@@ -115,8 +116,8 @@
             let (member, _) = parse_grant_key(&key)?;
             Some((member.to_owned(), decode::<Grant>(&stored.text)?))
         };
-        self.known_grants = records.into_iter().filter_map(grant).collect();
-        let highest_term = self.known_grants.iter().map(|(_, grant)| grant.term).max().unwrap_or(0);
+        self.loaded_grants = records.into_iter().filter_map(grant).collect();
+        let highest_term = self.loaded_grants.iter().map(|(_, grant)| grant.term).max().unwrap_or(0);
         self.term = self.term.max(highest_term);
     }
 
@@ -136,7 +137,7 @@
         let term = self.next_term();
         self.term = term;
         let record = self.first_leader_record(term);
-        let grants = std::mem::take(&mut self.known_grants);
+        let grants = std::mem::take(&mut self.loaded_grants);
         let store_intact_since = self.leader_view.as_ref().map_or(now, |view| view.store_intact_since);
         let start = TermStart { now, term, store_intact_since };
         let leader = Leader::new(start, &self.settings, grants);
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -131,7 +131,7 @@
     next_poll_at: Micros,
     next_heartbeat_at: Micros,
     /// Grants that were read before becoming the leader.
-    known_grants: Vec<(String, Grant)>,
+    loaded_grants: Vec<(String, Grant)>,
     is_leaving: bool,
     has_left: bool,
     stats: MemberStats,
@@ -162,7 +162,7 @@
             sent_at: None,
             next_poll_at: now,
             next_heartbeat_at: now,
-            known_grants: Vec::new(),
+            loaded_grants: Vec::new(),
             is_leaving: false,
             has_left: false,
             stats: MemberStats::default(),
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -349,7 +349,7 @@
                     if let Some(admitted) = self.admitted.get_mut(&id) {
                         admitted.is_migrating = true;
                     }
-                    self.balancer.on_migrated_elsewhere(id);
+                    self.balancer.on_external_migration(id);
                     actions.push(Action::Migrate(id));
                 }
             }
--- a/crates/recovery/src/capacity_estimate/mod.rs
+++ b/crates/recovery/src/capacity_estimate/mod.rs
@@ -188,7 +188,7 @@
             let load = model.bound(now, &limits);
             let setup_rate = COLD_SETUP_RATIO * limits.overload_ratio * model.entry.weight
                 / self.mean_load
-                / limits.warm_up_time
+                / limits.slow_start.warm_up_time
                 / limits.instance_count;
             let announced = model.announced;
             if has_changed(load, announced.load) || has_changed(setup_rate, announced.setup_rate) {
@@ -206,7 +206,7 @@
             let estimate = ServerEstimate {
                 state: model.entry.state,
                 weight: model.entry.weight,
-                warm_up_ratio: self.limits.warm_up_ratio(&model.entry, now),
+                warm_up_ratio: self.limits.slow_start.warm_up_ratio(&model.entry, now),
                 capacity: model.bound(now, &self.limits) * self.limits.instance_count / TARGET_UTILIZATION,
                 load: local_load * self.limits.instance_count,
                 local_load,
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -157,7 +157,7 @@
     /// A set-up was completed.
     pub fn on_setup(&mut self, now: f64, setup: Setup, model: &mut SetupModel, limits: &PlatformLimits) {
         let utilization = setup.local_load / self.bound(now, limits) * TARGET_UTILIZATION;
-        let warm_up_ratio = limits.warm_up_ratio(&self.entry, now);
+        let warm_up_ratio = limits.slow_start.warm_up_ratio(&self.entry, now);
         let capacity = SetupCapacity { weight: self.entry.weight, warm_up_ratio };
         let log_speedup = model.observe(setup.seconds, capacity, utilization);
         if let Some(log_speedup) = log_speedup.filter(|_| utilization > SETUP_MIN_UTILIZATION) {
@@ -173,7 +173,7 @@
         if has_reported || local_load <= AT_BOUND_RATIO * self.bound(now, limits) {
             return;
         }
-        let growth = if limits.warm_up_ratio(&self.entry, now) < 1.0 {
+        let growth = if limits.slow_start.warm_up_ratio(&self.entry, now) < 1.0 {
             COLD_GROWTH
         } else if self.is_recently_slow(now) {
             GROWTH_AFTER_SLOW_REPORT
--- a/crates/recovery/src/controller/mod.rs
+++ b/crates/recovery/src/controller/mod.rs
@@ -161,7 +161,7 @@
     }
 
     /// A connection was asked to migrate by someone else.
-    pub(crate) fn on_migrated_elsewhere(&mut self, id: RequestId) {
+    pub(crate) fn on_external_migration(&mut self, id: RequestId) {
         self.view.on_migration(id);
     }
 
--- a/crates/recovery/src/instance_view/mod.rs
+++ b/crates/recovery/src/instance_view/mod.rs
@@ -12,10 +12,14 @@
 pub(crate) use connection::{Connection, Placement};
 pub(crate) use server_record::ServerRecord;
 
+use crate::slow_start::SlowStart;
+
 /// Weight of one load report in the mean of all.
 const MEAN_LOAD_WEIGHT: f64 = 0.02;
 /// A server that went without draining counts as missing for so long.
 const MISSING_SECONDS: f64 = 300.0;
+/// The shortest warm-up time that migrations are paced by.
+const MIN_WARM_UP_SECONDS: f64 = 0.1;
 /// Servers remembered at most.
 const MAX_SERVERS: usize = 4096;
 
@@ -44,8 +48,7 @@
     established: usize,
     /// Mean load of a connection, in the unit of list weights; none before the first load report.
     mean_load: Option<f64>,
-    cold_capacity_ratio: f64,
-    warm_up_time: f64,
+    slow_start: SlowStart,
     has_weights: bool,
 }
 
@@ -56,8 +59,7 @@
             connections: BTreeMap::new(),
             established: 0,
             mean_load: None,
-            cold_capacity_ratio: 0.0,
-            warm_up_time: 0.0,
+            slow_start: SlowStart::new(settings, MIN_WARM_UP_SECONDS),
             has_weights: false,
         };
         view.update_settings(settings);
@@ -65,8 +67,7 @@
     }
 
     pub fn update_settings(&mut self, settings: &Settings) {
-        self.cold_capacity_ratio = settings.cold_capacity_ratio.clamp(0.0, 1.0);
-        self.warm_up_time = settings.warm_up_time.max(0.1);
+        self.slow_start = SlowStart::new(settings, MIN_WARM_UP_SECONDS);
         self.has_weights = settings.weight_kind != WeightKind::Uniform;
     }
 
@@ -81,16 +82,12 @@
     }
 
     pub fn warm_up_time(&self) -> f64 {
-        self.warm_up_time
+        self.slow_start.warm_up_time
     }
 
     /// The share of its warm capacity that a server has reached by the platform's slow start.
     pub fn warm_up_ratio(&self, server: &ServerRecord, now: f64) -> f64 {
-        let age = now - server.entry.started_at;
-        if server.entry.started_at <= 0.0 || age >= self.warm_up_time {
-            return 1.0;
-        }
-        self.cold_capacity_ratio + (1.0 - self.cold_capacity_ratio) * (age / self.warm_up_time).max(0.0)
+        self.slow_start.warm_up_ratio(&server.entry, now)
     }
 
     /// A server's listed size; 1 where weights say nothing.
@@ -149,7 +146,7 @@
                 }
                 // What was learned of an earlier process does not apply to this one.
                 known => {
-                    let is_recent = known.is_some() || now - entry.started_at < self.warm_up_time;
+                    let is_recent = known.is_some() || now - entry.started_at < self.slow_start.warm_up_time;
                     started += u32::from(entry.started_at > 0.0 && is_recent);
                     if has_room || known.is_some() {
                         self.servers.insert(*id, ServerRecord::new(*entry));
--- a/crates/recovery/src/levels/mod.rs
+++ b/crates/recovery/src/levels/mod.rs
@@ -77,10 +77,10 @@
     level: Level,
     severity: f64,
     /// When each level's cause was last present.
-    cause_seen_at: [f64; 4],
+    cause_present_at: [f64; 4],
     changed_at: Option<f64>,
     /// When each level was last left.
-    left_at: [f64; 4],
+    exited_at: [f64; 4],
     /// How long a cause has to be gone, over the usual time; doubles with each relapse.
     exit_delay_factor: f64,
     updated_at: Option<f64>,
@@ -91,8 +91,8 @@
     /// Creates a controller at [`Level::Normal`].
     pub fn new() -> Self {
         LevelController {
-            cause_seen_at: [f64::NEG_INFINITY; 4],
-            left_at: [f64::NEG_INFINITY; 4],
+            cause_present_at: [f64::NEG_INFINITY; 4],
+            exited_at: [f64::NEG_INFINITY; 4],
             exit_delay_factor: 1.0,
             ..LevelController::default()
         }
@@ -119,7 +119,7 @@
     /// Notes which levels' causes are present.
     fn note_causes(&mut self, now: f64, signals: &LoadSignals) {
         let is_list_stale = signals.list_age >= STALE_LIST_AGE;
-        for (level, seen_at) in self.cause_seen_at.iter_mut().enumerate().skip(1) {
+        for (level, seen_at) in self.cause_present_at.iter_mut().enumerate().skip(1) {
             // A stale list does not show that servers are back, so no cause counts as gone.
             let is_kept = is_list_stale && now - *seen_at < MIN_SECONDS_BETWEEN_CHANGES;
             if self.severity >= level as f64 - HYSTERESIS || is_kept {
@@ -144,7 +144,7 @@
         if next <= self.level {
             return None;
         }
-        if now < self.left_at[next as usize] + RELAPSE_SECONDS {
+        if now < self.exited_at[next as usize] + RELAPSE_SECONDS {
             self.exit_delay_factor = (self.exit_delay_factor * 2.0).min(MAX_EXIT_DELAY_FACTOR);
         }
         Some(next)
@@ -152,19 +152,19 @@
 
     /// The better level that may be entered now, if any.
     fn better_level(&mut self, now: f64) -> Option<Level> {
-        let cause_gone_for = now - self.cause_seen_at[self.level as usize];
+        let cause_gone_for = now - self.cause_present_at[self.level as usize];
         let exit_delay = MIN_SECONDS_BETWEEN_CHANGES * self.exit_delay_factor;
         if self.level == Level::Normal || !self.may_change(now) || cause_gone_for < exit_delay {
             return None;
         }
         let skip_after = MIN_SECONDS_BETWEEN_CHANGES * SKIP_RATIO;
-        let has_recent_cause = |level: &Level| now - self.cause_seen_at[*level as usize] < skip_after;
+        let has_recent_cause = |level: &Level| now - self.cause_present_at[*level as usize] < skip_after;
         let levels_between = Level::ALL[1..self.level as usize].iter().rev().copied();
         let next = levels_between.into_iter().find(has_recent_cause).unwrap_or(Level::Normal);
         if next == Level::Normal {
             self.exit_delay_factor = (self.exit_delay_factor / 2.0).max(1.0);
         }
-        self.left_at[next as usize + 1..=self.level as usize].fill(now);
+        self.exited_at[next as usize + 1..=self.level as usize].fill(now);
         Some(next)
     }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -17,4 +17,5 @@
 pub mod rebalance;
 mod retry_after;
 pub mod retry_budget;
+mod slow_start;
 pub mod snapshot_state;
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -98,8 +98,8 @@
     }
 
     /// A connection was asked to migrate by someone else.
-    pub fn on_migrated_elsewhere(&mut self, id: RequestId) {
-        self.controller.on_migrated_elsewhere(id);
+    pub fn on_external_migration(&mut self, id: RequestId) {
+        self.controller.on_external_migration(id);
     }
 
     /// The estimates of what the fleet can take.
@@ -142,11 +142,11 @@
         &self,
         from: ExportCursor,
         most: usize,
-        out: &mut Vec<SnapshotEntry>,
+        entries: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
         match from {
-            ExportCursor::Balancer(cursor) => self.export_balancer(cursor, most, out),
-            ExportCursor::Servers(last) => self.export_servers(last, most, out),
+            ExportCursor::Balancer(cursor) => self.export_balancer(cursor, most, entries),
+            ExportCursor::Servers(last) => self.export_servers(last, most, entries),
             ExportCursor::End => ExportCursor::End,
         }
     }
@@ -155,11 +155,11 @@
         &self,
         from: shorewharf_decisions::persistence::ExportCursor,
         most: usize,
-        out: &mut Vec<SnapshotEntry>,
+        entries: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
         let mut known = Vec::new();
         let next = self.balancer.export_state(from, most, &mut known);
-        out.extend(known.into_iter().map(SnapshotEntry::Balancer));
+        entries.extend(known.into_iter().map(SnapshotEntry::Balancer));
         match next {
             shorewharf_decisions::persistence::ExportCursor::End => ExportCursor::Servers(None),
             next => ExportCursor::Balancer(next),
@@ -170,15 +170,15 @@
         &self,
         last: Option<ServerId>,
         most: usize,
-        out: &mut Vec<SnapshotEntry>,
+        entries: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
         if last.is_none() {
-            out.push(SnapshotEntry::LoadModel(self.estimator.load_model()));
+            entries.push(SnapshotEntry::LoadModel(self.estimator.load_model()));
         }
         let capacities = self.estimator.server_capacities(last, most);
         let exported = capacities.len();
         let last = capacities.last().map(|capacity| ServerId(capacity.server));
-        out.extend(capacities.into_iter().map(|capacity| {
+        entries.extend(capacities.into_iter().map(|capacity| {
             let excluded_until = self.controller.excluded_until(ServerId(capacity.server));
             SnapshotEntry::ServerCapacity(ServerCapacity { excluded_until, ..capacity })
         }));
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -182,7 +182,7 @@
         if !candidate.is_paid_at_target && !candidate.is_group_open(context) {
             return None;
         }
-        let leaving = self.leaving_connections(candidate)?;
+        let leaving = self.migrating_connections(candidate)?;
         let shift = self.load_shift(candidate, &leaving);
         if target.load + shift.added > self.target_limit(target) {
             return None;
@@ -203,7 +203,7 @@
 
     /// Which of a group's connections migrate: all of them, or the heaviest that fits if the group stays on both
     /// servers.
-    fn leaving_connections(&self, candidate: &Candidate<'_>) -> Option<Vec<PlacedConnection>> {
+    fn migrating_connections(&self, candidate: &Candidate<'_>) -> Option<Vec<PlacedConnection>> {
         let mut leaving: Vec<PlacedConnection> =
             candidate.members.iter().filter(|member| member.may_migrate).copied().collect();
         leaving.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.id.cmp(&b.id)));
