--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -1,6 +1,10 @@
-//! Configuration: read, checked and given defaults here and nowhere else.
+//! Configuration of the balancer: reading, validation and defaults, at the start and on a reload.
+//!
+//! [`Config`] is what the rest of the program goes by. The keys of the file are in [`file`], those of the operator's own
+//! file in `shorewharf_settings::operator`.
 
 pub mod error;
+mod file;
 pub mod proxy_settings;
 pub mod summary;
 
@@ -9,25 +13,29 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-
 use shorewharf_decisions::Settings;
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Operator;
 
+pub use self::error::{ConfigError, InvalidValue};
+use self::file::{ConfigFile, SettingsSection, check_duration, wrong_type};
 use crate::admin::server::MAX_CONNECTIONS;
-pub use crate::config::error::ConfigError;
-use crate::fleet::budget_config::Fleet;
-use crate::fleet::peers::Peers;
+use crate::fleet::budget_config::BudgetConfig;
+use crate::fleet::gossip_config::GossipConfig;
 
-/// Lengths of time are shorter than this, in seconds: sums of them stay far from the end of the clock.
-const LONGEST: f64 = 1e6;
-/// Descriptors of the program's own and those kept for refusals leave nothing of fewer.
-const FEWEST_SOCKETS: usize = 32;
-/// Descriptors that are kept for operators where they may call: their listener and those who call.
-const OPERATORS_SOCKETS: usize = MAX_CONNECTIONS + 1;
-/// Names the operator's own file (TOML): what the platform's configuration says nothing of.
-pub const OPERATOR: &str = "SHOREWHARF_OPERATOR";
+/// Durations are shorter than this, in seconds, so that sums of them stay far from the end of the clock.
+const MAX_SECONDS: f64 = 1e6;
+/// The least descriptors to serve anybody: the program's own and those reserved for rejections take nearly as many.
+const MIN_SOCKETS: usize = 32;
+/// Descriptors reserved for operators: the admin listener and its connections.
+const ADMIN_SOCKETS: usize = MAX_CONNECTIONS + 1;
+/// Names the configuration file.
+const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
+/// Names the operator's own file (TOML), which has what the platform's configuration says nothing of.
+pub const OPERATOR_VARIABLE: &str = "SHOREWHARF_OPERATOR";
+/// Set apart the random numbers of the workers (the 64-bit golden ratio).
+const WORKER_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The limits that this machine sets the program.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
@@ -47,266 +55,217 @@
     }
 }
 
-/// All that the program is told at its start.
+/// The configuration in force.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The balancer's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Where the discovery service is.
     pub discovery: SocketAddr,
-    /// Where operators call; nowhere without the key `operator`.
-    pub operator_at: Option<SocketAddr>,
-    /// For random numbers.
+    /// Where operators connect; none without the key `operator`.
+    pub admin_address: Option<SocketAddr>,
+    /// Seed of the random numbers.
     pub seed: u64,
     /// What the machine allows.
     pub limits: Limits,
-    /// The list as this balancer had it last.
-    pub known: EndpointList,
-    /// The module's settings.
+    /// The endpoint list as this balancer had it last.
+    pub initial_endpoints: EndpointList,
+    /// Settings of the decisions.
     pub settings: Settings,
-    /// Names in the settings.
+    /// Classes, tenants and zones by name.
     pub names: NameIndex,
     /// How long a client of each class waits in all, in microseconds.
-    pub give_up: Vec<u64>,
-    /// Servers tell what messages take there.
-    pub tells_delay: bool,
-    /// What the operator's own file says.
+    pub client_timeouts: Vec<u64>,
+    /// Servers report message delays in their load reports.
+    pub servers_report_delay: bool,
+    /// The operator's own file.
     pub operator: Operator,
-    /// The other balancers of the fleet, where the operator's file names them.
-    pub peers: Option<Peers>,
+    /// Gossip with the other balancers of the fleet, where the operator's file names them.
+    pub gossip: Option<GossipConfig>,
     /// Budgets of the whole fleet, where the operator's file names a store.
-    pub fleet: Option<Fleet>,
-}
-
-#[derive(Deserialize)]
-struct Raw {
-    name: Option<String>,
-    listen: Option<String>,
-    discovery: Option<String>,
-    operator: Option<String>,
-    seed: Option<String>,
-    #[serde(default)]
-    limits: Limits,
-    #[serde(default)]
-    known: EndpointList,
-    settings: Option<Value>,
-}
-
-#[derive(Deserialize)]
-struct RawNames {
-    classes: Vec<RawClass>,
-    #[serde(default)]
-    tenants: Vec<Named>,
-    #[serde(default)]
-    zones: Vec<String>,
-    #[serde(default)]
-    specifics: RawSpecifics,
+    pub budgets: Option<BudgetConfig>,
 }
 
-#[derive(Deserialize, Default)]
-struct RawSpecifics {
-    #[serde(default)]
-    tells_delay: bool,
+/// The value of a required key, or of the environment variable that stands in for it.
+fn required(
+    value: Option<String>,
+    key: &'static str,
+    variable: &'static str,
+    env: impl Fn(&str) -> Option<String>,
+) -> Result<String, ConfigError> {
+    value.or_else(|| env(variable)).ok_or(ConfigError::Missing { key, variable })
 }
 
-#[derive(Deserialize)]
-struct RawClass {
-    name: String,
-    give_up_s: Option<f64>,
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::invalid(key, InvalidValue::NotAnAddress(text.to_owned())))
 }
 
-#[derive(Deserialize)]
-struct Named {
-    name: String,
+fn parse_seed(text: Option<String>) -> Result<u64, ConfigError> {
+    let Some(text) = text else { return Ok(0) };
+    u64::from_str_radix(&text, 16)
+        .map_err(|_| ConfigError::invalid("seed", InvalidValue::NotHexadecimal(text)))
 }
 
-fn form(key: impl Into<String>, what: impl ToString) -> ConfigError {
-    ConfigError::Form(key.into(), what.to_string())
+fn parse_settings(json: &Value) -> Result<Settings, ConfigError> {
+    let (settings, _) = shorewharf_settings::settings(json.to_string().as_bytes())
+        .map_err(|e| wrong_type("settings", e.0))?;
+    check_duration("settings.tick_s", settings.tick)?;
+    check_duration("settings.limits.connect_timeout_s", settings.connect_timeout)?;
+    check_duration("settings.rules.ask_within_s", settings.poll_interval)?;
+    check_duration("settings.rules.overload_for_s", settings.overload_window)?;
+    Ok(settings)
 }
 
-/// Names the key at fault, with the keys it stands under.
-fn at<E: std::fmt::Display>(under: &str, e: serde_path_to_error::Error<E>) -> ConfigError {
-    let path = e.path().to_string();
-    let key = match (under, path.as_str()) {
-        ("", p) => p.to_owned(),
-        (u, ".") => u.to_owned(),
-        (u, p) => format!("{u}.{p}"),
+fn read_operator_file(path: Option<String>) -> Result<Operator, ConfigError> {
+    let Some(path) = path else { return Ok(Operator::default()) };
+    let invalid = |problem| ConfigError::invalid(OPERATOR_VARIABLE, problem);
+    let text = match std::fs::read_to_string(&path) {
+        Ok(text) => text,
+        Err(source) => return Err(invalid(InvalidValue::OperatorFileUnreadable { path, source })),
     };
-    // The reader names its own types; whoever writes the file knows numbers.
-    let why = e.into_inner().to_string().replace("expected usize", "expected a whole number");
-    form(key, why.replace("expected f64", "expected a number"))
-}
-
-fn address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| form(key, format!("'{text}' is not ADDRESS:PORT, such as 127.0.0.1:8000")))
+    Operator::parse(&text)
+        .map_err(|error| invalid(InvalidValue::OperatorFileInvalid { path, source: Box::new(error) }))
 }
 
-fn places(names: impl IntoIterator<Item = String>) -> HashMap<String, usize> {
-    names.into_iter().enumerate().map(|(i, name)| (name, i)).collect()
+fn check_min_sockets(sockets: usize) -> Result<(), ConfigError> {
+    if sockets >= MIN_SOCKETS {
+        return Ok(());
+    }
+    Err(ConfigError::invalid("limits.sockets", InvalidValue::TooFewSockets { sockets, least: MIN_SOCKETS }))
 }
 
-/// Reads the operator's own file, if there is one.
-fn operator(path: Option<String>) -> Result<Operator, ConfigError> {
-    let Some(path) = path else { return Ok(Operator::default()) };
-    let text = std::fs::read_to_string(&path).map_err(|e| form(OPERATOR, format!("{path}: {e}")))?;
-    Operator::parse(&text).map_err(|e| form(OPERATOR, format!("{path}: {}", e.to_string().trim_end())))
+/// Checks that the descriptors suffice for the admin listener and for each worker.
+fn check_divided_sockets(sockets: usize, has_admin: bool, workers: usize) -> Result<(), ConfigError> {
+    let least = MIN_SOCKETS + ADMIN_SOCKETS;
+    let problem = if has_admin && sockets < least {
+        InvalidValue::TooFewSocketsForAdmin { sockets, least }
+    } else if sockets / workers < MIN_SOCKETS {
+        InvalidValue::TooFewSocketsForWorkers { sockets, workers, least: MIN_SOCKETS }
+    } else {
+        return Ok(());
+    };
+    Err(ConfigError::invalid("limits.sockets", problem))
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names, and the environment for what it leaves out.
+    /// Reads the file that `ROUTER_CONFIG` names. `env` looks up environment variables, which stand in for keys that the
+    /// file lacks.
+    ///
+    /// # Errors
+    /// A file that can't be read, or what [`Config::parse`] returns.
     pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let text = match env("ROUTER_CONFIG") {
-            Some(path) => std::fs::read(&path).map_err(|e| ConfigError::File(path.into(), e))?,
-            None => {
-                return Err(form("ROUTER_CONFIG", "missing; it names the JSON file that has the settings"));
-            }
+        let Some(path) = env(CONFIG_VARIABLE) else {
+            return Err(ConfigError::invalid(CONFIG_VARIABLE, InvalidValue::NoConfigFile));
         };
+        let text =
+            std::fs::read(&path).map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
         Config::parse(&text, env)
     }
 
-    /// Reads the configuration's text, and the environment for what it leaves out.
+    /// Parses and checks the configuration's text, and reads the files that it names.
+    ///
+    /// # Errors
+    /// The first key that is missing or has a value that can't be used.
     pub fn parse(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let mut json = serde_json::Deserializer::from_slice(text);
-        let raw: Raw =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| match e.inner().is_data() {
-                true => at("", e),
-                false => form("ROUTER_CONFIG", format!("no JSON: {}", e.into_inner())),
-            })?;
-        json.end().map_err(|e| form("ROUTER_CONFIG", e))?;
-        let or = |given: Option<String>, key: &'static str, var: &'static str| {
-            given.or_else(|| env(var)).ok_or(ConfigError::Missing(key, var))
-        };
-        let seed = match raw.seed {
-            Some(hex) => u64::from_str_radix(&hex, 16)
-                .map_err(|_| form("seed", format!("'{hex}' is not up to 16 hexadecimal digits")))?,
-            None => 0,
-        };
-        let settings =
-            raw.settings.ok_or_else(|| form("settings", "missing; an object with the classes is needed"))?;
-        let named: RawNames = serde_path_to_error::deserialize(&settings).map_err(|e| at("settings", e))?;
-        if named.classes.is_empty() {
-            return Err(form("settings.classes", "at least one class is needed"));
-        }
-        let give_up = named.classes.iter().enumerate().map(|(i, c)| match c.give_up_s.unwrap_or(3.0) {
-            s if s > 0.0 && s < LONGEST => Ok((s * 1e6) as u64),
-            s => Err(form(
-                format!("settings.classes[{i}].give_up_s"),
-                format!("{s} s is not over 0 and under {LONGEST} s"),
-            )),
-        });
-        let give_up = give_up.collect::<Result<_, _>>()?;
-        let (set, _) = shorewharf_settings::settings(settings.to_string().as_bytes())
-            .map_err(|e| at("settings", e.0))?;
-        for (key, value) in [
-            ("settings.tick_s", set.tick),
-            ("settings.limits.connect_timeout_s", set.connect_timeout),
-            ("settings.rules.ask_within_s", set.poll_interval),
-            ("settings.rules.overload_for_s", set.overload_window),
-        ] {
-            if !(value > 0.0 && value < LONGEST) {
-                return Err(form(key, format!("{value} s is not over 0 and under {LONGEST} s")));
-            }
-        }
-        if raw.limits.sockets < FEWEST_SOCKETS {
-            return Err(form(
-                "limits.sockets",
-                format!("{} is too few to serve anybody; at least {FEWEST_SOCKETS}", raw.limits.sockets),
-            ));
-        }
-        let operator = operator(env(OPERATOR))?;
-        let operator_at = raw.operator.or_else(|| env("ROUTER_OPERATOR"));
-        let operator_at = operator_at.map(|at| address("operator", &at)).transpose()?;
-        let least = FEWEST_SOCKETS + OPERATORS_SOCKETS;
-        if operator_at.is_some() && raw.limits.sockets < least {
-            let why =
-                format!("{} are too few where operators may call; at least {least}", raw.limits.sockets);
-            return Err(form("limits.sockets", why));
-        }
-        if raw.limits.sockets / operator.workers < FEWEST_SOCKETS {
-            let (sockets, workers) = (raw.limits.sockets, operator.workers);
-            let why =
-                format!("{sockets} are too few for {workers} workers; at least {FEWEST_SOCKETS} for each");
-            return Err(form("limits.sockets", why));
-        }
-        let name = or(raw.name, "name", "ROUTER_NAME")?;
-        let peers = Peers::read(&operator.gossip, &name)?;
-        let names = NameIndex {
-            classes: places(named.classes.into_iter().map(|c| c.name)),
-            tenants: places(named.tenants.into_iter().map(|t| t.name)),
-            zones: named.zones.into_iter().zip(0..).collect(),
-        };
-        let fleet = Fleet::read(&operator.budgets, &set, &names, &name)?;
+        let file = ConfigFile::parse(text)?;
+        let seed = parse_seed(file.seed)?;
+        let json = file.settings.ok_or_else(|| ConfigError::invalid("settings", InvalidValue::NoSettings))?;
+        let section = SettingsSection::parse(&json)?;
+        let client_timeouts = section.client_timeouts()?;
+        let settings = parse_settings(&json)?;
+        check_min_sockets(file.limits.sockets)?;
+
+        let operator = read_operator_file(env(OPERATOR_VARIABLE))?;
+        let admin = file.admin.or_else(|| env("ROUTER_OPERATOR"));
+        let admin_address = admin.map(|text| parse_address("operator", &text)).transpose()?;
+        check_divided_sockets(file.limits.sockets, admin_address.is_some(), operator.workers)?;
+
+        let name = required(file.name, "name", "ROUTER_NAME", &env)?;
+        let servers_report_delay = section.servers_report_delay();
+        let names = section.into_names();
+        let gossip = GossipConfig::read(&operator.gossip, &name)?;
+        let budgets = BudgetConfig::read(&operator.budgets, &settings, &names, &name)?;
+        let listen = required(file.listen, "listen", "ROUTER_LISTEN", &env)?;
+        let listen = parse_address("listen", &listen)?;
+        let discovery = required(file.discovery, "discovery", "ROUTER_DISCOVERY", &env)?;
+        let discovery = parse_address("discovery", &discovery)?;
         Ok(Config {
             name,
-            listen: address("listen", &or(raw.listen, "listen", "ROUTER_LISTEN")?)?,
-            discovery: address("discovery", &or(raw.discovery, "discovery", "ROUTER_DISCOVERY")?)?,
-            operator_at,
+            listen,
+            discovery,
+            admin_address,
             seed,
-            limits: raw.limits,
-            known: raw.known,
-            settings: set,
+            limits: file.limits,
+            initial_endpoints: file.initial_endpoints,
+            settings,
             names,
-            give_up,
-            tells_delay: named.specifics.tells_delay,
+            client_timeouts,
+            servers_report_delay,
             operator,
-            peers,
-            fleet,
+            gossip,
+            budgets,
         })
     }
 
-    /// Descriptors that clients and servers may take: all but those that are kept for operators.
-    pub fn sockets(&self) -> usize {
-        let kept = if self.operator_at.is_some() { OPERATORS_SOCKETS } else { 0 };
-        self.limits.sockets.saturating_sub(kept)
+    /// Descriptors that clients and servers may use: all but those reserved for operators.
+    pub fn connection_sockets(&self) -> usize {
+        let reserved = if self.admin_address.is_some() { ADMIN_SOCKETS } else { 0 };
+        self.limits.sockets.saturating_sub(reserved)
     }
 
-    /// What one of several workers goes by: each is an instance of its own, with its share of what the process may hold.
-    /// All processes of a fleet have as many workers, or their numbers would not fit together.
-    pub fn of_worker(&self, worker: usize, workers: usize) -> Config {
+    /// The configuration of worker `index` of `count`. Each worker is an instance of its own to the fleet, with its
+    /// share of what the process may hold, so all balancers of a fleet must have the same number of workers.
+    pub fn for_worker(&self, index: usize, count: usize) -> Config {
         let mut own = self.clone();
-        own.settings.instance_index = self.settings.instance_index * workers as u64 + worker as u64;
-        own.settings.instance_count = self.settings.instance_count * workers as f64;
-        // Those kept for operators are the first one's.
-        own.limits.sockets = self.sockets() / workers + (self.limits.sockets - self.sockets());
-        own.limits.memory_mb = self.limits.memory_mb / workers as f64;
-        // The first one draws as the only one would.
-        own.seed = self.seed ^ (worker as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        own.settings.instance_index = self.settings.instance_index * count as u64 + index as u64;
+        own.settings.instance_count = self.settings.instance_count * count as f64;
+        // Descriptors reserved for operators belong to the primary worker.
+        own.limits.sockets =
+            self.connection_sockets() / count + (self.limits.sockets - self.connection_sockets());
+        own.limits.memory_mb = self.limits.memory_mb / count as f64;
+        // The primary worker draws the same numbers as the only one would.
+        own.seed = self.seed ^ (index as u64).wrapping_mul(WORKER_SEED_STEP);
         own
     }
 
-    /// Whether `next` can take this one's place while the program runs. Reqs and servers that are here
-    /// already name their class, tenant and zone by its place, so the names in force must keep theirs.
-    pub fn may_become(&self, next: &Config) -> Result<(), ConfigError> {
-        let stay = |key: &str, old: &HashMap<String, usize>, new: &HashMap<String, usize>| {
-            let moved = old.iter().filter(|(name, at)| new.get(*name) != Some(at)).min_by_key(|(_, at)| **at);
-            moved.map_or(Ok(()), |(name, _)| {
-                Err(form(
-                    key,
-                    format!("'{name}' must stay in its place until a restart; add new names behind"),
-                ))
-            })
-        };
-        stay("settings.classes", &self.names.classes, &next.names.classes)?;
-        stay("settings.tenants", &self.names.tenants, &next.names.tenants)?;
-        let wide =
-            |zones: &HashMap<String, u32>| zones.iter().map(|(n, i)| (n.clone(), *i as usize)).collect();
-        stay("settings.zones", &wide(&self.names.zones), &wide(&next.names.zones))
+    /// Checks whether `next` can replace this configuration while the program runs. Requests and servers refer to
+    /// classes, tenants and zones by index, so names in use must keep theirs.
+    ///
+    /// # Errors
+    /// A name in use that is gone or has another index.
+    pub fn check_reload(&self, next: &Config) -> Result<(), ConfigError> {
+        check_indices("settings.classes", &self.names.classes, &next.names.classes)?;
+        check_indices("settings.tenants", &self.names.tenants, &next.names.tenants)?;
+        check_indices("settings.zones", &self.names.zones, &next.names.zones)
     }
 
-    /// Keys that a running program can't follow and that `next` has changed.
-    pub fn needs_restart(&self, next: &Config) -> Vec<&'static str> {
+    /// Keys that `next` changes and that take effect at a restart only.
+    pub fn keys_needing_restart(&self, next: &Config) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != next.name),
             ("listen", self.listen != next.listen),
-            ("operator", self.operator_at != next.operator_at),
+            ("operator", self.admin_address != next.admin_address),
             ("workers", self.operator.workers != next.operator.workers),
             ("snapshot", self.operator.snapshot != next.operator.snapshot),
             ("gossip", self.operator.gossip != next.operator.gossip),
             ("tenancy.on", self.operator.tenancy.on != next.operator.tenancy.on),
         ];
-        changed.into_iter().filter(|c| c.1).map(|c| c.0).collect()
+        changed.into_iter().filter(|(_, is_changed)| *is_changed).map(|(key, _)| key).collect()
+    }
+}
+
+/// Checks that every name of `old` has the same index in `new`; the error names the first that has not.
+fn check_indices<I: Copy + Ord>(
+    key: &str,
+    old: &HashMap<String, I>,
+    new: &HashMap<String, I>,
+) -> Result<(), ConfigError> {
+    let moved = old.iter().filter(|(name, index)| new.get(*name) != Some(index));
+    match moved.min_by_key(|(_, index)| **index) {
+        Some((name, _)) => Err(ConfigError::invalid(key, InvalidValue::NameMoved(name.clone()))),
+        None => Ok(()),
     }
 }
 
--- a/crates/balancer/src/config/summary.rs
+++ b/crates/balancer/src/config/summary.rs
@@ -1,19 +1,20 @@
-//! What a configuration file puts in force, as a table for whoever writes it.
+//! Summarizes a configuration as a table: each key with its value, and where the value comes from.
 
+use std::collections::HashMap;
 use std::fmt::Display;
 
 use comfy_table::{Table, TableStyle};
 use serde_json::Value;
 use shorewharf_decisions::Settings;
 use shorewharf_decisions::interface::Idempotency;
+use shorewharf_units::seconds_from_micros;
 
 use crate::config::{Config, ConfigError};
 
-/// Reads a configuration as the start does, the environment for what it leaves out, and says what is in force by
-/// it: each key with its value, and where that comes from.
+/// Parses a configuration like the start does, and returns the table of the values in force.
 ///
 /// # Errors
-/// What the start would refuse.
+/// As [`Config::parse`].
 pub fn table(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Table, ConfigError> {
     let config = Config::parse(text, env)?;
     let file: Value = serde_json::from_slice(text).unwrap_or_default();
@@ -26,7 +27,7 @@
             "name" => "ROUTER_NAME",
             "listen" => "ROUTER_LISTEN",
             "discovery" => "ROUTER_DISCOVERY",
-            "operator" if config.operator_at.is_some() => "ROUTER_OPERATOR",
+            "operator" if config.admin_address.is_some() => "ROUTER_OPERATOR",
             _ => "default",
         };
         table.add_row([key.as_str(), value.as_str(), from]);
@@ -34,60 +35,90 @@
     Ok(table)
 }
 
-/// The keys that the program goes by, each with its value and unit.
-fn rows(c: &Config) -> Vec<(String, String)> {
-    let mut rows = Vec::new();
-    let mut row = |key: &str, value: &dyn Display| rows.push((key.to_owned(), value.to_string()));
-    row("name", &c.name);
-    row("listen", &c.listen);
-    row("discovery", &c.discovery);
-    match c.operator_at {
-        Some(at) => row("operator", &at),
-        None => row("operator", &"nobody is listened to"),
-    }
-    row("seed", &format_args!("{:x}", c.seed));
-    row("limits.sockets", &c.limits.sockets);
-    row("limits.memory_mb", &c.limits.memory_mb);
-    row("limits.cores", &c.limits.cores);
-    row("known", &format_args!("{} servers, version {}", c.known.endpoints.len(), c.known.index));
-    for (i, class) in c.settings.classes.iter().enumerate() {
-        let name = c.names.classes.iter().find(|(_, at)| **at == i).map_or("?", |(name, _)| name);
-        row(&format!("settings.classes.{i}.name"), &name);
-        let (aim, message) = (class.latency_objective, class.message_latency_objective);
-        row(&format!("settings.classes.{i}.promise_s"), &format_args!("{aim} s"));
-        row(&format!("settings.classes.{i}.give_up_s"), &format_args!("{} s", c.give_up[i] as f64 / 1e6));
-        row(&format!("settings.classes.{i}.semantics"), &repetition(class.idempotency));
-        row(&format!("settings.specifics.message_aim_s.{i}"), &format_args!("{message} s"));
+/// A row of the table: a key, and its value with unit.
+type Row = (String, String);
+
+fn row(key: impl Into<String>, value: impl Display) -> Row {
+    (key.into(), value.to_string())
+}
+
+fn rows(config: &Config) -> Vec<Row> {
+    let mut rows = program_rows(config);
+    for index in 0..config.settings.classes.len() {
+        rows.extend(class_rows(config, index));
     }
-    row("settings.tenants", &in_order(&c.names.tenants));
-    row("settings.zones", &in_order(&c.names.zones));
-    let s = &c.settings;
-    row("settings.me", &format_args!("{} of {} balancers", s.instance_index, s.instance_count));
-    row("settings.zone", &s.zone);
-    row("settings.tick_s", &format_args!("{} s", s.tick));
-    row("settings.specifics.tells_delay", &c.tells_delay);
-    row("settings.specifics.groups", &s.has_groups);
-    row("settings.registry_mode", &if s.polls_discovery { "ask" } else { "push" });
-    row("settings.limits.connect_timeout_s", &format_args!("{} s", s.connect_timeout));
-    row("settings.limits.max_attempts", &s.max_attempts);
-    row("settings.limits.may_probe", &s.may_probe);
-    row("settings.limits.cancel", &s.may_cancel);
-    row("settings.limits.retry_after", &waits(s));
-    row("settings.rules.ask_within_s", &format_args!("{} s", s.poll_interval));
-    row("settings.rules.start_capacity", &s.cold_capacity_ratio);
-    row("settings.rules.warm_within_s", &format_args!("{} s", s.warm_up_time));
-    row("settings.rules.fall_multiple", &s.overload_ratio);
-    row("settings.rules.overload_for_s", &format_args!("{} s", s.overload_window));
+    rows.extend(decision_rows(config));
     rows
 }
 
-fn waits(s: &Settings) -> String {
-    if s.sends_retry_after { format!("up to {} s", s.max_retry_after) } else { "false".into() }
+/// The keys outside `settings`.
+fn program_rows(config: &Config) -> Vec<Row> {
+    let admin = config.admin_address.map_or_else(|| "nobody is listened to".to_owned(), |at| at.to_string());
+    let known = &config.initial_endpoints;
+    vec![
+        row("name", &config.name),
+        row("listen", config.listen),
+        row("discovery", config.discovery),
+        row("operator", admin),
+        row("seed", format_args!("{:x}", config.seed)),
+        row("limits.sockets", config.limits.sockets),
+        row("limits.memory_mb", config.limits.memory_mb),
+        row("limits.cores", config.limits.cores),
+        row("known", format_args!("{} servers, version {}", known.endpoints.len(), known.index)),
+    ]
+}
+
+/// The keys of the class of this index.
+fn class_rows(config: &Config, index: usize) -> [Row; 5] {
+    let class = &config.settings.classes[index];
+    let name = config.names.classes.iter().find(|(_, at)| **at == index).map_or("?", |(name, _)| name);
+    let timeout = seconds_from_micros(config.client_timeouts[index]);
+    let message_objective = class.message_latency_objective;
+    [
+        row(format!("settings.classes.{index}.name"), name),
+        row(format!("settings.classes.{index}.promise_s"), format_args!("{} s", class.latency_objective)),
+        row(format!("settings.classes.{index}.give_up_s"), format_args!("{timeout} s")),
+        row(format!("settings.classes.{index}.semantics"), repetition(class.idempotency)),
+        row(format!("settings.specifics.message_aim_s.{index}"), format_args!("{message_objective} s")),
+    ]
+}
+
+/// The rest of `settings`.
+fn decision_rows(config: &Config) -> Vec<Row> {
+    let settings = &config.settings;
+    let instance = format!("{} of {} balancers", settings.instance_index, settings.instance_count);
+    vec![
+        row("settings.tenants", by_index(&config.names.tenants)),
+        row("settings.zones", by_index(&config.names.zones)),
+        row("settings.me", instance),
+        row("settings.zone", settings.zone),
+        row("settings.tick_s", format_args!("{} s", settings.tick)),
+        row("settings.specifics.tells_delay", config.servers_report_delay),
+        row("settings.specifics.groups", settings.has_groups),
+        row("settings.registry_mode", if settings.polls_discovery { "ask" } else { "push" }),
+        row("settings.limits.connect_timeout_s", format_args!("{} s", settings.connect_timeout)),
+        row("settings.limits.max_attempts", settings.max_attempts),
+        row("settings.limits.may_probe", settings.may_probe),
+        row("settings.limits.cancel", settings.may_cancel),
+        row("settings.limits.retry_after", retry_after(settings)),
+        row("settings.rules.ask_within_s", format_args!("{} s", settings.poll_interval)),
+        row("settings.rules.start_capacity", settings.cold_capacity_ratio),
+        row("settings.rules.warm_within_s", format_args!("{} s", settings.warm_up_time)),
+        row("settings.rules.fall_multiple", settings.overload_ratio),
+        row("settings.rules.overload_for_s", format_args!("{} s", settings.overload_window)),
+    ]
+}
+
+fn retry_after(settings: &Settings) -> String {
+    if !settings.sends_retry_after {
+        return "false".to_owned();
+    }
+    format!("up to {} s", settings.max_retry_after)
 }
 
-/// Names in the order of their places.
-fn in_order<P: Copy + Ord>(names: &std::collections::HashMap<String, P>) -> String {
-    let mut names: Vec<_> = names.iter().map(|(name, at)| (*at, name.as_str())).collect();
+/// Names in the order of their indices.
+fn by_index<I: Copy + Ord>(names: &HashMap<String, I>) -> String {
+    let mut names: Vec<_> = names.iter().map(|(name, index)| (*index, name.as_str())).collect();
     names.sort_unstable();
     let names: Vec<_> = names.into_iter().map(|(_, name)| name).collect();
     if names.is_empty() { "none".into() } else { names.join(", ") }
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_good_file_is_read() {
     let c = Config::parse(good().to_string().as_bytes(), |_| None).expect("good");
-    assert_eq!((c.seed, c.give_up[0], c.limits.sockets), (0x8c1f_30d2_7a5b_e964, 3_200_000, 1024));
+    assert_eq!((c.seed, c.client_timeouts[0], c.limits.sockets), (0x8c1f_30d2_7a5b_e964, 3_200_000, 1024));
     assert_eq!((c.names.classes["chat"], c.names.tenants["acme"], c.names.zones["b"]), (0, 0, 1));
 }
 
@@ -45,8 +45,8 @@
     next["settings"]["classes"] = json!([{"name": "chat"}, {"name": "feed"}]);
     next["listen"] = json!("127.0.0.1:8001");
     let next = parse(&next);
-    assert!(old.may_become(&next).is_ok());
-    assert_eq!((old.needs_restart(&next), old.needs_restart(&old)), (vec!["listen"], vec![]));
+    assert!(old.check_reload(&next).is_ok());
+    assert_eq!((old.keys_needing_restart(&next), old.keys_needing_restart(&old)), (vec!["listen"], vec![]));
     for (key, names) in [
         ("classes", json!([{"name": "feed"}, {"name": "chat"}])),
         ("tenants", json!([{"name": "other"}])),
@@ -54,7 +54,7 @@
     ] {
         let mut next = good();
         next["settings"][key] = names;
-        let fault = old.may_become(&parse(&next)).expect_err("a fault").to_string();
+        let fault = old.check_reload(&parse(&next)).expect_err("a fault").to_string();
         assert!(fault.starts_with(&format!("settings.{key}: ")), "{fault}");
     }
 }
@@ -125,7 +125,7 @@
     assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
     assert_eq!(config.listen, "127.0.0.1:8000".parse().expect("an address"));
     assert_eq!(config.discovery, "127.0.0.1:8500".parse().expect("an address"));
-    assert_eq!(config.operator_at, Some("127.0.0.1:8600".parse().expect("an address")));
+    assert_eq!(config.admin_address, Some("127.0.0.1:8600".parse().expect("an address")));
     assert_eq!(config.limits, Limits { sockets: 512, memory_mb: 96.5, cores: 0.5 });
     let server = Endpoint {
         name: "s-5be2a07c".into(),
@@ -137,8 +137,8 @@
         weight: 2.5,
         since_ms: 1_764_747_000_123.0,
     };
-    assert_eq!(config.known, EndpointList { index: 41, snapshot: true, endpoints: vec![server] });
-    assert_eq!((config.give_up, config.tells_delay), (vec![3_250_000, 2_250_000], true));
+    assert_eq!(config.initial_endpoints, EndpointList { index: 41, snapshot: true, endpoints: vec![server] });
+    assert_eq!((config.client_timeouts, config.servers_report_delay), (vec![3_250_000, 2_250_000], true));
     assert_eq!((config.names.classes["chat"], config.names.classes["feed"]), (0, 1));
     assert_eq!((config.names.tenants["acme"], config.names.tenants["zeta"]), (0, 1));
     assert_eq!((config.names.zones["zone-a"], config.names.zones["zone-b"]), (0, 1));
@@ -305,10 +305,10 @@
         },
     };
     assert_eq!(config.operator, expected);
-    let peers = config.peers.expect("peers");
-    assert_eq!(peers.others, [("n4".to_owned(), "127.0.0.2:8700".parse().expect("an address"))]);
-    assert_eq!((peers.rules.every, peers.rules.fanout), (75_000, 4));
-    let fleet = config.fleet.expect("budgets");
+    let gossip = config.gossip.expect("peers");
+    assert_eq!(gossip.peers, [("n4".to_owned(), "127.0.0.2:8700".parse().expect("an address"))]);
+    assert_eq!((gossip.rules.every, gossip.rules.fanout), (75_000, 4));
+    let fleet = config.budgets.expect("budgets");
     let (rules, named) = (&fleet.rules, |name: &str| Some(format!("connections of {name}")));
     assert_eq!((fleet.store.len(), fleet.prefix.as_str()), (2, "fleet-a"));
     assert_eq!(
@@ -316,7 +316,7 @@
         (4_500_000, 250_000, 125_000, 5_500_000)
     );
     assert_eq!((rules.reserve, rules.floor, rules.members, rules.place), (0.125, 0.0625, 3, 1));
-    assert_eq!(fleet.tenants, [named("acme"), named("zeta")]);
+    assert_eq!(fleet.tenant_budgets, [named("acme"), named("zeta")]);
     let budgets: Vec<_> = rules.budgets.iter().map(|budget| (budget.name.as_str(), budget.whole)).collect();
     assert_eq!(
         budgets,
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -158,7 +158,7 @@
             let any = link.read_available(&context.buffers);
             let (reader, incoming) = (&mut self.reader, &mut self.incoming);
             let mut part = |part| match part {
-                Part::Entry(e) => incoming.add(&e, &terms.names, terms.most_servers),
+                Part::Entry(e) => incoming.add(&e, &terms.names, terms.max_servers),
                 Part::End { index, snapshot } => lists.push(incoming.end(index, snapshot)),
             };
             let tells = &mut self.tells;
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -23,7 +23,7 @@
 fn a_silent_address_is_given_up_in_time_for_another_call() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
-    let (mut context, terms) = (context(1_000_000), ProxySettings::few());
+    let (mut context, terms) = (context(1_000_000), ProxySettings::for_tests());
     assert_eq!(discovery.watch(&mut context), []);
     assert_eq!(alarmed(&mut discovery, &mut context, FIRST - 1), None);
     assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
@@ -46,7 +46,7 @@
 fn a_call_whose_list_does_not_begin_is_given_up_as_soon_as_one_that_says_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
-    let (mut context, terms) = (context(1_000_000), ProxySettings::few());
+    let (mut context, terms) = (context(1_000_000), ProxySettings::for_tests());
     assert_eq!(discovery.watch(&mut context), []);
     let (mut call, _) = listener.accept().expect("a call");
     context.end_iteration(2_000_000);
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -101,7 +101,7 @@
             shutdown_started_at: None,
             clients_at_end: None,
         };
-        event_loop.context.overload.set_aim(event_loop.proxy.settings.message_aim);
+        event_loop.context.overload.set_aim(event_loop.proxy.settings.message_latency_objective);
         event_loop.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
         for (server, disabled) in worker.disabled_servers {
             // Before the first endpoint list: that one is reported with these servers draining.
@@ -118,8 +118,8 @@
     pub fn restore_endpoints(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
         self.discovery.knows(known.index);
         let settings = &self.proxy.settings;
-        let update = Incoming::of(known, &settings.names, settings.most_servers);
-        self.proxy.servers.load_initial_list(update, settings.most_servers)
+        let update = Incoming::of(known, &settings.names, settings.max_servers);
+        self.proxy.servers.load_initial_list(update, settings.max_servers)
     }
 
     /// Begins an iteration at `now`. Time never goes back.
@@ -129,7 +129,7 @@
 
     /// Puts other settings in force; connections and the endpoint list stay.
     pub fn update_settings(&mut self, settings: ProxySettings, discovery: SocketAddr) {
-        self.context.overload.set_aim(settings.message_aim);
+        self.context.overload.set_aim(settings.message_latency_objective);
         self.proxy.update_settings(settings);
         let events = self.discovery.moves(&mut self.context, discovery);
         self.on_discovery_events(events);
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -247,7 +247,7 @@
             }
             successors.broadcast(&PredecessorMessage::Descriptors(allowance));
         }
-        self.set_sibling_descriptors(self.proxy.settings.sockets * self.worker_count() - allowance);
+        self.set_sibling_descriptors(self.proxy.settings.max_descriptors * self.worker_count() - allowance);
         self.context.schedule_after(NOTIFY_INTERVAL, TimerEvent::NotifySuccessors);
     }
 
@@ -260,7 +260,7 @@
     fn descriptor_allowance(&self) -> usize {
         self.proxy.publish_gauges();
         let sums = self.admin.as_ref().map(|admin| WorkerCounters::sum(&admin.counters)).unwrap_or_default();
-        let limit = self.proxy.settings.sockets * self.worker_count();
+        let limit = self.proxy.settings.max_descriptors * self.worker_count();
         let in_use =
             OWN_DESCRIPTORS * self.worker_count() + sums.descriptors + 2 * self.connections_in_transfer();
         let half = if self.shutdown_started_at.is_some() { 0 } else { limit / 2 };
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -56,7 +56,7 @@
     }
 
     fn shutdown_schedule(&self) -> ShutdownSchedule {
-        let request_timeouts = &self.proxy.settings.give_up;
+        let request_timeouts = &self.proxy.settings.client_timeouts;
         if self.proxy.has_successor {
             ShutdownSchedule::with_successor(request_timeouts)
         } else {
--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -1,113 +1,195 @@
-//! Budgets of the whole fleet, as the operator's file and the settings name them: which there are, and who shares them.
+//! Configuration of the fleet's budgets: which there are, by the operator's file and the settings, and who shares them.
 
-use shorewharf_budgets::{Budget, Kind, Rules};
+use std::io;
+use std::path::{Path, PathBuf};
+
+use shorewharf_budgets::{Budget, Kind, Problem, Rules};
 use shorewharf_decisions::Settings;
 use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Budgets;
-
-use crate::config::error::ConfigError;
+use shorewharf_store::error::InvalidValue;
 use shorewharf_units::micros_from_seconds;
+use thiserror::Error;
 
-/// More balancers than this are no fleet of one service.
-const MOST: usize = 4_096;
-/// The budget of set-ups a second.
-pub const SET_UPS: &str = "set-ups";
+use super::MAX_BALANCERS;
 
-/// Budgets that are shared, and by whom.
+/// Name of the budget of connection set-ups per second.
+pub const SETUP_BUDGET: &str = "set-ups";
+
+/// Budgets that the fleet shares, and this balancer's place among its members.
 #[derive(Clone, Debug)]
-pub struct Fleet {
-    /// The store's members.
+pub struct BudgetConfig {
+    /// Addresses of the store's members.
     pub store: Vec<String>,
-    /// What all keys in the store begin with.
+    /// Prefix of all keys in the store.
     pub prefix: String,
-    /// The terms, with this balancer's place.
+    /// The budgets, and the rules by which they are divided.
     pub rules: Rules,
-    /// By tenant, the name of the budget of its connections.
-    pub tenants: Vec<Option<String>>,
+    /// By tenant index, the name of the budget of its connections.
+    pub tenant_budgets: Vec<Option<String>>,
+}
+
+/// Budgets that can't be set up as configured. The message begins with the key at fault.
+#[derive(Debug, Error)]
+pub enum BudgetConfigError {
+    /// The address of a store's member is not a URL.
+    #[error("budgets.store: {0:?} is not http://HOST:PORT")]
+    NotAnUrl(String),
+    /// The store refuses the configured addresses or prefix.
+    #[error("budgets.store: {0}")]
+    InvalidStore(#[from] InvalidValue),
+    /// The file that names the members is not configured.
+    #[error("budgets.members: missing; the file that names all balancers, one a line")]
+    NoMembers,
+    /// The file that names the members can't be used.
+    #[error("budgets.members: {path}: {problem}")]
+    InvalidMembers {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        problem: InvalidMembers,
+    },
+    /// The balancer's name can't be part of a key in the store.
+    #[error("name: {0:?} has a '/', which budgets can't have")]
+    SlashInName(String),
+    /// There is nothing to share.
+    #[error("budgets.set_ups: nothing is shared: neither set_ups, nor tenants with a quota in the settings")]
+    NothingShared,
+    /// The budgets can't be divided by these rules.
+    #[error("{}: {}", operator_key(.0.key), .0.why)]
+    InvalidRules(Problem),
+}
+
+/// What is wrong with the file that names the members.
+#[derive(Debug, Error)]
+pub enum InvalidMembers {
+    /// It can't be read.
+    #[error("{0}")]
+    Unreadable(#[from] io::Error),
+    /// It names a balancer twice.
+    #[error("{0} stands there twice")]
+    Duplicate(String),
+    /// It names more balancers than a fleet may have.
+    #[error("{0} balancers, at most {MAX_BALANCERS}")]
+    TooMany(usize),
+    /// It does not name this balancer.
+    #[error("{0} is not there")]
+    NotAMember(String),
+}
+
+impl BudgetConfigError {
+    /// The key at fault.
+    pub fn key(&self) -> &str {
+        match self {
+            Self::NotAnUrl(_) | Self::InvalidStore(_) => "budgets.store",
+            Self::NoMembers | Self::InvalidMembers { .. } => "budgets.members",
+            Self::SlashInName(_) => "name",
+            Self::NothingShared => "budgets.set_ups",
+            Self::InvalidRules(problem) => operator_key(problem.key),
+        }
+    }
+}
+
+/// A rule's key in the operator's file.
+fn operator_key(rule: &str) -> &'static str {
+    match rule {
+        "lease" => "budgets.lease_s",
+        "margin" => "budgets.margin_s",
+        "reserve" => "budgets.reserve",
+        "floor" => "budgets.floor",
+        "members" => "budgets.members",
+        _ => "budgets.set_ups",
+    }
+}
+
+/// The members of the fleet, as a file names them, and this balancer's place among them.
+struct Membership {
+    count: usize,
+    place: usize,
 }
 
-fn wrong(key: &str, why: impl ToString) -> ConfigError {
-    ConfigError::Form(key.to_owned(), why.to_string())
+impl Membership {
+    fn read(path: &Path, balancer: &str) -> Result<Self, InvalidMembers> {
+        let text = std::fs::read_to_string(path)?;
+        let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
+        let members: Vec<&str> = lines.filter(|line| !line.is_empty()).collect();
+        let duplicate = members.iter().enumerate().find(|(index, name)| members[..*index].contains(name));
+        if let Some((_, name)) = duplicate {
+            return Err(InvalidMembers::Duplicate((*name).to_owned()));
+        }
+        if members.len() > MAX_BALANCERS {
+            return Err(InvalidMembers::TooMany(members.len()));
+        }
+        let place = members.iter().position(|name| *name == balancer);
+        let place = place.ok_or_else(|| InvalidMembers::NotAMember(balancer.to_owned()))?;
+        Ok(Membership { count: members.len(), place })
+    }
+}
+
+/// A budget of connections for each tenant that has a quota; with them, by tenant index, their names.
+fn tenant_budgets(settings: &Settings, names: &NameIndex) -> (Vec<Budget>, Vec<Option<String>>) {
+    let quotas = &settings.tenant_connection_quotas;
+    let mut budgets = Vec::new();
+    let mut budget_names = vec![None; quotas.len()];
+    for (tenant, index) in &names.tenants {
+        let quota = quotas.get(*index).copied().filter(|quota| *quota > 0.0);
+        if let (Some(quota), Some(budget_name)) = (quota, budget_names.get_mut(*index)) {
+            let name = format!("connections of {tenant}");
+            *budget_name = Some(name.clone());
+            budgets.push(Budget { name, kind: Kind::Level, whole: quota.floor() });
+        }
+    }
+    (budgets, budget_names)
 }
 
-impl Fleet {
-    /// What the operator's file says, for the balancer of this name; none where it names no store.
+impl BudgetConfig {
+    /// Reads the budgets that `section` of the operator's file configures for `balancer`; none where it names no store.
     ///
     /// # Errors
-    /// A file that can't be read, or terms that can't be kept; the text names the key at fault.
+    /// A file that can't be read, or rules by which budgets can't be divided.
     pub fn read(
-        of: &Budgets,
-        set: &Settings,
+        section: &Budgets,
+        settings: &Settings,
         names: &NameIndex,
-        me: &str,
-    ) -> Result<Option<Fleet>, ConfigError> {
-        if of.store.is_empty() {
+        balancer: &str,
+    ) -> Result<Option<BudgetConfig>, BudgetConfigError> {
+        if section.store.is_empty() {
             return Ok(None);
         }
-        for at in &of.store {
-            if !at.starts_with("http://") {
-                return Err(wrong("budgets.store", format!("{at:?} is not http://HOST:PORT")));
-            }
+        if let Some(address) = section.store.iter().find(|address| !address.starts_with("http://")) {
+            return Err(BudgetConfigError::NotAnUrl(address.clone()));
         }
-        let Some(members) = &of.members else {
-            return Err(wrong("budgets.members", "missing; the file that names all balancers, one a line"));
-        };
-        let path = members.display();
-        let text =
-            std::fs::read_to_string(members).map_err(|e| wrong("budgets.members", format!("{path}: {e}")))?;
-        let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
-        let all: Vec<&str> = lines.filter(|line| !line.is_empty()).collect();
-        if let Some(twice) = all.iter().enumerate().find(|(i, name)| all[..*i].contains(name)) {
-            return Err(wrong("budgets.members", format!("{path}: {} stands there twice", twice.1)));
-        }
-        if all.len() > MOST {
-            return Err(wrong("budgets.members", format!("{path}: {} balancers, at most {MOST}", all.len())));
-        }
-        let Some(place) = all.iter().position(|name| *name == me) else {
-            return Err(wrong("budgets.members", format!("{path}: {me} is not there")));
-        };
-        if me.contains('/') {
-            return Err(wrong("name", format!("{me:?} has a '/', which budgets can't have")));
+        let path = section.members.as_ref().ok_or(BudgetConfigError::NoMembers)?;
+        let membership = Membership::read(path, balancer)
+            .map_err(|problem| BudgetConfigError::InvalidMembers { path: path.clone(), problem })?;
+        if balancer.contains('/') {
+            return Err(BudgetConfigError::SlashInName(balancer.to_owned()));
         }
         let mut budgets = Vec::new();
-        budgets.extend(of.set_ups.map(|whole| Budget { name: SET_UPS.to_owned(), kind: Kind::Rate, whole }));
-        let mut tenants = vec![None; set.tenant_connection_quotas.len()];
-        for (tenant, place) in &names.tenants {
-            let quota = set.tenant_connection_quotas.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
-            if let (Some(whole), Some(slot)) = (quota, tenants.get_mut(*place)) {
-                let name = format!("connections of {tenant}");
-                *slot = Some(name.clone());
-                budgets.push(Budget { name, kind: Kind::Level, whole: whole.floor() });
-            }
+        let mut tenant_names = vec![None; settings.tenant_connection_quotas.len()];
+        if section.tenants {
+            (budgets, tenant_names) = tenant_budgets(settings, names);
         }
+        let setups = section.set_ups;
+        budgets.extend(setups.map(|whole| Budget { name: SETUP_BUDGET.to_owned(), kind: Kind::Rate, whole }));
         if budgets.is_empty() {
-            let why = "nothing is shared: neither set_ups, nor tenants with a quota in the settings";
-            return Err(wrong("budgets.set_ups", why));
+            return Err(BudgetConfigError::NothingShared);
         }
         budgets.sort_by(|a, b| a.name.cmp(&b.name));
         let rules = Rules {
             budgets,
-            lease: micros_from_seconds(of.lease_s),
-            margin: micros_from_seconds(of.margin_s),
-            look: micros_from_seconds(of.look_s),
-            linger: micros_from_seconds(of.linger_s),
-            reserve: of.reserve,
-            floor: of.floor,
-            members: all.len(),
-            place,
+            lease: micros_from_seconds(section.lease_s),
+            margin: micros_from_seconds(section.margin_s),
+            look: micros_from_seconds(section.look_s),
+            linger: micros_from_seconds(section.linger_s),
+            reserve: section.reserve,
+            floor: section.floor,
+            members: membership.count,
+            place: membership.place,
         };
-        rules.check().map_err(|p| wrong(&format!("budgets.{}", key(p.key)), p.why))?;
-        Ok(Some(Fleet { store: of.store.clone(), prefix: of.prefix.clone(), rules, tenants }))
-    }
-}
-
-/// A term's key in the file.
-fn key(term: &str) -> &str {
-    match term {
-        "lease" => "lease_s",
-        "margin" => "margin_s",
-        "whole" | "budgets" => "set_ups",
-        other => other,
+        rules.check().map_err(BudgetConfigError::InvalidRules)?;
+        let (store, prefix) = (section.store.clone(), section.prefix.clone());
+        Ok(Some(BudgetConfig { store, prefix, rules, tenant_budgets: tenant_names }))
     }
 }
 
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
+use crate::config::ConfigError;
 
 #[test]
 fn terms_that_can_not_be_kept_are_refused_by_key() {
@@ -14,7 +15,7 @@
         ..Budgets::default()
     };
     let set = shorewharf_settings::settings(br#"{"me": 0}"#).expect("settings").0;
-    let read = |of: &Budgets, me: &str| Fleet::read(of, &set, &NameIndex::default(), me);
+    let read = |of: &Budgets, me: &str| BudgetConfig::read(of, &set, &NameIndex::default(), me);
     let fleet = read(&good, "n2").expect("good").expect("named");
     assert_eq!((fleet.rules.members, fleet.rules.place, fleet.rules.lease), (2, 1, 3_000_000));
     assert!(read(&Budgets::default(), "n2").expect("nothing is wrong").is_none());
@@ -22,7 +23,10 @@
         let mut of = good.clone();
         change(&mut of);
         let e = read(&of, me).expect_err("it can't be kept");
-        (e.key().to_owned(), e.why())
+        {
+            let e = ConfigError::from(e);
+            (e.key().to_owned(), e.reason())
+        }
     };
     for (change, me, key, why) in [
         (&(|b: &mut Budgets| b.lease_s = 1.0) as &dyn Fn(&mut Budgets), "n1", "budgets.lease_s", "8 looks"),
--- a/crates/balancer/src/fleet/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
-use crate::fleet::budget_config::{Fleet, SET_UPS};
+use crate::fleet::budget_config::{BudgetConfig, BudgetConfigError, SETUP_BUDGET};
 
 /// Parts go to the log this often.
 const LOG: Micros = 10_000_000;
@@ -67,11 +67,11 @@
     /// # Errors
     /// Where the store's address or prefix can't be used, or the system gives no thread.
     pub fn start(config: &Config, clock: Clock) -> Result<Option<Shares>, crate::workers::startup::Failure> {
-        let Some(fleet) = &config.fleet else { return Ok(None) };
+        let Some(fleet) = &config.budgets else { return Ok(None) };
         let wall = wall();
         let address = (fleet.store.clone(), fleet.prefix.clone(), config.name.clone());
         let store =
-            open(&address, wall).map_err(|e| ConfigError::Form("budgets.store".to_owned(), e.to_string()))?;
+            open(&address, wall).map_err(|e| ConfigError::from(BudgetConfigError::InvalidStore(e)))?;
         let now = clock.read();
         let parts = Arc::new(Mutex::new(Parts::new(now, &fleet.rules)));
         let (orders, orders_in) = channel();
@@ -99,16 +99,16 @@
 
     /// What requests are held against.
     pub fn admission(&self, config: &Config) -> Option<Budgets> {
-        let fleet = config.fleet.as_ref()?;
+        let fleet = config.budgets.as_ref()?;
         let parts = lock(&self.parts);
-        let set_ups = parts.place(SET_UPS);
-        let tenants = fleet.tenants.iter().map(|name| parts.place(name.as_deref()?)).collect();
+        let set_ups = parts.place(SETUP_BUDGET);
+        let tenants = fleet.tenant_budgets.iter().map(|name| parts.place(name.as_deref()?)).collect();
         drop(parts);
         Some(Budgets::new(Arc::clone(&self.parts), set_ups, tenants, &config.settings))
     }
 
     /// Other wholes are in force; the rest stays.
-    pub fn take(&self, fleet: &Fleet) {
+    pub fn take(&self, fleet: &BudgetConfig) {
         // The thread ends only with the process.
         let _ = self.orders.send(Order::Rules(fleet.rules.clone()));
     }
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -17,7 +17,7 @@
 
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
-use crate::fleet::peers::Peers;
+use crate::fleet::gossip_config::GossipConfig;
 
 /// What others hold is told to the module this often.
 const TELL: Micros = 200_000;
@@ -52,15 +52,21 @@
 
 impl GossipTransport {
     /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
-    pub fn new(context: &mut LoopContext, name: &str, at: SocketAddr, peers: &Peers, seed: u64) -> Self {
+    pub fn new(
+        context: &mut LoopContext,
+        name: &str,
+        at: SocketAddr,
+        peers: &GossipConfig,
+        seed: u64,
+    ) -> Self {
         context.schedule_after(0, TimerEvent::Gossip);
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
+        let names: Vec<String> = peers.peers.iter().map(|o| o.0.clone()).collect();
         let gossip = Gossip::new(context.now, life, name, &names, peers.key.clone(), peers.rules, seed);
         GossipTransport {
             at,
             socket: None,
-            others: peers.others.clone(),
+            others: peers.peers.clone(),
             gossip,
             every: peers.rules.every,
             more: false,
@@ -74,10 +80,10 @@
     }
 
     /// The fleet is another one.
-    pub fn take_peers(&mut self, peers: &Peers) {
-        let names: Vec<String> = peers.others.iter().map(|o| o.0.clone()).collect();
+    pub fn take_peers(&mut self, peers: &GossipConfig) {
+        let names: Vec<String> = peers.peers.iter().map(|o| o.0.clone()).collect();
         self.gossip.take_others(&names);
-        self.others.clone_from(&peers.others);
+        self.others.clone_from(&peers.peers);
     }
 
     /// The timer has come.
--- a/crates/balancer/src/fleet/peers/tests.rs
+++ b/crates/balancer/src/fleet/gossip_config/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the module that these stand beside.
 
 use super::*;
+use crate::config::ConfigError;
 
 #[test]
 fn files_that_can_not_be_used_are_refused_by_key_and_line() {
@@ -17,18 +18,19 @@
     };
     let good = "# the fleet\nn1 127.0.0.1:1\n\nn2 127.0.0.2:1 # far\n";
     let key = "0123456789abcdef\n";
-    let peers = Peers::read(&of(good, key), "n1").expect("good").expect("named");
-    assert_eq!(peers.others, [("n2".to_owned(), "127.0.0.2:1".parse().expect("an address"))]);
-    assert!(Peers::read(&Gossip::default(), "n1").expect("nothing is wrong").is_none());
+    let peers = GossipConfig::read(&of(good, key), "n1").expect("good").expect("named");
+    assert_eq!(peers.peers, [("n2".to_owned(), "127.0.0.2:1".parse().expect("an address"))]);
+    assert!(GossipConfig::read(&Gossip::default(), "n1").expect("nothing is wrong").is_none());
     for (peers, key, named, why) in [
         ("n1 127.0.0.1:1\nn2", key, "gossip.peers", "line 2: NAME ADDRESS:PORT"),
         ("n1 nowhere", key, "gossip.peers", "line 1: the address"),
         ("n1 127.0.0.1:1\nn1 127.0.0.1:2", key, "gossip.peers", "line 2: the name stands there twice"),
         (good, "short", "gossip.key", "16 bytes at least, this one has 5"),
     ] {
-        let e = Peers::read(&of(peers, key), "n1").expect_err(why);
-        assert!(e.key() == named && e.why().contains(why), "{e}");
+        let e = GossipConfig::read(&of(peers, key), "n1").expect_err(why);
+        let e = ConfigError::from(e);
+        assert!(e.key() == named && e.reason().contains(why), "{e}");
     }
     let none = Gossip { key: None, ..of(good, key) };
-    assert_eq!(Peers::read(&none, "n1").expect_err("no key").key(), "gossip.key");
+    assert_eq!(GossipConfig::read(&none, "n1").expect_err("no key").key(), "gossip.key");
 }
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use shorewharf::Failure;
 use shorewharf::config::summary;
-use shorewharf::config::{Config, ConfigError, OPERATOR};
+use shorewharf::config::{Config, ConfigError, OPERATOR_VARIABLE};
 use shorewharf_logging::LogArgs;
 use tracing::error;
 
@@ -55,7 +55,7 @@
     cli.log.start();
     let operator = cli.operator;
     let env = move |var: &str| match (&operator, var) {
-        (Some(path), OPERATOR) => Some(path.to_string_lossy().into_owned()),
+        (Some(path), OPERATOR_VARIABLE) => Some(path.to_string_lossy().into_owned()),
         _ => std::env::var(var).ok(),
     };
     match cli.command {
@@ -68,14 +68,14 @@
     let config = match Config::read(&env) {
         Ok(config) => config,
         Err(e) => {
-            error!(event = "bad-config", key = e.key(), why = %e.why());
+            error!(event = "bad-config", key = e.key(), why = %e.reason());
             return ExitCode::from(BAD_CONFIG);
         }
     };
     match shorewharf::run(config, take_over, move || Config::read(&env)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure::Config(e)) => {
-            error!(event = "bad-config", key = e.key(), why = %e.why());
+            error!(event = "bad-config", key = e.key(), why = %e.reason());
             ExitCode::from(BAD_CONFIG)
         }
         Err(Failure::System(e)) => {
@@ -86,7 +86,7 @@
 }
 
 fn check_config(file: &Path, env: impl Fn(&str) -> Option<String>) -> ExitCode {
-    let text = std::fs::read(file).map_err(|e| ConfigError::File(file.into(), e));
+    let text = std::fs::read(file).map_err(|e| ConfigError::Unreadable { path: file.into(), source: e });
     match text.and_then(|text| summary::table(&text, env)) {
         Ok(table) => {
             // Whoever reads it may have read enough.
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -119,7 +119,7 @@
 
     /// A `LOAD` line has come on a connection.
     fn on_load_figure(&mut self, context: &mut LoopContext, id: RequestId, server: ServerId, figure: f64) {
-        let tells = self.settings.tells_delay;
+        let tells = self.settings.servers_report_delay;
         let kind =
             if tells { self.servers.classify_load(context.now, server, figure) } else { LoadFigure::Load };
         debug!(event = "told", req = id.0, server = self.servers.name(Some(server)), ?kind, figure);
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -84,7 +84,7 @@
     /// Nobody has come yet.
     pub fn new(terms: ProxySettings, open_ids: OpenIds, counters: WorkerCounters) -> Self {
         Proxy {
-            budget: Budget::new(terms.sockets),
+            budget: Budget::new(terms.max_descriptors),
             settings: terms,
             servers: ServerTable::default(),
             probes: Probes::default(),
@@ -113,14 +113,14 @@
     /// Another process of this balancer holds so many of the descriptors.
     pub fn set_sibling_descriptors(&mut self, descriptors: usize) {
         self.sibling_descriptors = descriptors;
-        self.budget.set_limit(self.settings.sockets.saturating_sub(descriptors));
+        self.budget.set_limit(self.settings.max_descriptors.saturating_sub(descriptors));
     }
 
     /// Takes in a list from discovery: what the module is told of it.
     pub fn apply_endpoint_list(&mut self, list: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
-        self.servers.apply_list(list, self.settings.most_servers, |server| attempts.has_server(server))
+        self.servers.apply_list(list, self.settings.max_servers, |server| attempts.has_server(server))
     }
 }
 
@@ -265,7 +265,7 @@
         if home.is_some_and(|home| !self.servers.is_listed(home)) {
             return self.reject_malformed(context, id, "at= names no server");
         }
-        let wait = open.timeout.or(self.settings.give_up.get(open.class).copied()).unwrap_or(0);
+        let wait = open.timeout.or(self.settings.client_timeouts.get(open.class).copied()).unwrap_or(0);
         let req = ReceivedRequest {
             id,
             class: open.class,
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -92,7 +92,9 @@
             }
             session.set_reports_delay(sight.is_informative(context.now))
         });
-        for (server, delay) in self.servers.delay_reports(context.now, self.settings.message_aim / 3, &seen) {
+        for (server, delay) in
+            self.servers.delay_reports(context.now, self.settings.message_latency_objective / 3, &seen)
+        {
             debug!(event = "seen", server = self.servers.name(Some(server)), us = delay);
             context.emit(NetworkEvent::MessageDelayReported(server, delay));
         }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -113,7 +113,7 @@
     (worker, workers): (usize, usize),
 ) -> io::Result<Option<(SnapshotState, EndpointList)>> {
     let (balancer, now, oldest, list) =
-        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
+        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.initial_endpoints);
     let choice = choose(folder, &Asks { balancer, worker, workers, now, oldest, list })?;
     for (path, why) in &choice.left {
         warn!(event = "snapshot-left-aside", file = %path.display(), %why);
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -25,7 +25,7 @@
 use crate::clients::open_ids::OpenIds;
 use crate::clock::Clock;
 use crate::config::proxy_settings::ProxySettings;
-use crate::config::{Config, ConfigError};
+use crate::config::{Config, ConfigError, InvalidValue};
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::dispatch::{EventLoop, WorkerContext};
 use crate::event_loop::poll::{EventPoller, EventSource, SourceRegistry};
@@ -62,7 +62,7 @@
     /// What one of the workers goes by. Two processes that take clients are one balancer: each keeps to half of what
     /// pushes a cold server over.
     fn own(&self, worker: usize, shares: bool) -> Config {
-        let mut own = self.config.of_worker(worker, self.workers);
+        let mut own = self.config.for_worker(worker, self.workers);
         if shares {
             own.settings.overload_ratio *= 0.5;
         }
@@ -123,7 +123,7 @@
         let Some(lead) = &self.lead else { return };
         let shares = self.event_loop.siblings.is_sharing_clients();
         self.event_loop.broadcast(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
-        if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.fleet) {
+        if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.budgets) {
             budgets.take(fleet);
         }
         reload::apply(&lead.own(0, shares), &mut self.event_loop, &mut self.driver);
@@ -157,10 +157,10 @@
     /// SIGHUP has come. Several close together may come as one: the file is read as it is now.
     fn reload(&mut self) {
         let Some(lead) = &mut self.lead else { return };
-        let taken = (lead.reread)().and_then(|next| reload::take(&mut lead.config, next));
+        let taken = (lead.reread)().and_then(|next| reload::replace(&mut lead.config, next));
         if let Err(e) = taken {
             // Nothing of a file that is wrong anywhere is applied.
-            return error!(event = "reload-refused", key = e.key(), why = %e.why());
+            return error!(event = "reload-refused", key = e.key(), why = %e.reason());
         }
         self.enforce();
     }
@@ -196,7 +196,7 @@
         }
         let context = LoopContext::new(poller, clock.read());
         let mut event_loop = EventLoop::new(context, place, config.discovery, ProxySettings::from(&config));
-        if let Some(peers) = &config.peers {
+        if let Some(peers) = &config.gossip {
             event_loop.gossip = Some(GossipTransport::new(
                 &mut event_loop.context,
                 &config.name,
@@ -295,7 +295,8 @@
 
 /// Listens for operators, where one process takes another's place beside it. That they can't call is found out at the start, not when they do.
 fn listen_to_operators(at: SocketAddr, beside: bool) -> Result<std::net::TcpListener, ConfigError> {
-    listen(at, beside).map_err(|e| ConfigError::Form("operator".into(), format!("no listening at {at}: {e}")))
+    listen(at, beside)
+        .map_err(|e| ConfigError::invalid("operator", InvalidValue::CannotListen { address: at, source: e }))
 }
 
 /// What processes of this balancer have in common; none where there is no place for it.
@@ -381,7 +382,7 @@
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     watches[0].registry()?.register_readable(&mut signals, EventSource::Signals)?;
     // Where operators may call there may be another process of this balancer, with as many listeners.
-    let mut folder = config.operator_at.filter(|_| config.listen.port() != 0);
+    let mut folder = config.admin_address.filter(|_| config.listen.port() != 0);
     let mut folder = folder.take().and_then(|_| common_folder(config.listen));
     let inherited = match (&take_over, &folder) {
         // Whoever wants the other one's place does not want to stand beside it.
@@ -397,9 +398,9 @@
     let (mut listeners, mut inherited) = match inherited {
         Some((listeners, inherited)) => (listeners, Some(inherited)),
         // It may have to listen beside another one.
-        None => (vec![listen(config.listen, workers > 1 || config.operator_at.is_some())?], None),
+        None => (vec![listen(config.listen, workers > 1 || config.admin_address.is_some())?], None),
     };
-    let mut door = config.operator_at.map(|at| listen_to_operators(at, take_over.is_some())).transpose()?;
+    let mut door = config.admin_address.map(|at| listen_to_operators(at, take_over.is_some())).transpose()?;
     // The port may have been left to the system for the first one only.
     let at = listeners[0].local_addr()?;
     for _ in listeners.len()..workers {
@@ -430,9 +431,9 @@
         kept[0].1 = Some((memory, std::mem::take(&mut inherited.state.endpoints)));
     }
     if let Some((_, list)) = kept[0].1.as_ref().filter(|(_, list)| !list.endpoints.is_empty()) {
-        config.known = list.clone();
+        config.initial_endpoints = list.clone();
     }
-    let known = Arc::new(std::mem::take(&mut config.known));
+    let known = Arc::new(std::mem::take(&mut config.initial_endpoints));
     let mut kin = SiblingProcesses::default();
     let place = folder.as_ref().filter(|_| door.is_some()).map(|folder| folder.join(SOCKET));
     let ends = take_over.is_some();
@@ -460,7 +461,7 @@
         .zip(kept)
         .enumerate()
         .map(|(worker, ((watch, place), (keeping, found)))| {
-            let config = config.of_worker(worker, workers);
+            let config = config.for_worker(worker, workers);
             let memory = found.map(|(memory, _)| memory);
             let known = Arc::clone(&known);
             Start { watch, place, config, known, clock, keeping, memory, lead: None, shares: None }
