--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use shorewharf_budgets::{Budget, Kind, Problem, Rules};
+use shorewharf_budgets::{Budget, BudgetKind, BudgetSettings, SettingsError};
 use shorewharf_decisions::Settings;
 use shorewharf_protocol::name_index::NameIndex;
 use shorewharf_settings::operator::Budgets;
@@ -24,7 +24,7 @@
     /// Prefix of all keys in the store.
     pub prefix: String,
     /// The budgets, and the rules by which they are divided.
-    pub rules: Rules,
+    pub rules: BudgetSettings,
     /// By tenant index, the name of the budget of its connections.
     pub tenant_budgets: Vec<Option<String>>,
 }
@@ -56,8 +56,8 @@
     #[error("budgets.set_ups: nothing is shared: neither set_ups, nor tenants with a quota in the settings")]
     NothingShared,
     /// The budgets can't be divided by these rules.
-    #[error("{}: {}", operator_key(.0.key), .0.why)]
-    InvalidRules(Problem),
+    #[error("{}: {}", operator_key(.0.key()), .0)]
+    InvalidRules(SettingsError),
 }
 
 /// What is wrong with the file that names the members.
@@ -85,7 +85,7 @@
             Self::NoMembers | Self::InvalidMembers { .. } => "budgets.members",
             Self::SlashInName(_) => "name",
             Self::NothingShared => "budgets.set_ups",
-            Self::InvalidRules(problem) => operator_key(problem.key),
+            Self::InvalidRules(error) => operator_key(error.key()),
         }
     }
 }
@@ -136,7 +136,7 @@
         if let (Some(quota), Some(budget_name)) = (quota, budget_names.get_mut(*index)) {
             let name = format!("connections of {tenant}");
             *budget_name = Some(name.clone());
-            budgets.push(Budget { name, kind: Kind::Level, whole: quota.floor() });
+            budgets.push(Budget { name, kind: BudgetKind::Concurrency, total: quota.floor() });
         }
     }
     (budgets, budget_names)
@@ -171,21 +171,25 @@
             (budgets, tenant_names) = tenant_budgets(settings, names);
         }
         let setups = section.set_ups;
-        budgets.extend(setups.map(|whole| Budget { name: SETUP_BUDGET.to_owned(), kind: Kind::Rate, whole }));
+        budgets.extend(setups.map(|total| Budget {
+            name: SETUP_BUDGET.to_owned(),
+            kind: BudgetKind::Rate,
+            total,
+        }));
         if budgets.is_empty() {
             return Err(BudgetConfigError::NothingShared);
         }
         budgets.sort_by(|a, b| a.name.cmp(&b.name));
-        let rules = Rules {
+        let rules = BudgetSettings {
             budgets,
             lease: micros_from_seconds(section.lease_s),
-            margin: micros_from_seconds(section.margin_s),
-            look: micros_from_seconds(section.look_s),
-            linger: micros_from_seconds(section.linger_s),
-            reserve: section.reserve,
-            floor: section.floor,
-            members: membership.count,
-            place: membership.place,
+            clock_margin: micros_from_seconds(section.margin_s),
+            poll_interval: micros_from_seconds(section.look_s),
+            drain_time: micros_from_seconds(section.linger_s),
+            reserve_ratio: section.reserve,
+            even_ratio: section.floor,
+            max_members: membership.count,
+            member_index: membership.place,
         };
         rules.check().map_err(BudgetConfigError::InvalidRules)?;
         let (store, prefix) = (section.store.clone(), section.prefix.clone());
--- a/crates/balancer/src/fleet/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -1,164 +1,179 @@
-//! This balancer's part of the fleet's budgets: a thread of its own that speaks to the store, so that the loop never waits for
-//! it. What both share are the parts, which the loop holds each request against.
+//! This balancer's allocations of the fleet's budgets. A thread of its own talks to the store, so that the event loop never
+//! waits for it; they share the allocations, which the event loop checks each request against.
 
+use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use shorewharf_budgets::{Call, Condition, Failed, Member, Parts, Record, Reply, Rules};
+use shorewharf_budgets::{
+    Allocations, BudgetSettings, Member, NoResponse, Precondition, StoreRequest, StoreResponse, StoredRecord,
+    WriteBatch,
+};
 use shorewharf_driver::Budgets;
-use shorewharf_store::error::StoreError;
+use shorewharf_store::error::{InvalidValue, StoreError};
 use shorewharf_store::key::{Collection, Key};
 use shorewharf_store::replicated::{Options, Replicated};
 use shorewharf_store::revision::Revision;
-use shorewharf_store::store::{Batch, Condition as Holds, Entry, Query, Store};
-use shorewharf_units::Micros;
+use shorewharf_store::store::{Batch, Condition, Entry, Query, Store};
+use shorewharf_units::{MICROS_PER_MILLISECOND, Micros};
+use thiserror::Error;
 use tracing::{info, warn};
 
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
 use crate::fleet::budget_config::{BudgetConfig, BudgetConfigError, SETUP_BUDGET};
 
-/// Parts go to the log this often.
-const LOG: Micros = 10_000_000;
-/// A process that ends waits so long at most until the store knows of it.
-const LEAVES: Duration = Duration::from_millis(500);
+/// How often allocations are logged.
+const LOG_INTERVAL: Micros = 10_000_000;
+/// A process that ends waits no longer than this until the store knows.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// A store that has not answered for this many leases is opened anew.
+const LEASES_UNTIL_REOPEN: u64 = 2;
+/// The shortest and the longest wait for the next request to the store, in microseconds.
+const MIN_WAIT: Micros = 1_000;
+const MAX_WAIT: Micros = 1_000_000;
 
-/// A store that has not answered for so many leases is opened anew.
-const REOPENS: u64 = 2;
+/// The client of the store can't be started.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The store can't be used as configured.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The system gives no thread.
+    #[error(transparent)]
+    Thread(#[from] io::Error),
+}
+
+fn unix_time() -> Micros {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
+}
 
-/// The store's members, the prefix of all keys, and this balancer's name.
-type Address = (Vec<String>, String, String);
+fn lock(allocations: &Mutex<Allocations>) -> MutexGuard<'_, Allocations> {
+    allocations.lock().unwrap_or_else(PoisonError::into_inner)
+}
 
-fn wall() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+/// Where the store is, and as which client it is opened.
+struct StoreAddress {
+    members: Vec<String>,
+    /// Prefix of all keys.
+    prefix: String,
+    balancer: String,
 }
 
-/// Opens the store. Each time as an instance of its own: one that an earlier process used would be taken for it.
-fn open(
-    (store, prefix, name): &Address,
-    wall: u64,
-) -> Result<Replicated, shorewharf_store::error::InvalidValue> {
-    Replicated::new(&Options::new(store.clone(), prefix, &format!("{name}-{wall}"), wall))
+impl StoreAddress {
+    /// Opens the store, each time as another client: the store would take this one for an earlier process of the same name.
+    fn open(&self, now: Micros) -> Result<Replicated, InvalidValue> {
+        let client = format!("{}-{now}", self.balancer);
+        Replicated::new(&Options::new(self.members.clone(), &self.prefix, &client, now))
+    }
 }
 
-enum Order {
-    Rules(Rules),
+/// A message from the event loop to the thread.
+enum Command {
+    UpdateSettings(BudgetSettings),
     Leave,
 }
 
-/// The loop's end of it.
+/// The event loop's handle of the thread.
 #[derive(Debug)]
-pub struct Shares {
-    parts: Arc<Mutex<Parts>>,
-    orders: Sender<Order>,
-    /// Closed when the thread has ended.
+pub struct BudgetClient {
+    allocations: Arc<Mutex<Allocations>>,
+    commands: Sender<Command>,
+    /// Closed once the thread has ended.
     ended: Receiver<()>,
 }
 
-fn lock(parts: &Mutex<Parts>) -> MutexGuard<'_, Parts> {
-    parts.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
-impl Shares {
-    /// Starts the thread, where the configuration names budgets.
+impl BudgetClient {
+    /// Starts the thread if budgets are configured.
     ///
     /// # Errors
-    /// Where the store's address or prefix can't be used, or the system gives no thread.
-    pub fn start(config: &Config, clock: Clock) -> Result<Option<Shares>, crate::workers::startup::Failure> {
-        let Some(fleet) = &config.budgets else { return Ok(None) };
-        let wall = wall();
-        let address = (fleet.store.clone(), fleet.prefix.clone(), config.name.clone());
-        let store =
-            open(&address, wall).map_err(|e| ConfigError::from(BudgetConfigError::InvalidStore(e)))?;
-        let now = clock.read();
-        let parts = Arc::new(Mutex::new(Parts::new(now, &fleet.rules)));
-        let (orders, orders_in) = channel();
-        let member = Member::new(now, fleet.rules.clone(), &config.name, wall);
-        let parts_too = Arc::clone(&parts);
-        let desk = Desk {
-            member,
-            parts: parts_too,
+    /// The store's address or prefix can't be used, or the system gives no thread.
+    pub fn start(config: &Config, clock: Clock) -> Result<Option<BudgetClient>, StartError> {
+        let Some(budgets) = &config.budgets else { return Ok(None) };
+        let (now, unix_now) = (clock.read(), unix_time());
+        let address = StoreAddress {
+            members: budgets.store.clone(),
+            prefix: budgets.prefix.clone(),
+            balancer: config.name.clone(),
+        };
+        let store = address
+            .open(unix_now)
+            .map_err(|error| ConfigError::from(BudgetConfigError::InvalidStore(error)))?;
+        let allocations = Arc::new(Mutex::new(Allocations::new(now, &budgets.rules)));
+        let (commands, command_inbox) = channel();
+        let worker = StoreWorker {
+            member: Member::new(now, budgets.rules.clone(), &config.name, unix_now),
+            allocations: Arc::clone(&allocations),
             address,
             store,
-            orders: orders_in,
+            commands: command_inbox,
             clock,
-            reaches: None,
-            reached: now,
-            logged: now,
+            is_reachable: None,
+            last_reached: now,
+            last_logged: now,
         };
-        let (ends, ended) = channel();
-        let work = move || {
-            let _ends: Sender<()> = ends;
-            desk.work();
+        let (end_signal, ended) = channel::<()>();
+        let run = move || {
+            let _end_signal = end_signal;
+            worker.run();
         };
-        thread::Builder::new().name("budgets".to_owned()).spawn(work)?;
-        Ok(Some(Shares { parts, orders, ended }))
+        thread::Builder::new().name("budgets".to_owned()).spawn(run)?;
+        Ok(Some(BudgetClient { allocations, commands, ended }))
     }
 
-    /// What requests are held against.
+    /// The admission that checks requests against the allocations.
     pub fn admission(&self, config: &Config) -> Option<Budgets> {
-        let fleet = config.budgets.as_ref()?;
-        let parts = lock(&self.parts);
-        let set_ups = parts.place(SETUP_BUDGET);
-        let tenants = fleet.tenant_budgets.iter().map(|name| parts.place(name.as_deref()?)).collect();
-        drop(parts);
-        Some(Budgets::new(Arc::clone(&self.parts), set_ups, tenants, &config.settings))
+        let budgets = config.budgets.as_ref()?;
+        let allocations = lock(&self.allocations);
+        let setup_budget = allocations.index_of(SETUP_BUDGET);
+        let tenant_budgets = budgets.tenant_budgets.iter();
+        let tenant_budgets = tenant_budgets.map(|name| allocations.index_of(name.as_deref()?)).collect();
+        drop(allocations);
+        Some(Budgets::new(Arc::clone(&self.allocations), setup_budget, tenant_budgets, &config.settings))
     }
 
-    /// Other wholes are in force; the rest stays.
-    pub fn take(&self, fleet: &BudgetConfig) {
+    /// Puts the totals of another configuration in force; the rest needs a restart.
+    pub fn update_totals(&self, config: &BudgetConfig) {
         // The thread ends only with the process.
-        let _ = self.orders.send(Order::Rules(fleet.rules.clone()));
+        let _ = self.commands.send(Command::UpdateSettings(config.rules.clone()));
     }
 
-    /// Leaves in good order, if the store hears of it soon.
+    /// Returns this balancer's allocations to the fleet, if the store answers in time.
     pub fn leave(self) {
-        let _ = self.orders.send(Order::Leave);
-        // Nothing ever comes: the thread's end closes the way.
-        let _ = self.ended.recv_timeout(LEAVES);
+        let _ = self.commands.send(Command::Leave);
+        // Nothing is ever sent: the channel closes when the thread ends.
+        let _ = self.ended.recv_timeout(LEAVE_TIMEOUT);
     }
 }
 
-/// The thread's end.
-struct Desk {
+/// The thread's state.
+struct StoreWorker {
     member: Member,
-    parts: Arc<Mutex<Parts>>,
-    /// The store's members, prefix, and this balancer's name.
-    address: Address,
+    allocations: Arc<Mutex<Allocations>>,
+    address: StoreAddress,
     store: Replicated,
-    orders: Receiver<Order>,
+    commands: Receiver<Command>,
     clock: Clock,
-    /// The store has answered the last call; none before the first.
-    reaches: Option<bool>,
-    /// When it answered last, or was opened.
-    reached: Micros,
-    logged: Micros,
+    /// Whether the store has answered the last request; none before the first.
+    is_reachable: Option<bool>,
+    /// When the store answered last, or was opened.
+    last_reached: Micros,
+    last_logged: Micros,
 }
 
-impl Desk {
-    fn work(mut self) {
-        while !self.member.is_over() {
-            let now = self.clock.read();
-            let call = self.member.next(now, &mut lock(&self.parts));
-            let Some(call) = call else {
-                let due = self.member.next_due().saturating_sub(self.clock.read());
-                match self.orders.recv_timeout(Duration::from_micros(due.clamp(1_000, 1_000_000))) {
-                    Ok(order) => self.ordered(order),
-                    Err(RecvTimeoutError::Timeout) => {}
-                    Err(RecvTimeoutError::Disconnected) => return,
-                }
-                continue;
-            };
-            let led = self.member.leads().map(|l| l.term);
-            let answer = self.make(call);
-            let now = self.clock.read();
-            self.reached(now, answer.is_ok());
-            self.member.answered(now, answer, &mut lock(&self.parts));
-            self.tell(now, led);
+impl StoreWorker {
+    fn run(mut self) {
+        while !self.member.has_ended() {
+            let request = self.member.next_request(self.clock.read(), &mut lock(&self.allocations));
+            if let Some(request) = request {
+                self.process_request(request);
+            } else if !self.wait_for_command() {
+                return;
+            }
         }
-        if self.member.is_outlived() {
+        if self.member.is_superseded() {
             warn!(
                 event = "budgets",
                 state = "outlived",
@@ -167,126 +182,168 @@
         }
     }
 
-    fn ordered(&mut self, order: Order) {
+    /// Waits for a command, or until the next request is due; returns false if the event loop has ended.
+    fn wait_for_command(&mut self) -> bool {
+        let due_in = self.member.next_deadline().saturating_sub(self.clock.read());
+        match self.commands.recv_timeout(Duration::from_micros(due_in.clamp(MIN_WAIT, MAX_WAIT))) {
+            Ok(command) => self.on_command(command),
+            Err(RecvTimeoutError::Timeout) => {}
+            Err(RecvTimeoutError::Disconnected) => return false,
+        }
+        true
+    }
+
+    fn process_request(&mut self, request: StoreRequest) {
+        let previous_term = self.leader_term();
+        let response = self.execute(request);
+        let now = self.clock.read();
+        self.update_reachability(now, response.is_ok());
+        self.member.on_response(now, response, &mut lock(&self.allocations));
+        self.log_leadership(previous_term);
+        if now >= self.last_logged + LOG_INTERVAL {
+            self.last_logged = now;
+            self.log_allocations(now);
+        }
+    }
+
+    fn leader_term(&self) -> Option<u64> {
+        self.member.leader().map(|leader| leader.term)
+    }
+
+    fn on_command(&mut self, command: Command) {
         let now = self.clock.read();
-        let mut parts = lock(&self.parts);
-        match order {
-            Order::Rules(next) => {
-                // Which budgets there are, and by which terms they are shared, stays until a restart.
-                let mut rules = self.member.rules().clone();
-                for b in &mut rules.budgets {
-                    if let Some(named) = next.budgets.iter().find(|n| n.name == b.name) {
-                        b.whole = named.whole;
+        let mut allocations = lock(&self.allocations);
+        match command {
+            Command::UpdateSettings(next) => {
+                // Which budgets there are, and how they are divided, stays until a restart.
+                let mut settings = self.member.settings().clone();
+                for budget in &mut settings.budgets {
+                    if let Some(named) = next.budgets.iter().find(|next| next.name == budget.name) {
+                        budget.total = named.total;
                     }
                 }
-                parts.take_rules(now, &rules);
-                self.member.take_rules(rules);
+                allocations.update_settings(now, &settings);
+                self.member.update_settings(settings);
             }
-            Order::Leave => self.member.leave(now, &mut parts),
+            Command::Leave => self.member.leave(now, &mut allocations),
         }
     }
 
-    fn reached(&mut self, now: Micros, is: bool) {
-        if is {
-            self.reached = now;
-        } else if now >= self.reached + REOPENS * self.member.rules().lease {
-            // A client of the store believes no other cluster than the one it has seen. Members do: whatever they find there, what
-            // was in force before has ended.
-            self.reached = now;
-            let reopened = open(&self.address, wall());
-            self.store = match reopened {
-                Ok(store) => store,
-                Err(_) => return,
-            };
+    fn update_reachability(&mut self, now: Micros, is_reachable: bool) {
+        if is_reachable {
+            self.last_reached = now;
+        } else if now >= self.last_reached + LEASES_UNTIL_REOPEN * self.member.settings().lease {
+            // A client of the store trusts no other cluster than the one it has seen. Members can: whatever they find there,
+            // all allocations from before have expired.
+            self.last_reached = now;
+            let Ok(store) = self.address.open(unix_time()) else { return };
+            self.store = store;
         }
-        if self.reaches.replace(is) != Some(is) {
-            match is {
-                true => info!(event = "budgets", state = "store-reached"),
-                false => warn!(
-                    event = "budgets",
-                    state = "store-lost",
-                    why = "parts end with their lease, then the reserve is left"
-                ),
-            }
+        if self.is_reachable.replace(is_reachable) == Some(is_reachable) {
+            return;
+        }
+        if is_reachable {
+            info!(event = "budgets", state = "store-reached");
+        } else {
+            warn!(
+                event = "budgets",
+                state = "store-lost",
+                why = "parts end with their lease, then the reserve is left"
+            );
         }
     }
 
-    fn tell(&mut self, now: Micros, led: Option<u64>) {
-        let leads = self.member.leads().map(|l| l.term);
-        if leads != led {
-            match leads {
-                Some(term) => info!(event = "budgets", state = "leads", term),
-                None => info!(event = "budgets", state = "leads-no-more"),
-            }
-        }
-        if now < self.logged + LOG {
+    fn log_leadership(&self, previous_term: Option<u64>) {
+        let term = self.leader_term();
+        if term == previous_term {
             return;
         }
-        self.logged = now;
-        let parts = lock(&self.parts);
-        let left_ms = parts.until().saturating_sub(now) / 1_000;
-        for (place, budget) in parts.names().enumerate() {
-            let part = format_args!("{:.2}", parts.in_force(now, place)).to_string();
-            let (used, refused) = (parts.used(place), parts.refused(place));
+        match term {
+            Some(term) => info!(event = "budgets", state = "leads", term),
+            None => info!(event = "budgets", state = "leads-no-more"),
+        }
+    }
+
+    fn log_allocations(&self, now: Micros) {
+        let allocations = lock(&self.allocations);
+        let left_ms = allocations.granted_until().saturating_sub(now) / MICROS_PER_MILLISECOND;
+        for (index, budget) in allocations.names().enumerate() {
+            let part = format!("{:.2}", allocations.in_force(now, index));
+            let (used, refused) = (allocations.in_use(index), allocations.rejected(index));
             info!(event = "budget", budget, part, "left-ms" = left_ms, used, refused);
         }
-        drop(parts);
-        for (budget, may) in self.member.may() {
-            let members = self.member.leads().map_or(0, |l| l.alive(now, self.member.rules()));
-            info!(event = "budget-divided", budget, "may-be-in-use" = may, members);
+        drop(allocations);
+        let settings = self.member.settings();
+        for (budget, possible_use) in self.member.possible_use() {
+            let members = self.member.leader().map_or(0, |leader| leader.alive_members(now, settings));
+            info!(event = "budget-divided", budget, "may-be-in-use" = possible_use, members);
         }
-        let f = self.member.figures();
+        let stats = self.member.stats();
         info!(
             event = "budgets-store",
-            calls = f.calls,
-            writes = f.writes,
-            bytes = f.bytes,
-            failed = f.failed,
-            old = f.old
+            calls = stats.requests,
+            writes = stats.writes,
+            bytes = stats.bytes_written,
+            failed = stats.unanswered,
+            old = stats.outdated_grants
         );
     }
 
-    /// Makes a call; an answer that says nothing counts as none.
-    fn make(&mut self, call: Call) -> Result<Reply, Failed> {
-        let wall = wall();
-        let key = |name: String| Key::new(Collection::Budget, name);
-        let record = |e: Entry| Record { revision: e.revision.0, text: e.value };
-        let done = match call {
-            Call::Read(names) => {
-                let keys: Vec<Key> = names.into_iter().map(key).collect();
-                let found = self.store.get_many(&keys, wall);
-                found.map(|found| Reply::Read(found.into_iter().map(|e| e.map(record)).collect()))
-            }
-            Call::List(prefix) => self.list(&prefix, wall),
-            Call::Write { conditions, writes } => {
-                let holds = |c: Condition| match c {
-                    Condition::Absent(name) => Holds::Absent(key(name)),
-                    Condition::At(name, at) => Holds::AtRevision(key(name), Revision(at)),
-                };
-                let conditions = conditions.into_iter().map(holds).collect();
-                let writes = writes.into_iter().map(|(name, text)| (key(name), text)).collect();
-                self.store.apply(&Batch { conditions, writes }, wall).map(|at| Reply::Written(at.0))
-            }
+    /// Executes a request. An error that does not say whether the request was executed is no response.
+    fn execute(&mut self, request: StoreRequest) -> Result<StoreResponse, NoResponse> {
+        let result = match request {
+            StoreRequest::Read(names) => self.read(names),
+            StoreRequest::List(prefix) => self.list(&prefix),
+            StoreRequest::Write(batch) => self.write(batch),
         };
-        match done {
-            Ok(reply) => Ok(reply),
+        match result {
+            Ok(response) => Ok(response),
             Err(
                 StoreError::Conflict { .. } | StoreError::AlreadyExists { .. } | StoreError::NotFound { .. },
-            ) => Ok(Reply::Conflict),
-            Err(_) => Err(Failed),
+            ) => Ok(StoreResponse::Conflict),
+            Err(_) => Err(NoResponse),
         }
     }
 
-    fn list(&mut self, prefix: &str, wall: u64) -> Result<Reply, StoreError> {
-        let (mut all, mut after) = (Vec::new(), None);
+    fn read(&mut self, names: Vec<String>) -> Result<StoreResponse, StoreError> {
+        let keys: Vec<Key> = names.into_iter().map(budget_key).collect();
+        let entries = self.store.get_many(&keys, unix_time())?;
+        Ok(StoreResponse::Read(entries.into_iter().map(|entry| entry.map(stored_record)).collect()))
+    }
+
+    fn list(&mut self, prefix: &str) -> Result<StoreResponse, StoreError> {
+        let now = unix_time();
+        let (mut records, mut after) = (Vec::new(), None);
         loop {
-            let page = self.store.list(&Query::all(Collection::Budget).prefix(prefix).after(after), wall)?;
-            after = page.entries.last().map(|e| e.key.name.clone());
-            let record = |e: Entry| (e.key.name, Record { revision: e.revision.0, text: e.value });
-            all.extend(page.entries.into_iter().map(record));
+            let query = Query::all(Collection::Budget).prefix(prefix).after(after);
+            let page = self.store.list(&query, now)?;
+            after = page.entries.last().map(|entry| entry.key.name.clone());
+            records
+                .extend(page.entries.into_iter().map(|entry| (entry.key.name.clone(), stored_record(entry))));
             if !page.more {
-                return Ok(Reply::Listed(all));
+                return Ok(StoreResponse::Listed(records));
             }
         }
     }
+
+    fn write(&mut self, batch: WriteBatch) -> Result<StoreResponse, StoreError> {
+        let condition = |precondition| match precondition {
+            Precondition::Absent(name) => Condition::Absent(budget_key(name)),
+            Precondition::Unchanged(name, revision) => {
+                Condition::AtRevision(budget_key(name), Revision(revision))
+            }
+        };
+        let conditions = batch.preconditions.into_iter().map(condition).collect();
+        let writes = batch.writes.into_iter().map(|(name, text)| (budget_key(name), text)).collect();
+        let revision = self.store.apply(&Batch { conditions, writes }, unix_time())?;
+        Ok(StoreResponse::Written(revision.0))
+    }
+}
+
+fn budget_key(name: String) -> Key {
+    Key::new(Collection::Budget, name)
+}
+
+fn stored_record(entry: Entry) -> StoredRecord {
+    StoredRecord { revision: entry.revision.0, text: entry.value }
 }
--- a/crates/balancer/src/fleet/gossip_config.rs
+++ b/crates/balancer/src/fleet/gossip_config.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use shorewharf_gossip::{Key, KeyError, Rules};
+use shorewharf_gossip::{GossipSettings, Key, KeyError};
 use shorewharf_settings::operator::Gossip;
+use shorewharf_units::MICROS_PER_MILLISECOND;
 use thiserror::Error;
 
 use super::MAX_BALANCERS;
@@ -18,7 +19,7 @@
     /// The key that all balancers share.
     pub key: Key,
     /// How often to send, and to how many.
-    pub rules: Rules,
+    pub rules: GossipSettings,
 }
 
 /// Gossip that can't be set up as configured. The message begins with the key at fault.
@@ -100,7 +101,11 @@
         let mut peers = read_peers(path)?;
         peers.retain(|(name, _)| name != balancer);
         let key = read_key(section.key.as_ref().ok_or(GossipConfigError::NoKey)?)?;
-        let rules = Rules { every: section.every_ms * 1_000, fanout: section.fanout, ..Rules::default() };
+        let rules = GossipSettings {
+            interval: section.every_ms * MICROS_PER_MILLISECOND,
+            fanout: section.fanout,
+            ..GossipSettings::default()
+        };
         Ok(Some(GossipConfig { peers, key, rules }))
     }
 }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -29,7 +29,7 @@
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::dispatch::{EventLoop, WorkerContext};
 use crate::event_loop::poll::{EventPoller, EventSource, SourceRegistry};
-use crate::fleet::budgets::Shares;
+use crate::fleet::budgets::{BudgetClient, StartError};
 use crate::fleet::gossip::GossipTransport;
 use crate::handover::predecessor::{self, Predecessor, ReceivedHandover};
 use crate::handover::siblings::SiblingProcesses;
@@ -76,7 +76,7 @@
     driver: Driver,
     lead: Option<Lead>,
     keeping: Option<SnapshotTask>,
-    shares: Option<Shares>,
+    shares: Option<BudgetClient>,
 }
 
 impl Worker {
@@ -124,7 +124,7 @@
         let shares = self.event_loop.siblings.is_sharing_clients();
         self.event_loop.broadcast(|worker| WorkerMessage::Config(Box::new(lead.own(worker, shares))));
         if let (Some(budgets), Some(fleet)) = (&self.shares, &lead.config.budgets) {
-            budgets.take(fleet);
+            budgets.update_totals(fleet);
         }
         reload::apply(&lead.own(0, shares), &mut self.event_loop, &mut self.driver);
     }
@@ -179,7 +179,7 @@
     /// The first one's.
     lead: Option<Lead>,
     /// The fleet's budgets.
-    shares: Option<Shares>,
+    shares: Option<BudgetClient>,
 }
 
 impl Start {
@@ -293,6 +293,15 @@
     System(#[from] io::Error),
 }
 
+impl From<StartError> for Failure {
+    fn from(error: StartError) -> Self {
+        match error {
+            StartError::Config(error) => Failure::Config(error),
+            StartError::Thread(error) => Failure::System(error),
+        }
+    }
+}
+
 /// Listens for operators, where one process takes another's place beside it. That they can't call is found out at the start, not when they do.
 fn listen_to_operators(at: SocketAddr, beside: bool) -> Result<std::net::TcpListener, ConfigError> {
     listen(at, beside)
@@ -480,7 +489,7 @@
         };
         threads.push(thread::Builder::new().name(format!("worker-{}", i + 1)).spawn(work)?);
     }
-    first.shares = Shares::start(&config, clock)?;
+    first.shares = BudgetClient::start(&config, clock)?;
     first.lead = Some(Lead { signals, reread: Box::new(reread), config, workers });
     let mut clients = first.work()?;
     for thread in threads {
