--- a/crates/balancer/src/transport/buffer_pool.rs
+++ b/crates/balancer/src/transport/buffer_pool.rs
@@ -1,33 +1,33 @@
-//! Buffers of one size, used again. A quiet connection holds none.
+//! A pool of buffers of one size. A connection without pending bytes holds none.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Bytes in a buffer: one line of the greatest length and as much again behind it.
+/// The size of a buffer: twice the longest line.
 pub const BUFFER_BYTES: usize = 8192;
-const _: () = assert!(BUFFER_BYTES <= u16::MAX as usize, "places in a buffer are narrow");
-/// Buffers kept for later; a burst's surplus goes back to the system.
+const _: () = assert!(BUFFER_BYTES <= u16::MAX as usize, "positions in a buffer are 16 bits wide");
+/// Free buffers that are kept; the surplus of a burst goes back to the system.
 const MAX_FREE_BUFFERS: usize = 128;
 
 type FreeList = Rc<RefCell<Vec<Box<[u8; BUFFER_BYTES]>>>>;
 
-/// Where buffers come from and go back to.
+/// Where buffers come from and return to.
 #[derive(Clone, Debug, Default)]
 pub struct BufferPool(FreeList);
 
 impl BufferPool {
-    /// An empty buffer.
+    /// Takes an empty buffer.
     pub fn take(&self) -> Buffer {
         let bytes = self.0.borrow_mut().pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
         Buffer { bytes: Some(bytes), start: 0, end: 0, free_list: Rc::clone(&self.0) }
     }
 }
 
-/// Bytes on their way: filled at the end, used up from the front. Goes back to its pool when dropped.
+/// A queue of bytes, filled at the end and consumed from the front. It returns to its pool when dropped.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Option<Box<[u8; BUFFER_BYTES]>>,
-    // Narrow: every connection has room for the handles of its buffers.
+    // Narrow, since every connection holds two of these handles.
     start: u16,
     end: u16,
     free_list: FreeList,
@@ -35,15 +35,15 @@
 
 impl Buffer {
     fn bytes(&mut self) -> &mut [u8; BUFFER_BYTES] {
-        self.bytes.as_mut().expect("held until dropped")
+        self.bytes.as_mut().expect("present until dropped")
     }
 
-    /// What it holds.
+    /// The bytes that it holds.
     pub fn contents(&self) -> &[u8] {
-        &self.bytes.as_ref().expect("held until dropped")[usize::from(self.start)..usize::from(self.end)]
+        &self.bytes.as_ref().expect("present until dropped")[usize::from(self.start)..usize::from(self.end)]
     }
 
-    /// Room behind what it holds; what it holds is moved to the front if that makes any.
+    /// The free space behind the contents, which are moved to the front if that makes more.
     pub fn spare(&mut self) -> &mut [u8] {
         if self.start > 0 {
             let (start, end) = (self.start, self.end);
@@ -54,22 +54,22 @@
         &mut self.bytes()[usize::from(end)..]
     }
 
-    /// So many bytes were written into the room.
+    /// Adds the first `n` bytes of the spare space to the contents.
     pub fn commit(&mut self, n: usize) {
         self.end = (usize::from(self.end) + n).min(BUFFER_BYTES) as u16;
     }
 
-    /// So many bytes at the front are done with.
+    /// Removes `n` bytes from the front.
     pub fn consume(&mut self, n: usize) {
         self.start = (usize::from(self.start) + n).min(usize::from(self.end)) as u16;
     }
 
-    /// Appends all of `bytes`, or nothing and false where they don't fit.
+    /// Appends `bytes` and returns true, or returns false if they don't fit.
     pub fn append(&mut self, bytes: &[u8]) -> bool {
-        let room = self.spare();
-        let fits = bytes.len() <= room.len();
+        let spare = self.spare();
+        let fits = bytes.len() <= spare.len();
         if fits {
-            room[..bytes.len()].copy_from_slice(bytes);
+            spare[..bytes.len()].copy_from_slice(bytes);
             self.commit(bytes.len());
         }
         fits
@@ -78,9 +78,9 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        let mut home = self.free_list.borrow_mut();
-        if let Some(bytes) = self.bytes.take().filter(|_| home.len() < MAX_FREE_BUFFERS) {
-            home.push(bytes);
+        let mut free_list = self.free_list.borrow_mut();
+        if let Some(bytes) = self.bytes.take().filter(|_| free_list.len() < MAX_FREE_BUFFERS) {
+            free_list.push(bytes);
         }
     }
 }
--- a/crates/balancer/src/transport/buffer_pool/tests.rs
+++ b/crates/balancer/src/transport/buffer_pool/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of the module that these stand beside.
+//! Tests of buffers and their pool.
 
 use super::*;
 
 #[test]
-fn a_buffer_is_used_again_and_keeps_its_order() {
+fn a_buffer_is_reused_and_keeps_the_order_of_bytes() {
     let pool = BufferPool::default();
-    let mut b = pool.take();
-    assert!(b.append(b"one two"));
-    b.consume(4);
-    assert!(b.append(b" three"));
-    assert_eq!(b.contents(), b"two three");
-    assert!(!b.append(&[0; BUFFER_BYTES]));
-    drop(b);
+    let mut buffer = pool.take();
+    assert!(buffer.append(b"one two"));
+    buffer.consume(4);
+    assert!(buffer.append(b" three"));
+    assert_eq!(buffer.contents(), b"two three");
+    assert!(!buffer.append(&[0; BUFFER_BYTES]));
+    drop(buffer);
     assert_eq!(pool.0.borrow().len(), 1);
     assert!(pool.take().contents().is_empty());
     drop((pool.take(), pool.take()));
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -1,50 +1,55 @@
-//! One TCP connection with what waits on it, whoever the peer is. It never waits itself.
+//! A non-blocking TCP connection that carries lines, with its unread input and unsent output.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 use std::time::Duration;
 
 use mio::net::TcpStream;
+use shorewharf_protocol::line::{LineScan, scan_line};
 use socket2::SockRef;
+use thiserror::Error;
 
 use crate::handover::messages::BufferedBytes;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use crate::transport::readiness::Readiness;
-use shorewharf_protocol::line::{LineScan, scan_line};
 
-/// How often a connection is begun that this machine itself could not begin. Most such failures are over with the call.
+/// How often connect(2) is tried that fails on this machine's side: mostly the next call succeeds.
 const MAX_CONNECT_TRIES: usize = 4;
+/// The length of CR LF.
+const LINE_END_BYTES: usize = 2;
 
-/// How a peer ended its side.
+/// How a peer has closed its side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerClose {
-    /// It finished its sending.
+    /// It has ended its sending in good order.
     Fin,
-    /// The connection broke.
+    /// The connection was reset or failed.
     Reset,
 }
 
-/// A connection. Input is taken in as long as there is room, so a peer that isn't read is slowed down by TCP.
+/// A TCP connection. It reads only as much as its buffer holds, so that TCP slows down a peer whose input is not
+/// consumed.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     input: Option<Buffer>,
-    /// Bytes at the inbox's front that are whole lines and have been looked at.
+    /// Bytes at the front of the input that have been inspected: complete lines, to be forwarded or discarded.
     inspected: usize,
+    /// What the balancer itself sends.
     output: Option<Buffer>,
     can_read: bool,
     can_write: bool,
-    /// The loop has seen its end, which reading on comes to.
-    is_closed_event_pending: bool,
-    /// How the peer ended, once it has.
+    /// Poll has reported that the peer closed or the connection broke.
+    has_close_event: bool,
+    /// How the peer has closed its side, once reading or writing has come to that.
     pub peer_close: Option<PeerClose>,
     is_write_shut: bool,
-    /// Part of a line has gone out, its rest has not.
+    /// The last byte sent was not the end of a line.
     is_mid_line: bool,
 }
 
 impl Connection {
-    /// Takes over a connection that has been accepted. Its listener has seen to it that lines go out at once.
+    /// Wraps an accepted stream, which has taken `TCP_NODELAY` from its listener.
     pub fn new(stream: TcpStream) -> Self {
         Connection {
             stream,
@@ -53,20 +58,23 @@
             output: None,
             can_read: true,
             can_write: true,
-            is_closed_event_pending: false,
+            has_close_event: false,
             peer_close: None,
             is_write_shut: false,
             is_mid_line: false,
         }
     }
 
-    /// Starts a connection; whether it came up shows in [`Connection::connected`]. What this machine fails at for a moment is
-    /// tried again at once.
+    /// Starts to connect; [`Connection::is_connected`] tells how that ends. Failures on this machine's side are retried at
+    /// once.
+    ///
+    /// # Errors
+    ///
+    /// If connect(2) fails at once.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
-        let is_own = |e: &io::Error| is_local_failure(e) || is_shortage(e);
         for _ in 1..MAX_CONNECT_TRIES {
             match Connection::connect_once(to) {
-                Err(e) if is_own(&e) => {}
+                Err(e) if is_local_failure(&e) || is_shortage(&e) => {}
                 connected => return connected,
             }
         }
@@ -75,80 +83,83 @@
 
     fn connect_once(to: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
-        // Lines are short and wanted at once.
+        // Lines are short and must not wait for more.
         stream.set_nodelay(true)?;
         Ok(Connection { can_read: false, can_write: false, ..Connection::new(stream) })
     }
 
-    /// Whether it can go on elsewhere, with what is on its way here.
+    /// Whether another process can go on with it, given its [`Connection::buffered`] bytes.
     pub fn is_transferable(&self) -> bool {
         self.peer_close.is_none() && !self.is_write_shut
     }
 
-    /// What is on its way here.
+    /// The bytes that have been read and not forwarded, or not been sent yet.
     pub fn buffered(&self) -> BufferedBytes {
-        let said = self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec();
         BufferedBytes {
             came: self.pending_input().to_vec(),
             seen: self.inspected,
-            said,
+            said: self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec(),
             mid_line: self.is_mid_line,
         }
     }
 
-    /// The connection itself, to go on elsewhere.
+    /// The stream, for another process to go on with.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// Goes on with a connection that had so much on its way elsewhere; none where that can't be.
-    pub fn resume(stream: TcpStream, pool: &BufferPool, on_the_way: &BufferedBytes) -> Option<Self> {
-        let mut link = Connection { is_mid_line: on_the_way.mid_line, ..Connection::new(stream) };
-        for (bytes, buffer) in [(&on_the_way.came, &mut link.input), (&on_the_way.said, &mut link.output)] {
-            if !bytes.is_empty() && !buffer.get_or_insert_with(|| pool.take()).append(bytes) {
-                return None;
-            }
-        }
-        link.inspected = on_the_way.seen;
-        (link.inspected <= on_the_way.came.len()).then_some(link)
+    /// Goes on with a connection of another process, which had these bytes buffered. Returns `None` if they don't fit the
+    /// buffers or contradict each other.
+    pub fn resume(stream: TcpStream, pool: &BufferPool, buffered: &BufferedBytes) -> Option<Self> {
+        let mut connection = Connection {
+            inspected: buffered.seen,
+            is_mid_line: buffered.mid_line,
+            ..Connection::new(stream)
+        };
+        let is_consistent = buffered.seen <= buffered.came.len();
+        let fits = fill(&mut connection.input, pool, &buffered.came)
+            && fill(&mut connection.output, pool, &buffered.said);
+        (is_consistent && fits).then_some(connection)
     }
 
-    /// The stream, for the loop to watch.
+    /// The stream, to be registered with poll.
     pub fn stream(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// What the loop says the connection is ready for.
-    pub fn on_ready(&mut self, ready: Readiness) {
-        self.can_read |= ready.is_readable;
-        self.can_write |= ready.is_writable;
-        self.is_closed_event_pending |= ready.is_closed;
+    /// Takes in what poll reports.
+    pub fn on_ready(&mut self, readiness: Readiness) {
+        self.can_read |= readiness.is_readable;
+        self.can_write |= readiness.is_writable;
+        self.has_close_event |= readiness.is_closed;
     }
 
-    /// Whether a started connection is up (or not yet), or why it failed.
+    /// Whether the connection is up, after [`Connection::connect`].
+    ///
+    /// # Errors
+    ///
+    /// Why connecting has failed.
     pub fn is_connected(&self) -> io::Result<bool> {
-        if !self.can_write || !self.is_closed_event_pending {
+        if !self.can_write || !self.has_close_event {
             return Ok(self.can_write);
         }
         self.stream.take_error()?.map_or(Ok(true), Err)
     }
 
-    /// Reads what there is room for; true if anything came, the end included.
+    /// Reads as much as the buffer holds. Returns whether anything was read, the end of the stream included.
     pub fn read_available(&mut self, pool: &BufferPool) -> bool {
-        let mut any = false;
+        let mut has_read = false;
         while self.can_read && self.peer_close.is_none() {
-            let inbox = self.input.get_or_insert_with(|| pool.take());
-            let room = inbox.spare();
-            if room.is_empty() {
+            let input = self.input.get_or_insert_with(|| pool.take());
+            let spare = input.spare();
+            if spare.is_empty() {
                 break;
             }
-            match (&self.stream).read(room) {
+            match (&self.stream).read(spare) {
                 Ok(0) => self.peer_close = Some(PeerClose::Fin),
-                Ok(n) => {
-                    // A read may return less than there is (read(2)), and the loop tells of what has come only once:
-                    // only the system's own word that there is no more ends the reading.
-                    inbox.commit(n);
-                }
+                // A short read doesn't mean that there is no more (read(2)), and poll reports input only once: reading
+                // goes on until `WouldBlock`.
+                Ok(n) => input.commit(n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.can_read = false;
                     break;
@@ -156,162 +167,173 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => self.peer_close = Some(PeerClose::Reset),
             }
-            any = true;
+            has_read = true;
         }
-        self.tidy();
-        any
+        self.release_empty_buffers();
+        has_read
     }
 
-    fn tidy(&mut self) {
-        self.input.take_if(|b| b.contents().is_empty());
-        self.output.take_if(|b| b.contents().is_empty());
+    fn release_empty_buffers(&mut self) {
+        self.input.take_if(|buffer| buffer.contents().is_empty());
+        self.output.take_if(|buffer| buffer.contents().is_empty());
     }
 
-    /// What has come in and is not handed on yet.
+    /// Input that has been read and neither forwarded nor discarded.
     pub fn pending_input(&self) -> &[u8] {
         self.input.as_ref().map_or(&[], Buffer::contents)
     }
 
-    /// The next line that nobody has looked at; it stays in the inbox to be carried on.
+    /// Inspects the next line, without its end. It stays in the input, to be forwarded or discarded. Returns `None` while
+    /// the line is incomplete.
+    ///
+    /// # Errors
+    ///
+    /// If the line is over the protocol's limit.
     pub fn inspect_line(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
-        let from = self.inspected;
-        match scan_line(&self.pending_input()[from..]) {
+        let start = self.inspected;
+        match scan_line(&self.pending_input()[start..]) {
             LineScan::Incomplete => Ok(None),
             LineScan::TooLong => Err(LineTooLong),
-            LineScan::Complete(n) => {
-                self.inspected += n;
-                Ok(Some(&self.pending_input()[from..from + n - 2]))
+            LineScan::Complete(length) => {
+                self.inspected += length;
+                Ok(Some(&self.pending_input()[start..start + length - LINE_END_BYTES]))
             }
         }
     }
 
-    /// Takes the next line out of the inbox.
+    /// Takes the next line out of the input, without its end. Returns `None` while the line is incomplete.
+    ///
+    /// # Errors
+    ///
+    /// If the line is over the protocol's limit.
     pub fn take_line(&mut self) -> Result<Option<Vec<u8>>, LineTooLong> {
         let line = self.inspect_line()?.map(<[u8]>::to_vec);
         self.discard_inspected();
         Ok(line)
     }
 
-    /// Throws away the lines that were looked at.
+    /// Discards the lines that have been inspected.
     pub fn discard_inspected(&mut self) {
-        let n = std::mem::take(&mut self.inspected);
-        self.input.iter_mut().for_each(|b| b.consume(n));
-        self.tidy();
+        let inspected = std::mem::take(&mut self.inspected);
+        self.discard(inspected);
     }
 
-    /// Takes so many bytes out of the inbox, lines or not.
-    pub fn discard(&mut self, n: usize) {
-        self.input.iter_mut().for_each(|b| b.consume(n));
-        self.tidy();
+    /// Discards bytes at the front of the input, whether they are lines or not.
+    pub fn discard(&mut self, bytes: usize) {
+        if let Some(input) = &mut self.input {
+            input.consume(bytes);
+        }
+        self.release_empty_buffers();
     }
 
-    /// Throws away all input.
+    /// Discards all input.
     pub fn discard_input(&mut self) {
         self.input = None;
         self.inspected = 0;
     }
 
-    /// After its end a peer's unfinished last line counts as looked at: it is carried on as it came.
+    /// Counts an incomplete last line as inspected: once the peer has closed it is forwarded as it came.
     pub fn inspect_rest(&mut self) {
         self.inspected = self.pending_input().len();
     }
 
-    fn write_available(
-        stream: &TcpStream,
-        can_write: &mut bool,
-        ended: &mut Option<PeerClose>,
-        bytes: &[u8],
-    ) -> usize {
-        let mut put = 0;
-        while put < bytes.len() && *can_write && *ended != Some(PeerClose::Reset) {
-            match (&*stream).write(&bytes[put..]) {
-                // No bytes and no error: nothing that a socket says, and nothing to wait for.
-                Ok(0) => *ended = Some(PeerClose::Reset),
-                Ok(n) => put += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => *can_write = false,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => *ended = Some(PeerClose::Reset),
-            }
-        }
-        put
-    }
-
-    /// Says something of the balancer's own; it goes out before anything that is carried later.
-    pub fn send(&mut self, pool: &BufferPool, words: &[u8]) -> bool {
-        let said = self.output.get_or_insert_with(|| pool.take()).append(words);
+    /// Sends a message of the balancer's own, ahead of anything that is forwarded later. Returns whether it fits the
+    /// buffer.
+    pub fn send(&mut self, pool: &BufferPool, message: &[u8]) -> bool {
+        let fits = self.output.get_or_insert_with(|| pool.take()).append(message);
         self.flush();
-        said
+        fits
     }
 
-    /// Sends what the balancer said; true once all of it is out.
+    /// Writes the balancer's own messages as far as possible. Returns whether all of them are out.
     pub fn flush(&mut self) -> bool {
-        if let Some(out) = self.output.as_mut() {
-            let n = Connection::write_available(
-                &self.stream,
-                &mut self.can_write,
-                &mut self.peer_close,
-                out.contents(),
-            );
-            out.consume(n);
+        if let Some(output) = self.output.as_mut() {
+            let written =
+                write_available(&self.stream, &mut self.can_write, &mut self.peer_close, output.contents());
+            output.consume(written);
         }
-        self.tidy();
+        self.release_empty_buffers();
         self.output.is_none()
     }
 
-    /// Carries lines that were looked at to the other side, unchanged; true if any bytes went. With
-    /// `to_line_end`, only the rest of a line that has begun to go out.
-    pub fn forward_to(&mut self, to: &mut Connection, to_line_end: bool) -> bool {
-        if !to.flush() || (to_line_end && !to.is_mid_line) || to.is_write_shut {
+    /// Forwards inspected lines to another connection, unchanged; with `only_line_end`, only the rest of a line that has
+    /// begun to go out. Returns whether any bytes were written.
+    pub fn forward_to(&mut self, to: &mut Connection, only_line_end: bool) -> bool {
+        if !to.flush() || (only_line_end && !to.is_mid_line) || to.is_write_shut {
             return false;
         }
-        let Some(inbox) = self.input.as_mut().filter(|_| self.inspected > 0) else { return false };
-        let mut whole = &inbox.contents()[..self.inspected];
-        if to_line_end {
-            whole = match scan_line(whole) {
-                LineScan::Complete(n) => &whole[..n],
-                _ => whole,
-            };
+        let Some(input) = self.input.as_mut().filter(|_| self.inspected > 0) else { return false };
+        let mut lines = &input.contents()[..self.inspected];
+        if only_line_end && let LineScan::Complete(length) = scan_line(lines) {
+            lines = &lines[..length];
         }
-        let n = Connection::write_available(&to.stream, &mut to.can_write, &mut to.peer_close, whole);
-        if n > 0 {
-            to.is_mid_line = whole[n - 1] != b'\n';
+        let written = write_available(&to.stream, &mut to.can_write, &mut to.peer_close, lines);
+        if written > 0 {
+            to.is_mid_line = lines[written - 1] != b'\n';
         }
-        inbox.consume(n);
-        self.inspected -= n;
-        self.tidy();
-        n > 0
+        input.consume(written);
+        self.inspected -= written;
+        self.release_empty_buffers();
+        written > 0
     }
 
-    /// Whether the last thing sent was a line's end, so that words of the balancer's own may follow.
+    /// Whether the last byte sent was the end of a line, so that a message of the balancer's own may follow.
     pub fn is_at_line_boundary(&self) -> bool {
         !self.is_mid_line
     }
 
-    /// Everything that was looked at, or said, has gone out.
+    /// Whether no inspected line is left to forward, and no message of the balancer's own to send.
     pub fn is_drained(&self) -> bool {
         self.inspected == 0 && self.output.is_none()
     }
 
-    /// Ends the sending.
+    /// Ends the sending; does nothing if that was done before.
     pub fn shutdown_write(&mut self) {
         if !std::mem::replace(&mut self.is_write_shut, true) {
-            // Fails only where the connection is gone already.
+            // Fails only if the connection is gone already.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// Makes the close a reset.
+    /// Makes the later close a reset.
     pub fn reset_on_close(&mut self) {
-        // Fails only where the connection is gone already.
+        // Fails only if the connection is gone already.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// A line over the limit.
-#[derive(Debug, PartialEq, Eq)]
+/// Writes as much of `bytes` as the stream takes. Returns how many bytes that was.
+fn write_available(
+    stream: &TcpStream,
+    can_write: &mut bool,
+    peer_close: &mut Option<PeerClose>,
+    bytes: &[u8],
+) -> usize {
+    let mut written = 0;
+    while written < bytes.len() && *can_write && *peer_close != Some(PeerClose::Reset) {
+        match (&*stream).write(&bytes[written..]) {
+            // Not something that a socket reports; there is nothing to wait for.
+            Ok(0) => *peer_close = Some(PeerClose::Reset),
+            Ok(n) => written += n,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => *can_write = false,
+            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(_) => *peer_close = Some(PeerClose::Reset),
+        }
+    }
+    written
+}
+
+/// Puts bytes into a buffer that is taken for them if there are any. Returns whether they fit.
+fn fill(buffer: &mut Option<Buffer>, pool: &BufferPool, bytes: &[u8]) -> bool {
+    bytes.is_empty() || buffer.get_or_insert_with(|| pool.take()).append(bytes)
+}
+
+/// A line is longer than the protocol allows.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("line longer than the protocol allows")]
 pub struct LineTooLong;
 
-/// Whether an error means that descriptors or memory for them have run out (here, or in the whole system).
+/// Whether an error means that descriptors, or memory for them, have run out in the process or the system.
 pub fn is_shortage(e: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
@@ -320,9 +342,9 @@
         || matches!(e.raw_os_error(), Some(ENFILE) | Some(EMFILE) | Some(ENOBUFS))
 }
 
-/// Whether an error of a call that starts a connection is this machine's own, and says nothing of the peer: there are no
-/// ports left, or no route.
+/// Whether an error of connect(2) is this machine's own and says nothing about the peer, as when no port or route is left.
 pub fn is_local_failure(e: &io::Error) -> bool {
-    let no_way = [ErrorKind::AddrNotAvailable, ErrorKind::NetworkUnreachable, ErrorKind::HostUnreachable];
-    no_way.contains(&e.kind()) || matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
+    let no_port_or_route =
+        [ErrorKind::AddrNotAvailable, ErrorKind::NetworkUnreachable, ErrorKind::HostUnreachable];
+    no_port_or_route.contains(&e.kind()) || matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
