--- a/crates/balancer/src/clients/idle_connections.rs
+++ b/crates/balancer/src/clients/idle_connections.rs
@@ -1,44 +1,43 @@
-//! Connections that ask for nothing: those whose first line is still to come, and those that have had their last
-//! words.
+//! Connections without a request: those whose first line is awaited, and those that have had their final answer.
 
 use std::collections::BTreeSet;
 
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_units::Micros;
 
-/// Connections that ask for nothing, each with the time since when.
+/// Idle connections, each with the time since when it has been idle.
 #[derive(Debug, Default)]
 pub struct IdleConnections {
     opening: BTreeSet<(Micros, RequestId)>,
-    ending: BTreeSet<(Micros, RequestId)>,
+    closing: BTreeSet<(Micros, RequestId)>,
 }
 
 impl IdleConnections {
-    /// A connection has come, and its first line has not.
+    /// Adds a connection whose first line is awaited.
     pub fn add_opening(&mut self, since: Micros, id: RequestId) {
         self.opening.insert((since, id));
     }
 
-    /// A connection has its last words.
+    /// Adds a connection that has had its final answer.
     pub fn add_closing(&mut self, since: Micros, id: RequestId) {
-        self.ending.insert((since, id));
+        self.closing.insert((since, id));
     }
 
-    /// A connection that was told of at this time asks for something now, or is over.
+    /// Removes a connection that was added with this time.
     pub fn remove(&mut self, since: Micros, id: RequestId) {
         self.opening.remove(&(since, id));
-        self.ending.remove(&(since, id));
+        self.closing.remove(&(since, id));
     }
 
-    /// How many there are.
+    /// The number of idle connections.
     pub fn len(&self) -> usize {
-        self.opening.len() + self.ending.len()
+        self.opening.len() + self.closing.len()
     }
 
-    /// The one that can best be done without: those with their last words on the way have been answered and come
-    /// first, then the one that has asked for nothing for longest.
-    pub fn oldest(&self) -> Option<RequestId> {
-        self.ending.first().or(self.opening.first()).map(|(_, id)| *id)
+    /// The connection to close first when descriptors are short: the one with a final answer that has been idle longest,
+    /// or else the one that has been silent longest.
+    pub fn eviction_candidate(&self) -> Option<RequestId> {
+        self.closing.first().or(self.opening.first()).map(|(_, id)| *id)
     }
 }
 
--- a/crates/balancer/src/clients/mod.rs
+++ b/crates/balancer/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients' side: sessions from their first line to their end. What a session needs of a server is told to
-//! the caller; nothing here knows of servers' connections.
+//! Client sessions, from accept to close. What a session needs of a server is the proxy's: nothing here knows of
+//! connections to servers.
 
 mod idle_connections;
 pub mod open_ids;
--- a/crates/balancer/src/clients/open_ids.rs
+++ b/crates/balancer/src/clients/open_ids.rs
@@ -1,12 +1,13 @@
-//! The ids that clients have opened with: an id belongs to one open request of the process, whichever worker has it.
+//! The ids that clients choose for their open requests. Each belongs to one open request of the process, whichever worker
+//! serves it.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Workers seldom want the same one of so many parts at once.
+/// Workers seldom contend for the same one of this many locks.
 const SHARDS: usize = 16;
 
-/// The ids that are in use, shared by all workers.
+/// The ids of open requests, shared by all workers.
 #[derive(Clone, Debug)]
 pub struct OpenIds(Arc<[Mutex<HashSet<u64>>; SHARDS]>);
 
@@ -18,16 +19,16 @@
 
 impl OpenIds {
     fn shard(&self, id: u64) -> MutexGuard<'_, HashSet<u64>> {
-        // A set is whole between any two of its calls, whoever panics.
+        // No call leaves a set half changed, so one of a thread that panicked is still valid.
         self.0[id as usize % SHARDS].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an id; false where another request has it.
+    /// Claims an id. Returns false if another request has it.
     pub fn claim(&self, id: u64) -> bool {
         self.shard(id).insert(id)
     }
 
-    /// Lets go of an id that was taken.
+    /// Releases an id that was claimed.
     pub fn release(&self, id: u64) {
         self.shard(id).remove(&id);
     }
--- a/crates/balancer/src/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -1,4 +1,4 @@
-//! The table in step with its sessions, on pairs of real connections.
+//! Tests of the session table, on pairs of real connections.
 
 use super::*;
 use crate::clients::session::{CloseProgress, FirstLine, WaitingActivity};
@@ -7,45 +7,48 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-fn req(id: RequestId) -> ReceivedRequest {
+fn received(id: RequestId) -> ReceivedRequest {
     let (class, tenant, key, group) = (0, 0, 0, 0);
     ReceivedRequest { id, class, tenant, key, deadline: 900, load: None, group, is_returning: false }
 }
 
-fn asking(id: RequestId) -> SessionRequest<'static> {
+fn opening_request(id: RequestId) -> SessionRequest<'static> {
     SessionRequest {
         line: b"OPEN 5 6 c=chat",
         open_id: 5,
-        request: req(id),
+        request: received(id),
         previous_server: None,
         deadline: 900,
     }
 }
 
-fn begin(sessions: &mut Sessions, context: &mut LoopContext, taken: u32) -> (RequestId, TcpStream) {
+fn connect(sessions: &mut Sessions, context: &mut LoopContext, in_use: u32) -> (RequestId, TcpStream) {
     let (client, stream) = pair();
-    let from = client.local_addr().expect("bound");
-    (sessions.accept(context, stream, from, |id| id.0 == taken).expect("a session"), client)
+    let client_address = client.local_addr().expect("bound");
+    (sessions.accept(context, stream, client_address, |id| id.0 == in_use).expect("a session"), client)
 }
 
 #[test]
-fn an_open_id_is_its_sessions_until_the_last_words_or_the_end() {
+fn an_open_id_belongs_to_its_session_until_the_final_answer_or_the_close() {
     let (mut context, mut sessions) = (context(100), Sessions::default());
-    let (id, _client) = begin(&mut sessions, &mut context, u32::MAX);
+    let (id, _client) = connect(&mut sessions, &mut context, u32::MAX);
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count()), (false, 1));
-    assert!(sessions.open_request(&mut context, id, asking(id)));
+    assert!(sessions.open_request(&mut context, id, opening_request(id)));
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count()), (true, 0));
-    assert_eq!(sessions.eviction_candidate(), None, "a client that asks for something would go");
-    let (thief, _thief) = begin(&mut sessions, &mut context, u32::MAX);
-    assert!(!sessions.open_request(&mut context, thief, asking(thief)), "an id of two open requests");
-    sessions.remove(&mut context, thief);
+    assert_eq!(sessions.eviction_candidate(), None, "a client with a request would be evicted");
+    let (duplicate, _duplicate) = connect(&mut sessions, &mut context, u32::MAX);
+    assert!(
+        !sessions.open_request(&mut context, duplicate, opening_request(duplicate)),
+        "an id of two open requests"
+    );
+    sessions.remove(&mut context, duplicate);
     assert!(sessions.open_ids.contains(5));
     assert!(sessions.begin_close(&mut context, id, b"BUSY\r\n"));
     assert!(!sessions.begin_close(&mut context, id, b"ERR\r\n"), "a second answer");
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count()), (false, 1));
-    // Its id is another's by now: the first one's end must not free it.
-    let (other, _other) = begin(&mut sessions, &mut context, u32::MAX);
-    assert!(sessions.open_request(&mut context, other, asking(other)));
+    // Its open id is another's by now: the close of the first session must not release it.
+    let (other, _other) = connect(&mut sessions, &mut context, u32::MAX);
+    assert!(sessions.open_request(&mut context, other, opening_request(other)));
     sessions.remove(&mut context, id);
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count(), sessions.len()), (true, 0, 1));
     sessions.remove(&mut context, other);
@@ -53,31 +56,31 @@
 }
 
 #[test]
-fn numbers_in_use_are_passed_over_and_come_round() {
+fn ids_in_use_are_skipped_and_wrap_around() {
     let (mut context, mut sessions) = (context(100), Sessions::default());
     sessions.next_id = u32::MAX;
-    let begun: Vec<_> = (0..3).map(|_| begin(&mut sessions, &mut context, 0)).collect();
-    assert_eq!(begun.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [u32::MAX, 1, 2]);
+    let connected: Vec<_> = (0..3).map(|_| connect(&mut sessions, &mut context, 0)).collect();
+    assert_eq!(connected.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [u32::MAX, 1, 2]);
 }
 
 #[test]
-fn a_session_hears_its_client_and_takes_its_time_to_end() {
+fn a_session_reads_its_client_and_closes_in_good_order() {
     let (mut context, mut sessions) = (context(100), Sessions::default());
-    let (id, mut client) = begin(&mut sessions, &mut context, u32::MAX);
-    let session = sessions.get_mut(id).expect("begun");
+    let (id, mut client) = connect(&mut sessions, &mut context, u32::MAX);
+    let session = sessions.get_mut(id).expect("connected");
     client.write_all(b"PING\r\nOPEN 5 6 c=").expect("open");
     until(|| {
         session.connection.on_ready(READ);
         assert_eq!(session.read_first_line(100, &context.buffers), FirstLine::Incomplete);
-        session.deadline() == 2_500_100 // A line that has begun must end in time, though a front was here before.
+        session.deadline() == 2_500_100 // A line that has connected must end in time, though a front end has pinged before.
     });
     client.write_all(b"chat\r\n").expect("open");
     until(|| {
         session.connection.on_ready(READ);
         session.read_first_line(100, &context.buffers) == FirstLine::Line(b"OPEN 5 6 c=chat".to_vec())
     });
-    assert!(sessions.open_request(&mut context, id, asking(id)));
-    let session = sessions.get_mut(id).expect("asked");
+    assert!(sessions.open_request(&mut context, id, opening_request(id)));
+    let session = sessions.get_mut(id).expect("waiting");
     assert_eq!(session.poll_while_waiting(&context.buffers), WaitingActivity::Silent);
     client.write_all(b"early").expect("open");
     until(|| {
@@ -85,12 +88,12 @@
         session.poll_while_waiting(&context.buffers) == WaitingActivity::SentData
     });
     sessions.begin_close(&mut context, id, b"ERR\r\n");
-    assert!(sessions.get_mut(id).expect("ending").continue_close(&context.buffers) != CloseProgress::Done);
-    let mut heard = String::new();
-    client.read_to_string(&mut heard).expect("its end");
-    assert_eq!(heard, "PONG\r\nERR\r\n");
+    assert!(sessions.get_mut(id).expect("closing").continue_close(&context.buffers) != CloseProgress::Done);
+    let mut received = String::new();
+    client.read_to_string(&mut received).expect("its close");
+    assert_eq!(received, "PONG\r\nERR\r\n");
     drop(client);
-    let session = sessions.get_mut(id).expect("ending");
+    let session = sessions.get_mut(id).expect("closing");
     until(|| {
         session.connection.on_ready(READ);
         session.continue_close(&context.buffers) == CloseProgress::Done
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -5,6 +5,7 @@
 
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
+use crate::proxy::SessionCounts;
 use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
 use crate::workers::pool::WorkerPool;
 
@@ -19,7 +20,7 @@
         }
         self.shutdown_started_at = Some(self.context.now);
         self.poll_successors();
-        let (sessions, waiting) = self.proxy.begin_shutdown();
+        let SessionCounts { established: sessions, waiting } = self.proxy.begin_shutdown();
         let worker = self.workers.as_ref().map(WorkerPool::index);
         let successor = self.proxy.has_successor;
         info!(event = "leaving", worker, sessions, waiting, successor);
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers: the one place where a client's last word is said, checked by the guard on what may have run.
+//! Final answers: the one place where a client gets one, checked by the guard that knows which requests may have run.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -14,7 +14,7 @@
 use crate::event_loop::context::LoopContext;
 use crate::proxy::Proxy;
 
-/// The line that says an answer; none for the end of a connection without a word.
+/// The line of an answer; empty if the connection is closed without one.
 fn answer_line(answer: Answer) -> String {
     match answer {
         Answer::Refused { after } => busy(after).to_string(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// What operators count an answer as.
+/// What an answer counts as for operators.
 fn counted_reply(answer: Answer) -> Option<Reply> {
     match answer {
         Answer::Refused { .. } => Some(Reply::Overload),
@@ -36,7 +36,7 @@
 }
 
 impl Proxy {
-    /// Says a client's last word and ends its connection; nothing where that was said before.
+    /// Sends a client its final answer and begins to close its connection; does nothing if that was done before.
     pub fn answer(&mut self, context: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
         if self.sessions.get(id).is_none_or(|session| session.stage() == SessionStage::Closing) {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Answers a client that is not served: a refusal where trying again is harmless, and else a failure.
+    /// Answers a client that no server has accepted: rejects it if trying again is harmless, and fails its request otherwise.
     pub fn answer_unserved(&mut self, context: &mut LoopContext, id: RequestId, after: Micros, cause: Cause) {
         let answer = self.guard.unserved_answer(id, after);
         self.answer(context, id, answer, cause);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Something was to be done that a rule forbids. It was not done; that it was wanted is a fault of the program.
+    /// Logs a step that the guard has prevented. That it was attempted at all is a bug.
     pub(crate) fn report_violation(&self, violation: &Violation, cause: Cause) {
         let (rule, req, attempt) = (violation.rule, violation.request.0, violation.attempt);
         let server = self.servers.name(violation.server);
@@ -85,7 +85,7 @@
         debug_assert!(false, "{violation}, cause {cause}");
     }
 
-    /// Ends a client's connection, whatever is still on its way.
+    /// Closes a client's connection, whatever is still to be sent.
     pub(crate) fn close_session(&mut self, context: &mut LoopContext, id: RequestId, cause: Cause) {
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
@@ -93,7 +93,7 @@
         self.sessions.remove(context, id);
     }
 
-    /// Goes on with the end of a client's connection, as far as that goes now.
+    /// Goes on with the close of a client's connection, as far as possible now.
     pub(crate) fn continue_close(&mut self, context: &mut LoopContext, id: RequestId) {
         match self.sessions.get_mut(id).map(|session| session.continue_close(&context.buffers)) {
             Some(CloseProgress::Done) => self.close_session(context, id, Cause::Server),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Tells the log what has become of all requests.
+    /// Logs how many attempts and answers of each kind there were.
     pub fn log_totals(&self) {
         let stats = self.guard.stats();
         tracing::info!(
@@ -117,7 +117,7 @@
     }
 }
 
-/// Counts as a log line has them: `name:count`, separated by commas.
+/// Formats counts for a log line: `name:count`, separated by commas.
 fn counts<T: Display>(counts: &BTreeMap<T, u64>) -> String {
     let words: Vec<String> = counts.iter().map(|(what, count)| format!("{what}:{count}")).collect();
     words.join(",")
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -1,4 +1,5 @@
-//! Connections to servers that this machine could not begin: they are begun again, since that says nothing of the server.
+//! Dialling servers. A connection that fails on this machine's side is dialled again, since that says nothing about the
+//! server.
 
 use std::net::SocketAddr;
 
@@ -6,11 +7,11 @@
 use shorewharf_units::Micros;
 use tracing::debug;
 
+use super::Proxy;
 use crate::event_loop::context::{LoopContext, TimerEvent};
-use crate::proxy::Proxy;
-use crate::servers::attempts::DialError;
+use crate::servers::attempt::{AttemptTarget, DialError};
 
-/// The pauses before a connection is begun again, which together outlast a moment without ports, routes or descriptors.
+/// The delays before a connection is dialled again: together they outlast a moment without ports, routes or descriptors.
 const DIAL_RETRY_DELAYS: [Micros; 7] = [2_000, 4_000, 8_000, 16_000, 32_000, 64_000, 128_000];
 
 /// An attempt whose connection could not be begun yet.
@@ -18,38 +19,34 @@
 pub struct PendingDial {
     /// The server that it goes to.
     pub server: ServerId,
-    /// The attempt must be over by then.
+    /// When the attempt must be over.
     pub deadline: Micros,
-    /// How often it was tried.
+    /// How often dialling has failed.
     pub failures: usize,
 }
 
 impl Proxy {
-    /// Begins the connection of an attempt that the guard has let pass.
-    pub(crate) fn dial(
+    /// Begins the connection of an attempt that the guard has permitted.
+    pub(super) fn dial(
         &mut self,
         context: &mut LoopContext,
         id: RequestId,
-        mut dial: PendingDial,
+        dial: PendingDial,
         address: SocketAddr,
     ) {
-        let (to, patience) = ((dial.server, address), dial.deadline.saturating_sub(context.now));
-        match self.attempts.begin(context, id, to, patience, self.settings.connect_timeout) {
-            Ok(()) => return self.advance_attempt(context, id),
-            Err(DialError::Refused) => {
-                return self.on_attempt_not_started(context, id, Outcome::ConnectFailed);
+        let target = AttemptTarget {
+            server: dial.server,
+            address,
+            timeout: dial.deadline.saturating_sub(context.now),
+            connect_timeout: self.settings.connect_timeout,
+        };
+        match self.attempts.begin(context, id, &target) {
+            Ok(()) => self.advance_attempt(context, id),
+            Err(DialError::Refused) => self.on_attempt_not_started(context, id, Outcome::ConnectFailed),
+            Err(error) => {
+                self.record_dial_error(id, dial.failures, error);
+                self.schedule_dial_retry(context, id, dial);
             }
-            Err(error) => self.record_dial_error(id, dial.failures, error),
-        }
-        let pause =
-            DIAL_RETRY_DELAYS.get(dial.failures).copied().filter(|pause| context.now + pause < dial.deadline);
-        dial.failures += 1;
-        match pause {
-            Some(pause) => {
-                self.pending_dials.insert(id, dial);
-                context.schedule_after(pause, TimerEvent::RetryDial(id));
-            }
-            None => self.on_attempt_not_started(context, id, Outcome::NotSent),
         }
     }
 
@@ -60,7 +57,20 @@
         }
     }
 
-    /// The pause before a connection is begun again is over.
+    /// Dials again after a delay, or gives the attempt up if no time is left for that.
+    fn schedule_dial_retry(&mut self, context: &mut LoopContext, id: RequestId, mut dial: PendingDial) {
+        let delay = DIAL_RETRY_DELAYS.get(dial.failures).copied();
+        match delay.filter(|delay| context.now + delay < dial.deadline) {
+            Some(delay) => {
+                dial.failures += 1;
+                self.pending_dials.insert(id, dial);
+                context.schedule_after(delay, TimerEvent::RetryDial(id));
+            }
+            None => self.on_attempt_not_started(context, id, Outcome::NotSent),
+        }
+    }
+
+    /// The delay before a connection is dialled again is over.
     pub fn retry_dial(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(dial) = self.pending_dials.remove(&id) else { return };
         let address = self.address_for(id, dial.server).filter(|_| self.ensure_capacity(context));
@@ -70,7 +80,7 @@
         }
     }
 
-    /// An attempt has failed before there was a connection to watch.
+    /// An attempt has ended before it had a connection.
     fn on_attempt_not_started(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         self.guard.end_attempt(id, outcome);
         self.report_attempt_end(context, id, outcome);
--- a/crates/balancer/src/proxy/relay.rs
+++ b/crates/balancer/src/proxy/relay.rs
@@ -1,104 +1,131 @@
-//! What passes between a client session and its attempt once they stand: whole lines, both ways, and ends.
+//! Forwarding between a client session and its established attempt: complete lines both ways, and the closes.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
 use shorewharf_units::Micros;
 
 use crate::clients::session::{Session, SessionStage};
 use crate::event_loop::context::LoopContext;
-use crate::servers::attempts::Attempt;
-use crate::transport::connection::PeerClose;
+use crate::servers::attempt::Attempt;
+use crate::transport::connection::{LineTooLong, PeerClose};
 
-/// Rounds of carrying lines for one connection before the others get their turn.
+/// Rounds of forwarding for one connection before other connections are served.
 const MAX_ROUNDS: usize = 8;
 
-/// What a relay has come upon.
+/// One of the two ends of an established connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Side {
+    /// The client's end.
+    Client,
+    /// The server's end.
+    Server,
+}
+
+impl Side {
+    /// Its name in the log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Side::Client => "client",
+            Side::Server => "server",
+        }
+    }
+}
+
+/// What came of forwarding.
 #[derive(Debug, Default, PartialEq)]
 pub struct RelayOutcome {
-    /// Figures of `LOAD` lines, in their order.
+    /// The figures of the server's `LOAD` lines, in their order.
     pub load_figures: Vec<f64>,
-    /// There is more to carry once others have had their turn.
+    /// There is more to forward, once other connections have been served.
     pub has_more: bool,
-    /// Who said a line over the limit: `client` or `server`.
-    pub too_long: Option<&'static str>,
+    /// Who sent a line over the protocol's limit.
+    pub too_long: Option<Side>,
 }
 
-/// Passes lines on, both ways, as far as they go now.
-pub fn relay(
+/// Forwards lines both ways, as many as can be read and written now.
+pub fn forward_lines(
     context: &LoopContext,
     id: RequestId,
     session: &mut Session,
     attempt: &mut Attempt,
 ) -> RelayOutcome {
-    let mut relayed = RelayOutcome::default();
+    let mut outcome = RelayOutcome::default();
     for round in 0.. {
-        let (mut went, looked) = session.read_lines(context.now, &context.buffers);
-        if looked.is_err() {
-            relayed.too_long = Some("client");
+        let mut has_progress = false;
+        match session.read_lines(context.now, &context.buffers) {
+            Ok(has_read) => has_progress |= has_read,
+            Err(LineTooLong) => outcome.too_long = Some(Side::Client),
         }
-        went |= session.connection.forward_to(&mut attempt.connection, false);
-        let (came, looked) =
-            attempt.read_lines(context, id, session.unanswered_since_mut(), &mut relayed.load_figures);
-        if looked.is_err() {
-            relayed.too_long = Some("server");
+        has_progress |= session.connection.forward_to(&mut attempt.connection, false);
+        let unanswered_since = session.unanswered_since_mut();
+        match attempt.read_lines(context, id, unanswered_since, &mut outcome.load_figures) {
+            Ok(has_read) => has_progress |= has_read,
+            Err(LineTooLong) => outcome.too_long = Some(Side::Server),
         }
-        went |= came;
-        let moving = session.stage() == SessionStage::Migrating;
-        went |= attempt.connection.forward_to(&mut session.connection, moving);
-        if !went || relayed.too_long.is_some() {
+        let is_migrating = session.stage() == SessionStage::Migrating;
+        has_progress |= attempt.connection.forward_to(&mut session.connection, is_migrating);
+        if !has_progress || outcome.too_long.is_some() {
             break;
         }
         if round >= MAX_ROUNDS {
-            relayed.has_more = true;
+            outcome.has_more = true;
             break;
         }
     }
-    relayed
+    outcome
 }
 
-/// What is to become of a standing connection.
+/// What is to be done with an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayDecision {
-    /// It stands.
+    /// Go on forwarding.
     Continue,
-    /// Its server has ended it: the client's side ends the same way, and this is how it counts.
+    /// The server has closed: close the client's side in the same way, and count the attempt as this outcome.
     CloseAsServer(PeerClose, Outcome),
-    /// The client has broken it off.
+    /// The client has reset its connection.
     ClientReset,
-    /// The client can be told to move.
+    /// The client can be asked to migrate now.
     Migrate,
 }
 
-/// Passes on the end of either side, as far as the lines before it have gone.
-pub fn ends(now: Micros, session: &mut Session, attempt: &mut Attempt) -> RelayDecision {
-    // A server that ends without a word because its client has left is no server that drops clients:
-    // read as a reset it would be locked, and its other clients would be spread over the rest.
-    // Servers close on what they can't read: an end in good order with a client's line unanswered says as
-    // much of the line as of the server.
-    let read_badly =
-        attempt.connection.peer_close == Some(PeerClose::Fin) && session.unanswered_since().is_some();
-    let outcome = match attempt.outcome() {
-        Outcome::Reset if session.connection.peer_close.is_some() || read_badly => Outcome::Cancelled,
-        other => other,
-    };
+/// Passes the close of one side on to the other, once the lines before it have been forwarded.
+pub fn check_closes(now: Micros, session: &mut Session, attempt: &mut Attempt) -> RelayDecision {
     match (attempt.connection.peer_close, session.connection.peer_close) {
-        (Some(PeerClose::Reset), _) => return RelayDecision::CloseAsServer(PeerClose::Reset, outcome),
-        (_, Some(PeerClose::Reset)) => return RelayDecision::ClientReset,
+        (Some(PeerClose::Reset), _) => {
+            RelayDecision::CloseAsServer(PeerClose::Reset, outcome_of_close(session, attempt))
+        }
+        (_, Some(PeerClose::Reset)) => RelayDecision::ClientReset,
         (Some(PeerClose::Fin), _) if attempt.connection.is_drained() => {
-            return RelayDecision::CloseAsServer(PeerClose::Fin, outcome);
+            RelayDecision::CloseAsServer(PeerClose::Fin, outcome_of_close(session, attempt))
+        }
+        (Some(PeerClose::Fin), _) => {
+            session.begin_half_open(now);
+            RelayDecision::Continue
         }
-        (Some(PeerClose::Fin), _) => session.begin_half_open(now),
         (None, _)
             if session.stage() == SessionStage::Migrating && session.connection.is_at_line_boundary() =>
         {
-            return RelayDecision::Migrate;
+            RelayDecision::Migrate
         }
         (None, Some(PeerClose::Fin)) => {
             if session.connection.is_drained() {
                 attempt.connection.shutdown_write();
             }
             session.begin_half_open(now);
+            RelayDecision::Continue
+        }
+        (None, None) => RelayDecision::Continue,
+    }
+}
+
+/// How the close by a server counts. A close without a final message is a drop, which gets a server ejected, unless the
+/// client may have caused it: by having closed itself, or by a line that the server could not read.
+fn outcome_of_close(session: &Session, attempt: &Attempt) -> Outcome {
+    let may_be_unreadable_line =
+        attempt.connection.peer_close == Some(PeerClose::Fin) && session.unanswered_since().is_some();
+    match attempt.outcome() {
+        Outcome::Reset if session.connection.peer_close.is_some() || may_be_unreadable_line => {
+            Outcome::Cancelled
         }
-        (None, None) => {}
+        outcome => outcome,
     }
-    RelayDecision::Continue
 }
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -1,31 +1,33 @@
-//! EstablishedConnection connections that go on in another process of this balancer, and those that come from one.
+//! Transferring established connections to another process of this balancer, and adopting those of one.
+
+use std::collections::HashMap;
 
 use shorewharf_decisions::interface::{Outcome, Request, RequestId, ServerId};
 use shorewharf_driver::{NetworkEvent, ReceivedRequest};
 use shorewharf_lifecycle::{Answer, Cause};
 
-use crate::clients::session::Session;
+use crate::clients::session::{Session, TransferredSession};
 use crate::event_loop::context::LoopContext;
 use crate::handover::messages::{EstablishedConnection, TransferredConnection};
 use crate::proxy::Proxy;
-use crate::servers::attempts::Attempt;
+use crate::servers::attempt::Attempt;
 use crate::transport::connection::Connection;
 
-/// The name that stands at this place.
-fn name(names: &std::collections::HashMap<String, usize>, place: usize) -> String {
-    names.iter().find(|(_, at)| **at == place).map_or_else(String::new, |(name, _)| name.clone())
+/// The name that has this index; empty without one.
+fn name_of(names: &HashMap<String, usize>, index: usize) -> String {
+    names.iter().find(|(_, at)| **at == index).map_or_else(String::new, |(name, _)| name.clone())
 }
 
 impl Proxy {
-    /// Standing connections that can go on in another process.
+    /// Established connections that another process can go on with.
     pub fn transferable_connections(&self) -> Vec<RequestId> {
-        let mut can = self.sessions.ids_where(Session::is_transferable);
-        can.retain(|id| self.attempts.get(*id).is_some_and(Attempt::is_transferable));
-        can
+        let mut ids = self.sessions.ids_where(Session::is_transferable);
+        ids.retain(|id| self.attempts.get(*id).is_some_and(Attempt::is_transferable));
+        ids
     }
 
-    /// Takes one of them out of this process, with what the module has of it, as it is to go on in another one. What the
-    /// module had there has ended for it.
+    /// Takes a connection out of this process, with what the decisions know of it: its request and its reported load. For
+    /// the driver, its attempt has ended.
     pub fn detach_for_transfer(
         &mut self,
         context: &mut LoopContext,
@@ -33,12 +35,12 @@
         (request, load): (Request, Option<f64>),
     ) -> Option<TransferredConnection> {
         let (session, attempt) = (self.sessions.get_mut(id)?, self.attempts.get_mut(id)?);
-        let standing = EstablishedConnection {
+        let state = EstablishedConnection {
             client: session.client_address(),
             server: attempt.server().0,
             id: session.open_id()?,
-            class: name(&self.settings.names.classes, request.class),
-            tenant: name(&self.settings.names.tenants, request.tenant),
+            class: name_of(&self.settings.names.classes, request.class),
+            tenant: name_of(&self.settings.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
             hint: request.load,
@@ -47,7 +49,7 @@
             at_client: session.connection.buffered(),
             at_server: attempt.connection.buffered(),
         };
-        // What is watched is the connection, which goes on, and not this process's descriptor of it.
+        // Poll watches the connection and not the descriptor, and the connection goes on.
         context.registry.deregister(&mut session.connection);
         context.registry.deregister(&mut attempt.connection);
         if let Err(violation) = self.guard.close(id) {
@@ -55,47 +57,47 @@
         }
         let (session, attempt) = (self.sessions.take(context, id)?, self.attempts.take(context, id)?);
         context.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((standing, session.connection.into_stream(), attempt.connection.into_stream()))
+        Some((state, session.connection.into_stream(), attempt.connection.into_stream()))
     }
 
-    /// Takes in a connection that stood in another process, or is back from one; false where it could not be.
+    /// Adopts a connection of another process, or one that came back from there. Returns false if that is impossible.
     pub fn adopt_transferred(
         &mut self,
         context: &mut LoopContext,
-        (standing, client, server): TransferredConnection,
+        (state, client, server): TransferredConnection,
     ) -> bool {
-        let names = &self.settings.names;
-        let class = names.classes.get(&standing.class).copied();
-        let tenant = names.tenants.get(&standing.tenant).copied().unwrap_or(0);
-        let (attempts, asked) = (&self.attempts, standing.asked);
-        let client = Connection::resume(client, &context.buffers, &standing.at_client);
-        let server = Connection::resume(server, &context.buffers, &standing.at_server);
+        let client = Connection::resume(client, &context.buffers, &state.at_client);
+        let server = Connection::resume(server, &context.buffers, &state.at_server);
         let (Some(client), Some(server)) = (client, server) else { return false };
-        let between_lines = client.is_at_line_boundary();
-        let adopted = self
-            .sessions
-            .adopt(context, client, standing.client, (standing.id, asked), |id| attempts.has(id));
+        let is_at_line_boundary = client.is_at_line_boundary();
+        let transferred = TransferredSession {
+            client_address: state.client,
+            open_id: state.id,
+            unanswered_since: state.asked,
+        };
+        let attempts = &self.attempts;
+        let adopted = self.sessions.adopt(context, client, &transferred, |id| attempts.has(id));
         let Some(id) = adopted else { return false };
-        let at = ServerId(standing.server);
-        // Its server still answers: whoever can't go on here is told to come again, and not cut off.
-        let Some(class) = class.filter(|_| self.attempts.adopt(context, id, at, server)) else {
-            let answer = if between_lines { Answer::Moved } else { Answer::Closed };
+        let server_id = ServerId(state.server);
+        let class = self.settings.names.classes.get(&state.class).copied();
+        // The client is asked to come again rather than cut off.
+        let Some(class) = class.filter(|_| self.attempts.adopt(context, id, server_id, server)) else {
+            let answer = if is_at_line_boundary { Answer::Moved } else { Answer::Closed };
             self.answer(context, id, answer, Cause::Handover);
             return false;
         };
-        let (key, group, load) = (standing.key, standing.group, standing.hint);
-        let req = ReceivedRequest {
+        let request = ReceivedRequest {
             id,
             class,
-            tenant,
-            key,
+            tenant: self.settings.names.tenants.get(&state.tenant).copied().unwrap_or(0),
+            key: state.key,
             deadline: context.now,
-            load,
-            group,
+            load: state.hint,
+            group: state.group,
             is_returning: false,
         };
-        context.emit(NetworkEvent::ConnectionRestored(req, at));
-        if let Some(load) = standing.load.filter(|load| load.is_finite() && *load > 0.0) {
+        context.emit(NetworkEvent::ConnectionRestored(request, server_id));
+        if let Some(load) = state.load.filter(|load| load.is_finite() && *load > 0.0) {
             context.emit(NetworkEvent::LoadReported(id, load));
         }
         self.relay(context, id);
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -1,22 +1,25 @@
-//! Tests of the module that these stand beside.
+//! Tests of attempts, against a listener on loopback.
 
 use super::*;
 use crate::event_loop::context::tests::{READ, context, until};
+use crate::servers::attempt::ServerAnswer;
+use crate::servers::delays::AnsweredLine;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
 const ID: RequestId = RequestId(7);
 const SERVER: ServerId = ServerId(1);
 
-fn begin(attempts: &mut Attempts, context: &mut LoopContext, patience: Micros) -> TcpStream {
+fn begin(attempts: &mut Attempts, context: &mut LoopContext, timeout: Micros) -> TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("bound");
-    attempts.begin(context, ID, (SERVER, at), patience, 250_000).expect("begun");
+    let address = listener.local_addr().expect("bound");
+    let target = AttemptTarget { server: SERVER, address, timeout, connect_timeout: 250_000 };
+    attempts.begin(context, ID, &target).expect("a connection");
     listener.accept().expect("the attempt").0
 }
 
-/// What the timers that have come by then make of the attempt.
-fn late(attempts: &mut Attempts, context: &mut LoopContext, now: Micros) -> Vec<Outcome> {
+/// How the timers that fire by `now` end the attempt.
+fn outcomes_by(attempts: &mut Attempts, context: &mut LoopContext, now: Micros) -> Vec<Outcome> {
     context.end_iteration(now);
     context.begin_iteration(now);
     let due: Vec<_> = std::iter::from_fn(|| context.timers.pop_due()).collect();
@@ -25,7 +28,7 @@
 }
 
 #[test]
-fn a_timer_ends_only_the_fetch_that_it_was_set_for() {
+fn a_timer_ends_only_the_attempt_that_it_was_set_for() {
     let (mut context, mut attempts) = (context(1_000_000), Attempts::default());
     let _old = begin(&mut attempts, &mut context, 700_000);
     assert!(
@@ -33,29 +36,29 @@
     );
     context.begin_iteration(1_100_000);
     let _new = begin(&mut attempts, &mut context, 700_000);
-    assert_eq!(late(&mut attempts, &mut context, 1_349_000), []);
-    assert_eq!(late(&mut attempts, &mut context, 1_350_000), [Outcome::ConnectFailed]);
-    attempts.get_mut(ID).expect("out").send_request(1_350_000, &context.buffers, b"OPEN 1 2 d=9");
+    assert_eq!(outcomes_by(&mut attempts, &mut context, 1_349_000), []);
+    assert_eq!(outcomes_by(&mut attempts, &mut context, 1_350_000), [Outcome::ConnectFailed]);
+    attempts.get_mut(ID).expect("an attempt").send_request(1_350_000, &context.buffers, b"OPEN 1 2 d=9");
     attempts.schedule_timer(&mut context, ID);
-    assert_eq!(late(&mut attempts, &mut context, 1_799_000), []);
-    assert_eq!(late(&mut attempts, &mut context, 1_800_000), [Outcome::TimedOut]);
-    attempts.get_mut(ID).expect("out").establish(1_800_000, ID);
+    assert_eq!(outcomes_by(&mut attempts, &mut context, 1_799_000), []);
+    assert_eq!(outcomes_by(&mut attempts, &mut context, 1_800_000), [Outcome::TimedOut]);
+    attempts.get_mut(ID).expect("an attempt").establish(1_800_000, ID);
     attempts.schedule_timer(&mut context, ID);
-    assert_eq!(late(&mut attempts, &mut context, 9_000_000), []);
+    assert_eq!(outcomes_by(&mut attempts, &mut context, 9_000_000), []);
 }
 
 #[test]
-fn a_client_in_a_hurry_sets_no_limit_to_the_connect() {
+fn a_short_client_timeout_does_not_count_against_the_server() {
     let (mut context, mut attempts) = (context(1_000_000), Attempts::default());
     let _server = begin(&mut attempts, &mut context, 249_000);
-    assert_eq!(late(&mut attempts, &mut context, 2_000_000), [Outcome::NotSent]);
+    assert_eq!(outcomes_by(&mut attempts, &mut context, 2_000_000), [Outcome::NotSent]);
 }
 
 #[test]
-fn a_server_lives_by_what_it_says_to_others() {
+fn a_server_is_alive_by_what_it_sends_to_other_clients() {
     let (mut context, mut attempts) = (context(1000), Attempts::default());
     let mut server = begin(&mut attempts, &mut context, 700);
-    let attempt = attempts.get_mut(ID).expect("out");
+    let attempt = attempts.get_mut(ID).expect("an attempt");
     attempt.connection.on_ready(READ);
     attempt.send_request(1000, &context.buffers, b"OPEN 1 2 c=chat,d=9");
     let mut line = [0; 21];
@@ -63,7 +66,7 @@
     assert_eq!(&line, b"OPEN 1 2 c=chat,d=1\r\n");
     server.write_all(b"UP 7\r\nM 1\r\nLOAD 5.5\r\nBYE\r\n").expect("open");
     context.begin_iteration(2000);
-    let (mut asked, mut told) = (Some(1500), Vec::new());
+    let (mut unanswered_since, mut load_figures) = (Some(1500), Vec::new());
     until(|| {
         attempt.connection.on_ready(READ);
         attempt.read_answer(&context.buffers) == Some(ServerAnswer::Accepted)
@@ -71,12 +74,15 @@
     attempt.establish(1600, ID);
     until(|| {
         attempt.connection.on_ready(READ);
-        assert_eq!(attempt.read_lines(&context, ID, &mut asked, &mut told).1, Ok(()));
-        attempt.outcome() == Outcome::Ok // Its last word was BYE.
+        assert!(attempt.read_lines(&context, ID, &mut unanswered_since, &mut load_figures).is_ok());
+        attempt.outcome() == Outcome::Ok // Its last message was BYE.
     });
-    assert_eq!((asked, told, attempt.last_answer()), (None, vec![5.5], Some((2000, 500))));
-    assert!(!attempts.is_server_alive(ID, 1700), "it has said nothing to others");
-    attempts.get(ID).expect("out").activity.record(2100, RequestId(8));
+    assert_eq!(
+        (unanswered_since, load_figures, attempt.last_answer()),
+        (None, vec![5.5], Some(AnsweredLine { at: 2000, delay: 500 }))
+    );
+    assert!(!attempts.is_server_alive(ID, 1700), "it has sent nothing to others");
+    attempts.get(ID).expect("an attempt").activity.record(2100, RequestId(8));
     assert!(attempts.is_server_alive(ID, 2099) && !attempts.is_server_alive(ID, 2100));
     assert!(attempts.is_server_alive(RequestId(7), 1700) && !attempts.is_server_alive(RequestId(8), 1700));
 }
--- a/crates/balancer/src/servers/delays.rs
+++ b/crates/balancer/src/servers/delays.rs
@@ -1,61 +1,58 @@
-//! What messages take at each server, from what its connections see. One connection may fall silent by itself:
-//! only what most of a server's connections see is told of the server.
+//! How long messages take at each server, from what its connections observe.
+//!
+//! A single connection may fall silent by its own fault, so only what most connections of a server observe is reported.
+//! Servers may also report the delay themselves, in `LOAD` lines beside the load of a connection.
+
+use std::ops::Range;
 
 use shorewharf_units::Micros;
 
-/// An answer says something of its server for so long: clients send a line every 2 s.
+/// An answer is evidence for this long: clients send a line every 2 s.
 const MAX_ANSWER_AGE: Micros = 2_500_000;
-/// So many connections must wait at once before their waiting counts: a single one may be at fault itself.
+/// Fewer waiting connections say nothing about their server: they may be at fault themselves.
 const MIN_WAITING_CONNECTIONS: usize = 2;
 
-/// Servers write two kinds of figures in `CERTAIN_LOAD_FROM` lines. The protocol describes the first, a connection's load in
-/// microseconds of work a second. The second is inferred: where the settings say `tells_delay`, one connection of
-/// each balancer gets it once a second while messages are slow, the same number at every balancer at the same
-/// time, as the simulator's second note, milliseconds that a message takes. Seen on two days: 821 figures from 1 to
-/// 1594 in that rhythm and one of 2743; 2243 loads, of which two lie under 3000 (2674 and 2973).
-///
-/// A figure under this is a delay wherever it comes from.
+/// A figure below this is a delay, whenever it comes.
 const CERTAIN_DELAY_BELOW_MS: f64 = 2000.0;
-/// From here on it is a load, unless it follows the last delay in its rhythm; between the two it may be either.
+/// A figure from here on is a load, unless it continues a series of delays.
 const CERTAIN_LOAD_FROM: f64 = 3000.0;
-/// A delay may be so long while it keeps to the rhythm: servers give up on more.
+/// The longest delay in a series: servers give up on messages that take longer.
 const MAX_DELAY_MS: f64 = 10_000.0;
-/// It comes so long after the one before, and is at most so much longer: a pile does not grow faster.
-const DELAY_REPORT_INTERVAL: std::ops::Range<Micros> = 900_000..1_100_000;
+/// In a series, delays come once a second.
+const DELAY_REPORT_INTERVAL: Range<Micros> = 900_000..1_100_000;
+/// How much a delay may exceed the one before: a backlog doesn't grow faster.
 const MAX_DELAY_GROWTH_MS: f64 = 2000.0;
-
-/// A delay that was told stands for so long; the next one comes a second later if there is one.
+/// How long a reported delay stands, if no other one follows.
 const REPORTED_DELAY_LIFETIME: Micros = 1_500_000;
 
-/// What a figure in a `CERTAIN_LOAD_FROM` line is.
+/// The meaning of a figure in a `LOAD` line.
+///
+/// The protocol describes the load of the connection, in microseconds of work a second. With `tells_delay` in the
+/// settings, a server that is slow also writes the time that a message takes, in milliseconds, once a second to one
+/// connection of each balancer. The two are told apart by size and rhythm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadFigure {
-    /// The connection's load, in microseconds of work a second.
+    /// The load of the connection, in microseconds of work a second.
     Load,
     /// Milliseconds that a message takes at the server.
     Delay,
-    /// It may be either, and is taken for neither.
+    /// It may be either, and is ignored.
     Ambiguous,
 }
 
-/// What the figures of a server's `CERTAIN_LOAD_FROM` lines have been.
+/// Tells loads from delays in the figures of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadFigureClassifier {
-    /// The last one that was a delay or may have been one.
+    /// The last figure that was a delay or may have been one, and when it came.
     last_delay: Option<(Micros, f64)>,
-    /// When the last delay came.
+    /// When the last certain delay came.
     delay_reported_at: Option<Micros>,
 }
 
 impl LoadFigureClassifier {
-    /// What this figure, which has come now, is.
+    /// Classifies a figure that has come now.
     pub fn classify(&mut self, now: Micros, figure: f64) -> LoadFigure {
-        let in_rhythm = |(at, last): (Micros, f64)| {
-            DELAY_REPORT_INTERVAL.contains(&(now - at))
-                && figure < last + MAX_DELAY_GROWTH_MS
-                && figure < MAX_DELAY_MS
-        };
-        let kind = if figure < CERTAIN_DELAY_BELOW_MS || self.last_delay.is_some_and(in_rhythm) {
+        let kind = if figure < CERTAIN_DELAY_BELOW_MS || self.continues_series(now, figure) {
             LoadFigure::Delay
         } else if figure < CERTAIN_LOAD_FROM {
             LoadFigure::Ambiguous
@@ -69,41 +66,65 @@
         kind
     }
 
-    /// Whether a delay that was told a moment ago still stands.
+    fn continues_series(&self, now: Micros, figure: f64) -> bool {
+        self.last_delay.is_some_and(|(came_at, last)| {
+            DELAY_REPORT_INTERVAL.contains(&(now - came_at))
+                && figure < last + MAX_DELAY_GROWTH_MS
+                && figure < MAX_DELAY_MS
+        })
+    }
+
+    /// Whether the server has reported a delay that still stands.
     pub fn has_recent_delay(&self, now: Micros) -> bool {
-        self.delay_reported_at.is_some_and(|at| now - at < REPORTED_DELAY_LIFETIME)
+        self.delay_reported_at.is_some_and(|reported_at| now - reported_at < REPORTED_DELAY_LIFETIME)
     }
 }
 
-/// What one standing connection has seen of its server.
+/// An answer of a server to a line of its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AnsweredLine {
+    /// When the answer came.
+    pub at: Micros,
+    /// How long it took.
+    pub delay: Micros,
+}
+
+/// What one established connection has observed of its server.
 #[derive(Clone, Copy, Debug)]
 pub struct DelaySample {
     /// Since when a line of the client's has gone unanswered.
     pub unanswered_since: Option<Micros>,
-    /// When a line was answered last, and how long that took.
-    pub last_answer: Option<(Micros, Micros)>,
+    /// The last answer.
+    pub last_answer: Option<AnsweredLine>,
 }
 
 impl DelaySample {
-    /// Whether it says anything of its server, now or later without another line.
+    /// Whether it says anything about its server, now or later without another line.
     pub fn is_informative(&self, now: Micros) -> bool {
-        self.unanswered_since.is_some() || self.last_answer.is_some_and(|(at, _)| now - at < MAX_ANSWER_AGE)
+        self.unanswered_since.is_some() || self.recent_delay(now).is_some()
+    }
+
+    fn recent_delay(&self, now: Micros) -> Option<Micros> {
+        self.last_answer.filter(|answer| now - answer.at < MAX_ANSWER_AGE).map(|answer| answer.delay)
+    }
+
+    /// How long it has waited for an answer, if that is longer than `min_wait`.
+    fn wait(&self, now: Micros, min_wait: Micros) -> Option<Micros> {
+        self.unanswered_since.map(|since| now - since).filter(|wait| *wait > min_wait)
     }
 }
 
-/// What a message takes for most of a server's connections; none where too little is known. Waiting counts
-/// from `least` on: an answer that is still out takes at least as long as it has been waited for.
-pub fn median_delay(now: Micros, least: Micros, seen: &[DelaySample]) -> Option<Micros> {
-    let wait = |s: &DelaySample| s.unanswered_since.map(|at| now - at).filter(|w| *w > least);
-    let fresh =
-        |s: &DelaySample| s.last_answer.filter(|(at, _)| now - at < MAX_ANSWER_AGE).map(|(_, took)| took);
-    let waiting = seen.iter().filter(|s| wait(s).is_some()).count();
-    let mut figures: Vec<Micros> = seen.iter().filter_map(|s| wait(s).or_else(|| fresh(s))).collect();
-    figures.sort_unstable();
-    // The lower one of two in the middle: with one of each kind the server does answer.
-    let middle = figures.len().checked_sub(1)? / 2;
-    let answered = figures.len() - waiting;
-    (middle < answered || waiting >= MIN_WAITING_CONNECTIONS).then(|| figures[middle])
+/// What a message takes for most of a server's connections; `None` if too little is known. A wait counts once it is longer
+/// than `min_wait`: the answer that is awaited takes at least as long.
+pub fn median_delay(now: Micros, min_wait: Micros, samples: &[DelaySample]) -> Option<Micros> {
+    let waiting = samples.iter().filter(|sample| sample.wait(now, min_wait).is_some()).count();
+    let delay_of = |sample: &DelaySample| sample.wait(now, min_wait).or_else(|| sample.recent_delay(now));
+    let mut delays: Vec<Micros> = samples.iter().filter_map(delay_of).collect();
+    delays.sort_unstable();
+    // The lower one of two in the middle: if one of them waits and one was answered, the server does answer.
+    let middle = delays.len().checked_sub(1)? / 2;
+    let answered = delays.len() - waiting;
+    (middle < answered || waiting >= MIN_WAITING_CONNECTIONS).then(|| delays[middle])
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/servers/delays/tests.rs
+++ b/crates/balancer/src/servers/delays/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Tests of message delays.
 
 use super::*;
 
@@ -9,19 +9,19 @@
 }
 
 fn answered(ago: Micros, took: Micros) -> DelaySample {
-    DelaySample { unanswered_since: None, last_answer: Some((NOW - ago, took)) }
+    DelaySample { unanswered_since: None, last_answer: Some(AnsweredLine { at: NOW - ago, delay: took }) }
 }
 
 #[test]
-fn a_delay_is_told_from_a_load_by_its_size_and_its_rhythm() {
-    use LoadFigure::*;
-    let mut figures = LoadFigureClassifier::default();
+fn delays_are_told_from_loads_by_size_and_rhythm() {
+    use LoadFigure::{Ambiguous, Delay, Load};
+    let mut classifier = LoadFigureClassifier::default();
     for (at, figure, kind) in [
         (0, 255_465.125, Load),
         (10_000, 3_107.0, Load),
         // Too small for a load.
         (100_000, 1_593.3, Delay),
-        // Between its fellows in time, and too long for one.
+        // Out of rhythm, and too large for a certain delay.
         (600_000, 2_973.3, Ambiguous),
         (1_100_000, 255_465.0, Load),
         (1_600_000, 2_742.8, Delay),
@@ -29,30 +29,30 @@
         (3_100_000, 4_100.0, Load),
         (3_600_000, 4_200.0, Delay),
         (4_600_000, 14_200.0, Load),
-        // Out of its rhythm a long one may be either.
+        // Out of rhythm a large one may be either.
         (9_000_000, 2_742.8, Ambiguous),
         (10_000_000, 2_900.0, Delay),
         (20_000_000, 4.0, Delay),
     ] {
-        assert_eq!(figures.classify(NOW + at, figure), kind, "{figure} at {at}");
+        assert_eq!(classifier.classify(NOW + at, figure), kind, "{figure} at {at}");
     }
 }
 
 #[test]
-fn most_connections_speak_for_their_server() {
+fn the_median_connection_determines_the_delay() {
     let least = 17_000;
     let quick = answered(1_000_000, 300);
     for (seen, figure) in [
         (vec![], None),
-        // One that fell silent says nothing of its server, however long it waits and whoever else is there.
+        // A single silent connection says nothing about its server, however long it waits.
         (vec![waits(900_000)], None),
         (vec![waits(900_000), quick], Some(300)),
         (vec![waits(900_000), waits(900_000), quick, quick], Some(300)),
-        // A server that most of its connections wait for is slow.
+        // A server for which most connections wait is slow.
         (vec![waits(900_000), waits(800_000)], Some(800_000)),
         (vec![waits(900_000), waits(800_000), quick], Some(800_000)),
         (vec![answered(10, 90_000), answered(10, 70_000), quick], Some(70_000)),
-        // A line just sent is no waiting, and an old answer is no answer.
+        // A line just sent doesn't count as waiting, and an old answer doesn't count.
         (vec![waits(1_000)], None),
         (vec![answered(3_000_000, 300), waits(900_000), waits(800_000)], Some(800_000)),
     ] {
--- a/crates/balancer/src/servers/disabled.rs
+++ b/crates/balancer/src/servers/disabled.rs
@@ -1,36 +1,36 @@
-//! Which servers operators have taken out, and what that makes of what the list says of them.
+//! Servers that operators have disabled, and what that makes of their list entries.
 
 use std::collections::BTreeMap;
 
 use shorewharf_decisions::interface::{ServerEntry, ServerId, ServerState};
 
-/// A server that is out.
+/// A server that an operator has disabled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DisabledServer {
-    /// Its name, as far as it is known.
+    /// Its name, if it is known.
     pub name: Box<str>,
-    /// When it was taken out, in seconds on the module's clock.
+    /// When it was disabled, in seconds on the clock of the decisions.
     pub disabled_at: f64,
 }
 
-/// A server that was put back and may have been restarted while it was out, which the list has not told.
+/// A server that was enabled again. It may have been restarted meanwhile, which the endpoint list may not tell yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct EnabledServer {
     disabled_at: f64,
     enabled_at: f64,
 }
 
-/// What has changed by hand.
+/// A change by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminChange {
-    /// A server is taken out.
+    /// A server is disabled.
     Disabled(ServerId, DisabledServer),
-    /// It may serve again, from this time on.
+    /// A server is enabled again, at this time in seconds.
     Enabled(ServerId, f64),
 }
 
 impl AdminChange {
-    /// The server that it is about.
+    /// The server that is disabled or enabled.
     pub fn server(&self) -> ServerId {
         match self {
             AdminChange::Disabled(server, _) | AdminChange::Enabled(server, _) => *server,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Servers taken out, whether the list names them or not. Only a call puts one back.
+/// Disabled servers, whether the endpoint list names them or not. Only an operator enables one again.
 #[derive(Clone, Debug, Default)]
 pub struct DisabledServers {
     disabled: BTreeMap<ServerId, DisabledServer>,
@@ -46,49 +46,47 @@
 }
 
 impl DisabledServers {
-    /// Whether a server is out.
+    /// Whether a server is disabled.
     pub fn is_disabled(&self, server: ServerId) -> bool {
         self.disabled.contains_key(&server)
     }
 
-    /// Those that are out.
+    /// All disabled servers.
     pub fn all(&self) -> &BTreeMap<ServerId, DisabledServer> {
         &self.disabled
     }
 
-    /// Takes a change in; false where it was so before.
+    /// Applies a change. Returns false if it changes nothing.
     pub fn apply(&mut self, change: AdminChange) -> bool {
         match change {
-            AdminChange::Disabled(server, out) => {
+            AdminChange::Disabled(server, disabled) => {
                 self.enabled.remove(&server);
-                self.disabled.insert(server, out).is_none()
+                self.disabled.insert(server, disabled).is_none()
             }
-            AdminChange::Enabled(server, at) => {
-                let Some(out) = self.disabled.remove(&server) else { return false };
-                self.enabled.insert(server, EnabledServer { disabled_at: out.disabled_at, enabled_at: at });
+            AdminChange::Enabled(server, enabled_at) => {
+                let Some(disabled) = self.disabled.remove(&server) else { return false };
+                let disabled_at = disabled.disabled_at;
+                self.enabled.insert(server, EnabledServer { disabled_at, enabled_at });
                 true
             }
         }
     }
 
-    /// A server is forgotten unless it is out.
+    /// Forgets a server unless it is disabled.
     pub fn forget(&mut self, server: ServerId) {
         self.enabled.remove(&server);
     }
 
-    /// What the module is told of a server that is listed like this: one that is out drains; one that was put back is as
-    /// cold as it would be after a restart, unless the list has told of one since.
+    /// The entry of a listed server as the decisions see it: a disabled server drains, and one that was enabled again is
+    /// as cold as after a restart, unless the list tells of a later one.
     pub fn effective_entry(&self, listed: ServerEntry) -> ServerEntry {
-        let out = self.is_disabled(listed.server) && listed.state == ServerState::Ready;
-        let born = match self.enabled.get(&listed.server) {
-            Some(back) if listed.started_at < back.disabled_at => back.enabled_at,
+        let is_draining = self.is_disabled(listed.server) && listed.state == ServerState::Ready;
+        let started_at = match self.enabled.get(&listed.server) {
+            Some(enabled) if listed.started_at < enabled.disabled_at => enabled.enabled_at,
             _ => listed.started_at,
         };
-        ServerEntry {
-            state: if out { ServerState::Draining } else { listed.state },
-            started_at: born,
-            ..listed
-        }
+        let state = if is_draining { ServerState::Draining } else { listed.state };
+        ServerEntry { state, started_at, ..listed }
     }
 }
 
--- a/crates/balancer/src/servers/disabled/tests.rs
+++ b/crates/balancer/src/servers/disabled/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Tests of disabled servers and their list entries.
 
 use super::*;
 use proptest::prelude::*;
--- /dev/null
+++ b/crates/balancer/src/servers/server_activity.rs
@@ -0,0 +1,38 @@
+//! When a server last sent anything, on any of its connections.
+
+use std::cell::Cell;
+
+use shorewharf_decisions::interface::RequestId;
+use shorewharf_units::Micros;
+
+/// What a server has sent last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct LastSent {
+    at: Micros,
+    to: RequestId,
+}
+
+/// The last signs of life of a server. Shared by its attempts.
+#[derive(Debug, Default)]
+pub struct ServerActivity {
+    last: Cell<Option<LastSent>>,
+    /// When it last sent something to another request than that of `last`.
+    last_to_other: Cell<Option<Micros>>,
+}
+
+impl ServerActivity {
+    /// The server has sent something on the connection of this request.
+    pub fn record(&self, now: Micros, request: RequestId) {
+        if let Some(last) = self.last.replace(Some(LastSent { at: now, to: request }))
+            && last.to != request
+        {
+            self.last_to_other.set(Some(last.at));
+        }
+    }
+
+    /// Whether it has sent anything to another request than this one since `since`.
+    pub fn is_alive_for_others(&self, request: RequestId, since: Micros) -> bool {
+        let last = self.last.get().filter(|last| last.to != request).map(|last| last.at);
+        last.max(self.last_to_other.get()).is_some_and(|at| at > since)
+    }
+}
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -1,4 +1,4 @@
-//! ServerTable: the servers as the discovery listed them last.
+//! The server table: the servers of the endpoint list, with what operators have changed about them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,130 +13,187 @@
 
 use crate::discovery::update::{Entry, Incoming};
 use crate::discovery::wall_clock::WallClock;
-
 use crate::servers::delays::{DelaySample, LoadFigure, LoadFigureClassifier, median_delay};
 use crate::servers::disabled::{AdminChange, DisabledServers};
 
-/// A server as the discovery listed it last.
+/// A server as the last list has it.
 #[derive(Debug)]
 struct KnownServer {
     name: Box<str>,
     address: SocketAddr,
-    /// As listed, whoever was taken out by hand, but for its start, which is on the program's clock.
+    /// As listed, whether it is disabled or not, with its start on the clock of this process.
     entry: ServerEntry,
-    /// When its process started, as listed.
+    /// When its process started, as listed, in seconds of Unix time.
     listed_start: f64,
-    /// The last list that named it.
-    list: u64,
-    /// The last report was of slow messages.
-    slow: bool,
-    /// What its `LOAD` lines have told.
-    figures: LoadFigureClassifier,
+    /// The number of the last list that named it.
+    last_list: u64,
+    /// Its last delay report was of slow messages.
+    is_slow: bool,
+    load_figures: LoadFigureClassifier,
 }
 
-/// Log lines that one list may cause; what is over that is counted.
+/// Log lines that one list may cause; further ones are counted.
 const MAX_LOG_LINES_PER_LIST: usize = 64;
 
-/// The table of servers. An id belongs to one name; what is gone stays while something of it is in use.
+/// All known servers. A removed server stays in the table while connections to it are in use.
 #[derive(Debug, Default)]
 pub struct ServerTable {
     table: BTreeMap<ServerId, KnownServer>,
-    /// Those that are gone and still here.
+    /// Servers of the table that the last list does not name.
     removed: BTreeSet<ServerId>,
-    /// Lists that have been taken in.
+    /// The number of lists that were applied.
     lists_applied: u64,
     wall_clock: WallClock,
-    /// Servers are left out for want of room.
+    /// Servers of the last list were left out, since it exceeds the limit.
     is_over_limit: bool,
     disabled: DisabledServers,
 }
 
-/// The stages that servers have left for others in a list, each with the first; none for those that are new.
+/// The states that servers had before a list; `None` for new ones. Only servers whose state the list changes are in it.
 type PreviousStates = BTreeMap<ServerId, Option<ServerState>>;
 
+/// What a list has changed.
+#[derive(Debug, Default)]
+struct UpdatedEntries {
+    /// The entries that the driver receives.
+    entries: Vec<ServerEntry>,
+    previous_states: PreviousStates,
+}
+
+/// Why a server of a list was left out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EntryRejection {
+    /// Another server has the same id.
+    NameClash,
+    /// The table is full.
+    OverLimit,
+}
+
+/// The delay of messages at a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DelayReport {
+    /// The server.
+    pub server: ServerId,
+    /// How long a message takes there.
+    pub delay: Micros,
+}
+
+/// Part of the server table in the order of ids.
+#[derive(Debug)]
+pub struct EndpointPage {
+    /// The listed servers of the part, in discovery's form.
+    pub endpoints: Vec<Endpoint>,
+    /// Where the next part begins; `None` if this was the last one.
+    pub next_after: Option<ServerId>,
+}
+
 impl ServerTable {
-    /// Takes in a list from discovery: what the module is told of it. Those that are gone and not `in_use` are
-    /// forgotten. No more than `most` are taken up by changes.
+    /// Applies a list of discovery. Returns the entries that the driver receives. Removed servers that are not `in_use` are
+    /// dropped. An update that is no snapshot adds servers up to `max_servers`.
     pub fn apply_list(
         &mut self,
-        list: Incoming,
-        most: usize,
+        update: Incoming,
+        max_servers: usize,
         in_use: impl Fn(ServerId) -> bool,
     ) -> Vec<ServerEntry> {
-        let (entries, before) = self.update_entries(list, most);
-        self.log_changes(&before);
-        let (table, taken_out) = (&mut self.table, &mut self.disabled);
+        let updated = self.update_entries(update, max_servers);
+        self.log_changes(&updated.previous_states);
+        let (table, disabled) = (&mut self.table, &mut self.disabled);
         self.removed.retain(|id| {
-            let stays = in_use(*id);
-            if !stays {
+            let is_in_use = in_use(*id);
+            if !is_in_use {
                 table.remove(id);
-                taken_out.forget(*id);
+                disabled.forget(*id);
             }
-            stays
+            is_in_use
         });
-        entries
+        updated.entries
     }
 
-    /// The same for the list that is known at the start, which is no news to anybody.
-    pub fn load_initial_list(&mut self, list: Incoming, most: usize) -> Vec<ServerEntry> {
-        self.update_entries(list, most).0
+    /// Applies the list that is known at the start, which is not logged.
+    pub fn load_initial_list(&mut self, update: Incoming, max_servers: usize) -> Vec<ServerEntry> {
+        self.update_entries(update, max_servers).entries
     }
 
-    fn update_entries(&mut self, list: Incoming, most: usize) -> (Vec<ServerEntry>, PreviousStates) {
+    fn update_entries(&mut self, update: Incoming, max_servers: usize) -> UpdatedEntries {
         self.lists_applied += 1;
-        let (number, mut before, mut left_out) = (self.lists_applied, PreviousStates::new(), list.left_out);
-        let mut entries = Vec::with_capacity(list.entries.len());
-        for Entry { name, address, entry: listed } in list.entries {
-            let (id, stage) = (listed.server, listed.state);
-            let entry = ServerEntry { started_at: self.start_of(id, listed.started_at), ..listed };
-            // A whole list has its own limit, and takes the place of those that are here.
-            let is_full = !list.snapshot && self.table.len() >= most;
-            match self.table.get_mut(&id) {
-                Some(b) if b.name != name => {
-                    warn!(event = "bad-endpoint", server = %name, "clashes-with" = %b.name);
-                    continue;
-                }
-                Some(b) => {
-                    if b.entry.state != stage {
-                        before.entry(id).or_insert(Some(b.entry.state));
-                    }
-                    (b.address, b.entry, b.list) = (address, entry, number);
-                    b.listed_start = listed.started_at;
-                }
-                None if is_full => {
-                    left_out += 1;
-                    continue;
-                }
-                None => {
-                    let (slow, figures) = (false, LoadFigureClassifier::default());
-                    let (listed_start, list) = (listed.started_at, number);
-                    let server = KnownServer { name, address, entry, listed_start, list, slow, figures };
-                    self.table.insert(id, server);
-                    before.entry(id).or_insert(None);
+        let mut updated = UpdatedEntries::default();
+        let mut left_out = update.left_out;
+        for listed in update.entries {
+            let result = self.update_entry(listed, update.snapshot, max_servers, &mut updated);
+            if result == Err(EntryRejection::OverLimit) {
+                left_out += 1;
+            }
+        }
+        if update.snapshot {
+            self.remove_unlisted(&mut updated.previous_states);
+        }
+        self.log_limit_change(left_out, update.snapshot, max_servers);
+        updated
+    }
+
+    /// Adds or updates one server of a list.
+    fn update_entry(
+        &mut self,
+        listed: Entry,
+        is_snapshot: bool,
+        max_servers: usize,
+        updated: &mut UpdatedEntries,
+    ) -> Result<(), EntryRejection> {
+        let Entry { name, address, entry: listed } = listed;
+        let (id, state) = (listed.server, listed.state);
+        let entry = ServerEntry { started_at: self.start_of(id, listed.started_at), ..listed };
+        // A snapshot has a limit of its own, and replaces the servers that are here.
+        let is_full = !is_snapshot && self.table.len() >= max_servers;
+        match self.table.get_mut(&id) {
+            Some(server) if server.name != name => {
+                warn!(event = "bad-endpoint", server = %name, "clashes-with" = %server.name);
+                return Err(EntryRejection::NameClash);
+            }
+            Some(server) => {
+                if server.entry.state != state {
+                    updated.previous_states.entry(id).or_insert(Some(server.entry.state));
                 }
+                server.address = address;
+                server.entry = entry;
+                server.listed_start = listed.started_at;
+                server.last_list = self.lists_applied;
+            }
+            None if is_full => return Err(EntryRejection::OverLimit),
+            None => {
+                let server = KnownServer {
+                    name,
+                    address,
+                    entry,
+                    listed_start: listed.started_at,
+                    last_list: self.lists_applied,
+                    is_slow: false,
+                    load_figures: LoadFigureClassifier::default(),
+                };
+                self.table.insert(id, server);
+                updated.previous_states.entry(id).or_insert(None);
             }
-            match stage {
-                ServerState::Removed => self.removed.insert(id),
-                _ => self.removed.remove(&id),
-            };
-            entries.push(self.disabled.effective_entry(entry));
         }
-        if list.snapshot {
-            for (id, b) in self
-                .table
-                .iter_mut()
-                .filter(|(_, b)| b.list != number && b.entry.state != ServerState::Removed)
-            {
-                before.entry(*id).or_insert(Some(b.entry.state));
-                b.entry.state = ServerState::Removed;
+        match state {
+            ServerState::Removed => self.removed.insert(id),
+            _ => self.removed.remove(&id),
+        };
+        updated.entries.push(self.disabled.effective_entry(entry));
+        Ok(())
+    }
+
+    /// Marks the servers that a snapshot does not name as removed.
+    fn remove_unlisted(&mut self, previous_states: &mut PreviousStates) {
+        for (id, server) in &mut self.table {
+            if server.last_list != self.lists_applied && server.entry.state != ServerState::Removed {
+                previous_states.entry(*id).or_insert(Some(server.entry.state));
+                server.entry.state = ServerState::Removed;
                 self.removed.insert(*id);
             }
         }
-        self.log_limit_change(left_out, list.snapshot, most);
-        (entries, before)
     }
 
-    /// When a server's process started, on the program's clock. The same start stays the same time in every list.
+    /// When a server's process started, on the clock of this process. The same start is the same time in every list.
     fn start_of(&self, server: ServerId, listed: f64) -> f64 {
         match self.table.get(&server) {
             Some(known) if known.listed_start == listed => known.entry.started_at,
@@ -144,163 +201,174 @@
         }
     }
 
-    /// The wall clock as the next list is taken in.
+    /// Sets how the wall clock stands to the clock of this process, before a list is applied.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.wall_clock = wall_clock;
     }
 
-    /// Says once that servers are left out, and once that a whole list fits again.
-    fn log_limit_change(&mut self, left_out: usize, whole: bool, most: usize) {
+    /// Logs once that servers are left out, and once that a snapshot fits again.
+    fn log_limit_change(&mut self, left_out: usize, is_snapshot: bool, max_servers: usize) {
         if left_out > 0 && !std::mem::replace(&mut self.is_over_limit, true) {
-            warn!(event = "list-over-limit", servers = most, "left-out" = left_out);
-        } else if left_out == 0 && whole && std::mem::replace(&mut self.is_over_limit, false) {
-            info!(event = "list-within-limit", servers = most);
+            warn!(event = "list-over-limit", servers = max_servers, "left-out" = left_out);
+        } else if left_out == 0 && is_snapshot && std::mem::replace(&mut self.is_over_limit, false) {
+            info!(event = "list-within-limit", servers = max_servers);
         }
     }
 
-    /// Logs what has changed in the end: a whole list names every server, most of them as before.
-    fn log_changes(&self, before: &PreviousStates) {
-        let mut more = 0;
-        for (id, before) in before {
-            let Some(b) = self.table.get(id).filter(|b| Some(b.entry.state) != *before) else { continue };
-            let event = match b.entry.state {
+    /// Logs the servers whose state a list has changed.
+    fn log_changes(&self, previous_states: &PreviousStates) {
+        let mut changed = 0;
+        for (id, previous) in previous_states {
+            let Some(server) = self.table.get(id) else { continue };
+            if Some(server.entry.state) == *previous {
+                continue;
+            }
+            let event = match server.entry.state {
                 ServerState::Ready => "server-ready",
                 ServerState::Draining => "server-draining",
                 ServerState::Removed => "server-gone",
             };
-            more += 1;
-            if more <= MAX_LOG_LINES_PER_LIST {
-                info!(event, server = %b.name);
+            changed += 1;
+            if changed <= MAX_LOG_LINES_PER_LIST {
+                info!(event, server = %server.name);
             }
         }
-        if more > MAX_LOG_LINES_PER_LIST {
-            info!(
-                event = "servers-changed",
-                "left-out" = more - MAX_LOG_LINES_PER_LIST,
-                servers = self.table.len()
-            );
+        if changed > MAX_LOG_LINES_PER_LIST {
+            let left_out = changed - MAX_LOG_LINES_PER_LIST;
+            info!(event = "servers-changed", "left-out" = left_out, servers = self.table.len());
         }
     }
 
-    /// Whether a server is listed. A client that stood on it before the start can have stood on no other.
+    /// Whether a server is in the table.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.table.contains_key(&server)
     }
 
-    /// The list in discovery's form, as it stands but for who is taken out: that is kept apart.
+    /// The listed servers in discovery's form. Whether a server is disabled is not part of it.
     pub fn endpoints(&self, names: &NameIndex) -> Vec<Endpoint> {
-        self.endpoints_after(names, None, usize::MAX)
-            .into_iter()
-            .filter_map(|(_, endpoint)| endpoint)
-            .collect()
+        self.endpoint_page(names, None, usize::MAX).endpoints
+    }
+
+    /// The same for a part of the table: `size` servers after this id.
+    pub fn endpoint_page(&self, names: &NameIndex, after: Option<ServerId>, size: usize) -> EndpointPage {
+        let page = self.table.range((after.map_or(Unbounded, Excluded), Unbounded)).take(size);
+        let (mut endpoints, mut last, mut count) = (Vec::new(), None, 0);
+        for (id, server) in page {
+            (last, count) = (Some(*id), count + 1);
+            if !self.removed.contains(id) {
+                endpoints.push(self.endpoint_of(server, names));
+            }
+        }
+        EndpointPage { endpoints, next_after: last.filter(|_| count == size) }
     }
 
-    /// The same for so many servers behind this one; none for a server that is in use and no longer listed.
-    pub fn endpoints_after(
-        &self,
-        names: &NameIndex,
-        behind: Option<ServerId>,
-        most: usize,
-    ) -> Vec<(ServerId, Option<Endpoint>)> {
-        let zone = |at: u32| names.zones.iter().find(|(_, zone)| **zone == at).map(|(name, _)| name.clone());
-        let endpoint = |b: &KnownServer| Endpoint {
-            name: b.name.to_string(),
-            address: b.address.to_string(),
-            zone: zone(b.entry.zone).unwrap_or_default(),
+    fn endpoint_of(&self, server: &KnownServer, names: &NameIndex) -> Endpoint {
+        let entry = &server.entry;
+        let zone = names.zones.iter().find(|(_, zone)| **zone == entry.zone);
+        Endpoint {
+            name: server.name.to_string(),
+            address: server.address.to_string(),
+            zone: zone.map(|(name, _)| name.clone()).unwrap_or_default(),
             kind: String::new(),
-            group: b.entry.cell,
-            status: if b.entry.state == ServerState::Ready { "Ready" } else { "Terminating" }.to_owned(),
-            weight: b.entry.weight,
-            since_ms: self.listed_start(b) * 1e3,
-        };
-        let some = self.table.range((behind.map_or(Unbounded, Excluded), Unbounded)).take(most);
-        some.map(|(id, b)| (*id, (!self.removed.contains(id)).then(|| endpoint(b)))).collect()
+            group: entry.cell,
+            status: if entry.state == ServerState::Ready { "Ready" } else { "Terminating" }.to_owned(),
+            weight: entry.weight,
+            since_ms: self.listed_start(server) * 1e3,
+        }
     }
 
-    /// When a server's process started, by the wall clock; a server that was put back by hand starts anew.
+    /// When a server's process started, by the wall clock. One that was enabled again counts as restarted.
     fn listed_start(&self, server: &KnownServer) -> f64 {
-        let born = self.disabled.effective_entry(server.entry).started_at;
-        if born == server.entry.started_at { server.listed_start } else { born }
+        let started_at = self.disabled.effective_entry(server.entry).started_at;
+        if started_at == server.entry.started_at { server.listed_start } else { started_at }
     }
 
-    /// Servers that the last list names.
+    /// The number of servers that the last list names.
     pub fn listed_count(&self) -> usize {
         self.table.len() - self.removed.len()
     }
 
-    /// Of these servers, those that the last list names.
+    /// How many of these servers the last list names.
     pub fn listed_count_of(&self, servers: &[ServerId]) -> usize {
         let listed = |id: &&ServerId| self.table.contains_key(*id) && !self.removed.contains(*id);
         servers.iter().filter(listed).count()
     }
 
-    /// A server as the target of an attempt, by its list entry of now.
+    /// A server as the target of an attempt, by its present list entry.
     pub fn target(&self, server: ServerId) -> Target {
-        let entry = self.table.get(&server).map(|b| b.entry);
-        Target { server, zone: entry.map_or(0, |e| e.zone), cell: entry.map_or(0, |e| e.cell) }
+        let entry = self.table.get(&server).map(|known| known.entry);
+        Target {
+            server,
+            zone: entry.map_or(0, |entry| entry.zone),
+            cell: entry.map_or(0, |entry| entry.cell),
+        }
     }
 
-    /// Where a server is, whether it takes anything new or not.
+    /// The address of a server, whether it accepts new clients or not.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.table.get(&server).map(|b| b.address)
+        self.table.get(&server).map(|known| known.address)
     }
 
-    /// Where a server is that takes something new; none for any other.
+    /// The address of a server that accepts new clients; `None` for any other.
     pub fn ready_address(&self, server: ServerId) -> Option<SocketAddr> {
-        let seen = |b: &&KnownServer| self.disabled.effective_entry(b.entry).state == ServerState::Ready;
-        self.table.get(&server).filter(seen).map(|b| b.address)
+        let known = self.table.get(&server)?;
+        let is_ready = self.disabled.effective_entry(known.entry).state == ServerState::Ready;
+        is_ready.then_some(known.address)
     }
 
-    /// Who is taken out by hand.
+    /// The servers that operators have disabled.
     pub fn disabled(&self) -> &DisabledServers {
         &self.disabled
     }
 
-    /// Whether a server of this name is here, listed or still in use.
+    /// Whether the table has a server of this name, listed or still in use.
     pub fn has_name(&self, server: ServerId, name: &str) -> bool {
-        self.table.get(&server).is_some_and(|b| &*b.name == name)
+        self.table.get(&server).is_some_and(|known| &*known.name == name)
     }
 
-    /// Takes in what was changed by hand; what the module is to be told, where the server is here and anything has
-    /// changed.
+    /// Applies a change by an operator. Returns the entry that the driver receives, if the server is in the table and
+    /// anything has changed.
     pub fn apply_admin_change(&mut self, change: AdminChange) -> Option<ServerEntry> {
         let server = change.server();
         if !self.disabled.apply(change) {
             return None;
         }
-        self.table.get(&server).map(|b| self.disabled.effective_entry(b.entry))
+        self.table.get(&server).map(|known| self.disabled.effective_entry(known.entry))
     }
 
-    /// A server's name, for the log.
+    /// The name of a server for the log; `?` if it is unknown.
     pub fn name(&self, server: Option<ServerId>) -> &str {
-        server.and_then(|id| self.table.get(&id)).map_or("?", |b| &b.name)
+        server.and_then(|id| self.table.get(&id)).map_or("?", |known| &known.name)
     }
 
-    /// What a figure in a `LOAD` line of this server's is.
+    /// Classifies a figure in a `LOAD` line of a server.
     pub fn classify_load(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadFigure {
-        self.table.get_mut(&server).map_or(LoadFigure::Load, |b| b.figures.classify(now, figure))
+        self.table.get_mut(&server).map_or(LoadFigure::Load, |known| known.load_figures.classify(now, figure))
     }
 
-    /// What messages take, from what connections have `seen` of each server: those where that is over `least`, and
-    /// once more each that is back under it.
+    /// The delays to report, from the samples of each server's connections: of the servers whose messages take longer than
+    /// `slow_from`, and once more of each that is no longer slow.
     pub fn delay_reports(
         &mut self,
         now: Micros,
-        least: Micros,
-        seen: &BTreeMap<ServerId, Vec<DelaySample>>,
-    ) -> Vec<(ServerId, Micros)> {
-        let report = |(server, sights): (&ServerId, &Vec<DelaySample>)| {
-            let delay = median_delay(now, least, sights)?;
-            let b = self.table.get_mut(server)?;
-            // What the server tells of itself goes before what its answers take.
-            if b.figures.has_recent_delay(now) {
-                return None;
+        slow_from: Micros,
+        samples: &BTreeMap<ServerId, Vec<DelaySample>>,
+    ) -> Vec<DelayReport> {
+        let mut reports = Vec::new();
+        for (server, samples) in samples {
+            let Some(delay) = median_delay(now, slow_from, samples) else { continue };
+            let Some(known) = self.table.get_mut(server) else { continue };
+            // A delay that the server reports itself takes precedence.
+            if known.load_figures.has_recent_delay(now) {
+                continue;
             }
-            let slow = delay > least;
-            let was_slow = std::mem::replace(&mut b.slow, slow);
-            (slow || was_slow).then_some((*server, delay))
-        };
-        seen.iter().filter_map(report).collect()
+            let is_slow = delay > slow_from;
+            let was_slow = std::mem::replace(&mut known.is_slow, is_slow);
+            if is_slow || was_slow {
+                reports.push(DelayReport { server: *server, delay });
+            }
+        }
+        reports
     }
 }
 
--- a/crates/balancer/src/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -1,7 +1,8 @@
-//! Tests of the module that these stand beside.
+//! Tests of the server table.
 
 use super::*;
 use crate::discovery::update::server_id;
+use crate::servers::delays::AnsweredLine;
 use serde_json::json;
 
 fn listing(snapshot: bool, servers: &[(&str, &str, &str)]) -> Incoming {
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn a_list_says_who_takes_something_new_and_who_can_be_reached() {
+fn a_list_determines_which_servers_are_ready_and_which_are_reachable() {
     let mut servers = ServerTable::default();
     let [a, b, c] = ["a", "b", "c"].map(server_id);
     let at = |port: u16| Some(SocketAddr::from(([127, 0, 0, 1], port)));
@@ -22,14 +23,14 @@
     servers.apply_list(listing(false, &news), 3, |_| false);
     assert_eq!([a, b, c].map(|s| servers.ready_address(s)), [None, at(2), None]);
     assert_eq!([a, b, c].map(|s| servers.address(s)), [at(3), at(2), at(4)]);
-    // A whole list without them: what is in use can still be reached, and nothing is left of the rest.
+    // A snapshot without them: only the server in use is still reachable.
     servers.apply_list(listing(true, &[]), 3, |s| s == b);
     assert_eq!([a, b, c].map(|s| servers.address(s)), [None, at(2), None]);
     assert_eq!((servers.ready_address(b), servers.name(Some(b)), servers.name(Some(a))), (None, "b", "?"));
 }
 
 #[test]
-fn a_list_that_is_replaced_whole_leaves_nothing_behind_and_changes_find_no_room_beyond_the_limit() {
+fn a_snapshot_leaves_no_old_servers_behind_and_changes_keep_to_the_limit() {
     let name = |n: usize| (format!("s-{n}"), "127.0.0.1:1", "Ready");
     let list = |snapshot, range: std::ops::Range<usize>| {
         let names: Vec<_> = range.map(name).collect();
@@ -38,16 +39,16 @@
     };
     let mut servers = ServerTable::default();
     servers.apply_list(list(true, 0..90), 90, |_| false);
-    let told = servers.apply_list(list(true, 100..190), 90, |_| false);
-    assert_eq!((told.len(), servers.table.len(), servers.removed.len()), (90, 90, 0));
-    let told = servers.apply_list(list(false, 188..195), 90, |_| false);
+    let received = servers.apply_list(list(true, 100..190), 90, |_| false);
+    assert_eq!((received.len(), servers.table.len(), servers.removed.len()), (90, 90, 0));
+    let received = servers.apply_list(list(false, 188..195), 90, |_| false);
     assert_eq!(
-        (told.len(), servers.table.len(), servers.is_over_limit),
+        (received.len(), servers.table.len(), servers.is_over_limit),
         (2, 90, true),
         "two are known, five are not"
     );
-    let told = servers.apply_list(list(true, 100..250), 100, |_| false);
-    assert_eq!((told.len(), servers.is_over_limit), (100, true), "a whole list has its own limit");
+    let received = servers.apply_list(list(true, 100..250), 100, |_| false);
+    assert_eq!((received.len(), servers.is_over_limit), (100, true), "a snapshot has its own limit");
     servers.apply_list(list(true, 100..110), 100, |_| false);
     assert!(!servers.is_over_limit);
 }
@@ -57,27 +58,38 @@
     let (mut servers, a) = (ServerTable::default(), server_id("a"));
     servers.apply_list(listing(true, &[("a", "127.0.0.1:1", "Ready")]), 3, |_| false);
     let mut report = |now, took| {
-        let seen = [(a, vec![DelaySample { unanswered_since: None, last_answer: Some((now, took)) }])].into();
+        let seen = [(
+            a,
+            vec![DelaySample {
+                unanswered_since: None,
+                last_answer: Some(AnsweredLine { at: now, delay: took }),
+            }],
+        )]
+        .into();
         servers.delay_reports(now, 100, &seen)
     };
     assert_eq!(report(0, 50), []);
-    assert_eq!(report(1, 500), [(a, 500)]);
-    assert_eq!(report(2, 60), [(a, 60)]);
+    assert_eq!(report(1, 500), [DelayReport { server: a, delay: 500 }]);
+    assert_eq!(report(2, 60), [DelayReport { server: a, delay: 60 }]);
     assert_eq!(report(3, 60), []);
     assert_eq!(servers.classify_load(4, a, 900.0), LoadFigure::Delay);
-    let seen = [(a, vec![DelaySample { unanswered_since: None, last_answer: Some((5, 500)) }])].into();
-    assert_eq!(servers.delay_reports(5, 100, &seen), [], "what it told itself goes first");
+    let seen = [(
+        a,
+        vec![DelaySample { unanswered_since: None, last_answer: Some(AnsweredLine { at: 5, delay: 500 }) }],
+    )]
+    .into();
+    assert_eq!(servers.delay_reports(5, 100, &seen), [], "what it received itself goes first");
 }
 
 #[test]
-fn a_start_keeps_its_time_through_a_step_of_the_wall_clock_and_is_passed_on_as_listed() {
+fn a_start_keeps_its_time_through_a_step_of_the_wall_clock_and_is_exported_as_listed() {
     let mut servers = ServerTable::default();
     let list = |since_ms: f64| {
         let server = json!({"name": "a", "address": "127.0.0.1:1", "status": "Ready", "since_ms": since_ms});
         let list = json!({"snapshot": true, "endpoints": [server]});
         Incoming::of(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
     };
-    let start = |told: Vec<ServerEntry>| told[0].started_at;
+    let start = |received: Vec<ServerEntry>| received[0].started_at;
     assert_eq!(start(servers.apply_list(list(10_000_000.0), 3, |_| false)), 10_000.0);
     // An hour back, 100 s later: the same start is the same time.
     servers.set_wall_clock(WallClock::at(10_100.0, 6_500.0));
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -186,10 +186,12 @@
         self.at = match at {
             At::Servers(behind) => {
                 let terms = &event_loop.proxy.settings;
-                let some = event_loop.proxy.servers.endpoints_after(&terms.names, behind, SERVERS);
-                let (read, last) = (some.len(), some.last().map(|(id, _)| *id));
-                lines.extend(some.into_iter().filter_map(|(_, endpoint)| endpoint.map(Line::Endpoint)));
-                Some(if read < SERVERS { At::Known(ExportCursor::default()) } else { At::Servers(last) })
+                let page = event_loop.proxy.servers.endpoint_page(&terms.names, behind, SERVERS);
+                lines.extend(page.endpoints.into_iter().map(Line::Endpoint));
+                Some(match page.next_after {
+                    Some(last) => At::Servers(Some(last)),
+                    None => At::Known(ExportCursor::default()),
+                })
             }
             At::Known(cursor) => {
                 let mut learned = Vec::new();
