--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -6,7 +6,7 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::reader::{Part, Reader};
 use crate::discovery::response::Answer;
 use crate::discovery::update::Incoming;
@@ -132,7 +132,7 @@
     pub fn ready(
         &mut self,
         context: &mut LoopContext,
-        terms: &Terms,
+        terms: &ProxySettings,
         ready: Readiness,
     ) -> Vec<DiscoveryEvent> {
         let mut news = Vec::new();
--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -6,7 +6,7 @@
 use shorewharf_units::{Micros, seconds_from_micros};
 use tracing::info;
 
-use crate::admin::counters::Counts;
+use crate::admin::counters::WorkerCounters;
 use crate::discovery::update::server_id;
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
@@ -31,16 +31,16 @@
     ) {
         let Some(admin) = &mut self.admin else { return };
         for (source, readiness) in ready {
-            admin.door.ready(&mut self.context, source, readiness);
+            admin.server.on_ready(&mut self.context, source, readiness);
         }
-        admin.door.accept(&mut self.context);
-        for (connection, command) in admin.door.take_calls() {
+        admin.server.accept(&mut self.context);
+        for (connection, command) in admin.server.take_commands() {
             let reply = match command {
                 Ok(command) => self.execute_command(command, &avoided_servers),
                 Err(error) => CommandReply::Rejected(error),
             };
             let Some(admin) = &mut self.admin else { return };
-            admin.door.answer(&mut self.context, connection, &reply);
+            admin.server.reply(&mut self.context, connection, &reply);
         }
     }
 
@@ -133,7 +133,7 @@
     /// What is reported to operators, as it is now.
     fn metrics(&self, avoided_servers: &[ServerId]) -> Metrics {
         self.proxy.publish_gauges();
-        let sums = Counts::of_all(self.admin.as_ref().map_or(&[], |admin| &admin.counts));
+        let sums = WorkerCounters::sum(self.admin.as_ref().map_or(&[], |admin| &admin.counters));
         let mut classes: Vec<_> = self.proxy.settings.names.classes.iter().collect();
         classes.sort_by_key(|(_, class)| **class);
         let replies = classes
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -13,17 +13,17 @@
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_units::Micros;
 
-use crate::admin::counters::Counts;
-use crate::admin::handler::{Desk, Opened};
+use crate::admin::counters::WorkerCounters;
+use crate::admin::handler::{AdminHandler, AdminListener};
 use crate::clients::open_ids::OpenIds;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::update::Incoming;
 use crate::discovery::wall_clock::WallClock;
 use crate::event_loop::acceptor::Acceptor;
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
-use crate::fleet::gossip::Tells;
+use crate::fleet::gossip::GossipTransport;
 use crate::handover::siblings::SiblingProcesses;
 use crate::proxy::Proxy;
 use crate::servers::disabled::{AdminChange, DisabledServer};
@@ -45,9 +45,9 @@
     /// The ids of open requests, shared by all workers.
     pub open_ids: OpenIds,
     /// The counters of this worker.
-    pub counts: Counts,
+    pub counters: WorkerCounters,
     /// Where operators connect, and the counters of all workers; only at the primary worker.
-    pub admin: Option<Opened>,
+    pub admin: Option<AdminListener>,
     /// Servers that operators have disabled.
     pub disabled_servers: BTreeMap<ServerId, DisabledServer>,
     /// Other processes of this balancer.
@@ -64,11 +64,11 @@
     pub(crate) proxy: Proxy,
     pub(crate) discovery: DiscoveryClient,
     /// Connections of operators; only at the primary worker.
-    pub(crate) admin: Option<Desk>,
+    pub(crate) admin: Option<AdminHandler>,
     /// Other processes of this balancer.
     pub(crate) siblings: SiblingProcesses,
     /// Other balancers of the fleet, if gossip is configured.
-    pub(crate) gossip: Option<Tells>,
+    pub(crate) gossip: Option<GossipTransport>,
     /// Established connections are to be handed over in this iteration.
     pub(crate) is_handover_due: bool,
     /// A snapshot is to be begun or continued in this iteration.
@@ -81,14 +81,19 @@
 impl EventLoop {
     /// Creates an event loop that accepts clients on the listener of `worker` and watches the endpoint list at
     /// `discovery`.
-    pub fn new(context: LoopContext, worker: WorkerContext, discovery: SocketAddr, settings: Terms) -> Self {
+    pub fn new(
+        context: LoopContext,
+        worker: WorkerContext,
+        discovery: SocketAddr,
+        settings: ProxySettings,
+    ) -> Self {
         let mut event_loop = EventLoop {
             context,
             acceptor: Acceptor::new(worker.listener),
             workers: worker.workers,
-            proxy: Proxy::new(settings, worker.open_ids, worker.counts),
+            proxy: Proxy::new(settings, worker.open_ids, worker.counters),
             discovery: DiscoveryClient::new(discovery),
-            admin: worker.admin.map(Desk::from),
+            admin: worker.admin.map(AdminHandler::from),
             siblings: worker.siblings,
             gossip: None,
             is_handover_due: false,
@@ -123,7 +128,7 @@
     }
 
     /// Puts other settings in force; connections and the endpoint list stay.
-    pub fn update_settings(&mut self, settings: Terms, discovery: SocketAddr) {
+    pub fn update_settings(&mut self, settings: ProxySettings, discovery: SocketAddr) {
         self.context.overload.set_aim(settings.message_aim);
         self.proxy.update_settings(settings);
         let events = self.discovery.moves(&mut self.context, discovery);
@@ -154,7 +159,7 @@
             }
             EventSource::AdminListener | EventSource::AdminConnection(_) => {
                 if let Some(admin) = &mut self.admin {
-                    admin.door.ready(context, source, readiness);
+                    admin.server.on_ready(context, source, readiness);
                 }
             }
         }
@@ -175,7 +180,7 @@
             self.on_sibling_ready(EventSource::Predecessor);
             process_events(self);
         }
-        if self.gossip.as_ref().is_some_and(Tells::is_busy) {
+        if self.gossip.as_ref().is_some_and(GossipTransport::is_busy) {
             self.dispatch_readiness(EventSource::Gossip, Readiness::default());
         }
         while let Some(event) = self.context.timers.pop_due() {
@@ -214,7 +219,7 @@
             }
             TimerEvent::AdminConnection(number) => {
                 if let Some(admin) = &mut self.admin {
-                    admin.door.alarmed(context, number);
+                    admin.server.on_timer(context, number);
                 }
             }
             TimerEvent::AdminAccept => {
@@ -257,9 +262,9 @@
         self.proxy.has_unfinished()
             || self.discovery.is_busy()
             || self.acceptor.is_due()
-            || self.admin.as_ref().is_some_and(|admin| admin.door.is_busy())
+            || self.admin.as_ref().is_some_and(|admin| admin.server.has_backlog())
             || self.has_sibling_work()
-            || self.gossip.as_ref().is_some_and(Tells::is_busy)
+            || self.gossip.as_ref().is_some_and(GossipTransport::is_busy)
     }
 
     /// Once the loop has ended, the number of clients that were still connected.
--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -149,7 +149,7 @@
     fn read_answer(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if attempt.take_dispatched() {
-            self.counts.dispatched();
+            self.counters.record_dispatch();
         }
         let server = self.servers.name(Some(attempt.server()));
         let outcome = match attempt.read_answer(&context.buffers) {
--- a/crates/balancer/src/proxy/descriptors.rs
+++ b/crates/balancer/src/proxy/descriptors.rs
@@ -74,6 +74,6 @@
     /// Publishes for operators how many requests are open and how many descriptors are in use.
     pub fn publish_gauges(&self) {
         let in_use = self.descriptors_in_use();
-        self.counts.holds(self.sessions.len() - in_use.unserved, in_use.all);
+        self.counters.set_held(self.sessions.len() - in_use.unserved, in_use.all);
     }
 }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -27,10 +27,10 @@
 use shorewharf_lifecycle::RequestGuard;
 use shorewharf_units::Micros;
 
-use crate::admin::counters::Counts;
+use crate::admin::counters::WorkerCounters;
 use crate::clients::open_ids::OpenIds;
 use crate::clients::sessions::Sessions;
-use crate::config::proxy_settings::Terms;
+use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::update::Incoming;
 use crate::discovery::wall_clock::WallClock;
 use crate::overload::descriptor_budget::Budget;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Proxy {
     /// The settings in force.
-    pub settings: Terms,
+    pub settings: ProxySettings,
     /// The servers of the endpoint list.
     pub servers: ServerTable,
     /// Probes of servers.
@@ -69,7 +69,7 @@
     delay_reporters: Vec<RequestId>,
     pending_migrations: PendingMigrations,
     /// Counters for operators.
-    counts: Counts,
+    counters: WorkerCounters,
     /// Descriptors that another process of this balancer holds.
     sibling_descriptors: usize,
     /// New requests are rejected.
@@ -79,8 +79,8 @@
 }
 
 impl Proxy {
-    /// Creates a proxy without clients. `open_ids` and `counts` are shared with other workers.
-    pub fn new(settings: Terms, open_ids: OpenIds, counts: Counts) -> Self {
+    /// Creates a proxy without clients. `open_ids` and `counters` are shared with other workers.
+    pub fn new(settings: ProxySettings, open_ids: OpenIds, counters: WorkerCounters) -> Self {
         Proxy {
             descriptor_budget: Budget::new(settings.sockets),
             settings,
@@ -94,7 +94,7 @@
             unfinished: Vec::new(),
             delay_reporters: Vec::new(),
             pending_migrations: PendingMigrations::default(),
-            counts,
+            counters,
             sibling_descriptors: 0,
             is_shutting_down: false,
             has_successor: false,
@@ -102,7 +102,7 @@
     }
 
     /// Puts other settings in force; sessions and attempts stay.
-    pub fn update_settings(&mut self, settings: Terms) {
+    pub fn update_settings(&mut self, settings: ProxySettings) {
         self.settings = settings;
         self.set_sibling_descriptors(self.sibling_descriptors);
     }
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -212,7 +212,7 @@
     /// Counts the outcome of a request for operators: that it was established, or how it ended; the first of them only.
     pub(super) fn count_reply(&mut self, id: RequestId, reply: Reply) {
         if let Some(class) = self.sessions.get_mut(id).and_then(Session::take_uncounted_class) {
-            self.counts.replied(class, reply);
+            self.counters.record_reply(class, reply);
         }
     }
 }
--- a/crates/balancer/src/proxy/shutdown.rs
+++ b/crates/balancer/src/proxy/shutdown.rs
@@ -53,7 +53,7 @@
             self.close_without_request(context, id);
         }
         for id in self.sessions.ids_where(Session::is_waiting) {
-            if !is_last_call && !self.guard.is_refusable(id) {
+            if !is_last_call && !self.guard.is_rejectable(id) {
                 continue;
             }
             context.emit(NetworkEvent::ClientLeft(id));
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -38,16 +38,16 @@
         let state = EstablishedConnection {
             client: session.client_address(),
             server: attempt.server().0,
-            id: session.open_id()?,
+            open_id: session.open_id()?,
             class: name_of(&self.settings.names.classes, request.class),
             tenant: name_of(&self.settings.names.tenants, request.tenant),
             key: request.key,
             group: request.group,
-            hint: request.load,
+            load_hint: request.load,
             load,
-            asked: session.unanswered_since(),
-            at_client: session.connection.buffered(),
-            at_server: attempt.connection.buffered(),
+            unanswered_since: session.unanswered_since(),
+            client_buffers: session.connection.buffered(),
+            server_buffers: attempt.connection.buffered(),
         };
         // Poll watches the connection and not the descriptor, and the connection goes on.
         context.registry.deregister(&mut session.connection);
@@ -57,23 +57,25 @@
         }
         let (session, attempt) = (self.sessions.take(context, id)?, self.attempts.take(context, id)?);
         context.emit(NetworkEvent::AttemptEnded(id, Outcome::Cancelled));
-        Some((state, session.connection.into_stream(), attempt.connection.into_stream()))
+        let (client, server) = (session.connection.into_stream(), attempt.connection.into_stream());
+        Some(TransferredConnection { state, client, server })
     }
 
     /// Adopts a connection of another process, or one that came back from there. Returns false if that is impossible.
     pub fn adopt_transferred(
         &mut self,
         context: &mut LoopContext,
-        (state, client, server): TransferredConnection,
+        connection: TransferredConnection,
     ) -> bool {
-        let client = Connection::resume(client, &context.buffers, &state.at_client);
-        let server = Connection::resume(server, &context.buffers, &state.at_server);
+        let TransferredConnection { state, client, server } = connection;
+        let client = Connection::resume(client, &context.buffers, &state.client_buffers);
+        let server = Connection::resume(server, &context.buffers, &state.server_buffers);
         let (Some(client), Some(server)) = (client, server) else { return false };
         let is_at_line_boundary = client.is_at_line_boundary();
         let transferred = TransferredSession {
             client_address: state.client,
-            open_id: state.id,
-            unanswered_since: state.asked,
+            open_id: state.open_id,
+            unanswered_since: state.unanswered_since,
         };
         let attempts = &self.attempts;
         let adopted = self.sessions.adopt(context, client, &transferred, |id| attempts.has(id));
@@ -82,7 +84,7 @@
         let class = self.settings.names.classes.get(&state.class).copied();
         // The client is asked to come again rather than cut off.
         let Some(class) = class.filter(|_| self.attempts.adopt(context, id, server_id, server)) else {
-            let answer = if is_at_line_boundary { Answer::Moved } else { Answer::Closed };
+            let answer = if is_at_line_boundary { Answer::Migrated } else { Answer::Closed };
             self.answer(context, id, answer, Cause::Handover);
             return false;
         };
@@ -92,7 +94,7 @@
             tenant: self.settings.names.tenants.get(&state.tenant).copied().unwrap_or(0),
             key: state.key,
             deadline: context.now,
-            load: state.hint,
+            load: state.load_hint,
             group: state.group,
             is_returning: false,
         };
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -96,9 +96,9 @@
     /// The bytes that have been read and not forwarded, or not been sent yet.
     pub fn buffered(&self) -> BufferedBytes {
         BufferedBytes {
-            came: self.pending_input().to_vec(),
-            seen: self.inspected,
-            said: self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec(),
+            received: self.pending_input().to_vec(),
+            examined: self.inspected,
+            unsent: self.output.as_ref().map_or(&[][..], Buffer::contents).to_vec(),
             mid_line: self.is_mid_line,
         }
     }
@@ -112,13 +112,13 @@
     /// buffers or contradict each other.
     pub fn resume(stream: TcpStream, pool: &BufferPool, buffered: &BufferedBytes) -> Option<Self> {
         let mut connection = Connection {
-            inspected: buffered.seen,
+            inspected: buffered.examined,
             is_mid_line: buffered.mid_line,
             ..Connection::new(stream)
         };
-        let is_consistent = buffered.seen <= buffered.came.len();
-        let fits = fill(&mut connection.input, pool, &buffered.came)
-            && fill(&mut connection.output, pool, &buffered.said);
+        let is_consistent = buffered.examined <= buffered.received.len();
+        let fits = fill(&mut connection.input, pool, &buffered.received)
+            && fill(&mut connection.output, pool, &buffered.unsent);
         (is_consistent && fits).then_some(connection)
     }
 
--- a/crates/balancer/src/workers/pool/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -4,19 +4,19 @@
 use crate::event_loop::poll::EventPoller;
 
 fn pool(n: usize) -> (Vec<WorkerPool>, Vec<EventPoller>) {
-    let (mut workers, mut watches) = (Vec::new(), Vec::new());
+    let (mut workers, mut pollers) = (Vec::new(), Vec::new());
     for _ in 0..n {
-        let watch = EventPoller::new().expect("a loop");
+        let poller = EventPoller::new().expect("a loop");
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        workers.push(NewWorker::new(watch.waker().expect("a waker"), listener));
-        watches.push(watch);
+        workers.push(NewWorker::new(poller.waker().expect("a waker"), listener));
+        pollers.push(poller);
     }
-    (WorkerPool::connect(workers), watches)
+    (WorkerPool::connect(workers), pollers)
 }
 
 #[test]
 fn clients_go_where_there_are_far_fewer_and_never_to_one_that_stalls() {
-    let (pool, _watches) = pool(3);
+    let (pool, _pollers) = pool(3);
     for (who, held) in [(0, 100), (1, 90), (2, 10)] {
         pool[who].publish_state(held, 5_000_000);
     }
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_worker_that_stalls_or_has_ended_has_its_listener_served_by_its_neighbour() {
-    let (mut pool, _watches) = pool(2);
+    let (mut pool, _pollers) = pool(2);
     pool[1].publish_state(0, 1_000_000);
     assert!(pool[0].check_neighbour(1_000_000 + STALL_TIMEOUT - 1).is_none());
     assert!(matches!(pool[0].check_neighbour(1_000_000 + STALL_TIMEOUT), Some(NeighbourListener::Serve(_))));
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 
 use shorewharf_emulator::day::{Day, Fault};
-use shorewharf_emulator::sockets::platform::Glance;
+use shorewharf_emulator::sockets::platform::StatusSample;
 use shorewharf_units::Micros;
 
 use crate::balancer;
 use crate::cli::Demo;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::run;
 use crate::runner;
 use crate::scenario;
@@ -21,9 +21,9 @@
 const BAR: usize = 24;
 
 /// `demo`.
-pub fn demo(args: &Demo, style: &Style) -> Result<Done, Failure> {
+pub fn demo(args: &Demo, style: &Style) -> Result<CommandOutcome, CommandError> {
     let mut day = scenario::from_text(Path::new("demo.toml"), DAY, &[], Some(args.seed))
-        .map_err(|e| Failure::Input(e.to_string()))?
+        .map_err(|e| CommandError::Input(e.to_string()))?
         .day;
     fit(&mut day, args.seconds * 1_000_000);
     let program = balancer::find(args.balancer.as_deref())?;
@@ -68,7 +68,7 @@
 }
 
 /// A second in one line.
-fn line(day: &Day, glance: &Glance<'_>) -> String {
+fn line(day: &Day, glance: &StatusSample<'_>) -> String {
     let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
     let up: Vec<f64> =
         glance.nodes.iter().filter(|n| n.takes).map(|n| n.load / n.capacity.max(1e-9)).collect();
@@ -88,7 +88,7 @@
 }
 
 /// The table that is redrawn.
-fn live(day: &Day, glance: &Glance<'_>, style: &Style) -> String {
+fn live(day: &Day, glance: &StatusSample<'_>, style: &Style) -> String {
     let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
     let (now, end) = (glance.now / 1_000_000, day.length / 1_000_000);
     let done = (glance.now as f64 / day.length.max(1) as f64).min(1.0);
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -5,10 +5,10 @@
 use serde::Serialize;
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::world::series::SLOT;
-use shorewharf_fault_scenarios::{Evenness, Trial, Worst, bursts};
+use shorewharf_fault_scenarios::{LoadDistribution, Scenario, WorstInterval, worst_setup_burst};
 
 use crate::cli;
-use crate::error::{Done, Failure};
+use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::record::round;
 use crate::runner;
@@ -19,7 +19,7 @@
 
 /// One day under one policy.
 #[derive(Debug, Serialize)]
-struct Played {
+struct EvenRun {
     trial: String,
     balancers: usize,
     nodes: usize,
@@ -35,7 +35,7 @@
 }
 
 /// `even`.
-pub fn even(args: &cli::Even, style: &Style) -> Result<Done, Failure> {
+pub fn even(args: &cli::Even, style: &Style) -> Result<CommandOutcome, CommandError> {
     let mut played = Vec::new();
     let mut text = String::new();
     for path in &args.trials {
@@ -47,19 +47,19 @@
             .collect();
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
         let runs = runner::each(&jobs, args.threads, &|policy, day, result| {
-            let even = Evenness::of(&trial.promises, &result.series.nodes);
-            let figure = |worst: Option<Worst>| worst.map(|w| round(w.x, 3));
-            Played {
+            let even = LoadDistribution::of(&trial.expectations, &result.series.nodes);
+            let figure = |worst: Option<WorstInterval>| worst.map(|w| round(w.value, 3));
+            EvenRun {
                 trial: name.to_string(),
                 balancers: day.balancers.len(),
                 nodes: day.nodes.len(),
                 seed: day.seed,
                 policy: policy.to_owned(),
                 served: round(result.outcome.whole, 4),
-                load_most: figure(even.load_most),
-                over_mean_most: figure(even.over_mean_most),
-                under_mean_least: figure(even.under_mean_least),
-                set_ups_most: figure(bursts(&result.series.set_ups, seconds_from_micros(SLOT))),
+                load_most: figure(even.max_load),
+                over_mean_most: figure(even.max_over_mean),
+                under_mean_least: figure(even.min_under_mean),
+                set_ups_most: figure(worst_setup_burst(&result.series.set_ups, seconds_from_micros(SLOT))),
                 rules_kept: result.verdict.clean(),
             }
         })?;
@@ -77,26 +77,26 @@
             path.map_or(Ok(()), |path| files::write(path, &json))?;
         }
     }
-    let kept = |p: &Played| p.rules_kept || !p.policy.starts_with("module");
-    Ok(if played.iter().all(kept) { Done::Well } else { Done::Badly })
+    let kept = |p: &EvenRun| p.rules_kept || !p.policy.starts_with("module");
+    Ok(if played.iter().all(kept) { CommandOutcome::Well } else { CommandOutcome::Badly })
 }
 
 /// A trial, and its day with each of the seeds.
-fn days(path: &Path, args: &cli::Even) -> Result<(Trial, Vec<Day>), Failure> {
-    let wrong = |e: &dyn std::fmt::Display| Failure::Input(format!("{}: {e}", path.display()));
+fn days(path: &Path, args: &cli::Even) -> Result<(Scenario, Vec<Day>), CommandError> {
+    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
-    let trial = Trial::read(&text).map_err(|e| wrong(&e))?;
-    if trial.promises.settled_s.is_empty() {
+    let trial = Scenario::read(&text).map_err(|e| wrong(&e))?;
+    if trial.expectations.settled.is_empty() {
         return Err(wrong(&"promises.settled_s: says when the day has settled, and is missing"));
     }
     let sets = files::single(&args.set)?;
     let day = path.parent().unwrap_or(Path::new("")).join(&trial.day);
     let all = args.seeds.0.iter().map(|seed| Ok(files::load(&day, &sets, Some(*seed))?.day));
-    let all = all.collect::<Result<_, Failure>>()?;
+    let all = all.collect::<Result<_, CommandError>>()?;
     Ok((trial, all))
 }
 
-fn table(runs: &[Played], seeds: usize, style: &Style) -> String {
+fn table(runs: &[EvenRun], seeds: usize, style: &Style) -> String {
     let columns = [
         "policy",
         "served",
@@ -113,7 +113,7 @@
     for of in runs.chunks(seeds.max(1)) {
         let served: Vec<f64> = of.iter().map(|p| p.served).collect();
         let mut row = vec![of[0].policy.clone(), format!("{:.3}", stats::mean(&served).unwrap_or(0.0))];
-        let mut add = |figure: &dyn Fn(&Played) -> Option<f64>, most: bool| {
+        let mut add = |figure: &dyn Fn(&EvenRun) -> Option<f64>, most: bool| {
             let xs: Vec<f64> = of.iter().filter_map(figure).collect();
             let worst = xs.iter().copied().reduce(if most { f64::max } else { f64::min });
             let text = |x: Option<f64>| x.map_or("-".to_owned(), |x| format!("{x:.2}"));
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -15,19 +15,19 @@
 /// have to see the same, whoever comes first.
 const BACK: u64 = 2;
 
-type Told = Arc<BTreeMap<ServerId, RemoteLoad>>;
+type PublishedLoads = Arc<BTreeMap<ServerId, RemoteLoad>>;
 
 #[derive(Debug, Default)]
 struct Moment {
     held: BTreeMap<BalancerId, Vec<Holding>>,
-    all: Option<Told>,
+    all: Option<PublishedLoads>,
 }
 
 /// What all balancers held, at the last few times.
 #[derive(Debug, Default)]
-pub(super) struct Board(Mutex<BTreeMap<u64, Moment>>);
+pub(super) struct SharedLoadBoard(Mutex<BTreeMap<u64, Moment>>);
 
-impl Board {
+impl SharedLoadBoard {
     /// Which time this is.
     pub(super) fn time(now: Micros) -> u64 {
         now / EVERY
@@ -35,7 +35,7 @@
 
     /// Puts up what one holds at a time, and takes down what the others held two times before; none where nobody had put up
     /// anything.
-    pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<Told> {
+    pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<PublishedLoads> {
         let mut moments = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         moments.retain(|at, _| at + 2 * BACK > time);
         moments.entry(time).or_default().held.insert(who, holds);
@@ -45,7 +45,7 @@
         for h in before.held.get(&who).into_iter().flatten() {
             if let Some(away) = others.get_mut(&h.server) {
                 away.load = (away.load - h.load).max(0.0);
-                away.connections = (away.connections - f64::from(h.open)).max(0.0);
+                away.connections = (away.connections - f64::from(h.connections)).max(0.0);
             }
         }
         Some(Arc::new(others))
@@ -57,7 +57,7 @@
     for h in held.values().flatten() {
         let away = all.entry(h.server).or_default();
         away.load += h.load;
-        away.connections += f64::from(h.open);
+        away.connections += f64::from(h.connections);
         if h.group != 0 {
             // Notes name groups by the lower half of their ids.
             away.groups.insert(h.group as u32);
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -6,16 +6,16 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 use shorewharf_emulator::day::Day;
-use shorewharf_emulator::sockets::between::Break;
-use shorewharf_emulator::sockets::clock::Spread;
-use shorewharf_emulator::sockets::platform::{self, Glance, SocketsRun};
+use shorewharf_emulator::sockets::clock::Distribution;
+use shorewharf_emulator::sockets::network_faults::NetworkFault;
+use shorewharf_emulator::sockets::platform::{self, SocketsRun, StatusSample};
 use shorewharf_emulator::sockets::process::{ProcessLimits, Program};
 use shorewharf_emulator::sockets::run::{Options, Report, RunError, raise_descriptors};
 use shorewharf_emulator::world::settings;
 
-use crate::budgets::Shared;
-use crate::error::Failure;
-use crate::record::{Life, Record, SocketFacts, Times, round};
+use crate::budgets::SharedStore;
+use crate::error::CommandError;
+use crate::record::{ProcessIncarnation, Record, SocketFacts, Times, round};
 use crate::runner;
 use shorewharf_units::seconds_from_micros;
 
@@ -30,8 +30,8 @@
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    watch: &mut dyn FnMut(&Glance<'_>),
-) -> Result<Record, Failure> {
+    watch: &mut dyn FnMut(&StatusSample<'_>),
+) -> Result<Record, CommandError> {
     let run = run(day, path, operator, (&[], None, false), Vec::new(), watch)?;
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let mut record = runner::record(day, &name, "sockets", &run.result);
@@ -59,10 +59,10 @@
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    (breaks, together): (&[Break], bool),
-    mut shared: Option<&mut Shared>,
+    (breaks, together): (&[NetworkFault], bool),
+    mut shared: Option<&mut SharedStore>,
     logs: Option<&Path>,
-) -> Result<SocketsRun, Failure> {
+) -> Result<SocketsRun, CommandError> {
     let bar = bar(day);
     let own_args = shared.as_ref().map_or(Vec::new(), |s| s.args());
     let played = run(day, path, operator, (breaks, logs, together), own_args, &mut |glance| {
@@ -77,17 +77,17 @@
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    (breaks, logs, together): (&[Break], Option<&Path>, bool),
+    (breaks, logs, together): (&[NetworkFault], Option<&Path>, bool),
     own_args: Vec<Vec<OsString>>,
-    watch: &mut dyn FnMut(&Glance<'_>),
-) -> Result<SocketsRun, Failure> {
+    watch: &mut dyn FnMut(&StatusSample<'_>),
+) -> Result<SocketsRun, CommandError> {
     let descriptors = raise_descriptors();
     tracing::info!(descriptors, program = %path.display(), "playing on sockets");
     let mut program = program(day, path);
     let mut text = together.then(String::new);
     if let (Some(text), Some(file)) = (&mut text, operator) {
-        *text =
-            std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{}: {e}", file.display())))?;
+        *text = std::fs::read_to_string(file)
+            .map_err(|e| CommandError::Input(format!("{}: {e}", file.display())))?;
     } else if let Some(file) = operator {
         // The program starts elsewhere.
         let file = std::path::absolute(file).unwrap_or_else(|_| file.to_owned());
@@ -102,13 +102,13 @@
         own_args,
     };
     platform::run(day, &options, watch).map_err(|e| match e {
-        RunError::TooMany(..) | RunError::Bad(_) => Failure::Input(format!("{}: {e}", day.name)),
-        e => Failure::Outside(e.to_string()),
+        RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
+        e => CommandError::Outside(e.to_string()),
     })
 }
 
 /// Plays a day in real time, with a bar.
-pub fn with_bar(day: &Day, path: &Path, operator: Option<&Path>) -> Result<Record, Failure> {
+pub fn with_bar(day: &Day, path: &Path, operator: Option<&Path>) -> Result<Record, CommandError> {
     let bar = bar(day);
     let played = play(day, path, operator, &mut |glance| bar.set_position(glance.now / 1_000_000));
     bar.finish_and_clear();
@@ -124,7 +124,7 @@
     bar
 }
 
-fn times(spread: &Spread) -> Times {
+fn times(spread: &Distribution) -> Times {
     let ms = |us: u64| round(us as f64 / 1e3, 3);
     Times {
         count: spread.len(),
@@ -146,7 +146,7 @@
         lives: report
             .lives
             .iter()
-            .map(|l| Life {
+            .map(|l| ProcessIncarnation {
                 balancer: l.balancer,
                 began_s: seconds_from_micros(l.began),
                 ended_s: l.ended.map(|t| seconds_from_micros(t)),
--- a/crates/recovery/src/capacity_estimate/mod.rs
+++ b/crates/recovery/src/capacity_estimate/mod.rs
@@ -15,7 +15,7 @@
 use shorewharf_decisions::interface::{
     Action, Event, RequestId, ServerEntry, ServerId, ServerState, Settings,
 };
-use shorewharf_decisions::memory::load;
+use shorewharf_decisions::persistence::valid_load;
 
 use crate::snapshot_state::{LoadModel, ServerCapacity};
 use platform::{PlatformLimits, TARGET_UTILIZATION};
@@ -73,7 +73,7 @@
 
 impl LocalLoad for shorewharf_decisions::Balancer {
     fn local_load(&self, server: ServerId) -> f64 {
-        self.placed(server)
+        self.assigned_load(server)
     }
 }
 
@@ -273,7 +273,7 @@
     /// Restores what was learned of loads and set-ups, unless this instance has learned of them itself.
     pub(crate) fn restore_load_model(&mut self, model: &LoadModel) -> Restored {
         let numbers = [model.mean_load, model.load_samples, model.log_setup_work, model.setup_samples];
-        let has_valid_mean = model.mean_load == 0.0 || load(model.mean_load).is_some();
+        let has_valid_mean = model.mean_load == 0.0 || valid_load(model.mean_load).is_some();
         let has_valid_counts = model.load_samples >= 0.0 && model.setup_samples >= 0.0;
         if !numbers.into_iter().all(f64::is_finite) || !has_valid_mean || !has_valid_counts {
             return Restored::Invalid;
--- a/crates/recovery/tests/snapshot_format.rs
+++ b/crates/recovery/tests/snapshot_format.rs
@@ -2,53 +2,55 @@
 //! next version has to read what this one wrote.
 
 use serde_json::json;
-use shorewharf_decisions::memory::{Flow, Known, KnownServer, Place};
+use shorewharf_decisions::persistence::{
+    GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
+};
 use shorewharf_protocol::endpoint_list::Endpoint;
 use shorewharf_recovery::snapshot_state::{LoadModel, ServerCapacity, SnapshotEntry};
-use shorewharf_snapshot::record::{Encoder, Head, Line, VERSION, decode};
+use shorewharf_snapshot::record::{Encoder, Header, Line, VERSION, decode};
 
 const STORED: &[u8] = include_bytes!("fixtures/every-line.snapshot");
 
 /// A record that holds every kind of line, with every optional field both set and unset.
-fn record() -> (Head, Vec<Line<SnapshotEntry>>) {
-    let head = Head {
-        snapshot: VERSION,
+fn record() -> (Header, Vec<Line<SnapshotEntry>>) {
+    let header = Header {
+        version: VERSION,
         balancer: "n1".into(),
         worker: 1,
-        workers: 4,
-        taken: 1_800_000_000,
-        index: 7,
+        worker_count: 4,
+        taken_at: 1_800_000_000,
+        list_index: 7,
     };
     let endpoint = json!({"name": "s-1", "address": "127.0.0.1:1", "zone": "z", "type": "large", "group": 3,
         "status": "Ready", "weight": 2.5, "since_ms": 12.5});
     let endpoint: Endpoint = serde_json::from_value(endpoint).expect("an endpoint");
-    let flow = Flow {
-        seen: 12.5,
-        rate: 3.25,
-        span: 1.5,
-        moves: 58.0,
-        mean: 0.2,
-        class_load: vec![0.3, 0.7],
-        pace: 50.0,
+    let flow = InstanceRecord {
+        total_clients: 12.5,
+        arrivals: 3.25,
+        arrival_seconds: 1.5,
+        migration_credit: 58.0,
+        mean_load: 0.2,
+        class_loads: vec![0.3, 0.7],
+        setups_per_second: 50.0,
     };
-    let server = KnownServer {
+    let server = ServerRecord {
         server: 1,
-        born: 95.0,
+        started_at: 95.0,
         health: 0.6,
-        spent_until: 101.4,
-        locked: Some((101.5, 1.25)),
-        entries: 4.0,
-        drops: 1.5,
+        unavailable_until: 101.4,
+        quarantine: Some(QuarantineRecord { trial_at: 101.5, backoff: 1.25 }),
+        warm_up_admissions: 4.0,
+        recent_resets: 1.5,
     };
-    let place = |key| Place { key, server: 4, load: 0.25, until: 102.5 };
+    let place = |key| ReservationRecord { key, server: 4, load: 0.25, expires_at: 102.5 };
     let known = [
-        Known::Flow(flow),
-        Known::Server(server.clone()),
-        Known::Server(KnownServer { server: 2, locked: None, ..server }),
-        Known::Group { group: 1, seen: 3.5, last: Some(4) },
-        Known::Group { group: 2, seen: 4.5, last: None },
-        Known::Place(place(u64::MAX)),
-        Known::Stands(place(5)),
+        StateRecord::Instance(flow),
+        StateRecord::Server(server.clone()),
+        StateRecord::Server(ServerRecord { server: 2, quarantine: None, ..server }),
+        StateRecord::Group(GroupRecord { group: 1, clients: 3.5, last_server: Some(4) }),
+        StateRecord::Group(GroupRecord { group: 2, clients: 4.5, last_server: None }),
+        StateRecord::Reservation(place(u64::MAX)),
+        StateRecord::Connection(place(5)),
     ];
     let learned = [
         SnapshotEntry::LoadModel(LoadModel {
@@ -72,18 +74,18 @@
             excluded_until: None,
         }),
     ];
-    let known = known.into_iter().map(SnapshotEntry::Balancer).chain(learned).map(Line::Known);
-    (head, std::iter::once(Line::Endpoint(endpoint)).chain(known).collect())
+    let known = known.into_iter().map(SnapshotEntry::Balancer).chain(learned).map(Line::State);
+    (header, std::iter::once(Line::Endpoint(endpoint)).chain(known).collect())
 }
 
 #[test]
 fn a_record_is_written_byte_for_byte_as_stored_ones_are() {
-    let (head, lines) = record();
-    let mut encoder = Encoder::begin(Vec::new(), &head).expect("memory");
+    let (header, lines) = record();
+    let mut encoder = Encoder::begin(Vec::new(), &header).expect("memory");
     for line in &lines {
-        encoder.line(line).expect("memory");
+        encoder.write_line(line).expect("memory");
     }
-    let (written, count) = encoder.end().expect("memory");
+    let (written, count) = encoder.finish().expect("memory");
     assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(STORED));
     assert_eq!((count, VERSION), (11, 1));
 }
@@ -91,14 +93,14 @@
 #[test]
 fn a_stored_record_is_read_back_as_what_was_written() {
     let stored = decode::<SnapshotEntry>(STORED).expect("a good record");
-    let (head, lines) = record();
-    let (mut endpoints, mut known) = (Vec::new(), Vec::new());
+    let (header, lines) = record();
+    let (mut endpoints, mut entries) = (Vec::new(), Vec::new());
     for line in lines {
         match line {
             Line::Endpoint(endpoint) => endpoints.push(endpoint),
-            Line::Known(learned) => known.push(learned),
+            Line::State(entry) => entries.push(entry),
         }
     }
-    assert_eq!((stored.list.index, stored.list.snapshot, stored.unknown), (head.index, true, 0));
-    assert_eq!((stored.head, stored.list.endpoints, stored.known), (head, endpoints, known));
+    assert_eq!((stored.list.index, stored.list.snapshot, stored.unknown_lines), (header.list_index, true, 0));
+    assert_eq!((stored.header, stored.list.endpoints, stored.entries), (header, endpoints, entries));
 }
