--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -233,7 +233,7 @@
         (self.at, self.learned) = (now, Vec::new());
         let mut at = ExportCursor::default();
         while at != ExportCursor::End {
-            at = driver.gate().recollect(at, 512, &mut self.learned);
+            at = driver.gate().export_state(at, 512, &mut self.learned);
         }
     }
 
@@ -242,7 +242,7 @@
         if let Policy::Module(driver) = policy {
             let (past, learned) =
                 (seconds_from_micros(now.saturating_sub(self.at)), std::mem::take(&mut self.learned));
-            driver.gate().recall(seconds_from_micros(now), past, true, learned);
+            driver.gate().restore_state(seconds_from_micros(now), past, true, learned);
         }
     }
 }
@@ -265,7 +265,7 @@
             peers.tell(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
                 time,
                 self.id,
-                driver.gate().holds(),
+                driver.gate().holdings(),
             )));
         }
     }
@@ -337,7 +337,7 @@
         let Some((peers, policy)) = &mut self.life else { return };
         told.lines = peers.said();
         if let Policy::Module(driver) = policy {
-            let stats = driver.gate().care().stats();
+            let stats = driver.gate().overload_controller().stats();
             told.level = stats.level.level.name();
             let moves = &stats.rebalance;
             told.gauges = vec![
