--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -231,7 +231,7 @@
 
 /// Descriptors that two processes share.
 impl EventLoop {
-    /// GossipTransport successors how many descriptors this process holds or may take, and keeps to that.
+    /// Tells successors how many descriptors this process holds or may take, and keeps to that.
     pub(super) fn notify_successors(&mut self) {
         if !self.siblings.has_successor() {
             self.siblings.descriptor_allowance = None;
