--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -304,7 +304,7 @@
             ("workers", self.operator.workers != next.operator.workers),
             ("snapshot", self.operator.snapshot != next.operator.snapshot),
             ("gossip", self.operator.gossip != next.operator.gossip),
-            ("tenancy.on", self.operator.tenancy.on != next.operator.tenancy.on),
+            ("tenancy.on", self.operator.tenancy.is_enabled != next.operator.tenancy.is_enabled),
         ];
         changed.into_iter().filter(|c| c.1).map(|c| c.0).collect()
     }
--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -41,15 +41,15 @@
         names: &NameIndex,
         me: &str,
     ) -> Result<Option<Fleet>, ConfigError> {
-        if of.store.is_empty() {
+        if of.store_endpoints.is_empty() {
             return Ok(None);
         }
-        for at in &of.store {
+        for at in &of.store_endpoints {
             if !at.starts_with("http://") {
                 return Err(wrong("budgets.store", format!("{at:?} is not http://HOST:PORT")));
             }
         }
-        let Some(members) = &of.members else {
+        let Some(members) = &of.members_file else {
             return Err(wrong("budgets.members", "missing; the file that names all balancers, one a line"));
         };
         let path = members.display();
@@ -70,14 +70,18 @@
             return Err(wrong("name", format!("{me:?} has a '/', which budgets can't have")));
         }
         let mut budgets = Vec::new();
-        budgets.extend(of.set_ups.map(|total| Budget {
+        budgets.extend(of.setups_per_second.map(|total| Budget {
             name: SET_UPS.to_owned(),
             kind: BudgetKind::Rate,
             total,
         }));
         let mut tenants = vec![None; set.tenant_connection_quotas.len()];
         for (tenant, place) in &names.tenants {
-            let quota = set.tenant_connection_quotas.get(*place).copied().filter(|q| of.tenants && *q > 0.0);
+            let quota = set
+                .tenant_connection_quotas
+                .get(*place)
+                .copied()
+                .filter(|q| of.has_tenant_budgets && *q > 0.0);
             if let (Some(whole), Some(slot)) = (quota, tenants.get_mut(*place)) {
                 let name = format!("connections of {tenant}");
                 *slot = Some(name.clone());
@@ -92,16 +96,16 @@
         let rules = BudgetSettings {
             budgets,
             lease: micros_from_seconds(of.lease_s),
-            clock_margin: micros_from_seconds(of.margin_s),
-            poll_interval: micros_from_seconds(of.look_s),
-            drain_time: micros_from_seconds(of.linger_s),
-            reserve_ratio: of.reserve,
-            even_ratio: of.floor,
+            clock_margin: micros_from_seconds(of.clock_margin_s),
+            poll_interval: micros_from_seconds(of.poll_interval_s),
+            drain_time: micros_from_seconds(of.drain_time_s),
+            reserve_ratio: of.reserve_ratio,
+            even_ratio: of.floor_ratio,
             max_members: all.len(),
             member_index: place,
         };
         rules.check().map_err(|error| wrong(&format!("budgets.{}", key(error.key())), error))?;
-        Ok(Some(Fleet { store: of.store.clone(), prefix: of.prefix.clone(), rules, tenants }))
+        Ok(Some(Fleet { store: of.store_endpoints.clone(), prefix: of.key_prefix.clone(), rules, tenants }))
     }
 }
 
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -8,9 +8,9 @@
     let members = folder.path().join("members");
     std::fs::write(&members, "# the fleet\nn1\nn2 # far\n\n").expect("written");
     let good = Budgets {
-        store: vec!["http://127.0.0.1:1".to_owned()],
-        members: Some(members.clone()),
-        set_ups: Some(100.0),
+        store_endpoints: vec!["http://127.0.0.1:1".to_owned()],
+        members_file: Some(members.clone()),
+        setups_per_second: Some(100.0),
         ..Budgets::default()
     };
     let set = shorewharf_settings::settings(br#"{"me": 0}"#).expect("settings").0;
@@ -26,12 +26,12 @@
     };
     for (change, me, key, why) in [
         (&(|b: &mut Budgets| b.lease_s = 1.0) as &dyn Fn(&mut Budgets), "n1", "budgets.lease_s", "8 looks"),
-        (&|b| b.margin_s = 2.0, "n1", "budgets.margin_s", "quarter of the lease"),
-        (&|b| b.reserve = 0.9, "n1", "budgets.reserve", "from 0 to 0.5"),
-        (&|b| b.floor = 0.9, "n1", "budgets.floor", "from 0 to 0.5"),
-        (&|b| b.members = None, "n1", "budgets.members", "missing"),
-        (&|b| b.set_ups = None, "n1", "budgets.set_ups", "nothing is shared"),
-        (&|b| b.store = vec!["127.0.0.1:1".to_owned()], "n1", "budgets.store", "http://HOST:PORT"),
+        (&|b| b.clock_margin_s = 2.0, "n1", "budgets.margin_s", "quarter of the lease"),
+        (&|b| b.reserve_ratio = 0.9, "n1", "budgets.reserve", "from 0 to 0.5"),
+        (&|b| b.floor_ratio = 0.9, "n1", "budgets.floor", "from 0 to 0.5"),
+        (&|b| b.members_file = None, "n1", "budgets.members", "missing"),
+        (&|b| b.setups_per_second = None, "n1", "budgets.set_ups", "nothing is shared"),
+        (&|b| b.store_endpoints = vec!["127.0.0.1:1".to_owned()], "n1", "budgets.store", "http://HOST:PORT"),
         (&|_| (), "n3", "budgets.members", "n3 is not there"),
     ] {
         let (at, said) = wrong(change, me);
--- a/crates/balancer/src/fleet/peers.rs
+++ b/crates/balancer/src/fleet/peers.rs
@@ -32,7 +32,7 @@
     /// # Errors
     /// A file that can't be read or used; the text names the key, and the line at fault.
     pub fn read(of: &Gossip, me: &str) -> Result<Option<Peers>, ConfigError> {
-        let Some(peers) = &of.peers else { return Ok(None) };
+        let Some(peers) = &of.peers_file else { return Ok(None) };
         let path = peers.display();
         let text =
             std::fs::read_to_string(peers).map_err(|e| wrong("gossip.peers", format!("{path}: {e}")))?;
@@ -56,13 +56,13 @@
             return Err(wrong("gossip.peers", format!("{path}: {} balancers, at most {MOST}", others.len())));
         }
         others.retain(|o| o.0 != me);
-        let Some(key) = &of.key else {
+        let Some(key) = &of.key_file else {
             return Err(wrong("gossip.key", "missing; the file with the key that all balancers share"));
         };
         let bytes = std::fs::read(key).map_err(|e| wrong("gossip.key", format!("{}: {e}", key.display())))?;
         let key = Key::new(bytes.trim_ascii()).map_err(|e| wrong("gossip.key", e))?;
         let rules = GossipSettings {
-            interval: of.every_ms * MICROS_PER_MILLISECOND,
+            interval: of.interval_ms * MICROS_PER_MILLISECOND,
             fanout: of.fanout,
             ..GossipSettings::default()
         };
--- a/crates/balancer/src/fleet/peers/tests.rs
+++ b/crates/balancer/src/fleet/peers/tests.rs
@@ -11,8 +11,8 @@
         Some(path)
     };
     let of = |peers: &str, key: &str| Gossip {
-        peers: file("peers", peers),
-        key: file("key", key),
+        peers_file: file("peers", peers),
+        key_file: file("key", key),
         ..Gossip::default()
     };
     let good = "# the fleet\nn1 127.0.0.1:1\n\nn2 127.0.0.2:1 # far\n";
@@ -29,6 +29,6 @@
         let e = Peers::read(&of(peers, key), "n1").expect_err(why);
         assert!(e.key() == named && e.why().contains(why), "{e}");
     }
-    let none = Gossip { key: None, ..of(good, key) };
+    let none = Gossip { key_file: None, ..of(good, key) };
     assert_eq!(Peers::read(&none, "n1").expect_err("no key").key(), "gossip.key");
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -89,8 +89,8 @@
     (worker, workers): (usize, usize),
 ) -> Option<(SnapshotTask, Option<(SnapshotState, EndpointList)>)> {
     let set = &config.operator.snapshot;
-    let path = set.folder.as_ref()?;
-    let opened = SnapshotFolder::open(path, worker, set.keep).and_then(|folder| {
+    let path = set.directory.as_ref()?;
+    let opened = SnapshotFolder::open(path, worker, set.generations).and_then(|folder| {
         let found = find(&folder, config, set, (worker, workers))?;
         Ok((SnapshotWriter::start(folder)?, found))
     });
@@ -98,7 +98,7 @@
         opened.inspect_err(|e| warn!(event = "no-snapshots", folder = %path.display(), error = %e)).ok()?;
     let balancer = config.name.clone();
     let (at, began, fails) = (None, 0, false);
-    let every = micros_from_seconds(set.every_s);
+    let every = micros_from_seconds(set.interval_s);
     Some((SnapshotTask { writer, every, balancer, worker, workers, at, began, fails }, found))
 }
 
@@ -114,7 +114,7 @@
     (worker, workers): (usize, usize),
 ) -> io::Result<Option<(SnapshotState, EndpointList)>> {
     let (balancer, now, max_age, list) =
-        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
+        (&*config.name, unix(), micros_from_seconds(set.max_age_s), &config.known);
     let criteria = RestoreCriteria { balancer, worker, worker_count: workers, now, max_age, list };
     let selection = select(folder, &criteria)?;
     for RejectedSnapshot { path, cause } in &selection.rejected {
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -219,9 +219,10 @@
             memory.recall(event_loop.now(), driver.gate());
         }
         if self.keeping.is_some() {
-            event_loop
-                .context
-                .schedule_after(micros_from_seconds(config.operator.snapshot.every_s), TimerEvent::Snapshot);
+            event_loop.context.schedule_after(
+                micros_from_seconds(config.operator.snapshot.interval_s),
+                TimerEvent::Snapshot,
+            );
         }
         if let Some(lead) = &self.lead {
             // The address that is bound: the port may have been left to the system.
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -26,7 +26,7 @@
 const MAX_LOGGED_TENANTS: usize = 8;
 
 fn controller_options(operator: &Operator) -> Options {
-    let Recovery { levels, repeats, rebalance } = operator.recovery;
+    let Recovery { levels, retry_budget: repeats, rebalance } = operator.recovery;
     Options { levels, retry_budget: repeats, rebalance }
 }
 
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -19,9 +19,9 @@
     let longest_wait =
         if settings.sends_retry_after { micros_from_seconds(settings.max_retry_after) } else { 0 };
     TenancySettings {
-        lending_ratio: tenancy.lend,
-        rations_within_quota: tenancy.ration,
-        migrations_per_second: tenancy.moves_per_s / workers,
+        lending_ratio: tenancy.lending_ratio,
+        rations_within_quota: tenancy.rations_within_quota,
+        migrations_per_second: tenancy.migrations_per_second / workers,
         longest_wait,
         ..TenancySettings::new(settings.instance_count * workers)
     }
@@ -40,7 +40,7 @@
     /// Creates the check; none where the operator does not want it or the settings have no quotas.
     pub fn new(now: Micros, settings: &Settings, operator: &Operator) -> Option<Tenants> {
         let has_quotas = !settings.tenant_connection_quotas.iter().all(|quota| *quota <= 0.0);
-        if !operator.tenancy.on || !has_quotas {
+        if !operator.tenancy.is_enabled || !has_quotas {
             return None;
         }
         let mut tenants = Tenants { tenancy: Tenancy::new(tenancy_settings(settings, operator), now) };
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -115,13 +115,16 @@
         if policy == "module-unsounded" {
             return Ok(PolicyHosts { sounds: false, ..PolicyHosts::new(PolicyChoice::Module) });
         }
-        let tenancy = |on| Operator { tenancy: Tenancy { on, ..Tenancy::default() }, ..Operator::default() };
+        let tenancy = |on| Operator {
+            tenancy: Tenancy { is_enabled: on, ..Tenancy::default() },
+            ..Operator::default()
+        };
         let operator = match policy {
             "module-with-tenancy" => tenancy(true),
             "module-without-tenancy" => tenancy(false),
             "module-alone" => care(Recovery::OFF),
             "module-levels" => care(Recovery { levels: true, ..Recovery::OFF }),
-            "module-repeats" => care(Recovery { repeats: true, ..Recovery::OFF }),
+            "module-repeats" => care(Recovery { retry_budget: true, ..Recovery::OFF }),
             "module-moves" => care(Recovery { rebalance: true, ..Recovery::OFF }),
             "module-care" => care(Recovery::ALL),
             other => match other.strip_prefix("module@").map(PathBuf::from) {
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,18 +1,22 @@
-//! The operator's own file: what the platform's configuration says nothing of. Nothing of it is needed; every part has
-//! a default, and a key that is unknown or out of its range is refused by name.
+//! The operator's own file: what the platform's configuration does not cover. Every key has a default; a key that is unknown
+//! or out of its range is rejected by name.
 
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The file can't be used; the text names the key at fault.
+/// More workers than cores don't help: each has a server table of its own.
+const MAX_WORKERS: f64 = 64.0;
+
+/// Why an operator's file can't be used; the text names the key at fault.
 #[derive(Debug, Error)]
 pub enum OperatorError {
-    /// A key is unknown, or its value has the wrong form.
+    /// A key is unknown, or its value has the wrong type.
     #[error("{0}")]
     Form(#[from] serde_path_to_error::Error<toml::de::Error>),
-    /// It is no TOML.
+    /// The file is not TOML.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
     /// A value is out of its range.
@@ -20,214 +24,275 @@
     Range {
         /// The key.
         key: &'static str,
-        /// What it says.
+        /// Its value.
         value: f64,
         /// What is allowed.
         allowed: &'static str,
     },
 }
 
-/// All that the operator says.
+/// The whole file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operator {
-    /// Loops on threads of their own; each is an instance of its own to the rules.
+    /// Event loops, each on a thread and with an instance of the decisions of its own.
     pub workers: usize,
-    /// Tenants' shares.
+    /// Tenants' quotas.
     pub tenancy: Tenancy,
-    /// What is done when much of the fleet fails.
+    /// Overload and recovery.
     pub recovery: Recovery,
-    /// What is known, kept over the program's end.
+    /// State that is kept over restarts.
     pub snapshot: Snapshot,
-    /// What balancers tell each other.
+    /// Reports between balancers.
     pub gossip: Gossip,
     /// Budgets of the whole fleet.
     pub budgets: Budgets,
 }
 
-/// Budgets of the whole fleet, divided among its balancers through a store that they share.
+/// Budgets of the whole fleet, divided among its balancers through a store.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Budgets {
-    /// The store's members, as `http://HOST:PORT`; without one there are no budgets.
-    pub store: Vec<String>,
-    /// What all keys in the store begin with.
-    pub prefix: String,
+    /// Members of the store, as `http://HOST:PORT`; without one there are no budgets.
+    #[serde(rename = "store")]
+    pub store_endpoints: Vec<String>,
+    /// Prefix of all keys in the store.
+    #[serde(rename = "prefix")]
+    pub key_prefix: String,
     /// The file that names all balancers that there may be, one a line.
-    pub members: Option<PathBuf>,
+    #[serde(rename = "members")]
+    pub members_file: Option<PathBuf>,
     /// Set-ups a second of the whole fleet.
-    pub set_ups: Option<f64>,
-    /// Tenants' shares of connections are the whole fleet's, by the settings' quotas.
-    pub tenants: bool,
-    /// A part is in force for so long without a word from the store, in seconds.
+    #[serde(rename = "set_ups")]
+    pub setups_per_second: Option<f64>,
+    /// Whether tenants' connection quotas hold for the whole fleet.
+    #[serde(rename = "tenants")]
+    pub has_tenant_budgets: bool,
+    /// An allocation is in force for this long without a word from the store, in seconds.
     pub lease_s: f64,
-    /// Clocks may run apart by so much in a lease, in seconds.
-    pub margin_s: f64,
-    /// The store is looked at so often, in seconds.
-    pub look_s: f64,
-    /// Connections that stand under a part that has ended are moved within so long, in seconds.
-    pub linger_s: f64,
-    /// The part of each whole that is kept back for balancers without a word from the store.
-    pub reserve: f64,
-    /// The part of the rest that all get alike, whatever they need.
-    pub floor: f64,
+    /// Clocks may drift apart by this much in a lease, in seconds.
+    #[serde(rename = "margin_s")]
+    pub clock_margin_s: f64,
+    /// The store is polled this often, in seconds.
+    #[serde(rename = "look_s")]
+    pub poll_interval_s: f64,
+    /// Connections beyond an allocation that has ended are migrated within this time, in seconds.
+    #[serde(rename = "linger_s")]
+    pub drain_time_s: f64,
+    /// Share of each budget that is kept back for balancers without a word from the store.
+    #[serde(rename = "reserve")]
+    pub reserve_ratio: f64,
+    /// Share of the rest that is divided evenly, whatever the demand.
+    #[serde(rename = "floor")]
+    pub floor_ratio: f64,
 }
 
 impl Default for Budgets {
-    /// What a killed balancer had is the others' within four seconds.
+    /// The allocations of a balancer that was killed go to the others within four seconds.
     fn default() -> Self {
         Budgets {
-            store: Vec::new(),
-            prefix: "shorewharf".to_owned(),
-            members: None,
-            set_ups: None,
-            tenants: false,
+            store_endpoints: Vec::new(),
+            key_prefix: "shorewharf".to_owned(),
+            members_file: None,
+            setups_per_second: None,
+            has_tenant_budgets: false,
             lease_s: 3.0,
-            margin_s: 0.2,
-            look_s: 0.25,
-            linger_s: 3.0,
-            reserve: 0.05,
-            floor: 0.05,
+            clock_margin_s: 0.2,
+            poll_interval_s: 0.25,
+            drain_time_s: 3.0,
+            reserve_ratio: 0.05,
+            floor_ratio: 0.05,
         }
     }
 }
 
-/// What balancers tell each other of what they hold.
+/// Reports between balancers of what they hold.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Gossip {
-    /// The file that names all balancers of the fleet; without one nothing is told.
-    pub peers: Option<PathBuf>,
+    /// The file that names all balancers of the fleet; without one nothing is reported.
+    #[serde(rename = "peers")]
+    pub peers_file: Option<PathBuf>,
     /// The file with the key that they share.
-    pub key: Option<PathBuf>,
-    /// How often others are told, in milliseconds.
-    pub every_ms: u64,
-    /// How many of them each time.
+    #[serde(rename = "key")]
+    pub key_file: Option<PathBuf>,
+    /// Time between two reports, in milliseconds.
+    #[serde(rename = "every_ms")]
+    pub interval_ms: u64,
+    /// Balancers that each report goes to.
     pub fanout: usize,
 }
 
 impl Default for Gossip {
-    /// Some 80 KB a second at most, whatever the size of the fleet.
     fn default() -> Self {
-        Gossip { peers: None, key: None, every_ms: 50, fanout: 3 }
+        Gossip { peers_file: None, key_file: None, interval_ms: 50, fanout: 3 }
     }
 }
 
-/// What is known, kept over the program's end.
+/// State that is kept over restarts.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Snapshot {
-    /// Where it is kept; without one nothing is.
-    pub folder: Option<PathBuf>,
-    /// How often, in seconds.
-    pub every_s: f64,
-    /// Generations that are kept.
-    pub keep: usize,
-    /// Nothing older is believed at a start, in seconds.
-    pub oldest_s: f64,
+    /// Where snapshots are kept; without one there are none.
+    #[serde(rename = "folder")]
+    pub directory: Option<PathBuf>,
+    /// Time between two snapshots, in seconds.
+    #[serde(rename = "every_s")]
+    pub interval_s: f64,
+    /// Snapshots that are kept.
+    #[serde(rename = "keep")]
+    pub generations: usize,
+    /// Older snapshots are not restored, in seconds.
+    #[serde(rename = "oldest_s")]
+    pub max_age_s: f64,
 }
 
 impl Default for Snapshot {
-    /// Servers warm up, and groups fade, within minutes: what is older says little.
+    /// Servers warm up, and groups decay, within minutes.
     fn default() -> Self {
-        Snapshot { folder: None, every_s: 2.0, keep: 3, oldest_s: 600.0 }
+        Snapshot { directory: None, interval_s: 2.0, generations: 3, max_age_s: 600.0 }
     }
 }
 
-/// What is done when much of the fleet fails.
+/// What is done under overload and when much of the fleet fails.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Recovery {
-    /// Levels of reduced service change what they say they change; they are told in any case.
+    /// Whether levels of reduced service take effect; they are reported in any case.
     pub levels: bool,
-    /// Repeated attempts need a budget.
-    pub repeats: bool,
-    /// Standing connections move towards balance.
+    /// Whether retries need a budget.
+    #[serde(rename = "repeats")]
+    pub retry_budget: bool,
+    /// Whether established connections are migrated towards balance.
     pub rebalance: bool,
 }
 
 impl Recovery {
-    /// Nothing is done; levels are told.
-    pub const OFF: Recovery = Recovery { levels: false, repeats: false, rebalance: false };
-    /// Everything.
-    pub const ALL: Recovery = Recovery { levels: true, repeats: true, rebalance: true };
+    /// Nothing is done; levels are reported.
+    pub const OFF: Recovery = Recovery { levels: false, retry_budget: false, rebalance: false };
+    /// Everything is done.
+    pub const ALL: Recovery = Recovery { levels: true, retry_budget: true, rebalance: true };
 }
 
 impl Default for Recovery {
-    /// Moves cost a little and bring nothing where streams live for seconds, as on the platform.
+    /// Without rebalancing, which brings nothing where connections last for seconds.
     fn default() -> Self {
         Recovery { rebalance: false, ..Recovery::ALL }
     }
 }
 
-impl Default for Operator {
-    fn default() -> Self {
-        let (tenancy, recovery, snapshot, gossip, budgets) = Default::default();
-        Operator { workers: 1, tenancy, recovery, snapshot, gossip, budgets }
-    }
-}
-
-/// Workers beyond this help nobody: each has a table of its own, and there are not so many cores.
-const MOST_WORKERS: usize = 64;
-
-/// How tenants' shares are kept.
+/// How tenants' quotas are enforced.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenancy {
-    /// Whether they are kept at all. They are known from the settings' quotas.
-    pub on: bool,
-    /// Beyond this part of all shares together nothing is lent.
-    pub lend: f64,
-    /// When capacity is short, tenants within their shares are ranked as well.
-    pub ration: bool,
-    /// Streams of removed tenants that are moved a second.
-    pub moves_per_s: f64,
+    /// Whether the quotas of the settings are enforced at all.
+    #[serde(rename = "on")]
+    pub is_enabled: bool,
+    /// Nothing is lent beyond this share of all quotas together.
+    #[serde(rename = "lend")]
+    pub lending_ratio: f64,
+    /// Whether tenants within their quotas are ranked too when capacity is short.
+    #[serde(rename = "ration")]
+    pub rations_within_quota: bool,
+    /// Connections of removed tenants that are migrated a second.
+    #[serde(rename = "moves_per_s")]
+    pub migrations_per_second: f64,
 }
 
 impl Default for Tenancy {
     fn default() -> Self {
-        Tenancy { on: false, lend: 0.4, ration: false, moves_per_s: 20.0 }
+        Tenancy {
+            is_enabled: false,
+            lending_ratio: 0.4,
+            rations_within_quota: false,
+            migrations_per_second: 20.0,
+        }
     }
 }
 
+impl Default for Operator {
+    fn default() -> Self {
+        Operator {
+            workers: 1,
+            tenancy: Tenancy::default(),
+            recovery: Recovery::default(),
+            snapshot: Snapshot::default(),
+            gossip: Gossip::default(),
+            budgets: Budgets::default(),
+        }
+    }
+}
+
+fn check_range(
+    key: &'static str,
+    value: f64,
+    range: RangeInclusive<f64>,
+    allowed: &'static str,
+) -> Result<(), OperatorError> {
+    if range.contains(&value) { Ok(()) } else { Err(OperatorError::Range { key, value, allowed }) }
+}
+
+fn check_seconds(key: &'static str, seconds: f64) -> Result<(), OperatorError> {
+    check_range(key, seconds, 0.001..=3600.0, "from 0.001 to 3600")
+}
+
 impl Operator {
-    /// Reads the file's text.
+    /// Reads a file's text.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the text is not TOML, a key is unknown, or a value has the wrong type or is out of its range.
     pub fn parse(text: &str) -> Result<Operator, OperatorError> {
         let operator: Operator = serde_path_to_error::deserialize(toml::Deserializer::parse(text)?)?;
-        let Tenancy { lend, moves_per_s, .. } = operator.tenancy;
-        let Snapshot { every_s, keep, oldest_s, .. } = operator.snapshot;
-        let workers = operator.workers;
-        let Gossip { every_ms, fanout, .. } = operator.gossip;
-        let one = operator.gossip.peers.is_none() || workers == 1;
-        let b = &operator.budgets;
-        let alone = b.store.is_empty() || workers == 1;
-        let seconds = |s: f64| (0.001..=3600.0).contains(&s);
-        for (key, value, good, allowed) in [
-            ("workers", workers as f64, (1..=MOST_WORKERS).contains(&workers), "from 1 to 64"),
-            ("tenancy.lend", lend, (0.05..=1.0).contains(&lend), "from 0.05 to 1"),
-            ("tenancy.moves_per_s", moves_per_s, (0.1..=1e9).contains(&moves_per_s), "from 0.1 to 1e9"),
-            ("workers", workers as f64, one, "1, which [gossip] needs"),
-            ("workers", workers as f64, alone, "1, which [budgets] needs"),
-            (
-                "budgets.set_ups",
-                b.set_ups.unwrap_or(0.0),
-                (0.0..=1e9).contains(&b.set_ups.unwrap_or(0.0)),
-                "from 0 to 1e9",
-            ),
-            ("budgets.lease_s", b.lease_s, seconds(b.lease_s), "from 0.001 to 3600"),
-            ("budgets.margin_s", b.margin_s, seconds(b.margin_s), "from 0.001 to 3600"),
-            ("budgets.look_s", b.look_s, seconds(b.look_s), "from 0.001 to 3600"),
-            ("budgets.linger_s", b.linger_s, seconds(b.linger_s), "from 0.001 to 3600"),
-            ("gossip.every_ms", every_ms as f64, (10..=1000).contains(&every_ms), "from 10 to 1000"),
-            ("gossip.fanout", fanout as f64, (1..=32).contains(&fanout), "from 1 to 32"),
-            ("snapshot.every_s", every_s, (0.1..=3600.0).contains(&every_s), "from 0.1 to 3600"),
-            ("snapshot.keep", keep as f64, (1..=1000).contains(&keep), "from 1 to 1000"),
-            ("snapshot.oldest_s", oldest_s, (0.0..=1e7).contains(&oldest_s), "from 0 to 1e7"),
-        ] {
-            if !good {
-                return Err(OperatorError::Range { key, value, allowed });
-            }
-        }
+        operator.check_workers_and_tenancy()?;
+        operator.check_needs_of_single_worker()?;
+        operator.budgets.check()?;
+        operator.gossip.check()?;
+        operator.snapshot.check()?;
         Ok(operator)
     }
+
+    fn check_workers_and_tenancy(&self) -> Result<(), OperatorError> {
+        let Tenancy { lending_ratio, migrations_per_second, .. } = self.tenancy;
+        check_range("workers", self.workers as f64, 1.0..=MAX_WORKERS, "from 1 to 64")?;
+        check_range("tenancy.lend", lending_ratio, 0.05..=1.0, "from 0.05 to 1")?;
+        check_range("tenancy.moves_per_s", migrations_per_second, 0.1..=1e9, "from 0.1 to 1e9")
+    }
+
+    fn check_needs_of_single_worker(&self) -> Result<(), OperatorError> {
+        let workers = self.workers as f64;
+        if self.gossip.peers_file.is_some() {
+            check_range("workers", workers, 1.0..=1.0, "1, which [gossip] needs")?;
+        }
+        if !self.budgets.store_endpoints.is_empty() {
+            check_range("workers", workers, 1.0..=1.0, "1, which [budgets] needs")?;
+        }
+        Ok(())
+    }
+}
+
+impl Budgets {
+    fn check(&self) -> Result<(), OperatorError> {
+        let setups = self.setups_per_second.unwrap_or(0.0);
+        check_range("budgets.set_ups", setups, 0.0..=1e9, "from 0 to 1e9")?;
+        check_seconds("budgets.lease_s", self.lease_s)?;
+        check_seconds("budgets.margin_s", self.clock_margin_s)?;
+        check_seconds("budgets.look_s", self.poll_interval_s)?;
+        check_seconds("budgets.linger_s", self.drain_time_s)
+    }
+}
+
+impl Gossip {
+    fn check(&self) -> Result<(), OperatorError> {
+        check_range("gossip.every_ms", self.interval_ms as f64, 10.0..=1000.0, "from 10 to 1000")?;
+        check_range("gossip.fanout", self.fanout as f64, 1.0..=32.0, "from 1 to 32")
+    }
+}
+
+impl Snapshot {
+    fn check(&self) -> Result<(), OperatorError> {
+        check_range("snapshot.every_s", self.interval_s, 0.1..=3600.0, "from 0.1 to 3600")?;
+        check_range("snapshot.keep", self.generations as f64, 1.0..=1000.0, "from 1 to 1000")?;
+        check_range("snapshot.oldest_s", self.max_age_s, 0.0..=1e7, "from 0 to 1e7")
+    }
 }
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -18,24 +18,33 @@
     let Operator { workers, tenancy, recovery, snapshot, gossip, budgets } =
         Operator::parse(OPERATOR).expect("a good file");
     assert_eq!(workers, 1);
-    assert_eq!(tenancy, Tenancy { on: true, lend: 0.25, ration: true, moves_per_s: 7.5 });
-    assert_eq!(recovery, Recovery { levels: false, repeats: false, rebalance: true });
-    let expected = Snapshot { folder: path("/var/lib/balancer"), every_s: 4.5, keep: 5, oldest_s: 120.0 };
+    assert_eq!(
+        tenancy,
+        Tenancy {
+            is_enabled: true,
+            lending_ratio: 0.25,
+            rations_within_quota: true,
+            migrations_per_second: 7.5
+        }
+    );
+    assert_eq!(recovery, Recovery { levels: false, retry_budget: false, rebalance: true });
+    let expected =
+        Snapshot { directory: path("/var/lib/balancer"), interval_s: 4.5, generations: 5, max_age_s: 120.0 };
     assert_eq!(snapshot, expected);
     let (peers, key) = (path("/etc/balancer/peers"), path("/etc/balancer/key"));
-    assert_eq!(gossip, Gossip { peers, key, every_ms: 75, fanout: 4 });
+    assert_eq!(gossip, Gossip { peers_file: peers, key_file: key, interval_ms: 75, fanout: 4 });
     let expected = Budgets {
-        store: vec!["http://store-1:2379".to_owned(), "http://store-2:2379".to_owned()],
-        prefix: "fleet-7".to_owned(),
-        members: path("/etc/balancer/members"),
-        set_ups: Some(350.5),
-        tenants: true,
+        store_endpoints: vec!["http://store-1:2379".to_owned(), "http://store-2:2379".to_owned()],
+        key_prefix: "fleet-7".to_owned(),
+        members_file: path("/etc/balancer/members"),
+        setups_per_second: Some(350.5),
+        has_tenant_budgets: true,
         lease_s: 4.0,
-        margin_s: 0.5,
-        look_s: 0.75,
-        linger_s: 6.0,
-        reserve: 0.125,
-        floor: 0.0625,
+        clock_margin_s: 0.5,
+        poll_interval_s: 0.75,
+        drain_time_s: 6.0,
+        reserve_ratio: 0.125,
+        floor_ratio: 0.0625,
     };
     assert_eq!(budgets, expected);
 }
