--- a/crates/fault-scenarios/src/rules.rs
+++ b/crates/fault-scenarios/src/rules.rs
@@ -41,7 +41,7 @@
     let is_affected = fault.balancers.iter().any(|balancer| balancer.0 == violation.balancer);
     let is_between = |extra: Micros| is_affected && (fault.from..=fault.to + extra).contains(&violation.at);
     match fault.what {
-        // A stopped process answers nobody. What it sends once it continues is its own fault.
+        // A stopped process can't answer. What it sends once it continues is its own fault.
         NetworkFaultKind::Stall => {
             let is_of_silence =
                 matches!(violation.reason.rule(), Rule::NoRequestDropped | Rule::NoConnectionLost);
--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -72,7 +72,7 @@
                 }
                 return results;
             }
-            // Another instance wrote what was read: everything is decided anew, callers' expectations included.
+            // Another instance wrote what was read: everything is decided again, callers' expectations included.
             Err(StoreError::Conflict { .. } | StoreError::AlreadyExists { .. }) if attempt < MAX_ATTEMPTS => {
             }
             Err(e) => return fail_changes(results, contention_error(e)),
--- a/crates/store/src/commands/usage.rs
+++ b/crates/store/src/commands/usage.rs
@@ -162,7 +162,7 @@
     let more = expired.len() >= MAX_REMOVALS;
     expired.truncate(MAX_REMOVALS);
     for key in &expired {
-        // Read, so that a record which was written anew meanwhile is not removed.
+        // Read, so that a record which was written again meanwhile is not removed.
         transaction.get::<serde_json::Value>(key)?;
         transaction.remove(key);
     }
--- a/crates/store/src/digest.rs
+++ b/crates/store/src/digest.rs
@@ -1,4 +1,4 @@
-//! Hashes as they stand in records and keys: SHA-256 in hexadecimal digits.
+//! Hashes as they are stored in records and keys: SHA-256 in hexadecimal digits.
 
 use sha2::{Digest, Sha256};
 
--- a/crates/store/src/embedded/mod.rs
+++ b/crates/store/src/embedded/mod.rs
@@ -154,7 +154,7 @@
     }
 
     /// Writes within one transaction. If it is not known whether it was committed, the file is opened again: as this
-    /// is the only writer, the revision tells.
+    /// is the only writer, the revision shows it.
     fn write(
         &mut self,
         now: Micros,
--- a/crates/store/src/embedded/tables/tests.rs
+++ b/crates/store/src/embedded/tables/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Unit tests of migrations in a file.
 
 use super::*;
 use crate::commands::{ChangeRequest, Command, execute};
@@ -24,7 +24,7 @@
         execute(store, &[ChangeRequest::new(Actor::File, call)], 0).remove(0)
     };
     create(&mut store, "pay").unwrap();
-    // As schema 1 was: without an index of looks.
+    // The file as schema 1 left it: without an index of confusable names.
     let looks = store.list(&Query::all(Collection::ConfusableName), 0).unwrap().entries;
     let writes = looks.into_iter().map(|entry| (entry.key, None)).collect();
     store.apply(&Batch { conditions: vec![], writes }, 0).unwrap();
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Writes what stands between the record before and one of `collection`.
+    /// Writes what separates a record of `collection` from the one before.
     fn separator(&mut self, collection: Collection, name: &str) -> Result<(), StoreError> {
         if self.open_list == Some(collection) {
             return self.text(",\n");
--- a/crates/store/src/name/tests.rs
+++ b/crates/store/src/name/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Unit tests of names.
 
 use super::*;
 
--- a/crates/store/src/record/idempotency.rs
+++ b/crates/store/src/record/idempotency.rs
@@ -12,7 +12,7 @@
     pub(crate) caller_key_hash: String,
     /// The hash of the request.
     pub(crate) request_hash: String,
-    /// When the key may be used anew.
+    /// When the key expires and may be used again.
     pub(crate) expires: Micros,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// The stored reply to a call. The version that the reply told is the version of this record.
+/// The stored reply to a call. The version in the reply is the version of this record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IdempotencyRecord {
@@ -58,6 +58,6 @@
     /// When the call was made.
     #[serde(rename = "made")]
     pub created: Micros,
-    /// When the key may be used anew.
+    /// When the key expires and may be used again.
     pub expires: Micros,
 }
--- a/crates/store/src/replicated/mark.rs
+++ b/crates/store/src/replicated/mark.rs
@@ -1,7 +1,7 @@
 //! The mark of an instance: the name of its last transaction, which is a condition of its next one.
 //!
 //! If the answer to a transaction is lost, a fence (a transaction that only changes the mark) finds out whether the lost
-//! one was made, and keeps it from being made later.
+//! one was made, and prevents it from being made later.
 
 use rand::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -20,7 +20,7 @@
 
 /// Makes the marks of one process.
 pub(super) struct MarkSequence {
-    /// New at each start, so that an earlier process with the same name is told from this one.
+    /// New at each start, so that an earlier process with the same name is distinguished from this one.
     nonce: u64,
     sequence: u64,
 }
--- a/crates/store/src/replicated/mod.rs
+++ b/crates/store/src/replicated/mod.rs
@@ -4,13 +4,13 @@
 //!
 //! - `engine/about`: the schema and the generation. It is a condition of every transaction, so a program that is too old
 //!   can't write to a store that has been migrated, and replacing all records is one switch of generations.
-//! - `engine/head`: written by every transaction. Its revision tells whether there are changes, and in a watch it marks
+//! - `engine/head`: written by every transaction. Its revision shows whether there are changes, and in a watch it marks
 //!   that all changes up to it have come.
 //! - `engine/mark/INSTANCE`: this instance's last transaction, a condition of its next one. With it the outcome of a
 //!   transaction whose answer was lost is found out, so no change is made twice and none is reported wrongly.
 //!
 //! A watch is opened when the head has moved, and read until it shows the head, rather than left open: a silent open
-//! stream can't be told from a broken one, and the client library blocks.
+//! stream can't be distinguished from a broken one, and the client library blocks.
 
 mod api;
 mod client;
--- a/crates/store/src/replicated/watch.rs
+++ b/crates/store/src/replicated/watch.rs
@@ -10,7 +10,7 @@
 /// The most transactions that one answer about changes covers.
 const MAX_TRANSACTIONS: usize = 500;
 
-/// What a watch has told so far.
+/// Reads a watch, and collects its changes.
 pub(super) struct WatchReader<'k> {
     keyspace: &'k Keyspace,
     generation: &'k str,
@@ -71,7 +71,7 @@
         for event in response.events {
             self.on_event(event);
         }
-        // A line holds whole revisions.
+        // A line never holds part of a revision.
         Ok(self.has_reached_head || self.is_replaced || self.transactions >= MAX_TRANSACTIONS)
     }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -203,7 +203,7 @@
         /// Whether more changes can be read at once.
         more: bool,
     },
-    /// The changes are no longer known: everything must be read anew.
+    /// The changes are no longer known: all records must be read again.
     Compacted {
         /// Changes after this revision are known.
         oldest: Revision,
