--- a/crates/balancer/src/proxy/descriptors.rs
+++ b/crates/balancer/src/proxy/descriptors.rs
@@ -12,7 +12,7 @@
     /// Deducts the descriptors that another process of this balancer holds from the limit.
     pub fn set_sibling_descriptors(&mut self, descriptors: usize) {
         self.sibling_descriptors = descriptors;
-        self.descriptor_budget.set_limit(self.settings.sockets.saturating_sub(descriptors));
+        self.descriptor_budget.set_limit(self.settings.max_descriptors.saturating_sub(descriptors));
     }
 
     pub(super) fn descriptors_in_use(&self) -> Held {
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -96,7 +96,7 @@
 
     /// A `LOAD` line has come on a connection: reports the load of the connection, or the delay of the server.
     fn on_load_figure(&mut self, context: &mut LoopContext, id: RequestId, server: ServerId, figure: f64) {
-        let kind = if self.settings.tells_delay {
+        let kind = if self.settings.servers_report_delay {
             self.servers.classify_load(context.now, server, figure)
         } else {
             LoadFigure::Load
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -82,7 +82,7 @@
     /// Creates a proxy without clients. `open_ids` and `counters` are shared with other workers.
     pub fn new(settings: ProxySettings, open_ids: OpenIds, counters: WorkerCounters) -> Self {
         Proxy {
-            descriptor_budget: Budget::new(settings.sockets),
+            descriptor_budget: Budget::new(settings.max_descriptors),
             settings,
             servers: ServerTable::default(),
             probes: Probes::default(),
@@ -111,7 +111,7 @@
     pub fn apply_endpoint_list(&mut self, update: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
-        self.servers.apply_list(update, self.settings.most_servers, |server| attempts.has_server(server))
+        self.servers.apply_list(update, self.settings.max_servers, |server| attempts.has_server(server))
     }
 
     /// The name of the server of a request's attempt, for the log.
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -144,7 +144,7 @@
     }
 
     fn received_request(&self, now: Micros, id: RequestId, open: &OpenRequest) -> ReceivedRequest {
-        let timeout = open.timeout.or(self.settings.give_up.get(open.class).copied()).unwrap_or(0);
+        let timeout = open.timeout.or(self.settings.client_timeouts.get(open.class).copied()).unwrap_or(0);
         ReceivedRequest {
             id,
             class: open.class,
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -98,7 +98,7 @@
     /// Reports how long messages take: once a period for each server that is slow, and once more when it no longer is.
     pub fn report_delays(&mut self, context: &mut LoopContext) {
         let samples = self.take_delay_samples(context);
-        let slow_from = self.settings.message_aim / SLOW_SERVER_DIVISOR;
+        let slow_from = self.settings.message_latency_objective / SLOW_SERVER_DIVISOR;
         for report in self.servers.delay_reports(context.now, slow_from, &samples) {
             let name = self.servers.name(Some(report.server));
             debug!(event = "seen", server = name, us = report.delay);
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -114,7 +114,7 @@
     (worker, workers): (usize, usize),
 ) -> io::Result<Option<(SnapshotState, EndpointList)>> {
     let (balancer, now, max_age, list) =
-        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.known);
+        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.initial_endpoints);
     let criteria = RestoreCriteria { balancer, worker, worker_count: workers, now, max_age, list };
     let selection = select(folder, &criteria)?;
     for RejectedSnapshot { path, cause } in &selection.rejected {
