--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -154,7 +154,7 @@
             EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(source),
             EventSource::Gossip => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.ready(context.now);
+                    gossip.on_readable(context.now);
                 }
             }
             EventSource::AdminListener | EventSource::AdminConnection(_) => {
@@ -180,7 +180,7 @@
             self.on_sibling_ready(EventSource::Predecessor);
             process_events(self);
         }
-        if self.gossip.as_ref().is_some_and(GossipTransport::is_busy) {
+        if self.gossip.as_ref().is_some_and(GossipTransport::has_unread) {
             self.dispatch_readiness(EventSource::Gossip, Readiness::default());
         }
         while let Some(event) = self.context.timers.pop_due() {
@@ -214,7 +214,7 @@
             }
             TimerEvent::Gossip => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.alarmed(context);
+                    gossip.on_timer(context);
                 }
             }
             TimerEvent::AdminConnection(number) => {
@@ -264,7 +264,7 @@
             || self.acceptor.is_due()
             || self.admin.as_ref().is_some_and(|admin| admin.server.has_backlog())
             || self.has_sibling_work()
-            || self.gossip.as_ref().is_some_and(GossipTransport::is_busy)
+            || self.gossip.as_ref().is_some_and(GossipTransport::has_unread)
     }
 
     /// Once the loop has ended, the number of clients that were still connected.
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -1,5 +1,5 @@
-//! Datagrams between the balancers of a fleet, where the operator's file names them: what is held here goes out, and what
-//! the others hold becomes a happening. They hear at the address at which they take clients, by UDP.
+//! Sends and receives the datagrams of gossip: announces what this balancer holds to its peers, and reports to the decisions
+//! what the peers hold. Balancers receive at the address at which they accept clients, over UDP.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,185 +22,196 @@
 use crate::event_loop::poll::EventSource;
 use crate::fleet::gossip_config::GossipConfig;
 
-/// What others hold is told to the module this often.
-const TELL: Micros = 200_000;
-/// A socket that can't be had is asked for again after this: the process before may have it still.
-const AGAIN: Micros = 1_000_000;
-/// Figures go to the log this often.
-const LOG: Micros = 10_000_000;
-/// Datagrams that are read in one turn; the rest waits for the next.
-const READS: usize = 256;
+/// How often the loads of the peers are reported to the decisions.
+const REPORT_INTERVAL: Micros = 200_000;
+/// Pause before a socket that could not be opened is tried again: the process that this one replaces may still have it.
+const SOCKET_RETRY_DELAY: Micros = 1_000_000;
+/// How often statistics are logged.
+const LOG_INTERVAL: Micros = 10_000_000;
+/// Datagrams received in one iteration.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 256;
 
-/// This balancer's end.
+/// This balancer's end of gossip.
 #[derive(Debug)]
 pub struct GossipTransport {
-    at: SocketAddr,
+    address: SocketAddr,
     socket: Option<UdpSocket>,
-    others: Vec<(String, SocketAddr)>,
+    peers: Vec<(String, SocketAddr)>,
     gossip: Gossip,
-    every: Micros,
-    /// More may wait to be read.
-    more: bool,
-    /// It is time to tell.
-    due: bool,
-    told: Micros,
-    logged: Micros,
-    /// The others are heard of; none before the first look.
-    together: Option<bool>,
+    interval: Micros,
+    /// More datagrams may be waiting at the socket.
+    has_unread: bool,
+    /// An announcement is due in this iteration.
+    is_due: bool,
+    last_reported: Micros,
+    last_logged: Micros,
+    /// Whether enough peers are heard of; none before the first report.
+    has_peers: Option<bool>,
     /// Datagrams that the system did not take.
     unsent: u64,
-    /// The log was told that more is held than can be said.
-    said_untold: bool,
+    /// That holdings exceed an announcement was logged.
+    has_logged_oversize: bool,
+}
+
+fn peer_names(config: &GossipConfig) -> Vec<String> {
+    config.peers.iter().map(|(name, _)| name.clone()).collect()
 }
 
 impl GossipTransport {
-    /// The balancer of this name, which hears there. Nothing is opened yet: the first turn does.
+    /// Creates the end of the balancer `name`, which receives at `address`. The socket is opened in the first iteration.
     pub fn new(
         context: &mut LoopContext,
         name: &str,
-        at: SocketAddr,
-        peers: &GossipConfig,
+        address: SocketAddr,
+        config: &GossipConfig,
         seed: u64,
     ) -> Self {
         context.schedule_after(0, TimerEvent::Gossip);
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        let names: Vec<String> = peers.peers.iter().map(|o| o.0.clone()).collect();
-        let identity = Identity { name, incarnation: life };
-        let options = GossipOptions { key: peers.key.clone(), settings: peers.rules, seed };
-        let gossip = Gossip::new(context.now, identity, &names, options);
+        let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let identity = Identity { name, incarnation: started_at.as_micros() as u64 };
+        let options = GossipOptions { key: config.key.clone(), settings: config.rules, seed };
         GossipTransport {
-            at,
+            address,
             socket: None,
-            others: peers.peers.clone(),
-            gossip,
-            every: peers.rules.interval,
-            more: false,
-            due: false,
-            told: context.now,
-            logged: context.now,
-            together: None,
+            peers: config.peers.clone(),
+            gossip: Gossip::new(context.now, identity, &peer_names(config), options),
+            interval: config.rules.interval,
+            has_unread: false,
+            is_due: false,
+            last_reported: context.now,
+            last_logged: context.now,
+            has_peers: None,
             unsent: 0,
-            said_untold: false,
+            has_logged_oversize: false,
         }
     }
 
-    /// The fleet is another one.
-    pub fn take_peers(&mut self, peers: &GossipConfig) {
-        let names: Vec<String> = peers.peers.iter().map(|o| o.0.clone()).collect();
-        self.gossip.set_peers(&names);
-        self.others.clone_from(&peers.peers);
+    /// Replaces the peers by those of a reloaded configuration.
+    pub fn set_peers(&mut self, config: &GossipConfig) {
+        self.gossip.set_peers(&peer_names(config));
+        self.peers.clone_from(&config.peers);
     }
 
-    /// The timer has come.
-    pub fn alarmed(&mut self, context: &mut LoopContext) {
-        if self.socket.is_none() {
-            let opened = UdpSocket::bind(self.at).and_then(|mut socket| {
-                context.registry.register_readable(&mut socket, EventSource::Gossip)?;
-                Ok(socket)
-            });
-            match opened {
-                Ok(socket) => self.socket = Some(socket),
-                Err(e) => {
-                    warn!(event = "gossip-off", at = %self.at, error = %e);
-                    context.schedule_after(AGAIN, TimerEvent::Gossip);
-                    return;
-                }
-            }
+    /// The timer has fired: an announcement is due, or the socket is tried again.
+    pub fn on_timer(&mut self, context: &mut LoopContext) {
+        if self.socket.is_none()
+            && let Err(e) = self.open_socket(context)
+        {
+            warn!(event = "gossip-off", at = %self.address, error = %e);
+            context.schedule_after(SOCKET_RETRY_DELAY, TimerEvent::Gossip);
+            return;
         }
-        self.due = true;
-        context.schedule_after(self.every, TimerEvent::Gossip);
+        self.is_due = true;
+        context.schedule_after(self.interval, TimerEvent::Gossip);
+    }
+
+    fn open_socket(&mut self, context: &LoopContext) -> io::Result<()> {
+        let mut socket = UdpSocket::bind(self.address)?;
+        context.registry.register_readable(&mut socket, EventSource::Gossip)?;
+        self.socket = Some(socket);
+        Ok(())
     }
 
-    /// Whether it is time to tell, which is said once.
-    pub fn is_due(&mut self) -> bool {
-        std::mem::take(&mut self.due)
+    /// Whether an announcement is due; it counts as made.
+    pub fn take_due(&mut self) -> bool {
+        std::mem::take(&mut self.is_due)
     }
 
-    /// Whether there is more to be read.
-    pub fn is_busy(&self) -> bool {
-        self.more
+    /// Whether more datagrams may be waiting than one iteration receives.
+    pub fn has_unread(&self) -> bool {
+        self.has_unread
     }
 
-    /// Reads what has come.
-    pub fn ready(&mut self, now: Micros) {
+    /// Receives datagrams.
+    pub fn on_readable(&mut self, now: Micros) {
         let Some(socket) = &self.socket else { return };
-        // One byte more than any of ours: what is longer is cut, and its seal is wrong then.
+        // One byte more than any valid datagram: a longer one is cut off, and its seal is wrong then.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-        self.more = true;
-        for _ in 0..READS {
+        self.has_unread = true;
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match socket.recv(&mut buffer) {
-                Ok(n) => self.gossip.on_datagram(now, &buffer[..n]),
+                Ok(length) => self.gossip.on_datagram(now, &buffer[..length]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.more = false;
+                    self.has_unread = false;
                     break;
                 }
-                // What was sent earlier found nobody there, which is told here.
+                // The error of an earlier send to a peer that is not there.
                 Err(_) => {}
             }
         }
     }
 
-    /// Announces this balancer's holdings to its peers, and passes theirs on to the decisions.
-    pub fn tell(&mut self, context: &mut LoopContext, holds: Vec<Holding>) {
-        let held = |h: Holding| AnnouncedHolding {
-            server: h.server.0,
-            group: h.group as u32,
-            load: h.load.max(0.0) as f32,
-            connections: u16::try_from(h.connections).unwrap_or(u16::MAX),
-        };
-        let out = self.gossip.outgoing(context.now, holds.into_iter().map(held).collect());
-        if let Some(socket) = &self.socket {
-            for OutgoingDatagram { peer, bytes } in out {
-                if socket.send_to(&bytes, self.others[peer].1).is_err() {
-                    self.unsent += 1;
-                }
-            }
-        }
-        if context.now >= self.told + TELL {
-            self.told = context.now;
-            let elsewhere = self.gossip.peer_loads(context.now);
-            let together = elsewhere.is_some();
-            if self.together.replace(together) != Some(together) {
-                let heard = elsewhere.as_ref().map_or(0.0, |loads| loads.coverage);
-                let state = if together { "together" } else { "alone" };
-                info!(
-                    event = "gossip",
-                    state,
-                    heard = format_args!("{heard:.2}"),
-                    others = self.others.len()
-                );
-            }
-            context.emit(NetworkEvent::RemoteLoadsUpdated(elsewhere.map(away)));
+    /// Announces what this balancer holds, and reports to the decisions what the peers hold.
+    pub fn broadcast(&mut self, context: &mut LoopContext, holdings: Vec<Holding>) {
+        self.send(context.now, holdings);
+        if context.now >= self.last_reported + REPORT_INTERVAL {
+            self.last_reported = context.now;
+            self.report_loads(context);
         }
-        let untold = self.gossip.stats().oversized;
-        if untold > 0 && !std::mem::replace(&mut self.said_untold, true) {
+        if self.gossip.stats().oversized > 0 && !std::mem::replace(&mut self.has_logged_oversize, true) {
             warn!(event = "gossip-untold", most = MAX_HOLDINGS);
         }
-        if context.now >= self.logged + LOG {
-            self.logged = context.now;
-            let s = self.gossip.stats();
-            let refused = |why: RejectReason| s.rejected.get(&why).copied().unwrap_or(0);
-            debug!(
-                event = "gossip-figures",
-                sent = s.datagrams_sent,
-                bytes = s.bytes_sent,
-                unsent = self.unsent,
-                untold,
-                came = s.datagrams_received,
-                news = s.accepted,
-                old = refused(RejectReason::Outdated),
-                malformed = refused(RejectReason::Malformed),
-                seal = refused(RejectReason::InvalidSeal),
-                foreign = refused(RejectReason::UnknownSender),
-            );
+        if context.now >= self.last_logged + LOG_INTERVAL {
+            self.last_logged = context.now;
+            self.log_stats();
         }
     }
+
+    fn send(&mut self, now: Micros, holdings: Vec<Holding>) {
+        let outgoing = self.gossip.outgoing(now, holdings.into_iter().map(announced).collect());
+        let Some(socket) = &self.socket else { return };
+        for OutgoingDatagram { peer, bytes } in outgoing {
+            let (_, address) = self.peers[peer];
+            if socket.send_to(&bytes, address).is_err() {
+                self.unsent += 1;
+            }
+        }
+    }
+
+    fn report_loads(&mut self, context: &mut LoopContext) {
+        let loads = self.gossip.peer_loads(context.now);
+        let has_peers = loads.is_some();
+        if self.has_peers.replace(has_peers) != Some(has_peers) {
+            let coverage = loads.as_ref().map_or(0.0, |loads| loads.coverage);
+            let state = if has_peers { "together" } else { "alone" };
+            let heard = format_args!("{coverage:.2}");
+            info!(event = "gossip", state, heard, others = self.peers.len());
+        }
+        context.emit(NetworkEvent::RemoteLoadsUpdated(loads.map(remote_loads)));
+    }
+
+    fn log_stats(&self) {
+        let stats = self.gossip.stats();
+        let rejected = |reason| stats.rejected.get(&reason).copied().unwrap_or(0);
+        debug!(
+            event = "gossip-figures",
+            sent = stats.datagrams_sent,
+            bytes = stats.bytes_sent,
+            unsent = self.unsent,
+            untold = stats.oversized,
+            came = stats.datagrams_received,
+            news = stats.accepted,
+            old = rejected(RejectReason::Outdated),
+            malformed = rejected(RejectReason::Malformed),
+            seal = rejected(RejectReason::InvalidSeal),
+            foreign = rejected(RejectReason::UnknownSender),
+        );
+    }
+}
+
+fn announced(holding: Holding) -> AnnouncedHolding {
+    AnnouncedHolding {
+        server: holding.server.0,
+        group: holding.group as u32,
+        load: holding.load.max(0.0) as f32,
+        connections: u16::try_from(holding.connections).unwrap_or(u16::MAX),
+    }
 }
 
-fn away(loads: PeerLoads) -> Arc<BTreeMap<ServerId, RemoteLoad>> {
-    let remote_load = |(id, server): (u64, RemoteServerLoad)| {
-        let RemoteServerLoad { load, connections, groups } = server;
-        (ServerId(id), RemoteLoad { load, connections, groups })
+fn remote_loads(loads: PeerLoads) -> Arc<BTreeMap<ServerId, RemoteLoad>> {
+    let remote_load = |(server, load): (u64, RemoteServerLoad)| {
+        let RemoteServerLoad { load, connections, groups } = load;
+        (ServerId(server), RemoteLoad { load, connections, groups })
     };
     Arc::new(loads.servers.into_iter().map(remote_load).collect())
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -19,4 +19,4 @@
 mod workers;
 
 pub use admin::server::MAX_CONNECTIONS;
-pub use workers::startup::{Failure, run};
+pub use workers::startup::{RunError, run};
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use shorewharf::Failure;
+use shorewharf::RunError;
 use shorewharf::config::summary;
 use shorewharf::config::{Config, ConfigError, OPERATOR_VARIABLE};
 use shorewharf_logging::LogArgs;
@@ -74,11 +74,11 @@
     };
     match shorewharf::run(config, take_over, move || Config::read(&env)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Config(e)) => {
+        Err(RunError::Config(e)) => {
             error!(event = "bad-config", key = e.key(), why = %e.reason());
             ExitCode::from(BAD_CONFIG)
         }
-        Err(Failure::System(e)) => {
+        Err(RunError::System(e)) => {
             error!(event = "cannot-run", error = %e);
             ExitCode::FAILURE
         }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -33,7 +33,7 @@
 pub fn apply(config: &Config, event_loop: &mut EventLoop, driver: &mut Driver) {
     event_loop.update_settings(ProxySettings::from(config), config.discovery);
     if let (Some(transport), Some(gossip)) = (&mut event_loop.gossip, &config.gossip) {
-        transport.take_peers(gossip);
+        transport.set_peers(gossip);
     }
     driver.update_settings(event_loop.now(), config.settings.clone(), &config.operator);
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! What a worker knows, kept in a folder over the program's end: read out in portions between turns, written by a thread
-//! that nobody waits for, and recalled at the next start. Off unless the operator's file names a folder.
+//! Snapshots of what a worker has learned, in a folder that outlives the process. They are exported in portions between
+//! iterations, written by a thread that nobody waits for, and restored at the next start. Off unless the operator's file
+//! names a folder.
 
 use std::io;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -8,209 +9,277 @@
 use shorewharf_driver::{AdmissionGate, Driver};
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
-use shorewharf_settings::operator::Snapshot;
 use shorewharf_snapshot::folder::SnapshotFolder;
 use shorewharf_snapshot::record::{Header, Line, VERSION};
 use shorewharf_snapshot::selection::{RejectedSnapshot, SelectedSnapshot, select};
 use shorewharf_snapshot::validation::{RestoreCriteria, newer_list};
 use shorewharf_snapshot::writer::SnapshotWriter;
-use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
+use shorewharf_units::{MICROS_PER_MILLISECOND, Micros, micros_from_seconds, seconds_from_micros};
 use tracing::{debug, info, warn};
 
 use crate::config::Config;
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 
-/// Read out in one turn: servers with their names, and things known; each takes well under 0.2 ms.
-const SERVERS: usize = 64;
-const THINGS: usize = 512;
-/// Between two portions: others have their turn.
-const STEP: Micros = 1_000;
+/// Endpoints exported in one iteration.
+const ENDPOINTS_PER_ITERATION: usize = 64;
+/// Entries of learned state exported in one iteration.
+const ENTRIES_PER_ITERATION: usize = 512;
+/// Pause between two portions, in which the event loop does its other work.
+const PORTION_INTERVAL: Micros = 1_000;
 
-/// What one before has known, and how long ago that was.
+/// Which worker of a process a snapshot belongs to.
+#[derive(Clone, Copy, Debug)]
+pub struct WorkerId {
+    /// The worker's index.
+    pub index: usize,
+    /// How many workers there are.
+    pub count: usize,
+}
+
+/// Learned state, to be restored by the decisions of a worker.
 #[derive(Debug, Default)]
 pub struct SnapshotState {
-    /// All of it.
-    pub learned: Vec<SnapshotEntry>,
-    /// When it was read out, on this program's clock.
-    pub taken: Micros,
-    /// The connections of the one before are gone, and their clients expected back.
-    pub away: bool,
-    /// Where it is from.
-    pub from: String,
+    /// The entries.
+    pub entries: Vec<SnapshotEntry>,
+    /// When they were exported, in microseconds of Unix time.
+    pub exported_at: Micros,
+    /// The connections have ended with the process that exported them, so their clients are expected back.
+    pub are_connections_lost: bool,
+    /// Where the state comes from, for the log.
+    pub source: String,
 }
 
 impl SnapshotState {
-    /// Has the module recall it, and says what became of it.
-    pub fn recall(self, now: Micros, gate: &mut AdmissionGate) {
-        let age = now.saturating_sub(self.taken);
-        let recalled =
-            gate.restore_state(seconds_from_micros(now), seconds_from_micros(age), self.away, self.learned);
-        let (taken, outdated) = (recalled.restored, recalled.outdated);
-        let (faded, odd) = (recalled.expired, recalled.invalid);
-        info!(event = "recalled", from = self.from, ms = age / 1000, taken, outdated, faded, odd);
+    /// Restores the state, and logs what became of it.
+    pub fn restore(self, now: Micros, gate: &mut AdmissionGate) {
+        let age = now.saturating_sub(self.exported_at);
+        let (now, age_s) = (seconds_from_micros(now), seconds_from_micros(age));
+        let counts = gate.restore_state(now, age_s, self.are_connections_lost, self.entries);
+        info!(
+            event = "recalled",
+            from = self.source,
+            ms = age / MICROS_PER_MILLISECOND,
+            taken = counts.restored,
+            outdated = counts.outdated,
+            faded = counts.expired,
+            odd = counts.invalid
+        );
     }
 }
 
-/// How far a reading has come.
+/// A snapshot that was found at the start.
 #[derive(Debug)]
-enum At {
-    Servers(Option<ServerId>),
-    Known(ExportCursor),
+pub struct RestoredSnapshot {
+    /// The learned state.
+    pub state: SnapshotState,
+    /// The endpoint list: the snapshot's or the configuration's, whichever is newer.
+    pub endpoints: EndpointList,
 }
 
-/// The folder of one worker.
-#[derive(Debug)]
-pub struct SnapshotTask {
-    writer: SnapshotWriter<SnapshotEntry>,
-    every: Micros,
-    balancer: String,
-    worker: usize,
-    workers: usize,
-    at: Option<At>,
-    began: Micros,
-    /// The last record could not be written: that is told once until one can.
-    fails: bool,
+/// Exports all learned state at once.
+pub fn export_all(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
+    let mut entries = Vec::new();
+    let mut cursor = ExportCursor::default();
+    while cursor != ExportCursor::End {
+        cursor = gate.export_state(cursor, ENTRIES_PER_ITERATION, &mut entries);
+    }
+    entries
 }
 
-/// All that is known, at once.
-pub fn everything(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
-    let (mut learned, mut at) = (Vec::new(), ExportCursor::default());
-    while at != ExportCursor::End {
-        at = gate.export_state(at, THINGS, &mut learned);
-    }
-    learned
+fn unix_time() -> Micros {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// What is found in the folder by a worker that starts: what keeps it, what is recalled, and the list if it is later
-/// than the configuration's. None where nothing is kept, or the folder can't be used, which is told.
-pub fn open(
-    config: &Config,
-    (worker, workers): (usize, usize),
-) -> Option<(SnapshotTask, Option<(SnapshotState, EndpointList)>)> {
-    let set = &config.operator.snapshot;
-    let path = set.folder.as_ref()?;
-    let opened = SnapshotFolder::open(path, worker, set.keep).and_then(|folder| {
-        let found = find(&folder, config, set, (worker, workers))?;
-        Ok((SnapshotWriter::start(folder)?, found))
-    });
-    let (writer, found) =
-        opened.inspect_err(|e| warn!(event = "no-snapshots", folder = %path.display(), error = %e)).ok()?;
-    let balancer = config.name.clone();
-    let (at, began, fails) = (None, 0, false);
-    let every = micros_from_seconds(set.every_s);
-    Some((SnapshotTask { writer, every, balancer, worker, workers, at, began, fails }, found))
+/// The snapshots of one worker at its start.
+#[derive(Debug, Default)]
+pub struct WorkerSnapshots {
+    /// Takes snapshots; none where they are off or the folder can't be used.
+    pub task: Option<SnapshotTask>,
+    /// The snapshot that is restored.
+    pub restored: Option<RestoredSnapshot>,
 }
 
-/// Unix time in microseconds.
-fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+impl WorkerSnapshots {
+    /// Opens the configured folder, and reads the latest snapshot that is valid. A folder that can't be used is logged.
+    pub fn open(config: &Config, worker: WorkerId) -> Self {
+        let settings = &config.operator.snapshot;
+        let Some(path) = &settings.folder else { return Self::default() };
+        let opened = SnapshotFolder::open(path, worker.index, settings.keep).and_then(|folder| {
+            let restored = read_latest(&folder, config, worker)?;
+            Ok((SnapshotWriter::start(folder)?, restored))
+        });
+        match opened {
+            Ok((writer, restored)) => {
+                let task = SnapshotTask::new(writer, config, worker);
+                WorkerSnapshots { task: Some(task), restored }
+            }
+            Err(e) => {
+                warn!(event = "no-snapshots", folder = %path.display(), error = %e);
+                Self::default()
+            }
+        }
+    }
 }
 
-fn find(
+/// Reads the latest valid snapshot, and logs those that were passed over.
+fn read_latest(
     folder: &SnapshotFolder,
     config: &Config,
-    set: &Snapshot,
-    (worker, workers): (usize, usize),
-) -> io::Result<Option<(SnapshotState, EndpointList)>> {
-    let (balancer, now, max_age, list) =
-        (&*config.name, unix(), micros_from_seconds(set.oldest_s), &config.initial_endpoints);
-    let criteria = RestoreCriteria { balancer, worker, worker_count: workers, now, max_age, list };
+    worker: WorkerId,
+) -> io::Result<Option<RestoredSnapshot>> {
+    let list = &config.initial_endpoints;
+    let criteria = RestoreCriteria {
+        balancer: &config.name,
+        worker: worker.index,
+        worker_count: worker.count,
+        now: unix_time(),
+        max_age: micros_from_seconds(config.operator.snapshot.oldest_s),
+        list,
+    };
     let selection = select(folder, &criteria)?;
     for RejectedSnapshot { path, cause } in &selection.rejected {
         warn!(event = "snapshot-left-aside", file = %path.display(), why = %cause);
     }
-    Ok(selection.selected.map(|SelectedSnapshot { path, record, .. }| {
-        if record.unknown_lines > 0 {
-            warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown_lines);
-        }
-        let from = path.display().to_string();
-        let memory =
-            SnapshotState { learned: record.entries, taken: record.header.taken_at, away: true, from };
-        (memory, newer_list(list, &record.list).clone())
-    }))
+    let Some(SelectedSnapshot { path, record, .. }) = selection.selected else { return Ok(None) };
+    if record.unknown_lines > 0 {
+        warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown_lines);
+    }
+    let endpoints = newer_list(list, &record.list).clone();
+    let state = SnapshotState {
+        entries: record.entries,
+        exported_at: record.header.taken_at,
+        are_connections_lost: true,
+        source: path.display().to_string(),
+    };
+    Ok(Some(RestoredSnapshot { state, endpoints }))
+}
+
+/// How far the export of a snapshot has come.
+#[derive(Debug)]
+enum ExportProgress {
+    /// Endpoints up to this server are exported.
+    Endpoints(Option<ServerId>),
+    /// Endpoints are exported, and learned state up to this cursor.
+    State(ExportCursor),
+}
+
+/// Takes the snapshots of one worker.
+#[derive(Debug)]
+pub struct SnapshotTask {
+    writer: SnapshotWriter<SnapshotEntry>,
+    interval: Micros,
+    balancer: String,
+    worker: WorkerId,
+    /// The snapshot that is being exported.
+    progress: Option<ExportProgress>,
+    /// When its export began, or that of the last one.
+    started_at: Micros,
+    /// The last snapshot could not be written, and that was logged.
+    has_failed: bool,
 }
 
 impl SnapshotTask {
-    /// A record is begun, or read on; the next turn for it is set.
+    fn new(writer: SnapshotWriter<SnapshotEntry>, config: &Config, worker: WorkerId) -> Self {
+        SnapshotTask {
+            writer,
+            interval: micros_from_seconds(config.operator.snapshot.every_s),
+            balancer: config.name.clone(),
+            worker,
+            progress: None,
+            started_at: 0,
+            has_failed: false,
+        }
+    }
+
+    /// Exports a portion if the timer has fired in this iteration, and sets the timer for the next one.
     pub fn on_iteration(&mut self, event_loop: &mut EventLoop, driver: &mut Driver) {
         if !std::mem::take(&mut event_loop.is_snapshot_due) {
             return;
         }
         let now = event_loop.context.now;
+        self.log_result(now);
+        self.advance(event_loop, driver.gate());
+        let delay = if self.progress.is_some() { PORTION_INTERVAL } else { self.time_to_next(now) };
+        event_loop.context.schedule_after(delay, TimerEvent::Snapshot);
+    }
+
+    /// The time until the next snapshot begins. A disk that takes longer than the interval skips one.
+    fn time_to_next(&self, now: Micros) -> Micros {
+        match (self.started_at + self.interval).saturating_sub(now) {
+            0 => self.interval,
+            remaining => remaining,
+        }
+    }
+
+    /// Logs whether the last snapshot was written; of failures in a row only the first.
+    fn log_result(&mut self, now: Micros) {
         match self.writer.take_result() {
             Some(Ok(lines)) => {
-                self.fails = false;
-                debug!(event = "snapshot-written", lines, ms = (now - self.began) / 1000);
+                self.has_failed = false;
+                let ms = (now - self.started_at) / MICROS_PER_MILLISECOND;
+                debug!(event = "snapshot-written", lines, ms);
             }
-            // Once until it works again: it is tried every few seconds.
-            Some(Err(e)) if !std::mem::replace(&mut self.fails, true) => {
+            Some(Err(e)) if !std::mem::replace(&mut self.has_failed, true) => {
                 warn!(event = "snapshot-not-written", error = %e);
             }
             Some(Err(_)) | None => {}
         }
-        self.goes_on(event_loop, driver.gate());
-        let next = match self.at {
-            Some(_) => STEP,
-            // A disk that takes longer than that is not asked for more.
-            None => {
-                Some((self.began + self.every).saturating_sub(now)).filter(|n| *n > 0).unwrap_or(self.every)
-            }
-        };
-        event_loop.context.schedule_after(next, TimerEvent::Snapshot);
     }
 
-    /// Reads a portion, of a new record where none is being read and the one before is on the disk.
-    fn goes_on(&mut self, event_loop: &EventLoop, gate: &AdmissionGate) {
-        if self.at.is_none() && self.writer.is_idle() {
-            self.began = event_loop.context.now;
-            let (balancer, worker, workers) = (self.balancer.clone(), self.worker, self.workers);
-            let (taken_at, list_index) = (unix(), event_loop.discovery.index());
+    /// Exports a portion. Begins a new snapshot if none is in progress and the last one is on the disk.
+    fn advance(&mut self, event_loop: &EventLoop, gate: &AdmissionGate) {
+        if self.progress.is_none() && self.writer.is_idle() {
+            self.started_at = event_loop.context.now;
             self.writer.begin(Header {
                 version: VERSION,
-                balancer,
-                worker,
-                worker_count: workers,
-                taken_at,
-                list_index,
+                balancer: self.balancer.clone(),
+                worker: self.worker.index,
+                worker_count: self.worker.count,
+                taken_at: unix_time(),
+                list_index: event_loop.discovery.index(),
             });
-            self.at = Some(At::Servers(None));
+            self.progress = Some(ExportProgress::Endpoints(None));
         }
-        if let Some(at) = self.at.take() {
-            self.reads(at, event_loop, gate);
+        match self.progress.take() {
+            Some(ExportProgress::Endpoints(last)) => self.export_endpoints(last, event_loop),
+            Some(ExportProgress::State(cursor)) => self.export_state(cursor, gate),
+            None => {}
         }
     }
 
-    /// The program has ended: what it knew last is read out whole, and written before the thread is let go.
-    pub fn ends(mut self, event_loop: &EventLoop, driver: &mut Driver) {
-        loop {
-            self.goes_on(event_loop, driver.gate());
-            if self.at.is_none() {
-                return;
-            }
+    fn export_endpoints(&mut self, last: Option<ServerId>, event_loop: &EventLoop) {
+        let names = &event_loop.proxy.settings.names;
+        let portion = event_loop.proxy.servers.endpoints_after(names, last, ENDPOINTS_PER_ITERATION);
+        let is_last_portion = portion.len() < ENDPOINTS_PER_ITERATION;
+        let last = portion.last().map(|(server, _)| *server);
+        let endpoints = portion.into_iter().filter_map(|(_, endpoint)| endpoint);
+        self.writer.write(endpoints.map(Line::Endpoint).collect());
+        self.progress = Some(if is_last_portion {
+            ExportProgress::State(ExportCursor::default())
+        } else {
+            ExportProgress::Endpoints(last)
+        });
+    }
+
+    fn export_state(&mut self, cursor: ExportCursor, gate: &AdmissionGate) {
+        let mut entries = Vec::new();
+        let cursor = gate.export_state(cursor, ENTRIES_PER_ITERATION, &mut entries);
+        self.writer.write(entries.into_iter().map(Line::State).collect());
+        if cursor == ExportCursor::End {
+            self.writer.finish();
+        } else {
+            self.progress = Some(ExportProgress::State(cursor));
         }
     }
 
-    fn reads(&mut self, at: At, event_loop: &EventLoop, gate: &AdmissionGate) {
-        let mut lines = Vec::new();
-        self.at = match at {
-            At::Servers(behind) => {
-                let terms = &event_loop.proxy.settings;
-                let some = event_loop.proxy.servers.endpoints_after(&terms.names, behind, SERVERS);
-                let (read, last) = (some.len(), some.last().map(|(id, _)| *id));
-                lines.extend(some.into_iter().filter_map(|(_, endpoint)| endpoint.map(Line::Endpoint)));
-                Some(if read < SERVERS { At::Known(ExportCursor::default()) } else { At::Servers(last) })
-            }
-            At::Known(cursor) => {
-                let mut learned = Vec::new();
-                let cursor = gate.export_state(cursor, THINGS, &mut learned);
-                lines.extend(learned.into_iter().map(Line::State));
-                (cursor != ExportCursor::End).then_some(At::Known(cursor))
+    /// Completes the last snapshot when the event loop has ended.
+    pub fn finish(mut self, event_loop: &EventLoop, driver: &mut Driver) {
+        loop {
+            self.advance(event_loop, driver.gate());
+            if self.progress.is_none() {
+                return;
             }
-        };
-        self.writer.write(lines);
-        if self.at.is_none() {
-            self.writer.finish();
         }
     }
 }
--- a/crates/balancer/src/supervisor.rs
+++ b/crates/balancer/src/supervisor.rs
@@ -1,6 +1,7 @@
-//! Tells a supervisor that asks for it (`NOTIFY_SOCKET`, as systemd has it) that this process serves, and is the one to
-//! watch from now on: one that has taken another's place is not the process that the supervisor started.
+//! Notifies the supervisor (`NOTIFY_SOCKET`, as systemd defines it) that this process serves, and that it is the one to
+//! watch: a process that has replaced another is not the one that the supervisor started.
 
+use std::ffi::OsStr;
 use std::io;
 use std::os::linux::net::SocketAddrExt;
 use std::os::unix::ffi::OsStrExt;
@@ -8,26 +9,27 @@
 
 use tracing::warn;
 
-/// Where it is asked for.
-const NOTIFY: &str = "NOTIFY_SOCKET";
+/// The environment variable that names the supervisor's socket.
+const SOCKET_VARIABLE: &str = "NOTIFY_SOCKET";
 
-/// This process serves.
-pub fn serves() {
-    let Some(to) = std::env::var_os(NOTIFY).filter(|to| !to.is_empty()) else { return };
-    let words = format!("READY=1\nMAINPID={}\n", std::process::id());
-    if let Err(e) = tell(to.as_bytes(), words.as_bytes()) {
-        warn!(event = "not-notified", socket = %to.display(), error = %e);
+/// Notifies the supervisor, if there is one, that this process serves. A failure is logged.
+pub fn notify_serving() {
+    let Some(socket) = std::env::var_os(SOCKET_VARIABLE).filter(|socket| !socket.is_empty()) else { return };
+    let message = format!("READY=1\nMAINPID={}\n", std::process::id());
+    if let Err(e) = send(socket.as_bytes(), message.as_bytes()) {
+        warn!(event = "not-notified", socket = %socket.display(), error = %e);
     }
 }
 
-fn tell(to: &[u8], words: &[u8]) -> io::Result<()> {
-    let address = match to.strip_prefix(b"@") {
+/// Sends a datagram to a socket in the file system, or in the abstract namespace if its name begins with `@`.
+fn send(socket: &[u8], message: &[u8]) -> io::Result<()> {
+    let address = match socket.strip_prefix(b"@") {
         Some(name) => SocketAddr::from_abstract_name(name)?,
-        None => SocketAddr::from_pathname(std::ffi::OsStr::from_bytes(to))?,
+        None => SocketAddr::from_pathname(OsStr::from_bytes(socket))?,
     };
-    let socket = UnixDatagram::unbound()?;
-    socket.set_nonblocking(true)?;
-    socket.send_to_addr(words, &address).map(drop)
+    let sender = UnixDatagram::unbound()?;
+    sender.set_nonblocking(true)?;
+    sender.send_to_addr(message, &address).map(drop)
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/workers/mod.rs
+++ b/crates/balancer/src/workers/mod.rs
@@ -2,5 +2,8 @@
 //!
 //! The primary worker (index 0) watches discovery, probes servers and handles signals for all.
 
+mod handover_start;
+mod listeners;
 pub mod pool;
 pub mod startup;
+mod worker;
--- /dev/null
+++ b/crates/balancer/src/workers/worker.rs
@@ -0,0 +1,281 @@
+//! One worker: its event loop, and the driver between that and the decisions. The primary worker also handles signals and
+//! reloads for all.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use shorewharf_driver::{Driver, Effects};
+use shorewharf_protocol::endpoint_list::EndpointList;
+use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
+use signal_hook::consts::SIGHUP;
+use signal_hook_mio::v1_0::Signals;
+use tracing::{error, info};
+
+use crate::clock::Clock;
+use crate::config::proxy_settings::ProxySettings;
+use crate::config::{Config, ConfigError};
+use crate::event_loop::context::{LoopContext, TimerEvent};
+use crate::event_loop::dispatch::{EventLoop, WorkerContext};
+use crate::event_loop::poll::{EventPoller, EventSource};
+use crate::fleet::budgets::BudgetClient;
+use crate::fleet::gossip::GossipTransport;
+use crate::reload;
+use crate::snapshot::{SnapshotState, SnapshotTask, export_all};
+use crate::supervisor;
+use crate::transport::readiness::Readiness;
+use crate::workers::pool::WorkerMessage;
+
+/// While two processes of a balancer accept clients, each keeps to this share of the load that pushes a cold server over.
+const SIBLING_OVERLOAD_SHARE: f64 = 0.5;
+
+/// Reads the whole configuration again.
+pub type ReadConfig = Box<dyn Fn() -> Result<Config, ConfigError> + Send>;
+
+/// What the primary worker does for all.
+pub struct PrimaryWorker {
+    /// Signals of the process.
+    pub signals: Signals,
+    /// Reads the configuration for a reload.
+    pub read_config: ReadConfig,
+    /// The configuration in force, of the whole process.
+    pub config: Config,
+    /// How many workers there are.
+    pub worker_count: usize,
+    /// The client of the fleet's budgets, if they are configured.
+    pub budgets: Option<BudgetClient>,
+}
+
+impl PrimaryWorker {
+    /// The configuration of a worker, by whether another process of this balancer accepts clients too.
+    fn worker_config(&self, index: usize, has_sibling: bool) -> Config {
+        let mut own = self.config.for_worker(index, self.worker_count);
+        if has_sibling {
+            own.settings.overload_ratio *= SIBLING_OVERLOAD_SHARE;
+        }
+        own
+    }
+}
+
+/// What a worker starts with.
+pub struct WorkerStart {
+    /// Polls the worker's sockets.
+    pub poller: EventPoller,
+    /// The listener, the other workers and the state shared with them.
+    pub context: WorkerContext,
+    /// The worker's own configuration.
+    pub config: Config,
+    /// The endpoint list to start from.
+    pub endpoints: Arc<EndpointList>,
+    /// The clock of the process.
+    pub clock: Clock,
+    /// Takes snapshots, if they are configured.
+    pub snapshot_task: Option<SnapshotTask>,
+    /// Learned state to restore.
+    pub restored: Option<SnapshotState>,
+    /// At the primary worker only.
+    pub primary: Option<PrimaryWorker>,
+}
+
+/// The addresses that a worker listens at.
+struct BoundAddresses {
+    clients: SocketAddr,
+    admin: Option<SocketAddr>,
+}
+
+impl WorkerStart {
+    /// Runs the worker until its shutdown is complete; returns how many clients were still connected.
+    ///
+    /// # Errors
+    /// A socket can't be registered, or polling fails.
+    pub fn run(mut self) -> io::Result<usize> {
+        let clock = self.clock;
+        let addresses = self.register_listeners()?;
+        let (mut poller, mut worker) = self.into_worker(&addresses)?;
+        worker.run_iteration(clock.read(), std::iter::empty());
+        loop {
+            if let Some(clients) = worker.event_loop.clients_at_end() {
+                worker.finish();
+                return Ok(clients);
+            }
+            let now = clock.read();
+            let timeout = worker.event_loop.end_iteration(now).saturating_sub(now);
+            poller.wait(Duration::from_micros(timeout))?;
+            worker.run_iteration(clock.read(), poller.events());
+        }
+    }
+
+    fn register_listeners(&mut self) -> io::Result<BoundAddresses> {
+        let registry = self.poller.registry()?;
+        registry.register_readable(&mut self.context.listener, EventSource::Listener)?;
+        let clients = self.context.listener.local_addr()?;
+        let mut admin_address = None;
+        if let Some(admin) = &mut self.context.admin {
+            registry.register_readable(&mut admin.listener, EventSource::AdminListener)?;
+            admin_address = admin.listener.local_addr().ok();
+        }
+        Ok(BoundAddresses { clients, admin: admin_address })
+    }
+
+    /// Creates the event loop and the driver, and restores their state.
+    fn into_worker(self, addresses: &BoundAddresses) -> io::Result<(EventPoller, Worker)> {
+        let config = self.config;
+        let context = LoopContext::new(self.poller.registry()?, self.clock.read());
+        let settings = ProxySettings::from(&config);
+        let mut event_loop = EventLoop::new(context, self.context, config.discovery, settings);
+        if let Some(gossip) = &config.gossip {
+            let context = &mut event_loop.context;
+            let transport =
+                GossipTransport::new(context, &config.name, addresses.clients, gossip, config.seed);
+            event_loop.gossip = Some(transport);
+        }
+        let entries = event_loop.restore_endpoints(&self.endpoints);
+        // From now on the server table has the list; another copy would double its memory.
+        drop(self.endpoints);
+        let server_count = entries.len();
+        let budgets = self.primary.as_ref().and_then(|primary| primary.budgets.as_ref());
+        let admission = budgets.and_then(|budgets| budgets.admission(&config));
+        let mut driver =
+            Driver::start(config.settings, &config.operator, config.seed, entries, &mut event_loop);
+        if let Some(admission) = admission {
+            driver.gate().set_budgets(admission);
+        }
+        if let Some(state) = self.restored {
+            state.restore(event_loop.now(), driver.gate());
+        }
+        if self.snapshot_task.is_some() {
+            let interval = micros_from_seconds(config.operator.snapshot.every_s);
+            event_loop.context.schedule_after(interval, TimerEvent::Snapshot);
+        }
+        if let Some(primary) = &self.primary {
+            log_serving(&config.name, addresses, server_count, primary.worker_count);
+            supervisor::notify_serving();
+        }
+        let (snapshot_task, primary) = (self.snapshot_task, self.primary);
+        Ok((self.poller, Worker { event_loop, driver, snapshot_task, primary }))
+    }
+}
+
+fn log_serving(name: &str, addresses: &BoundAddresses, servers: usize, worker_count: usize) {
+    let workers = (worker_count > 1).then_some(worker_count);
+    let operator = addresses.admin.map(tracing::field::display);
+    info!(event = "serving", name, listen = %addresses.clients, operator, servers, workers);
+}
+
+/// A running worker.
+struct Worker {
+    event_loop: EventLoop,
+    driver: Driver,
+    snapshot_task: Option<SnapshotTask>,
+    primary: Option<PrimaryWorker>,
+}
+
+impl Worker {
+    /// Runs one iteration: each source that is ready is served, and the decisions process its events before the next.
+    fn run_iteration(&mut self, now: Micros, ready: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
+        self.event_loop.begin_iteration(now);
+        self.serve_admin(now, ready.clone());
+        for (source, readiness) in ready.filter(|(source, _)| !source.is_prioritized()) {
+            self.serve(source, readiness);
+            self.driver.process_events(&mut self.event_loop);
+        }
+        let driver = &mut self.driver;
+        self.event_loop.finish_iteration(|event_loop| driver.process_events(event_loop));
+        let gate = driver.gate();
+        self.event_loop.hand_over_connections(|id| gate.established(id));
+        driver.process_events(&mut self.event_loop);
+        if self.event_loop.take_sharing_change().is_some() {
+            self.apply_config();
+        }
+        self.send_gossip();
+        if let Some(task) = &mut self.snapshot_task {
+            task.on_iteration(&mut self.event_loop, &mut self.driver);
+        }
+    }
+
+    fn serve_admin(&mut self, now: Micros, ready: impl Iterator<Item = (EventSource, Readiness)>) {
+        let gate = self.driver.gate();
+        let prioritized = ready.filter(|(source, _)| source.is_prioritized());
+        self.event_loop.serve_admin(prioritized, || gate.unavailable_servers(seconds_from_micros(now)));
+        self.driver.process_events(&mut self.event_loop);
+    }
+
+    fn serve(&mut self, source: EventSource, readiness: Readiness) {
+        match source {
+            EventSource::Signals => self.on_signals(),
+            EventSource::WorkerMessages => self.on_worker_messages(),
+            EventSource::HandoverListener => {
+                let gate = self.driver.gate();
+                self.event_loop.on_successors_connecting(|| export_all(gate));
+            }
+            source => self.event_loop.dispatch_readiness(source, readiness),
+        }
+    }
+
+    fn send_gossip(&mut self) {
+        let Some(gossip) = &mut self.event_loop.gossip else { return };
+        if gossip.take_due() {
+            gossip.broadcast(&mut self.event_loop.context, self.driver.gate().holdings());
+            self.driver.process_events(&mut self.event_loop);
+        }
+    }
+
+    /// Puts the configuration in force at all workers: it was reloaded, or another process of this balancer has come or gone.
+    fn apply_config(&mut self) {
+        let Some(primary) = &self.primary else { return };
+        let has_sibling = self.event_loop.siblings.is_sharing_clients();
+        let config_message =
+            |index| WorkerMessage::Config(Box::new(primary.worker_config(index, has_sibling)));
+        self.event_loop.broadcast(config_message);
+        if let (Some(client), Some(budgets)) = (&primary.budgets, &primary.config.budgets) {
+            client.update_totals(budgets);
+        }
+        reload::apply(&primary.worker_config(0, has_sibling), &mut self.event_loop, &mut self.driver);
+    }
+
+    fn on_worker_messages(&mut self) {
+        while let Some(message) = self.event_loop.next_message() {
+            if let WorkerMessage::Config(config) = message {
+                reload::apply(&config, &mut self.event_loop, &mut self.driver);
+            } else {
+                self.event_loop.on_message(message);
+            }
+            self.driver.process_events(&mut self.event_loop);
+        }
+    }
+
+    fn on_signals(&mut self) {
+        let Some(primary) = &mut self.primary else { return };
+        let signals: Vec<_> = primary.signals.pending().collect();
+        for signal in signals {
+            if signal == SIGHUP {
+                self.reload();
+            } else {
+                self.event_loop.broadcast(|_| WorkerMessage::Shutdown);
+                self.event_loop.begin_shutdown();
+            }
+        }
+    }
+
+    /// Reads the configuration and puts it in force. Several signals in a row may arrive as one, and one reload serves them.
+    fn reload(&mut self) {
+        let Some(primary) = &mut self.primary else { return };
+        let replaced = (primary.read_config)().and_then(|next| reload::replace(&mut primary.config, next));
+        if let Err(e) = replaced {
+            error!(event = "reload-refused", key = e.key(), why = %e.reason());
+            return;
+        }
+        self.apply_config();
+    }
+
+    /// Completes the last snapshot, and returns the allocations of budgets to the fleet.
+    fn finish(mut self) {
+        if let Some(task) = self.snapshot_task {
+            task.finish(&self.event_loop, &mut self.driver);
+        }
+        if let Some(budgets) = self.primary.and_then(|primary| primary.budgets) {
+            budgets.leave();
+        }
+    }
+}
