--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -26,8 +26,8 @@
 const MAX_LOGGED_TENANTS: usize = 8;
 
 fn controller_options(operator: &Operator) -> ControllerOptions {
-    let Recovery { levels, repeats, rebalance } = operator.recovery;
-    ControllerOptions { levels, retry_budget: repeats, rebalance }
+    let Recovery { levels, retry_budget, rebalance } = operator.recovery;
+    ControllerOptions { levels, retry_budget, rebalance }
 }
 
 /// The admission checks, in the order in which they are asked.
