--- a/crates/balancer/src/overload/monitor/tests.rs
+++ b/crates/balancer/src/overload/monitor/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Plays turns for so long: each takes `took` after a wait of `waited`, and leaves clients in the backlog or not.
-/// GossipTransport how many of a hundred clients are taken at the end.
+/// How many of a hundred clients are taken at the end.
 fn play(
     p: &mut OverloadMonitor,
     now: &mut Micros,
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -104,8 +104,8 @@
     /// Opens the configured folder, and reads the latest snapshot that is valid. A folder that can't be used is logged.
     pub fn open(config: &Config, worker: WorkerId) -> Self {
         let settings = &config.operator.snapshot;
-        let Some(path) = &settings.folder else { return Self::default() };
-        let opened = SnapshotFolder::open(path, worker.index, settings.keep).and_then(|folder| {
+        let Some(path) = &settings.directory else { return Self::default() };
+        let opened = SnapshotFolder::open(path, worker.index, settings.generations).and_then(|folder| {
             let restored = read_latest(&folder, config, worker)?;
             Ok((SnapshotWriter::start(folder)?, restored))
         });
@@ -134,7 +134,7 @@
         worker: worker.index,
         worker_count: worker.count,
         now: unix_time(),
-        max_age: micros_from_seconds(config.operator.snapshot.oldest_s),
+        max_age: micros_from_seconds(config.operator.snapshot.max_age_s),
         list,
     };
     let selection = select(folder, &criteria)?;
@@ -183,7 +183,7 @@
     fn new(writer: SnapshotWriter<SnapshotEntry>, config: &Config, worker: WorkerId) -> Self {
         SnapshotTask {
             writer,
-            interval: micros_from_seconds(config.operator.snapshot.every_s),
+            interval: micros_from_seconds(config.operator.snapshot.interval_s),
             balancer: config.name.clone(),
             worker,
             progress: None,
@@ -250,15 +250,11 @@
 
     fn export_endpoints(&mut self, last: Option<ServerId>, event_loop: &EventLoop) {
         let names = &event_loop.proxy.settings.names;
-        let portion = event_loop.proxy.servers.endpoints_after(names, last, ENDPOINTS_PER_ITERATION);
-        let is_last_portion = portion.len() < ENDPOINTS_PER_ITERATION;
-        let last = portion.last().map(|(server, _)| *server);
-        let endpoints = portion.into_iter().filter_map(|(_, endpoint)| endpoint);
-        self.writer.write(endpoints.map(Line::Endpoint).collect());
-        self.progress = Some(if is_last_portion {
-            ExportProgress::State(ExportCursor::default())
-        } else {
-            ExportProgress::Endpoints(last)
+        let page = event_loop.proxy.servers.endpoint_page(names, last, ENDPOINTS_PER_ITERATION);
+        self.writer.write(page.endpoints.into_iter().map(Line::Endpoint).collect());
+        self.progress = Some(match page.next_after {
+            Some(last) => ExportProgress::Endpoints(Some(last)),
+            None => ExportProgress::State(ExportCursor::default()),
         });
     }
 
--- a/crates/balancer/src/workers/worker.rs
+++ b/crates/balancer/src/workers/worker.rs
@@ -145,7 +145,7 @@
             state.restore(event_loop.now(), driver.gate());
         }
         if self.snapshot_task.is_some() {
-            let interval = micros_from_seconds(config.operator.snapshot.every_s);
+            let interval = micros_from_seconds(config.operator.snapshot.interval_s);
             event_loop.context.schedule_after(interval, TimerEvent::Snapshot);
         }
         if let Some(primary) = &self.primary {
