--- a/crates/balancer/src/admin/shared_folder.rs
+++ b/crates/balancer/src/admin/shared_folder.rs
@@ -123,7 +123,7 @@
     /// Logs a file that can't be read, once.
     fn report(&mut self, file: &Path, why: &str) {
         if self.reported.insert(file.to_owned()) {
-            warn!(event = "odd-file", file = %file.display(), why);
+            warn!(event = "unexpected-file", file = %file.display(), why);
         }
     }
 }
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -194,7 +194,7 @@
 
     fn says(&mut self, list: Incoming) -> DiscoveryEvent {
         if std::mem::replace(&mut self.failing, false) {
-            info!(event = "discovery-back", index = list.index);
+            info!(event = "discovery-recovered", index = list.index);
         }
         self.index = list.index;
         DiscoveryEvent::List(list)
--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -97,10 +97,10 @@
     fn change_servers(&mut self, change: AdminChange, by: &str) {
         let disabled = self.proxy.servers.disabled();
         match &change {
-            AdminChange::Disabled(_, server) => info!(event = "server-taken-out", server = %server.name, by),
+            AdminChange::Disabled(_, server) => info!(event = "server-disabled", server = %server.name, by),
             AdminChange::Enabled(id, _) => {
                 if let Some(server) = disabled.all().get(id) {
-                    info!(event = "server-put-back", server = %server.name, by);
+                    info!(event = "server-enabled", server = %server.name, by);
                 }
             }
         }
--- a/crates/balancer/src/event_loop/context.rs
+++ b/crates/balancer/src/event_loop/context.rs
@@ -139,7 +139,7 @@
         if late >= STALL_THRESHOLD {
             // Nothing was read during the stall, so silence says nothing about any peer.
             self.resumed_at = self.now;
-            warn!(event = "held-up", ms = late / 1000);
+            warn!(event = "loop-stalled", ms = late / 1000);
         }
     }
 
--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -74,6 +74,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        info!(event = "module", text = line);
+        info!(event = "decisions", text = line);
     }
 }
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -154,7 +154,7 @@
     pub(super) fn adopt_transferred(&mut self, transferred: TransferredConnection) {
         let client = transferred.state.client;
         if !self.proxy.adopt_transferred(&mut self.context, transferred) {
-            warn!(event = "not-taken-over", client = %client);
+            warn!(event = "transfer-failed", client = %client);
         }
     }
 
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -23,7 +23,7 @@
         let SessionCounts { established: sessions, waiting } = self.proxy.begin_shutdown();
         let worker = self.workers.as_ref().map(WorkerPool::index);
         let successor = self.proxy.has_successor;
-        info!(event = "leaving", worker, sessions, waiting, successor);
+        info!(event = "shutting-down", worker, sessions, waiting, successor);
         self.context.schedule_after(SHUTDOWN_STEP_INTERVAL, TimerEvent::ShutdownStep);
         self.is_handover_due = successor;
     }
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -149,7 +149,7 @@
             self.report_loads(context);
         }
         if self.gossip.stats().oversized > 0 && !std::mem::replace(&mut self.has_logged_oversize, true) {
-            warn!(event = "gossip-untold", most = MAX_HOLDINGS);
+            warn!(event = "gossip-unsent", most = MAX_HOLDINGS);
         }
         if context.now >= self.last_logged + LOG_INTERVAL {
             self.last_logged = context.now;
@@ -184,7 +184,7 @@
         let stats = self.gossip.stats();
         let rejected = |reason| stats.rejected.get(&reason).copied().unwrap_or(0);
         debug!(
-            event = "gossip-figures",
+            event = "gossip-statistics",
             sent = stats.datagrams_sent,
             bytes = stats.bytes_sent,
             unsent = self.unsent,
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -191,7 +191,7 @@
             Ok(None) => {}
             Err(e) => {
                 drop(self.take_descriptors());
-                warn!(event = "not-taken-over", why = %e);
+                warn!(event = "transfer-failed", why = %e);
             }
         }
     }
@@ -221,7 +221,7 @@
     /// Assigns a connection its descriptors.
     fn on_connection(&mut self, state: EstablishedConnection) {
         let Some([client, server]) = self.take_descriptors() else {
-            warn!(event = "not-taken-over", why = "without its descriptors");
+            warn!(event = "transfer-failed", why = "without its descriptors");
             return;
         };
         let [client, server] = [client, server].map(|fd| TcpStream::from_std(fd.into()));
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -206,7 +206,7 @@
     pub fn accept(&mut self, registry: &SourceRegistry, state: impl Fn() -> HandoverState) {
         while let Ok((mut stream, _)) = self.socket.accept() {
             if let Err(e) = check_same_user(&stream) {
-                warn!(event = "successor-refused", why = %e);
+                warn!(event = "successor-rejected", why = %e);
                 continue;
             }
             self.last_number += 1;
@@ -279,7 +279,7 @@
             let keeps = PredecessorMessage::KeepsUnacknowledged.to_string();
             successor.outbox.extend_from_slice(keeps.as_bytes());
             successor.flush(&self.listeners);
-            warn!(event = "successor-stalls", back = successor.in_transit.len());
+            warn!(event = "successor-stalled", back = successor.in_transit.len());
             self.returned.extend(successor.in_transit.drain(..));
         }
     }
--- a/crates/balancer/src/overload/descriptor_budget.rs
+++ b/crates/balancer/src/overload/descriptor_budget.rs
@@ -70,7 +70,7 @@
             if short {
                 warn!(event = "descriptors-short", held, limit);
             } else {
-                info!(event = "descriptors-enough", held, limit);
+                info!(event = "descriptors-recovered", held, limit);
             }
         }
     }
--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -38,7 +38,7 @@
         let left_out = self.left_out;
         *self = LogRateLimiter { began: now, ..LogRateLimiter::default() };
         if left_out > 0 {
-            warn!(event = "bad-clients", "left-out" = left_out);
+            warn!(event = "client-errors-suppressed", "left-out" = left_out);
         }
         left_out
     }
--- a/crates/balancer/src/overload/monitor.rs
+++ b/crates/balancer/src/overload/monitor.rs
@@ -138,7 +138,7 @@
             }
             Some(overload) if self.against >= WINDOWS && self.admit >= 1.0 => {
                 let ms = (now - overload.since) / 1000;
-                info!(event = "overload-over", refused = overload.refused, ms);
+                info!(event = "overload-ended", refused = overload.refused, ms);
                 (self.overload, self.against) = (None, 0);
             }
             _ => {}
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -73,7 +73,7 @@
         debug!(event = "answered", req = id.0, words, %cause, attempts, may_have_run);
         let is_given_up = matches!(cause, Cause::Shutdown | Cause::Overdue) && answer == Answer::Failed;
         if is_given_up && self.log_limiter.may(context) {
-            warn!(event = "given-up", req = id.0, %cause, attempts, may_have_run);
+            warn!(event = "request-unanswered", req = id.0, %cause, attempts, may_have_run);
         }
     }
 
--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -80,7 +80,7 @@
         outcome: Outcome,
     ) {
         if self.sessions.get_mut(id).is_some_and(|session| session.on_restore_failed(context.now)) {
-            warn!(event = "carried-not-up", server = self.servers.name(Some(server)), ?outcome);
+            warn!(event = "restore-failed", server = self.servers.name(Some(server)), ?outcome);
         }
         if outcome.never_ran() {
             self.sessions.schedule_timer(context, id);
@@ -157,7 +157,7 @@
             Some(ServerAnswer::Accepted) => return self.on_attempt_established(context, id),
             Some(ServerAnswer::Ended(outcome)) => outcome,
             Some(ServerAnswer::Unexpected(line)) => {
-                warn!(event = "odd-answer", server, line);
+                warn!(event = "unexpected-answer", server, line);
                 Outcome::Error
             }
             Some(ServerAnswer::LineTooLong) => {
@@ -177,7 +177,7 @@
             return;
         };
         let server = self.servers.name(Some(attempt.server()));
-        debug!(event = "up", req = id.0, client = %session.client_address(), server);
+        debug!(event = "established", req = id.0, client = %session.client_address(), server);
         attempt.establish(context.now, id);
         session.establish();
         let event = match (session.previous_server(), session.restored_request()) {
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -51,7 +51,7 @@
     }
 
     fn record_dial_error(&mut self, id: RequestId, tries: usize, error: DialError) {
-        debug!(event = "not-begun", req = id.0, tries, ?error);
+        debug!(event = "dial-failed", req = id.0, tries, ?error);
         if error == DialError::Shortage {
             self.set_descriptor_shortage(true);
         }
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -101,7 +101,7 @@
         } else {
             LoadFigure::Load
         };
-        debug!(event = "told", req = id.0, server = self.servers.name(Some(server)), ?kind, figure);
+        debug!(event = "load-reported", req = id.0, server = self.servers.name(Some(server)), ?kind, figure);
         match kind {
             LoadFigure::Load => context.emit(NetworkEvent::LoadReported(id, figure / LOAD_MICROS_PER_UNIT)),
             LoadFigure::Delay => {
--- a/crates/balancer/src/proxy/migration.rs
+++ b/crates/balancer/src/proxy/migration.rs
@@ -66,7 +66,7 @@
     /// Asks an established client to migrate, as soon as the line that is being forwarded has ended.
     pub fn migrate(&mut self, context: &mut LoopContext, id: RequestId) {
         if self.sessions.get_mut(id).is_some_and(Session::begin_migration) {
-            debug!(event = "moves", req = id.0, server = self.server_name(id));
+            debug!(event = "migrating", req = id.0, server = self.server_name(id));
             self.relay(context, id);
         }
     }
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -77,7 +77,7 @@
         if !session.connection.pending_input().is_empty() {
             let client = session.client_address();
             if self.log_limiter.may(context) {
-                warn!(event = "half-line", client = %client);
+                warn!(event = "incomplete-line", client = %client);
             }
         }
         if has_closed {
@@ -194,7 +194,7 @@
             return self.begin_attempt(context, request.id, server, RESTORE_TIMEOUT);
         }
         let (group, key) = (request.group, request.key);
-        debug!(event = "asked", req = request.id.0, group, key, returning = request.is_returning);
+        debug!(event = "request-placed", req = request.id.0, group, key, returning = request.is_returning);
         self.guard.queue(request.id);
         context.emit(NetworkEvent::RequestReceived(request));
     }
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -90,7 +90,7 @@
             self.close_both(context, id, PeerClose::Fin, outcome);
         } else if let Some(since) = session.server_silent_since(context) {
             let client = session.client_address();
-            warn!(event = "silent", server = self.server_name(id), client = %client);
+            warn!(event = "server-unresponsive", server = self.server_name(id), client = %client);
             self.on_silent_server(context, id, since);
         }
     }
@@ -101,7 +101,7 @@
         let slow_from = self.settings.message_latency_objective / SLOW_SERVER_DIVISOR;
         for report in self.servers.delay_reports(context.now, slow_from, &samples) {
             let name = self.servers.name(Some(report.server));
-            debug!(event = "seen", server = name, us = report.delay);
+            debug!(event = "delay-observed", server = name, us = report.delay);
             context.emit(NetworkEvent::MessageDelayReported(report.server, report.delay));
         }
     }
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -125,7 +125,7 @@
         let Some(probe) = self.table.remove(&number) else { return };
         context.timers.cancel(probe.timer);
         let (server, us) = (probe.server.0, context.now - probe.started_at);
-        debug!(event = "probed", server, us, outcome = ?outcome);
+        debug!(event = "probe-ended", server, us, outcome = ?outcome);
         self.report(context, probe.server, outcome, &probe.requesters);
     }
 
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -226,7 +226,7 @@
             let event = match server.entry.state {
                 ServerState::Ready => "server-ready",
                 ServerState::Draining => "server-draining",
-                ServerState::Removed => "server-gone",
+                ServerState::Removed => "server-removed",
             };
             changed += 1;
             if changed <= MAX_LOG_LINES_PER_LIST {
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -57,7 +57,7 @@
         let (now, age_s) = (seconds_from_micros(now), seconds_from_micros(age));
         let counts = gate.restore_state(now, age_s, self.are_connections_lost, self.entries);
         info!(
-            event = "recalled",
+            event = "state-restored",
             from = self.source,
             ms = age / MICROS_PER_MILLISECOND,
             taken = counts.restored,
@@ -115,7 +115,7 @@
                 WorkerSnapshots { task: Some(task), restored }
             }
             Err(e) => {
-                warn!(event = "no-snapshots", folder = %path.display(), error = %e);
+                warn!(event = "snapshots-unavailable", folder = %path.display(), error = %e);
                 Self::default()
             }
         }
@@ -139,11 +139,11 @@
     };
     let selection = select(folder, &criteria)?;
     for RejectedSnapshot { path, cause } in &selection.rejected {
-        warn!(event = "snapshot-left-aside", file = %path.display(), why = %cause);
+        warn!(event = "snapshot-rejected", file = %path.display(), why = %cause);
     }
     let Some(SelectedSnapshot { path, record, .. }) = selection.selected else { return Ok(None) };
     if record.unknown_lines > 0 {
-        warn!(event = "snapshot-unknown", file = %path.display(), lines = record.unknown_lines);
+        warn!(event = "snapshot-unknown-lines", file = %path.display(), lines = record.unknown_lines);
     }
     let endpoints = newer_list(list, &record.list).clone();
     let state = SnapshotState {
--- a/crates/balancer/src/supervisor.rs
+++ b/crates/balancer/src/supervisor.rs
@@ -17,7 +17,7 @@
     let Some(socket) = std::env::var_os(SOCKET_VARIABLE).filter(|socket| !socket.is_empty()) else { return };
     let message = format!("READY=1\nMAINPID={}\n", std::process::id());
     if let Err(e) = send(socket.as_bytes(), message.as_bytes()) {
-        warn!(event = "not-notified", socket = %socket.display(), error = %e);
+        warn!(event = "supervisor-not-notified", socket = %socket.display(), error = %e);
     }
 }
 
--- a/crates/balancer/src/workers/handover_start.rs
+++ b/crates/balancer/src/workers/handover_start.rs
@@ -34,7 +34,7 @@
         None => Err(io::Error::new(io::ErrorKind::NotFound, "TMPDIR is not set")),
     };
     if let Err(error) = &opened {
-        warn!(event = "not-kept", %error, why = "other processes of this balancer do not hear of calls");
+        warn!(event = "shared-folder-unavailable", %error, why = "other processes of this balancer do not hear of calls");
     }
     opened.ok()
 }
@@ -58,7 +58,7 @@
     }
     let Some(folder) = shared_folder else { return Ok(None) };
     Ok(request_from(&folder.join(SOCKET_NAME), config).unwrap_or_else(|e| {
-        warn!(event = "not-inherited", why = %e);
+        warn!(event = "handover-not-received", why = %e);
         None
     }))
 }
@@ -100,7 +100,7 @@
     let listeners = start.listeners.iter().map(TcpListener::try_clone).collect::<io::Result<_>>()?;
     let successors = Successors::open(start.path, listeners, registry);
     if let Err(e) = &successors {
-        warn!(event = "not-offered", why = %e);
+        warn!(event = "handover-not-offered", why = %e);
     }
     let announce = |handover| Predecessor::announce(handover, start.terminate_predecessor, registry).ok();
     Ok(SiblingProcesses::new(successors.ok(), start.handover.and_then(announce)))
--- a/crates/balancer/src/workers/pool.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -191,7 +191,7 @@
             return None;
         }
         if !serve {
-            info!(event = "worker-back", worker = index);
+            info!(event = "worker-recovered", worker = index);
             return Some(NeighbourListener::Release(&neighbour.listener));
         }
         if due > 0 {
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -116,7 +116,7 @@
     for thread in threads {
         clients += thread.join().unwrap_or(0);
     }
-    info!(event = "left", sessions = clients);
+    info!(event = "stopped", sessions = clients);
     Ok(())
 }
 
--- a/crates/balancer/tests/sockets/bad.rs
+++ b/crates/balancer/tests/sockets/bad.rs
@@ -73,7 +73,7 @@
     assert_eq!(front.line(), "PONG");
     client.put(b"OPEN 1 2 c=ch");
     assert_eq!((client.hear(), silent.hear()), (Heard::Fin, Heard::Fin), "they are owed an end within 3 s");
-    program.logged("half-line");
+    program.logged("incomplete-line");
     front.say("PING");
     assert_eq!(front.line(), "PONG", "a front that came before them was cut off");
 }
--- a/crates/balancer/tests/sockets/endings.rs
+++ b/crates/balancer/tests/sockets/endings.rs
@@ -49,7 +49,7 @@
 fn who_waits_at_the_listener_when_the_program_is_about_to_end_is_told_to_come_again() {
     let mut program = start(&config(&[]));
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     // Nobody is here: the end is due 0.55 s later. More wait by then than one turn accepts.
     let over = Instant::now() + Duration::from_millis(600);
     program.pause();
@@ -90,7 +90,7 @@
     let mut program = start(&config(&[("s-1", server.address())]));
     let (mut client, mut s) = program.stand(&server);
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     program.terminate();
     assert!(program.open("").line().starts_with("BUSY"));
     client.say("M 1");
--- a/crates/balancer/tests/sockets/faults.rs
+++ b/crates/balancer/tests/sockets/faults.rs
@@ -195,7 +195,7 @@
     for faults in ["accept=EINTR/2", "accept=ECONNABORTED/2", "accept=EMFILE%50"] {
         let mut program = start_with_faults(&config(&[]), faults);
         program.terminate();
-        program.logged("leaving");
+        program.logged("shutting-down");
         let over = Instant::now() + Duration::from_millis(600);
         program.pause();
         let mut waiting: Vec<_> = (0..60).map(|id| program.open_as(&format!("{id:x}"), "")).collect();
@@ -236,6 +236,6 @@
         program.kill();
         let next = Program::start_with(BINARY, &settings, &keeping);
         next.stand(&node);
-        assert!(next.has_logged("snapshot-left-aside").is_none(), "{faults}: a record that is not whole");
+        assert!(next.has_logged("snapshot-rejected").is_none(), "{faults}: a record that is not whole");
     }
 }
--- a/crates/balancer/tests/sockets/final_answers.rs
+++ b/crates/balancer/tests/sockets/final_answers.rs
@@ -168,7 +168,7 @@
 fn an_error_from_the_server_during_the_shutdown_is_no_refusal() {
     let (server, mut program, mut requests) = start_and_send();
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     for (effect, client, attempt) in &mut requests {
         attempt.say("ERR");
         expect_answer_after_run(effect, client);
@@ -195,7 +195,7 @@
         requests.push((*effect, client, attempt));
     }
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     for (effect, mut client, attempt) in requests {
         attempt.reset();
         if effect.is_refusable {
@@ -241,7 +241,7 @@
 fn a_request_that_a_server_turned_away_before_the_shutdown_is_refused() {
     let (_server, mut program, mut requests) = start_and_send();
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     for (effect, client, attempt) in &mut requests {
         attempt.say("BUSY");
         expect_answer_before_run(effect, client);
@@ -255,7 +255,7 @@
     let server = Node::new();
     let mut program = start(&config_of_effects(&[("s-1", server.address())]));
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     for (id, effect) in EFFECTS.iter().enumerate() {
         expect_answer_before_run(effect, &mut request(&program, id, effect));
     }
@@ -272,7 +272,7 @@
     // The reload calls every class safe: what was taken before it stays what it was.
     call_all_safe(&program, &settings);
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     program.terminate();
     expect_answers_and_end(program, requests);
 }
@@ -303,7 +303,7 @@
     same["listen"] = json!(old.address());
     let _new = old.start_beside(crate::BINARY, &same);
     old.terminate();
-    assert!(old.logged("event=leaving").contains("successor=true"));
+    assert!(old.logged("event=shutting-down").contains("successor=true"));
     expect_answers_and_end(old, requests);
 }
 
@@ -311,7 +311,7 @@
 fn a_deadline_in_the_turn_of_the_planned_answers_is_no_refusal() {
     let (_server, program, requests) = start_and_send();
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     let over = Instant::now() + GIVE_UP + Duration::from_millis(50);
     program.pause();
     std::thread::sleep(over.saturating_duration_since(Instant::now()));
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -210,7 +210,7 @@
             let took = draw(step.max(1) as u64);
             assert!(took == 0 || successor.says(&format!("TOOK {took}\n")));
             assert!(
-                old.logged("event=successor-stalls").contains(&format!("back={}", STAND - took)),
+                old.logged("event=successor-stalled").contains(&format!("back={}", STAND - took)),
                 "{what}"
             );
             assert!(!successor.says(&format!("TOOK {STAND}\n")), "{what}: nobody hears it any more");
@@ -246,7 +246,7 @@
             assert!(successor.says("SERVES\n"));
             old.settled();
             old.terminate();
-            assert!(old.logged("event=leaving").contains("successor=true"), "{what}");
+            assert!(old.logged("event=shutting-down").contains("successor=true"), "{what}");
             assert!(old.wait().success(), "{what}");
             let fates = fates("g");
             assert!(
--- a/crates/balancer/tests/sockets/main.rs
+++ b/crates/balancer/tests/sockets/main.rs
@@ -249,7 +249,7 @@
     assert!(program.logged("discovery-failed").contains("status 503"));
     let mut watch = director.watch();
     watch.tell(50, true, Vec::new());
-    program.logged("discovery-back");
+    program.logged("discovery-recovered");
     // From here on not even blank lines come: the watch is dead though its connection is not.
     assert!(program.logged("discovery-failed").contains("silence"));
     assert_eq!(director.watch().since(), 50);
@@ -267,12 +267,12 @@
     lines.sort();
     assert_eq!(
         lines,
-        ["level=info event=server-gone server=s-2", "level=info event=server-ready server=s-3"]
+        ["level=info event=server-removed server=s-2", "level=info event=server-ready server=s-3"]
     );
     watch.end();
     // Had s-1 been logged too, its line would have come before this one. The module may say what it makes of the list.
     let mut next = program.logged("");
-    while next.contains("event=module") {
+    while next.contains("event=decisions") {
         next = program.logged("");
     }
     assert!(next.contains("discovery-failed"), "{next}");
@@ -337,7 +337,7 @@
     late.line();
     let began = Instant::now();
     program.terminate();
-    program.logged("leaving");
+    program.logged("shutting-down");
     assert!(program.open("").line().starts_with("BUSY "));
     // What was waiting is still served, and moved after that.
     late.say("UP 9");
@@ -387,7 +387,7 @@
     client.put(b"OPEN 1 2 c=ch");
     client.finish();
     assert_eq!(client.hear(), Heard::Fin);
-    program.logged("half-line");
+    program.logged("incomplete-line");
     let (_client, _s) = program.stand(&server);
     assert!(program.is_running());
 }
@@ -422,7 +422,7 @@
     let mut s = server.accept();
     s.line();
     s.say("SYNTAX");
-    program.logged("odd-answer");
+    program.logged("unexpected-answer");
     assert!(client.line().starts_with("BUSY"));
 }
 
@@ -466,7 +466,7 @@
     for (_client, mut s) in stands {
         s.say("BYE");
     }
-    program.logged("descriptors-enough");
+    program.logged("descriptors-recovered");
     program.stand(&server);
     assert!(program.is_running());
 }
--- a/crates/balancer/tests/sockets/operators.rs
+++ b/crates/balancer/tests/sockets/operators.rs
@@ -69,7 +69,7 @@
     let program = start(&with_door(config(&[("s-1", server.address())])));
     let _stands = program.stand(&server);
     program.terminate();
-    program.logged("event=leaving");
+    program.logged("event=shutting-down");
     assert!(program.call("readyz")[0].starts_with("NO "));
 }
 
@@ -230,7 +230,7 @@
         std::fs::read_dir(program.common()).expect("a folder").next().expect("the balancer's").expect("it");
     let (out, away) = (own.path().join("out"), own.path().join("away"));
     std::fs::rename(&out, &away).expect("the same folder");
-    program.logged("event=not-kept");
+    program.logged("event=shared-folder-unavailable");
     assert_eq!(program.figure("targets_disabled"), 1, "what is out stays out");
     std::fs::rename(&away, &out).expect("the same folder");
     // Another process puts it back.
--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -68,7 +68,7 @@
     // Discovery is away: what was known is all there is.
     let settings = with_door(config(&[("s-1", one.address())]));
     let program = start(&settings, place.path());
-    let line = has(&program, "event=recalled");
+    let line = has(&program, "event=state-restored");
     assert!(line.contains(".snapshot") && line.contains("odd=0"), "{line}");
     assert_eq!(program.figure("targets"), 2);
     // The client comes again: where it was, and not to the server that drains.
@@ -88,7 +88,7 @@
     let mut later = with_door(config(&[("s-1", node.address()), ("s-2", node.address())]));
     later["known"]["index"] = json!(99);
     let program = start(&later, place.path());
-    has(&program, "event=recalled");
+    has(&program, "event=state-restored");
     assert_eq!(program.figure("targets"), 2);
 }
 
@@ -108,16 +108,16 @@
     let whole = fs::read(&last).expect("a file");
     fs::write(&last, &whole[..whole.len() - 9]).expect("a file");
     let program = start(&settings, place.path());
-    let line = has(&program, "event=snapshot-left-aside");
+    let line = has(&program, "event=snapshot-rejected");
     assert!(line.contains(&last.display().to_string()) && line.contains("line "), "{line}");
-    assert!(has(&program, "event=recalled").contains(&before.display().to_string()));
+    assert!(has(&program, "event=state-restored").contains(&before.display().to_string()));
     program.kill();
     let mut other = settings.clone();
     other["name"] = json!("n2");
     let program = start(&other, place.path());
-    assert!(has(&program, "it is of balancer").contains("event=snapshot-left-aside"));
+    assert!(has(&program, "it is of balancer").contains("event=snapshot-rejected"));
     program.settled();
-    assert!(program.has_logged("event=recalled").is_none());
+    assert!(program.has_logged("event=state-restored").is_none());
 }
 
 #[test]
@@ -134,12 +134,12 @@
         assert!(round < 100, "no record is written within {round} lives");
         let program = Program::start_with(BINARY, &settings, &often);
         if !records(place.path()).is_empty() {
-            has(&program, "event=recalled");
+            has(&program, "event=state-restored");
             recalled += 1;
         }
         assert!(
-            program.has_logged("snapshot-left-aside").is_none()
-                && program.has_logged("no-snapshots").is_none()
+            program.has_logged("snapshot-rejected").is_none()
+                && program.has_logged("snapshots-unavailable").is_none()
         );
         // Into the writing: a pause of another length each time.
         std::thread::sleep(Duration::from_millis(90 + 4 * round));
@@ -154,7 +154,7 @@
     let node = Node::new();
     let settings = config(&[("s-1", node.address())]);
     let program = start(&settings, Path::new("/dev/null/snapshots"));
-    has(&program, "event=no-snapshots");
+    has(&program, "event=snapshots-unavailable");
     program.stand(&node);
 }
 
@@ -169,7 +169,7 @@
     let mut same = settings.clone();
     same["listen"] = json!(old.address());
     let new = old.start_beside(BINARY, &same);
-    let line = has(&new, "event=recalled");
+    let line = has(&new, "event=state-restored");
     assert!(line.contains("from=\"the process before\"") && line.contains("odd=0"), "{line}");
     assert!(!line.contains("taken=0 "), "{line}");
 }
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -131,7 +131,7 @@
         assert_eq!(new.call("readyz"), ["YES"]);
         stream.goes_on(200);
         old.terminate();
-        assert!(old.logged("event=leaving").contains("successor=true"));
+        assert!(old.logged("event=shutting-down").contains("successor=true"));
         assert!(old.call("readyz")[0].starts_with("NO "));
         assert!(old.wait().success());
         old = new;
@@ -220,7 +220,7 @@
     // The next one finds the old process all the same.
     let next = old.start_beside(BINARY, &same(&settings, &old));
     old.terminate();
-    assert!(old.logged("event=leaving").contains("successor=true"));
+    assert!(old.logged("event=shutting-down").contains("successor=true"));
     assert!(old.wait().success());
     stream.goes_on(100);
     assert_eq!(stream.ends(), Vec::<String>::new());
@@ -243,7 +243,7 @@
     assert!(old.wait().success());
     // Nobody came after it: it goes on taking clients for a moment, and tells them to come again.
     new.terminate();
-    assert!(new.logged("event=leaving").contains("successor=false"));
+    assert!(new.logged("event=shutting-down").contains("successor=false"));
     let mut client = new.open("");
     assert!(client.line().starts_with("BUSY "));
     assert!(new.wait().success());
--- a/crates/balancer/tests/sockets/workers.rs
+++ b/crates/balancer/tests/sockets/workers.rs
@@ -37,7 +37,7 @@
     program.terminate();
     let mut sum = 0;
     for _ in 0..3 {
-        let line = program.logged("event=leaving");
+        let line = program.logged("event=shutting-down");
         let sessions = line.split("sessions=").nth(1).and_then(|t| t.split(' ').next());
         sum += sessions.and_then(|t| t.parse::<usize>().ok()).expect("a figure");
     }
@@ -46,6 +46,6 @@
         assert_eq!(client.line(), "MOVE", "a worker has not heard of the end");
     }
     drop(stands);
-    program.logged("event=left sessions=0");
+    program.logged("event=stopped sessions=0");
     assert!(program.wait().success());
 }
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -47,7 +47,8 @@
         let Some(number) = field(text, "req=") else { return Vec::new() };
         let is_of_request =
             |text: &str| text.split(' ').any(|word| word.strip_prefix("req=") == Some(number));
-        let is_of_process = |text: &str| text.contains("event=leaving") || text.contains("event=serving");
+        let is_of_process =
+            |text: &str| text.contains("event=shutting-down") || text.contains("event=serving");
         let of_balancer = self.log[first..].iter().filter(|line| line.balancer == *balancer);
         let texts = of_balancer.map(|line| &line.text);
         texts.filter(|text| is_of_request(text) || is_of_process(text)).cloned().collect()
