--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
-use shorewharf_emulator::standin::config;
+use shorewharf_emulator::standin::config as base_config;
 
 use crate::error::SoakError;
 use crate::flag::Flag;
@@ -244,7 +244,7 @@
     }
 
     fn config(&self, number: usize, listen: SocketAddr, all_idempotent: bool) -> Value {
-        let mut config = config(&[]);
+        let mut config = base_config(&[]);
         config["name"] = json!(format!("n{number}"));
         config["listen"] = json!(listen);
         config["discovery"] = json!(self.discovery);
