--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -153,13 +153,14 @@
         names: &NameIndex,
         balancer: &str,
     ) -> Result<Option<BudgetConfig>, BudgetConfigError> {
-        if section.store.is_empty() {
+        if section.store_endpoints.is_empty() {
             return Ok(None);
         }
-        if let Some(address) = section.store.iter().find(|address| !address.starts_with("http://")) {
+        if let Some(address) = section.store_endpoints.iter().find(|address| !address.starts_with("http://"))
+        {
             return Err(BudgetConfigError::NotAnUrl(address.clone()));
         }
-        let path = section.members.as_ref().ok_or(BudgetConfigError::NoMembers)?;
+        let path = section.members_file.as_ref().ok_or(BudgetConfigError::NoMembers)?;
         let membership = Membership::read(path, balancer)
             .map_err(|problem| BudgetConfigError::InvalidMembers { path: path.clone(), problem })?;
         if balancer.contains('/') {
@@ -167,10 +168,10 @@
         }
         let mut budgets = Vec::new();
         let mut tenant_names = vec![None; settings.tenant_connection_quotas.len()];
-        if section.tenants {
+        if section.has_tenant_budgets {
             (budgets, tenant_names) = tenant_budgets(settings, names);
         }
-        let setups = section.set_ups;
+        let setups = section.setups_per_second;
         budgets.extend(setups.map(|total| Budget {
             name: SETUP_BUDGET.to_owned(),
             kind: BudgetKind::Rate,
@@ -183,16 +184,16 @@
         let rules = BudgetSettings {
             budgets,
             lease: micros_from_seconds(section.lease_s),
-            clock_margin: micros_from_seconds(section.margin_s),
-            poll_interval: micros_from_seconds(section.look_s),
-            drain_time: micros_from_seconds(section.linger_s),
-            reserve_ratio: section.reserve,
-            even_ratio: section.floor,
+            clock_margin: micros_from_seconds(section.clock_margin_s),
+            poll_interval: micros_from_seconds(section.poll_interval_s),
+            drain_time: micros_from_seconds(section.drain_time_s),
+            reserve_ratio: section.reserve_ratio,
+            even_ratio: section.floor_ratio,
             max_members: membership.count,
             member_index: membership.place,
         };
         rules.check().map_err(BudgetConfigError::InvalidRules)?;
-        let (store, prefix) = (section.store.clone(), section.prefix.clone());
+        let (store, prefix) = (section.store_endpoints.clone(), section.key_prefix.clone());
         Ok(Some(BudgetConfig { store, prefix, rules, tenant_budgets: tenant_names }))
     }
 }
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -12,10 +12,10 @@
 const CONSECUTIVE_WITHIN: f64 = 1.5 * REPORT_PERIOD;
 /// A delay over this part of the latency objective is reported as slow.
 const SLOW_REPORT_RATIO: f64 = 1.0 / 3.0;
-/// Utilization that a single slow report stands for: without a backlog (its delay is under the objective) and with one.
+/// Utilization implied by a single slow report: without a backlog (its delay is under the objective) and with one.
 const UTILIZATION_WITHOUT_BACKLOG: f64 = 0.95;
 const UTILIZATION_WITH_BACKLOG: f64 = 1.05;
-/// Bounds of the utilization that two consecutive reports stand for.
+/// Bounds of the utilization implied by two consecutive reports.
 const MIN_REPORTED_UTILIZATION: f64 = 0.7;
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
 /// Two consecutive reports change the factor by this much at most, since the second may have come late.
@@ -46,7 +46,7 @@
     at: f64,
 }
 
-/// The capacity that the decision module was last told of.
+/// The capacity that was last announced to the decision module.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AnnouncedCapacity {
     pub load: f64,
@@ -62,9 +62,9 @@
     pub local_load: f64,
 }
 
-/// One server's record.
+/// What was learned of one server.
 #[derive(Clone, Debug)]
-pub(super) struct ServerRecord {
+pub(super) struct ServerModel {
     pub entry: ServerEntry,
     /// Load that this instance may put on the server, over its even share.
     pub factor: f64,
@@ -74,14 +74,14 @@
     /// Attempts sent lately, decaying within about a second, as of `attempted_at`.
     recent_attempts: f64,
     attempted_at: f64,
-    /// When anything was last heard of the server's state.
+    /// When the server's state was last observed.
     pub updated_at: f64,
     pub announced: AnnouncedCapacity,
 }
 
-impl ServerRecord {
+impl ServerModel {
     pub fn new(entry: ServerEntry, now: f64) -> Self {
-        ServerRecord {
+        ServerModel {
             entry,
             factor: 1.0,
             last_delay: DelayReport { delay: 0.0, at: f64::NEG_INFINITY },
@@ -115,8 +115,8 @@
 
     /// Messages at the server take `delay` seconds while this instance's load there is `local_load`.
     ///
-    /// Two reports a second apart while work is backed up tell the load exactly, since a backlog grows by the load
-    /// beyond what the server can do; a single one bounds it.
+    /// Two reports a second apart while work is backed up determine the load, since a backlog grows by the load
+    /// beyond the server's capacity; a single one only bounds it.
     pub fn on_message_delay(&mut self, now: f64, delay: f64, local_load: f64, limits: &PlatformLimits) {
         let objective = limits.message_latency_objective;
         let before = std::mem::replace(&mut self.last_delay, DelayReport { delay, at: now });
@@ -133,7 +133,7 @@
                 factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, MAX_REPORTED_UTILIZATION))
                     .clamp(least, most)
             } else {
-                // The backlog was gone before the second report: the load is less than it says.
+                // The backlog was gone before the second report, so this is an upper bound of the load.
                 self.factor.max(factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, 1.0)).min(most))
             }
         } else if delay > objective {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Whether a set-up's time says anything of the server now.
+    /// Whether the time of a set-up can be compared now.
     pub fn has_comparable_setups(&self, now: f64) -> bool {
         self.decayed_attempts(now) <= BURST_ATTEMPTS
     }
@@ -157,7 +157,7 @@
     /// A set-up was completed.
     pub fn on_setup(&mut self, now: f64, setup: Setup, model: &mut SetupModel, limits: &PlatformLimits) {
         let utilization = setup.local_load / self.bound(now, limits) * TARGET_UTILIZATION;
-        let warm_up_ratio = limits.warm_up_ratio(&self.entry, now);
+        let warm_up_ratio = limits.slow_start.warm_up_ratio(&self.entry, now);
         let capacity = SetupCapacity { weight: self.entry.weight, warm_up_ratio };
         let log_speedup = model.observe(setup.seconds, capacity, utilization);
         if let Some(log_speedup) = log_speedup.filter(|_| utilization > SETUP_MIN_UTILIZATION) {
@@ -173,7 +173,7 @@
         if has_reported || local_load <= AT_BOUND_RATIO * self.bound(now, limits) {
             return;
         }
-        let growth = if limits.warm_up_ratio(&self.entry, now) < 1.0 {
+        let growth = if limits.slow_start.warm_up_ratio(&self.entry, now) < 1.0 {
             COLD_GROWTH
         } else if self.is_recently_slow(now) {
             GROWTH_AFTER_SLOW_REPORT
@@ -183,7 +183,7 @@
         self.factor = (self.factor * (1.0 + growth)).min(MAX_FACTOR);
     }
 
-    /// Goes on from a factor that an earlier instance had learned.
+    /// Restores a factor that an earlier instance had learned.
     pub fn restore(&mut self, factor: f64, slow_reported_at: Option<f64>) {
         self.factor = factor.clamp(MIN_FACTOR, MAX_FACTOR);
         if let Some(at) = slow_reported_at {
