--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -2,7 +2,9 @@
 #![allow(dead_code)]
 
 use shorewharf_decisions::Balancer;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
+};
 
 /// Settings with two zones, one safe class, ten proxies; tests change what they need.
 pub fn settings() -> Settings {
--- a/crates/decisions/tests/embedding_api.rs
+++ b/crates/decisions/tests/embedding_api.rs
@@ -1,8 +1,10 @@
 //! What others may tell the module: repeats that are not worth their cost, and where a moved client is expected.
 
 mod common;
-use common::*;
-use shorewharf_decisions::interface::*;
+use common::{Proxy, entry, list, refused, request, sent, settings};
+use shorewharf_decisions::interface::{
+    Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
+};
 
 /// A client that was moved for balance went straight back to the server that kept its place.
 #[test]
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -4,9 +4,9 @@
 mod common;
 use std::collections::BTreeMap;
 
-use common::*;
+use common::{Proxy, entry, list, moved, request, settings};
 use shorewharf_decisions::Balancer;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{Action, Event, Outcome, Request, ServerId, Settings};
 
 const PROXIES: u64 = 100;
 const SERVERS: u64 = 14;
--- a/crates/decisions/tests/fleet_placement.rs
+++ b/crates/decisions/tests/fleet_placement.rs
@@ -5,11 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use common::*;
+use common::{Proxy, entry, list, request, sent, settings};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::Balancer;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, RemoteLoad, Request, RequestId, ServerEntry, ServerId, Settings,
+};
 
 const PROXIES: u64 = 200;
 const SERVERS: u64 = 60;
--- a/crates/decisions/tests/persistence.rs
+++ b/crates/decisions/tests/persistence.rs
@@ -1,10 +1,13 @@
 //! What outlives an instance: what the next one restores of it, and what it must not.
 
 mod common;
-use common::*;
+use common::{Proxy, entry, failed, list, note_timers, refused, request, sent, settings};
 use proptest::prelude::*;
-use shorewharf_decisions::interface::*;
-use shorewharf_decisions::persistence::*;
+use shorewharf_decisions::interface::{Event, Outcome, Request, ServerEntry, ServerId};
+use shorewharf_decisions::persistence::{
+    ExportCursor, GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, RestoreCounts,
+    ServerRecord, StateRecord,
+};
 
 fn export_all(p: &Proxy, most: usize) -> Vec<StateRecord> {
     let (mut known, mut at) = (Vec::new(), ExportCursor::default());
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -3,8 +3,10 @@
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::*;
-use shorewharf_decisions::interface::*;
+use common::{Proxy, entry, list, moved, note_timers, refused, request, sent, settings};
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, Request, RequestClass, RequestId, ServerEntry, ServerId, ServerState, Settings,
+};
 
 fn proxies(n: u64, servers: u64, set: impl Fn() -> Settings) -> Vec<Proxy> {
     (0..n)
--- a/crates/decisions/tests/probing.rs
+++ b/crates/decisions/tests/probing.rs
@@ -4,12 +4,12 @@
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::*;
+use common::{Proxy, entry, list, note_timers, request, sent, settings};
 use proptest::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::Balancer;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{Action, Event, Outcome, Request, RequestId, ServerId, Settings};
 
 const TIME_OUT: f64 = 0.25;
 
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -3,10 +3,13 @@
 mod common;
 use std::collections::BTreeMap;
 
-use common::*;
+use common::{Proxy, entry, note_timers, request, settings};
 use proptest::prelude::*;
 use shorewharf_decisions::Balancer;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, DeduplicationScope, Event, Idempotency, Outcome, Request, RequestClass, RequestId, ServerEntry,
+    ServerId, ServerState, Settings,
+};
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/crates/decisions/tests/records.rs
+++ b/crates/decisions/tests/records.rs
@@ -1,6 +1,8 @@
 //! Records of what outlives an instance, as their exact JSON text: versions beside this one read and write the same.
 
-use shorewharf_decisions::persistence::*;
+use shorewharf_decisions::persistence::{
+    GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
+};
 
 const RECORDS: &str = include_str!("fixtures/records.json");
 
--- a/crates/decisions/tests/replay.rs
+++ b/crates/decisions/tests/replay.rs
@@ -7,11 +7,14 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use common::*;
+use common::{entry, request, settings};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::Balancer;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, DeduplicationScope, Event, Idempotency, Outcome, RemoteLoad, Request, RequestClass, RequestId,
+    ServerEntry, ServerId, ServerState, Settings, WeightKind,
+};
 use shorewharf_decisions::persistence::ExportCursor;
 use twox_hash::XxHash3_64;
 
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -1,8 +1,11 @@
 //! The four rules, each broken if the code that keeps it goes.
 
 mod common;
-use common::*;
-use shorewharf_decisions::interface::*;
+use common::{Proxy, entry, failed, list, note_timers, refused, request, sent, settings};
+use shorewharf_decisions::interface::{
+    Action, DeduplicationScope, Event, Idempotency, Outcome, Request, RequestId, ServerEntry, ServerId,
+    ServerState, Settings,
+};
 
 fn with(semantics: Idempotency) -> Settings {
     let mut set = settings();
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -3,11 +3,11 @@
 
 mod common;
 
-use common::*;
+use common::{Proxy, entry, list, note_timers, request, settings};
 use proptest::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{Action, Event, Outcome, Request, ServerEntry, ServerId, Settings};
 
 const SERVERS: u64 = 8;
 const COLD: ServerId = ServerId(1);
--- a/crates/driver/benches/placement.rs
+++ b/crates/driver/benches/placement.rs
@@ -3,7 +3,9 @@
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
+};
 use shorewharf_driver::AdmissionGate;
 use shorewharf_settings::operator::Operator;
 
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -11,7 +11,9 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde_json::Value;
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
+};
 use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Operator;
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
 use shorewharf_driver::{Driver, Effects, NetworkEvent, ReceivedRequest};
 use shorewharf_settings::operator::Operator;
 use shorewharf_units::Micros;
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -1,6 +1,8 @@
 //! The gate: who is turned away before the module hears of it, and what admissions are told of the rest.
 
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
+};
 use shorewharf_driver::AdmissionGate;
 use shorewharf_settings::operator::Operator;
 
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, RequestClass, Settings, WeightKind};
 use shorewharf_settings::operator::{Budgets, Gossip, Operator, Recovery, Snapshot, Tenancy};
 use shorewharf_settings::settings;
 
--- a/crates/wire/tests/adapter.rs
+++ b/crates/wire/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::process::{Command, Output, Stdio};
 
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{Action, Event, Idempotency, Outcome, RequestId, ServerId};
 use shorewharf_settings::settings;
 use shorewharf_wire::{Batch, Decoder, Encoder, InstanceRecord, Record, WireError};
 
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -1,6 +1,8 @@
 //! The simulator's messages as exact bytes: a renamed event, action or field must not move one of them.
 
-use shorewharf_decisions::interface::*;
+use shorewharf_decisions::interface::{
+    Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
+};
 use shorewharf_wire::{Decoder, Encoder, InstanceRecord, Record};
 
 const EVENTS: &str = include_str!("fixtures/events.hex");
