--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -28,7 +28,7 @@
     }
 }
 
-pub fn list(entries: &[ServerEntry]) -> Event {
+pub fn endpoint_list(entries: &[ServerEntry]) -> Event {
     Event::EndpointList { is_complete: true, is_cached: false, entries: entries.to_vec().into() }
 }
 
@@ -47,45 +47,45 @@
 }
 
 /// A module with its clock.
-pub struct Proxy {
-    pub module: Balancer,
+pub struct TestInstance {
+    pub balancer: Balancer,
     pub now: f64,
 }
 
-impl Proxy {
+impl TestInstance {
     /// Started, with servers 1 to `n` ready and warm.
     pub fn new(set: Settings, n: u64) -> Self {
-        let mut p = Proxy { module: Balancer::new(set, 7), now: 100.0 };
-        p.give(Event::Start);
-        p.give(list(&(1..=n).map(entry).collect::<Vec<_>>()));
-        p
+        let mut instance = TestInstance { balancer: Balancer::new(set, 7), now: 100.0 };
+        instance.handle(Event::Start);
+        instance.handle(endpoint_list(&(1..=n).map(entry).collect::<Vec<_>>()));
+        instance
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.module.handle(self.now, event, &mut out);
-        out
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    pub fn arrive(&mut self, r: Request) -> Vec<Action> {
-        self.give(Event::RequestReceived(r))
+    pub fn receive(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::RequestReceived(request))
     }
 
     /// A client arrives and its connection stands; where, if it was sent.
-    pub fn connect(&mut self, r: Request) -> Option<ServerId> {
-        let sent = sent(&self.arrive(r));
-        if sent.is_some() {
-            self.give(Event::Established { request: r.id, attempt: 0 });
+    pub fn connect(&mut self, request: Request) -> Option<ServerId> {
+        let server = attempted_server(&self.receive(request));
+        if server.is_some() {
+            self.handle(Event::Established { request: request.id, attempt: 0 });
         }
-        sent
+        server
     }
 
-    pub fn end(&mut self, id: u32, server: ServerId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: u32, server: ServerId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let complete = outcome == Outcome::Ok;
-        self.end_as(id, server, attempt, outcome, complete)
+        self.end_attempt_as(id, server, attempt, outcome, complete)
     }
 
-    pub fn end_as(
+    pub fn end_attempt_as(
         &mut self,
         id: u32,
         server: ServerId,
@@ -94,7 +94,7 @@
         complete: bool,
     ) -> Vec<Action> {
         let request = RequestId(id);
-        self.give(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request,
             server,
             attempt,
@@ -105,7 +105,7 @@
     }
 
     /// Lets time pass, firing the timers that come due; all their actions.
-    pub fn pass(&mut self, timers: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
+    pub fn advance_to(&mut self, timers: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
             timers.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -115,36 +115,36 @@
             }
             let (at, token) = timers.remove(0);
             self.now = at;
-            let out = self.give(Event::TimerFired(token));
-            note_timers(&out, at, timers);
-            all.extend(out);
+            let fired = self.handle(Event::TimerFired(token));
+            record_timers(&fired, at, timers);
+            all.extend(fired);
         }
     }
 }
 
-pub fn note_timers(actions: &[Action], now: f64, timers: &mut Vec<(f64, u64)>) {
-    for a in actions {
-        if let Action::SetTimer { after, token } = a {
+pub fn record_timers(actions: &[Action], now: f64, timers: &mut Vec<(f64, u64)>) {
+    for action in actions {
+        if let Action::SetTimer { after, token } = action {
             timers.push((now + after.max(0.001), *token));
         }
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| match a {
+pub fn attempted_server(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|action| match action {
         Action::BeginAttempt { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail(_)))
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
 
-pub fn moved(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Migrate(_))).count()
+pub fn migration_count(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Migrate(_))).count()
 }
--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -4,19 +4,19 @@
 mod common;
 use std::collections::BTreeMap;
 
-use common::{Proxy, entry, list, moved, request, settings};
+use common::{TestInstance, endpoint_list, entry, migration_count, request, settings};
 use shorewharf_decisions::Balancer;
 use shorewharf_decisions::interface::{Action, Event, Outcome, Request, ServerId, Settings};
 
 const PROXIES: u64 = 100;
 const SERVERS: u64 = 14;
 
-fn proxy(me: u64) -> Proxy {
+fn proxy(me: u64) -> TestInstance {
     let set = Settings { instance_index: me, instance_count: PROXIES as f64, ..settings() };
-    let mut p = Proxy { module: Balancer::new(set, me), now: 100.0 };
-    p.give(Event::Start);
-    p.give(list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
-    p
+    let mut instance = TestInstance { balancer: Balancer::new(set, me), now: 100.0 };
+    instance.handle(Event::Start);
+    instance.handle(endpoint_list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
+    instance
 }
 
 fn grouped(id: u32, group: u64) -> Request {
@@ -27,8 +27,8 @@
     Request { is_returning: true, ..grouped(id, group) }
 }
 
-fn slow(p: &mut Proxy, server: ServerId) -> Vec<Action> {
-    p.give(Event::MessageDelay { server, delay: 0.3 })
+fn slow(instance: &mut TestInstance, server: ServerId) -> Vec<Action> {
+    instance.handle(Event::MessageDelay { server, delay: 0.3 })
 }
 
 /// Where proxies that have heard of nothing place a group's fresh client.
@@ -42,17 +42,19 @@
     let alike: Vec<u64> = (78..).filter(|g| home(*g) == at).take(40).collect();
     let mut back = Vec::new();
     for me in 0..PROXIES {
-        let mut p = proxy(me);
-        p.connect(grouped(1, 77)).expect("room");
-        slow(&mut p, at);
-        p.end(1, at, 0, Outcome::Cancelled);
+        let mut instance = proxy(me);
+        instance.connect(grouped(1, 77)).expect("room");
+        slow(&mut instance, at);
+        instance.end_attempt(1, at, 0, Outcome::Cancelled);
         // Nobody is left here to tell of it.
         let free = (2..40).find(|&s| {
-            p.now = 100.0 + 0.5 * f64::from(s);
-            let r = Request { deadline: p.now + 2.0, ..grouped(s, alike[s as usize]) };
-            let sent = p.connect(r);
-            sent.into_iter().for_each(|sent| drop(p.end(s, sent, 0, Outcome::Ok)));
-            sent == Some(at)
+            instance.now = 100.0 + 0.5 * f64::from(s);
+            let r = Request { deadline: instance.now + 2.0, ..grouped(s, alike[s as usize]) };
+            let attempted_server = instance.connect(r);
+            if let Some(server) = attempted_server {
+                instance.end_attempt(s, server, 0, Outcome::Ok);
+            }
+            attempted_server == Some(at)
         });
         back.push(0.5 * f64::from(free.expect("it is not shut out for good")));
     }
@@ -65,11 +67,11 @@
 #[test]
 fn a_proxy_that_knows_only_clients_who_come_again_can_relieve_a_slow_server() {
     let moves = (0..PROXIES).filter(|&me| {
-        let mut p = proxy(me);
-        let at = p.connect(again(1, 77)).expect("room");
-        let at_once = moved(&slow(&mut p, at));
-        p.now += 1.0;
-        at_once + moved(&slow(&mut p, at)) > 0
+        let mut instance = proxy(me);
+        let at = instance.connect(again(1, 77)).expect("room");
+        let at_once = migration_count(&slow(&mut instance, at));
+        instance.now += 1.0;
+        at_once + migration_count(&slow(&mut instance, at)) > 0
     });
     let moves = moves.count();
     assert!(moves >= 30, "{moves} of a hundred move their client");
@@ -90,8 +92,8 @@
 fn whose_clients_are_well_served_there_takes_those_who_come_again_too() {
     let at = home(77);
     for me in 0..PROXIES {
-        let mut p = proxy(me);
-        p.give(Event::ConnectionRestored(grouped(1, 78), at));
-        assert_eq!(p.connect(again(2, 77)), Some(at));
+        let mut instance = proxy(me);
+        instance.handle(Event::ConnectionRestored(grouped(1, 78), at));
+        assert_eq!(instance.connect(again(2, 77)), Some(at));
     }
 }
--- a/crates/decisions/tests/fleet_placement.rs
+++ b/crates/decisions/tests/fleet_placement.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use common::{Proxy, entry, list, request, sent, settings};
+use common::{TestInstance, attempted_server, endpoint_list, entry, request, settings};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::Balancer;
@@ -18,7 +18,7 @@
 /// The module's own timer, once a second.
 const HOUSEKEEPING: u64 = 1 << 40;
 
-fn proxy(me: u64) -> Proxy {
+fn proxy(me: u64) -> TestInstance {
     let tenant_quota = vec![50.0 * SERVERS as f64];
     let set = Settings {
         instance_index: me,
@@ -27,10 +27,10 @@
         tenant_connection_quotas: tenant_quota,
         ..settings()
     };
-    let mut p = Proxy { module: Balancer::new(set, me), now: 100.0 };
-    p.give(Event::Start);
-    p.give(list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
-    p
+    let mut instance = TestInstance { balancer: Balancer::new(set, me), now: 100.0 };
+    instance.handle(Event::Start);
+    instance.handle(endpoint_list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
+    instance
 }
 
 fn grouped(id: u32, group: u64, now: f64) -> Request {
@@ -48,8 +48,8 @@
     (1..=SERVERS).map(one).collect()
 }
 
-fn tell(p: &mut Proxy, told: Told) {
-    p.give(Event::RemoteLoadsUpdated(Some(Arc::new(told))));
+fn tell(instance: &mut TestInstance, told: Told) {
+    instance.handle(Event::RemoteLoadsUpdated(Some(Arc::new(told))));
 }
 
 fn asks_by_probe(actions: &[Action]) -> bool {
@@ -58,32 +58,32 @@
 
 #[test]
 fn who_hears_of_others_passes_over_what_they_have_filled_and_asks_nobody() {
-    let mut p = proxy(1);
-    tell(&mut p, even(1.0, &[]));
-    let actions = p.arrive(grouped(1, 7, 100.0));
-    let first = sent(&actions).expect("there is room");
+    let mut instance = proxy(1);
+    tell(&mut instance, even(1.0, &[]));
+    let actions = instance.receive(grouped(1, 7, 100.0));
+    let first = attempted_server(&actions).expect("there is room");
     assert!(!asks_by_probe(&actions), "{actions:?}");
-    let mut p = proxy(2);
-    tell(&mut p, even(1.0, &[(first.0, 2.0)]));
-    let second = sent(&p.arrive(grouped(1, 7, 100.0))).expect("there is room");
+    let mut instance = proxy(2);
+    tell(&mut instance, even(1.0, &[(first.0, 2.0)]));
+    let second = attempted_server(&instance.receive(grouped(1, 7, 100.0))).expect("there is room");
     assert_ne!(first, second, "it is asked for twice as much as the others");
     // Where the group stands already it costs less than elsewhere.
-    let mut p = proxy(3);
+    let mut instance = proxy(3);
     let mut told = even(4.0, &[]);
     let holds = ServerId(1 + second.0 % SERVERS);
     told.get_mut(&holds).expect("listed").groups.insert(7);
-    tell(&mut p, told);
-    assert_eq!(sent(&p.arrive(grouped(1, 7, 100.0))), Some(holds));
+    tell(&mut instance, told);
+    assert_eq!(attempted_server(&instance.receive(grouped(1, 7, 100.0))), Some(holds));
 }
 
 #[test]
 fn a_crowd_that_comes_again_is_spread_over_some_servers() {
     let mut at = BTreeMap::<ServerId, u32>::new();
     for me in 0..PROXIES {
-        let mut p = proxy(me);
-        tell(&mut p, even(4.0, &[]));
+        let mut instance = proxy(me);
+        tell(&mut instance, even(4.0, &[]));
         let r = Request { is_returning: true, ..grouped(1, 7, 100.0) };
-        *at.entry(sent(&p.arrive(r)).expect("there is room")).or_default() += 1;
+        *at.entry(attempted_server(&instance.receive(r)).expect("there is room")).or_default() += 1;
     }
     let most = at.values().max().copied().unwrap_or(0);
     assert!(at.len() <= 4 && most < PROXIES as u32 / 2, "{at:?}");
@@ -91,41 +91,44 @@
 
 #[test]
 fn when_nothing_is_heard_any_more_it_is_alone_at_once() {
-    let mut p = proxy(1);
-    tell(&mut p, even(1.0, &[]));
-    assert!(sent(&p.arrive(grouped(1, 7, p.now))).is_some());
-    p.give(Event::RemoteLoadsUpdated(None));
-    assert!(asks_by_probe(&p.arrive(grouped(2, 8, 100.0))), "too few are heard of: it sounds as before");
-    tell(&mut p, even(1.0, &[]));
-    p.now += 1.5;
-    let r = grouped(3, 9, p.now);
-    assert!(asks_by_probe(&p.arrive(r)), "what was told is old");
+    let mut instance = proxy(1);
+    tell(&mut instance, even(1.0, &[]));
+    assert!(attempted_server(&instance.receive(grouped(1, 7, instance.now))).is_some());
+    instance.handle(Event::RemoteLoadsUpdated(None));
+    assert!(
+        asks_by_probe(&instance.receive(grouped(2, 8, 100.0))),
+        "too few are heard of: it sounds as before"
+    );
+    tell(&mut instance, even(1.0, &[]));
+    instance.now += 1.5;
+    let r = grouped(3, 9, instance.now);
+    assert!(asks_by_probe(&instance.receive(r)), "what was told is old");
 }
 
 #[test]
 fn the_parts_of_a_cold_server_add_up_to_what_it_holds() {
     let mut entered = 0;
     for me in 0..PROXIES {
-        let mut p = proxy(me);
-        let born = p.now - 3.0;
-        p.give(list(&[ServerEntry { started_at: born, ..entry(1) }]));
-        p.give(Event::MeanLoadEstimated(0.1));
+        let mut instance = proxy(me);
+        let born = instance.now - 3.0;
+        instance.handle(endpoint_list(&[ServerEntry { started_at: born, ..entry(1) }]));
+        instance.handle(Event::MeanLoadEstimated(0.1));
         // It holds six mean connections by now; a rate would have let in ten from each proxy.
-        p.give(Event::CapacityEstimated {
+        instance.handle(Event::CapacityEstimated {
             server: ServerId(1),
             load: 0.6 / PROXIES as f64,
             setup_rate: 10.0,
         });
-        tell(&mut p, Told::new());
-        let r = grouped(1, 7, p.now);
-        entered += usize::from(sent(&p.arrive(r)).is_some());
+        tell(&mut instance, Told::new());
+        let r = grouped(1, 7, instance.now);
+        entered += usize::from(attempted_server(&instance.receive(r)).is_some());
     }
     assert!((1..=14).contains(&entered), "{entered} of {PROXIES}");
 }
 
 /// A fleet that tells each other what it holds with so much delay, in clients that come.
 struct Fleet {
-    proxies: Vec<Proxy>,
+    proxies: Vec<TestInstance>,
     stands: Vec<(usize, u32, ServerId)>,
     rng: Pcg64Mcg,
     now: f64,
@@ -134,7 +137,7 @@
 impl Fleet {
     fn told(&self) -> Told {
         let mut told = Told::new();
-        for h in self.proxies.iter().flat_map(|p| p.module.holdings()) {
+        for h in self.proxies.iter().flat_map(|instance| instance.balancer.holdings()) {
             let away = told.entry(h.server).or_default();
             (away.load, away.connections) = (away.load + h.load, away.connections + f64::from(h.connections));
             away.groups.insert(h.group as u32);
@@ -152,14 +155,14 @@
         if self.stands.len() >= 1_000 {
             let (at, id, server) = self.stands.remove(0);
             self.proxies[at].now = self.now;
-            self.proxies[at].end(id, server, 0, Outcome::Ok);
+            self.proxies[at].end_attempt(id, server, 0, Outcome::Ok);
         }
         let at = (self.draw() * PROXIES as f64) as usize;
         let group = 1 + 80_f64.powf(self.draw()) as u64;
-        let p = &mut self.proxies[at];
-        p.now = self.now;
-        let to = sent(&p.arrive(grouped(id, group, self.now))).expect("there is room");
-        p.give(Event::Established { request: RequestId(id), attempt: 0 });
+        let instance = &mut self.proxies[at];
+        instance.now = self.now;
+        let to = attempted_server(&instance.receive(grouped(id, group, self.now))).expect("there is room");
+        instance.handle(Event::Established { request: RequestId(id), attempt: 0 });
         self.stands.push((at, id, to));
     }
 
@@ -187,11 +190,11 @@
             // Every 0.2 s they are told what was so 0.4 s before.
             if id % 10 == 0 {
                 let old = told.remove(0);
-                fleet.proxies.iter_mut().for_each(|p| p.now = fleet.now);
-                for p in &mut fleet.proxies {
-                    tell(p, old.clone());
+                fleet.proxies.iter_mut().for_each(|instance| instance.now = fleet.now);
+                for instance in &mut fleet.proxies {
+                    tell(instance, old.clone());
                     if id % 50 == 0 {
-                        p.give(Event::TimerFired(HOUSEKEEPING));
+                        instance.handle(Event::TimerFired(HOUSEKEEPING));
                     }
                 }
                 told.push(fleet.told());
--- a/crates/decisions/tests/persistence.rs
+++ b/crates/decisions/tests/persistence.rs
@@ -1,7 +1,10 @@
 //! What outlives an instance: what the next one restores of it, and what it must not.
 
 mod common;
-use common::{Proxy, entry, failed, list, note_timers, refused, request, sent, settings};
+use common::{
+    TestInstance, attempted_server, endpoint_list, entry, is_failed, is_rejected, record_timers, request,
+    settings,
+};
 use proptest::prelude::*;
 use shorewharf_decisions::interface::{Event, Outcome, Request, ServerEntry, ServerId};
 use shorewharf_decisions::persistence::{
@@ -9,44 +12,44 @@
     ServerRecord, StateRecord,
 };
 
-fn export_all(p: &Proxy, most: usize) -> Vec<StateRecord> {
+fn export_all(instance: &TestInstance, most: usize) -> Vec<StateRecord> {
     let (mut known, mut at) = (Vec::new(), ExportCursor::default());
     while at != ExportCursor::End {
         let before = known.len();
-        at = p.module.export_state(at, most, &mut known);
+        at = instance.balancer.export_state(at, most, &mut known);
         assert!(known.len() <= before + most, "a portion of {most} has {}", known.len() - before);
     }
     known
 }
 
 /// The next instance, `past` seconds later, with the same servers listed.
-fn next(p: &Proxy, past: f64, servers: u64) -> (Proxy, RestoreCounts) {
-    let known = export_all(p, 64);
-    let mut next = Proxy::new(settings(), servers);
-    next.now = p.now + past;
-    let counts = next.module.restore(next.now, past, true, &known);
+fn next(instance: &TestInstance, past: f64, servers: u64) -> (TestInstance, RestoreCounts) {
+    let known = export_all(instance, 64);
+    let mut next = TestInstance::new(settings(), servers);
+    next.now = instance.now + past;
+    let counts = next.balancer.restore(next.now, past, true, &known);
     (next, counts)
 }
 
 /// One that has learned something of everything.
-fn learned() -> Proxy {
-    let mut p = Proxy::new(settings(), 12);
+fn learned() -> TestInstance {
+    let mut instance = TestInstance::new(settings(), 12);
     for id in 0..40 {
-        p.connect(Request { group: u64::from(id % 5) + 70, load: Some(0.1), ..request(id, 100.0) });
+        instance.connect(Request { group: u64::from(id % 5) + 70, load: Some(0.1), ..request(id, 100.0) });
     }
     for id in 100..120 {
-        if let Some(at) = p.connect(request(id, 100.0)) {
-            p.end(id, at, 0, Outcome::Ok);
+        if let Some(at) = instance.connect(request(id, 100.0)) {
+            instance.end_attempt(id, at, 0, Outcome::Ok);
         }
     }
-    p.give(Event::MessageDelay { server: ServerId(3), delay: 0.09 });
-    p
+    instance.handle(Event::MessageDelay { server: ServerId(3), delay: 0.09 });
+    instance
 }
 
 #[test]
 fn portions_of_any_size_are_the_same_memory() {
-    let p = learned();
-    let whole = export_all(&p, 100_000);
+    let instance = learned();
+    let whole = export_all(&instance, 100_000);
     let of = |kind: fn(&StateRecord) -> bool| whole.iter().filter(|k| kind(k)).count();
     assert_eq!(of(|k| matches!(k, StateRecord::Instance(_))), 1);
     assert_eq!(of(|k| matches!(k, StateRecord::Server(_))), 12);
@@ -56,25 +59,25 @@
             && of(|k| matches!(k, StateRecord::Connection(_))) > 20
     );
     for most in [1, 2, 5, 12, 13, 40] {
-        assert_eq!(export_all(&p, most), whole, "portions of {most}");
+        assert_eq!(export_all(&instance, most), whole, "portions of {most}");
     }
 }
 
 #[test]
 fn a_client_that_stood_or_has_just_left_is_brought_to_its_server_again() {
-    let mut p = Proxy::new(settings(), 30);
-    let stood = p.connect(request(1, 100.0)).expect("sent");
-    let left = p.connect(request(2, 100.0)).expect("sent");
-    p.end(2, left, 0, Outcome::Ok);
-    let (mut next, counts) = next(&p, 0.4, 30);
+    let mut instance = TestInstance::new(settings(), 30);
+    let stood = instance.connect(request(1, 100.0)).expect("sent");
+    let left = instance.connect(request(2, 100.0)).expect("sent");
+    instance.end_attempt(2, left, 0, Outcome::Ok);
+    let (mut next, counts) = next(&instance, 0.4, 30);
     assert!(counts.restored >= 32 && counts.invalid == 0, "{counts:?}");
     for (key, at) in [(1001, stood), (1002, left)] {
         let again = Request { key, is_returning: true, ..request(500 + key as u32, next.now) };
         assert_eq!(next.connect(again), Some(at));
     }
     // One that goes on with the connections has them by themselves: nobody is expected back.
-    let mut successor = Proxy::new(settings(), 30);
-    successor.module.restore(100.4, 0.4, false, &export_all(&p, 64));
+    let mut successor = TestInstance::new(settings(), 30);
+    successor.balancer.restore(100.4, 0.4, false, &export_all(&instance, 64));
     assert!(
         !export_all(&successor, 64)
             .iter()
@@ -84,27 +87,28 @@
 
 #[test]
 fn a_server_that_could_not_be_reached_gets_nothing_until_a_trial_and_a_reborn_one_is_believed() {
-    let mut p = Proxy::new(settings(), 2);
-    let at = sent(&p.arrive(request(1, 100.0))).expect("sent");
-    p.end(1, at, 0, Outcome::ConnectFailed);
+    let mut instance = TestInstance::new(settings(), 2);
+    let at = attempted_server(&instance.receive(request(1, 100.0))).expect("sent");
+    instance.end_attempt(1, at, 0, Outcome::ConnectFailed);
     let other = ServerId(3 - at.0);
-    let (mut knows, _) = next(&p, 0.2, 2);
-    let everywhere =
-        |p: &mut Proxy| (700..720).filter_map(|id| p.connect(request(id, p.now))).collect::<Vec<_>>();
+    let (mut knows, _) = next(&instance, 0.2, 2);
+    let everywhere = |instance: &mut TestInstance| {
+        (700..720).filter_map(|id| instance.connect(request(id, instance.now))).collect::<Vec<_>>()
+    };
     assert!(everywhere(&mut knows).iter().all(|s| *s == other), "nothing goes where nobody answers");
-    let mut anew = Proxy::new(settings(), 2);
-    anew.give(list(&[ServerEntry { started_at: 100.1, ..entry(at.0) }, entry(other.0)]));
+    let mut anew = TestInstance::new(settings(), 2);
+    anew.handle(endpoint_list(&[ServerEntry { started_at: 100.1, ..entry(at.0) }, entry(other.0)]));
     anew.now = 150.0;
-    let counts = anew.module.restore(150.0, 0.2, true, &export_all(&p, 64));
+    let counts = anew.balancer.restore(150.0, 0.2, true, &export_all(&instance, 64));
     assert!(counts.outdated == 1 && everywhere(&mut anew).contains(&at), "{counts:?}");
-    let mut elsewhere = Proxy::new(settings(), 1);
-    let gone = elsewhere.module.restore(100.2, 0.2, true, &export_all(&p, 64));
+    let mut elsewhere = TestInstance::new(settings(), 1);
+    let gone = elsewhere.balancer.restore(100.2, 0.2, true, &export_all(&instance, 64));
     assert_eq!(gone.outdated, 1, "one is not listed");
 }
 
 #[test]
 fn what_fades_has_faded_by_as_much() {
-    let p = learned();
+    let instance = learned();
     let health = |known: &[StateRecord]| {
         known.iter().find_map(|k| match k {
             StateRecord::Server(s) if s.server == 3 => Some(s.health),
@@ -112,10 +116,10 @@
         })
     };
     let groups = |known: &[StateRecord]| known.iter().filter(|k| matches!(k, StateRecord::Group(_))).count();
-    let before = export_all(&p, 64);
+    let before = export_all(&instance, 64);
     assert!(health(&before).expect("listed") < 0.7 && groups(&before) == 5);
-    let soon = export_all(&next(&p, 1.0, 12).0, 64);
-    let late = export_all(&next(&p, 500.0, 12).0, 64);
+    let soon = export_all(&next(&instance, 1.0, 12).0, 64);
+    let late = export_all(&next(&instance, 500.0, 12).0, 64);
     assert!(health(&soon).expect("listed") < 0.75 && groups(&soon) == 5);
     assert!(health(&late).expect("listed") > 0.99 && groups(&late) == 0, "{:?}", health(&late));
     let places =
@@ -126,7 +130,7 @@
 /// Found by fuzzing: what a cold server may take is divided by the mean load, and was no number from there on.
 #[test]
 fn a_mean_load_that_no_connection_can_have_is_not_believed() {
-    let mut p = Proxy::new(settings(), 2);
+    let mut instance = TestInstance::new(settings(), 2);
     let known = [
         StateRecord::Instance(InstanceRecord {
             mean_load: 1e-300,
@@ -137,7 +141,7 @@
         StateRecord::Reservation(ReservationRecord { key: 5, server: 1, load: 1e300, expires_at: 101.0 }),
     ];
     assert_eq!(
-        p.module.restore(100.0, 0.1, true, &known),
+        instance.balancer.restore(100.0, 0.1, true, &known),
         RestoreCounts { invalid: 2, ..RestoreCounts::default() }
     );
 }
@@ -206,16 +210,16 @@
         known in prop::collection::vec(known(), 0..30),
         past in prop_oneof![Just(0.0), Just(f64::MAX), 0.0..700.0f64],
     ) {
-        let mut p = Proxy::new(settings(), 4);
-        let counts = p.module.restore(p.now, past, true, &known);
+        let mut instance = TestInstance::new(settings(), 4);
+        let counts = instance.balancer.restore(instance.now, past, true, &known);
         prop_assert!(counts.restored + counts.outdated + counts.expired + counts.invalid == known.len());
-        for k in export_all(&p, 3) {
+        for k in export_all(&instance, 3) {
             match k {
                 StateRecord::Server(s) => {
                     prop_assert!(s.health > 0.0 && s.health <= 1.0 && s.warm_up_admissions >= 0.0 && s.recent_resets >= 0.0, "{s:?}");
                     // Nothing is kept out for longer than a living instance would keep it.
-                    prop_assert!(s.unavailable_until <= p.now + 10.0, "{s:?}");
-                    prop_assert!(s.quarantine.is_none_or(|q| q.trial_at <= p.now + 10.0 && q.backoff <= 10.0), "{s:?}");
+                    prop_assert!(s.unavailable_until <= instance.now + 10.0, "{s:?}");
+                    prop_assert!(s.quarantine.is_none_or(|q| q.trial_at <= instance.now + 10.0 && q.backoff <= 10.0), "{s:?}");
                 }
                 StateRecord::Instance(f) => {
                     let all = [f.total_clients, f.arrivals, f.arrival_seconds, f.migration_credit, f.mean_load, f.setups_per_second];
@@ -223,14 +227,14 @@
                     prop_assert!(f.arrival_seconds >= 1.0 && f.setups_per_second >= 0.2, "{f:?}");
                 }
                 StateRecord::Group(group) => prop_assert!(group.clients.is_finite() && group.clients > 0.0),
-                StateRecord::Reservation(place) => prop_assert!(place.expires_at <= p.now + 3.001, "{place:?}"),
+                StateRecord::Reservation(place) => prop_assert!(place.expires_at <= instance.now + 3.001, "{place:?}"),
                 StateRecord::Connection(_) => prop_assert!(false, "nobody stands"),
             }
         }
         let mut timers = Vec::new();
-        let out = p.arrive(request(900, p.now));
-        note_timers(&out, p.now, &mut timers);
-        let out = [out, p.pass(&mut timers, 103.0)].concat();
-        prop_assert!(sent(&out).is_some() || refused(&out) || failed(&out));
+        let actions = instance.receive(request(900, instance.now));
+        record_timers(&actions, instance.now, &mut timers);
+        let actions = [actions, instance.advance_to(&mut timers, 103.0)].concat();
+        prop_assert!(attempted_server(&actions).is_some() || is_rejected(&actions) || is_failed(&actions));
     }
 }
--- a/crates/decisions/tests/probing.rs
+++ b/crates/decisions/tests/probing.rs
@@ -4,7 +4,7 @@
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{Proxy, entry, list, note_timers, request, sent, settings};
+use common::{TestInstance, attempted_server, endpoint_list, entry, record_timers, request, settings};
 use proptest::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -13,7 +13,7 @@
 
 const TIME_OUT: f64 = 0.25;
 
-fn blind(me: u64, proxies: u64, servers: u64, may_probe: bool) -> Proxy {
+fn blind(me: u64, proxies: u64, servers: u64, may_probe: bool) -> TestInstance {
     let tenant_quota = vec![50.0 * servers as f64];
     let set = Settings {
         instance_index: me,
@@ -22,10 +22,10 @@
         tenant_connection_quotas: tenant_quota,
         ..settings()
     };
-    let mut p = Proxy { module: Balancer::new(set, me), now: 100.0 };
-    p.give(Event::Start);
-    p.give(list(&(1..=servers).map(entry).collect::<Vec<_>>()));
-    p
+    let mut instance = TestInstance { balancer: Balancer::new(set, me), now: 100.0 };
+    instance.handle(Event::Start);
+    instance.handle(endpoint_list(&(1..=servers).map(entry).collect::<Vec<_>>()));
+    instance
 }
 
 fn grouped(id: u32, group: u64, now: f64) -> Request {
@@ -45,18 +45,22 @@
 }
 
 /// The answer to each probe comes after so long, in seconds; where the client was sent.
-fn answer(p: &mut Proxy, asked: &[ServerId], took: &dyn Fn(ServerId) -> f64) -> Option<ServerId> {
-    let began = p.now;
+fn answer(
+    instance: &mut TestInstance,
+    asked: &[ServerId],
+    took: &dyn Fn(ServerId) -> f64,
+) -> Option<ServerId> {
+    let began = instance.now;
     let mut order = asked.to_vec();
     order.sort_by(|a, b| took(*a).total_cmp(&took(*b)));
     let mut to = None;
     for server in order {
-        p.now = began + took(server);
-        let actions = p.give(probed(server, Outcome::Ok));
-        to = to.or(sent(&actions));
+        instance.now = began + took(server);
+        let actions = instance.handle(probed(server, Outcome::Ok));
+        to = to.or(attempted_server(&actions));
         let more = probes(&actions);
         if !more.is_empty() {
-            to = to.or(answer(p, &more, took));
+            to = to.or(answer(instance, &more, took));
         }
     }
     to
@@ -64,45 +68,49 @@
 
 #[test]
 fn a_blind_proxy_passes_over_a_server_whose_probe_takes_long_and_one_that_sees_enough_does_not_probe() {
-    let mut p = blind(1, 300, 90, true);
-    let asked = probes(&p.arrive(grouped(1, 7, 100.0)));
+    let mut instance = blind(1, 300, 90, true);
+    let asked = probes(&instance.receive(grouped(1, 7, 100.0)));
     assert_eq!(asked.len(), 3, "{asked:?}");
     // What is usual: five quick answers.
-    assert_eq!(answer(&mut p, &asked, &|_| 0.004), Some(asked[0]));
-    p.give(Event::Established { request: RequestId(1), attempt: 0 });
-    p.now = 101.0;
-    assert_eq!(probes(&p.arrive(grouped(2, 7, 101.0))), asked, "another proxy's ranks are its own");
+    assert_eq!(answer(&mut instance, &asked, &|_| 0.004), Some(asked[0]));
+    instance.handle(Event::Established { request: RequestId(1), attempt: 0 });
+    instance.now = 101.0;
+    assert_eq!(probes(&instance.receive(grouped(2, 7, 101.0))), asked, "another proxy's ranks are its own");
     let slow = |s| if s == asked[0] { 0.010 } else { 0.004 };
-    assert_eq!(answer(&mut p, &asked, &slow), Some(asked[1]));
-    let mut p = blind(1, 4, 90, true);
-    assert!(sent(&p.arrive(grouped(1, 7, 100.0))).is_some(), "four proxies see enough");
+    assert_eq!(answer(&mut instance, &asked, &slow), Some(asked[1]));
+    let mut instance = blind(1, 4, 90, true);
+    assert!(attempted_server(&instance.receive(grouped(1, 7, 100.0))).is_some(), "four proxies see enough");
 }
 
 #[test]
 fn a_probe_that_stays_out_holds_nobody_up() {
-    let mut p = blind(1, 300, 90, true);
+    let mut instance = blind(1, 300, 90, true);
     let mut timers = Vec::new();
-    let actions = p.arrive(grouped(1, 7, 100.0));
-    note_timers(&actions, p.now, &mut timers);
+    let actions = instance.receive(grouped(1, 7, 100.0));
+    record_timers(&actions, instance.now, &mut timers);
     let asked = probes(&actions);
-    p.now += 0.004;
-    assert_eq!(sent(&p.give(probed(asked[1], Outcome::Ok))), None, "the first one may still answer");
-    let actions = p.pass(&mut timers, 100.0 + TIME_OUT * 0.3);
-    assert_eq!(sent(&actions), Some(asked[1]), "{actions:?}");
+    instance.now += 0.004;
+    assert_eq!(
+        attempted_server(&instance.handle(probed(asked[1], Outcome::Ok))),
+        None,
+        "the first one may still answer"
+    );
+    let actions = instance.advance_to(&mut timers, 100.0 + TIME_OUT * 0.3);
+    assert_eq!(attempted_server(&actions), Some(asked[1]), "{actions:?}");
     // A server that has no hand free for probes isn't locked for it, and gets nobody meanwhile.
-    p.now += 10.0;
-    let r = grouped(2, 7, p.now);
-    let asked = probes(&p.arrive(r));
-    assert_eq!(sent(&p.give(probed(asked[0], Outcome::Error))), None);
-    p.now += 0.004;
-    assert_eq!(sent(&p.give(probed(asked[1], Outcome::Ok))), Some(asked[1]));
-    assert!(!p.module.unavailable_servers(p.now).contains(&asked[0]));
+    instance.now += 10.0;
+    let r = grouped(2, 7, instance.now);
+    let asked = probes(&instance.receive(r));
+    assert_eq!(attempted_server(&instance.handle(probed(asked[0], Outcome::Error))), None);
+    instance.now += 0.004;
+    assert_eq!(attempted_server(&instance.handle(probed(asked[1], Outcome::Ok))), Some(asked[1]));
+    assert!(!instance.balancer.unavailable_servers(instance.now).contains(&asked[0]));
 }
 
 /// A fleet whose servers answer probes as the platform's do: at full pace up to 0.3 of their load, at a fifth of it from
 /// 1.1 on.
 struct Fleet {
-    proxies: Vec<Proxy>,
+    proxies: Vec<TestInstance>,
     stands: Vec<(usize, u32, ServerId, u64)>,
     rng: Pcg64Mcg,
     now: f64,
@@ -142,20 +150,21 @@
         if self.stands.len() >= STAND {
             let (at, id, server, _) = self.stands.remove(0);
             self.proxies[at].now = self.now;
-            self.proxies[at].end(id, server, 0, Outcome::Ok);
+            self.proxies[at].end_attempt(id, server, 0, Outcome::Ok);
         }
         let at = (self.draw() * PROXIES as f64) as usize;
         let group = 1 + (GROUPS as f64).powf(self.draw()) as u64;
         let noise: Vec<f64> = (0..=SERVERS).map(|_| 0.9 + 0.2 * self.draw()).collect();
         let loads = self.loads();
-        let p = &mut self.proxies[at];
-        p.now = self.now;
-        let actions = p.arrive(grouped(id, group, self.now));
+        let instance = &mut self.proxies[at];
+        instance.now = self.now;
+        let actions = instance.receive(grouped(id, group, self.now));
         let asked = probes(&actions);
         self.asked += asked.len() as u64;
         let took = |s: ServerId| 0.0015 + 0.003 * noise[s.0 as usize] / (1.3 - loads[&s]).clamp(0.2, 1.0);
-        let to = sent(&actions).or_else(|| answer(p, &asked, &took)).expect("there is room");
-        p.give(Event::Established { request: RequestId(id), attempt: 0 });
+        let to =
+            attempted_server(&actions).or_else(|| answer(instance, &asked, &took)).expect("there is room");
+        instance.handle(Event::Established { request: RequestId(id), attempt: 0 });
         self.stands.push((at, id, to, group));
     }
 }
@@ -185,15 +194,15 @@
     fn every_client_gets_its_answer_whatever_becomes_of_probes(
         steps in prop::collection::vec((0u8..5, any::<prop::sample::Index>(), 0.0..0.3f64), 1..60),
     ) {
-        let mut p = blind(1, 300, 45, true);
+        let mut instance = blind(1, 300, 45, true);
         let (mut out, mut owed, mut timers, mut id) = (BTreeSet::new(), BTreeSet::new(), Vec::new(), 0);
-        let mut sent = BTreeSet::new();
+        let mut attempted = BTreeSet::new();
         let mut see = |actions: &[Action], out: &mut BTreeSet<ServerId>, owed: &mut BTreeSet<u32>| {
             for a in actions {
                 match a {
                     Action::Probe(server) => { out.insert(*server); }
                     Action::BeginAttempt { request, .. } => {
-                        assert!(owed.contains(&request.0) && sent.insert(request.0), "{request:?} goes out twice");
+                        assert!(owed.contains(&request.0) && attempted.insert(request.0), "{request:?} goes out twice");
                     }
                     // An attempt that has not come up by the deadline is given up.
                     Action::Reject { request, .. } | Action::Fail(request) => {
@@ -208,27 +217,27 @@
                 0 | 1 => {
                     id += 1;
                     owed.insert(id);
-                    p.arrive(grouped(id, u64::from(id % 3) + 1, p.now))
+                    instance.receive(grouped(id, u64::from(id % 3) + 1, instance.now))
                 }
                 2 | 3 if !out.is_empty() => {
                     let server = *which.get(&out.iter().copied().collect::<Vec<_>>());
                     out.remove(&server);
                     let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::TimedOut][which.index(4)];
-                    p.give(probed(server, outcome))
+                    instance.handle(probed(server, outcome))
                 }
-                _ => { let until = p.now + wait; p.pass(&mut timers, until) }
+                _ => { let until = instance.now + wait; instance.advance_to(&mut timers, until) }
             };
-            note_timers(&actions, p.now, &mut timers);
+            record_timers(&actions, instance.now, &mut timers);
             see(&actions, &mut out, &mut owed);
             for a in &actions {
                 if let Action::BeginAttempt { request, .. } = a {
-                    p.give(Event::Established { request: *request, attempt: 0 });
+                    instance.handle(Event::Established { request: *request, attempt: 0 });
                     owed.remove(&request.0);
                 }
             }
         }
-        let until = p.now + 3.0;
-        let actions = p.pass(&mut timers, until);
+        let until = instance.now + 3.0;
+        let actions = instance.advance_to(&mut timers, until);
         see(&actions, &mut out, &mut owed);
         prop_assert!(owed.is_empty(), "{owed:?} wait for ever");
     }
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -3,7 +3,7 @@
 mod common;
 use std::collections::BTreeMap;
 
-use common::{Proxy, entry, note_timers, request, settings};
+use common::{TestInstance, entry, record_timers, request, settings};
 use proptest::prelude::*;
 use shorewharf_decisions::Balancer;
 use shorewharf_decisions::interface::{
@@ -89,7 +89,7 @@
 }
 
 struct World {
-    p: Proxy,
+    instance: TestInstance,
     timers: Vec<(f64, u64)>,
     clients: BTreeMap<u32, Known>,
     listed: BTreeMap<u64, ServerEntry>,
@@ -101,7 +101,7 @@
     fn new(seed: u64) -> Self {
         let set = Settings { classes: classes(), polls_discovery: seed.is_multiple_of(2), ..settings() };
         let mut w = World {
-            p: Proxy { module: Balancer::new(set, seed), now: 100.0 },
+            instance: TestInstance { balancer: Balancer::new(set, seed), now: 100.0 },
             timers: Vec::new(),
             clients: BTreeMap::new(),
             listed: BTreeMap::new(),
@@ -113,14 +113,14 @@
     }
 
     fn event(&mut self, event: Event) {
-        let out = self.p.give(event);
+        let out = self.instance.handle(event);
         self.check(&out);
-        note_timers(&out, self.p.now, &mut self.timers);
+        record_timers(&out, self.instance.now, &mut self.timers);
         self.log.extend(out);
     }
 
     fn check(&mut self, out: &[Action]) {
-        let now = self.p.now;
+        let now = self.instance.now;
         for a in out {
             match a {
                 Action::BeginAttempt { request, server, timeout } => {
@@ -132,13 +132,13 @@
                     assert!(now + timeout <= c.deadline + 0.001 && *timeout > 0.0);
                     let e = self.listed.get(&server.0).expect("a listed server");
                     assert_eq!(e.state, ServerState::Ready, "drains are kept");
-                    if let Some((first, sent)) = c.ran {
+                    if let Some((first, sent_at)) = c.ran {
                         let f = self.listed.get(&first.0);
                         match classes()[c.class].idempotency {
                             Idempotency::Idempotent => {}
                             Idempotency::NonIdempotent => panic!("an unsafe request may have run"),
                             Idempotency::Keyed(scope, window) => {
-                                assert!(now - sent < window);
+                                assert!(now - sent_at < window);
                                 match scope {
                                     DeduplicationScope::All => {}
                                     DeduplicationScope::Zone => assert_eq!(f.unwrap().zone, e.zone),
@@ -184,23 +184,27 @@
     }
 
     fn pass(&mut self, span: f64) {
-        let until = self.p.now + span;
+        let until = self.instance.now + span;
         loop {
             self.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
             let Some(&(at, token)) = self.timers.first().filter(|t| t.0 <= until) else { break };
             self.timers.remove(0);
-            self.p.now = self.p.now.max(at);
+            self.instance.now = self.instance.now.max(at);
             self.event(Event::TimerFired(token));
             self.overdue();
         }
-        self.p.now = until;
+        self.instance.now = until;
         self.overdue();
     }
 
     fn overdue(&self) {
         for (id, c) in &self.clients {
-            let done = c.answered || c.standing || self.p.now < c.deadline + 0.02;
-            assert!(done, "request {id} is unanswered at {}, its deadline was {}", self.p.now, c.deadline);
+            let done = c.answered || c.standing || self.instance.now < c.deadline + 0.02;
+            assert!(
+                done,
+                "request {id} is unanswered at {}, its deadline was {}",
+                self.instance.now, c.deadline
+            );
         }
     }
 
@@ -213,7 +217,7 @@
                     key: *key,
                     group: *group,
                     load: Some(*load),
-                    ..request(self.next, self.p.now)
+                    ..request(self.next, self.instance.now)
                 };
                 let known = Known { class: *class, deadline: r.deadline, ..Known::default() };
                 self.clients.insert(self.next, known);
@@ -221,7 +225,7 @@
             }
             Step::Open { server } => {
                 self.next += 1;
-                let r = request(self.next, self.p.now);
+                let r = request(self.next, self.instance.now);
                 let known = Known { standing: true, out: Some((ServerId(*server), 0)), ..Known::default() };
                 self.clients.insert(self.next, Known { attempts: 1, ..known });
                 self.event(Event::ConnectionRestored(r, ServerId(*server)));
@@ -343,9 +347,9 @@
             "zones":["{zone}","{zone}2"],"group_size":9,"tick_s":0.005,"specifics":{{"groups":true}},
             "limits":{{"max_attempts":3,"connect_timeout_s":0.2}}}}"#
         );
-        let mut p = Proxy::new(shorewharf_settings::settings(text.as_bytes()).unwrap().0, 20);
+        let mut instance = TestInstance::new(shorewharf_settings::settings(text.as_bytes()).unwrap().0, 20);
         (0..50)
-            .flat_map(|id| p.arrive(Request { group: u64::from(id % 5), ..request(id, 100.0) }))
+            .flat_map(|id| instance.receive(Request { group: u64::from(id % 5), ..request(id, 100.0) }))
             .collect::<Vec<_>>()
     };
     assert_eq!(run("a", "b", "c"), run("upload", "north", "acme"));
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Proxy, entry, list, note_timers, request, settings};
+use common::{TestInstance, endpoint_list, entry, record_timers, request, settings};
 use proptest::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -41,13 +41,13 @@
 
 /// A proxy that has learned what servers bear, as the estimate beside the module tells it: from the loads of the few
 /// connections that it has met, so its mean is off by this factor.
-fn learned(me: u64, proxies: usize, off: f64) -> Proxy {
-    let mut proxy = Proxy::new(set(me, proxies), SERVERS);
+fn learned(me: u64, proxies: usize, off: f64) -> TestInstance {
+    let mut proxy = TestInstance::new(set(me, proxies), SERVERS);
     let mean = off * 2.0 * SERVERS as f64 / HELD;
-    proxy.give(Event::MeanLoadEstimated(mean));
+    proxy.handle(Event::MeanLoadEstimated(mean));
     for id in 1..=SERVERS {
         let entries = 0.67 * 3.0 * 2.0 / mean / WARM / proxies as f64;
-        proxy.give(Event::CapacityEstimated {
+        proxy.handle(Event::CapacityEstimated {
             server: ServerId(id),
             load: 2.0 / proxies as f64,
             setup_rate: entries,
@@ -58,13 +58,13 @@
 
 /// A fleet, its timers and its clients in virtual time.
 struct Fleet {
-    all: Vec<(Proxy, Vec<(f64, u64)>)>,
+    all: Vec<(TestInstance, Vec<(f64, u64)>)>,
     /// Standing clients: proxy, number, server, attempt.
     stand: Vec<(usize, u32, ServerId)>,
     next: u32,
     rng: Pcg64Mcg,
     /// When the cold server was sent something.
-    sent: Vec<f64>,
+    attempt_times: Vec<f64>,
     /// When clients come again that were refused.
     again: Vec<f64>,
 }
@@ -79,7 +79,7 @@
             stand: Vec::new(),
             next: 1,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            sent: Vec::new(),
+            attempt_times: Vec::new(),
             again: Vec::new(),
         }
     }
@@ -96,15 +96,15 @@
 
     /// Whatever the proxy wants sent is sent, and stands at once; who is refused comes again.
     fn carry_out(&mut self, who: usize, at: f64, out: &[Action]) {
-        note_timers(out, at, &mut self.all[who].1);
+        record_timers(out, at, &mut self.all[who].1);
         for action in out {
             match action {
                 Action::BeginAttempt { request, server, .. } => {
                     if *server == COLD {
-                        self.sent.push(at);
+                        self.attempt_times.push(at);
                     }
-                    let up = self.all[who].0.give(Event::Established { request: *request, attempt: 0 });
-                    note_timers(&up, at, &mut self.all[who].1);
+                    let up = self.all[who].0.handle(Event::Established { request: *request, attempt: 0 });
+                    record_timers(&up, at, &mut self.all[who].1);
                     self.stand.push((who, request.0, *server));
                 }
                 Action::Reject { .. } => self.again.push(at + 0.2),
@@ -122,7 +122,7 @@
                 let place = timers.iter().position(|t| t.0 == at).expect("just found");
                 let (_, token) = timers.remove(place);
                 proxy.now = at;
-                let out = proxy.give(Event::TimerFired(token));
+                let out = proxy.handle(Event::TimerFired(token));
                 self.carry_out(who, at, &out);
             }
             self.all[who].0.now = until;
@@ -138,7 +138,7 @@
         self.next += 1;
         self.all[who].0.now = now;
         let r = Request { deadline: now + 3.0, is_returning: returning, ..request(id, now) };
-        let out = self.all[who].0.arrive(r);
+        let out = self.all[who].0.receive(r);
         self.carry_out(who, now, &out);
     }
 
@@ -148,8 +148,8 @@
         for (who, id, server) in std::mem::take(&mut self.stand) {
             self.all[who].0.now = now;
             if part.map_or(server == COLD, |part| self.draw() < part) {
-                let out = self.all[who].0.end_as(id, server, 0, Outcome::Reset, true);
-                note_timers(&out, now, &mut self.all[who].1);
+                let out = self.all[who].0.end_attempt_as(id, server, 0, Outcome::Reset, true);
+                record_timers(&out, now, &mut self.all[who].1);
             } else {
                 self.stand.push((who, id, server));
             }
@@ -161,18 +161,18 @@
         for (proxy, _) in &mut self.all {
             proxy.now = now;
             let entries = vec![ServerEntry { started_at: born, ..entry(COLD.0) }].into();
-            proxy.give(Event::EndpointList { is_complete: false, is_cached: false, entries });
+            proxy.handle(Event::EndpointList { is_complete: false, is_cached: false, entries });
         }
     }
 
     /// The proxy is another process from now on, which has the list and knows nothing else.
     fn restart(&mut self, who: usize, now: f64, born: f64) {
         self.stand.retain(|s| s.0 != who);
-        let mut proxy = Proxy::new(set(who as u64, self.all.len()), 0);
+        let mut proxy = TestInstance::new(set(who as u64, self.all.len()), 0);
         proxy.now = now;
-        proxy.give(Event::Start);
+        proxy.handle(Event::Start);
         let born = |id| if id == COLD.0 { born } else { 0.0 };
-        proxy.give(list(
+        proxy.handle(endpoint_list(
             &(1..=SERVERS).map(|id| ServerEntry { started_at: born(id), ..entry(id) }).collect::<Vec<_>>(),
         ));
         self.all[who] = (proxy, Vec::new());
@@ -180,10 +180,11 @@
 
     /// The most that the cold server was sent within any window.
     fn most(&mut self) -> usize {
-        self.sent.sort_by(f64::total_cmp);
-        let within =
-            |from: &f64| self.sent.iter().filter(|at| **at >= *from && **at <= from + WINDOW).count();
-        self.sent.iter().map(within).max().unwrap_or(0)
+        self.attempt_times.sort_by(f64::total_cmp);
+        let within = |from: &f64| {
+            self.attempt_times.iter().filter(|at| **at >= *from && **at <= from + WINDOW).count()
+        };
+        self.attempt_times.iter().map(within).max().unwrap_or(0)
     }
 }
 
@@ -205,7 +206,7 @@
     let born = now;
     fleet.break_off(now, None);
     fleet.listed(now, born);
-    fleet.sent.clear();
+    fleet.attempt_times.clear();
     while now < born + age {
         now += 0.1;
         fleet.pass(now);
@@ -228,7 +229,7 @@
         now += 0.05;
         fleet.pass(now);
     }
-    (fleet.most(), fleet.sent.len())
+    (fleet.most(), fleet.attempt_times.len())
 }
 
 // Pinned, and few, as the tests are built without optimisation; PROPTEST_CASES has no say here.
@@ -270,8 +271,8 @@
     // What fills it while it warms up, from a fleet that is quiet and one that a burst meets.
     let whole = HELD / SERVERS as f64;
     for proxies in [20, 30] {
-        let sent: usize = (0..10).map(|seed| burst((proxies, seed), (18.0, 8.0), (0.2, 0.5), 0).1).sum();
-        let mean = sent as f64 / 10.0;
+        let attempts: usize = (0..10).map(|seed| burst((proxies, seed), (18.0, 8.0), (0.2, 0.5), 0).1).sum();
+        let mean = attempts as f64 / 10.0;
         assert!(mean >= 0.5 * whole, "{proxies} proxies sent it {mean} clients in 22 s, {whole} fill it");
     }
 }
