--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -70,7 +70,7 @@
     /// When the first line came that its server has not answered.
     unanswered_since: Option<Micros>,
     /// The class of its request, until its one outcome has been counted.
-    pub(crate) uncounted_class: Option<u16>,
+    uncounted_class: Option<u16>,
     /// It is in the proxy's list of sessions with a message delay to report.
     reports_delay: bool,
     pub(crate) timer: TimerHandle,
--- a/crates/balancer/src/clients/session/opening.rs
+++ b/crates/balancer/src/clients/session/opening.rs
@@ -1,5 +1,6 @@
 //! The beginning of a session: its first line, and the wait for its answer.
 
+use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
 
 use super::{FIRST_LINE_TIMEOUT, Session};
@@ -43,10 +44,10 @@
         for _ in 0..=MAX_PINGS_PER_READ {
             self.connection.read_available(pool);
             match self.connection.take_line() {
-                Ok(Some(line)) if line == b"PING" => {
+                Ok(Some(line)) if parse_message(&line) == Message::Ping => {
                     self.first_line_deadline = now + NEXT_PING_TIMEOUT;
                     self.deadline = self.first_line_deadline;
-                    self.connection.send(pool, b"PONG\r\n");
+                    self.connection.send(pool, Message::Pong.to_string().as_bytes());
                 }
                 Ok(Some(line)) => return FirstLine::Line(line),
                 Ok(None) if self.connection.peer_close.is_some() => return FirstLine::Closed,
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_lifecycle::{Answer, Cause, Violation};
-use shorewharf_protocol::message::busy;
+use shorewharf_protocol::message::{Message, busy};
 use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
@@ -14,17 +14,22 @@
 use crate::event_loop::context::LoopContext;
 use crate::proxy::Proxy;
 
-/// The line of an answer; empty if the connection is closed without one.
-fn answer_line(answer: Answer) -> String {
+/// The message of an answer; `None` if the connection is closed without one.
+fn message_of(answer: Answer) -> Option<Message<'static>> {
     match answer {
-        Answer::Rejected { retry_after } => busy(retry_after).to_string(),
-        Answer::Failed => "ERR\r\n".to_owned(),
-        Answer::Served => "BYE\r\n".to_owned(),
-        Answer::Migrated => "MOVE\r\n".to_owned(),
-        Answer::Closed => String::new(),
+        Answer::Rejected { retry_after } => Some(busy(retry_after)),
+        Answer::Failed => Some(Message::Failed),
+        Answer::Served => Some(Message::Completed),
+        Answer::Migrated => Some(Message::Migrate),
+        Answer::Closed => None,
     }
 }
 
+/// The line of an answer; empty if the connection is closed without one.
+fn answer_line(answer: Answer) -> String {
+    message_of(answer).map(|message| message.to_string()).unwrap_or_default()
+}
+
 /// What an answer counts as for operators.
 fn counted_reply(answer: Answer) -> Option<Reply> {
     match answer {
@@ -45,10 +50,8 @@
             Ok(()) => answer,
             Err(forbidden) => {
                 self.report_violation(&forbidden.violation, cause);
-                match forbidden.replacement {
-                    Some(replacement) => replacement,
-                    None => return,
-                }
+                let Some(replacement) = forbidden.replacement else { return };
+                replacement
             }
         };
         if let Some(reply) = counted_reply(answer) {
@@ -68,8 +71,8 @@
 
     fn log_answer(&mut self, context: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
         let (attempts, may_have_run) = (self.guard.attempts(id), self.guard.may_have_run(id));
-        let words = answer_line(answer);
-        let words = words.trim_end();
+        let line = answer_line(answer);
+        let words = line.trim_end();
         debug!(event = "answered", req = id.0, words, %cause, attempts, may_have_run);
         let is_given_up = matches!(cause, Cause::Shutdown | Cause::Overdue) && answer == Answer::Failed;
         if is_given_up && self.log_limiter.may(context) {
@@ -78,7 +81,7 @@
     }
 
     /// Logs a step that the guard has prevented. That it was attempted at all is a bug.
-    pub(crate) fn report_violation(&self, violation: &Violation, cause: Cause) {
+    pub(super) fn report_violation(&self, violation: &Violation, cause: Cause) {
         let (rule, req, attempt) = (violation.rule, violation.request.0, violation.attempt);
         let server = self.servers.name(violation.server);
         error!(event = "rule-violation", %rule, req, attempt, server, %cause);
@@ -86,7 +89,7 @@
     }
 
     /// Closes a client's connection, whatever is still to be sent.
-    pub(crate) fn close_session(&mut self, context: &mut LoopContext, id: RequestId, cause: Cause) {
+    pub(super) fn close_session(&mut self, context: &mut LoopContext, id: RequestId, cause: Cause) {
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
         }
@@ -94,7 +97,7 @@
     }
 
     /// Goes on with the close of a client's connection, as far as possible now.
-    pub(crate) fn continue_close(&mut self, context: &mut LoopContext, id: RequestId) {
+    pub(super) fn continue_close(&mut self, context: &mut LoopContext, id: RequestId) {
         match self.sessions.get_mut(id).map(|session| session.continue_close(&context.buffers)) {
             Some(CloseProgress::Done) => self.close_session(context, id, Cause::Server),
             Some(CloseProgress::MoreToRead) => self.unfinished.push(id),
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -5,13 +5,14 @@
 
 use shorewharf_decisions::interface::{Outcome, ServerId};
 use shorewharf_driver::NetworkEvent;
+use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
 use tracing::debug;
 
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
 use crate::event_loop::timers::TimerKey;
-use crate::transport::connection::Connection;
+use crate::transport::connection::{Connection, LineTooLong};
 use crate::transport::readiness::Readiness;
 
 /// A probe that takes longer has failed.
@@ -104,7 +105,10 @@
         if !probe.is_ping_sent {
             match probe.connection.is_connected() {
                 Ok(false) => return,
-                Ok(true) => probe.is_ping_sent = probe.connection.send(&context.buffers, b"PING\r\n"),
+                Ok(true) => {
+                    let ping = Message::Ping.to_string();
+                    probe.is_ping_sent = probe.connection.send(&context.buffers, ping.as_bytes());
+                }
                 Err(_) => return self.finish(context, number, Outcome::ConnectFailed),
             }
         }
@@ -112,10 +116,10 @@
         probe.connection.read_available(&context.buffers);
         let is_closed = probe.connection.peer_close.is_some();
         let outcome = match probe.connection.inspect_line() {
-            Ok(Some(b"PONG")) => Outcome::Ok,
-            Ok(None) if !is_closed => return,
-            Ok(None) => Outcome::Reset,
-            _ => Outcome::Error,
+            Ok(Some(line)) if parse_message(line) == Message::Pong => Outcome::Ok,
+            Ok(Some(_)) | Err(LineTooLong) => Outcome::Error,
+            Ok(None) if is_closed => Outcome::Reset,
+            Ok(None) => return,
         };
         self.finish(context, number, outcome);
     }
