--- a/crates/balancer/src/fleet/gossip_config.rs
+++ b/crates/balancer/src/fleet/gossip_config.rs
@@ -97,12 +97,12 @@
     /// # Errors
     /// A file that can't be read or used.
     pub fn read(section: &Gossip, balancer: &str) -> Result<Option<GossipConfig>, GossipConfigError> {
-        let Some(path) = &section.peers else { return Ok(None) };
+        let Some(path) = &section.peers_file else { return Ok(None) };
         let mut peers = read_peers(path)?;
         peers.retain(|(name, _)| name != balancer);
-        let key = read_key(section.key.as_ref().ok_or(GossipConfigError::NoKey)?)?;
+        let key = read_key(section.key_file.as_ref().ok_or(GossipConfigError::NoKey)?)?;
         let rules = GossipSettings {
-            interval: section.every_ms * MICROS_PER_MILLISECOND,
+            interval: section.interval_ms * MICROS_PER_MILLISECOND,
             fanout: section.fanout,
             ..GossipSettings::default()
         };
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -8,7 +8,7 @@
 use shorewharf_decisions::interface::{Action, Event, Outcome, Request, RequestId, ServerId, Settings};
 use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_recovery::capacity_estimate::FleetEstimate;
-use shorewharf_recovery::controller::{Options, OverloadController};
+use shorewharf_recovery::controller::{ControllerOptions, OverloadController};
 use shorewharf_recovery::protected_balancer::{ProtectedBalancer, WaitingClients};
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::{Operator, Recovery};
@@ -25,9 +25,9 @@
 /// Tenants in a line of the log.
 const MAX_LOGGED_TENANTS: usize = 8;
 
-fn controller_options(operator: &Operator) -> Options {
-    let Recovery { levels, repeats, rebalance } = operator.recovery;
-    Options { levels, retry_budget: repeats, rebalance }
+fn controller_options(operator: &Operator) -> ControllerOptions {
+    let Recovery { levels, retry_budget, rebalance } = operator.recovery;
+    ControllerOptions { levels, retry_budget, rebalance }
 }
 
 /// The admission checks, in the order in which they are asked.
