--- a/crates/balancer/benches/parts.rs
+++ b/crates/balancer/benches/parts.rs
@@ -7,8 +7,8 @@
 
 use criterion::{BatchSize, Criterion, Throughput};
 use serde_json::json;
-use shorewharf::discovery::reader::{Part, Reader};
-use shorewharf::discovery::update::Incoming;
+use shorewharf::discovery::reader::{ListPart, ListReader};
+use shorewharf::discovery::update::EndpointUpdate;
 use shorewharf::event_loop::timers::TimerWheel;
 use shorewharf::servers::server_table::ServerTable;
 use shorewharf_emulator::standin::endpoint;
@@ -92,23 +92,23 @@
     group.throughput(Throughput::Bytes(text.len() as u64));
     group.bench_function("read-10000", |b| {
         b.iter(|| {
-            let (mut reader, mut incoming) = (Reader::new(), Incoming::default());
+            let (mut reader, mut incoming) = (ListReader::new(), EndpointUpdate::default());
             for piece in text.as_bytes().chunks(8192) {
                 let mut part = |part| {
-                    if let Part::Entry(e) = part {
+                    if let ListPart::Entry(e) = part {
                         incoming.add(&e, &names, most);
                     }
                 };
                 reader.read(piece, &mut part).expect("a list");
             }
-            assert_eq!(incoming.entries.len(), 10_000);
+            assert_eq!(incoming.servers.len(), 10_000);
         });
     });
     group.throughput(Throughput::Elements(10_000));
     let mut servers = ServerTable::default();
-    servers.apply_list(Incoming::of(&whole, &names, most), most, |_| false);
+    servers.apply_list(EndpointUpdate::from_list(&whole, &names, most), most, |_| false);
     group.bench_function("take-whole-10000", |b| {
-        let list = || Incoming::of(&whole, &names, most);
+        let list = || EndpointUpdate::from_list(&whole, &names, most);
         b.iter_batched(list, |list| servers.apply_list(list, most, |_| false), BatchSize::LargeInput);
     });
     group.throughput(Throughput::Elements(1));
@@ -121,7 +121,7 @@
     group.bench_function("change-of-10000", |b| {
         b.iter(|| {
             next += 1;
-            let list = Incoming::of(&changes[next % 2], &names, most);
+            let list = EndpointUpdate::from_list(&changes[next % 2], &names, most);
             servers.apply_list(list, most, |_| false)
         });
     });
--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -1,238 +1,307 @@
-//! The discovery: the list of servers, from a watch over HTTP/1.1.
+//! The client of the discovery service: keeps a watch of the endpoint list over HTTP/1.1.
 
+use std::io;
 use std::net::SocketAddr;
 
 use shorewharf_driver::MAX_DISCOVERY_RETRY_DELAY;
 use shorewharf_units::Micros;
+use thiserror::Error;
 use tracing::{info, warn};
 
+use super::reader::{ListPart, ListReader};
+use super::response::{ResponseError, ResponseReader};
+use super::update::EndpointUpdate;
 use crate::config::proxy_settings::ProxySettings;
-use crate::discovery::reader::{Part, Reader};
-use crate::discovery::response::Answer;
-use crate::discovery::update::Incoming;
 use crate::event_loop::context::{LoopContext, TimerEvent, TimerHandle};
 use crate::event_loop::poll::EventSource;
 use crate::transport::connection::Connection;
 use crate::transport::readiness::Readiness;
 
-/// A call of whose list nothing has come by then has failed, whatever else of it has come up: discovery itself gives up
-/// after about a second. After a reload its news counts as told within 4 s, and there must be time for another call by then.
-const FIRST: Micros = 1_800_000;
-/// A watch has a blank line every 2 s; one that stays silent for this long is dead though TCP says nothing.
-const SILENT: Micros = 2_800_000;
-/// What a watch misses counts as told so long after it fell silent, and what discovery has to tell so long after it could
-/// be reached.
-const TOLD: Micros = 6_000_000;
-// The pause before the next call is the module's.
-const _: () = assert!(SILENT + MAX_DISCOVERY_RETRY_DELAY + FIRST < TOLD && 2 * FIRST < 4_000_000);
-/// Pieces of a list that are read in one turn: a list of megabytes must not hold up those who stand.
-const PIECES: usize = 8;
-
-/// What comes of a watch.
+/// A watch whose list has not begun after this time has failed. Discovery itself gives up after about a second, and there
+/// must be time for another watch within [`MAX_RELOAD_DELAY`].
+const FIRST_BYTE_TIMEOUT: Micros = 1_800_000;
+/// A watch sends a blank line every 2 s; one that is silent for this long is dead, whatever TCP says.
+const SILENCE_TIMEOUT: Micros = 2_800_000;
+/// A list must be known this soon after a watch has fallen silent, or discovery is reachable again.
+const MAX_UPDATE_DELAY: Micros = 6_000_000;
+/// A list must be known this soon after a reload has changed discovery's address.
+const MAX_RELOAD_DELAY: Micros = 4_000_000;
+// The delay before the next watch is the driver's.
+const _: () = assert!(SILENCE_TIMEOUT + MAX_DISCOVERY_RETRY_DELAY + FIRST_BYTE_TIMEOUT < MAX_UPDATE_DELAY);
+const _: () = assert!(2 * FIRST_BYTE_TIMEOUT < MAX_RELOAD_DELAY);
+/// Pieces of a list that are read in one iteration: a list of megabytes must not hold up other connections.
+const MAX_PIECES_PER_ITERATION: usize = 8;
+
+/// What a watch reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// Discovery tells a list, or changes to it.
-    List(Incoming),
-    /// A call failed or the watch ended.
+    /// A list, or changes to it.
+    List(EndpointUpdate),
+    /// The watch could not be opened, or has ended.
     Failed,
 }
 
-/// Discovery's side.
+/// Why a watch has ended.
+#[derive(Debug, Error)]
+enum WatchError {
+    #[error(transparent)]
+    Connect(#[from] io::Error),
+    #[error("the loop takes no more connections")]
+    NotRegistered,
+    #[error(transparent)]
+    Response(#[from] ResponseError),
+    #[error("the connection ended")]
+    Closed,
+    #[error("silence")]
+    Silent,
+}
+
+/// A watch that is open.
+#[derive(Debug)]
+struct Watch {
+    connection: Connection,
+    is_requested: bool,
+    response: ResponseReader,
+    reader: ListReader,
+    /// What has come of the list that is being received.
+    update: EndpointUpdate,
+    /// When something came last, or the watch was opened.
+    last_received: Micros,
+    /// Something of a list has come, or a blank line.
+    has_begun: bool,
+}
+
+/// How reading a watch has ended in an iteration.
+enum ReadEnd {
+    /// Nothing more is at hand.
+    Drained,
+    /// There may be more, for the next iteration.
+    HasMore,
+}
+
+impl Watch {
+    fn new(connection: Connection, now: Micros) -> Self {
+        Watch {
+            connection,
+            is_requested: false,
+            response: ResponseReader::new(),
+            reader: ListReader::new(),
+            update: EndpointUpdate::default(),
+            last_received: now,
+            has_begun: false,
+        }
+    }
+
+    /// Sends the request once the connection is established; returns false until then.
+    fn send_request(
+        &mut self,
+        context: &LoopContext,
+        address: SocketAddr,
+        index: u64,
+    ) -> Result<bool, WatchError> {
+        if self.is_requested {
+            return Ok(true);
+        }
+        if !self.connection.is_connected()? {
+            return Ok(false);
+        }
+        self.is_requested = true;
+        let request = format!(
+            "GET /v1/servers?follow=1&since={index} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
+        );
+        self.connection.send(&context.buffers, request.as_bytes());
+        Ok(true)
+    }
+
+    /// Reads what has come; complete lists are added to `lists`.
+    fn read(
+        &mut self,
+        context: &LoopContext,
+        settings: &ProxySettings,
+        lists: &mut Vec<EndpointUpdate>,
+    ) -> Result<ReadEnd, WatchError> {
+        for piece in 0.. {
+            let has_read = self.connection.read_available(&context.buffers);
+            let length = self.parse(settings, lists)?;
+            self.connection.discard(length);
+            if has_read && self.has_begun {
+                self.last_received = context.now;
+            }
+            let is_closed = self.connection.peer_close.is_some();
+            if !has_read || (length == 0 && !is_closed) {
+                return if is_closed { Err(WatchError::Closed) } else { Ok(ReadEnd::Drained) };
+            }
+            if piece >= MAX_PIECES_PER_ITERATION {
+                break;
+            }
+        }
+        Ok(ReadEnd::HasMore)
+    }
+
+    /// Parses the input that is pending; returns how many bytes of it are parsed.
+    fn parse(
+        &mut self,
+        settings: &ProxySettings,
+        lists: &mut Vec<EndpointUpdate>,
+    ) -> Result<usize, ResponseError> {
+        let (reader, update, has_begun) = (&mut self.reader, &mut self.update, &mut self.has_begun);
+        let mut on_part = |part| match part {
+            ListPart::Entry(endpoint) => update.add(&endpoint, &settings.names, settings.max_servers),
+            ListPart::End { index, snapshot } => lists.push(update.finish(index, snapshot)),
+        };
+        self.response.read(self.connection.pending_input(), |body| {
+            *has_begun |= !body.is_empty();
+            reader.read(body, &mut on_part)
+        })
+    }
+
+    /// When the watch must have sent something.
+    fn deadline(&self) -> Micros {
+        self.last_received + if self.has_begun { SILENCE_TIMEOUT } else { FIRST_BYTE_TIMEOUT }
+    }
+}
+
+/// The client of the discovery service.
 #[derive(Debug)]
 pub struct DiscoveryClient {
-    at: SocketAddr,
-    link: Option<Connection>,
-    asked: bool,
-    answer: Answer,
-    reader: Reader,
-    /// Of the list that is being read, what has come.
-    incoming: Incoming,
-    /// There is more to read once others have had their turn.
-    more: bool,
-    /// The version of the list that is held.
+    address: SocketAddr,
+    watch: Option<Watch>,
+    /// More may be waiting to be read in the next iteration.
+    has_unread: bool,
+    /// Version of the list that is in force.
     index: u64,
-    /// When something came last, or the call began.
-    heard: Micros,
-    /// Something of the list has come, or a blank line.
-    tells: bool,
-    failing: bool,
-    /// The module has asked for the list; without that nobody watches.
-    wanted: bool,
-    alarm: TimerHandle,
+    /// The last watch has failed, and that was logged.
+    has_failed: bool,
+    /// The driver has requested a watch. Workers other than the primary never do.
+    is_wanted: bool,
+    timer: TimerHandle,
 }
 
 impl DiscoveryClient {
-    /// A discovery that has not been asked yet.
-    pub fn new(at: SocketAddr) -> Self {
+    /// A client of the service at this address, without a watch.
+    pub fn new(address: SocketAddr) -> Self {
         DiscoveryClient {
-            at,
-            link: None,
-            asked: false,
-            answer: Answer::new(),
-            reader: Reader::new(),
-            incoming: Incoming::default(),
-            more: false,
+            address,
+            watch: None,
+            has_unread: false,
             index: 0,
-            heard: 0,
-            tells: false,
-            failing: false,
-            wanted: false,
-            alarm: TimerHandle::default(),
+            has_failed: false,
+            is_wanted: false,
+            timer: TimerHandle::default(),
         }
     }
 
-    /// The list of this version is known from before.
-    pub fn knows(&mut self, index: u64) {
+    /// Sets the version of the list that is in force at the start.
+    pub fn set_index(&mut self, index: u64) {
         self.index = index;
     }
 
-    /// The version of the list that is held.
+    /// Version of the list that is in force.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Discovery is at another address from now on. Guards against an old list: the watch at the address
-    /// before may live on for seconds and tell nothing, so a new one starts at once. It goes on from the
-    /// version that is held; the list stays in force meanwhile.
-    pub fn moves(&mut self, context: &mut LoopContext, at: SocketAddr) -> Vec<DiscoveryEvent> {
-        if std::mem::replace(&mut self.at, at) == at {
+    /// Changes the address of the service. A new watch is opened at once, as the one at the old address may stay open for
+    /// seconds and report nothing. It continues from the version in force.
+    pub fn set_address(&mut self, context: &mut LoopContext, address: SocketAddr) -> Vec<DiscoveryEvent> {
+        if std::mem::replace(&mut self.address, address) == address {
             return Vec::new();
         }
-        self.link = None;
-        if self.wanted { self.watch(context) } else { Vec::new() }
+        self.watch = None;
+        if self.is_wanted { self.open_watch(context) } else { Vec::new() }
     }
 
-    /// Opens the watch, unless it is open.
-    pub fn watch(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
-        self.wanted = true;
-        if self.link.is_some() {
+    /// Opens a watch unless one is open.
+    pub fn open_watch(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
+        self.is_wanted = true;
+        if self.watch.is_some() {
             return Vec::new();
         }
-        let mut link = match Connection::connect(self.at) {
-            Ok(link) => link,
-            Err(e) => return self.failed(context, Vec::new(), &e.to_string()),
-        };
-        if !context.registry.register(&mut link, EventSource::DiscoveryClient) {
-            return self.failed(context, Vec::new(), "the loop takes no more connections");
+        match self.connect(context) {
+            Ok(connection) => {
+                self.watch = Some(Watch::new(connection, context.now));
+                self.schedule_timeout(context);
+                Vec::new()
+            }
+            Err(error) => vec![self.fail(context, &error)],
         }
-        (self.link, self.asked, self.answer, self.heard) = (Some(link), false, Answer::new(), context.now);
-        self.tells = false;
-        // Nothing of a list that did not come to its end counts.
-        (self.reader, self.incoming) = (Reader::new(), Incoming::default());
-        self.arm(context);
-        Vec::new()
     }
 
-    /// Whether there is more to read.
-    pub fn is_busy(&self) -> bool {
-        self.more
+    fn connect(&self, context: &LoopContext) -> Result<Connection, WatchError> {
+        let mut connection = Connection::connect(self.address)?;
+        if !context.registry.register(&mut connection, EventSource::DiscoveryClient) {
+            return Err(WatchError::NotRegistered);
+        }
+        Ok(connection)
+    }
+
+    /// Whether more may be waiting than one iteration reads.
+    pub fn has_unread(&self) -> bool {
+        self.has_unread
     }
 
-    /// The watch's connection is ready.
-    pub fn ready(
+    /// The connection of the watch is ready.
+    pub fn on_ready(
         &mut self,
         context: &mut LoopContext,
-        terms: &ProxySettings,
-        ready: Readiness,
+        settings: &ProxySettings,
+        readiness: Readiness,
     ) -> Vec<DiscoveryEvent> {
-        let mut news = Vec::new();
-        self.more = false;
-        let Some(link) = self.link.as_mut() else { return news };
-        link.on_ready(ready);
-        if !self.asked {
-            match link.is_connected() {
-                Ok(false) => return news,
-                Ok(true) => {}
-                Err(e) => return self.failed(context, news, &e.to_string()),
+        self.has_unread = false;
+        let Some(watch) = &mut self.watch else { return Vec::new() };
+        watch.connection.on_ready(readiness);
+        let mut lists = Vec::new();
+        let result = match watch.send_request(context, self.address, self.index) {
+            Ok(false) => return Vec::new(),
+            Ok(true) => {
+                watch.connection.flush();
+                watch.read(context, settings, &mut lists)
             }
-            self.asked = true;
-            let call = format!(
-                "GET /v1/servers?follow=1&since={} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
-                self.index, self.at
-            );
-            link.send(&context.buffers, call.as_bytes());
-        }
-        link.flush();
-        let (mut lists, mut failure) = (Vec::new(), None);
-        for piece in 0.. {
-            let any = link.read_available(&context.buffers);
-            let (reader, incoming) = (&mut self.reader, &mut self.incoming);
-            let mut part = |part| match part {
-                Part::Entry(e) => incoming.add(&e, &terms.names, terms.max_servers),
-                Part::End { index, snapshot } => lists.push(incoming.end(index, snapshot)),
-            };
-            let tells = &mut self.tells;
-            let took = match self.answer.take(link.pending_input(), |text| {
-                *tells |= !text.is_empty();
-                reader.read(text, &mut part)
-            }) {
-                Ok(n) => n,
-                Err(why) => {
-                    failure = Some(why);
-                    break;
-                }
-            };
-            link.discard(took);
-            if any && self.tells {
-                self.heard = context.now;
-            }
-            if !any || (took == 0 && link.peer_close.is_none()) {
-                failure = link.peer_close.map(|_| "the connection ended".to_owned());
-                break;
-            }
-            if piece >= PIECES {
-                self.more = true;
-                break;
-            }
-        }
-        news.extend(lists.into_iter().map(|list| self.says(list)));
-        match failure {
-            Some(why) => self.failed(context, news, &why),
-            None => news,
+            Err(error) => Err(error),
+        };
+        let mut events: Vec<_> = lists.into_iter().map(|list| self.accept(list)).collect();
+        match result {
+            Ok(ReadEnd::Drained) => {}
+            Ok(ReadEnd::HasMore) => self.has_unread = true,
+            Err(error) => events.push(self.fail(context, &error)),
         }
+        events
     }
 
-    fn says(&mut self, list: Incoming) -> DiscoveryEvent {
-        if std::mem::replace(&mut self.failing, false) {
+    fn accept(&mut self, list: EndpointUpdate) -> DiscoveryEvent {
+        if std::mem::replace(&mut self.has_failed, false) {
             info!(event = "discovery-back", index = list.index);
         }
         self.index = list.index;
         DiscoveryEvent::List(list)
     }
 
-    fn failed(
-        &mut self,
-        context: &mut LoopContext,
-        mut news: Vec<DiscoveryEvent>,
-        why: &str,
-    ) -> Vec<DiscoveryEvent> {
-        self.link = None;
-        self.alarm.cancel(context);
-        if !std::mem::replace(&mut self.failing, true) {
-            warn!(event = "discovery-failed", why);
+    fn fail(&mut self, context: &mut LoopContext, error: &WatchError) -> DiscoveryEvent {
+        self.watch = None;
+        self.timer.cancel(context);
+        if !std::mem::replace(&mut self.has_failed, true) {
+            warn!(event = "discovery-failed", why = error.to_string());
         }
-        news.push(DiscoveryEvent::Failed);
-        news
+        DiscoveryEvent::Failed
     }
 
-    /// By when the watch must have said something.
-    fn due(&self, context: &LoopContext) -> Option<Micros> {
-        let limit = if self.tells { SILENT } else { FIRST };
-        self.link.as_ref().map(|_| (self.heard + limit).max(context.earliest_timeout()))
+    /// When the watch must have sent something.
+    fn deadline(&self, context: &LoopContext) -> Option<Micros> {
+        self.watch.as_ref().map(|watch| watch.deadline().max(context.earliest_timeout()))
     }
 
-    fn arm(&mut self, context: &mut LoopContext) {
-        let due = self.due(context);
-        self.alarm.schedule_by(context, due, TimerEvent::DiscoveryClient);
+    fn schedule_timeout(&mut self, context: &mut LoopContext) {
+        let deadline = self.deadline(context);
+        self.timer.schedule_by(context, deadline, TimerEvent::DiscoveryClient);
     }
 
-    /// The timer has come: ends a watch that has been silent for too long.
-    pub fn alarmed(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
-        self.alarm.on_fired();
-        if self.due(context).is_some_and(|due| context.now >= due) {
-            return self.failed(context, Vec::new(), "silence");
+    /// The timer has fired: ends a watch that has been silent for too long.
+    pub fn on_timer(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
+        self.timer.on_fired();
+        if self.deadline(context).is_some_and(|deadline| context.now >= deadline) {
+            return vec![self.fail(context, &WatchError::Silent)];
         }
-        self.arm(context);
+        self.schedule_timeout(context);
         Vec::new()
     }
 }
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -15,7 +15,7 @@
     context.begin_iteration(context.now + later);
     context.timers.pop_due().map(|due| {
         assert_eq!(due, TimerEvent::DiscoveryClient);
-        discovery.alarmed(context)
+        discovery.on_timer(context)
     })
 }
 
@@ -24,20 +24,20 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
     let (mut context, terms) = (context(1_000_000), ProxySettings::for_tests());
-    assert_eq!(discovery.watch(&mut context), []);
-    assert_eq!(alarmed(&mut discovery, &mut context, FIRST - 1), None);
+    assert_eq!(discovery.open_watch(&mut context), []);
+    assert_eq!(alarmed(&mut discovery, &mut context, FIRST_BYTE_TIMEOUT - 1), None);
     assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
-    assert_eq!(discovery.watch(&mut context), []);
+    assert_eq!(discovery.open_watch(&mut context), []);
     let (_first, (mut second, _)) = (listener.accept(), listener.accept().expect("a second call"));
     second.write_all(b"HTTP/1.1 200 OK\r\n\r\n{\"index\":7}\n").expect("open");
     let mut news = Vec::new();
     until(|| {
-        news.extend(discovery.ready(&mut context, &terms, READ));
+        news.extend(discovery.on_ready(&mut context, &terms, READ));
         !news.is_empty()
     });
     assert!(matches!(&news[..], [DiscoveryEvent::List(listing)] if listing.index == 7));
     // A timer that comes for what is no longer due finds the next one.
-    assert_eq!(alarmed(&mut discovery, &mut context, SILENT - 1), Some(vec![]));
+    assert_eq!(alarmed(&mut discovery, &mut context, SILENCE_TIMEOUT - 1), Some(vec![]));
     assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
 }
 
@@ -47,15 +47,19 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
     let (mut context, terms) = (context(1_000_000), ProxySettings::for_tests());
-    assert_eq!(discovery.watch(&mut context), []);
+    assert_eq!(discovery.open_watch(&mut context), []);
     let (mut call, _) = listener.accept().expect("a call");
     context.end_iteration(2_000_000);
     context.begin_iteration(2_000_000);
     call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4").expect("open");
     until(|| {
-        assert_eq!(discovery.ready(&mut context, &terms, READ), []);
-        discovery.link.as_ref().is_some_and(|link| link.pending_input() == b"4")
+        assert_eq!(discovery.on_ready(&mut context, &terms, READ), []);
+        discovery.watch.as_ref().is_some_and(|watch| watch.connection.pending_input() == b"4")
     });
-    assert_eq!(alarmed(&mut discovery, &mut context, FIRST - 1_000_001), None, "it began 1 s ago");
+    assert_eq!(
+        alarmed(&mut discovery, &mut context, FIRST_BYTE_TIMEOUT - 1_000_001),
+        None,
+        "it began 1 s ago"
+    );
     assert_eq!(alarmed(&mut discovery, &mut context, 1), Some(vec![DiscoveryEvent::Failed]));
 }
--- a/crates/balancer/src/discovery/mod.rs
+++ b/crates/balancer/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The list of servers, from discovery: the answer, the text in it, and what is kept of that.
+//! The endpoint list: a watch over HTTP/1.1 at the discovery service, the JSON in its response, and what is kept of that.
 
 pub mod client;
 pub mod reader;
--- a/crates/balancer/src/discovery/reader/tests.rs
+++ b/crates/balancer/src/discovery/reader/tests.rs
@@ -5,14 +5,15 @@
 
 /// The lists that text in pieces of a size comes to.
 fn lists(text: &str, piece: usize) -> Result<Vec<EndpointList>, String> {
-    let (mut reader, mut lists, mut endpoints) = (Reader::new(), Vec::new(), Vec::new());
+    let (mut reader, mut lists, mut endpoints) = (ListReader::new(), Vec::new(), Vec::new());
     for bytes in text.as_bytes().chunks(piece) {
-        reader.read(bytes, &mut |part| match part {
-            Part::Entry(e) => endpoints.push(*e),
-            Part::End { index, snapshot } => {
+        let read = reader.read(bytes, &mut |part| match part {
+            ListPart::Entry(e) => endpoints.push(*e),
+            ListPart::End { index, snapshot } => {
                 lists.push(EndpointList { index, snapshot, endpoints: std::mem::take(&mut endpoints) });
             }
-        })?;
+        });
+        read.map_err(|e| e.to_string())?;
     }
     Ok(lists)
 }
@@ -37,7 +38,7 @@
 
 #[test]
 fn what_is_no_list_is_an_error_and_nothing_of_it_counts() {
-    let long = format!(r#"{{"endpoints":[{{"name":"{}"#, "x".repeat(MOST));
+    let long = format!(r#"{{"endpoints":[{{"name":"{}"#, "x".repeat(MAX_TEXT_BYTES));
     for text in [
         "[]",
         "nonsense",
--- a/crates/balancer/src/discovery/response.rs
+++ b/crates/balancer/src/discovery/response.rs
@@ -1,98 +1,145 @@
-//! The reader of a watch's answer: HTTP/1.1 in, pieces of the body out.
+//! Reads the HTTP/1.1 response of a watch: bytes in, pieces of the body out.
 
-/// What of a chunked body comes next.
+use thiserror::Error;
+
+use super::reader::ListError;
+
+/// The most headers of a response.
+const MAX_HEADERS: usize = 32;
+
+/// A response that is not, or no longer, a watch.
+#[derive(Debug, Error)]
+pub enum ResponseError {
+    /// The status line or a header is malformed.
+    #[error("bad answer: {0}")]
+    Malformed(httparse::Error),
+    /// The status is not 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// The size of a chunk is malformed.
+    #[error("bad chunk size")]
+    ChunkSize,
+    /// A chunk does not end where its size says.
+    #[error("no line end behind a chunk")]
+    ChunkEnd,
+    /// The last chunk has come.
+    #[error("the watch was ended")]
+    Ended,
+    /// The body is not a list.
+    #[error(transparent)]
+    List(#[from] ListError),
+}
+
+/// What comes next in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Body {
+enum State {
     /// The status line and the headers.
     Head,
-    /// A chunk's size.
-    Size,
+    /// The size of a chunk.
+    ChunkSize,
     /// So many bytes of a chunk.
-    Data(u64),
+    ChunkData(u64),
     /// The line end behind a chunk.
-    DataEnd,
-    /// A body that isn't chunked lasts until the connection ends.
-    Plain,
+    ChunkEnd,
+    /// A body that is not chunked, which lasts until the connection ends.
+    PlainBody,
 }
 
-/// The reader of a watch's answer: bytes in, pieces of the body out.
+/// Reads one response.
 #[derive(Debug)]
-pub struct Answer {
-    body: Body,
+pub struct ResponseReader {
+    state: State,
 }
 
-impl Answer {
-    /// A reader to which nothing has come.
+impl ResponseReader {
+    /// A reader at the beginning of a response.
     pub fn new() -> Self {
-        Answer { body: Body::Head }
+        ResponseReader { state: State::Head }
     }
 
-    /// Takes in what it can of `bytes` and says how much; the body's text goes to `text`.
-    pub fn take(
+    /// Reads what is complete in `bytes` and returns how many bytes that is. Pieces of the body go to `on_body`.
+    ///
+    /// # Errors
+    /// The response is not a watch, or `on_body` fails.
+    pub fn read(
         &mut self,
         bytes: &[u8],
-        mut text: impl FnMut(&[u8]) -> Result<(), String>,
-    ) -> Result<usize, String> {
-        let mut at = 0;
+        mut on_body: impl FnMut(&[u8]) -> Result<(), ListError>,
+    ) -> Result<usize, ResponseError> {
+        let mut read = 0;
         loop {
-            let rest = &bytes[at..];
-            at += match self.body {
-                Body::Head => match self.head(rest)? {
-                    0 => return Ok(at),
-                    n => n,
-                },
-                Body::Size => match httparse::parse_chunk_size(rest) {
-                    Ok(httparse::Status::Complete((_, 0))) => return Err("the watch was ended".into()),
-                    Ok(httparse::Status::Complete((n, size))) => {
-                        self.body = Body::Data(size);
-                        n
-                    }
-                    Ok(httparse::Status::Partial) => return Ok(at),
-                    Err(_) => return Err("bad chunk size".into()),
-                },
-                Body::Data(size) => {
-                    let n = rest.len().min(size.min(usize::MAX as u64) as usize);
-                    text(&rest[..n])?;
-                    let left = size - n as u64;
-                    self.body = if left == 0 { Body::DataEnd } else { Body::Data(left) };
-                    if left > 0 {
-                        return Ok(at + n);
-                    }
-                    n
-                }
-                Body::DataEnd => match rest {
-                    [b'\r', b'\n', ..] => {
-                        self.body = Body::Size;
-                        2
-                    }
-                    [] | [b'\r'] => return Ok(at),
-                    _ => return Err("no line end behind a chunk".into()),
-                },
-                Body::Plain => {
-                    text(rest)?;
-                    return Ok(bytes.len());
-                }
-            };
+            let length = self.read_step(&bytes[read..], &mut on_body)?;
+            read += length;
+            if length == 0 || read == bytes.len() {
+                return Ok(read);
+            }
+        }
+    }
+
+    /// Reads the next part of the response; returns its length, or 0 if it is incomplete.
+    fn read_step(
+        &mut self,
+        bytes: &[u8],
+        on_body: &mut impl FnMut(&[u8]) -> Result<(), ListError>,
+    ) -> Result<usize, ResponseError> {
+        match self.state {
+            State::Head => self.read_head(bytes),
+            State::ChunkSize => self.read_chunk_size(bytes),
+            State::ChunkData(size) => {
+                let length = bytes.len().min(usize::try_from(size).unwrap_or(usize::MAX));
+                on_body(&bytes[..length])?;
+                let left = size - length as u64;
+                self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                Ok(length)
+            }
+            State::ChunkEnd => self.read_chunk_end(bytes),
+            State::PlainBody => {
+                on_body(bytes)?;
+                Ok(bytes.len())
+            }
         }
     }
 
-    fn head(&mut self, bytes: &[u8]) -> Result<usize, String> {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
+    fn read_head(&mut self, bytes: &[u8]) -> Result<usize, ResponseError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let n = match response.parse(bytes) {
-            Ok(httparse::Status::Complete(n)) => n,
+        let length = match response.parse(bytes) {
+            Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(0),
-            Err(e) => return Err(format!("bad answer: {e}")),
+            Err(e) => return Err(ResponseError::Malformed(e)),
         };
-        match response.code {
-            Some(200) => {}
-            code => return Err(format!("status {}", code.unwrap_or(0))),
+        if response.code != Some(200) {
+            return Err(ResponseError::Status(response.code.unwrap_or(0)));
         }
-        let chunked = response.headers.iter().any(|h| {
-            h.name.eq_ignore_ascii_case("transfer-encoding") && h.value.eq_ignore_ascii_case(b"chunked")
+        let is_chunked = response.headers.iter().any(|header| {
+            header.name.eq_ignore_ascii_case("transfer-encoding")
+                && header.value.eq_ignore_ascii_case(b"chunked")
         });
-        self.body = if chunked { Body::Size } else { Body::Plain };
-        Ok(n)
+        self.state = if is_chunked { State::ChunkSize } else { State::PlainBody };
+        Ok(length)
+    }
+
+    fn read_chunk_size(&mut self, bytes: &[u8]) -> Result<usize, ResponseError> {
+        match httparse::parse_chunk_size(bytes) {
+            Ok(httparse::Status::Complete((_, 0))) => Err(ResponseError::Ended),
+            Ok(httparse::Status::Complete((length, size))) => {
+                self.state = State::ChunkData(size);
+                Ok(length)
+            }
+            Ok(httparse::Status::Partial) => Ok(0),
+            Err(_) => Err(ResponseError::ChunkSize),
+        }
+    }
+
+    fn read_chunk_end(&mut self, bytes: &[u8]) -> Result<usize, ResponseError> {
+        match bytes {
+            [b'\r', b'\n', ..] => {
+                self.state = State::ChunkSize;
+                Ok(2)
+            }
+            [] | [b'\r'] => Ok(0),
+            _ => Err(ResponseError::ChunkEnd),
+        }
     }
 }
 
--- a/crates/balancer/src/discovery/response/tests.rs
+++ b/crates/balancer/src/discovery/response/tests.rs
@@ -6,13 +6,14 @@
 
 /// Feeds an answer in pieces of a size, keeping what was not taken, as the inbox does.
 fn feed(text: &str, piece: usize) -> Result<String, String> {
-    let (mut answer, mut body, mut held) = (Answer::new(), Vec::new(), Vec::new());
+    let (mut answer, mut body, mut held) = (ResponseReader::new(), Vec::new(), Vec::new());
     for bytes in text.as_bytes().chunks(piece) {
         held.extend_from_slice(bytes);
-        let n = answer.take(&held, |text| {
+        let n = answer.read(&held, |text| {
             body.extend_from_slice(text);
             Ok(())
-        })?;
+        });
+        let n = n.map_err(|e| e.to_string())?;
         held.drain(..n);
     }
     Ok(String::from_utf8(body).expect("text"))
--- a/crates/balancer/src/discovery/update.rs
+++ b/crates/balancer/src/discovery/update.rs
@@ -1,4 +1,4 @@
-//! A list as it is taken in: what the tables and the decisions need of it, and no text but names.
+//! An endpoint list as the server table and the decisions take it in.
 
 use std::net::SocketAddr;
 
@@ -7,94 +7,107 @@
 use shorewharf_protocol::name_index::NameIndex;
 use tracing::warn;
 
-/// Log lines that the faults of one list may cause.
-const LINES: usize = 8;
+/// The most log lines about invalid endpoints of one list.
+const MAX_LOGGED_ENDPOINTS: usize = 8;
+/// A zone that the settings do not name.
+const UNKNOWN_ZONE: u32 = u32::MAX;
 
 /// A server's id: the same function of its name at every balancer, whatever its address there.
 pub fn server_id(name: &str) -> ServerId {
-    // FNV-1a, 64 bits: fixed for good, unlike the standard library's hasher.
-    let hash = name
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+    // FNV-1a with 64 bits, since ids are stored and shared: the standard library's hasher may change.
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    let hash = name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME));
     ServerId(hash)
 }
 
-/// When a server's process started, on the module's clock: that one was set by Unix time at the start, so only
-/// the unit changes, and the same start is the same number in every list. What is no time is long ago.
-fn born(since_ms: f64) -> f64 {
+/// When a server's process was started, in seconds of Unix time; 0 for long ago, which an invalid time counts as. The clock
+/// of the decisions was set by Unix time, so only the unit changes.
+fn started_at(since_ms: f64) -> f64 {
     if since_ms.is_finite() && since_ms > 0.0 { since_ms / 1e3 } else { 0.0 }
 }
 
-/// A server of a list.
+/// A server as a list names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListedServer {
     /// Its name.
     pub name: Box<str>,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// What the module is told of it.
+    /// What the decisions are told of it.
     pub entry: ServerEntry,
 }
 
-impl Entry {
-    /// Reads it; none where its address is none.
-    fn read(e: &Endpoint, names: &NameIndex) -> Option<Self> {
-        let stage = match e.status.as_str() {
+impl ListedServer {
+    /// Converts an endpoint; none if its address is invalid.
+    fn from_endpoint(endpoint: &Endpoint, names: &NameIndex) -> Option<Self> {
+        let state = match endpoint.status.as_str() {
             "Ready" => ServerState::Ready,
             "Gone" => ServerState::Removed,
-            // What isn't known to be ready gets nothing new.
+            // A status that is not known to be ready gets no new connections.
             _ => ServerState::Draining,
         };
-        let address = e.address.parse().ok()?;
-        let zone = names.zones.get(&e.zone).copied().unwrap_or(u32::MAX);
-        let (server, cell, born) = (server_id(&e.name), e.group, born(e.since_ms));
-        let entry = ServerEntry { server, zone, cell, state: stage, weight: e.weight, started_at: born };
-        Some(Entry { name: e.name.as_str().into(), address, entry })
+        let entry = ServerEntry {
+            server: server_id(&endpoint.name),
+            zone: names.zones.get(&endpoint.zone).copied().unwrap_or(UNKNOWN_ZONE),
+            cell: endpoint.group,
+            state,
+            weight: endpoint.weight,
+            started_at: started_at(endpoint.since_ms),
+        };
+        Some(ListedServer {
+            name: endpoint.name.as_str().into(),
+            address: endpoint.address.parse().ok()?,
+            entry,
+        })
     }
 }
 
-/// A list, or the part of it that has come. It holds no more than so many servers.
+/// An endpoint list, or changes to it, with a bounded number of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Incoming {
-    /// Its version.
+pub struct EndpointUpdate {
+    /// Version of the list.
     pub index: u64,
-    /// It is whole rather than changes.
+    /// The list is complete rather than a set of changes.
     pub snapshot: bool,
-    /// Its servers.
-    pub entries: Vec<Entry>,
-    /// Servers that were left out for want of room.
-    pub left_out: usize,
-    faults: usize,
+    /// The servers.
+    pub servers: Vec<ListedServer>,
+    /// How many servers were ignored because there were too many.
+    pub ignored: usize,
+    /// How many endpoints were invalid.
+    invalid: usize,
 }
 
-impl Incoming {
-    /// Takes in one more server, unless there are `most` already.
-    pub fn add(&mut self, e: &Endpoint, names: &NameIndex, most: usize) {
-        match Entry::read(e, names) {
-            Some(_) if self.entries.len() >= most => self.left_out += 1,
-            Some(entry) => self.entries.push(entry),
+impl EndpointUpdate {
+    /// Adds an endpoint, unless there are `max_servers` already.
+    pub fn add(&mut self, endpoint: &Endpoint, names: &NameIndex, max_servers: usize) {
+        match ListedServer::from_endpoint(endpoint, names) {
+            Some(_) if self.servers.len() >= max_servers => self.ignored += 1,
+            Some(server) => self.servers.push(server),
             None => {
-                self.faults += 1;
-                if self.faults <= LINES {
-                    warn!(event = "bad-endpoint", server = e.name, address = e.address);
+                self.invalid += 1;
+                if self.invalid <= MAX_LOGGED_ENDPOINTS {
+                    warn!(event = "bad-endpoint", server = endpoint.name, address = endpoint.address);
                 }
             }
         }
     }
 
-    /// The list has come to its end.
-    pub fn end(&mut self, index: u64, snapshot: bool) -> Incoming {
-        if self.faults > LINES {
-            warn!(event = "bad-endpoints", "left-out" = self.faults - LINES);
+    /// Takes the update, now that its list is complete.
+    pub fn finish(&mut self, index: u64, snapshot: bool) -> EndpointUpdate {
+        if self.invalid > MAX_LOGGED_ENDPOINTS {
+            warn!(event = "bad-endpoints", "left-out" = self.invalid - MAX_LOGGED_ENDPOINTS);
         }
-        Incoming { index, snapshot, ..std::mem::take(self) }
+        EndpointUpdate { index, snapshot, ..std::mem::take(self) }
     }
 
-    /// A list that is at hand whole.
-    pub fn of(listing: &EndpointList, names: &NameIndex, most: usize) -> Incoming {
-        let mut incoming = Incoming::default();
-        listing.endpoints.iter().for_each(|e| incoming.add(e, names, most));
-        incoming.end(listing.index, listing.snapshot)
+    /// Converts a list that is in memory.
+    pub fn from_list(list: &EndpointList, names: &NameIndex, max_servers: usize) -> EndpointUpdate {
+        let mut update = EndpointUpdate::default();
+        for endpoint in &list.endpoints {
+            update.add(endpoint, names, max_servers);
+        }
+        update.finish(list.index, list.snapshot)
     }
 }
 
--- a/crates/balancer/src/discovery/update/tests.rs
+++ b/crates/balancer/src/discovery/update/tests.rs
@@ -12,6 +12,6 @@
 
 #[test]
 fn a_start_is_a_time_in_seconds_or_long_ago() {
-    assert_eq!(born(1_796_115_693_678.0), 1_796_115_693.678);
-    assert_eq!([born(0.0), born(-1.0), born(f64::INFINITY)], [0.0; 3]);
+    assert_eq!(started_at(1_796_115_693_678.0), 1_796_115_693.678);
+    assert_eq!([started_at(0.0), started_at(-1.0), started_at(f64::INFINITY)], [0.0; 3]);
 }
--- a/crates/balancer/src/discovery/wall_clock.rs
+++ b/crates/balancer/src/discovery/wall_clock.rs
@@ -1,12 +1,13 @@
-//! Servers' starts, which the list gives by the wall clock, on the program's own clock, which the wall clock only sets once.
+//! Converts the start times of servers, which discovery gives by the wall clock, to the program's clock, which the wall clock
+//! only sets once.
 
 use shorewharf_units::{Micros, seconds_from_micros};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A wall clock that is off by less has not been stepped: it drifts and is slewed.
+/// A wall clock that is off by less than this many seconds drifts or is slewed; beyond it has been stepped.
 const STEP_S: f64 = 1.0;
 
-/// How the wall clock stands to the program's clock.
+/// The wall clock in relation to the program's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WallClock {
     /// The program's clock, in seconds.
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::clients::open_ids::OpenIds;
 use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
-use crate::discovery::update::Incoming;
+use crate::discovery::update::EndpointUpdate;
 use crate::discovery::wall_clock::WallClock;
 use crate::event_loop::acceptor::Acceptor;
 use crate::event_loop::context::{LoopContext, TimerEvent};
@@ -116,9 +116,9 @@
     /// Takes in the endpoint list that is known at the start: complete, though it may be outdated. Returns what the
     /// driver starts with.
     pub fn restore_endpoints(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
-        self.discovery.knows(known.index);
+        self.discovery.set_index(known.index);
         let settings = &self.proxy.settings;
-        let update = Incoming::of(known, &settings.names, settings.max_servers);
+        let update = EndpointUpdate::from_list(known, &settings.names, settings.max_servers);
         self.proxy.servers.load_initial_list(update, settings.max_servers)
     }
 
@@ -131,7 +131,7 @@
     pub fn update_settings(&mut self, settings: ProxySettings, discovery: SocketAddr) {
         self.context.overload.set_aim(settings.message_latency_objective);
         self.proxy.update_settings(settings);
-        let events = self.discovery.moves(&mut self.context, discovery);
+        let events = self.discovery.set_address(&mut self.context, discovery);
         self.on_discovery_events(events);
     }
 
@@ -143,7 +143,7 @@
             EventSource::Attempt(id) => self.proxy.on_attempt_ready(context, id, readiness),
             EventSource::Probe(number) => self.proxy.probes.on_ready(context, number, readiness),
             EventSource::DiscoveryClient => {
-                let events = self.discovery.ready(context, &self.proxy.settings, readiness);
+                let events = self.discovery.on_ready(context, &self.proxy.settings, readiness);
                 self.on_discovery_events(events);
             }
             // Accepted at the end of the iteration: what connected clients do may free capacity.
@@ -172,7 +172,7 @@
             self.proxy.resume(&mut self.context, id);
             process_events(self);
         }
-        if self.discovery.is_busy() {
+        if self.discovery.has_unread() {
             self.dispatch_readiness(EventSource::DiscoveryClient, Readiness::default());
             process_events(self);
         }
@@ -209,7 +209,7 @@
             TimerEvent::LogRateLimiter => self.proxy.flush_log_limiter(context.now),
             TimerEvent::ReportDelays => self.report_delays(),
             TimerEvent::DiscoveryClient => {
-                let events = self.discovery.alarmed(context);
+                let events = self.discovery.on_timer(context);
                 self.on_discovery_events(events);
             }
             TimerEvent::Gossip => {
@@ -260,7 +260,7 @@
     /// Whether any component has left work for the next iteration.
     fn has_unfinished_work(&self) -> bool {
         self.proxy.has_unfinished()
-            || self.discovery.is_busy()
+            || self.discovery.has_unread()
             || self.acceptor.is_due()
             || self.admin.as_ref().is_some_and(|admin| admin.server.has_backlog())
             || self.has_sibling_work()
--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -63,7 +63,7 @@
                 drop(workers.send(PRIMARY_WORKER, WorkerMessage::WatchEndpoints))
             }
             _ => {
-                let events = self.discovery.watch(&mut self.context);
+                let events = self.discovery.open_watch(&mut self.context);
                 self.on_discovery_events(events);
             }
         }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -31,7 +31,7 @@
 use crate::clients::open_ids::OpenIds;
 use crate::clients::sessions::Sessions;
 use crate::config::proxy_settings::ProxySettings;
-use crate::discovery::update::Incoming;
+use crate::discovery::update::EndpointUpdate;
 use crate::discovery::wall_clock::WallClock;
 use crate::overload::descriptor_budget::Budget;
 use crate::overload::log_rate_limiter::LogRateLimiter;
@@ -108,7 +108,7 @@
     }
 
     /// Applies an endpoint list of discovery. Returns the entries that the driver receives.
-    pub fn apply_endpoint_list(&mut self, update: Incoming, wall_clock: WallClock) -> Vec<ServerEntry> {
+    pub fn apply_endpoint_list(&mut self, update: EndpointUpdate, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
         self.servers.apply_list(update, self.settings.max_servers, |server| attempts.has_server(server))
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -11,7 +11,7 @@
 use shorewharf_units::Micros;
 use tracing::{info, warn};
 
-use crate::discovery::update::{Entry, Incoming};
+use crate::discovery::update::{EndpointUpdate, ListedServer};
 use crate::discovery::wall_clock::WallClock;
 use crate::servers::delays::{DelaySample, LoadFigure, LoadFigureClassifier, median_delay};
 use crate::servers::disabled::{AdminChange, DisabledServers};
@@ -92,7 +92,7 @@
     /// dropped. An update that is no snapshot adds servers up to `max_servers`.
     pub fn apply_list(
         &mut self,
-        update: Incoming,
+        update: EndpointUpdate,
         max_servers: usize,
         in_use: impl Fn(ServerId) -> bool,
     ) -> Vec<ServerEntry> {
@@ -111,15 +111,15 @@
     }
 
     /// Applies the list that is known at the start, which is not logged.
-    pub fn load_initial_list(&mut self, update: Incoming, max_servers: usize) -> Vec<ServerEntry> {
+    pub fn load_initial_list(&mut self, update: EndpointUpdate, max_servers: usize) -> Vec<ServerEntry> {
         self.update_entries(update, max_servers).entries
     }
 
-    fn update_entries(&mut self, update: Incoming, max_servers: usize) -> UpdatedEntries {
+    fn update_entries(&mut self, update: EndpointUpdate, max_servers: usize) -> UpdatedEntries {
         self.lists_applied += 1;
         let mut updated = UpdatedEntries::default();
-        let mut left_out = update.left_out;
-        for listed in update.entries {
+        let mut left_out = update.ignored;
+        for listed in update.servers {
             let result = self.update_entry(listed, update.snapshot, max_servers, &mut updated);
             if result == Err(EntryRejection::OverLimit) {
                 left_out += 1;
@@ -135,12 +135,12 @@
     /// Adds or updates one server of a list.
     fn update_entry(
         &mut self,
-        listed: Entry,
+        listed: ListedServer,
         is_snapshot: bool,
         max_servers: usize,
         updated: &mut UpdatedEntries,
     ) -> Result<(), EntryRejection> {
-        let Entry { name, address, entry: listed } = listed;
+        let ListedServer { name, address, entry: listed } = listed;
         let (id, state) = (listed.server, listed.state);
         let entry = ServerEntry { started_at: self.start_of(id, listed.started_at), ..listed };
         // A snapshot has a limit of its own, and replaces the servers that are here.
--- a/crates/balancer/src/servers/server_table/tests.rs
+++ b/crates/balancer/src/servers/server_table/tests.rs
@@ -5,11 +5,11 @@
 use crate::servers::delays::AnsweredLine;
 use serde_json::json;
 
-fn listing(snapshot: bool, servers: &[(&str, &str, &str)]) -> Incoming {
+fn listing(snapshot: bool, servers: &[(&str, &str, &str)]) -> EndpointUpdate {
     let one = |(n, a, s): &(&str, &str, &str)| json!({"name": n, "address": a, "status": s});
     let endpoints: Vec<_> = servers.iter().map(one).collect();
     let list = json!({"snapshot": snapshot, "endpoints": endpoints});
-    Incoming::of(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
+    EndpointUpdate::from_list(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
 }
 
 #[test]
@@ -87,7 +87,7 @@
     let list = |since_ms: f64| {
         let server = json!({"name": "a", "address": "127.0.0.1:1", "status": "Ready", "since_ms": since_ms});
         let list = json!({"snapshot": true, "endpoints": [server]});
-        Incoming::of(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
+        EndpointUpdate::from_list(&serde_json::from_value(list).expect("a list"), &NameIndex::default(), 100)
     };
     let start = |received: Vec<ServerEntry>| received[0].started_at;
     assert_eq!(start(servers.apply_list(list(10_000_000.0), 3, |_| false)), 10_000.0);
