--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_lifecycle::{Answer, Cause, Violation};
-use shorewharf_protocol::message::busy;
+use shorewharf_protocol::message::rejected;
 use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
@@ -17,7 +17,7 @@
 /// The line of an answer; empty if the connection is closed without one.
 fn answer_line(answer: Answer) -> String {
     match answer {
-        Answer::Rejected { retry_after } => busy(retry_after).to_string(),
+        Answer::Rejected { retry_after } => rejected(retry_after).to_string(),
         Answer::Failed => "ERR\r\n".to_owned(),
         Answer::Served => "BYE\r\n".to_owned(),
         Answer::Migrated => "MOVE\r\n".to_owned(),
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -105,11 +105,11 @@
     fn on_request(&mut self, context: &mut LoopContext, id: RequestId, line: &[u8]) {
         let open = match parse_open(line, &self.settings.names) {
             Ok(open) => open,
-            Err(why) => {
+            Err(error) => {
                 if let Some(class) = class_of(line, &self.settings.names) {
                     self.set_class(id, class);
                 }
-                return self.reject_malformed(context, id, why);
+                return self.reject_malformed(context, id, &error.to_string());
             }
         };
         self.set_class(id, open.class);
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -16,7 +16,7 @@
 
 /// A line is longer than the protocol allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a line of more than {most} bytes", most = shorewharf_protocol::line::MAX_LINE)]
+#[error("a line of more than {most} bytes", most = shorewharf_protocol::line::MAX_LINE_BYTES)]
 pub struct TooLong;
 
 /// One connection.
--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -1,61 +1,62 @@
-//! What operators say and are told: one call to a connection, a line that ends with LF or CRLF; answers begin with `YES` or
-//! `NO`, and figures end with `END`.
+//! Commands of operators and their replies. A connection has one command, a line that ends with LF or CRLF. Replies begin with
+//! `YES` or `NO`; metrics end with `END`.
 
 use std::fmt::Write;
 
 use thiserror::Error;
 
-/// Bytes that a call's line may have, without its end: the longest of the platform's lines.
+/// The longest command in bytes, without the end of its line.
 pub const MAX_COMMAND_BYTES: usize = 4096;
 
-/// What an operator asks for.
+/// A command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `readyz`: whether this process takes clients.
+    /// `readyz`: whether this process accepts clients.
     Readiness,
-    /// `telemetry`: the figures.
+    /// `telemetry`: the metrics.
     Metrics,
-    /// `exclude ID`: a server is taken out.
+    /// `exclude ID`: disables a server.
     Disable(String),
-    /// `include ID`: it may serve again.
+    /// `include ID`: enables a server again.
     Enable(String),
 }
 
-/// Why a call can't be answered with a yes.
+/// A command that is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
-    /// Nothing was said.
+    /// The line is empty.
     #[error("no call: readyz, telemetry, exclude ID and include ID are known")]
     Empty,
-    /// No such call.
+    /// There is no such command.
     #[error("'{0}' is no call: readyz, telemetry, exclude ID and include ID are known")]
     UnknownCommand(String),
-    /// The call needs the id of a server.
+    /// The command lacks the id of a server.
     #[error("{0} needs the id of a server behind it")]
     MissingServer(&'static str),
-    /// More was said than the call takes.
+    /// The command has more arguments than it takes.
     #[error("{0} takes {1}")]
     UnexpectedArgument(&'static str, &'static str),
-    /// The line is no text.
+    /// The line is not UTF-8, or has control characters.
     #[error("the call is no text")]
     NotText,
-    /// The line is longer than any call.
+    /// The line is longer than any command.
     #[error("the call is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
-    /// The server is not known.
+    /// The server is neither listed nor disabled.
     #[error("no server '{0}' is listed or taken out")]
     UnknownServer(String),
-    /// This process takes no clients.
+    /// This process accepts no clients.
     #[error("{0}")]
     NotReady(&'static str),
 }
 
-/// What is quoted of what was said: a few words of it.
-fn some(text: &str) -> String {
-    text.chars().take(64).collect()
-}
+/// Characters of an unknown command that an error quotes.
+const MAX_QUOTED_CHARS: usize = 64;
 
-/// Reads a call's line, without its end.
+/// Parses the line of a command, without its end.
+///
+/// # Errors
+/// The line is not a command.
 pub fn parse_command(line: &[u8]) -> Result<Command, CommandError> {
     if line.len() > MAX_COMMAND_BYTES {
         return Err(CommandError::TooLong);
@@ -67,93 +68,93 @@
     let mut words = text.split(' ').filter(|word| !word.is_empty());
     let name = words.next().ok_or(CommandError::Empty)?;
     let arguments: Vec<&str> = words.collect();
-    let alone = |name, call| match arguments[..] {
-        [] => Ok(call),
+    let without_arguments = |name, command| match arguments[..] {
+        [] => Ok(command),
         _ => Err(CommandError::UnexpectedArgument(name, "nothing behind it")),
     };
-    let server = |name, call: fn(String) -> Command| match arguments[..] {
+    let with_server = |name, command: fn(String) -> Command| match arguments[..] {
         [] => Err(CommandError::MissingServer(name)),
-        [id] => Ok(call(id.to_owned())),
+        [id] => Ok(command(id.to_owned())),
         _ => Err(CommandError::UnexpectedArgument(name, "one server at a time")),
     };
     match name {
-        "readyz" => alone("readyz", Command::Readiness),
-        "telemetry" => alone("telemetry", Command::Metrics),
-        "exclude" => server("exclude", Command::Disable),
-        "include" => server("include", Command::Enable),
-        other => Err(CommandError::UnknownCommand(some(other))),
+        "readyz" => without_arguments("readyz", Command::Readiness),
+        "telemetry" => without_arguments("telemetry", Command::Metrics),
+        "exclude" => with_server("exclude", Command::Disable),
+        "include" => with_server("include", Command::Enable),
+        other => Err(CommandError::UnknownCommand(other.chars().take(MAX_QUOTED_CHARS).collect())),
     }
 }
 
-/// What a call is answered with, line by line.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandReply {
-    /// It is so, or it is done.
+    /// It is so, or the command is executed.
     Done,
-    /// It is not, and why.
+    /// It is not so, or the command is rejected.
     Rejected(CommandError),
-    /// The figures.
+    /// The lines of the metrics.
     Metrics(String),
 }
 
 impl CommandReply {
-    /// The answer's text, its lines ended as the call was.
-    pub fn text(&self, end: &str) -> String {
+    /// The reply's text, with this end of each line: the one that the command had.
+    pub fn text(&self, line_end: &str) -> String {
         let text = match self {
             CommandReply::Done => "YES\n".to_owned(),
-            CommandReply::Rejected(why) => format!("NO {why}\n"),
+            CommandReply::Rejected(error) => format!("NO {error}\n"),
             CommandReply::Metrics(lines) => format!("{lines}END\n"),
         };
-        if end == "\n" { text } else { text.replace('\n', end) }
+        if line_end == "\n" { text } else { text.replace('\n', line_end) }
     }
 }
 
-/// What became of the connections of one class.
+/// Replies to the clients of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplyCounts {
-    /// Brought up.
+    /// Connections that a server has accepted.
     pub success: u64,
-    /// Refused.
+    /// Rejected connections.
     pub overload: u64,
-    /// Failed.
+    /// Failed connections.
     pub error: u64,
 }
 
-/// The figures that are reported.
+/// The metrics of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// By class, each with its name.
+    /// Replies by class, with the name of each.
     pub replies: Vec<(String, ReplyCounts)>,
-    /// Attempts written whole to servers.
+    /// Attempts whose first line has been written to a server.
     pub dispatches: u64,
-    /// Connections that were taken and have not ended.
+    /// Client connections that have not ended.
     pub concurrent: usize,
-    /// Servers in the list.
+    /// Servers in the endpoint list.
     pub targets: usize,
-    /// Of these, those that get nothing now.
+    /// Of these, those that get no requests now.
     pub targets_disabled: usize,
 }
 
-/// A name as a part of a figure's name: what has a meaning in these lines is replaced.
-fn part(name: &str) -> String {
+/// A name as part of a metric's name: characters with a meaning in these lines are replaced.
+fn metric_name_part(name: &str) -> String {
     name.chars()
         .map(|c| if c.is_control() || c.is_whitespace() || ":|@#.".contains(c) { '_' } else { c })
         .collect()
 }
 
 impl Metrics {
-    /// The figures' lines: counts since the start, and gauges.
+    /// The lines of the metrics: counters since the start (`c`), and gauges (`g`).
     pub fn lines(&self) -> String {
         let mut lines = String::new();
         let mut line = |name: &str, value: &dyn std::fmt::Display, kind: &str| {
-            // Writing to text does not fail.
+            // Writing to a `String` does not fail.
             let _ = writeln!(lines, "svc.{name}:{value}|{kind}");
         };
-        for (class, r) in &self.replies {
-            let class = part(class);
-            line(&format!("replies.{class}.success"), &r.success, "c");
-            line(&format!("replies.{class}.overload"), &r.overload, "c");
-            line(&format!("replies.{class}.error"), &r.error, "c");
+        for (class, counts) in &self.replies {
+            let class = metric_name_part(class);
+            line(&format!("replies.{class}.success"), &counts.success, "c");
+            line(&format!("replies.{class}.overload"), &counts.overload, "c");
+            line(&format!("replies.{class}.error"), &counts.error, "c");
         }
         line("dispatches", &self.dispatches, "c");
         line("concurrent", &self.concurrent, "g");
--- a/crates/protocol/src/admin/tests.rs
+++ b/crates/protocol/src/admin/tests.rs
@@ -42,7 +42,7 @@
         "END",
     ];
     assert_eq!(lines, wanted);
-    assert_eq!(part("a b:c|d.e"), "a_b_c_d_e");
+    assert_eq!(metric_name_part("a b:c|d.e"), "a_b_c_d_e");
 }
 
 /// Calls as operators make them, a line each.
--- a/crates/protocol/src/endpoint_list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -1,18 +1,18 @@
-//! The list of servers in the form that discovery gives it, as JSON.
+//! The endpoint list of the discovery service, as JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// One server as discovery writes it.
+/// A server of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// The same at every balancer.
+    /// Its name, the same at every balancer.
     pub name: String,
-    /// Where this balancer reaches it.
+    /// The address at which this balancer reaches it.
     pub address: String,
-    /// The name of its zone.
+    /// Name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// The kind of machine it is.
+    /// Kind of its machine.
     #[serde(default, rename = "type", skip_serializing_if = "String::is_empty")]
     pub kind: String,
     /// Its cell.
@@ -20,25 +20,25 @@
     pub group: u32,
     /// `Ready`, `Terminating` or `Gone`.
     pub status: String,
-    /// Its registered size.
-    #[serde(default = "one")]
+    /// Its registered capacity.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When its process last started, Unix time in milliseconds; 0 for long ago.
+    /// When its process was started, in milliseconds of Unix time; 0 for long ago.
     #[serde(default)]
     pub since_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// A list as discovery writes it: one JSON object.
+/// The list, or a set of changes to it: one JSON object.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     #[serde(default)]
     pub index: u64,
-    /// It is the whole list rather than changes.
+    /// The list is complete rather than a set of changes.
     #[serde(default)]
     pub snapshot: bool,
     /// The servers.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,7 @@
-//! The platform's words: lines, first lines, answers and the form of the server list, each read strictly and
-//! written in one place. No I/O, no decisions.
+//! The wire format of the platform: lines of text between clients, balancers and servers, the endpoint list of the discovery
+//! service, and the commands of operators. Parsing is strict; each format is written in one place. No I/O, no decisions.
+//!
+//! The words of the platform appear here only. The rest of the program uses the typed values.
 
 pub mod admin;
 pub mod endpoint_list;
--- a/crates/protocol/src/line/tests.rs
+++ b/crates/protocol/src/line/tests.rs
@@ -13,8 +13,8 @@
 #[test]
 fn the_limit_is_exact() {
     let line = |n: usize| [vec![b'x'; n], b"\r\n".to_vec()].concat();
-    assert_eq!(scan_line(&line(MAX_LINE)), LineScan::Complete(MAX_LINE + 2));
-    assert_eq!(scan_line(&line(MAX_LINE)[..MAX_LINE + 1]), LineScan::Incomplete);
-    assert_eq!(scan_line(&line(MAX_LINE + 1)), LineScan::TooLong);
-    assert_eq!(scan_line(&line(MAX_LINE + 1)[..MAX_LINE + 2]), LineScan::TooLong);
+    assert_eq!(scan_line(&line(MAX_LINE_BYTES)), LineScan::Complete(MAX_LINE_BYTES + 2));
+    assert_eq!(scan_line(&line(MAX_LINE_BYTES)[..MAX_LINE_BYTES + 1]), LineScan::Incomplete);
+    assert_eq!(scan_line(&line(MAX_LINE_BYTES + 1)), LineScan::TooLong);
+    assert_eq!(scan_line(&line(MAX_LINE_BYTES + 1)[..MAX_LINE_BYTES + 2]), LineScan::TooLong);
 }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,44 +1,45 @@
-//! The lines other than first lines: answers to clients, what servers say, and probes.
+//! Messages: all lines but the first line of a connection. Replies to clients, reports of servers, and probes.
 
-use shorewharf_units::Micros;
 use std::fmt;
 
-/// A line, read.
+use shorewharf_units::{MICROS_PER_MILLISECOND, Micros};
+
+/// A message, by the field's terms; the wire's word stands beside each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Message<'a> {
-    /// `UP RECEIPT`: served; the receipt is empty where there is none.
+    /// `UP RECEIPT`: the server has accepted the connection. The receipt may be empty.
     Accepted(&'a [u8]),
-    /// `BUSY` or `BUSY MS`: turned away; come again after so many milliseconds if any are named.
+    /// `BUSY` or `BUSY MS`: rejected, to be retried after so many milliseconds if they are given.
     Rejected(Option<u64>),
-    /// `ERR`: failed.
+    /// `ERR`: the request has failed.
     Failed,
-    /// `MOVE`: the connection ends politely; come again.
+    /// `MOVE`: the client is to reconnect; the connection is closed.
     Migrate,
-    /// `BYE`: served to its end.
+    /// `BYE`: the connection has been served completely.
     Completed,
-    /// `LOAD X`: a figure of a standing connection; none where X is no number above 0.
+    /// `LOAD X`: the load of an established connection; `None` if X is not a number above 0.
     LoadReport(Option<f64>),
-    /// `PING`: a shallow probe.
+    /// `PING`: a probe that wants a reply only.
     Ping,
-    /// `PONG`: its answer.
+    /// `PONG`: the reply to `PING`.
     Pong,
-    /// `STATS`: a probe that wants the load report.
+    /// `STATS`: a probe that wants a load report.
     Stats,
-    /// `NO`: probes are not answered here.
+    /// `NO`: this server does not answer probes.
     ProbesUnsupported,
-    /// `SYNTAX`: a first line in a form that no client sent.
+    /// `SYNTAX`: the server could not parse the first line.
     Malformed,
-    /// Anything else: a message.
+    /// Any other line, which is passed on.
     Payload(&'a [u8]),
 }
 
-/// The figure of a `LOAD` line; none if it is no number above 0.
-fn figure(text: &[u8]) -> Option<f64> {
-    let figure = std::str::from_utf8(text).ok()?.trim().parse::<f64>().ok()?;
-    (figure.is_finite() && figure > 0.0).then_some(figure)
+/// The number of a `LOAD` line; `None` if it is not above 0.
+fn parse_load(text: &[u8]) -> Option<f64> {
+    let load = std::str::from_utf8(text).ok()?.trim().parse::<f64>().ok()?;
+    (load.is_finite() && load > 0.0).then_some(load)
 }
 
-/// Reads a line without its end.
+/// Parses a line, without its end.
 pub fn parse_message(line: &[u8]) -> Message<'_> {
     match line {
         b"UP" => Message::Accepted(b""),
@@ -54,9 +55,9 @@
         _ => match line {
             [b'U', b'P', b' ', receipt @ ..] => Message::Accepted(receipt),
             [b'B', b'U', b'S', b'Y', b' ', ms @ ..] => {
-                Message::Rejected(std::str::from_utf8(ms).ok().and_then(|t| t.parse().ok()))
+                Message::Rejected(std::str::from_utf8(ms).ok().and_then(|ms| ms.parse().ok()))
             }
-            [b'L', b'O', b'A', b'D', b' ', x @ ..] => Message::LoadReport(figure(x)),
+            [b'L', b'O', b'A', b'D', b' ', load @ ..] => Message::LoadReport(parse_load(load)),
             _ => Message::Payload(line),
         },
     }
@@ -73,7 +74,7 @@
             Message::Failed => f.write_str("ERR"),
             Message::Migrate => f.write_str("MOVE"),
             Message::Completed => f.write_str("BYE"),
-            Message::LoadReport(x) => write!(f, "LOAD {}", x.unwrap_or(0.0)),
+            Message::LoadReport(load) => write!(f, "LOAD {}", load.unwrap_or(0.0)),
             Message::Ping => f.write_str("PING"),
             Message::Pong => f.write_str("PONG"),
             Message::Stats => f.write_str("STATS"),
@@ -85,9 +86,9 @@
     }
 }
 
-/// A refusal with a wait, rounded up to whole milliseconds; without one for 0.
-pub fn busy(after: Micros) -> Message<'static> {
-    Message::Rejected(Some(after.div_ceil(1000)).filter(|ms| *ms > 0))
+/// A rejection to be retried after `retry_after`, rounded up to whole milliseconds; without a time if that is 0.
+pub fn rejected(retry_after: Micros) -> Message<'static> {
+    Message::Rejected(Some(retry_after.div_ceil(MICROS_PER_MILLISECOND)).filter(|ms| *ms > 0))
 }
 
 #[cfg(test)]
--- a/crates/protocol/src/message/tests.rs
+++ b/crates/protocol/src/message/tests.rs
@@ -8,7 +8,7 @@
         Message::Accepted(b"7f"),
         Message::Accepted(b""),
         Message::Rejected(None),
-        busy(1),
+        rejected(1),
         Message::Failed,
         Message::Migrate,
         Message::Completed,
@@ -23,7 +23,7 @@
         let line = w.to_string();
         assert_eq!(parse_message(line.trim_end().as_bytes()), w, "{line}");
     }
-    assert_eq!((busy(0), busy(1_001)), (Message::Rejected(None), Message::Rejected(Some(2))));
+    assert_eq!((rejected(0), rejected(1_001)), (Message::Rejected(None), Message::Rejected(Some(2))));
 }
 
 #[test]
@@ -61,5 +61,8 @@
     let read: Vec<Message<'_>> =
         MESSAGES.split_terminator("\r\n").map(|line| parse_message(line.as_bytes())).collect();
     assert_eq!(read, messages);
-    assert_eq!((busy(0).to_string(), busy(1_001).to_string()), ("BUSY\r\n".into(), "BUSY 2\r\n".into()));
+    assert_eq!(
+        (rejected(0).to_string(), rejected(1_001).to_string()),
+        ("BUSY\r\n".into(), "BUSY 2\r\n".into())
+    );
 }
--- a/crates/protocol/src/name_index.rs
+++ b/crates/protocol/src/name_index.rs
@@ -1,13 +1,13 @@
-//! What first lines and lists name, and at which place the settings have it.
+//! The names that first lines and endpoint lists refer to, with their indices in the settings.
 
 use std::collections::HashMap;
 
-/// Places by name.
+/// Indices by name.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
-    /// Classes.
+    /// Request classes.
     pub classes: HashMap<String, usize>,
-    /// Tenants; empty where there are none.
+    /// Tenants; empty if none are configured.
     pub tenants: HashMap<String, usize>,
     /// Zones.
     pub zones: HashMap<String, u32>,
--- a/crates/protocol/src/open_request/tests.rs
+++ b/crates/protocol/src/open_request/tests.rs
@@ -115,8 +115,8 @@
         (b"OPEN 1 2 c=chat\0", "no text"),
         (b"OPEN 1 2 c=\xff", "no text"),
     ] {
-        let found = parse_open(line, &names()).map(|open| open.class);
-        assert_eq!(found, Err(why), "{}", String::from_utf8_lossy(line));
+        let found = parse_open(line, &names()).map(|open| open.class).map_err(|error| error.to_string());
+        assert_eq!(found, Err(why.to_owned()), "{}", String::from_utf8_lossy(line));
     }
 }
 
