--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_lifecycle::{Answer, Cause, Violation};
-use shorewharf_protocol::message::{Message, busy};
+use shorewharf_protocol::message::{Message, rejected};
 use shorewharf_units::Micros;
 use tracing::{debug, error, warn};
 
@@ -17,7 +17,7 @@
 /// The message of an answer; `None` if the connection is closed without one.
 fn message_of(answer: Answer) -> Option<Message<'static>> {
     match answer {
-        Answer::Rejected { retry_after } => Some(busy(retry_after)),
+        Answer::Rejected { retry_after } => Some(rejected(retry_after)),
         Answer::Failed => Some(Message::Failed),
         Answer::Served => Some(Message::Completed),
         Answer::Migrated => Some(Message::Migrate),
--- a/crates/balancer/tests/sockets/main.rs
+++ b/crates/balancer/tests/sockets/main.rs
@@ -267,7 +267,7 @@
     lines.sort();
     assert_eq!(
         lines,
-        ["level=info event=server-removed server=s-2", "level=info event=server-ready server=s-3"]
+        ["level=info event=server-ready server=s-3", "level=info event=server-removed server=s-2"]
     );
     watch.end();
     // Had s-1 been logged too, its line would have come before this one. The module may say what it makes of the list.
