--- a/crates/emulator/src/audit/established.rs
+++ b/crates/emulator/src/audit/established.rs
@@ -9,7 +9,7 @@
 use shorewharf_units::Micros;
 
 /// A server that was silent so lately may still be taken for silent by a balancer that ends its connections.
-const JUST_BACK: Micros = 7_000_000;
+const RECENT_RECOVERY: Micros = 7_000_000;
 
 /// Lines on their way through the balancer, in one direction. What is kept is how many there are and since when the
 /// first one has been first; a queue of times would cost more than the rest of the connection.
@@ -44,97 +44,123 @@
     pub link: LinkId,
     pub node: NodeId,
     /// The balancer has sent `MOVE`.
-    pub moved: bool,
+    pub migrated: bool,
     /// The client has left.
-    pub left: bool,
+    pub client_closed: bool,
     /// The balancer has ended the client's side.
-    pub cut: bool,
+    pub client_cut_off: bool,
     /// The node has ended the link.
-    pub node_ended: Option<Micros>,
+    pub closed_by_node: Option<Micros>,
     /// The balancer has ended the link.
-    pub severed: Option<Micros>,
+    pub closed_by_balancer: Option<Micros>,
     /// The client has had nothing back since it sent a line then.
-    pub quiet: Option<Micros>,
+    pub silent_since: Option<Micros>,
 }
 
 impl EstablishedConnection {
     pub fn new(link: LinkId, node: NodeId) -> Self {
         let (moved, left, cut) = (false, false, false);
-        EstablishedConnection { link, node, moved, left, cut, node_ended: None, severed: None, quiet: None }
+        EstablishedConnection {
+            link,
+            node,
+            migrated: moved,
+            client_closed: left,
+            client_cut_off: cut,
+            closed_by_node: None,
+            closed_by_balancer: None,
+            silent_since: None,
+        }
     }
 
     /// The balancer owes the client something: it has neither left nor been moved or cut off.
-    pub fn held(&self) -> bool {
-        !(self.moved || self.left || self.cut)
+    pub fn is_owed_service(&self) -> bool {
+        !(self.migrated || self.client_closed || self.client_cut_off)
     }
 
     /// Lines still have somewhere to go.
-    pub fn carries(&self) -> bool {
-        self.held() && self.node_ended.is_none()
+    pub fn is_carrying(&self) -> bool {
+        self.is_owed_service() && self.closed_by_node.is_none()
     }
 
     /// The balancer cuts the client off. `planned`: after SIGTERM.
-    pub fn cut_off(
+    pub fn check_cut_off(
         &self,
         now: Micros,
         node: &ObservedNode,
         planned: bool,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> Option<Finding> {
-        if !self.carries() {
+        if !self.is_carrying() {
             return None;
         }
         // One that has returned nothing for as long as a line may be held is as good as silent.
-        let quiet = self.quiet.is_some_and(|since| now - since >= judging.held);
-        if quiet || !node.sound_for(now, JUST_BACK) {
-            return Some(Finding::Let(Exemption::ServerSilent));
+        let quiet = self.silent_since.is_some_and(|since| now - since >= tolerances.max_line_hold);
+        if quiet || !node.is_responsive_for(now, RECENT_RECOVERY) {
+            return Some(Finding::Exempted(Exemption::ServerSilent));
         }
         let reason = if planned { Reason::CutOffAtRestart } else { Reason::CutOff };
         Some(Finding::RuleViolation(reason, now, String::from("its server answered")))
     }
 
     /// SIGKILL at the end of a planned restart.
-    pub fn at_kill(&self, now: Micros) -> Option<Finding> {
-        self.carries()
+    pub fn check_at_kill(&self, now: Micros) -> Option<Finding> {
+        self.is_carrying()
             .then(|| Finding::RuleViolation(Reason::HeldAtKill, now, String::from("neither ended nor moved")))
     }
 
     /// A second after the node ended the link.
-    pub fn outlives(&self, now: Micros, judging: &AuditTolerances) -> Option<Finding> {
-        let ended = self.node_ended.filter(|_| self.held())?;
+    pub fn check_outlives_server(&self, now: Micros, tolerances: &AuditTolerances) -> Option<Finding> {
+        let ended = self.closed_by_node.filter(|_| self.is_owed_service())?;
         let detail = format!("its server had ended it {} before", secs(now - ended));
-        (ended + judging.held <= now).then_some(Finding::RuleViolation(Reason::EndedKept, now, detail))
+        (ended + tolerances.max_line_hold <= now).then_some(Finding::RuleViolation(
+            Reason::EndedKept,
+            now,
+            detail,
+        ))
     }
 
     /// A second after the balancer ended the link.
-    pub fn hangs(&self, now: Micros, judging: &AuditTolerances) -> Option<Finding> {
-        let severed = self.severed.filter(|_| self.carries())?;
+    pub fn check_outlives_link(&self, now: Micros, tolerances: &AuditTolerances) -> Option<Finding> {
+        let severed = self.closed_by_balancer.filter(|_| self.is_carrying())?;
         let detail = format!("the balancer had ended its link {} before", secs(now - severed));
-        (severed + judging.held <= now).then_some(Finding::RuleViolation(Reason::SeveredKept, now, detail))
+        (severed + tolerances.max_line_hold <= now).then_some(Finding::RuleViolation(
+            Reason::SeveredKept,
+            now,
+            detail,
+        ))
     }
 
     /// Seven seconds after the first line that got nothing back.
-    pub fn silent(&self, now: Micros, node: &ObservedNode, judging: &AuditTolerances) -> Option<Finding> {
-        let since = self.quiet.filter(|_| self.carries() && self.severed.is_none())?;
-        if since + judging.silent > now {
+    pub fn check_silent(
+        &self,
+        now: Micros,
+        node: &ObservedNode,
+        tolerances: &AuditTolerances,
+    ) -> Option<Finding> {
+        let since = self.silent_since.filter(|_| self.is_carrying() && self.closed_by_balancer.is_none())?;
+        if since + tolerances.max_silence > now {
             return None;
         }
-        if !node.runs() {
-            return Some(Finding::Let(Exemption::ServerUnreachable));
+        if !node.is_reachable() {
+            return Some(Finding::Exempted(Exemption::ServerUnreachable));
         }
         let detail = format!("nothing came back for {}", secs(now - since));
         Some(Finding::RuleViolation(Reason::SilentKept, now, detail))
     }
 
     /// A second after a line came in that has not gone out.
-    pub fn held_back(
+    pub fn check_line_held(
         &self,
         now: Micros,
         waiting: Option<Micros>,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> Option<Finding> {
-        let since = waiting.filter(|_| self.carries() && self.severed.is_none())?;
+        let since = waiting.filter(|_| self.is_carrying() && self.closed_by_balancer.is_none())?;
         let detail = format!("for {}", secs(now - since));
-        (since + judging.held <= now).then_some(Finding::RuleViolation(Reason::LineHeld, now, detail))
+        (since + tolerances.max_line_hold <= now).then_some(Finding::RuleViolation(
+            Reason::LineHeld,
+            now,
+            detail,
+        ))
     }
 }
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -10,9 +10,9 @@
 use shorewharf_units::Micros;
 
 /// After a failed call a balancer may keep from asking for so many times as long.
-const AFTER_FAILURE: Micros = 4;
+const FAILED_POLL_FACTOR: Micros = 4;
 /// Start times in the list are whole milliseconds.
-const BORN_ROUNDING: Micros = 1_000;
+const START_TIME_ROUNDING: Micros = 1_000;
 
 /// What one balancer was told of one node.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,31 +20,31 @@
     /// Its list has named it.
     named: bool,
     /// Told that it drains or is gone, and not since that it is ready.
-    off: Option<Micros>,
+    unavailable_since: Option<Micros>,
     /// The latest start that it was told of.
-    born: Option<Micros>,
+    start_time: Option<Micros>,
 }
 
 /// What one balancer has heard, and how it listens.
 #[derive(Clone, Debug, Default)]
 struct BalancerView {
     started: Micros,
-    watching: bool,
+    is_watching: bool,
     /// When it last asked, or its watch ended.
-    asked: Micros,
+    last_polled: Micros,
     /// The last call failed.
-    failed: bool,
+    last_poll_failed: bool,
     reloaded: Option<Micros>,
-    words: Vec<NodeNotice>,
+    notices: Vec<NodeNotice>,
 }
 
 impl BalancerView {
-    fn word(&mut self, node: NodeId) -> &mut NodeNotice {
+    fn notice_mut(&mut self, node: NodeId) -> &mut NodeNotice {
         let place = node.0 as usize;
-        if self.words.len() <= place {
-            self.words.resize(place + 1, NodeNotice::default());
+        if self.notices.len() <= place {
+            self.notices.resize(place + 1, NodeNotice::default());
         }
-        &mut self.words[place]
+        &mut self.notices[place]
     }
 }
 
@@ -52,16 +52,16 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Listing {
     /// Draining or gone since then.
-    off: Option<Micros>,
+    unavailable_since: Option<Micros>,
     /// The last start, and when it was listed.
-    born: Option<(Micros, Micros)>,
+    start_time: Option<(Micros, Micros)>,
 }
 
 /// The list, and what each balancer was told of it.
 #[derive(Debug, Default)]
 pub(super) struct NotifiedLists {
-    hearing: Vec<BalancerView>,
-    listing: Vec<Listing>,
+    balancers: Vec<BalancerView>,
+    listings: Vec<Listing>,
 }
 
 fn at<T: Default + Clone>(table: &mut Vec<T>, place: u32) -> &mut T {
@@ -73,90 +73,92 @@
 }
 
 impl NotifiedLists {
-    pub fn started(&mut self, now: Micros, by: BalancerId, known: &[Listed]) {
-        let hearing = at(&mut self.hearing, by.0);
-        *hearing = BalancerView { started: now, asked: now, ..BalancerView::default() };
+    pub fn on_start(&mut self, now: Micros, by: BalancerId, known: &[Listed]) {
+        let hearing = at(&mut self.balancers, by.0);
+        *hearing = BalancerView { started: now, last_polled: now, ..BalancerView::default() };
         for entry in known {
-            let word = hearing.word(entry.node);
+            let word = hearing.notice_mut(entry.node);
             word.named = true;
-            word.born = entry.born;
+            word.start_time = entry.born;
         }
     }
 
-    pub fn asks(&mut self, now: Micros, by: BalancerId) {
-        let hearing = at(&mut self.hearing, by.0);
-        (hearing.watching, hearing.asked) = (true, now);
+    pub fn on_watch(&mut self, now: Micros, by: BalancerId) {
+        let hearing = at(&mut self.balancers, by.0);
+        (hearing.is_watching, hearing.last_polled) = (true, now);
     }
 
-    pub fn unwatches(&mut self, now: Micros, by: BalancerId) {
-        let hearing = at(&mut self.hearing, by.0);
-        (hearing.watching, hearing.asked) = (false, now);
+    pub fn on_unwatch(&mut self, now: Micros, by: BalancerId) {
+        let hearing = at(&mut self.balancers, by.0);
+        (hearing.is_watching, hearing.last_polled) = (false, now);
     }
 
-    pub fn failed(&mut self, now: Micros, by: BalancerId) {
-        let hearing = at(&mut self.hearing, by.0);
-        (hearing.watching, hearing.failed, hearing.asked) = (false, true, now);
+    pub fn on_poll_failed(&mut self, now: Micros, by: BalancerId) {
+        let hearing = at(&mut self.balancers, by.0);
+        (hearing.is_watching, hearing.last_poll_failed, hearing.last_polled) = (false, true, now);
     }
 
-    pub fn reloaded(&mut self, now: Micros, by: BalancerId) {
-        at(&mut self.hearing, by.0).reloaded = Some(now);
+    pub fn on_reload(&mut self, now: Micros, by: BalancerId) {
+        at(&mut self.balancers, by.0).reloaded = Some(now);
     }
 
     /// Discovery has written news to a balancer.
-    pub fn told(&mut self, now: Micros, by: BalancerId, full: bool, entries: &[Listed]) {
-        let hearing = at(&mut self.hearing, by.0);
-        (hearing.failed, hearing.asked) = (false, now);
+    pub fn on_endpoint_list(&mut self, now: Micros, by: BalancerId, full: bool, entries: &[Listed]) {
+        let hearing = at(&mut self.balancers, by.0);
+        (hearing.last_poll_failed, hearing.last_polled) = (false, now);
         for entry in entries {
-            let word = hearing.word(entry.node);
+            let word = hearing.notice_mut(entry.node);
             word.named = true;
-            word.born = word.born.max(entry.born);
-            word.off = if entry.stage == Stage::Ready { None } else { word.off.or(Some(now)) };
+            word.start_time = word.start_time.max(entry.born);
+            word.unavailable_since =
+                if entry.stage == Stage::Ready { None } else { word.unavailable_since.or(Some(now)) };
         }
         if !full {
             return;
         }
-        let mut listed = vec![false; hearing.words.len()];
+        let mut listed = vec![false; hearing.notices.len()];
         entries.iter().for_each(|e| listed[e.node.0 as usize] = true);
-        for (place, word) in hearing.words.iter_mut().enumerate() {
-            if word.named && !listed[place] && word.off.is_none() {
-                word.off = Some(now);
+        for (place, word) in hearing.notices.iter_mut().enumerate() {
+            if word.named && !listed[place] && word.unavailable_since.is_none() {
+                word.unavailable_since = Some(now);
             }
         }
     }
 
     /// Discovery lists a node so from now on.
-    pub fn listed(&mut self, now: Micros, entry: Listed) {
-        let listing = at(&mut self.listing, entry.node.0);
-        listing.off = if entry.stage == Stage::Ready { None } else { listing.off.or(Some(now)) };
-        if entry.born > listing.born.map(|(born, _)| born) {
-            listing.born = entry.born.map(|born| (born, now));
+    pub fn on_listed(&mut self, now: Micros, entry: Listed) {
+        let listing = at(&mut self.listings, entry.node.0);
+        listing.unavailable_since =
+            if entry.stage == Stage::Ready { None } else { listing.unavailable_since.or(Some(now)) };
+        if entry.born > listing.start_time.map(|(born, _)| born) {
+            listing.start_time = entry.born.map(|born| (born, now));
         }
     }
 
     /// Its list has named the node in this life.
-    pub fn named(&self, by: BalancerId, node: NodeId) -> bool {
-        self.word(by, node).named
+    pub fn has_listed(&self, by: BalancerId, node: NodeId) -> bool {
+        self.notice(by, node).named
     }
 
-    fn word(&self, by: BalancerId, node: NodeId) -> NodeNotice {
-        let words = self.hearing.get(by.0 as usize).map(|h| h.words.as_slice()).unwrap_or_default();
+    fn notice(&self, by: BalancerId, node: NodeId) -> NodeNotice {
+        let words = self.balancers.get(by.0 as usize).map(|h| h.notices.as_slice()).unwrap_or_default();
         words.get(node.0 as usize).copied().unwrap_or_default()
     }
 
     /// When a balancer counts as told of what was listed then, were it never written to it; none while it needn't.
-    fn counts_from(
+    fn presumed_notified_at(
         &self,
         now: Micros,
         by: BalancerId,
         listed: Micros,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> Option<Micros> {
-        let hearing = self.hearing.get(by.0 as usize)?;
-        let wait = judging.ask_within * if hearing.failed { AFTER_FAILURE } else { 1 };
-        let neglect = (!hearing.watching && now.saturating_sub(hearing.asked) >= wait)
-            .then(|| listed.max(hearing.asked) + wait);
-        let anyhow = judging.told_after.map(|after| listed.max(hearing.started) + after);
-        let reload = hearing.reloaded.filter(|at| *at >= listed).zip(judging.told_after_reload);
+        let hearing = self.balancers.get(by.0 as usize)?;
+        let wait = tolerances.poll_within * if hearing.last_poll_failed { FAILED_POLL_FACTOR } else { 1 };
+        let neglect = (!hearing.is_watching && now.saturating_sub(hearing.last_polled) >= wait)
+            .then(|| listed.max(hearing.last_polled) + wait);
+        let anyhow = tolerances.notified_after.map(|after| listed.max(hearing.started) + after);
+        let reload = hearing.reloaded.filter(|at| *at >= listed).zip(tolerances.notified_after_reload);
         [neglect, anyhow, reload.map(|(at, after)| at + after)]
             .into_iter()
             .flatten()
@@ -165,32 +167,33 @@
     }
 
     /// Since when a balancer was told, or counts as told, that a node drains or is gone.
-    pub fn off_since(
+    pub fn unavailable_since(
         &self,
         now: Micros,
         by: BalancerId,
         node: NodeId,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> Option<Micros> {
-        let listed = self.listing.get(node.0 as usize).and_then(|l| l.off);
-        let counts = listed.and_then(|listed| self.counts_from(now, by, listed, judging));
-        [self.word(by, node).off, counts].into_iter().flatten().min()
+        let listed = self.listings.get(node.0 as usize).and_then(|l| l.unavailable_since);
+        let counts = listed.and_then(|listed| self.presumed_notified_at(now, by, listed, tolerances));
+        [self.notice(by, node).unavailable_since, counts].into_iter().flatten().min()
     }
 
     /// Whether a balancer knows, or counts as knowing, that the node's process started then.
-    pub fn knows_start(
+    pub fn knows_of_start(
         &self,
         now: Micros,
         by: BalancerId,
         node: NodeId,
         started: Micros,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> bool {
-        let is_it = |born: Micros| born + BORN_ROUNDING > started;
-        if self.word(by, node).born.is_some_and(is_it) {
+        let is_it = |born: Micros| born + START_TIME_ROUNDING > started;
+        if self.notice(by, node).start_time.is_some_and(is_it) {
             return true;
         }
-        let listed = self.listing.get(node.0 as usize).and_then(|l| l.born).filter(|(born, _)| is_it(*born));
-        listed.is_some_and(|(_, listed)| self.counts_from(now, by, listed, judging).is_some())
+        let listed =
+            self.listings.get(node.0 as usize).and_then(|l| l.start_time).filter(|(born, _)| is_it(*born));
+        listed.is_some_and(|(_, listed)| self.presumed_notified_at(now, by, listed, tolerances).is_some())
     }
 }
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -11,9 +11,9 @@
 /// The budget's slack for chance, in square roots of the budget and in attempts: with these the simulator's nodes fall
 /// at the count that was measured there.
 const SLACK_ROOTS: f64 = 3.0;
-const SLACK: f64 = 3.0;
+const SLACK_ATTEMPTS: f64 = 3.0;
 /// A break when this part of a node's load came from balancers that knew of its start.
-const KNEW: f64 = 2.0 / 3.0;
+const ATTRIBUTABLE_RATIO: f64 = 2.0 / 3.0;
 
 /// What a cold node was sent.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     at: Micros,
     by: BalancerId,
     weight: f64,
-    knew: f64,
+    known_weight: f64,
 }
 
 /// One node.
@@ -29,13 +29,13 @@
 pub(super) struct ObservedNode {
     health: Option<Health>,
     /// Since when it answers again after it was silent or cut off.
-    well_since: Option<Micros>,
+    responsive_since: Option<Micros>,
     /// When its present process started; none for before the day.
     pub started: Option<Micros>,
     /// It was pushed over in this life, and judged.
-    over: bool,
+    is_overloaded: bool,
     window: VecDeque<Load>,
-    pub ring: Ring,
+    pub trace: Ring,
 }
 
 /// A cold node that was sent too much.
@@ -45,7 +45,7 @@
     pub sent: f64,
     pub budget: f64,
     /// The part that came from balancers that knew.
-    pub knew: f64,
+    pub known_weight: f64,
     /// Who sent the most.
     pub by: BalancerId,
     /// What each sent, by balancer.
@@ -54,64 +54,64 @@
 
 impl Overload {
     /// Whether the balancers are to blame.
-    pub fn knowingly(&self) -> bool {
-        self.knew >= KNEW * self.sent
+    pub fn is_attributable(&self) -> bool {
+        self.known_weight >= ATTRIBUTABLE_RATIO * self.sent
     }
 }
 
 impl ObservedNode {
-    fn is(&mut self, now: Micros, health: Health) {
-        self.ring.note(now, What::Is(health));
+    fn set_health(&mut self, now: Micros, health: Health) {
+        self.trace.note(now, What::Is(health));
         match health {
             Health::Started => {
-                (self.started, self.well_since, self.over) = (Some(now), None, false);
+                (self.started, self.responsive_since, self.is_overloaded) = (Some(now), None, false);
                 self.window.clear();
             }
-            Health::Answers => self.well_since = Some(now),
+            Health::Answers => self.responsive_since = Some(now),
             Health::Silent | Health::CutOff | Health::Down => {}
         }
         self.health = Some(health);
     }
 
-    fn answers(&self) -> bool {
+    fn is_responsive(&self) -> bool {
         !matches!(self.health, Some(Health::Silent | Health::CutOff | Health::Down))
     }
 
     /// It answers and has done so for at least this long, or since its start.
-    pub fn sound_for(&self, now: Micros, long: Micros) -> bool {
-        self.answers() && self.well_since.is_none_or(|since| now.saturating_sub(since) >= long)
+    pub fn is_responsive_for(&self, now: Micros, long: Micros) -> bool {
+        self.is_responsive() && self.responsive_since.is_none_or(|since| now.saturating_sub(since) >= long)
     }
 
     /// Its process runs and can be reached, whether it answers or not.
-    pub fn runs(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         !matches!(self.health, Some(Health::CutOff | Health::Down))
     }
 
     /// An attempt of this weight has come while it could do `able` a second. Tells if that was too much, once a life.
-    fn reached(
+    fn on_attempt(
         &mut self,
         now: Micros,
         by: BalancerId,
         weight: f64,
         able: f64,
         knew: bool,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> Option<Overload> {
-        if self.over {
+        if self.is_overloaded {
             return None;
         }
-        self.window.push_back(Load { at: now, by, weight, knew: if knew { weight } else { 0.0 } });
-        while self.window.front().is_some_and(|l| l.at + judging.fall_for < now) {
+        self.window.push_back(Load { at: now, by, weight, known_weight: if knew { weight } else { 0.0 } });
+        while self.window.front().is_some_and(|l| l.at + tolerances.fall_for < now) {
             self.window.pop_front();
         }
         let sent: f64 = self.window.iter().map(|l| l.weight).sum();
-        let bears = judging.fall_multiple * able * judging.fall_for as f64 / 1e6;
-        let budget = bears + SLACK_ROOTS * bears.sqrt() + SLACK;
+        let bears = tolerances.fall_multiple * able * tolerances.fall_for as f64 / 1e6;
+        let budget = bears + SLACK_ROOTS * bears.sqrt() + SLACK_ATTEMPTS;
         if sent < budget {
             return None;
         }
         // What is kept is bounded by the budget: nothing more is counted in this life.
-        self.over = true;
+        self.is_overloaded = true;
         let mut shares: Vec<(BalancerId, f64)> = Vec::new();
         for load in &self.window {
             match shares.iter_mut().find(|(b, _)| *b == load.by) {
@@ -120,8 +120,8 @@
             }
         }
         shares.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        let knew = self.window.iter().map(|l| l.knew).sum();
-        Some(Overload { sent, budget, knew, by: shares[0].0, shares })
+        let knew = self.window.iter().map(|l| l.known_weight).sum();
+        Some(Overload { sent, budget, known_weight: knew, by: shares[0].0, shares })
     }
 }
 
@@ -130,7 +130,7 @@
 pub(super) struct Nodes(Vec<ObservedNode>);
 
 impl Nodes {
-    pub fn of(&mut self, node: NodeId) -> &mut ObservedNode {
+    pub fn node_mut(&mut self, node: NodeId) -> &mut ObservedNode {
         let place = node.0 as usize;
         if self.0.len() <= place {
             self.0.resize(place + 1, ObservedNode::default());
@@ -138,22 +138,22 @@
         &mut self.0[place]
     }
 
-    pub fn is(&mut self, now: Micros, node: NodeId, health: Health) {
-        self.of(node).is(now, health);
+    pub fn set_health(&mut self, now: Micros, node: NodeId, health: Health) {
+        self.node_mut(node).set_health(now, health);
     }
 
     /// See [`ObservedNode::reached`]; a warm node (`able` is none) forgets what it was sent.
-    pub fn reached(
+    pub fn on_attempt(
         &mut self,
         now: Micros,
         (node, by): (NodeId, BalancerId),
         (weight, able): (f64, Option<f64>),
         knew: bool,
-        judging: &AuditTolerances,
+        tolerances: &AuditTolerances,
     ) -> Option<Overload> {
-        let seen = self.of(node);
+        let seen = self.node_mut(node);
         match able {
-            Some(able) => seen.reached(now, by, weight, able, knew, judging),
+            Some(able) => seen.on_attempt(now, by, weight, able, knew, tolerances),
             None => {
                 seen.window.clear();
                 None
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -12,61 +12,61 @@
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
 /// A connection that is over is remembered for so long: what still refers to it then is no mix-up of reading order.
-const REMEMBERED: Micros = 10_000_000;
+const RETENTION: Micros = 10_000_000;
 
 /// A client's connection.
 #[derive(Clone, Debug)]
 pub(super) struct Conn {
     pub by: BalancerId,
     /// It is a bad client's.
-    pub bad: bool,
+    pub is_misbehaving: bool,
     /// A break was found on it, or its balancer died: nothing more is judged, so that one fault has one reason.
-    pub judged: bool,
+    pub is_closed_to_findings: bool,
     pub request: Request,
-    pub standing: Option<EstablishedConnection>,
+    pub established: Option<EstablishedConnection>,
     /// The client ended it.
-    pub left: Option<Micros>,
+    pub client_closed: Option<Micros>,
     /// The balancer ended it.
-    pub cut: Option<Micros>,
+    pub client_cut_off: Option<Micros>,
     /// Lines on their way to the node, and to the client.
     pub to_node: Lines,
     pub to_client: Lines,
-    /// Which looks are booked, so that each kind is booked once at most.
-    booked: [bool; 3],
+    /// Which kinds of progress check are scheduled; each kind is scheduled at most once.
+    scheduled: [bool; 3],
     links: Vec<LinkId>,
     /// What its end looks like, unless its whole process turns out to have ended.
-    pub doubt: Option<Box<Finding>>,
-    pub ring: Ring,
+    pub deferred_finding: Option<Box<Finding>>,
+    pub trace: Ring,
 }
 
 impl Conn {
     pub fn new(by: BalancerId, request: Request) -> Self {
         Conn {
             by,
-            bad: false,
-            judged: false,
+            is_misbehaving: false,
+            is_closed_to_findings: false,
             request,
-            standing: None,
-            left: None,
-            cut: None,
+            established: None,
+            client_closed: None,
+            client_cut_off: None,
             to_node: Lines::default(),
             to_client: Lines::default(),
-            booked: [false; 3],
+            scheduled: [false; 3],
             links: Vec::new(),
-            doubt: None,
-            ring: Ring::default(),
+            deferred_finding: None,
+            trace: Ring::default(),
         }
     }
 
     /// Nothing may be sent for it any more: the balancer ended it itself, or has had time to learn of the client's end.
-    pub fn over(&self, now: Micros, learn: Micros) -> bool {
-        let own = self.request.answered.into_iter().chain(self.cut).any(|t| now >= t + learn);
-        !self.bad && (own || self.left.is_some_and(|t| now > t + learn))
+    pub fn is_over(&self, now: Micros, learn: Micros) -> bool {
+        let own = self.request.answered_at.into_iter().chain(self.client_cut_off).any(|t| now >= t + learn);
+        !self.is_misbehaving && (own || self.client_closed.is_some_and(|t| now > t + learn))
     }
 
     /// Waits for its answer.
-    pub fn waits(&self) -> bool {
-        self.request.answered.is_none() && self.left.is_none() && self.cut.is_none()
+    pub fn is_awaiting_answer(&self) -> bool {
+        self.request.answered_at.is_none() && self.client_closed.is_none() && self.client_cut_off.is_none()
     }
 }
 
@@ -76,31 +76,31 @@
     pub conn: ConnId,
     pub node: NodeId,
     /// The balancer knew of the node's start when it sent.
-    pub knew: bool,
+    pub knew_of_start: bool,
     /// The node has said `UP` on it.
     pub up: bool,
     /// The node ended it.
-    pub node_ended: Option<Micros>,
+    pub closed_by_node: Option<Micros>,
     /// The balancer ended it, or it never came up.
-    pub ended: Option<Micros>,
+    pub closed_by_balancer: Option<Micros>,
 }
 
 impl Link {
     pub fn new(conn: ConnId, node: NodeId, knew: bool) -> Self {
-        Link { conn, node, knew, up: false, node_ended: None, ended: None }
+        Link { conn, node, knew_of_start: knew, up: false, closed_by_node: None, closed_by_balancer: None }
     }
 }
 
-/// A look at a connection that is due at some time.
+/// A check of a connection that falls due at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Check {
     ToNode,
     ToClient,
-    Quiet,
-    NodeEnded,
-    Severed,
-    Copy(LinkId, Micros),
-    Doubt,
+    Silent,
+    ClosedByNode,
+    ClosedByBalancer,
+    DuplicateAttempt(LinkId, Micros),
+    DeferredFinding,
     Forget,
 }
 
@@ -110,7 +110,7 @@
     /// Boxed, as the table grows by doubling.
     conns: FxHashMap<ConnId, Box<Conn>>,
     links: FxHashMap<(BalancerId, LinkId), Link>,
-    looks: BinaryHeap<Reverse<(Micros, ConnId, Check)>>,
+    checks: BinaryHeap<Reverse<(Micros, ConnId, Check)>>,
 }
 
 impl Table {
@@ -140,7 +140,7 @@
     }
 
     /// A link and its connection.
-    pub fn both(&mut self, by: BalancerId, id: LinkId) -> Option<(&mut Link, &mut Conn)> {
+    pub fn link_and_conn(&mut self, by: BalancerId, id: LinkId) -> Option<(&mut Link, &mut Conn)> {
         let link = self.links.get_mut(&(by, id))?;
         let conn = self.conns.get_mut(&link.conn)?;
         Some((link, conn))
@@ -159,33 +159,33 @@
         self.conns.len()
     }
 
-    /// Books a look. Those that move on while they wait are booked once and come again from [`Table::again`].
-    pub fn book(&mut self, at: Micros, id: ConnId, look: Check) {
-        if let Some(place) = moving(look) {
+    /// Schedules a check. A progress check that is already scheduled is not scheduled again.
+    pub fn schedule(&mut self, at: Micros, id: ConnId, check: Check) {
+        if let Some(place) = moving(check) {
             match self.conns.get_mut(&id) {
-                Some(conn) if !conn.booked[place] => conn.booked[place] = true,
+                Some(conn) if !conn.scheduled[place] => conn.scheduled[place] = true,
                 _ => return,
             }
         }
-        self.looks.push(Reverse((at, id, look)));
+        self.checks.push(Reverse((at, id, check)));
     }
 
     /// What is due before `now`: a limit is kept at its very end.
-    pub fn due(&mut self, now: Micros) -> Option<(Micros, ConnId, Check)> {
-        let Reverse((at, _, _)) = self.looks.peek()?;
+    pub fn pop_due(&mut self, now: Micros) -> Option<(Micros, ConnId, Check)> {
+        let Reverse((at, _, _)) = self.checks.peek()?;
         if *at >= now {
             return None;
         }
-        let Reverse((at, id, look)) = self.looks.pop()?;
-        if let Some((place, conn)) = moving(look).zip(self.conns.get_mut(&id)) {
-            conn.booked[place] = false;
+        let Reverse((at, id, check)) = self.checks.pop()?;
+        if let Some((place, conn)) = moving(check).zip(self.conns.get_mut(&id)) {
+            conn.scheduled[place] = false;
         }
-        Some((at, id, look))
+        Some((at, id, check))
     }
 
     /// It is over: it will be forgotten.
-    pub fn ends(&mut self, now: Micros, id: ConnId) {
-        self.looks.push(Reverse((now + REMEMBERED, id, Check::Forget)));
+    pub fn schedule_forget(&mut self, now: Micros, id: ConnId) {
+        self.checks.push(Reverse((now + RETENTION, id, Check::Forget)));
     }
 
     pub fn forget(&mut self, id: ConnId) {
@@ -199,11 +199,11 @@
     }
 }
 
-fn moving(look: Check) -> Option<usize> {
-    match look {
+fn moving(check: Check) -> Option<usize> {
+    match check {
         Check::ToNode => Some(0),
         Check::ToClient => Some(1),
-        Check::Quiet => Some(2),
+        Check::Silent => Some(2),
         _ => None,
     }
 }
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -33,22 +33,22 @@
         self.0.push((at, fact));
     }
 
-    fn judge(&self, judging: AuditTolerances) -> Verdict {
+    fn judge(&self, tolerances: AuditTolerances) -> Verdict {
         let mut order: Vec<&(Micros, Fact)> = self.0.iter().collect();
         order.sort_by_key(|(at, _)| *at);
-        let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), judging);
+        let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), tolerances);
         for (at, fact) in &order {
             match fact {
-                To(to) => auditor.see(*at, Observation::To(B, to)),
-                From(from) => auditor.see(*at, Observation::From(B, from)),
-                Other(seen) => auditor.see(*at, *seen),
+                To(to) => auditor.observe(*at, Observation::To(B, to)),
+                From(from) => auditor.observe(*at, Observation::From(B, from)),
+                Other(seen) => auditor.observe(*at, *seen),
             }
         }
         auditor.finish(order.last().map_or(0, |(at, _)| at + 60 * S))
     }
 }
 
-fn judging(sockets: bool) -> AuditTolerances {
+fn tolerances(sockets: bool) -> AuditTolerances {
     let day = crate::environment::tests::day(3, &[0, 0]);
     if sockets { AuditTolerances::sockets_strict(&day) } else { AuditTolerances::virtual_time(&day) }
 }
@@ -288,13 +288,13 @@
     /// exactly that break is reported, on that connection, with steps that led to it.
     #[test]
     fn legal_lives_are_let_pass_and_each_break_is_found(seed: u64, sockets: bool) {
-        let legal = lives(seed, sockets, None).judge(judging(sockets));
+        let legal = lives(seed, sockets, None).judge(tolerances(sockets));
         prop_assert!(legal.clean(), "{:#?}", legal.lines().collect::<Vec<_>>());
         for &reason in OF_LIVES {
             if reason == Reason::LineHeld && !sockets {
                 continue;
             }
-            let verdict = lives(seed, sockets, Some(reason)).judge(judging(sockets));
+            let verdict = lives(seed, sockets, Some(reason)).judge(tolerances(sockets));
             let found: Vec<(Reason, u64)> = verdict.reasons.iter().map(|(r, n)| (*r, *n)).collect();
             prop_assert_eq!(&found, &[(reason, 1)], "{:#?}", verdict.lines().collect::<Vec<_>>());
             let first = &verdict.breaks[0];
@@ -392,14 +392,14 @@
         started(&mut legal, 0);
         legal.add(20 * S, Other(Observation::Listed(listed(NODE, Stage::Draining, None))));
         facts.into_iter().for_each(|(at, fact)| legal.add(at, fact));
-        let grace = judging(sockets).drain_grace;
+        let grace = tolerances(sockets).drain_grace;
         let last = told.map_or(90 * S, |told| told + grace);
         send(&mut legal, 1, last, NODE);
-        let verdict = legal.judge(judging(sockets));
+        let verdict = legal.judge(tolerances(sockets));
         assert!(verdict.clean(), "{name}: {:#?}", verdict.lines().collect::<Vec<_>>());
         if told.is_some() {
             send(&mut legal, 2, last + 1, NODE);
-            assert_eq!(reasons(&legal.judge(judging(sockets))), [(Reason::SentToDraining, 1)], "{name}");
+            assert_eq!(reasons(&legal.judge(tolerances(sockets))), [(Reason::SentToDraining, 1)], "{name}");
         }
     }
 }
@@ -424,7 +424,7 @@
             let (by, link, node) = (B, LinkId(i + 1), NODE);
             history.add(at, Other(Observation::Reached { by, link, node, weight: 1.0, cold: Some(1.0) }));
         }
-        history.judge(judging(false))
+        history.judge(tolerances(false))
     };
     assert!(push(most, most, 0).clean());
     assert!(push(3 * most, 3 * most, 6 * S).clean(), "spread over longer than the window");
@@ -446,7 +446,7 @@
         started(&mut history, 0);
         (1..=3).for_each(|conn| stand(&mut history, conn, S));
         facts.iter().copied().flatten().for_each(|(at, fact)| history.add(*at, fact.clone()));
-        reasons(&history.judge(judging(false)))
+        reasons(&history.judge(tolerances(false)))
     };
     let term: Facts<'_> = &[(10 * S, To(T::Terminate))];
     let kill: Facts<'_> = &[(14 * S, To(T::Kill))];
@@ -512,7 +512,7 @@
 /// breaks only the first keep their traces.
 #[test]
 fn what_is_over_is_forgotten_and_traces_are_bounded() {
-    let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), judging(false));
+    let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), tolerances(false));
     for conn in 0..20_000 {
         let at = conn * 10 * MS;
         let mut history = History::default();
@@ -520,12 +520,12 @@
         history.add(at, From(F::EndClient(ConnId(conn), End::Fin)));
         for (at, fact) in &history.0 {
             match fact {
-                To(to) => auditor.see(*at, Observation::To(B, to)),
-                From(from) => auditor.see(*at, Observation::From(B, from)),
-                Other(seen) => auditor.see(*at, *seen),
+                To(to) => auditor.observe(*at, Observation::To(B, to)),
+                From(from) => auditor.observe(*at, Observation::From(B, from)),
+                Other(seen) => auditor.observe(*at, *seen),
             }
         }
-        assert!(auditor.remembered() <= 1_100, "{}", auditor.remembered());
+        assert!(auditor.tracked_connections() <= 1_100, "{}", auditor.tracked_connections());
     }
     let verdict = auditor.finish(400 * S);
     assert_eq!(reasons(&verdict), [(Reason::EndedUnanswered, 20_000)]);
--- a/crates/emulator/src/audit/trace.rs
+++ b/crates/emulator/src/audit/trace.rs
@@ -9,7 +9,7 @@
 use crate::edge::{Answer, End, NodeId, NodeMessage, Stage};
 
 /// Steps that a ring keeps.
-const KEPT: usize = 12;
+const TRACE_CAPACITY: usize = 12;
 /// The first so many stay: how it began tells more than what was in between.
 const FIRST: usize = 3;
 
@@ -85,7 +85,7 @@
         })
     }
 
-    pub fn said(node: NodeId, word: NodeMessage) -> Self {
+    pub fn node_message(node: NodeId, word: NodeMessage) -> Self {
         let word = match word {
             NodeMessage::Up => MessageKind::Up,
             NodeMessage::Busy => MessageKind::Busy,
@@ -142,7 +142,7 @@
 
 impl Ring {
     pub fn note(&mut self, at: Micros, what: What) {
-        if self.0.len() == KEPT {
+        if self.0.len() == TRACE_CAPACITY {
             self.0.remove(FIRST);
         }
         self.0.push((at, what));
--- a/crates/emulator/src/audit/verdict.rs
+++ b/crates/emulator/src/audit/verdict.rs
@@ -10,7 +10,7 @@
 
 /// Breaks of one reason that are kept with their trace; the rest are only counted, so that a run that goes wrong all
 /// day takes no more memory than one that goes wrong once.
-const KEPT: u64 = 20;
+const MAX_TRACED_PER_REASON: u64 = 20;
 
 /// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -211,15 +211,15 @@
         })
     }
 
-    pub(super) fn excuse(&mut self, why: Exemption) {
+    pub(super) fn exempt(&mut self, why: Exemption) {
         *self.excused.entry(why).or_default() += 1;
     }
 
     /// Notes a break; the trace is only asked for if it is kept.
-    pub(super) fn add(&mut self, case: Case, detail: String, trace: impl FnOnce() -> Vec<TraceEntry>) {
+    pub(super) fn record(&mut self, case: Case, detail: String, trace: impl FnOnce() -> Vec<TraceEntry>) {
         let seen = self.reasons.entry(case.reason).or_default();
         *seen += 1;
-        if *seen > KEPT {
+        if *seen > MAX_TRACED_PER_REASON {
             return;
         }
         self.breaks.push(RuleViolation {
@@ -235,7 +235,7 @@
     }
 
     /// In order of time; those of one time stay as they came.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn sort_violations(&mut self) {
         self.breaks.sort_by_key(|b| b.at);
     }
 }
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -83,7 +83,7 @@
     }
 
     fn fact(&mut self, at: Micros, what: Observation<'_>) {
-        self.auditor.see(at, what);
+        self.auditor.observe(at, what);
     }
 }
 
@@ -97,13 +97,13 @@
     }
 
     fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Commands) {
-        self.auditor.see(now, Observation::From(who, &what));
+        self.auditor.observe(now, Observation::From(who, &what));
         self.world.did(now, who, what, &mut Listener { said, auditor: &mut self.auditor });
     }
 
     fn broke(&mut self, now: Micros, who: BalancerId, link: LinkId, said: &mut Commands) {
         // To the balancer it looks as though the node had ended it, and it owes its client the same.
-        self.auditor.see(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
+        self.auditor.observe(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
         let gone = FromBalancer::EndLink(link, End::Reset);
         self.world.did(now, who, gone, &mut Listener { said, auditor: &mut self.auditor });
     }
@@ -131,12 +131,12 @@
             let mut ear = Listener { said: &mut said, auditor: &mut self.auditor };
             let Some((_, link, node)) = up.get(&conn).copied() else {
                 self.world.did(0, who, FromBalancer::EndClient(conn, End::Reset), &mut ear);
-                self.auditor.see(0, Observation::Missed(who, conn));
+                self.auditor.observe(0, Observation::Missed(who, conn));
                 continue;
             };
             self.world.did(0, who, FromBalancer::Link { link, node, conn: Some(conn) }, &mut ear);
             self.world.did(0, who, FromBalancer::Answer(conn, Answer::Up(link)), &mut ear);
-            self.auditor.see(0, Observation::Stands { by: who, conn, link, node });
+            self.auditor.observe(0, Observation::Stands { by: who, conn, link, node });
         }
     }
 
@@ -144,7 +144,7 @@
         match what {
             // Seen when they have gone out in whole; and links come up by themselves here.
             ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
-            _ => self.auditor.see(now, Observation::To(who, what)),
+            _ => self.auditor.observe(now, Observation::To(who, what)),
         }
     }
 
@@ -168,12 +168,12 @@
             ConnectionObservation::Changed(conn) => Observation::Garbled(conn, Corruption::Changed),
             ConnectionObservation::MoveInLine(conn) => Observation::Garbled(conn, Corruption::MoveInLine),
             ConnectionObservation::BadServed(conn) => {
-                self.auditor.see(now, Observation::Bad(who, conn));
+                self.auditor.observe(now, Observation::Bad(who, conn));
                 seen = FromBalancer::Answer(conn, Answer::Forged);
                 Observation::From(who, &seen)
             }
         };
-        self.auditor.see(now, seen);
+        self.auditor.observe(now, seen);
     }
 
     fn second(&mut self, now: Micros, balancers: &[BalancerStatus]) {
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -76,7 +76,7 @@
     }
 
     fn fact(&mut self, at: Micros, what: Observation<'_>) {
-        self.auditor.see(at, what);
+        self.auditor.observe(at, what);
     }
 }
 
@@ -165,9 +165,9 @@
     let id = BalancerId(i as u32);
     let mut inbox = std::mem::take(&mut slots[i].inbox);
     let mut out = std::mem::take(&mut slots[i].out);
-    inbox.drain(..).for_each(|what| auditor.see(now, Observation::To(id, &what)));
+    inbox.drain(..).for_each(|what| auditor.observe(now, Observation::To(id, &what)));
     for what in out.drain(..) {
-        auditor.see(now, Observation::From(id, &what));
+        auditor.observe(now, Observation::From(id, &what));
         world.did(now, id, what, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
     }
     // Answers at the same time may have come meanwhile; the emptied buffer is used again.
