--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -287,7 +287,7 @@
         self.now = now;
     }
 
-    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, _: &mut Commands) {
+    fn on_balancer_action(&mut self, now: Micros, who: BalancerId, what: FromBalancer, _: &mut Commands) {
         match what {
             FromBalancer::Link { link, node, .. } => {
                 self.links.insert(link, (who, node));
@@ -344,11 +344,11 @@
         }
     }
 
-    fn reach(&self, node: NodeId) -> Reachability {
+    fn reachability(&self, node: NodeId) -> Reachability {
         self.reach[node.0 as usize]
     }
 
-    fn standing(&mut self) -> Vec<(BalancerId, RequestLine)> {
+    fn connections_at_start(&mut self) -> Vec<(BalancerId, RequestLine)> {
         let (balancers, nodes) = (self.posts.len() as u32, self.reach.len() as u32);
         let count = self.standing;
         let stands = |i: u32| {
@@ -360,7 +360,7 @@
         (0..count).map(stands).collect()
     }
 
-    fn carried(&mut self, up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
+    fn on_connections_restored(&mut self, up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
         for (conn, (who, link, node)) in up {
             self.links.insert(link, (who, node));
             self.conns.insert(conn, (who, 0, State::Stands(link)));
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -1,7 +1,8 @@
-//! The usual clients' side: a connection to a balancer each, one first line, and a line now and then once it stands.
+//! Well-behaved clients: each opens a connection to a balancer, sends one first line, and a line at intervals once the
+//! connection is established.
 //!
-//! The world says who comes, how long they wait and when they leave. What only sockets show is judged here: answers
-//! no node made, and lines that come back late, changed or not at all.
+//! The world decides who connects, how long a client waits and when it leaves. This module checks what only sockets
+//! show: answers that no node sent, and lines that come back late, changed or not at all.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,25 +39,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// The answer is awaited.
-    Waits,
+    AwaitingAnswer,
     /// It stands on this link.
-    Stands(LinkId),
+    Established(LinkId),
     /// Answered otherwise, moved or served to its end; the balancer's end is awaited.
     Over,
     /// The client has left and only closes.
-    Left,
+    Closing,
 }
 
 #[derive(Debug)]
 struct Client {
-    wire: LineConnection,
-    who: BalancerId,
+    connection: LineConnection,
+    balancer: BalancerId,
     stage: Stage,
     /// Lines that have not come back: when sent, and their number.
-    out: VecDeque<(Micros, u32)>,
-    number: u32,
+    outstanding_lines: VecDeque<(Micros, u32)>,
+    last_line: u32,
     /// Its first line, until it has been written.
-    ask: Option<(RequestLine, Micros)>,
+    request: Option<(RequestLine, Micros)>,
 }
 
 /// The usual clients.
@@ -64,8 +65,8 @@
 pub struct Clients {
     clients: BTreeMap<ConnId, Client>,
     line_every: Micros,
-    /// Whose next line is due when, in order: the period is the same for all.
-    lines: VecDeque<(Micros, ConnId)>,
+    /// When each client's next line is due, in order of time: the period is the same for all.
+    due_lines: VecDeque<(Micros, ConnId)>,
     /// Who closes then, in order.
     closing: VecDeque<(Micros, ConnId)>,
     /// What has been seen.
@@ -73,95 +74,100 @@
 }
 
 impl Clients {
-    /// Nobody yet; on standing connections a line is sent this often.
+    /// Creates an empty set of clients that send a line on each established connection every `line_every`.
     pub fn new(line_every: Micros) -> Self {
         Clients {
             clients: BTreeMap::new(),
             line_every: line_every.max(1_000),
-            lines: VecDeque::new(),
+            due_lines: VecDeque::new(),
             closing: VecDeque::new(),
             facts: Facts::default(),
         }
     }
 
-    /// How many stand at each of so many balancers.
-    pub fn standing(&self, balancers: usize) -> Vec<usize> {
+    /// The number of established connections at each balancer.
+    pub fn established_per_balancer(&self, balancers: usize) -> Vec<usize> {
         let mut all = vec![0; balancers];
-        let stand = self.clients.values().filter(|c| matches!(c.stage, Stage::Stands(_)));
-        stand.for_each(|c| all[c.who.0 as usize] += 1);
+        let stand = self.clients.values().filter(|c| matches!(c.stage, Stage::Established(_)));
+        stand.for_each(|c| all[c.balancer.0 as usize] += 1);
         all
     }
 
-    /// The link on which a connection stands, if it does.
-    pub fn stands(&self, conn: ConnId) -> Option<LinkId> {
+    /// The link of a connection, if it is established.
+    pub fn established_link(&self, conn: ConnId) -> Option<LinkId> {
         match self.clients.get(&conn)?.stage {
-            Stage::Stands(link) => Some(link),
+            Stage::Established(link) => Some(link),
             _ => None,
         }
     }
 
-    /// Some client that waits or stands at this balancer.
-    pub fn any_of(&self, who: BalancerId) -> Option<ConnId> {
-        let here = |c: &Client| c.who == who && matches!(c.stage, Stage::Waits | Stage::Stands(_));
+    /// A client of this balancer that awaits its answer or is established, if one is found among the latest.
+    pub fn any_active(&self, balancer: BalancerId) -> Option<ConnId> {
+        let here = |c: &Client| {
+            c.balancer == balancer && matches!(c.stage, Stage::AwaitingAnswer | Stage::Established(_))
+        };
         self.clients.iter().rev().take(64).find(|(_, c)| here(c)).map(|(conn, _)| *conn)
     }
 
-    /// A client comes with this first line.
-    pub fn comes(
+    /// Connects a client and sends its first line.
+    pub fn connect(
         &mut self,
         net: &mut Net,
-        (who, to): (BalancerId, SocketAddr),
-        (ask, left): (RequestLine, Micros),
+        (balancer, to): (BalancerId, SocketAddr),
+        (request, left): (RequestLine, Micros),
         line: &str,
-        did: &mut Observations,
+        observations: &mut Observations,
     ) {
-        let conn = ask.conn;
+        let conn = request.conn;
         match net.connect(to, Role::Client(conn)) {
-            Ok(mut wire) => {
-                wire.say(net, line.as_bytes());
-                let (stage, out, ask) = (Stage::Waits, VecDeque::new(), Some((ask, left)));
-                let client = Client { wire, who, stage, out, number: 0, ask };
+            Ok(mut connection) => {
+                connection.send(net, line.as_bytes());
+                let (stage, out, request) = (Stage::AwaitingAnswer, VecDeque::new(), Some((request, left)));
+                let client =
+                    Client { connection, balancer, stage, outstanding_lines: out, last_line: 0, request };
                 self.clients.insert(conn, client);
             }
             // Refused at once, or no port is left for it; either way it does not reach the balancer.
-            Err(_) => did.push((who, FromBalancer::Refused(conn).into())),
+            Err(_) => observations.push((balancer, FromBalancer::Refused(conn).into())),
         }
     }
 
-    /// A client's connection has something.
-    pub fn ready(
+    /// Handles readiness of a client's connection.
+    pub fn on_ready(
         &mut self,
         net: &mut Net,
         now: Micros,
         conn: ConnId,
         ready: Ready,
-        book: &ConnectionLog,
-        did: &mut Observations,
+        connection_log: &ConnectionLog,
+        observations: &mut Observations,
     ) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.wire.ready(net, ready);
-        let who = client.who;
-        if client.wire.is_up() && client.wire.is_flushed() {
-            did.extend(
-                client.ask.take().map(|(ask, left)| (who, ConnectionObservation::Asked(ask, left).into())),
+        client.connection.on_ready(net, ready);
+        let balancer = client.balancer;
+        if client.connection.is_up() && client.connection.is_flushed() {
+            observations.extend(
+                client.request.take().map(|(request, left)| {
+                    (balancer, ConnectionObservation::RequestSent(request, left).into())
+                }),
             );
         }
         loop {
-            let line = match client.wire.line() {
+            let line = match client.connection.next_line() {
                 Ok(Some(line)) => line,
                 Ok(None) => break,
                 // Nothing that a node sends is so long.
                 Err(_) => {
                     self.facts.foreign += 1;
-                    let held = client.wire.held().len();
-                    client.wire.take(held);
+                    let held = client.connection.buffered().len();
+                    client.connection.consume(held);
                     break;
                 }
             };
             match (client.stage, parse_message(line)) {
-                (Stage::Waits, found) => {
+                (Stage::AwaitingAnswer, found) => {
                     let answer = match found {
-                        Message::Accepted(receipt) => match book.receipt(conn, receipt) {
+                        Message::Accepted(receipt) => match connection_log.link_of_receipt(conn, receipt) {
                             Some(link) => Answer::Up(link),
                             None => Answer::Forged,
                         },
@@ -172,102 +178,110 @@
                     };
                     client.stage = match answer {
                         Answer::Up(link) => {
-                            self.lines.push_back((now + self.line_every, conn));
-                            Stage::Stands(link)
+                            self.due_lines.push_back((now + self.line_every, conn));
+                            Stage::Established(link)
                         }
                         _ => Stage::Over,
                     };
                     self.facts.forged += u64::from(answer == Answer::Forged);
-                    did.push((who, FromBalancer::Answer(conn, answer).into()));
+                    observations.push((balancer, FromBalancer::Answer(conn, answer).into()));
                 }
-                (Stage::Stands(_), Message::Migrate) => {
+                (Stage::Established(_), Message::Migrate) => {
                     client.stage = Stage::Over;
-                    did.push((who, FromBalancer::Answer(conn, Answer::Move).into()));
+                    observations.push((balancer, FromBalancer::Answer(conn, Answer::Move).into()));
                 }
-                (Stage::Stands(_), Message::Completed) => client.stage = Stage::Over,
-                (Stage::Stands(_), Message::LoadReport(_)) => {
-                    did.push((who, ConnectionObservation::AtClient(conn).into()))
+                (Stage::Established(_), Message::Completed) => client.stage = Stage::Over,
+                (Stage::Established(_), Message::LoadReport(_)) => {
+                    observations.push((balancer, ConnectionObservation::LineAtClient(conn).into()))
                 }
-                (Stage::Stands(_), _) => match client.out.front().copied() {
-                    Some((sent, number)) if line == said(conn, number).as_bytes() => {
-                        client.out.pop_front();
+                (Stage::Established(_), _) => match client.outstanding_lines.front().copied() {
+                    Some((sent, number)) if line == line_text(conn, number).as_bytes() => {
+                        client.outstanding_lines.pop_front();
                         self.facts.returned += 1;
                         self.facts.round.record(now - sent);
-                        did.push((who, ConnectionObservation::AtClient(conn).into()));
+                        observations.push((balancer, ConnectionObservation::LineAtClient(conn).into()));
                     }
                     _ => {
                         self.facts.foreign += 1;
-                        let sight = if line.ends_with(b"MOVE") {
+                        let observation = if line.ends_with(b"MOVE") {
                             ConnectionObservation::MoveInLine
                         } else {
                             ConnectionObservation::Changed
                         };
-                        did.push((who, sight(conn).into()));
+                        observations.push((balancer, observation(conn).into()));
                     }
                 },
                 _ => {}
             }
         }
-        client.wire.tidy(net);
-        let Some(how) = client.wire.ended() else { return };
+        client.connection.compact(net);
+        let Some(how) = client.connection.ended() else { return };
         let client = self.clients.remove(&conn).expect("it was just there");
         match client.stage {
-            Stage::Waits if !client.wire.is_up() => did.push((who, FromBalancer::Refused(conn).into())),
-            Stage::Left => {}
-            _ => did.push((who, FromBalancer::EndClient(conn, how).into())),
+            Stage::AwaitingAnswer if !client.connection.is_up() => {
+                observations.push((balancer, FromBalancer::Refused(conn).into()))
+            }
+            Stage::Closing => {}
+            _ => observations.push((balancer, FromBalancer::EndClient(conn, how).into())),
         }
-        net.close(client.wire, End::Fin);
+        net.close(client.connection, End::Fin);
     }
 
-    /// A client ends its connection.
-    pub fn leaves(&mut self, net: &mut Net, now: Micros, conn: ConnId, how: End) {
+    /// Closes a client's connection from the client's side.
+    pub fn close(&mut self, net: &mut Net, now: Micros, conn: ConnId, how: End) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        client.stage = Stage::Left;
+        client.stage = Stage::Closing;
         match how {
             End::Fin => {
-                client.wire.finish(net);
+                client.connection.finish(net);
                 self.closing.push_back((now + LINGER, conn));
             }
             End::Reset => {
                 let client = self.clients.remove(&conn).expect("it was just there");
-                net.close(client.wire, End::Reset);
+                net.close(client.connection, End::Reset);
             }
         }
     }
 
     /// When something is due next.
     pub fn next_due(&self) -> Micros {
-        let fronts = [&self.lines, &self.closing].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
+        let fronts = [&self.due_lines, &self.closing].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
         fronts.into_iter().min().unwrap_or(Micros::MAX)
     }
 
-    /// Does what is due; each due time goes to `late` with the time of its doing.
-    pub fn due(&mut self, net: &mut Net, now: Micros, late: &mut Distribution, did: &mut Observations) {
-        while let Some((due, conn)) = self.lines.front().copied().filter(|e| e.0 <= now) {
-            self.lines.pop_front();
+    /// Sends due lines and closes connections; records each line's lateness in `late`.
+    pub fn run_due(
+        &mut self,
+        net: &mut Net,
+        now: Micros,
+        late: &mut Distribution,
+        observations: &mut Observations,
+    ) {
+        while let Some((due, conn)) = self.due_lines.front().copied().filter(|e| e.0 <= now) {
+            self.due_lines.pop_front();
             let Some(client) = self.clients.get_mut(&conn) else { continue };
-            if !matches!(client.stage, Stage::Stands(_)) {
+            if !matches!(client.stage, Stage::Established(_)) {
                 continue;
             }
             late.record(now - due);
             // From the due time and not from now: lateness must not thin the lines out.
-            self.lines.push_back((due + self.line_every, conn));
-            client.number += 1;
-            client.out.push_back((now, client.number));
+            self.due_lines.push_back((due + self.line_every, conn));
+            client.last_line += 1;
+            client.outstanding_lines.push_back((now, client.last_line));
             self.facts.lines += 1;
-            client.wire.say(net, format!("{}\r\n", said(conn, client.number)).as_bytes());
-            did.push((client.who, ConnectionObservation::Wrote(conn).into()));
+            client.connection.send(net, format!("{}\r\n", line_text(conn, client.last_line)).as_bytes());
+            observations.push((client.balancer, ConnectionObservation::LineSent(conn).into()));
         }
         while let Some((_, conn)) = self.closing.front().copied().filter(|e| e.0 <= now) {
             self.closing.pop_front();
             if let Some(client) = self.clients.remove(&conn) {
-                net.close(client.wire, End::Reset);
+                net.close(client.connection, End::Reset);
             }
         }
     }
 }
 
 /// The line of this number on a connection.
-fn said(conn: ConnId, number: u32) -> String {
+fn line_text(conn: ConnId, number: u32) -> String {
     format!("M {:x} {number}", conn.0)
 }
--- a/crates/emulator/src/sockets/connection_log.rs
+++ b/crates/emulator/src/sockets/connection_log.rs
@@ -28,11 +28,11 @@
 
 #[derive(Debug)]
 struct Entry {
-    who: BalancerId,
+    balancer: BalancerId,
     /// The line without its wait.
     line: Vec<u8>,
     /// Links on which a node has taken it.
-    stands: Vec<LinkId>,
+    accepted_links: Vec<LinkId>,
 }
 
 /// First lines by connection. What has been sent stays: a balancer may pass it on late.
@@ -55,9 +55,9 @@
 
 impl ConnectionLog {
     /// An empty book of this day's names.
-    pub fn new(day: &Day, dir: &Directory) -> Self {
+    pub fn new(day: &Day, directory: &Directory) -> Self {
         ConnectionLog {
-            names: dir.names(),
+            names: directory.names(),
             classes: day.classes.iter().map(|c| c.name.clone()).collect(),
             tenants: day.tenants.iter().map(|t| t.name.clone()).collect(),
             sent: HashMap::new(),
@@ -66,7 +66,13 @@
     }
 
     /// Writes a client's first line, with its end.
-    pub fn open(&mut self, who: BalancerId, ask: &RequestLine, left: Micros, dir: &Directory) -> String {
+    pub fn record_request(
+        &mut self,
+        balancer: BalancerId,
+        ask: &RequestLine,
+        left: Micros,
+        directory: &Directory,
+    ) -> String {
         let text = OpenRequestLine {
             id: ask.conn.0,
             key: ask.key,
@@ -77,26 +83,26 @@
             load: ask.hint,
             is_retry: ask.retry,
             is_reconnect: ask.again,
-            previous_server: ask.home.map(|node: NodeId| dir.node(node)),
+            previous_server: ask.home.map(|node: NodeId| directory.node(node)),
         }
         .to_string();
         let line = without_wait(text.trim_end().as_bytes());
-        self.sent.insert(ask.conn, Entry { who, line, stands: Vec::new() });
+        self.sent.insert(ask.conn, Entry { balancer, line, accepted_links: Vec::new() });
         text
     }
 
     /// Notes the first line of a bad client.
-    pub fn bad(&mut self, line: &[u8]) {
+    pub fn record_misbehaving(&mut self, line: &[u8]) {
         self.bad.insert(without_wait(line));
     }
 
     /// Reads a first line that a balancer has sent a node.
-    pub fn read(&self, who: BalancerId, line: &[u8]) -> FirstLine {
+    pub fn classify_first_line(&self, balancer: BalancerId, line: &[u8]) -> FirstLine {
         let plain = without_wait(line);
         let open = parse_open(line, &self.names).ok();
         let sent = open.as_ref().and_then(|o| Some((ConnId(o.id), o.timeout?)));
         match sent.and_then(|(conn, wait)| Some((conn, wait, self.sent.get(&conn)?))) {
-            Some((conn, wait, entry)) if entry.who == who && entry.line == plain => {
+            Some((conn, wait, entry)) if entry.balancer == balancer && entry.line == plain => {
                 FirstLine::Sent(conn, wait)
             }
             _ if self.bad.contains(&plain) => FirstLine::Unusable,
@@ -105,19 +111,19 @@
     }
 
     /// A node takes the connection on this link; the receipt for it.
-    pub fn stands(&mut self, conn: ConnId, link: LinkId) -> String {
+    pub fn accept(&mut self, conn: ConnId, link: LinkId) -> String {
         if let Some(entry) = self.sent.get_mut(&conn) {
-            entry.stands.push(link);
+            entry.accepted_links.push(link);
         }
         format!("{:x}.{:x}", conn.0, link.0)
     }
 
     /// The link on which a node made this receipt for this connection.
-    pub fn receipt(&self, conn: ConnId, receipt: &[u8]) -> Option<LinkId> {
+    pub fn link_of_receipt(&self, conn: ConnId, receipt: &[u8]) -> Option<LinkId> {
         let (of, link) = std::str::from_utf8(receipt).ok()?.split_once('.')?;
         let link = LinkId(u64::from_str_radix(link, 16).ok()?);
         let own = u64::from_str_radix(of, 16) == Ok(conn.0);
-        (own && self.sent.get(&conn)?.stands.contains(&link)).then_some(link)
+        (own && self.sent.get(&conn)?.accepted_links.contains(&link)).then_some(link)
     }
 }
 
--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -63,7 +63,7 @@
     rng: Pcg64Mcg,
     buffer: Vec<u8>,
     /// What passed.
-    pub passed: DatagramStatistics,
+    pub statistics: DatagramStatistics,
 }
 
 impl DatagramProxy {
@@ -77,7 +77,7 @@
         let mut sockets = Vec::new();
         for who in (0..ends.len() as u32).map(BalancerId) {
             let mut socket = UdpSocket::bind(addresses.notes(who))?;
-            net.hear(&mut socket, Role::DatagramProxy(who))?;
+            net.register_datagram_socket(&mut socket, Role::DatagramProxy(who))?;
             sockets.push(socket);
         }
         let senders = ends.iter().enumerate().map(|(i, at)| (*at, i as u32)).collect();
@@ -89,7 +89,7 @@
             count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             buffer: vec![0; LARGEST],
-            passed: DatagramStatistics::default(),
+            statistics: DatagramStatistics::default(),
         })
     }
 
@@ -118,10 +118,10 @@
                 Err(_) => continue,
             };
             let Some(from) = self.senders.get(&from).copied() else { continue };
-            self.passed.sent += 1;
-            self.passed.bytes += n as u64;
-            let fate = between.note(time, BalancerId(from), to);
-            self.passed.broken += u64::from(fate != Delivery::default());
+            self.statistics.sent += 1;
+            self.statistics.bytes += n as u64;
+            let fate = between.datagram_delivery(time, BalancerId(from), to);
+            self.statistics.broken += u64::from(fate != Delivery::default());
             if fate.lost {
                 continue;
             }
@@ -148,7 +148,7 @@
     }
 
     /// Lets arrive what was late until now.
-    pub fn due(&mut self, time: Micros) {
+    pub fn run_due(&mut self, time: Micros) {
         while let Some(first) = self.later.first_entry().filter(|e| e.key().0 <= time) {
             let (to, datagram) = first.remove();
             self.arrives(to, &datagram);
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -16,15 +16,15 @@
 use crate::edge::{BalancerId, End, FromBalancer, Listed, NodeId, Stage};
 
 /// An empty line comes on a watch this often.
-const BLANK: Micros = 2_000_000;
+const KEEPALIVE_INTERVAL: Micros = 2_000_000;
 /// After a move, connections at the old address end this much later.
-const OLD_ENDS: Micros = 1_500_000;
+const OLD_ADDRESS_GRACE: Micros = 1_500_000;
 /// Versions that calls can go on from; a call from an older one gets the whole list.
-const VERSIONS: usize = 256;
+const MAX_VERSIONS: usize = 256;
 /// The longest request read.
-const REQUEST: usize = 16 << 10;
+const MAX_REQUEST_BYTES: usize = 16 << 10;
 /// A piece of the answer's body: a long list comes in several, so that readers meet objects cut in two.
-const PIECE: usize = 4 << 10;
+const CHUNK_BYTES: usize = 4 << 10;
 
 const WATCH_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -59,47 +59,47 @@
 
 #[derive(Debug)]
 struct Call {
-    who: BalancerId,
-    wire: LineConnection,
+    balancer: BalancerId,
+    connection: LineConnection,
     /// It came in after so many moves.
     moves: u32,
-    asks: CallKind,
-    stand: CallState,
+    kind: CallKind,
+    state: CallState,
     /// An empty line is due.
-    blank: Micros,
+    keepalive_due: Micros,
 }
 
 /// One balancer's side of discovery.
 #[derive(Debug)]
 struct Side {
-    ear: Option<Listener>,
-    at: SocketAddr,
+    listener: Option<Listener>,
+    address: SocketAddr,
     moves: u32,
     /// Connections from before the last move end then.
-    old_end: Option<Micros>,
-    known: KnownList,
+    old_address_closes_at: Option<Micros>,
+    known_list: KnownList,
     index: u64,
     versions: VecDeque<(u64, KnownList)>,
 }
 
 impl Side {
     /// Takes in what the world tells; the entries that have changed.
-    fn take(&mut self, full: bool, entries: &[Listed]) -> Vec<Listed> {
-        let before = self.known.clone();
+    fn apply(&mut self, full: bool, entries: &[Listed]) -> Vec<Listed> {
+        let before = self.known_list.clone();
         if full {
-            self.known.clear();
+            self.known_list.clear();
         }
         for entry in entries {
             match entry.stage {
-                Stage::Gone => self.known.remove(&entry.node),
-                _ => self.known.insert(entry.node, *entry),
+                Stage::Gone => self.known_list.remove(&entry.node),
+                _ => self.known_list.insert(entry.node, *entry),
             };
         }
-        let changed = changes(&before, &self.known);
+        let changed = changes(&before, &self.known_list);
         if !changed.is_empty() {
             self.index += 1;
-            self.versions.push_back((self.index, self.known.clone()));
-            if self.versions.len() > VERSIONS {
+            self.versions.push_back((self.index, self.known_list.clone()));
+            if self.versions.len() > MAX_VERSIONS {
                 self.versions.pop_front();
             }
         }
@@ -107,13 +107,13 @@
     }
 
     /// What has changed since this version, if it is still remembered.
-    fn since(&self, index: u64) -> Option<Vec<Listed>> {
+    fn changes_since(&self, index: u64) -> Option<Vec<Listed>> {
         let (_, then) = self.versions.iter().find(|(i, _)| *i == index)?;
-        Some(changes(then, &self.known))
+        Some(changes(then, &self.known_list))
     }
 
-    fn whole(&self) -> Vec<Listed> {
-        self.known.values().copied().collect()
+    fn full_list(&self) -> Vec<Listed> {
+        self.known_list.values().copied().collect()
     }
 }
 
@@ -132,7 +132,7 @@
     calls: BTreeMap<u64, Call>,
     next: u64,
     /// Calls are answered at once with what is known: before the day begins, the world does not act.
-    alone: bool,
+    is_before_day: bool,
     /// Calls that failed, for alternating between the ways.
     failed: u64,
     /// Requests that were no call of the protocol, each with its reason.
@@ -143,218 +143,253 @@
     /// Discovery for so many balancers, listening.
     pub fn new(net: &mut Net, addresses: Addresses, balancers: u32) -> io::Result<Self> {
         let mut sides = Vec::new();
-        for who in (0..balancers).map(BalancerId) {
-            let ear = net.listen(addresses.discovery(who, 0), Role::DirectorEar(who, 0))?;
+        for balancer in (0..balancers).map(BalancerId) {
+            let listener =
+                net.listen(addresses.discovery(balancer, 0), Role::DiscoveryListener(balancer, 0))?;
             sides.push(Side {
-                at: ear.address(),
-                ear: Some(ear),
+                address: listener.address(),
+                listener: Some(listener),
                 moves: 0,
-                old_end: None,
-                known: KnownList::new(),
+                old_address_closes_at: None,
+                known_list: KnownList::new(),
                 index: 0,
                 versions: VecDeque::new(),
             });
         }
         let calls = BTreeMap::new();
-        Ok(Discovery { addresses, sides, calls, next: 0, alone: true, failed: 0, strange: Vec::new() })
+        Ok(Discovery {
+            addresses,
+            sides,
+            calls,
+            next: 0,
+            is_before_day: true,
+            failed: 0,
+            strange: Vec::new(),
+        })
     }
 
     /// Where this balancer finds it now.
-    pub fn address(&self, who: BalancerId) -> SocketAddr {
-        self.sides[who.0 as usize].at
+    pub fn address(&self, balancer: BalancerId) -> SocketAddr {
+        self.sides[balancer.0 as usize].address
     }
 
     /// A balancer starts with this list; its version is returned.
-    pub fn starts(&mut self, who: BalancerId, known: &[Listed]) -> u64 {
-        let side = &mut self.sides[who.0 as usize];
-        side.take(true, known);
+    pub fn on_balancer_start(&mut self, balancer: BalancerId, known: &[Listed]) -> u64 {
+        let side = &mut self.sides[balancer.0 as usize];
+        side.apply(true, known);
         side.index
     }
 
     /// From now on the world answers calls.
-    pub fn day_begins(&mut self) {
-        self.alone = false;
+    pub fn begin_day(&mut self) {
+        self.is_before_day = false;
     }
 
     /// Whether a balancer has a watch or waits for one.
-    pub fn is_watched(&self, who: BalancerId) -> bool {
-        let of = |c: &&Call| c.who == who && matches!(c.stand, CallState::Waiting | CallState::Watching);
+    pub fn is_watched(&self, balancer: BalancerId) -> bool {
+        let of =
+            |c: &&Call| c.balancer == balancer && matches!(c.state, CallState::Waiting | CallState::Watching);
         self.calls.values().any(|c| of(&c))
     }
 
     /// Goes to another address for this balancer: the old one takes nothing new and ends what it has a little later.
-    pub fn moves(&mut self, net: &mut Net, now: Micros, who: BalancerId) -> io::Result<SocketAddr> {
-        let side = &mut self.sides[who.0 as usize];
+    pub fn move_address(
+        &mut self,
+        net: &mut Net,
+        now: Micros,
+        balancer: BalancerId,
+    ) -> io::Result<SocketAddr> {
+        let side = &mut self.sides[balancer.0 as usize];
         side.moves += 1;
-        let role = Role::DirectorEar(who, side.moves);
-        let ear = net.listen(self.addresses.discovery(who, side.moves), role)?;
-        side.at = ear.address();
-        if let Some(old) = side.ear.replace(ear) {
-            net.deafen(old);
+        let role = Role::DiscoveryListener(balancer, side.moves);
+        let listener = net.listen(self.addresses.discovery(balancer, side.moves), role)?;
+        side.address = listener.address();
+        if let Some(old) = side.listener.replace(listener) {
+            net.close_listener(old);
         }
-        side.old_end = Some(now + OLD_ENDS);
-        Ok(side.at)
+        side.old_address_closes_at = Some(now + OLD_ADDRESS_GRACE);
+        Ok(side.address)
     }
 
     /// Connections wait to be accepted.
-    pub fn called(
+    pub fn on_listener_ready(
         &mut self,
         net: &mut Net,
         now: Micros,
-        (who, moves): (BalancerId, u32),
-        dir: &Directory,
-        did: &mut Observations,
+        (balancer, moves): (BalancerId, u32),
+        directory: &Directory,
+        observations: &mut Observations,
     ) {
-        let side = &self.sides[who.0 as usize];
-        let Some(ear) = side.ear.as_ref().filter(|_| side.moves == moves) else { return };
+        let side = &self.sides[balancer.0 as usize];
+        let Some(listener) = side.listener.as_ref().filter(|_| side.moves == moves) else { return };
         let mut came = Vec::new();
-        while let Some(stream) = net.accept(ear) {
+        while let Some(stream) = net.accept(listener) {
             came.push(stream);
         }
         for stream in came {
             let id = self.next;
             self.next += 1;
             // One that broke while it waited is no call.
-            let Ok(wire) = net.adopt(stream, Role::Call(id)) else { continue };
+            let Ok(connection) = net.adopt(stream, Role::Call(id)) else { continue };
             let call = Call {
-                who,
-                wire,
+                balancer,
+                connection,
                 moves,
-                asks: CallKind::Nothing,
-                stand: CallState::Reading,
-                blank: Micros::MAX,
+                kind: CallKind::Nothing,
+                state: CallState::Reading,
+                keepalive_due: Micros::MAX,
             };
             self.calls.insert(id, call);
-            self.ready(net, now, id, Ready { role: Role::Call(id), read: true, write: true }, dir, did);
+            self.on_ready(
+                net,
+                now,
+                id,
+                Ready { role: Role::Call(id), read: true, write: true },
+                directory,
+                observations,
+            );
         }
     }
 
     /// A call's connection has something.
-    pub fn ready(
+    pub fn on_ready(
         &mut self,
         net: &mut Net,
         now: Micros,
         id: u64,
         ready: Ready,
-        dir: &Directory,
-        did: &mut Observations,
+        directory: &Directory,
+        observations: &mut Observations,
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.wire.ready(net, ready);
-        if call.stand == CallState::Reading {
-            self.read_request(net, now, id, dir, did);
+        call.connection.on_ready(net, ready);
+        if call.state == CallState::Reading {
+            self.read_request(net, now, id, directory, observations);
         } else {
-            let held = call.wire.held().len();
-            call.wire.take(held);
-            call.wire.tidy(net);
+            let held = call.connection.buffered().len();
+            call.connection.consume(held);
+            call.connection.compact(net);
         }
-        if self.calls.get(&id).is_some_and(|c| c.wire.ended().is_some()) {
-            self.ends(net, id, End::Fin, did);
+        if self.calls.get(&id).is_some_and(|c| c.connection.ended().is_some()) {
+            self.close_call(net, id, End::Fin, observations);
         }
     }
 
-    fn read_request(&mut self, net: &mut Net, now: Micros, id: u64, dir: &Directory, did: &mut Observations) {
+    fn read_request(
+        &mut self,
+        net: &mut Net,
+        now: Micros,
+        id: u64,
+        directory: &Directory,
+        observations: &mut Observations,
+    ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let (asks, n) = match request(call.wire.held()) {
+        let (kind, n) = match request(call.connection.buffered()) {
             Ok(None) => return,
             Ok(Some(found)) => found,
             Err((status, why)) => {
-                self.strange.push(format!("{}: {why}", Directory::balancer(call.who)));
-                call.wire.say(net, format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
-                call.wire.finish(net);
-                call.stand = CallState::Over;
+                self.strange.push(format!("{}: {why}", Directory::balancer(call.balancer)));
+                call.connection
+                    .send(net, format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
+                call.connection.finish(net);
+                call.state = CallState::Over;
                 return;
             }
         };
-        call.wire.take(n);
-        call.wire.tidy(net);
-        (call.asks, call.stand) = (asks, CallState::Waiting);
-        if self.alone {
-            let who = call.who;
-            self.answer(net, now, who, dir);
+        call.connection.consume(n);
+        call.connection.compact(net);
+        (call.kind, call.state) = (kind, CallState::Waiting);
+        if self.is_before_day {
+            let balancer = call.balancer;
+            self.answer(net, now, balancer, directory);
         }
         let call = &self.calls[&id];
-        did.push((call.who, FromBalancer::Watch.into()));
+        observations.push((call.balancer, FromBalancer::Watch.into()));
     }
 
     /// Ends a call's connection, and tells the world if the balancer has no other.
-    fn ends(&mut self, net: &mut Net, id: u64, how: End, did: &mut Observations) {
+    fn close_call(&mut self, net: &mut Net, id: u64, how: End, observations: &mut Observations) {
         let Some(call) = self.calls.remove(&id) else { return };
-        let told = matches!(call.stand, CallState::Waiting | CallState::Watching);
-        net.close(call.wire, how);
-        if told && !self.is_watched(call.who) {
-            did.push((call.who, FromBalancer::Unwatch.into()));
+        let was_reported = matches!(call.state, CallState::Waiting | CallState::Watching);
+        net.close(call.connection, how);
+        if was_reported && !self.is_watched(call.balancer) {
+            observations.push((call.balancer, FromBalancer::Unwatch.into()));
         }
     }
 
     /// The world has news for a balancer.
-    pub fn lists(
+    pub fn publish(
         &mut self,
         net: &mut Net,
         now: Micros,
-        who: BalancerId,
+        balancer: BalancerId,
         full: bool,
         entries: &[Listed],
-        dir: &Directory,
+        directory: &Directory,
     ) {
-        let side = &mut self.sides[who.0 as usize];
-        let changed = side.take(full, entries);
+        let side = &mut self.sides[balancer.0 as usize];
+        let changed = side.apply(full, entries);
         if !changed.is_empty() {
-            let line = line(dir, who, side.index, false, &changed);
-            for call in self.calls.values_mut().filter(|c| c.who == who && c.stand == CallState::Watching) {
-                say_body(net, &mut call.wire, &line);
-                call.blank = now + BLANK;
+            let line = line(directory, balancer, side.index, false, &changed);
+            for call in
+                self.calls.values_mut().filter(|c| c.balancer == balancer && c.state == CallState::Watching)
+            {
+                say_body(net, &mut call.connection, &line);
+                call.keepalive_due = now + KEEPALIVE_INTERVAL;
             }
         }
-        self.answer(net, now, who, dir);
+        self.answer(net, now, balancer, directory);
     }
 
     /// Answers the calls of a balancer that wait.
-    fn answer(&mut self, net: &mut Net, now: Micros, who: BalancerId, dir: &Directory) {
-        let side = &self.sides[who.0 as usize];
-        for call in self.calls.values_mut().filter(|c| c.who == who && c.stand == CallState::Waiting) {
-            match call.asks {
+    fn answer(&mut self, net: &mut Net, now: Micros, balancer: BalancerId, directory: &Directory) {
+        let side = &self.sides[balancer.0 as usize];
+        for call in
+            self.calls.values_mut().filter(|c| c.balancer == balancer && c.state == CallState::Waiting)
+        {
+            match call.kind {
                 CallKind::Watch(since) => {
-                    call.wire.say(net, WATCH_HEAD.as_bytes());
-                    let text = match side.since(since) {
-                        Some(changed) => line(dir, who, side.index, false, &changed),
-                        None => line(dir, who, side.index, true, &side.whole()),
+                    call.connection.send(net, WATCH_HEAD.as_bytes());
+                    let text = match side.changes_since(since) {
+                        Some(changed) => line(directory, balancer, side.index, false, &changed),
+                        None => line(directory, balancer, side.index, true, &side.full_list()),
                     };
-                    say_body(net, &mut call.wire, &text);
-                    (call.stand, call.blank) = (CallState::Watching, now + BLANK);
+                    say_body(net, &mut call.connection, &text);
+                    (call.state, call.keepalive_due) = (CallState::Watching, now + KEEPALIVE_INTERVAL);
                 }
                 _ => {
-                    let text = line(dir, who, side.index, true, &side.whole());
+                    let text = line(directory, balancer, side.index, true, &side.full_list());
                     let head = format!(
                         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
                         text.len()
                     );
-                    call.wire.say(net, head.as_bytes());
-                    call.wire.say(net, &text);
-                    call.wire.finish(net);
-                    call.stand = CallState::Over;
+                    call.connection.send(net, head.as_bytes());
+                    call.connection.send(net, &text);
+                    call.connection.finish(net);
+                    call.state = CallState::Over;
                 }
             }
         }
     }
 
     /// The world lets a balancer's calls fail and its watches end.
-    pub fn fails(&mut self, net: &mut Net, who: BalancerId) {
-        let ids: Vec<u64> = self.calls.iter().filter(|(_, c)| c.who == who).map(|(id, _)| *id).collect();
+    pub fn fail_calls(&mut self, net: &mut Net, balancer: BalancerId) {
+        let ids: Vec<u64> =
+            self.calls.iter().filter(|(_, c)| c.balancer == balancer).map(|(id, _)| *id).collect();
         for id in ids {
             let call = self.calls.get_mut(&id).expect("it was just there");
             self.failed += 1;
-            match call.stand {
+            match call.state {
                 CallState::Waiting if self.failed % 2 == 1 => {
-                    call.wire.say(net, DOWN.as_bytes());
-                    call.wire.finish(net);
-                    call.stand = CallState::Over;
+                    call.connection.send(net, DOWN.as_bytes());
+                    call.connection.finish(net);
+                    call.state = CallState::Over;
                 }
                 CallState::Over => {}
                 _ => {
                     let how = if self.failed.is_multiple_of(3) { End::Reset } else { End::Fin };
                     let call = self.calls.remove(&id).expect("it was just there");
-                    net.close(call.wire, how);
+                    net.close(call.connection, how);
                 }
             }
         }
@@ -362,51 +397,59 @@
 
     /// When something is due next.
     pub fn next_due(&self) -> Micros {
-        let blanks = self.calls.values().filter(|c| c.stand == CallState::Watching).map(|c| c.blank);
-        let ends = self.sides.iter().filter_map(|s| s.old_end);
+        let blanks = self.calls.values().filter(|c| c.state == CallState::Watching).map(|c| c.keepalive_due);
+        let ends = self.sides.iter().filter_map(|s| s.old_address_closes_at);
         blanks.chain(ends).min().unwrap_or(Micros::MAX)
     }
 
     /// Does what is due.
-    pub fn due(
+    pub fn run_due(
         &mut self,
         net: &mut Net,
         now: Micros,
         is_deaf: impl Fn(BalancerId) -> bool,
-        did: &mut Observations,
+        observations: &mut Observations,
     ) {
-        for call in self.calls.values_mut().filter(|c| c.stand == CallState::Watching && c.blank <= now) {
-            if !is_deaf(call.who) {
-                say_body(net, &mut call.wire, b"\n");
+        for call in
+            self.calls.values_mut().filter(|c| c.state == CallState::Watching && c.keepalive_due <= now)
+        {
+            if !is_deaf(call.balancer) {
+                say_body(net, &mut call.connection, b"\n");
             }
-            call.blank = now + BLANK;
+            call.keepalive_due = now + KEEPALIVE_INTERVAL;
         }
         for at in 0..self.sides.len() {
             let side = &mut self.sides[at];
-            if side.old_end.is_none_or(|end| end > now) {
+            if side.old_address_closes_at.is_none_or(|end| end > now) {
                 continue;
             }
-            side.old_end = None;
-            let (who, moves) = (BalancerId(at as u32), side.moves);
-            let old = |c: &Call| c.who == who && c.moves < moves;
+            side.old_address_closes_at = None;
+            let (balancer, moves) = (BalancerId(at as u32), side.moves);
+            let old = |c: &Call| c.balancer == balancer && c.moves < moves;
             let ids: Vec<u64> = self.calls.iter().filter(|(_, c)| old(c)).map(|(id, _)| *id).collect();
-            ids.into_iter().for_each(|id| self.ends(net, id, End::Fin, did));
+            ids.into_iter().for_each(|id| self.close_call(net, id, End::Fin, observations));
         }
     }
 }
 
-fn line(dir: &Directory, who: BalancerId, index: u64, snapshot: bool, entries: &[Listed]) -> Vec<u8> {
-    let listing = dir.listing(who, index, snapshot, entries);
+fn line(
+    directory: &Directory,
+    balancer: BalancerId,
+    index: u64,
+    snapshot: bool,
+    entries: &[Listed],
+) -> Vec<u8> {
+    let listing = directory.listing(balancer, index, snapshot, entries);
     let mut text = serde_json::to_vec(&listing).expect("a listing is plain data");
     text.push(b'\n');
     text
 }
 
 /// Writes a part of a chunked body.
-fn say_body(net: &mut Net, wire: &mut LineConnection, text: &[u8]) {
-    for piece in text.chunks(PIECE) {
+fn say_body(net: &mut Net, connection: &mut LineConnection, text: &[u8]) {
+    for piece in text.chunks(CHUNK_BYTES) {
         let chunk = [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
-        wire.say(net, &chunk);
+        connection.send(net, &chunk);
     }
 }
 
@@ -418,7 +461,7 @@
     let mut request = httparse::Request::new(&mut headers);
     let n = match request.parse(bytes) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() <= REQUEST => return Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_REQUEST_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) => return Err((BAD, "a request without an end".into())),
         Err(e) => return Err((BAD, format!("no request: {e}"))),
     };
--- a/crates/emulator/src/sockets/discovery/tests.rs
+++ b/crates/emulator/src/sockets/discovery/tests.rs
@@ -23,22 +23,22 @@
 fn versions_tell_what_has_changed_since() {
     let entry = |n: u32, stage| Listed { node: NodeId(n), stage, born: None };
     let mut side = Side {
-        ear: None,
-        at: ([127, 0, 0, 1], 0).into(),
+        listener: None,
+        address: ([127, 0, 0, 1], 0).into(),
         moves: 0,
-        old_end: None,
-        known: KnownList::new(),
+        old_address_closes_at: None,
+        known_list: KnownList::new(),
         index: 0,
         versions: VecDeque::new(),
     };
-    side.take(true, &[entry(1, Stage::Ready), entry(2, Stage::Ready)]);
+    side.apply(true, &[entry(1, Stage::Ready), entry(2, Stage::Ready)]);
     let first = side.index;
-    assert!(side.take(true, &[entry(1, Stage::Ready), entry(2, Stage::Ready)]).is_empty());
+    assert!(side.apply(true, &[entry(1, Stage::Ready), entry(2, Stage::Ready)]).is_empty());
     assert_eq!(side.index, first, "nothing has changed");
-    side.take(false, &[entry(2, Stage::Draining)]);
-    side.take(true, &[entry(2, Stage::Draining), entry(3, Stage::Ready)]);
-    let mut since = side.since(first).expect("remembered");
+    side.apply(false, &[entry(2, Stage::Draining)]);
+    side.apply(true, &[entry(2, Stage::Draining), entry(3, Stage::Ready)]);
+    let mut since = side.changes_since(first).expect("remembered");
     since.sort_by_key(|e| e.node);
     assert_eq!(since, [entry(1, Stage::Gone), entry(2, Stage::Draining), entry(3, Stage::Ready)]);
-    assert_eq!((side.since(side.index), side.since(99)), (Some(vec![]), None));
+    assert_eq!((side.changes_since(side.index), side.changes_since(99)), (Some(vec![]), None));
 }
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -25,11 +25,11 @@
 use crate::edge::{BalancerId, End, FromBalancer};
 
 /// A balancer that has not answered yet is asked again after this.
-const ASK_AGAIN: Micros = 20_000;
+const READY_POLL_INTERVAL: Micros = 20_000;
 /// Memory, time on a core and descriptors are looked at this often.
-const LOOK: Micros = 250_000;
+const USAGE_POLL_INTERVAL: Micros = 250_000;
 /// SIGHUP comes no sooner after a balancer was ready: before, it may not listen for it and would die of it.
-const NO_SIGHUP: Micros = 1_000_000;
+const MIN_RELOAD_DELAY: Micros = 1_000_000;
 
 /// One life of a balancer's process, times on the driver's clock.
 #[derive(Clone, Debug, Serialize)]
@@ -80,19 +80,19 @@
     /// It answered then that it is ready.
     ready: Option<Micros>,
     /// It has been told to read its configuration again, and the signal is still to go.
-    stale: bool,
+    needs_reload: bool,
     /// The question whether it is ready, while it is out.
     ping: Option<LineConnection>,
     /// The next thing to do: to ask again, or to look at what it uses.
     due: Micros,
     /// Its life's place.
-    life: usize,
+    incarnation: usize,
 }
 
 impl Running {
     fn signal_reload(&mut self, now: Micros) {
-        if self.stale && self.ready.is_some_and(|ready| now >= ready + NO_SIGHUP) {
-            self.stale = false;
+        if self.needs_reload && self.ready.is_some_and(|ready| now >= ready + MIN_RELOAD_DELAY) {
+            self.needs_reload = false;
             self.process.hang_up();
         }
     }
@@ -100,10 +100,10 @@
 
 #[derive(Debug)]
 struct BalancerSlot {
-    desk: ProcessFiles,
+    files: ProcessFiles,
     listen: SocketAddr,
     /// Keeps the port while no balancer listens there; it never listens itself.
-    _seat: Socket,
+    _port_reservation: Socket,
     config: Value,
     /// Arguments of its own.
     args: Vec<OsString>,
@@ -115,7 +115,7 @@
 pub struct Fleet {
     program: Program,
     cores: f64,
-    posts: Vec<BalancerSlot>,
+    slots: Vec<BalancerSlot>,
     /// All lives, in the order in which they began.
     pub lives: Vec<ProcessIncarnation>,
     /// Errors in telling a balancer something.
@@ -131,32 +131,33 @@
         balancers: u32,
         folder: &Path,
     ) -> Result<Self, ProcessError> {
-        let mut posts = Vec::new();
-        for who in (0..balancers).map(BalancerId) {
-            let desk = ProcessFiles::new(folder, &Directory::balancer(who))?;
-            let seat = || -> io::Result<(Socket, SocketAddr)> {
-                let seat = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-                seat.set_reuse_address(true)?;
-                seat.bind(&addresses.balancer(who).into())?;
-                let at = seat.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-                Ok((seat, at))
+        let mut slots = Vec::new();
+        for balancer in (0..balancers).map(BalancerId) {
+            let files = ProcessFiles::new(folder, &Directory::balancer(balancer))?;
+            let reservation = || -> io::Result<(Socket, SocketAddr)> {
+                let reservation = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+                reservation.set_reuse_address(true)?;
+                reservation.bind(&addresses.balancer(balancer).into())?;
+                let at = reservation.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+                Ok((reservation, at))
             };
-            let (seat, listen) = seat().map_err(|e| ProcessError::Address(addresses.balancer(who), e))?;
-            posts.push(BalancerSlot {
-                desk,
+            let (reservation, listen) =
+                reservation().map_err(|e| ProcessError::Address(addresses.balancer(balancer), e))?;
+            slots.push(BalancerSlot {
+                files,
                 listen,
-                _seat: seat,
+                _port_reservation: reservation,
                 config: Value::Null,
                 args: Vec::new(),
                 running: None,
             });
         }
-        Ok(Fleet { program, cores, posts, lives: Vec::new(), faults: Vec::new() })
+        Ok(Fleet { program, cores, slots, lives: Vec::new(), faults: Vec::new() })
     }
 
     /// Single ones of those that are started from now on get these arguments besides, by their places.
     pub fn start_each_with(&mut self, args: &[Vec<OsString>]) {
-        self.posts.iter_mut().zip(args).for_each(|(post, args)| post.args.clone_from(args));
+        self.slots.iter_mut().zip(args).for_each(|(slot, args)| slot.args.clone_from(args));
     }
 
     /// Balancers that are started from now on get these arguments.
@@ -165,28 +166,28 @@
     }
 
     /// Where clients reach a balancer.
-    pub fn address(&self, who: BalancerId) -> SocketAddr {
-        self.posts[who.0 as usize].listen
+    pub fn address(&self, balancer: BalancerId) -> SocketAddr {
+        self.slots[balancer.0 as usize].listen
     }
 
     /// Whether a balancer runs and has answered that it is ready.
-    pub fn is_ready(&self, who: BalancerId) -> bool {
-        self.posts[who.0 as usize].running.as_ref().is_some_and(|r| r.ready.is_some())
+    pub fn is_ready(&self, balancer: BalancerId) -> bool {
+        self.slots[balancer.0 as usize].running.as_ref().is_some_and(|r| r.ready.is_some())
     }
 
     /// Where a balancer's log is.
-    pub fn desk(&self, who: BalancerId) -> &ProcessFiles {
-        &self.posts[who.0 as usize].desk
+    pub fn files(&self, balancer: BalancerId) -> &ProcessFiles {
+        &self.slots[balancer.0 as usize].files
     }
 
     /// The number of a balancer's process in the system, while it runs.
-    pub fn pid(&self, who: BalancerId) -> Option<u32> {
-        self.posts[who.0 as usize].running.as_ref().map(|r| r.process.id())
+    pub fn pid(&self, balancer: BalancerId) -> Option<u32> {
+        self.slots[balancer.0 as usize].running.as_ref().map(|r| r.process.id())
     }
 
     /// What a balancer's process has used so far.
-    pub fn used(&mut self, who: BalancerId) -> Usage {
-        match &mut self.posts[who.0 as usize].running {
+    pub fn used(&mut self, balancer: BalancerId) -> Usage {
+        match &mut self.slots[balancer.0 as usize].running {
             Some(running) => {
                 running.process.look();
                 running.process.usage()
@@ -200,31 +201,39 @@
         &mut self,
         net: &mut Net,
         now: Micros,
-        who: BalancerId,
+        balancer: BalancerId,
         start: &Start,
     ) -> Result<(), ProcessError> {
-        self.kill(who);
-        self.over(net, now, who);
+        self.kill(balancer);
+        self.remove_process(net, now, balancer);
         let limits = self.program.limits;
-        let post = &mut self.posts[who.0 as usize];
-        post.config = json!({
-            "name": post.desk.name(), "listen": post.listen, "discovery": start.discovery,
+        let slot = &mut self.slots[balancer.0 as usize];
+        slot.config = json!({
+            "name": slot.files.name(), "listen": slot.listen, "discovery": start.discovery,
             "seed": format!("{:016x}", start.seed),
             "limits": {"cores": self.cores, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             "known": start.known, "settings": start.settings,
         });
-        post.desk.configure(&post.config)?;
+        slot.files.configure(&slot.config)?;
         let mut program = self.program.clone();
-        program.args.extend_from_slice(&post.args);
-        let process = Process::start(&program, &post.desk, post.listen, start.discovery)?;
-        let life = self.lives.len();
-        let watched = net.watch(process.end(), Role::Exit(who, life));
+        program.args.extend_from_slice(&slot.args);
+        let process = Process::start(&program, &slot.files, slot.listen, start.discovery)?;
+        let incarnation = self.lives.len();
+        let watched = net.watch(process.end(), Role::Exit(balancer, incarnation));
         let key = watched.map_err(|e| ProcessError::Watch(process.id(), e))?;
         let ordered = Ordered::Nothing;
-        post.running =
-            Some(Running { process, key, ordered, ready: None, stale: false, ping: None, due: now, life });
+        slot.running = Some(Running {
+            process,
+            key,
+            ordered,
+            ready: None,
+            needs_reload: false,
+            ping: None,
+            due: now,
+            incarnation,
+        });
         self.lives.push(ProcessIncarnation {
-            balancer: who.0,
+            balancer: balancer.0,
             began: now,
             ready: None,
             ended: None,
@@ -236,24 +245,24 @@
     }
 
     /// A planned end: SIGTERM.
-    pub fn terminate(&mut self, who: BalancerId) {
-        if let Some(running) = &mut self.posts[who.0 as usize].running {
+    pub fn terminate(&mut self, balancer: BalancerId) {
+        if let Some(running) = &mut self.slots[balancer.0 as usize].running {
             running.ordered = Ordered::Term;
             running.process.terminate();
         }
     }
 
     /// SIGSTOP, or SIGCONT where it is to go on. One that does not run stays as it is.
-    pub fn stall(&mut self, who: BalancerId, stops: bool) {
-        if let Some(running) = &self.posts[who.0 as usize].running {
+    pub fn stall(&mut self, balancer: BalancerId, stops: bool) {
+        if let Some(running) = &self.slots[balancer.0 as usize].running {
             if stops { running.process.stop() } else { running.process.go_on() }
         }
     }
 
     /// SIGKILL. The system needs milliseconds to end a process with many connections; its end is told later, so
     /// that nobody waits for it here.
-    pub fn kill(&mut self, who: BalancerId) {
-        let Some(running) = &mut self.posts[who.0 as usize].running else { return };
+    pub fn kill(&mut self, balancer: BalancerId) {
+        let Some(running) = &mut self.slots[balancer.0 as usize].running else { return };
         running.process.look();
         running.ordered = Ordered::Kill;
         running.ready = None;
@@ -266,74 +275,75 @@
     pub fn reload(
         &mut self,
         now: Micros,
-        who: BalancerId,
+        balancer: BalancerId,
         discovery: SocketAddr,
     ) -> Result<(), ProcessError> {
-        let post = &mut self.posts[who.0 as usize];
-        let Some(running) = &mut post.running else { return Ok(()) };
-        post.config["discovery"] = json!(discovery);
-        post.desk.configure(&post.config)?;
-        running.stale = true;
+        let slot = &mut self.slots[balancer.0 as usize];
+        let Some(running) = &mut slot.running else { return Ok(()) };
+        slot.config["discovery"] = json!(discovery);
+        slot.files.configure(&slot.config)?;
+        running.needs_reload = true;
         running.signal_reload(now);
         Ok(())
     }
 
     /// A balancer's process has ended in this life; tells the world if that was not its order to kill.
-    pub fn exited(
+    pub fn on_process_exited(
         &mut self,
         net: &mut Net,
         now: Micros,
-        who: BalancerId,
-        life: usize,
-        did: &mut Observations,
+        balancer: BalancerId,
+        incarnation: usize,
+        observations: &mut Observations,
     ) {
         // The next life may have begun meanwhile.
-        let running = self.posts[who.0 as usize].running.as_ref().filter(|r| r.life == life);
+        let running =
+            self.slots[balancer.0 as usize].running.as_ref().filter(|r| r.incarnation == incarnation);
         let Some(ordered) = running.map(|r| r.ordered) else { return };
         if ordered != Ordered::Kill {
-            did.push((who, FromBalancer::Exited.into()));
+            observations.push((balancer, FromBalancer::Exited.into()));
         }
-        self.over(net, now, who);
+        self.remove_process(net, now, balancer);
     }
 
     /// Takes a process that has ended, or was killed, off its post.
-    fn over(&mut self, net: &mut Net, now: Micros, who: BalancerId) {
-        let Some(mut running) = self.posts[who.0 as usize].running.take() else { return };
+    fn remove_process(&mut self, net: &mut Net, now: Micros, balancer: BalancerId) {
+        let Some(mut running) = self.slots[balancer.0 as usize].running.take() else { return };
         net.unwatch(running.process.end().as_fd(), running.key);
         if let Some(ping) = running.ping.take() {
             net.close(ping, End::Reset);
         }
-        let life = &mut self.lives[running.life];
+        let incarnation = &mut self.lives[running.incarnation];
         let status = running.process.exited();
-        (life.ended, life.usage) = (Some(now), running.process.usage());
-        life.how = match (running.ordered, status) {
+        (incarnation.ended, incarnation.usage) = (Some(now), running.process.usage());
+        incarnation.how = match (running.ordered, status) {
             (Ordered::Kill, _) => "killed as ordered".to_owned(),
             (_, Some(status)) => status.to_string(),
             (_, None) => "gone".to_owned(),
         };
         let fine = running.ordered == Ordered::Kill
             || (running.ordered == Ordered::Term && status.is_some_and(|s| s.success()));
-        life.crashed = !fine;
+        incarnation.crashed = !fine;
         // Dropped here, the process is waited for.
     }
 
     /// The answer to the question whether a balancer is ready, or the end of the connection.
-    pub fn pinged(
+    pub fn on_ping_ready(
         &mut self,
         net: &mut Net,
         now: Micros,
-        who: BalancerId,
+        balancer: BalancerId,
         ready: Ready,
-        did: &mut Observations,
+        observations: &mut Observations,
     ) {
-        let Some(running) = &mut self.posts[who.0 as usize].running else { return };
+        let Some(running) = &mut self.slots[balancer.0 as usize].running else { return };
         let Some(ping) = &mut running.ping else { return };
-        ping.ready(net, ready);
-        let answered = matches!(ping.line(), Ok(Some(b"PONG")));
+        ping.on_ready(net, ready);
+        let answered = matches!(ping.next_line(), Ok(Some(b"PONG")));
         if answered {
             running.ready = Some(now);
-            self.lives[running.life].ready = Some(now);
-            did.push((who, FromBalancer::Ready.into()));
+            self.lives[running.incarnation].ready = Some(now);
+            observations.push((balancer, FromBalancer::Ready.into()));
         }
         if (answered || ping.ended().is_some()) && running.ping.is_some() {
             let ping = running.ping.take().expect("it was just there");
@@ -343,38 +353,38 @@
 
     /// When something is due next.
     pub fn next_due(&self) -> Micros {
-        self.posts.iter().filter_map(|p| p.running.as_ref()).map(|r| r.due).min().unwrap_or(Micros::MAX)
+        self.slots.iter().filter_map(|p| p.running.as_ref()).map(|r| r.due).min().unwrap_or(Micros::MAX)
     }
 
     /// Does what is due: asks who has not answered, looks at what the others use, and kills who uses too much.
-    pub fn due(&mut self, net: &mut Net, now: Micros, late: &mut Distribution) {
-        for (who, post) in self.posts.iter_mut().enumerate() {
-            let Some(running) = post.running.as_mut().filter(|r| r.due <= now) else { continue };
+    pub fn run_due(&mut self, net: &mut Net, now: Micros, late: &mut Distribution) {
+        for (balancer, slot) in self.slots.iter_mut().enumerate() {
+            let Some(running) = slot.running.as_mut().filter(|r| r.due <= now) else { continue };
             late.record(now - running.due);
             if running.ready.is_some() {
-                running.due = now + LOOK;
+                running.due = now + USAGE_POLL_INTERVAL;
                 running.signal_reload(now);
                 if running.process.look() {
-                    self.faults.push(format!("{} over its memory, killed", post.desk.name()));
+                    self.faults.push(format!("{} over its memory, killed", slot.files.name()));
                     running.process.kill();
                 }
                 continue;
             }
-            running.due = now + ASK_AGAIN;
+            running.due = now + READY_POLL_INTERVAL;
             if running.ping.is_none()
-                && let Ok(mut wire) = net.connect(post.listen, Role::Ping(BalancerId(who as u32)))
+                && let Ok(mut connection) = net.connect(slot.listen, Role::Ping(BalancerId(balancer as u32)))
             {
-                wire.say(net, b"PING\r\n");
-                running.ping = Some(wire);
+                connection.send(net, b"PING\r\n");
+                running.ping = Some(connection);
             }
         }
     }
 
     /// Ends all that still run, by SIGKILL.
     pub fn stop(&mut self, net: &mut Net, now: Micros) {
-        for who in (0..self.posts.len() as u32).map(BalancerId) {
-            self.kill(who);
-            self.over(net, now, who);
+        for balancer in (0..self.slots.len() as u32).map(BalancerId) {
+            self.kill(balancer);
+            self.remove_process(net, now, balancer);
         }
     }
 }
--- a/crates/emulator/src/sockets/harness.rs
+++ b/crates/emulator/src/sockets/harness.rs
@@ -15,20 +15,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BalancerObservation {
     /// A balancer has done this.
-    Observations(FromBalancer),
+    Action(FromBalancer),
     /// Something that only sockets show.
-    Saw(ConnectionObservation),
+    Connection(ConnectionObservation),
 }
 
 impl From<FromBalancer> for BalancerObservation {
     fn from(what: FromBalancer) -> Self {
-        BalancerObservation::Observations(what)
+        BalancerObservation::Action(what)
     }
 }
 
 impl From<ConnectionObservation> for BalancerObservation {
     fn from(what: ConnectionObservation) -> Self {
-        BalancerObservation::Saw(what)
+        BalancerObservation::Connection(what)
     }
 }
 
@@ -37,21 +37,21 @@
 pub enum ConnectionObservation {
     /// A client's first line has been written to its last byte, on a connection that the balancer's machine took;
     /// so much of its patience is left.
-    Asked(RequestLine, Micros),
+    RequestSent(RequestLine, Micros),
     /// A client has written a line on a standing connection.
-    Wrote(ConnId),
+    LineSent(ConnId),
     /// It has come out at its node.
-    AtNode(ConnId),
+    LineAtNode(ConnId),
     /// The node has returned it on this link.
-    Returned(LinkId),
+    LineReturned(LinkId),
     /// It has come out at its client.
-    AtClient(ConnId),
+    LineAtClient(ConnId),
     /// A client has read a line that its node has not written.
     Changed(ConnId),
     /// A client has read `MOVE` after a part of a line.
     MoveInLine(ConnId),
     /// A bad client has been served.
-    BadServed(ConnId),
+    MisbehavingClientServed(ConnId),
 }
 
 /// A balancer at a glance.
@@ -74,33 +74,39 @@
     fn next_due(&self) -> Option<Micros>;
 
     /// Lets everything happen that is due by now.
-    fn advance(&mut self, now: Micros, said: &mut Commands);
+    fn advance(&mut self, now: Micros, commands: &mut Commands);
 
     /// A balancer does something.
-    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Commands);
+    fn on_balancer_action(
+        &mut self,
+        now: Micros,
+        who: BalancerId,
+        what: FromBalancer,
+        commands: &mut Commands,
+    );
 
     /// A link has been reset by what lies between, which neither side has done.
-    fn broke(&mut self, _now: Micros, _who: BalancerId, _link: LinkId, _said: &mut Commands) {}
+    fn on_link_reset(&mut self, _now: Micros, _who: BalancerId, _link: LinkId, _said: &mut Commands) {}
 
     /// How a node's machine meets connections now.
-    fn reach(&self, node: NodeId) -> Reachability;
+    fn reachability(&self, node: NodeId) -> Reachability;
 
     /// Connections that stand before the day begins, each at its home.
-    fn standing(&mut self) -> Vec<(BalancerId, RequestLine)> {
+    fn connections_at_start(&mut self) -> Vec<(BalancerId, RequestLine)> {
         Vec::new()
     }
 
     /// Those of them that are up, each on a link to its home; all others have been closed.
-    fn carried(&mut self, _up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {}
+    fn on_connections_restored(&mut self, _up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {}
 
     /// This has been carried to a balancer.
-    fn carried_out(&mut self, _now: Micros, _who: BalancerId, _what: &ToBalancer) {}
+    fn on_command_executed(&mut self, _now: Micros, _who: BalancerId, _what: &ToBalancer) {}
 
     /// What only sockets show.
-    fn saw(&mut self, _now: Micros, _who: BalancerId, _sight: ConnectionObservation) {}
+    fn on_observation(&mut self, _now: Micros, _who: BalancerId, _observation: ConnectionObservation) {}
 
     /// A second of the day has passed.
-    fn second(&mut self, _now: Micros, _balancers: &[BalancerStatus]) {}
+    fn on_status_sample(&mut self, _now: Micros, _balancers: &[BalancerStatus]) {}
 
     /// Whether all has been played to its end.
     fn is_over(&self, now: Micros) -> bool;
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -12,7 +12,7 @@
 use crate::edge::End;
 
 /// More than this is not held for a peer that does not take it: no line the platform sends is answered by so much.
-const OUT_MOST: usize = 4 << 20;
+const MAX_OUTBOX_BYTES: usize = 4 << 20;
 
 /// A line is longer than the protocol allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -27,7 +27,7 @@
     role: Role,
     inbox: Vec<u8>,
     /// So many bytes at the inbox's front have been taken.
-    taken: usize,
+    consumed: usize,
     outbox: Vec<u8>,
     /// It has come up.
     up: bool,
@@ -45,7 +45,7 @@
             key,
             role,
             inbox: Vec::new(),
-            taken: 0,
+            consumed: 0,
             outbox: Vec::new(),
             up: false,
             writable: false,
@@ -69,10 +69,10 @@
     }
 
     /// Takes in what the system says: sends what waits and reads what has come.
-    pub fn ready(&mut self, net: &mut Net, ready: Ready) {
+    pub fn on_ready(&mut self, net: &mut Net, ready: Ready) {
         if ready.write {
             self.writable = true;
-            if !self.up && !self.comes_up() {
+            if !self.up && !self.check_established() {
                 return;
             }
             self.flush(net);
@@ -82,7 +82,7 @@
         }
     }
 
-    fn comes_up(&mut self) -> bool {
+    fn check_established(&mut self) -> bool {
         match (self.stream.take_error(), self.stream.peer_addr()) {
             (Ok(None), Ok(_)) => self.up = true,
             (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => self.writable = false,
@@ -98,13 +98,13 @@
                 Ok(0) => self.ended = Some(End::Fin),
                 Ok(n) => {
                     if self.inbox.capacity() == 0 {
-                        self.inbox = net.buffer();
+                        self.inbox = net.take_buffer();
                     }
                     self.inbox.extend_from_slice(&net.scratch[..n]);
                     room = room.saturating_sub(n);
                     if room == 0 {
                         // Others have their turn first.
-                        return net.call_again(self.role);
+                        return net.requeue(self.role);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -115,21 +115,21 @@
     }
 
     /// Bytes that have come and were not taken.
-    pub fn held(&self) -> &[u8] {
-        &self.inbox[self.taken..]
+    pub fn buffered(&self) -> &[u8] {
+        &self.inbox[self.consumed..]
     }
 
     /// Takes so many bytes.
-    pub fn take(&mut self, bytes: usize) {
-        self.taken = (self.taken + bytes).min(self.inbox.len());
+    pub fn consume(&mut self, bytes: usize) {
+        self.consumed = (self.consumed + bytes).min(self.inbox.len());
     }
 
     /// The next whole line, without its end.
-    pub fn line(&mut self) -> Result<Option<&[u8]>, TooLong> {
-        match scan_line(&self.inbox[self.taken..]) {
+    pub fn next_line(&mut self) -> Result<Option<&[u8]>, TooLong> {
+        match scan_line(&self.inbox[self.consumed..]) {
             LineScan::Complete(n) => {
-                let from = self.taken;
-                self.taken += n;
+                let from = self.consumed;
+                self.consumed += n;
                 Ok(Some(&self.inbox[from..from + n - 2]))
             }
             LineScan::Incomplete => Ok(None),
@@ -138,24 +138,24 @@
     }
 
     /// After reading: gives back the room of what was taken.
-    pub fn tidy(&mut self, net: &mut Net) {
-        if self.taken == self.inbox.len() {
+    pub fn compact(&mut self, net: &mut Net) {
+        if self.consumed == self.inbox.len() {
             if self.inbox.capacity() > 0 {
-                net.give(std::mem::take(&mut self.inbox));
+                net.return_buffer(std::mem::take(&mut self.inbox));
             }
         } else {
-            self.inbox.drain(..self.taken);
+            self.inbox.drain(..self.consumed);
         }
-        self.taken = 0;
+        self.consumed = 0;
     }
 
     /// Sends this, now or as soon as the peer takes it. False if the peer has let too much wait and this is lost.
-    pub fn say(&mut self, net: &mut Net, bytes: &[u8]) -> bool {
-        if self.outbox.len() + bytes.len() > OUT_MOST {
+    pub fn send(&mut self, net: &mut Net, bytes: &[u8]) -> bool {
+        if self.outbox.len() + bytes.len() > MAX_OUTBOX_BYTES {
             return false;
         }
         if self.outbox.capacity() == 0 {
-            self.outbox = net.buffer();
+            self.outbox = net.take_buffer();
         }
         self.outbox.extend_from_slice(bytes);
         self.flush(net);
@@ -188,7 +188,7 @@
         }
         if sent == self.outbox.len() {
             if self.outbox.capacity() > 0 {
-                net.give(std::mem::take(&mut self.outbox));
+                net.return_buffer(std::mem::take(&mut self.outbox));
             }
             if self.finish && self.up {
                 self.finish = false;
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -33,19 +33,19 @@
 };
 
 /// The balancer that is loaded, and those who pass it by: a node knows both as balancers of their own.
-const THROUGH: BalancerId = BalancerId(0);
-const PAST: BalancerId = BalancerId(1);
+const VIA_BALANCER: BalancerId = BalancerId(0);
+const DIRECT: BalancerId = BalancerId(1);
 /// Of what goes through the balancer, this part goes past it too.
-const PAST_PART: u64 = 10;
+const DIRECT_INTERVAL: u64 = 10;
 /// A set-up or a line that has no answer by then is lost.
-const LOST: Micros = 5_000_000;
+const LOSS_TIMEOUT: Micros = 5_000_000;
 /// Standing connections are opened this far apart before the clock starts.
 const OPEN_EVERY: Micros = 500;
 /// The balancer must be ready, and those who stand be up, within this.
-const READY: Micros = 30_000_000;
+const READY_TIMEOUT: Micros = 30_000_000;
 /// Nothing is counted in the first second: the balancer's first list and everybody's caches fall in it.
-const WARM: Micros = 1_000_000;
-const BEAT: Micros = 5_000;
+const WARM_UP: Micros = 1_000_000;
+const MAX_WAIT: Micros = 5_000;
 
 /// What load is put on.
 #[derive(Clone, Debug)]
@@ -154,9 +154,9 @@
             "balancer: {:.2} cores, {:.1} MB, {} descriptors",
             self.cores, usage.memory_mb, usage.descriptors
         )?;
-        for (name, way) in [("through", &self.through), ("past", &self.past)] {
-            if way.failed + way.lost > 0 {
-                writeln!(f, "{name}: {} set-ups failed, {} set-ups and lines lost", way.failed, way.lost)?;
+        for (name, path) in [("through", &self.through), ("past", &self.past)] {
+            if path.failed + path.lost > 0 {
+                writeln!(f, "{name}: {} set-ups failed, {} set-ups and lines lost", path.failed, path.lost)?;
             }
         }
         self.void.as_ref().map_or(Ok(()), |why| writeln!(f, "VOID: {why}"))
@@ -165,42 +165,42 @@
 
 #[derive(Debug)]
 struct Client {
-    wire: LineConnection,
-    way: usize,
+    connection: LineConnection,
+    path: usize,
     /// When its set-up was due; none once it stands.
-    due: Option<Micros>,
+    set_up_due: Option<Micros>,
     /// It stays to the end.
-    stays: bool,
+    is_permanent: bool,
     /// It leaves once all its lines have come back.
-    leaves: bool,
+    is_closing: bool,
     /// Lines that have not come back: when due, and their number.
-    out: VecDeque<(Micros, u64)>,
-    number: u64,
+    outstanding_lines: VecDeque<(Micros, u64)>,
+    last_line: u64,
 }
 
 struct Load {
     clock: Clock,
     net: Net,
-    dir: Directory,
-    book: ConnectionLog,
+    directory: Directory,
+    connection_log: ConnectionLog,
     fleet: Fleet,
     nodes: Nodes,
     discovery: Discovery,
-    ways: [PathResult; 2],
-    late: Distribution,
+    paths: [PathResult; 2],
+    lateness: Distribution,
     clients: BTreeMap<u32, Client>,
-    next: u32,
+    next_id: u32,
     /// Standing through the balancer.
-    stand: usize,
-    stood: usize,
+    established: usize,
+    max_established: usize,
     /// Lines and ends that are due, each in order: their spans are the same for all.
-    lines: VecDeque<(Micros, u32)>,
-    ends: VecDeque<(Micros, u32)>,
+    due_lines: VecDeque<(Micros, u32)>,
+    due_ends: VecDeque<(Micros, u32)>,
     /// What is due is counted from then on.
-    counted: Micros,
+    measure_from: Micros,
     line_every: Micros,
     hold: Micros,
-    did: Observations,
+    observations: Observations,
     ready: Vec<Ready>,
     crashed: bool,
 }
@@ -221,8 +221,8 @@
     let limits = options.program.limits;
     let day = plain::day(2, options.nodes, options.length, limits.memory_mb, limits.sockets);
     let mut load = Load::begin(options, &day, folder)?;
-    load.stand_up(options.standing)?;
-    load.press(options)
+    load.open_standing_connections(options.standing)?;
+    load.apply_load(options)
 }
 
 impl Load {
@@ -230,72 +230,73 @@
         let mut net = Net::new()?;
         let addresses = Addresses::of_next_run();
         let nodes = Nodes::new(&mut net, addresses, 2, options.nodes)?;
-        let dir = Directory::new(day, nodes.addresses(2));
+        let directory = Directory::new(day, nodes.addresses(2));
         let mut discovery = Discovery::new(&mut net, addresses, 1)?;
         let listed = |n| Listed { node: NodeId(n), stage: ListStage::Ready, born: None };
         let known: Vec<Listed> = (0..options.nodes).map(listed).collect();
-        let index = discovery.starts(THROUGH, &known);
+        let index = discovery.on_balancer_start(VIA_BALANCER, &known);
         let start = Start {
             seed: 1,
-            known: dir.listing(THROUGH, index, true, &known),
-            settings: serde_json::from_str(&(options.settings)(day, THROUGH))?,
-            discovery: discovery.address(THROUGH),
+            known: directory.listing(VIA_BALANCER, index, true, &known),
+            settings: serde_json::from_str(&(options.settings)(day, VIA_BALANCER))?,
+            discovery: discovery.address(VIA_BALANCER),
         };
         let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, 1, folder)?;
         let clock = Clock::start();
-        fleet.start(&mut net, clock.now(), THROUGH, &start)?;
+        fleet.start(&mut net, clock.now(), VIA_BALANCER, &start)?;
         Ok(Load {
-            book: ConnectionLog::new(day, &dir),
+            connection_log: ConnectionLog::new(day, &directory),
             clock,
             net,
-            dir,
+            directory,
             fleet,
             nodes,
             discovery,
-            ways: Default::default(),
-            late: Distribution::default(),
+            paths: Default::default(),
+            lateness: Distribution::default(),
             clients: BTreeMap::new(),
-            next: 0,
-            stand: 0,
-            stood: 0,
-            lines: VecDeque::new(),
-            ends: VecDeque::new(),
-            counted: Micros::MAX,
+            next_id: 0,
+            established: 0,
+            max_established: 0,
+            due_lines: VecDeque::new(),
+            due_ends: VecDeque::new(),
+            measure_from: Micros::MAX,
             line_every: options.line_every,
             hold: options.hold,
-            did: Vec::new(),
+            observations: Vec::new(),
             ready: Vec::new(),
             crashed: false,
         })
     }
 
     fn failed(&self, how: &'static str) -> LoadError {
-        LoadError::Balancer(how, self.fleet.desk(THROUGH).log_tail(5))
+        LoadError::Balancer(how, self.fleet.files(VIA_BALANCER).log_tail(5))
     }
 
     /// Opens the connections that stand all the time.
-    fn stand_up(&mut self, standing: u32) -> Result<(), LoadError> {
-        let limit = self.clock.now() + READY;
-        while !self.fleet.is_ready(THROUGH) {
-            self.turn(Micros::MAX)?;
+    fn open_standing_connections(&mut self, standing: u32) -> Result<(), LoadError> {
+        let limit = self.clock.now() + READY_TIMEOUT;
+        while !self.fleet.is_ready(VIA_BALANCER) {
+            self.run_iteration(Micros::MAX)?;
             if self.crashed || self.clock.now() > limit {
                 return Err(self.failed("did not become ready"));
             }
         }
-        let (began, limit) = (self.clock.now(), self.clock.now() + READY + u64::from(standing) * OPEN_EVERY);
-        let (through, past) = (u64::from(standing), u64::from(standing) / PAST_PART);
+        let (began, limit) =
+            (self.clock.now(), self.clock.now() + READY_TIMEOUT + u64::from(standing) * OPEN_EVERY);
+        let (through, past) = (u64::from(standing), u64::from(standing) / DIRECT_INTERVAL);
         let (mut opened, mut opened_past) = (0, 0);
-        while opened < through || self.stand < standing as usize {
+        while opened < through || self.established < standing as usize {
             let now = self.clock.now();
             while opened < through && began + opened * OPEN_EVERY <= now {
-                self.comes(0, now, true);
+                self.connect(0, now, true);
                 opened += 1;
-                if opened_past < past && opened % PAST_PART == 0 {
-                    self.comes(1, now, true);
+                if opened_past < past && opened % DIRECT_INTERVAL == 0 {
+                    self.connect(1, now, true);
                     opened_past += 1;
                 }
             }
-            self.turn(if opened < through { began + opened * OPEN_EVERY } else { Micros::MAX })?;
+            self.run_iteration(if opened < through { began + opened * OPEN_EVERY } else { Micros::MAX })?;
             if self.crashed || self.clock.now() > limit {
                 return Err(self.failed("did not take the connections that stand"));
             }
@@ -304,88 +305,89 @@
     }
 
     /// Presses for as long as wanted and waits for the last answers.
-    fn press(mut self, options: &Options) -> Result<Outcome, LoadError> {
+    fn apply_load(mut self, options: &Options) -> Result<Outcome, LoadError> {
         let start = self.clock.now();
-        self.counted = start + WARM;
-        self.late = Distribution::default();
-        let stop = self.counted + options.length;
+        self.measure_from = start + WARM_UP;
+        self.lateness = Distribution::default();
+        let stop = self.measure_from + options.length;
         let due = |i: u64| start + (i as f64 * 1e6 / options.set_ups_per_s) as Micros;
         let mut before = None;
         let mut set_ups = 0;
         loop {
             let now = self.clock.now();
-            if before.is_none() && now >= self.counted {
-                before = Some(self.fleet.used(THROUGH));
+            if before.is_none() && now >= self.measure_from {
+                before = Some(self.fleet.used(VIA_BALANCER));
             }
             while due(set_ups) <= now && due(set_ups) < stop {
-                self.late.record(now - due(set_ups));
-                self.comes(0, due(set_ups), false);
-                if set_ups % PAST_PART == 0 {
-                    self.comes(1, due(set_ups), false);
+                self.lateness.record(now - due(set_ups));
+                self.connect(0, due(set_ups), false);
+                if set_ups % DIRECT_INTERVAL == 0 {
+                    self.connect(1, due(set_ups), false);
                 }
                 set_ups += 1;
             }
             if now >= stop {
                 break;
             }
-            self.turn(due(set_ups).min(stop))?;
+            self.run_iteration(due(set_ups).min(stop))?;
             if self.crashed {
                 return Err(self.failed("ended under load"));
             }
         }
-        let used = self.fleet.used(THROUGH).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
+        let used = self.fleet.used(VIA_BALANCER).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
         // Nothing more is sent; what is out may still be answered.
-        self.lines.clear();
-        let limit = self.clock.now() + LOST;
-        while self.clock.now() < limit && self.is_owed() {
-            self.turn(limit)?;
+        self.due_lines.clear();
+        let limit = self.clock.now() + LOSS_TIMEOUT;
+        while self.clock.now() < limit && self.is_awaiting_replies() {
+            self.run_iteration(limit)?;
         }
-        Ok(self.end(options, used))
+        Ok(self.into_outcome(options, used))
     }
 
-    fn is_owed(&self) -> bool {
-        self.clients.values().any(|c| c.due.is_some() || !c.out.is_empty())
+    fn is_awaiting_replies(&self) -> bool {
+        self.clients.values().any(|c| c.set_up_due.is_some() || !c.outstanding_lines.is_empty())
     }
 
-    fn end(mut self, options: &Options, used_ms: f64) -> Outcome {
+    fn into_outcome(mut self, options: &Options, used_ms: f64) -> Outcome {
         for client in self.clients.values() {
-            let way = &mut self.ways[client.way];
-            way.lost += u64::from(client.due.is_some_and(|due| due >= self.counted));
-            way.lost += client.out.iter().filter(|(due, _)| *due >= self.counted).count() as u64;
+            let path = &mut self.paths[client.path];
+            path.lost += u64::from(client.set_up_due.is_some_and(|due| due >= self.measure_from));
+            path.lost +=
+                client.outstanding_lines.iter().filter(|(due, _)| *due >= self.measure_from).count() as u64;
         }
         let now = self.clock.now();
         self.fleet.stop(&mut self.net, now);
-        let [through, past] = self.ways;
+        let [through, past] = self.paths;
         let seconds = seconds_from_micros(options.length);
-        let late = self.late.at(0.99);
-        let void = if late > LATE {
-            Some(format!("the lab was late: p99 {:.1} ms", late as f64 / 1e3))
+        let lateness = self.lateness.at(0.99);
+        let void = if lateness > LATE {
+            Some(format!("the lab was late: p99 {:.1} ms", lateness as f64 / 1e3))
         } else {
             self.net
-                .was_short()
+                .ran_out_of_descriptors()
                 .then(|| "the lab's descriptors ran out: it holds two for each connection".to_owned())
         };
         Outcome {
             set_ups_per_s: through.set_up.len() as f64 / seconds,
             lines_per_s: through.line.len() as f64 / seconds,
-            stood: self.stood,
+            stood: self.max_established,
             cores: used_ms / 1e3 / seconds,
             life: self.fleet.lives.remove(0),
             void,
-            late: self.late,
+            late: self.lateness,
             through,
             past,
         }
     }
 
-    fn comes(&mut self, way: usize, due: Micros, stays: bool) {
-        let id = self.next;
-        self.next += 1;
+    fn connect(&mut self, path: usize, due: Micros, stays: bool) {
+        let id = self.next_id;
+        self.next_id += 1;
         let conn = ConnId(u64::from(id) + 1);
-        let node = NodeId(id % self.dir.nodes() as u32);
-        let (who, to) = match way {
-            0 => (THROUGH, self.fleet.address(THROUGH)),
-            _ => (PAST, self.dir.address(PAST, node)),
+        let node = NodeId(id % self.directory.nodes() as u32);
+        let (who, to) = match path {
+            0 => (VIA_BALANCER, self.fleet.address(VIA_BALANCER)),
+            _ => (DIRECT, self.directory.address(DIRECT, node)),
         };
         let ask = RequestLine {
             conn,
@@ -393,47 +395,54 @@
             class: 0,
             tenant: 0,
             group: 0,
-            patience: LOST,
+            patience: LOSS_TIMEOUT,
             hint: None,
             retry: false,
             again: false,
             home: None,
         };
-        let line = self.book.open(who, &ask, LOST, &self.dir);
-        let Ok(mut wire) = self.net.connect(to, Role::Load(id)) else {
-            self.ways[way].failed += u64::from(due >= self.counted);
+        let line = self.connection_log.record_request(who, &ask, LOSS_TIMEOUT, &self.directory);
+        let Ok(mut connection) = self.net.connect(to, Role::Load(id)) else {
+            self.paths[path].failed += u64::from(due >= self.measure_from);
             return;
         };
-        wire.say(&mut self.net, line.as_bytes());
-        let client =
-            Client { wire, way, due: Some(due), stays, leaves: false, out: VecDeque::new(), number: 0 };
+        connection.send(&mut self.net, line.as_bytes());
+        let client = Client {
+            connection,
+            path,
+            set_up_due: Some(due),
+            is_permanent: stays,
+            is_closing: false,
+            outstanding_lines: VecDeque::new(),
+            last_line: 0,
+        };
         self.clients.insert(id, client);
     }
 
     /// Does what is due, waits for what is next, but no longer than until `next`, and handles it.
-    fn turn(&mut self, next: Micros) -> Result<(), LoadError> {
+    fn run_iteration(&mut self, next: Micros) -> Result<(), LoadError> {
         let now = self.clock.now();
-        self.fleet.due(&mut self.net, now, &mut self.late);
-        self.discovery.due(&mut self.net, now, |_| false, &mut self.did);
-        while let Some((due, id)) = self.lines.front().copied().filter(|e| e.0 <= now) {
-            self.lines.pop_front();
-            let Some(client) = self.clients.get_mut(&id).filter(|c| !c.leaves) else { continue };
-            self.late.record(now - due);
-            client.number += 1;
-            client.out.push_back((due, client.number));
-            client.wire.say(&mut self.net, format!("M {id:x} {}\r\n", client.number).as_bytes());
-            self.lines.push_back((due + self.line_every, id));
+        self.fleet.run_due(&mut self.net, now, &mut self.lateness);
+        self.discovery.run_due(&mut self.net, now, |_| false, &mut self.observations);
+        while let Some((due, id)) = self.due_lines.front().copied().filter(|e| e.0 <= now) {
+            self.due_lines.pop_front();
+            let Some(client) = self.clients.get_mut(&id).filter(|c| !c.is_closing) else { continue };
+            self.lateness.record(now - due);
+            client.last_line += 1;
+            client.outstanding_lines.push_back((due, client.last_line));
+            client.connection.send(&mut self.net, format!("M {id:x} {}\r\n", client.last_line).as_bytes());
+            self.due_lines.push_back((due + self.line_every, id));
         }
-        while let Some((_, id)) = self.ends.front().copied().filter(|e| e.0 <= now) {
-            self.ends.pop_front();
+        while let Some((_, id)) = self.due_ends.front().copied().filter(|e| e.0 <= now) {
+            self.due_ends.pop_front();
             let Some(client) = self.clients.get_mut(&id) else { continue };
-            client.leaves = true;
-            if client.out.is_empty() {
-                self.over(id, End::Fin);
+            client.is_closing = true;
+            if client.outstanding_lines.is_empty() {
+                self.close(id, End::Fin);
             }
         }
-        let own = [self.fleet.next_due(), self.discovery.next_due(), now + BEAT];
-        let fronts = [&self.lines, &self.ends].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
+        let own = [self.fleet.next_due(), self.discovery.next_due(), now + MAX_WAIT];
+        let fronts = [&self.due_lines, &self.due_ends].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
         let next = own.into_iter().chain(fronts).fold(next, Micros::min);
         let mut ready = std::mem::take(&mut self.ready);
         self.net.wait(until(self.clock.now(), next), &mut ready)?;
@@ -442,15 +451,15 @@
             self.handle(*one);
         }
         if !ready.is_empty() {
-            self.late.record(self.clock.now() - woke);
+            self.lateness.record(self.clock.now() - woke);
         }
         self.ready = ready;
-        for (_, what) in self.did.drain(..) {
+        for (_, what) in self.observations.drain(..) {
             match what {
-                BalancerObservation::Observations(FromBalancer::Probe(link)) => {
-                    self.nodes.says(&mut self.net, link, NodeMessage::Pong, &mut self.book)
+                BalancerObservation::Action(FromBalancer::Probe(link)) => {
+                    self.nodes.send(&mut self.net, link, NodeMessage::Pong, &mut self.connection_log)
                 }
-                BalancerObservation::Observations(FromBalancer::Exited) => self.crashed = true,
+                BalancerObservation::Action(FromBalancer::Exited) => self.crashed = true,
                 _ => {}
             }
         }
@@ -459,68 +468,73 @@
 
     fn handle(&mut self, one: Ready) {
         let now = self.clock.now();
-        let (net, did) = (&mut self.net, &mut self.did);
+        let (net, observations) = (&mut self.net, &mut self.observations);
         match one.role {
-            Role::Load(id) => self.client(now, id, one),
-            Role::Link(link) => self.nodes.ready(net, link, one, &mut self.book, did),
-            Role::NodeEar(who, node) => self.nodes.called(net, who, node, &mut self.book, did),
-            Role::Call(id) => self.discovery.ready(net, now, id, one, &self.dir, did),
-            Role::DirectorEar(who, moves) => self.discovery.called(net, now, (who, moves), &self.dir, did),
-            Role::Ping(who) => self.fleet.pinged(net, now, who, one, did),
-            Role::Exit(who, life) => self.fleet.exited(net, now, who, life, did),
-            Role::Client(_) | Role::Bad(_) | Role::DatagramProxy(_) | Role::Timer => {}
+            Role::Load(id) => self.on_client_ready(now, id, one),
+            Role::Link(link) => self.nodes.on_ready(net, link, one, &mut self.connection_log, observations),
+            Role::NodeListener(who, node) => {
+                self.nodes.on_listener_ready(net, who, node, &mut self.connection_log, observations)
+            }
+            Role::Call(id) => self.discovery.on_ready(net, now, id, one, &self.directory, observations),
+            Role::DiscoveryListener(who, moves) => {
+                self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations)
+            }
+            Role::Ping(who) => self.fleet.on_ping_ready(net, now, who, one, observations),
+            Role::Exit(who, life) => self.fleet.on_process_exited(net, now, who, life, observations),
+            Role::Client(_) | Role::MisbehavingClient(_) | Role::DatagramProxy(_) | Role::Timer => {}
         }
     }
 
-    fn client(&mut self, now: Micros, id: u32, ready: Ready) {
+    fn on_client_ready(&mut self, now: Micros, id: u32, ready: Ready) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.wire.ready(&mut self.net, ready);
-        let way = &mut self.ways[client.way];
+        client.connection.on_ready(&mut self.net, ready);
+        let path = &mut self.paths[client.path];
         let mut fails = false;
-        while let Ok(Some(line)) = client.wire.line() {
-            if let Some(due) = client.due {
+        while let Ok(Some(line)) = client.connection.next_line() {
+            if let Some(due) = client.set_up_due {
                 if !matches!(parse_message(line), Message::Accepted(_)) {
                     fails = true;
                     break;
                 }
-                client.due = None;
-                if due >= self.counted {
-                    way.set_up.record(now - due);
+                client.set_up_due = None;
+                if due >= self.measure_from {
+                    path.set_up.record(now - due);
                 }
-                if client.way == 0 {
-                    self.stand += 1;
-                    self.stood = self.stood.max(self.stand);
+                if client.path == 0 {
+                    self.established += 1;
+                    self.max_established = self.max_established.max(self.established);
                 }
-                self.lines.push_back((now + self.line_every, id));
-                if !client.stays {
-                    self.ends.push_back((now + self.hold, id));
+                self.due_lines.push_back((now + self.line_every, id));
+                if !client.is_permanent {
+                    self.due_ends.push_back((now + self.hold, id));
                 }
-            } else if let Some((due, number)) = client.out.front().copied()
+            } else if let Some((due, number)) = client.outstanding_lines.front().copied()
                 && line == format!("M {id:x} {number}").as_bytes()
             {
-                client.out.pop_front();
-                if due >= self.counted {
-                    way.line.record(now - due);
+                client.outstanding_lines.pop_front();
+                if due >= self.measure_from {
+                    path.line.record(now - due);
                 }
             }
         }
-        client.wire.tidy(&mut self.net);
-        if client.leaves && client.out.is_empty() {
-            return self.over(id, End::Fin);
+        client.connection.compact(&mut self.net);
+        if client.is_closing && client.outstanding_lines.is_empty() {
+            return self.close(id, End::Fin);
         }
-        if fails || client.wire.ended().is_some() {
-            let waits = client.due;
-            way.failed += u64::from(waits.is_some_and(|due| due >= self.counted));
-            way.lost += client.out.iter().filter(|(due, _)| *due >= self.counted).count() as u64;
-            self.over(id, End::Fin);
+        if fails || client.connection.ended().is_some() {
+            let waits = client.set_up_due;
+            path.failed += u64::from(waits.is_some_and(|due| due >= self.measure_from));
+            path.lost +=
+                client.outstanding_lines.iter().filter(|(due, _)| *due >= self.measure_from).count() as u64;
+            self.close(id, End::Fin);
         }
     }
 
-    fn over(&mut self, id: u32, how: End) {
+    fn close(&mut self, id: u32, how: End) {
         let Some(client) = self.clients.remove(&id) else { return };
-        if client.way == 0 && client.due.is_none() {
-            self.stand -= 1;
+        if client.path == 0 && client.set_up_due.is_none() {
+            self.established -= 1;
         }
-        self.net.close(client.wire, how);
+        self.net.close(client.connection, how);
     }
 }
--- a/crates/emulator/src/sockets/misbehaving_clients.rs
+++ b/crates/emulator/src/sockets/misbehaving_clients.rs
@@ -18,17 +18,17 @@
 use crate::edge::{BalancerId, ConnId, End};
 
 /// An error or a close is owed within this of connecting ...
-const OWED: Micros = 3_000_000;
+const RESPONSE_TIMEOUT: Micros = 3_000_000;
 /// ... or within this by those who have so much to send.
-const OWED_LONG: Micros = 6_000_000;
+const LARGE_INPUT_RESPONSE_TIMEOUT: Micros = 6_000_000;
 /// Bytes of the longest value.
-const HUGE: usize = 60 << 20;
+const HUGE_BYTES: usize = 60 << 20;
 /// What is put into the system's hands at once.
-const PIECE: usize = 256 << 10;
+const CHUNK_BYTES: usize = 256 << 10;
 /// Ids of bad clients, far from the usual ones'.
-const OWN: u64 = 0xbad0_0000_0000_0000;
+const ID_PREFIX: u64 = 0xbad0_0000_0000_0000;
 /// Commands of those who send many at a time.
-const COMMANDS: usize = 300;
+const COMMAND_COUNT: usize = 300;
 
 /// A kind of bad client that the day names and nobody knows.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -83,18 +83,18 @@
 
 #[derive(Debug)]
 struct MisbehavingClient {
-    wire: LineConnection,
-    who: BalancerId,
-    to: SocketAddr,
+    connection: LineConnection,
+    balancer: BalancerId,
+    address: SocketAddr,
     kind: Kind,
-    place: usize,
-    since: Micros,
+    flow: usize,
+    connected_at: Micros,
     /// Bytes that are still to be sent.
-    left: usize,
+    bytes_left: usize,
     /// It has got what it is owed, or has been counted for not getting it.
-    judged: bool,
+    is_counted: bool,
     /// Turned away, it comes again at once until then.
-    storms: Micros,
+    retries_until: Micros,
 }
 
 #[derive(Debug)]
@@ -109,12 +109,12 @@
 pub struct MisbehavingClients {
     flows: Vec<Flow>,
     names: Vec<String>,
-    bads: BTreeMap<u64, MisbehavingClient>,
+    clients: BTreeMap<u64, MisbehavingClient>,
     next: u64,
     class: String,
     tenant: String,
     /// By flow, in the day's order.
-    pub fared: Vec<MisbehaviorOutcome>,
+    pub outcomes: Vec<MisbehaviorOutcome>,
 }
 
 impl MisbehavingClients {
@@ -129,82 +129,96 @@
         Ok(MisbehavingClients {
             flows: day.bad_clients.iter().map(flow).collect::<Result<_, _>>()?,
             names: day.bad_clients.iter().map(|b| b.kind.clone()).collect(),
-            bads: BTreeMap::new(),
+            clients: BTreeMap::new(),
             next: 0,
             class: name(day.classes.first().map(|c| &c.name)),
             tenant: name(day.tenants.first().map(|t| &t.name)),
-            fared: vec![MisbehaviorOutcome::default(); day.bad_clients.len()],
+            outcomes: vec![MisbehaviorOutcome::default(); day.bad_clients.len()],
         })
     }
 
     /// How each kind fared, by name.
     pub fn report(&self) -> Vec<(String, MisbehaviorOutcome)> {
-        self.names.iter().cloned().zip(self.fared.iter().copied()).collect()
+        self.names.iter().cloned().zip(self.outcomes.iter().copied()).collect()
     }
 
     /// When somebody comes next or is owed something no longer, on the driver's clock; the day began at `start`.
     pub fn next_due(&self, start: Micros) -> Micros {
         let comes = self.flows.iter().map(|f| start + f.next as Micros);
-        let owed = self.bads.values().filter(|b| !b.judged).map(|b| b.since + owed(b.kind));
-        comes.chain(owed).min().unwrap_or(Micros::MAX)
+        let response_due = self
+            .clients
+            .values()
+            .filter(|b| !b.is_counted)
+            .map(|b| b.connected_at + response_timeout(b.kind));
+        comes.chain(response_due).min().unwrap_or(Micros::MAX)
     }
 
     /// Lets those come who are due, while the day lasts, and counts those who have waited too long.
-    pub fn due(
+    pub fn run_due(
         &mut self,
         net: &mut Net,
         now: Micros,
         start: Micros,
         lasts: bool,
-        book: &mut ConnectionLog,
+        connection_log: &mut ConnectionLog,
         to: impl Fn(u64) -> Option<(BalancerId, SocketAddr, Option<ConnId>)>,
     ) {
         for place in 0..self.flows.len() {
             while start + self.flows[place].next as Micros <= now {
                 self.flows[place].next += self.flows[place].every;
                 if let Some(to) = to(self.next).filter(|_| lasts) {
-                    self.comes(net, now, place, to, now + OWED, book);
+                    self.connect(net, now, place, to, now + RESPONSE_TIMEOUT, connection_log);
                 }
             }
         }
-        let late = |b: &MisbehavingClient| !b.judged && now >= b.since + owed(b.kind);
-        for bad in self.bads.values_mut().filter(|b| late(b)) {
-            bad.judged = true;
-            self.fared[bad.place].neither += 1;
+        let late = |b: &MisbehavingClient| !b.is_counted && now >= b.connected_at + response_timeout(b.kind);
+        for client in self.clients.values_mut().filter(|b| late(b)) {
+            client.is_counted = true;
+            self.outcomes[client.flow].neither += 1;
         }
     }
 
-    fn comes(
+    fn connect(
         &mut self,
         net: &mut Net,
         now: Micros,
         place: usize,
-        (who, to, other): (BalancerId, SocketAddr, Option<ConnId>),
+        (balancer, to, other): (BalancerId, SocketAddr, Option<ConnId>),
         storms: Micros,
-        book: &mut ConnectionLog,
+        connection_log: &mut ConnectionLog,
     ) {
         let (id, kind) = (self.next, self.flows[place].kind);
         self.next += 1;
-        let Ok(mut wire) = net.connect(to, Role::Bad(id)) else { return };
-        let line = self.line(kind, id, other);
-        book.bad(line.trim_end().as_bytes());
-        wire.say(net, line.as_bytes());
+        let Ok(mut connection) = net.connect(to, Role::MisbehavingClient(id)) else { return };
+        let line = self.first_line(kind, id, other);
+        connection_log.record_misbehaving(line.trim_end().as_bytes());
+        connection.send(net, line.as_bytes());
         let left = match kind {
-            Kind::EndlessLine | Kind::HugeValue => HUGE,
+            Kind::EndlessLine | Kind::HugeValue => HUGE_BYTES,
             _ => 0,
         };
         if kind == Kind::Half {
-            wire.finish(net);
+            connection.finish(net);
         }
-        self.bads.insert(
+        self.clients.insert(
             id,
-            MisbehavingClient { wire, who, to, kind, place, since: now, left, judged: false, storms },
+            MisbehavingClient {
+                connection,
+                balancer,
+                address: to,
+                kind,
+                flow: place,
+                connected_at: now,
+                bytes_left: left,
+                is_counted: false,
+                retries_until: storms,
+            },
         );
     }
 
     /// What one says first.
-    fn line(&self, kind: Kind, id: u64, other: Option<ConnId>) -> String {
-        let own = OWN | id;
+    fn first_line(&self, kind: Kind, id: u64, other: Option<ConnId>) -> String {
+        let own = ID_PREFIX | id;
         let (class, tenant) = (&self.class, &self.tenant);
         let open = |id: &str, class: &str, wait: &str, more: &str| {
             format!("OPEN {id} {own:x} c={class},t={tenant},d={wait}{more}\r\n")
@@ -224,76 +238,92 @@
                 open(&other.map_or(id_text.clone(), |c| format!("{:x}", c.0)), class, "2000", ",bad=1")
             }
             Kind::Half => format!("OPEN {own:x} {own:x} c="),
-            Kind::Commands => open(&id_text, class, "2000", ",bad=1").repeat(COMMANDS),
+            Kind::Commands => open(&id_text, class, "2000", ",bad=1").repeat(COMMAND_COUNT),
         }
     }
 
     /// A bad client's connection has something.
-    pub fn ready(
+    pub fn on_ready(
         &mut self,
         net: &mut Net,
         now: Micros,
         id: u64,
         ready: Ready,
-        book: &mut ConnectionLog,
-        did: &mut Observations,
+        connection_log: &mut ConnectionLog,
+        observations: &mut Observations,
     ) {
-        let Some(bad) = self.bads.get_mut(&id) else { return };
-        bad.wire.ready(net, ready);
-        while bad.left > 0 && bad.wire.is_up() && bad.wire.is_flushed() && bad.wire.ended().is_none() {
-            let n = bad.left.min(PIECE);
-            bad.left -= n;
-            bad.wire.say(net, &[b'x'; PIECE][..n]);
-            if bad.left == 0 && bad.kind == Kind::HugeValue {
-                bad.wire.say(net, b"\r\n");
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.connection.on_ready(net, ready);
+        while client.bytes_left > 0
+            && client.connection.is_up()
+            && client.connection.is_flushed()
+            && client.connection.ended().is_none()
+        {
+            let n = client.bytes_left.min(CHUNK_BYTES);
+            client.bytes_left -= n;
+            client.connection.send(net, &[b'x'; CHUNK_BYTES][..n]);
+            if client.bytes_left == 0 && client.kind == Kind::HugeValue {
+                client.connection.send(net, b"\r\n");
             }
         }
-        let fared = &mut self.fared[bad.place];
+        let outcome = &mut self.outcomes[client.flow];
         // What is sent in excess of a line says nothing.
-        while let Ok(Some(line)) = bad.wire.line() {
+        while let Ok(Some(line)) = client.connection.next_line() {
             let found = parse_message(line);
             match found {
                 Message::Accepted(_) => {
-                    fared.served += 1;
-                    did.push((bad.who, ConnectionObservation::BadServed(ConnId(OWN | id)).into()));
+                    outcome.served += 1;
+                    observations.push((
+                        client.balancer,
+                        ConnectionObservation::MisbehavingClientServed(ConnId(ID_PREFIX | id)).into(),
+                    ));
                 }
-                Message::Rejected(_) | Message::Failed if !bad.judged => {
-                    bad.judged = true;
-                    fared.refused += 1;
+                Message::Rejected(_) | Message::Failed if !client.is_counted => {
+                    client.is_counted = true;
+                    outcome.refused += 1;
                 }
                 _ => {}
             }
         }
-        bad.wire.tidy(net);
-        if bad.wire.ended().is_none() {
+        client.connection.compact(net);
+        if client.connection.ended().is_none() {
             return;
         }
-        let bad = self.bads.remove(&id).expect("it was just there");
-        let fared = &mut self.fared[bad.place];
+        let client = self.clients.remove(&id).expect("it was just there");
+        let outcome = &mut self.outcomes[client.flow];
         // One that was refused because nobody listens is owed nothing by a process.
-        if bad.wire.is_up() {
-            fared.came += 1;
-            if !bad.judged {
-                fared.closed += 1;
+        if client.connection.is_up() {
+            outcome.came += 1;
+            if !client.is_counted {
+                outcome.closed += 1;
             }
         }
-        let (up, place, to, storms) = (bad.wire.is_up(), bad.place, (bad.who, bad.to, None), bad.storms);
-        net.close(bad.wire, End::Fin);
-        if bad.kind == Kind::Again && up && now < storms {
-            self.comes(net, now, place, to, storms, book);
+        let (up, place, to, storms) = (
+            client.connection.is_up(),
+            client.flow,
+            (client.balancer, client.address, None),
+            client.retries_until,
+        );
+        net.close(client.connection, End::Fin);
+        if client.kind == Kind::Again && up && now < storms {
+            self.connect(net, now, place, to, storms, connection_log);
         }
     }
 
     /// Ends those that are still open, when the run is over.
     pub fn stop(&mut self, net: &mut Net) {
-        for (_, bad) in std::mem::take(&mut self.bads) {
-            self.fared[bad.place].came += u64::from(bad.wire.is_up());
-            net.close(bad.wire, End::Reset);
+        for (_, client) in std::mem::take(&mut self.clients) {
+            self.outcomes[client.flow].came += u64::from(client.connection.is_up());
+            net.close(client.connection, End::Reset);
         }
     }
 }
 
 /// How long an error or a close may take.
-fn owed(kind: Kind) -> Micros {
-    if matches!(kind, Kind::EndlessLine | Kind::HugeValue) { OWED_LONG } else { OWED }
+fn response_timeout(kind: Kind) -> Micros {
+    if matches!(kind, Kind::EndlessLine | Kind::HugeValue) {
+        LARGE_INPUT_RESPONSE_TIMEOUT
+    } else {
+        RESPONSE_TIMEOUT
+    }
 }
--- a/crates/emulator/src/sockets/net.rs
+++ b/crates/emulator/src/sockets/net.rs
@@ -38,7 +38,7 @@
     /// A client's connection to its balancer.
     Client(ConnId),
     /// A bad client's, by number.
-    Bad(u64),
+    MisbehavingClient(u64),
     /// A balancer's connection to a node.
     Link(LinkId),
     /// A call at discovery, by number.
@@ -46,9 +46,9 @@
     /// The question whether a balancer is ready.
     Ping(BalancerId),
     /// A node listens to a balancer.
-    NodeEar(BalancerId, NodeId),
+    NodeListener(BalancerId, NodeId),
     /// Discovery listens to a balancer, after so many moves.
-    DirectorEar(BalancerId, u32),
+    DiscoveryListener(BalancerId, u32),
     /// Datagrams for a balancer, of others.
     DatagramProxy(BalancerId),
     /// A balancer's process ends, in its life of this number.
@@ -110,11 +110,16 @@
             timer,
         };
         let fd = net.timer.as_raw_fd();
-        net.enter(&mut SourceFd(&fd), Interest::READABLE, Role::Timer)?;
+        net.register(&mut SourceFd(&fd), Interest::READABLE, Role::Timer)?;
         Ok(net)
     }
 
-    fn enter(&mut self, source: &mut dyn Source, interest: Interest, role: Role) -> io::Result<DefaultKey> {
+    fn register(
+        &mut self,
+        source: &mut dyn Source,
+        interest: Interest,
+        role: Role,
+    ) -> io::Result<DefaultKey> {
         let key = self.roles.insert(role);
         let token = Token(key.data().as_ffi() as usize);
         self.poll.registry().register(source, token, interest).inspect_err(|_| {
@@ -123,7 +128,7 @@
         Ok(key)
     }
 
-    fn leave(&mut self, source: &mut dyn Source, key: DefaultKey) {
+    fn deregister(&mut self, source: &mut dyn Source, key: DefaultKey) {
         self.roles.remove(key);
         // The descriptor is closed next, which takes it out of the poll whatever is said here.
         let _ = self.poll.registry().deregister(source);
@@ -138,13 +143,13 @@
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(socket.into());
-        let key = self.enter(&mut listener, Interest::READABLE, role)?;
+        let key = self.register(&mut listener, Interest::READABLE, role)?;
         Ok(Listener { listener, key })
     }
 
     /// Has what comes at a socket for datagrams told to its owner.
-    pub fn hear(&mut self, socket: &mut UdpSocket, role: Role) -> io::Result<()> {
-        self.enter(socket, Interest::READABLE, role).map(drop)
+    pub fn register_datagram_socket(&mut self, socket: &mut UdpSocket, role: Role) -> io::Result<()> {
+        self.register(socket, Interest::READABLE, role).map(drop)
     }
 
     /// Begins a connection.
@@ -154,9 +159,9 @@
     }
 
     /// The next connection that waits at a listener, if one does.
-    pub fn accept(&mut self, ear: &Listener) -> Option<TcpStream> {
+    pub fn accept(&mut self, listener: &Listener) -> Option<TcpStream> {
         loop {
-            match ear.listener.accept() {
+            match listener.listener.accept() {
                 Ok((stream, _)) => return Some(stream),
                 // The peer gave up while it waited; the next one may be fine.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
@@ -170,7 +175,7 @@
     }
 
     /// Whether descriptors have run out at least once: what came then has been lost, and not by the balancers.
-    pub fn was_short(&self) -> bool {
+    pub fn ran_out_of_descriptors(&self) -> bool {
         self.short
     }
 
@@ -178,18 +183,18 @@
     pub fn adopt(&mut self, mut stream: TcpStream, role: Role) -> io::Result<LineConnection> {
         // Lines are short and wanted at once.
         stream.set_nodelay(true)?;
-        let key = self.enter(&mut stream, Interest::READABLE | Interest::WRITABLE, role)?;
+        let key = self.register(&mut stream, Interest::READABLE | Interest::WRITABLE, role)?;
         Ok(LineConnection::new(stream, key, role))
     }
 
     /// Has the end of a process told to its owner.
     pub fn watch(&mut self, fd: &OwnedFd, role: Role) -> io::Result<DefaultKey> {
-        self.enter(&mut SourceFd(&fd.as_raw_fd()), Interest::READABLE, role)
+        self.register(&mut SourceFd(&fd.as_raw_fd()), Interest::READABLE, role)
     }
 
     /// Ends this.
     pub fn unwatch(&mut self, fd: BorrowedFd<'_>, key: DefaultKey) {
-        self.leave(&mut SourceFd(&fd.as_raw_fd()), key);
+        self.deregister(&mut SourceFd(&fd.as_raw_fd()), key);
     }
 
     /// Closes a connection: with `Reset`, or with unread bytes, the peer sees it break.
@@ -199,24 +204,24 @@
             // A socket that is broken already has no linger to set, and closes as it should anyway.
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
-        self.leave(&mut stream, key);
-        buffers.into_iter().for_each(|b| self.give(b));
+        self.deregister(&mut stream, key);
+        buffers.into_iter().for_each(|b| self.return_buffer(b));
     }
 
     /// Stops to listen: connections that wait to be accepted are reset, new ones refused.
-    pub fn deafen(&mut self, mut ear: Listener) -> SocketAddr {
-        let at = ear.address();
-        self.leave(&mut ear.listener, ear.key);
+    pub fn close_listener(&mut self, mut listener: Listener) -> SocketAddr {
+        let at = listener.address();
+        self.deregister(&mut listener.listener, listener.key);
         at
     }
 
     /// An empty buffer.
-    pub(super) fn buffer(&mut self) -> Vec<u8> {
+    pub(super) fn take_buffer(&mut self) -> Vec<u8> {
         self.spare.pop().unwrap_or_default()
     }
 
     /// Takes back a buffer.
-    pub(super) fn give(&mut self, mut buffer: Vec<u8>) {
+    pub(super) fn return_buffer(&mut self, mut buffer: Vec<u8>) {
         if (1..=SPARE_SIZE).contains(&buffer.capacity()) && self.spare.len() < SPARE_BUFFERS {
             buffer.clear();
             self.spare.push(buffer);
@@ -224,7 +229,7 @@
     }
 
     /// Has an owner called again though its descriptor says nothing new.
-    pub(super) fn call_again(&mut self, role: Role) {
+    pub(super) fn requeue(&mut self, role: Role) {
         self.again.push(role);
     }
 
@@ -268,7 +273,7 @@
 
     /// From now on connections neither come up nor fail, as at a machine that is cut off: the queue of those that
     /// wait is cut to one and filled, and the system drops what comes beyond. The filling is returned.
-    pub fn fall_silent(&self) -> io::Result<Vec<std::net::TcpStream>> {
+    pub fn stop_accepting(&self) -> io::Result<Vec<std::net::TcpStream>> {
         SockRef::from(&self.listener).listen(0)?;
         let mut filling = Vec::new();
         // One is enough where nobody else waits; with the second the queue is full for certain.
@@ -283,7 +288,7 @@
     }
 
     /// Takes connections as before.
-    pub fn speak_again(&self) -> io::Result<()> {
+    pub fn resume_accepting(&self) -> io::Result<()> {
         SockRef::from(&self.listener).listen(BACKLOG)
     }
 }
--- a/crates/emulator/src/sockets/network_faults.rs
+++ b/crates/emulator/src/sockets/network_faults.rs
@@ -51,18 +51,18 @@
 
 /// An edge: this break begins, or it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Edge {
+pub(super) struct FaultTransition {
     /// Its place.
-    pub place: usize,
+    pub index: usize,
     /// It begins.
-    pub on: bool,
+    pub begins: bool,
 }
 
 /// All of them, and what waits on slow or silent links.
 #[derive(Debug, Default)]
 pub(super) struct NetworkFaults {
-    breaks: Vec<NetworkFault>,
-    edges: Vec<(Micros, Edge)>,
+    faults: Vec<NetworkFault>,
+    edges: Vec<(Micros, FaultTransition)>,
     next: usize,
     /// What is slow now: the breaks' places.
     slow: Vec<usize>,
@@ -74,18 +74,21 @@
 }
 
 impl NetworkFaults {
-    pub fn new(breaks: &[NetworkFault]) -> Self {
+    pub fn new(faults: &[NetworkFault]) -> Self {
         let edge = |(place, b): (usize, &NetworkFault)| {
-            [(b.from, Edge { place, on: true }), (b.to.max(b.from), Edge { place, on: false })]
+            [
+                (b.from, FaultTransition { index: place, begins: true }),
+                (b.to.max(b.from), FaultTransition { index: place, begins: false }),
+            ]
         };
-        let mut edges: Vec<(Micros, Edge)> = breaks.iter().enumerate().flat_map(edge).collect();
+        let mut edges: Vec<(Micros, FaultTransition)> = faults.iter().enumerate().flat_map(edge).collect();
         // What begins and ends at one time begins first.
-        edges.sort_by_key(|(at, edge)| (*at, !edge.on));
-        NetworkFaults { breaks: breaks.to_vec(), edges, ..NetworkFaults::default() }
+        edges.sort_by_key(|(at, edge)| (*at, !edge.begins));
+        NetworkFaults { faults: faults.to_vec(), edges, ..NetworkFaults::default() }
     }
 
     pub fn get(&self, place: usize) -> &NetworkFault {
-        &self.breaks[place]
+        &self.faults[place]
     }
 
     pub fn next_due(&self) -> Option<Micros> {
@@ -94,18 +97,18 @@
     }
 
     /// The next edge that is due by now.
-    pub fn edge(&mut self, now: Micros) -> Option<Edge> {
+    pub fn next_transition(&mut self, now: Micros) -> Option<FaultTransition> {
         let (_, edge) = self.edges.get(self.next).filter(|(at, _)| *at <= now).copied()?;
         self.next += 1;
-        if matches!(self.breaks[edge.place].what, NetworkFaultKind::Slow(_)) {
-            self.slow.retain(|place| *place != edge.place);
-            self.slow.extend(edge.on.then_some(edge.place));
+        if matches!(self.faults[edge.index].what, NetworkFaultKind::Slow(_)) {
+            self.slow.retain(|place| *place != edge.index);
+            self.slow.extend(edge.begins.then_some(edge.index));
         }
         Some(edge)
     }
 
     /// How connections meet between these two now, for links' own sake.
-    pub fn reach(&self, now: Micros, who: BalancerId, node: NodeId) -> Reachability {
+    pub fn reachability(&self, now: Micros, who: BalancerId, node: NodeId) -> Reachability {
         let of = |b: &&NetworkFault| {
             b.from <= now && now < b.to && b.balancers.contains(&who) && b.nodes.contains(&node)
         };
@@ -121,19 +124,19 @@
                 Reachability::Open
             }
         };
-        self.breaks.iter().filter(of).map(reach).fold(Reachability::Open, worse)
+        self.faults.iter().filter(of).map(reach).fold(Reachability::Open, worse)
     }
 
     /// Whether discovery's words don't come to this balancer now.
-    pub fn is_deaf(&self, now: Micros, who: BalancerId) -> bool {
+    pub fn is_list_blocked(&self, now: Micros, who: BalancerId) -> bool {
         let of = |b: &NetworkFault| b.from <= now && now < b.to && b.balancers.contains(&who);
-        self.breaks.iter().any(|b| b.what == NetworkFaultKind::NewsLost && of(b))
+        self.faults.iter().any(|b| b.what == NetworkFaultKind::NewsLost && of(b))
     }
 
     /// What becomes of a datagram from one balancer to another now.
-    pub fn note(&self, now: Micros, from: BalancerId, to: BalancerId) -> Delivery {
+    pub fn datagram_delivery(&self, now: Micros, from: BalancerId, to: BalancerId) -> Delivery {
         let mut fate = Delivery::default();
-        for b in self.breaks.iter().filter(|b| b.from <= now && now < b.to) {
+        for b in self.faults.iter().filter(|b| b.from <= now && now < b.to) {
             if b.balancers.contains(&from) && b.others.contains(&to) {
                 match b.what {
                     NetworkFaultKind::NotesLost => fate.lost = true,
@@ -147,7 +150,7 @@
     }
 
     /// Takes what a node says on a link if it has to come later.
-    pub fn delays(
+    pub fn delay(
         &mut self,
         now: Micros,
         node: NodeId,
@@ -156,7 +159,7 @@
         what: &ToBalancer,
     ) -> bool {
         let slow = |place: &usize| {
-            let b = &self.breaks[*place];
+            let b = &self.faults[*place];
             match b.what {
                 NetworkFaultKind::Slow(by) if b.balancers.contains(&who) && b.nodes.contains(&node) => by,
                 _ => 0,
@@ -175,7 +178,7 @@
     }
 
     /// What has waited until now.
-    pub fn arrives(&mut self, now: Micros) -> Option<(BalancerId, ToBalancer)> {
+    pub fn pop_arrived(&mut self, now: Micros) -> Option<(BalancerId, ToBalancer)> {
         let first = self.later.first_entry().filter(|e| e.key().0 <= now)?;
         let arrived = first.remove();
         if let ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _) = arrived.1
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -21,7 +21,7 @@
 };
 
 /// Lines of one connection that a hung node owes. No client sends so many before it is moved or gives up.
-const OWED_MOST: usize = 64 << 10;
+const MAX_UNSENT_REPLY_BYTES: usize = 64 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
@@ -30,52 +30,52 @@
     /// It carries probes.
     Probes,
     /// It has asked for a client.
-    Asked,
+    AwaitingAnswer,
     /// It stands.
-    Stands,
+    Established,
     /// The node has ended it.
     Over,
 }
 
 #[derive(Debug)]
 struct Link {
-    wire: LineConnection,
-    who: BalancerId,
+    connection: LineConnection,
+    balancer: BalancerId,
     node: NodeId,
     conn: Option<ConnId>,
     stage: Stage,
-    owed: Vec<u8>,
+    unsent_replies: Vec<u8>,
     /// What the node has said while its words were lost on the link.
     withheld: Vec<ToBalancer>,
 }
 
 #[derive(Debug)]
-struct Seat {
-    reach: Reachability,
+struct NodeEndpoint {
+    node_reachability: Reachability,
     /// What the links to the balancers let through.
-    links: Vec<Reachability>,
+    link_reachability: Vec<Reachability>,
     /// By balancer; none while refused.
-    ears: Vec<Option<Listener>>,
-    at: Vec<SocketAddr>,
+    listeners: Vec<Option<Listener>>,
+    addresses: Vec<SocketAddr>,
     /// What keeps the queues full while silent, by balancer.
     filling: Vec<Vec<TcpStream>>,
 }
 
-impl Seat {
+impl NodeEndpoint {
     /// How a balancer's connections meet the node now.
-    fn reach(&self, who: BalancerId) -> Reachability {
-        worse(self.reach, self.links[who.0 as usize])
+    fn reachability(&self, balancer: BalancerId) -> Reachability {
+        worse(self.node_reachability, self.link_reachability[balancer.0 as usize])
     }
 }
 
 /// The nodes.
 #[derive(Debug)]
 pub struct Nodes {
-    seats: Vec<Seat>,
+    endpoints: Vec<NodeEndpoint>,
     links: BTreeMap<LinkId, Link>,
     next: u64,
-    /// The node takes everything at once and asks nobody: before the day begins.
-    alone: bool,
+    /// The day has not begun: the node accepts everything at once, without the harness.
+    is_before_day: bool,
     /// Lines that came before their connection stood.
     pub early: u64,
 }
@@ -83,28 +83,38 @@
 impl Nodes {
     /// Listens for all nodes and balancers.
     pub fn new(net: &mut Net, addresses: Addresses, balancers: u32, nodes: u32) -> io::Result<Self> {
-        let mut seats = Vec::new();
+        let mut endpoints = Vec::new();
         for node in (0..nodes).map(NodeId) {
-            let mut ears = Vec::new();
-            for who in (0..balancers).map(BalancerId) {
-                ears.push(Some(net.listen(addresses.node(who, node), Role::NodeEar(who, node))?));
+            let mut listeners = Vec::new();
+            for balancer in (0..balancers).map(BalancerId) {
+                listeners.push(Some(
+                    net.listen(addresses.node(balancer, node), Role::NodeListener(balancer, node))?,
+                ));
             }
-            let at = ears.iter().flatten().map(Listener::address).collect();
-            let filling = ears.iter().map(|_| Vec::new()).collect();
-            let links = vec![Reachability::Open; ears.len()];
-            seats.push(Seat { reach: Reachability::Open, links, ears, at, filling });
+            let at = listeners.iter().flatten().map(Listener::address).collect();
+            let filling = listeners.iter().map(|_| Vec::new()).collect();
+            let links = vec![Reachability::Open; listeners.len()];
+            endpoints.push(NodeEndpoint {
+                node_reachability: Reachability::Open,
+                link_reachability: links,
+                listeners,
+                addresses: at,
+                filling,
+            });
         }
-        Ok(Nodes { seats, links: BTreeMap::new(), next: 1, alone: true, early: 0 })
+        Ok(Nodes { endpoints, links: BTreeMap::new(), next: 1, is_before_day: true, early: 0 })
     }
 
     /// Where each balancer reaches each node.
     pub fn addresses(&self, balancers: u32) -> Vec<Vec<SocketAddr>> {
-        (0..balancers as usize).map(|who| self.seats.iter().map(|s| s.at[who]).collect()).collect()
+        (0..balancers as usize)
+            .map(|balancer| self.endpoints.iter().map(|s| s.addresses[balancer]).collect())
+            .collect()
     }
 
-    /// From now on the world answers.
-    pub fn day_begins(&mut self) {
-        self.alone = false;
+    /// Begins the day: from now on the world decides the answers.
+    pub fn begin_day(&mut self) {
+        self.is_before_day = false;
     }
 
     /// Connections that are open, first lines or not.
@@ -113,268 +123,298 @@
     }
 
     /// The node and connection of a link.
-    pub fn of(&self, link: LinkId) -> Option<(NodeId, Option<ConnId>)> {
+    pub fn node_and_conn(&self, link: LinkId) -> Option<(NodeId, Option<ConnId>)> {
         self.links.get(&link).map(|l| (l.node, l.conn))
     }
 
-    /// A node's machine meets connections in this way from now on.
-    pub fn reach(
+    /// Sets how a node's machine answers connections from now on.
+    pub fn set_node_reachability(
         &mut self,
         net: &mut Net,
         node: NodeId,
-        reach: Reachability,
-        did: &mut Observations,
+        reachability: Reachability,
+        observations: &mut Observations,
     ) -> io::Result<()> {
-        let seat = &mut self.seats[node.0 as usize];
-        if seat.reach == reach {
+        let endpoint = &mut self.endpoints[node.0 as usize];
+        if endpoint.node_reachability == reachability {
             return Ok(());
         }
-        let before: Vec<Reachability> =
-            (0..seat.links.len() as u32).map(|who| seat.reach(BalancerId(who))).collect();
-        seat.reach = reach;
-        for (who, before) in before.into_iter().enumerate() {
-            self.meets(net, node, BalancerId(who as u32), before, did)?;
+        let before: Vec<Reachability> = (0..endpoint.link_reachability.len() as u32)
+            .map(|balancer| endpoint.reachability(BalancerId(balancer)))
+            .collect();
+        endpoint.node_reachability = reachability;
+        for (balancer, before) in before.into_iter().enumerate() {
+            self.apply_reachability(net, node, BalancerId(balancer as u32), before, observations)?;
         }
         Ok(())
     }
 
     /// The links between a node and a balancer let through so much from now on. What the node has said meanwhile and
     /// now arrives is appended.
-    pub fn link(
+    pub fn set_link_reachability(
         &mut self,
         net: &mut Net,
-        (node, who): (NodeId, BalancerId),
-        reach: Reachability,
-        did: &mut Observations,
+        (node, balancer): (NodeId, BalancerId),
+        reachability: Reachability,
+        observations: &mut Observations,
         arrives: &mut Vec<(BalancerId, ToBalancer)>,
     ) -> io::Result<()> {
-        let seat = &mut self.seats[node.0 as usize];
-        let before = seat.reach(who);
-        seat.links[who.0 as usize] = reach;
-        self.meets(net, node, who, before, did)?;
-        if !self.lets_nothing_through(node, who) {
-            let of = self.links.values_mut().filter(|l| (l.node, l.who) == (node, who));
-            arrives.extend(of.flat_map(|l| l.withheld.drain(..)).map(|what| (who, what)));
+        let endpoint = &mut self.endpoints[node.0 as usize];
+        let before = endpoint.reachability(balancer);
+        endpoint.link_reachability[balancer.0 as usize] = reachability;
+        self.apply_reachability(net, node, balancer, before, observations)?;
+        if !self.is_blocked(node, balancer) {
+            let of = self.links.values_mut().filter(|l| (l.node, l.balancer) == (node, balancer));
+            arrives.extend(of.flat_map(|l| l.withheld.drain(..)).map(|what| (balancer, what)));
         }
         Ok(())
     }
 
-    fn lets_nothing_through(&self, node: NodeId, who: BalancerId) -> bool {
-        matches!(self.seats[node.0 as usize].links[who.0 as usize], Reachability::Silent | Reachability::Mute)
+    fn is_blocked(&self, node: NodeId, balancer: BalancerId) -> bool {
+        matches!(
+            self.endpoints[node.0 as usize].link_reachability[balancer.0 as usize],
+            Reachability::Silent | Reachability::Mute
+        )
     }
 
     /// Takes what a node says on a link if the link lets nothing through.
-    pub fn withholds(&mut self, id: LinkId, what: &ToBalancer) -> bool {
-        let Some((node, who)) = self.links.get(&id).map(|l| (l.node, l.who)) else { return false };
-        if !self.lets_nothing_through(node, who) {
+    pub fn withhold(&mut self, id: LinkId, what: &ToBalancer) -> bool {
+        let Some((node, balancer)) = self.links.get(&id).map(|l| (l.node, l.balancer)) else { return false };
+        if !self.is_blocked(node, balancer) {
             return false;
         }
         self.links.get_mut(&id).into_iter().for_each(|l| l.withheld.push(what.clone()));
         true
     }
 
-    /// Resets all links between a node and a balancer; which ones.
-    pub fn reset(&mut self, net: &mut Net, node: NodeId, who: BalancerId) -> Vec<LinkId> {
-        let of = self.links.iter().filter(|(_, l)| (l.node, l.who) == (node, who)).map(|(id, _)| *id);
+    /// Resets all links between a node and a balancer, and returns their ids.
+    pub fn reset(&mut self, net: &mut Net, node: NodeId, balancer: BalancerId) -> Vec<LinkId> {
+        let of =
+            self.links.iter().filter(|(_, l)| (l.node, l.balancer) == (node, balancer)).map(|(id, _)| *id);
         let ids: Vec<LinkId> = of.collect();
-        ids.iter().for_each(|id| self.end(net, *id, End::Reset));
+        ids.iter().for_each(|id| self.remove(net, *id, End::Reset));
         ids
     }
 
-    /// Connections of a balancer meet a node otherwise than before, or not.
-    fn meets(
+    /// Applies a change of reachability between a node and a balancer.
+    fn apply_reachability(
         &mut self,
         net: &mut Net,
         node: NodeId,
-        who: BalancerId,
+        balancer: BalancerId,
         before: Reachability,
-        did: &mut Observations,
+        observations: &mut Observations,
     ) -> io::Result<()> {
-        let (seat, at) = (&mut self.seats[node.0 as usize], who.0 as usize);
-        let reach = seat.reach(who);
-        if before == reach {
+        let (endpoint, at) = (&mut self.endpoints[node.0 as usize], balancer.0 as usize);
+        let reachability = endpoint.reachability(balancer);
+        if before == reachability {
             return Ok(());
         }
         if before == Reachability::Silent {
-            seat.filling[at].clear();
-            seat.ears[at].iter().try_for_each(Listener::speak_again)?;
+            endpoint.filling[at].clear();
+            endpoint.listeners[at].iter().try_for_each(Listener::resume_accepting)?;
         }
-        match reach {
-            Reachability::Refused => seat.ears[at].take().into_iter().for_each(|ear| {
-                net.deafen(ear);
+        match reachability {
+            Reachability::Refused => endpoint.listeners[at].take().into_iter().for_each(|listener| {
+                net.close_listener(listener);
             }),
             Reachability::Silent => {
-                if let Some(ear) = &seat.ears[at] {
-                    seat.filling[at] = ear.fall_silent()?;
+                if let Some(listener) = &endpoint.listeners[at] {
+                    endpoint.filling[at] = listener.stop_accepting()?;
                 }
             }
             Reachability::Open | Reachability::Mute => {
-                if seat.ears[at].is_none() {
-                    seat.ears[at] = Some(net.listen(seat.at[at], Role::NodeEar(who, node))?);
+                if endpoint.listeners[at].is_none() {
+                    endpoint.listeners[at] =
+                        Some(net.listen(endpoint.addresses[at], Role::NodeListener(balancer, node))?);
                 }
             }
         }
-        let of = self.links.iter().filter(|(_, l)| (l.node, l.who) == (node, who)).map(|(id, _)| *id);
+        let of =
+            self.links.iter().filter(|(_, l)| (l.node, l.balancer) == (node, balancer)).map(|(id, _)| *id);
         let of: Vec<LinkId> = of.collect();
         for id in of {
             // Who has said nothing is unknown to the world, which ends all others of a dead process.
-            if reach == Reachability::Refused && self.links[&id].stage == Stage::FirstLine {
-                self.end(net, id, End::Reset);
+            if reachability == Reachability::Refused && self.links[&id].stage == Stage::FirstLine {
+                self.remove(net, id, End::Reset);
             } else if before == Reachability::Silent {
-                net.call_again(Role::Link(id));
+                net.requeue(Role::Link(id));
             }
-            if reach == Reachability::Open {
-                self.pay(net, id, did);
+            if reachability == Reachability::Open {
+                self.send_withheld_replies(net, id, observations);
             }
         }
         Ok(())
     }
 
-    /// Returns the lines that a hung node owes.
-    fn pay(&mut self, net: &mut Net, id: LinkId, did: &mut Observations) {
-        if let Some(link) = self.links.get_mut(&id).filter(|l| !l.owed.is_empty()) {
-            let owed = std::mem::take(&mut link.owed);
-            link.wire.say(net, &owed);
+    /// Sends the replies that a stalled node has not sent.
+    fn send_withheld_replies(&mut self, net: &mut Net, id: LinkId, observations: &mut Observations) {
+        if let Some(link) = self.links.get_mut(&id).filter(|l| !l.unsent_replies.is_empty()) {
+            let owed = std::mem::take(&mut link.unsent_replies);
+            link.connection.send(net, &owed);
             let lines = owed.windows(2).filter(|w| w == b"\r\n").count();
-            did.extend((0..lines).map(|_| (link.who, ConnectionObservation::Returned(id).into())));
+            observations
+                .extend((0..lines).map(|_| (link.balancer, ConnectionObservation::LineReturned(id).into())));
         }
     }
 
-    /// Connections wait to be accepted.
-    pub fn called(
+    /// Accepts pending connections of a listener.
+    pub fn on_listener_ready(
         &mut self,
         net: &mut Net,
-        who: BalancerId,
+        balancer: BalancerId,
         node: NodeId,
-        book: &mut ConnectionLog,
-        did: &mut Observations,
+        connection_log: &mut ConnectionLog,
+        observations: &mut Observations,
     ) {
-        let seat = &self.seats[node.0 as usize];
-        if seat.reach(who) == Reachability::Silent {
+        let endpoint = &self.endpoints[node.0 as usize];
+        if endpoint.reachability(balancer) == Reachability::Silent {
             return;
         }
         let mut came = Vec::new();
-        while let Some(stream) = seat.ears[who.0 as usize].as_ref().and_then(|ear| net.accept(ear)) {
+        while let Some(stream) =
+            endpoint.listeners[balancer.0 as usize].as_ref().and_then(|listener| net.accept(listener))
+        {
             came.push(stream);
         }
         for stream in came {
             let id = LinkId(self.next);
             self.next += 1;
             // One that broke while it waited is no link.
-            let Ok(wire) = net.adopt(stream, Role::Link(id)) else { continue };
+            let Ok(connection) = net.adopt(stream, Role::Link(id)) else { continue };
             let stage = Stage::FirstLine;
             self.links.insert(
                 id,
-                Link { wire, who, node, conn: None, stage, owed: Vec::new(), withheld: Vec::new() },
+                Link {
+                    connection,
+                    balancer,
+                    node,
+                    conn: None,
+                    stage,
+                    unsent_replies: Vec::new(),
+                    withheld: Vec::new(),
+                },
+            );
+            self.on_ready(
+                net,
+                id,
+                Ready { role: Role::Link(id), read: true, write: true },
+                connection_log,
+                observations,
             );
-            self.ready(net, id, Ready { role: Role::Link(id), read: true, write: true }, book, did);
         }
     }
 
-    /// A link has something.
-    pub fn ready(
+    /// Handles readiness of a link's connection.
+    pub fn on_ready(
         &mut self,
         net: &mut Net,
         id: LinkId,
         ready: Ready,
-        book: &mut ConnectionLog,
-        did: &mut Observations,
+        connection_log: &mut ConnectionLog,
+        observations: &mut Observations,
     ) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let reach = self.seats[link.node.0 as usize].reach(link.who);
-        if reach == Reachability::Silent {
+        let reachability = self.endpoints[link.node.0 as usize].reachability(link.balancer);
+        if reachability == Reachability::Silent {
             return;
         }
-        link.wire.ready(net, ready);
+        link.connection.on_ready(net, ready);
         loop {
-            match link.wire.line() {
+            match link.connection.next_line() {
                 Ok(Some(line)) => match (link.stage, line) {
                     (Stage::FirstLine | Stage::Probes, b"PING" | b"STATS") => {
                         if link.stage == Stage::FirstLine {
-                            let (who, node) = (link.who, link.node);
-                            did.push((who, FromBalancer::Link { link: id, node, conn: None }.into()));
-                            did.push((who, FromBalancer::Probe(id).into()));
-                        } else if reach == Reachability::Open {
+                            let (balancer, node) = (link.balancer, link.node);
+                            observations
+                                .push((balancer, FromBalancer::Link { link: id, node, conn: None }.into()));
+                            observations.push((balancer, FromBalancer::Probe(id).into()));
+                        } else if reachability == Reachability::Open {
                             // The world knows one probe a link; further ones are answered here.
-                            link.wire.say(net, Message::Pong.to_string().as_bytes());
+                            link.connection.send(net, Message::Pong.to_string().as_bytes());
                         }
                         link.stage = Stage::Probes;
                     }
-                    (Stage::FirstLine, line) => match book.read(link.who, line) {
+                    (Stage::FirstLine, line) => match connection_log.classify_first_line(link.balancer, line)
+                    {
                         FirstLine::Sent(conn, patience) => {
-                            (link.conn, link.stage) = (Some(conn), Stage::Asked);
-                            if self.alone {
-                                let up = Message::Accepted(book.stands(conn, id).as_bytes()).to_string();
-                                link.stage = Stage::Stands;
-                                link.wire.say(net, up.as_bytes());
+                            (link.conn, link.stage) = (Some(conn), Stage::AwaitingAnswer);
+                            if self.is_before_day {
+                                let up =
+                                    Message::Accepted(connection_log.accept(conn, id).as_bytes()).to_string();
+                                link.stage = Stage::Established;
+                                link.connection.send(net, up.as_bytes());
                             }
                             let node = link.node;
-                            did.push((
-                                link.who,
+                            observations.push((
+                                link.balancer,
                                 FromBalancer::Link { link: id, node, conn: Some(conn) }.into(),
                             ));
-                            did.push((link.who, FromBalancer::Forward { link: id, patience }.into()));
+                            observations
+                                .push((link.balancer, FromBalancer::Forward { link: id, patience }.into()));
                         }
                         FirstLine::Unusable => {
                             link.stage = Stage::Over;
-                            link.wire.say(net, Message::Failed.to_string().as_bytes());
-                            link.wire.finish(net);
+                            link.connection.send(net, Message::Failed.to_string().as_bytes());
+                            link.connection.finish(net);
                         }
                         FirstLine::Unknown => {
                             link.stage = Stage::Over;
-                            link.wire.say(net, Message::Malformed.to_string().as_bytes());
-                            link.wire.finish(net);
-                            did.push((link.who, FromBalancer::Syntax(link.node).into()));
+                            link.connection.send(net, Message::Malformed.to_string().as_bytes());
+                            link.connection.finish(net);
+                            observations.push((link.balancer, FromBalancer::Syntax(link.node).into()));
                         }
                     },
-                    (Stage::Stands, line) => {
+                    (Stage::Established, line) => {
                         let answer = [line, b"\r\n"].concat();
-                        if let Some(conn) = link.conn.filter(|_| !self.alone) {
-                            did.push((link.who, ConnectionObservation::AtNode(conn).into()));
+                        if let Some(conn) = link.conn.filter(|_| !self.is_before_day) {
+                            observations
+                                .push((link.balancer, ConnectionObservation::LineAtNode(conn).into()));
                         }
-                        if reach == Reachability::Mute {
-                            if link.owed.len() < OWED_MOST {
-                                link.owed.extend(answer);
+                        if reachability == Reachability::Mute {
+                            if link.unsent_replies.len() < MAX_UNSENT_REPLY_BYTES {
+                                link.unsent_replies.extend(answer);
                             }
                         } else {
-                            link.wire.say(net, &answer);
-                            if !self.alone {
-                                did.push((link.who, ConnectionObservation::Returned(id).into()));
+                            link.connection.send(net, &answer);
+                            if !self.is_before_day {
+                                observations
+                                    .push((link.balancer, ConnectionObservation::LineReturned(id).into()));
                             }
                         }
                     }
-                    (Stage::Asked | Stage::Probes, _) => self.early += 1,
+                    (Stage::AwaitingAnswer | Stage::Probes, _) => self.early += 1,
                     (Stage::Over, _) => {}
                 },
                 Ok(None) => break,
                 // No client sends such a line, so no balancer may.
                 Err(_) => {
-                    did.push((link.who, FromBalancer::Syntax(link.node).into()));
-                    return self.end(net, id, End::Reset);
+                    observations.push((link.balancer, FromBalancer::Syntax(link.node).into()));
+                    return self.remove(net, id, End::Reset);
                 }
             }
         }
-        link.wire.tidy(net);
-        if let Some(how) = link.wire.ended() {
+        link.connection.compact(net);
+        if let Some(how) = link.connection.ended() {
             if !matches!(link.stage, Stage::FirstLine | Stage::Over) {
-                did.push((link.who, FromBalancer::EndLink(id, how).into()));
+                observations.push((link.balancer, FromBalancer::EndLink(id, how).into()));
             }
-            self.end(net, id, End::Fin);
+            self.remove(net, id, End::Fin);
         }
     }
 
-    /// A node says this on a link.
-    pub fn says(&mut self, net: &mut Net, id: LinkId, what: NodeMessage, book: &mut ConnectionLog) {
+    /// Sends a node's message on a link.
+    pub fn send(&mut self, net: &mut Net, id: LinkId, what: NodeMessage, connection_log: &mut ConnectionLog) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        if self.seats[link.node.0 as usize].reach(link.who) == Reachability::Silent
+        if self.endpoints[link.node.0 as usize].reachability(link.balancer) == Reachability::Silent
             || link.stage == Stage::Over
         {
             return;
         }
         let text = match (what, link.conn) {
             (NodeMessage::Up, Some(conn)) => {
-                link.stage = Stage::Stands;
-                Message::Accepted(book.stands(conn, id).as_bytes()).to_string()
+                link.stage = Stage::Established;
+                Message::Accepted(connection_log.accept(conn, id).as_bytes()).to_string()
             }
             (NodeMessage::Up, None) | (NodeMessage::Pong, _) => Message::Pong.to_string(),
             (NodeMessage::Busy, _) => Message::Rejected(None).to_string(),
@@ -386,23 +426,23 @@
             (NodeMessage::Reply, _) => return,
             (NodeMessage::Junk, _) => "7f3a HUH 0\r\n".to_owned(),
         };
-        link.wire.say(net, text.as_bytes());
+        link.connection.send(net, text.as_bytes());
     }
 
-    /// A node ends a link.
-    pub fn ends(&mut self, net: &mut Net, id: LinkId, how: End) {
+    /// Closes a link from the node's side.
+    pub fn close(&mut self, net: &mut Net, id: LinkId, how: End) {
         match self.links.get_mut(&id) {
             Some(link) if how == End::Fin => {
                 link.stage = Stage::Over;
-                link.wire.finish(net);
+                link.connection.finish(net);
             }
-            _ => self.end(net, id, End::Reset),
+            _ => self.remove(net, id, End::Reset),
         }
     }
 
-    fn end(&mut self, net: &mut Net, id: LinkId, how: End) {
+    fn remove(&mut self, net: &mut Net, id: LinkId, how: End) {
         if let Some(link) = self.links.remove(&id) {
-            net.close(link.wire, how);
+            net.close(link.connection, how);
         }
     }
 }
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -48,9 +48,9 @@
     let mut platform = Platform {
         world: World::new(day, Mode::Sockets),
         auditor: Auditor::new(day, AuditTolerances::sockets(day)),
-        end: day.length,
-        last: day.length + last_answers(day),
-        truths: Vec::new(),
+        day_end: day.length,
+        answer_deadline: day.length + last_answers(day),
+        ground_truth: Vec::new(),
         homes: BTreeMap::new(),
         watch,
     };
@@ -63,9 +63,9 @@
     world: World,
     auditor: Auditor,
     /// The day's length, and the time after which no answer is awaited.
-    end: Micros,
-    last: Micros,
-    truths: Vec<GroundTruth>,
+    day_end: Micros,
+    answer_deadline: Micros,
+    ground_truth: Vec<GroundTruth>,
     /// Who stood where before the day.
     homes: BTreeMap<ConnId, BalancerId>,
     watch: &'a mut dyn FnMut(&StatusSample<'_>),
@@ -73,13 +73,13 @@
 
 /// Collects what the world says, and shows its facts to the auditor.
 struct Listener<'a> {
-    said: &'a mut Commands,
+    commands: &'a mut Commands,
     auditor: &'a mut Auditor,
 }
 
 impl WorldListener for Listener<'_> {
     fn to(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
-        self.said.push((balancer, what));
+        self.commands.push((balancer, what));
     }
 
     fn fact(&mut self, at: Micros, what: Observation<'_>) {
@@ -92,55 +92,61 @@
         self.world.next_due()
     }
 
-    fn advance(&mut self, now: Micros, said: &mut Commands) {
-        self.world.advance(now, &mut Listener { said, auditor: &mut self.auditor });
+    fn advance(&mut self, now: Micros, commands: &mut Commands) {
+        self.world.advance(now, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
-    fn did(&mut self, now: Micros, who: BalancerId, what: FromBalancer, said: &mut Commands) {
+    fn on_balancer_action(
+        &mut self,
+        now: Micros,
+        who: BalancerId,
+        what: FromBalancer,
+        commands: &mut Commands,
+    ) {
         self.auditor.observe(now, Observation::From(who, &what));
-        self.world.did(now, who, what, &mut Listener { said, auditor: &mut self.auditor });
+        self.world.did(now, who, what, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
-    fn broke(&mut self, now: Micros, who: BalancerId, link: LinkId, said: &mut Commands) {
+    fn on_link_reset(&mut self, now: Micros, who: BalancerId, link: LinkId, commands: &mut Commands) {
         // To the balancer it looks as though the node had ended it, and it owes its client the same.
         self.auditor.observe(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
         let gone = FromBalancer::EndLink(link, End::Reset);
-        self.world.did(now, who, gone, &mut Listener { said, auditor: &mut self.auditor });
+        self.world.did(now, who, gone, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
-    fn reach(&self, node: NodeId) -> Reachability {
+    fn reachability(&self, node: NodeId) -> Reachability {
         self.world.reach(node)
     }
 
-    fn standing(&mut self) -> Vec<(BalancerId, RequestLine)> {
-        let mut said = Vec::new();
-        self.world.stand(&mut Listener { said: &mut said, auditor: &mut self.auditor });
+    fn connections_at_start(&mut self) -> Vec<(BalancerId, RequestLine)> {
+        let mut commands = Vec::new();
+        self.world.stand(&mut Listener { commands: &mut commands, auditor: &mut self.auditor });
         let asked = |(who, what)| match what {
             ToBalancer::Asked { ask, .. } => Some((who, ask)),
             _ => None,
         };
-        let all: Vec<(BalancerId, RequestLine)> = said.into_iter().filter_map(asked).collect();
+        let all: Vec<(BalancerId, RequestLine)> = commands.into_iter().filter_map(asked).collect();
         self.homes = all.iter().map(|(who, ask)| (ask.conn, *who)).collect();
         all
     }
 
-    fn carried(&mut self, up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
+    fn on_connections_restored(&mut self, up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
         // All of it was said on the sockets already.
-        let mut said = Vec::new();
+        let mut commands = Vec::new();
         for (conn, who) in std::mem::take(&mut self.homes) {
-            let mut ear = Listener { said: &mut said, auditor: &mut self.auditor };
+            let mut listener = Listener { commands: &mut commands, auditor: &mut self.auditor };
             let Some((_, link, node)) = up.get(&conn).copied() else {
-                self.world.did(0, who, FromBalancer::EndClient(conn, End::Reset), &mut ear);
+                self.world.did(0, who, FromBalancer::EndClient(conn, End::Reset), &mut listener);
                 self.auditor.observe(0, Observation::Missed(who, conn));
                 continue;
             };
-            self.world.did(0, who, FromBalancer::Link { link, node, conn: Some(conn) }, &mut ear);
-            self.world.did(0, who, FromBalancer::Answer(conn, Answer::Up(link)), &mut ear);
+            self.world.did(0, who, FromBalancer::Link { link, node, conn: Some(conn) }, &mut listener);
+            self.world.did(0, who, FromBalancer::Answer(conn, Answer::Up(link)), &mut listener);
             self.auditor.observe(0, Observation::Stands { by: who, conn, link, node });
         }
     }
 
-    fn carried_out(&mut self, now: Micros, who: BalancerId, what: &ToBalancer) {
+    fn on_command_executed(&mut self, now: Micros, who: BalancerId, what: &ToBalancer) {
         match what {
             // Seen when they have gone out in whole; and links come up by themselves here.
             ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
@@ -148,26 +154,26 @@
         }
     }
 
-    fn saw(&mut self, now: Micros, who: BalancerId, sight: ConnectionObservation) {
+    fn on_observation(&mut self, now: Micros, who: BalancerId, observation: ConnectionObservation) {
         let (to, seen);
-        let seen = match sight {
-            ConnectionObservation::Asked(ask, left) => {
+        let seen = match observation {
+            ConnectionObservation::RequestSent(ask, left) => {
                 to = ToBalancer::Asked { ask, left };
                 Observation::To(who, &to)
             }
-            ConnectionObservation::Wrote(conn) => {
+            ConnectionObservation::LineSent(conn) => {
                 to = ToBalancer::ClientLine(conn);
                 Observation::To(who, &to)
             }
-            ConnectionObservation::Returned(link) => {
+            ConnectionObservation::LineReturned(link) => {
                 to = ToBalancer::NodeSays(link, NodeMessage::Reply);
                 Observation::To(who, &to)
             }
-            ConnectionObservation::AtNode(conn) => Observation::Passed(conn, Direction::ToNode),
-            ConnectionObservation::AtClient(conn) => Observation::Passed(conn, Direction::ToClient),
+            ConnectionObservation::LineAtNode(conn) => Observation::Passed(conn, Direction::ToNode),
+            ConnectionObservation::LineAtClient(conn) => Observation::Passed(conn, Direction::ToClient),
             ConnectionObservation::Changed(conn) => Observation::Garbled(conn, Corruption::Changed),
             ConnectionObservation::MoveInLine(conn) => Observation::Garbled(conn, Corruption::MoveInLine),
-            ConnectionObservation::BadServed(conn) => {
+            ConnectionObservation::MisbehavingClientServed(conn) => {
                 self.auditor.observe(now, Observation::Bad(who, conn));
                 seen = FromBalancer::Answer(conn, Answer::Forged);
                 Observation::From(who, &seen)
@@ -176,14 +182,14 @@
         self.auditor.observe(now, seen);
     }
 
-    fn second(&mut self, now: Micros, balancers: &[BalancerStatus]) {
-        self.world.truths(&mut self.truths);
+    fn on_status_sample(&mut self, now: Micros, balancers: &[BalancerStatus]) {
+        self.world.truths(&mut self.ground_truth);
         let seconds = &self.world.series().seconds;
         let second = (now / 1_000_000).checked_sub(1).and_then(|s| seconds.get(s as usize));
-        (self.watch)(&StatusSample { now, second, nodes: &self.truths, balancers });
+        (self.watch)(&StatusSample { now, second, nodes: &self.ground_truth, balancers });
     }
 
     fn is_over(&self, now: Micros) -> bool {
-        now >= self.last || (now >= self.end && self.world.waiting() == 0)
+        now >= self.answer_deadline || (now >= self.day_end && self.world.waiting() == 0)
     }
 }
