--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -1,8 +1,8 @@
-//! A day in real time: one thread moves the stage on by the monotonic clock and carries words between it and the
-//! sockets.
+//! Runs a day in real time: one thread advances the harness by the monotonic clock and passes commands and
+//! observations between it and the sockets.
 //!
-//! Before the day begins, the balancers start, and the connections that stand from before are opened; nodes and
-//! discovery answer by themselves then, and the day's clock stands at zero.
+//! Before the day begins, the balancers start, and the connections that were established before it are restored. Until
+//! then nodes and discovery answer without the harness, and the day's clock is zero.
 
 use shorewharf_units::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,14 +36,14 @@
     Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, RequestLine, ToBalancer,
 };
 
-/// Balancers that are not ready by then have failed to start.
-const READY: Micros = 30_000_000;
-/// Connections from before the day that are not up by then are lost.
-const STANDING: Micros = 40_000_000;
-/// Connections from before the day that are opened at once; more would only wait in queues.
-const AT_ONCE: usize = 128;
-/// The loop turns at least this often, so that lateness is measured also while nothing happens.
-const BEAT: Micros = 5_000;
+/// A balancer that is not ready after this time has failed to start.
+const READY_TIMEOUT: Micros = 30_000_000;
+/// A connection from before the day that is not restored after this time is lost.
+const RESTORE_TIMEOUT: Micros = 40_000_000;
+/// Connections from before the day that are opened concurrently; more would only wait in queues.
+const MAX_CONCURRENT_OPENS: usize = 128;
+/// The longest wait of the event loop, so that lateness is sampled while nothing happens, too.
+const MAX_WAIT: Micros = 5_000;
 
 /// How a day is run.
 #[derive(Clone, Debug)]
@@ -85,55 +85,60 @@
     Io(#[from] io::Error),
 }
 
-/// Connections from before the day while they are opened.
+/// Connections from before the day, while they are being restored.
 #[derive(Default)]
 struct Prelude {
     to_open: VecDeque<(BalancerId, RequestLine)>,
-    out: BTreeSet<ConnId>,
+    opening: BTreeSet<ConnId>,
     homes: BTreeMap<ConnId, NodeId>,
-    up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>,
+    established: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>,
     missed: usize,
 }
 
 struct Driver<'a, S: Harness> {
-    stage: &'a mut S,
+    harness: &'a mut S,
     day: &'a Day,
     options: &'a Options,
     clock: Clock,
     /// When the day began on the driver's clock; none before.
-    start: Option<Micros>,
+    started_at: Option<Micros>,
     net: Net,
-    dir: Directory,
-    book: ConnectionLog,
+    directory: Directory,
+    connection_log: ConnectionLog,
     fleet: Fleet,
     nodes: Nodes,
     clients: Clients,
     discovery: Discovery,
-    bads: MisbehavingClients,
-    between: NetworkFaults,
-    notes: Option<DatagramProxy>,
-    /// What discovery has said to those who don't hear it.
-    unheard: Vec<(BalancerId, ToBalancer)>,
-    /// What discovery knows of for a balancer that had no call to be answered then.
-    untold: Vec<(BalancerId, ToBalancer)>,
-    late: Distribution,
-    handled: Distribution,
-    /// What balancers have done and nobody has been told.
-    did: Observations,
-    said: Commands,
+    misbehaving_clients: MisbehavingClients,
+    network_faults: NetworkFaults,
+    datagram_proxy: Option<DatagramProxy>,
+    /// List events for balancers whose path from discovery is blocked.
+    lost_list_events: Vec<(BalancerId, ToBalancer)>,
+    /// List events for balancers that had no open call when the event was due.
+    pending_list_events: Vec<(BalancerId, ToBalancer)>,
+    lateness: Distribution,
+    handling_time: Distribution,
+    /// Observations that have not been reported to the harness.
+    observations: Observations,
+    commands: Commands,
     ready: Vec<Ready>,
-    /// The day's clock as the stage was told it last.
-    told: Micros,
-    /// The next full second of the day.
-    second: Micros,
+    /// The day's time at which the harness was last advanced.
+    harness_time: Micros,
+    /// When the next status sample is due, on the day's clock.
+    next_status_sample: Micros,
     /// When the last wait returned.
-    woke: Micros,
+    woke_at: Micros,
     prelude: Prelude,
-    syntax: u64,
+    malformed_first_lines: u64,
 }
 
-/// Plays a day's stage in real time against the program.
-pub fn play<S: Harness>(stage: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
+/// Runs a day in real time against the program.
+///
+/// # Errors
+///
+/// Fails if the day has more parties than there are addresses, a process cannot be started or configured, a balancer
+/// does not become ready in time, or the driver's own sockets fail.
+pub fn play<S: Harness>(harness: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
     let folder = match &options.folder {
         Some(folder) => (folder.clone(), None),
         None => {
@@ -147,8 +152,8 @@
     }
     let mut net = Net::new()?;
     let addresses = Addresses::of_next_run();
-    let seats = Nodes::new(&mut net, addresses, balancers, nodes)?;
-    let dir = Directory::new(day, seats.addresses(balancers));
+    let nodes = Nodes::new(&mut net, addresses, balancers, nodes)?;
+    let directory = Directory::new(day, nodes.addresses(balancers));
     let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, balancers, &folder.0)?;
     let mut notes = None;
     if let Some(operator) = &options.together {
@@ -159,114 +164,114 @@
     }
     fleet.start_each_with(&options.own_args);
     let mut driver = Driver {
-        stage,
+        harness,
         day,
         options,
         clock: Clock::start(),
-        start: None,
-        book: ConnectionLog::new(day, &dir),
-        dir,
+        started_at: None,
+        connection_log: ConnectionLog::new(day, &directory),
+        directory,
         fleet,
-        nodes: seats,
+        nodes,
         clients: Clients::new(day.clients.line_every),
         discovery: Discovery::new(&mut net, addresses, balancers)?,
-        bads: MisbehavingClients::new(day)?,
-        between: NetworkFaults::new(&options.between),
-        notes,
-        unheard: Vec::new(),
-        untold: Vec::new(),
+        misbehaving_clients: MisbehavingClients::new(day)?,
+        network_faults: NetworkFaults::new(&options.between),
+        datagram_proxy: notes,
+        lost_list_events: Vec::new(),
+        pending_list_events: Vec::new(),
         net,
-        late: Distribution::default(),
-        handled: Distribution::default(),
-        did: Vec::new(),
-        said: Vec::new(),
+        lateness: Distribution::default(),
+        handling_time: Distribution::default(),
+        observations: Vec::new(),
+        commands: Vec::new(),
         ready: Vec::new(),
-        told: 0,
-        second: 0,
-        woke: 0,
+        harness_time: 0,
+        next_status_sample: 0,
+        woke_at: 0,
         prelude: Prelude::default(),
-        syntax: 0,
+        malformed_first_lines: 0,
     };
-    driver.begin()?;
-    driver.day()?;
-    Ok(driver.end())
+    driver.start_balancers()?;
+    driver.run_day()?;
+    Ok(driver.into_report())
 }
 
 impl<S: Harness> Driver<'_, S> {
-    /// Starts the balancers that begin with the day, and opens what stands.
-    fn begin(&mut self) -> Result<(), RunError> {
-        self.stage.advance(0, &mut self.said);
-        self.deliver()?;
+    /// Starts the balancers that begin with the day, and restores the connections from before it.
+    fn start_balancers(&mut self) -> Result<(), RunError> {
+        self.harness.advance(0, &mut self.commands);
+        self.execute_commands()?;
         let first: Vec<BalancerId> = (0..self.day.balancers.len() as u32)
             .map(BalancerId)
             .filter(|w| self.fleet.pid(*w).is_some())
             .collect();
-        let limit = self.clock.now() + READY;
+        let limit = self.clock.now() + READY_TIMEOUT;
         while let Some(who) = first.iter().find(|w| !self.fleet.is_ready(**w)) {
             if self.clock.now() > limit || self.fleet.pid(*who).is_none() {
-                let desk = self.fleet.desk(*who);
+                let desk = self.fleet.files(*who);
                 return Err(RunError::NotReady(desk.name().to_owned(), desk.log_tail(5)));
             }
-            self.turn()?;
+            self.run_iteration()?;
         }
-        self.prelude.to_open = self.stage.standing().into();
+        self.prelude.to_open = self.harness.connections_at_start().into();
         let homes = self.prelude.to_open.iter().filter_map(|(_, ask)| Some((ask.conn, ask.home?)));
         self.prelude.homes = homes.collect();
-        let limit = self.clock.now() + STANDING;
-        while !self.prelude.out.is_empty() || !self.prelude.to_open.is_empty() {
+        let limit = self.clock.now() + RESTORE_TIMEOUT;
+        while !self.prelude.opening.is_empty() || !self.prelude.to_open.is_empty() {
             if self.clock.now() > limit {
                 break;
             }
-            while self.prelude.out.len() < AT_ONCE {
+            while self.prelude.opening.len() < MAX_CONCURRENT_OPENS {
                 let Some((who, ask)) = self.prelude.to_open.pop_front() else { break };
-                self.prelude.out.insert(ask.conn);
-                self.asks(who, &ask, ask.patience);
+                self.prelude.opening.insert(ask.conn);
+                self.open_client(who, &ask, ask.patience);
             }
-            self.turn()?;
+            self.run_iteration()?;
         }
-        let up = std::mem::take(&mut self.prelude.up);
+        let up = std::mem::take(&mut self.prelude.established);
         let now = self.clock.now();
         for conn in self.prelude.homes.keys().filter(|conn| !up.contains_key(conn)) {
             self.prelude.missed += 1;
-            self.clients.leaves(&mut self.net, now, *conn, End::Reset);
+            self.clients.close(&mut self.net, now, *conn, End::Reset);
         }
-        self.stage.carried(up);
+        self.harness.on_connections_restored(up);
         Ok(())
     }
 
-    /// Plays the day.
-    fn day(&mut self) -> Result<(), RunError> {
+    /// Runs the day to its end.
+    fn run_day(&mut self) -> Result<(), RunError> {
         let now = self.clock.now();
-        self.start = Some(now);
-        self.woke = now;
+        self.started_at = Some(now);
+        self.woke_at = now;
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.dir.begins(epoch.as_secs_f64() * 1e3);
-        self.nodes.day_begins();
-        self.discovery.day_begins();
+        self.directory.begins(epoch.as_secs_f64() * 1e3);
+        self.nodes.begin_day();
+        self.discovery.begin_day();
         // What was late before counts for nothing.
-        (self.late, self.handled) = (Distribution::default(), Distribution::default());
-        while !self.stage.is_over(self.time(self.clock.now())) {
-            self.turn()?;
+        (self.lateness, self.handling_time) = (Distribution::default(), Distribution::default());
+        while !self.harness.is_over(self.day_time(self.clock.now())) {
+            self.run_iteration()?;
         }
         Ok(())
     }
 
-    fn end(mut self) -> Report {
+    fn into_report(mut self) -> Report {
         let now = self.clock.now();
-        let ended = self.time(now);
-        self.bads.stop(&mut self.net);
+        let ended = self.day_time(now);
+        self.misbehaving_clients.stop(&mut self.net);
         self.fleet.stop(&mut self.net, now);
-        let worst = self.late.at(0.99).max(self.handled.at(0.99));
+        let worst = self.lateness.at(0.99).max(self.handling_time.at(0.99));
         let void = if worst > LATE {
             Some(format!(
                 "the driver was late: p99 {:.1} ms, at most {:.0}",
                 worst as f64 / 1e3,
                 LATE as f64 / 1e3
             ))
-        } else if self.net.was_short() {
+        } else if self.net.ran_out_of_descriptors() {
             Some("the driver's descriptors ran out: a day holds two for each connection".to_owned())
-        } else if self.syntax > 0 {
-            Some(format!("{} first lines in a form no client sent", self.syntax))
+        } else if self.malformed_first_lines > 0 {
+            Some(format!("{} first lines in a form no client sent", self.malformed_first_lines))
         } else {
             None
         };
@@ -274,62 +279,67 @@
         strange.append(&mut self.fleet.faults);
         Report {
             void,
-            late: self.late,
-            handled: self.handled,
+            late: self.lateness,
+            handled: self.handling_time,
             clients: self.clients.facts,
-            bad: self.bads.report(),
+            bad: self.misbehaving_clients.report(),
             lives: self.fleet.lives,
-            syntax: self.syntax,
+            syntax: self.malformed_first_lines,
             early: self.nodes.early,
             strange,
             missed: self.prelude.missed,
-            notes: self.notes.map(|n| n.passed).unwrap_or_default(),
+            notes: self.datagram_proxy.map(|n| n.statistics).unwrap_or_default(),
             ended,
         }
     }
 
     /// The day's clock; zero before it begins.
-    fn time(&self, now: Micros) -> Micros {
-        self.start.map_or(0, |start| now - start)
+    fn day_time(&self, now: Micros) -> Micros {
+        self.started_at.map_or(0, |start| now - start)
     }
 
-    /// Does what is due, waits for what is next, and handles it.
-    fn turn(&mut self) -> Result<(), RunError> {
+    /// Runs one iteration of the event loop: due work, one wait, and the events that it returned.
+    fn run_iteration(&mut self) -> Result<(), RunError> {
         let now = self.clock.now();
-        if self.start.is_some() {
-            let time = self.time(now);
-            if let Some(due) = self.stage.next_due().filter(|due| *due <= time) {
-                self.late.record(time - due);
+        if self.started_at.is_some() {
+            let time = self.day_time(now);
+            if let Some(due) = self.harness.next_due().filter(|due| *due <= time) {
+                self.lateness.record(time - due);
             }
             self.advance(now)?;
-            if time >= self.second {
-                self.glance(time);
+            if time >= self.next_status_sample {
+                self.sample_status(time);
             }
         }
-        self.fleet.due(&mut self.net, now, &mut self.late);
-        let (between, time) = (&self.between, self.time(now));
-        self.discovery.due(&mut self.net, now, |who| between.is_deaf(time, who), &mut self.did);
-        self.clients.due(&mut self.net, now, &mut self.late, &mut self.did);
-        self.bad_due(now);
-        self.tell()?;
+        self.fleet.run_due(&mut self.net, now, &mut self.lateness);
+        let (between, time) = (&self.network_faults, self.day_time(now));
+        self.discovery.run_due(
+            &mut self.net,
+            now,
+            |who| between.is_list_blocked(time, who),
+            &mut self.observations,
+        );
+        self.clients.run_due(&mut self.net, now, &mut self.lateness, &mut self.observations);
+        self.run_misbehaving_clients(now);
+        self.report_observations()?;
 
         let now = self.clock.now();
-        let next = self.next_due().min(now + BEAT);
+        let next = self.next_due().min(now + MAX_WAIT);
         let mut ready = std::mem::take(&mut self.ready);
         self.net.wait(until(now, next), &mut ready)?;
         let woke = self.clock.now();
-        let before = std::mem::replace(&mut self.woke, woke);
+        let before = std::mem::replace(&mut self.woke_at, woke);
         if ready.is_empty() {
-            self.late.record(woke.saturating_sub(next));
+            self.lateness.record(woke.saturating_sub(next));
         } else {
-            if self.start.is_some() {
+            if self.started_at.is_some() {
                 self.advance(woke)?;
             }
             ready.iter().for_each(|one| self.handle(*one));
-            self.tell()?;
+            self.report_observations()?;
             // If the wait was none, what came may have come at any time since the last one.
             let since = if woke > now + 50 { woke } else { before };
-            self.handled.record(self.clock.now() - since);
+            self.handling_time.record(self.clock.now() - since);
         }
         self.ready = ready;
         Ok(())
@@ -337,186 +347,218 @@
 
     fn next_due(&self) -> Micros {
         let mut next = self.fleet.next_due().min(self.discovery.next_due()).min(self.clients.next_due());
-        if let Some(start) = self.start {
-            next = next.min(self.bads.next_due(start));
-            next = next.min(self.stage.next_due().map_or(Micros::MAX, |due| start + due));
-            let notes = self.notes.as_ref().and_then(DatagramProxy::next_due);
-            let between = self.between.next_due().into_iter().chain(notes).min();
+        if let Some(start) = self.started_at {
+            next = next.min(self.misbehaving_clients.next_due(start));
+            next = next.min(self.harness.next_due().map_or(Micros::MAX, |due| start + due));
+            let notes = self.datagram_proxy.as_ref().and_then(DatagramProxy::next_due);
+            let between = self.network_faults.next_due().into_iter().chain(notes).min();
             next = next.min(between.map_or(Micros::MAX, |due| start + due));
         }
         next
     }
 
-    fn bad_due(&mut self, now: Micros) {
-        let Some(start) = self.start else { return };
+    fn run_misbehaving_clients(&mut self, now: Micros) {
+        let Some(start) = self.started_at else { return };
         let (fleet, clients, count) = (&self.fleet, &self.clients, self.day.balancers.len() as u64);
         let lasts = now < start + self.day.length;
-        self.bads.due(&mut self.net, now, start, lasts, &mut self.book, |number| {
-            let who = BalancerId((number % count.max(1)) as u32);
-            fleet.is_ready(who).then(|| (who, fleet.address(who), clients.any_of(who)))
-        });
+        self.misbehaving_clients.run_due(
+            &mut self.net,
+            now,
+            start,
+            lasts,
+            &mut self.connection_log,
+            |number| {
+                let who = BalancerId((number % count.max(1)) as u32);
+                fleet.is_ready(who).then(|| (who, fleet.address(who), clients.any_active(who)))
+            },
+        );
     }
 
     fn handle(&mut self, one: Ready) {
         let now = self.clock.now();
-        let (net, did) = (&mut self.net, &mut self.did);
+        let (net, observations) = (&mut self.net, &mut self.observations);
         match one.role {
             Role::Client(conn) => {
-                self.clients.ready(net, now, conn, one, &self.book, did);
+                self.clients.on_ready(net, now, conn, one, &self.connection_log, observations);
             }
-            Role::Bad(id) => self.bads.ready(net, now, id, one, &mut self.book, did),
-            Role::Link(link) => self.nodes.ready(net, link, one, &mut self.book, did),
-            Role::Call(id) => self.discovery.ready(net, now, id, one, &self.dir, did),
-            Role::Ping(who) => self.fleet.pinged(net, now, who, one, did),
-            Role::NodeEar(who, node) => self.nodes.called(net, who, node, &mut self.book, did),
-            Role::DirectorEar(who, moves) => self.discovery.called(net, now, (who, moves), &self.dir, did),
-            Role::Exit(who, life) => self.fleet.exited(net, now, who, life, did),
+            Role::MisbehavingClient(id) => {
+                self.misbehaving_clients.on_ready(net, now, id, one, &mut self.connection_log, observations)
+            }
+            Role::Link(link) => self.nodes.on_ready(net, link, one, &mut self.connection_log, observations),
+            Role::Call(id) => self.discovery.on_ready(net, now, id, one, &self.directory, observations),
+            Role::Ping(who) => self.fleet.on_ping_ready(net, now, who, one, observations),
+            Role::NodeListener(who, node) => {
+                self.nodes.on_listener_ready(net, who, node, &mut self.connection_log, observations)
+            }
+            Role::DiscoveryListener(who, moves) => {
+                self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations)
+            }
+            Role::Exit(who, life) => self.fleet.on_process_exited(net, now, who, life, observations),
             Role::DatagramProxy(to) => {
-                let (time, between) = (self.start.map_or(0, |start| now - start), &self.between);
-                self.notes.iter_mut().for_each(|n| n.ready(time, to, between));
+                let (time, between) = (self.started_at.map_or(0, |start| now - start), &self.network_faults);
+                self.datagram_proxy.iter_mut().for_each(|n| n.ready(time, to, between));
             }
             Role::Load(_) | Role::Timer => {}
         }
     }
 
-    /// Moves the stage on to now, and the sockets to where it is then: what is heard on them next is heard of a
-    /// platform that both agree on, and told as of now, so that nothing is told before what was due earlier.
+    /// Advances the harness to `now` and brings the sockets to the harness's state, so that later observations refer to
+    /// a platform that both agree on and are reported in order of time.
     fn advance(&mut self, now: Micros) -> Result<(), RunError> {
-        self.told = self.time(now);
-        self.stage.advance(self.told, &mut self.said);
+        self.harness_time = self.day_time(now);
+        self.harness.advance(self.harness_time, &mut self.commands);
         for node in (0..self.day.nodes.len() as u32).map(NodeId) {
-            self.nodes.reach(&mut self.net, node, self.stage.reach(node), &mut self.did)?;
+            self.nodes.set_node_reachability(
+                &mut self.net,
+                node,
+                self.harness.reachability(node),
+                &mut self.observations,
+            )?;
         }
-        self.deliver()?;
-        self.breaks()
+        self.execute_commands()?;
+        self.apply_network_faults()
     }
 
-    /// Breaks and mends what lies between the processes, and lets arrive what has waited there.
-    fn breaks(&mut self) -> Result<(), RunError> {
-        let now = self.told;
+    /// Begins and ends network faults that are due, and delivers messages that were delayed by them.
+    fn apply_network_faults(&mut self) -> Result<(), RunError> {
+        let now = self.harness_time;
         let mut arrives = Vec::new();
-        while let Some(edge) = self.between.edge(now) {
-            let b = self.between.get(edge.place).clone();
+        while let Some(edge) = self.network_faults.next_transition(now) {
+            let b = self.network_faults.get(edge.index).clone();
             match b.what {
-                NetworkFaultKind::Stall => b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.on)),
-                NetworkFaultKind::NewsLost if !edge.on => {
-                    let is_deaf = |who| self.between.is_deaf(now, who);
-                    let (still, heard) = self.unheard.drain(..).partition(|(who, _)| is_deaf(*who));
-                    self.unheard = still;
+                NetworkFaultKind::Stall => {
+                    b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.begins))
+                }
+                NetworkFaultKind::NewsLost if !edge.begins => {
+                    let is_deaf = |who| self.network_faults.is_list_blocked(now, who);
+                    let (still, heard) = self.lost_list_events.drain(..).partition(|(who, _)| is_deaf(*who));
+                    self.lost_list_events = still;
                     arrives.extend::<Vec<_>>(heard);
                 }
                 NetworkFaultKind::NewsLost | NetworkFaultKind::Slow(_) => {}
                 NetworkFaultKind::NotesLost
                 | NetworkFaultKind::NotesDoubled
                 | NetworkFaultKind::NotesLate(_) => {}
-                NetworkFaultKind::Reset if edge.on => {
+                NetworkFaultKind::Reset if edge.begins => {
                     for (who, node) in pairs(&b) {
                         for link in self.nodes.reset(&mut self.net, node, who) {
-                            self.stage.broke(now, who, link, &mut self.said);
+                            self.harness.on_link_reset(now, who, link, &mut self.commands);
                         }
                     }
                 }
                 NetworkFaultKind::Reset => {}
                 NetworkFaultKind::Refused | NetworkFaultKind::Silent | NetworkFaultKind::AnswersLost => {
                     for (who, node) in pairs(&b) {
-                        let reach = self.between.reach(now, who, node);
-                        self.nodes.link(&mut self.net, (node, who), reach, &mut self.did, &mut arrives)?;
+                        let reach = self.network_faults.reachability(now, who, node);
+                        self.nodes.set_link_reachability(
+                            &mut self.net,
+                            (node, who),
+                            reach,
+                            &mut self.observations,
+                            &mut arrives,
+                        )?;
                     }
                 }
             }
         }
-        self.notes.iter_mut().for_each(|n| n.due(now));
-        while let Some(arrived) = self.between.arrives(now) {
+        self.datagram_proxy.iter_mut().for_each(|n| n.run_due(now));
+        while let Some(arrived) = self.network_faults.pop_arrived(now) {
             arrives.push(arrived);
         }
         for (who, what) in arrives {
-            // Who has given up its watch meanwhile is told nothing: the answer to its next call tells it.
+            // A balancer that has closed its watch meanwhile gets the change with the answer to its next call.
             if matches!(what, ToBalancer::List { .. }) && !self.discovery.is_watched(who) {
-                self.say(who, &what)?;
-                self.untold.push((who, what));
+                self.apply_command(who, &what)?;
+                self.pending_list_events.push((who, what));
             } else {
-                self.carry(who, &what)?;
+                self.execute(who, &what)?;
             }
         }
-        self.deliver()
+        self.execute_commands()
     }
 
-    /// Whether what is said to a balancer is kept back by what is broken on its way.
-    fn keeps_back(&mut self, who: BalancerId, what: &ToBalancer) -> bool {
-        if self.start.is_none() {
+    /// Withholds a command if a network fault blocks or delays it; returns whether it did.
+    fn withhold(&mut self, who: BalancerId, what: &ToBalancer) -> bool {
+        if self.started_at.is_none() {
             return false;
         }
         match what {
             ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _) => {
-                let node = self.nodes.of(*link).map(|(node, _)| node);
-                self.nodes.withholds(*link, what)
-                    || node.is_some_and(|node| self.between.delays(self.told, node, *link, who, what))
+                let node = self.nodes.node_and_conn(*link).map(|(node, _)| node);
+                self.nodes.withhold(*link, what)
+                    || node.is_some_and(|node| {
+                        self.network_faults.delay(self.harness_time, node, *link, who, what)
+                    })
             }
-            ToBalancer::List { .. } | ToBalancer::ListFailed if self.between.is_deaf(self.told, who) => {
-                self.unheard.push((who, what.clone()));
+            ToBalancer::List { .. } | ToBalancer::ListFailed
+                if self.network_faults.is_list_blocked(self.harness_time, who) =>
+            {
+                self.lost_list_events.push((who, what.clone()));
                 true
             }
             ToBalancer::Kill => {
-                // What is on its way to a process that is no more comes to nobody.
-                self.unheard.retain(|(to, _)| *to != who);
-                self.untold.retain(|(to, _)| *to != who);
+                // Nobody is left to receive it.
+                self.lost_list_events.retain(|(to, _)| *to != who);
+                self.pending_list_events.retain(|(to, _)| *to != who);
                 false
             }
             _ => false,
         }
     }
 
-    fn glance(&mut self, time: Micros) {
-        self.second = (time / 1_000_000 + 1) * 1_000_000;
+    fn sample_status(&mut self, time: Micros) {
+        self.next_status_sample = (time / 1_000_000 + 1) * 1_000_000;
         let count = self.day.balancers.len();
-        let clients = self.clients.standing(count).into_iter().enumerate();
-        let post = |(who, clients)| {
+        let clients = self.clients.established_per_balancer(count).into_iter().enumerate();
+        let status = |(who, clients)| {
             let who = BalancerId(who as u32);
             BalancerStatus { runs: self.fleet.pid(who).is_some(), ready: self.fleet.is_ready(who), clients }
         };
-        let posts: Vec<BalancerStatus> = clients.map(post).collect();
-        self.stage.second(time, &posts);
+        let statuses: Vec<BalancerStatus> = clients.map(status).collect();
+        self.harness.on_status_sample(time, &statuses);
     }
 
-    /// Tells the stage what balancers have done.
-    fn tell(&mut self) -> Result<(), RunError> {
-        let did = std::mem::take(&mut self.did);
-        let time = self.told;
-        for (who, heard) in &did {
+    /// Reports the observations to the harness.
+    fn report_observations(&mut self) -> Result<(), RunError> {
+        let observations = std::mem::take(&mut self.observations);
+        let time = self.harness_time;
+        for (who, heard) in &observations {
             match *heard {
-                BalancerObservation::Observations(what) => {
-                    self.syntax += u64::from(matches!(what, FromBalancer::Syntax(_)));
-                    if self.start.is_some() || !self.before_the_day(*who, what) {
-                        self.stage.did(time, *who, what, &mut self.said);
+                BalancerObservation::Action(what) => {
+                    self.malformed_first_lines += u64::from(matches!(what, FromBalancer::Syntax(_)));
+                    if self.started_at.is_some() || !self.observe_prelude(*who, what) {
+                        self.harness.on_balancer_action(time, *who, what, &mut self.commands);
                     }
                 }
-                BalancerObservation::Saw(sight) if self.start.is_some() => self.stage.saw(time, *who, sight),
-                BalancerObservation::Saw(_) => {}
+                BalancerObservation::Connection(observation) if self.started_at.is_some() => {
+                    self.harness.on_observation(time, *who, observation)
+                }
+                BalancerObservation::Connection(_) => {}
             }
         }
-        self.did = did;
-        self.did.clear();
-        self.deliver()
+        self.observations = observations;
+        self.observations.clear();
+        self.execute_commands()
     }
 
-    /// What concerns connections from before the day; true if it does.
-    fn before_the_day(&mut self, who: BalancerId, what: FromBalancer) -> bool {
+    /// Handles an observation made before the day; returns false if the harness has to handle it.
+    fn observe_prelude(&mut self, who: BalancerId, what: FromBalancer) -> bool {
         match what {
             FromBalancer::Answer(conn, answer) => {
-                self.prelude.out.remove(&conn);
+                self.prelude.opening.remove(&conn);
                 let link = if let Answer::Up(link) = answer { Some(link) } else { None };
-                let node = link.and_then(|link| Some((link, self.nodes.of(link)?.0)));
-                // Only its home knows it without a set-up.
+                let node = link.and_then(|link| Some((link, self.nodes.node_and_conn(link)?.0)));
+                // Only its previous server accepts it without a set-up.
                 if let Some((link, node)) = node.filter(|n| self.prelude.homes.get(&conn) == Some(&n.1)) {
-                    self.prelude.up.insert(conn, (who, link, node));
+                    self.prelude.established.insert(conn, (who, link, node));
                 }
             }
             FromBalancer::EndClient(conn, _) | FromBalancer::Refused(conn) => {
-                self.prelude.out.remove(&conn);
-                self.prelude.up.remove(&conn);
+                self.prelude.opening.remove(&conn);
+                self.prelude.established.remove(&conn);
             }
             FromBalancer::Probe(link) => {
-                self.nodes.says(&mut self.net, link, NodeMessage::Pong, &mut self.book);
+                self.nodes.send(&mut self.net, link, NodeMessage::Pong, &mut self.connection_log);
             }
             FromBalancer::Link { .. }
             | FromBalancer::Forward { .. }
@@ -527,48 +569,48 @@
         true
     }
 
-    /// Carries what the stage says to the sockets.
-    fn deliver(&mut self) -> Result<(), RunError> {
-        let mut said = std::mem::take(&mut self.said);
-        for (who, what) in said.drain(..) {
-            if self.keeps_back(who, &what) {
+    /// Executes the harness's commands on the sockets.
+    fn execute_commands(&mut self) -> Result<(), RunError> {
+        let mut commands = std::mem::take(&mut self.commands);
+        for (who, what) in commands.drain(..) {
+            if self.withhold(who, &what) {
                 continue;
             }
-            self.carry(who, &what)?;
+            self.execute(who, &what)?;
         }
-        // Nothing that is carried makes the stage speak before it is told.
-        self.said = said;
+        // Executing a command issues no further commands before the next report.
+        self.commands = commands;
         Ok(())
     }
 
-    /// Says something to a balancer, and tells the stage: of a list, with all that came before and had nobody to hear it.
-    fn carry(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
-        self.say(who, what)?;
+    /// Executes a command and notifies the harness. With a list event go the pending list events of the same balancer.
+    fn execute(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
+        self.apply_command(who, what)?;
         if matches!(what, ToBalancer::List { .. }) {
-            for (_, before) in self.untold.extract_if(.., |(to, _)| *to == who) {
-                self.stage.carried_out(self.told, who, &before);
+            for (_, before) in self.pending_list_events.extract_if(.., |(to, _)| *to == who) {
+                self.harness.on_command_executed(self.harness_time, who, &before);
             }
         }
-        self.stage.carried_out(self.told, who, what);
+        self.harness.on_command_executed(self.harness_time, who, what);
         Ok(())
     }
 
-    fn asks(&mut self, who: BalancerId, ask: &RequestLine, left: Micros) {
-        let line = self.book.open(who, ask, left, &self.dir);
+    fn open_client(&mut self, who: BalancerId, ask: &RequestLine, left: Micros) {
+        let line = self.connection_log.record_request(who, ask, left, &self.directory);
         let to = (who, self.fleet.address(who));
-        self.clients.comes(&mut self.net, to, (*ask, left), &line, &mut self.did);
+        self.clients.connect(&mut self.net, to, (*ask, left), &line, &mut self.observations);
     }
 
-    fn say(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
+    fn apply_command(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
         let now = self.clock.now();
         let net = &mut self.net;
         match *what {
             ToBalancer::Start { seed, ref known } => {
-                let index = self.discovery.starts(who, known);
+                let index = self.discovery.on_balancer_start(who, known);
                 let text = (self.options.settings)(self.day, who);
                 let settings: Value = serde_json::from_str(&text)
                     .map_err(|e| RunError::Settings(Directory::balancer(who), e))?;
-                let known = self.dir.listing(who, index, true, known);
+                let known = self.directory.listing(who, index, true, known);
                 let discovery = self.discovery.address(who);
                 self.fleet.start(net, now, who, &Start { seed, known, settings, discovery })?;
             }
@@ -576,29 +618,29 @@
             ToBalancer::Terminate => self.fleet.terminate(who),
             ToBalancer::Reload { moved } => {
                 if moved {
-                    self.discovery.moves(net, now, who)?;
+                    self.discovery.move_address(net, now, who)?;
                 }
                 self.fleet.reload(now, who, self.discovery.address(who))?;
             }
-            ToBalancer::Asked { ask, left } => self.asks(who, &ask, left),
-            ToBalancer::ClientEnded(conn, how) => self.clients.leaves(net, now, conn, how),
-            ToBalancer::LinkFailed(link) => self.nodes.ends(net, link, End::Reset),
-            ToBalancer::NodeSays(link, word) => self.nodes.says(net, link, word, &mut self.book),
+            ToBalancer::Asked { ask, left } => self.open_client(who, &ask, left),
+            ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
+            ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
+            ToBalancer::NodeSays(link, word) => self.nodes.send(net, link, word, &mut self.connection_log),
             ToBalancer::NodeEnded(link, how) => {
-                self.nodes.ends(net, link, how);
+                self.nodes.close(net, link, how);
             }
             ToBalancer::List { full, ref entries } => {
-                self.discovery.lists(net, now, who, full, entries, &self.dir);
+                self.discovery.publish(net, now, who, full, entries, &self.directory);
             }
-            ToBalancer::ListFailed => self.discovery.fails(net, who),
-            // Clients send their lines by themselves, and links come up by the system's doing.
+            ToBalancer::ListFailed => self.discovery.fail_calls(net, who),
+            // Clients send lines on their own schedule, and the operating system establishes links.
             ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
         }
         Ok(())
     }
 }
 
-/// All pairs that a break lies between.
+/// All balancer and node pairs that a fault concerns.
 fn pairs(b: &NetworkFault) -> impl Iterator<Item = (BalancerId, NodeId)> {
     b.balancers.iter().flat_map(|who| b.nodes.iter().map(|node| (*who, *node)))
 }
