--- a/crates/balancer/src/event_loop/accept.rs
+++ b/crates/balancer/src/event_loop/accept.rs
@@ -23,7 +23,7 @@
             // The successor has the same listener: the waiting clients are its own.
             return;
         }
-        for _ in 0..self.context.overload.accepts() {
+        for _ in 0..self.context.overload.max_accepts() {
             if !self.acceptor.has_waiting_clients() {
                 break;
             }
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -101,7 +101,10 @@
             shutdown_started_at: None,
             clients_at_end: None,
         };
-        event_loop.context.overload.set_aim(event_loop.proxy.settings.message_latency_objective);
+        event_loop
+            .context
+            .overload
+            .set_latency_objective(event_loop.proxy.settings.message_latency_objective);
         event_loop.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
         for (server, disabled) in worker.disabled_servers {
             // Before the first endpoint list: that one is reported with these servers draining.
@@ -129,7 +132,7 @@
 
     /// Puts other settings in force; connections and the endpoint list stay.
     pub fn update_settings(&mut self, settings: ProxySettings, discovery: SocketAddr) {
-        self.context.overload.set_aim(settings.message_latency_objective);
+        self.context.overload.set_latency_objective(settings.message_latency_objective);
         self.proxy.update_settings(settings);
         let events = self.discovery.set_address(&mut self.context, discovery);
         self.on_discovery_events(events);
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -12,7 +12,7 @@
 use crate::event_loop::poll::EventSource;
 use crate::handover::messages::{HandoverState, PredecessorMessage, TransferredConnection, VERSION};
 use crate::handover::successors::Successors;
-use crate::overload::descriptor_budget::OWN_DESCRIPTORS;
+use crate::overload::descriptor_budget::RESERVED_FOR_PROCESS;
 use crate::workers::pool::{WorkerMessage, WorkerPool};
 
 /// How often a successor is told how many descriptors this process holds: as clients leave, it may take more.
@@ -261,8 +261,9 @@
         self.proxy.publish_gauges();
         let sums = self.admin.as_ref().map(|admin| WorkerCounters::sum(&admin.counters)).unwrap_or_default();
         let limit = self.proxy.settings.max_descriptors * self.worker_count();
-        let in_use =
-            OWN_DESCRIPTORS * self.worker_count() + sums.descriptors + 2 * self.connections_in_transfer();
+        let in_use = RESERVED_FOR_PROCESS * self.worker_count()
+            + sums.descriptors
+            + 2 * self.connections_in_transfer();
         let half = if self.shutdown_started_at.is_some() { 0 } else { limit / 2 };
         in_use.max(half).min(limit)
     }
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 use crate::proxy::SessionCounts;
-use crate::shutdown::{LEAVE_AFTER, ShutdownSchedule};
+use crate::shutdown::{MIN_DRAIN_TIME, ShutdownSchedule};
 use crate::workers::pool::WorkerPool;
 
 /// The time between two steps of a graceful shutdown.
@@ -33,11 +33,11 @@
     pub(super) fn on_shutdown_step(&mut self) {
         let Some(elapsed) = self.shutdown_started_at.map(|at| self.context.now - at) else { return };
         let schedule = self.shutdown_schedule();
-        if elapsed >= schedule.answers {
-            self.proxy.answer_waiting_clients(&mut self.context, elapsed >= schedule.last_call);
+        if elapsed >= schedule.answer_from {
+            self.proxy.answer_waiting_clients(&mut self.context, elapsed >= schedule.answer_all_from);
         }
-        if elapsed >= schedule.move_from {
-            let steps_left = schedule.move_until.saturating_sub(elapsed) / SHUTDOWN_STEP_INTERVAL;
+        if elapsed >= schedule.migrate_from {
+            let steps_left = schedule.migrate_until.saturating_sub(elapsed) / SHUTDOWN_STEP_INTERVAL;
             self.proxy.migrate_batch(&mut self.context, steps_left);
         }
         let has_successor = self.proxy.has_successor;
@@ -47,9 +47,9 @@
             self.on_message(message);
         }
         let clients = self.proxy.client_count() + usize::from(self.has_transfers_pending());
-        let is_empty = clients == 0 && (has_successor || elapsed >= LEAVE_AFTER + SHUTDOWN_STEP_INTERVAL);
+        let is_empty = clients == 0 && (has_successor || elapsed >= MIN_DRAIN_TIME + SHUTDOWN_STEP_INTERVAL);
         // A client that waits at the listener would be cut off with it.
-        if elapsed >= schedule.last || (is_empty && (has_successor || !self.accept_last_client())) {
+        if elapsed >= schedule.end || (is_empty && (has_successor || !self.accept_last_client())) {
             self.proxy.log_totals();
             self.clients_at_end = Some(clients);
         }
--- a/crates/balancer/src/overload/descriptor_budget.rs
+++ b/crates/balancer/src/overload/descriptor_budget.rs
@@ -1,77 +1,78 @@
-//! How many descriptors may be held at once, and for what.
+//! The descriptors that the process may hold, and what they are reserved for.
 
 use tracing::{info, warn};
 
-/// Descriptors that aren't connections: the loop's own, the listener, the log, and some to spare.
-pub const OWN_DESCRIPTORS: usize = 16;
-/// Descriptors kept for clients that are only told to come again, and for those whose first line is on its way.
-const SPARE: usize = 16;
-/// Connections that ask for nothing may hold this part of the descriptors: usual clients need two each, one to
-/// their server, and hold two thirds at most.
-const UNSERVED_PART: usize = 4;
+/// Descriptors that are not connections: the event loop's own, the listener, the log, and some to spare.
+pub const RESERVED_FOR_PROCESS: usize = 16;
+/// Descriptors reserved for idle clients, which are rejected or whose first line is still to come.
+const RESERVED_FOR_IDLE: usize = 16;
+/// Idle clients may hold at most one in so many descriptors. A served client needs two, one of them to its server.
+const IDLE_SHARE_DIVISOR: usize = 4;
 
-/// The connections that are held.
+/// Descriptors that connections hold.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
-    /// All of them: clients', attempts and probes.
-    pub all: usize,
-    /// Of these, those that ask for nothing.
-    pub unserved: usize,
+pub struct DescriptorsInUse {
+    /// Those of clients, attempts and probes.
+    pub total: usize,
+    /// Of these, those of idle clients, which have no open request.
+    pub idle: usize,
 }
 
-/// The descriptors that the process may hold.
+/// The limit on descriptors.
 #[derive(Debug)]
-pub struct Budget {
+pub struct DescriptorBudget {
     limit: usize,
-    short: bool,
+    has_shortage: bool,
 }
 
-impl Budget {
-    /// So many descriptors may be held.
+impl DescriptorBudget {
+    /// A budget of `limit` descriptors.
     pub fn new(limit: usize) -> Self {
-        Budget { limit, short: false }
+        DescriptorBudget { limit, has_shortage: false }
     }
 
-    /// Another limit is in force from now on.
+    /// Changes the limit.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Whether a connection to a server can be had and enough is left to answer clients. Those who ask for nothing
-    /// are in the part that is kept for them, as far as it goes.
-    pub fn has_room(&self, held: Held) -> bool {
-        OWN_DESCRIPTORS + (held.all - held.unserved) + held.unserved.max(SPARE) < self.limit
+    /// Whether a connection to a server may be opened, with enough descriptors left to reply to clients. Idle clients use the
+    /// descriptors that are reserved for them first.
+    pub fn can_connect(&self, in_use: DescriptorsInUse) -> bool {
+        let busy = in_use.total - in_use.idle;
+        RESERVED_FOR_PROCESS + busy + in_use.idle.max(RESERVED_FOR_IDLE) < self.limit
     }
 
-    /// Whether there would be more room if one went who asks for nothing.
-    pub fn can_make_room(&self, held: Held) -> bool {
-        held.unserved > SPARE
+    /// Whether evicting an idle client would let a connection to a server be opened.
+    pub fn can_evict(&self, in_use: DescriptorsInUse) -> bool {
+        in_use.idle > RESERVED_FOR_IDLE
     }
 
-    /// Whether one more client can be held, if only to be answered, where someone may have to go for it.
-    pub fn may_accept(&self, held: Held) -> bool {
-        OWN_DESCRIPTORS + held.all < self.limit || held.unserved > 0
+    /// Whether one more client can be accepted, if only to be replied to, and if necessary by evicting an idle one.
+    pub fn can_accept(&self, in_use: DescriptorsInUse) -> bool {
+        RESERVED_FOR_PROCESS + in_use.total < self.limit || in_use.idle > 0
     }
 
-    /// Whether one must go who asks for nothing. Guards usual clients against floods: those hold a part and no more.
-    pub fn is_over(&self, held: Held) -> bool {
-        held.unserved > self.limit / UNSERVED_PART || OWN_DESCRIPTORS + held.all > self.limit
+    /// Whether idle clients hold more than their share, which protects the others against a flood of idle connections.
+    pub fn must_evict(&self, in_use: DescriptorsInUse) -> bool {
+        in_use.idle > self.limit / IDLE_SHARE_DIVISOR || RESERVED_FOR_PROCESS + in_use.total > self.limit
     }
 
-    /// Whether descriptors have run out, by what was noted last.
-    pub fn is_short(&self) -> bool {
-        self.short
+    /// Whether descriptors have run out, as set last.
+    pub fn has_shortage(&self) -> bool {
+        self.has_shortage
     }
 
-    /// Says once that descriptors have run out, and once that there are some again.
-    pub fn note_short(&mut self, short: bool, held: Held) {
-        if std::mem::replace(&mut self.short, short) != short {
-            let (held, limit) = (OWN_DESCRIPTORS + held.all, self.limit);
-            if short {
-                warn!(event = "descriptors-short", held, limit);
-            } else {
-                info!(event = "descriptors-enough", held, limit);
-            }
+    /// Sets whether descriptors have run out; a change is logged.
+    pub fn set_shortage(&mut self, has_shortage: bool, in_use: DescriptorsInUse) {
+        if std::mem::replace(&mut self.has_shortage, has_shortage) == has_shortage {
+            return;
+        }
+        let (held, limit) = (RESERVED_FOR_PROCESS + in_use.total, self.limit);
+        if has_shortage {
+            warn!(event = "descriptors-short", held, limit);
+        } else {
+            info!(event = "descriptors-enough", held, limit);
         }
     }
 }
--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -1,46 +1,50 @@
-//! Log lines that clients cause by what they do wrong, bounded: a flood of bad clients must not fill the log or
-//! cost the time that usual clients need.
+//! Limits the log lines that clients cause by violating the protocol: a flood of them must neither fill the log nor take the
+//! time that other clients need.
 
-use shorewharf_units::Micros;
+use shorewharf_units::{MICROS_PER_SECOND, Micros};
 use tracing::warn;
 
 use crate::event_loop::context::{LoopContext, TimerEvent};
 
-/// Log lines a second that clients may cause.
-const MOST: u32 = 50;
-const SECOND: Micros = 1_000_000;
+/// Log lines that clients may cause per second.
+const MAX_LINES_PER_SECOND: u32 = 50;
 
-/// The lines of the second that began then, and how many were left out of it.
+/// Counts the lines of the current second.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
-    began: Micros,
+    /// When the second began.
+    started_at: Micros,
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl LogRateLimiter {
-    /// Whether what a client has done wrong may be logged now; else it is counted.
-    pub fn may(&mut self, context: &mut LoopContext) -> bool {
-        self.due(context.now);
-        let may = self.written < context.overload.log_lines(MOST);
-        if !may && self.left_out == 0 {
-            context.timers.schedule(self.began + SECOND, TimerEvent::LogRateLimiter);
+    /// Whether a line may be written now; one that may not is counted.
+    pub fn acquire(&mut self, context: &mut LoopContext) -> bool {
+        self.log_suppressed(context.now);
+        if self.written < context.overload.max_log_lines(MAX_LINES_PER_SECOND) {
+            self.written += 1;
+            return true;
         }
-        *if may { &mut self.written } else { &mut self.left_out } += 1;
-        may
+        if self.suppressed == 0 {
+            context.timers.schedule(self.started_at + MICROS_PER_SECOND, TimerEvent::LogRateLimiter);
+        }
+        self.suppressed += 1;
+        false
     }
 
-    /// Once a second, says how many lines were left out; tells how many that was.
-    pub fn due(&mut self, now: Micros) -> u32 {
-        if now < self.began + SECOND {
+    /// Logs at the end of the second how many lines were suppressed, and begins the next. Returns that number, or 0 before the
+    /// end.
+    pub fn log_suppressed(&mut self, now: Micros) -> u32 {
+        if now < self.started_at + MICROS_PER_SECOND {
             return 0;
         }
-        let left_out = self.left_out;
-        *self = LogRateLimiter { began: now, ..LogRateLimiter::default() };
-        if left_out > 0 {
-            warn!(event = "bad-clients", "left-out" = left_out);
+        let suppressed = self.suppressed;
+        *self = LogRateLimiter { started_at: now, ..LogRateLimiter::default() };
+        if suppressed > 0 {
+            warn!(event = "bad-clients", "left-out" = suppressed);
         }
-        left_out
+        suppressed
     }
 }
 
--- a/crates/balancer/src/overload/mod.rs
+++ b/crates/balancer/src/overload/mod.rs
@@ -1,4 +1,4 @@
-//! What the process can take on: descriptors, the load of the event loop, log lines that clients cause.
+//! What the process can take on: descriptors, the load of the event loop, and log lines that clients cause.
 
 pub mod descriptor_budget;
 pub mod log_rate_limiter;
--- a/crates/balancer/src/overload/monitor.rs
+++ b/crates/balancer/src/overload/monitor.rs
@@ -1,151 +1,174 @@
-//! How the loop keeps up with its own work, and how much it takes on: less as soon as it does not, before those who
-//! stand have to wait.
+//! Measures how the event loop keeps up with its work, and limits what it takes on before established connections have to
+//! wait.
 //!
-//! A loop that is busy all the time is no trouble as long as its turns are short and nobody waits to be accepted. Where
-//! turns stay long or the backlog stays filled, each new client costs those who are here. Then a part of the new ones
-//! is told at once to come back later, which costs a tenth of serving them, and the part grows until the loop keeps up.
+//! A loop that is busy all the time is not overloaded as long as its iterations are short and no client waits to be
+//! accepted. Where iterations stay long or the backlog stays filled, each new client costs the others. Then a share of the
+//! new ones is rejected, which costs a tenth of serving them, and the share grows until the loop keeps up.
 
-use shorewharf_units::Micros;
+use shorewharf_units::{MICROS_PER_MILLISECOND, Micros};
 use tracing::{info, warn};
 
-/// Clients accepted in one turn at most; connections that stand get theirs in between.
-const ACCEPTS: usize = 64;
-const ACCEPTS_LEAST: usize = 4;
-/// A turn over this part of the shortest message aim is long: a line waits for two of them at worst.
-const LONG_PART: u64 = 4;
-const LONG_LEAST: Micros = 5_000;
-const LONG_MOST: Micros = 25_000;
-/// What is judged at once, and how many of these in a row make it an overload, or its end. A stall of the machine, or a
-/// share of a core that is used up until the next tenth of a second, is neither.
+/// The most clients accepted in one iteration; established connections are served in between.
+const MAX_ACCEPTS: usize = 64;
+/// The number of accepts never falls below this.
+const MIN_ACCEPTS: usize = 4;
+/// An iteration longer than this fraction of the message latency objective is long: a message waits for two at worst.
+const LONG_ITERATION_DIVISOR: u64 = 4;
+/// The bounds of that time.
+const MIN_LONG_ITERATION: Micros = 5_000;
+const MAX_LONG_ITERATION: Micros = 25_000;
+/// The time over which lag is measured.
 const WINDOW: Micros = 500_000;
-const WINDOWS: u32 = 2;
-/// In an overload no more than this part of a window is spent waiting, and nearly all of it lags.
-const BUSY: f64 = 0.95;
-const LAGS: f64 = 0.9;
-/// The part of new clients that is taken: the least, what is left of it after a window that lags, and what one that
-/// does not gives back.
-const ADMIT_LEAST: f64 = 0.05;
-const ADMIT_LESS: f64 = 0.7;
-const ADMIT_MORE: f64 = 0.1;
+/// So many windows in a row begin or end an overload. A stall of the machine is shorter.
+const WINDOWS_TO_CHANGE: u32 = 2;
+/// A window lags if the loop is busy for at least this share of it ...
+const MIN_BUSY_RATIO: f64 = 0.95;
+/// ... and lags for at least this share.
+const MIN_LAG_RATIO: f64 = 0.9;
+/// The share of new clients that is admitted never falls below this.
+const MIN_ADMIT_RATIO: f64 = 0.05;
+/// A window that lags multiplies the admitted share by this.
+const ADMIT_DECREASE: f64 = 0.7;
+/// A window that does not lag adds this to it.
+const ADMIT_INCREASE: f64 = 0.1;
 
 /// Sums over one window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
-    began: Micros,
+    started_at: Micros,
     busy: Micros,
-    lags: Micros,
-    longest: Micros,
+    lagging: Micros,
+    longest_iteration: Micros,
 }
 
 /// An overload that lasts.
 #[derive(Clone, Copy, Debug)]
 struct Overload {
     since: Micros,
-    refused: u64,
+    rejected: u64,
 }
 
-/// What the loop can take on.
+/// Measures the load of one event loop.
 #[derive(Debug)]
 pub struct OverloadMonitor {
-    long: Micros,
-    accepts: usize,
-    /// The last turn's end.
-    ended: Micros,
+    /// An iteration longer than this is long.
+    long_iteration: Micros,
+    max_accepts: usize,
+    /// When the last iteration ended.
+    last_ended: Micros,
     window: Window,
-    /// Windows in a row that speak against the present state.
-    against: u32,
+    /// Windows in a row that contradict the present state.
+    contradicting_windows: u32,
     overload: Option<Overload>,
-    admit: f64,
-    credit: f64,
+    /// The share of new clients that is admitted.
+    admit_ratio: f64,
+    /// What has accumulated towards the next admission.
+    admit_credit: f64,
 }
 
 impl OverloadMonitor {
-    /// No overload yet.
+    /// A monitor without overload.
     pub fn new(now: Micros) -> Self {
-        let window = Window { began: now, ..Window::default() };
-        let (accepts, against, admit) = (ACCEPTS, 0, 1.0);
         OverloadMonitor {
-            long: LONG_MOST,
-            accepts,
-            ended: now,
-            window,
-            against,
+            long_iteration: MAX_LONG_ITERATION,
+            max_accepts: MAX_ACCEPTS,
+            last_ended: now,
+            window: Window { started_at: now, ..Window::default() },
+            contradicting_windows: 0,
             overload: None,
-            admit,
-            credit: 0.0,
+            admit_ratio: 1.0,
+            admit_credit: 0.0,
         }
     }
 
-    /// Lines are wanted within this time.
-    pub fn set_aim(&mut self, aim: Micros) {
-        self.long = (aim / LONG_PART).clamp(LONG_LEAST, LONG_MOST);
+    /// Sets the time within which messages are to be relayed.
+    pub fn set_latency_objective(&mut self, objective: Micros) {
+        let long_iteration = objective / LONG_ITERATION_DIVISOR;
+        self.long_iteration = long_iteration.clamp(MIN_LONG_ITERATION, MAX_LONG_ITERATION);
     }
 
-    /// Clients that the next turn accepts at most.
-    pub fn accepts(&self) -> usize {
-        self.accepts
+    /// The most clients that the next iteration accepts.
+    pub fn max_accepts(&self) -> usize {
+        self.max_accepts
     }
 
-    /// Of log lines that clients cause, how many of `most` are written.
-    pub fn log_lines(&self, most: u32) -> u32 {
-        (f64::from(most) * self.admit) as u32
+    /// The most log lines that clients may cause, where `limit` are allowed without overload.
+    pub fn max_log_lines(&self, limit: u32) -> u32 {
+        (f64::from(limit) * self.admit_ratio) as u32
     }
 
-    /// Whether one more client is taken; one that is not is counted.
-    pub fn admits(&mut self) -> bool {
+    /// Whether one more client is admitted; one that is not is counted.
+    pub fn admit(&mut self) -> bool {
         let Some(overload) = &mut self.overload else { return true };
-        // Evenly spread rather than drawn: no run of bad luck.
-        self.credit += self.admit;
-        let admits = self.credit >= 1.0;
-        if admits {
-            self.credit -= 1.0;
+        // Spread evenly rather than drawn at random, so that no client is unlucky often.
+        self.admit_credit += self.admit_ratio;
+        let is_admitted = self.admit_credit >= 1.0;
+        if is_admitted {
+            self.admit_credit -= 1.0;
         } else {
-            overload.refused += 1;
+            overload.rejected += 1;
         }
-        admits
+        is_admitted
     }
 
-    /// A turn is over that began and ended then; whether clients still wait to be accepted.
-    pub fn record_iteration(&mut self, began: Micros, ended: Micros, backlog: bool) {
-        let took = ended.saturating_sub(began);
-        let span = ended.saturating_sub(self.ended);
-        self.accepts = match took {
-            t if t > self.long => (self.accepts / 2).max(ACCEPTS_LEAST),
-            t if t < self.long / 2 => (self.accepts + ACCEPTS / 8).min(ACCEPTS),
-            _ => self.accepts,
-        };
-        self.ended = ended;
-        self.window.busy += took;
-        self.window.longest = self.window.longest.max(took);
-        if took > self.long || backlog {
-            self.window.lags += span;
+    /// Records an iteration, and whether clients still wait to be accepted at its end.
+    pub fn record_iteration(&mut self, started_at: Micros, ended_at: Micros, has_backlog: bool) {
+        let duration = ended_at.saturating_sub(started_at);
+        let since_last = ended_at.saturating_sub(self.last_ended);
+        let is_long = duration > self.long_iteration;
+        if is_long {
+            self.max_accepts = (self.max_accepts / 2).max(MIN_ACCEPTS);
+        } else if duration < self.long_iteration / 2 {
+            self.max_accepts = (self.max_accepts + MAX_ACCEPTS / 8).min(MAX_ACCEPTS);
+        }
+        self.last_ended = ended_at;
+        self.window.busy += duration;
+        self.window.longest_iteration = self.window.longest_iteration.max(duration);
+        if is_long || has_backlog {
+            self.window.lagging += since_last;
         }
-        if ended >= self.window.began + WINDOW {
-            self.judge(ended);
+        if ended_at >= self.window.started_at + WINDOW {
+            self.finish_window(ended_at);
         }
     }
 
-    fn judge(&mut self, now: Micros) {
-        let w = std::mem::replace(&mut self.window, Window { began: now, ..Window::default() });
-        let span = (now - w.began) as f64;
-        let lags = w.busy as f64 >= BUSY * span && w.lags as f64 >= LAGS * span;
-        self.against = if lags != self.overload.is_some() { self.against + 1 } else { 0 };
-        match &self.overload {
-            None if self.against >= WINDOWS => {
-                (self.overload, self.against) = (Some(Overload { since: now, refused: 0 }), 0);
-                let (busy, ms) = (w.busy as f64 / span, w.longest / 1000);
-                warn!(event = "overload", busy = format_args!("{busy:.2}"), "longest-turn-ms" = ms);
-            }
-            Some(overload) if self.against >= WINDOWS && self.admit >= 1.0 => {
-                let ms = (now - overload.since) / 1000;
-                info!(event = "overload-over", refused = overload.refused, ms);
-                (self.overload, self.against) = (None, 0);
-            }
-            _ => {}
+    fn finish_window(&mut self, now: Micros) {
+        let next = Window { started_at: now, ..Window::default() };
+        let window = std::mem::replace(&mut self.window, next);
+        let span = (now - window.started_at) as f64;
+        let busy_ratio = window.busy as f64 / span;
+        let is_busy = window.busy as f64 >= MIN_BUSY_RATIO * span;
+        let is_lagging = is_busy && window.lagging as f64 >= MIN_LAG_RATIO * span;
+        let is_contradicting = is_lagging != self.overload.is_some();
+        self.contradicting_windows = if is_contradicting { self.contradicting_windows + 1 } else { 0 };
+        if self.contradicting_windows >= WINDOWS_TO_CHANGE {
+            self.change_state(now, busy_ratio, window.longest_iteration);
         }
         if self.overload.is_some() {
-            let admit = if lags { self.admit * ADMIT_LESS } else { self.admit + ADMIT_MORE };
-            self.admit = admit.clamp(ADMIT_LEAST, 1.0);
+            let ratio = if is_lagging {
+                self.admit_ratio * ADMIT_DECREASE
+            } else {
+                self.admit_ratio + ADMIT_INCREASE
+            };
+            self.admit_ratio = ratio.clamp(MIN_ADMIT_RATIO, 1.0);
+        }
+    }
+
+    /// Begins an overload, or ends it once all clients are admitted again.
+    fn change_state(&mut self, now: Micros, busy_ratio: f64, longest_iteration: Micros) {
+        let Some(overload) = &self.overload else {
+            self.overload = Some(Overload { since: now, rejected: 0 });
+            self.contradicting_windows = 0;
+            let busy = format_args!("{busy_ratio:.2}");
+            let longest_ms = longest_iteration / MICROS_PER_MILLISECOND;
+            warn!(event = "overload", busy, "longest-turn-ms" = longest_ms);
+            return;
+        };
+        if self.admit_ratio >= 1.0 {
+            let ms = (now - overload.since) / MICROS_PER_MILLISECOND;
+            info!(event = "overload-over", refused = overload.rejected, ms);
+            self.overload = None;
+            self.contradicting_windows = 0;
         }
     }
 }
--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -72,7 +72,7 @@
         let words = words.trim_end();
         debug!(event = "answered", req = id.0, words, %cause, attempts, may_have_run);
         let is_given_up = matches!(cause, Cause::Shutdown | Cause::Overdue) && answer == Answer::Failed;
-        if is_given_up && self.log_limiter.may(context) {
+        if is_given_up && self.log_limiter.acquire(context) {
             warn!(event = "given-up", req = id.0, %cause, attempts, may_have_run);
         }
     }
--- a/crates/balancer/src/proxy/descriptors.rs
+++ b/crates/balancer/src/proxy/descriptors.rs
@@ -5,7 +5,7 @@
 use super::Proxy;
 use crate::clients::session::SessionStage;
 use crate::event_loop::context::LoopContext;
-use crate::overload::descriptor_budget::Held;
+use crate::overload::descriptor_budget::DescriptorsInUse;
 use crate::transport::readiness::Readiness;
 
 impl Proxy {
@@ -15,21 +15,21 @@
         self.descriptor_budget.set_limit(self.settings.max_descriptors.saturating_sub(descriptors));
     }
 
-    pub(super) fn descriptors_in_use(&self) -> Held {
+    pub(super) fn descriptors_in_use(&self) -> DescriptorsInUse {
         let all = self.sessions.len() + self.attempts.count() + self.probes.count();
-        Held { all, unserved: self.sessions.idle_count() }
+        DescriptorsInUse { total: all, idle: self.sessions.idle_count() }
     }
 
     /// Whether a connection to a server may be opened: enough descriptors are left to answer clients.
     pub fn has_capacity(&self) -> bool {
-        self.descriptor_budget.has_room(self.descriptors_in_use())
+        self.descriptor_budget.can_connect(self.descriptors_in_use())
     }
 
     /// Sees to it that a connection to a server may be opened, if necessary by evicting idle sessions. Returns false if
     /// that is impossible.
     pub(super) fn ensure_capacity(&mut self, context: &mut LoopContext) -> bool {
         while !self.has_capacity() {
-            let can_evict = self.descriptor_budget.can_make_room(self.descriptors_in_use());
+            let can_evict = self.descriptor_budget.can_evict(self.descriptors_in_use());
             if !can_evict || !self.evict_idle(context) {
                 return false;
             }
@@ -39,7 +39,7 @@
 
     /// Evicts idle sessions until they keep to their share of the descriptors.
     pub(super) fn evict_surplus(&mut self, context: &mut LoopContext) {
-        while self.descriptor_budget.is_over(self.descriptors_in_use()) && self.evict_idle(context) {}
+        while self.descriptor_budget.must_evict(self.descriptors_in_use()) && self.evict_idle(context) {}
     }
 
     /// Closes the idle session that is needed least. Its input is read first: a complete line is a request, and a close
@@ -58,22 +58,22 @@
 
     /// Whether one more client may be accepted, before anyone is evicted for it.
     pub fn can_accept(&self) -> bool {
-        self.descriptor_budget.may_accept(self.descriptors_in_use())
+        self.descriptor_budget.can_accept(self.descriptors_in_use())
     }
 
     /// Notes and logs that descriptors have run out, or are enough again.
     pub fn set_descriptor_shortage(&mut self, is_short: bool) {
-        self.descriptor_budget.note_short(is_short, self.descriptors_in_use());
+        self.descriptor_budget.set_shortage(is_short, self.descriptors_in_use());
     }
 
     /// Whether descriptors have run out, as it was noted last.
     pub fn has_descriptor_shortage(&self) -> bool {
-        self.descriptor_budget.is_short()
+        self.descriptor_budget.has_shortage()
     }
 
     /// Publishes for operators how many requests are open and how many descriptors are in use.
     pub fn publish_gauges(&self) {
         let in_use = self.descriptors_in_use();
-        self.counters.set_held(self.sessions.len() - in_use.unserved, in_use.all);
+        self.counters.set_held(self.sessions.len() - in_use.idle, in_use.total);
     }
 }
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -63,7 +63,7 @@
     /// against it.
     fn on_line_too_long(&mut self, context: &mut LoopContext, id: RequestId, side: Side) {
         let Some(client) = self.sessions.get(id).map(Session::client_address) else { return };
-        if self.log_limiter.may(context) {
+        if self.log_limiter.acquire(context) {
             let server = self.server_name(id);
             warn!(event = "line-too-long", peer = side.as_str(), client = %client, server);
         }
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -33,7 +33,7 @@
 use crate::config::proxy_settings::ProxySettings;
 use crate::discovery::update::EndpointUpdate;
 use crate::discovery::wall_clock::WallClock;
-use crate::overload::descriptor_budget::Budget;
+use crate::overload::descriptor_budget::DescriptorBudget;
 use crate::overload::log_rate_limiter::LogRateLimiter;
 use crate::servers::attempts::Attempts;
 use crate::servers::probes::Probes;
@@ -61,7 +61,7 @@
     pending_dials: BTreeMap<RequestId, PendingDial>,
     /// Knows which requests may have run, and so what may be done with each.
     guard: RequestGuard,
-    descriptor_budget: Budget,
+    descriptor_budget: DescriptorBudget,
     log_limiter: LogRateLimiter,
     /// Connections with more to forward or to read, once other connections have been served.
     unfinished: Vec<RequestId>,
@@ -82,7 +82,7 @@
     /// Creates a proxy without clients. `open_ids` and `counters` are shared with other workers.
     pub fn new(settings: ProxySettings, open_ids: OpenIds, counters: WorkerCounters) -> Self {
         Proxy {
-            descriptor_budget: Budget::new(settings.max_descriptors),
+            descriptor_budget: DescriptorBudget::new(settings.max_descriptors),
             settings,
             servers: ServerTable::default(),
             probes: Probes::default(),
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -15,7 +15,7 @@
 use crate::clients::session::{FirstLine, Session, SessionRequest, SessionStage, WaitingActivity};
 use crate::discovery::update::server_id;
 use crate::event_loop::context::LoopContext;
-use crate::shutdown::LEAVE_AFTER;
+use crate::shutdown::MIN_DRAIN_TIME;
 use crate::transport::readiness::Readiness;
 
 /// A connection from before the start of this process has this long to be established again.
@@ -61,7 +61,7 @@
             FirstLine::TooManyPings => self.reject_malformed(context, id, "too many commands at a time"),
             FirstLine::LineTooLong => {
                 let client = session.client_address();
-                if self.log_limiter.may(context) {
+                if self.log_limiter.acquire(context) {
                     warn!(event = "line-too-long", peer = "client", client = %client);
                 }
                 self.answer(context, id, Answer::Failed, Cause::BadRequest);
@@ -76,7 +76,7 @@
         let has_closed = session.connection.peer_close.is_some();
         if !session.connection.pending_input().is_empty() {
             let client = session.client_address();
-            if self.log_limiter.may(context) {
+            if self.log_limiter.acquire(context) {
                 warn!(event = "half-line", client = %client);
             }
         }
@@ -91,7 +91,7 @@
     fn reject_malformed(&mut self, context: &mut LoopContext, id: RequestId, why: &str) {
         let Some(session) = self.sessions.get(id) else { return };
         let (client, is_waiting) = (session.client_address(), session.is_waiting());
-        if self.log_limiter.may(context) {
+        if self.log_limiter.acquire(context) {
             warn!(event = "malformed", client = %client, why);
         }
         if is_waiting {
@@ -166,11 +166,11 @@
     ) -> bool {
         if self.is_shutting_down {
             // Clients are sent elsewhere in a moment; one that was accepted now would only have to migrate.
-            let retry_after = if self.has_successor { RETRY_AFTER_WITH_SUCCESSOR } else { LEAVE_AFTER };
+            let retry_after = if self.has_successor { RETRY_AFTER_WITH_SUCCESSOR } else { MIN_DRAIN_TIME };
             self.answer_unserved(context, id, retry_after, Cause::Shutdown);
             return true;
         }
-        if previous_server.is_none() && !context.overload.admits() {
+        if previous_server.is_none() && !context.overload.admit() {
             // Rejecting costs a tenth of accepting, so established connections stay served.
             self.answer_unserved(context, id, RETRY_AFTER_OVERLOAD, Cause::Overload);
             return true;
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -22,7 +22,7 @@
 impl Proxy {
     /// Logs how many log lines were suppressed.
     pub fn flush_log_limiter(&mut self, now: Micros) {
-        self.log_limiter.due(now);
+        self.log_limiter.log_suppressed(now);
     }
 
     /// The timer of a session has fired.
--- a/crates/balancer/src/shutdown.rs
+++ b/crates/balancer/src/shutdown.rs
@@ -1,55 +1,66 @@
-//! The steps of a planned end, in time since SIGTERM.
+//! The schedule of a graceful shutdown.
 
 use shorewharf_units::Micros;
 
-/// After SIGTERM the front still sends clients for 0.4 s; moved any sooner, they would come back here.
-pub const LEAVE_AFTER: Micros = 450_000;
-/// SIGKILL comes no sooner than this after the longest wait of a client, which counts as 3 s where it is longer.
-const GRACE: Micros = 700_000;
-const GRACE_WAIT: Micros = 3_000_000;
-/// Before SIGKILL: the last requests are answered, which leaves their clients time to hear it.
-const LAST_CALL: Micros = 600_000;
-/// The least time for moving everybody.
-const MOVES: Micros = 100_000;
+/// For this long after SIGTERM clients may still be sent here. Migrated any sooner, they would come back.
+pub const MIN_DRAIN_TIME: Micros = 450_000;
+/// SIGKILL follows the longest client timeout by at least this much ...
+const KILL_DELAY: Micros = 700_000;
+/// ... which counts as no more than this.
+const MAX_CLIENT_TIMEOUT: Micros = 3_000_000;
+/// All migrations are done this long before SIGKILL: clients have 0.5 s to receive what is left, and 0.3 s are spare.
+const MIGRATED_BEFORE_KILL: Micros = 800_000;
+/// Migrations begin this long before they are to be done.
+const MIGRATION_TIME: Micros = 900_000;
+/// The least time for migrations.
+const MIN_MIGRATION_TIME: Micros = 100_000;
+/// With a successor, established connections are transferred to it. Clients of those that could not be are migrated from
+/// this time on.
+const MIGRATE_FROM_WITH_SUCCESSOR: Micros = 1_000_000;
+/// Waiting requests are answered from this long before all migrations are done.
+const ANSWER_BEFORE_MIGRATED: Micros = 500_000;
+/// All waiting requests are answered this long before SIGKILL, so that their clients can receive the reply.
+const ANSWER_ALL_BEFORE_KILL: Micros = 600_000;
+/// The process ends this long before SIGKILL.
+const END_BEFORE_KILL: Micros = 300_000;
 
-/// Standing clients stay until near its end: in a rolling restart the balancer before this one may not be back yet,
-/// and clients moved early would find nobody.
+/// When the steps of a graceful shutdown are due, in time since SIGTERM.
+///
+/// Established clients stay until near the end: during a rolling restart the balancer before this one may not be back yet,
+/// and clients migrated early would find none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// The moves begin; they are spread, as all at once would be a reconnect storm.
-    pub move_from: Micros,
-    /// Everybody has been moved.
-    pub move_until: Micros,
-    /// Who still waits is answered, but for requests that may have run and must not be refused.
-    pub answers: Micros,
-    /// These are answered too, if their own deadlines have not come before.
-    pub last_call: Micros,
-    /// The program ends.
-    pub last: Micros,
+    /// Migrations begin. They are spread, as all at once would be a reconnect storm.
+    pub migrate_from: Micros,
+    /// All clients have been migrated.
+    pub migrate_until: Micros,
+    /// Waiting requests are answered, except those that may have run and must not be rejected.
+    pub answer_from: Micros,
+    /// Those are answered too, unless their own deadlines have come before.
+    pub answer_all_from: Micros,
+    /// The process ends.
+    pub end: Micros,
 }
 
-/// With another process in its place standing connections go on there; clients whose connections could not go by now are
-/// moved, over the time there is.
-const SUCCESSOR_FROM: Micros = 1_000_000;
-
 impl ShutdownSchedule {
-    /// The same where another process has taken this one's place: who is moved comes back to that one.
-    pub fn with_successor(give_up: &[Micros]) -> Self {
-        let usual = ShutdownSchedule::new(give_up);
-        ShutdownSchedule { move_from: usual.move_from.min(SUCCESSOR_FROM), ..usual }
+    /// The schedule where another process serves in place of this one, which migrated clients reach.
+    pub fn with_successor(client_timeouts: &[Micros]) -> Self {
+        let schedule = ShutdownSchedule::new(client_timeouts);
+        let migrate_from = schedule.migrate_from.min(MIGRATE_FROM_WITH_SUCCESSOR);
+        ShutdownSchedule { migrate_from, ..schedule }
     }
 
-    /// The steps where clients of each class wait so long.
-    pub fn new(give_up: &[Micros]) -> Self {
-        let kill = give_up.iter().copied().max().unwrap_or(0).min(GRACE_WAIT) + GRACE;
-        // Clients have 0.5 s for their last words after the last move, and 0.3 s are left for a busy machine.
-        let move_until = kill.saturating_sub(800_000);
+    /// The schedule for these timeouts, by class.
+    pub fn new(client_timeouts: &[Micros]) -> Self {
+        let longest_timeout = client_timeouts.iter().copied().max().unwrap_or(0);
+        let kill = longest_timeout.min(MAX_CLIENT_TIMEOUT) + KILL_DELAY;
+        let migrated = kill.saturating_sub(MIGRATED_BEFORE_KILL);
         ShutdownSchedule {
-            move_from: move_until.saturating_sub(900_000).max(LEAVE_AFTER),
-            move_until: move_until.max(LEAVE_AFTER + MOVES),
-            answers: move_until.saturating_sub(500_000),
-            last_call: kill - LAST_CALL,
-            last: kill - 300_000,
+            migrate_from: migrated.saturating_sub(MIGRATION_TIME).max(MIN_DRAIN_TIME),
+            migrate_until: migrated.max(MIN_DRAIN_TIME + MIN_MIGRATION_TIME),
+            answer_from: migrated.saturating_sub(ANSWER_BEFORE_MIGRATED),
+            answer_all_from: kill - ANSWER_ALL_BEFORE_KILL,
+            end: kill - END_BEFORE_KILL,
         }
     }
 }
