--- a/crates/balancer/src/workers/worker.rs
+++ b/crates/balancer/src/workers/worker.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use shorewharf_driver::{Driver, Effects};
+use shorewharf_driver::{Driver, Effects, InitialState};
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use signal_hook::consts::SIGHUP;
@@ -136,8 +136,8 @@
         let server_count = entries.len();
         let budgets = self.primary.as_ref().and_then(|primary| primary.budgets.as_ref());
         let admission = budgets.and_then(|budgets| budgets.admission(&config));
-        let mut driver =
-            Driver::start(config.settings, &config.operator, config.seed, entries, &mut event_loop);
+        let initial = InitialState { settings: config.settings, seed: config.seed, servers: entries };
+        let mut driver = Driver::start(initial, &config.operator, &mut event_loop);
         if let Some(admission) = admission {
             driver.gate().set_budgets(admission);
         }
--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -22,6 +22,14 @@
 /// No attempt begins within this many ticks of the deadline.
 const ATTEMPT_MARGIN_TICKS: f64 = 2.0;
 
+/// An attempt that is to begin.
+#[derive(Clone, Copy, Debug)]
+struct NewAttempt {
+    server: ServerId,
+    /// The whole time left in seconds: a set-up that is given up early is wasted work, and its retry is more of it.
+    timeout: f64,
+}
+
 /// An attempt or connection that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptEnd {
@@ -79,7 +87,10 @@
             return self.defer(now, &tracked, actions);
         }
         match self.choose_server(now, &tracked, actions) {
-            Placement::Server(server) => self.begin_attempt(now, &tracked, server, time_left, actions),
+            Placement::Server(server) => {
+                let attempt = NewAttempt { server, timeout: time_left };
+                self.begin_attempt(now, &tracked, attempt, actions);
+            }
             Placement::AwaitProbes => {}
             Placement::NoServer if self.is_capacity_imminent(now, &tracked) => {
                 self.defer(now, &tracked, actions)
@@ -92,10 +103,10 @@
         &mut self,
         now: f64,
         tracked: &TrackedRequest,
-        id: ServerId,
-        time_left: f64,
+        attempt: NewAttempt,
         actions: &mut Vec<Action>,
     ) {
+        let NewAttempt { server: id, timeout } = attempt;
         self.setup_limiter.record_attempt();
         self.remove_reservation(tracked.request.key);
         let inputs = self.slow_start_inputs(now);
@@ -107,7 +118,7 @@
         server.pending_setups += 1;
         server.is_back_from_draining = false;
         // A trial is single: the quarantine holds for all other requests until it has ended.
-        server.trial_at = server.trial_at.max(now + time_left);
+        server.trial_at = server.trial_at.max(now + timeout);
         server.add_group_connection(tracked.group);
         let request = tracked.request.id;
         let tracked = self.requests.get_mut(request).expect("it is being dispatched");
@@ -117,8 +128,7 @@
         let run = PossibleRun { server: id, sent_at: now, attempt: tracked.attempts };
         tracked.possible_run.get_or_insert(run);
         tracked.attempts += 1;
-        // The whole time left: a set-up that is given up early is wasted work, and its retry is more of it.
-        actions.push(Action::BeginAttempt { request, server: id, timeout: time_left });
+        actions.push(Action::BeginAttempt { request, server: id, timeout });
     }
 
     pub(crate) fn on_established(&mut self, now: f64, id: RequestId) {
--- a/crates/decisions/src/fleet_placement.rs
+++ b/crates/decisions/src/fleet_placement.rs
@@ -49,6 +49,21 @@
     }
 }
 
+/// The loads that the usage of a server is computed from.
+#[derive(Clone, Copy, Debug)]
+struct FleetLoads<'a> {
+    remote: &'a RemoteLoads,
+    /// Mean load of a connection of any instance.
+    mean: f64,
+}
+
+/// The usage of all servers in service.
+struct FleetUsages {
+    by_server: BTreeMap<ServerId, FleetUsage>,
+    /// Mean ratio of load to capacity once the request is placed.
+    mean_ratio: f64,
+}
+
 /// A group as reports name it: the lower half of its id.
 fn reported_group(group: u64) -> u32 {
     group as u32
@@ -62,10 +77,10 @@
         tracked: &TrackedRequest,
         remote_loads: &RemoteLoads,
     ) -> Option<ServerId> {
-        let (usages, mean_ratio) = self.fleet_usages(now, tracked, remote_loads);
+        let FleetUsages { by_server, mean_ratio } = self.fleet_usages(now, tracked, remote_loads);
         // By rank, which is the same at every instance for a group.
         let ranked: Vec<FleetUsage> =
-            self.ranked_servers(now, tracked).iter().filter_map(|id| usages.get(id)).copied().collect();
+            self.ranked_servers(now, tracked).iter().filter_map(|id| by_server.get(id)).copied().collect();
         let has_local = ranked.iter().any(|usage| !usage.is_remote);
         let candidates: Vec<FleetUsage> =
             ranked.into_iter().filter(|usage| !(has_local && usage.is_remote)).collect();
@@ -82,23 +97,19 @@
         jittered.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, server)| server)
     }
 
-    /// The usage of each server in service, and the mean ratio of load to capacity once the request is placed.
-    fn fleet_usages(
-        &self,
-        now: f64,
-        tracked: &TrackedRequest,
-        remote_loads: &RemoteLoads,
-    ) -> (BTreeMap<ServerId, FleetUsage>, f64) {
-        let mean_load = self.mean_fleet_load(now, remote_loads).unwrap_or(tracked.load);
-        let mut usages = BTreeMap::new();
+    fn fleet_usages(&self, now: f64, tracked: &TrackedRequest, remote_loads: &RemoteLoads) -> FleetUsages {
+        let mean = self.mean_fleet_load(now, remote_loads).unwrap_or(tracked.load);
+        let loads = FleetLoads { remote: remote_loads, mean };
+        let mut by_server = BTreeMap::new();
         let (mut total_load, mut total_capacity) = (tracked.load, 0.0);
         for server in self.servers.in_service(&self.settings, now) {
-            let usage = self.fleet_usage(now, server, tracked, remote_loads, mean_load);
+            let usage = self.fleet_usage(now, server, tracked, loads);
             total_load += usage.load;
             total_capacity += usage.capacity;
-            usages.insert(usage.server, usage);
+            by_server.insert(usage.server, usage);
         }
-        (usages, total_load / f64::max(total_capacity, f64::MIN_POSITIVE))
+        let mean_ratio = total_load / f64::max(total_capacity, f64::MIN_POSITIVE);
+        FleetUsages { by_server, mean_ratio }
     }
 
     /// Mean load of a connection at the servers in service; none without connections.
@@ -118,10 +129,9 @@
         now: f64,
         server: &Server,
         tracked: &TrackedRequest,
-        remote_loads: &RemoteLoads,
-        mean_load: f64,
+        loads: FleetLoads,
     ) -> FleetUsage {
-        let remote = remote_loads.get(&server.entry.server);
+        let remote = loads.remote.get(&server.entry.server);
         let groups = groups_at(server, remote);
         let holds_group = tracked.group.is_some_and(|group| groups.contains(&reported_group(group)));
         let (remote_load, remote_connections) =
@@ -137,12 +147,13 @@
             is_remote: self.is_remote(server),
             holds_group,
             capacity: capacity.max(f64::MIN_POSITIVE),
-            load: server.assigned_load + remote_load + mean_load * overheads,
-            added_load: tracked.load + mean_load * added_overheads,
+            load: server.assigned_load + remote_load + loads.mean * overheads,
+            added_load: tracked.load + loads.mean * added_overheads,
         }
     }
 
-    /// Draws an underused server, by what each of them lacks; none as often as the instances together would overfill them.
+    /// Draws an underused server, weighted by how many requests each of them lacks. Returns `None` so often that all
+    /// instances together don't overfill them.
     fn choose_underused(&mut self, candidates: &[FleetUsage], mean_ratio: f64) -> Option<ServerId> {
         let target = UNDERUSED_RATIO * mean_ratio;
         let missing: f64 = candidates.iter().map(|usage| usage.missing_requests(target)).sum();
--- a/crates/decisions/src/groups.rs
+++ b/crates/decisions/src/groups.rs
@@ -62,7 +62,7 @@
         self.groups.get(&group).and_then(|stats| stats.last_server)
     }
 
-    /// Whether a group is counted already or there is room for one more.
+    /// Whether a group is counted already or one more can be.
     pub fn has_capacity_for(&self, group: u64) -> bool {
         self.groups.len() < MAX_GROUPS || self.groups.contains_key(&group)
     }
--- a/crates/decisions/src/persistence/export.rs
+++ b/crates/decisions/src/persistence/export.rs
@@ -27,7 +27,7 @@
 
 impl Balancer {
     /// Exports at most `limit` further records, and returns where to go on. State that changes between two portions is
-    /// exported as it is then: each record stands for itself.
+    /// exported as it is then: records are independent of each other.
     pub fn export_state(
         &self,
         from: ExportCursor,
--- a/crates/decisions/src/requests.rs
+++ b/crates/decisions/src/requests.rs
@@ -14,6 +14,17 @@
     pub attempt: u32,
 }
 
+/// What the placement of a request goes by.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RequestProfile {
+    /// What repeating it may do, as its class was configured when it arrived.
+    pub idempotency: Idempotency,
+    /// The group that its placement goes by.
+    pub group: Option<u64>,
+    /// Its expected load.
+    pub load: f64,
+}
+
 /// A request and what has become of it so far. At most one of `attempt_server` and `connected_server` is set.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRequest {
@@ -47,12 +58,12 @@
 }
 
 impl TrackedRequest {
-    pub fn new(now: f64, request: Request, idempotency: Idempotency, group: Option<u64>, load: f64) -> Self {
+    pub fn new(now: f64, request: Request, profile: RequestProfile) -> Self {
         TrackedRequest {
             request,
-            idempotency,
-            group,
-            load,
+            idempotency: profile.idempotency,
+            group: profile.group,
+            load: profile.load,
             is_load_reported: false,
             attempts: 0,
             attempt_server: None,
@@ -77,7 +88,7 @@
         !self.is_answered && self.server().is_none()
     }
 
-    /// Whether its connection stands and is not about to end.
+    /// Whether its connection is established and not about to end.
     pub fn is_established(&self) -> bool {
         self.connected_server.is_some() && !self.is_answered
     }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! Instances that hear nothing of each other take turns, as on a medium that is shared by time slots: a warming server's
 //! time is divided into slots by the instances' indices, one request a slot, and a slot that was not used is lost. Slots
-//! are dealt so that any window of the settings meets no more of them than the server bears.
+//! are dealt so that any window of the settings meets no more of them than the server can take.
 //!
 //! Where an instance's part of a server is small, most slots pass unused. More are dealt then, and the bound is no longer
 //! certain; while clients reconnect in numbers the strict count holds.
@@ -46,7 +46,7 @@
         Some(capacity.load / self.loads.mean_load)
     }
 
-    /// Set-ups a second that a warming server bears from all instances together.
+    /// Set-ups a second that a warming server can take from all instances together.
     fn setup_rate(&self, server: &Server, now: f64) -> f64 {
         let settings = self.settings;
         let quota: f64 = settings.tenant_connection_quotas.iter().sum();
@@ -140,7 +140,7 @@
 
 /// Slots of all instances at a server within a window.
 struct SlotCount {
-    /// The count that the server bears for certain.
+    /// The count that the server can take for certain.
     strict: f64,
     /// The count that is dealt.
     dealt: f64,
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -11,7 +11,7 @@
 use crate::load::LoadEstimates;
 use crate::probe_table::ProbeTable;
 use crate::rate_limit::SetupRateLimiter;
-use crate::requests::{RequestTable, TrackedRequest};
+use crate::requests::{RequestProfile, RequestTable, TrackedRequest};
 use crate::reservations::{Reservation, ReservationTable};
 use crate::servers::{Server, ServerTable};
 use crate::slow_start::{SlowStart, SlowStartInputs};
@@ -96,7 +96,7 @@
         self.groups.record_client(group);
         let class = self.settings.classes.get(request.class);
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
-        TrackedRequest::new(now, request, idempotency, group, load)
+        TrackedRequest::new(now, request, RequestProfile { idempotency, group, load })
     }
 
     /// The class's objective for the set-up of a request, in seconds.
--- a/crates/driver/src/driver.rs
+++ b/crates/driver/src/driver.rs
@@ -9,7 +9,7 @@
 use crate::events::{Effects, NetworkEvent, ReceivedRequest};
 use crate::gate::AdmissionGate;
 
-/// What the decisions have been told of a request.
+/// How far the decisions have followed a request.
 #[derive(Debug, Default)]
 struct RequestProgress {
     /// Attempts begun.
@@ -31,24 +31,27 @@
     max_attempts: u32,
 }
 
+/// What an instance starts from.
+#[derive(Clone, Debug)]
+pub struct InitialState {
+    /// Its settings.
+    pub settings: Settings,
+    /// The seed of its random generator.
+    pub seed: u64,
+    /// The servers that are known before discovery has answered.
+    pub servers: Vec<ServerEntry>,
+}
+
 impl Driver {
-    /// Starts an instance of these settings from an initial list of servers.
-    pub fn start(
-        settings: Settings,
-        operator: &Operator,
-        seed: u64,
-        initial_servers: Vec<ServerEntry>,
-        effects: &mut impl Effects,
-    ) -> Self {
+    /// Starts an instance.
+    pub fn start(initial: InitialState, operator: &Operator, effects: &mut impl Effects) -> Self {
+        let InitialState { settings, seed, servers } = initial;
         let max_attempts = settings.max_attempts;
         let gate = AdmissionGate::new(effects.now(), settings, seed, operator);
         let mut driver = Driver { gate, requests: HashMap::new(), actions: Vec::new(), max_attempts };
         driver.dispatch(Event::Start, effects);
-        let list = NetworkEvent::EndpointListReceived {
-            is_complete: true,
-            is_cached: true,
-            entries: initial_servers,
-        };
+        let list =
+            NetworkEvent::EndpointListReceived { is_complete: true, is_cached: true, entries: servers };
         driver.on_network_event(list, effects);
         driver
     }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -14,7 +14,7 @@
 use shorewharf_units::Micros;
 
 pub use budgets::Budgets;
-pub use driver::Driver;
+pub use driver::{Driver, InitialState};
 pub use events::{Effects, NetworkEvent, ReceivedRequest};
 pub use gate::AdmissionGate;
 pub use tenants::Tenants;
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
-use shorewharf_driver::{Driver, Effects, NetworkEvent, ReceivedRequest};
+use shorewharf_driver::{Driver, Effects, InitialState, NetworkEvent, ReceivedRequest};
 use shorewharf_settings::operator::Operator;
 use shorewharf_units::Micros;
 
@@ -80,7 +80,14 @@
         let set = shorewharf_settings::settings(text).expect("settings").0;
         let mut peers = Notes { now: 1_700_000_000_000_000, ..Notes::default() };
         let known = (1..=servers).map(|s| entry(s, ServerState::Ready)).collect();
-        Rig { driver: Driver::start(set, &Operator::default(), 3, known, &mut peers), peers }
+        Rig {
+            driver: Driver::start(
+                InitialState { settings: set, seed: 3, servers: known },
+                &Operator::default(),
+                &mut peers,
+            ),
+            peers,
+        }
     }
 
     /// What the module asks for when this happens.
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, RwLock};
 
 use shorewharf_decisions::interface::{ServerEntry, Settings};
-use shorewharf_driver::{Driver, NetworkEvent};
+use shorewharf_driver::{Driver, InitialState, NetworkEvent};
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::edge::{BalancerId, FromBalancer, ToBalancer};
 use shorewharf_emulator::virtual_time::{GroundTruth, Host, Instance, InstanceReport};
@@ -201,7 +201,8 @@
     ) -> Policy {
         let pick = match self.who {
             PolicyChoice::Module => {
-                let driver = Driver::start(set.clone(), &self.operator, seed, known, peers);
+                let initial = InitialState { settings: set.clone(), seed, servers: known };
+                let driver = Driver::start(initial, &self.operator, peers);
                 return Policy::Module(Box::new(driver));
             }
             PolicyChoice::Random => Pick::Random,
--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -51,7 +51,7 @@
     Io(#[from] io::Error),
 }
 
-/// Why an instance could not take a record; the simulator is told, and the instance goes on.
+/// Why an instance could not take a record; it is reported to the simulator, and the instance goes on.
 #[derive(Debug, Error)]
 enum InstanceFault {
     /// Its settings can't be used.
--- a/crates/wire/src/encoder.rs
+++ b/crates/wire/src/encoder.rs
@@ -6,8 +6,8 @@
 
 /// Bytes of a frame before its records: its length, and the count of the records.
 const HEADER_BYTES: usize = 8;
-/// The kind of subscription that is asked for: a standing one.
-const STANDING_SUBSCRIPTION: u8 = 1;
+/// The kind of subscription that is requested: one that lasts.
+const PERSISTENT_SUBSCRIPTION: u8 = 1;
 
 /// Collects the records of a reply.
 #[derive(Debug, Default)]
@@ -82,7 +82,7 @@
             }
             Action::Probe(server) => self.begin(action::PROBE).server(*server),
             Action::Log(text) => self.begin(action::LOG).text(text),
-            Action::Subscribe => self.begin(action::SUBSCRIBE).bytes(&[STANDING_SUBSCRIPTION]),
+            Action::Subscribe => self.begin(action::SUBSCRIBE).bytes(&[PERSISTENT_SUBSCRIPTION]),
             Action::Migrate(request) => self.begin(action::MIGRATE).request(*request),
         };
     }
