--- a/crates/driver/benches/placement.rs
+++ b/crates/driver/benches/placement.rs
@@ -9,19 +9,19 @@
 use shorewharf_driver::AdmissionGate;
 use shorewharf_settings::operator::Operator;
 
-const STANDING: u32 = 400;
+const MAX_CONNECTIONS: u32 = 400;
 
-struct Rig {
+struct PlacementBench {
     gate: AdmissionGate,
     now: f64,
     next: u32,
     tenants: u32,
-    stands: std::collections::VecDeque<(RequestId, ServerId)>,
+    connections: std::collections::VecDeque<(RequestId, ServerId)>,
     out: Vec<Action>,
 }
 
-impl Rig {
-    fn new(tenants: u32, on: bool) -> Rig {
+impl PlacementBench {
+    fn new(tenants: u32, on: bool) -> PlacementBench {
         let quota = vec![100_000.0 / f64::from(tenants); tenants as usize];
         let text = format!(
             r#"{{"classes":[{{"promise_s":0.8,"semantics":"read_like"}}],"group_size":4,"tick_s":0.005,
@@ -32,9 +32,9 @@
         let set = shorewharf_settings::settings(text.as_bytes()).expect("settings").0;
         let operator = Operator::parse(&format!("[tenancy]\non = {on}")).expect("an operator's file");
         let gate = AdmissionGate::new(0, set, 7, &operator);
-        let (stands, out) = (std::collections::VecDeque::new(), Vec::new());
-        let mut rig = Rig { gate, now: 1.0, next: 0, tenants, stands, out };
-        rig.tell(Event::Start);
+        let (connections, out) = (std::collections::VecDeque::new(), Vec::new());
+        let mut bench = PlacementBench { gate, now: 1.0, next: 0, tenants, connections, out };
+        bench.handle(Event::Start);
         let stage = ServerState::Ready;
         let entry = |s| ServerEntry {
             server: ServerId(s),
@@ -45,12 +45,12 @@
             started_at: 0.0,
         };
         let entries = (1..=40).map(entry).collect::<Vec<_>>().into();
-        rig.tell(Event::EndpointList { is_complete: true, is_cached: false, entries });
-        (0..2_000).for_each(|_| rig.step());
-        rig
+        bench.handle(Event::EndpointList { is_complete: true, is_cached: false, entries });
+        (0..2_000).for_each(|_| bench.step());
+        bench
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.out.clear();
         self.gate.handle(self.now, event, &mut self.out);
     }
@@ -72,20 +72,20 @@
             is_mid_flow: false,
             is_returning: false,
         };
-        self.tell(Event::RequestReceived(request));
+        self.handle(Event::RequestReceived(request));
         let sent = self.out.iter().find_map(|a| match a {
             Action::BeginAttempt { server, .. } => Some(*server),
             _ => None,
         });
         if let Some(server) = sent {
-            self.tell(Event::Established { request: id, attempt: 0 });
-            self.stands.push_back((id, server));
+            self.handle(Event::Established { request: id, attempt: 0 });
+            self.connections.push_back((id, server));
         }
-        if self.stands.len() > STANDING as usize
-            && let Some((request, server)) = self.stands.pop_front()
+        if self.connections.len() > MAX_CONNECTIONS as usize
+            && let Some((request, server)) = self.connections.pop_front()
         {
             let (outcome, complete, attempt) = (Outcome::Ok, true, 0);
-            self.tell(Event::AttemptEnded {
+            self.handle(Event::AttemptEnded {
                 request,
                 server,
                 attempt,
@@ -95,7 +95,7 @@
             });
         }
         if self.next.is_multiple_of(500) {
-            self.tell(Event::TimerFired(1 << 40));
+            self.handle(Event::TimerFired(1 << 40));
         }
     }
 }
@@ -103,8 +103,8 @@
 fn placement(c: &mut Criterion) {
     let mut group = c.benchmark_group("a client is placed, stands and ends");
     for (name, tenants, on) in [("no shares", 4, false), ("4", 4, true), ("10000", 10_000, true)] {
-        let mut rig = Rig::new(tenants, on);
-        group.bench_function(BenchmarkId::from_parameter(name), |b| b.iter(|| rig.step()));
+        let mut bench = PlacementBench::new(tenants, on);
+        group.bench_function(BenchmarkId::from_parameter(name), |b| b.iter(|| bench.step()));
     }
     group.finish();
 }
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -1,6 +1,8 @@
-//! Fuzzes what is recalled: records of a corpus with their numbers, keys and lines changed and their sums made good again, so that the
-//! damage reaches the modules. `cargo run --release -p shorewharf-driver --example fuzz_records -- CORPUS SECONDS [SEED]`. A record
-//! whose outcome has not been seen before is kept in the corpus. A panic, or a state that can't be, ends it with the record's path.
+//! Fuzzes the restore of snapshots: records of a corpus with their numbers, keys and lines mutated and their checksums
+//! corrected, so that the damage reaches the decisions. A record with a new outcome is kept in the corpus. A panic or an
+//! invalid state ends the run with the path of its record.
+//!
+//! `cargo run --release -p shorewharf-driver --example fuzz_records -- CORPUS SECONDS [SEED]`
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -17,12 +19,15 @@
 use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Operator;
-use shorewharf_snapshot::record::{Encoder, Header, Line, VERSION, decode};
+use shorewharf_snapshot::record::{DecodeError, Encoder, Header, Line, VERSION, decode};
+use thiserror::Error;
 
-/// Servers that are listed where a record is recalled.
+/// Servers that are listed where a record is restored.
 const SERVERS: u64 = 5;
-/// Numbers that are tried in the place of others.
-const ODD: [f64; 12] = [
+/// Requests that arrive after a restore.
+const REQUESTS: usize = 8;
+/// Numbers that take the place of others.
+const EDGE_NUMBERS: [f64; 12] = [
     0.0,
     -0.0,
     -1.0,
@@ -66,7 +71,7 @@
     }
 }
 
-fn read(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
+fn export_all(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
     let (mut all, mut at) = (Vec::new(), ExportCursor::default());
     while at != ExportCursor::End {
         at = gate.export_state(at, 16, &mut all);
@@ -74,15 +79,15 @@
     all
 }
 
-fn record(lines: &[Value]) -> Vec<u8> {
+fn encode_record(lines: &[Value]) -> Vec<u8> {
     let header = Header { version: VERSION, balancer: "n1".into(), worker_count: 1, ..Header::default() };
     let mut encoder = Encoder::begin(Vec::new(), &header).expect("memory");
     lines.iter().for_each(|line| encoder.write_line(&Line::State(line)).expect("memory"));
     encoder.finish().expect("memory").0
 }
 
-/// A first record, of an instance that has learned of everything.
-fn first() -> Vec<u8> {
+/// A record of an instance that has learned something of every kind.
+fn initial_record() -> Vec<u8> {
     let (mut gate, mut out) = (gate(), Vec::new());
     for id in 0..12 {
         gate.handle(
@@ -107,18 +112,31 @@
         Event::ProbeEnded { server: ServerId(5), outcome: Outcome::ConnectFailed, load_ratio: None },
         &mut out,
     );
-    let lines: Vec<Value> = read(&gate).iter().map(|l| serde_json::to_value(l).expect("json")).collect();
-    record(&lines)
+    let lines: Vec<Value> =
+        export_all(&gate).iter().map(|l| serde_json::to_value(l).expect("json")).collect();
+    encode_record(&lines)
 }
 
-struct Fuzz(Pcg64Mcg);
+/// What must not come of a record.
+#[derive(Debug, Error)]
+enum InvalidState {
+    #[error("the record can't be read: {0}")]
+    Unreadable(#[from] DecodeError),
+    #[error("{answered} of {REQUESTS} requests were answered or sent")]
+    Unanswered { answered: usize },
+    #[error("not a number in {entry}")]
+    NotANumber { entry: String },
+}
+
+/// Mutates records at random.
+struct Mutator(Pcg64Mcg);
 
-impl Fuzz {
+impl Mutator {
     fn below(&mut self, n: usize) -> usize {
         (self.0.next_u64() % n.max(1) as u64) as usize
     }
 
-    fn change(&mut self, value: &mut Value) {
+    fn mutate(&mut self, value: &mut Value) {
         match value {
             Value::Object(map) if !map.is_empty() => {
                 let at = self.below(map.len());
@@ -126,7 +144,11 @@
                 match self.below(12) {
                     0 => drop(map.remove(&key)),
                     1 => drop(map.insert("tide".into(), Value::from(1))),
-                    _ => map.get_mut(&key).into_iter().for_each(|inner| self.change(inner)),
+                    _ => {
+                        if let Some(inner) = map.get_mut(&key) {
+                            self.mutate(inner);
+                        }
+                    }
                 }
             }
             Value::Array(of) if !of.is_empty() => {
@@ -134,7 +156,7 @@
                 match self.below(6) {
                     0 => drop(of.remove(at)),
                     1 => of.push(Value::from(1e9)),
-                    _ => self.change(&mut of[at]),
+                    _ => self.mutate(&mut of[at]),
                 }
             }
             other => {
@@ -142,13 +164,13 @@
                     0 => Value::Null,
                     1 => Value::from("x"),
                     2 => Value::from(self.below(8)),
-                    _ => Value::from(ODD[self.below(ODD.len())]),
+                    _ => Value::from(EDGE_NUMBERS[self.below(EDGE_NUMBERS.len())]),
                 }
             }
         }
     }
 
-    fn lines(&mut self, bytes: &[u8]) -> Vec<Value> {
+    fn mutated_lines(&mut self, bytes: &[u8]) -> Vec<Value> {
         let mut lines: Vec<Value> = decode::<Value>(bytes).map(|record| record.entries).unwrap_or_default();
         for _ in 0..1 + self.below(6) {
             if lines.is_empty() {
@@ -162,56 +184,55 @@
                     let other = self.below(lines.len());
                     lines.swap(at, other);
                 }
-                _ => self.change(&mut lines[at]),
+                _ => self.mutate(&mut lines[at]),
             }
         }
         lines
     }
 }
 
-/// Recalls a record and goes on from there; what came of it, roughly.
-fn play(bytes: &[u8], past: f64) -> Result<String, String> {
-    let record = decode::<SnapshotEntry>(bytes).map_err(|e| e.to_string())?;
+/// Restores a record and lets requests arrive; the outcome, roughly.
+fn restore_and_run(bytes: &[u8], age: f64) -> Result<String, InvalidState> {
+    let record = decode::<SnapshotEntry>(bytes)?;
     let (mut gate, unknown) = (gate(), record.unknown_lines);
-    let recalled = gate.restore_state(100.3, past, true, record.entries);
+    let counts = gate.restore_state(100.3, age, true, record.entries);
     let mut timers = Vec::new();
     let mut answered = BTreeSet::new();
-    for id in 20..28 {
+    for id in 20..20 + REQUESTS as u32 {
         let mut out = Vec::new();
         gate.handle(100.3, Event::RequestReceived(request(id)), &mut out);
-        note(&out, 100.3, &mut timers, &mut answered);
+        record_actions(&out, 100.3, &mut timers, &mut answered);
     }
     for _ in 0..400 {
         timers.sort_by(|a: &(f64, u64), b| b.0.total_cmp(&a.0));
         let Some((at, token)) = timers.pop().filter(|t| t.0 < 103.0) else { break };
         let mut out = Vec::new();
         gate.handle(at, Event::TimerFired(token), &mut out);
-        note(&out, at, &mut timers, &mut answered);
+        record_actions(&out, at, &mut timers, &mut answered);
     }
-    if answered.len() != 8 {
-        return Err(format!("{} of 8 clients were answered or sent", answered.len()));
+    if answered.len() != REQUESTS {
+        return Err(InvalidState::Unanswered { answered: answered.len() });
     }
-    for learned in read(&gate) {
+    for learned in export_all(&gate) {
         let text = serde_json::to_string(&learned).expect("json");
         // What is no number is written as nothing.
         let none = text.replace("\"last\":null", "").replace("\"locked\":null", "");
         let none = none.replace("\"noted\":null", "").replace("\"barred\":null", "");
         if none.contains("null") {
-            return Err(format!("no number in {text}"));
+            return Err(InvalidState::NotANumber { entry: text });
         }
     }
     let few = |n: usize| n.min(3);
-    Ok(format!(
-        "{} {} {} {}",
-        few(recalled.outdated),
-        few(recalled.expired),
-        few(recalled.invalid),
-        few(unknown)
-    ))
+    Ok(format!("{} {} {} {}", few(counts.outdated), few(counts.expired), few(counts.invalid), few(unknown)))
 }
 
-fn note(out: &[Action], now: f64, timers: &mut Vec<(f64, u64)>, answered: &mut BTreeSet<RequestId>) {
-    for action in out {
+fn record_actions(
+    actions: &[Action],
+    now: f64,
+    timers: &mut Vec<(f64, u64)>,
+    answered: &mut BTreeSet<RequestId>,
+) {
+    for action in actions {
         match action {
             Action::SetTimer { after, token } => timers.push((now + after.max(0.001), *token)),
             Action::BeginAttempt { request, .. } | Action::Reject { request, .. } | Action::Fail(request) => {
@@ -228,9 +249,9 @@
         return Err("CORPUS SECONDS [SEED]".into());
     };
     let (corpus, by) = (Path::new(&corpus), Instant::now() + Duration::from_secs(seconds.parse()?));
-    let mut fuzz = Fuzz(Pcg64Mcg::seed_from_u64(args.next().map_or(Ok(1), |s| s.parse())?));
+    let mut mutator = Mutator(Pcg64Mcg::seed_from_u64(args.next().map_or(Ok(1), |s| s.parse())?));
     fs::create_dir_all(corpus)?;
-    let mut records: Vec<Vec<u8>> = vec![first()];
+    let mut records: Vec<Vec<u8>> = vec![initial_record()];
     let mut paths: Vec<PathBuf> =
         fs::read_dir(corpus)?.map(|f| f.map(|f| f.path())).collect::<Result<_, _>>()?;
     paths.sort();
@@ -239,15 +260,15 @@
     }
     let mut seen = BTreeSet::new();
     for bytes in &records {
-        seen.insert(play(bytes, 0.5)?);
+        seen.insert(restore_and_run(bytes, 0.5)?);
     }
     let mut played = 0_u64;
     while Instant::now() < by {
-        let from = fuzz.below(records.len());
-        let lines = fuzz.lines(&records[from]);
-        let bytes = record(&lines);
-        let past = [0.0, 0.5, 30.0, 600.0][fuzz.below(4)];
-        let outcome = std::panic::catch_unwind(|| play(&bytes, past));
+        let from = mutator.below(records.len());
+        let lines = mutator.mutated_lines(&records[from]);
+        let bytes = encode_record(&lines);
+        let age = [0.0, 0.5, 30.0, 600.0][mutator.below(4)];
+        let outcome = std::panic::catch_unwind(|| restore_and_run(&bytes, age));
         let Ok(Ok(shape)) = outcome else {
             let bad = corpus.join(format!("bad-{played}.snapshot"));
             fs::write(&bad, &bytes)?;
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -9,52 +9,52 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Call {
-    Fetch(RequestId, ServerId),
+    BeginAttempt(RequestId, ServerId),
     Cancel(RequestId),
-    Refuse(RequestId, Micros),
+    Reject(RequestId, Micros),
     Fail(RequestId),
-    Move(RequestId),
+    Migrate(RequestId),
     Probe(ServerId),
-    Watch,
+    WatchEndpoints,
 }
 
 #[derive(Default)]
-struct Notes {
+struct RecordingEffects {
     now: Micros,
     calls: Vec<Call>,
     timers: Vec<(Micros, u64)>,
-    happenings: VecDeque<NetworkEvent>,
+    events: VecDeque<NetworkEvent>,
 }
 
-impl Effects for Notes {
+impl Effects for RecordingEffects {
     fn now(&self) -> Micros {
         self.now
     }
     fn next_event(&mut self) -> Option<NetworkEvent> {
-        self.happenings.pop_front()
+        self.events.pop_front()
     }
-    fn begin_attempt(&mut self, req: RequestId, server: ServerId, _: Micros) {
-        self.calls.push(Call::Fetch(req, server));
+    fn begin_attempt(&mut self, request: RequestId, server: ServerId, _: Micros) {
+        self.calls.push(Call::BeginAttempt(request, server));
     }
-    fn cancel_attempt(&mut self, req: RequestId) {
-        self.calls.push(Call::Cancel(req));
-        self.happenings.push_back(NetworkEvent::AttemptEnded(req, Outcome::Cancelled));
+    fn cancel_attempt(&mut self, request: RequestId) {
+        self.calls.push(Call::Cancel(request));
+        self.events.push_back(NetworkEvent::AttemptEnded(request, Outcome::Cancelled));
     }
-    fn reject(&mut self, req: RequestId, after: Micros) {
-        self.calls.push(Call::Refuse(req, after));
+    fn reject(&mut self, request: RequestId, after: Micros) {
+        self.calls.push(Call::Reject(request, after));
     }
-    fn fail(&mut self, req: RequestId) {
-        self.calls.push(Call::Fail(req));
+    fn fail(&mut self, request: RequestId) {
+        self.calls.push(Call::Fail(request));
     }
-    fn migrate(&mut self, req: RequestId) {
-        self.calls.push(Call::Move(req));
-        self.happenings.push_back(NetworkEvent::AttemptEnded(req, Outcome::Cancelled));
+    fn migrate(&mut self, request: RequestId) {
+        self.calls.push(Call::Migrate(request));
+        self.events.push_back(NetworkEvent::AttemptEnded(request, Outcome::Cancelled));
     }
     fn probe(&mut self, server: ServerId) {
         self.calls.push(Call::Probe(server));
     }
     fn watch_endpoints(&mut self) {
-        self.calls.push(Call::Watch);
+        self.calls.push(Call::WatchEndpoints);
     }
     fn set_timer(&mut self, after: Micros, token: u64) {
         self.timers.push((self.now + after, token));
@@ -62,44 +62,44 @@
     fn log(&mut self, _: &str) {}
 }
 
-struct Rig {
+struct DriverTest {
     driver: Driver,
-    peers: Notes,
+    effects: RecordingEffects,
 }
 
 fn entry(server: u64, stage: ServerState) -> ServerEntry {
     ServerEntry { server: ServerId(server), zone: 0, cell: 0, state: stage, weight: 1.0, started_at: 0.0 }
 }
 
-impl Rig {
+impl DriverTest {
     fn new(servers: u64) -> Self {
         let text = br#"{"classes":[{"promise_s":1.0,"semantics":"read_like"}],"group_size":1,"tick_s":0.005,
             "registry_mode":"ask","weights":"nominal","specifics":{"mode":"proxy","message_aim_s":[0.05]},
             "limits":{"cancel":true,"connect_timeout_s":0.15,"max_attempts":5,"max_retry_after_s":1.5,"retry_after":true},
             "rules":{"ask_within_s":10}}"#;
         let set = shorewharf_settings::settings(text).expect("settings").0;
-        let mut peers = Notes { now: 1_700_000_000_000_000, ..Notes::default() };
+        let mut effects = RecordingEffects { now: 1_700_000_000_000_000, ..RecordingEffects::default() };
         let known = (1..=servers).map(|s| entry(s, ServerState::Ready)).collect();
-        Rig {
+        DriverTest {
             driver: Driver::start(
                 InitialState { settings: set, seed: 3, servers: known },
                 &Operator::default(),
-                &mut peers,
+                &mut effects,
             ),
-            peers,
+            effects,
         }
     }
 
     /// What the module asks for when this happens.
-    fn happens(&mut self, happening: NetworkEvent) -> Vec<Call> {
-        self.peers.happenings.push_back(happening);
-        self.driver.process_events(&mut self.peers);
-        std::mem::take(&mut self.peers.calls)
+    fn on_event(&mut self, event: NetworkEvent) -> Vec<Call> {
+        self.effects.events.push_back(event);
+        self.driver.process_events(&mut self.effects);
+        std::mem::take(&mut self.effects.calls)
     }
 
-    fn asked(&mut self, id: u32) -> Vec<Call> {
-        let deadline = self.peers.now + 3_000_000;
-        let req = ReceivedRequest {
+    fn receive_request(&mut self, id: u32) -> Vec<Call> {
+        let deadline = self.effects.now + 3_000_000;
+        let request = ReceivedRequest {
             id: RequestId(id),
             class: 0,
             tenant: 0,
@@ -109,32 +109,32 @@
             group: 0,
             is_returning: false,
         };
-        self.happens(NetworkEvent::RequestReceived(req))
+        self.on_event(NetworkEvent::RequestReceived(request))
     }
 
     /// Lets time pass and brings the timers that are due.
-    fn waits(&mut self, time: Micros) -> Vec<Call> {
-        let end = self.peers.now + time;
+    fn advance_by(&mut self, time: Micros) -> Vec<Call> {
+        let end = self.effects.now + time;
         let mut calls = Vec::new();
         loop {
-            self.peers.timers.sort();
-            match self.peers.timers.first().copied().filter(|t| t.0 <= end) {
+            self.effects.timers.sort();
+            match self.effects.timers.first().copied().filter(|t| t.0 <= end) {
                 Some((at, token)) => {
-                    self.peers.timers.remove(0);
-                    self.peers.now = at;
-                    calls.extend(self.happens(NetworkEvent::TimerFired(token)));
+                    self.effects.timers.remove(0);
+                    self.effects.now = at;
+                    calls.extend(self.on_event(NetworkEvent::TimerFired(token)));
                 }
                 None => break,
             }
         }
-        self.peers.now = end;
+        self.effects.now = end;
         calls
     }
 }
 
-fn fetched(calls: &[Call]) -> ServerId {
+fn attempted_server(calls: &[Call]) -> ServerId {
     match calls {
-        [Call::Fetch(_, server)] => *server,
+        [Call::BeginAttempt(_, server)] => *server,
         other => panic!("one fetch was expected, not {other:?}"),
     }
 }
@@ -143,84 +143,85 @@
 
 #[test]
 fn a_failed_fetch_is_followed_by_one_at_another_server() {
-    let mut rig = Rig::new(2);
-    let first = fetched(&rig.asked(7));
-    let second = fetched(&rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed)));
+    let mut test = DriverTest::new(2);
+    let first = attempted_server(&test.receive_request(7));
+    let second = attempted_server(&test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed)));
     assert_ne!(first, second);
 }
 
 #[test]
 fn an_end_that_was_told_already_changes_nothing() {
-    let mut rig = Rig::new(3);
-    rig.asked(7);
-    rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
-    rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
-    let last = rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Rejected));
-    assert!(matches!(last[..], [Call::Refuse(ID, wait)] if wait > 0), "{last:?}");
-    assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Rejected)), []);
-    assert_eq!(rig.driver.open_requests(), 0);
+    let mut test = DriverTest::new(3);
+    test.receive_request(7);
+    test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
+    test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
+    let last = test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::Rejected));
+    assert!(matches!(last[..], [Call::Reject(ID, wait)] if wait > 0), "{last:?}");
+    assert_eq!(test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::Rejected)), []);
+    assert_eq!(test.driver.open_requests(), 0);
 }
 
 #[test]
 fn a_connection_that_stood_is_complete_when_it_ends() {
     // Told as incomplete, the module would place the connection again or answer it once more.
     for outcome in [Outcome::Ok, Outcome::Reset, Outcome::Cancelled] {
-        let mut rig = Rig::new(3);
-        rig.asked(7);
-        assert_eq!(rig.happens(NetworkEvent::AttemptEstablished(ID)), []);
-        assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, outcome)), [], "{outcome:?}");
-        assert_eq!(rig.driver.open_requests(), 0);
-        assert_eq!(rig.waits(4_000_000).iter().filter(|c| **c != Call::Watch).count(), 0);
+        let mut test = DriverTest::new(3);
+        test.receive_request(7);
+        assert_eq!(test.on_event(NetworkEvent::AttemptEstablished(ID)), []);
+        assert_eq!(test.on_event(NetworkEvent::AttemptEnded(ID, outcome)), [], "{outcome:?}");
+        assert_eq!(test.driver.open_requests(), 0);
+        assert_eq!(test.advance_by(4_000_000).iter().filter(|c| **c != Call::WatchEndpoints).count(), 0);
     }
 }
 
 #[test]
 fn a_timed_out_fetch_still_owes_the_answer() {
-    let mut rig = Rig::new(1);
-    rig.asked(7);
-    let calls = rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::TimedOut));
-    assert!(matches!(calls[..], [Call::Refuse(ID, wait)] if wait > 0), "{calls:?}");
+    let mut test = DriverTest::new(1);
+    test.receive_request(7);
+    let calls = test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::TimedOut));
+    assert!(matches!(calls[..], [Call::Reject(ID, wait)] if wait > 0), "{calls:?}");
 }
 
 #[test]
 fn a_fetch_that_never_ends_is_called_off_and_the_client_told_once() {
-    let mut rig = Rig::new(1);
-    rig.asked(7);
-    let calls: Vec<Call> = rig.waits(3_000_000).into_iter().filter(|c| *c != Call::Watch).collect();
+    let mut test = DriverTest::new(1);
+    test.receive_request(7);
+    let calls: Vec<Call> =
+        test.advance_by(3_000_000).into_iter().filter(|c| *c != Call::WatchEndpoints).collect();
     assert_eq!(calls, [Call::Cancel(ID), Call::Fail(ID)]);
-    assert_eq!(rig.driver.open_requests(), 0);
+    assert_eq!(test.driver.open_requests(), 0);
 }
 
 #[test]
 fn a_client_that_left_gets_no_answer_and_is_forgotten_with_its_fetch() {
-    let mut rig = Rig::new(2);
-    rig.asked(7);
-    assert_eq!(rig.happens(NetworkEvent::ClientLeft(ID)), []);
-    assert_eq!(rig.driver.open_requests(), 1);
-    assert_eq!(rig.happens(NetworkEvent::AttemptEnded(ID, Outcome::Cancelled)), []);
-    assert_eq!(rig.driver.open_requests(), 0);
+    let mut test = DriverTest::new(2);
+    test.receive_request(7);
+    assert_eq!(test.on_event(NetworkEvent::ClientLeft(ID)), []);
+    assert_eq!(test.driver.open_requests(), 1);
+    assert_eq!(test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::Cancelled)), []);
+    assert_eq!(test.driver.open_requests(), 0);
 }
 
 #[test]
 fn clients_of_a_draining_server_are_moved_and_nobody_new_goes_there() {
-    let mut rig = Rig::new(2);
-    let server = fetched(&rig.asked(7));
-    rig.happens(NetworkEvent::AttemptEstablished(ID));
+    let mut test = DriverTest::new(2);
+    let server = attempted_server(&test.receive_request(7));
+    test.on_event(NetworkEvent::AttemptEstablished(ID));
     let entries = vec![entry(server.0, ServerState::Draining)];
     let calls =
-        rig.happens(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries });
-    assert_eq!(calls, [Call::Move(ID)]);
-    assert_eq!(rig.driver.open_requests(), 0);
+        test.on_event(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries });
+    assert_eq!(calls, [Call::Migrate(ID)]);
+    assert_eq!(test.driver.open_requests(), 0);
     for id in 8..20 {
-        assert_ne!(fetched(&rig.asked(id)), server);
+        assert_ne!(attempted_server(&test.receive_request(id)), server);
     }
 }
 
 #[test]
 fn a_connection_from_before_the_start_is_moved_like_any_other() {
-    let mut rig = Rig::new(2);
-    let deadline = rig.peers.now + 3_000_000;
-    let req = ReceivedRequest {
+    let mut test = DriverTest::new(2);
+    let deadline = test.effects.now + 3_000_000;
+    let request = ReceivedRequest {
         id: ID,
         class: 0,
         tenant: 0,
@@ -230,35 +231,35 @@
         group: 0,
         is_returning: false,
     };
-    assert_eq!(rig.happens(NetworkEvent::ConnectionRestored(req, ServerId(1))), []);
+    assert_eq!(test.on_event(NetworkEvent::ConnectionRestored(request, ServerId(1))), []);
     // It stands: its deadline binds no more.
-    assert_eq!(rig.waits(5_000_000).iter().filter(|c| **c != Call::Watch).count(), 0);
+    assert_eq!(test.advance_by(5_000_000).iter().filter(|c| **c != Call::WatchEndpoints).count(), 0);
     let entries = vec![entry(1, ServerState::Draining)];
     assert_eq!(
-        rig.happens(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries }),
-        [Call::Move(ID)]
+        test.on_event(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries }),
+        [Call::Migrate(ID)]
     );
 }
 
 #[test]
 fn slow_messages_move_clients_away() {
-    let mut rig = Rig::new(2);
-    let server = fetched(&rig.asked(7));
-    rig.happens(NetworkEvent::AttemptEstablished(ID));
-    let before: Vec<Call> = rig.happens(NetworkEvent::MessageDelayReported(server, 17_000));
+    let mut test = DriverTest::new(2);
+    let server = attempted_server(&test.receive_request(7));
+    test.on_event(NetworkEvent::AttemptEstablished(ID));
+    let before: Vec<Call> = test.on_event(NetworkEvent::MessageDelayReported(server, 17_000));
     assert_eq!(before, []);
     let calls: Vec<Call> =
-        (0..20).flat_map(|_| rig.happens(NetworkEvent::MessageDelayReported(server, 900_000))).collect();
-    assert_eq!(calls, [Call::Move(ID)]);
+        (0..20).flat_map(|_| test.on_event(NetworkEvent::MessageDelayReported(server, 900_000))).collect();
+    assert_eq!(calls, [Call::Migrate(ID)]);
 }
 
 #[test]
 fn the_director_is_asked_soon_and_again_within_three_seconds_of_each_failure() {
     // What discovery has to tell counts as told after 6 s, so a failed call must be repeated well before.
-    let mut rig = Rig::new(0);
-    assert_eq!(rig.waits(3_000_000), [Call::Watch]);
+    let mut test = DriverTest::new(0);
+    assert_eq!(test.advance_by(3_000_000), [Call::WatchEndpoints]);
     for _ in 0..8 {
-        assert_eq!(rig.happens(NetworkEvent::DiscoveryFailed), []);
-        assert_eq!(rig.waits(3_000_000), [Call::Watch]);
+        assert_eq!(test.on_event(NetworkEvent::DiscoveryFailed), []);
+        assert_eq!(test.advance_by(3_000_000), [Call::WatchEndpoints]);
     }
 }
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -6,7 +6,7 @@
 use shorewharf_driver::AdmissionGate;
 use shorewharf_settings::operator::Operator;
 
-struct Rig {
+struct GateTest {
     gate: AdmissionGate,
     now: f64,
     next: u32,
@@ -28,56 +28,56 @@
     }
 }
 
-impl Rig {
+impl GateTest {
     /// Two tenants of ten connections each, at the only balancer of two servers.
-    fn new(operator: &str) -> Rig {
+    fn new(operator: &str) -> GateTest {
         let text = br#"{"classes":[{"promise_s":0.8,"semantics":"read_like"}],"group_size":1,"tick_s":0.005,
             "tenants":[{"quota_per_s":10},{"quota_per_s":10}],
             "specifics":{"mode":"proxy","message_aim_s":[0.05],"tenant_quota_connections":[10,10]},
             "limits":{"cancel":true,"max_attempts":5,"retry_after":true,"max_retry_after_s":1.5}}"#;
         let set = shorewharf_settings::settings(text).expect("settings").0;
         let operator = Operator::parse(operator).expect("an operator's file");
-        let mut rig = Rig { gate: AdmissionGate::new(0, set, 7, &operator), now: 1.0, next: 0 };
-        rig.tell(Event::Start);
+        let mut test = GateTest { gate: AdmissionGate::new(0, set, 7, &operator), now: 1.0, next: 0 };
+        test.handle(Event::Start);
         let entry = |s| {
             let server = ServerId(s);
             ServerEntry { server, zone: 0, cell: 0, state: ServerState::Ready, weight: 1.0, started_at: 0.0 }
         };
         let entries = vec![entry(1), entry(2)].into();
-        rig.tell(Event::EndpointList { is_complete: true, is_cached: false, entries });
-        rig
+        test.handle(Event::EndpointList { is_complete: true, is_cached: false, entries });
+        test
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gate.handle(self.now, event, &mut out);
         out
     }
 
-    fn asks(&mut self, tenant: usize) -> (RequestId, Vec<Action>) {
+    fn receive_request(&mut self, tenant: usize) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = request(self.next, tenant, self.now);
-        (request.id, self.tell(Event::RequestReceived(request)))
+        (request.id, self.handle(Event::RequestReceived(request)))
     }
 
     /// A client comes up; where.
-    fn stands(&mut self, tenant: usize) -> Option<(RequestId, ServerId)> {
-        let (request, actions) = self.asks(tenant);
+    fn connect(&mut self, tenant: usize) -> Option<(RequestId, ServerId)> {
+        let (request, actions) = self.receive_request(tenant);
         let server = actions.iter().find_map(|a| match a {
             Action::BeginAttempt { server, .. } => Some(*server),
             _ => None,
         })?;
-        self.tell(Event::Established { request, attempt: 0 });
+        self.handle(Event::Established { request, attempt: 0 });
         Some((request, server))
     }
 
-    fn ends(
+    fn end_attempt(
         &mut self,
         (request, server): (RequestId, ServerId),
         outcome: Outcome,
         complete: bool,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request,
             server,
             attempt: 0,
@@ -98,38 +98,38 @@
 /// back exactly once.
 #[test]
 fn every_end_gives_a_place_back_once() {
-    let mut rig = Rig::new("[tenancy]\non = true");
-    let up: Vec<_> = (0..40).filter_map(|_| rig.stands(0)).collect();
+    let mut test = GateTest::new("[tenancy]\non = true");
+    let up: Vec<_> = (0..40).filter_map(|_| test.connect(0)).collect();
     // Its own ten; nothing is lent beyond 0.4 of twenty.
-    assert_eq!((up.len(), rig.used(0)), (10, 10));
-    let (id, actions) = rig.asks(0);
+    assert_eq!((up.len(), test.used(0)), (10, 10));
+    let (id, actions) = test.receive_request(0);
     let [Action::Reject { request, retry_after }] = actions[..] else { panic!("{actions:?}") };
     assert!(request == id && retry_after > 0.0 && retry_after <= 1.5, "{retry_after}");
-    assert_eq!(rig.gate.rejections().get("tenant-connections"), Some(&31));
-    assert!(rig.stands(1).is_some());
-    rig.now += 10.0;
-    let told = rig.asks(0).1;
+    assert_eq!(test.gate.rejections().get("tenant-connections"), Some(&31));
+    assert!(test.connect(1).is_some());
+    test.now += 10.0;
+    let told = test.receive_request(0).1;
     let line = "turned away since the last line: tenant 0 tenant-connections 32";
     assert!(told.contains(&Action::Log(line.to_owned())), "{told:?}");
 
     // Served to its end; broken; told twice.
-    rig.ends(up[0], Outcome::Ok, true);
-    rig.ends(up[1], Outcome::Reset, true);
-    rig.ends(up[1], Outcome::Reset, true);
-    assert_eq!(rig.used(0), 8);
+    test.end_attempt(up[0], Outcome::Ok, true);
+    test.end_attempt(up[1], Outcome::Reset, true);
+    test.end_attempt(up[1], Outcome::Reset, true);
+    assert_eq!(test.used(0), 8);
     // A client that leaves while its attempt is out gives its place back when that has ended.
-    let (id, sent) = rig.asks(0);
+    let (id, sent) = test.receive_request(0);
     let Some(Action::BeginAttempt { server, .. }) =
         sent.iter().find(|a| matches!(a, Action::BeginAttempt { .. }))
     else {
         panic!("{sent:?}")
     };
-    rig.tell(Event::ClientLeft(id));
-    assert_eq!(rig.used(0), 9);
-    rig.ends((id, *server), Outcome::Cancelled, true);
-    assert_eq!(rig.used(0), 8);
+    test.handle(Event::ClientLeft(id));
+    assert_eq!(test.used(0), 9);
+    test.end_attempt((id, *server), Outcome::Cancelled, true);
+    assert_eq!(test.used(0), 8);
     // One that all servers turn away is refused by the module.
-    let (id, mut actions) = rig.asks(0);
+    let (id, mut actions) = test.receive_request(0);
     let mut attempt = 0;
     while let Some(Action::BeginAttempt { server, .. }) =
         actions.iter().find(|a| matches!(a, Action::BeginAttempt { .. }))
@@ -143,16 +143,16 @@
             is_answered: complete,
             load_ratio: None,
         };
-        actions = rig.tell(ended);
+        actions = test.handle(ended);
         attempt += 1;
         if actions.iter().any(|a| matches!(a, Action::SetTimer { .. })) && !sends(&actions) {
             // Held until its deadline's timer, as no server is left.
-            rig.now += 3.0;
-            actions = rig.tell(Event::TimerFired(4 << 40 | u64::from(id.0)));
+            test.now += 3.0;
+            actions = test.handle(Event::TimerFired(4 << 40 | u64::from(id.0)));
         }
     }
     assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
-    assert_eq!(rig.used(0), 8);
+    assert_eq!(test.used(0), 8);
 }
 
 fn sends(actions: &[Action]) -> bool {
@@ -163,27 +163,27 @@
 /// streams are moved at the rate, oldest first, each once and nobody else's; the timer goes on until the last is gone.
 #[test]
 fn a_removed_tenants_streams_are_moved_at_a_rate() {
-    let mut rig = Rig::new("[tenancy]\non = true\nmoves_per_s = 10");
-    let up: Vec<_> = (0..8).filter_map(|_| rig.stands(0)).collect();
-    rig.stands(1).expect("served");
-    let (waits, sent) = rig.asks(0);
+    let mut test = GateTest::new("[tenancy]\non = true\nmoves_per_s = 10");
+    let up: Vec<_> = (0..8).filter_map(|_| test.connect(0)).collect();
+    test.connect(1).expect("served");
+    let (waits, sent) = test.receive_request(0);
     let server = sent
         .iter()
         .find_map(|a| if let Action::BeginAttempt { server, .. } = a { Some(*server) } else { None });
     let late = (waits, server.expect("sent"));
-    let now = shorewharf_units::micros_from_seconds(rig.now);
-    rig.gate.tenants().expect("kept").tenancy().remove(now, shorewharf_tenancy::TenantIndex(0));
+    let now = shorewharf_units::micros_from_seconds(test.now);
+    test.gate.tenants().expect("kept").tenancy().remove(now, shorewharf_tenancy::TenantIndex(0));
     // Any event sets the timer.
-    let mut actions = rig.tell(Event::TimerFired(77));
-    let (mut moved, began) = (Vec::new(), rig.now);
+    let mut actions = test.handle(Event::TimerFired(77));
+    let (mut moved, began) = (Vec::new(), test.now);
     loop {
         let timer = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, token } if *token == 1 << 63 => Some(*after),
             _ => None,
         });
         let Some(after) = timer else { break };
-        rig.now += after;
-        actions = rig.tell(Event::TimerFired(1 << 63));
+        test.now += after;
+        actions = test.handle(Event::TimerFired(1 << 63));
         let ids: Vec<RequestId> = actions
             .iter()
             .filter_map(|a| if let Action::Migrate(id) = a { Some(*id) } else { None })
@@ -191,16 +191,16 @@
         for id in ids {
             moved.push(id);
             let on = *up.iter().chain([&late]).find(|u| u.0 == id).expect("it stands, and is the tenant's");
-            rig.ends(on, Outcome::Cancelled, true);
+            test.end_attempt(on, Outcome::Cancelled, true);
         }
         if moved.len() == up.len() {
             // It comes up though its tenant is gone, and goes as the others went.
-            rig.tell(Event::Established { request: waits, attempt: 0 });
+            test.handle(Event::Established { request: waits, attempt: 0 });
         }
-        assert!(rig.now < began + 5.0, "{} of {} moved", moved.len(), up.len());
+        assert!(test.now < began + 5.0, "{} of {} moved", moved.len(), up.len());
     }
     assert_eq!(moved, up.iter().chain([&late]).map(|u| u.0).collect::<Vec<_>>());
-    assert!((0.7..1.3).contains(&(rig.now - began)) && rig.used(1) == 1, "{} s", rig.now - began);
+    assert!((0.7..1.3).contains(&(test.now - began)) && test.used(1) == 1, "{} s", test.now - began);
 }
 
 /// Failure: an operator's file with a slip of the pen. Promise: it is refused with the key's name; what is left out has
@@ -217,7 +217,7 @@
         let error = Operator::parse(text).expect_err(text).to_string();
         assert!(error.contains(key), "{text}: {error}");
     }
-    let mut rig = Rig::new("");
-    assert!(rig.gate.tenants().is_none());
-    assert_eq!((0..40).filter_map(|_| rig.stands(0)).count(), 40);
+    let mut test = GateTest::new("");
+    assert!(test.gate.tenants().is_none());
+    assert_eq!((0..40).filter_map(|_| test.connect(0)).count(), 40);
 }
