--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -63,7 +63,7 @@
                 drop(workers.send(PRIMARY_WORKER, WorkerMessage::WatchEndpoints))
             }
             _ => {
-                let events = self.discovery.watch(&mut self.context);
+                let events = self.discovery.open_watch(&mut self.context);
                 self.on_discovery_events(events);
             }
         }
@@ -74,6 +74,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        info!(event = "module", text = line);
+        info!(event = "decisions", text = line);
     }
 }
