--- a/crates/lifecycle/tests/duplicates.rs
+++ b/crates/lifecycle/tests/duplicates.rs
@@ -8,14 +8,14 @@
 
 const ID: RequestId = RequestId(3);
 /// What the guard keeps between a repeat and the end of its window.
-const HOLD_UP: Micros = 150_000;
+const MAX_WRITE_DELAY: Micros = 150_000;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Begin(Target),
     Send,
     End(Outcome),
-    Refuse,
+    Reject,
     Fail,
     Close,
     Wait(Micros),
@@ -48,7 +48,7 @@
         self.attempts.iter().filter(|attempt| attempt.may_have_run())
     }
 
-    fn may_refuse(&self) -> bool {
+    fn may_reject(&self) -> bool {
         let is_harmless = matches!(
             self.idempotency,
             Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
@@ -68,7 +68,7 @@
     fn is_in_window(&self, now: Micros) -> bool {
         let Idempotency::Keyed(_, window) = self.idempotency else { return true };
         let first = self.runs().filter_map(|run| run.sent_at).min();
-        first.is_none_or(|sent_at| now + HOLD_UP < sent_at + (window * 1e6) as Micros)
+        first.is_none_or(|sent_at| now + MAX_WRITE_DELAY < sent_at + (window * 1e6) as Micros)
     }
 
     fn out(&mut self) -> Option<&mut Attempt> {
@@ -98,8 +98,15 @@
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
-    use Outcome::*;
-    prop::sample::select(vec![Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent])
+    prop::sample::select(vec![
+        Outcome::Error,
+        Outcome::Rejected,
+        Outcome::TimedOut,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+    ])
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -107,7 +114,7 @@
         4 => target().prop_map(Step::Begin),
         4 => Just(Step::Send),
         4 => outcome().prop_map(Step::End),
-        1 => Just(Step::Refuse),
+        1 => Just(Step::Reject),
         1 => Just(Step::Fail),
         1 => Just(Step::Close),
         2 => (1..800_000u64).prop_map(Step::Wait),
@@ -146,7 +153,7 @@
 fn answer(guard: &mut RequestGuard, model: &mut Model, answer: Answer) {
     let wanted = match answer {
         _ if model.is_answered => Some(Rule::SecondAnswer),
-        Answer::Rejected { .. } if !model.may_refuse() => Some(Rule::RejectedAfterRun),
+        Answer::Rejected { .. } if !model.may_reject() => Some(Rule::RejectedAfterRun),
         Answer::Closed => Some(Rule::ClosedUnanswered),
         _ => None,
     };
@@ -173,15 +180,15 @@
                 model.out().into_iter().for_each(|attempt| attempt.outcome = Some(outcome));
             }
             Step::End(_) => {}
-            Step::Refuse => answer(&mut guard, &mut model, Answer::Rejected { retry_after: 300_000 }),
+            Step::Reject => answer(&mut guard, &mut model, Answer::Rejected { retry_after: 300_000 }),
             Step::Fail => answer(&mut guard, &mut model, Answer::Failed),
             Step::Close => answer(&mut guard, &mut model, Answer::Closed),
             Step::Wait(time) => now += time,
         }
         if !model.is_answered {
-            assert_eq!(guard.is_rejectable(ID), model.may_refuse());
-            let refused = matches!(guard.answer_for_unserved(ID, 1), Answer::Rejected { .. });
-            assert_eq!(refused, model.may_refuse());
+            assert_eq!(guard.is_rejectable(ID), model.may_reject());
+            let is_rejected = matches!(guard.answer_for_unserved(ID, 1), Answer::Rejected { .. });
+            assert_eq!(is_rejected, model.may_reject());
         }
     }
     assert_eq!(
