--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -270,7 +270,7 @@
 
     fn accept(&mut self, list: EndpointUpdate) -> DiscoveryEvent {
         if std::mem::replace(&mut self.has_failed, false) {
-            info!(event = "discovery-back", index = list.index);
+            info!(event = "discovery-recovered", index = list.index);
         }
         self.index = list.index;
         DiscoveryEvent::List(list)
