--- a/crates/balancer/src/config/file.rs
+++ b/crates/balancer/src/config/file.rs
@@ -121,6 +121,9 @@
 }
 
 /// Checks that a duration is over 0 and under [`MAX_SECONDS`].
+///
+/// # Errors
+/// The duration is out of that range.
 pub(super) fn check_duration(key: &str, seconds: f64) -> Result<(), ConfigError> {
     if seconds > 0.0 && seconds < MAX_SECONDS {
         return Ok(());
