--- a/crates/balancer/src/overload/descriptor_budget.rs
+++ b/crates/balancer/src/overload/descriptor_budget.rs
@@ -72,7 +72,7 @@
         if has_shortage {
             warn!(event = "descriptors-short", held, limit);
         } else {
-            info!(event = "descriptors-enough", held, limit);
+            info!(event = "descriptors-recovered", held, limit);
         }
     }
 }
--- a/crates/balancer/src/overload/monitor.rs
+++ b/crates/balancer/src/overload/monitor.rs
@@ -166,7 +166,7 @@
         };
         if self.admit_ratio >= 1.0 {
             let ms = (now - overload.since) / MICROS_PER_MILLISECOND;
-            info!(event = "overload-over", refused = overload.rejected, ms);
+            info!(event = "overload-ended", refused = overload.rejected, ms);
             self.overload = None;
             self.contradicting_windows = 0;
         }
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -77,7 +77,7 @@
         if !session.connection.pending_input().is_empty() {
             let client = session.client_address();
             if self.log_limiter.acquire(context) {
-                warn!(event = "half-line", client = %client);
+                warn!(event = "incomplete-line", client = %client);
             }
         }
         if has_closed {
