--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -8,14 +8,15 @@
 use crate::state::Balancer;
 use crate::timers::{HOUSEKEEPING_PERIOD_SECONDS, Timer};
 
-/// Share of returning clients that pass over their group's first server where nothing is known of its message delay:
-/// an instance that knew of it may have sent them away from there.
+/// Share of returning clients that pass over their group's first server where nothing is known of its message
+/// delay: an instance that knew of it may have sent them away from there.
 const SKIP_FIRST_RANK_RATIO: f64 = 0.5;
 /// Migrations allowed for each new client.
 const MIGRATIONS_PER_NEW_CLIENT: f64 = 5.0;
 /// Migrations allowed for each returning client: an instance that has just started may have no other clients.
 const MIGRATIONS_PER_RETURNING_CLIENT: f64 = 1.0;
-/// A server that is unavailable when its last client leaves stays so for about this time: nobody reports on it any more.
+/// A server that is unavailable when its last client leaves stays so for about this time: nobody reports on
+/// it any more.
 const UNOBSERVED_UNAVAILABLE_SECONDS: f64 = 8.0 * HOUSEKEEPING_PERIOD_SECONDS;
 /// A request's deadline timer fires this many ticks early.
 const DEADLINE_TIMER_MARGIN_TICKS: f64 = 1.5;
@@ -26,7 +27,8 @@
 #[derive(Clone, Copy, Debug)]
 struct NewAttempt {
     server: ServerId,
-    /// The whole time left in seconds: a set-up that is given up early is wasted work, and its retry is more of it.
+    /// The whole time left in seconds: a set-up that is given up early is wasted work, and its retry is more
+    /// of it.
     timeout: f64,
 }
 
--- a/crates/decisions/src/embedding_api.rs
+++ b/crates/decisions/src/embedding_api.rs
@@ -1,5 +1,5 @@
-//! What the code around a balancer reads from it and tells it beside events: loads and connections to be reported, and
-//! the decisions that are made elsewhere, on retries and on migrations.
+//! What the code around a balancer reads from it and tells it beside events: loads and connections to be
+//! reported, and the decisions that are made elsewhere, on retries and on migrations.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +23,9 @@
 }
 
 impl Balancer {
-    /// The load that this instance has put on a server, as work a second in the unit of list weights: of its attempts,
-    /// connections and reservations, with the overheads of connections and groups. 0 for an unknown server.
+    /// The load that this instance has put on a server, as work a second in the unit of list weights: of its
+    /// attempts, connections and reservations, with the overheads of connections and groups. 0 for an unknown
+    /// server.
     pub fn assigned_load(&self, server: ServerId) -> f64 {
         self.servers.get(server).map_or(0.0, |server| self.loads.load_on(server))
     }
@@ -53,7 +54,8 @@
         self.are_retries_allowed = are_allowed;
     }
 
-    /// The request of an established connection that is not about to migrate, and its load if that was reported.
+    /// The request of an established connection that is not about to migrate, and its load if that was
+    /// reported.
     pub fn established(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
         let tracked = self.requests.get(id).filter(|tracked| tracked.is_established())?;
         Some((tracked.request, tracked.is_load_reported.then_some(tracked.load)))
@@ -66,8 +68,9 @@
         self.servers.iter().filter(is_unavailable).map(|server| server.entry.server).collect()
     }
 
-    /// Records that an established connection is migrated by a decision made elsewhere. Its server keeps no reservation;
-    /// `target` does until `expires_at`, and takes the client when it comes back if it takes clients then.
+    /// Records that an established connection is migrated by a decision made elsewhere. Its server keeps no
+    /// reservation; `target` does until `expires_at`, and takes the client when it comes back if it takes
+    /// clients then.
     pub fn on_migrated(&mut self, id: RequestId, target: Option<ServerId>, expires_at: f64) {
         let is_connected = |tracked: &&mut TrackedRequest| tracked.connected_server.is_some();
         let Some(tracked) = self.requests.get_mut(id).filter(is_connected) else { return };
--- a/crates/decisions/src/fleet_placement.rs
+++ b/crates/decisions/src/fleet_placement.rs
@@ -1,5 +1,6 @@
-//! Placement by the loads of all instances together, where they are known. The reports are some tenths of a second old and
-//! the same at every instance, so what many instances would do at once by them is left to chance.
+//! Placement by the loads of all instances together, where they are known. The reports are some tenths of a
+//! second old and the same at every instance, so what many instances would do at once by them is left to
+//! chance.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,8 +15,8 @@
 const MAX_USAGE_RATIO: f64 = 1.15;
 /// A server below this multiple of the mean usage is filled first.
 const UNDERUSED_RATIO: f64 = 0.8;
-/// Underused servers are filled by the requests of this many seconds: some times the age of a report, as all instances go
-/// by the same ones.
+/// Underused servers are filled by the requests of this many seconds: some times the age of a report, as all
+/// instances go by the same ones.
 const FILL_SECONDS: f64 = 2.0;
 /// What a server pays for each group that it holds any connection of, in mean loads, whoever holds it.
 const GROUP_OVERHEAD_LOADS: f64 = 2.0;
@@ -28,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FleetUsage {
     server: ServerId,
-    is_remote: bool,
+    is_cross_zone: bool,
     /// Whether any instance holds some of the request's group there.
     holds_group: bool,
     capacity: f64,
@@ -81,9 +82,9 @@
         // By rank, which is the same at every instance for a group.
         let ranked: Vec<FleetUsage> =
             self.ranked_servers(now, tracked).iter().filter_map(|id| by_server.get(id)).copied().collect();
-        let has_local = ranked.iter().any(|usage| !usage.is_remote);
+        let has_same_zone = ranked.iter().any(|usage| !usage.is_cross_zone);
         let candidates: Vec<FleetUsage> =
-            ranked.into_iter().filter(|usage| !(has_local && usage.is_remote)).collect();
+            ranked.into_iter().filter(|usage| !(has_same_zone && usage.is_cross_zone)).collect();
         if let Some(server) = self.choose_underused(&candidates, mean_ratio) {
             return Some(server);
         }
@@ -144,7 +145,7 @@
         let capacity = server.entry.weight * server.warm_up_ratio(&self.settings, now);
         FleetUsage {
             server: server.entry.server,
-            is_remote: self.is_remote(server),
+            is_cross_zone: self.is_cross_zone(server),
             holds_group,
             capacity: capacity.max(f64::MIN_POSITIVE),
             load: server.assigned_load + remote_load + loads.mean * overheads,
@@ -152,12 +153,13 @@
         }
     }
 
-    /// Draws an underused server, weighted by how many requests each of them lacks. Returns `None` so often that all
-    /// instances together don't overfill them.
+    /// Draws an underused server, weighted by how many requests each of them lacks. Returns `None` so often
+    /// that all instances together don't overfill them.
     fn choose_underused(&mut self, candidates: &[FleetUsage], mean_ratio: f64) -> Option<ServerId> {
         let target = UNDERUSED_RATIO * mean_ratio;
         let missing: f64 = candidates.iter().map(|usage| usage.missing_requests(target)).sum();
-        // An instance that has just sent a request says little of the fleet's rate: the long mean, or that of a surge.
+        // An instance that has just sent a request says little of the fleet's rate: the long mean, or that of
+        // a surge.
         let recent_rate = self.setup_limiter.recent_attempts() * 0.5 - 1.0;
         let rate = f64::max(self.arrivals.per_second, recent_rate);
         let expected_requests = 1.0 + self.settings.instance_count * rate * FILL_SECONDS;
@@ -174,8 +176,8 @@
         drawn.or(candidates.first()).map(|usage| usage.server)
     }
 
-    /// A server that stays below the limit with the request: the least used that holds its group, else the first by rank. A
-    /// returning client gets a random one of the first few.
+    /// A server that stays below the limit with the request: the least used that holds its group, else the
+    /// first by rank. A returning client gets a random one of the first few.
     fn choose_below_limit(
         &mut self,
         tracked: &TrackedRequest,
--- a/crates/decisions/src/groups.rs
+++ b/crates/decisions/src/groups.rs
@@ -35,8 +35,8 @@
     groups: BTreeMap<u64, GroupStats>,
 }
 
-/// What the placement of a request goes by: its group, or the client's key where packets pass through and the next
-/// instance has to find the same server.
+/// What the placement of a request goes by: its group, or the client's key where packets pass through and the
+/// next instance has to find the same server.
 pub(crate) fn placement_group(settings: &Settings, request: &Request) -> Option<u64> {
     let group = if settings.is_pass_through { request.key } else { request.group };
     ((settings.is_pass_through || settings.has_groups) && group != 0).then_some(group)
--- a/crates/decisions/src/hashing.rs
+++ b/crates/decisions/src/hashing.rs
@@ -1,4 +1,5 @@
-//! Hashes that all instances compute alike, so that they agree on an order of servers without talking to each other.
+//! Hashes that all instances compute alike, so that they agree on an order of servers without talking to each
+//! other.
 
 use crate::interface::ServerId;
 
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -1,6 +1,7 @@
 //! The interface of the decisions: everything that goes into a balancer and comes out of it.
 //!
-//! Times are seconds on the caller's clock, which never goes back. Loads are work a second in the unit of list weights.
+//! Times are seconds on the caller's clock, which never goes back. Loads are work a second in the unit of
+//! list weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,7 +30,8 @@
 pub enum Idempotency {
     /// Harmless to repeat and to reject.
     Idempotent,
-    /// Carries an idempotency key: the servers of a scope drop repeats for this many seconds after the first attempt.
+    /// Carries an idempotency key: the servers of a scope drop repeats for this many seconds after the first
+    /// attempt.
     Keyed(DeduplicationScope, f64),
     /// Must not be repeated unless no earlier attempt can have run.
     NonIdempotent,
@@ -258,8 +260,8 @@
     },
     /// A new estimate, made elsewhere, of the mean load of a connection, for those whose own is not known.
     MeanLoadEstimated(f64),
-    /// What other instances hold at each server, as they have reported it; `None` where too few are heard of. Comes several
-    /// times a second.
+    /// What other instances hold at each server, as they have reported it; `None` where too few are heard of.
+    /// Comes several times a second.
     RemoteLoadsUpdated(Option<Arc<BTreeMap<ServerId, RemoteLoad>>>),
     /// An attempt or an established connection has ended.
     AttemptEnded {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of the balancer: which server a request goes to, whether it is retried, and when it is rejected.
+//! The decisions of the balancer: which server a request goes to, whether it is retried, and when it is
+//! rejected.
 //!
-//! A [`Balancer`] takes events and appends actions ([`interface`]). It does no I/O and has no clock: the time is an
-//! argument, and all randomness comes from a seed.
+//! A [`Balancer`] takes events and appends actions ([`interface`]). It does no I/O and has no clock: the time
+//! is an argument, and all randomness comes from a seed.
 
 mod arrival_rate;
 mod attempts;
--- a/crates/decisions/src/load.rs
+++ b/crates/decisions/src/load.rs
@@ -1,6 +1,6 @@
-//! Loads: what a request is expected to cost, what this instance has put on a server, and whether the server can sustain
-//! one more. Loads are work a second in the unit of list weights. What a server can sustain is estimated outside
-//! ([`Event::CapacityEstimated`](crate::interface::Event::CapacityEstimated)).
+//! Loads: what a request is expected to cost, what this instance has put on a server, and whether the server
+//! can sustain one more. Loads are work a second in the unit of list weights. What a server can sustain is
+//! estimated outside ([`Event::CapacityEstimated`](crate::interface::Event::CapacityEstimated)).
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 
 /// What a server pays for holding a connection, beside the connection's own load, in mean loads.
 pub(crate) const CONNECTION_OVERHEAD_LOADS: f64 = 0.1;
-/// What a server pays for each group that it holds any connection of, in mean loads. Other instances may hold some of the
-/// same group, so each counts a part of the whole cost.
+/// What a server pays for each group that it holds any connection of, in mean loads. Other instances may hold
+/// some of the same group, so each counts a part of the whole cost.
 const GROUP_OVERHEAD_LOADS: f64 = 1.4;
 /// Concurrent set-ups at a full server. Each takes a core while it lasts.
 const MAX_CONCURRENT_SETUPS: f64 = 1.0;
@@ -62,8 +62,8 @@
         self.capacity(server).filter(|_| self.mean_load > 0.0)
     }
 
-    /// The load of a new request: its hint, or the mean of its class, of another class, of all connections. A hint counts
-    /// towards the mean of the class.
+    /// The load of a new request: its hint, or the mean of its class, of another class, of all connections. A
+    /// hint counts towards the mean of the class.
     pub fn estimate(&mut self, request: &Request) -> f64 {
         let hint = request.load.and_then(positive);
         if let (Some(load), Some(mean)) = (hint, self.class_loads.get_mut(request.class)) {
@@ -82,7 +82,8 @@
         server.assigned_load + self.mean_load * overheads
     }
 
-    /// Whether a server can sustain a request's load too. One that holds nothing takes a first one whatever its estimate.
+    /// Whether a server can sustain a request's load too. One that holds nothing takes a first one whatever
+    /// its estimate.
     pub fn can_sustain(&self, server: &Server, tracked: &TrackedRequest) -> bool {
         let Some(capacity) = self.comparable_capacity(server.entry.server) else { return true };
         let is_new_group = tracked.group.is_some_and(|group| !server.group_connections.contains_key(&group));
@@ -99,8 +100,8 @@
         f64::from(server.pending_setups) < slots
     }
 
-    /// This instance's even part of a server, in mean connections. While no load is known, it is taken from the tenants'
-    /// quotas; infinite where those are not known.
+    /// This instance's even part of a server, in mean connections. While no load is known, it is taken from
+    /// the tenants' quotas; infinite where those are not known.
     pub fn connections_per_server(&self, settings: &Settings, server_count: usize) -> f64 {
         if self.mean_load <= 0.0 || self.capacities.is_empty() {
             let quota: f64 = settings.tenant_connection_quotas.iter().sum();
@@ -111,7 +112,8 @@
         total / self.capacities.len() as f64 / self.mean_load
     }
 
-    /// Whether this instance's part of the servers is so small that its own load says nothing of them, and it may probe.
+    /// Whether this instance's part of the servers is so small that its own load says nothing of them, and it
+    /// may probe.
     pub fn lacks_own_load_signal(&self, settings: &Settings, server_count: usize) -> bool {
         settings.may_probe
             && !settings.is_pass_through
--- a/crates/decisions/src/persistence/export.rs
+++ b/crates/decisions/src/persistence/export.rs
@@ -26,8 +26,8 @@
 }
 
 impl Balancer {
-    /// Exports at most `limit` further records, and returns where to go on. State that changes between two portions is
-    /// exported as it is then: records are independent of each other.
+    /// Exports at most `limit` further records, and returns where to go on. State that changes between two
+    /// portions is exported as it is then: records are independent of each other.
     pub fn export_state(
         &self,
         from: ExportCursor,
--- a/crates/decisions/src/persistence/records.rs
+++ b/crates/decisions/src/persistence/records.rs
@@ -1,4 +1,5 @@
-//! The records of exported state. Their names and forms are read and written by other versions of the program too.
+//! The records of exported state. Their names and forms are read and written by other versions of the program
+//! too.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/decisions/src/persistence/restore.rs
+++ b/crates/decisions/src/persistence/restore.rs
@@ -11,7 +11,8 @@
 use crate::servers::{HEALTH_RECOVERY_RATIO, MIN_HEALTH, RESET_DECAY_RATIO};
 use crate::state::Balancer;
 
-/// The smallest load that a connection can have, in work a second: what is divided by less is no finite number.
+/// The smallest load that a connection can have, in work a second: what is divided by less is no finite
+/// number.
 const MIN_CONNECTION_LOAD: f64 = 1e-9;
 /// The largest load that a connection can have, in work a second.
 const MAX_CONNECTION_LOAD: f64 = 1e9;
@@ -71,9 +72,9 @@
 }
 
 impl Balancer {
-    /// Restores what an instance has exported `age` seconds ago; the endpoint list has to be known. `are_connections_lost`
-    /// tells that the connections of that time have ended, so that their clients are expected back; where they go on they
-    /// are restored by events.
+    /// Restores what an instance has exported `age` seconds ago; the endpoint list has to be known.
+    /// `are_connections_lost` tells that the connections of that time have ended, so that their clients are
+    /// expected back; where they go on they are restored by events.
     pub fn restore(
         &mut self,
         now: f64,
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,6 +1,7 @@
 //! Placement: which server a request is sent to. An instance that knows the loads of the others goes by them
-//! (`fleet_placement`), one whose own load says nothing probes (`probing`), and any other goes by its own load, as here:
-//! the server reserved for the client, one that holds its group, or the least used of its group's pool.
+//! (`fleet_placement`), one whose own load says nothing probes (`probing`), and any other goes by its own
+//! load, as here: the server reserved for the client, one that holds its group, or the least used of its
+//! group's pool.
 
 use crate::groups::placement_group;
 use crate::hashing::{hash_pair, rendezvous_rank};
@@ -12,8 +13,8 @@
 
 /// Zone crossing cost from which on servers of other zones come after all of this instance's own.
 const LOCAL_ZONE_MIN_CROSSING_COST: f64 = 0.05;
-/// Servers beyond a group's pool that are taken while members of the pool are unavailable. Beyond them the group is
-/// rejected, since each server that holds any of it pays for the group.
+/// Servers beyond a group's pool that are taken while members of the pool are unavailable. Beyond them the
+/// group is rejected, since each server that holds any of it pays for the group.
 const POOL_OVERFLOW_SERVERS: usize = 1;
 /// A pool member is passed over above this multiple of the mean usage ...
 const MAX_USAGE_RATIO: f64 = 1.25;
@@ -49,14 +50,14 @@
 
 /// A server of a group's pool.
 struct PoolMember<'a> {
-    is_remote: bool,
+    is_cross_zone: bool,
     rank: f64,
     server: &'a Server,
 }
 
 impl PoolMember<'_> {
     fn by_rank(a: &Self, b: &Self) -> std::cmp::Ordering {
-        a.is_remote.cmp(&b.is_remote).then(a.rank.total_cmp(&b.rank))
+        a.is_cross_zone.cmp(&b.is_cross_zone).then(a.rank.total_cmp(&b.rank))
     }
 }
 
@@ -77,8 +78,8 @@
         Placement::from_choice(self.choose_by_own_load(now, tracked))
     }
 
-    /// Whether a server comes after those of this instance's zone.
-    pub(crate) fn is_remote(&self, server: &Server) -> bool {
+    /// Whether crossing zones costs so much that a server comes after those of this instance's zone.
+    pub(crate) fn is_cross_zone(&self, server: &Server) -> bool {
         self.settings.zone_crossing_cost >= LOCAL_ZONE_MIN_CROSSING_COST
             && server.entry.zone != self.settings.zone
     }
@@ -98,7 +99,7 @@
             return Some(reservation.server);
         }
         // Whoever puts a server back in service wants to see it used, and the ranks may send nobody there.
-        let is_unused = |server: &&Server| server.is_back_from_draining && !self.is_remote(server);
+        let is_unused = |server: &&Server| server.is_back_from_draining && !self.is_cross_zone(server);
         let mut unused = self.servers.iter().filter(is_unused);
         if let Some(server) = unused.find(|server| self.is_candidate(server, tracked, now)) {
             return Some(server.entry.server);
@@ -135,7 +136,7 @@
         let candidates = holders.filter(|server| {
             self.is_candidate(server, tracked, now)
                 && !self.is_over_limit(server, limit, now)
-                && !self.is_remote(server)
+                && !self.is_cross_zone(server)
         });
         self.least_used(now, tracked, candidates)
     }
@@ -148,11 +149,11 @@
         group: Option<u64>,
         limit: UsageLimit,
     ) -> Option<ServerId> {
-        let local_count = self.servers.ready().filter(|server| !self.is_remote(server)).count();
+        let local_count = self.servers.ready().filter(|server| !self.is_cross_zone(server)).count();
         let in_service = self.servers.in_service(&self.settings, now);
         let mut pool: Vec<PoolMember> = in_service
             .map(|server| PoolMember {
-                is_remote: self.is_remote(server),
+                is_cross_zone: self.is_cross_zone(server),
                 rank: self.rank(group.unwrap_or(0), server),
                 server,
             })
@@ -172,18 +173,20 @@
             pool.remove(0);
         }
         pool.retain(|member| self.can_take(member.server, tracked, now));
-        pool.sort_by_key(|member| (self.is_over_limit(member.server, limit, now), member.is_remote));
+        pool.sort_by_key(|member| (self.is_over_limit(member.server, limit, now), member.is_cross_zone));
         let members = pool.iter().take(pool_size).map(|member| member.server);
         self.least_used(now, tracked, members)
     }
 
-    /// Whether slow messages would have been reported by clients here, and were not. A warming server has its own bound.
+    /// Whether slow messages would have been reported by clients here, and were not. A warming server has its
+    /// own bound.
     fn has_normal_delay(&self, server: &Server, now: f64) -> bool {
         let is_quiet = server.connections > 0 && now >= server.last_delay.reported_at + QUIET_SECONDS;
         server.warm_up_ratio(&self.settings, now) < 1.0 || is_quiet
     }
 
-    /// The server with the lowest usage. Ties, which are the rule on a large fleet, are broken at random by the client's key.
+    /// The server with the lowest usage. Ties, which are the rule on a large fleet, are broken at random by
+    /// the client's key.
     fn least_used<'a>(
         &self,
         now: f64,
--- a/crates/decisions/src/probe_table.rs
+++ b/crates/decisions/src/probe_table.rs
@@ -1,4 +1,5 @@
-//! The results of placement probes: how long a server took to answer one, against what is usual for servers of its kind.
+//! The results of placement probes: how long a server took to answer one, against what is usual for servers
+//! of its kind.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -40,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ServerKind {
     /// Whether they are in this instance's zone: the network's part of a probe depends on it.
-    is_local: bool,
+    is_same_zone: bool,
     /// The listed weight as bits; `None` for servers of any weight.
     weight_bits: Option<u64>,
 }
@@ -79,9 +80,9 @@
     }
 
     /// Counts the duration of an answered probe towards what is usual.
-    pub fn record_duration(&mut self, is_local: bool, weight: f64, duration: f64) {
+    pub fn record_duration(&mut self, is_same_zone: bool, weight: f64, duration: f64) {
         for weight_bits in [Some(weight.to_bits()), None] {
-            let durations = self.durations.entry(ServerKind { is_local, weight_bits }).or_default();
+            let durations = self.durations.entry(ServerKind { is_same_zone, weight_bits }).or_default();
             durations.truncate(MAX_DURATIONS - 1);
             durations.push_front(duration);
         }
@@ -93,13 +94,13 @@
         durations.get((durations.len() as f64 * USUAL_DURATION_QUANTILE) as usize).copied()
     }
 
-    /// The usual duration for a server: the geometric mean of what is usual for its weight and for any. By its weight alone,
-    /// slow machines that are all too full would look as they should; by any, they would stay empty until the fast ones are
-    /// full.
-    pub fn usual_duration(&self, is_local: bool, weight: f64) -> Option<f64> {
+    /// The usual duration for a server: the geometric mean of what is usual for its weight and for any. By
+    /// its weight alone, slow machines that are all too full would look as they should; by any, they would
+    /// stay empty until the fast ones are full.
+    pub fn usual_duration(&self, is_same_zone: bool, weight: f64) -> Option<f64> {
         let of_weight =
-            self.usual_duration_of(ServerKind { is_local, weight_bits: Some(weight.to_bits()) })?;
-        let of_any = self.usual_duration_of(ServerKind { is_local, weight_bits: None })?;
+            self.usual_duration_of(ServerKind { is_same_zone, weight_bits: Some(weight.to_bits()) })?;
+        let of_any = self.usual_duration_of(ServerKind { is_same_zone, weight_bits: None })?;
         Some((of_weight * of_any).sqrt())
     }
 
--- a/crates/decisions/src/probing.rs
+++ b/crates/decisions/src/probing.rs
@@ -1,9 +1,10 @@
-//! Placement by probes, for an instance whose own load says nothing of the servers: it probes those that a request may go
-//! to, in the order of their ranks. A probe is served like a request, so its duration grows with what all instances together
-//! have put there.
+//! Placement by probes, for an instance whose own load says nothing of the servers: it probes those that a
+//! request may go to, in the order of their ranks. A probe is served like a request, so its duration grows
+//! with what all instances together have put there.
 //!
-//! A server has capacity if its probe took no longer than is usual for its kind. Ranks are the same at every instance, so a
-//! group stays together on its first server until that is fuller than others, and then goes on to the next one.
+//! A server has capacity if its probe took no longer than is usual for its kind. Ranks are the same at every
+//! instance, so a group stays together on its first server until that is fuller than others, and then goes on
+//! to the next one.
 
 use crate::interface::{Action, Outcome, ServerId};
 use crate::placement::Placement;
@@ -17,7 +18,8 @@
 const PROBES_PER_ROUND: usize = 3;
 /// Rounds of probes; then the fastest server is taken.
 const MAX_PROBE_ROUNDS: usize = 2;
-/// At most one in this many servers is probed for a request: groups that go on to many servers fill them by that alone.
+/// At most one in this many servers is probed for a request: groups that go on to many servers fill them by
+/// that alone.
 const SERVERS_PER_PROBE: usize = 14;
 /// At least this many servers are probed for a request.
 const MIN_PROBED_SERVERS: usize = 2;
@@ -73,7 +75,8 @@
         Placement::from_choice(fastest.map(|(_, id)| id))
     }
 
-    /// Servers that can take a request: the one reserved for its client, one that is back from draining, then by rank.
+    /// Servers that can take a request: the one reserved for its client, one that is back from draining, then
+    /// by rank.
     pub(crate) fn ranked_servers(&self, now: f64, tracked: &TrackedRequest) -> Vec<ServerId> {
         let can_take = |server: &&Server| {
             now >= server.unavailable_until
@@ -95,7 +98,7 @@
             .map(|server| {
                 let id = server.entry.server;
                 let preference =
-                    (reserved != Some(id), !server.is_back_from_draining, self.is_remote(server));
+                    (reserved != Some(id), !server.is_back_from_draining, self.is_cross_zone(server));
                 (preference, self.rank(group, server), id)
             })
             .collect();
@@ -103,10 +106,11 @@
         ranked.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    /// The duration of a server's probe over what is usual for its kind; none where it has to be probed first.
+    /// The duration of a server's probe over what is usual for its kind; none where it has to be probed
+    /// first.
     fn probe_ratio(&self, now: f64, server: &Server) -> Option<f64> {
         let sample = self.probes.get(server.entry.server)?;
-        let usual = self.probes.usual_duration(self.is_local(server), server.entry.weight);
+        let usual = self.probes.usual_duration(self.is_same_zone(server), server.entry.weight);
         if let Some(sent_at) = sample.pending_since(now) {
             let so_far = (now - sent_at) * self.expected_speed(server, now);
             let expected = usual.unwrap_or(self.settings.connect_timeout * PROBE_CHECK_RATIO);
@@ -120,12 +124,12 @@
         Some(usual.map_or(f64::INFINITY, |usual| probe.duration / usual))
     }
 
-    fn is_local(&self, server: &Server) -> bool {
+    fn is_same_zone(&self, server: &Server) -> bool {
         server.entry.zone == self.settings.zone
     }
 
-    /// The speed of a server over that of a warm one: the geometric mean of its warm-up ratio, which is the least that it can
-    /// do, and the whole.
+    /// The speed of a server over that of a warm one: the geometric mean of its warm-up ratio, which is the
+    /// least that it can do, and the whole.
     fn expected_speed(&self, server: &Server, now: f64) -> f64 {
         server.warm_up_ratio(&self.settings, now).sqrt()
     }
@@ -180,7 +184,7 @@
         let duration = (now - sent_at) * self.expected_speed(server, now);
         let is_answered = outcome == Outcome::Ok;
         if is_answered {
-            self.probes.record_duration(self.is_local(server), server.entry.weight, duration);
+            self.probes.record_duration(self.is_same_zone(server), server.entry.weight, duration);
         }
         let duration = if is_answered { duration } else { f64::INFINITY };
         self.probes.record_result(id, CompletedProbe { completed_at: now, duration });
--- a/crates/decisions/src/rate_limit.rs
+++ b/crates/decisions/src/rate_limit.rs
@@ -1,5 +1,5 @@
-//! The rate limit of set-ups: failures at many servers at once slow all sending down, as they speak of what the servers
-//! share (a session store); successes raise the limit until it binds no more.
+//! The rate limit of set-ups: failures at many servers at once slow all sending down, as they speak of what
+//! the servers share (a session store); successes raise the limit until it binds no more.
 
 use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -8,7 +8,8 @@
 
 /// Deferred requests are placed again after this share of the latency objective.
 const DEFER_RATIO: f64 = 0.1;
-/// Requests that may be deferred for each server that can sustain more: about as many as it sets up within the objective.
+/// Requests that may be deferred for each server that can sustain more: about as many as it sets up within
+/// the objective.
 const MAX_DEFERRED_PER_SERVER: usize = 4;
 /// No request is deferred within this many ticks of its deadline.
 const DEFER_MARGIN_TICKS: f64 = 4.0;
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Whether a request that no server takes is worth deferring: set-up slots come free, or slow start admits more, within
-    /// moments. Otherwise a rejection is due at once.
+    /// Whether a request that no server takes is worth deferring: set-up slots come free, or slow start
+    /// admits more, within moments. Otherwise a rejection is due at once.
     pub(crate) fn is_capacity_imminent(&self, now: f64, tracked: &TrackedRequest) -> bool {
         if self.servers.are_none_ready() {
             return false;
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// A set-up failed. Only failures at many servers say something of what they share, and slow all set-ups down; clients
-    /// are not kept from sound servers for a single bad one.
+    /// A set-up failed. Only failures at many servers say something of what they share, and slow all set-ups
+    /// down; clients are not kept from sound servers for a single bad one.
     fn on_setup_failed(&mut self, now: f64, id: ServerId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.setup_failed_at = now;
--- a/crates/decisions/src/servers.rs
+++ b/crates/decisions/src/servers.rs
@@ -1,4 +1,5 @@
-//! The server table: the endpoint list as it was last received, and what this instance has observed of each server.
+//! The server table: the endpoint list as it was last received, and what this instance has observed of each
+//! server.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Takes over a new list entry. A restarted process keeps the connections and loses what was learned of the old one.
+    /// Takes over a new list entry. A restarted process keeps the connections and loses what was learned of
+    /// the old one.
     fn update_entry(&mut self, entry: ServerEntry) {
         let is_back = self.entry.state == ServerState::Draining && entry.state == ServerState::Ready;
         if self.entry.started_at != entry.started_at {
@@ -108,7 +110,8 @@
         self.entry.state == ServerState::Ready
     }
 
-    /// Whether the server takes part in placement: ready, and not quarantined unless this request may be the trial.
+    /// Whether the server takes part in placement: ready, and not quarantined unless this request may be the
+    /// trial.
     pub fn is_in_service(&self, settings: &Settings, now: f64) -> bool {
         self.is_ready() && (!self.is_quarantined || (!settings.may_probe && now >= self.trial_at))
     }
@@ -134,16 +137,17 @@
         self.unavailable_until = self.unavailable_until.max(now + unavailable_for);
     }
 
-    /// Records that a connection broke. True if the server is shedding its connections: several broke lately, and they
-    /// are a good part of what it had. Single connections break on a bad network too.
+    /// Records that a connection broke. True if the server is shedding its connections: several broke lately,
+    /// and they are a good part of what it had. Single connections break on a bad network too.
     pub fn record_reset(&mut self) -> bool {
         self.recent_resets += 1.0;
         let total = self.recent_resets + f64::from(self.connections);
         self.recent_resets >= MIN_RESETS && self.recent_resets >= MIN_RESET_RATIO * total
     }
 
-    /// Records that a request is sent here. `sustained_connections` is this instance's part of what the server can hold
-    /// by now: admissions that were not used as it grew are lost, so that they can't be spent in one burst.
+    /// Records that a request is sent here. `sustained_connections` is this instance's part of what the
+    /// server can hold by now: admissions that were not used as it grew are lost, so that they can't be spent
+    /// in one burst.
     pub fn record_admission(&mut self, now: f64, sustained_connections: Option<f64>) {
         let unused_floor = sustained_connections.unwrap_or(0.0) - 1.0;
         self.warm_up_admissions = self.warm_up_admissions.max(unused_floor) + 1.0;
@@ -188,7 +192,8 @@
 }
 
 impl ServerTable {
-    /// Takes over a received list. Servers that are missing from a complete one are removed once they hold nothing.
+    /// Takes over a received list. Servers that are missing from a complete one are removed once they hold
+    /// nothing.
     pub fn update(&mut self, is_complete: bool, entries: &[ServerEntry], weight_kind: WeightKind) {
         if is_complete {
             for server in self.servers.values_mut() {
--- a/crates/decisions/src/slow_servers.rs
+++ b/crates/decisions/src/slow_servers.rs
@@ -28,8 +28,9 @@
     tolerates_delay: bool,
 }
 
-/// The share of a server's load that has to leave. A backlog grows by the load beyond what the server can do and shrinks by
-/// what it has free, so the growth since the last report counts: a backlog that drains already sheds nobody.
+/// The share of a server's load that has to leave. A backlog grows by the load beyond what the server can do
+/// and shrinks by what it has free, so the growth since the last report counts: a backlog that drains already
+/// sheds nobody.
 fn excess_load_ratio(report: DelayReport, previous: DelayReport) -> f64 {
     let gap = report.reported_at - previous.reported_at;
     let growth = if gap < MAX_REPORT_GAP_SECONDS {
@@ -65,8 +66,8 @@
         objectives.fold(f64::INFINITY, f64::min)
     }
 
-    /// Migrates clients with this share of a server's load, the heaviest first so that few are migrated. Those whose class
-    /// can live with the delay come last.
+    /// Migrates clients with this share of a server's load, the heaviest first so that few are migrated.
+    /// Those whose class can live with the delay come last.
     pub(crate) fn migrate_share(&mut self, id: ServerId, share: f64, delay: f64, actions: &mut Vec<Action>) {
         let candidates = self.migration_candidates(id, delay);
         let mut due = candidates.iter().map(|candidate| candidate.load).sum::<f64>() * share;
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -1,11 +1,12 @@
 //! Slow start: bounds what all instances together send to a server that is warming up.
 //!
-//! Instances that hear nothing of each other take turns, as on a medium that is shared by time slots: a warming server's
-//! time is divided into slots by the instances' indices, one request a slot, and a slot that was not used is lost. Slots
-//! are dealt so that any window of the settings meets no more of them than the server can take.
+//! Instances that hear nothing of each other take turns, as on a medium that is shared by time slots: a
+//! warming server's time is divided into slots by the instances' indices, one request a slot, and a slot that
+//! was not used is lost. Slots are dealt so that any window of the settings meets no more of them than the
+//! server can take.
 //!
-//! Where an instance's part of a server is small, most slots pass unused. More are dealt then, and the bound is no longer
-//! certain; while clients reconnect in numbers the strict count holds.
+//! Where an instance's part of a server is small, most slots pass unused. More are dealt then, and the bound
+//! is no longer certain; while clients reconnect in numbers the strict count holds.
 
 use crate::hashing::{hash_pair, random_rank, to_unit_interval};
 use crate::interface::Settings;
@@ -13,15 +14,19 @@
 use crate::reconnect_surge::ReconnectSurge;
 use crate::servers::{Server, ServerTable};
 
-/// Set-up rate over the even share of arrivals that a server is assumed to take where nothing else is known of it.
+/// Set-up rate over the even share of arrivals that a server is assumed to take where nothing else is known
+/// of it.
 const DEFAULT_SETUP_RATE_RATIO: f64 = 2.5;
-/// Share of the slots within a window that is dealt: servers differ in what they can do, and requests in their work.
+/// Share of the slots within a window that is dealt: servers differ in what they can do, and requests in
+/// their work.
 const SLOT_SAFETY_RATIO: f64 = 0.8;
-/// From this part of a server on, in connections, an instance uses most of its slots and gets the strict count.
+/// From this part of a server on, in connections, an instance uses most of its slots and gets the strict
+/// count.
 const MIN_STRICT_CONNECTIONS: f64 = 0.8;
 /// Slots over the strict count that are dealt to instances that probe.
 const PROBING_SLOT_RATIO: f64 = 1.5;
-/// Share of the time between its slots that a slot lasts for an instance that gets more than the strict count.
+/// Share of the time between its slots that a slot lasts for an instance that gets more than the strict
+/// count.
 const SLOT_DURATION_RATIO: f64 = 0.5;
 /// Fractional part of the golden ratio: its multiples spread any run of indices evenly over a round.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
@@ -39,8 +44,8 @@
 }
 
 impl SlowStartInputs<'_> {
-    /// This instance's part of the connections that a warming server can hold by now, where the loads of other instances
-    /// are known; the parts of all instances add up to the whole.
+    /// This instance's part of the connections that a warming server can hold by now, where the loads of
+    /// other instances are known; the parts of all instances add up to the whole.
     pub fn sustained_connections(&self, server: &Server) -> Option<f64> {
         let capacity = self.loads.comparable_capacity(server.entry.server).filter(|_| self.is_fleet_known)?;
         Some(capacity.load / self.loads.mean_load)
@@ -65,8 +70,8 @@
         settings.overload_ratio * DEFAULT_SETUP_RATE_RATIO * even_share * warm_up_ratio
     }
 
-    /// Whether this instance's part of a server is so small that most of its slots pass unused. It goes by the quotas where
-    /// they are known: a mean load that was learned from a few connections is too uncertain.
+    /// Whether this instance's part of a server is so small that most of its slots pass unused. It goes by
+    /// the quotas where they are known: a mean load that was learned from a few connections is too uncertain.
     fn has_mostly_unused_slots(&self) -> bool {
         let (settings, server_count) = (self.settings, self.servers.len());
         let quota: f64 = settings.tenant_connection_quotas.iter().sum();
@@ -93,7 +98,8 @@
 }
 
 impl SlowStart {
-    /// This instance starts. What its predecessor has sent is not known: the slots of this time count as used.
+    /// This instance starts. What its predecessor has sent is not known: the slots of this time count as
+    /// used.
     pub fn on_instance_start(&mut self, now: f64) {
         self.instance_started_at = now;
         self.surge.begin(now);
@@ -150,8 +156,8 @@
     let settings = inputs.settings;
     let expected = inputs.setup_rate(server, now) * settings.overload_window;
     let tolerated = expected + 2.0 * expected.sqrt() + 2.0;
-    // A slot lasts for a window, or until the instance's next one: any window meets those that begin within the one
-    // before it and within itself.
+    // A slot lasts for a window, or until the instance's next one: any window meets those that begin within
+    // the one before it and within itself.
     let most = SLOT_SAFETY_RATIO * tolerated - 1.0;
     let strict = f64::max(most * 0.5, most - settings.instance_count.max(1.0));
     let dealt = if is_surge || !inputs.has_mostly_unused_slots() {
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -16,7 +16,8 @@
 use crate::servers::{Server, ServerTable};
 use crate::slow_start::{SlowStart, SlowStartInputs};
 
-/// The decisions of one instance: takes events, appends actions. Without I/O, clock and randomness of its own.
+/// The decisions of one instance: takes events, appends actions. Without I/O, clock and randomness of its
+/// own.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Servers known to hold some of a group: those of its clients here, and where the last one was connected.
+    /// Servers known to hold some of a group: those of its clients here, and where the last one was
+    /// connected.
     pub(crate) fn servers_holding(&self, group: u64) -> Vec<ServerId> {
         let members = self.requests.iter().filter(|tracked| tracked.group == Some(group));
         let last = self.groups.last_server(group);
--- a/crates/driver/examples/export_state.rs
+++ b/crates/driver/examples/export_state.rs
@@ -1,5 +1,5 @@
-//! Measures how long the state of a large instance takes to export, portion by portion, and to restore. The decisions keep
-//! 8,192 reservations at most; connected clients are exported as well.
+//! Measures how long the state of a large instance takes to export, portion by portion, and to restore. The
+//! decisions keep 8,192 reservations at most; connected clients are exported as well.
 //!
 //! `cargo run --release -p shorewharf-driver --example export_state -- [SERVERS] [CONNECTIONS]`
 
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -1,6 +1,6 @@
-//! Fuzzes the restore of snapshots: records of a corpus with their numbers, keys and lines mutated and their checksums
-//! corrected, so that the damage reaches the decisions. A record with a new outcome is kept in the corpus. A panic or an
-//! invalid state ends the run with the path of its record.
+//! Fuzzes the restore of snapshots: records of a corpus with their numbers, keys and lines mutated and their
+//! checksums corrected, so that the damage reaches the decisions. A record with a new outcome is kept in the
+//! corpus. A panic or an invalid state ends the run with the path of its record.
 //!
 //! `cargo run --release -p shorewharf-driver --example fuzz_records -- CORPUS SECONDS [SEED]`
 
--- a/crates/driver/src/admission.rs
+++ b/crates/driver/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission checks: decisions on a request that come before the balancer's, and what they are told of it afterwards.
+//! Admission checks: decisions on a request that come before the balancer's, and what they are told of it
+//! afterwards.
 
 use shorewharf_decisions::interface::{Event, Outcome, Request, Settings};
 use shorewharf_settings::operator::Operator;
@@ -40,12 +41,12 @@
     pub count: u32,
 }
 
-/// A decision that comes before the balancer's, such as a tenant's quota. It sees every event, may reject requests, and
-/// may have established connections of a tenant migrated.
+/// A decision that comes before the balancer's, such as a tenant's quota. It sees every event, may reject
+/// requests, and may have established connections of a tenant migrated.
 ///
-/// All checks are asked in order until one rejects the request. Only a request that none rejects is admitted, so that no
-/// check counts one that another has rejected. An admitted request may be established once, and has exactly one of the
-/// other outcomes after that.
+/// All checks are asked in order until one rejects the request. Only a request that none rejects is admitted,
+/// so that no check counts one that another has rejected. An admitted request may be established once, and
+/// has exactly one of the other outcomes after that.
 pub trait Admission {
     /// Decides on a request. Nothing may be counted yet of one that is let on.
     fn check(&mut self, now: Micros, request: &Request) -> AdmissionDecision;
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets of the whole fleet as an admission check: each request is checked against this balancer's allocations of them.
+//! Budgets of the whole fleet as an admission check: each request is checked against this balancer's
+//! allocations of them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -18,8 +19,8 @@
 const CONNECTIONS_EXHAUSTED: &str = "fleet's budget of its connections";
 const SETUPS_EXHAUSTED: &str = "fleet's budget of set-ups";
 
-/// The check of requests against this balancer's allocations. They change on another thread, and are locked for a few
-/// instructions at a time.
+/// The check of requests against this balancer's allocations. They change on another thread, and are locked
+/// for a few instructions at a time.
 #[derive(Clone, Debug)]
 pub struct Budgets {
     allocations: Arc<Mutex<Allocations>>,
@@ -47,7 +48,8 @@
 }
 
 impl Budgets {
-    /// Creates the check from the indices of the budgets of set-ups and of each tenant's connections, where there are any.
+    /// Creates the check from the indices of the budgets of set-ups and of each tenant's connections, where
+    /// there are any.
     pub fn new(
         allocations: Arc<Mutex<Allocations>>,
         setup_budget: Option<usize>,
--- a/crates/driver/src/driver.rs
+++ b/crates/driver/src/driver.rs
@@ -142,7 +142,8 @@
     fn on_attempt_ended(&mut self, request: RequestId, outcome: Outcome) -> Option<Event> {
         let progress = self.requests.get_mut(&request)?;
         let server = progress.attempt_server.take()?;
-        // A request is answered once it was served, established, or answered before; else an answer is still due.
+        // A request is answered once it was served, established, or answered before; else an answer is still
+        // due.
         progress.is_answered |= progress.is_established || outcome == Outcome::Ok;
         Some(Event::AttemptEnded {
             request,
@@ -219,8 +220,8 @@
         }
     }
 
-    /// Records that an attempt begins; false where it must not: a request has one attempt at a time, and no more than the
-    /// settings allow.
+    /// Records that an attempt begins; false where it must not: a request has one attempt at a time, and no
+    /// more than the settings allow.
     fn record_attempt(&mut self, request: RequestId, server: ServerId) -> bool {
         let max_attempts = self.max_attempts;
         let Some(progress) = self.requests.get_mut(&request) else { return false };
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -1,5 +1,5 @@
-//! The balancer behind its admission checks. It takes the same events and appends the same actions as the balancer alone,
-//! so the real program and the simulator's adapter drive both alike.
+//! The balancer behind its admission checks. It takes the same events and appends the same actions as the
+//! balancer alone, so the real program and the simulator's adapter drive both alike.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -170,8 +170,8 @@
         self.balancer.export_state(from, limit, entries)
     }
 
-    /// Restores what an instance has exported `age` seconds ago; the endpoint list has to be known. Clients that were
-    /// connected then are expected back if their connections are lost.
+    /// Restores what an instance has exported `age` seconds ago; the endpoint list has to be known. Clients
+    /// that were connected then are expected back if their connections are lost.
     pub fn restore_state(
         &mut self,
         now: f64,
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -1,8 +1,8 @@
-//! Drives the decisions: network events become events of the decisions, and what they want done becomes calls on the
-//! network. The only caller of the decisions in the balancer.
+//! Drives the decisions: network events become events of the decisions, and what they want done becomes calls
+//! on the network. The only caller of the decisions in the balancer.
 //!
-//! Admission checks come before the decisions ([`AdmissionGate`]). Nothing here knows a protocol's text, so another
-//! protocol can be put before the same decisions.
+//! Admission checks come before the decisions ([`AdmissionGate`]). Nothing here knows a protocol's text, so
+//! another protocol can be put before the same decisions.
 
 pub mod admission;
 mod budgets;
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -27,8 +27,8 @@
     }
 }
 
-/// A tenant's limits; none without a quota that can be enforced. Without a quota of set-ups, all of its connections may be
-/// set up within a second.
+/// A tenant's limits; none without a quota that can be enforced. Without a quota of set-ups, all of its
+/// connections may be set up within a second.
 fn tenant_limits(settings: &Settings, tenant: usize) -> Option<TenantLimits> {
     let positive = |quotas: &[f64]| quotas.get(tenant).copied().filter(|quota| *quota > 0.0);
     let connections = positive(&settings.tenant_connection_quotas)?;
--- a/crates/lifecycle/src/guard.rs
+++ b/crates/lifecycle/src/guard.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The first line of the attempt that is out is to be written. False where the deduplication window is over: the line
-    /// must not be written, and that is no fault.
+    /// The first line of the attempt that is out is to be written. False where the deduplication window is
+    /// over: the line must not be written, and that is no fault.
     ///
     /// # Errors
     ///
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -7,8 +7,8 @@
 use crate::answer::Answer;
 use crate::rule::Rule;
 
-/// The longest time between reading the clock and writing. A repeat that could reach its server after the deduplication
-/// window of its class is not written.
+/// The longest time between reading the clock and writing. A repeat that could reach its server after the
+/// deduplication window of its class is not written.
 const MAX_WRITE_DELAY: Micros = 150_000;
 
 /// The server of an attempt. Zone and cell are those of the time when it began: the list may change them.
@@ -44,8 +44,8 @@
 /// Why a first line must not be written.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SendError {
-    /// The deduplication window may be over when the line arrives. Time passes while a connection is made, so this is
-    /// no fault: the attempt counts as never sent.
+    /// The deduplication window may be over when the line arrives. Time passes while a connection is made, so
+    /// this is no fault: the attempt counts as never sent.
     #[error("the window for repeats is over")]
     WindowOver,
     /// A rule forbids it.
@@ -73,7 +73,8 @@
 }
 
 impl Request {
-    /// A request that has been read. What repeating it may do is fixed now: a new configuration does not change it.
+    /// A request that has been read. What repeating it may do is fixed now: a new configuration does not
+    /// change it.
     pub fn new(idempotency: Idempotency) -> Self {
         Request { idempotency, state: RequestState::Received, attempts: 0, target: None, possible_run: None }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings: the JSON text that an instance is given at its start, and the operator's own file ([`operator`]). Both are
-//! checked here, and their keys are mapped to the field's terms.
+//! Settings: the JSON text that an instance is given at its start, and the operator's own file
+//! ([`operator`]). Both are checked here, and their keys are mapped to the field's terms.
 
 pub mod operator;
 mod raw;
@@ -14,8 +14,8 @@
 #[error("settings: {0}")]
 pub struct SettingsError(#[from] pub serde_path_to_error::Error<serde_json::Error>);
 
-/// Reads settings, and which value of a load report is the load over capacity. Keys that are missing or null have
-/// defaults; unknown ones are ignored.
+/// Reads settings, and which value of a load report is the load over capacity. Keys that are missing or null
+/// have defaults; unknown ones are ignored.
 ///
 /// # Errors
 ///
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's own file: what the platform's configuration does not cover. Every key has a default; a key that is unknown
-//! or out of its range is rejected by name.
+//! The operator's own file: what the platform's configuration does not cover. Every key has a default; a key
+//! that is unknown or out of its range is rejected by name.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -241,7 +241,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where the text is not TOML, a key is unknown, or a value has the wrong type or is out of its range.
+    /// Fails where the text is not TOML, a key is unknown, or a value has the wrong type or is out of its
+    /// range.
     pub fn parse(text: &str) -> Result<Operator, OperatorError> {
         let operator: Operator = serde_path_to_error::deserialize(toml::Deserializer::parse(text)?)?;
         operator.check_workers_and_tenancy()?;
--- a/crates/wire/src/decoder.rs
+++ b/crates/wire/src/decoder.rs
@@ -60,8 +60,8 @@
 }
 
 impl Decoder {
-    /// Decodes the body of a frame, which is all behind its length. `column` tells for an instance which value of a load
-    /// report is the load over capacity.
+    /// Decodes the body of a frame, which is all behind its length. `column` tells for an instance which
+    /// value of a load report is the load over capacity.
     ///
     /// # Errors
     ///
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! Codec of the simulator's messages: batches of records to events of the decisions, actions to replies.
 //!
-//! All numbers are little endian, but for the IPv4 addresses of servers. The names of the platform's protocol end here: the
-//! table from its record codes to events and actions stands in `codes.rs`, `decoder.rs` and `encoder.rs`.
+//! All numbers are little endian, but for the IPv4 addresses of servers. The names of the platform's protocol
+//! end here: the table from its record codes to events and actions stands in `codes.rs`, `decoder.rs` and
+//! `encoder.rs`.
 
 mod codes;
 mod decoder;
