--- a/.ci/test_module_circles.py
+++ b/.ci/test_module_circles.py
@@ -56,6 +56,10 @@
         files = {"net/mod.rs": "use crate::net::a::A;", "net/a.rs": "use super::Net;"}
         self.assert_circle(files, ["net/a.rs", "net/mod.rs"])
 
+    def test_a_visibility_is_no_use(self):
+        files = {"net/mod.rs": "use self::a::A;", "net/a.rs": "pub(super) struct A;", "net/b.rs": "pub(in crate::net) fn f() {}"}
+        self.assert_no_circle(files)
+
     def test_a_wildcard_of_the_parent(self):
         files = {"net/mod.rs": "fn f() { self::a::f() }", "net/a.rs": "use super::*;"}
         self.assert_circle(files, ["net/a.rs", "net/mod.rs"])
--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -7,7 +7,7 @@
 use shorewharf_settings::operator::OperatorError;
 use thiserror::Error;
 
-use super::MAX_SECONDS;
+use super::limits::MAX_SECONDS;
 use crate::fleet::budget_config::BudgetConfigError;
 use crate::fleet::gossip_config::GossipConfigError;
 
--- a/crates/balancer/src/config/file.rs
+++ b/crates/balancer/src/config/file.rs
@@ -6,7 +6,7 @@
 use shorewharf_protocol::name_index::NameIndex;
 
 use super::error::{ConfigError, InvalidValue};
-use super::{Limits, MAX_SECONDS};
+use super::limits::{Limits, MAX_SECONDS};
 
 /// How long a client waits whose class says nothing of it, in seconds.
 const DEFAULT_CLIENT_TIMEOUT_S: f64 = 3.0;
--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -5,13 +5,13 @@
 
 pub mod error;
 mod file;
+mod limits;
 pub mod proxy_settings;
 pub mod summary;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use serde::Deserialize;
 use serde_json::Value;
 use shorewharf_decisions::Settings;
 use shorewharf_protocol::endpoint_list::EndpointList;
@@ -20,12 +20,11 @@
 
 pub use self::error::{ConfigError, InvalidValue};
 use self::file::{ConfigFile, SettingsSection, check_duration, wrong_type};
+pub use self::limits::Limits;
 use crate::admin::server::MAX_CONNECTIONS;
 use crate::fleet::budget_config::BudgetConfig;
 use crate::fleet::gossip_config::GossipConfig;
 
-/// Durations are shorter than this, in seconds, so that sums of them stay far from the end of the clock.
-const MAX_SECONDS: f64 = 1e6;
 /// The least descriptors to serve anybody: the program's own and those reserved for rejections take nearly as many.
 const MIN_SOCKETS: usize = 32;
 /// Descriptors reserved for operators: the admin listener and its connections.
@@ -37,24 +36,6 @@
 /// Set apart the random numbers of the workers (the 64-bit golden ratio).
 const WORKER_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The limits that this machine sets the program.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(default)]
-pub struct Limits {
-    /// File descriptors that the process may hold.
-    pub sockets: usize,
-    /// Memory in MB.
-    pub memory_mb: f64,
-    /// Share of a core.
-    pub cores: f64,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 192.0, cores: 1.0 }
-    }
-}
-
 /// The configuration in force.
 #[derive(Clone, Debug)]
 pub struct Config {
