--- a/crates/balancer/src/admin/counters/tests.rs
+++ b/crates/balancer/src/admin/counters/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! Sums over workers.
 
 use super::*;
 
 #[test]
-fn all_loops_are_summed() {
+fn counters_of_all_workers_are_summed() {
     let loops = [WorkerCounters::default(), WorkerCounters::default()];
     loops[0].record_reply(0, Reply::Success);
     loops[1].record_reply(1, Reply::Overload);
--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! The admin server, against connections that the test plays.
 
 use super::*;
 use crate::event_loop::context::tests::{READ, context, until};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_call_in_pieces_is_answered_as_its_line_ended() {
+fn a_command_in_pieces_is_answered_with_its_own_line_end() {
     let (mut context, (mut server, at)) = (context(1000), server());
     for (line, end) in [("exclude s-1\n", "\n"), ("exclude s-1\r\n", "\r\n")] {
         let mut caller = TcpStream::connect(at).expect("a listener");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn mute_callers_are_bounded_in_number_and_time_and_keep_nobody_out() {
+fn silent_connections_are_bounded_in_number_and_time() {
     let (mut context, (mut server, at)) = (context(1000), server());
     let mutes: Vec<_> =
         (0..3 * MAX_CONNECTIONS).map(|_| TcpStream::connect(at).expect("a listener")).collect();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_line_that_never_ends_is_refused_and_a_large_answer_comes_whole_to_a_slow_reader() {
+fn an_endless_line_is_rejected_and_a_large_reply_reaches_a_slow_reader() {
     let (mut context, (mut server, at)) = (context(1000), server());
     let mut caller = TcpStream::connect(at).expect("a listener");
     caller.write_all(&[b'x'; MAX_COMMAND_BYTES + 1]).expect("open");
--- a/crates/balancer/src/admin/shared_folder/tests.rs
+++ b/crates/balancer/src/admin/shared_folder/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! The shared folder: what several processes store and read, and its files byte for byte.
 
 use super::*;
 use crate::discovery::update::server_id;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_one_process_keeps_the_other_reads_whole_whatever_lies_beside_it() {
+fn what_one_process_stores_another_reads_whatever_else_is_in_the_folder() {
     let common = tempfile::tempdir().expect("a folder");
     let (one, mut other) = (folder(common.path()), folder(common.path()));
     one.store(ServerId(7), "s-7").expect("kept");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn calls_to_both_processes_at_once_lose_nothing() {
+fn concurrent_changes_of_two_processes_lose_nothing() {
     let common = tempfile::tempdir().expect("a folder");
     let path = common.path();
     std::thread::scope(|s| {
--- a/crates/balancer/src/config/summary/tests.rs
+++ b/crates/balancer/src/config/summary/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! The table of a configuration.
 
 use super::*;
 
 #[test]
-fn each_key_stands_with_its_value_and_where_that_comes_from() {
+fn each_key_has_its_value_and_source() {
     let text = br#"{"name": "n3", "discovery": "127.0.0.1:8500", "limits": {"sockets": 96}, "settings":
             {"classes": [{"name": "chat", "give_up_s": 3.2}], "zones": ["b", "a"], "tick_s": 0.005}}"#;
     let env = |var: &str| (var == "ROUTER_LISTEN").then(|| "127.0.0.1:0".to_owned());
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Keys of the configuration and of the operator's file: values, effects and faults.
 
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn names_in_force_keep_their_places() {
+fn names_in_use_keep_their_indices() {
     let parse = |v: &Value| Config::parse(v.to_string().as_bytes(), |_| None).expect("good");
     let (old, mut next) = (parse(&good()), good());
     next["settings"]["classes"] = json!([{"name": "chat"}, {"name": "feed"}]);
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_silent_address_is_given_up_in_time_for_another_call() {
+fn a_silent_address_fails_in_time_for_another_watch() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
     let (mut context, terms) = (context(1_000_000), ProxySettings::for_tests());
@@ -43,7 +43,7 @@
 
 /// A call that is accepted, and perhaps answered with a head, and whose list never begins.
 #[test]
-fn a_call_whose_list_does_not_begin_is_given_up_as_soon_as_one_that_says_nothing() {
+fn a_watch_whose_list_does_not_begin_fails_as_soon_as_a_silent_one() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut discovery = DiscoveryClient::new(listener.local_addr().expect("bound"));
     let (mut context, terms) = (context(1_000_000), ProxySettings::for_tests());
--- a/crates/balancer/src/discovery/reader/tests.rs
+++ b/crates/balancer/src/discovery/reader/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Lists cut into pieces of any size, and text that is not a list.
 
 use super::*;
 use shorewharf_protocol::endpoint_list::EndpointList;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn lists_are_the_same_however_they_are_cut() {
+fn lists_parse_the_same_however_they_are_cut() {
     let a =
         r#"{"name":"s-1]}\"\\","address":"127.0.0.1:1","status":"Ready","new":{"endpoints":[1,{"x":"]"}]}}"#;
     let b = r#"{"status":"Gone", "name":"é{[","zone":"a,b","address":"x" , "weight":2.5}"#;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_an_error_and_nothing_of_it_counts() {
+fn text_that_is_not_a_list_is_an_error() {
     let long = format!(r#"{{"endpoints":[{{"name":"{}"#, "x".repeat(MAX_TEXT_BYTES));
     for text in [
         "[]",
--- a/crates/balancer/src/discovery/response/tests.rs
+++ b/crates/balancer/src/discovery/response/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Responses cut into pieces of any size, and responses that are not a watch.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn text_comes_out_however_the_answer_is_cut() {
+fn the_body_is_the_same_however_the_response_is_cut() {
     let text = format!("{HEAD}4\r\n{{}}\n\n\r\n3\r\n{{\"a\r\n6\r\n\":1}}\n\n\r\n");
     for piece in 1..text.len() + 1 {
         assert_eq!(feed(&text, piece), Ok("{}\n\n{\"a\":1}\n\n".to_owned()));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_is_no_watch_fails() {
+fn a_response_that_is_not_a_watch_is_an_error() {
     for (text, why) in [
         ("HTTP/1.1 503 Busy\r\n\r\n".to_owned(), "status 503"),
         (format!("{HEAD}0\r\n\r\n"), "the watch was ended"),
--- a/crates/balancer/src/discovery/update/tests.rs
+++ b/crates/balancer/src/discovery/update/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Ids and start times of listed servers.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_start_is_a_time_in_seconds_or_long_ago() {
+fn a_start_time_is_in_seconds_or_long_ago() {
     assert_eq!(started_at(1_796_115_693_678.0), 1_796_115_693.678);
     assert_eq!([started_at(0.0), started_at(-1.0), started_at(f64::INFINITY)], [0.0; 3]);
 }
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the module that these stand beside.
+//! Budgets that are configured, and faults by key.
 
 use super::*;
 use crate::config::ConfigError;
 
 #[test]
-fn terms_that_can_not_be_kept_are_refused_by_key() {
+fn invalid_budgets_are_rejected_by_key() {
     let folder = tempfile::tempdir().expect("a folder");
     let members = folder.path().join("members");
     std::fs::write(&members, "# the fleet\nn1\nn2 # far\n\n").expect("written");
--- a/crates/balancer/src/fleet/gossip_config/tests.rs
+++ b/crates/balancer/src/fleet/gossip_config/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the module that these stand beside.
+//! Peers that are configured, and faults by key and line.
 
 use super::*;
 use crate::config::ConfigError;
 
 #[test]
-fn files_that_can_not_be_used_are_refused_by_key_and_line() {
+fn invalid_files_are_rejected_by_key_and_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = |name: &str, text: &str| {
         let path = folder.path().join(name);
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! The messages of a hand-over, byte for byte.
 
 use shorewharf_decisions::persistence::{
     GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
@@ -9,7 +9,7 @@
 use super::*;
 
 #[test]
-fn lines_come_out_one_by_one_and_tell_what_was_said() {
+fn lines_are_taken_one_by_one_and_parsed_strictly() {
     let mut inbox = b"HELD 17\nLEAVES\nHEL".to_vec();
     let mut next = || take_line(&mut inbox).map(|line| PredecessorMessage::parse(&line).expect("no JSON"));
     assert_eq!(next(), Some(Some(PredecessorMessage::Descriptors(17))));
@@ -101,7 +101,7 @@
     ]
 }
 
-fn estate() -> HandoverState {
+fn state() -> HandoverState {
     HandoverState {
         version: VERSION,
         listener_count: 2,
@@ -113,18 +113,17 @@
 }
 
 #[test]
-fn the_first_line_is_written_and_read_byte_for_byte() {
-    let text = fixture!("estate.jsonl");
-    assert_eq!(serde_json::to_string(&estate()).expect("text") + "\n", text);
-    assert_eq!(serde_json::from_str::<HandoverState>(text).expect("an estate"), estate());
+fn the_hand_over_state_is_written_and_read_byte_for_byte() {
+    let text = fixture!("state.jsonl");
+    assert_eq!(serde_json::to_string(&state()).expect("text") + "\n", text);
+    assert_eq!(serde_json::from_str::<HandoverState>(text).expect("a state"), state());
     assert!(text.starts_with(r#"{"version":1,"#));
 }
 
 #[test]
-fn the_first_line_of_a_process_without_memory_is_read() {
-    let read: HandoverState =
-        serde_json::from_str(fixture!("estate-without-memory.jsonl")).expect("an estate");
-    assert_eq!(read, HandoverState { learned: Vec::new(), exported_at: 0, ..estate() });
+fn a_hand_over_state_without_learned_state_is_read() {
+    let read: HandoverState = serde_json::from_str(fixture!("state-without-learned.jsonl")).expect("a state");
+    assert_eq!(read, HandoverState { learned: Vec::new(), exported_at: 0, ..state() });
 }
 
 /// A connection with all that may be left out, and bytes that are no text.
@@ -172,9 +171,9 @@
 fn an_established_connection_is_written_and_read_byte_for_byte() {
     let in_part = BufferedBytes { unsent: b"MOVE\r\n".to_vec(), ..BufferedBytes::default() };
     for (connection, line) in [
-        (busy(), fixture!("standing.txt")),
-        (quiet(), fixture!("standing-quiet.txt")),
-        (EstablishedConnection { client_buffers: in_part, ..quiet() }, fixture!("standing-in-part.txt")),
+        (busy(), fixture!("connection.txt")),
+        (quiet(), fixture!("connection-quiet.txt")),
+        (EstablishedConnection { client_buffers: in_part, ..quiet() }, fixture!("connection-in-part.txt")),
     ] {
         let message = PredecessorMessage::Connection(Box::new(connection));
         assert_eq!(message.to_string(), line);
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Both ends of a hand-over, over a socket.
 
 use super::*;
 use crate::event_loop::context::tests::until;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_successor_has_the_same_listener_and_list_and_is_one_while_it_serves() {
+fn a_successor_receives_listener_and_list_and_counts_while_it_serves() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("process");
     let old = listener();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn nobody_and_nonsense_are_errors_in_time() {
+fn a_missing_or_invalid_predecessor_is_an_error_in_time() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("process");
     assert!(request_state(&path).is_err(), "nobody is there");
--- a/crates/balancer/src/overload/descriptor_budget/tests.rs
+++ b/crates/balancer/src/overload/descriptor_budget/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! Limits on descriptors.
 
 use super::*;
 
 #[test]
-fn who_asks_for_nothing_takes_no_room_and_goes_only_where_that_helps() {
+fn idle_clients_take_no_capacity_and_are_evicted_only_if_that_helps() {
     let b = DescriptorBudget::new(100);
     let held = |all, unserved| DescriptorsInUse { total: all, idle: unserved };
     // 100 less 16 of the program's own and 16 to spare leaves 68, the last of them for the asking client.
--- a/crates/balancer/src/overload/log_rate_limiter/tests.rs
+++ b/crates/balancer/src/overload/log_rate_limiter/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the module that these stand beside.
+//! Log lines of a flood of faulty clients.
 
 use super::*;
 use crate::event_loop::context::tests::context;
 
 #[test]
-fn a_flood_is_counted_and_the_next_second_is_a_new_one() {
+fn lines_of_a_flood_are_counted_and_the_next_second_begins_anew() {
     let (mut context, mut limiter) = (context(MICROS_PER_SECOND), LogRateLimiter::default());
     assert_eq!(limiter.log_suppressed(MICROS_PER_SECOND), 0);
     let written = (0..80).filter(|_| limiter.acquire(&mut context)).count();
--- a/crates/balancer/src/overload/monitor/tests.rs
+++ b/crates/balancer/src/overload/monitor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Overload in virtual time.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn less_is_taken_on_while_the_loop_lags_and_everything_once_it_keeps_up() {
+fn fewer_clients_are_admitted_while_the_loop_lags_and_all_once_it_keeps_up() {
     let (mut monitor, mut now) = (OverloadMonitor::new(0), 0);
     monitor.set_latency_objective(50_000);
     for (what, turns) in [
--- a/crates/balancer/src/shutdown/tests.rs
+++ b/crates/balancer/src/shutdown/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! The schedule of a graceful shutdown.
 
 use super::*;
 
 #[test]
-fn a_planned_end_fits_before_sigkill() {
+fn a_graceful_shutdown_completes_before_sigkill() {
     let usual = ShutdownSchedule::new(&[3_200_000]);
     assert_eq!((usual.migrate_from, usual.migrate_until, usual.end), (2_000_000, 2_900_000, 3_400_000));
     let short = ShutdownSchedule::new(&[1_000_000]);
--- a/crates/balancer/src/supervisor/tests.rs
+++ b/crates/balancer/src/supervisor/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! Notifications over sockets by path and by name.
 
 use super::*;
 
 #[test]
-fn a_supervisor_hears_it_by_path_and_by_name_and_its_absence_is_an_error() {
+fn a_supervisor_is_notified_by_path_and_by_name_and_its_absence_is_an_error() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("notify");
     assert!(send(path.as_os_str().as_bytes(), b"READY=1\n").is_err(), "nobody is there");
--- a/crates/balancer/src/workers/pool/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Forwarding of clients between workers, and stalled workers.
 
 use super::*;
 use crate::event_loop::poll::EventPoller;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn clients_go_where_there_are_far_fewer_and_never_to_one_that_stalls() {
+fn clients_are_forwarded_to_far_less_loaded_workers_that_have_not_stalled() {
     let (pool, _pollers) = pool(3);
     for (who, held) in [(0, 100), (1, 90), (2, 10)] {
         pool[who].publish_state(held, 5_000_000);
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Lines and levels of the log.
 
 use super::*;
 use std::sync::{Arc, Mutex};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_line_is_an_event_with_its_keys_and_nobody_can_forge_another() {
+fn a_line_is_an_event_with_its_keys_that_no_value_can_forge() {
     let text = written(Format::Logfmt, "info");
     let lines: Vec<_> = text.lines().map(|l| l.split_once(' ').expect("a time first")).collect();
     assert!(lines.len() == 2 && lines.iter().all(|(ts, _)| ts.starts_with("ts=")), "{text}");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn levels_are_read_strictly_and_decide_what_is_written() {
+fn levels_are_parsed_strictly_and_filter_events() {
     assert_eq!(written(Format::Logfmt, "debug").lines().count(), 3);
     assert_eq!(written(Format::Logfmt, "off, shorewharf_logging=warn").lines().count(), 1);
     for bad in ["loud", "", "info,", "shorewharf=", "a=b"] {
--- a/crates/protocol/src/admin/tests.rs
+++ b/crates/protocol/src/admin/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! Commands and replies, byte for byte.
 
 use super::*;
 
 #[test]
-fn a_call_is_read_or_refused_with_a_reason() {
+fn a_command_is_parsed_or_rejected_with_a_reason() {
     assert_eq!(parse_command(b"readyz"), Ok(Command::Readiness));
     assert_eq!(parse_command(b" telemetry "), Ok(Command::Metrics));
     assert_eq!(parse_command(b"exclude s-5be2a07c"), Ok(Command::Disable("s-5be2a07c".into())));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn figures_have_a_line_each_and_an_end() {
+fn metrics_have_a_line_each_and_an_end() {
     let replies = vec![("chat".to_owned(), ReplyCounts { success: 812, overload: 3, error: 1 })];
     let figures = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
     let text = CommandReply::Metrics(figures.lines()).text("\n");
@@ -51,7 +51,7 @@
 const ANSWERS: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/answers.txt"));
 
 #[test]
-fn calls_are_read_from_exact_bytes() {
+fn commands_are_parsed_from_exact_bytes() {
     let read: Vec<Command> =
         CALLS.lines().map(|line| parse_command(line.as_bytes()).expect("a call")).collect();
     let server = "s-5be2a07c".to_owned();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn answers_are_written_byte_for_byte() {
+fn replies_are_written_byte_for_byte() {
     let replies = vec![
         ("chat".to_owned(), ReplyCounts { success: 812, overload: 3, error: 1 }),
         ("bulk.eu 1".to_owned(), ReplyCounts { success: 4, overload: 5, error: 6 }),
--- a/crates/protocol/src/endpoint_list/tests.rs
+++ b/crates/protocol/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Endpoint lists as JSON, byte for byte.
 
 use super::*;
 
--- a/crates/protocol/src/line/tests.rs
+++ b/crates/protocol/src/line/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! Lines and their limit.
 
 use super::*;
 
--- a/crates/protocol/src/message/tests.rs
+++ b/crates/protocol/src/message/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! Messages, byte for byte.
 
 use super::*;
 
 #[test]
-fn every_word_is_read_as_it_is_written() {
+fn every_message_is_parsed_as_it_is_written() {
     for w in [
         Message::Accepted(b"7f"),
         Message::Accepted(b""),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_load_line_tells_a_number_or_nothing() {
+fn a_load_line_has_a_number_or_none() {
     assert_eq!(parse_message(b"LOAD 255465.125"), Message::LoadReport(Some(255_465.125)));
     for odd in [&b"LOAD 0"[..], b"LOAD -5", b"LOAD NaN", b"LOAD inf", b"LOAD ", b"LOAD x", b"LOAD \xff"] {
         assert_eq!(parse_message(odd), Message::LoadReport(None), "{odd:?}");
--- a/crates/protocol/src/open_request/tests.rs
+++ b/crates/protocol/src/open_request/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module that these stand beside.
+//! First lines, byte for byte, and each of their faults.
 
 use super::*;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_class_of_a_bad_line_is_known_where_it_names_one() {
+fn the_class_of_a_malformed_line_is_found_if_it_names_one() {
     for (line, class) in [
         (&b"OPEN 1 2 t=acme,c=feed,d=x"[..], Some(1)),
         (b"OPEN c=chat", Some(0)),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn only_d_is_changed_in_the_first_line() {
+fn only_the_timeout_of_a_first_line_is_replaced() {
     let line = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1";
     let out = with_timeout(line, 1_234_567);
     assert_eq!(out, b"OPEN 9b1f 7f3a c=chat,t=acme,d=1234,g=5c0f,again=1\r\n");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn malformed_lines_are_told_apart() {
+fn malformed_lines_are_distinguished() {
     for (line, why) in [
         (&b""[..], "not OPEN ID KEY LIST"),
         (b"OPEN", "not OPEN ID KEY LIST"),
