--- a/crates/decisions/tests/fleet.rs
+++ b/crates/decisions/tests/fleet.rs
@@ -8,11 +8,11 @@
 use shorewharf_decisions::Balancer;
 use shorewharf_decisions::interface::{Action, Event, Outcome, Request, ServerId, Settings};
 
-const PROXIES: u64 = 100;
+const INSTANCES: u64 = 100;
 const SERVERS: u64 = 14;
 
-fn proxy(me: u64) -> TestInstance {
-    let set = Settings { instance_index: me, instance_count: PROXIES as f64, ..settings() };
+fn new_instance(me: u64) -> TestInstance {
+    let set = Settings { instance_index: me, instance_count: INSTANCES as f64, ..settings() };
     let mut instance = TestInstance { balancer: Balancer::new(set, me), now: 100.0 };
     instance.handle(Event::Start);
     instance.handle(endpoint_list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
@@ -33,7 +33,7 @@
 
 /// Where proxies that have heard of nothing place a group's fresh client.
 fn home(group: u64) -> ServerId {
-    proxy(0).connect(grouped(1, group)).expect("room")
+    new_instance(0).connect(grouped(1, group)).expect("room")
 }
 
 #[test]
@@ -41,8 +41,8 @@
     let at = home(77);
     let alike: Vec<u64> = (78..).filter(|g| home(*g) == at).take(40).collect();
     let mut back = Vec::new();
-    for me in 0..PROXIES {
-        let mut instance = proxy(me);
+    for me in 0..INSTANCES {
+        let mut instance = new_instance(me);
         instance.connect(grouped(1, 77)).expect("room");
         slow(&mut instance, at);
         instance.end_attempt(1, at, 0, Outcome::Cancelled);
@@ -66,8 +66,8 @@
 
 #[test]
 fn a_proxy_that_knows_only_clients_who_come_again_can_relieve_a_slow_server() {
-    let moves = (0..PROXIES).filter(|&me| {
-        let mut instance = proxy(me);
+    let moves = (0..INSTANCES).filter(|&me| {
+        let mut instance = new_instance(me);
         let at = instance.connect(again(1, 77)).expect("room");
         let at_once = migration_count(&slow(&mut instance, at));
         instance.now += 1.0;
@@ -81,8 +81,8 @@
 fn those_who_come_again_do_not_all_go_back_to_where_they_were_sent_away() {
     let at = home(77);
     let mut count = BTreeMap::new();
-    for me in 0..PROXIES {
-        *count.entry(proxy(me).connect(again(1, 77)).expect("room")).or_insert(0) += 1;
+    for me in 0..INSTANCES {
+        *count.entry(new_instance(me).connect(again(1, 77)).expect("room")).or_insert(0) += 1;
     }
     assert!((30..=70).contains(&count[&at]), "{count:?}");
     assert_eq!(count.len(), 2, "all others go to the same next server: {count:?}");
@@ -91,8 +91,8 @@
 #[test]
 fn whose_clients_are_well_served_there_takes_those_who_come_again_too() {
     let at = home(77);
-    for me in 0..PROXIES {
-        let mut instance = proxy(me);
+    for me in 0..INSTANCES {
+        let mut instance = new_instance(me);
         instance.handle(Event::ConnectionRestored(grouped(1, 78), at));
         assert_eq!(instance.connect(again(2, 77)), Some(at));
     }
--- a/crates/decisions/tests/fleet_placement.rs
+++ b/crates/decisions/tests/fleet_placement.rs
@@ -13,16 +13,16 @@
     Action, Event, Outcome, RemoteLoad, Request, RequestId, ServerEntry, ServerId, Settings,
 };
 
-const PROXIES: u64 = 200;
+const INSTANCES: u64 = 200;
 const SERVERS: u64 = 60;
 /// The module's own timer, once a second.
 const HOUSEKEEPING: u64 = 1 << 40;
 
-fn proxy(me: u64) -> TestInstance {
+fn new_instance(me: u64) -> TestInstance {
     let tenant_quota = vec![50.0 * SERVERS as f64];
     let set = Settings {
         instance_index: me,
-        instance_count: PROXIES as f64,
+        instance_count: INSTANCES as f64,
         may_probe: true,
         tenant_connection_quotas: tenant_quota,
         ..settings()
@@ -37,10 +37,10 @@
     Request { group, load: Some(0.1), ..request(id, now) }
 }
 
-type Told = BTreeMap<ServerId, RemoteLoad>;
+type RemoteLoads = BTreeMap<ServerId, RemoteLoad>;
 
 /// All servers are asked for this much by others, with connections of a tenth each, but for some.
-fn even(load: f64, but: &[(u64, f64)]) -> Told {
+fn even(load: f64, but: &[(u64, f64)]) -> RemoteLoads {
     let one = |id: u64| {
         let load = but.iter().find(|b| b.0 == id).map_or(load, |b| b.1);
         (ServerId(id), RemoteLoad { load, connections: load * 10.0, groups: BTreeSet::new() })
@@ -48,82 +48,82 @@
     (1..=SERVERS).map(one).collect()
 }
 
-fn tell(instance: &mut TestInstance, told: Told) {
-    instance.handle(Event::RemoteLoadsUpdated(Some(Arc::new(told))));
+fn report_loads(instance: &mut TestInstance, loads: RemoteLoads) {
+    instance.handle(Event::RemoteLoadsUpdated(Some(Arc::new(loads))));
 }
 
-fn asks_by_probe(actions: &[Action]) -> bool {
+fn sends_probes(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Probe(_)))
 }
 
 #[test]
 fn who_hears_of_others_passes_over_what_they_have_filled_and_asks_nobody() {
-    let mut instance = proxy(1);
-    tell(&mut instance, even(1.0, &[]));
+    let mut instance = new_instance(1);
+    report_loads(&mut instance, even(1.0, &[]));
     let actions = instance.receive(grouped(1, 7, 100.0));
     let first = attempted_server(&actions).expect("there is room");
-    assert!(!asks_by_probe(&actions), "{actions:?}");
-    let mut instance = proxy(2);
-    tell(&mut instance, even(1.0, &[(first.0, 2.0)]));
+    assert!(!sends_probes(&actions), "{actions:?}");
+    let mut instance = new_instance(2);
+    report_loads(&mut instance, even(1.0, &[(first.0, 2.0)]));
     let second = attempted_server(&instance.receive(grouped(1, 7, 100.0))).expect("there is room");
     assert_ne!(first, second, "it is asked for twice as much as the others");
     // Where the group stands already it costs less than elsewhere.
-    let mut instance = proxy(3);
-    let mut told = even(4.0, &[]);
+    let mut instance = new_instance(3);
+    let mut loads = even(4.0, &[]);
     let holds = ServerId(1 + second.0 % SERVERS);
-    told.get_mut(&holds).expect("listed").groups.insert(7);
-    tell(&mut instance, told);
+    loads.get_mut(&holds).expect("listed").groups.insert(7);
+    report_loads(&mut instance, loads);
     assert_eq!(attempted_server(&instance.receive(grouped(1, 7, 100.0))), Some(holds));
 }
 
 #[test]
 fn a_crowd_that_comes_again_is_spread_over_some_servers() {
     let mut at = BTreeMap::<ServerId, u32>::new();
-    for me in 0..PROXIES {
-        let mut instance = proxy(me);
-        tell(&mut instance, even(4.0, &[]));
+    for me in 0..INSTANCES {
+        let mut instance = new_instance(me);
+        report_loads(&mut instance, even(4.0, &[]));
         let r = Request { is_returning: true, ..grouped(1, 7, 100.0) };
         *at.entry(attempted_server(&instance.receive(r)).expect("there is room")).or_default() += 1;
     }
     let most = at.values().max().copied().unwrap_or(0);
-    assert!(at.len() <= 4 && most < PROXIES as u32 / 2, "{at:?}");
+    assert!(at.len() <= 4 && most < INSTANCES as u32 / 2, "{at:?}");
 }
 
 #[test]
 fn when_nothing_is_heard_any_more_it_is_alone_at_once() {
-    let mut instance = proxy(1);
-    tell(&mut instance, even(1.0, &[]));
+    let mut instance = new_instance(1);
+    report_loads(&mut instance, even(1.0, &[]));
     assert!(attempted_server(&instance.receive(grouped(1, 7, instance.now))).is_some());
     instance.handle(Event::RemoteLoadsUpdated(None));
     assert!(
-        asks_by_probe(&instance.receive(grouped(2, 8, 100.0))),
+        sends_probes(&instance.receive(grouped(2, 8, 100.0))),
         "too few are heard of: it sounds as before"
     );
-    tell(&mut instance, even(1.0, &[]));
+    report_loads(&mut instance, even(1.0, &[]));
     instance.now += 1.5;
     let r = grouped(3, 9, instance.now);
-    assert!(asks_by_probe(&instance.receive(r)), "what was told is old");
+    assert!(sends_probes(&instance.receive(r)), "what was told is old");
 }
 
 #[test]
 fn the_parts_of_a_cold_server_add_up_to_what_it_holds() {
     let mut entered = 0;
-    for me in 0..PROXIES {
-        let mut instance = proxy(me);
+    for me in 0..INSTANCES {
+        let mut instance = new_instance(me);
         let born = instance.now - 3.0;
         instance.handle(endpoint_list(&[ServerEntry { started_at: born, ..entry(1) }]));
         instance.handle(Event::MeanLoadEstimated(0.1));
         // It holds six mean connections by now; a rate would have let in ten from each proxy.
         instance.handle(Event::CapacityEstimated {
             server: ServerId(1),
-            load: 0.6 / PROXIES as f64,
+            load: 0.6 / INSTANCES as f64,
             setup_rate: 10.0,
         });
-        tell(&mut instance, Told::new());
+        report_loads(&mut instance, RemoteLoads::new());
         let r = grouped(1, 7, instance.now);
         entered += usize::from(attempted_server(&instance.receive(r)).is_some());
     }
-    assert!((1..=14).contains(&entered), "{entered} of {PROXIES}");
+    assert!((1..=14).contains(&entered), "{entered} of {INSTANCES}");
 }
 
 /// A fleet that tells each other what it holds with so much delay, in clients that come.
@@ -135,14 +135,14 @@
 }
 
 impl Fleet {
-    fn told(&self) -> Told {
-        let mut told = Told::new();
+    fn loads(&self) -> RemoteLoads {
+        let mut loads = RemoteLoads::new();
         for h in self.proxies.iter().flat_map(|instance| instance.balancer.holdings()) {
-            let away = told.entry(h.server).or_default();
+            let away = loads.entry(h.server).or_default();
             (away.load, away.connections) = (away.load + h.load, away.connections + f64::from(h.connections));
             away.groups.insert(h.group as u32);
         }
-        told
+        loads
     }
 
     fn draw(&mut self) -> f64 {
@@ -157,7 +157,7 @@
             self.proxies[at].now = self.now;
             self.proxies[at].end_attempt(id, server, 0, Outcome::Ok);
         }
-        let at = (self.draw() * PROXIES as f64) as usize;
+        let at = (self.draw() * INSTANCES as f64) as usize;
         let group = 1 + 80_f64.powf(self.draw()) as u64;
         let instance = &mut self.proxies[at];
         instance.now = self.now;
@@ -168,11 +168,11 @@
 
     /// What servers are asked for over the mean: the most and the least.
     fn spread(&self) -> (f64, f64) {
-        let told = self.told();
+        let loads = self.loads();
         let mean =
-            told.values().map(|a| a.load).sum::<f64>() / told.values().map(|a| a.connections).sum::<f64>();
+            loads.values().map(|a| a.load).sum::<f64>() / loads.values().map(|a| a.connections).sum::<f64>();
         let of = |a: &RemoteLoad| a.load + 0.1 * mean * a.connections + 2.0 * mean * a.groups.len() as f64;
-        let all: Vec<f64> = (1..=SERVERS).map(|s| told.get(&ServerId(s)).map_or(0.0, of)).collect();
+        let all: Vec<f64> = (1..=SERVERS).map(|s| loads.get(&ServerId(s)).map_or(0.0, of)).collect();
         let even = all.iter().sum::<f64>() / all.len() as f64;
         let (most, least) = all.iter().fold((0.0, f64::MAX), |t, x| (f64::max(t.0, *x), f64::min(t.1, *x)));
         (most / even, least / even)
@@ -183,21 +183,21 @@
 fn two_hundred_proxies_that_hear_of_each_other_half_a_second_later_fill_all_servers_evenly() {
     for seed in 1..=2 {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let proxies = (0..PROXIES).map(proxy).collect();
+        let proxies = (0..INSTANCES).map(new_instance).collect();
         let mut fleet = Fleet { proxies, stands: Vec::new(), rng, now: 100.0 };
-        let mut told = vec![Told::new(); 2];
+        let mut loads = vec![RemoteLoads::new(); 2];
         for id in 0..3_000 {
             // Every 0.2 s they are told what was so 0.4 s before.
             if id % 10 == 0 {
-                let old = told.remove(0);
+                let old = loads.remove(0);
                 fleet.proxies.iter_mut().for_each(|instance| instance.now = fleet.now);
                 for instance in &mut fleet.proxies {
-                    tell(instance, old.clone());
+                    report_loads(instance, old.clone());
                     if id % 50 == 0 {
                         instance.handle(Event::TimerFired(HOUSEKEEPING));
                     }
                 }
-                told.push(fleet.told());
+                loads.push(fleet.loads());
             }
             fleet.comes(id);
         }
--- a/crates/decisions/tests/probing.rs
+++ b/crates/decisions/tests/probing.rs
@@ -11,9 +11,9 @@
 use shorewharf_decisions::Balancer;
 use shorewharf_decisions::interface::{Action, Event, Outcome, Request, RequestId, ServerId, Settings};
 
-const TIME_OUT: f64 = 0.25;
+const CONNECT_TIMEOUT_SECONDS: f64 = 0.25;
 
-fn blind(me: u64, proxies: u64, servers: u64, may_probe: bool) -> TestInstance {
+fn probing_instance(me: u64, proxies: u64, servers: u64, may_probe: bool) -> TestInstance {
     let tenant_quota = vec![50.0 * servers as f64];
     let set = Settings {
         instance_index: me,
@@ -32,7 +32,7 @@
     Request { group, ..request(id, now) }
 }
 
-fn probes(actions: &[Action]) -> Vec<ServerId> {
+fn probed_servers(actions: &[Action]) -> Vec<ServerId> {
     let probe = |a: &Action| match a {
         Action::Probe(server) => Some(*server),
         _ => None,
@@ -40,12 +40,12 @@
     actions.iter().filter_map(probe).collect()
 }
 
-fn probed(server: ServerId, outcome: Outcome) -> Event {
+fn probe_ended(server: ServerId, outcome: Outcome) -> Event {
     Event::ProbeEnded { server, outcome, load_ratio: None }
 }
 
 /// The answer to each probe comes after so long, in seconds; where the client was sent.
-fn answer(
+fn answer_probes(
     instance: &mut TestInstance,
     asked: &[ServerId],
     took: &dyn Fn(ServerId) -> f64,
@@ -56,11 +56,11 @@
     let mut to = None;
     for server in order {
         instance.now = began + took(server);
-        let actions = instance.handle(probed(server, Outcome::Ok));
+        let actions = instance.handle(probe_ended(server, Outcome::Ok));
         to = to.or(attempted_server(&actions));
-        let more = probes(&actions);
+        let more = probed_servers(&actions);
         if !more.is_empty() {
-            to = to.or(answer(instance, &more, took));
+            to = to.or(answer_probes(instance, &more, took));
         }
     }
     to
@@ -68,42 +68,46 @@
 
 #[test]
 fn a_blind_proxy_passes_over_a_server_whose_probe_takes_long_and_one_that_sees_enough_does_not_probe() {
-    let mut instance = blind(1, 300, 90, true);
-    let asked = probes(&instance.receive(grouped(1, 7, 100.0)));
+    let mut instance = probing_instance(1, 300, 90, true);
+    let asked = probed_servers(&instance.receive(grouped(1, 7, 100.0)));
     assert_eq!(asked.len(), 3, "{asked:?}");
     // What is usual: five quick answers.
-    assert_eq!(answer(&mut instance, &asked, &|_| 0.004), Some(asked[0]));
+    assert_eq!(answer_probes(&mut instance, &asked, &|_| 0.004), Some(asked[0]));
     instance.handle(Event::Established { request: RequestId(1), attempt: 0 });
     instance.now = 101.0;
-    assert_eq!(probes(&instance.receive(grouped(2, 7, 101.0))), asked, "another proxy's ranks are its own");
+    assert_eq!(
+        probed_servers(&instance.receive(grouped(2, 7, 101.0))),
+        asked,
+        "another proxy's ranks are its own"
+    );
     let slow = |s| if s == asked[0] { 0.010 } else { 0.004 };
-    assert_eq!(answer(&mut instance, &asked, &slow), Some(asked[1]));
-    let mut instance = blind(1, 4, 90, true);
+    assert_eq!(answer_probes(&mut instance, &asked, &slow), Some(asked[1]));
+    let mut instance = probing_instance(1, 4, 90, true);
     assert!(attempted_server(&instance.receive(grouped(1, 7, 100.0))).is_some(), "four proxies see enough");
 }
 
 #[test]
 fn a_probe_that_stays_out_holds_nobody_up() {
-    let mut instance = blind(1, 300, 90, true);
+    let mut instance = probing_instance(1, 300, 90, true);
     let mut timers = Vec::new();
     let actions = instance.receive(grouped(1, 7, 100.0));
     record_timers(&actions, instance.now, &mut timers);
-    let asked = probes(&actions);
+    let asked = probed_servers(&actions);
     instance.now += 0.004;
     assert_eq!(
-        attempted_server(&instance.handle(probed(asked[1], Outcome::Ok))),
+        attempted_server(&instance.handle(probe_ended(asked[1], Outcome::Ok))),
         None,
         "the first one may still answer"
     );
-    let actions = instance.advance_to(&mut timers, 100.0 + TIME_OUT * 0.3);
+    let actions = instance.advance_to(&mut timers, 100.0 + CONNECT_TIMEOUT_SECONDS * 0.3);
     assert_eq!(attempted_server(&actions), Some(asked[1]), "{actions:?}");
     // A server that has no hand free for probes isn't locked for it, and gets nobody meanwhile.
     instance.now += 10.0;
     let r = grouped(2, 7, instance.now);
-    let asked = probes(&instance.receive(r));
-    assert_eq!(attempted_server(&instance.handle(probed(asked[0], Outcome::Error))), None);
+    let asked = probed_servers(&instance.receive(r));
+    assert_eq!(attempted_server(&instance.handle(probe_ended(asked[0], Outcome::Error))), None);
     instance.now += 0.004;
-    assert_eq!(attempted_server(&instance.handle(probed(asked[1], Outcome::Ok))), Some(asked[1]));
+    assert_eq!(attempted_server(&instance.handle(probe_ended(asked[1], Outcome::Ok))), Some(asked[1]));
     assert!(!instance.balancer.unavailable_servers(instance.now).contains(&asked[0]));
 }
 
@@ -126,7 +130,7 @@
 
 impl Fleet {
     fn new(seed: u64, may_probe: bool) -> Fleet {
-        let proxies = (0..PROXIES).map(|me| blind(me, PROXIES, SERVERS, may_probe)).collect();
+        let proxies = (0..PROXIES).map(|me| probing_instance(me, PROXIES, SERVERS, may_probe)).collect();
         Fleet { proxies, stands: Vec::new(), rng: Pcg64Mcg::seed_from_u64(seed), now: 100.0, asked: 0 }
     }
 
@@ -159,11 +163,12 @@
         let instance = &mut self.proxies[at];
         instance.now = self.now;
         let actions = instance.receive(grouped(id, group, self.now));
-        let asked = probes(&actions);
+        let asked = probed_servers(&actions);
         self.asked += asked.len() as u64;
         let took = |s: ServerId| 0.0015 + 0.003 * noise[s.0 as usize] / (1.3 - loads[&s]).clamp(0.2, 1.0);
-        let to =
-            attempted_server(&actions).or_else(|| answer(instance, &asked, &took)).expect("there is room");
+        let to = attempted_server(&actions)
+            .or_else(|| answer_probes(instance, &asked, &took))
+            .expect("there is room");
         instance.handle(Event::Established { request: RequestId(id), attempt: 0 });
         self.stands.push((at, id, to, group));
     }
@@ -194,7 +199,7 @@
     fn every_client_gets_its_answer_whatever_becomes_of_probes(
         steps in prop::collection::vec((0u8..5, any::<prop::sample::Index>(), 0.0..0.3f64), 1..60),
     ) {
-        let mut instance = blind(1, 300, 45, true);
+        let mut instance = probing_instance(1, 300, 45, true);
         let (mut out, mut owed, mut timers, mut id) = (BTreeSet::new(), BTreeSet::new(), Vec::new(), 0);
         let mut attempted = BTreeSet::new();
         let mut see = |actions: &[Action], out: &mut BTreeSet<ServerId>, owed: &mut BTreeSet<u32>| {
@@ -223,7 +228,7 @@
                     let server = *which.get(&out.iter().copied().collect::<Vec<_>>());
                     out.remove(&server);
                     let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::TimedOut][which.index(4)];
-                    instance.handle(probed(server, outcome))
+                    instance.handle(probe_ended(server, outcome))
                 }
                 _ => { let until = instance.now + wait; instance.advance_to(&mut timers, until) }
             };
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -13,16 +13,16 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: usize, key: u64, group: u64, load: f64 },
-    Open { server: u64 },
-    Begin(usize),
+    Receive { class: usize, key: u64, group: u64, load: f64 },
+    Restore { server: u64 },
+    Establish(usize),
     End(usize, Outcome),
     Delay(u64, f64),
     List { ready: u32, draining: u32, full: bool, born: f64 },
-    Gone(usize),
+    Leave(usize),
     Wait(f64),
-    RegistryFailed,
-    Odd(u32, u64),
+    DiscoveryFailed,
+    UnknownIds(u32, u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -44,17 +44,17 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5usize, 0..9u64, 0..5u64, odd_number())
-            .prop_map(|(class, key, group, load)| Step::Arrive { class, key, group, load }),
-        1 => (0..9u64).prop_map(|server| Step::Open { server }),
-        5 => any::<usize>().prop_map(Step::Begin),
+            .prop_map(|(class, key, group, load)| Step::Receive { class, key, group, load }),
+        1 => (0..9u64).prop_map(|server| Step::Restore { server }),
+        5 => any::<usize>().prop_map(Step::Establish),
         5 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
         2 => (0..9u64, odd_number()).prop_map(|(s, d)| Step::Delay(s, d)),
         2 => (any::<u32>(), any::<u32>(), any::<bool>(), 0.0..120.0)
             .prop_map(|(ready, draining, full, born)| Step::List { ready, draining, full, born }),
-        1 => any::<usize>().prop_map(Step::Gone),
+        1 => any::<usize>().prop_map(Step::Leave),
         5 => (0.0..1.5).prop_map(Step::Wait),
-        1 => Just(Step::RegistryFailed),
-        1 => (any::<u32>(), any::<u64>()).prop_map(|(id, token)| Step::Odd(id, token)),
+        1 => Just(Step::DiscoveryFailed),
+        1 => (any::<u32>(), any::<u64>()).prop_map(|(id, token)| Step::UnknownIds(id, token)),
     ]
 }
 
@@ -77,30 +77,30 @@
 }
 
 #[derive(Default)]
-struct Known {
+struct ExpectedRequest {
     class: usize,
     deadline: f64,
     attempts: u32,
-    out: Option<(ServerId, u32)>,
-    standing: bool,
-    ran: Option<(ServerId, f64)>,
+    pending_attempt: Option<(ServerId, u32)>,
+    is_established: bool,
+    possible_run: Option<(ServerId, f64)>,
     sent_at: f64,
     answered: bool,
 }
 
-struct World {
+struct RandomRun {
     instance: TestInstance,
     timers: Vec<(f64, u64)>,
-    clients: BTreeMap<u32, Known>,
+    clients: BTreeMap<u32, ExpectedRequest>,
     listed: BTreeMap<u64, ServerEntry>,
     next: u32,
     log: Vec<Action>,
 }
 
-impl World {
+impl RandomRun {
     fn new(seed: u64) -> Self {
         let set = Settings { classes: classes(), polls_discovery: seed.is_multiple_of(2), ..settings() };
-        let mut w = World {
+        let mut w = RandomRun {
             instance: TestInstance { balancer: Balancer::new(set, seed), now: 100.0 },
             timers: Vec::new(),
             clients: BTreeMap::new(),
@@ -126,13 +126,13 @@
                 Action::BeginAttempt { request, server, timeout } => {
                     let c = self.clients.get_mut(&request.0).expect("a known request");
                     assert!(
-                        !c.answered && c.out.is_none() && !c.standing,
+                        !c.answered && c.pending_attempt.is_none() && !c.is_established,
                         "one attempt, none after the answer"
                     );
                     assert!(now + timeout <= c.deadline + 0.001 && *timeout > 0.0);
                     let e = self.listed.get(&server.0).expect("a listed server");
                     assert_eq!(e.state, ServerState::Ready, "drains are kept");
-                    if let Some((first, sent_at)) = c.ran {
+                    if let Some((first, sent_at)) = c.possible_run {
                         let f = self.listed.get(&first.0);
                         match classes()[c.class].idempotency {
                             Idempotency::Idempotent => {}
@@ -147,7 +147,7 @@
                             }
                         }
                     }
-                    c.out = Some((*server, c.attempts));
+                    c.pending_attempt = Some((*server, c.attempts));
                     c.attempts += 1;
                     c.sent_at = now;
                     assert!(c.attempts <= 4);
@@ -158,7 +158,9 @@
                         classes()[c.class].idempotency,
                         Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
                     );
-                    assert!(!c.answered && (safe || (c.ran.is_none() && c.out.is_none())));
+                    assert!(
+                        !c.answered && (safe || (c.possible_run.is_none() && c.pending_attempt.is_none()))
+                    );
                     assert!(*retry_after >= 0.0 && *retry_after <= 1.0);
                     c.answered = true;
                 }
@@ -169,7 +171,7 @@
                 }
                 Action::Migrate(request) => {
                     let c = self.clients.get_mut(&request.0).unwrap();
-                    assert!(c.standing && !c.answered, "only standing connections move");
+                    assert!(c.is_established && !c.answered, "only standing connections move");
                     c.answered = true;
                 }
                 Action::SetTimer { after, .. } => assert!(after.is_finite() && *after >= 0.0),
@@ -178,12 +180,12 @@
         }
     }
 
-    fn pick(&self, n: usize, f: impl Fn(&Known) -> bool) -> Option<u32> {
+    fn pick(&self, n: usize, f: impl Fn(&ExpectedRequest) -> bool) -> Option<u32> {
         let fit: Vec<u32> = self.clients.iter().filter(|(_, c)| f(c)).map(|(id, _)| *id).collect();
         (!fit.is_empty()).then(|| fit[n % fit.len()])
     }
 
-    fn pass(&mut self, span: f64) {
+    fn advance(&mut self, span: f64) {
         let until = self.instance.now + span;
         loop {
             self.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -191,15 +193,15 @@
             self.timers.remove(0);
             self.instance.now = self.instance.now.max(at);
             self.event(Event::TimerFired(token));
-            self.overdue();
+            self.check_overdue();
         }
         self.instance.now = until;
-        self.overdue();
+        self.check_overdue();
     }
 
-    fn overdue(&self) {
+    fn check_overdue(&self) {
         for (id, c) in &self.clients {
-            let done = c.answered || c.standing || self.instance.now < c.deadline + 0.02;
+            let done = c.answered || c.is_established || self.instance.now < c.deadline + 0.02;
             assert!(
                 done,
                 "request {id} is unanswered at {}, its deadline was {}",
@@ -210,7 +212,7 @@
 
     fn apply(&mut self, step: &Step) {
         match step {
-            Step::Arrive { class, key, group, load } => {
+            Step::Receive { class, key, group, load } => {
                 self.next += 1;
                 let r = Request {
                     class: *class,
@@ -219,36 +221,43 @@
                     load: Some(*load),
                     ..request(self.next, self.instance.now)
                 };
-                let known = Known { class: *class, deadline: r.deadline, ..Known::default() };
-                self.clients.insert(self.next, known);
+                let expected =
+                    ExpectedRequest { class: *class, deadline: r.deadline, ..ExpectedRequest::default() };
+                self.clients.insert(self.next, expected);
                 self.event(Event::RequestReceived(r));
             }
-            Step::Open { server } => {
+            Step::Restore { server } => {
                 self.next += 1;
                 let r = request(self.next, self.instance.now);
-                let known = Known { standing: true, out: Some((ServerId(*server), 0)), ..Known::default() };
-                self.clients.insert(self.next, Known { attempts: 1, ..known });
+                let expected = ExpectedRequest {
+                    is_established: true,
+                    pending_attempt: Some((ServerId(*server), 0)),
+                    ..ExpectedRequest::default()
+                };
+                self.clients.insert(self.next, ExpectedRequest { attempts: 1, ..expected });
                 self.event(Event::ConnectionRestored(r, ServerId(*server)));
             }
-            Step::Begin(n) => {
-                if let Some(id) = self.pick(*n, |c| c.out.is_some() && !c.standing && !c.answered) {
+            Step::Establish(n) => {
+                if let Some(id) =
+                    self.pick(*n, |c| c.pending_attempt.is_some() && !c.is_established && !c.answered)
+                {
                     let c = self.clients.get_mut(&id).unwrap();
-                    c.standing = true;
-                    let attempt = c.out.unwrap().1;
+                    c.is_established = true;
+                    let attempt = c.pending_attempt.unwrap().1;
                     self.event(Event::Established { request: RequestId(id), attempt });
                 }
             }
             Step::End(n, outcome) => {
-                let Some(id) = self.pick(*n, |c| c.out.is_some()) else { return };
+                let Some(id) = self.pick(*n, |c| c.pending_attempt.is_some()) else { return };
                 let c = self.clients.get_mut(&id).unwrap();
-                let (server, attempt) = c.out.take().unwrap();
-                let complete = c.standing || *outcome == Outcome::Ok;
-                if !outcome.never_ran() && c.ran.is_none() {
-                    c.ran = Some((server, c.sent_at));
+                let (server, attempt) = c.pending_attempt.take().unwrap();
+                let complete = c.is_established || *outcome == Outcome::Ok;
+                if !outcome.never_ran() && c.possible_run.is_none() {
+                    c.possible_run = Some((server, c.sent_at));
                 }
                 let answered = c.answered;
                 c.answered |= complete;
-                c.standing = false;
+                c.is_established = false;
                 let request = RequestId(id);
                 let (outcome, complete) = (*outcome, complete || answered);
                 self.event(Event::AttemptEnded {
@@ -288,15 +297,15 @@
                     entries: entries.into(),
                 });
             }
-            Step::Gone(n) => {
-                if let Some(id) = self.pick(*n, |c| !c.standing) {
+            Step::Leave(n) => {
+                if let Some(id) = self.pick(*n, |c| !c.is_established) {
                     self.clients.get_mut(&id).unwrap().answered = true;
                     self.event(Event::ClientLeft(RequestId(id)));
                 }
             }
-            Step::Wait(span) => self.pass(*span),
-            Step::RegistryFailed => self.event(Event::DiscoveryFailed),
-            Step::Odd(id, token) => {
+            Step::Wait(span) => self.advance(*span),
+            Step::DiscoveryFailed => self.event(Event::DiscoveryFailed),
+            Step::UnknownIds(id, token) => {
                 // Ids nobody knows, tokens of an earlier life.
                 let request = RequestId(id | 1 << 31);
                 let server = ServerId(u64::from(*id));
@@ -328,10 +337,10 @@
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let run = || {
-            let mut w = World::new(seed);
+            let mut w = RandomRun::new(seed);
             w.apply(&Step::List { ready: 0xff, draining: 0, full: true, born: 0.0 });
             steps.iter().for_each(|s| w.apply(s));
-            w.pass(5.0);
+            w.advance(5.0);
             w.log
         };
         prop_assert_eq!(run(), run());
