--- a/crates/decisions/tests/replay.rs
+++ b/crates/decisions/tests/replay.rs
@@ -1,5 +1,5 @@
-//! Pinned random days: every action and everything that can be read out, folded into one number. It changes with a single
-//! bit of a decision, so a change of the code that is to keep them all has to keep the numbers.
+//! Replays of random events from fixed seeds: a hash of every action and of all state that can be read. It changes with a
+//! single bit of a decision, so a change of the code that is to keep all decisions has to keep the hashes.
 
 mod common;
 
@@ -21,13 +21,21 @@
 const SERVERS: u64 = 12;
 const STEPS: usize = 4_000;
 
+/// A request with an attempt out or an established connection.
+#[derive(Clone, Copy)]
+struct OpenRequest {
+    id: u32,
+    server: ServerId,
+    attempt: u32,
+    is_established: bool,
+}
+
 struct Replay {
-    module: Balancer,
+    balancer: Balancer,
     now: f64,
     rng: Pcg64Mcg,
     timers: Vec<(f64, u64)>,
-    /// Requests with an attempt out or a connection: the server, the attempt, whether it stands.
-    out: BTreeMap<u32, (ServerId, u32, bool)>,
+    open: BTreeMap<u32, OpenRequest>,
     attempts: BTreeMap<u32, u32>,
     probes: Vec<ServerId>,
     entries: Vec<ServerEntry>,
@@ -38,19 +46,19 @@
 impl Replay {
     fn new(set: Settings, seed: u64) -> Self {
         let mut replay = Replay {
-            module: Balancer::new(set, seed),
+            balancer: Balancer::new(set, seed),
             now: 100.0,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
             timers: Vec::new(),
-            out: BTreeMap::new(),
+            open: BTreeMap::new(),
             attempts: BTreeMap::new(),
             probes: Vec::new(),
             entries: (1..=SERVERS).map(entry).collect(),
             next: 0,
             text: String::new(),
         };
-        replay.give(Event::Start);
-        replay.give_list(true);
+        replay.handle(Event::Start);
+        replay.handle_list(true);
         replay
     }
 
@@ -66,20 +74,26 @@
         ServerId(1 + self.below(SERVERS as usize) as u64)
     }
 
-    fn give_list(&mut self, full: bool) {
+    fn handle_list(&mut self, full: bool) {
         let entries = self.entries.clone().into();
-        self.give(Event::EndpointList { is_complete: full, is_cached: false, entries });
+        self.handle(Event::EndpointList { is_complete: full, is_cached: false, entries });
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.module.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             self.write_action(action);
             match action {
                 Action::BeginAttempt { request, server, .. } => {
                     let attempts = self.attempts.entry(request.0).or_default();
-                    self.out.insert(request.0, (*server, *attempts, false));
+                    let open = OpenRequest {
+                        id: request.0,
+                        server: *server,
+                        attempt: *attempts,
+                        is_established: false,
+                    };
+                    self.open.insert(request.0, open);
                     *attempts += 1;
                 }
                 Action::SetTimer { after, token } => self.timers.push((self.now + after.max(0.001), *token)),
@@ -111,34 +125,34 @@
 
     fn write_state(&mut self) {
         for server in 1..=SERVERS {
-            let placed = self.module.assigned_load(ServerId(server));
+            let placed = self.balancer.assigned_load(ServerId(server));
             writeln!(self.text, "placed {server} {:x}", placed.to_bits()).expect("memory");
         }
-        for holding in self.module.holdings() {
+        for holding in self.balancer.holdings() {
             let (server, group, open) = (holding.server.0, holding.group, holding.connections);
             writeln!(self.text, "holds {server} {group} {open} {:x}", holding.load.to_bits())
                 .expect("memory");
         }
         let avoided: Vec<u64> =
-            self.module.unavailable_servers(self.now).iter().map(|server| server.0).collect();
-        writeln!(self.text, "avoided {avoided:?} waiting {}", self.module.waiting_requests())
+            self.balancer.unavailable_servers(self.now).iter().map(|server| server.0).collect();
+        writeln!(self.text, "avoided {avoided:?} waiting {}", self.balancer.waiting_requests())
             .expect("memory");
         let (mut known, mut at) = (Vec::new(), ExportCursor::default());
         while at != ExportCursor::End {
-            at = self.module.export_state(at, 7, &mut known);
+            at = self.balancer.export_state(at, 7, &mut known);
         }
         let json = serde_json::to_string(&known).expect("json");
         writeln!(self.text, "{json}").expect("memory");
     }
 
-    fn arrive(&mut self, class_count: usize) {
+    fn receive_request(&mut self, class_count: usize) {
         self.next += 1;
         let id = self.next;
         let (class, group, key) = (self.below(class_count), self.below(6) as u64, self.below(60) as u64);
         let load = (self.below(3) == 0).then(|| 0.05 + self.number());
         let returning = self.below(4) == 0;
         let deadline = self.now + 0.3 + 2.0 * self.number();
-        self.give(Event::RequestReceived(Request {
+        self.handle(Event::RequestReceived(Request {
             class,
             group,
             key,
@@ -149,29 +163,30 @@
         }));
     }
 
-    fn restore(&mut self, class_count: usize) {
+    fn restore_connection(&mut self, class_count: usize) {
         self.next += 1;
         let (id, server) = (self.next, self.server());
         let (class, group) = (self.below(class_count), self.below(6) as u64);
-        self.out.insert(id, (server, 0, true));
+        self.open.insert(id, OpenRequest { id, server, attempt: 0, is_established: true });
         self.attempts.insert(id, 1);
-        self.give(Event::ConnectionRestored(Request { class, group, ..request(id, self.now) }, server));
+        self.handle(Event::ConnectionRestored(Request { class, group, ..request(id, self.now) }, server));
     }
 
-    /// A request that is out: its number, its server, its attempt, whether it stands.
-    fn some_request(&mut self) -> Option<(u32, ServerId, u32, bool)> {
-        let at = self.below(self.out.len());
-        self.out.iter().nth(at).map(|(id, (server, attempt, stands))| (*id, *server, *attempt, *stands))
+    fn some_request(&mut self) -> Option<OpenRequest> {
+        let index = self.below(self.open.len());
+        self.open.values().nth(index).copied()
     }
 
     fn establish(&mut self) {
-        let Some((id, server, attempt, _)) = self.some_request() else { return };
-        self.out.insert(id, (server, attempt, true));
-        self.give(Event::Established { request: RequestId(id), attempt });
+        let Some(open) = self.some_request() else { return };
+        let OpenRequest { id, attempt, .. } = open;
+        self.open.insert(id, OpenRequest { is_established: true, ..open });
+        self.handle(Event::Established { request: RequestId(id), attempt });
     }
 
     fn end(&mut self, sick: bool) {
-        let Some((id, server, attempt, stands)) = self.some_request() else { return };
+        let Some(open) = self.some_request() else { return };
+        let OpenRequest { id, server, attempt, is_established } = open;
         let outcomes = [
             Outcome::Ok,
             Outcome::Ok,
@@ -185,10 +200,10 @@
         ];
         let outcome =
             if sick || self.below(3) == 0 { outcomes[self.below(outcomes.len())] } else { Outcome::Ok };
-        let complete = outcome == Outcome::Ok || stands;
-        self.out.remove(&id);
+        let complete = outcome == Outcome::Ok || is_established;
+        self.open.remove(&id);
         let request = RequestId(id);
-        self.give(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request,
             server,
             attempt,
@@ -210,10 +225,10 @@
             _ => entry.state = ServerState::Ready,
         }
         let full = self.below(2) == 0;
-        self.give_list(full);
+        self.handle_list(full);
     }
 
-    fn tell_of_others(&mut self) {
+    fn report_remote_loads(&mut self) {
         let mut away = BTreeMap::new();
         for server in 1..=SERVERS {
             let (load, open) = (self.number() * 20.0, (self.number() * 30.0).floor());
@@ -221,7 +236,7 @@
             away.insert(ServerId(server), RemoteLoad { load, connections: open, groups });
         }
         let heard = self.below(5) > 0;
-        self.give(Event::RemoteLoadsUpdated(heard.then(|| Arc::new(away))));
+        self.handle(Event::RemoteLoadsUpdated(heard.then(|| Arc::new(away))));
     }
 
     fn end_probe(&mut self) {
@@ -232,10 +247,10 @@
         let server = self.probes.swap_remove(at);
         let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::ConnectFailed];
         let outcome = outcomes[self.below(outcomes.len())];
-        self.give(Event::ProbeEnded { server, outcome, load_ratio: None });
+        self.handle(Event::ProbeEnded { server, outcome, load_ratio: None });
     }
 
-    fn pass(&mut self, span: f64) {
+    fn advance(&mut self, span: f64) {
         let until = self.now + span;
         loop {
             self.timers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -244,59 +259,59 @@
             }
             let (at, token) = self.timers.remove(0);
             self.now = at;
-            self.give(Event::TimerFired(token));
+            self.handle(Event::TimerFired(token));
         }
         self.now = until;
     }
 
     fn step(&mut self, day: &Day, classes: usize) {
         match self.below(40) {
-            0..=9 => self.arrive(classes),
-            10 => self.restore(classes),
+            0..=9 => self.receive_request(classes),
+            10 => self.restore_connection(classes),
             11..=17 => self.establish(),
             18..=20 => self.end(false),
             21 => self.end(true),
             22 => self.change_list(),
             23 => {
                 let (server, delay) = (self.server(), self.number() * 0.1);
-                self.give(Event::MessageDelay { server, delay });
+                self.handle(Event::MessageDelay { server, delay });
             }
             24 => {
-                let Some((id, ..)) = self.some_request() else { return };
+                let Some(OpenRequest { id, .. }) = self.some_request() else { return };
                 let load = self.number() * 2.0;
-                self.give(Event::LoadChanged { request: RequestId(id), load });
+                self.handle(Event::LoadChanged { request: RequestId(id), load });
             }
             25 => {
                 let request = RequestId(1 + self.below(self.next as usize) as u32);
-                self.give(Event::ClientLeft(request));
+                self.handle(Event::ClientLeft(request));
             }
-            26 if day.told => self.tell_of_others(),
-            27 | 28 if day.bears > 0.0 => {
-                let (server, load) = (self.server(), day.bears * (0.5 + self.number()));
+            26 if day.has_remote_loads => self.report_remote_loads(),
+            27 | 28 if day.capacity > 0.0 => {
+                let (server, load) = (self.server(), day.capacity * (0.5 + self.number()));
                 let entries = 0.2 + self.number();
-                self.give(Event::CapacityEstimated { server, load, setup_rate: entries });
+                self.handle(Event::CapacityEstimated { server, load, setup_rate: entries });
             }
-            29 if day.bears > 0.0 => {
+            29 if day.capacity > 0.0 => {
                 let mean = 0.3 + 0.2 * self.number();
-                self.give(Event::MeanLoadEstimated(mean));
+                self.handle(Event::MeanLoadEstimated(mean));
             }
             30..=32 => self.end_probe(),
-            33 if self.below(6) == 0 => self.give(Event::DiscoveryFailed),
+            33 if self.below(6) == 0 => self.handle(Event::DiscoveryFailed),
             34 => {
-                let Some((id, ..)) = self.some_request() else { return };
+                let Some(OpenRequest { id, .. }) = self.some_request() else { return };
                 let (to, until) = (self.server(), self.now + self.number());
-                let standing = self.module.established(RequestId(id));
+                let standing = self.balancer.established(RequestId(id));
                 writeln!(self.text, "standing {:?}", standing.map(|s| s.1.map(f64::to_bits)))
                     .expect("memory");
-                self.module.on_migrated(RequestId(id), Some(to), until);
+                self.balancer.on_migrated(RequestId(id), Some(to), until);
             }
             35 => {
                 let yes = self.below(4) > 0;
-                self.module.allow_retries(yes);
+                self.balancer.allow_retries(yes);
             }
             _ => {
                 let span = self.number() * 0.1;
-                self.pass(span);
+                self.advance(span);
             }
         }
     }
@@ -304,10 +319,10 @@
 
 #[derive(Default)]
 struct Day {
-    /// What a server bears of this proxy's load, about; 0 where it is not told.
-    bears: f64,
-    /// What other proxies hold is told.
-    told: bool,
+    /// What a server can sustain of this instance's load, about; 0 where it is not estimated.
+    capacity: f64,
+    /// Whether the loads of other instances are reported.
+    has_remote_loads: bool,
 }
 
 fn classes() -> Vec<RequestClass> {
@@ -338,14 +353,14 @@
     }
     let (mut known, mut at) = (Vec::new(), ExportCursor::default());
     while at != ExportCursor::End {
-        at = replay.module.export_state(at, 64, &mut known);
+        at = replay.balancer.export_state(at, 64, &mut known);
     }
     for away in [false, true] {
         let mut next = Replay::new(set.clone(), seed + 1);
         next.now = replay.now + 0.7;
         next.entries.clone_from(&replay.entries);
-        next.give_list(true);
-        let counts = next.module.restore(next.now, 0.7, away, &known);
+        next.handle_list(true);
+        let counts = next.balancer.restore(next.now, 0.7, away, &known);
         let counts = (counts.restored, counts.outdated, counts.expired, counts.invalid);
         writeln!(next.text, "recalled {counts:?}").expect("memory");
         for _ in 0..STEPS / 4 {
@@ -373,7 +388,7 @@
     let set = Settings { classes: classes(), polls_discovery: true, may_probe: true, ..settings() };
     check(
         set,
-        &Day { bears: 2.5, told: false },
+        &Day { capacity: 2.5, has_remote_loads: false },
         [0xebfd_258b_ff29_ec19, 0xad4d_cff3_7081_8d2c, 0x635c_86ba_b6c3_9f4b],
     );
 }
@@ -390,7 +405,7 @@
     };
     check(
         set,
-        &Day { bears: 0.1, told: false },
+        &Day { capacity: 0.1, has_remote_loads: false },
         [0x6d9e_065e_9e1d_8a15, 0x38d5_120a_cb5d_16dd, 0xbd8b_2d22_383d_6a4a],
     );
 }
@@ -401,7 +416,7 @@
         Settings { classes: classes(), may_probe: true, tenant_connection_quotas: vec![900.0], ..settings() };
     check(
         set,
-        &Day { bears: 2.5, told: true },
+        &Day { capacity: 2.5, has_remote_loads: true },
         [0x03df_2e43_cc08_af10, 0x6af3_d9e1_77e4_13dc, 0xc2e1_8fff_0740_f288],
     );
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -5,8 +5,15 @@
 use serde_json::{Value, json};
 use shorewharf_settings::settings;
 
-/// A class: effect and group of servers, window, deadline, worth.
-type Class = (usize, f64, f64, f64);
+/// A class as the settings name it.
+#[derive(Clone, Debug)]
+struct Class {
+    /// Index in [`EFFECTS`].
+    effect: usize,
+    window: f64,
+    promise: f64,
+    worth: f64,
+}
 
 const EFFECTS: [(&str, &str); 5] = [
     ("read_like", ""),
@@ -24,7 +31,7 @@
     limits: (u32, f64, bool),
 ) -> Value {
     let name = |at: usize| names[at % names.len()].clone() + &at.to_string();
-    let class = |(at, (effect, window, promise, worth)): (usize, &Class)| {
+    let class = |(at, Class { effect, window, promise, worth }): (usize, &Class)| {
         let (semantics, group) = EFFECTS[*effect];
         json!({"name": name(at), "semantics": semantics, "group": group, "window_s": window, "promise_s": promise,
             "worth": worth, "give_up_s": promise * 2.0})
@@ -53,6 +60,7 @@
 
 fn class() -> impl Strategy<Value = Class> {
     (0usize..5, figure(50, 5000), figure(100, 4000), figure(100, 9000))
+        .prop_map(|(effect, window, promise, worth)| Class { effect, window, promise, worth })
 }
 
 fn limits() -> impl Strategy<Value = (u32, f64, bool)> {
@@ -94,8 +102,8 @@
         prop_assert_eq!((set.overload_window, set.overload_ratio, set.warm_up_time), (1.8, 2.0, 18.0));
         prop_assert_eq!(set.tenant_connection_quotas, quotas);
         let figures = set.classes.iter().map(|c| (c.latency_objective, c.priority_weight));
-        prop_assert!(figures.eq(classes.iter().map(|c| (c.2, c.3))));
-        for (class, (effect, window, ..)) in set.classes.iter().zip(&classes) {
+        prop_assert!(figures.eq(classes.iter().map(|class| (class.promise, class.worth))));
+        for (class, Class { effect, window, .. }) in set.classes.iter().zip(&classes) {
             use shorewharf_decisions::interface::{DeduplicationScope, Idempotency};
             let expected = [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed(DeduplicationScope::All, *window),
                 Idempotency::Keyed(DeduplicationScope::Zone, *window), Idempotency::Keyed(DeduplicationScope::Cell, *window)][*effect];
