--- a/crates/balancer/src/overload/log_rate_limiter.rs
+++ b/crates/balancer/src/overload/log_rate_limiter.rs
@@ -42,7 +42,7 @@
         let suppressed = self.suppressed;
         *self = LogRateLimiter { started_at: now, ..LogRateLimiter::default() };
         if suppressed > 0 {
-            warn!(event = "bad-clients", "left-out" = suppressed);
+            warn!(event = "client-errors-suppressed", "left-out" = suppressed);
         }
         suppressed
     }
