--- a/crates/balancer/src/config/file.rs
+++ b/crates/balancer/src/config/file.rs
@@ -6,7 +6,7 @@
 use shorewharf_protocol::name_index::NameIndex;
 
 use super::error::{ConfigError, InvalidValue};
-use super::{Limits, MAX_SECONDS};
+use super::limits::{Limits, MAX_SECONDS};
 
 /// How long a client waits whose class says nothing of it, in seconds.
 const DEFAULT_CLIENT_TIMEOUT_S: f64 = 3.0;
@@ -121,6 +121,9 @@
 }
 
 /// Checks that a duration is over 0 and under [`MAX_SECONDS`].
+///
+/// # Errors
+/// The duration is out of that range.
 pub(super) fn check_duration(key: &str, seconds: f64) -> Result<(), ConfigError> {
     if seconds > 0.0 && seconds < MAX_SECONDS {
         return Ok(());
--- a/crates/decisions/src/groups.rs
+++ b/crates/decisions/src/groups.rs
@@ -35,8 +35,8 @@
     groups: BTreeMap<u64, GroupStats>,
 }
 
-/// What the placement of a request goes by: its group, or the client's key where packets pass through and the next
-/// instance has to find the same server.
+/// What the placement of a request goes by: its group, or the client's key where packets pass through and the
+/// next instance has to find the same server.
 pub(crate) fn placement_group(settings: &Settings, request: &Request) -> Option<u64> {
     let group = if settings.is_pass_through { request.key } else { request.group };
     ((settings.is_pass_through || settings.has_groups) && group != 0).then_some(group)
@@ -62,7 +62,7 @@
         self.groups.get(&group).and_then(|stats| stats.last_server)
     }
 
-    /// Whether a group is counted already or there is room for one more.
+    /// Whether a group is counted already or one more can be.
     pub fn has_capacity_for(&self, group: u64) -> bool {
         self.groups.len() < MAX_GROUPS || self.groups.contains_key(&group)
     }
