--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -13,7 +13,7 @@
     Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, Reachability, RequestLine,
     ToBalancer,
 };
-use crate::virtual_time::{GroundTruth, RunResult, last_answers};
+use crate::virtual_time::{GroundTruth, RunResult, answer_window};
 use crate::world::series::Second;
 use crate::world::{Mode, World, WorldListener};
 
@@ -49,14 +49,17 @@
         world: World::new(day, Mode::Sockets),
         auditor: Auditor::new(day, AuditTolerances::sockets(day)),
         day_end: day.length,
-        answer_deadline: day.length + last_answers(day),
+        answer_deadline: day.length + answer_window(day),
         ground_truth: Vec::new(),
         homes: BTreeMap::new(),
         watch,
     };
     let report = play(&mut platform, day, options)?;
     let verdict = platform.auditor.finish(report.ended);
-    Ok(SocketsRun { result: platform.world.finish(report.ended, verdict), report })
+    Ok(SocketsRun {
+        result: RunResult::new(platform.world.finish(), verdict, report.ended, Vec::new()),
+        report,
+    })
 }
 
 struct Platform<'a> {
@@ -104,23 +107,24 @@
         commands: &mut Commands,
     ) {
         self.auditor.observe(now, Observation::From(who, &what));
-        self.world.did(now, who, what, &mut Listener { commands, auditor: &mut self.auditor });
+        self.world.on_balancer_action(now, who, what, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
     fn on_link_reset(&mut self, now: Micros, who: BalancerId, link: LinkId, commands: &mut Commands) {
         // To the balancer it looks as though the node had ended it, and it owes its client the same.
         self.auditor.observe(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
         let gone = FromBalancer::EndLink(link, End::Reset);
-        self.world.did(now, who, gone, &mut Listener { commands, auditor: &mut self.auditor });
+        self.world.on_balancer_action(now, who, gone, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
     fn reachability(&self, node: NodeId) -> Reachability {
-        self.world.reach(node)
+        self.world.reachability(node)
     }
 
     fn connections_at_start(&mut self) -> Vec<(BalancerId, RequestLine)> {
         let mut commands = Vec::new();
-        self.world.stand(&mut Listener { commands: &mut commands, auditor: &mut self.auditor });
+        self.world
+            .open_standing_connections(&mut Listener { commands: &mut commands, auditor: &mut self.auditor });
         let asked = |(who, what)| match what {
             ToBalancer::Asked { ask, .. } => Some((who, ask)),
             _ => None,
@@ -136,12 +140,27 @@
         for (conn, who) in std::mem::take(&mut self.homes) {
             let mut listener = Listener { commands: &mut commands, auditor: &mut self.auditor };
             let Some((_, link, node)) = up.get(&conn).copied() else {
-                self.world.did(0, who, FromBalancer::EndClient(conn, End::Reset), &mut listener);
+                self.world.on_balancer_action(
+                    0,
+                    who,
+                    FromBalancer::EndClient(conn, End::Reset),
+                    &mut listener,
+                );
                 self.auditor.observe(0, Observation::Missed(who, conn));
                 continue;
             };
-            self.world.did(0, who, FromBalancer::Link { link, node, conn: Some(conn) }, &mut listener);
-            self.world.did(0, who, FromBalancer::Answer(conn, Answer::Up(link)), &mut listener);
+            self.world.on_balancer_action(
+                0,
+                who,
+                FromBalancer::Link { link, node, conn: Some(conn) },
+                &mut listener,
+            );
+            self.world.on_balancer_action(
+                0,
+                who,
+                FromBalancer::Answer(conn, Answer::Up(link)),
+                &mut listener,
+            );
             self.auditor.observe(0, Observation::Stands { by: who, conn, link, node });
         }
     }
@@ -183,7 +202,7 @@
     }
 
     fn on_status_sample(&mut self, now: Micros, balancers: &[BalancerStatus]) {
-        self.world.truths(&mut self.ground_truth);
+        self.world.ground_truth(&mut self.ground_truth);
         let seconds = &self.world.series().seconds;
         let second = (now / 1_000_000).checked_sub(1).and_then(|s| seconds.get(s as usize));
         (self.watch)(&StatusSample { now, second, nodes: &self.ground_truth, balancers });
--- a/crates/emulator/src/virtual_time/instance.rs
+++ b/crates/emulator/src/virtual_time/instance.rs
@@ -1,7 +1,8 @@
-//! What is hosted in place of a balancer, and who makes it.
+//! The emulated balancers that a run in virtual time hosts, and the host that creates them.
 
 use crate::day::Day;
 use crate::edge::{BalancerId, FromBalancer, ToBalancer};
+use crate::world::GroundTruth;
 use shorewharf_units::Micros;
 
 /// One emulated balancer. It lives through kills and starts of its process: [`ToBalancer::Kill`] makes it forget all
@@ -16,7 +17,7 @@
     fn next_due(&self) -> Option<Micros>;
 
     /// What it tells of itself, for reports. Asked once a second.
-    fn tells(&mut self, _told: &mut InstanceReport) {}
+    fn report(&mut self, _report: &mut InstanceReport) {}
 }
 
 /// What an instance tells of itself. Nothing of it changes the run.
@@ -32,42 +33,17 @@
     pub lines: Vec<(Micros, String)>,
 }
 
-/// What a node truly is at some moment: for reports, and for hosts whose policies may see it.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct GroundTruth {
-    /// It runs and takes connections.
-    pub takes: bool,
-    /// Load asked of it, in standard cores.
-    pub load: f64,
-    /// What it can do, in standard cores.
-    pub capacity: f64,
-    /// Standing connections.
-    pub connections: u32,
-    /// Set-ups in work and waiting.
-    pub set_ups: u32,
-    /// Work piled up, in seconds.
-    pub pile_s: f64,
-    /// The part of the load that stands: set-ups left out.
-    pub stands: f64,
-    /// Load of a usual connection, in standard cores.
-    pub usual: f64,
-    /// Groups of the connections that stand, in order of their ids.
-    pub groups: Vec<u64>,
-    /// Attempts that it still takes at once before it is pushed over, while it is cold.
-    pub before_fall: Option<f64>,
-}
-
 /// Makes the instances of a run.
 pub trait Host: Sync {
     /// The balancer at this place, told nothing but its settings and what is publicly listed of the nodes.
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance>;
 
     /// Whether [`Host::truth`] is to be called. A host that says no sees the platform as a real balancer does.
-    fn wants_truth(&self) -> bool {
+    fn wants_ground_truth(&self) -> bool {
         false
     }
 
     /// The true state of all nodes, told before the turns of each tick. It lies outside the edge on purpose: what
     /// real balancers are made of never gets a host with this door.
-    fn truth(&self, _now: Micros, _nodes: &[GroundTruth]) {}
+    fn observe_ground_truth(&self, _now: Micros, _nodes: &[GroundTruth]) {}
 }
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -1,13 +1,14 @@
-//! A day in virtual time: the world's queue is played tick by tick, and at each tick the balancers that have heard
-//! something, or have something due, take their turns side by side on all cores.
+//! Runs a day in virtual time: the world's events are handled tick by tick, and at each tick the balancers that have
+//! received something, or have something due, run in parallel.
 //!
-//! Between two ticks balancers share nothing, and what they do is carried out after all turns in an order that only
-//! the day's seed draws: so the result is the same for any number of threads.
+//! Within a tick balancers share nothing, and their actions are applied afterwards in an order that depends only on the
+//! day's seed, so the result is the same for any number of threads.
 
 mod instance;
 mod result;
 
-pub use instance::{GroundTruth, Host, Instance, InstanceReport};
+pub use crate::world::GroundTruth;
+pub use instance::{Host, Instance, InstanceReport};
 pub use result::{InstanceTimeline, RunResult};
 
 use rand::Rng;
@@ -21,12 +22,12 @@
 use crate::world::{Mode, World, WorldListener, rng, settings};
 
 const SECOND: Micros = 1_000_000;
-/// Progress is told at most this often, in the day's time.
-const PROGRESS: Micros = 100_000;
-/// So many turns at least are worth waking other threads for: waking them costs as much as a few short turns.
-const WORTH_SHARING: usize = 3;
-/// After the day's length, clients that still wait are played to their end; this is kept for words on their way.
-const LAST_WORDS: Micros = 1_000_000;
+/// The shortest interval between two progress reports, in the day's time.
+const PROGRESS_INTERVAL: Micros = 100_000;
+/// The fewest due balancers that run in parallel: waking threads costs as much as running a few of them.
+const MIN_PARALLEL_INSTANCES: usize = 3;
+/// Time after the last possible answer for messages that are still in transit.
+const TRAILING_MESSAGES: Micros = 1_000_000;
 
 /// How a run is made.
 #[derive(Clone, Copy, Default)]
@@ -51,20 +52,20 @@
 struct Slot {
     instance: Box<dyn Instance>,
     inbox: Vec<ToBalancer>,
-    out: Vec<FromBalancer>,
+    actions: Vec<FromBalancer>,
 }
 
 impl Slot {
-    fn acts(&self, now: Micros) -> bool {
+    fn is_due(&self, now: Micros) -> bool {
         !self.inbox.is_empty() || self.instance.next_due().is_some_and(|due| due <= now)
     }
 
-    fn turn(&mut self, now: Micros) {
-        self.instance.turn(now, &self.inbox, &mut self.out);
+    fn run_until(&mut self, now: Micros) {
+        self.instance.turn(now, &self.inbox, &mut self.actions);
     }
 }
 
-/// Collects what reaches balancers until the tick, and has facts judged.
+/// Collects messages for balancers until the tick, and passes observations to the auditor.
 struct Outbox<'a> {
     slots: &'a mut [Slot],
     auditor: &'a mut Auditor,
@@ -80,7 +81,11 @@
     }
 }
 
-/// Plays a day in virtual time with the balancers of `host`.
+/// Runs a day in virtual time with the balancers of `host`.
+///
+/// # Errors
+///
+/// Fails if the day's tick is 0 or the thread pool cannot be created.
 pub fn run(day: &Day, host: &dyn Host, options: &Options<'_>) -> Result<RunResult, RunError> {
     if day.tick == 0 {
         return Err(RunError::Tick);
@@ -94,52 +99,57 @@
     let slot = |i: usize| {
         let id = BalancerId(i as u32);
         let instance = host.instance(day, id, &settings::json(day, id));
-        Slot { instance, inbox: Vec::new(), out: Vec::new() }
+        Slot { instance, inbox: Vec::new(), actions: Vec::new() }
     };
     let mut slots: Vec<Slot> = (0..day.balancers.len()).map(slot).collect();
     let mut order = rng(day.seed, "order", 0);
-    let mut truths = Vec::new();
-    let mut told = 0;
-    let mut stood = false;
-    let mut courses = vec![InstanceTimeline::default(); slots.len()];
+    let mut ground_truth = Vec::new();
+    let mut last_progress = 0;
+    let mut opened_standing_connections = false;
+    let mut timelines = vec![InstanceTimeline::default(); slots.len()];
     let mut now: Micros = 0;
     loop {
-        // A second that has passed is told of before anything of the next one happens.
-        while now / SECOND > courses.first().map_or(u64::MAX, |c| c.levels.len() as u64) {
-            slots.iter_mut().zip(&mut courses).for_each(|(slot, course)| course.look(slot.instance.as_mut()));
+        // A second is sampled before any event of the next one is handled.
+        while now / SECOND > timelines.first().map_or(u64::MAX, |c| c.levels.len() as u64) {
+            slots
+                .iter_mut()
+                .zip(&mut timelines)
+                .for_each(|(slot, course)| course.sample(slot.instance.as_mut()));
         }
         world.advance(now, &mut Outbox { slots: &mut slots, auditor: &mut auditor });
-        let acting = slots.iter().filter(|s| s.acts(now)).count();
+        let acting = slots.iter().filter(|s| s.is_due(now)).count();
         if acting > 0 {
-            if host.wants_truth() {
-                world.truths(&mut truths);
-                host.truth(now, &truths);
+            if host.wants_ground_truth() {
+                world.ground_truth(&mut ground_truth);
+                host.observe_ground_truth(now, &ground_truth);
             }
             match &pool {
-                Some(pool) if acting >= WORTH_SHARING => {
-                    pool.install(|| slots.par_iter_mut().filter(|s| s.acts(now)).for_each(|s| s.turn(now)));
+                Some(pool) if acting >= MIN_PARALLEL_INSTANCES => {
+                    pool.install(|| {
+                        slots.par_iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now))
+                    });
                 }
-                _ => slots.iter_mut().filter(|s| s.acts(now)).for_each(|s| s.turn(now)),
+                _ => slots.iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now)),
             }
-            // As the simulator has it, whose wishes are carried out first is drawn anew each time.
+            // As in the simulator, the balancer whose actions are applied first is drawn at each tick.
             let first = order.random_range(0..slots.len());
             for i in (first..slots.len()).chain(0..first) {
-                carry_out(now, i, &mut slots, &mut world, &mut auditor);
+                apply_actions(now, i, &mut slots, &mut world, &mut auditor);
             }
         }
-        if let Some(progress) = options.progress.filter(|_| now >= told + PROGRESS) {
-            told = now;
+        if let Some(progress) = options.progress.filter(|_| now >= last_progress + PROGRESS_INTERVAL) {
+            last_progress = now;
             progress(now, world.events());
         }
-        if now == 0 && !std::mem::replace(&mut stood, true) {
-            // Balancers are ready now; those that stand from before the day connect to them.
-            world.stand(&mut Outbox { slots: &mut slots, auditor: &mut auditor });
+        if now == 0 && !std::mem::replace(&mut opened_standing_connections, true) {
+            // Balancers are ready now; clients established before the day connect to them.
+            world.open_standing_connections(&mut Outbox { slots: &mut slots, auditor: &mut auditor });
         }
         if now == 0 && slots.iter().any(|s| !s.inbox.is_empty()) {
-            // What stands from before the day is up before the first tick.
+            // Connections from before the day are restored before the first tick.
             continue;
         }
-        if now >= day.length && (world.waiting() == 0 || now >= day.length + last_answers(day)) {
+        if now >= day.length && (world.waiting() == 0 || now >= day.length + answer_window(day)) {
             break;
         }
         let due = slots.iter().filter_map(|s| s.instance.next_due()).chain(world.next_due()).min();
@@ -151,28 +161,28 @@
         }
     }
     let verdict = auditor.finish(now);
-    slots.iter_mut().zip(&mut courses).for_each(|(slot, course)| course.look(slot.instance.as_mut()));
-    Ok(RunResult { balancers: courses, ..world.finish(now, verdict) })
+    slots.iter_mut().zip(&mut timelines).for_each(|(slot, course)| course.sample(slot.instance.as_mut()));
+    Ok(RunResult::new(world.finish(), verdict, now, timelines))
 }
 
-/// How long after the day's length the last answer may still come.
-pub(crate) fn last_answers(day: &Day) -> Micros {
-    day.classes.iter().map(|c| c.give_up).max().unwrap_or(0) + day.rules.answer_slack + LAST_WORDS
+/// How long after the day's length the last answer may still arrive.
+pub(crate) fn answer_window(day: &Day) -> Micros {
+    day.classes.iter().map(|c| c.give_up).max().unwrap_or(0) + day.rules.answer_slack + TRAILING_MESSAGES
 }
 
-/// Has a balancer's wishes take effect, after what it heard and they were shown to the auditor.
-fn carry_out(now: Micros, i: usize, slots: &mut [Slot], world: &mut World, auditor: &mut Auditor) {
+/// Passes a balancer's inputs and actions to the auditor, and applies the actions to the world.
+fn apply_actions(now: Micros, i: usize, slots: &mut [Slot], world: &mut World, auditor: &mut Auditor) {
     let id = BalancerId(i as u32);
     let mut inbox = std::mem::take(&mut slots[i].inbox);
-    let mut out = std::mem::take(&mut slots[i].out);
+    let mut actions = std::mem::take(&mut slots[i].actions);
     inbox.drain(..).for_each(|what| auditor.observe(now, Observation::To(id, &what)));
-    for what in out.drain(..) {
+    for what in actions.drain(..) {
         auditor.observe(now, Observation::From(id, &what));
-        world.did(now, id, what, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
+        world.on_balancer_action(now, id, what, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
     }
     // Answers at the same time may have come meanwhile; the emptied buffer is used again.
     if slots[i].inbox.is_empty() {
         slots[i].inbox = inbox;
     }
-    slots[i].out = out;
+    slots[i].actions = actions;
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -1,19 +1,21 @@
-//! What balancers do, and what happens to them.
+//! Actions of balancers, and faults of balancers.
 
 use super::conns::Stage;
 use super::links::{At, Link};
-use super::*;
+use super::{BalancerArrival, ClientMessage, Event, Mode, NodeArrival, World, WorldListener, conns, rng};
+use crate::edge::{Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, ToBalancer};
 use crate::environment::BalancerEvent;
 use crate::node::NodeInput;
+use shorewharf_units::Micros;
 
 impl World {
-    /// A balancer does something, now.
-    pub fn did(
+    /// Applies an action of a balancer at `now`.
+    pub fn on_balancer_action(
         &mut self,
         now: Micros,
         balancer: BalancerId,
         what: FromBalancer,
-        ear: &mut impl WorldListener,
+        listener: &mut impl WorldListener,
     ) {
         self.now = self.now.max(now);
         self.events += 1;
@@ -21,16 +23,18 @@
             return;
         }
         match what {
-            FromBalancer::Answer(conn, answer) => self.answers(balancer, conn, answer),
+            FromBalancer::Answer(conn, answer) => self.on_answer(balancer, conn, answer),
             FromBalancer::EndClient(conn, end) => {
-                if self.last_word(balancer, conn) {
+                if self.finish_connection(balancer, conn) {
                     self.send_to_client(conn, ClientMessage::Ended(end));
                 }
             }
-            FromBalancer::Link { link, node, conn } => self.links_to(balancer, link, node, conn, ear),
+            FromBalancer::Link { link, node, conn } => {
+                self.on_link_opened(balancer, link, node, conn, listener)
+            }
             FromBalancer::EndLink(link, _) => {
                 if let Some(id) = self.links.of(balancer, link) {
-                    self.balancer_ends(id);
+                    self.close_from_balancer(id);
                 }
             }
             FromBalancer::Watch => self.discovery.watch(self.now, balancer),
@@ -39,24 +43,24 @@
             FromBalancer::Ready => self.front.answered(self.now, balancer),
             FromBalancer::Unwatch => self.discovery.unwatch(balancer),
             FromBalancer::Refused(conn) => {
-                if self.last_word(balancer, conn) {
+                if self.finish_connection(balancer, conn) {
                     self.send_to_client(conn, ClientMessage::Ended(End::Reset));
                 }
             }
             // Told to whoever judges; it changes nothing here.
             FromBalancer::Syntax(_) => {}
-            FromBalancer::Exited => self.balancer_gone(balancer, ear),
+            FromBalancer::Exited => self.on_balancer_exit(balancer, listener),
         }
     }
 
-    /// Whether this balancer still owes this client something; from now on it does not.
-    fn last_word(&mut self, balancer: BalancerId, conn: ConnId) -> bool {
+    /// Marks the connection as finished at this balancer; returns whether it was not finished before.
+    fn finish_connection(&mut self, balancer: BalancerId, conn: ConnId) -> bool {
         let owed = |c: &&mut conns::Conn| c.balancer == balancer && !c.done;
         self.conns.get_mut(conn).filter(owed).map(|c| c.done = true).is_some()
     }
 
-    fn answers(&mut self, balancer: BalancerId, conn: ConnId, answer: Answer) {
-        let word = match answer {
+    fn on_answer(&mut self, balancer: BalancerId, conn: ConnId, answer: Answer) {
+        let message = match answer {
             Answer::Up(theirs) => {
                 let stands = self
                     .links
@@ -65,7 +69,7 @@
                 let Some(id) = stands else { return };
                 if self.now == 0 {
                     // From before the day: no time passes.
-                    return self.at_client(conn, ClientMessage::Up(id));
+                    return self.on_arrival_at_client(conn, ClientMessage::Up(id));
                 }
                 return self.send_to_client(conn, ClientMessage::Up(id));
             }
@@ -74,21 +78,21 @@
             Answer::Move => ClientMessage::Move { by_node: false },
         };
         let stood = self.conns.get(conn).is_some_and(|c| c.stage == Stage::Standing);
-        if self.last_word(balancer, conn) {
+        if self.finish_connection(balancer, conn) {
             if matches!(answer, Answer::Move) && stood {
                 self.score.moved(self.now);
             }
-            self.send_to_client(conn, word);
+            self.send_to_client(conn, message);
         }
     }
 
-    fn links_to(
+    fn on_link_opened(
         &mut self,
         b: BalancerId,
         theirs: LinkId,
         node: NodeId,
         conn: Option<ConnId>,
-        ear: &mut impl WorldListener,
+        listener: &mut impl WorldListener,
     ) {
         let now = self.now;
         let link = Link {
@@ -104,7 +108,7 @@
             last_at_balancer: 0,
             asked: false,
             paired: true,
-            heard: false,
+            has_answered: false,
         };
         let id = self.links.add(link);
         let home = conn.and_then(|c| self.conns.get_mut(c)).and_then(|c| {
@@ -112,9 +116,9 @@
             c.ask.home
         });
         if home == Some(node) && now == 0 {
-            return self.carries(id, ear);
+            return self.restore_link(id, listener);
         }
-        let leg = self.leg(b, node);
+        let leg = self.one_way_delay(b, node);
         let handshake = match self.mode {
             Mode::Virtual => (self.day.limits.handshake_rtts * 2.0 * leg as f64) as Micros,
             Mode::Sockets => 0,
@@ -127,52 +131,61 @@
             }
             None => self.score.probe(now),
         }
-        self.send_to_node(id, up + leg, if conn.is_some() { AtNode::First } else { AtNode::Probe });
+        self.send_to_node(
+            id,
+            up + leg,
+            if conn.is_some() { NodeArrival::FirstLine } else { NodeArrival::Probe },
+        );
     }
 
-    /// A connection from before the day is up at once.
-    fn carries(&mut self, id: LinkId, ear: &mut impl WorldListener) {
+    /// Restores a connection from before the day without delay.
+    fn restore_link(&mut self, id: LinkId, listener: &mut impl WorldListener) {
         let Some(l) = self.links.get_mut(id) else { return };
         l.at = At::Up;
         l.paired = false;
         let (b, theirs, node, conn) = (l.balancer, l.theirs, l.node, l.conn);
         if let Some(c) = conn.and_then(|c| self.conns.get(c)) {
-            let heard = NodeInput::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
-            self.node_hears(node, heard, ear);
+            let input = NodeInput::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
+            self.handle_node_input(node, input, listener);
         }
-        ear.to(self.now, b, ToBalancer::LinkUp(theirs));
-        ear.to(self.now, b, ToBalancer::NodeSays(theirs, NodeMessage::Up));
+        listener.to(self.now, b, ToBalancer::LinkUp(theirs));
+        listener.to(self.now, b, ToBalancer::NodeSays(theirs, NodeMessage::Up));
     }
 
-    fn send_to_node(&mut self, id: LinkId, at: Micros, what: AtNode) {
+    fn send_to_node(&mut self, id: LinkId, at: Micros, what: NodeArrival) {
         let Some(l) = self.links.get_mut(id) else { return };
         l.last_at_node = l.last_at_node.max(at);
-        self.queue.push(l.last_at_node, Event::Node(id, what));
+        self.queue.push(l.last_at_node, Event::NodeArrival(id, what));
     }
 
-    fn balancer_ends(&mut self, id: LinkId) {
+    fn close_from_balancer(&mut self, id: LinkId) {
         let Some(l) = self.links.get_mut(id) else { return };
         if std::mem::replace(&mut l.left, true) {
             return;
         }
         let (b, node, over) = (l.balancer, l.node, l.ended);
         if over {
-            self.link_over(id);
+            self.remove_link(id);
             return;
         }
-        let leg = self.leg(b, node);
-        self.send_to_node(id, self.now + leg, AtNode::Ended);
+        let leg = self.one_way_delay(b, node);
+        self.send_to_node(id, self.now + leg, NodeArrival::Ended);
     }
 
-    /// A link is over at both ends.
-    pub(super) fn link_over(&mut self, id: LinkId) {
+    /// Removes a link that is closed at both ends.
+    pub(super) fn remove_link(&mut self, id: LinkId) {
         if let Some(l) = self.links.remove(id).filter(|l| l.paired) {
             self.pairs.left(self.now, l.balancer, l.node);
         }
     }
 
-    /// Something on a link has come at its balancer.
-    pub(super) fn at_balancer(&mut self, id: LinkId, what: OnLink, ear: &mut impl WorldListener) {
+    /// Handles what arrives at the balancer of a link.
+    pub(super) fn on_arrival_at_balancer(
+        &mut self,
+        id: LinkId,
+        what: BalancerArrival,
+        listener: &mut impl WorldListener,
+    ) {
         let now = self.now;
         let Some(l) = self.links.get_mut(id) else { return };
         if l.left {
@@ -180,34 +193,34 @@
         }
         let (b, theirs, conn, was_up) = (l.balancer, l.theirs, l.conn, l.at == At::Up);
         match what {
-            OnLink::Up => ear.to(now, b, ToBalancer::LinkUp(theirs)),
-            OnLink::Failed => {
+            BalancerArrival::Up => listener.to(now, b, ToBalancer::LinkUp(theirs)),
+            BalancerArrival::Failed => {
                 if conn.is_some() {
                     self.series.attempt("not connected");
                 }
-                ear.to(now, b, ToBalancer::LinkFailed(theirs));
-                self.link_over(id);
+                listener.to(now, b, ToBalancer::LinkFailed(theirs));
+                self.remove_link(id);
             }
-            OnLink::Says(word) => {
-                let first = conn.is_some() && !was_up && !std::mem::replace(&mut l.heard, true);
-                if word == NodeMessage::Up {
+            BalancerArrival::Message(message) => {
+                let first = conn.is_some() && !was_up && !std::mem::replace(&mut l.has_answered, true);
+                if message == NodeMessage::Up {
                     l.at = At::Up;
                 }
-                if matches!(word, NodeMessage::Bye | NodeMessage::Move) {
-                    l.last = Some(word);
+                if matches!(message, NodeMessage::Bye | NodeMessage::Move) {
+                    l.last = Some(message);
                 }
-                if word == NodeMessage::Reply {
+                if message == NodeMessage::Reply {
                     l.asked = false;
                 }
                 if first {
-                    self.series.attempt_word(word);
+                    self.series.attempt_answered(message);
                 }
-                ear.to(now, b, ToBalancer::NodeSays(theirs, word));
-                if let (NodeMessage::Bye | NodeMessage::Move, true, Some(conn)) = (word, was_up, conn) {
+                listener.to(now, b, ToBalancer::NodeSays(theirs, message));
+                if let (NodeMessage::Bye | NodeMessage::Move, true, Some(conn)) = (message, was_up, conn) {
                     // Lines on a standing connection pass through.
                     self.send_to_client(
                         conn,
-                        if word == NodeMessage::Bye {
+                        if message == NodeMessage::Bye {
                             ClientMessage::Bye
                         } else {
                             ClientMessage::Move { by_node: true }
@@ -215,61 +228,61 @@
                     );
                 }
             }
-            OnLink::Ended(end) => {
-                if conn.is_some() && !was_up && !l.heard {
+            BalancerArrival::Ended(end) => {
+                if conn.is_some() && !was_up && !l.has_answered {
                     self.series.attempt("reset");
                 }
-                ear.to(now, b, ToBalancer::NodeEnded(theirs, end));
-                self.link_over(id);
+                listener.to(now, b, ToBalancer::NodeEnded(theirs, end));
+                self.remove_link(id);
             }
         }
     }
 
-    pub(super) fn balancer_turns(
+    pub(super) fn apply_balancer_event(
         &mut self,
         b: BalancerId,
-        turn: BalancerEvent,
-        ear: &mut impl WorldListener,
+        event: BalancerEvent,
+        listener: &mut impl WorldListener,
     ) {
-        match turn {
-            BalancerEvent::Start => self.balancer_starts(b, ear),
+        match event {
+            BalancerEvent::Start => self.start_balancer(b, listener),
             BalancerEvent::Kill => {
                 if self.balancers[b.0 as usize].up {
-                    ear.to(self.now, b, ToBalancer::Kill);
-                    self.balancer_gone(b, ear);
+                    listener.to(self.now, b, ToBalancer::Kill);
+                    self.on_balancer_exit(b, listener);
                 }
             }
             BalancerEvent::Terminate => {
                 let at = &mut self.balancers[b.0 as usize];
                 if at.up && !std::mem::replace(&mut at.terminating, true) {
                     self.front.terminates(self.now, b);
-                    ear.to(self.now, b, ToBalancer::Terminate);
+                    listener.to(self.now, b, ToBalancer::Terminate);
                 }
             }
             BalancerEvent::Reload { moved } => {
                 if self.balancers[b.0 as usize].up {
-                    ear.to(self.now, b, ToBalancer::Reload { moved });
+                    listener.to(self.now, b, ToBalancer::Reload { moved });
                 }
             }
         }
     }
 
-    fn balancer_starts(&mut self, b: BalancerId, ear: &mut impl WorldListener) {
+    fn start_balancer(&mut self, b: BalancerId, listener: &mut impl WorldListener) {
         let at = &mut self.balancers[b.0 as usize];
         if at.up {
             return;
         }
         at.up = true;
         at.terminating = false;
-        at.lives += 1;
-        let lives = at.lives;
+        at.incarnations += 1;
+        let lives = at.incarnations;
         let seed = rand::Rng::random(&mut rng(self.day.seed, "balancer", u64::from(b.0) << 32 | lives));
         let known = self.discovery.known(b);
-        ear.to(self.now, b, ToBalancer::Start { seed, known });
+        listener.to(self.now, b, ToBalancer::Start { seed, known });
     }
 
-    /// A balancer's process is no more: what it held breaks.
-    fn balancer_gone(&mut self, b: BalancerId, _ear: &mut impl WorldListener) {
+    /// Breaks the connections of a balancer whose process has ended.
+    fn on_balancer_exit(&mut self, b: BalancerId, _listener: &mut impl WorldListener) {
         let at = &mut self.balancers[b.0 as usize];
         if !std::mem::replace(&mut at.up, false) {
             return;
@@ -279,12 +292,12 @@
         let held: Vec<ConnId> =
             self.conns.iter().filter(|c| c.balancer == b && c.come && !c.done).map(|c| c.ask.conn).collect();
         for conn in held {
-            self.last_word(b, conn);
+            self.finish_connection(b, conn);
             self.send_to_client(conn, ClientMessage::Ended(End::Reset));
         }
         let links: Vec<LinkId> =
             self.links.iter().filter(|(_, l)| l.balancer == b).map(|(id, _)| id).collect();
-        links.into_iter().for_each(|id| self.balancer_ends(id));
+        links.into_iter().for_each(|id| self.close_from_balancer(id));
         self.pairs.broke(Some(b), None);
     }
 }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -1,36 +1,37 @@
-//! Between clients and their balancers.
+//! Messages between clients and their balancers.
 
 use super::conns::{Conn, Stage};
-use super::*;
-use crate::population::ClientInput;
+use super::{ClientArrival, ClientMessage, Event, World, WorldListener};
+use crate::edge::{BalancerId, ConnId, End, LinkId, NodeMessage, RequestLine, ToBalancer};
+use crate::population::{Cell, ClientAction, ClientInput, LoadProfile};
 
 impl World {
-    pub(super) fn clients_act(&mut self, ear: &mut impl WorldListener) {
-        let mut acts = std::mem::take(&mut self.buffers.people);
-        self.people.advance(self.now, &mut acts);
-        acts.drain(..).for_each(|act| self.client_acts(act, ear));
-        self.buffers.people = acts;
+    pub(super) fn run_due_clients(&mut self, listener: &mut impl WorldListener) {
+        let mut acts = std::mem::take(&mut self.buffers.client_actions);
+        self.clients.advance(self.now, &mut acts);
+        acts.drain(..).for_each(|act| self.apply_client_action(act, listener));
+        self.buffers.client_actions = acts;
     }
 
-    fn client_acts(&mut self, act: ClientAction, ear: &mut impl WorldListener) {
+    fn apply_client_action(&mut self, act: ClientAction, listener: &mut impl WorldListener) {
         match act {
             ClientAction::Wants { cell, first } => self.score.wants(self.now, cell, first),
             ClientAction::WantsNoMore { cell } => self.score.wants_no_more(self.now, cell),
             ClientAction::Connect { ask, zone, cell, profile } => {
-                self.connects(ask, zone, cell, profile, ear)
+                self.connect_client(ask, zone, cell, profile, listener)
             }
-            ClientAction::Done { conn } => self.served_to_the_end(conn, ear),
-            ClientAction::Leave { conn } => self.client_leaves(conn),
+            ClientAction::Done { conn } => self.on_client_served(conn, listener),
+            ClientAction::Leave { conn } => self.on_client_leaves(conn),
         }
     }
 
-    fn connects(
+    fn connect_client(
         &mut self,
         ask: RequestLine,
         zone: u32,
         cell: Cell,
         profile: LoadProfile,
-        ear: &mut impl WorldListener,
+        listener: &mut impl WorldListener,
     ) {
         let now = self.now;
         let conn = ask.conn;
@@ -54,7 +55,7 @@
         }
         self.waiting += 1;
         if ask.home.is_none() {
-            self.series.tries(now, ask.key);
+            self.series.attempt_by_client(now, ask.key);
         }
         if balancer.is_none() {
             // Nobody is there to take it: the front resets it.
@@ -62,72 +63,77 @@
         }
         if ask.home.is_some() {
             // From before the day: it stands where it stood, and no time passes for that.
-            return self.client_says(conn, FromClient::Asks, ear);
+            return self.on_arrival_from_client(conn, ClientArrival::Open, listener);
         }
-        self.send_to_balancer(conn, FromClient::Asks);
+        self.send_to_balancer(conn, ClientArrival::Open);
     }
 
-    fn send_to_balancer(&mut self, conn: ConnId, what: FromClient) {
+    fn send_to_balancer(&mut self, conn: ConnId, what: ClientArrival) {
         let Some(c) = self.conns.get_mut(conn) else { return };
         c.last_at_balancer = c.last_at_balancer.max(self.now + self.network.client());
-        self.queue.push(c.last_at_balancer, Event::Ask(conn, what));
+        self.queue.push(c.last_at_balancer, Event::ClientArrival(conn, what));
     }
 
-    /// Sends words to a client.
-    pub(super) fn send_to_client(&mut self, conn: ConnId, word: ClientMessage) {
+    /// Sends a message to a client.
+    pub(super) fn send_to_client(&mut self, conn: ConnId, message: ClientMessage) {
         let Some(c) = self.conns.get_mut(conn) else { return };
         c.last_at_client = c.last_at_client.max(self.now + self.network.client());
-        self.queue.push(c.last_at_client, Event::Client(conn, word));
+        self.queue.push(c.last_at_client, Event::AtClient(conn, message));
     }
 
-    pub(super) fn client_says(&mut self, conn: ConnId, what: FromClient, ear: &mut impl WorldListener) {
+    pub(super) fn on_arrival_from_client(
+        &mut self,
+        conn: ConnId,
+        what: ClientArrival,
+        listener: &mut impl WorldListener,
+    ) {
         let now = self.now;
         let Some(c) = self.conns.get_mut(conn).filter(|c| !c.done) else { return };
         let balancer = c.balancer;
         match what {
-            FromClient::Asks if !self.balancers[balancer.0 as usize].up => {
+            ClientArrival::Open if !self.balancers[balancer.0 as usize].up => {
                 c.done = true;
                 self.send_to_client(conn, ClientMessage::Ended(End::Reset));
             }
-            FromClient::Asks => {
+            ClientArrival::Open => {
                 c.come = true;
                 let left = (c.sent + c.ask.patience).saturating_sub(now);
-                ear.to(now, balancer, ToBalancer::Asked { ask: c.ask, left });
+                listener.to(now, balancer, ToBalancer::Asked { ask: c.ask, left });
             }
-            FromClient::Line => {
+            ClientArrival::Line => {
                 if c.stage == Stage::Standing {
                     if let Some(link) = c.link.and_then(|l| self.links.get_mut(l)) {
                         link.asked = true;
                     }
-                    ear.to(now, balancer, ToBalancer::ClientLine(conn));
+                    listener.to(now, balancer, ToBalancer::ClientLine(conn));
                 }
             }
-            FromClient::Ends(end) => {
+            ClientArrival::Ends(end) => {
                 c.done = true;
                 if c.come {
-                    ear.to(now, balancer, ToBalancer::ClientEnded(conn, end));
+                    listener.to(now, balancer, ToBalancer::ClientEnded(conn, end));
                 }
             }
         }
     }
 
-    pub(super) fn clients_struck(&mut self, fault: usize, ear: &mut impl WorldListener) {
-        let mut acts = std::mem::take(&mut self.buffers.people);
-        self.people.struck(self.now, &self.day.faults[fault], &mut acts);
-        acts.drain(..).for_each(|act| self.client_acts(act, ear));
-        self.buffers.people = acts;
+    pub(super) fn apply_client_fault(&mut self, fault: usize, listener: &mut impl WorldListener) {
+        let mut acts = std::mem::take(&mut self.buffers.client_actions);
+        self.clients.struck(self.now, &self.day.faults[fault], &mut acts);
+        acts.drain(..).for_each(|act| self.apply_client_action(act, listener));
+        self.buffers.client_actions = acts;
     }
 
-    /// Those that stand from before the day connect to balancers that run at its start.
-    pub fn stand(&mut self, ear: &mut impl WorldListener) {
-        let mut acts = std::mem::take(&mut self.buffers.people);
-        self.people.standing(&mut acts);
-        acts.drain(..).for_each(|act| self.client_acts(act, ear));
-        self.buffers.people = acts;
+    /// Connects the clients whose connections were established before the day to the balancers that run at its start.
+    pub fn open_standing_connections(&mut self, listener: &mut impl WorldListener) {
+        let mut acts = std::mem::take(&mut self.buffers.client_actions);
+        self.clients.standing(&mut acts);
+        acts.drain(..).for_each(|act| self.apply_client_action(act, listener));
+        self.buffers.client_actions = acts;
     }
 
-    /// A client's share of the service begins.
-    fn stands(&mut self, conn: ConnId, link: LinkId) {
+    /// Begins the service of a client.
+    fn begin_service(&mut self, conn: ConnId, link: LinkId) {
         let now = self.now;
         let Some(l) = self.links.get(link).filter(|l| !l.ended) else { return };
         let (node, balancer) = (l.node, l.balancer);
@@ -138,8 +144,8 @@
         self.score.stands(now, c.cell, node, crosses, integral);
     }
 
-    /// It ends, however it does.
-    pub(super) fn stands_no_more(&mut self, conn: ConnId) {
+    /// Ends the service of a client, whatever the cause.
+    pub(super) fn end_service(&mut self, conn: ConnId) {
         let now = self.now;
         let Some(c) = self.conns.get_mut(conn) else { return };
         let Some((node, crosses)) = c.stands.take() else { return };
@@ -147,51 +153,51 @@
         self.score.stands_no_more(now, c.cell, node, crosses, integral);
     }
 
-    /// A connection is over for its client; true if it stood.
-    fn over(&mut self, conn: ConnId) -> bool {
+    /// Ends a connection on the client's side; returns whether it was established.
+    fn end_connection(&mut self, conn: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(conn) else { return false };
         let stage = std::mem::replace(&mut c.stage, Stage::Over);
         self.waiting -= usize::from(stage == Stage::Waiting);
-        self.stands_no_more(conn);
+        self.end_service(conn);
         stage == Stage::Standing
     }
 
-    /// A client has left by itself.
-    fn client_leaves(&mut self, conn: ConnId) {
+    /// Handles a client that leaves by itself.
+    fn on_client_leaves(&mut self, conn: ConnId) {
         let Some(key) = self.conns.get(conn).filter(|c| c.stage != Stage::Over).map(|c| c.ask.key) else {
             return;
         };
-        if self.over(conn) {
-            self.series.ends(self.now, "left");
+        if self.end_connection(conn) {
+            self.series.ended(self.now, "left");
         } else {
             self.series.refused(self.now, "not answered");
             self.series.forgets(key);
         }
-        self.send_to_balancer(conn, FromClient::Ends(End::Fin));
+        self.send_to_balancer(conn, ClientArrival::Ends(End::Fin));
     }
 
-    /// A client has had all that it wanted: its node says so and ends, through the balancer.
-    fn served_to_the_end(&mut self, conn: ConnId, ear: &mut impl WorldListener) {
+    /// Completes a client's service: its node sends `BYE` and closes, through the balancer.
+    fn on_client_served(&mut self, conn: ConnId, listener: &mut impl WorldListener) {
         let Some(c) = self.conns.get(conn).filter(|c| c.stage == Stage::Standing) else {
-            return self.client_leaves(conn);
+            return self.on_client_leaves(conn);
         };
         let Some((id, link)) = c.link.and_then(|id| self.links.get(id).map(|l| (id, *l))) else {
-            return self.client_leaves(conn);
+            return self.on_client_leaves(conn);
         };
         if self.nodes[link.node.0 as usize].silent || link.ended || link.left {
-            return self.client_leaves(conn);
+            return self.on_client_leaves(conn);
         }
-        self.over(conn);
-        self.series.ends(self.now, "served");
-        self.node_says(id, NodeMessage::Bye);
-        self.node_ends(id, End::Fin);
-        self.node_hears(link.node, crate::node::NodeInput::Close { link: id }, ear);
+        self.end_connection(conn);
+        self.series.ended(self.now, "served");
+        self.send_from_node(id, NodeMessage::Bye);
+        self.close_from_node(id, End::Fin);
+        self.handle_node_input(link.node, crate::node::NodeInput::Close { link: id }, listener);
     }
 
-    pub(super) fn at_client(&mut self, conn: ConnId, word: ClientMessage) {
+    pub(super) fn on_arrival_at_client(&mut self, conn: ConnId, message: ClientMessage) {
         let now = self.now;
         let Some(c) = self.conns.get_mut(conn).filter(|c| c.stage != Stage::Over) else { return };
-        if let ClientMessage::Up(id) = word {
+        if let ClientMessage::Up(id) = message {
             if c.stage != Stage::Waiting {
                 return;
             }
@@ -201,30 +207,30 @@
             if c.ask.home.is_none() {
                 self.series.stands(now, c.ask.key);
             }
-            self.people.answered(now, conn, ClientInput::Up);
-            return self.stands(conn, id);
+            self.clients.answered(now, conn, ClientInput::Up);
+            return self.begin_service(conn, id);
         }
-        let stood = self.over(conn);
-        let (heard, cause) = match word {
+        let stood = self.end_connection(conn);
+        let (input, cause) = match message {
             ClientMessage::Busy(after) => (ClientInput::Busy(after), "busy"),
             ClientMessage::Err => (ClientInput::Err, "error"),
             ClientMessage::Move { by_node: true } => (ClientInput::Move, "moved by node"),
             ClientMessage::Move { by_node: false } => (ClientInput::Move, "moved by balancer"),
-            ClientMessage::Up(_) | ClientMessage::Bye => return self.people.ended(now, conn, End::Fin),
+            ClientMessage::Up(_) | ClientMessage::Bye => return self.clients.ended(now, conn, End::Fin),
             ClientMessage::Ended(end) => {
                 if stood {
-                    self.series.ends(now, "broken");
+                    self.series.ended(now, "broken");
                 } else {
                     self.series.refused(now, "no balancer");
                 }
-                return self.people.ended(now, conn, end);
+                return self.clients.ended(now, conn, end);
             }
         };
         if stood {
-            self.series.ends(now, cause);
+            self.series.ended(now, cause);
         } else {
             self.series.refused(now, cause);
         }
-        self.people.answered(now, conn, heard);
+        self.clients.answered(now, conn, input);
     }
 }
--- a/crates/emulator/src/world/links.rs
+++ b/crates/emulator/src/world/links.rs
@@ -40,7 +40,7 @@
     /// As above, at the balancer.
     pub last_at_balancer: Micros,
     /// The node's first word has reached the balancer.
-    pub heard: bool,
+    pub has_answered: bool,
     /// A line of the client's is unanswered.
     pub asked: bool,
     /// It uses the pair's connection.
--- a/crates/emulator/src/world/links/tests.rs
+++ b/crates/emulator/src/world/links/tests.rs
@@ -14,7 +14,7 @@
         last: None,
         last_at_node: 0,
         last_at_balancer: 0,
-        heard: false,
+        has_answered: false,
         asked: false,
         paired: false,
     }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,13 +1,15 @@
-//! The world: all models of the platform over one queue of timed events, speaking to balancers in the edge's words.
+//! The world: all models of the platform over one queue of timed events, exchanging the messages of [`crate::edge`] with
+//! balancers.
 //!
-//! It reads no clock and opens nothing: a driver moves it on with [`World::advance`], hands what reaches balancers to
-//! them, and tells what they do with [`World::did`]. All delays of the network lie here. What happens at the same
+//! It reads no clock and opens no socket: a driver advances it with [`World::advance`], delivers its messages to the
+//! balancers, and reports their actions with [`World::on_balancer_action`]. All delays of the network lie here. What happens at the same
 //! time happens in the order in which it was put in; each model draws from a generator of its own, so that one more
 //! draw in one model changes nothing in another.
 
 mod balancers;
 mod clients;
 pub mod conns;
+mod ground_truth;
 pub mod links;
 mod listener;
 mod nodes;
@@ -20,15 +22,15 @@
 use rand_pcg::Pcg64Mcg;
 use shorewharf_units::Micros;
 
-use crate::audit::{Observation, Verdict};
+use crate::audit::Observation;
 use crate::day::Day;
-use crate::edge::*;
-use crate::environment::{Discovery, FaultEvent, FaultSchedule, Front, Network};
+use crate::edge::{BalancerId, ConnId, End, LinkId, Listed, NodeId, NodeMessage, ToBalancer};
+use crate::environment::{Discovery, FaultEvent, FaultInterval, FaultSchedule, Front, Network};
 use crate::node::{Node, NodeOutput};
-use crate::population::{Cell, ClientAction, ClientPopulation, LoadProfile};
-use crate::score::Score;
-use crate::virtual_time::{GroundTruth, RunResult};
+use crate::population::{ClientAction, ClientPopulation};
+use crate::score::{Outcome, Score};
 use conns::Conns;
+pub use ground_truth::GroundTruth;
 use links::Links;
 pub use listener::WorldListener;
 use pairs::Pairs;
@@ -37,7 +39,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Who moves the world on.
+/// What kind of driver advances the world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Virtual time: a first line goes out with its link, and connections of balancer and node are shared by pairs.
@@ -55,32 +57,32 @@
     Pcg64Mcg::seed_from_u64(seed ^ name.rotate_left(17) ^ place.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// What reaches a node.
+/// What arrives at a node.
 #[derive(Clone, Copy, Debug)]
-enum AtNode {
-    First,
+enum NodeArrival {
+    FirstLine,
     Probe,
     Ended,
 }
 
-/// What reaches a balancer on a link.
+/// What arrives at a balancer on a link.
 #[derive(Clone, Copy, Debug)]
-enum OnLink {
+enum BalancerArrival {
     Up,
     Failed,
-    Says(NodeMessage),
+    Message(NodeMessage),
     Ended(End),
 }
 
-/// What reaches a balancer from a client.
+/// What arrives at a balancer from a client.
 #[derive(Clone, Copy, Debug)]
-enum FromClient {
-    Asks,
+enum ClientArrival {
+    Open,
     Line,
     Ends(End),
 }
 
-/// What reaches a client.
+/// What arrives at a client.
 #[derive(Clone, Copy, Debug)]
 enum ClientMessage {
     Up(LinkId),
@@ -91,20 +93,20 @@
     Ended(End),
 }
 
-/// What is still to happen.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Second,
-    Wake(NodeId),
-    Node(LinkId, AtNode),
-    Balancer(LinkId, OnLink),
-    Client(ConnId, ClientMessage),
-    Ask(ConnId, FromClient),
-    Line(ConnId),
+    NodeWake(NodeId),
+    NodeArrival(LinkId, NodeArrival),
+    BalancerArrival(LinkId, BalancerArrival),
+    AtClient(ConnId, ClientMessage),
+    ClientArrival(ConnId, ClientArrival),
+    ClientLineDue(ConnId),
 }
 
 #[derive(Debug)]
-struct NodeAt {
+struct NodeSlot {
     model: Node,
     zone: u32,
     /// The wake that is in the queue.
@@ -112,8 +114,8 @@
     silent: bool,
 }
 
-impl NodeAt {
-    fn truth(&self, now: Micros) -> GroundTruth {
+impl NodeSlot {
+    fn ground_truth(&self, now: Micros) -> GroundTruth {
         let s = self.model.state();
         GroundTruth {
             takes: s.up && !self.silent,
@@ -131,33 +133,46 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct BalancerAt {
+struct BalancerSlot {
     zone: u32,
     up: bool,
     terminating: bool,
-    lives: u64,
+    incarnations: u64,
 }
 
-/// Buffers that are used again: nothing is allocated for a message.
+/// Reused buffers, so that no message needs an allocation.
 #[derive(Debug, Default)]
 struct Buffers {
-    node: Vec<NodeOutput>,
-    people: Vec<ClientAction>,
-    news: Vec<(BalancerId, ToBalancer)>,
-    listed: Vec<Listed>,
-    happens: Vec<FaultEvent>,
+    node_outputs: Vec<NodeOutput>,
+    client_actions: Vec<ClientAction>,
+    list_events: Vec<(BalancerId, ToBalancer)>,
+    listed_changes: Vec<Listed>,
+    fault_events: Vec<FaultEvent>,
 }
 
-/// The platform round a set of balancers.
+/// What the world counted during a run.
+#[derive(Clone, Debug)]
+pub struct WorldResult {
+    /// The score of the run.
+    pub outcome: Outcome,
+    /// The faults that occurred, with their intervals and the parties that they affected.
+    pub faults: Vec<FaultInterval>,
+    /// Figures by second and sums by cause.
+    pub series: Series,
+    /// Events that have happened.
+    pub events: u64,
+}
+
+/// The emulated platform around a set of balancers.
 #[derive(Debug)]
 pub struct World {
     day: Day,
     mode: Mode,
     now: Micros,
     queue: Queue<Event>,
-    nodes: Vec<NodeAt>,
-    balancers: Vec<BalancerAt>,
-    people: ClientPopulation,
+    nodes: Vec<NodeSlot>,
+    balancers: Vec<BalancerSlot>,
+    clients: ClientPopulation,
     score: Score,
     front: Front,
     discovery: Discovery,
@@ -174,24 +189,28 @@
 }
 
 impl World {
-    /// A day before its start.
+    /// Creates the world of a day before its start.
     pub fn new(day: &Day, mode: Mode) -> World {
         let seed = day.seed;
-        let node = |(i, n): (usize, &crate::day::Node)| NodeAt {
+        let node = |(i, n): (usize, &crate::day::Node)| NodeSlot {
             model: Node::new(day, NodeId(i as u32), rng(seed, "node", i as u64)),
             zone: n.zone,
             wake: None,
             silent: false,
         };
-        let balancer =
-            |b: &crate::day::Balancer| BalancerAt { zone: b.zone, up: false, terminating: false, lives: 0 };
+        let balancer = |b: &crate::day::Balancer| BalancerSlot {
+            zone: b.zone,
+            up: false,
+            terminating: false,
+            incarnations: 0,
+        };
         let mut world = World {
             mode,
             now: 0,
             queue: Queue::default(),
             nodes: day.nodes.iter().enumerate().map(node).collect(),
             balancers: day.balancers.iter().map(balancer).collect(),
-            people: ClientPopulation::new(day, rng(seed, "people", 0)),
+            clients: ClientPopulation::new(day, rng(seed, "people", 0)),
             score: Score::new(day),
             front: Front::new(day, rng(seed, "front", 0)),
             discovery: Discovery::new(day, rng(seed, "discovery", 0), rng(seed, "discovery", 1)),
@@ -209,12 +228,12 @@
         };
         world.queue.push(SECOND, Event::Second);
         for i in 0..world.nodes.len() {
-            world.wake(NodeId(i as u32));
+            world.schedule_node_wake(NodeId(i as u32));
         }
         world
     }
 
-    /// The day that is played.
+    /// The day that is run.
     pub fn day(&self) -> &Day {
         &self.day
     }
@@ -230,18 +249,18 @@
             self.schedule.next_due(),
             self.score.next_due(),
             self.discovery.next_due(),
-            self.people.next_due(),
+            self.clients.next_due(),
         ];
         models.into_iter().flatten().chain(self.queue.next_due()).min()
     }
 
-    /// Lets everything happen that is due up to `until`.
-    pub fn advance(&mut self, until: Micros, ear: &mut impl WorldListener) {
+    /// Handles every event that is due up to `until`.
+    pub fn advance(&mut self, until: Micros, listener: &mut impl WorldListener) {
         loop {
             // Where times are the same: faults, then what was put in, then the list, then clients, then the account.
             let due = |t: Option<Micros>| t.unwrap_or(Micros::MAX);
             let (faults, queued) = (due(self.schedule.next_due()), due(self.queue.next_due()));
-            let (list, clients) = (due(self.discovery.next_due()), due(self.people.next_due()));
+            let (list, clients) = (due(self.discovery.next_due()), due(self.clients.next_due()));
             let account = due(self.score.next_due());
             let at = faults.min(queued).min(list).min(clients).min(account);
             if at > until {
@@ -250,86 +269,86 @@
             self.now = self.now.max(at);
             self.events += 1;
             if faults == at {
-                self.faults(ear);
+                self.apply_due_faults(listener);
             } else if queued == at {
                 if let Some((_, event)) = self.queue.pop(at) {
-                    self.happens(event, ear);
+                    self.handle_event(event, listener);
                 }
             } else if list == at {
-                self.news(ear);
+                self.publish_list_events(listener);
             } else if clients == at {
-                self.clients_act(ear);
+                self.run_due_clients(listener);
             } else {
-                self.account();
+                self.tick_score();
             }
         }
         self.now = self.now.max(until);
     }
 
-    fn happens(&mut self, event: Event, ear: &mut impl WorldListener) {
+    fn handle_event(&mut self, event: Event, listener: &mut impl WorldListener) {
         match event {
-            Event::Second => self.second(),
-            Event::Wake(node) => self.node_wakes(node, ear),
-            Event::Node(link, what) => self.at_node(link, what, ear),
-            Event::Balancer(link, what) => self.at_balancer(link, what, ear),
-            Event::Client(conn, word) => self.at_client(conn, word),
-            Event::Ask(conn, what) => self.client_says(conn, what, ear),
-            Event::Line(conn) => self.line_due(conn, ear),
+            Event::Second => self.on_second(),
+            Event::NodeWake(node) => self.on_node_wake(node, listener),
+            Event::NodeArrival(link, what) => self.on_arrival_at_node(link, what, listener),
+            Event::BalancerArrival(link, what) => self.on_arrival_at_balancer(link, what, listener),
+            Event::AtClient(conn, message) => self.on_arrival_at_client(conn, message),
+            Event::ClientArrival(conn, what) => self.on_arrival_from_client(conn, what, listener),
+            Event::ClientLineDue(conn) => self.on_line_due(conn, listener),
         }
     }
 
-    fn news(&mut self, ear: &mut impl WorldListener) {
-        let mut news = std::mem::take(&mut self.buffers.news);
-        let mut listed = std::mem::take(&mut self.buffers.listed);
+    fn publish_list_events(&mut self, listener: &mut impl WorldListener) {
+        let mut news = std::mem::take(&mut self.buffers.list_events);
+        let mut listed = std::mem::take(&mut self.buffers.listed_changes);
         self.discovery.advance(self.now, &mut news, &mut listed);
-        listed.drain(..).for_each(|entry| ear.fact(self.now, Observation::Listed(entry)));
-        self.buffers.listed = listed;
+        listed.drain(..).for_each(|entry| listener.fact(self.now, Observation::Listed(entry)));
+        self.buffers.listed_changes = listed;
         for (balancer, what) in news.drain(..) {
             if self.balancers[balancer.0 as usize].up {
-                ear.to(self.now, balancer, what);
+                listener.to(self.now, balancer, what);
             }
         }
-        self.buffers.news = news;
+        self.buffers.list_events = news;
     }
 
-    fn faults(&mut self, ear: &mut impl WorldListener) {
-        let mut happens = std::mem::take(&mut self.buffers.happens);
+    fn apply_due_faults(&mut self, listener: &mut impl WorldListener) {
+        let mut happens = std::mem::take(&mut self.buffers.fault_events);
         self.schedule.advance(self.now, &mut happens);
         for what in happens.drain(..) {
             match what {
-                FaultEvent::Node(node, turn) => self.node_turns(node, turn, ear),
-                FaultEvent::Balancer(balancer, turn) => self.balancer_turns(balancer, turn, ear),
-                FaultEvent::People(place) => self.clients_struck(place, ear),
+                FaultEvent::Node(node, event) => self.apply_node_event(node, event, listener),
+                FaultEvent::Balancer(balancer, event) => self.apply_balancer_event(balancer, event, listener),
+                FaultEvent::People(place) => self.apply_client_fault(place, listener),
                 FaultEvent::Discovery(place, on) => {
                     self.discovery.struck(self.now, &self.day.faults[place], on)
                 }
             }
         }
-        self.buffers.happens = happens;
+        self.buffers.fault_events = happens;
     }
 
-    fn second(&mut self) {
+    fn on_second(&mut self) {
         self.queue.push(self.now + SECOND, Event::Second);
         self.pairs.sweep(self.now);
         self.score.pairs(self.now, self.pairs.open());
         self.conns.tidy();
         if self.now <= self.day.length {
             for (i, node) in self.nodes.iter().enumerate() {
-                self.series.node(NodeId(i as u32), node.truth(self.now));
+                self.series.node(NodeId(i as u32), node.ground_truth(self.now));
             }
         }
     }
 
-    fn account(&mut self) {
+    fn tick_score(&mut self) {
         let nodes = &self.nodes;
         let now = self.now;
         self.score.tick(now, &mut |node, class| nodes[node.0 as usize].model.served(class));
     }
 
     /// The true state of all nodes.
-    pub fn truths(&self, out: &mut Vec<GroundTruth>) {
+    pub fn ground_truth(&self, out: &mut Vec<GroundTruth>) {
         out.clear();
-        out.extend(self.nodes.iter().map(|n| n.truth(self.now)));
+        out.extend(self.nodes.iter().map(|n| n.ground_truth(self.now)));
     }
 
     /// What has been seen so far, by second.
@@ -342,21 +361,18 @@
         self.waiting
     }
 
-    /// The end of a run, with what its auditor found.
-    pub fn finish(self, ended_at: Micros, verdict: Verdict) -> RunResult {
-        RunResult {
+    /// Ends the run and returns what was counted.
+    pub fn finish(self) -> WorldResult {
+        WorldResult {
             outcome: self.score.finish(),
-            verdict,
             faults: self.schedule.bands().to_vec(),
             series: self.series,
             events: self.events,
-            ended_at,
-            balancers: Vec::new(),
         }
     }
 
-    /// One way between a balancer and a node.
-    fn leg(&mut self, balancer: BalancerId, node: NodeId) -> Micros {
+    /// Draws the one-way delay between a balancer and a node.
+    fn one_way_delay(&mut self, balancer: BalancerId, node: NodeId) -> Micros {
         self.network.between(self.balancers[balancer.0 as usize].zone, self.nodes[node.0 as usize].zone)
     }
 }
--- a/crates/emulator/src/world/series.rs
+++ b/crates/emulator/src/world/series.rs
@@ -8,7 +8,7 @@
 
 use crate::day::Day;
 use crate::edge::{NodeId, NodeMessage};
-use crate::virtual_time::GroundTruth;
+use crate::world::ground_truth::GroundTruth;
 
 /// Set-ups are measured up to this; a longer one counts as this.
 const LONGEST: u64 = 600_000_000;
@@ -105,7 +105,7 @@
     }
 
     /// A client comes to the front.
-    pub fn tries(&mut self, now: Micros, key: u64) {
+    pub fn attempt_by_client(&mut self, now: Micros, key: u64) {
         self.second(now).tries += 1;
         self.waiting.entry(key).or_insert(now);
     }
@@ -146,8 +146,8 @@
     }
 
     /// What a node's first word on a link makes of the attempt.
-    pub fn attempt_word(&mut self, word: NodeMessage) {
-        self.attempt(match word {
+    pub fn attempt_answered(&mut self, message: NodeMessage) {
+        self.attempt(match message {
             NodeMessage::Up => "up",
             NodeMessage::Busy => "busy",
             NodeMessage::Err => "error",
@@ -157,7 +157,7 @@
     }
 
     /// A standing connection ended.
-    pub fn ends(&mut self, now: Micros, cause: &'static str) {
+    pub fn ended(&mut self, now: Micros, cause: &'static str) {
         match cause {
             "moved by balancer" | "moved by node" => self.second(now).moves += 1,
             "broken" => self.second(now).breaks += 1,
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -158,11 +158,11 @@
         Box::new(HostedBalancer { places, settings, make, next_link: first_link, life, kept, told })
     }
 
-    fn wants_truth(&self) -> bool {
+    fn wants_ground_truth(&self) -> bool {
         self.who == PolicyChoice::Oracle
     }
 
-    fn truth(&self, _now: Micros, nodes: &[GroundTruth]) {
+    fn observe_ground_truth(&self, _now: Micros, nodes: &[GroundTruth]) {
         let mut held = self.truth.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         held.clear();
         held.extend_from_slice(nodes);
@@ -337,7 +337,7 @@
         peers.next_due().into_iter().chain(self.told.as_ref().map(|told| told.next * board::EVERY)).min()
     }
 
-    fn tells(&mut self, told: &mut InstanceReport) {
+    fn report(&mut self, told: &mut InstanceReport) {
         let Some((peers, policy)) = &mut self.life else { return };
         told.lines = peers.said();
         if let Policy::Module(driver) = policy {
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -143,12 +143,12 @@
         })
     }
 
-    fn wants_truth(&self) -> bool {
-        self.sound.wants_truth()
+    fn wants_ground_truth(&self) -> bool {
+        self.sound.wants_ground_truth()
     }
 
-    fn truth(&self, now: Micros, nodes: &[GroundTruth]) {
-        self.sound.truth(now, nodes);
+    fn observe_ground_truth(&self, now: Micros, nodes: &[GroundTruth]) {
+        self.sound.observe_ground_truth(now, nodes);
     }
 }
 
