--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -109,8 +109,9 @@
 }
 
 fn parse_settings(json: &Value) -> Result<Settings, ConfigError> {
-    let (settings, _) = shorewharf_settings::settings(json.to_string().as_bytes())
-        .map_err(|e| wrong_type("settings", e.0))?;
+    let parsed =
+        shorewharf_settings::parse(json.to_string().as_bytes()).map_err(|e| wrong_type("settings", e.0))?;
+    let settings = parsed.settings;
     check_duration("settings.tick_s", settings.tick)?;
     check_duration("settings.limits.connect_timeout_s", settings.connect_timeout)?;
     check_duration("settings.rules.ask_within_s", settings.poll_interval)?;
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -199,7 +199,9 @@
             // Told to the simulator's adapter only.
             let column = |text: &str| {
                 let value: Value = serde_json::from_str(text).expect("JSON");
-                shorewharf_settings::settings(value["settings"].to_string().as_bytes()).expect("settings").1
+                shorewharf_settings::parse(value["settings"].to_string().as_bytes())
+                    .expect("settings")
+                    .load_column
             };
             assert_eq!((column(EVERY_KEY), column(&text)), (Some(1), None));
             continue;
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -14,7 +14,7 @@
         setups_per_second: Some(100.0),
         ..Budgets::default()
     };
-    let set = shorewharf_settings::settings(br#"{"me": 0}"#).expect("settings").0;
+    let set = shorewharf_settings::parse(br#"{"me": 0}"#).expect("settings").settings;
     let read = |of: &Budgets, me: &str| BudgetConfig::read(of, &set, &NameIndex::default(), me);
     let fleet = read(&good, "n2").expect("good").expect("named");
     assert_eq!((fleet.rules.max_members, fleet.rules.member_index, fleet.rules.lease), (2, 1, 3_000_000));
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -13,7 +13,7 @@
         "specifics":{"groups":true,"message_aim_s":[0.1],"mode":"proxy"},
         "limits":{"cancel":true,"connect_timeout_s":0.25,"max_attempts":4,"max_retry_after_s":1.0,"retry_after":true},
         "rules":{"ask_within_s":10,"start_capacity":0.3,"warm_within_s":10,"fall_multiple":3,"drain_grace_s":0.5}}"#;
-    shorewharf_settings::settings(text).expect("valid settings").0
+    shorewharf_settings::parse(text).expect("valid settings").settings
 }
 
 pub fn entry(id: u64) -> ServerEntry {
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -356,7 +356,8 @@
             "zones":["{zone}","{zone}2"],"group_size":9,"tick_s":0.005,"specifics":{{"groups":true}},
             "limits":{{"max_attempts":3,"connect_timeout_s":0.2}}}}"#
         );
-        let mut instance = TestInstance::new(shorewharf_settings::settings(text.as_bytes()).unwrap().0, 20);
+        let mut instance =
+            TestInstance::new(shorewharf_settings::parse(text.as_bytes()).unwrap().settings, 20);
         (0..50)
             .flat_map(|id| instance.receive(Request { group: u64::from(id % 5), ..request(id, 100.0) }))
             .collect::<Vec<_>>()
--- a/crates/driver/benches/placement.rs
+++ b/crates/driver/benches/placement.rs
@@ -29,7 +29,7 @@
             "tenant_quota_connections":{quota:?}}},"limits":{{"cancel":true,"max_attempts":5,"retry_after":true,
             "max_retry_after_s":1.5}}}}"#
         );
-        let set = shorewharf_settings::settings(text.as_bytes()).expect("settings").0;
+        let set = shorewharf_settings::parse(text.as_bytes()).expect("settings").settings;
         let operator = Operator::parse(&format!("[tenancy]\non = {on}")).expect("an operator's file");
         let gate = AdmissionGate::new(0, set, 7, &operator);
         let (connections, out) = (std::collections::VecDeque::new(), Vec::new());
--- a/crates/driver/examples/export_state.rs
+++ b/crates/driver/examples/export_state.rs
@@ -20,7 +20,8 @@
 const START_SECONDS: f64 = 100.0;
 
 fn instance(server_count: u64) -> AdmissionGate {
-    let settings = shorewharf_settings::settings(include_bytes!("settings.json")).expect("good settings").0;
+    let settings =
+        shorewharf_settings::parse(include_bytes!("settings.json")).expect("good settings").settings;
     let mut gate = AdmissionGate::new(0, settings, 7, &Operator::default());
     let entry = |id| ServerEntry {
         server: ServerId(id),
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -44,7 +44,7 @@
 
 fn gate() -> AdmissionGate {
     let text = include_bytes!("settings.json");
-    let set = shorewharf_settings::settings(text).expect("good settings").0;
+    let set = shorewharf_settings::parse(text).expect("good settings").settings;
     let mut gate = AdmissionGate::new(0, set, 7, &Operator::default());
     let (zone, cell, stage, weight) = (0, 0, ServerState::Ready, 4.0);
     let born = |id| if id == 1 { 95.0 } else { 0.0 };
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -77,7 +77,7 @@
             "registry_mode":"ask","weights":"nominal","specifics":{"mode":"proxy","message_aim_s":[0.05]},
             "limits":{"cancel":true,"connect_timeout_s":0.15,"max_attempts":5,"max_retry_after_s":1.5,"retry_after":true},
             "rules":{"ask_within_s":10}}"#;
-        let set = shorewharf_settings::settings(text).expect("settings").0;
+        let set = shorewharf_settings::parse(text).expect("settings").settings;
         let mut effects = RecordingEffects { now: 1_700_000_000_000_000, ..RecordingEffects::default() };
         let known = (1..=servers).map(|s| entry(s, ServerState::Ready)).collect();
         DriverTest {
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -35,7 +35,7 @@
             "tenants":[{"quota_per_s":10},{"quota_per_s":10}],
             "specifics":{"mode":"proxy","message_aim_s":[0.05],"tenant_quota_connections":[10,10]},
             "limits":{"cancel":true,"max_attempts":5,"retry_after":true,"max_retry_after_s":1.5}}"#;
-        let set = shorewharf_settings::settings(text).expect("settings").0;
+        let set = shorewharf_settings::parse(text).expect("settings").settings;
         let operator = Operator::parse(operator).expect("an operator's file");
         let mut test = GateTest { gate: AdmissionGate::new(0, set, 7, &operator), now: 1.0, next: 0 };
         test.handle(Event::Start);
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -143,7 +143,7 @@
 
 impl Host for PolicyHosts {
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance> {
-        let settings = shorewharf_settings::settings(settings.as_bytes()).map(|s| s.0);
+        let settings = shorewharf_settings::parse(settings.as_bytes()).map(|parsed| parsed.settings);
         // The text was written by the emulator for this very reader.
         let mut settings = settings.expect("settings that the emulator wrote are read");
         settings.may_probe &= self.sounds;
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -186,7 +186,7 @@
     day.rules.ask_within = 9_000_000;
     day.prices.moves = 0.02;
     let text = settings::json(&day, BalancerId(2));
-    let (set, _) = shorewharf_settings::settings(text.as_bytes()).expect("settings");
+    let set = shorewharf_settings::parse(text.as_bytes()).expect("settings").settings;
     assert_eq!(
         (set.instance_index, set.instance_count, set.zone),
         (2, day.balancers.len() as f64, day.balancers[2].zone)
--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -29,7 +29,7 @@
         "limits":{{"cancel":true,"connect_timeout_s":0.25,"max_attempts":4,"max_retry_after_s":1.0,"retry_after":{retry_after}}},
         "rules":{{"ask_within_s":10,"start_capacity":0.2,"warm_within_s":20,"fall_multiple":3,"drain_grace_s":0.5}}}}"#
     );
-    shorewharf_settings::settings(text.as_bytes()).expect("valid settings").0
+    shorewharf_settings::parse(text.as_bytes()).expect("valid settings").settings
 }
 
 /// What happens in a part of a run.
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -4,7 +4,7 @@
 
 use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, RequestClass, Settings, WeightKind};
 use shorewharf_settings::operator::{Budgets, Gossip, Operator, Recovery, Snapshot, Tenancy};
-use shorewharf_settings::settings;
+use shorewharf_settings::{ParsedSettings, parse};
 
 const OPERATOR: &str = include_str!("fixtures/operator.toml");
 const SETTINGS: &[u8] = include_bytes!("fixtures/settings.json");
@@ -79,7 +79,7 @@
 
 #[test]
 fn every_key_of_the_settings_is_read() {
-    let (set, column) = settings(SETTINGS).expect("good settings");
+    let ParsedSettings { settings: set, load_column: column } = parse(SETTINGS).expect("good settings");
     let expected = Settings {
         instance_index: 3,
         instance_count: 7.0,
@@ -120,10 +120,10 @@
 
 #[test]
 fn every_word_of_the_settings_is_read() {
-    let weights = |text: &str| settings(text.as_bytes()).expect("good settings").0.weight_kind;
+    let weights = |text: &str| parse(text.as_bytes()).expect("good settings").settings.weight_kind;
     assert_eq!(weights(r#"{"weights":"nominal"}"#), WeightKind::Capacity);
     assert_eq!(weights(r#"{"weights":"rough"}"#), WeightKind::Capacity);
     assert_eq!(weights(r#"{"weights":"none"}"#), WeightKind::Uniform);
-    let asks = |text: &str| settings(text.as_bytes()).expect("good settings").0.polls_discovery;
+    let asks = |text: &str| parse(text.as_bytes()).expect("good settings").settings.polls_discovery;
     assert!(!asks(r#"{"registry_mode":"push"}"#));
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use serde_json::{Value, json};
-use shorewharf_settings::settings;
+use shorewharf_settings::parse;
 
 /// A class as the settings name it.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
 }
 
 fn read(value: &Value) -> String {
-    format!("{:?}", settings(value.to_string().as_bytes()).expect("usable settings"))
+    format!("{:?}", parse(value.to_string().as_bytes()).expect("usable settings"))
 }
 
 proptest! {
@@ -97,7 +97,7 @@
         limits in limits(),
     ) {
         let value = text(&["n".to_owned()], &json!({}), &classes, &quotas, limits);
-        let set = settings(value.to_string().as_bytes()).expect("usable settings").0;
+        let set = parse(value.to_string().as_bytes()).expect("usable settings").settings;
         prop_assert_eq!((set.max_attempts, set.connect_timeout, set.may_probe), limits);
         prop_assert_eq!((set.overload_window, set.overload_ratio, set.warm_up_time), (1.8, 2.0, 18.0));
         prop_assert_eq!(set.tenant_connection_quotas, quotas);
--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -11,7 +11,7 @@
 use shorewharf_driver::AdmissionGate;
 use shorewharf_logging::LogArgs;
 use shorewharf_settings::operator::{Operator, OperatorError};
-use shorewharf_settings::{SettingsError, settings};
+use shorewharf_settings::{ParsedSettings, SettingsError};
 use shorewharf_units::micros_from_seconds;
 use shorewharf_wire::{Batch, Decoder, Encoder, InstanceRecord, MAX_FRAME_BYTES, Record, WireError};
 use thiserror::Error;
@@ -110,7 +110,7 @@
                 return Ok(());
             }
             Record::Attach { seed, settings: text } => {
-                let (settings, load_column) = settings(&text)?;
+                let ParsedSettings { settings, load_column } = shorewharf_settings::parse(&text)?;
                 let gate = AdmissionGate::new(micros_from_seconds(now), settings, seed, &self.operator);
                 self.instances.insert(id, gate);
                 match load_column {
--- a/crates/wire/tests/adapter.rs
+++ b/crates/wire/tests/adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 use shorewharf_decisions::interface::{Action, Event, Idempotency, Outcome, RequestId, ServerId};
-use shorewharf_settings::settings;
+use shorewharf_settings::{ParsedSettings, parse};
 use shorewharf_wire::{Batch, Decoder, Encoder, InstanceRecord, Record, WireError};
 
 const SETTINGS: &str = r#"{"classes":[{"promise_s":0.5,"semantics":"read_like"}],"group_size":2,
@@ -124,8 +124,8 @@
 
 #[test]
 fn settings_with_unknown_null_or_missing_keys_get_defaults_that_keep_the_rules() {
-    let (set, column) =
-        settings(br#"{"x":[1],"limits":null,"specifics":{"message_aim_s":[null]},"classes":[{}]}"#).unwrap();
+    let ParsedSettings { settings: set, load_column: column } =
+        parse(br#"{"x":[1],"limits":null,"specifics":{"message_aim_s":[null]},"classes":[{}]}"#).unwrap();
     assert_eq!((set.max_attempts, column), (1, None));
     assert_eq!(set.classes[0].idempotency, Idempotency::NonIdempotent);
     assert!(!set.may_cancel && !set.may_probe && set.instance_count == 1.0);
