--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! The model of an update node: the work of set-ups and of standing connections, and what clients get of it.
+//! The model of an update node: the work of set-ups and of established connections, and the service that clients get.
 //!
-//! A node is told what reaches it and when, and says what it does; it knows no sockets and reads no clock. Its load is
+//! A node takes timed inputs and returns outputs; it opens no socket and reads no clock. Its load is
 //! a sum that is kept up to date, and four times a second it takes a step: work piles up or drains, and the share of
 //! messages in time follows for the stretch that has passed. That share is summed up by class, so what a connection
 //! got is the difference of two readings, and no message is ever an event. The figures and how well they meet the
@@ -27,20 +27,20 @@
 use crate::population::LoadProfile;
 use active_faults::ActiveFaults;
 use established::EstablishedConnections;
-use setup_queue::{Job, JobKind, SetupQueue};
+use setup_queue::SetupQueue;
 use share::{LoadLevel, set_up_pace};
 use warm_up::WarmUp;
 
-/// Length of a step.
+/// The length of a step of the load model.
 pub(crate) const STEP: Micros = 250_000;
-/// Steps between two looks at what a message takes.
-const LOOK_EVERY: u64 = 4;
-/// A full node drops connections until its load is down to this share of its capacity.
+/// Steps between two reports of the message delay.
+const STEPS_PER_DELAY_CHECK: u64 = 4;
+/// An overloaded node drops connections until its utilization is down to this ratio.
 const SHED_TO: f64 = 0.9;
-/// A node that paces its leave-taking sends its clients away within about this.
-const PACED: Micros = 3_000_000;
+/// A node that paces its drain migrates its clients within about this time.
+const PACED_DRAIN_TIME: Micros = 3_000_000;
 
-/// What reaches a node.
+/// An input of a node.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeInput {
     /// A first line.
@@ -53,10 +53,10 @@
         ask: RequestLine,
         /// The client's load.
         profile: LoadProfile,
-        /// What is left of the client's patience.
+        /// The time until the client gives up.
         patience: Micros,
     },
-    /// A connection that stands since before the day: no set-up, no answer.
+    /// A connection established before the day: no set-up, no answer.
     Carry {
         /// Its link.
         link: LinkId,
@@ -77,13 +77,13 @@
         /// Its link.
         link: LinkId,
     },
-    /// It shall finish what it has and take nothing new.
+    /// Begin to drain: serve existing connections and accept no new ones.
     Drain,
-    /// Its process ends by plan.
+    /// A planned end of the process.
     Stop,
-    /// Its process dies.
+    /// A crash of the process.
     Crash,
-    /// Its process starts, cold.
+    /// The process starts and begins to warm up.
     Start,
     /// A fault of the machine begins or ends.
     Fault {
@@ -96,14 +96,14 @@
     },
 }
 
-/// What a node does.
+/// An output of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeOutput {
-    /// It says this.
-    Says(LinkId, NodeMessage),
-    /// It ends a link, or its process's end does.
-    Ends(LinkId, End),
-    /// An attempt has come, taken or not.
+    /// Sends a message on a link.
+    Message(LinkId, NodeMessage),
+    /// Closes a link, itself or because its process ends.
+    Close(LinkId, End),
+    /// An attempt has arrived, accepted or not.
     Reached {
         /// Its link.
         link: LinkId,
@@ -112,16 +112,16 @@
         /// Attempts a second that the node can take now, while it is cold.
         cold: Option<f64>,
     },
-    /// From now on nothing is heard from it, or something is again.
+    /// Begins (true) or stops (false) to be silent.
     Silent(bool),
-    /// It was pushed over while it was cold, and is down.
-    Fallen,
+    /// It was overloaded while warming up, and is down.
+    Overloaded,
 }
 
-/// What becomes of a new link.
+/// How a node answers a new link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepts {
-    /// It comes up.
+    /// The link is established.
     Yes,
     /// It is refused: no process.
     Refused,
@@ -148,17 +148,17 @@
     pub in_setup: u32,
     /// Set-ups and probes that wait.
     pub waiting: u32,
-    /// Work piled up, in seconds.
+    /// The backlog of work, in seconds.
     pub pile_s: f64,
-    /// What a message takes, in milliseconds.
+    /// The mean delay of a message, in milliseconds.
     pub delay_ms: f64,
 }
 
-/// What the model takes from the day, for one class.
+/// The figures of one class that the model uses.
 #[derive(Clone, Copy, Debug)]
 struct ClassFigures {
     set_up: f64,
-    aim: f64,
+    message_latency_objective: f64,
 }
 
 /// An update node.
@@ -167,56 +167,56 @@
     rng: Pcg64Mcg,
     classes: Vec<ClassFigures>,
     /// Course of the traffic over the day: (microseconds, factor), linear between.
-    course: Vec<(f64, f64)>,
+    traffic_course: Vec<(f64, f64)>,
     /// Loads follow this power of it; numbers follow the rest.
-    by_load: f64,
+    load_exponent: f64,
     cores: f64,
     speed: f64,
     /// Standard cores of a usual load.
-    usual: f64,
-    message: f64,
-    bursty: f64,
-    buffer: f64,
-    sheds: Sheds,
-    go_away: GoAway,
-    cap: usize,
+    usual_load: f64,
+    message_work: f64,
+    burstiness: f64,
+    max_backlog: f64,
+    shed_policy: Sheds,
+    drain_policy: GoAway,
+    connection_cap: usize,
     probe_work: f64,
     probe_cap: usize,
     error_rate: f64,
-    attempt: Option<Gamma<f64>>,
+    attempt_noise: Option<Gamma<f64>>,
     /// Busy core seconds between pauses, and a pause's length in seconds.
     pauses: Option<(f64, f64)>,
     resets: Vec<(Micros, Micros)>,
-    tells_load: bool,
-    tells_first: bool,
-    tells_delay: bool,
-    /// Looks at messages' times fall on the steps with this remainder, so that nodes take turns.
-    looks_at: u64,
+    reports_load: bool,
+    reports_initial_load: bool,
+    reports_delay: bool,
+    /// Delay reports fall on the steps with this remainder, so that they are spread over the nodes.
+    delay_check_phase: u64,
 
     up: bool,
     draining: bool,
-    ills: ActiveFaults,
-    cold: WarmUp,
-    standing: EstablishedConnections,
-    set_ups: SetupQueue,
-    /// Openings that will never be answered.
-    mute: BTreeSet<LinkId>,
+    faults: ActiveFaults,
+    warm_up: WarmUp,
+    established: EstablishedConnections,
+    setup_queue: SetupQueue,
+    /// Requests that will never be answered.
+    unanswered: BTreeSet<LinkId>,
     /// The last step taken.
-    stepped: Micros,
-    pile: f64,
-    worked: f64,
+    last_step: Micros,
+    backlog: f64,
+    busy_since_pause: f64,
     /// Work that standing connections ask for over capacity, as of the last step.
-    stood: f64,
+    connection_utilization: f64,
     /// Share of the cores that were busy with set-ups in the last step.
-    lanes: f64,
+    setup_utilization: f64,
     /// Share of messages in time as of the last step, and its integral in seconds, by class.
     served: Vec<(f64, f64)>,
-    /// Balancers that know of slow messages.
-    told_slow: BTreeSet<BalancerId>,
+    /// Balancers that were notified of a high message delay.
+    notified_of_delay: BTreeSet<BalancerId>,
 }
 
 impl Node {
-    /// A node of the day, warm, with nothing on it.
+    /// Creates a node of the day, warm and without connections.
     ///
     /// # Panics
     /// If the day does not have this node or its kind; a day that was read has both.
@@ -231,107 +231,113 @@
             classes: day
                 .classes
                 .iter()
-                .map(|c| ClassFigures { set_up: c.set_up as f64, aim: seconds_from_micros(c.message_aim) })
+                .map(|c| ClassFigures {
+                    set_up: c.set_up as f64,
+                    message_latency_objective: seconds_from_micros(c.message_aim),
+                })
                 .collect(),
-            course: day.traffic.shape.iter().map(|(at, x)| (at * 1e6, x.max(0.0))).collect(),
-            by_load: 1.0 - streams.by_joins,
+            traffic_course: day.traffic.shape.iter().map(|(at, x)| (at * 1e6, x.max(0.0))).collect(),
+            load_exponent: 1.0 - streams.by_joins,
             cores,
             speed: node.speed.max(1e-6),
-            usual: 1.0 / streams.per_core.max(1e-9),
-            message: streams.message.max(1) as f64 / 1e6,
-            bursty: streams.bursty,
-            buffer: streams.buffer_s,
-            sheds: streams.sheds,
-            go_away: streams.go_away,
-            cap: (streams.cap * streams.per_core * cores).round().max(1.0) as usize,
+            usual_load: 1.0 / streams.per_core.max(1e-9),
+            message_work: streams.message.max(1) as f64 / 1e6,
+            burstiness: streams.bursty,
+            max_backlog: streams.buffer_s,
+            shed_policy: streams.sheds,
+            drain_policy: streams.go_away,
+            connection_cap: (streams.cap * streams.per_core * cores).round().max(1.0) as usize,
             probe_work: day.limits.probe_work as f64,
             probe_cap: match (day.limits.probe_cap_per_core * cores).round() as usize {
                 0 => usize::MAX,
                 cap => cap,
             },
             error_rate: kind.error_rate.clamp(0.0, 1.0),
-            attempt: work::noise(day.classes.iter().map(|c| c.attempt_noise).fold(0.0, f64::max)),
+            attempt_noise: work::noise(day.classes.iter().map(|c| c.attempt_noise).fold(0.0, f64::max)),
             pauses: pauses.then(|| (seconds_from_micros(kind.pause_every), seconds_from_micros(kind.pause))),
             resets: active_faults::resets(day),
-            tells_load: streams.tells_load,
-            tells_first: streams.tells_first,
-            tells_delay: streams.tells_delay,
-            looks_at: (LOOK_EVERY - u64::from(id.0) % LOOK_EVERY) % LOOK_EVERY,
+            reports_load: streams.tells_load,
+            reports_initial_load: streams.tells_first,
+            reports_delay: streams.tells_delay,
+            delay_check_phase: (STEPS_PER_DELAY_CHECK - u64::from(id.0) % STEPS_PER_DELAY_CHECK)
+                % STEPS_PER_DELAY_CHECK,
             up: node.up,
             draining: false,
-            ills: ActiveFaults::default(),
-            cold: WarmUp::new(day, kind, node.speed.max(1e-6)),
-            standing: EstablishedConnections::new(day),
-            set_ups: SetupQueue::new(kind),
-            mute: BTreeSet::new(),
-            stepped: 0,
-            pile: 0.0,
-            worked: 0.0,
-            stood: 0.0,
-            lanes: 0.0,
+            faults: ActiveFaults::default(),
+            warm_up: WarmUp::new(day, kind, node.speed.max(1e-6)),
+            established: EstablishedConnections::new(day),
+            setup_queue: SetupQueue::new(kind),
+            unanswered: BTreeSet::new(),
+            last_step: 0,
+            backlog: 0.0,
+            busy_since_pause: 0.0,
+            connection_utilization: 0.0,
+            setup_utilization: 0.0,
             served: vec![(1.0, 0.0); day.classes.len()],
-            told_slow: BTreeSet::new(),
+            notified_of_delay: BTreeSet::new(),
         }
     }
 
-    /// What becomes of a link that comes now.
+    /// How a link that arrives now is answered.
     pub fn accepts(&self, _now: Micros) -> Accepts {
-        match (self.ills.cut_off, self.up) {
+        match (self.faults.is_cut_off, self.up) {
             (true, _) => Accepts::Silent,
             (false, true) => Accepts::Yes,
             (false, false) => Accepts::Refused,
         }
     }
 
-    /// When it has something to do next.
+    /// When the next event of the model is due.
     pub fn next_due(&self) -> Option<Micros> {
-        let step = self.steps().then(|| self.stepped + STEP);
-        [step, self.set_ups.next_due(), self.standing.next_due()].into_iter().flatten().min()
+        let step = self.is_stepping().then(|| self.last_step + STEP);
+        [step, self.setup_queue.next_due(), self.established.next_due()].into_iter().flatten().min()
     }
 
-    /// Anything here changes with time; an idle node does not step.
-    fn steps(&self) -> bool {
-        self.up && (self.standing.len() > 0 || !self.set_ups.is_empty() || self.pile > 0.0)
+    /// Whether the load changes with time; an idle node does not step.
+    fn is_stepping(&self) -> bool {
+        self.up && (self.established.len() > 0 || !self.setup_queue.is_empty() || self.backlog > 0.0)
     }
 
-    /// Does what is due by now.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
+    /// Handles what is due by `now`.
+    pub fn advance(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
         while let Some(due) = self.next_due().filter(|due| *due <= now) {
-            while let Some((link, load)) = self.standing.change(due) {
-                self.tell_load(due, link, load, out);
+            while let Some((link, load)) = self.established.change(due) {
+                self.report_load(due, link, load, outputs);
             }
-            while let Some(job) = self.set_ups.done(due) {
-                self.is_done(due, job, out);
+            while let Some(job) = self.setup_queue.pop_done(due) {
+                self.on_setup_done(due, job, outputs);
             }
-            if self.steps() && self.stepped + STEP <= due {
-                self.step(out);
+            if self.is_stepping() && self.last_step + STEP <= due {
+                self.step(outputs);
             }
         }
-        if !self.steps() {
+        if !self.is_stepping() {
             // So that the first step after a rest covers no more than a step.
-            self.stepped = now - now % STEP;
-            (self.stood, self.lanes) = (0.0, 0.0);
+            self.last_step = now - now % STEP;
+            (self.connection_utilization, self.setup_utilization) = (0.0, 0.0);
         }
     }
 
-    /// Something reaches it.
-    pub fn handle(&mut self, now: Micros, what: NodeInput, out: &mut Vec<NodeOutput>) {
-        self.advance(now, out);
+    /// Handles an input.
+    pub fn handle(&mut self, now: Micros, what: NodeInput, outputs: &mut Vec<NodeOutput>) {
+        self.advance(now, outputs);
         match what {
             NodeInput::Open { link, by, ask, profile, patience } => {
-                self.opens(now, link, by, ask, profile, patience, out)
+                self.on_open(now, link, by, ask, profile, patience, outputs)
             }
             NodeInput::Carry { link, by, ask, profile } => {
-                self.stands(now, link, by, &ask, profile.mean, out)
+                self.establish(now, link, by, &ask, profile.mean, outputs)
             }
             NodeInput::Close { link } => {
-                let _ = self.standing.remove(link) || self.set_ups.give_up(link) || self.mute.remove(&link);
+                let _ = self.established.remove(link)
+                    || self.setup_queue.abandon(link)
+                    || self.unanswered.remove(&link);
             }
-            NodeInput::Probe { link } => self.probed(now, link, out),
-            NodeInput::Drain => self.drains(out),
-            NodeInput::Stop | NodeInput::Crash => self.ends(now, out),
-            NodeInput::Start => self.starts(now),
-            NodeInput::Fault { kind, on, size } => self.falls_ill(now, kind, on, size, out),
+            NodeInput::Probe { link } => self.on_probe(now, link, outputs),
+            NodeInput::Drain => self.drain(outputs),
+            NodeInput::Stop | NodeInput::Crash => self.end_process(now, outputs),
+            NodeInput::Start => self.start_process(now),
+            NodeInput::Fault { kind, on, size } => self.set_fault(now, kind, on, size, outputs),
         }
     }
 
@@ -342,81 +348,85 @@
         self.served.get(class as usize).map_or(0.0, |(_, sum)| *sum)
     }
 
-    /// Its true state, as of the last step.
+    /// The true state, as of the last step.
     pub fn state(&self) -> NodeState {
-        let (in_setup, waiting) = self.set_ups.in_hand();
-        let capacity = if self.up { self.capacity(self.stepped) } else { 0.0 };
+        let (in_setup, waiting) = self.setup_queue.working_and_waiting();
+        let capacity = if self.up { self.capacity(self.last_step) } else { 0.0 };
         NodeState {
             up: self.up,
             draining: self.draining,
-            load: self.demand(self.stepped) + self.lanes * capacity,
-            stands: self.demand(self.stepped),
+            load: self.demand(self.last_step) + self.setup_utilization * capacity,
+            stands: self.demand(self.last_step),
             capacity,
-            connections: self.standing.len() as u32,
+            connections: self.established.len() as u32,
             in_setup: in_setup as u32,
             waiting: waiting as u32,
-            pile_s: self.pile,
-            delay_ms: self.busy(self.stepped).delay() * 1e3,
+            pile_s: self.backlog,
+            delay_ms: self.load_level(self.last_step).delay() * 1e3,
         }
     }
 
     /// Load of a usual connection, in standard cores.
-    pub fn usual(&self) -> f64 {
-        self.usual
+    pub fn usual_load(&self) -> f64 {
+        self.usual_load
     }
 
-    /// Groups of the connections that stand, in order of their ids.
+    /// Groups of the established connections, in order of their ids.
     pub fn groups(&self) -> Vec<u64> {
-        self.standing.groups()
+        self.established.groups()
     }
 
-    /// Attempts that it still takes at once before it is pushed over, while it is cold.
-    pub fn before_fall(&self, now: Micros) -> Option<f64> {
-        self.cold.before_fall(now)
+    /// Attempts that it can still accept at once before it is overloaded, while it is warming up.
+    pub fn admissible_before_overload(&self, now: Micros) -> Option<f64> {
+        self.warm_up.admissible_before_overload(now)
     }
 
     /// Factor of the day's course on all loads.
-    fn course(&self, now: Micros) -> f64 {
+    fn traffic_factor(&self, now: Micros) -> f64 {
         let now = now as f64;
-        let after = self.course.partition_point(|(at, _)| *at <= now);
-        let x = match (after.checked_sub(1).map(|i| self.course[i]), self.course.get(after)) {
+        let after = self.traffic_course.partition_point(|(at, _)| *at <= now);
+        let x = match (after.checked_sub(1).map(|i| self.traffic_course[i]), self.traffic_course.get(after)) {
             (Some(a), Some(b)) => a.1 + (b.1 - a.1) * (now - a.0) / (b.0 - a.0),
             (Some(a), None) => a.1,
             (None, Some(b)) => b.1,
             (None, None) => 1.0,
         };
-        x.powf(self.by_load)
+        x.powf(self.load_exponent)
     }
 
     /// What one core does now, in standard cores.
-    fn core(&self, now: Micros) -> f64 {
-        (self.speed * self.cold.warmth(now) * self.ills.pace()).max(1e-6)
+    fn core_speed(&self, now: Micros) -> f64 {
+        (self.speed * self.warm_up.warmth(now) * self.faults.pace()).max(1e-6)
     }
 
     fn capacity(&self, now: Micros) -> f64 {
-        self.cores * self.core(now)
+        self.cores * self.core_speed(now)
     }
 
-    /// Load of what stands here, in standard cores.
+    /// Load of the established connections, in standard cores.
     fn demand(&self, now: Micros) -> f64 {
-        self.usual * self.standing.demand(self.course(now))
+        self.usual_load * self.established.demand(self.traffic_factor(now))
     }
 
-    fn standing_rho(&self, now: Micros) -> f64 {
+    fn established_utilization(&self, now: Micros) -> f64 {
         self.demand(now) / self.capacity(now)
     }
 
     /// What a lane does now in a microsecond, in standard core time.
-    fn lane(&self, now: Micros) -> f64 {
-        if self.ills.hung { 0.0 } else { self.core(now) * set_up_pace(self.stood) }
+    fn lane_speed(&self, now: Micros) -> f64 {
+        if self.faults.is_stalled {
+            0.0
+        } else {
+            self.core_speed(now) * set_up_pace(self.connection_utilization)
+        }
     }
 
-    fn busy(&self, now: Micros) -> LoadLevel {
+    fn load_level(&self, now: Micros) -> LoadLevel {
         LoadLevel {
             cores: self.cores,
-            rho: self.stood + self.lanes,
-            pile: self.pile,
-            message: self.message / self.core(now),
+            utilization: self.connection_utilization + self.setup_utilization,
+            backlog: self.backlog,
+            message_time: self.message_work / self.core_speed(now),
         }
     }
 }
--- a/crates/emulator/src/node/setup_queue.rs
+++ b/crates/emulator/src/node/setup_queue.rs
@@ -10,7 +10,7 @@
 use crate::edge::{BalancerId, LinkId, RequestLine};
 
 /// Waiting room, as a multiple of the kind's queue.
-const QUEUES: usize = 4;
+const QUEUE_FACTOR: usize = 4;
 
 /// What a job is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,32 +36,32 @@
 #[derive(Debug)]
 pub(super) struct SetupQueue {
     lanes: usize,
-    room: usize,
+    max_waiting: usize,
     working: Vec<Job>,
     waiting: VecDeque<Job>,
     /// Standard core time that a lane does in a microsecond.
     pace: f64,
     /// What is in work has been worked on until then.
-    until: Micros,
+    worked_until: Micros,
     /// Time that lanes were busy since it was last asked for.
-    busy: f64,
+    busy_time: f64,
 }
 
 impl SetupQueue {
     pub fn new(kind: &Kind) -> SetupQueue {
         SetupQueue {
             lanes: kind.cores.div_ceil(2).max(1) as usize,
-            room: kind.queue as usize * QUEUES,
+            max_waiting: kind.queue as usize * QUEUE_FACTOR,
             working: Vec::new(),
             waiting: VecDeque::new(),
             pace: 1.0,
-            until: 0,
-            busy: 0.0,
+            worked_until: 0,
+            busy_time: 0.0,
         }
     }
 
     /// In work and waiting.
-    pub fn in_hand(&self) -> (usize, usize) {
+    pub fn working_and_waiting(&self) -> (usize, usize) {
         (self.working.len(), self.waiting.len())
     }
 
@@ -76,21 +76,21 @@
 
     /// No more can be taken.
     pub fn is_full(&self) -> bool {
-        self.working.len() >= self.lanes && self.waiting.len() >= self.room
+        self.working.len() >= self.lanes && self.waiting.len() >= self.max_waiting
     }
 
     /// Works on until `now`.
     fn work(&mut self, now: Micros) {
-        let for_so_long = now.saturating_sub(self.until) as f64;
-        self.until = self.until.max(now);
-        self.busy += for_so_long * self.working.len() as f64;
+        let elapsed = now.saturating_sub(self.worked_until) as f64;
+        self.worked_until = self.worked_until.max(now);
+        self.busy_time += elapsed * self.working.len() as f64;
         for job in &mut self.working {
-            job.work -= for_so_long * self.pace;
+            job.work -= elapsed * self.pace;
         }
     }
 
     /// Takes one more, room or not.
-    pub fn take(&mut self, now: Micros, job: Job) {
+    pub fn enqueue(&mut self, now: Micros, job: Job) {
         self.work(now);
         if self.working.len() < self.lanes {
             self.working.push(job);
@@ -106,24 +106,24 @@
     }
 
     /// Lane time that was busy since this was last asked, in microseconds.
-    pub fn busy_since(&mut self, now: Micros) -> f64 {
+    pub fn take_busy_time(&mut self, now: Micros) -> f64 {
         self.work(now);
-        std::mem::take(&mut self.busy)
+        std::mem::take(&mut self.busy_time)
     }
 
     /// When the next one will be done at this pace.
     pub fn next_due(&self) -> Option<Micros> {
         let least = self.working.iter().map(|job| job.work).min_by(f64::total_cmp)?;
-        (self.pace > 0.0).then(|| self.until + (least.max(0.0) / self.pace).ceil() as Micros)
+        (self.pace > 0.0).then(|| self.worked_until + (least.max(0.0) / self.pace).ceil() as Micros)
     }
 
     /// The next one that is done by now.
-    pub fn done(&mut self, now: Micros) -> Option<Job> {
+    pub fn pop_done(&mut self, now: Micros) -> Option<Job> {
         // Work is counted in parts of a microsecond; what is left of one is no work.
-        const NOTHING: f64 = 1e-6;
+        const WORK_ROUNDING: f64 = 1e-6;
         let due = self.next_due().filter(|due| *due <= now)?;
         self.work(due);
-        let place = self.working.iter().position(|job| job.work <= NOTHING)?;
+        let place = self.working.iter().position(|job| job.work <= WORK_ROUNDING)?;
         let job = self.working.remove(place);
         if let Some(next) = self.waiting.pop_front() {
             self.working.push(next);
@@ -132,7 +132,7 @@
     }
 
     /// The balancer has given this one up; false if it is not here.
-    pub fn give_up(&mut self, link: LinkId) -> bool {
+    pub fn abandon(&mut self, link: LinkId) -> bool {
         let mut all = self.working.iter_mut().chain(&mut self.waiting);
         match all.find(|job| job.link == Some(link)) {
             Some(job) => {
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -100,14 +100,14 @@
 
     fn said(&self, word: NodeMessage) -> Vec<(Micros, LinkId)> {
         let of = |(at, what): &(Micros, NodeOutput)| match what {
-            NodeOutput::Says(link, said) if *said == word => Some((*at, *link)),
+            NodeOutput::Message(link, said) if *said == word => Some((*at, *link)),
             _ => None,
         };
         self.out.iter().filter_map(of).collect()
     }
 
     fn ended(&self) -> usize {
-        self.out.iter().filter(|(_, what)| matches!(what, NodeOutput::Ends(..))).count()
+        self.out.iter().filter(|(_, what)| matches!(what, NodeOutput::Close(..))).count()
     }
 
     /// Share of messages in time over a stretch.
@@ -133,14 +133,18 @@
         (5.0, 1.5, 2.0, 0.80964, 3.5400, 0.74712),
     ];
     for (cores, speed, bursty, rho, ms, share) in measured {
-        let busy = LoadLevel { cores, rho, pile: 0.0, message: 0.002 / speed };
+        let busy = LoadLevel { cores, utilization: rho, backlog: 0.0, message_time: 0.002 / speed };
         assert!((busy.delay() * 1e3 / ms - 1.0).abs() < 3e-3, "{busy:?}: {} ms", busy.delay() * 1e3);
-        assert!((busy.share(0.003, bursty) - share).abs() < 3e-4, "{busy:?}: {}", busy.share(0.003, bursty));
+        assert!(
+            (busy.share_in_time(0.003, bursty) - share).abs() < 3e-4,
+            "{busy:?}: {}",
+            busy.share_in_time(0.003, bursty)
+        );
     }
-    let piled = LoadLevel { cores: 4.0, rho: 0.5, pile: 0.003, message: 0.002 };
-    assert_eq!(piled.share(0.003, 1.0), 0.0);
+    let piled = LoadLevel { cores: 4.0, utilization: 0.5, backlog: 0.003, message_time: 0.002 };
+    assert_eq!(piled.share_in_time(0.003, 1.0), 0.0);
     // A load beyond all bounds takes the most that a message takes, as measured: 50.505 ms and the pile.
-    let over = LoadLevel { cores: 4.0, rho: 7.0, pile: 1.0, message: 0.002 };
+    let over = LoadLevel { cores: 4.0, utilization: 7.0, backlog: 1.0, message_time: 0.002 };
     assert!((over.delay() - 1.050_505).abs() < 1e-6);
 }
 
@@ -165,7 +169,7 @@
     }
     let told = |at: Micros| {
         rig.out.iter().find_map(|(t, what)| match what {
-            NodeOutput::Says(_, NodeMessage::Delay(ms)) if *t == at => Some(*ms),
+            NodeOutput::Message(_, NodeMessage::Delay(ms)) if *t == at => Some(*ms),
             _ => None,
         })
     };
@@ -251,7 +255,7 @@
         .out
         .iter()
         .filter_map(|(_, o)| match o {
-            NodeOutput::Ends(link, End::Reset) => Some(link.0 - 1),
+            NodeOutput::Close(link, End::Reset) => Some(link.0 - 1),
             _ => None,
         })
         .collect();
@@ -275,7 +279,7 @@
         }
         for i in 0..400 {
             rig.open(S + i * every);
-            if rig.out.iter().any(|(_, what)| *what == NodeOutput::Fallen) {
+            if rig.out.iter().any(|(_, what)| *what == NodeOutput::Overloaded) {
                 assert_eq!(rig.node.accepts(2 * S), Accepts::Refused);
                 assert_eq!(rig.node.next_due(), None, "a fallen node goes on");
                 return Some(i + 1);
@@ -327,7 +331,7 @@
     assert_eq!(rig.node.accepts(12 * S), Accepts::Silent);
     rig.at(14 * S, at(FaultKind::CutOff, false));
     assert_eq!(rig.ended(), 52, "50 carried, one set up and one held are reset when it is back");
-    assert!(rig.out.iter().any(|(_, what)| *what == NodeOutput::Ends(held, End::Reset)));
+    assert!(rig.out.iter().any(|(_, what)| *what == NodeOutput::Close(held, End::Reset)));
 
     rig.carry(15 * S, 20);
     rig.at(16 * S, NodeInput::Drain);
@@ -374,17 +378,17 @@
     let mut links: BTreeMap<LinkId, (u32, u32, u32)> = BTreeMap::new();
     for (_, what) in &rig.out {
         match what {
-            NodeOutput::Says(link, NodeMessage::Up) => links.entry(*link).or_default().0 += 1,
-            NodeOutput::Says(link, NodeMessage::Busy | NodeMessage::Err) => {
+            NodeOutput::Message(link, NodeMessage::Up) => links.entry(*link).or_default().0 += 1,
+            NodeOutput::Message(link, NodeMessage::Busy | NodeMessage::Err) => {
                 links.entry(*link).or_default().1 += 1
             }
-            NodeOutput::Ends(link, _) => links.entry(*link).or_default().2 += 1,
+            NodeOutput::Close(link, _) => links.entry(*link).or_default().2 += 1,
             _ => {}
         }
     }
     assert!(links.values().all(|(up, no, ends)| up + no <= 1 && ends + no <= 1), "a link had two ends");
     assert!(links.values().filter(|l| l.0 == 1).count() > 1000 && links.values().any(|l| l.2 == 1));
-    assert!(rig.node.standing.sums_are_right());
+    assert!(rig.node.established.sums_are_right());
     let (served, all) = (rig.node.served(0), seconds_from_micros(now));
     assert!((0.0..=all).contains(&served), "{served} of {all} s");
 }
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -1,9 +1,14 @@
-//! What a node does with openings, and its steps.
+//! A node's handling of requests, drains and faults, and the steps of its load model.
 
 use rand::Rng;
 use rand_distr::{Distribution, Gamma};
 
-use super::*;
+use super::setup_queue::{Job, JobKind};
+use super::{Node, NodeOutput, PACED_DRAIN_TIME, SHED_TO, STEP, STEPS_PER_DELAY_CHECK, load_oscillation};
+use crate::day::{FaultKind, GoAway, Sheds};
+use crate::edge::{BalancerId, End, LinkId, NodeMessage, RequestLine};
+use crate::population::LoadProfile;
+use shorewharf_units::Micros;
 use shorewharf_units::seconds_from_micros;
 
 /// Spread of the work from one attempt to the next: mean 1, with this coefficient of variation.
@@ -13,9 +18,9 @@
 }
 
 impl Node {
-    /// A first line comes.
+    /// Handles the first line of an attempt.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn opens(
+    pub(super) fn on_open(
         &mut self,
         now: Micros,
         link: LinkId,
@@ -23,261 +28,279 @@
         ask: RequestLine,
         profile: LoadProfile,
         patience: Micros,
-        out: &mut Vec<NodeOutput>,
+        outputs: &mut Vec<NodeOutput>,
     ) {
-        out.push(NodeOutput::Reached { link, weight: 1.0, cold: self.cold.takes(now) });
-        if self.cold.reached(now) {
-            out.push(NodeOutput::Ends(link, End::Reset));
-            self.ends(now, out);
-            out.push(NodeOutput::Fallen);
+        outputs.push(NodeOutput::Reached { link, weight: 1.0, cold: self.warm_up.admission_rate(now) });
+        if self.warm_up.on_attempt(now) {
+            outputs.push(NodeOutput::Close(link, End::Reset));
+            self.end_process(now, outputs);
+            outputs.push(NodeOutput::Overloaded);
             return;
         }
-        if self.ills.half_dead || self.ills.cut_off {
-            self.mute.insert(link);
+        if self.faults.ignores_opens || self.faults.is_cut_off {
+            self.unanswered.insert(link);
             return;
         }
-        if self.ills.wrong {
-            out.push(NodeOutput::Says(link, NodeMessage::Junk));
+        if self.faults.answers_junk {
+            outputs.push(NodeOutput::Message(link, NodeMessage::Junk));
             return;
         }
-        let in_hand = self.set_ups.in_hand();
-        let crowded = self.standing.len() + in_hand.0 + in_hand.1 >= self.cap || self.set_ups.is_full();
-        if self.draining || self.ills.full || crowded || patience == 0 {
-            out.push(NodeOutput::Says(link, NodeMessage::Busy));
+        let in_hand = self.setup_queue.working_and_waiting();
+        let crowded = self.established.len() + in_hand.0 + in_hand.1 >= self.connection_cap
+            || self.setup_queue.is_full();
+        if self.draining || self.faults.is_full || crowded || patience == 0 {
+            outputs.push(NodeOutput::Message(link, NodeMessage::Busy));
             return;
         }
-        let fails = self.error_rate.max(self.ills.failing.unwrap_or(0.0));
+        let fails = self.error_rate.max(self.faults.error_rate.unwrap_or(0.0));
         if fails > 0.0 && self.rng.random_bool(fails) {
-            out.push(NodeOutput::Says(link, NodeMessage::Err));
+            outputs.push(NodeOutput::Message(link, NodeMessage::Err));
             return;
         }
-        let noise = self.attempt.as_ref().map_or(1.0, |noise| noise.sample(&mut self.rng));
+        let noise = self.attempt_noise.as_ref().map_or(1.0, |noise| noise.sample(&mut self.rng));
         let usual = self.classes.get(ask.class as usize).map_or(0.0, |c| c.set_up);
         let work = usual * load_oscillation::set_up(ask.key) * noise;
-        self.takes(
+        self.enqueue(
             now,
             Job { link: Some(link), what: JobKind::Client { by, ask, mean: profile.mean }, work },
         );
     }
 
-    /// A probe comes. A node that hangs answers it later; one that only hangs on openings answers at once.
-    pub(super) fn probed(&mut self, now: Micros, link: LinkId, out: &mut Vec<NodeOutput>) {
-        if self.ills.half_dead {
-            out.push(NodeOutput::Says(link, NodeMessage::Pong));
-        } else if self.set_ups.probes() >= self.probe_cap {
-            out.push(NodeOutput::Says(link, NodeMessage::Err));
+    /// Handles a health check. A stalled node answers it later; one that only ignores requests answers at once.
+    pub(super) fn on_probe(&mut self, now: Micros, link: LinkId, outputs: &mut Vec<NodeOutput>) {
+        if self.faults.ignores_opens {
+            outputs.push(NodeOutput::Message(link, NodeMessage::Pong));
+        } else if self.setup_queue.probes() >= self.probe_cap {
+            outputs.push(NodeOutput::Message(link, NodeMessage::Err));
         } else {
-            self.takes(now, Job { link: Some(link), what: JobKind::Probe, work: self.probe_work });
+            self.enqueue(now, Job { link: Some(link), what: JobKind::Probe, work: self.probe_work });
         }
     }
 
-    fn takes(&mut self, now: Micros, job: Job) {
-        self.set_ups.set_pace(now, self.lane(now));
-        self.set_ups.take(now, job);
+    fn enqueue(&mut self, now: Micros, job: Job) {
+        self.setup_queue.set_pace(now, self.lane_speed(now));
+        self.setup_queue.enqueue(now, job);
     }
 
-    /// A set-up or probe has been worked on to its end.
-    pub(super) fn is_done(&mut self, now: Micros, job: Job, out: &mut Vec<NodeOutput>) {
+    /// Completes a set-up or health check.
+    pub(super) fn on_setup_done(&mut self, now: Micros, job: Job, outputs: &mut Vec<NodeOutput>) {
         let Some(link) = job.link else { return };
         match job.what {
-            JobKind::Probe => out.push(NodeOutput::Says(link, NodeMessage::Pong)),
+            JobKind::Probe => outputs.push(NodeOutput::Message(link, NodeMessage::Pong)),
             JobKind::Client { by, ask, mean } => {
-                out.push(NodeOutput::Says(link, NodeMessage::Up));
-                self.stands(now, link, by, &ask, mean, out);
-                if self.draining && self.go_away == GoAway::AtOnce {
-                    self.sends_away(link, out);
+                outputs.push(NodeOutput::Message(link, NodeMessage::Up));
+                self.establish(now, link, by, &ask, mean, outputs);
+                if self.draining && self.drain_policy == GoAway::AtOnce {
+                    self.migrate(link, outputs);
                 }
             }
         }
     }
 
-    pub(super) fn stands(
+    pub(super) fn establish(
         &mut self,
         now: Micros,
         link: LinkId,
         by: BalancerId,
         ask: &RequestLine,
         mean: f64,
-        out: &mut Vec<NodeOutput>,
+        outputs: &mut Vec<NodeOutput>,
     ) {
-        let load = self.standing.add(now, link, by, ask, mean);
-        if self.tells_first {
-            self.tell_load(now, link, load, out);
+        let load = self.established.add(now, link, by, ask, mean);
+        if self.reports_initial_load {
+            self.report_load(now, link, load, outputs);
         }
     }
 
-    pub(super) fn tell_load(&self, now: Micros, link: LinkId, load: f64, out: &mut Vec<NodeOutput>) {
-        if self.tells_load && !self.ills.silent() {
-            out.push(NodeOutput::Says(link, NodeMessage::Load(load * self.course(now) * self.usual * 1e6)));
+    pub(super) fn report_load(&self, now: Micros, link: LinkId, load: f64, outputs: &mut Vec<NodeOutput>) {
+        if self.reports_load && !self.faults.is_silent() {
+            outputs.push(NodeOutput::Message(
+                link,
+                NodeMessage::Load(load * self.traffic_factor(now) * self.usual_load * 1e6),
+            ));
         }
     }
 
     /// One step, with the state at its end for all of it: that is how the simulator's servers do it.
-    pub(super) fn step(&mut self, out: &mut Vec<NodeOutput>) {
-        self.stepped += STEP;
-        let (now, long) = (self.stepped, seconds_from_micros(STEP));
-        if self.ills.hung {
+    pub(super) fn step(&mut self, outputs: &mut Vec<NodeOutput>) {
+        self.last_step += STEP;
+        let (now, step_seconds) = (self.last_step, seconds_from_micros(STEP));
+        if self.faults.is_stalled {
             self.served.iter_mut().for_each(|(share, _)| *share = 0.0);
             return;
         }
-        self.lanes = self.set_ups.busy_since(now) / STEP as f64 / self.cores;
-        self.stood = self.standing_rho(now);
-        self.pile = (self.pile + (self.stood + self.lanes - 1.0) * long).clamp(0.0, self.buffer.max(0.0));
-        if self.pile >= self.buffer && self.sheds != Sheds::None {
-            self.sheds_load(now, out);
+        self.setup_utilization = self.setup_queue.take_busy_time(now) / STEP as f64 / self.cores;
+        self.connection_utilization = self.established_utilization(now);
+        self.backlog = (self.backlog
+            + (self.connection_utilization + self.setup_utilization - 1.0) * step_seconds)
+            .clamp(0.0, self.max_backlog.max(0.0));
+        if self.backlog >= self.max_backlog && self.shed_policy != Sheds::None {
+            self.shed_load(now, outputs);
         }
-        if !self.ills.silent() && (now / STEP) % LOOK_EVERY == self.looks_at {
-            self.look_at_messages(now, out);
+        if !self.faults.is_silent() && (now / STEP) % STEPS_PER_DELAY_CHECK == self.delay_check_phase {
+            self.report_delays(now, outputs);
         }
-        self.pauses(long);
-        let busy = self.busy(now);
-        let answers = !self.ills.silent();
+        self.apply_pause(step_seconds);
+        let busy = self.load_level(now);
+        let answers = !self.faults.is_silent();
         for (class, (share, sum)) in self.classes.iter().zip(&mut self.served) {
-            *share = if answers { busy.share(class.aim, self.bursty) } else { 0.0 };
-            *sum += *share * long;
+            *share = if answers {
+                busy.share_in_time(class.message_latency_objective, self.burstiness)
+            } else {
+                0.0
+            };
+            *sum += *share * step_seconds;
         }
-        if let Some((share, length)) = self.ills.resetting {
-            self.resets_some(1.0 - (1.0 - share.min(0.999_999)).powf(STEP as f64 / length as f64), out);
+        if let Some((share, length)) = self.faults.reset_share {
+            self.reset_some(1.0 - (1.0 - share.min(0.999_999)).powf(STEP as f64 / length as f64), outputs);
         }
-        if self.draining && self.go_away == GoAway::Paced {
-            let some = (self.standing.len() as f64 * long / (seconds_from_micros(PACED))).ceil() as usize;
-            let links: Vec<LinkId> = self.standing.links().take(some).collect();
-            links.into_iter().for_each(|link| self.sends_away(link, out));
+        if self.draining && self.drain_policy == GoAway::Paced {
+            let some = (self.established.len() as f64 * step_seconds
+                / (seconds_from_micros(PACED_DRAIN_TIME)))
+            .ceil() as usize;
+            let links: Vec<LinkId> = self.established.links().take(some).collect();
+            links.into_iter().for_each(|link| self.migrate(link, outputs));
         }
-        self.set_ups.set_pace(now, self.lane(now));
+        self.setup_queue.set_pace(now, self.lane_speed(now));
     }
 
     /// Work is put off for the length of a pause each time cores have been busy for so long. It shows from the step on that
     /// the pause falls into, but not in what that step tells of messages.
-    fn pauses(&mut self, long: f64) {
+    fn apply_pause(&mut self, step_seconds: f64) {
         let Some((every, length)) = self.pauses else { return };
-        self.worked += (self.stood + self.lanes).min(1.0) * self.cores * long;
-        if self.worked >= every {
-            self.worked = 0.0;
-            self.pile = (self.pile + length).min(self.buffer.max(length));
+        self.busy_since_pause +=
+            (self.connection_utilization + self.setup_utilization).min(1.0) * self.cores * step_seconds;
+        if self.busy_since_pause >= every {
+            self.busy_since_pause = 0.0;
+            self.backlog = (self.backlog + length).min(self.max_backlog.max(length));
         }
     }
 
-    /// Drops connections until the rest fits.
-    fn sheds_load(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
-        let order: Vec<LinkId> = match self.sheds {
+    /// Drops connections until the remaining load fits.
+    fn shed_load(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
+        let order: Vec<LinkId> = match self.shed_policy {
             Sheds::None => return,
-            Sheds::Newest => self.standing.links().rev().collect(),
-            Sheds::Heaviest => self.standing.heaviest(),
+            Sheds::Newest => self.established.links().rev().collect(),
+            Sheds::Heaviest => self.established.heaviest(),
         };
         for link in order {
-            if self.standing_rho(now) + self.lanes <= SHED_TO {
+            if self.established_utilization(now) + self.setup_utilization <= SHED_TO {
                 break;
             }
-            self.standing.remove(link);
-            out.push(NodeOutput::Ends(link, End::Reset));
+            self.established.remove(link);
+            outputs.push(NodeOutput::Close(link, End::Reset));
         }
-        self.stood = self.standing_rho(now);
+        self.connection_utilization = self.established_utilization(now);
     }
 
-    /// Tells each balancer what a message takes, while that is over a third of the shortest aim and once more after.
-    fn look_at_messages(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
-        let aim = self.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
-        let delay = self.busy(now).delay();
+    /// Reports the message delay to each balancer while it exceeds a third of the shortest objective, and once after.
+    fn report_delays(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
+        let aim = self.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min);
+        let delay = self.load_level(now).delay();
         let slow = delay > aim / 3.0;
-        if !self.tells_delay || (!slow && self.told_slow.is_empty()) {
+        if !self.reports_delay || (!slow && self.notified_of_delay.is_empty()) {
             return;
         }
-        for (by, link) in self.standing.one_by_balancer() {
-            if slow || self.told_slow.contains(&by) {
-                out.push(NodeOutput::Says(link, NodeMessage::Delay(delay * 1e3)));
+        for (by, link) in self.established.one_by_balancer() {
+            if slow || self.notified_of_delay.contains(&by) {
+                outputs.push(NodeOutput::Message(link, NodeMessage::Delay(delay * 1e3)));
             }
             if slow {
-                self.told_slow.insert(by);
+                self.notified_of_delay.insert(by);
             }
         }
         if !slow {
-            self.told_slow.clear();
+            self.notified_of_delay.clear();
         }
     }
 
-    fn resets_some(&mut self, chance: f64, out: &mut Vec<NodeOutput>) {
-        let links: Vec<LinkId> = self.standing.links().collect();
+    fn reset_some(&mut self, chance: f64, outputs: &mut Vec<NodeOutput>) {
+        let links: Vec<LinkId> = self.established.links().collect();
         for link in links {
             if self.rng.random_bool(chance.clamp(0.0, 1.0)) {
-                self.standing.remove(link);
-                out.push(NodeOutput::Ends(link, End::Reset));
+                self.established.remove(link);
+                outputs.push(NodeOutput::Close(link, End::Reset));
             }
         }
     }
 
-    fn sends_away(&mut self, link: LinkId, out: &mut Vec<NodeOutput>) {
-        self.standing.remove(link);
-        out.extend([NodeOutput::Says(link, NodeMessage::Move), NodeOutput::Ends(link, End::Fin)]);
+    fn migrate(&mut self, link: LinkId, outputs: &mut Vec<NodeOutput>) {
+        self.established.remove(link);
+        outputs.extend([NodeOutput::Message(link, NodeMessage::Move), NodeOutput::Close(link, End::Fin)]);
     }
 
-    /// It takes nothing new from now on; what waits is turned away.
-    pub(super) fn drains(&mut self, out: &mut Vec<NodeOutput>) {
+    /// Begins to drain: waiting requests are rejected.
+    pub(super) fn drain(&mut self, outputs: &mut Vec<NodeOutput>) {
         if !self.up || self.draining {
             return;
         }
         self.draining = true;
-        out.extend(self.set_ups.clear().into_iter().map(|link| NodeOutput::Says(link, NodeMessage::Busy)));
-        if self.go_away == GoAway::AtOnce {
-            let links: Vec<LinkId> = self.standing.links().collect();
-            links.into_iter().for_each(|link| self.sends_away(link, out));
+        outputs.extend(
+            self.setup_queue.clear().into_iter().map(|link| NodeOutput::Message(link, NodeMessage::Busy)),
+        );
+        if self.drain_policy == GoAway::AtOnce {
+            let links: Vec<LinkId> = self.established.links().collect();
+            links.into_iter().for_each(|link| self.migrate(link, outputs));
         }
     }
 
-    /// Its process is gone, and with it all that it held.
-    pub(super) fn ends(&mut self, now: Micros, out: &mut Vec<NodeOutput>) {
-        let standing: Vec<LinkId> = self.standing.links().collect();
+    /// Ends the process and all its connections.
+    pub(super) fn end_process(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
+        let standing: Vec<LinkId> = self.established.links().collect();
         for link in &standing {
-            self.standing.remove(*link);
+            self.established.remove(*link);
         }
-        let all = standing.into_iter().chain(self.set_ups.clear()).chain(std::mem::take(&mut self.mute));
-        out.extend(all.map(|link| NodeOutput::Ends(link, End::Reset)));
-        self.rests(now);
+        let all =
+            standing.into_iter().chain(self.setup_queue.clear()).chain(std::mem::take(&mut self.unanswered));
+        outputs.extend(all.map(|link| NodeOutput::Close(link, End::Reset)));
+        self.reset_load(now);
         self.up = false;
     }
 
-    /// Its process starts.
-    pub(super) fn starts(&mut self, now: Micros) {
-        self.rests(now);
+    /// Starts the process.
+    pub(super) fn start_process(&mut self, now: Micros) {
+        self.reset_load(now);
         self.up = true;
-        self.cold.start(now);
+        self.warm_up.start(now);
     }
 
-    /// Nothing is asked of it.
-    fn rests(&mut self, now: Micros) {
+    /// Resets the load model.
+    fn reset_load(&mut self, now: Micros) {
         for (share, sum) in &mut self.served {
-            *sum += *share * now.saturating_sub(self.stepped) as f64 / 1e6;
+            *sum += *share * now.saturating_sub(self.last_step) as f64 / 1e6;
             *share = 1.0;
         }
-        self.stepped = now - now % STEP;
-        self.set_ups.busy_since(now);
-        (self.pile, self.worked, self.stood, self.lanes) = (0.0, 0.0, 0.0, 0.0);
+        self.last_step = now - now % STEP;
+        self.setup_queue.take_busy_time(now);
+        (self.backlog, self.busy_since_pause, self.connection_utilization, self.setup_utilization) =
+            (0.0, 0.0, 0.0, 0.0);
         self.draining = false;
-        self.told_slow.clear();
+        self.notified_of_delay.clear();
     }
 
-    pub(super) fn falls_ill(
+    pub(super) fn set_fault(
         &mut self,
         now: Micros,
         kind: FaultKind,
         on: bool,
         size: f64,
-        out: &mut Vec<NodeOutput>,
+        outputs: &mut Vec<NodeOutput>,
     ) {
-        let was = self.ills.clone();
-        self.ills.set(now, kind, on, size, &self.resets);
-        if was.silent() != self.ills.silent() {
-            out.push(NodeOutput::Silent(self.ills.silent()));
+        let was = self.faults.clone();
+        self.faults.set(now, kind, on, size, &self.resets);
+        if was.is_silent() != self.faults.is_silent() {
+            outputs.push(NodeOutput::Silent(self.faults.is_silent()));
         }
-        if was.cut_off && !self.ills.cut_off {
-            // What it held has been given up on the other side, or is now.
-            let links: Vec<LinkId> = self.standing.links().collect();
+        if was.is_cut_off && !self.faults.is_cut_off {
+            // The other sides have given up its connections, or do so now.
+            let links: Vec<LinkId> = self.established.links().collect();
             links.iter().for_each(|link| {
-                self.standing.remove(*link);
+                self.established.remove(*link);
             });
-            let all = links.into_iter().chain(self.set_ups.clear()).chain(std::mem::take(&mut self.mute));
-            out.extend(all.map(|link| NodeOutput::Ends(link, End::Reset)));
+            let all =
+                links.into_iter().chain(self.setup_queue.clear()).chain(std::mem::take(&mut self.unanswered));
+            outputs.extend(all.map(|link| NodeOutput::Close(link, End::Reset)));
         }
-        self.set_ups.set_pace(now, self.lane(now));
+        self.setup_queue.set_pace(now, self.lane_speed(now));
     }
 }
--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -1,8 +1,8 @@
-//! What balancers tell each other, on its way: every datagram passes through here and gets lost, doubled or late where that
-//! is broken. What it says nobody here reads.
+//! A proxy for the gossip datagrams between balancers: it drops, duplicates or delays them as the network faults say. It
+//! does not read their content.
 //!
-//! Each balancer is reached by the others at an address of this process, and hears at its own; who sent a datagram shows by
-//! where it comes from.
+//! Peers reach each balancer at an address of this process, and the balancer listens at its own; the source address of a
+//! datagram identifies its sender.
 
 use shorewharf_units::Micros;
 use std::collections::{BTreeMap, HashMap};
@@ -20,49 +20,38 @@
 use super::addresses::Addresses;
 use super::directory::Directory;
 use super::net::{Net, Role};
-use super::network_faults::NetworkFaults;
+use super::network_faults::{Delivery, NetworkFaults};
 use crate::edge::BalancerId;
 
-/// The largest datagram there is.
-const LARGEST: usize = 64 << 10;
-/// The key of a fleet that is no secret: it lives as long as the run.
-const KEY: &str = "the key of one run on loopback\n";
+/// The largest UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
+/// The gossip key of a test fleet. It is not secret and lives as long as the run.
+const GOSSIP_KEY: &str = "the key of one run on loopback\n";
 
-/// What passed between balancers.
+/// Counts of the datagrams between balancers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct DatagramStatistics {
-    /// Datagrams that balancers have sent.
+    /// Datagrams sent by balancers.
     pub sent: u64,
-    /// Bytes of them.
+    /// Their size in bytes.
     pub bytes: u64,
-    /// Of them, how many were lost, doubled or late because that was broken.
+    /// Datagrams that a network fault dropped, duplicated or delayed.
     pub broken: u64,
 }
 
-/// What becomes of a datagram on its way.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Delivery {
-    /// It does not arrive.
-    pub lost: bool,
-    /// It arrives twice.
-    pub doubled: bool,
-    /// It comes up to so much later, each one drawn for itself: they overtake each other.
-    pub late: Micros,
-}
-
-/// All ways between balancers.
+/// A proxy for all pairs of balancers.
 #[derive(Debug)]
 pub struct DatagramProxy {
-    /// Where a balancer is reached by the others.
+    /// The sockets at which peers reach each balancer.
     sockets: Vec<UdpSocket>,
-    /// Where it hears itself.
+    /// The addresses at which each balancer listens.
     ends: Vec<SocketAddr>,
     senders: HashMap<SocketAddr, u32>,
     later: BTreeMap<(Micros, u64), (u32, Vec<u8>)>,
     count: u64,
     rng: Pcg64Mcg,
     buffer: Vec<u8>,
-    /// What passed.
+    /// Counts of the datagrams so far.
     pub statistics: DatagramStatistics,
 }
 
@@ -88,7 +77,7 @@
             later: BTreeMap::new(),
             count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            buffer: vec![0; LARGEST],
+            buffer: vec![0; MAX_DATAGRAM_BYTES],
             statistics: DatagramStatistics::default(),
         })
     }
@@ -102,56 +91,56 @@
             let _ = writeln!(text, "{} {}", Directory::balancer(BalancerId(i as u32)), socket.local_addr()?);
         }
         fs::write(&peers, text)?;
-        fs::write(&key, KEY)?;
+        fs::write(&key, GOSSIP_KEY)?;
         let (peers, key) = (peers.display().to_string(), key.display().to_string());
         fs::write(&file, format!("{operator}\n[gossip]\npeers = {peers:?}\nkey = {key:?}\n"))?;
         Ok(file)
     }
 
-    /// Something has come for a balancer; `time` is the day's.
-    pub(super) fn ready(&mut self, time: Micros, to: BalancerId, between: &NetworkFaults) {
+    /// Forwards the datagrams that have arrived for a balancer; `time` is the day's.
+    pub(super) fn on_ready(&mut self, time: Micros, to: BalancerId, faults: &NetworkFaults) {
         loop {
             let (n, from) = match self.sockets[to.0 as usize].recv_from(&mut self.buffer) {
                 Ok(came) => came,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // What was passed on earlier found nobody there.
+                // An earlier datagram was forwarded to an address where nobody listened.
                 Err(_) => continue,
             };
             let Some(from) = self.senders.get(&from).copied() else { continue };
             self.statistics.sent += 1;
             self.statistics.bytes += n as u64;
-            let fate = between.datagram_delivery(time, BalancerId(from), to);
-            self.statistics.broken += u64::from(fate != Delivery::default());
-            if fate.lost {
+            let delivery = faults.datagram_delivery(time, BalancerId(from), to);
+            self.statistics.broken += u64::from(delivery != Delivery::default());
+            if delivery.lost {
                 continue;
             }
-            for _ in 0..1 + u32::from(fate.doubled) {
-                let late = if fate.late > 0 { self.rng.random_range(0..=fate.late) } else { 0 };
+            for _ in 0..1 + u32::from(delivery.doubled) {
+                let late = if delivery.late > 0 { self.rng.random_range(0..=delivery.late) } else { 0 };
                 if late > 0 {
                     self.count += 1;
                     self.later.insert((time + late, self.count), (to.0, self.buffer[..n].to_vec()));
                 } else {
-                    self.arrives(to.0, &self.buffer[..n]);
+                    self.deliver(to.0, &self.buffer[..n]);
                 }
             }
         }
     }
 
-    fn arrives(&self, to: u32, datagram: &[u8]) {
-        // A datagram may get lost, and one to nobody does.
+    fn deliver(&self, to: u32, datagram: &[u8]) {
+        // UDP may drop it, too; there is nobody to report it to.
         let _ = self.sockets[to as usize].send_to(datagram, self.ends[to as usize]);
     }
 
-    /// When the next late one arrives.
+    /// When the next delayed datagram is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.later.keys().next().map(|(at, _)| *at)
     }
 
-    /// Lets arrive what was late until now.
+    /// Delivers the delayed datagrams that are due.
     pub fn run_due(&mut self, time: Micros) {
         while let Some(first) = self.later.first_entry().filter(|e| e.key().0 <= time) {
             let (to, datagram) = first.remove();
-            self.arrives(to, &datagram);
+            self.deliver(to, &datagram);
         }
     }
 }
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -1,17 +1,19 @@
-//! One TCP connection and the lines on it. It never waits itself; while nothing is held back in either direction
-//! it owns no buffer.
+//! A non-blocking TCP connection that carries lines. While nothing is buffered in either direction it owns no buffer.
 
 use std::io::{self, ErrorKind, Read, Write};
-use std::net::Shutdown;
+use std::net::{Shutdown, SocketAddr};
+use std::time::Duration;
 
+use mio::Interest;
 use mio::net::TcpStream;
 use shorewharf_protocol::line::{LineScan, scan_line};
 use slotmap::DefaultKey;
+use socket2::SockRef;
 
 use super::net::{Net, Ready, Role};
 use crate::edge::End;
 
-/// More than this is not held for a peer that does not take it: no line the platform sends is answered by so much.
+/// The most bytes buffered for a peer that does not read; no line of the platform is answered by so many.
 const MAX_OUTBOX_BYTES: usize = 4 << 20;
 
 /// A line is longer than the protocol allows.
@@ -19,25 +21,60 @@
 #[error("a line of more than {most} bytes", most = shorewharf_protocol::line::MAX_LINE_BYTES)]
 pub struct TooLong;
 
-/// One connection.
+/// A connection that carries lines.
 #[derive(Debug)]
 pub struct LineConnection {
     stream: TcpStream,
     key: DefaultKey,
     role: Role,
     inbox: Vec<u8>,
-    /// So many bytes at the inbox's front have been taken.
+    /// Bytes at the front of the inbox that have been consumed.
     consumed: usize,
     outbox: Vec<u8>,
-    /// It has come up.
+    /// It is established.
     up: bool,
     writable: bool,
-    /// Sending ends once the outbox is empty.
+    /// The sending side is closed once the outbox is empty.
     finish: bool,
     /// How the peer ended its side, once it has and all before that was read.
     ended: Option<End>,
 }
 
+impl Net {
+    /// Begins to connect.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system refuses the socket or its registration.
+    pub fn connect(&mut self, to: SocketAddr, role: Role) -> io::Result<LineConnection> {
+        let stream = TcpStream::connect(to).inspect_err(|e| self.note_shortage(e))?;
+        self.adopt(stream, role)
+    }
+
+    /// Takes over an accepted or connecting stream.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the stream cannot be configured or registered.
+    pub fn adopt(&mut self, mut stream: TcpStream, role: Role) -> io::Result<LineConnection> {
+        // Lines are short and wanted at once.
+        stream.set_nodelay(true)?;
+        let key = self.register(&mut stream, Interest::READABLE | Interest::WRITABLE, role)?;
+        Ok(LineConnection::new(stream, key, role))
+    }
+
+    /// Closes a connection: with `Reset`, or with unread bytes, the peer sees it break.
+    pub fn close(&mut self, connection: LineConnection, how: End) {
+        let (mut stream, key, buffers) = connection.into_parts();
+        if how == End::Reset {
+            // A socket that is broken already has no linger to set, and closes as it should anyway.
+            let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+        }
+        self.deregister(&mut stream, key);
+        buffers.into_iter().for_each(|b| self.return_buffer(b));
+    }
+}
+
 impl LineConnection {
     pub(super) fn new(stream: TcpStream, key: DefaultKey, role: Role) -> Self {
         LineConnection {
--- a/crates/emulator/src/sockets/net.rs
+++ b/crates/emulator/src/sockets/net.rs
@@ -18,8 +18,7 @@
 use slotmap::{DefaultKey, Key, KeyData, SlotMap};
 use socket2::{Domain, SockRef, Socket, Type};
 
-use super::lines::LineConnection;
-use crate::edge::{BalancerId, ConnId, End, LinkId, NodeId};
+use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
 /// Connections that wait to be accepted at a listener: a restart brings everybody at once.
 const BACKLOG: i32 = 4096;
@@ -114,7 +113,7 @@
         Ok(net)
     }
 
-    fn register(
+    pub(super) fn register(
         &mut self,
         source: &mut dyn Source,
         interest: Interest,
@@ -128,7 +127,7 @@
         Ok(key)
     }
 
-    fn deregister(&mut self, source: &mut dyn Source, key: DefaultKey) {
+    pub(super) fn deregister(&mut self, source: &mut dyn Source, key: DefaultKey) {
         self.roles.remove(key);
         // The descriptor is closed next, which takes it out of the poll whatever is said here.
         let _ = self.poll.registry().deregister(source);
@@ -152,12 +151,6 @@
         self.register(socket, Interest::READABLE, role).map(drop)
     }
 
-    /// Begins a connection.
-    pub fn connect(&mut self, to: SocketAddr, role: Role) -> io::Result<LineConnection> {
-        let stream = TcpStream::connect(to).inspect_err(|e| self.short |= is_shortage(e))?;
-        self.adopt(stream, role)
-    }
-
     /// The next connection that waits at a listener, if one does.
     pub fn accept(&mut self, listener: &Listener) -> Option<TcpStream> {
         loop {
@@ -174,19 +167,16 @@
         }
     }
 
+    /// Notes an error that shows that descriptors have run out.
+    pub(super) fn note_shortage(&mut self, error: &io::Error) {
+        self.short |= is_shortage(error);
+    }
+
     /// Whether descriptors have run out at least once: what came then has been lost, and not by the balancers.
     pub fn ran_out_of_descriptors(&self) -> bool {
         self.short
     }
 
-    /// Takes over a connection.
-    pub fn adopt(&mut self, mut stream: TcpStream, role: Role) -> io::Result<LineConnection> {
-        // Lines are short and wanted at once.
-        stream.set_nodelay(true)?;
-        let key = self.register(&mut stream, Interest::READABLE | Interest::WRITABLE, role)?;
-        Ok(LineConnection::new(stream, key, role))
-    }
-
     /// Has the end of a process told to its owner.
     pub fn watch(&mut self, fd: &OwnedFd, role: Role) -> io::Result<DefaultKey> {
         self.register(&mut SourceFd(&fd.as_raw_fd()), Interest::READABLE, role)
@@ -197,17 +187,6 @@
         self.deregister(&mut SourceFd(&fd.as_raw_fd()), key);
     }
 
-    /// Closes a connection: with `Reset`, or with unread bytes, the peer sees it break.
-    pub fn close(&mut self, wire: LineConnection, how: End) {
-        let (mut stream, key, buffers) = wire.into_parts();
-        if how == End::Reset {
-            // A socket that is broken already has no linger to set, and closes as it should anyway.
-            let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-        }
-        self.deregister(&mut stream, key);
-        buffers.into_iter().for_each(|b| self.return_buffer(b));
-    }
-
     /// Stops to listen: connections that wait to be accepted are reset, new ones refused.
     pub fn close_listener(&mut self, mut listener: Listener) -> SocketAddr {
         let at = listener.address();
--- a/crates/emulator/src/sockets/network_faults.rs
+++ b/crates/emulator/src/sockets/network_faults.rs
@@ -1,38 +1,37 @@
-//! What is broken between the processes: links by direction and by group, discovery's words, and balancers that stand
-//! still. The world knows nothing of it: to a node it is a balancer that says nothing, to a balancer a node.
+//! Network faults between the processes: links by direction and by group, list events, gossip datagrams, and stalled
+//! balancers. The world does not know of them: to each side the other one appears silent.
 
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-use super::datagram_proxy::Delivery;
 use crate::edge::{BalancerId, LinkId, NodeId, Reachability, ToBalancer};
 
-/// What is broken.
+/// The kinds of network faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetworkFaultKind {
-    /// Connections to the nodes are refused; those that stand go on.
+    /// Connections to the nodes are refused; established ones continue.
     Refused,
-    /// Nothing passes, and nothing ends: connections never come up, those that stand carry nothing.
+    /// Packets are dropped in both directions: connections are neither established nor closed.
     Silent,
-    /// What nodes say is lost on its way; what balancers say arrives.
+    /// Messages from nodes are lost; those from balancers arrive.
     AnswersLost,
-    /// Connections that stand are reset, once, at the begin.
+    /// Established connections are reset once, at the begin.
     Reset,
-    /// What nodes say comes so much later.
+    /// Messages from nodes are delayed by this much.
     Slow(Micros),
-    /// Discovery's news don't come; calls are not answered.
+    /// List events do not arrive, and calls to discovery are not answered.
     NewsLost,
-    /// What balancers say to others is lost on its way.
+    /// Gossip datagrams are dropped.
     NotesLost,
-    /// It arrives twice.
+    /// Gossip datagrams are duplicated.
     NotesDoubled,
-    /// It comes up to so much later, each datagram by itself.
+    /// Gossip datagrams are delayed by up to this much, each by itself.
     NotesLate(Micros),
-    /// The balancers' processes stand still (SIGSTOP), and go on at the end (SIGCONT).
+    /// The balancers' processes are stopped (SIGSTOP), and continued at the end (SIGCONT).
     Stall,
 }
 
-/// One thing that is broken for a time.
+/// A network fault during an interval.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkFault {
     /// What.
@@ -49,10 +48,21 @@
     pub others: Vec<BalancerId>,
 }
 
-/// An edge: this break begins, or it ends.
+/// How the network faults affect one datagram.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Delivery {
+    /// It is dropped.
+    pub lost: bool,
+    /// It is duplicated.
+    pub doubled: bool,
+    /// The largest delay; each datagram draws its own, so that they may be reordered.
+    pub late: Micros,
+}
+
+/// The begin or the end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FaultTransition {
-    /// Its place.
+    /// The index of the fault.
     pub index: usize,
     /// It begins.
     pub begins: bool,
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -396,7 +396,7 @@
             Role::Exit(who, life) => self.fleet.on_process_exited(net, now, who, life, observations),
             Role::DatagramProxy(to) => {
                 let (time, between) = (self.started_at.map_or(0, |start| now - start), &self.network_faults);
-                self.datagram_proxy.iter_mut().for_each(|n| n.ready(time, to, between));
+                self.datagram_proxy.iter_mut().for_each(|n| n.on_ready(time, to, between));
             }
             Role::Load(_) | Role::Timer => {}
         }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -125,9 +125,9 @@
             set_ups: s.in_setup + s.waiting,
             pile_s: s.pile_s,
             stands: s.stands,
-            usual: self.model.usual(),
+            usual: self.model.usual_load(),
             groups: self.model.groups(),
-            before_fall: self.model.before_fall(now),
+            before_fall: self.model.admissible_before_overload(now),
         }
     }
 }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -63,8 +63,8 @@
 
     fn handle_node_output(&mut self, node: NodeId, what: NodeOutput, listener: &mut impl WorldListener) {
         match what {
-            NodeOutput::Says(link, message) => self.send_from_node(link, message),
-            NodeOutput::Ends(link, end) => {
+            NodeOutput::Message(link, message) => self.send_from_node(link, message),
+            NodeOutput::Close(link, end) => {
                 self.end_service_by_node(link);
                 self.close_from_node(link, end);
             }
@@ -75,7 +75,7 @@
                 }
             }
             NodeOutput::Silent(silent) => self.set_node_silent(node, silent, listener),
-            NodeOutput::Fallen => {
+            NodeOutput::Overloaded => {
                 listener.fact(self.now, Observation::Node(node, Health::Down));
                 self.break_node_pairs(node);
             }
