--- a/crates/budgets/examples/schedules.rs
+++ b/crates/budgets/examples/schedules.rs
@@ -73,7 +73,7 @@
 fn search(count: u64, schedule: &(dyn Fn(u64) -> Schedule + Sync)) -> SearchResult {
     let (next, steps, schedules) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let first: Mutex<Option<NumberedViolation>> = Mutex::new(None);
-    let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get());
+    let cores = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     std::thread::scope(|scope| {
         for _ in 0..cores {
             scope.spawn(|| {
--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -95,7 +95,7 @@
             }
             Placement::AwaitProbes => {}
             Placement::NoServer if self.is_capacity_imminent(now, &tracked) => {
-                self.defer(now, &tracked, actions)
+                self.defer(now, &tracked, actions);
             }
             Placement::NoServer => self.answer_unserved(id, actions),
         }
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -50,7 +50,7 @@
             // The last connection broke: the server may be down, which a trial will show.
             Outcome::Reset if was_established && connections_left == 0 => self.quarantine(now, id),
             Outcome::Reset => {
-                if self.servers.get_mut(id).is_some_and(|server| server.record_reset()) {
+                if self.servers.get_mut(id).is_some_and(super::servers::Server::record_reset) {
                     self.reduce_health(now, id, SHEDDING_UNAVAILABLE_SECONDS);
                 }
             }
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -270,7 +270,7 @@
                 });
             }
             Step::Delay(server, delay) => {
-                self.event(Event::MessageDelay { server: ServerId(*server), delay: *delay })
+                self.event(Event::MessageDelay { server: ServerId(*server), delay: *delay });
             }
             Step::List { ready, draining, full, born } => {
                 let mut entries = Vec::new();
--- a/crates/recovery/tests/migrations.rs
+++ b/crates/recovery/tests/migrations.rs
@@ -280,7 +280,7 @@
             self.now = seconds_from_micros(at);
             match event {
                 FleetEvent::TimerFires { balancer, token } => {
-                    self.dispatch(balancer, Event::TimerFired(token))
+                    self.dispatch(balancer, Event::TimerFired(token));
                 }
                 FleetEvent::ClientRequests { client } => self.send_request(client),
                 FleetEvent::AttemptAnswered { balancer, request } => self.answer_attempt(balancer, request),
--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -210,7 +210,7 @@
                 self.attempts.remove(&request);
             }
             Action::CancelAttempt { request, attempt } => {
-                self.record(&format!("cancel {} {attempt}", request.0))
+                self.record(&format!("cancel {} {attempt}", request.0));
             }
             Action::Migrate(request) => {
                 self.record(&format!("move {}", request.0));
--- a/crates/store/examples/measure.rs
+++ b/crates/store/examples/measure.rs
@@ -148,7 +148,7 @@
     table.set_header(["what", "figure", "unit"]);
     let mut row = |what: &str, figure: f64, unit: &str| {
         let digits = if figure < 100.0 { 1 } else { 0 };
-        table.add_row([what.to_string(), format!("{figure:.digits$}"), unit.to_string()]);
+        table.add_row([what.to_owned(), format!("{figure:.digits$}"), unit.to_owned()]);
     };
 
     let mut store = Embedded::open(&path, Create::IfMissing, NOW)?;
--- a/crates/store/src/embedded/failure.rs
+++ b/crates/store/src/embedded/failure.rs
@@ -19,7 +19,7 @@
 impl EngineFailure {
     /// The failure as an error that names the file.
     pub(super) fn into_store_error(self, location: &str) -> StoreError {
-        let location = location.to_string();
+        let location = location.to_owned();
         match self {
             EngineFailure::Rejected(e) => e,
             EngineFailure::Panicked(cause) => StoreError::Corrupt { location, cause },
--- a/crates/store/src/exchange/reader.rs
+++ b/crates/store/src/exchange/reader.rs
@@ -79,8 +79,8 @@
             "usage" => self.usage(value),
             "limits" if value.is_null() => {}
             "limits" => {
-                let key_name = |_: &ServiceLimits| SERVICE_LIMITS.to_string();
-                self.record(name.to_string(), value, Collection::Limits, key_name);
+                let key_name = |_: &ServiceLimits| SERVICE_LIMITS.to_owned();
+                self.record(name.to_owned(), value, Collection::Limits, key_name);
             }
             "counters" => self.counters(value),
             _ => self.report(name, "is not known"),
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -73,7 +73,7 @@
 
 /// The store error for a system error at a file.
 pub(crate) fn io_error(location: &str, e: &io::Error) -> StoreError {
-    let (location, cause) = (location.to_string(), e.to_string());
+    let (location, cause) = (location.to_owned(), e.to_string());
     match e.kind() {
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
             StoreError::NoSpace { location, cause }
--- a/crates/store/src/name/tests.rs
+++ b/crates/store/src/name/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn names_of_one_byte_and_of_four_kibibytes_are_taken_and_what_breaks_a_line_is_not() {
-    for good in ["a".to_string(), "長".repeat(1365), "۱ تذكرة".into(), "a/b?c#d%41".into(), "x".repeat(4096)]
+    for good in ["a".to_owned(), "長".repeat(1365), "۱ تذكرة".into(), "a/b?c#d%41".into(), "x".repeat(4096)]
     {
         assert_eq!(TenantName::new(&good).unwrap().as_str(), good);
     }
--- a/crates/store/src/replicated/client.rs
+++ b/crates/store/src/replicated/client.rs
@@ -317,7 +317,7 @@
         Err(match status {
             _ if error.is_compacted() => CallFailure::Compacted,
             _ if error.is_no_space() => {
-                CallFailure::NotDone(StoreError::NoSpace { location: endpoint.to_string(), cause })
+                CallFailure::NotDone(StoreError::NoSpace { location: endpoint.to_owned(), cause })
             }
             400..=499 => CallFailure::NotDone(InvalidValue::new(format!("{endpoint}{path}"), cause).into()),
             _ => CallFailure::unknown(endpoint, cause),
@@ -346,7 +346,7 @@
         }
         let found = Revision(header.revision.0);
         if found < self.newest_revision {
-            let (endpoint, newest) = (endpoint.to_string(), self.newest_revision);
+            let (endpoint, newest) = (endpoint.to_owned(), self.newest_revision);
             return Err(CallFailure::OutcomeUnknown(StoreError::Stale { endpoint, found, newest }));
         }
         self.newest_revision = found;
--- a/crates/store/src/replicated/generations.rs
+++ b/crates/store/src/replicated/generations.rs
@@ -122,7 +122,7 @@
         let response: TxnResponse =
             self.client.idempotent_txn(&request, now).map_err(|failure| match failure {
                 CallFailure::OutcomeUnknown(e) => StoreError::OutcomeUnknown {
-                    location: self.keyspace.prefix().to_string(),
+                    location: self.keyspace.prefix().to_owned(),
                     cause: e.to_string(),
                 },
                 failure => failure.into_store_error(),
--- a/crates/store/src/replicated/mod.rs
+++ b/crates/store/src/replicated/mod.rs
@@ -63,8 +63,8 @@
     pub fn new(endpoints: Vec<String>, prefix: &str, instance: &str, seed: u64) -> Options {
         Options {
             endpoints,
-            prefix: prefix.to_string(),
-            instance: instance.to_string(),
+            prefix: prefix.to_owned(),
+            instance: instance.to_owned(),
             call_timeout: CALL_TIMEOUT,
             seed,
         }
@@ -171,7 +171,7 @@
     /// The error after the last attempt: the store was changed during each one.
     fn being_replaced(&self) -> StoreError {
         StoreError::Unavailable {
-            endpoint: self.keyspace.prefix().to_string(),
+            endpoint: self.keyspace.prefix().to_owned(),
             cause: "the store is being replaced or is moving to another schema".into(),
         }
     }
--- a/crates/store/src/replicated/transactions.rs
+++ b/crates/store/src/replicated/transactions.rs
@@ -46,7 +46,7 @@
                 Ok(None) if lost_answers == 1 => {}
                 Ok(None) => return Err(e),
                 Err(_) => {
-                    let location = self.keyspace.prefix().to_string();
+                    let location = self.keyspace.prefix().to_owned();
                     return Err(StoreError::OutcomeUnknown { location, cause: e.to_string() });
                 }
             }
--- a/crates/store/src/standin/http.rs
+++ b/crates/store/src/standin/http.rs
@@ -89,7 +89,7 @@
     let httparse::Status::Complete(body_offset) = parsed else { return Ok(None) };
     let length = content_length(head.headers).ok_or_else(|| invalid_data("no length"))?;
     let Some(body) = buffer.get(body_offset..body_offset + length) else { return Ok(None) };
-    let path = head.path.unwrap_or_default().to_string();
+    let path = head.path.unwrap_or_default().to_owned();
     let request = Request { path, body: serde_json::from_slice(body)? };
     buffer.drain(..body_offset + length);
     Ok(Some(request))
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -31,7 +31,7 @@
 
 pub fn report(instance: &str, minute: u64, of: &[(u32, u64)]) -> Command {
     let usage =
-        |setups| Usage { setups, rejections: [("quota".to_string(), setups / 2)].into(), ..Usage::default() };
+        |setups| Usage { setups, rejections: [("quota".to_owned(), setups / 2)].into(), ..Usage::default() };
     let usage_by_id: BTreeMap<u32, Usage> = of.iter().map(|(id, n)| (*id, usage(*n))).collect();
     Command::RecordUsage(UsageReport::new(InstanceName::new(instance).unwrap(), minute, usage_by_id).unwrap())
 }
--- a/crates/store/tests/common/recorder.rs
+++ b/crates/store/tests/common/recorder.rs
@@ -15,7 +15,7 @@
     pub fn before(&self, endpoint: &str) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let member = endpoint.strip_prefix("http://").unwrap().to_string();
+        let member = endpoint.strip_prefix("http://").unwrap().to_owned();
         let recorder = self.clone();
         std::thread::spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -118,7 +118,7 @@
             let key = shorewharf_store::key::Key::new(Collection::parse(space).unwrap(), name);
             match store.get(&key, NOW) {
                 Ok(Some(entry)) => {
-                    assert_eq!(written[&key.text()], (entry.revision.0, entry.value), "seed {seed}")
+                    assert_eq!(written[&key.text()], (entry.revision.0, entry.value), "seed {seed}");
                 }
                 Ok(None) => panic!("seed {seed}: {key} is lost in silence"),
                 Err(e) => assert!(matches!(e, StoreError::Corrupt { .. }), "seed {seed}: {e}"),
--- a/crates/store/tests/replicated.rs
+++ b/crates/store/tests/replicated.rs
@@ -150,7 +150,7 @@
                 match create(&mut store, &tenant) {
                     Ok(_) => created.push(tenant),
                     Err(e) => {
-                        assert!(e.is_transient() || matches!(e, StoreError::AlreadyExists { .. }), "{e}")
+                        assert!(e.is_transient() || matches!(e, StoreError::AlreadyExists { .. }), "{e}");
                     }
                 }
                 execute_one(&mut store, report(&format!("n{n}@1"), i, &usage_by_id), NOW).unwrap();
@@ -348,7 +348,7 @@
     assert!(weights.len() == 250 && !weights.iter().any(|(name, _)| name == "late"));
     assert!(create(&mut store, "late").unwrap().record.id > late.record.id);
     let generations: std::collections::BTreeSet<_> =
-        cluster.contents().iter().filter_map(|(k, _)| Some(k.split('/').nth(1)?.to_string())).collect();
+        cluster.contents().iter().filter_map(|(k, _)| Some(k.split('/').nth(1)?.to_owned())).collect();
     assert_eq!(generations.len(), 2, "the engine's own keys and one generation: {generations:?}");
 }
 
--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -77,7 +77,7 @@
 }
 
 fn usage(setups: u64) -> Usage {
-    let rejections = [("quota".to_string(), 2), ("overload".to_string(), 1)].into();
+    let rejections = [("quota".to_owned(), 2), ("overload".to_owned(), 1)].into();
     Usage { connection_micros: 60_000_000, setups, rejections, migrations: 3, lines: 400, bytes: 5000 }
 }
 
@@ -312,7 +312,11 @@
         match &request.command {
             Command::RecordUsage(_) => assert_eq!(again.reply, Reply::UsageRecorded { new: false }),
             _ => {
-                assert_eq!((again.replayed, again.reply), (true, without_secret(created)), "request {number}")
+                assert_eq!(
+                    (again.replayed, again.reply),
+                    (true, without_secret(created)),
+                    "request {number}"
+                );
             }
         }
     }
