--- a/crates/balancer/src/clock.rs
+++ b/crates/balancer/src/clock.rs
@@ -1,25 +1,27 @@
 //! The clock of the program.
 
-use shorewharf_units::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The program's clock: whole microseconds, moved on by the monotonic clock alone. It is set by Unix time
-/// once, at the start, so that the times in the server list are on it too.
+use shorewharf_units::Micros;
+
+/// The clock of the process, in whole microseconds. It is set to Unix time once, at the start, so that the start times in
+/// endpoint lists are on it too, and advances with the monotonic clock: steps of the wall clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Instant,
-    base: Micros,
+    started_at: Instant,
+    /// Unix time at the start.
+    unix_start: Micros,
 }
 
 impl Clock {
     /// Starts the clock at the current Unix time.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), base: unix.as_micros() as Micros }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: Instant::now(), unix_start: unix_start.as_micros() as Micros }
     }
 
-    /// The time in microseconds since the Unix epoch.
+    /// The time, in microseconds since the Unix epoch.
     pub fn read(&self) -> Micros {
-        self.base + self.start.elapsed().as_micros() as Micros
+        self.unix_start + self.started_at.elapsed().as_micros() as Micros
     }
 }
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -14,20 +14,20 @@
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// The old process's loop, until somebody has asked and has an answer.
+/// Requests the state while the old process accepts successors, until it has been received.
 fn request_until_answered(
     successors: &mut Successors,
     path: &Path,
     state: &HandoverState,
 ) -> ReceivedHandover {
     std::thread::scope(|s| {
-        let asks = s.spawn(|| request_state(path));
+        let request = s.spawn(|| request_state(path));
         until(|| {
             successors.accept(&poller(), || state.clone());
             successors.receive_all(&poller(), 0);
-            asks.is_finished()
+            request.is_finished()
         });
-        asks.join().expect("no panic").expect("an estate")
+        request.join().expect("no panic").expect("a state")
     })
 }
 
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The real balancer: reads its configuration, serves, and ends when told to.
+//! The command line of the balancer: serves by its configuration until it is shut down, or checks a configuration.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 use shorewharf_logging::LogArgs;
 use tracing::error;
 
-/// The configuration, or the command line, can't be used: nothing was started. clap ends with the same code.
+/// Exit code when the configuration or the command line can't be used; nothing was started. clap uses the same code.
 const BAD_CONFIG: u8 = 2;
 
 const HELP_END: &str = "\
@@ -89,7 +89,7 @@
     let text = std::fs::read(file).map_err(|e| ConfigError::Unreadable { path: file.into(), source: e });
     match text.and_then(|text| summary::table(&text, env)) {
         Ok(table) => {
-            // Whoever reads it may have read enough.
+            // Fails if the reader has closed the pipe, which is no error.
             let _ = writeln!(std::io::stdout(), "{}", table.trim_fmt());
             ExitCode::SUCCESS
         }
