--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -92,6 +92,15 @@
     }
 }
 
+/// A command of an operator.
+#[derive(Debug)]
+pub struct ReceivedCommand {
+    /// Number of the connection that it came on.
+    pub connection: u64,
+    /// The command, or why it is rejected.
+    pub command: Result<Command, CommandError>,
+}
+
 /// The admin listener and its connections, by number.
 #[derive(Debug)]
 pub struct AdminServer {
@@ -100,8 +109,8 @@
     can_accept: bool,
     connections: BTreeMap<u64, AdminConnection>,
     last_number: u64,
-    /// Commands to be executed, in the order in which they came, with the number of the connection.
-    commands: Vec<(u64, Result<Command, CommandError>)>,
+    /// Commands to be executed, in the order in which they came.
+    commands: Vec<ReceivedCommand>,
 }
 
 impl AdminServer {
@@ -182,7 +191,7 @@
             State::AwaitingCommand => {
                 if let Some(command) = admin.read_command(context) {
                     admin.state = State::Executing;
-                    self.commands.push((number, command));
+                    self.commands.push(ReceivedCommand { connection: number, command });
                 } else if admin.connection.peer_close.is_some() {
                     self.close(context, number);
                 }
@@ -197,7 +206,7 @@
     }
 
     /// Takes the commands that have come.
-    pub fn take_commands(&mut self) -> Vec<(u64, Result<Command, CommandError>)> {
+    pub fn take_commands(&mut self) -> Vec<ReceivedCommand> {
         std::mem::take(&mut self.commands)
     }
 
--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -31,7 +31,8 @@
         calls.extend(server.take_commands());
         !calls.is_empty()
     });
-    calls.remove(0)
+    let ReceivedCommand { connection, command } = calls.remove(0);
+    (connection, command)
 }
 
 #[test]
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -8,6 +8,7 @@
 use shorewharf_settings::operator::{Budgets, Gossip, Recovery, Snapshot, Tenancy};
 
 use super::*;
+use crate::fleet::gossip_config::Peer;
 
 fn good() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8000", "discovery": "127.0.0.1:8500",
@@ -311,7 +312,10 @@
     };
     assert_eq!(config.operator, expected);
     let gossip = config.gossip.expect("peers");
-    assert_eq!(gossip.peers, [("n4".to_owned(), "127.0.0.2:8700".parse().expect("an address"))]);
+    assert_eq!(
+        gossip.peers,
+        [Peer { name: "n4".to_owned(), address: "127.0.0.2:8700".parse().expect("an address") }]
+    );
     assert_eq!((gossip.rules.interval, gossip.rules.fanout), (75_000, 4));
     let fleet = config.budgets.expect("budgets");
     let (rules, named) = (&fleet.rules, |name: &str| Some(format!("connections of {name}")));
--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -7,6 +7,7 @@
 use tracing::info;
 
 use crate::admin::counters::WorkerCounters;
+use crate::admin::server::ReceivedCommand;
 use crate::discovery::update::server_id;
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
@@ -34,7 +35,7 @@
             admin.server.on_ready(&mut self.context, source, readiness);
         }
         admin.server.accept(&mut self.context);
-        for (connection, command) in admin.server.take_commands() {
+        for ReceivedCommand { connection, command } in admin.server.take_commands() {
             let reply = match command {
                 Ok(command) => self.execute_command(command, &avoided_servers),
                 Err(error) => CommandReply::Rejected(error),
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -20,7 +20,7 @@
 
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::event_loop::poll::EventSource;
-use crate::fleet::gossip_config::GossipConfig;
+use crate::fleet::gossip_config::{GossipConfig, Peer};
 
 /// How often the loads of the peers are reported to the decisions.
 const REPORT_INTERVAL: Micros = 200_000;
@@ -36,7 +36,7 @@
 pub struct GossipTransport {
     address: SocketAddr,
     socket: Option<UdpSocket>,
-    peers: Vec<(String, SocketAddr)>,
+    peers: Vec<Peer>,
     gossip: Gossip,
     interval: Micros,
     /// More datagrams may be waiting at the socket.
@@ -53,19 +53,25 @@
     has_logged_oversize: bool,
 }
 
+/// This balancer, as its gossip needs to know it.
+#[derive(Clone, Copy, Debug)]
+pub struct LocalBalancer<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Where it accepts clients and receives datagrams.
+    pub address: SocketAddr,
+    /// Seed of the random choice of peers.
+    pub seed: u64,
+}
+
 fn peer_names(config: &GossipConfig) -> Vec<String> {
-    config.peers.iter().map(|(name, _)| name.clone()).collect()
+    config.peers.iter().map(|peer| peer.name.clone()).collect()
 }
 
 impl GossipTransport {
-    /// Creates the end of the balancer `name`, which receives at `address`. The socket is opened in the first iteration.
-    pub fn new(
-        context: &mut LoopContext,
-        name: &str,
-        address: SocketAddr,
-        config: &GossipConfig,
-        seed: u64,
-    ) -> Self {
+    /// Creates this balancer's end. The socket is opened in the first iteration.
+    pub fn new(context: &mut LoopContext, balancer: LocalBalancer<'_>, config: &GossipConfig) -> Self {
+        let LocalBalancer { name, address, seed } = balancer;
         context.schedule_after(0, TimerEvent::Gossip);
         let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let identity = Identity { name, incarnation: started_at.as_micros() as u64 };
@@ -161,8 +167,7 @@
         let outgoing = self.gossip.outgoing(now, holdings.into_iter().map(announced).collect());
         let Some(socket) = &self.socket else { return };
         for OutgoingDatagram { peer, bytes } in outgoing {
-            let (_, address) = self.peers[peer];
-            if socket.send_to(&bytes, address).is_err() {
+            if socket.send_to(&bytes, self.peers[peer].address).is_err() {
                 self.unsent += 1;
             }
         }
--- a/crates/balancer/src/fleet/gossip_config.rs
+++ b/crates/balancer/src/fleet/gossip_config.rs
@@ -14,14 +14,23 @@
 /// What is needed to gossip with the rest of the fleet.
 #[derive(Clone, Debug)]
 pub struct GossipConfig {
-    /// The other balancers by name, with the address of each for datagrams.
-    pub peers: Vec<(String, SocketAddr)>,
+    /// The other balancers.
+    pub peers: Vec<Peer>,
     /// The key that all balancers share.
     pub key: Key,
     /// How often to send, and to how many.
     pub rules: GossipSettings,
 }
 
+/// Another balancer of the fleet.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Peer {
+    /// Its name.
+    pub name: String,
+    /// Where it receives datagrams.
+    pub address: SocketAddr,
+}
+
 /// Gossip that can't be set up as configured. The message begins with the key at fault.
 #[derive(Debug, Error)]
 pub enum GossipConfigError {
@@ -99,7 +108,7 @@
     pub fn read(section: &Gossip, balancer: &str) -> Result<Option<GossipConfig>, GossipConfigError> {
         let Some(path) = &section.peers_file else { return Ok(None) };
         let mut peers = read_peers(path)?;
-        peers.retain(|(name, _)| name != balancer);
+        peers.retain(|peer| peer.name != balancer);
         let key = read_key(section.key_file.as_ref().ok_or(GossipConfigError::NoKey)?)?;
         let rules = GossipSettings {
             interval: section.interval_ms * MICROS_PER_MILLISECOND,
@@ -110,18 +119,18 @@
     }
 }
 
-fn read_peers(path: &Path) -> Result<Vec<(String, SocketAddr)>, GossipConfigError> {
+fn read_peers(path: &Path) -> Result<Vec<Peer>, GossipConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| GossipConfigError::PeersUnreadable { path: path.to_owned(), source })?;
-    let mut peers: Vec<(String, SocketAddr)> = Vec::new();
+    let mut peers: Vec<Peer> = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let invalid =
             |problem| GossipConfigError::InvalidPeer { path: path.to_owned(), line: index + 1, problem };
-        let Some((name, address)) = parse_peer(line).map_err(invalid)? else { continue };
-        if peers.iter().any(|(other, _)| *other == name) {
+        let Some(peer) = parse_peer(line).map_err(invalid)? else { continue };
+        if peers.iter().any(|other| other.name == peer.name) {
             return Err(invalid(InvalidPeer::Duplicate));
         }
-        peers.push((name, address));
+        peers.push(peer);
     }
     if peers.len() > MAX_BALANCERS {
         return Err(GossipConfigError::TooMany { path: path.to_owned(), count: peers.len() });
@@ -130,14 +139,14 @@
 }
 
 /// Parses a line `NAME ADDRESS:PORT`; none where it is blank but for a comment.
-fn parse_peer(line: &str) -> Result<Option<(String, SocketAddr)>, InvalidPeer> {
+fn parse_peer(line: &str) -> Result<Option<Peer>, InvalidPeer> {
     let line = line.split('#').next().unwrap_or_default();
     let words: Vec<&str> = line.split_whitespace().collect();
     match words[..] {
         [] => Ok(None),
         [name, address] => {
             let address = address.parse().map_err(|_| InvalidPeer::NotAnAddress)?;
-            Ok(Some((name.to_owned(), address)))
+            Ok(Some(Peer { name: name.to_owned(), address }))
         }
         _ => Err(InvalidPeer::NotNameAndAddress),
     }
--- a/crates/balancer/src/fleet/gossip_config/tests.rs
+++ b/crates/balancer/src/fleet/gossip_config/tests.rs
@@ -19,7 +19,10 @@
     let good = "# the fleet\nn1 127.0.0.1:1\n\nn2 127.0.0.2:1 # far\n";
     let key = "0123456789abcdef\n";
     let peers = GossipConfig::read(&of(good, key), "n1").expect("good").expect("named");
-    assert_eq!(peers.peers, [("n2".to_owned(), "127.0.0.2:1".parse().expect("an address"))]);
+    assert_eq!(
+        peers.peers,
+        [Peer { name: "n2".to_owned(), address: "127.0.0.2:1".parse().expect("an address") }]
+    );
     assert!(GossipConfig::read(&Gossip::default(), "n1").expect("nothing is wrong").is_none());
     for (peers, key, named, why) in [
         ("n1 127.0.0.1:1\nn2", key, "gossip.peers", "line 2: NAME ADDRESS:PORT"),
--- a/crates/balancer/src/workers/worker.rs
+++ b/crates/balancer/src/workers/worker.rs
@@ -20,7 +20,7 @@
 use crate::event_loop::dispatch::{EventLoop, WorkerContext};
 use crate::event_loop::poll::{EventPoller, EventSource};
 use crate::fleet::budgets::BudgetClient;
-use crate::fleet::gossip::GossipTransport;
+use crate::fleet::gossip::{GossipTransport, LocalBalancer};
 use crate::reload;
 use crate::snapshot::{SnapshotState, SnapshotTask, export_all};
 use crate::supervisor;
@@ -125,10 +125,9 @@
         let settings = ProxySettings::from(&config);
         let mut event_loop = EventLoop::new(context, self.context, config.discovery, settings);
         if let Some(gossip) = &config.gossip {
-            let context = &mut event_loop.context;
-            let transport =
-                GossipTransport::new(context, &config.name, addresses.clients, gossip, config.seed);
-            event_loop.gossip = Some(transport);
+            let balancer =
+                LocalBalancer { name: &config.name, address: addresses.clients, seed: config.seed };
+            event_loop.gossip = Some(GossipTransport::new(&mut event_loop.context, balancer, gossip));
         }
         let entries = event_loop.restore_endpoints(&self.endpoints);
         // From now on the server table has the list; another copy would double its memory.
