--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -60,7 +60,7 @@
         match &self.workers {
             // If the primary worker has ended, the whole process is about to end.
             Some(workers) if !workers.is_primary() => {
-                drop(workers.send(PRIMARY_WORKER, WorkerMessage::WatchEndpoints))
+                drop(workers.send(PRIMARY_WORKER, WorkerMessage::WatchEndpoints));
             }
             _ => {
                 let events = self.discovery.open_watch(&mut self.context);
--- a/crates/balancer/src/event_loop/timers.rs
+++ b/crates/balancer/src/event_loop/timers.rs
@@ -90,9 +90,9 @@
         let timer = Timer { deadline, sequence, event, position: None, previous: None, next: None };
         let key = self.timers.insert(timer);
         if deadline <= self.now {
-            self.due.push_back(key)
+            self.due.push_back(key);
         } else {
-            self.link(key, deadline)
+            self.link(key, deadline);
         }
         key
     }
@@ -188,9 +188,9 @@
             timer.position = None;
             let deadline = timer.deadline;
             if deadline.div_ceil(TICK_MICROS) <= self.tick {
-                due.push((deadline, timer.sequence, key))
+                due.push((deadline, timer.sequence, key));
             } else {
-                self.link(key, deadline)
+                self.link(key, deadline);
             }
         }
         due.sort_unstable();
--- a/crates/balancer/src/event_loop/worker_messages.rs
+++ b/crates/balancer/src/event_loop/worker_messages.rs
@@ -18,20 +18,20 @@
     pub fn on_message(&mut self, message: WorkerMessage) {
         match message {
             WorkerMessage::ForwardedClient(stream, client) => {
-                self.proxy.accept_client(&mut self.context, stream, client)
+                self.proxy.accept_client(&mut self.context, stream, client);
             }
             WorkerMessage::DiscoveryEvent(event) => self.apply_discovery_event(event),
             WorkerMessage::WatchEndpoints => self.watch_endpoints(),
             WorkerMessage::RequestProbe(worker, server) => {
-                self.begin_probe(server, Requester::Worker(worker))
+                self.begin_probe(server, Requester::Worker(worker));
             }
             WorkerMessage::ServerChanged(change) => self.apply_admin_change(change),
             WorkerMessage::DescriptorsHeldBySiblings(descriptors) => {
-                self.proxy.set_sibling_descriptors(descriptors)
+                self.proxy.set_sibling_descriptors(descriptors);
             }
             WorkerMessage::SuccessorServing(has_successor) => self.set_has_successor(has_successor),
             WorkerMessage::ProbeEnded(server, outcome) => {
-                self.context.emit(NetworkEvent::ProbeEnded(server, outcome))
+                self.context.emit(NetworkEvent::ProbeEnded(server, outcome));
             }
             WorkerMessage::Shutdown => self.begin_shutdown(),
             WorkerMessage::TransferToSuccessor(transferred) => self.queue_for_transfer(*transferred),
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -65,7 +65,7 @@
             }
             SessionStage::Established | SessionStage::Migrating => self.on_established_due(context, id),
             SessionStage::Closing if session.is_past_deadline(now) => {
-                self.close_session(context, id, Cause::Idle)
+                self.close_session(context, id, Cause::Idle);
             }
             _ => {}
         }
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -338,8 +338,7 @@
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
-    e.kind() == ErrorKind::OutOfMemory
-        || matches!(e.raw_os_error(), Some(ENFILE) | Some(EMFILE) | Some(ENOBUFS))
+    e.kind() == ErrorKind::OutOfMemory || matches!(e.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
 /// Whether an error of connect(2) is this machine's own and says nothing about the peer, as when no port or route is left.
