--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -68,10 +68,10 @@
                 }
             }
             Observation::Sent { by, link, node, conn, first } => {
-                self.on_attempt(now, first, by, link, node, conn)
+                self.on_attempt(now, first, by, link, node, conn);
             }
             Observation::Stands { by, conn, link, node } => {
-                self.on_already_established(now, by, conn, link, node)
+                self.on_already_established(now, by, conn, link, node);
             }
             Observation::Missed(by, id) => {
                 let case = Case { reason: Reason::NotCarried, at: now, by, conn: Some(id), node: None };
@@ -143,7 +143,7 @@
             ToBalancer::NodeSays(link, word) => self.on_node_message(now, by, *link, *word),
             ToBalancer::NodeEnded(link, end) => self.on_node_closed(now, by, *link, *end),
             ToBalancer::List { full, entries } => {
-                self.notified_lists.on_endpoint_list(now, by, *full, entries)
+                self.notified_lists.on_endpoint_list(now, by, *full, entries);
             }
             ToBalancer::ListFailed => self.notified_lists.on_poll_failed(now, by),
         }
@@ -447,7 +447,7 @@
         match word {
             NodeMessage::Up => link.up = true,
             NodeMessage::Busy | NodeMessage::Err | NodeMessage::Move | NodeMessage::Bye => {
-                conn.request.end_attempt(id)
+                conn.request.end_attempt(id);
             }
             // Nonsense in place of an answer ends the attempt, too.
             NodeMessage::Junk if !link.up => conn.request.end_attempt(id),
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -219,10 +219,10 @@
                 return until;
             }
             Some(MoveInLine) => {
-                self.history.add(until, Other(Observation::Garbled(conn, Corruption::MoveInLine)))
+                self.history.add(until, Other(Observation::Garbled(conn, Corruption::MoveInLine)));
             }
             Some(LineChanged) => {
-                self.history.add(until, Other(Observation::Garbled(conn, Corruption::Changed)))
+                self.history.add(until, Other(Observation::Garbled(conn, Corruption::Changed)));
             }
             _ => {}
         }
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::*;
+use super::{Micros, in_s};
 
 /// What goes wrong, and whom it strikes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
--- a/crates/emulator/src/environment/discovery/service_queue.rs
+++ b/crates/emulator/src/environment/discovery/service_queue.rs
@@ -1,5 +1,4 @@
-//! Whom discovery tells what, and when: one queue of calls and news, worked through at a fixed number of list lines
-//! a second.
+//! The service queue of discovery: calls and list updates, served in order at a fixed number of list lines a second.
 
 use shorewharf_units::Micros;
 use std::cmp::Reverse;
@@ -12,20 +11,20 @@
 use crate::day;
 use crate::edge::{BalancerId, Listed, ToBalancer};
 
-// The work of each thing, in list lines, as measured at the simulator to about half a per cent.
+// The work of each kind of response, in list lines.
 
-/// Turning a call away, as a part of the call's own work.
-const TURNED_AWAY: f64 = 0.05;
+/// Rejecting a call, as a ratio of the call's own work.
+const REJECTED_CALL_RATIO: f64 = 0.05;
 /// A change in a watch's first answer; never more of them than the list has lines.
-const CHANGE_IN_ANSWER: f64 = 0.25;
+const LINES_PER_ANSWERED_CHANGE: f64 = 0.25;
 /// Writing anything to one watcher ...
-const NEWS: f64 = 1.0;
+const UPDATE_LINES: f64 = 1.0;
 /// ... plus this part of a call's work ...
-const NEWS_OF_CALL: f64 = 0.02;
+const UPDATE_CALL_RATIO: f64 = 0.02;
 /// ... plus so much for each change.
-const CHANGE_IN_NEWS: f64 = 0.1;
-/// News reaches a watcher up to this part of the stated spread after it was written.
-const SPREAD: f64 = 1.0 / 8.0;
+const LINES_PER_UPDATED_CHANGE: f64 = 0.1;
+/// The largest delay of an update to a watcher, as a ratio of the stated spread.
+const UPDATE_SPREAD_RATIO: f64 = 1.0 / 8.0;
 
 /// What a balancer calls for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,49 +41,49 @@
     ends: Micros,
     balancer: BalancerId,
     /// The balancer's process that it is for.
-    life: u32,
-    /// None for news to a watcher.
+    incarnation: u32,
+    /// None for an update to a watcher.
     call: Option<Call>,
 }
 
-/// A balancer as seen from the desk.
+/// A balancer as seen from the service queue.
 #[derive(Clone, Debug, Default)]
 struct Watcher {
-    life: u32,
+    incarnation: u32,
     /// The version it has been sent.
-    has: usize,
+    sent_version: usize,
     /// Since when it watches.
-    since: Option<Micros>,
-    /// News for it waits in the queue.
-    queued: bool,
+    watching_since: Option<Micros>,
+    /// An update for it waits in the queue.
+    is_update_queued: bool,
     /// What was sent last reaches it then; nothing overtakes.
-    reached: Micros,
+    last_arrival: Micros,
 }
 
-/// Something on its way to a balancer.
+/// A response in transit to a balancer.
 #[derive(Clone, Debug)]
-struct Sent {
+struct Response {
     at: Micros,
     number: u64,
     balancer: BalancerId,
-    life: u32,
+    incarnation: u32,
     /// None for a failure.
     list: Option<(bool, Vec<Listed>)>,
 }
 
-impl PartialEq for Sent {
-    fn eq(&self, other: &Sent) -> bool {
+impl PartialEq for Response {
+    fn eq(&self, other: &Response) -> bool {
         self.number == other.number
     }
 }
-impl Eq for Sent {}
-impl PartialOrd for Sent {
-    fn partial_cmp(&self, other: &Sent) -> Option<std::cmp::Ordering> {
+impl Eq for Response {}
+impl PartialOrd for Response {
+    fn partial_cmp(&self, other: &Response) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Sent {
-    fn cmp(&self, other: &Sent) -> std::cmp::Ordering {
+impl Ord for Response {
+    fn cmp(&self, other: &Response) -> std::cmp::Ordering {
         (self.at, self.number).cmp(&(other.at, other.number))
     }
 }
@@ -102,26 +101,26 @@
     jobs: VecDeque<Job>,
     watchers: Vec<Watcher>,
     watching: BTreeSet<BalancerId>,
-    sent: BinaryHeap<Reverse<Sent>>,
-    numbers: u64,
+    sent: BinaryHeap<Reverse<Response>>,
+    next_number: u64,
     rng: Pcg64Mcg,
 }
 
 impl ServiceQueue {
-    /// A desk with nothing to do. `cross` is one way between two zones, where every balancer is held to be.
+    /// Creates an empty queue. `cross` is one way between two zones, where every balancer is held to be.
     pub fn new(figures: &day::Discovery, cross: Micros, balancers: usize, rng: Pcg64Mcg) -> ServiceQueue {
         ServiceQueue {
             lines_per_s: figures.lines_per_s.max(1e-3),
             call_lines: figures.call_lines,
             timeout: figures.timeout,
             trip: 2 * cross,
-            spread: figures.spread as f64 * SPREAD,
+            spread: figures.spread as f64 * UPDATE_SPREAD_RATIO,
             busy_until: 0,
             jobs: VecDeque::new(),
             watchers: vec![Watcher::default(); balancers],
             watching: BTreeSet::new(),
             sent: BinaryHeap::new(),
-            numbers: 0,
+            next_number: 0,
             rng,
         }
     }
@@ -130,85 +129,92 @@
         (lines / self.lines_per_s * 1e6).round() as Micros
     }
 
-    /// Takes a call into the queue, or turns it away if its turn would be over too late.
-    pub fn takes(&mut self, now: Micros, balancer: BalancerId, call: Call, registry: &Registry) {
+    /// Enqueues a call, or rejects it if it would be served too late.
+    pub fn enqueue_call(&mut self, now: Micros, balancer: BalancerId, call: Call, registry: &Registry) {
         let watcher = &self.watchers[balancer.0 as usize];
         let lines = match call {
             Call::Fetch => registry.lines() as f64,
             Call::Watch => {
-                CHANGE_IN_ANSWER * registry.changes_since(watcher.has).min(registry.lines() as u64) as f64
+                LINES_PER_ANSWERED_CHANGE
+                    * registry.changes_since(watcher.sent_version).min(registry.lines() as u64) as f64
             }
         };
         let starts = self.busy_until.max(now);
         let ends = starts + self.work(self.call_lines + lines);
         if ends - now >= self.timeout {
-            self.busy_until = starts + self.work(self.call_lines * TURNED_AWAY);
-            return self.fails(now, balancer);
+            self.busy_until = starts + self.work(self.call_lines * REJECTED_CALL_RATIO);
+            return self.fail_call(now, balancer);
         }
         self.busy_until = ends;
-        self.jobs.push_back(Job { ends, balancer, life: watcher.life, call: Some(call) });
+        self.jobs.push_back(Job { ends, balancer, incarnation: watcher.incarnation, call: Some(call) });
     }
 
     /// A call fails at once.
-    pub fn fails(&mut self, now: Micros, balancer: BalancerId) {
-        self.sends(now + self.trip, balancer, None);
+    pub fn fail_call(&mut self, now: Micros, balancer: BalancerId) {
+        self.send(now + self.trip, balancer, None);
     }
 
-    /// News for every watcher that does not wait for some already.
-    pub fn new_version(&mut self, now: Micros, registry: &Registry) {
+    /// Enqueues an update for every watcher that has none queued.
+    pub fn enqueue_updates(&mut self, now: Micros, registry: &Registry) {
         let changes = registry.changes_since(registry.version() - 1) as f64;
-        let work = self.work(NEWS + NEWS_OF_CALL * self.call_lines + CHANGE_IN_NEWS * changes);
+        let work = self
+            .work(UPDATE_LINES + UPDATE_CALL_RATIO * self.call_lines + LINES_PER_UPDATED_CHANGE * changes);
         for &balancer in &self.watching {
             let watcher = &mut self.watchers[balancer.0 as usize];
-            if !std::mem::replace(&mut watcher.queued, true) {
+            if !std::mem::replace(&mut watcher.is_update_queued, true) {
                 self.busy_until = self.busy_until.max(now) + work;
-                self.jobs.push_back(Job { ends: self.busy_until, balancer, life: watcher.life, call: None });
+                self.jobs.push_back(Job {
+                    ends: self.busy_until,
+                    balancer,
+                    incarnation: watcher.incarnation,
+                    call: None,
+                });
             }
         }
     }
 
     /// Ends a balancer's watch.
     pub fn unwatch(&mut self, balancer: BalancerId) {
-        self.watchers[balancer.0 as usize].since = None;
+        self.watchers[balancer.0 as usize].watching_since = None;
         self.watching.remove(&balancer);
     }
 
     /// Forgets a balancer's process.
-    pub fn ended(&mut self, balancer: BalancerId) {
+    pub fn on_balancer_exit(&mut self, balancer: BalancerId) {
         self.unwatch(balancer);
         let watcher = &mut self.watchers[balancer.0 as usize];
-        watcher.life += 1;
-        watcher.queued = false;
+        watcher.incarnation += 1;
+        watcher.is_update_queued = false;
     }
 
     /// The service goes down: calls in the queue fail and watches break.
-    pub fn goes_down(&mut self, now: Micros) {
+    pub fn shut_down(&mut self, now: Micros) {
         self.busy_until = now;
         for job in std::mem::take(&mut self.jobs) {
             let watcher = &mut self.watchers[job.balancer.0 as usize];
-            if watcher.life == job.life {
-                watcher.queued = false;
+            if watcher.incarnation == job.incarnation {
+                watcher.is_update_queued = false;
                 if job.call.is_some() {
-                    self.sends(now + self.trip / 2, job.balancer, None);
+                    self.send(now + self.trip / 2, job.balancer, None);
                 }
             }
         }
-        self.breaks(now, now);
+        self.break_watches(now, now);
     }
 
     /// Watches that were opened up to `since` break.
-    pub fn breaks(&mut self, now: Micros, since: Micros) {
+    pub fn break_watches(&mut self, now: Micros, since: Micros) {
         for balancer in self.watching.clone() {
-            if self.watchers[balancer.0 as usize].since.is_some_and(|s| s <= since) {
+            if self.watchers[balancer.0 as usize].watching_since.is_some_and(|s| s <= since) {
                 self.unwatch(balancer);
-                self.sends(now + self.trip / 2, balancer, None);
+                self.send(now + self.trip / 2, balancer, None);
             }
         }
     }
 
     /// The version that a balancer has been sent last.
     pub fn version_of(&self, balancer: BalancerId) -> usize {
-        self.watchers[balancer.0 as usize].has
+        self.watchers[balancer.0 as usize].sent_version
     }
 
     /// When a job ends or something arrives next.
@@ -223,53 +229,59 @@
     pub fn advance(&mut self, now: Micros, registry: &Registry, out: &mut Vec<(BalancerId, ToBalancer)>) {
         while let Some(job) = self.jobs.front().copied().filter(|j| j.ends <= now) {
             self.jobs.pop_front();
-            self.serves(job, registry);
+            self.serve(job, registry);
         }
         while self.sent.peek().is_some_and(|Reverse(s)| s.at <= now) {
             let Some(Reverse(sent)) = self.sent.pop() else { break };
-            if self.watchers[sent.balancer.0 as usize].life == sent.life {
-                let word = match sent.list {
+            if self.watchers[sent.balancer.0 as usize].incarnation == sent.incarnation {
+                let message = match sent.list {
                     Some((full, entries)) => ToBalancer::List { full, entries },
                     None => ToBalancer::ListFailed,
                 };
-                out.push((sent.balancer, word));
+                out.push((sent.balancer, message));
             }
         }
     }
 
-    fn serves(&mut self, job: Job, registry: &Registry) {
+    fn serve(&mut self, job: Job, registry: &Registry) {
         let watcher = &mut self.watchers[job.balancer.0 as usize];
-        if watcher.life != job.life {
+        if watcher.incarnation != job.incarnation {
             return;
         }
-        let has = std::mem::replace(&mut watcher.has, registry.version());
+        let has = std::mem::replace(&mut watcher.sent_version, registry.version());
         match job.call {
             Some(Call::Fetch) => {
-                self.sends(job.ends + self.trip, job.balancer, Some((true, registry.whole())))
+                self.send(job.ends + self.trip, job.balancer, Some((true, registry.full_list())));
             }
             Some(Call::Watch) => {
-                watcher.since = Some(job.ends);
+                watcher.watching_since = Some(job.ends);
                 self.watching.insert(job.balancer);
-                self.sends(job.ends + self.trip, job.balancer, Some(registry.news_since(has)));
+                self.send(job.ends + self.trip, job.balancer, Some(registry.update_since(has)));
             }
             None => {
-                watcher.queued = false;
-                if watcher.since.is_none() {
-                    watcher.has = has;
+                watcher.is_update_queued = false;
+                if watcher.watching_since.is_none() {
+                    watcher.sent_version = has;
                 } else if has < registry.version() {
                     let late = self.rng.random_range(0.0..=self.spread) as Micros;
-                    self.sends(job.ends + late, job.balancer, Some(registry.news_since(has)));
+                    self.send(job.ends + late, job.balancer, Some(registry.update_since(has)));
                 }
             }
         }
     }
 
-    fn sends(&mut self, at: Micros, balancer: BalancerId, list: Option<(bool, Vec<Listed>)>) {
+    fn send(&mut self, at: Micros, balancer: BalancerId, list: Option<(bool, Vec<Listed>)>) {
         let watcher = &mut self.watchers[balancer.0 as usize];
         // All that a balancer gets comes in the order in which it was written.
-        watcher.reached = watcher.reached.max(at);
-        self.numbers += 1;
-        let (at, life) = (watcher.reached, watcher.life);
-        self.sent.push(Reverse(Sent { at, number: self.numbers, balancer, life, list }));
+        watcher.last_arrival = watcher.last_arrival.max(at);
+        self.next_number += 1;
+        let (at, incarnation) = (watcher.last_arrival, watcher.incarnation);
+        self.sent.push(Reverse(Response {
+            at,
+            number: self.next_number,
+            balancer,
+            incarnation: incarnation,
+            list,
+        }));
     }
 }
--- a/crates/emulator/src/environment/faults.rs
+++ b/crates/emulator/src/environment/faults.rs
@@ -68,7 +68,7 @@
     /// To a balancer.
     Balancer(BalancerId, BalancerEvent),
     /// The day's fault at this place strikes the clients.
-    People(usize),
+    Clients(usize),
     /// The day's fault at this place begins or ends at discovery.
     Discovery(usize, bool),
 }
@@ -89,30 +89,34 @@
 /// All turns of a day, in order.
 #[derive(Clone, Debug)]
 pub struct FaultSchedule {
-    turns: Vec<(Micros, FaultEvent)>,
+    events: Vec<(Micros, FaultEvent)>,
     next: usize,
-    bands: Vec<FaultInterval>,
+    intervals: Vec<FaultInterval>,
 }
 
 /// Whom a kind of fault strikes.
 enum FaultTargets {
     Nodes,
     Balancers,
-    Else,
+    Other,
 }
 
-fn strikes(kind: FaultKind) -> FaultTargets {
-    use FaultKind::*;
+fn targets(kind: FaultKind) -> FaultTargets {
+    use FaultKind::{
+        BalancerKill, BalancerReload, BalancerRestart, Crash, CutOff, Drain, Failing, Full, HalfDead, Hang,
+        ListDown, ListMoved, ListStale, Reconnect, Release, Resetting, Slow, Surge, TenantFlood,
+        WrongAnswers,
+    };
     match kind {
         Crash | Hang | CutOff | HalfDead | Slow | Failing | Resetting | Full | WrongAnswers | Release
         | Drain => FaultTargets::Nodes,
         BalancerKill | BalancerRestart | BalancerReload => FaultTargets::Balancers,
-        ListStale | ListDown | ListMoved | Reconnect | Surge | TenantFlood => FaultTargets::Else,
+        ListStale | ListDown | ListMoved | Reconnect | Surge | TenantFlood => FaultTargets::Other,
     }
 }
 
 /// Who of these is struck: those named, or a part drawn from the zone or from all.
-fn struck(fault: &Fault, zones: &[u32], rng: &mut Pcg64Mcg) -> Vec<u32> {
+fn affected(fault: &Fault, zones: &[u32], rng: &mut Pcg64Mcg) -> Vec<u32> {
     if !fault.on.is_empty() {
         return fault.on.iter().copied().filter(|&i| (i as usize) < zones.len()).collect();
     }
@@ -136,30 +140,30 @@
 }
 
 /// Joins what overlaps, so that a machine goes and comes once for each time that it is away.
-fn joined(mut outages: Vec<Outage>) -> Vec<Outage> {
+fn merge_overlapping(mut outages: Vec<Outage>) -> Vec<Outage> {
     outages.sort_by_key(|o| o.from);
-    let mut joined: Vec<Outage> = Vec::new();
+    let mut merge_overlapping: Vec<Outage> = Vec::new();
     for o in outages {
-        match joined.last_mut().filter(|last| o.from <= last.to) {
+        match merge_overlapping.last_mut().filter(|last| o.from <= last.to) {
             Some(last) => last.to = last.to.max(o.to),
-            None => joined.push(o),
+            None => merge_overlapping.push(o),
         }
     }
-    joined
+    merge_overlapping
 }
 
 /// Works the turns out.
 struct Plan<'a> {
     day: &'a Day,
     rng: Pcg64Mcg,
-    turns: Vec<(Micros, FaultEvent)>,
+    events: Vec<(Micros, FaultEvent)>,
     nodes: Vec<Vec<Outage>>,
     balancers: Vec<Vec<Outage>>,
 }
 
 impl Plan<'_> {
     /// Strikes these nodes. Says when it is over.
-    fn nodes(&mut self, fault: &Fault, on: &[u32]) -> Micros {
+    fn plan_node_fault(&mut self, fault: &Fault, on: &[u32]) -> Micros {
         let (from, mut to) = (fault.at, fault.at + fault.len);
         let drain = if fault.size > 0.0 { micros_from_seconds(fault.size) } else { DRAIN };
         match fault.kind {
@@ -190,8 +194,8 @@
             kind => {
                 for &i in on {
                     for (at, on) in [(from, true), (to, false)] {
-                        let turn = NodeEvent::Fault { kind, on, size: fault.size };
-                        self.turns.push((at, FaultEvent::Node(NodeId(i), turn)));
+                        let event = NodeEvent::Fault { kind, on, size: fault.size };
+                        self.events.push((at, FaultEvent::Node(NodeId(i), event)));
                     }
                 }
             }
@@ -200,14 +204,14 @@
     }
 
     /// Strikes these balancers. Says when it is over.
-    fn balancers(&mut self, fault: &Fault, on: &[u32]) -> Micros {
+    fn plan_balancer_fault(&mut self, fault: &Fault, on: &[u32]) -> Micros {
         let longest = self.day.classes.iter().map(|c| c.give_up).max().unwrap_or(0).max(END_LEAST);
         let mut begins = fault.at;
         for &i in on {
             let balancer = BalancerId(i);
             match fault.kind {
                 FaultKind::BalancerReload => {
-                    self.turns.push((
+                    self.events.push((
                         fault.at,
                         FaultEvent::Balancer(balancer, BalancerEvent::Reload { moved: false }),
                     ));
@@ -229,55 +233,55 @@
     }
 
     /// Strikes clients or discovery. Says when it is over.
-    fn elsewhere(&mut self, fault: &Fault, place: usize) -> Micros {
+    fn plan_other_fault(&mut self, fault: &Fault, place: usize) -> Micros {
         match fault.kind {
             FaultKind::ListStale | FaultKind::ListDown => {
-                self.turns.push((fault.at, FaultEvent::Discovery(place, true)));
-                self.turns.push((fault.at + fault.len, FaultEvent::Discovery(place, false)));
+                self.events.push((fault.at, FaultEvent::Discovery(place, true)));
+                self.events.push((fault.at + fault.len, FaultEvent::Discovery(place, false)));
             }
             FaultKind::ListMoved => {
-                self.turns.push((fault.at, FaultEvent::Discovery(place, true)));
+                self.events.push((fault.at, FaultEvent::Discovery(place, true)));
                 for i in 0..self.day.balancers.len() as u32 {
-                    let turn = BalancerEvent::Reload { moved: true };
-                    self.turns.push((fault.at, FaultEvent::Balancer(BalancerId(i), turn)));
+                    let event = BalancerEvent::Reload { moved: true };
+                    self.events.push((fault.at, FaultEvent::Balancer(BalancerId(i), event)));
                 }
             }
-            _ => self.turns.push((fault.at, FaultEvent::People(place))),
+            _ => self.events.push((fault.at, FaultEvent::Clients(place))),
         }
         fault.at + fault.len
     }
 
     /// Makes turns of all times away.
-    fn away(&mut self) {
+    fn plan_outages(&mut self) {
         for (i, outages) in std::mem::take(&mut self.nodes).into_iter().enumerate() {
-            let node = |turn| FaultEvent::Node(NodeId(i as u32), turn);
+            let node = |event| FaultEvent::Node(NodeId(i as u32), event);
             let mut back = 0;
-            for o in joined(outages) {
+            for o in merge_overlapping(outages) {
                 let ends = match o.warned {
                     Some(at) => {
                         // Not while it is still away for another cause.
-                        self.turns.push((at.max(back), node(NodeEvent::Drain)));
+                        self.events.push((at.max(back), node(NodeEvent::Drain)));
                         NodeEvent::Stop
                     }
                     None => NodeEvent::Crash,
                 };
                 back = o.to;
-                self.turns.push((o.from, node(ends)));
+                self.events.push((o.from, node(ends)));
                 if o.to < Micros::MAX {
-                    self.turns.push((o.to, node(NodeEvent::Start)));
+                    self.events.push((o.to, node(NodeEvent::Start)));
                 }
             }
         }
         for (i, outages) in std::mem::take(&mut self.balancers).into_iter().enumerate() {
-            let balancer = |turn| FaultEvent::Balancer(BalancerId(i as u32), turn);
+            let balancer = |event| FaultEvent::Balancer(BalancerId(i as u32), event);
             let mut back = 0;
-            for o in joined(outages) {
+            for o in merge_overlapping(outages) {
                 if let Some(at) = o.warned {
-                    self.turns.push((at.max(back), balancer(BalancerEvent::Terminate)));
+                    self.events.push((at.max(back), balancer(BalancerEvent::Terminate)));
                 }
                 back = o.to;
-                self.turns.push((o.from, balancer(BalancerEvent::Kill)));
-                self.turns.push((o.to, balancer(BalancerEvent::Start)));
+                self.events.push((o.from, balancer(BalancerEvent::Kill)));
+                self.events.push((o.to, balancer(BalancerEvent::Start)));
             }
         }
     }
@@ -297,46 +301,46 @@
         let mut plan = Plan {
             day,
             rng,
-            turns: starts.collect(),
+            events: starts.collect(),
             nodes: vec![Vec::new(); day.nodes.len()],
             balancers: vec![Vec::new(); day.balancers.len()],
         };
         let mut bands = Vec::new();
         for (place, fault) in day.faults.iter().enumerate() {
-            let on = match strikes(fault.kind) {
-                FaultTargets::Nodes => struck(fault, &node_zones, &mut plan.rng),
-                FaultTargets::Balancers => struck(fault, &balancer_zones, &mut plan.rng),
-                FaultTargets::Else => Vec::new(),
+            let on = match targets(fault.kind) {
+                FaultTargets::Nodes => affected(fault, &node_zones, &mut plan.rng),
+                FaultTargets::Balancers => affected(fault, &balancer_zones, &mut plan.rng),
+                FaultTargets::Other => Vec::new(),
             };
-            let to = match strikes(fault.kind) {
-                FaultTargets::Nodes => plan.nodes(fault, &on),
-                FaultTargets::Balancers => plan.balancers(fault, &on),
-                FaultTargets::Else => plan.elsewhere(fault, place),
+            let to = match targets(fault.kind) {
+                FaultTargets::Nodes => plan.plan_node_fault(fault, &on),
+                FaultTargets::Balancers => plan.plan_balancer_fault(fault, &on),
+                FaultTargets::Other => plan.plan_other_fault(fault, place),
             };
             bands.push(FaultInterval { kind: fault.kind, from: fault.at, to, on });
         }
-        plan.away();
-        let mut turns = plan.turns;
+        plan.plan_outages();
+        let mut events = plan.events;
         // The sort keeps the order of what falls on one time.
-        turns.sort_by_key(|t| t.0);
-        FaultSchedule { turns, next: 0, bands }
+        events.sort_by_key(|t| t.0);
+        FaultSchedule { events: events, next: 0, intervals: bands }
     }
 
     /// When the next turn is due.
     pub fn next_due(&self) -> Option<Micros> {
-        self.turns.get(self.next).map(|t| t.0)
+        self.events.get(self.next).map(|t| t.0)
     }
 
     /// Hands out the turns up to `now`, in order.
     pub fn advance(&mut self, now: Micros, out: &mut Vec<FaultEvent>) {
-        while let Some(&(_, turn)) = self.turns.get(self.next).filter(|t| t.0 <= now) {
+        while let Some(&(_, event)) = self.events.get(self.next).filter(|t| t.0 <= now) {
             self.next += 1;
-            out.push(turn);
+            out.push(event);
         }
     }
 
     /// The faults for reports, in the order of the day.
-    pub fn bands(&self) -> &[FaultInterval] {
-        &self.bands
+    pub fn intervals(&self) -> &[FaultInterval] {
+        &self.intervals
     }
 }
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -160,7 +160,7 @@
     play(&mut discovery, 20 * S, &mut told);
     discovery.node(20 * S, NodeId(50), NodeEvent::Crash);
     play(&mut discovery, 25 * S, &mut told);
-    let mut lists = vec![discovery.known(BalancerId(11)); 12];
+    let mut lists = vec![discovery.known_list(BalancerId(11)); 12];
     let stale_list = lists[11].len();
     assert!((21..60).contains(&stale_list), "{stale_list} entries: it died halfway through the news");
     let (mut full, mut changes) = (0, 0);
@@ -220,7 +220,7 @@
             schedule.advance(due, &mut some);
             turns.extend(some.into_iter().map(|turn| (due, turn)));
         }
-        (turns, schedule.bands().to_vec())
+        (turns, schedule.intervals().to_vec())
     };
     let (turns, bands) = all(1);
     assert_eq!(all(1).0, turns);
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -323,10 +323,10 @@
         self.advance(now, outputs);
         match what {
             NodeInput::Open { link, by, ask, profile, patience } => {
-                self.on_open(now, link, by, ask, profile, patience, outputs)
+                self.on_open(now, link, by, ask, profile, patience, outputs);
             }
             NodeInput::Carry { link, by, ask, profile } => {
-                self.establish(now, link, by, &ask, profile.mean, outputs)
+                self.establish(now, link, by, &ask, profile.mean, outputs);
             }
             NodeInput::Close { link } => {
                 let _ = self.established.remove(link)
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -380,7 +380,7 @@
         match what {
             NodeOutput::Message(link, NodeMessage::Up) => links.entry(*link).or_default().0 += 1,
             NodeOutput::Message(link, NodeMessage::Busy | NodeMessage::Err) => {
-                links.entry(*link).or_default().1 += 1
+                links.entry(*link).or_default().1 += 1;
             }
             NodeOutput::Close(link, _) => links.entry(*link).or_default().2 += 1,
             _ => {}
--- a/crates/emulator/src/population/client_table.rs
+++ b/crates/emulator/src/population/client_table.rs
@@ -83,7 +83,7 @@
     }
 
     /// Everybody, in order of places.
-    pub fn places(&self) -> Vec<ClientIndex> {
+    pub fn indices(&self) -> Vec<ClientIndex> {
         let taken = self.slots.iter().enumerate().filter(|(_, s)| s.client.is_some());
         taken.map(|(at, s)| ClientIndex { at: at as u32, generation: s.generation }).collect()
     }
--- a/crates/emulator/src/population/mod.rs
+++ b/crates/emulator/src/population/mod.rs
@@ -1,4 +1,4 @@
-//! Who asks for connections: traffic, clients' lives and their returns.
+//! The client population: arrivals, lifetimes and reconnects.
 //!
 //! Each client is a small state machine (`client.rs`); [`ClientPopulation`] holds them all over one queue of wake-ups and says
 //! what they do as [`ClientAction`]. It knows neither balancers nor nodes: the world carries what clients do through the
@@ -41,9 +41,9 @@
 
     /// Its class, its tenant, and whether it is within the tenant's share.
     pub fn parts(self, tenants: usize) -> (u32, u32, bool) {
-        let place = self.0 / 2;
+        let index = self.0 / 2;
         let tenants = tenants.max(1) as u32;
-        (place / tenants, place % tenants, self.0 % 2 == 1)
+        (index / tenants, index % tenants, self.0 % 2 == 1)
     }
 }
 
@@ -60,14 +60,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientAction {
     /// From now on a client wants its connection; `first` for a new client, else one that had paused.
-    Wants {
+    ServiceWanted {
         /// Its account.
         cell: Cell,
         /// It is a new client.
         first: bool,
     },
     /// A client wants it no more.
-    WantsNoMore {
+    ServiceNoLongerWanted {
         /// Its account.
         cell: Cell,
     },
@@ -104,7 +104,7 @@
     rng: Pcg64Mcg,
     traffic: Traffic,
     groups: Groups,
-    crowd: ClientTable,
+    clients: ClientTable,
     wakes: BinaryHeap<Wake>,
     /// Orders wake-ups of the same time.
     sequence: u64,
@@ -123,7 +123,7 @@
             rng,
             traffic,
             groups,
-            crowd: ClientTable::default(),
+            clients: ClientTable::default(),
             wakes: BinaryHeap::new(),
             sequence: 0,
             conns: Vec::new(),
@@ -131,12 +131,12 @@
     }
 
     /// Lets those who stand when the day starts connect, at time 0. Called once, first.
-    pub fn standing(&mut self, out: &mut Vec<ClientAction>) {
-        for stood in start::standing(&self.day, &self.traffic, &self.groups, &mut self.rng) {
-            let client = self.draw(0, stood.tenant, Some(&stood));
-            let rest = self.traffic.rest(client.class, &mut self.rng).max(start::LEAST_REST);
-            let place = self.enter(client, rest, out);
-            self.connect(0, place, Some(stood.home), out);
+    pub fn connect_initial_clients(&mut self, actions: &mut Vec<ClientAction>) {
+        for initial in start::standing(&self.day, &self.traffic, &self.groups, &mut self.rng) {
+            let client = self.draw_client(0, initial.tenant, Some(&initial));
+            let rest = self.traffic.rest(client.class, &mut self.rng).max(start::MIN_REMAINING_LIFETIME);
+            let index = self.add_client(client, rest, actions);
+            self.connect(0, index, Some(initial.home), actions);
         }
     }
 
@@ -147,52 +147,57 @@
     }
 
     /// Lets everything happen that is due up to now.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<ClientAction>) {
+    pub fn advance(&mut self, now: Micros, actions: &mut Vec<ClientAction>) {
         loop {
             let wake = self.wakes.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
-            let turn = self.traffic.next_due().filter(|at| *at <= now);
-            match (wake, turn) {
+            let change = self.traffic.next_due().filter(|at| *at <= now);
+            match (wake, change) {
                 (None, None) => return,
                 (Some(w), t) if t.is_none_or(|t| w <= t) => {
-                    if let Some(Reverse((at, _, next, place))) = self.wakes.pop() {
-                        self.wakes_up(at, next, place, out);
+                    if let Some(Reverse((at, _, next, index))) = self.wakes.pop() {
+                        self.on_wake_up(at, next, index, actions);
                     }
                 }
                 _ => {
-                    if let Some((at, turn)) = self.traffic.pop(&mut self.rng) {
-                        self.turns(at, turn, out);
+                    if let Some((at, change)) = self.traffic.pop(&mut self.rng) {
+                        self.apply_count_change(at, change, actions);
                     }
                 }
             }
         }
     }
 
-    fn turns(&mut self, at: Micros, turn: CountChange, out: &mut Vec<ClientAction>) {
-        match turn {
-            CountChange::Comes => {
+    fn apply_count_change(&mut self, at: Micros, change: CountChange, actions: &mut Vec<ClientAction>) {
+        match change {
+            CountChange::Arrival => {
                 let tenant = self.traffic.tenant(at, &mut self.rng);
-                let client = self.draw(at, tenant, None);
+                let client = self.draw_client(at, tenant, None);
                 let life = self.traffic.life(client.class, &mut self.rng);
-                let place = self.enter(client, life, out);
-                self.connect(at, place, None, out);
+                let index = self.add_client(client, life, actions);
+                self.connect(at, index, None, actions);
             }
             // Where numbers fall, anybody may be who leaves.
-            CountChange::Goes => {
-                if let Some(place) = self.crowd.any(&mut self.rng) {
-                    self.over(place, out);
+            CountChange::Departure => {
+                if let Some(index) = self.clients.any(&mut self.rng) {
+                    self.over(index, actions);
                 }
             }
         }
     }
 
     /// Draws a client that comes now, or one that has stood in this group before the day.
-    fn draw(&mut self, now: Micros, tenant: u32, stood: Option<&start::InitialConnection>) -> Client {
+    fn draw_client(
+        &mut self,
+        now: Micros,
+        tenant: u32,
+        initial: Option<&start::InitialConnection>,
+    ) -> Client {
         let day = &self.day;
         let rng = &mut self.rng;
-        let class = stood.map_or_else(|| self.traffic.class(rng), |s| s.class);
+        let class = initial.map_or_else(|| self.traffic.class(rng), |s| s.class);
         let within = rng.random_bool(self.traffic.within(now, tenant));
-        let mean = stood.map_or_else(|| self.traffic.load(class, rng), |s| s.mean);
-        let group = stood.map_or_else(|| self.groups.draw(rng), |s| s.group);
+        let mean = initial.map_or_else(|| self.traffic.load(class, rng), |s| s.mean);
+        let group = initial.map_or_else(|| self.groups.draw(rng), |s| s.group);
         Client {
             key: rng.random_range(1..=u64::MAX),
             group: self.groups.id(group),
@@ -210,28 +215,33 @@
         }
     }
 
-    fn enter(&mut self, mut client: Client, life: Micros, out: &mut Vec<ClientAction>) -> ClientIndex {
+    fn add_client(
+        &mut self,
+        mut client: Client,
+        life: Micros,
+        actions: &mut Vec<ClientAction>,
+    ) -> ClientIndex {
         client.until = client.since + life.max(1);
-        out.push(ClientAction::Wants { cell: client.cell, first: true });
+        actions.push(ClientAction::ServiceWanted { cell: client.cell, first: true });
         let until = client.until;
-        let place = self.crowd.add(client);
-        self.wake(until, WakeUp::HasHadAll, place);
-        place
+        let index = self.clients.add(client);
+        self.schedule_wake_up(until, WakeUp::HasHadAll, index);
+        index
     }
 
-    fn wake(&mut self, at: Micros, next: WakeUp, place: ClientIndex) {
+    fn schedule_wake_up(&mut self, at: Micros, next: WakeUp, index: ClientIndex) {
         self.sequence += 1;
-        self.wakes.push(Reverse((at, self.sequence, next, place)));
+        self.wakes.push(Reverse((at, self.sequence, next, index)));
     }
 
     fn connect(
         &mut self,
         now: Micros,
-        place: ClientIndex,
+        index: ClientIndex,
         home: Option<crate::edge::NodeId>,
-        out: &mut Vec<ClientAction>,
+        actions: &mut Vec<ClientAction>,
     ) {
-        let Some(client) = self.crowd.get_mut(place) else { return };
+        let Some(client) = self.clients.get_mut(index) else { return };
         let conn = ConnId(self.conns.len() as u64);
         let class = &self.day.classes[client.class as usize];
         let again = client.since < now;
@@ -249,21 +259,21 @@
         };
         client.state = State::Waiting { conn, sent: now };
         let profile = LoadProfile { mean: client.mean, seed: self.rng.random() };
-        out.push(ClientAction::Connect { ask, zone: client.zone, cell: client.cell, profile });
+        actions.push(ClientAction::Connect { ask, zone: client.zone, cell: client.cell, profile });
         let gives_up = now + class.give_up + self.day.rules.answer_slack;
-        self.conns.push(place);
-        self.wake(gives_up, WakeUp::GivesUp { conn }, place);
+        self.conns.push(index);
+        self.schedule_wake_up(gives_up, WakeUp::GivesUp { conn }, index);
     }
 
-    fn wakes_up(&mut self, at: Micros, next: WakeUp, place: ClientIndex, out: &mut Vec<ClientAction>) {
-        let Some(client) = self.crowd.get_mut(place) else { return };
+    fn on_wake_up(&mut self, at: Micros, next: WakeUp, index: ClientIndex, actions: &mut Vec<ClientAction>) {
+        let Some(client) = self.clients.get_mut(index) else { return };
         match next {
             // Else a pause has made its life longer.
-            WakeUp::HasHadAll if client.until <= at => self.over(place, out),
-            WakeUp::ComesAgain if client.state == State::Away => self.connect(at, place, None, out),
+            WakeUp::HasHadAll if client.until <= at => self.over(index, actions),
+            WakeUp::ComesAgain if client.state == State::Away => self.connect(at, index, None, actions),
             WakeUp::Resumes if client.state == State::Paused => {
-                out.push(ClientAction::Wants { cell: client.cell, first: false });
-                self.connect(at, place, None, out);
+                actions.push(ClientAction::ServiceWanted { cell: client.cell, first: false });
+                self.connect(at, index, None, actions);
             }
             WakeUp::GivesUp { conn } => {
                 if let State::Waiting { conn: c, sent } = client.state
@@ -271,9 +281,9 @@
                 {
                     // No answer in its time: the wait counts from the end of its patience, not from the slack's.
                     let end = sent + self.day.classes[client.class as usize].give_up;
-                    out.push(ClientAction::Leave { conn });
+                    actions.push(ClientAction::Leave { conn });
                     self.forget(conn);
-                    self.failed(end, at, place, None);
+                    self.on_attempt_failed(end, at, index, None);
                 }
             }
             WakeUp::HasHadAll | WakeUp::ComesAgain | WakeUp::Resumes => {}
@@ -281,9 +291,9 @@
     }
 
     /// A client's answer has come, or a word that ends its connection.
-    pub fn answered(&mut self, now: Micros, conn: ConnId, heard: ClientInput) {
-        let Some((place, client)) = self.whose(conn) else { return };
-        match (heard, client.state) {
+    pub fn on_answer(&mut self, now: Micros, conn: ConnId, input: ClientInput) {
+        let Some((index, client)) = self.whose(conn) else { return };
+        match (input, client.state) {
             (ClientInput::Up, State::Waiting { .. }) => {
                 client.state = State::Standing { conn };
                 client.failures = 0;
@@ -291,35 +301,35 @@
             (ClientInput::Up, _) => {}
             (ClientInput::Move, State::Standing { .. }) => {
                 self.forget(conn);
-                self.again(now, place, AbsenceReason::Moved);
+                self.reconnect_later(now, index, AbsenceReason::Moved);
             }
             (ClientInput::Busy(wait), State::Waiting { .. }) => {
                 self.forget(conn);
-                self.failed(now, now, place, Some(wait));
+                self.on_attempt_failed(now, now, index, Some(wait));
             }
             _ => {
                 self.forget(conn);
-                self.failed(now, now, place, None);
+                self.on_attempt_failed(now, now, index, None);
             }
         }
     }
 
     /// A client's connection is over without a word.
-    pub fn ended(&mut self, now: Micros, conn: ConnId, _end: End) {
-        let Some((place, client)) = self.whose(conn) else { return };
-        let stood = matches!(client.state, State::Standing { .. });
+    pub fn on_connection_closed(&mut self, now: Micros, conn: ConnId, _end: End) {
+        let Some((index, client)) = self.whose(conn) else { return };
+        let initial = matches!(client.state, State::Standing { .. });
         self.forget(conn);
-        if stood {
-            self.again(now, place, AbsenceReason::Broken);
+        if initial {
+            self.reconnect_later(now, index, AbsenceReason::Broken);
         } else {
-            self.failed(now, now, place, None);
+            self.on_attempt_failed(now, now, index, None);
         }
     }
 
     /// A fault strikes the clients, from now on for its length.
-    pub fn struck(&mut self, now: Micros, fault: &Fault, out: &mut Vec<ClientAction>) {
+    pub fn apply_fault(&mut self, now: Micros, fault: &Fault, actions: &mut Vec<ClientAction>) {
         match fault.kind {
-            FaultKind::Reconnect => self.reconnect(now, fault, out),
+            FaultKind::Reconnect => self.reconnect(now, fault, actions),
             FaultKind::Surge => self.traffic.surge(now, fault, None, &mut self.rng),
             FaultKind::TenantFlood => {
                 let tenant = fault.on.first().copied().unwrap_or(0);
@@ -331,11 +341,11 @@
 
     /// Each standing connection drops with the fault's chance, all at once; each client comes again within the
     /// fault's length. While it is away it asks for nothing.
-    fn reconnect(&mut self, now: Micros, fault: &Fault, out: &mut Vec<ClientAction>) {
-        const LEAST_AWAY: Micros = 200_000;
-        const LAST_STAND: Micros = 50_000;
-        for place in self.crowd.places() {
-            let Some(client) = self.crowd.get_mut(place) else { continue };
+    fn reconnect(&mut self, now: Micros, fault: &Fault, actions: &mut Vec<ClientAction>) {
+        const MIN_RECONNECT_DELAY: Micros = 200_000;
+        const MIN_LIFETIME_AFTER_RECONNECT: Micros = 50_000;
+        for index in self.clients.indices() {
+            let Some(client) = self.clients.get_mut(index) else { continue };
             let State::Standing { conn } = client.state else { continue };
             if !fault.on.is_empty() && !fault.on.contains(&client.tenant) {
                 continue;
@@ -343,22 +353,22 @@
             if !self.rng.random_bool(fault.size.clamp(0.0, 1.0)) {
                 continue;
             }
-            let back = now + LEAST_AWAY + self.rng.random_range(0..=fault.len);
+            let back = now + MIN_RECONNECT_DELAY + self.rng.random_range(0..=fault.len);
             client.state = State::Paused;
             // All come again, even those whose life is over by then: they ask, stand, and are done at once.
-            client.until = client.until.max(back + LAST_STAND);
-            out.push(ClientAction::Leave { conn });
-            out.push(ClientAction::WantsNoMore { cell: client.cell });
+            client.until = client.until.max(back + MIN_LIFETIME_AFTER_RECONNECT);
+            actions.push(ClientAction::Leave { conn });
+            actions.push(ClientAction::ServiceNoLongerWanted { cell: client.cell });
             let until = client.until;
             self.forget(conn);
-            self.wake(back, WakeUp::Resumes, place);
-            self.wake(until, WakeUp::HasHadAll, place);
+            self.schedule_wake_up(back, WakeUp::Resumes, index);
+            self.schedule_wake_up(until, WakeUp::HasHadAll, index);
         }
     }
 
     /// A try has failed at `from`; told now.
-    fn failed(&mut self, from: Micros, now: Micros, place: ClientIndex, wait: Option<Micros>) {
-        let Some(client) = self.crowd.get_mut(place) else { return };
+    fn on_attempt_failed(&mut self, from: Micros, now: Micros, index: ClientIndex, wait: Option<Micros>) {
+        let Some(client) = self.clients.get_mut(index) else { return };
         client.failures += 1;
         let waited = match client.state {
             State::Waiting { sent, .. } => from.saturating_sub(sent),
@@ -370,57 +380,57 @@
             return;
         }
         let gap = AbsenceReason::Failed { failures: client.failures, wait: wait.filter(|_| client.honours) };
-        self.again_from(from, now, place, gap);
+        self.reconnect_later_from(from, now, index, gap);
     }
 
-    fn again(&mut self, now: Micros, place: ClientIndex, gap: AbsenceReason) {
-        self.again_from(now, now, place, gap);
+    fn reconnect_later(&mut self, now: Micros, index: ClientIndex, gap: AbsenceReason) {
+        self.reconnect_later_from(now, now, index, gap);
     }
 
-    fn again_from(&mut self, from: Micros, now: Micros, place: ClientIndex, gap: AbsenceReason) {
-        let Some(client) = self.crowd.get_mut(place) else { return };
+    fn reconnect_later_from(&mut self, from: Micros, now: Micros, index: ClientIndex, gap: AbsenceReason) {
+        let Some(client) = self.clients.get_mut(index) else { return };
         client.state = State::Away;
         let back = (from + gap.draw(&self.day.clients, &mut self.rng)).max(now + 1);
         if back < client.until {
-            self.wake(back, WakeUp::ComesAgain, place);
+            self.schedule_wake_up(back, WakeUp::ComesAgain, index);
         }
     }
 
     /// A client wants nothing more.
-    fn over(&mut self, place: ClientIndex, out: &mut Vec<ClientAction>) {
-        let Some(client) = self.crowd.get(place) else { return };
+    fn over(&mut self, index: ClientIndex, actions: &mut Vec<ClientAction>) {
+        let Some(client) = self.clients.get(index) else { return };
         let (state, cell) = (client.state, client.cell);
         match state {
             State::Waiting { conn, .. } => {
-                out.push(ClientAction::Leave { conn });
+                actions.push(ClientAction::Leave { conn });
                 self.forget(conn);
             }
             State::Standing { conn } => {
-                out.push(ClientAction::Done { conn });
+                actions.push(ClientAction::Done { conn });
                 self.forget(conn);
             }
             State::Away | State::Gone | State::Paused => {}
         }
         if state != State::Paused {
-            out.push(ClientAction::WantsNoMore { cell });
+            actions.push(ClientAction::ServiceNoLongerWanted { cell });
         }
-        self.crowd.remove(place);
+        self.clients.remove(index);
     }
 
     fn whose(&mut self, conn: ConnId) -> Option<(ClientIndex, &mut Client)> {
-        let place = *self.conns.get(conn.0 as usize)?;
-        self.crowd.get_mut(place).map(|client| (place, client))
+        let index = *self.conns.get(conn.0 as usize)?;
+        self.clients.get_mut(index).map(|client| (index, client))
     }
 
     fn forget(&mut self, conn: ConnId) {
-        if let Some(place) = self.conns.get_mut(conn.0 as usize) {
-            *place = ClientIndex::NOBODY;
+        if let Some(index) = self.conns.get_mut(conn.0 as usize) {
+            *index = ClientIndex::NOBODY;
         }
     }
 
     /// Clients that want a connection now.
     pub fn present(&self) -> usize {
-        self.crowd.len()
+        self.clients.len()
     }
 }
 
--- a/crates/emulator/src/population/start.rs
+++ b/crates/emulator/src/population/start.rs
@@ -1,4 +1,4 @@
-//! Who stands when the day starts, and where.
+//! The connections that are established when the day starts, and their nodes.
 //!
 //! A group's connections are together on one node until that holds most of the mean load that it can carry; then, and
 //! for a new group, the emptier of two nodes drawn at random takes over. So a start is neither even nor absurd.
@@ -12,13 +12,11 @@
 use crate::edge::NodeId;
 use crate::population::capacity;
 
-/// Nobody's rest of a life is shorter at the start.
-pub(super) const LEAST_REST: Micros = 500_000;
+/// The shortest remaining lifetime of a client at the start.
+pub(super) const MIN_REMAINING_LIFETIME: Micros = 500_000;
 
-/// A group stays on its node until this share of the node is taken by the mean loads of what it holds. Measured: on
-/// filled servers of the simulator those sums lie within 0.69 and 0.71 of capacity, whatever the loads' spread, while
-/// counts lie within 0.62 and 0.81.
-const GROUP_STAYS: f64 = 0.7;
+/// A group stays on its node until the mean loads there reach this ratio of the node's capacity.
+const GROUP_FILL_RATIO: f64 = 0.7;
 
 /// A connection from before the day.
 #[derive(Clone, Copy, Debug)]
@@ -46,7 +44,7 @@
     if up.is_empty() {
         return Vec::new();
     }
-    // How the nodes' rooms were misjudged before the day; at a skew of 0.26 it changes 6 % of the homes, as measured.
+    // The error in the estimated capacities before the day.
     let skew = day.streams.start_skew.max(0.0);
     let room: Vec<f64> = capacity.of.iter().map(|c| c * (1.0 + skew * rng.random::<f64>())).collect();
     let mut held = vec![0.0; day.nodes.len()];
@@ -57,7 +55,7 @@
             let group = groups.draw(rng);
             let class = traffic.class_standing(rng);
             let mean = traffic.load(class, rng);
-            let fits = |node: &usize| groups.len() > 0 && held[*node] < GROUP_STAYS * capacity.of[*node];
+            let fits = |node: &usize| groups.len() > 0 && held[*node] < GROUP_FILL_RATIO * capacity.of[*node];
             let home = home_of[group as usize].filter(fits).unwrap_or_else(|| {
                 let [a, b] = [(); 2].map(|()| up[rng.random_range(0..up.len())]);
                 if held[b] / room[b] < held[a] / room[a] { b } else { a }
--- a/crates/emulator/src/population/tests.rs
+++ b/crates/emulator/src/population/tests.rs
@@ -75,14 +75,14 @@
     let mut played = Played::default();
     let mut out = Vec::new();
     let mut faults = day.faults.iter().peekable();
-    people.standing(&mut out);
+    people.connect_initial_clients(&mut out);
     let mut now = 0;
     loop {
         let mut heard = Vec::new();
         for what in out.drain(..) {
             match what {
-                ClientAction::Wants { first, .. } => played.wants.push((now, first)),
-                ClientAction::WantsNoMore { .. } => played.wants_no_more.push(now),
+                ClientAction::ServiceWanted { first, .. } => played.wants.push((now, first)),
+                ClientAction::ServiceNoLongerWanted { .. } => played.wants_no_more.push(now),
                 ClientAction::Leave { conn } => played.leaves.push((now, conn)),
                 ClientAction::Done { .. } => {}
                 ClientAction::Connect { ask, zone, .. } => {
@@ -92,13 +92,13 @@
                 }
             }
         }
-        heard.into_iter().for_each(|(conn, h)| people.answered(now, conn, h));
+        heard.into_iter().for_each(|(conn, h)| people.on_answer(now, conn, h));
         let fault = faults.peek().map(|f| f.at);
         let next = people.next_due().into_iter().chain(fault).min().filter(|t| *t < day.length);
         let Some(at) = next else { break };
         now = at;
         if fault == Some(at) {
-            faults.next().into_iter().for_each(|f| people.struck(now, f, &mut out));
+            faults.next().into_iter().for_each(|f| people.apply_fault(now, f, &mut out));
         }
         people.advance(now, &mut out);
     }
@@ -241,11 +241,11 @@
     let day = day(json!({"faults": fault, "tenants": tenants, "streams": {"per_core": 110}}));
     let mut people = ClientPopulation::new(&day, Pcg64Mcg::seed_from_u64(7));
     let mut out = Vec::new();
-    people.struck(0, &day.faults[0], &mut out);
+    people.apply_fault(0, &day.faults[0], &mut out);
     people.advance(30 * S, &mut out);
     let mut counts = [[0.0; 2]; 2];
     for what in out {
-        if let ClientAction::Wants { cell, .. } = what {
+        if let ClientAction::ServiceWanted { cell, .. } = what {
             let (_, tenant, within) = cell.parts(2);
             counts[tenant as usize][usize::from(within)] += 1.0;
         }
--- a/crates/emulator/src/population/traffic.rs
+++ b/crates/emulator/src/population/traffic.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CountChange {
     /// A new one comes.
-    Comes,
+    Arrival,
     /// One leaves before its time.
-    Goes,
+    Departure,
 }
 
 /// More traffic than the day's course has, for a while.
@@ -160,7 +160,7 @@
     fn draw(&mut self, from: Micros, rng: &mut impl Rng) -> Option<(Micros, CountChange)> {
         if let Some(times) = &mut self.recorded {
             let length = self.length;
-            return times.find(|t| *t < length).map(|t| (t, CountChange::Comes));
+            return times.find(|t| *t < length).map(|t| (t, CountChange::Arrival));
         }
         let mut at = from;
         while at < self.length {
@@ -188,10 +188,10 @@
             let (flow, slope) = (factor * self.flow(level), self.slope(level, stretch.slope()));
             let lot = rng.random::<f64>() * most;
             if lot < flow + slope.max(0.0) {
-                return Some((at, CountChange::Comes));
+                return Some((at, CountChange::Arrival));
             }
             if lot < flow + slope.abs() {
-                return Some((at, CountChange::Goes));
+                return Some((at, CountChange::Departure));
             }
         }
         None
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -46,7 +46,7 @@
     /// Clients that want a connection, by account.
     wanting: Vec<Level>,
     /// By node and account.
-    standing: Vec<AccountOnNode>,
+    established: Vec<AccountOnNode>,
     /// Standing connections whose balancer and node are in different zones.
     crossing: Level,
     /// Open connections of pairs of balancer and node.
@@ -72,7 +72,7 @@
             cells,
             end,
             wanting: vec![Level::default(); cells],
-            standing: vec![AccountOnNode::default(); cells * day.nodes.len()],
+            established: vec![AccountOnNode::default(); cells * day.nodes.len()],
             crossing: Level::default(),
             open: Level::default(),
             seconds: Vec::new(),
@@ -89,23 +89,23 @@
     }
 
     /// A client wants a connection from now on; `first` if it is a new client.
-    pub fn wants(&mut self, now: Micros, cell: Cell, first: bool) {
+    pub fn on_service_wanted(&mut self, now: Micros, cell: Cell, first: bool) {
         self.counts.clients += u64::from(first && self.counts_now(now));
         self.wanting[cell.0 as usize].add(now.min(self.end), 1.0);
     }
 
     /// A client wants none any more.
-    pub fn wants_no_more(&mut self, now: Micros, cell: Cell) {
+    pub fn on_service_no_longer_wanted(&mut self, now: Micros, cell: Cell) {
         self.wanting[cell.0 as usize].add(now.min(self.end), -1.0);
     }
 
     /// A connection stands from now on. `served`: the seconds that the node has served well so far, for its class.
-    pub fn stands(&mut self, now: Micros, cell: Cell, node: NodeId, crosses: bool, served: f64) {
+    pub fn on_established(&mut self, now: Micros, cell: Cell, node: NodeId, crosses: bool, served: f64) {
         self.changes(now, cell, node, crosses, served, 1.0);
     }
 
     /// A connection stands no more.
-    pub fn stands_no_more(&mut self, now: Micros, cell: Cell, node: NodeId, crosses: bool, served: f64) {
+    pub fn on_connection_ended(&mut self, now: Micros, cell: Cell, node: NodeId, crosses: bool, served: f64) {
         self.changes(now, cell, node, crosses, served, -1.0);
     }
 
@@ -113,7 +113,7 @@
         if !self.counts_now(now) {
             return;
         }
-        let s = &mut self.standing[node.0 as usize * self.cells + cell.0 as usize];
+        let s = &mut self.established[node.0 as usize * self.cells + cell.0 as usize];
         s.number += by;
         s.carried -= by * served;
         let (_, tenant, _) = cell.parts(self.day.tenants.len());
@@ -140,7 +140,7 @@
         let now = now.min(self.end);
         let mut row: Vec<(f64, f64)> = self.wanting.iter_mut().map(|w| (w.take(now), 0.0)).collect();
         let tenants = self.day.tenants.len();
-        for (i, s) in self.standing.iter_mut().enumerate() {
+        for (i, s) in self.established.iter_mut().enumerate() {
             let (node, cell) = (i / self.cells, i % self.cells);
             if s.number == 0.0 && s.carried == s.counted {
                 continue;
--- a/crates/emulator/src/score/tests.rs
+++ b/crates/emulator/src/score/tests.rs
@@ -22,8 +22,8 @@
     let mut score = Score::new(&day);
     let (a, b) = (NodeId(3), NodeId(4));
     // Tenant x wants one connection all day, y two from 10 s on, one of them beyond its share.
-    score.wants(0, cell(X, true), true);
-    score.stands(0, cell(X, true), a, false, 0.0);
+    score.on_service_wanted(0, cell(X, true), true);
+    score.on_established(0, cell(X, true), a, false, 0.0);
     let mut busy = false;
     // Node a serves everything, node b nothing from 10 s to 20 s.
     let served = |at: Micros, node: NodeId| {
@@ -34,8 +34,8 @@
         if due > 10 * S && !busy {
             busy = true;
             for within in [true, false] {
-                score.wants(10 * S, cell(Y, within), true);
-                score.stands(10 * S, cell(Y, within), b, true, served(10 * S, b));
+                score.on_service_wanted(10 * S, cell(Y, within), true);
+                score.on_established(10 * S, cell(Y, within), b, true, served(10 * S, b));
             }
             score.handshake(10 * S);
             score.pairs(10 * S, 2);
@@ -46,8 +46,8 @@
         score.tick(due, &mut |node, _| served(due, node));
     }
     score.moved(31 * S);
-    score.wants(31 * S, cell(X, true), true);
-    score.stands_no_more(31 * S, cell(X, true), a, false, 31.0);
+    score.on_service_wanted(31 * S, cell(X, true), true);
+    score.on_connection_ended(31 * S, cell(X, true), a, false, 31.0);
     let o = score.finish();
     let near = |what: &str, found: f64, wanted: f64| {
         assert!((found - wanted).abs() < 1e-9, "{what}: {found}, not {wanted}");
@@ -81,11 +81,11 @@
         let (from, to) = (i * 77_000, i * 77_000 + 130_000 * (1 + i % 9));
         let on = NodeId((i % 3) as u32);
         let at = |t: Micros| share * t as f64 / 1e6;
-        score.stands(from, cell(X, true), on, false, at(from));
-        score.stands_no_more(to, cell(X, true), on, false, at(to));
+        score.on_established(from, cell(X, true), on, false, at(from));
+        score.on_connection_ended(to, cell(X, true), on, false, at(to));
         earned += at(to.min(10 * S)) - at(from);
     }
-    score.wants(0, cell(X, true), true);
+    score.on_service_wanted(0, cell(X, true), true);
     while let Some(due) = score.next_due() {
         score.tick(due, &mut |_, _| share * due as f64 / 1e6);
     }
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -192,7 +192,7 @@
                 }
                 (Stage::Established(_), Message::Completed) => client.stage = Stage::Over,
                 (Stage::Established(_), Message::LoadReport(_)) => {
-                    observations.push((balancer, ConnectionObservation::LineAtClient(conn).into()))
+                    observations.push((balancer, ConnectionObservation::LineAtClient(conn).into()));
                 }
                 (Stage::Established(_), _) => match client.outstanding_lines.front().copied() {
                     Some((sent, number)) if line == line_text(conn, number).as_bytes() => {
@@ -219,7 +219,7 @@
         let client = self.clients.remove(&conn).expect("it was just there");
         match client.stage {
             Stage::AwaitingAnswer if !client.connection.is_up() => {
-                observations.push((balancer, FromBalancer::Refused(conn).into()))
+                observations.push((balancer, FromBalancer::Refused(conn).into()));
             }
             Stage::Closing => {}
             _ => observations.push((balancer, FromBalancer::EndClient(conn, how).into())),
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -457,7 +457,7 @@
         for (_, what) in self.observations.drain(..) {
             match what {
                 BalancerObservation::Action(FromBalancer::Probe(link)) => {
-                    self.nodes.send(&mut self.net, link, NodeMessage::Pong, &mut self.connection_log)
+                    self.nodes.send(&mut self.net, link, NodeMessage::Pong, &mut self.connection_log);
                 }
                 BalancerObservation::Action(FromBalancer::Exited) => self.crashed = true,
                 _ => {}
@@ -473,11 +473,11 @@
             Role::Load(id) => self.on_client_ready(now, id, one),
             Role::Link(link) => self.nodes.on_ready(net, link, one, &mut self.connection_log, observations),
             Role::NodeListener(who, node) => {
-                self.nodes.on_listener_ready(net, who, node, &mut self.connection_log, observations)
+                self.nodes.on_listener_ready(net, who, node, &mut self.connection_log, observations);
             }
             Role::Call(id) => self.discovery.on_ready(net, now, id, one, &self.directory, observations),
             Role::DiscoveryListener(who, moves) => {
-                self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations)
+                self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations);
             }
             Role::Ping(who) => self.fleet.on_ping_ready(net, now, who, one, observations),
             Role::Exit(who, life) => self.fleet.on_process_exited(net, now, who, life, observations),
--- a/crates/emulator/src/sockets/plain.rs
+++ b/crates/emulator/src/sockets/plain.rs
@@ -1,7 +1,10 @@
 //! A day with nothing in it but balancers and equal nodes in one zone: for loads and drills that bring their own
 //! clients.
 
-use crate::day::*;
+use crate::day::{
+    Backoff, Balancer, Class, Clients, Day, Discovery, Front, GoAway, Goal, Kind, Limits, Net, Node, Prices,
+    Rules, Sheds, Streams, Tenant, Traffic,
+};
 use shorewharf_units::Micros;
 
 const MS: Micros = 1_000;
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -382,16 +382,16 @@
                 self.clients.on_ready(net, now, conn, one, &self.connection_log, observations);
             }
             Role::MisbehavingClient(id) => {
-                self.misbehaving_clients.on_ready(net, now, id, one, &mut self.connection_log, observations)
+                self.misbehaving_clients.on_ready(net, now, id, one, &mut self.connection_log, observations);
             }
             Role::Link(link) => self.nodes.on_ready(net, link, one, &mut self.connection_log, observations),
             Role::Call(id) => self.discovery.on_ready(net, now, id, one, &self.directory, observations),
             Role::Ping(who) => self.fleet.on_ping_ready(net, now, who, one, observations),
             Role::NodeListener(who, node) => {
-                self.nodes.on_listener_ready(net, who, node, &mut self.connection_log, observations)
+                self.nodes.on_listener_ready(net, who, node, &mut self.connection_log, observations);
             }
             Role::DiscoveryListener(who, moves) => {
-                self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations)
+                self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations);
             }
             Role::Exit(who, life) => self.fleet.on_process_exited(net, now, who, life, observations),
             Role::DatagramProxy(to) => {
@@ -427,7 +427,7 @@
             let b = self.network_faults.get(edge.index).clone();
             match b.what {
                 NetworkFaultKind::Stall => {
-                    b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.begins))
+                    b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.begins));
                 }
                 NetworkFaultKind::NewsLost if !edge.begins => {
                     let is_deaf = |who| self.network_faults.is_list_blocked(now, who);
@@ -531,7 +531,7 @@
                     }
                 }
                 BalancerObservation::Connection(observation) if self.started_at.is_some() => {
-                    self.harness.on_observation(time, *who, observation)
+                    self.harness.on_observation(time, *who, observation);
                 }
                 BalancerObservation::Connection(_) => {}
             }
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -126,7 +126,7 @@
             match &pool {
                 Some(pool) if acting >= MIN_PARALLEL_INSTANCES => {
                     pool.install(|| {
-                        slots.par_iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now))
+                        slots.par_iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now));
                     });
                 }
                 _ => slots.iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now)),
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -30,7 +30,7 @@
                 }
             }
             FromBalancer::Link { link, node, conn } => {
-                self.on_link_opened(balancer, link, node, conn, listener)
+                self.on_link_opened(balancer, link, node, conn, listener);
             }
             FromBalancer::EndLink(link, _) => {
                 if let Some(id) = self.links.of(balancer, link) {
@@ -40,7 +40,7 @@
             FromBalancer::Watch => self.discovery.watch(self.now, balancer),
             // In virtual time these follow from the link; on sockets they come with it.
             FromBalancer::Forward { .. } | FromBalancer::Probe(_) | FromBalancer::Pass(_) => {}
-            FromBalancer::Ready => self.front.answered(self.now, balancer),
+            FromBalancer::Ready => self.front.on_ready(self.now, balancer),
             FromBalancer::Unwatch => self.discovery.unwatch(balancer),
             FromBalancer::Refused(conn) => {
                 if self.finish_connection(balancer, conn) {
@@ -255,7 +255,7 @@
             BalancerEvent::Terminate => {
                 let at = &mut self.balancers[b.0 as usize];
                 if at.up && !std::mem::replace(&mut at.terminating, true) {
-                    self.front.terminates(self.now, b);
+                    self.front.on_terminate(self.now, b);
                     listener.to(self.now, b, ToBalancer::Terminate);
                 }
             }
@@ -277,7 +277,7 @@
         at.incarnations += 1;
         let lives = at.incarnations;
         let seed = rand::Rng::random(&mut rng(self.day.seed, "balancer", u64::from(b.0) << 32 | lives));
-        let known = self.discovery.known(b);
+        let known = self.discovery.known_list(b);
         listener.to(self.now, b, ToBalancer::Start { seed, known });
     }
 
@@ -287,7 +287,7 @@
         if !std::mem::replace(&mut at.up, false) {
             return;
         }
-        self.front.died(self.now, b);
+        self.front.on_death(self.now, b);
         self.discovery.ended(b);
         let held: Vec<ConnId> =
             self.conns.iter().filter(|c| c.balancer == b && c.come && !c.done).map(|c| c.ask.conn).collect();
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -15,10 +15,14 @@
 
     fn apply_client_action(&mut self, act: ClientAction, listener: &mut impl WorldListener) {
         match act {
-            ClientAction::Wants { cell, first } => self.score.wants(self.now, cell, first),
-            ClientAction::WantsNoMore { cell } => self.score.wants_no_more(self.now, cell),
+            ClientAction::ServiceWanted { cell, first } => {
+                self.score.on_service_wanted(self.now, cell, first);
+            }
+            ClientAction::ServiceNoLongerWanted { cell } => {
+                self.score.on_service_no_longer_wanted(self.now, cell);
+            }
             ClientAction::Connect { ask, zone, cell, profile } => {
-                self.connect_client(ask, zone, cell, profile, listener)
+                self.connect_client(ask, zone, cell, profile, listener);
             }
             ClientAction::Done { conn } => self.on_client_served(conn, listener),
             ClientAction::Leave { conn } => self.on_client_leaves(conn),
@@ -119,7 +123,7 @@
 
     pub(super) fn apply_client_fault(&mut self, fault: usize, listener: &mut impl WorldListener) {
         let mut acts = std::mem::take(&mut self.buffers.client_actions);
-        self.clients.struck(self.now, &self.day.faults[fault], &mut acts);
+        self.clients.apply_fault(self.now, &self.day.faults[fault], &mut acts);
         acts.drain(..).for_each(|act| self.apply_client_action(act, listener));
         self.buffers.client_actions = acts;
     }
@@ -127,7 +131,7 @@
     /// Connects the clients whose connections were established before the day to the balancers that run at its start.
     pub fn open_standing_connections(&mut self, listener: &mut impl WorldListener) {
         let mut acts = std::mem::take(&mut self.buffers.client_actions);
-        self.clients.standing(&mut acts);
+        self.clients.connect_initial_clients(&mut acts);
         acts.drain(..).for_each(|act| self.apply_client_action(act, listener));
         self.buffers.client_actions = acts;
     }
@@ -141,7 +145,7 @@
         let Some(c) = self.conns.get_mut(conn) else { return };
         c.stands = Some((node, crosses));
         let integral = self.nodes[node.0 as usize].model.served(c.ask.class);
-        self.score.stands(now, c.cell, node, crosses, integral);
+        self.score.on_established(now, c.cell, node, crosses, integral);
     }
 
     /// Ends the service of a client, whatever the cause.
@@ -150,7 +154,7 @@
         let Some(c) = self.conns.get_mut(conn) else { return };
         let Some((node, crosses)) = c.stands.take() else { return };
         let integral = self.nodes[node.0 as usize].model.served(c.ask.class);
-        self.score.stands_no_more(now, c.cell, node, crosses, integral);
+        self.score.on_connection_ended(now, c.cell, node, crosses, integral);
     }
 
     /// Ends a connection on the client's side; returns whether it was established.
@@ -207,7 +211,7 @@
             if c.ask.home.is_none() {
                 self.series.stands(now, c.ask.key);
             }
-            self.clients.answered(now, conn, ClientInput::Up);
+            self.clients.on_answer(now, conn, ClientInput::Up);
             return self.begin_service(conn, id);
         }
         let stood = self.end_connection(conn);
@@ -216,14 +220,16 @@
             ClientMessage::Err => (ClientInput::Err, "error"),
             ClientMessage::Move { by_node: true } => (ClientInput::Move, "moved by node"),
             ClientMessage::Move { by_node: false } => (ClientInput::Move, "moved by balancer"),
-            ClientMessage::Up(_) | ClientMessage::Bye => return self.clients.ended(now, conn, End::Fin),
+            ClientMessage::Up(_) | ClientMessage::Bye => {
+                return self.clients.on_connection_closed(now, conn, End::Fin);
+            }
             ClientMessage::Ended(end) => {
                 if stood {
                     self.series.ended(now, "broken");
                 } else {
                     self.series.refused(now, "no balancer");
                 }
-                return self.clients.ended(now, conn, end);
+                return self.clients.on_connection_closed(now, conn, end);
             }
         };
         if stood {
@@ -231,6 +237,6 @@
         } else {
             self.series.refused(now, cause);
         }
-        self.clients.answered(now, conn, input);
+        self.clients.on_answer(now, conn, input);
     }
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -318,9 +318,9 @@
             match what {
                 FaultEvent::Node(node, event) => self.apply_node_event(node, event, listener),
                 FaultEvent::Balancer(balancer, event) => self.apply_balancer_event(balancer, event, listener),
-                FaultEvent::People(place) => self.apply_client_fault(place, listener),
+                FaultEvent::Clients(place) => self.apply_client_fault(place, listener),
                 FaultEvent::Discovery(place, on) => {
-                    self.discovery.struck(self.now, &self.day.faults[place], on)
+                    self.discovery.struck(self.now, &self.day.faults[place], on);
                 }
             }
         }
@@ -365,7 +365,7 @@
     pub fn finish(self) -> WorldResult {
         WorldResult {
             outcome: self.score.finish(),
-            faults: self.schedule.bands().to_vec(),
+            faults: self.schedule.intervals().to_vec(),
             series: self.series,
             events: self.events,
         }
