--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -326,10 +326,12 @@
         let over = conn.is_over(now, tolerances.propagation_delay);
         let many = conn.request.count_attempt(now, tolerances);
         let second = conn.request.begin_attempt(now, link);
-        let finding = match over {
-            true => Some(Finding::RuleViolation(Reason::SentAfterEnd, now, format!("to node {}", node.0))),
-            false if second && tolerances.allowed_overlap == 0 => conn.request.check_duplicate(link, now),
-            false => many,
+        let finding = if over {
+            Some(Finding::RuleViolation(Reason::SentAfterEnd, now, format!("to node {}", node.0)))
+        } else if second && tolerances.allowed_overlap == 0 {
+            conn.request.check_duplicate(link, now)
+        } else {
+            many
         };
         self.table.link(by, link, Link::new(id, node, knew));
         match finding {
--- a/crates/emulator/src/audit/request.rs
+++ b/crates/emulator/src/audit/request.rs
@@ -64,9 +64,10 @@
     }
 
     fn overdue(&self, reason: Reason, at: Micros, detail: String, tolerances: &AuditTolerances) -> Finding {
-        match tolerances.overdue_breaks || self.is_carried_over {
-            true => Finding::RuleViolation(reason, at, detail),
-            false => Finding::Exempted(Exemption::Overdue),
+        if tolerances.overdue_breaks || self.is_carried_over {
+            Finding::RuleViolation(reason, at, detail)
+        } else {
+            Finding::Exempted(Exemption::Overdue)
         }
     }
 
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -16,10 +16,18 @@
     use shorewharf_units::seconds_from_micros;
 
     /// Writes seconds.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the serializer does.
     pub fn serialize<S: Serializer>(t: &u64, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_f64(seconds_from_micros(*t))
     }
     /// Reads seconds; what is negative or no number is refused.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value is not a number, negative or longer than a year.
     pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
         super::micros(f64::deserialize(d)?, 1e6).map_err(serde::de::Error::custom)
     }
@@ -29,23 +37,35 @@
 pub mod in_ms {
     use serde::{Deserialize, Deserializer, Serializer};
     /// Writes milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the serializer does.
     pub fn serialize<S: Serializer>(t: &u64, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_f64(*t as f64 / 1e3)
     }
     /// Reads milliseconds; what is negative or no number is refused.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value is not a number, negative or longer than a year.
     pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
         super::micros(f64::deserialize(d)?, 1e3).map_err(serde::de::Error::custom)
     }
 }
 
-fn micros(x: f64, unit: f64) -> Result<Micros, String> {
+/// A duration in a scenario file that is out of range.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+enum DurationError {
+    /// The value is negative, not a number or longer than a year.
+    #[error("{0} is no length of time")]
+    OutOfRange(f64),
+}
+
+fn micros(x: f64, unit: f64) -> Result<Micros, DurationError> {
     let us = x * unit;
     // A year is more than any day or figure needs, and keeps sums far from their end.
-    if (0.0..3.2e13).contains(&us) {
-        Ok(us.round() as Micros)
-    } else {
-        Err(format!("{x} is no length of time"))
-    }
+    if (0.0..3.2e13).contains(&us) { Ok(us.round() as Micros) } else { Err(DurationError::OutOfRange(x)) }
 }
 
 /// All figures of one run.
--- a/crates/emulator/src/environment/discovery/service_queue.rs
+++ b/crates/emulator/src/environment/discovery/service_queue.rs
@@ -276,12 +276,6 @@
         watcher.last_arrival = watcher.last_arrival.max(at);
         self.next_number += 1;
         let (at, incarnation) = (watcher.last_arrival, watcher.incarnation);
-        self.sent.push(Reverse(Response {
-            at,
-            number: self.next_number,
-            balancer,
-            incarnation: incarnation,
-            list,
-        }));
+        self.sent.push(Reverse(Response { at, number: self.next_number, balancer, incarnation, list }));
     }
 }
--- a/crates/emulator/src/environment/faults.rs
+++ b/crates/emulator/src/environment/faults.rs
@@ -323,7 +323,7 @@
         let mut events = plan.events;
         // The sort keeps the order of what falls on one time.
         events.sort_by_key(|t| t.0);
-        FaultSchedule { events: events, next: 0, intervals: bands }
+        FaultSchedule { events, next: 0, intervals: bands }
     }
 
     /// When the next turn is due.
--- a/crates/emulator/src/population/traffic.rs
+++ b/crates/emulator/src/population/traffic.rs
@@ -85,13 +85,15 @@
         let t = &day.traffic;
         let per_s = t.arrivals_per_s.unwrap_or(t.load * capacity.per_s);
         let total: f64 = day.tenants.iter().map(|x| x.traffic).sum();
-        let tenants = match day.tenants.is_empty() {
-            true => vec![1.0],
-            false => day.tenants.iter().map(|x| x.traffic / total.max(f64::MIN_POSITIVE)).collect(),
+        let tenants = if day.tenants.is_empty() {
+            vec![1.0]
+        } else {
+            day.tenants.iter().map(|x| x.traffic / total.max(f64::MIN_POSITIVE)).collect()
         };
-        let quotas = match day.tenants.is_empty() {
-            true => vec![f64::INFINITY],
-            false => day.tenants.iter().map(|x| x.quota * capacity.connections).collect(),
+        let quotas = if day.tenants.is_empty() {
+            vec![f64::INFINITY]
+        } else {
+            day.tenants.iter().map(|x| x.quota * capacity.connections).collect()
         };
         let cv = t.burst_cv;
         let gamma = (cv > 0.0 && t.burst > 0).then(|| Gamma::new(1.0 / (cv * cv), cv * cv).ok()).flatten();
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -155,10 +155,7 @@
         self.held.iter_mut().for_each(|h| h.1 = h.0);
         self.crossing.run_to(now);
         self.open.run_to(now);
-        self.due = match now == self.end {
-            true => Micros::MAX,
-            false => (now / SECOND * SECOND + SECOND).min(self.end),
-        };
+        self.due = if now == self.end { Micros::MAX } else { (now / SECOND * SECOND + SECOND).min(self.end) };
     }
 
     /// A balancer makes an attempt at a node.
--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -158,9 +158,11 @@
             second.earned += e * part;
             wanted_s += asked;
             if let Some(t) = tenant_seconds.get_mut(tenant as usize).and_then(|t| t.last_mut()) {
-                match within {
-                    true => (t.asked, t.earned) = (t.asked + a, t.earned + e),
-                    false => t.beyond += e,
+                if within {
+                    t.asked += a;
+                    t.earned += e;
+                } else {
+                    t.beyond += e;
                 }
             }
             if within {
--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -57,6 +57,10 @@
 
 impl DatagramProxy {
     /// Ways to balancers that hear at these addresses.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket cannot be opened or registered.
     pub fn open(
         net: &mut Net,
         addresses: Addresses,
@@ -83,6 +87,10 @@
     }
 
     /// Writes the operator's file that has the balancers tell each other, after what it says besides; tells where it is.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file cannot be written or a socket has no address.
     pub fn write(&self, folder: &Path, operator: &str) -> io::Result<PathBuf> {
         let place = |name: &str| std::path::absolute(folder.join(name));
         let (peers, key, file) = (place("fleet.peers")?, place("fleet.key")?, place("operator.toml")?);
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -141,6 +141,10 @@
 
 impl Discovery {
     /// Discovery for so many balancers, listening.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an address cannot be listened on.
     pub fn new(net: &mut Net, addresses: Addresses, balancers: u32) -> io::Result<Self> {
         let mut sides = Vec::new();
         for balancer in (0..balancers).map(BalancerId) {
@@ -193,6 +197,10 @@
     }
 
     /// Goes to another address for this balancer: the old one takes nothing new and ends what it has a little later.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the new address cannot be listened on.
     pub fn move_address(
         &mut self,
         net: &mut Net,
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -124,6 +124,10 @@
 
 impl Fleet {
     /// Posts for so many balancers, with their files in this folder. None runs yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a balancer's files cannot be created or its address cannot be reserved.
     pub fn new(
         program: Program,
         cores: f64,
@@ -197,6 +201,10 @@
     }
 
     /// Starts a balancer; one that runs still, or is about to be gone, is waited for first.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the configuration cannot be written, or the process cannot be started or watched.
     pub fn start(
         &mut self,
         net: &mut Net,
@@ -272,6 +280,10 @@
 
     /// Replaces the configuration with one that names this address of discovery, and sends SIGHUP, in its first
     /// second a little later.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the configuration cannot be written.
     pub fn reload(
         &mut self,
         now: Micros,
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -162,6 +162,10 @@
     }
 
     /// The next whole line, without its end.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the line is longer than the protocol allows.
     pub fn next_line(&mut self) -> Result<Option<&[u8]>, TooLong> {
         match scan_line(&self.inbox[self.consumed..]) {
             LineScan::Complete(n) => {
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -206,6 +206,10 @@
 }
 
 /// Puts load on a balancer; its files go into this folder.
+///
+/// # Errors
+///
+/// Fails if an option is out of range, the balancer does not start or ends under load, or the sockets fail.
 pub fn run(options: &Options, folder: &Path) -> Result<Outcome, LoadError> {
     for (name, figure) in [
         ("set-ups a second", options.set_ups_per_s),
--- a/crates/emulator/src/sockets/misbehaving_clients.rs
+++ b/crates/emulator/src/sockets/misbehaving_clients.rs
@@ -119,6 +119,10 @@
 
 impl MisbehavingClients {
     /// Those that the day names.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the day names an unknown kind of misbehaving client.
     pub fn new(day: &Day) -> Result<Self, UnknownKind> {
         let flow = |b: &BadClients| {
             let kind = KINDS.iter().find(|k| k.0 == b.kind).ok_or_else(|| UnknownKind(b.kind.clone()))?.1;
--- a/crates/emulator/src/sockets/net.rs
+++ b/crates/emulator/src/sockets/net.rs
@@ -95,6 +95,10 @@
 
 impl Net {
     /// An empty table.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the poll or the timer cannot be created.
     pub fn new() -> io::Result<Self> {
         let timer =
             timerfd_create(TimerfdClockId::Monotonic, TimerfdFlags::NONBLOCK | TimerfdFlags::CLOEXEC)?;
@@ -135,6 +139,10 @@
 
     /// Listens at an address; port 0 leaves the port to the system. The address may be one where connections of
     /// an earlier listener still linger.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address cannot be listened on or the socket not be registered.
     pub fn listen(&mut self, at: SocketAddr, role: Role) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -147,6 +155,10 @@
     }
 
     /// Has what comes at a socket for datagrams told to its owner.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket cannot be registered.
     pub fn register_datagram_socket(&mut self, socket: &mut UdpSocket, role: Role) -> io::Result<()> {
         self.register(socket, Interest::READABLE, role).map(drop)
     }
@@ -178,6 +190,10 @@
     }
 
     /// Has the end of a process told to its owner.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the descriptor cannot be registered.
     pub fn watch(&mut self, fd: &OwnedFd, role: Role) -> io::Result<DefaultKey> {
         self.register(&mut SourceFd(&fd.as_raw_fd()), Interest::READABLE, role)
     }
@@ -213,6 +229,10 @@
     }
 
     /// Waits for at most so long, and says who is ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the timer cannot be set or polling fails.
     pub fn wait(&mut self, most: Duration, ready: &mut Vec<Ready>) -> io::Result<()> {
         ready.clear();
         let most = if self.again.is_empty() { most } else { Duration::ZERO };
@@ -252,6 +272,10 @@
 
     /// From now on connections neither come up nor fail, as at a machine that is cut off: the queue of those that
     /// wait is cut to one and filled, and the system drops what comes beyond. The filling is returned.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket call does.
     pub fn stop_accepting(&self) -> io::Result<Vec<std::net::TcpStream>> {
         SockRef::from(&self.listener).listen(0)?;
         let mut filling = Vec::new();
@@ -267,6 +291,10 @@
     }
 
     /// Takes connections as before.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket call does.
     pub fn resume_accepting(&self) -> io::Result<()> {
         SockRef::from(&self.listener).listen(BACKLOG)
     }
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -82,6 +82,10 @@
 
 impl Nodes {
     /// Listens for all nodes and balancers.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an address cannot be listened on.
     pub fn new(net: &mut Net, addresses: Addresses, balancers: u32, nodes: u32) -> io::Result<Self> {
         let mut endpoints = Vec::new();
         for node in (0..nodes).map(NodeId) {
@@ -128,6 +132,10 @@
     }
 
     /// Sets how a node's machine answers connections from now on.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a listener cannot be opened, stopped or resumed.
     pub fn set_node_reachability(
         &mut self,
         net: &mut Net,
@@ -151,6 +159,10 @@
 
     /// The links between a node and a balancer let through so much from now on. What the node has said meanwhile and
     /// now arrives is appended.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a listener cannot be opened, stopped or resumed.
     pub fn set_link_reachability(
         &mut self,
         net: &mut Net,
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -40,6 +40,10 @@
 }
 
 /// Plays a day in real time against the program, and is told how it stands once a second.
+///
+/// # Errors
+///
+/// Fails as [`super::run::play`] does.
 pub fn run(
     day: &Day,
     options: &Options,
--- a/crates/emulator/src/sockets/process.rs
+++ b/crates/emulator/src/sockets/process.rs
@@ -75,6 +75,10 @@
 
 impl ProcessFiles {
     /// A place for this balancer's files; the folder is made.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the files cannot be created.
     pub fn new(folder: &Path, name: &str) -> Result<Self, ProcessError> {
         let desk = ProcessFiles { folder: folder.to_owned(), name: name.to_owned() };
         fs::create_dir_all(desk.scratch()).map_err(|e| ProcessError::File(desk.scratch(), e))?;
@@ -109,6 +113,10 @@
     }
 
     /// Puts a configuration in the file's place, whole at any time.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file cannot be written.
     pub fn configure(&self, config: &Value) -> Result<(), ProcessError> {
         let next = self.folder.join(format!("{}.next", self.name));
         let write = || {
@@ -131,6 +139,10 @@
 
 impl Process {
     /// Starts the program as this balancer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if its log cannot be opened, or the process cannot be started or watched.
     pub fn start(
         program: &Program,
         desk: &ProcessFiles,
