--- a/crates/balancer/src/event_loop/context.rs
+++ b/crates/balancer/src/event_loop/context.rs
@@ -25,7 +25,7 @@
     /// A connection that failed on this machine's side is dialled again.
     RetryDial(RequestId),
     /// The timeout of a probe has passed.
-    Probe(u64),
+    ProbeTimeout(u64),
     /// Discovery may have been silent for too long.
     DiscoveryClient,
     /// Clients are accepted again after a shortage.
--- a/crates/balancer/src/servers/server_activity.rs
+++ b/crates/balancer/src/servers/server_activity.rs
@@ -15,7 +15,7 @@
 /// The last signs of life of a server. Shared by its attempts.
 #[derive(Debug, Default)]
 pub struct ServerActivity {
-    last: Cell<Option<LastSent>>,
+    latest: Cell<Option<LastSent>>,
     /// When it last sent something to another request than that of `last`.
     last_to_other: Cell<Option<Micros>>,
 }
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -10,36 +10,36 @@
 use shorewharf_units::Micros;
 
 /// What is held is read out and told so often.
-pub(super) const EVERY: Micros = 200_000;
+pub(super) const EXCHANGE_INTERVAL: Micros = 200_000;
 /// What is told was read out so many times ago. A time back at least: balancers take their turns side by side, and all
 /// have to see the same, whoever comes first.
-const BACK: u64 = 2;
+const PUBLICATION_DELAY_INTERVALS: u64 = 2;
 
 type PublishedLoads = Arc<BTreeMap<ServerId, RemoteLoad>>;
 
 #[derive(Debug, Default)]
-struct Moment {
+struct LoadSnapshot {
     held: BTreeMap<BalancerId, Vec<Holding>>,
     all: Option<PublishedLoads>,
 }
 
 /// What all balancers held, at the last few times.
 #[derive(Debug, Default)]
-pub(super) struct SharedLoadBoard(Mutex<BTreeMap<u64, Moment>>);
+pub(super) struct SharedLoadBoard(Mutex<BTreeMap<u64, LoadSnapshot>>);
 
 impl SharedLoadBoard {
     /// Which time this is.
-    pub(super) fn time(now: Micros) -> u64 {
-        now / EVERY
+    pub(super) fn interval_of(now: Micros) -> u64 {
+        now / EXCHANGE_INTERVAL
     }
 
     /// Puts up what one holds at a time, and takes down what the others held two times before; none where nobody had put up
     /// anything.
     pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<PublishedLoads> {
         let mut moments = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        moments.retain(|at, _| at + 2 * BACK > time);
+        moments.retain(|at, _| at + 2 * PUBLICATION_DELAY_INTERVALS > time);
         moments.entry(time).or_default().held.insert(who, holds);
-        let before = moments.get_mut(&time.checked_sub(BACK)?)?;
+        let before = moments.get_mut(&time.checked_sub(PUBLICATION_DELAY_INTERVALS)?)?;
         let all = before.all.get_or_insert_with(|| Arc::new(sum(&before.held)));
         let mut others = BTreeMap::clone(all);
         for h in before.held.get(&who).into_iter().flatten() {
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -2,9 +2,9 @@
 //! stand on the same emulated peers, so that a difference between two of them is one of decisions.
 
 mod board;
+mod node_directory;
 mod oracle;
 mod peers;
-mod places;
 mod policies;
 
 use std::collections::BTreeMap;
@@ -22,9 +22,9 @@
 use thiserror::Error;
 
 use board::SharedLoadBoard;
+pub use node_directory::NodeDirectory;
 use oracle::Oracle;
 pub use peers::EmulatedPeers;
-pub use places::NodeDirectory;
 use policies::{Pick, PlainPolicy};
 
 /// Who decides.
@@ -85,35 +85,45 @@
 /// Hosts one kind of balancer.
 #[derive(Debug)]
 pub struct PolicyHosts {
-    who: PolicyChoice,
+    policy: PolicyChoice,
     operator: Operator,
-    truth: Arc<RwLock<Vec<GroundTruth>>>,
+    ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
     /// What the module knows is kept over its end.
-    keeps: bool,
+    saves_state: bool,
     /// Where balancers tell each other what they hold.
-    board: Option<Arc<SharedLoadBoard>>,
+    load_board: Option<Arc<SharedLoadBoard>>,
     /// The module may sound servers by probes, where the day allows it.
-    sounds: bool,
+    allows_probes: bool,
 }
 
 impl PolicyHosts {
     /// Hosts balancers that are run by `who`.
     pub fn new(who: PolicyChoice) -> Self {
         let (operator, truth) = Default::default();
-        PolicyHosts { who, operator, truth, keeps: false, board: None, sounds: true }
+        PolicyHosts {
+            policy: who,
+            operator,
+            ground_truth: truth,
+            saves_state: false,
+            load_board: None,
+            allows_probes: true,
+        }
     }
 
     /// Hosts balancers that are run by the policy of this name. The module takes an operator's file behind an `@`.
     pub fn named(policy: &str) -> Result<PolicyHosts, PolicyError> {
         let care = |recovery| Operator { recovery, ..Operator::default() };
         if policy == "module-with-snapshot" {
-            return Ok(PolicyHosts { keeps: true, ..PolicyHosts::new(PolicyChoice::Module) });
+            return Ok(PolicyHosts { saves_state: true, ..PolicyHosts::new(PolicyChoice::Module) });
         }
         if policy == "module-told" {
-            return Ok(PolicyHosts { board: Some(Arc::default()), ..PolicyHosts::new(PolicyChoice::Module) });
+            return Ok(PolicyHosts {
+                load_board: Some(Arc::default()),
+                ..PolicyHosts::new(PolicyChoice::Module)
+            });
         }
         if policy == "module-unsounded" {
-            return Ok(PolicyHosts { sounds: false, ..PolicyHosts::new(PolicyChoice::Module) });
+            return Ok(PolicyHosts { allows_probes: false, ..PolicyHosts::new(PolicyChoice::Module) });
         }
         let tenancy = |on| Operator {
             tenancy: Tenancy { is_enabled: on, ..Tenancy::default() },
@@ -146,33 +156,42 @@
         let settings = shorewharf_settings::settings(settings.as_bytes()).map(|s| s.0);
         // The text was written by the emulator for this very reader.
         let mut settings = settings.expect("settings that the emulator wrote are read");
-        settings.may_probe &= self.sounds;
+        settings.may_probe &= self.allows_probes;
         let first_link = u64::from(id.0) << 40;
         let make = InstanceFactory {
-            who: self.who,
+            policy: self.policy,
             operator: self.operator.clone(),
-            truth: Arc::clone(&self.truth),
+            ground_truth: Arc::clone(&self.ground_truth),
         };
-        let (places, life, kept) = (NodeDirectory::new(day), None, self.keeps.then(SavedState::default));
-        let told = self.board.clone().map(|board| BoardView { board, id, next: 0 });
-        Box::new(HostedBalancer { places, settings, make, next_link: first_link, life, kept, told })
+        let (places, life, kept) =
+            (NodeDirectory::new(day), None, self.saves_state.then(SavedState::default));
+        let told = self.load_board.clone().map(|board| BoardView { board, id, next_interval: 0 });
+        Box::new(HostedBalancer {
+            directory: places,
+            settings,
+            factory: make,
+            next_link: first_link,
+            incarnation: life,
+            saved_state: kept,
+            board_view: told,
+        })
     }
 
     fn wants_truth(&self) -> bool {
-        self.who == PolicyChoice::Oracle
+        self.policy == PolicyChoice::Oracle
     }
 
     fn truth(&self, _now: Micros, nodes: &[GroundTruth]) {
-        let mut held = self.truth.write().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut held = self.ground_truth.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         held.clear();
         held.extend_from_slice(nodes);
     }
 }
 
 struct InstanceFactory {
-    who: PolicyChoice,
+    policy: PolicyChoice,
     operator: Operator,
-    truth: Arc<RwLock<Vec<GroundTruth>>>,
+    ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
 }
 
 enum Policy {
@@ -185,31 +204,31 @@
     fn process_events(&mut self, peers: &mut EmulatedPeers) {
         match self {
             Policy::Module(driver) => driver.process_events(peers),
-            Policy::Plain(policy) => policy.settle(peers),
-            Policy::Oracle(oracle) => oracle.settle(peers),
+            Policy::Plain(policy) => policy.process_events(peers),
+            Policy::Oracle(oracle) => oracle.process_events(peers),
         }
     }
 }
 
 impl InstanceFactory {
-    fn policy(
+    fn create_policy(
         &self,
         set: &Settings,
         seed: u64,
         known: Vec<ServerEntry>,
         peers: &mut EmulatedPeers,
     ) -> Policy {
-        let pick = match self.who {
+        let pick = match self.policy {
             PolicyChoice::Module => {
                 let driver = Driver::start(set.clone(), &self.operator, seed, known, peers);
                 return Policy::Module(Box::new(driver));
             }
             PolicyChoice::Random => Pick::Random,
-            PolicyChoice::RoundRobin => Pick::Next,
+            PolicyChoice::RoundRobin => Pick::RoundRobin,
             PolicyChoice::Fewest => Pick::Fewest,
             PolicyChoice::TwoChoices => Pick::TwoChoices,
             PolicyChoice::Oracle => {
-                return Policy::Oracle(Oracle::start(Arc::clone(&self.truth), set, &known, peers));
+                return Policy::Oracle(Oracle::start(Arc::clone(&self.ground_truth), set, &known, peers));
             }
         };
         Policy::Plain(PlainPolicy::start(pick, set, seed, known, peers))
@@ -217,34 +236,34 @@
 }
 
 /// A record is read out so often, as the program does unless it is told otherwise.
-const KEEP_EVERY: Micros = 2_000_000;
+const SAVE_INTERVAL: Micros = 2_000_000;
 
 /// What a balancer knew when it was read out last.
 #[derive(Default)]
 struct SavedState {
-    at: Micros,
-    learned: Vec<SnapshotEntry>,
+    saved_at: Micros,
+    entries: Vec<SnapshotEntry>,
 }
 
 impl SavedState {
     /// Reads out what a module knows, if it is time to.
-    fn read(&mut self, now: Micros, policy: &mut Policy) {
+    fn save_if_due(&mut self, now: Micros, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
-        if now < self.at + KEEP_EVERY {
+        if now < self.saved_at + SAVE_INTERVAL {
             return;
         }
-        (self.at, self.learned) = (now, Vec::new());
+        (self.saved_at, self.entries) = (now, Vec::new());
         let mut at = ExportCursor::default();
         while at != ExportCursor::End {
-            at = driver.gate().export_state(at, 512, &mut self.learned);
+            at = driver.gate().export_state(at, 512, &mut self.entries);
         }
     }
 
     /// Has the module of the next life recall it.
-    fn recall(&mut self, now: Micros, policy: &mut Policy) {
+    fn restore(&mut self, now: Micros, policy: &mut Policy) {
         if let Policy::Module(driver) = policy {
             let (past, learned) =
-                (seconds_from_micros(now.saturating_sub(self.at)), std::mem::take(&mut self.learned));
+                (seconds_from_micros(now.saturating_sub(self.saved_at)), std::mem::take(&mut self.entries));
             driver.gate().restore_state(seconds_from_micros(now), past, true, learned);
         }
     }
@@ -255,17 +274,17 @@
     board: Arc<SharedLoadBoard>,
     id: BalancerId,
     /// The time at which it looks next.
-    next: u64,
+    next_interval: u64,
 }
 
 impl BoardView {
     /// Puts up what is held and hears of others, if it is time to.
-    fn look(&mut self, now: Micros, peers: &mut EmulatedPeers, policy: &mut Policy) {
+    fn exchange_if_due(&mut self, now: Micros, peers: &mut EmulatedPeers, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
-        let time = SharedLoadBoard::time(now);
-        if time >= self.next {
-            self.next = time + 1;
-            peers.tell(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
+        let time = SharedLoadBoard::interval_of(now);
+        if time >= self.next_interval {
+            self.next_interval = time + 1;
+            peers.emit(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
                 time,
                 self.id,
                 driver.gate().holdings(),
@@ -276,69 +295,73 @@
 
 /// A balancer through all its lives.
 struct HostedBalancer {
-    places: NodeDirectory,
+    directory: NodeDirectory,
     settings: Settings,
-    make: InstanceFactory,
+    factory: InstanceFactory,
     next_link: u64,
-    life: Option<(EmulatedPeers, Policy)>,
-    kept: Option<SavedState>,
-    told: Option<BoardView>,
+    incarnation: Option<(EmulatedPeers, Policy)>,
+    saved_state: Option<SavedState>,
+    board_view: Option<BoardView>,
 }
 
 impl Instance for HostedBalancer {
     fn turn(&mut self, now: Micros, came: &[ToBalancer], out: &mut Vec<FromBalancer>) {
-        if let Some((peers, _)) = &mut self.life {
-            peers.clock(now);
+        if let Some((peers, _)) = &mut self.incarnation {
+            peers.set_now(now);
         }
         for what in came {
             match what {
                 ToBalancer::Start { seed, known } => {
                     let mut peers = EmulatedPeers::new(
-                        self.places.clone(),
+                        self.directory.clone(),
                         micros_from_seconds(self.settings.connect_timeout),
                         now,
                         self.next_link,
                     );
                     out.push(FromBalancer::Ready);
-                    let known = peers.listed(true, known);
-                    let mut policy = self.make.policy(&self.settings, *seed, known, &mut peers);
+                    let known = peers.update_endpoints(true, known);
+                    let mut policy = self.factory.create_policy(&self.settings, *seed, known, &mut peers);
                     policy.process_events(&mut peers);
-                    self.kept.iter_mut().for_each(|kept| kept.recall(now, &mut policy));
-                    self.life = Some((peers, policy));
+                    self.saved_state.iter_mut().for_each(|kept| kept.restore(now, &mut policy));
+                    self.incarnation = Some((peers, policy));
                 }
                 ToBalancer::Kill => {
                     // What it would have done at the end of this tick it did not live to do.
-                    if let Some((peers, _)) = self.life.take() {
+                    if let Some((peers, _)) = self.incarnation.take() {
                         self.next_link = peers.next_link();
                     }
                 }
                 what => {
-                    if let Some((peers, policy)) = &mut self.life {
-                        peers.take(what);
+                    if let Some((peers, policy)) = &mut self.incarnation {
+                        peers.handle(what);
                         policy.process_events(peers);
                     }
                 }
             }
         }
         // What came within the tick came before what is due at its end.
-        if let Some((peers, policy)) = &mut self.life {
-            peers.due();
-            self.told.iter_mut().for_each(|told| told.look(now, peers, policy));
+        if let Some((peers, policy)) = &mut self.incarnation {
+            peers.fire_due_timers();
+            self.board_view.iter_mut().for_each(|told| told.exchange_if_due(now, peers, policy));
             policy.process_events(peers);
-            self.kept.iter_mut().for_each(|kept| kept.read(now, policy));
+            self.saved_state.iter_mut().for_each(|kept| kept.save_if_due(now, policy));
             self.next_link = peers.next_link();
-            peers.hand_over(out);
+            peers.take_actions(out);
         }
     }
 
     fn next_due(&self) -> Option<Micros> {
-        let (peers, _) = self.life.as_ref()?;
-        peers.next_due().into_iter().chain(self.told.as_ref().map(|told| told.next * board::EVERY)).min()
+        let (peers, _) = self.incarnation.as_ref()?;
+        peers
+            .next_timer()
+            .into_iter()
+            .chain(self.board_view.as_ref().map(|told| told.next_interval * board::EXCHANGE_INTERVAL))
+            .min()
     }
 
     fn tells(&mut self, told: &mut InstanceReport) {
-        let Some((peers, policy)) = &mut self.life else { return };
-        told.lines = peers.said();
+        let Some((peers, policy)) = &mut self.incarnation else { return };
+        told.lines = peers.take_log_lines();
         if let Policy::Module(driver) = policy {
             let stats = driver.gate().overload_controller().stats();
             told.level = stats.level.level.name();
--- a/crates/lab/src/instances/places.rs
+++ b/crates/lab/src/instances/node_directory.rs
@@ -68,7 +68,7 @@
     }
 
     /// A time of the day on the module's clock.
-    pub fn clock(&self, t: Micros) -> Micros {
+    pub fn to_module_clock(&self, t: Micros) -> Micros {
         EPOCH + t
     }
 
@@ -80,7 +80,7 @@
             edge::Stage::Draining => ServerState::Draining,
             edge::Stage::Gone => ServerState::Removed,
         };
-        let born = listed.born.map_or(0.0, |t| self.clock(t) as f64 / 1e6);
+        let born = listed.born.map_or(0.0, |t| self.to_module_clock(t) as f64 / 1e6);
         ServerEntry { server, zone, cell, state: stage, weight, started_at: born }
     }
 }
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -14,54 +14,54 @@
 use super::EmulatedPeers;
 
 /// The watch on the list is opened again so long after it broke.
-const WATCH_AGAIN: Micros = 1_000_000;
+const WATCH_RETRY_INTERVAL: Micros = 1_000_000;
 /// With less of its client's time left a request is not tried again.
-const LEAST: Micros = 20_000;
+const MIN_TIME_LEFT: Micros = 20_000;
 /// How often it looks whether there is room for who waits.
-const REBALANCE_INTERVAL: Micros = 10_000;
+const RETRY_INTERVAL: Micros = 10_000;
 /// How often connections are taken off nodes that are too full.
-const RELIEVE_EVERY: Micros = 250_000;
-const WATCH: u64 = 1;
-const RELIEVE: u64 = 2;
-const LOOK: u64 = 3;
+const RELIEVE_INTERVAL: Micros = 250_000;
+const WATCH_TIMER: u64 = 1;
+const RELIEVE_TIMER: u64 = 2;
+const RETRY_TIMER: u64 = 3;
 /// What refused clients are told to wait; those who are refused have waited to the end of their patience.
-const COME_BACK: Micros = 50_000;
+const RETRY_AFTER: Micros = 50_000;
 /// What a connection costs its node in usual loads, and a group of which the node holds nothing.
-const ONE: f64 = 1.1;
-const GROUP: f64 = 2.0;
+const CONNECTION_COST: f64 = 1.1;
+const NEW_GROUP_COST: f64 = 2.0;
 
 /// A node takes connections of a group that it holds up to this share of its capacity, and of others up to a lower
 /// one: room that is left goes to those who cost least. Of what was tried on 55 days (0.8 to 0.9, 0.5 to 0.85) this did
 /// best, or within 0.003 of G of it.
-const FULL: f64 = 0.85;
-const NEW: f64 = 0.65;
+const KNOWN_GROUP_MAX_UTILIZATION: f64 = 0.85;
+const NEW_GROUP_MAX_UTILIZATION: f64 = 0.65;
 /// Beyond this share it is relieved, down to the other.
-const TOO_FULL: f64 = 0.95;
-const RELIEVED: f64 = 0.88;
+const RELIEF_THRESHOLD: f64 = 0.95;
+const RELIEF_TARGET: f64 = 0.88;
 
 #[derive(Debug)]
 struct AssignedRequest {
     deadline: Micros,
     attempts: u32,
     group: u64,
-    tried: Option<ServerId>,
-    out: bool,
-    on: Option<ServerId>,
+    last_tried: Option<ServerId>,
+    is_attempting: bool,
+    server: Option<ServerId>,
     load: f64,
 }
 
 /// The policy with what it must remember of requests.
 pub(super) struct Oracle {
-    truth: Arc<RwLock<Vec<GroundTruth>>>,
+    ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
     max_attempts: u32,
-    proxies: f64,
+    balancer_count: f64,
     ready: BTreeSet<ServerId>,
-    held: BTreeMap<RequestId, AssignedRequest>,
+    requests: BTreeMap<RequestId, AssignedRequest>,
     waiting: Vec<RequestId>,
-    looks: bool,
+    is_retry_scheduled: bool,
     /// What it has placed since it saw the nodes' state last.
     placed: BTreeMap<ServerId, Vec<u64>>,
-    seen: Micros,
+    placed_at: Micros,
 }
 
 impl Oracle {
@@ -72,29 +72,29 @@
         peers: &mut EmulatedPeers,
     ) -> Oracle {
         let mut oracle = Oracle {
-            truth,
+            ground_truth: truth,
             max_attempts: set.max_attempts,
-            proxies: set.instance_count.max(1.0),
+            balancer_count: set.instance_count.max(1.0),
             ready: BTreeSet::new(),
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             waiting: Vec::new(),
-            looks: false,
+            is_retry_scheduled: false,
             placed: BTreeMap::new(),
-            seen: 0,
+            placed_at: 0,
         };
-        oracle.listed(true, known);
+        oracle.update_endpoints(true, known);
         peers.watch_endpoints();
-        peers.set_timer(RELIEVE_EVERY, RELIEVE);
+        peers.set_timer(RELIEVE_INTERVAL, RELIEVE_TIMER);
         oracle
     }
 
-    pub(super) fn settle(&mut self, peers: &mut EmulatedPeers) {
-        while let Some(happening) = peers.next_event() {
-            self.happened(happening, peers);
+    pub(super) fn process_events(&mut self, peers: &mut EmulatedPeers) {
+        while let Some(event) = peers.next_event() {
+            self.handle_event(event, peers);
         }
     }
 
-    fn listed(&mut self, full: bool, entries: &[ServerEntry]) {
+    fn update_endpoints(&mut self, full: bool, entries: &[ServerEntry]) {
         if full {
             self.ready.clear();
         }
@@ -107,62 +107,62 @@
         }
     }
 
-    fn happened(&mut self, happening: NetworkEvent, peers: &mut EmulatedPeers) {
-        match happening {
+    fn handle_event(&mut self, event: NetworkEvent, peers: &mut EmulatedPeers) {
+        match event {
             NetworkEvent::EndpointListReceived { is_complete, entries, .. } => {
-                self.listed(is_complete, &entries)
+                self.update_endpoints(is_complete, &entries)
             }
-            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
-            NetworkEvent::TimerFired(RELIEVE) => self.relieve(peers),
-            NetworkEvent::TimerFired(LOOK) => self.look(peers),
+            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_RETRY_INTERVAL, WATCH_TIMER),
+            NetworkEvent::TimerFired(RELIEVE_TIMER) => self.relieve_overloaded(peers),
+            NetworkEvent::TimerFired(RETRY_TIMER) => self.retry_waiting(peers),
             NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
                 let held = AssignedRequest {
                     deadline: req.deadline,
                     attempts: 0,
                     group: req.group,
-                    tried: None,
-                    out: false,
-                    on: None,
+                    last_tried: None,
+                    is_attempting: false,
+                    server: None,
                     load: 0.0,
                 };
-                self.held.insert(req.id, held);
-                self.try_it(req.id, peers);
+                self.requests.insert(req.id, held);
+                self.begin_attempt(req.id, peers);
             }
             NetworkEvent::ConnectionRestored(req, server) => {
                 let held = AssignedRequest {
                     deadline: 0,
                     attempts: 1,
                     group: req.group,
-                    tried: None,
-                    out: false,
-                    on: Some(server),
+                    last_tried: None,
+                    is_attempting: false,
+                    server: Some(server),
                     load: 0.0,
                 };
-                self.held.insert(req.id, held);
+                self.requests.insert(req.id, held);
             }
             NetworkEvent::AttemptEstablished(id) => {
-                if let Some(h) = self.held.get_mut(&id) {
-                    (h.out, h.on) = (false, h.tried);
+                if let Some(h) = self.requests.get_mut(&id) {
+                    (h.is_attempting, h.server) = (false, h.last_tried);
                 }
             }
             NetworkEvent::LoadReported(id, load) => {
-                if let Some(h) = self.held.get_mut(&id) {
+                if let Some(h) = self.requests.get_mut(&id) {
                     h.load = load;
                 }
             }
             NetworkEvent::ClientLeft(id) => {
-                self.held.remove(&id);
+                self.requests.remove(&id);
             }
             NetworkEvent::AttemptEnded(id, outcome) => {
-                let again = self.held.get_mut(&id).is_some_and(|h| {
-                    h.out = false;
-                    h.on.is_none() && outcome != Outcome::Cancelled
+                let again = self.requests.get_mut(&id).is_some_and(|h| {
+                    h.is_attempting = false;
+                    h.server.is_none() && outcome != Outcome::Cancelled
                 });
                 if again {
-                    self.try_it(id, peers);
+                    self.begin_attempt(id, peers);
                 } else {
-                    self.held.remove(&id);
+                    self.requests.remove(&id);
                 }
             }
             NetworkEvent::MessageDelayReported(..)
@@ -172,33 +172,35 @@
     }
 
     /// Sends it where there is room; else it waits, and is refused at the end of its client's patience.
-    fn try_it(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
+    fn begin_attempt(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
         let now = peers.now();
-        let Some(h) = self.held.get(&id).filter(|h| !h.out && h.on.is_none()) else { return };
+        let Some(h) = self.requests.get(&id).filter(|h| !h.is_attempting && h.server.is_none()) else {
+            return;
+        };
         let left = h.deadline.saturating_sub(now);
-        if h.attempts >= self.max_attempts || left <= LEAST {
-            self.held.remove(&id);
-            return peers.reject(id, COME_BACK);
+        if h.attempts >= self.max_attempts || left <= MIN_TIME_LEFT {
+            self.requests.remove(&id);
+            return peers.reject(id, RETRY_AFTER);
         }
-        let (group, not) = (h.group, h.tried);
+        let (group, not) = (h.group, h.last_tried);
         let Some(server) = self.choose(now, group, not, peers) else {
             self.waiting.push(id);
-            if !std::mem::replace(&mut self.looks, true) {
-                peers.set_timer(REBALANCE_INTERVAL, LOOK);
+            if !std::mem::replace(&mut self.is_retry_scheduled, true) {
+                peers.set_timer(RETRY_INTERVAL, RETRY_TIMER);
             }
             return;
         };
         self.placed.entry(server).or_default().push(group);
-        if let Some(h) = self.held.get_mut(&id) {
-            (h.attempts, h.tried, h.out) = (h.attempts + 1, Some(server), true);
+        if let Some(h) = self.requests.get_mut(&id) {
+            (h.attempts, h.last_tried, h.is_attempting) = (h.attempts + 1, Some(server), true);
         }
         peers.begin_attempt(id, server, left);
     }
 
-    fn look(&mut self, peers: &mut EmulatedPeers) {
-        self.looks = false;
+    fn retry_waiting(&mut self, peers: &mut EmulatedPeers) {
+        self.is_retry_scheduled = false;
         for id in std::mem::take(&mut self.waiting) {
-            self.try_it(id, peers);
+            self.begin_attempt(id, peers);
         }
     }
 
@@ -209,51 +211,51 @@
         not: Option<ServerId>,
         peers: &EmulatedPeers,
     ) -> Option<ServerId> {
-        if std::mem::replace(&mut self.seen, now) != now {
+        if std::mem::replace(&mut self.placed_at, now) != now {
             self.placed.clear();
         }
-        let truths = self.truth.read().unwrap_or_else(PoisonError::into_inner);
+        let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner);
         let none = Vec::new();
         let priced =
             self.ready.iter().filter(|s| self.ready.len() == 1 || Some(**s) != not).filter_map(|s| {
-                let t = peers.truth(*s, &truths).filter(|t| t.takes && t.capacity > 0.0)?;
+                let t = peers.ground_truth(*s, &truths).filter(|t| t.takes && t.capacity > 0.0)?;
                 let mine = self.placed.get(s).unwrap_or(&none);
                 let holds = group == 0 || mine.contains(&group) || t.groups.binary_search(&group).is_ok();
-                let cost = if holds { ONE } else { ONE + GROUP };
+                let cost = if holds { CONNECTION_COST } else { CONNECTION_COST + NEW_GROUP_COST };
                 let hand = f64::from(t.set_ups) + mine.len() as f64;
-                let coming = hand * (ONE + 0.5 * GROUP) * t.usual;
+                let coming = hand * (CONNECTION_COST + 0.5 * NEW_GROUP_COST) * t.usual;
                 let u = (t.stands + coming + cost * t.usual) / t.capacity + t.pile_s;
                 // A set-up takes a core while it lasts: more at once than there is room for pile up work.
                 let lanes = hand < 1.0 + 4.0 * (1.0 - (t.stands / t.capacity).min(1.0));
                 let stands =
-                    t.before_fall.is_none_or(|left| left >= self.proxies * (mine.len() as f64 + 1.0));
-                let room = u <= if holds { FULL } else { NEW };
+                    t.before_fall.is_none_or(|left| left >= self.balancer_count * (mine.len() as f64 + 1.0));
+                let room = u <= if holds { KNOWN_GROUP_MAX_UTILIZATION } else { NEW_GROUP_MAX_UTILIZATION };
                 (room && lanes && stands).then(|| (cost / (1.0 - u.min(0.98)), *s))
             });
         priced.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|best| best.1)
     }
 
     /// Takes the heaviest connections off nodes that are too full, each balancer its own part.
-    fn relieve(&mut self, peers: &mut EmulatedPeers) {
-        peers.set_timer(RELIEVE_EVERY, RELIEVE);
-        let truths = self.truth.read().unwrap_or_else(PoisonError::into_inner).clone();
+    fn relieve_overloaded(&mut self, peers: &mut EmulatedPeers) {
+        peers.set_timer(RELIEVE_INTERVAL, RELIEVE_TIMER);
+        let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner).clone();
         let mut moves = Vec::new();
         for server in &self.ready {
-            let Some(t) = peers.truth(*server, &truths).filter(|t| t.takes && t.capacity > 0.0) else {
+            let Some(t) = peers.ground_truth(*server, &truths).filter(|t| t.takes && t.capacity > 0.0) else {
                 continue;
             };
             let rho = t.stands / t.capacity;
-            if rho <= TOO_FULL {
+            if rho <= RELIEF_THRESHOLD {
                 continue;
             }
             let mut on: Vec<(f64, RequestId)> = self
-                .held
+                .requests
                 .iter()
-                .filter(|(_, h)| h.on == Some(*server))
+                .filter(|(_, h)| h.server == Some(*server))
                 .map(|(id, h)| (if h.load > 0.0 { h.load } else { t.usual }, *id))
                 .collect();
             on.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-            let mut due = on.iter().map(|c| c.0).sum::<f64>() * (1.0 - RELIEVED / rho);
+            let mut due = on.iter().map(|c| c.0).sum::<f64>() * (1.0 - RELIEF_TARGET / rho);
             for (load, id) in on {
                 if due <= 0.0 {
                     break;
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -1,7 +1,7 @@
 //! The peers of an emulated balancer: what the real program does on sockets with clients, servers and discovery,
 //! done with the words of the emulator's edge. Time limits are the real program's; decisions are none of them.
 
-mod leaving;
+mod drain;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -12,91 +12,91 @@
 use shorewharf_emulator::virtual_time::GroundTruth;
 use shorewharf_units::Micros;
 
-use super::places::NodeDirectory;
+use super::node_directory::NodeDirectory;
 
 /// A line that goes unanswered for so long shows a dead connection, as in the real program.
-const SILENT: Micros = 1_500_000;
+const REPLY_TIMEOUT: Micros = 1_500_000;
 /// How often the real program looks for silent connections and takes the steps of its planned end.
-const SWEEP: Micros = 100_000;
+const SWEEP_INTERVAL: Micros = 100_000;
 /// A probe may take so long.
-const PROBE: Micros = 500_000;
+const PROBE_TIMEOUT: Micros = 500_000;
 /// A connection from before the start has this long to stand again; it is tried anew after a pause.
-const CARRY: Micros = 38_000_000;
-const CARRY_PAUSE: Micros = 500_000;
+const CARRY_OVER_TIMEOUT: Micros = 38_000_000;
+const CARRY_OVER_RETRY_DELAY: Micros = 500_000;
 /// A client that has not been answered by then is answered all the same.
-const OVERDUE: Micros = 15_000;
+const OVERDUE_GRACE: Micros = 15_000;
 /// The wait told to clients whom the program refuses by itself.
-const COME_BACK: Micros = 300_000;
+const RETRY_AFTER: Micros = 300_000;
 /// What a timer is for. Those of a fetch carry its link: it may be over when they come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
-    Module(u64),
-    Connect(RequestId, LinkId),
-    Patience(RequestId, LinkId),
-    Silent(RequestId, Micros),
-    Overdue(RequestId),
-    Carry(RequestId),
-    Probe(LinkId),
-    Leave,
+    Driver(u64),
+    ConnectTimeout(RequestId, LinkId),
+    AttemptTimeout(RequestId, LinkId),
+    ReplyTimeout(RequestId, Micros),
+    RequestOverdue(RequestId),
+    RetryCarriedOver(RequestId),
+    ProbeTimeout(LinkId),
+    DrainStep,
 }
 
 /// How far a client's connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionStage {
-    Waiting,
-    Open,
+    Pending,
+    Established,
 }
 
 #[derive(Clone, Debug)]
 struct Session {
     conn: ConnId,
-    at: SessionStage,
+    stage: SessionStage,
     req: ReceivedRequest,
-    home: Option<ServerId>,
-    until: Micros,
+    carried_over_server: Option<ServerId>,
+    deadline: Micros,
     /// A line of the client's has gone unanswered since then.
-    asked: Option<Micros>,
-    fetch: Option<Attempt>,
+    unanswered_since: Option<Micros>,
+    attempt: Option<Attempt>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     link: LinkId,
     server: ServerId,
-    up_line: bool,
-    last: Option<NodeMessage>,
+    is_connected: bool,
+    last_message: Option<NodeMessage>,
 }
 
 /// When a server last said anything, and on which connection; and the same of another connection.
 #[derive(Clone, Copy, Debug)]
 struct ServerActivity {
-    last: (Micros, RequestId),
-    other: Micros,
+    latest: (Micros, RequestId),
+    latest_of_other: Micros,
 }
 
 /// All peers of one life of a balancer.
 #[derive(Debug)]
 pub struct EmulatedPeers {
-    places: NodeDirectory,
+    directory: NodeDirectory,
     connect_timeout: Micros,
     now: Micros,
-    happenings: VecDeque<NetworkEvent>,
+    events: VecDeque<NetworkEvent>,
     timers: BinaryHeap<Reverse<(Micros, u64, TimerEvent)>>,
-    serial: u64,
+    timer_serial: u64,
     /// Numbers of links go on over all lives.
     next_link: u64,
     next_id: u32,
     sessions: HashMap<RequestId, Session>,
-    by_conn: HashMap<ConnId, RequestId>,
-    by_link: HashMap<LinkId, RequestId>,
+    request_by_connection: HashMap<ConnId, RequestId>,
+    request_by_link: HashMap<LinkId, RequestId>,
     probes: HashMap<LinkId, ServerId>,
-    stages: Vec<Option<ServerState>>,
-    heard: Vec<Option<ServerActivity>>,
+    server_states: Vec<Option<ServerState>>,
+    server_activity: Vec<Option<ServerActivity>>,
     watching: bool,
-    leaving: Option<Micros>,
+    draining_since: Option<Micros>,
     exited: bool,
-    did: Vec<FromBalancer>,
-    said: Vec<(Micros, String)>,
+    actions: Vec<FromBalancer>,
+    log_lines: Vec<(Micros, String)>,
 }
 
 impl EmulatedPeers {
@@ -104,25 +104,25 @@
     pub fn new(places: NodeDirectory, connect_timeout: Micros, now: Micros, first_link: u64) -> Self {
         let nodes = places.len();
         EmulatedPeers {
-            places,
+            directory: places,
             connect_timeout,
             now,
-            happenings: VecDeque::new(),
+            events: VecDeque::new(),
             timers: BinaryHeap::new(),
-            serial: 0,
+            timer_serial: 0,
             next_link: first_link,
             next_id: 0,
             sessions: HashMap::new(),
-            by_conn: HashMap::new(),
-            by_link: HashMap::new(),
+            request_by_connection: HashMap::new(),
+            request_by_link: HashMap::new(),
             probes: HashMap::new(),
-            stages: vec![None; nodes],
-            heard: vec![None; nodes],
+            server_states: vec![None; nodes],
+            server_activity: vec![None; nodes],
             watching: false,
-            leaving: None,
+            draining_since: None,
             exited: false,
-            did: Vec::new(),
-            said: Vec::new(),
+            actions: Vec::new(),
+            log_lines: Vec::new(),
         }
     }
 
@@ -132,27 +132,27 @@
     }
 
     /// The earliest timer.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<Micros> {
         self.timers.peek().map(|t| t.0.0)
     }
 
     /// What has been done since the last call.
-    pub fn hand_over(&mut self, out: &mut Vec<FromBalancer>) {
-        out.append(&mut self.did);
+    pub fn take_actions(&mut self, out: &mut Vec<FromBalancer>) {
+        out.append(&mut self.actions);
     }
 
     /// The module's log lines since the last call.
-    pub fn said(&mut self) -> Vec<(Micros, String)> {
-        std::mem::take(&mut self.said)
+    pub fn take_log_lines(&mut self) -> Vec<(Micros, String)> {
+        std::mem::take(&mut self.log_lines)
     }
 
     /// Moves the clock on.
-    pub fn clock(&mut self, now: Micros) {
+    pub fn set_now(&mut self, now: Micros) {
         self.now = now;
     }
 
     /// Does and queues what is due.
-    pub fn due(&mut self) {
+    pub fn fire_due_timers(&mut self) {
         let now = self.now;
         while let Some(&Reverse((when, _, due))) = self.timers.peek() {
             if when > now {
@@ -160,40 +160,40 @@
             }
             self.timers.pop();
             match due {
-                TimerEvent::Module(token) => self.tell(NetworkEvent::TimerFired(token)),
-                TimerEvent::Connect(id, link) => {
-                    if self.fetch_on(id, link).is_some_and(|f| !f.up_line) {
-                        self.fetch_over(id, Outcome::ConnectFailed);
+                TimerEvent::Driver(token) => self.emit(NetworkEvent::TimerFired(token)),
+                TimerEvent::ConnectTimeout(id, link) => {
+                    if self.attempt_on_link(id, link).is_some_and(|f| !f.is_connected) {
+                        self.abort_attempt(id, Outcome::ConnectFailed);
                     }
                 }
-                TimerEvent::Patience(id, link) => self.patience_due(id, link),
-                TimerEvent::Silent(id, since) => self.silent(id, since),
-                TimerEvent::Overdue(id) => self.overdue(id),
-                TimerEvent::Carry(id) => self.carry(id),
-                TimerEvent::Probe(link) => self.probe_over(link, Outcome::TimedOut),
-                TimerEvent::Leave => self.leave(),
+                TimerEvent::AttemptTimeout(id, link) => self.on_attempt_timeout(id, link),
+                TimerEvent::ReplyTimeout(id, since) => self.on_reply_timeout(id, since),
+                TimerEvent::RequestOverdue(id) => self.on_request_overdue(id),
+                TimerEvent::RetryCarriedOver(id) => self.retry_carried_over(id),
+                TimerEvent::ProbeTimeout(link) => self.end_probe(link, Outcome::TimedOut),
+                TimerEvent::DrainStep => self.advance_drain(),
             }
         }
     }
 
     /// The true state of a server's node, for policies that may see it.
-    pub fn truth<'a>(&self, server: ServerId, truths: &'a [GroundTruth]) -> Option<&'a GroundTruth> {
-        truths.get(self.places.node(server)?.0 as usize)
+    pub fn ground_truth<'a>(&self, server: ServerId, truths: &'a [GroundTruth]) -> Option<&'a GroundTruth> {
+        truths.get(self.directory.node(server)?.0 as usize)
     }
 
     /// Takes in one thing that came; starts and kills are the caller's.
-    pub fn take(&mut self, came: &ToBalancer) {
+    pub fn handle(&mut self, came: &ToBalancer) {
         match came {
-            ToBalancer::Asked { ask, left } => self.asked(ask, *left),
-            ToBalancer::ClientLine(conn) => self.client_line(*conn),
-            ToBalancer::ClientEnded(conn, _) => self.client_ended(*conn),
-            ToBalancer::LinkUp(link) => self.link_up(*link),
-            ToBalancer::LinkFailed(link) => self.link_failed(*link),
-            ToBalancer::NodeSays(link, word) => self.node_says(*link, *word),
-            ToBalancer::NodeEnded(link, end) => self.node_ended(*link, *end),
+            ToBalancer::Asked { ask, left } => self.on_request(ask, *left),
+            ToBalancer::ClientLine(conn) => self.on_client_line(*conn),
+            ToBalancer::ClientEnded(conn, _) => self.on_client_closed(*conn),
+            ToBalancer::LinkUp(link) => self.on_link_up(*link),
+            ToBalancer::LinkFailed(link) => self.on_link_failed(*link),
+            ToBalancer::NodeSays(link, word) => self.on_node_message(*link, *word),
+            ToBalancer::NodeEnded(link, end) => self.on_node_closed(*link, *end),
             ToBalancer::List { full, entries } => {
-                let entries = self.listed(*full, entries);
-                self.tell(NetworkEvent::EndpointListReceived {
+                let entries = self.update_endpoints(*full, entries);
+                self.emit(NetworkEvent::EndpointListReceived {
                     is_complete: *full,
                     is_cached: false,
                     entries,
@@ -201,48 +201,48 @@
             }
             ToBalancer::ListFailed => {
                 self.watching = false;
-                self.tell(NetworkEvent::DiscoveryFailed);
+                self.emit(NetworkEvent::DiscoveryFailed);
             }
             // Guards against an old list: the watch at the address before may live on and tell nothing.
             ToBalancer::Reload { moved: true } if self.watching => {
-                self.did.extend([FromBalancer::Unwatch, FromBalancer::Watch]);
+                self.actions.extend([FromBalancer::Unwatch, FromBalancer::Watch]);
             }
-            ToBalancer::Terminate if self.leaving.is_none() => {
-                self.leaving = Some(self.now);
-                self.at(self.now + SWEEP, TimerEvent::Leave);
+            ToBalancer::Terminate if self.draining_since.is_none() => {
+                self.draining_since = Some(self.now);
+                self.schedule(self.now + SWEEP_INTERVAL, TimerEvent::DrainStep);
             }
             _ => {}
         }
     }
 
     /// Takes entries into the table of stages; what the module is told of them.
-    pub fn listed(&mut self, full: bool, entries: &[Listed]) -> Vec<ServerEntry> {
+    pub fn update_endpoints(&mut self, full: bool, entries: &[Listed]) -> Vec<ServerEntry> {
         if full {
-            self.stages.iter_mut().flatten().for_each(|s| *s = ServerState::Removed);
+            self.server_states.iter_mut().flatten().for_each(|s| *s = ServerState::Removed);
         }
         let mut told = Vec::with_capacity(entries.len());
         for e in entries {
-            let entry = self.places.entry(e);
-            self.stages[e.node.0 as usize] = Some(entry.state);
+            let entry = self.directory.entry(e);
+            self.server_states[e.node.0 as usize] = Some(entry.state);
             told.push(entry);
         }
         told
     }
 
-    pub(super) fn tell(&mut self, happening: NetworkEvent) {
-        self.happenings.push_back(happening);
+    pub(super) fn emit(&mut self, event: NetworkEvent) {
+        self.events.push_back(event);
     }
 
-    fn at(&mut self, when: Micros, due: TimerEvent) {
-        self.serial += 1;
-        self.timers.push(Reverse((when, self.serial, due)));
+    fn schedule(&mut self, when: Micros, due: TimerEvent) {
+        self.timer_serial += 1;
+        self.timers.push(Reverse((when, self.timer_serial, due)));
     }
 
-    fn fetch_on(&self, id: RequestId, link: LinkId) -> Option<Attempt> {
-        self.sessions.get(&id).and_then(|s| s.fetch).filter(|f| f.link == link)
+    fn attempt_on_link(&self, id: RequestId, link: LinkId) -> Option<Attempt> {
+        self.sessions.get(&id).and_then(|s| s.attempt).filter(|f| f.link == link)
     }
 
-    fn asked(&mut self, ask: &RequestLine, left: Micros) {
+    fn on_request(&mut self, ask: &RequestLine, left: Micros) {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
         let req = ReceivedRequest {
@@ -250,333 +250,352 @@
             class: ask.class as usize,
             tenant: ask.tenant as usize,
             key: ask.key,
-            deadline: self.places.clock(self.now + left),
+            deadline: self.directory.to_module_clock(self.now + left),
             load: ask.hint,
             group: ask.group,
             is_returning: ask.retry || ask.again,
         };
-        if self.leaving.is_some() {
-            return self.did.push(FromBalancer::Answer(ask.conn, Answer::Busy(leaving::LEAVE_AFTER)));
+        if self.draining_since.is_some() {
+            return self
+                .actions
+                .push(FromBalancer::Answer(ask.conn, Answer::Busy(drain::DRAIN_MIGRATE_AFTER)));
         }
-        let home = ask.home.map(|n| self.places.server(n));
-        let until = self.now + if home.is_some() { CARRY } else { left };
-        let session =
-            Session { conn: ask.conn, at: SessionStage::Waiting, req, home, until, asked: None, fetch: None };
+        let home = ask.home.map(|n| self.directory.server(n));
+        let until = self.now + if home.is_some() { CARRY_OVER_TIMEOUT } else { left };
+        let session = Session {
+            conn: ask.conn,
+            stage: SessionStage::Pending,
+            req,
+            carried_over_server: home,
+            deadline: until,
+            unanswered_since: None,
+            attempt: None,
+        };
         self.sessions.insert(id, session);
-        self.by_conn.insert(ask.conn, id);
-        self.at(until + OVERDUE, TimerEvent::Overdue(id));
+        self.request_by_connection.insert(ask.conn, id);
+        self.schedule(until + OVERDUE_GRACE, TimerEvent::RequestOverdue(id));
         match home {
-            Some(server) => self.fetch_begins(id, server, CARRY),
-            None => self.tell(NetworkEvent::RequestReceived(req)),
+            Some(server) => self.open_attempt(id, server, CARRY_OVER_TIMEOUT),
+            None => self.emit(NetworkEvent::RequestReceived(req)),
         }
     }
 
-    fn fetch_begins(&mut self, id: RequestId, server: ServerId, patience: Micros) {
-        let Some(s) = self.sessions.get(&id).filter(|s| s.at == SessionStage::Waiting && s.fetch.is_none())
+    fn open_attempt(&mut self, id: RequestId, server: ServerId, patience: Micros) {
+        let Some(s) =
+            self.sessions.get(&id).filter(|s| s.stage == SessionStage::Pending && s.attempt.is_none())
         else {
             return;
         };
-        let home = s.home == Some(server);
+        let home = s.carried_over_server == Some(server);
         let conn = s.conn;
-        let node = self.places.node(server).filter(|n| {
-            let stage = self.stages[n.0 as usize];
+        let node = self.directory.node(server).filter(|n| {
+            let stage = self.server_states[n.0 as usize];
             // A standing connection's own server is asked for even while it drains.
             stage == Some(ServerState::Ready) || (home && stage.is_some())
         });
-        let Some(node) = node else { return self.fetch_ended(id, Outcome::NotSent) };
+        let Some(node) = node else { return self.report_attempt_end(id, Outcome::NotSent) };
         let link = LinkId(self.next_link);
         self.next_link += 1;
         let until = self.now + patience;
         if let Some(s) = self.sessions.get_mut(&id) {
-            s.fetch = Some(Attempt { link, server, up_line: false, last: None });
+            s.attempt = Some(Attempt { link, server, is_connected: false, last_message: None });
         }
-        self.by_link.insert(link, id);
-        self.did.push(FromBalancer::Link { link, node, conn: Some(conn) });
-        self.did.push(FromBalancer::Forward { link, patience });
+        self.request_by_link.insert(link, id);
+        self.actions.push(FromBalancer::Link { link, node, conn: Some(conn) });
+        self.actions.push(FromBalancer::Forward { link, patience });
         // A client that leaves less time than a connect may take must not get its server locked.
         if self.connect_timeout <= patience {
-            self.at(self.now + self.connect_timeout, TimerEvent::Connect(id, link));
+            self.schedule(self.now + self.connect_timeout, TimerEvent::ConnectTimeout(id, link));
         }
-        self.at(until, TimerEvent::Patience(id, link));
+        self.schedule(until, TimerEvent::AttemptTimeout(id, link));
     }
 
-    fn fetch_ended(&mut self, id: RequestId, outcome: Outcome) {
+    fn report_attempt_end(&mut self, id: RequestId, outcome: Outcome) {
         let Some(s) = self.sessions.get(&id) else {
-            return self.tell(NetworkEvent::AttemptEnded(id, outcome));
+            return self.emit(NetworkEvent::AttemptEnded(id, outcome));
         };
-        if s.home.is_some() && s.at == SessionStage::Waiting {
+        if s.carried_over_server.is_some() && s.stage == SessionStage::Pending {
             // Not told of: the module does not know it yet. Tried again while that is harmless.
             if outcome.never_ran() {
-                self.at(self.now + CARRY_PAUSE, TimerEvent::Carry(id));
+                self.schedule(self.now + CARRY_OVER_RETRY_DELAY, TimerEvent::RetryCarriedOver(id));
             } else {
-                self.answer(id, Answer::Err);
+                self.answer_and_forget(id, Answer::Err);
             }
         } else {
-            self.tell(NetworkEvent::AttemptEnded(id, outcome));
+            self.emit(NetworkEvent::AttemptEnded(id, outcome));
         }
     }
 
-    fn carry(&mut self, id: RequestId) {
-        let due = |s: &&Session| s.at == SessionStage::Waiting && s.fetch.is_none() && self.now < s.until;
-        let home = self.sessions.get(&id).filter(due).and_then(|s| s.home.map(|h| (h, s.until)));
+    fn retry_carried_over(&mut self, id: RequestId) {
+        let due =
+            |s: &&Session| s.stage == SessionStage::Pending && s.attempt.is_none() && self.now < s.deadline;
+        let home =
+            self.sessions.get(&id).filter(due).and_then(|s| s.carried_over_server.map(|h| (h, s.deadline)));
         if let Some((server, until)) = home {
-            self.fetch_begins(id, server, until - self.now);
+            self.open_attempt(id, server, until - self.now);
         }
     }
 
     /// Ends the fetch that is out, on the network and for the module.
-    fn fetch_over(&mut self, id: RequestId, outcome: Outcome) {
-        if let Some(f) = self.drop_fetch(id) {
-            self.did.push(FromBalancer::EndLink(f.link, End::Fin));
-            self.fetch_ended(id, outcome);
+    fn abort_attempt(&mut self, id: RequestId, outcome: Outcome) {
+        if let Some(f) = self.take_attempt(id) {
+            self.actions.push(FromBalancer::EndLink(f.link, End::Fin));
+            self.report_attempt_end(id, outcome);
         }
     }
 
     /// The fetch has ended by itself.
-    fn fetch_broke(&mut self, id: RequestId, outcome: Outcome) {
-        if self.drop_fetch(id).is_some() {
-            self.fetch_ended(id, outcome);
+    fn on_attempt_broken(&mut self, id: RequestId, outcome: Outcome) {
+        if self.take_attempt(id).is_some() {
+            self.report_attempt_end(id, outcome);
         }
     }
 
-    fn drop_fetch(&mut self, id: RequestId) -> Option<Attempt> {
-        let f = self.sessions.get_mut(&id).and_then(|s| s.fetch.take())?;
-        self.by_link.remove(&f.link);
+    fn take_attempt(&mut self, id: RequestId) -> Option<Attempt> {
+        let f = self.sessions.get_mut(&id).and_then(|s| s.attempt.take())?;
+        self.request_by_link.remove(&f.link);
         Some(f)
     }
 
-    fn patience_due(&mut self, id: RequestId, link: LinkId) {
-        let Some(f) = self.fetch_on(id, link) else { return };
-        match self.sessions.get(&id).map(|s| s.at) {
-            Some(SessionStage::Waiting) if f.up_line => self.fetch_over(id, Outcome::TimedOut),
-            Some(SessionStage::Waiting) => self.fetch_over(id, Outcome::NotSent),
+    fn on_attempt_timeout(&mut self, id: RequestId, link: LinkId) {
+        let Some(f) = self.attempt_on_link(id, link) else { return };
+        match self.sessions.get(&id).map(|s| s.stage) {
+            Some(SessionStage::Pending) if f.is_connected => self.abort_attempt(id, Outcome::TimedOut),
+            Some(SessionStage::Pending) => self.abort_attempt(id, Outcome::NotSent),
             _ => {}
         }
     }
 
-    fn link_up(&mut self, link: LinkId) {
-        let Some(id) = self.by_link.get(&link) else { return };
-        if let Some(f) = self.sessions.get_mut(id).and_then(|s| s.fetch.as_mut()) {
-            f.up_line = true;
+    fn on_link_up(&mut self, link: LinkId) {
+        let Some(id) = self.request_by_link.get(&link) else { return };
+        if let Some(f) = self.sessions.get_mut(id).and_then(|s| s.attempt.as_mut()) {
+            f.is_connected = true;
         }
     }
 
-    fn link_failed(&mut self, link: LinkId) {
+    fn on_link_failed(&mut self, link: LinkId) {
         if self.probes.contains_key(&link) {
-            return self.probe_over(link, Outcome::ConnectFailed);
+            return self.end_probe(link, Outcome::ConnectFailed);
         }
-        if let Some(&id) = self.by_link.get(&link) {
-            self.fetch_broke(id, Outcome::ConnectFailed);
+        if let Some(&id) = self.request_by_link.get(&link) {
+            self.on_attempt_broken(id, Outcome::ConnectFailed);
         }
     }
 
-    fn node_says(&mut self, link: LinkId, word: NodeMessage) {
+    fn on_node_message(&mut self, link: LinkId, word: NodeMessage) {
         if self.probes.contains_key(&link) {
             let outcome = if word == NodeMessage::Pong { Outcome::Ok } else { Outcome::Error };
-            return self.probe_over(link, outcome);
+            return self.end_probe(link, outcome);
         }
-        let Some(&id) = self.by_link.get(&link) else { return };
+        let Some(&id) = self.request_by_link.get(&link) else { return };
         let now = self.now;
         let Some(s) = self.sessions.get_mut(&id) else { return };
-        let Some(f) = s.fetch.as_mut() else { return };
-        f.up_line = true;
-        f.last = Some(word);
+        let Some(f) = s.attempt.as_mut() else { return };
+        f.is_connected = true;
+        f.last_message = Some(word);
         let server = f.server;
-        if s.at == SessionStage::Open {
+        if s.stage == SessionStage::Established {
             match word {
-                NodeMessage::Load(load) => self.tell(NetworkEvent::LoadReported(id, load / 1e6)),
+                NodeMessage::Load(load) => self.emit(NetworkEvent::LoadReported(id, load / 1e6)),
                 NodeMessage::Delay(ms) => {
-                    self.tell(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros))
+                    self.emit(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros))
                 }
                 NodeMessage::Bye | NodeMessage::Move => {}
-                _ => s.asked = None,
+                _ => s.unanswered_since = None,
             }
-            return self.hear(server, now, id);
+            return self.record_activity(server, now, id);
         }
         let outcome = match word {
-            NodeMessage::Up => return self.up(id, server, link),
+            NodeMessage::Up => return self.on_established(id, server, link),
             NodeMessage::Busy => Outcome::Rejected,
             NodeMessage::Move => Outcome::Cancelled,
             NodeMessage::Bye => Outcome::Ok,
             _ => Outcome::Error,
         };
-        self.fetch_over(id, outcome);
+        self.abort_attempt(id, outcome);
         if outcome == Outcome::Ok {
-            self.answer(id, Answer::Err);
+            self.answer_and_forget(id, Answer::Err);
         }
     }
 
-    fn up(&mut self, id: RequestId, server: ServerId, link: LinkId) {
+    fn on_established(&mut self, id: RequestId, server: ServerId, link: LinkId) {
         let Some(s) = self.sessions.get_mut(&id) else { return };
-        s.at = SessionStage::Open;
-        let (conn, req, carried) = (s.conn, s.req, s.home.is_some());
-        self.hear(server, self.now, id);
-        self.did.push(FromBalancer::Answer(conn, Answer::Up(link)));
-        self.tell(if carried {
+        s.stage = SessionStage::Established;
+        let (conn, req, carried) = (s.conn, s.req, s.carried_over_server.is_some());
+        self.record_activity(server, self.now, id);
+        self.actions.push(FromBalancer::Answer(conn, Answer::Up(link)));
+        self.emit(if carried {
             NetworkEvent::ConnectionRestored(req, server)
         } else {
             NetworkEvent::AttemptEstablished(id)
         });
     }
 
-    fn hear(&mut self, server: ServerId, now: Micros, id: RequestId) {
-        let Some(node) = self.places.node(server) else { return };
-        let h = &mut self.heard[node.0 as usize];
+    fn record_activity(&mut self, server: ServerId, now: Micros, id: RequestId) {
+        let Some(node) = self.directory.node(server) else { return };
+        let h = &mut self.server_activity[node.0 as usize];
         *h = Some(match *h {
-            Some(ServerActivity { last, other }) if last.1 == id => ServerActivity { last: (now, id), other },
-            Some(ServerActivity { last, .. }) => ServerActivity { last: (now, id), other: last.0 },
-            None => ServerActivity { last: (now, id), other: 0 },
+            Some(ServerActivity { latest: last, latest_of_other: other }) if last.1 == id => {
+                ServerActivity { latest: (now, id), latest_of_other: other }
+            }
+            Some(ServerActivity { latest: last, .. }) => {
+                ServerActivity { latest: (now, id), latest_of_other: last.0 }
+            }
+            None => ServerActivity { latest: (now, id), latest_of_other: 0 },
         });
     }
 
     /// Whether a server has said anything to another connection since then.
-    fn server_lives(&self, server: ServerId, id: RequestId, since: Micros) -> bool {
-        let heard = self.places.node(server).and_then(|n| self.heard[n.0 as usize]);
-        heard.is_some_and(|h| (if h.last.1 == id { h.other } else { h.last.0 }) > since)
+    fn is_server_active_since(&self, server: ServerId, id: RequestId, since: Micros) -> bool {
+        let heard = self.directory.node(server).and_then(|n| self.server_activity[n.0 as usize]);
+        heard.is_some_and(|h| (if h.latest.1 == id { h.latest_of_other } else { h.latest.0 }) > since)
     }
 
-    fn node_ended(&mut self, link: LinkId, end: End) {
+    fn on_node_closed(&mut self, link: LinkId, end: End) {
         if self.probes.contains_key(&link) {
-            return self.probe_over(link, Outcome::Reset);
+            return self.end_probe(link, Outcome::Reset);
         }
-        let Some(&id) = self.by_link.get(&link) else { return };
+        let Some(&id) = self.request_by_link.get(&link) else { return };
         let Some(s) = self.sessions.get(&id) else { return };
-        let (conn, at) = (s.conn, s.at);
-        let last = s.fetch.and_then(|f| f.last);
-        if at == SessionStage::Waiting {
-            return self.fetch_broke(id, Outcome::Reset);
+        let (conn, at) = (s.conn, s.stage);
+        let last = s.attempt.and_then(|f| f.last_message);
+        if at == SessionStage::Pending {
+            return self.on_attempt_broken(id, Outcome::Reset);
         }
         let outcome = match last {
             Some(NodeMessage::Bye) => Outcome::Ok,
             Some(NodeMessage::Move) => Outcome::Cancelled,
             // Servers close on what they can't read: an end in good order with a line unanswered is no drop.
-            _ if end == End::Fin && s.asked.is_some() => Outcome::Cancelled,
+            _ if end == End::Fin && s.unanswered_since.is_some() => Outcome::Cancelled,
             _ => Outcome::Reset,
         };
-        self.fetch_broke(id, outcome);
-        self.did.push(FromBalancer::EndClient(conn, end));
-        self.forget(id);
+        self.on_attempt_broken(id, outcome);
+        self.actions.push(FromBalancer::EndClient(conn, end));
+        self.remove_session(id);
     }
 
-    fn client_line(&mut self, conn: ConnId) {
+    fn on_client_line(&mut self, conn: ConnId) {
         let now = self.now;
-        let Some(&id) = self.by_conn.get(&conn) else { return };
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.at == SessionStage::Open && s.asked.is_none())
+        let Some(&id) = self.request_by_connection.get(&conn) else { return };
+        let Some(s) = self
+            .sessions
+            .get_mut(&id)
+            .filter(|s| s.stage == SessionStage::Established && s.unanswered_since.is_none())
         else {
             return;
         };
-        s.asked = Some(now);
+        s.unanswered_since = Some(now);
         // Silence is looked for by the sweep, which may be a part of its period away.
-        let due = (now + SILENT).div_ceil(SWEEP) * SWEEP;
-        self.at(due, TimerEvent::Silent(id, now));
+        let due = (now + REPLY_TIMEOUT).div_ceil(SWEEP_INTERVAL) * SWEEP_INTERVAL;
+        self.schedule(due, TimerEvent::ReplyTimeout(id, now));
     }
 
     /// The server answers nothing: its client is moved. One that has answered others meanwhile is not blamed.
-    fn silent(&mut self, id: RequestId, since: Micros) {
-        let Some(s) = self.sessions.get(&id).filter(|s| s.asked == Some(since)) else { return };
-        let Some(f) = s.fetch else { return };
-        let lives = self.server_lives(f.server, id, since);
-        self.fetch_over(id, if lives { Outcome::Cancelled } else { Outcome::Reset });
-        self.answer(id, Answer::Move);
-    }
-
-    fn client_ended(&mut self, conn: ConnId) {
-        let Some(&id) = self.by_conn.get(&conn) else { return };
-        if self.sessions.get(&id).is_some_and(|s| s.at == SessionStage::Waiting) {
-            self.tell(NetworkEvent::ClientLeft(id));
+    fn on_reply_timeout(&mut self, id: RequestId, since: Micros) {
+        let Some(s) = self.sessions.get(&id).filter(|s| s.unanswered_since == Some(since)) else { return };
+        let Some(f) = s.attempt else { return };
+        let lives = self.is_server_active_since(f.server, id, since);
+        self.abort_attempt(id, if lives { Outcome::Cancelled } else { Outcome::Reset });
+        self.answer_and_forget(id, Answer::Move);
+    }
+
+    fn on_client_closed(&mut self, conn: ConnId) {
+        let Some(&id) = self.request_by_connection.get(&conn) else { return };
+        if self.sessions.get(&id).is_some_and(|s| s.stage == SessionStage::Pending) {
+            self.emit(NetworkEvent::ClientLeft(id));
         }
-        self.fetch_over(id, Outcome::Cancelled);
-        self.forget(id);
+        self.abort_attempt(id, Outcome::Cancelled);
+        self.remove_session(id);
     }
 
-    fn overdue(&mut self, id: RequestId) {
-        if self.sessions.get(&id).is_some_and(|s| s.at == SessionStage::Waiting) {
-            self.tell(NetworkEvent::ClientLeft(id));
-            self.fetch_over(id, Outcome::TimedOut);
-            self.answer(id, Answer::Busy(COME_BACK));
+    fn on_request_overdue(&mut self, id: RequestId) {
+        if self.sessions.get(&id).is_some_and(|s| s.stage == SessionStage::Pending) {
+            self.emit(NetworkEvent::ClientLeft(id));
+            self.abort_attempt(id, Outcome::TimedOut);
+            self.answer_and_forget(id, Answer::Busy(RETRY_AFTER));
         }
     }
 
     /// Says the last words of a session and forgets it.
-    fn answer(&mut self, id: RequestId, answer: Answer) {
+    fn answer_and_forget(&mut self, id: RequestId, answer: Answer) {
         if let Some(conn) = self.sessions.get(&id).map(|s| s.conn) {
-            self.did.push(FromBalancer::Answer(conn, answer));
-            self.forget(id);
+            self.actions.push(FromBalancer::Answer(conn, answer));
+            self.remove_session(id);
         }
     }
 
-    fn forget(&mut self, id: RequestId) {
+    fn remove_session(&mut self, id: RequestId) {
         if let Some(s) = self.sessions.remove(&id) {
-            self.by_conn.remove(&s.conn);
-            if let Some(f) = s.fetch {
-                self.by_link.remove(&f.link);
+            self.request_by_connection.remove(&s.conn);
+            if let Some(f) = s.attempt {
+                self.request_by_link.remove(&f.link);
             }
         }
     }
 
-    fn probe_over(&mut self, link: LinkId, outcome: Outcome) {
+    fn end_probe(&mut self, link: LinkId, outcome: Outcome) {
         if let Some(server) = self.probes.remove(&link) {
-            self.did.push(FromBalancer::EndLink(link, End::Fin));
-            self.tell(NetworkEvent::ProbeEnded(server, outcome));
+            self.actions.push(FromBalancer::EndLink(link, End::Fin));
+            self.emit(NetworkEvent::ProbeEnded(server, outcome));
         }
     }
 }
 
 impl Effects for EmulatedPeers {
     fn now(&self) -> Micros {
-        self.places.clock(self.now)
+        self.directory.to_module_clock(self.now)
     }
 
     fn next_event(&mut self) -> Option<NetworkEvent> {
-        self.happenings.pop_front()
+        self.events.pop_front()
     }
 
     fn begin_attempt(&mut self, req: RequestId, server: ServerId, patience: Micros) {
-        self.fetch_begins(req, server, patience);
+        self.open_attempt(req, server, patience);
     }
 
     fn cancel_attempt(&mut self, req: RequestId) {
-        self.fetch_over(req, Outcome::Cancelled);
+        self.abort_attempt(req, Outcome::Cancelled);
     }
 
     fn reject(&mut self, req: RequestId, after: Micros) {
-        self.answer(req, Answer::Busy(after));
+        self.answer_and_forget(req, Answer::Busy(after));
     }
 
     fn fail(&mut self, req: RequestId) {
-        self.answer(req, Answer::Err);
+        self.answer_and_forget(req, Answer::Err);
     }
 
     fn migrate(&mut self, req: RequestId) {
-        if self.sessions.get(&req).is_some_and(|s| s.at == SessionStage::Open) {
-            self.fetch_over(req, Outcome::Cancelled);
-            self.answer(req, Answer::Move);
+        if self.sessions.get(&req).is_some_and(|s| s.stage == SessionStage::Established) {
+            self.abort_attempt(req, Outcome::Cancelled);
+            self.answer_and_forget(req, Answer::Move);
         }
     }
 
     fn probe(&mut self, server: ServerId) {
-        let Some(node) = self.places.node(server) else {
-            return self.tell(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
+        let Some(node) = self.directory.node(server) else {
+            return self.emit(NetworkEvent::ProbeEnded(server, Outcome::ConnectFailed));
         };
         let link = LinkId(self.next_link);
         self.next_link += 1;
         self.probes.insert(link, server);
-        self.did.push(FromBalancer::Link { link, node, conn: None });
-        self.did.push(FromBalancer::Probe(link));
-        self.at(self.now + PROBE, TimerEvent::Probe(link));
+        self.actions.push(FromBalancer::Link { link, node, conn: None });
+        self.actions.push(FromBalancer::Probe(link));
+        self.schedule(self.now + PROBE_TIMEOUT, TimerEvent::ProbeTimeout(link));
     }
 
     fn watch_endpoints(&mut self) {
         if !std::mem::replace(&mut self.watching, true) {
-            self.did.push(FromBalancer::Watch);
+            self.actions.push(FromBalancer::Watch);
         }
     }
 
     fn set_timer(&mut self, after: Micros, token: u64) {
-        self.at(self.now + after.max(1), TimerEvent::Module(token));
+        self.schedule(self.now + after.max(1), TimerEvent::Driver(token));
     }
 
     fn log(&mut self, line: &str) {
-        self.said.push((self.now, line.to_owned()));
+        self.log_lines.push((self.now, line.to_owned()));
     }
 }
--- a/crates/lab/src/instances/peers/leaving.rs
+++ b/crates/lab/src/instances/peers/drain.rs
@@ -6,48 +6,48 @@
 use shorewharf_emulator::edge::{Answer, FromBalancer};
 use shorewharf_units::Micros;
 
-use super::{COME_BACK, EmulatedPeers, SWEEP, SessionStage, TimerEvent};
+use super::{EmulatedPeers, RETRY_AFTER, SWEEP_INTERVAL, SessionStage, TimerEvent};
 
 /// After SIGTERM the front still sends clients for 0.4 s; moved any sooner, they would come back here.
-pub(super) const LEAVE_AFTER: Micros = 450_000;
+pub(super) const DRAIN_MIGRATE_AFTER: Micros = 450_000;
 /// SIGKILL comes no sooner than this after the longest wait of a client, which counts as 3 s where it is longer.
-const GRACE: Micros = 700_000;
-const GRACE_WAIT: Micros = 3_000_000;
+const KILL_GRACE: Micros = 700_000;
+const MAX_CLIENT_WAIT: Micros = 3_000_000;
 
 impl EmulatedPeers {
     /// The steps of a planned end: accept and answer, move everybody, refuse who still waits, go.
-    pub(super) fn leave(&mut self) {
-        let Some(from) = self.leaving else { return };
+    pub(super) fn advance_drain(&mut self) {
+        let Some(from) = self.draining_since else { return };
         let since = self.now - from;
-        let longest = self.places.longest_wait().min(GRACE_WAIT) + GRACE;
+        let longest = self.directory.longest_wait().min(MAX_CLIENT_WAIT) + KILL_GRACE;
         // Clients have 0.5 s for their last words after the last move, and 0.3 s are left for a busy machine.
         let move_until = longest.saturating_sub(800_000);
-        let move_from = move_until.saturating_sub(900_000).max(LEAVE_AFTER);
+        let move_from = move_until.saturating_sub(900_000).max(DRAIN_MIGRATE_AFTER);
         let (answers, last) = (move_until.saturating_sub(500_000), longest - 300_000);
-        let move_until = move_until.max(LEAVE_AFTER + SWEEP);
+        let move_until = move_until.max(DRAIN_MIGRATE_AFTER + SWEEP_INTERVAL);
         let mut ids: Vec<(RequestId, SessionStage)> =
-            self.sessions.iter().map(|(id, s)| (*id, s.at)).collect();
+            self.sessions.iter().map(|(id, s)| (*id, s.stage)).collect();
         ids.sort_unstable_by_key(|(id, _)| *id);
         if since >= answers {
-            for &(id, _) in ids.iter().filter(|(_, at)| *at == SessionStage::Waiting) {
-                self.tell(NetworkEvent::ClientLeft(id));
-                self.fetch_over(id, Outcome::Cancelled);
-                self.answer(id, Answer::Busy(COME_BACK));
+            for &(id, _) in ids.iter().filter(|(_, at)| *at == SessionStage::Pending) {
+                self.emit(NetworkEvent::ClientLeft(id));
+                self.abort_attempt(id, Outcome::Cancelled);
+                self.answer_and_forget(id, Answer::Busy(RETRY_AFTER));
             }
         }
         if since >= move_from {
             let open: Vec<RequestId> =
-                ids.iter().filter(|(_, at)| *at == SessionStage::Open).map(|(id, _)| *id).collect();
-            let parts = move_until.saturating_sub(since) / SWEEP;
+                ids.iter().filter(|(_, at)| *at == SessionStage::Established).map(|(id, _)| *id).collect();
+            let parts = move_until.saturating_sub(since) / SWEEP_INTERVAL;
             let n = open.len().div_ceil(parts as usize + 1);
             open.into_iter().take(n).for_each(|id| self.migrate(id));
         }
-        if since >= last || (since >= LEAVE_AFTER + SWEEP && self.sessions.is_empty()) {
+        if since >= last || (since >= DRAIN_MIGRATE_AFTER + SWEEP_INTERVAL && self.sessions.is_empty()) {
             if !std::mem::replace(&mut self.exited, true) {
-                self.did.push(FromBalancer::Exited);
+                self.actions.push(FromBalancer::Exited);
             }
             return;
         }
-        self.at(self.now + SWEEP, TimerEvent::Leave);
+        self.schedule(self.now + SWEEP_INTERVAL, TimerEvent::DrainStep);
     }
 }
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -13,24 +13,24 @@
 use super::EmulatedPeers;
 
 /// The watch on the list is opened again so long after it broke.
-const WATCH_AGAIN: Micros = 1_000_000;
+const WATCH_RETRY_INTERVAL: Micros = 1_000_000;
 /// With less of its client's time left a request is not tried again.
-const LEAST: Micros = 20_000;
-const WATCH: u64 = 1;
+const MIN_TIME_LEFT: Micros = 20_000;
+const WATCH_TIMER: u64 = 1;
 /// What refused clients are told to wait.
-const COME_BACK: Micros = 500_000;
+const RETRY_AFTER: Micros = 500_000;
 
 /// How a server is picked.
 pub(super) enum Pick {
     Random,
-    Next,
+    RoundRobin,
     /// Fewest of the balancer's own, drawn where several have as few.
     Fewest,
     /// The one with fewer of its own out of two that are drawn.
     TwoChoices,
 }
 
-struct Waiting {
+struct PendingRequest {
     deadline: Micros,
     attempts: u32,
     last: Option<ServerId>,
@@ -43,10 +43,10 @@
     rng: Pcg64Mcg,
     max_attempts: u32,
     ready: BTreeMap<ServerId, ServerState>,
-    next: usize,
-    reqs: HashMap<RequestId, Waiting>,
+    next_index: usize,
+    requests: HashMap<RequestId, PendingRequest>,
     /// Its own attempts and connections.
-    held: BTreeMap<ServerId, u32>,
+    connections: BTreeMap<ServerId, u32>,
 }
 
 impl PlainPolicy {
@@ -62,24 +62,24 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             max_attempts: set.max_attempts,
             ready: BTreeMap::new(),
-            next: 0,
-            reqs: HashMap::new(),
-            held: BTreeMap::new(),
+            next_index: 0,
+            requests: HashMap::new(),
+            connections: BTreeMap::new(),
         };
-        policy.listed(true, &known);
+        policy.update_endpoints(true, &known);
         // Balancers that start together don't go round in step.
-        policy.next = policy.rng.random_range(0..policy.ready.len().max(1));
+        policy.next_index = policy.rng.random_range(0..policy.ready.len().max(1));
         peers.watch_endpoints();
         policy
     }
 
-    pub(super) fn settle(&mut self, peers: &mut EmulatedPeers) {
-        while let Some(happening) = peers.next_event() {
-            self.happened(happening, peers);
+    pub(super) fn process_events(&mut self, peers: &mut EmulatedPeers) {
+        while let Some(event) = peers.next_event() {
+            self.handle_event(event, peers);
         }
     }
 
-    fn listed(&mut self, full: bool, entries: &[ServerEntry]) {
+    fn update_endpoints(&mut self, full: bool, entries: &[ServerEntry]) {
         if full {
             self.ready.clear();
         }
@@ -91,37 +91,39 @@
         }
     }
 
-    fn happened(&mut self, happening: NetworkEvent, peers: &mut EmulatedPeers) {
-        match happening {
+    fn handle_event(&mut self, event: NetworkEvent, peers: &mut EmulatedPeers) {
+        match event {
             NetworkEvent::EndpointListReceived { is_complete, entries, .. } => {
-                self.listed(is_complete, &entries)
+                self.update_endpoints(is_complete, &entries)
             }
-            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_AGAIN, WATCH),
+            NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_RETRY_INTERVAL, WATCH_TIMER),
             NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
-                let waiting = Waiting { deadline: req.deadline, attempts: 0, last: None, stands: false };
-                self.reqs.insert(req.id, waiting);
-                self.try_it(req.id, peers);
+                let waiting =
+                    PendingRequest { deadline: req.deadline, attempts: 0, last: None, stands: false };
+                self.requests.insert(req.id, waiting);
+                self.begin_attempt(req.id, peers);
             }
             NetworkEvent::ConnectionRestored(req, server) => {
-                let waiting = Waiting { deadline: 0, attempts: 1, last: Some(server), stands: true };
-                self.reqs.insert(req.id, waiting);
-                *self.held.entry(server).or_default() += 1;
+                let waiting = PendingRequest { deadline: 0, attempts: 1, last: Some(server), stands: true };
+                self.requests.insert(req.id, waiting);
+                *self.connections.entry(server).or_default() += 1;
             }
             NetworkEvent::AttemptEstablished(id) => {
-                self.reqs.entry(id).and_modify(|w| w.stands = true);
+                self.requests.entry(id).and_modify(|w| w.stands = true);
             }
             NetworkEvent::ClientLeft(id) => {
-                let on = self.reqs.remove(&id).and_then(|w| w.last);
-                self.no_longer(on);
+                let on = self.requests.remove(&id).and_then(|w| w.last);
+                self.release(on);
             }
             NetworkEvent::AttemptEnded(id, outcome) => {
-                self.no_longer(self.reqs.get(&id).and_then(|w| w.last));
-                let again = self.reqs.get(&id).is_some_and(|w| !w.stands && outcome != Outcome::Cancelled);
+                self.release(self.requests.get(&id).and_then(|w| w.last));
+                let again =
+                    self.requests.get(&id).is_some_and(|w| !w.stands && outcome != Outcome::Cancelled);
                 if again {
-                    self.try_it(id, peers);
+                    self.begin_attempt(id, peers);
                 } else {
-                    self.reqs.remove(&id);
+                    self.requests.remove(&id);
                 }
             }
             NetworkEvent::LoadReported(..)
@@ -131,25 +133,25 @@
         }
     }
 
-    fn try_it(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
+    fn begin_attempt(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
         let now = peers.now();
-        let Some(w) = self.reqs.get(&id) else { return };
+        let Some(w) = self.requests.get(&id) else { return };
         let (left, last) = (w.deadline.saturating_sub(now), w.last);
-        let may = w.attempts < self.max_attempts && left > LEAST;
+        let may = w.attempts < self.max_attempts && left > MIN_TIME_LEFT;
         let Some(server) = may.then(|| self.choose(last)).flatten() else {
-            self.reqs.remove(&id);
-            return peers.reject(id, COME_BACK);
+            self.requests.remove(&id);
+            return peers.reject(id, RETRY_AFTER);
         };
-        if let Some(w) = self.reqs.get_mut(&id) {
+        if let Some(w) = self.requests.get_mut(&id) {
             w.attempts += 1;
             w.last = Some(server);
         }
-        *self.held.entry(server).or_default() += 1;
+        *self.connections.entry(server).or_default() += 1;
         peers.begin_attempt(id, server, left);
     }
 
-    fn no_longer(&mut self, server: Option<ServerId>) {
-        if let Some(n) = server.and_then(|s| self.held.get_mut(&s)) {
+    fn release(&mut self, server: Option<ServerId>) {
+        if let Some(n) = server.and_then(|s| self.connections.get_mut(&s)) {
             *n = n.saturating_sub(1);
         }
     }
@@ -166,12 +168,12 @@
                 let mut drawn: Vec<ServerId> = { others }.collect();
                 drawn.shuffle(&mut self.rng);
                 drawn.truncate(if matches!(self.pick, Pick::TwoChoices) { 2 } else { usize::MAX });
-                let held = |s: &ServerId| self.held.get(s).copied().unwrap_or(0);
+                let held = |s: &ServerId| self.connections.get(s).copied().unwrap_or(0);
                 drawn.into_iter().min_by_key(held)
             }
-            Pick::Next => {
-                self.next = (self.next + 1) % n.max(1);
-                let at = self.ready.keys().copied().nth(self.next);
+            Pick::RoundRobin => {
+                self.next_index = (self.next_index + 1) % n.max(1);
+                let at = self.ready.keys().copied().nth(self.next_index);
                 if at.is_some() && at == not { { others }.next() } else { at }
             }
         }
--- a/crates/lab/src/mutants/tracks.rs
+++ b/crates/lab/src/mutants/history.rs
@@ -9,14 +9,14 @@
 #[derive(Debug, Default)]
 pub struct MutantHistory {
     /// The nodes that the list has named, as they were when they were ready.
-    named: BTreeMap<NodeId, Listed>,
+    nodes: BTreeMap<NodeId, Listed>,
     /// Standing connections by link, and links by connection.
     by_link: BTreeMap<LinkId, ConnId>,
     links: BTreeMap<ConnId, LinkId>,
     /// Connections that the fault strikes, and from when on an answer to them is late.
-    struck: BTreeMap<ConnId, Micros>,
+    affected: BTreeMap<ConnId, Micros>,
     /// A node that has just started, and until when it is overrun.
-    fresh: Option<(NodeId, Micros)>,
+    started_node: Option<(NodeId, Micros)>,
 }
 
 impl MutantHistory {
@@ -26,7 +26,7 @@
     }
 
     /// A process begins with this list.
-    pub fn started(&mut self, known: &[Listed]) {
+    pub fn on_start(&mut self, known: &[Listed]) {
         self.clear();
         self.all_ready(false, known);
     }
@@ -35,67 +35,67 @@
     pub fn all_ready(&mut self, full: bool, entries: &[Listed]) -> Vec<Listed> {
         let ready = |e: &Listed| Listed { stage: Stage::Ready, ..*e };
         entries.iter().filter(|e| e.stage != Stage::Gone).for_each(|e| {
-            self.named.insert(e.node, ready(e));
+            self.nodes.insert(e.node, ready(e));
         });
         match full {
-            true => self.named.values().copied().collect(),
+            true => self.nodes.values().copied().collect(),
             false => entries.iter().filter(|e| e.stage != Stage::Gone).map(ready).collect(),
         }
     }
 
     /// Some node that the list has named.
     pub fn some_node(&self, conn: ConnId) -> NodeId {
-        let place = conn.0 as usize % self.named.len().max(1);
-        self.named.keys().nth(place).copied().unwrap_or(NodeId(0))
+        let place = conn.0 as usize % self.nodes.len().max(1);
+        self.nodes.keys().nth(place).copied().unwrap_or(NodeId(0))
     }
 
     /// Another node that the list has named.
     pub fn other_than(&self, node: NodeId) -> NodeId {
-        self.named.keys().copied().find(|n| *n != node).unwrap_or(node)
+        self.nodes.keys().copied().find(|n| *n != node).unwrap_or(node)
     }
 
     /// Looks for nodes that have just started.
-    pub fn starts(&mut self, until: Micros, entries: &[Listed]) {
-        let known = |e: &Listed| self.named.get(&e.node).and_then(|n| n.born);
+    pub fn record_started_nodes(&mut self, until: Micros, entries: &[Listed]) {
+        let known = |e: &Listed| self.nodes.get(&e.node).and_then(|n| n.born);
         let fresh = entries.iter().find(|e| e.stage == Stage::Ready && e.born > known(e)).map(|e| e.node);
-        self.fresh = fresh.map(|node| (node, until)).or(self.fresh);
+        self.started_node = fresh.map(|node| (node, until)).or(self.started_node);
         self.all_ready(false, entries);
     }
 
     /// The node that everything goes to now.
-    pub fn overrun(&self, now: Micros) -> Option<NodeId> {
-        self.fresh.filter(|(_, until)| now < *until).map(|(node, _)| node)
+    pub fn overrun_node(&self, now: Micros) -> Option<NodeId> {
+        self.started_node.filter(|(_, until)| now < *until).map(|(node, _)| node)
     }
 
     /// The fault strikes this connection; from then on an answer to it is late.
-    pub fn strikes(&mut self, conn: ConnId, late: Micros) {
-        self.struck.insert(conn, late);
+    pub fn mark_affected(&mut self, conn: ConnId, late: Micros) {
+        self.affected.insert(conn, late);
     }
 
     /// Whether the fault strikes a connection, and from when on an answer to it is late.
-    pub fn struck(&self, conn: ConnId) -> Option<Micros> {
-        self.struck.get(&conn).copied()
+    pub fn late_after(&self, conn: ConnId) -> Option<Micros> {
+        self.affected.get(&conn).copied()
     }
 
     /// A connection stands on this link.
-    pub fn up(&mut self, conn: ConnId, link: LinkId) {
+    pub fn on_established(&mut self, conn: ConnId, link: LinkId) {
         self.by_link.insert(link, conn);
         self.links.insert(conn, link);
     }
 
     /// The connection that stands on this link.
-    pub fn stands(&self, link: LinkId) -> Option<ConnId> {
+    pub fn connection_on(&self, link: LinkId) -> Option<ConnId> {
         self.by_link.get(&link).copied()
     }
 
     /// All that stand.
-    pub fn standing(&self) -> Vec<ConnId> {
+    pub fn established(&self) -> Vec<ConnId> {
         self.links.keys().copied().collect()
     }
 
     /// A client's connection is over.
-    pub fn over(&mut self, conn: ConnId) {
-        self.struck.remove(&conn);
+    pub fn on_client_closed(&mut self, conn: ConnId) {
+        self.affected.remove(&conn);
         if let Some(link) = self.links.remove(&conn) {
             self.by_link.remove(&link);
         }
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -4,9 +4,9 @@
 //! lets everything else pass, so that whatever else is found on a run is a false alarm. What only sockets can show (held
 //! or changed lines, `MOVE` within a line, first lines that no client wrote) has no mutant here.
 
-mod acts;
+mod history;
 pub mod on_sockets;
-mod tracks;
+mod schedule;
 
 use shorewharf_emulator::audit::Reason;
 use shorewharf_emulator::day::Day;
@@ -14,21 +14,21 @@
 use shorewharf_emulator::virtual_time::{GroundTruth, Host, Instance};
 use shorewharf_units::Micros;
 
-use acts::{Act, Acts};
-use tracks::MutantHistory;
+use history::MutantHistory;
+use schedule::{ActionSchedule, ScheduledAction};
 
 /// Every so many-th connection is struck, where a fault strikes single ones.
-const STRIKES: u64 = 5;
+const AFFECTED_CONNECTION_EVERY: u64 = 5;
 /// Links of a mutant's own are numbered from here on, above those of any instance.
-const OWN_LINKS: u64 = 1 << 60;
+const FIRST_OWN_LINK: u64 = 1 << 60;
 /// The time between an act of a mutant's own and the next one.
-const STEP: Micros = 5_000;
+const ACTION_INTERVAL: Micros = 5_000;
 /// A connection stands this long before it is mistreated.
 const ESTABLISHED_BEFORE_START: Micros = 2_000_000;
 /// A node whose start was told draws everything to it for so long.
-const OVERRUN: Micros = 4_000_000;
+const OVERRUN_DURATION: Micros = 4_000_000;
 /// When the one that exits does so.
-const EXITS: Micros = 20_000_000;
+const EXIT_AT: Micros = 20_000_000;
 
 /// What a mutant does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -118,88 +118,88 @@
 
 /// Hosts mutants round the instances of another host.
 pub struct Mutants<H> {
-    sound: H,
-    wrong: Mutation,
+    inner: H,
+    mutation: Mutation,
 }
 
 impl<H: Host> Mutants<H> {
     /// Balancers of `sound` that do this wrong.
     pub fn new(sound: H, wrong: Mutation) -> Self {
-        Mutants { sound, wrong }
+        Mutants { inner: sound, mutation: wrong }
     }
 }
 
 impl<H: Host> Host for Mutants<H> {
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance> {
         Box::new(Mutant {
-            sound: self.sound.instance(day, id, settings),
-            wrong: self.wrong,
-            most: u64::from(day.limits.max_attempts),
-            late: day.rules.answer_slack + 1,
-            acts: Acts::new(OWN_LINKS + (u64::from(id.0) << 40)),
-            tracks: MutantHistory::default(),
-            silenced: false,
-            due: None,
+            inner: self.inner.instance(day, id, settings),
+            mutation: self.mutation,
+            max_attempts: u64::from(day.limits.max_attempts),
+            late_after: day.rules.answer_slack + 1,
+            schedule: ActionSchedule::new(FIRST_OWN_LINK + (u64::from(id.0) << 40)),
+            history: MutantHistory::default(),
+            has_exited: false,
+            exit_at: None,
         })
     }
 
     fn wants_truth(&self) -> bool {
-        self.sound.wants_truth()
+        self.inner.wants_truth()
     }
 
     fn truth(&self, now: Micros, nodes: &[GroundTruth]) {
-        self.sound.truth(now, nodes);
+        self.inner.truth(now, nodes);
     }
 }
 
 struct Mutant {
-    sound: Box<dyn Instance>,
-    wrong: Mutation,
+    inner: Box<dyn Instance>,
+    mutation: Mutation,
     /// Attempts that are allowed.
-    most: u64,
+    max_attempts: u64,
     /// So long after the deadline an answer is late.
-    late: Micros,
-    acts: Acts,
-    tracks: MutantHistory,
+    late_after: Micros,
+    schedule: ActionSchedule,
+    history: MutantHistory,
     /// It has exited and does nothing until it starts again.
-    silenced: bool,
+    has_exited: bool,
     /// Its own exit.
-    due: Option<Micros>,
+    exit_at: Option<Micros>,
 }
 
 impl Instance for Mutant {
     fn turn(&mut self, now: Micros, came: &[ToBalancer], out: &mut Vec<FromBalancer>) {
         let mut heard = Vec::with_capacity(came.len());
         for word in came {
-            self.hears(now, word, &mut heard, out);
+            self.on_input(now, word, &mut heard, out);
         }
-        self.acts.due(now, out, &mut heard);
+        self.schedule.due(now, out, &mut heard);
         let mut said = Vec::new();
-        self.sound.turn(now, &heard, &mut said);
+        self.inner.turn(now, &heard, &mut said);
         for word in said {
-            self.says(now, word, out);
+            self.on_output(now, word, out);
         }
         // What the instance was made to say may have set off more.
         let mut more = Vec::new();
-        self.acts.due(now, out, &mut more);
+        self.schedule.due(now, out, &mut more);
         if !more.is_empty() {
-            self.sound.turn(now, &more, out);
+            self.inner.turn(now, &more, out);
         }
-        if self.due.is_some_and(|due| due <= now) {
-            (self.due, self.silenced) = (None, true);
+        if self.exit_at.is_some_and(|due| due <= now) {
+            (self.exit_at, self.has_exited) = (None, true);
             out.push(FromBalancer::Exited);
         }
     }
 
     fn next_due(&self) -> Option<Micros> {
-        let sound = self.sound.next_due().filter(|_| !self.silenced);
-        [sound, self.acts.next_due(), self.due].into_iter().flatten().min()
+        let sound = self.inner.next_due().filter(|_| !self.has_exited);
+        [sound, self.schedule.next_due(), self.exit_at].into_iter().flatten().min()
     }
 }
 
 impl Mutant {
     /// A word comes: hands on what the instance may hear.
-    fn hears(
+    fn on_input(
         &mut self,
         now: Micros,
         word: &ToBalancer,
@@ -208,54 +208,54 @@
     ) {
         match word {
             ToBalancer::Start { known, .. } => {
-                self.silenced = false;
-                self.tracks.started(known);
-                if self.wrong == Mutation::Exits && now < EXITS {
-                    self.due = Some(EXITS);
+                self.has_exited = false;
+                self.history.on_start(known);
+                if self.mutation == Mutation::Exits && now < EXIT_AT {
+                    self.exit_at = Some(EXIT_AT);
                 }
             }
             ToBalancer::Kill => {
-                self.acts.clear();
-                self.tracks.clear();
+                self.schedule.clear();
+                self.history.clear();
             }
             _ => {}
         }
         if let ToBalancer::Asked { ask, left } = word {
             // What stands from before the run is left alone.
-            if ask.conn.0 % STRIKES == 2 && ask.home.is_none() {
-                self.tracks.strikes(ask.conn, now + left + self.late);
-                if self.mistreats(now, ask, out) {
+            if ask.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && ask.home.is_none() {
+                self.history.mark_affected(ask.conn, now + left + self.late_after);
+                if self.mishandle_request(now, ask, out) {
                     return;
                 }
             }
         }
-        let pass = match (self.wrong, word) {
+        let pass = match (self.mutation, word) {
             (Mutation::IgnoresDrains, ToBalancer::List { full, entries }) => {
-                let entries = self.tracks.all_ready(*full, entries);
+                let entries = self.history.all_ready(*full, entries);
                 heard.push(ToBalancer::List { full: *full, entries });
                 false
             }
             (Mutation::OverrunsStarts, ToBalancer::List { entries, .. }) => {
-                self.tracks.starts(now + OVERRUN, entries);
+                self.history.record_started_nodes(now + OVERRUN_DURATION, entries);
                 true
             }
             (Mutation::KeepsEnded, ToBalancer::NodeEnded(link, _)) => {
-                self.tracks.stands(*link).is_none_or(|conn| self.tracks.struck(conn).is_none())
+                self.history.connection_on(*link).is_none_or(|conn| self.history.late_after(conn).is_none())
             }
             (Mutation::KeepsSilent, ToBalancer::ClientLine(_))
             | (Mutation::IgnoresTerm, ToBalancer::Terminate) => false,
             (Mutation::CutsOffAtTerm, ToBalancer::Terminate) => {
-                for conn in self.tracks.standing() {
-                    self.cuts_off(now, conn);
+                for conn in self.history.established() {
+                    self.schedule_cut_off(now, conn);
                 }
                 true
             }
-            (_, ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _)) => !self.acts.owns(*link),
-            (_, ToBalancer::LinkUp(link) | ToBalancer::LinkFailed(link)) => !self.acts.owns(*link),
+            (_, ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _)) => !self.schedule.owns(*link),
+            (_, ToBalancer::LinkUp(link) | ToBalancer::LinkFailed(link)) => !self.schedule.owns(*link),
             _ => true,
         };
         if let ToBalancer::ClientEnded(conn, _) = word {
-            self.tracks.over(*conn);
+            self.history.on_client_closed(*conn);
         }
         if pass {
             heard.push(word.clone());
@@ -263,78 +263,95 @@
     }
 
     /// Deals with a request by itself, so that the instance never hears of it; false if this is not its way.
-    fn mistreats(&mut self, now: Micros, ask: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
+    fn mishandle_request(&mut self, now: Micros, ask: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
         let conn = ask.conn;
-        match self.wrong {
+        match self.mutation {
             Mutation::HangsUp => out.push(FromBalancer::EndClient(conn, End::Fin)),
             Mutation::Forges => out.push(FromBalancer::Answer(conn, Answer::Forged)),
             Mutation::SendsAfterEnd => {
                 out.push(FromBalancer::Answer(conn, Answer::Busy(0)));
-                self.acts.tries(now + STEP, conn, self.tracks.some_node(conn), STEP);
+                self.schedule.tries(
+                    now + ACTION_INTERVAL,
+                    conn,
+                    self.history.some_node(conn),
+                    ACTION_INTERVAL,
+                );
             }
             Mutation::NeverGivesUp => {
-                for i in 0..=self.most {
-                    self.acts.tries(now + 2 * i * STEP, conn, self.tracks.some_node(conn), STEP);
+                for i in 0..=self.max_attempts {
+                    self.schedule.tries(
+                        now + 2 * i * ACTION_INTERVAL,
+                        conn,
+                        self.history.some_node(conn),
+                        ACTION_INTERVAL,
+                    );
                 }
                 let refuses = FromBalancer::Answer(conn, Answer::Busy(0));
-                self.acts.at(now + 2 * (self.most + 1) * STEP, Act::Does(refuses));
+                self.schedule
+                    .at(now + 2 * (self.max_attempts + 1) * ACTION_INTERVAL, ScheduledAction::Does(refuses));
             }
             _ => return false,
         }
         true
     }
 
-    fn cuts_off(&mut self, now: Micros, conn: ConnId) {
-        self.acts.at(now, Act::Does(FromBalancer::EndClient(conn, End::Fin)));
-        self.acts.at(now, Act::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
+    fn schedule_cut_off(&mut self, now: Micros, conn: ConnId) {
+        self.schedule.at(now, ScheduledAction::Does(FromBalancer::EndClient(conn, End::Fin)));
+        self.schedule.at(now, ScheduledAction::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
     }
 
     /// The instance says something: lets it out, or what is made of it.
-    fn says(&mut self, now: Micros, word: FromBalancer, out: &mut Vec<FromBalancer>) {
-        if self.silenced {
+    fn on_output(&mut self, now: Micros, word: FromBalancer, out: &mut Vec<FromBalancer>) {
+        if self.has_exited {
             return;
         }
         if let FromBalancer::Answer(conn, Answer::Up(link)) = word {
-            self.tracks.up(conn, link);
+            self.history.on_established(conn, link);
         }
         let about = match word {
             FromBalancer::Answer(conn, _) | FromBalancer::EndClient(conn, _) => Some(conn),
             FromBalancer::Link { conn, .. } => conn,
             _ => None,
         };
-        let word = match (self.wrong, word) {
+        let word = match (self.mutation, word) {
             (Mutation::OverrunsStarts, FromBalancer::Link { link, conn: Some(conn), node }) => {
-                let node = self.tracks.overrun(now).unwrap_or(node);
+                let node = self.history.overrun_node(now).unwrap_or(node);
                 FromBalancer::Link { link, node, conn: Some(conn) }
             }
             _ => word,
         };
-        let Some(late) = about.and_then(|conn| self.tracks.struck(conn)) else { return out.push(word) };
-        match (self.wrong, word) {
+        let Some(late) = about.and_then(|conn| self.history.late_after(conn)) else { return out.push(word) };
+        match (self.mutation, word) {
             (Mutation::Mute, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) => {}
             (Mutation::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late > now => {
-                self.acts.at(late, Act::Does(word));
+                self.schedule.at(late, ScheduledAction::Does(word));
             }
             (Mutation::AnswersTwice, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(word);
-                self.acts
-                    .at(now + ESTABLISHED_BEFORE_START, Act::Does(FromBalancer::Answer(conn, Answer::Err)));
-                self.acts
-                    .at(now + ESTABLISHED_BEFORE_START, Act::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
+                self.schedule.at(
+                    now + ESTABLISHED_BEFORE_START,
+                    ScheduledAction::Does(FromBalancer::Answer(conn, Answer::Err)),
+                );
+                self.schedule.at(
+                    now + ESTABLISHED_BEFORE_START,
+                    ScheduledAction::Hears(ToBalancer::ClientEnded(conn, End::Fin)),
+                );
             }
             (Mutation::TwoAtOnce, FromBalancer::Link { node, conn: Some(conn), .. }) => {
                 out.push(word);
-                let other = self.tracks.other_than(node);
-                self.acts.tries(now, conn, other, STEP);
+                let other = self.history.other_than(node);
+                self.schedule.tries(now, conn, other, ACTION_INTERVAL);
             }
             (Mutation::CutsOff, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(word);
-                self.cuts_off(now + ESTABLISHED_BEFORE_START, conn);
+                self.schedule_cut_off(now + ESTABLISHED_BEFORE_START, conn);
             }
             (Mutation::KeepsSevered, FromBalancer::Answer(_, Answer::Up(link))) => {
                 out.push(word);
-                self.acts
-                    .at(now + ESTABLISHED_BEFORE_START, Act::Does(FromBalancer::EndLink(link, End::Fin)));
+                self.schedule.at(
+                    now + ESTABLISHED_BEFORE_START,
+                    ScheduledAction::Does(FromBalancer::EndLink(link, End::Fin)),
+                );
             }
             _ => out.push(word),
         }
--- a/crates/lab/src/mutants/acts.rs
+++ b/crates/lab/src/mutants/schedule.rs
@@ -7,7 +7,7 @@
 
 /// One act.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScheduledAction {
     /// It does this.
     Does(FromBalancer),
     /// It has its instance hear this.
@@ -16,16 +16,16 @@
 
 /// Acts to come, in order of time.
 #[derive(Debug)]
-pub struct Acts {
+pub struct ActionSchedule {
     first_link: u64,
     next_link: u64,
-    to_come: BTreeMap<Micros, VecDeque<Act>>,
+    to_come: BTreeMap<Micros, VecDeque<ScheduledAction>>,
 }
 
-impl Acts {
+impl ActionSchedule {
     /// None yet; links of the mutant's own are numbered from here on.
     pub fn new(first_link: u64) -> Self {
-        Acts { first_link, next_link: first_link, to_come: BTreeMap::new() }
+        ActionSchedule { first_link, next_link: first_link, to_come: BTreeMap::new() }
     }
 
     /// Whether a link is the mutant's own.
@@ -39,7 +39,7 @@
     }
 
     /// Plans an act.
-    pub fn at(&mut self, when: Micros, act: Act) {
+    pub fn at(&mut self, when: Micros, act: ScheduledAction) {
         self.to_come.entry(when).or_default().push_back(act);
     }
 
@@ -47,8 +47,8 @@
     pub fn tries(&mut self, when: Micros, conn: ConnId, node: NodeId, long: Micros) {
         let link = LinkId(self.next_link);
         self.next_link += 1;
-        self.at(when, Act::Does(FromBalancer::Link { link, node, conn: Some(conn) }));
-        self.at(when + long, Act::Does(FromBalancer::EndLink(link, End::Fin)));
+        self.at(when, ScheduledAction::Does(FromBalancer::Link { link, node, conn: Some(conn) }));
+        self.at(when + long, ScheduledAction::Does(FromBalancer::EndLink(link, End::Fin)));
     }
 
     /// When the next one is due.
@@ -61,8 +61,8 @@
         while let Some(entry) = self.to_come.first_entry().filter(|e| *e.key() <= now) {
             for act in entry.remove() {
                 match act {
-                    Act::Does(word) => out.push(word),
-                    Act::Hears(word) => heard.push(word),
+                    ScheduledAction::Does(word) => out.push(word),
+                    ScheduledAction::Hears(word) => heard.push(word),
                 }
             }
         }
