--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -11,9 +11,10 @@
 /// The program to test.
 pub fn find(named: Option<&Path>) -> Result<PathBuf, CommandError> {
     if let Some(path) = named {
-        return match path.is_file() {
-            true => Ok(path.to_owned()),
-            false => Err(CommandError::Input(format!("--balancer {}: no such program", path.display()))),
+        return if path.is_file() {
+            Ok(path.to_owned())
+        } else {
+            Err(CommandError::Input(format!("--balancer {}: no such program", path.display())))
         };
     }
     let exe = std::env::current_exe()
--- a/crates/lab/src/import.rs
+++ b/crates/lab/src/import.rs
@@ -4,7 +4,10 @@
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
-use shorewharf_emulator::day::*;
+use shorewharf_emulator::day::{
+    Backoff, Balancer, Class, Clients, Day, Discovery, Fault, FaultKind, Front, GoAway, Goal, Kind, Limits,
+    Net, Node, Prices, Rules, Sheds, Streams, Tenant, Traffic,
+};
 use shorewharf_units::Micros;
 use thiserror::Error;
 
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -110,7 +110,7 @@
     fn handle_event(&mut self, event: NetworkEvent, peers: &mut EmulatedPeers) {
         match event {
             NetworkEvent::EndpointListReceived { is_complete, entries, .. } => {
-                self.update_endpoints(is_complete, &entries)
+                self.update_endpoints(is_complete, &entries);
             }
             NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_RETRY_INTERVAL, WATCH_TIMER),
             NetworkEvent::TimerFired(RELIEVE_TIMER) => self.relieve_overloaded(peers),
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -8,7 +8,9 @@
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
 use shorewharf_driver::{Effects, NetworkEvent, ReceivedRequest};
-use shorewharf_emulator::edge::*;
+use shorewharf_emulator::edge::{
+    Answer, ConnId, End, FromBalancer, LinkId, Listed, NodeMessage, RequestLine, ToBalancer,
+};
 use shorewharf_emulator::virtual_time::GroundTruth;
 use shorewharf_units::Micros;
 
@@ -398,7 +400,7 @@
             match word {
                 NodeMessage::Load(load) => self.emit(NetworkEvent::LoadReported(id, load / 1e6)),
                 NodeMessage::Delay(ms) => {
-                    self.emit(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros))
+                    self.emit(NetworkEvent::MessageDelayReported(server, (ms * 1e3) as Micros));
                 }
                 NodeMessage::Bye | NodeMessage::Move => {}
                 _ => s.unanswered_since = None,
--- a/crates/lab/src/mutants/history.rs
+++ b/crates/lab/src/mutants/history.rs
@@ -37,9 +37,10 @@
         entries.iter().filter(|e| e.stage != Stage::Gone).for_each(|e| {
             self.nodes.insert(e.node, ready(e));
         });
-        match full {
-            true => self.nodes.values().copied().collect(),
-            false => entries.iter().filter(|e| e.stage != Stage::Gone).map(ready).collect(),
+        if full {
+            self.nodes.values().copied().collect()
+        } else {
+            entries.iter().filter(|e| e.stage != Stage::Gone).map(ready).collect()
         }
     }
 
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -1,7 +1,7 @@
 //! Owns what a day's figures may be: ranges whose breach means nothing in the models, and legal figures that a writer
 //! has hardly meant.
 
-use shorewharf_emulator::day::*;
+use shorewharf_emulator::day::{Backoff, Day, FaultKind, Goal};
 use shorewharf_emulator::sockets::misbehaving_clients::MisbehavingClients;
 use shorewharf_units::Micros;
 
@@ -291,7 +291,11 @@
 
 /// Whom a kind of fault strikes.
 fn struck(kind: FaultKind, day: &Day) -> Option<(&'static str, usize)> {
-    use FaultKind::*;
+    use FaultKind::{
+        BalancerKill, BalancerReload, BalancerRestart, Crash, CutOff, Drain, Failing, Full, HalfDead, Hang,
+        ListDown, ListMoved, ListStale, Reconnect, Release, Resetting, Slow, Surge, TenantFlood,
+        WrongAnswers,
+    };
     match kind {
         Crash | Hang | CutOff | HalfDead | Slow | Failing | Resetting | Full | WrongAnswers | Release
         | Drain => Some(("node", day.nodes.len())),
@@ -302,7 +306,7 @@
 }
 
 fn faults(day: &Day, f: &mut Findings) {
-    use FaultKind::*;
+    use FaultKind::{Failing, Reconnect, Resetting, Slow};
     for (i, fault) in day.faults.iter().enumerate() {
         let key = |k: &str| format!("faults[{i}].{k}");
         if let Some((what, count)) = struck(fault.kind, day) {
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -149,7 +149,7 @@
             .map(|l| ProcessIncarnation {
                 balancer: l.balancer,
                 began_s: seconds_from_micros(l.began),
-                ended_s: l.ended.map(|t| seconds_from_micros(t)),
+                ended_s: l.ended.map(seconds_from_micros),
                 how: l.how.clone(),
                 crashed: l.crashed,
                 cpu_ms: l.usage.cpu_ms,
