--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -18,5 +18,4 @@
 mod transport;
 mod workers;
 
-pub use admin::server::MAX_CONNECTIONS;
 pub use workers::startup::{RunError, run};
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -11,12 +11,13 @@
 use crate::load::LoadEstimates;
 use crate::probe_table::ProbeTable;
 use crate::rate_limit::SetupRateLimiter;
-use crate::requests::{RequestTable, TrackedRequest};
+use crate::requests::{RequestProfile, RequestTable, TrackedRequest};
 use crate::reservations::{Reservation, ReservationTable};
 use crate::servers::{Server, ServerTable};
 use crate::slow_start::{SlowStart, SlowStartInputs};
 
-/// The decisions of one instance: takes events, appends actions. Without I/O, clock and randomness of its own.
+/// The decisions of one instance: takes events, appends actions. Without I/O, clock and randomness of its
+/// own.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -96,7 +97,7 @@
         self.groups.record_client(group);
         let class = self.settings.classes.get(request.class);
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
-        TrackedRequest::new(now, request, idempotency, group, load)
+        TrackedRequest::new(now, request, RequestProfile { idempotency, group, load })
     }
 
     /// The class's objective for the set-up of a request, in seconds.
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Servers known to hold some of a group: those of its clients here, and where the last one was connected.
+    /// Servers known to hold some of a group: those of its clients here, and where the last one was
+    /// connected.
     pub(crate) fn servers_holding(&self, group: u64) -> Vec<ServerId> {
         let members = self.requests.iter().filter(|tracked| tracked.group == Some(group));
         let last = self.groups.last_server(group);
--- a/crates/driver/src/driver.rs
+++ b/crates/driver/src/driver.rs
@@ -9,7 +9,7 @@
 use crate::events::{Effects, NetworkEvent, ReceivedRequest};
 use crate::gate::AdmissionGate;
 
-/// What the decisions have been told of a request.
+/// How far the decisions have followed a request.
 #[derive(Debug, Default)]
 struct RequestProgress {
     /// Attempts begun.
@@ -31,24 +31,27 @@
     max_attempts: u32,
 }
 
+/// What an instance starts from.
+#[derive(Clone, Debug)]
+pub struct InitialState {
+    /// Its settings.
+    pub settings: Settings,
+    /// The seed of its random generator.
+    pub seed: u64,
+    /// The servers that are known before discovery has answered.
+    pub servers: Vec<ServerEntry>,
+}
+
 impl Driver {
-    /// Starts an instance of these settings from an initial list of servers.
-    pub fn start(
-        settings: Settings,
-        operator: &Operator,
-        seed: u64,
-        initial_servers: Vec<ServerEntry>,
-        effects: &mut impl Effects,
-    ) -> Self {
+    /// Starts an instance.
+    pub fn start(initial: InitialState, operator: &Operator, effects: &mut impl Effects) -> Self {
+        let InitialState { settings, seed, servers } = initial;
         let max_attempts = settings.max_attempts;
         let gate = AdmissionGate::new(effects.now(), settings, seed, operator);
         let mut driver = Driver { gate, requests: HashMap::new(), actions: Vec::new(), max_attempts };
         driver.dispatch(Event::Start, effects);
-        let list = NetworkEvent::EndpointListReceived {
-            is_complete: true,
-            is_cached: true,
-            entries: initial_servers,
-        };
+        let list =
+            NetworkEvent::EndpointListReceived { is_complete: true, is_cached: true, entries: servers };
         driver.on_network_event(list, effects);
         driver
     }
@@ -139,7 +142,8 @@
     fn on_attempt_ended(&mut self, request: RequestId, outcome: Outcome) -> Option<Event> {
         let progress = self.requests.get_mut(&request)?;
         let server = progress.attempt_server.take()?;
-        // A request is answered once it was served, established, or answered before; else an answer is still due.
+        // A request is answered once it was served, established, or answered before; else an answer is still
+        // due.
         progress.is_answered |= progress.is_established || outcome == Outcome::Ok;
         Some(Event::AttemptEnded {
             request,
@@ -216,8 +220,8 @@
         }
     }
 
-    /// Records that an attempt begins; false where it must not: a request has one attempt at a time, and no more than the
-    /// settings allow.
+    /// Records that an attempt begins; false where it must not: a request has one attempt at a time, and no
+    /// more than the settings allow.
     fn record_attempt(&mut self, request: RequestId, server: ServerId) -> bool {
         let max_attempts = self.max_attempts;
         let Some(progress) = self.requests.get_mut(&request) else { return false };
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -1,8 +1,8 @@
-//! Drives the decisions: network events become events of the decisions, and what they want done becomes calls on the
-//! network. The only caller of the decisions in the balancer.
+//! Drives the decisions: network events become events of the decisions, and what they want done becomes calls
+//! on the network. The only caller of the decisions in the balancer.
 //!
-//! Admission checks come before the decisions ([`AdmissionGate`]). Nothing here knows a protocol's text, so another
-//! protocol can be put before the same decisions.
+//! Admission checks come before the decisions ([`AdmissionGate`]). Nothing here knows a protocol's text, so
+//! another protocol can be put before the same decisions.
 
 pub mod admission;
 mod budgets;
@@ -14,7 +14,7 @@
 use shorewharf_units::Micros;
 
 pub use budgets::Budgets;
-pub use driver::Driver;
+pub use driver::{Driver, InitialState};
 pub use events::{Effects, NetworkEvent, ReceivedRequest};
 pub use gate::AdmissionGate;
 pub use tenants::Tenants;
