--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -180,11 +180,11 @@
         })
     }
 
-    fn wants_truth(&self) -> bool {
+    fn wants_ground_truth(&self) -> bool {
         self.policy == PolicyChoice::Oracle
     }
 
-    fn truth(&self, _now: Micros, nodes: &[GroundTruth]) {
+    fn observe_ground_truth(&self, _now: Micros, nodes: &[GroundTruth]) {
         let mut held = self.ground_truth.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         held.clear();
         held.extend_from_slice(nodes);
@@ -363,7 +363,7 @@
             .min()
     }
 
-    fn tells(&mut self, told: &mut InstanceReport) {
+    fn report(&mut self, told: &mut InstanceReport) {
         let Some((peers, policy)) = &mut self.incarnation else { return };
         told.lines = peers.take_log_lines();
         if let Policy::Module(driver) = policy {
