--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -103,7 +103,7 @@
     };
     platform::run(day, &options, watch).map_err(|e| match e {
         RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
-        e => CommandError::Outside(e.to_string()),
+        e => CommandError::External(e.to_string()),
     })
 }
 
@@ -149,7 +149,7 @@
             .map(|l| ProcessIncarnation {
                 balancer: l.balancer,
                 began_s: seconds_from_micros(l.began),
-                ended_s: l.ended.map(|t| seconds_from_micros(t)),
+                ended_s: l.ended.map(seconds_from_micros),
                 how: l.how.clone(),
                 crashed: l.crashed,
                 cpu_ms: l.usage.cpu_ms,
