--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -1,4 +1,4 @@
-//! The truth of the nodes, as far as the rules ask for it: who answers, and what cold ones were sent.
+//! The true state of the nodes, as far as the rules need it: which ones are responsive, and the load sent to warming ones.
 
 use shorewharf_units::Micros;
 use std::collections::VecDeque;
@@ -8,9 +8,9 @@
 use super::trace::{Ring, What};
 use crate::edge::{BalancerId, NodeId};
 
-/// The budget's slack for chance, in square roots of the budget and in attempts: with these the simulator's nodes fall
-/// at the count that was measured there.
+/// Slack of the budget for chance, in square roots of the budget.
 const SLACK_ROOTS: f64 = 3.0;
+/// Further slack of the budget, in attempts.
 const SLACK_ATTEMPTS: f64 = 3.0;
 /// A break when this part of a node's load came from balancers that knew of its start.
 const ATTRIBUTABLE_RATIO: f64 = 2.0 / 3.0;
--- a/crates/emulator/src/environment/faults.rs
+++ b/crates/emulator/src/environment/faults.rs
@@ -11,7 +11,7 @@
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, NodeId};
 
-/// Machines that come back together do so within this time (measured at the simulator: even over one second).
+/// Machines that return together do so within this time, uniformly distributed.
 const BACK_WITHIN: Micros = 1_000_000;
 /// A draining node is given so long where the fault names no time.
 const DRAIN: Micros = 5_000_000;
--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -63,8 +63,8 @@
     pub cost: f64,
 }
 
-/// What all prices took. The simulator has two more, for wasted work and for worth that failed after its aim; on
-/// none of the 60 days that it played for the fit (refusals, time-outs, crashes, moves) were they anything but 0.
+/// The deductions for all prices. The simulator's prices for wasted work and for requests that fail after their
+/// objective are not modelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Prices {
     /// Share of the seconds asked for that stood across zones.
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -45,7 +45,7 @@
     conn: Option<ConnId>,
     stage: Stage,
     unsent_replies: Vec<u8>,
-    /// What the node has said while its words were lost on the link.
+    /// Messages of the node that the link's fault has blocked.
     withheld: Vec<ToBalancer>,
 }
 
--- a/crates/emulator/src/standin/peer.rs
+++ b/crates/emulator/src/standin/peer.rs
@@ -25,6 +25,10 @@
 
 impl Peer {
     /// This end of a connection.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the socket options cannot be set.
     pub fn of(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
@@ -32,6 +36,10 @@
     }
 
     /// A client that has connected and said nothing yet.
+    ///
+    /// # Panics
+    ///
+    /// Panics if nobody listens at the address.
     #[track_caller]
     pub fn connect(to: SocketAddr) -> Self {
         Peer::of(TcpStream::connect(to).expect("the program listens"))
@@ -52,6 +60,10 @@
     }
 
     /// Writes bytes as they are.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connection is broken.
     #[track_caller]
     pub fn put(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("the program reads");
@@ -63,6 +75,10 @@
     }
 
     /// Waits for what comes next.
+    ///
+    /// # Panics
+    ///
+    /// Panics if nothing arrives in time, or bytes that are not text.
     #[track_caller]
     pub fn hear(&mut self) -> Heard {
         let mut bytes = Vec::new();
@@ -75,6 +91,10 @@
     }
 
     /// Waits for a line, which must come next.
+    ///
+    /// # Panics
+    ///
+    /// Panics if anything but a line arrives, or nothing in time.
     #[track_caller]
     pub fn line(&mut self) -> String {
         match self.hear() {
@@ -84,6 +104,10 @@
     }
 
     /// Waits for all lines until it finishes its sending, which must come.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connection is reset, or does not end in time.
     #[track_caller]
     pub fn rest(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
@@ -97,6 +121,10 @@
     }
 
     /// Waits for so many bytes.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the bytes do not arrive in time.
     #[track_caller]
     pub fn read_exactly(&mut self, n: usize) -> Vec<u8> {
         let mut bytes = vec![0; n];
@@ -105,6 +133,10 @@
     }
 
     /// Whether anything has come that was not heard yet, the end included. Looks for `within` at most.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the read timeout cannot be set.
     pub fn has_word(&self, within: Duration) -> bool {
         self.stream().set_read_timeout(Some(within)).expect("a time-out");
         let seen = self.stream().peek(&mut [0]);
@@ -119,11 +151,19 @@
     }
 
     /// Finishes the sending; what the other end says can still be heard.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connection is not open.
     pub fn finish(&self) {
         self.stream().shutdown(Shutdown::Write).expect("open");
     }
 
     /// Breaks the connection off.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the linger option cannot be set.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(self.0.get_ref());
         socket.set_linger(Some(Duration::ZERO)).expect("linger");
