--- a/crates/emulator/src/standin/node.rs
+++ b/crates/emulator/src/standin/node.rs
@@ -26,6 +26,10 @@
 
 impl Node {
     /// A node that listens.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no address can be listened on.
     pub fn new() -> Self {
         let socket = bound();
         socket.listen(1024).expect("a queue");
@@ -47,11 +51,19 @@
     }
 
     /// Where it listens.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the listener has no address.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().expect("bound")
     }
 
     /// Waits for the next connection.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the program does not connect in time.
     #[track_caller]
     pub fn accept(&self) -> Peer {
         self.accept_within(LIMIT).expect("the program connects")
@@ -64,6 +76,10 @@
     }
 
     /// Waits for the next connection, or for what a client is told instead.
+    ///
+    /// # Panics
+    ///
+    /// Panics if neither a connection nor a message arrives in time.
     #[track_caller]
     pub fn accept_or_hear(&self, client: &mut Peer) -> Result<Peer, Heard> {
         let turn = Duration::from_millis(20);
