--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -18,7 +18,6 @@
 pub mod mutants;
 pub mod page;
 mod plots;
-mod plots_service;
 pub mod record;
 mod run;
 pub mod runner;
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots/mod.rs
@@ -1,32 +1,20 @@
-//! Owns the plots of a page: each is one SVG text, drawn from a [`Record`].
+//! The plots of a report page: each is one SVG text, drawn from a [`Record`].
 
-use plotters::coord::Shift;
-use plotters::prelude::*;
+mod chart;
+mod heat_map;
+mod service;
 
-use crate::plots_service;
-use crate::record::{FaultInterval, Record};
+use plotters::prelude::{
+    BLACK, ChartBuilder, Circle, Color, IntoDrawingArea, IntoFont, LineSeries, Rectangle, SVGBackend, Text,
+    WHITE,
+};
 
-const WIDTH: u32 = 1000;
-pub(crate) const TEXT: (&str, i32) = ("sans-serif", 14);
-// Told apart with every kind of colour vision (Okabe and Ito).
-pub(crate) const COLOURS: [RGBColor; 8] = [
-    RGBColor(0, 114, 178),
-    RGBColor(213, 94, 0),
-    RGBColor(0, 158, 115),
-    RGBColor(204, 121, 167),
-    RGBColor(230, 159, 0),
-    RGBColor(86, 180, 233),
-    RGBColor(120, 120, 120),
-    RGBColor(0, 0, 0),
-];
-const BAND: RGBColor = RGBColor(213, 94, 0);
-// More cells than this make a page that browsers scroll slowly: neighbours are taken together.
-const MOST_ROWS: usize = 60;
-const MOST_COLUMNS: usize = 160;
-
-pub(crate) type Root<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-pub(crate) type DrawResult = Result<(), DrawingAreaErrorKind<std::io::Error>>;
+use crate::record::Record;
+use chart::{
+    COLOURS, DrawResult, Root, TEXT, draw_legend, end_seconds, fault_bands, fault_labels, integer_label,
+};
 
+const WIDTH: u32 = 1000;
 /// One plot of a page.
 pub struct Plot {
     /// Its heading.
@@ -49,7 +37,7 @@
         plots.push(Plot {
             title: "Load per node",
             note: "Load asked of a node over what it can do at that moment. From 1 on it falls behind; grey: down.",
-            svg: render(rows_height(record), |root| load(root, record)),
+            svg: render(heat_map::height(record), |root| heat_map::draw(root, record)),
         });
         plots.push(Plot {
             title: "Connections per node",
@@ -57,19 +45,19 @@
             svg: render(320, |root| connections(root, record)),
         });
     }
-    if plots_service::has_levels(record) {
+    if service::has_levels(record) {
         plots.push(Plot {
             title: "Level of service",
             note: "What each balancer says of the service, by its number. Grey: down.",
-            svg: render(plots_service::levels_height(record), |root| plots_service::levels(root, record)),
+            svg: render(service::levels_height(record), |root| service::levels(root, record)),
         });
     }
-    if plots_service::has_moves(record) {
+    if service::has_moves(record) {
         plots.push(Plot {
             title: "Imbalance and moves for balance",
             note: "Largest load over capacity of the nodes that are up, over the mean of them (the thin line is 15 %); \
                    bars are connections that balancers moved.",
-            svg: render(320, |root| plots_service::balance(root, record)),
+            svg: render(320, |root| service::balance(root, record)),
         });
     }
     if record.series.refusals.values().flatten().any(|n| *n > 0) {
@@ -102,42 +90,8 @@
     svg.replacen(&format!("width=\"{WIDTH}\" height=\"{height}\""), "width=\"100%\"", 1)
 }
 
-pub(crate) fn whole(x: &f64) -> String {
-    format!("{x:.0}")
-}
-
-pub(crate) fn end_of(record: &Record) -> f64 {
-    (record.series.asked.len() as f64 * record.series.step_s).max(record.length_s).max(1.0)
-}
-
-pub(crate) fn bands<'a>(
-    bands: &'a [FaultInterval],
-    end: f64,
-    top: f64,
-) -> impl Iterator<Item = Rectangle<(f64, f64)>> + 'a {
-    bands.iter().filter(move |b| b.from_s < end).map(move |b| {
-        // What happens in a moment is drawn a little wider, so that it can be seen.
-        let to = b.to_s.max(b.from_s + end / 250.0).min(end);
-        Rectangle::new([(b.from_s, 0.0), (to, top)], BAND.mix(0.13).filled())
-    })
-}
-
-pub(crate) fn named(bands: &[FaultInterval], end: f64, top: f64) -> Vec<Text<'static, (f64, f64), String>> {
-    // Labels that would lie on one another go to the next of four lines.
-    let mut used_to = [f64::MIN; 4];
-    let named = bands.iter().filter(|b| b.from_s < end).filter_map(|b| {
-        let label = if b.struck > 0 { format!("{} ({})", b.kind, b.struck) } else { b.kind.clone() };
-        let width = label.len() as f64 * end * 0.0085;
-        let line = used_to.iter().position(|to| *to <= b.from_s)?;
-        used_to[line] = b.from_s + width;
-        let style = ("sans-serif", 12).into_font().color(&BAND.mix(0.9));
-        Some(Text::new(label, (b.from_s, top * (0.995 - 0.055 * line as f64)), style))
-    });
-    named.collect()
-}
-
 fn served(root: &Root<'_>, record: &Record) -> DrawResult {
-    let end = end_of(record);
+    let end = end_seconds(record);
     let top = 1.2;
     let mut chart = ChartBuilder::on(root)
         .margin(10)
@@ -150,12 +104,12 @@
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("seconds")
-        .x_label_formatter(&whole)
+        .x_label_formatter(&integer_label)
         .y_desc("share")
         .y_labels(7)
         .label_style(TEXT)
         .draw()?;
-    chart.draw_series(bands(&record.faults, end, top))?;
+    chart.draw_series(fault_bands(&record.faults, end, top))?;
     let step = record.series.step_s;
     let most = record.series.asked.iter().copied().fold(f64::MIN_POSITIVE, f64::max);
     let asked = record.series.asked.iter().enumerate().map(|(i, a)| (i as f64 * step, a / most));
@@ -171,7 +125,7 @@
     let below = (from, (record.worst_window.share - 0.02).max(0.06));
     let label = format!("worst window {:.3}", record.worst_window.share);
     chart.draw_series([Text::new(label, below, style)])?;
-    chart.draw_series(named(&record.faults, end, top))?;
+    chart.draw_series(fault_labels(&record.faults, end, top))?;
     Ok(())
 }
 
@@ -188,95 +142,8 @@
     runs
 }
 
-fn rows_height(record: &Record) -> u32 {
-    110 + 18 * record.nodes.len().min(MOST_ROWS) as u32
-}
-
-/// Nodes in the order of their zones and kinds, which shows what zones and kinds have in common.
-fn order(record: &Record) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..record.nodes.len()).collect();
-    order.sort_by_key(|i| (&record.nodes[*i].zone, &record.nodes[*i].kind, *i));
-    order
-}
-
-/// White to blue up to 1, then to red at 2.
-fn colour(load: f64) -> RGBColor {
-    let mix = |a: (u8, u8, u8), b: (u8, u8, u8), t: f64| {
-        let part = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * t.clamp(0.0, 1.0)) as u8;
-        RGBColor(part(a.0, b.0), part(a.1, b.1), part(a.2, b.2))
-    };
-    const WARM: (u8, u8, u8) = (253, 219, 120);
-    match load {
-        l if l < 0.9 => mix((247, 251, 255), (33, 113, 181), l / 0.9),
-        l if l < 1.0 => mix((33, 113, 181), WARM, (l - 0.9) / 0.1),
-        l => mix(WARM, (165, 0, 38), l - 1.0),
-    }
-}
-
-fn load(root: &Root<'_>, record: &Record) -> DrawResult {
-    let order = order(record);
-    let end = end_of(record);
-    let steps = record.series.asked.len().max(1);
-    let (by_row, by_column) = (order.len().div_ceil(MOST_ROWS), steps.div_ceil(MOST_COLUMNS));
-    let rows: Vec<&[usize]> = order.chunks(by_row).collect();
-    let (plot, legend) = root.split_vertically(root.get_pixel_range().1.len() as i32 - 40);
-    let mut chart = ChartBuilder::on(&plot)
-        .margin(10)
-        .margin_right(28)
-        .x_label_area_size(36)
-        .y_label_area_size(150)
-        .build_cartesian_2d(0.0..end, 0.0..rows.len() as f64)?;
-    let name = |row: usize| {
-        let Some(first) = rows.get(row).map(|r| r[0]) else { return String::new() };
-        let n = &record.nodes[first];
-        let and = if by_row > 1 { format!(" +{}", by_row - 1) } else { String::new() };
-        format!("{first}{and} {} {}", n.zone, n.kind)
-    };
-    chart
-        .configure_mesh()
-        .disable_mesh()
-        .x_desc("seconds")
-        .x_label_formatter(&whole)
-        .y_labels(1)
-        .y_label_formatter(&|_| String::new())
-        .label_style(TEXT)
-        .draw()?;
-    let step = record.series.step_s;
-    for (row, members) in rows.iter().enumerate() {
-        for column in (0..steps).step_by(by_column) {
-            let cells = members.iter().flat_map(|m| {
-                let series = &record.series.nodes[*m].load;
-                series.iter().skip(column).take(by_column).flatten().copied()
-            });
-            let loads: Vec<f64> = cells.collect();
-            let fill = match crate::stats::mean(&loads) {
-                Some(load) => colour(load),
-                None => RGBColor(190, 190, 190),
-            };
-            let (x, y) = (column as f64 * step, row as f64);
-            let to = (x + by_column as f64 * step).min(end);
-            chart.draw_series([Rectangle::new([(x, y + 0.04), (to, y + 0.96)], fill.filled())])?;
-        }
-    }
-    let style = ("sans-serif", 12).into_font().color(&BLACK);
-    let (left, _) = chart.plotting_area().get_pixel_range();
-    for row in 0..rows.len() {
-        let (_, y) = chart.plotting_area().map_coordinate(&(0.0, row as f64 + 0.5));
-        plot.draw(&Text::new(name(row), (left.start - 142, y - 6), style.clone()))?;
-    }
-    for i in 0..=40 {
-        let at = i as f64 / 20.0;
-        let x = left.start + i * 12;
-        legend.draw(&Rectangle::new([(x, 4), (x + 12, 18)], colour(at).filled()))?;
-        if i % 10 == 0 {
-            legend.draw(&Text::new(format!("{at:.1}"), (x, 22), style.clone()))?;
-        }
-    }
-    Ok(())
-}
-
 fn connections(root: &Root<'_>, record: &Record) -> DrawResult {
-    let end = end_of(record);
+    let end = end_seconds(record);
     let step = record.series.step_s;
     let per = |i: usize, c: u32| f64::from(c) / record.nodes[i].capacity.max(0.01);
     let nodes = || record.series.nodes.iter().enumerate();
@@ -292,12 +159,12 @@
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("seconds")
-        .x_label_formatter(&whole)
+        .x_label_formatter(&integer_label)
         .y_desc("a standard core")
-        .y_label_formatter(&whole)
+        .y_label_formatter(&integer_label)
         .label_style(TEXT)
         .draw()?;
-    chart.draw_series(bands(&record.faults, end, most * 1.1))?;
+    chart.draw_series(fault_bands(&record.faults, end, most * 1.1))?;
     let mut kinds: Vec<&str> = record.nodes.iter().map(|n| n.kind.as_str()).collect();
     kinds.sort_unstable();
     kinds.dedup();
@@ -315,25 +182,13 @@
         }
     }
     if !kinds.is_empty() {
-        legend(&mut chart)?;
+        draw_legend(&mut chart)?;
     }
     Ok(())
 }
 
-type Axes = Cartesian2d<plotters::coord::types::RangedCoordf64, plotters::coord::types::RangedCoordf64>;
-
-pub(crate) fn legend<'a, 'b: 'a>(chart: &mut ChartContext<'a, SVGBackend<'b>, Axes>) -> DrawResult {
-    chart
-        .configure_series_labels()
-        .position(SeriesLabelPosition::UpperRight)
-        .background_style(WHITE.mix(0.85))
-        .border_style(BLACK.mix(0.2))
-        .label_font(("sans-serif", 13))
-        .draw()
-}
-
 fn refusals(root: &Root<'_>, record: &Record) -> DrawResult {
-    let end = end_of(record);
+    let end = end_seconds(record);
     let step = record.series.step_s;
     let steps = record.series.refusals.values().map(Vec::len).max().unwrap_or(0);
     let sum = |i: usize| {
@@ -351,12 +206,12 @@
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("seconds")
-        .x_label_formatter(&whole)
+        .x_label_formatter(&integer_label)
         .y_desc("a second")
-        .y_label_formatter(&whole)
+        .y_label_formatter(&integer_label)
         .label_style(TEXT)
         .draw()?;
-    chart.draw_series(bands(&record.faults, end, most))?;
+    chart.draw_series(fault_bands(&record.faults, end, most))?;
     let mut below = vec![0.0; steps];
     let causes = record.series.refusals.iter().filter(|(_, n)| n.iter().any(|x| *x > 0));
     for (c, (cause, times)) in causes.enumerate() {
@@ -375,8 +230,8 @@
             .label(cause.as_str())
             .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled()));
     }
-    legend(&mut chart)?;
-    chart.draw_series(named(&record.faults, end, most))?;
+    draw_legend(&mut chart)?;
+    chart.draw_series(fault_labels(&record.faults, end, most))?;
     Ok(())
 }
 
@@ -397,7 +252,7 @@
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("part of all")
         .y_desc("milliseconds")
-        .y_label_formatter(&whole)
+        .y_label_formatter(&integer_label)
         .x_labels(6)
         .x_label_formatter(&|x: &f64| match x.round() as i32 {
             0 => "0".into(),
--- a/crates/lab/src/plots_service.rs
+++ b/crates/lab/src/plots/service.rs
@@ -1,8 +1,10 @@
-//! Owns the plots of what balancers told of themselves: their levels of service, and how they moved connections.
+//! Plots of what balancers report about themselves: their service levels, and the connections that they migrated.
 
-use plotters::prelude::*;
+use plotters::prelude::{BLACK, ChartBuilder, Color, IntoFont, LineSeries, RGBColor, Rectangle, Text, WHITE};
 
-use crate::plots::{COLOURS, DrawResult, Root, TEXT, bands, end_of, legend, named, whole};
+use super::chart::{
+    COLOURS, DrawResult, Root, TEXT, draw_legend, end_seconds, fault_bands, fault_labels, integer_label,
+};
 use crate::record::Record;
 
 // White to red; blue is kept for load.
@@ -31,7 +33,7 @@
 
 /// A row for each balancer.
 pub fn levels(root: &Root<'_>, record: &Record) -> DrawResult {
-    let end = end_of(record);
+    let end = end_seconds(record);
     let balancers = &record.series.balancers;
     let (plot, key) = root.split_vertically(root.get_pixel_range().1.len() as i32 - 34);
     let mut chart = ChartBuilder::on(&plot)
@@ -44,7 +46,7 @@
         .configure_mesh()
         .disable_mesh()
         .x_desc("seconds")
-        .x_label_formatter(&whole)
+        .x_label_formatter(&integer_label)
         .y_label_formatter(&|_| String::new())
         .label_style(TEXT)
         .draw()?;
@@ -60,7 +62,7 @@
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
         }
     }
-    chart.draw_series(bands(&record.faults, end, balancers.len() as f64))?;
+    chart.draw_series(fault_bands(&record.faults, end, balancers.len() as f64))?;
     let style = ("sans-serif", 12).into_font().color(&BLACK);
     let (left, _) = chart.plotting_area().get_pixel_range();
     for row in 0..balancers.len() {
@@ -92,7 +94,7 @@
 
 /// The largest load over capacity of all nodes that are up, over the mean of them; and moves for balance.
 pub fn balance(root: &Root<'_>, record: &Record) -> DrawResult {
-    let end = end_of(record);
+    let end = end_seconds(record);
     let step = record.series.step_s;
     let moves = moves(record);
     let most = moves.iter().flat_map(|m| &m.1).max().copied().unwrap_or(1).max(1) as f64;
@@ -109,51 +111,70 @@
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("seconds")
-        .x_label_formatter(&whole)
+        .x_label_formatter(&integer_label)
         .y_desc("largest over mean")
         .label_style(TEXT)
         .draw()?;
     chart
         .configure_secondary_axes()
         .y_desc("moves a second")
-        .y_label_formatter(&whole)
+        .y_label_formatter(&integer_label)
         .label_style(TEXT)
         .draw()?;
-    chart.draw_series(bands(&record.faults, end, 2.6))?;
-    let mut below: Vec<f64> = Vec::new();
-    for (i, (cause, by_second)) in moves.iter().enumerate() {
-        below.resize(below.len().max(by_second.len()), 0.0);
+    chart.draw_series(fault_bands(&record.faults, end, 2.6))?;
+    for (i, (cause, bars)) in stacked_moves(&moves, step, end).into_iter().enumerate() {
         let colour = COLOURS[i + 1];
-        let bars: Vec<_> = by_second
-            .iter()
-            .zip(&mut below)
-            .enumerate()
-            .filter(|(_, (n, _))| **n > 0)
-            .map(|(s, (n, from))| {
-                let (x, y) = (s as f64 * step, *from);
-                *from += *n as f64;
-                Rectangle::new([(x, y), ((x + step).min(end), *from)], colour.mix(0.6).filled())
-            })
-            .collect();
+        let bars = bars.into_iter().map(|corners| Rectangle::new(corners, colour.mix(0.6).filled()));
         chart
             .draw_secondary_series(bars)?
-            .label(*cause)
+            .label(cause)
             .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled()));
     }
-    let nodes = &record.series.nodes;
-    let seconds = nodes.iter().map(|n| n.load.len()).max().unwrap_or(0);
-    let line = (0..seconds).filter_map(|s| {
-        let up: Vec<f64> = nodes.iter().filter_map(|n| n.load.get(s).copied().flatten()).collect();
-        let mean = crate::stats::mean(&up).filter(|m| *m > 0.0)?;
-        Some((s as f64 * step, (up.iter().copied().fold(0.0, f64::max) / mean).min(2.6)))
-    });
     chart
-        .draw_series(LineSeries::new(line, COLOURS[0].stroke_width(2)))?
+        .draw_series(LineSeries::new(imbalance(record), COLOURS[0].stroke_width(2)))?
         .label("imbalance")
         .legend(|(x, y)| Rectangle::new([(x, y - 2), (x + 12, y + 2)], COLOURS[0].filled()));
     let goal = [(0.0, 1.15), (end, 1.15)];
     chart.draw_series(LineSeries::new(goal, BLACK.mix(0.4).stroke_width(1)))?;
-    legend(&mut chart)?;
-    chart.draw_series(named(&record.faults, end, 2.6))?;
+    draw_legend(&mut chart)?;
+    chart.draw_series(fault_labels(&record.faults, end, 2.6))?;
     Ok(())
 }
+
+type Corners = [(f64, f64); 2];
+
+/// Bars of the moves in each second, one cause on top of the other.
+fn stacked_moves(
+    moves: &[(&'static str, Vec<u64>)],
+    step: f64,
+    end: f64,
+) -> Vec<(&'static str, Vec<Corners>)> {
+    let mut tops: Vec<f64> = Vec::new();
+    let mut stacked = Vec::new();
+    for (cause, by_second) in moves {
+        tops.resize(tops.len().max(by_second.len()), 0.0);
+        let mut bars = Vec::new();
+        for (second, (count, top)) in
+            by_second.iter().zip(&mut tops).enumerate().filter(|(_, (n, _))| **n > 0)
+        {
+            let (x, bottom) = (second as f64 * step, *top);
+            *top += *count as f64;
+            bars.push([(x, bottom), ((x + step).min(end), *top)]);
+        }
+        stacked.push((*cause, bars));
+    }
+    stacked
+}
+
+/// The largest load over the mean of the nodes that are up, by second.
+fn imbalance(record: &Record) -> Vec<(f64, f64)> {
+    let nodes = &record.series.nodes;
+    let seconds = nodes.iter().map(|n| n.load.len()).max().unwrap_or(0);
+    let at = |second: usize| {
+        let up: Vec<f64> = nodes.iter().filter_map(|n| n.load.get(second).copied().flatten()).collect();
+        let mean = crate::stats::mean(&up).filter(|m| *m > 0.0)?;
+        let largest = up.iter().copied().fold(0.0, f64::max);
+        Some((second as f64 * record.series.step_s, (largest / mean).min(2.6)))
+    };
+    (0..seconds).filter_map(at).collect()
+}
