--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -1,5 +1,5 @@
-//! What balancers hold, told to all others some tenths of a second late: what they would know if telling each other worked
-//! without a fault. The ways that notes take, and how they fail, are the trials' matter.
+//! An ideal exchange of loads between balancers, a few tenths of a second late and without loss. Real gossip and its
+//! faults are tested by the fault scenarios.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,10 +9,10 @@
 use shorewharf_emulator::edge::BalancerId;
 use shorewharf_units::Micros;
 
-/// What is held is read out and told so often.
+/// Interval between exchanges.
 pub(super) const EXCHANGE_INTERVAL: Micros = 200_000;
-/// What is told was read out so many times ago. A time back at least: balancers take their turns side by side, and all
-/// have to see the same, whoever comes first.
+/// Age of the published loads, in intervals. At least one: balancers run in parallel, and all must read the same loads
+/// in any order.
 const PUBLICATION_DELAY_INTERVALS: u64 = 2;
 
 type PublishedLoads = Arc<BTreeMap<ServerId, RemoteLoad>>;
@@ -23,18 +23,18 @@
     all: Option<PublishedLoads>,
 }
 
-/// What all balancers held, at the last few times.
+/// Loads of all balancers in the last few intervals.
 #[derive(Debug, Default)]
 pub(super) struct SharedLoadBoard(Mutex<BTreeMap<u64, LoadSnapshot>>);
 
 impl SharedLoadBoard {
-    /// Which time this is.
+    /// The interval that contains a time.
     pub(super) fn interval_of(now: Micros) -> u64 {
         now / EXCHANGE_INTERVAL
     }
 
-    /// Puts up what one holds at a time, and takes down what the others held two times before; none where nobody had put up
-    /// anything.
+    /// Publishes a balancer's load and returns the sum of the others' two intervals ago; none if nothing was published
+    /// then.
     pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<PublishedLoads> {
         let mut moments = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         moments.retain(|at, _| at + 2 * PUBLICATION_DELAY_INTERVALS > time);
@@ -59,7 +59,7 @@
         away.load += h.load;
         away.connections += f64::from(h.connections);
         if h.group != 0 {
-            // Notes name groups by the lower half of their ids.
+            // Gossip names groups by the lower half of their ids.
             away.groups.insert(h.group as u32);
         }
     }
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -1,5 +1,5 @@
-//! What is hosted in place of balancers: the real driver and decision module, and policies to compare them with. All
-//! stand on the same emulated peers, so that a difference between two of them is one of decisions.
+//! Policies that run in place of balancers: the real driver and decision module, and reference policies to compare it
+//! with. All use the same emulated peers, so that two of them differ only in their decisions.
 
 mod board;
 mod node_directory;
@@ -27,7 +27,7 @@
 pub use peers::EmulatedPeers;
 use policies::{Pick, PlainPolicy};
 
-/// Who decides.
+/// Which policy makes the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyChoice {
     /// The project's driver and decision module.
@@ -36,15 +36,15 @@
     Random,
     /// One server after the other.
     RoundRobin,
-    /// Whatever has fewest of the balancer's own connections.
+    /// The server with the fewest of the balancer's own connections.
     Fewest,
-    /// Of two drawn at random, the one that has fewer of the balancer's own connections.
+    /// The one of two random servers that has fewer of the balancer's own connections.
     TwoChoices,
-    /// Whatever has most room, by the nodes' true state, which no balancer can see: what could be reached.
+    /// Placement by the nodes' ground truth, which no real balancer can see: an upper bound.
     Oracle,
 }
 
-/// No such policy.
+/// No policy has this name.
 #[derive(Debug, Error)]
 #[error(
     "no policy is named {0:?}; there are module (module@FILE with an operator's file, module-with-tenancy, \
@@ -53,10 +53,10 @@
 )]
 pub struct UnknownPolicy(String);
 
-/// A policy that can't be played.
+/// Why a policy could not be created.
 #[derive(Debug, Error)]
 pub enum PolicyError {
-    /// Nobody has this name.
+    /// No policy has this name.
     #[error(transparent)]
     Unknown(#[from] UnknownPolicy),
     /// The operator's file can't be read.
@@ -88,20 +88,20 @@
     policy: PolicyChoice,
     operator: Operator,
     ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
-    /// What the module knows is kept over its end.
+    /// The module's state is saved and restored over restarts.
     saves_state: bool,
-    /// Where balancers tell each other what they hold.
+    /// Where balancers exchange their loads, if they do.
     load_board: Option<Arc<SharedLoadBoard>>,
-    /// The module may sound servers by probes, where the day allows it.
+    /// The module may probe servers, where the day allows it.
     allows_probes: bool,
 }
 
 impl PolicyHosts {
-    /// Hosts balancers that are run by `who`.
-    pub fn new(who: PolicyChoice) -> Self {
+    /// Hosts balancers that run this policy.
+    pub fn new(policy: PolicyChoice) -> Self {
         let (operator, truth) = Default::default();
         PolicyHosts {
-            policy: who,
+            policy,
             operator,
             ground_truth: truth,
             saves_state: false,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Hosts balancers that are run by the policy of this name. The module takes an operator's file behind an `@`.
+    /// Hosts balancers that run the policy of this name. The module takes an operator's file behind an `@`.
     ///
     /// # Errors
     /// No policy has this name, or its operator file can't be read or used.
@@ -239,10 +239,10 @@
     }
 }
 
-/// A record is read out so often, as the program does unless it is told otherwise.
+/// Interval between snapshots, the program's default.
 const SAVE_INTERVAL: Micros = 2_000_000;
 
-/// What a balancer knew when it was read out last.
+/// A balancer's last snapshot.
 #[derive(Default)]
 struct SavedState {
     saved_at: Micros,
@@ -250,7 +250,7 @@
 }
 
 impl SavedState {
-    /// Reads out what a module knows, if it is time to.
+    /// Saves the module's state, if the interval is over.
     fn save_if_due(&mut self, now: Micros, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
         if now < self.saved_at + SAVE_INTERVAL {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Has the module of the next life recall it.
+    /// Restores the state into the module of the next incarnation.
     fn restore(&mut self, now: Micros, policy: &mut Policy) {
         if let Policy::Module(driver) = policy {
             let (past, learned) =
@@ -273,16 +273,16 @@
     }
 }
 
-/// A balancer's sight of what others hold.
+/// A balancer's access to the loads of its peers.
 struct BoardView {
     board: Arc<SharedLoadBoard>,
     id: BalancerId,
-    /// The time at which it looks next.
+    /// The interval of the next exchange.
     next_interval: u64,
 }
 
 impl BoardView {
-    /// Puts up what is held and hears of others, if it is time to.
+    /// Publishes the balancer's load and reads that of its peers, if the interval is over.
     fn exchange_if_due(&mut self, now: Micros, peers: &mut EmulatedPeers, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
         let time = SharedLoadBoard::interval_of(now);
@@ -297,7 +297,7 @@
     }
 }
 
-/// A balancer through all its lives.
+/// A balancer over all its incarnations.
 struct HostedBalancer {
     directory: NodeDirectory,
     settings: Settings,
@@ -326,11 +326,13 @@
                     let known = peers.update_endpoints(true, known);
                     let mut policy = self.factory.create_policy(&self.settings, *seed, known, &mut peers);
                     policy.process_events(&mut peers);
-                    self.saved_state.iter_mut().for_each(|kept| kept.restore(now, &mut policy));
+                    if let Some(saved_state) = &mut self.saved_state {
+                        saved_state.restore(now, &mut policy);
+                    }
                     self.incarnation = Some((peers, policy));
                 }
                 ToBalancer::Kill => {
-                    // What it would have done at the end of this tick it did not live to do.
+                    // A killed process does nothing at the end of this tick.
                     if let Some((peers, _)) = self.incarnation.take() {
                         self.next_link = peers.next_link();
                     }
@@ -343,12 +345,16 @@
                 }
             }
         }
-        // What came within the tick came before what is due at its end.
+        // Messages within the tick come before timers at its end.
         if let Some((peers, policy)) = &mut self.incarnation {
             peers.fire_due_timers();
-            self.board_view.iter_mut().for_each(|told| told.exchange_if_due(now, peers, policy));
+            if let Some(board_view) = &mut self.board_view {
+                board_view.exchange_if_due(now, peers, policy);
+            }
             policy.process_events(peers);
-            self.saved_state.iter_mut().for_each(|kept| kept.save_if_due(now, policy));
+            if let Some(saved_state) = &mut self.saved_state {
+                saved_state.save_if_due(now, policy);
+            }
             self.next_link = peers.next_link();
             peers.take_actions(out);
         }
--- a/crates/lab/src/instances/node_directory.rs
+++ b/crates/lab/src/instances/node_directory.rs
@@ -1,4 +1,4 @@
-//! What is publicly known of the nodes, and how the emulator's numbers become the module's.
+//! Public data of the nodes, and the mapping of the emulator's ids and times to the module's.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
     longest_wait: Micros,
 }
 
-/// The nodes as a list names them. Cheap to clone.
+/// The nodes as the endpoint list describes them. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct NodeDirectory(Arc<Table>);
 
-/// A server's id: fixed by the node's place, and telling nothing of it, as names do.
+/// A server's id: fixed by the node's index without revealing it, as names do.
 fn server_id(node: usize) -> ServerId {
     // One round of splitmix64, which maps different places to different ids.
     let mut x = (node as u64).wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -1,7 +1,6 @@
-//! A policy that sees the true state of all nodes at every tick, which no balancer can: what could be reached. It
-//! places by the price of a connection (its own load, and a group's where the node holds none of it yet), holds who
-//! has no room until there is some, fills nodes no further than their messages bear, and takes the heaviest
-//! connections off those that are beyond.
+//! A policy that sees the ground truth of all nodes at every tick: an upper bound that no real balancer can reach. It
+//! places by the cost of a connection (its own load, plus a group's on a node that has none of it), queues requests
+//! without capacity, limits the utilization of nodes, and migrates the heaviest connections off overloaded ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, PoisonError, RwLock};
@@ -13,29 +12,28 @@
 
 use super::EmulatedPeers;
 
-/// The watch on the list is opened again so long after it broke.
+/// Delay before a broken watch is opened again.
 const WATCH_RETRY_INTERVAL: Micros = 1_000_000;
-/// With less of its client's time left a request is not tried again.
+/// A request with less time left is rejected.
 const MIN_TIME_LEFT: Micros = 20_000;
-/// How often it looks whether there is room for who waits.
+/// Interval between attempts to place queued requests.
 const RETRY_INTERVAL: Micros = 10_000;
-/// How often connections are taken off nodes that are too full.
+/// Interval between migrations off overloaded nodes.
 const RELIEVE_INTERVAL: Micros = 250_000;
 const WATCH_TIMER: u64 = 1;
 const RELIEVE_TIMER: u64 = 2;
 const RETRY_TIMER: u64 = 3;
-/// What refused clients are told to wait; those who are refused have waited to the end of their patience.
+/// Retry-After of rejected requests; short, since they have waited up to their deadline.
 const RETRY_AFTER: Micros = 50_000;
-/// What a connection costs its node in usual loads, and a group of which the node holds nothing.
+/// Cost of a connection, and extra cost of a group that the node has none of, in mean connection loads.
 const CONNECTION_COST: f64 = 1.1;
 const NEW_GROUP_COST: f64 = 2.0;
 
-/// A node takes connections of a group that it holds up to this share of its capacity, and of others up to a lower
-/// one: room that is left goes to those who cost least. Of what was tried on 55 days (0.8 to 0.9, 0.5 to 0.85) this did
-/// best, or within 0.003 of G of it.
+/// A node accepts connections of groups that it holds up to the first utilization, and others up to the second: the
+/// remaining capacity goes to the cheapest connections.
 const KNOWN_GROUP_MAX_UTILIZATION: f64 = 0.85;
 const NEW_GROUP_MAX_UTILIZATION: f64 = 0.65;
-/// Beyond this share it is relieved, down to the other.
+/// A node above the first utilization is relieved down to the second.
 const RELIEF_THRESHOLD: f64 = 0.95;
 const RELIEF_TARGET: f64 = 0.88;
 
@@ -50,7 +48,7 @@
     load: f64,
 }
 
-/// The policy with what it must remember of requests.
+/// The policy with the state of its requests.
 pub(super) struct Oracle {
     ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
     max_attempts: u32,
@@ -59,7 +57,7 @@
     requests: BTreeMap<RequestId, AssignedRequest>,
     waiting: Vec<RequestId>,
     is_retry_scheduled: bool,
-    /// What it has placed since it saw the nodes' state last.
+    /// Groups placed on each server since the last update of the ground truth.
     placed: BTreeMap<ServerId, Vec<u64>>,
     placed_at: Micros,
 }
@@ -171,7 +169,7 @@
         }
     }
 
-    /// Sends it where there is room; else it waits, and is refused at the end of its client's patience.
+    /// Sends a request to a server with capacity, or queues it; rejects it near its deadline.
     fn begin_attempt(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
         let now = peers.now();
         let Some(h) = self.requests.get(&id).filter(|h| !h.is_attempting && h.server.is_none()) else {
@@ -225,7 +223,7 @@
                 let hand = f64::from(t.set_ups) + mine.len() as f64;
                 let coming = hand * (CONNECTION_COST + 0.5 * NEW_GROUP_COST) * t.usual;
                 let u = (t.stands + coming + cost * t.usual) / t.capacity + t.pile_s;
-                // A set-up takes a core while it lasts: more at once than there is room for pile up work.
+                // A setup occupies a core: more of them than free cores would queue.
                 let lanes = hand < 1.0 + 4.0 * (1.0 - (t.stands / t.capacity).min(1.0));
                 let stands =
                     t.before_fall.is_none_or(|left| left >= self.balancer_count * (mine.len() as f64 + 1.0));
@@ -235,7 +233,7 @@
         priced.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|best| best.1)
     }
 
-    /// Takes the heaviest connections off nodes that are too full, each balancer its own part.
+    /// Migrates this balancer's heaviest connections off overloaded nodes.
     fn relieve_overloaded(&mut self, peers: &mut EmulatedPeers) {
         peers.set_timer(RELIEVE_INTERVAL, RELIEVE_TIMER);
         let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner).clone();
@@ -264,6 +262,8 @@
                 moves.push(id);
             }
         }
-        moves.into_iter().for_each(|id| peers.migrate(id));
+        for id in moves {
+            peers.migrate(id);
+        }
     }
 }
--- a/crates/lab/src/instances/peers/drain.rs
+++ b/crates/lab/src/instances/peers/drain.rs
@@ -1,5 +1,5 @@
-//! A planned end, step by step as the real program takes it: standing clients stay until near its end, then they are
-//! moved evenly, and who still waits is refused.
+//! The drain of a process after SIGTERM, in the steps of the real program: established clients stay at first, then they
+//! are migrated evenly, and requests that still wait are rejected.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
 use shorewharf_driver::{Effects, NetworkEvent};
@@ -8,19 +8,19 @@
 
 use super::{EmulatedPeers, RETRY_AFTER, SWEEP_INTERVAL, SessionStage, TimerEvent};
 
-/// After SIGTERM the front still sends clients for 0.4 s; moved any sooner, they would come back here.
+/// Earlier migrated clients would return here: the front still sends clients for 0.4 s after SIGTERM.
 pub(super) const DRAIN_MIGRATE_AFTER: Micros = 450_000;
-/// SIGKILL comes no sooner than this after the longest wait of a client, which counts as 3 s where it is longer.
+/// Time from the longest wait of a client, capped by `MAX_CLIENT_WAIT`, to SIGKILL.
 const KILL_GRACE: Micros = 700_000;
 const MAX_CLIENT_WAIT: Micros = 3_000_000;
 
 impl EmulatedPeers {
-    /// The steps of a planned end: accept and answer, move everybody, refuse who still waits, go.
+    /// Takes the next step of the drain: reply to waiting requests, migrate, reject the rest, exit.
     pub(super) fn advance_drain(&mut self) {
         let Some(from) = self.draining_since else { return };
         let since = self.now - from;
         let longest = self.directory.longest_wait().min(MAX_CLIENT_WAIT) + KILL_GRACE;
-        // Clients have 0.5 s for their last words after the last move, and 0.3 s are left for a busy machine.
+        // Clients get 0.5 s for final messages after the last migration, and 0.3 s are left for a busy machine.
         let move_until = longest.saturating_sub(800_000);
         let move_from = move_until.saturating_sub(900_000).max(DRAIN_MIGRATE_AFTER);
         let (answers, last) = (move_until.saturating_sub(500_000), longest - 300_000);
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -1,5 +1,5 @@
-//! Plain policies to compare the module with. They keep to what any balancer must do (one attempt at a time, an
-//! answer in time, nothing new to what is not ready) and learn nothing.
+//! Simple policies to compare the module with. They follow the rules for any balancer (one attempt at a time, a reply
+//! in time, no new connections to servers that aren't ready) and learn nothing.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,21 +12,21 @@
 
 use super::EmulatedPeers;
 
-/// The watch on the list is opened again so long after it broke.
+/// Delay before a broken watch is opened again.
 const WATCH_RETRY_INTERVAL: Micros = 1_000_000;
-/// With less of its client's time left a request is not tried again.
+/// A request with less time left is rejected.
 const MIN_TIME_LEFT: Micros = 20_000;
 const WATCH_TIMER: u64 = 1;
-/// What refused clients are told to wait.
+/// Retry-After of rejected requests.
 const RETRY_AFTER: Micros = 500_000;
 
 /// How a server is picked.
 pub(super) enum Pick {
     Random,
     RoundRobin,
-    /// Fewest of the balancer's own, drawn where several have as few.
+    /// Fewest of the balancer's own connections; ties are broken at random.
     Fewest,
-    /// The one with fewer of its own out of two that are drawn.
+    /// The one of two random servers with fewer of its own connections.
     TwoChoices,
 }
 
@@ -37,7 +37,7 @@
     stands: bool,
 }
 
-/// A policy with what it must remember of requests.
+/// A policy with the state of its requests.
 pub(super) struct PlainPolicy {
     pick: Pick,
     rng: Pcg64Mcg,
@@ -45,7 +45,7 @@
     ready: BTreeMap<ServerId, ServerState>,
     next_index: usize,
     requests: HashMap<RequestId, PendingRequest>,
-    /// Its own attempts and connections.
+    /// The balancer's own attempts and connections by server.
     connections: BTreeMap<ServerId, u32>,
 }
 
@@ -67,7 +67,7 @@
             connections: BTreeMap::new(),
         };
         policy.update_endpoints(true, &known);
-        // Balancers that start together don't go round in step.
+        // Balancers that start together begin at different servers.
         policy.next_index = policy.rng.random_range(0..policy.ready.len().max(1));
         peers.watch_endpoints();
         policy
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -1,8 +1,8 @@
-//! Balancers that break one rule each, on purpose: what shows that the auditor catches it, and with which reason.
+//! Balancers that each violate one rule, to check that the auditor detects it for the right reason.
 //!
-//! A mutant stands round a sound instance. It keeps words from it, puts words in its mouth or adds some of its own, and
-//! lets everything else pass, so that whatever else is found on a run is a false alarm. What only sockets can show (held
-//! or changed lines, `MOVE` within a line, first lines that no client wrote) has no mutant here.
+//! A mutant wraps a correct instance. It drops or changes some of its inputs and outputs or adds its own, and passes
+//! everything else, so that any other finding of a run is a false alarm. Violations that only occur on sockets (delayed
+//! or changed lines, `MOVE` within a line, first lines that no client sent) have no mutant here.
 
 mod history;
 pub mod on_sockets;
@@ -17,20 +17,20 @@
 use history::MutantHistory;
 use schedule::{ActionSchedule, ScheduledAction};
 
-/// Every so many-th connection is struck, where a fault strikes single ones.
+/// Mutations of single connections affect one in this many.
 const AFFECTED_CONNECTION_EVERY: u64 = 5;
-/// Links of a mutant's own are numbered from here on, above those of any instance.
+/// First link number of a mutant's own attempts, above those of any instance.
 const FIRST_OWN_LINK: u64 = 1 << 60;
-/// The time between an act of a mutant's own and the next one.
+/// Interval between a mutant's own actions.
 const ACTION_INTERVAL: Micros = 5_000;
-/// A connection stands this long before it is mistreated.
+/// How long a connection is established before the mutation affects it.
 const ESTABLISHED_BEFORE_START: Micros = 2_000_000;
-/// A node whose start was told draws everything to it for so long.
+/// How long `OverrunsStarts` sends everything to a node that has started.
 const OVERRUN_DURATION: Micros = 4_000_000;
-/// When the one that exits does so.
+/// When `Exits` ends its process.
 const EXIT_AT: Micros = 20_000_000;
 
-/// What a mutant does wrong.
+/// The rule violation of a mutant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutation {
     /// It never answers some clients.
@@ -47,13 +47,13 @@
     TwoAtOnce,
     /// It tries more often than allowed.
     NeverGivesUp,
-    /// It sends some requests on that it has refused.
+    /// It forwards some requests that it has rejected.
     SendsAfterEnd,
-    /// It believes no news of a drain or an end.
+    /// It ignores that servers drain or are removed.
     IgnoresDrains,
-    /// It sends everything to a node of whose start it was told.
+    /// It sends everything to a node that has just started.
     OverrunsStarts,
-    /// It cuts some clients off.
+    /// It closes some established clients.
     CutsOff,
     /// It keeps some clients whose server has ended the connection.
     KeepsEnded,
@@ -61,9 +61,9 @@
     KeepsSevered,
     /// It never notices that a connection returns nothing.
     KeepsSilent,
-    /// It takes no notice of SIGTERM.
+    /// It ignores SIGTERM.
     IgnoresTerm,
-    /// It cuts everybody off at SIGTERM.
+    /// It closes all clients at SIGTERM.
     CutsOffAtTerm,
     /// It ends by itself.
     Exits,
@@ -91,8 +91,8 @@
         Mutation::Exits,
     ];
 
-    /// The reason for which it is to be caught. An answer is only late while its client is still there: the clients' delay
-    /// must be over a tick, or it crosses with the end of one that has waited long enough and counts as none.
+    /// The reason that the auditor must give. `Late` needs a client delay above one tick: otherwise the late reply crosses
+    /// with the client's own end and counts as missing.
     pub fn caught_for(self) -> Reason {
         match self {
             Mutation::Mute => Reason::NoAnswer,
@@ -116,16 +116,16 @@
     }
 }
 
-/// Hosts mutants round the instances of another host.
+/// Wraps the instances of another host in mutants.
 pub struct Mutants<H> {
     inner: H,
     mutation: Mutation,
 }
 
 impl<H: Host> Mutants<H> {
-    /// Balancers of `sound` that do this wrong.
-    pub fn new(sound: H, wrong: Mutation) -> Self {
-        Mutants { inner: sound, mutation: wrong }
+    /// Wraps the balancers of `inner` with this mutation.
+    pub fn new(inner: H, mutation: Mutation) -> Self {
+        Mutants { inner, mutation }
     }
 }
 
@@ -155,15 +155,15 @@
 struct Mutant {
     inner: Box<dyn Instance>,
     mutation: Mutation,
-    /// Attempts that are allowed.
+    /// Allowed attempts per request.
     max_attempts: u64,
-    /// So long after the deadline an answer is late.
+    /// How long after the deadline a reply counts as late.
     late_after: Micros,
     schedule: ActionSchedule,
     history: MutantHistory,
-    /// It has exited and does nothing until it starts again.
+    /// The process has exited and does nothing until it starts again.
     has_exited: bool,
-    /// Its own exit.
+    /// When the process exits by itself.
     exit_at: Option<Micros>,
 }
 
@@ -179,7 +179,7 @@
         for word in said {
             self.on_output(now, word, out);
         }
-        // What the instance was made to say may have set off more.
+        // The instance's outputs may have scheduled more.
         let mut more = Vec::new();
         self.schedule.due(now, out, &mut more);
         if !more.is_empty() {
@@ -198,7 +198,7 @@
 }
 
 impl Mutant {
-    /// A word comes: hands on what the instance may hear.
+    /// Processes an input and passes it to the instance where the mutation allows it.
     fn on_input(
         &mut self,
         now: Micros,
@@ -221,7 +221,7 @@
             _ => {}
         }
         if let ToBalancer::Asked { ask, left } = word {
-            // What stands from before the run is left alone.
+            // Connections from before the run are never affected.
             if ask.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && ask.home.is_none() {
                 self.history.mark_affected(ask.conn, now + left + self.late_after);
                 if self.mishandle_request(now, ask, out) {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Deals with a request by itself, so that the instance never hears of it; false if this is not its way.
+    /// Handles a request in place of the instance; false if the mutation doesn't.
     fn mishandle_request(&mut self, now: Micros, ask: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
         let conn = ask.conn;
         match self.mutation {
@@ -300,7 +300,7 @@
         self.schedule.at(now, ScheduledAction::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
     }
 
-    /// The instance says something: lets it out, or what is made of it.
+    /// Processes an output of the instance: emits, drops or changes it.
     fn on_output(&mut self, now: Micros, word: FromBalancer, out: &mut Vec<FromBalancer>) {
         if self.has_exited {
             return;
--- a/crates/lab/src/mutants/schedule.rs
+++ b/crates/lab/src/mutants/schedule.rs
@@ -1,20 +1,20 @@
-//! What a mutant does by itself, and when.
+//! Actions that a mutant takes by itself, by time.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use shorewharf_emulator::edge::{ConnId, End, FromBalancer, LinkId, NodeId, ToBalancer};
 use shorewharf_units::Micros;
 
-/// One act.
+/// One action.
 #[derive(Clone, Debug)]
 pub enum ScheduledAction {
-    /// It does this.
+    /// Emits this as the balancer.
     Does(FromBalancer),
-    /// It has its instance hear this.
+    /// Delivers this to the wrapped instance.
     Hears(ToBalancer),
 }
 
-/// Acts to come, in order of time.
+/// Pending actions in order of time.
 #[derive(Debug)]
 pub struct ActionSchedule {
     first_link: u64,
@@ -23,7 +23,7 @@
 }
 
 impl ActionSchedule {
-    /// None yet; links of the mutant's own are numbered from here on.
+    /// Creates an empty schedule; `first_link` numbers the mutant's own links.
     pub fn new(first_link: u64) -> Self {
         ActionSchedule { first_link, next_link: first_link, to_come: BTreeMap::new() }
     }
@@ -33,22 +33,22 @@
         link.0 >= self.first_link
     }
 
-    /// The process is gone.
+    /// Drops all actions, when the process ends.
     pub fn clear(&mut self) {
         self.to_come.clear();
     }
 
-    /// Plans an act.
+    /// Schedules an action.
     pub fn at(&mut self, when: Micros, act: ScheduledAction) {
         self.to_come.entry(when).or_default().push_back(act);
     }
 
-    /// Plans an attempt that is given up after so long.
-    pub fn tries(&mut self, when: Micros, conn: ConnId, node: NodeId, long: Micros) {
+    /// Schedules an attempt that is closed after `duration`.
+    pub fn tries(&mut self, when: Micros, conn: ConnId, node: NodeId, duration: Micros) {
         let link = LinkId(self.next_link);
         self.next_link += 1;
         self.at(when, ScheduledAction::Does(FromBalancer::Link { link, node, conn: Some(conn) }));
-        self.at(when + long, ScheduledAction::Does(FromBalancer::EndLink(link, End::Fin)));
+        self.at(when + duration, ScheduledAction::Does(FromBalancer::EndLink(link, End::Fin)));
     }
 
     /// When the next one is due.
@@ -56,7 +56,7 @@
         self.to_come.keys().next().copied()
     }
 
-    /// Does what is due by now.
+    /// Runs all actions that are due.
     pub fn due(&mut self, now: Micros, out: &mut Vec<FromBalancer>, heard: &mut Vec<ToBalancer>) {
         while let Some(entry) = self.to_come.first_entry().filter(|e| *e.key() <= now) {
             for act in entry.remove() {
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -1,9 +1,11 @@
-//! Owns `trial`: hundreds of processes of the program on loopback, what a file breaks between them, and whether its promises
-//! held.
+//! The `trial` command: runs many processes of the program on loopback with the faults of a fault scenario, and evaluates
+//! its expectations.
 
 use std::path::Path;
 
 use serde_json::json;
+use shorewharf_emulator::day::Day;
+use shorewharf_emulator::sockets::network_faults::NetworkFault;
 use shorewharf_emulator::sockets::platform::SocketsRun;
 use shorewharf_emulator::world::series::SLOT;
 use shorewharf_fault_scenarios::{Observations, Scenario, Verdict, WeightedRequests, evaluate};
@@ -14,12 +16,12 @@
 use crate::error::{CommandError, CommandOutcome};
 use crate::files;
 use crate::page;
-use crate::record::{FaultInterval, round};
+use crate::record::{FaultInterval, Record, round};
 use crate::runner;
 use crate::sockets;
 use crate::style::{Style, say};
 use crate::tables;
-use shorewharf_units::seconds_from_micros;
+use shorewharf_units::{Micros, seconds_from_micros};
 
 /// `trial`: runs the scenario and evaluates its expectations.
 ///
@@ -69,23 +71,7 @@
     let mut record = runner::record(day, &name, "sockets", &run.result);
     record.sockets = Some(sockets::facts(&run.report));
     record.about.clone_from(&trial.about);
-    let of_store = trial.store_faults(day).unwrap_or_default();
-    for b in &of_store {
-        let kind = format!("between: {}", b.kind.label());
-        let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
-        record.faults.push(FaultInterval { kind, from_s, to_s, struck: b.balancers.len() });
-    }
-    let faults = trial.faults.iter().filter(|fault| !fault.kind.is_of_store());
-    for (fault, b) in faults.zip(&breaks) {
-        let kind = fault.kind.label();
-        let (from_s, to_s) = (seconds_from_micros(b.from), seconds_from_micros(b.to));
-        record.faults.push(FaultInterval {
-            kind: format!("between: {kind}"),
-            from_s,
-            to_s,
-            struck: b.balancers.len(),
-        });
-    }
+    record.faults.extend(fault_intervals(&trial, day, &breaks));
     if args.json.as_deref() == Some(Path::new("-")) {
         say(&json_text(&trial, day.seed, ended, &verdicts, &record));
     } else {
@@ -110,12 +96,31 @@
     }
 }
 
-/// What became of a trial's promises.
+/// The faults of the shared store and of the network between balancers, as intervals of the record.
+fn fault_intervals(trial: &Scenario, day: &Day, network_faults: &[NetworkFault]) -> Vec<FaultInterval> {
+    let interval = |label: &str, (from, to): (Micros, Micros), struck| FaultInterval {
+        kind: format!("between: {label}"),
+        from_s: seconds_from_micros(from),
+        to_s: seconds_from_micros(to),
+        struck,
+    };
+    let mut intervals = Vec::new();
+    for fault in trial.store_faults(day).unwrap_or_default() {
+        intervals.push(interval(fault.kind.label(), (fault.from, fault.to), fault.balancers.len()));
+    }
+    let between_balancers = trial.faults.iter().filter(|fault| !fault.kind.is_of_store());
+    for (fault, times) in between_balancers.zip(network_faults) {
+        intervals.push(interval(fault.kind.label(), (times.from, times.to), times.balancers.len()));
+    }
+    intervals
+}
+
+/// Evaluates the scenario's expectations.
 pub fn evaluate_expectations(
     trial: &Scenario,
-    day: &shorewharf_emulator::day::Day,
+    day: &Day,
     run: &SocketsRun,
-    breaks: &[shorewharf_emulator::sockets::network_faults::NetworkFault],
+    breaks: &[NetworkFault],
 ) -> Vec<Verdict> {
     let outcome = &run.result.outcome;
     let weighted = outcome.seconds.iter().map(|s| WeightedRequests { requested: s.asked, served: s.earned });
@@ -140,13 +145,7 @@
     )
 }
 
-fn table(
-    trial: &Scenario,
-    day: &shorewharf_emulator::day::Day,
-    ended: &str,
-    verdicts: &[Verdict],
-    style: &Style,
-) -> String {
+fn table(trial: &Scenario, day: &Day, ended: &str, verdicts: &[Verdict], style: &Style) -> String {
     let mut text = format!(
         "{}\n{} balancers, {} nodes, {} s, seed {}: {}\n\n",
         trial.about,
@@ -165,13 +164,7 @@
     text
 }
 
-fn json_text(
-    trial: &Scenario,
-    seed: u64,
-    ended: &str,
-    verdicts: &[Verdict],
-    record: &crate::record::Record,
-) -> String {
+fn json_text(trial: &Scenario, seed: u64, ended: &str, verdicts: &[Verdict], record: &Record) -> String {
     let promises: Vec<_> = verdicts
         .iter()
         .map(
