--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -1,5 +1,7 @@
 //! Composes the audit: each fact goes to the parts that it concerns, and what they find goes into the verdict.
 
+mod connections;
+
 use super::established::EstablishedConnection;
 use super::lists::NotifiedLists;
 use super::nodes::{Nodes, Overload};
@@ -8,7 +10,7 @@
 use super::tolerances::AuditTolerances;
 use super::trace::{What, secs, together};
 use super::verdict::{Case, Exemption, Reason, Verdict};
-use super::{Corruption, Direction, Observation};
+use super::{Corruption, Observation};
 use crate::day::Day;
 use crate::edge::{
     Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, RequestLine, ToBalancer,
@@ -496,80 +498,6 @@
 
     // Connections.
 
-    fn on_client_line(&mut self, now: Micros, id: ConnId) {
-        let Some(conn) = self.table.conn(id) else { return };
-        let Some(standing) = conn.established.as_mut().filter(|s| s.is_carrying()) else { return };
-        standing.silent_since = standing.silent_since.or(Some(now));
-        if self.tolerances.lines {
-            conn.to_node.enter(now);
-        }
-        self.schedule_progress_checks(now, id);
-    }
-
-    fn on_line_delivered(&mut self, now: Micros, id: ConnId, way: Direction) {
-        let Some(conn) = self.table.conn(id) else { return };
-        match way {
-            Direction::ToNode => conn.to_node.leave(now),
-            Direction::ToClient => {
-                conn.to_client.leave(now);
-                if let Some(standing) = &mut conn.established {
-                    standing.silent_since = None;
-                }
-            }
-        }
-        self.schedule_progress_checks(now, id);
-    }
-
-    fn on_client_closed(&mut self, now: Micros, id: ConnId, end: End) {
-        self.check_unanswered(now, id, Over::ClientLeft);
-        let Some(conn) = self.table.conn(id) else { return };
-        conn.trace.note(now, What::ClientEnded(end));
-        conn.client_closed = conn.client_closed.or(Some(now));
-        if let Some(standing) = &mut conn.established {
-            standing.client_closed = true;
-        }
-        self.table.schedule_forget(now, id);
-    }
-
-    fn on_balancer_closed_client(&mut self, now: Micros, by: BalancerId, id: ConnId, end: End) {
-        if self.table.conn(id).is_none_or(|c| c.by != by) {
-            return;
-        }
-        if let Some(conn) = self.table.conn(id) {
-            conn.trace.note(now, What::ClientCut(end));
-        }
-        self.client_cut_off(now, id);
-        self.table.schedule_forget(now, id);
-    }
-
-    /// The balancer ends a client's connection, itself or with its process.
-    fn client_cut_off(&mut self, now: Micros, id: ConnId) {
-        let Some(by) = self.table.conn(id).map(|c| c.by) else { return };
-        let planned = *self.terminating_mut(by);
-        let Some(conn) = self.table.conn(id) else { return };
-        let waits = conn.is_awaiting_answer() && !conn.is_misbehaving;
-        let finding = match &mut conn.established {
-            Some(standing) => {
-                let finding = standing.check_cut_off(
-                    now,
-                    self.nodes.node_mut(standing.node),
-                    planned,
-                    &self.tolerances,
-                );
-                standing.client_cut_off = true;
-                finding
-            }
-            None if waits => conn.request.on_over(now, Over::Cut, &self.tolerances),
-            None => None,
-        };
-        conn.client_cut_off = conn.client_cut_off.or(Some(now));
-        conn.deferred_finding = finding.map(Box::new).or(conn.deferred_finding.take());
-        match self.tolerances.process_exit_time {
-            0 => self.confirm_deferred_finding(id),
-            while_in_doubt => self.table.schedule(now + while_in_doubt, id, Check::DeferredFinding),
-        }
-    }
-
     /// It was no part of its process's end, or of one that makes no difference.
     fn confirm_deferred_finding(&mut self, id: ConnId) {
         if let Some(finding) = self.table.conn(id).and_then(|c| c.deferred_finding.take()) {
@@ -585,35 +513,4 @@
             self.table.schedule_forget(now, id);
         }
     }
-
-    fn on_killed(&mut self, now: Micros, by: BalancerId) {
-        let planned = std::mem::take(self.terminating_mut(by));
-        for id in self.table.ids(Some(by)) {
-            self.confirm_deferred_finding(id);
-            self.check_unanswered(now, id, if planned { Over::PlannedKill } else { Over::Killed });
-            let held =
-                self.table.conn(id).and_then(|c| c.established.as_ref()).and_then(|s| s.check_at_kill(now));
-            match held {
-                Some(finding) if planned => self.record_finding(id, finding),
-                Some(_) => self.verdict.exempt(Exemption::Killed),
-                None => {}
-            }
-            self.close_without_judgement(now, id);
-        }
-    }
-
-    fn on_exited(&mut self, now: Micros, by: BalancerId) {
-        let planned = *self.terminating_mut(by);
-        if !planned {
-            let case = Case { reason: Reason::Exited, at: now, by, conn: None, node: None };
-            self.verdict.record(case, String::from("without SIGTERM"), Vec::new);
-        }
-        for id in self.table.ids(Some(by)) {
-            if planned {
-                self.client_cut_off(now, id);
-                self.confirm_deferred_finding(id);
-            }
-            self.close_without_judgement(now, id);
-        }
-    }
 }
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -4,6 +4,9 @@
 //! Before the day begins, the balancers start, and the connections that were established before it are restored. Until
 //! then nodes and discovery answer without the harness, and the day's clock is zero.
 
+mod commands;
+mod faults;
+
 use shorewharf_units::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ffi::OsString;
@@ -11,7 +14,6 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use serde_json::Value;
 use tempfile::TempDir;
 use thiserror::Error;
 
@@ -22,12 +24,12 @@
 use super::datagram_proxy::DatagramProxy;
 use super::directory::Directory;
 use super::discovery::Discovery;
-use super::fleet::{Fleet, Start};
+use super::fleet::Fleet;
 use super::harness::{BalancerObservation, BalancerStatus, Commands, Harness, Observations};
 use super::misbehaving_clients::{MisbehavingClients, UnknownKind};
 pub use super::net::raise_descriptors;
 use super::net::{Net, Ready, Role};
-use super::network_faults::{NetworkFault, NetworkFaultKind, NetworkFaults};
+use super::network_faults::{NetworkFault, NetworkFaults};
 use super::nodes::Nodes;
 use super::process::{ProcessError, Program};
 pub use super::report::Report;
@@ -419,93 +421,6 @@
         self.apply_network_faults()
     }
 
-    /// Begins and ends network faults that are due, and delivers messages that were delayed by them.
-    fn apply_network_faults(&mut self) -> Result<(), RunError> {
-        let now = self.harness_time;
-        let mut arrives = Vec::new();
-        while let Some(edge) = self.network_faults.next_transition(now) {
-            let b = self.network_faults.get(edge.index).clone();
-            match b.what {
-                NetworkFaultKind::Stall => {
-                    b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.begins));
-                }
-                NetworkFaultKind::NewsLost if !edge.begins => {
-                    let is_deaf = |who| self.network_faults.is_list_blocked(now, who);
-                    let (still, heard) = self.lost_list_events.drain(..).partition(|(who, _)| is_deaf(*who));
-                    self.lost_list_events = still;
-                    arrives.extend::<Vec<_>>(heard);
-                }
-                NetworkFaultKind::NewsLost | NetworkFaultKind::Slow(_) => {}
-                NetworkFaultKind::NotesLost
-                | NetworkFaultKind::NotesDoubled
-                | NetworkFaultKind::NotesLate(_) => {}
-                NetworkFaultKind::Reset if edge.begins => {
-                    for (who, node) in pairs(&b) {
-                        for link in self.nodes.reset(&mut self.net, node, who) {
-                            self.harness.on_link_reset(now, who, link, &mut self.commands);
-                        }
-                    }
-                }
-                NetworkFaultKind::Reset => {}
-                NetworkFaultKind::Refused | NetworkFaultKind::Silent | NetworkFaultKind::AnswersLost => {
-                    for (who, node) in pairs(&b) {
-                        let reach = self.network_faults.reachability(now, who, node);
-                        self.nodes.set_link_reachability(
-                            &mut self.net,
-                            (node, who),
-                            reach,
-                            &mut self.observations,
-                            &mut arrives,
-                        )?;
-                    }
-                }
-            }
-        }
-        self.datagram_proxy.iter_mut().for_each(|n| n.run_due(now));
-        while let Some(arrived) = self.network_faults.pop_arrived(now) {
-            arrives.push(arrived);
-        }
-        for (who, what) in arrives {
-            // A balancer that has closed its watch meanwhile gets the change with the answer to its next call.
-            if matches!(what, ToBalancer::List { .. }) && !self.discovery.is_watched(who) {
-                self.apply_command(who, &what)?;
-                self.pending_list_events.push((who, what));
-            } else {
-                self.execute(who, &what)?;
-            }
-        }
-        self.execute_commands()
-    }
-
-    /// Withholds a command if a network fault blocks or delays it; returns whether it did.
-    fn withhold(&mut self, who: BalancerId, what: &ToBalancer) -> bool {
-        if self.started_at.is_none() {
-            return false;
-        }
-        match what {
-            ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _) => {
-                let node = self.nodes.node_and_conn(*link).map(|(node, _)| node);
-                self.nodes.withhold(*link, what)
-                    || node.is_some_and(|node| {
-                        self.network_faults.delay(self.harness_time, node, *link, who, what)
-                    })
-            }
-            ToBalancer::List { .. } | ToBalancer::ListFailed
-                if self.network_faults.is_list_blocked(self.harness_time, who) =>
-            {
-                self.lost_list_events.push((who, what.clone()));
-                true
-            }
-            ToBalancer::Kill => {
-                // Nobody is left to receive it.
-                self.lost_list_events.retain(|(to, _)| *to != who);
-                self.pending_list_events.retain(|(to, _)| *to != who);
-                false
-            }
-            _ => false,
-        }
-    }
-
     fn sample_status(&mut self, time: Micros) {
         self.next_status_sample = (time / 1_000_000 + 1) * 1_000_000;
         let count = self.day.balancers.len();
@@ -568,76 +483,6 @@
         }
         true
     }
-
-    /// Executes the harness's commands on the sockets.
-    fn execute_commands(&mut self) -> Result<(), RunError> {
-        let mut commands = std::mem::take(&mut self.commands);
-        for (who, what) in commands.drain(..) {
-            if self.withhold(who, &what) {
-                continue;
-            }
-            self.execute(who, &what)?;
-        }
-        // Executing a command issues no further commands before the next report.
-        self.commands = commands;
-        Ok(())
-    }
-
-    /// Executes a command and notifies the harness. With a list event go the pending list events of the same balancer.
-    fn execute(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
-        self.apply_command(who, what)?;
-        if matches!(what, ToBalancer::List { .. }) {
-            for (_, before) in self.pending_list_events.extract_if(.., |(to, _)| *to == who) {
-                self.harness.on_command_executed(self.harness_time, who, &before);
-            }
-        }
-        self.harness.on_command_executed(self.harness_time, who, what);
-        Ok(())
-    }
-
-    fn open_client(&mut self, who: BalancerId, ask: &RequestLine, left: Micros) {
-        let line = self.connection_log.record_request(who, ask, left, &self.directory);
-        let to = (who, self.fleet.address(who));
-        self.clients.connect(&mut self.net, to, (*ask, left), &line, &mut self.observations);
-    }
-
-    fn apply_command(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
-        let now = self.clock.now();
-        let net = &mut self.net;
-        match *what {
-            ToBalancer::Start { seed, ref known } => {
-                let index = self.discovery.on_balancer_start(who, known);
-                let text = (self.options.settings)(self.day, who);
-                let settings: Value = serde_json::from_str(&text)
-                    .map_err(|e| RunError::Settings(Directory::balancer(who), e))?;
-                let known = self.directory.listing(who, index, true, known);
-                let discovery = self.discovery.address(who);
-                self.fleet.start(net, now, who, &Start { seed, known, settings, discovery })?;
-            }
-            ToBalancer::Kill => self.fleet.kill(who),
-            ToBalancer::Terminate => self.fleet.terminate(who),
-            ToBalancer::Reload { moved } => {
-                if moved {
-                    self.discovery.move_address(net, now, who)?;
-                }
-                self.fleet.reload(now, who, self.discovery.address(who))?;
-            }
-            ToBalancer::Asked { ask, left } => self.open_client(who, &ask, left),
-            ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
-            ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
-            ToBalancer::NodeSays(link, word) => self.nodes.send(net, link, word, &mut self.connection_log),
-            ToBalancer::NodeEnded(link, how) => {
-                self.nodes.close(net, link, how);
-            }
-            ToBalancer::List { full, ref entries } => {
-                self.discovery.publish(net, now, who, full, entries, &self.directory);
-            }
-            ToBalancer::ListFailed => self.discovery.fail_calls(net, who),
-            // Clients send lines on their own schedule, and the operating system establishes links.
-            ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
-        }
-        Ok(())
-    }
 }
 
 /// All balancer and node pairs that a fault concerns.
--- /dev/null
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -0,0 +1,81 @@
+//! Executing what the harness orders: starts, signals, requests of clients, and what nodes say.
+
+use super::{Driver, RunError};
+use crate::edge::{BalancerId, End, RequestLine, ToBalancer};
+use crate::sockets::directory::Directory;
+use crate::sockets::fleet::Start;
+use crate::sockets::harness::Harness;
+use serde_json::Value;
+use shorewharf_units::Micros;
+
+impl<S: Harness> Driver<'_, S> {
+    /// Executes the harness's commands on the sockets.
+    pub(super) fn execute_commands(&mut self) -> Result<(), RunError> {
+        let mut commands = std::mem::take(&mut self.commands);
+        for (who, what) in commands.drain(..) {
+            if self.withhold(who, &what) {
+                continue;
+            }
+            self.execute(who, &what)?;
+        }
+        // Executing a command issues no further commands before the next report.
+        self.commands = commands;
+        Ok(())
+    }
+
+    /// Executes a command and notifies the harness. With a list event go the pending list events of the same balancer.
+    pub(super) fn execute(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
+        self.apply_command(who, what)?;
+        if matches!(what, ToBalancer::List { .. }) {
+            for (_, before) in self.pending_list_events.extract_if(.., |(to, _)| *to == who) {
+                self.harness.on_command_executed(self.harness_time, who, &before);
+            }
+        }
+        self.harness.on_command_executed(self.harness_time, who, what);
+        Ok(())
+    }
+
+    pub(super) fn open_client(&mut self, who: BalancerId, ask: &RequestLine, left: Micros) {
+        let line = self.connection_log.record_request(who, ask, left, &self.directory);
+        let to = (who, self.fleet.address(who));
+        self.clients.connect(&mut self.net, to, (*ask, left), &line, &mut self.observations);
+    }
+
+    pub(super) fn apply_command(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
+        let now = self.clock.now();
+        let net = &mut self.net;
+        match *what {
+            ToBalancer::Start { seed, ref known } => {
+                let index = self.discovery.on_balancer_start(who, known);
+                let text = (self.options.settings)(self.day, who);
+                let settings: Value = serde_json::from_str(&text)
+                    .map_err(|e| RunError::Settings(Directory::balancer(who), e))?;
+                let known = self.directory.listing(who, index, true, known);
+                let discovery = self.discovery.address(who);
+                self.fleet.start(net, now, who, &Start { seed, known, settings, discovery })?;
+            }
+            ToBalancer::Kill => self.fleet.kill(who),
+            ToBalancer::Terminate => self.fleet.terminate(who),
+            ToBalancer::Reload { moved } => {
+                if moved {
+                    self.discovery.move_address(net, now, who)?;
+                }
+                self.fleet.reload(now, who, self.discovery.address(who))?;
+            }
+            ToBalancer::Asked { ask, left } => self.open_client(who, &ask, left),
+            ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
+            ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
+            ToBalancer::NodeSays(link, word) => self.nodes.send(net, link, word, &mut self.connection_log),
+            ToBalancer::NodeEnded(link, how) => {
+                self.nodes.close(net, link, how);
+            }
+            ToBalancer::List { full, ref entries } => {
+                self.discovery.publish(net, now, who, full, entries, &self.directory);
+            }
+            ToBalancer::ListFailed => self.discovery.fail_calls(net, who),
+            // Clients send lines on their own schedule, and the operating system establishes links.
+            ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
+        }
+        Ok(())
+    }
+}
