--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -237,7 +237,7 @@
     fn relieve_overloaded(&mut self, peers: &mut EmulatedPeers) {
         peers.set_timer(RELIEVE_INTERVAL, RELIEVE_TIMER);
         let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner).clone();
-        let mut moves = Vec::new();
+        let mut migrations = Vec::new();
         for server in &self.ready {
             let Some(t) = peers.ground_truth(*server, &truths).filter(|t| t.takes && t.capacity > 0.0) else {
                 continue;
@@ -259,10 +259,10 @@
                     break;
                 }
                 due -= load;
-                moves.push(id);
+                migrations.push(id);
             }
         }
-        for id in moves {
+        for id in migrations {
             peers.migrate(id);
         }
     }
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -168,16 +168,16 @@
 }
 
 impl Instance for Mutant {
-    fn turn(&mut self, now: Micros, came: &[ToBalancer], out: &mut Vec<FromBalancer>) {
-        let mut heard = Vec::with_capacity(came.len());
-        for word in came {
-            self.on_input(now, word, &mut heard, out);
+    fn turn(&mut self, now: Micros, messages: &[ToBalancer], out: &mut Vec<FromBalancer>) {
+        let mut inputs = Vec::with_capacity(messages.len());
+        for message in messages {
+            self.on_input(now, message, &mut inputs, out);
         }
-        self.schedule.due(now, out, &mut heard);
-        let mut said = Vec::new();
-        self.inner.turn(now, &heard, &mut said);
-        for word in said {
-            self.on_output(now, word, out);
+        self.schedule.due(now, out, &mut inputs);
+        let mut outputs = Vec::new();
+        self.inner.turn(now, &inputs, &mut outputs);
+        for message in outputs {
+            self.on_output(now, message, out);
         }
         // The instance's outputs may have scheduled more.
         let mut more = Vec::new();
@@ -202,11 +202,11 @@
     fn on_input(
         &mut self,
         now: Micros,
-        word: &ToBalancer,
-        heard: &mut Vec<ToBalancer>,
+        message: &ToBalancer,
+        inputs: &mut Vec<ToBalancer>,
         out: &mut Vec<FromBalancer>,
     ) {
-        match word {
+        match message {
             ToBalancer::Start { known, .. } => {
                 self.has_exited = false;
                 self.history.on_start(known);
@@ -220,7 +220,7 @@
             }
             _ => {}
         }
-        if let ToBalancer::Asked { ask, left } = word {
+        if let ToBalancer::Asked { ask, left } = message {
             // Connections from before the run are never affected.
             if ask.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && ask.home.is_none() {
                 self.history.mark_affected(ask.conn, now + left + self.late_after);
@@ -229,10 +229,10 @@
                 }
             }
         }
-        let pass = match (self.mutation, word) {
+        let pass = match (self.mutation, message) {
             (Mutation::IgnoresDrains, ToBalancer::List { full, entries }) => {
                 let entries = self.history.all_ready(*full, entries);
-                heard.push(ToBalancer::List { full: *full, entries });
+                inputs.push(ToBalancer::List { full: *full, entries });
                 false
             }
             (Mutation::OverrunsStarts, ToBalancer::List { entries, .. }) => {
@@ -254,11 +254,11 @@
             (_, ToBalancer::LinkUp(link) | ToBalancer::LinkFailed(link)) => !self.schedule.owns(*link),
             _ => true,
         };
-        if let ToBalancer::ClientEnded(conn, _) = word {
+        if let ToBalancer::ClientEnded(conn, _) = message {
             self.history.on_client_closed(*conn);
         }
         if pass {
-            heard.push(word.clone());
+            inputs.push(message.clone());
         }
     }
 
@@ -301,33 +301,35 @@
     }
 
     /// Processes an output of the instance: emits, drops or changes it.
-    fn on_output(&mut self, now: Micros, word: FromBalancer, out: &mut Vec<FromBalancer>) {
+    fn on_output(&mut self, now: Micros, message: FromBalancer, out: &mut Vec<FromBalancer>) {
         if self.has_exited {
             return;
         }
-        if let FromBalancer::Answer(conn, Answer::Up(link)) = word {
+        if let FromBalancer::Answer(conn, Answer::Up(link)) = message {
             self.history.on_established(conn, link);
         }
-        let about = match word {
+        let about = match message {
             FromBalancer::Answer(conn, _) | FromBalancer::EndClient(conn, _) => Some(conn),
             FromBalancer::Link { conn, .. } => conn,
             _ => None,
         };
-        let word = match (self.mutation, word) {
+        let message = match (self.mutation, message) {
             (Mutation::OverrunsStarts, FromBalancer::Link { link, conn: Some(conn), node }) => {
                 let node = self.history.overrun_node(now).unwrap_or(node);
                 FromBalancer::Link { link, node, conn: Some(conn) }
             }
-            _ => word,
+            _ => message,
         };
-        let Some(late) = about.and_then(|conn| self.history.late_after(conn)) else { return out.push(word) };
-        match (self.mutation, word) {
+        let Some(late) = about.and_then(|conn| self.history.late_after(conn)) else {
+            return out.push(message);
+        };
+        match (self.mutation, message) {
             (Mutation::Mute, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) => {}
             (Mutation::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late > now => {
-                self.schedule.at(late, ScheduledAction::Does(word));
+                self.schedule.at(late, ScheduledAction::Does(message));
             }
             (Mutation::AnswersTwice, FromBalancer::Answer(conn, Answer::Up(_))) => {
-                out.push(word);
+                out.push(message);
                 self.schedule.at(
                     now + ESTABLISHED_BEFORE_START,
                     ScheduledAction::Does(FromBalancer::Answer(conn, Answer::Err)),
@@ -338,22 +340,22 @@
                 );
             }
             (Mutation::TwoAtOnce, FromBalancer::Link { node, conn: Some(conn), .. }) => {
-                out.push(word);
+                out.push(message);
                 let other = self.history.other_than(node);
                 self.schedule.tries(now, conn, other, ACTION_INTERVAL);
             }
             (Mutation::CutsOff, FromBalancer::Answer(conn, Answer::Up(_))) => {
-                out.push(word);
+                out.push(message);
                 self.schedule_cut_off(now + ESTABLISHED_BEFORE_START, conn);
             }
             (Mutation::KeepsSevered, FromBalancer::Answer(_, Answer::Up(link))) => {
-                out.push(word);
+                out.push(message);
                 self.schedule.at(
                     now + ESTABLISHED_BEFORE_START,
                     ScheduledAction::Does(FromBalancer::EndLink(link, End::Fin)),
                 );
             }
-            _ => out.push(word),
+            _ => out.push(message),
         }
     }
 }
--- a/crates/lab/src/mutants/schedule.rs
+++ b/crates/lab/src/mutants/schedule.rs
@@ -57,12 +57,12 @@
     }
 
     /// Runs all actions that are due.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<FromBalancer>, heard: &mut Vec<ToBalancer>) {
+    pub fn due(&mut self, now: Micros, out: &mut Vec<FromBalancer>, inputs: &mut Vec<ToBalancer>) {
         while let Some(entry) = self.to_come.first_entry().filter(|e| *e.key() <= now) {
             for act in entry.remove() {
                 match act {
-                    ScheduledAction::Does(word) => out.push(word),
-                    ScheduledAction::Hears(word) => heard.push(word),
+                    ScheduledAction::Does(message) => out.push(message),
+                    ScheduledAction::Hears(message) => inputs.push(message),
                 }
             }
         }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -48,7 +48,7 @@
     pub set_up: SetUp,
     /// The rules' verdict.
     pub rules: Verdict,
-    /// Events that the world played (virtual time).
+    /// Events that the emulator processed (virtual time).
     pub events: u64,
     /// The nodes.
     pub nodes: Vec<NodeName>,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! Owns `run`: one day, played in virtual time or on sockets, as a table, a file and a page.
+//! The `run` command: runs one day in virtual time or on sockets, and prints or writes its record.
 
 use std::path::Path;
 
--- a/crates/lab/src/scenario/expand.rs
+++ b/crates/lab/src/scenario/expand.rs
@@ -40,7 +40,7 @@
     true
 }
 
-// A machine that is drawn slower than this part of its kind's speed would be exchanged, not used.
+// Lower bound of a drawn speed, as a ratio of the nominal speed.
 const MIN_SPEED_RATIO: f64 = 0.2;
 // Keeps the draws of speeds apart from everything else that the day's seed draws.
 const SPEED_SEED_MASK: u64 = 0x5eed_f1ee;
@@ -195,7 +195,7 @@
     Ok(())
 }
 
-// More would be a slip of the pen: the largest fleet that is planned has some hundreds.
+// Catches typing errors in a count.
 const MAX_FLEET_NODES: u32 = 100_000;
 
 fn node(place: &SourceLocation, zone: u32, kind: u32, fleet: &Fleet, speed: f64, weight: f64) -> Tree {
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Owns `sweep`: a grid of settings times seeds times policies, played on all cores, and the table of what came of it.
+//! The `sweep` command: runs a grid of settings, seeds and policies on all cores and summarizes the records.
 
 use serde::Serialize;
 use shorewharf_emulator::day::Day;
