--- a/crates/emulator/src/population/traffic.rs
+++ b/crates/emulator/src/population/traffic.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CountChange {
     /// A new one comes.
-    Comes,
+    Arrival,
     /// One leaves before its time.
-    Goes,
+    Departure,
 }
 
 /// More traffic than the day's course has, for a while.
@@ -85,13 +85,15 @@
         let t = &day.traffic;
         let per_s = t.arrivals_per_s.unwrap_or(t.load * capacity.per_s);
         let total: f64 = day.tenants.iter().map(|x| x.traffic).sum();
-        let tenants = match day.tenants.is_empty() {
-            true => vec![1.0],
-            false => day.tenants.iter().map(|x| x.traffic / total.max(f64::MIN_POSITIVE)).collect(),
+        let tenants = if day.tenants.is_empty() {
+            vec![1.0]
+        } else {
+            day.tenants.iter().map(|x| x.traffic / total.max(f64::MIN_POSITIVE)).collect()
         };
-        let quotas = match day.tenants.is_empty() {
-            true => vec![f64::INFINITY],
-            false => day.tenants.iter().map(|x| x.quota * capacity.connections).collect(),
+        let quotas = if day.tenants.is_empty() {
+            vec![f64::INFINITY]
+        } else {
+            day.tenants.iter().map(|x| x.quota * capacity.connections).collect()
         };
         let cv = t.burst_cv;
         let gamma = (cv > 0.0 && t.burst > 0).then(|| Gamma::new(1.0 / (cv * cv), cv * cv).ok()).flatten();
@@ -160,7 +162,7 @@
     fn draw(&mut self, from: Micros, rng: &mut impl Rng) -> Option<(Micros, CountChange)> {
         if let Some(times) = &mut self.recorded {
             let length = self.length;
-            return times.find(|t| *t < length).map(|t| (t, CountChange::Comes));
+            return times.find(|t| *t < length).map(|t| (t, CountChange::Arrival));
         }
         let mut at = from;
         while at < self.length {
@@ -188,10 +190,10 @@
             let (flow, slope) = (factor * self.flow(level), self.slope(level, stretch.slope()));
             let lot = rng.random::<f64>() * most;
             if lot < flow + slope.max(0.0) {
-                return Some((at, CountChange::Comes));
+                return Some((at, CountChange::Arrival));
             }
             if lot < flow + slope.abs() {
-                return Some((at, CountChange::Goes));
+                return Some((at, CountChange::Departure));
             }
         }
         None
