--- a/crates/balancer/benches/whole/measures.rs
+++ b/crates/balancer/benches/whole/measures.rs
@@ -67,10 +67,11 @@
 impl Bench {
     pub fn new(args: Args) -> io::Result<Self> {
         use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
+        use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
+
         let limit = getrlimit(Resource::Nofile);
         setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum })?;
         // Peers keep off the program's core.
-        use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
         let (all, mut rest) = (sched_getaffinity(None)?, CpuSet::new());
         let cores: Vec<usize> = (0..CpuSet::MAX_CPU).filter(|c| all.is_set(*c)).collect();
         let own = match &*args.measures {
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -3,6 +3,7 @@
 use std::io::{IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
 use std::os::fd::OwnedFd;
+use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
@@ -115,6 +116,7 @@
 }
 
 /// A round: its fault is drawn, and so is the step.
+#[expect(clippy::cognitive_complexity, clippy::too_many_lines, reason = "one history, step by step")]
 fn round(seed: u64) {
     let mut draws = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = |n: u64| (draws.next_u64() % n) as usize;
@@ -350,7 +352,6 @@
         old = new;
     }
     old.stand_as(&node, "77");
-    use std::os::unix::fs::PermissionsExt;
     let mode = std::fs::metadata(&socket).expect("a socket").permissions().mode();
     assert_eq!(mode & 0o777, 0o600, "its owner's alone");
 }
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -210,6 +210,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of step")]
     fn apply(&mut self, step: &Step) {
         match step {
             Step::Receive { class, key, group, load } => {
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -127,6 +127,7 @@
     }
 
     /// A whole life from `at`, legal but for `fault`, which says what is done wrong. Tells when it is over.
+    #[expect(clippy::too_many_lines, reason = "one history, step by step")]
     fn live(&mut self, at: Micros, fault: Option<Reason>) -> Micros {
         use Reason::*;
         let (conn, patience) = (self.conn, 3 * S);
@@ -347,9 +348,9 @@
 /// is a break.
 #[test]
 fn sends_to_a_draining_node_count_from_when_its_end_was_told_or_counts_as_told() {
-    let off = |stage| T::List { full: false, entries: vec![listed(NODE, stage, None)] };
     // What is told, whether on sockets, and when the balancer counts as told; the node is listed as draining at 20 s.
     type Case = (&'static str, bool, Vec<(Micros, Fact)>, Option<Micros>);
+    let off = |stage| T::List { full: false, entries: vec![listed(NODE, stage, None)] };
     let cases: Vec<Case> = vec![
         ("told by the watch", false, vec![(23 * S, To(off(Stage::Draining)))], Some(23 * S)),
         (
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -126,22 +126,23 @@
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ms = |us: Micros| us as f64 / 1e3;
+        let ms = |micros: Micros| micros as f64 / 1e3;
         writeln!(
             f,
             "{:22} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
             "ms, from when due", "p50", "p90", "p99", "p99.9", "max", "count"
         )?;
-        for (name, s) in [
+        for (name, spread) in [
             ("set-up, through", &self.through.set_up),
             ("set-up, past", &self.past.set_up),
             ("line, through", &self.through.line),
             ("line, past", &self.past.line),
             ("the lab's lateness", &self.late),
         ] {
-            let at = |share| ms(s.at(share));
-            let (a, b, c, d) = (at(0.5), at(0.9), at(0.99), at(0.999));
-            writeln!(f, "{name:22} {a:9.2} {b:9.2} {c:9.2} {d:9.2} {:9.2} {:9}", ms(s.max()), s.len())?;
+            let at = |share| ms(spread.at(share));
+            let (p50, p90, p99, p999) = (at(0.5), at(0.9), at(0.99), at(0.999));
+            let (max, count) = (ms(spread.max()), spread.len());
+            writeln!(f, "{name:22} {p50:9.2} {p90:9.2} {p99:9.2} {p999:9.2} {max:9.2} {count:9}")?;
         }
         writeln!(
             f,
--- a/crates/emulator/src/sockets/plain.rs
+++ b/crates/emulator/src/sockets/plain.rs
@@ -12,6 +12,7 @@
 
 /// So many balancers with these limits, so many nodes, and this length. Nodes are large, and what is wanted of them is
 /// modest, so that balancers see no reason to turn anybody away, not even on a machine that stalls for a while.
+#[expect(clippy::too_many_lines, reason = "one literal with every figure of a day")]
 pub fn day(balancers: u32, nodes: u32, length: Micros, memory_mb: f64, sockets: u32) -> Day {
     let node = Node { zone: 0, kind: 0, cell: 0, speed: 1.0, weight: 1.0, up: true };
     Day {
--- a/crates/emulator/src/standin/node.rs
+++ b/crates/emulator/src/standin/node.rs
@@ -77,6 +77,10 @@
 
     /// Waits for the next connection, or for what a client is told instead.
     ///
+    /// # Errors
+    ///
+    /// Fails with what the client has heard, if that comes first.
+    ///
     /// # Panics
     ///
     /// Panics if neither a connection nor a message arrives in time.
--- a/crates/emulator/src/virtual_time/instance.rs
+++ b/crates/emulator/src/virtual_time/instance.rs
@@ -38,7 +38,7 @@
     /// The balancer at this place, told nothing but its settings and what is publicly listed of the nodes.
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance>;
 
-    /// Whether [`Host::truth`] is to be called. A host that says no sees the platform as a real balancer does.
+    /// Whether [`Host::observe_ground_truth`] is to be called. A host that says no sees the platform as a real balancer does.
     fn wants_ground_truth(&self) -> bool {
         false
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -56,7 +56,7 @@
         Command::Trial(args) => trial::trial(args, &style),
     });
     if let Err(e) = &ended {
-        eprintln!("{}", style.bad("error:").to_owned() + " " + &e.to_string());
+        eprintln!("{}", style.bad("error:").clone() + " " + &e.to_string());
     }
     error::exit_code(&ended)
 }
--- a/crates/lab/src/plots/heat_map.rs
+++ b/crates/lab/src/plots/heat_map.rs
@@ -24,11 +24,11 @@
 
 /// White to blue up to 1, then to red at 2.
 fn colour(load: f64) -> RGBColor {
+    const WARM: (u8, u8, u8) = (253, 219, 120);
     let mix = |a: (u8, u8, u8), b: (u8, u8, u8), t: f64| {
         let part = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * t.clamp(0.0, 1.0)) as u8;
         RGBColor(part(a.0, b.0), part(a.1, b.1), part(a.2, b.2))
     };
-    const WARM: (u8, u8, u8) = (253, 219, 120);
     match load {
         l if l < 0.9 => mix((247, 251, 255), (33, 113, 181), l / 0.9),
         l if l < 1.0 => mix((33, 113, 181), WARM, (l - 0.9) / 0.1),
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -23,7 +23,7 @@
 
 /// Cores of this machine that the process may use.
 pub fn cores() -> usize {
-    std::thread::available_parallelism().map_or(1, |n| n.get())
+    std::thread::available_parallelism().map_or(1, std::num::NonZero::get)
 }
 
 /// Hosts of the policy of this name.
--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -128,7 +128,11 @@
 
     /// Tells the rebalancer of a server that is no longer in service.
     fn check_in_service(&mut self, server: ServerId) {
-        if !self.view.servers.get(&server).is_some_and(|record| record.is_in_service()) {
+        let is_in_service = match self.view.servers.get(&server) {
+            Some(record) => record.is_in_service(),
+            None => false,
+        };
+        if !is_in_service {
             self.rebalancer.on_server_lost(server);
         }
     }
--- a/crates/store/src/replicated/mod.rs
+++ b/crates/store/src/replicated/mod.rs
@@ -100,6 +100,7 @@
     /// `None` before it is read.
     description: Option<StoredDescription>,
     /// This instance's mark as it was last read: `Some(None)` if there is none, `None` before it is read.
+    #[expect(clippy::option_option, reason = "not read yet, and read as missing, are two things")]
     mark: Option<Option<String>>,
     lost: Option<LostTransaction>,
 }
