--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -19,7 +19,7 @@
 
 impl Node {
     /// Handles the first line of an attempt.
-    #[allow(clippy::too_many_arguments)]
+    #[expect(clippy::too_many_arguments, reason = "one argument for each field of the message")]
     pub(super) fn on_open(
         &mut self,
         now: Micros,
