--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -37,7 +37,7 @@
         terms: &toml::Table,
         breaks: Vec<StoreFault>,
     ) -> Result<SharedStore, CommandError> {
-        let outside = |e: std::io::Error| CommandError::Outside(format!("the store's stand-in: {e}"));
+        let outside = |e: std::io::Error| CommandError::External(format!("the store's stand-in: {e}"));
         let (cluster, folder) = (Cluster::new(), TempDir::with_prefix("shorewharf-store-").map_err(outside)?);
         let n = day.balancers.len();
         let members = (0..n).map(|_| cluster.member()).collect::<Result<Vec<_>, _>>().map_err(outside)?;
--- a/crates/lab/src/clocks.rs
+++ b/crates/lab/src/clocks.rs
@@ -83,7 +83,7 @@
     }
     say(&print(&pairs, median, style));
     let well = median.is_some_and(|m| m <= NEAR) && pairs.iter().all(|p| p.rules_kept);
-    Ok(if well { CommandOutcome::Well } else { CommandOutcome::Badly })
+    Ok(if well { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
 fn name(path: &Path) -> String {
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -91,7 +91,7 @@
         say(&print(&comparison, style));
     }
     let kept = comparison.rules_broken_in_a + comparison.rules_broken_in_b == 0;
-    Ok(if kept { CommandOutcome::Well } else { CommandOutcome::Badly })
+    Ok(if kept { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
 fn side(args: &Compare, path: &Path, policy: &str) -> Result<Vec<Record>, CommandError> {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -62,7 +62,7 @@
     faults
         .map(|f| {
             let nodes: Vec<String> = f.on.iter().map(u32::to_string).collect();
-            format!("{} of node {}", runner::word(&f.kind), nodes.join(", "))
+            format!("{} of node {}", runner::label(&f.kind), nodes.join(", "))
         })
         .collect()
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// Nothing was found wrong.
-    Well,
+    Success,
     /// A rule was broken, a connection lost, or something that was checked is wrong.
-    Badly,
+    Failure,
 }
 
 /// Why a command did not get to its end.
@@ -21,15 +21,15 @@
     Input(String),
     /// Something outside failed; the text names it.
     #[error("{0}")]
-    Outside(String),
+    External(String),
 }
 
 /// The exit code of an ending.
 pub fn exit_code(ended: &Result<CommandOutcome, CommandError>) -> ExitCode {
     ExitCode::from(match ended {
-        Ok(CommandOutcome::Well) => 0,
-        Ok(CommandOutcome::Badly) => 1,
+        Ok(CommandOutcome::Success) => 0,
+        Ok(CommandOutcome::Failure) => 1,
         Err(CommandError::Input(_)) => 2,
-        Err(CommandError::Outside(_)) => 3,
+        Err(CommandError::External(_)) => 3,
     })
 }
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -78,7 +78,7 @@
         }
     }
     let kept = |p: &EvenRun| p.rules_kept || !p.policy.starts_with("module");
-    Ok(if played.iter().all(kept) { CommandOutcome::Well } else { CommandOutcome::Badly })
+    Ok(if played.iter().all(kept) { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
 /// A trial, and its day with each of the seeds.
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -111,6 +111,9 @@
     }
 
     /// Hosts balancers that are run by the policy of this name. The module takes an operator's file behind an `@`.
+    ///
+    /// # Errors
+    /// No policy has this name, or its operator file can't be read or used.
     pub fn named(policy: &str) -> Result<PolicyHosts, PolicyError> {
         let care = |recovery| Operator { recovery, ..Operator::default() };
         if policy == "module-with-snapshot" {
--- a/crates/lab/src/log.rs
+++ b/crates/lab/src/log.rs
@@ -18,5 +18,5 @@
             registry.with(tracing_subscriber::fmt::layer().json().with_writer(std::io::stderr)).try_init()
         }
     };
-    begun.map_err(|e| CommandError::Outside(format!("the log can't begin: {e}")))
+    begun.map_err(|e| CommandError::External(format!("the log can't begin: {e}")))
 }
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -23,7 +23,10 @@
 .good{color:#0a7a4b}.bad{color:#b3261e}pre{font-size:.8rem;overflow-x:auto;background:#f4f5f7;padding:8px}
 .tables{display:flex;flex-wrap:wrap;align-items:flex-start;gap:20px 48px}";
 
-/// `report`.
+/// `report`: writes a page for each run of a result file.
+///
+/// # Errors
+/// The result can't be read or a page can't be written.
 pub fn report(args: &Report) -> Result<CommandOutcome, CommandError> {
     let runs = record::read(&args.result)?;
     let output = args.output.clone().unwrap_or_else(|| args.result.with_extension("html"));
@@ -35,7 +38,7 @@
         write(&path, run)?;
         crate::style::say(&format!("{}\n", path.display()));
     }
-    Ok(CommandOutcome::Well)
+    Ok(CommandOutcome::Success)
 }
 
 fn numbered(path: &Path, n: usize) -> PathBuf {
@@ -44,6 +47,9 @@
 }
 
 /// Writes a run's page.
+///
+/// # Errors
+/// The file can't be written.
 pub fn write(path: &Path, record: &Record) -> Result<(), CommandError> {
     files::write(path, &page(record))
 }
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -43,25 +43,25 @@
         title: "Served share",
         note: "Worth served over worth asked for, by the second; the grey line is the load asked for, scaled to its \
                highest. Bands are faults.",
-        svg: drawn(320, |root| served(root, record)),
+        svg: render(320, |root| served(root, record)),
     }];
     if !record.series.nodes.is_empty() {
         plots.push(Plot {
             title: "Load per node",
             note: "Load asked of a node over what it can do at that moment. From 1 on it falls behind; grey: down.",
-            svg: drawn(rows_height(record), |root| load(root, record)),
+            svg: render(rows_height(record), |root| load(root, record)),
         });
         plots.push(Plot {
             title: "Connections per node",
             note: "Standing connections over what the node can do (its cores times their speed).",
-            svg: drawn(320, |root| connections(root, record)),
+            svg: render(320, |root| connections(root, record)),
         });
     }
     if plots_service::has_levels(record) {
         plots.push(Plot {
             title: "Level of service",
             note: "What each balancer says of the service, by its number. Grey: down.",
-            svg: drawn(plots_service::levels_height(record), |root| plots_service::levels(root, record)),
+            svg: render(plots_service::levels_height(record), |root| plots_service::levels(root, record)),
         });
     }
     if plots_service::has_moves(record) {
@@ -69,27 +69,27 @@
             title: "Imbalance and moves for balance",
             note: "Largest load over capacity of the nodes that are up, over the mean of them (the thin line is 15 %); \
                    bars are connections that balancers moved.",
-            svg: drawn(320, |root| plots_service::balance(root, record)),
+            svg: render(320, |root| plots_service::balance(root, record)),
         });
     }
     if record.series.refusals.values().flatten().any(|n| *n > 0) {
         plots.push(Plot {
             title: "Refused or failed, by cause",
             note: "Times a second, one cause on top of the other.",
-            svg: drawn(320, |root| refusals(root, record)),
+            svg: render(320, |root| refusals(root, record)),
         });
     }
     if record.set_up.count > 0 {
         plots.push(Plot {
             title: "Set-up times",
             note: "From a client's first try to its UP: the part of all that was set up within that time.",
-            svg: drawn(320, |root| set_ups(root, record)),
+            svg: render(320, |root| set_ups(root, record)),
         });
     }
     plots
 }
 
-fn drawn(height: u32, draw: impl FnOnce(&Root<'_>) -> DrawResult) -> String {
+fn render(height: u32, draw: impl FnOnce(&Root<'_>) -> DrawResult) -> String {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (WIDTH, height)).into_drawing_area();
@@ -306,9 +306,9 @@
         let of_kind = nodes().filter(|(i, _)| record.nodes[*i].kind == *kind);
         for (j, (i, n)) in of_kind.enumerate() {
             let line = n.connections.iter().enumerate().map(|(s, c)| (s as f64 * step, per(i, *c)));
-            let drawn = chart.draw_series(LineSeries::new(line, colour.mix(0.7).stroke_width(1)))?;
+            let render = chart.draw_series(LineSeries::new(line, colour.mix(0.7).stroke_width(1)))?;
             if j == 0 {
-                drawn
+                render
                     .label(*kind)
                     .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled()));
             }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -319,13 +319,19 @@
         parts.iter().min_by(|a, b| a.share.total_cmp(&b.share))
     }
 
-    /// The file's text.
+    /// The record as JSON, as it is written to result files.
+    ///
+    /// # Panics
+    /// Never: all keys are text.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).expect("a record has no keys but text") + "\n"
     }
 }
 
 /// Reads the runs of a result file: one run, or all those of a sweep.
+///
+/// # Errors
+/// The file can't be read or holds no runs.
 pub fn read(path: &Path) -> Result<Vec<Record>, CommandError> {
     #[derive(Deserialize)]
     struct Several {
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -27,11 +27,17 @@
 }
 
 /// Hosts of the policy of this name.
+///
+/// # Errors
+/// No policy has this name, or its operator file can't be used.
 pub fn hosts(policy: &str) -> Result<PolicyHosts, CommandError> {
     PolicyHosts::named(policy).map_err(|e| CommandError::Input(format!("--policy: {e}")))
 }
 
-/// Plays one day in virtual time and shows how far it is. Also tells how long that took.
+/// Plays one day in virtual time and shows how far it is. Also returns how long that took.
+///
+/// # Errors
+/// The policy is unknown, or the day can't be run.
 pub fn one(day: &Day, policy: &str, threads: Option<usize>) -> Result<(Record, Duration), CommandError> {
     let bar = ProgressBar::new(day.length / 1_000);
     bar.set_style(bar_style("{msg} {wide_bar} {percent} %  {eta} left"));
@@ -53,6 +59,9 @@
 
 /// Plays many days, each on one core, and as many at once as `threads` says. The records come in the days' order,
 /// without the course of single nodes, which would fill the memory of a large sweep.
+///
+/// # Errors
+/// A policy is unknown, or a day can't be run.
 pub fn all(jobs: &[(String, Day)], threads: Option<usize>) -> Result<Vec<Record>, CommandError> {
     each(jobs, threads, &|policy, day, result| {
         let mut record = record(day, policy, "virtual", result);
@@ -62,7 +71,10 @@
     })
 }
 
-/// Plays many days as [`all`] does, and keeps of each what `keep` makes of it.
+/// Runs many days as [`all`] does, and keeps of each what `keep` makes of it.
+///
+/// # Errors
+/// A policy is unknown, or a day can't be run.
 pub fn each<T: Send>(
     jobs: &[(String, Day)],
     threads: Option<usize>,
@@ -113,7 +125,7 @@
 }
 
 /// The word that a name has in files, with blanks.
-pub fn word(name: &impl serde::Serialize) -> String {
+pub fn label(name: &impl serde::Serialize) -> String {
     let text = serde_json::to_value(name).ok().and_then(|v| v.as_str().map(str::to_owned));
     text.unwrap_or_default().replace('-', " ")
 }
@@ -173,7 +185,7 @@
             .faults
             .iter()
             .map(|b| FaultInterval {
-                kind: word(&b.kind),
+                kind: label(&b.kind),
                 from_s: seconds_from_micros(b.from),
                 to_s: seconds_from_micros(b.to),
                 struck: b.on.len(),
@@ -257,7 +269,7 @@
     Verdict {
         kept: verdict.clean(),
         breaks: verdict.reasons.iter().map(|(r, n)| (r.text().to_owned(), *n)).collect(),
-        excused: verdict.excused.iter().map(|(e, n)| (word(e), *n)).collect(),
+        excused: verdict.excused.iter().map(|(e, n)| (label(e), *n)).collect(),
         examples: verdict
             .breaks
             .iter()
@@ -266,7 +278,7 @@
                 let node = b.node.map(|n| format!(", node {}", NodeId(n).0)).unwrap_or_default();
                 let trace = b.trace.iter().map(|t| format!("{:10.6} {}", seconds_from_micros(t.at), t.what));
                 RuleViolation {
-                    rule: word(&b.rule),
+                    rule: label(&b.rule),
                     reason: b.reason.text().to_owned(),
                     at_s: seconds_from_micros(b.at),
                     who: format!("balancer {}{conn}{node}: {}", b.balancer, b.detail),
--- a/crates/lab/src/scenario/tree.rs
+++ b/crates/lab/src/scenario/tree.rs
@@ -5,8 +5,19 @@
 use std::fmt;
 use std::sync::Arc;
 
+use thiserror::Error;
 use toml::de::{DeTable, DeValue};
 
+/// Text that is no TOML.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{location}: {message}")]
+pub struct SyntaxError {
+    /// Where the parser stopped.
+    pub location: SourceLocation,
+    /// What the parser says.
+    pub message: String,
+}
+
 /// Where a value was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceLocation {
@@ -29,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct Tree {
     /// Where it was written.
-    pub place: SourceLocation,
+    pub location: SourceLocation,
     /// What it is.
     pub form: Form,
 }
@@ -45,15 +56,20 @@
     Leaf(toml::Value),
 }
 
-/// Reads TOML. The error gives line and message.
-pub fn parse(file: &str, text: &str) -> Result<Tree, (SourceLocation, String)> {
+/// Parses TOML into a tree with source locations.
+///
+/// # Errors
+/// The text is no TOML.
+pub fn parse(file: &str, text: &str) -> Result<Tree, SyntaxError> {
     let file: Arc<str> = file.into();
     let spans = DeTable::parse(text).map_err(|e| {
         let line = e.span().map_or(0, |s| line_of(text, s.start));
-        (SourceLocation { file: file.clone(), line }, e.message().to_owned())
+        let location = SourceLocation { file: file.clone(), line };
+        SyntaxError { location, message: e.message().to_owned() }
     })?;
     let start = SourceLocation { file: file.clone(), line: 1 };
-    let values: toml::Table = toml::from_str(text).map_err(|e| (start.clone(), e.message().to_owned()))?;
+    let values: toml::Table = toml::from_str(text)
+        .map_err(|e| SyntaxError { location: start.clone(), message: e.message().to_owned() })?;
     Ok(table(&file, text, 1, spans.get_ref(), values))
 }
 
@@ -69,7 +85,7 @@
         let line = line_of(text, spanned_key.span().start);
         (key, tree(file, text, line, spanned.get_ref(), value))
     });
-    Tree { place: SourceLocation { file: file.clone(), line }, form: Form::Table(entries.collect()) }
+    Tree { location: SourceLocation { file: file.clone(), line }, form: Form::Table(entries.collect()) }
 }
 
 fn tree(file: &Arc<str>, text: &str, line: usize, spans: &DeValue<'_>, value: toml::Value) -> Tree {
@@ -80,51 +96,51 @@
                 let line = line_of(text, s.span().start);
                 tree(file, text, line, s.get_ref(), v)
             });
-            Tree { place: SourceLocation { file: file.clone(), line }, form: Form::List(items.collect()) }
+            Tree { location: SourceLocation { file: file.clone(), line }, form: Form::List(items.collect()) }
         }
-        (_, value) => Tree { place: SourceLocation { file: file.clone(), line }, form: Form::Leaf(value) },
+        (_, value) => Tree { location: SourceLocation { file: file.clone(), line }, form: Form::Leaf(value) },
     }
 }
 
 impl Tree {
     /// A value made by the program, with the place of what it was made from.
-    pub fn made(place: &SourceLocation, value: toml::Value) -> Self {
+    pub fn from_value(place: &SourceLocation, value: toml::Value) -> Self {
         let form = match value {
             toml::Value::Table(t) => {
-                Form::Table(t.into_iter().map(|(k, v)| (k, Self::made(place, v))).collect())
+                Form::Table(t.into_iter().map(|(k, v)| (k, Self::from_value(place, v))).collect())
             }
-            toml::Value::Array(a) => Form::List(a.into_iter().map(|v| Self::made(place, v)).collect()),
+            toml::Value::Array(a) => Form::List(a.into_iter().map(|v| Self::from_value(place, v)).collect()),
             leaf => Form::Leaf(leaf),
         };
-        Self { place: place.clone(), form }
+        Self { location: place.clone(), form }
     }
 
     /// Lays this over `base`: tables key by key; of a list of tables with names, each over the base's one of the same
     /// name. Anything else takes the base's place.
-    pub fn over(self, base: Tree) -> Tree {
+    pub fn merge_over(self, base: Tree) -> Tree {
         match (self.form, base.form) {
             (Form::Table(mine), Form::Table(mut theirs)) => {
                 for (key, value) in mine {
                     let merged = match theirs.remove(&key) {
-                        Some(old) => value.over(old),
+                        Some(old) => value.merge_over(old),
                         None => value,
                     };
                     theirs.insert(key, merged);
                 }
-                Tree { place: self.place, form: Form::Table(theirs) }
+                Tree { location: self.location, form: Form::Table(theirs) }
             }
             (Form::List(mine), Form::List(theirs)) => {
                 let items = mine.into_iter().map(|item| {
                     let of_same_name =
                         item.name().and_then(|n| theirs.iter().find(|t| t.name() == Some(n)).cloned());
                     match of_same_name {
-                        Some(base) => item.over(base),
+                        Some(base) => item.merge_over(base),
                         None => item,
                     }
                 });
-                Tree { place: self.place, form: Form::List(items.collect()) }
+                Tree { location: self.location, form: Form::List(items.collect()) }
             }
-            (form, _) => Tree { place: self.place, form },
+            (form, _) => Tree { location: self.location, form },
         }
     }
 
@@ -161,7 +177,7 @@
     }
 
     /// Place of the value at a path such as `kinds[0].cores`, or of the deepest part of the path that there is.
-    pub fn place_of(&self, path: &str) -> &SourceLocation {
+    pub fn location_of(&self, path: &str) -> &SourceLocation {
         let mut at = self;
         for step in path.split(['.', '[', ']']).filter(|s| !s.is_empty()) {
             let next = match &at.form {
@@ -174,7 +190,7 @@
                 None => break,
             }
         }
-        &at.place
+        &at.location
     }
 
     /// The plain value.
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -103,7 +103,7 @@
     };
     platform::run(day, &options, watch).map_err(|e| match e {
         RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
-        e => CommandError::Outside(e.to_string()),
+        e => CommandError::External(e.to_string()),
     })
 }
 
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -54,20 +54,20 @@
     }
     if let Some(path) = &args.json {
         #[derive(Serialize)]
-        struct Whole<'a> {
+        struct SweepReport<'a> {
             scenario: String,
             points: &'a [Point],
             runs: &'a [Record],
         }
         let scenario = args.scenario.display().to_string();
-        let whole = Whole { scenario, points: &table, runs: &runs };
+        let whole = SweepReport { scenario, points: &table, runs: &runs };
         files::write(path, &(serde_json::to_string(&whole).expect("keys are text") + "\n"))?;
     }
     if args.json.as_deref() != Some(std::path::Path::new("-")) {
         say(&print(args, &table, style));
     }
     let kept = table.iter().all(|p| p.rules_broken_in == 0);
-    Ok(if kept { CommandOutcome::Well } else { CommandOutcome::Badly })
+    Ok(if kept { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
 type Grid<'a> = (&'a String, &'a Vec<(String, String)>);
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -21,7 +21,10 @@
 use crate::tables;
 use shorewharf_units::seconds_from_micros;
 
-/// `trial`.
+/// `trial`: runs the scenario and evaluates its expectations.
+///
+/// # Errors
+/// An input can't be used, a process or file failed, or the run is void.
 pub fn trial(args: &cli::Trial, style: &Style) -> Result<CommandOutcome, CommandError> {
     let path = &args.trial;
     let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
@@ -53,7 +56,7 @@
         shared.as_mut(),
         args.logs.as_deref(),
     )?;
-    let verdicts = judged(&trial, day, &run, &breaks);
+    let verdicts = evaluate_expectations(&trial, day, &run, &breaks);
     let kept = verdicts.iter().all(|v| v.is_met);
     let void = run.report.void.clone();
     let ended = match (&void, kept) {
@@ -102,13 +105,13 @@
     }
     match void {
         // It says nothing of the program, so it is neither kept nor broken.
-        Some(why) => Err(CommandError::Outside(format!("the trial is void: {why}"))),
-        None => Ok(if kept { CommandOutcome::Well } else { CommandOutcome::Badly }),
+        Some(why) => Err(CommandError::External(format!("the trial is void: {why}"))),
+        None => Ok(if kept { CommandOutcome::Success } else { CommandOutcome::Failure }),
     }
 }
 
 /// What became of a trial's promises.
-pub fn judged(
+pub fn evaluate_expectations(
     trial: &Scenario,
     day: &shorewharf_emulator::day::Day,
     run: &SocketsRun,
