--- a/crates/recovery/src/controller/mod.rs
+++ b/crates/recovery/src/controller/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::backoff_clients::BackoffClients;
 use crate::instance_view::InstanceView;
-use crate::levels::{Level, LevelChange, LevelController, LevelPolicy, LevelStats, LoadGauge};
+use crate::levels::{Level, LevelChange, LevelController, LevelPolicy, LevelStats, SlidingWindow};
 use crate::probe_limiter::ProbeLimiter;
 use crate::rebalance::{ClusterSettings, RebalanceStats, Rebalancer};
 use crate::retry_budget::{RetryBudget, RetryStats};
@@ -82,7 +82,7 @@
     message_latency_objective: f64,
     poll_interval: f64,
     view: InstanceView,
-    gauge: LoadGauge,
+    recent_counts: SlidingWindow,
     levels: LevelController,
     retry_budget: RetryBudget,
     rebalancer: Rebalancer,
@@ -106,7 +106,7 @@
             message_latency_objective: 0.0,
             poll_interval: 0.0,
             view: InstanceView::new(settings),
-            gauge: LoadGauge::default(),
+            recent_counts: SlidingWindow::default(),
             levels: LevelController::new(),
             retry_budget: RetryBudget::new(seed),
             rebalancer: Rebalancer::new(seed.rotate_left(17), settings.migration_cost),
--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -4,7 +4,7 @@
 use shorewharf_decisions::{Balancer, Outcome, RequestId, ServerId};
 
 use super::{OverloadController, TIMER_TOKEN};
-use crate::levels::{LoadGauge, LoadSignals, RetryPolicy, lower_bound_ratio};
+use crate::levels::{LoadSignals, RetryPolicy, SlidingWindow, lower_bound_ratio};
 use crate::rebalance::StepSettings;
 use crate::retry_budget::{RetryPermit, is_server_failure};
 
@@ -146,7 +146,7 @@
 
     fn on_established(&mut self, now: f64, id: RequestId) {
         let Some((server, connection)) = self.view.on_established(now, id) else { return };
-        self.gauge.current(now).served += 1;
+        self.recent_counts.current(now).served += 1;
         self.backoff_clients.on_served(connection.key);
         self.retry_budget.on_outcome(now, server, Outcome::Ok);
         self.rebalancer.on_established(connection.key, server, now - connection.since);
@@ -206,17 +206,17 @@
         let Some(connection) = self.view.on_attempt(id, server) else { return };
         if connection.attempts > 1 {
             self.retry_budget.on_retry(now);
-            self.gauge.current(now).retries += 1;
+            self.recent_counts.current(now).retries += 1;
         } else {
             self.retry_budget.on_first_attempt();
-            self.gauge.current(now).first_attempts += 1;
+            self.recent_counts.current(now).first_attempts += 1;
         }
         self.rebalancer.on_attempt(connection.key, server);
     }
 
     fn on_rejected(&mut self, now: f64, id: RequestId) {
         self.rebalancer.pause(now, "refused");
-        self.gauge.current(now).rejected += 1;
+        self.recent_counts.current(now).rejected += 1;
         *self.rejected.entry(self.level().name()).or_default() += 1;
         let key = self.view.connections.get(&id).map_or(0, |connection| connection.key);
         self.backoff_clients.on_rejected(now, key, id);
@@ -224,12 +224,12 @@
     }
 
     fn signals(&mut self, now: f64) -> LoadSignals {
-        let counts = self.gauge.totals(now);
+        let counts = self.recent_counts.totals(now);
         let in_backoff = self.backoff_clients.count(now);
         let clients = in_backoff + self.view.established() as u32;
         let list_age = self.discovery_failed_at.map_or(0.0, |since| (now - since) / self.poll_interval);
         LoadSignals {
-            requests_per_second: f64::from(counts.served + counts.rejected) / LoadGauge::window_seconds(),
+            requests_per_second: f64::from(counts.served + counts.rejected) / SlidingWindow::length_seconds(),
             backoff_ratio: lower_bound_ratio(in_backoff, clients),
             retry_ratio: lower_bound_ratio(counts.retries, counts.first_attempts),
             utilization: self.capacity.and_then(|estimate| estimate.utilization()),
--- a/crates/recovery/src/levels/mod.rs
+++ b/crates/recovery/src/levels/mod.rs
@@ -4,16 +4,16 @@
 //! entered at once and left only after its cause has been gone for long enough, so that load that hovers at a threshold
 //! changes the level no more than once in [`MIN_SECONDS_BETWEEN_CHANGES`].
 
-mod gauge;
 mod level;
 mod signals;
+mod sliding_window;
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-pub use gauge::{LoadGauge, WindowCounts, lower_bound_ratio};
 pub use level::{Level, LevelPolicy, RetryPolicy, ShedPolicy};
 pub use signals::{LoadSignals, Severity};
+pub use sliding_window::{SlidingWindow, WindowCounts, lower_bound_ratio};
 
 /// Changes under load that hovers are at least so far apart; a level's cause has to be gone for so long.
 pub const MIN_SECONDS_BETWEEN_CHANGES: f64 = 30.0;
@@ -111,19 +111,19 @@
             self.stats.seconds_at_level[self.level as usize] += (now - updated_at).max(0.0);
         }
         self.severity = severity.value;
-        self.note_causes(now, signals);
+        self.record_causes(now, signals);
         let next = self.worse_level(now).or_else(|| self.better_level(now))?;
         Some(self.change(now, next, severity.cause, signals))
     }
 
     /// Notes which levels' causes are present.
-    fn note_causes(&mut self, now: f64, signals: &LoadSignals) {
+    fn record_causes(&mut self, now: f64, signals: &LoadSignals) {
         let is_list_stale = signals.list_age >= STALE_LIST_AGE;
-        for (level, seen_at) in self.cause_present_at.iter_mut().enumerate().skip(1) {
+        for (level, present_at) in self.cause_present_at.iter_mut().enumerate().skip(1) {
             // A stale list does not show that servers are back, so no cause counts as gone.
-            let is_kept = is_list_stale && now - *seen_at < MIN_SECONDS_BETWEEN_CHANGES;
-            if self.severity >= level as f64 - HYSTERESIS || is_kept {
-                *seen_at = now;
+            let remains_present = is_list_stale && now - *present_at < MIN_SECONDS_BETWEEN_CHANGES;
+            if self.severity >= level as f64 - HYSTERESIS || remains_present {
+                *present_at = now;
             }
         }
     }
@@ -134,12 +134,12 @@
 
     /// The worse level that the severity calls for, if any.
     fn worse_level(&mut self, now: f64) -> Option<Level> {
-        let early = Level::for_severity(self.severity - EARLY_CHANGE_MARGIN);
+        let early_level = Level::for_severity(self.severity - EARLY_CHANGE_MARGIN);
         let next = match self.stats.recent_changes.last() {
             _ if self.may_change(now) => Level::for_severity(self.severity),
             // A level that was just left is entered again only for what is clearly worse.
-            Some(last) if last.to < last.from && early <= last.from => return None,
-            _ => early,
+            Some(last) if last.to < last.from && early_level <= last.from => return None,
+            _ => early_level,
         };
         if next <= self.level {
             return None;
--- a/crates/recovery/src/levels/gauge.rs
+++ b/crates/recovery/src/levels/sliding_window.rs
@@ -20,13 +20,13 @@
 
 /// The sliding window.
 #[derive(Clone, Debug, Default)]
-pub struct LoadGauge {
+pub struct SlidingWindow {
     slots: [WindowCounts; SLOTS],
     /// Number of the current slot, counted from time 0.
     current_slot: u64,
 }
 
-impl LoadGauge {
+impl SlidingWindow {
     /// Returns the counts of the current slot, and clears those that have left the window.
     pub fn current(&mut self, now: f64) -> &mut WindowCounts {
         let slot = (now.max(0.0) / SLOT_SECONDS) as u64;
@@ -52,7 +52,7 @@
     }
 
     /// Length of the window, in seconds.
-    pub fn window_seconds() -> f64 {
+    pub fn length_seconds() -> f64 {
         SLOT_SECONDS * SLOTS as f64
     }
 }
