--- a/crates/recovery/src/capacity_estimate/platform.rs
+++ b/crates/recovery/src/capacity_estimate/estimator_settings.rs
@@ -11,7 +11,7 @@
 
 /// What the settings say of servers and of the fleet. Times are seconds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PlatformLimits {
+pub(super) struct EstimatorSettings {
     /// Balancers that share the servers.
     pub instance_count: f64,
     pub slow_start: SlowStart,
@@ -22,10 +22,10 @@
     pub has_capacity_weights: bool,
 }
 
-impl PlatformLimits {
+impl EstimatorSettings {
     pub fn new(settings: &Settings) -> Self {
         let latency_objectives = settings.classes.iter().map(|class| class.message_latency_objective);
-        PlatformLimits {
+        EstimatorSettings {
             instance_count: settings.instance_count.max(1.0),
             slow_start: SlowStart::new(settings, MIN_WARM_UP_SECONDS),
             overload_ratio: settings.overload_ratio,
--- a/crates/recovery/src/capacity_estimate/mod.rs
+++ b/crates/recovery/src/capacity_estimate/mod.rs
@@ -5,7 +5,7 @@
 //! the listed size. What the other instances put there need not be known: a report of slow messages is caused by all
 //! loads together, and all instances that receive it reduce their load by the same share.
 
-mod platform;
+mod estimator_settings;
 mod server;
 mod setup_model;
 
@@ -18,7 +18,7 @@
 use shorewharf_decisions::persistence::valid_load;
 
 use crate::snapshot_state::{LoadModel, ServerCapacity};
-use platform::{PlatformLimits, TARGET_UTILIZATION};
+use estimator_settings::{EstimatorSettings, TARGET_UTILIZATION};
 use server::{AnnouncedCapacity, REPORT_PERIOD, ServerModel, Setup};
 use setup_model::SetupModel;
 
@@ -79,7 +79,7 @@
 
 /// What became of restored state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Restored {
+pub(crate) enum RestoreOutcome {
     Accepted,
     /// It belongs to an earlier process of the server, or to a server that is not listed.
     Outdated,
@@ -97,13 +97,13 @@
 /// The estimates of one instance.
 #[derive(Debug)]
 pub struct CapacityEstimator {
-    limits: PlatformLimits,
+    settings: EstimatorSettings,
     servers: BTreeMap<ServerId, ServerModel>,
     attempts: BTreeMap<RequestId, Attempt>,
     mean_load: f64,
     load_samples: f64,
     setups: SetupModel,
-    grown_at: f64,
+    last_growth_at: f64,
     announced_mean_load: f64,
 }
 
@@ -111,20 +111,20 @@
     /// Creates an estimator that has learned nothing yet.
     pub fn new(settings: &Settings) -> Self {
         CapacityEstimator {
-            limits: PlatformLimits::new(settings),
+            settings: EstimatorSettings::new(settings),
             servers: BTreeMap::new(),
             attempts: BTreeMap::new(),
             mean_load: 0.0,
             load_samples: 0.0,
             setups: SetupModel::default(),
-            grown_at: f64::NEG_INFINITY,
+            last_growth_at: f64::NEG_INFINITY,
             announced_mean_load: 0.0,
         }
     }
 
     /// Applies other settings; what was learned stays.
     pub fn update_settings(&mut self, settings: &Settings) {
-        self.limits = PlatformLimits::new(settings);
+        self.settings = EstimatorSettings::new(settings);
     }
 
     /// Observes an event, before the decision module handles it.
@@ -145,7 +145,7 @@
             }
             Event::MessageDelay { server, delay } if delay.is_finite() && *delay > 0.0 => {
                 if let Some(model) = self.servers.get_mut(server) {
-                    model.on_message_delay(now, *delay, loads.local_load(*server), &self.limits);
+                    model.on_message_delay(now, *delay, loads.local_load(*server), &self.settings);
                 }
             }
             Event::AttemptEnded { request, .. } => {
@@ -153,10 +153,10 @@
             }
             _ => {}
         }
-        if now >= self.grown_at + REPORT_PERIOD {
-            self.grown_at = now;
+        if now >= self.last_growth_at + REPORT_PERIOD {
+            self.last_growth_at = now;
             for (id, model) in &mut self.servers {
-                model.grow(now, loads.local_load(*id), &self.limits);
+                model.grow(now, loads.local_load(*id), &self.settings);
             }
         }
     }
@@ -175,7 +175,7 @@
     /// Appends events for the estimates that have changed. Nothing is announced
     /// before the first load report, since loads have no unit until then.
     pub fn announce(&mut self, now: f64, events: &mut Vec<Event>) {
-        if self.mean_load <= 0.0 || !self.limits.has_capacity_weights {
+        if self.mean_load <= 0.0 || !self.settings.has_capacity_weights {
             return;
         }
         let has_changed = |to: f64, from: f64| (to - from).abs() > MIN_ANNOUNCED_CHANGE * from;
@@ -183,13 +183,13 @@
             self.announced_mean_load = self.mean_load;
             events.push(Event::MeanLoadEstimated(self.mean_load));
         }
-        let limits = self.limits;
+        let settings = self.settings;
         for (id, model) in &mut self.servers {
-            let load = model.bound(now, &limits);
-            let setup_rate = COLD_SETUP_RATIO * limits.overload_ratio * model.entry.weight
+            let load = model.load_limit(now, &settings);
+            let setup_rate = COLD_SETUP_RATIO * settings.overload_ratio * model.entry.weight
                 / self.mean_load
-                / limits.slow_start.warm_up_time
-                / limits.instance_count;
+                / settings.slow_start.warm_up_time
+                / settings.instance_count;
             let announced = model.announced;
             if has_changed(load, announced.load) || has_changed(setup_rate, announced.setup_rate) {
                 model.announced = AnnouncedCapacity { load, setup_rate };
@@ -202,15 +202,16 @@
     pub fn fleet(&self, now: f64, loads: &impl LocalLoad) -> FleetEstimate {
         let estimate = |(id, model): (&ServerId, &ServerModel)| {
             let local_load = loads.local_load(*id);
-            let is_reported = model.is_recently_slow(now);
+            let is_recently_slow = model.is_recently_slow(now);
             let estimate = ServerEstimate {
                 state: model.entry.state,
                 weight: model.entry.weight,
-                warm_up_ratio: self.limits.slow_start.warm_up_ratio(&model.entry, now),
-                capacity: model.bound(now, &self.limits) * self.limits.instance_count / TARGET_UTILIZATION,
-                load: local_load * self.limits.instance_count,
+                warm_up_ratio: self.settings.slow_start.warm_up_ratio(&model.entry, now),
+                capacity: model.load_limit(now, &self.settings) * self.settings.instance_count
+                    / TARGET_UTILIZATION,
+                load: local_load * self.settings.instance_count,
                 local_load,
-                uncertainty: if is_reported { UNCERTAINTY_AFTER_REPORT } else { UNCERTAINTY },
+                uncertainty: if is_recently_slow { UNCERTAINTY_AFTER_REPORT } else { UNCERTAINTY },
                 updated_at: model.updated_at,
             };
             (*id, estimate)
@@ -239,11 +240,11 @@
     fn on_setup(&mut self, now: f64, attempt: Attempt, loads: &impl LocalLoad) {
         let Some(model) = self.servers.get_mut(&attempt.server) else { return };
         model.updated_at = now;
-        let has_unit = self.mean_load > 0.0 && self.limits.has_capacity_weights;
-        if has_unit && model.has_comparable_setups(now) {
+        let has_load_unit = self.mean_load > 0.0 && self.settings.has_capacity_weights;
+        if has_load_unit && model.has_comparable_setups(now) {
             let setup =
                 Setup { seconds: now - attempt.sent_at, local_load: loads.local_load(attempt.server) };
-            model.on_setup(now, setup, &mut self.setups, &self.limits);
+            model.on_setup(now, setup, &mut self.setups, &self.settings);
         }
     }
 
@@ -258,8 +259,8 @@
     }
 
     /// What was learned of the servers behind this one, so many at most. Exclusions are not known here.
-    pub(crate) fn server_capacities(&self, behind: Option<ServerId>, most: usize) -> Vec<ServerCapacity> {
-        let from = behind.map_or(Unbounded, Excluded);
+    pub(crate) fn server_capacities(&self, after: Option<ServerId>, max_count: usize) -> Vec<ServerCapacity> {
+        let from = after.map_or(Unbounded, Excluded);
         let capacity = |(id, model): (&ServerId, &ServerModel)| ServerCapacity {
             server: id.0,
             started_at: model.entry.started_at,
@@ -267,16 +268,16 @@
             slow_reported_at: model.slow_reported_at.is_finite().then_some(model.slow_reported_at),
             excluded_until: None,
         };
-        self.servers.range((from, Unbounded)).take(most).map(capacity).collect()
+        self.servers.range((from, Unbounded)).take(max_count).map(capacity).collect()
     }
 
     /// Restores what was learned of loads and set-ups, unless this instance has learned of them itself.
-    pub(crate) fn restore_load_model(&mut self, model: &LoadModel) -> Restored {
+    pub(crate) fn restore_load_model(&mut self, model: &LoadModel) -> RestoreOutcome {
         let numbers = [model.mean_load, model.load_samples, model.log_setup_work, model.setup_samples];
         let has_valid_mean = model.mean_load == 0.0 || valid_load(model.mean_load).is_some();
         let has_valid_counts = model.load_samples >= 0.0 && model.setup_samples >= 0.0;
         if !numbers.into_iter().all(f64::is_finite) || !has_valid_mean || !has_valid_counts {
-            return Restored::Invalid;
+            return RestoreOutcome::Invalid;
         }
         if self.load_samples <= 0.0 {
             (self.mean_load, self.load_samples) = (model.mean_load, model.load_samples);
@@ -284,23 +285,23 @@
         if self.setups.samples <= 0.0 {
             self.setups = SetupModel { log_work: model.log_setup_work, samples: model.setup_samples };
         }
-        Restored::Accepted
+        RestoreOutcome::Accepted
     }
 
     /// Restores what was learned of a server `age` seconds ago, if it is still the same process.
-    pub(crate) fn restore_server(&mut self, now: f64, age: f64, capacity: &ServerCapacity) -> Restored {
+    pub(crate) fn restore_server(&mut self, now: f64, age: f64, capacity: &ServerCapacity) -> RestoreOutcome {
         let has_valid_factor = capacity.factor.is_finite() && capacity.factor > 0.0;
         if !has_valid_factor || !capacity.started_at.is_finite() {
-            return Restored::Invalid;
+            return RestoreOutcome::Invalid;
         }
         let log_factor = capacity.factor.ln() * CAPACITY_RETENTION_PER_SECOND.powf(age.max(0.0));
         let slow_reported_at = capacity.slow_reported_at.filter(|at| at.is_finite() && *at <= now);
         match self.servers.get_mut(&ServerId(capacity.server)) {
             Some(model) if model.entry.started_at == capacity.started_at => {
                 model.restore(log_factor.exp(), slow_reported_at);
-                Restored::Accepted
+                RestoreOutcome::Accepted
             }
-            _ => Restored::Outdated,
+            _ => RestoreOutcome::Outdated,
         }
     }
 }
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -3,7 +3,7 @@
 
 use shorewharf_decisions::interface::ServerEntry;
 
-use super::platform::{PlatformLimits, TARGET_UTILIZATION};
+use super::estimator_settings::{EstimatorSettings, TARGET_UTILIZATION};
 use super::setup_model::{SetupCapacity, SetupModel};
 
 /// Period of delay reports, and of growth, in seconds.
@@ -22,7 +22,7 @@
 const MAX_DECREASE: f64 = 0.5;
 const MAX_INCREASE: f64 = 1.3;
 /// A silent server that is filled to this part of its bound is at the bound.
-const AT_BOUND_RATIO: f64 = 0.7;
+const AT_LIMIT_RATIO: f64 = 0.7;
 /// Growth of the factor a period at the bound: while the server is cold, after a recent slow report, and else.
 const COLD_GROWTH: f64 = 0.15;
 const GROWTH_AFTER_SLOW_REPORT: f64 = 0.03;
@@ -94,8 +94,8 @@
     }
 
     /// Load that this instance may put on the server now.
-    pub fn bound(&self, now: f64, limits: &PlatformLimits) -> f64 {
-        limits.even_share(&self.entry, now) * self.factor
+    pub fn load_limit(&self, now: f64, settings: &EstimatorSettings) -> f64 {
+        settings.even_share(&self.entry, now) * self.factor
     }
 
     /// Whether the server reported slow messages a short while ago.
@@ -117,24 +117,24 @@
     ///
     /// Two reports a second apart while work is backed up determine the load, since a backlog grows by the load
     /// beyond the server's capacity; a single one only bounds it.
-    pub fn on_message_delay(&mut self, now: f64, delay: f64, local_load: f64, limits: &PlatformLimits) {
-        let objective = limits.message_latency_objective;
-        let before = std::mem::replace(&mut self.last_delay, DelayReport { delay, at: now });
+    pub fn on_message_delay(&mut self, now: f64, delay: f64, local_load: f64, settings: &EstimatorSettings) {
+        let objective = settings.message_latency_objective;
+        let previous = std::mem::replace(&mut self.last_delay, DelayReport { delay, at: now });
         self.updated_at = now;
-        let even_share = limits.even_share(&self.entry, now);
+        let even_share = settings.even_share(&self.entry, now);
         // The factor at which this instance's load now makes the server this full.
         let factor_at = |utilization: f64| local_load / utilization * TARGET_UTILIZATION / even_share;
-        let is_consecutive = now - before.at < CONSECUTIVE_WITHIN;
-        let factor = if is_consecutive && before.delay > objective {
-            let elapsed = (now - before.at).max(REPORT_PERIOD * 0.5);
-            let utilization = 1.0 + (delay - before.delay) / elapsed;
-            let (least, most) = (self.factor * MAX_DECREASE, self.factor * MAX_INCREASE);
+        let is_consecutive = now - previous.at < CONSECUTIVE_WITHIN;
+        let factor = if is_consecutive && previous.delay > objective {
+            let elapsed = (now - previous.at).max(REPORT_PERIOD * 0.5);
+            let utilization = 1.0 + (delay - previous.delay) / elapsed;
+            let (min_factor, max_factor) = (self.factor * MAX_DECREASE, self.factor * MAX_INCREASE);
             if delay > objective {
                 factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, MAX_REPORTED_UTILIZATION))
-                    .clamp(least, most)
+                    .clamp(min_factor, max_factor)
             } else {
                 // The backlog was gone before the second report, so this is an upper bound of the load.
-                self.factor.max(factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, 1.0)).min(most))
+                self.factor.max(factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, 1.0)).min(max_factor))
             }
         } else if delay > objective {
             self.factor.min(factor_at(UTILIZATION_WITH_BACKLOG))
@@ -155,9 +155,9 @@
     }
 
     /// A set-up was completed.
-    pub fn on_setup(&mut self, now: f64, setup: Setup, model: &mut SetupModel, limits: &PlatformLimits) {
-        let utilization = setup.local_load / self.bound(now, limits) * TARGET_UTILIZATION;
-        let warm_up_ratio = limits.slow_start.warm_up_ratio(&self.entry, now);
+    pub fn on_setup(&mut self, now: f64, setup: Setup, model: &mut SetupModel, settings: &EstimatorSettings) {
+        let utilization = setup.local_load / self.load_limit(now, settings) * TARGET_UTILIZATION;
+        let warm_up_ratio = settings.slow_start.warm_up_ratio(&self.entry, now);
         let capacity = SetupCapacity { weight: self.entry.weight, warm_up_ratio };
         let log_speedup = model.observe(setup.seconds, capacity, utilization);
         if let Some(log_speedup) = log_speedup.filter(|_| utilization > SETUP_MIN_UTILIZATION) {
@@ -168,12 +168,12 @@
 
     /// Raises the factor of a server that is silent at its bound. Without growth each instance's share of the traffic
     /// would have to be the even one.
-    pub fn grow(&mut self, now: f64, local_load: f64, limits: &PlatformLimits) {
+    pub fn grow(&mut self, now: f64, local_load: f64, settings: &EstimatorSettings) {
         let has_reported = now <= self.last_delay.at + CONSECUTIVE_WITHIN;
-        if has_reported || local_load <= AT_BOUND_RATIO * self.bound(now, limits) {
+        if has_reported || local_load <= AT_LIMIT_RATIO * self.load_limit(now, settings) {
             return;
         }
-        let growth = if limits.slow_start.warm_up_ratio(&self.entry, now) < 1.0 {
+        let growth = if settings.slow_start.warm_up_ratio(&self.entry, now) < 1.0 {
             COLD_GROWTH
         } else if self.is_recently_slow(now) {
             GROWTH_AFTER_SLOW_REPORT
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -7,7 +7,7 @@
 use shorewharf_decisions::persistence::RestoreCounts;
 use shorewharf_decisions::{Balancer, Holding, RequestId, ServerId, Settings};
 
-use crate::capacity_estimate::{CapacityEstimator, FleetEstimate, Restored};
+use crate::capacity_estimate::{CapacityEstimator, FleetEstimate, RestoreOutcome};
 use crate::capacity_shortage::CapacityShortage;
 use crate::controller::{ControllerOptions, HandledEvent, OverloadController};
 use crate::retry_after::RetryAfterQueue;
@@ -206,25 +206,25 @@
                 SnapshotEntry::ServerCapacity(capacity) => self.restore_server(now, age, &capacity),
             };
             match restored {
-                Restored::Accepted => counts.restored += 1,
-                Restored::Outdated => counts.outdated += 1,
-                Restored::Invalid => counts.invalid += 1,
+                RestoreOutcome::Accepted => counts.restored += 1,
+                RestoreOutcome::Outdated => counts.outdated += 1,
+                RestoreOutcome::Invalid => counts.invalid += 1,
             }
         }
         self.balancer.restore(now, age, connections_are_lost, &known).and(counts)
     }
 
-    fn restore_load_model(&mut self, model: &LoadModel) -> Restored {
+    fn restore_load_model(&mut self, model: &LoadModel) -> RestoreOutcome {
         let restored = self.estimator.restore_load_model(model);
-        if restored == Restored::Accepted {
+        if restored == RestoreOutcome::Accepted {
             self.controller.restore_mean_load(model.mean_load);
         }
         restored
     }
 
-    fn restore_server(&mut self, now: f64, age: f64, capacity: &ServerCapacity) -> Restored {
+    fn restore_server(&mut self, now: f64, age: f64, capacity: &ServerCapacity) -> RestoreOutcome {
         let restored = self.estimator.restore_server(now, age, capacity);
-        if restored == Restored::Accepted {
+        if restored == RestoreOutcome::Accepted {
             let server = ServerId(capacity.server);
             self.controller.restore_exclusion(now, server, capacity.excluded_until);
         }
