--- a/crates/recovery/src/controller/mod.rs
+++ b/crates/recovery/src/controller/mod.rs
@@ -14,7 +14,7 @@
 use crate::instance_view::InstanceView;
 use crate::levels::{Level, LevelChange, LevelController, LevelPolicy, LevelStats, SlidingWindow};
 use crate::probe_limiter::ProbeLimiter;
-use crate::rebalance::{ClusterSettings, RebalanceStats, Rebalancer};
+use crate::rebalance::{FleetSettings, RebalanceStats, Rebalancer};
 use crate::retry_budget::{RetryBudget, RetryStats};
 pub use observation::HandledEvent;
 
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub struct OverloadController {
     options: ControllerOptions,
-    cluster: ClusterSettings,
+    fleet: FleetSettings,
     message_latency_objective: f64,
     poll_interval: f64,
     view: InstanceView,
@@ -102,7 +102,7 @@
     pub fn new(settings: &Settings, seed: u64, options: ControllerOptions) -> Self {
         let mut controller = OverloadController {
             options,
-            cluster: ClusterSettings { has_groups: false, instance_count: 1.0 },
+            fleet: FleetSettings { has_groups: false, instance_count: 1.0 },
             message_latency_objective: 0.0,
             poll_interval: 0.0,
             view: InstanceView::new(settings),
@@ -125,7 +125,7 @@
     /// Applies other settings; what was learned stays.
     pub fn update_settings(&mut self, settings: &Settings) {
         let latency_objectives = settings.classes.iter().map(|class| class.message_latency_objective);
-        self.cluster = ClusterSettings {
+        self.fleet = FleetSettings {
             has_groups: settings.has_groups,
             instance_count: settings.instance_count.max(1.0),
         };
--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -250,7 +250,7 @@
 
     fn migrate(&mut self, now: f64, actions: &mut Vec<Action>, balancer: &mut Balancer) {
         let pace = if self.options.rebalance { self.policy().migration_pace } else { 0.0 };
-        let settings = StepSettings { pace, cluster: self.cluster };
+        let settings = StepSettings { pace, fleet: self.fleet };
         for migration in self.rebalancer.step(now, &settings, &mut self.view) {
             balancer.on_migrated(migration.request, Some(migration.to), now + RESERVATION_SECONDS);
             actions.push(Action::Migrate(migration.request));
--- a/crates/recovery/src/rebalance/cluster_snapshot.rs
+++ b/crates/recovery/src/rebalance/load_distribution.rs
@@ -19,17 +19,17 @@
 const SLOW_REPORT_VALID_SECONDS: f64 = 5.0;
 /// Connections on a server from which on what they show of its utilization is half the truth.
 const HALF_CONFIDENCE_CONNECTIONS: f64 = 2.0;
-/// Iterations of [`group_holders`]' fixed point.
+/// Iterations of [`instances_per_group`]' fixed point.
 const FIXED_POINT_ITERATIONS: usize = 30;
 
 /// Share of a server's level that migrations fill it beyond, and empty it down to.
-pub(super) const LEVEL_TOLERANCE: f64 = 0.04;
+pub(super) const BALANCE_TOLERANCE: f64 = 0.04;
 /// All instances together fill a cold server up to this part of what it can do by its slow start.
 const COLD_FILL_LIMIT: f64 = 0.7;
 
 /// Settings of the cluster that migrations depend on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ClusterSettings {
+pub(crate) struct FleetSettings {
     /// Connections come in groups that share work on a server.
     pub has_groups: bool,
     /// Balancers that share the servers.
@@ -98,12 +98,12 @@
 
 /// What this instance's connections load where.
 #[derive(Debug)]
-pub(super) struct ClusterSnapshot {
+pub(super) struct LoadDistribution {
     pub servers: Vec<ServerLoad>,
     pub mean_load: f64,
     pub instance_count: f64,
     /// Instances that hold a part of a group where this one does.
-    pub group_holders: f64,
+    pub instances_per_group: f64,
     has_comparable_loads: bool,
     pub mean_utilization: f64,
     /// By index of the server.
@@ -116,7 +116,7 @@
 
 /// Instances that have members of a group on a server where this one has `own_mean` on average. Members fall to
 /// instances by chance, so that the mean of those that are seen at all, `m / (1 - e^-m)`, gives the mean `m` of all.
-fn group_holders(own_mean: f64, instance_count: f64) -> f64 {
+fn instances_per_group(own_mean: f64, instance_count: f64) -> f64 {
     let own_mean = own_mean.max(1.0);
     let mean = (0..FIXED_POINT_ITERATIONS).fold(own_mean, |mean, _| own_mean * (1.0 - (-mean).exp()));
     1.0 + (instance_count - 1.0) * (1.0 - (-mean).exp())
@@ -129,35 +129,35 @@
     is_established && !connection.is_migrating && connection.key != 0 && now >= connection.since + min_age
 }
 
-impl ClusterSnapshot {
+impl LoadDistribution {
     /// Takes a snapshot; `expected` are the clients that are on their way to another server.
     pub fn new(
         now: f64,
         view: &InstanceView,
-        settings: ClusterSettings,
+        settings: FleetSettings,
         expected: impl Iterator<Item = ExpectedArrival>,
-    ) -> ClusterSnapshot {
+    ) -> LoadDistribution {
         let in_service = view.servers.iter().filter(|(_, record)| record.is_in_service());
         let servers: Vec<ServerLoad> =
             in_service.map(|(id, record)| ServerLoad::new(now, *id, record, view)).collect();
-        let mut snapshot = ClusterSnapshot {
+        let mut distribution = LoadDistribution {
             connections: vec![ConnectionsByGroup::new(); servers.len()],
             servers,
             mean_load: view.mean_load(),
             instance_count: settings.instance_count,
-            group_holders: 1.0,
+            instances_per_group: 1.0,
             has_comparable_loads: view.has_comparable_loads(),
             mean_utilization: 0.0,
             established: 0,
             mean_age: 0.0,
         };
-        snapshot.add_connections(now, view, settings.has_groups);
-        snapshot.add_expected(expected);
-        snapshot.add_group_costs();
-        let (load, capacity) = (snapshot.servers.iter())
+        distribution.add_connections(now, view, settings.has_groups);
+        distribution.add_expected(expected);
+        distribution.add_group_costs();
+        let (load, capacity) = (distribution.servers.iter())
             .fold((0.0, 0.0), |sums, server| (sums.0 + server.load, sums.1 + server.capacity));
-        snapshot.mean_utilization = if capacity > 0.0 { load / capacity } else { 0.0 };
-        snapshot
+        distribution.mean_utilization = if capacity > 0.0 { load / capacity } else { 0.0 };
+        distribution
     }
 
     fn index_of(&self, server: ServerId) -> Option<usize> {
@@ -203,10 +203,10 @@
             groups.map(|(_, members)| members.len())
         };
         let own_mean = group_sizes().sum::<usize>() as f64 / group_sizes().count().max(1) as f64;
-        self.group_holders = group_holders(own_mean, self.instance_count);
+        self.instances_per_group = instances_per_group(own_mean, self.instance_count);
         for (server, groups) in self.servers.iter_mut().zip(&self.connections) {
             let paid_groups = groups.keys().filter(|group| **group != 0).count();
-            server.load += GROUP_COST * self.mean_load * paid_groups as f64 / self.group_holders;
+            server.load += GROUP_COST * self.mean_load * paid_groups as f64 / self.instances_per_group;
         }
     }
 
@@ -233,12 +233,12 @@
 
     /// How much load of this instance's a server may have as a target.
     pub fn target_limit(&self, server: &ServerLoad) -> f64 {
-        let level = self.mean_utilization * server.capacity;
+        let balanced_load = self.mean_utilization * server.capacity;
         match (server.is_cold, self.has_comparable_loads) {
             // What the other instances put there is unknown: each keeps to its even part of the server's capacity.
-            (true, true) => level.min(COLD_FILL_LIMIT * server.capacity / self.instance_count),
-            (true, false) => level * COLD_FILL_LIMIT,
-            (false, _) => level * (1.0 + LEVEL_TOLERANCE),
+            (true, true) => balanced_load.min(COLD_FILL_LIMIT * server.capacity / self.instance_count),
+            (true, false) => balanced_load * COLD_FILL_LIMIT,
+            (false, _) => balanced_load * (1.0 + BALANCE_TOLERANCE),
         }
     }
 }
--- a/crates/recovery/src/rebalance/mod.rs
+++ b/crates/recovery/src/rebalance/mod.rs
@@ -5,7 +5,7 @@
 //! and go on once all has been well for a while; and between two thresholds of imbalance nothing changes, so that
 //! chance moves nobody to and fro.
 
-mod cluster_snapshot;
+mod load_distribution;
 mod pacing;
 mod plan;
 
@@ -15,11 +15,11 @@
 use rand_pcg::rand_core::SeedableRng;
 use shorewharf_decisions::{RequestId, ServerId};
 
-pub(crate) use cluster_snapshot::ClusterSettings;
-use cluster_snapshot::{ClusterSnapshot, ExpectedArrival, LEVEL_TOLERANCE};
+pub(crate) use load_distribution::FleetSettings;
+use load_distribution::{BALANCE_TOLERANCE, ExpectedArrival, LoadDistribution};
 use pacing::{MigrationPacer, RefillPeriod};
+use plan::{MigrationBatch, PlanningContext};
 pub use plan::{MigrationCost, MigrationReason};
-use plan::{MigrationUnit, PlanningContext};
 
 use crate::instance_view::{EndedAttempt, InstanceView, Placement};
 use crate::random::random_unit;
@@ -27,18 +27,18 @@
 /// Migrations begin at this imbalance of the instance's own part (largest utilization over the mean one).
 const BEGIN_IMBALANCE: f64 = 1.15;
 /// Migrations end below this imbalance.
-const END_IMBALANCE: f64 = 1.0 + LEVEL_TOLERANCE;
+const END_IMBALANCE: f64 = 1.0 + BALANCE_TOLERANCE;
 /// Migrations begin this long after the imbalance was first seen, in seconds, drawn between once and twice this:
 /// clients that come back by themselves need none, and instances must not begin at once.
 const SETTLE_SECONDS: f64 = 2.0;
 /// After a failure nothing migrates for so long, in seconds, drawn between 0.75 and 1.25 times this.
 const PAUSE_SECONDS: f64 = 4.0;
 /// Clients that were asked to migrate are expected for so long, in seconds.
-const ARRIVAL_TIMEOUT: f64 = 3.0;
+const ARRIVAL_TIMEOUT_SECONDS: f64 = 3.0;
 /// Arrivals after which it is checked whether most of them landed where they were to.
 const ARRIVALS_PER_CHECK: u32 = 12;
 /// If they did not, nothing migrates for so long, in seconds.
-const MISSED_TARGET_PAUSE: f64 = 30.0;
+const MISSED_TARGET_PAUSE_SECONDS: f64 = 30.0;
 /// Weight of a new sample in the learned costs.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// The longest time between two steps that is made up for, in seconds.
@@ -88,7 +88,7 @@
 
 /// The unit that is being migrated.
 #[derive(Debug)]
-struct CurrentUnit {
+struct CurrentBatch {
     /// Connections that are still to go.
     remaining: VecDeque<RequestId>,
     from: ServerId,
@@ -96,10 +96,10 @@
     reason: MigrationReason,
 }
 
-impl From<MigrationUnit> for CurrentUnit {
-    fn from(unit: MigrationUnit) -> Self {
-        let MigrationUnit { connections, from, to, reason, .. } = unit;
-        CurrentUnit { remaining: connections.into(), from, to, reason }
+impl From<MigrationBatch> for CurrentBatch {
+    fn from(batch: MigrationBatch) -> Self {
+        let MigrationBatch { connections, from, to, reason, .. } = batch;
+        CurrentBatch { remaining: connections.into(), from, to, reason }
     }
 }
 
@@ -122,7 +122,7 @@
 pub(crate) struct StepSettings {
     /// Pace of migrations over the usual one; 0 for none.
     pub pace: f64,
-    pub cluster: ClusterSettings,
+    pub fleet: FleetSettings,
 }
 
 /// Rebalances the connections of one instance.
@@ -131,7 +131,7 @@
     rng: Pcg64Mcg,
     state: State,
     paused_until: f64,
-    current: Option<CurrentUnit>,
+    current: Option<CurrentBatch>,
     pacer: MigrationPacer,
     stepped_at: Option<f64>,
     /// Clients on their way, by key.
@@ -139,7 +139,7 @@
     arrival_check: ArrivalCheck,
     /// Mean age of connections that ended by themselves, in seconds.
     mean_lifetime: f64,
-    totals_at_begin: Totals,
+    totals_at_start: Totals,
     log_lines: Vec<String>,
     stats: RebalanceStats,
 }
@@ -159,7 +159,7 @@
             expected: BTreeMap::new(),
             arrival_check: ArrivalCheck::default(),
             mean_lifetime: 0.0,
-            totals_at_begin: Totals::default(),
+            totals_at_start: Totals::default(),
             log_lines: Vec::new(),
             stats: RebalanceStats { cost, ..RebalanceStats::default() },
         }
@@ -180,7 +180,7 @@
 
     /// A server takes no more connections: what was to migrate there stays.
     pub(crate) fn on_server_lost(&mut self, server: ServerId) {
-        if self.current.as_ref().is_some_and(|unit| unit.to == server || unit.from == server) {
+        if self.current.as_ref().is_some_and(|batch| batch.to == server || batch.from == server) {
             self.current = None;
         }
         self.pacer.remove_target(server);
@@ -200,7 +200,7 @@
         let returning = self.expected.get_mut(&key).filter(|arrival| !arrival.has_returned);
         let Some(arrival) = returning else { return };
         let reconnect_seconds = now - arrival.migrated_at;
-        (arrival.has_returned, arrival.expected_until) = (true, now + ARRIVAL_TIMEOUT);
+        (arrival.has_returned, arrival.expected_until) = (true, now + ARRIVAL_TIMEOUT_SECONDS);
         let cost = &mut self.stats.cost;
         cost.reconnect_seconds += SAMPLE_WEIGHT * (reconnect_seconds - cost.reconnect_seconds);
     }
@@ -210,12 +210,12 @@
         let cost = &mut self.stats.cost;
         cost.setup_seconds += SAMPLE_WEIGHT * (setup_seconds - cost.setup_seconds);
         let Some(arrival) = self.expected.remove(&key) else { return };
-        let place = match server {
+        let arrival_place = match server {
             server if server == arrival.to => "target",
             server if server == arrival.from => "back",
             _ => "elsewhere",
         };
-        *self.stats.arrivals.entry(place).or_default() += 1;
+        *self.stats.arrivals.entry(arrival_place).or_default() += 1;
         self.arrival_check.arrivals += 1;
         self.arrival_check.on_target += u32::from(server == arrival.to);
     }
@@ -235,22 +235,22 @@
     ) -> Vec<Migration> {
         let elapsed = (now - self.stepped_at.replace(now).unwrap_or(now)).clamp(0.0, MAX_STEP_SECONDS);
         self.expire_arrivals(now);
-        let snapshot = self.snapshot(now, settings, view);
-        self.stats.imbalance = snapshot.imbalance();
-        self.stats.cost.remaining_seconds = snapshot.mean_age.max(self.mean_lifetime);
+        let distribution = self.load_distribution(now, settings, view);
+        self.stats.imbalance = distribution.imbalance();
+        self.stats.cost.remaining_seconds = distribution.mean_age.max(self.mean_lifetime);
         let period = RefillPeriod { elapsed, pace: settings.pace };
-        self.pacer.refill(period, view, &snapshot, &mut self.rng);
+        self.pacer.refill(period, view, &distribution, &mut self.rng);
         self.update_state(now);
         if self.state != State::Migrating || now < self.paused_until || settings.pace <= 0.0 {
             self.current = None;
             return Vec::new();
         }
         self.check_arrivals(now);
-        self.migrate(now, settings, view, snapshot)
+        self.migrate(now, settings, view, distribution)
     }
 
-    fn snapshot(&self, now: f64, settings: &StepSettings, view: &InstanceView) -> ClusterSnapshot {
-        ClusterSnapshot::new(now, view, settings.cluster, self.expected.values().copied())
+    fn load_distribution(&self, now: f64, settings: &StepSettings, view: &InstanceView) -> LoadDistribution {
+        LoadDistribution::new(now, view, settings.fleet, self.expected.values().copied())
     }
 
     fn expire_arrivals(&mut self, now: f64) {
@@ -283,12 +283,12 @@
         let imbalance = self.stats.imbalance;
         match (before == State::Migrating, self.state == State::Migrating) {
             (false, true) => {
-                self.totals_at_begin = Totals { migrations, on_target };
+                self.totals_at_start = Totals { migrations, on_target };
                 self.log_lines.push(format!("rebalance=begins imbalance={imbalance:.2}"));
             }
             (true, false) => {
-                let moves = migrations - self.totals_at_begin.migrations;
-                let landed = on_target - self.totals_at_begin.on_target;
+                let moves = migrations - self.totals_at_start.migrations;
+                let landed = on_target - self.totals_at_start.on_target;
                 let line = format!("rebalance=ends imbalance={imbalance:.2} moves={moves} landed={landed}");
                 self.log_lines.push(line);
             }
@@ -303,7 +303,7 @@
             return;
         }
         if on_target * 2 < arrivals {
-            self.paused_until = now + MISSED_TARGET_PAUSE;
+            self.paused_until = now + MISSED_TARGET_PAUSE_SECONDS;
             self.count_pause("in-vain");
         }
         self.arrival_check = ArrivalCheck::default();
@@ -314,22 +314,24 @@
         now: f64,
         settings: &StepSettings,
         view: &mut InstanceView,
-        mut snapshot: ClusterSnapshot,
+        mut distribution: LoadDistribution,
     ) -> Vec<Migration> {
         let mut migrations = Vec::new();
         while self.pacer.has_token() {
-            if self.current.as_ref().is_none_or(|unit| unit.remaining.is_empty()) {
-                self.current = self.choose_unit(now, view, &snapshot);
+            if self.current.as_ref().is_none_or(|batch| batch.remaining.is_empty()) {
+                self.current = self.choose_batch(now, view, &distribution);
             }
-            let Some(unit) = self.current.as_mut().filter(|unit| self.pacer.accepts(unit.to)) else { break };
-            let Some(request) = unit.remaining.pop_front() else { continue };
-            let (from, migration) = (unit.from, Migration { request, to: unit.to, reason: unit.reason });
+            let Some(batch) = self.current.as_mut().filter(|batch| self.pacer.accepts(batch.to)) else {
+                break;
+            };
+            let Some(request) = batch.remaining.pop_front() else { continue };
+            let (from, migration) = (batch.from, Migration { request, to: batch.to, reason: batch.reason });
             if !self.begin_migration(now, from, migration, view) {
                 continue;
             }
             migrations.push(migration);
-            snapshot = self.snapshot(now, settings, view);
-            self.stats.imbalance = snapshot.imbalance();
+            distribution = self.load_distribution(now, settings, view);
+            self.stats.imbalance = distribution.imbalance();
         }
         migrations
     }
@@ -352,25 +354,30 @@
             to: migration.to,
             from,
             load: connection.expected_load(now, mean_load),
-            expected_until: now + ARRIVAL_TIMEOUT,
+            expected_until: now + ARRIVAL_TIMEOUT_SECONDS,
             migrated_at: now,
             has_returned: false,
         };
         self.expected.insert(connection.key, arrival);
-        self.pacer.take(migration.to);
+        self.pacer.take_tokens(migration.to);
         *self.stats.migrations.entry(migration.reason.name()).or_default() += 1;
         true
     }
 
     /// The unit that migrates next; none where nothing is worth its cost or no target takes a connection now.
-    fn choose_unit(&self, now: f64, view: &InstanceView, snapshot: &ClusterSnapshot) -> Option<CurrentUnit> {
+    fn choose_batch(
+        &self,
+        now: f64,
+        view: &InstanceView,
+        distribution: &LoadDistribution,
+    ) -> Option<CurrentBatch> {
         if self.stats.imbalance <= END_IMBALANCE {
             return None;
         }
         let accepts = |server| self.pacer.accepts(server);
         let (warm_up_time, cost) = (view.warm_up_time(), self.stats.cost);
         let context = PlanningContext { now, warm_up_time, cost, accepts: &accepts };
-        snapshot.best_migration(&context).map(CurrentUnit::from)
+        distribution.best_migration(&context).map(CurrentBatch::from)
     }
 
     /// Removes and returns the lines for the log since the last call.
--- a/crates/recovery/src/rebalance/pacing.rs
+++ b/crates/recovery/src/rebalance/pacing.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use shorewharf_decisions::ServerId;
 
-use super::cluster_snapshot::{ClusterSnapshot, ServerLoad};
+use super::load_distribution::{LoadDistribution, ServerLoad};
 use crate::instance_view::InstanceView;
 use crate::random::random_unit;
 
@@ -52,21 +52,21 @@
         &mut self,
         period: RefillPeriod,
         view: &InstanceView,
-        snapshot: &ClusterSnapshot,
+        distribution: &LoadDistribution,
         rng: &mut Pcg64Mcg,
     ) {
         let RefillPeriod { elapsed, pace } = period;
-        let rate = MIN_MIGRATIONS_PER_SECOND + CONNECTIONS_PER_SECOND_RATIO * snapshot.established as f64;
+        let rate = MIN_MIGRATIONS_PER_SECOND + CONNECTIONS_PER_SECOND_RATIO * distribution.established as f64;
         self.tokens = (self.tokens + rate * pace * elapsed).min(BURST.max(rate));
-        let total_weight: f64 = snapshot.servers.iter().map(|server| server.weight).sum();
-        for server in &snapshot.servers {
-            let rate = target_rate(server, view, snapshot, total_weight);
+        let total_weight: f64 = distribution.servers.iter().map(|server| server.weight).sum();
+        for server in &distribution.servers {
+            let rate = target_rate(server, view, distribution, total_weight);
             // The first token comes at a random time, so that all instances' first migrations don't come together.
-            let debt = random_unit(rng);
-            let fresh = TargetBucket { tokens: -debt, started_at: server.started_at };
-            let bucket = self.targets.entry(server.id).or_insert(fresh);
+            let initial_debt = random_unit(rng);
+            let new_bucket = TargetBucket { tokens: -initial_debt, started_at: server.started_at };
+            let bucket = self.targets.entry(server.id).or_insert(new_bucket);
             if bucket.started_at != server.started_at {
-                *bucket = fresh;
+                *bucket = new_bucket;
             }
             bucket.tokens = (bucket.tokens + rate * elapsed).min(1.0_f64.max(rate));
         }
@@ -84,7 +84,7 @@
     }
 
     /// Takes the tokens of one migration.
-    pub fn take(&mut self, target: ServerId) {
+    pub fn take_tokens(&mut self, target: ServerId) {
         self.charge_target(target);
         self.tokens -= 1.0;
     }
@@ -106,13 +106,13 @@
 fn target_rate(
     server: &ServerLoad,
     view: &InstanceView,
-    snapshot: &ClusterSnapshot,
+    distribution: &LoadDistribution,
     total_weight: f64,
 ) -> f64 {
     let connections_to_fill = if view.has_comparable_loads() {
-        server.weight / view.mean_load() / snapshot.instance_count
+        server.weight / view.mean_load() / distribution.instance_count
     } else {
-        snapshot.established as f64 * server.weight / total_weight
+        distribution.established as f64 * server.weight / total_weight
     };
     let factor = if server.is_cold { 1.0 } else { WARM_FILL_FACTOR };
     COLD_FILL_RATIO * connections_to_fill / view.warm_up_time() * factor
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -3,7 +3,9 @@
 use shorewharf_decisions::hashing::{random_rank, rendezvous_rank};
 use shorewharf_decisions::{RequestId, ServerId};
 
-use super::cluster_snapshot::{ClusterSnapshot, GROUP_COST, LEVEL_TOLERANCE, PlacedConnection, ServerLoad};
+use super::load_distribution::{
+    BALANCE_TOLERANCE, GROUP_COST, LoadDistribution, PlacedConnection, ServerLoad,
+};
 
 /// Groups are opened on a cold server one after the other, in an order that all instances share, from this age on, in
 /// seconds, until it is warm: a group that all migrate at the same time is paid for at both ends for the shortest time.
@@ -13,16 +15,16 @@
 /// Targets that are considered, the emptiest first.
 const MAX_TARGETS: usize = 12;
 /// Share of a connection's messages that a server at twice the mean utilization loses while there is capacity for all.
-const LEVELLING_VALUE: f64 = 0.05;
+const BALANCING_VALUE: f64 = 0.05;
 /// The same where messages already wait.
-const LEVELLING_VALUE_WHEN_FULL: f64 = 0.6;
+const BALANCING_VALUE_WHEN_QUEUEING: f64 = 0.6;
 /// Utilization from which messages wait, and the range over which that grows to its full value.
-const FULL_FROM_UTILIZATION: f64 = 0.55;
-const FULL_UTILIZATION_RANGE: f64 = 0.35;
+const QUEUEING_FROM_UTILIZATION: f64 = 0.55;
+const QUEUEING_UTILIZATION_RANGE: f64 = 0.35;
 /// Without comparable loads nobody knows how full a server is.
-const LEVELLING_VALUE_UNKNOWN: f64 = 0.1;
+const BALANCING_VALUE_UNKNOWN: f64 = 0.1;
 /// Connections with less time left than this, in seconds, level by themselves as they come and go.
-const SELF_LEVELLING_SECONDS: f64 = 30.0;
+const SELF_BALANCING_SECONDS: f64 = 30.0;
 /// What a migration gains has to be so many times its cost.
 const MIN_GAIN_RATIO: f64 = 1.5;
 
@@ -78,7 +80,7 @@
 
 /// Connections that migrate together.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct MigrationUnit {
+pub(super) struct MigrationBatch {
     /// In the order in which they go, the heaviest first.
     pub connections: Vec<RequestId>,
     pub from: ServerId,
@@ -105,7 +107,7 @@
     group: u64,
     members: &'a [PlacedConnection],
     /// The group costs nothing more at the target: it is there already, or there is none.
-    is_paid_at_target: bool,
+    adds_group_cost: bool,
     /// The target ranks higher for the group than the source, at all instances.
     is_group_home: bool,
 }
@@ -117,18 +119,18 @@
     added: f64,
 }
 
-impl ClusterSnapshot {
+impl LoadDistribution {
     /// The migration that gains most for its cost, if any gains enough.
-    pub fn best_migration(&self, context: &PlanningContext<'_>) -> Option<MigrationUnit> {
+    pub fn best_migration(&self, context: &PlanningContext<'_>) -> Option<MigrationBatch> {
         let targets = self.targets(context);
-        let mut best: Option<MigrationUnit> = None;
+        let mut best: Option<MigrationBatch> = None;
         for source in self.sources() {
             for (group, members) in &self.connections[source] {
                 for target in &targets {
                     let candidate = self.candidate(source, *target, *group, members);
-                    let Some(unit) = self.plan(context, &candidate) else { continue };
-                    if best.as_ref().is_none_or(|best| unit.gain_ratio > best.gain_ratio) {
-                        best = Some(unit);
+                    let Some(batch) = self.plan(context, &candidate) else { continue };
+                    if best.as_ref().is_none_or(|best| batch.gain_ratio > best.gain_ratio) {
+                        best = Some(batch);
                     }
                 }
             }
@@ -139,8 +141,8 @@
     /// Indices of the servers that connections should leave, the fullest first.
     fn sources(&self) -> Vec<usize> {
         let mut sources: Vec<usize> = (0..self.servers.len()).collect();
-        let level = self.mean_utilization * (1.0 + LEVEL_TOLERANCE);
-        sources.retain(|index| self.servers[*index].utilization() > level);
+        let min_utilization = self.mean_utilization * (1.0 + BALANCE_TOLERANCE);
+        sources.retain(|index| self.servers[*index].utilization() > min_utilization);
         sources.sort_by(|a, b| self.servers[*b].utilization().total_cmp(&self.servers[*a].utilization()));
         sources.truncate(MAX_SOURCES);
         sources
@@ -168,18 +170,18 @@
         group: u64,
         members: &'a [PlacedConnection],
     ) -> Candidate<'a> {
-        let is_paid_at_target = group == 0 || self.connections[target].contains_key(&group);
+        let adds_group_cost = group != 0 && !self.connections[target].contains_key(&group);
         let (source, target) = (&self.servers[source], &self.servers[target]);
         let is_group_home = group != 0
             && rendezvous_rank(group, target.id, target.weight)
                 < rendezvous_rank(group, source.id, source.weight);
-        Candidate { source, target, group, members, is_paid_at_target, is_group_home }
+        Candidate { source, target, group, members, adds_group_cost, is_group_home }
     }
 
     /// Plans a candidate, if it is possible and gains enough.
-    fn plan(&self, context: &PlanningContext<'_>, candidate: &Candidate<'_>) -> Option<MigrationUnit> {
+    fn plan(&self, context: &PlanningContext<'_>, candidate: &Candidate<'_>) -> Option<MigrationBatch> {
         let target = candidate.target;
-        if !candidate.is_paid_at_target && !candidate.is_group_open(context) {
+        if candidate.adds_group_cost && !candidate.may_open_group(context) {
             return None;
         }
         let leaving = self.migrating_connections(candidate)?;
@@ -189,10 +191,10 @@
         }
         let remaining = context.cost.remaining_seconds;
         let gain = self.utilization_gain(candidate, shift) / self.mean_utilization / self.mean_load;
-        let seconds_gained = gain * self.levelling_value(candidate.source, remaining) * remaining;
+        let seconds_gained = gain * self.balancing_value(candidate.source, remaining) * remaining;
         let seconds_lost = context.cost.seconds() * leaving.len() as f64;
         let is_group_home = candidate.is_group_home;
-        (seconds_gained > MIN_GAIN_RATIO * seconds_lost).then(|| MigrationUnit {
+        (seconds_gained > MIN_GAIN_RATIO * seconds_lost).then(|| MigrationBatch {
             connections: leaving.iter().map(|connection| connection.id).collect(),
             from: candidate.source.id,
             to: target.id,
@@ -207,15 +209,15 @@
         let mut leaving: Vec<PlacedConnection> =
             candidate.members.iter().filter(|member| member.may_migrate).copied().collect();
         leaving.sort_by(|a, b| b.load.total_cmp(&a.load).then(a.id.cmp(&b.id)));
-        if !candidate.is_paid_at_target {
+        if candidate.adds_group_cost {
             return (leaving.len() == candidate.members.len()).then_some(leaving);
         }
         let (source, target) = (candidate.source, candidate.target);
         let spare = self.target_limit(target) - target.load;
-        let levelling_load =
+        let balancing_load =
             (source.utilization() - target.utilization()) / (1.0 / source.capacity + 1.0 / target.capacity);
         let fits =
-            |connection: &&PlacedConnection| connection.load <= spare && connection.load <= levelling_load;
+            |connection: &&PlacedConnection| connection.load <= spare && connection.load <= balancing_load;
         leaving.iter().find(fits).map(|connection| vec![*connection])
     }
 
@@ -224,11 +226,11 @@
     fn load_shift(&self, candidate: &Candidate<'_>, leaving: &[PlacedConnection]) -> LoadShift {
         let load: f64 = leaving.iter().map(|connection| connection.load).sum();
         let empties_group = candidate.group != 0 && leaving.len() == candidate.members.len();
-        let own_group_cost = GROUP_COST * self.mean_load / self.group_holders;
-        let (saved, added) = match (candidate.is_paid_at_target, candidate.is_group_home) {
-            (true, _) => (if empties_group { own_group_cost } else { 0.0 }, 0.0),
-            (false, true) => (own_group_cost, own_group_cost),
-            (false, false) => (0.0, GROUP_COST * self.mean_load),
+        let own_group_cost = GROUP_COST * self.mean_load / self.instances_per_group;
+        let (saved, added) = match (candidate.adds_group_cost, candidate.is_group_home) {
+            (false, _) => (if empties_group { own_group_cost } else { 0.0 }, 0.0),
+            (true, true) => (own_group_cost, own_group_cost),
+            (true, false) => (0.0, GROUP_COST * self.mean_load),
         };
         LoadShift { removed: load + saved, added: load + added }
     }
@@ -245,21 +247,22 @@
     }
 
     /// What a client's service on this server gains for each unit of load that leaves it, by how full it is.
-    fn levelling_value(&self, source: &ServerLoad, remaining_seconds: f64) -> f64 {
+    fn balancing_value(&self, source: &ServerLoad, remaining_seconds: f64) -> f64 {
         let lasting_ratio =
-            ((remaining_seconds - SELF_LEVELLING_SECONDS) / SELF_LEVELLING_SECONDS).clamp(0.0, 1.0);
+            ((remaining_seconds - SELF_BALANCING_SECONDS) / SELF_BALANCING_SECONDS).clamp(0.0, 1.0);
         if !self.has_comparable_loads() {
-            return LEVELLING_VALUE_UNKNOWN * lasting_ratio;
+            return BALANCING_VALUE_UNKNOWN * lasting_ratio;
         }
         let utilization = self.likely_utilization(source) * self.instance_count;
-        let fullness = ((utilization - FULL_FROM_UTILIZATION) / FULL_UTILIZATION_RANGE).clamp(0.0, 1.0);
-        LEVELLING_VALUE * lasting_ratio + LEVELLING_VALUE_WHEN_FULL * fullness
+        let queueing_ratio =
+            ((utilization - QUEUEING_FROM_UTILIZATION) / QUEUEING_UTILIZATION_RANGE).clamp(0.0, 1.0);
+        BALANCING_VALUE * lasting_ratio + BALANCING_VALUE_WHEN_QUEUEING * queueing_ratio
     }
 }
 
 impl Candidate<'_> {
     /// Whether the group may be opened on the target by now.
-    fn is_group_open(&self, context: &PlanningContext<'_>) -> bool {
+    fn may_open_group(&self, context: &PlanningContext<'_>) -> bool {
         if !self.target.is_cold {
             return true;
         }
