--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -63,7 +63,7 @@
         }
         let may_retry = match permit {
             Some(permit) => permit.is_granted(),
-            None => !self.retry_budget.is_closed(now) && self.policy().retries != RetryPolicy::Never,
+            None => !self.retry_budget.blocks_retries(now) && self.policy().retries != RetryPolicy::Never,
         };
         balancer.allow_retries(may_retry || !self.options.retry_budget);
         true
@@ -193,9 +193,9 @@
             return None;
         }
         let permit = match self.policy().retries {
-            RetryPolicy::Never => self.retry_budget.count(RetryPermit::LevelForbids),
+            RetryPolicy::Never => self.retry_budget.record_permit(RetryPermit::LevelForbids),
             RetryPolicy::UnsentOnly if !outcome.never_ran() => {
-                self.retry_budget.count(RetryPermit::LevelForbids)
+                self.retry_budget.record_permit(RetryPermit::LevelForbids)
             }
             _ => self.retry_budget.request_permit(now, ended.connection.attempts),
         };
--- a/crates/recovery/src/retry_budget.rs
+++ b/crates/recovery/src/retry_budget.rs
@@ -16,9 +16,9 @@
 /// Retries of one request at most: two find a sound server past two that died unnoticed.
 const MAX_RETRIES_PER_REQUEST: u32 = 2;
 /// Retries that each first attempt adds to the budget: in the long run a fifth of all attempts at most.
-const EARNED_PER_FIRST_ATTEMPT: f64 = 0.25;
+const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.25;
 /// Retries saved up at most, and at the start, since one server's end strands a few requests at once.
-const MAX_SAVED: f64 = 10.0;
+const MAX_SAVED_RETRIES: f64 = 10.0;
 /// An outcome counts for so long.
 const OUTCOME_VALID_SECONDS: f64 = 3.0;
 /// Failures are correlated from this many failing servers on ...
@@ -95,12 +95,12 @@
     /// No retries until a time, after a suspension of this length.
     Suspended {
         until: f64,
-        length: f64,
+        duration: f64,
     },
     /// One trial is under way.
-    Trying {
+    TrialRunning {
         since: f64,
-        length: f64,
+        duration: f64,
     },
 }
 
@@ -126,7 +126,7 @@
     /// Creates a full budget. `seed` decides the jitter of suspensions, so that instances don't all try again at once.
     pub fn new(seed: u64) -> Self {
         RetryBudget {
-            available: MAX_SAVED,
+            available: MAX_SAVED_RETRIES,
             state: State::Active,
             recent_outcomes: BTreeMap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -138,17 +138,17 @@
     /// A first attempt was sent.
     pub fn on_first_attempt(&mut self) {
         self.stats.first_attempts += 1;
-        self.available = (self.available + EARNED_PER_FIRST_ATTEMPT).min(MAX_SAVED);
+        self.available = (self.available + RETRIES_PER_FIRST_ATTEMPT).min(MAX_SAVED_RETRIES);
     }
 
     /// A retry was sent.
     pub fn on_retry(&mut self, now: f64) {
         self.stats.retries += 1;
         self.available = (self.available - 1.0).max(0.0);
-        if let State::Suspended { until, length } = self.state
+        if let State::Suspended { until, duration } = self.state
             && now >= until
         {
-            self.state = State::Trying { since: now, length };
+            self.state = State::TrialRunning { since: now, duration };
         }
     }
 
@@ -171,19 +171,19 @@
                 self.suspend(now, SUSPENDED_SECONDS);
             }
             // Any correlated failure answers what the trial was to find out.
-            (State::Trying { length, .. }, true) if is_correlated => {
-                self.suspend(now, (length * 2.0).min(MAX_SUSPENDED_SECONDS));
+            (State::TrialRunning { duration, .. }, true) if is_correlated => {
+                self.suspend(now, (duration * 2.0).min(MAX_SUSPENDED_SECONDS));
             }
             (State::Suspended { until, .. }, false) if !is_correlated && now >= until => self.resume(),
-            (State::Trying { .. }, false) if !is_correlated => self.resume(),
+            (State::TrialRunning { .. }, false) if !is_correlated => self.resume(),
             _ => {}
         }
     }
 
-    fn suspend(&mut self, now: f64, length: f64) {
+    fn suspend(&mut self, now: f64, duration: f64) {
         let jitter = 0.75 + 0.5 * random_unit(&mut self.rng);
         self.stats.suspensions += 1;
-        self.state = State::Suspended { until: now + length * jitter, length };
+        self.state = State::Suspended { until: now + duration * jitter, duration };
     }
 
     fn resume(&mut self) {
@@ -193,34 +193,34 @@
 
     /// Asks whether a request that has had `attempts` attempts may have another one.
     pub fn request_permit(&mut self, now: f64, attempts: u32) -> RetryPermit {
-        if let State::Trying { since, length } = self.state
-            && now >= since + length
+        if let State::TrialRunning { since, duration } = self.state
+            && now >= since + duration
         {
             // The trial has shown nothing of any server: another one may go out.
-            self.state = State::Suspended { until: now, length };
+            self.state = State::Suspended { until: now, duration };
         }
         let permit = match self.state {
             _ if attempts > MAX_RETRIES_PER_REQUEST => RetryPermit::RequestLimit,
             State::Suspended { until, .. } if now < until => RetryPermit::Correlated,
-            State::Trying { .. } => RetryPermit::Correlated,
+            State::TrialRunning { .. } => RetryPermit::Correlated,
             _ if self.available < 1.0 => RetryPermit::Exhausted,
             State::Suspended { .. } => RetryPermit::Trial,
             State::Active => RetryPermit::Granted,
         };
-        self.count(permit)
+        self.record_permit(permit)
     }
 
     /// Whether no retry may be sent now, for any request.
-    pub fn is_closed(&self, now: f64) -> bool {
+    pub fn blocks_retries(&self, now: f64) -> bool {
         match self.state {
             State::Active => self.available < 1.0,
             State::Suspended { until, .. } => now < until || self.available < 1.0,
-            State::Trying { since, length } => now < since + length,
+            State::TrialRunning { since, duration } => now < since + duration,
         }
     }
 
     /// Counts a permit, also one that was decided elsewhere, and returns it.
-    pub fn count(&mut self, permit: RetryPermit) -> RetryPermit {
+    pub fn record_permit(&mut self, permit: RetryPermit) -> RetryPermit {
         *self.stats.permits.entry(permit.name()).or_default() += 1;
         permit
     }
