--- a/crates/recovery/src/backoff_clients.rs
+++ b/crates/recovery/src/backoff_clients.rs
@@ -11,7 +11,7 @@
 /// Clients remembered at most.
 const MAX_CLIENTS: usize = 8192;
 /// Marks a client without a key, which is identified by its request's id.
-const BY_REQUEST: u64 = 1 << 63;
+const REQUEST_ID_FLAG: u64 = 1 << 63;
 
 /// Clients in backoff, by key, and when they were rejected last.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 
     /// A client was rejected; `key` is 0 for one without a key.
     pub fn on_rejected(&mut self, now: f64, key: u64, request: RequestId) {
-        let key = if key == 0 { BY_REQUEST | u64::from(request.0) } else { key };
+        let key = if key == 0 { REQUEST_ID_FLAG | u64::from(request.0) } else { key };
         if self.rejected_at.len() < MAX_CLIENTS || self.rejected_at.contains_key(&key) {
             self.rejected_at.insert(key, now);
         }
--- a/crates/recovery/src/capacity_shortage.rs
+++ b/crates/recovery/src/capacity_shortage.rs
@@ -20,7 +20,7 @@
     /// Checks in a row that contradict `is_reported`.
     contradicting_checks: u32,
     rejected: u64,
-    most_waiting: usize,
+    max_waiting: usize,
 }
 
 impl CapacityShortage {
@@ -31,36 +31,42 @@
 
     /// Checks whether clients wait; returns a line for the log where there is something to report.
     pub fn check(&mut self, waiting: usize, fleet: &FleetEstimate) -> Option<String> {
-        self.most_waiting = self.most_waiting.max(waiting);
+        self.max_waiting = self.max_waiting.max(waiting);
         self.checks += 1;
         let is_as_reported = (waiting > 0) == self.is_reported;
         self.contradicting_checks = if is_as_reported { 0 } else { self.contradicting_checks + 1 };
-        if self.is_reported { self.check_ongoing(waiting, fleet) } else { self.check_quiet(waiting, fleet) }
+        if self.is_reported {
+            self.check_for_end(waiting, fleet)
+        } else {
+            self.check_for_shortage(waiting, fleet)
+        }
     }
 
-    fn check_quiet(&mut self, waiting: usize, fleet: &FleetEstimate) -> Option<String> {
+    fn check_for_shortage(&mut self, waiting: usize, fleet: &FleetEstimate) -> Option<String> {
         if self.contradicting_checks >= CHECKS_TO_BEGIN {
             (self.is_reported, self.checks, self.contradicting_checks) = (true, 0, 0);
-            return Some(format!("room-short {}", self.figures(waiting, fleet)));
+            return Some(format!("room-short {}", self.format_figures(waiting, fleet)));
         }
         if waiting == 0 {
-            (self.rejected, self.most_waiting) = (0, 0);
+            (self.rejected, self.max_waiting) = (0, 0);
         }
         None
     }
 
-    fn check_ongoing(&mut self, waiting: usize, fleet: &FleetEstimate) -> Option<String> {
+    fn check_for_end(&mut self, waiting: usize, fleet: &FleetEstimate) -> Option<String> {
         if self.contradicting_checks >= CHECKS_TO_END {
             let lasted = self.checks - self.contradicting_checks;
-            let line = format!("room-again after_s={lasted} {}", self.figures(waiting, fleet));
+            let line = format!("room-again after_s={lasted} {}", self.format_figures(waiting, fleet));
             *self = CapacityShortage::default();
             return Some(line);
         }
         let is_due = self.checks.is_multiple_of(CHECKS_PER_REPORT);
-        is_due.then(|| format!("room-still-short for_s={} {}", self.checks, self.figures(waiting, fleet)))
+        is_due.then(|| {
+            format!("room-still-short for_s={} {}", self.checks, self.format_figures(waiting, fleet))
+        })
     }
 
-    fn figures(&self, waiting: usize, fleet: &FleetEstimate) -> String {
+    fn format_figures(&self, waiting: usize, fleet: &FleetEstimate) -> String {
         let ready = || fleet.servers.values().filter(|server| server.state == ServerState::Ready);
         let (capacity, load) =
             ready().fold((0.0, 0.0), |sums, server| (sums.0 + server.capacity, sums.1 + server.load));
@@ -69,7 +75,7 @@
         format!(
             "waiting={waiting} most={} refused={} servers={} cold={cold} listed={listed:.1} bears={capacity:.1} \
              carries={load:.1}",
-            self.most_waiting,
+            self.max_waiting,
             self.rejected,
             ready().count(),
         )
--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -74,11 +74,11 @@
     pub fn observe_actions(&mut self, now: f64, handled: HandledEvent<'_>, balancer: &mut Balancer) {
         let HandledEvent { event, first_action: first, actions } = handled;
         let has_rejected = self.on_actions(now, &actions[first..]);
-        let is_significant =
+        let may_change_level =
             matches!(event, Event::EndpointList { .. } | Event::AttemptEnded { .. } | Event::DiscoveryFailed);
         let probes_per_second = self.policy().probes_per_second;
         self.probe_limiter.limit(now, probes_per_second, first, actions);
-        if is_significant || has_rejected {
+        if may_change_level || has_rejected {
             self.update_level(now);
         }
         if matches!(event, Event::Start | Event::TimerFired(TIMER_TOKEN)) {
@@ -116,7 +116,7 @@
         let before: Vec<ServerId> = in_service.map(|(id, _)| *id).collect();
         let changes = self.view.on_endpoint_list(now, is_complete, entries);
         for server in before {
-            self.check_in_service(server);
+            self.report_if_out_of_service(server);
         }
         if changes.lost > 0 {
             self.rebalancer.pause(now, "server-lost");
@@ -127,7 +127,7 @@
     }
 
     /// Tells the rebalancer of a server that is no longer in service.
-    fn check_in_service(&mut self, server: ServerId) {
+    fn report_if_out_of_service(&mut self, server: ServerId) {
         let is_in_service = match self.view.servers.get(&server) {
             Some(record) => record.is_in_service(),
             None => false,
@@ -187,7 +187,7 @@
         self.retry_budget.on_outcome(now, ended.server, outcome);
         if is_server_failure(outcome) {
             self.rebalancer.pause(now, "set-up-failed");
-            self.check_in_service(ended.server);
+            self.report_if_out_of_service(ended.server);
         }
         if is_answered || outcome == Outcome::Ok {
             return None;
--- a/crates/recovery/src/instance_view/connection.rs
+++ b/crates/recovery/src/instance_view/connection.rs
@@ -59,12 +59,12 @@
 
     /// The load that it is expected to have from now on: its own mean so far, shrunk towards the mean of all.
     pub fn expected_load(&self, now: f64, mean_load: f64) -> f64 {
-        let (load_seconds, seconds) = self.loads_until(now);
+        let (load_seconds, seconds) = self.load_integral_until(now);
         (mean_load * PRIOR_LOAD_SECONDS + load_seconds) / (PRIOR_LOAD_SECONDS + seconds)
     }
 
     /// The integral of its load until now, and the time that it is taken over.
-    fn loads_until(&self, now: f64) -> (f64, f64) {
+    fn load_integral_until(&self, now: f64) -> (f64, f64) {
         let elapsed = (now - self.load_reported_at).max(0.0);
         match self.load {
             Some(load) => (self.load_seconds + load * elapsed, self.loaded_seconds + elapsed),
@@ -81,7 +81,7 @@
 
     /// The connection reports its load.
     pub fn on_load(&mut self, now: f64, load: f64) {
-        (self.load_seconds, self.loaded_seconds) = self.loads_until(now);
+        (self.load_seconds, self.loaded_seconds) = self.load_integral_until(now);
         self.load = Some(load);
         self.load_reported_at = now;
     }
--- a/crates/recovery/src/instance_view/mod.rs
+++ b/crates/recovery/src/instance_view/mod.rs
@@ -137,7 +137,7 @@
     fn add_servers(&mut self, now: f64, listed: &BTreeMap<ServerId, ServerEntry>) -> u32 {
         let mut started = 0;
         for (id, entry) in listed.iter().filter(|(_, entry)| entry.state != ServerState::Removed) {
-            let has_room = self.servers.len() < MAX_SERVERS;
+            let has_space = self.servers.len() < MAX_SERVERS;
             match self.servers.get_mut(id) {
                 Some(server)
                     if server.missing_since.is_none() && server.entry.started_at == entry.started_at =>
@@ -148,7 +148,7 @@
                 known => {
                     let is_recent = known.is_some() || now - entry.started_at < self.slow_start.warm_up_time;
                     started += u32::from(entry.started_at > 0.0 && is_recent);
-                    if has_room || known.is_some() {
+                    if has_space || known.is_some() {
                         self.servers.insert(*id, ServerRecord::new(*entry));
                     }
                 }
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -64,7 +64,7 @@
             self.balancer.handle(now, event.clone(), actions);
         }
         self.estimator.observe_actions(now, &actions[first..]);
-        self.advise_rejected(now, &mut actions[first..]);
+        self.set_retry_after(now, &mut actions[first..]);
         if now >= self.shortage_checked_at + SHORTAGE_CHECK_PERIOD {
             self.shortage_checked_at = now;
             let fleet = self.estimator.fleet(now, &self.balancer);
@@ -75,7 +75,7 @@
     }
 
     /// Tells rejected clients when to come back.
-    fn advise_rejected(&mut self, now: f64, actions: &mut [Action]) {
+    fn set_retry_after(&mut self, now: f64, actions: &mut [Action]) {
         for action in actions {
             match action {
                 Action::BeginAttempt { .. } => self.retry_after.on_admitted(now),
@@ -124,7 +124,10 @@
 
     /// Clients that wait for capacity here.
     pub fn waiting(&self, now: f64) -> WaitingClients {
-        WaitingClients { held: self.balancer.waiting_requests(), in_backoff: self.retry_after.length(now) }
+        WaitingClients {
+            held: self.balancer.waiting_requests(),
+            in_backoff: self.retry_after.estimated_clients(now),
+        }
     }
 
     /// The overload controller.
@@ -141,12 +144,12 @@
     pub fn export_state(
         &self,
         from: ExportCursor,
-        most: usize,
+        max_entries: usize,
         entries: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
         match from {
-            ExportCursor::Balancer(cursor) => self.export_balancer(cursor, most, entries),
-            ExportCursor::Servers(last) => self.export_servers(last, most, entries),
+            ExportCursor::Balancer(cursor) => self.export_balancer(cursor, max_entries, entries),
+            ExportCursor::Servers(after) => self.export_servers(after, max_entries, entries),
             ExportCursor::End => ExportCursor::End,
         }
     }
@@ -154,12 +157,12 @@
     fn export_balancer(
         &self,
         from: shorewharf_decisions::persistence::ExportCursor,
-        most: usize,
+        max_entries: usize,
         entries: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
-        let mut known = Vec::new();
-        let next = self.balancer.export_state(from, most, &mut known);
-        entries.extend(known.into_iter().map(SnapshotEntry::Balancer));
+        let mut balancer_records = Vec::new();
+        let next = self.balancer.export_state(from, max_entries, &mut balancer_records);
+        entries.extend(balancer_records.into_iter().map(SnapshotEntry::Balancer));
         match next {
             shorewharf_decisions::persistence::ExportCursor::End => ExportCursor::Servers(None),
             next => ExportCursor::Balancer(next),
@@ -168,21 +171,21 @@
 
     fn export_servers(
         &self,
-        last: Option<ServerId>,
-        most: usize,
+        after: Option<ServerId>,
+        max_entries: usize,
         entries: &mut Vec<SnapshotEntry>,
     ) -> ExportCursor {
-        if last.is_none() {
+        if after.is_none() {
             entries.push(SnapshotEntry::LoadModel(self.estimator.load_model()));
         }
-        let capacities = self.estimator.server_capacities(last, most);
+        let capacities = self.estimator.server_capacities(after, max_entries);
         let exported = capacities.len();
         let last = capacities.last().map(|capacity| ServerId(capacity.server));
         entries.extend(capacities.into_iter().map(|capacity| {
             let excluded_until = self.controller.excluded_until(ServerId(capacity.server));
             SnapshotEntry::ServerCapacity(ServerCapacity { excluded_until, ..capacity })
         }));
-        if exported < most { ExportCursor::End } else { ExportCursor::Servers(last) }
+        if exported < max_entries { ExportCursor::End } else { ExportCursor::Servers(last) }
     }
 
     /// Restores what an earlier instance exported `age` seconds ago. The endpoint list must have been handled first.
@@ -194,12 +197,12 @@
         connections_are_lost: bool,
         entries: Vec<SnapshotEntry>,
     ) -> RestoreCounts {
-        let mut known = Vec::new();
+        let mut balancer_records = Vec::new();
         let mut counts = RestoreCounts::default();
         for entry in entries {
             let restored = match entry {
-                SnapshotEntry::Balancer(one) => {
-                    known.push(one);
+                SnapshotEntry::Balancer(record) => {
+                    balancer_records.push(record);
                     continue;
                 }
                 SnapshotEntry::LoadModel(model) => self.restore_load_model(&model),
@@ -211,7 +214,7 @@
                 RestoreOutcome::Invalid => counts.invalid += 1,
             }
         }
-        self.balancer.restore(now, age, connections_are_lost, &known).and(counts)
+        self.balancer.restore(now, age, connections_are_lost, &balancer_records).and(counts)
     }
 
     fn restore_load_model(&mut self, model: &LoadModel) -> RestoreOutcome {
--- a/crates/recovery/src/retry_after.rs
+++ b/crates/recovery/src/retry_after.rs
@@ -66,7 +66,7 @@
     }
 
     /// Estimated number of clients that hold a slot.
-    pub fn length(&self, now: f64) -> f64 {
+    pub fn estimated_clients(&self, now: f64) -> f64 {
         ((self.last_slot - now) * self.admission_rate(now)).max(0.0)
     }
 
