--- a/crates/recovery/src/capacity_estimate/estimator_settings.rs
+++ b/crates/recovery/src/capacity_estimate/estimator_settings.rs
@@ -1,24 +1,25 @@
-//! The platform's figures that capacity estimates start from.
+//! The settings that the capacity estimates start from.
 
 use shorewharf_decisions::interface::{ServerEntry, Settings, WeightKind};
 
 use crate::slow_start::SlowStart;
 
-/// Servers are filled to this utilization: beyond it messages begin to be late.
+/// Utilization up to which servers are filled: above it, messages begin to exceed their latency objective.
 pub(super) const TARGET_UTILIZATION: f64 = 0.86;
-/// The shortest warm-up time that is divided by.
+/// Lower bound of the warm-up time, since estimates divide by it.
 const MIN_WARM_UP_SECONDS: f64 = 1e-3;
 
-/// What the settings say of servers and of the fleet. Times are seconds.
+/// The part of the settings that describes servers and the fleet. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EstimatorSettings {
-    /// Balancers that share the servers.
+    /// Number of balancers that share the servers.
     pub instance_count: f64,
     pub slow_start: SlowStart,
-    /// A cold server falls over when sent more than this multiple of its capacity.
+    /// A cold server fails under a load of more than this multiple of its capacity.
     pub overload_ratio: f64,
+    /// The shortest message latency objective of all classes.
     pub message_latency_objective: f64,
-    /// Listed weights are capacities.
+    /// Whether listed weights are capacities.
     pub has_capacity_weights: bool,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// This instance's even share of the load that a server of its listed size may have now.
+    /// Returns this instance's even share of the load that a server may have now by its listed weight.
     pub fn even_share(&self, entry: &ServerEntry, now: f64) -> f64 {
         let share = TARGET_UTILIZATION * entry.weight * self.slow_start.warm_up_ratio(entry, now)
             / self.instance_count;
--- a/crates/recovery/src/capacity_estimate/mod.rs
+++ b/crates/recovery/src/capacity_estimate/mod.rs
@@ -1,9 +1,11 @@
-//! Estimates the load that each server can take, from what one balancer observes: its listed weight and slow start to
-//! begin with, then message delays, set-up times and silence.
+//! Estimates the load that each server can take from what one balancer observes. The estimate starts from the
+//! server's listed weight and slow start, and is corrected by reported message delays, by setup times, and by the
+//! absence of delay reports while the server is at its load limit.
 //!
-//! All of it is kept as one factor for each server: the load that this instance may put there, over its even share of
-//! the listed size. What the other instances put there need not be known: a report of slow messages is caused by all
-//! loads together, and all instances that receive it reduce their load by the same share.
+//! Each server has one learned factor: the load that this instance may put on the server, divided by this instance's
+//! even share of the server's listed capacity. The load from other instances need not be known: slow messages are
+//! caused by the load of all instances together, and all instances that receive the report reduce their load by the
+//! same share.
 
 mod estimator_settings;
 mod server;
@@ -22,52 +24,54 @@
 use server::{AnnouncedCapacity, REPORT_PERIOD, ServerModel, Setup};
 use setup_model::SetupModel;
 
-/// Weight of one load report in the mean, once there are many.
+/// The least weight of one load report in the mean load; the first 100 reports have equal weights.
 const MEAN_LOAD_WEIGHT: f64 = 0.01;
-/// Set-ups at a cold server, over the rate that would push it over by itself.
+/// Allowed rate of setups at a cold server, divided by the rate that would overload it without any other load.
 const COLD_SETUP_RATIO: f64 = 0.67;
-/// Changes of a bound smaller than this share are not announced.
+/// An estimate is announced again only if it has changed by more than this share of the last announced value.
 const MIN_ANNOUNCED_CHANGE: f64 = 0.004;
-/// After a report of slow messages a load is known within this share of itself ...
+/// Relative uncertainty of a server's capacity while a report of slow messages is recent.
 const UNCERTAINTY_AFTER_REPORT: f64 = 0.1;
-/// ... and without one the load of other instances is a guess.
+/// Relative uncertainty without a recent report: the load from other instances is then only assumed to equal this
+/// instance's load.
 const UNCERTAINTY: f64 = 0.25;
-/// Part of what was learned of a server that still holds a second later: after half a minute about half is left.
+/// Share of a server's learned factor (as a logarithm) that a snapshot retains for each second of its age; after
+/// half a minute about half is left.
 const CAPACITY_RETENTION_PER_SECOND: f64 = 0.98;
 
-/// The estimate for one server. Loads are work a second, in the unit of list weights.
+/// The estimate for one server. Loads are work per second, in the unit of listed weights.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEstimate {
-    /// Its state as listed.
+    /// The server's state in the endpoint list.
     pub state: ServerState,
-    /// Its size as listed.
+    /// The server's weight in the endpoint list.
     pub weight: f64,
-    /// The share of its warm capacity that it has reached by now at the least; 1 where it is warm.
+    /// The share of its warm capacity that the server has reached at least; 1 for a warm server.
     pub warm_up_ratio: f64,
-    /// The load that it can take now, of all instances together.
+    /// The load from all instances together that the server can take now.
     pub capacity: f64,
-    /// The load that it has now, of all instances together.
+    /// The estimated load from all instances together that the server has now.
     pub load: f64,
-    /// The part of that load that this instance put there, attempts under way and groups included.
+    /// The part of `load` that comes from this instance, including attempts in progress and the cost of groups.
     pub local_load: f64,
-    /// `capacity` may be off by this share of itself, to either side.
+    /// Relative uncertainty of `capacity`: the true value may be higher or lower by this share.
     pub uncertainty: f64,
-    /// When the server's state was last observed.
+    /// Time, in seconds, of the last message delay or completed setup that was observed at the server.
     pub updated_at: f64,
 }
 
 /// The estimates for all servers that are listed and not removed.
 #[derive(Clone, Debug, Default)]
 pub struct FleetEstimate {
-    /// By server.
+    /// The estimate for each server.
     pub servers: BTreeMap<ServerId, ServerEstimate>,
-    /// Mean load of an established connection; 0 before the first load report.
+    /// Mean load of an established connection, in the unit of listed weights; 0 before the first load report.
     pub mean_load: f64,
 }
 
-/// Tells the load that this instance has put on each server.
+/// Provides the load that this instance has put on each server.
 pub trait LocalLoad {
-    /// The load on one server: work a second, in the unit of list weights.
+    /// Returns this instance's load on one server: work per second, in the unit of listed weights.
     fn local_load(&self, server: ServerId) -> f64;
 }
 
@@ -77,38 +81,42 @@
     }
 }
 
-/// What became of restored state.
+/// Result of restoring one record of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RestoreOutcome {
+    /// The record was valid and was taken into account.
     Accepted,
-    /// It belongs to an earlier process of the server, or to a server that is not listed.
+    /// The record belongs to an earlier process of the server, or to a server that is not listed.
     Outdated,
-    /// It holds a number that can't be.
+    /// The record contains a number outside its valid range.
     Invalid,
 }
 
-/// An attempt under way.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     server: ServerId,
     sent_at: f64,
 }
 
-/// The estimates of one instance.
+/// Estimates the capacity of the servers for one instance.
 #[derive(Debug)]
 pub struct CapacityEstimator {
     settings: EstimatorSettings,
     servers: BTreeMap<ServerId, ServerModel>,
     attempts: BTreeMap<RequestId, Attempt>,
+    /// Mean load of an established connection; 0 before the first load report.
     mean_load: f64,
+    /// Number of load reports that contributed to the mean.
     load_samples: f64,
     setups: SetupModel,
+    /// When the factors of servers at their load limit were last raised.
     last_growth_at: f64,
     announced_mean_load: f64,
 }
 
 impl CapacityEstimator {
-    /// Creates an estimator that has learned nothing yet.
+    /// Creates an estimator without learned state.
     pub fn new(settings: &Settings) -> Self {
         CapacityEstimator {
             settings: EstimatorSettings::new(settings),
@@ -122,7 +130,7 @@
         }
     }
 
-    /// Applies other settings; what was learned stays.
+    /// Applies new settings and keeps the learned state.
     pub fn update_settings(&mut self, settings: &Settings) {
         self.settings = EstimatorSettings::new(settings);
     }
@@ -161,7 +169,7 @@
         }
     }
 
-    /// Observes the decision module's actions.
+    /// Observes the actions that the decision module has returned.
     pub fn observe_actions(&mut self, now: f64, actions: &[Action]) {
         for action in actions {
             let Action::BeginAttempt { request, server, .. } = action else { continue };
@@ -172,8 +180,8 @@
         }
     }
 
-    /// Appends events for the estimates that have changed. Nothing is announced
-    /// before the first load report, since loads have no unit until then.
+    /// Appends an event for each estimate that has changed since it was last announced. Nothing is announced before
+    /// the first load report, since loads can't be compared with weights until then.
     pub fn announce(&mut self, now: f64, events: &mut Vec<Event>) {
         if self.mean_load <= 0.0 || !self.settings.has_capacity_weights {
             return;
@@ -198,7 +206,7 @@
         }
     }
 
-    /// The estimates for all servers.
+    /// Returns the current estimates for all servers.
     pub fn fleet(&self, now: f64, loads: &impl LocalLoad) -> FleetEstimate {
         let estimate = |(id, model): (&ServerId, &ServerModel)| {
             let local_load = loads.local_load(*id);
@@ -230,7 +238,7 @@
             }
             let model = self.servers.entry(entry.server).or_insert_with(|| ServerModel::new(*entry, now));
             if model.entry.started_at != entry.started_at {
-                // What was learned of an earlier process does not apply to this one.
+                // The server was restarted: state learned about the earlier process does not apply.
                 *model = ServerModel::new(*entry, now);
             }
             model.entry = *entry;
@@ -248,7 +256,7 @@
         }
     }
 
-    /// What was learned of loads and set-ups.
+    /// Returns the learned state about loads and setups, for a snapshot.
     pub(crate) fn load_model(&self) -> LoadModel {
         LoadModel {
             mean_load: self.mean_load,
@@ -258,7 +266,8 @@
         }
     }
 
-    /// What was learned of the servers behind this one, so many at most. Exclusions are not known here.
+    /// Returns the learned state of up to `max_count` servers whose ids follow `after`, for a snapshot. The caller
+    /// adds the exclusions, which the estimator does not know.
     pub(crate) fn server_capacities(&self, after: Option<ServerId>, max_count: usize) -> Vec<ServerCapacity> {
         let from = after.map_or(Unbounded, Excluded);
         let capacity = |(id, model): (&ServerId, &ServerModel)| ServerCapacity {
@@ -271,7 +280,7 @@
         self.servers.range((from, Unbounded)).take(max_count).map(capacity).collect()
     }
 
-    /// Restores what was learned of loads and set-ups, unless this instance has learned of them itself.
+    /// Restores learned state about loads and setups, except where this instance has observed its own since.
     pub(crate) fn restore_load_model(&mut self, model: &LoadModel) -> RestoreOutcome {
         let numbers = [model.mean_load, model.load_samples, model.log_setup_work, model.setup_samples];
         let has_valid_mean = model.mean_load == 0.0 || valid_load(model.mean_load).is_some();
@@ -288,7 +297,7 @@
         RestoreOutcome::Accepted
     }
 
-    /// Restores what was learned of a server `age` seconds ago, if it is still the same process.
+    /// Restores a server's state from a snapshot that is `age` seconds old, if the server is still the same process.
     pub(crate) fn restore_server(&mut self, now: f64, age: f64, capacity: &ServerCapacity) -> RestoreOutcome {
         let has_valid_factor = capacity.factor.is_finite() && capacity.factor > 0.0;
         if !has_valid_factor || !capacity.started_at.is_finite() {
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -1,80 +1,86 @@
-//! What was learned of one server's capacity: a factor over its listed size, corrected by reports of slow messages, by
-//! the time of set-ups, and by silence at the bound.
+//! The learned capacity of one server, as a factor on its listed weight. The factor is corrected by delay reports and
+//! by setup durations, and grows while the server is at its load limit and reports no delay.
 
 use shorewharf_decisions::interface::ServerEntry;
 
 use super::estimator_settings::{EstimatorSettings, TARGET_UTILIZATION};
 use super::setup_model::{SetupCapacity, SetupModel};
 
-/// Period of delay reports, and of growth, in seconds.
+/// Period of delay reports and of the factor's growth, in seconds.
 pub(super) const REPORT_PERIOD: f64 = 1.0;
-/// Two reports that lie no further apart are consecutive, in seconds.
+/// Two reports are consecutive if they are less than this apart, in seconds.
 const CONSECUTIVE_WITHIN: f64 = 1.5 * REPORT_PERIOD;
-/// A delay over this part of the latency objective is reported as slow.
+/// A delay above this share of the latency objective is slow.
 const SLOW_REPORT_RATIO: f64 = 1.0 / 3.0;
-/// Utilization implied by a single slow report: without a backlog (its delay is under the objective) and with one.
+/// Utilization implied by a single slow report whose delay is within the objective, so that there is no backlog.
 const UTILIZATION_WITHOUT_BACKLOG: f64 = 0.95;
+/// Utilization implied by a single slow report whose delay exceeds the objective, so that there is a backlog.
 const UTILIZATION_WITH_BACKLOG: f64 = 1.05;
 /// Bounds of the utilization implied by two consecutive reports.
 const MIN_REPORTED_UTILIZATION: f64 = 0.7;
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
-/// Two consecutive reports change the factor by this much at most, since the second may have come late.
+/// Bounds of the multiple by which two consecutive reports change the factor, since the second report may be late.
 const MAX_DECREASE: f64 = 0.5;
 const MAX_INCREASE: f64 = 1.3;
-/// A silent server that is filled to this part of its bound is at the bound.
+/// A server without delay reports counts as at its load limit above this share of the limit.
 const AT_LIMIT_RATIO: f64 = 0.7;
-/// Growth of the factor a period at the bound: while the server is cold, after a recent slow report, and else.
+/// Relative growth of the factor in each period at the load limit: while the server is cold, while a slow report is
+/// recent, and otherwise.
 const COLD_GROWTH: f64 = 0.15;
 const GROWTH_AFTER_SLOW_REPORT: f64 = 0.03;
 const GROWTH: f64 = 0.05;
-/// A slow report is recent for so long, in seconds.
+/// Time for which a slow report counts as recent, in seconds.
 const SLOW_REPORT_VALID_SECONDS: f64 = 8.0;
 /// Bounds of the factor.
 const MIN_FACTOR: f64 = 0.1;
 const MAX_FACTOR: f64 = 2.0;
-/// Weight of one set-up's time in the factor.
+/// Weight of one setup's duration in the factor.
 const SETUP_WEIGHT: f64 = 0.07;
-/// Utilization from which set-up times count: below it they differ by chance only.
+/// Utilization above which setup durations are taken into account: below it, their differences are random.
 const SETUP_MIN_UTILIZATION: f64 = 0.5;
-/// Attempts within about a second that are a burst: set-ups of a burst wait for each other.
+/// Setup durations are ignored while there are more recent attempts than this (decaying within about a second):
+/// the setups of a burst wait for each other.
 const BURST_ATTEMPTS: f64 = 3.0;
 
-/// A report of how long messages take, in seconds.
+/// A report of the message delay at the server. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 struct DelayReport {
     delay: f64,
+    /// When the report was received.
     at: f64,
 }
 
-/// The capacity that was last announced to the decision module.
+/// The estimates that were last announced to the decision module.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AnnouncedCapacity {
+    /// Load that this instance may put on the server.
     pub load: f64,
+    /// Setups per second that this instance may start on the server while it is cold.
     pub setup_rate: f64,
 }
 
-/// A completed set-up.
+/// A completed setup.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Setup {
-    /// How long it took.
+    /// Duration of the setup.
     pub seconds: f64,
-    /// This instance's load on the server.
+    /// This instance's load on the server when the setup was completed.
     pub local_load: f64,
 }
 
-/// What was learned of one server.
+/// The learned state of one server.
 #[derive(Clone, Debug)]
 pub(super) struct ServerModel {
     pub entry: ServerEntry,
-    /// Load that this instance may put on the server, over its even share.
+    /// Load that this instance may put on the server, divided by its even share.
     pub factor: f64,
     last_delay: DelayReport,
-    /// When messages were last slow.
+    /// When the server last reported slow messages.
     pub slow_reported_at: f64,
-    /// Attempts sent lately, decaying within about a second, as of `attempted_at`.
+    /// Number of attempts sent, decaying exponentially within about a second, as of `attempted_at`.
     recent_attempts: f64,
     attempted_at: f64,
-    /// When the server's state was last observed.
+    /// When a message delay or a completed setup was last observed.
     pub updated_at: f64,
     pub announced: AnnouncedCapacity,
 }
@@ -93,12 +99,12 @@
         }
     }
 
-    /// Load that this instance may put on the server now.
+    /// Returns the load that this instance may put on the server now.
     pub fn load_limit(&self, now: f64, settings: &EstimatorSettings) -> f64 {
         settings.even_share(&self.entry, now) * self.factor
     }
 
-    /// Whether the server reported slow messages a short while ago.
+    /// Whether a report of slow messages from the server is recent.
     pub fn is_recently_slow(&self, now: f64) -> bool {
         now < self.slow_reported_at + SLOW_REPORT_VALID_SECONDS
     }
@@ -107,22 +113,22 @@
         self.recent_attempts * (self.attempted_at - now).exp()
     }
 
-    /// An attempt was sent to the server.
+    /// Records an attempt that was sent to the server.
     pub fn on_attempt(&mut self, now: f64) {
         self.recent_attempts = self.decayed_attempts(now) + 1.0;
         self.attempted_at = now;
     }
 
-    /// Messages at the server take `delay` seconds while this instance's load there is `local_load`.
+    /// Records a message delay of `delay` seconds, reported while this instance's load on the server is `local_load`.
     ///
-    /// Two reports a second apart while work is backed up determine the load, since a backlog grows by the load
-    /// beyond the server's capacity; a single one only bounds it.
+    /// Two consecutive reports during a backlog determine the utilization, since the backlog grows by the load in
+    /// excess of the server's capacity. A single report only gives a bound.
     pub fn on_message_delay(&mut self, now: f64, delay: f64, local_load: f64, settings: &EstimatorSettings) {
         let objective = settings.message_latency_objective;
         let previous = std::mem::replace(&mut self.last_delay, DelayReport { delay, at: now });
         self.updated_at = now;
         let even_share = settings.even_share(&self.entry, now);
-        // The factor at which this instance's load now makes the server this full.
+        // The factor if the present load, of which `local_load` is this instance's part, causes this utilization.
         let factor_at = |utilization: f64| local_load / utilization * TARGET_UTILIZATION / even_share;
         let is_consecutive = now - previous.at < CONSECUTIVE_WITHIN;
         let factor = if is_consecutive && previous.delay > objective {
@@ -133,7 +139,8 @@
                 factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, MAX_REPORTED_UTILIZATION))
                     .clamp(min_factor, max_factor)
             } else {
-                // The backlog was gone before the second report, so this is an upper bound of the load.
+                // The backlog ended at an unknown time before the second report, so that `utilization` is only an
+                // upper bound.
                 self.factor.max(factor_at(utilization.clamp(MIN_REPORTED_UTILIZATION, 1.0)).min(max_factor))
             }
         } else if delay > objective {
@@ -149,12 +156,12 @@
         }
     }
 
-    /// Whether the time of a set-up can be compared now.
+    /// Whether a setup's duration can be compared with others: not during a burst of attempts.
     pub fn has_comparable_setups(&self, now: f64) -> bool {
         self.decayed_attempts(now) <= BURST_ATTEMPTS
     }
 
-    /// A set-up was completed.
+    /// Records a completed setup and adjusts the factor if its duration differs from the usual one.
     pub fn on_setup(&mut self, now: f64, setup: Setup, model: &mut SetupModel, settings: &EstimatorSettings) {
         let utilization = setup.local_load / self.load_limit(now, settings) * TARGET_UTILIZATION;
         let warm_up_ratio = settings.slow_start.warm_up_ratio(&self.entry, now);
@@ -166,8 +173,8 @@
         }
     }
 
-    /// Raises the factor of a server that is silent at its bound. Without growth each instance's share of the traffic
-    /// would have to be the even one.
+    /// Raises the factor if the server is at its load limit and has reported no delay. Without this growth no
+    /// instance could send a server more than its even share, even if other instances send less.
     pub fn grow(&mut self, now: f64, local_load: f64, settings: &EstimatorSettings) {
         let has_reported = now <= self.last_delay.at + CONSECUTIVE_WITHIN;
         if has_reported || local_load <= AT_LIMIT_RATIO * self.load_limit(now, settings) {
@@ -183,7 +190,7 @@
         self.factor = (self.factor * (1.0 + growth)).min(MAX_FACTOR);
     }
 
-    /// Restores a factor that an earlier instance had learned.
+    /// Restores the learned state of a snapshot.
     pub fn restore(&mut self, factor: f64, slow_reported_at: Option<f64>) {
         self.factor = factor.clamp(MIN_FACTOR, MAX_FACTOR);
         if let Some(at) = slow_reported_at {
--- a/crates/recovery/src/capacity_estimate/setup_model.rs
+++ b/crates/recovery/src/capacity_estimate/setup_model.rs
@@ -1,29 +1,32 @@
-//! How much work a set-up is, learned from the time that set-ups take: the fuller a server, the longer.
+//! A model of the work of a setup, learned from setup durations: a setup takes longer at a higher utilization of the
+//! server.
 
-/// Weight of one set-up's time in the usual work.
+/// The least weight of one setup in the usual work.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// Set-ups that are needed before their times say anything of a server.
+/// Number of setups after which their durations are used to judge a server.
 const MIN_SAMPLES: f64 = 10.0;
-/// One sample counts for no more than this factor, as a natural logarithm.
+/// Largest deviation of one sample from the usual work, as a natural logarithm.
 const MAX_LOG_DEVIATION: f64 = 1.0;
-/// Speed of set-ups at no load, over the full speed; they work at full speed up to a load of 0.3.
+/// Speed of setups is this value less the utilization, relative to full speed and at most 1: setups run at full
+/// speed up to a utilization of 0.3.
 const SPEED_AT_NO_LOAD: f64 = 1.3;
-/// Speed of set-ups on a full server, over the full speed.
+/// Speed of setups on a fully loaded server, relative to full speed.
 const MIN_SPEED: f64 = 0.25;
-/// A set-up's time is taken for no less, in seconds.
+/// Lower bound of a setup's duration, in seconds.
 const MIN_SETUP_SECONDS: f64 = 0.002;
 
-/// The usual work of a set-up.
+/// The usual work of a setup.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SetupModel {
-    /// Natural logarithm of the work.
+    /// Natural logarithm of the work, in the unit of listed weights times seconds.
     pub log_work: f64,
+    /// Number of setups observed.
     pub samples: f64,
 }
 
 impl SetupModel {
-    /// Learns from one set-up that took `seconds` on a server of `capacity` at `utilization`. Returns by how much it
-    /// was faster than usual, as a natural logarithm, once enough samples were seen.
+    /// Learns from one setup that took `seconds` on a server of `capacity` at `utilization`. Once there are enough
+    /// samples, returns how much faster than usual it was, as a natural logarithm.
     pub fn observe(&mut self, seconds: f64, capacity: SetupCapacity, utilization: f64) -> Option<f64> {
         let log_speed = (SPEED_AT_NO_LOAD - utilization).clamp(MIN_SPEED, 1.0).ln();
         let log_time = (seconds.max(MIN_SETUP_SECONDS) * capacity.weight * capacity.warm_up_ratio).ln();
@@ -38,7 +41,7 @@
     }
 }
 
-/// The size of the server that a set-up ran on.
+/// The capacity of the server that a setup ran on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SetupCapacity {
     pub weight: f64,
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions for the time when much of a fleet fails at once: how far the service is degraded, whether a failed attempt
-//! may be retried, and which established connections migrate once servers are back.
+//! Overload control for failures that affect a large part of a fleet: decides the level of service, whether a
+//! failed attempt may be retried, and which established connections migrate once servers are back.
 //!
-//! Events go in and decisions come out, with the time as an argument: no I/O, no clock, no text but log lines. The
-//! decision module ([`shorewharf_decisions`]) still chooses the server of each request;
-//! [`ProtectedBalancer`](protected_balancer::ProtectedBalancer) puts the controller around it.
+//! The package performs no I/O and reads no clock: it takes events and the current time as arguments and returns
+//! actions and log lines. The decision module ([`shorewharf_decisions`]) still chooses the server for each request;
+//! [`ProtectedBalancer`](protected_balancer::ProtectedBalancer) combines it with the overload controller.
 
 mod backoff_clients;
 pub mod capacity_estimate;
--- a/crates/recovery/src/probe_limiter.rs
+++ b/crates/recovery/src/probe_limiter.rs
@@ -1,19 +1,20 @@
-//! A token bucket for health checks of servers, since servers that come back cold have other work.
+//! A token bucket for health checks, so that they don't add load to cold servers during an outage.
 
 use shorewharf_decisions::interface::Action;
 
-/// Tokens that are left for probes, as of a time.
+/// Token bucket for probes of servers.
 #[derive(Debug, Default)]
 pub(crate) struct ProbeLimiter {
     tokens: f64,
+    /// When `tokens` was last refilled.
     updated_at: f64,
-    /// Probes that were dropped.
+    /// Number of probes dropped since the start.
     dropped: u64,
 }
 
 impl ProbeLimiter {
-    /// Removes probes beyond `probes_per_second` from the actions from index `first` on. The decision module asks for
-    /// them again by its own backoff.
+    /// Removes probes in excess of `probes_per_second` from the actions at index `first` and later. The decision
+    /// module requests them again after its own backoff.
     pub fn limit(&mut self, now: f64, probes_per_second: f64, first: usize, actions: &mut Vec<Action>) {
         if !probes_per_second.is_finite() {
             (self.tokens, self.updated_at) = (1.0, now);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Takes a token, if one is left.
+    /// Takes a token; false if none is left.
     fn take(&mut self) -> bool {
         let has_token = self.tokens >= 1.0;
         if has_token {
@@ -41,7 +42,7 @@
         has_token
     }
 
-    /// Probes that were dropped since the start.
+    /// Returns the number of probes dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
