--- a/crates/recovery/src/levels/level.rs
+++ b/crates/recovery/src/levels/level.rs
@@ -1,25 +1,25 @@
-//! The named levels of service, and the policy that each of them puts in force.
+//! The levels of service and the policy of each.
 
 /// How far the service is degraded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Everything works.
+    /// The service is not degraded.
     #[default]
     Normal,
-    /// Nearly all clients are served, but there is little capacity left, servers are missing, or the endpoint list is
-    /// old.
+    /// Nearly all clients are served, but there is little spare capacity, servers are missing, or the endpoint list is
+    /// stale.
     Strained,
-    /// There is less capacity than demand: some clients must be rejected.
+    /// Capacity is short: it is less than the demand, and some clients must be rejected.
     Short,
-    /// Most clients are rejected, or hardly a server is left.
+    /// Most clients are rejected, or hardly any server is in service.
     Severe,
 }
 
 impl Level {
-    /// All levels, the best first.
+    /// All levels, from the least to the most degraded.
     pub const ALL: [Level; 4] = [Level::Normal, Level::Strained, Level::Short, Level::Severe];
 
-    /// Its name in logs and reports.
+    /// The level's name in logs and reports.
     pub fn name(self) -> &'static str {
         match self {
             Level::Normal => "normal",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The policy in force at this level.
+    /// The policy that applies at this level.
     pub fn policy(self) -> LevelPolicy {
         match self {
             Level::Normal => LevelPolicy {
@@ -59,43 +59,44 @@
         }
     }
 
-    /// The level for a severity: 1, 2 and 3 are the thresholds of the levels below normal.
+    /// The level for a severity: 1, 2 and 3 are the thresholds of `Strained`, `Short` and `Severe`.
     pub(super) fn for_severity(severity: f64) -> Level {
         Level::ALL[(severity.max(0.0) as usize).min(Level::ALL.len() - 1)]
     }
 }
 
-/// Which clients admission rejects first where not all can be admitted.
+/// Which clients are rejected first if not all can be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedPolicy {
-    /// Nobody is rejected because of the level.
+    /// No client is rejected because of the level.
     Nobody,
-    /// Clients of tenants over their quota.
+    /// Clients of tenants that exceed their quota.
     OverQuota,
-    /// Besides, new clients: those whose connections broke were promised one.
+    /// Clients of tenants that exceed their quota, then new clients. Clients whose connection broke come last, since
+    /// they had already been admitted.
     NewClients,
 }
 
 /// Which failed attempts may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// As many as the retry budget has.
+    /// Any attempt, as far as the retry budget permits.
     WithinBudget,
-    /// Of those, only attempts that reached no server, since they cost the fleet nothing.
+    /// Within the retry budget, only attempts that no server has executed, since they cost the fleet nothing.
     UnsentOnly,
-    /// None.
+    /// No attempt.
     Never,
 }
 
-/// What a level changes.
+/// The measures that apply at a level.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LevelPolicy {
-    /// Which clients admission rejects first.
+    /// Which clients are rejected first.
     pub shedding: ShedPolicy,
     /// Which failed attempts may be retried.
     pub retries: RetryPolicy,
-    /// Pace of migrations over the usual one; 0 for none.
+    /// Rate of migrations relative to the usual rate; 0 stops migrations.
     pub migration_pace: f64,
-    /// Health checks a second at most.
+    /// Maximum number of health checks per second.
     pub probes_per_second: f64,
 }
--- a/crates/recovery/src/levels/mod.rs
+++ b/crates/recovery/src/levels/mod.rs
@@ -1,8 +1,8 @@
-//! The level of service at one instance: when each of the four named levels is entered and left.
+//! Decides the level of service of one instance: when each of the four levels is entered and left.
 //!
-//! Operators see every change, so each has to mean something. All signals are put on one scale of severity; a level is
-//! entered at once and left only after its cause has been gone for long enough, so that load that hovers at a threshold
-//! changes the level no more than once in [`MIN_SECONDS_BETWEEN_CHANGES`].
+//! Operators see every change of level, so that the level must not flap. All signals are converted to one scale of
+//! severity. A level is entered at once, but left only after its cause has been absent for some time; a load that
+//! fluctuates around a threshold changes the level at most once in [`MIN_SECONDS_BETWEEN_CHANGES`].
 
 mod level;
 mod signals;
@@ -15,37 +15,40 @@
 pub use signals::{LoadSignals, Severity};
 pub use sliding_window::{SlidingWindow, WindowCounts, lower_bound_ratio};
 
-/// Changes under load that hovers are at least so far apart; a level's cause has to be gone for so long.
+/// Minimum time between two changes of level, except for early changes (see [`EARLY_CHANGE_MARGIN`]), and the time
+/// for which a level's cause has to be absent before the level is left. In seconds.
 pub const MIN_SECONDS_BETWEEN_CHANGES: f64 = 30.0;
-/// Within that time the level worsens only where the severity is so much above the next level's threshold.
+/// Before [`MIN_SECONDS_BETWEEN_CHANGES`] have passed, a worse level is entered only if the severity exceeds that
+/// level's threshold by this much.
 pub const EARLY_CHANGE_MARGIN: f64 = 1.0;
-/// A level's cause is gone once the severity is so far below the level's threshold.
+/// A level's cause is absent once the severity is below the level's threshold by more than this.
 pub const HYSTERESIS: f64 = 0.35;
-/// A level in between is skipped if its cause has been gone for this part of [`MIN_SECONDS_BETWEEN_CHANGES`].
+/// An intermediate level is skipped on the way back if its cause has been absent for this share of
+/// [`MIN_SECONDS_BETWEEN_CHANGES`].
 pub const SKIP_RATIO: f64 = 0.5;
-/// A level that is entered again within this time after it was left is left more slowly the next time.
+/// If a level is entered again within this time after it was left, in seconds, the next exit takes twice as long.
 const RELAPSE_SECONDS: f64 = 2.0 * MIN_SECONDS_BETWEEN_CHANGES;
-/// The slowest that a level is left, over the usual time.
+/// Largest delay before a level is left, relative to the usual delay.
 const MAX_EXIT_DELAY_FACTOR: f64 = 4.0;
-/// An endpoint list of this age is stale.
+/// An endpoint list of at least this age is stale; for the unit see [`LoadSignals::list_age`].
 const STALE_LIST_AGE: f64 = 1.0;
-/// Changes kept for reports.
+/// Number of recent changes kept for reports.
 const MAX_RECENT_CHANGES: usize = 256;
 
 /// A change of level.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LevelChange {
-    /// When it happened, in seconds.
+    /// Time of the change, in seconds.
     pub at: f64,
-    /// The level before.
+    /// The level before the change.
     pub from: Level,
-    /// The level from now on.
+    /// The level after the change.
     pub to: Level,
-    /// The signal that is worst now, as it is named in logs; `none` where all are well.
+    /// Log name of the signal with the highest severity at the change; `none` if no signal has any.
     pub cause: &'static str,
-    /// The severity at that moment.
+    /// The severity at the change.
     pub severity: f64,
-    /// All signals at that moment.
+    /// All signals at the change.
     pub signals: LoadSignals,
 }
 
@@ -56,32 +59,32 @@
     }
 }
 
-/// Statistics of the level.
+/// Statistics of the level of service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LevelStats {
     /// The current level.
     pub level: Level,
     /// The severity at the last update.
     pub severity: f64,
-    /// Number of changes, by new level and cause (`short away`).
+    /// Number of changes, by new level and cause, such as `short away`.
     pub changes: BTreeMap<String, u64>,
-    /// The last changes, the oldest first.
+    /// The most recent changes, oldest first; 256 at most.
     pub recent_changes: Vec<LevelChange>,
-    /// Seconds spent at each level, the best first.
+    /// Seconds spent at each level, in the order of [`Level::ALL`].
     pub seconds_at_level: [f64; 4],
 }
 
-/// Decides the level of one instance.
+/// Decides the level of service of one instance.
 #[derive(Debug, Default)]
 pub struct LevelController {
     level: Level,
     severity: f64,
-    /// When each level's cause was last present.
+    /// When each level's cause was last present, in the order of [`Level::ALL`].
     cause_present_at: [f64; 4],
     changed_at: Option<f64>,
-    /// When each level was last left.
+    /// When each level was last left, in the order of [`Level::ALL`].
     exited_at: [f64; 4],
-    /// How long a cause has to be gone, over the usual time; doubles with each relapse.
+    /// Time for which a cause has to be absent, relative to the usual time; doubles with each relapse.
     exit_delay_factor: f64,
     updated_at: Option<f64>,
     stats: LevelStats,
@@ -103,8 +106,8 @@
         self.level
     }
 
-    /// Takes the current signals into account and returns the change that follows, if any. May be called as often as
-    /// anything happens.
+    /// Takes the current signals into account and returns the resulting change of level, if any. May be called at any
+    /// rate.
     pub fn update(&mut self, now: f64, signals: &LoadSignals) -> Option<LevelChange> {
         let severity = signals.severity();
         if let Some(updated_at) = self.updated_at.replace(now) {
@@ -116,11 +119,11 @@
         Some(self.change(now, next, severity.cause, signals))
     }
 
-    /// Notes which levels' causes are present.
+    /// Records the levels whose causes are present.
     fn record_causes(&mut self, now: f64, signals: &LoadSignals) {
         let is_list_stale = signals.list_age >= STALE_LIST_AGE;
         for (level, present_at) in self.cause_present_at.iter_mut().enumerate().skip(1) {
-            // A stale list does not show that servers are back, so no cause counts as gone.
+            // A stale list does not prove that servers are back, so that recent causes still count as present.
             let remains_present = is_list_stale && now - *present_at < MIN_SECONDS_BETWEEN_CHANGES;
             if self.severity >= level as f64 - HYSTERESIS || remains_present {
                 *present_at = now;
@@ -128,16 +131,17 @@
         }
     }
 
+    /// Whether the last change was long enough ago for a regular change.
     fn may_change(&self, now: f64) -> bool {
         self.changed_at.is_none_or(|changed_at| now >= changed_at + MIN_SECONDS_BETWEEN_CHANGES)
     }
 
-    /// The worse level that the severity calls for, if any.
+    /// Returns the worse level that the severity requires, if any.
     fn worse_level(&mut self, now: f64) -> Option<Level> {
         let early_level = Level::for_severity(self.severity - EARLY_CHANGE_MARGIN);
         let next = match self.stats.recent_changes.last() {
             _ if self.may_change(now) => Level::for_severity(self.severity),
-            // A level that was just left is entered again only for what is clearly worse.
+            // After an improvement, only a level worse than the one that was left may be entered early.
             Some(last) if last.to < last.from && early_level <= last.from => return None,
             _ => early_level,
         };
@@ -150,7 +154,7 @@
         Some(next)
     }
 
-    /// The better level that may be entered now, if any.
+    /// Returns the better level that may be entered now, if any.
     fn better_level(&mut self, now: f64) -> Option<Level> {
         let cause_gone_for = now - self.cause_present_at[self.level as usize];
         let exit_delay = MIN_SECONDS_BETWEEN_CHANGES * self.exit_delay_factor;
@@ -168,6 +172,7 @@
         Some(next)
     }
 
+    /// Changes the level and records the change.
     fn change(&mut self, now: f64, to: Level, cause: &'static str, signals: &LoadSignals) -> LevelChange {
         let (from, severity, signals) = (self.level, self.severity, *signals);
         let change = LevelChange { at: now, from, to, cause, severity, signals };
@@ -181,7 +186,7 @@
         change
     }
 
-    /// Statistics since the start.
+    /// Returns the statistics since the start.
     pub fn stats(&self) -> LevelStats {
         LevelStats { level: self.level, severity: self.severity, ..self.stats.clone() }
     }
--- a/crates/recovery/src/levels/signals.rs
+++ b/crates/recovery/src/levels/signals.rs
@@ -1,44 +1,44 @@
-//! The signals that the level of service is decided by, and how they are put on one scale of severity.
+//! The signals that determine the level of service, and their conversion to one scale of severity.
 
 use std::fmt;
 
-/// No signal counts for more than this severity.
+/// Upper bound of any signal's severity.
 const MAX_SEVERITY: f64 = 4.0;
-/// Retries alone never make the service severe.
+/// Upper bound for retries, which alone must not lead to the severe level.
 const MAX_RETRY_SEVERITY: f64 = 2.9;
-/// An old endpoint list makes nothing worse by itself.
+/// Upper bound for a stale endpoint list, which by itself degrades nothing.
 const MAX_LIST_SEVERITY: f64 = 1.4;
 
-/// A signal's values at severity 1, 2 and 3: where the strained, the short and the severe level begin.
+/// A signal's values at severity 1, 2 and 3: the thresholds of the levels strained, short and severe.
 type Thresholds = [f64; 3];
 
-/// Three clients of a hundred without a connection are noticed by a helpdesk.
+/// When 3 % of the clients have no connection, a helpdesk notices.
 const CLIENTS_IN_BACKOFF: Thresholds = [0.03, 0.12, 0.35];
-/// Messages are late from 0.85 of a server's capacity on.
+/// From 85 % of a server's capacity, messages exceed their latency objective.
 const UTILIZATION: Thresholds = [0.85, 1.05, 1.6];
-/// Missing servers say only that less is left for the next failure, unless hardly any is left.
+/// Missing servers only mean less reserve for the next failure, unless hardly any server is left.
 const MISSING_CAPACITY: Thresholds = [0.15, 0.8, 0.95];
 const RETRY_RATIO: Thresholds = [0.15, 0.6, 2.0];
 const LIST_AGE: Thresholds = [2.0, 1e3, 1e6];
-/// Set-ups have a latency objective of some 0.8 s.
+/// In seconds. The latency objective of a setup is about 0.8 s.
 const LOOP_LAG: Thresholds = [0.05, 0.2, 0.8];
 
-/// The signals at one moment.
+/// The values of all signals at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadSignals {
-    /// Requests answered a second, over the last seconds.
+    /// Requests served, rejected or failed per second, over the last five seconds.
     pub requests_per_second: f64,
-    /// Clients in backoff over all clients, those with an established connection included.
+    /// Ratio of clients in backoff to all clients, including those with an established connection.
     pub backoff_ratio: f64,
-    /// Retries for each first attempt.
+    /// Ratio of retries to first attempts over the last five seconds.
     pub retry_ratio: f64,
-    /// Demand over capacity, where there is an estimate.
+    /// Ratio of demand to capacity of the fleet, if there is an estimate.
     pub utilization: Option<f64>,
-    /// Listed capacity in service over all that is known, from 0 to 1.
+    /// Ratio of the listed capacity in service to that of all known servers, from 0 to 1.
     pub capacity_in_service: f64,
-    /// Time since discovery last answered, over the time for which it may be silent.
+    /// Time since discovery began to fail, as a multiple of the poll interval; 0 while discovery works.
     pub list_age: f64,
-    /// Seconds that the event loop runs behind.
+    /// Delay of the event loop, in seconds.
     pub loop_lag: f64,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// The severity of a signal's value: linear between its thresholds and beyond.
+/// The severity of a signal's value: linear between the thresholds, and beyond them up to [`MAX_SEVERITY`].
 fn severity_of(value: f64, [strained, short, severe]: Thresholds) -> f64 {
     if value <= strained {
         (value / strained).max(0.0)
@@ -67,17 +67,17 @@
     }
 }
 
-/// How degraded the service is, and by which signal.
+/// How degraded the service is, and the signal that shows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Severity {
-    /// 0 where all is well; 1, 2 and 3 are the thresholds of the three levels below normal.
+    /// 0 without degradation; 1, 2 and 3 are the thresholds of the levels strained, short and severe.
     pub value: f64,
-    /// The signal with the worst value, as it is named in logs; `none` where all are well.
+    /// Log name of the signal with the highest severity; `none` if every signal's severity is 0.
     pub cause: &'static str,
 }
 
 impl LoadSignals {
-    /// The severity by the worst of the signals.
+    /// Returns the highest severity of all signals.
     pub fn severity(&self) -> Severity {
         let severities = [
             ("away", severity_of(self.backoff_ratio, CLIENTS_IN_BACKOFF)),
--- a/crates/recovery/src/levels/sliding_window.rs
+++ b/crates/recovery/src/levels/sliding_window.rs
@@ -1,11 +1,12 @@
-//! Counts of requests and attempts over a sliding window of a few seconds.
+//! Counts of requests and attempts over a sliding window of five seconds.
 
 /// Length of one slot of the window, in seconds.
 const SLOT_SECONDS: f64 = 0.5;
-/// Slots of the window: five seconds separate a rate from chance, and still show a failure within one.
+/// Number of slots in the window. Five seconds average out random variation and still show a failure within about
+/// one second.
 const SLOTS: usize = 10;
 
-/// Counts of one slot, or of the whole window.
+/// Counts of one slot or of the whole window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowCounts {
     /// Requests that were served.
@@ -14,11 +15,11 @@
     pub rejected: u32,
     /// First attempts.
     pub first_attempts: u32,
-    /// Further attempts.
+    /// Second and later attempts of a request.
     pub retries: u32,
 }
 
-/// The sliding window.
+/// A ring of slots with the counts of the last five seconds.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingWindow {
     slots: [WindowCounts; SLOTS],
@@ -27,7 +28,7 @@
 }
 
 impl SlidingWindow {
-    /// Returns the counts of the current slot, and clears those that have left the window.
+    /// Returns the counts of the current slot, and clears the slots that have left the window.
     pub fn current(&mut self, now: f64) -> &mut WindowCounts {
         let slot = (now.max(0.0) / SLOT_SECONDS) as u64;
         if slot > self.current_slot {
@@ -51,13 +52,14 @@
         })
     }
 
-    /// Length of the window, in seconds.
+    /// Returns the length of the window, in seconds.
     pub fn length_seconds() -> f64 {
         SLOT_SECONDS * SLOTS as f64
     }
 }
 
-/// The ratio of `count` to `total` that is left at the least once chance is allowed for by one standard deviation.
+/// The ratio of `count` to `total`, with `count` reduced by one standard deviation, its square root, to allow for
+/// random variation.
 pub fn lower_bound_ratio(count: u32, total: u32) -> f64 {
     let count = f64::from(count);
     ((count - count.sqrt()) / f64::from(total.max(1))).max(0.0)
