--- a/crates/recovery/src/retry_budget.rs
+++ b/crates/recovery/src/retry_budget.rs
@@ -1,9 +1,10 @@
 //! The budget for retries of failed attempts.
 //!
-//! A retry is work that the fleet does twice, and a failure with the same cause everywhere (a fleet that is full, a
-//! store that is gone) makes every retry fail as well. So an attempt is retried only where the failure is not
-//! correlated with those of other servers, and within a share of first attempts. Once failures are correlated the
-//! budget is suspended, and a single trial finds out whether servers answer again.
+//! A retry makes the fleet do the same work twice. If failures at several servers have a common cause, such as a fully
+//! loaded fleet or an unavailable store, retries fail as well. An attempt is therefore retried only if its failure is
+//! not correlated with failures at other servers, and retries are limited to a share of first attempts. Correlated
+//! failures suspend the budget; after a pause, a single trial finds out whether servers answer again, as in a circuit
+//! breaker.
 
 use std::collections::BTreeMap;
 
@@ -13,47 +14,47 @@
 
 use crate::random::random_unit;
 
-/// Retries of one request at most: two find a sound server past two that died unnoticed.
+/// Maximum number of retries per request: two are enough to get past two servers whose failure is not known yet.
 const MAX_RETRIES_PER_REQUEST: u32 = 2;
-/// Retries that each first attempt adds to the budget: in the long run a fifth of all attempts at most.
+/// Retries that each first attempt adds to the budget: in the long run, at most a fifth of all attempts are retries.
 const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.25;
-/// Retries saved up at most, and at the start, since one server's end strands a few requests at once.
+/// Retries in a full budget, and in a new one: the failure of one server affects several requests at once.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// An outcome counts for so long.
+/// Time for which a server's last outcome is taken into account.
 const OUTCOME_VALID_SECONDS: f64 = 3.0;
-/// Failures are correlated from this many failing servers on ...
+/// Failures are correlated if at least this many servers fail ...
 const MIN_FAILING_SERVERS: usize = 2;
-/// ... if they are this share of the servers with a recent outcome.
+/// ... and they are at least this share of the servers with a recent outcome.
 const MIN_FAILING_RATIO: f64 = 0.34;
-/// The budget is suspended for so long; each trial that fails doubles it.
+/// Duration of the first suspension, before jitter; each failed trial doubles it.
 const SUSPENDED_SECONDS: f64 = 2.0;
-/// The longest suspension.
+/// The longest suspension, before jitter.
 const MAX_SUSPENDED_SECONDS: f64 = 8.0;
 
-/// Whether a retry may be made, and why.
+/// Answer to a request for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPermit {
-    /// It may be made.
+    /// The retry may be sent.
     Granted,
-    /// It may be made, as the one trial after correlated failures.
+    /// The retry may be sent, as the single trial after correlated failures.
     Trial,
-    /// Failures are correlated: another server would do no better.
+    /// Denied: failures are correlated, so that another server would probably fail as well.
     Correlated,
-    /// The instance's budget is exhausted.
+    /// Denied: the instance's budget is exhausted.
     Exhausted,
-    /// This request has used up its own retries.
+    /// Denied: the request has reached its own limit of retries.
     RequestLimit,
-    /// The level of service forbids it.
+    /// Denied: the level of service forbids the retry.
     LevelForbids,
 }
 
 impl RetryPermit {
-    /// Whether the retry may be made.
+    /// Whether the retry may be sent.
     pub fn is_granted(self) -> bool {
         matches!(self, RetryPermit::Granted | RetryPermit::Trial)
     }
 
-    /// Its name in logs and reports.
+    /// The permit's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             RetryPermit::Granted => "granted",
@@ -66,45 +67,46 @@
     }
 }
 
-/// Whether an attempt's outcome means that its server could not serve it.
+/// Whether an attempt's outcome means that the server could not serve it.
 pub fn is_server_failure(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent)
 }
 
-/// Statistics of the budget.
+/// Statistics of the retry budget.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetryStats {
-    /// Retries that the budget has left.
+    /// Retries left in the budget.
     pub available: f64,
-    /// The budget is suspended since failures are correlated.
+    /// Whether the budget is suspended because of correlated failures.
     pub is_suspended: bool,
-    /// First attempts.
+    /// Number of first attempts sent.
     pub first_attempts: u64,
-    /// Retries made.
+    /// Number of retries sent.
     pub retries: u64,
     /// Number of suspensions.
     pub suspensions: u64,
-    /// Permits that were asked for, by answer.
+    /// Number of answers to requests for a retry, by name of the permit.
     pub permits: BTreeMap<&'static str, u64>,
 }
 
-/// The state of the budget, as a circuit breaker has it. Times and durations are seconds.
+/// The state of the budget. Like a circuit breaker it is closed (`Active`), open (`Suspended`) or half open
+/// (`TrialRunning`). Times and durations are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Active,
-    /// No retries until a time, after a suspension of this length.
+    /// No retries until `until`; `duration` is the duration of the suspension before jitter.
     Suspended {
         until: f64,
         duration: f64,
     },
-    /// One trial is under way.
+    /// One trial is in progress after a suspension of `duration`.
     TrialRunning {
         since: f64,
         duration: f64,
     },
 }
 
-/// The last outcome at a server.
+/// The last outcome of an attempt at a server.
 #[derive(Clone, Copy, Debug)]
 struct RecentOutcome {
     at: f64,
@@ -114,6 +116,7 @@
 /// The retry budget of one instance.
 #[derive(Debug)]
 pub struct RetryBudget {
+    /// Retries left.
     available: f64,
     state: State,
     recent_outcomes: BTreeMap<ServerId, RecentOutcome>,
@@ -123,7 +126,8 @@
 }
 
 impl RetryBudget {
-    /// Creates a full budget. `seed` decides the jitter of suspensions, so that instances don't all try again at once.
+    /// Creates a full budget. `seed` determines the jitter of suspensions, so that the instances don't all send their
+    /// trial at the same time.
     pub fn new(seed: u64) -> Self {
         RetryBudget {
             available: MAX_SAVED_RETRIES,
@@ -135,13 +139,13 @@
         }
     }
 
-    /// A first attempt was sent.
+    /// Records a first attempt that was sent.
     pub fn on_first_attempt(&mut self) {
         self.stats.first_attempts += 1;
         self.available = (self.available + RETRIES_PER_FIRST_ATTEMPT).min(MAX_SAVED_RETRIES);
     }
 
-    /// A retry was sent.
+    /// Records a retry that was sent.
     pub fn on_retry(&mut self, now: f64) {
         self.stats.retries += 1;
         self.available = (self.available - 1.0).max(0.0);
@@ -152,9 +156,9 @@
         }
     }
 
-    /// An attempt at a server has ended or was established.
+    /// Records that an attempt at a server has ended or was established.
     pub fn on_outcome(&mut self, now: f64, server: ServerId, outcome: Outcome) {
-        // A refused connection concerns this server alone, and trying costs the fleet nothing.
+        // A refused connection concerns this server only, and the attempt costs the fleet nothing.
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::ConnectFailed) {
             return;
         }
@@ -170,7 +174,7 @@
                 self.log_lines.push(format!("repeats=closed failing={failing} of={servers}"));
                 self.suspend(now, SUSPENDED_SECONDS);
             }
-            // Any correlated failure answers what the trial was to find out.
+            // Any correlated failure, not only that of the trial itself, shows that servers don't answer yet.
             (State::TrialRunning { duration, .. }, true) if is_correlated => {
                 self.suspend(now, (duration * 2.0).min(MAX_SUSPENDED_SECONDS));
             }
@@ -191,12 +195,12 @@
         self.log_lines.push(format!("repeats=open left={:.1}", self.available));
     }
 
-    /// Asks whether a request that has had `attempts` attempts may have another one.
+    /// Decides whether a request that has had `attempts` attempts may be retried, and counts the answer.
     pub fn request_permit(&mut self, now: f64, attempts: u32) -> RetryPermit {
         if let State::TrialRunning { since, duration } = self.state
             && now >= since + duration
         {
-            // The trial has shown nothing of any server: another one may go out.
+            // The trial has had no result in time: another one may be sent.
             self.state = State::Suspended { until: now, duration };
         }
         let permit = match self.state {
@@ -210,7 +214,7 @@
         self.record_permit(permit)
     }
 
-    /// Whether no retry may be sent now, for any request.
+    /// Whether no request may be retried now.
     pub fn blocks_retries(&self, now: f64) -> bool {
         match self.state {
             State::Active => self.available < 1.0,
@@ -219,18 +223,18 @@
         }
     }
 
-    /// Counts a permit, also one that was decided elsewhere, and returns it.
+    /// Counts a permit, including one that was decided outside the budget, and returns it.
     pub fn record_permit(&mut self, permit: RetryPermit) -> RetryPermit {
         *self.stats.permits.entry(permit.name()).or_default() += 1;
         permit
     }
 
-    /// Removes and returns the lines for the log since the last call.
+    /// Removes and returns the log lines written since the last call.
     pub fn drain_log_lines(&mut self) -> impl Iterator<Item = String> {
         self.log_lines.drain(..)
     }
 
-    /// Statistics since the start.
+    /// Returns the statistics since the start.
     pub fn stats(&self) -> RetryStats {
         let is_suspended = self.state != State::Active;
         RetryStats { available: self.available, is_suspended, ..self.stats.clone() }
