--- a/crates/recovery/src/rebalance/load_distribution.rs
+++ b/crates/recovery/src/rebalance/load_distribution.rs
@@ -1,5 +1,5 @@
-//! What this instance's own connections load where, at one moment. Each instance levels its own part only: where every
-//! part is level the whole is, and no instance has to know what the others do.
+//! The load that this instance's own connections put on each server, at one time. Each instance balances only its own
+//! part of the load: if every part is balanced, so is the total, and no instance has to know the load of the others.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,49 @@
 
 use crate::instance_view::{Connection, InstanceView, Placement, ServerRecord};
 
-/// Mean loads that a server pays for each group that it holds any connection of.
+/// Load that a server has for each group of which it holds at least one connection, as a multiple of the mean load.
 pub(super) const GROUP_COST: f64 = 2.0;
-/// Mean loads that an open connection costs whatever it does.
+/// Load of an open connection in addition to its reported load, as a multiple of the mean load.
 const OPEN_CONNECTION_COST: f64 = 0.1;
-/// A younger connection does not migrate, in seconds.
+/// Minimum age of a connection that is migrated, in seconds.
 const MIN_AGE: f64 = 5.0;
-/// The same for a returning client, which another instance may have migrated: two instances could send it to and fro.
+/// The same for the connection of a returning client. Another instance may have migrated the client, and two instances
+/// could send it back and forth.
 const MIN_AGE_AFTER_RETURN: f64 = 12.0;
-/// A server is no target for so long after it reported slow messages, in seconds.
+/// A server is no migration target for this time after it reported slow messages, in seconds.
 const SLOW_REPORT_VALID_SECONDS: f64 = 5.0;
-/// Connections on a server from which on what they show of its utilization is half the truth.
+/// Number of connections at which a server's measured utilization and the mean utilization have equal weight in
+/// [`LoadDistribution::likely_utilization`].
 const HALF_CONFIDENCE_CONNECTIONS: f64 = 2.0;
-/// Iterations of [`instances_per_group`]' fixed point.
+/// Iterations of the fixed point in [`instances_per_group`].
 const FIXED_POINT_ITERATIONS: usize = 30;
 
-/// Share of a server's level that migrations fill it beyond, and empty it down to.
+/// Relative deviation from the balanced load up to which migrations fill a target and down to which they empty a
+/// source.
 pub(super) const BALANCE_TOLERANCE: f64 = 0.04;
-/// All instances together fill a cold server up to this part of what it can do by its slow start.
+/// Share of a cold server's present capacity up to which all instances together fill it.
 const COLD_FILL_LIMIT: f64 = 0.7;
 
-/// Settings of the cluster that migrations depend on.
+/// Settings of the fleet that migrations depend on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetSettings {
-    /// Connections come in groups that share work on a server.
+    /// Whether connections belong to groups that share work on a server.
     pub has_groups: bool,
-    /// Balancers that share the servers.
+    /// Number of balancers that share the servers.
     pub instance_count: f64,
 }
 
-/// A server in the snapshot.
+/// A server in service, with its load from this instance.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerLoad {
     pub id: ServerId,
     pub started_at: f64,
     pub weight: f64,
-    /// What it can do by now.
+    /// The load that the server can take at this point of its slow start.
     pub capacity: f64,
-    /// This instance's part of its load, attempts and migrations under way included.
+    /// Load from this instance, including attempts and migrations in progress.
     pub load: f64,
-    /// It is a possible target.
+    /// Whether the server is a possible migration target.
     pub accepts_migrations: bool,
     pub is_cold: bool,
 }
@@ -67,25 +70,27 @@
         }
     }
 
-    /// This instance's part of its load over its capacity.
+    /// Ratio of the load from this instance to the server's capacity.
     pub fn utilization(&self) -> f64 {
         self.load / self.capacity
     }
 }
 
-/// A client that was asked to migrate and has not been established elsewhere.
+/// A client that was asked to migrate and has no new connection yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExpectedArrival {
     pub to: ServerId,
     pub from: ServerId,
     pub load: f64,
+    /// The client is assumed to have gone to another instance after this time.
     pub expected_until: f64,
+    /// When the client was asked to migrate.
     pub migrated_at: f64,
-    /// It asks here again.
+    /// Whether the client has sent a request to this instance since.
     pub has_returned: bool,
 }
 
-/// A connection on a server.
+/// A connection on a server, including attempts in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlacedConnection {
     pub id: RequestId,
@@ -96,26 +101,31 @@
 /// A server's connections by group.
 type ConnectionsByGroup = BTreeMap<u64, Vec<PlacedConnection>>;
 
-/// What this instance's connections load where.
+/// The load that this instance's connections put on each server.
 #[derive(Debug)]
 pub(super) struct LoadDistribution {
+    /// The servers in service, by ascending id.
     pub servers: Vec<ServerLoad>,
+    /// Mean load of a connection.
     pub mean_load: f64,
     pub instance_count: f64,
-    /// Instances that hold a part of a group where this one does.
+    /// Estimated number of instances, including this one, that have members of a group on a server on which this
+    /// instance has members of it.
     pub instances_per_group: f64,
     has_comparable_loads: bool,
+    /// Ratio of the total load from this instance to the total capacity.
     pub mean_utilization: f64,
-    /// By index of the server.
+    /// The connections of each server, in the order of `servers`.
     pub connections: Vec<ConnectionsByGroup>,
-    /// Established connections.
+    /// Number of established connections.
     pub established: usize,
-    /// Their mean age, in seconds.
+    /// Mean age of the established connections, in seconds.
     pub mean_age: f64,
 }
 
-/// Instances that have members of a group on a server where this one has `own_mean` on average. Members fall to
-/// instances by chance, so that the mean of those that are seen at all, `m / (1 - e^-m)`, gives the mean `m` of all.
+/// Estimates the number of instances that have members of a group on a server on which this instance has `own_mean`
+/// members on average. Members are distributed randomly over the instances, and an instance sees only groups of which
+/// it has at least one member, so that `own_mean` equals `m / (1 - e^-m)`, where `m` is the mean over all instances.
 fn instances_per_group(own_mean: f64, instance_count: f64) -> f64 {
     let own_mean = own_mean.max(1.0);
     let mean = (0..FIXED_POINT_ITERATIONS).fold(own_mean, |mean, _| own_mean * (1.0 - (-mean).exp()));
@@ -130,7 +140,7 @@
 }
 
 impl LoadDistribution {
-    /// Takes a snapshot; `expected` are the clients that are on their way to another server.
+    /// Determines the present distribution; `expected` are clients that are migrating to another server.
     pub fn new(
         now: f64,
         view: &InstanceView,
@@ -196,7 +206,7 @@
         }
     }
 
-    /// Adds this instance's part of what servers pay for groups.
+    /// Adds this instance's part of the load that groups put on servers.
     fn add_group_costs(&mut self) {
         let group_sizes = || {
             let groups = self.connections.iter().flatten().filter(|(group, _)| **group != 0);
@@ -210,19 +220,19 @@
         }
     }
 
-    /// The largest utilization over the mean one.
+    /// Ratio of the largest utilization to the mean utilization.
     pub fn imbalance(&self) -> f64 {
         let largest = self.servers.iter().map(ServerLoad::utilization).fold(0.0, f64::max);
         if self.mean_utilization > 0.0 { largest / self.mean_utilization } else { 1.0 }
     }
 
-    /// Whether loads and weights have the same unit.
+    /// Whether loads and weights are in the same unit, so that loads can be compared with capacities.
     pub fn has_comparable_loads(&self) -> bool {
         self.has_comparable_loads
     }
 
-    /// A server's utilization by this instance's part of it, shrunk towards the mean: of few connections much is
-    /// chance.
+    /// A server's utilization by this instance, shrunk towards the mean, since with few connections most of the
+    /// difference is random.
     pub fn likely_utilization(&self, server: &ServerLoad) -> f64 {
         let usual_connections =
             self.mean_utilization * server.capacity / (self.mean_load * (1.0 + OPEN_CONNECTION_COST));
@@ -231,11 +241,11 @@
                 / (usual_connections + HALF_CONFIDENCE_CONNECTIONS)
     }
 
-    /// How much load of this instance's a server may have as a target.
+    /// Upper bound of the load from this instance on a server that is a migration target.
     pub fn target_limit(&self, server: &ServerLoad) -> f64 {
         let balanced_load = self.mean_utilization * server.capacity;
         match (server.is_cold, self.has_comparable_loads) {
-            // What the other instances put there is unknown: each keeps to its even part of the server's capacity.
+            // The load from other instances is unknown, so that each keeps to its even share of the capacity.
             (true, true) => balanced_load.min(COLD_FILL_LIMIT * server.capacity / self.instance_count),
             (true, false) => balanced_load * COLD_FILL_LIMIT,
             (false, _) => balanced_load * (1.0 + BALANCE_TOLERANCE),
--- a/crates/recovery/src/rebalance/mod.rs
+++ b/crates/recovery/src/rebalance/mod.rs
@@ -1,9 +1,9 @@
-//! Slow rebalancing: when established connections migrate, how fast, and when they don't.
+//! Gradual rebalancing of established connections after servers have come back.
 //!
-//! Servers that come back stay empty for as long as connections last, while those that held out are crowded. So
-//! connections migrate there, each instance its own, at a pace that the fleet can take. Migrations pause at any failure
-//! and go on once all has been well for a while; and between two thresholds of imbalance nothing changes, so that
-//! chance moves nobody to and fro.
+//! Servers that come back would stay nearly empty for as long as connections last, while the remaining servers have a
+//! high load. Each instance therefore migrates some of its own connections, at a rate that the fleet can sustain. Any
+//! failure pauses migrations for a few seconds. Migrations begin at a higher imbalance than that at which they end, so
+//! that random variation does not move connections back and forth.
 
 mod load_distribution;
 mod pacing;
@@ -24,72 +24,74 @@
 use crate::instance_view::{EndedAttempt, InstanceView, Placement};
 use crate::random::random_unit;
 
-/// Migrations begin at this imbalance of the instance's own part (largest utilization over the mean one).
+/// Imbalance of this instance's load (ratio of the largest to the mean utilization) above which migrations begin.
 const BEGIN_IMBALANCE: f64 = 1.15;
-/// Migrations end below this imbalance.
+/// Imbalance down to which connections are migrated.
 const END_IMBALANCE: f64 = 1.0 + BALANCE_TOLERANCE;
-/// Migrations begin this long after the imbalance was first seen, in seconds, drawn between once and twice this:
-/// clients that come back by themselves need none, and instances must not begin at once.
+/// Delay from the first observation of an imbalance to the first migration, in seconds; a random value between once
+/// and twice this. Clients that reconnect by themselves may remove the imbalance, and the instances must not all begin
+/// at the same time.
 const SETTLE_SECONDS: f64 = 2.0;
-/// After a failure nothing migrates for so long, in seconds, drawn between 0.75 and 1.25 times this.
+/// Pause of migrations after a failure, in seconds; a random value between 0.75 and 1.25 times this.
 const PAUSE_SECONDS: f64 = 4.0;
-/// Clients that were asked to migrate are expected for so long, in seconds.
+/// Time within which a migrating client is expected to send its request, and then to be connected, in seconds.
 const ARRIVAL_TIMEOUT_SECONDS: f64 = 3.0;
-/// Arrivals after which it is checked whether most of them landed where they were to.
+/// Number of arrivals after which the share of those that reached their target is checked.
 const ARRIVALS_PER_CHECK: u32 = 12;
-/// If they did not, nothing migrates for so long, in seconds.
+/// Pause of migrations if most of these arrivals missed their target, in seconds.
 const MISSED_TARGET_PAUSE_SECONDS: f64 = 30.0;
 /// Weight of a new sample in the learned costs.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// The longest time between two steps that is made up for, in seconds.
+/// Upper bound of the time since the last step for which tokens are added, in seconds.
 const MAX_STEP_SECONDS: f64 = 1.0;
 
-/// What rebalancing is doing.
+/// State of the rebalancing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum State {
-    /// The instance's own part is balanced.
+    /// This instance's load is balanced.
     #[default]
     Balanced,
-    /// It is not; migrations begin at a time.
+    /// The load is not balanced; migrations begin at time `until`.
     Settling { until: f64 },
-    /// Connections migrate.
+    /// Connections are being migrated, except during pauses.
     Migrating,
 }
 
 /// Statistics of rebalancing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RebalanceStats {
-    /// The largest utilization of this instance's part over the mean one, at the last step.
+    /// Ratio of the largest to the mean utilization, counting this instance's load only, at the last step or migration.
     pub imbalance: f64,
-    /// Connections migrate, or would but for a pause.
+    /// Whether connections are being migrated; also true during a pause.
     pub is_active: bool,
-    /// Migrations by reason.
+    /// Number of migrations, by reason.
     pub migrations: BTreeMap<&'static str, u64>,
-    /// Where their clients arrived: `target`, `elsewhere`, `back` at the server they left, `away` at another instance.
+    /// Number of migrated clients, by the server where they arrived: `target`, `back` (the server that they left),
+    /// `elsewhere` (any other server), or `away` (at another instance, since they did not arrive here in time).
     pub arrivals: BTreeMap<&'static str, u64>,
-    /// Pauses by cause.
+    /// Number of pauses, by cause.
     pub pauses: BTreeMap<&'static str, u64>,
-    /// Clients on their way.
+    /// Number of migrating clients that have not arrived yet.
     pub expected: usize,
-    /// What a migration is taken to cost.
+    /// The learned cost of a migration.
     pub cost: MigrationCost,
 }
 
 /// A migration to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Migration {
-    /// The connection.
+    /// The connection that migrates.
     pub request: RequestId,
-    /// The server that it goes to.
+    /// The target server.
     pub to: ServerId,
-    /// Why it migrates.
+    /// Why the connection migrates.
     pub reason: MigrationReason,
 }
 
-/// The unit that is being migrated.
+/// The batch that is being migrated.
 #[derive(Debug)]
 struct CurrentBatch {
-    /// Connections that are still to go.
+    /// Connections that have not been migrated yet.
     remaining: VecDeque<RequestId>,
     from: ServerId,
     to: ServerId,
@@ -103,14 +105,14 @@
     }
 }
 
-/// Arrivals since the last check.
+/// Arrivals of migrated clients since the last check.
 #[derive(Clone, Copy, Debug, Default)]
 struct ArrivalCheck {
     arrivals: u32,
     on_target: u32,
 }
 
-/// Totals when migrations last began, for the log.
+/// Totals at the time when migrations last began, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 struct Totals {
     migrations: u64,
@@ -120,7 +122,7 @@
 /// Inputs of a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepSettings {
-    /// Pace of migrations over the usual one; 0 for none.
+    /// Rate of migrations relative to the usual rate; 0 stops migrations.
     pub pace: f64,
     pub fleet: FleetSettings,
 }
@@ -134,10 +136,10 @@
     current: Option<CurrentBatch>,
     pacer: MigrationPacer,
     stepped_at: Option<f64>,
-    /// Clients on their way, by key.
+    /// Migrating clients that have not arrived yet, by key.
     expected: BTreeMap<u64, ExpectedArrival>,
     arrival_check: ArrivalCheck,
-    /// Mean age of connections that ended by themselves, in seconds.
+    /// Mean age of connections when they ended without a failure or migration, in seconds.
     mean_lifetime: f64,
     totals_at_start: Totals,
     log_lines: Vec<String>,
@@ -145,8 +147,8 @@
 }
 
 impl Rebalancer {
-    /// Creates a rebalancer. `seed` decides when migrations begin; `operator_charge` is what the operator charges for a
-    /// migration, over the value of a whole connection.
+    /// Creates a rebalancer. `seed` determines all random delays; `operator_charge` is the operator's charge for a
+    /// migration, as a share of the value of a whole connection.
     pub fn new(seed: u64, operator_charge: f64) -> Self {
         let cost = MigrationCost { operator_charge, ..MigrationCost::default() };
         Rebalancer {
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Something has failed: nothing migrates for a while.
+    /// Pauses migrations for a few seconds because of a failure or change in the fleet.
     pub fn pause(&mut self, now: f64, cause: &'static str) {
         let until = now + PAUSE_SECONDS * (0.75 + 0.5 * random_unit(&mut self.rng));
         if now >= self.paused_until {
@@ -178,7 +180,8 @@
         *self.stats.pauses.entry(cause).or_default() += 1;
     }
 
-    /// A server takes no more connections: what was to migrate there stays.
+    /// Handles the loss of a server: drops the current batch if it involves the server, and no longer expects clients
+    /// there.
     pub(crate) fn on_server_lost(&mut self, server: ServerId) {
         if self.current.as_ref().is_some_and(|batch| batch.to == server || batch.from == server) {
             self.current = None;
@@ -187,7 +190,8 @@
         self.expected.retain(|_, arrival| arrival.to != server);
     }
 
-    /// An attempt was sent to a server for whatever reason: it counts against what a cold server takes.
+    /// Records an attempt that was sent to a server. Unless it belongs to an expected migration, it takes a token from
+    /// the server's bucket.
     pub(crate) fn on_attempt(&mut self, key: u64, server: ServerId) {
         let is_expected = self.expected.get(&key).is_some_and(|arrival| arrival.to == server);
         if !is_expected {
@@ -195,7 +199,7 @@
         }
     }
 
-    /// A client sends a request; it may have been asked to migrate.
+    /// Records a client's request; the client may have been asked to migrate.
     pub(crate) fn on_request(&mut self, now: f64, key: u64) {
         let returning = self.expected.get_mut(&key).filter(|arrival| !arrival.has_returned);
         let Some(arrival) = returning else { return };
@@ -205,7 +209,7 @@
         cost.reconnect_seconds += SAMPLE_WEIGHT * (reconnect_seconds - cost.reconnect_seconds);
     }
 
-    /// A connection was established.
+    /// Records a connection that was established, and counts it if its client was migrating.
     pub(crate) fn on_established(&mut self, key: u64, server: ServerId, setup_seconds: f64) {
         let cost = &mut self.stats.cost;
         cost.setup_seconds += SAMPLE_WEIGHT * (setup_seconds - cost.setup_seconds);
@@ -220,13 +224,13 @@
         self.arrival_check.on_target += u32::from(server == arrival.to);
     }
 
-    /// A connection has ended by itself.
+    /// Records a connection that ended without a failure or migration.
     pub(crate) fn on_connection_ended(&mut self, now: f64, ended: &EndedAttempt) {
         let age = now - ended.connection.since;
         self.mean_lifetime += SAMPLE_WEIGHT * (age - self.mean_lifetime);
     }
 
-    /// Returns the migrations that are to be made now.
+    /// Updates the state and returns the migrations to be made now. Called periodically.
     pub(crate) fn step(
         &mut self,
         now: f64,
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Pauses where most of the last arrivals landed elsewhere.
+    /// Pauses migrations if most of the last arrivals missed their target.
     fn check_arrivals(&mut self, now: f64) {
         let ArrivalCheck { arrivals, on_target } = self.arrival_check;
         if arrivals < ARRIVALS_PER_CHECK {
@@ -336,7 +340,7 @@
         migrations
     }
 
-    /// Begins a migration; false if the connection is no longer at its source.
+    /// Begins a migration; false if the connection is no longer established at its source or is already migrating.
     fn begin_migration(
         &mut self,
         now: f64,
@@ -364,7 +368,7 @@
         true
     }
 
-    /// The unit that migrates next; none where nothing is worth its cost or no target takes a connection now.
+    /// Chooses the next batch; none if no migration is worth its cost or no target accepts a connection now.
     fn choose_batch(
         &self,
         now: f64,
@@ -380,12 +384,12 @@
         distribution.best_migration(&context).map(CurrentBatch::from)
     }
 
-    /// Removes and returns the lines for the log since the last call.
+    /// Removes and returns the log lines written since the last call.
     pub fn drain_log_lines(&mut self) -> impl Iterator<Item = String> {
         self.log_lines.drain(..)
     }
 
-    /// Statistics since the start.
+    /// Returns the statistics since the start.
     pub fn stats(&self) -> RebalanceStats {
         let is_active = self.state == State::Migrating;
         RebalanceStats { is_active, expected: self.expected.len(), ..self.stats.clone() }
--- a/crates/recovery/src/rebalance/pacing.rs
+++ b/crates/recovery/src/rebalance/pacing.rs
@@ -1,5 +1,5 @@
-//! How fast connections migrate: a token bucket for the instance, and one for each server as a target, so that a cold
-//! server is not flooded by all instances at once.
+//! Limits the rate of migrations by a token bucket for the instance and one for each target server, so that the
+//! instances together don't overload a cold server.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,33 @@
 use crate::instance_view::InstanceView;
 use crate::random::random_unit;
 
-/// Part of the instance's established connections that migrates in a second.
+/// Share of the instance's established connections that may migrate per second, in addition to
+/// [`MIN_MIGRATIONS_PER_SECOND`].
 const CONNECTIONS_PER_SECOND_RATIO: f64 = 0.02;
-/// Migrations a second in any case.
+/// Migrations per second that are allowed regardless of the number of connections.
 const MIN_MIGRATIONS_PER_SECOND: f64 = 0.2;
-/// Migrations that may follow each other at once.
+/// Minimum size of the instance's bucket: migrations that may be made at once.
 const BURST: f64 = 2.0;
-/// Part of the connections that fill a cold server which all instances together send it within its warm-up time. A
-/// cold server falls over at three times the pace that fills it.
+/// Share of the connections needed to fill a cold server that all instances together may send it within its warm-up
+/// time. A cold server fails at three times the rate that fills it.
 const COLD_FILL_RATIO: f64 = 0.5;
-/// A warm server is filled this many times as fast as a cold one.
+/// Rate at which a warm server is filled, relative to a cold one.
 const WARM_FILL_FACTOR: f64 = 3.0;
 
-/// Migrations that a server may take now.
+/// Token bucket of a server as a migration target.
 #[derive(Clone, Copy, Debug)]
 struct TargetBucket {
     tokens: f64,
-    /// Start time of the server's process that the tokens belong to.
+    /// Start time of the server process that the tokens belong to.
     started_at: f64,
 }
 
-/// The time that buckets are refilled for.
+/// Parameters of a refill.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RefillPeriod {
     /// Seconds since the last refill.
     pub elapsed: f64,
-    /// The instance's rate over the usual one.
+    /// The instance's rate of migrations relative to the usual rate.
     pub pace: f64,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl MigrationPacer {
-    /// Refills the buckets.
+    /// Refills the buckets, and creates those of servers that are new or restarted.
     pub fn refill(
         &mut self,
         period: RefillPeriod,
@@ -61,7 +62,7 @@
         let total_weight: f64 = distribution.servers.iter().map(|server| server.weight).sum();
         for server in &distribution.servers {
             let rate = target_rate(server, view, distribution, total_weight);
-            // The first token comes at a random time, so that all instances' first migrations don't come together.
+            // The first token becomes available at a random time, so that the instances don't all migrate at once.
             let initial_debt = random_unit(rng);
             let new_bucket = TargetBucket { tokens: -initial_debt, started_at: server.started_at };
             let bucket = self.targets.entry(server.id).or_insert(new_bucket);
@@ -78,31 +79,31 @@
         self.tokens >= 1.0
     }
 
-    /// Whether a server may take a migration now.
+    /// Whether a connection may migrate to a server now.
     pub fn accepts(&self, target: ServerId) -> bool {
         self.targets.get(&target).is_some_and(|bucket| bucket.tokens >= 1.0)
     }
 
-    /// Takes the tokens of one migration.
+    /// Takes the tokens of one migration from both buckets.
     pub fn take_tokens(&mut self, target: ServerId) {
         self.charge_target(target);
         self.tokens -= 1.0;
     }
 
-    /// An attempt goes to a server for another reason: it counts against what the server takes.
+    /// Takes a token from a server's bucket for an attempt that is not a migration.
     pub fn charge_target(&mut self, target: ServerId) {
         if let Some(bucket) = self.targets.get_mut(&target) {
             bucket.tokens -= 1.0;
         }
     }
 
-    /// Forgets a server that takes no more connections.
+    /// Removes the bucket of a server that accepts no more connections.
     pub fn remove_target(&mut self, target: ServerId) {
         self.targets.remove(&target);
     }
 }
 
-/// Migrations a second that this instance may send to a server.
+/// Migrations per second that this instance may send to a server.
 fn target_rate(
     server: &ServerLoad,
     view: &InstanceView,
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -1,4 +1,4 @@
-//! The choice of the next migration: what it gains, what it costs, and which connections migrate together.
+//! Chooses the next migration by its gain and cost, and the connections that migrate together.
 
 use shorewharf_decisions::hashing::{random_rank, rendezvous_rank};
 use shorewharf_decisions::{RequestId, ServerId};
@@ -7,37 +7,40 @@
     BALANCE_TOLERANCE, GROUP_COST, LoadDistribution, PlacedConnection, ServerLoad,
 };
 
-/// Groups are opened on a cold server one after the other, in an order that all instances share, from this age on, in
-/// seconds, until it is warm: a group that all migrate at the same time is paid for at both ends for the shortest time.
+/// Age of a cold server, in seconds, at which the first group may be opened there. From then until the server is warm,
+/// groups are opened one after the other, in an order that is the same at all instances. If all instances migrate a
+/// group at the same time, the group has its cost on both servers only for a short time.
 const FIRST_GROUP_AGE: f64 = 1.0;
-/// Sources that are considered, the fullest first.
+/// Number of source servers considered, those with the highest utilization.
 const MAX_SOURCES: usize = 3;
-/// Targets that are considered, the emptiest first.
+/// Number of target servers considered, those with the lowest utilization.
 const MAX_TARGETS: usize = 12;
-/// Share of a connection's messages that a server at twice the mean utilization loses while there is capacity for all.
+/// Share of a connection's messages that are lost at a server with twice the mean utilization while no messages queue.
 const BALANCING_VALUE: f64 = 0.05;
-/// The same where messages already wait.
+/// The same where messages queue.
 const BALANCING_VALUE_WHEN_QUEUEING: f64 = 0.6;
-/// Utilization from which messages wait, and the range over which that grows to its full value.
+/// Utilization above which messages queue.
 const QUEUEING_FROM_UTILIZATION: f64 = 0.55;
+/// Range of utilization over which queueing grows to its full extent.
 const QUEUEING_UTILIZATION_RANGE: f64 = 0.35;
-/// Without comparable loads nobody knows how full a server is.
+/// The same where loads can't be compared with capacities, so that the servers' utilization is unknown.
 const BALANCING_VALUE_UNKNOWN: f64 = 0.1;
-/// Connections with less time left than this, in seconds, level by themselves as they come and go.
+/// Connections that last less than this, in seconds, are not migrated for balance while no messages queue: the load
+/// becomes balanced as connections end and new ones begin.
 const SELF_BALANCING_SECONDS: f64 = 30.0;
-/// What a migration gains has to be so many times its cost.
+/// Minimum ratio of a migration's gain to its cost.
 const MIN_GAIN_RATIO: f64 = 1.5;
 
-/// What a migration costs, as it was learned.
+/// The learned cost of a migration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MigrationCost {
-    /// Seconds from the migration to the client's return.
+    /// Mean time, in seconds, from the migration to the client's next request.
     pub reconnect_seconds: f64,
-    /// Seconds of a set-up.
+    /// Mean duration of a setup, in seconds.
     pub setup_seconds: f64,
-    /// Seconds that a connection has left.
+    /// Estimated remaining lifetime of a connection, in seconds.
     pub remaining_seconds: f64,
-    /// What the operator charges for a migration, over the value of a whole connection.
+    /// The operator's charge for a migration, as a share of the value of a whole connection.
     pub operator_charge: f64,
 }
 
@@ -53,7 +56,7 @@
 }
 
 impl MigrationCost {
-    /// Seconds of a client's service that its migration costs.
+    /// Returns the cost of one migration, in seconds of the client's service.
     pub fn seconds(&self) -> f64 {
         self.reconnect_seconds + self.setup_seconds + self.operator_charge * self.remaining_seconds
     }
@@ -62,14 +65,14 @@
 /// Why a connection migrates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MigrationReason {
-    /// Its group's own server is back, the one that all instances rank first.
+    /// The target ranks higher for the connection's group than its present server, at all instances.
     GroupHome,
-    /// Its server is fuller than the others.
+    /// The connection's server has a higher utilization than the others.
     Imbalance,
 }
 
 impl MigrationReason {
-    /// Its name in reports.
+    /// The reason's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             MigrationReason::GroupHome => "home",
@@ -81,38 +84,38 @@
 /// Connections that migrate together.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct MigrationBatch {
-    /// In the order in which they go, the heaviest first.
+    /// The connections in the order of their migration, the one with the highest load first.
     pub connections: Vec<RequestId>,
     pub from: ServerId,
     pub to: ServerId,
     pub reason: MigrationReason,
-    /// What it gains over what it costs.
+    /// Ratio of the gain to the cost.
     pub gain_ratio: f64,
 }
 
-/// Inputs of a choice beside the snapshot.
+/// Inputs of a choice besides the load distribution.
 pub(super) struct PlanningContext<'a> {
     pub now: f64,
     pub warm_up_time: f64,
     pub cost: MigrationCost,
-    /// Whether a server's pace lets it take a migration now.
+    /// Whether the pacing of a server permits a migration to it now.
     pub accepts: &'a dyn Fn(ServerId) -> bool,
 }
 
-/// A group's connections on a source, and a target that they might migrate to.
+/// A group's connections on a source server, and a possible target.
 struct Candidate<'a> {
     source: &'a ServerLoad,
     target: &'a ServerLoad,
     /// 0 for connections without a group.
     group: u64,
     members: &'a [PlacedConnection],
-    /// The group costs nothing more at the target: it is there already, or there is none.
+    /// Whether the migration adds the cost of the group to the target: this instance has no member of the group there.
     adds_group_cost: bool,
-    /// The target ranks higher for the group than the source, at all instances.
+    /// Whether the target ranks higher for the group than the source. The ranks are the same at all instances.
     is_group_home: bool,
 }
 
-/// The load that a migration takes from its source, and that it adds to its target.
+/// The load that a migration removes from its source and adds to its target.
 #[derive(Clone, Copy)]
 struct LoadShift {
     removed: f64,
@@ -120,7 +123,7 @@
 }
 
 impl LoadDistribution {
-    /// The migration that gains most for its cost, if any gains enough.
+    /// Returns the migration with the highest ratio of gain to cost, if any gains enough.
     pub fn best_migration(&self, context: &PlanningContext<'_>) -> Option<MigrationBatch> {
         let targets = self.targets(context);
         let mut best: Option<MigrationBatch> = None;
@@ -138,7 +141,7 @@
         best
     }
 
-    /// Indices of the servers that connections should leave, the fullest first.
+    /// Indices of the servers that connections should leave, by descending utilization.
     fn sources(&self) -> Vec<usize> {
         let mut sources: Vec<usize> = (0..self.servers.len()).collect();
         let min_utilization = self.mean_utilization * (1.0 + BALANCE_TOLERANCE);
@@ -148,7 +151,7 @@
         sources
     }
 
-    /// Indices of the servers that may take connections, the emptiest first.
+    /// Indices of the servers that connections may migrate to, by ascending utilization.
     fn targets(&self, context: &PlanningContext<'_>) -> Vec<usize> {
         let mut targets: Vec<usize> = (0..self.servers.len()).collect();
         targets.retain(|index| {
@@ -178,7 +181,7 @@
         Candidate { source, target, group, members, adds_group_cost, is_group_home }
     }
 
-    /// Plans a candidate, if it is possible and gains enough.
+    /// Plans the migration of a candidate, if it is possible and gains enough.
     fn plan(&self, context: &PlanningContext<'_>, candidate: &Candidate<'_>) -> Option<MigrationBatch> {
         let target = candidate.target;
         if candidate.adds_group_cost && !candidate.may_open_group(context) {
@@ -203,8 +206,8 @@
         })
     }
 
-    /// Which of a group's connections migrate: all of them, or the heaviest that fits if the group stays on both
-    /// servers.
+    /// The connections of a candidate that migrate. If the migration opens the group on the target, all of them have to
+    /// migrate; none does if one of them may not. Otherwise only the connection with the highest load that fits.
     fn migrating_connections(&self, candidate: &Candidate<'_>) -> Option<Vec<PlacedConnection>> {
         let mut leaving: Vec<PlacedConnection> =
             candidate.members.iter().filter(|member| member.may_migrate).copied().collect();
@@ -221,8 +224,9 @@
         leaving.iter().find(fits).map(|connection| vec![*connection])
     }
 
-    /// The load that migrates, with the cost of its group. A group that goes home is followed by the other instances'
-    /// part of it; another one is split from theirs.
+    /// The load that migrates, including the cost of its group. If the target ranks higher for the group, the other
+    /// instances will migrate their members as well and share the cost there; otherwise the group is split, and the
+    /// target has its full cost in addition.
     fn load_shift(&self, candidate: &Candidate<'_>, leaving: &[PlacedConnection]) -> LoadShift {
         let load: f64 = leaving.iter().map(|connection| connection.load).sum();
         let empties_group = candidate.group != 0 && leaving.len() == candidate.members.len();
@@ -235,7 +239,7 @@
         LoadShift { removed: load + saved, added: load + added }
     }
 
-    /// How much the sum of squared utilizations falls, in halves.
+    /// Half the decrease of the sum of the servers' squared utilizations, weighted by capacity.
     fn utilization_gain(&self, candidate: &Candidate<'_>, shift: LoadShift) -> f64 {
         let LoadShift { removed, added } = shift;
         let source_utilization = self.likely_utilization(candidate.source);
@@ -246,7 +250,7 @@
             - 0.5 * added * added / candidate.target.capacity
     }
 
-    /// What a client's service on this server gains for each unit of load that leaves it, by how full it is.
+    /// Gain in service on a server for each unit of load that leaves it, which depends on the server's utilization.
     fn balancing_value(&self, source: &ServerLoad, remaining_seconds: f64) -> f64 {
         let lasting_ratio =
             ((remaining_seconds - SELF_BALANCING_SECONDS) / SELF_BALANCING_SECONDS).clamp(0.0, 1.0);
@@ -261,7 +265,7 @@
 }
 
 impl Candidate<'_> {
-    /// Whether the group may be opened on the target by now.
+    /// Whether the first connection of the group may migrate to the target now.
     fn may_open_group(&self, context: &PlanningContext<'_>) -> bool {
         if !self.target.is_cold {
             return true;
