--- a/crates/recovery/src/capacity_shortage.rs
+++ b/crates/recovery/src/capacity_shortage.rs
@@ -1,35 +1,39 @@
-//! Log lines about a shortage of capacity: when clients begin to wait, how it goes on, and how it ended.
+//! Log lines about shortages of capacity: when clients begin to wait, periodically while they wait, and at the end.
 
 use shorewharf_decisions::interface::ServerState;
 
 use crate::capacity_estimate::FleetEstimate;
 
-/// A shortage is reported once clients have waited in this many checks in a row; a single wait is no news.
+/// Number of consecutive checks with waiting clients after which a shortage is reported; a single short wait is not.
 const CHECKS_TO_BEGIN: u32 = 2;
-/// A shortage is over once nobody has waited in this many checks in a row.
+/// Number of consecutive checks without waiting clients after which a shortage has ended.
 const CHECKS_TO_END: u32 = 5;
-/// An ongoing shortage is reported again after this many checks.
+/// Number of checks after which an ongoing shortage is reported again.
 const CHECKS_PER_REPORT: u32 = 10;
 
-/// Follows one shortage after the other. Checks are a second apart.
+/// Detects the begin and end of shortages. Checks are a second apart.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityShortage {
+    /// Whether a shortage has been reported and has not ended.
     is_reported: bool,
-    /// Checks since the shortage was reported, or since the last one ended.
+    /// Number of checks since the shortage was reported, or since the last one ended.
     checks: u32,
-    /// Checks in a row that contradict `is_reported`.
+    /// Number of consecutive checks that contradict `is_reported`.
     contradicting_checks: u32,
+    /// Number of clients rejected since clients began to wait.
     rejected: u64,
+    /// Largest number of waiting clients since clients began to wait.
     max_waiting: usize,
 }
 
 impl CapacityShortage {
-    /// Counts a rejected client.
+    /// Records a rejected client.
     pub fn on_rejected(&mut self) {
         self.rejected += 1;
     }
 
-    /// Checks whether clients wait; returns a line for the log where there is something to report.
+    /// Takes the present number of waiting clients into account; returns a log line if there is a change to report or a
+    /// periodic report is due.
     pub fn check(&mut self, waiting: usize, fleet: &FleetEstimate) -> Option<String> {
         self.max_waiting = self.max_waiting.max(waiting);
         self.checks += 1;
--- a/crates/recovery/src/controller/mod.rs
+++ b/crates/recovery/src/controller/mod.rs
@@ -1,8 +1,9 @@
-//! The overload controller of one instance: observes the decision module's events and actions, and out of them decides
-//! the level of service, whether a failed attempt may be retried, and which connections migrate.
+//! The overload controller of one instance. It observes the decision module's events and actions and decides the level
+//! of service, whether a failed attempt may be retried, and which connections migrate.
 //!
-//! It owns the level, the retry budget, the rebalancing and the view of servers and connections that they go by; what
-//! follows from events and actions is in `observation`. The decision module still decides everything about a request.
+//! The controller owns the level, the retry budget, the rebalancing, and the record of servers and connections that
+//! they use. Module `observation` handles events and actions. All other decisions about a request are made by the
+//! decision module.
 
 mod observation;
 
@@ -18,42 +19,42 @@
 use crate::retry_budget::{RetryBudget, RetryStats};
 pub use observation::HandledEvent;
 
-/// The token of the controller's timer; the decision module's tokens lie far below.
+/// Token of the controller's timer; the decision module's tokens are far smaller.
 pub const TIMER_TOKEN: u64 = 1 << 62;
 
-/// Which parts of the controller take effect; the others only count.
+/// Selects the parts of the controller that take effect; the others only collect statistics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerOptions {
-    /// Levels put their policies in force.
+    /// Whether the policy of the current level applies.
     pub levels: bool,
-    /// Retries need the budget's permit.
+    /// Whether retries need a permit of the retry budget.
     pub retry_budget: bool,
-    /// Established connections migrate towards balance.
+    /// Whether established connections are migrated to balance the load.
     pub rebalance: bool,
 }
 
 impl ControllerOptions {
-    /// Nothing takes effect.
+    /// No part takes effect.
     pub const OFF: ControllerOptions =
         ControllerOptions { levels: false, retry_budget: false, rebalance: false };
-    /// Everything takes effect.
+    /// All parts take effect.
     pub const ALL: ControllerOptions =
         ControllerOptions { levels: true, retry_budget: true, rebalance: true };
 }
 
-/// Demand and capacity of the whole fleet, as an estimate has them.
+/// An estimate of the whole fleet's demand and capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityEstimate {
-    /// Load that is asked for, in standard cores.
+    /// Load of all demand, in standard cores.
     pub demand: f64,
-    /// Load that the fleet can take.
+    /// Load that the fleet can take, in standard cores.
     pub capacity: f64,
-    /// The capacity may be off by this share of itself.
+    /// Relative uncertainty of the capacity.
     pub uncertainty: f64,
 }
 
 impl CapacityEstimate {
-    /// Demand over the most that the capacity may be; none without capacity.
+    /// Ratio of the demand to the largest capacity within the uncertainty; none if the capacity is 0.
     fn utilization(&self) -> Option<f64> {
         (self.capacity > 0.0).then(|| self.demand / (self.capacity * (1.0 + self.uncertainty)))
     }
@@ -62,15 +63,15 @@
 /// Statistics of the controller, for operators and reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControllerStats {
-    /// The level of service.
+    /// Statistics of the level of service.
     pub level: LevelStats,
-    /// The retry budget.
+    /// Statistics of the retry budget.
     pub retry: RetryStats,
-    /// Migrations.
+    /// Statistics of migrations.
     pub rebalance: RebalanceStats,
-    /// Health checks dropped because of the level.
+    /// Number of health checks dropped because of the level.
     pub dropped_probes: u64,
-    /// Requests rejected or failed, by the level that they met.
+    /// Number of requests rejected or failed, by the level at that time.
     pub rejected: BTreeMap<&'static str, u64>,
 }
 
@@ -88,17 +89,18 @@
     rebalancer: Rebalancer,
     capacity: Option<CapacityEstimate>,
     loop_lag: f64,
-    /// Since when discovery has failed without a list.
+    /// When discovery first failed after the last endpoint list; none while it works.
     discovery_failed_at: Option<f64>,
     backoff_clients: BackoffClients,
     probe_limiter: ProbeLimiter,
+    /// Changes of the level that have not been logged yet.
     unlogged_changes: Vec<LevelChange>,
-    /// Requests rejected or failed, by the level that they met.
+    /// Number of requests rejected or failed, by the level at that time.
     rejected: BTreeMap<&'static str, u64>,
 }
 
 impl OverloadController {
-    /// Creates a controller; all its randomness comes from `seed`.
+    /// Creates a controller; `seed` determines all its random values.
     pub fn new(settings: &Settings, seed: u64, options: ControllerOptions) -> Self {
         let mut controller = OverloadController {
             options,
@@ -122,7 +124,7 @@
         controller
     }
 
-    /// Applies other settings; what was learned stays.
+    /// Applies new settings and keeps the learned state.
     pub fn update_settings(&mut self, settings: &Settings) {
         let latency_objectives = settings.classes.iter().map(|class| class.message_latency_objective);
         self.fleet = FleetSettings {
@@ -135,17 +137,17 @@
         self.view.update_settings(settings);
     }
 
-    /// Applies other options.
+    /// Applies new options.
     pub fn set_options(&mut self, options: ControllerOptions) {
         self.options = options;
     }
 
-    /// The current level of service.
+    /// Returns the current level of service.
     pub fn level(&self) -> Level {
         self.levels.level()
     }
 
-    /// The policy in force.
+    /// Returns the policy that applies.
     pub fn policy(&self) -> LevelPolicy {
         if self.options.levels { self.level().policy() } else { Level::Normal.policy() }
     }
@@ -155,17 +157,17 @@
         self.capacity = Some(estimate);
     }
 
-    /// Sets by how many seconds the event loop runs behind.
+    /// Sets the delay of the event loop, in seconds.
     pub fn set_loop_lag(&mut self, seconds: f64) {
         self.loop_lag = seconds;
     }
 
-    /// A connection was asked to migrate by someone else.
+    /// Records that a connection was asked to migrate by other code than this controller.
     pub(crate) fn on_external_migration(&mut self, id: RequestId) {
         self.view.on_migration(id);
     }
 
-    /// Until when a server is no migration target, for a snapshot.
+    /// Returns the time before which a server is no migration target, for a snapshot.
     pub(crate) fn excluded_until(&self, server: ServerId) -> Option<f64> {
         self.view.excluded_until(server)
     }
@@ -180,12 +182,12 @@
         self.view.restore_mean_load(mean_load);
     }
 
-    /// Number of established connections of this instance.
+    /// Returns the number of established connections of this instance.
     pub fn established(&self) -> usize {
         self.view.established()
     }
 
-    /// Statistics since the start.
+    /// Returns the statistics since the start.
     pub fn stats(&self) -> ControllerStats {
         ControllerStats {
             level: self.levels.stats(),
--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -1,4 +1,4 @@
-//! What the controller does on the decision module's events and actions.
+//! Handles the decision module's events and actions in the overload controller.
 
 use shorewharf_decisions::interface::{Action, Event, Request, ServerEntry};
 use shorewharf_decisions::{Balancer, Outcome, RequestId, ServerId};
@@ -10,31 +10,34 @@
 
 /// Period of the controller's timer, in seconds.
 const TIMER_PERIOD: f64 = 0.5;
-/// The place of a migrating client at its new server is reserved for so long, in seconds: a pause and a retry.
+/// Duration of the reservation for a migrating client at its new server, in seconds: long enough for the client to
+/// pause and to retry once.
 const RESERVATION_SECONDS: f64 = 3.0;
-/// A message delay over this part of the shortest latency objective is slow, as in the decision module.
+/// A message delay is slow from this share of the shortest latency objective on, as in the decision module.
 const SLOW_DELAY_RATIO: f64 = 0.4;
-/// A server is slow for so long after it reported a slow delay, in seconds.
+/// Time for which a server counts as slow after it reported a slow delay, in seconds.
 const SLOW_SECONDS: f64 = 2.0;
-/// Migrations pause while this share of the ready servers is slow, since there is no capacity to migrate to.
+/// Migrations pause while at least this share of the servers in service is slow, since there is no capacity to migrate
+/// to.
 const MAX_SLOW_SERVERS_RATIO: f64 = 0.34;
 
-/// An event that the decision module has handled, and what it wants done.
+/// An event that the decision module has handled, with the resulting actions.
 #[derive(Debug)]
 pub struct HandledEvent<'a> {
     /// The event.
     pub event: &'a Event,
-    /// Index of the event's first action.
+    /// Index of the event's first action in `actions`.
     pub first_action: usize,
-    /// The actions; those before the event's own are left alone.
+    /// All actions; those before `first_action` are not changed.
     pub actions: &'a mut Vec<Action>,
 }
 
 impl OverloadController {
-    /// Observes an event before the decision module handles it. Returns false if the event was the controller's own
-    /// timer, which the decision module must not see.
+    /// Observes an event before the decision module handles it. Returns false if the event is the controller's own
+    /// timer, which must not be passed to the decision module.
     pub fn observe_event(&mut self, now: f64, event: &Event, balancer: &mut Balancer) -> bool {
-        // A waiting request is placed at a list or a timer: then the budget alone decides about retries.
+        // Without an ended attempt, as when a list or a timer places a waiting request, the budget and the level
+        // decide about retries.
         let mut permit = None;
         match event {
             Event::TimerFired(TIMER_TOKEN) => return false,
@@ -69,8 +72,8 @@
         true
     }
 
-    /// Observes the decision module's actions on an event. Removes what the level forbids, and appends migrations,
-    /// timers and log lines of its own.
+    /// Observes the decision module's actions for an event. Removes probes in excess of the level's limit, and appends
+    /// migrations, the controller's timer and log lines.
     pub fn observe_actions(&mut self, now: f64, handled: HandledEvent<'_>, balancer: &mut Balancer) {
         let HandledEvent { event, first_action: first, actions } = handled;
         let has_rejected = self.on_actions(now, &actions[first..]);
@@ -94,7 +97,7 @@
         actions.extend(lines.map(Action::Log));
     }
 
-    /// Takes in the decision module's actions; returns whether a client was rejected.
+    /// Records the decision module's actions; returns whether a client was rejected.
     fn on_actions(&mut self, now: f64, actions: &[Action]) -> bool {
         let mut has_rejected = false;
         for action in actions {
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Tells the rebalancer of a server that is no longer in service.
+    /// Informs the rebalancer if a server is no longer in service.
     fn report_if_out_of_service(&mut self, server: ServerId) {
         let is_in_service = match self.view.servers.get(&server) {
             Some(record) => record.is_in_service(),
@@ -166,8 +169,8 @@
         }
     }
 
-    /// An attempt or an established connection has ended. Returns whether the request may be retried, where that is
-    /// the question.
+    /// Records that an attempt or an established connection has ended. Returns whether the request may be retried; none
+    /// if it needs no retry.
     fn on_attempt_ended(
         &mut self,
         now: f64,
--- a/crates/recovery/src/instance_view/connection.rs
+++ b/crates/recovery/src/instance_view/connection.rs
@@ -1,20 +1,20 @@
-//! One connection of an instance, with its load so far.
+//! One connection of an instance, with its load over time.
 
 use shorewharf_decisions::ServerId;
 use shorewharf_decisions::interface::Request;
 
-/// The mean load counts as so many seconds of a connection's own load: its load just now is a poor
-/// estimate of its load once it has migrated.
+/// Weight of the mean load of all connections in a connection's expected load, in seconds of its own load. A
+/// connection's present load is a poor estimate of its load after a migration.
 const PRIOR_LOAD_SECONDS: f64 = 20.0;
 
-/// Where a connection is.
+/// The state of a connection and its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Placement {
-    /// It waits for a server.
+    /// The request waits for a server.
     Waiting,
-    /// An attempt is under way at this server.
+    /// An attempt is in progress at this server.
     Connecting(ServerId),
-    /// It is established at this server.
+    /// The connection is established at this server.
     Established(ServerId),
 }
 
@@ -22,21 +22,25 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Connection {
     pub placement: Placement,
+    /// Number of attempts so far.
     pub attempts: u32,
     /// The client's key; 0 for none.
     pub key: u64,
-    /// Its group; 0 for none.
+    /// The client's group; 0 for none.
     pub group: u64,
-    /// When it was established, or began to wait.
+    /// When the connection was established or, before that, when the request was received.
     pub since: f64,
-    /// The client had been connected before.
+    /// Whether the client had been connected before.
     pub is_returning: bool,
-    /// It was asked to migrate.
+    /// Whether the client was asked to migrate.
     pub is_migrating: bool,
+    /// The load last reported, or the load that the request announced.
     load: Option<f64>,
+    /// When the load was reported, or when the connection was established without a report.
     load_reported_at: f64,
-    /// The past loads' integral over time, and the time.
+    /// Integral of the load over time until `load_reported_at`.
     load_seconds: f64,
+    /// Time that `load_seconds` is taken over.
     loaded_seconds: f64,
 }
 
@@ -57,13 +61,14 @@
         }
     }
 
-    /// The load that it is expected to have from now on: its own mean so far, shrunk towards the mean of all.
+    /// The load that the connection is expected to have from now on: its own mean load so far, shrunk towards the mean
+    /// load of all connections.
     pub fn expected_load(&self, now: f64, mean_load: f64) -> f64 {
         let (load_seconds, seconds) = self.load_integral_until(now);
         (mean_load * PRIOR_LOAD_SECONDS + load_seconds) / (PRIOR_LOAD_SECONDS + seconds)
     }
 
-    /// The integral of its load until now, and the time that it is taken over.
+    /// The integral of the connection's load until now, and the time that it is taken over.
     fn load_integral_until(&self, now: f64) -> (f64, f64) {
         let elapsed = (now - self.load_reported_at).max(0.0);
         match self.load {
@@ -72,14 +77,14 @@
         }
     }
 
-    /// An attempt was established.
+    /// Records that an attempt was established.
     pub fn on_established(&mut self, now: f64, server: ServerId) {
         self.placement = Placement::Established(server);
         self.since = now;
         self.load_reported_at = now;
     }
 
-    /// The connection reports its load.
+    /// Records a load report.
     pub fn on_load(&mut self, now: f64, load: f64) {
         (self.load_seconds, self.loaded_seconds) = self.load_integral_until(now);
         self.load = Some(load);
--- a/crates/recovery/src/instance_view/mod.rs
+++ b/crates/recovery/src/instance_view/mod.rs
@@ -1,5 +1,5 @@
-//! What one instance knows of the servers and of its own connections: where each connection is, since when, and with
-//! what load. It decides nothing.
+//! The servers and connections of one instance, with each connection's server, age and load. This module only records
+//! observations; decisions are made by its users.
 
 mod connection;
 mod server_record;
@@ -14,16 +14,16 @@
 
 use crate::slow_start::SlowStart;
 
-/// Weight of one load report in the mean of all.
+/// Weight of one load report in the mean load.
 const MEAN_LOAD_WEIGHT: f64 = 0.02;
-/// A server that went without draining counts as missing for so long.
+/// Time for which a server that was removed without draining counts as missing capacity, in seconds.
 const MISSING_SECONDS: f64 = 300.0;
-/// The shortest warm-up time that migrations are paced by.
+/// Lower bound of the warm-up time, in seconds, since the rate of migrations is divided by it.
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
-/// Servers remembered at most.
+/// Maximum number of servers recorded.
 const MAX_SERVERS: usize = 4096;
 
-/// A connection whose attempt, or which itself, has ended.
+/// An attempt or established connection that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub connection: Connection,
@@ -31,12 +31,12 @@
     pub was_established: bool,
 }
 
-/// What changed with an endpoint list.
+/// The changes that an endpoint list has made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ListChanges {
-    /// Servers that are no longer ready.
+    /// Number of servers that are no longer ready.
     pub lost: u32,
-    /// Servers whose process was started anew.
+    /// Number of servers whose process was started or restarted.
     pub started: u32,
 }
 
@@ -45,10 +45,12 @@
 pub(crate) struct InstanceView {
     pub servers: BTreeMap<ServerId, ServerRecord>,
     pub connections: BTreeMap<RequestId, Connection>,
+    /// Number of established connections.
     established: usize,
-    /// Mean load of a connection, in the unit of list weights; none before the first load report.
+    /// Mean load of a connection, in the unit of listed weights; none before the first load report.
     mean_load: Option<f64>,
     slow_start: SlowStart,
+    /// Whether listed weights describe the sizes of the servers; false if they are uniform.
     has_weights: bool,
 }
 
@@ -71,12 +73,12 @@
         self.has_weights = settings.weight_kind != WeightKind::Uniform;
     }
 
-    /// The mean load of a connection; 1 before the first load report, so that loads are head counts.
+    /// The mean load of a connection; 1 before the first load report, so that loads count connections.
     pub fn mean_load(&self) -> f64 {
         self.mean_load.unwrap_or(1.0)
     }
 
-    /// Whether loads and weights have the same unit.
+    /// Whether loads and weights are in the same unit, so that they can be compared.
     pub fn has_comparable_loads(&self) -> bool {
         self.has_weights && self.mean_load.is_some()
     }
@@ -85,18 +87,18 @@
         self.slow_start.warm_up_time
     }
 
-    /// The share of its warm capacity that a server has reached by the platform's slow start.
+    /// The share of its warm capacity that a server has reached in its slow start.
     pub fn warm_up_ratio(&self, server: &ServerRecord, now: f64) -> f64 {
         self.slow_start.warm_up_ratio(&server.entry, now)
     }
 
-    /// A server's listed size; 1 where weights say nothing.
+    /// A server's listed weight; 1 if weights are uniform or the listed weight is invalid.
     pub fn weight(&self, server: &ServerRecord) -> f64 {
         let weight = server.entry.weight;
         if self.has_weights && weight.is_finite() && weight > 0.0 { weight } else { 1.0 }
     }
 
-    /// Takes in an endpoint list, the whole of it or changes.
+    /// Applies an endpoint list; a list that is not complete contains only changed entries.
     pub fn on_endpoint_list(&mut self, now: f64, is_complete: bool, entries: &[ServerEntry]) -> ListChanges {
         let listed: BTreeMap<ServerId, ServerEntry> = entries.iter().map(|e| (e.server, *e)).collect();
         let lost = self.update_states(now, is_complete, &listed);
@@ -108,7 +110,7 @@
         ListChanges { lost, started }
     }
 
-    /// Updates the states of known servers; returns how many are no longer ready.
+    /// Updates the states of known servers; returns the number of those that are no longer ready.
     fn update_states(
         &mut self,
         now: f64,
@@ -133,7 +135,7 @@
         lost
     }
 
-    /// Adds or updates the servers of a list; returns how many were started anew.
+    /// Adds or updates the servers of a list; returns the number of those that were started or restarted.
     fn add_servers(&mut self, now: f64, listed: &BTreeMap<ServerId, ServerEntry>) -> u32 {
         let mut started = 0;
         for (id, entry) in listed.iter().filter(|(_, entry)| entry.state != ServerState::Removed) {
@@ -144,7 +146,7 @@
                 {
                     server.entry = *entry;
                 }
-                // What was learned of an earlier process does not apply to this one.
+                // State learned about an earlier process of the server does not apply to this one.
                 known => {
                     let is_recent = known.is_some() || now - entry.started_at < self.slow_start.warm_up_time;
                     started += u32::from(entry.started_at > 0.0 && is_recent);
@@ -157,7 +159,7 @@
         started
     }
 
-    /// Listed capacity in service over all that is known, servers that drain aside.
+    /// Ratio of the listed capacity in service to that of all known servers, without draining servers.
     pub fn capacity_in_service(&self, now: f64) -> f64 {
         let (mut in_service, mut total) = (0.0, 0.0);
         let not_draining = |server: &&ServerRecord| server.entry.state != ServerState::Draining;
@@ -169,12 +171,12 @@
         if total > 0.0 { in_service / total } else { 1.0 }
     }
 
-    /// A request was received.
+    /// Records a request that was received.
     pub fn on_request(&mut self, now: f64, request: &Request) {
         self.connections.insert(request.id, Connection::new(request, Placement::Waiting, now));
     }
 
-    /// A connection was established before the start of this instance.
+    /// Records a connection that was established before the start of this instance.
     pub fn on_restored(&mut self, now: f64, request: &Request, server: ServerId) {
         let mut connection = Connection::new(request, Placement::Established(server), now);
         connection.attempts = 1;
@@ -187,7 +189,7 @@
         self.established
     }
 
-    /// An attempt was sent; returns its connection.
+    /// Records an attempt that was sent; returns its connection.
     pub fn on_attempt(&mut self, id: RequestId, server: ServerId) -> Option<Connection> {
         let connection = self.connections.get_mut(&id)?;
         connection.placement = Placement::Connecting(server);
@@ -195,7 +197,7 @@
         Some(*connection)
     }
 
-    /// An attempt was established; returns the server, and the connection as it was while it waited.
+    /// Records that an attempt was established; returns the server and the connection's previous state.
     pub fn on_established(&mut self, now: f64, id: RequestId) -> Option<(ServerId, Connection)> {
         let connection = self.connections.get_mut(&id)?;
         let Placement::Connecting(server) = connection.placement else { return None };
@@ -208,7 +210,7 @@
         Some((server, waiting))
     }
 
-    /// A connection reports its load.
+    /// Records a load report of a connection.
     pub fn on_load(&mut self, now: f64, id: RequestId, load: f64) {
         if !(load.is_finite() && load > 0.0) {
             return;
@@ -220,7 +222,7 @@
         }
     }
 
-    /// An attempt or an established connection has ended.
+    /// Records that an attempt or an established connection has ended.
     pub fn on_attempt_ended(
         &mut self,
         now: f64,
@@ -246,7 +248,7 @@
         Some(EndedAttempt { connection, server, was_established })
     }
 
-    /// Until when a server is no migration target, where attempts have failed there.
+    /// The time before which a server is no migration target; none if no attempt failed there.
     pub fn excluded_until(&self, server: ServerId) -> Option<f64> {
         self.servers.get(&server).map(|record| record.excluded_until).filter(|until| until.is_finite())
     }
@@ -259,28 +261,28 @@
         }
     }
 
-    /// Restores the mean load from a snapshot, unless a load was reported here.
+    /// Restores the mean load from a snapshot, unless a load was reported to this instance.
     pub fn restore_mean_load(&mut self, mean_load: f64) {
         if mean_load > 0.0 {
             self.mean_load.get_or_insert(mean_load);
         }
     }
 
-    /// A probe has ended.
+    /// Records the result of a probe.
     pub fn on_probe_ended(&mut self, server: ServerId, outcome: Outcome) {
         if let Some(record) = self.servers.get_mut(&server) {
             record.is_unreachable = outcome != Outcome::Ok;
         }
     }
 
-    /// A request was answered, or its client has left.
+    /// Removes a waiting request that was answered or whose client has left.
     pub fn on_answered(&mut self, id: RequestId) {
         if self.connections.get(&id).is_some_and(|connection| connection.placement == Placement::Waiting) {
             self.connections.remove(&id);
         }
     }
 
-    /// A connection was asked to migrate.
+    /// Records that a connection was asked to migrate.
     pub fn on_migration(&mut self, id: RequestId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.is_migrating = true;
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -1,7 +1,7 @@
-//! The decision module with overload protection around it: takes events and returns actions as [`Balancer`] does.
+//! The decision module with overload protection: takes events and returns actions like [`Balancer`].
 //!
-//! It owns the decision module, the controller, the capacity estimates and the queue of rejected clients, and passes
-//! events through them in a fixed order.
+//! It owns the decision module, the overload controller, the capacity estimates and the queue of rejected clients, and
+//! passes events through them in a fixed order.
 
 use shorewharf_decisions::interface::{Action, Event, Request};
 use shorewharf_decisions::persistence::RestoreCounts;
@@ -13,10 +13,10 @@
 use crate::retry_after::RetryAfterQueue;
 use crate::snapshot_state::{ExportCursor, LoadModel, ServerCapacity, SnapshotEntry};
 
-/// Period of the checks for a shortage of capacity, in seconds.
+/// Minimum time between two checks for a shortage of capacity, in seconds.
 const SHORTAGE_CHECK_PERIOD: f64 = 1.0;
 
-/// The decision module behind the overload controller.
+/// The decision module with the overload controller around it.
 #[derive(Debug)]
 pub struct ProtectedBalancer {
     balancer: Balancer,
@@ -25,21 +25,21 @@
     retry_after: RetryAfterQueue,
     shortage: CapacityShortage,
     shortage_checked_at: f64,
-    /// Buffer for the events that the estimator announces.
+    /// Buffer for the events that the estimator announces; empty between calls.
     announced: Vec<Event>,
 }
 
-/// Clients of this instance that wait for capacity.
+/// Numbers of clients that wait for capacity at this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitingClients {
-    /// Requests that are held until a server has capacity.
+    /// Number of deferred requests, which wait until a server has capacity.
     pub held: usize,
-    /// Estimated number of rejected clients that were told when to come back.
+    /// Estimated number of rejected clients that wait for the time of their Retry-After.
     pub in_backoff: f64,
 }
 
 impl ProtectedBalancer {
-    /// Creates a decision module with its protection; all randomness comes from `seed`.
+    /// Creates a decision module with overload protection; `seed` determines all random values.
     pub fn new(settings: Settings, seed: u64, options: ControllerOptions) -> Self {
         ProtectedBalancer {
             controller: OverloadController::new(&settings, seed, options),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Handles one event and appends the actions that follow.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         let first = actions.len();
         self.estimator.observe_event(now, &event, &self.balancer);
@@ -74,7 +74,7 @@
         self.controller.observe_actions(now, handled, &mut self.balancer);
     }
 
-    /// Tells rejected clients when to come back.
+    /// Sets the Retry-After of rejections, and records admissions, which determine it.
     fn set_retry_after(&mut self, now: f64, actions: &mut [Action]) {
         for action in actions {
             match action {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Applies other settings and options; what was learned stays.
+    /// Applies new settings and options and keeps the learned state.
     pub fn update_settings(&mut self, settings: Settings, options: ControllerOptions) {
         self.controller.set_options(options);
         self.controller.update_settings(&settings);
@@ -97,32 +97,32 @@
         self.balancer.update_settings(settings);
     }
 
-    /// A connection was asked to migrate by someone else.
+    /// Records that a connection was asked to migrate by other code than the overload controller.
     pub fn on_external_migration(&mut self, id: RequestId) {
         self.controller.on_external_migration(id);
     }
 
-    /// The estimates of what the fleet can take.
+    /// Returns the current capacity estimates of the fleet.
     pub fn fleet(&self, now: f64) -> FleetEstimate {
         self.estimator.fleet(now, &self.balancer)
     }
 
-    /// What is known of an established connection: its request, and its load where that was reported.
+    /// Returns an established connection's request, and its load if it has reported one.
     pub fn established(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
         self.balancer.established(id)
     }
 
-    /// The connections of this instance, for gossip with other balancers.
+    /// Returns the connections of this instance, for gossip with other balancers.
     pub fn holdings(&self) -> Vec<Holding> {
         self.balancer.holdings()
     }
 
-    /// Servers that get no new connections now.
+    /// Returns the servers that get no new connections now.
     pub fn unavailable_servers(&self, now: f64) -> Vec<ServerId> {
         self.balancer.unavailable_servers(now)
     }
 
-    /// Clients that wait for capacity here.
+    /// Returns the numbers of clients that wait for capacity at this instance.
     pub fn waiting(&self, now: f64) -> WaitingClients {
         WaitingClients {
             held: self.balancer.waiting_requests(),
@@ -130,17 +130,18 @@
         }
     }
 
-    /// The overload controller.
+    /// Returns the overload controller.
     pub fn controller(&self) -> &OverloadController {
         &self.controller
     }
 
-    /// The overload controller, for what it can't observe itself.
+    /// Returns the overload controller, to supply the values that it can't observe itself.
     pub fn controller_mut(&mut self) -> &mut OverloadController {
         &mut self.controller
     }
 
-    /// Exports learned state from a cursor on, `most` entries at most; returns where to go on from.
+    /// Appends learned state from a cursor on and returns the cursor for the next call. One call exports at most
+    /// `max_entries` records of the decision module or of servers.
     pub fn export_state(
         &self,
         from: ExportCursor,
@@ -188,8 +189,8 @@
         if exported < max_entries { ExportCursor::End } else { ExportCursor::Servers(last) }
     }
 
-    /// Restores what an earlier instance exported `age` seconds ago. The endpoint list must have been handled first.
-    /// If its `connections_are_lost`, clients that were connected are expected to come back.
+    /// Restores state that an earlier instance exported `age` seconds ago. An endpoint list must have been handled
+    /// before. If `connections_are_lost`, the clients that were connected are expected to reconnect.
     pub fn restore_state(
         &mut self,
         now: f64,
--- a/crates/recovery/src/snapshot_state.rs
+++ b/crates/recovery/src/snapshot_state.rs
@@ -1,6 +1,6 @@
-//! The learned state of an instance in the form in which a snapshot stores it: what the decision module exports, and
-//! what this package adds. Names of stored fields and variants are fixed by the snapshot's version; they are mapped to
-//! the names used in the code here and nowhere else.
+//! The learned state of an instance as a snapshot stores it: the records that the decision module exports, and those
+//! of this package. The names of stored fields and variants are fixed by the version of the snapshot format; the
+//! attributes in this module map them to the names used in the code.
 
 use serde::{Deserialize, Serialize};
 use shorewharf_decisions::interface::ServerId;
@@ -9,45 +9,45 @@
 /// One record of learned state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SnapshotEntry {
-    /// State of the decision module.
+    /// A record of the decision module.
     #[serde(rename = "module")]
     Balancer(StateRecord),
-    /// What is known of loads and set-ups as a whole.
+    /// Learned state about loads and setups at all servers.
     #[serde(rename = "loads")]
     LoadModel(LoadModel),
-    /// What is known of one server's capacity.
+    /// Learned state about one server's capacity.
     #[serde(rename = "bears")]
     ServerCapacity(ServerCapacity),
 }
 
-/// What is known of loads and set-ups, over all servers.
+/// Learned state about loads and setups at all servers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadModel {
-    /// Mean load of an established connection, in the unit of list weights; 0 while unknown.
+    /// Mean load of an established connection, in the unit of listed weights; 0 while unknown.
     #[serde(rename = "mean")]
     pub mean_load: f64,
-    /// Number of load reports that the mean is taken over.
+    /// Number of load reports that contributed to the mean.
     #[serde(rename = "loads")]
     pub load_samples: f64,
-    /// Natural logarithm of the work of a usual set-up.
+    /// Natural logarithm of the work of a usual setup, in the unit of listed weights times seconds.
     #[serde(rename = "work")]
     pub log_setup_work: f64,
-    /// Number of set-ups that the work was learned from.
+    /// Number of setups that the work was learned from.
     #[serde(rename = "set_ups")]
     pub setup_samples: f64,
 }
 
-/// What is known of one server's capacity.
+/// Learned state about one server's capacity.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerCapacity {
     /// The server's id.
     pub server: u64,
-    /// When its process started, as listed.
+    /// Start time of the server's process in the endpoint list.
     #[serde(rename = "born")]
     pub started_at: f64,
-    /// Load that this instance may put on the server, over its even share of the listed size.
+    /// Load that this instance may put on the server, divided by its even share of the server's listed capacity.
     pub factor: f64,
-    /// When the server last reported slow messages; none if it never did.
+    /// When the server last reported slow messages; none if it never has.
     #[serde(rename = "noted")]
     pub slow_reported_at: Option<f64>,
     /// The server is no migration target before this time; none if no attempt failed there.
@@ -55,14 +55,14 @@
     pub excluded_until: Option<f64>,
 }
 
-/// How far an export has come.
+/// Position up to which learned state has been exported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ExportCursor {
-    /// In the decision module's state.
+    /// At this position in the decision module's records.
     Balancer(shorewharf_decisions::persistence::ExportCursor),
-    /// Behind this server.
+    /// In this package's records, after those of this server; at their beginning if none.
     Servers(Option<ServerId>),
-    /// Everything was exported.
+    /// All state was exported.
     End,
 }
 
