--- a/crates/recovery/tests/levels.rs
+++ b/crates/recovery/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Levels under load that swings, and the retry budget under correlated failures.
+//! The level of service under a fluctuating load, and the retry budget under correlated failures.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 };
 use shorewharf_recovery::retry_budget::{RetryBudget, RetryPermit};
 
-/// Signals of about this severity.
+/// Signals with about this severity.
 fn signals(severity: f64) -> LoadSignals {
     let backoff_ratio = match severity {
         s if s <= 1.0 => 0.03 * s,
@@ -21,7 +21,8 @@
     LoadSignals { backoff_ratio, ..LoadSignals::default() }
 }
 
-fn changes_under(severities: impl Iterator<Item = f64>, step: f64) -> Vec<LevelChange> {
+/// Returns the level changes caused by a sequence of severities, `step` seconds apart.
+fn level_changes(severities: impl Iterator<Item = f64>, step: f64) -> Vec<LevelChange> {
     let mut levels = LevelController::new();
     severities
         .enumerate()
@@ -32,25 +33,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(8), cases: 200, ..ProptestConfig::default() })]
 
-    /// Load that hovers at a threshold, in any rhythm, made the level flap; operators stop reading what flaps.
+    /// Guards against a flapping level: a load that fluctuated around a threshold changed the level so often that
+    /// operators ignored the changes.
     #[test]
-    fn load_that_hovers_changes_the_level_once_in_thirty_seconds_at_most(
+    fn a_load_that_fluctuates_around_a_threshold_changes_the_level_at_most_once_in_thirty_seconds(
         threshold in 1usize..4,
         swings in prop::collection::vec((1u32..400, -0.9f64..0.9), 1..60),
     ) {
         let base = threshold as f64;
         let severities = swings.iter().flat_map(|(n, off)| std::iter::repeat_n(base + off, *n as usize));
-        let changes = changes_under(severities, 0.25);
-        // From calm to a threshold above the first the level may jump, but that is one change.
+        let changes = level_changes(severities, 0.25);
+        // The level may skip levels on the way from normal to the threshold, but that is a single change.
         for pair in changes.windows(2) {
             prop_assert!(pair[1].at - pair[0].at >= MIN_SECONDS_BETWEEN_CHANGES, "{} after {}", pair[1], pair[0]);
         }
     }
 
-    /// Whatever happens: only what is clearly worse changes a level sooner, nothing gets better before its cause has
-    /// been gone for long enough, and what is due is done at once.
+    /// For any load: an early change needs a clearly higher severity, the level improves only after its cause has been
+    /// absent for long enough, and a regular change to a worse level is made at once.
     #[test]
-    fn any_load_at_all_gets_worse_at_once_and_better_late(
+    fn the_level_worsens_at_once_and_improves_only_after_its_cause_was_absent(
         swings in prop::collection::vec((1u32..300, 0.0f64..4.0), 1..60),
     ) {
         let severities: Vec<f64> =
@@ -63,26 +65,31 @@
             let change = levels.update(now, &signals(*severity));
             if now - last >= MIN_SECONDS_BETWEEN_CHANGES {
                 let due = Level::ALL[(*severity - 1e-9).max(0.0) as usize];
-                prop_assert!(levels.level() >= due, "severity {severity} is not acted on at {now}");
+                prop_assert!(levels.level() >= due, "severity {severity} did not change the level at {now}");
             }
             let Some(change) = change else { continue };
             if change.to > change.from {
-                let clear = change.severity >= change.to as usize as f64 + EARLY_CHANGE_MARGIN - 1e-9;
-                prop_assert!(now - last >= MIN_SECONDS_BETWEEN_CHANGES || clear, "{change} is too soon after {last}");
+                let has_margin = change.severity >= change.to as usize as f64 + EARLY_CHANGE_MARGIN - 1e-9;
+                prop_assert!(
+                    now - last >= MIN_SECONDS_BETWEEN_CHANGES || has_margin,
+                    "{change} is too soon after {last}"
+                );
             } else {
                 prop_assert!(now - last >= MIN_SECONDS_BETWEEN_CHANGES, "{change} is too soon after {last}");
-                let quiet = &severities[index.saturating_sub((MIN_SECONDS_BETWEEN_CHANGES / 0.25) as usize - 1)..=index];
+                let steps = (MIN_SECONDS_BETWEEN_CHANGES / 0.25) as usize;
+                let recent = &severities[index.saturating_sub(steps - 1)..=index];
                 let cause = before as usize as f64 - HYSTERESIS;
-                prop_assert!(quiet.iter().all(|s| *s < cause + 1e-9), "{change}: its cause is not gone");
+                prop_assert!(recent.iter().all(|s| *s < cause + 1e-9), "{change}: the cause was still present");
             }
             last = now;
         }
     }
 }
 
-/// A server's end and an old list that shows it gone and back must not flap the level, and each change must say why.
+/// A stale list in which servers disappear and reappear must not make the level flap, and each change must be logged
+/// with its cause.
 #[test]
-fn an_old_list_takes_nothing_for_over_and_each_change_names_its_figures() {
+fn a_stale_list_does_not_end_a_level_and_each_change_reports_its_signals() {
     let mut levels = LevelController::new();
     let missing = |capacity_in_service, list_age| LoadSignals {
         capacity_in_service,
@@ -99,9 +106,10 @@
         let in_service = if i % 7 < 3 { 0.5 } else { 1.0 };
         levels.update(f64::from(i), &missing(in_service, 1.2))
     });
-    assert_eq!(flaps.count(), 0, "the list is old: what it says of servers is hearsay");
-    let better =
-        (400..500).find_map(|i| levels.update(f64::from(i), &missing(1.0, 0.0))).expect("it is over");
+    assert_eq!(flaps.count(), 0, "a stale list must not change the level");
+    let better = (400..500)
+        .find_map(|i| levels.update(f64::from(i), &missing(1.0, 0.0)))
+        .expect("the level improves once all servers are back");
     assert_eq!((better.to, better.at), (Level::Normal, 429.0));
     let stats = levels.stats();
     assert_eq!(stats.changes, BTreeMap::from([("normal none".into(), 1), ("strained servers".into(), 1)]));
@@ -111,30 +119,31 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(8), cases: 100, ..ProptestConfig::default() })]
 
-    /// Repeats without a bound multiply the work of a fleet that has too much of it.
+    /// Guards against unlimited retries, which multiply the load of a fleet that is already overloaded.
     #[test]
-    fn repeats_stay_within_the_share_that_first_attempts_earn(
+    fn retries_stay_within_the_share_earned_by_first_attempts(
         seed: u64,
         calls in prop::collection::vec((0u8..4, 0u64..6, 1u32..4), 1..600),
     ) {
         let mut budget = RetryBudget::new(seed);
-        let (mut first, mut repeats) = (0.0, 0.0);
+        let (mut first, mut retries) = (0.0, 0.0);
         for (i, (call, server, attempts)) in calls.into_iter().enumerate() {
             let now = i as f64 * 0.1;
             match call {
                 0 => { budget.on_first_attempt(); first += 1.0; }
                 1 => budget.on_outcome(now, ServerId(server), Outcome::Ok),
                 2 => budget.on_outcome(now, ServerId(server), Outcome::Rejected),
-                _ => if budget.request_permit(now, attempts).is_granted() { budget.on_retry(now); repeats += 1.0; }
+                _ => if budget.request_permit(now, attempts).is_granted() { budget.on_retry(now); retries += 1.0; }
             }
-            prop_assert!(repeats <= 10.0 + 0.25 * first, "{repeats} repeats of {first} attempts");
+            prop_assert!(retries <= 10.0 + 0.25 * first, "{retries} retries for {first} first attempts");
         }
     }
 }
 
-/// One server that dies must cost its clients nothing; a fleet that fails alike must not be tried twice by everybody.
+/// The failure of a single server must not suspend the budget, so that its clients are retried elsewhere. Failures with
+/// a common cause must suspend it, so that not every client's attempt is sent twice.
 #[test]
-fn the_budget_closes_for_failures_that_are_alike_and_opens_by_itself() {
+fn correlated_failures_suspend_the_retry_budget_until_a_trial_succeeds() {
     let mut budget = RetryBudget::new(5);
     for i in 0..40 {
         let now = f64::from(i) * 0.05;
@@ -144,20 +153,24 @@
         assert_eq!(
             budget.request_permit(now, 1),
             RetryPermit::Granted,
-            "one server of five says nothing of the rest"
+            "the failure of one server of five is not correlated"
         );
     }
     assert_eq!(budget.request_permit(2.0, 3), RetryPermit::RequestLimit);
     budget.on_outcome(6.0, ServerId(1), Outcome::Rejected);
     budget.on_outcome(6.1, ServerId(2), Outcome::Rejected);
     assert_eq!((budget.request_permit(6.2, 1), budget.stats().suspensions), (RetryPermit::Correlated, 1));
-    // The first trial fails with others: closed for longer. The second one finds servers that answer.
+    // The first trial fails and doubles the suspension; the second one succeeds.
     assert_eq!(budget.request_permit(8.7, 1), RetryPermit::Trial);
     budget.on_retry(8.7);
-    assert_eq!(budget.request_permit(8.7, 1), RetryPermit::Correlated, "one trial at a time");
+    assert_eq!(budget.request_permit(8.7, 1), RetryPermit::Correlated, "only one trial at a time");
     budget.on_outcome(8.8, ServerId(1), Outcome::TimedOut);
     budget.on_outcome(8.8, ServerId(3), Outcome::Rejected);
-    assert_eq!(budget.request_permit(11.0, 1), RetryPermit::Correlated, "a failed trial doubles the wait");
+    assert_eq!(
+        budget.request_permit(11.0, 1),
+        RetryPermit::Correlated,
+        "a failed trial doubles the suspension"
+    );
     assert_eq!(budget.request_permit(13.9, 1), RetryPermit::Trial);
     budget.on_retry(13.9);
     budget.on_outcome(14.0, ServerId(3), Outcome::Ok);
