--- a/crates/recovery/tests/capacity_estimate.rs
+++ b/crates/recovery/tests/capacity_estimate.rs
@@ -1,4 +1,4 @@
-//! What is learned of servers: each test names what would be believed wrongly.
+//! Capacity estimates learned from message delays, setup times and the absence of delay reports.
 
 use proptest::prelude::*;
 use shorewharf_decisions::interface::{
@@ -6,7 +6,7 @@
 };
 use shorewharf_recovery::capacity_estimate::{CapacityEstimator, LocalLoad};
 
-/// This balancer has the same load on every server.
+/// The same load from this balancer on every server.
 struct SameLoad(f64);
 
 impl LocalLoad for SameLoad {
@@ -32,7 +32,7 @@
     Event::EndpointList { is_complete: true, is_cached: false, entries: entries.to_vec().into() }
 }
 
-/// An estimator that knows servers 1 and 2, warm, and was told of a load.
+/// An estimator with two warm servers, 1 and 2, that has received one load report.
 fn estimator_with_two_servers(load: &SameLoad) -> CapacityEstimator {
     let mut estimator = CapacityEstimator::new(&settings());
     estimator.observe_event(0.0, &endpoint_list(&[entry(1, 0.0), entry(2, 0.0)]), load);
@@ -49,38 +49,39 @@
 }
 
 #[test]
-fn a_growing_backlog_tells_the_load_and_a_draining_one_is_no_reason_to_give_way() {
+fn a_growing_backlog_determines_the_capacity_and_a_shrinking_one_does_not_reduce_it() {
     let load = SameLoad(3.0);
     let mut estimator = estimator_with_two_servers(&load);
     report_delay(&mut estimator, 1.0, &load, 0.1);
     report_delay(&mut estimator, 2.0, &load, 0.3);
-    // 20 % a second too much: of two balancers that load 3 there each, it bears 5.
+    // The backlog grows by 20 % of the capacity per second under a load of 3 from each of two balancers, so that the
+    // capacity is 5.
     assert!(
         (capacity(&estimator, 2.0, &load, 1) - 5.0).abs() < 0.01,
         "{}",
         capacity(&estimator, 2.0, &load, 1)
     );
-    // Nothing more was sent and the backlog drains at 15 % a second: the server is not to be kept empty for it.
+    // The backlog shrinks by 15 % of the capacity per second: a server that works off its backlog keeps its load.
     let before = capacity(&estimator, 2.0, &load, 1);
     report_delay(&mut estimator, 3.0, &load, 0.15);
     assert!(capacity(&estimator, 3.0, &load, 1) > before);
-    assert!(capacity(&estimator, 3.0, &load, 2) >= 8.0, "nothing was heard of the other one");
+    assert!(capacity(&estimator, 3.0, &load, 2) >= 8.0, "no delay was reported for server 2");
 }
 
 #[test]
-fn silence_at_the_bound_gives_more_and_silence_below_it_nothing() {
-    for (load, more) in [(SameLoad(3.4), true), (SameLoad(1.0), false)] {
+fn the_capacity_grows_without_delay_reports_only_at_the_load_limit() {
+    for (load, grows) in [(SameLoad(3.4), true), (SameLoad(1.0), false)] {
         let mut estimator = estimator_with_two_servers(&load);
         for second in 1..=5 {
             estimator.observe_event(f64::from(second), &Event::TimerFired(0), &load);
         }
-        assert_eq!(capacity(&estimator, 5.0, &load, 1) > 8.5, more, "{}", load.0);
+        assert_eq!(capacity(&estimator, 5.0, &load, 1) > 8.5, grows, "load {}", load.0);
     }
 }
 
 #[test]
-fn set_ups_that_take_long_lower_the_bound_before_messages_do() {
-    // Full enough for times to speak, and below the bound, where silence would raise it.
+fn long_setups_lower_the_capacity_before_any_delay_report() {
+    // High enough for setup times to count, but below the load limit, where the capacity would grow.
     let load = SameLoad(2.2);
     let mut estimator = estimator_with_two_servers(&load);
     for i in 0..60_u32 {
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_restarted_server_is_another_one_and_fills_with_its_ramp() {
+fn a_restarted_server_loses_its_learned_capacity_and_follows_slow_start() {
     let load = SameLoad(0.1);
     let mut estimator = estimator_with_two_servers(&load);
     report_delay(&mut estimator, 1.0, &load, 0.1);
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn nothing_is_told_before_loads_have_a_unit() {
+fn nothing_is_announced_before_the_first_load_report() {
     let load = SameLoad(3.0);
     let (mut estimator, mut announced) = (CapacityEstimator::new(&settings()), Vec::new());
     estimator.observe_event(0.0, &endpoint_list(&[entry(1, 0.0)]), &load);
@@ -118,25 +119,31 @@
 
 proptest! {
     #[test]
-    fn bounds_stay_within_reason_whatever_is_heard(
-        heard in prop::collection::vec((0.0..2.0_f64, any::<f64>(), any::<f64>(), 0..4_u8), 1..60),
+    fn announced_estimates_stay_within_their_range_for_any_events(
+        events in prop::collection::vec((0.0..2.0_f64, any::<f64>(), any::<f64>(), 0..4_u8), 1..60),
     ) {
         let mut estimator = estimator_with_two_servers(&SameLoad(1.0));
         let (mut now, mut announced) = (0.0, Vec::new());
-        for (pass, x, load, what) in heard {
-            now += pass;
+        for (pause, value, load, kind) in events {
+            now += pause;
             let load = SameLoad(if load.is_finite() { load.abs().min(1e6) } else { 0.0 });
-            match what {
-                0 => report_delay(&mut estimator, now, &load, x),
-                1 => estimator.observe_event(now, &Event::LoadChanged { request: RequestId(0), load: x.min(1e3) }, &load),
-                2 => estimator.observe_event(now, &endpoint_list(&[entry(1, if x.is_finite() { x } else { 0.0 })]), &load),
+            match kind {
+                0 => report_delay(&mut estimator, now, &load, value),
+                1 => {
+                    let load_report = Event::LoadChanged { request: RequestId(0), load: value.min(1e3) };
+                    estimator.observe_event(now, &load_report, &load);
+                }
+                2 => {
+                    let started_at = if value.is_finite() { value } else { 0.0 };
+                    estimator.observe_event(now, &endpoint_list(&[entry(1, started_at)]), &load);
+                }
                 _ => estimator.observe_event(now, &Event::TimerFired(0), &load),
             }
             estimator.announce(now, &mut announced);
             for event in announced.drain(..) {
-                if let Event::CapacityEstimated { load, setup_rate: entries, .. } = event {
-                    prop_assert!(load > 0.0 && load <= 8.0, "{load}");
-                    prop_assert!(entries > 0.0 && entries.is_finite(), "{entries}");
+                if let Event::CapacityEstimated { load, setup_rate, .. } = event {
+                    prop_assert!(load > 0.0 && load <= 8.0, "load {load}");
+                    prop_assert!(setup_rate > 0.0 && setup_rate.is_finite(), "setup rate {setup_rate}");
                 }
             }
         }
