--- a/crates/recovery/tests/snapshot_format.rs
+++ b/crates/recovery/tests/snapshot_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of a snapshot as they are on disk: a renamed field or variant must not change what is stored, since the
-//! next version has to read what this one wrote.
+//! The format of snapshots on disk. Renaming a field or variant in the code must not change the stored bytes, since a
+//! newer version has to read the snapshots of an older one.
 
 use serde_json::json;
 use shorewharf_decisions::persistence::{
@@ -11,8 +11,8 @@
 
 const STORED: &[u8] = include_bytes!("fixtures/every-line.snapshot");
 
-/// A record that holds every kind of line, with every optional field both set and unset.
-fn record() -> (Header, Vec<Line<SnapshotEntry>>) {
+/// A snapshot with every kind of line, and with every optional field both set and unset.
+fn snapshot() -> (Header, Vec<Line<SnapshotEntry>>) {
     let header = Header {
         version: VERSION,
         balancer: "n1".into(),
@@ -24,7 +24,7 @@
     let endpoint = json!({"name": "s-1", "address": "127.0.0.1:1", "zone": "z", "type": "large", "group": 3,
         "status": "Ready", "weight": 2.5, "since_ms": 12.5});
     let endpoint: Endpoint = serde_json::from_value(endpoint).expect("an endpoint");
-    let flow = InstanceRecord {
+    let instance = InstanceRecord {
         total_clients: 12.5,
         arrivals: 3.25,
         arrival_seconds: 1.5,
@@ -42,17 +42,17 @@
         warm_up_admissions: 4.0,
         recent_resets: 1.5,
     };
-    let place = |key| ReservationRecord { key, server: 4, load: 0.25, expires_at: 102.5 };
-    let known = [
-        StateRecord::Instance(flow),
+    let reservation = |key| ReservationRecord { key, server: 4, load: 0.25, expires_at: 102.5 };
+    let balancer_records = [
+        StateRecord::Instance(instance),
         StateRecord::Server(server.clone()),
         StateRecord::Server(ServerRecord { server: 2, quarantine: None, ..server }),
         StateRecord::Group(GroupRecord { group: 1, clients: 3.5, last_server: Some(4) }),
         StateRecord::Group(GroupRecord { group: 2, clients: 4.5, last_server: None }),
-        StateRecord::Reservation(place(u64::MAX)),
-        StateRecord::Connection(place(5)),
+        StateRecord::Reservation(reservation(u64::MAX)),
+        StateRecord::Connection(reservation(5)),
     ];
-    let learned = [
+    let recovery_entries = [
         SnapshotEntry::LoadModel(LoadModel {
             mean_load: 0.2,
             load_samples: 12.0,
@@ -74,13 +74,13 @@
             excluded_until: None,
         }),
     ];
-    let known = known.into_iter().map(SnapshotEntry::Balancer).chain(learned).map(Line::State);
-    (header, std::iter::once(Line::Endpoint(endpoint)).chain(known).collect())
+    let entries = balancer_records.into_iter().map(SnapshotEntry::Balancer).chain(recovery_entries);
+    (header, std::iter::once(Line::Endpoint(endpoint)).chain(entries.map(Line::State)).collect())
 }
 
 #[test]
-fn a_record_is_written_byte_for_byte_as_stored_ones_are() {
-    let (header, lines) = record();
+fn a_snapshot_is_encoded_byte_for_byte_as_stored() {
+    let (header, lines) = snapshot();
     let mut encoder = Encoder::begin(Vec::new(), &header).expect("memory");
     for line in &lines {
         encoder.write_line(line).expect("memory");
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn a_stored_record_is_read_back_as_what_was_written() {
-    let stored = decode::<SnapshotEntry>(STORED).expect("a good record");
-    let (header, lines) = record();
+fn a_stored_snapshot_is_decoded_to_the_same_header_and_lines() {
+    let stored = decode::<SnapshotEntry>(STORED).expect("a valid snapshot");
+    let (header, lines) = snapshot();
     let (mut endpoints, mut entries) = (Vec::new(), Vec::new());
     for line in lines {
         match line {
