--- a/crates/recovery/tests/migrations.rs
+++ b/crates/recovery/tests/migrations.rs
@@ -1,5 +1,5 @@
-//! Slow rebalancing on a model fleet: real decision modules with the overload controller around them, servers that take
-//! whatever comes, and clients that come back to any balancer. No two instances share anything.
+//! Gradual rebalancing in a simulated fleet: real decision modules with the overload controller, servers that accept
+//! every attempt while they are up, and clients that reconnect to a random balancer. The balancers share no state.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,16 +18,17 @@
 
 /// Mean load of a client, in cores.
 const MEAN_LOAD: f64 = 0.02;
-/// What a server pays for an open connection and for each group, in mean loads.
+/// Load of an open connection in addition to its client's load, as a multiple of the mean load.
 const OPEN_COST: f64 = 0.1;
+/// Load of each group on a server, as a multiple of the mean load.
 const GROUP_COST: f64 = 2.0;
 const WARM_UP_SECONDS: f64 = 20.0;
 const COLD_CAPACITY_RATIO: f64 = 0.2;
-/// Clients in a group.
+/// Number of clients in a group.
 const GROUP_SIZE: u64 = 4;
-/// When half of the servers have come back.
+/// Time at which half of the servers are restarted.
 const BACK_AT: f64 = 1000.0;
-/// How often the fleet is looked at.
+/// Interval between calls of `run_until`'s observer, in seconds.
 const OBSERVATION_INTERVAL: f64 = 0.5;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +38,7 @@
     AttemptAnswered { balancer: usize, request: RequestId },
 }
 
-/// Where a client is connected.
+/// A client's established connection.
 #[derive(Clone, Copy)]
 struct ConnectedTo {
     server: ServerId,
@@ -68,9 +69,9 @@
     is_up: Vec<bool>,
     balancers: Vec<ProtectedBalancer>,
     clients: Vec<Client>,
-    /// By balancer and request.
+    /// Requests and established connections, by balancer and request.
     requests: BTreeMap<(usize, RequestId), PendingRequest>,
-    /// By time in microseconds and serial number.
+    /// Future events, by time in microseconds and serial number.
     events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     serial: u64,
     migrations: u64,
@@ -115,7 +116,8 @@
 }
 
 impl ModelFleet {
-    /// A fleet in which everybody is connected to the first half of the servers, and the other half has just come back.
+    /// A fleet in which all clients are connected to the servers with even indices, and the others have just been
+    /// restarted.
     fn half_back(balancers: usize, servers: usize, clients: usize, seed: u64) -> ModelFleet {
         let settings = settings(balancers);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -147,7 +149,7 @@
         fleet
     }
 
-    /// Adds a client that is connected to one of the warm servers.
+    /// Adds a client that is connected to one of the warm servers, chosen by weight.
     fn add_connected_client(&mut self, client: usize) {
         let warm: Vec<usize> = (0..self.weights.len()).step_by(2).collect();
         let total_weight: f64 = warm.iter().map(|server| self.weights[*server]).sum();
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Sends all balancers the endpoint list as it is.
+    /// Sends the current endpoint list to all balancers.
     fn announce_servers(&mut self) {
         let entry = |server: usize| ServerEntry {
             server: ServerId(server as u64),
@@ -208,7 +210,7 @@
         self.events.push(Reverse((((self.now + seconds) * 1e6) as u64, self.serial, event)));
     }
 
-    /// Has a balancer handle an event, and carries out its actions.
+    /// Passes an event to a balancer and executes the resulting actions.
     fn dispatch(&mut self, balancer: usize, event: Event) {
         let mut actions = Vec::new();
         self.balancers[balancer].handle(self.now, event, &mut actions);
@@ -223,13 +225,13 @@
                 self.schedule_after(after, FleetEvent::TimerFires { balancer, token });
             }
             Action::BeginAttempt { request, server, .. } => {
-                let pending = self.requests.get_mut(&(balancer, request)).expect("it was received");
+                let pending = self.requests.get_mut(&(balancer, request)).expect("the request is pending");
                 pending.server = Some(server);
                 pending.attempts += 1;
                 self.schedule_after(0.03, FleetEvent::AttemptAnswered { balancer, request });
             }
             Action::Reject { request, .. } => {
-                let pending = self.requests.remove(&(balancer, request)).expect("it was received");
+                let pending = self.requests.remove(&(balancer, request)).expect("the request is pending");
                 self.schedule_after(0.5, FleetEvent::ClientRequests { client: pending.client });
             }
             Action::Migrate(request) => {
@@ -241,7 +243,7 @@
         }
     }
 
-    /// An established connection ends, and its client asks again after a pause.
+    /// Ends an established connection; its client sends a new request after a pause.
     fn disconnect(&mut self, balancer: usize, request: RequestId, outcome: Outcome, pause: f64) {
         let Some(pending) = self.requests.remove(&(balancer, request)) else { return };
         let PendingRequest { client, server: Some(server), attempts } = pending else { return };
@@ -254,6 +256,7 @@
         self.dispatch(balancer, ended);
     }
 
+    /// Stops a server and breaks its connections.
     fn kill(&mut self, server: usize) {
         self.is_up[server] = false;
         let connected = self.clients.iter().filter_map(|client| client.connected);
@@ -269,7 +272,7 @@
         self.started_at[server] = at;
     }
 
-    /// Runs until a time, and has the fleet observed twice a second.
+    /// Runs the simulation until a time, and calls `observe` twice a second.
     fn run_until(&mut self, until: f64, mut observe: impl FnMut(&ModelFleet)) {
         let mut observed_at = 0.0;
         while let Some(Reverse((at, _, event))) = self.events.peek().copied() {
@@ -293,7 +296,7 @@
         self.now = until;
     }
 
-    /// A client asks any balancer for a connection.
+    /// Sends a client's request to a random balancer.
     fn send_request(&mut self, client: usize) {
         let balancer = (self.rng.next_u64() % self.balancers.len() as u64) as usize;
         self.serial += 1;
@@ -302,6 +305,7 @@
         self.dispatch(balancer, Event::RequestReceived(self.request(client, id)));
     }
 
+    /// Completes an attempt: it is established if the server is up.
     fn answer_attempt(&mut self, balancer: usize, request: RequestId) {
         let Some(pending) = self.requests.get(&(balancer, request)).copied() else { return };
         let PendingRequest { client, server: Some(server), attempts } = pending else { return };
@@ -327,7 +331,7 @@
         COLD_CAPACITY_RATIO + (1.0 - COLD_CAPACITY_RATIO) * warmed
     }
 
-    /// Load of all over what a server can do by now, by server.
+    /// Ratio of the load from all clients to the present capacity, for each server.
     fn utilizations(&self) -> Vec<f64> {
         let mut loads = vec![0.0; self.weights.len()];
         let mut groups = BTreeSet::new();
@@ -342,14 +346,14 @@
         (0..loads.len()).map(utilization).collect()
     }
 
-    /// The largest utilization of a server that has come back.
-    fn largest_utilization_of_returned(&self) -> f64 {
+    /// The largest utilization of a restarted server.
+    fn largest_utilization_of_restarted(&self) -> f64 {
         let utilizations = self.utilizations().into_iter().zip(&self.started_at);
-        let returned = utilizations.filter(|(_, started_at)| **started_at > 0.0);
-        returned.map(|(utilization, _)| utilization).fold(0.0, f64::max)
+        let restarted = utilizations.filter(|(_, started_at)| **started_at > 0.0);
+        restarted.map(|(utilization, _)| utilization).fold(0.0, f64::max)
     }
 
-    /// The largest utilization over the mean one.
+    /// Ratio of the largest to the mean utilization of the servers that are up.
     fn imbalance(&self) -> f64 {
         let utilizations = self.utilizations().into_iter().zip(&self.is_up);
         let up: Vec<f64> =
@@ -361,64 +365,71 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(8), cases: 8, failure_persistence: None, max_shrink_iters: 0, ..ProptestConfig::default() })]
 
-    /// Servers that came back stayed empty, or were flooded by all balancers at once, or clients went to and fro for ever.
+    /// Guards against three failures: restarted servers stay empty, all balancers together overload them, or clients
+    /// are migrated back and forth without end.
     #[test]
-    fn servers_that_came_back_are_filled_slowly_level_and_then_nothing_moves(
+    fn restarted_servers_are_filled_gradually_until_the_load_is_balanced(
         balancers in 1usize..6, servers in prop::sample::select(vec![4usize, 6]), seed: u64,
     ) {
         let clients = servers * 60;
         let mut fleet = ModelFleet::half_back(balancers, servers, clients, seed);
         let before = fleet.imbalance();
-        let mut fullest: f64 = 0.0;
-        let mut paces = vec![(fleet.now, 0)];
+        let mut max_utilization: f64 = 0.0;
+        let mut totals = vec![(fleet.now, 0)];
         fleet.run_until(1150.0, |fleet| {
-            fullest = fullest.max(fleet.largest_utilization_of_returned());
-            paces.push((fleet.now, fleet.migrations));
+            max_utilization = max_utilization.max(fleet.largest_utilization_of_restarted());
+            totals.push((fleet.now, fleet.migrations));
         });
-        prop_assert!(fullest < 0.9, "a server that came back was filled to {fullest:.2} of what it could do");
-        prop_assert!(before > 1.8 && fleet.imbalance() < 1.2, "from {before:.2} to {:.2}", fleet.imbalance());
-        // A fiftieth of the connections and a fifth of one a second for each balancer, and what was saved up.
-        for (index, (at, migrations)) in paces.iter().enumerate() {
-            let (from, then) = paces[index.saturating_sub(10)];
-            let most = (at - from + 2.0) * (0.02 * clients as f64 * 1.1 + 0.2 * balancers as f64) + 2.0 * balancers as f64;
-            prop_assert!((migrations - then) as f64 <= most, "{} migrations from {from:.1} to {at:.1}", migrations - then);
+        prop_assert!(max_utilization < 0.9, "a restarted server reached a utilization of {max_utilization:.2}");
+        prop_assert!(
+            before > 1.8 && fleet.imbalance() < 1.2,
+            "imbalance from {before:.2} to {:.2}",
+            fleet.imbalance()
+        );
+        // Each balancer may migrate a fiftieth of its connections plus 0.2 connections per second, and a saved burst.
+        for (index, (at, migrations)) in totals.iter().enumerate() {
+            let (from, migrations_before) = totals[index.saturating_sub(10)];
+            let limit = (at - from + 2.0) * (0.02 * clients as f64 * 1.1 + 0.2 * balancers as f64)
+                + 2.0 * balancers as f64;
+            let made = migrations - migrations_before;
+            prop_assert!(made as f64 <= limit, "{made} migrations from {from:.1} to {at:.1}");
         }
-        let (migrations, level) = (fleet.migrations, fleet.imbalance());
+        let (migrations, imbalance) = (fleet.migrations, fleet.imbalance());
         prop_assert!(migrations < clients as u64, "{migrations} migrations of {clients} clients");
         fleet.run_until(1350.0, |_| {});
         let more = fleet.migrations - migrations;
-        prop_assert!(more <= clients as u64 / 25, "{more} more migrations, once at {level:.2}");
-        let most = fleet.clients.iter().map(|client| client.migrations).max().unwrap_or(0);
-        prop_assert!(most <= 4, "a client migrated {most} times");
+        prop_assert!(more <= clients as u64 / 25, "{more} more migrations from an imbalance of {imbalance:.2}");
+        let max_migrations = fleet.clients.iter().map(|client| client.migrations).max().unwrap_or(0);
+        prop_assert!(max_migrations <= 4, "a client migrated {max_migrations} times");
     }
 }
 
-/// A server that died while connections migrated to it took them all with it, and migrations went on as if nothing had
-/// been.
+/// Guards against migrations that go on after a failure: a server failed while connections migrated to it, and all of
+/// them broke.
 #[test]
-fn a_failure_stops_the_migrations_and_they_go_on_once_all_is_well() {
+fn a_failure_pauses_migrations_and_they_resume_once_the_server_is_back() {
     let mut fleet = ModelFleet::half_back(3, 6, 450, 11);
     fleet.run_until(1015.0, |_| {});
-    assert!(fleet.migrations > 10, "migrations have begun: {}", fleet.migrations);
+    assert!(fleet.migrations > 10, "{} migrations before the failure", fleet.migrations);
     fleet.kill(1);
     let killed_at = fleet.now;
     fleet.run_until(killed_at + 1.0, |_| {});
     fleet.announce_servers();
     let migrations = fleet.migrations;
     fleet.run_until(killed_at + 4.0, |_| {});
-    assert_eq!(fleet.migrations, migrations, "nothing migrates within 3 s of the news of a server's end");
-    let to_it = fleet.requests.values().filter(|pending| pending.server == Some(ServerId(1))).count();
-    assert_eq!(to_it, 0, "nobody waits for it");
+    assert_eq!(fleet.migrations, migrations, "no migrations within 3 s after the list without the server");
+    let at_failed = fleet.requests.values().filter(|pending| pending.server == Some(ServerId(1))).count();
+    assert_eq!(at_failed, 0, "no request is pending at the failed server");
     fleet.restart(1, killed_at + 10.0);
     fleet.run_until(killed_at + 10.0, |_| {});
     fleet.announce_servers();
     fleet.run_until(killed_at + 13.0, |_| {});
-    let again = fleet.migrations;
+    let migrations = fleet.migrations;
     fleet.run_until(killed_at + 120.0, |_| {});
-    let (more, imbalance) = (fleet.migrations - again, fleet.imbalance());
-    assert!(more > 0 && imbalance < 1.2, "{more} migrations, {imbalance:.2}");
+    let (more, imbalance) = (fleet.migrations - migrations, fleet.imbalance());
+    assert!(more > 0 && imbalance < 1.2, "{more} migrations after the restart, imbalance {imbalance:.2}");
     let begins = fleet.log.iter().filter(|line| line.starts_with("rebalance=begins")).count();
-    assert!(begins >= 3, "each balancer says that migrations begin: {:?}", fleet.log);
+    assert!(begins >= 3, "each balancer must log that migrations begin: {:?}", fleet.log);
 }
 
 /// Which connections migrated where, to the last digit of what the servers carried then: a change of the code's shape
