--- a/crates/recovery/src/capacity_shortage/tests.rs
+++ b/crates/recovery/src/capacity_shortage/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module that these stand beside.
+//! Tests of the log lines about shortages of capacity.
 
 use super::*;
 
 #[test]
-fn a_shortage_is_told_once_at_its_begin_and_once_at_its_end() {
+fn a_shortage_is_logged_once_when_it_begins_and_once_when_it_ends() {
     let mut shortage = CapacityShortage::default();
     let waiting = [0, 3, 0, 0, 4, 4, 4, 0, 4, 4, 0, 0, 0, 0, 0, 0, 0];
     let lines: Vec<String> =
