--- a/crates/recovery/src/controller/observation.rs
+++ b/crates/recovery/src/controller/observation.rs
@@ -1,40 +1,43 @@
-//! What the controller does on the decision module's events and actions.
+//! Handles the decision module's events and actions in the overload controller.
 
 use shorewharf_decisions::interface::{Action, Event, Request, ServerEntry};
 use shorewharf_decisions::{Balancer, Outcome, RequestId, ServerId};
 
 use super::{OverloadController, TIMER_TOKEN};
-use crate::levels::{LoadGauge, LoadSignals, RetryPolicy, lower_bound_ratio};
+use crate::levels::{LoadSignals, RetryPolicy, SlidingWindow, lower_bound_ratio};
 use crate::rebalance::StepSettings;
 use crate::retry_budget::{RetryPermit, is_server_failure};
 
 /// Period of the controller's timer, in seconds.
 const TIMER_PERIOD: f64 = 0.5;
-/// The place of a migrating client at its new server is reserved for so long, in seconds: a pause and a retry.
+/// Duration of the reservation for a migrating client at its new server, in seconds: long enough for the client to
+/// pause and to retry once.
 const RESERVATION_SECONDS: f64 = 3.0;
-/// A message delay over this part of the shortest latency objective is slow, as in the decision module.
+/// A message delay is slow from this share of the shortest latency objective on, as in the decision module.
 const SLOW_DELAY_RATIO: f64 = 0.4;
-/// A server is slow for so long after it reported a slow delay, in seconds.
+/// Time for which a server counts as slow after it reported a slow delay, in seconds.
 const SLOW_SECONDS: f64 = 2.0;
-/// Migrations pause while this share of the ready servers is slow, since there is no capacity to migrate to.
+/// Migrations pause while at least this share of the servers in service is slow, since there is no capacity to migrate
+/// to.
 const MAX_SLOW_SERVERS_RATIO: f64 = 0.34;
 
-/// An event that the decision module has handled, and what it wants done.
+/// An event that the decision module has handled, with the resulting actions.
 #[derive(Debug)]
 pub struct HandledEvent<'a> {
     /// The event.
     pub event: &'a Event,
-    /// Index of the event's first action.
+    /// Index of the event's first action in `actions`.
     pub first_action: usize,
-    /// The actions; those before the event's own are left alone.
+    /// All actions; those before `first_action` are not changed.
     pub actions: &'a mut Vec<Action>,
 }
 
 impl OverloadController {
-    /// Observes an event before the decision module handles it. Returns false if the event was the controller's own
-    /// timer, which the decision module must not see.
+    /// Observes an event before the decision module handles it. Returns false if the event is the controller's own
+    /// timer, which must not be passed to the decision module.
     pub fn observe_event(&mut self, now: f64, event: &Event, balancer: &mut Balancer) -> bool {
-        // A waiting request is placed at a list or a timer: then the budget alone decides about retries.
+        // Without an ended attempt, as when a list or a timer places a waiting request, the budget and the level
+        // decide about retries.
         let mut permit = None;
         match event {
             Event::TimerFired(TIMER_TOKEN) => return false,
@@ -63,22 +66,22 @@
         }
         let may_retry = match permit {
             Some(permit) => permit.is_granted(),
-            None => !self.retry_budget.is_closed(now) && self.policy().retries != RetryPolicy::Never,
+            None => !self.retry_budget.blocks_retries(now) && self.policy().retries != RetryPolicy::Never,
         };
         balancer.allow_retries(may_retry || !self.options.retry_budget);
         true
     }
 
-    /// Observes the decision module's actions on an event. Removes what the level forbids, and appends migrations,
-    /// timers and log lines of its own.
+    /// Observes the decision module's actions for an event. Removes probes in excess of the level's limit, and appends
+    /// migrations, the controller's timer and log lines.
     pub fn observe_actions(&mut self, now: f64, handled: HandledEvent<'_>, balancer: &mut Balancer) {
         let HandledEvent { event, first_action: first, actions } = handled;
         let has_rejected = self.on_actions(now, &actions[first..]);
-        let is_significant =
+        let may_change_level =
             matches!(event, Event::EndpointList { .. } | Event::AttemptEnded { .. } | Event::DiscoveryFailed);
         let probes_per_second = self.policy().probes_per_second;
         self.probe_limiter.limit(now, probes_per_second, first, actions);
-        if is_significant || has_rejected {
+        if may_change_level || has_rejected {
             self.update_level(now);
         }
         if matches!(event, Event::Start | Event::TimerFired(TIMER_TOKEN)) {
@@ -94,7 +97,7 @@
         actions.extend(lines.map(Action::Log));
     }
 
-    /// Takes in the decision module's actions; returns whether a client was rejected.
+    /// Records the decision module's actions; returns whether a client was rejected.
     fn on_actions(&mut self, now: f64, actions: &[Action]) -> bool {
         let mut has_rejected = false;
         for action in actions {
@@ -116,7 +119,7 @@
         let before: Vec<ServerId> = in_service.map(|(id, _)| *id).collect();
         let changes = self.view.on_endpoint_list(now, is_complete, entries);
         for server in before {
-            self.check_in_service(server);
+            self.report_if_out_of_service(server);
         }
         if changes.lost > 0 {
             self.rebalancer.pause(now, "server-lost");
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Tells the rebalancer of a server that is no longer in service.
-    fn check_in_service(&mut self, server: ServerId) {
+    /// Informs the rebalancer if a server is no longer in service.
+    fn report_if_out_of_service(&mut self, server: ServerId) {
         let is_in_service = match self.view.servers.get(&server) {
             Some(record) => record.is_in_service(),
             None => false,
@@ -146,7 +149,7 @@
 
     fn on_established(&mut self, now: f64, id: RequestId) {
         let Some((server, connection)) = self.view.on_established(now, id) else { return };
-        self.gauge.current(now).served += 1;
+        self.recent_counts.current(now).served += 1;
         self.backoff_clients.on_served(connection.key);
         self.retry_budget.on_outcome(now, server, Outcome::Ok);
         self.rebalancer.on_established(connection.key, server, now - connection.since);
@@ -166,8 +169,8 @@
         }
     }
 
-    /// An attempt or an established connection has ended. Returns whether the request may be retried, where that is
-    /// the question.
+    /// Records that an attempt or an established connection has ended. Returns whether the request may be retried; none
+    /// if it needs no retry.
     fn on_attempt_ended(
         &mut self,
         now: f64,
@@ -187,15 +190,15 @@
         self.retry_budget.on_outcome(now, ended.server, outcome);
         if is_server_failure(outcome) {
             self.rebalancer.pause(now, "set-up-failed");
-            self.check_in_service(ended.server);
+            self.report_if_out_of_service(ended.server);
         }
         if is_answered || outcome == Outcome::Ok {
             return None;
         }
         let permit = match self.policy().retries {
-            RetryPolicy::Never => self.retry_budget.count(RetryPermit::LevelForbids),
+            RetryPolicy::Never => self.retry_budget.record_permit(RetryPermit::LevelForbids),
             RetryPolicy::UnsentOnly if !outcome.never_ran() => {
-                self.retry_budget.count(RetryPermit::LevelForbids)
+                self.retry_budget.record_permit(RetryPermit::LevelForbids)
             }
             _ => self.retry_budget.request_permit(now, ended.connection.attempts),
         };
@@ -206,17 +209,17 @@
         let Some(connection) = self.view.on_attempt(id, server) else { return };
         if connection.attempts > 1 {
             self.retry_budget.on_retry(now);
-            self.gauge.current(now).retries += 1;
+            self.recent_counts.current(now).retries += 1;
         } else {
             self.retry_budget.on_first_attempt();
-            self.gauge.current(now).first_attempts += 1;
+            self.recent_counts.current(now).first_attempts += 1;
         }
         self.rebalancer.on_attempt(connection.key, server);
     }
 
     fn on_rejected(&mut self, now: f64, id: RequestId) {
         self.rebalancer.pause(now, "refused");
-        self.gauge.current(now).rejected += 1;
+        self.recent_counts.current(now).rejected += 1;
         *self.rejected.entry(self.level().name()).or_default() += 1;
         let key = self.view.connections.get(&id).map_or(0, |connection| connection.key);
         self.backoff_clients.on_rejected(now, key, id);
@@ -224,12 +227,12 @@
     }
 
     fn signals(&mut self, now: f64) -> LoadSignals {
-        let counts = self.gauge.totals(now);
+        let counts = self.recent_counts.totals(now);
         let in_backoff = self.backoff_clients.count(now);
         let clients = in_backoff + self.view.established() as u32;
         let list_age = self.discovery_failed_at.map_or(0.0, |since| (now - since) / self.poll_interval);
         LoadSignals {
-            requests_per_second: f64::from(counts.served + counts.rejected) / LoadGauge::window_seconds(),
+            requests_per_second: f64::from(counts.served + counts.rejected) / SlidingWindow::length_seconds(),
             backoff_ratio: lower_bound_ratio(in_backoff, clients),
             retry_ratio: lower_bound_ratio(counts.retries, counts.first_attempts),
             utilization: self.capacity.and_then(|estimate| estimate.utilization()),
@@ -250,7 +253,7 @@
 
     fn migrate(&mut self, now: f64, actions: &mut Vec<Action>, balancer: &mut Balancer) {
         let pace = if self.options.rebalance { self.policy().migration_pace } else { 0.0 };
-        let settings = StepSettings { pace, cluster: self.cluster };
+        let settings = StepSettings { pace, fleet: self.fleet };
         for migration in self.rebalancer.step(now, &settings, &mut self.view) {
             balancer.on_migrated(migration.request, Some(migration.to), now + RESERVATION_SECONDS);
             actions.push(Action::Migrate(migration.request));
