--- a/crates/driver/examples/export_state.rs
+++ b/crates/driver/examples/export_state.rs
@@ -1,5 +1,5 @@
-//! Measures how long the state of a large instance takes to export, portion by portion, and to restore. The
-//! decisions keep 8,192 reservations at most; connected clients are exported as well.
+//! Measures how long it takes to export the state of a large instance in portions, and to restore it. The
+//! decisions keep at most 8,192 reservations. Connected clients are exported as well.
 //!
 //! `cargo run --release -p shorewharf-driver --example export_state -- [SERVERS] [CONNECTIONS]`
 
@@ -12,7 +12,7 @@
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
 use shorewharf_settings::operator::Operator;
 
-/// Entries that the program exports at once.
+/// Most entries that the balancer exports at once.
 const PORTION: usize = 512;
 const DEFAULT_SERVERS: u64 = 5_000;
 const DEFAULT_CONNECTIONS: u64 = 50_000;
@@ -21,7 +21,7 @@
 
 fn instance(server_count: u64) -> AdmissionGate {
     let settings =
-        shorewharf_settings::parse(include_bytes!("settings.json")).expect("good settings").settings;
+        shorewharf_settings::parse(include_bytes!("settings.json")).expect("valid settings").settings;
     let mut gate = AdmissionGate::new(0, settings, 7, &Operator::default());
     let entry = |id| ServerEntry {
         server: ServerId(id),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Connects clients; half as many more have left again and have reservations.
+/// Restores connected clients, and half as many that have left again and therefore have reservations.
 fn connect_clients(gate: &mut AdmissionGate, server_count: u64, connections: u32) {
     let mut actions = Vec::new();
     for id in 0..connections + connections / 2 {
@@ -72,21 +72,21 @@
     }
 }
 
-/// Exports everything, and prints how long the portions took.
+/// Exports all state, and prints how long the portions took.
 fn export_all(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
     let (mut entries, mut portions, mut cursor) = (Vec::new(), 0, ExportCursor::default());
     let mut longest = Duration::ZERO;
-    let began = Instant::now();
+    let started_at = Instant::now();
     while cursor != ExportCursor::End {
-        // Each portion is a list of its own, as in the program, which hands it to another thread.
-        let portion_began = Instant::now();
+        // As in the balancer, each portion is a list of its own, which can be handed to another thread.
+        let portion_started_at = Instant::now();
         let mut portion = Vec::new();
         cursor = gate.export_state(cursor, PORTION, &mut portion);
-        longest = longest.max(portion_began.elapsed());
+        longest = longest.max(portion_started_at.elapsed());
         portions += 1;
         entries.extend(portion);
     }
-    let (elapsed, count) = (began.elapsed(), entries.len());
+    let (elapsed, count) = (started_at.elapsed(), entries.len());
     println!(
         "{count} entries in {portions} portions, exported in {elapsed:?}, the longest portion {longest:?}"
     );
@@ -102,7 +102,7 @@
     connect_clients(&mut gate, server_count, connections);
     let entries = export_all(&gate);
     let mut restored = instance(server_count);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let counts = restored.restore_state(START_SECONDS + 0.5, 0.5, true, entries);
-    println!("restored in {:?}: {counts:?}", began.elapsed());
+    println!("restored in {:?}: {counts:?}", started_at.elapsed());
 }
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -1,6 +1,6 @@
-//! Fuzzes the restore of snapshots: records of a corpus with their numbers, keys and lines mutated and their
-//! checksums corrected, so that the damage reaches the decisions. A record with a new outcome is kept in the
-//! corpus. A panic or an invalid state ends the run with the path of its record.
+//! Fuzzes the restore of snapshots. Takes records from a corpus, mutates their numbers, keys and lines, and
+//! corrects their checksums, so that the damage reaches the decisions. A record with a new outcome is added
+//! to the corpus. A panic or an invalid state ends the run with the path of the record that caused it.
 //!
 //! `cargo run --release -p shorewharf-driver --example fuzz_records -- CORPUS SECONDS [SEED]`
 
@@ -22,11 +22,11 @@
 use shorewharf_snapshot::record::{DecodeError, Encoder, Header, Line, VERSION, decode};
 use thiserror::Error;
 
-/// Servers that are listed where a record is restored.
+/// Number of servers in the endpoint list of the instance that restores a record.
 const SERVERS: u64 = 5;
-/// Requests that arrive after a restore.
+/// Number of requests that arrive after a restore.
 const REQUESTS: usize = 8;
-/// Numbers that take the place of others.
+/// Numbers that replace others in mutated records.
 const EDGE_NUMBERS: [f64; 12] = [
     0.0,
     -0.0,
@@ -44,39 +44,41 @@
 
 fn gate() -> AdmissionGate {
     let text = include_bytes!("settings.json");
-    let set = shorewharf_settings::parse(text).expect("good settings").settings;
-    let mut gate = AdmissionGate::new(0, set, 7, &Operator::default());
-    let (zone, cell, stage, weight) = (0, 0, ServerState::Ready, 4.0);
-    let born = |id| if id == 1 { 95.0 } else { 0.0 };
-    let entry =
-        |id| ServerEntry { server: ServerId(id), zone, cell, state: stage, weight, started_at: born(id) };
+    let settings = shorewharf_settings::parse(text).expect("valid settings").settings;
+    let mut gate = AdmissionGate::new(0, settings, 7, &Operator::default());
+    let entry = |id| ServerEntry {
+        server: ServerId(id),
+        zone: 0,
+        cell: 0,
+        state: ServerState::Ready,
+        weight: 4.0,
+        started_at: if id == 1 { 95.0 } else { 0.0 },
+    };
     let entries = (1..=SERVERS).map(entry).collect::<Vec<_>>().into();
     gate.handle(100.0, Event::EndpointList { is_complete: true, is_cached: false, entries }, &mut Vec::new());
     gate
 }
 
 fn request(id: u32) -> Request {
-    let (class, tenant, deadline, load, group) = (0, 0, 102.0, Some(0.3), u64::from(id % 4));
-    let (key, mid_flow, returning) = (u64::from(id) + 1, false, false);
     Request {
         id: RequestId(id),
-        class,
-        tenant,
-        key,
-        deadline,
-        load,
-        group,
-        is_mid_flow: mid_flow,
-        is_returning: returning,
+        class: 0,
+        tenant: 0,
+        key: u64::from(id) + 1,
+        deadline: 102.0,
+        load: Some(0.3),
+        group: u64::from(id % 4),
+        is_mid_flow: false,
+        is_returning: false,
     }
 }
 
 fn export_all(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
-    let (mut all, mut at) = (Vec::new(), ExportCursor::default());
-    while at != ExportCursor::End {
-        at = gate.export_state(at, 16, &mut all);
+    let (mut entries, mut cursor) = (Vec::new(), ExportCursor::default());
+    while cursor != ExportCursor::End {
+        cursor = gate.export_state(cursor, 16, &mut entries);
     }
-    all
+    entries
 }
 
 fn encode_record(lines: &[Value]) -> Vec<u8> {
@@ -86,45 +88,47 @@
     encoder.finish().expect("memory").0
 }
 
-/// A record of an instance that has learned something of every kind.
+/// Returns the record of an instance that has learned state of every kind.
 fn initial_record() -> Vec<u8> {
-    let (mut gate, mut out) = (gate(), Vec::new());
+    let (mut gate, mut actions) = (gate(), Vec::new());
     for id in 0..12 {
         gate.handle(
             100.0,
             Event::ConnectionRestored(request(id), ServerId(u64::from(id) % SERVERS + 1)),
-            &mut out,
+            &mut actions,
         );
-        gate.handle(100.0, Event::LoadChanged { request: RequestId(id), load: 0.2 }, &mut out);
+        gate.handle(100.0, Event::LoadChanged { request: RequestId(id), load: 0.2 }, &mut actions);
     }
     for (id, outcome) in [(3, Outcome::Reset), (4, Outcome::Ok)] {
-        let (request, server) = (RequestId(id), ServerId(u64::from(id) % SERVERS + 1));
-        let (attempt, complete, load_ratio) = (0, true, None);
-        gate.handle(
-            100.1,
-            Event::AttemptEnded { request, server, attempt, outcome, is_answered: complete, load_ratio },
-            &mut out,
-        );
+        let ended = Event::AttemptEnded {
+            request: RequestId(id),
+            server: ServerId(u64::from(id) % SERVERS + 1),
+            attempt: 0,
+            outcome,
+            is_answered: true,
+            load_ratio: None,
+        };
+        gate.handle(100.1, ended, &mut actions);
     }
-    gate.handle(100.2, Event::MessageDelay { server: ServerId(2), delay: 0.2 }, &mut out);
+    gate.handle(100.2, Event::MessageDelay { server: ServerId(2), delay: 0.2 }, &mut actions);
     gate.handle(
         100.2,
         Event::ProbeEnded { server: ServerId(5), outcome: Outcome::ConnectFailed, load_ratio: None },
-        &mut out,
+        &mut actions,
     );
     let lines: Vec<Value> =
-        export_all(&gate).iter().map(|l| serde_json::to_value(l).expect("json")).collect();
+        export_all(&gate).iter().map(|entry| serde_json::to_value(entry).expect("json")).collect();
     encode_record(&lines)
 }
 
-/// What must not come of a record.
+/// A state that no record may lead to.
 #[derive(Debug, Error)]
 enum InvalidState {
     #[error("the record can't be read: {0}")]
     Unreadable(#[from] DecodeError),
-    #[error("{answered} of {REQUESTS} requests were answered or sent")]
+    #[error("only {answered} of {REQUESTS} requests were answered or sent to a server")]
     Unanswered { answered: usize },
-    #[error("not a number in {entry}")]
+    #[error("an exported entry has a value that is not a number: {entry}")]
     NotANumber { entry: String },
 }
 
@@ -132,18 +136,19 @@
 struct Mutator(Pcg64Mcg);
 
 impl Mutator {
-    fn below(&mut self, n: usize) -> usize {
-        (self.0.next_u64() % n.max(1) as u64) as usize
+    /// Draws a number below `bound`.
+    fn below(&mut self, bound: usize) -> usize {
+        (self.0.next_u64() % bound.max(1) as u64) as usize
     }
 
     fn mutate(&mut self, value: &mut Value) {
         match value {
             Value::Object(map) if !map.is_empty() => {
-                let at = self.below(map.len());
-                let key = map.keys().nth(at).cloned().unwrap_or_default();
+                let index = self.below(map.len());
+                let key = map.keys().nth(index).cloned().unwrap_or_default();
                 match self.below(12) {
                     0 => drop(map.remove(&key)),
-                    1 => drop(map.insert("tide".into(), Value::from(1))),
+                    1 => drop(map.insert("unknown".into(), Value::from(1))),
                     _ => {
                         if let Some(inner) = map.get_mut(&key) {
                             self.mutate(inner);
@@ -151,12 +156,12 @@
                     }
                 }
             }
-            Value::Array(of) if !of.is_empty() => {
-                let at = self.below(of.len());
+            Value::Array(values) if !values.is_empty() => {
+                let index = self.below(values.len());
                 match self.below(6) {
-                    0 => drop(of.remove(at)),
-                    1 => of.push(Value::from(1e9)),
-                    _ => self.mutate(&mut of[at]),
+                    0 => drop(values.remove(index)),
+                    1 => values.push(Value::from(1e9)),
+                    _ => self.mutate(&mut values[index]),
                 }
             }
             other => {
@@ -176,22 +181,22 @@
             if lines.is_empty() {
                 break;
             }
-            let at = self.below(lines.len());
+            let index = self.below(lines.len());
             match self.below(10) {
-                0 => drop(lines.remove(at)),
-                1 => lines.push(lines[at].clone()),
+                0 => drop(lines.remove(index)),
+                1 => lines.push(lines[index].clone()),
                 2 => {
                     let other = self.below(lines.len());
-                    lines.swap(at, other);
+                    lines.swap(index, other);
                 }
-                _ => self.mutate(&mut lines[at]),
+                _ => self.mutate(&mut lines[index]),
             }
         }
         lines
     }
 }
 
-/// Restores a record and lets requests arrive; the outcome, roughly.
+/// Restores a record, lets requests arrive, and returns a rough description of the outcome.
 fn restore_and_run(bytes: &[u8], age: f64) -> Result<String, InvalidState> {
     let record = decode::<SnapshotEntry>(bytes)?;
     let (mut gate, unknown) = (gate(), record.unknown_lines);
@@ -199,31 +204,32 @@
     let mut timers = Vec::new();
     let mut answered = BTreeSet::new();
     for id in 20..20 + REQUESTS as u32 {
-        let mut out = Vec::new();
-        gate.handle(100.3, Event::RequestReceived(request(id)), &mut out);
-        record_actions(&out, 100.3, &mut timers, &mut answered);
+        let mut actions = Vec::new();
+        gate.handle(100.3, Event::RequestReceived(request(id)), &mut actions);
+        record_actions(&actions, 100.3, &mut timers, &mut answered);
     }
     for _ in 0..400 {
         timers.sort_by(|a: &(f64, u64), b| b.0.total_cmp(&a.0));
-        let Some((at, token)) = timers.pop().filter(|t| t.0 < 103.0) else { break };
-        let mut out = Vec::new();
-        gate.handle(at, Event::TimerFired(token), &mut out);
-        record_actions(&out, at, &mut timers, &mut answered);
+        let Some((at, token)) = timers.pop().filter(|timer| timer.0 < 103.0) else { break };
+        let mut actions = Vec::new();
+        gate.handle(at, Event::TimerFired(token), &mut actions);
+        record_actions(&actions, at, &mut timers, &mut answered);
     }
     if answered.len() != REQUESTS {
         return Err(InvalidState::Unanswered { answered: answered.len() });
     }
-    for learned in export_all(&gate) {
-        let text = serde_json::to_string(&learned).expect("json");
-        // What is no number is written as nothing.
-        let none = text.replace("\"last\":null", "").replace("\"locked\":null", "");
-        let none = none.replace("\"noted\":null", "").replace("\"barred\":null", "");
-        if none.contains("null") {
+    for entry in export_all(&gate) {
+        let text = serde_json::to_string(&entry).expect("json");
+        // NaN and infinity are written as null. The fields that are removed here may be null.
+        let required = text.replace("\"last\":null", "").replace("\"locked\":null", "");
+        let required = required.replace("\"noted\":null", "").replace("\"barred\":null", "");
+        if required.contains("null") {
             return Err(InvalidState::NotANumber { entry: text });
         }
     }
-    let few = |n: usize| n.min(3);
-    Ok(format!("{} {} {} {}", few(counts.outdated), few(counts.expired), few(counts.invalid), few(unknown)))
+    let [outdated, expired, invalid, unknown] =
+        [counts.outdated, counts.expired, counts.invalid, unknown].map(|count| count.min(3));
+    Ok(format!("{outdated} {expired} {invalid} {unknown}"))
 }
 
 fn record_actions(
@@ -246,40 +252,42 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let mut args = std::env::args().skip(1);
     let (Some(corpus), Some(seconds)) = (args.next(), args.next()) else {
-        return Err("CORPUS SECONDS [SEED]".into());
+        return Err("usage: fuzz_records CORPUS SECONDS [SEED]".into());
     };
-    let (corpus, by) = (Path::new(&corpus), Instant::now() + Duration::from_secs(seconds.parse()?));
-    let mut mutator = Mutator(Pcg64Mcg::seed_from_u64(args.next().map_or(Ok(1), |s| s.parse())?));
+    let (corpus, end) = (Path::new(&corpus), Instant::now() + Duration::from_secs(seconds.parse()?));
+    let mut mutator = Mutator(Pcg64Mcg::seed_from_u64(args.next().map_or(Ok(1), |seed| seed.parse())?));
     fs::create_dir_all(corpus)?;
     let mut records: Vec<Vec<u8>> = vec![initial_record()];
     let mut paths: Vec<PathBuf> =
-        fs::read_dir(corpus)?.map(|f| f.map(|f| f.path())).collect::<Result<_, _>>()?;
+        fs::read_dir(corpus)?.map(|file| file.map(|file| file.path())).collect::<Result<_, _>>()?;
     paths.sort();
-    for path in paths.iter().filter(|p| p.extension().is_some_and(|e| e == "snapshot")) {
+    for path in paths.iter().filter(|path| path.extension().is_some_and(|extension| extension == "snapshot"))
+    {
         records.push(fs::read(path)?);
     }
-    let mut seen = BTreeSet::new();
+    let mut known_outcomes = BTreeSet::new();
     for bytes in &records {
-        seen.insert(restore_and_run(bytes, 0.5)?);
+        known_outcomes.insert(restore_and_run(bytes, 0.5)?);
     }
-    let mut played = 0_u64;
-    while Instant::now() < by {
-        let from = mutator.below(records.len());
-        let lines = mutator.mutated_lines(&records[from]);
+    let mut runs = 0_u64;
+    while Instant::now() < end {
+        let index = mutator.below(records.len());
+        let lines = mutator.mutated_lines(&records[index]);
         let bytes = encode_record(&lines);
         let age = [0.0, 0.5, 30.0, 600.0][mutator.below(4)];
-        let outcome = std::panic::catch_unwind(|| restore_and_run(&bytes, age));
-        let Ok(Ok(shape)) = outcome else {
-            let bad = corpus.join(format!("bad-{played}.snapshot"));
-            fs::write(&bad, &bytes)?;
-            return Err(format!("{}: {outcome:?}", bad.display()).into());
+        let result = std::panic::catch_unwind(|| restore_and_run(&bytes, age));
+        let Ok(Ok(outcome)) = result else {
+            let path = corpus.join(format!("bad-{runs}.snapshot"));
+            fs::write(&path, &bytes)?;
+            return Err(format!("{}: {result:?}", path.display()).into());
         };
-        if seen.insert(shape) {
+        if known_outcomes.insert(outcome) {
             fs::write(corpus.join(format!("{:04}.snapshot", records.len())), &bytes)?;
             records.push(bytes);
         }
-        played += 1;
+        runs += 1;
     }
-    println!("{played} records played, {} kept, {} outcomes", records.len() - 1, seen.len());
+    let (kept, outcomes) = (records.len() - 1, known_outcomes.len());
+    println!("{runs} records restored, {kept} in the corpus, {outcomes} different outcomes");
     Ok(())
 }
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets of the whole fleet as an admission check: each request is checked against this balancer's
-//! allocations of them.
+//! The budgets of the whole fleet as an admission check: requests are checked against the allocations that
+//! this balancer has of those budgets.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,46 +10,49 @@
 
 use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome, TenantMigrations};
 
-/// Connections that were migrated have this long to end before more of their tenant are.
+/// Migrated connections get this long to end before more connections of the same tenant are migrated.
 const MIGRATION_TIMEOUT: Micros = 1_000_000;
-/// Excess connections are looked for at most this often.
+/// Shortest time between two checks for connections beyond an allocation.
 const MIGRATION_CHECK_INTERVAL: Micros = MIGRATION_TIMEOUT / 2;
-/// The fractional parts of its multiples are spread evenly, however many there are.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are spread evenly from 0 to 1,
+/// whatever their number.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
-const CONNECTIONS_EXHAUSTED: &str = "fleet's budget of its connections";
-const SETUPS_EXHAUSTED: &str = "fleet's budget of set-ups";
+/// Rejection reason if a tenant's budget of connections is exhausted.
+const CONNECTIONS_EXHAUSTED: &str = "fleet-connections";
+/// Rejection reason if the budget of set-ups is exhausted.
+const SETUPS_EXHAUSTED: &str = "fleet-set-ups";
 
-/// The check of requests against this balancer's allocations. They change on another thread, and are locked
-/// for a few instructions at a time.
+/// Checks requests against this balancer's allocations. Another thread updates the allocations. The lock on
+/// them is held only for a few instructions at a time.
 #[derive(Clone, Debug)]
 pub struct Budgets {
     allocations: Arc<Mutex<Allocations>>,
-    /// Index of the budget of set-ups a second.
+    /// Index of the budget of set-ups a second, if there is one.
     setup_budget: Option<usize>,
-    /// By tenant, index of the budget of its connections.
+    /// Index of each tenant's connection budget, if it has one. Indexed by tenant.
     tenant_budgets: Vec<Option<usize>>,
-    /// The longest wait that clients are advised; 0 for no advice.
+    /// Longest retry-after that clients are given; 0 if they are given none.
     max_retry_after: Micros,
-    /// When the wait ends that was advised last for a lack of set-ups.
-    queue_end: Micros,
-    /// Where in their range the last wait was that was advised for a lack of connections, from 0 to 1.
-    wait_position: f64,
-    /// By tenant, until when its migrated connections are waited for.
+    /// Time at which the client that was rejected last for a lack of set-ups has been told to retry.
+    last_setup_retry_at: Micros,
+    /// Position in its range, from 0 to 1, of the last retry-after that was given for a lack of connections.
+    retry_after_position: f64,
+    /// Time until which a tenant's migrated connections may take to end. Indexed by tenant.
     migrating_until: Vec<Micros>,
     migrations_checked_at: Micros,
 }
 
-/// A budget that has nothing left.
+/// A budget that has nothing left for a request.
 enum ExhaustedBudget {
-    /// The tenant's connections.
+    /// The tenant's budget of connections.
     Connections,
-    /// Set-ups, of which so many a second are allowed.
+    /// The budget of set-ups, with this balancer's allocation in set-ups a second.
     Setups { per_second: f64 },
 }
 
 impl Budgets {
-    /// Creates the check from the indices of the budgets of set-ups and of each tenant's connections, where
-    /// there are any.
+    /// Creates the check. `setup_budget` is the index of the budget of set-ups, and `tenant_budgets` has the
+    /// index of each tenant's connection budget; `None` where there is no such budget.
     pub fn new(
         allocations: Arc<Mutex<Allocations>>,
         setup_budget: Option<usize>,
@@ -62,8 +65,8 @@
             setup_budget,
             tenant_budgets,
             max_retry_after: max_retry_after(settings),
-            queue_end: 0,
-            wait_position: 0.0,
+            last_setup_retry_at: 0,
+            retry_after_position: 0.0,
             migrating_until,
             migrations_checked_at: 0,
         }
@@ -77,7 +80,7 @@
         self.tenant_budgets.get(request.tenant).copied().flatten()
     }
 
-    /// The first budget that has nothing left for a request.
+    /// Returns the first budget that has nothing left for the request, if any.
     fn exhausted_budget(&self, now: Micros, request: &Request) -> Option<ExhaustedBudget> {
         let mut allocations = self.allocations();
         if let Some(budget) = self.connection_budget(request)
@@ -89,22 +92,24 @@
         Some(ExhaustedBudget::Setups { per_second: exhausted.in_force })
     }
 
-    /// A wait until set-ups are free again: clients come back one after the other at the rate of the budget.
-    fn wait_for_setups(&mut self, now: Micros, setups_per_second: f64) -> Micros {
+    /// Returns the retry-after for a lack of set-ups: the rejected clients come back one after the other, at
+    /// the rate of the allocation.
+    fn retry_after_for_setups(&mut self, now: Micros, setups_per_second: f64) -> Micros {
         let interval = if setups_per_second > 0.0 {
             (MICROS_PER_SECOND as f64 / setups_per_second) as Micros
         } else {
             self.max_retry_after
         };
         let latest = now + self.max_retry_after;
-        self.queue_end = self.queue_end.max(now).saturating_add(interval).min(latest);
-        self.queue_end - now
+        self.last_setup_retry_at = self.last_setup_retry_at.max(now).saturating_add(interval).min(latest);
+        self.last_setup_retry_at - now
     }
 
-    /// A wait for connections, whose ends nobody knows: spread over the upper half of what may be advised.
-    fn wait_for_connections(&mut self) -> Micros {
-        self.wait_position = (self.wait_position + GOLDEN_RATIO_FRACTION).fract();
-        (self.max_retry_after as f64 * 0.5 * (1.0 + self.wait_position)) as Micros
+    /// Returns the retry-after for a lack of connections. When connections end is unknown, so the values are
+    /// spread over the upper half of the allowed range.
+    fn retry_after_for_connections(&mut self) -> Micros {
+        self.retry_after_position = (self.retry_after_position + GOLDEN_RATIO_FRACTION).fract();
+        (self.max_retry_after as f64 * 0.5 * (1.0 + self.retry_after_position)) as Micros
     }
 }
 
@@ -117,11 +122,11 @@
         match self.exhausted_budget(now, request) {
             None => AdmissionDecision::Admit,
             Some(ExhaustedBudget::Connections) => AdmissionDecision::Reject {
-                retry_after: self.wait_for_connections(),
+                retry_after: self.retry_after_for_connections(),
                 reason: CONNECTIONS_EXHAUSTED,
             },
             Some(ExhaustedBudget::Setups { per_second }) => AdmissionDecision::Reject {
-                retry_after: self.wait_for_setups(now, per_second),
+                retry_after: self.retry_after_for_setups(now, per_second),
                 reason: SETUPS_EXHAUSTED,
             },
         }
--- a/crates/driver/src/driver.rs
+++ b/crates/driver/src/driver.rs
@@ -1,4 +1,5 @@
-//! The driver: turns network events into events of the decisions, and actions into calls on the network.
+//! The driver translates network events into events of the decisions, and carries out actions as calls on the
+//! network.
 
 use std::collections::HashMap;
 
@@ -9,41 +10,41 @@
 use crate::events::{Effects, NetworkEvent, ReceivedRequest};
 use crate::gate::AdmissionGate;
 
-/// How far the decisions have followed a request.
+/// Progress of an open request.
 #[derive(Debug, Default)]
 struct RequestProgress {
-    /// Attempts begun.
+    /// Number of attempts that were begun.
     attempts: u32,
-    /// The server of the attempt that is out or of the established connection.
+    /// The server of the pending attempt or of the established connection.
     attempt_server: Option<ServerId>,
     is_established: bool,
-    /// It has had its final answer, or nobody waits for one.
+    /// Whether the client has its final answer or no longer waits for one.
     is_answered: bool,
 }
 
-/// Drives an [`AdmissionGate`] with the events of a network.
+/// Drives an [`AdmissionGate`] with the events of a network, and carries out the actions that it returns.
 #[derive(Debug)]
 pub struct Driver {
     gate: AdmissionGate,
     requests: HashMap<RequestId, RequestProgress>,
-    /// Kept between events for its memory.
+    /// Buffer that is reused between events to save allocations.
     actions: Vec<Action>,
     max_attempts: u32,
 }
 
-/// What an instance starts from.
+/// The state that an instance starts with.
 #[derive(Clone, Debug)]
 pub struct InitialState {
-    /// Its settings.
+    /// The instance's settings.
     pub settings: Settings,
-    /// The seed of its random generator.
+    /// Seed of the instance's random number generator.
     pub seed: u64,
-    /// The servers that are known before discovery has answered.
+    /// Servers that are known before discovery has answered.
     pub servers: Vec<ServerEntry>,
 }
 
 impl Driver {
-    /// Starts an instance.
+    /// Starts an instance, and hands it the servers of `initial` as a cached endpoint list.
     pub fn start(initial: InitialState, operator: &Operator, effects: &mut impl Effects) -> Self {
         let InitialState { settings, seed, servers } = initial;
         let max_attempts = settings.max_attempts;
@@ -56,42 +57,43 @@
         driver
     }
 
-    /// Puts new settings in force; everything learned stays.
+    /// Applies new settings and keeps all learned state.
     pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &Operator) {
         self.max_attempts = settings.max_attempts;
         self.gate.update_settings(now, settings, operator);
     }
 
-    /// The balancer and its admission checks.
+    /// Returns the balancer and its admission checks.
     pub fn gate(&mut self) -> &mut AdmissionGate {
         &mut self.gate
     }
 
-    /// Processes network events, and those that follow from them, until none is left.
+    /// Processes network events, including those that its own calls on the network cause, until none is left.
     pub fn process_events(&mut self, effects: &mut impl Effects) {
         while let Some(network_event) = effects.next_event() {
             self.on_network_event(network_event, effects);
         }
     }
 
-    /// Requests that are waiting or connected.
+    /// Number of requests that wait for an answer, have a pending attempt or have an established connection.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     fn on_network_event(&mut self, network_event: NetworkEvent, effects: &mut impl Effects) {
         let Some(event) = self.translate(network_event) else { return };
-        let concerned = match &event {
+        let request = match &event {
             Event::AttemptEnded { request, .. } | Event::ClientLeft(request) => Some(*request),
             _ => None,
         };
         self.dispatch(event, effects);
-        if let Some(request) = concerned {
+        if let Some(request) = request {
             self.remove_if_ended(request);
         }
     }
 
-    /// The event that a network event is to the decisions; none where it concerns nothing that they know of.
+    /// Translates a network event into an event of the decisions. Returns `None` if it does not apply to the
+    /// state of its request, for example because the request has ended.
     fn translate(&mut self, network_event: NetworkEvent) -> Option<Event> {
         Some(match network_event {
             NetworkEvent::EndpointListReceived { is_complete, is_cached, entries } => {
@@ -142,8 +144,8 @@
     fn on_attempt_ended(&mut self, request: RequestId, outcome: Outcome) -> Option<Event> {
         let progress = self.requests.get_mut(&request)?;
         let server = progress.attempt_server.take()?;
-        // A request is answered once it was served, established, or answered before; else an answer is still
-        // due.
+        // A request whose connection was established, or that was served, needs no further answer. Any other
+        // still needs its final answer, unless it had one before.
         progress.is_answered |= progress.is_established || outcome == Outcome::Ok;
         Some(Event::AttemptEnded {
             request,
@@ -178,7 +180,8 @@
         }
     }
 
-    /// Records the final answer; false if there was one before.
+    /// Records that a request gets its final answer. Returns false if the request had one before or is not
+    /// open.
     fn mark_answered(&mut self, request: RequestId) -> bool {
         let Some(progress) = self.requests.get_mut(&request) else { return false };
         let is_first = !std::mem::replace(&mut progress.is_answered, true);
@@ -220,8 +223,8 @@
         }
     }
 
-    /// Records that an attempt begins; false where it must not: a request has one attempt at a time, and no
-    /// more than the settings allow.
+    /// Records that an attempt begins. Returns false if it must not begin: a request has only one attempt at
+    /// a time, and at most as many in total as the settings allow.
     fn record_attempt(&mut self, request: RequestId, server: ServerId) -> bool {
         let max_attempts = self.max_attempts;
         let Some(progress) = self.requests.get_mut(&request) else { return false };
--- a/crates/driver/src/events.rs
+++ b/crates/driver/src/events.rs
@@ -1,4 +1,4 @@
-//! What the driver is told of the network, and what it asks of it.
+//! The driver's interface to the network: the events that it receives and the calls that it makes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,24 +6,24 @@
 use shorewharf_decisions::interface::{Outcome, RemoteLoad, Request, RequestId, ServerEntry, ServerId};
 use shorewharf_units::{Micros, seconds_from_micros};
 
-/// A client's request, in the program's own units.
+/// A client's request, with times in microseconds. The decisions use seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedRequest {
-    /// Its id; no two open requests have the same.
+    /// The request's id, unique among open requests.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// The client's key; 0 for none.
+    /// The client's key; 0 if it has none.
     pub key: u64,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting for an answer.
     pub deadline: Micros,
-    /// Expected load, as work a second.
+    /// Expected load, in work a second, if the client gave it.
     pub load: Option<f64>,
-    /// Its group; 0 for none.
+    /// The group that the request belongs to; 0 if it belongs to none.
     pub group: u64,
-    /// Whether the client says that it comes again.
+    /// Whether the client says that it reconnects.
     pub is_returning: bool,
 }
 
@@ -43,63 +43,64 @@
     }
 }
 
-/// What has happened on the network.
+/// An event on the network.
 #[derive(Clone, Debug)]
 pub enum NetworkEvent {
-    /// The endpoint list, or changes of it.
+    /// The endpoint list, or changes to it, arrived.
     EndpointListReceived {
-        /// Whether the list is complete.
+        /// Whether the list is complete, so that servers that are missing from it are removed.
         is_complete: bool,
-        /// Whether the list is from the configuration or a store rather than new.
+        /// Whether the list comes from the configuration or a store rather than from discovery.
         is_cached: bool,
-        /// The servers.
+        /// The listed servers.
         entries: Vec<ServerEntry>,
     },
-    /// A call to discovery has failed or its watch has ended.
+    /// A call to discovery failed, or the watch on the endpoint list ended.
     DiscoveryFailed,
     /// A client requests a connection.
     RequestReceived(ReceivedRequest),
-    /// A connection from before this program's start is established again.
+    /// A connection that was established before this process started is taken over, with its server.
     ConnectionRestored(ReceivedRequest, ServerId),
-    /// The attempt that is out for a request is established.
+    /// The connection of a request's pending attempt is established.
     AttemptEstablished(RequestId),
-    /// An established connection's load, as work a second.
+    /// The load of an established connection, in work a second, was reported.
     LoadReported(RequestId, f64),
-    /// How long messages at a server take.
+    /// The time that a message takes at a server was measured.
     MessageDelayReported(ServerId, Micros),
-    /// The attempt that was out for a request has ended, established or not.
+    /// A request's pending attempt or its established connection has ended.
     AttemptEnded(RequestId, Outcome),
-    /// The client has left, or can't be answered any more.
+    /// The client has left or can no longer be answered.
     ClientLeft(RequestId),
-    /// A timer of the decisions has fired; its token.
+    /// The timer with this token, set by [`Effects::set_timer`], has fired.
     TimerFired(u64),
-    /// A probe has ended.
+    /// A probe of a server has ended with this outcome.
     ProbeEnded(ServerId, Outcome),
-    /// What other balancers hold; `None` where too few are heard of.
+    /// The loads that other balancers put on each server; `None` if too few balancers have reported them.
     RemoteLoadsUpdated(Option<Arc<BTreeMap<ServerId, RemoteLoad>>>),
 }
 
-/// The network as the driver uses it. Results come back as [`NetworkEvent`]s, at once or later.
+/// The calls that the driver makes on the network. Their results arrive as [`NetworkEvent`]s, at once or
+/// later.
 pub trait Effects {
-    /// The time, read once in a loop iteration.
+    /// The current time, read once in each iteration of the event loop.
     fn now(&self) -> Micros;
-    /// The next event, if one waits.
+    /// Removes and returns the next event, if there is one.
     fn next_event(&mut self) -> Option<NetworkEvent>;
-    /// Begins an attempt with a time-out.
+    /// Begins an attempt to connect a request to a server within a time limit.
     fn begin_attempt(&mut self, request: RequestId, server: ServerId, timeout: Micros);
-    /// Cancels the attempt that is out, unless it is established.
+    /// Cancels the pending attempt of a request, unless its connection is established.
     fn cancel_attempt(&mut self, request: RequestId);
-    /// Rejects a request; the client should wait this long before it retries, if that is more than 0.
+    /// Rejects a request. If `retry_after` is above 0, the client should wait that long before it retries.
     fn reject(&mut self, request: RequestId, retry_after: Micros);
-    /// Fails a request.
+    /// Answers a request with a failure.
     fn fail(&mut self, request: RequestId);
-    /// Asks a connected client to come again, to another server.
+    /// Asks a connected client to reconnect, so that it is placed on another server.
     fn migrate(&mut self, request: RequestId);
     /// Probes a server.
     fn probe(&mut self, server: ServerId);
-    /// Opens the watch on the endpoint list.
+    /// Opens a watch on the endpoint list.
     fn watch_endpoints(&mut self);
-    /// Sets a timer; its token comes back in [`NetworkEvent::TimerFired`].
+    /// Sets a timer, which is reported with its token by [`NetworkEvent::TimerFired`].
     fn set_timer(&mut self, after: Micros, token: u64);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -1,5 +1,5 @@
-//! The balancer behind its admission checks. It takes the same events and appends the same actions as the
-//! balancer alone, so the real program and the simulator's adapter drive both alike.
+//! The admission gate: the balancer behind its admission checks. It takes the same events and returns the
+//! same actions as the balancer alone, so that callers need not know whether there are any checks.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -18,19 +18,19 @@
 use crate::budgets::Budgets;
 use crate::tenants::Tenants;
 
-/// The gate's own timer; the tokens of the decisions are far below.
+/// Token of the migration timer. It has a bit that no token of the decisions has.
 const MIGRATION_TIMER: u64 = 1 << 63;
-/// Rejections are logged at most this often: a flood of requests must not flood the log too.
+/// Shortest time between two log lines on rejections, so that a flood of requests does not flood the log.
 const REJECTION_LOG_INTERVAL: Micros = 10_000_000;
-/// Tenants in a line of the log.
-const MAX_LOGGED_TENANTS: usize = 8;
+/// Most entries, each for a tenant and a reason, in a log line on rejections.
+const MAX_LOGGED_REJECTIONS: usize = 8;
 
 fn controller_options(operator: &Operator) -> ControllerOptions {
     let Recovery { levels, retry_budget, rebalance } = operator.recovery;
     ControllerOptions { levels, retry_budget, rebalance }
 }
 
-/// The admission checks, in the order in which they are asked.
+/// The admission checks that are in use, in the order in which they are asked.
 #[derive(Debug, Default)]
 struct AdmissionChecks {
     tenants: Option<Tenants>,
@@ -49,30 +49,30 @@
     }
 }
 
-/// An admitted request, or one whose connection was established before the start.
+/// An admitted request, or one whose connection was established before this instance started.
 #[derive(Clone, Copy, Debug)]
 struct AdmittedRequest {
     request: Request,
-    has_attempt_out: bool,
+    has_pending_attempt: bool,
     is_established: bool,
-    /// A check has had it migrated.
+    /// Whether an admission check has had the connection migrated.
     is_migrating: bool,
 }
 
 impl AdmittedRequest {
     fn new(request: Request) -> Self {
-        AdmittedRequest { request, has_attempt_out: false, is_established: false, is_migrating: false }
+        AdmittedRequest { request, has_pending_attempt: false, is_established: false, is_migrating: false }
     }
 }
 
-/// The last outcome of an admitted request.
+/// An admitted request that has ended, with its last outcome.
 #[derive(Clone, Copy, Debug)]
 struct EndedRequest {
     id: RequestId,
     outcome: AdmittedOutcome,
 }
 
-/// What rejections are logged by.
+/// Key by which rejections are counted for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RejectionKey {
     tenant: usize,
@@ -85,15 +85,19 @@
     balancer: ProtectedBalancer,
     checks: AdmissionChecks,
     admitted: HashMap<RequestId, AdmittedRequest>,
-    /// When the migration timer fires next.
+    /// The time at which the migration timer fires next, if it is set.
     timer_at: Option<Micros>,
+    /// Rejections since the start, by reason.
     rejections: BTreeMap<&'static str, u64>,
+    /// Rejections since the last log line on them.
     unlogged_rejections: BTreeMap<RejectionKey, u64>,
+    /// Time of the last log line on rejections.
     logged_at: Micros,
 }
 
 impl AdmissionGate {
-    /// Creates a balancer of these settings behind the checks that the operator's file asks for.
+    /// Creates a balancer with these settings, behind the tenants' quotas if the operator's file enables
+    /// them.
     pub fn new(now: Micros, settings: Settings, seed: u64, operator: &Operator) -> AdmissionGate {
         let tenants = Tenants::new(now, &settings, operator);
         AdmissionGate {
@@ -107,7 +111,8 @@
         }
     }
 
-    /// Puts new settings in force; everything learned stays, and so do the checks that there are.
+    /// Applies new settings to the balancer and its checks. Learned state is kept. No check is added or
+    /// removed.
     pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &Operator) {
         for check in self.checks.iter_mut() {
             check.update_settings(now, &settings, operator);
@@ -115,27 +120,27 @@
         self.balancer.update_settings(settings, controller_options(operator));
     }
 
-    /// Requests that admission checks have rejected, by reason.
+    /// Number of requests that the admission checks have rejected since the start, by reason.
     pub fn rejections(&self) -> &BTreeMap<&'static str, u64> {
         &self.rejections
     }
 
-    /// The tenants' quotas, where they are in force.
+    /// The check of the tenants' quotas, if it is in use.
     pub fn tenants(&mut self) -> Option<&mut Tenants> {
         self.checks.tenants.as_mut()
     }
 
-    /// Checks requests against budgets of the whole fleet from now on.
+    /// Adds the check against the budgets of the whole fleet, or replaces it.
     pub fn set_budgets(&mut self, budgets: Budgets) {
         self.checks.budgets = Some(budgets);
     }
 
-    /// What is estimated of the fleet.
+    /// Estimates of the fleet's capacity and load.
     pub fn fleet_estimate(&self, now: f64) -> FleetEstimate {
         self.balancer.fleet(now)
     }
 
-    /// Clients that wait for capacity.
+    /// The clients of this instance that wait for capacity.
     pub fn waiting_clients(&self, now: f64) -> WaitingClients {
         self.balancer.waiting(now)
     }
@@ -145,22 +150,23 @@
         self.balancer.controller()
     }
 
-    /// The request of an established connection, and its load if that was reported.
+    /// The request of an established connection and, if it was reported, the connection's load.
     pub fn established(&self, id: RequestId) -> Option<(Request, Option<f64>)> {
         self.balancer.established(id)
     }
 
-    /// The attempts and connections of this instance, to be reported to others.
+    /// The attempts and connections of this instance by server, for reports to other balancers.
     pub fn holdings(&self) -> Vec<Holding> {
         self.balancer.holdings()
     }
 
-    /// Servers that get nothing new now, for whatever reason.
+    /// Servers that get no new connections at present, for any reason.
     pub fn unavailable_servers(&self, now: f64) -> Vec<ServerId> {
         self.balancer.unavailable_servers(now)
     }
 
-    /// Exports at most `limit` further entries of what was learned, and returns where to go on.
+    /// Appends at most `limit` entries of the learned state, beginning at `from`, and returns the cursor for
+    /// the next call.
     pub fn export_state(
         &self,
         from: ExportCursor,
@@ -170,8 +176,8 @@
         self.balancer.export_state(from, limit, entries)
     }
 
-    /// Restores what an instance has exported `age` seconds ago; the endpoint list has to be known. Clients
-    /// that were connected then are expected back if their connections are lost.
+    /// Restores learned state that an instance exported `age` seconds ago. The endpoint list must have been
+    /// handled before. If `are_connections_lost`, the clients that were connected are expected to reconnect.
     pub fn restore_state(
         &mut self,
         now: f64,
@@ -182,7 +188,7 @@
         self.balancer.restore_state(now, age, are_connections_lost, entries)
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles an event and appends the actions that follow from it.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         if self.checks.is_empty() {
             return self.balancer.handle(now, event, actions);
@@ -211,7 +217,7 @@
         self.schedule_timer(at, actions);
     }
 
-    /// Asks all checks; the rejection, if one of them rejects the request.
+    /// Asks the checks in order. Returns the rejection if one of them rejects the request, else admits it.
     fn check_admission(&mut self, now: Micros, request: &Request) -> Option<Action> {
         for check in self.checks.iter_mut() {
             if let AdmissionDecision::Reject { retry_after, reason } = check.check(now, request) {
@@ -229,7 +235,7 @@
         None
     }
 
-    /// Logs the rejections since the last line, the most frequent first.
+    /// Logs the rejections since the last such log line, the most frequent first.
     fn log_rejections(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now < self.logged_at + REJECTION_LOG_INTERVAL {
             return;
@@ -239,13 +245,16 @@
         rejections.sort_by_key(|(_, count)| Reverse(*count));
         let texts: Vec<String> = rejections
             .iter()
-            .take(MAX_LOGGED_TENANTS)
+            .take(MAX_LOGGED_REJECTIONS)
             .map(|(RejectionKey { tenant, reason }, count)| format!("tenant {tenant} {reason} {count}"))
             .collect();
-        actions.push(Action::Log(format!("turned away since the last line: {}", texts.join(", "))));
+        actions.push(Action::Log(format!(
+            "requests rejected by admission checks since the last report: {}",
+            texts.join(", ")
+        )));
     }
 
-    /// Follows the admitted requests through an event; the one that it ends.
+    /// Updates the admitted requests for an event. Returns the request that the event ends, if any.
     fn track_event(&mut self, now: Micros, event: &Event) -> Option<EndedRequest> {
         match event {
             Event::ConnectionRestored(request, _) => {
@@ -265,7 +274,7 @@
             }
             Event::ClientLeft(id) => {
                 let admitted = self.admitted.get(id)?;
-                let is_waiting = !admitted.has_attempt_out && !admitted.is_established;
+                let is_waiting = !admitted.has_pending_attempt && !admitted.is_established;
                 is_waiting.then_some(EndedRequest { id: *id, outcome: AdmittedOutcome::ClientLeft })
             }
             _ => None,
@@ -277,14 +286,14 @@
             return;
         };
         admitted.is_established = true;
-        admitted.has_attempt_out = false;
+        admitted.has_pending_attempt = false;
         let request = admitted.request;
         for check in self.checks.iter_mut() {
             check.on_outcome(now, &request, AdmittedOutcome::Established);
         }
     }
 
-    /// An attempt or an established connection has ended; the request's end, if that is one.
+    /// Handles the end of an attempt or an established connection. Returns the request if it has ended too.
     fn on_attempt_ended(
         &mut self,
         id: RequestId,
@@ -292,23 +301,23 @@
         is_answered: bool,
     ) -> Option<EndedRequest> {
         let admitted = self.admitted.get_mut(&id)?;
-        admitted.has_attempt_out = false;
+        admitted.has_pending_attempt = false;
         let outcome = match (admitted.is_established, is_answered) {
             (true, _) => AdmittedOutcome::ConnectionEnded(outcome),
             (false, true) => AdmittedOutcome::ClientLeft,
-            // The balancer retries it or rejects it.
+            // The balancer still has to retry or reject the request.
             (false, false) => return None,
         };
         Some(EndedRequest { id, outcome })
     }
 
-    /// Follows the admitted requests through the balancer's actions.
+    /// Updates the admitted requests for the balancer's actions.
     fn track_actions(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::BeginAttempt { request, .. } => {
                     if let Some(admitted) = self.admitted.get_mut(request) {
-                        admitted.has_attempt_out = true;
+                        admitted.has_pending_attempt = true;
                     }
                 }
                 Action::Reject { request, .. } | Action::Fail(request) => {
@@ -332,7 +341,7 @@
         self.schedule_timer(now, actions);
     }
 
-    /// Migrates connections that checks want away, those with the lowest ids, which are the oldest, first.
+    /// Migrates the connections that checks have due, beginning with the lowest ids, which are the oldest.
     fn migrate_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut due = Vec::new();
         for check in self.checks.iter_mut() {
@@ -356,7 +365,8 @@
         }
     }
 
-    /// Sets the timer for the checks' next deadline, unless it fires before that.
+    /// Sets the migration timer for the checks' next deadline, unless it already fires at or before that
+    /// time.
     fn schedule_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let deadlines = self.checks.iter_mut().filter_map(|check| check.next_deadline());
         let Some(deadline) = deadlines.min() else { return };
@@ -368,7 +378,8 @@
     }
 }
 
-/// The established connections of a tenant with the lowest ids that don't migrate yet, at most `count`.
+/// Returns at most `count` established connections of a tenant, those with the lowest ids, that are not
+/// migrating yet.
 fn oldest_connections(
     admitted: &HashMap<RequestId, AdmittedRequest>,
     tenant: usize,
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -1,8 +1,9 @@
-//! Drives the decisions: network events become events of the decisions, and what they want done becomes calls
-//! on the network. The only caller of the decisions in the balancer.
+//! Connects the decisions to the network: translates network events into events of the decisions, and carries
+//! out the actions that follow as calls on the network. In the balancer, only this package calls the
+//! decisions.
 //!
-//! Admission checks come before the decisions ([`AdmissionGate`]). Nothing here knows a protocol's text, so
-//! another protocol can be put before the same decisions.
+//! Requests pass admission checks before they reach the decisions ([`AdmissionGate`]). Nothing in this
+//! package depends on the text of a protocol, so the same decisions can serve another protocol.
 
 pub mod admission;
 mod budgets;
@@ -19,5 +20,5 @@
 pub use gate::AdmissionGate;
 pub use tenants::Tenants;
 
-/// The decisions call discovery again at the latest this long after a call has failed.
+/// Longest delay between a failed call to discovery and the retry that the decisions ask for.
 pub const MAX_DISCOVERY_RETRY_DELAY: Micros = 1_350_000;
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants' quotas as an admission check, by the settings and the operator's file.
+//! The tenants' quotas as an admission check, configured by the settings and the operator's file.
 
 use shorewharf_decisions::interface::{Request, Settings};
 use shorewharf_settings::operator::Operator;
@@ -7,13 +7,14 @@
 
 use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome, TenantMigrations};
 
-/// The check of requests against their tenants' quotas.
+/// Checks requests against the quotas of their tenants.
 #[derive(Clone, Debug)]
 pub struct Tenants {
     tenancy: Tenancy,
 }
 
-/// Each worker is an instance of its own; the other balancers are assumed to have as many.
+/// Returns the settings of one worker's quotas. Each worker counts as an instance of the fleet, and all
+/// balancers are assumed to have the same number of workers.
 fn tenancy_settings(settings: &Settings, operator: &Operator) -> TenancySettings {
     let (tenancy, workers) = (&operator.tenancy, operator.workers.max(1) as f64);
     let longest_wait =
@@ -27,8 +28,8 @@
     }
 }
 
-/// A tenant's limits; none without a quota that can be enforced. Without a quota of set-ups, all of its
-/// connections may be set up within a second.
+/// Returns a tenant's limits, or `None` if it has no quota of connections that can be enforced. A tenant
+/// without a quota of set-ups may set up its whole quota of connections within a second.
 fn tenant_limits(settings: &Settings, tenant: usize) -> Option<TenantLimits> {
     let positive = |quotas: &[f64]| quotas.get(tenant).copied().filter(|quota| *quota > 0.0);
     let connections = positive(&settings.tenant_connection_quotas)?;
@@ -37,7 +38,8 @@
 }
 
 impl Tenants {
-    /// Creates the check; none where the operator does not want it or the settings have no quotas.
+    /// Creates the check. Returns `None` if the operator's file does not enable it or the settings have no
+    /// quotas.
     pub fn new(now: Micros, settings: &Settings, operator: &Operator) -> Option<Tenants> {
         let has_quotas = !settings.tenant_connection_quotas.iter().all(|quota| *quota <= 0.0);
         if !operator.tenancy.is_enabled || !has_quotas {
@@ -50,14 +52,14 @@
 
     fn update_limits(&mut self, now: Micros, settings: &Settings) {
         let (connections, rates) = (&settings.tenant_connection_quotas, &settings.tenant_rate_quotas);
-        // A request that names no tenant counts as the first one's, so there is always one.
+        // A request without a tenant counts for the first tenant, so at least one must exist.
         let tenant_count = connections.len().max(rates.len()).max(1);
         for tenant in 0..tenant_count {
             self.tenancy.set_limits(now, TenantIndex(tenant), tenant_limits(settings, tenant));
         }
     }
 
-    /// The quotas, for reports and for changes at run time.
+    /// The tenants' quotas, for reports and for changes at run time.
     pub fn tenancy(&mut self) -> &mut Tenancy {
         &mut self.tenancy
     }
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The driver between a module and peers that only note what they are asked.
+//! Tests of the driver with the real decisions and a network that only records the calls on it.
 
 use std::collections::VecDeque;
 
@@ -40,8 +40,8 @@
         self.calls.push(Call::Cancel(request));
         self.events.push_back(NetworkEvent::AttemptEnded(request, Outcome::Cancelled));
     }
-    fn reject(&mut self, request: RequestId, after: Micros) {
-        self.calls.push(Call::Reject(request, after));
+    fn reject(&mut self, request: RequestId, retry_after: Micros) {
+        self.calls.push(Call::Reject(request, retry_after));
     }
     fn fail(&mut self, request: RequestId) {
         self.calls.push(Call::Fail(request));
@@ -67,8 +67,8 @@
     effects: RecordingEffects,
 }
 
-fn entry(server: u64, stage: ServerState) -> ServerEntry {
-    ServerEntry { server: ServerId(server), zone: 0, cell: 0, state: stage, weight: 1.0, started_at: 0.0 }
+fn entry(server: u64, state: ServerState) -> ServerEntry {
+    ServerEntry { server: ServerId(server), zone: 0, cell: 0, state, weight: 1.0, started_at: 0.0 }
 }
 
 impl DriverTest {
@@ -77,48 +77,52 @@
             "registry_mode":"ask","weights":"nominal","specifics":{"mode":"proxy","message_aim_s":[0.05]},
             "limits":{"cancel":true,"connect_timeout_s":0.15,"max_attempts":5,"max_retry_after_s":1.5,"retry_after":true},
             "rules":{"ask_within_s":10}}"#;
-        let set = shorewharf_settings::parse(text).expect("settings").settings;
+        let settings = shorewharf_settings::parse(text).expect("settings").settings;
         let mut effects = RecordingEffects { now: 1_700_000_000_000_000, ..RecordingEffects::default() };
-        let known = (1..=servers).map(|s| entry(s, ServerState::Ready)).collect();
-        DriverTest {
-            driver: Driver::start(
-                InitialState { settings: set, seed: 3, servers: known },
-                &Operator::default(),
-                &mut effects,
-            ),
-            effects,
-        }
+        let servers = (1..=servers).map(|id| entry(id, ServerState::Ready)).collect();
+        let initial = InitialState { settings, seed: 3, servers };
+        let driver = Driver::start(initial, &Operator::default(), &mut effects);
+        DriverTest { driver, effects }
     }
 
-    /// What the module asks for when this happens.
+    /// Processes an event, and returns the calls that the driver makes on the network.
     fn on_event(&mut self, event: NetworkEvent) -> Vec<Call> {
         self.effects.events.push_back(event);
         self.driver.process_events(&mut self.effects);
         std::mem::take(&mut self.effects.calls)
     }
 
-    fn receive_request(&mut self, id: u32) -> Vec<Call> {
-        let deadline = self.effects.now + 3_000_000;
-        let request = ReceivedRequest {
+    fn request(&self, id: u32) -> ReceivedRequest {
+        ReceivedRequest {
             id: RequestId(id),
             class: 0,
             tenant: 0,
             key: 9,
-            deadline,
+            deadline: self.effects.now + 3_000_000,
             load: None,
             group: 0,
             is_returning: false,
-        };
+        }
+    }
+
+    fn receive_request(&mut self, id: u32) -> Vec<Call> {
+        let request = self.request(id);
         self.on_event(NetworkEvent::RequestReceived(request))
     }
 
-    /// Lets time pass and brings the timers that are due.
+    fn receive_endpoint(&mut self, entry: ServerEntry) -> Vec<Call> {
+        let entries = vec![entry];
+        self.on_event(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries })
+    }
+
+    /// Advances the clock, fires the timers that are due on the way, and returns the calls that the driver
+    /// makes.
     fn advance_by(&mut self, time: Micros) -> Vec<Call> {
         let end = self.effects.now + time;
         let mut calls = Vec::new();
         loop {
             self.effects.timers.sort();
-            match self.effects.timers.first().copied().filter(|t| t.0 <= end) {
+            match self.effects.timers.first().copied().filter(|timer| timer.0 <= end) {
                 Some((at, token)) => {
                     self.effects.timers.remove(0);
                     self.effects.now = at;
@@ -130,19 +134,24 @@
         self.effects.now = end;
         calls
     }
+
+    /// Like [`DriverTest::advance_by`], without the periodic calls to discovery.
+    fn advance_without_discovery(&mut self, time: Micros) -> Vec<Call> {
+        self.advance_by(time).into_iter().filter(|call| *call != Call::WatchEndpoints).collect()
+    }
 }
 
 fn attempted_server(calls: &[Call]) -> ServerId {
     match calls {
         [Call::BeginAttempt(_, server)] => *server,
-        other => panic!("one fetch was expected, not {other:?}"),
+        other => panic!("one attempt was expected, not {other:?}"),
     }
 }
 
 const ID: RequestId = RequestId(7);
 
 #[test]
-fn a_failed_fetch_is_followed_by_one_at_another_server() {
+fn a_failed_attempt_is_retried_at_another_server() {
     let mut test = DriverTest::new(2);
     let first = attempted_server(&test.receive_request(7));
     let second = attempted_server(&test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed)));
@@ -150,50 +159,49 @@
 }
 
 #[test]
-fn an_end_that_was_told_already_changes_nothing() {
+fn a_second_report_of_an_attempts_end_is_ignored() {
     let mut test = DriverTest::new(3);
     test.receive_request(7);
     test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
     test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::ConnectFailed));
     let last = test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::Rejected));
-    assert!(matches!(last[..], [Call::Reject(ID, wait)] if wait > 0), "{last:?}");
+    assert!(matches!(last[..], [Call::Reject(ID, retry_after)] if retry_after > 0), "{last:?}");
     assert_eq!(test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::Rejected)), []);
     assert_eq!(test.driver.open_requests(), 0);
 }
 
 #[test]
-fn a_connection_that_stood_is_complete_when_it_ends() {
-    // Told as incomplete, the module would place the connection again or answer it once more.
+fn an_established_connection_needs_no_answer_when_it_ends() {
+    // If the end were reported to the decisions as unanswered, they would retry the request or answer it
+    // again.
     for outcome in [Outcome::Ok, Outcome::Reset, Outcome::Cancelled] {
         let mut test = DriverTest::new(3);
         test.receive_request(7);
         assert_eq!(test.on_event(NetworkEvent::AttemptEstablished(ID)), []);
         assert_eq!(test.on_event(NetworkEvent::AttemptEnded(ID, outcome)), [], "{outcome:?}");
         assert_eq!(test.driver.open_requests(), 0);
-        assert_eq!(test.advance_by(4_000_000).iter().filter(|c| **c != Call::WatchEndpoints).count(), 0);
+        assert_eq!(test.advance_without_discovery(4_000_000), []);
     }
 }
 
 #[test]
-fn a_timed_out_fetch_still_owes_the_answer() {
+fn a_request_is_rejected_after_its_only_attempt_times_out() {
     let mut test = DriverTest::new(1);
     test.receive_request(7);
     let calls = test.on_event(NetworkEvent::AttemptEnded(ID, Outcome::TimedOut));
-    assert!(matches!(calls[..], [Call::Reject(ID, wait)] if wait > 0), "{calls:?}");
+    assert!(matches!(calls[..], [Call::Reject(ID, retry_after)] if retry_after > 0), "{calls:?}");
 }
 
 #[test]
-fn a_fetch_that_never_ends_is_called_off_and_the_client_told_once() {
+fn an_attempt_that_never_ends_is_cancelled_and_its_request_fails_once() {
     let mut test = DriverTest::new(1);
     test.receive_request(7);
-    let calls: Vec<Call> =
-        test.advance_by(3_000_000).into_iter().filter(|c| *c != Call::WatchEndpoints).collect();
-    assert_eq!(calls, [Call::Cancel(ID), Call::Fail(ID)]);
+    assert_eq!(test.advance_without_discovery(3_000_000), [Call::Cancel(ID), Call::Fail(ID)]);
     assert_eq!(test.driver.open_requests(), 0);
 }
 
 #[test]
-fn a_client_that_left_gets_no_answer_and_is_forgotten_with_its_fetch() {
+fn a_request_whose_client_left_gets_no_answer_and_ends_with_its_attempt() {
     let mut test = DriverTest::new(2);
     test.receive_request(7);
     assert_eq!(test.on_event(NetworkEvent::ClientLeft(ID)), []);
@@ -203,14 +211,11 @@
 }
 
 #[test]
-fn clients_of_a_draining_server_are_moved_and_nobody_new_goes_there() {
+fn clients_of_a_draining_server_migrate_and_it_gets_no_new_ones() {
     let mut test = DriverTest::new(2);
     let server = attempted_server(&test.receive_request(7));
     test.on_event(NetworkEvent::AttemptEstablished(ID));
-    let entries = vec![entry(server.0, ServerState::Draining)];
-    let calls =
-        test.on_event(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries });
-    assert_eq!(calls, [Call::Migrate(ID)]);
+    assert_eq!(test.receive_endpoint(entry(server.0, ServerState::Draining)), [Call::Migrate(ID)]);
     assert_eq!(test.driver.open_requests(), 0);
     for id in 8..20 {
         assert_ne!(attempted_server(&test.receive_request(id)), server);
@@ -218,31 +223,17 @@
 }
 
 #[test]
-fn a_connection_from_before_the_start_is_moved_like_any_other() {
+fn a_restored_connection_migrates_like_any_other() {
     let mut test = DriverTest::new(2);
-    let deadline = test.effects.now + 3_000_000;
-    let request = ReceivedRequest {
-        id: ID,
-        class: 0,
-        tenant: 0,
-        key: 9,
-        deadline,
-        load: None,
-        group: 0,
-        is_returning: false,
-    };
+    let request = test.request(ID.0);
     assert_eq!(test.on_event(NetworkEvent::ConnectionRestored(request, ServerId(1))), []);
-    // It stands: its deadline binds no more.
-    assert_eq!(test.advance_by(5_000_000).iter().filter(|c| **c != Call::WatchEndpoints).count(), 0);
-    let entries = vec![entry(1, ServerState::Draining)];
-    assert_eq!(
-        test.on_event(NetworkEvent::EndpointListReceived { is_complete: false, is_cached: false, entries }),
-        [Call::Migrate(ID)]
-    );
+    // The deadline of the request does not apply to its established connection.
+    assert_eq!(test.advance_without_discovery(5_000_000), []);
+    assert_eq!(test.receive_endpoint(entry(1, ServerState::Draining)), [Call::Migrate(ID)]);
 }
 
 #[test]
-fn slow_messages_move_clients_away() {
+fn clients_migrate_from_a_server_with_slow_messages() {
     let mut test = DriverTest::new(2);
     let server = attempted_server(&test.receive_request(7));
     test.on_event(NetworkEvent::AttemptEstablished(ID));
@@ -254,8 +245,9 @@
 }
 
 #[test]
-fn the_director_is_asked_soon_and_again_within_three_seconds_of_each_failure() {
-    // What discovery has to tell counts as told after 6 s, so a failed call must be repeated well before.
+fn discovery_is_called_within_three_seconds_of_the_start_and_of_each_failure() {
+    // A change of the endpoint list may take at most 6 s to arrive, so a failed call must be retried well
+    // before.
     let mut test = DriverTest::new(0);
     assert_eq!(test.advance_by(3_000_000), [Call::WatchEndpoints]);
     for _ in 0..8 {
