--- a/crates/lifecycle/src/answer.rs
+++ b/crates/lifecycle/src/answer.rs
@@ -5,17 +5,17 @@
 /// The final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Not served, and harmless to retry.
+    /// The request was not served, and the client may safely retry it.
     Rejected {
-        /// How long the client should wait first; 0 for no advice.
+        /// Time that the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
     },
-    /// Not served to its end; it may have run.
+    /// The request was not served to its end, and a server may have run it.
     Failed,
-    /// Served to its end.
+    /// The request was served to its end.
     Served,
-    /// The client is to come again, to another server.
+    /// The client has to reconnect, so that it is placed on another server.
     Migrated,
-    /// The end of a connection without an answer.
+    /// The connection is closed without an answer.
     Closed,
 }
--- a/crates/lifecycle/src/cause.rs
+++ b/crates/lifecycle/src/cause.rs
@@ -1,31 +1,31 @@
-//! Why a request gets its final answer.
+//! The causes of final answers.
 
 use std::fmt;
 
-/// Why a client gets its final answer, as the log tells it.
+/// Why a client gets its final answer. The log shows the cause by its display name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The decisions, or an admission check before them.
+    /// The decisions or an admission check chose the answer.
     Decision,
-    /// The process shuts down.
+    /// The process is shutting down.
     Shutdown,
-    /// The event loop can't keep up.
+    /// The event loop can't keep up with its work.
     Overload,
-    /// There are no descriptors left.
+    /// The process has no descriptors left.
     Descriptors,
-    /// The deadline has passed without an answer.
+    /// The request's deadline passed without an answer.
     Overdue,
-    /// The client's request is malformed.
+    /// The request is malformed.
     BadRequest,
     /// The client sent no complete request in time.
     Idle,
-    /// Its server has answered or closed the connection.
+    /// The server answered or closed the connection.
     Server,
-    /// Its server no longer answers.
+    /// The server no longer answers.
     Unresponsive,
-    /// It is migrated off its server.
+    /// The connection is migrated away from its server.
     Migration,
-    /// It can't go on in this process, and is not handed over.
+    /// The connection was transferred in a hand-over, and this process can't continue it.
     Handover,
 }
 
--- a/crates/lifecycle/src/guard.rs
+++ b/crates/lifecycle/src/guard.rs
@@ -1,4 +1,4 @@
-//! The guard: checks each attempt and each final answer of all requests of a process.
+//! The guard, which checks each attempt and each final answer of all requests of a process.
 
 use rustc_hash::FxHashMap;
 use shorewharf_decisions::interface::{Idempotency, Outcome, RequestId, ServerId};
@@ -11,17 +11,18 @@
 use crate::rule::Rule;
 use crate::stats::Stats;
 
-/// Something that was to be done and is forbidden.
+/// A step that a rule forbids.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("{rule}: request {}, attempt {attempt}", request.0)]
+#[error("request {}, attempt {attempt}: forbidden by the rule {rule}", request.0)]
 pub struct Violation {
-    /// The rule that it would have broken.
+    /// The rule that the step would have broken.
     pub rule: Rule,
-    /// The request.
+    /// The request concerned.
     pub request: RequestId,
-    /// The attempt that was begun last, from 1; 0 for none.
+    /// Number of the request's latest attempt, from 1; 0 if there was none.
     pub attempt: u32,
-    /// The server of that attempt, or of the first one that may have run.
+    /// The server of the pending attempt or of the established connection. Without either, the server of the
+    /// first attempt that may have run.
     pub server: Option<ServerId>,
 }
 
@@ -29,13 +30,14 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{violation}")]
 pub struct ForbiddenAnswer {
-    /// The rule that it would have broken.
+    /// The violation that the answer would have been.
     pub violation: Violation,
-    /// The harmless answer to be given instead; none where the client has had its answer.
+    /// The answer to give instead; `None` if the client already has its final answer.
     pub replacement: Option<Answer>,
 }
 
-/// All requests that have been read and whose connections have not ended.
+/// Checks the attempts and final answers of all requests, from the moment they are read until their
+/// connections are closed.
 #[derive(Debug, Default)]
 pub struct RequestGuard {
     requests: FxHashMap<RequestId, Request>,
@@ -43,23 +45,23 @@
 }
 
 impl RequestGuard {
-    /// A request has been read; this is what repeating it may do.
+    /// Records that a request was read, and whether it may be repeated.
     pub fn receive(&mut self, id: RequestId, idempotency: Idempotency) {
         self.requests.insert(id, Request::new(idempotency));
     }
 
-    /// The decisions have been told of a request.
+    /// Records that a request was passed to the decisions.
     pub fn queue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.queue();
         }
     }
 
-    /// An attempt is to begin.
+    /// Begins an attempt: its connection to the server is being made.
     ///
     /// # Errors
     ///
-    /// Fails where a rule forbids it; nothing has begun then.
+    /// Returns a violation if a rule forbids the attempt. The attempt has not begun then.
     pub fn begin_attempt(&mut self, id: RequestId, target: Target) -> Result<(), Violation> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Err(self.violation(id, Rule::AttemptAfterAnswer));
@@ -75,12 +77,13 @@
         }
     }
 
-    /// The first line of the attempt that is out is to be written. False where the deduplication window is
-    /// over: the line must not be written, and that is no fault.
+    /// Checks that the first line of the pending attempt may be written now, and records that it is. Returns
+    /// false if the deduplication window may be over when the line arrives. Then the line must not be
+    /// written, but this is no violation.
     ///
     /// # Errors
     ///
-    /// Fails where a rule forbids it.
+    /// Returns a violation if a rule forbids writing the line.
     pub fn send(&mut self, id: RequestId, now: Micros) -> Result<bool, Violation> {
         let sent = match self.requests.get_mut(&id) {
             Some(request) => request.send(now),
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The attempt that is out has ended without being accepted.
+    /// Records that the pending attempt ended without being accepted by its server.
     pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if matches!(request.state(), RequestState::Connecting | RequestState::Sent) {
@@ -105,38 +108,41 @@
         request.end_attempt(outcome);
     }
 
-    /// A server has accepted a request.
+    /// Records that a server accepted the request.
     pub fn serve(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.serve();
         }
     }
 
-    /// Whether a request may be rejected now. An attempt that is out counts as one that may yet run.
+    /// Whether a request may be rejected now. A pending attempt that was sent counts as one that may have
+    /// run.
     pub fn is_rejectable(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_none_or(Request::is_rejectable)
     }
 
-    /// Whether any server may have run a request.
+    /// Whether a server may have run the request.
     pub fn may_have_run(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(Request::may_have_run)
     }
 
-    /// How many attempts a request has had.
+    /// Number of attempts of a request that were begun.
     pub fn attempts(&self, id: RequestId) -> u32 {
         self.requests.get(&id).map_or(0, Request::attempts)
     }
 
-    /// The answer to a client that is not served, whatever the reason: a rejection where that is harmless.
+    /// Returns the answer for a client that is not served, for any reason: a rejection if a retry is
+    /// harmless, else a failure.
     pub fn answer_for_unserved(&self, id: RequestId, retry_after: Micros) -> Answer {
         if self.is_rejectable(id) { Answer::Rejected { retry_after } } else { Answer::Failed }
     }
 
-    /// A final answer is to be given.
+    /// Records that a request gets its final answer. Any answer is allowed for a request that the guard does not know.
     ///
     /// # Errors
     ///
-    /// Fails where the answer is forbidden, and says which one counts as given in its place.
+    /// Returns an error if a rule forbids the answer. If the error has a replacement, that one is recorded as
+    /// given.
     pub fn answer(&mut self, id: RequestId, answer: Answer, cause: Cause) -> Result<(), ForbiddenAnswer> {
         let Some(request) = self.requests.get_mut(&id) else { return Ok(()) };
         let Err(rule) = request.answer(answer) else {
@@ -151,18 +157,18 @@
         Err(ForbiddenAnswer { violation: self.violation(id, rule), replacement })
     }
 
-    /// The client of a request has left: nothing is owed to it.
+    /// Records that the client of a request has left and needs no answer.
     pub fn abandon(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.abandon();
         }
     }
 
-    /// A request's connection is closed and its id is free.
+    /// Removes a request whose connection is closed. Its id may be used again.
     ///
     /// # Errors
     ///
-    /// Fails where the request still waited for its answer.
+    /// Returns a violation if the request still waited for its final answer. It is removed all the same.
     pub fn close(&mut self, id: RequestId) -> Result<(), Violation> {
         let is_lost = self.requests.get(&id).is_some_and(Request::is_waiting);
         let closed = if is_lost { Err(self.violation(id, Rule::ClosedUnanswered)) } else { Ok(()) };
@@ -170,7 +176,7 @@
         closed
     }
 
-    /// Counts since the start.
+    /// Statistics since the start of the process.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,11 +1,11 @@
-//! The life of a request as a state machine, and the guard that each attempt and each final answer has to
-//! pass.
+//! The state machine of a request, and the guard that checks each attempt and each final answer.
 //!
-//! The decisions choose servers and answers; the network code carries them out, and ends requests by itself
-//! when the process shuts down, runs short of descriptors or is late. The rules on duplicates and final
-//! answers have to hold on all of these paths, so they are checked in one place: [`RequestGuard`] knows what
-//! repeating a request may do and what each of its attempts has done so far. No I/O and no clock: times are
-//! arguments, in microseconds of a monotonic clock.
+//! The decisions choose servers and answers. The network code carries them out, and also ends requests by
+//! itself when the process shuts down, runs out of descriptors or falls behind. The rules on duplicates and
+//! final answers must hold on all of these paths, so they are checked in one place: [`RequestGuard`] knows
+//! whether a request may be repeated and what its attempts have done so far.
+//!
+//! This package does no I/O and reads no clock. Times are passed in, in microseconds of a monotonic clock.
 
 mod answer;
 mod cause;
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,4 +1,4 @@
-//! One request: its state, and what it allows next.
+//! The state of one request, and which steps it allows next.
 
 use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, Outcome, ServerId};
 use shorewharf_units::Micros;
@@ -7,14 +7,15 @@
 use crate::answer::Answer;
 use crate::rule::Rule;
 
-/// The longest time between reading the clock and writing. A repeat that could reach its server after the
+/// Longest time between reading the clock and writing a line. A retry that could reach its server after the
 /// deduplication window of its class is not written.
 const MAX_WRITE_DELAY: Micros = 150_000;
 
-/// The server of an attempt. Zone and cell are those of the time when it began: the list may change them.
+/// The server of an attempt. Zone and cell are those at the time when the attempt began, since the endpoint
+/// list may change them later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The server.
+    /// The server's id.
     pub server: ServerId,
     /// The server's zone.
     pub zone: u32,
@@ -22,34 +23,34 @@
     pub cell: u32,
 }
 
-/// How far a request has come.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Its first line has been read.
+    /// Its first line was read.
     Received,
-    /// The decisions know of it; no attempt is out.
+    /// The decisions have it, and no attempt is pending.
     Queued,
-    /// An attempt's connection is being made: its server knows nothing of the request.
+    /// The connection of an attempt is being made. The server has not received the request yet.
     Connecting,
-    /// An attempt's first line is being written or has been: its server may run it.
+    /// The first line of an attempt is being or was written. The server may run the request.
     Sent,
-    /// A server has accepted it, and lines are relayed.
+    /// A server has accepted the request, and lines are relayed.
     Serving,
-    /// Its client has been told to migrate.
+    /// The client was told to migrate.
     Migrated,
-    /// It has had its final answer, or its client has left.
+    /// The client got its final answer or has left.
     Answered,
 }
 
-/// Why a first line must not be written.
+/// Why the first line of an attempt must not be written.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SendError {
-    /// The deduplication window may be over when the line arrives. Time passes while a connection is made, so
-    /// this is no fault: the attempt counts as never sent.
-    #[error("the window for repeats is over")]
+    /// The deduplication window may be over when the line arrives. This is no violation, since time passes
+    /// while a connection is made. The attempt counts as not sent.
+    #[error("the deduplication window may be over before the retry arrives")]
     WindowOver,
-    /// A rule forbids it.
-    #[error("forbidden: {0}")]
+    /// A rule forbids writing it.
+    #[error("forbidden by the rule {0}")]
     Forbidden(Rule),
 }
 
@@ -61,20 +62,21 @@
     attempt: u32,
 }
 
-/// One request, from its first line to its end.
+/// A request, from its first line until its connection is closed.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     idempotency: Idempotency,
     state: RequestState,
-    /// Attempts begun.
+    /// Number of attempts that were begun.
     attempts: u32,
+    /// The server of the pending attempt. It is kept when that server accepts the request.
     target: Option<Target>,
     possible_run: Option<PossibleRun>,
 }
 
 impl Request {
-    /// A request that has been read. What repeating it may do is fixed now: a new configuration does not
-    /// change it.
+    /// Creates a request that was just read. Its idempotency is fixed from now on, even if the configuration
+    /// of its class changes.
     pub fn new(idempotency: Idempotency) -> Self {
         Request { idempotency, state: RequestState::Received, attempts: 0, target: None, possible_run: None }
     }
@@ -87,17 +89,18 @@
         self.attempts
     }
 
-    /// The server of the attempt that is out, or of the first one that may have run.
+    /// The server of the pending attempt or of the established connection. Without either, the server of the
+    /// first attempt that may have run.
     pub fn server(&self) -> Option<ServerId> {
         self.target.or(self.possible_run.map(|run| run.target)).map(|target| target.server)
     }
 
-    /// Whether a server may have run it, or may yet.
+    /// Whether a server may have run the request or may still run it.
     pub fn may_have_run(&self) -> bool {
         self.possible_run.is_some()
     }
 
-    /// Whether it still waits for its final answer.
+    /// Whether the client still waits for a server's acceptance or a final answer.
     pub fn is_waiting(&self) -> bool {
         match self.state {
             RequestState::Received | RequestState::Queued | RequestState::Connecting | RequestState::Sent => {
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Whether a client that retries it can do no harm.
+    /// Whether it is harmless if the client retries the request.
     pub fn is_rejectable(&self) -> bool {
         !self.may_have_run()
             || matches!(
@@ -122,7 +125,7 @@
         }
     }
 
-    /// An attempt begins: its connection is made.
+    /// Begins an attempt: its connection to the server is being made.
     pub fn begin_attempt(&mut self, target: Target) -> Result<(), Rule> {
         match self.state {
             RequestState::Received | RequestState::Queued => {}
@@ -138,7 +141,7 @@
         Ok(())
     }
 
-    /// The first line is about to be written.
+    /// Checks that the first line of the pending attempt may be written, and records that it is.
     pub fn send(&mut self, now: Micros) -> Result<(), SendError> {
         let (RequestState::Connecting, Some(target)) = (self.state, self.target) else {
             return Err(SendError::Forbidden(Rule::AttemptAfterAnswer));
@@ -153,7 +156,7 @@
         Ok(())
     }
 
-    /// The attempt that is out has ended without being accepted.
+    /// Records that the pending attempt ended without being accepted by its server.
     pub fn end_attempt(&mut self, outcome: Outcome) {
         if !matches!(self.state, RequestState::Connecting | RequestState::Sent) {
             return;
@@ -166,14 +169,14 @@
         self.target = None;
     }
 
-    /// A server has accepted it.
+    /// Records that the server of the pending attempt accepted the request.
     pub fn serve(&mut self) {
         if self.state == RequestState::Sent {
             self.state = RequestState::Serving;
         }
     }
 
-    /// The final answer is given.
+    /// Records the final answer, if the rules allow it.
     pub fn answer(&mut self, answer: Answer) -> Result<(), Rule> {
         self.check_answer(answer)?;
         self.state = if answer == Answer::Migrated { RequestState::Migrated } else { RequestState::Answered };
@@ -192,7 +195,7 @@
         }
     }
 
-    /// The client has left: nothing is owed to it.
+    /// Records that the client has left and needs no answer.
     pub fn abandon(&mut self) {
         self.state = RequestState::Answered;
     }
--- a/crates/lifecycle/src/stats.rs
+++ b/crates/lifecycle/src/stats.rs
@@ -1,4 +1,4 @@
-//! What the guard counts, for operators and tests.
+//! Statistics of the guard, for operators and tests.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,12 +9,12 @@
 use crate::cause::Cause;
 use crate::rule::Rule;
 
-/// What answers are counted by.
+/// The key under which final answers are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AnswerCount {
-    /// The answer's kind.
+    /// Name of the answer's kind.
     pub kind: &'static str,
-    /// Why it was given.
+    /// The cause of the answer.
     pub cause: Cause,
 }
 
@@ -27,17 +27,17 @@
 /// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// First attempts begun.
+    /// Number of first attempts that were begun.
     pub first_attempts: u64,
-    /// Retries begun.
+    /// Number of retries that were begun.
     pub retries: u64,
-    /// Retries that were not sent, as their connection was established after the deduplication window.
+    /// Number of retries that were not sent because they could have arrived after the deduplication window.
     pub window_expired: u64,
-    /// Attempts that no server accepted, by how they ended.
+    /// Number of attempts that no server accepted, by the name of their outcome.
     pub attempts_ended: BTreeMap<&'static str, u64>,
-    /// Final answers by kind and cause.
+    /// Number of final answers, by kind and cause.
     pub answers: BTreeMap<AnswerCount, u64>,
-    /// What was forbidden, by the rule that it breaks.
+    /// Number of steps that the guard prevented, by the rule that they would have broken.
     pub violations: BTreeMap<Rule, u64>,
 }
 
@@ -63,15 +63,15 @@
         *self.violations.entry(rule).or_default() += 1;
     }
 
-    /// Everything that was forbidden.
+    /// Number of steps that the guard prevented.
     pub fn violations_total(&self) -> u64 {
         self.violations.values().sum()
     }
 
-    /// The answers of one kind, for whatever cause.
+    /// Number of final answers of the same kind as `answer`, for all causes.
     pub fn answers_of(&self, answer: Answer) -> u64 {
         let kind = answer_name(answer);
-        self.answers.iter().filter(|(what, _)| what.kind == kind).map(|(_, count)| count).sum()
+        self.answers.iter().filter(|(key, _)| key.kind == kind).map(|(_, count)| count).sum()
     }
 }
 
--- a/crates/lifecycle/tests/duplicates.rs
+++ b/crates/lifecycle/tests/duplicates.rs
@@ -1,5 +1,5 @@
-//! The guard beside a plain model of the rule on duplicates: every drawn class and sequence of steps gets the same
-//! verdict from both.
+//! Compares the guard with a simple model of the rules on duplicates: for random classes and sequences of
+//! steps, both must allow and forbid the same steps.
 
 use proptest::prelude::*;
 use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, Outcome, RequestId, ServerId};
@@ -7,7 +7,7 @@
 use shorewharf_units::Micros;
 
 const ID: RequestId = RequestId(3);
-/// What the guard keeps between a repeat and the end of its window.
+/// The time before the end of a deduplication window in which the guard sends no retry.
 const MAX_WRITE_DELAY: Micros = 150_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     Wait(Micros),
 }
 
-/// An attempt as the rule sees it.
+/// An attempt in the model.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     target: Target,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The rule, written down without a state machine: all attempts so far, and whether the client has its answer.
+/// The rules without a state machine: all attempts so far, and whether the client has its final answer.
 #[derive(Debug)]
 struct Model {
     idempotency: Idempotency,
@@ -44,7 +44,7 @@
 }
 
 impl Model {
-    fn runs(&self) -> impl Iterator<Item = &Attempt> {
+    fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.may_have_run())
     }
 
@@ -53,11 +53,11 @@
             self.idempotency,
             Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
         );
-        is_harmless || self.runs().next().is_none()
+        is_harmless || self.possible_runs().next().is_none()
     }
 
-    fn may_go_to(&self, target: Target) -> bool {
-        self.runs().all(|run| match self.idempotency {
+    fn may_send_to(&self, target: Target) -> bool {
+        self.possible_runs().all(|run| match self.idempotency {
             Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _) => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed(DeduplicationScope::Zone, _) => run.target.zone == target.zone,
@@ -67,11 +67,11 @@
 
     fn is_in_window(&self, now: Micros) -> bool {
         let Idempotency::Keyed(_, window) = self.idempotency else { return true };
-        let first = self.runs().filter_map(|run| run.sent_at).min();
+        let first = self.possible_runs().filter_map(|run| run.sent_at).min();
         first.is_none_or(|sent_at| now + MAX_WRITE_DELAY < sent_at + (window * 1e6) as Micros)
     }
 
-    fn out(&mut self) -> Option<&mut Attempt> {
+    fn pending_attempt(&mut self) -> Option<&mut Attempt> {
         self.attempts.last_mut().filter(|attempt| attempt.outcome.is_none())
     }
 }
@@ -122,23 +122,24 @@
 }
 
 fn begin(guard: &mut RequestGuard, model: &mut Model, target: Target) {
-    let wanted = if model.is_answered {
+    let expected = if model.is_answered {
         Some(Rule::AttemptAfterAnswer)
-    } else if model.out().is_some() {
+    } else if model.pending_attempt().is_some() {
         Some(Rule::ConcurrentAttempt)
-    } else if !model.may_go_to(target) {
+    } else if !model.may_send_to(target) {
         Some(Rule::RepeatedAfterRun)
     } else {
         None
     };
-    assert_eq!(guard.begin_attempt(ID, target).map_err(|violation| violation.rule).err(), wanted);
-    if wanted.is_none() {
+    assert_eq!(guard.begin_attempt(ID, target).map_err(|violation| violation.rule).err(), expected);
+    if expected.is_none() {
         model.attempts.push(Attempt { target, sent_at: None, outcome: None });
     }
 }
 
 fn send(guard: &mut RequestGuard, model: &mut Model, now: Micros) {
-    let is_ready = !model.is_answered && model.out().is_some_and(|attempt| attempt.sent_at.is_none());
+    let is_ready =
+        !model.is_answered && model.pending_attempt().is_some_and(|attempt| attempt.sent_at.is_none());
     let sent = guard.send(ID, now).map_err(|violation| violation.rule);
     if !is_ready {
         return assert_eq!(sent, Err(Rule::AttemptAfterAnswer));
@@ -146,26 +147,26 @@
     let in_window = model.is_in_window(now);
     assert_eq!(sent, Ok(in_window));
     if in_window {
-        model.out().expect("an attempt is out").sent_at = Some(now);
+        model.pending_attempt().expect("an attempt is pending").sent_at = Some(now);
     }
 }
 
 fn answer(guard: &mut RequestGuard, model: &mut Model, answer: Answer) {
-    let wanted = match answer {
+    let expected = match answer {
         _ if model.is_answered => Some(Rule::SecondAnswer),
         Answer::Rejected { .. } if !model.may_reject() => Some(Rule::RejectedAfterRun),
         Answer::Closed => Some(Rule::ClosedUnanswered),
         _ => None,
     };
-    // Whatever was wanted, what is said in its place is no refusal, and said once.
-    let given = guard.answer(ID, answer, Cause::Decision);
-    let instead = given.as_ref().err().and_then(|forbidden| forbidden.replacement);
-    assert_eq!(given.map_err(|forbidden| forbidden.violation.rule).err(), wanted);
-    assert_eq!(instead, wanted.filter(|rule| *rule != Rule::SecondAnswer).map(|_| Answer::Failed));
+    let result = guard.answer(ID, answer, Cause::Decision);
+    let replacement = result.as_ref().err().and_then(|forbidden| forbidden.replacement);
+    assert_eq!(result.map_err(|forbidden| forbidden.violation.rule).err(), expected);
+    // A forbidden answer is replaced by a failure, never by a rejection, and only if it is the first answer.
+    assert_eq!(replacement, expected.filter(|rule| *rule != Rule::SecondAnswer).map(|_| Answer::Failed));
     model.is_answered = true;
 }
 
-fn play(idempotency: Idempotency, steps: &[Step]) {
+fn run_steps(idempotency: Idempotency, steps: &[Step]) {
     let mut guard = RequestGuard::default();
     let mut model = Model { idempotency, attempts: Vec::new(), is_answered: false };
     let mut now = 1_000_000;
@@ -177,7 +178,7 @@
             Step::Send => send(&mut guard, &mut model, now),
             Step::End(outcome) if !model.is_answered => {
                 guard.end_attempt(ID, outcome);
-                model.out().into_iter().for_each(|attempt| attempt.outcome = Some(outcome));
+                model.pending_attempt().into_iter().for_each(|attempt| attempt.outcome = Some(outcome));
             }
             Step::End(_) => {}
             Step::Reject => answer(&mut guard, &mut model, Answer::Rejected { retry_after: 300_000 }),
@@ -194,7 +195,7 @@
     assert_eq!(
         guard.close(ID).is_err(),
         !model.is_answered,
-        "a request that waits is lost with its connection"
+        "closing must be a violation exactly if the client still waits for its answer"
     );
 }
 
@@ -202,8 +203,8 @@
     #![proptest_config(ProptestConfig { cases: 4096, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_guard_and_the_rule_agree(idempotency in idempotency(), steps in prop::collection::vec(step(), 1..24)) {
-        play(idempotency, &steps);
+    fn the_guard_and_the_model_agree(idempotency in idempotency(), steps in prop::collection::vec(step(), 1..24)) {
+        run_steps(idempotency, &steps);
     }
 }
 
@@ -213,10 +214,16 @@
     let target = Target { server: ServerId(1), zone: 0, cell: 0 };
     guard.receive(ID, Idempotency::NonIdempotent);
     assert_eq!(guard.begin_attempt(ID, target), Ok(()));
-    assert_eq!(guard.begin_attempt(ID, target).expect_err("two at once").rule, Rule::ConcurrentAttempt);
+    assert_eq!(
+        guard.begin_attempt(ID, target).expect_err("an attempt is pending already").rule,
+        Rule::ConcurrentAttempt
+    );
     assert_eq!(guard.send(ID, 5), Ok(true));
     guard.end_attempt(ID, Outcome::Reset);
-    assert_eq!(guard.begin_attempt(ID, target).expect_err("sent again").rule, Rule::RepeatedAfterRun);
+    assert_eq!(
+        guard.begin_attempt(ID, target).expect_err("the first attempt may have run").rule,
+        Rule::RepeatedAfterRun
+    );
     let forbidden =
         guard.answer(ID, Answer::Rejected { retry_after: 0 }, Cause::Shutdown).expect_err("it may have run");
     let violation = forbidden.violation;
