--- a/crates/tenancy/src/decision.rs
+++ b/crates/tenancy/src/decision.rs
@@ -1,28 +1,28 @@
-//! Decisions on clients' requests, and the reasons for them.
+//! Decisions on requests, and the reasons for rejections.
 
 use shorewharf_units::Micros;
 
-/// A tenant's index. It is given once: a tenant that is removed keeps it, and one that is made anew under the same name
-/// gets another.
+/// A tenant's index. Indices are not reused: a removed tenant keeps its index, and a new tenant of the same
+/// name gets another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantIndex(pub usize);
 
-/// Why a client is rejected. Each reason is counted.
+/// Why a request is rejected. Rejections are counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// Its tenant holds its quota of connections, and nothing more is lent.
+    /// The tenant has reached its quota of connections and can't borrow more.
     Connections,
-    /// Its tenant sets up connections faster than its quota, and nothing more is lent.
+    /// The tenant has reached its quota of set-ups and can't borrow more.
     Setups,
-    /// Its tenant's clients reconnect faster than its quota allows, and nothing more is lent.
+    /// The tenant has reached its quota of reconnects and can't borrow more.
     Reconnects,
-    /// Capacity is short, and its tenant is among those that are furthest beyond their quotas.
+    /// Capacity is short, and the tenant is among those with the highest utilization of their quotas.
     CapacityShort,
-    /// Its tenant's quota was lowered below its connections: nothing new until it is under.
+    /// The tenant's quota was lowered below its connections, and they have not fallen below the quota yet.
     QuotaLowered,
-    /// Its tenant was removed.
+    /// The tenant was removed.
     Removed,
-    /// There never was a tenant of this index.
+    /// There is no tenant with this index.
     Unknown,
 }
 
@@ -38,7 +38,7 @@
         RejectReason::Unknown,
     ];
 
-    /// Its name in logs and metrics.
+    /// The reason's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::Connections => "tenant-connections",
@@ -52,16 +52,16 @@
     }
 }
 
-/// What becomes of a client's request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// It may go on to be placed.
+    /// The request is within the quotas, and may be placed.
     Admit,
-    /// It is rejected at once.
+    /// The request is rejected at once.
     Reject {
-        /// When to come back, from now; 0 where no advice is sent.
+        /// Time that the client should wait before it retries; 0 if clients get no such advice.
         retry_after: Micros,
-        /// Why, to be counted.
+        /// The reason for the rejection.
         reason: RejectReason,
     },
 }
--- a/crates/tenancy/src/resource.rs
+++ b/crates/tenancy/src/resource.rs
@@ -1,185 +1,191 @@
-//! One resource and which tenant uses how much of it: established connections, which are held and given back, or a rate
-//! such as set-ups, whose uses decay with time.
+//! The tenants' quotas and usage of one resource. A resource is either a concurrency, such as connections,
+//! which are acquired and released, or a rate, such as set-ups, whose usage decays with time.
 //!
-//! All uses of a rate decay alike, so they are kept as they would be at the time of the last rebuild: then nothing
-//! changes with time but one common factor, and no tenant is touched unless it acts.
+//! All usage of a rate decays alike, so it is stored in units as of the last rebuild of the table. Then only
+//! one common scale changes with time, and a tenant's entry changes only when it acquires something.
 
 use std::collections::VecDeque;
 
 use shorewharf_units::Micros;
 
 use crate::decision::TenantIndex;
-use crate::fullness_table::{Bucket, FullnessTable, QuotaUse, bucket_of};
+use crate::utilization_table::{Bucket, QuotaUsage, UtilizationTable, bucket_of};
 
-/// Uses of a rate are rebuilt after so many time constants: factors stay below e^12.
+/// Number of time constants after which the table of a rate is rebuilt, which keeps the scale below e^12.
 const REBUILD_AFTER_TIME_CONSTANTS: u64 = 12;
-/// A tenant that has not acted for so many time constants counts as using nothing.
+/// Number of time constants without an acquisition after which a tenant's usage of a rate counts as 0.
 const FORGET_AFTER_TIME_CONSTANTS: u64 = 4;
-/// Sums of held uses are rebuilt after so many changes, which keeps rounding errors far below one connection.
+/// Number of changes after which the table of a concurrency is rebuilt, which keeps the rounding errors of
+/// its sums far below one connection.
 const CHANGES_PER_REBUILD: u32 = 1 << 20;
-/// Ticks of a tenant's last action in a time constant.
+/// Resolution of the time of a tenant's last acquisition, in ticks for each time constant.
 const TICKS_PER_TIME_CONSTANT: u64 = 1000;
 
-/// One tenant's quota and use. Single precision, so that 10,000 of them stay in a core's cache: 24 bits
-/// count connections exactly up to 16 million.
+/// A tenant's quota and usage. Single precision keeps the entries of 10,000 tenants in a core's cache. Its 24
+/// bits count connections exactly up to 16 million.
 #[derive(Clone, Copy, Debug, Default)]
-struct TenantUse {
-    /// Quota of the whole fleet.
+struct TenantUsage {
+    /// The tenant's quota over the whole fleet.
     quota: f32,
     /// The quota times the tenant's weight.
     weighted_quota: f32,
     used: f32,
-    /// Tick of its last action (rates).
-    acted_at: u32,
+    /// Tick of the last acquisition (rates only).
+    acquired_at: u32,
     bucket: Option<Bucket>,
 }
 
-impl TenantUse {
-    /// What it adds to the sums.
-    fn summand(&self) -> QuotaUse {
-        QuotaUse { weighted_quota: f64::from(self.weighted_quota), used: f64::from(self.used) }
+impl TenantUsage {
+    /// The quota and usage, to be added to the table.
+    fn quota_usage(&self) -> QuotaUsage {
+        QuotaUsage { weighted_quota: f64::from(self.weighted_quota), used: f64::from(self.used) }
     }
 
-    /// What takes it out of the sums.
-    fn negated(&self) -> QuotaUse {
-        QuotaUse { weighted_quota: f64::from(-self.weighted_quota), used: f64::from(-self.used) }
+    /// The negative quota and usage, to be subtracted from the table.
+    fn negated_quota_usage(&self) -> QuotaUsage {
+        QuotaUsage { weighted_quota: f64::from(-self.weighted_quota), used: f64::from(-self.used) }
     }
 }
 
-/// An action on a rate.
+/// A tenant's acquisition of one unit of a rate.
 #[derive(Clone, Copy, Debug)]
-struct Action {
+struct Acquisition {
     at: Micros,
     tenant: u32,
 }
 
-/// One resource.
+/// The quotas and the usage of one resource, by tenant.
 #[derive(Clone, Debug)]
 pub(crate) struct Resource {
-    /// Uses fall to 1/e in this time; none for what is held.
+    /// Time in which usage falls to 1/e; `None` for a concurrency.
     time_constant: Option<Micros>,
-    /// Uses are as they would be at this time.
+    /// Usage is stored in units as of this time.
     rebuilt_at: Micros,
-    tenants: Vec<TenantUse>,
-    table: FullnessTable,
-    /// All quotas together, as they are and by weight.
+    tenants: Vec<TenantUsage>,
+    table: UtilizationTable,
+    /// Sum of all quotas.
     total_quota: f64,
+    /// Sum of all quotas times their tenants' weights.
     total_weighted_quota: f64,
+    /// Number of changes since the last rebuild.
     changes: u32,
-    /// Who acted when, the oldest first (rates).
-    actions: VecDeque<Action>,
+    /// Recent acquisitions, the oldest first (rates only).
+    acquisitions: VecDeque<Acquisition>,
 }
 
 impl Resource {
-    /// A resource that is held and given back.
-    pub fn held() -> Resource {
+    /// Creates a concurrency, whose units are acquired and released.
+    pub fn concurrency() -> Resource {
         Resource {
             time_constant: None,
             rebuilt_at: 0,
             tenants: Vec::new(),
-            table: FullnessTable::new(),
+            table: UtilizationTable::new(),
             total_quota: 0.0,
             total_weighted_quota: 0.0,
             changes: 0,
-            actions: VecDeque::new(),
+            acquisitions: VecDeque::new(),
         }
     }
 
-    /// A resource that comes anew all the time, remembered for about `time_constant`.
+    /// Creates a rate, whose usage falls to 1/e within `time_constant`.
     pub fn rate(time_constant: Micros, now: Micros) -> Resource {
-        Resource { time_constant: Some(time_constant), rebuilt_at: now, ..Resource::held() }
+        Resource { time_constant: Some(time_constant), rebuilt_at: now, ..Resource::concurrency() }
     }
 
-    /// What one use now counts in the sums.
+    /// What one unit that is acquired at `now` counts in stored units.
     fn scale(&self, now: Micros) -> f64 {
         let elapsed = now.saturating_sub(self.rebuilt_at) as f64;
         self.time_constant.map_or(1.0, |time_constant| (elapsed / time_constant as f64).exp())
     }
 
-    /// A time in ticks; it wraps after 4 million time constants, when the tenant is long forgotten.
+    /// Converts a time to ticks. The result wraps around after 4 million time constants, long after the usage
+    /// of a tenant has been set to 0.
     fn tick(&self, now: Micros) -> u32 {
         let tick_length = self.time_constant.map(|t| (t / TICKS_PER_TIME_CONSTANT).max(1));
         tick_length.map_or(0, |length| (now / length) as u32)
     }
 
-    /// Sets a tenant's quota of the whole fleet.
+    /// Sets a tenant's quota over the whole fleet, and its weight.
     pub fn set_quota(&mut self, tenant: TenantIndex, quota: f64, weight: f64) {
         if self.tenants.len() <= tenant.0 {
-            self.tenants.resize(tenant.0 + 1, TenantUse::default());
+            self.tenants.resize(tenant.0 + 1, TenantUsage::default());
         }
         let before = self.tenants[tenant.0];
         if let Some(bucket) = before.bucket {
-            self.table.add(bucket, before.negated());
+            self.table.add(bucket, before.negated_quota_usage());
         }
         let (quota, weight) = (quota as f32, weight as f32);
         let weighted_quota = quota * weight;
         self.total_quota += f64::from(quota) - f64::from(before.quota);
         self.total_weighted_quota += f64::from(weighted_quota) - f64::from(before.weighted_quota);
-        self.tenants[tenant.0] = TenantUse { quota, weighted_quota, bucket: None, ..before };
-        self.insert(tenant.0, before.used);
+        self.tenants[tenant.0] = TenantUsage { quota, weighted_quota, bucket: None, ..before };
+        self.insert_into_bucket(tenant.0, before.used);
     }
 
-    /// Puts a tenant that is in no bucket into the one for its use.
-    fn insert(&mut self, index: usize, used: f32) {
+    /// Sets the usage of a tenant that is in no bucket, and adds it to the bucket for that usage.
+    fn insert_into_bucket(&mut self, index: usize, used: f32) {
         let tenant = &mut self.tenants[index];
         tenant.used = used;
         let bucket = || bucket_of(f64::from(used), f64::from(tenant.weighted_quota));
         tenant.bucket = (used > 0.0).then(bucket);
         if let Some(bucket) = tenant.bucket {
-            self.table.add(bucket, tenant.summand());
+            self.table.add(bucket, tenant.quota_usage());
         }
     }
 
-    fn change(&mut self, index: usize, used: f32) {
+    /// Changes the usage of a tenant, in stored units.
+    fn change_usage(&mut self, index: usize, used: f32) {
         let before = self.tenants[index];
         let bucket = || bucket_of(f64::from(used), f64::from(before.weighted_quota));
         match before.bucket {
             Some(current) if used > 0.0 && bucket() == current => {
-                let grown = f64::from(used) - f64::from(before.used);
-                self.table.add(current, QuotaUse { weighted_quota: 0.0, used: grown });
+                let difference = f64::from(used) - f64::from(before.used);
+                self.table.add(current, QuotaUsage { weighted_quota: 0.0, used: difference });
                 self.tenants[index].used = used;
             }
             current => {
                 if let Some(current) = current {
-                    self.table.add(current, before.negated());
+                    self.table.add(current, before.negated_quota_usage());
                 }
-                self.insert(index, used);
+                self.insert_into_bucket(index, used);
             }
         }
     }
 
-    /// Adds one use.
+    /// Acquires one unit for a tenant.
     pub fn acquire(&mut self, now: Micros, tenant: TenantIndex) {
         self.maintain(now);
         let scale = self.scale(now);
         let tick = self.tick(now);
-        let Some(member) = self.tenants.get_mut(tenant.0) else { return };
-        member.acted_at = tick;
-        let used = member.used + scale as f32;
-        self.change(tenant.0, used);
+        let Some(usage) = self.tenants.get_mut(tenant.0) else { return };
+        usage.acquired_at = tick;
+        let used = usage.used + scale as f32;
+        self.change_usage(tenant.0, used);
         if self.time_constant.is_some() {
-            self.actions.push_back(Action { at: now, tenant: tenant.0 as u32 });
+            self.acquisitions.push_back(Acquisition { at: now, tenant: tenant.0 as u32 });
         }
     }
 
-    /// Sets what a tenant uses.
+    /// Sets the usage of a tenant.
     pub fn set_used(&mut self, now: Micros, tenant: TenantIndex, used: f64) {
         let used = (used * self.scale(now)) as f32;
         if tenant.0 < self.tenants.len() {
-            self.change(tenant.0, used);
+            self.change_usage(tenant.0, used);
         }
     }
 
-    /// Gives one held use back.
+    /// Releases one unit that a tenant has acquired of a concurrency.
     pub fn release(&mut self, now: Micros, tenant: TenantIndex) {
         self.maintain(now);
-        if let Some(member) = self.tenants.get(tenant.0) {
-            let used = (member.used - 1.0).max(0.0);
-            self.change(tenant.0, used);
+        if let Some(usage) = self.tenants.get(tenant.0) {
+            let used = (usage.used - 1.0).max(0.0);
+            self.change_usage(tenant.0, used);
         }
     }
 
-    /// Forgets tenants that have not acted for long, and rebuilds the sums where that is due.
+    /// Sets the usage of tenants to 0 that have not acquired anything for long, and rebuilds the table when
+    /// that is due.
     fn maintain(&mut self, now: Micros) {
         self.changes += 1;
         let Some(time_constant) = self.time_constant else {
@@ -188,11 +194,12 @@
             }
             return;
         };
-        let is_old = |action: &&Action| now >= action.at + FORGET_AFTER_TIME_CONSTANTS * time_constant;
-        while let Some(&Action { at, tenant }) = self.actions.front().filter(is_old) {
-            self.actions.pop_front();
-            if self.tenants[tenant as usize].acted_at == self.tick(at) {
-                self.change(tenant as usize, 0.0);
+        let is_old =
+            |acquisition: &&Acquisition| now >= acquisition.at + FORGET_AFTER_TIME_CONSTANTS * time_constant;
+        while let Some(&Acquisition { at, tenant }) = self.acquisitions.front().filter(is_old) {
+            self.acquisitions.pop_front();
+            if self.tenants[tenant as usize].acquired_at == self.tick(at) {
+                self.change_usage(tenant as usize, 0.0);
             }
         }
         if now.saturating_sub(self.rebuilt_at) >= REBUILD_AFTER_TIME_CONSTANTS * time_constant {
@@ -202,7 +209,7 @@
         }
     }
 
-    /// Makes all sums anew, each use times `factor`.
+    /// Multiplies all usage by `factor`, and rebuilds the table and the sums.
     fn rebuild(&mut self, factor: f64) {
         self.changes = 0;
         self.table.clear();
@@ -210,38 +217,40 @@
         self.total_weighted_quota = self.tenants.iter().map(|tenant| f64::from(tenant.weighted_quota)).sum();
         for index in 0..self.tenants.len() {
             let used = (f64::from(self.tenants[index].used) * factor) as f32;
-            self.insert(index, used);
+            self.insert_into_bucket(index, used);
         }
     }
 
-    /// A tenant's quota of the whole fleet.
+    /// A tenant's quota over the whole fleet.
     pub fn quota(&self, tenant: TenantIndex) -> f64 {
-        self.tenants.get(tenant.0).map_or(0.0, |member| f64::from(member.quota))
+        self.tenants.get(tenant.0).map_or(0.0, |usage| f64::from(usage.quota))
     }
 
-    /// What a tenant uses.
+    /// The usage of a tenant.
     pub fn used(&self, now: Micros, tenant: TenantIndex) -> f64 {
-        self.tenants.get(tenant.0).map_or(0.0, |member| f64::from(member.used) / self.scale(now))
+        self.tenants.get(tenant.0).map_or(0.0, |usage| f64::from(usage.used) / self.scale(now))
     }
 
-    /// All quotas together.
+    /// The sum of all quotas.
     pub fn total_quota(&self) -> f64 {
         self.total_quota
     }
 
-    /// All uses together.
+    /// The usage of all tenants together.
     pub fn total_used(&self, now: Micros) -> f64 {
         (self.table.total_used() / self.scale(now)).max(0.0)
     }
 
-    /// The fullness at which all uses, cut off there, come to `limit`; infinite where they are less.
+    /// Returns the utilization at which all tenants must be capped for their usage to add up to `limit`.
+    /// Returns infinity if the usage is not above the limit.
     pub fn level(&self, now: Micros, limit: f64) -> f64 {
         let scale = self.scale(now);
         self.table.level(limit * scale) / scale
     }
 
-    /// The fullness that tenants with this part of all quotas stay below.
-    pub fn quantile(&self, now: Micros, part: f64) -> f64 {
-        self.table.quantile(part, self.total_weighted_quota) / self.scale(now)
+    /// Returns the quantile of utilization, where tenants count by their weighted quotas: tenants with the
+    /// fraction `ratio` of all quotas are below it.
+    pub fn quantile(&self, now: Micros, ratio: f64) -> f64 {
+        self.table.quantile(ratio, self.total_weighted_quota) / self.scale(now)
     }
 }
--- a/crates/tenancy/src/retry_after.rs
+++ b/crates/tenancy/src/retry_after.rs
@@ -1,44 +1,49 @@
-//! Retry-After advice for the rejected clients of one tenant: spread, so that clients rejected together don't come back
-//! together, and no longer than clients heed.
+//! Retry-after values for the rejected clients of one tenant. They are spread, so that clients that are
+//! rejected together don't retry together, and they don't exceed the longest wait that clients honour.
 
 use shorewharf_units::Micros;
 
 use crate::decaying_count::DecayingCount;
 
-/// The shortest wait, since a rejection costs a connection and a line.
+/// Shortest wait, in microseconds. Each rejection costs a connection and a line, so clients must not retry at
+/// once.
 const MIN_WAIT: Micros = 100_000;
-/// Waits lie between this part of the expected time and the whole.
+/// Waits are spread from this fraction of the expected time to all of it.
 const SPREAD_FROM_RATIO: f64 = 0.5;
-/// Time constant of the count of clients with a Retry-After, in microseconds.
+/// Time constant of the count of clients that were given a retry-after, in microseconds.
 const EXPECTED_CLIENTS_TIME_CONSTANT: f64 = 1e6;
-/// No capacity is expected later than this, in microseconds.
+/// Upper bound of the time until capacity is expected, in microseconds.
 const MAX_EXPECTED_TIME: f64 = 1e12;
-/// Fractional part of the golden ratio: its multiples fall evenly into any interval.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are spread evenly from 0 to 1.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// When there is capacity again, in microseconds.
+/// The expected times until there is capacity again, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ExpectedCapacity {
-    /// For the first client, from now.
+    /// Time from now until there is capacity for the first client.
     pub first: f64,
-    /// For each further one, after that.
+    /// Time until there is capacity for each further client.
     pub each: f64,
 }
 
 impl ExpectedCapacity {
-    /// There will be none.
+    /// There will be no capacity.
     pub const NEVER: ExpectedCapacity = ExpectedCapacity { first: f64::INFINITY, each: 0.0 };
 }
 
-/// The waits of one tenant's clients. Nothing is drawn, so that the same calls give the same waits.
+/// The retry-after values of one tenant's clients. They are not random, so that the same calls give the same
+/// values.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryAfterSequence {
+    /// Number of values that were given out.
     issued: u32,
+    /// Number of clients that are expected to retry.
     expected_clients: DecayingCount,
 }
 
 impl RetryAfterSequence {
-    /// The next wait, behind the clients that were given one already; 0 where no advice is sent.
+    /// Returns the wait for the next client, which queues behind those that were given one before. Returns 0
+    /// if `longest` is 0, since clients then get no advice.
     pub fn next_wait(&mut self, now: Micros, capacity: ExpectedCapacity, longest: Micros) -> Micros {
         self.issued = self.issued.wrapping_add(1);
         if longest == 0 {
--- a/crates/tenancy/src/settings.rs
+++ b/crates/tenancy/src/settings.rs
@@ -1,19 +1,19 @@
-//! Tenants' limits and the settings of an instance, checked where they are made.
+//! The limits of tenants and the settings of an instance, with checks of their ranges.
 
 use shorewharf_units::Micros;
 use thiserror::Error;
 
-/// A limit or setting that can't be used.
+/// An invalid limit or setting.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum SettingError {
-    /// It is out of its range.
-    #[error("{key}: {value} is not {allowed}")]
+    /// The value is out of its range.
+    #[error("{key} is {value}, but must be {allowed}")]
     OutOfRange {
-        /// The setting's name.
+        /// Name of the limit or setting.
         key: &'static str,
-        /// What it was.
+        /// The invalid value.
         value: f64,
-        /// What is allowed.
+        /// The allowed range, in words.
         allowed: &'static str,
     },
 }
@@ -22,12 +22,12 @@
     if is_valid { Ok(()) } else { Err(SettingError::OutOfRange { key, value, allowed }) }
 }
 
-/// The largest quota: sums of quotas stay exact below it.
+/// Largest quota. Up to this size, sums of quotas stay exact.
 const MAX_QUOTA: f64 = 1e9;
-/// The longest wait that may be set: an hour, in microseconds.
+/// Upper bound of the longest wait: an hour, in microseconds.
 const MAX_LONGEST_WAIT: f64 = 3.6e9;
 
-/// A tenant's quota of the whole fleet.
+/// The limits of a tenant over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimits {
     connections: f64,
@@ -37,12 +37,12 @@
 }
 
 impl TenantLimits {
-    /// Limits for all instances together: connections, and set-ups a second. The weight is 1, and the tenant may
-    /// borrow.
+    /// Creates limits of connections and of set-ups a second, each over all instances together. The weight is
+    /// 1, and the tenant may borrow.
     ///
     /// # Errors
     ///
-    /// Returns an error if a limit is negative, above 1e9 or not a number.
+    /// Returns an error if a limit is not from 0 to 1e9.
     pub fn new(connections: f64, setups_per_second: f64) -> Result<TenantLimits, SettingError> {
         for (key, value) in [("connections", connections), ("per_s", setups_per_second)] {
             check(key, value, (0.0..=MAX_QUOTA).contains(&value), "from 0 to 1e9")?;
@@ -50,7 +50,8 @@
         Ok(TenantLimits { connections, setups_per_second, weight: 1.0, may_borrow: true })
     }
 
-    /// The same limits with another weight: a tenant of weight 2 counts as half as far beyond its quota.
+    /// Returns the same limits with another weight. The weight multiplies the quotas for the comparison with
+    /// other tenants: at weight 2, the same usage counts as half the utilization.
     ///
     /// # Errors
     ///
@@ -60,17 +61,17 @@
         Ok(TenantLimits { weight, ..self })
     }
 
-    /// The same limits, without borrowing beyond the quota.
+    /// Returns the same limits for a tenant that may not borrow beyond its quotas.
     pub fn without_borrowing(self) -> TenantLimits {
         TenantLimits { may_borrow: false, ..self }
     }
 
-    /// Connections over all instances together.
+    /// The quota of connections over all instances together.
     pub fn connections(&self) -> f64 {
         self.connections
     }
 
-    /// Set-ups a second over all instances together.
+    /// The quota of set-ups a second over all instances together.
     pub fn setups_per_second(&self) -> f64 {
         self.setups_per_second
     }
@@ -80,30 +81,30 @@
         self.weight
     }
 
-    /// Whether the tenant may use what others leave unused.
+    /// Whether the tenant may borrow what other tenants leave unused.
     pub fn may_borrow(&self) -> bool {
         self.may_borrow
     }
 }
 
-/// What an instance knows of the fleet, and how it shares.
+/// The settings of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenancySettings {
-    /// How many instances share the traffic. Fewer may be alive.
+    /// Number of instances that share the traffic. Not all of them need to be alive.
     pub instance_count: f64,
-    /// Beyond this part of all quotas together nothing is lent.
+    /// Fraction of the sum of all quotas beyond which nothing is lent.
     pub lending_ratio: f64,
-    /// When capacity is short, tenants within their quotas are ranked as well, by weight and use; else only those
-    /// beyond their quotas wait.
+    /// Whether a shortage of capacity also affects tenants within their quotas: those with the highest
+    /// utilization are rejected then. If false, only tenants beyond their quotas are.
     pub rations_within_quota: bool,
-    /// The longest Retry-After that clients honour, in microseconds; 0 where none is sent.
+    /// Longest retry-after that clients honour, in microseconds; 0 if clients get none.
     pub longest_wait: Micros,
-    /// Connections of removed tenants that migrate a second, of all such tenants together.
+    /// Number of connections that migrate a second, over all removed tenants together.
     pub migrations_per_second: f64,
 }
 
 impl TenancySettings {
-    /// Settings of a fleet of `instance_count` instances, with defaults for the rest.
+    /// Creates the settings for a fleet of `instance_count` instances, with defaults for the rest.
     pub fn new(instance_count: f64) -> TenancySettings {
         TenancySettings {
             instance_count,
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Checks that every setting can be used.
+    /// Returns the settings if each is in its range.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first setting that is out of its range.
+    /// Returns an error with the first setting that is out of its range.
     pub fn checked(self) -> Result<TenancySettings, SettingError> {
         let instances = self.instance_count;
         check("instances", instances, (1.0..=MAX_QUOTA).contains(&instances), "from 1 to 1e9")?;
@@ -126,7 +127,7 @@
         let migrations = self.migrations_per_second;
         check("moves_per_s", migrations, (0.1..=MAX_QUOTA).contains(&migrations), "from 0.1 to 1e9")?;
         let wait = self.longest_wait as f64;
-        check("longest_wait", wait, wait <= MAX_LONGEST_WAIT, "an hour at most")?;
+        check("longest_wait", wait, wait <= MAX_LONGEST_WAIT, "at most an hour in microseconds")?;
         Ok(self)
     }
 }
--- a/crates/tenancy/src/tenancy/admission.rs
+++ b/crates/tenancy/src/tenancy/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a client's request is admitted.
+//! Decisions on requests.
 
 use shorewharf_units::Micros;
 
@@ -10,38 +10,40 @@
 use crate::settings::{TenancySettings, TenantLimits};
 use crate::tenant::{SetupKind, TenantState};
 
-/// A rate may lie so many standard deviations of chance beyond its quota ...
-const CHANCE_DEVIATIONS: f64 = 1.5;
-/// ... and so many set-ups: a tenant of few clients is not rejected for two that came together.
-const CHANCE_SETUPS: f64 = 2.0;
-/// Where nothing is left to lend, the level is so many connections below what is in use, so that the fullest tenant is
-/// above it.
-const LEVEL_MARGIN: f64 = 0.5;
+/// Random variation of a rate that is tolerated beyond its quota, in standard deviations of a Poisson
+/// process.
+const TOLERATED_DEVIATIONS: f64 = 1.5;
+/// Number of set-ups that are tolerated in addition, so that a tenant with few clients is not rejected
+/// because two of them happen to come together.
+const TOLERATED_SETUPS: f64 = 2.0;
+/// When nothing is left to lend, tenants are capped so that their usage adds up to this number of connections
+/// less than now. This puts the tenant with the highest utilization above the cap.
+const CAP_MARGIN: f64 = 0.5;
 
-/// How a request relates to its tenant's quota.
+/// The status of a request with respect to one of its tenant's quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum QuotaStanding {
-    /// It is within the local quota.
+enum QuotaStatus {
+    /// The request is within the local quota.
     Within,
-    /// It borrows what others leave unused.
+    /// The request borrows what other tenants leave unused.
     Borrowing,
-    /// It is beyond the quota; there is capacity again at a time.
+    /// The request exceeds what the tenant may use or borrow. Says when capacity is expected again.
     Exceeded(ExpectedCapacity, RejectReason),
 }
 
-/// What a rate with this mean may come to by chance.
-fn with_chance(mean: f64) -> f64 {
-    mean + CHANCE_DEVIATIONS * mean.sqrt() + CHANCE_SETUPS
+/// Adds the tolerated random variation to a rate with this mean.
+fn with_tolerance(mean: f64) -> f64 {
+    mean + TOLERATED_DEVIATIONS * mean.sqrt() + TOLERATED_SETUPS
 }
 
-/// How full a tenant is at this use of a resource.
-fn fullness(used: f64, resource: &Resource, tenant: TenantIndex, limits: TenantLimits) -> f64 {
+/// Returns a tenant's utilization of a resource at this usage.
+fn utilization(used: f64, resource: &Resource, tenant: TenantIndex, limits: TenantLimits) -> f64 {
     used / (resource.quota(tenant) * limits.weight()).max(f64::MIN_POSITIVE)
 }
 
 impl Tenancy {
-    /// Decides on a client's request; `is_returning` if the client claims to reconnect. An admitted request
-    /// is counted by [`Tenancy::on_admitted`], once no other admission has rejected it.
+    /// Decides on a request. `is_returning` says whether the client claims to reconnect. A request that may
+    /// be admitted is counted only when [`Tenancy::on_admitted`] is called, after all other admission checks.
     pub fn check(&mut self, now: Micros, tenant: TenantIndex, is_returning: bool) -> QuotaDecision {
         self.pending = None;
         let Some(record) = self.tenants.get(tenant.0) else {
@@ -56,17 +58,17 @@
             self.pending = Some(PendingAdmission { tenant, kind: None, is_borrowing: false });
             return QuotaDecision::Admit;
         };
-        // A client that claims to reconnect where no connection ended lately is new.
+        // If no connection ended recently, a client that claims to reconnect counts as new.
         let is_reconnect = is_returning && record.may_reconnect(now);
         let kind = if is_reconnect { SetupKind::Reconnect } else { SetupKind::New };
-        let standings =
-            [self.connection_standing(now, tenant, limits), self.rate_standing(now, tenant, limits, kind)];
-        for standing in standings {
-            if let QuotaStanding::Exceeded(capacity, reason) = standing {
+        let statuses =
+            [self.connection_status(now, tenant, limits), self.rate_status(now, tenant, limits, kind)];
+        for status in statuses {
+            if let QuotaStatus::Exceeded(capacity, reason) = status {
                 return self.reject(now, tenant, capacity, reason);
             }
         }
-        let is_borrowing = standings.contains(&QuotaStanding::Borrowing);
+        let is_borrowing = statuses.contains(&QuotaStatus::Borrowing);
         self.pending = Some(PendingAdmission { tenant, kind: Some(kind), is_borrowing });
         QuotaDecision::Admit
     }
@@ -85,8 +87,9 @@
         QuotaDecision::Reject { retry_after, reason }
     }
 
-    /// The request that was checked last is admitted for good. From now on it counts as being set up, until
-    /// [`Tenancy::on_established`], [`Tenancy::on_rejected`] or [`Tenancy::on_client_left`].
+    /// Records that the request that was checked last is admitted. It counts as a connection that is being
+    /// set up until [`Tenancy::on_established`], [`Tenancy::on_rejected`] or [`Tenancy::on_client_left`] is
+    /// called.
     pub fn on_admitted(&mut self, now: Micros) {
         let Some(PendingAdmission { tenant, kind, is_borrowing }) = self.pending.take() else { return };
         let record = &mut self.tenants[tenant.0];
@@ -100,26 +103,27 @@
         self.shortage.on_admitted(now);
     }
 
-    /// How one more connection relates to the tenant's quota of connections.
-    fn connection_standing(&self, now: Micros, tenant: TenantIndex, limits: TenantLimits) -> QuotaStanding {
+    /// Returns the status of one more connection with respect to the tenant's quota of connections.
+    fn connection_status(&self, now: Micros, tenant: TenantIndex, limits: TenantLimits) -> QuotaStatus {
         let record = &self.tenants[tenant.0];
         let resource = &self.connections;
         let local_quota = self.local_quota(now, tenant);
         let wanted = resource.used(now, tenant) + 1.0;
-        let fullness = fullness(wanted, resource, tenant, limits);
+        let utilization = utilization(wanted, resource, tenant, limits);
         let total = resource.total_used(now);
         let shortage_limit = self.shortage_limit(now);
         let exceeded = |reason| {
             let capacity = record.expected_capacity(now, (wanted - local_quota).max(1.0));
-            QuotaStanding::Exceeded(capacity, reason)
+            QuotaStatus::Exceeded(capacity, reason)
         };
-        let is_above_level = |limit: f64| fullness > resource.level(now, limit.min(total - LEVEL_MARGIN));
+        let is_above_cap = |limit: f64| utilization > resource.level(now, limit.min(total - CAP_MARGIN));
         if wanted <= local_quota {
-            // Nobody has more right to it; but where even this is not there, the fullest wait first.
+            // No tenant is preferred to one within its quota. But if capacity does not suffice for all
+            // quotas, those with the highest utilization are rejected first, if the settings allow that.
             let ration = shortage_limit.filter(|_| self.settings.rations_within_quota);
             return match ration {
-                Some(limit) if is_above_level(limit) => exceeded(RejectReason::CapacityShort),
-                _ => QuotaStanding::Within,
+                Some(limit) if is_above_cap(limit) => exceeded(RejectReason::CapacityShort),
+                _ => QuotaStatus::Within,
             };
         }
         if record.state == TenantState::OverLoweredQuota {
@@ -131,44 +135,45 @@
         let lending_limit =
             resource.total_quota() * self.connection_fraction(now) * self.settings.lending_ratio;
         let limit = shortage_limit.unwrap_or(lending_limit).min(lending_limit);
-        if total + 1.0 <= limit || !is_above_level(limit) {
-            return QuotaStanding::Borrowing;
+        if total + 1.0 <= limit || !is_above_cap(limit) {
+            return QuotaStatus::Borrowing;
         }
         let is_short = shortage_limit.is_some();
         exceeded(if is_short { RejectReason::CapacityShort } else { RejectReason::Connections })
     }
 
-    /// How one more set-up relates to the tenant's quota of set-ups or reconnects.
-    fn rate_standing(
+    /// Returns the status of one more set-up with respect to the tenant's quota of set-ups or reconnects.
+    fn rate_status(
         &self,
         now: Micros,
         tenant: TenantIndex,
         limits: TenantLimits,
         kind: SetupKind,
-    ) -> QuotaStanding {
+    ) -> QuotaStatus {
         let (resource, reason) = match kind {
             SetupKind::New => (&self.setups, RejectReason::Setups),
             SetupKind::Reconnect => (&self.reconnects, RejectReason::Reconnects),
         };
         let TenancySettings { instance_count, lending_ratio, .. } = self.settings;
-        // Where everybody comes at once the fraction is above 1: that is the fleet's storm, and no tenant's.
+        // If the clients of all tenants come at once, the estimate is above 1, so that no single tenant is
+        // rejected for a surge of the whole fleet.
         let estimate = || local_fraction::estimate(resource, now, instance_count, lending_ratio);
         let fraction = self.external_fraction.unwrap_or_else(estimate);
-        let local_quota = with_chance(resource.quota(tenant) * fraction);
+        let local_quota = with_tolerance(resource.quota(tenant) * fraction);
         let wanted = resource.used(now, tenant) + self.tenants[tenant.0].setting_up(kind) + 1.0;
         if wanted <= local_quota {
-            return QuotaStanding::Within;
+            return QuotaStatus::Within;
         }
         let lending_limit = resource.total_quota() * fraction * lending_ratio;
         let used = resource.total_used(now);
         let total = used + self.setting_up[kind as usize] as f64;
-        let fullness = fullness(wanted, resource, tenant, limits);
-        let is_below_level = || fullness <= resource.level(now, lending_limit.min(used - LEVEL_MARGIN));
-        if limits.may_borrow() && (total + 1.0 <= lending_limit || is_below_level()) {
-            return QuotaStanding::Borrowing;
+        let utilization = utilization(wanted, resource, tenant, limits);
+        let is_below_cap = || utilization <= resource.level(now, lending_limit.min(used - CAP_MARGIN));
+        if limits.may_borrow() && (total + 1.0 <= lending_limit || is_below_cap()) {
+            return QuotaStatus::Borrowing;
         }
         let time_constant = RATE_TIME_CONSTANT as f64;
         let first = time_constant * (wanted / local_quota).ln();
-        QuotaStanding::Exceeded(ExpectedCapacity { first, each: time_constant / local_quota }, reason)
+        QuotaStatus::Exceeded(ExpectedCapacity { first, each: time_constant / local_quota }, reason)
     }
 }
--- a/crates/tenancy/src/tenancy/connections.rs
+++ b/crates/tenancy/src/tenancy/connections.rs
@@ -1,4 +1,4 @@
-//! What becomes of admitted clients and of their connections.
+//! Follows admitted requests and their connections.
 
 use shorewharf_units::Micros;
 
@@ -7,7 +7,7 @@
 use crate::tenant::{SetupKind, TenantState};
 
 impl Tenancy {
-    /// A connection was established before the start of this instance.
+    /// Records a connection that was established before the start of this instance.
     pub fn on_restored(&mut self, now: Micros, tenant: TenantIndex) {
         let Some(record) = self.tenants.get_mut(tenant.0) else { return };
         record.connections += 1;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A connection that was being set up is established.
+    /// Records that a connection that was being set up is established.
     pub fn on_established(&mut self, now: Micros, tenant: TenantIndex) {
         let Some(record) = self.tenants.get_mut(tenant.0) else { return };
         record.established += 1;
@@ -32,8 +32,9 @@
         }
     }
 
-    /// A connection is no longer being set up. Only established ones count in the rates: a client that the decision
-    /// module rejects, and that asks again and again, has set nothing up.
+    /// Records that a connection is no longer being set up, and returns its kind. It does not count in the
+    /// rates yet: only established connections do, since a client that the decisions reject again and again
+    /// has set up nothing.
     fn end_setup(&mut self, tenant: TenantIndex) -> Option<SetupKind> {
         let kind = self.tenants.get_mut(tenant.0)?.on_setup_ended()?;
         let count = &mut self.setting_up[kind as usize];
@@ -41,20 +42,22 @@
         Some(kind)
     }
 
+    /// Records that a connection is no longer being set up and was not established.
     fn on_setup_failed(&mut self, now: Micros, tenant: TenantIndex) {
         if self.end_setup(tenant) == Some(SetupKind::Reconnect) {
             self.tenants[tenant.0].on_reconnect_failed(now);
         }
     }
 
-    /// An established connection has ended.
+    /// Records that an established connection ended.
     pub fn on_connection_ended(&mut self, now: Micros, tenant: TenantIndex) {
         if self.release(now, tenant) {
             self.tenants[tenant.0].on_connection_ended(now);
         }
     }
 
-    /// The decision module rejected a request, or failed it, before its connection was established.
+    /// Records that the decisions rejected or failed an admitted request before its connection was
+    /// established.
     pub fn on_rejected(&mut self, now: Micros, tenant: TenantIndex) {
         if !self.release(now, tenant) {
             return;
@@ -67,14 +70,15 @@
         }
     }
 
-    /// A client left before its connection was established, which is nobody's failure.
+    /// Records that a client left before its connection was established. This is no sign of a shortage of
+    /// capacity.
     pub fn on_client_left(&mut self, now: Micros, tenant: TenantIndex) {
         if self.release(now, tenant) {
             self.on_setup_failed(now, tenant);
         }
     }
 
-    /// Takes one connection off a tenant; false if it has none.
+    /// Removes one connection from a tenant's count. Returns false if it has none.
     fn release(&mut self, now: Micros, tenant: TenantIndex) -> bool {
         let record = self.tenants.get_mut(tenant.0).filter(|record| record.connections > 0);
         let Some(record) = record else { return false };
--- a/crates/tenancy/src/tenancy/mod.rs
+++ b/crates/tenancy/src/tenancy/mod.rs
@@ -1,7 +1,8 @@
-//! All tenants of one instance: their limits, their connections, and the decisions on their clients' requests.
+//! All tenants of one instance: their limits, their connections, and the decisions on their requests.
 //!
-//! [`Tenancy`] owns all state; its decisions are in `admission`, what becomes of admitted clients in `connections`, and
-//! the end of removed tenants in `removal`.
+//! [`Tenancy`] owns all state. Its methods are in several modules: `admission` decides on requests,
+//! `connections` follows admitted requests and their connections, `removal` migrates the connections of
+//! removed tenants, and `report` returns statistics.
 
 mod admission;
 mod connections;
@@ -19,27 +20,27 @@
 use crate::shortage::CapacityShortage;
 use crate::tenant::{SetupKind, Tenant, TenantState};
 
-/// Time constant of the rates of set-ups and reconnects, in microseconds.
+/// Time constant of the rates of set-ups and reconnects.
 const RATE_TIME_CONSTANT: Micros = 4_000_000;
-/// All of a quota may reconnect within this time, in microseconds: a server takes its part of a whole fleet's set-ups
-/// in about as long.
+/// Time within which a tenant's whole quota of connections may reconnect, in microseconds. A server needs
+/// about as long to set up its part of a whole fleet's connections.
 const RECONNECT_PERIOD: f64 = 8e6;
 const MICROS_PER_SECOND: f64 = shorewharf_units::MICROS_PER_SECOND as f64;
 
-/// Connections of a removed tenant that are to migrate.
+/// A number of a removed tenant's connections that are to migrate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueMigrations {
-    /// The tenant.
+    /// The removed tenant.
     pub tenant: TenantIndex,
-    /// How many of its connections.
+    /// Number of its connections that are to migrate.
     pub count: u32,
 }
 
-/// A client whose request was admitted and not yet confirmed.
+/// A request that was checked and may be admitted, until [`Tenancy::on_admitted`] confirms it.
 #[derive(Clone, Copy, Debug)]
 struct PendingAdmission {
     tenant: TenantIndex,
-    /// None for a tenant that is not limited.
+    /// The kind of its set-up; `None` if the tenant is not limited.
     kind: Option<SetupKind>,
     is_borrowing: bool,
 }
@@ -48,18 +49,18 @@
 #[derive(Clone, Debug)]
 pub struct Tenancy {
     settings: TenancySettings,
-    /// The fraction of the fleet's traffic that comes here, where it is known from elsewhere.
+    /// Fraction of the fleet's traffic that comes to this instance, if the caller has set it.
     external_fraction: Option<f64>,
     tenants: Vec<Tenant>,
     connections: Resource,
     setups: Resource,
     reconnects: Resource,
-    /// Connections of all tenants that are being set up, by kind.
+    /// Number of connections of all tenants that are being set up, by kind.
     setting_up: [u64; SetupKind::COUNT],
     shortage: CapacityShortage,
     /// Removed tenants that still have connections.
     draining: BTreeSet<TenantIndex>,
-    /// Migrations that may be asked for, as of `migrated_at`.
+    /// Number of migrations that may be asked for, as of `migrated_at`.
     migration_tokens: f64,
     migrated_at: Micros,
     unknown_tenant_requests: u64,
@@ -73,7 +74,7 @@
             settings,
             external_fraction: None,
             tenants: Vec::new(),
-            connections: Resource::held(),
+            connections: Resource::concurrency(),
             setups: Resource::rate(RATE_TIME_CONSTANT, now),
             reconnects: Resource::rate(RATE_TIME_CONSTANT, now),
             setting_up: [0; SetupKind::COUNT],
@@ -86,19 +87,20 @@
         }
     }
 
-    /// Applies other settings; connections and what was learned stay.
+    /// Applies new settings. Connections and estimates are kept.
     pub fn update_settings(&mut self, settings: TenancySettings) {
         self.settings = settings;
     }
 
-    /// Sets the fraction of the fleet's traffic that comes here, from 0 to 1, where somebody sees the whole fleet;
-    /// `None` when it is no longer known, and is estimated again.
+    /// Sets the fraction of the fleet's traffic that comes to this instance, from 0 to 1, for callers that
+    /// see the whole fleet. With `None`, the fraction is estimated.
     pub fn set_local_fraction(&mut self, fraction: Option<f64>) {
         self.external_fraction = fraction.filter(|fraction| fraction.is_finite() && *fraction > 0.0);
     }
 
-    /// Makes a tenant, or changes one; `None` for one that is not limited, only counted. A quota that is lowered below
-    /// its connections ends none of them. A removed tenant stays removed.
+    /// Adds a tenant or changes its limits. A tenant with the limits `None` is counted but not limited. No
+    /// connection is ended when a quota is lowered below the number of connections. A removed tenant stays
+    /// removed.
     pub fn set_limits(&mut self, now: Micros, tenant: TenantIndex, limits: Option<TenantLimits>) {
         while self.tenants.len() <= tenant.0 {
             self.tenants.push(Tenant::new(None));
@@ -120,14 +122,14 @@
         }
     }
 
-    /// Puts a tenant's limits into the resources.
+    /// Applies a tenant's limits to the resources.
     fn apply_quotas(&mut self, now: Micros, tenant: TenantIndex) {
         let Some(record) = self.tenants.get(tenant.0) else { return };
         let (connections, setups_per_second, weight) = match record.limits {
             Some(limits) => (limits.connections(), limits.setups_per_second(), limits.weight()),
             None => (0.0, 0.0, 1.0),
         };
-        // A tenant that is not limited takes nothing from those that are.
+        // The connections of a tenant without limits must not reduce what other tenants may use.
         let used = if record.is_counted() { f64::from(record.connections) } else { 0.0 };
         let time_constant = RATE_TIME_CONSTANT as f64;
         self.connections.set_quota(tenant, connections, weight);
@@ -136,22 +138,25 @@
         self.connections.set_used(now, tenant, used);
     }
 
-    /// The fraction of everybody's quota of connections that is this instance's.
+    /// Fraction of each tenant's quota of connections that applies to this instance.
     fn connection_fraction(&self, now: Micros) -> f64 {
-        let ordinary_use = if self.shortage_limit(now).is_some() { 1.0 } else { self.settings.lending_ratio };
+        let ordinary_utilization =
+            if self.shortage_limit(now).is_some() { 1.0 } else { self.settings.lending_ratio };
         let instance_count = self.settings.instance_count;
-        let estimate = || local_fraction::estimate(&self.connections, now, instance_count, ordinary_use);
+        let estimate =
+            || local_fraction::estimate(&self.connections, now, instance_count, ordinary_utilization);
         self.external_fraction.unwrap_or_else(estimate).min(1.0)
     }
 
-    /// How many connections there may be while capacity is short; none where there may be more.
+    /// Returns the limit on connections while capacity is short, or `None` if it allows one more connection.
     fn shortage_limit(&self, now: Micros) -> Option<f64> {
         let connections = self.connections.total_used(now);
         self.shortage.limit(now, connections).filter(|limit| *limit < connections + 1.0)
     }
 
-    /// A tenant's local quota of connections: a whole number, since a part of one serves nobody, and one more where its
-    /// quota has it, since the clients of a small tenant don't come evenly to all instances.
+    /// The part of a tenant's quota of connections that applies to this instance. It is rounded up to a whole
+    /// number of connections. One is added, up to the whole quota, since the clients of a small tenant are
+    /// not spread evenly over all instances.
     fn local_quota(&self, now: Micros, tenant: TenantIndex) -> f64 {
         let quota = self.connections.quota(tenant);
         ((quota * self.connection_fraction(now)).ceil() + 1.0).min(quota.ceil())
--- a/crates/tenancy/src/tenancy/removal.rs
+++ b/crates/tenancy/src/tenancy/removal.rs
@@ -1,4 +1,4 @@
-//! Removed tenants: their connections migrate at a limited rate.
+//! Removal of tenants, whose connections then migrate at a limited rate.
 
 use shorewharf_units::Micros;
 
@@ -6,11 +6,11 @@
 use crate::decision::TenantIndex;
 use crate::tenant::TenantState;
 
-/// Period in which migrations are asked for, in microseconds.
+/// Period in which migrations are asked for.
 const MIGRATION_PERIOD: Micros = 100_000;
 
 impl Tenancy {
-    /// Removes a tenant. Its connections migrate at a limited rate ([`Tenancy::due_migrations`]), and its clients'
+    /// Removes a tenant. Its connections migrate at a limited rate ([`Tenancy::due_migrations`]), and its
     /// requests are rejected.
     pub fn remove(&mut self, now: Micros, tenant: TenantIndex) {
         let record = self.tenants.get_mut(tenant.0);
@@ -26,15 +26,15 @@
         self.apply_quotas(now, tenant);
     }
 
-    /// The connections that are to migrate now.
+    /// Returns the connections that are to migrate now, and counts them as migrating.
     pub fn due_migrations(&mut self, now: Micros) -> Vec<DueMigrations> {
         let elapsed = now.saturating_sub(self.migrated_at);
         self.migrated_at = self.migrated_at.max(now);
         let rate = self.settings.migrations_per_second;
-        // What was not asked for in time is not made up for in a burst.
-        let most = (rate * MIGRATION_PERIOD as f64 / MICROS_PER_SECOND).max(1.0);
+        // Migrations that were not asked for in time are not made up for in a burst.
+        let max_tokens = (rate * MIGRATION_PERIOD as f64 / MICROS_PER_SECOND).max(1.0);
         let earned = rate * elapsed as f64 / MICROS_PER_SECOND;
-        self.migration_tokens = (self.migration_tokens + earned).min(most);
+        self.migration_tokens = (self.migration_tokens + earned).min(max_tokens);
         let mut due = Vec::new();
         for &tenant in &self.draining {
             let record = &mut self.tenants[tenant.0];
@@ -50,7 +50,8 @@
         due
     }
 
-    /// When [`Tenancy::due_migrations`] has something to say again; none while no removed tenant has connections.
+    /// The time at which [`Tenancy::due_migrations`] has to be called again. `None` if no removed tenant has
+    /// connections left to migrate.
     pub fn next_deadline(&self) -> Option<Micros> {
         let has_remaining = |tenant: &TenantIndex| {
             let record = &self.tenants[tenant.0];
@@ -59,8 +60,8 @@
         self.draining.iter().any(has_remaining).then_some(self.migrated_at + MIGRATION_PERIOD)
     }
 
-    /// Fewer connections could migrate than were asked for, since some were only being set up: the rest is asked for
-    /// again.
+    /// Records that `count` of the due migrations were impossible, for example because connections were still
+    /// being set up. They are due again later.
     pub fn on_migration_unavailable(&mut self, tenant: TenantIndex, count: u32) {
         if let Some(record) = self.tenants.get_mut(tenant.0) {
             record.migrating = record.migrating.saturating_sub(count);
--- a/crates/tenancy/src/tenancy/report.rs
+++ b/crates/tenancy/src/tenancy/report.rs
@@ -8,7 +8,7 @@
 use crate::tenant::TenantState;
 
 impl Tenancy {
-    /// One tenant's statistics; none if there never was such a tenant.
+    /// Statistics of one tenant. `None` if there never was a tenant with this index.
     pub fn tenant_stats(&self, now: Micros, tenant: TenantIndex) -> Option<TenantStats> {
         let record = self.tenants.get(tenant.0)?;
         let is_limited = record.limits.is_some();
--- a/crates/tenancy/src/tenant.rs
+++ b/crates/tenancy/src/tenant.rs
@@ -1,4 +1,4 @@
-//! What an instance keeps of one tenant.
+//! The state that an instance keeps of one tenant.
 
 use shorewharf_units::Micros;
 
@@ -8,58 +8,61 @@
 use crate::settings::TenantLimits;
 use crate::stats::TenantStats;
 
-/// Each connection that ended lately entitles a client to reconnect, for about this time, in microseconds.
+/// Each ended connection entitles a client to reconnect for about this time, in microseconds.
 const RECONNECT_TIME_CONSTANT: f64 = 6e6;
-/// How fast connections end is remembered for about this time, in microseconds.
+/// Time constant of the rate at which connections end, in microseconds.
 const ENDS_TIME_CONSTANT: f64 = 8e6;
-/// Longest expected time between two ends of connections, in microseconds.
+/// Upper bound of the expected time between the ends of two connections, in microseconds.
 const MAX_END_INTERVAL: f64 = 1e12;
 
-/// Which of the two rates a request belongs to.
+/// The kind of a set-up, which determines the rate that it counts for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SetupKind {
     /// A new connection.
     New,
-    /// One in place of a connection that ended lately.
+    /// A connection that replaces one that ended recently.
     Reconnect,
 }
 
 impl SetupKind {
-    /// Number of kinds, for tables by kind.
+    /// Number of kinds, for arrays that are indexed by kind.
     pub const COUNT: usize = 2;
 }
 
-/// A tenant's state.
+/// The state of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TenantState {
-    /// As usual.
+    /// The tenant's quotas apply as configured.
     Active,
-    /// Its quota was lowered below its connections: nothing is lent to it until it is under.
+    /// The quota was lowered below the connections. The tenant can't borrow until they have fallen below it.
     OverLoweredQuota,
-    /// It was removed.
+    /// The tenant was removed.
     Removed,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug)]
 pub(crate) struct Tenant {
-    /// None where it is not limited.
+    /// The tenant's limits; `None` if it is not limited.
     pub limits: Option<TenantLimits>,
     pub state: TenantState,
-    /// Connections that are established or being set up.
+    /// Number of connections that are established or being set up.
     pub connections: u32,
-    /// Those that were asked to migrate and are still here.
+    /// Number of connections that were asked to migrate and have not ended yet.
     pub migrating: u32,
-    /// Those that are being set up, by kind.
+    /// Number of connections that are being set up, by kind.
     setting_up: [u32; SetupKind::COUNT],
+    /// Connections that ended recently.
     recent_ends: DecayingCount,
-    /// Clients that may reconnect.
-    reconnects: DecayingCount,
+    /// Number of clients that may reconnect.
+    allowed_reconnects: DecayingCount,
+    /// Retry-after values of rejected clients.
     pub retry_after: RetryAfterSequence,
     pub admitted: u64,
     pub admitted_borrowing: u64,
     pub established: u64,
-    /// What is counted of rejected clients; apart, so that an admitted one touches fewer lines of the cache.
+    /// Counts of rejected requests and migrations. They are stored apart so that an admitted request touches
+    /// fewer cache lines.
     pub counts: Box<TenantStats>,
 }
 
@@ -72,7 +75,7 @@
             migrating: 0,
             setting_up: [0; SetupKind::COUNT],
             recent_ends: DecayingCount::default(),
-            reconnects: DecayingCount::default(),
+            allowed_reconnects: DecayingCount::default(),
             retry_after: RetryAfterSequence::default(),
             admitted: 0,
             admitted_borrowing: 0,
@@ -81,38 +84,38 @@
         }
     }
 
-    /// Whether its connections count in the sums of all tenants.
+    /// Whether the tenant's connections count in the sums over all tenants.
     pub fn is_counted(&self) -> bool {
         self.limits.is_some() || self.state == TenantState::Removed
     }
 
-    /// An established connection has ended.
+    /// Records that an established connection ended.
     pub fn on_connection_ended(&mut self, now: Micros) {
         self.recent_ends.add(now, ENDS_TIME_CONSTANT, 1.0);
-        self.reconnects.add(now, RECONNECT_TIME_CONSTANT, 1.0);
+        self.allowed_reconnects.add(now, RECONNECT_TIME_CONSTANT, 1.0);
         self.migrating = self.migrating.saturating_sub(1).min(self.connections);
     }
 
-    /// Whether a connection ended lately that a client may come back for.
+    /// Whether a client may reconnect because a connection ended recently.
     pub fn may_reconnect(&self, now: Micros) -> bool {
-        self.reconnects.value(now, RECONNECT_TIME_CONSTANT) >= 0.5
+        self.allowed_reconnects.value(now, RECONNECT_TIME_CONSTANT) >= 0.5
     }
 
-    /// Connections of this kind that are being set up.
+    /// Number of connections of this kind that are being set up.
     pub fn setting_up(&self, kind: SetupKind) -> f64 {
         f64::from(self.setting_up[kind as usize])
     }
 
-    /// A connection of this kind is being set up.
+    /// Records that the set-up of a connection of this kind begins.
     pub fn on_setup_begun(&mut self, now: Micros, kind: SetupKind) {
         self.setting_up[kind as usize] += 1;
         if kind == SetupKind::Reconnect {
-            self.reconnects.add(now, RECONNECT_TIME_CONSTANT, -1.0);
+            self.allowed_reconnects.add(now, RECONNECT_TIME_CONSTANT, -1.0);
         }
     }
 
-    /// A connection is no longer being set up. Its kind is not known, so it is taken for the more frequent one, which
-    /// is right on the whole; returns that kind.
+    /// Records that a set-up ended, and returns its kind. The true kind is not known, so the more frequent
+    /// one is assumed, which is right on average. Returns `None` if no connection is being set up.
     pub fn on_setup_ended(&mut self) -> Option<SetupKind> {
         let [new, reconnects] = self.setting_up;
         let kind = if reconnects > new { SetupKind::Reconnect } else { SetupKind::New };
@@ -121,19 +124,20 @@
         Some(kind)
     }
 
-    /// A client that reconnected was not served: it may come back again.
+    /// Records that a reconnecting client was not served, so that it may reconnect again.
     pub fn on_reconnect_failed(&mut self, now: Micros) {
-        self.reconnects.add(now, RECONNECT_TIME_CONSTANT, 1.0);
+        self.allowed_reconnects.add(now, RECONNECT_TIME_CONSTANT, 1.0);
     }
 
-    /// When there is capacity for a client, once so many connections have ended at the pace of late.
+    /// Returns when there is capacity for a client, if that takes the end of this number of connections and
+    /// they end at their recent rate.
     pub fn expected_capacity(&self, now: Micros, connections: f64) -> ExpectedCapacity {
         let ends = self.recent_ends.value(now, ENDS_TIME_CONSTANT).max(1e-6);
         let each = (ENDS_TIME_CONSTANT / ends).min(MAX_END_INTERVAL);
         ExpectedCapacity { first: connections * each, each }
     }
 
-    /// Counts a rejected client.
+    /// Counts a rejected request.
     pub fn on_rejected(&mut self, reason: RejectReason) {
         let index = RejectReason::ALL.iter().position(|other| *other == reason);
         if let Some(count) = index.and_then(|index| self.counts.rejected.get_mut(index)) {
