--- a/crates/tenancy/benches/decisions.rs
+++ b/crates/tenancy/benches/decisions.rs
@@ -1,5 +1,6 @@
-//! What a decision costs with 4 tenants and with 10,000: a client asks, is admitted and established, and an earlier connection
-//! ends. Half of the clients are a flooding tenant's.
+//! Measures a connection's whole way through the tenants' quotas with 4, 100 and 10,000 tenants: a request is
+//! checked and admitted, its connection is established, and an earlier connection ends. One tenant floods: it
+//! sends half of the requests.
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -8,10 +9,12 @@
 use shorewharf_tenancy::{QuotaDecision, Tenancy, TenancySettings, TenantIndex, TenantLimits};
 use shorewharf_units::Micros;
 
-/// Connections of all quotas together.
+/// Sum of all quotas of connections.
 const TOTAL_QUOTA: f64 = 20_000.0;
-/// Instances that share them.
+/// Number of instances in the fleet.
 const INSTANCES: f64 = 8.0;
+/// When there are more established connections than this, a random one ends.
+const MAX_CONNECTIONS: usize = 800;
 
 struct TestInstance {
     tenancy: Tenancy,
@@ -29,7 +32,7 @@
             tenancy.set_limits(
                 0,
                 TenantIndex(tenant),
-                Some(TenantLimits::new(quota, quota / 20.0).expect("limits")),
+                Some(TenantLimits::new(quota, quota / 20.0).expect("in range")),
             );
         }
         let mut instance = TestInstance {
@@ -45,23 +48,23 @@
 
     fn step(&mut self) {
         self.now += 1_000;
-        let is_flood = self.rng.random_bool(0.5);
-        let tenant = TenantIndex(if is_flood { 0 } else { self.rng.random_range(0..self.tenants) });
+        let is_flooding = self.rng.random_bool(0.5);
+        let tenant = TenantIndex(if is_flooding { 0 } else { self.rng.random_range(0..self.tenants) });
         if self.tenancy.check(self.now, tenant, false) == QuotaDecision::Admit {
             self.tenancy.on_admitted(self.now);
             self.tenancy.on_established(self.now, tenant);
             self.established.push(tenant);
         }
-        if self.established.len() > 800 {
-            let at = self.rng.random_range(0..self.established.len());
-            let tenant = self.established.swap_remove(at);
+        if self.established.len() > MAX_CONNECTIONS {
+            let index = self.rng.random_range(0..self.established.len());
+            let tenant = self.established.swap_remove(index);
             self.tenancy.on_connection_ended(self.now, tenant);
         }
     }
 }
 
 fn decisions(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a client asks, stands and ends");
+    let mut group = c.benchmark_group("connection from request to end, by tenants");
     for tenants in [4, 100, 10_000] {
         let mut instance = TestInstance::new(tenants);
         group.bench_function(BenchmarkId::from_parameter(tenants), |b| b.iter(|| instance.step()));
--- a/crates/tenancy/examples/estimators.rs
+++ b/crates/tenancy/examples/estimators.rs
@@ -1,6 +1,8 @@
-//! How wrong each estimate of an instance's own fraction of the traffic gets: a fleet of instances that can't talk, in
-//! situations that make its fractions uneven. Prints, for each way to estimate, how many clients of tenants within their
-//! quotas were rejected, what the flooding tenant held of its quota, and what all tenants held of all quotas.
+//! Compares ways to estimate an instance's fraction of the fleet's traffic. Simulates a fleet whose instances
+//! can't communicate, in situations that make the fractions uneven. For each estimate, prints the percentage
+//! of rejected clients of tenants within their quotas, the flooding tenant's connections over its quota, and
+//! all connections over all quotas.
+//!
 //! `cargo run --release -p shorewharf-tenancy --example estimators`
 
 use std::cmp::Reverse;
@@ -18,39 +20,39 @@
 const FLOODING_TENANT: usize = 2;
 /// Mean lifetime of a connection.
 const LIFETIME_SECONDS: f64 = 20.0;
-/// When a flood begins, or an instance dies.
-const TURN_AT_SECONDS: f64 = 60.0;
+/// Time at which a flood begins or an instance dies.
+const DISTURBANCE_AT_SECONDS: f64 = 60.0;
 const END_AT_SECONDS: f64 = 120.0;
-/// Connections are counted from so long after the turn on.
+/// Time after the disturbance from which on connections are sampled.
 const SETTLE_SECONDS: f64 = 20.0;
-/// What is left of an instance's count of arrivals a second later.
+/// Fraction of an instance's count of arrivals that is left after a second.
 const ARRIVALS_RETENTION: f64 = 0.9;
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
-/// How an instance learns its fraction of the traffic.
+/// A way for an instance to learn its fraction of the traffic.
 #[derive(Clone, Copy, Debug)]
 enum Estimate {
-    /// One over the number of instances.
+    /// An even fraction: one over the number of instances.
     Even,
-    /// The rate of its own arrivals over the sum of all quotas of set-ups.
+    /// The rate of arrivals at the instance over the sum of all quotas of set-ups.
     Arrivals,
-    /// What tenancy itself does.
+    /// The estimate that tenancy itself makes.
     LowerThird,
-    /// Somebody who sees the whole fleet says it.
+    /// The true fraction, set by a caller that sees the whole fleet.
     Known,
 }
 
-/// A situation.
+/// A situation of the fleet.
 struct Situation {
     name: &'static str,
-    /// The instances' fractions of the traffic.
+    /// Fraction of the traffic of each instance.
     fractions: [f64; INSTANCES],
-    /// What tenants use of their quotas.
+    /// Fraction of their quotas that tenants use.
     usage: f64,
-    /// How many times as much the flooding tenant asks for from the turn on.
-    flood: f64,
-    /// The first instance dies at the turn.
-    dies: bool,
+    /// Factor on the flooding tenant's requests after the disturbance.
+    flood_factor: f64,
+    /// Whether the first instance dies at the disturbance.
+    has_death: bool,
 }
 
 /// A connection that will end.
@@ -61,18 +63,18 @@
     tenant: usize,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Copy, Default)]
 struct Outcome {
-    /// Clients of tenants within their quotas that were rejected, as a ratio.
+    /// Fraction of the clients of tenants within their quotas that were rejected.
     rejected: f64,
-    /// What the flooding tenant held of its quota.
+    /// Mean connections of the flooding tenant over its quota.
     flooding_tenant: f64,
-    /// What all tenants held of all quotas.
+    /// Mean connections of all tenants over all quotas.
     all_tenants: f64,
 }
 
-/// A fleet in a situation.
+/// A simulated fleet in a situation.
 struct Fleet<'a> {
     situation: &'a Situation,
     estimate: Estimate,
@@ -85,16 +87,19 @@
     held: [f64; TENANTS],
     has_died: bool,
     next_sample_at: f64,
-    /// Clients of tenants within their quotas: all, and those that were rejected.
+    /// Number of requests of tenants within their quotas.
     requests: f64,
+    /// Number of these requests that were rejected.
     rejected: f64,
-    /// Sums over the samples after the turn.
+    /// Number of samples after the disturbance.
     samples: f64,
+    /// Sum over the samples of the flooding tenant's connections.
     held_by_flooding_tenant: f64,
+    /// Sum over the samples of all connections.
     held_by_all: f64,
 }
 
-/// Draws an index with these weights.
+/// Draws an index with probabilities in proportion to the weights.
 fn draw_index(rng: &mut Pcg64Mcg, weights: &[f64]) -> usize {
     let mut remaining = rng.random::<f64>() * weights.iter().sum::<f64>();
     let is_drawn = |weight: &f64| {
@@ -141,17 +146,17 @@
 
     fn run(mut self) -> Outcome {
         while self.now_seconds < END_AT_SECONDS {
-            let is_turned = self.now_seconds >= TURN_AT_SECONDS;
-            let flood = if is_turned { self.situation.flood } else { 1.0 };
+            let is_disturbed = self.now_seconds >= DISTURBANCE_AT_SECONDS;
+            let flood_factor = if is_disturbed { self.situation.flood_factor } else { 1.0 };
             let rates: Vec<f64> = (0..TENANTS)
                 .map(|tenant| {
-                    let factor = if tenant == FLOODING_TENANT { flood } else { 1.0 };
+                    let factor = if tenant == FLOODING_TENANT { flood_factor } else { 1.0 };
                     QUOTAS[tenant] / LIFETIME_SECONDS * self.situation.usage * factor
                 })
                 .collect();
             self.now_seconds += self.rng.sample::<f64, _>(Exp1) / rates.iter().sum::<f64>();
             self.end_connections();
-            if self.situation.dies && self.now_seconds >= TURN_AT_SECONDS && !self.has_died {
+            if self.situation.has_death && self.now_seconds >= DISTURBANCE_AT_SECONDS && !self.has_died {
                 self.kill_first_instance();
             }
             if self.now_seconds >= self.next_sample_at {
@@ -159,7 +164,7 @@
                 self.update_fractions();
                 self.sample();
             }
-            self.request(&rates, flood);
+            self.request(&rates, flood_factor);
         }
         Outcome {
             rejected: self.rejected / self.requests,
@@ -181,7 +186,7 @@
         }
     }
 
-    /// The first instance's clients come again at its neighbour, and so does all that follows.
+    /// Ends the first instance. Its clients reconnect at the second one, which also gets its further traffic.
     fn kill_first_instance(&mut self) {
         self.has_died = true;
         self.fractions[1] += self.fractions[0];
@@ -212,28 +217,28 @@
     }
 
     fn sample(&mut self) {
-        if self.now_seconds >= TURN_AT_SECONDS + SETTLE_SECONDS {
+        if self.now_seconds >= DISTURBANCE_AT_SECONDS + SETTLE_SECONDS {
             self.samples += 1.0;
             self.held_by_flooding_tenant += self.held[FLOODING_TENANT];
             self.held_by_all += self.held.iter().sum::<f64>();
         }
     }
 
-    /// A new client asks for a connection.
-    fn request(&mut self, rates: &[f64], flood: f64) {
+    /// Lets a new client of a random tenant request a connection.
+    fn request(&mut self, rates: &[f64], flood_factor: f64) {
         let tenant = draw_index(&mut self.rng, rates);
         let instance = draw_index(&mut self.rng, &self.fractions);
         self.recent_arrivals[instance] += 1.0;
         let lifetime = Exp::new(1.0 / LIFETIME_SECONDS).expect("above 0").sample(&mut self.rng);
         let ends_at = micros(self.now_seconds) + micros(lifetime);
         let is_served = self.connect(Connection { ends_at, instance, tenant }, false);
-        if tenant != FLOODING_TENANT || flood == 1.0 {
+        if tenant != FLOODING_TENANT || flood_factor == 1.0 {
             self.requests += 1.0;
             self.rejected += if is_served { 0.0 } else { 1.0 };
         }
     }
 
-    /// Connects a client, if its instance admits it.
+    /// Connects a client if its instance admits it. Returns whether it did.
     fn connect(&mut self, connection: Connection, is_returning: bool) -> bool {
         let now = micros(self.now_seconds);
         let (instance, tenant) = (&mut self.instances[connection.instance], TenantIndex(connection.tenant));
@@ -248,7 +253,7 @@
     }
 }
 
-/// The mean outcome over all seeds, as a cell of the table.
+/// Returns the mean outcome over all seeds as a cell of the table.
 fn cell(situation: &Situation, estimate: Estimate) -> String {
     let outcomes: Vec<Outcome> = SEEDS.map(|seed| Fleet::new(situation, estimate, seed).run()).collect();
     let mean = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
@@ -260,19 +265,25 @@
 fn main() {
     let even = [0.25; INSTANCES];
     let skewed = [0.45, 0.25, 0.2, 0.1];
-    let situation = |name, fractions, usage, flood, dies| Situation { name, fractions, usage, flood, dies };
+    let situation = |name, fractions, usage, flood_factor, has_death| Situation {
+        name,
+        fractions,
+        usage,
+        flood_factor,
+        has_death,
+    };
     let situations = [
         situation("even, 0.3 in use", even, 0.3, 1.0, false),
         situation("even, 0.9 in use", even, 0.9, 1.0, false),
         situation("skewed, 0.3 in use", skewed, 0.3, 1.0, false),
         situation("skewed, 0.9 in use", skewed, 0.9, 1.0, false),
-        situation("the busiest of skewed dies, 0.5 in use", skewed, 0.5, 1.0, true),
+        situation("skewed, 0.5 in use, the busiest instance dies", skewed, 0.5, 1.0, true),
         situation("even, 0.3 in use, flood", even, 0.3, 33.0, false),
         situation("skewed, 0.3 in use, flood", skewed, 0.3, 33.0, false),
         situation("even, 0.7 in use, flood", even, 0.7, 14.0, false),
         situation("skewed, 0.7 in use, flood", skewed, 0.7, 14.0, false),
     ];
-    println!("| situation | even | arrivals | lower third | told |\n| --- | --- | --- | --- | --- |");
+    println!("| situation | even | arrivals | lower third | known |\n| --- | --- | --- | --- | --- |");
     let estimates = [Estimate::Even, Estimate::Arrivals, Estimate::LowerThird, Estimate::Known];
     for situation in &situations {
         let cells = estimates.map(|estimate| cell(situation, estimate));
--- a/crates/tenancy/tests/model.rs
+++ b/crates/tenancy/tests/model.rs
@@ -1,4 +1,4 @@
-//! Any course of events, held against a model that looks at every tenant each time.
+//! Compares tenancy under random events with a simple model that looks at all connections each time.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -21,7 +21,7 @@
     prop_oneof![
         12 => (tenant.clone(), any::<bool>(), prop::bool::weighted(0.05))
             .prop_map(|(tenant, returning, rejected)| Event::Request { tenant, returning, rejected }),
-        // One tenant asks more than all others together.
+        // One tenant sends more requests than all others together.
         8 => any::<bool>().prop_map(|returning| Event::Request { tenant: 0, returning, rejected: false }),
         9 => any::<usize>().prop_map(|which| Event::ConnectionEnded { which }),
         1 => (tenant.clone(), 0.0..120.0).prop_map(|(tenant, connections)| Event::QuotaChanged { tenant, connections }),
@@ -30,12 +30,12 @@
     ]
 }
 
-/// What anybody could count who stood by.
+/// The quotas and connections as an outside observer sees them.
 #[derive(Clone, Debug, Default)]
 struct Model {
     quotas: Vec<f64>,
     removed: Vec<bool>,
-    /// Who stands, oldest first.
+    /// Tenant of each established connection, the oldest first.
     established: Vec<usize>,
 }
 
@@ -45,13 +45,13 @@
     }
 
     /// A tenant's connections over its quota.
-    fn fullness(&self, tenant: usize) -> f64 {
+    fn utilization(&self, tenant: usize) -> f64 {
         self.connections(tenant) as f64 / self.quotas[tenant].max(f64::MIN_POSITIVE)
     }
 }
 
 fn limits(connections: f64) -> Option<TenantLimits> {
-    // Set-ups don't bind here: they have a test of their own.
+    // The quota of set-ups is so large that it never applies. It has a test of its own.
     Some(TenantLimits::new(connections, 1e6).expect("in range"))
 }
 
@@ -63,9 +63,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Failure: any mix of floods, ends, lowered quotas, removals and rejections. Promises: what is borrowed and what is
-    /// within the quota come to all connections; a tenant within its local quota is never rejected; beyond the lending limit nobody is admitted
-    /// who is the furthest beyond its quota; and nothing ends or migrates but for a removed tenant.
+    /// Under any mix of floods, ended connections, lowered quotas, removals and rejections: the connections
+    /// within the local quota and the borrowed ones must add up to all connections, a tenant within its local
+    /// quota must not be rejected for its quotas of connections, the tenant with the highest utilization must
+    /// not borrow beyond the lending limit, and only connections of removed tenants may migrate.
     #[test]
     fn quotas_add_up_and_hold(events in prop::collection::vec(event(), 1..400)) {
         let mut now: Micros = 1_000_000;
@@ -87,12 +88,15 @@
                         QuotaDecision::Admit => {
                             prop_assert!(!model.removed[tenant], "a removed tenant's client was admitted");
                             if before.connections as f64 + 1.0 > before.local_quota {
-                                prop_assert!(!before.is_over_lowered_quota, "lent to a tenant that is over a lowered share");
-                                let is_fullest = !(0..TENANTS).any(|other| {
-                                    other != tenant && model.fullness(other) > model.fullness(tenant) / 1.1
+                                prop_assert!(!before.is_over_lowered_quota, "a tenant over its lowered quota borrowed");
+                                let has_highest_utilization = !(0..TENANTS).any(|other| {
+                                    other != tenant && model.utilization(other) > model.utilization(tenant) / 1.1
                                 });
-                                let is_spare = stats.connections < stats.lending_limit;
-                                prop_assert!(is_spare || !is_fullest, "lent {stats:?} to the fullest, {tenant}");
+                                let is_below_limit = stats.connections < stats.lending_limit;
+                                prop_assert!(
+                                    is_below_limit || !has_highest_utilization,
+                                    "tenant {tenant}, with the highest utilization, borrowed beyond the limit: {stats:?}"
+                                );
                             }
                             tenancy.on_admitted(now);
                             if rejected {
@@ -105,8 +109,12 @@
                         QuotaDecision::Reject { retry_after, reason } => {
                             prop_assert!(retry_after <= settings.longest_wait && retry_after > 0, "{retry_after}");
                             prop_assert_eq!(model.removed[tenant], reason == RejectReason::Removed);
-                            let within = before.connections as f64 + 1.0 <= before.local_quota;
-                            prop_assert!(matches!(reason, RejectReason::Removed | RejectReason::Reconnects) || !within, "{reason:?} within its part: {before:?}");
+                            let is_within_quota = before.connections as f64 + 1.0 <= before.local_quota;
+                            let is_for_other_reason = matches!(reason, RejectReason::Removed | RejectReason::Reconnects);
+                            prop_assert!(
+                                is_for_other_reason || !is_within_quota,
+                                "rejected within its local quota ({reason:?}): {before:?}"
+                            );
                         }
                     }
                 }
@@ -132,14 +140,15 @@
                     let tenant = migrations.tenant.0;
                     prop_assert!(model.removed[tenant], "a connection of a tenant that was not removed migrated");
                     migrating[tenant] += migrations.count as usize;
-                    prop_assert!(migrating[tenant] <= model.connections(tenant), "more migrated than there are");
+                    prop_assert!(migrating[tenant] <= model.connections(tenant), "more connections migrated than there are");
                 }
             }
             let stats = tenancy.stats(now);
             for (tenant, t) in &stats.tenants {
                 prop_assert_eq!(t.connections as usize, model.connections(tenant.0));
-                let own = (t.connections as f64).min(t.local_quota);
-                prop_assert!(t.quota.is_none() || (own + t.borrowed - t.connections as f64).abs() < 1e-9, "{t:?}");
+                let within_quota = (t.connections as f64).min(t.local_quota);
+                let is_sum_right = (within_quota + t.borrowed - t.connections as f64).abs() < 1e-9;
+                prop_assert!(t.quota.is_none() || is_sum_right, "{t:?}");
             }
             prop_assert!((stats.connections - model.established.len() as f64).abs() < 1e-3, "{stats:?}");
             prop_assert!((stats.total_quota - model.quotas.iter().sum::<f64>()).abs() < 1e-2, "{stats:?}");
--- a/crates/tenancy/tests/quotas.rs
+++ b/crates/tenancy/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! What tenants are promised, each against the failure that would break it.
+//! Tests of the tenants' quotas in typical situations: floods, surges, removals and a shortage of capacity.
 
 use shorewharf_tenancy::{
     QuotaDecision, RejectReason, Tenancy, TenancySettings, TenancyStats, TenantIndex, TenantLimits,
@@ -7,7 +7,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// An instance with tenants of these quotas, where a connection lives for `lifetime`.
+/// An instance under test. Each of its connections ends after `lifetime`.
 struct TestInstance {
     tenancy: Tenancy,
     now: Micros,
@@ -23,6 +23,8 @@
 }
 
 impl TestInstance {
+    /// Creates an instance of a fleet with this number of instances, with a tenant for each quota of
+    /// connections.
     fn new(instances: f64, quotas: &[f64]) -> TestInstance {
         let mut instance = TestInstance {
             tenancy: Tenancy::new(
@@ -68,7 +70,8 @@
         decision
     }
 
-    /// Clients of each tenant send so many requests a second; returns how many of each were rejected.
+    /// Lets the clients of each tenant send this number of requests a second. Returns how many were rejected,
+    /// by tenant.
     fn send_requests(&mut self, time: Micros, per_second: &[f64]) -> Vec<u64> {
         let mut rejected = vec![0; per_second.len()];
         let mut due = vec![0.0; per_second.len()];
@@ -94,39 +97,41 @@
     }
 }
 
-/// Failure: a tenant asks for ten times its quota. Promise: it holds its local quota and what is lent, the others are
-/// never rejected, and what was lent comes back as they need it, with nobody cut off.
+/// A tenant sends fifty times as many requests as the others. It must get its local quota and what is lent,
+/// the others must not be rejected, and lent capacity must become free as they need it, without ending
+/// connections.
 #[test]
-fn a_flood_is_its_own_tenants_affair() {
+fn a_flooding_tenant_does_not_affect_the_others() {
     let mut instance = TestInstance::new(4.0, &[400.0, 400.0, 400.0, 400.0]);
-    let calm = [1.0, 1.0, 1.0, 1.0];
-    assert_eq!(instance.send_requests(60 * SECOND, &calm), [0; 4]);
+    assert_eq!(instance.send_requests(60 * SECOND, &[1.0, 1.0, 1.0, 1.0]), [0; 4]);
     let rejected = instance.send_requests(60 * SECOND, &[50.0, 1.0, 1.0, 1.0]);
     assert!(rejected[0] > 2000 && rejected[1..] == [0; 3], "{rejected:?}");
     let lending_limit = instance.stats().lending_limit;
-    let (held, others) = (
-        instance.connections_of(0) as f64,
-        (1..4).map(|tenant| instance.connections_of(tenant)).sum::<u64>() as f64,
-    );
+    let flooding = instance.connections_of(0) as f64;
+    let others = (1..4).map(|tenant| instance.connections_of(tenant)).sum::<u64>() as f64;
     assert!(
-        held >= 100.0 && (held + others - lending_limit).abs() <= 3.0,
-        "{held} beside {others}, lent up to {lending_limit}"
+        flooding >= 100.0 && (flooding + others - lending_limit).abs() <= 3.0,
+        "{flooding} connections beside {others}, with a lending limit of {lending_limit}"
     );
-    // The others ask for more of theirs.
+    // The others now use more of their quotas.
     let rejected = instance.send_requests(60 * SECOND, &[50.0, 2.0, 2.0, 2.0]);
     assert_eq!(rejected[1..], [0; 3]);
-    assert!(instance.connections_of(0) <= 103, "{} still lent", instance.connections_of(0) - 100);
+    assert!(
+        instance.connections_of(0) <= 103,
+        "{} connections are still lent",
+        instance.connections_of(0) - 100
+    );
     assert!(instance.stats().tenants[0].1.rejected_for(RejectReason::Connections) > 2000);
 }
 
-/// Failure: all tenants' clients come at once, as after a sibling's death, and an instance has far more than an even
-/// part of the traffic. Promise: that is nobody's flood, and nobody is rejected.
+/// The clients of all tenants come at once, as after the death of another instance, so that this one gets far
+/// more than an even fraction of the traffic. This must not be taken for a flood: no request may be rejected.
 #[test]
-fn a_storm_of_everybody_is_nobodys_flood() {
+fn a_surge_of_all_tenants_is_not_rejected() {
     let mut instance = TestInstance::new(8.0, &[400.0, 300.0, 200.0, 100.0]);
     assert_eq!(instance.send_requests(40 * SECOND, &[4.0, 3.0, 2.0, 1.0]), [0; 4]);
     assert_eq!(instance.send_requests(2 * SECOND, &[80.0, 60.0, 40.0, 20.0]), [0; 4]);
-    // An eighth of 1,000 would be 125.
+    // An even fraction, an eighth of the quotas of 1,000, would be 125 connections.
     assert!(
         instance.stats().connections > 500.0 && instance.stats().local_fraction > 0.9,
         "{:?}",
@@ -134,17 +139,17 @@
     );
 }
 
-/// Failure: the connections of a tenant that may not borrow all drop and come again within a second. Promise: its quota
-/// of reconnects is admitted, the rest waits with a time to come back, spread, and claims to return without a connection
-/// that ended count as new ones.
+/// All connections of a tenant that may not borrow drop, and its clients reconnect within a second. Its quota
+/// of reconnects must be admitted, and the others must be rejected with spread retry-after values. Clients
+/// that claim to reconnect although no connection ended must count as new.
 #[test]
 fn reconnects_have_a_quota_of_their_own() {
     let mut instance = TestInstance::new(1.0, &[200.0, 200.0, 200.0, 200.0]);
-    let strict = TenantLimits::new(200.0, 10.0).expect("in range").without_borrowing();
-    instance.tenancy.set_limits(instance.now, TenantIndex(0), Some(strict));
+    let limits = TenantLimits::new(200.0, 10.0).expect("in range").without_borrowing();
+    instance.tenancy.set_limits(instance.now, TenantIndex(0), Some(limits));
     instance.send_requests(60 * SECOND, &[20.0, 2.0, 2.0, 2.0]);
-    let held = instance.connections_of(0);
-    assert_eq!(held, 200);
+    let connections = instance.connections_of(0);
+    assert_eq!(connections, 200);
     let now = instance.now;
     let dropped: Vec<TenantIndex> = instance
         .connections
@@ -154,38 +159,40 @@
     for tenant in dropped {
         instance.tenancy.on_connection_ended(now, tenant);
     }
-    let (mut back, mut waits) = (0, Vec::new());
-    for _ in 0..held {
-        instance.now += SECOND / held;
+    let (mut admitted, mut waits) = (0, Vec::new());
+    for _ in 0..connections {
+        instance.now += SECOND / connections;
         match instance.request(0, true) {
-            QuotaDecision::Admit => back += 1,
+            QuotaDecision::Admit => admitted += 1,
             QuotaDecision::Reject { retry_after, reason } => {
-                assert_eq!(reason, RejectReason::Reconnects, "{back} of {held}: {:?}", instance.stats());
+                let stats = instance.stats();
+                assert_eq!(reason, RejectReason::Reconnects, "{admitted} of {connections}: {stats:?}");
                 waits.push(retry_after);
             }
         }
     }
-    assert!((100..200).contains(&back), "{back} of {held} back within a second");
+    assert!((100..200).contains(&admitted), "{admitted} of {connections} reconnected within a second");
     waits.dedup();
     assert!(waits.len() > 10 && waits.iter().all(|wait| (50_000..=1_500_000).contains(wait)), "{waits:?}");
-    // A tenant that lost nothing can't have anybody return.
+    // The second tenant lost no connection, so its clients can't reconnect.
     let rejected = (0..500).filter(|_| instance.request(1, true) != QuotaDecision::Admit).count();
     assert!(rejected > 300, "{rejected}");
     assert!(instance.stats().tenants[1].1.rejected_for(RejectReason::Setups) > 0);
 }
 
-/// Failure: a quota is lowered below the connections, a tenant is removed with hundreds of connections, and made anew.
-/// Promise: nobody is cut off, nothing new until it is under; a removed tenant's connections migrate at the rate and its
-/// clients are told so; its index stays its own.
+/// A quota is lowered below the number of connections. No connection may end for it, and no request may be
+/// admitted until the connections are below the quota. Then a tenant with hundreds of connections is removed
+/// and added again. Its connections must migrate at the configured rate, its requests must be rejected with
+/// their own reason, and its index must not be reused.
 #[test]
-fn tenants_change_and_go() {
+fn quotas_are_lowered_and_tenants_are_removed() {
     let mut instance = TestInstance::new(1.0, &[300.0, 300.0]);
     instance.send_requests(40 * SECOND, &[10.0, 10.0]);
-    let held = instance.connections_of(0);
+    let connections = instance.connections_of(0);
     instance.set_quota(0, 50.0);
     assert_eq!(
         (instance.connections_of(0), instance.stats().tenants[0].1.is_over_lowered_quota),
-        (held, true)
+        (connections, true)
     );
     assert!(matches!(
         instance.request(0, false),
@@ -199,7 +206,7 @@
     instance.set_quota(1, 300.0);
     assert!(matches!(instance.request(1, true), QuotaDecision::Reject { reason: RejectReason::Removed, .. }));
     instance.connections.clear();
-    let (began, mut migrated) = (instance.now, 0);
+    let (started_at, mut migrated) = (instance.now, 0);
     while let Some(due) = instance.tenancy.next_deadline() {
         instance.now = instance.now.max(due);
         for migrations in instance.tenancy.due_migrations(instance.now) {
@@ -210,10 +217,10 @@
             }
         }
     }
-    let took = (instance.now - began) as f64 / 1e6;
+    let took = (instance.now - started_at) as f64 / 1e6;
     assert_eq!((migrated, instance.connections_of(1)), (connections, 0));
     assert!((took - connections as f64 / 20.0).abs() < 1.0, "{connections} migrated within {took} s");
-    // Anew, at another index.
+    // The tenant is added again at another index.
     instance.set_quota(2, 300.0);
     assert_eq!(
         (instance.request(2, false), instance.stats().tenants[1].1.is_removed),
@@ -225,15 +232,16 @@
     ));
 }
 
-/// Failure: the decision module rejects what was admitted, since half of the fleet has died. Promise: lending ends at once, and
-/// with rationing the tenants that are fullest for their weights wait, while the emptiest is not rejected.
+/// The decisions reject admitted requests, as when half of the fleet has died. Lending must end at once. If
+/// tenants within their quotas are rationed, those with the highest weighted utilization must be rejected,
+/// and the one with the lowest must not.
 #[test]
-fn short_capacity_goes_by_weight_and_use() {
-    for ration in [false, true] {
+fn short_capacity_is_rationed_by_weighted_utilization() {
+    for rations_within_quota in [false, true] {
         let mut instance = TestInstance::new(1.0, &[100.0, 100.0, 100.0]);
         instance
             .tenancy
-            .update_settings(TenancySettings { rations_within_quota: ration, ..TenancySettings::new(1.0) });
+            .update_settings(TenancySettings { rations_within_quota, ..TenancySettings::new(1.0) });
         let heavy =
             TenantLimits::new(100.0, 5.0).and_then(|limits| limits.with_weight(4.0)).expect("in range");
         instance.tenancy.set_limits(instance.now, TenantIndex(1), Some(heavy));
@@ -251,6 +259,6 @@
         let decisions = [0, 1, 2].map(|tenant| {
             instance.tenancy.check(instance.now, TenantIndex(tenant), false) == QuotaDecision::Admit
         });
-        assert_eq!(decisions, [!ration, true, true], "rationing: {ration}");
+        assert_eq!(decisions, [!rations_within_quota, true, true], "rationing: {rations_within_quota}");
     }
 }
