--- a/crates/decisions/src/arrival_rate.rs
+++ b/crates/decisions/src/arrival_rate.rs
@@ -5,14 +5,14 @@
 /// Share of the counts that remains after a housekeeping period.
 pub(crate) const ARRIVAL_DECAY_RATIO: f64 = 0.95;
 
-/// Decayed counts of arrivals and of the time that they came in.
+/// Decayed counts of arrivals and of the time during which they were observed.
 #[derive(Debug)]
 pub(crate) struct ArrivalRate {
-    /// Arrivals, decayed.
+    /// Decayed number of arrivals.
     pub arrivals: f64,
-    /// Seconds that were observed, decayed.
+    /// Decayed observation time in seconds.
     pub seconds: f64,
-    /// Arrivals a second as of the last housekeeping.
+    /// Arrivals per second, as computed by the last housekeeping.
     pub per_second: f64,
 }
 
@@ -33,7 +33,8 @@
         self.per_second = self.arrivals / self.seconds;
     }
 
-    /// Takes over what another instance has counted; `remaining` is the share that counts by now.
+    /// Takes over the counts of another instance. `remaining` is the share of them that is left after the
+    /// decay since their export; the time since then counts as observed.
     pub fn restore(&mut self, arrivals: f64, seconds: f64, remaining: f64) {
         self.arrivals += arrivals * remaining;
         self.seconds = (seconds * remaining + (1.0 - remaining) / (1.0 - ARRIVAL_DECAY_RATIO)).max(1.0);
--- a/crates/decisions/src/groups.rs
+++ b/crates/decisions/src/groups.rs
@@ -1,4 +1,4 @@
-//! How often each group of clients was seen, which sets the size of its pool of servers.
+//! Counts the clients of each group, which determine the size of the group's pool of servers.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -7,36 +7,37 @@
 
 /// Share of the counts that remains after a housekeeping period.
 pub(crate) const GROUP_DECAY_RATIO: f64 = 0.985;
-/// A group is forgotten below this many clients.
+/// A group is removed from the table when its decayed number of clients falls below this.
 pub(crate) const MIN_GROUP_CLIENTS: f64 = 0.05;
-/// Most groups that are counted.
+/// Largest number of groups in the table.
 const MAX_GROUPS: usize = 2048;
-/// Servers in a group's pool over the group's share of the fleet.
+/// Share of all servers that form a group's pool, relative to the group's share of all clients.
 const POOL_SIZE_RATIO: f64 = 1.0;
-/// Clients subtracted from a group's count: a single one says little of its group's size.
+/// Subtracted from the number of clients of a group, because a single client says little about the size of
+/// its group.
 const POOL_CLIENT_DISCOUNT: f64 = 0.75;
-/// Clients assumed in other groups, so that the first group to be seen is not taken for all of them.
+/// Number of clients assumed in other groups, so that the first group seen does not count as all clients.
 const PRIOR_CLIENTS: f64 = 3.0;
 
-/// What is known of a group.
+/// What is known about a group.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GroupStats {
-    /// Clients seen, decayed.
+    /// Decayed number of clients seen.
     pub clients: f64,
-    /// Where its last client was connected.
+    /// Server to which the last client was connected.
     pub last_server: Option<ServerId>,
 }
 
-/// All groups, and the clients seen of all of them.
+/// All groups, and the total number of clients.
 #[derive(Debug, Default)]
 pub(crate) struct GroupTable {
-    /// Clients seen of any group or none, decayed.
+    /// Decayed number of clients seen, with or without a group.
     pub total_clients: f64,
     groups: BTreeMap<u64, GroupStats>,
 }
 
-/// What the placement of a request goes by: its group, or the client's key where packets pass through and the
-/// next instance has to find the same server.
+/// The group by which a request is placed, if any: the client's group, or the client's key in pass-through
+/// mode, where another instance has to find the same server.
 pub(crate) fn placement_group(settings: &Settings, request: &Request) -> Option<u64> {
     let group = if settings.is_pass_through { request.key } else { request.group };
     ((settings.is_pass_through || settings.has_groups) && group != 0).then_some(group)
@@ -62,25 +63,25 @@
         self.groups.get(&group).and_then(|stats| stats.last_server)
     }
 
-    /// Whether a group is counted already or one more can be.
+    /// Whether a group is in the table or can be added to it.
     pub fn has_capacity_for(&self, group: u64) -> bool {
         self.groups.len() < MAX_GROUPS || self.groups.contains_key(&group)
     }
 
-    /// Adds what another instance has counted.
+    /// Adds the counts of another instance.
     pub fn merge(&mut self, group: u64, clients: f64, last_server: Option<ServerId>) {
         let stats = self.groups.entry(group).or_default();
         stats.clients += clients;
         stats.last_server = stats.last_server.or(last_server);
     }
 
-    /// Groups behind one in the order of ids, from the first one for `None`.
+    /// The groups after the given one in order of id, or all groups for `None`.
     pub fn after(&self, group: Option<u64>) -> impl Iterator<Item = (u64, &GroupStats)> {
         let range = self.groups.range((group.map_or(Unbounded, Excluded), Unbounded));
         range.map(|(group, stats)| (*group, stats))
     }
 
-    /// How many of `server_count` servers make up a group's pool; all of them for no group.
+    /// Number of servers, out of `server_count`, that form a group's pool; all of them if there is no group.
     pub fn pool_size(&self, group: Option<u64>, server_count: usize) -> usize {
         let Some(group) = group else { return server_count };
         let seen = self.groups.get(&group).map_or(0.0, |stats| stats.clients);
--- a/crates/decisions/src/hashing.rs
+++ b/crates/decisions/src/hashing.rs
@@ -1,5 +1,5 @@
-//! Hashes that all instances compute alike, so that they agree on an order of servers without talking to each
-//! other.
+//! Hashes that are the same at all instances, so that the instances agree on an order of servers without
+//! communicating.
 
 use crate::interface::ServerId;
 
@@ -17,7 +17,7 @@
     mix(mix(first.wrapping_add(GOLDEN_RATIO_BITS)).wrapping_add(second))
 }
 
-/// Maps 64 random bits to a number in the open interval from 0 to 1.
+/// Maps 64 random bits to a number between 0 and 1, both excluded.
 pub(crate) fn to_unit_interval(bits: u64) -> f64 {
     ((bits >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
@@ -27,7 +27,8 @@
     -to_unit_interval(hash_pair(key, server.0)).ln() / weight
 }
 
-/// A pseudo-random number between 0 and 1 for `key` and the process of a server that started at `started_at`.
+/// A pseudo-random number between 0 and 1 that depends on `key`, the server and the start time of its
+/// process.
 pub fn random_rank(key: u64, server: ServerId, started_at: f64) -> f64 {
     to_unit_interval(hash_pair(hash_pair(key, server.0), started_at.to_bits()))
 }
--- a/crates/decisions/src/load.rs
+++ b/crates/decisions/src/load.rs
@@ -1,6 +1,7 @@
-//! Loads: what a request is expected to cost, what this instance has put on a server, and whether the server
-//! can sustain one more. Loads are work a second in the unit of list weights. What a server can sustain is
-//! estimated outside ([`Event::CapacityEstimated`](crate::interface::Event::CapacityEstimated)).
+//! Loads: the expected load of a request, the load that this instance has assigned to a server, and whether
+//! the server can sustain one more request. Loads are work per second in the unit of the list weights. What a
+//! server can sustain is estimated outside the balancer
+//! ([`Event::CapacityEstimated`](crate::interface::Event::CapacityEstimated)).
 
 use std::collections::BTreeMap;
 
@@ -9,37 +10,38 @@
 use crate::requests::TrackedRequest;
 use crate::servers::Server;
 
-/// What a server pays for holding a connection, beside the connection's own load, in mean loads.
+/// Overhead of each connection at a server, in addition to the connection's own load, in mean loads.
 pub(crate) const CONNECTION_OVERHEAD_LOADS: f64 = 0.1;
-/// What a server pays for each group that it holds any connection of, in mean loads. Other instances may hold
-/// some of the same group, so each counts a part of the whole cost.
+/// Overhead at a server of each group that has connections there, in mean loads. Other instances may have
+/// connections of the same group at the server, so each instance counts only a part of the whole overhead.
 const GROUP_OVERHEAD_LOADS: f64 = 1.4;
-/// Concurrent set-ups at a full server. Each takes a core while it lasts.
+/// Largest number of concurrent set-ups at a full server. Each set-up occupies a core while it lasts.
 const MAX_CONCURRENT_SETUPS: f64 = 1.0;
-/// Further concurrent set-ups at an empty server, for all instances together.
+/// Additional concurrent set-ups at an empty server, for all instances together.
 const MAX_EXTRA_CONCURRENT_SETUPS: f64 = 8.0;
-/// Weight of a new hint in the mean load of its class.
+/// Weight of a new load hint in the mean load of its class.
 const CLASS_LOAD_SMOOTHING: f64 = 0.05;
-/// A request of which nothing is known has this load.
+/// Load of a request about which nothing is known.
 const DEFAULT_LOAD: f64 = 1.0;
-/// Below this part of a server, in mean connections, an instance's own load says nothing of the server.
+/// If an instance's share of a server is below this number of mean connections, the instance's own load says
+/// nothing about the server.
 const MIN_OBSERVABLE_CONNECTIONS: f64 = 0.35;
 
 /// What a server can sustain of this instance's load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CapacityEstimate {
-    /// Work a second, overheads included.
+    /// Work per second, including overheads.
     pub load: f64,
-    /// Set-ups a second while it is warming up.
+    /// Set-ups per second while the server is warming up.
     pub setup_rate: f64,
 }
 
 /// Mean loads and the servers' capacities.
 #[derive(Debug, Default)]
 pub(crate) struct LoadEstimates {
-    /// Mean load of a connection; 0 while it is not known.
+    /// Mean load of a connection; 0 while unknown.
     pub mean_load: f64,
-    /// Mean hinted load by class; 0 where there was no hint.
+    /// Mean hinted load of each class; 0 for a class without hints.
     pub class_loads: Vec<f64>,
     capacities: BTreeMap<ServerId, CapacityEstimate>,
 }
@@ -57,13 +59,13 @@
         self.capacities.get(&server)
     }
 
-    /// The capacity of a server, if it can be compared with loads.
+    /// The capacity of a server, if the mean load is known, which is needed to compare capacities with loads.
     pub fn comparable_capacity(&self, server: ServerId) -> Option<&CapacityEstimate> {
         self.capacity(server).filter(|_| self.mean_load > 0.0)
     }
 
-    /// The load of a new request: its hint, or the mean of its class, of another class, of all connections. A
-    /// hint counts towards the mean of the class.
+    /// The expected load of a new request: its hint, or else the mean of its class, of another class, or of
+    /// all connections. A hint also updates the mean of its class.
     pub fn estimate(&mut self, request: &Request) -> f64 {
         let hint = request.load.and_then(positive);
         if let (Some(load), Some(mean)) = (hint, self.class_loads.get_mut(request.class)) {
@@ -74,7 +76,7 @@
         hint.or(of_class).or_else(of_any_class).or(positive(self.mean_load)).unwrap_or(DEFAULT_LOAD)
     }
 
-    /// What this instance has put on a server, overheads included.
+    /// The load that this instance has assigned to a server, including overheads.
     pub fn load_on(&self, server: &Server) -> f64 {
         let groups = server.group_connections.len() as f64;
         let overheads =
@@ -82,8 +84,8 @@
         server.assigned_load + self.mean_load * overheads
     }
 
-    /// Whether a server can sustain a request's load too. One that holds nothing takes a first one whatever
-    /// its estimate.
+    /// Whether a server can sustain an additional request of mean load. A server without connections of this
+    /// instance accepts one request whatever its estimate.
     pub fn can_sustain(&self, server: &Server, tracked: &TrackedRequest) -> bool {
         let Some(capacity) = self.comparable_capacity(server.entry.server) else { return true };
         let is_new_group = tracked.group.is_some_and(|group| !server.group_connections.contains_key(&group));
@@ -92,7 +94,7 @@
         self.load_on(server) + added <= capacity.load || server.connections == 0
     }
 
-    /// Whether a server can set up one more connection now, beside those that are pending.
+    /// Whether a server can set up one more connection now, in addition to the pending ones.
     pub fn has_free_setup_slot(&self, server: &Server, instance_count: f64) -> bool {
         let Some(capacity) = self.comparable_capacity(server.entry.server) else { return true };
         let free_ratio = (1.0 - self.load_on(server) / capacity.load.max(f64::MIN_POSITIVE)).max(0.0);
@@ -100,8 +102,8 @@
         f64::from(server.pending_setups) < slots
     }
 
-    /// This instance's even part of a server, in mean connections. While no load is known, it is taken from
-    /// the tenants' quotas; infinite where those are not known.
+    /// This instance's even share of a server, in mean connections. While no loads are known the share is
+    /// computed from the tenants' quotas; it is infinite if those are unknown too.
     pub fn connections_per_server(&self, settings: &Settings, server_count: usize) -> f64 {
         if self.mean_load <= 0.0 || self.capacities.is_empty() {
             let quota: f64 = settings.tenant_connection_quotas.iter().sum();
@@ -112,8 +114,8 @@
         total / self.capacities.len() as f64 / self.mean_load
     }
 
-    /// Whether this instance's part of the servers is so small that its own load says nothing of them, and it
-    /// may probe.
+    /// Whether this instance's share of the servers is so small that its own load says nothing about them,
+    /// and it may probe.
     pub fn lacks_own_load_signal(&self, settings: &Settings, server_count: usize) -> bool {
         settings.may_probe
             && !settings.is_pass_through
--- a/crates/decisions/src/numeric.rs
+++ b/crates/decisions/src/numeric.rs
@@ -1,4 +1,4 @@
-//! Checks of numbers that come from outside.
+//! Checks of numbers that come from outside the balancer.
 
 /// The value, if it is finite and greater than 0.
 pub(crate) fn positive(value: f64) -> Option<f64> {
--- a/crates/decisions/src/probe_table.rs
+++ b/crates/decisions/src/probe_table.rs
@@ -1,48 +1,51 @@
-//! The results of placement probes: how long a server took to answer one, against what is usual for servers
-//! of its kind.
+//! The results of placement probes: how long a server took to answer one, compared with the usual duration
+//! for servers of its kind.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::ServerId;
 
-/// Durations that are kept for each kind of server.
+/// Number of durations that are kept for each kind of server.
 const MAX_DURATIONS: usize = 32;
-/// The usual duration is this quantile of the kept ones: servers that are probed are fuller than the rest.
+/// The usual duration is this quantile of the kept ones. It is a low one because the probed servers are
+/// fuller than the rest.
 const USUAL_DURATION_QUANTILE: f64 = 0.25;
-/// A completed probe is forgotten after this time.
+/// A completed probe is removed after this time.
 const SAMPLE_RETENTION_SECONDS: f64 = 5.0;
-/// A probe that has not ended within this time is taken for lost.
+/// A probe that has not ended within this time counts as lost.
 const PROBE_LOSS_SECONDS: f64 = 1.0;
 
 /// A probe that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CompletedProbe {
     pub completed_at: f64,
-    /// How long it would have taken if the server were warm; infinite if it was not answered.
+    /// How long the probe would have taken if the server were warm, in seconds; infinite if it was not
+    /// answered.
     pub duration: f64,
 }
 
-/// The probes of one server.
+/// The pending and the last completed probe of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProbeSample {
-    /// When the probe that is out was sent.
+    /// When the pending probe was sent.
     sent_at: Option<f64>,
     pub completed: Option<CompletedProbe>,
 }
 
 impl ProbeSample {
-    /// When the probe that is out was sent, unless it is taken for lost.
+    /// When the pending probe was sent, unless it counts as lost.
     pub fn pending_since(&self, now: f64) -> Option<f64> {
         self.sent_at.filter(|sent_at| now <= sent_at + PROBE_LOSS_SECONDS)
     }
 }
 
-/// Servers whose probes can be compared.
+/// Servers whose probes can be compared with each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ServerKind {
-    /// Whether they are in this instance's zone: the network's part of a probe depends on it.
+    /// Whether the servers are in this instance's zone, since the duration of a probe includes the network's
+    /// delay.
     is_same_zone: bool,
-    /// The listed weight as bits; `None` for servers of any weight.
+    /// Bits of the listed weight; `None` for servers of any weight.
     weight_bits: Option<u64>,
 }
 
@@ -51,7 +54,7 @@
 pub(crate) struct ProbeTable {
     samples: BTreeMap<ServerId, ProbeSample>,
     durations: BTreeMap<ServerKind, VecDeque<f64>>,
-    /// The timer is set that looks at pending probes.
+    /// Whether the timer that checks pending probes is set.
     pub is_timer_set: bool,
 }
 
@@ -60,7 +63,7 @@
         self.samples.get(&server)
     }
 
-    /// Records that a probe is sent; false if one is pending.
+    /// Records that a probe is being sent; returns false if one is already pending.
     pub fn begin(&mut self, now: f64, server: ServerId) -> bool {
         let sample = self.samples.entry(server).or_default();
         if sample.pending_since(now).is_some() {
@@ -70,7 +73,7 @@
         true
     }
 
-    /// Ends the probe that is out; when it was sent, if there was one.
+    /// Ends the pending probe and returns when it was sent, if there was one.
     pub fn end(&mut self, server: ServerId) -> Option<f64> {
         self.samples.get_mut(&server)?.sent_at.take()
     }
@@ -79,7 +82,7 @@
         self.samples.insert(server, ProbeSample { sent_at: None, completed: Some(result) });
     }
 
-    /// Counts the duration of an answered probe towards what is usual.
+    /// Adds the duration of an answered probe to those from which the usual duration is computed.
     pub fn record_duration(&mut self, is_same_zone: bool, weight: f64, duration: f64) {
         for weight_bits in [Some(weight.to_bits()), None] {
             let durations = self.durations.entry(ServerKind { is_same_zone, weight_bits }).or_default();
@@ -94,9 +97,9 @@
         durations.get((durations.len() as f64 * USUAL_DURATION_QUANTILE) as usize).copied()
     }
 
-    /// The usual duration for a server: the geometric mean of what is usual for its weight and for any. By
-    /// its weight alone, slow machines that are all too full would look as they should; by any, they would
-    /// stay empty until the fast ones are full.
+    /// The usual duration for a server: the geometric mean of the usual durations for its weight and for any
+    /// weight. If only servers of its weight counted, slow servers that are all too full would look normal.
+    /// If servers of any weight counted, slow servers would stay empty until the fast ones are full.
     pub fn usual_duration(&self, is_same_zone: bool, weight: f64) -> Option<f64> {
         let of_weight =
             self.usual_duration_of(ServerKind { is_same_zone, weight_bits: Some(weight.to_bits()) })?;
@@ -104,7 +107,7 @@
         Some((of_weight * of_any).sqrt())
     }
 
-    /// Forgets lost probes and old results.
+    /// Removes lost probes and old results.
     pub fn remove_expired(&mut self, now: f64) {
         self.samples.retain(|_, sample| {
             sample.sent_at = sample.pending_since(now);
--- a/crates/decisions/src/rate_limit.rs
+++ b/crates/decisions/src/rate_limit.rs
@@ -1,31 +1,32 @@
-//! The rate limit of set-ups: failures at many servers at once slow all sending down, as they speak of what
-//! the servers share (a session store); successes raise the limit until it binds no more.
+//! The rate limit of set-ups. Failures at many servers at once lower the limit for all set-ups, since they
+//! point to something that the servers share, such as a session store. Successes raise the limit until it no
+//! longer applies.
 
 use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
-/// Set-ups a second from which on the limit does not bind.
+/// Number of set-ups per second from which on the limit does not apply.
 pub(crate) const UNLIMITED_SETUPS_PER_SECOND: f64 = 50.0;
-/// The limit never falls below this.
+/// Lower bound of the limit.
 pub(crate) const MIN_SETUPS_PER_SECOND: f64 = 0.2;
-/// Share of the limit that remains after failures.
+/// Share of the limit that remains after a reduction.
 const REDUCTION_RATIO: f64 = 0.6;
-/// Growth of the limit at each success.
+/// Factor by which each success raises the limit.
 const GROWTH_RATIO: f64 = 1.15;
-/// Permits that may be saved up beyond the first one, in seconds at the limit.
+/// Permits that may accumulate in addition to the first one, in seconds at the limit.
 const BURST_SECONDS: f64 = 0.1;
-/// The limit is lowered at most once in this time.
+/// Shortest time between two reductions of the limit.
 const MIN_REDUCTION_INTERVAL_SECONDS: f64 = 0.5 * HOUSEKEEPING_PERIOD_SECONDS;
-/// Share of the attempts that still counts as recent a housekeeping period later.
+/// Share of the recent attempts that still counts a housekeeping period later.
 const RECENT_DECAY_RATIO: f64 = 0.5;
 
-/// A token bucket whose rate follows the outcomes of set-ups.
+/// A token bucket whose rate depends on the outcomes of set-ups.
 #[derive(Debug)]
 pub(crate) struct SetupRateLimiter {
     per_second: f64,
     permits: f64,
     refilled_at: f64,
     reduced_at: f64,
-    /// Attempts begun, decayed.
+    /// Decayed number of attempts begun.
     recent_attempts: f64,
 }
 
@@ -42,12 +43,12 @@
 }
 
 impl SetupRateLimiter {
-    /// The limit, as set-ups a second.
+    /// The limit in set-ups per second.
     pub fn per_second(&self) -> f64 {
         self.per_second
     }
 
-    /// Attempts begun in the last second or two.
+    /// Number of attempts begun recently, decayed with a half-life of one housekeeping period.
     pub fn recent_attempts(&self) -> f64 {
         self.recent_attempts
     }
@@ -56,7 +57,7 @@
         self.per_second >= UNLIMITED_SETUPS_PER_SECOND
     }
 
-    /// Adds the permits that have come due, and tells whether an attempt may begin.
+    /// Adds the permits that are due, and returns whether an attempt may begin.
     pub fn refill(&mut self, now: f64) -> bool {
         let most = 1.0 + self.per_second * BURST_SECONDS;
         self.permits = (self.permits + (now - self.refilled_at) * self.per_second).min(most);
@@ -75,7 +76,7 @@
         self.per_second = (self.per_second * GROWTH_RATIO).min(UNLIMITED_SETUPS_PER_SECOND);
     }
 
-    /// Lowers the limit, from the recent rate of attempts if it did not bind before.
+    /// Lowers the limit. If it did not apply before, it is set from the recent rate of attempts.
     pub fn reduce(&mut self, now: f64) {
         if now < self.reduced_at + MIN_REDUCTION_INTERVAL_SECONDS {
             return;
@@ -89,7 +90,8 @@
         self.recent_attempts *= RECENT_DECAY_RATIO;
     }
 
-    /// Takes over the limit of another instance, which `remaining` of it counts by now.
+    /// Takes over the limit of another instance. `remaining` is the share of its reduction that is left after
+    /// the decay since the export.
     pub fn restore(&mut self, per_second: f64, remaining: f64) {
         let lowest = per_second.clamp(MIN_SETUPS_PER_SECOND, UNLIMITED_SETUPS_PER_SECOND);
         let recovered = lowest + (UNLIMITED_SETUPS_PER_SECOND - lowest) * (1.0 - remaining);
--- a/crates/decisions/src/reconnect_surge.rs
+++ b/crates/decisions/src/reconnect_surge.rs
@@ -1,16 +1,17 @@
-//! Detects that connections break in numbers: their clients come back to all instances at once.
+//! Detects reconnect surges: many connections break at once, and their clients reconnect to all instances at
+//! the same time.
 
-/// Decayed resets from which on a surge is assumed.
+/// Decayed number of resets from which on a surge is assumed.
 const MIN_RESETS: f64 = 1.5;
-/// Time constant of the decay.
+/// Time constant of the decay of the resets.
 const DECAY_SECONDS: f64 = 0.5;
-/// A surge is assumed to last this long after its last sign.
+/// A surge is assumed to last this long after its last indication.
 const DURATION_SECONDS: f64 = 3.0;
 
-/// Recent resets, and until when a surge lasts.
+/// The recent resets, and the end of the current surge.
 #[derive(Debug)]
 pub(crate) struct ReconnectSurge {
-    /// Decayed count as of `counted_at`.
+    /// Decayed number of resets at the time `counted_at`.
     resets: f64,
     counted_at: f64,
     active_until: f64,
@@ -23,7 +24,7 @@
 }
 
 impl ReconnectSurge {
-    /// An established connection broke.
+    /// Records that an established connection broke.
     pub fn record_reset(&mut self, now: f64) {
         self.resets = self.resets * ((self.counted_at - now) / DECAY_SECONDS).exp() + 1.0;
         self.counted_at = now;
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A surge has begun or goes on.
+    /// Begins a surge, or prolongs the current one.
     pub fn begin(&mut self, now: f64) {
         self.active_until = now + DURATION_SECONDS;
     }
--- a/crates/decisions/src/requests.rs
+++ b/crates/decisions/src/requests.rs
@@ -1,47 +1,47 @@
-//! The request table: each request from its arrival to the end of its connection.
+//! The request table: every request from its arrival to the end of its connection.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
 use crate::interface::{Idempotency, Request, RequestId, ServerId};
 
-/// The first attempt of a request that a server may have run.
+/// The first attempt of a request that may have run at its server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
     pub server: ServerId,
     pub sent_at: f64,
-    /// Which attempt, from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
 }
 
-/// What the placement of a request goes by.
+/// The properties of a new request that determine its placement and retries.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestProfile {
-    /// What repeating it may do, as its class was configured when it arrived.
+    /// Whether the request may be repeated, as its class was configured when it arrived.
     pub idempotency: Idempotency,
-    /// The group that its placement goes by.
+    /// The group by which the request is placed.
     pub group: Option<u64>,
-    /// Its expected load.
+    /// Expected load.
     pub load: f64,
 }
 
-/// A request and what has become of it so far. At most one of `attempt_server` and `connected_server` is set.
+/// A request and its current state. At most one of `attempt_server` and `connected_server` is set.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRequest {
     pub request: Request,
-    /// What repeating it may do, as its class was configured when it arrived.
+    /// Whether the request may be repeated, as its class was configured when it arrived.
     pub idempotency: Idempotency,
-    /// The group that its placement goes by.
+    /// The group by which the request is placed.
     pub group: Option<u64>,
-    /// Its load as reported, hinted or estimated.
+    /// Load as reported, hinted or estimated.
     pub load: f64,
-    /// Whether its load was reported.
+    /// Whether the load was reported.
     pub is_load_reported: bool,
-    /// Attempts begun.
+    /// Number of attempts begun.
     pub attempts: u32,
-    /// The server of the attempt that is out.
+    /// Server of the pending attempt.
     pub attempt_server: Option<ServerId>,
-    /// The server of the established connection.
+    /// Server of the established connection.
     pub connected_server: Option<ServerId>,
     pub possible_run: Option<PossibleRun>,
     /// Servers that are not tried again for now.
@@ -51,9 +51,10 @@
     /// When the last attempt began.
     pub last_sent_at: f64,
     pub received_at: f64,
-    /// The first server of its group is passed over unless it is known to be well.
+    /// Whether the first-ranked server of the group is skipped unless its message delay is known to be
+    /// normal.
     pub skips_first_rank: bool,
-    /// It has had its final answer, or nobody waits for one.
+    /// Whether the request has its final answer, or its client no longer waits for one.
     pub is_answered: bool,
 }
 
@@ -78,17 +79,17 @@
         }
     }
 
-    /// The server of its connection or of the attempt that is out.
+    /// The server of the connection or of the pending attempt.
     pub fn server(&self) -> Option<ServerId> {
         self.connected_server.or(self.attempt_server)
     }
 
-    /// Whether it still needs a server.
+    /// Whether the request still needs a server.
     pub fn is_waiting(&self) -> bool {
         !self.is_answered && self.server().is_none()
     }
 
-    /// Whether its connection is established and not about to end.
+    /// Whether the connection is established and not about to end.
     pub fn is_established(&self) -> bool {
         self.connected_server.is_some() && !self.is_answered
     }
@@ -125,12 +126,12 @@
         self.requests.values_mut()
     }
 
-    /// Requests behind an id in the order of ids, from the first one for `None`.
+    /// The requests after the given one in order of id, or all requests for `None`.
     pub fn after(&self, id: Option<RequestId>) -> impl Iterator<Item = &TrackedRequest> {
         self.requests.range((id.map_or(Unbounded, Excluded), Unbounded)).map(|(_, tracked)| tracked)
     }
 
-    /// Records the final answer. A request that has no server is forgotten.
+    /// Records that a request has its final answer. A request without a server is removed.
     pub fn mark_answered(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         tracked.is_answered = true;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Requests that wait for a server: returning clients first, then by time of arrival.
+    /// Requests that wait for a server: returning clients first, then in order of arrival.
     pub fn waiting(&self) -> Vec<RequestId> {
         let mut waiting: Vec<&TrackedRequest> =
             self.requests.values().filter(|tracked| tracked.is_waiting()).collect();
--- a/crates/decisions/src/timers.rs
+++ b/crates/decisions/src/timers.rs
@@ -1,8 +1,8 @@
-//! The timers of an instance and the tokens that name them.
+//! The timers of an instance and the tokens that identify them.
 
 use crate::interface::RequestId;
 
-/// Time between two runs of the housekeeping, which decays counts and lets servers recover.
+/// Time between two runs of housekeeping, which decays counts and lets servers recover.
 pub(crate) const HOUSEKEEPING_PERIOD_SECONDS: f64 = 1.0;
 
 const KIND_BITS: u64 = !0xffff_ffff;
@@ -28,7 +28,7 @@
 }
 
 impl Timer {
-    /// The token that names this timer in [`Action::SetTimer`](crate::interface::Action::SetTimer).
+    /// The token that identifies this timer in [`Action::SetTimer`](crate::interface::Action::SetTimer).
     pub fn token(self) -> u64 {
         match self {
             Timer::Housekeeping => HOUSEKEEPING,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The timer that a token names; `None` for a token that was not set here.
+    /// The timer that a token identifies; `None` for a token that does not belong to a timer of an instance.
     pub fn from_token(token: u64) -> Option<Timer> {
         match token & KIND_BITS {
             HOUSEKEEPING => Some(Timer::Housekeeping),
