--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The way of a request through attempts: it arrives, is sent to a server, is established or fails, and ends.
+//! The life cycle of a request: it arrives, is sent to a server, is established or fails, and ends.
 
 use crate::interface::{Action, Outcome, Request, RequestId, ServerId, ServerState};
 use crate::numeric::positive;
@@ -8,46 +8,48 @@
 use crate::state::Balancer;
 use crate::timers::{HOUSEKEEPING_PERIOD_SECONDS, Timer};
 
-/// Share of returning clients that pass over their group's first server where nothing is known of its message
-/// delay: an instance that knew of it may have sent them away from there.
+/// Share of returning clients that skip the first-ranked server of their group if its message delay is
+/// unknown to this instance: an instance that knew the delay may have migrated them away from that server.
 const SKIP_FIRST_RANK_RATIO: f64 = 0.5;
 /// Migrations allowed for each new client.
 const MIGRATIONS_PER_NEW_CLIENT: f64 = 5.0;
-/// Migrations allowed for each returning client: an instance that has just started may have no other clients.
+/// Migrations allowed for each returning client. They are needed because an instance that has just started
+/// may have no other clients.
 const MIGRATIONS_PER_RETURNING_CLIENT: f64 = 1.0;
-/// A server that is unavailable when its last client leaves stays so for about this time: nobody reports on
-/// it any more.
+/// A server that is unavailable when its last client leaves stays unavailable for about this time, since
+/// nothing reports on it any more.
 const UNOBSERVED_UNAVAILABLE_SECONDS: f64 = 8.0 * HOUSEKEEPING_PERIOD_SECONDS;
-/// A request's deadline timer fires this many ticks early.
+/// The deadline timer of a request fires this many ticks before the deadline.
 const DEADLINE_TIMER_MARGIN_TICKS: f64 = 1.5;
-/// No attempt begins within this many ticks of the deadline.
+/// No attempt begins within this many ticks of the request's deadline.
 const ATTEMPT_MARGIN_TICKS: f64 = 2.0;
 
-/// An attempt that is to begin.
+/// An attempt to be begun.
 #[derive(Clone, Copy, Debug)]
 struct NewAttempt {
     server: ServerId,
-    /// The whole time left in seconds: a set-up that is given up early is wasted work, and its retry is more
-    /// of it.
+    /// Timeout in seconds: all the time left before the deadline. A set-up that is abandoned early is wasted
+    /// work, and its retry adds more work.
     timeout: f64,
 }
 
-/// An attempt or connection that has ended.
+/// The end of an attempt or connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptEnd {
     pub request: RequestId,
     pub server: ServerId,
-    /// Which attempt, from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
     pub outcome: Outcome,
-    /// Whether the client has its final answer.
+    /// Whether the client has received its final answer.
     pub is_answered: bool,
 }
 
 impl Balancer {
     pub(crate) fn on_request(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
         if !request.is_returning {
-            // A reconnect surge must not raise the rate that is expected of a warming server.
+            // Returning clients are not counted: a reconnect surge must not raise the rate expected at a
+            // server that is warming up.
             self.arrivals.record();
         }
         self.migration_credit +=
@@ -55,14 +57,14 @@
         let mut tracked = self.track(now, request);
         tracked.skips_first_rank = request.is_returning && self.draw() < SKIP_FIRST_RANK_RATIO;
         self.requests.insert(tracked);
-        // Every request has a deadline timer: whatever else fails, it gets its answer in time.
+        // Every request gets a deadline timer, which ensures an answer in time whatever else fails.
         let margin = DEADLINE_TIMER_MARGIN_TICKS * self.settings.tick;
         let after = (request.deadline - now - margin).max(0.0);
         actions.push(Action::SetTimer { after, token: Timer::Deadline(request.id).token() });
         self.dispatch(now, request.id, actions);
     }
 
-    /// A connection that was established before this instance started.
+    /// Adds a connection that was established before this instance started.
     pub(crate) fn on_connection_restored(&mut self, now: f64, request: Request, server: ServerId) {
         let mut tracked = self.track(now, request);
         self.migration_credit += MIGRATIONS_PER_NEW_CLIENT;
@@ -76,7 +78,8 @@
         self.requests.insert(tracked);
     }
 
-    /// Places a request that waits: an attempt begins, or it is deferred, rejected or failed.
+    /// Tries to place a waiting request: begins an attempt, waits for probes, or defers, rejects or fails the
+    /// request.
     pub(crate) fn dispatch(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id).filter(|tracked| tracked.is_waiting()) else { return };
         let tracked = tracked.clone();
@@ -113,17 +116,17 @@
         self.remove_reservation(tracked.request.key);
         let inputs = self.slow_start_inputs(now);
         let sustained = self.servers.get(id).and_then(|server| inputs.sustained_connections(server));
-        let server = self.servers.get_mut(id).expect("chosen from the table");
+        let server = self.servers.get_mut(id).expect("the chosen server is in the server table");
         server.record_admission(now, sustained);
         server.assigned_load += tracked.load;
         server.connections += 1;
         server.pending_setups += 1;
         server.is_back_from_draining = false;
-        // A trial is single: the quarantine holds for all other requests until it has ended.
+        // A quarantined server gets a single trial: no other request is sent to it before this one's timeout.
         server.trial_at = server.trial_at.max(now + timeout);
         server.add_group_connection(tracked.group);
         let request = tracked.request.id;
-        let tracked = self.requests.get_mut(request).expect("it is being dispatched");
+        let tracked = self.requests.get_mut(request).expect("the dispatched request is in the request table");
         tracked.attempt_server = Some(id);
         tracked.last_sent_at = now;
         tracked.tried_servers.push(id);
@@ -145,7 +148,7 @@
             server.pending_setups = server.pending_setups.saturating_sub(1);
             server.setup_failed_at = f64::NEG_INFINITY;
         }
-        // Another server has taken the request, so the errors were not its own doing.
+        // Another server has accepted the request, so the request itself did not cause the errors.
         for failed in failed_servers.into_iter().filter(|failed| *failed != server_id) {
             self.reduce_health(now, failed, 0.0);
         }
@@ -175,7 +178,7 @@
         tracked.is_answered |= end.is_answered;
         let tracked = tracked.clone();
         self.release_server(now, &tracked, end.server, was_established);
-        self.judge_attempt(now, &tracked, &end, was_established);
+        self.apply_attempt_end(now, &tracked, &end, was_established);
         if was_established && !was_migrated {
             self.on_connection_ended(now, &tracked, &end);
         }
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Takes an ended attempt or connection off its server.
+    /// Removes an ended attempt or connection from the counts of its server.
     fn release_server(&mut self, now: f64, tracked: &TrackedRequest, id: ServerId, was_established: bool) {
         let unavailable_for = UNOBSERVED_UNAVAILABLE_SECONDS * (0.5 + self.draw());
         let Some(server) = self.servers.get_mut(id) else { return };
@@ -199,24 +202,32 @@
         server.remove_group_connection(tracked.group);
     }
 
-    /// Draws conclusions on the server from the end of an attempt or connection.
-    fn judge_attempt(&mut self, now: f64, tracked: &TrackedRequest, end: &AttemptEnd, was_established: bool) {
+    /// Updates what is known about a server from the end of an attempt or connection.
+    fn apply_attempt_end(
+        &mut self,
+        now: f64,
+        tracked: &TrackedRequest,
+        end: &AttemptEnd,
+        was_established: bool,
+    ) {
         let objective = self.latency_objective(&tracked.request);
         match end.outcome {
-            // It may be the request that is at fault: its servers are blamed once another one takes it.
+            // The request itself may be the cause, so the server's health is reduced only once another server
+            // accepts the request.
             Outcome::Error if !was_established => {
                 if let Some(tracked) = self.requests.get_mut(end.request) {
                     tracked.failed_servers.push(end.server);
                 }
             }
-            // A client that leaves a server no time says nothing of it.
+            // The client allowed less time than the latency objective, so this says nothing about the server.
             Outcome::Rejected | Outcome::TimedOut
                 if tracked.request.deadline < tracked.last_sent_at + objective => {}
-            outcome => self.judge_outcome(now, end.server, outcome, was_established),
+            outcome => self.apply_outcome(now, end.server, outcome, was_established),
         }
     }
 
-    /// An established connection has ended that was not migrated: its client is expected back.
+    /// Handles the end of an established connection that was not migrated: its client is expected to
+    /// reconnect, and the server reserves load for it.
     fn on_connection_ended(&mut self, now: f64, tracked: &TrackedRequest, end: &AttemptEnd) {
         let server = self.servers.get(end.server);
         let is_draining = server.is_some_and(|server| server.entry.state == ServerState::Draining);
@@ -228,7 +239,7 @@
             return;
         }
         self.remove_reservation(key);
-        // Random, so that the reservations of a mass reconnect don't all end at once.
+        // The time is random so that the reservations of a reconnect surge don't all expire at once.
         let expires_at = now + base_duration(&self.settings) * (1.0 + self.draw());
         self.insert_reservation(key, Reservation { server: end.server, load: tracked.load, expires_at });
     }
--- a/crates/decisions/src/fleet_placement.rs
+++ b/crates/decisions/src/fleet_placement.rs
@@ -1,6 +1,6 @@
-//! Placement by the loads of all instances together, where they are known. The reports are some tenths of a
-//! second old and the same at every instance, so what many instances would do at once by them is left to
-//! chance.
+//! Placement by the combined loads of all instances, where they are known. The load reports are a few tenths
+//! of a second old and the same at every instance. Where all instances would otherwise react to them in the
+//! same way at the same time, the decision is therefore randomized.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,67 +11,69 @@
 use crate::servers::Server;
 use crate::state::Balancer;
 
-/// A server is passed over that the request would bring above this multiple of the mean usage.
+/// A server is skipped if the request would raise its usage above this multiple of the mean usage.
 const MAX_USAGE_RATIO: f64 = 1.15;
-/// A server below this multiple of the mean usage is filled first.
+/// A server whose usage is below this multiple of the mean usage is filled first.
 const UNDERUSED_RATIO: f64 = 0.8;
-/// Underused servers are filled by the requests of this many seconds: some times the age of a report, as all
-/// instances go by the same ones.
+/// Underused servers are filled by the requests that arrive within this time. It is several times the age of
+/// a report because all instances act on the same reports.
 const FILL_SECONDS: f64 = 2.0;
-/// What a server pays for each group that it holds any connection of, in mean loads, whoever holds it.
+/// Overhead at a server of each group of which any instance has a connection there, in mean loads.
 const GROUP_OVERHEAD_LOADS: f64 = 2.0;
-/// Returning clients are spread over this many servers, as they come in numbers and find the same reports.
+/// Returning clients are spread over this many servers, since they arrive in large numbers and are placed by
+/// the same reports.
 const RETURNING_SPREAD_SERVERS: usize = 3;
-/// Random spread of the usage where no server is below the limit.
+/// Random variation of the usage if no server is below the limit.
 const USAGE_JITTER_RATIO: f64 = 0.1;
 
-/// A server as all instances together use it.
+/// The usage of a server by all instances together.
 #[derive(Clone, Copy, Debug)]
 struct FleetUsage {
     server: ServerId,
     is_cross_zone: bool,
-    /// Whether any instance holds some of the request's group there.
+    /// Whether any instance has connections of the request's group at the server.
     holds_group: bool,
     capacity: f64,
     load: f64,
-    /// Load that the request would add.
+    /// Load that the request would add, including overheads.
     added_load: f64,
 }
 
 impl FleetUsage {
-    /// Load over capacity with the request.
+    /// Load divided by capacity if the request is placed at the server.
     fn ratio_after(&self) -> f64 {
         (self.load + self.added_load) / self.capacity
     }
 
-    /// How many such requests the server lacks to `target`, a ratio of load to capacity.
-    fn missing_requests(&self, target: f64) -> f64 {
+    /// How many requests like this one the server can accept before its ratio of load to capacity reaches
+    /// `target`.
+    fn request_headroom(&self, target: f64) -> f64 {
         ((target - self.load / self.capacity) * self.capacity / self.added_load).max(0.0)
     }
 }
 
-/// The loads that the usage of a server is computed from.
+/// The loads from which the usage of a server is computed.
 #[derive(Clone, Copy, Debug)]
 struct FleetLoads<'a> {
     remote: &'a RemoteLoads,
-    /// Mean load of a connection of any instance.
+    /// Mean load of a connection over all instances.
     mean: f64,
 }
 
 /// The usage of all servers in service.
 struct FleetUsages {
     by_server: BTreeMap<ServerId, FleetUsage>,
-    /// Mean ratio of load to capacity once the request is placed.
+    /// Mean ratio of load to capacity after the request is placed.
     mean_ratio: f64,
 }
 
-/// A group as reports name it: the lower half of its id.
+/// The id of a group in load reports: the lower 32 bits of the full id.
 fn reported_group(group: u64) -> u32 {
     group as u32
 }
 
 impl Balancer {
-    /// The server for a request by the loads of all instances.
+    /// Chooses the server for a request by the loads of all instances.
     pub(crate) fn choose_by_fleet_load(
         &mut self,
         now: f64,
@@ -79,7 +81,7 @@
         remote_loads: &RemoteLoads,
     ) -> Option<ServerId> {
         let FleetUsages { by_server, mean_ratio } = self.fleet_usages(now, tracked, remote_loads);
-        // By rank, which is the same at every instance for a group.
+        // In order of rank, which is the same at every instance for a given group.
         let ranked: Vec<FleetUsage> =
             self.ranked_servers(now, tracked).iter().filter_map(|id| by_server.get(id)).copied().collect();
         let has_same_zone = ranked.iter().any(|usage| !usage.is_cross_zone);
@@ -113,7 +115,7 @@
         FleetUsages { by_server, mean_ratio }
     }
 
-    /// Mean load of a connection at the servers in service; none without connections.
+    /// Mean load of a connection at the servers in service; `None` if there are no connections.
     fn mean_fleet_load(&self, now: f64, remote_loads: &RemoteLoads) -> Option<f64> {
         let (mut load, mut connections) = (0.0, 0.0);
         for server in self.servers.in_service(&self.settings, now) {
@@ -139,9 +141,8 @@
             remote.map_or((0.0, 0.0), |remote| (remote.load, remote.connections));
         let connections = f64::from(server.connections) + remote_connections;
         let overheads = CONNECTION_OVERHEAD_LOADS * connections + GROUP_OVERHEAD_LOADS * groups.len() as f64;
-        let pays_for_group = tracked.group.is_some() && !holds_group;
-        let added_overheads =
-            CONNECTION_OVERHEAD_LOADS + if pays_for_group { GROUP_OVERHEAD_LOADS } else { 0.0 };
+        let adds_group = tracked.group.is_some() && !holds_group;
+        let added_overheads = CONNECTION_OVERHEAD_LOADS + if adds_group { GROUP_OVERHEAD_LOADS } else { 0.0 };
         let capacity = server.entry.weight * server.warm_up_ratio(&self.settings, now);
         FleetUsage {
             server: server.entry.server,
@@ -153,31 +154,33 @@
         }
     }
 
-    /// Draws an underused server, weighted by how many requests each of them lacks. Returns `None` so often
-    /// that all instances together don't overfill them.
+    /// Chooses an underused server at random, weighted by the headroom of each. Returns `None` with a
+    /// probability that keeps all instances together from overfilling these servers.
     fn choose_underused(&mut self, candidates: &[FleetUsage], mean_ratio: f64) -> Option<ServerId> {
         let target = UNDERUSED_RATIO * mean_ratio;
-        let missing: f64 = candidates.iter().map(|usage| usage.missing_requests(target)).sum();
-        // An instance that has just sent a request says little of the fleet's rate: the long mean, or that of
-        // a surge.
+        let headroom: f64 = candidates.iter().map(|usage| usage.request_headroom(target)).sum();
+        // The rate is the long-term mean, or the recent rate if that is higher, as in a surge. The recent
+        // rate is reduced by 1 because a single request that was just sent says little about the rate of the
+        // fleet.
         let recent_rate = self.setup_limiter.recent_attempts() * 0.5 - 1.0;
         let rate = f64::max(self.arrivals.per_second, recent_rate);
         let expected_requests = 1.0 + self.settings.instance_count * rate * FILL_SECONDS;
-        let fills_underused = self.draw() < missing / expected_requests;
+        let fills_underused = self.draw() < headroom / expected_requests;
         if !fills_underused {
             return None;
         }
-        let mut remaining = self.draw() * missing;
+        let mut remaining = self.draw() * headroom;
         let drawn = candidates.iter().find(|usage| {
-            let missing = usage.missing_requests(target);
-            remaining -= missing;
-            missing > 0.0 && remaining <= 0.0
+            let headroom = usage.request_headroom(target);
+            remaining -= headroom;
+            headroom > 0.0 && remaining <= 0.0
         });
         drawn.or(candidates.first()).map(|usage| usage.server)
     }
 
-    /// A server that stays below the limit with the request: the least used that holds its group, else the
-    /// first by rank. A returning client gets a random one of the first few.
+    /// Chooses a server that stays below the usage limit with the request: the least used one that has
+    /// connections of the request's group, or else the first by rank. A returning client gets a random one of
+    /// the first few.
     fn choose_below_limit(
         &mut self,
         tracked: &TrackedRequest,
@@ -185,19 +188,19 @@
         mean_ratio: f64,
     ) -> Option<ServerId> {
         let is_below_limit = |usage: &&FleetUsage| usage.ratio_after() <= MAX_USAGE_RATIO * mean_ratio;
-        let mut fitting: Vec<&FleetUsage> = candidates.iter().filter(is_below_limit).collect();
-        fitting.sort_by(|a, b| match (a.holds_group, b.holds_group) {
+        let mut below_limit: Vec<&FleetUsage> = candidates.iter().filter(is_below_limit).collect();
+        below_limit.sort_by(|a, b| match (a.holds_group, b.holds_group) {
             (true, true) => a.ratio_after().total_cmp(&b.ratio_after()),
             (a_holds, b_holds) => b_holds.cmp(&a_holds),
         });
         let spread =
-            if tracked.request.is_returning { RETURNING_SPREAD_SERVERS.min(fitting.len()) } else { 1 };
+            if tracked.request.is_returning { RETURNING_SPREAD_SERVERS.min(below_limit.len()) } else { 1 };
         let index = (self.draw() * spread as f64) as usize;
-        fitting.get(index).map(|usage| usage.server)
+        below_limit.get(index).map(|usage| usage.server)
     }
 }
 
-/// The groups of which any instance holds a connection at a server.
+/// The groups of which any instance has a connection at a server.
 fn groups_at(server: &Server, remote: Option<&RemoteLoad>) -> BTreeSet<u32> {
     let mut groups: BTreeSet<u32> =
         server.group_connections.keys().map(|group| reported_group(*group)).collect();
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,6 +1,7 @@
-//! Placement: which server a request is sent to. An instance that knows the loads of the others goes by them
-//! (`fleet_placement`), one whose own load says nothing probes (`probing`), and any other goes by its own
-//! load, as here: the server reserved for the client, one that holds its group, or the least used of its
+//! Placement: the choice of the server to which a request is sent. An instance that knows the loads of the
+//! others uses them (`fleet_placement`). One whose own load says nothing about the servers probes them
+//! (`probing`). Any other instance uses its own load, as in this module: it chooses the server reserved for
+//! the client, one that already has connections of the client's group, or the least used server of the
 //! group's pool.
 
 use crate::groups::placement_group;
@@ -11,25 +12,26 @@
 use crate::state::Balancer;
 use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
-/// Zone crossing cost from which on servers of other zones come after all of this instance's own.
+/// Zone crossing cost from which on servers of other zones come after all servers of this instance's zone.
 const LOCAL_ZONE_MIN_CROSSING_COST: f64 = 0.05;
-/// Servers beyond a group's pool that are taken while members of the pool are unavailable. Beyond them the
-/// group is rejected, since each server that holds any of it pays for the group.
+/// Number of servers beyond a group's pool that are used while members of the pool are unavailable. If those
+/// are not enough the group's requests are rejected, since each further server with connections of the group
+/// would bear the group's overhead.
 const POOL_OVERFLOW_SERVERS: usize = 1;
-/// A pool member is passed over above this multiple of the mean usage ...
+/// A pool member is preferred only up to this multiple of the mean usage, plus `MAX_USAGE_EXTRA_CONNECTIONS`.
 const MAX_USAGE_RATIO: f64 = 1.25;
-/// ... and this many mean connections on top of it.
+/// Number of mean connections added to the usage limit of a pool member.
 const MAX_USAGE_EXTRA_CONNECTIONS: f64 = 3.0;
-/// A server with clients that has not reported slow messages for this long is well.
-const QUIET_SECONDS: f64 = 2.0 * HOUSEKEEPING_PERIOD_SECONDS;
+/// A server with connections has a normal message delay if no slow messages were reported for this long.
+const MIN_SECONDS_SINCE_DELAY_REPORT: f64 = 2.0 * HOUSEKEEPING_PERIOD_SECONDS;
 
-/// Where a request goes.
+/// The result of placing a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Placement {
     Server(ServerId),
-    /// Probes are out that will tell.
+    /// Pending probes will decide.
     AwaitProbes,
-    /// No server takes it now.
+    /// No server can accept the request now.
     NoServer,
 }
 
@@ -39,16 +41,16 @@
     }
 }
 
-/// The usage up to which a pool member is preferred to the ranks behind it.
+/// The usage up to which a pool member is preferred to the servers that follow it in rank.
 #[derive(Clone, Copy, Debug)]
 struct UsageLimit {
-    /// Load over effective weight.
+    /// Load divided by effective weight.
     ratio: f64,
-    /// Load on top of it.
+    /// Load allowed in addition.
     extra_load: f64,
 }
 
-/// A server of a group's pool.
+/// A server that may belong to a group's pool.
 struct PoolMember<'a> {
     is_cross_zone: bool,
     rank: f64,
@@ -62,7 +64,7 @@
 }
 
 impl Balancer {
-    /// Chooses a server for a request; appends the probes that have to come first.
+    /// Chooses a server for a request. Appends the probes that are needed first, if any.
     pub(crate) fn choose_server(
         &mut self,
         now: f64,
@@ -78,13 +80,15 @@
         Placement::from_choice(self.choose_by_own_load(now, tracked))
     }
 
-    /// Whether crossing zones costs so much that a server comes after those of this instance's zone.
+    /// Whether a server is in another zone, and crossing zones costs so much that the server comes after
+    /// those of this instance's zone.
     pub(crate) fn is_cross_zone(&self, server: &Server) -> bool {
         self.settings.zone_crossing_cost >= LOCAL_ZONE_MIN_CROSSING_COST
             && server.entry.zone != self.settings.zone
     }
 
-    /// A server's rank for a group, the same at every instance; the lowest comes first.
+    /// The rank of a server for a group, the same at every instance. The server with the lowest rank comes
+    /// first.
     pub(crate) fn rank(&self, group: u64, server: &Server) -> f64 {
         let is_load_adjusted = self.settings.weight_kind == WeightKind::LoadAdjusted;
         let weight = if is_load_adjusted { 1.0 } else { server.entry.weight };
@@ -98,7 +102,8 @@
         {
             return Some(reservation.server);
         }
-        // Whoever puts a server back in service wants to see it used, and the ranks may send nobody there.
+        // A server that has just returned from draining gets the next client, so that its operator sees
+        // whether it works. By rank it might get none.
         let is_unused = |server: &&Server| server.is_back_from_draining && !self.is_cross_zone(server);
         let mut unused = self.servers.iter().filter(is_unused);
         if let Some(server) = unused.find(|server| self.is_candidate(server, tracked, now)) {
@@ -106,34 +111,35 @@
         }
         let group = placement_group(&self.settings, &tracked.request);
         let limit = self.usage_limit(now);
-        self.choose_group_holder(now, tracked, group, limit)
+        self.choose_server_of_group(now, tracked, group, limit)
             .or_else(|| self.choose_pool_member(now, tracked, group, limit))
     }
 
-    /// Whether a server is in service and can take a request.
+    /// Whether a server is in service and can accept a request.
     fn is_candidate(&self, server: &Server, tracked: &TrackedRequest, now: f64) -> bool {
-        server.is_in_service(&self.settings, now) && self.can_take(server, tracked, now)
+        server.is_in_service(&self.settings, now) && self.can_accept(server, tracked, now)
     }
 
-    fn can_take(&self, server: &Server, tracked: &TrackedRequest, now: f64) -> bool {
+    fn can_accept(&self, server: &Server, tracked: &TrackedRequest, now: f64) -> bool {
         now >= server.unavailable_until
             && self.loads.can_sustain(server, tracked)
             && self.loads.has_free_setup_slot(server, self.settings.instance_count)
-            && self.is_past_slow_start(server, now)
+            && self.is_admitted_by_slow_start(server, now)
             && self.may_attempt(tracked, server, now)
             && !tracked.tried_servers.contains(&server.entry.server)
     }
 
-    /// The least used server that holds some of the request's group: it has paid for the group already.
-    fn choose_group_holder(
+    /// Chooses the least used server that already has connections of the request's group, and so already
+    /// bears the group's overhead.
+    fn choose_server_of_group(
         &self,
         now: f64,
         tracked: &TrackedRequest,
         group: Option<u64>,
         limit: UsageLimit,
     ) -> Option<ServerId> {
-        let holders = self.servers_holding(group?).into_iter().filter_map(|id| self.servers.get(id));
-        let candidates = holders.filter(|server| {
+        let group_servers = self.servers_of_group(group?).into_iter().filter_map(|id| self.servers.get(id));
+        let candidates = group_servers.filter(|server| {
             self.is_candidate(server, tracked, now)
                 && !self.is_over_limit(server, limit, now)
                 && !self.is_cross_zone(server)
@@ -141,7 +147,7 @@
         self.least_used(now, tracked, candidates)
     }
 
-    /// The least used server of the request's pool, or of the ranks right behind it.
+    /// Chooses the least used server of the request's pool, or of the servers that follow it in rank.
     fn choose_pool_member(
         &self,
         now: f64,
@@ -172,21 +178,22 @@
         if skips_first_rank && pool.len() > 1 && !self.has_normal_delay(pool[0].server, now) {
             pool.remove(0);
         }
-        pool.retain(|member| self.can_take(member.server, tracked, now));
+        pool.retain(|member| self.can_accept(member.server, tracked, now));
         pool.sort_by_key(|member| (self.is_over_limit(member.server, limit, now), member.is_cross_zone));
         let members = pool.iter().take(pool_size).map(|member| member.server);
         self.least_used(now, tracked, members)
     }
 
-    /// Whether slow messages would have been reported by clients here, and were not. A warming server has its
-    /// own bound.
+    /// Whether clients at a server would have reported slow messages but have not. A server that is warming
+    /// up is always accepted here, as slow start limits its load.
     fn has_normal_delay(&self, server: &Server, now: f64) -> bool {
-        let is_quiet = server.connections > 0 && now >= server.last_delay.reported_at + QUIET_SECONDS;
-        server.warm_up_ratio(&self.settings, now) < 1.0 || is_quiet
+        let is_delay_unreported =
+            server.connections > 0 && now >= server.last_delay.reported_at + MIN_SECONDS_SINCE_DELAY_REPORT;
+        server.warm_up_ratio(&self.settings, now) < 1.0 || is_delay_unreported
     }
 
-    /// The server with the lowest usage. Ties, which are the rule on a large fleet, are broken at random by
-    /// the client's key.
+    /// The server with the lowest usage. Ties, which are common in a large fleet, are broken pseudo-randomly
+    /// by the client's key.
     fn least_used<'a>(
         &self,
         now: f64,
--- a/crates/decisions/src/probing.rs
+++ b/crates/decisions/src/probing.rs
@@ -1,10 +1,10 @@
-//! Placement by probes, for an instance whose own load says nothing of the servers: it probes those that a
-//! request may go to, in the order of their ranks. A probe is served like a request, so its duration grows
-//! with what all instances together have put there.
+//! Placement by probes, for an instance whose own load says nothing about the servers: it probes the servers
+//! to which a request may go, in order of rank. A server handles a probe like a request, so the duration of a
+//! probe grows with the load that all instances together have placed there.
 //!
-//! A server has capacity if its probe took no longer than is usual for its kind. Ranks are the same at every
-//! instance, so a group stays together on its first server until that is fuller than others, and then goes on
-//! to the next one.
+//! A server has free capacity if its probe took no longer than is usual for its kind. Ranks are the same at
+//! every instance, so a group stays together on its first server until that is fuller than others, and then
+//! continues on the next one.
 
 use crate::interface::{Action, Outcome, ServerId};
 use crate::placement::Placement;
@@ -14,87 +14,91 @@
 use crate::state::Balancer;
 use crate::timers::Timer;
 
-/// Servers that are probed at once.
+/// Number of servers that are probed at the same time for a request.
 const PROBES_PER_ROUND: usize = 3;
-/// Rounds of probes; then the fastest server is taken.
+/// Number of rounds of probes for a request, after which the fastest server is chosen.
 const MAX_PROBE_ROUNDS: usize = 2;
-/// At most one in this many servers is probed for a request: groups that go on to many servers fill them by
-/// that alone.
+/// At most one in this many servers is probed for a request. With more, groups would spread over many servers
+/// and fill them by the overhead of spreading alone.
 const SERVERS_PER_PROBE: usize = 14;
 /// At least this many servers are probed for a request.
 const MIN_PROBED_SERVERS: usize = 2;
-/// A probe slower than this multiple of the usual duration marks the server as full.
+/// A server counts as full if its probe takes longer than this multiple of the usual duration.
 const FULL_PROBE_RATIO: f64 = 1.15;
-/// A probe that is pending beyond this multiple of the usual duration is not waited for.
+/// A probe that is pending for longer than this multiple of the usual duration is no longer waited for.
 const LATE_PROBE_RATIO: f64 = 1.65;
-/// A result is used for this time ...
+/// Time for which the result of a probe is used.
 const RESULT_LIFETIME_SECONDS: f64 = 0.5;
-/// ... and for less where the server is warming up and holds less.
+/// Time for which the result is used if the server is warming up, and so has less capacity.
 const WARM_UP_RESULT_LIFETIME_SECONDS: f64 = 0.1;
-/// Probes are waited for up to this share of the connect time-out.
+/// Longest wait for a pending probe, as a share of the connect timeout.
 const MAX_PROBE_WAIT_RATIO: f64 = 0.2;
-/// Pending probes are looked at again after this share of the connect time-out.
+/// Pending probes are checked again after this share of the connect timeout.
 const PROBE_CHECK_RATIO: f64 = 0.06;
-/// Concurrent set-ups of this instance at one server: its next probe would measure its own set-ups.
+/// Largest number of concurrent set-ups of this instance at one server. With more, the next probe of the
+/// server would measure this instance's own set-ups.
 const MAX_PENDING_SETUPS: u32 = 2;
-/// At most this many waiting requests are placed again at the end of a probe; more wait for the timer.
+/// Waiting requests are placed again at the end of a probe only if there are at most this many. More of them
+/// wait for the timer.
 const MAX_WAITING_PER_PROBE: usize = 8;
 
 impl Balancer {
-    /// The server for a request, or what it has to wait for; appends the probes that are missing.
+    /// Chooses the server for a request by the results of probes. Sends the probes that are needed first, if
+    /// any.
     pub(crate) fn choose_by_probes(
         &mut self,
         now: f64,
         tracked: &TrackedRequest,
         actions: &mut Vec<Action>,
     ) -> Placement {
-        let most = PROBES_PER_ROUND * MAX_PROBE_ROUNDS;
-        let probed_count = (self.servers.len() / SERVERS_PER_PROBE).clamp(MIN_PROBED_SERVERS, most);
+        let max_probed = PROBES_PER_ROUND * MAX_PROBE_ROUNDS;
+        let probed_count = (self.servers.len() / SERVERS_PER_PROBE).clamp(MIN_PROBED_SERVERS, max_probed);
         let mut ranked = self.ranked_servers(now, tracked);
         ranked.truncate(probed_count);
         let mut fastest: Option<(f64, ServerId)> = None;
         for round in ranked.chunks(PROBES_PER_ROUND).take(MAX_PROBE_ROUNDS) {
-            let mut missing = Vec::new();
+            let mut unprobed = Vec::new();
             for &id in round {
                 match self.servers.get(id).and_then(|server| self.probe_ratio(now, server)) {
-                    Some(ratio) if ratio <= FULL_PROBE_RATIO && missing.is_empty() => {
+                    Some(ratio) if ratio <= FULL_PROBE_RATIO && unprobed.is_empty() => {
                         return Placement::Server(id);
                     }
                     Some(ratio) if fastest.is_none_or(|(least, _)| ratio < least) => {
                         fastest = Some((ratio, id));
                     }
                     Some(_) => {}
-                    None => missing.push(id),
+                    None => unprobed.push(id),
                 }
             }
-            if !missing.is_empty() {
-                self.send_probes(now, missing, actions);
+            if !unprobed.is_empty() {
+                self.send_probes(now, unprobed, actions);
                 return Placement::AwaitProbes;
             }
         }
         Placement::from_choice(fastest.map(|(_, id)| id))
     }
 
-    /// Servers that can take a request: the one reserved for its client, one that is back from draining, then
-    /// by rank.
+    /// The servers that can accept a request, in order of preference: the one reserved for the client, one
+    /// that has returned from draining, those of this instance's zone if crossing zones is costly, then by
+    /// rank.
     pub(crate) fn ranked_servers(&self, now: f64, tracked: &TrackedRequest) -> Vec<ServerId> {
-        let can_take = |server: &&Server| {
+        let can_accept = |server: &&Server| {
             now >= server.unavailable_until
                 && server.pending_setups < MAX_PENDING_SETUPS
-                && self.is_past_slow_start(server, now)
+                && self.is_admitted_by_slow_start(server, now)
                 && self.may_attempt(tracked, server, now)
                 && !tracked.tried_servers.contains(&server.entry.server)
         };
-        // Without a group nothing is shared, and each request has an order of its own.
-        let own_order = tracked.request.key
+        // Requests without a group share no work, so each of them gets an order of its own.
+        let own_rank_key = tracked.request.key
             ^ u64::from(tracked.request.id.0)
             ^ self.settings.instance_index.rotate_left(32);
-        let group = tracked.group.unwrap_or(own_order);
+        let group = tracked.group.unwrap_or(own_rank_key);
         let reserved = self.reservations.get(tracked.request.key).map(|reservation| reservation.server);
         let mut ranked: Vec<_> = self
             .servers
             .in_service(&self.settings, now)
-            .filter(can_take)
+            .filter(can_accept)
             .map(|server| {
                 let id = server.entry.server;
                 let preference =
@@ -106,8 +110,8 @@
         ranked.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    /// The duration of a server's probe over what is usual for its kind; none where it has to be probed
-    /// first.
+    /// The duration of a server's probe relative to the usual duration for its kind; `None` if there is no
+    /// result to go by yet.
     fn probe_ratio(&self, now: f64, server: &Server) -> Option<f64> {
         let sample = self.probes.get(server.entry.server)?;
         let usual = self.probes.usual_duration(self.is_same_zone(server), server.entry.weight);
@@ -128,8 +132,8 @@
         server.entry.zone == self.settings.zone
     }
 
-    /// The speed of a server over that of a warm one: the geometric mean of its warm-up ratio, which is the
-    /// least that it can do, and the whole.
+    /// The expected speed of a server relative to a warm one: the geometric mean of its warm-up ratio, which
+    /// is the least speed that it can have, and 1.
     fn expected_speed(&self, server: &Server, now: f64) -> f64 {
         server.warm_up_ratio(&self.settings, now).sqrt()
     }
@@ -147,7 +151,7 @@
         }
     }
 
-    /// A placement probe or the trial of a quarantined server has ended.
+    /// Handles the end of a placement probe or of the trial of a quarantined server.
     pub(crate) fn on_probe_ended(
         &mut self,
         now: f64,
@@ -162,7 +166,7 @@
                     server.is_quarantined = false;
                 }
             }
-            // The server has answered: it has no capacity, and can be reached.
+            // The server answered, so it can be reached, but it has no free capacity.
             Outcome::Error if was_placement_probe => {}
             _ => self.quarantine(now, server),
         }
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Records the result of a placement probe; false if none was out at the server.
+    /// Records the result of a placement probe; returns false if none was pending at the server.
     fn record_probe(&mut self, now: f64, id: ServerId, outcome: Outcome) -> bool {
         let sent_at = self.probes.end(id);
         let (Some(sent_at), Some(server)) = (sent_at, self.servers.get(id)) else { return false };
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -8,18 +8,18 @@
 
 /// Deferred requests are placed again after this share of the latency objective.
 const DEFER_RATIO: f64 = 0.1;
-/// Requests that may be deferred for each server that can sustain more: about as many as it sets up within
-/// the objective.
+/// Number of requests that may be deferred for each server that can sustain more load: about as many as a
+/// server sets up within the latency objective.
 const MAX_DEFERRED_PER_SERVER: usize = 4;
 /// No request is deferred within this many ticks of its deadline.
 const DEFER_MARGIN_TICKS: f64 = 4.0;
-/// The deadline timer answers a request this many ticks early.
+/// The deadline timer answers a request only from this many ticks before its deadline on.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
-/// The mean wait that rejected clients are advised, over the longest one.
+/// Mean retry-after of rejected clients, relative to the longest one.
 const RETRY_AFTER_RATIO: f64 = 0.5;
 
 impl Balancer {
-    /// Whether an attempt at a server can do no harm, by what the earlier ones may have done.
+    /// Whether an attempt at a server is harmless, considering what earlier attempts may have done.
     pub(crate) fn may_attempt(&self, tracked: &TrackedRequest, server: &Server, now: f64) -> bool {
         let Some(run) = tracked.possible_run else { return true };
         match tracked.idempotency {
@@ -27,7 +27,8 @@
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed(scope, window) => {
                 let Some(first) = self.servers.get(run.server) else { return false };
-                // It counts when its last byte has come, which the connect may hold up.
+                // The server registers the request when the last byte of it arrives, which connecting may
+                // delay by this much.
                 let connect_time = self.settings.connect_timeout.min(tracked.request.deadline - now);
                 let is_in_scope = match scope {
                     DeduplicationScope::All => true,
@@ -39,10 +40,10 @@
         }
     }
 
-    /// Whether a request that no server takes is worth deferring: set-up slots come free, or slow start
-    /// admits more, within moments. Otherwise a rejection is due at once.
+    /// Whether to defer a request for which no server is available, because set-up slots will become free, or
+    /// slow start will admit more, within moments. If not, the request should be rejected at once.
     pub(crate) fn is_capacity_imminent(&self, now: f64, tracked: &TrackedRequest) -> bool {
-        if self.servers.are_none_ready() {
+        if self.servers.has_only_unready_servers() {
             return false;
         }
         let in_service: Vec<&Server> = self.servers.in_service(&self.settings, now).collect();
@@ -55,7 +56,8 @@
         tracked.attempts == 0 && self.requests.waiting().len() <= MAX_DEFERRED_PER_SERVER * available
     }
 
-    /// Has a request wait for a moment, or answers it where that would miss its objective or deadline.
+    /// Lets a request wait for a moment, or answers it if waiting would miss its latency objective or
+    /// deadline.
     pub(crate) fn defer(&mut self, now: f64, tracked: &TrackedRequest, actions: &mut Vec<Action>) {
         let objective = self.latency_objective(&tracked.request);
         let after = (objective * DEFER_RATIO).max(self.settings.tick);
@@ -72,7 +74,8 @@
         }
     }
 
-    /// The final answer to a request that is not served: a rejection where a retry is known to be harmless.
+    /// Gives a request that is not served its final answer: a rejection if a retry is known to be harmless,
+    /// else a failure.
     pub(crate) fn answer_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id).filter(|tracked| !tracked.is_answered) else { return };
         let is_idempotent = matches!(
@@ -91,7 +94,7 @@
         self.requests.mark_answered(id);
     }
 
-    /// The deadline of a request is near: it is answered now, unless its connection is established.
+    /// Answers a request whose deadline is near, unless its connection is established.
     pub(crate) fn on_deadline(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id) else { return };
         let due_at = tracked.request.deadline - DEADLINE_MARGIN_TICKS * self.settings.tick;
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -1,18 +1,20 @@
-//! What the ends of attempts say of a server: reduced health, quarantine, and the rate limit of all set-ups.
+//! Effects of the ends of attempts: reduced health and quarantine of a server, and the rate limit of all
+//! set-ups.
 
 use crate::interface::{Outcome, ServerId};
+use crate::servers::Server;
 use crate::state::Balancer;
 use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
-/// The first pause of a quarantine, in connect time-outs; it doubles at each failed trial.
+/// First pause of a quarantine, in connect timeouts. The pause doubles at each failed trial.
 const QUARANTINE_CONNECT_TIMEOUTS: f64 = 4.0;
-/// The longest pause of a quarantine, in warm-up times.
+/// Longest pause of a quarantine, in warm-up times.
 const MAX_QUARANTINE_WARM_UP_TIMES: f64 = 0.5;
-/// A server that rejects a set-up, or is too slow for one, gets nothing new for this time.
+/// A server that rejects a set-up, or does not finish it in time, is sent nothing new for this time.
 const FAILED_SETUP_UNAVAILABLE_SECONDS: f64 = HOUSEKEEPING_PERIOD_SECONDS;
-/// A server that sheds its connections gets nothing new for this time.
+/// A server that sheds its connections is sent nothing new for this time.
 const SHEDDING_UNAVAILABLE_SECONDS: f64 = 12.0 * HOUSEKEEPING_PERIOD_SECONDS;
-/// Failed set-ups count as concurrent within this time.
+/// Failed set-ups at several servers count as concurrent within this time.
 const SETUP_FAILURE_WINDOW_SECONDS: f64 = 2.0 * HOUSEKEEPING_PERIOD_SECONDS;
 /// The rate limit is lowered when set-ups fail at more than this share of the servers.
 const WIDESPREAD_FAILURE_RATIO: f64 = 0.5;
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Takes a server out of service that can't be reached, until a probe or a single trial succeeds.
+    /// Takes a server that can't be reached out of service until a probe or a single trial succeeds.
     pub(crate) fn quarantine(&mut self, now: f64, id: ServerId) {
         let jitter = 0.75 + 0.5 * self.draw();
         let initial = self.settings.connect_timeout * QUARANTINE_CONNECT_TIMEOUTS;
@@ -38,8 +40,8 @@
         }
     }
 
-    /// What the end of an attempt, or of an established connection, says of its server.
-    pub(crate) fn judge_outcome(&mut self, now: f64, id: ServerId, outcome: Outcome, was_established: bool) {
+    /// Updates the state of a server from the end of an attempt or of an established connection.
+    pub(crate) fn apply_outcome(&mut self, now: f64, id: ServerId, outcome: Outcome, was_established: bool) {
         let connections_left = self.servers.get(id).map_or(0, |server| server.connections);
         match outcome {
             Outcome::ConnectFailed => self.quarantine(now, id),
@@ -47,10 +49,10 @@
                 self.reduce_health(now, id, FAILED_SETUP_UNAVAILABLE_SECONDS);
                 self.on_setup_failed(now, id);
             }
-            // The last connection broke: the server may be down, which a trial will show.
+            // The last connection broke, so the server may be down. A trial will show.
             Outcome::Reset if was_established && connections_left == 0 => self.quarantine(now, id),
             Outcome::Reset => {
-                if self.servers.get_mut(id).is_some_and(super::servers::Server::record_reset) {
+                if self.servers.get_mut(id).is_some_and(Server::record_reset) {
                     self.reduce_health(now, id, SHEDDING_UNAVAILABLE_SECONDS);
                 }
             }
@@ -59,8 +61,8 @@
         }
     }
 
-    /// A set-up failed. Only failures at many servers say something of what they share, and slow all set-ups
-    /// down; clients are not kept from sound servers for a single bad one.
+    /// Records a failed set-up. Only failures at many servers indicate a problem that the servers share, and
+    /// lower the rate limit of all set-ups. A single bad server must not keep clients away from sound ones.
     fn on_setup_failed(&mut self, now: f64, id: ServerId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.setup_failed_at = now;
--- a/crates/decisions/src/servers.rs
+++ b/crates/decisions/src/servers.rs
@@ -1,4 +1,4 @@
-//! The server table: the endpoint list as it was last received, and what this instance has observed of each
+//! The server table: the endpoint list as last received, and what this instance has observed about each
 //! server.
 
 use std::collections::BTreeMap;
@@ -7,62 +7,63 @@
 use crate::interface::{ServerEntry, ServerId, ServerState, Settings, WeightKind};
 use crate::numeric::positive;
 
-/// Health falls to this share of itself at each sign of trouble.
+/// Factor by which each sign of trouble reduces the health.
 const HEALTH_REDUCTION_RATIO: f64 = 0.6;
-/// Share of the gap to full health that a server regains in a housekeeping period.
+/// Share of the missing health that a server regains in a housekeeping period.
 pub(crate) const HEALTH_RECOVERY_RATIO: f64 = 0.03;
-/// Health never falls below this.
+/// Lower bound of the health.
 pub(crate) const MIN_HEALTH: f64 = 0.05;
 /// Share of the recent resets that still counts a housekeeping period later.
 pub(crate) const RESET_DECAY_RATIO: f64 = 0.7;
-/// Recent resets below this count are put down to the network.
+/// If there are fewer recent resets than this, they are attributed to the network.
 const MIN_RESETS: f64 = 1.8;
-/// Share of a server's connections that has to break before it counts as shedding them.
+/// Share of a server's connections that has to break for the server to count as shedding them.
 const MIN_RESET_RATIO: f64 = 0.2;
 
-/// A report that messages at a server take long.
+/// A report of the message delay at a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DelayReport {
-    /// Seconds that a message takes.
+    /// Time that a message takes, in seconds.
     pub delay: f64,
-    /// When it was reported.
+    /// Time of the report.
     pub reported_at: f64,
 }
 
-/// A server and what this instance knows of it. Times are seconds on the caller's clock.
+/// A server and what this instance knows about it. Times are seconds on the caller's clock.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
-    /// The server as listed, with a weight that can be used.
+    /// The server's entry in the endpoint list, with a valid weight.
     pub entry: ServerEntry,
-    /// Load of this instance's attempts, connections and reservations, as work a second.
+    /// Load of this instance's attempts, connections and reservations, in work per second.
     pub assigned_load: f64,
-    /// This instance's attempts and connections.
+    /// Number of this instance's attempts and connections.
     pub connections: u32,
-    /// Share of its weight that the server is believed to have now, up to 1.
+    /// Share of its weight that the server is assumed to have now, at most 1.
     pub health: f64,
-    /// The server gets nothing new before this time.
+    /// The server is sent nothing new before this time.
     pub unavailable_until: f64,
-    /// The last report of its message delay.
+    /// Last report of its message delay.
     pub last_delay: DelayReport,
-    /// It could not be reached; it gets nothing but a trial.
+    /// Whether the server could not be reached, so that it is sent nothing but a trial.
     pub is_quarantined: bool,
     /// When the next trial of a quarantined server is due.
     pub trial_at: f64,
-    /// Pause before the next trial.
+    /// Pause before the next trial, in seconds.
     pub trial_backoff: f64,
-    /// Requests sent to it while it was warming up, less what its capacity has grown by since.
+    /// Requests sent to the server while it was warming up. Admissions that were not used while its capacity
+    /// grew count as sent.
     pub warm_up_admissions: f64,
-    /// When a request was last sent to it.
+    /// When a request was last sent to the server.
     pub last_admitted_at: f64,
-    /// When a set-up failed there that no successful one has followed.
+    /// When a set-up at the server last failed, if none has succeeded since; else negative infinity.
     pub setup_failed_at: f64,
-    /// Connections that broke there, decayed.
+    /// Decayed number of connections that broke at the server.
     pub recent_resets: f64,
-    /// It was draining and is ready again, and nothing has been sent to it since.
+    /// Whether the server was draining, is ready again, and has been sent nothing since.
     pub is_back_from_draining: bool,
-    /// Attempts whose connections are not established yet.
+    /// Number of attempts whose connections are not established yet.
     pub pending_setups: u32,
-    /// This instance's attempts and connections by group.
+    /// Number of this instance's attempts and connections of each group.
     pub group_connections: BTreeMap<u64, u32>,
 }
 
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Takes over a new list entry. A restarted process keeps the connections and loses what was learned of
-    /// the old one.
+    /// Replaces the list entry. If the server's process has restarted, the server keeps its connections, and
+    /// what was learned about the old process is dropped.
     fn update_entry(&mut self, entry: ServerEntry) {
         let is_back = self.entry.state == ServerState::Draining && entry.state == ServerState::Ready;
         if self.entry.started_at != entry.started_at {
@@ -110,13 +111,13 @@
         self.entry.state == ServerState::Ready
     }
 
-    /// Whether the server takes part in placement: ready, and not quarantined unless this request may be the
-    /// trial.
+    /// Whether the server takes part in placement: it is ready, and is not quarantined or may be sent a
+    /// request as its trial.
     pub fn is_in_service(&self, settings: &Settings, now: f64) -> bool {
         self.is_ready() && (!self.is_quarantined || (!settings.may_probe && now >= self.trial_at))
     }
 
-    /// Share of its capacity that a server has by now as it warms up.
+    /// Share of its capacity that the server has at present, which grows while it warms up.
     pub fn warm_up_ratio(&self, settings: &Settings, now: f64) -> f64 {
         let age = now - self.entry.started_at;
         if self.entry.started_at <= 0.0 || age >= settings.warm_up_time {
@@ -126,28 +127,30 @@
         initial + (1.0 - initial) * (age / settings.warm_up_time).max(0.0)
     }
 
-    /// The weight that the server is believed to have now, by its health and warm-up.
+    /// The weight that the server is assumed to have now, considering its health and warm-up.
     pub fn effective_weight(&self, settings: &Settings, now: f64) -> f64 {
         self.entry.weight * self.health * self.warm_up_ratio(settings, now)
     }
 
-    /// Lowers the health at a sign of trouble and sends nothing new for `unavailable_for` seconds.
+    /// Reduces the health after a sign of trouble, and has the server sent nothing new for `unavailable_for`
+    /// seconds.
     pub fn reduce_health(&mut self, now: f64, unavailable_for: f64) {
         self.health = (self.health * HEALTH_REDUCTION_RATIO).max(MIN_HEALTH);
         self.unavailable_until = self.unavailable_until.max(now + unavailable_for);
     }
 
-    /// Records that a connection broke. True if the server is shedding its connections: several broke lately,
-    /// and they are a good part of what it had. Single connections break on a bad network too.
+    /// Records that a connection broke. Returns true if the server is shedding its connections: several broke
+    /// recently, and they are a considerable share of what it had. Single connections break in a bad network
+    /// too.
     pub fn record_reset(&mut self) -> bool {
         self.recent_resets += 1.0;
         let total = self.recent_resets + f64::from(self.connections);
         self.recent_resets >= MIN_RESETS && self.recent_resets >= MIN_RESET_RATIO * total
     }
 
-    /// Records that a request is sent here. `sustained_connections` is this instance's part of what the
-    /// server can hold by now: admissions that were not used as it grew are lost, so that they can't be spent
-    /// in one burst.
+    /// Records that a request is sent to the server. `sustained_connections` is this instance's share of what
+    /// the server can hold by now: admissions that were not used while the capacity grew are lost, so that
+    /// they can't be spent in one burst.
     pub fn record_admission(&mut self, now: f64, sustained_connections: Option<f64>) {
         let unused_floor = sustained_connections.unwrap_or(0.0) - 1.0;
         self.warm_up_admissions = self.warm_up_admissions.max(unused_floor) + 1.0;
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Takes load off; negative load is added.
+    /// Subtracts load; negative load is added.
     pub fn release_load(&mut self, load: f64) {
         self.assigned_load = (self.assigned_load - load).max(0.0);
     }
@@ -187,13 +190,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
     servers: BTreeMap<ServerId, Server>,
-    /// The largest total weight of ready servers that has been listed.
+    /// Largest total weight of ready servers in any list so far.
     peak_weight: f64,
 }
 
 impl ServerTable {
-    /// Takes over a received list. Servers that are missing from a complete one are removed once they hold
-    /// nothing.
+    /// Takes over a received list. Servers that are missing from a complete list are removed once they have
+    /// no connections.
     pub fn update(&mut self, is_complete: bool, entries: &[ServerEntry], weight_kind: WeightKind) {
         if is_complete {
             for server in self.servers.values_mut() {
@@ -231,7 +234,7 @@
         self.servers.values_mut()
     }
 
-    /// Servers behind an id in the order of ids, from the first one for `None`.
+    /// The servers after the given one in order of id, or all servers for `None`.
     pub fn after(&self, id: Option<ServerId>) -> impl Iterator<Item = &Server> {
         self.servers.range((id.map_or(Unbounded, Excluded), Unbounded)).map(|(_, server)| server)
     }
@@ -240,7 +243,7 @@
         self.servers.len()
     }
 
-    /// Servers that are listed as ready.
+    /// Servers listed as ready.
     pub fn ready(&self) -> impl Iterator<Item = &Server> {
         self.servers.values().filter(|server| server.is_ready())
     }
@@ -255,17 +258,19 @@
         self.servers.values().filter(is_draining).map(|server| server.entry.server).collect()
     }
 
-    /// Whether servers are known and none of them is ready: none comes back within a moment.
-    pub fn are_none_ready(&self) -> bool {
+    /// Whether servers are known and none of them is ready, so that none will become available within
+    /// moments.
+    pub fn has_only_unready_servers(&self) -> bool {
         !self.servers.is_empty() && !self.servers.values().any(Server::is_ready)
     }
 
-    /// The largest total weight of ready servers that has been listed: what the whole fleet can do.
+    /// Largest total weight of ready servers in any list so far, as a measure of the capacity of the whole
+    /// fleet.
     pub fn peak_weight(&self) -> f64 {
         self.peak_weight
     }
 
-    /// Takes load off a server, if it is known; negative load is added.
+    /// Subtracts load from a server, if it is known; negative load is added.
     pub fn release_load(&mut self, id: ServerId, load: f64) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.release_load(load);
@@ -278,7 +283,8 @@
         }
     }
 
-    /// Quarantined servers whose trial is due; their next trials are put off by their backoffs.
+    /// Returns the quarantined servers whose trials are due, and schedules their next trials after their
+    /// backoffs.
     pub fn take_due_trials(&mut self, now: f64) -> Vec<ServerId> {
         let mut due = Vec::new();
         for (id, server) in &mut self.servers {
--- a/crates/decisions/src/slow_servers.rs
+++ b/crates/decisions/src/slow_servers.rs
@@ -1,4 +1,4 @@
-//! Servers with slow messages: they get nothing new, and some of their clients are migrated.
+//! Servers with slow messages: they are sent nothing new, and some of their clients are migrated.
 
 use crate::interface::{Action, RequestId, ServerId};
 use crate::numeric::positive;
@@ -7,30 +7,30 @@
 use crate::state::Balancer;
 use crate::timers::HOUSEKEEPING_PERIOD_SECONDS;
 
-/// Delay over the message latency objective from which on a server counts as slow.
+/// Ratio of message delay to message latency objective from which on a server counts as slow.
 const SLOW_DELAY_RATIO: f64 = 0.4;
-/// A slow server gets nothing new until shortly after its next report.
+/// A slow server is sent nothing new until shortly after its next report is due.
 const SLOW_UNAVAILABLE_SECONDS: f64 = 1.2 * HOUSEKEEPING_PERIOD_SECONDS;
-/// The backlog of a slow server is to be gone after this time.
+/// Time within which the backlog of a slow server should be gone.
 const BACKLOG_DRAIN_SECONDS: f64 = 0.4 * HOUSEKEEPING_PERIOD_SECONDS;
-/// The largest share of a slow server's load that is migrated at once.
+/// Largest share of a slow server's load that is migrated at once.
 const MAX_MIGRATED_RATIO: f64 = 0.5;
-/// Reports further apart than this say nothing of the backlog's growth.
+/// Reports further apart than this say nothing about the growth of the backlog.
 const MAX_REPORT_GAP_SECONDS: f64 = 1.5 * HOUSEKEEPING_PERIOD_SECONDS;
-/// Reports closer together than this count as this far apart.
+/// Reports closer together than this are treated as this far apart.
 const MIN_REPORT_GAP_SECONDS: f64 = 0.5 * HOUSEKEEPING_PERIOD_SECONDS;
 
 /// A client that may be migrated.
 struct MigrationCandidate {
     request: RequestId,
     load: f64,
-    /// Its class can live with the server's delay.
+    /// Whether the server's delay is within the message latency objective of the client's class.
     tolerates_delay: bool,
 }
 
-/// The share of a server's load that has to leave. A backlog grows by the load beyond what the server can do
-/// and shrinks by what it has free, so the growth since the last report counts: a backlog that drains already
-/// sheds nobody.
+/// The share of a server's load that has to be migrated. A backlog grows by the load that exceeds the
+/// server's capacity and shrinks by its free capacity, so the growth since the last report counts: no client
+/// leaves a server whose backlog is draining anyway.
 fn excess_load_ratio(report: DelayReport, previous: DelayReport) -> f64 {
     let gap = report.reported_at - previous.reported_at;
     let growth = if gap < MAX_REPORT_GAP_SECONDS {
@@ -42,7 +42,7 @@
 }
 
 impl Balancer {
-    /// Messages at a server take `delay` seconds.
+    /// Handles a report that messages at a server take `delay` seconds.
     pub(crate) fn on_message_delay(&mut self, now: f64, id: ServerId, delay: f64, actions: &mut Vec<Action>) {
         let Some(delay) = positive(delay) else { return };
         let objective = self.message_latency_objective();
@@ -60,26 +60,27 @@
         }
     }
 
-    /// The strictest objective of any class.
+    /// The strictest message latency objective of all classes.
     fn message_latency_objective(&self) -> f64 {
         let objectives = self.settings.classes.iter().map(|class| class.message_latency_objective);
         objectives.fold(f64::INFINITY, f64::min)
     }
 
-    /// Migrates clients with this share of a server's load, the heaviest first so that few are migrated.
-    /// Those whose class can live with the delay come last.
+    /// Migrates clients with the given share of a server's load, the heaviest first so that few are migrated.
+    /// Clients whose class tolerates the delay come last.
     pub(crate) fn migrate_share(&mut self, id: ServerId, share: f64, delay: f64, actions: &mut Vec<Action>) {
         let candidates = self.migration_candidates(id, delay);
-        let mut due = candidates.iter().map(|candidate| candidate.load).sum::<f64>() * share;
+        let mut remaining = candidates.iter().map(|candidate| candidate.load).sum::<f64>() * share;
         for MigrationCandidate { request, load, .. } in candidates {
-            if due <= 0.0 || self.migration_credit < 1.0 {
+            if remaining <= 0.0 || self.migration_credit < 1.0 {
                 break;
             }
-            // A client with more than the load that is still due leaves with that chance.
-            if due < load && self.draw() * load >= due {
+            // A client whose load exceeds the remainder is migrated with a probability of remainder over
+            // load.
+            if remaining < load && self.draw() * load >= remaining {
                 break;
             }
-            due -= load;
+            remaining -= load;
             self.migration_credit -= 1.0;
             actions.push(Action::Migrate(request));
             if let Some(tracked) = self.requests.get_mut(request) {
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: bounds what all instances together send to a server that is warming up.
+//! Slow start: limits what all instances together send to a server that is warming up.
 //!
-//! Instances that hear nothing of each other take turns, as on a medium that is shared by time slots: a
-//! warming server's time is divided into slots by the instances' indices, one request a slot, and a slot that
-//! was not used is lost. Slots are dealt so that any window of the settings meets no more of them than the
-//! server can take.
+//! Instances that know nothing of each other take turns, as in time-division multiple access: the time of a
+//! warming server is divided into slots by the indices of the instances, with one request per slot, and a
+//! slot that is not used is lost. Slots are assigned so that any window as long as `overload_window` meets no
+//! more of them than the server can handle.
 //!
-//! Where an instance's part of a server is small, most slots pass unused. More are dealt then, and the bound
-//! is no longer certain; while clients reconnect in numbers the strict count holds.
+//! Where an instance's share of a server is small, most slots remain unused. More slots are assigned then,
+//! and the limit is no longer guaranteed. During a reconnect surge the strict count applies.
 
 use crate::hashing::{hash_pair, random_rank, to_unit_interval};
 use crate::interface::Settings;
@@ -14,49 +14,50 @@
 use crate::reconnect_surge::ReconnectSurge;
 use crate::servers::{Server, ServerTable};
 
-/// Set-up rate over the even share of arrivals that a server is assumed to take where nothing else is known
-/// of it.
+/// Set-up rate that a server is assumed to handle if nothing else is known about it, relative to its even
+/// share of the arrivals.
 const DEFAULT_SETUP_RATE_RATIO: f64 = 2.5;
-/// Share of the slots within a window that is dealt: servers differ in what they can do, and requests in
-/// their work.
+/// Share of the slots within a window that is assigned: servers differ in capacity, and requests in their
+/// work.
 const SLOT_SAFETY_RATIO: f64 = 0.8;
-/// From this part of a server on, in connections, an instance uses most of its slots and gets the strict
-/// count.
+/// An instance whose share of a server is at least this many connections uses most of its slots, and gets the
+/// strict count.
 const MIN_STRICT_CONNECTIONS: f64 = 0.8;
-/// Slots over the strict count that are dealt to instances that probe.
+/// Number of slots for instances that probe, relative to the number of set-ups that a server tolerates within
+/// a window.
 const PROBING_SLOT_RATIO: f64 = 1.5;
-/// Share of the time between its slots that a slot lasts for an instance that gets more than the strict
-/// count.
+/// Duration of a slot, relative to the time between the slots of an instance, if more than the strict count
+/// is assigned.
 const SLOT_DURATION_RATIO: f64 = 0.5;
 /// Fractional part of the golden ratio: its multiples spread any run of indices evenly over a round.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// What slow start goes by beside its own state.
+/// Inputs of slow start besides its own state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartInputs<'a> {
     pub settings: &'a Settings,
     pub servers: &'a ServerTable,
     pub loads: &'a LoadEstimates,
-    /// New clients a second at this instance.
+    /// New clients per second at this instance.
     pub arrivals_per_second: f64,
     /// Whether the loads of other instances are known.
     pub is_fleet_known: bool,
 }
 
 impl SlowStartInputs<'_> {
-    /// This instance's part of the connections that a warming server can hold by now, where the loads of
-    /// other instances are known; the parts of all instances add up to the whole.
+    /// This instance's share of the connections that a warming server can hold by now, if the loads of other
+    /// instances are known; the shares of all instances add up to the whole.
     pub fn sustained_connections(&self, server: &Server) -> Option<f64> {
         let capacity = self.loads.comparable_capacity(server.entry.server).filter(|_| self.is_fleet_known)?;
         Some(capacity.load / self.loads.mean_load)
     }
 
-    /// Set-ups a second that a warming server can take from all instances together.
+    /// Set-ups per second that a warming server can handle from all instances together.
     fn setup_rate(&self, server: &Server, now: f64) -> f64 {
         let settings = self.settings;
         let quota: f64 = settings.tenant_connection_quotas.iter().sum();
         if quota > 0.0 && settings.warm_up_time > 0.0 {
-            // The same at every instance from its first moment on.
+            // This is the same at every instance from its start on.
             let weight = server.entry.weight;
             let connections = quota * weight / self.servers.peak_weight().max(weight);
             return settings.overload_ratio * connections / settings.warm_up_time;
@@ -70,8 +71,9 @@
         settings.overload_ratio * DEFAULT_SETUP_RATE_RATIO * even_share * warm_up_ratio
     }
 
-    /// Whether this instance's part of a server is so small that most of its slots pass unused. It goes by
-    /// the quotas where they are known: a mean load that was learned from a few connections is too uncertain.
+    /// Whether this instance's share of a server is so small that most of its slots remain unused. The share
+    /// is computed from the quotas if they are known, because a mean load learned from a few connections is
+    /// too uncertain.
     fn has_mostly_unused_slots(&self) -> bool {
         let (settings, server_count) = (self.settings, self.servers.len());
         let quota: f64 = settings.tenant_connection_quotas.iter().sum();
@@ -84,7 +86,7 @@
     }
 }
 
-/// The state of slow start: when the instance started, and whether clients reconnect in numbers.
+/// The state of slow start: when the instance started, and whether there is a reconnect surge.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
     instance_started_at: f64,
@@ -98,19 +100,19 @@
 }
 
 impl SlowStart {
-    /// This instance starts. What its predecessor has sent is not known: the slots of this time count as
-    /// used.
+    /// Records the start of this instance. What its predecessor has sent is unknown, so slots that began
+    /// before the start count as used, for as long as a reconnect surge after the start is assumed to last.
     pub fn on_instance_start(&mut self, now: f64) {
         self.instance_started_at = now;
         self.surge.begin(now);
     }
 
-    /// An established connection broke.
+    /// Records that an established connection broke.
     pub fn record_reset(&mut self, now: f64) {
         self.surge.record_reset(now);
     }
 
-    /// Whether a server is warm, or this instance may send it one more request now.
+    /// Whether a server is warm, or this instance may send one more request to it now.
     pub fn may_admit(&self, inputs: &SlowStartInputs, server: &Server, now: f64) -> bool {
         if server.warm_up_ratio(inputs.settings, now) >= 1.0 {
             return true;
@@ -119,21 +121,22 @@
             let slot_began = self.current_slot(inputs, server, now);
             return slot_began.is_some_and(|began| began > server.last_admitted_at);
         };
-        // Randomly rounded, so that many instances with a part below one don't all send a request.
+        // Rounded pseudo-randomly, so that many instances with a share below one connection don't all send a
+        // request.
         let entry = &server.entry;
         let rounding = random_rank(inputs.settings.instance_index, entry.server, entry.started_at);
         server.warm_up_admissions + rounding < connections
     }
 
-    /// When this instance's slot at a warming server began; none between its slots.
+    /// When this instance's current slot at a warming server began; `None` between its slots.
     fn current_slot(&self, inputs: &SlowStartInputs, server: &Server, now: f64) -> Option<f64> {
         let settings = inputs.settings;
         let (window, instances) = (settings.overload_window, settings.instance_count.max(1.0));
         let is_surge = self.surge.is_active(now);
         let slots = slots_per_window(inputs, server, now, is_surge);
-        let round = instances * window / slots.dealt;
+        let round = instances * window / slots.assigned;
         let duration =
-            if slots.dealt > slots.strict { window.max(round * SLOT_DURATION_RATIO) } else { window };
+            if slots.assigned > slots.strict { window.max(round * SLOT_DURATION_RATIO) } else { window };
         let entry = &server.entry;
         let server_offset = to_unit_interval(hash_pair(entry.server.0, entry.started_at.to_bits()));
         let offset = (settings.instance_index as f64 * GOLDEN_RATIO_FRACTION + server_offset).fract();
@@ -144,28 +147,28 @@
     }
 }
 
-/// Slots of all instances at a server within a window.
+/// Number of slots of all instances at a server within a window.
 struct SlotCount {
-    /// The count that the server can take for certain.
+    /// Number of slots that the server can certainly handle.
     strict: f64,
-    /// The count that is dealt.
-    dealt: f64,
+    /// Number of slots that are assigned.
+    assigned: f64,
 }
 
 fn slots_per_window(inputs: &SlowStartInputs, server: &Server, now: f64, is_surge: bool) -> SlotCount {
     let settings = inputs.settings;
     let expected = inputs.setup_rate(server, now) * settings.overload_window;
     let tolerated = expected + 2.0 * expected.sqrt() + 2.0;
-    // A slot lasts for a window, or until the instance's next one: any window meets those that begin within
-    // the one before it and within itself.
-    let most = SLOT_SAFETY_RATIO * tolerated - 1.0;
-    let strict = f64::max(most * 0.5, most - settings.instance_count.max(1.0));
-    let dealt = if is_surge || !inputs.has_mostly_unused_slots() {
+    // A slot lasts for a window, or until the instance's next slot, so a window meets the slots that begin
+    // within it or within the window before it.
+    let max_slots = SLOT_SAFETY_RATIO * tolerated - 1.0;
+    let strict = f64::max(max_slots * 0.5, max_slots - settings.instance_count.max(1.0));
+    let assigned = if is_surge || !inputs.has_mostly_unused_slots() {
         strict
     } else if inputs.loads.lacks_own_load_signal(settings, inputs.servers.len()) {
         PROBING_SLOT_RATIO * tolerated
     } else {
         strict.max(expected)
     };
-    SlotCount { strict, dealt }
+    SlotCount { strict, assigned }
 }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,4 +1,5 @@
-//! The balancer: one instance's state, composed of the tables and estimates that the decisions go by.
+//! The balancer: the state of one instance, made up of the tables and estimates on which its decisions are
+//! based.
 
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -16,8 +17,8 @@
 use crate::servers::{Server, ServerTable};
 use crate::slow_start::{SlowStart, SlowStartInputs};
 
-/// The decisions of one instance: takes events, appends actions. Without I/O, clock and randomness of its
-/// own.
+/// Makes the decisions of one instance: [`Balancer::handle`] takes an event and appends the resulting
+/// actions. It does no I/O and has no clock; its randomness comes from a seed.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -32,16 +33,16 @@
     pub(crate) fleet: FleetView,
     pub(crate) setup_limiter: SetupRateLimiter,
     pub(crate) slow_start: SlowStart,
-    /// Migrations that are allowed now.
+    /// Number of migrations that are currently allowed.
     pub(crate) migration_credit: f64,
-    /// The timer is set that places deferred requests again.
+    /// Whether the timer that places deferred requests again is set.
     pub(crate) is_defer_timer_set: bool,
     pub(crate) is_subscribed: bool,
     pub(crate) are_retries_allowed: bool,
 }
 
 impl Balancer {
-    /// Creates an instance that knows no server yet; all its randomness comes from `seed`.
+    /// Creates an instance that knows no servers yet. All its randomness comes from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let loads = LoadEstimates::new(settings.classes.len());
         Balancer {
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Puts new settings in force; everything learned stays. Classes that are known keep their indices.
+    /// Replaces the settings and keeps all learned state. Known classes must keep their indices.
     pub fn update_settings(&mut self, settings: Settings) {
         self.loads.class_loads.resize(settings.classes.len(), 0.0);
         self.settings = settings;
     }
 
-    /// A random number between 0 and 1.
+    /// Draws a random number between 0 and 1, both excluded.
     pub(crate) fn draw(&mut self) -> f64 {
         to_unit_interval(self.rng.next_u64())
     }
@@ -85,12 +86,13 @@
         }
     }
 
-    /// Whether slow start lets this instance send a request to a server now.
-    pub(crate) fn is_past_slow_start(&self, server: &Server, now: f64) -> bool {
+    /// Whether slow start allows this instance to send a request to a server now.
+    pub(crate) fn is_admitted_by_slow_start(&self, server: &Server, now: f64) -> bool {
         self.slow_start.may_admit(&self.slow_start_inputs(now), server, now)
     }
 
-    /// A record of a new request; it counts towards the mean load of its class and the clients of its group.
+    /// Creates the record of a new request. The request counts towards the mean load of its class and the
+    /// clients of its group.
     pub(crate) fn track(&mut self, now: f64, request: Request) -> TrackedRequest {
         let load = self.loads.estimate(&request);
         let group = placement_group(&self.settings, &request);
@@ -100,33 +102,34 @@
         TrackedRequest::new(now, request, RequestProfile { idempotency, group, load })
     }
 
-    /// The class's objective for the set-up of a request, in seconds.
+    /// Latency objective of the request's class for the set-up, in seconds; 0 for an unknown class.
     pub(crate) fn latency_objective(&self, request: &Request) -> f64 {
         self.settings.classes.get(request.class).map_or(0.0, |class| class.latency_objective)
     }
 
-    /// Reserves load on a server for a client that is expected back.
+    /// Reserves load on a server for a client that is expected to reconnect.
     pub(crate) fn insert_reservation(&mut self, key: u64, reservation: Reservation) {
         self.reservations.insert(key, reservation);
         self.servers.release_load(reservation.server, -reservation.load);
     }
 
-    /// Gives up a client's reservation, if it has one.
+    /// Removes the reservation of a client, if it has one, and releases the reserved load.
     pub(crate) fn remove_reservation(&mut self, key: u64) {
         if let Some(reservation) = self.reservations.remove(key) {
             self.servers.release_load(reservation.server, reservation.load);
         }
     }
 
-    /// Servers known to hold some of a group: those of its clients here, and where the last one was
-    /// connected.
-    pub(crate) fn servers_holding(&self, group: u64) -> Vec<ServerId> {
+    /// Servers that are known to have connections of a group: those of the group's clients at this instance,
+    /// and the server to which the last of them was connected.
+    pub(crate) fn servers_of_group(&self, group: u64) -> Vec<ServerId> {
         let members = self.requests.iter().filter(|tracked| tracked.group == Some(group));
         let last = self.groups.last_server(group);
         members.filter_map(TrackedRequest::server).chain(last).collect()
     }
 
-    /// Puts a new mean load in force; requests whose own load is not known count with it.
+    /// Sets the mean load of a connection. Requests whose own load is unknown get this load, and the loads
+    /// assigned to all servers are computed anew.
     pub(crate) fn set_mean_load(&mut self, mean_load: f64) {
         self.loads.mean_load = mean_load;
         for server in self.servers.iter_mut() {
