--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small builders for driving the module through its public interface.
+//! Helpers for tests that drive a balancer through its public interface.
 #![allow(dead_code)]
 
 use shorewharf_decisions::Balancer;
@@ -6,7 +6,12 @@
     Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
 };
 
-/// Settings with two zones, one safe class, ten proxies; tests change what they need.
+/// Token of the housekeeping timer, which fires once a second.
+pub const HOUSEKEEPING_TOKEN: u64 = 1 << 40;
+/// Token of the timer for the next call to discovery.
+pub const SUBSCRIBE_TOKEN: u64 = 2 << 40;
+
+/// Settings with two zones, one idempotent class and ten instances; tests change what they need.
 pub fn settings() -> Settings {
     let text = br#"{"classes":[{"promise_s":0.5,"semantics":"read_like","worth":1.0}],
         "group_size":10,"me":3,"zone":0,"zones":["z0","z1"],"registry_mode":"push","tick_s":0.005,"weights":"nominal",
@@ -46,18 +51,18 @@
     }
 }
 
-/// A module with its clock.
+/// A balancer and its clock.
 pub struct TestInstance {
     pub balancer: Balancer,
     pub now: f64,
 }
 
 impl TestInstance {
-    /// Started, with servers 1 to `n` ready and warm.
-    pub fn new(set: Settings, n: u64) -> Self {
-        let mut instance = TestInstance { balancer: Balancer::new(set, 7), now: 100.0 };
+    /// Starts an instance that lists servers 1 to `server_count` as ready and warm.
+    pub fn new(settings: Settings, server_count: u64) -> Self {
+        let mut instance = TestInstance { balancer: Balancer::new(settings, 7), now: 100.0 };
         instance.handle(Event::Start);
-        instance.handle(endpoint_list(&(1..=n).map(entry).collect::<Vec<_>>()));
+        instance.handle(endpoint_list(&(1..=server_count).map(entry).collect::<Vec<_>>()));
         instance
     }
 
@@ -71,7 +76,7 @@
         self.handle(Event::RequestReceived(request))
     }
 
-    /// A client arrives and its connection stands; where, if it was sent.
+    /// Receives a request and establishes its attempt. Returns the chosen server if an attempt began.
     pub fn connect(&mut self, request: Request) -> Option<ServerId> {
         let server = attempted_server(&self.receive(request));
         if server.is_some() {
@@ -81,8 +86,8 @@
     }
 
     pub fn end_attempt(&mut self, id: u32, server: ServerId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let complete = outcome == Outcome::Ok;
-        self.end_attempt_as(id, server, attempt, outcome, complete)
+        let is_answered = outcome == Outcome::Ok;
+        self.end_attempt_as(id, server, attempt, outcome, is_answered)
     }
 
     pub fn end_attempt_as(
@@ -91,33 +96,26 @@
         server: ServerId,
         attempt: u32,
         outcome: Outcome,
-        complete: bool,
+        is_answered: bool,
     ) -> Vec<Action> {
         let request = RequestId(id);
-        self.handle(Event::AttemptEnded {
-            request,
-            server,
-            attempt,
-            outcome,
-            is_answered: complete,
-            load_ratio: None,
-        })
+        self.handle(Event::AttemptEnded { request, server, attempt, outcome, is_answered, load_ratio: None })
     }
 
-    /// Lets time pass, firing the timers that come due; all their actions.
+    /// Advances the clock, fires the timers that come due, and returns all their actions.
     pub fn advance_to(&mut self, timers: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
-        let mut all = Vec::new();
+        let mut actions = Vec::new();
         loop {
             timers.sort_by(|a, b| a.0.total_cmp(&b.0));
-            if timers.first().is_none_or(|t| t.0 > until) {
+            if timers.first().is_none_or(|timer| timer.0 > until) {
                 self.now = until;
-                return all;
+                return actions;
             }
             let (at, token) = timers.remove(0);
             self.now = at;
             let fired = self.handle(Event::TimerFired(token));
             record_timers(&fired, at, timers);
-            all.extend(fired);
+            actions.extend(fired);
         }
     }
 }
