--- a/crates/decisions/tests/embedding_api.rs
+++ b/crates/decisions/tests/embedding_api.rs
@@ -1,4 +1,5 @@
-//! What others may tell the module: repeats that are not worth their cost, and where a moved client is expected.
+//! Decisions that are made outside the balancer: whether failed attempts are retried, and where a migrated
+//! client is expected.
 
 mod common;
 use common::{TestInstance, attempted_server, endpoint_list, entry, is_rejected, request, settings};
@@ -6,35 +7,37 @@
     Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
 };
 
-/// A client that was moved for balance went straight back to the server that kept its place.
+/// Guards against a client that was migrated for balance returning to its old server, which had kept a
+/// reservation for it.
 #[test]
-fn a_moved_client_is_sent_to_where_it_is_expected_and_only_if_that_takes_clients() {
-    for (stage, expected) in [(ServerState::Ready, true), (ServerState::Draining, false)] {
+fn a_migrated_client_is_sent_to_its_target_only_if_that_accepts_clients() {
+    for (state, expected) in [(ServerState::Ready, true), (ServerState::Draining, false)] {
         let mut instance = TestInstance::new(settings(), 12);
-        let home = instance.connect(request(1, instance.now)).expect("there is room");
-        let next = ServerId(home.0 % 12 + 1);
-        // Others on the new server: by usage alone the client would not go there.
-        (20..30).for_each(|id| drop(instance.handle(Event::ConnectionRestored(request(id, 100.0), next))));
-        instance.balancer.on_migrated(RequestId(1), Some(next), instance.now + 3.0);
-        instance.end_attempt_as(1, home, 0, Outcome::Cancelled, true);
+        let old_server = instance.connect(request(1, instance.now)).expect("an attempt begins");
+        let target = ServerId(old_server.0 % 12 + 1);
+        // Other clients on the target: by usage alone the client would not be sent there.
+        (20..30).for_each(|id| drop(instance.handle(Event::ConnectionRestored(request(id, 100.0), target))));
+        instance.balancer.on_migrated(RequestId(1), Some(target), instance.now + 3.0);
+        instance.end_attempt_as(1, old_server, 0, Outcome::Cancelled, true);
         instance.handle(endpoint_list(
             &(1..=12)
-                .map(|i| if i == next.0 { ServerEntry { state: stage, ..entry(i) } } else { entry(i) })
+                .map(|i| if i == target.0 { ServerEntry { state, ..entry(i) } } else { entry(i) })
                 .collect::<Vec<_>>(),
         ));
-        let back = instance.connect(Request { key: 1001, ..request(2, instance.now) });
-        assert_eq!(back == Some(next), expected, "{stage:?}: {back:?}, not {next:?}");
+        let chosen = instance.connect(Request { key: 1001, ..request(2, instance.now) });
+        assert_eq!(chosen == Some(target), expected, "target {target:?} is {state:?}: sent to {chosen:?}");
     }
 }
 
-/// A failed attempt was repeated at once however little hope there was, and a fleet that had no room got twice the work.
+/// Guards against an immediate retry of every failed attempt, which doubled the work of a fleet without free
+/// capacity.
 #[test]
-fn a_failed_attempt_is_answered_at_once_while_repeats_are_not_allowed() {
+fn a_failed_attempt_is_answered_at_once_while_retries_are_forbidden() {
     for allowed in [true, false] {
         let mut instance = TestInstance::new(settings(), 12);
-        let first = attempted_server(&instance.receive(request(1, instance.now))).expect("there is room");
+        let first = attempted_server(&instance.receive(request(1, instance.now))).expect("an attempt begins");
         instance.balancer.allow_retries(allowed);
-        let then = instance.end_attempt(1, first, 0, Outcome::Rejected);
-        assert_eq!((attempted_server(&then).is_some(), is_rejected(&then)), (allowed, !allowed));
+        let actions = instance.end_attempt(1, first, 0, Outcome::Rejected);
+        assert_eq!((attempted_server(&actions).is_some(), is_rejected(&actions)), (allowed, !allowed));
     }
 }
--- a/crates/decisions/tests/fleet_placement.rs
+++ b/crates/decisions/tests/fleet_placement.rs
@@ -1,11 +1,11 @@
-//! Proxies that hear what others hold: what each does by it, what all of them make of a fleet, and that it is as before when
-//! nothing is heard any more.
+//! Instances that receive load reports from the others: the decisions of each, the balance of the whole
+//! fleet, and the return to own loads or probes when reports stop.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use common::{TestInstance, attempted_server, endpoint_list, entry, request, settings};
+use common::{HOUSEKEEPING_TOKEN, TestInstance, attempted_server, endpoint_list, entry, request, settings};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use shorewharf_decisions::Balancer;
@@ -15,19 +15,17 @@
 
 const INSTANCES: u64 = 200;
 const SERVERS: u64 = 60;
-/// The module's own timer, once a second.
-const HOUSEKEEPING: u64 = 1 << 40;
 
-fn new_instance(me: u64) -> TestInstance {
+fn new_instance(index: u64) -> TestInstance {
     let tenant_quota = vec![50.0 * SERVERS as f64];
-    let set = Settings {
-        instance_index: me,
+    let settings = Settings {
+        instance_index: index,
         instance_count: INSTANCES as f64,
         may_probe: true,
         tenant_connection_quotas: tenant_quota,
         ..settings()
     };
-    let mut instance = TestInstance { balancer: Balancer::new(set, me), now: 100.0 };
+    let mut instance = TestInstance { balancer: Balancer::new(settings, index), now: 100.0 };
     instance.handle(Event::Start);
     instance.handle(endpoint_list(&(1..=SERVERS).map(entry).collect::<Vec<_>>()));
     instance
@@ -39,13 +37,14 @@
 
 type RemoteLoads = BTreeMap<ServerId, RemoteLoad>;
 
-/// All servers are asked for this much by others, with connections of a tenth each, but for some.
-fn even(load: f64, but: &[(u64, f64)]) -> RemoteLoads {
-    let one = |id: u64| {
-        let load = but.iter().find(|b| b.0 == id).map_or(load, |b| b.1);
+/// Equal loads of other instances on all servers, in connections of load 0.1, except for the given servers.
+fn equal_loads(load: f64, exceptions: &[(u64, f64)]) -> RemoteLoads {
+    let remote_load = |id: u64| {
+        let load =
+            exceptions.iter().find(|exception| exception.0 == id).map_or(load, |exception| exception.1);
         (ServerId(id), RemoteLoad { load, connections: load * 10.0, groups: BTreeSet::new() })
     };
-    (1..=SERVERS).map(one).collect()
+    (1..=SERVERS).map(remote_load).collect()
 }
 
 fn report_loads(instance: &mut TestInstance, loads: RemoteLoads) {
@@ -53,83 +52,86 @@
 }
 
 fn sends_probes(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Probe(_)))
+    actions.iter().any(|action| matches!(action, Action::Probe(_)))
 }
 
 #[test]
-fn who_hears_of_others_passes_over_what_they_have_filled_and_asks_nobody() {
+fn an_instance_that_knows_the_loads_of_others_avoids_full_servers_without_probing() {
     let mut instance = new_instance(1);
-    report_loads(&mut instance, even(1.0, &[]));
+    report_loads(&mut instance, equal_loads(1.0, &[]));
     let actions = instance.receive(grouped(1, 7, 100.0));
-    let first = attempted_server(&actions).expect("there is room");
+    let first = attempted_server(&actions).expect("an attempt begins");
     assert!(!sends_probes(&actions), "{actions:?}");
     let mut instance = new_instance(2);
-    report_loads(&mut instance, even(1.0, &[(first.0, 2.0)]));
-    let second = attempted_server(&instance.receive(grouped(1, 7, 100.0))).expect("there is room");
-    assert_ne!(first, second, "it is asked for twice as much as the others");
-    // Where the group stands already it costs less than elsewhere.
+    report_loads(&mut instance, equal_loads(1.0, &[(first.0, 2.0)]));
+    let second = attempted_server(&instance.receive(grouped(1, 7, 100.0))).expect("an attempt begins");
+    assert_ne!(first, second, "the server has twice the load of the others");
+    // A server that has connections of the group costs less than the others.
     let mut instance = new_instance(3);
-    let mut loads = even(4.0, &[]);
-    let holds = ServerId(1 + second.0 % SERVERS);
-    loads.get_mut(&holds).expect("listed").groups.insert(7);
+    let mut loads = equal_loads(4.0, &[]);
+    let group_server = ServerId(1 + second.0 % SERVERS);
+    loads.get_mut(&group_server).expect("listed").groups.insert(7);
     report_loads(&mut instance, loads);
-    assert_eq!(attempted_server(&instance.receive(grouped(1, 7, 100.0))), Some(holds));
+    assert_eq!(attempted_server(&instance.receive(grouped(1, 7, 100.0))), Some(group_server));
 }
 
 #[test]
-fn a_crowd_that_comes_again_is_spread_over_some_servers() {
-    let mut at = BTreeMap::<ServerId, u32>::new();
-    for me in 0..INSTANCES {
-        let mut instance = new_instance(me);
-        report_loads(&mut instance, even(4.0, &[]));
-        let r = Request { is_returning: true, ..grouped(1, 7, 100.0) };
-        *at.entry(attempted_server(&instance.receive(r)).expect("there is room")).or_default() += 1;
+fn a_reconnect_surge_is_spread_over_several_servers() {
+    let mut clients = BTreeMap::<ServerId, u32>::new();
+    for index in 0..INSTANCES {
+        let mut instance = new_instance(index);
+        report_loads(&mut instance, equal_loads(4.0, &[]));
+        let request = Request { is_returning: true, ..grouped(1, 7, 100.0) };
+        *clients
+            .entry(attempted_server(&instance.receive(request)).expect("an attempt begins"))
+            .or_default() += 1;
     }
-    let most = at.values().max().copied().unwrap_or(0);
-    assert!(at.len() <= 4 && most < INSTANCES as u32 / 2, "{at:?}");
+    let max_clients = clients.values().max().copied().unwrap_or(0);
+    assert!(clients.len() <= 4 && max_clients < INSTANCES as u32 / 2, "{clients:?}");
 }
 
 #[test]
-fn when_nothing_is_heard_any_more_it_is_alone_at_once() {
+fn an_instance_probes_at_once_when_load_reports_stop() {
     let mut instance = new_instance(1);
-    report_loads(&mut instance, even(1.0, &[]));
+    report_loads(&mut instance, equal_loads(1.0, &[]));
     assert!(attempted_server(&instance.receive(grouped(1, 7, instance.now))).is_some());
     instance.handle(Event::RemoteLoadsUpdated(None));
     assert!(
         sends_probes(&instance.receive(grouped(2, 8, 100.0))),
-        "too few are heard of: it sounds as before"
+        "too few instances report, so the instance probes"
     );
-    report_loads(&mut instance, even(1.0, &[]));
+    report_loads(&mut instance, equal_loads(1.0, &[]));
     instance.now += 1.5;
-    let r = grouped(3, 9, instance.now);
-    assert!(sends_probes(&instance.receive(r)), "what was told is old");
+    let request = grouped(3, 9, instance.now);
+    assert!(sends_probes(&instance.receive(request)), "the last report is too old");
 }
 
 #[test]
-fn the_parts_of_a_cold_server_add_up_to_what_it_holds() {
-    let mut entered = 0;
-    for me in 0..INSTANCES {
-        let mut instance = new_instance(me);
-        let born = instance.now - 3.0;
-        instance.handle(endpoint_list(&[ServerEntry { started_at: born, ..entry(1) }]));
+fn the_shares_of_a_cold_server_add_up_to_its_capacity() {
+    let mut admitted = 0;
+    for index in 0..INSTANCES {
+        let mut instance = new_instance(index);
+        let started_at = instance.now - 3.0;
+        instance.handle(endpoint_list(&[ServerEntry { started_at, ..entry(1) }]));
         instance.handle(Event::MeanLoadEstimated(0.1));
-        // It holds six mean connections by now; a rate would have let in ten from each proxy.
+        // The server can hold six mean connections by now; by the set-up rate, each instance could send ten.
         instance.handle(Event::CapacityEstimated {
             server: ServerId(1),
             load: 0.6 / INSTANCES as f64,
             setup_rate: 10.0,
         });
         report_loads(&mut instance, RemoteLoads::new());
-        let r = grouped(1, 7, instance.now);
-        entered += usize::from(attempted_server(&instance.receive(r)).is_some());
+        let request = grouped(1, 7, instance.now);
+        admitted += usize::from(attempted_server(&instance.receive(request)).is_some());
     }
-    assert!((1..=14).contains(&entered), "{entered} of {INSTANCES}");
+    assert!((1..=14).contains(&admitted), "{admitted} of {INSTANCES} instances send a request");
 }
 
-/// A fleet that tells each other what it holds with so much delay, in clients that come.
+/// A fleet whose instances report their loads to each other, with a delay.
 struct Fleet {
-    proxies: Vec<TestInstance>,
-    stands: Vec<(usize, u32, ServerId)>,
+    instances: Vec<TestInstance>,
+    /// Established connections: instance, request, server.
+    connections: Vec<(usize, u32, ServerId)>,
     rng: Pcg64Mcg,
     now: f64,
 }
@@ -137,10 +139,11 @@
 impl Fleet {
     fn loads(&self) -> RemoteLoads {
         let mut loads = RemoteLoads::new();
-        for h in self.proxies.iter().flat_map(|instance| instance.balancer.holdings()) {
-            let away = loads.entry(h.server).or_default();
-            (away.load, away.connections) = (away.load + h.load, away.connections + f64::from(h.connections));
-            away.groups.insert(h.group as u32);
+        for holding in self.instances.iter().flat_map(|instance| instance.balancer.holdings()) {
+            let remote = loads.entry(holding.server).or_default();
+            (remote.load, remote.connections) =
+                (remote.load + holding.load, remote.connections + f64::from(holding.connections));
+            remote.groups.insert(holding.group as u32);
         }
         loads
     }
@@ -149,59 +152,64 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// One client comes, and one that stands for longest leaves.
-    fn comes(&mut self, id: u32) {
+    /// Connects one client, and ends the oldest connection if there are 1,000.
+    fn connect_client(&mut self, id: u32) {
         self.now += 0.02;
-        if self.stands.len() >= 1_000 {
-            let (at, id, server) = self.stands.remove(0);
-            self.proxies[at].now = self.now;
-            self.proxies[at].end_attempt(id, server, 0, Outcome::Ok);
+        if self.connections.len() >= 1_000 {
+            let (index, id, server) = self.connections.remove(0);
+            self.instances[index].now = self.now;
+            self.instances[index].end_attempt(id, server, 0, Outcome::Ok);
         }
-        let at = (self.draw() * INSTANCES as f64) as usize;
+        let index = (self.draw() * INSTANCES as f64) as usize;
         let group = 1 + 80_f64.powf(self.draw()) as u64;
-        let instance = &mut self.proxies[at];
+        let instance = &mut self.instances[index];
         instance.now = self.now;
-        let to = attempted_server(&instance.receive(grouped(id, group, self.now))).expect("there is room");
+        let server =
+            attempted_server(&instance.receive(grouped(id, group, self.now))).expect("an attempt begins");
         instance.handle(Event::Established { request: RequestId(id), attempt: 0 });
-        self.stands.push((at, id, to));
+        self.connections.push((index, id, server));
     }
 
-    /// What servers are asked for over the mean: the most and the least.
+    /// The largest and the smallest load of a server including overheads, relative to the mean.
     fn spread(&self) -> (f64, f64) {
         let loads = self.loads();
-        let mean =
-            loads.values().map(|a| a.load).sum::<f64>() / loads.values().map(|a| a.connections).sum::<f64>();
-        let of = |a: &RemoteLoad| a.load + 0.1 * mean * a.connections + 2.0 * mean * a.groups.len() as f64;
-        let all: Vec<f64> = (1..=SERVERS).map(|s| loads.get(&ServerId(s)).map_or(0.0, of)).collect();
-        let even = all.iter().sum::<f64>() / all.len() as f64;
-        let (most, least) = all.iter().fold((0.0, f64::MAX), |t, x| (f64::max(t.0, *x), f64::min(t.1, *x)));
-        (most / even, least / even)
+        let mean = loads.values().map(|remote| remote.load).sum::<f64>()
+            / loads.values().map(|remote| remote.connections).sum::<f64>();
+        let total_load = |remote: &RemoteLoad| {
+            remote.load + 0.1 * mean * remote.connections + 2.0 * mean * remote.groups.len() as f64
+        };
+        let total_loads: Vec<f64> =
+            (1..=SERVERS).map(|server| loads.get(&ServerId(server)).map_or(0.0, total_load)).collect();
+        let mean_total = total_loads.iter().sum::<f64>() / total_loads.len() as f64;
+        let max = total_loads.iter().copied().fold(0.0, f64::max);
+        let min = total_loads.iter().copied().fold(f64::MAX, f64::min);
+        (max / mean_total, min / mean_total)
     }
 }
 
 #[test]
-fn two_hundred_proxies_that_hear_of_each_other_half_a_second_later_fill_all_servers_evenly() {
+fn instances_with_load_reports_half_a_second_old_fill_all_servers_evenly() {
     for seed in 1..=2 {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let proxies = (0..INSTANCES).map(new_instance).collect();
-        let mut fleet = Fleet { proxies, stands: Vec::new(), rng, now: 100.0 };
+        let instances = (0..INSTANCES).map(new_instance).collect();
+        let mut fleet = Fleet { instances, connections: Vec::new(), rng, now: 100.0 };
         let mut loads = vec![RemoteLoads::new(); 2];
         for id in 0..3_000 {
-            // Every 0.2 s they are told what was so 0.4 s before.
+            // Every 0.2 s the instances receive the loads of 0.4 s before.
             if id % 10 == 0 {
                 let old = loads.remove(0);
-                fleet.proxies.iter_mut().for_each(|instance| instance.now = fleet.now);
-                for instance in &mut fleet.proxies {
+                fleet.instances.iter_mut().for_each(|instance| instance.now = fleet.now);
+                for instance in &mut fleet.instances {
                     report_loads(instance, old.clone());
                     if id % 50 == 0 {
-                        instance.handle(Event::TimerFired(HOUSEKEEPING));
+                        instance.handle(Event::TimerFired(HOUSEKEEPING_TOKEN));
                     }
                 }
                 loads.push(fleet.loads());
             }
-            fleet.comes(id);
+            fleet.connect_client(id);
         }
-        let (most, least) = fleet.spread();
-        assert!(most < 1.4 && least > 0.6, "seed {seed}: {most:.2} and {least:.2} of the mean");
+        let (max, min) = fleet.spread();
+        assert!(max < 1.4 && min > 0.6, "seed {seed}: loads from {min:.2} to {max:.2} of the mean");
     }
 }
--- a/crates/decisions/tests/persistence.rs
+++ b/crates/decisions/tests/persistence.rs
@@ -1,4 +1,5 @@
-//! What outlives an instance: what the next one restores of it, and what it must not.
+//! Export and restore of learned state: what a new instance takes over from an old one, and what it must
+//! reject.
 
 mod common;
 use common::{
@@ -12,34 +13,38 @@
     ServerRecord, StateRecord,
 };
 
-fn export_all(instance: &TestInstance, most: usize) -> Vec<StateRecord> {
-    let (mut known, mut at) = (Vec::new(), ExportCursor::default());
-    while at != ExportCursor::End {
-        let before = known.len();
-        at = instance.balancer.export_state(at, most, &mut known);
-        assert!(known.len() <= before + most, "a portion of {most} has {}", known.len() - before);
+fn export_all(instance: &TestInstance, limit: usize) -> Vec<StateRecord> {
+    let (mut records, mut cursor) = (Vec::new(), ExportCursor::default());
+    while cursor != ExportCursor::End {
+        let before = records.len();
+        cursor = instance.balancer.export_state(cursor, limit, &mut records);
+        assert!(
+            records.len() <= before + limit,
+            "a portion of {limit} has {} records",
+            records.len() - before
+        );
     }
-    known
+    records
 }
 
-/// The next instance, `past` seconds later, with the same servers listed.
-fn next(instance: &TestInstance, past: f64, servers: u64) -> (TestInstance, RestoreCounts) {
-    let known = export_all(instance, 64);
-    let mut next = TestInstance::new(settings(), servers);
-    next.now = instance.now + past;
-    let counts = next.balancer.restore(next.now, past, true, &known);
-    (next, counts)
+/// Starts another instance `age` seconds later with the same servers listed, and restores the state into it.
+fn restore_after(instance: &TestInstance, age: f64, server_count: u64) -> (TestInstance, RestoreCounts) {
+    let records = export_all(instance, 64);
+    let mut restored = TestInstance::new(settings(), server_count);
+    restored.now = instance.now + age;
+    let counts = restored.balancer.restore(restored.now, age, true, &records);
+    (restored, counts)
 }
 
-/// One that has learned something of everything.
-fn learned() -> TestInstance {
+/// An instance that has learned something of every kind that is exported.
+fn instance_with_state() -> TestInstance {
     let mut instance = TestInstance::new(settings(), 12);
     for id in 0..40 {
         instance.connect(Request { group: u64::from(id % 5) + 70, load: Some(0.1), ..request(id, 100.0) });
     }
     for id in 100..120 {
-        if let Some(at) = instance.connect(request(id, 100.0)) {
-            instance.end_attempt(id, at, 0, Outcome::Ok);
+        if let Some(server) = instance.connect(request(id, 100.0)) {
+            instance.end_attempt(id, server, 0, Outcome::Ok);
         }
     }
     instance.handle(Event::MessageDelay { server: ServerId(3), delay: 0.09 });
@@ -47,91 +52,100 @@
 }
 
 #[test]
-fn portions_of_any_size_are_the_same_memory() {
-    let instance = learned();
-    let whole = export_all(&instance, 100_000);
-    let of = |kind: fn(&StateRecord) -> bool| whole.iter().filter(|k| kind(k)).count();
-    assert_eq!(of(|k| matches!(k, StateRecord::Instance(_))), 1);
-    assert_eq!(of(|k| matches!(k, StateRecord::Server(_))), 12);
-    assert_eq!(of(|k| matches!(k, StateRecord::Group(_))), 5);
+fn portions_of_any_size_export_the_same_records() {
+    let instance = instance_with_state();
+    let all_records = export_all(&instance, 100_000);
+    let count =
+        |is_kind: fn(&StateRecord) -> bool| all_records.iter().filter(|record| is_kind(record)).count();
+    assert_eq!(count(|record| matches!(record, StateRecord::Instance(_))), 1);
+    assert_eq!(count(|record| matches!(record, StateRecord::Server(_))), 12);
+    assert_eq!(count(|record| matches!(record, StateRecord::Group(_))), 5);
     assert!(
-        of(|k| matches!(k, StateRecord::Reservation(_))) > 10
-            && of(|k| matches!(k, StateRecord::Connection(_))) > 20
+        count(|record| matches!(record, StateRecord::Reservation(_))) > 10
+            && count(|record| matches!(record, StateRecord::Connection(_))) > 20
     );
-    for most in [1, 2, 5, 12, 13, 40] {
-        assert_eq!(export_all(&instance, most), whole, "portions of {most}");
+    for limit in [1, 2, 5, 12, 13, 40] {
+        assert_eq!(export_all(&instance, limit), all_records, "portions of {limit}");
     }
 }
 
 #[test]
-fn a_client_that_stood_or_has_just_left_is_brought_to_its_server_again() {
+fn a_client_that_was_connected_or_has_just_left_returns_to_its_server() {
     let mut instance = TestInstance::new(settings(), 30);
-    let stood = instance.connect(request(1, 100.0)).expect("sent");
-    let left = instance.connect(request(2, 100.0)).expect("sent");
+    let connected = instance.connect(request(1, 100.0)).expect("an attempt begins");
+    let left = instance.connect(request(2, 100.0)).expect("an attempt begins");
     instance.end_attempt(2, left, 0, Outcome::Ok);
-    let (mut next, counts) = next(&instance, 0.4, 30);
+    let (mut restored, counts) = restore_after(&instance, 0.4, 30);
     assert!(counts.restored >= 32 && counts.invalid == 0, "{counts:?}");
-    for (key, at) in [(1001, stood), (1002, left)] {
-        let again = Request { key, is_returning: true, ..request(500 + key as u32, next.now) };
-        assert_eq!(next.connect(again), Some(at));
+    for (key, server) in [(1001, connected), (1002, left)] {
+        let returning = Request { key, is_returning: true, ..request(500 + key as u32, restored.now) };
+        assert_eq!(restored.connect(returning), Some(server));
     }
-    // One that goes on with the connections has them by themselves: nobody is expected back.
+    // A successor that takes over the connections themselves does not expect their clients to reconnect.
     let mut successor = TestInstance::new(settings(), 30);
     successor.balancer.restore(100.4, 0.4, false, &export_all(&instance, 64));
     assert!(
         !export_all(&successor, 64)
             .iter()
-            .any(|k| matches!(k, StateRecord::Reservation(place) if place.key == 1001))
+            .any(|record| matches!(record, StateRecord::Reservation(reservation) if reservation.key == 1001))
     );
 }
 
 #[test]
-fn a_server_that_could_not_be_reached_gets_nothing_until_a_trial_and_a_reborn_one_is_believed() {
+fn the_quarantine_of_a_server_is_restored_unless_the_server_has_restarted_or_is_not_listed() {
     let mut instance = TestInstance::new(settings(), 2);
-    let at = attempted_server(&instance.receive(request(1, 100.0))).expect("sent");
-    instance.end_attempt(1, at, 0, Outcome::ConnectFailed);
-    let other = ServerId(3 - at.0);
-    let (mut knows, _) = next(&instance, 0.2, 2);
-    let everywhere = |instance: &mut TestInstance| {
+    let server = attempted_server(&instance.receive(request(1, 100.0))).expect("an attempt begins");
+    instance.end_attempt(1, server, 0, Outcome::ConnectFailed);
+    let other = ServerId(3 - server.0);
+    let (mut restored, _) = restore_after(&instance, 0.2, 2);
+    let used_servers = |instance: &mut TestInstance| {
         (700..720).filter_map(|id| instance.connect(request(id, instance.now))).collect::<Vec<_>>()
     };
-    assert!(everywhere(&mut knows).iter().all(|s| *s == other), "nothing goes where nobody answers");
-    let mut anew = TestInstance::new(settings(), 2);
-    anew.handle(endpoint_list(&[ServerEntry { started_at: 100.1, ..entry(at.0) }, entry(other.0)]));
-    anew.now = 150.0;
-    let counts = anew.balancer.restore(150.0, 0.2, true, &export_all(&instance, 64));
-    assert!(counts.outdated == 1 && everywhere(&mut anew).contains(&at), "{counts:?}");
-    let mut elsewhere = TestInstance::new(settings(), 1);
-    let gone = elsewhere.balancer.restore(100.2, 0.2, true, &export_all(&instance, 64));
-    assert_eq!(gone.outdated, 1, "one is not listed");
+    assert!(
+        used_servers(&mut restored).iter().all(|used| *used == other),
+        "the quarantined server gets nothing"
+    );
+    let mut after_restart = TestInstance::new(settings(), 2);
+    after_restart
+        .handle(endpoint_list(&[ServerEntry { started_at: 100.1, ..entry(server.0) }, entry(other.0)]));
+    after_restart.now = 150.0;
+    let counts = after_restart.balancer.restore(150.0, 0.2, true, &export_all(&instance, 64));
+    assert!(counts.outdated == 1 && used_servers(&mut after_restart).contains(&server), "{counts:?}");
+    let mut without_server = TestInstance::new(settings(), 1);
+    let counts = without_server.balancer.restore(100.2, 0.2, true, &export_all(&instance, 64));
+    assert_eq!(counts.outdated, 1, "one server is not listed");
 }
 
 #[test]
-fn what_fades_has_faded_by_as_much() {
-    let instance = learned();
-    let health = |known: &[StateRecord]| {
-        known.iter().find_map(|k| match k {
-            StateRecord::Server(s) if s.server == 3 => Some(s.health),
+fn restored_values_have_decayed_by_their_age() {
+    let instance = instance_with_state();
+    let health = |records: &[StateRecord]| {
+        records.iter().find_map(|record| match record {
+            StateRecord::Server(server) if server.server == 3 => Some(server.health),
             _ => None,
         })
     };
-    let groups = |known: &[StateRecord]| known.iter().filter(|k| matches!(k, StateRecord::Group(_))).count();
+    let groups = |records: &[StateRecord]| {
+        records.iter().filter(|record| matches!(record, StateRecord::Group(_))).count()
+    };
     let before = export_all(&instance, 64);
     assert!(health(&before).expect("listed") < 0.7 && groups(&before) == 5);
-    let soon = export_all(&next(&instance, 1.0, 12).0, 64);
-    let late = export_all(&next(&instance, 500.0, 12).0, 64);
+    let soon = export_all(&restore_after(&instance, 1.0, 12).0, 64);
+    let late = export_all(&restore_after(&instance, 500.0, 12).0, 64);
     assert!(health(&soon).expect("listed") < 0.75 && groups(&soon) == 5);
     assert!(health(&late).expect("listed") > 0.99 && groups(&late) == 0, "{:?}", health(&late));
-    let places =
-        |known: &[StateRecord]| known.iter().filter(|k| matches!(k, StateRecord::Reservation(_))).count();
-    assert!(places(&soon) > 10 && places(&late) == 0);
+    let reservations = |records: &[StateRecord]| {
+        records.iter().filter(|record| matches!(record, StateRecord::Reservation(_))).count()
+    };
+    assert!(reservations(&soon) > 10 && reservations(&late) == 0);
 }
 
-/// Found by fuzzing: what a cold server may take is divided by the mean load, and was no number from there on.
+/// Found by fuzzing: the capacity of a cold server is divided by the mean load, and with a tiny mean load the
+/// result was not a number.
 #[test]
-fn a_mean_load_that_no_connection_can_have_is_not_believed() {
+fn an_invalid_mean_load_is_rejected() {
     let mut instance = TestInstance::new(settings(), 2);
-    let known = [
+    let records = [
         StateRecord::Instance(InstanceRecord {
             mean_load: 1e-300,
             arrival_seconds: 1.0,
@@ -141,12 +155,12 @@
         StateRecord::Reservation(ReservationRecord { key: 5, server: 1, load: 1e300, expires_at: 101.0 }),
     ];
     assert_eq!(
-        instance.balancer.restore(100.0, 0.1, true, &known),
+        instance.balancer.restore(100.0, 0.1, true, &records),
         RestoreCounts { invalid: 2, ..RestoreCounts::default() }
     );
 }
 
-fn number() -> impl Strategy<Value = f64> + Clone {
+fn any_number() -> impl Strategy<Value = f64> + Clone {
     prop_oneof![
         Just(f64::NAN),
         Just(f64::INFINITY),
@@ -160,45 +174,46 @@
     ]
 }
 
-fn known() -> impl Strategy<Value = StateRecord> {
+fn any_record() -> impl Strategy<Value = StateRecord> {
     let ids = 0u64..5;
-    let place = (0u64..9, ids.clone(), number(), number())
-        .prop_map(|(key, server, load, until)| ReservationRecord { key, server, load, expires_at: until });
-    let flow = (prop::collection::vec(number(), 6), prop::collection::vec(number(), 0..3)).prop_map(
-        |(n, class_load)| {
+    let reservation = (0u64..9, ids.clone(), any_number(), any_number())
+        .prop_map(|(key, server, load, expires_at)| ReservationRecord { key, server, load, expires_at });
+    let instance = (prop::collection::vec(any_number(), 6), prop::collection::vec(any_number(), 0..3))
+        .prop_map(|(numbers, class_loads)| {
             StateRecord::Instance(InstanceRecord {
-                total_clients: n[0],
-                arrivals: n[1],
-                arrival_seconds: n[2],
-                migration_credit: n[3],
-                mean_load: n[4],
-                class_loads: class_load,
-                setups_per_second: n[5],
+                total_clients: numbers[0],
+                arrivals: numbers[1],
+                arrival_seconds: numbers[2],
+                migration_credit: numbers[3],
+                mean_load: numbers[4],
+                class_loads,
+                setups_per_second: numbers[5],
             })
-        },
-    );
-    let server =
-        (ids.clone(), prop::collection::vec(number(), 7), any::<bool>()).prop_map(|(server, n, locked)| {
-            let quarantine = locked.then_some(QuarantineRecord { trial_at: n[3], backoff: n[4] });
+        });
+    let server = (ids.clone(), prop::collection::vec(any_number(), 7), any::<bool>()).prop_map(
+        |(server, numbers, is_quarantined)| {
+            let quarantine =
+                is_quarantined.then_some(QuarantineRecord { trial_at: numbers[3], backoff: numbers[4] });
             StateRecord::Server(ServerRecord {
                 server,
-                started_at: if n[0] < 1.0 { 0.0 } else { n[0] },
-                health: n[1],
-                unavailable_until: n[2],
+                started_at: if numbers[0] < 1.0 { 0.0 } else { numbers[0] },
+                health: numbers[1],
+                unavailable_until: numbers[2],
                 quarantine,
-                warm_up_admissions: n[5],
-                recent_resets: n[6],
+                warm_up_admissions: numbers[5],
+                recent_resets: numbers[6],
             })
-        });
-    let group = (0u64..9, number(), prop::option::of(ids)).prop_map(|(group, clients, last_server)| {
+        },
+    );
+    let group = (0u64..9, any_number(), prop::option::of(ids)).prop_map(|(group, clients, last_server)| {
         StateRecord::Group(GroupRecord { group, clients, last_server })
     });
     prop_oneof![
-        flow,
+        instance,
         server,
         group,
-        place.clone().prop_map(StateRecord::Reservation),
-        place.prop_map(StateRecord::Connection)
+        reservation.clone().prop_map(StateRecord::Reservation),
+        reservation.prop_map(StateRecord::Connection)
     ]
 }
 
@@ -206,29 +221,29 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(23), ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_a_record_says_numbers_stay_in_their_range_and_everybody_is_answered(
-        known in prop::collection::vec(known(), 0..30),
-        past in prop_oneof![Just(0.0), Just(f64::MAX), 0.0..700.0f64],
+    fn any_record_leaves_numbers_in_range_and_requests_answered(
+        records in prop::collection::vec(any_record(), 0..30),
+        age in prop_oneof![Just(0.0), Just(f64::MAX), 0.0..700.0f64],
     ) {
         let mut instance = TestInstance::new(settings(), 4);
-        let counts = instance.balancer.restore(instance.now, past, true, &known);
-        prop_assert!(counts.restored + counts.outdated + counts.expired + counts.invalid == known.len());
-        for k in export_all(&instance, 3) {
-            match k {
-                StateRecord::Server(s) => {
-                    prop_assert!(s.health > 0.0 && s.health <= 1.0 && s.warm_up_admissions >= 0.0 && s.recent_resets >= 0.0, "{s:?}");
-                    // Nothing is kept out for longer than a living instance would keep it.
-                    prop_assert!(s.unavailable_until <= instance.now + 10.0, "{s:?}");
-                    prop_assert!(s.quarantine.is_none_or(|q| q.trial_at <= instance.now + 10.0 && q.backoff <= 10.0), "{s:?}");
+        let counts = instance.balancer.restore(instance.now, age, true, &records);
+        prop_assert!(counts.restored + counts.outdated + counts.expired + counts.invalid == records.len());
+        for record in export_all(&instance, 3) {
+            match record {
+                StateRecord::Server(server) => {
+                    prop_assert!(server.health > 0.0 && server.health <= 1.0 && server.warm_up_admissions >= 0.0 && server.recent_resets >= 0.0, "{server:?}");
+                    // No server is kept out of service for longer than a running instance would keep it.
+                    prop_assert!(server.unavailable_until <= instance.now + 10.0, "{server:?}");
+                    prop_assert!(server.quarantine.is_none_or(|quarantine| quarantine.trial_at <= instance.now + 10.0 && quarantine.backoff <= 10.0), "{server:?}");
                 }
-                StateRecord::Instance(f) => {
-                    let all = [f.total_clients, f.arrivals, f.arrival_seconds, f.migration_credit, f.mean_load, f.setups_per_second];
-                    prop_assert!(all.iter().all(|x| x.is_finite() && *x >= 0.0), "{f:?}");
-                    prop_assert!(f.arrival_seconds >= 1.0 && f.setups_per_second >= 0.2, "{f:?}");
+                StateRecord::Instance(state) => {
+                    let values = [state.total_clients, state.arrivals, state.arrival_seconds, state.migration_credit, state.mean_load, state.setups_per_second];
+                    prop_assert!(values.iter().all(|value| value.is_finite() && *value >= 0.0), "{state:?}");
+                    prop_assert!(state.arrival_seconds >= 1.0 && state.setups_per_second >= 0.2, "{state:?}");
                 }
                 StateRecord::Group(group) => prop_assert!(group.clients.is_finite() && group.clients > 0.0),
-                StateRecord::Reservation(place) => prop_assert!(place.expires_at <= instance.now + 3.001, "{place:?}"),
-                StateRecord::Connection(_) => prop_assert!(false, "nobody stands"),
+                StateRecord::Reservation(reservation) => prop_assert!(reservation.expires_at <= instance.now + 3.001, "{reservation:?}"),
+                StateRecord::Connection(_) => prop_assert!(false, "there are no connections"),
             }
         }
         let mut timers = Vec::new();
