--- a/crates/balancer/src/overload/log_rate_limiter/tests.rs
+++ b/crates/balancer/src/overload/log_rate_limiter/tests.rs
@@ -1,10 +1,10 @@
-//! Log lines of a flood of faulty clients.
+//! Tests of the limit on log lines, with a flood of faulty clients.
 
 use super::*;
 use crate::event_loop::context::tests::context;
 
 #[test]
-fn lines_of_a_flood_are_counted_and_the_next_second_begins_anew() {
+fn lines_beyond_the_limit_are_counted_and_the_next_second_has_the_full_limit() {
     let (mut context, mut limiter) = (context(MICROS_PER_SECOND), LogRateLimiter::default());
     assert_eq!(limiter.log_suppressed(MICROS_PER_SECOND), 0);
     let written = (0..80).filter(|_| limiter.acquire(&mut context)).count();
--- a/crates/balancer/src/overload/mod.rs
+++ b/crates/balancer/src/overload/mod.rs
@@ -1,4 +1,5 @@
-//! What the process can take on: descriptors, the load of the event loop, and log lines that clients cause.
+//! Limits that protect the process from overload: on descriptors, on new clients and on log lines that
+//! clients cause.
 
 pub mod descriptor_budget;
 pub mod log_rate_limiter;
--- a/crates/balancer/src/overload/monitor.rs
+++ b/crates/balancer/src/overload/monitor.rs
@@ -1,38 +1,42 @@
-//! Measures how the event loop keeps up with its work, and limits what it takes on before established connections have to
-//! wait.
+//! Measures whether the event loop keeps up with its work, and limits new clients before established
+//! connections have to wait.
 //!
-//! A loop that is busy all the time is not overloaded as long as its iterations are short and no client waits to be
-//! accepted. Where iterations stay long or the backlog stays filled, each new client costs the others. Then a share of the
-//! new ones is rejected, which costs a tenth of serving them, and the share grows until the loop keeps up.
+//! A loop that is busy all the time is not overloaded as long as its iterations are short and no client waits
+//! to be accepted. If iterations stay long or the accept backlog stays filled, each new client delays the
+//! others. A share of the new clients is then rejected, which costs a tenth of serving them, and this share
+//! grows until the loop keeps up.
 
 use shorewharf_units::{MICROS_PER_MILLISECOND, Micros};
 use tracing::{info, warn};
 
-/// The most clients accepted in one iteration; established connections are served in between.
+/// Maximum number of clients accepted in one iteration, so that established connections are served in
+/// between.
 const MAX_ACCEPTS: usize = 64;
-/// The number of accepts never falls below this.
+/// Lower bound of the number of clients that an iteration may accept.
 const MIN_ACCEPTS: usize = 4;
-/// An iteration longer than this fraction of the message latency objective is long: a message waits for two at worst.
+/// An iteration is long if it exceeds the message latency objective divided by this. A message waits for two
+/// iterations at worst.
 const LONG_ITERATION_DIVISOR: u64 = 4;
-/// The bounds of that time.
+/// Bounds of the duration above which an iteration is long.
 const MIN_LONG_ITERATION: Micros = 5_000;
 const MAX_LONG_ITERATION: Micros = 25_000;
-/// The time over which lag is measured.
+/// Duration of the windows over which lag is measured.
 const WINDOW: Micros = 500_000;
-/// So many windows in a row begin or end an overload. A stall of the machine is shorter.
+/// Number of consecutive windows that begin or end an overload. Stalls of the machine are shorter than that.
 const WINDOWS_TO_CHANGE: u32 = 2;
-/// A window lags if the loop is busy for at least this share of it ...
+/// A window lags if the loop is busy for at least this share of it and lagging for at least
+/// [`MIN_LAG_RATIO`].
 const MIN_BUSY_RATIO: f64 = 0.95;
-/// ... and lags for at least this share.
+/// The share of a window for which a lagging loop has long iterations or waiting clients.
 const MIN_LAG_RATIO: f64 = 0.9;
-/// The share of new clients that is admitted never falls below this.
+/// Lower bound of the share of new clients that is admitted.
 const MIN_ADMIT_RATIO: f64 = 0.05;
-/// A window that lags multiplies the admitted share by this.
+/// Factor by which a window that lags multiplies the admitted share.
 const ADMIT_DECREASE: f64 = 0.7;
-/// A window that does not lag adds this to it.
+/// Amount by which a window that does not lag raises the admitted share.
 const ADMIT_INCREASE: f64 = 0.1;
 
-/// Sums over one window.
+/// Measurements of one window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     started_at: Micros,
@@ -41,33 +45,34 @@
     longest_iteration: Micros,
 }
 
-/// An overload that lasts.
+/// An overload that has not ended.
 #[derive(Clone, Copy, Debug)]
 struct Overload {
     since: Micros,
     rejected: u64,
 }
 
-/// Measures the load of one event loop.
+/// Measures the load of one event loop and decides which new clients are admitted.
 #[derive(Debug)]
 pub struct OverloadMonitor {
-    /// An iteration longer than this is long.
+    /// The duration above which an iteration is long.
     long_iteration: Micros,
     max_accepts: usize,
     /// When the last iteration ended.
     last_ended: Micros,
     window: Window,
-    /// Windows in a row that contradict the present state.
+    /// The number of consecutive windows that contradict the current state: they lag without an overload, or
+    /// don't lag during one.
     contradicting_windows: u32,
     overload: Option<Overload>,
     /// The share of new clients that is admitted.
     admit_ratio: f64,
-    /// What has accumulated towards the next admission.
+    /// The sum of admitted shares since the last admission; a new client is admitted once it reaches 1.
     admit_credit: f64,
 }
 
 impl OverloadMonitor {
-    /// A monitor without overload.
+    /// Creates a monitor of a loop that is not overloaded.
     pub fn new(now: Micros) -> Self {
         OverloadMonitor {
             long_iteration: MAX_LONG_ITERATION,
@@ -81,26 +86,28 @@
         }
     }
 
-    /// Sets the time within which messages are to be relayed.
+    /// Sets the message latency objective, from which the duration of a long iteration follows.
     pub fn set_latency_objective(&mut self, objective: Micros) {
         let long_iteration = objective / LONG_ITERATION_DIVISOR;
         self.long_iteration = long_iteration.clamp(MIN_LONG_ITERATION, MAX_LONG_ITERATION);
     }
 
-    /// The most clients that the next iteration accepts.
+    /// The maximum number of clients that the next iteration accepts.
     pub fn max_accepts(&self) -> usize {
         self.max_accepts
     }
 
-    /// The most log lines that clients may cause, where `limit` are allowed without overload.
+    /// The maximum number of log lines that clients may cause, given the `limit` that applies without an
+    /// overload.
     pub fn max_log_lines(&self, limit: u32) -> u32 {
         (f64::from(limit) * self.admit_ratio) as u32
     }
 
-    /// Whether one more client is admitted; one that is not is counted.
+    /// Returns whether one more client is admitted. A client that is not is counted as rejected.
     pub fn admit(&mut self) -> bool {
         let Some(overload) = &mut self.overload else { return true };
-        // Spread evenly rather than drawn at random, so that no client is unlucky often.
+        // Rejections are spread evenly rather than drawn at random, so that no client is rejected often by
+        // chance.
         self.admit_credit += self.admit_ratio;
         let is_admitted = self.admit_credit >= 1.0;
         if is_admitted {
