--- a/crates/balancer/src/transport/buffer_pool.rs
+++ b/crates/balancer/src/transport/buffer_pool.rs
@@ -1,4 +1,4 @@
-//! A pool of buffers of one size. A connection without pending bytes holds none.
+//! A pool of buffers of one size. A connection without pending bytes holds no buffer.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,12 +6,12 @@
 /// The size of a buffer: twice the longest line.
 pub const BUFFER_BYTES: usize = 8192;
 const _: () = assert!(BUFFER_BYTES <= u16::MAX as usize, "positions in a buffer are 16 bits wide");
-/// Free buffers that are kept; the surplus of a burst goes back to the system.
+/// Maximum number of free buffers that are kept; the surplus after a burst is freed.
 const MAX_FREE_BUFFERS: usize = 128;
 
 type FreeList = Rc<RefCell<Vec<Box<[u8; BUFFER_BYTES]>>>>;
 
-/// Where buffers come from and return to.
+/// A pool from which buffers are taken and to which they return.
 #[derive(Clone, Debug, Default)]
 pub struct BufferPool(FreeList);
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Option<Box<[u8; BUFFER_BYTES]>>,
-    // Narrow, since every connection holds two of these handles.
+    // 16 bits wide to save memory, since every connection holds two of these handles.
     start: u16,
     end: u16,
     free_list: FreeList,
@@ -38,12 +38,12 @@
         self.bytes.as_mut().expect("present until dropped")
     }
 
-    /// The bytes that it holds.
+    /// The bytes in the buffer.
     pub fn contents(&self) -> &[u8] {
         &self.bytes.as_ref().expect("present until dropped")[usize::from(self.start)..usize::from(self.end)]
     }
 
-    /// The free space behind the contents, which are moved to the front if that makes more.
+    /// Returns the free space behind the contents, after moving the contents to the front of the buffer.
     pub fn spare(&mut self) -> &mut [u8] {
         if self.start > 0 {
             let (start, end) = (self.start, self.end);
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! A non-blocking TCP connection that carries lines, with its unread input and unsent output.
+//! A non-blocking TCP connection that carries lines, with its unprocessed input and unsent output.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -13,7 +13,7 @@
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use crate::transport::readiness::Readiness;
 
-/// How often connect(2) is tried that fails on this machine's side: mostly the next call succeeds.
+/// Number of times that connect(2) is called while it fails for local reasons: mostly the next call succeeds.
 const MAX_CONNECT_TRIES: usize = 4;
 /// The length of CR LF.
 const LINE_END_BYTES: usize = 2;
@@ -21,35 +21,37 @@
 /// How a peer has closed its side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerClose {
-    /// It has ended its sending in good order.
+    /// The peer has shut down its sending side (FIN).
     Fin,
     /// The connection was reset or failed.
     Reset,
 }
 
-/// A TCP connection. It reads only as much as its buffer holds, so that TCP slows down a peer whose input is not
-/// consumed.
+/// A TCP connection. It reads no more than its buffer holds, so that TCP's flow control slows down a peer
+/// whose input is not consumed.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     input: Option<Buffer>,
-    /// Bytes at the front of the input that have been inspected: complete lines, to be forwarded or discarded.
+    /// The number of bytes at the front of the input that have been inspected: complete lines, to be
+    /// forwarded or discarded.
     inspected: usize,
-    /// What the balancer itself sends.
+    /// Unsent messages of the balancer itself; forwarded lines go directly from one connection's input to the
+    /// other's stream.
     output: Option<Buffer>,
     can_read: bool,
     can_write: bool,
-    /// Poll has reported that the peer closed or the connection broke.
+    /// Whether poll has reported that the peer has closed or the connection has failed.
     has_close_event: bool,
-    /// How the peer has closed its side, once reading or writing has come to that.
+    /// How the peer has closed its side, once a read or a write has shown that.
     pub peer_close: Option<PeerClose>,
     is_write_shut: bool,
-    /// The last byte sent was not the end of a line.
+    /// Whether the last forwarded byte was not the end of a line.
     is_mid_line: bool,
 }
 
 impl Connection {
-    /// Wraps an accepted stream, which has taken `TCP_NODELAY` from its listener.
+    /// Wraps an accepted stream, which has inherited `TCP_NODELAY` from its listener.
     pub fn new(stream: TcpStream) -> Self {
         Connection {
             stream,
@@ -65,12 +67,12 @@
         }
     }
 
-    /// Starts to connect; [`Connection::is_connected`] tells how that ends. Failures on this machine's side are retried at
-    /// once.
+    /// Begins to connect; [`Connection::is_connected`] returns the result. Calls that fail for local reasons
+    /// are retried at once.
     ///
     /// # Errors
     ///
-    /// If connect(2) fails at once.
+    /// If connect(2) fails immediately, and so do its retries.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         for _ in 1..MAX_CONNECT_TRIES {
             match Connection::connect_once(to) {
@@ -83,17 +85,18 @@
 
     fn connect_once(to: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
-        // Lines are short and must not wait for more.
+        // Lines are short and must not wait until a segment is full.
         stream.set_nodelay(true)?;
         Ok(Connection { can_read: false, can_write: false, ..Connection::new(stream) })
     }
 
-    /// Whether another process can go on with it, given its [`Connection::buffered`] bytes.
+    /// Whether the connection can be transferred to another process, together with its
+    /// [`Connection::buffered`] bytes.
     pub fn is_transferable(&self) -> bool {
         self.peer_close.is_none() && !self.is_write_shut
     }
 
-    /// The bytes that have been read and not forwarded, or not been sent yet.
+    /// The input that has not been forwarded and the output that has not been sent.
     pub fn buffered(&self) -> BufferedBytes {
         BufferedBytes {
             received: self.pending_input().to_vec(),
@@ -103,13 +106,13 @@
         }
     }
 
-    /// The stream, for another process to go on with.
+    /// Returns the stream, for its transfer to another process.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// Goes on with a connection of another process, which had these bytes buffered. Returns `None` if they don't fit the
-    /// buffers or contradict each other.
+    /// Creates a connection that another process has transferred with these buffered bytes. Returns `None` if
+    /// the bytes don't fit the buffers or are inconsistent.
     pub fn resume(stream: TcpStream, pool: &BufferPool, buffered: &BufferedBytes) -> Option<Self> {
         let mut connection = Connection {
             inspected: buffered.examined,
@@ -127,7 +130,7 @@
         &mut self.stream
     }
 
-    /// Takes in what poll reports.
+    /// Records the readiness that poll has reported.
     pub fn on_ready(&mut self, readiness: Readiness) {
         self.can_read |= readiness.is_readable;
         self.can_write |= readiness.is_writable;
@@ -138,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// Why connecting has failed.
+    /// If connecting has failed, with the reason.
     pub fn is_connected(&self) -> io::Result<bool> {
         if !self.can_write || !self.has_close_event {
             return Ok(self.can_write);
@@ -146,7 +149,8 @@
         self.stream.take_error()?.map_or(Ok(true), Err)
     }
 
-    /// Reads as much as the buffer holds. Returns whether anything was read, the end of the stream included.
+    /// Reads until the buffer is full or no more input is available. Returns whether anything was read; the
+    /// end of the stream or a failure of the connection counts as well.
     pub fn read_available(&mut self, pool: &BufferPool) -> bool {
         let mut has_read = false;
         while self.can_read && self.peer_close.is_none() {
@@ -157,8 +161,8 @@
             }
             match (&self.stream).read(spare) {
                 Ok(0) => self.peer_close = Some(PeerClose::Fin),
-                // A short read doesn't mean that there is no more (read(2)), and poll reports input only once: reading
-                // goes on until `WouldBlock`.
+                // Reading continues until `WouldBlock`: a short read doesn't mean that no input is left
+                // (read(2)), and poll reports input only once.
                 Ok(n) => input.commit(n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.can_read = false;
@@ -183,8 +187,8 @@
         self.input.as_ref().map_or(&[], Buffer::contents)
     }
 
-    /// Inspects the next line, without its end. It stays in the input, to be forwarded or discarded. Returns `None` while
-    /// the line is incomplete.
+    /// Inspects the next line and returns it without its end, or `None` while it is incomplete. The line
+    /// stays in the input, to be forwarded or discarded.
     ///
     /// # Errors
     ///
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Takes the next line out of the input, without its end. Returns `None` while the line is incomplete.
+    /// Removes the next line from the input and returns it without its end, or `None` while it is incomplete.
     ///
     /// # Errors
     ///
@@ -232,20 +236,21 @@
         self.inspected = 0;
     }
 
-    /// Counts an incomplete last line as inspected: once the peer has closed it is forwarded as it came.
+    /// Marks all input as inspected, so that an incomplete last line is forwarded unchanged after the peer
+    /// has closed.
     pub fn inspect_rest(&mut self) {
         self.inspected = self.pending_input().len();
     }
 
-    /// Sends a message of the balancer's own, ahead of anything that is forwarded later. Returns whether it fits the
-    /// buffer.
+    /// Sends a message of the balancer itself, ahead of lines that are forwarded later. Returns whether the
+    /// message fits the buffer.
     pub fn send(&mut self, pool: &BufferPool, message: &[u8]) -> bool {
         let fits = self.output.get_or_insert_with(|| pool.take()).append(message);
         self.flush();
         fits
     }
 
-    /// Writes the balancer's own messages as far as possible. Returns whether all of them are out.
+    /// Writes the balancer's own messages as far as possible. Returns whether all of them have been written.
     pub fn flush(&mut self) -> bool {
         if let Some(output) = self.output.as_mut() {
             let written =
@@ -256,8 +261,8 @@
         self.output.is_none()
     }
 
-    /// Forwards inspected lines to another connection, unchanged; with `only_line_end`, only the rest of a line that has
-    /// begun to go out. Returns whether any bytes were written.
+    /// Forwards inspected lines to another connection, unchanged; with `only_line_end`, only the rest of a
+    /// line that has been forwarded in part. Returns whether any bytes were written.
     pub fn forward_to(&mut self, to: &mut Connection, only_line_end: bool) -> bool {
         if !to.flush() || (only_line_end && !to.is_mid_line) || to.is_write_shut {
             return false;
@@ -277,17 +282,18 @@
         written > 0
     }
 
-    /// Whether the last byte sent was the end of a line, so that a message of the balancer's own may follow.
+    /// Whether the last forwarded byte was the end of a line, so that a message of the balancer itself may
+    /// follow.
     pub fn is_at_line_boundary(&self) -> bool {
         !self.is_mid_line
     }
 
-    /// Whether no inspected line is left to forward, and no message of the balancer's own to send.
+    /// Whether no inspected line is left to forward and no message of the balancer itself is left to send.
     pub fn is_drained(&self) -> bool {
         self.inspected == 0 && self.output.is_none()
     }
 
-    /// Ends the sending; does nothing if that was done before.
+    /// Shuts down the sending side; does nothing if that was done before.
     pub fn shutdown_write(&mut self) {
         if !std::mem::replace(&mut self.is_write_shut, true) {
             // Fails only if the connection is gone already.
@@ -295,14 +301,14 @@
         }
     }
 
-    /// Makes the later close a reset.
+    /// Makes the connection send a reset when it is closed.
     pub fn reset_on_close(&mut self) {
         // Fails only if the connection is gone already.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// Writes as much of `bytes` as the stream takes. Returns how many bytes that was.
+/// Writes as much of `bytes` as the stream accepts without blocking. Returns the number of bytes written.
 fn write_available(
     stream: &TcpStream,
     can_write: &mut bool,
@@ -312,7 +318,7 @@
     let mut written = 0;
     while written < bytes.len() && *can_write && *peer_close != Some(PeerClose::Reset) {
         match (&*stream).write(&bytes[written..]) {
-            // Not something that a socket reports; there is nothing to wait for.
+            // A socket never returns this; it counts as a failure, since no later event would follow.
             Ok(0) => *peer_close = Some(PeerClose::Reset),
             Ok(n) => written += n,
             Err(e) if e.kind() == ErrorKind::WouldBlock => *can_write = false,
@@ -323,7 +329,7 @@
     written
 }
 
-/// Puts bytes into a buffer that is taken for them if there are any. Returns whether they fit.
+/// Appends bytes to a buffer, which is taken from the pool if there are any bytes. Returns whether they fit.
 fn fill(buffer: &mut Option<Buffer>, pool: &BufferPool, bytes: &[u8]) -> bool {
     bytes.is_empty() || buffer.get_or_insert_with(|| pool.take()).append(bytes)
 }
@@ -341,7 +347,8 @@
     e.kind() == ErrorKind::OutOfMemory || matches!(e.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
-/// Whether an error of connect(2) is this machine's own and says nothing about the peer, as when no port or route is left.
+/// Whether an error of connect(2) has a local cause, such as a lack of ports or of a route, and says nothing
+/// about the peer.
 pub fn is_local_failure(e: &io::Error) -> bool {
     let no_port_or_route =
         [ErrorKind::AddrNotAvailable, ErrorKind::NetworkUnreachable, ErrorKind::HostUnreachable];
--- a/crates/balancer/src/transport/mod.rs
+++ b/crates/balancer/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Connections that carry lines, what they are ready for, and the buffers that they share.
+//! Connections that carry lines, their readiness, and the pool of buffers that they share.
 
 pub mod buffer_pool;
 pub mod connection;
--- a/crates/balancer/src/transport/readiness.rs
+++ b/crates/balancer/src/transport/readiness.rs
@@ -1,20 +1,20 @@
-//! What poll reports of a connection.
+//! The readiness of a connection, as reported by poll.
 
 use mio::event::Event;
 
-/// What a connection is ready for.
+/// The operations for which a connection is ready.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Readiness {
-    /// Something can be read.
+    /// Data can be read.
     pub is_readable: bool,
-    /// Something can be written, or the connect has failed.
+    /// Data can be written, or connecting has failed.
     pub is_writable: bool,
-    /// The peer has closed its side or the connection broke: reading on leads to that.
+    /// The peer has closed its side or the connection has failed; reading to the end shows which.
     pub is_closed: bool,
 }
 
 impl Readiness {
-    /// Something may be there to be read that poll has not reported yet.
+    /// Makes a connection read, in case there is input that poll has not reported yet.
     pub const READ: Readiness = Readiness { is_readable: true, is_writable: false, is_closed: false };
 }
 
