--- a/crates/balancer/src/clients/idle_connections/tests.rs
+++ b/crates/balancer/src/clients/idle_connections/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of which idle connection is closed first.
+//! Tests of the order in which idle connections are evicted.
 
 use super::*;
 
 #[test]
-fn the_answered_go_first_and_then_the_eviction_candidate() {
+fn answered_connections_are_evicted_first_and_then_the_longest_idle() {
     let mut idle = IdleConnections::default();
     idle.add_opening(10, RequestId(9));
     idle.add_opening(10, RequestId(3));
--- a/crates/balancer/src/clients/mod.rs
+++ b/crates/balancer/src/clients/mod.rs
@@ -1,5 +1,4 @@
-//! Client sessions, from accept to close. What a session needs of a server is the proxy's: nothing here knows of
-//! connections to servers.
+//! Client sessions, from accept to close. Connections to servers are managed by the proxy and unknown here.
 
 mod idle_connections;
 pub mod open_ids;
--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -1,6 +1,7 @@
 //! A client session: one client's connection, from accept to close.
 //!
-//! It knows the client's side only. Which server serves it, and what its requests may cause, are the proxy's.
+//! A session covers the client's side only. The proxy tracks which server serves the client and whether its
+//! request may have run.
 
 mod closing;
 mod opening;
@@ -18,30 +19,32 @@
 pub use closing::CloseProgress;
 pub use opening::{FirstLine, WaitingActivity};
 
-/// A client that connects has this long for its complete first line. One that doesn't send it is owed a close within 3 s.
+/// Time within which a client that has connected must send its complete first line. A client that doesn't
+/// must see its connection closed within 3 s.
 const FIRST_LINE_TIMEOUT: Micros = 2_500_000;
-/// When one side has closed, the other has this long: a connection must be over within a second.
+/// Time within which one side must close after the other has. The whole connection must be closed within a
+/// second.
 const HALF_OPEN_TIMEOUT: Micros = 700_000;
-/// A client's line that goes unanswered for this long shows a dead connection. Clients send a line every 2 s, and must
-/// leave a dead connection within 7 s.
+/// A connection to a server is considered dead if a line of the client goes unanswered for this long. Clients
+/// send a line every 2 s, and must leave a dead connection within 7 s.
 const SILENT_SERVER_TIMEOUT: Micros = 1_500_000;
-/// A request that the driver has not answered this long after its deadline is answered all the same.
+/// Time after the deadline of a request at which the proxy answers it if the driver has not.
 const OVERDUE_ANSWER_GRACE: Micros = 15_000;
 /// The delay between two attempts to restore a connection from before the start of this process.
 const RESTORE_RETRY_DELAY: Micros = 500_000;
 
-/// How far a client session has come.
+/// The stage of a client session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionStage {
-    /// Its first line is awaited.
+    /// The client's first line is awaited.
     AwaitingRequest,
-    /// Its request is being placed at a server.
+    /// The request is being placed, or a server's answer to it is awaited.
     AwaitingAnswer,
-    /// A server has accepted it: lines are forwarded both ways.
+    /// A server has accepted the client; lines are forwarded in both directions.
     Established,
-    /// It is asked to migrate as soon as the line that is being forwarded has ended.
+    /// The client will be asked to migrate as soon as the line that is being forwarded to it is complete.
     Migrating,
-    /// It has its final answer; its close is awaited.
+    /// The final answer has been sent; the client's close is awaited.
     Closing,
 }
 
@@ -53,25 +56,25 @@
     client_address: SocketAddr,
     stage: SessionStage,
     stage_since: Micros,
-    /// When the stage must be over.
+    /// The deadline of the current stage.
     deadline: Micros,
-    /// When the first line must be complete.
+    /// The deadline for the complete first line.
     first_line_deadline: Micros,
-    /// Input that was discarded after the final answer.
+    /// The number of bytes that were received and discarded after the final answer.
     discarded_bytes: usize,
-    /// The id of its open request, until its final answer.
+    /// The id that the client chose for its open request; `None` before the request and after the final answer.
     open_id: Option<u64>,
-    /// Set once one side has closed: when the other must have.
+    /// The deadline for the other side to close, once one side has closed.
     half_open_deadline: Option<Micros>,
-    /// Its first line, until a server has accepted it.
+    /// The first line, until a server has accepted the client.
     first_line: Option<Buffer>,
-    /// Set if it was established before this process started. Boxed, since few are.
+    /// Set if the connection was established before this process started. Boxed, since that is rare.
     restored: Option<Box<RestoredConnection>>,
-    /// When the first line came that its server has not answered.
+    /// When the oldest line that the server has not answered was received.
     unanswered_since: Option<Micros>,
-    /// The class of its request, until its one outcome has been counted.
+    /// The class of the request, until the outcome of the request has been counted.
     uncounted_class: Option<u16>,
-    /// It is in the proxy's list of sessions with a message delay to report.
+    /// Whether the session is in the proxy's list of sessions with a message delay to report.
     reports_delay: bool,
     pub(crate) timer: TimerHandle,
 }
@@ -79,37 +82,38 @@
 /// A connection that was established before this process started.
 #[derive(Debug)]
 struct RestoredConnection {
-    /// The server that had accepted it.
+    /// The server that had accepted the client.
     server: ServerId,
     request: ReceivedRequest,
-    /// When to try again to restore it, once that has failed.
+    /// When to retry, once an attempt to restore the connection has failed.
     retry_at: Option<Micros>,
+    /// Whether any attempt to restore the connection has failed.
     has_failed: bool,
 }
 
 /// The request in a session's first line.
 #[derive(Debug)]
 pub struct SessionRequest<'a> {
-    /// The line itself.
+    /// The first line, without the line end.
     pub line: &'a [u8],
-    /// The id of the open request.
+    /// The id that the client chose for its open request.
     pub open_id: u64,
     /// The request, as the driver receives it.
     pub request: ReceivedRequest,
-    /// The server that had accepted it before this process started.
+    /// The server that had accepted the client before this process started, if any.
     pub previous_server: Option<ServerId>,
-    /// When it must be answered.
+    /// The deadline for the answer to the request.
     pub deadline: Micros,
 }
 
-/// What another process knows of an established session that it transfers.
+/// The state of an established session that another process transfers.
 #[derive(Clone, Copy, Debug)]
 pub struct TransferredSession {
-    /// Where the client connects from.
+    /// The address of the client.
     pub client_address: SocketAddr,
-    /// The id of its open request.
+    /// The id that the client chose for its open request.
     pub open_id: u64,
-    /// When the first line came that its server has not answered.
+    /// When the oldest line that the server has not answered was received.
     pub unanswered_since: Option<Micros>,
 }
 
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Creates an established session that comes from another process of this balancer.
+    /// Creates an established session that another process of this balancer has transferred.
     pub(crate) fn adopted(connection: Connection, transferred: &TransferredSession, now: Micros) -> Self {
         Session {
             stage: SessionStage::Established,
@@ -145,14 +149,14 @@
         }
     }
 
-    /// Whether another process can go on with it.
+    /// Whether the session can be transferred to another process.
     pub fn is_transferable(&self) -> bool {
         self.stage == SessionStage::Established
             && self.half_open_deadline.is_none()
             && self.connection.is_transferable()
     }
 
-    /// Its first deadline, in the stage that it is in.
+    /// The earliest deadline of the current stage.
     pub(crate) fn next_deadline(&self, context: &LoopContext) -> Option<Micros> {
         let earliest_timeout = context.earliest_timeout();
         match self.stage {
@@ -170,87 +174,89 @@
         }
     }
 
-    /// Whether its request should have been answered by now.
+    /// Whether the deadline of the request and the grace after it have passed.
     pub fn is_overdue(&self, now: Micros) -> bool {
         now >= self.deadline + OVERDUE_ANSWER_GRACE
     }
 
-    /// Where the client connects from.
+    /// The address of the client.
     pub fn client_address(&self) -> SocketAddr {
         self.client_address
     }
 
-    /// The stage that it is in.
+    /// The current stage.
     pub fn stage(&self) -> SessionStage {
         self.stage
     }
 
-    /// When its stage began.
+    /// When the current stage began.
     pub(crate) fn stage_since(&self) -> Micros {
         self.stage_since
     }
 
-    /// When its stage must be over.
+    /// The deadline of the current stage.
     pub fn deadline(&self) -> Micros {
         self.deadline
     }
 
-    /// Whether its stage should be over by now.
+    /// Whether the deadline of the current stage has passed.
     pub fn is_past_deadline(&self, now: Micros) -> bool {
         now >= self.deadline
     }
 
-    /// Whether its request waits for an answer.
+    /// Whether the request waits for an answer.
     pub fn is_waiting(&self) -> bool {
         self.stage == SessionStage::AwaitingAnswer
     }
 
-    /// The server that had accepted it before this process started.
+    /// The server that had accepted the client before this process started, if any.
     pub fn previous_server(&self) -> Option<ServerId> {
         self.restored.as_ref().map(|restored| restored.server)
     }
 
-    /// Its request, if it was established before this process started.
+    /// The request, if its connection was established before this process started.
     pub fn restored_request(&self) -> Option<ReceivedRequest> {
         self.restored.as_ref().map(|restored| restored.request)
     }
 
-    /// Its first line, until a server has accepted it.
+    /// The first line, until a server has accepted the client.
     pub fn first_line(&self) -> Option<&[u8]> {
         self.first_line.as_ref().map(Buffer::contents)
     }
 
-    /// The id of its open request, until its final answer.
+    /// The id that the client chose for its open request; `None` before the request and after the final answer.
     pub fn open_id(&self) -> Option<u64> {
         self.open_id
     }
 
-    /// When the first unanswered line came, to be cleared by an answer of the server.
+    /// A mutable reference to the time of the oldest unanswered line, which an answer of the server clears.
     pub fn unanswered_since_mut(&mut self) -> &mut Option<Micros> {
         &mut self.unanswered_since
     }
 
-    /// When the first line came that its server has not answered.
+    /// When the oldest line that the server has not answered was received.
     pub fn unanswered_since(&self) -> Option<Micros> {
         self.unanswered_since
     }
 
-    /// Whether it is to be added to the sessions with a message delay to report; true once.
+    /// Marks a session with an unanswered line as one that has a message delay to report. Returns true if it
+    /// was not marked before, so that the caller adds it to the list of such sessions.
     pub fn begin_reporting_delay(&mut self) -> bool {
         self.unanswered_since.is_some() && !std::mem::replace(&mut self.reports_delay, true)
     }
 
-    /// Keeps it among the sessions with a message delay to report, or removes it.
+    /// Records whether the session stays in the list of sessions with a message delay to report.
     pub fn set_reports_delay(&mut self, reports_delay: bool) {
         self.reports_delay = reports_delay;
     }
 
-    /// When the first unanswered line came, if that is so long ago that the connection to the server is dead.
+    /// When the oldest unanswered line was received, if that is so long ago that the connection to the server
+    /// is considered dead.
     pub fn server_silent_since(&self, context: &LoopContext) -> Option<Micros> {
         self.unanswered_since.filter(|since| context.now >= silent_server_deadline(*since, context))
     }
 
-    /// Takes in its request, which waits for an answer from now on.
+    /// Stores the request of the session, which waits for an answer from now on.
     pub(crate) fn begin_request(&mut self, now: Micros, pool: &BufferPool, opened: SessionRequest) {
         let mut first_line = pool.take();
         first_line.append(opened.line);
@@ -270,23 +276,25 @@
         self.set_class(opened.request.class);
     }
 
-    /// Notes the class of its request, which is known even if the rest of its first line is malformed.
+    /// Records the class of the request, which can be known even if the rest of the first line is malformed.
     pub fn set_class(&mut self, class: usize) {
         self.uncounted_class = u16::try_from(class).ok();
     }
 
-    /// Takes the class under which its outcome is to be counted; `None` once it has been counted.
+    /// Takes the class under which the outcome of the request is to be counted; `None` once it has been
+    /// counted.
     pub fn take_uncounted_class(&mut self) -> Option<usize> {
         self.uncounted_class.take().map(usize::from)
     }
 
-    /// A server has accepted it.
+    /// Marks the session as established after a server has accepted the client.
     pub fn establish(&mut self) {
         self.stage = SessionStage::Established;
         self.first_line = None;
     }
 
-    /// The client is to be asked to migrate. Returns false unless it is established and not migrating yet.
+    /// Marks the session as migrating. Returns false, and changes nothing, unless it is in the established
+    /// stage.
     pub fn begin_migration(&mut self) -> bool {
         let is_established = self.stage == SessionStage::Established;
         if is_established {
@@ -295,7 +303,7 @@
         is_established
     }
 
-    /// Reads lines of an established session, to be forwarded. Returns whether anything was read.
+    /// Reads lines of an established session that are to be forwarded. Returns whether anything was read.
     ///
     /// # Errors
     ///
@@ -316,24 +324,26 @@
         Ok(())
     }
 
-    /// One side has closed; the other has a deadline from now on.
+    /// Sets the deadline for the other side to close, after one side has closed; a deadline that is set
+    /// already stays.
     pub fn begin_half_open(&mut self, now: Micros) {
         self.half_open_deadline.get_or_insert(now + HALF_OPEN_TIMEOUT);
     }
 
-    /// Whether the other side should have closed by now.
+    /// Whether the deadline for the other side to close has passed.
     pub fn is_half_open_expired(&self, now: Micros) -> bool {
         self.half_open_deadline.is_some_and(|deadline| now >= deadline)
     }
 
-    /// An attempt to restore it has failed; it is tried again later. Returns whether it was the first one.
+    /// Schedules a retry after an attempt to restore the connection has failed. Returns whether this is the
+    /// first failure.
     pub fn on_restore_failed(&mut self, now: Micros) -> bool {
         let Some(restored) = &mut self.restored else { return false };
         restored.retry_at = Some(now + RESTORE_RETRY_DELAY);
         !std::mem::replace(&mut restored.has_failed, true)
     }
 
-    /// Whether another attempt to restore it is due; true once.
+    /// Returns whether another attempt to restore the connection is due, and clears its time if so.
     pub fn take_due_restore(&mut self, now: Micros) -> bool {
         let Some(restored) = &mut self.restored else { return false };
         restored.retry_at.take_if(|retry_at| now >= *retry_at).is_some()
@@ -344,7 +354,7 @@
     one.into_iter().chain(other).min()
 }
 
-/// When the server must have answered the line that came at `since`.
+/// The time by which the server must have answered a line that was received at `since`.
 fn silent_server_deadline(since: Micros, context: &LoopContext) -> Micros {
     context.waiting_since(since) + SILENT_SERVER_TIMEOUT
 }
--- a/crates/balancer/src/clients/session/closing.rs
+++ b/crates/balancer/src/clients/session/closing.rs
@@ -1,31 +1,32 @@
-//! The end of a session: its final answer, and the close in good order.
+//! The end of a session: sends the final answer and closes the connection without a reset.
 
 use shorewharf_units::Micros;
 
 use super::{Session, SessionStage};
 use crate::transport::buffer_pool::BufferPool;
 
-/// After its final answer a client may send this much, which is read and discarded. One that goes on sending at full speed
-/// gets a reset instead.
+/// Number of bytes that are read and discarded after the final answer. A client that sends more, at full
+/// speed, gets a reset instead.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// Rounds of reading what is discarded before other connections are served.
+/// Maximum number of rounds of reading and discarding input before other connections are served.
 const MAX_READ_ROUNDS: usize = 8;
-/// Once its final answer is on its way, a client has this long to take it.
+/// Time that a client has to receive its final answer and close.
 const CLOSE_TIMEOUT: Micros = 500_000;
 
-/// How far the close of a session has come.
+/// The progress of closing a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseProgress {
     /// The client's close is awaited.
     AwaitingPeer,
-    /// There is more to read, once other connections have been served.
+    /// There may be more input to discard, after other connections have been served.
     MoreToRead,
     /// The connection may be closed.
     Done,
 }
 
 impl Session {
-    /// Sends the final answer; the client's close is awaited from now on. Returns the open id, which becomes free.
+    /// Sends the final answer, after which the client's close is awaited. Returns the open id, which the
+    /// caller releases.
     pub(crate) fn begin_close(&mut self, now: Micros, pool: &BufferPool, answer: &[u8]) -> Option<u64> {
         self.stage = SessionStage::Closing;
         self.stage_since = now;
@@ -36,8 +37,9 @@
         self.open_id.take()
     }
 
-    /// Ends the sending and reads on until the client closes: a close with unread input would become a reset, which could
-    /// overtake the final answer.
+    /// Shuts down the sending side once all output is written, and discards input until the client closes: a
+    /// close with unread input would send a reset, which could destroy the final answer before the client
+    /// reads it.
     pub fn continue_close(&mut self, pool: &BufferPool) -> CloseProgress {
         if self.connection.flush() && self.connection.peer_close.is_none() {
             self.connection.shutdown_write();
--- a/crates/balancer/src/clients/session/opening.rs
+++ b/crates/balancer/src/clients/session/opening.rs
@@ -1,4 +1,4 @@
-//! The beginning of a session: its first line, and the wait for its answer.
+//! The beginning of a session: reads the first line, and watches the client while it waits for its answer.
 
 use shorewharf_protocol::message::{Message, parse_message};
 use shorewharf_units::Micros;
@@ -7,39 +7,39 @@
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::connection::LineTooLong;
 
-/// A front end that has pinged has this long for its next ping.
+/// Time within which a front end that has sent a ping must send its next line.
 const NEXT_PING_TIMEOUT: Micros = 10_000_000;
-/// Pings that are answered in one go; a client that sends more at a time is no front end.
+/// Maximum number of pings answered per read. A client that sends more at a time is not a front end.
 const MAX_PINGS_PER_READ: usize = 16;
 
-/// What a client has sent whose first line is awaited.
+/// The result of reading the first line of a client.
 #[derive(Debug, PartialEq)]
 pub enum FirstLine {
-    /// No complete line yet.
+    /// The first line is not complete yet.
     Incomplete,
-    /// Its first line, without the line end.
+    /// The complete first line, without the line end.
     Line(Vec<u8>),
-    /// It has closed its side.
+    /// The client has closed its side.
     Closed,
-    /// A line over the protocol's limit.
+    /// The client has sent a line over the protocol's limit.
     LineTooLong,
-    /// More pings at a time than a front end sends.
+    /// The client has sent more pings at a time than a front end does.
     TooManyPings,
 }
 
-/// What a client does while it waits for its answer.
+/// What a client has done while it waits for its answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WaitingActivity {
-    /// Nothing, as the protocol has it.
+    /// Nothing, as the protocol requires.
     Silent,
-    /// It has sent something.
+    /// The client has sent data.
     SentData,
-    /// It has closed its side.
+    /// The client has closed its side.
     Closed,
 }
 
 impl Session {
-    /// Reads the first line as far as it has come. Pings of a front end are answered on the way.
+    /// Reads the first line as far as it has been received. Pings that precede it are answered.
     pub fn read_first_line(&mut self, now: Micros, pool: &BufferPool) -> FirstLine {
         for _ in 0..=MAX_PINGS_PER_READ {
             self.connection.read_available(pool);
@@ -53,7 +53,8 @@
                 Ok(None) if self.connection.peer_close.is_some() => return FirstLine::Closed,
                 Ok(None) => {
                     if !self.connection.pending_input().is_empty() {
-                        // Counted from the first piece of the line: pieces may come one by one forever.
+                        // The timeout runs from the first piece of the line, since pieces could arrive one by
+                        // one forever.
                         self.first_line_deadline = self.first_line_deadline.min(now + FIRST_LINE_TIMEOUT);
                         self.deadline = self.first_line_deadline;
                     }
@@ -65,7 +66,7 @@
         FirstLine::TooManyPings
     }
 
-    /// Checks what a client does while it waits for its answer.
+    /// Reads input and returns what the client has done while it waits for its answer.
     pub fn poll_while_waiting(&mut self, pool: &BufferPool) -> WaitingActivity {
         self.connection.read_available(pool);
         if !self.connection.pending_input().is_empty() {
--- a/crates/balancer/src/clients/session/tests.rs
+++ b/crates/balancer/src/clients/session/tests.rs
@@ -19,7 +19,11 @@
     );
     context.begin_iteration(2_500_000);
     assert_eq!(session.server_silent_since(&context), Some(1_000_000));
-    // After a stall its data is read first.
+    // After a stall the timeout runs anew, since input from the server may be unread.
     context.begin_iteration(9_000_000);
-    assert_eq!(session.next_deadline(&context), Some(10_500_000), "nothing was read during the stall");
+    assert_eq!(
+        session.next_deadline(&context),
+        Some(10_500_000),
+        "the stall counted as silence of the server"
+    );
 }
--- a/crates/balancer/src/clients/sessions.rs
+++ b/crates/balancer/src/clients/sessions.rs
@@ -1,4 +1,4 @@
-//! The table of client sessions, kept in step with the open ids and with the list of idle connections.
+//! The table of client sessions, which also maintains the open ids and the list of idle connections.
 
 use std::net::SocketAddr;
 
@@ -13,11 +13,11 @@
 use crate::event_loop::poll::EventSource;
 use crate::transport::connection::Connection;
 
-/// All client sessions. An open id belongs to one session until that has its final answer. A session is idle while its
+/// All client sessions of a worker. A session holds its open id until its final answer. It is idle while its
 /// first line or its close is awaited.
 #[derive(Debug, Default)]
 pub struct Sessions {
-    /// Boxed, since the hash table of a large fleet has many empty entries.
+    /// Sessions are boxed, since a hash table for a large fleet has many empty entries.
     table: FxHashMap<RequestId, Box<Session>>,
     open_ids: OpenIds,
     idle: IdleConnections,
@@ -30,8 +30,9 @@
         Sessions { open_ids, ..Sessions::default() }
     }
 
-    /// Adds a client that has connected, under an id that neither a session nor anything else that is `in_use` has. Returns
-    /// `None` if its connection can't be registered with poll, as when it is closed already.
+    /// Adds a session for a client that has connected. Its id is one that no session has and for which
+    /// `in_use` returns false. Returns `None` if the connection can't be registered with poll, for example
+    /// because it is closed already.
     pub fn accept(
         &mut self,
         context: &mut LoopContext,
@@ -51,8 +52,8 @@
         Some(id)
     }
 
-    /// Adds an established session that another process of this balancer transfers. Returns `None` if an open request has
-    /// its open id, or its connection can't be registered with poll.
+    /// Adds an established session that another process of this balancer has transferred. Returns `None` if
+    /// another open request has the same open id, or if the connection can't be registered with poll.
     pub fn adopt(
         &mut self,
         context: &mut LoopContext,
@@ -74,7 +75,7 @@
         Some(id)
     }
 
-    /// The next id that is not in use. Ids wrap around after 2³² clients.
+    /// Returns the next id that is not in use. Ids wrap around after 2³² clients.
     fn allocate_id(&mut self, in_use: impl Fn(RequestId) -> bool) -> RequestId {
         let mut id = RequestId(self.next_id);
         while self.table.contains_key(&id) || in_use(id) {
@@ -84,24 +85,26 @@
         id
     }
 
-    /// The session of this id.
+    /// The session with this id.
     pub fn get(&self, id: RequestId) -> Option<&Session> {
         self.table.get(&id).map(|session| &**session)
     }
 
-    /// The session of this id, to act on.
+    /// The session with this id, as a mutable reference.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Session> {
         self.table.get_mut(&id).map(|session| &mut **session)
     }
 
-    /// Sets the timer of a session for its first deadline. To be called after its deadlines have changed.
+    /// Sets the timer of a session for its earliest deadline. Must be called after the deadlines of a session
+    /// have changed.
     pub fn schedule_timer(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(session) = self.table.get_mut(&id) else { return };
         let deadline = session.next_deadline(context);
         session.timer.schedule_by(context, deadline, TimerEvent::Session(id));
     }
 
-    /// The timer of a session has fired. Returns whether one of its deadlines has passed.
+    /// Handles the timer of a session. Returns whether a deadline of the session has passed; otherwise sets
+    /// the timer again.
     pub fn on_timer(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
         let Some(session) = self.table.get_mut(&id) else { return false };
         session.timer.on_fired();
@@ -112,7 +115,8 @@
         is_due
     }
 
-    /// Takes in the request of a session. Returns false, and changes nothing, if an open request has the same open id.
+    /// Stores the request of a session and claims its open id. Returns false, and changes nothing, if another
+    /// open request has the same open id.
     pub fn open_request(&mut self, context: &mut LoopContext, id: RequestId, opened: SessionRequest) -> bool {
         let Some(session) = self.table.get_mut(&id) else { return false };
         if !self.open_ids.claim(opened.open_id) {
@@ -124,7 +128,8 @@
         true
     }
 
-    /// Sends a session's final answer and awaits its close. Returns false if that was done before.
+    /// Sends a session's final answer, after which the client's close is awaited. Returns false if the
+    /// session is gone or already closing.
     pub fn begin_close(&mut self, context: &mut LoopContext, id: RequestId, answer: &[u8]) -> bool {
         let session = self.table.get_mut(&id).filter(|session| session.stage() != SessionStage::Closing);
         let Some(session) = session else { return false };
@@ -137,12 +142,12 @@
         true
     }
 
-    /// Removes a session, which closes its connection, whatever is still to be sent.
+    /// Removes a session and closes its connection, even if there is unsent output.
     pub fn remove(&mut self, context: &mut LoopContext, id: RequestId) {
         self.take(context, id);
     }
 
-    /// Takes a session out of the table, together with its connection, and releases its open id.
+    /// Removes a session from the table and releases its open id. Returns the session with its connection.
     pub fn take(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Box<Session>> {
         let mut session = self.table.remove(&id)?;
         session.timer.cancel(context);
--- a/crates/balancer/src/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -35,18 +35,18 @@
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count()), (false, 1));
     assert!(sessions.open_request(&mut context, id, opening_request(id)));
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count()), (true, 0));
-    assert_eq!(sessions.eviction_candidate(), None, "a client with a request would be evicted");
+    assert_eq!(sessions.eviction_candidate(), None, "a client with an open request would be evicted");
     let (duplicate, _duplicate) = connect(&mut sessions, &mut context, u32::MAX);
     assert!(
         !sessions.open_request(&mut context, duplicate, opening_request(duplicate)),
-        "an id of two open requests"
+        "two open requests have the same id"
     );
     sessions.remove(&mut context, duplicate);
     assert!(sessions.open_ids.contains(5));
     assert!(sessions.begin_close(&mut context, id, b"BUSY\r\n"));
-    assert!(!sessions.begin_close(&mut context, id, b"ERR\r\n"), "a second answer");
+    assert!(!sessions.begin_close(&mut context, id, b"ERR\r\n"), "the session got a second answer");
     assert_eq!((sessions.open_ids.contains(5), sessions.idle_count()), (false, 1));
-    // Its open id is another's by now: the close of the first session must not release it.
+    // Another request has the open id now: the close of the first session must not release it.
     let (other, _other) = connect(&mut sessions, &mut context, u32::MAX);
     assert!(sessions.open_request(&mut context, other, opening_request(other)));
     sessions.remove(&mut context, id);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_session_reads_its_client_and_closes_in_good_order() {
+fn a_session_reads_its_first_line_and_closes_without_a_reset() {
     let (mut context, mut sessions) = (context(100), Sessions::default());
     let (id, mut client) = connect(&mut sessions, &mut context, u32::MAX);
     let session = sessions.get_mut(id).expect("connected");
@@ -72,7 +72,8 @@
     until(|| {
         session.connection.on_ready(READ);
         assert_eq!(session.read_first_line(100, &context.buffers), FirstLine::Incomplete);
-        session.deadline() == 2_500_100 // A line that has connected must end in time, though a front end has pinged before.
+        // A line that has begun must be complete in time, even if a ping has extended the deadline before.
+        session.deadline() == 2_500_100
     });
     client.write_all(b"chat\r\n").expect("open");
     until(|| {
