--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -1,4 +1,4 @@
-//! Clients from accept to the request in their first line, and while that waits for an answer.
+//! Accepts clients, reads their requests, and watches the clients while their requests wait for an answer.
 
 use std::net::SocketAddr;
 
@@ -18,15 +18,15 @@
 use crate::shutdown::MIN_DRAIN_TIME;
 use crate::transport::readiness::Readiness;
 
-/// A connection from before the start of this process has this long to be established again.
+/// Time within which a connection from before the start of this process must be established again.
 const RESTORE_TIMEOUT: Micros = 38_000_000;
 /// The retry delay while another process accepts clients in place of this one.
 const RETRY_AFTER_WITH_SUCCESSOR: Micros = 10_000;
-/// The retry delay in an overload, which only fewer clients relieve.
+/// The retry delay during an overload; it is long, since only fewer clients relieve the overload.
 const RETRY_AFTER_OVERLOAD: Micros = 1_000_000;
 
 impl Proxy {
-    /// A client has connected.
+    /// Begins the session of a client that has connected.
     pub fn accept_client(&mut self, context: &mut LoopContext, stream: TcpStream, client: SocketAddr) {
         let attempts = &self.attempts;
         let accepted = self.sessions.accept(context, stream, client, |id| attempts.has(id));
@@ -35,7 +35,7 @@
         self.on_session_ready(context, id, Readiness::default());
     }
 
-    /// The connection of a client is ready.
+    /// Handles readiness of a client's connection.
     pub fn on_session_ready(&mut self, context: &mut LoopContext, id: RequestId, readiness: Readiness) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         session.connection.on_ready(readiness);
@@ -43,8 +43,10 @@
             SessionStage::AwaitingRequest => self.read_first_line(context, id),
             SessionStage::AwaitingAnswer => match session.poll_while_waiting(&context.buffers) {
                 WaitingActivity::Silent => {}
-                // Passed on to the server later, it would be malformed there.
-                WaitingActivity::SentData => self.reject_malformed(context, id, "spoke before its answer"),
+                // Forwarded to the server later, this data would be malformed there.
+                WaitingActivity::SentData => {
+                    self.reject_malformed(context, id, "sent data before its answer")
+                }
                 WaitingActivity::Closed => self.on_client_left(context, id),
             },
             SessionStage::Established | SessionStage::Migrating => self.relay(context, id),
@@ -58,7 +60,7 @@
             FirstLine::Incomplete => self.sessions.schedule_timer(context, id),
             FirstLine::Line(line) => self.on_request(context, id, &line),
             FirstLine::Closed => self.on_incomplete_request(context, id),
-            FirstLine::TooManyPings => self.reject_malformed(context, id, "too many commands at a time"),
+            FirstLine::TooManyPings => self.reject_malformed(context, id, "too many PING lines at a time"),
             FirstLine::LineTooLong => {
                 let client = session.client_address();
                 if self.log_limiter.acquire(context) {
@@ -69,8 +71,9 @@
         }
     }
 
-    /// A client closed, or took too long, with its first line incomplete or missing. If it has not closed, its input is
-    /// read for a moment, so that the close does not become a reset.
+    /// Ends the session of a client that has closed, or timed out, before its first line was complete. If the
+    /// client has not closed, its input is read a little longer, since a close with unread input would send a
+    /// reset.
     pub(super) fn on_incomplete_request(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(session) = self.sessions.get(id) else { return };
         let has_closed = session.connection.peer_close.is_some();
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Answers a client that violates the protocol with an error.
+    /// Answers a client that has violated the protocol with an error; `why` is logged.
     fn reject_malformed(&mut self, context: &mut LoopContext, id: RequestId, why: &str) {
         let Some(session) = self.sessions.get(id) else { return };
         let (client, is_waiting) = (session.client_address(), session.is_waiting());
@@ -101,7 +104,7 @@
         self.answer(context, id, Answer::Failed, Cause::BadRequest);
     }
 
-    /// The first line of a client is complete.
+    /// Handles a complete first line: has the request in it placed, or rejects it.
     fn on_request(&mut self, context: &mut LoopContext, id: RequestId, line: &[u8]) {
         let open = match parse_open(line, &self.settings.names) {
             Ok(open) => open,
@@ -115,22 +118,23 @@
         self.set_class(id, open.class);
         let previous_server = open.previous_server.as_deref().map(server_id);
         if previous_server.is_some_and(|server| !self.servers.is_listed(server)) {
-            return self.reject_malformed(context, id, "at= names no server");
+            return self.reject_malformed(context, id, "at= names a server that is not in the endpoint list");
         }
         let request = self.received_request(context.now, id, &open);
         let deadline =
             if previous_server.is_some() { context.now + RESTORE_TIMEOUT } else { request.deadline };
         let opened = SessionRequest { line, open_id: open.id, request, previous_server, deadline };
         if !self.sessions.open_request(context, id, opened) {
-            // A client that retries or migrates uses a new id, and an answered request has released its own.
-            return self.reject_malformed(context, id, "the id is in use");
+            // This is no valid retry: clients use a new id when they retry or migrate, and an id is released
+            // when its request is answered.
+            return self.reject_malformed(context, id, "the id belongs to another open request");
         }
         self.guard.receive(id, self.settings.idempotency_of(open.class));
         debug!(event = "received", req = id.0, id = %format_args!("{:x}", open.id), class = open.class);
         if self.reject_if_unserviceable(context, id, previous_server) {
             return;
         }
-        // The client may have closed already, or sent more than it should.
+        // The client may have closed already, or sent data after its request.
         self.on_session_ready(context, id, Readiness::default());
         if self.sessions.get(id).is_some_and(Session::is_waiting) {
             self.place_request(context, request, previous_server);
@@ -157,7 +161,8 @@
         }
     }
 
-    /// Rejects a request during a shutdown, in an overload or without descriptors. Returns whether it did.
+    /// Rejects a request if a shutdown has begun, the worker is overloaded or descriptors are short. Returns
+    /// whether the request was rejected.
     fn reject_if_unserviceable(
         &mut self,
         context: &mut LoopContext,
@@ -165,13 +170,13 @@
         previous_server: Option<ServerId>,
     ) -> bool {
         if self.is_shutting_down {
-            // Clients are sent elsewhere in a moment; one that was accepted now would only have to migrate.
+            // Clients are about to be migrated: one that was accepted now would have to migrate at once.
             let retry_after = if self.has_successor { RETRY_AFTER_WITH_SUCCESSOR } else { MIN_DRAIN_TIME };
             self.answer_unserved(context, id, retry_after, Cause::Shutdown);
             return true;
         }
         if previous_server.is_none() && !context.overload.admit() {
-            // Rejecting costs a tenth of accepting, so established connections stay served.
+            // Rejecting costs a tenth of accepting, which leaves time to serve established connections.
             self.answer_unserved(context, id, RETRY_AFTER_OVERLOAD, Cause::Overload);
             return true;
         }
@@ -183,7 +188,8 @@
         false
     }
 
-    /// Has the driver place a request, or brings it back to the server that had accepted it before.
+    /// Passes a request to the driver for placement, or begins an attempt at the server that had accepted it
+    /// before this process started.
     fn place_request(
         &mut self,
         context: &mut LoopContext,
@@ -199,7 +205,7 @@
         context.emit(NetworkEvent::RequestReceived(request));
     }
 
-    /// A client has closed while its request was waiting.
+    /// Abandons the request of a client that has closed while the request was waiting.
     fn on_client_left(&mut self, context: &mut LoopContext, id: RequestId) {
         context.emit(NetworkEvent::ClientLeft(id));
         self.count_reply(id, Reply::Error);
@@ -209,7 +215,8 @@
         self.end_attempt(context, id, Outcome::Cancelled);
     }
 
-    /// Counts the outcome of a request for operators: that it was established, or how it ended; the first of them only.
+    /// Counts the outcome of a request for operators. Only the first outcome counts: that the request was
+    /// established or, if it never was, how it ended.
     pub(super) fn count_reply(&mut self, id: RequestId, reply: Reply) {
         if let Some(class) = self.sessions.get_mut(id).and_then(Session::take_uncounted_class) {
             self.counters.record_reply(class, reply);
