--- a/crates/balancer/src/proxy/answers.rs
+++ b/crates/balancer/src/proxy/answers.rs
@@ -1,4 +1,5 @@
-//! Final answers: the one place where a client gets one, checked by the guard that knows which requests may have run.
+//! Sends clients their final answers. Every final answer passes through here and is checked by the request
+//! guard, which tracks the requests that a server may have run.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -14,7 +15,8 @@
 use crate::event_loop::context::LoopContext;
 use crate::proxy::Proxy;
 
-/// The message of an answer; `None` if the connection is closed without one.
+/// Returns the message that tells a client its answer, or `None` if the connection is closed without a
+/// message.
 fn message_of(answer: Answer) -> Option<Message<'static>> {
     match answer {
         Answer::Rejected { retry_after } => Some(rejected(retry_after)),
@@ -25,12 +27,12 @@
     }
 }
 
-/// The line of an answer; empty if the connection is closed without one.
+/// Returns the line to send for an answer, or an empty string if the connection is closed without a message.
 fn answer_line(answer: Answer) -> String {
     message_of(answer).map(|message| message.to_string()).unwrap_or_default()
 }
 
-/// What an answer counts as for operators.
+/// Returns the reply as which an answer is counted for operators, if it is counted at all.
 fn counted_reply(answer: Answer) -> Option<Reply> {
     match answer {
         Answer::Rejected { .. } => Some(Reply::Overload),
@@ -41,7 +43,8 @@
 }
 
 impl Proxy {
-    /// Sends a client its final answer and begins to close its connection; does nothing if that was done before.
+    /// Sends a client its final answer and begins to close its connection. If the guard forbids the answer,
+    /// its replacement is sent instead. Does nothing if the session is gone or already closing.
     pub fn answer(&mut self, context: &mut LoopContext, id: RequestId, answer: Answer, cause: Cause) {
         if self.sessions.get(id).is_none_or(|session| session.stage() == SessionStage::Closing) {
             return;
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Answers a client that no server has accepted: rejects it if trying again is harmless, and fails its request otherwise.
+    /// Answers a request that no server has accepted: rejects it with the retry delay `after` if a retry is
+    /// safe, and fails it otherwise.
     pub fn answer_unserved(&mut self, context: &mut LoopContext, id: RequestId, after: Micros, cause: Cause) {
         let answer = self.guard.answer_for_unserved(id, after);
         self.answer(context, id, answer, cause);
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Logs a step that the guard has prevented. That it was attempted at all is a bug.
+    /// Logs a step that the guard has refused. Every such violation is a bug in this program.
     pub(super) fn report_violation(&self, violation: &Violation, cause: Cause) {
         let (rule, req, attempt) = (violation.rule, violation.request.0, violation.attempt);
         let server = self.servers.name(violation.server);
@@ -88,7 +92,7 @@
         debug_assert!(false, "{violation}, cause {cause}");
     }
 
-    /// Closes a client's connection, whatever is still to be sent.
+    /// Closes a client's connection at once and drops its unsent output.
     pub(super) fn close_session(&mut self, context: &mut LoopContext, id: RequestId, cause: Cause) {
         if let Err(violation) = self.guard.close(id) {
             self.report_violation(&violation, cause);
@@ -96,7 +100,7 @@
         self.sessions.remove(context, id);
     }
 
-    /// Goes on with the close of a client's connection, as far as possible now.
+    /// Continues closing a client's connection as far as possible without blocking.
     pub(super) fn continue_close(&mut self, context: &mut LoopContext, id: RequestId) {
         match self.sessions.get_mut(id).map(|session| session.continue_close(&context.buffers)) {
             Some(CloseProgress::Done) => self.close_session(context, id, Cause::Server),
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Logs how many attempts and answers of each kind there were.
+    /// Logs the total numbers of attempts, of answers and of violations of each kind.
     pub fn log_totals(&self) {
         let stats = self.guard.stats();
         tracing::info!(
@@ -113,15 +117,15 @@
             first_attempts = stats.first_attempts,
             retries = stats.retries,
             withheld = stats.window_expired,
-            attempts_ended = counts(&stats.attempts_ended),
-            answers = counts(&stats.answers),
-            violations = counts(&stats.violations),
+            attempts_ended = format_counts(&stats.attempts_ended),
+            answers = format_counts(&stats.answers),
+            violations = format_counts(&stats.violations),
         );
     }
 }
 
 /// Formats counts for a log line: `name:count`, separated by commas.
-fn counts<T: Display>(counts: &BTreeMap<T, u64>) -> String {
-    let words: Vec<String> = counts.iter().map(|(what, count)| format!("{what}:{count}")).collect();
+fn format_counts<T: Display>(counts: &BTreeMap<T, u64>) -> String {
+    let words: Vec<String> = counts.iter().map(|(name, count)| format!("{name}:{count}")).collect();
     words.join(",")
 }
--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers, from their beginning to the server's answer.
+//! Runs the attempts of requests, from the start of an attempt to the server's answer.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,8 @@
 use crate::transport::readiness::Readiness;
 
 impl Proxy {
-    /// The address of a server for a request. The server that had accepted it before is used even while it drains.
+    /// Returns the address of a server if an attempt of this request may use it. A restored request may
+    /// return to its previous server even while that server is draining.
     pub(super) fn address_for(&self, id: RequestId, server: ServerId) -> Option<SocketAddr> {
         match self.sessions.get(id).map(Session::previous_server) {
             Some(Some(previous)) if previous == server => self.servers.address(server),
@@ -29,7 +30,7 @@
         self.sessions.get(id).is_some_and(Session::is_waiting)
     }
 
-    /// Begins an attempt, which may take as long as `timeout`.
+    /// Begins an attempt that is ended after `timeout` if the server has not answered by then.
     pub fn begin_attempt(
         &mut self,
         context: &mut LoopContext,
@@ -37,7 +38,7 @@
         server: ServerId,
         timeout: Micros,
     ) {
-        // A request has one attempt at a time, whoever asks for a second one.
+        // A request has at most one attempt at a time.
         if self.attempts.has(id) || self.pending_dials.contains_key(&id) {
             return;
         }
@@ -63,7 +64,8 @@
         self.dial(context, id, PendingDial { server, deadline, failures: 0 }, address);
     }
 
-    /// Reports how an attempt ended. An attempt to restore a connection concerns the driver only once it is established.
+    /// Reports to the driver how an attempt ended. A failed attempt to restore a connection is handled here
+    /// instead: the driver learns of such a connection only once it is established.
     pub(super) fn report_attempt_end(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         match self.sessions.get(id).map(|session| (session.previous_server(), session.is_waiting())) {
             Some((Some(server), true)) => self.on_restored_attempt_ended(context, id, server, outcome),
@@ -71,7 +73,8 @@
         }
     }
 
-    /// A connection from before the start of this process was not established: it is tried again if that is harmless.
+    /// Handles a failed attempt to restore a connection from before the start of this process. It is retried
+    /// if the server can't have run the request; otherwise the request fails.
     fn on_restored_attempt_ended(
         &mut self,
         context: &mut LoopContext,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Ends the attempt of a request, its connection included, and reports that.
+    /// Ends the attempt of a request, closes its connection to the server and reports the outcome.
     pub fn end_attempt(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         let server = self.attempts.server(id);
         let is_pending = self.pending_dials.remove(&id).is_some();
@@ -100,7 +103,7 @@
         }
     }
 
-    /// The connection of an attempt is ready.
+    /// Handles readiness of an attempt's connection.
     pub fn on_attempt_ready(&mut self, context: &mut LoopContext, id: RequestId, readiness: Readiness) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.connection.on_ready(readiness);
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Goes on with an attempt: sends the first line once it is connected, and reads the server's answer.
+    /// Advances an attempt: sends the first line once the connection is up, and reads the server's answer.
     pub(super) fn advance_attempt(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.stage() == AttemptStage::Connecting {
@@ -124,12 +127,13 @@
         self.read_answer(context, id);
     }
 
-    /// Sends the first line on a connection that has come up, if the request may still be sent. Returns whether it was.
+    /// Sends the first line on a new connection, or ends the attempt if the request may no longer be sent.
+    /// Returns whether the line was sent.
     fn send_first_line(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
         // Poll may not have reported yet that the client has closed.
         self.on_session_ready(context, id, Readiness::READ);
         let Some(server) = self.attempts.server(id) else { return false };
-        // The server may drain by now.
+        // The server may have begun to drain since the attempt began.
         let is_available = self.address_for(id, server).is_some();
         let may_send = is_available
             && self.guard.send(id, context.now).unwrap_or_else(|violation| {
@@ -171,7 +175,8 @@
         }
     }
 
-    /// A server has accepted a client.
+    /// Marks a session and its attempt as established after the server has accepted the client, and relays
+    /// what has already been received.
     fn on_attempt_established(&mut self, context: &mut LoopContext, id: RequestId) {
         let (Some(attempt), Some(session)) = (self.attempts.get_mut(id), self.sessions.get_mut(id)) else {
             return;
--- a/crates/balancer/src/proxy/descriptors.rs
+++ b/crates/balancer/src/proxy/descriptors.rs
@@ -1,4 +1,5 @@
-//! Descriptors: what sessions, attempts and probes hold, and who is evicted when they run short.
+//! Counts the descriptors that sessions, attempts and probes hold, and evicts idle sessions when descriptors
+//! run short.
 
 use shorewharf_lifecycle::Cause;
 
@@ -9,7 +10,8 @@
 use crate::transport::readiness::Readiness;
 
 impl Proxy {
-    /// Deducts the descriptors that another process of this balancer holds from the limit.
+    /// Sets the number of descriptors that another process of this balancer holds, which is deducted from the
+    /// limit.
     pub fn set_sibling_descriptors(&mut self, descriptors: usize) {
         self.sibling_descriptors = descriptors;
         self.descriptor_budget.set_limit(self.settings.max_descriptors.saturating_sub(descriptors));
@@ -20,13 +22,13 @@
         DescriptorsInUse { total: all, idle: self.sessions.idle_count() }
     }
 
-    /// Whether a connection to a server may be opened: enough descriptors are left to answer clients.
+    /// Whether a connection to a server may be opened with enough descriptors left to answer clients.
     pub fn has_capacity(&self) -> bool {
         self.descriptor_budget.can_connect(self.descriptors_in_use())
     }
 
-    /// Sees to it that a connection to a server may be opened, if necessary by evicting idle sessions. Returns false if
-    /// that is impossible.
+    /// Ensures that a connection to a server may be opened, if necessary by evicting idle sessions. Returns
+    /// false if eviction can't free enough descriptors.
     pub(super) fn ensure_capacity(&mut self, context: &mut LoopContext) -> bool {
         while !self.has_capacity() {
             let can_evict = self.descriptor_budget.can_evict(self.descriptors_in_use());
@@ -37,13 +39,14 @@
         true
     }
 
-    /// Evicts idle sessions until they keep to their share of the descriptors.
+    /// Evicts idle sessions until they hold no more than their share and the limit on descriptors is kept.
     pub(super) fn evict_surplus(&mut self, context: &mut LoopContext) {
         while self.descriptor_budget.must_evict(self.descriptors_in_use()) && self.evict_idle(context) {}
     }
 
-    /// Closes the idle session that is needed least. Its input is read first: a complete line is a request, and a close
-    /// with unread input would be a reset, which could overtake a final answer. Returns false if no session is idle.
+    /// Closes the first idle session in the order of eviction. Its input is read first: a complete line is a
+    /// request, which makes the session busy, and a close with unread input would send a reset, which could
+    /// destroy a final answer before the client reads it. Returns false if no session is idle.
     fn evict_idle(&mut self, context: &mut LoopContext) -> bool {
         let Some(id) = self.sessions.eviction_candidate() else { return false };
         self.on_session_ready(context, id, Readiness::READ);
@@ -56,22 +59,22 @@
         true
     }
 
-    /// Whether one more client may be accepted, before anyone is evicted for it.
+    /// Whether one more client may be accepted, if necessary by evicting an idle session afterwards.
     pub fn can_accept(&self) -> bool {
         self.descriptor_budget.can_accept(self.descriptors_in_use())
     }
 
-    /// Notes and logs that descriptors have run out, or are enough again.
+    /// Records whether descriptors have run out, and logs a change.
     pub fn set_descriptor_shortage(&mut self, is_short: bool) {
         self.descriptor_budget.set_shortage(is_short, self.descriptors_in_use());
     }
 
-    /// Whether descriptors have run out, as it was noted last.
+    /// Whether descriptors had run out when that was last recorded.
     pub fn has_descriptor_shortage(&self) -> bool {
         self.descriptor_budget.has_shortage()
     }
 
-    /// Publishes for operators how many requests are open and how many descriptors are in use.
+    /// Publishes the numbers of open requests and of descriptors in use to the operators' counters.
     pub fn publish_gauges(&self) {
         let in_use = self.descriptors_in_use();
         self.counters.set_held(self.sessions.len() - in_use.idle, in_use.total);
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -1,4 +1,4 @@
-//! Dialling servers. A connection that fails on this machine's side is dialled again, since that says nothing about the
+//! Dials servers. A dial that fails for a local reason is retried, since the failure says nothing about the
 //! server.
 
 use std::net::SocketAddr;
@@ -11,22 +11,23 @@
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::servers::attempt::{AttemptTarget, DialError};
 
-/// The delays before a connection is dialled again: together they outlast a moment without ports, routes or descriptors.
+/// The delays before successive retries of a dial: together they outlast a short lack of ports, routes or
+/// descriptors.
 const DIAL_RETRY_DELAYS: [Micros; 7] = [2_000, 4_000, 8_000, 16_000, 32_000, 64_000, 128_000];
 
-/// An attempt whose connection could not be begun yet.
+/// An attempt whose dial has failed for a local reason and is to be retried.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingDial {
-    /// The server that it goes to.
+    /// The server to dial.
     pub server: ServerId,
-    /// When the attempt must be over.
+    /// The deadline of the attempt.
     pub deadline: Micros,
-    /// How often dialling has failed.
+    /// The number of dials that have failed so far.
     pub failures: usize,
 }
 
 impl Proxy {
-    /// Begins the connection of an attempt that the guard has permitted.
+    /// Opens the connection of an attempt that the guard has permitted.
     pub(super) fn dial(
         &mut self,
         context: &mut LoopContext,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Dials again after a delay, or gives the attempt up if no time is left for that.
+    /// Schedules a retry of a dial, or ends the attempt if it has no retry or no time left.
     fn schedule_dial_retry(&mut self, context: &mut LoopContext, id: RequestId, mut dial: PendingDial) {
         let delay = DIAL_RETRY_DELAYS.get(dial.failures).copied();
         match delay.filter(|delay| context.now + delay < dial.deadline) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The delay before a connection is dialled again is over.
+    /// Dials again after the retry delay.
     pub fn retry_dial(&mut self, context: &mut LoopContext, id: RequestId) {
         let Some(dial) = self.pending_dials.remove(&id) else { return };
         let address = self.address_for(id, dial.server).filter(|_| self.ensure_capacity(context));
@@ -80,7 +81,7 @@
         }
     }
 
-    /// An attempt has ended before it had a connection.
+    /// Reports an attempt that has ended without a connection.
     fn on_attempt_not_started(&mut self, context: &mut LoopContext, id: RequestId, outcome: Outcome) {
         self.guard.end_attempt(id, outcome);
         self.report_attempt_end(context, id, outcome);
--- a/crates/balancer/src/proxy/established.rs
+++ b/crates/balancer/src/proxy/established.rs
@@ -1,4 +1,4 @@
-//! Established connections: what is forwarded on them, and how they end.
+//! Relays established connections and ends them.
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
 use shorewharf_driver::NetworkEvent;
@@ -13,13 +13,13 @@
 use crate::servers::delays::LoadFigure;
 use crate::transport::connection::PeerClose;
 
-/// Microseconds of work a second, the unit of loads in `LOAD` lines, in one unit of load of the decisions.
+/// One unit of load of the decisions in the unit of `LOAD` lines, which is microseconds of work per second.
 const LOAD_MICROS_PER_UNIT: f64 = 1e6;
-/// Microseconds in a millisecond, the unit of delays in `LOAD` lines.
+/// Converts the delays in `LOAD` lines, which are in milliseconds, to microseconds.
 const MICROS_PER_MILLISECOND: f64 = 1e3;
 
 impl Proxy {
-    /// Goes on with a connection that was left unfinished.
+    /// Continues relaying or closing a connection that was interrupted to serve other connections.
     pub fn resume(&mut self, context: &mut LoopContext, id: RequestId) {
         match self.sessions.get(id).map(Session::stage) {
             Some(SessionStage::Closing) => self.continue_close(context, id),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes the connections that were left unfinished, for [`Proxy::resume`].
+    /// Takes the list of connections with unfinished work, to be passed to [`Proxy::resume`].
     pub fn take_unfinished(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.unfinished)
     }
@@ -37,7 +37,7 @@
         !self.unfinished.is_empty()
     }
 
-    /// Forwards what has come on an established connection, and the closes of its sides.
+    /// Forwards the lines received on an established connection, and passes on closes.
     pub fn relay(&mut self, context: &mut LoopContext, id: RequestId) {
         let (Some(session), Some(attempt)) = (self.sessions.get_mut(id), self.attempts.get_mut(id)) else {
             return;
@@ -59,8 +59,8 @@
         self.apply_closes(context, id);
     }
 
-    /// One side has sent a line over the protocol's limit, which ends the connection. Only a server's own fault counts
-    /// against it.
+    /// Ends a connection on which one side has sent a line over the protocol's limit. It counts against the
+    /// server only if the server sent that line.
     fn on_line_too_long(&mut self, context: &mut LoopContext, id: RequestId, side: Side) {
         let Some(client) = self.sessions.get(id).map(Session::client_address) else { return };
         if self.log_limiter.acquire(context) {
@@ -74,7 +74,7 @@
         self.close_both(context, id, PeerClose::Reset, outcome);
     }
 
-    /// Does what the closes of the two sides demand.
+    /// Ends the connection, or sets the deadline for its end, as required by the closes of its two sides.
     fn apply_closes(&mut self, context: &mut LoopContext, id: RequestId) {
         let (Some(session), Some(attempt)) = (self.sessions.get_mut(id), self.attempts.get_mut(id)) else {
             return;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// A `LOAD` line has come on a connection: reports the load of the connection, or the delay of the server.
+    /// Reports the number in a `LOAD` line to the driver: as the load of the connection or as the message
+    /// delay of the server. A number that could be either is only logged.
     fn on_load_figure(&mut self, context: &mut LoopContext, id: RequestId, server: ServerId, figure: f64) {
         let kind = if self.settings.servers_report_delay {
             self.servers.classify_load(context.now, server, figure)
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Closes both sides of an established connection, the client's in the same way as the server's was.
+    /// Closes both sides of an established connection; `close` tells how the client's side is closed.
     pub(super) fn close_both(
         &mut self,
         context: &mut LoopContext,
@@ -132,8 +133,9 @@
         }
     }
 
-    /// The server leaves a line unanswered: the client is asked to migrate. The server counts as dropping its client,
-    /// unless it has sent something to others meanwhile.
+    /// Handles a server that has left a line unanswered for too long: asks the client to migrate, or resets
+    /// its connection if a line is only partly forwarded. The attempt counts as reset by the server unless
+    /// the server has sent something to other clients in the meantime.
     pub(super) fn on_silent_server(&mut self, context: &mut LoopContext, id: RequestId, since: Micros) {
         let is_alive = self.attempts.is_server_alive(id, since);
         self.end_attempt(context, id, if is_alive { Outcome::Cancelled } else { Outcome::Reset });
--- a/crates/balancer/src/proxy/migration.rs
+++ b/crates/balancer/src/proxy/migration.rs
@@ -1,4 +1,4 @@
-//! Asking established clients to migrate: at once, or in batches away from a disabled server.
+//! Asks established clients to migrate: at once, or in batches if their server is disabled.
 
 use std::collections::VecDeque;
 
@@ -10,11 +10,12 @@
 use crate::clients::session::Session;
 use crate::event_loop::context::{LoopContext, TimerEvent};
 
-/// Clients of a disabled server migrate in this many batches, within the second after which the server must get nothing.
+/// Number of batches in which the clients of a disabled server migrate. All batches fall within one second,
+/// after which nothing more may reach the server.
 const MIGRATION_BATCHES: usize = 8;
 const MIGRATION_BATCH_INTERVAL: Micros = 100_000;
 
-/// Clients that are to migrate away from disabled servers.
+/// Clients that are yet to be asked to migrate away from disabled servers.
 #[derive(Debug, Default)]
 pub struct PendingMigrations {
     clients: VecDeque<RequestId>,
@@ -22,7 +23,8 @@
 }
 
 impl PendingMigrations {
-    /// Adds a client. Returns whether it is the first one, so that the batches begin.
+    /// Adds a client. Returns whether the queue was empty, in which case the caller must schedule the first
+    /// batch.
     fn add(&mut self, id: RequestId) -> bool {
         let is_first = self.clients.is_empty();
         if is_first {
@@ -32,7 +34,7 @@
         is_first
     }
 
-    /// Takes the next batch, an even share of those that are left.
+    /// Takes the next batch: an even share of the clients that are left.
     fn take_batch(&mut self) -> Vec<RequestId> {
         let size = self.clients.len().div_ceil(self.batches_left.max(1));
         self.batches_left = self.batches_left.saturating_sub(1);
@@ -41,8 +43,9 @@
 }
 
 impl Proxy {
-    /// The driver wants a client to migrate. Clients of a disabled server, which doesn't end soon, do so in batches: all of
-    /// them at once would be a surge of reconnects.
+    /// Carries out the driver's decision that a client migrates. Clients of a disabled server migrate in
+    /// batches, since all of them at once would cause a reconnect surge. There is time for batches, as a
+    /// disabled server goes on running.
     pub fn request_migration(&mut self, context: &mut LoopContext, id: RequestId) {
         let server = self.attempts.server(id);
         if !server.is_some_and(|server| self.servers.disabled().is_disabled(server)) {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Asks an established client to migrate, as soon as the line that is being forwarded has ended.
+    /// Asks an established client to migrate as soon as the line that is being forwarded to it is complete.
     pub fn migrate(&mut self, context: &mut LoopContext, id: RequestId) {
         if self.sessions.get_mut(id).is_some_and(Session::begin_migration) {
             debug!(event = "migrating", req = id.0, server = self.server_name(id));
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -1,13 +1,16 @@
-//! The proxy: brings the requests of client sessions to servers and forwards their lines.
+//! The proxy: sends the requests of client sessions to servers and relays lines in both directions.
 //!
-//! [`Proxy`] owns the sessions, the attempts and the server table. It reports to the driver what happens, carries out what
-//! the driver decides, and has each step checked by the request guard. Each module here is one part of that:
+//! [`Proxy`] owns the sessions, the attempts and the server table. It reports network events to the driver,
+//! carries out the driver's decisions, and has each step of a request checked by the request guard. Its
+//! modules are:
 //!
-//! - `requests`: clients, from accept to the request in their first line;
-//! - `attempts` and `dialing`: attempts at servers, up to the server's answer;
-//! - `established`, `relay` and `migration`: established connections, and how they end;
-//! - `answers`: final answers, the one place where a client gets one;
-//! - `timeouts`, `shutdown`, `descriptors` and `transfer`: deadlines, and the limits and the end of the process.
+//! - `requests`: accepts clients and reads their requests;
+//! - `attempts` and `dialing`: run attempts, up to the server's answer;
+//! - `established`, `relay` and `migration`: relay established connections and end them;
+//! - `answers`: sends all final answers;
+//! - `timeouts`: handles deadlines and reports message delays;
+//! - `descriptors`: keeps the limit on descriptors;
+//! - `shutdown` and `transfer`: end the sessions of this process, or transfer them to another one.
 
 mod answers;
 mod attempts;
@@ -43,38 +46,38 @@
 use migration::PendingMigrations;
 pub use shutdown::SessionCounts;
 
-/// The retry delay that clients get when this process rejects them on its own account.
+/// The retry delay that clients get when the proxy rejects them without asking the driver.
 const RETRY_AFTER: Micros = 300_000;
 
-/// Client sessions, attempts, and the servers they go to.
+/// The client sessions, attempts and servers of a worker.
 #[derive(Debug)]
 pub struct Proxy {
-    /// The settings in force.
+    /// The current settings.
     pub settings: ProxySettings,
     /// The servers of the endpoint list.
     pub servers: ServerTable,
-    /// Probes of servers.
+    /// Probes of servers that are in progress.
     pub probes: Probes,
     sessions: Sessions,
     attempts: Attempts,
-    /// Attempts whose connection failed on this machine's side and is to be dialled again.
+    /// Attempts whose dial has failed for a local reason and is to be retried.
     pending_dials: BTreeMap<RequestId, PendingDial>,
-    /// Knows which requests may have run, and so what may be done with each.
+    /// Tracks which requests may have run, and checks each step and each answer against that.
     guard: RequestGuard,
     descriptor_budget: DescriptorBudget,
     log_limiter: LogRateLimiter,
-    /// Connections with more to forward or to read, once other connections have been served.
+    /// Connections with more to forward or to read, to be resumed after other connections have been served.
     unfinished: Vec<RequestId>,
-    /// Sessions that have a message delay to report, each once.
+    /// Sessions with a message delay to report, without duplicates.
     delay_reporters: Vec<RequestId>,
     pending_migrations: PendingMigrations,
-    /// Counters for operators.
+    /// Counters that are reported to operators.
     counters: WorkerCounters,
-    /// Descriptors that another process of this balancer holds.
+    /// This worker's share of the descriptors that another process of this balancer holds.
     sibling_descriptors: usize,
-    /// New requests are rejected.
+    /// Whether a shutdown has begun, during which new requests are rejected.
     is_shutting_down: bool,
-    /// Another process accepts clients in place of this one.
+    /// Whether another process accepts clients in place of this one.
     pub has_successor: bool,
 }
 
@@ -101,13 +104,13 @@
         }
     }
 
-    /// Puts other settings in force; sessions and attempts stay.
+    /// Applies new settings; sessions and attempts are kept.
     pub fn update_settings(&mut self, settings: ProxySettings) {
         self.settings = settings;
         self.set_sibling_descriptors(self.sibling_descriptors);
     }
 
-    /// Applies an endpoint list of discovery. Returns the entries that the driver receives.
+    /// Applies an endpoint list from discovery. Returns the entries to report to the driver.
     pub fn apply_endpoint_list(&mut self, update: EndpointUpdate, wall_clock: WallClock) -> Vec<ServerEntry> {
         self.servers.set_wall_clock(wall_clock);
         let attempts = &self.attempts;
--- a/crates/balancer/src/proxy/relay.rs
+++ b/crates/balancer/src/proxy/relay.rs
@@ -1,4 +1,5 @@
-//! Forwarding between a client session and its established attempt: complete lines both ways, and the closes.
+//! Forwards complete lines between a client session and its established attempt, and decides what follows
+//! when one side closes.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
 use shorewharf_units::Micros;
@@ -8,7 +9,7 @@
 use crate::servers::attempt::Attempt;
 use crate::transport::connection::{LineTooLong, PeerClose};
 
-/// Rounds of forwarding for one connection before other connections are served.
+/// Maximum number of forwarding rounds for one connection before other connections are served.
 const MAX_ROUNDS: usize = 8;
 
 /// One of the two ends of an established connection.
@@ -21,7 +22,7 @@
 }
 
 impl Side {
-    /// Its name in the log.
+    /// The name of the side in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Side::Client => "client",
@@ -30,18 +31,19 @@
     }
 }
 
-/// What came of forwarding.
+/// The result of forwarding lines on a connection.
 #[derive(Debug, Default, PartialEq)]
 pub struct RelayOutcome {
-    /// The figures of the server's `LOAD` lines, in their order.
+    /// The numbers in the server's `LOAD` lines, in the order of the lines.
     pub load_figures: Vec<f64>,
-    /// There is more to forward, once other connections have been served.
+    /// Whether there may be more to forward, after other connections have been served.
     pub has_more: bool,
-    /// Who sent a line over the protocol's limit.
+    /// The side that has sent a line over the protocol's limit, if any.
     pub too_long: Option<Side>,
 }
 
-/// Forwards lines both ways, as many as can be read and written now.
+/// Forwards lines in both directions until nothing more can be read or written without blocking, or until the
+/// maximum number of rounds is reached.
 pub fn forward_lines(
     context: &LoopContext,
     id: RequestId,
@@ -74,20 +76,21 @@
     outcome
 }
 
-/// What is to be done with an established connection.
+/// The next step for an established connection, depending on which sides have closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayDecision {
-    /// Go on forwarding.
+    /// Continue forwarding.
     Continue,
-    /// The server has closed: close the client's side in the same way, and count the attempt as this outcome.
+    /// The server has closed: close the client's side in the same way, and end the attempt with this outcome.
     CloseAsServer(PeerClose, Outcome),
     /// The client has reset its connection.
     ClientReset,
-    /// The client can be asked to migrate now.
+    /// The client is to migrate, and no line is partly forwarded to it.
     Migrate,
 }
 
-/// Passes the close of one side on to the other, once the lines before it have been forwarded.
+/// Passes a close of one side on to the other once the lines before the close have been forwarded, and
+/// returns the next step.
 pub fn check_closes(now: Micros, session: &mut Session, attempt: &mut Attempt) -> RelayDecision {
     match (attempt.connection.peer_close, session.connection.peer_close) {
         (Some(PeerClose::Reset), _) => {
@@ -117,8 +120,9 @@
     }
 }
 
-/// How the close by a server counts. A close without a final message is a drop, which gets a server ejected, unless the
-/// client may have caused it: by having closed itself, or by a line that the server could not read.
+/// Returns the outcome of an attempt that the server has closed. A close without a final message counts as a
+/// reset, which can get the server quarantined, unless the client may have caused it: by closing its own
+/// side, or by a line that the server could not parse.
 fn outcome_of_close(session: &Session, attempt: &Attempt) -> Outcome {
     let may_be_unreadable_line =
         attempt.connection.peer_close == Some(PeerClose::Fin) && session.unanswered_since().is_some();
--- a/crates/balancer/src/proxy/shutdown.rs
+++ b/crates/balancer/src/proxy/shutdown.rs
@@ -1,4 +1,4 @@
-//! What a graceful shutdown does to client sessions.
+//! Ends client sessions during a graceful shutdown.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
 use shorewharf_driver::NetworkEvent;
@@ -10,7 +10,7 @@
 use crate::event_loop::context::LoopContext;
 use crate::transport::readiness::Readiness;
 
-/// The sessions at the beginning of a shutdown.
+/// The numbers of sessions at the beginning of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionCounts {
     /// Sessions that a server has accepted.
@@ -20,7 +20,7 @@
 }
 
 impl Proxy {
-    /// Rejects new requests from now on.
+    /// Begins to reject new requests. Returns the numbers of sessions that are to be ended.
     pub fn begin_shutdown(&mut self) -> SessionCounts {
         self.is_shutting_down = true;
         let is_established = |session: &Session| {
@@ -37,7 +37,8 @@
         self.sessions.len()
     }
 
-    /// Asks an even share of the established clients to migrate, with `batches_left` more batches to come.
+    /// Asks an even share of the established clients to migrate, given that `batches_left` more batches
+    /// follow.
     pub fn migrate_batch(&mut self, context: &mut LoopContext, batches_left: Micros) {
         let established = self.sessions.ids_where(|session| session.stage() == SessionStage::Established);
         let batch = established.len().div_ceil(batches_left as usize + 1);
@@ -46,14 +47,15 @@
         }
     }
 
-    /// Answers the waiting requests, and closes the sessions that have sent none. A request that may have run can't be
-    /// rejected: it waits for its server until its own deadline, or until `is_last_call`, and fails then.
-    pub fn answer_waiting_clients(&mut self, context: &mut LoopContext, is_last_call: bool) {
+    /// Answers the waiting requests, and closes the sessions that have not sent a request. A request that may
+    /// have run can't be rejected: it waits for its server until its own deadline, or fails now if
+    /// `answer_all` is set.
+    pub fn answer_waiting_clients(&mut self, context: &mut LoopContext, answer_all: bool) {
         for id in self.sessions.ids_where(|session| session.stage() == SessionStage::AwaitingRequest) {
             self.close_without_request(context, id);
         }
         for id in self.sessions.ids_where(Session::is_waiting) {
-            if !is_last_call && !self.guard.is_rejectable(id) {
+            if !answer_all && !self.guard.is_rejectable(id) {
                 continue;
             }
             context.emit(NetworkEvent::ClientLeft(id));
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Closes a session unless its first line has come by now.
+    /// Closes a session that has not sent a request, after checking for a first line that has just arrived.
     fn close_without_request(&mut self, context: &mut LoopContext, id: RequestId) {
         self.on_session_ready(context, id, Readiness::READ);
         if self.sessions.get(id).is_some_and(|session| session.stage() == SessionStage::AwaitingRequest) {
--- a/crates/balancer/src/proxy/timeouts.rs
+++ b/crates/balancer/src/proxy/timeouts.rs
@@ -1,4 +1,4 @@
-//! Deadlines of sessions and attempts, and the periodic report of message delays.
+//! Handles the deadlines of sessions and attempts, and periodically reports message delays.
 
 use std::collections::BTreeMap;
 
@@ -20,12 +20,12 @@
 const SLOW_SERVER_DIVISOR: Micros = 3;
 
 impl Proxy {
-    /// Logs how many log lines were suppressed.
+    /// Logs how many log lines were suppressed in the last second, if any were.
     pub fn flush_log_limiter(&mut self, now: Micros) {
         self.log_limiter.log_suppressed(now);
     }
 
-    /// The timer of a session has fired.
+    /// Handles the timer of a session.
     pub fn on_session_timer(&mut self, context: &mut LoopContext, id: RequestId) {
         if self.sessions.on_timer(context, id) {
             self.on_session_due(context, id);
@@ -33,14 +33,14 @@
         }
     }
 
-    /// The timer of an attempt has fired.
+    /// Handles the timer of an attempt.
     pub fn on_attempt_timer(&mut self, context: &mut LoopContext, id: RequestId) {
         if let Some(outcome) = self.attempts.on_timer(context, id) {
             self.end_attempt(context, id, outcome);
         }
     }
 
-    /// A deadline of a session has passed: does what its stage demands.
+    /// Handles a session deadline that has passed, depending on the session's stage.
     fn on_session_due(&mut self, context: &mut LoopContext, id: RequestId) {
         let now = context.now;
         let Some(session) = self.sessions.get_mut(id) else { return };
@@ -56,7 +56,8 @@
                     self.begin_attempt(context, id, server, timeout);
                 }
             }
-            // Ensures that every request is answered before its client gives up.
+            // Ensures that every request is answered before its client gives up, even if the driver has not
+            // decided.
             SessionStage::AwaitingAnswer if session.is_overdue(now) => {
                 error!(event = "overdue", req = id.0, client = %session.client_address());
                 context.emit(NetworkEvent::ClientLeft(id));
@@ -72,7 +73,7 @@
     }
 
     fn on_first_line_overdue(&mut self, context: &mut LoopContext, id: RequestId) {
-        // A line that has come by now is a request.
+        // The first line may have arrived in time without having been read.
         self.on_session_ready(context, id, Readiness::READ);
         let is_still_overdue = self.sessions.get(id).is_some_and(|session| {
             session.stage() == SessionStage::AwaitingRequest && session.is_past_deadline(context.now)
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Reports how long messages take: once a period for each server that is slow, and once more when it no longer is.
+    /// Reports the message delays of servers to the driver: of each slow server once per period, and of a
+    /// server that is no longer slow once more.
     pub fn report_delays(&mut self, context: &mut LoopContext) {
         let samples = self.take_delay_samples(context);
         let slow_from = self.settings.message_latency_objective / SLOW_SERVER_DIVISOR;
@@ -106,8 +108,8 @@
         }
     }
 
-    /// What the established sessions have observed of each server. Sessions without anything recent are dropped from the
-    /// list until they send a line again.
+    /// Collects the message delays that established sessions have observed, by server. Sessions without a
+    /// recent observation are removed from the list until they send a line again.
     fn take_delay_samples(&mut self, context: &LoopContext) -> BTreeMap<ServerId, Vec<DelaySample>> {
         let mut samples = BTreeMap::<ServerId, Vec<DelaySample>>::new();
         let (sessions, attempts) = (&mut self.sessions, &self.attempts);
--- a/crates/balancer/src/proxy/transfer.rs
+++ b/crates/balancer/src/proxy/transfer.rs
@@ -1,4 +1,4 @@
-//! Transferring established connections to another process of this balancer, and adopting those of one.
+//! Transfers established connections to another process of this balancer, and adopts connections from one.
 
 use std::collections::HashMap;
 
@@ -13,21 +13,21 @@
 use crate::servers::attempt::Attempt;
 use crate::transport::connection::Connection;
 
-/// The name that has this index; empty without one.
+/// Returns the name with this index, or an empty string if there is none.
 fn name_of(names: &HashMap<String, usize>, index: usize) -> String {
     names.iter().find(|(_, at)| **at == index).map_or_else(String::new, |(name, _)| name.clone())
 }
 
 impl Proxy {
-    /// Established connections that another process can go on with.
+    /// Returns the requests whose established connections can be transferred to another process.
     pub fn transferable_connections(&self) -> Vec<RequestId> {
         let mut ids = self.sessions.ids_where(Session::is_transferable);
         ids.retain(|id| self.attempts.get(*id).is_some_and(Attempt::is_transferable));
         ids
     }
 
-    /// Takes a connection out of this process, with what the decisions know of it: its request and its reported load. For
-    /// the driver, its attempt has ended.
+    /// Removes a connection from this process for a transfer, together with the request and the reported load
+    /// that the decisions have stored for it. The driver is told that its attempt has ended.
     pub fn detach_for_transfer(
         &mut self,
         context: &mut LoopContext,
@@ -49,7 +49,8 @@
             client_buffers: session.connection.buffered(),
             server_buffers: attempt.connection.buffered(),
         };
-        // Poll watches the connection and not the descriptor, and the connection goes on.
+        // Closing the descriptor is not enough: epoll watches the open socket, which the other process keeps
+        // open.
         context.registry.deregister(&mut session.connection);
         context.registry.deregister(&mut attempt.connection);
         if let Err(violation) = self.guard.close(id) {
@@ -61,7 +62,8 @@
         Some(TransferredConnection { state, client, server })
     }
 
-    /// Adopts a connection of another process, or one that came back from there. Returns false if that is impossible.
+    /// Adopts a connection that another process has transferred, or one whose own transfer has failed.
+    /// Returns false if it can't be adopted.
     pub fn adopt_transferred(
         &mut self,
         context: &mut LoopContext,
@@ -82,7 +84,7 @@
         let Some(id) = adopted else { return false };
         let server_id = ServerId(state.server);
         let class = self.settings.names.classes.get(&state.class).copied();
-        // The client is asked to come again rather than cut off.
+        // If possible, the client is asked to migrate instead of having its connection cut.
         let Some(class) = class.filter(|_| self.attempts.adopt(context, id, server_id, server)) else {
             let answer = if is_at_line_boundary { Answer::Migrated } else { Answer::Closed };
             self.answer(context, id, answer, Cause::Handover);
