--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Commands of operators, carried out by the event loop of the primary worker.
+//! Carries out operators' commands in the event loop of the primary worker.
 
 use shorewharf_decisions::interface::ServerId;
 use shorewharf_driver::NetworkEvent;
@@ -16,15 +16,16 @@
 use crate::transport::readiness::Readiness;
 use crate::workers::pool::WorkerMessage;
 
-/// How often changes of other processes are looked for: they must apply a command within its second.
+/// How often the shared folder is checked for changes of other processes: a command that one process has
+/// received must be applied by all within a second.
 const SHARED_FOLDER_INTERVAL: Micros = 100_000;
-/// Who has disabled or enabled a server, as the log says it.
-const BY_COMMAND: &str = "a call";
+/// The cause for which a server was disabled or enabled, in log lines.
+const BY_COMMAND: &str = "an operator's command";
 const BY_OTHER_PROCESS: &str = "another process";
 
 impl EventLoop {
-    /// Serves connections of operators, ahead of all others. `avoided_servers` returns the servers that currently get no
-    /// requests.
+    /// Serves operators' connections ahead of all others. `avoided_servers` returns the servers that
+    /// currently get no requests.
     pub fn serve_admin(
         &mut self,
         ready: impl Iterator<Item = (EventSource, Readiness)>,
@@ -72,7 +73,7 @@
             let disabled = DisabledServer { name: name.as_str().into(), disabled_at };
             self.change_servers(AdminChange::Disabled(server, disabled), BY_COMMAND);
         }
-        // Saved again even if it was disabled before: saving may have failed then.
+        // Saved even if the server was disabled before, since saving may have failed then.
         if let Some(admin) = &mut self.admin {
             admin.save_disabled(server, &name);
         }
@@ -85,7 +86,7 @@
         if !servers.disabled().is_disabled(server) && !servers.has_name(server, &name) {
             return CommandReply::Rejected(CommandError::UnknownServer(name));
         }
-        // The file first: as long as it exists the server would be disabled again.
+        // The file is removed first: as long as it exists, the server would be disabled again.
         if let Some(admin) = &mut self.admin {
             admin.save_enabled(server);
         }
@@ -94,7 +95,7 @@
         CommandReply::Done
     }
 
-    /// Logs and applies a change, here and at all other workers.
+    /// Logs a change and applies it at this worker and all others.
     fn change_servers(&mut self, change: AdminChange, by: &str) {
         let disabled = self.proxy.servers.disabled();
         match &change {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Applies what other processes of this balancer have changed in the shared folder.
+    /// Applies the changes that other processes of this balancer have made in the shared folder.
     pub(super) fn read_shared_folder(&mut self) {
         let Some(admin) = &mut self.admin else { return };
         if admin.folder.is_none() {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// What is reported to operators, as it is now.
+    /// Returns the current metrics for operators.
     fn metrics(&self, avoided_servers: &[ServerId]) -> Metrics {
         self.proxy.publish_gauges();
         let sums = WorkerCounters::sum(self.admin.as_ref().map_or(&[], |admin| &admin.counters));
