--- a/crates/balancer/src/event_loop/accept.rs
+++ b/crates/balancer/src/event_loop/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, as much as descriptors and load allow, and sharing them with other workers.
+//! Accepts clients as far as descriptors and load allow, and passes some of them to other workers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 const ACCEPT_RETRY_DELAY: Micros = 100_000;
 
 impl EventLoop {
-    /// Accepts waiting clients, as many as one iteration may. Calls `process_events` after each.
+    /// Accepts waiting clients, up to the maximum of one iteration. Calls `process_events` after each client.
     pub(super) fn accept_clients(&mut self, mut process_events: impl FnMut(&mut Self)) {
         if self.shutdown_started_at.is_some() && self.proxy.has_successor {
-            // The successor has the same listener: the waiting clients are its own.
+            // The successor has the same listener and accepts the waiting clients.
             return;
         }
         for _ in 0..self.context.overload.max_accepts() {
@@ -38,18 +38,19 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.acceptor.on_backlogs_empty(),
                 Err(e) if is_shortage(&e) => return self.on_accept_shortage(),
-                // The next client may be fine.
+                // The next call may succeed.
                 Err(e) if is_transient(&e) => {}
-                // A permanent error must not become a busy loop.
+                // Retried only after a delay, since a permanent error must not cause a busy loop.
                 Err(e) => {
                     error!(event = "accept-failed", error = %e);
                     return self.schedule_accept_retry();
                 }
             }
         }
-        // A flood must not keep the loop busy with rejecting clients.
+        // Without capacity, clients are accepted only after a delay, so that a flood does not keep the loop
+        // busy with rejecting them.
         if self.proxy.has_capacity() {
-            self.acceptor.accept_if_waiting();
+            self.acceptor.update_due();
         } else {
             self.schedule_accept_retry();
         }
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The delay after a shortage is over: clients are accepted again.
+    /// Handles the timer after a shortage or a failure: clients are accepted again.
     pub(super) fn on_accept_timer(&mut self) {
         self.acceptor.on_retry_timer();
         if self.proxy.has_capacity() {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Accepts one client before the listener is closed; further ones are accepted in this iteration and the next.
-    /// Returns whether any may wait.
+    /// Accepts a waiting client before the listener is closed; further clients are accepted in this iteration
+    /// and the next. Returns false if no client waits.
     pub(super) fn accept_last_client(&mut self) -> bool {
         self.acceptor.on_listener_ready();
         match self.acceptor.accept(self.workers.as_ref()) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Takes an accepted client, or passes it to a worker that has far fewer.
+    /// Serves an accepted client, or passes it to a worker that has far fewer clients.
     fn assign_client(&mut self, stream: TcpStream, client: SocketAddr) {
         let less_loaded = self.workers.as_ref().and_then(|workers| {
             Some((workers, workers.less_loaded_worker(self.context.now, self.proxy.client_count())?))
--- a/crates/balancer/src/event_loop/acceptor.rs
+++ b/crates/balancer/src/event_loop/acceptor.rs
@@ -1,4 +1,4 @@
-//! The listeners at which a worker accepts clients, and what is known of the clients that wait there.
+//! The listeners at which a worker accepts clients, and whether clients may be waiting there.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,25 +8,27 @@
 use crate::transport::connection::is_shortage;
 use crate::workers::pool::WorkerPool;
 
-/// How often accept(2) is tried that fails transiently: mostly the next call succeeds, and poll reports a waiting client
-/// only once.
+/// Number of times that accept(2) is called while it fails transiently: mostly the next call succeeds, and
+/// poll reports a waiting client only once.
 const MAX_ACCEPT_TRIES: usize = 4;
 
-/// A listener, and what is known of clients that wait at it.
+/// A listener, and whether clients are to be accepted at it.
 #[derive(Debug)]
 pub struct Acceptor {
     listener: TcpListener,
-    /// The last accept did not show that the backlog is empty.
+    /// Whether clients may wait at the listener: the last accept did not show that its backlog is empty.
     has_backlog: bool,
     /// The same for the listener of the neighbour, while that worker stalls.
     has_neighbour_backlog: bool,
-    /// Clients are to be accepted in this iteration, or in the next if more wait than one iteration accepts.
+    /// Whether clients are to be accepted in this iteration, or in the next if more wait than one iteration
+    /// accepts.
     is_due: bool,
+    /// Whether a timer is set after which clients are accepted again.
     is_retry_scheduled: bool,
 }
 
 impl Acceptor {
-    /// Creates an acceptor for a listener whose backlog has not been looked at.
+    /// Creates an acceptor for a listener whose backlog has not been checked yet.
     pub fn new(listener: TcpListener) -> Self {
         Acceptor {
             listener,
@@ -42,36 +44,37 @@
         self.is_due
     }
 
-    /// Takes the mark that clients are to be accepted in this iteration.
+    /// Returns whether clients are to be accepted in this iteration, and clears the mark for that.
     pub fn take_due(&mut self) -> bool {
         std::mem::take(&mut self.is_due)
     }
 
-    /// Clients may wait at the listener.
+    /// Records that clients may wait at the listener.
     pub fn on_listener_ready(&mut self) {
         (self.has_backlog, self.is_due) = (true, true);
     }
 
-    /// Clients may wait at the neighbour's listener.
+    /// Records that clients may wait at the neighbour's listener.
     pub fn on_neighbour_ready(&mut self) {
         (self.has_neighbour_backlog, self.is_due) = (true, true);
     }
 
-    /// Begins or ends accepting at the neighbour's listener. Clients that wait there already are not reported by poll.
+    /// Begins or ends accepting at the neighbour's listener. Accepting is due at once, since poll does not
+    /// report clients that wait there already.
     pub fn set_serving_neighbour(&mut self, is_serving: bool) {
         self.has_neighbour_backlog = is_serving;
         self.is_due |= is_serving;
     }
 
-    /// Marks that a retry has been scheduled; returns whether one was scheduled before.
+    /// Records that a retry has been scheduled. Returns whether one was scheduled before.
     pub fn mark_retry_scheduled(&mut self) -> bool {
         std::mem::replace(&mut self.is_retry_scheduled, true)
     }
 
-    /// The delay after a shortage is over.
+    /// Handles the retry timer after a shortage or a failure.
     pub fn on_retry_timer(&mut self) {
         self.is_retry_scheduled = false;
-        self.accept_if_waiting();
+        self.update_due();
     }
 
     /// Whether clients may wait at either listener.
@@ -79,17 +82,17 @@
         self.has_backlog || self.has_neighbour_backlog
     }
 
-    /// Goes on in the next iteration if clients may wait.
-    pub fn accept_if_waiting(&mut self) {
+    /// Makes accepting due in the next iteration if clients may wait, and not due otherwise.
+    pub fn update_due(&mut self) {
         self.is_due = self.has_waiting_clients();
     }
 
-    /// No client waits at either listener.
+    /// Records that no client waits at either listener.
     pub fn on_backlogs_empty(&mut self) {
         (self.has_backlog, self.has_neighbour_backlog) = (false, false);
     }
 
-    /// Accepts the next client that waits here, or at the neighbour's listener.
+    /// Accepts the next client that waits at the listener or, if none does, at the neighbour's listener.
     ///
     /// # Errors
     ///
@@ -118,7 +121,8 @@
     listener.accept()
 }
 
-/// Whether an error of accept(2) concerns that call only: the client has left, or a signal came.
+/// Whether an error of accept(2) concerns a single call only: the client has left, or a signal has
+/// interrupted the call.
 pub fn is_transient(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted)
 }
--- a/crates/balancer/src/event_loop/context.rs
+++ b/crates/balancer/src/event_loop/context.rs
@@ -1,5 +1,5 @@
-//! What each component of the event loop works with: the time of the iteration, timers, buffers, the registry of event
-//! sources, and the queue of events for the driver.
+//! The state that the components of the event loop share: the time of the iteration, timers, buffers, the
+//! registry of event sources, and the queue of events for the driver.
 
 use std::collections::VecDeque;
 
@@ -13,22 +13,22 @@
 use crate::overload::monitor::OverloadMonitor;
 use crate::transport::buffer_pool::BufferPool;
 
-/// What is to be done when a timer fires.
+/// The event of a timer, which tells what is due when it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// The driver has set a timer with this token.
+    /// A timer that the driver has set with this token.
     Driver(u64),
     /// A deadline of a client session may have passed.
     Session(RequestId),
     /// The deadline of an attempt may have passed.
     Attempt(RequestId),
-    /// A connection that failed on this machine's side is dialled again.
+    /// A dial that has failed for a local reason is retried.
     RetryDial(RequestId),
     /// The timeout of a probe has passed.
     Probe(u64),
     /// Discovery may have been silent for too long.
     DiscoveryClient,
-    /// Clients are accepted again after a shortage.
+    /// Clients are accepted again after a shortage or a failure.
     Accept,
     /// The message delays of servers are reported to the driver.
     ReportDelays,
@@ -52,13 +52,14 @@
     Snapshot,
 }
 
-/// The timer of an object that keeps its deadlines itself. It is set no later than the first deadline, and the object
-/// looks for what is due when it fires, so that a deadline that moves back or is dropped costs nothing.
+/// The timer of an object that stores its own deadlines. It is set for the earliest deadline or before, and
+/// the object checks its deadlines when the timer fires, so that postponing or dropping a deadline costs
+/// nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TimerHandle(Option<(Micros, TimerKey)>);
 
 impl TimerHandle {
-    /// Sees to it that the timer fires at `deadline` or earlier. Without a deadline nothing changes.
+    /// Ensures that the timer fires at `deadline` or earlier. Does nothing without a deadline.
     pub fn schedule_by(&mut self, context: &mut LoopContext, deadline: Option<Micros>, event: TimerEvent) {
         let Some(deadline) = deadline else { return };
         if self.0.is_none_or(|(scheduled_at, _)| scheduled_at > deadline) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The timer has fired and is no longer set.
+    /// Records that the timer has fired and is no longer set.
     pub fn on_fired(&mut self) {
         self.0 = None;
     }
@@ -80,10 +81,10 @@
     }
 }
 
-/// An iteration that begins so much later than planned shows that the machine, or the program, has stalled.
+/// An iteration that begins this much later than planned shows that the machine or the process has stalled.
 const STALL_THRESHOLD: Micros = 400_000;
-/// After a stall, peers have this long before their timeouts count: their data is still to be read, and they may have
-/// stalled together with this machine.
+/// Time after a stall during which timeouts of peers don't count: input from them may be unread, and they may
+/// have stalled together with this machine.
 const GRACE_AFTER_STALL: Micros = 500_000;
 
 /// The state of the event loop that its components share.
@@ -93,16 +94,17 @@
     pub now: Micros,
     /// The buffers of connections.
     pub buffers: BufferPool,
-    /// Where event sources are registered.
+    /// The registry of event sources.
     pub registry: SourceRegistry,
     /// The timers of all components.
     pub timers: TimerWheel<TimerEvent>,
-    /// How much load the loop can take on.
+    /// Measures the load of the loop and limits new clients.
     pub overload: OverloadMonitor,
+    /// Events that the driver has not processed yet.
     events: VecDeque<NetworkEvent>,
     /// When the next iteration is to begin at the latest.
     next_iteration_by: Micros,
-    /// When the loop went on after its last stall; 0 if there was none.
+    /// When the loop resumed after its last stall; 0 if there was none.
     resumed_at: Micros,
 }
 
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Queues an event for the driver, which processes events in this order.
+    /// Queues an event for the driver, which processes events in the order in which they were queued.
     pub fn emit(&mut self, event: NetworkEvent) {
         self.events.push_back(event);
     }
@@ -131,29 +133,30 @@
         self.events.pop_front()
     }
 
-    /// Begins an iteration at `now`. Time never goes back.
+    /// Begins an iteration at `now`, or at the time of the last one if `now` is earlier.
     pub fn begin_iteration(&mut self, now: Micros) {
         let late = now.saturating_sub(self.next_iteration_by.max(self.now));
         self.now = self.now.max(now);
         self.timers.advance(self.now);
         if late >= STALL_THRESHOLD {
-            // Nothing was read during the stall, so silence says nothing about any peer.
+            // Nothing was read during the stall, so a peer that seems silent may have sent data.
             self.resumed_at = self.now;
             warn!(event = "loop-stalled", ms = late / 1000);
         }
     }
 
-    /// Ends an iteration; the next one is to begin at `next` or earlier.
+    /// Ends an iteration; the next one is planned to begin at `next` or earlier.
     pub fn end_iteration(&mut self, next: Micros) {
         self.next_iteration_by = next;
     }
 
-    /// The earliest time at which a timeout of a peer may count. A deadline before it is put off until then.
+    /// The earliest time at which a timeout of a peer may count. An earlier deadline is postponed to it.
     pub fn earliest_timeout(&self) -> Micros {
         if self.resumed_at > 0 { self.resumed_at + GRACE_AFTER_STALL } else { 0 }
     }
 
-    /// Since when the answer to a message of `sent_at` is awaited, not counting the time of a stall.
+    /// The time from which on the wait for the answer to a message counts that was sent at `sent_at`: time
+    /// before the end of the last stall does not count.
     pub fn waiting_since(&self, sent_at: Micros) -> Micros {
         sent_at.max(self.resumed_at)
     }
--- a/crates/balancer/src/event_loop/context/tests.rs
+++ b/crates/balancer/src/event_loop/context/tests.rs
@@ -6,29 +6,29 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Everything may be read and written, the end of the stream included.
+/// A connection that is ready for everything, including the end of the stream.
 pub const READ: Readiness = Readiness { is_readable: true, is_writable: true, is_closed: true };
 
-/// The context of a loop that nobody runs.
+/// Creates a context without an event loop.
 pub fn context(now: Micros) -> LoopContext {
     LoopContext::new(EventPoller::new().and_then(|poller| poller.registry()).expect("a registry"), now)
 }
 
-/// Polls until a condition holds: loopback may take its time.
+/// Checks a condition repeatedly until it holds, since data may take a while even on loopback.
 pub fn until(mut condition: impl FnMut() -> bool) {
-    let began = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < Duration::from_secs(30), "the condition was not met");
+        assert!(started.elapsed() < Duration::from_secs(30), "the condition was not met");
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn timeouts_count_again_some_time_after_a_stall() {
+fn timeouts_of_peers_count_again_only_after_a_grace_period_after_a_stall() {
     let mut context = context(1_000_000);
     context.end_iteration(2_000_000);
     context.begin_iteration(2_000_000 + STALL_THRESHOLD - 1);
-    assert_eq!(context.earliest_timeout(), 0, "a little late is no stall");
+    assert_eq!(context.earliest_timeout(), 0, "a delay below the threshold counted as a stall");
     context.end_iteration(3_000_000);
     context.begin_iteration(9_000_000);
     assert_eq!(context.earliest_timeout(), 9_000_000 + GRACE_AFTER_STALL);
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -1,8 +1,8 @@
-//! The event loop of one worker: owns the worker's components and passes them what happens.
+//! The event loop of one worker: owns the worker's components and passes events to them.
 //!
-//! An iteration serves admin connections first, then sockets that are ready, then work left over from the iteration
-//! before, due timers and new clients. After each step the driver processes what the component has reported, so that
-//! each event is decided on before the next one is taken up.
+//! An iteration serves admin connections first, then sockets that are ready, then work left over from the
+//! previous iteration, due timers and new clients. After each step the driver processes the events that the
+//! component has queued, so that each event is decided on before the next one is handled.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,13 +32,13 @@
 
 /// The longest wait for an event.
 const MAX_WAIT: Micros = 1_000_000;
-/// How often the message delays of servers are reported, as on the simulator's wire.
+/// How often the message delays of servers are reported; the same as in the simulator.
 const DELAY_REPORT_INTERVAL: Micros = 1_000_000;
 
-/// What a worker is given at its start.
+/// The resources that a worker receives at its start.
 #[derive(Debug)]
 pub struct WorkerContext {
-    /// Where clients connect.
+    /// The listener for clients.
     pub listener: TcpListener,
     /// The other workers; `None` if this is the only one.
     pub workers: Option<WorkerPool>,
@@ -46,11 +46,11 @@
     pub open_ids: OpenIds,
     /// The counters of this worker.
     pub counters: WorkerCounters,
-    /// Where operators connect, and the counters of all workers; only at the primary worker.
+    /// The listener for operators and the counters of all workers; set only at the primary worker.
     pub admin: Option<AdminListener>,
     /// Servers that operators have disabled.
     pub disabled_servers: BTreeMap<ServerId, DisabledServer>,
-    /// Other processes of this balancer.
+    /// The connections to other processes of this balancer.
     pub siblings: SiblingProcesses,
 }
 
@@ -63,18 +63,19 @@
     pub(crate) workers: Option<WorkerPool>,
     pub(crate) proxy: Proxy,
     pub(crate) discovery: DiscoveryClient,
-    /// Connections of operators; only at the primary worker.
+    /// Serves operators' connections; set only at the primary worker.
     pub(crate) admin: Option<AdminHandler>,
-    /// Other processes of this balancer.
+    /// The connections to other processes of this balancer.
     pub(crate) siblings: SiblingProcesses,
-    /// Other balancers of the fleet, if gossip is configured.
+    /// The transport to other balancers of the fleet, if gossip is configured.
     pub(crate) gossip: Option<GossipTransport>,
-    /// Established connections are to be handed over in this iteration.
+    /// Whether established connections are to be handed over in this iteration.
     pub(crate) is_handover_due: bool,
-    /// A snapshot is to be begun or continued in this iteration.
+    /// Whether a snapshot is to be begun or continued in this iteration.
     pub(crate) is_snapshot_due: bool,
+    /// When the graceful shutdown began, if it has.
     pub(crate) shutdown_started_at: Option<Micros>,
-    /// Set when the loop has ended: clients that were still connected.
+    /// Set when the loop has ended: the number of clients that were still connected.
     pub(super) clients_at_end: Option<usize>,
 }
 
@@ -107,7 +108,7 @@
             .set_latency_objective(event_loop.proxy.settings.message_latency_objective);
         event_loop.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
         for (server, disabled) in worker.disabled_servers {
-            // Before the first endpoint list: that one is reported with these servers draining.
+            // Applied before the first endpoint list, which is then reported with these servers draining.
             event_loop.proxy.servers.apply_admin_change(AdminChange::Disabled(server, disabled));
         }
         event_loop.read_shared_folder();
@@ -116,8 +117,8 @@
         event_loop
     }
 
-    /// Takes in the endpoint list that is known at the start: complete, though it may be outdated. Returns what the
-    /// driver starts with.
+    /// Loads the endpoint list that is known at the start, which is complete but may be outdated. Returns the
+    /// entries with which the driver starts.
     pub fn restore_endpoints(&mut self, known: &EndpointList) -> Vec<ServerEntry> {
         self.discovery.set_index(known.index);
         let settings = &self.proxy.settings;
@@ -125,12 +126,12 @@
         self.proxy.servers.load_initial_list(update, settings.max_servers)
     }
 
-    /// Begins an iteration at `now`. Time never goes back.
+    /// Begins an iteration at `now`, or at the time of the last one if `now` is earlier.
     pub fn begin_iteration(&mut self, now: Micros) {
         self.context.begin_iteration(now);
     }
 
-    /// Puts other settings in force; connections and the endpoint list stay.
+    /// Applies new settings; connections and the endpoint list are kept.
     pub fn update_settings(&mut self, settings: ProxySettings, discovery: SocketAddr) {
         self.context.overload.set_latency_objective(settings.message_latency_objective);
         self.proxy.update_settings(settings);
@@ -138,7 +139,7 @@
         self.on_discovery_events(events);
     }
 
-    /// Passes the readiness of a source to the component that it belongs to.
+    /// Passes the readiness of a source to the component that owns the source.
     pub fn dispatch_readiness(&mut self, source: EventSource, readiness: Readiness) {
         let context = &mut self.context;
         match source {
@@ -149,10 +150,11 @@
                 let events = self.discovery.on_ready(context, &self.proxy.settings, readiness);
                 self.on_discovery_events(events);
             }
-            // Accepted at the end of the iteration: what connected clients do may free capacity.
+            // Clients are accepted at the end of the iteration, since events of connected clients may free
+            // capacity.
             EventSource::Listener => self.acceptor.on_listener_ready(),
             EventSource::NeighbourListener => self.acceptor.on_neighbour_ready(),
-            // Served by the worker, which has the driver at hand.
+            // Handled by the worker, which has access to the driver.
             EventSource::Signals | EventSource::WorkerMessages | EventSource::HandoverListener => {}
             EventSource::Successor(_) | EventSource::Predecessor => self.on_sibling_ready(source),
             EventSource::Gossip => {
@@ -168,8 +170,9 @@
         }
     }
 
-    /// Does what is due at the end of an iteration, whatever was ready. Calls `process_events` after each step: a client
-    /// must not be placed by a state from before the one that was accepted ahead of it.
+    /// Does the work that is due at the end of every iteration, whichever sources were ready. Calls
+    /// `process_events` after each step, since each client must be placed with the clients accepted before it
+    /// taken into account.
     pub fn finish_iteration(&mut self, mut process_events: impl FnMut(&mut Self)) {
         for id in self.proxy.take_unfinished() {
             self.proxy.resume(&mut self.context, id);
@@ -237,14 +240,15 @@
     }
 
     fn report_delays(&mut self) {
-        // After a standstill, unread input would look like a delay.
+        // After a stall, input that is still unread would look like a delay.
         if self.context.now >= self.context.earliest_timeout() {
             self.proxy.report_delays(&mut self.context);
         }
         self.context.schedule_after(DELAY_REPORT_INTERVAL, TimerEvent::ReportDelays);
     }
 
-    /// Ends an iteration at `now`. Returns when the next one is to begin if no event comes before, which may be at once.
+    /// Ends an iteration at `now`. Returns when the next one is to begin if no event arrives earlier; that
+    /// may be at once.
     pub fn end_iteration(&mut self, now: Micros) -> Micros {
         self.context.overload.record_iteration(self.context.now, now, self.acceptor.is_due());
         self.proxy.publish_gauges();
@@ -275,7 +279,7 @@
         self.clients_at_end
     }
 
-    /// Applies events of discovery here and at all other workers.
+    /// Applies events of discovery at this worker and all others.
     pub(super) fn on_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
         for event in events {
             self.broadcast(|_| WorkerMessage::DiscoveryEvent(event.clone()));
--- a/crates/balancer/src/event_loop/driver_effects.rs
+++ b/crates/balancer/src/event_loop/driver_effects.rs
@@ -1,4 +1,4 @@
-//! What the driver asks of the event loop.
+//! Carries out the driver's effects in the event loop.
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerId};
 use shorewharf_driver::{Effects, NetworkEvent};
@@ -11,7 +11,7 @@
 use crate::servers::probes::Requester;
 use crate::workers::pool::WorkerMessage;
 
-/// The worker that watches discovery and probes servers for all.
+/// The index of the worker that watches discovery and probes servers on behalf of all workers.
 const PRIMARY_WORKER: usize = 0;
 
 impl Effects for EventLoop {
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -1,4 +1,5 @@
-//! Handing over to another process of this balancer, and taking over from one, as part of the event loop.
+//! The part of the event loop that hands over to a successor process of this balancer and takes over from a
+//! predecessor.
 
 use shorewharf_decisions::interface::{Request, RequestId};
 use shorewharf_protocol::endpoint_list::EndpointList;
@@ -15,22 +16,24 @@
 use crate::overload::descriptor_budget::RESERVED_FOR_PROCESS;
 use crate::workers::pool::{WorkerMessage, WorkerPool};
 
-/// How often a successor is told how many descriptors this process holds: as clients leave, it may take more.
+/// How often successors are told how many descriptors this process may hold: as clients leave, successors may
+/// use more.
 const NOTIFY_INTERVAL: Micros = 100_000;
-/// Established connections that are transferred in one iteration, so that other connections are not held up.
+/// Maximum number of established connections transferred in one iteration, so that other connections are not
+/// delayed.
 const MAX_TRANSFERS_PER_ITERATION: usize = 64;
-/// The worker that is connected to the other processes.
+/// The index of the worker that is connected to the other processes.
 const PRIMARY_WORKER: usize = 0;
 
-/// Readiness of other processes, and changes of which are there.
+/// Messages of other processes, and changes in which of them are connected.
 impl EventLoop {
-    /// Another process can be read from or written to.
+    /// Handles readiness of the connection to another process.
     pub(super) fn on_sibling_ready(&mut self, source: EventSource) {
         if let EventSource::Successor(number) = source {
             if let Some(successors) = &mut self.siblings.successors {
                 successors.on_ready(&self.context.registry, self.context.now, number);
             }
-            // It may take more connections now.
+            // The successor may have room for more connections now.
             self.is_handover_due |= self.shutdown_started_at.is_some();
         } else if !self.read_predecessor() {
             return;
@@ -38,21 +41,23 @@
         self.on_successors_changed();
     }
 
-    /// Takes over what the predecessor has sent. Returns whether there is one.
+    /// Reads the predecessor's messages and adopts the connections that it has transferred. Returns whether
+    /// there was a predecessor.
     fn read_predecessor(&mut self) -> bool {
         let Some(predecessor) = &mut self.siblings.predecessor else { return false };
-        let is_there = predecessor.receive();
-        for transferred in predecessor.take_connections(!is_there) {
+        let is_connected = predecessor.receive();
+        for transferred in predecessor.take_connections(!is_connected) {
             self.place_transferred(transferred);
         }
-        if !is_there {
+        if !is_connected {
             self.siblings.predecessor = None;
         }
         self.set_sibling_descriptors(self.siblings.predecessor_descriptors());
         true
     }
 
-    /// New processes connect: each is sent what this one hands over. `export_state` reads what the decisions know.
+    /// Accepts new processes of this balancer and sends each the state to hand over. `export_state` returns
+    /// the learned state of the decisions.
     pub fn on_successors_connecting(&mut self, export_state: impl FnOnce() -> Vec<SnapshotEntry>) {
         let offer = HandoverState {
             version: VERSION,
@@ -68,8 +73,8 @@
         self.on_successors_changed();
     }
 
-    /// Reads what successors have sent before a shutdown begins: one that serves has said so before this process was told
-    /// to end.
+    /// Reads the messages of successors before a shutdown begins: a successor that serves has reported that
+    /// before this process was told to end.
     pub(super) fn poll_successors(&mut self) {
         if let Some(successors) = &mut self.siblings.successors {
             successors.receive_all(&self.context.registry, self.context.now);
@@ -95,15 +100,15 @@
         if has_successor && self.siblings.descriptor_allowance.is_none() {
             self.notify_successors();
         }
-        let ends_this = self.siblings.successors.as_ref().is_some_and(Successors::wants_termination);
-        if self.shutdown_started_at.is_none() && ends_this {
+        let wants_termination = self.siblings.successors.as_ref().is_some_and(Successors::wants_termination);
+        if self.shutdown_started_at.is_none() && wants_termination {
             self.broadcast(|_| WorkerMessage::Shutdown);
             self.begin_shutdown();
         }
     }
 
-    /// Another process accepts clients in place of this one, or no longer: it may have died, and the clients that wait at
-    /// the listener are this one's again.
+    /// Records whether another process accepts clients in place of this one. If none does any more, as when
+    /// the successor has died, this process accepts the clients that wait at the listener.
     pub(super) fn set_has_successor(&mut self, has_successor: bool) {
         self.proxy.has_successor = has_successor;
         if !has_successor {
@@ -111,7 +116,7 @@
         }
     }
 
-    /// Whether two processes accept clients since or until now, if that has changed since the last call.
+    /// Returns whether two processes accept clients now, if that has changed since the last call.
     pub fn take_sharing_change(&mut self) -> Option<bool> {
         self.siblings.take_sharing_change(self.shutdown_started_at.is_some())
     }
@@ -121,15 +126,16 @@
         self.is_handover_due || self.siblings.has_unread()
     }
 
-    /// Established connections that are on their way to a successor, or wait for that.
+    /// The number of established connections that are being transferred to a successor or are queued for
+    /// that.
     pub(super) fn connections_in_transfer(&self) -> usize {
         self.siblings.connections_in_transfer()
     }
 }
 
-/// Established connections that are transferred.
+/// Transfers of established connections.
 impl EventLoop {
-    /// Takes over a transferred connection: at this worker, or at another one that has fewer.
+    /// Adopts a transferred connection at this worker, or passes it to a worker that has far fewer clients.
     fn place_transferred(&mut self, transferred: TransferredConnection) {
         let (now, clients) = (self.context.now, self.proxy.client_count());
         let less_loaded = self
@@ -150,7 +156,7 @@
         }
     }
 
-    /// Takes over a transferred connection at this worker.
+    /// Adopts a transferred connection at this worker.
     pub(super) fn adopt_transferred(&mut self, transferred: TransferredConnection) {
         let client = transferred.state.client;
         if !self.proxy.adopt_transferred(&mut self.context, transferred) {
@@ -158,15 +164,16 @@
         }
     }
 
-    /// Transfers established connections to the successor, as many as one iteration may. `state_of` reads what the
-    /// decisions know of a request. Workers other than the primary one send theirs to it.
+    /// Transfers established connections to the successor, up to the maximum of one iteration. `state_of`
+    /// returns the request and the reported load that the decisions have stored for a connection. Workers
+    /// other than the primary one send their connections to the primary one.
     pub fn hand_over_connections(&mut self, state_of: impl Fn(RequestId) -> Option<(Request, Option<f64>)>) {
         if !std::mem::take(&mut self.is_handover_due) {
             return;
         }
         let is_primary = self.workers.as_ref().is_none_or(WorkerPool::is_primary);
         if is_primary {
-            // Other workers know of the successor what this one tells them.
+            // Only this worker checks the successors; it tells the others of changes.
             if let Some(successors) = &mut self.siblings.successors {
                 successors.check_stalled(self.context.now);
             }
@@ -177,7 +184,7 @@
         }
         let mut candidates = self.proxy.transferable_connections().into_iter();
         for _ in 0..MAX_TRANSFERS_PER_ITERATION {
-            // Poll reports when a successor that is full can take more.
+            // Poll reports when a successor whose connection is full can receive more.
             if is_primary && !self.siblings.successors.as_mut().is_some_and(Successors::can_transfer) {
                 return;
             }
@@ -196,7 +203,7 @@
         self.is_handover_due = true;
     }
 
-    /// Sends a connection to the successor; returns false if it could not be sent and is to be taken back.
+    /// Sends a connection to the successor. Returns false if it could not be sent and must be adopted again.
     fn send_to_successor(&mut self, transferred: TransferredConnection) -> bool {
         match &mut self.siblings.successors {
             Some(successors) => successors.transfer(self.context.now, transferred),
@@ -229,15 +236,16 @@
     }
 }
 
-/// Descriptors that two processes share.
+/// The division of descriptors between two processes.
 impl EventLoop {
-    /// Tells successors how many descriptors this process holds or may take, and keeps to that.
+    /// Tells successors how many descriptors this process may hold, and limits this process to that number.
     pub(super) fn notify_successors(&mut self) {
         if !self.siblings.has_successor() {
             self.siblings.descriptor_allowance = None;
             return self.set_sibling_descriptors(0);
         }
-        // Never raised: what is held beyond it for a moment, to reject clients, must not become the allowance.
+        // The allowance is never raised: descriptors that are held beyond it for a short time, to reject
+        // clients, must not become part of it.
         let last_allowance = self.siblings.descriptor_allowance.unwrap_or(usize::MAX);
         let allowance = self.descriptor_allowance().min(last_allowance);
         self.siblings.descriptor_allowance = Some(allowance);
@@ -255,8 +263,9 @@
         self.workers.as_ref().map_or(1, WorkerPool::worker_count)
     }
 
-    /// Descriptors that this process may hold beside another one: half of all, or what it holds if that is more. During a
-    /// shutdown it takes no more than its remaining clients need.
+    /// The number of descriptors that this process may hold while another process runs: half of the limit, or
+    /// the number that it holds if that is larger. During a shutdown it is no more than the remaining clients
+    /// need.
     fn descriptor_allowance(&self) -> usize {
         self.proxy.publish_gauges();
         let sums = self.admin.as_ref().map(|admin| WorkerCounters::sum(&admin.counters)).unwrap_or_default();
@@ -268,14 +277,14 @@
         in_use.max(half).min(limit)
     }
 
-    /// Deducts the descriptors of another process from the limits of all workers.
+    /// Deducts the descriptors of another process from the limits of all workers, in equal shares.
     fn set_sibling_descriptors(&mut self, descriptors: usize) {
         let per_worker = descriptors / self.worker_count();
         self.broadcast(|_| WorkerMessage::DescriptorsHeldBySiblings(per_worker));
         self.proxy.set_sibling_descriptors(per_worker);
     }
 
-    /// The endpoint list as it is now, in discovery's form.
+    /// The current endpoint list, in discovery's format.
     fn endpoint_list(&self) -> EndpointList {
         let endpoints = self.proxy.servers.endpoints(&self.proxy.settings.names);
         EndpointList { index: self.discovery.index(), snapshot: true, endpoints }
--- a/crates/balancer/src/event_loop/mod.rs
+++ b/crates/balancer/src/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! The event loop of a worker: waits for sockets and timers and passes what happens to the components.
+//! The event loop of a worker: waits for sockets and timers and passes their events to the components.
 //!
-//! [`dispatch::EventLoop`] composes the components of a worker. Each component owns its own state; what it needs of the
-//! current iteration comes as a [`context::LoopContext`]. Decisions about requests are the driver's, which calls the
-//! event loop through its `Effects`.
+//! [`dispatch::EventLoop`] composes the components of a worker. Each component owns its own state and is
+//! passed the [`context::LoopContext`] of the current iteration. The driver makes the decisions about
+//! requests and carries them out by calling the event loop through the trait `Effects`.
 
 mod accept;
 mod acceptor;
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -1,4 +1,4 @@
-//! Waiting for sockets with `mio`: which sources the event loop watches, and what they are ready for.
+//! Waits for sockets with `mio`: the sources that the event loop watches, and their readiness.
 
 use std::io;
 use std::os::fd::AsRawFd;
@@ -12,17 +12,17 @@
 use crate::transport::connection::Connection;
 use crate::transport::readiness::Readiness;
 
-/// Events reported by one wait; further ones are reported by the next.
+/// Maximum number of events reported by one wait; further events are reported by the next.
 const MAX_EVENTS_PER_WAIT: usize = 1024;
 
-/// What an event is about.
+/// The source of an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventSource {
     /// A client session.
     Session(RequestId),
     /// The attempt of a request.
     Attempt(RequestId),
-    /// The probe of this number.
+    /// The probe with this number.
     Probe(u64),
     /// The connection to discovery.
     DiscoveryClient,
@@ -30,25 +30,25 @@
     Listener,
     /// Signals to the process.
     Signals,
-    /// Messages of other workers.
+    /// Messages from other workers.
     WorkerMessages,
-    /// The listener of a worker that stalls.
+    /// The listener of the neighbour worker, while that worker stalls.
     NeighbourListener,
     /// The listener for operators.
     AdminListener,
-    /// The operator's connection of this number.
+    /// The operator's connection with this number.
     AdminConnection(u64),
-    /// The socket at which new processes of this balancer connect.
+    /// The socket to which new processes of this balancer connect.
     HandoverListener,
-    /// The connection of the new process of this number.
+    /// The connection to the successor with this number.
     Successor(u64),
     /// The connection to the process that this one replaces.
     Predecessor,
-    /// Datagrams of other balancers.
+    /// Datagrams from other balancers.
     Gossip,
 }
 
-/// A token holds the kind of its source above the source's number.
+/// The lowest bit of a source's kind in its token; the bits below hold the source's number.
 const KIND_SHIFT: u32 = 56;
 const _: () = assert!(usize::BITS == 64, "tokens hold a kind above a number of 56 bits");
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// Waits for events.
+/// Waits for events of registered sources.
 #[derive(Debug)]
 pub struct EventPoller {
     poll: Poll,
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// If the system gives no descriptor for it.
+    /// If the system provides no descriptor for it.
     pub fn new() -> io::Result<Self> {
         Ok(EventPoller { poll: Poll::new()?, events: Events::with_capacity(MAX_EVENTS_PER_WAIT) })
     }
@@ -120,25 +120,25 @@
     ///
     /// # Errors
     ///
-    /// If the system gives no descriptor for it.
+    /// If the system provides no descriptor for it.
     pub fn registry(&self) -> io::Result<SourceRegistry> {
         Ok(SourceRegistry(self.poll.registry().try_clone()?))
     }
 
-    /// What wakes this poller when a message of another worker has been sent.
+    /// Creates a waker, with which other workers wake this poller after they have sent a message.
     ///
     /// # Errors
     ///
-    /// If the system gives no descriptor for it.
+    /// If the system provides no descriptor for it.
     pub fn waker(&self) -> io::Result<Waker> {
         Waker::new(self.poll.registry(), EventSource::WorkerMessages.to_token())
     }
 
-    /// Waits for events, at most `timeout`, rounded up to whole milliseconds.
+    /// Waits for events for at most `timeout`, rounded up to whole milliseconds.
     ///
     /// # Errors
     ///
-    /// If polling fails for any reason but a signal.
+    /// If polling fails for any reason other than a signal.
     pub fn wait(&mut self, timeout: Duration) -> io::Result<()> {
         match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The events of the last wait. Their sources may be gone by now.
+    /// The events of the last wait. Their sources may have been closed since.
     pub fn events(&self) -> impl Iterator<Item = (EventSource, Readiness)> + Clone {
         self.events.iter().map(|event| (EventSource::from_token(event.token()), Readiness::from(event)))
     }
@@ -157,13 +157,13 @@
 pub struct SourceRegistry(Registry);
 
 impl SourceRegistry {
-    /// Registers a connection, until it is closed, for reading and writing: it remembers what it is ready for. Returns
-    /// false if it could not be registered.
+    /// Registers a connection for reading and writing until it is closed; the connection itself remembers its
+    /// readiness. Returns false if it can't be registered.
     pub fn register(&self, connection: &mut Connection, source: EventSource) -> bool {
         self.register_source(connection.stream(), source).is_ok()
     }
 
-    /// Ends the registration of a connection that another process goes on with.
+    /// Ends the registration of a connection that is transferred to another process.
     pub fn deregister(&self, connection: &mut Connection) {
         // Fails only if it was not registered.
         let _ = self.0.deregister(connection.stream());
@@ -173,16 +173,16 @@
     ///
     /// # Errors
     ///
-    /// If the system does not watch it.
+    /// If the system can't watch the source.
     pub fn register_source(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
         self.0.register(stream, source.to_token(), Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Registers a source that is only read.
+    /// Registers a source for reading only.
     ///
     /// # Errors
     ///
-    /// If the system does not watch it.
+    /// If the system can't watch the source.
     pub fn register_readable(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
         self.0.register(stream, source.to_token(), Interest::READABLE)
     }
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     ///
-    /// If the system does not watch it.
+    /// If the system can't watch the source.
     pub fn register_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.register_readable(&mut SourceFd(&listener.as_raw_fd()), EventSource::NeighbourListener)
     }
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -28,8 +28,8 @@
         self.is_handover_due = successor;
     }
 
-    /// One step of the shutdown: answers waiting requests and migrates clients when the schedule says so, and ends the
-    /// loop once no client is left or the time is up.
+    /// Performs one step of the shutdown: answers waiting requests and migrates clients as scheduled, and
+    /// ends the loop once no client is left or the time is up.
     pub(super) fn on_shutdown_step(&mut self) {
         let Some(elapsed) = self.shutdown_started_at.map(|at| self.context.now - at) else { return };
         let schedule = self.shutdown_schedule();
@@ -42,13 +42,13 @@
         }
         let has_successor = self.proxy.has_successor;
         self.is_handover_due = has_successor;
-        // Connections that other workers have queued here before they ended.
+        // Other workers may have sent connections to this one before they ended.
         while let Some(message) = self.next_message() {
             self.on_message(message);
         }
         let clients = self.proxy.client_count() + usize::from(self.has_transfers_pending());
         let is_empty = clients == 0 && (has_successor || elapsed >= MIN_DRAIN_TIME + SHUTDOWN_STEP_INTERVAL);
-        // A client that waits at the listener would be cut off with it.
+        // Closing the listener would cut off a client that waits at it.
         if elapsed >= schedule.end || (is_empty && (has_successor || !self.accept_last_client())) {
             self.proxy.log_totals();
             self.clients_at_end = Some(clients);
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Whether connections are on their way to a successor, or other workers may still send some.
+    /// Whether connections are being transferred to a successor, or other workers may still send connections
+    /// for that.
     fn has_transfers_pending(&self) -> bool {
         let waits_for_workers = || {
             self.workers.as_ref().is_some_and(|workers| workers.is_primary() && !workers.have_others_ended())
--- a/crates/balancer/src/event_loop/timers.rs
+++ b/crates/balancer/src/event_loop/timers.rs
@@ -1,8 +1,8 @@
 //! A hierarchical timer wheel: setting and cancelling a timer take constant time, however many are set.
 //!
-//! It is written here since no maintained crate fits: tokio's wheel is private and its delay queue lives on tokio's
-//! clock, and `hierarchical_hash_wheel_timer` allocates and hashes for each timer. `benches/parts.rs` compares it with a
-//! heap over a slab.
+//! No maintained crate fits: tokio's wheel is private, its delay queue depends on tokio's clock, and
+//! `hierarchical_hash_wheel_timer` allocates and hashes for each timer. `benches/parts.rs` compares this
+//! wheel with a heap over a slab.
 
 use std::collections::VecDeque;
 
@@ -23,7 +23,7 @@
     pub struct TimerKey;
 }
 
-/// A slot of the wheel. Narrow, since each timer holds one.
+/// The position of a slot in the wheel. Its fields are small, since each timer holds one.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     level: u8,
@@ -36,9 +36,9 @@
     /// Orders timers with the same deadline.
     sequence: u64,
     event: T,
-    /// `None` once the timer is due.
+    /// The slot that the timer is in; `None` once the timer is due.
     position: Option<Position>,
-    /// Neighbours in the list of the slot.
+    /// Neighbours in the linked list of the slot.
     previous: Option<TimerKey>,
     next: Option<TimerKey>,
 }
@@ -52,15 +52,16 @@
     slots: Box<[[Option<TimerKey>; SLOTS_PER_LEVEL]; LEVELS]>,
     /// A bit for each slot that is not empty.
     occupied: [u64; LEVELS],
-    /// The present tick: all timers up to it are due.
+    /// The current tick; all timers up to it are due.
     tick: u64,
     now: Micros,
+    /// Timers that are due, in the order in which they fire. Keys of cancelled timers are skipped.
     due: VecDeque<TimerKey>,
     next_sequence: u64,
 }
 
 impl<T> TimerWheel<T> {
-    /// Creates an empty wheel that stands at `now`.
+    /// Creates an empty wheel whose time is `now`.
     pub fn new(now: Micros) -> Self {
         TimerWheel {
             timers: SlotMap::with_key(),
@@ -83,7 +84,8 @@
         self.timers.is_empty()
     }
 
-    /// Sets a timer that fires at `deadline`; one in the past is due at once, after all that are due already.
+    /// Sets a timer that fires at `deadline`. A timer with a deadline in the past is due at once, after all
+    /// timers that are due already.
     pub fn schedule(&mut self, deadline: Micros, event: T) -> TimerKey {
         self.next_sequence += 1;
         let sequence = self.next_sequence;
@@ -104,7 +106,7 @@
         Some(timer.event)
     }
 
-    /// When to call [`TimerWheel::advance`] next: no later than the next deadline, and at times earlier.
+    /// When to call [`TimerWheel::advance`] next: no later than the next deadline, and sometimes earlier.
     pub fn next_deadline(&self) -> Option<Micros> {
         if !self.due.is_empty() {
             return Some(self.now);
@@ -112,7 +114,7 @@
         self.first_occupied().map(|(_, first_tick)| first_tick * TICK_MICROS)
     }
 
-    /// Moves the time on to `now`. Time never goes back.
+    /// Advances the time to `now`, or does nothing if `now` is earlier than the last time.
     pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let tick = (self.now / TICK_MICROS).min(LAST_TICK);
@@ -136,7 +138,8 @@
         }
     }
 
-    /// The slot with the earliest timers, and its first tick. Levels are nested, so it is in the lowest level that has any.
+    /// The slot with the earliest timers, and the slot's first tick. The levels are nested, so this slot is
+    /// in the lowest level that has any timers.
     fn first_occupied(&self) -> Option<(Position, u64)> {
         let level = self.occupied.iter().position(|occupied| *occupied != 0)?;
         let slot = self.occupied[level].trailing_zeros();
@@ -146,7 +149,7 @@
         Some((position, level_start | u64::from(slot) << shift))
     }
 
-    /// Puts a timer into the lowest level in which its tick and the present one differ.
+    /// Puts a timer into the highest level in which its tick and the current one select different slots.
     fn link(&mut self, key: TimerKey, deadline: Micros) {
         let tick = deadline.div_ceil(TICK_MICROS).clamp(self.tick + 1, LAST_TICK);
         let level = (63 - (tick ^ self.tick | 1).leading_zeros()) / SLOT_BITS;
@@ -177,7 +180,8 @@
         }
     }
 
-    /// Takes all timers out of a slot whose first tick has come: each is due, or moves to a lower level.
+    /// Removes all timers from a slot whose first tick has been reached: each becomes due or moves to a lower
+    /// level.
     fn drain_slot(&mut self, position: Position) {
         self.set_occupied(position, false);
         let mut next = self.slot_mut(position).take();
--- a/crates/balancer/src/event_loop/worker_messages.rs
+++ b/crates/balancer/src/event_loop/worker_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the event loops of a process: what one worker does for another.
+//! Handles messages between the event loops of a process, with which one worker does something for another.
 
 use shorewharf_decisions::interface::ServerId;
 use shorewharf_driver::{Effects, NetworkEvent};
@@ -9,7 +9,8 @@
 use crate::workers::pool::{NeighbourListener, WorkerMessage, WorkerPool};
 
 impl EventLoop {
-    /// The next message of another worker, to be handled by [`EventLoop::on_message`] unless it is a configuration.
+    /// Returns the next message of another worker, to be handled by [`EventLoop::on_message`] unless it is a
+    /// configuration.
     pub fn next_message(&self) -> Option<WorkerMessage> {
         self.workers.as_ref().and_then(WorkerPool::next_message)
     }
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Sends all other workers a message, built from the number of each.
+    /// Sends a message to each other worker; `message` builds it from that worker's index.
     pub fn broadcast(&self, message: impl Fn(usize) -> WorkerMessage) {
         if let Some(workers) = &self.workers {
             workers.broadcast(message);
@@ -60,7 +61,7 @@
             // A worker that has ended needs no result.
             let _ = workers.send(result.worker, WorkerMessage::ProbeEnded(result.server, result.outcome));
         }
-        // After a standstill of the whole machine every worker seems to have stalled.
+        // After a stall of the whole machine, every worker seems to have stalled.
         if self.context.now < self.context.earliest_timeout() {
             return;
         }
