--- a/crates/balancer/src/event_loop/worker_messages.rs
+++ b/crates/balancer/src/event_loop/worker_messages.rs
@@ -77,7 +77,7 @@
         };
         self.acceptor.set_serving_neighbour(is_serving);
         if let Err(e) = registered {
-            error!(event = "cannot-help", error = %e);
+            error!(event = "neighbour-listener-failed", error = %e);
         }
     }
 }
