--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -1,7 +1,7 @@
 //! The admin server, against connections that the test plays.
 
 use super::*;
-use crate::event_loop::context::tests::{READ, context, until};
+use crate::event_loop::context::tests::{ALL_READY, context, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -14,7 +14,7 @@
 /// Looks until so many callers were taken in.
 fn accept_until(server: &mut AdminServer, context: &mut LoopContext, begun: u64) {
     until(|| {
-        server.on_ready(context, EventSource::AdminListener, READ);
+        server.on_ready(context, EventSource::AdminListener, ALL_READY);
         server.last_number == begun
     });
 }
@@ -23,11 +23,11 @@
 fn call(server: &mut AdminServer, context: &mut LoopContext) -> (u64, Result<Command, CommandError>) {
     let mut calls = Vec::new();
     until(|| {
-        server.on_ready(context, EventSource::AdminListener, READ);
+        server.on_ready(context, EventSource::AdminListener, ALL_READY);
         let numbers: Vec<u64> = server.connections.keys().copied().collect();
         numbers
             .into_iter()
-            .for_each(|number| server.on_ready(context, EventSource::AdminConnection(number), READ));
+            .for_each(|number| server.on_ready(context, EventSource::AdminConnection(number), ALL_READY));
         calls.extend(server.take_commands());
         !calls.is_empty()
     });
@@ -43,7 +43,7 @@
         for byte in line.as_bytes() {
             assert!(server.commands.is_empty());
             caller.write_all(&[*byte]).expect("open");
-            server.on_ready(&mut context, EventSource::AdminListener, READ);
+            server.on_ready(&mut context, EventSource::AdminListener, ALL_READY);
         }
         let (number, said) = call(&mut server, &mut context);
         assert_eq!(said, Ok(Command::Disable("s-1".into())));
@@ -55,9 +55,9 @@
     }
     until(|| {
         let numbers: Vec<u64> = server.connections.keys().copied().collect();
-        numbers
-            .into_iter()
-            .for_each(|number| server.on_ready(&mut context, EventSource::AdminConnection(number), READ));
+        numbers.into_iter().for_each(|number| {
+            server.on_ready(&mut context, EventSource::AdminConnection(number), ALL_READY)
+        });
         server.connections.is_empty()
     });
 }
@@ -100,7 +100,7 @@
         caller.read_to_string(&mut heard).map(|_| heard)
     });
     until(|| {
-        server.on_ready(&mut context, EventSource::AdminConnection(number), READ);
+        server.on_ready(&mut context, EventSource::AdminConnection(number), ALL_READY);
         reader.is_finished()
     });
     let heard = reader.join().expect("no panic").expect("an answer and an end");
--- a/crates/balancer/src/clients/sessions/tests.rs
+++ b/crates/balancer/src/clients/sessions/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::clients::session::{CloseProgress, FirstLine, WaitingActivity};
-use crate::event_loop::context::tests::{READ, context, pair, until};
+use crate::event_loop::context::tests::{ALL_READY, context, pair, until};
 use shorewharf_driver::ReceivedRequest;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -70,14 +70,14 @@
     let session = sessions.get_mut(id).expect("connected");
     client.write_all(b"PING\r\nOPEN 5 6 c=").expect("open");
     until(|| {
-        session.connection.on_ready(READ);
+        session.connection.on_ready(ALL_READY);
         assert_eq!(session.read_first_line(100, &context.buffers), FirstLine::Incomplete);
         // A line that has begun must be complete in time, even if a ping has extended the deadline before.
         session.deadline() == 2_500_100
     });
     client.write_all(b"chat\r\n").expect("open");
     until(|| {
-        session.connection.on_ready(READ);
+        session.connection.on_ready(ALL_READY);
         session.read_first_line(100, &context.buffers) == FirstLine::Line(b"OPEN 5 6 c=chat".to_vec())
     });
     assert!(sessions.open_request(&mut context, id, opening_request(id)));
@@ -85,7 +85,7 @@
     assert_eq!(session.poll_while_waiting(&context.buffers), WaitingActivity::Silent);
     client.write_all(b"early").expect("open");
     until(|| {
-        session.connection.on_ready(READ);
+        session.connection.on_ready(ALL_READY);
         session.poll_while_waiting(&context.buffers) == WaitingActivity::SentData
     });
     sessions.begin_close(&mut context, id, b"ERR\r\n");
@@ -96,7 +96,7 @@
     drop(client);
     let session = sessions.get_mut(id).expect("closing");
     until(|| {
-        session.connection.on_ready(READ);
+        session.connection.on_ready(ALL_READY);
         session.continue_close(&context.buffers) == CloseProgress::Done
     });
 }
--- a/crates/balancer/src/discovery/client/tests.rs
+++ b/crates/balancer/src/discovery/client/tests.rs
@@ -1,7 +1,7 @@
 //! The watch in virtual time, against a listener that the test plays.
 
 use super::*;
-use crate::event_loop::context::tests::{READ, context, until};
+use crate::event_loop::context::tests::{ALL_READY, context, until};
 use std::io::Write;
 use std::net::TcpListener;
 
@@ -32,7 +32,7 @@
     second.write_all(b"HTTP/1.1 200 OK\r\n\r\n{\"index\":7}\n").expect("open");
     let mut news = Vec::new();
     until(|| {
-        news.extend(discovery.on_ready(&mut context, &terms, READ));
+        news.extend(discovery.on_ready(&mut context, &terms, ALL_READY));
         !news.is_empty()
     });
     assert!(matches!(&news[..], [DiscoveryEvent::List(listing)] if listing.index == 7));
@@ -53,7 +53,7 @@
     context.begin_iteration(2_000_000);
     call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4").expect("open");
     until(|| {
-        assert_eq!(discovery.on_ready(&mut context, &terms, READ), []);
+        assert_eq!(discovery.on_ready(&mut context, &terms, ALL_READY), []);
         discovery.watch.as_ref().is_some_and(|watch| watch.connection.pending_input() == b"4")
     });
     assert_eq!(
--- a/crates/balancer/src/event_loop/context/tests.rs
+++ b/crates/balancer/src/event_loop/context/tests.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// A connection that is ready for everything, including the end of the stream.
-pub const READ: Readiness = Readiness { is_readable: true, is_writable: true, is_closed: true };
+pub const ALL_READY: Readiness = Readiness { is_readable: true, is_writable: true, is_closed: true };
 
 /// Creates a context without an event loop.
 pub fn context(now: Micros) -> LoopContext {
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of attempts, against a listener on loopback.
 
 use super::*;
-use crate::event_loop::context::tests::{READ, context, until};
+use crate::event_loop::context::tests::{ALL_READY, context, until};
 use crate::servers::attempt::ServerAnswer;
 use crate::servers::delays::AnsweredLine;
 use std::io::{Read, Write};
@@ -59,7 +59,7 @@
     let (mut context, mut attempts) = (context(1000), Attempts::default());
     let mut server = begin(&mut attempts, &mut context, 700);
     let attempt = attempts.get_mut(ID).expect("an attempt");
-    attempt.connection.on_ready(READ);
+    attempt.connection.on_ready(ALL_READY);
     attempt.send_request(1000, &context.buffers, b"OPEN 1 2 c=chat,d=9");
     let mut line = [0; 21];
     server.read_exact(&mut line).expect("the first line");
@@ -68,12 +68,12 @@
     context.begin_iteration(2000);
     let (mut unanswered_since, mut load_figures) = (Some(1500), Vec::new());
     until(|| {
-        attempt.connection.on_ready(READ);
+        attempt.connection.on_ready(ALL_READY);
         attempt.read_answer(&context.buffers) == Some(ServerAnswer::Accepted)
     });
     attempt.establish(1600, ID);
     until(|| {
-        attempt.connection.on_ready(READ);
+        attempt.connection.on_ready(ALL_READY);
         assert!(attempt.read_lines(&context, ID, &mut unanswered_since, &mut load_figures).is_ok());
         attempt.outcome() == Outcome::Ok // Its last message was BYE.
     });
--- a/crates/balancer/src/servers/probes/tests.rs
+++ b/crates/balancer/src/servers/probes/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of probes, against a listener on loopback.
 
 use super::*;
-use crate::event_loop::context::tests::{READ, context, until};
+use crate::event_loop::context::tests::{ALL_READY, context, until};
 use std::io::Write;
 use std::net::TcpListener;
 
@@ -23,7 +23,7 @@
         let (mut server, _) = listener.accept().expect("the probe");
         server.write_all(answer.as_bytes()).expect("open");
         until(|| {
-            probes.on_ready(&mut context, number, READ);
+            probes.on_ready(&mut context, number, ALL_READY);
             probes.count() == 0
         });
         probes.finish(&mut context, number, Outcome::TimedOut);
