--- a/crates/balancer/src/servers/attempt.rs
+++ b/crates/balancer/src/servers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a server accept a client, and the established connection that it becomes.
+//! An attempt to have a server accept a client's request. An accepted attempt becomes the established connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,21 +16,21 @@
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::connection::{Connection, LineTooLong, PeerClose, is_local_failure, is_shortage};
 
-/// How much of an unexpected answer is kept for the log.
+/// The number of bytes of an unexpected answer that are kept for the log.
 const MAX_LOGGED_ANSWER_BYTES: usize = 80;
 
 /// The stage of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// Its connection is not up yet.
+    /// The TCP connection to the server is not established yet.
     Connecting,
-    /// The first line is being sent, or the server's answer is awaited.
+    /// The first line of the request is being sent, or has been sent and the server's answer is awaited.
     Sent,
     /// The server has accepted the client.
     Established,
 }
 
-/// The last message of a server, which tells how its close is meant.
+/// The kind of the server's last message, which determines the outcome when the server closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FinalReply {
     Completed,
@@ -38,32 +38,32 @@
     Other,
 }
 
-/// What a server answers to a first line.
+/// A server's answer to the first line of a request.
 #[derive(Debug, PartialEq)]
 pub enum ServerAnswer {
-    /// It has accepted the client.
+    /// The server has accepted the client.
     Accepted,
-    /// The attempt has ended.
+    /// The answer, or the close of the connection, ends the attempt with this outcome.
     Ended(Outcome),
-    /// Something that the protocol has no meaning for; the beginning of it.
+    /// A message that the protocol does not allow here. Contains its first [`MAX_LOGGED_ANSWER_BYTES`] bytes.
     Unexpected(String),
-    /// A line over the protocol's limit.
+    /// A line that exceeds the protocol's length limit.
     LineTooLong,
 }
 
-/// Why an attempt could not begin.
+/// The reason why no connection to a server could be started.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DialError {
-    /// Descriptors have run out.
-    #[error("out of descriptors")]
+    /// The process or the system has no file descriptor, or no memory for one, left.
+    #[error("no file descriptor is left for a connection to the server")]
     Shortage,
-    /// Poll takes no more connections.
-    #[error("the connection could not be registered with poll")]
+    /// The poller did not accept the connection's descriptor.
+    #[error("the connection could not be registered with the poller")]
     NotRegistered,
-    /// This machine could not begin a connection, which says nothing about the server.
-    #[error("connecting failed on this machine")]
+    /// The failure is local, such as a missing route or port, and says nothing about the server.
+    #[error("connecting failed because of a local error")]
     LocalFailure,
-    /// Connecting failed at once.
+    /// The connect call failed immediately with an error that is attributed to the server.
     #[error("the server refused the connection")]
     Refused,
 }
@@ -80,20 +80,20 @@
     }
 }
 
-/// Where an attempt goes, and how long it may take.
+/// The server of an attempt, and the attempt's timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTarget {
     /// The server.
     pub server: ServerId,
-    /// Its address.
+    /// The server's address.
     pub address: SocketAddr,
-    /// The time until the server must have answered.
+    /// The time from now within which the server must answer the first line.
     pub timeout: Micros,
-    /// A connect that takes longer counts against the server.
+    /// The time from now within which the connection must be established; longer counts as a failure of the server.
     pub connect_timeout: Micros,
 }
 
-/// An attempt at a server, and the established connection that it becomes.
+/// An attempt at a server. Once the server has accepted the client it is the established connection.
 #[derive(Debug)]
 pub struct Attempt {
     /// The connection to the server.
@@ -101,34 +101,34 @@
     server: ServerId,
     pub(super) activity: Rc<ServerActivity>,
     stage: AttemptStage,
-    /// A connection that is not up by then counts against the server.
-    connected_by: Micros,
-    /// When the server must have answered.
+    /// If the connection is not established by this time, the server is blamed. `Micros::MAX` if it can't be blamed.
+    connect_deadline: Micros,
+    /// The time by which the server must have answered the first line.
     deadline: Micros,
     last_reply: FinalReply,
     pub(super) timer: TimerHandle,
     last_answer: Option<AnsweredLine>,
-    /// The last byte of the first line has been written, and that was counted.
+    /// The last byte of the first line has been written, and [`Attempt::take_dispatched`] has returned true.
     is_dispatched: bool,
 }
 
 impl Attempt {
-    /// Creates an attempt that connects.
+    /// Creates an attempt whose connection is being established.
     pub(super) fn connecting(
         connection: Connection,
         target: &AttemptTarget,
         activity: Rc<ServerActivity>,
         now: Micros,
     ) -> Self {
-        // The server is not blamed when the client leaves less time than a connect may take.
+        // A server is not blamed for a slow connect if the client's timeout is shorter than the connect timeout.
         let may_blame_server = target.connect_timeout <= target.timeout;
-        let connected_by = if may_blame_server { now + target.connect_timeout } else { Micros::MAX };
+        let connect_deadline = if may_blame_server { now + target.connect_timeout } else { Micros::MAX };
         Attempt {
             connection,
             server: target.server,
             activity,
             stage: AttemptStage::Connecting,
-            connected_by,
+            connect_deadline,
             deadline: now.saturating_add(target.timeout),
             last_reply: FinalReply::Other,
             timer: TimerHandle::default(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Creates an established attempt, from another process of this balancer.
+    /// Creates an established attempt from a connection that another process of this balancer has transferred.
     pub(super) fn adopted(
         connection: Connection,
         server: ServerId,
@@ -149,7 +149,7 @@
             server,
             activity,
             stage: AttemptStage::Established,
-            connected_by: now,
+            connect_deadline: now,
             deadline: now,
             last_reply: FinalReply::Other,
             timer: TimerHandle::default(),
@@ -158,28 +158,29 @@
         }
     }
 
-    /// The server that it goes to.
+    /// The server of this attempt.
     pub fn server(&self) -> ServerId {
         self.server
     }
 
-    /// The stage that it is in.
+    /// The current stage.
     pub fn stage(&self) -> AttemptStage {
         self.stage
     }
 
-    /// The server's last answer to a line of the client.
+    /// The server's last answer to a line from the client; `None` before the first answer.
     pub fn last_answer(&self) -> Option<AnsweredLine> {
         self.last_answer
     }
 
-    /// Sends the first line on a connection that has come up, with the time that is left as its timeout.
+    /// Sends the first line over a connection that has been established. The line's timeout field is set to the time that is
+    /// left until the deadline.
     pub fn send_request(&mut self, now: Micros, pool: &BufferPool, line: &[u8]) {
         self.stage = AttemptStage::Sent;
         self.connection.send(pool, &with_timeout(line, self.deadline.saturating_sub(now)));
     }
 
-    /// Whether the last byte of the first line has been written; true once.
+    /// Whether the last byte of the first line has been written. Returns true only once.
     pub fn take_dispatched(&mut self) -> bool {
         if self.is_dispatched || self.stage != AttemptStage::Sent {
             return false;
@@ -188,47 +189,49 @@
         self.is_dispatched
     }
 
-    /// Reads the server's answer; `None` while it is incomplete.
+    /// Reads the server's answer to the first line. Returns `None` while the answer is incomplete.
     pub fn read_answer(&mut self, pool: &BufferPool) -> Option<ServerAnswer> {
         let is_sent = self.connection.flush();
         self.connection.read_available(pool);
         let is_closed = self.connection.peer_close.is_some();
         match self.connection.inspect_line() {
-            Ok(Some(line)) => Some(answer_of(parse_message(line))),
+            Ok(Some(line)) => Some(answer_from_message(parse_message(line))),
             Err(LineTooLong) => Some(ServerAnswer::LineTooLong),
             Ok(None) if !is_closed => None,
-            // Closed before the last byte of the line was written: the request has never run.
+            // The server closed the connection before the last byte of the line was written, so the request has not run.
             Ok(None) if !is_sent => Some(ServerAnswer::Ended(Outcome::ConnectFailed)),
             Ok(None) => Some(ServerAnswer::Ended(Outcome::Reset)),
         }
     }
 
-    /// Whether another process can go on with it.
+    /// Whether the connection can be transferred to another process of this balancer.
     pub fn is_transferable(&self) -> bool {
         self.stage == AttemptStage::Established
             && self.last_reply == FinalReply::Other
             && self.connection.is_transferable()
     }
 
-    /// The server has accepted the client.
+    /// Marks the attempt as established, after the server has accepted the client.
     pub fn establish(&mut self, now: Micros, id: RequestId) {
         self.stage = AttemptStage::Established;
         self.activity.record(now, id);
     }
 
-    /// Its next deadline; none once it is established.
+    /// The next deadline of the attempt; `None` once it is established. A connect deadline before `earliest_timeout` is
+    /// postponed to that time.
     pub(super) fn next_deadline(&self, earliest_timeout: Micros) -> Option<Micros> {
         match self.stage {
-            AttemptStage::Connecting => Some(self.connected_by.max(earliest_timeout).min(self.deadline)),
+            AttemptStage::Connecting => Some(self.connect_deadline.max(earliest_timeout).min(self.deadline)),
             AttemptStage::Sent => Some(self.deadline),
             AttemptStage::Established => None,
         }
     }
 
-    /// How it ends if a deadline has passed. A request whose first line was not sent has never run; any other may have.
+    /// The outcome if a deadline has passed; `None` otherwise. A request whose first line was not sent has not run; any other
+    /// may have run.
     pub(super) fn timeout_outcome(&self, now: Micros, earliest_timeout: Micros) -> Option<Outcome> {
         match self.stage {
-            AttemptStage::Connecting if now >= self.connected_by.max(earliest_timeout) => {
+            AttemptStage::Connecting if now >= self.connect_deadline.max(earliest_timeout) => {
                 Some(Outcome::ConnectFailed)
             }
             AttemptStage::Connecting if now >= self.deadline => Some(Outcome::NotSent),
@@ -237,12 +240,13 @@
         }
     }
 
-    /// Reads lines of an established connection, to be forwarded. The figures of `LOAD` lines are added to `load_figures`;
-    /// any other line answers what the client has sent at `unanswered_since`. Returns whether anything was read.
+    /// Reads lines from the server of an established connection, which are to be forwarded to the client. The values of
+    /// `LOAD` lines are appended to `load_figures`. Any other line except `BYE` and `MOVE` counts as the answer to the line
+    /// that the client sent at `unanswered_since`, which is reset. Returns whether anything was read.
     ///
     /// # Errors
     ///
-    /// If a line is over the protocol's limit.
+    /// Returns an error if a line exceeds the protocol's length limit.
     pub fn read_lines(
         &mut self,
         context: &LoopContext,
@@ -284,7 +288,7 @@
         Ok(())
     }
 
-    /// How a close by the server counts, by its last message.
+    /// The outcome if the server closes the connection now, which depends on its last message.
     pub fn outcome(&self) -> Outcome {
         match self.last_reply {
             FinalReply::Completed => Outcome::Ok,
@@ -294,8 +298,8 @@
     }
 }
 
-/// The meaning of a message as the answer to a first line.
-fn answer_of(message: Message) -> ServerAnswer {
+/// Interprets a message as the answer to the first line of a request.
+fn answer_from_message(message: Message) -> ServerAnswer {
     match message {
         Message::Accepted(_) => ServerAnswer::Accepted,
         Message::Rejected(_) => ServerAnswer::Ended(Outcome::Rejected),
--- a/crates/balancer/src/servers/attempts.rs
+++ b/crates/balancer/src/servers/attempts.rs
@@ -1,4 +1,4 @@
-//! The table of attempts, and which servers have any.
+//! The table of attempts by request, and the servers that have attempts.
 
 use std::rc::Rc;
 
@@ -12,21 +12,21 @@
 use crate::servers::server_activity::ServerActivity;
 use crate::transport::connection::Connection;
 
-/// All attempts, by request: a request has one at most.
+/// All attempts by request. A request has at most one attempt.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Boxed, since the hash table of a large fleet has many empty entries.
+    /// The attempts are boxed, since the hash table of a large fleet has many empty entries.
     table: FxHashMap<RequestId, Box<Attempt>>,
-    /// The activity of each server that has attempts.
+    /// The last activity of each server that has attempts.
     activity: FxHashMap<ServerId, Rc<ServerActivity>>,
 }
 
 impl Attempts {
-    /// Begins an attempt for a request that has none.
+    /// Starts an attempt for a request that has none.
     ///
     /// # Errors
     ///
-    /// Why no connection could be begun. Only [`DialError::Refused`] says anything about the server.
+    /// Returns an error if no connection could be started. Only [`DialError::Refused`] is attributed to the server.
     pub fn begin(
         &mut self,
         context: &mut LoopContext,
@@ -44,8 +44,8 @@
         Ok(())
     }
 
-    /// Adopts an established attempt of another process of this balancer. Returns false if it can't be registered with
-    /// poll.
+    /// Adds an established attempt that another process of this balancer has transferred. Returns false if the connection
+    /// can't be registered with the poller.
     pub fn adopt(
         &mut self,
         context: &mut LoopContext,
@@ -70,32 +70,32 @@
         self.table.get(&id).map(|attempt| &**attempt)
     }
 
-    /// The attempt of a request, to act on.
+    /// The attempt of a request, for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Attempt> {
         self.table.get_mut(&id).map(|attempt| &mut **attempt)
     }
 
-    /// Whether a request has an attempt, established or not.
+    /// Whether a request has an attempt, whether established or not.
     pub fn has(&self, id: RequestId) -> bool {
         self.table.contains_key(&id)
     }
 
-    /// The server of a request's attempt.
+    /// The server of a request's attempt; `None` if the request has no attempt.
     pub fn server(&self, id: RequestId) -> Option<ServerId> {
         self.table.get(&id).map(|attempt| attempt.server())
     }
 
-    /// Ends the attempt of a request. Returns false if it has none.
+    /// Ends the attempt of a request and closes its connection. Returns false if the request has no attempt.
     pub fn end(&mut self, context: &mut LoopContext, id: RequestId) -> bool {
         self.take(context, id).is_some()
     }
 
-    /// Takes the attempt of a request out of the table, together with its connection. Its timer is cancelled, so that it
-    /// can't end a later attempt.
+    /// Removes the attempt of a request from the table and returns it with its connection. The attempt's timer is cancelled,
+    /// so that it can't end a later attempt of the same request.
     pub fn take(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Box<Attempt>> {
         let mut attempt = self.table.remove(&id)?;
         attempt.timer.cancel(context);
-        // One reference is the attempt's, one the table's.
+        // One reference belongs to this attempt and one to the table.
         let is_last_of_server = Rc::strong_count(&attempt.activity) == 2;
         if is_last_of_server {
             self.activity.remove(&attempt.server());
@@ -109,7 +109,7 @@
         attempt.timer.schedule_by(context, deadline, TimerEvent::Attempt(id));
     }
 
-    /// The timer of a request's attempt has fired. Returns how the attempt ends, if a deadline has passed.
+    /// Handles the timer of a request's attempt. Returns the outcome if a deadline has passed.
     pub fn on_timer(&mut self, context: &mut LoopContext, id: RequestId) -> Option<Outcome> {
         let attempt = self.table.get_mut(&id)?;
         attempt.timer.on_fired();
@@ -120,7 +120,7 @@
         outcome
     }
 
-    /// Whether the server of a request's attempt has sent anything to another request since `since`.
+    /// Whether the server of a request's attempt has sent anything to another request after `since`.
     pub fn is_server_alive(&self, id: RequestId, since: Micros) -> bool {
         self.table.get(&id).is_some_and(|attempt| attempt.activity.is_alive_for_others(id, since))
     }
@@ -130,7 +130,7 @@
         self.table.len()
     }
 
-    /// Whether a server has any attempts.
+    /// Whether a server has any attempts, whether established or not.
     pub fn has_server(&self, server: ServerId) -> bool {
         self.activity.contains_key(&server)
     }
--- a/crates/balancer/src/servers/attempts/tests.rs
+++ b/crates/balancer/src/servers/attempts/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of attempts, against a listener on loopback.
+//! Tests of attempts against a listener on the loopback interface.
 
 use super::*;
 use crate::event_loop::context::tests::{READ, context, until};
@@ -18,7 +18,7 @@
     listener.accept().expect("the attempt").0
 }
 
-/// How the timers that fire by `now` end the attempt.
+/// The outcomes that the timers due by `now` return.
 fn outcomes_by(attempts: &mut Attempts, context: &mut LoopContext, now: Micros) -> Vec<Outcome> {
     context.end_iteration(now);
     context.begin_iteration(now);
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_timer_ends_only_the_attempt_that_it_was_set_for() {
+fn a_timer_ends_only_its_own_attempt() {
     let (mut context, mut attempts) = (context(1_000_000), Attempts::default());
-    let _old = begin(&mut attempts, &mut context, 700_000);
+    let _old_server = begin(&mut attempts, &mut context, 700_000);
     assert!(
         attempts.end(&mut context, ID) && !attempts.end(&mut context, ID) && !attempts.has_server(SERVER)
     );
     context.begin_iteration(1_100_000);
-    let _new = begin(&mut attempts, &mut context, 700_000);
+    let _new_server = begin(&mut attempts, &mut context, 700_000);
     assert_eq!(outcomes_by(&mut attempts, &mut context, 1_349_000), []);
     assert_eq!(outcomes_by(&mut attempts, &mut context, 1_350_000), [Outcome::ConnectFailed]);
     attempts.get_mut(ID).expect("an attempt").send_request(1_350_000, &context.buffers, b"OPEN 1 2 d=9");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_server_is_alive_by_what_it_sends_to_other_clients() {
+fn a_server_is_alive_if_it_sends_to_other_clients() {
     let (mut context, mut attempts) = (context(1000), Attempts::default());
     let mut server = begin(&mut attempts, &mut context, 700);
     let attempt = attempts.get_mut(ID).expect("an attempt");
@@ -75,13 +75,13 @@
     until(|| {
         attempt.connection.on_ready(READ);
         assert!(attempt.read_lines(&context, ID, &mut unanswered_since, &mut load_figures).is_ok());
-        attempt.outcome() == Outcome::Ok // Its last message was BYE.
+        attempt.outcome() == Outcome::Ok // The outcome changes once the last message, BYE, has been read.
     });
     assert_eq!(
         (unanswered_since, load_figures, attempt.last_answer()),
         (None, vec![5.5], Some(AnsweredLine { at: 2000, delay: 500 }))
     );
-    assert!(!attempts.is_server_alive(ID, 1700), "it has sent nothing to others");
+    assert!(!attempts.is_server_alive(ID, 1700), "the server has sent nothing to other requests");
     attempts.get(ID).expect("an attempt").activity.record(2100, RequestId(8));
     assert!(attempts.is_server_alive(ID, 2099) && !attempts.is_server_alive(ID, 2100));
     assert!(attempts.is_server_alive(RequestId(7), 1700) && !attempts.is_server_alive(RequestId(8), 1700));
--- a/crates/balancer/src/servers/disabled.rs
+++ b/crates/balancer/src/servers/disabled.rs
@@ -1,4 +1,4 @@
-//! Servers that operators have disabled, and what that makes of their list entries.
+//! Servers that operators have disabled, and how that changes their endpoint list entries.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,26 @@
 /// A server that an operator has disabled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DisabledServer {
-    /// Its name, if it is known.
+    /// The server's name; empty if it is unknown.
     pub name: Box<str>,
-    /// When it was disabled, in seconds on the clock of the decisions.
+    /// When the server was disabled, in seconds on the clock of the decisions.
     pub disabled_at: f64,
 }
 
-/// A server that was enabled again. It may have been restarted meanwhile, which the endpoint list may not tell yet.
+/// A server that was disabled and enabled again. It may have been restarted in between, which the endpoint list may not show
+/// yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct EnabledServer {
+struct ReenabledServer {
     disabled_at: f64,
     enabled_at: f64,
 }
 
-/// A change by an operator.
+/// A change that an operator makes to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminChange {
-    /// A server is disabled.
+    /// The server is disabled.
     Disabled(ServerId, DisabledServer),
-    /// A server is enabled again, at this time in seconds.
+    /// The server is enabled again at this time, in seconds on the clock of the decisions.
     Enabled(ServerId, f64),
 }
 
@@ -38,11 +39,11 @@
     }
 }
 
-/// Disabled servers, whether the endpoint list names them or not. Only an operator enables one again.
+/// The disabled servers, whether or not the endpoint list contains them. Only an operator can enable one again.
 #[derive(Clone, Debug, Default)]
 pub struct DisabledServers {
     disabled: BTreeMap<ServerId, DisabledServer>,
-    enabled: BTreeMap<ServerId, EnabledServer>,
+    enabled: BTreeMap<ServerId, ReenabledServer>,
 }
 
 impl DisabledServers {
@@ -51,12 +52,12 @@
         self.disabled.contains_key(&server)
     }
 
-    /// All disabled servers.
+    /// All disabled servers by id.
     pub fn all(&self) -> &BTreeMap<ServerId, DisabledServer> {
         &self.disabled
     }
 
-    /// Applies a change. Returns false if it changes nothing.
+    /// Applies a change. Returns false if the server already has the requested state.
     pub fn apply(&mut self, change: AdminChange) -> bool {
         match change {
             AdminChange::Disabled(server, disabled) => {
@@ -66,19 +67,19 @@
             AdminChange::Enabled(server, enabled_at) => {
                 let Some(disabled) = self.disabled.remove(&server) else { return false };
                 let disabled_at = disabled.disabled_at;
-                self.enabled.insert(server, EnabledServer { disabled_at, enabled_at });
+                self.enabled.insert(server, ReenabledServer { disabled_at, enabled_at });
                 true
             }
         }
     }
 
-    /// Forgets a server unless it is disabled.
+    /// Removes the record that a server was enabled again. A disabled server stays disabled.
     pub fn forget(&mut self, server: ServerId) {
         self.enabled.remove(&server);
     }
 
-    /// The entry of a listed server as the decisions see it: a disabled server drains, and one that was enabled again is
-    /// as cold as after a restart, unless the list tells of a later one.
+    /// The entry of a listed server as the decisions receive it. A disabled server is draining. A server that was enabled
+    /// again is treated as restarted at that time, unless the list shows a restart after it was disabled.
     pub fn effective_entry(&self, listed: ServerEntry) -> ServerEntry {
         let is_draining = self.is_disabled(listed.server) && listed.state == ServerState::Ready;
         let started_at = match self.enabled.get(&listed.server) {
--- a/crates/balancer/src/servers/disabled/tests.rs
+++ b/crates/balancer/src/servers/disabled/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of disabled servers and their list entries.
+//! Tests of disabled servers and their effective list entries.
 
 use super::*;
 use proptest::prelude::*;
@@ -14,23 +14,27 @@
 }
 
 #[test]
-fn a_server_that_is_enabled_again_is_as_cold_as_it_may_be() {
+fn a_server_that_is_enabled_again_counts_as_restarted_unless_the_list_shows_a_restart() {
     let mut servers = DisabledServers::default();
-    assert!(servers.apply(disable(100.0)) && !servers.apply(disable(105.0)), "it is disabled once");
+    assert!(
+        servers.apply(disable(100.0)) && !servers.apply(disable(105.0)),
+        "the second command changes nothing"
+    );
     assert_eq!(servers.effective_entry(listed(ServerState::Ready, 5.0)).state, ServerState::Draining);
     assert_eq!(servers.effective_entry(listed(ServerState::Removed, 5.0)).state, ServerState::Removed);
     assert!(
         servers.apply(AdminChange::Enabled(ONE, 110.0)) && !servers.apply(AdminChange::Enabled(ONE, 111.0))
     );
-    // The list lags: the server may have been restarted a moment ago.
+    // The list may be outdated: the server may have been restarted just before it was enabled.
     assert_eq!(servers.effective_entry(listed(ServerState::Ready, 5.0)), listed(ServerState::Ready, 110.0));
-    // The list has a restart from while it was disabled.
+    // The list shows a restart while the server was disabled.
     assert_eq!(servers.effective_entry(listed(ServerState::Ready, 107.0)), listed(ServerState::Ready, 107.0));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever lists and commands come in whatever order, a server drains exactly from a disable to the next enable.
+    /// For any sequence of commands and list entries, a ready server is draining from a disable to the next enable, and only
+    /// then.
     #[test]
     fn only_an_operator_enables_a_server_again(steps in prop::collection::vec((0u8..4, 0u8..3), 0..40)) {
         let (mut servers, mut is_disabled) = (DisabledServers::default(), false);
--- a/crates/balancer/src/servers/mod.rs
+++ b/crates/balancer/src/servers/mod.rs
@@ -1,5 +1,5 @@
-//! Servers: as they are listed and as operators have disabled them, attempts, probes, and the delay of messages. Nothing
-//! here knows of connections of clients.
+//! The server side of the balancer: the server table, servers disabled by operators, connection attempts, probes and the
+//! measured message delay. These modules know nothing of client connections.
 
 pub mod attempt;
 pub mod attempts;
--- a/crates/balancer/src/servers/probes.rs
+++ b/crates/balancer/src/servers/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: a connection to a server, a `PING`, and how that ended.
+//! Probes: a probe connects to a server, sends `PING` and reports the outcome.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,30 +15,30 @@
 use crate::transport::connection::{Connection, LineTooLong};
 use crate::transport::readiness::Readiness;
 
-/// A probe that takes longer has failed.
+/// The time after which a probe without an answer has failed.
 const PROBE_TIMEOUT: Micros = 500_000;
 
-/// Who wants a server probed.
+/// The worker that has requested a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requester {
-    /// The decisions of this worker, which receive the result as an event.
+    /// This worker, whose decisions receive the result as an event.
     ThisWorker,
-    /// The worker of this number.
+    /// Another worker, by its index.
     Worker(usize),
 }
 
-/// The result of a probe for another worker.
+/// The result of a probe that another worker has requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerProbeResult {
-    /// The worker that wants it.
+    /// The index of the worker that has requested the probe.
     pub worker: usize,
     /// The server that was probed.
     pub server: ServerId,
-    /// How the probe ended.
+    /// The outcome of the probe.
     pub outcome: Outcome,
 }
 
-/// A probe that is out.
+/// A probe in progress.
 #[derive(Debug)]
 struct Probe {
     connection: Connection,
@@ -49,18 +49,19 @@
     requesters: Vec<Requester>,
 }
 
-/// The probes that are out, by number. A server has one at most, which all requesters share; each requester receives one
-/// result for each request.
+/// The probes in progress, by number. Requesters share the probe of a server, except that a second request of this worker
+/// starts another one. Each requester receives one result for each request.
 #[derive(Debug, Default)]
 pub struct Probes {
     table: BTreeMap<u64, Probe>,
     last_number: u64,
-    /// Results that other workers are to be sent.
+    /// Results that have yet to be sent to other workers.
     worker_results: Vec<WorkerProbeResult>,
 }
 
 impl Probes {
-    /// Starts a probe of a server, or joins the one that is out. Without an address the server can't be reached.
+    /// Starts a probe of a server, or adds the requester to the one in progress. A server without an address is reported as
+    /// unreachable.
     pub fn begin(
         &mut self,
         context: &mut LoopContext,
@@ -74,7 +75,7 @@
         }
         self.last_number += 1;
         let number = self.last_number;
-        let Some(connection) = address.and_then(|to| connect(context, to, number)) else {
+        let Some(connection) = address.and_then(|address| connect(context, address, number)) else {
             return self.report(context, server, Outcome::ConnectFailed, &[requester]);
         };
         let probe = Probe {
@@ -89,16 +90,17 @@
         self.on_ready(context, number, Readiness::default());
     }
 
-    /// A probe of the server whose result the requester can share. A second request of this worker gets its own probe.
+    /// Finds a probe of the server whose result the requester can share. A second request of this worker gets its own probe,
+    /// so that the worker receives one result for each request.
     fn find_joinable(&mut self, server: ServerId, requester: Requester) -> Option<&mut Probe> {
         self.table.values_mut().find(|probe| {
-            let is_own_again =
+            let is_repeated_request =
                 requester == Requester::ThisWorker && probe.requesters.contains(&Requester::ThisWorker);
-            probe.server == server && !is_own_again
+            probe.server == server && !is_repeated_request
         })
     }
 
-    /// The connection of a probe is ready.
+    /// Handles a readiness event of a probe's connection.
     pub fn on_ready(&mut self, context: &mut LoopContext, number: u64, readiness: Readiness) {
         let Some(probe) = self.table.get_mut(&number) else { return };
         probe.connection.on_ready(readiness);
@@ -124,7 +126,7 @@
         self.finish(context, number, outcome);
     }
 
-    /// Ends a probe and reports how; does nothing if it has ended before.
+    /// Ends a probe and reports its outcome to the requesters. Does nothing if the probe has already ended.
     pub fn finish(&mut self, context: &mut LoopContext, number: u64, outcome: Outcome) {
         let Some(probe) = self.table.remove(&number) else { return };
         context.timers.cancel(probe.timer);
@@ -150,12 +152,12 @@
         }
     }
 
-    /// Takes the results that other workers are to be sent.
+    /// Returns and removes the results that have yet to be sent to other workers.
     pub fn take_worker_results(&mut self) -> Vec<WorkerProbeResult> {
         std::mem::take(&mut self.worker_results)
     }
 
-    /// The timer of a probe has fired.
+    /// Handles the timer of a probe: ends the probe, unless timeouts are suspended after a stall of the event loop.
     pub fn on_timer(&mut self, context: &mut LoopContext, number: u64) {
         let earliest_timeout = context.earliest_timeout();
         match self.table.get_mut(&number) {
@@ -166,14 +168,14 @@
         }
     }
 
-    /// The number of probes that are out.
+    /// The number of probes in progress.
     pub fn count(&self) -> usize {
         self.table.len()
     }
 }
 
-fn connect(context: &LoopContext, to: SocketAddr, number: u64) -> Option<Connection> {
-    let mut connection = Connection::connect(to).ok()?;
+fn connect(context: &LoopContext, address: SocketAddr, number: u64) -> Option<Connection> {
+    let mut connection = Connection::connect(address).ok()?;
     context.registry.register(&mut connection, EventSource::Probe(number)).then_some(connection)
 }
 
--- a/crates/balancer/src/servers/server_activity.rs
+++ b/crates/balancer/src/servers/server_activity.rs
@@ -1,27 +1,27 @@
-//! When a server last sent anything, on any of its connections.
+//! Records when a server last sent anything on any of its connections.
 
 use std::cell::Cell;
 
 use shorewharf_decisions::interface::RequestId;
 use shorewharf_units::Micros;
 
-/// What a server has sent last.
+/// The last time at which a server sent something, and the request whose connection it was sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LastSent {
     at: Micros,
     to: RequestId,
 }
 
-/// The last signs of life of a server. Shared by its attempts.
+/// The last activity of a server, shared by all its attempts.
 #[derive(Debug, Default)]
 pub struct ServerActivity {
     last: Cell<Option<LastSent>>,
-    /// When it last sent something to another request than that of `last`.
+    /// When the server last sent something to a request other than that of `last`.
     last_to_other: Cell<Option<Micros>>,
 }
 
 impl ServerActivity {
-    /// The server has sent something on the connection of this request.
+    /// Records that the server has sent something on the connection of this request.
     pub fn record(&self, now: Micros, request: RequestId) {
         if let Some(last) = self.last.replace(Some(LastSent { at: now, to: request }))
             && last.to != request
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether it has sent anything to another request than this one since `since`.
+    /// Whether the server has sent anything to a request other than this one after `since`.
     pub fn is_alive_for_others(&self, request: RequestId, since: Micros) -> bool {
         let last = self.last.get().filter(|last| last.to != request).map(|last| last.at);
         last.max(self.last_to_other.get()).is_some_and(|at| at > since)
--- a/crates/balancer/src/servers/server_table.rs
+++ b/crates/balancer/src/servers/server_table.rs
@@ -1,4 +1,4 @@
-//! The server table: the servers of the endpoint list, with what operators have changed about them.
+//! The server table: the servers of the endpoint list, and those that operators have disabled.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,43 +16,44 @@
 use crate::servers::delays::{DelaySample, LoadFigure, LoadFigureClassifier, median_delay};
 use crate::servers::disabled::{AdminChange, DisabledServers};
 
-/// A server as the last list has it.
+/// A server as the last list that contains it describes it.
 #[derive(Debug)]
 struct KnownServer {
     name: Box<str>,
     address: SocketAddr,
-    /// As listed, whether it is disabled or not, with its start on the clock of this process.
+    /// The entry as listed, regardless of whether the server is disabled. Its start time is on the clock of this process.
     entry: ServerEntry,
-    /// When its process started, as listed, in seconds of Unix time.
+    /// When the server's process started, as listed, in seconds of Unix time.
     listed_start: f64,
-    /// The number of the last list that named it.
+    /// The number of the last list that contains the server.
     last_list: u64,
-    /// Its last delay report was of slow messages.
+    /// The last delay that was measured exceeds the limit for slow servers.
     is_slow: bool,
     load_figures: LoadFigureClassifier,
 }
 
-/// Log lines that one list may cause; further ones are counted.
+/// The number of changed servers that are logged per list; the rest is logged as a count.
 const MAX_LOG_LINES_PER_LIST: usize = 64;
 
 /// All known servers. A removed server stays in the table while connections to it are in use.
 #[derive(Debug, Default)]
 pub struct ServerTable {
     table: BTreeMap<ServerId, KnownServer>,
-    /// Servers of the table that the last list does not name.
+    /// Servers of the table that have been removed from the endpoint list.
     removed: BTreeSet<ServerId>,
-    /// The number of lists that were applied.
+    /// The number of lists that have been applied.
     lists_applied: u64,
     wall_clock: WallClock,
-    /// Servers of the last list were left out, since it exceeds the limit.
+    /// Servers have been ignored because of the limit, and that was logged. Reset by the next snapshot within the limit.
     is_over_limit: bool,
     disabled: DisabledServers,
 }
 
-/// The states that servers had before a list; `None` for new ones. Only servers whose state the list changes are in it.
+/// The states that servers had before a list was applied; `None` for new servers. Contains only servers whose state the list
+/// changes.
 type PreviousStates = BTreeMap<ServerId, Option<ServerState>>;
 
-/// What a list has changed.
+/// The changes that a list makes to the table.
 #[derive(Debug, Default)]
 struct UpdatedEntries {
     /// The entries that the driver receives.
@@ -60,36 +61,37 @@
     previous_states: PreviousStates,
 }
 
-/// Why a server of a list was left out.
+/// The reason why a server of a list was not added to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntryRejection {
-    /// Another server has the same id.
+    /// A server with another name has the same id.
     NameClash,
     /// The table is full.
     OverLimit,
 }
 
-/// The delay of messages at a server.
+/// The message delay of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DelayReport {
     /// The server.
     pub server: ServerId,
-    /// How long a message takes there.
+    /// The median time from a client's line to the server's answer.
     pub delay: Micros,
 }
 
-/// Part of the server table in the order of ids.
+/// A page of the server table, which is ordered by server id.
 #[derive(Debug)]
 pub struct EndpointPage {
-    /// The listed servers of the part, in discovery's form.
+    /// The listed servers of the page, in the format of the endpoint list.
     pub endpoints: Vec<Endpoint>,
-    /// Where the next part begins; `None` if this was the last one.
+    /// The id after which the next page begins; `None` if this is the last page.
     pub next_after: Option<ServerId>,
 }
 
 impl ServerTable {
-    /// Applies a list of discovery. Returns the entries that the driver receives. Removed servers that are not `in_use` are
-    /// dropped. An update that is no snapshot adds servers up to `max_servers`.
+    /// Applies an endpoint list from discovery and logs the changes. Returns the entries that the driver receives. Removed
+    /// servers for which `in_use` is false are dropped from the table. An update that is not a snapshot adds servers only
+    /// while the table has fewer than `max_servers`.
     pub fn apply_list(
         &mut self,
         update: EndpointUpdate,
@@ -110,7 +112,7 @@
         updated.entries
     }
 
-    /// Applies the list that is known at the start, which is not logged.
+    /// Applies the list that is known at the start of the process. The changes are not logged.
     pub fn load_initial_list(&mut self, update: EndpointUpdate, max_servers: usize) -> Vec<ServerEntry> {
         self.update_entries(update, max_servers).entries
     }
@@ -132,7 +134,7 @@
         updated
     }
 
-    /// Adds or updates one server of a list.
+    /// Adds a server of a list to the table, or updates its entry.
     fn update_entry(
         &mut self,
         listed: ListedServer,
@@ -142,8 +144,8 @@
     ) -> Result<(), EntryRejection> {
         let ListedServer { name, address, entry: listed } = listed;
         let (id, state) = (listed.server, listed.state);
-        let entry = ServerEntry { started_at: self.start_of(id, listed.started_at), ..listed };
-        // A snapshot has a limit of its own, and replaces the servers that are here.
+        let entry = ServerEntry { started_at: self.local_start_time(id, listed.started_at), ..listed };
+        // The size of a snapshot is already limited, and a snapshot replaces the servers in the table.
         let is_full = !is_snapshot && self.table.len() >= max_servers;
         match self.table.get_mut(&id) {
             Some(server) if server.name != name => {
@@ -193,20 +195,21 @@
         }
     }
 
-    /// When a server's process started, on the clock of this process. The same start is the same time in every list.
-    fn start_of(&self, server: ServerId, listed: f64) -> f64 {
+    /// Converts the listed start time of a server's process to the clock of this process. A start time that is already in the
+    /// table keeps its converted value, even if the wall clock has been stepped in between.
+    fn local_start_time(&self, server: ServerId, listed: f64) -> f64 {
         match self.table.get(&server) {
             Some(known) if known.listed_start == listed => known.entry.started_at,
-            _ => self.wall_clock.start_of(listed),
+            _ => self.wall_clock.convert_start_time(listed),
         }
     }
 
-    /// Sets how the wall clock stands to the clock of this process, before a list is applied.
+    /// Sets the offset of the wall clock from the clock of this process. To be called before a list is applied.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.wall_clock = wall_clock;
     }
 
-    /// Logs once that servers are left out, and once that a snapshot fits again.
+    /// Logs once that servers are ignored because of the limit, and once that a snapshot is within the limit again.
     fn log_limit_change(&mut self, left_out: usize, is_snapshot: bool, max_servers: usize) {
         if left_out > 0 && !std::mem::replace(&mut self.is_over_limit, true) {
             warn!(event = "list-over-limit", servers = max_servers, "left-out" = left_out);
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Logs the servers whose state a list has changed.
+    /// Logs the servers whose state a list has changed, up to [`MAX_LOG_LINES_PER_LIST`].
     fn log_changes(&self, previous_states: &PreviousStates) {
         let mut changed = 0;
         for (id, previous) in previous_states {
@@ -239,17 +242,18 @@
         }
     }
 
-    /// Whether a server is in the table.
+    /// Whether a server is in the table, including removed servers that are still in use.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.table.contains_key(&server)
     }
 
-    /// The listed servers in discovery's form. Whether a server is disabled is not part of it.
+    /// The listed servers in the format of the endpoint list. It does not show whether a server is disabled.
     pub fn endpoints(&self, names: &NameIndex) -> Vec<Endpoint> {
         self.endpoint_page(names, None, usize::MAX).endpoints
     }
 
-    /// The same for a part of the table: `size` servers after this id.
+    /// One page of [`ServerTable::endpoints`]: the next `size` servers of the table after the id `after`, without the removed
+    /// ones.
     pub fn endpoint_page(&self, names: &NameIndex, after: Option<ServerId>, size: usize) -> EndpointPage {
         let page = self.table.range((after.map_or(Unbounded, Excluded), Unbounded)).take(size);
         let (mut endpoints, mut last, mut count) = (Vec::new(), None, 0);
@@ -277,24 +281,25 @@
         }
     }
 
-    /// When a server's process started, by the wall clock. One that was enabled again counts as restarted.
+    /// When a server's process started, as listed. For a server that counts as restarted since it was enabled again, the time
+    /// at which it was enabled.
     fn listed_start(&self, server: &KnownServer) -> f64 {
         let started_at = self.disabled.effective_entry(server.entry).started_at;
         if started_at == server.entry.started_at { server.listed_start } else { started_at }
     }
 
-    /// The number of servers that the last list names.
+    /// The number of servers in the endpoint list.
     pub fn listed_count(&self) -> usize {
         self.table.len() - self.removed.len()
     }
 
-    /// How many of these servers the last list names.
+    /// The number of the given servers that are in the endpoint list.
     pub fn listed_count_of(&self, servers: &[ServerId]) -> usize {
         let listed = |id: &&ServerId| self.table.contains_key(*id) && !self.removed.contains(*id);
         servers.iter().filter(listed).count()
     }
 
-    /// A server as the target of an attempt, by its present list entry.
+    /// A server as the target of an attempt, with the zone and cell of its current entry; 0 for an unknown server.
     pub fn target(&self, server: ServerId) -> Target {
         let entry = self.table.get(&server).map(|known| known.entry);
         Target {
@@ -304,7 +309,7 @@
         }
     }
 
-    /// The address of a server, whether it accepts new clients or not.
+    /// The address of a server, regardless of whether it accepts new clients.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.table.get(&server).map(|known| known.address)
     }
@@ -321,13 +326,13 @@
         &self.disabled
     }
 
-    /// Whether the table has a server of this name, listed or still in use.
+    /// Whether the server in the table under this id has this name.
     pub fn has_name(&self, server: ServerId, name: &str) -> bool {
         self.table.get(&server).is_some_and(|known| &*known.name == name)
     }
 
-    /// Applies a change by an operator. Returns the entry that the driver receives, if the server is in the table and
-    /// anything has changed.
+    /// Applies a change that an operator makes to a server. Returns the entry that the driver receives; `None` if nothing
+    /// changes or the server is not in the table.
     pub fn apply_admin_change(&mut self, change: AdminChange) -> Option<ServerEntry> {
         let server = change.server();
         if !self.disabled.apply(change) {
@@ -336,18 +341,18 @@
         self.table.get(&server).map(|known| self.disabled.effective_entry(known.entry))
     }
 
-    /// The name of a server for the log; `?` if it is unknown.
+    /// The name of a server for the log; `?` if the server is unknown.
     pub fn name(&self, server: Option<ServerId>) -> &str {
         server.and_then(|id| self.table.get(&id)).map_or("?", |known| &known.name)
     }
 
-    /// Classifies a figure in a `LOAD` line of a server.
+    /// Classifies the value in a `LOAD` line of a server.
     pub fn classify_load(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadFigure {
         self.table.get_mut(&server).map_or(LoadFigure::Load, |known| known.load_figures.classify(now, figure))
     }
 
-    /// The delays to report, from the samples of each server's connections: of the servers whose messages take longer than
-    /// `slow_from`, and once more of each that is no longer slow.
+    /// The message delays to report, computed from the samples of each server's connections. Reports the servers whose delay
+    /// exceeds `slow_from`, and once more each server that is no longer slow.
     pub fn delay_reports(
         &mut self,
         now: Micros,
@@ -358,7 +363,7 @@
         for (server, samples) in samples {
             let Some(delay) = median_delay(now, slow_from, samples) else { continue };
             let Some(known) = self.table.get_mut(server) else { continue };
-            // A delay that the server reports itself takes precedence.
+            // A delay that the server has reported itself takes precedence.
             if known.load_figures.has_recent_delay(now) {
                 continue;
             }
