--- a/crates/balancer/src/discovery/client.rs
+++ b/crates/balancer/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The client of the discovery service: keeps a watch of the endpoint list over HTTP/1.1.
+//! The client of the discovery service, which watches the endpoint list over HTTP/1.1.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,65 +17,67 @@
 use crate::transport::connection::Connection;
 use crate::transport::readiness::Readiness;
 
-/// A watch whose list has not begun after this time has failed. Discovery itself gives up after about a second, and there
-/// must be time for another watch within [`MAX_RELOAD_DELAY`].
+/// The time after which a watch that has sent nothing of a list yet has failed. The discovery service itself gives up after
+/// about a second, and there must be time for another watch within [`MAX_RELOAD_DELAY`].
 const FIRST_BYTE_TIMEOUT: Micros = 1_800_000;
-/// A watch sends a blank line every 2 s; one that is silent for this long is dead, whatever TCP says.
+/// The time without data after which a watch has failed, even if its TCP connection seems intact. The discovery service sends
+/// a blank line every 2 s.
 const SILENCE_TIMEOUT: Micros = 2_800_000;
-/// A list must be known this soon after a watch has fallen silent, or discovery is reachable again.
+/// A list must be received within this time after a watch has stopped sending data or the discovery service is reachable
+/// again.
 const MAX_UPDATE_DELAY: Micros = 6_000_000;
-/// A list must be known this soon after a reload has changed discovery's address.
+/// A list must be received within this time after a reload has changed the address of the discovery service.
 const MAX_RELOAD_DELAY: Micros = 4_000_000;
-// The delay before the next watch is the driver's.
+// The driver determines the delay before the next watch.
 const _: () = assert!(SILENCE_TIMEOUT + MAX_DISCOVERY_RETRY_DELAY + FIRST_BYTE_TIMEOUT < MAX_UPDATE_DELAY);
 const _: () = assert!(2 * FIRST_BYTE_TIMEOUT < MAX_RELOAD_DELAY);
-/// Pieces of a list that are read in one iteration: a list of megabytes must not hold up other connections.
-const MAX_PIECES_PER_ITERATION: usize = 8;
+/// Limits the reads in one iteration of the event loop, since a list of megabytes must not delay other connections.
+const MAX_READS_PER_ITERATION: usize = 8;
 
-/// What a watch reports.
+/// An event of the watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A list, or changes to it.
+    /// A complete list, or changes to it, has been received.
     List(EndpointUpdate),
     /// The watch could not be opened, or has ended.
     Failed,
 }
 
-/// Why a watch has ended.
+/// The reason why a watch could not be opened or has ended.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
     Connect(#[from] io::Error),
-    #[error("the loop takes no more connections")]
+    #[error("the connection to the discovery service could not be registered with the poller")]
     NotRegistered,
     #[error(transparent)]
     Response(#[from] ResponseError),
-    #[error("the connection ended")]
+    #[error("the connection to the discovery service has ended")]
     Closed,
-    #[error("silence")]
+    #[error("no data from the discovery service within the timeout")]
     Silent,
 }
 
-/// A watch that is open.
+/// An open watch.
 #[derive(Debug)]
 struct Watch {
     connection: Connection,
-    is_requested: bool,
+    is_request_sent: bool,
     response: ResponseReader,
     reader: ListReader,
-    /// What has come of the list that is being received.
+    /// The received part of the current list.
     update: EndpointUpdate,
-    /// When something came last, or the watch was opened.
+    /// When data was last received, or the watch was opened.
     last_received: Micros,
-    /// Something of a list has come, or a blank line.
-    has_begun: bool,
+    /// Any part of the response's body has been received, be it only a blank line.
+    has_received_data: bool,
 }
 
-/// How reading a watch has ended in an iteration.
-enum ReadEnd {
-    /// Nothing more is at hand.
+/// The result of reading a watch in one iteration of the event loop.
+enum ReadResult {
+    /// All available data has been read.
     Drained,
-    /// There may be more, for the next iteration.
+    /// The limit per iteration is reached, and more data may be available.
     HasMore,
 }
 
@@ -83,29 +85,29 @@
     fn new(connection: Connection, now: Micros) -> Self {
         Watch {
             connection,
-            is_requested: false,
+            is_request_sent: false,
             response: ResponseReader::new(),
             reader: ListReader::new(),
             update: EndpointUpdate::default(),
             last_received: now,
-            has_begun: false,
+            has_received_data: false,
         }
     }
 
-    /// Sends the request once the connection is established; returns false until then.
+    /// Sends the request once the connection is established. Returns false until then.
     fn send_request(
         &mut self,
         context: &LoopContext,
         address: SocketAddr,
         index: u64,
     ) -> Result<bool, WatchError> {
-        if self.is_requested {
+        if self.is_request_sent {
             return Ok(true);
         }
         if !self.connection.is_connected()? {
             return Ok(false);
         }
-        self.is_requested = true;
+        self.is_request_sent = true;
         let request = format!(
             "GET /v1/servers?follow=1&since={index} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
         );
@@ -113,51 +115,52 @@
         Ok(true)
     }
 
-    /// Reads what has come; complete lists are added to `lists`.
+    /// Reads the available data, up to the limit per iteration. Appends complete lists to `lists`.
     fn read(
         &mut self,
         context: &LoopContext,
         settings: &ProxySettings,
         lists: &mut Vec<EndpointUpdate>,
-    ) -> Result<ReadEnd, WatchError> {
-        for piece in 0.. {
+    ) -> Result<ReadResult, WatchError> {
+        for reads in 0.. {
             let has_read = self.connection.read_available(&context.buffers);
             let length = self.parse(settings, lists)?;
             self.connection.discard(length);
-            if has_read && self.has_begun {
+            if has_read && self.has_received_data {
                 self.last_received = context.now;
             }
             let is_closed = self.connection.peer_close.is_some();
             if !has_read || (length == 0 && !is_closed) {
-                return if is_closed { Err(WatchError::Closed) } else { Ok(ReadEnd::Drained) };
+                return if is_closed { Err(WatchError::Closed) } else { Ok(ReadResult::Drained) };
             }
-            if piece >= MAX_PIECES_PER_ITERATION {
+            if reads >= MAX_READS_PER_ITERATION {
                 break;
             }
         }
-        Ok(ReadEnd::HasMore)
+        Ok(ReadResult::HasMore)
     }
 
-    /// Parses the input that is pending; returns how many bytes of it are parsed.
+    /// Parses the pending input. Returns the number of bytes parsed.
     fn parse(
         &mut self,
         settings: &ProxySettings,
         lists: &mut Vec<EndpointUpdate>,
     ) -> Result<usize, ResponseError> {
-        let (reader, update, has_begun) = (&mut self.reader, &mut self.update, &mut self.has_begun);
+        let (reader, update, has_received_data) =
+            (&mut self.reader, &mut self.update, &mut self.has_received_data);
         let mut on_part = |part| match part {
             ListPart::Entry(endpoint) => update.add(&endpoint, &settings.names, settings.max_servers),
             ListPart::End { index, snapshot } => lists.push(update.finish(index, snapshot)),
         };
         self.response.read(self.connection.pending_input(), |body| {
-            *has_begun |= !body.is_empty();
+            *has_received_data |= !body.is_empty();
             reader.read(body, &mut on_part)
         })
     }
 
-    /// When the watch must have sent something.
+    /// The time by which the discovery service must send more data.
     fn deadline(&self) -> Micros {
-        self.last_received + if self.has_begun { SILENCE_TIMEOUT } else { FIRST_BYTE_TIMEOUT }
+        self.last_received + if self.has_received_data { SILENCE_TIMEOUT } else { FIRST_BYTE_TIMEOUT }
     }
 }
 
@@ -166,19 +169,19 @@
 pub struct DiscoveryClient {
     address: SocketAddr,
     watch: Option<Watch>,
-    /// More may be waiting to be read in the next iteration.
+    /// More data may be available for the next iteration.
     has_unread: bool,
-    /// Version of the list that is in force.
+    /// The version of the current list.
     index: u64,
     /// The last watch has failed, and that was logged.
     has_failed: bool,
-    /// The driver has requested a watch. Workers other than the primary never do.
-    is_wanted: bool,
+    /// The driver has requested a watch. This never happens on workers other than the primary one.
+    is_watch_requested: bool,
     timer: TimerHandle,
 }
 
 impl DiscoveryClient {
-    /// A client of the service at this address, without a watch.
+    /// Creates a client of the service at this address, without a watch.
     pub fn new(address: SocketAddr) -> Self {
         DiscoveryClient {
             address,
@@ -186,34 +189,34 @@
             has_unread: false,
             index: 0,
             has_failed: false,
-            is_wanted: false,
+            is_watch_requested: false,
             timer: TimerHandle::default(),
         }
     }
 
-    /// Sets the version of the list that is in force at the start.
+    /// Sets the version of the list that is known at the start of the process.
     pub fn set_index(&mut self, index: u64) {
         self.index = index;
     }
 
-    /// Version of the list that is in force.
+    /// The version of the current list.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Changes the address of the service. A new watch is opened at once, as the one at the old address may stay open for
-    /// seconds and report nothing. It continues from the version in force.
+    /// Changes the address of the service. If a watch was requested, a new one is opened immediately, since the one at the old
+    /// address may stay open for seconds without reporting anything. The new watch continues from the current version.
     pub fn set_address(&mut self, context: &mut LoopContext, address: SocketAddr) -> Vec<DiscoveryEvent> {
         if std::mem::replace(&mut self.address, address) == address {
             return Vec::new();
         }
         self.watch = None;
-        if self.is_wanted { self.open_watch(context) } else { Vec::new() }
+        if self.is_watch_requested { self.open_watch(context) } else { Vec::new() }
     }
 
-    /// Opens a watch unless one is open.
+    /// Opens a watch unless one is open already.
     pub fn open_watch(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
-        self.is_wanted = true;
+        self.is_watch_requested = true;
         if self.watch.is_some() {
             return Vec::new();
         }
@@ -235,12 +238,12 @@
         Ok(connection)
     }
 
-    /// Whether more may be waiting than one iteration reads.
+    /// Whether more data may be available than one iteration reads.
     pub fn has_unread(&self) -> bool {
         self.has_unread
     }
 
-    /// The connection of the watch is ready.
+    /// Handles a readiness event of the watch's connection.
     pub fn on_ready(
         &mut self,
         context: &mut LoopContext,
@@ -259,16 +262,16 @@
             }
             Err(error) => Err(error),
         };
-        let mut events: Vec<_> = lists.into_iter().map(|list| self.accept(list)).collect();
+        let mut events: Vec<_> = lists.into_iter().map(|list| self.on_list(list)).collect();
         match result {
-            Ok(ReadEnd::Drained) => {}
-            Ok(ReadEnd::HasMore) => self.has_unread = true,
+            Ok(ReadResult::Drained) => {}
+            Ok(ReadResult::HasMore) => self.has_unread = true,
             Err(error) => events.push(self.fail(context, &error)),
         }
         events
     }
 
-    fn accept(&mut self, list: EndpointUpdate) -> DiscoveryEvent {
+    fn on_list(&mut self, list: EndpointUpdate) -> DiscoveryEvent {
         if std::mem::replace(&mut self.has_failed, false) {
             info!(event = "discovery-recovered", index = list.index);
         }
@@ -285,7 +288,8 @@
         DiscoveryEvent::Failed
     }
 
-    /// When the watch must have sent something.
+    /// The time by which the discovery service must send more data; `None` without a watch. Postponed after a stall of the
+    /// event loop.
     fn deadline(&self, context: &LoopContext) -> Option<Micros> {
         self.watch.as_ref().map(|watch| watch.deadline().max(context.earliest_timeout()))
     }
@@ -295,7 +299,7 @@
         self.timer.schedule_by(context, deadline, TimerEvent::DiscoveryClient);
     }
 
-    /// The timer has fired: ends a watch that has been silent for too long.
+    /// Handles the timer: ends a watch that is past its deadline.
     pub fn on_timer(&mut self, context: &mut LoopContext) -> Vec<DiscoveryEvent> {
         self.timer.on_fired();
         if self.deadline(context).is_some_and(|deadline| context.now >= deadline) {
--- a/crates/balancer/src/discovery/mod.rs
+++ b/crates/balancer/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: a watch over HTTP/1.1 at the discovery service, the JSON in its response, and what is kept of that.
+//! The endpoint list from the discovery service: a watch over HTTP/1.1, the parsing of the JSON in its response, and the
+//! conversion to entries of the server table.
 
 pub mod client;
 pub mod reader;
--- a/crates/balancer/src/discovery/reader.rs
+++ b/crates/balancer/src/discovery/reader.rs
@@ -1,89 +1,95 @@
-//! Parses endpoint lists as they are received: JSON objects, one a line, in pieces of any size. Only one server's entry is held
-//! as text at a time, so a list of megabytes takes no more memory than what is kept of it.
+//! Parses endpoint lists incrementally, as they are received. A list is a JSON object on a line of its own; the input may be
+//! split anywhere. Only the text of one entry is buffered at a time, so a list of megabytes takes no more memory than its
+//! parsed entries.
 //!
-//! The text is cut where an entry begins and ends; `serde_json` parses each entry, and at the end the object without them.
-//! Its stream deserializer wants complete values, and a visitor of the entries pulls its input: it would need a thread that
-//! may block.
+//! The reader finds where each entry begins and ends. `serde_json` parses each entry, and at the end of the list the object
+//! without its entries. The streaming interfaces of `serde_json` don't fit: `StreamDeserializer` needs complete top-level
+//! values, and a visitor of the entries pulls its input, which would need a thread that may block.
 
 use serde::Deserialize;
 use shorewharf_protocol::endpoint_list::Endpoint;
 use thiserror::Error;
 
-/// The longest text of one entry, and of an object without its entries.
+/// The maximum length of the text of one entry, and of a list without its entries.
 const MAX_TEXT_BYTES: usize = 64 << 10;
 
-/// Text that is not an endpoint list.
+/// The reason why text is not a valid endpoint list.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// An entry, or the object without its entries, is too long.
-    #[error("an entry over the limit")]
+    /// An entry, or the list without its entries, is too long.
+    #[error(
+        "endpoint list: an entry, or the list without its entries, is longer than {MAX_TEXT_BYTES} bytes"
+    )]
     TooLong,
     /// A line ends within a list.
-    #[error("bad list: a line ends within it")]
+    #[error("endpoint list: found the end of a line before the end of the list")]
     UnexpectedLineEnd,
-    /// There is something else than an entry between the brackets.
-    #[error("bad list: an entry is expected")]
+    /// The array of entries contains something other than objects separated by commas.
+    #[error("endpoint list: expected an object in the array `endpoints`")]
     EntryExpected,
     /// The text does not begin with an object.
-    #[error("bad list: no object")]
+    #[error("endpoint list: expected a JSON object")]
     NotAnObject,
-    /// An entry, or the object without its entries, is malformed.
-    #[error("bad list: {0}")]
+    /// An entry, or the list without its entries, is malformed.
+    #[error("endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// A part of a list that has been parsed.
+/// A parsed part of an endpoint list.
 #[derive(Debug, PartialEq)]
 pub enum ListPart {
-    /// An entry of the list that is being read.
+    /// An entry of the current list.
     Entry(Box<Endpoint>),
-    /// The end of that list: its entries are complete.
+    /// The end of the current list, all entries of which have been reported.
     End {
-        /// Version of the list.
+        /// The version of the list.
         index: u64,
-        /// The list is complete rather than a set of changes.
+        /// Whether the list is complete. Otherwise it contains only changes.
         snapshot: bool,
     },
 }
 
-/// A list without its entries.
+/// The fields of a list other than its entries.
 #[derive(Deserialize)]
 struct Envelope {
     #[serde(default)]
     index: u64,
     #[serde(default)]
     snapshot: bool,
-    /// Empty, since the entries have been cut out.
+    /// Always empty, since the reader has removed the entries. Declared so that a value of another type or a duplicate key is
+    /// an error.
     #[serde(default)]
     #[allow(dead_code)]
     endpoints: [(); 0],
 }
 
-/// Where the reader is.
+/// The reader's position in relation to the array of entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Position {
-    /// Outside the array of entries.
+    /// Outside the array.
     Outside,
-    /// Behind the array's opening bracket.
+    /// After the array's opening bracket.
     ArrayStart,
-    /// Behind a comma between entries.
+    /// After a comma between entries.
     AfterComma,
-    /// Behind an entry.
+    /// After an entry.
     AfterEntry,
     /// Within an entry.
     InEntry,
 }
 
-/// Parses lists piece by piece.
+/// An incremental parser of endpoint lists.
 #[derive(Debug)]
 pub struct ListReader {
     position: Position,
-    /// Open brackets and braces.
+    /// The number of open brackets and braces.
     depth: u32,
     in_string: bool,
-    /// The last byte was a backslash that escapes the next one.
+    /// The last byte was a backslash in a string, which escapes the next byte.
     is_escaped: bool,
+    /// The text of the current list without its entries.
     envelope: Vec<u8>,
+    /// The text of the current entry.
     entry: Vec<u8>,
 }
 
@@ -94,7 +100,7 @@
 }
 
 impl ListReader {
-    /// A reader at the beginning of a list.
+    /// Creates a reader that expects the beginning of a list.
     pub fn new() -> Self {
         ListReader {
             position: Position::Outside,
@@ -106,14 +112,14 @@
         }
     }
 
-    /// Reads a piece of text. Parts that are complete go to `on_part`.
+    /// Parses the next bytes of the input. Calls `on_part` for each part that is complete.
     ///
     /// # Errors
-    /// The text is not a list.
+    /// Returns an error if the text is not an endpoint list.
     pub fn read(&mut self, mut bytes: &[u8], on_part: &mut impl FnMut(ListPart)) -> Result<(), ListError> {
         while let Some(byte) = bytes.first().copied() {
             if self.in_string && !self.is_escaped {
-                // Most of a list is names and addresses: they are copied at once.
+                // Most of a list consists of strings, so their plain parts are copied in bulk.
                 let special = bytes.iter().position(|byte| matches!(byte, b'"' | b'\\' | b'\n'));
                 let (plain, rest) = bytes.split_at(special.unwrap_or(bytes.len()));
                 self.append(plain)?;
@@ -147,7 +153,7 @@
             self.in_string = byte != b'"' || was_escaped;
             return self.append(&[byte]);
         }
-        if !self.enter(byte)? {
+        if !self.update_position(byte)? {
             return Ok(());
         }
         self.in_string = byte == b'"';
@@ -160,7 +166,7 @@
         match (self.position, self.depth) {
             (Position::InEntry, 2) => self.finish_entry(on_part)?,
             (Position::Outside, 0) => self.finish_list(on_part)?,
-            (Position::Outside, 2) if byte == b'[' && self.is_behind_entries_key() => {
+            (Position::Outside, 2) if byte == b'[' && self.is_after_entries_key() => {
                 self.position = Position::ArrayStart;
             }
             _ => {}
@@ -168,8 +174,8 @@
         Ok(())
     }
 
-    /// Moves on to where a byte outside strings stands; returns false if the byte itself is to be dropped.
-    fn enter(&mut self, byte: u8) -> Result<bool, ListError> {
+    /// Updates the position for a byte outside strings. Returns false if the byte is to be dropped, such as a blank.
+    fn update_position(&mut self, byte: u8) -> Result<bool, ListError> {
         match (self.position, byte) {
             (_, b' ' | b'\t' | b'\r') => return Ok(false),
             (Position::AfterEntry, b',') => {
@@ -187,9 +193,9 @@
         Ok(true)
     }
 
-    /// Whether the bracket just read opens the array of entries. Its key stands before it without blanks between; a quote
-    /// within a name has a backslash before it.
-    fn is_behind_entries_key(&self) -> bool {
+    /// Whether the bracket that was just read opens the array of entries. Its key directly precedes it, since blanks are
+    /// dropped. A string that merely contains the same text can't match, since its quotes are escaped by backslashes.
+    fn is_after_entries_key(&self) -> bool {
         self.envelope.ends_with(b"{\"endpoints\":[") || self.envelope.ends_with(b",\"endpoints\":[")
     }
 
--- a/crates/balancer/src/discovery/reader/tests.rs
+++ b/crates/balancer/src/discovery/reader/tests.rs
@@ -1,12 +1,12 @@
-//! Lists cut into pieces of any size, and text that is not a list.
+//! Tests of the list reader: input in chunks of any size, and text that is not a list.
 
 use super::*;
 use shorewharf_protocol::endpoint_list::EndpointList;
 
-/// The lists that text in pieces of a size comes to.
-fn lists(text: &str, piece: usize) -> Result<Vec<EndpointList>, String> {
+/// Parses text in chunks of `chunk_size` bytes.
+fn parse(text: &str, chunk_size: usize) -> Result<Vec<EndpointList>, String> {
     let (mut reader, mut lists, mut endpoints) = (ListReader::new(), Vec::new(), Vec::new());
-    for bytes in text.as_bytes().chunks(piece) {
+    for bytes in text.as_bytes().chunks(chunk_size) {
         let read = reader.read(bytes, &mut |part| match part {
             ListPart::Entry(e) => endpoints.push(*e),
             ListPart::End { index, snapshot } => {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn lists_parse_the_same_however_they_are_cut() {
+fn chunking_does_not_change_the_parsed_lists() {
     let a =
         r#"{"name":"s-1]}\"\\","address":"127.0.0.1:1","status":"Ready","new":{"endpoints":[1,{"x":"]"}]}}"#;
     let b = r#"{"status":"Gone", "name":"é{[","zone":"a,b","address":"x" , "weight":2.5}"#;
@@ -29,16 +29,17 @@
         r#"{"index":8,"endpoints":[]}"#.into(),
         r#"{"a\",\"endpoints":[1],"snapshot":true}"#.into(),
     ];
-    let whole: Vec<EndpointList> = texts.iter().map(|t| serde_json::from_str(t).expect("good")).collect();
+    let expected: Vec<EndpointList> =
+        texts.iter().map(|text| serde_json::from_str(text).expect("a valid list")).collect();
     let text = texts.join("\n\r\n\n") + "\n";
-    for piece in 1..text.len() + 1 {
-        assert_eq!(lists(&text, piece), Ok(whole.clone()), "in pieces of {piece}");
+    for chunk_size in 1..text.len() + 1 {
+        assert_eq!(parse(&text, chunk_size), Ok(expected.clone()), "in chunks of {chunk_size} bytes");
     }
 }
 
 #[test]
 fn text_that_is_not_a_list_is_an_error() {
-    let long = format!(r#"{{"endpoints":[{{"name":"{}"#, "x".repeat(MAX_TEXT_BYTES));
+    let too_long = format!(r#"{{"endpoints":[{{"name":"{}"#, "x".repeat(MAX_TEXT_BYTES));
     for text in [
         "[]",
         "nonsense",
@@ -50,9 +51,9 @@
         r#"{"endpoints":[,]}"#,
         r#"{"endpoints":[5]}"#,
         r#"{"endpoints":[],"endpoints":[]}"#,
-        &long,
+        &too_long,
     ] {
-        let found = lists(&(text.to_owned() + "\n"), 7);
-        assert!(found.is_err(), "{text}: {found:?}");
+        let result = parse(&(text.to_owned() + "\n"), 7);
+        assert!(result.is_err(), "{text}: {result:?}");
     }
 }
--- a/crates/balancer/src/discovery/response.rs
+++ b/crates/balancer/src/discovery/response.rs
@@ -1,66 +1,67 @@
-//! Reads the HTTP/1.1 response of a watch: bytes in, pieces of the body out.
+//! Parses the HTTP/1.1 response of a watch incrementally and passes on its body, which may use the chunked transfer coding.
 
 use thiserror::Error;
 
 use super::reader::ListError;
 
-/// The most headers of a response.
+/// The maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
 
-/// A response that is not, or no longer, a watch.
+/// The reason why a response can't be used as a watch, or why the watch has ended.
 #[derive(Debug, Error)]
 pub enum ResponseError {
     /// The status line or a header is malformed.
-    #[error("bad answer: {0}")]
+    #[error("malformed head of the HTTP response: {0}")]
     Malformed(httparse::Error),
     /// The status is not 200.
-    #[error("status {0}")]
+    #[error("HTTP status {0}, expected 200")]
     Status(u16),
     /// The size of a chunk is malformed.
-    #[error("bad chunk size")]
+    #[error("malformed chunk size in the HTTP response")]
     ChunkSize,
-    /// A chunk does not end where its size says.
-    #[error("no line end behind a chunk")]
+    /// A chunk is not followed by a line end.
+    #[error("a chunk of the HTTP response is not followed by a line end")]
     ChunkEnd,
-    /// The last chunk has come.
-    #[error("the watch was ended")]
+    /// The chunk of size 0, which ends the response, has been received.
+    #[error("the discovery service ended the response")]
     Ended,
-    /// The body is not a list.
+    /// The body is not an endpoint list.
     #[error(transparent)]
     List(#[from] ListError),
 }
 
-/// What comes next in a response.
+/// The part of the response that comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// The status line and the headers.
     Head,
     /// The size of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The data of a chunk, of which this number of bytes is left.
     ChunkData(u64),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// A body that is not chunked, which lasts until the connection ends.
+    /// A body that is not chunked, which ends with the connection.
     PlainBody,
 }
 
-/// Reads one response.
+/// An incremental parser of one response.
 #[derive(Debug)]
 pub struct ResponseReader {
     state: State,
 }
 
 impl ResponseReader {
-    /// A reader at the beginning of a response.
+    /// Creates a reader that expects the beginning of a response.
     pub fn new() -> Self {
         ResponseReader { state: State::Head }
     }
 
-    /// Reads what is complete in `bytes` and returns how many bytes that is. Pieces of the body go to `on_body`.
+    /// Parses as much of `bytes` as is complete, and returns the number of bytes parsed. Calls `on_body` with parts of the
+    /// body as they are received.
     ///
     /// # Errors
-    /// The response is not a watch, or `on_body` fails.
+    /// Returns an error if the response can't be used as a watch, if it has ended, or if `on_body` fails.
     pub fn read(
         &mut self,
         bytes: &[u8],
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Reads the next part of the response; returns its length, or 0 if it is incomplete.
+    /// Parses the next part of the response. Returns its length, or 0 if it is incomplete.
     fn read_step(
         &mut self,
         bytes: &[u8],
--- a/crates/balancer/src/discovery/update.rs
+++ b/crates/balancer/src/discovery/update.rs
@@ -1,4 +1,4 @@
-//! An endpoint list as the server table and the decisions take it in.
+//! Converts an endpoint list to the entries of the server table.
 
 use std::net::SocketAddr;
 
@@ -7,44 +7,44 @@
 use shorewharf_protocol::name_index::NameIndex;
 use tracing::warn;
 
-/// The most log lines about invalid endpoints of one list.
+/// The number of invalid endpoints that are logged per list; the rest is logged as a count.
 const MAX_LOGGED_ENDPOINTS: usize = 8;
-/// A zone that the settings do not name.
+/// The index of every zone that is not in the settings.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
-/// A server's id: the same function of its name at every balancer, whatever its address there.
+/// The id of a server, which is a fixed function of its name, so that all balancers agree on it.
 pub fn server_id(name: &str) -> ServerId {
-    // FNV-1a with 64 bits, since ids are stored and shared: the standard library's hasher may change.
+    // The 64-bit FNV-1a hash. Ids are stored and shared between processes, and the standard library's hasher may change.
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let hash = name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME));
     ServerId(hash)
 }
 
-/// When a server's process was started, in seconds of Unix time; 0 for long ago, which an invalid time counts as. The clock
-/// of the decisions was set by Unix time, so only the unit changes.
+/// When a server's process was started, in seconds of Unix time. 0 stands for long ago, and is used for an invalid time too.
+/// The clock of the decisions starts at Unix time, so only the unit is converted.
 fn started_at(since_ms: f64) -> f64 {
     if since_ms.is_finite() && since_ms > 0.0 { since_ms / 1e3 } else { 0.0 }
 }
 
-/// A server as a list names it.
+/// A server of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// Its name.
+    /// The server's name.
     pub name: Box<str>,
-    /// Its address.
+    /// The server's address.
     pub address: SocketAddr,
-    /// What the decisions are told of it.
+    /// The entry for the decisions.
     pub entry: ServerEntry,
 }
 
 impl ListedServer {
-    /// Converts an endpoint; none if its address is invalid.
+    /// Converts an endpoint; returns `None` if its address is invalid.
     fn from_endpoint(endpoint: &Endpoint, names: &NameIndex) -> Option<Self> {
         let state = match endpoint.status.as_str() {
             "Ready" => ServerState::Ready,
             "Gone" => ServerState::Removed,
-            // A status that is not known to be ready gets no new connections.
+            // A server with an unknown status gets no new connections.
             _ => ServerState::Draining,
         };
         let entry = ServerEntry {
@@ -63,23 +63,23 @@
     }
 }
 
-/// An endpoint list, or changes to it, with a bounded number of servers.
+/// A complete endpoint list, or a set of changes to it, with a limited number of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointUpdate {
-    /// Version of the list.
+    /// The version of the list.
     pub index: u64,
-    /// The list is complete rather than a set of changes.
+    /// Whether the list is complete. Otherwise it contains only changes.
     pub snapshot: bool,
-    /// The servers.
+    /// The servers of the list.
     pub servers: Vec<ListedServer>,
-    /// How many servers were ignored because there were too many.
+    /// The number of servers that were ignored because of the limit.
     pub ignored: usize,
-    /// How many endpoints were invalid.
+    /// The number of endpoints with an invalid address.
     invalid: usize,
 }
 
 impl EndpointUpdate {
-    /// Adds an endpoint, unless there are `max_servers` already.
+    /// Adds an endpoint, unless the update already has `max_servers` servers. An endpoint with an invalid address is logged.
     pub fn add(&mut self, endpoint: &Endpoint, names: &NameIndex, max_servers: usize) {
         match ListedServer::from_endpoint(endpoint, names) {
             Some(_) if self.servers.len() >= max_servers => self.ignored += 1,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes the update, now that its list is complete.
+    /// Returns the update once its list has been received completely, and resets `self` for the next list.
     pub fn finish(&mut self, index: u64, snapshot: bool) -> EndpointUpdate {
         if self.invalid > MAX_LOGGED_ENDPOINTS {
             warn!(event = "bad-endpoints", "left-out" = self.invalid - MAX_LOGGED_ENDPOINTS);
@@ -101,7 +101,7 @@
         EndpointUpdate { index, snapshot, ..std::mem::take(self) }
     }
 
-    /// Converts a list that is in memory.
+    /// Converts a list that has already been parsed as a whole.
     pub fn from_list(list: &EndpointList, names: &NameIndex, max_servers: usize) -> EndpointUpdate {
         let mut update = EndpointUpdate::default();
         for endpoint in &list.endpoints {
