--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration: which key is at fault, and what is wrong with its value.
+//! Errors in the configuration: the invalid key, and the reason why its value can't be used.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,132 +7,136 @@
 use shorewharf_settings::operator::OperatorError;
 use thiserror::Error;
 
-use super::limits::MAX_SECONDS;
+use super::limits::MAX_DURATION_S;
 use crate::fleet::budget_config::BudgetConfigError;
 use crate::fleet::gossip_config::GossipConfigError;
 
-/// A configuration that can't be used. The message begins with the key at fault.
+/// The reason why a configuration can't be used. The message begins with the invalid key.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A required key is set neither in the file nor in the environment.
-    #[error("{key}: missing (neither in the file that ROUTER_CONFIG names nor as {variable})")]
+    #[error(
+        "{key}: missing; expected in the file that ROUTER_CONFIG names, or as the environment variable {variable}"
+    )]
     Missing {
         /// The key in the file.
         key: &'static str,
-        /// The environment variable that stands in for it.
+        /// The environment variable that replaces the key.
         variable: &'static str,
     },
     /// The configuration file can't be read.
-    #[error("{path}: {source}")]
+    #[error("ROUTER_CONFIG: cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The system's error.
         source: io::Error,
     },
-    /// A key has a value that can't be used.
+    /// A key has an invalid value.
     #[error("{key}: {problem}")]
     Invalid {
-        /// The key, with the keys it stands under.
+        /// The full path of the key.
         key: String,
-        /// What is wrong with the value.
+        /// The reason why the value can't be used.
         problem: InvalidValue,
     },
-    /// The fleet's budgets can't be set up as configured.
+    /// The configuration of the fleet's budgets is invalid.
     #[error(transparent)]
     Budgets(#[from] BudgetConfigError),
-    /// Gossip can't be set up as configured.
+    /// The configuration of gossip is invalid.
     #[error(transparent)]
     Gossip(#[from] GossipConfigError),
 }
 
-/// What is wrong with the value of a key.
+/// The reason why the value of a key can't be used.
 #[derive(Debug, Error)]
 pub enum InvalidValue {
     /// `ROUTER_CONFIG` is not set.
-    #[error("missing; it names the JSON file that has the settings")]
+    #[error("missing; expected the path of the JSON file with the configuration")]
     NoConfigFile,
     /// The file is not JSON.
-    #[error("no JSON: {0}")]
+    #[error("not valid JSON: {0}")]
     NotJson(serde_json::Error),
-    /// The file goes on behind its JSON object.
-    #[error("{0}")]
+    /// The file contains text after its JSON object.
+    #[error("unexpected text after the JSON object: {0}")]
     TrailingText(serde_json::Error),
-    /// The value has another type than expected, or lacks a field.
-    #[error("{}", in_plain_words(.0))]
+    /// The value does not have the expected type, or lacks a field.
+    #[error("{}", readable_type_error(.0))]
     WrongType(serde_json::Error),
     /// The text is not an address with a port.
-    #[error("'{0}' is not ADDRESS:PORT, such as 127.0.0.1:8000")]
+    #[error("'{0}' is not an address; expected ADDRESS:PORT, such as 127.0.0.1:8000")]
     NotAnAddress(String),
     /// The seed is not a hexadecimal number of 64 bits.
-    #[error("'{0}' is not up to 16 hexadecimal digits")]
+    #[error("'{0}' is not a number of up to 16 hexadecimal digits")]
     NotHexadecimal(String),
     /// The `settings` object is missing.
-    #[error("missing; an object with the classes is needed")]
+    #[error("missing; expected an object with the key classes")]
     NoSettings,
     /// The list of request classes is empty.
-    #[error("at least one class is needed")]
+    #[error("empty; expected at least one class")]
     NoClasses,
     /// A duration is out of range.
-    #[error("{0} s is not over 0 and under {MAX_SECONDS} s")]
+    #[error("{0} s is out of range; expected more than 0 s and less than {MAX_DURATION_S} s")]
     DurationOutOfRange(f64),
-    /// Fewer descriptors than any balancer needs.
-    #[error("{sockets} is too few to serve anybody; at least {least}")]
+    /// The limit is below the number of descriptors that any balancer needs.
+    #[error("{sockets} is too few; a balancer needs at least {minimum}")]
     TooFewSockets {
         /// The configured limit.
         sockets: usize,
-        /// The least that can be used.
-        least: usize,
+        /// The lowest valid limit.
+        minimum: usize,
     },
-    /// Fewer descriptors than a balancer with an admin listener needs.
-    #[error("{sockets} are too few where operators may call; at least {least}")]
+    /// The limit is below the number of descriptors that a balancer with an admin listener needs.
+    #[error(
+        "{sockets} is too few; a balancer with an admin listener (key operator) needs at least {minimum}"
+    )]
     TooFewSocketsForAdmin {
         /// The configured limit.
         sockets: usize,
-        /// The least that can be used.
-        least: usize,
+        /// The lowest valid limit.
+        minimum: usize,
     },
-    /// Fewer descriptors than the workers need together.
-    #[error("{sockets} are too few for {workers} workers; at least {least} for each")]
+    /// The limit is below the number of descriptors that all workers need together.
+    #[error("{sockets} is too few for {workers} workers; each worker needs at least {minimum}")]
     TooFewSocketsForWorkers {
         /// The configured limit.
         sockets: usize,
         /// The configured number of workers.
         workers: usize,
-        /// The least that one worker can use.
-        least: usize,
+        /// The number that one worker needs.
+        minimum: usize,
     },
     /// The operator's file can't be read.
-    #[error("{path}: {source}")]
+    #[error("cannot read {path}: {source}")]
     OperatorFileUnreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why it can't be read.
+        /// The system's error.
         source: io::Error,
     },
     /// The operator's file has an invalid key.
     #[error("{path}: {}", .source.to_string().trim_end())]
     OperatorFileInvalid {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The key at fault, and why.
+        /// The invalid key and the reason.
         source: Box<OperatorError>,
     },
-    /// A name that is in use has another index in a reloaded configuration.
-    #[error("'{0}' must stay in its place until a restart; add new names behind")]
+    /// A name that is in use is missing or has another index in a reloaded configuration.
+    #[error("'{0}' must keep its position in the list until a restart; add new names at the end")]
     NameMoved(String),
     /// The system refuses to listen at an address.
-    #[error("no listening at {address}: {source}")]
+    #[error("cannot listen at {address}: {source}")]
     CannotListen {
         /// The address.
         address: SocketAddr,
-        /// Why the system refuses.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// The deserializer's message, with its type names replaced by words for whoever writes the file.
-fn in_plain_words(error: &serde_json::Error) -> String {
+/// The deserializer's message, with the names of Rust types replaced by words that the author of the file understands.
+fn readable_type_error(error: &serde_json::Error) -> String {
     error
         .to_string()
         .replace("expected usize", "expected a whole number")
@@ -140,12 +144,12 @@
 }
 
 impl ConfigError {
-    /// An invalid value of `key`.
+    /// Creates an error for an invalid value of `key`.
     pub fn invalid(key: impl Into<String>, problem: InvalidValue) -> Self {
         ConfigError::Invalid { key: key.into(), problem }
     }
 
-    /// The key at fault.
+    /// The invalid key.
     pub fn key(&self) -> &str {
         match self {
             ConfigError::Missing { key, .. } => key,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// What is wrong with the key's value, and what is allowed.
+    /// The message without the key: the reason why the value can't be used, and what is expected.
     pub fn reason(&self) -> String {
         let text = self.to_string();
         text.strip_prefix(self.key()).and_then(|rest| rest.strip_prefix(": ")).unwrap_or(&text).to_owned()
--- a/crates/balancer/src/config/file.rs
+++ b/crates/balancer/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file as it is written: its keys, and the part of `settings` that the balancer itself reads.
+//! The format of the configuration file: its keys, and the part of `settings` that the balancer itself reads.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -6,12 +6,12 @@
 use shorewharf_protocol::name_index::NameIndex;
 
 use super::error::{ConfigError, InvalidValue};
-use super::limits::{Limits, MAX_SECONDS};
+use super::limits::{Limits, MAX_DURATION_S};
 
-/// How long a client waits whose class says nothing of it, in seconds.
+/// The client timeout of classes without `give_up_s`, in seconds.
 const DEFAULT_CLIENT_TIMEOUT_S: f64 = 3.0;
 
-/// The keys of the file. Unknown ones are ignored.
+/// The keys of the file. Unknown keys are ignored.
 #[derive(Deserialize)]
 pub(super) struct ConfigFile {
     pub name: Option<String>,
@@ -28,10 +28,10 @@
 }
 
 impl ConfigFile {
-    /// Parses the file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
-    /// Text that is not one JSON object, or a key with a value of the wrong type.
+    /// Returns an error if the text is not a single JSON object or a key has a value of the wrong type.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let file = serde_path_to_error::deserialize(&mut json).map_err(|e| {
@@ -46,7 +46,7 @@
     }
 }
 
-/// The part of `settings` that the balancer itself reads; the rest belongs to `shorewharf_settings`.
+/// The part of `settings` that the balancer itself reads. The rest is read by `shorewharf_settings`.
 #[derive(Deserialize)]
 pub(super) struct SettingsSection {
     classes: Vec<ClassEntry>,
@@ -77,10 +77,10 @@
 }
 
 impl SettingsSection {
-    /// Reads the section out of the `settings` object.
+    /// Parses the `settings` object.
     ///
     /// # Errors
-    /// A key with a value of the wrong type, or no class at all.
+    /// Returns an error if a key has a value of the wrong type or the list of classes is empty.
     pub fn parse(settings: &Value) -> Result<Self, ConfigError> {
         let section: SettingsSection =
             serde_path_to_error::deserialize(settings).map_err(|e| wrong_type("settings", e))?;
@@ -90,10 +90,10 @@
         Ok(section)
     }
 
-    /// How long a client of each class waits in all, in microseconds.
+    /// The client timeouts by class, in microseconds: the total time for which a client waits for an answer.
     ///
     /// # Errors
-    /// A time that is out of range.
+    /// Returns an error if a timeout is out of range.
     pub fn client_timeouts(&self) -> Result<Vec<u64>, ConfigError> {
         let timeout = |(index, class): (usize, &ClassEntry)| {
             let seconds = class.client_timeout_s.unwrap_or(DEFAULT_CLIENT_TIMEOUT_S);
@@ -108,7 +108,7 @@
         self.specifics.servers_report_delay
     }
 
-    /// The index of each class, tenant and zone by its name.
+    /// The indices of classes, tenants and zones by name.
     pub fn into_names(self) -> NameIndex {
         let classes = self.classes.into_iter().map(|class| class.name);
         let tenants = self.tenants.into_iter().map(|tenant| tenant.name);
@@ -120,18 +120,18 @@
     }
 }
 
-/// Checks that a duration is over 0 and under [`MAX_SECONDS`].
+/// Checks that a duration is greater than 0 and less than [`MAX_DURATION_S`].
 ///
 /// # Errors
-/// The duration is out of that range.
+/// Returns an error if the duration is out of that range.
 pub(super) fn check_duration(key: &str, seconds: f64) -> Result<(), ConfigError> {
-    if seconds > 0.0 && seconds < MAX_SECONDS {
+    if seconds > 0.0 && seconds < MAX_DURATION_S {
         return Ok(());
     }
     Err(ConfigError::invalid(key, InvalidValue::DurationOutOfRange(seconds)))
 }
 
-/// An error of the deserializer, under the full path of the key at fault.
+/// Converts an error of the deserializer, with the full path of the invalid key.
 pub(super) fn wrong_type(section: &str, error: serde_path_to_error::Error<serde_json::Error>) -> ConfigError {
     let path = error.path().to_string();
     let key = match (section, path.as_str()) {
--- a/crates/balancer/src/config/limits.rs
+++ b/crates/balancer/src/config/limits.rs
@@ -1,19 +1,19 @@
-//! Limits of the machine, and of values in the configuration.
+//! Resource limits of the process, and limits of values in the configuration.
 
 use serde::Deserialize;
 
-/// Durations are shorter than this, in seconds, so that sums of them stay far from the end of the clock.
-pub(super) const MAX_SECONDS: f64 = 1e6;
+/// The exclusive upper limit of durations, in seconds, which keeps sums of them far from an overflow of the clock.
+pub(super) const MAX_DURATION_S: f64 = 1e6;
 
-/// The limits that this machine sets the program.
+/// The resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors that the process may hold.
+    /// The maximum number of open file descriptors.
     pub sockets: usize,
-    /// Memory in MB.
+    /// The memory limit in MB.
     pub memory_mb: f64,
-    /// Share of a core.
+    /// The CPU limit in cores.
     pub cores: f64,
 }
 
--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! Configuration of the balancer: reading, validation and defaults, at the start and on a reload.
+//! The configuration of the balancer: reading, validation and defaults, at the start and on a reload.
 //!
-//! [`Config`] is what the rest of the program goes by. The keys of the file are in [`file`], those of the operator's own
-//! file in `shorewharf_settings::operator`.
+//! The rest of the program uses [`Config`]. The keys of the configuration file are defined in [`file`], those of the
+//! operator's own file in `shorewharf_settings::operator`.
 
 pub mod error;
 mod file;
@@ -25,51 +25,52 @@
 use crate::fleet::budget_config::BudgetConfig;
 use crate::fleet::gossip_config::GossipConfig;
 
-/// The least descriptors to serve anybody: the program's own and those reserved for rejections take nearly as many.
+/// The minimum number of descriptors. The program itself and the connections reserved for rejections need nearly as many.
 const MIN_SOCKETS: usize = 32;
-/// Descriptors reserved for operators: the admin listener and its connections.
+/// The number of descriptors reserved for operators: the admin listener and its connections.
 const ADMIN_SOCKETS: usize = MAX_CONNECTIONS + 1;
-/// Names the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// Names the operator's own file (TOML), which has what the platform's configuration says nothing of.
+/// The environment variable with the path of the operator's own file (TOML), which configures features that the platform's
+/// configuration does not cover.
 pub const OPERATOR_VARIABLE: &str = "SHOREWHARF_OPERATOR";
-/// Set apart the random numbers of the workers (the 64-bit golden ratio).
+/// Gives each worker a different seed. The value is the 64-bit golden ratio.
 const WORKER_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The configuration in force.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The balancer's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which the balancer accepts clients.
     pub listen: SocketAddr,
-    /// Where the discovery service is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators connect; none without the key `operator`.
+    /// The address of the admin listener; `None` without the key `operator`.
     pub admin_address: Option<SocketAddr>,
-    /// Seed of the random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// What the machine allows.
+    /// The resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list as this balancer had it last.
+    /// The endpoint list that was last known, which is used until the discovery service sends one.
     pub initial_endpoints: EndpointList,
-    /// Settings of the decisions.
+    /// The settings of the decisions.
     pub settings: Settings,
-    /// Classes, tenants and zones by name.
+    /// The indices of classes, tenants and zones by name.
     pub names: NameIndex,
-    /// How long a client of each class waits in all, in microseconds.
+    /// The client timeouts by class, in microseconds: the total time for which a client waits for an answer.
     pub client_timeouts: Vec<u64>,
-    /// Servers report message delays in their load reports.
+    /// Whether servers report message delays in their load reports.
     pub servers_report_delay: bool,
     /// The operator's own file.
     pub operator: Operator,
-    /// Gossip with the other balancers of the fleet, where the operator's file names them.
+    /// Gossip with the other balancers of the fleet; `None` if the operator's file names no peers.
     pub gossip: Option<GossipConfig>,
-    /// Budgets of the whole fleet, where the operator's file names a store.
+    /// The budgets of the whole fleet; `None` if the operator's file names no store.
     pub budgets: Option<BudgetConfig>,
 }
 
-/// The value of a required key, or of the environment variable that stands in for it.
+/// The value of a required key, or of the environment variable that replaces it.
 fn required(
     value: Option<String>,
     key: &'static str,
@@ -115,16 +116,16 @@
     if sockets >= MIN_SOCKETS {
         return Ok(());
     }
-    Err(ConfigError::invalid("limits.sockets", InvalidValue::TooFewSockets { sockets, least: MIN_SOCKETS }))
+    Err(ConfigError::invalid("limits.sockets", InvalidValue::TooFewSockets { sockets, minimum: MIN_SOCKETS }))
 }
 
-/// Checks that the descriptors suffice for the admin listener and for each worker.
+/// Checks that there are enough descriptors for the admin listener and for each worker.
 fn check_divided_sockets(sockets: usize, has_admin: bool, workers: usize) -> Result<(), ConfigError> {
-    let least = MIN_SOCKETS + ADMIN_SOCKETS;
-    let problem = if has_admin && sockets < least {
-        InvalidValue::TooFewSocketsForAdmin { sockets, least }
+    let minimum = MIN_SOCKETS + ADMIN_SOCKETS;
+    let problem = if has_admin && sockets < minimum {
+        InvalidValue::TooFewSocketsForAdmin { sockets, minimum }
     } else if sockets / workers < MIN_SOCKETS {
-        InvalidValue::TooFewSocketsForWorkers { sockets, workers, least: MIN_SOCKETS }
+        InvalidValue::TooFewSocketsForWorkers { sockets, workers, minimum: MIN_SOCKETS }
     } else {
         return Ok(());
     };
@@ -132,11 +133,11 @@
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names. `env` looks up environment variables, which stand in for keys that the
-    /// file lacks.
+    /// Reads the file that `ROUTER_CONFIG` names. `env` looks up environment variables, which replace keys that the file
+    /// lacks.
     ///
     /// # Errors
-    /// A file that can't be read, or what [`Config::parse`] returns.
+    /// Returns an error if the file can't be read, and the errors of [`Config::parse`].
     pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let Some(path) = env(CONFIG_VARIABLE) else {
             return Err(ConfigError::invalid(CONFIG_VARIABLE, InvalidValue::NoConfigFile));
@@ -146,10 +147,10 @@
         Config::parse(&text, env)
     }
 
-    /// Parses and checks the configuration's text, and reads the files that it names.
+    /// Parses and checks the text of the configuration, and reads the files that it names.
     ///
     /// # Errors
-    /// The first key that is missing or has a value that can't be used.
+    /// Returns an error for the first key that is missing or has an invalid value.
     pub fn parse(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let file = ConfigFile::parse(text)?;
         let seed = parse_seed(file.seed)?;
@@ -191,39 +192,39 @@
         })
     }
 
-    /// Descriptors that clients and servers may use: all but those reserved for operators.
+    /// The number of descriptors for connections to clients and servers: all except those reserved for operators.
     pub fn connection_sockets(&self) -> usize {
         let reserved = if self.admin_address.is_some() { ADMIN_SOCKETS } else { 0 };
         self.limits.sockets.saturating_sub(reserved)
     }
 
-    /// The configuration of worker `index` of `count`. Each worker is an instance of its own to the fleet, with its
-    /// share of what the process may hold, so all balancers of a fleet must have the same number of workers.
+    /// The configuration of worker `index` of `count`. Each worker is an instance of the fleet, with an equal share of the
+    /// process's resources, so all balancers of a fleet must have the same number of workers.
     pub fn for_worker(&self, index: usize, count: usize) -> Config {
         let mut own = self.clone();
         own.settings.instance_index = self.settings.instance_index * count as u64 + index as u64;
         own.settings.instance_count = self.settings.instance_count * count as f64;
-        // Descriptors reserved for operators belong to the primary worker.
+        // The descriptors reserved for operators are not divided; only the primary worker uses them.
         own.limits.sockets =
             self.connection_sockets() / count + (self.limits.sockets - self.connection_sockets());
         own.limits.memory_mb = self.limits.memory_mb / count as f64;
-        // The primary worker draws the same numbers as the only one would.
+        // The primary worker has the same seed as a process with one worker.
         own.seed = self.seed ^ (index as u64).wrapping_mul(WORKER_SEED_STEP);
         own
     }
 
     /// Checks whether `next` can replace this configuration while the program runs. Requests and servers refer to
-    /// classes, tenants and zones by index, so names in use must keep theirs.
+    /// classes, tenants and zones by index, so all names of this configuration must keep their indices.
     ///
     /// # Errors
-    /// A name in use that is gone or has another index.
+    /// Returns an error if a name is missing in `next` or has another index.
     pub fn check_reload(&self, next: &Config) -> Result<(), ConfigError> {
         check_indices("settings.classes", &self.names.classes, &next.names.classes)?;
         check_indices("settings.tenants", &self.names.tenants, &next.names.tenants)?;
         check_indices("settings.zones", &self.names.zones, &next.names.zones)
     }
 
-    /// Keys that `next` changes and that take effect at a restart only.
+    /// The keys with changed values in `next` that take effect only after a restart.
     pub fn keys_needing_restart(&self, next: &Config) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != next.name),
@@ -238,7 +239,7 @@
     }
 }
 
-/// Checks that every name of `old` has the same index in `new`; the error names the first that has not.
+/// Checks that every name of `old` has the same index in `new`. The error contains the first name that does not.
 fn check_indices<I: Copy + Ord>(
     key: &str,
     old: &HashMap<String, I>,
--- a/crates/balancer/src/config/proxy_settings.rs
+++ b/crates/balancer/src/config/proxy_settings.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration that sessions, attempts and discovery go by. It is replaced as a whole by a reload.
+//! The part of the configuration that sessions, attempts and discovery use. A reload replaces it as a whole.
 
 use shorewharf_decisions::interface::Idempotency;
 use shorewharf_protocol::name_index::NameIndex;
@@ -6,51 +6,48 @@
 
 use crate::config::Config;
 
-/// Settings of sessions, attempts and discovery.
+/// The settings of sessions, attempts and discovery.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
-    /// Indices of the names in first lines and endpoint lists.
+    /// The indices of the names in first lines and endpoint lists.
     pub names: NameIndex,
-    /// By class, what repeating a request may do.
+    /// The idempotency of requests by class.
     idempotency: Vec<Idempotency>,
-    /// By class, how long a client waits whose first line does not say.
+    /// The client timeout by class, for clients whose first line does not contain one.
     pub client_timeouts: Vec<Micros>,
-    /// A connect that takes longer has failed.
+    /// The time after which connecting to a server has failed.
     pub connect_timeout: Micros,
-    /// The shortest latency objective of messages, over all classes.
+    /// The shortest message latency objective of all classes.
     pub message_latency_objective: Micros,
-    /// Servers report message delays in their load reports.
+    /// Whether servers report message delays in their load reports.
     pub servers_report_delay: bool,
-    /// Descriptors that clients and servers may use.
+    /// The number of descriptors for connections to clients and servers.
     pub max_descriptors: usize,
-    /// Servers of an endpoint list beyond this number are ignored: a list must not take the memory that clients need.
+    /// The maximum number of servers of an endpoint list. Further ones are ignored, so that a list can't use the memory that
+    /// clients need.
     pub max_servers: usize,
 }
 
-/// The share of the memory that endpoint lists may take.
+/// The share of the memory limit that endpoint lists may use.
 const LIST_MEMORY_RATIO: f64 = 0.25;
-/// What a server takes in all tables, with a list being received, in KiB.
+/// The memory that one server uses in all tables, including a list that is being received, in KiB.
 const SERVER_KIB: f64 = 1.0;
-/// The least value of [`ProxySettings::max_servers`], however little memory there is.
+/// The minimum of [`ProxySettings::max_servers`], regardless of the memory limit.
 const MIN_MAX_SERVERS: usize = 1000;
 
 #[cfg(test)]
 impl ProxySettings {
     /// Settings with one class, for tests.
     pub fn for_tests() -> Self {
-        let (names, give_up, idempotency) =
-            (NameIndex::default(), vec![3_000_000], vec![Idempotency::Idempotent]);
-        let (connect_timeout, message_aim, tells_delay) = (250_000, 50_000, false);
-        let (sockets, most_servers) = (1000, 1000);
         ProxySettings {
-            names,
-            idempotency,
-            client_timeouts: give_up,
-            connect_timeout,
-            message_latency_objective: message_aim,
-            servers_report_delay: tells_delay,
-            max_descriptors: sockets,
-            max_servers: most_servers,
+            names: NameIndex::default(),
+            idempotency: vec![Idempotency::Idempotent],
+            client_timeouts: vec![3_000_000],
+            connect_timeout: 250_000,
+            message_latency_objective: 50_000,
+            servers_report_delay: false,
+            max_descriptors: 1000,
+            max_servers: 1000,
         }
     }
 }
@@ -75,7 +72,7 @@
 }
 
 impl ProxySettings {
-    /// What repeating a request of this class may do; the strictest for an unknown class.
+    /// The idempotency of requests of this class; the strictest kind for an unknown class.
     pub fn idempotency_of(&self, class: usize) -> Idempotency {
         self.idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent)
     }
--- a/crates/balancer/src/config/summary.rs
+++ b/crates/balancer/src/config/summary.rs
@@ -1,4 +1,4 @@
-//! Summarizes a configuration as a table: each key with its value, and where the value comes from.
+//! Summarizes a configuration as a table of the keys with their values and the sources of the values.
 
 use std::collections::HashMap;
 use std::fmt::Display;
@@ -11,10 +11,10 @@
 
 use crate::config::{Config, ConfigError};
 
-/// Parses a configuration like the start does, and returns the table of the values in force.
+/// Parses a configuration as at the start of the program, and returns the table of its values.
 ///
 /// # Errors
-/// As [`Config::parse`].
+/// Returns the errors of [`Config::parse`].
 pub fn table(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Table, ConfigError> {
     let config = Config::parse(text, env)?;
     let file: Value = serde_json::from_slice(text).unwrap_or_default();
@@ -35,7 +35,7 @@
     Ok(table)
 }
 
-/// A row of the table: a key, and its value with unit.
+/// A row of the table: a key, and its value with its unit.
 type Row = (String, String);
 
 fn row(key: impl Into<String>, value: impl Display) -> Row {
@@ -53,8 +53,8 @@
 
 /// The keys outside `settings`.
 fn program_rows(config: &Config) -> Vec<Row> {
-    let admin = config.admin_address.map_or_else(|| "nobody is listened to".to_owned(), |at| at.to_string());
-    let known = &config.initial_endpoints;
+    let admin = config.admin_address.map_or_else(|| "no admin listener".to_owned(), |at| at.to_string());
+    let initial = &config.initial_endpoints;
     vec![
         row("name", &config.name),
         row("listen", config.listen),
@@ -64,11 +64,11 @@
         row("limits.sockets", config.limits.sockets),
         row("limits.memory_mb", config.limits.memory_mb),
         row("limits.cores", config.limits.cores),
-        row("known", format_args!("{} servers, version {}", known.endpoints.len(), known.index)),
+        row("known", format_args!("{} servers, version {}", initial.endpoints.len(), initial.index)),
     ]
 }
 
-/// The keys of the class of this index.
+/// The keys of the class with this index.
 fn class_rows(config: &Config, index: usize) -> [Row; 5] {
     let class = &config.settings.classes[index];
     let name = config.names.classes.iter().find(|(_, at)| **at == index).map_or("?", |(name, _)| name);
@@ -78,12 +78,12 @@
         row(format!("settings.classes.{index}.name"), name),
         row(format!("settings.classes.{index}.promise_s"), format_args!("{} s", class.latency_objective)),
         row(format!("settings.classes.{index}.give_up_s"), format_args!("{timeout} s")),
-        row(format!("settings.classes.{index}.semantics"), repetition(class.idempotency)),
+        row(format!("settings.classes.{index}.semantics"), idempotency_text(class.idempotency)),
         row(format!("settings.specifics.message_aim_s.{index}"), format_args!("{message_objective} s")),
     ]
 }
 
-/// The rest of `settings`.
+/// The keys of `settings` other than those of the classes.
 fn decision_rows(config: &Config) -> Vec<Row> {
     let settings = &config.settings;
     let instance = format!("{} of {} balancers", settings.instance_index, settings.instance_count);
@@ -116,7 +116,7 @@
     format!("up to {} s", settings.max_retry_after)
 }
 
-/// Names in the order of their indices.
+/// Lists names in the order of their indices.
 fn by_index<I: Copy + Ord>(names: &HashMap<String, I>) -> String {
     let mut names: Vec<_> = names.iter().map(|(name, index)| (*index, name.as_str())).collect();
     names.sort_unstable();
@@ -124,8 +124,8 @@
     if names.is_empty() { "none".into() } else { names.join(", ") }
 }
 
-/// How the table names what repeating a request of a class may do.
-fn repetition(idempotency: Idempotency) -> String {
+/// The text of an idempotency in the table.
+fn idempotency_text(idempotency: Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "Safe".to_owned(),
         Idempotency::Keyed(scope, window) => format!("Keyed({scope:?}, {window:?})"),
--- a/crates/balancer/src/config/summary/tests.rs
+++ b/crates/balancer/src/config/summary/tests.rs
@@ -1,4 +1,4 @@
-//! The table of a configuration.
+//! Tests of the configuration table.
 
 use super::*;
 
@@ -7,8 +7,8 @@
     let text = br#"{"name": "n3", "discovery": "127.0.0.1:8500", "limits": {"sockets": 96}, "settings":
             {"classes": [{"name": "chat", "give_up_s": 3.2}], "zones": ["b", "a"], "tick_s": 0.005}}"#;
     let env = |var: &str| (var == "ROUTER_LISTEN").then(|| "127.0.0.1:0".to_owned());
-    let table = table(text, env).expect("good").to_string();
-    let lines: Vec<Vec<&str>> = table.lines().map(|l| l.split_whitespace().collect()).collect();
+    let table = table(text, env).expect("a valid configuration").to_string();
+    let lines: Vec<Vec<&str>> = table.lines().map(|line| line.split_whitespace().collect()).collect();
     for line in [
         "name n3 the file",
         "listen 127.0.0.1:0 ROUTER_LISTEN",
@@ -20,6 +20,6 @@
     ] {
         assert!(lines.contains(&line.split(' ').collect()), "{line} is not in\n{table}");
     }
-    let bad = crate::config::summary::table(b"{}", env).expect_err("nothing is in it");
-    assert_eq!(bad.key(), "settings");
+    let error = crate::config::summary::table(b"{}", env).expect_err("required keys are missing");
+    assert_eq!(error.key(), "settings");
 }
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Keys of the configuration and of the operator's file: values, effects and faults.
+//! Tests of the configuration and of the operator's file: the values of keys, their effects, and errors.
 
 use std::collections::BTreeMap;
 
@@ -10,39 +10,44 @@
 use super::*;
 use crate::fleet::gossip_config::Peer;
 
-fn good() -> Value {
+fn valid_config() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8000", "discovery": "127.0.0.1:8500",
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": {"classes": [{"name": "chat", "give_up_s": 3.2}], "tenants": [{"name": "acme"}],
                 "zones": ["a", "b"], "tick_s": 0.005}})
 }
 
-fn fault(change: impl Fn(&mut Value)) -> String {
-    let mut value = good();
+/// The message of the error that a change to the valid configuration causes.
+fn error_message(change: impl Fn(&mut Value)) -> String {
+    let mut value = valid_config();
     change(&mut value);
-    Config::parse(value.to_string().as_bytes(), |_| None).expect_err("a fault").to_string()
+    parse(&value.to_string()).expect_err("an invalid configuration").to_string()
 }
 
 #[test]
-fn a_good_file_is_read() {
-    let c = Config::parse(good().to_string().as_bytes(), |_| None).expect("good");
-    assert_eq!((c.seed, c.client_timeouts[0], c.limits.sockets), (0x8c1f_30d2_7a5b_e964, 3_200_000, 1024));
-    assert_eq!((c.names.classes["chat"], c.names.tenants["acme"], c.names.zones["b"]), (0, 0, 1));
+fn a_valid_file_is_parsed() {
+    let config = parse(&valid_config().to_string()).expect("a valid configuration");
+    assert_eq!(
+        (config.seed, config.client_timeouts[0], config.limits.sockets),
+        (0x8c1f_30d2_7a5b_e964, 3_200_000, 1024)
+    );
+    let names = &config.names;
+    assert_eq!((names.classes["chat"], names.tenants["acme"], names.zones["b"]), (0, 0, 1));
 }
 
 #[test]
-fn the_environment_fills_gaps() {
-    let mut value = good();
+fn environment_variables_replace_missing_keys() {
+    let mut value = valid_config();
     value["listen"] = Value::Null;
     let env = |var: &str| (var == "ROUTER_LISTEN").then(|| "127.0.0.9:1".to_owned());
-    let c = Config::parse(value.to_string().as_bytes(), env).expect("good");
-    assert_eq!(c.listen, "127.0.0.9:1".parse().unwrap());
+    let config = Config::parse(value.to_string().as_bytes(), env).expect("a valid configuration");
+    assert_eq!(config.listen, "127.0.0.9:1".parse().unwrap());
 }
 
 #[test]
-fn names_in_use_keep_their_indices() {
-    let parse = |v: &Value| Config::parse(v.to_string().as_bytes(), |_| None).expect("good");
-    let (old, mut next) = (parse(&good()), good());
+fn a_reload_must_keep_the_indices_of_names() {
+    let parse = |value: &Value| parse(&value.to_string()).expect("a valid configuration");
+    let (old, mut next) = (parse(&valid_config()), valid_config());
     next["settings"]["classes"] = json!([{"name": "chat"}, {"name": "feed"}]);
     next["listen"] = json!("127.0.0.1:8001");
     let next = parse(&next);
@@ -53,47 +58,54 @@
         ("tenants", json!([{"name": "other"}])),
         ("zones", json!(["b", "a"])),
     ] {
-        let mut next = good();
+        let mut next = valid_config();
         next["settings"][key] = names;
-        let fault = old.check_reload(&parse(&next)).expect_err("a fault").to_string();
-        assert!(fault.starts_with(&format!("settings.{key}: ")), "{fault}");
+        let message = old.check_reload(&parse(&next)).expect_err("a changed index").to_string();
+        assert!(message.starts_with(&format!("settings.{key}: ")), "{message}");
     }
 }
 
 #[test]
-fn messages_name_the_key() {
+fn error_messages_begin_with_the_key() {
     for (key, message) in [
-        ("listen", fault(|v| v["listen"] = json!("nowhere"))),
-        ("discovery", fault(|v| v["discovery"] = Value::Null)),
-        ("seed", fault(|v| v["seed"] = json!("xyz"))),
+        ("listen", error_message(|v| v["listen"] = json!("nowhere"))),
+        ("discovery", error_message(|v| v["discovery"] = Value::Null)),
+        ("seed", error_message(|v| v["seed"] = json!("xyz"))),
         (
             "limits.sockets: invalid type: string \"many\", expected a whole number",
-            fault(|v| v["limits"]["sockets"] = json!("many")),
+            error_message(|v| v["limits"]["sockets"] = json!("many")),
+        ),
+        ("limits.sockets", error_message(|v| v["limits"]["sockets"] = json!(3))),
+        ("known.endpoints[0].name", error_message(|v| v["known"] = json!({"endpoints": [{"name": 5}]}))),
+        ("settings", error_message(|v| v["settings"] = Value::Null)),
+        ("settings.classes", error_message(|v| v["settings"]["classes"] = json!([]))),
+        (
+            "settings.classes[0].give_up_s",
+            error_message(|v| v["settings"]["classes"][0]["give_up_s"] = json!(-1)),
+        ),
+        ("settings.tick_s", error_message(|v| v["settings"]["tick_s"] = json!(0))),
+        (
+            "settings.rules.ask_within_s",
+            error_message(|v| v["settings"]["rules"] = json!({"ask_within_s": "x"})),
         ),
-        ("limits.sockets", fault(|v| v["limits"]["sockets"] = json!(3))),
-        ("known.endpoints[0].name", fault(|v| v["known"] = json!({"endpoints": [{"name": 5}]}))),
-        ("settings", fault(|v| v["settings"] = Value::Null)),
-        ("settings.classes", fault(|v| v["settings"]["classes"] = json!([]))),
-        ("settings.classes[0].give_up_s", fault(|v| v["settings"]["classes"][0]["give_up_s"] = json!(-1))),
-        ("settings.tick_s", fault(|v| v["settings"]["tick_s"] = json!(0))),
-        ("settings.rules.ask_within_s", fault(|v| v["settings"]["rules"] = json!({"ask_within_s": "x"}))),
     ] {
         assert!(message.starts_with(key), "{key}: {message}");
     }
 }
 
-/// A configuration with every key that the program reads, each with a value that is not its default.
+/// A configuration with every key that the program reads, each with a value other than its default.
 const EVERY_KEY: &str =
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/config/balancer.json"));
-/// The same of the operator's own file; `workers` has to be 1 with the other keys.
+/// The path of an operator's file with every key, each with a value other than its default; except for `workers`, which must
+/// be 1 together with the other keys.
 const EVERY_OPERATOR_KEY: &str = "tests/fixtures/config/operator.toml";
 
 fn parse(text: &str) -> Result<Config, ConfigError> {
     Config::parse(text.as_bytes(), |_| None)
 }
 
-/// Everything that is in a configuration, in an order of its own.
-fn all_of(mut config: Config) -> String {
+/// The debug output of a whole configuration, in a fixed order.
+fn debug_text(mut config: Config) -> String {
     let names = std::mem::take(&mut config.names);
     let classes: BTreeMap<_, _> = names.classes.into_iter().collect();
     let tenants: BTreeMap<_, _> = names.tenants.into_iter().collect();
@@ -101,28 +113,32 @@
     format!("{config:?} {classes:?} {tenants:?} {zones:?}")
 }
 
-/// Where each value stands in a configuration: objects are walked through, and so are lists of objects.
-fn keys(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Appends the JSON pointers of all values under `path` to `pointers`, including those in nested objects and in lists of
+/// objects.
+fn collect_pointers(value: &Value, path: &str, pointers: &mut Vec<String>) {
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| keys(value, &format!("{at}/{key}"), found)),
+        Value::Object(map) => {
+            map.iter().for_each(|(key, value)| collect_pointers(value, &format!("{path}/{key}"), pointers));
+        }
         Value::Array(items) if items.iter().all(Value::is_object) => {
-            items.iter().enumerate().for_each(|(i, value)| keys(value, &format!("{at}/{i}"), found));
+            let items = items.iter().enumerate();
+            items.for_each(|(i, value)| collect_pointers(value, &format!("{path}/{i}"), pointers));
         }
-        _ => found.push(at.to_owned()),
+        _ => pointers.push(path.to_owned()),
     }
 }
 
-/// Takes a value out of the list or object that it stands in.
-fn without(value: &Value, at: &str) -> Value {
+/// A copy of a JSON value without the member at a JSON pointer.
+fn without(value: &Value, pointer: &str) -> Value {
     let mut value = value.clone();
-    let (parent, key) = at.rsplit_once('/').expect("a pointer");
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     value.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object").remove(key);
     value
 }
 
 #[test]
-fn every_key_has_its_value_in_what_is_read() {
-    let config = parse(EVERY_KEY).expect("good");
+fn every_key_is_parsed_to_its_value() {
+    let config = parse(EVERY_KEY).expect("a valid configuration");
     assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
     assert_eq!(config.listen, "127.0.0.1:8000".parse().expect("an address"));
     assert_eq!(config.discovery, "127.0.0.1:8500".parse().expect("an address"));
@@ -188,16 +204,16 @@
 
 #[test]
 fn every_key_has_effect() {
-    let whole: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    let all = all_of(parse(EVERY_KEY).expect("good"));
-    assert_eq!(all_of(parse(&whole.to_string()).expect("good")), all);
-    let mut found = Vec::new();
-    keys(&whole, "", &mut found);
-    assert_eq!(found.len(), 61, "{found:?}");
-    for key in found {
-        let text = without(&whole, &key).to_string();
-        if key == "/settings/load_info/columns" {
-            // Told to the simulator's adapter only.
+    let json: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    let all = debug_text(parse(EVERY_KEY).expect("a valid configuration"));
+    assert_eq!(debug_text(parse(&json.to_string()).expect("a valid configuration")), all);
+    let mut pointers = Vec::new();
+    collect_pointers(&json, "", &mut pointers);
+    assert_eq!(pointers.len(), 61, "{pointers:?}");
+    for pointer in pointers {
+        let text = without(&json, &pointer).to_string();
+        if pointer == "/settings/load_info/columns" {
+            // Only the simulator's adapter uses this key.
             let column = |text: &str| {
                 let value: Value = serde_json::from_str(text).expect("JSON");
                 shorewharf_settings::parse(value["settings"].to_string().as_bytes())
@@ -207,20 +223,20 @@
             assert_eq!((column(EVERY_KEY), column(&text)), (Some(1), None));
             continue;
         }
-        let last = key.rsplit('/').next().expect("a key");
+        let key = pointer.rsplit('/').next().expect("a key");
         match parse(&text) {
-            Ok(config) => assert_ne!(all_of(config), all, "{key} has no effect"),
-            Err(e) => assert!(e.to_string().contains(last), "{key}: {e}"),
+            Ok(config) => assert_ne!(debug_text(config), all, "{pointer} has no effect"),
+            Err(error) => assert!(error.to_string().contains(key), "{pointer}: {error}"),
         }
     }
 }
 
 #[test]
-fn what_repeating_may_do_and_what_weights_mean_are_read_from_their_words() {
-    let read = |change: &dyn Fn(&mut Value)| {
+fn semantics_and_weights_are_parsed_from_their_keywords() {
+    let parse_with = |change: &dyn Fn(&mut Value)| {
         let mut value: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
         change(&mut value["settings"]);
-        parse(&value.to_string()).expect("good").settings
+        parse(&value.to_string()).expect("a valid configuration").settings
     };
     for (semantics, group, expected) in [
         ("read_like", "zone", Idempotency::Idempotent),
@@ -229,27 +245,27 @@
         ("idempotency_key", "cell", Idempotency::Keyed(DeduplicationScope::Cell, 12.5)),
         ("non_idempotent", "all", Idempotency::NonIdempotent),
     ] {
-        let settings = read(&|settings| {
+        let settings = parse_with(&|settings| {
             settings["classes"][0]["semantics"] = json!(semantics);
             settings["classes"][0]["group"] = json!(group);
         });
         assert_eq!(settings.classes[0].idempotency, expected);
     }
-    for (word, expected) in [
+    for (keyword, expected) in [
         ("nominal", WeightKind::Capacity),
         ("rough", WeightKind::Capacity),
         ("live", WeightKind::LoadAdjusted),
         ("none", WeightKind::Uniform),
     ] {
-        assert_eq!(read(&|settings| settings["weights"] = json!(word)).weight_kind, expected);
+        assert_eq!(parse_with(&|settings| settings["weights"] = json!(keyword)).weight_kind, expected);
     }
 }
 
 #[test]
-fn every_key_of_the_environment_has_effect() {
-    let mut gaps: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+fn every_environment_variable_has_effect() {
+    let mut json: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
     for key in ["name", "listen", "discovery", "operator"] {
-        gaps[key] = Value::Null;
+        json[key] = Value::Null;
     }
     let env = |var: &str| match var {
         "ROUTER_NAME" => Some("n3".to_owned()),
@@ -258,15 +274,16 @@
         "ROUTER_OPERATOR" => Some("127.0.0.1:8600".to_owned()),
         _ => None,
     };
-    let config = Config::parse(gaps.to_string().as_bytes(), env).expect("good");
-    assert_eq!(all_of(config), all_of(parse(EVERY_KEY).expect("good")));
+    let config = Config::parse(json.to_string().as_bytes(), env).expect("a valid configuration");
+    assert_eq!(debug_text(config), debug_text(parse(EVERY_KEY).expect("a valid configuration")));
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/config/balancer.json");
-    let config = Config::read(|var| (var == "ROUTER_CONFIG").then(|| path.to_owned())).expect("good");
-    assert_eq!(all_of(config), all_of(parse(EVERY_KEY).expect("good")));
+    let config =
+        Config::read(|var| (var == "ROUTER_CONFIG").then(|| path.to_owned())).expect("a valid configuration");
+    assert_eq!(debug_text(config), debug_text(parse(EVERY_KEY).expect("a valid configuration")));
 }
 
-/// Reads the full configuration with an operator's file of this text.
-fn with_operator(text: &str) -> Result<Config, ConfigError> {
+/// Parses the full configuration together with an operator's file that contains `text`.
+fn parse_with_operator_file(text: &str) -> Result<Config, ConfigError> {
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), text).expect("written");
     let path = file.path().display().to_string();
@@ -274,9 +291,9 @@
 }
 
 #[test]
-fn every_key_of_the_operators_file_has_its_value_in_what_is_read() {
+fn every_key_of_the_operators_file_is_parsed_to_its_value() {
     let text = std::fs::read_to_string(EVERY_OPERATOR_KEY).expect("a file");
-    let config = with_operator(&text).expect("good");
+    let config = parse_with_operator_file(&text).expect("a valid configuration");
     let expected = Operator {
         workers: 1,
         tenancy: Tenancy {
@@ -313,14 +330,14 @@
         },
     };
     assert_eq!(config.operator, expected);
-    let gossip = config.gossip.expect("peers");
+    let gossip = config.gossip.expect("gossip is configured");
     assert_eq!(
         gossip.peers,
         [Peer { name: "n4".to_owned(), address: "127.0.0.2:8700".parse().expect("an address") }]
     );
     assert_eq!((gossip.rules.interval, gossip.rules.fanout), (75_000, 4));
-    let fleet = config.budgets.expect("budgets");
-    let (rules, named) = (&fleet.rules, |name: &str| Some(format!("connections of {name}")));
+    let fleet = config.budgets.expect("budgets are configured");
+    let rules = &fleet.rules;
     assert_eq!((fleet.store.len(), fleet.prefix.as_str()), (2, "fleet-a"));
     assert_eq!(
         (rules.lease, rules.clock_margin, rules.poll_interval, rules.drain_time),
@@ -330,14 +347,15 @@
         (rules.reserve_ratio, rules.even_ratio, rules.max_members, rules.member_index),
         (0.125, 0.0625, 3, 1)
     );
-    assert_eq!(fleet.tenant_budgets, [named("acme"), named("zeta")]);
+    let tenant_budget = |tenant: &str| Some(format!("connections of {tenant}"));
+    assert_eq!(fleet.tenant_budgets, [tenant_budget("acme"), tenant_budget("zeta")]);
     let budgets: Vec<_> = rules.budgets.iter().map(|budget| (budget.name.as_str(), budget.total)).collect();
     assert_eq!(
         budgets,
         [("connections of acme", 1000.0), ("connections of zeta", 2000.0), ("set-ups", 500.5)]
     );
     assert_eq!(
-        with_operator("workers = 4").expect("good").operator,
+        parse_with_operator_file("workers = 4").expect("a valid configuration").operator,
         Operator { workers: 4, ..Operator::default() }
     );
 }
@@ -345,16 +363,16 @@
 #[test]
 fn every_key_of_the_operators_file_has_effect() {
     let text = std::fs::read_to_string(EVERY_OPERATOR_KEY).expect("a file");
-    let all = all_of(with_operator(&text).expect("good"));
+    let all = debug_text(parse_with_operator_file(&text).expect("a valid configuration"));
     let lines: Vec<&str> = text.lines().collect();
     let keys: Vec<_> = lines.iter().enumerate().filter(|(_, line)| line.contains(" = ")).collect();
     assert_eq!(keys.len(), 26);
-    for (at, key) in keys {
-        let mut rest = lines.clone();
-        rest.remove(at);
-        match with_operator(&rest.join("\n")) {
-            Ok(config) => assert_ne!(all_of(config), all, "{key} has no effect"),
-            Err(e) => assert!(e.to_string().contains("missing"), "{key}: {e}"),
+    for (index, key) in keys {
+        let mut other_lines = lines.clone();
+        other_lines.remove(index);
+        match parse_with_operator_file(&other_lines.join("\n")) {
+            Ok(config) => assert_ne!(debug_text(config), all, "{key} has no effect"),
+            Err(error) => assert!(error.to_string().contains("missing"), "{key}: {error}"),
         }
     }
 }
--- a/crates/balancer/tests/sockets/cli.rs
+++ b/crates/balancer/tests/sockets/cli.rs
@@ -29,8 +29,8 @@
     assert!(table.lines().any(|l| l.contains("limits.sockets") && l.contains("1024")), "{table}");
     let mut bad = config(&[]);
     bad["limits"]["sockets"] = json!(31);
-    let texts = [(bad.to_string(), "limits.sockets: 31 is too few to serve anybody; at least 32\n")];
-    for (text, message) in texts.into_iter().chain([("{".into(), "ROUTER_CONFIG: no JSON: EOF")]) {
+    let texts = [(bad.to_string(), "limits.sockets: 31 is too few; a balancer needs at least 32\n")];
+    for (text, message) in texts.into_iter().chain([("{".into(), "ROUTER_CONFIG: not valid JSON: EOF")]) {
         let (code, table, log) = check(&text);
         assert_eq!((code, table.as_str()), (Some(2), ""));
         assert!(log.starts_with(message) && log.lines().count() == 1, "{log}");
--- a/crates/balancer/tests/sockets/operators.rs
+++ b/crates/balancer/tests/sockets/operators.rs
@@ -77,7 +77,7 @@
 fn an_address_that_operators_cannot_call_ends_the_start() {
     let taken = Node::new();
     let mut settings = config(&[]);
-    for (at, why) in [(json!(taken.address()), "no listening at"), (json!("nowhere"), "ADDRESS:PORT")] {
+    for (at, why) in [(json!(taken.address()), "cannot listen at"), (json!("nowhere"), "ADDRESS:PORT")] {
         settings["operator"] = at;
         let (code, log) = refused_start(BINARY, &settings);
         assert_eq!(code, Some(2), "{log}");
