--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -1,4 +1,5 @@
-//! Configuration of the fleet's budgets: which there are, by the operator's file and the settings, and who shares them.
+//! The configuration of the fleet's budgets: the budgets that the operator's file and the settings define, and the members
+//! that share them.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,75 +14,77 @@
 
 use super::MAX_BALANCERS;
 
-/// Name of the budget of connection set-ups per second.
+/// The name of the budget of connection set-ups per second.
 pub const SETUP_BUDGET: &str = "set-ups";
 
-/// Budgets that the fleet shares, and this balancer's place among its members.
+/// The budgets that the fleet shares, and this balancer's index among the members.
 #[derive(Clone, Debug)]
 pub struct BudgetConfig {
-    /// Addresses of the store's members.
+    /// The URLs of the store's members.
     pub store: Vec<String>,
-    /// Prefix of all keys in the store.
+    /// The prefix of all keys in the store.
     pub prefix: String,
     /// The budgets, and the rules by which they are divided.
     pub rules: BudgetSettings,
-    /// By tenant index, the name of the budget of its connections.
+    /// The names of the connection budgets by tenant index; `None` for a tenant without a budget.
     pub tenant_budgets: Vec<Option<String>>,
 }
 
-/// Budgets that can't be set up as configured. The message begins with the key at fault.
+/// The reason why the configuration of the budgets is invalid. The message begins with the invalid key.
 #[derive(Debug, Error)]
 pub enum BudgetConfigError {
-    /// The address of a store's member is not a URL.
-    #[error("budgets.store: {0:?} is not http://HOST:PORT")]
-    NotAnUrl(String),
-    /// The store refuses the configured addresses or prefix.
+    /// The address of one of the store's members is not a URL.
+    #[error("budgets.store: {0:?} is not a URL of the form http://HOST:PORT")]
+    NotAUrl(String),
+    /// The store's client rejects the configured addresses or prefix.
     #[error("budgets.store: {0}")]
     InvalidStore(#[from] InvalidValue),
-    /// The file that names the members is not configured.
-    #[error("budgets.members: missing; the file that names all balancers, one a line")]
+    /// The file with the members is not configured.
+    #[error("budgets.members: missing; expected the path of a file with all balancers, one per line")]
     NoMembers,
-    /// The file that names the members can't be used.
+    /// The file with the members can't be used.
     #[error("budgets.members: {path}: {problem}")]
     InvalidMembers {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The reason why the file can't be used.
         problem: InvalidMembers,
     },
     /// The balancer's name can't be part of a key in the store.
-    #[error("name: {0:?} has a '/', which budgets can't have")]
+    #[error("name: {0:?} contains a '/', which is not allowed with budgets")]
     SlashInName(String),
-    /// There is nothing to share.
-    #[error("budgets.set_ups: nothing is shared: neither set_ups, nor tenants with a quota in the settings")]
+    /// No budget is defined.
+    #[error(
+        "budgets.set_ups: nothing is shared: expected set_ups, or tenants and tenant quotas in the settings"
+    )]
     NothingShared,
     /// The budgets can't be divided by these rules.
     #[error("{}: {}", operator_key(.0.key()), .0)]
     InvalidRules(SettingsError),
 }
 
-/// What is wrong with the file that names the members.
+/// The reason why the file with the members can't be used.
 #[derive(Debug, Error)]
 pub enum InvalidMembers {
-    /// It can't be read.
-    #[error("{0}")]
+    /// The file can't be read.
+    #[error("cannot read the file: {0}")]
     Unreadable(#[from] io::Error),
-    /// It names a balancer twice.
-    #[error("{0} stands there twice")]
+    /// A balancer is listed twice.
+    #[error("{0} is listed twice")]
     Duplicate(String),
-    /// It names more balancers than a fleet may have.
-    #[error("{0} balancers, at most {MAX_BALANCERS}")]
+    /// The file lists more balancers than a fleet may have.
+    #[error("{0} balancers are listed; at most {MAX_BALANCERS} are allowed")]
     TooMany(usize),
-    /// It does not name this balancer.
-    #[error("{0} is not there")]
+    /// This balancer is not listed.
+    #[error("this balancer, {0}, is not listed")]
     NotAMember(String),
 }
 
 impl BudgetConfigError {
-    /// The key at fault.
+    /// The invalid key.
     pub fn key(&self) -> &str {
         match self {
-            Self::NotAnUrl(_) | Self::InvalidStore(_) => "budgets.store",
+            Self::NotAUrl(_) | Self::InvalidStore(_) => "budgets.store",
             Self::NoMembers | Self::InvalidMembers { .. } => "budgets.members",
             Self::SlashInName(_) => "name",
             Self::NothingShared => "budgets.set_ups",
@@ -90,7 +93,7 @@
     }
 }
 
-/// A rule's key in the operator's file.
+/// The key of a budget setting in the operator's file.
 fn operator_key(rule: &str) -> &'static str {
     match rule {
         "lease" => "budgets.lease_s",
@@ -102,10 +105,10 @@
     }
 }
 
-/// The members of the fleet, as a file names them, and this balancer's place among them.
+/// The number of members that the file lists, and this balancer's index among them.
 struct Membership {
     count: usize,
-    place: usize,
+    index: usize,
 }
 
 impl Membership {
@@ -120,13 +123,13 @@
         if members.len() > MAX_BALANCERS {
             return Err(InvalidMembers::TooMany(members.len()));
         }
-        let place = members.iter().position(|name| *name == balancer);
-        let place = place.ok_or_else(|| InvalidMembers::NotAMember(balancer.to_owned()))?;
-        Ok(Membership { count: members.len(), place })
+        let index = members.iter().position(|name| *name == balancer);
+        let index = index.ok_or_else(|| InvalidMembers::NotAMember(balancer.to_owned()))?;
+        Ok(Membership { count: members.len(), index })
     }
 }
 
-/// A budget of connections for each tenant that has a quota; with them, by tenant index, their names.
+/// A connection budget for each tenant with a quota, and the names of these budgets by tenant index.
 fn tenant_budgets(settings: &Settings, names: &NameIndex) -> (Vec<Budget>, Vec<Option<String>>) {
     let quotas = &settings.tenant_connection_quotas;
     let mut budgets = Vec::new();
@@ -143,10 +146,10 @@
 }
 
 impl BudgetConfig {
-    /// Reads the budgets that `section` of the operator's file configures for `balancer`; none where it names no store.
+    /// Reads the budgets that `section` of the operator's file configures for `balancer`; `None` if it names no store.
     ///
     /// # Errors
-    /// A file that can't be read, or rules by which budgets can't be divided.
+    /// Returns an error if a value is missing or invalid, or the file with the members can't be used.
     pub fn read(
         section: &Budgets,
         settings: &Settings,
@@ -158,7 +161,7 @@
         }
         if let Some(address) = section.store_endpoints.iter().find(|address| !address.starts_with("http://"))
         {
-            return Err(BudgetConfigError::NotAnUrl(address.clone()));
+            return Err(BudgetConfigError::NotAUrl(address.clone()));
         }
         let path = section.members_file.as_ref().ok_or(BudgetConfigError::NoMembers)?;
         let membership = Membership::read(path, balancer)
@@ -190,7 +193,7 @@
             reserve_ratio: section.reserve_ratio,
             even_ratio: section.floor_ratio,
             max_members: membership.count,
-            member_index: membership.place,
+            member_index: membership.index,
         };
         rules.check().map_err(BudgetConfigError::InvalidRules)?;
         let (store, prefix) = (section.store_endpoints.clone(), section.key_prefix.clone());
--- a/crates/balancer/src/fleet/gossip_config.rs
+++ b/crates/balancer/src/fleet/gossip_config.rs
@@ -1,4 +1,4 @@
-//! Configuration of gossip: the other balancers of the fleet, their addresses, and the key that all share.
+//! The configuration of gossip: the other balancers of the fleet, their addresses, and the shared key.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,64 +11,64 @@
 
 use super::MAX_BALANCERS;
 
-/// What is needed to gossip with the rest of the fleet.
+/// The configuration of gossip with the rest of the fleet.
 #[derive(Clone, Debug)]
 pub struct GossipConfig {
     /// The other balancers.
     pub peers: Vec<Peer>,
-    /// The key that all balancers share.
+    /// The key that all balancers of the fleet share.
     pub key: Key,
-    /// How often to send, and to how many.
+    /// The settings of gossip, such as its interval and fanout.
     pub rules: GossipSettings,
 }
 
 /// Another balancer of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The balancer's name.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The address at which the balancer receives datagrams.
     pub address: SocketAddr,
 }
 
-/// Gossip that can't be set up as configured. The message begins with the key at fault.
+/// The reason why the configuration of gossip is invalid. The message begins with the invalid key.
 #[derive(Debug, Error)]
 pub enum GossipConfigError {
-    /// The file that names the peers can't be read.
-    #[error("gossip.peers: {path}: {source}")]
+    /// The file with the peers can't be read.
+    #[error("gossip.peers: cannot read {path}: {source}")]
     PeersUnreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The system's error.
         source: io::Error,
     },
-    /// A line of that file can't be used.
+    /// A line of that file is invalid.
     #[error("gossip.peers: {path}, line {line}: {problem}")]
     InvalidPeer {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The line, counted from 1.
+        /// The number of the line, counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The reason why the line is invalid.
         problem: InvalidPeer,
     },
-    /// The file names more balancers than a fleet may have.
-    #[error("gossip.peers: {path}: {count} balancers, at most {MAX_BALANCERS}")]
+    /// The file lists more balancers than a fleet may have.
+    #[error("gossip.peers: {path}: {count} balancers are listed; at most {MAX_BALANCERS} are allowed")]
     TooMany {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// How many balancers it names.
+        /// The number of balancers listed.
         count: usize,
     },
     /// The file with the shared key is not configured.
-    #[error("gossip.key: missing; the file with the key that all balancers share")]
+    #[error("gossip.key: missing; expected the path of the file with the key that all balancers share")]
     NoKey,
     /// The file with the shared key can't be read.
-    #[error("gossip.key: {path}: {source}")]
+    #[error("gossip.key: cannot read {path}: {source}")]
     KeyUnreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The system's error.
         source: io::Error,
     },
     /// The shared key is too short.
@@ -76,22 +76,22 @@
     InvalidKey(#[from] KeyError),
 }
 
-/// What is wrong with a line of the file that names the peers.
+/// The reason why a line of the file with the peers is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum InvalidPeer {
-    /// It is not a name and an address.
-    #[error("NAME ADDRESS:PORT is wanted")]
+    /// The line does not consist of a name and an address.
+    #[error("expected NAME ADDRESS:PORT")]
     NotNameAndAddress,
-    /// Its address is not one.
-    #[error("the address is not ADDRESS:PORT")]
+    /// The second word is not an address with a port.
+    #[error("the address is not of the form ADDRESS:PORT")]
     NotAnAddress,
-    /// Its name stands in an earlier line too.
-    #[error("the name stands there twice")]
+    /// An earlier line has the same name.
+    #[error("the name is listed twice")]
     Duplicate,
 }
 
 impl GossipConfigError {
-    /// The key at fault.
+    /// The invalid key.
     pub fn key(&self) -> &str {
         match self {
             Self::PeersUnreadable { .. } | Self::InvalidPeer { .. } | Self::TooMany { .. } => "gossip.peers",
@@ -101,10 +101,10 @@
 }
 
 impl GossipConfig {
-    /// Reads the files that `section` of the operator's file names, for `balancer`; none where it names no peers.
+    /// Reads the files that `section` of the operator's file names, for `balancer`; `None` if it names no file with peers.
     ///
     /// # Errors
-    /// A file that can't be read or used.
+    /// Returns an error if the file with the key is not configured, or a file can't be read or is invalid.
     pub fn read(section: &Gossip, balancer: &str) -> Result<Option<GossipConfig>, GossipConfigError> {
         let Some(path) = &section.peers_file else { return Ok(None) };
         let mut peers = read_peers(path)?;
@@ -138,7 +138,7 @@
     Ok(peers)
 }
 
-/// Parses a line `NAME ADDRESS:PORT`; none where it is blank but for a comment.
+/// Parses a line `NAME ADDRESS:PORT`; `None` if the line is blank or contains only a comment.
 fn parse_peer(line: &str) -> Result<Option<Peer>, InvalidPeer> {
     let line = line.split('#').next().unwrap_or_default();
     let words: Vec<&str> = line.split_whitespace().collect();
--- a/crates/balancer/src/fleet/mod.rs
+++ b/crates/balancer/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! The other balancers of the fleet: gossip about the connections that each holds, and budgets that all share.
+//! Cooperation with the other balancers of the fleet: gossip about the connections of each balancer, and shared budgets.
 
 pub mod budget_config;
 pub mod budgets;
 pub mod gossip;
 pub mod gossip_config;
 
-/// A fleet of one service has no more balancers than this.
+/// The maximum number of balancers in a fleet.
 pub const MAX_BALANCERS: usize = 4_096;
