--- a/crates/balancer/src/fleet/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -1,5 +1,5 @@
-//! This balancer's allocations of the fleet's budgets. A thread of its own talks to the store, so that the event loop never
-//! waits for it; they share the allocations, which the event loop checks each request against.
+//! This balancer's allocations of the fleet's budgets. A separate thread communicates with the store, so that the event loop
+//! never waits for it. Both share the allocations, and the event loop checks each request against them.
 
 use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
@@ -25,23 +25,24 @@
 use crate::config::{Config, ConfigError};
 use crate::fleet::budget_config::{BudgetConfig, BudgetConfigError, SETUP_BUDGET};
 
-/// How often allocations are logged.
+/// The interval at which allocations are logged.
 const LOG_INTERVAL: Micros = 10_000_000;
-/// A process that ends waits no longer than this until the store knows.
+/// The maximum time for which a terminating process waits until its allocations have been returned to the store.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A store that has not answered for this many leases is opened anew.
+/// The store is reopened after it has not answered for this number of leases.
 const LEASES_UNTIL_REOPEN: u64 = 2;
-/// The shortest and the longest wait for the next request to the store, in microseconds.
+/// The minimum time for which the thread waits for a command before it checks again whether a request to the store is due.
 const MIN_WAIT: Micros = 1_000;
+/// The maximum time of that wait.
 const MAX_WAIT: Micros = 1_000_000;
 
-/// The client of the store can't be started.
+/// The reason why the client of the store can't be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The store can't be used as configured.
+    /// The configuration of the store is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system gives no thread.
+    /// The system can't start a thread.
     #[error(transparent)]
     Thread(#[from] io::Error),
 }
@@ -54,42 +55,47 @@
     allocations.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where the store is, and as which client it is opened.
+/// The parameters for opening the store.
 struct StoreAddress {
+    /// The URLs of the store's members.
     members: Vec<String>,
-    /// Prefix of all keys.
+    /// The prefix of all keys.
     prefix: String,
+    /// This balancer's name.
     balancer: String,
 }
 
 impl StoreAddress {
-    /// Opens the store, each time as another client: the store would take this one for an earlier process of the same name.
+    /// Opens the store with a client name that is different each time. Otherwise the store could not distinguish this client
+    /// from an earlier process of the same balancer.
     fn open(&self, now: Micros) -> Result<Replicated, InvalidValue> {
         let client = format!("{}-{now}", self.balancer);
         Replicated::new(&Options::new(self.members.clone(), &self.prefix, &client, now))
     }
 }
 
-/// A message from the event loop to the thread.
+/// A command from the event loop to the thread.
 enum Command {
+    /// Apply the totals of these settings.
     UpdateSettings(BudgetSettings),
+    /// Return all allocations to the fleet and end.
     Leave,
 }
 
-/// The event loop's handle of the thread.
+/// The event loop's handle to the thread.
 #[derive(Debug)]
 pub struct BudgetClient {
     allocations: Arc<Mutex<Allocations>>,
     commands: Sender<Command>,
-    /// Closed once the thread has ended.
+    /// The channel is closed once the thread has ended.
     ended: Receiver<()>,
 }
 
 impl BudgetClient {
-    /// Starts the thread if budgets are configured.
+    /// Starts the thread; returns `None` if no budgets are configured.
     ///
     /// # Errors
-    /// The store's address or prefix can't be used, or the system gives no thread.
+    /// Returns an error if the store's address or prefix is invalid, or the system can't start a thread.
     pub fn start(config: &Config, clock: Clock) -> Result<Option<BudgetClient>, StartError> {
         let Some(budgets) = &config.budgets else { return Ok(None) };
         let (now, unix_now) = (clock.read(), unix_time());
@@ -123,7 +129,7 @@
         Ok(Some(BudgetClient { allocations, commands, ended }))
     }
 
-    /// The admission that checks requests against the allocations.
+    /// The admission check of requests against the allocations; `None` if no budgets are configured.
     pub fn admission(&self, config: &Config) -> Option<Budgets> {
         let budgets = config.budgets.as_ref()?;
         let allocations = lock(&self.allocations);
@@ -134,21 +140,21 @@
         Some(Budgets::new(Arc::clone(&self.allocations), setup_budget, tenant_budgets, &config.settings))
     }
 
-    /// Puts the totals of another configuration in force; the rest needs a restart.
+    /// Applies the totals of a reloaded configuration. Other changes take effect only after a restart.
     pub fn update_totals(&self, config: &BudgetConfig) {
-        // The thread ends only with the process.
+        // Sending fails only after the thread has ended, and then the process is about to end.
         let _ = self.commands.send(Command::UpdateSettings(config.rules.clone()));
     }
 
-    /// Returns this balancer's allocations to the fleet, if the store answers in time.
+    /// Returns this balancer's allocations to the fleet, and waits for that up to [`LEAVE_TIMEOUT`].
     pub fn leave(self) {
         let _ = self.commands.send(Command::Leave);
-        // Nothing is ever sent: the channel closes when the thread ends.
+        // No message is ever sent on this channel. It is closed when the thread ends.
         let _ = self.ended.recv_timeout(LEAVE_TIMEOUT);
     }
 }
 
-/// The thread's state.
+/// The state of the thread that communicates with the store.
 struct StoreWorker {
     member: Member,
     allocations: Arc<Mutex<Allocations>>,
@@ -156,9 +162,9 @@
     store: Replicated,
     commands: Receiver<Command>,
     clock: Clock,
-    /// Whether the store has answered the last request; none before the first.
+    /// Whether the store has answered the last request; `None` before the first request.
     is_reachable: Option<bool>,
-    /// When the store answered last, or was opened.
+    /// When the store last answered or was opened.
     last_reached: Micros,
     last_logged: Micros,
 }
@@ -176,13 +182,13 @@
         if self.member.is_superseded() {
             warn!(
                 event = "budgets",
-                state = "outlived",
-                why = "another process has this balancer's name; nothing is let in here"
+                state = "superseded",
+                why = "another process has taken over the name of this balancer; this process admits no more requests"
             );
         }
     }
 
-    /// Waits for a command, or until the next request is due; returns false if the event loop has ended.
+    /// Waits for a command, or until the next request is due. Returns false if the event loop has ended.
     fn wait_for_command(&mut self) -> bool {
         let due_in = self.member.next_deadline().saturating_sub(self.clock.read());
         match self.commands.recv_timeout(Duration::from_micros(due_in.clamp(MIN_WAIT, MAX_WAIT))) {
@@ -215,11 +221,11 @@
         let mut allocations = lock(&self.allocations);
         match command {
             Command::UpdateSettings(next) => {
-                // Which budgets there are, and how they are divided, stays until a restart.
+                // Only the totals change. The set of budgets and the rules of their division change only with a restart.
                 let mut settings = self.member.settings().clone();
                 for budget in &mut settings.budgets {
-                    if let Some(named) = next.budgets.iter().find(|next| next.name == budget.name) {
-                        budget.total = named.total;
+                    if let Some(updated) = next.budgets.iter().find(|next| next.name == budget.name) {
+                        budget.total = updated.total;
                     }
                 }
                 allocations.update_settings(now, &settings);
@@ -233,8 +239,8 @@
         if is_reachable {
             self.last_reached = now;
         } else if now >= self.last_reached + LEASES_UNTIL_REOPEN * self.member.settings().lease {
-            // A client of the store trusts no other cluster than the one it has seen. Members can: whatever they find there,
-            // all allocations from before have expired.
+            // A client of the store only accepts the cluster that it was first connected to. After this time a replaced
+            // cluster may be used as well, since all earlier allocations have expired.
             self.last_reached = now;
             let Ok(store) = self.address.open(unix_time()) else { return };
             self.store = store;
@@ -243,12 +249,12 @@
             return;
         }
         if is_reachable {
-            info!(event = "budgets", state = "store-reached");
+            info!(event = "budgets", state = "store-reachable");
         } else {
             warn!(
                 event = "budgets",
-                state = "store-lost",
-                why = "parts end with their lease, then the reserve is left"
+                state = "store-unreachable",
+                why = "allocations expire with their lease; after that only the reserve can be used"
             );
         }
     }
@@ -259,8 +265,8 @@
             return;
         }
         match term {
-            Some(term) => info!(event = "budgets", state = "leads", term),
-            None => info!(event = "budgets", state = "leads-no-more"),
+            Some(term) => info!(event = "budgets", state = "leader", term),
+            None => info!(event = "budgets", state = "no-longer-leader"),
         }
     }
 
@@ -289,7 +295,7 @@
         );
     }
 
-    /// Executes a request. An error that does not say whether the request was executed is no response.
+    /// Executes a request. An error that leaves open whether the request was executed counts as no response.
     fn execute(&mut self, request: StoreRequest) -> Result<StoreResponse, NoResponse> {
         let result = match request {
             StoreRequest::Read(names) => self.read(names),
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -1,5 +1,6 @@
-//! Sends and receives the datagrams of gossip: announces what this balancer holds to its peers, and reports to the decisions
-//! what the peers hold. Balancers receive at the address at which they accept clients, over UDP.
+//! Sends and receives the UDP datagrams of gossip: announces this balancer's holdings, that is its connections and their load
+//! by server, to the peers, and reports the holdings of the peers to the decisions. Each balancer receives datagrams at the
+//! address at which it accepts clients.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,45 +23,47 @@
 use crate::event_loop::poll::EventSource;
 use crate::fleet::gossip_config::{GossipConfig, Peer};
 
-/// How often the loads of the peers are reported to the decisions.
+/// The interval at which the loads of the peers are reported to the decisions.
 const REPORT_INTERVAL: Micros = 200_000;
-/// Pause before a socket that could not be opened is tried again: the process that this one replaces may still have it.
+/// The delay before another attempt to open the socket. The process that this one replaces may still have it open.
 const SOCKET_RETRY_DELAY: Micros = 1_000_000;
-/// How often statistics are logged.
+/// The interval at which statistics are logged.
 const LOG_INTERVAL: Micros = 10_000_000;
-/// Datagrams received in one iteration.
+/// The maximum number of datagrams that are received in one iteration of the event loop.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 256;
 
-/// This balancer's end of gossip.
+/// The socket of this balancer's gossip, and the schedule of its announcements and reports.
 #[derive(Debug)]
 pub struct GossipTransport {
     address: SocketAddr,
+    /// `None` until the socket can be opened.
     socket: Option<UdpSocket>,
     peers: Vec<Peer>,
     gossip: Gossip,
+    /// The interval between announcements.
     interval: Micros,
-    /// More datagrams may be waiting at the socket.
+    /// More datagrams may be available at the socket.
     has_unread: bool,
     /// An announcement is due in this iteration.
     is_due: bool,
     last_reported: Micros,
     last_logged: Micros,
-    /// Whether enough peers are heard of; none before the first report.
-    has_peers: Option<bool>,
-    /// Datagrams that the system did not take.
-    unsent: u64,
-    /// That holdings exceed an announcement was logged.
+    /// Whether the announcements of enough peers are known; `None` before the first report.
+    has_enough_peers: Option<bool>,
+    /// The number of datagrams that could not be sent.
+    failed_sends: u64,
+    /// It was logged that the holdings don't fit into an announcement.
     has_logged_oversize: bool,
 }
 
-/// This balancer, as its gossip needs to know it.
+/// The properties of this balancer that its gossip needs.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalBalancer<'a> {
-    /// Its name.
+    /// The balancer's name.
     pub name: &'a str,
-    /// Where it accepts clients and receives datagrams.
+    /// The address at which the balancer accepts clients and receives datagrams.
     pub address: SocketAddr,
-    /// Seed of the random choice of peers.
+    /// The seed of the random selection of peers.
     pub seed: u64,
 }
 
@@ -69,7 +72,7 @@
 }
 
 impl GossipTransport {
-    /// Creates this balancer's end. The socket is opened in the first iteration.
+    /// Creates the transport. Its socket is opened in the first iteration of the event loop.
     pub fn new(context: &mut LoopContext, balancer: LocalBalancer<'_>, config: &GossipConfig) -> Self {
         let LocalBalancer { name, address, seed } = balancer;
         context.schedule_after(0, TimerEvent::Gossip);
@@ -86,24 +89,25 @@
             is_due: false,
             last_reported: context.now,
             last_logged: context.now,
-            has_peers: None,
-            unsent: 0,
+            has_enough_peers: None,
+            failed_sends: 0,
             has_logged_oversize: false,
         }
     }
 
-    /// Replaces the peers by those of a reloaded configuration.
+    /// Replaces the peers with those of a reloaded configuration.
     pub fn set_peers(&mut self, config: &GossipConfig) {
         self.gossip.set_peers(&peer_names(config));
         self.peers.clone_from(&config.peers);
     }
 
-    /// The timer has fired: an announcement is due, or the socket is tried again.
+    /// Handles the timer: opens the socket unless it is open, and marks an announcement as due. If the socket can't be opened,
+    /// the next attempt follows after [`SOCKET_RETRY_DELAY`].
     pub fn on_timer(&mut self, context: &mut LoopContext) {
         if self.socket.is_none()
             && let Err(e) = self.open_socket(context)
         {
-            warn!(event = "gossip-off", at = %self.address, error = %e);
+            warn!(event = "gossip-socket-failed", at = %self.address, error = %e);
             context.schedule_after(SOCKET_RETRY_DELAY, TimerEvent::Gossip);
             return;
         }
@@ -118,20 +122,20 @@
         Ok(())
     }
 
-    /// Whether an announcement is due; it counts as made.
+    /// Whether an announcement is due. Returns true once per announcement.
     pub fn take_due(&mut self) -> bool {
         std::mem::take(&mut self.is_due)
     }
 
-    /// Whether more datagrams may be waiting than one iteration receives.
+    /// Whether more datagrams may be available than one iteration receives.
     pub fn has_unread(&self) -> bool {
         self.has_unread
     }
 
-    /// Receives datagrams.
+    /// Receives datagrams, up to the limit per iteration.
     pub fn on_readable(&mut self, now: Micros) {
         let Some(socket) = &self.socket else { return };
-        // One byte more than any valid datagram: a longer one is cut off, and its seal is wrong then.
+        // One byte longer than any valid datagram. A longer datagram is truncated, so its seal is invalid.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         self.has_unread = true;
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
@@ -141,13 +145,14 @@
                     self.has_unread = false;
                     break;
                 }
-                // The error of an earlier send to a peer that is not there.
+                // The error belongs to an earlier datagram that was sent to an unreachable peer.
                 Err(_) => {}
             }
         }
     }
 
-    /// Announces what this balancer holds, and reports to the decisions what the peers hold.
+    /// Sends this balancer's holdings to the peers. At the report interval, also reports the loads of the peers to the
+    /// decisions.
     pub fn broadcast(&mut self, context: &mut LoopContext, holdings: Vec<Holding>) {
         self.send(context.now, holdings);
         if context.now >= self.last_reported + REPORT_INTERVAL {
@@ -155,7 +160,7 @@
             self.report_loads(context);
         }
         if self.gossip.stats().oversized > 0 && !std::mem::replace(&mut self.has_logged_oversize, true) {
-            warn!(event = "gossip-unsent", most = MAX_HOLDINGS);
+            warn!(event = "gossip-announcement-too-large", most = MAX_HOLDINGS);
         }
         if context.now >= self.last_logged + LOG_INTERVAL {
             self.last_logged = context.now;
@@ -164,21 +169,21 @@
     }
 
     fn send(&mut self, now: Micros, holdings: Vec<Holding>) {
-        let outgoing = self.gossip.outgoing(now, holdings.into_iter().map(announced).collect());
+        let outgoing = self.gossip.outgoing(now, holdings.into_iter().map(announced_holding).collect());
         let Some(socket) = &self.socket else { return };
         for OutgoingDatagram { peer, bytes } in outgoing {
             if socket.send_to(&bytes, self.peers[peer].address).is_err() {
-                self.unsent += 1;
+                self.failed_sends += 1;
             }
         }
     }
 
     fn report_loads(&mut self, context: &mut LoopContext) {
         let loads = self.gossip.peer_loads(context.now);
-        let has_peers = loads.is_some();
-        if self.has_peers.replace(has_peers) != Some(has_peers) {
+        let has_enough_peers = loads.is_some();
+        if self.has_enough_peers.replace(has_enough_peers) != Some(has_enough_peers) {
             let coverage = loads.as_ref().map_or(0.0, |loads| loads.coverage);
-            let state = if has_peers { "together" } else { "alone" };
+            let state = if has_enough_peers { "together" } else { "alone" };
             let heard = format_args!("{coverage:.2}");
             info!(event = "gossip", state, heard, others = self.peers.len());
         }
@@ -192,7 +197,7 @@
             event = "gossip-statistics",
             sent = stats.datagrams_sent,
             bytes = stats.bytes_sent,
-            unsent = self.unsent,
+            unsent = self.failed_sends,
             untold = stats.oversized,
             came = stats.datagrams_received,
             news = stats.accepted,
@@ -204,7 +209,7 @@
     }
 }
 
-fn announced(holding: Holding) -> AnnouncedHolding {
+fn announced_holding(holding: Holding) -> AnnouncedHolding {
     AnnouncedHolding {
         server: holding.server.0,
         group: holding.group as u32,
--- a/crates/balancer/tests/budgets/main.rs
+++ b/crates/balancer/tests/budgets/main.rs
@@ -74,11 +74,11 @@
     reaches(&fleet, "both have a part", WHOLE * 7 / 10);
     // What it asks for is done, and it never hears of it: the harder half of a cut.
     fleet.breaks(0, Fault::LosesAnswers);
-    fleet.program(0).logged("state=store-lost");
+    fleet.program(0).logged("state=store-unreachable");
     reaches(&fleet, "the other has it all", WHOLE * 7 / 10);
     sleep(2 * SECOND);
     fleet.breaks(0, Fault::None);
-    fleet.program(0).logged("state=store-reached");
+    fleet.program(0).logged("state=store-reachable");
     // The store is lost for good, and begun anew by whoever is there.
     fleet.cluster.wipe();
     let wiped = Instant::now();
@@ -130,7 +130,7 @@
     fleet.crowd(2, 40, "acme", 20 * SECOND);
     until("the third has some too", || holds(&fleet, SHARE * 8 / 10));
     fleet.breaks(2, Fault::Silent);
-    fleet.program(2).logged("state=store-lost");
+    fleet.program(2).logged("state=store-unreachable");
     sleep(4 * SECOND);
     let (_, most) = fleet.sight.stands("acme");
     assert!(most <= SHARE, "{most} stood at once, of {SHARE}");
@@ -143,7 +143,7 @@
     fleet.crowd(0, 20, "acme", Duration::from_millis(10));
     reaches(&fleet, "it has a part", WHOLE * 6 / 10);
     let second = fleet.start(0);
-    fleet.program(0).logged("state=outlived");
+    fleet.program(0).logged("state=superseded");
     let first = fleet.programs[0].replace(second);
     fleet.crowd(0, 20, "acme", Duration::from_millis(10));
     reaches(&fleet, "the second has it", WHOLE * 6 / 10);
