--- a/crates/budgets/src/settings.rs
+++ b/crates/budgets/src/settings.rs
@@ -1,4 +1,5 @@
-//! Which budgets are divided, and by which rules. The same at all members but for the member's index.
+//! The budgets of a fleet and the rules by which they are divided. The settings are the same at all members,
+//! except for [`BudgetSettings::member_index`].
 
 use shorewharf_units::Micros;
 use thiserror::Error;
@@ -6,20 +7,20 @@
 /// What a budget counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetKind {
-    /// So many a second.
+    /// Uses per second.
     Rate,
-    /// So many at the same time, in whole numbers.
+    /// Uses at the same time, as a whole number.
     Concurrency,
 }
 
 /// One budget of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Its name, the same at all members.
+    /// The name, which is the same at all members.
     pub name: String,
-    /// What it counts.
+    /// What the budget counts.
     pub kind: BudgetKind,
-    /// What the whole fleet may use.
+    /// The amount that the whole fleet may use.
     pub total: f64,
 }
 
@@ -28,68 +29,76 @@
 pub struct BudgetSettings {
     /// The budgets.
     pub budgets: Vec<Budget>,
-    /// A grant is in force for so long after its holder sent the heartbeat that it names.
+    /// The duration of a grant, counted from the time when its holder sent the heartbeat that the grant
+    /// names.
     pub lease: Micros,
-    /// So much is left out at the holder's end of a lease and added at the leader's, since clocks may drift apart by so
-    /// much over a lease.
+    /// Subtracted from the lease at the holder and added to it at the leader, since their clocks may drift
+    /// apart by this much during a lease.
     pub clock_margin: Micros,
-    /// How often the store is polled.
+    /// The interval at which the store is polled.
     pub poll_interval: Micros,
-    /// Connections under an allocation that has ended migrate within so long; it counts as in use until then.
+    /// The time within which connections migrate after their allocation has ended. They count as in use until
+    /// then.
     pub drain_time: Micros,
-    /// The part of each total that is never divided by need: a fixed share of it is each member's.
+    /// The ratio of each total that is never divided by demand. Each member has a fixed share of it.
     pub reserve_ratio: f64,
-    /// The part of what is divided that all members get alike, whatever they need.
+    /// The ratio of the divided amount that all members get in equal parts, whatever their demand.
     pub even_ratio: f64,
-    /// The greatest number of members.
+    /// The maximum number of members.
     pub max_members: usize,
-    /// This member's index, from 0.
+    /// The index of this member, from 0.
     pub member_index: usize,
 }
 
-/// Settings that can't be kept. The text is the reason; [`SettingsError::key`] names the setting.
+/// The reason why settings are invalid. [`SettingsError::key`] returns the name of the invalid setting.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// The lease would end before it is renewed.
-    #[error("{lease} us is under {POLLS_PER_LEASE} looks ({least} us): it would end before it is renewed")]
+    /// The lease could end before it is renewed.
+    #[error(
+        "{lease} us is shorter than {POLLS_PER_LEASE} poll intervals ({minimum} us): the lease could end before it is renewed"
+    )]
     LeaseTooShort {
-        /// The lease.
+        /// The configured lease.
         lease: Micros,
-        /// The shortest lease at this poll interval.
-        least: Micros,
+        /// The shortest lease that is valid with this poll interval.
+        minimum: Micros,
     },
     /// The clock margin is 0, or more than a quarter of the lease.
-    #[error("{0} us is not above 0 and at most a quarter of the lease")]
+    #[error("{0} us is out of range; expected more than 0 and at most a quarter of the lease")]
     ClockMarginOutOfRange(Micros),
-    /// The reserve is out of its range.
-    #[error("{0} is not from 0 to 0.5")]
+    /// The ratio of the reserve is out of range.
+    #[error("{0} is out of range; expected a ratio from 0 to 0.5")]
     ReserveOutOfRange(f64),
-    /// The even part is out of its range.
-    #[error("{0} is not from 0 to 0.5: beyond that needs would count for little")]
+    /// The ratio of the even part is out of range.
+    #[error(
+        "{0} is out of range; expected a ratio from 0 to 0.5, since a larger one leaves too little to divide by demand"
+    )]
     EvenRatioOutOfRange(f64),
-    /// The member's index is not below the number of members.
-    #[error("place {index} of {members} members")]
+    /// The member's index is not below the maximum number of members.
+    #[error("the index of this member, {index}, is not below the number of members, {members}")]
     NoSuchMember {
-        /// The member's index.
+        /// The index of the member.
         index: usize,
-        /// The greatest number of members.
+        /// The maximum number of members.
         members: usize,
     },
-    /// A total is no amount.
-    #[error("{total} of {budget} is no amount")]
+    /// The total of a budget is negative or not a finite number.
+    #[error(
+        "the total {total} of the budget {budget:?} is invalid; expected a finite number that is not negative"
+    )]
     InvalidTotal {
         /// The budget's name.
         budget: String,
-        /// Its total.
+        /// The configured total.
         total: f64,
     },
     /// Two budgets have the same name.
-    #[error("{0} comes twice")]
+    #[error("the budget {0:?} is defined twice")]
     DuplicateBudget(String),
 }
 
 impl SettingsError {
-    /// The setting at fault, as operators know it.
+    /// The name of the invalid setting, by which callers find its key in the operator's file.
     pub fn key(&self) -> &'static str {
         match self {
             SettingsError::LeaseTooShort { .. } => "lease",
@@ -103,26 +112,27 @@
     }
 }
 
-/// Heartbeats in a lease: two may be lost.
+/// The number of heartbeats in a lease, so that two of them may be lost.
 const HEARTBEATS_PER_LEASE: u64 = 3;
-/// Polls in a lease at the least: one may take as long as the next one begins, and a heartbeat has to be read,
-/// confirmed and seen by polls.
+/// The minimum number of polls in a lease. A poll may take until the next one is due, and it takes polls
+/// until a heartbeat has been read by the leader, the grant that confirms it has been written, and its sender
+/// has read that grant.
 const POLLS_PER_LEASE: u64 = 8;
-/// The clock margin is at most the lease over this.
+/// The clock margin is at most the lease divided by this number.
 const LEASE_PER_CLOCK_MARGIN: u64 = 4;
-/// The largest part of a total that is not divided by need.
+/// The maximum of `reserve_ratio` and of `even_ratio`.
 const MAX_RATIO: f64 = 0.5;
 
 impl BudgetSettings {
-    /// Checks that the settings can be kept.
+    /// Checks whether the settings are valid.
     ///
     /// # Errors
     ///
-    /// Returns the first setting that can't.
+    /// Returns the first error found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.poll_interval == 0 || self.lease < POLLS_PER_LEASE * self.poll_interval {
-            let least = POLLS_PER_LEASE * self.poll_interval.max(1);
-            return Err(SettingsError::LeaseTooShort { lease: self.lease, least });
+            let minimum = POLLS_PER_LEASE * self.poll_interval.max(1);
+            return Err(SettingsError::LeaseTooShort { lease: self.lease, minimum });
         }
         if self.clock_margin == 0 || self.clock_margin > self.lease / LEASE_PER_CLOCK_MARGIN {
             return Err(SettingsError::ClockMarginOutOfRange(self.clock_margin));
@@ -151,17 +161,17 @@
         Ok(())
     }
 
-    /// How often a member writes its record.
+    /// The interval at which a member writes its record.
     pub fn heartbeat_interval(&self) -> Micros {
         self.lease / HEARTBEATS_PER_LEASE
     }
 
-    /// The part of a total that is divided by need.
+    /// The amount of a total that is divided by demand.
     pub fn divided(&self, kind: BudgetKind, total: f64) -> f64 {
         total - self.reserve(kind, total)
     }
 
-    /// The part of a total that is reserved for all members together.
+    /// The amount of a total that is reserved, for all members together.
     fn reserve(&self, kind: BudgetKind, total: f64) -> f64 {
         match kind {
             BudgetKind::Rate => total * self.reserve_ratio,
@@ -169,8 +179,9 @@
         }
     }
 
-    /// This member's own part of the reserve. Whole numbers are dealt out by index, so that all parts together are the
-    /// reserve; where it is smaller than the number of members some have none.
+    /// This member's share of the reserve. Shares of a concurrency are whole numbers that depend on the index
+    /// and add up to the reserve. If the reserve is smaller than the number of members, some members have no
+    /// share.
     pub fn own_reserve(&self, kind: BudgetKind, total: f64) -> f64 {
         let reserve = self.reserve(kind, total);
         let (members, index) = (self.max_members as f64, self.member_index as f64);
