--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -1,23 +1,23 @@
-//! One budget at this process: what is allocated of it, what is used, and what is needed.
+//! One budget at this process: its allocation, its use and its demand.
 
 use shorewharf_units::Micros;
 
 use crate::settings::{Budget, BudgetKind, BudgetSettings};
 
-/// What is saved up of a rate at most: one, or what the allocation brings in [`MAX_SAVED_SECONDS`]. Requests come in
-/// small bursts.
+/// The maximum number of tokens of a rate is `MIN_BURST`, or the allocation of [`BURST_SECONDS`] if that is
+/// more. It allows the small bursts in which requests arrive.
 const MIN_BURST: f64 = 1.0;
-const MAX_SAVED_SECONDS: f64 = 0.1;
-/// Demand is counted over periods of this length.
+const BURST_SECONDS: f64 = 0.1;
+/// The length of the periods over which demand is counted.
 const DEMAND_PERIOD: Micros = 1_000_000;
 const MICROS_PER_SECOND: f64 = shorewharf_units::MICROS_PER_SECOND as f64;
 
-/// Until when granted allocations are in force, and from when the reserve is.
+/// The times at which granted allocations end and the reserve begins.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ValidityPeriods {
-    /// Granted allocations are in force before then.
+    /// Granted allocations are in force before this time.
     pub granted_until: Micros,
-    /// The reserve is in force from then on; never for a process whose name another one has taken.
+    /// The reserve is in force from this time on; `Micros::MAX` once another process has taken this name.
     pub reserve_from: Micros,
 }
 
@@ -29,16 +29,16 @@
     pub total: f64,
     pub reserve: f64,
     pub granted: f64,
-    /// What is in use, of a concurrency.
+    /// The amount in use; only for a concurrency.
     pub in_use: f64,
     /// Requests rejected since the start.
     pub rejected: u64,
-    /// More is in use than allocated, since then.
+    /// When the amount in use began to exceed the allocation; `None` if it does not.
     pub exceeded_since: Option<Micros>,
-    /// What is saved up of a rate, as of `saved_at`.
-    saved: f64,
-    saved_at: Micros,
-    /// Demand in this period and in the one before.
+    /// The token bucket of a rate, as of `refilled_at`.
+    tokens: f64,
+    refilled_at: Micros,
+    /// The demand in the current period and in the previous one.
     demand: f64,
     previous_demand: f64,
     period_began_at: Micros,
@@ -55,52 +55,53 @@
             in_use: 0.0,
             rejected: 0,
             exceeded_since: None,
-            saved: 0.0,
-            saved_at: now,
+            tokens: 0.0,
+            refilled_at: now,
             demand: 0.0,
             previous_demand: 0.0,
             period_began_at: now,
         }
     }
 
-    /// Takes over an earlier state under the total and reserve of other settings.
+    /// Takes over the state of an earlier allocation, but keeps the total and the reserve of the new
+    /// settings.
     pub fn continue_from(&mut self, earlier: &Allocation) {
         *self = Allocation { total: self.total, reserve: self.reserve, ..earlier.clone() };
     }
 
-    /// What may be used now.
+    /// Returns the amount that may be used now.
     pub fn in_force(&self, now: Micros, periods: ValidityPeriods) -> f64 {
         let reserve = if now >= periods.reserve_from { self.reserve } else { 0.0 };
         reserve + if now < periods.granted_until { self.granted } else { 0.0 }
     }
 
-    /// What a rate has saved up by now. Time counts by what was in force in it.
-    pub fn saved(&self, now: Micros, periods: ValidityPeriods) -> f64 {
+    /// Returns the tokens of a rate at a time. They accrue at the rate that was in force at each time.
+    pub fn tokens(&self, now: Micros, periods: ValidityPeriods) -> f64 {
         let seconds = |from: Micros, to: Micros| to.saturating_sub(from) as f64 / MICROS_PER_SECOND;
-        let by_grant = self.granted * seconds(self.saved_at, now.min(periods.granted_until));
-        let by_reserve = self.reserve * seconds(self.saved_at.max(periods.reserve_from), now);
+        let by_grant = self.granted * seconds(self.refilled_at, now.min(periods.granted_until));
+        let by_reserve = self.reserve * seconds(self.refilled_at.max(periods.reserve_from), now);
         let in_force = self.reserve + if now < periods.granted_until { self.granted } else { 0.0 };
-        (self.saved + by_grant + by_reserve).min(MIN_BURST.max(MAX_SAVED_SECONDS * in_force))
+        (self.tokens + by_grant + by_reserve).min(MIN_BURST.max(BURST_SECONDS * in_force))
     }
 
-    /// Notes what is saved up, before anything that it depends on changes.
-    pub fn settle(&mut self, now: Micros, periods: ValidityPeriods) {
-        self.saved = self.saved(now, periods);
-        self.saved_at = now;
+    /// Refills the token bucket. This must be called before any value changes on which the refill depends.
+    pub fn refill(&mut self, now: Micros, periods: ValidityPeriods) {
+        self.tokens = self.tokens(now, periods);
+        self.refilled_at = now;
     }
 
-    /// Uses one.
+    /// Takes one unit of the budget.
     pub fn acquire(&mut self, now: Micros, periods: ValidityPeriods) {
         match self.kind {
             BudgetKind::Concurrency => self.in_use += 1.0,
             BudgetKind::Rate => {
-                self.saved = (self.saved(now, periods) - 1.0).max(0.0);
-                self.saved_at = now;
+                self.tokens = (self.tokens(now, periods) - 1.0).max(0.0);
+                self.refilled_at = now;
             }
         }
     }
 
-    /// Gives one of a concurrency back.
+    /// Returns one unit of a concurrency.
     pub fn release(&mut self) {
         if self.kind == BudgetKind::Rate {
             return;
@@ -111,14 +112,15 @@
         }
     }
 
-    /// What is needed by the demand that was counted last.
+    /// Returns the amount needed, by the demand of the current and the previous period.
     pub fn needed(&self) -> f64 {
         let demand = self.previous_demand.max(self.demand);
-        // Rejected requests come again: a concurrency needs what is in use and what was rejected.
+        // Rejected requests are retried, so a concurrency needs both the amount in use and the rejected
+        // demand.
         demand + if self.kind == BudgetKind::Concurrency { self.in_use } else { 0.0 }
     }
 
-    /// Counts demand.
+    /// Adds to the demand of the current period.
     pub fn add_demand(&mut self, now: Micros, amount: f64) {
         let elapsed = now.saturating_sub(self.period_began_at);
         if elapsed >= 2 * DEMAND_PERIOD {
@@ -131,7 +133,7 @@
         self.demand += amount;
     }
 
-    /// Notes whether more is in use than allocated, and since when.
+    /// Updates `exceeded_since`.
     pub fn check_exceeded(&mut self, now: Micros) {
         let is_exceeded = self.kind == BudgetKind::Concurrency && self.in_use > self.reserve + self.granted;
         self.exceeded_since = if is_exceeded { self.exceeded_since.or(Some(now)) } else { None };
--- a/crates/budgets/src/division.rs
+++ b/crates/budgets/src/division.rs
@@ -1,38 +1,38 @@
-//! How a budget is divided by need.
+//! The division of a budget by demand.
 
 use crate::settings::BudgetKind;
 
-/// An allocation that would change by less than this share of itself stays as it is: each change costs a write and an
-/// acknowledgement.
+/// An allocation that would change by a smaller ratio than this stays unchanged, since each change costs a
+/// write and an acknowledgement.
 const MIN_CHANGE_RATIO: f64 = 0.1;
-/// The part of what nobody wants that is spread evenly; the rest goes by demand.
+/// The ratio of the spare amount that is spread evenly. The rest is spread in proportion to demand.
 const EVEN_SPARE_RATIO: f64 = 0.5;
 
-/// What is divided.
+/// An amount to divide, and the rules of its division.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
     /// What the budget counts.
     pub kind: BudgetKind,
-    /// How much there is.
+    /// The amount to divide.
     pub total: f64,
-    /// The part of it that all members get alike, so that nobody has nothing.
+    /// The ratio of `total` that all members get in equal parts, so that each of them has an allocation.
     pub even_ratio: f64,
 }
 
 impl Division {
-    /// The allocations of members with these demands that have `current` allocations now.
+    /// Returns the allocations of members that have these demands and now have the allocations `current`.
     ///
-    /// All get an even part of `even_ratio`; the rest goes to those who want more, the least wanting first, and what
-    /// nobody wants is spread, half evenly and half by demand, to be at hand before it is asked for. Allocations of a
-    /// concurrency are whole numbers.
+    /// All members get an equal part of `even_ratio`. The rest is used to meet demands, the smallest demands
+    /// first. What exceeds the total demand is spread so that it is available before it is requested, half of
+    /// it evenly and half in proportion to demand. Allocations of a concurrency are whole numbers.
     pub fn allocate(&self, demands: &[f64], current: &[f64]) -> Vec<f64> {
         if demands.is_empty() || self.total <= 0.0 {
             return vec![0.0; demands.len()];
         }
         let members = demands.len() as f64;
-        let least = self.total * self.even_ratio / members;
-        let mut allocations = vec![least; demands.len()];
-        let remaining = self.total - least * members;
+        let even_part = self.total * self.even_ratio / members;
+        let mut allocations = vec![even_part; demands.len()];
+        let remaining = self.total - even_part * members;
         let spare = meet_demands(&mut allocations, remaining, demands);
         spread_spare(&mut allocations, spare, demands);
         if self.kind == BudgetKind::Concurrency {
@@ -41,7 +41,8 @@
         self.keep_small_changes(allocations, current)
     }
 
-    /// Keeps current allocations that would change little, as long as all of them fit.
+    /// Keeps current allocations that would change only slightly, as long as their sum does not exceed the
+    /// total.
     fn keep_small_changes(&self, allocations: Vec<f64>, current: &[f64]) -> Vec<f64> {
         let is_small = |next: f64, current: f64| {
             current > 0.0 && (next - current).abs() <= (MIN_CHANGE_RATIO * current).max(f64::MIN_POSITIVE)
@@ -53,7 +54,7 @@
     }
 }
 
-/// Raises allocations towards the demands, the least wanting first; returns what is left.
+/// Raises allocations towards the demands, the smallest demands first; returns the amount that is left.
 fn meet_demands(allocations: &mut [f64], mut remaining: f64, demands: &[f64]) -> f64 {
     let members = demands.len() as f64;
     let mut order: Vec<usize> = (0..demands.len()).collect();
@@ -67,7 +68,7 @@
     remaining
 }
 
-/// Spreads what nobody wants.
+/// Spreads the amount that exceeds the total demand.
 fn spread_spare(allocations: &mut [f64], spare: f64, demands: &[f64]) {
     let members = demands.len() as f64;
     let spare = spare.max(0.0);
@@ -82,7 +83,7 @@
     }
 }
 
-/// Rounds down, and gives what is left to those that lost most.
+/// Rounds allocations down, and gives the remainder to the members that lost most by rounding.
 fn round_to_whole(allocations: &mut [f64], total: f64) {
     let fraction = |(index, allocation): (usize, &f64)| (allocation - allocation.floor(), index);
     let mut lost: Vec<(f64, usize)> = allocations.iter().enumerate().map(fraction).collect();
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,19 +1,21 @@
-//! Budgets of a whole fleet (set-ups a second, a tenant's connections), divided among balancers that come and go by
-//! what each needs, and never exceeded in total.
+//! Divides the budgets of a fleet (connection set-ups per second, a tenant's connections) among its balancers
+//! by demand. The total of a budget is never exceeded, even while balancers join, leave or fail.
 //!
-//! Balancers know of each other by records in a store ([`records`]). Each [`Member`] writes its own record ever anew, a
-//! *heartbeat*, with what it needs and uses. One of them is the [`Leader`]: it reads all records and writes everybody a
-//! *grant*, which names the last heartbeat that it has read. A grant is in force for one lease, counted from before
-//! that heartbeat was sent, on the holder's own clock. The leader allocates it to others only after its holder has
-//! acknowledged a smaller one, or one lease and a margin after it read that heartbeat. So no clocks have to agree, and
-//! a member that stalls, is cut off, or reads what is old uses less than it was allocated, never more. Without the
-//! store each member has a *reserve*, a fixed part by the greatest number of members, which is never allocated to
-//! others.
+//! Balancers find each other by records in a store ([`records`]). Each [`Member`] writes its own record at
+//! regular intervals, as a *heartbeat* that contains its demand and its use. One member is the [`Leader`]: it
+//! reads all records and writes a *grant* for each member, which names the last heartbeat that the leader has
+//! read. A grant is in force for one lease. The lease begins before that heartbeat was sent and is measured
+//! by the holder's clock. The leader allocates the amount to other members only after the holder has
+//! acknowledged a smaller grant, or one lease and a margin after the leader has read the heartbeat. Clocks
+//! therefore do not need to agree, and a member that stalls, is partitioned, or reads stale records uses less
+//! than it was allocated, never more. If the store is unavailable, each member still has its *reserve*: a
+//! fixed share for the maximum number of members, which is never allocated to other members.
 //!
-//! [`Allocations`] is what a request is held against: the time is looked at when one is admitted, not by a timer.
+//! [`Allocations`] is checked for each request. It compares the time when a request is admitted, and does not
+//! depend on a timer.
 //!
-//! Nothing here reads a clock or does I/O: [`Member::next_request`] returns the request to make to the store,
-//! [`Member::on_response`] takes the response.
+//! Nothing here reads a clock or does I/O: [`Member::next_request`] returns the request to send to the store,
+//! and [`Member::on_response`] processes the response.
 
 mod allocation;
 mod allocations;
--- a/crates/budgets/src/store_request.rs
+++ b/crates/budgets/src/store_request.rs
@@ -1,29 +1,30 @@
-//! Requests to the store, which keeps records under names, each with the revision that last wrote it.
+//! Requests to the store and its responses. The store keeps records by name, each with the revision in which
+//! it was last written.
 
-/// A record as it was read.
+/// A record that was read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The revision that last wrote it.
+    /// The revision in which the record was last written.
     pub revision: u64,
-    /// Its text.
+    /// The content of the record.
     pub text: Vec<u8>,
 }
 
-/// What must hold for a write.
+/// A condition on which a batch is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Precondition {
-    /// There is no record of this name.
+    /// No record of this name exists.
     Absent(String),
     /// The record of this name was last written in this revision.
     Unchanged(String, u64),
 }
 
-/// Records that are written at once, or not at all.
+/// Writes that are applied together, or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// What must hold, else nothing is written.
+    /// The conditions. If any of them is not met, nothing is written.
     pub preconditions: Vec<Precondition>,
-    /// The records by name; none for one that is removed.
+    /// The new contents of records by name; `None` removes the record.
     pub writes: Vec<(String, Option<Vec<u8>>)>,
 }
 
@@ -32,25 +33,26 @@
 pub enum StoreRequest {
     /// Reads the records of these names.
     Read(Vec<String>),
-    /// Lists all records whose names begin with a prefix.
+    /// Lists all records whose names begin with this prefix.
     List(String),
-    /// Writes records.
+    /// Writes a batch.
     Write(WriteBatch),
 }
 
-/// The store's response.
+/// A response of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
-    /// The records, each in its name's place.
+    /// The records that were read, in the order of the requested names; `None` for a record that does not
+    /// exist.
     Read(Vec<Option<StoredRecord>>),
-    /// The records with their names.
+    /// The records that were listed, with their names.
     Listed(Vec<(String, StoredRecord)>),
-    /// The batch was written, in this revision.
+    /// The batch was written in this revision.
     Written(u64),
-    /// A precondition did not hold; nothing was written.
+    /// A precondition was not met, and nothing was written.
     Conflict,
 }
 
-/// No response came, or an unusable one: whether a batch was written is not known.
+/// There was no response, or it was unusable. A batch may or may not have been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoResponse;
