--- a/crates/budgets/src/leader/grants.rs
+++ b/crates/budgets/src/leader/grants.rs
@@ -1,4 +1,4 @@
-//! Which grants are written next.
+//! The selection of the grants to write next.
 
 use shorewharf_units::Micros;
 
@@ -7,21 +7,21 @@
 use crate::records::{Grant, amount_of};
 use crate::settings::{Budget, BudgetKind, BudgetSettings};
 
-/// Grants in one write at most: the store takes a hundred records at once, of which one is the leader's and two may be
-/// removed.
+/// The maximum number of grants in a write. The store accepts 100 records in a write: the leader's record is
+/// one, and up to two are removed.
 const MAX_GRANTS_PER_WRITE: usize = 97;
 
-/// What is written next.
+/// The grants and removals of the next write.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GrantRound {
-    /// Grants that have changed, or that confirm a heartbeat.
+    /// The grants that have changed or that confirm a heartbeat.
     pub grants: Vec<(MemberKey, Grant)>,
     /// An incarnation whose records are to be removed.
     pub departed: Option<DepartedMember>,
 }
 
 impl Leader {
-    /// Decides what is written next.
+    /// Selects what to write next.
     pub(crate) fn next_grants(&mut self, now: Micros, settings: &BudgetSettings) -> GrantRound {
         self.expire_leases(now, settings);
         let members = self.latest_alive_incarnations(now, settings);
@@ -52,7 +52,7 @@
         GrantRound { grants, departed: self.departed.pop() }
     }
 
-    /// The members that are alive: of two incarnations of a name, the later one.
+    /// Returns the members that are alive, with only the latest incarnation of each name.
     fn latest_alive_incarnations(&self, now: Micros, settings: &BudgetSettings) -> Vec<MemberKey> {
         let alive = self.members.iter().filter(|(_, member)| member.is_alive(now, settings));
         let alive: Vec<&MemberKey> = alive.map(|(key, _)| key).collect();
@@ -62,8 +62,9 @@
         alive.iter().filter(|key| is_latest(key)).map(|key| (*key).clone()).collect()
     }
 
-    /// Indices of the members in the order of their grants: smaller allocations first, since the others wait for what
-    /// they give back, then those whose lease ends first.
+    /// Returns the indices of the members in the order of their grants. Allocations that shrink come first,
+    /// since other members wait for the amounts that they free. Within each group, the lease that ends first
+    /// comes first.
     fn grant_order(&self, budgets: &[Budget], plans: &[BudgetPlan], members: &[MemberKey]) -> Vec<usize> {
         let shrinks = |index: usize| {
             let member = &self.members[&members[index]];
@@ -93,14 +94,14 @@
         let target = plan.targets[index];
         let is_unknown = budget.kind == BudgetKind::Concurrency && !is_concurrency_known;
         let next = if is_unknown {
-            // What is in use may stay, and nobody gets more.
+            // The amount in use is kept, and the allocation is not raised above it.
             amount_of(&self.record.in_use, &budget.name)
         } else if target <= allocated {
             target
         } else if plan.is_overdrawn {
             self.overdrawn_allocation(budget, target)
         } else {
-            // Up to what may be in use already nothing has to be free.
+            // The part that may already be in use does not need a free amount.
             let raise = (target - possible_use).max(0.0).min(plan.free);
             let raise = if budget.kind == BudgetKind::Concurrency { raise.floor() } else { raise };
             target.min(possible_use + raise).max(allocated)
@@ -114,8 +115,9 @@
         true
     }
 
-    /// The allocation where more may be in use than there is: it is not raised. For the first grant in a term what an
-    /// earlier record says may be in use may have been allocated to others since; what is in use may stay.
+    /// Returns the allocation while more may be in use than the total allows: it is not raised. For the first
+    /// grant in a term, the amount that an earlier record says may be in use may since have been allocated to
+    /// other members. Only the amount that is actually in use is kept.
     fn overdrawn_allocation(&self, budget: &Budget, target: f64) -> f64 {
         let allocated = amount_of(&self.allocation, &budget.name);
         if self.epoch > 0 {
--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -1,8 +1,9 @@
-//! The leader: what it knows of the members, and what it allocates to them.
+//! The leader: the known state of the members, and the amounts that they are allocated.
 //!
-//! Of each member it keeps what *may* be in use there. That goes up with what is allocated, before it is written, and
-//! down only when the member has acknowledged less, or when its lease has surely ended: one lease and a margin after
-//! its last heartbeat was read. All that may be in use together is never above what is divided.
+//! For each member, the leader keeps the amount that *may* be in use there. It increases with an allocation
+//! before the grant is written. It decreases only when the member has acknowledged a smaller allocation, or
+//! when its lease has certainly ended: one lease and a margin after its last heartbeat was read. The sum of
+//! these amounts over all members is kept within the amount to divide.
 
 mod grants;
 mod targets;
@@ -16,7 +17,7 @@
 
 pub(crate) use grants::GrantRound;
 
-/// A member that was silent for so many leases is forgotten, and its records are removed.
+/// A member is forgotten after it was silent for this number of leases, and its records are removed.
 const FORGOTTEN_AFTER_LEASES: u64 = 20;
 
 /// One incarnation of a member.
@@ -26,21 +27,22 @@
     pub incarnation: u64,
 }
 
-/// What is known of one incarnation of a member.
+/// The known state of one incarnation of a member.
 #[derive(Clone, Debug)]
 struct MemberState {
     record: MemberRecord,
     /// When its last heartbeat was read.
     heartbeat_read_at: Micros,
-    /// The heartbeat that was confirmed last.
+    /// The last heartbeat that was confirmed by a grant.
     confirmed_heartbeat: u64,
-    /// What may be in use there.
+    /// The amounts that may be in use there.
     possible_use: BudgetAmounts,
-    /// What it is allocated.
+    /// The amounts that it is allocated.
     allocation: BudgetAmounts,
-    /// The epoch of its last grant in this term; 0 for none.
+    /// The epoch of its last grant in this term; 0 if it has none.
     epoch: u64,
-    /// Its own record was seen in this term, and not only its grant from before.
+    /// Whether a heartbeat of its own was read in this term. Otherwise only a grant of an earlier term, or a
+    /// record that was already there when the term began, is known.
     is_confirmed_alive: bool,
 }
 
@@ -50,13 +52,13 @@
         self.is_confirmed_alive && !self.record.has_left && has_lease
     }
 
-    /// When its lease has surely ended.
+    /// Returns the time at which its lease has certainly ended.
     fn lease_ends_at(&self, settings: &BudgetSettings) -> Micros {
         self.heartbeat_read_at + settings.lease + settings.clock_margin
     }
 
-    /// What it uses of a concurrency; 0 for a rate.
-    fn held(&self, budget: &Budget) -> f64 {
+    /// Returns its use of a concurrency; 0 for a rate.
+    fn concurrency_in_use(&self, budget: &Budget) -> f64 {
         match budget.kind {
             BudgetKind::Concurrency => amount_of(&self.record.in_use, &budget.name),
             BudgetKind::Rate => 0.0,
@@ -69,12 +71,12 @@
         self.epoch > 0 && acknowledged_term == term && epoch >= self.epoch
     }
 
-    /// Lowers what may be in use to what was acknowledged.
+    /// Lowers the amounts that may be in use to those of the acknowledged grant.
     fn lower_possible_use(&mut self, settings: &BudgetSettings) {
         for budget in &settings.budgets {
             let allocated = amount_of(&self.allocation, &budget.name);
-            let used = allocated.max(self.held(budget));
-            let possible_use = amount_of(&self.possible_use, &budget.name).min(used);
+            let in_use = allocated.max(self.concurrency_in_use(budget));
+            let possible_use = amount_of(&self.possible_use, &budget.name).min(in_use);
             self.possible_use.insert(budget.name.clone(), possible_use);
         }
     }
@@ -84,37 +86,38 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct DepartedMember {
     pub key: MemberKey,
-    /// No other incarnation of its name is known.
+    /// Whether no other incarnation of this name is known.
     pub is_last_of_name: bool,
 }
 
-/// The begin of a term.
+/// The start of a term.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TermStart {
     pub now: Micros,
     pub term: u64,
-    /// The store has not been set back since then.
+    /// The store has not been rolled back since this time.
     pub store_intact_since: Micros,
 }
 
-/// A leader in its term.
+/// The state of a leader during its term.
 #[derive(Clone, Debug)]
 pub struct Leader {
     /// The leader's term.
     pub term: u64,
-    /// Counts changes of allocations within the term.
+    /// The number of changes of allocations within the term.
     epoch: u64,
-    /// Before then more of a concurrency may be in use than the records say, since the store may have been set back.
+    /// Before this time, more of a concurrency may be in use than the records show, since the store may have
+    /// been rolled back.
     concurrency_known_from: Micros,
     members: BTreeMap<MemberKey, MemberState>,
-    /// Members' records were read in this term.
+    /// Whether the members' records have been read in this term.
     has_read_records: bool,
     departed: Vec<DepartedMember>,
 }
 
 impl Leader {
-    /// Begins a term. Nothing that was granted before is in force any more; what may still be in use under it is in the
-    /// `grants` from then, unless the store was set back.
+    /// Starts a term. No earlier grant is in force any more. What may still be in use under earlier grants is
+    /// contained in `grants`, unless the store was rolled back.
     pub(crate) fn new(start: TermStart, settings: &BudgetSettings, grants: Vec<(String, Grant)>) -> Leader {
         let state = |grant: &Grant| {
             let is_concurrency = |budget: &&Budget| budget.kind == BudgetKind::Concurrency;
@@ -123,7 +126,8 @@
                 |budget: &Budget| (budget.name.clone(), amount_of(&grant.possible_use, &budget.name));
             MemberState {
                 record: MemberRecord { incarnation: grant.incarnation, ..MemberRecord::default() },
-                // Its lease counts as ending when what was in use must have migrated.
+                // The lease is treated as ending now, so that the amounts in use expire once the connections
+                // must have migrated.
                 heartbeat_read_at: start.now.saturating_sub(settings.lease),
                 confirmed_heartbeat: grant.heartbeat,
                 possible_use: budgets.map(possible_use).collect(),
@@ -146,12 +150,12 @@
         }
     }
 
-    /// The highest term that any member has seen.
+    /// Returns the highest term that any member has seen.
     pub(crate) fn highest_term(&self) -> u64 {
         self.members.values().map(|member| member.record.term).max().unwrap_or(0)
     }
 
-    /// Begins a later term of the same leader: every member is allocated its part anew.
+    /// Starts a later term of the same leader, in which every member is granted its allocation again.
     pub(crate) fn begin_term(&mut self, term: u64) {
         self.term = term;
         self.epoch = 0;
@@ -160,7 +164,7 @@
         }
     }
 
-    /// A write of grants has had no response: they are written again.
+    /// Marks the grants of a write without a response as unconfirmed, so that they are written again.
     pub(crate) fn on_grants_unconfirmed(&mut self, members: &[MemberKey]) {
         for key in members {
             if let Some(member) = self.members.get_mut(key) {
@@ -169,19 +173,20 @@
         }
     }
 
-    /// Number of members that are alive.
+    /// Returns the number of members that are alive.
     pub fn alive_members(&self, now: Micros, settings: &BudgetSettings) -> usize {
         self.members.values().filter(|member| member.is_alive(now, settings)).count()
     }
 
-    /// Takes in the members' records. `now` is when the response had come.
+    /// Processes the members' records. `now` is the time when the response arrived.
     pub(crate) fn on_member_records(
         &mut self,
         now: Micros,
         settings: &BudgetSettings,
         records: Vec<(String, MemberRecord)>,
     ) {
-        // Records that are there when the term begins may be those of dead members: living ones write another soon.
+        // Records that already exist when the term begins may belong to dead members. Members that are alive
+        // soon write another heartbeat.
         let is_alive = std::mem::replace(&mut self.has_read_records, true);
         for (name, record) in records {
             let key = MemberKey { name, incarnation: record.incarnation };
@@ -212,15 +217,15 @@
         self.expire_leases(now, settings);
     }
 
-    /// A member whose lease has surely ended uses nothing of a rate, and nothing of a concurrency once its connections
-    /// must have migrated.
+    /// Removes what members may use after their leases have certainly ended: rates at once, and concurrencies
+    /// once their connections must have migrated.
     fn expire_leases(&mut self, now: Micros, settings: &BudgetSettings) {
         for member in self.members.values_mut() {
             let lease_ends_at = member.lease_ends_at(settings);
             if now < lease_ends_at {
                 continue;
             }
-            // If the member returns, its allocation is granted anew.
+            // If the member returns, it is granted an allocation again.
             (member.allocation, member.epoch) = (BudgetAmounts::new(), 0);
             for budget in &settings.budgets {
                 let drain_time = if budget.kind == BudgetKind::Concurrency { settings.drain_time } else { 0 };
@@ -246,7 +251,7 @@
         }
     }
 
-    /// What may be in use of a budget, over all members, as far as the leader knows.
+    /// Returns the amount of a budget that may be in use over all members, as far as the leader knows.
     pub fn possible_use(&self, budget: &str) -> f64 {
         self.members.values().map(|member| amount_of(&member.possible_use, budget)).sum()
     }
--- a/crates/budgets/src/leader/targets.rs
+++ b/crates/budgets/src/leader/targets.rs
@@ -1,4 +1,4 @@
-//! What each member should be allocated of a budget.
+//! The target allocations of the members for a budget.
 
 use shorewharf_units::Micros;
 
@@ -7,17 +7,17 @@
 use crate::records::amount_of;
 use crate::settings::{Budget, BudgetSettings};
 
-/// Sums of fractions may exceed a total by so much.
+/// Rounding errors may raise a sum above the total by this much.
 const ROUNDING: f64 = 1e-9;
 
-/// The plan for one budget.
+/// The plan of the division of one budget.
 #[derive(Clone, Debug)]
 pub(super) struct BudgetPlan {
-    /// What each of the members should be allocated, in their order.
+    /// The target allocation of each member, in the order of the members.
     pub targets: Vec<f64>,
-    /// What may be allocated beyond what may be in use already.
+    /// The amount that may be allocated in addition to what may already be in use.
     pub free: f64,
-    /// The total was lowered, and more may be in use than that.
+    /// Whether more may be in use than the total, for example because the total was lowered.
     pub is_overdrawn: bool,
 }
 
@@ -34,11 +34,12 @@
         let of_members = |amount: &dyn Fn(&MemberState) -> f64| -> Vec<f64> {
             members.iter().map(|key| amount(&self.members[key])).collect()
         };
-        // Connections don't migrate for what others need; they do where the total was lowered below them.
-        let held = of_members(&|member| member.held(budget));
-        let total_held: f64 = held.iter().sum();
-        let fitting_ratio = if total_held > total { total / total_held } else { 1.0 };
-        let kept: Vec<f64> = held.into_iter().map(|held| (held * fitting_ratio).floor()).collect();
+        // Connections do not migrate because of other members' demand, but they do if the total was lowered
+        // below the number in use.
+        let in_use = of_members(&|member| member.concurrency_in_use(budget));
+        let total_in_use: f64 = in_use.iter().sum();
+        let fitting_ratio = if total_in_use > total { total / total_in_use } else { 1.0 };
+        let kept: Vec<f64> = in_use.into_iter().map(|in_use| (in_use * fitting_ratio).floor()).collect();
         let beyond_kept = |amounts: Vec<f64>| -> Vec<f64> {
             amounts.into_iter().zip(&kept).map(|(amount, kept)| (amount - kept).max(0.0)).collect()
         };
@@ -55,7 +56,8 @@
         }
     }
 
-    /// The smallest total by any member's settings: one that was lowered anywhere is in force.
+    /// Returns the smallest total in the settings of all members, since a total that was lowered at any
+    /// member is in force.
     fn effective_total(&self, now: Micros, settings: &BudgetSettings, budget: &Budget) -> f64 {
         let alive = self.members.values().filter(|member| member.is_alive(now, settings));
         let totals = alive.filter_map(|member| member.record.totals.get(&budget.name)).copied();
--- a/crates/budgets/src/member/leadership.rs
+++ b/crates/budgets/src/member/leadership.rs
@@ -1,4 +1,4 @@
-//! How a member comes to lead, and what it does then.
+//! How a member becomes the leader, and what it does as the leader.
 
 use shorewharf_units::Micros;
 
@@ -18,20 +18,20 @@
     record: LeaderRecord,
 }
 
-/// What was seen of the leader's record.
+/// What this member has observed of the leader's record.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderView {
     leader: Option<ObservedLeader>,
-    /// Since when it has been seen to be so without a gap.
+    /// The start of the time over which all polls have read the same record, without a gap between them.
     unchanged_since: Micros,
     /// When the last poll was sent.
     polled_at: Micros,
-    /// Since when the store has been polled without a gap, and was not set back.
+    /// The start of the time over which the store has been polled without a gap and has not been rolled back.
     store_intact_since: Micros,
 }
 
 impl LeaderView {
-    /// Whether the store was not set back between this view and a leader's record that was read later.
+    /// Whether the store has not been rolled back between this observation and a record that was read later.
     fn is_intact(&self, later: Option<&ObservedLeader>) -> bool {
         let number = |leader: Option<&ObservedLeader>| {
             leader.map_or((0, 0), |leader| (leader.revision, leader.record.term))
@@ -41,7 +41,7 @@
     }
 }
 
-/// A member's state as the leader.
+/// The state of a member that is the leader.
 #[derive(Debug)]
 pub(super) struct Leadership {
     pub leader: Leader,
@@ -55,12 +55,12 @@
         next_number(self.term, &self.name, self.incarnation)
     }
 
-    /// The leader's record at the begin of a term of this member.
+    /// Returns the leader's record at the start of a term of this member.
     fn first_leader_record(&self, term: u64) -> LeaderRecord {
         LeaderRecord { term, write_count: 1, leader: self.name.clone(), incarnation: self.incarnation }
     }
 
-    /// The leader's record and the own grant were read.
+    /// Processes the leader's record and the member's own grant after they were read.
     pub(super) fn on_leader_and_grant(
         &mut self,
         now: Micros,
@@ -72,11 +72,11 @@
         let leader = stored(0).and_then(|stored| {
             Some(ObservedLeader { revision: stored.revision, record: decode(&stored.text)? })
         });
-        if let Some(seen) = &leader
-            && seen.record.term > self.term
+        if let Some(observed) = &leader
+            && observed.record.term > self.term
         {
-            // Whoever has come to lead waits for members' records that are newer than its term.
-            (self.term, self.has_news) = (seen.record.term, true);
+            // A new leader waits for records of members that are newer than its term.
+            (self.term, self.needs_heartbeat) = (observed.record.term, true);
             self.operations.push_back(Operation::WriteHeartbeat);
         }
         self.on_leader_record(now, sent_at, leader);
@@ -88,14 +88,18 @@
     fn on_leader_record(&mut self, now: Micros, sent_at: Micros, leader: Option<ObservedLeader>) {
         if let Some(leadership) = &mut self.leadership {
             match leader {
-                Some(seen) if seen.record == leadership.record => leadership.revision = seen.revision,
-                // The last write was not done, or has not come yet; the next one's precondition rules it out.
-                Some(seen) if seen.revision == leadership.revision => {}
+                Some(observed) if observed.record == leadership.record => {
+                    leadership.revision = observed.revision
+                }
+                // The last write was not executed, or has not arrived yet. The next write has the same precondition,
+                // so the store executes only one of them.
+                Some(observed) if observed.revision == leadership.revision => {}
                 _ => self.step_down(),
             }
             return;
         }
-        // Between two polls that lie far apart somebody may have led, and a store may have been set back since.
+        // Between two polls that are far apart, another member may have been the leader and the store may
+        // have been rolled back afterwards.
         let max_gap = self.settings.lease / 2;
         let recent = self.leader_view.as_ref().filter(|view| now < view.polled_at + max_gap);
         let unchanged = recent.filter(|view| view.leader == leader);
@@ -104,13 +108,13 @@
         let store_intact_since = intact.map_or(now, |view| view.store_intact_since);
         self.leader_view =
             Some(LeaderView { leader, unchanged_since, polled_at: sent_at, store_intact_since });
-        let has_lapsed = now >= unchanged_since + self.settings.lease + self.settings.clock_margin;
-        if has_lapsed && self.has_joined && !self.is_leaving {
+        let has_leader_expired = now >= unchanged_since + self.settings.lease + self.settings.clock_margin;
+        if has_leader_expired && self.has_joined && !self.is_leaving {
             self.operations.extend([Operation::ReadGrants, Operation::BecomeLeader]);
         }
     }
 
-    /// All grants were read.
+    /// Processes the list of all grants.
     pub(super) fn on_grants(&mut self, records: Vec<(String, StoredRecord)>) {
         let grant = |(key, stored): (String, StoredRecord)| {
             let (member, _) = parse_grant_key(&key)?;
@@ -124,7 +128,7 @@
     pub(super) fn write_leader_record(&mut self) -> Option<StoreRequest> {
         let view = self.leader_view.as_ref()?;
         let precondition = match &view.leader {
-            Some(seen) => Precondition::Unchanged(LEADER_KEY.to_owned(), seen.revision),
+            Some(observed) => Precondition::Unchanged(LEADER_KEY.to_owned(), observed.revision),
             None => Precondition::Absent(LEADER_KEY.to_owned()),
         };
         let record = self.first_leader_record(self.next_term());
@@ -132,7 +136,7 @@
         Some(StoreRequest::Write(WriteBatch { preconditions: vec![precondition], writes }))
     }
 
-    /// The leader's record was written: this member leads.
+    /// Becomes the leader after its record was written.
     pub(super) fn become_leader(&mut self, now: Micros, sent_at: Micros, revision: u64) {
         let term = self.next_term();
         self.term = term;
@@ -144,7 +148,7 @@
         self.leadership = Some(Leadership { leader, revision, record });
         self.confirmed_at = sent_at;
         self.stats.terms_led += 1;
-        self.has_news = true;
+        self.needs_heartbeat = true;
         self.operations.extend([
             Operation::ReadMembers,
             Operation::WriteHeartbeat,
@@ -153,7 +157,7 @@
         ]);
     }
 
-    /// The members' records were read.
+    /// Processes the list of members' records.
     pub(super) fn on_member_records(&mut self, now: Micros, records: &[(String, StoredRecord)]) {
         let Some(leadership) = &mut self.leadership else { return };
         let record = |(key, stored): &(String, StoredRecord)| {
@@ -162,7 +166,8 @@
         };
         let records = records.iter().filter_map(record).collect();
         leadership.leader.on_member_records(now, &self.settings, records);
-        // Members pass over grants of a term below one that they have seen: the store was set back.
+        // If the store was rolled back, members may have seen a higher term than this one. They ignore grants
+        // of a lower term.
         let highest_term = leadership.leader.highest_term();
         if highest_term > leadership.leader.term {
             let term = next_number(highest_term, &self.name, self.incarnation);
@@ -174,13 +179,14 @@
 
     pub(super) fn write_grants(&mut self, now: Micros) -> Option<StoreRequest> {
         let leadership = self.leadership.as_mut()?;
-        // A leader that could not write for a lease may have been forgotten, by a store that was set back too.
+        // After a lease without a successful write, another member may already lead, and a store that was
+        // rolled back may not show it.
         if now >= self.confirmed_at + self.settings.lease {
             self.step_down();
             return None;
         }
         let GrantRound { grants, departed } = leadership.leader.next_grants(now, &self.settings);
-        // The record is written even without grants: it shows that there is a leader.
+        // The record is written even without any grants, to show that the leader is alive.
         leadership.record.write_count += 1;
         let mut writes = vec![(LEADER_KEY.to_owned(), Some(encode(&leadership.record)))];
         self.unconfirmed_grants = grants.iter().map(|(member, _)| member.clone()).collect();
@@ -206,12 +212,12 @@
         }
     }
 
-    /// Stops leading.
+    /// Stops being the leader.
     pub(super) fn step_down(&mut self) {
         if self.leadership.take().is_some() {
             self.stats.times_deposed += 1;
         }
-        // Others may have written since: the leader's record is watched anew from the begin.
+        // Other members may have written since, so the observation of the leader's record starts again.
         self.leader_view = None;
     }
 }
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -1,7 +1,9 @@
-//! One process among the members: its own record, the grants that it receives, and its turn as the leader.
+//! A process as a member of the fleet: its own record, the grants that it receives, and its terms as the
+//! leader.
 //!
-//! [`Member`] is a state machine: it owns a queue of operations, of which each makes one request to the store.
-//! `own_record` holds what concerns its own record and grants, `leadership` how it comes to lead and what it does then.
+//! [`Member`] is a state machine with a queue of operations, each of which makes one request to the store.
+//! `own_record` handles its own record and its grants, `leadership` how it becomes the leader and acts as
+//! one.
 
 mod leadership;
 mod own_record;
@@ -22,43 +24,44 @@
 
 use leadership::{LeaderView, Leadership};
 
-/// Heartbeats whose time of sending is remembered.
+/// The number of sent heartbeats that are kept with the time of sending.
 const MAX_SENT_HEARTBEATS: usize = 64;
-/// Low bits of a term or an incarnation that come from whose it is: after a store was set back two members may count up
-/// to the same one, and what was granted in the one must not pass for the other's.
+/// The number of low bits of a term or an incarnation that are derived from its owner. After the store was
+/// rolled back, two members may count up to the same value. Grants of one must not be taken for grants of the
+/// other.
 const OWNER_BITS: u32 = 20;
 
-/// The term, or the incarnation, of this process that follows another.
+/// Returns the term or the incarnation of this process that follows `number`.
 fn next_number(number: u64, name: &str, incarnation: u64) -> u64 {
     let owner = XxHash3_64::oneshot_with_seed(incarnation, name.as_bytes()) >> (64 - OWNER_BITS);
     (((number >> OWNER_BITS) + 1) << OWNER_BITS) | owner
 }
 
-/// What is to be done next; each operation makes one request to the store.
+/// An operation of a member. Each operation makes one request to the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Operation {
-    /// Read the leader's record and the own grant.
+    /// Read the leader's record and the member's own grant.
     ReadLeaderAndGrant,
-    /// Read the own record: what is known of it is out of date.
+    /// Read the member's own record, since the known state of it is out of date.
     ReadOwnRecord,
-    /// Write the own record.
+    /// Write the member's own record.
     WriteHeartbeat,
     /// Read all members' records.
     ReadMembers,
     /// Write grants.
     WriteGrants,
-    /// Read all grants, before becoming the leader.
+    /// Read all grants before becoming the leader.
     ReadGrants,
     /// Become the leader by writing its record.
     BecomeLeader,
 }
 
-/// What is known of the own record in the store.
+/// The known state of the member's own record in the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OwnRecordState {
     Unknown,
     Absent,
-    /// It was last written in this revision.
+    /// The record was last written in this revision.
     AtRevision(u64),
 }
 
@@ -84,21 +87,21 @@
 pub struct MemberStats {
     /// Requests to the store.
     pub requests: u64,
-    /// Those of them that write.
+    /// Requests that write.
     pub writes: u64,
     /// Bytes written.
     pub bytes_written: u64,
     /// Requests without a response.
     pub unanswered: u64,
-    /// Grants that were passed over as older than one that was seen.
+    /// Grants that were ignored because a later one had been applied.
     pub outdated_grants: u64,
-    /// Terms in which it was the leader.
+    /// Terms in which this member was the leader.
     pub terms_led: u64,
-    /// Times that it stopped leading.
+    /// Times that this member stopped being the leader.
     pub times_deposed: u64,
 }
 
-/// A member.
+/// A member of the fleet.
 #[derive(Debug)]
 pub struct Member {
     settings: BudgetSettings,
@@ -107,30 +110,30 @@
     heartbeat: u64,
     sent_heartbeats: VecDeque<SentHeartbeat>,
     own_record: OwnRecordState,
-    /// The own record was written in this incarnation.
+    /// Whether the member's own record has been written in this incarnation.
     has_joined: bool,
-    /// Another process has taken the name.
+    /// Whether another process has taken this member's name.
     is_superseded: bool,
-    /// The grant in force.
+    /// The number of the last grant that was applied.
     acknowledged: GrantNumber,
     /// The highest term that was seen.
     term: u64,
-    /// The record of the last heartbeat.
+    /// The record as the last heartbeat wrote it.
     announced: MemberRecord,
-    /// A heartbeat is due, whenever the last one was.
-    has_news: bool,
+    /// Whether the next heartbeat is due at once, whenever the last one was sent.
+    needs_heartbeat: bool,
     leader_view: Option<LeaderView>,
     leadership: Option<Leadership>,
-    /// Members whose grants were written last, until the response comes.
+    /// The members whose grants are in the last write, until its response arrives.
     unconfirmed_grants: Vec<MemberKey>,
-    /// A leader's last write that was answered was sent then.
+    /// When the last write as the leader that was answered was sent.
     confirmed_at: Micros,
-    /// What is to be done, in order; the first one is under way if `sent_at` is set.
+    /// The queued operations. The request of the first one has been sent if `sent_at` is set.
     operations: VecDeque<Operation>,
     sent_at: Option<Micros>,
     next_poll_at: Micros,
     next_heartbeat_at: Micros,
-    /// Grants that were read before becoming the leader.
+    /// The grants that were read before becoming the leader.
     loaded_grants: Vec<(String, Grant)>,
     is_leaving: bool,
     has_left: bool,
@@ -138,8 +141,8 @@
 }
 
 impl Member {
-    /// Creates a member of this name. `incarnation` has to be higher than that of any process of this name before;
-    /// where a record of a higher one is found, a later one than that is taken.
+    /// Creates a member of this name. `incarnation` has to be higher than that of any earlier process of this
+    /// name. If a record of a higher one is found in the store, the member uses a number above that instead.
     pub fn new(now: Micros, settings: BudgetSettings, name: &str, incarnation: u64) -> Member {
         Member {
             settings,
@@ -153,7 +156,7 @@
             acknowledged: GrantNumber::default(),
             term: 0,
             announced: MemberRecord::default(),
-            has_news: false,
+            needs_heartbeat: false,
             leader_view: None,
             leadership: None,
             unconfirmed_grants: Vec::new(),
@@ -174,41 +177,41 @@
         self.stats
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
 
-    /// The leader in its term, where this member leads.
+    /// The leader's state; `None` if this member is not the leader.
     pub fn leader(&self) -> Option<&Leader> {
         self.leadership.as_ref().map(|leadership| &leadership.leader)
     }
 
-    /// Whether another process has taken its name: then it uses nothing any more.
+    /// Whether another process has taken the name of this member. The member then uses nothing any more.
     pub fn is_superseded(&self) -> bool {
         self.is_superseded
     }
 
-    /// Whether it has left, or will never use anything again.
+    /// Whether the member has left or was superseded, and will never use anything again.
     pub fn has_ended(&self) -> bool {
         self.has_left || self.is_superseded
     }
 
-    /// Applies other settings.
+    /// Applies new settings.
     pub fn update_settings(&mut self, settings: BudgetSettings) {
         self.settings = settings;
-        self.has_news = true;
+        self.needs_heartbeat = true;
     }
 
-    /// Begins to leave in good order: nothing of its allocations is in use any more.
+    /// Begins to leave gracefully. From now on, nothing of the member's allocations may be in use.
     pub fn leave(&mut self, now: Micros, allocations: &mut Allocations) {
         allocations.end_lease(now);
         allocations.set_reserve_from(Micros::MAX);
-        (self.is_leaving, self.has_news) = (true, true);
+        (self.is_leaving, self.needs_heartbeat) = (true, true);
         self.leadership = None;
     }
 
-    /// When [`Member::next_request`] has something to do.
+    /// Returns the time from which [`Member::next_request`] may return a request.
     pub fn next_deadline(&self) -> Micros {
         if self.sent_at.is_some() || self.has_ended() {
             Micros::MAX
@@ -219,7 +222,7 @@
         }
     }
 
-    /// The next request to make, if it is time for one and none is under way. Its response goes to
+    /// Returns the next request to send if one is due and none is pending. Its response must be passed to
     /// [`Member::on_response`].
     pub fn next_request(&mut self, now: Micros, allocations: &mut Allocations) -> Option<StoreRequest> {
         if self.sent_at.is_some() || self.has_ended() {
@@ -266,7 +269,7 @@
         }
     }
 
-    /// The request of an operation; none where it is no longer needed.
+    /// Returns the request of an operation; `None` if the operation is no longer needed.
     fn request_for(
         &mut self,
         now: Micros,
@@ -289,7 +292,7 @@
         }
     }
 
-    /// Takes the response to the request that is under way.
+    /// Processes the response to the pending request.
     pub fn on_response(
         &mut self,
         now: Micros,
@@ -316,7 +319,7 @@
                 self.has_left = self.is_leaving;
             }
             (Operation::WriteHeartbeat, _) => {
-                (self.own_record, self.has_news) = (OwnRecordState::Unknown, true);
+                (self.own_record, self.needs_heartbeat) = (OwnRecordState::Unknown, true);
             }
             (Operation::ReadMembers, StoreResponse::Listed(records)) => self.on_member_records(now, &records),
             (Operation::WriteGrants, StoreResponse::Written(revision)) => {
@@ -331,11 +334,11 @@
         }
     }
 
-    /// A request had no response: whether it was carried out is not known.
+    /// Handles a request without a response. Whether the store has executed it is unknown.
     fn on_no_response(&mut self, operation: Operation) {
         match operation {
             Operation::WriteHeartbeat => {
-                (self.own_record, self.has_news) = (OwnRecordState::Unknown, true);
+                (self.own_record, self.needs_heartbeat) = (OwnRecordState::Unknown, true);
             }
             // The next poll of the leader's record shows whether the grants were written.
             Operation::WriteGrants => {
@@ -349,12 +352,13 @@
         self.operations.clear();
     }
 
-    /// The demand that the last heartbeat announced.
+    /// Returns the demand that the last heartbeat announced.
     pub fn announced_demand(&self) -> &BudgetAmounts {
         &self.announced.demand
     }
 
-    /// What may be in use of each budget over all members, where this member leads.
+    /// Returns the amount of each budget that may be in use over all members; empty if this member is not the
+    /// leader.
     pub fn possible_use(&self) -> BTreeMap<String, f64> {
         let Some(leader) = self.leader() else { return BTreeMap::new() };
         let budgets = self.settings.budgets.iter();
--- a/crates/budgets/src/member/own_record.rs
+++ b/crates/budgets/src/member/own_record.rs
@@ -1,4 +1,4 @@
-//! A member's own record, and the grants that it receives.
+//! A member's own record and the grants that it receives.
 
 use std::cmp::Ordering;
 
@@ -10,9 +10,9 @@
 use crate::store_request::{StoreRequest, StoredRecord, WriteBatch};
 
 impl Member {
-    /// Whether the own record has to be written.
+    /// Whether the member has to write its own record.
     pub(super) fn is_heartbeat_due(&self, now: Micros, allocations: &Allocations) -> bool {
-        self.has_news
+        self.needs_heartbeat
             || now >= self.next_heartbeat_at
             || allocations.has_urgent_demand(&self.announced.demand)
     }
@@ -28,7 +28,7 @@
         let key = member_key(&self.name);
         let precondition = self.own_record.precondition(key.clone())?;
         self.heartbeat += 1;
-        // Its lease counts from now on, before it is sent: whoever reads it does so later.
+        // The lease begins now, before the heartbeat is sent, and therefore before any leader can read it.
         self.sent_heartbeats.push_back(SentHeartbeat { heartbeat: self.heartbeat, sent_at: now });
         if self.sent_heartbeats.len() > MAX_SENT_HEARTBEATS {
             self.sent_heartbeats.pop_front();
@@ -44,13 +44,13 @@
             totals: allocations.totals(),
             has_left: self.is_leaving,
         };
-        self.has_news = false;
+        self.needs_heartbeat = false;
         self.next_heartbeat_at = now + self.settings.heartbeat_interval();
         let writes = vec![(key, Some(encode(&self.announced)))];
         Some(StoreRequest::Write(WriteBatch { preconditions: vec![precondition], writes }))
     }
 
-    /// The own grant was read.
+    /// Processes the member's own grant after it was read.
     pub(super) fn on_grant(&mut self, now: Micros, grant: &Grant, allocations: &mut Allocations) {
         if grant.incarnation != self.incarnation || self.is_leaving {
             return;
@@ -64,8 +64,8 @@
             allocations.apply_grant(now, &grant.allocation);
             self.acknowledged = number;
             self.term = self.term.max(grant.term);
-            // Others wait for what this member gives back.
-            self.has_news = true;
+            // Other members wait for the acknowledgement of a smaller allocation.
+            self.needs_heartbeat = true;
             self.operations.push_back(Operation::WriteHeartbeat);
         }
         let named = self.sent_heartbeats.iter().find(|sent| sent.heartbeat == grant.heartbeat);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The own record was read, since what was known of it was out of date.
+    /// Processes the member's own record, which was read because the known state of it was out of date.
     pub(super) fn on_own_record(
         &mut self,
         now: Micros,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A later process of this name is there.
+    /// Stops using anything, since a later process of this name exists.
     fn on_superseded(&mut self, now: Micros, allocations: &mut Allocations) {
         self.is_superseded = true;
         self.leadership = None;
@@ -107,7 +107,8 @@
         allocations.set_reserve_from(Micros::MAX);
     }
 
-    /// Follows an earlier process of this name, which may be alive and use the reserve until it learns of this one.
+    /// Succeeds an earlier process of this name, which may be alive and use the reserve until it reads this
+    /// member's record.
     fn succeed(&mut self, now: Micros, earlier: &MemberRecord, allocations: &mut Allocations) {
         let next = next_number(earlier.incarnation, &self.name, self.incarnation);
         self.incarnation = self.incarnation.max(next);
