--- a/crates/budgets/examples/schedules.rs
+++ b/crates/budgets/examples/schedules.rs
@@ -1,8 +1,8 @@
-//! Runs model fleets and looks for a moment at which more is in force than the total.
+//! Runs simulated fleets and searches for schedules in which more than a total is in force.
 //!
 //! `cargo run --release -p shorewharf-budgets --example schedules -- random --count 100000`
 //! `cargo run --release -p shorewharf-budgets --example schedules -- pairs --every 1`
-//! `cargo run --release -p shorewharf-budgets --example schedules -- flaws`
+//! `cargo run --release -p shorewharf-budgets --example schedules -- defects`
 //! `cargo run --release -p shorewharf-budgets --example schedules -- fleet`
 
 use std::ops::Range;
@@ -26,32 +26,34 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Schedules drawn from seeds
+    /// Runs random schedules
     Random {
-        /// How many
+        /// Number of schedules
         #[arg(long, default_value_t = 10_000)]
         count: u64,
-        /// The first seed
+        /// First seed
         #[arg(long, default_value_t = 1)]
         from: u64,
     },
-    /// All schedules of three members with two faults out of a small set
+    /// Runs all schedules of three members with two faults out of a small set
     Pairs {
-        /// Only one in so many
+        /// Run only one in this number of schedules
         #[arg(long, default_value_t = 1)]
         every: usize,
     },
-    /// How well a fleet uses its budgets when demand is at few and moves, and most members are killed; what that costs the store
+    /// Measures the utilization of the budgets of a large fleet while demand moves between members and most
+    /// members are killed, and the load on the store
     Fleet {
-        /// Members, by runs
+        /// Number of members of each run
         #[arg(long, value_delimiter = ',', default_value = "10,100,300")]
         members: Vec<usize>,
     },
-    /// Plants each defect, and tells how long it takes to find it
-    Flaws {
-        /// Schedules that are tried for each
-        #[arg(long, default_value_t = 2_000)]
-        most: u64,
+    /// Injects each defect and reports how long it takes to detect it
+    #[command(alias = "flaws")]
+    Defects {
+        /// Maximum number of schedules for each defect
+        #[arg(long, alias = "most", default_value_t = 2_000)]
+        max_schedules: u64,
     },
 }
 
@@ -61,7 +63,7 @@
     violation: Violation,
 }
 
-/// What a search has done.
+/// The result of a search.
 struct SearchResult {
     schedules: u64,
     steps: u64,
@@ -69,7 +71,7 @@
     first: Option<NumberedViolation>,
 }
 
-/// Runs schedules on all cores until one shows a violation.
+/// Runs schedules on all cores, up to the first one that shows a violation.
 fn search(count: u64, schedule: &(dyn Fn(u64) -> Schedule + Sync)) -> SearchResult {
     let (next, steps, schedules) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let first: Mutex<Option<NumberedViolation>> = Mutex::new(None);
@@ -108,8 +110,8 @@
     (seconds * 1e6) as u64
 }
 
-/// A fleet whose first member wants nine tenths of all, then its second; one leaves in good order; all but one in thirty
-/// are killed and come back later.
+/// A fleet in which first member 0 and then member 1 has a demand of nine tenths of the totals. One member leaves
+/// gracefully, and all members except one in thirty are killed.
 fn large_fleet(members: usize) -> Schedule {
     let defaults = Schedule::default_settings();
     let total = |budget: &Budget| Budget { total: 20.0 * members as f64, ..budget.clone() };
@@ -128,7 +130,7 @@
     let demand = |first_half, second_half| DemandRatio { first_half, second_half };
     let mut demands = vec![demand(low, low); members];
     (demands[0], demands[1]) = (demand(high, low), demand(low, high));
-    // Those that are left want more than there is.
+    // The demand of the surviving members exceeds the totals.
     let surviving = (members / 30).max(2);
     for demand in demands.iter_mut().take(surviving).skip(2) {
         demand.second_half = 0.5;
@@ -152,41 +154,41 @@
     }
 }
 
-/// The mean useful ratio of the rate and of the concurrency over some seconds.
-fn mean_useful_ratios(outcome: &RunOutcome, seconds: Range<f64>) -> String {
+/// The mean utilization of the rate and of the concurrency over some seconds.
+fn mean_utilizations(outcome: &RunOutcome, seconds: Range<f64>) -> String {
     let times = micros(seconds.start)..micros(seconds.end);
     let samples = || outcome.samples.iter().filter(|sample| times.contains(&sample.at));
     let mean = |budget: usize| {
-        let sum: f64 = samples().map(|sample| sample.useful_ratios[budget]).sum();
+        let sum: f64 = samples().map(|sample| sample.utilizations[budget]).sum();
         sum / samples().count().max(1) as f64
     };
     format!("{:.3} {:.3}", mean(0), mean(1))
 }
 
-/// How long it takes from a second on until a second's mean useful ratio of a budget is 0.9.
+/// The time after `from` until the mean utilization of a budget over a second is at least 0.9.
 fn seconds_to_recover(outcome: &RunOutcome, from: f64, budget: usize) -> f64 {
     let times = micros(from)..micros(from + 10.0);
     let samples: Vec<_> = outcome.samples.iter().filter(|sample| times.contains(&sample.at)).collect();
     let mut seconds = samples.windows(10);
     let recovered =
-        seconds.find(|second| second.iter().map(|sample| sample.useful_ratios[budget]).sum::<f64>() >= 9.0);
+        seconds.find(|second| second.iter().map(|sample| sample.utilizations[budget]).sum::<f64>() >= 9.0);
     recovered.map_or(f64::INFINITY, |second| second[0].at as f64 / 1e6 - from)
 }
 
 fn report_large_fleet(members: usize) {
     let started = Instant::now();
     let outcome = ModelFleet::new(&large_fleet(members)).run();
-    let useful = |seconds| mean_useful_ratios(&outcome, seconds);
+    let utilization = |seconds| mean_utilizations(&outcome, seconds);
     let recovery = |from, budget| seconds_to_recover(&outcome, from, budget);
     println!(
-        "{members} members: of use, rate and level: {} at 12 to 20 s, {} at 25 to 30 s, {} at 36 to 40 s, {} at 52 to 60 s",
-        useful(12.0..20.0),
-        useful(25.0..30.0),
-        useful(36.0..40.0),
-        useful(52.0..60.0)
+        "{members} members: mean utilization of rate and level: {} at 12 to 20 s, {} at 25 to 30 s, {} at 36 to 40 s, {} at 52 to 60 s",
+        utilization(12.0..20.0),
+        utilization(25.0..30.0),
+        utilization(36.0..40.0),
+        utilization(52.0..60.0)
     );
     println!(
-        "  0.9 again after: a leave {:.1} {:.1} s, demand elsewhere {:.1} {:.1} s, most killed {:.1} {:.1} s; above the whole: {}",
+        "  time until the utilization is 0.9 again: after a leave {:.1} {:.1} s, after demand has moved {:.1} {:.1} s, after most members were killed {:.1} {:.1} s; total exceeded: {}",
         recovery(20.0, 0),
         recovery(20.0, 1),
         recovery(30.0, 0),
@@ -196,7 +198,7 @@
         outcome.overrun.as_ref().map_or("never".to_owned(), |overrun| format!("{overrun:?}")),
     );
     println!(
-        "  store: {:.0} calls, {:.0} writes, {:.0} bytes written a second; played in {:.1} s",
+        "  store: {:.0} requests, {:.0} writes, {:.0} bytes written per second; run time {:.1} s",
         outcome.requests as f64 / 60.0,
         outcome.writes as f64 / 60.0,
         outcome.bytes_written as f64 / 60.0,
@@ -204,18 +206,18 @@
     );
 }
 
-/// Searches for a planted defect; returns whether it was found.
-fn report_defect(defect: Defect, most: u64) -> bool {
+/// Searches for a schedule that detects an injected defect; returns whether there is one.
+fn report_defect(defect: Defect, max_schedules: u64) -> bool {
     let started = Instant::now();
-    let planted = |number| Schedule { defect: Some(defect), ..Schedule::random(1 + number) };
-    let result = search(most, &planted);
+    let with_defect = |number| Schedule { defect: Some(defect), ..Schedule::random(1 + number) };
+    let result = search(max_schedules, &with_defect);
     let Some(NumberedViolation { number, violation }) = result.first else {
-        println!("{defect:?}: NOT FOUND in {} plans", result.schedules);
+        println!("{defect:?}: NOT DETECTED in {} schedules", result.schedules);
         return false;
     };
     let smallest = minimize(violation.clone());
     println!(
-        "{defect:?}: plan {number}, step {} of it, {:.2} s; {} of {} faults needed: {:?}",
+        "{defect:?}: detected by schedule {number} at event {} after {:.2} s; {} of {} faults are needed: {:?}",
         violation.overrun.steps,
         started.elapsed().as_secs_f64(),
         smallest.schedule.faults.len(),
@@ -242,18 +244,20 @@
     search(count as u64, &|number| space.schedule(&faults, number as usize * every, &base))
 }
 
-/// Prints what a search has found.
+/// Prints the result of a search.
 fn report_search(result: SearchResult, seconds: f64) -> ExitCode {
     let SearchResult { schedules, steps, first } = result;
     println!(
-        "{schedules} plans, {steps} steps in {seconds:.1} s: {:.0} steps a second",
+        "{schedules} schedules with {steps} events in {seconds:.1} s: {:.0} events per second",
         steps as f64 / seconds
     );
     let Some(NumberedViolation { number, violation }) = first else { return ExitCode::SUCCESS };
-    println!("more than the whole, plan {number}:");
+    println!("more than a total is in force in schedule {number}:");
     print_violation(&violation);
-    println!("with as few faults as show it:");
-    print_violation(&find_violation(&minimize(violation).schedule).expect("it was found before"));
+    println!("minimized:");
+    print_violation(
+        &find_violation(&minimize(violation).schedule).expect("a minimized schedule shows a violation"),
+    );
     ExitCode::from(1)
 }
 
@@ -266,9 +270,10 @@
             members.into_iter().for_each(report_large_fleet);
             return ExitCode::SUCCESS;
         }
-        Command::Flaws { most } => {
-            let missed = Defect::ALL.into_iter().filter(|defect| !report_defect(*defect, most)).count();
-            return if missed == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) };
+        Command::Defects { max_schedules } => {
+            let undetected =
+                Defect::ALL.into_iter().filter(|defect| !report_defect(*defect, max_schedules)).count();
+            return if undetected == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) };
         }
     };
     report_search(result, started.elapsed().as_secs_f64())
--- a/crates/budgets/src/model/defect.rs
+++ b/crates/budgets/src/model/defect.rs
@@ -1,6 +1,6 @@
-//! Defects that can be planted, one at a time: each leaves out one thing that safety rests on. They are planted at the
-//! edges of the real members (in their settings, in what passes between them and the store, in how time is read), so
-//! that the code under test has no switch in it.
+//! Defects that can be injected, one at a time. Each of them disables one mechanism on which safety depends.
+//! They are injected at the interfaces of the real members (settings, messages to and from the store, clock
+//! readings), so that the code under test contains no test switches.
 
 use serde_json::{Value, json};
 
@@ -9,41 +9,42 @@
 use crate::settings::BudgetSettings;
 use crate::store_request::{StoreRequest, StoreResponse};
 
-/// Heartbeats that are confirmed before they are sent.
+/// The number of heartbeats that are confirmed before they are sent.
 const HEARTBEATS_AHEAD: u64 = 3;
 /// The term of forged grants.
 const FORGED_TERM: u64 = 1_000_000;
 
-/// A planted defect.
+/// An injected defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing is left for clocks that drift apart.
+    /// No margin is kept for the drift of clocks.
     NoClockMargin,
-    /// A lease counts from the response, not from before the request was sent.
+    /// A lease begins with the response, and not before the request is sent.
     LeaseCountedFromResponse,
-    /// An allocation is looked at by a timer, and used after waking.
+    /// An allocation is read by a timer, and the cached value is still used after a stall.
     AllocationUsedAfterWaking,
-    /// Older grants are taken for new ones.
+    /// Older grants are accepted as new ones.
     GrantNumbersNotCompared,
-    /// The leader's record is written over, whoever wrote it last.
+    /// The leader's record is overwritten, whoever wrote it last.
     LeaderRecordNotCompared,
-    /// A member's record is written over, whoever wrote it last: a process does not notice that another has its name.
+    /// A member's record is overwritten, whoever wrote it last, so that a process does not notice that
+    /// another one has its name.
     MemberRecordNotCompared,
-    /// Whatever is granted counts as acknowledged.
+    /// Every grant counts as acknowledged.
     AcknowledgementSkipped,
-    /// What is in use under an allocation that was lowered is not reported.
+    /// Members do not report what they use beyond their reserve.
     UseNotReported,
     /// The reserve is divided by fewer members than there are.
     ReserveDividedByTooFew,
-    /// The reserve is divided by need as well.
+    /// The reserve is also divided by demand.
     ReserveDividedTwice,
-    /// Nobody waits until connections of an allocation that ended have migrated.
+    /// The leader does not wait until connections have migrated after their allocation has ended.
     NoDrainTime,
     /// Heartbeats are confirmed before they are sent.
     HeartbeatsConfirmedAhead,
-    /// One member takes over after a quarter of a lease.
+    /// One member takes over the leadership after a quarter of a lease.
     EarlyTakeover,
-    /// Everybody is granted its demand.
+    /// Every member is granted its whole demand.
     DemandGranted,
 }
 
@@ -75,7 +76,7 @@
         Defect::DemandGranted,
     ];
 
-    /// Plants the defect in a process's settings.
+    /// Injects the defect into the settings of a process.
     pub(super) fn in_settings(self, settings: &BudgetSettings) -> ProcessSettings {
         let (mut member, mut allocations) = (settings.clone(), settings.clone());
         match self {
@@ -92,7 +93,7 @@
         ProcessSettings { member, allocations }
     }
 
-    /// Plants the defect in a request on its way to the store.
+    /// Injects the defect into a request to the store.
     pub(super) fn in_request(self, request: &mut StoreRequest, store: &ModelStore) {
         let StoreRequest::Write(batch) = request else { return };
         for (key, text) in &mut batch.writes {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Plants the defect in a record that is written; returns whether it has changed.
+    /// Injects the defect into a record that is written; returns whether the record has changed.
     fn in_record(self, key: &str, value: &mut Value, store: &ModelStore) -> bool {
         let granted_to = parse_grant_key(key).map(|(member, _)| member_key(member));
         let member = granted_to.and_then(|key| serde_json::from_slice::<Value>(store.text(&key)?).ok());
@@ -123,7 +124,7 @@
         true
     }
 
-    /// Plants the defect in a response on its way back; `forged` counts forged grants.
+    /// Injects the defect into a response of the store. `forged` is the number of forged grants so far.
     pub(super) fn in_response(self, response: &mut StoreResponse, forged: &mut u64) {
         let (Defect::GrantNumbersNotCompared, StoreResponse::Read(records)) = (self, response) else {
             return;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The keys whose preconditions the store does not check, by their begin.
+    /// Returns the prefix of the keys whose preconditions the store does not check.
     pub(super) fn unchecked_prefix(self) -> Option<&'static str> {
         match self {
             Defect::LeaderRecordNotCompared => Some(LEADER_KEY),
--- a/crates/budgets/src/model/fault.rs
+++ b/crates/budgets/src/model/fault.rs
@@ -1,46 +1,46 @@
-//! What goes wrong in the model fleet, and when.
+//! The faults of the simulated fleet.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
 use shorewharf_units::Micros;
 
-/// Share of faults that last long.
+/// The ratio of faults with a long maximum duration.
 const LONG_FAULT_RATIO: f64 = 0.2;
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// The process stalls, with all that it uses.
+    /// The process stalls, and keeps everything that it uses.
     Stall,
-    /// Nothing passes between the process and the store.
+    /// The process and the store can't exchange messages.
     Partition,
-    /// The process's requests are carried out, and no response comes.
+    /// The store executes the process's requests, but the responses are lost.
     ResponsesLost,
-    /// Requests take up to 1.5 s, and may arrive after they were given up.
+    /// Requests take up to 1.5 s and may arrive after they were given up.
     SlowRequests,
-    /// Requests arrive twice, the second time later.
+    /// Requests arrive twice, the second time after a delay.
     DuplicateRequests,
-    /// Reads are answered as of some time ago.
+    /// Reads are answered from an earlier state of the store.
     StaleReads,
-    /// The process is killed, and comes back knowing nothing.
+    /// The process is killed, and restarts without any state.
     Kill,
-    /// The process leaves in good order, and comes back.
+    /// The process leaves gracefully, and restarts.
     GracefulLeave,
-    /// Another process of the same name starts while the old one is alive.
+    /// Another process of the same name starts while the first one is alive.
     DuplicateProcess,
-    /// The store answers nobody.
+    /// The store does not answer.
     StoreDown,
-    /// The store answers nobody, and comes back as it was some time ago.
-    StoreSetBack,
-    /// The store answers nobody, and comes back empty.
+    /// The store does not answer, and is then rolled back to an earlier state.
+    StoreRolledBack,
+    /// The store does not answer, and is then empty.
     StoreWiped,
-    /// The totals are lowered to half by the settings, at one member after the other.
+    /// The totals in the settings are halved. The members read that one after the other.
     TotalsLowered,
 }
 
 impl FaultKind {
-    /// All kinds.
+    /// All kinds of faults.
     pub const ALL: [FaultKind; 13] = [
         FaultKind::Stall,
         FaultKind::Partition,
@@ -52,46 +52,46 @@
         FaultKind::GracefulLeave,
         FaultKind::DuplicateProcess,
         FaultKind::StoreDown,
-        FaultKind::StoreSetBack,
+        FaultKind::StoreRolledBack,
         FaultKind::StoreWiped,
         FaultKind::TotalsLowered,
     ];
 
-    /// Whether it affects the store, and so all members.
+    /// Whether this fault affects the store, and therefore all members.
     pub(super) fn affects_store(self) -> bool {
-        matches!(self, FaultKind::StoreDown | FaultKind::StoreSetBack | FaultKind::StoreWiped)
+        matches!(self, FaultKind::StoreDown | FaultKind::StoreRolledBack | FaultKind::StoreWiped)
     }
 
-    /// Whether it keeps members from the store.
+    /// Whether this fault may keep members from reaching the store.
     pub(super) fn isolates_members(self) -> bool {
         !matches!(self, FaultKind::DuplicateProcess | FaultKind::TotalsLowered)
     }
 }
 
-/// One fault.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// The member that it affects.
+    /// The member that is affected.
     pub member: usize,
-    /// When it begins.
+    /// The true time at which the fault begins.
     pub begins_at: Micros,
-    /// How long it lasts.
+    /// The duration of the fault.
     pub duration: Micros,
 }
 
-/// What random faults are drawn from.
+/// The ranges from which random faults are drawn.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FaultRange {
+pub(super) struct FaultRanges {
     pub members: usize,
-    /// Faults begin before then.
+    /// Faults begin before this time.
     pub begin_before: Micros,
     pub lease: Micros,
 }
 
-impl FaultRange {
-    /// Draws so many faults.
+impl FaultRanges {
+    /// Draws a number of faults, sorted by their beginning.
     pub fn draw(&self, rng: &mut Pcg64Mcg, count: usize) -> Vec<Fault> {
         let mut faults: Vec<Fault> = (0..count).map(|_| self.draw_one(rng)).collect();
         faults.sort_by_key(|fault| fault.begins_at);
--- a/crates/budgets/src/model/mod.rs
+++ b/crates/budgets/src/model/mod.rs
@@ -1,6 +1,6 @@
-//! A model fleet in true time: members with clocks of their own before one store, with everything that goes wrong
-//! between them, and an observer who sees at every moment what is in force at all of them together. A run is its
-//! [`Schedule`]: the same schedule always runs the same way.
+//! A simulated fleet: members with their own clocks, one store, and faults between them. At each event, an
+//! observer compares the amounts in force at all members with the totals. Times are true times unless stated
+//! otherwise. A run is determined by its [`Schedule`]: the same schedule always gives the same run.
 
 mod defect;
 mod fault;
@@ -26,46 +26,47 @@
 use crate::store_request::{NoResponse, StoreRequest, StoreResponse};
 use shorewharf_units::Micros;
 
-/// A request is given up after so long.
+/// A request is given up after this time.
 const REQUEST_TIMEOUT: Micros = 700_000;
-/// Copies of the store are kept so often.
+/// The interval at which the store is copied.
 const COPY_INTERVAL: Micros = 500_000;
-/// Demand comes and goes so often at each process.
+/// The interval at which the demand of each process is updated.
 const DEMAND_INTERVAL: Micros = 100_000;
 /// Processes start within this time.
 const MAX_START_DELAY: Micros = 1_000_000;
-/// A request or a response takes no less.
+/// The minimum latency of a request or a response.
 const MIN_LATENCY: Micros = 500;
-/// A request or a response usually takes less.
+/// The upper bound of the usual latency of a request or a response.
 const MAX_LATENCY: Micros = 10_000;
-/// A slow request takes less.
+/// The upper bound of the latency of a slow request.
 const MAX_SLOW_LATENCY: Micros = 1_500_000;
 /// A duplicate arrives within this time after the request.
 const MAX_DUPLICATE_DELAY: Micros = 1_000_000;
-/// Stale reads are answered from less than so many copies ago.
+/// Stale reads are answered from one of this number of latest copies.
 const MAX_STALENESS: usize = 6;
 
-/// How much of each budget was of use at a moment.
+/// The utilization of each budget at one time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UseSample {
-    /// When, in true time.
+pub struct UtilizationSample {
+    /// The true time.
     pub at: Micros,
-    /// By budget: what was in force where it was wanted, over what could have been.
-    pub useful_ratios: Vec<f64>,
+    /// By budget, the amount in force up to each member's demand, divided by the smaller of the total and the sum
+    /// of all demands.
+    pub utilizations: Vec<f64>,
 }
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunOutcome {
-    /// More than the total was in force.
+    /// The first time when more than a total was in force, if any.
     pub overrun: Option<BudgetOverrun>,
-    /// Events until the end.
+    /// The number of events until the end.
     pub steps: u64,
-    /// How much of each budget was of use, by time.
-    pub samples: Vec<UseSample>,
+    /// The utilization of each budget, by time.
+    pub samples: Vec<UtilizationSample>,
     /// Requests to the store.
     pub requests: u64,
-    /// Those of them that write.
+    /// Requests that write.
     pub writes: u64,
     /// Bytes written.
     pub bytes_written: u64,
@@ -80,7 +81,7 @@
     is_duplicate: bool,
 }
 
-/// A response on its way back, or that there is none.
+/// A response on its way to a process, or the expiry of a request.
 #[derive(Clone, Debug)]
 struct ResponseInFlight {
     process: usize,
@@ -88,14 +89,14 @@
     response: Result<StoreResponse, NoResponse>,
 }
 
-/// What is still to happen.
+/// A future event.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A process looks whether it has a request to make.
+    /// A process checks whether a request is due.
     Poll {
         process: usize,
     },
-    /// Demand comes and goes at a process.
+    /// The demand of a process is updated.
     DemandChanges {
         process: usize,
     },
@@ -107,33 +108,33 @@
     FaultEnds {
         fault: usize,
     },
-    StoreIsCopied,
-    UseIsSampled,
+    CopyStore,
+    SampleUtilization,
     ProcessStarts {
         member: usize,
     },
 }
 
-/// The fleet while a schedule runs.
+/// The state of the fleet during a run.
 pub struct ModelFleet {
     schedule: Schedule,
     rng: Pcg64Mcg,
     now: Micros,
-    /// By time and serial number.
+    /// Future events by time and serial number.
     events: BTreeMap<(Micros, u64), Event>,
     serial: u64,
     store: ModelStore,
     processes: Vec<Process>,
     active_faults: Vec<Fault>,
-    /// By member, until when something kept it from the store.
+    /// By member, the time until which a fault may keep it from reaching the store.
     isolated_until: Vec<Micros>,
     steps: u64,
     forged_grants: u64,
-    samples: Vec<UseSample>,
+    samples: Vec<UtilizationSample>,
 }
 
 impl ModelFleet {
-    /// Creates the fleet before the begin of a run.
+    /// Creates the fleet at the start of a run.
     pub fn new(schedule: &Schedule) -> ModelFleet {
         let mut fleet = ModelFleet {
             schedule: schedule.clone(),
@@ -156,8 +157,8 @@
         for (index, fault) in schedule.faults.iter().enumerate() {
             fleet.schedule_event(fault.begins_at, Event::FaultBegins { fault: index });
         }
-        fleet.schedule_event(COPY_INTERVAL, Event::StoreIsCopied);
-        fleet.schedule_event(0, Event::UseIsSampled);
+        fleet.schedule_event(COPY_INTERVAL, Event::CopyStore);
+        fleet.schedule_event(0, Event::SampleUtilization);
         fleet
     }
 
@@ -166,7 +167,7 @@
         self.events.insert((at, self.serial), event);
     }
 
-    /// Runs the schedule to its end, or until more is in force than the total.
+    /// Runs the schedule until its end, or until more than a total is in force.
     pub fn run(mut self) -> RunOutcome {
         let mut overrun = None;
         while let Some(((at, _), event)) = self.events.pop_first() {
@@ -198,13 +199,13 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::StoreIsCopied => {
-                self.store.keep_copy();
-                self.schedule_event(self.now + COPY_INTERVAL, Event::StoreIsCopied);
+            Event::CopyStore => {
+                self.store.add_copy();
+                self.schedule_event(self.now + COPY_INTERVAL, Event::CopyStore);
             }
-            Event::UseIsSampled => {
-                self.sample_use();
-                self.schedule_event(self.now + DEMAND_INTERVAL, Event::UseIsSampled);
+            Event::SampleUtilization => {
+                self.sample_utilization();
+                self.schedule_event(self.now + DEMAND_INTERVAL, Event::SampleUtilization);
             }
             Event::ProcessStarts { member } => self.start_process(member),
             Event::FaultBegins { fault } => self.begin_fault(fault),
@@ -228,7 +229,8 @@
         }
     }
 
-    /// Whether a process does something now; a stalled one does it when it wakes.
+    /// Returns whether a process handles an event now. For a stalled process, the event is postponed until it
+    /// resumes.
     fn is_awake(&mut self, process: usize, event: &Event) -> bool {
         let Process { stalled_until, is_alive, .. } = self.processes[process];
         if stalled_until > self.now {
@@ -300,21 +302,21 @@
         self.active_faults.retain(|active| *active != fault);
         match fault.kind {
             FaultKind::Kill | FaultKind::GracefulLeave => {
-                // One that left and could not say so is ended all the same.
+                // A process that left but could not write that to the store ends as well.
                 for process in &mut self.processes {
                     process.is_alive &= process.member_index != fault.member;
                 }
                 self.start_process(fault.member);
             }
-            FaultKind::StoreSetBack => {
-                self.store.set_back((fault.duration / COPY_INTERVAL) as usize + 2);
+            FaultKind::StoreRolledBack => {
+                self.store.roll_back((fault.duration / COPY_INTERVAL) as usize + 2);
             }
             FaultKind::StoreWiped => self.store.wipe(),
             _ => {}
         }
     }
 
-    /// Sends a process's next request, or sets the time of its next poll.
+    /// Sends the next request of a process, or schedules its next poll.
     fn poll(&mut self, index: usize) {
         let process = &mut self.processes[index];
         if process.pending_request.is_some() {
@@ -356,36 +358,36 @@
         }
     }
 
-    /// A request arrives at the store.
-    fn on_request(&mut self, arrived: &RequestInFlight) {
-        let member = self.processes[arrived.process].member_index;
+    /// Handles a request that arrives at the store.
+    fn on_request(&mut self, arrival: &RequestInFlight) {
+        let member = self.processes[arrival.process].member_index;
         let is_affected = |kind| self.is_affected(member, kind);
         if FaultKind::ALL.into_iter().any(|kind| kind.affects_store() && is_affected(kind)) {
             return;
         }
         let is_stale = is_affected(FaultKind::StaleReads);
-        let is_lost = arrived.is_duplicate
+        let is_lost = arrival.is_duplicate
             || is_affected(FaultKind::ResponsesLost)
             || is_affected(FaultKind::Partition);
         let staleness = is_stale.then(|| self.rng.random_range(0..MAX_STALENESS));
-        let mut response = self.store.handle(&arrived.request, staleness);
+        let mut response = self.store.handle(&arrival.request, staleness);
         if let Some(defect) = self.schedule.defect {
             defect.in_response(&mut response, &mut self.forged_grants);
         }
         if !is_lost {
             let arrives_at = self.now + self.rng.random_range(MIN_LATENCY..MAX_LATENCY);
-            let RequestInFlight { process, serial, .. } = *arrived;
+            let RequestInFlight { process, serial, .. } = *arrival;
             let returned = ResponseInFlight { process, serial, response: Ok(response) };
             self.schedule_event(arrives_at, Event::ResponseArrives(returned));
         }
     }
 
-    /// A response arrives at a process, unless it has given the request up.
-    fn on_response(&mut self, arrived: ResponseInFlight) {
-        let process = &mut self.processes[arrived.process];
-        if process.pending_request == Some(arrived.serial) {
-            process.on_response(self.now, arrived.response);
-            self.poll(arrived.process);
+    /// Handles a response that arrives at a process, unless the process has given up the request.
+    fn on_response(&mut self, arrival: ResponseInFlight) {
+        let process = &mut self.processes[arrival.process];
+        if process.pending_request == Some(arrival.serial) {
+            process.on_response(self.now, arrival.response);
+            self.poll(arrival.process);
         }
     }
 }
--- a/crates/budgets/src/model/observer.rs
+++ b/crates/budgets/src/model/observer.rs
@@ -1,61 +1,64 @@
-//! The observer of the model fleet: sees at every moment what is in force at all processes together.
+//! The observer of the simulated fleet, which compares the amounts in force at all processes with the totals.
 
 use super::process::Process;
-use super::{ModelFleet, REQUEST_TIMEOUT, UseSample};
+use super::{ModelFleet, REQUEST_TIMEOUT, UtilizationSample};
 use crate::settings::Budget;
 use shorewharf_units::Micros;
 
-/// Sums of fractions may exceed a total by so much.
+/// Rounding errors may raise a sum above the total by this much.
 const ROUNDING: f64 = 1e-6;
 
-/// What one member uses of a budget.
+/// The use of a budget by one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberUse {
     /// The member's index.
     pub member: usize,
-    /// How much.
+    /// The amount in use.
     pub amount: f64,
 }
 
-/// More was in force of a budget than its total.
+/// An amount in force above the total of a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetOverrun {
-    /// When, in true time.
+    /// The true time.
     pub at: Micros,
     /// The budget's name.
     pub budget: String,
-    /// How much was in force.
+    /// The amount that was in force.
     pub in_force: f64,
     /// The budget's total.
     pub total: f64,
-    /// Events until then.
+    /// The number of events until then.
     pub steps: u64,
-    /// Who used what.
+    /// The use by each member.
     pub members: Vec<MemberUse>,
 }
 
 impl ModelFleet {
-    fn living(&self) -> impl Iterator<Item = &Process> {
+    fn alive_processes(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().filter(|process| process.is_alive)
     }
 
-    /// Notes how much of each budget is of use now.
-    pub(super) fn sample_use(&mut self) {
+    /// Records the utilization of each budget.
+    pub(super) fn sample_utilization(&mut self) {
         let budgets = self.schedule.settings.budgets.iter().enumerate();
-        let useful_ratios = budgets.map(|(index, budget)| self.useful_ratio(index, budget)).collect();
-        self.samples.push(UseSample { at: self.now, useful_ratios });
+        let utilizations = budgets.map(|(index, budget)| self.utilization(index, budget)).collect();
+        self.samples.push(UtilizationSample { at: self.now, utilizations });
     }
 
-    /// What is in force of a budget where it is wanted, over what could be.
-    fn useful_ratio(&self, index: usize, budget: &Budget) -> f64 {
-        let (used, wanted) = self.living().fold((0.0, 0.0), |(used, wanted), process| {
-            let demand = budget.total * self.schedule.demand_ratio(self.now, process.member_index);
-            (used + process.in_force(self.now, index).min(demand), wanted + demand)
-        });
-        used / budget.total.min(wanted).max(f64::MIN_POSITIVE)
+    /// Returns the amount of a budget in force up to each member's demand, divided by the smaller of the total
+    /// and the sum of all demands.
+    fn utilization(&self, index: usize, budget: &Budget) -> f64 {
+        let (used, total_demand) =
+            self.alive_processes().fold((0.0, 0.0), |(used, total_demand), process| {
+                let demand = budget.total * self.schedule.demand_ratio(self.now, process.member_index);
+                (used + process.in_force(self.now, index).min(demand), total_demand + demand)
+            });
+        used / budget.total.min(total_demand).max(f64::MIN_POSITIVE)
     }
 
-    /// Compares what is in force at all processes together with the totals.
+    /// Compares the amounts in force at all processes with the totals; returns the first that exceeds its
+    /// total.
     pub(super) fn find_overrun(&self) -> Option<BudgetOverrun> {
         let mut budgets = self.schedule.settings.budgets.iter().enumerate();
         budgets.find_map(|(index, budget)| self.overrun_of(index, budget))
@@ -66,10 +69,10 @@
             member: process.member_index,
             amount: self.counted_use(process, index, budget),
         };
-        let members: Vec<MemberUse> = self.living().map(member_use).collect();
+        let members: Vec<MemberUse> = self.alive_processes().map(member_use).collect();
         let in_force: f64 = members.iter().map(|member| member.amount).sum();
-        // A lowered total is in force when all have read it, and what was in use before has ended.
-        let total = self.living().map(|process| process.total(index)).fold(budget.total, f64::max);
+        // A lowered total only applies once all processes have read it and earlier use above it has ended.
+        let total = self.alive_processes().map(|process| process.total(index)).fold(budget.total, f64::max);
         (in_force > total + ROUNDING).then(|| BudgetOverrun {
             at: self.now,
             budget: budget.name.clone(),
@@ -80,17 +83,18 @@
         })
     }
 
-    /// What counts of a process's use.
+    /// Returns the part of a process's use that is compared with the total.
     fn counted_use(&self, process: &Process, index: usize, budget: &Budget) -> f64 {
         let settings = &self.schedule.settings;
         let settling_time = settings.lease + settings.clock_margin + settings.drain_time + REQUEST_TIMEOUT;
         let was_reachable = self.now > self.isolated_until[process.member_index] + settling_time;
-        let has_namesake = || {
-            self.living()
+        let has_duplicate = || {
+            self.alive_processes()
                 .any(|other| other.member_index == process.member_index && !std::ptr::eq(other, process))
         };
-        // A process with a namesake uses its reserve until it reads of that, for which it must reach the store.
-        let is_excused = !was_reachable && has_namesake();
+        // A process uses its reserve until it reads that another process has its name. It can't read that
+        // while it can't reach the store.
+        let is_excused = !was_reachable && has_duplicate();
         let excused = if is_excused { process.reserve(index, budget.kind) } else { 0.0 };
         (process.observed_use(self.now, index, budget.kind) - excused).max(0.0)
     }
--- a/crates/budgets/src/model/search.rs
+++ b/crates/budgets/src/model/search.rs
@@ -1,4 +1,5 @@
-//! The search for schedules in which more is in force than the total: drawn at random, or all of a small space.
+//! The search for schedules in which more than a total is in force, among random schedules or all schedules
+//! of a small space.
 
 use super::fault::{Fault, FaultKind};
 use super::schedule::{DemandRatio, Schedule};
@@ -6,31 +7,32 @@
 use crate::settings::BudgetSettings;
 use shorewharf_units::Micros;
 
-/// Length of the schedules of a space.
+/// The duration of the schedules of a space.
 const SPACE_DURATION: Micros = 14_000_000;
 
-/// A schedule in which more is in force than the total.
+/// A schedule in which more than a total is in force.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The schedule.
     pub schedule: Schedule,
-    /// What was observed.
+    /// The amount in force above the total.
     pub overrun: BudgetOverrun,
 }
 
-/// All schedules with a few members and faults out of a small set.
+/// All schedules with a few members and two faults out of a small set.
 #[derive(Clone, Debug)]
 pub struct ScheduleSpace {
-    /// How many members.
+    /// The number of members.
     pub members: usize,
-    /// When faults begin.
+    /// The times at which faults begin.
     pub begin_times: Vec<Micros>,
-    /// How long they last.
+    /// The durations of faults.
     pub durations: Vec<Micros>,
 }
 
 impl Default for ScheduleSpace {
-    /// Three members, begins all along four leases, faults shorter than a lease, as long as one, and longer.
+    /// Three members, faults that begin during about four leases, and durations below, about and above a
+    /// lease.
     fn default() -> ScheduleSpace {
         let begin_times = (0..12).map(|step| 2_500_000 + step * 450_000).collect();
         ScheduleSpace { members: 3, begin_times, durations: vec![300_000, 1_600_000, 4_000_000] }
@@ -38,7 +40,7 @@
 }
 
 impl ScheduleSpace {
-    /// All single faults of the space. Faults of the store, and of the settings, affect all members alike.
+    /// Returns all single faults of the space. Faults that affect all members alike are included only once.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for kind in FaultKind::ALL {
@@ -53,15 +55,15 @@
         faults
     }
 
-    /// How many schedules with two faults there are.
+    /// Returns the number of schedules with two faults.
     pub fn pairs(&self) -> usize {
         let faults = self.faults().len();
         faults * (faults + 1) / 2
     }
 
-    /// The schedule of this number, from 0 to [`ScheduleSpace::pairs`].
+    /// Returns the schedule of a number from 0 to below [`ScheduleSpace::pairs`].
     pub fn schedule(&self, faults: &[Fault], number: usize, base: &Schedule) -> Schedule {
-        // Numbers run through the lower triangle, row by row.
+        // Numbers enumerate the lower triangle of all pairs, row by row.
         let row = (((8.0 * number as f64 + 1.0).sqrt() - 1.0) / 2.0) as usize;
         let row = if (row + 1) * (row + 2) / 2 <= number { row + 1 } else { row };
         let column = number - row * (row + 1) / 2;
@@ -85,7 +87,7 @@
     Some(Violation { schedule: schedule.clone(), overrun })
 }
 
-/// Removes faults from a violation's schedule for as long as it still shows one.
+/// Removes faults from the schedule of a violation as long as it still shows one.
 pub fn minimize(violation: Violation) -> Violation {
     let mut smallest = violation;
     loop {
--- a/crates/budgets/src/model/store.rs
+++ b/crates/budgets/src/model/store.rs
@@ -1,13 +1,13 @@
-//! The store of the model fleet: records with revisions, and copies of them from before.
+//! The store of the simulated fleet: records with revisions, and earlier copies of them.
 
 use std::collections::BTreeMap;
 
 use crate::store_request::{Precondition, StoreRequest, StoreResponse, StoredRecord, WriteBatch};
 
-/// Copies that are kept.
+/// The maximum number of copies that are kept.
 const MAX_COPIES: usize = 64;
 
-/// The records by key, at one revision.
+/// The records by key at one revision.
 #[derive(Clone, Debug, Default)]
 struct StoreState {
     revision: u64,
@@ -18,28 +18,30 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelStore {
     current: StoreState,
-    /// States from before, the oldest first: what stale reads show, and what the store may be set back to.
+    /// Earlier states, from the oldest to the latest. Stale reads return them, and the store may be rolled
+    /// back to them.
     copies: Vec<StoreState>,
     /// Preconditions on keys with this prefix are not checked.
     unchecked_prefix: Option<&'static str>,
 }
 
 impl ModelStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub(super) fn new(unchecked_prefix: Option<&'static str>) -> ModelStore {
         ModelStore { unchecked_prefix, ..ModelStore::default() }
     }
 
-    /// Keeps a copy.
-    pub(super) fn keep_copy(&mut self) {
+    /// Adds a copy of the current state.
+    pub(super) fn add_copy(&mut self) {
         self.copies.push(self.current.clone());
         if self.copies.len() > MAX_COPIES {
             self.copies.remove(0);
         }
     }
 
-    /// Sets the store back by so many copies. Revisions go on from there as if nothing had come after.
-    pub(super) fn set_back(&mut self, by: usize) {
+    /// Rolls the store back by a number of copies. Revisions continue from that copy, as if nothing had
+    /// followed it.
+    pub(super) fn roll_back(&mut self, by: usize) {
         let kept = self.copies.len().saturating_sub(by.max(1));
         self.copies.truncate(kept.max(1));
         if let Some(copy) = self.copies.last() {
@@ -47,12 +49,13 @@
         }
     }
 
-    /// Loses everything.
+    /// Removes all records and copies.
     pub(super) fn wipe(&mut self) {
         (self.current, self.copies) = (StoreState::default(), Vec::new());
     }
 
-    /// Carries out a request; reads are answered from the copy `staleness` copies ago, if there is one.
+    /// Executes a request. Reads are answered from the copy that is `staleness` copies before the latest, if
+    /// there is one.
     pub(super) fn handle(&mut self, request: &StoreRequest, staleness: Option<usize>) -> StoreResponse {
         let stale = staleness.and_then(|copies| self.copies.iter().rev().nth(copies));
         let records = &stale.unwrap_or(&self.current).records;
@@ -99,7 +102,7 @@
         holds || self.unchecked_prefix.is_some_and(|prefix| key.starts_with(prefix))
     }
 
-    /// A record's text.
+    /// Returns the content of a record.
     pub(super) fn text(&self, key: &str) -> Option<&[u8]> {
         self.current.records.get(key).map(|record| &record.text[..])
     }
--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -1,5 +1,4 @@
-//! Pinned runs of the model fleet, compared figure by figure with a fixture: a change of the code's shape must change no
-//! decision, down to the last digit.
+//! Compares runs of the simulated fleet with a fixture: a refactoring must not change any decision.
 
 use std::fmt::Write;
 
@@ -7,38 +6,40 @@
 
 const FIXTURE: &str = include_str!("fixtures/replay.txt");
 
-/// A digest that depends on every bit and on the order.
+/// An FNV-1a hash, which depends on every bit and on the order of the values.
 fn digest(values: impl Iterator<Item = u64>) -> u64 {
     values.fold(0xcbf2_9ce4_8422_2325, |digest, value| {
         value
             .to_le_bytes()
             .iter()
-            .fold(digest, |d, byte| (d ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
+            .fold(digest, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
     })
 }
 
 #[test]
-fn pinned_runs_of_the_fleet_come_out_as_in_the_fixture() {
+fn runs_of_the_simulated_fleet_match_the_fixture() {
     let mut replayed = String::new();
     for seed in 1..=60 {
         let outcome = ModelFleet::new(&Schedule::random(seed)).run();
         let samples = outcome.samples.iter();
         let values = samples.flat_map(|sample| {
-            std::iter::once(sample.at).chain(sample.useful_ratios.iter().map(|ratio| ratio.to_bits()))
+            std::iter::once(sample.at).chain(sample.utilizations.iter().map(|ratio| ratio.to_bits()))
         });
-        let (steps, calls, writes, bytes) =
+        let (steps, requests, writes, bytes_written) =
             (outcome.steps, outcome.requests, outcome.writes, outcome.bytes_written);
-        let course = digest(values);
+        let samples_digest = digest(values);
         writeln!(
             replayed,
-            "seed={seed} steps={steps} calls={calls} writes={writes} bytes={bytes} course={course:016x}"
+            "seed={seed} steps={steps} calls={requests} writes={writes} bytes={bytes_written} course={samples_digest:016x}"
         )
-        .expect("memory");
+        .expect("writing to a string can't fail");
     }
     if replayed != FIXTURE {
         let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/budgets-replay.txt");
-        std::fs::write(actual, &replayed).expect("a temporary file");
+        std::fs::write(actual, &replayed).expect("the temporary directory is writable");
         let line = replayed.lines().zip(FIXTURE.lines()).position(|(a, b)| a != b);
-        panic!("the replay differs from the fixture, first in line {line:?}; it is in {actual}");
+        panic!(
+            "the runs differ from the fixture, first at line index {line:?}; the actual output is in {actual}"
+        );
     }
 }
--- a/crates/budgets/tests/stored_records.rs
+++ b/crates/budgets/tests/stored_records.rs
@@ -1,5 +1,5 @@
-//! The text of each kind of record in the store: members of two versions share one store, so a renamed field must not
-//! change what is stored.
+//! The stored text of each kind of record. Members of two versions may share a store, so renaming a field in
+//! the code must not change what is stored.
 
 use std::fmt::Debug;
 
@@ -14,21 +14,21 @@
     pairs.iter().map(|(budget, amount)| ((*budget).to_owned(), *amount)).collect()
 }
 
-/// The record is written as the text in the fixture, and read back equal.
+/// Checks that the record is encoded as the text in the fixture and decoded to an equal record.
 fn check<T: Debug + PartialEq + Serialize + DeserializeOwned>(record: &T, stored: &str) {
     let stored = stored.trim_end();
-    assert_eq!(serde_json::to_string(record).expect("a record"), stored);
-    assert_eq!(&serde_json::from_str::<T>(stored).expect("a stored record"), record);
+    assert_eq!(serde_json::to_string(record).expect("records can be encoded"), stored);
+    assert_eq!(&serde_json::from_str::<T>(stored).expect("the fixture is a valid record"), record);
 }
 
 #[test]
-fn the_leaders_record_is_stored_under_its_names() {
-    let head = LeaderRecord { term: 1_048_577, write_count: 3, leader: "n1".to_owned(), incarnation: 5 };
-    check(&head, include_str!("fixtures/head.json"));
+fn the_leaders_record_keeps_its_stored_field_names() {
+    let leader = LeaderRecord { term: 1_048_577, write_count: 3, leader: "n1".to_owned(), incarnation: 5 };
+    check(&leader, include_str!("fixtures/head.json"));
 }
 
 #[test]
-fn a_members_record_is_stored_under_its_names() {
+fn a_members_record_keeps_its_stored_field_names() {
     let member = MemberRecord {
         incarnation: 5,
         heartbeat: 6,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_grant_is_stored_under_its_names() {
+fn a_grant_keeps_its_stored_field_names() {
     let grant = Grant {
         incarnation: 5,
         term: 1_048_577,
