--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -19,4 +19,4 @@
 pub use guard::{ForbiddenAnswer, RequestGuard, Violation};
 pub use request::{RequestState, SendError, Target};
 pub use rule::Rule;
-pub use stats::{AnswerCount, Stats};
+pub use stats::{AnswerKey, Stats};
--- a/crates/lifecycle/src/stats.rs
+++ b/crates/lifecycle/src/stats.rs
@@ -11,14 +11,14 @@
 
 /// The key under which final answers are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AnswerCount {
+pub struct AnswerKey {
     /// Name of the answer's kind.
     pub kind: &'static str,
     /// The cause of the answer.
     pub cause: Cause,
 }
 
-impl fmt::Display for AnswerCount {
+impl fmt::Display for AnswerKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.kind, self.cause)
     }
@@ -36,7 +36,7 @@
     /// Number of attempts that no server accepted, by the name of their outcome.
     pub attempts_ended: BTreeMap<&'static str, u64>,
     /// Number of final answers, by kind and cause.
-    pub answers: BTreeMap<AnswerCount, u64>,
+    pub answers: BTreeMap<AnswerKey, u64>,
     /// Number of steps that the guard prevented, by the rule that they would have broken.
     pub violations: BTreeMap<Rule, u64>,
 }
@@ -56,7 +56,7 @@
 
     pub(crate) fn record_answer(&mut self, answer: Answer, cause: Cause) {
         let kind = answer_name(answer);
-        *self.answers.entry(AnswerCount { kind, cause }).or_default() += 1;
+        *self.answers.entry(AnswerKey { kind, cause }).or_default() += 1;
     }
 
     pub(crate) fn record_violation(&mut self, rule: Rule) {
