--- a/crates/driver/src/admission.rs
+++ b/crates/driver/src/admission.rs
@@ -24,7 +24,7 @@
 pub enum AdmittedOutcome {
     /// The request's connection is established.
     Established,
-    /// The request's established connection has ended in this way.
+    /// The request's established connection has ended with this outcome.
     ConnectionEnded(Outcome),
     /// The balancer rejected or failed the request before its connection was established.
     Rejected,
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -1,5 +1,6 @@
 //! The admission gate: the balancer behind its admission checks. It takes the same events and returns the
-//! same actions as the balancer alone, so that callers need not know whether there are any checks.
+//! same actions as the balancer alone, so that the balancer program and the simulator's adapter can drive
+//! either in the same way.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/tenancy/src/local_fraction.rs
+++ b/crates/tenancy/src/local_fraction.rs
@@ -4,8 +4,8 @@
 //! wrong where zones differ, front ends rebalance or other instances die, and it has the worse consequence:
 //! the busiest instance would reject tenants that are within their quotas. The true fraction is the same for
 //! all tenants. So if even the tenants with the lowest utilization of their quotas use much of them, this
-//! instance gets more than an even fraction. The estimate is based on the 0.3 quantile of
-//! utilization, which flooding by two of four tenants can't change.
+//! instance gets more than an even fraction. The estimate is based on the 0.3 quantile of utilization, which
+//! flooding by two of four tenants can't change.
 
 use shorewharf_units::Micros;
 
--- a/crates/tenancy/src/resource.rs
+++ b/crates/tenancy/src/resource.rs
@@ -243,9 +243,9 @@
 
     /// Returns the utilization at which all tenants must be capped for their usage to add up to `limit`.
     /// Returns infinity if the usage is not above the limit.
-    pub fn level(&self, now: Micros, limit: f64) -> f64 {
+    pub fn utilization_cap(&self, now: Micros, limit: f64) -> f64 {
         let scale = self.scale(now);
-        self.table.level(limit * scale) / scale
+        self.table.utilization_cap(limit * scale) / scale
     }
 
     /// Returns the quantile of utilization, where tenants count by their weighted quotas: tenants with the
--- a/crates/tenancy/src/retry_after.rs
+++ b/crates/tenancy/src/retry_after.rs
@@ -22,12 +22,12 @@
 pub(crate) struct ExpectedCapacity {
     /// Time from now until there is capacity for the first client.
     pub first: f64,
-    /// Time until there is capacity for each further client.
+    /// Further time until there is capacity for each client after the first.
     pub each: f64,
 }
 
 impl ExpectedCapacity {
-    /// There will be no capacity.
+    /// No capacity is expected.
     pub const NEVER: ExpectedCapacity = ExpectedCapacity { first: f64::INFINITY, each: 0.0 };
 }
 
--- a/crates/tenancy/src/tenancy/admission.rs
+++ b/crates/tenancy/src/tenancy/admission.rs
@@ -116,7 +116,8 @@
             let capacity = record.expected_capacity(now, (wanted - local_quota).max(1.0));
             QuotaStatus::Exceeded(capacity, reason)
         };
-        let is_above_cap = |limit: f64| utilization > resource.level(now, limit.min(total - CAP_MARGIN));
+        let is_above_cap =
+            |limit: f64| utilization > resource.utilization_cap(now, limit.min(total - CAP_MARGIN));
         if wanted <= local_quota {
             // No tenant is preferred to one within its quota. But if capacity does not suffice for all
             // quotas, those with the highest utilization are rejected first, if the settings allow that.
@@ -168,7 +169,8 @@
         let used = resource.total_used(now);
         let total = used + self.setting_up[kind as usize] as f64;
         let utilization = utilization(wanted, resource, tenant, limits);
-        let is_below_cap = || utilization <= resource.level(now, lending_limit.min(used - CAP_MARGIN));
+        let is_below_cap =
+            || utilization <= resource.utilization_cap(now, lending_limit.min(used - CAP_MARGIN));
         if limits.may_borrow() && (total + 1.0 <= lending_limit || is_below_cap()) {
             return QuotaStatus::Borrowing;
         }
--- a/crates/tenancy/src/utilization_table.rs
+++ b/crates/tenancy/src/utilization_table.rs
@@ -99,7 +99,7 @@
 
     /// Returns the utilization at which all tenants must be capped for their usage to add up to `limit`.
     /// Returns infinity if the usage is not above the limit.
-    pub fn level(&self, limit: f64) -> f64 {
+    pub fn utilization_cap(&self, limit: f64) -> f64 {
         if self.total.used <= limit {
             return f64::INFINITY;
         }
