--- a/crates/recovery/tests/migrations.rs
+++ b/crates/recovery/tests/migrations.rs
@@ -27,7 +27,7 @@
 /// Number of clients in a group.
 const GROUP_SIZE: u64 = 4;
 /// Time at which half of the servers are restarted.
-const BACK_AT: f64 = 1000.0;
+const RESTARTED_AT: f64 = 1000.0;
 /// Interval between calls of `run_until`'s observer, in seconds.
 const OBSERVATION_INTERVAL: f64 = 0.5;
 
@@ -118,7 +118,7 @@
 impl ModelFleet {
     /// A fleet in which all clients are connected to the servers with even indices, and the others have just been
     /// restarted.
-    fn half_back(balancers: usize, servers: usize, clients: usize, seed: u64) -> ModelFleet {
+    fn with_half_restarted(balancers: usize, servers: usize, clients: usize, seed: u64) -> ModelFleet {
         let settings = settings(balancers);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let balancer = |index: usize| {
@@ -126,11 +126,11 @@
             ProtectedBalancer::new(settings, rng.next_u64(), ControllerOptions::ALL)
         };
         let mut fleet = ModelFleet {
-            now: BACK_AT + 0.5,
+            now: RESTARTED_AT + 0.5,
             balancers: (0..balancers).map(balancer).collect(),
             is_up: vec![true; servers],
             weights: (0..servers).map(|server| [4.0, 6.0, 8.0][server % 3]).collect(),
-            started_at: (0..servers).map(|server| if server % 2 == 1 { BACK_AT } else { 0.0 }).collect(),
+            started_at: (0..servers).map(|server| if server % 2 == 1 { RESTARTED_AT } else { 0.0 }).collect(),
             rng,
             clients: vec![],
             requests: BTreeMap::new(),
@@ -372,7 +372,7 @@
         balancers in 1usize..6, servers in prop::sample::select(vec![4usize, 6]), seed: u64,
     ) {
         let clients = servers * 60;
-        let mut fleet = ModelFleet::half_back(balancers, servers, clients, seed);
+        let mut fleet = ModelFleet::with_half_restarted(balancers, servers, clients, seed);
         let before = fleet.imbalance();
         let mut max_utilization: f64 = 0.0;
         let mut totals = vec![(fleet.now, 0)];
@@ -408,7 +408,7 @@
 /// them broke.
 #[test]
 fn a_failure_pauses_migrations_and_they_resume_once_the_server_is_back() {
-    let mut fleet = ModelFleet::half_back(3, 6, 450, 11);
+    let mut fleet = ModelFleet::with_half_restarted(3, 6, 450, 11);
     fleet.run_until(1015.0, |_| {});
     assert!(fleet.migrations > 10, "{} migrations before the failure", fleet.migrations);
     fleet.kill(1);
@@ -432,14 +432,14 @@
     assert!(begins >= 3, "each balancer must log that migrations begin: {:?}", fleet.log);
 }
 
-/// Which connections migrated where, to the last digit of what the servers carried then: a change of the code's shape
-/// must change none of it.
+/// Compares the migrations and the servers' utilization with a fixture, down to the last digit: a refactoring must not
+/// change them.
 #[test]
 fn pinned_fleets_migrate_their_connections_as_in_the_fixture() {
     let fixture = include_str!("fixtures/migrations.txt");
     let mut replayed = String::new();
     for (balancers, servers, clients, seed) in [(1, 4, 240, 5), (3, 6, 450, 11), (2, 8, 800, 3)] {
-        let mut fleet = ModelFleet::half_back(balancers, servers, clients, seed);
+        let mut fleet = ModelFleet::with_half_restarted(balancers, servers, clients, seed);
         fleet.run_until(1040.0, |fleet| {
             replayed += &format!("{} {} {:?}\n", fleet.now, fleet.migrations, fleet.utilizations());
         });
@@ -455,7 +455,7 @@
     }
     if replayed != fixture {
         let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/recovery-migrations.txt");
-        std::fs::write(actual, &replayed).expect("a temporary file");
+        std::fs::write(actual, &replayed).expect("writing the actual output to a temporary file");
         let line = replayed.lines().zip(fixture.lines()).position(|(actual, expected)| actual != expected);
         panic!("the migrations differ from the fixture, first in line {line:?}; they are in {actual}");
     }
--- a/crates/recovery/tests/replay.rs
+++ b/crates/recovery/tests/replay.rs
@@ -1,5 +1,5 @@
-//! Pinned random events played through the overload controller, compared line by line with a fixture: a change of the
-//! code's shape must change no action and no figure, down to the last digit.
+//! Replays pinned random events through the overload controller and compares the output line by line with a fixture:
+//! a refactoring must change no action and no figure, down to the last digit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,10 +16,10 @@
 
 const FIXTURE: &str = include_str!("fixtures/replay.txt");
 const SERVERS: u64 = 10;
-/// Figures are written out every so many seconds.
-const FIGURES_EVERY: f64 = 5.0;
-/// Actions are written out in full in the first seconds of a run, and as a digest a second after that.
-const FULL_FOR: f64 = 6.0;
+/// Interval at which figures are recorded, in seconds.
+const FIGURES_INTERVAL: f64 = 5.0;
+/// Time from the start of a run for which actions are recorded in full, in seconds; later ones enter only the digest.
+const FULL_OUTPUT_SECONDS: f64 = 6.0;
 
 fn settings(weights: &str, retry_after: bool) -> Settings {
     let text = format!(
@@ -32,14 +32,14 @@
     shorewharf_settings::parse(text.as_bytes()).expect("valid settings").settings
 }
 
-/// What happens in a part of a run.
+/// Load and failures in a phase of a run.
 #[derive(Clone, Copy)]
 struct Conditions {
-    /// Requests a second.
+    /// Requests per second.
     requests: f64,
-    /// Of a hundred attempts, how many fail.
+    /// Percentage of attempts that fail.
     failing: u64,
-    /// Of a hundred servers at each look, how many say that messages are slow.
+    /// Probability, in percent, that a server reports a message delay at a change of conditions.
     slow: u64,
 }
 
@@ -54,7 +54,7 @@
     ConditionsChange,
 }
 
-/// A server as the endpoint list has it.
+/// A server's entry in the endpoint list.
 #[derive(Clone, Copy)]
 struct ListedServer {
     state: ServerState,
@@ -67,18 +67,18 @@
     number: u32,
 }
 
-/// One balancer before a model fleet.
-struct Run {
+/// One balancer in front of a simulated fleet.
+struct Replay {
     now: f64,
     rng: Pcg64Mcg,
     balancer: ProtectedBalancer,
     conditions: Conditions,
-    /// The controller is told of demand and capacity.
+    /// Whether the controller receives estimates of demand and capacity.
     has_estimate: bool,
-    /// Connections last this many times as long as usual, and clients are as many times fewer.
+    /// Factor by which connections last longer than usual and by which there are fewer clients.
     lifetime_factor: u64,
     servers: BTreeMap<u64, ListedServer>,
-    /// The last attempt of each request that was not answered, and of each connection.
+    /// The last attempt of each unanswered request and of each connection.
     attempts: BTreeMap<RequestId, Attempt>,
     events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     serial: u64,
@@ -86,16 +86,16 @@
     text: String,
 }
 
-impl Run {
-    fn new(seed: u64, set: Settings) -> Run {
+impl Replay {
+    fn new(seed: u64, settings: Settings) -> Replay {
         let listed = |id| {
             let started_at = if id % 2 == 1 { 999.0 } else { 0.0 };
             (id, ListedServer { state: ServerState::Ready, started_at })
         };
-        let mut fleet = Run {
+        let mut fleet = Replay {
             now: 1000.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            balancer: ProtectedBalancer::new(set, seed, ControllerOptions::ALL),
+            balancer: ProtectedBalancer::new(settings, seed, ControllerOptions::ALL),
             conditions: Conditions { requests: 6.0, failing: 2, slow: 1 },
             has_estimate: seed == 1,
             lifetime_factor: if seed == 4 { 10 } else { 1 },
@@ -128,22 +128,22 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn schedule_after(&mut self, after: f64, due: FleetEvent) {
+    fn schedule_after(&mut self, after: f64, event: FleetEvent) {
         self.serial += 1;
-        self.events.push(Reverse((((self.now + after) * 1e6) as u64, self.serial, due)));
+        self.events.push(Reverse((((self.now + after) * 1e6) as u64, self.serial, event)));
     }
 
     fn schedule_end(&mut self, id: RequestId) {
         let load = 0.01 + 0.05 * self.random_unit();
         self.dispatch(Event::LoadChanged { request: id, load });
-        let life = (5.0 + 60.0 * self.random_unit()) * self.lifetime_factor as f64;
-        self.schedule_after(life, FleetEvent::ConnectionEnds(id));
+        let lifetime = (5.0 + 60.0 * self.random_unit()) * self.lifetime_factor as f64;
+        self.schedule_after(lifetime, FleetEvent::ConnectionEnds(id));
     }
 
     fn request(&mut self, id: RequestId) -> Request {
         let key = 1 + self.random_below(3_000 / self.lifetime_factor);
         let load = (self.random_below(4) == 0).then_some(0.03);
-        let returning = self.random_below(3) == 0;
+        let is_returning = self.random_below(3) == 0;
         Request {
             id,
             class: 0,
@@ -153,11 +153,11 @@
             load,
             group: key / 4,
             is_mid_flow: false,
-            is_returning: returning,
+            is_returning,
         }
     }
 
-    fn announce_servers(&mut self, full: bool) {
+    fn announce_servers(&mut self, is_complete: bool) {
         let entry = |(id, listed): (&u64, &ListedServer)| ServerEntry {
             server: ServerId(*id),
             zone: 0,
@@ -167,16 +167,16 @@
             state: listed.state,
         };
         let entries: Vec<ServerEntry> = self.servers.iter().map(entry).collect();
-        let cached = self.random_below(10) == 0;
-        self.dispatch(Event::EndpointList { is_complete: full, is_cached: cached, entries: entries.into() });
+        let is_cached = self.random_below(10) == 0;
+        self.dispatch(Event::EndpointList { is_complete, is_cached, entries: entries.into() });
     }
 
-    /// Records one line of what comes out: in full at the begin of a run, as a digest later.
+    /// Records one line of the output: in full at the beginning of a run, later only in the digest.
     fn record(&mut self, line: &str) {
         let fold = |digest: u64, byte: u8| (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         self.digest = line.bytes().fold(self.digest, fold);
-        if self.now < 1000.0 + FULL_FOR {
-            writeln!(self.text, "{:.3} {line}", self.now).expect("memory");
+        if self.now < 1000.0 + FULL_OUTPUT_SECONDS {
+            writeln!(self.text, "{:.3} {line}", self.now).expect("writing to memory");
         }
     }
 
@@ -198,8 +198,8 @@
                 self.record(&format!("send {} {} {timeout}", request.0, server.0));
                 let number = self.attempts.get(&request).map_or(0, |attempt| attempt.number + 1);
                 self.attempts.insert(request, Attempt { server, number });
-                let took = 0.01 + 0.1 * self.random_unit();
-                self.schedule_after(took, FleetEvent::AttemptEnds(request));
+                let duration = 0.01 + 0.1 * self.random_unit();
+                self.schedule_after(duration, FleetEvent::AttemptEnds(request));
             }
             Action::Reject { request, retry_after } => {
                 self.record(&format!("refuse {} {retry_after}", request.0));
@@ -227,14 +227,15 @@
 
     fn end_attempt(&mut self, id: RequestId) {
         let Some(Attempt { server, number: attempt }) = self.attempts.get(&id).copied() else { return };
-        let gone = self.servers.get(&server.0).is_none_or(|listed| listed.state == ServerState::Removed);
-        if !gone && self.random_below(100) >= self.conditions.failing {
+        let is_removed =
+            self.servers.get(&server.0).is_none_or(|listed| listed.state == ServerState::Removed);
+        if !is_removed && self.random_below(100) >= self.conditions.failing {
             self.dispatch(Event::Established { request: id, attempt });
             self.schedule_end(id);
             return;
         }
         let outcome = match self.random_below(6) {
-            _ if gone => Outcome::ConnectFailed,
+            _ if is_removed => Outcome::ConnectFailed,
             0 => Outcome::ConnectFailed,
             1 => Outcome::TimedOut,
             2 => Outcome::Error,
@@ -315,8 +316,8 @@
         self.schedule_after(0.5, FleetEvent::ConditionsChange);
     }
 
-    fn handle(&mut self, due: FleetEvent) {
-        match due {
+    fn handle(&mut self, event: FleetEvent) {
+        match event {
             FleetEvent::TimerFires(token) => self.dispatch(Event::TimerFired(token)),
             FleetEvent::AttemptEnds(id) => self.end_attempt(id),
             FleetEvent::ConnectionEnds(id) => {
@@ -325,10 +326,10 @@
             }
             FleetEvent::ClientMigrates(id) => self.end_connection(id, Outcome::Cancelled),
             FleetEvent::ProbeEnds(server) => {
-                let good =
+                let is_reachable =
                     self.servers.get(&server.0).is_some_and(|listed| listed.state != ServerState::Removed)
                         && self.random_below(3) > 0;
-                let outcome = if good { Outcome::Ok } else { Outcome::ConnectFailed };
+                let outcome = if is_reachable { Outcome::Ok } else { Outcome::ConnectFailed };
                 self.dispatch(Event::ProbeEnded { server, outcome, load_ratio: None });
             }
             FleetEvent::ClientArrives => {
@@ -347,16 +348,16 @@
     }
 
     fn run_until(&mut self, until: f64) {
-        let mut figures_at = self.now + FIGURES_EVERY;
-        while let Some(Reverse((at, _, due))) = self.events.pop() {
+        let mut figures_at = self.now + FIGURES_INTERVAL;
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at as f64 / 1e6 >= until {
-                self.events.push(Reverse((at, 0, due)));
+                self.events.push(Reverse((at, 0, event)));
                 break;
             }
             self.now = at as f64 / 1e6;
-            self.handle(due);
+            self.handle(event);
             if self.now >= figures_at {
-                figures_at += FIGURES_EVERY;
+                figures_at += FIGURES_INTERVAL;
                 self.record_figures();
             }
         }
@@ -398,20 +399,21 @@
             fleet.mean_load,
             (waiting.held, waiting.in_backoff)
         )
-        .expect("memory");
-        writeln!(text, "  {level:?} {} {}", policy.migration_pace, policy.probes_per_second).expect("memory");
-        writeln!(text, "  {retry:?}").expect("memory");
-        writeln!(text, "  {moves:?}").expect("memory");
+        .expect("writing to memory");
+        writeln!(text, "  {level:?} {} {}", policy.migration_pace, policy.probes_per_second)
+            .expect("writing to memory");
+        writeln!(text, "  {retry:?}").expect("writing to memory");
+        writeln!(text, "  {moves:?}").expect("writing to memory");
         writeln!(text, "  {} {:?} {}", stats.dropped_probes, stats.rejected, controller.established())
-            .expect("memory");
+            .expect("writing to memory");
         for (id, b) in &fleet.servers {
             let load =
                 (b.weight, b.warm_up_ratio, b.capacity, b.load, b.local_load, b.uncertainty, b.updated_at);
-            writeln!(text, "  {} {load:?}", id.0).expect("memory");
+            writeln!(text, "  {} {load:?}", id.0).expect("writing to memory");
         }
     }
 
-    /// All that a snapshot would hold, read in small portions.
+    /// The state that a snapshot contains, exported in small portions.
     fn state(&self) -> Vec<SnapshotEntry> {
         let (mut entries, mut at) = (Vec::new(), ExportCursor::default());
         while at != ExportCursor::End {
@@ -420,46 +422,47 @@
         entries
     }
 
-    /// Another process goes on from what this one knew.
-    fn restart(&mut self, set: Settings, seed: u64) {
+    /// Replaces the balancer by a new one that restores the state of this one.
+    fn restart(&mut self, settings: Settings, seed: u64) {
         let entries = self.state();
-        let stored = serde_json::to_string(&entries).expect("a record");
+        let stored = serde_json::to_string(&entries).expect("the entries are serializable");
         self.record(&stored);
-        self.balancer = ProtectedBalancer::new(set, seed, ControllerOptions::ALL);
+        self.balancer = ProtectedBalancer::new(settings, seed, ControllerOptions::ALL);
         (self.attempts, self.events) = (BTreeMap::new(), BinaryHeap::new());
         self.dispatch(Event::Start);
         self.announce_servers(true);
         let r = self.balancer.restore_state(self.now, 2.5, true, entries);
         writeln!(self.text, "recalled {} {} {} {}", r.restored, r.outdated, r.expired, r.invalid)
-            .expect("memory");
+            .expect("writing to memory");
         self.schedule_after(0.0, FleetEvent::ClientArrives);
         self.schedule_after(0.5, FleetEvent::ConditionsChange);
     }
 }
 
-/// A calm stretch with half of the servers cold, a storm, and a recovery; then another process goes on.
+/// Runs a phase of low load with half of the servers cold, a phase of many requests and failures, and a recovery; then
+/// restarts the balancer from its snapshot.
 fn run(seed: u64, weights: &str, retry_after: bool) -> String {
-    let set = settings(weights, retry_after);
-    let mut fleet = Run::new(seed, set.clone());
+    let settings = settings(weights, retry_after);
+    let mut fleet = Replay::new(seed, settings.clone());
     fleet.run_until(1060.0);
     fleet.conditions = Conditions { requests: 40.0, failing: 45, slow: 25 };
     fleet.run_until(1100.0);
     fleet.conditions = Conditions { requests: 5.0, failing: 3, slow: 0 };
     fleet.run_until(1180.0);
-    fleet.restart(set, seed + 1);
+    fleet.restart(settings, seed + 1);
     fleet.run_until(1220.0);
     fleet.record_figures();
     fleet.text
 }
 
 #[test]
-fn pinned_random_events_come_out_as_in_the_fixture() {
+fn pinned_random_events_produce_the_output_of_the_fixture() {
     let replayed =
         [run(1, "nominal", true), run(2, "nominal", false), run(3, "none", true), run(4, "nominal", true)]
             .concat();
     if replayed != FIXTURE {
         let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/recovery-replay.txt");
-        std::fs::write(actual, &replayed).expect("a temporary file");
+        std::fs::write(actual, &replayed).expect("writing the actual output to a temporary file");
         let line = replayed.lines().zip(FIXTURE.lines()).position(|(a, b)| a != b);
         panic!("the replay differs from the fixture, first in line {line:?}; it is in {actual}");
     }
