--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -1,4 +1,5 @@
-//! Random legal and odd event sequences: the rules' invariants, determinism, and names that do not matter.
+//! Random sequences of valid and invalid events: the invariants of the rules, determinism, and the
+//! independence of decisions from names in the settings.
 
 mod common;
 use std::collections::BTreeMap;
@@ -18,7 +19,7 @@
     Establish(usize),
     End(usize, Outcome),
     Delay(u64, f64),
-    List { ready: u32, draining: u32, full: bool, born: f64 },
+    List { ready: u32, draining: u32, is_complete: bool, started_at: f64 },
     Leave(usize),
     Wait(f64),
     DiscoveryFailed,
@@ -37,20 +38,22 @@
     ]
 }
 
-fn odd_number() -> impl Strategy<Value = f64> {
+fn unusual_number() -> impl Strategy<Value = f64> {
     prop_oneof![Just(f64::NAN), Just(f64::INFINITY), Just(-1.0), Just(0.0), 0.001..3.0]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..5usize, 0..9u64, 0..5u64, odd_number())
+        6 => (0..5usize, 0..9u64, 0..5u64, unusual_number())
             .prop_map(|(class, key, group, load)| Step::Receive { class, key, group, load }),
         1 => (0..9u64).prop_map(|server| Step::Restore { server }),
         5 => any::<usize>().prop_map(Step::Establish),
-        5 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
-        2 => (0..9u64, odd_number()).prop_map(|(s, d)| Step::Delay(s, d)),
+        5 => (any::<usize>(), outcome()).prop_map(|(index, outcome)| Step::End(index, outcome)),
+        2 => (0..9u64, unusual_number()).prop_map(|(server, delay)| Step::Delay(server, delay)),
         2 => (any::<u32>(), any::<u32>(), any::<bool>(), 0.0..120.0)
-            .prop_map(|(ready, draining, full, born)| Step::List { ready, draining, full, born }),
+            .prop_map(|(ready, draining, is_complete, started_at)| {
+                Step::List { ready, draining, is_complete, started_at }
+            }),
         1 => any::<usize>().prop_map(Step::Leave),
         5 => (0.0..1.5).prop_map(Step::Wait),
         1 => Just(Step::DiscoveryFailed),
@@ -67,15 +70,16 @@
         Idempotency::Keyed(DeduplicationScope::Cell, 0.5),
     ]
     .into_iter()
-    .map(|semantics| RequestClass {
+    .map(|idempotency| RequestClass {
         latency_objective: 0.5,
         priority_weight: 1.0,
-        idempotency: semantics,
+        idempotency,
         message_latency_objective: 0.1,
     })
     .collect()
 }
 
+/// What the test knows about a request, as the basis for checking the balancer's actions.
 #[derive(Default)]
 struct ExpectedRequest {
     class: usize,
@@ -85,94 +89,107 @@
     is_established: bool,
     possible_run: Option<(ServerId, f64)>,
     sent_at: f64,
-    answered: bool,
+    is_answered: bool,
 }
 
 struct RandomRun {
     instance: TestInstance,
     timers: Vec<(f64, u64)>,
-    clients: BTreeMap<u32, ExpectedRequest>,
+    requests: BTreeMap<u32, ExpectedRequest>,
     listed: BTreeMap<u64, ServerEntry>,
-    next: u32,
+    next_id: u32,
     log: Vec<Action>,
 }
 
 impl RandomRun {
     fn new(seed: u64) -> Self {
-        let set = Settings { classes: classes(), polls_discovery: seed.is_multiple_of(2), ..settings() };
-        let mut w = RandomRun {
-            instance: TestInstance { balancer: Balancer::new(set, seed), now: 100.0 },
+        let settings = Settings { classes: classes(), polls_discovery: seed.is_multiple_of(2), ..settings() };
+        let mut run = RandomRun {
+            instance: TestInstance { balancer: Balancer::new(settings, seed), now: 100.0 },
             timers: Vec::new(),
-            clients: BTreeMap::new(),
+            requests: BTreeMap::new(),
             listed: BTreeMap::new(),
-            next: 0,
+            next_id: 0,
             log: Vec::new(),
         };
-        w.event(Event::Start);
-        w
+        run.event(Event::Start);
+        run
     }
 
     fn event(&mut self, event: Event) {
-        let out = self.instance.handle(event);
-        self.check(&out);
-        record_timers(&out, self.instance.now, &mut self.timers);
-        self.log.extend(out);
+        let actions = self.instance.handle(event);
+        self.check(&actions);
+        record_timers(&actions, self.instance.now, &mut self.timers);
+        self.log.extend(actions);
     }
 
-    fn check(&mut self, out: &[Action]) {
+    fn check(&mut self, actions: &[Action]) {
         let now = self.instance.now;
-        for a in out {
-            match a {
+        for action in actions {
+            match action {
                 Action::BeginAttempt { request, server, timeout } => {
-                    let c = self.clients.get_mut(&request.0).expect("a known request");
+                    let expected = self.requests.get_mut(&request.0).expect("a known request");
                     assert!(
-                        !c.answered && c.pending_attempt.is_none() && !c.is_established,
-                        "one attempt, none after the answer"
+                        !expected.is_answered
+                            && expected.pending_attempt.is_none()
+                            && !expected.is_established,
+                        "there is one attempt at a time, and none after the answer"
                     );
-                    assert!(now + timeout <= c.deadline + 0.001 && *timeout > 0.0);
-                    let e = self.listed.get(&server.0).expect("a listed server");
-                    assert_eq!(e.state, ServerState::Ready, "drains are kept");
-                    if let Some((first, sent_at)) = c.possible_run {
-                        let f = self.listed.get(&first.0);
-                        match classes()[c.class].idempotency {
+                    assert!(now + timeout <= expected.deadline + 0.001 && *timeout > 0.0);
+                    let entry = self.listed.get(&server.0).expect("a listed server");
+                    assert_eq!(entry.state, ServerState::Ready, "only ready servers are sent requests");
+                    if let Some((first, sent_at)) = expected.possible_run {
+                        let first_entry = self.listed.get(&first.0);
+                        match classes()[expected.class].idempotency {
                             Idempotency::Idempotent => {}
-                            Idempotency::NonIdempotent => panic!("an unsafe request may have run"),
+                            Idempotency::NonIdempotent => {
+                                panic!("a request that must not be repeated may have run")
+                            }
                             Idempotency::Keyed(scope, window) => {
                                 assert!(now - sent_at < window);
                                 match scope {
                                     DeduplicationScope::All => {}
-                                    DeduplicationScope::Zone => assert_eq!(f.unwrap().zone, e.zone),
-                                    DeduplicationScope::Cell => assert_eq!(f.unwrap().cell, e.cell),
+                                    DeduplicationScope::Zone => {
+                                        assert_eq!(first_entry.unwrap().zone, entry.zone);
+                                    }
+                                    DeduplicationScope::Cell => {
+                                        assert_eq!(first_entry.unwrap().cell, entry.cell);
+                                    }
                                 }
                             }
                         }
                     }
-                    c.pending_attempt = Some((*server, c.attempts));
-                    c.attempts += 1;
-                    c.sent_at = now;
-                    assert!(c.attempts <= 4);
+                    expected.pending_attempt = Some((*server, expected.attempts));
+                    expected.attempts += 1;
+                    expected.sent_at = now;
+                    assert!(expected.attempts <= 4);
                 }
                 Action::Reject { request, retry_after } => {
-                    let c = self.clients.get_mut(&request.0).unwrap();
-                    let safe = matches!(
-                        classes()[c.class].idempotency,
+                    let expected = self.requests.get_mut(&request.0).unwrap();
+                    let is_idempotent = matches!(
+                        classes()[expected.class].idempotency,
                         Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All, _)
                     );
                     assert!(
-                        !c.answered && (safe || (c.possible_run.is_none() && c.pending_attempt.is_none()))
+                        !expected.is_answered
+                            && (is_idempotent
+                                || (expected.possible_run.is_none() && expected.pending_attempt.is_none()))
                     );
                     assert!(*retry_after >= 0.0 && *retry_after <= 1.0);
-                    c.answered = true;
+                    expected.is_answered = true;
                 }
                 Action::Fail(request) => {
-                    let c = self.clients.get_mut(&request.0).unwrap();
-                    assert!(!c.answered);
-                    c.answered = true;
+                    let expected = self.requests.get_mut(&request.0).unwrap();
+                    assert!(!expected.is_answered);
+                    expected.is_answered = true;
                 }
                 Action::Migrate(request) => {
-                    let c = self.clients.get_mut(&request.0).unwrap();
-                    assert!(c.is_established && !c.answered, "only standing connections move");
-                    c.answered = true;
+                    let expected = self.requests.get_mut(&request.0).unwrap();
+                    assert!(
+                        expected.is_established && !expected.is_answered,
+                        "only established connections are migrated"
+                    );
+                    expected.is_answered = true;
                 }
                 Action::SetTimer { after, .. } => assert!(after.is_finite() && *after >= 0.0),
                 _ => {}
@@ -180,16 +197,17 @@
         }
     }
 
-    fn pick(&self, n: usize, f: impl Fn(&ExpectedRequest) -> bool) -> Option<u32> {
-        let fit: Vec<u32> = self.clients.iter().filter(|(_, c)| f(c)).map(|(id, _)| *id).collect();
-        (!fit.is_empty()).then(|| fit[n % fit.len()])
+    fn pick(&self, index: usize, is_eligible: impl Fn(&ExpectedRequest) -> bool) -> Option<u32> {
+        let eligible: Vec<u32> =
+            self.requests.iter().filter(|(_, expected)| is_eligible(expected)).map(|(id, _)| *id).collect();
+        (!eligible.is_empty()).then(|| eligible[index % eligible.len()])
     }
 
-    fn advance(&mut self, span: f64) {
-        let until = self.instance.now + span;
+    fn advance(&mut self, seconds: f64) {
+        let until = self.instance.now + seconds;
         loop {
             self.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let Some(&(at, token)) = self.timers.first().filter(|t| t.0 <= until) else { break };
+            let Some(&(at, token)) = self.timers.first().filter(|timer| timer.0 <= until) else { break };
             self.timers.remove(0);
             self.instance.now = self.instance.now.max(at);
             self.event(Event::TimerFired(token));
@@ -200,12 +218,14 @@
     }
 
     fn check_overdue(&self) {
-        for (id, c) in &self.clients {
-            let done = c.answered || c.is_established || self.instance.now < c.deadline + 0.02;
+        for (id, expected) in &self.requests {
+            let is_on_time = expected.is_answered
+                || expected.is_established
+                || self.instance.now < expected.deadline + 0.02;
             assert!(
-                done,
+                is_on_time,
                 "request {id} is unanswered at {}, its deadline was {}",
-                self.instance.now, c.deadline
+                self.instance.now, expected.deadline
             );
         }
     }
@@ -214,100 +234,105 @@
     fn apply(&mut self, step: &Step) {
         match step {
             Step::Receive { class, key, group, load } => {
-                self.next += 1;
-                let r = Request {
+                self.next_id += 1;
+                let request = Request {
                     class: *class,
                     key: *key,
                     group: *group,
                     load: Some(*load),
-                    ..request(self.next, self.instance.now)
+                    ..request(self.next_id, self.instance.now)
+                };
+                let expected = ExpectedRequest {
+                    class: *class,
+                    deadline: request.deadline,
+                    ..ExpectedRequest::default()
                 };
-                let expected =
-                    ExpectedRequest { class: *class, deadline: r.deadline, ..ExpectedRequest::default() };
-                self.clients.insert(self.next, expected);
-                self.event(Event::RequestReceived(r));
+                self.requests.insert(self.next_id, expected);
+                self.event(Event::RequestReceived(request));
             }
             Step::Restore { server } => {
-                self.next += 1;
-                let r = request(self.next, self.instance.now);
+                self.next_id += 1;
+                let request = request(self.next_id, self.instance.now);
                 let expected = ExpectedRequest {
                     is_established: true,
                     pending_attempt: Some((ServerId(*server), 0)),
                     ..ExpectedRequest::default()
                 };
-                self.clients.insert(self.next, ExpectedRequest { attempts: 1, ..expected });
-                self.event(Event::ConnectionRestored(r, ServerId(*server)));
+                self.requests.insert(self.next_id, ExpectedRequest { attempts: 1, ..expected });
+                self.event(Event::ConnectionRestored(request, ServerId(*server)));
             }
-            Step::Establish(n) => {
-                if let Some(id) =
-                    self.pick(*n, |c| c.pending_attempt.is_some() && !c.is_established && !c.answered)
-                {
-                    let c = self.clients.get_mut(&id).unwrap();
-                    c.is_established = true;
-                    let attempt = c.pending_attempt.unwrap().1;
+            Step::Establish(index) => {
+                if let Some(id) = self.pick(*index, |expected| {
+                    expected.pending_attempt.is_some() && !expected.is_established && !expected.is_answered
+                }) {
+                    let expected = self.requests.get_mut(&id).unwrap();
+                    expected.is_established = true;
+                    let attempt = expected.pending_attempt.unwrap().1;
                     self.event(Event::Established { request: RequestId(id), attempt });
                 }
             }
-            Step::End(n, outcome) => {
-                let Some(id) = self.pick(*n, |c| c.pending_attempt.is_some()) else { return };
-                let c = self.clients.get_mut(&id).unwrap();
-                let (server, attempt) = c.pending_attempt.take().unwrap();
-                let complete = c.is_established || *outcome == Outcome::Ok;
-                if !outcome.never_ran() && c.possible_run.is_none() {
-                    c.possible_run = Some((server, c.sent_at));
+            Step::End(index, outcome) => {
+                let Some(id) = self.pick(*index, |expected| expected.pending_attempt.is_some()) else {
+                    return;
+                };
+                let expected = self.requests.get_mut(&id).unwrap();
+                let (server, attempt) = expected.pending_attempt.take().unwrap();
+                let is_final = expected.is_established || *outcome == Outcome::Ok;
+                if !outcome.never_ran() && expected.possible_run.is_none() {
+                    expected.possible_run = Some((server, expected.sent_at));
                 }
-                let answered = c.answered;
-                c.answered |= complete;
-                c.is_established = false;
+                let was_answered = expected.is_answered;
+                expected.is_answered |= is_final;
+                expected.is_established = false;
                 let request = RequestId(id);
-                let (outcome, complete) = (*outcome, complete || answered);
+                let (outcome, is_answered) = (*outcome, is_final || was_answered);
                 self.event(Event::AttemptEnded {
                     request,
                     server,
                     attempt,
                     outcome,
-                    is_answered: complete,
+                    is_answered,
                     load_ratio: Some(f64::NAN),
                 });
             }
             Step::Delay(server, delay) => {
                 self.event(Event::MessageDelay { server: ServerId(*server), delay: *delay });
             }
-            Step::List { ready, draining, full, born } => {
+            Step::List { ready, draining, is_complete, started_at } => {
                 let mut entries = Vec::new();
                 for i in 0..9u64 {
                     let bit = 1 << i;
-                    if ready & bit != 0 || (!full && draining & bit != 0) {
-                        let stage = match (draining & bit != 0, ready & bit != 0) {
+                    if ready & bit != 0 || (!is_complete && draining & bit != 0) {
+                        let state = match (draining & bit != 0, ready & bit != 0) {
                             (true, true) => ServerState::Draining,
                             (true, false) => ServerState::Removed,
                             _ => ServerState::Ready,
                         };
                         let weight = if i == 3 { f64::NAN } else { i as f64 };
-                        let born = if i % 3 == 0 { *born } else { 0.0 };
-                        entries.push(ServerEntry { state: stage, weight, started_at: born, ..entry(i) });
+                        let started_at = if i % 3 == 0 { *started_at } else { 0.0 };
+                        entries.push(ServerEntry { state, weight, started_at, ..entry(i) });
                     }
                 }
-                if *full {
-                    self.listed.values_mut().for_each(|e| e.state = ServerState::Removed);
+                if *is_complete {
+                    self.listed.values_mut().for_each(|entry| entry.state = ServerState::Removed);
                 }
-                self.listed.extend(entries.iter().map(|e| (e.server.0, *e)));
+                self.listed.extend(entries.iter().map(|entry| (entry.server.0, *entry)));
                 self.event(Event::EndpointList {
-                    is_complete: *full,
+                    is_complete: *is_complete,
                     is_cached: false,
                     entries: entries.into(),
                 });
             }
-            Step::Leave(n) => {
-                if let Some(id) = self.pick(*n, |c| !c.is_established) {
-                    self.clients.get_mut(&id).unwrap().answered = true;
+            Step::Leave(index) => {
+                if let Some(id) = self.pick(*index, |expected| !expected.is_established) {
+                    self.requests.get_mut(&id).unwrap().is_answered = true;
                     self.event(Event::ClientLeft(RequestId(id)));
                 }
             }
-            Step::Wait(span) => self.advance(*span),
+            Step::Wait(seconds) => self.advance(*seconds),
             Step::DiscoveryFailed => self.event(Event::DiscoveryFailed),
             Step::UnknownIds(id, token) => {
-                // Ids nobody knows, tokens of an earlier life.
+                // Unknown ids, and a timer token that this instance did not set.
                 let request = RequestId(id | 1 << 31);
                 let server = ServerId(u64::from(*id));
                 self.event(Event::Established { request, attempt: 3 });
@@ -333,23 +358,23 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_sequence_keeps_the_rules_and_is_deterministic(
+    fn any_sequence_of_events_obeys_the_rules_and_is_deterministic(
         seed in any::<u64>(),
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let run = || {
-            let mut w = RandomRun::new(seed);
-            w.apply(&Step::List { ready: 0xff, draining: 0, full: true, born: 0.0 });
-            steps.iter().for_each(|s| w.apply(s));
-            w.advance(5.0);
-            w.log
+        let log_of_run = || {
+            let mut run = RandomRun::new(seed);
+            run.apply(&Step::List { ready: 0xff, draining: 0, is_complete: true, started_at: 0.0 });
+            steps.iter().for_each(|step| run.apply(step));
+            run.advance(5.0);
+            run.log
         };
-        prop_assert_eq!(run(), run());
+        prop_assert_eq!(log_of_run(), log_of_run());
     }
 }
 
 #[test]
-fn names_in_the_settings_do_not_matter() {
+fn decisions_do_not_depend_on_names_in_the_settings() {
     let run = |class: &str, zone: &str, tenant: &str| {
         let text = format!(
             r#"{{"name":"{zone}","classes":[{{"name":"{class}","promise_s":0.5,"semantics":"read_like"}}],
--- a/crates/decisions/tests/records.rs
+++ b/crates/decisions/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records of what outlives an instance, as their exact JSON text: versions beside this one read and write the same.
+//! The exact JSON text of exported records: other versions of the program read and write the same text.
 
 use shorewharf_decisions::persistence::{
     GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
@@ -43,28 +43,28 @@
 }
 
 #[test]
-fn every_record_is_written_as_its_text() {
+fn every_record_is_serialized_as_its_json_text() {
     let lines: Vec<String> =
         records().iter().map(|record| serde_json::to_string(record).expect("json")).collect();
     assert_eq!(lines, RECORDS.lines().collect::<Vec<_>>());
 }
 
 #[test]
-fn every_record_is_read_from_its_text() {
+fn every_record_is_deserialized_from_its_json_text() {
     let read: Vec<StateRecord> =
         RECORDS.lines().map(|line| serde_json::from_str(line).expect("a record")).collect();
     assert_eq!(read, records());
 }
 
-/// Keys that an older version did not write.
+/// Guards the reading of records by an older version, which did not write all keys.
 #[test]
-fn what_is_missing_from_a_record_gets_its_default() {
-    let flow: StateRecord = serde_json::from_str(r#"{"flow":{}}"#).expect("a record");
-    assert_eq!(flow, StateRecord::Instance(InstanceRecord::default()));
-    let place: StateRecord =
+fn keys_missing_from_a_record_get_their_defaults() {
+    let instance: StateRecord = serde_json::from_str(r#"{"flow":{}}"#).expect("a record");
+    assert_eq!(instance, StateRecord::Instance(InstanceRecord::default()));
+    let reservation: StateRecord =
         serde_json::from_str(r#"{"place":{"key":9,"server":42,"load":0.3}}"#).expect("a record");
     assert_eq!(
-        place,
+        reservation,
         StateRecord::Reservation(ReservationRecord { key: 9, server: 42, load: 0.3, expires_at: 0.0 })
     );
 }
