--- a/crates/decisions/tests/persistence.rs
+++ b/crates/decisions/tests/persistence.rs
@@ -231,18 +231,31 @@
         for record in export_all(&instance, 3) {
             match record {
                 StateRecord::Server(server) => {
-                    prop_assert!(server.health > 0.0 && server.health <= 1.0 && server.warm_up_admissions >= 0.0 && server.recent_resets >= 0.0, "{server:?}");
+                    prop_assert!(server.health > 0.0 && server.health <= 1.0, "{server:?}");
+                    prop_assert!(server.warm_up_admissions >= 0.0 && server.recent_resets >= 0.0, "{server:?}");
                     // No server is kept out of service for longer than a running instance would keep it.
                     prop_assert!(server.unavailable_until <= instance.now + 10.0, "{server:?}");
-                    prop_assert!(server.quarantine.is_none_or(|quarantine| quarantine.trial_at <= instance.now + 10.0 && quarantine.backoff <= 10.0), "{server:?}");
+                    let is_short = |quarantine: QuarantineRecord| {
+                        quarantine.trial_at <= instance.now + 10.0 && quarantine.backoff <= 10.0
+                    };
+                    prop_assert!(server.quarantine.is_none_or(is_short), "{server:?}");
                 }
                 StateRecord::Instance(state) => {
-                    let values = [state.total_clients, state.arrivals, state.arrival_seconds, state.migration_credit, state.mean_load, state.setups_per_second];
+                    let values = [
+                        state.total_clients,
+                        state.arrivals,
+                        state.arrival_seconds,
+                        state.migration_credit,
+                        state.mean_load,
+                        state.setups_per_second,
+                    ];
                     prop_assert!(values.iter().all(|value| value.is_finite() && *value >= 0.0), "{state:?}");
                     prop_assert!(state.arrival_seconds >= 1.0 && state.setups_per_second >= 0.2, "{state:?}");
                 }
                 StateRecord::Group(group) => prop_assert!(group.clients.is_finite() && group.clients > 0.0),
-                StateRecord::Reservation(reservation) => prop_assert!(reservation.expires_at <= instance.now + 3.001, "{reservation:?}"),
+                StateRecord::Reservation(reservation) => {
+                    prop_assert!(reservation.expires_at <= instance.now + 3.001, "{reservation:?}");
+                }
                 StateRecord::Connection(_) => prop_assert!(false, "there are no connections"),
             }
         }
--- a/crates/decisions/tests/probing.rs
+++ b/crates/decisions/tests/probing.rs
@@ -220,14 +220,20 @@
         steps in prop::collection::vec((0u8..5, any::<prop::sample::Index>(), 0.0..0.3f64), 1..60),
     ) {
         let mut instance = probing_instance(1, 300, 45, true);
-        let (mut pending_probes, mut unanswered, mut timers, mut id) = (BTreeSet::new(), BTreeSet::new(), Vec::new(), 0);
+        let (mut pending_probes, mut unanswered) = (BTreeSet::new(), BTreeSet::new());
+        let (mut timers, mut id) = (Vec::new(), 0);
         let mut attempted = BTreeSet::new();
-        let mut check = |actions: &[Action], pending_probes: &mut BTreeSet<ServerId>, unanswered: &mut BTreeSet<u32>| {
+        let mut check = |
+            actions: &[Action],
+            pending_probes: &mut BTreeSet<ServerId>,
+            unanswered: &mut BTreeSet<u32>,
+        | {
             for action in actions {
                 match action {
                     Action::Probe(server) => { pending_probes.insert(*server); }
                     Action::BeginAttempt { request, .. } => {
-                        assert!(unanswered.contains(&request.0) && attempted.insert(request.0), "{request:?} is sent twice");
+                        let is_first = unanswered.contains(&request.0) && attempted.insert(request.0);
+                        assert!(is_first, "{request:?} is sent twice or after its answer");
                     }
                     // An attempt that is not established by the deadline is given up.
                     Action::Reject { request, .. } | Action::Fail(request) => {
@@ -247,7 +253,8 @@
                 2 | 3 if !pending_probes.is_empty() => {
                     let server = *index.get(&pending_probes.iter().copied().collect::<Vec<_>>());
                     pending_probes.remove(&server);
-                    let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::TimedOut][index.index(4)];
+                    let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::TimedOut];
+                    let outcome = outcomes[index.index(4)];
                     instance.handle(probe_ended(server, outcome))
                 }
                 _ => { let until = instance.now + wait; instance.advance_to(&mut timers, until) }
