--- a/crates/decisions/tests/replay.rs
+++ b/crates/decisions/tests/replay.rs
@@ -1,5 +1,6 @@
-//! Replays of random events from fixed seeds: a hash of every action and of all state that can be read. It changes with a
-//! single bit of a decision, so a change of the code that is to keep all decisions has to keep the hashes.
+//! Replays of random events from fixed seeds. Each test compares a hash of all actions and all readable state
+//! with a pinned one. The hash changes if a single bit of a decision changes, so a change of the code that is
+//! meant to keep all decisions must keep the hashes. The words of the hashed text are part of the hash.
 
 mod common;
 
@@ -21,7 +22,7 @@
 const SERVERS: u64 = 12;
 const STEPS: usize = 4_000;
 
-/// A request with an attempt out or an established connection.
+/// A request with a pending attempt or an established connection.
 #[derive(Clone, Copy)]
 struct OpenRequest {
     id: u32,
@@ -30,23 +31,27 @@
     is_established: bool,
 }
 
+/// One instance under random events, and the text to be hashed.
 struct Replay {
     balancer: Balancer,
     now: f64,
     rng: Pcg64Mcg,
     timers: Vec<(f64, u64)>,
     open: BTreeMap<u32, OpenRequest>,
+    /// Number of attempts begun for each request.
     attempts: BTreeMap<u32, u32>,
+    /// Servers with a pending probe.
     probes: Vec<ServerId>,
     entries: Vec<ServerEntry>,
-    next: u32,
+    next_id: u32,
+    /// The actions and the state so far, as they are hashed.
     text: String,
 }
 
 impl Replay {
-    fn new(set: Settings, seed: u64) -> Self {
+    fn new(settings: Settings, seed: u64) -> Self {
         let mut replay = Replay {
-            balancer: Balancer::new(set, seed),
+            balancer: Balancer::new(settings, seed),
             now: 100.0,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
             timers: Vec::new(),
@@ -54,7 +59,7 @@
             attempts: BTreeMap::new(),
             probes: Vec::new(),
             entries: (1..=SERVERS).map(entry).collect(),
-            next: 0,
+            next_id: 0,
             text: String::new(),
         };
         replay.handle(Event::Start);
@@ -62,11 +67,11 @@
         replay
     }
 
-    fn below(&mut self, n: usize) -> usize {
-        (self.rng.next_u64() % n.max(1) as u64) as usize
+    fn below(&mut self, limit: usize) -> usize {
+        (self.rng.next_u64() % limit.max(1) as u64) as usize
     }
 
-    fn number(&mut self) -> f64 {
+    fn random_ratio(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
@@ -74,9 +79,9 @@
         ServerId(1 + self.below(SERVERS as usize) as u64)
     }
 
-    fn handle_list(&mut self, full: bool) {
+    fn handle_list(&mut self, is_complete: bool) {
         let entries = self.entries.clone().into();
-        self.handle(Event::EndpointList { is_complete: full, is_cached: false, entries });
+        self.handle(Event::EndpointList { is_complete, is_cached: false, entries });
     }
 
     fn handle(&mut self, event: Event) {
@@ -120,72 +125,74 @@
             Action::Subscribe => writeln!(text, "subscribe"),
             Action::Log(line) => writeln!(text, "log {line}"),
         };
-        written.expect("memory");
+        written.expect("writing to a string can't fail");
     }
 
     fn write_state(&mut self) {
         for server in 1..=SERVERS {
-            let placed = self.balancer.assigned_load(ServerId(server));
-            writeln!(self.text, "placed {server} {:x}", placed.to_bits()).expect("memory");
+            let load = self.balancer.assigned_load(ServerId(server));
+            writeln!(self.text, "placed {server} {:x}", load.to_bits())
+                .expect("writing to a string can't fail");
         }
         for holding in self.balancer.holdings() {
-            let (server, group, open) = (holding.server.0, holding.group, holding.connections);
-            writeln!(self.text, "holds {server} {group} {open} {:x}", holding.load.to_bits())
-                .expect("memory");
+            let (server, group, connections) = (holding.server.0, holding.group, holding.connections);
+            writeln!(self.text, "holds {server} {group} {connections} {:x}", holding.load.to_bits())
+                .expect("writing to a string can't fail");
         }
-        let avoided: Vec<u64> =
+        let unavailable: Vec<u64> =
             self.balancer.unavailable_servers(self.now).iter().map(|server| server.0).collect();
-        writeln!(self.text, "avoided {avoided:?} waiting {}", self.balancer.waiting_requests())
-            .expect("memory");
-        let (mut known, mut at) = (Vec::new(), ExportCursor::default());
-        while at != ExportCursor::End {
-            at = self.balancer.export_state(at, 7, &mut known);
+        writeln!(self.text, "avoided {unavailable:?} waiting {}", self.balancer.waiting_requests())
+            .expect("writing to a string can't fail");
+        let (mut records, mut cursor) = (Vec::new(), ExportCursor::default());
+        while cursor != ExportCursor::End {
+            cursor = self.balancer.export_state(cursor, 7, &mut records);
         }
-        let json = serde_json::to_string(&known).expect("json");
-        writeln!(self.text, "{json}").expect("memory");
+        let json = serde_json::to_string(&records).expect("records can be serialized");
+        writeln!(self.text, "{json}").expect("writing to a string can't fail");
     }
 
     fn receive_request(&mut self, class_count: usize) {
-        self.next += 1;
-        let id = self.next;
+        self.next_id += 1;
+        let id = self.next_id;
         let (class, group, key) = (self.below(class_count), self.below(6) as u64, self.below(60) as u64);
-        let load = (self.below(3) == 0).then(|| 0.05 + self.number());
-        let returning = self.below(4) == 0;
-        let deadline = self.now + 0.3 + 2.0 * self.number();
+        let load = (self.below(3) == 0).then(|| 0.05 + self.random_ratio());
+        let is_returning = self.below(4) == 0;
+        let deadline = self.now + 0.3 + 2.0 * self.random_ratio();
         self.handle(Event::RequestReceived(Request {
             class,
             group,
             key,
             load,
-            is_returning: returning,
+            is_returning,
             deadline,
             ..request(id, self.now)
         }));
     }
 
     fn restore_connection(&mut self, class_count: usize) {
-        self.next += 1;
-        let (id, server) = (self.next, self.server());
+        self.next_id += 1;
+        let (id, server) = (self.next_id, self.server());
         let (class, group) = (self.below(class_count), self.below(6) as u64);
         self.open.insert(id, OpenRequest { id, server, attempt: 0, is_established: true });
         self.attempts.insert(id, 1);
         self.handle(Event::ConnectionRestored(Request { class, group, ..request(id, self.now) }, server));
     }
 
-    fn some_request(&mut self) -> Option<OpenRequest> {
+    fn random_request(&mut self) -> Option<OpenRequest> {
         let index = self.below(self.open.len());
         self.open.values().nth(index).copied()
     }
 
     fn establish(&mut self) {
-        let Some(open) = self.some_request() else { return };
+        let Some(open) = self.random_request() else { return };
         let OpenRequest { id, attempt, .. } = open;
         self.open.insert(id, OpenRequest { is_established: true, ..open });
         self.handle(Event::Established { request: RequestId(id), attempt });
     }
 
-    fn end(&mut self, sick: bool) {
-        let Some(open) = self.some_request() else { return };
+    /// Ends a random attempt or connection: with a random outcome, or else usually well.
+    fn end(&mut self, is_outcome_random: bool) {
+        let Some(open) = self.random_request() else { return };
         let OpenRequest { id, server, attempt, is_established } = open;
         let outcomes = [
             Outcome::Ok,
@@ -198,60 +205,56 @@
             Outcome::Cancelled,
             Outcome::NotSent,
         ];
-        let outcome =
-            if sick || self.below(3) == 0 { outcomes[self.below(outcomes.len())] } else { Outcome::Ok };
-        let complete = outcome == Outcome::Ok || is_established;
+        let outcome = if is_outcome_random || self.below(3) == 0 {
+            outcomes[self.below(outcomes.len())]
+        } else {
+            Outcome::Ok
+        };
+        let is_answered = outcome == Outcome::Ok || is_established;
         self.open.remove(&id);
         let request = RequestId(id);
-        self.handle(Event::AttemptEnded {
-            request,
-            server,
-            attempt,
-            outcome,
-            is_answered: complete,
-            load_ratio: None,
-        });
+        self.handle(Event::AttemptEnded { request, server, attempt, outcome, is_answered, load_ratio: None });
     }
 
     fn change_list(&mut self) {
-        let at = self.below(self.entries.len());
+        let index = self.below(self.entries.len());
         let now = self.now;
-        let what = self.below(5);
-        let entry = &mut self.entries[at];
-        match what {
+        let change = self.below(5);
+        let entry = &mut self.entries[index];
+        match change {
             0 => entry.state = ServerState::Draining,
             1 => entry.state = ServerState::Removed,
             2 => (entry.state, entry.started_at) = (ServerState::Ready, now),
             _ => entry.state = ServerState::Ready,
         }
-        let full = self.below(2) == 0;
-        self.handle_list(full);
+        let is_complete = self.below(2) == 0;
+        self.handle_list(is_complete);
     }
 
     fn report_remote_loads(&mut self) {
-        let mut away = BTreeMap::new();
+        let mut loads = BTreeMap::new();
         for server in 1..=SERVERS {
-            let (load, open) = (self.number() * 20.0, (self.number() * 30.0).floor());
+            let (load, connections) = (self.random_ratio() * 20.0, (self.random_ratio() * 30.0).floor());
             let groups = (0..self.below(4) as u32).collect();
-            away.insert(ServerId(server), RemoteLoad { load, connections: open, groups });
+            loads.insert(ServerId(server), RemoteLoad { load, connections, groups });
         }
-        let heard = self.below(5) > 0;
-        self.handle(Event::RemoteLoadsUpdated(heard.then(|| Arc::new(away))));
+        let are_known = self.below(5) > 0;
+        self.handle(Event::RemoteLoadsUpdated(are_known.then(|| Arc::new(loads))));
     }
 
     fn end_probe(&mut self) {
         if self.probes.is_empty() {
             return;
         }
-        let at = self.below(self.probes.len());
-        let server = self.probes.swap_remove(at);
+        let index = self.below(self.probes.len());
+        let server = self.probes.swap_remove(index);
         let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::ConnectFailed];
         let outcome = outcomes[self.below(outcomes.len())];
         self.handle(Event::ProbeEnded { server, outcome, load_ratio: None });
     }
 
-    fn advance(&mut self, span: f64) {
-        let until = self.now + span;
+    fn advance(&mut self, seconds: f64) {
+        let until = self.now + seconds;
         loop {
             self.timers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             if self.timers.first().is_none_or(|timer| timer.0 > until) {
@@ -264,62 +267,63 @@
         self.now = until;
     }
 
-    fn step(&mut self, day: &Day, classes: usize) {
+    fn step(&mut self, inputs: &Inputs, class_count: usize) {
         match self.below(40) {
-            0..=9 => self.receive_request(classes),
-            10 => self.restore_connection(classes),
+            0..=9 => self.receive_request(class_count),
+            10 => self.restore_connection(class_count),
             11..=17 => self.establish(),
             18..=20 => self.end(false),
             21 => self.end(true),
             22 => self.change_list(),
             23 => {
-                let (server, delay) = (self.server(), self.number() * 0.1);
+                let (server, delay) = (self.server(), self.random_ratio() * 0.1);
                 self.handle(Event::MessageDelay { server, delay });
             }
             24 => {
-                let Some(OpenRequest { id, .. }) = self.some_request() else { return };
-                let load = self.number() * 2.0;
+                let Some(OpenRequest { id, .. }) = self.random_request() else { return };
+                let load = self.random_ratio() * 2.0;
                 self.handle(Event::LoadChanged { request: RequestId(id), load });
             }
             25 => {
-                let request = RequestId(1 + self.below(self.next as usize) as u32);
+                let request = RequestId(1 + self.below(self.next_id as usize) as u32);
                 self.handle(Event::ClientLeft(request));
             }
-            26 if day.has_remote_loads => self.report_remote_loads(),
-            27 | 28 if day.capacity > 0.0 => {
-                let (server, load) = (self.server(), day.capacity * (0.5 + self.number()));
-                let entries = 0.2 + self.number();
-                self.handle(Event::CapacityEstimated { server, load, setup_rate: entries });
+            26 if inputs.has_remote_loads => self.report_remote_loads(),
+            27 | 28 if inputs.capacity > 0.0 => {
+                let (server, load) = (self.server(), inputs.capacity * (0.5 + self.random_ratio()));
+                let setup_rate = 0.2 + self.random_ratio();
+                self.handle(Event::CapacityEstimated { server, load, setup_rate });
             }
-            29 if day.capacity > 0.0 => {
-                let mean = 0.3 + 0.2 * self.number();
+            29 if inputs.capacity > 0.0 => {
+                let mean = 0.3 + 0.2 * self.random_ratio();
                 self.handle(Event::MeanLoadEstimated(mean));
             }
             30..=32 => self.end_probe(),
             33 if self.below(6) == 0 => self.handle(Event::DiscoveryFailed),
             34 => {
-                let Some(OpenRequest { id, .. }) = self.some_request() else { return };
-                let (to, until) = (self.server(), self.now + self.number());
-                let standing = self.balancer.established(RequestId(id));
-                writeln!(self.text, "standing {:?}", standing.map(|s| s.1.map(f64::to_bits)))
-                    .expect("memory");
-                self.balancer.on_migrated(RequestId(id), Some(to), until);
+                let Some(OpenRequest { id, .. }) = self.random_request() else { return };
+                let (target, expires_at) = (self.server(), self.now + self.random_ratio());
+                let established = self.balancer.established(RequestId(id));
+                writeln!(self.text, "standing {:?}", established.map(|request| request.1.map(f64::to_bits)))
+                    .expect("writing to a string can't fail");
+                self.balancer.on_migrated(RequestId(id), Some(target), expires_at);
             }
             35 => {
-                let yes = self.below(4) > 0;
-                self.balancer.allow_retries(yes);
+                let are_allowed = self.below(4) > 0;
+                self.balancer.allow_retries(are_allowed);
             }
             _ => {
-                let span = self.number() * 0.1;
-                self.advance(span);
+                let seconds = self.random_ratio() * 0.1;
+                self.advance(seconds);
             }
         }
     }
 }
 
+/// Events of a replay that depend on the code around the balancer.
 #[derive(Default)]
-struct Day {
-    /// What a server can sustain of this instance's load, about; 0 where it is not estimated.
+struct Inputs {
+    /// What a server can sustain of this instance's load, on average; 0 if it is not estimated.
     capacity: f64,
     /// Whether the loads of other instances are reported.
     has_remote_loads: bool,
@@ -333,70 +337,75 @@
         Idempotency::Keyed(DeduplicationScope::Zone, 1.0),
         Idempotency::Keyed(DeduplicationScope::Cell, 0.5),
     ];
-    let class = |semantics| RequestClass {
+    let class = |idempotency| RequestClass {
         latency_objective: 0.5,
         priority_weight: 1.0,
-        idempotency: semantics,
+        idempotency,
         message_latency_objective: 0.1,
     };
     all.into_iter().map(class).collect()
 }
 
-/// Plays a day, hands what was learned to a fresh instance, and plays on with that.
-fn play(set: &Settings, day: &Day, seed: u64) -> u64 {
-    let mut replay = Replay::new(set.clone(), seed);
+/// Replays random events, restores the learned state into a new instance, and goes on there. Returns the hash
+/// of the text.
+fn replay_hash(settings: &Settings, inputs: &Inputs, seed: u64) -> u64 {
+    let mut replay = Replay::new(settings.clone(), seed);
     for step in 0..STEPS {
-        replay.step(day, set.classes.len());
+        replay.step(inputs, settings.classes.len());
         if step % 200 == 0 {
             replay.write_state();
         }
     }
-    let (mut known, mut at) = (Vec::new(), ExportCursor::default());
-    while at != ExportCursor::End {
-        at = replay.balancer.export_state(at, 64, &mut known);
+    let (mut records, mut cursor) = (Vec::new(), ExportCursor::default());
+    while cursor != ExportCursor::End {
+        cursor = replay.balancer.export_state(cursor, 64, &mut records);
     }
-    for away in [false, true] {
-        let mut next = Replay::new(set.clone(), seed + 1);
-        next.now = replay.now + 0.7;
-        next.entries.clone_from(&replay.entries);
-        next.handle_list(true);
-        let counts = next.balancer.restore(next.now, 0.7, away, &known);
+    for are_connections_lost in [false, true] {
+        let mut restored = Replay::new(settings.clone(), seed + 1);
+        restored.now = replay.now + 0.7;
+        restored.entries.clone_from(&replay.entries);
+        restored.handle_list(true);
+        let counts = restored.balancer.restore(restored.now, 0.7, are_connections_lost, &records);
         let counts = (counts.restored, counts.outdated, counts.expired, counts.invalid);
-        writeln!(next.text, "recalled {counts:?}").expect("memory");
+        writeln!(restored.text, "recalled {counts:?}").expect("writing to a string can't fail");
         for _ in 0..STEPS / 4 {
-            next.step(day, set.classes.len());
+            restored.step(inputs, settings.classes.len());
         }
-        next.write_state();
-        replay.text.push_str(&next.text);
+        restored.write_state();
+        replay.text.push_str(&restored.text);
     }
     XxHash3_64::oneshot(replay.text.as_bytes())
 }
 
-fn check(set: Settings, day: &Day, expected: [u64; 3]) {
-    let played = [1, 2, 3].map(|seed| play(&set, day, seed));
-    assert_eq!(played.map(|hash| format!("{hash:#018x}")), expected.map(|hash| format!("{hash:#018x}")));
+fn check(settings: Settings, inputs: &Inputs, expected: [u64; 3]) {
+    let hashes = [1, 2, 3].map(|seed| replay_hash(&settings, inputs, seed));
+    assert_eq!(hashes.map(|hash| format!("{hash:#018x}")), expected.map(|hash| format!("{hash:#018x}")));
 }
 
 #[test]
-fn a_plain_day() {
-    let set = Settings { classes: classes(), ..settings() };
-    check(set, &Day::default(), [0xb25c_86d1_66f5_6b02, 0xfcc0_6433_cdca_008a, 0xcde4_8803_4037_e863]);
+fn replay_without_estimates_of_loads() {
+    let settings = Settings { classes: classes(), ..settings() };
+    check(
+        settings,
+        &Inputs::default(),
+        [0xb25c_86d1_66f5_6b02, 0xfcc0_6433_cdca_008a, 0xcde4_8803_4037_e863],
+    );
 }
 
 #[test]
-fn a_day_with_estimates_and_a_polled_registry() {
-    let set = Settings { classes: classes(), polls_discovery: true, may_probe: true, ..settings() };
+fn replay_with_capacity_estimates_and_polled_discovery() {
+    let settings = Settings { classes: classes(), polls_discovery: true, may_probe: true, ..settings() };
     check(
-        set,
-        &Day { capacity: 2.5, has_remote_loads: false },
+        settings,
+        &Inputs { capacity: 2.5, has_remote_loads: false },
         [0xebfd_258b_ff29_ec19, 0xad4d_cff3_7081_8d2c, 0x635c_86ba_b6c3_9f4b],
     );
 }
 
 #[test]
-fn a_day_of_a_small_part_that_probes() {
+fn replay_of_an_instance_with_a_small_share_that_probes() {
     let quota = vec![150.0, 200.0];
-    let set = Settings {
+    let settings = Settings {
         classes: classes(),
         may_probe: true,
         instance_count: 100.0,
@@ -404,26 +413,26 @@
         ..settings()
     };
     check(
-        set,
-        &Day { capacity: 0.1, has_remote_loads: false },
+        settings,
+        &Inputs { capacity: 0.1, has_remote_loads: false },
         [0x6d9e_065e_9e1d_8a15, 0x38d5_120a_cb5d_16dd, 0xbd8b_2d22_383d_6a4a],
     );
 }
 
 #[test]
-fn a_day_on_which_other_proxies_are_heard_of() {
-    let set =
+fn replay_with_load_reports_of_other_instances() {
+    let settings =
         Settings { classes: classes(), may_probe: true, tenant_connection_quotas: vec![900.0], ..settings() };
     check(
-        set,
-        &Day { capacity: 2.5, has_remote_loads: true },
+        settings,
+        &Inputs { capacity: 2.5, has_remote_loads: true },
         [0x03df_2e43_cc08_af10, 0x6af3_d9e1_77e4_13dc, 0xc2e1_8fff_0740_f288],
     );
 }
 
 #[test]
-fn a_day_of_packets_that_pass_through_at_a_price() {
-    let set = Settings {
+fn replay_in_pass_through_mode_with_a_zone_crossing_cost() {
+    let settings = Settings {
         classes: classes(),
         is_pass_through: true,
         zone_crossing_cost: 0.1,
@@ -431,5 +440,9 @@
         parked_connection_timeout: 1.5,
         ..settings()
     };
-    check(set, &Day::default(), [0x0e2a_e5d8_5320_59da, 0x42a2_7c36_87c5_92c2, 0xe1bd_235e_3274_3378]);
+    check(
+        settings,
+        &Inputs::default(),
+        [0x0e2a_e5d8_5320_59da, 0x42a2_7c36_87c5_92c2, 0xe1bd_235e_3274_3378],
+    );
 }
