--- a/crates/decisions/src/embedding_api.rs
+++ b/crates/decisions/src/embedding_api.rs
@@ -1,6 +1,6 @@
-//! What the code that embeds a balancer reads from it and tells it in addition to events: it reports loads
-//! and connections to other instances, and passes on decisions on retries and migrations that were made
-//! outside the balancer.
+//! What the code that embeds a balancer exchanges with it in addition to events and actions. The embedding
+//! code reads loads and connections, which it reports to other instances, and passes on decisions on retries
+//! and migrations that are made outside the balancer.
 
 use std::collections::BTreeMap;
 
--- a/crates/decisions/src/fleet_placement.rs
+++ b/crates/decisions/src/fleet_placement.rs
@@ -33,7 +33,9 @@
     is_cross_zone: bool,
     /// Whether any instance has connections of the request's group at the server.
     holds_group: bool,
+    /// Listed weight multiplied by the warm-up ratio.
     capacity: f64,
+    /// Load of all instances together, including overheads.
     load: f64,
     /// Load that the request would add, including overheads.
     added_load: f64,
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -99,7 +99,7 @@
     pub max_attempts: u32,
     /// An attempt to connect fails if no connection is made within this many seconds.
     pub connect_timeout: f64,
-    /// Longest retry-after, in seconds, that a rejected client observes.
+    /// Longest retry-after, in seconds, that a rejected client respects.
     pub max_retry_after: f64,
     /// Whether a rejection carries a retry-after.
     pub sends_retry_after: bool,
--- a/crates/decisions/src/persistence/records.rs
+++ b/crates/decisions/src/persistence/records.rs
@@ -14,10 +14,10 @@
     Server(ServerRecord),
     /// A group of clients.
     Group(GroupRecord),
-    /// A client has left and is expected to reconnect.
+    /// A reservation for a client that has left and is expected to reconnect.
     #[serde(rename = "place")]
     Reservation(ReservationRecord),
-    /// A client is connected, and is expected to reconnect if its connection is lost.
+    /// A connected client, which is expected to reconnect if its connection is lost.
     #[serde(rename = "stands")]
     Connection(ReservationRecord),
 }
--- a/crates/decisions/src/rate_limit.rs
+++ b/crates/decisions/src/rate_limit.rs
@@ -59,8 +59,8 @@
 
     /// Adds the permits that are due, and returns whether an attempt may begin.
     pub fn refill(&mut self, now: f64) -> bool {
-        let most = 1.0 + self.per_second * BURST_SECONDS;
-        self.permits = (self.permits + (now - self.refilled_at) * self.per_second).min(most);
+        let max_permits = 1.0 + self.per_second * BURST_SECONDS;
+        self.permits = (self.permits + (now - self.refilled_at) * self.per_second).min(max_permits);
         self.refilled_at = now;
         self.is_unlimited() || self.permits >= 1.0
     }
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -85,8 +85,9 @@
         let is_harmless =
             tracked.attempt_server.is_none() && (tracked.possible_run.is_none() || is_idempotent);
         if is_harmless {
-            let longest = if self.settings.sends_retry_after { self.settings.max_retry_after } else { 0.0 };
-            let retry_after = longest * RETRY_AFTER_RATIO * (0.5 + self.draw());
+            let max_retry_after =
+                if self.settings.sends_retry_after { self.settings.max_retry_after } else { 0.0 };
+            let retry_after = max_retry_after * RETRY_AFTER_RATIO * (0.5 + self.draw());
             actions.push(Action::Reject { request: id, retry_after });
         } else {
             actions.push(Action::Fail(id));
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -30,11 +30,11 @@
     /// Takes a server that can't be reached out of service until a probe or a single trial succeeds.
     pub(crate) fn quarantine(&mut self, now: f64, id: ServerId) {
         let jitter = 0.75 + 0.5 * self.draw();
-        let initial = self.settings.connect_timeout * QUARANTINE_CONNECT_TIMEOUTS;
-        let longest = (self.settings.warm_up_time * MAX_QUARANTINE_WARM_UP_TIMES).max(initial);
+        let first_pause = self.settings.connect_timeout * QUARANTINE_CONNECT_TIMEOUTS;
+        let max_pause = (self.settings.warm_up_time * MAX_QUARANTINE_WARM_UP_TIMES).max(first_pause);
         if let Some(server) = self.servers.get_mut(id) {
-            let doubled = (server.trial_backoff * 2.0).min(longest);
-            server.trial_backoff = if server.is_quarantined { doubled } else { initial };
+            let doubled = (server.trial_backoff * 2.0).min(max_pause);
+            server.trial_backoff = if server.is_quarantined { doubled } else { first_pause };
             server.is_quarantined = true;
             server.trial_at = now + server.trial_backoff * jitter;
         }
--- a/crates/decisions/tests/probing.rs
+++ b/crates/decisions/tests/probing.rs
@@ -116,8 +116,8 @@
     assert!(!instance.balancer.unavailable_servers(instance.now).contains(&probed[0]));
 }
 
-/// A fleet whose servers answer probes like those of the reference platform: at full speed up to a load ratio
-/// of 0.3, and at a fifth of it from 1.1 on.
+/// A fleet whose servers answer probes like those of the platform: at full speed up to a load ratio of 0.3,
+/// and at a fifth of it from 1.1 on.
 struct Fleet {
     instances: Vec<TestInstance>,
     /// Established connections: instance, request, server, group.
@@ -163,7 +163,7 @@
     }
 
     /// Connects one client, and ends the oldest connection if there are `MAX_CONNECTIONS`. The sizes of the
-    /// groups are as unequal as on the reference platform.
+    /// groups are as unequal as on the platform.
     fn connect_client(&mut self, id: u32) {
         self.now += 0.014;
         if self.connections.len() >= MAX_CONNECTIONS {
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that the balancer must obey. Each test fails if the code that enforces its rule is removed.
+//! The four rules that the balancer must obey. Each test fails if the code that enforces its rule is removed.
 
 mod common;
 use common::{
