--- a/crates/decisions/src/hashing.rs
+++ b/crates/decisions/src/hashing.rs
@@ -29,6 +29,6 @@
 
 /// A pseudo-random number between 0 and 1 that depends on `key`, the server and the start time of its
 /// process.
-pub fn random_rank(key: u64, server: ServerId, started_at: f64) -> f64 {
+pub fn pseudo_random_ratio(key: u64, server: ServerId, started_at: f64) -> f64 {
     to_unit_interval(hash_pair(hash_pair(key, server.0), started_at.to_bits()))
 }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -8,7 +8,7 @@
 //! Where an instance's share of a server is small, most slots remain unused. More slots are assigned then,
 //! and the limit is no longer guaranteed. During a reconnect surge the strict count applies.
 
-use crate::hashing::{hash_pair, random_rank, to_unit_interval};
+use crate::hashing::{hash_pair, pseudo_random_ratio, to_unit_interval};
 use crate::interface::Settings;
 use crate::load::LoadEstimates;
 use crate::reconnect_surge::ReconnectSurge;
@@ -124,7 +124,7 @@
         // Rounded pseudo-randomly, so that many instances with a share below one connection don't all send a
         // request.
         let entry = &server.entry;
-        let rounding = random_rank(inputs.settings.instance_index, entry.server, entry.started_at);
+        let rounding = pseudo_random_ratio(inputs.settings.instance_index, entry.server, entry.started_at);
         server.warm_up_admissions + rounding < connections
     }
 
--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -1,6 +1,6 @@
 //! The choice of the next migration: what it gains, what it costs, and which connections migrate together.
 
-use shorewharf_decisions::hashing::{random_rank, rendezvous_rank};
+use shorewharf_decisions::hashing::{pseudo_random_ratio, rendezvous_rank};
 use shorewharf_decisions::{RequestId, ServerId};
 
 use super::cluster_snapshot::{ClusterSnapshot, GROUP_COST, LEVEL_TOLERANCE, PlacedConnection, ServerLoad};
@@ -266,6 +266,6 @@
         let age = context.now - self.target.started_at;
         let opening_time = (context.warm_up_time - FIRST_GROUP_AGE).max(0.1);
         let open_ratio = ((age - FIRST_GROUP_AGE) / opening_time).clamp(0.0, 1.0);
-        random_rank(self.group, self.target.id, self.target.started_at) <= open_ratio
+        pseudo_random_ratio(self.group, self.target.id, self.target.started_at) <= open_ratio
     }
 }
