--- a/crates/decisions/src/persistence/restore.rs
+++ b/crates/decisions/src/persistence/restore.rs
@@ -35,7 +35,7 @@
 
 impl RestoreCounts {
     /// Adds the numbers of two restores.
-    pub fn and(self, other: RestoreCounts) -> RestoreCounts {
+    pub fn plus(self, other: RestoreCounts) -> RestoreCounts {
         RestoreCounts {
             restored: self.restored + other.restored,
             outdated: self.outdated + other.outdated,
--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -211,7 +211,7 @@
                 Restored::Invalid => counts.invalid += 1,
             }
         }
-        self.balancer.restore(now, age, connections_are_lost, &known).and(counts)
+        self.balancer.restore(now, age, connections_are_lost, &known).plus(counts)
     }
 
     fn restore_load_model(&mut self, model: &LoadModel) -> Restored {
