--- a/crates/recovery/src/protected_balancer.rs
+++ b/crates/recovery/src/protected_balancer.rs
@@ -215,7 +215,7 @@
                 RestoreOutcome::Invalid => counts.invalid += 1,
             }
         }
-        self.balancer.restore(now, age, connections_are_lost, &balancer_records).and(counts)
+        self.balancer.restore(now, age, connections_are_lost, &balancer_records).plus(counts)
     }
 
     fn restore_load_model(&mut self, model: &LoadModel) -> RestoreOutcome {
