--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -19,8 +19,8 @@
 pub use closing::CloseProgress;
 pub use opening::{FirstLine, WaitingActivity};
 
-/// Time within which a client that has connected must send its complete first line. A client that doesn't
-/// must see its connection closed within 3 s.
+/// Time within which a client that has connected must send its complete first line. The connection of a
+/// client that sends none must be closed within 3 s.
 const FIRST_LINE_TIMEOUT: Micros = 2_500_000;
 /// Time within which one side must close after the other has. The whole connection must be closed within a
 /// second.
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -25,7 +25,7 @@
 /// The index of the worker that is connected to the other processes.
 const PRIMARY_WORKER: usize = 0;
 
-/// Messages of other processes, and changes in which of them are connected.
+/// Messages from other processes, and changes in which of them are connected.
 impl EventLoop {
     /// Handles readiness of the connection to another process.
     pub(super) fn on_sibling_ready(&mut self, source: EventSource) {
--- a/crates/balancer/src/overload/monitor.rs
+++ b/crates/balancer/src/overload/monitor.rs
@@ -24,10 +24,10 @@
 const WINDOW: Micros = 500_000;
 /// Number of consecutive windows that begin or end an overload. Stalls of the machine are shorter than that.
 const WINDOWS_TO_CHANGE: u32 = 2;
-/// A window lags if the loop is busy for at least this share of it and lagging for at least
-/// [`MIN_LAG_RATIO`].
+/// A window lags only if the loop is busy for at least this share of it.
 const MIN_BUSY_RATIO: f64 = 0.95;
-/// The share of a window for which a lagging loop has long iterations or waiting clients.
+/// A window lags only if at least this share of it passes in long iterations or with clients waiting to be
+/// accepted.
 const MIN_LAG_RATIO: f64 = 0.9;
 /// Lower bound of the share of new clients that is admitted.
 const MIN_ADMIT_RATIO: f64 = 0.05;
@@ -67,7 +67,8 @@
     overload: Option<Overload>,
     /// The share of new clients that is admitted.
     admit_ratio: f64,
-    /// The sum of admitted shares since the last admission; a new client is admitted once it reaches 1.
+    /// Grows by `admit_ratio` for each new client. A client is admitted whenever this reaches 1, which is
+    /// then deducted.
     admit_credit: f64,
 }
 
@@ -92,7 +93,7 @@
         self.long_iteration = long_iteration.clamp(MIN_LONG_ITERATION, MAX_LONG_ITERATION);
     }
 
-    /// The maximum number of clients that the next iteration accepts.
+    /// The maximum number of clients that the next iteration may accept.
     pub fn max_accepts(&self) -> usize {
         self.max_accepts
     }
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -104,7 +104,7 @@
         self.answer(context, id, Answer::Failed, Cause::BadRequest);
     }
 
-    /// Handles a complete first line: has the request in it placed, or rejects it.
+    /// Handles a complete first line: passes its request on for placement, or rejects it.
     fn on_request(&mut self, context: &mut LoopContext, id: RequestId, line: &[u8]) {
         let open = match parse_open(line, &self.settings.names) {
             Ok(open) => open,
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// If connect(2) fails immediately, and so do its retries.
+    /// If connect(2) fails at once, after the retries if it fails for local reasons.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         for _ in 1..MAX_CONNECT_TRIES {
             match Connection::connect_once(to) {
