--- a/crates/balancer/src/admin/server/tests.rs
+++ b/crates/balancer/src/admin/server/tests.rs
@@ -56,7 +56,7 @@
     until(|| {
         let numbers: Vec<u64> = server.connections.keys().copied().collect();
         numbers.into_iter().for_each(|number| {
-            server.on_ready(&mut context, EventSource::AdminConnection(number), ALL_READY)
+            server.on_ready(&mut context, EventSource::AdminConnection(number), ALL_READY);
         });
         server.connections.is_empty()
     });
--- a/crates/balancer/src/proxy/requests.rs
+++ b/crates/balancer/src/proxy/requests.rs
@@ -45,7 +45,7 @@
                 WaitingActivity::Silent => {}
                 // Forwarded to the server later, this data would be malformed there.
                 WaitingActivity::SentData => {
-                    self.reject_malformed(context, id, "sent data before its answer")
+                    self.reject_malformed(context, id, "sent data before its answer");
                 }
                 WaitingActivity::Closed => self.on_client_left(context, id),
             },
