--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -335,21 +335,22 @@
         gossip.peers,
         [Peer { name: "n4".to_owned(), address: "127.0.0.2:8700".parse().expect("an address") }]
     );
-    assert_eq!((gossip.rules.interval, gossip.rules.fanout), (75_000, 4));
+    assert_eq!((gossip.settings.interval, gossip.settings.fanout), (75_000, 4));
     let fleet = config.budgets.expect("budgets are configured");
-    let rules = &fleet.rules;
+    let settings = &fleet.settings;
     assert_eq!((fleet.store.len(), fleet.prefix.as_str()), (2, "fleet-a"));
     assert_eq!(
-        (rules.lease, rules.clock_margin, rules.poll_interval, rules.drain_time),
+        (settings.lease, settings.clock_margin, settings.poll_interval, settings.drain_time),
         (4_500_000, 250_000, 125_000, 5_500_000)
     );
     assert_eq!(
-        (rules.reserve_ratio, rules.even_ratio, rules.max_members, rules.member_index),
+        (settings.reserve_ratio, settings.even_ratio, settings.max_members, settings.member_index),
         (0.125, 0.0625, 3, 1)
     );
     let tenant_budget = |tenant: &str| Some(format!("connections of {tenant}"));
     assert_eq!(fleet.tenant_budgets, [tenant_budget("acme"), tenant_budget("zeta")]);
-    let budgets: Vec<_> = rules.budgets.iter().map(|budget| (budget.name.as_str(), budget.total)).collect();
+    let budgets: Vec<_> =
+        settings.budgets.iter().map(|budget| (budget.name.as_str(), budget.total)).collect();
     assert_eq!(
         budgets,
         [("connections of acme", 1000.0), ("connections of zeta", 2000.0), ("set-ups", 500.5)]
--- a/crates/balancer/src/fleet/budget_config.rs
+++ b/crates/balancer/src/fleet/budget_config.rs
@@ -24,8 +24,8 @@
     pub store: Vec<String>,
     /// The prefix of all keys in the store.
     pub prefix: String,
-    /// The budgets, and the rules by which they are divided.
-    pub rules: BudgetSettings,
+    /// The budgets, and the settings by which they are divided.
+    pub settings: BudgetSettings,
     /// The names of the connection budgets by tenant index; `None` for a tenant without a budget.
     pub tenant_budgets: Vec<Option<String>>,
 }
@@ -58,9 +58,9 @@
         "budgets.set_ups: nothing is shared: expected set_ups, or tenants and tenant quotas in the settings"
     )]
     NothingShared,
-    /// The budgets can't be divided by these rules.
+    /// The budgets can't be divided by these settings.
     #[error("{}: {}", operator_key(.0.key()), .0)]
-    InvalidRules(SettingsError),
+    InvalidSettings(SettingsError),
 }
 
 /// The reason why the file with the members can't be used.
@@ -88,14 +88,14 @@
             Self::NoMembers | Self::InvalidMembers { .. } => "budgets.members",
             Self::SlashInName(_) => "name",
             Self::NothingShared => "budgets.set_ups",
-            Self::InvalidRules(error) => operator_key(error.key()),
+            Self::InvalidSettings(error) => operator_key(error.key()),
         }
     }
 }
 
 /// The key of a budget setting in the operator's file.
-fn operator_key(rule: &str) -> &'static str {
-    match rule {
+fn operator_key(setting: &str) -> &'static str {
+    match setting {
         "lease" => "budgets.lease_s",
         "margin" => "budgets.margin_s",
         "reserve" => "budgets.reserve",
@@ -184,7 +184,7 @@
             return Err(BudgetConfigError::NothingShared);
         }
         budgets.sort_by(|a, b| a.name.cmp(&b.name));
-        let rules = BudgetSettings {
+        let budget_settings = BudgetSettings {
             budgets,
             lease: micros_from_seconds(section.lease_s),
             clock_margin: micros_from_seconds(section.clock_margin_s),
@@ -195,9 +195,9 @@
             max_members: membership.count,
             member_index: membership.index,
         };
-        rules.check().map_err(BudgetConfigError::InvalidRules)?;
+        budget_settings.check().map_err(BudgetConfigError::InvalidSettings)?;
         let (store, prefix) = (section.store_endpoints.clone(), section.key_prefix.clone());
-        Ok(Some(BudgetConfig { store, prefix, rules, tenant_budgets: tenant_names }))
+        Ok(Some(BudgetConfig { store, prefix, settings: budget_settings, tenant_budgets: tenant_names }))
     }
 }
 
--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -19,7 +19,10 @@
         BudgetConfig::read(section, &settings, &NameIndex::default(), balancer)
     };
     let config = read(&valid, "n2").expect("a valid section").expect("budgets are configured");
-    assert_eq!((config.rules.max_members, config.rules.member_index, config.rules.lease), (2, 1, 3_000_000));
+    assert_eq!(
+        (config.settings.max_members, config.settings.member_index, config.settings.lease),
+        (2, 1, 3_000_000)
+    );
     assert!(read(&Budgets::default(), "n2").expect("a valid section").is_none());
     let error_of = |change: &dyn Fn(&mut Budgets), balancer: &str| {
         let mut section = valid.clone();
--- a/crates/balancer/src/fleet/budgets.rs
+++ b/crates/balancer/src/fleet/budgets.rs
@@ -107,10 +107,10 @@
         let store = address
             .open(unix_now)
             .map_err(|error| ConfigError::from(BudgetConfigError::InvalidStore(error)))?;
-        let allocations = Arc::new(Mutex::new(Allocations::new(now, &budgets.rules)));
+        let allocations = Arc::new(Mutex::new(Allocations::new(now, &budgets.settings)));
         let (commands, command_inbox) = channel();
         let worker = StoreWorker {
-            member: Member::new(now, budgets.rules.clone(), &config.name, unix_now),
+            member: Member::new(now, budgets.settings.clone(), &config.name, unix_now),
             allocations: Arc::clone(&allocations),
             address,
             store,
@@ -143,10 +143,10 @@
     /// Applies the totals of a reloaded configuration. Other changes take effect only after a restart.
     pub fn update_totals(&self, config: &BudgetConfig) {
         // Sending fails only after the thread has ended, and then the process is about to end.
-        let _ = self.commands.send(Command::UpdateSettings(config.rules.clone()));
+        let _ = self.commands.send(Command::UpdateSettings(config.settings.clone()));
     }
 
-    /// Returns this balancer's allocations to the fleet, and waits for that up to [`LEAVE_TIMEOUT`].
+    /// Returns this balancer's allocations to the fleet, and waits for that up to `LEAVE_TIMEOUT`.
     pub fn leave(self) {
         let _ = self.commands.send(Command::Leave);
         // No message is ever sent on this channel. It is closed when the thread ends.
@@ -221,7 +221,7 @@
         let mut allocations = lock(&self.allocations);
         match command {
             Command::UpdateSettings(next) => {
-                // Only the totals change. The set of budgets and the rules of their division change only with a restart.
+                // Only the totals change. The set of budgets and the way they are divided change only with a restart.
                 let mut settings = self.member.settings().clone();
                 for budget in &mut settings.budgets {
                     if let Some(updated) = next.budgets.iter().find(|next| next.name == budget.name) {
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -78,13 +78,13 @@
         context.schedule_after(0, TimerEvent::Gossip);
         let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let identity = Identity { name, incarnation: started_at.as_micros() as u64 };
-        let options = GossipOptions { key: config.key.clone(), settings: config.rules, seed };
+        let options = GossipOptions { key: config.key.clone(), settings: config.settings, seed };
         GossipTransport {
             address,
             socket: None,
             peers: config.peers.clone(),
             gossip: Gossip::new(context.now, identity, &peer_names(config), options),
-            interval: config.rules.interval,
+            interval: config.settings.interval,
             has_unread: false,
             is_due: false,
             last_reported: context.now,
@@ -102,7 +102,7 @@
     }
 
     /// Handles the timer: opens the socket unless it is open, and marks an announcement as due. If the socket can't be opened,
-    /// the next attempt follows after [`SOCKET_RETRY_DELAY`].
+    /// the next attempt follows after `SOCKET_RETRY_DELAY`.
     pub fn on_timer(&mut self, context: &mut LoopContext) {
         if self.socket.is_none()
             && let Err(e) = self.open_socket(context)
--- a/crates/balancer/src/fleet/gossip_config.rs
+++ b/crates/balancer/src/fleet/gossip_config.rs
@@ -19,7 +19,7 @@
     /// The key that all balancers of the fleet share.
     pub key: Key,
     /// The settings of gossip, such as its interval and fanout.
-    pub rules: GossipSettings,
+    pub settings: GossipSettings,
 }
 
 /// Another balancer of the fleet.
@@ -110,12 +110,12 @@
         let mut peers = read_peers(path)?;
         peers.retain(|peer| peer.name != balancer);
         let key = read_key(section.key_file.as_ref().ok_or(GossipConfigError::NoKey)?)?;
-        let rules = GossipSettings {
+        let settings = GossipSettings {
             interval: section.interval_ms * MICROS_PER_MILLISECOND,
             fanout: section.fanout,
             ..GossipSettings::default()
         };
-        Ok(Some(GossipConfig { peers, key, rules }))
+        Ok(Some(GossipConfig { peers, key, settings }))
     }
 }
 
--- a/crates/balancer/src/servers/attempt.rs
+++ b/crates/balancer/src/servers/attempt.rs
@@ -45,7 +45,7 @@
     Accepted,
     /// The answer, or the close of the connection, ends the attempt with this outcome.
     Ended(Outcome),
-    /// A message that the protocol does not allow here. Contains its first [`MAX_LOGGED_ANSWER_BYTES`] bytes.
+    /// A message that the protocol does not allow here. Contains its first `MAX_LOGGED_ANSWER_BYTES` bytes.
     Unexpected(String),
     /// A line that exceeds the protocol's length limit.
     LineTooLong,
