--- a/crates/gossip/src/announcement.rs
+++ b/crates/gossip/src/announcement.rs
@@ -1,48 +1,48 @@
-//! An announcement of what one balancer holds, and its format in a datagram.
+//! An announcement of the connections of one balancer, and its encoding in a datagram.
 
 use twox_hash::XxHash3_64;
 
 use crate::error::RejectReason;
 
-/// Holdings that fit into an announcement.
+/// The maximum number of holdings in an announcement.
 pub const MAX_HOLDINGS: usize = 60;
-/// Length of an announcement without its holdings: sender, incarnation, time and count.
+/// The length of an announcement without its holdings: sender, incarnation, time and count.
 const HEADER_BYTES: usize = 8 + 8 + 4 + 1;
-/// Length of a holding: server, group, load and connections.
+/// The length of a holding: server, group, load and number of connections.
 const HOLDING_BYTES: usize = 8 + 4 + 4 + 2;
 
-/// The id of the balancer of this name, the same at all of them.
+/// Returns the id of the balancer of this name, which is the same at all balancers.
 pub fn sender_id(name: &str) -> u64 {
     XxHash3_64::oneshot(name.as_bytes())
 }
 
-/// Connections of one group that a balancer holds at one server.
+/// The connections of one group that a balancer holds to one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnnouncedHolding {
     /// The server's id.
     pub server: u64,
-    /// The lower half of the group's id; 0 where there is none.
+    /// The lower half of the group's id; 0 if there is no group.
     pub group: u32,
-    /// Their load, as work a second in the unit of list weights.
+    /// The load of the connections, in work per second, in the unit of the weights in the endpoint list.
     pub load: f32,
-    /// Number of connections.
+    /// The number of connections.
     pub connections: u16,
 }
 
-/// What one balancer holds.
+/// The announcement of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announcement {
-    /// The balancer that made it.
+    /// The id of the balancer that made the announcement.
     pub sender: u64,
-    /// The balancer's incarnation: when its process began, as Unix time in microseconds.
+    /// The balancer's incarnation: the start time of its process, as Unix time in microseconds.
     pub incarnation: u64,
-    /// When it was made, in milliseconds since that begin.
+    /// The time when the announcement was made, in milliseconds since the start of the process.
     pub made_at_ms: u32,
-    /// What the balancer holds.
+    /// The connections that the balancer holds.
     pub holdings: Vec<AnnouncedHolding>,
 }
 
-/// Takes `N` bytes off the front.
+/// Removes and returns the first `N` bytes of the input.
 fn take<const N: usize>(input: &mut &[u8]) -> Result<[u8; N], RejectReason> {
     let (first, rest) = input.split_first_chunk::<N>().ok_or(RejectReason::Malformed)?;
     *input = rest;
@@ -74,7 +74,7 @@
         &self.holdings[..self.holdings.len().min(MAX_HOLDINGS)]
     }
 
-    /// Its length in a datagram, in bytes.
+    /// Returns the length of the announcement in a datagram, in bytes.
     pub fn encoded_len(&self) -> usize {
         HEADER_BYTES + HOLDING_BYTES * self.encoded_holdings().len()
     }
--- a/crates/gossip/src/datagram.rs
+++ b/crates/gossip/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: some announcements under one seal.
+//! Datagrams, which contain announcements and an authentication tag. Their content is not encrypted.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
@@ -7,15 +7,15 @@
 use crate::announcement::Announcement;
 use crate::error::RejectReason;
 
-/// No datagram is longer, so that none is fragmented on its way.
+/// The maximum length of a datagram, which is low enough to avoid fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_300;
-/// The format's name and version.
+/// The name and the version of the format.
 const MAGIC: &[u8; 4] = b"SWG1";
-/// Length of the number of announcements.
+/// The length of the number of announcements.
 const COUNT_BYTES: usize = 1;
-/// Length of the seal: half of an HMAC-SHA256.
-const SEAL_BYTES: usize = 16;
-/// A shorter key is no secret.
+/// The length of the authentication tag: the first half of an HMAC-SHA256.
+const TAG_BYTES: usize = 16;
+/// The minimum length of a key. Shorter keys are too easy to guess.
 const MIN_KEY_BYTES: usize = 16;
 
 /// The key is too short.
@@ -34,14 +34,14 @@
 }
 
 impl Key {
-    /// Space for announcements in a datagram, in bytes.
-    pub(crate) const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - MAGIC.len() - COUNT_BYTES - SEAL_BYTES;
+    /// The number of bytes for announcements in a datagram.
+    pub(crate) const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - MAGIC.len() - COUNT_BYTES - TAG_BYTES;
 
-    /// Makes a key of these bytes.
+    /// Creates a key from these bytes.
     ///
     /// # Errors
     ///
-    /// Returns an error if there are fewer than 16.
+    /// Returns an error if there are fewer than 16 bytes.
     pub fn new(bytes: &[u8]) -> Result<Key, KeyError> {
         match Hmac::new_from_slice(bytes) {
             Ok(mac) if bytes.len() >= MIN_KEY_BYTES => Ok(Key(mac)),
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Makes a datagram of announcements that fit into one.
+    /// Encodes announcements as a datagram with an authentication tag. The announcements have to fit into one
+    /// datagram.
     pub fn seal<'a>(&self, announcements: impl IntoIterator<Item = &'a Announcement>) -> Vec<u8> {
         let mut datagram = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         datagram.extend(MAGIC);
@@ -59,22 +60,22 @@
             datagram[MAGIC.len()] += 1;
         }
         let mac = self.0.clone().chain_update(&datagram).finalize().into_bytes();
-        datagram.extend(&mac[..SEAL_BYTES]);
+        datagram.extend(&mac[..TAG_BYTES]);
         datagram
     }
 
-    /// Returns the announcements of a datagram.
+    /// Verifies the authentication tag of a datagram and decodes its announcements.
     ///
     /// # Errors
     ///
-    /// Returns an error if the datagram does not have the format, or was not sealed with this key.
+    /// Returns an error if the datagram is malformed or its tag was not made with this key.
     pub fn open(&self, datagram: &[u8]) -> Result<Vec<Announcement>, RejectReason> {
-        let content_len = datagram.len().checked_sub(SEAL_BYTES).ok_or(RejectReason::Malformed)?;
-        let (content, seal) = datagram.split_at(content_len);
+        let content_len = datagram.len().checked_sub(TAG_BYTES).ok_or(RejectReason::Malformed)?;
+        let (content, tag) = datagram.split_at(content_len);
         let body = content.strip_prefix(MAGIC).and_then(|body| body.split_first());
         let (count, mut input) = body.ok_or(RejectReason::Malformed)?;
         let mac = self.0.clone().chain_update(content);
-        mac.verify_truncated_left(seal).map_err(|_| RejectReason::InvalidSeal)?;
+        mac.verify_truncated_left(tag).map_err(|_| RejectReason::InvalidSeal)?;
         let decoded = (0..*count).map(|_| Announcement::decode(&mut input));
         let announcements = decoded.collect::<Result<Vec<_>, _>>()?;
         if input.is_empty() { Ok(announcements) } else { Err(RejectReason::Malformed) }
--- a/crates/gossip/src/error.rs
+++ b/crates/gossip/src/error.rs
@@ -1,23 +1,23 @@
-//! Why a datagram, or an announcement in one, is rejected.
+//! The reasons for which datagrams and announcements are rejected.
 
 use thiserror::Error;
 
-/// Why a datagram, or an announcement in one, was rejected.
+/// The reason why a datagram or an announcement was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// It does not have the format.
-    #[error("malformed")]
+    /// The datagram is malformed.
+    #[error("the datagram is malformed")]
     Malformed,
-    /// It was sealed with another key, or changed.
-    #[error("seal")]
+    /// The authentication tag was made with another key, or the datagram was modified.
+    #[error("the authentication tag of the datagram does not match the key and the content")]
     InvalidSeal,
-    /// Its sender is not a peer.
-    #[error("foreign")]
+    /// The sender is not a peer.
+    #[error("the sender of the announcement is not a peer")]
     UnknownSender,
-    /// It is this balancer's own announcement, come round.
-    #[error("own")]
-    Own,
-    /// Its sender has announced the same or something newer.
-    #[error("old")]
+    /// The announcement is the balancer's own, relayed back by a peer.
+    #[error("the announcement is this balancer's own")]
+    OwnAnnouncement,
+    /// The same or a newer announcement of the sender is known.
+    #[error("the same or a newer announcement of the sender is known")]
     Outdated,
 }
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,5 +1,5 @@
-//! One balancer's part in the gossip: its own announcement, which peers it goes to, which announcements of others go
-//! with it, and which received ones are taken in.
+//! The gossip of one balancer: it makes its own announcement, selects the peers and the announcements to
+//! send, and accepts or rejects received announcements.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,8 @@
 use crate::peer_table::{PeerLoads, PeerTable};
 use crate::settings::GossipSettings;
 
-/// An announcement is relayed so many times the logarithm of the fleet's size, so that it comes to all.
+/// A balancer sends an announcement this many times the logarithm of the fleet size, so that it reaches all
+/// balancers.
 const RELAYS_PER_LOG_SIZE: u32 = 3;
 
 /// Statistics since the start.
@@ -26,58 +27,58 @@
     pub bytes_sent: u64,
     /// Datagrams received.
     pub datagrams_received: u64,
-    /// Announcements taken in.
+    /// Announcements accepted.
     pub accepted: u64,
-    /// Rounds in which more was held than fits into an announcement.
+    /// Rounds in which the balancer had more holdings than fit into an announcement.
     pub oversized: u64,
     /// Datagrams and announcements rejected, by reason.
     pub rejected: BTreeMap<RejectReason, u64>,
 }
 
-/// Who this balancer is.
+/// The identity of this balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
     /// The balancer's name.
     pub name: &'a str,
-    /// When its process began, as Unix time in microseconds.
+    /// The start time of its process, as Unix time in microseconds.
     pub incarnation: u64,
 }
 
-/// What all balancers of a fleet share, and this one's seed.
+/// The key and the settings that all balancers of a fleet share, and the seed of this balancer.
 #[derive(Clone, Debug)]
 pub struct GossipOptions {
     /// The shared key.
     pub key: Key,
     /// The shared settings.
     pub settings: GossipSettings,
-    /// All randomness comes from it.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Index of the peer that it goes to.
+    /// The index of the peer to which it is sent.
     pub peer: usize,
-    /// What is sent.
+    /// The content of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// An announcement that is being relayed, the own one included.
+/// An announcement that is being sent to peers; either the balancer's own or a received one.
 #[derive(Debug)]
 struct Relay {
     sender: u64,
-    /// How often it was sent.
+    /// The number of times it has been sent.
     times_sent: u32,
 }
 
-/// One balancer's part.
+/// The gossip of one balancer.
 #[derive(Debug)]
 pub struct Gossip {
     key: Key,
     settings: GossipSettings,
     began_at: Micros,
-    /// Ids of the other balancers of the fleet.
+    /// The ids of the other balancers of the fleet.
     peers: Vec<u64>,
     table: PeerTable,
     own: Announcement,
@@ -88,7 +89,7 @@
 }
 
 impl Gossip {
-    /// Begins gossip as the balancer of this identity in a fleet with these peers.
+    /// Starts the gossip of the balancer of this identity in a fleet with these peers.
     pub fn new(now: Micros, identity: Identity<'_>, peers: &[String], options: GossipOptions) -> Gossip {
         let own = Announcement {
             sender: sender_id(identity.name),
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Sets the other balancers of the fleet; announcements of all others are forgotten.
+    /// Sets the other balancers of the fleet. Announcements of balancers that are not among them are
+    /// forgotten.
     pub fn set_peers(&mut self, peers: &[String]) {
         self.peers = peers.iter().map(|name| sender_id(name)).collect();
         self.table.retain(&self.peers);
@@ -118,7 +120,7 @@
         self.relays.retain(|relay| relay.sender == own || peers.contains(&relay.sender));
     }
 
-    /// How often an announcement is sent from here: enough that it comes to all balancers.
+    /// Returns how often this balancer sends an announcement, so that it reaches all balancers.
     fn max_relays(&self) -> u32 {
         RELAYS_PER_LOG_SIZE * ((self.peers.len() + 2) as f64).ln().ceil() as u32
     }
@@ -128,10 +130,10 @@
         self.relays.insert(0, Relay { sender, times_sent: 0 });
     }
 
-    /// Returns the datagrams of a round, in which this balancer holds `holdings`.
+    /// Returns the datagrams of a round, in which this balancer has the given holdings.
     ///
-    /// A balancer that holds more than fits into an announcement makes none, and only relays those of others: a partial
-    /// one would make the servers that are left out look empty.
+    /// If the holdings do not fit into an announcement, the balancer makes none and only relays those of
+    /// other balancers: a partial announcement would make the omitted servers look unloaded.
     pub fn outgoing(&mut self, now: Micros, holdings: Vec<AnnouncedHolding>) -> Vec<OutgoingDatagram> {
         self.announce(now, holdings);
         let mut indices: Vec<usize> = (0..self.peers.len()).collect();
@@ -149,7 +151,7 @@
         datagrams
     }
 
-    /// Makes the own announcement anew where it has changed or a heartbeat is due.
+    /// Updates the balancer's own announcement if the holdings have changed or a heartbeat is due.
     fn announce(&mut self, now: Micros, holdings: Vec<AnnouncedHolding>) {
         let own = self.own.sender;
         if holdings.len() > MAX_HOLDINGS {
@@ -160,7 +162,8 @@
         let is_first = self.own.made_at_ms == 0;
         let is_heartbeat_due = now >= self.announced_at + self.settings.heartbeat_interval;
         if holdings != self.own.holdings || is_first || is_heartbeat_due {
-            // Times of one incarnation differ, so that two announcements never look alike.
+            // Each announcement of an incarnation has a different time, so that no two of them are taken for
+            // the same.
             let next = u64::from(self.own.made_at_ms) + 1;
             let elapsed = (now - self.began_at) / MICROS_PER_MILLISECOND;
             self.own.made_at_ms = elapsed.max(next).min(u64::from(u32::MAX)) as u32;
@@ -170,7 +173,8 @@
         }
     }
 
-    /// The next datagram for a peer: what was sent least often goes first, and of that what is newest.
+    /// Returns the next datagram for a peer. Announcements that were sent least often come first, and among
+    /// these the latest ones.
     fn datagram_for(&mut self, peer: usize) -> Option<Vec<u8>> {
         self.relays.sort_by_key(|relay| relay.times_sent);
         let mut free_bytes = Key::MAX_CONTENT_BYTES;
@@ -189,7 +193,7 @@
         (!announcements.is_empty()).then(|| self.key.seal(announcements))
     }
 
-    /// Takes in a received datagram.
+    /// Processes a received datagram.
     pub fn on_datagram(&mut self, now: Micros, datagram: &[u8]) {
         self.stats.datagrams_received += 1;
         let announcements = match self.key.open(datagram) {
@@ -209,7 +213,7 @@
 
     fn accept(&mut self, now: Micros, announcement: &Announcement) -> Result<(), RejectReason> {
         if announcement.sender == self.own.sender {
-            return Err(RejectReason::Own);
+            return Err(RejectReason::OwnAnnouncement);
         }
         if !self.peers.contains(&announcement.sender) {
             return Err(RejectReason::UnknownSender);
@@ -221,13 +225,14 @@
         *self.stats.rejected.entry(reason).or_default() += 1;
     }
 
-    /// What the peers hold by now; none where too few of them are heard of, or there are none.
+    /// Returns the load of the peers; `None` if the announcements of too few peers count, or there are no
+    /// peers.
     pub fn peer_loads(&self, now: Micros) -> Option<PeerLoads> {
         let loads = self.table.loads(now, &self.settings, self.peers.len());
         (!self.peers.is_empty() && loads.coverage >= self.settings.min_coverage).then_some(loads)
     }
 
-    /// Statistics since the start.
+    /// Returns the statistics since the start.
     pub fn stats(&self) -> &GossipStats {
         &self.stats
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,12 +1,13 @@
-//! Gossip between balancers: what connections each of them holds.
+//! Gossip between balancers about the connections that each of them holds.
 //!
-//! Each balancer announces what it holds in an [`Announcement`], and relays the announcements of others that it has
-//! received lately, to a few peers drawn at random ([`Gossip::outgoing`]). Datagrams are sealed with a shared key. What
-//! was received counts for as long as its age allows ([`Gossip::peer_loads`]); when too few peers are heard of, nothing
-//! does, and a balancer decides by its own connections alone.
+//! Each balancer announces its connections in an [`Announcement`]. It sends its own announcement, and
+//! recently received announcements of other balancers, to a few randomly selected peers
+//! ([`Gossip::outgoing`]). Datagrams are authenticated with a shared key. A received announcement counts with
+//! a weight that decreases with its age ([`Gossip::peer_loads`]). If the announcements of too few peers
+//! count, none of them are used, and a balancer decides by its own connections alone.
 //!
-//! Nothing here opens a socket or reads a clock: times are whole microseconds on the caller's monotonic clock, and
-//! random numbers come from a seed.
+//! Nothing here opens a socket or reads a clock: times are whole microseconds of the caller's monotonic
+//! clock, and random numbers are derived from a seed.
 
 mod announcement;
 mod datagram;
--- a/crates/gossip/src/peer_table.rs
+++ b/crates/gossip/src/peer_table.rs
@@ -1,4 +1,4 @@
-//! What peers have announced: the newest announcement of each, how old it is, and how much of it counts.
+//! The newest announcement of each peer, its age and its weight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,23 +8,23 @@
 use crate::error::RejectReason;
 use crate::settings::GossipSettings;
 
-/// A peer's clock may run slower than this one's by so much, in millionths.
+/// The maximum drift of a peer's clock against this one, in millionths.
 const MAX_CLOCK_DRIFT_PPM: u64 = 200;
-/// No holding counts for more connections than this ...
+/// A holding counts for at most this many connections.
 const MAX_CONNECTIONS: u16 = 1_024;
-/// ... nor for more load than its connections at this many times the median load.
+/// A holding counts for at most this many times the median load per connection, for each of its connections.
 const MAX_LOAD_OVER_MEDIAN: f64 = 20.0;
 
-/// What is known of one peer.
+/// The known state of a peer.
 #[derive(Debug)]
 struct PeerState {
     announcement: Announcement,
-    /// The begin of its incarnation on this clock, at the latest: each announcement came this much or more after it was
-    /// made.
+    /// An upper bound of the start time of its incarnation on this clock: the minimum over its announcements of the
+    /// arrival time minus the announced time. It includes the time in transit.
     began_at: i64,
     /// When `began_at` was determined.
     began_at_set: Micros,
-    /// When its announcement was made, at the earliest.
+    /// A lower bound of the time when its announcement was made.
     made_at: Micros,
     received_at: Micros,
 }
@@ -32,20 +32,20 @@
 /// The load of other balancers on one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RemoteServerLoad {
-    /// Load of their connections, as work a second in the unit of list weights.
+    /// The load of their connections, in work per second, in the unit of the weights in the endpoint list.
     pub load: f64,
-    /// Number of connections.
+    /// The number of their connections.
     pub connections: f64,
-    /// The groups of which there is any: the lower halves of their ids.
+    /// The groups that have connections to the server, as the lower halves of their ids.
     pub groups: BTreeSet<u32>,
 }
 
-/// The load of other balancers, as far as it counts.
+/// The load of other balancers, weighted by the age of their announcements.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerLoads {
-    /// By server.
+    /// The load by server.
     pub servers: BTreeMap<u64, RemoteServerLoad>,
-    /// The part of the peers whose announcements count, by how much they do.
+    /// The sum of the weights of the peers' announcements, divided by the number of peers.
     pub coverage: f64,
 }
 
@@ -68,11 +68,11 @@
 }
 
 impl PeerTable {
-    /// Takes in a peer's announcement.
+    /// Inserts an announcement of a peer.
     ///
     /// # Errors
     ///
-    /// Returns an error if the announcement is not newer than the one before.
+    /// Returns an error if the announcement is not newer than the previous one of the peer.
     pub fn insert(
         &mut self,
         now: Micros,
@@ -92,7 +92,7 @@
                 (began_at, began_at_set) = (drifted, now);
             }
         }
-        // What took longer on its way than the quickest announcement is older by as much.
+        // An announcement that took longer to arrive than the fastest one is older by the difference.
         let made_at = (began_at + elapsed).clamp(0, now as i64) as Micros;
         let announcement = announcement.clone();
         let state = PeerState { announcement, began_at, began_at_set, made_at, received_at: now };
@@ -100,17 +100,17 @@
         Ok(())
     }
 
-    /// Forgets all but these peers.
+    /// Removes the announcements of all balancers except these peers.
     pub fn retain(&mut self, peers: &[u64]) {
         self.peers.retain(|id, _| peers.contains(id));
     }
 
-    /// The announcement of a peer.
+    /// Returns the announcement of a peer.
     pub fn announcement(&self, peer: u64) -> Option<&Announcement> {
         self.peers.get(&peer).map(|state| &state.announcement)
     }
 
-    /// What all peers hold by now, of `peer_count` in the fleet.
+    /// Returns the load of all peers at a time. `peer_count` is the number of peers in the fleet.
     pub fn loads(&self, now: Micros, settings: &GossipSettings, peer_count: usize) -> PeerLoads {
         let weighted = self.peers.values().map(|peer| (weight(now, settings, peer), &peer.announcement));
         let counted: Vec<_> = weighted.filter(|(weight, _)| *weight > 0.0).collect();
@@ -126,25 +126,26 @@
     }
 }
 
-/// Whether an announcement is newer than the one before of its sender.
+/// Returns whether an announcement is newer than the previous one of its sender.
 fn is_newer(now: Micros, settings: &GossipSettings, announcement: &Announcement, before: &PeerState) -> bool {
     let known = &before.announcement;
     if announcement.incarnation == known.incarnation {
         return announcement.made_at_ms > known.made_at_ms;
     }
-    // An incarnation that seems older is a clock set back, once nothing was received of the later one for long.
+    // An incarnation that seems older may result from a clock that was set back. It is accepted after nothing
+    // was received from the later one for long enough.
     let is_silent = now >= before.received_at + settings.forgotten_after;
     announcement.incarnation > known.incarnation || is_silent
 }
 
-/// How much an announcement counts: in full while it is fresh, then less, until it is forgotten.
+/// Returns the weight of an announcement: 1 while it is fresh, then decreasing linearly to 0.
 fn weight(now: Micros, settings: &GossipSettings, peer: &PeerState) -> f64 {
     let age = now.saturating_sub(peer.made_at);
     let remaining = settings.forgotten_after.saturating_sub(age) as f64;
     (remaining / (settings.forgotten_after - settings.fresh_for).max(1) as f64).min(1.0)
 }
 
-/// The median load of a connection over all holdings.
+/// Returns the median load per connection over all holdings.
 fn median_load(announcements: &[(f64, &Announcement)]) -> f64 {
     let holdings = announcements.iter().flat_map(|(_, announcement)| &announcement.holdings);
     let mut loads: Vec<f64> =
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -1,27 +1,28 @@
-//! The settings of gossip, the same at all balancers of a fleet.
+//! The settings of gossip, which are the same at all balancers of a fleet.
 
 use shorewharf_units::Micros;
 
-/// How often and to how many peers announcements go, and how long they count.
+/// The settings for sending announcements and for the time over which they count.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipSettings {
-    /// Period of the rounds in which a datagram goes to each of `fanout` peers.
+    /// The interval of the rounds. In each of them, a datagram is sent to each of `fanout` peers.
     pub interval: Micros,
-    /// Peers that are sent a datagram in a round.
+    /// The number of peers to which a datagram is sent in a round.
     pub fanout: usize,
-    /// Period in which an own announcement is made anew though nothing has changed.
+    /// The interval at which a balancer makes a new announcement even if its connections have not changed.
     pub heartbeat_interval: Micros,
-    /// An announcement counts in full up to this age ...
+    /// An announcement counts in full up to this age. Its weight then decreases.
     pub fresh_for: Micros,
-    /// ... and not at all from this one on.
+    /// An announcement does not count from this age on.
     pub forgotten_after: Micros,
-    /// With less than this part of the peers heard of, none of them count.
+    /// The minimum ratio of peers whose announcements must count. Below it, no announcements are used.
     pub min_coverage: f64,
 }
 
 impl Default for GossipSettings {
-    /// With 300 balancers most receive a change within five rounds, and nine in ten of each heartbeat. A peer that is
-    /// not heard of for two heartbeats may be gone, and its connections with it.
+    /// In a fleet of 300, most balancers receive a change within five rounds, and nine out of ten of the
+    /// heartbeats of each balancer. A peer from which nothing was received for two heartbeats may have
+    /// terminated, with all its connections.
     fn default() -> Self {
         GossipSettings {
             interval: 50_000,
--- a/crates/gossip/tests/datagram_format.rs
+++ b/crates/gossip/tests/datagram_format.rs
@@ -1,4 +1,5 @@
-//! The bytes of a datagram: balancers of two versions talk to each other, so a renamed field must not change them.
+//! The bytes of datagrams. Balancers of two versions communicate with each other, so renaming a field in the code must
+//! not change them.
 
 use shorewharf_gossip::{
     AnnouncedHolding, Announcement, Gossip, GossipOptions, GossipSettings, Identity, Key, OutgoingDatagram,
@@ -6,7 +7,7 @@
 };
 
 const KEY: &[u8] = b"a key of the whole fleet";
-const SENT: &[u8] = include_bytes!("fixtures/two-announcements.datagram");
+const DATAGRAM: &[u8] = include_bytes!("fixtures/two-announcements.datagram");
 
 fn announcements() -> [Announcement; 2] {
     let holdings = vec![
@@ -30,29 +31,29 @@
 }
 
 #[test]
-fn a_datagram_is_sealed_byte_for_byte_as_it_was() {
-    let key = Key::new(KEY).expect("long enough");
-    assert_eq!(key.seal(&announcements()), SENT);
+fn announcements_are_encoded_as_the_datagram_in_the_fixture() {
+    let key = Key::new(KEY).expect("the key is long enough");
+    assert_eq!(key.seal(&announcements()), DATAGRAM);
 }
 
 #[test]
-fn a_datagram_is_opened_as_what_was_sealed() {
-    let key = Key::new(KEY).expect("long enough");
-    assert_eq!(key.open(SENT).expect("a good datagram"), announcements());
+fn the_datagram_in_the_fixture_is_decoded_as_its_announcements() {
+    let key = Key::new(KEY).expect("the key is long enough");
+    assert_eq!(key.open(DATAGRAM).expect("the datagram is valid"), announcements());
 }
 
 #[test]
-fn a_balancers_own_datagrams_are_as_they_were() {
-    let key = Key::new(KEY).expect("long enough");
-    let others: Vec<String> = (2..9).map(|i| format!("n{i}")).collect();
+fn the_datagrams_of_a_balancers_rounds_match_the_fixture() {
+    let key = Key::new(KEY).expect("the key is long enough");
+    let peers: Vec<String> = (2..9).map(|i| format!("n{i}")).collect();
     let identity = Identity { name: "n1", incarnation: 77 };
     let options = GossipOptions { key, settings: GossipSettings::default(), seed: 7 };
-    let mut gossip = Gossip::new(1_000_000, identity, &others, options);
+    let mut gossip = Gossip::new(1_000_000, identity, &peers, options);
     let mut sent = String::new();
     for round in 0..30_u64 {
         let now = 1_000_000 + round * 150_000;
         if round % 7 == 3 {
-            gossip.on_datagram(now, SENT);
+            gossip.on_datagram(now, DATAGRAM);
         }
         let holdings = vec![AnnouncedHolding { server: round / 4, group: 7, load: 0.5, connections: 1 }];
         for OutgoingDatagram { peer, bytes } in gossip.outgoing(now, holdings) {
@@ -63,8 +64,10 @@
     let fixture = include_str!("fixtures/rounds.txt");
     if sent != fixture {
         let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/gossip-rounds.txt");
-        std::fs::write(actual, &sent).expect("a temporary file");
+        std::fs::write(actual, &sent).expect("the temporary directory is writable");
         let line = sent.lines().zip(fixture.lines()).position(|(a, b)| a != b);
-        panic!("datagrams differ from the fixture, first in line {line:?}; they are in {actual}");
+        panic!(
+            "the datagrams differ from the fixture, first at line index {line:?}; the actual output is in {actual}"
+        );
     }
 }
