--- a/crates/balancer/src/fleet/gossip_config/tests.rs
+++ b/crates/balancer/src/fleet/gossip_config/tests.rs
@@ -28,7 +28,7 @@
         ("n1 127.0.0.1:1\nn2", key, "gossip.peers", "line 2: expected NAME ADDRESS:PORT"),
         ("n1 nowhere", key, "gossip.peers", "line 1: the address is not of the form ADDRESS:PORT"),
         ("n1 127.0.0.1:1\nn1 127.0.0.1:2", key, "gossip.peers", "line 2: the name is listed twice"),
-        (valid_peers, "short", "gossip.key", "16 bytes at least, this one has 5"),
+        (valid_peers, "short", "gossip.key", "the key has 5 bytes; expected at least 16"),
     ] {
         let error = GossipConfig::read(&section(peers, key), "n1").expect_err(expected_reason);
         let error = ConfigError::from(error);
--- a/crates/gossip/src/datagram.rs
+++ b/crates/gossip/src/datagram.rs
@@ -20,7 +20,7 @@
 
 /// The key is too short.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("a key has {MIN_KEY_BYTES} bytes at least, this one has {0}")]
+#[error("the key has {0} bytes; expected at least {MIN_KEY_BYTES}")]
 pub struct KeyError(usize);
 
 /// The key that all balancers of a fleet share.
