--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -135,7 +135,7 @@
     /// Receives datagrams, up to the limit per iteration.
     pub fn on_readable(&mut self, now: Micros) {
         let Some(socket) = &self.socket else { return };
-        // One byte longer than any valid datagram. A longer datagram is truncated, so its seal is invalid.
+        // One byte longer than any valid datagram. A longer datagram is truncated, so its tag is invalid.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         self.has_unread = true;
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
@@ -203,7 +203,7 @@
             news = stats.accepted,
             old = rejected(RejectReason::Outdated),
             malformed = rejected(RejectReason::Malformed),
-            seal = rejected(RejectReason::InvalidSeal),
+            seal = rejected(RejectReason::InvalidTag),
             foreign = rejected(RejectReason::UnknownSender),
         );
     }
--- a/crates/balancer/tests/sockets/gossip.rs
+++ b/crates/balancer/tests/sockets/gossip.rs
@@ -42,7 +42,7 @@
         let (began, mut buffer) = (Instant::now(), [0; 2_000]);
         while began.elapsed() < LIMIT {
             let (n, from) = self.socket.recv_from(&mut buffer).expect("a datagram");
-            let notes = self.key.open(&buffer[..n]).expect("sealed with the key");
+            let notes = self.key.decode_datagram(&buffer[..n]).expect("the datagram has a valid tag");
             if let Some(note) = notes.into_iter().find(|n| n.sender == sender_id("n1") && wanted(n)) {
                 return (note, from);
             }
@@ -58,7 +58,7 @@
             made_at_ms: self.at,
             holdings: held.to_vec(),
         };
-        self.socket.send_to(&self.key.seal([&note]), to).expect("sent");
+        self.socket.send_to(&self.key.encode_datagram([&note]), to).expect("sent");
     }
 }
 
@@ -91,7 +91,7 @@
     program.logged("event=gossip state=together");
     let (_client, _server) = program.stand_as(&nodes[1 - first], "2b");
     // Rubbish, a foreign key and an old note change nothing; then nothing is heard any more.
-    for bad in [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").seal([&note])] {
+    for bad in [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").encode_datagram([&note])] {
         rest.socket.send_to(bad, at).expect("sent");
     }
     program.logged("event=gossip state=alone");
--- a/crates/gossip/src/datagram.rs
+++ b/crates/gossip/src/datagram.rs
@@ -51,7 +51,7 @@
 
     /// Encodes announcements as a datagram with an authentication tag. The announcements have to fit into one
     /// datagram.
-    pub fn seal<'a>(&self, announcements: impl IntoIterator<Item = &'a Announcement>) -> Vec<u8> {
+    pub fn encode_datagram<'a>(&self, announcements: impl IntoIterator<Item = &'a Announcement>) -> Vec<u8> {
         let mut datagram = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         datagram.extend(MAGIC);
         datagram.push(0);
@@ -69,13 +69,13 @@
     /// # Errors
     ///
     /// Returns an error if the datagram is malformed or its tag was not made with this key.
-    pub fn open(&self, datagram: &[u8]) -> Result<Vec<Announcement>, RejectReason> {
+    pub fn decode_datagram(&self, datagram: &[u8]) -> Result<Vec<Announcement>, RejectReason> {
         let content_len = datagram.len().checked_sub(TAG_BYTES).ok_or(RejectReason::Malformed)?;
         let (content, tag) = datagram.split_at(content_len);
         let body = content.strip_prefix(MAGIC).and_then(|body| body.split_first());
         let (count, mut input) = body.ok_or(RejectReason::Malformed)?;
         let mac = self.0.clone().chain_update(content);
-        mac.verify_truncated_left(tag).map_err(|_| RejectReason::InvalidSeal)?;
+        mac.verify_truncated_left(tag).map_err(|_| RejectReason::InvalidTag)?;
         let decoded = (0..*count).map(|_| Announcement::decode(&mut input));
         let announcements = decoded.collect::<Result<Vec<_>, _>>()?;
         if input.is_empty() { Ok(announcements) } else { Err(RejectReason::Malformed) }
--- a/crates/gossip/src/error.rs
+++ b/crates/gossip/src/error.rs
@@ -10,7 +10,7 @@
     Malformed,
     /// The authentication tag was made with another key, or the datagram was modified.
     #[error("the authentication tag of the datagram does not match the key and the content")]
-    InvalidSeal,
+    InvalidTag,
     /// The sender is not a peer.
     #[error("the sender of the announcement is not a peer")]
     UnknownSender,
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -190,13 +190,13 @@
             relay.times_sent += 1;
             announcements.push(announcement);
         }
-        (!announcements.is_empty()).then(|| self.key.seal(announcements))
+        (!announcements.is_empty()).then(|| self.key.encode_datagram(announcements))
     }
 
     /// Processes a received datagram.
     pub fn on_datagram(&mut self, now: Micros, datagram: &[u8]) {
         self.stats.datagrams_received += 1;
-        let announcements = match self.key.open(datagram) {
+        let announcements = match self.key.decode_datagram(datagram) {
             Ok(announcements) => announcements,
             Err(reason) => return self.count_rejected(reason),
         };
--- a/crates/gossip/tests/datagram_format.rs
+++ b/crates/gossip/tests/datagram_format.rs
@@ -33,13 +33,13 @@
 #[test]
 fn announcements_are_encoded_as_the_datagram_in_the_fixture() {
     let key = Key::new(KEY).expect("the key is long enough");
-    assert_eq!(key.seal(&announcements()), DATAGRAM);
+    assert_eq!(key.encode_datagram(&announcements()), DATAGRAM);
 }
 
 #[test]
 fn the_datagram_in_the_fixture_is_decoded_as_its_announcements() {
     let key = Key::new(KEY).expect("the key is long enough");
-    assert_eq!(key.open(DATAGRAM).expect("the datagram is valid"), announcements());
+    assert_eq!(key.decode_datagram(DATAGRAM).expect("the datagram is valid"), announcements());
 }
 
 #[test]
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -165,7 +165,7 @@
 }
 
 fn receive(balancer: &mut Gossip, now: Micros, announcement: &Announcement) {
-    balancer.on_datagram(now, &key().seal([announcement]));
+    balancer.on_datagram(now, &key().encode_datagram([announcement]));
 }
 
 #[test]
@@ -239,10 +239,10 @@
         Announcement { sender: 77, incarnation: 1, made_at_ms: 1, holdings: holdings(50, 1.0) };
     receive(&mut balancer, 1_000, &from_unknown_sender);
     let other_key = Key::new(b"another fleet's key").expect("the key is long enough");
-    balancer.on_datagram(1_000, &other_key.seal([&announcement(1, 9, 1.0)]));
+    balancer.on_datagram(1_000, &other_key.encode_datagram([&announcement(1, 9, 1.0)]));
     assert_eq!(balancer.peer_loads(1_000).expect("the coverage is sufficient").servers, servers);
     let rejected = &balancer.stats().rejected;
-    assert_eq!((rejected[&RejectReason::UnknownSender], rejected[&RejectReason::InvalidSeal]), (1, 1));
+    assert_eq!((rejected[&RejectReason::UnknownSender], rejected[&RejectReason::InvalidTag]), (1, 1));
     assert!(Key::new(b"short").is_err());
 }
 
@@ -257,8 +257,8 @@
         end in any::<prop::sample::Index>(),
         made_up: Vec<u8>,
     ) {
-        let valid = key().seal([&announcement(1, 1, 1.0), &announcement(1, 2, 2.0)]);
-        prop_assert_eq!(key().open(&valid).map(|announcements| announcements.len()), Ok(2));
+        let valid = key().encode_datagram([&announcement(1, 1, 1.0), &announcement(1, 2, 2.0)]);
+        prop_assert_eq!(key().decode_datagram(&valid).map(|announcements| announcements.len()), Ok(2));
         let mut balancer = balancer(0, 1, 0, 2);
         let mut modified = valid.clone();
         modified[at.index(valid.len())] ^= flip;
