--- a/crates/tenancy/tests/replay.rs
+++ b/crates/tenancy/tests/replay.rs
@@ -1,5 +1,5 @@
-//! Pinned random events, compared line by line with a fixture: a change of the code's shape must change no decision, no
-//! wait and no figure, down to the last digit.
+//! Compares the decisions and statistics for random events with a fixture: a refactoring must not change any decision,
+//! retry-after or statistic, down to the last digit.
 
 use std::fmt::Write;
 
@@ -10,19 +10,21 @@
 
 const FIXTURE: &str = include_str!("fixtures/replay.txt");
 const TENANTS: usize = 6;
-/// Figures are written out after so many events.
+/// The number of events after which statistics are written.
 const STATS_EVERY: u32 = 100;
 
-/// An instance, who is being set up and whose connections are established, and all that came out.
+/// A tenancy instance, the tenants of the connections that exist, and the output so far.
 struct Replay {
     tenancy: Tenancy,
     rng: Pcg64Mcg,
     now: Micros,
+    /// The tenant of each connection that is being set up.
     setting_up: Vec<TenantIndex>,
+    /// The tenant of each established connection.
     established: Vec<TenantIndex>,
-    /// Of twenty admitted requests, how many the decision module rejects.
+    /// How many of 20 admitted requests the decision module rejects, on average.
     rejections: u32,
-    out: String,
+    output: String,
 }
 
 impl Replay {
@@ -30,9 +32,9 @@
         let now = 1_000_000;
         let mut tenancy = Tenancy::new(settings, now);
         for tenant in 0..TENANTS {
-            let limits =
-                TenantLimits::new(30.0 + 7.0 * tenant as f64, 3.0 + tenant as f64).expect("in range");
-            let limits = limits.with_weight(1.0 + tenant as f64 / 3.0).expect("in range");
+            let limits = TenantLimits::new(30.0 + 7.0 * tenant as f64, 3.0 + tenant as f64)
+                .expect("the limits are valid");
+            let limits = limits.with_weight(1.0 + tenant as f64 / 3.0).expect("the limits are valid");
             let limits = if tenant == 4 { limits.without_borrowing() } else { limits };
             tenancy.set_limits(now, TenantIndex(tenant), (tenant != 5).then_some(limits));
         }
@@ -44,37 +46,38 @@
             setting_up: Vec::new(),
             established: Vec::new(),
             rejections,
-            out: String::new(),
+            output: String::new(),
         }
     }
 
     fn send_request(&mut self) {
-        let flood = self.rng.random_bool(0.4);
-        let tenant = TenantIndex(if flood { 0 } else { self.rng.random_range(0..TENANTS + 1) });
+        let is_flood = self.rng.random_bool(0.4);
+        let tenant = TenantIndex(if is_flood { 0 } else { self.rng.random_range(0..TENANTS + 1) });
         let is_returning = self.rng.random_bool(0.3);
         match self.tenancy.check(self.now, tenant, is_returning) {
             QuotaDecision::Admit => {
-                write!(self.out, " {}+", tenant.0).expect("memory");
+                write!(self.output, " {}+", tenant.0).expect("writing to a string can't fail");
                 if self.rng.random_bool(0.97) {
                     self.tenancy.on_admitted(self.now);
                     self.setting_up.push(tenant);
                 }
             }
             QuotaDecision::Reject { retry_after, reason } => {
-                write!(self.out, " {}-{}:{retry_after}", tenant.0, reason.name()).expect("memory");
+                write!(self.output, " {}-{}:{retry_after}", tenant.0, reason.name())
+                    .expect("writing to a string can't fail");
             }
         }
     }
 
-    fn settle(&mut self) {
+    fn finish_setup(&mut self) {
         if self.setting_up.is_empty() {
             return;
         }
-        let at = self.rng.random_range(0..self.setting_up.len());
-        let tenant = self.setting_up.swap_remove(at);
+        let index = self.rng.random_range(0..self.setting_up.len());
+        let tenant = self.setting_up.swap_remove(index);
         match self.rng.random_range(0..20) {
             0 => self.tenancy.on_client_left(self.now, tenant),
-            lot if lot <= self.rejections => self.tenancy.on_rejected(self.now, tenant),
+            draw if draw <= self.rejections => self.tenancy.on_rejected(self.now, tenant),
             _ => {
                 self.tenancy.on_established(self.now, tenant);
                 self.established.push(tenant);
@@ -82,15 +85,15 @@
         }
     }
 
-    fn end(&mut self) {
+    fn end_connection(&mut self) {
         if !self.established.is_empty() {
-            let at = self.rng.random_range(0..self.established.len());
-            let tenant = self.established.swap_remove(at);
+            let index = self.rng.random_range(0..self.established.len());
+            let tenant = self.established.swap_remove(index);
             self.tenancy.on_connection_ended(self.now, tenant);
         }
     }
 
-    fn change(&mut self) {
+    fn change_settings(&mut self) {
         let tenant = TenantIndex(self.rng.random_range(1..TENANTS));
         match self.rng.random_range(0..8) {
             0 => self.tenancy.remove(self.now, tenant),
@@ -104,7 +107,7 @@
             }
             _ => {
                 let connections = self.rng.random_range(0.0..80.0);
-                let limits = TenantLimits::new(connections, connections / 8.0).expect("in range");
+                let limits = TenantLimits::new(connections, connections / 8.0).expect("the limits are valid");
                 self.tenancy.set_limits(self.now, tenant, Some(limits));
             }
         }
@@ -114,13 +117,14 @@
         self.now += self.rng.random_range(1_000..60_000);
         match self.rng.random_range(0..200) {
             0..100 => self.send_request(),
-            100..150 => self.settle(),
-            150..198 => self.end(),
-            _ => self.change(),
+            100..150 => self.finish_setup(),
+            150..198 => self.end_connection(),
+            _ => self.change_settings(),
         }
         if self.tenancy.next_deadline().is_some_and(|due| due <= self.now) {
             for migrations in self.tenancy.due_migrations(self.now) {
-                write!(self.out, " {}>{}", migrations.tenant.0, migrations.count).expect("memory");
+                write!(self.output, " {}>{}", migrations.tenant.0, migrations.count)
+                    .expect("writing to a string can't fail");
                 if migrations.count > 1 {
                     self.tenancy.on_migration_unavailable(migrations.tenant, 1);
                 }
@@ -128,51 +132,66 @@
         }
     }
 
-    fn figures(&mut self) {
-        let s = self.tenancy.stats(self.now);
-        let all = (
-            s.local_fraction,
-            s.total_quota,
-            s.connections,
-            s.lending_limit,
-            s.shortage_limit,
-            s.unknown_tenant_requests,
+    fn write_stats(&mut self) {
+        let stats = self.tenancy.stats(self.now);
+        let totals = (
+            stats.local_fraction,
+            stats.total_quota,
+            stats.connections,
+            stats.lending_limit,
+            stats.shortage_limit,
+            stats.unknown_tenant_requests,
         );
-        writeln!(self.out, "\n{} {all:?} {:?}", self.now, self.tenancy.next_deadline()).expect("memory");
-        for (tenant, t) in s.tenants {
-            let gauges =
-                (t.quota, t.local_quota, t.connections, t.borrowed, t.is_removed, t.is_over_lowered_quota);
-            let counts =
-                (t.admitted, t.admitted_borrowing, t.rejected_after_admission, t.established, t.migrated);
-            let rejected = RejectReason::ALL.map(|reason| t.rejected_for(reason));
-            writeln!(self.out, "  {} {gauges:?} {counts:?} {rejected:?}", tenant.0).expect("memory");
+        writeln!(self.output, "\n{} {totals:?} {:?}", self.now, self.tenancy.next_deadline())
+            .expect("writing to a string can't fail");
+        for (tenant, tenant_stats) in stats.tenants {
+            let gauges = (
+                tenant_stats.quota,
+                tenant_stats.local_quota,
+                tenant_stats.connections,
+                tenant_stats.borrowed,
+                tenant_stats.is_removed,
+                tenant_stats.is_over_lowered_quota,
+            );
+            let counts = (
+                tenant_stats.admitted,
+                tenant_stats.admitted_borrowing,
+                tenant_stats.rejected_after_admission,
+                tenant_stats.established,
+                tenant_stats.migrated,
+            );
+            let rejected = RejectReason::ALL.map(|reason| tenant_stats.rejected_for(reason));
+            writeln!(self.output, "  {} {gauges:?} {counts:?} {rejected:?}", tenant.0)
+                .expect("writing to a string can't fail");
         }
     }
 
-    fn play(mut self, events: u32) -> String {
+    fn run(mut self, events: u32) -> String {
         for event in 0..events {
             self.step();
             if event % STATS_EVERY == STATS_EVERY - 1 {
-                self.figures();
+                self.write_stats();
             }
         }
-        self.out
+        self.output
     }
 }
 
 #[test]
-fn pinned_random_events_come_out_as_in_the_fixture() {
-    let mut replayed = Replay::new(1, TenancySettings::new(4.0), 0).play(3_000);
-    let rationing = TenancySettings {
+fn decisions_and_statistics_for_random_events_match_the_fixture() {
+    let mut replayed = Replay::new(1, TenancySettings::new(4.0), 0).run(3_000);
+    let settings_with_rationing = TenancySettings {
         rations_within_quota: true,
         migrations_per_second: 40.0,
         ..TenancySettings::new(2.0)
     };
-    replayed.push_str(&Replay::new(2, rationing, 4).play(3_000));
+    replayed.push_str(&Replay::new(2, settings_with_rationing, 4).run(3_000));
     if replayed != FIXTURE {
         let actual = concat!(env!("CARGO_TARGET_TMPDIR"), "/tenancy-replay.txt");
-        std::fs::write(actual, &replayed).expect("a temporary file");
+        std::fs::write(actual, &replayed).expect("the temporary directory is writable");
         let line = replayed.lines().zip(FIXTURE.lines()).position(|(a, b)| a != b);
-        panic!("the replay differs from the fixture, first in line {line:?}; it is in {actual}");
+        panic!(
+            "the replay differs from the fixture, first at line index {line:?}; the actual output is in {actual}"
+        );
     }
 }
