--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -134,7 +134,7 @@
     }
 
     /// Updates `exceeded_since`.
-    pub fn check_exceeded(&mut self, now: Micros) {
+    pub fn update_exceeded_since(&mut self, now: Micros) {
         let is_exceeded = self.kind == BudgetKind::Concurrency && self.in_use > self.reserve + self.granted;
         self.exceeded_since = if is_exceeded { self.exceeded_since.or(Some(now)) } else { None };
     }
--- a/crates/budgets/src/allocations.rs
+++ b/crates/budgets/src/allocations.rs
@@ -181,7 +181,7 @@
         for allocation in &mut self.allocations {
             allocation.refill(now, self.periods);
             allocation.granted = amount_of(granted, &allocation.name);
-            allocation.check_exceeded(now);
+            allocation.update_exceeded_since(now);
         }
     }
 
@@ -214,7 +214,7 @@
         for allocation in &mut self.allocations {
             if let Some(earlier) = before.iter().find(|earlier| earlier.name == allocation.name) {
                 allocation.continue_from(earlier);
-                allocation.check_exceeded(now);
+                allocation.update_exceeded_since(now);
             }
         }
         self.drain_time = settings.drain_time;
--- a/crates/budgets/src/leader/grants.rs
+++ b/crates/budgets/src/leader/grants.rs
@@ -98,8 +98,8 @@
             amount_of(&self.record.in_use, &budget.name)
         } else if target <= allocated {
             target
-        } else if plan.is_overdrawn {
-            self.overdrawn_allocation(budget, target)
+        } else if plan.is_overcommitted {
+            self.overcommitted_allocation(budget, target)
         } else {
             // The part that may already be in use does not need a free amount.
             let raise = (target - possible_use).max(0.0).min(plan.free);
@@ -118,7 +118,7 @@
     /// Returns the allocation while more may be in use than the total allows: it is not raised. For the first
     /// grant in a term, the amount that an earlier record says may be in use may since have been allocated to
     /// other members. Only the amount that is actually in use is kept.
-    fn overdrawn_allocation(&self, budget: &Budget, target: f64) -> f64 {
+    fn overcommitted_allocation(&self, budget: &Budget, target: f64) -> f64 {
         let allocated = amount_of(&self.allocation, &budget.name);
         if self.epoch > 0 {
             return allocated;
--- a/crates/budgets/src/leader/targets.rs
+++ b/crates/budgets/src/leader/targets.rs
@@ -18,7 +18,7 @@
     /// The amount that may be allocated in addition to what may already be in use.
     pub free: f64,
     /// Whether more may be in use than the total, for example because the total was lowered.
-    pub is_overdrawn: bool,
+    pub is_overcommitted: bool,
 }
 
 impl Leader {
@@ -52,7 +52,7 @@
         BudgetPlan {
             targets: divided.into_iter().zip(&kept).map(|(part, kept)| part + kept).collect(),
             free: (total - possible_use).max(0.0),
-            is_overdrawn: possible_use > total + ROUNDING,
+            is_overcommitted: possible_use > total + ROUNDING,
         }
     }
 
--- a/crates/budgets/src/member/leadership.rs
+++ b/crates/budgets/src/member/leadership.rs
@@ -89,7 +89,7 @@
         if let Some(leadership) = &mut self.leadership {
             match leader {
                 Some(observed) if observed.record == leadership.record => {
-                    leadership.revision = observed.revision
+                    leadership.revision = observed.revision;
                 }
                 // The last write was not executed, or has not arrived yet. The next write has the same precondition,
                 // so the store executes only one of them.
--- a/crates/budgets/src/model/defect.rs
+++ b/crates/budgets/src/model/defect.rs
@@ -77,7 +77,7 @@
     ];
 
     /// Injects the defect into the settings of a process.
-    pub(super) fn in_settings(self, settings: &BudgetSettings) -> ProcessSettings {
+    pub(super) fn inject_into_settings(self, settings: &BudgetSettings) -> ProcessSettings {
         let (mut member, mut allocations) = (settings.clone(), settings.clone());
         match self {
             Defect::NoClockMargin => member.clock_margin = 1,
@@ -94,19 +94,19 @@
     }
 
     /// Injects the defect into a request to the store.
-    pub(super) fn in_request(self, request: &mut StoreRequest, store: &ModelStore) {
+    pub(super) fn inject_into_request(self, request: &mut StoreRequest, store: &ModelStore) {
         let StoreRequest::Write(batch) = request else { return };
         for (key, text) in &mut batch.writes {
             let value = text.as_ref().and_then(|text| serde_json::from_slice::<Value>(text).ok());
             let Some(mut value) = value else { continue };
-            if self.in_record(key, &mut value, store) {
+            if self.inject_into_record(key, &mut value, store) {
                 *text = serde_json::to_vec(&value).ok();
             }
         }
     }
 
     /// Injects the defect into a record that is written; returns whether the record has changed.
-    fn in_record(self, key: &str, value: &mut Value, store: &ModelStore) -> bool {
+    fn inject_into_record(self, key: &str, value: &mut Value, store: &ModelStore) -> bool {
         let granted_to = parse_grant_key(key).map(|(member, _)| member_key(member));
         let member = granted_to.and_then(|key| serde_json::from_slice::<Value>(store.text(&key)?).ok());
         match (self, member) {
@@ -125,7 +125,7 @@
     }
 
     /// Injects the defect into a response of the store. `forged` is the number of forged grants so far.
-    pub(super) fn in_response(self, response: &mut StoreResponse, forged: &mut u64) {
+    pub(super) fn inject_into_response(self, response: &mut StoreResponse, forged: &mut u64) {
         let (Defect::GrantNumbersNotCompared, StoreResponse::Read(records)) = (self, response) else {
             return;
         };
--- a/crates/budgets/src/model/mod.rs
+++ b/crates/budgets/src/model/mod.rs
@@ -329,7 +329,7 @@
             return;
         };
         if let Some(defect) = self.schedule.defect {
-            defect.in_request(&mut request, &self.store);
+            defect.inject_into_request(&mut request, &self.store);
         }
         self.serial += 1;
         process.pending_request = Some(self.serial);
@@ -372,7 +372,7 @@
         let staleness = is_stale.then(|| self.rng.random_range(0..MAX_STALENESS));
         let mut response = self.store.handle(&arrival.request, staleness);
         if let Some(defect) = self.schedule.defect {
-            defect.in_response(&mut response, &mut self.forged_grants);
+            defect.inject_into_response(&mut response, &mut self.forged_grants);
         }
         if !is_lost {
             let arrives_at = self.now + self.rng.random_range(MIN_LATENCY..MAX_LATENCY);
--- a/crates/budgets/src/model/observer.rs
+++ b/crates/budgets/src/model/observer.rs
@@ -94,8 +94,8 @@
         };
         // A process uses its reserve until it reads that another process has its name. It can't read that
         // while it can't reach the store.
-        let is_excused = !was_reachable && has_duplicate();
-        let excused = if is_excused { process.reserve(index, budget.kind) } else { 0.0 };
-        (process.observed_use(self.now, index, budget.kind) - excused).max(0.0)
+        let is_exempt = !was_reachable && has_duplicate();
+        let exempt = if is_exempt { process.reserve(index, budget.kind) } else { 0.0 };
+        (process.observed_use(self.now, index, budget.kind) - exempt).max(0.0)
     }
 }
--- a/crates/budgets/src/model/process.rs
+++ b/crates/budgets/src/model/process.rs
@@ -18,9 +18,9 @@
 /// The maximum number of clients that arrive at once.
 const MAX_CLIENTS_AT_ONCE: usize = 200;
 /// Updates of the demand per second.
-const DEMANDS_PER_SECOND: f64 = 10.0;
+const DEMAND_UPDATES_PER_SECOND: f64 = 10.0;
 /// The ratio of connections that end by themselves between two updates of the demand.
-const ENDING_RATIO: f64 = 0.02;
+const ENDED_RATIO: f64 = 0.02;
 /// The upper bound of the initial reading of a process's clock.
 const MAX_CLOCK_OFFSET: Micros = 60_000_000;
 
@@ -81,7 +81,7 @@
         let rate = 1.0 + schedule.clock_drift * rng.random_range(-1.0..1.0);
         let clock = Clock { rate, offset: rng.random_range(0..MAX_CLOCK_OFFSET), began_at: now };
         let process_settings = match schedule.defect {
-            Some(defect) => defect.in_settings(&settings),
+            Some(defect) => defect.inject_into_settings(&settings),
             None => ProcessSettings { member: settings.clone(), allocations: settings.clone() },
         };
         let name = format!("balancer-{member_index}");
@@ -138,13 +138,13 @@
             self.cached_allocations[index] = self.allocations.in_force(local_now, index);
             match kind {
                 BudgetKind::Rate => {
-                    let arriving = (demand / DEMANDS_PER_SECOND + rng.random_range(0.0..1.0)) as usize;
+                    let arriving = (demand / DEMAND_UPDATES_PER_SECOND + rng.random_range(0.0..1.0)) as usize;
                     self.admit(local_now, index, arriving);
                 }
                 BudgetKind::Concurrency => {
                     self.release(index, self.allocations.excess(local_now, index) as usize);
                     let in_use = self.allocations.in_use(index);
-                    let ended = (in_use * ENDING_RATIO + rng.random_range(0.0..1.0)) as usize;
+                    let ended = (in_use * ENDED_RATIO + rng.random_range(0.0..1.0)) as usize;
                     self.release(index, ended);
                     let arriving = (demand - self.allocations.in_use(index)).max(0.0) as usize;
                     self.admit(local_now, index, arriving.min(MAX_CLIENTS_AT_ONCE));
--- a/crates/budgets/src/model/store.rs
+++ b/crates/budgets/src/model/store.rs
@@ -14,7 +14,6 @@
     records: BTreeMap<String, StoredRecord>,
 }
 
-/// A store.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelStore {
     current: StoreState,
@@ -72,7 +71,7 @@
     }
 
     fn write(&mut self, batch: &WriteBatch) -> StoreResponse {
-        if !batch.preconditions.iter().all(|precondition| self.holds(precondition)) {
+        if !batch.preconditions.iter().all(|precondition| self.is_met(precondition)) {
             return StoreResponse::Conflict;
         }
         let state = &mut self.current;
@@ -91,15 +90,15 @@
         StoreResponse::Written(state.revision)
     }
 
-    fn holds(&self, precondition: &Precondition) -> bool {
+    fn is_met(&self, precondition: &Precondition) -> bool {
         let records = &self.current.records;
-        let (key, holds) = match precondition {
+        let (key, is_met) = match precondition {
             Precondition::Absent(key) => (key, !records.contains_key(key)),
             Precondition::Unchanged(key, revision) => {
                 (key, records.get(key).is_some_and(|record| record.revision == *revision))
             }
         };
-        holds || self.unchecked_prefix.is_some_and(|prefix| key.starts_with(prefix))
+        is_met || self.unchecked_prefix.is_some_and(|prefix| key.starts_with(prefix))
     }
 
     /// Returns the content of a record.
