--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the balancer: serves by its configuration until it is shut down, or checks a configuration.
+//! The command line of the balancer: runs the balancer until it is shut down, or checks a configuration.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -11,30 +11,31 @@
 use shorewharf_logging::LogArgs;
 use tracing::error;
 
-/// Exit code when the configuration or the command line can't be used; nothing was started. clap uses the same code.
-const BAD_CONFIG: u8 = 2;
+/// The exit code if the configuration or the command line is invalid. Nothing has been started then. clap
+/// uses the same code for an invalid command line.
+const BAD_CONFIG_EXIT_CODE: u8 = 2;
 
-const HELP_END: &str = "\
-Without a command it serves, by the JSON file that ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN, \
-ROUTER_DISCOVERY and ROUTER_OPERATOR fill in for what the file leaves out. SIGTERM and SIGINT end it in good order, SIGHUP has it read \
-the file again.
+const AFTER_HELP: &str = "\
+Without a command, runs the balancer with the JSON file that ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN, \
+ROUTER_DISCOVERY and ROUTER_OPERATOR supply the keys that the file omits. SIGTERM and SIGINT shut it down \
+gracefully, SIGHUP reloads the file.
 
 Exit codes:
-  0  it ended as it was told to, or the configuration is good
-  1  it can't listen, take over or go on; the log says why
-  2  the configuration or the command line can't be used; nothing was started";
+  0  shut down as requested, or the checked configuration is valid
+  1  unable to listen, to take over or to continue; the log gives the reason
+  2  the configuration or the command line is invalid; nothing was started";
 
-/// Balances long-lived connections: decides which server a client's connection lives on, and passes its lines
+/// Balances long-lived connections: assigns each client's connection to a server and relays its lines
 #[derive(Parser)]
-#[command(name = "shorewharf", version, after_help = HELP_END)]
+#[command(name = "shorewharf", version, after_help = AFTER_HELP)]
 struct Cli {
     #[command(flatten)]
     log: LogArgs,
-    /// The operator's own file (TOML): what the platform's configuration says nothing of
+    /// The operator's own file (TOML), with settings that the platform's configuration does not contain
     #[arg(long, global = true, value_name = "FILE", env = "SHOREWHARF_OPERATOR")]
     operator: Option<PathBuf>,
-    /// Serves at this Unix socket whoever takes this process's place, and takes the place of the one that serves there now,
-    /// with its listeners and standing connections; that one ends
+    /// Replaces the process that offers a hand-over at this Unix socket, if there is one: takes its listeners
+    /// and established connections and has it terminate. Then offers a hand-over there to the next process
     #[arg(long, value_name = "SOCKET", env = "SHOREWHARF_TAKE_OVER")]
     take_over: Option<PathBuf>,
     #[command(subcommand)]
@@ -43,9 +44,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads and checks a configuration as the start does and shows what is in force by it
+    /// Checks a configuration as at the start and shows the resulting settings
     CheckConfig {
-        /// The JSON file
+        /// The configuration, a JSON file
         file: PathBuf,
     },
 }
@@ -69,14 +70,14 @@
         Ok(config) => config,
         Err(e) => {
             error!(event = "bad-config", key = e.key(), why = %e.reason());
-            return ExitCode::from(BAD_CONFIG);
+            return ExitCode::from(BAD_CONFIG_EXIT_CODE);
         }
     };
     match shorewharf::run(config, take_over, move || Config::read(&env)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(RunError::Config(e)) => {
             error!(event = "bad-config", key = e.key(), why = %e.reason());
-            ExitCode::from(BAD_CONFIG)
+            ExitCode::from(BAD_CONFIG_EXIT_CODE)
         }
         Err(RunError::System(e)) => {
             error!(event = "cannot-run", error = %e);
@@ -89,13 +90,13 @@
     let text = std::fs::read(file).map_err(|e| ConfigError::Unreadable { path: file.into(), source: e });
     match text.and_then(|text| summary::table(&text, env)) {
         Ok(table) => {
-            // Fails if the reader has closed the pipe, which is no error.
+            // Writing fails if the reader has closed the pipe, which is not an error of the configuration.
             let _ = writeln!(std::io::stdout(), "{}", table.trim_fmt());
             ExitCode::SUCCESS
         }
         Err(e) => {
             eprintln!("{e}");
-            ExitCode::from(BAD_CONFIG)
+            ExitCode::from(BAD_CONFIG_EXIT_CODE)
         }
     }
 }
