--- a/crates/balancer/src/clock.rs
+++ b/crates/balancer/src/clock.rs
@@ -1,15 +1,16 @@
-//! The clock of the program.
+//! The clock that all workers of the process share.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use shorewharf_units::Micros;
 
-/// The clock of the process, in whole microseconds. It is set to Unix time once, at the start, so that the start times in
-/// endpoint lists are on it too, and advances with the monotonic clock: steps of the wall clock do not affect it.
+/// The clock of the process, in whole microseconds. It is set to Unix time once, at the start, so that it can
+/// be compared with the start times in endpoint lists. It advances with the monotonic clock, so that steps of
+/// the wall clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
-    /// Unix time at the start.
+    /// Unix time at `started_at`, in microseconds.
     unix_start: Micros,
 }
 
@@ -20,7 +21,7 @@
         Clock { started_at: Instant::now(), unix_start: unix_start.as_micros() as Micros }
     }
 
-    /// The time, in microseconds since the Unix epoch.
+    /// Returns the time, in microseconds since the Unix epoch.
     pub fn read(&self) -> Micros {
         self.unix_start + self.started_at.elapsed().as_micros() as Micros
     }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration while the program runs: a new one is put in force completely or not at all.
+//! Reloads the configuration while the program runs. A new configuration is applied completely or not at all.
 
 use shorewharf_driver::{Driver, Effects};
 use shorewharf_protocol::endpoint_list::EndpointList;
@@ -8,10 +8,10 @@
 use crate::config::{Config, ConfigError};
 use crate::event_loop::dispatch::EventLoop;
 
-/// Replaces the configuration in force by `next`. Name and addresses stay until a restart.
+/// Replaces the configuration by `next`, except for the name and the addresses, which only a restart changes.
 ///
 /// # Errors
-/// `next` can't replace the one in force, which stays.
+/// Returns an error if `next` can't replace `config` while the program runs; `config` is unchanged then.
 pub fn replace(config: &mut Config, next: Config) -> Result<(), ConfigError> {
     config.check_reload(&next)?;
     let keys = config.keys_needing_restart(&next).join(",");
@@ -22,14 +22,15 @@
         name: config.name.clone(),
         listen: config.listen,
         admin_address: config.admin_address,
-        // The server tables have a newer list.
+        // The server tables already have a newer list than the configuration file.
         initial_endpoints: EndpointList::default(),
         ..next
     };
     Ok(())
 }
 
-/// Puts a configuration in force at one worker. Its connections, the endpoint list and what the decisions have learned stay.
+/// Applies a configuration to one worker. The worker keeps its connections, its endpoint list and the learned
+/// state of its decisions.
 pub fn apply(config: &Config, event_loop: &mut EventLoop, driver: &mut Driver) {
     event_loop.update_settings(ProxySettings::from(config), config.discovery);
     if let (Some(transport), Some(gossip)) = (&mut event_loop.gossip, &config.gossip) {
--- a/crates/balancer/src/shutdown.rs
+++ b/crates/balancer/src/shutdown.rs
@@ -2,55 +2,59 @@
 
 use shorewharf_units::Micros;
 
-/// For this long after SIGTERM clients may still be sent here. Migrated any sooner, they would come back.
+/// Time after SIGTERM during which the platform may still send clients to this balancer. A client that is
+/// migrated earlier may be sent to this balancer again.
 pub const MIN_DRAIN_TIME: Micros = 450_000;
-/// SIGKILL follows the longest client timeout by at least this much ...
+/// Minimum time from the end of the longest client timeout, counted from SIGTERM, to SIGKILL.
 const KILL_DELAY: Micros = 700_000;
-/// ... which counts as no more than this.
+/// Longest client timeout that delays SIGKILL; a longer one counts as this.
 const MAX_CLIENT_TIMEOUT: Micros = 3_000_000;
-/// All migrations are done this long before SIGKILL: clients have 0.5 s to receive what is left, and 0.3 s are spare.
+/// Time from the last migration to SIGKILL: clients have 0.5 s to receive remaining data, and 0.3 s are a
+/// safety margin.
 const MIGRATED_BEFORE_KILL: Micros = 800_000;
-/// Migrations begin this long before they are to be done.
+/// Time over which the migrations are spread.
 const MIGRATION_TIME: Micros = 900_000;
-/// The least time for migrations.
+/// Minimum time over which the migrations are spread if the client timeouts are short.
 const MIN_MIGRATION_TIME: Micros = 100_000;
-/// With a successor, established connections are transferred to it. Clients of those that could not be are migrated from
-/// this time on.
+/// Time after SIGTERM from which clients are migrated if there is a successor. Established connections are
+/// transferred to the successor from the start, and only the clients of the remaining ones are migrated.
 const MIGRATE_FROM_WITH_SUCCESSOR: Micros = 1_000_000;
-/// Waiting requests are answered from this long before all migrations are done.
+/// Time from the first answers to waiting requests to the last migration.
 const ANSWER_BEFORE_MIGRATED: Micros = 500_000;
-/// All waiting requests are answered this long before SIGKILL, so that their clients can receive the reply.
+/// Time before SIGKILL at which all waiting requests are answered, so that their clients can receive the
+/// reply.
 const ANSWER_ALL_BEFORE_KILL: Micros = 600_000;
-/// The process ends this long before SIGKILL.
+/// Time from the end of the process to SIGKILL.
 const END_BEFORE_KILL: Micros = 300_000;
 
-/// When the steps of a graceful shutdown are due, in time since SIGTERM.
+/// The times at which the steps of a graceful shutdown are due, in microseconds since SIGTERM.
 ///
-/// Established clients stay until near the end: during a rolling restart the balancer before this one may not be back yet,
-/// and clients migrated early would find none.
+/// Established connections are kept until near the end: during a rolling restart, the balancer that was
+/// restarted before this one may not be serving again yet, and clients migrated early might find no balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Migrations begin. They are spread, as all at once would be a reconnect storm.
+    /// When migrations begin. They are spread over time to avoid a reconnect surge.
     pub migrate_from: Micros,
-    /// All clients have been migrated.
+    /// When all clients have been migrated.
     pub migrate_until: Micros,
-    /// Waiting requests are answered, except those that may have run and must not be rejected.
+    /// When waiting requests are answered, except those that may have run and must not be rejected.
     pub answer_from: Micros,
-    /// Those are answered too, unless their own deadlines have come before.
+    /// When the remaining waiting requests are answered too, unless their own deadlines are earlier.
     pub answer_all_from: Micros,
-    /// The process ends.
+    /// When the process ends.
     pub end: Micros,
 }
 
 impl ShutdownSchedule {
-    /// The schedule where another process serves in place of this one, which migrated clients reach.
+    /// Creates the schedule for a process with a successor that serves, so that migrated clients can
+    /// reconnect to that at once.
     pub fn with_successor(client_timeouts: &[Micros]) -> Self {
         let schedule = ShutdownSchedule::new(client_timeouts);
         let migrate_from = schedule.migrate_from.min(MIGRATE_FROM_WITH_SUCCESSOR);
         ShutdownSchedule { migrate_from, ..schedule }
     }
 
-    /// The schedule for these timeouts, by class.
+    /// Creates the schedule for the client timeouts of all classes.
     pub fn new(client_timeouts: &[Micros]) -> Self {
         let longest_timeout = client_timeouts.iter().copied().max().unwrap_or(0);
         let kill = longest_timeout.min(MAX_CLIENT_TIMEOUT) + KILL_DELAY;
--- a/crates/balancer/src/shutdown/tests.rs
+++ b/crates/balancer/src/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! The schedule of a graceful shutdown.
+//! Tests of the schedule of a graceful shutdown.
 
 use super::*;
 
@@ -11,7 +11,7 @@
     assert!(
         successor.migrate_from < successor.migrate_until && successor.migrate_until == short.migrate_until
     );
-    // A request that was taken as SIGTERM came has until its own deadline.
+    // A request that was received just before SIGTERM is kept until its own deadline.
     assert!(short.answer_all_from >= 1_000_000 && short.answer_all_from < short.end);
     assert!(short.migrate_from >= MIN_DRAIN_TIME && short.migrate_until < short.end && short.end < 1_700_000);
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! Snapshots of what a worker has learned, in a folder that outlives the process. They are exported in portions between
-//! iterations, written by a thread that nobody waits for, and restored at the next start. Off unless the operator's file
-//! names a folder.
+//! Snapshots of the learned state of a worker, in a folder that outlives the process. The state is exported
+//! in portions, one per iteration, written by a thread that the event loop does not wait for, and restored at
+//! the next start. Snapshots are taken only if the operator's file names a folder.
 
 use std::io;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -21,37 +21,38 @@
 use crate::event_loop::context::TimerEvent;
 use crate::event_loop::dispatch::EventLoop;
 
-/// Endpoints exported in one iteration.
+/// Number of endpoints exported in one iteration.
 const ENDPOINTS_PER_ITERATION: usize = 64;
-/// Entries of learned state exported in one iteration.
+/// Number of entries of learned state exported in one iteration.
 const ENTRIES_PER_ITERATION: usize = 512;
-/// Pause between two portions, in which the event loop does its other work.
+/// Time between two portions, in which the event loop does its other work.
 const PORTION_INTERVAL: Micros = 1_000;
 
-/// Which worker of a process a snapshot belongs to.
+/// The worker of a process that a snapshot belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerId {
     /// The worker's index.
     pub index: usize,
-    /// How many workers there are.
+    /// The number of workers of the process.
     pub count: usize,
 }
 
-/// Learned state, to be restored by the decisions of a worker.
+/// Learned state to be restored in the decisions of a worker.
 #[derive(Debug, Default)]
 pub struct SnapshotState {
-    /// The entries.
+    /// The entries of the learned state.
     pub entries: Vec<SnapshotEntry>,
-    /// When they were exported, in microseconds of Unix time.
+    /// When the entries were exported, in microseconds of Unix time.
     pub exported_at: Micros,
-    /// The connections have ended with the process that exported them, so their clients are expected back.
+    /// Whether the connections among the entries have ended with the process that exported them, so that
+    /// their clients are expected to reconnect.
     pub are_connections_lost: bool,
-    /// Where the state comes from, for the log.
+    /// The source of the state, for the log: a file or a process.
     pub source: String,
 }
 
 impl SnapshotState {
-    /// Restores the state, and logs what became of it.
+    /// Restores the state, and logs how many entries were restored and how many were rejected.
     pub fn restore(self, now: Micros, gate: &mut AdmissionGate) {
         let age = now.saturating_sub(self.exported_at);
         let (now, age_s) = (seconds_from_micros(now), seconds_from_micros(age));
@@ -68,16 +69,17 @@
     }
 }
 
-/// A snapshot that was found at the start.
+/// The state that was found at the start.
 #[derive(Debug)]
 pub struct RestoredSnapshot {
     /// The learned state.
     pub state: SnapshotState,
-    /// The endpoint list: the snapshot's or the configuration's, whichever is newer.
+    /// The endpoint list: that of the snapshot or that of the configuration, whichever is newer; or the one
+    /// that another process has handed over.
     pub endpoints: EndpointList,
 }
 
-/// Exports all learned state at once.
+/// Returns all learned state at once.
 pub fn export_all(gate: &AdmissionGate) -> Vec<SnapshotEntry> {
     let mut entries = Vec::new();
     let mut cursor = ExportCursor::default();
@@ -94,14 +96,14 @@
 /// The snapshots of one worker at its start.
 #[derive(Debug, Default)]
 pub struct WorkerSnapshots {
-    /// Takes snapshots; none where they are off or the folder can't be used.
+    /// Takes snapshots; `None` if no folder is configured or the folder can't be used.
     pub task: Option<SnapshotTask>,
-    /// The snapshot that is restored.
+    /// The state to restore; `None` if there is no valid snapshot.
     pub restored: Option<RestoredSnapshot>,
 }
 
 impl WorkerSnapshots {
-    /// Opens the configured folder, and reads the latest snapshot that is valid. A folder that can't be used is logged.
+    /// Opens the configured folder, and reads the latest valid snapshot. Logs a folder that can't be used.
     pub fn open(config: &Config, worker: WorkerId) -> Self {
         let settings = &config.operator.snapshot;
         let Some(path) = &settings.directory else { return Self::default() };
@@ -122,7 +124,7 @@
     }
 }
 
-/// Reads the latest valid snapshot, and logs those that were passed over.
+/// Reads the latest valid snapshot, and logs newer ones that are invalid.
 fn read_latest(
     folder: &SnapshotFolder,
     config: &Config,
@@ -155,12 +157,12 @@
     Ok(Some(RestoredSnapshot { state, endpoints }))
 }
 
-/// How far the export of a snapshot has come.
+/// The progress of the export of a snapshot.
 #[derive(Debug)]
 enum ExportProgress {
-    /// Endpoints up to this server are exported.
+    /// Endpoints up to this server have been exported; none of them at `None`.
     Endpoints(Option<ServerId>),
-    /// Endpoints are exported, and learned state up to this cursor.
+    /// All endpoints have been exported, and the learned state up to this cursor.
     State(ExportCursor),
 }
 
@@ -171,11 +173,11 @@
     interval: Micros,
     balancer: String,
     worker: WorkerId,
-    /// The snapshot that is being exported.
+    /// The progress of the snapshot that is being exported; `None` between snapshots.
     progress: Option<ExportProgress>,
-    /// When its export began, or that of the last one.
+    /// When the export of the current or last snapshot began.
     started_at: Micros,
-    /// The last snapshot could not be written, and that was logged.
+    /// Whether the last snapshot could not be written. The failure has been logged.
     has_failed: bool,
 }
 
@@ -204,7 +206,8 @@
         event_loop.context.schedule_after(delay, TimerEvent::Snapshot);
     }
 
-    /// The time until the next snapshot begins. A disk that takes longer than the interval skips one.
+    /// Returns the time until the next snapshot begins. If writing the last one took longer than the
+    /// interval, the next one is skipped.
     fn time_to_next(&self, now: Micros) -> Micros {
         match (self.started_at + self.interval).saturating_sub(now) {
             0 => self.interval,
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Logs whether the last snapshot was written; of failures in a row only the first.
+    /// Logs whether the last snapshot was written. Of consecutive failures, only the first is logged.
     fn log_result(&mut self, now: Micros) {
         match self.writer.take_result() {
             Some(Ok(lines)) => {
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Exports a portion. Begins a new snapshot if none is in progress and the last one is on the disk.
+    /// Exports a portion. Begins a new snapshot if none is being exported and the last one has been written.
     fn advance(&mut self, event_loop: &EventLoop, gate: &AdmissionGate) {
         if self.progress.is_none() && self.writer.is_idle() {
             self.started_at = event_loop.context.now;
@@ -269,7 +272,8 @@
         }
     }
 
-    /// Completes the last snapshot when the event loop has ended.
+    /// Exports the rest of the current snapshot after the event loop has ended. If none is being exported and
+    /// the last one has been written, exports a complete new one.
     pub fn finish(mut self, event_loop: &EventLoop, driver: &mut Driver) {
         loop {
             self.advance(event_loop, driver.gate());
--- a/crates/balancer/src/supervisor.rs
+++ b/crates/balancer/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! Notifies the supervisor (`NOTIFY_SOCKET`, as systemd defines it) that this process serves, and that it is the one to
-//! watch: a process that has replaced another is not the one that the supervisor started.
+//! Notifies the supervisor (`NOTIFY_SOCKET`, as systemd defines it) that this process serves, and that it is
+//! the main process now: a process that has replaced another one is not the one that the supervisor started.
 
 use std::ffi::OsStr;
 use std::io;
@@ -12,7 +12,7 @@
 /// The environment variable that names the supervisor's socket.
 const SOCKET_VARIABLE: &str = "NOTIFY_SOCKET";
 
-/// Notifies the supervisor, if there is one, that this process serves. A failure is logged.
+/// Notifies the supervisor, if there is one, that this process serves. Logs a failure.
 pub fn notify_serving() {
     let Some(socket) = std::env::var_os(SOCKET_VARIABLE).filter(|socket| !socket.is_empty()) else { return };
     let message = format!("READY=1\nMAINPID={}\n", std::process::id());
