--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -97,7 +97,7 @@
             Ok(()) => self.is_folder_failing = false,
             Err(e) => {
                 if !std::mem::replace(&mut self.is_folder_failing, true) {
-                    warn!(event = "shared-folder-unavailable", error = %e, why = "other processes of this balancer do not hear of calls");
+                    warn!(event = "shared-folder-unavailable", error = %e, why = "other processes of this balancer do not learn which servers are disabled");
                 }
             }
         }
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -1,4 +1,5 @@
-//! Starts the balancer: opens its sockets, takes over from the process that it replaces, and runs a worker on each thread.
+//! Starts the balancer: opens its sockets, takes over from the process that it replaces, and runs each worker
+//! on a thread.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -37,10 +38,10 @@
 /// Exit code when a worker's thread panics, the same as for a panic of the main thread.
 const PANIC_EXIT_CODE: i32 = 101;
 
-/// The balancer could not start, or not go on.
+/// The reason why the balancer could not start or had to stop.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A key of the configuration can't be put in force on this machine.
+    /// A value of the configuration can't be used on this machine.
     #[error("{0}")]
     Config(#[from] ConfigError),
     /// A system call failed.
@@ -57,7 +58,8 @@
     }
 }
 
-/// Exits the process if its thread panics: clients must not wait for a worker that is gone.
+/// Exits the process when dropped by a thread that panics, since clients must not wait for a worker that has
+/// ended.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
@@ -68,12 +70,13 @@
     }
 }
 
-/// Runs the balancer until it is shut down. SIGHUP reloads the configuration that `read_config` returns. With `take_over`, it
-/// replaces the process that serves at that socket, if there is one, and has it terminate.
+/// Runs the balancer until it is shut down. On SIGHUP, applies the configuration that `read_config` returns.
+/// With `take_over`, replaces the process that offers a hand-over at that socket, if there is one, and has it
+/// terminate.
 ///
 /// # Errors
-/// The balancer can't listen at a configured address, or polling fails. With `take_over`, a process serves there and can't
-/// be taken over; nothing has changed then.
+/// Returns an error if the balancer can't listen at a configured address, or polling fails. With `take_over`,
+/// also if a process serves there and can't be taken over; that process goes on unchanged.
 pub fn run(
     config: Config,
     take_over: Option<PathBuf>,
@@ -81,7 +84,7 @@
 ) -> Result<(), RunError> {
     let worker_count = config.operator.workers;
     let pollers = (0..worker_count).map(|_| EventPoller::new()).collect::<io::Result<Vec<_>>>()?;
-    // Before anything is opened: an unhandled SIGHUP would end the process.
+    // Registered before anything is opened, since an unhandled SIGHUP would end the process.
     let signals = register_signals(&pollers[0])?;
     let clock = Clock::new();
     let mut startup = Startup::open(config, take_over.as_deref())?;
@@ -126,7 +129,7 @@
     Ok(signals)
 }
 
-/// Runs each worker on a thread, which returns how many clients were still connected.
+/// Runs each worker on a thread, which returns the number of clients that were still connected at its end.
 fn spawn_workers(starts: Vec<WorkerStart>) -> io::Result<Vec<JoinHandle<usize>>> {
     let mut threads = Vec::new();
     for (index, start) in (1..).zip(starts) {
@@ -142,21 +145,22 @@
     Ok(threads)
 }
 
-/// What is opened before the workers start.
+/// The resources of the process that are opened before the workers start.
 struct Startup {
     config: Config,
-    /// One for each worker.
+    /// The listeners for clients, one for each worker.
     listeners: Vec<StdTcpListener>,
     admin_listener: Option<StdTcpListener>,
     shared_folder: Option<SharedFolder>,
-    /// What the process that is replaced has handed over.
+    /// The hand-over received from the process that is replaced.
     handover: Option<ReceivedHandover>,
 }
 
 impl Startup {
-    /// Takes over from the process that runs, if there is one, and opens the listeners that are missing.
+    /// Requests a hand-over from the process that runs, if there is one, and opens the listeners that are
+    /// missing.
     fn open(config: Config, take_over: Option<&Path>) -> Result<Self, RunError> {
-        // With an admin address, another process of this balancer may share the listeners.
+        // With an admin address, another process of this balancer may listen at the same address.
         let has_admin = config.admin_address.is_some();
         let is_port_known = config.listen.port() != 0;
         let mut shared_folder =
@@ -180,8 +184,9 @@
         Ok(Startup { config, listeners, admin_listener, shared_folder, handover })
     }
 
-    /// Opens the snapshots of each worker. State that was handed over replaces them, and its endpoint list, or that of the
-    /// primary worker's snapshot, the one of the configuration.
+    /// Opens the snapshots of each worker. State that was handed over is restored instead of the snapshots.
+    /// The endpoint list of the restored state of the primary worker replaces that of the configuration,
+    /// unless it is empty.
     fn open_snapshots(&mut self) -> Vec<WorkerSnapshots> {
         let count = self.listeners.len();
         let open = |index| WorkerSnapshots::open(&self.config, WorkerId { index, count });
@@ -199,7 +204,8 @@
         snapshots
     }
 
-    /// Connects to the other processes of this balancer, if there is a socket for that.
+    /// Connects to the other processes of this balancer. Without `take_over` and without a shared folder,
+    /// there is no socket for that.
     fn connect_siblings(
         &mut self,
         take_over: Option<PathBuf>,
@@ -214,7 +220,8 @@
         connect_siblings(start, &poller.registry()?)
     }
 
-    /// Creates the context of each worker. The primary worker, the first, gets the admin listener and the siblings.
+    /// Creates the context of each worker. The first one, that of the primary worker, gets the admin listener
+    /// and the connections to other processes.
     fn worker_contexts(
         &mut self,
         siblings: SiblingProcesses,
@@ -242,14 +249,15 @@
         Ok(contexts)
     }
 
-    /// What the primary worker serves operators with; none on further calls.
+    /// Takes the admin listener with what it needs for serving operators. Returns `None` if there is none,
+    /// and on further calls.
     fn take_admin_listener(&mut self, counters: &[WorkerCounters]) -> Option<AdminListener> {
         let listener = TcpListener::from_std(self.admin_listener.take()?);
         Some(AdminListener { listener, counters: counters.to_vec(), folder: self.shared_folder.take() })
     }
 }
 
-/// Opens further listeners at the address until there is one for each worker.
+/// Opens more listeners at the address until there is one for each worker.
 fn listen_for_workers(
     listeners: &mut Vec<StdTcpListener>,
     address: SocketAddr,
@@ -261,19 +269,20 @@
     Ok(())
 }
 
-/// Takes the learned state and the endpoint list out of a hand-over.
+/// Takes the learned state and the endpoint list from a hand-over.
 fn take_handed_over_state(handover: &mut ReceivedHandover) -> RestoredSnapshot {
     let state = SnapshotState {
         entries: std::mem::take(&mut handover.state.learned),
         exported_at: handover.state.exported_at,
         are_connections_lost: false,
-        source: "the process before".to_owned(),
+        source: "predecessor process".to_owned(),
     };
     let endpoints: EndpointList = std::mem::take(&mut handover.state.endpoints);
     RestoredSnapshot { state, endpoints }
 }
 
-/// Connects the workers to each other; the only one of a process has no pool.
+/// Connects the workers to each other. Returns each worker's view of the pool, or `None` for the only worker
+/// of a process.
 fn connect_workers(
     pollers: &[EventPoller],
     listeners: &[StdTcpListener],
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -341,7 +341,7 @@
     let same = beside(&settings, &old);
     // Another address is another balancer's.
     let (code, log) = refused_start_with(BINARY, &settings, &env);
-    assert!(code == Some(1) && log.contains("nothing is taken over from"), "{code:?} {log}");
+    assert!(code == Some(1) && log.contains("cannot take over from"), "{code:?} {log}");
     assert_eq!(fate(&mut client, &mut server, "M 1"), Fate::Stands);
     for n in 0..2 {
         let new = Program::start_in(BINARY, &same, &env);
--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -170,6 +170,6 @@
     same["listen"] = json!(old.address());
     let new = old.start_beside(BINARY, &same);
     let line = has(&new, "event=state-restored");
-    assert!(line.contains("from=\"the process before\"") && line.contains("odd=0"), "{line}");
+    assert!(line.contains("from=\"predecessor process\"") && line.contains("odd=0"), "{line}");
     assert!(!line.contains("taken=0 "), "{line}");
 }
