--- a/crates/balancer/src/workers/listeners.rs
+++ b/crates/balancer/src/workers/listeners.rs
@@ -10,13 +10,15 @@
 use crate::config::{ConfigError, InvalidValue};
 use crate::transport::connection::is_shortage;
 
-/// Connections that the kernel holds until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 const BACKLOG: i32 = 4096;
-/// How often a socket is requested that can't be had for want of descriptors or memory ...
+/// Maximum number of attempts to create a socket while the system has too few descriptors or too little
+/// memory. At the start, other processes of the machine may use them for a short time.
 const SOCKET_ATTEMPTS: usize = 50;
-/// ... with this pause between: at the start, other processes of the machine may hold them for a moment.
+/// Time between two attempts to create a socket.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(20);
 
+/// Creates a TCP socket, and retries while the system has too few descriptors or too little memory.
 fn new_socket(address: SocketAddr) -> io::Result<Socket> {
     let domain = Domain::for_address(address);
     for _ in 1..SOCKET_ATTEMPTS {
@@ -28,18 +30,18 @@
     Socket::new(domain, Type::STREAM, None)
 }
 
-/// Listens at an address, which other workers and processes may share with `reuse_port`.
+/// Listens at an address. With `reuse_port`, other workers and processes may listen at the same address.
 ///
 /// # Errors
-/// The system gives no socket, or refuses the address.
+/// Returns an error if the socket can't be created or can't be bound to the address.
 pub fn listen(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
     let socket = new_socket(address)?;
-    // After a restart, connections of the previous process may linger at the address.
+    // After a restart, closed connections of the previous process may still occupy the address.
     socket.set_reuse_address(true)?;
     if reuse_port {
         socket.set_reuse_port(true)?;
     }
-    // Lines are short and wanted at once; accepted connections inherit the option.
+    // Lines are short and must not be delayed. Accepted connections inherit the option.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
@@ -47,10 +49,10 @@
     Ok(socket.into())
 }
 
-/// Listens for operators. An address that can't be used is an error of the configuration, found at the start.
+/// Listens at the address for operators. An address that can't be used is a configuration error.
 ///
 /// # Errors
-/// As [`listen`], under the key `operator`.
+/// Returns the error of [`listen`] as an invalid value of the key `operator`.
 pub fn listen_for_admin(address: SocketAddr, reuse_port: bool) -> Result<TcpListener, ConfigError> {
     listen(address, reuse_port)
         .map_err(|source| ConfigError::invalid("operator", InvalidValue::CannotListen { address, source }))
--- a/crates/balancer/src/workers/mod.rs
+++ b/crates/balancer/src/workers/mod.rs
@@ -1,6 +1,7 @@
-//! The workers of a process: event loops on threads of their own, each with its own decisions, tables and listener.
+//! The workers of a process. Each worker runs an event loop on its own thread, with its own decisions, server
+//! table and listener.
 //!
-//! The primary worker (index 0) watches discovery, probes servers and handles signals for all.
+//! The primary worker (index 0) also watches discovery, probes servers and handles signals for all workers.
 
 mod handover_start;
 mod listeners;
--- a/crates/balancer/src/workers/pool.rs
+++ b/crates/balancer/src/workers/pool.rs
@@ -1,8 +1,10 @@
-//! The worker pool as each worker sees it: who the others are, how loaded they are, and the messages between them.
+//! The pool of workers as each worker sees it: the load of the other workers, and the messages between
+//! workers.
 //!
-//! The kernel spreads clients over the workers' listeners at random, so a worker that holds many more clients than another
-//! forwards new ones. The listener of a worker that has stalled or ended is served by its neighbour, so that new clients
-//! do not wait for it.
+//! The kernel distributes clients over the workers' listeners at random, so a worker that has far more
+//! clients than another one forwards new clients to it. Each worker has a neighbour, the worker with the next
+//! index, and serves the neighbour's listener while the neighbour has stalled or after it has ended, so that
+//! new clients do not wait for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,56 +22,58 @@
 use crate::handover::messages::TransferredConnection;
 use crate::servers::disabled::AdminChange;
 
-/// A worker whose iteration is overdue by this much has stalled.
+/// A worker has stalled if its next iteration is overdue by this much.
 const STALL_TIMEOUT: Micros = 1_000_000;
-/// A worker forwards new clients once it holds more than the least loaded one by this fraction of what that one holds ...
+/// A worker forwards new clients if it has more clients than the least loaded worker by more than a margin.
+/// The margin is the number of clients of the least loaded worker divided by this, but at least
+/// [`MIN_FORWARD_MARGIN`].
 const FORWARD_MARGIN_DIVISOR: usize = 8;
-/// ... or by this many clients, whichever is more.
+/// Minimum margin, in clients.
 const MIN_FORWARD_MARGIN: usize = 16;
 
 /// A message from one worker to another.
 #[derive(Debug)]
 pub enum WorkerMessage {
-    /// A client that has connected at another worker.
+    /// A client that was accepted by the sender and is to be served by the recipient.
     ForwardedClient(TcpStream, SocketAddr),
-    /// An event of the discovery watch, which the primary worker keeps.
+    /// An event of discovery, sent by the primary worker, which watches the endpoint list for all.
     DiscoveryEvent(DiscoveryEvent),
-    /// To the primary worker: watch the endpoint list.
+    /// To the primary worker: begin to watch the endpoint list.
     WatchEndpoints,
-    /// To the primary worker: probe a server for the worker of this index.
+    /// To the primary worker: probe a server for the worker with this index.
     RequestProbe(usize, ServerId),
-    /// The result of such a probe.
+    /// The result of a probe that was requested with [`WorkerMessage::RequestProbe`].
     ProbeEnded(ServerId, Outcome),
     /// An operator has disabled or enabled a server.
     ServerChanged(AdminChange),
-    /// Another process of this balancer holds so many of this worker's descriptors.
+    /// The number of descriptors from the recipient's share that another process of this balancer holds.
     DescriptorsHeldBySiblings(usize),
     /// Whether another process serves in place of this one.
     SuccessorServing(bool),
-    /// Another configuration is in force.
+    /// Apply this configuration.
     Config(Box<Config>),
-    /// Shut down.
+    /// Shut down gracefully.
     Shutdown,
-    /// To the primary worker: an established connection for the successor.
+    /// To the primary worker: transfer an established connection to the successor.
     TransferToSuccessor(Box<TransferredConnection>),
-    /// An established connection that came from another process.
+    /// Adopt an established connection that another process has transferred.
     AdoptConnection(Box<TransferredConnection>),
 }
 
-/// What the other workers need of a worker.
+/// The part of a worker's state that the other workers access.
 #[derive(Debug)]
 struct WorkerHandle {
     messages: Sender<WorkerMessage>,
     waker: Waker,
-    /// Its listener, for its neighbour.
+    /// A duplicate of the worker's listener, for the worker whose neighbour this is.
     listener: TcpListener,
-    /// Clients that it holds.
+    /// The number of clients that the worker has, and of those that were just forwarded to it.
     clients: AtomicUsize,
-    /// When its next iteration begins at the latest; 0 once it has ended.
+    /// The latest time at which the worker's next iteration is to begin; 0 once the worker has ended.
     next_iteration_by: AtomicU64,
 }
 
-/// A worker that is to join the pool.
+/// A worker that has not joined a pool yet.
 #[derive(Debug)]
 pub struct NewWorker {
     handle: WorkerHandle,
@@ -77,7 +81,8 @@
 }
 
 impl NewWorker {
-    /// A worker with this waker, whose neighbour gets its listener.
+    /// Creates a worker that `waker` wakes up. `listener` is a duplicate of its listener, for the worker
+    /// whose neighbour it becomes.
     pub fn new(waker: Waker, listener: TcpListener) -> Self {
         let (messages, inbox) = channel();
         let handle = WorkerHandle {
@@ -97,12 +102,12 @@
     index: usize,
     workers: Arc<Vec<WorkerHandle>>,
     inbox: Receiver<WorkerMessage>,
-    /// It serves its neighbour's listener.
+    /// Whether this worker serves its neighbour's listener.
     serves_neighbour: bool,
 }
 
 impl WorkerPool {
-    /// Creates the pool of these workers, as each of them sees it.
+    /// Creates a pool of these workers. Returns each worker's view of it, by index.
     pub fn connect(workers: Vec<NewWorker>) -> Vec<WorkerPool> {
         let (handles, inboxes): (Vec<_>, Vec<_>) =
             workers.into_iter().map(|worker| (worker.handle, worker.inbox)).unzip();
@@ -119,7 +124,7 @@
         self.index == 0
     }
 
-    /// How many workers there are.
+    /// The number of workers.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
@@ -129,24 +134,25 @@
         self.index
     }
 
-    /// The next message to this worker.
+    /// Takes the next message to this worker.
     pub fn next_message(&self) -> Option<WorkerMessage> {
         self.inbox.try_recv().ok()
     }
 
-    /// Sends a message to the worker of this index.
+    /// Sends a message to the worker with this index.
     ///
     /// # Errors
-    /// The message, if that worker has ended.
+    /// Returns the message if that worker has ended.
     pub fn send(&self, index: usize, message: WorkerMessage) -> Result<(), WorkerMessage> {
         let worker = &self.workers[index];
         worker.messages.send(message).map_err(|e| e.0)?;
-        // Fails only where the system has no memory left; the next iteration is a second away then.
+        // Waking up fails only if the system has no memory left. The worker then receives the message in its
+        // next iteration, which begins within a second.
         let _ = worker.waker.wake();
         Ok(())
     }
 
-    /// Sends a message to each other worker.
+    /// Sends a message to every other worker; `message` creates it from the worker's index.
     pub fn broadcast(&self, message: impl Fn(usize) -> WorkerMessage) {
         for index in (0..self.workers.len()).filter(|index| *index != self.index) {
             // A worker that has ended needs no messages.
@@ -154,8 +160,9 @@
         }
     }
 
-    /// The worker that is to take a new client instead of this one, which holds `clients`: the least loaded that has not
-    /// stalled, if it holds far fewer. The client is counted there at once.
+    /// Returns the worker that a new client is to be forwarded to: the least loaded worker that has not
+    /// stalled, if it has far fewer clients than this worker, which has `clients`. The new client is added to
+    /// that worker's count at once.
     pub fn less_loaded_worker(&self, now: Micros, clients: usize) -> Option<usize> {
         let others = self.workers.iter().enumerate().filter(|(index, _)| *index != self.index);
         let running = others.filter(|(_, worker)| !has_stalled(worker.next_iteration_by.load(Relaxed), now));
@@ -174,14 +181,16 @@
         others.all(|(_, worker)| worker.next_iteration_by.load(Relaxed) == 0)
     }
 
-    /// Publishes at the end of an iteration how many clients this worker holds, and when the next one begins at the latest.
+    /// Publishes at the end of an iteration the number of clients of this worker, and the latest time at
+    /// which its next iteration is to begin.
     pub fn publish_state(&self, clients: usize, next_iteration_by: Micros) {
         let own = &self.workers[self.index];
         own.clients.store(clients, Relaxed);
         own.next_iteration_by.store(next_iteration_by, Relaxed);
     }
 
-    /// Checks whether the neighbour has stalled or is back. Returns what is to be done with its listener, if that changes.
+    /// Checks whether the neighbour has stalled, ended or recovered. Returns what is to be done with its
+    /// listener if that has changed since the last call.
     pub fn check_neighbour(&mut self, now: Micros) -> Option<NeighbourListener<'_>> {
         let index = (self.index + 1) % self.workers.len();
         let neighbour = &self.workers[index];
@@ -207,24 +216,24 @@
     }
 }
 
-/// Whether a worker whose next iteration was due then has stalled, or ended.
+/// Whether a worker has stalled or ended whose next iteration was to begin by `next_iteration_by`.
 fn has_stalled(next_iteration_by: Micros, now: Micros) -> bool {
     next_iteration_by.saturating_add(STALL_TIMEOUT) <= now
 }
 
-/// The worker has ended: nobody waits for it, and its neighbour serves its listener.
+/// Marks the worker as ended, so that other workers do not wait for it and one of them serves its listener.
 impl Drop for WorkerPool {
     fn drop(&mut self) {
         self.workers[self.index].next_iteration_by.store(0, Relaxed);
     }
 }
 
-/// What is to be done with the listener of the neighbour.
+/// What is to be done with the neighbour's listener.
 #[derive(Debug)]
 pub enum NeighbourListener<'a> {
-    /// The neighbour has stalled: serve it.
+    /// The neighbour has stalled or ended: serve its listener.
     Serve(&'a TcpListener),
-    /// The neighbour is back: stop serving it.
+    /// The neighbour has recovered: stop serving its listener.
     Release(&'a TcpListener),
 }
 
--- a/crates/balancer/src/workers/pool/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Forwarding of clients between workers, and stalled workers.
+//! Tests of forwarding clients between workers and of serving the listeners of stalled workers.
 
 use super::*;
 use crate::event_loop::poll::EventPoller;
@@ -6,7 +6,7 @@
 fn pool(n: usize) -> (Vec<WorkerPool>, Vec<EventPoller>) {
     let (mut workers, mut pollers) = (Vec::new(), Vec::new());
     for _ in 0..n {
-        let poller = EventPoller::new().expect("a loop");
+        let poller = EventPoller::new().expect("a poller");
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
         workers.push(NewWorker::new(poller.waker().expect("a waker"), listener));
         pollers.push(poller);
@@ -17,15 +17,15 @@
 #[test]
 fn clients_are_forwarded_to_far_less_loaded_workers_that_have_not_stalled() {
     let (pool, _pollers) = pool(3);
-    for (who, held) in [(0, 100), (1, 90), (2, 10)] {
-        pool[who].publish_state(held, 5_000_000);
+    for (index, clients) in [(0, 100), (1, 90), (2, 10)] {
+        pool[index].publish_state(clients, 5_000_000);
     }
     assert_eq!(
         (pool[1].less_loaded_worker(5_000_000, 90), pool[2].less_loaded_worker(5_000_000, 10)),
         (Some(2), None)
     );
-    assert_eq!(pool[0].less_loaded_worker(5_000_000, 27), None, "one more was handed on, and is counted");
-    // The emptiest one stalls; of the rest nobody holds far more.
+    assert_eq!(pool[0].less_loaded_worker(5_000_000, 27), None, "the client just forwarded is counted");
+    // The least loaded worker has stalled; the second least loaded one has too many clients at first.
     pool[0].publish_state(100, 9_000_000);
     pool[1].publish_state(90, 9_000_000);
     assert_eq!(pool[0].less_loaded_worker(5_000_000 + STALL_TIMEOUT, 106), None);
--- a/crates/balancer/src/workers/worker.rs
+++ b/crates/balancer/src/workers/worker.rs
@@ -1,5 +1,5 @@
-//! One worker: its event loop, and the driver between that and the decisions. The primary worker also handles signals and
-//! reloads for all.
+//! A worker: its event loop, and the driver that connects the event loop to the decisions. The primary worker
+//! also handles signals and reloads for all workers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,28 +27,30 @@
 use crate::transport::readiness::Readiness;
 use crate::workers::pool::WorkerMessage;
 
-/// While two processes of a balancer accept clients, each keeps to this share of the load that pushes a cold server over.
+/// Factor on the overload ratio while two processes of a balancer accept clients, so that together they do
+/// not overload a server that is warming up.
 const SIBLING_OVERLOAD_SHARE: f64 = 0.5;
 
 /// Reads the whole configuration again.
 pub type ReadConfig = Box<dyn Fn() -> Result<Config, ConfigError> + Send>;
 
-/// What the primary worker does for all.
+/// The state that the primary worker has for the whole process.
 pub struct PrimaryWorker {
-    /// Signals of the process.
+    /// Receives the signals of the process.
     pub signals: Signals,
     /// Reads the configuration for a reload.
     pub read_config: ReadConfig,
-    /// The configuration in force, of the whole process.
+    /// The current configuration of the whole process.
     pub config: Config,
-    /// How many workers there are.
+    /// The number of workers.
     pub worker_count: usize,
     /// The client of the fleet's budgets, if they are configured.
     pub budgets: Option<BudgetClient>,
 }
 
 impl PrimaryWorker {
-    /// The configuration of a worker, by whether another process of this balancer accepts clients too.
+    /// Returns the configuration of a worker. `has_sibling` tells whether another process of this balancer
+    /// accepts clients too.
     fn worker_config(&self, index: usize, has_sibling: bool) -> Config {
         let mut own = self.config.for_worker(index, self.worker_count);
         if has_sibling {
@@ -58,7 +60,7 @@
     }
 }
 
-/// What a worker starts with.
+/// Everything that a worker needs to start.
 pub struct WorkerStart {
     /// Polls the worker's sockets.
     pub poller: EventPoller,
@@ -66,29 +68,30 @@
     pub context: WorkerContext,
     /// The worker's own configuration.
     pub config: Config,
-    /// The endpoint list to start from.
+    /// The initial endpoint list.
     pub endpoints: Arc<EndpointList>,
     /// The clock of the process.
     pub clock: Clock,
     /// Takes snapshots, if they are configured.
     pub snapshot_task: Option<SnapshotTask>,
-    /// Learned state to restore.
+    /// The learned state to restore, if there is any.
     pub restored: Option<SnapshotState>,
-    /// At the primary worker only.
+    /// The state for the whole process; set only at the primary worker.
     pub primary: Option<PrimaryWorker>,
 }
 
-/// The addresses that a worker listens at.
+/// The addresses that a worker listens at, with the ports that the system has chosen.
 struct BoundAddresses {
     clients: SocketAddr,
     admin: Option<SocketAddr>,
 }
 
 impl WorkerStart {
-    /// Runs the worker until its shutdown is complete; returns how many clients were still connected.
+    /// Runs the worker until its shutdown is complete. Returns the number of clients that were still
+    /// connected.
     ///
     /// # Errors
-    /// A socket can't be registered, or polling fails.
+    /// Returns an error if a socket can't be registered or polling fails.
     pub fn run(mut self) -> io::Result<usize> {
         let clock = self.clock;
         let addresses = self.register_listeners()?;
@@ -118,7 +121,7 @@
         Ok(BoundAddresses { clients, admin: admin_address })
     }
 
-    /// Creates the event loop and the driver, and restores their state.
+    /// Creates the event loop and the driver, and restores the endpoint list and the learned state.
     fn into_worker(self, addresses: &BoundAddresses) -> io::Result<(EventPoller, Worker)> {
         let config = self.config;
         let context = LoopContext::new(self.poller.registry()?, self.clock.read());
@@ -130,7 +133,7 @@
             event_loop.gossip = Some(GossipTransport::new(&mut event_loop.context, balancer, gossip));
         }
         let entries = event_loop.restore_endpoints(&self.endpoints);
-        // From now on the server table has the list; another copy would double its memory.
+        // The server table has the list now; a second copy would double the memory for it.
         drop(self.endpoints);
         let server_count = entries.len();
         let budgets = self.primary.as_ref().and_then(|primary| primary.budgets.as_ref());
@@ -171,7 +174,8 @@
 }
 
 impl Worker {
-    /// Runs one iteration: each source that is ready is served, and the decisions process its events before the next.
+    /// Runs one iteration: serves each source that is ready, and has the decisions process its events before
+    /// the next source is served.
     fn run_iteration(&mut self, now: Micros, ready: impl Iterator<Item = (EventSource, Readiness)> + Clone) {
         self.event_loop.begin_iteration(now);
         self.serve_admin(now, ready.clone());
@@ -220,7 +224,8 @@
         }
     }
 
-    /// Puts the configuration in force at all workers: it was reloaded, or another process of this balancer has come or gone.
+    /// Applies the configuration to all workers after a reload, or after another process of this balancer has
+    /// begun or stopped accepting clients.
     fn apply_config(&mut self) {
         let Some(primary) = &self.primary else { return };
         let has_sibling = self.event_loop.siblings.is_sharing_clients();
@@ -257,7 +262,8 @@
         }
     }
 
-    /// Reads the configuration and puts it in force. Several signals in a row may arrive as one, and one reload serves them.
+    /// Reads the configuration again and applies it. Several signals in quick succession may cause only one
+    /// reload.
     fn reload(&mut self) {
         let Some(primary) = &mut self.primary else { return };
         let replaced = (primary.read_config)().and_then(|next| reload::replace(&mut primary.config, next));
@@ -268,7 +274,7 @@
         self.apply_config();
     }
 
-    /// Completes the last snapshot, and returns the allocations of budgets to the fleet.
+    /// Completes the last snapshot, and returns the allocated budgets to the fleet.
     fn finish(mut self) {
         if let Some(task) = self.snapshot_task {
             task.finish(&self.event_loop, &mut self.driver);
