--- a/crates/balancer/src/handover/messages.rs
+++ b/crates/balancer/src/handover/messages.rs
@@ -1,7 +1,7 @@
-//! Messages between two processes of one balancer during a hand-over: lines of text over a Unix socket.
+//! The messages between two processes of one balancer during a hand-over: lines of text over a Unix socket.
 //!
-//! The old process sends a [`HandoverState`] first, with its listening descriptors, then [`PredecessorMessage`]s. The new
-//! process sends [`SuccessorMessage`]s.
+//! The old process first sends a [`HandoverState`] together with the descriptors of its listeners, and then
+//! [`PredecessorMessage`]s. The new process sends [`SuccessorMessage`]s.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,37 +12,38 @@
 use shorewharf_recovery::snapshot_state::SnapshotEntry;
 use shorewharf_units::Micros;
 
-/// Version of the messages. A process that finds another one starts on its own.
+/// The version of the messages. A process that receives another version starts without the hand-over.
 pub const VERSION: u32 = 1;
-/// The most listeners that are handed over: one for each worker.
+/// The maximum number of listeners that are handed over, one for each worker.
 pub const MAX_LISTENERS: usize = 16;
-/// The longest first line. The endpoint list takes up to a quarter of the memory, which is never more than this.
+/// The maximum length of the first line, in bytes. Most of it is the endpoint list, which is limited to a
+/// quarter of the memory; that is never more than this.
 pub const MAX_STATE_BYTES: usize = 16 << 20;
 
-/// The first line: what the old process hands over at once.
+/// The first line: the state that the old process hands over at once.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HandoverState {
-    /// Version of the messages.
+    /// The version of the messages.
     pub version: u32,
-    /// How many listening descriptors come along.
+    /// The number of listening descriptors that are sent with the line.
     #[serde(rename = "listeners")]
     pub listener_count: usize,
-    /// Descriptors that the old process holds or may still open.
+    /// The number of descriptors that the old process holds or may still open.
     #[serde(rename = "held")]
     pub descriptors: usize,
     /// The endpoint list.
     #[serde(rename = "known")]
     pub endpoints: EndpointList,
-    /// What the decisions of the primary worker have learned, but for its established connections.
+    /// The learned state of the primary worker's decisions, without its established connections.
     #[serde(default, rename = "memory")]
     pub learned: Vec<SnapshotEntry>,
-    /// When that was exported, in microseconds of Unix time.
+    /// When the learned state was exported, in microseconds of Unix time.
     #[serde(default, rename = "taken")]
     pub exported_at: Micros,
 }
 
-/// The state of an established connection that moves to the new process. The descriptors of its client and its server
-/// come with the first byte of its line.
+/// The state of an established connection that is transferred to the new process. The descriptors of its
+/// client and its server are sent with the first byte of its line.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EstablishedConnection {
     /// The client's address.
@@ -52,51 +53,51 @@
     /// The id that the client opened the connection with.
     #[serde(rename = "id")]
     pub open_id: u64,
-    /// Name of its class.
+    /// The name of the connection's class.
     pub class: String,
-    /// Name of its tenant; empty without one.
+    /// The name of the connection's tenant; empty if it has none.
     pub tenant: String,
-    /// Its flow key.
+    /// The connection's flow key.
     pub key: u64,
-    /// Its group.
+    /// The connection's group.
     pub group: u64,
-    /// Its load as the client estimated it, in work per second.
+    /// The connection's load as the client has estimated it, in work per second.
     #[serde(rename = "hint")]
     pub load_hint: Option<f64>,
-    /// Its load as reported last.
+    /// The connection's load as last reported, in work per second.
     pub load: Option<f64>,
-    /// Since when a message of the client has been without a reply, in microseconds of Unix time.
+    /// Since when a message of the client has been unanswered, in microseconds of Unix time.
     #[serde(rename = "asked")]
     pub unanswered_since: Option<Micros>,
-    /// Bytes in flight from and to the client.
+    /// Buffered bytes from and to the client.
     #[serde(default, rename = "at_client", skip_serializing_if = "BufferedBytes::is_empty")]
     pub client_buffers: BufferedBytes,
-    /// Bytes in flight from and to the server.
+    /// Buffered bytes from and to the server.
     #[serde(default, rename = "at_server", skip_serializing_if = "BufferedBytes::is_empty")]
     pub server_buffers: BufferedBytes,
 }
 
 impl EstablishedConnection {
-    /// The message that transfers it, with its end.
+    /// Returns the line that transfers the connection, with its line end.
     pub fn to_line(&self) -> String {
-        // Names and numbers, which can be written as JSON.
+        // Serializing can't fail: the fields are text and numbers.
         format!("STANDS {}\n", serde_json::to_string(self).unwrap_or_default())
     }
 }
 
-/// Bytes in flight at one end of a connection.
+/// The bytes that are buffered for one end of a connection.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BufferedBytes {
-    /// Received and not passed on.
+    /// Bytes that were received from this end and not relayed yet.
     #[serde(default, rename = "came", with = "base64_text", skip_serializing_if = "Vec::is_empty")]
     pub received: Vec<u8>,
-    /// How many of them are lines that have been examined.
+    /// The number of received bytes that are lines which have been examined.
     #[serde(default, rename = "seen")]
     pub examined: usize,
-    /// Messages of the balancer's own that are still to be sent.
+    /// The balancer's own messages to this end that have not been sent yet.
     #[serde(default, rename = "said", with = "base64_text", skip_serializing_if = "Vec::is_empty")]
     pub unsent: Vec<u8>,
-    /// The last line sent is incomplete.
+    /// Whether the last line sent to this end is incomplete.
     #[serde(default)]
     pub mid_line: bool,
 }
@@ -107,7 +108,7 @@
     }
 }
 
-/// Bytes as base64 text without padding.
+/// Serializes bytes as base64 text without padding.
 mod base64_text {
     use std::borrow::Cow;
 
@@ -125,23 +126,23 @@
     }
 }
 
-/// An established connection on its way between two processes, with its descriptors.
+/// An established connection that is being transferred between two processes, with its descriptors.
 #[derive(Debug)]
 pub struct TransferredConnection {
-    /// Its state.
+    /// The state of the connection.
     pub state: EstablishedConnection,
-    /// The client's end.
+    /// The connection to the client.
     pub client: TcpStream,
-    /// The server's end.
+    /// The connection to the server.
     pub server: TcpStream,
 }
 
-/// A message of the old process.
+/// A message from the old process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PredecessorMessage {
-    /// `STANDS JSON`: an established connection, whose descriptors come along.
+    /// `STANDS JSON`: an established connection, whose descriptors are sent with the line.
     Connection(Box<EstablishedConnection>),
-    /// `HELD N`: descriptors that the old process holds or may still open.
+    /// `HELD N`: the number of descriptors that the old process holds or may still open.
     Descriptors(usize),
     /// `LEAVES`: the old process accepts no more clients.
     Draining,
@@ -150,10 +151,10 @@
 }
 
 impl PredecessorMessage {
-    /// Parses a line, without its end; none for a line of another kind.
+    /// Parses a line without its line end. Returns `None` for an unknown message.
     ///
     /// # Errors
-    /// A connection whose state can't be parsed.
+    /// Returns an error if the line transfers a connection and its state can't be parsed.
     pub fn parse(line: &[u8]) -> Result<Option<Self>, serde_json::Error> {
         if let Some(json) = line.strip_prefix(b"STANDS ") {
             return Ok(Some(Self::Connection(serde_json::from_slice(json)?)));
@@ -166,7 +167,7 @@
     }
 }
 
-/// Writes the line with its end.
+/// Writes the line with its line end.
 impl fmt::Display for PredecessorMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -178,21 +179,21 @@
     }
 }
 
-/// A message of the new process.
+/// A message from the new process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuccessorMessage {
-    /// `TAKES 2`: the new process takes established connections with the bytes in flight, and acknowledges each.
+    /// `TAKES 2`: the new process accepts established connections with buffered bytes, and acknowledges each.
     AcceptsConnections,
     /// `SERVES`: the new process accepts clients.
     Serving,
     /// `ENDS`: the old process is to terminate.
     Terminate,
-    /// `TOOK N`: the first so many connections, counted from the first one sent, belong to the new process.
+    /// `TOOK N`: the first N connections that were sent over this socket belong to the new process now.
     Acknowledged(u64),
 }
 
 impl SuccessorMessage {
-    /// Parses a line, without its end; none for a line of another kind.
+    /// Parses a line without its line end. Returns `None` for an unknown message.
     pub fn parse(line: &[u8]) -> Option<Self> {
         match line {
             b"TAKES 2" => Some(Self::AcceptsConnections),
@@ -203,7 +204,7 @@
     }
 }
 
-/// Writes the line with its end.
+/// Writes the line with its line end.
 impl fmt::Display for SuccessorMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -219,7 +220,7 @@
     std::str::from_utf8(line.strip_prefix(prefix)?).ok()?.parse().ok()
 }
 
-/// Removes the next complete line from `inbox` and returns it without its end.
+/// Removes the next complete line from `inbox`. Returns it without its line end.
 pub fn take_line(inbox: &mut Vec<u8>) -> Option<Vec<u8>> {
     let end = inbox.iter().position(|byte| *byte == b'\n')?;
     let mut line: Vec<u8> = inbox.drain(..=end).collect();
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -1,4 +1,4 @@
-//! The messages of a hand-over, byte for byte.
+//! Tests of the messages of a hand-over, byte for byte.
 
 use shorewharf_decisions::persistence::{
     GroupRecord, InstanceRecord, QuarantineRecord, ReservationRecord, ServerRecord, StateRecord,
@@ -24,14 +24,15 @@
     }
 }
 
-/// The bytes that a process of this version writes, and reads from the one before it: stored names are not the code's to change.
+/// The bytes that a process of this version writes, and reads from a process of the previous version. The
+/// names in them must not change when names in the code do.
 macro_rules! fixture {
     ($name:literal) => {
         include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/handover/", $name))
     };
 }
 
-/// A list with a server that has every field set, and one with none that may be left out.
+/// A list with a server that has every field set, and one without any optional field.
 fn servers() -> EndpointList {
     let full = Endpoint {
         name: "s-5be2a07c".into(),
@@ -56,9 +57,9 @@
     EndpointList { index: 41, snapshot: true, endpoints: vec![full, bare] }
 }
 
-/// One of each thing that a module knows.
+/// One entry of each kind of learned state.
 fn learned() -> Vec<SnapshotEntry> {
-    let place = ReservationRecord { key: 11, server: 7, load: 0.75, expires_at: 1_764_747_090.5 };
+    let reservation = ReservationRecord { key: 11, server: 7, load: 0.75, expires_at: 1_764_747_090.5 };
     vec![
         SnapshotEntry::Balancer(StateRecord::Instance(InstanceRecord {
             total_clients: 12.5,
@@ -83,8 +84,8 @@
             clients: 2.5,
             last_server: Some(7),
         })),
-        SnapshotEntry::Balancer(StateRecord::Reservation(place)),
-        SnapshotEntry::Balancer(StateRecord::Connection(ReservationRecord { key: 12, ..place })),
+        SnapshotEntry::Balancer(StateRecord::Reservation(reservation)),
+        SnapshotEntry::Balancer(StateRecord::Connection(ReservationRecord { key: 12, ..reservation })),
         SnapshotEntry::LoadModel(LoadModel {
             mean_load: 1.5,
             load_samples: 20.5,
@@ -126,7 +127,7 @@
     assert_eq!(read, HandoverState { learned: Vec::new(), exported_at: 0, ..state() });
 }
 
-/// A connection with all that may be left out, and bytes that are no text.
+/// A connection with every optional field, and buffered bytes that are not valid text.
 fn busy() -> EstablishedConnection {
     EstablishedConnection {
         client: "10.0.0.9:50123".parse().expect("an address"),
@@ -154,7 +155,7 @@
     }
 }
 
-/// The same with nothing on its way.
+/// The same connection without optional loads and buffered bytes.
 fn quiet() -> EstablishedConnection {
     let nothing = BufferedBytes::default;
     EstablishedConnection {
@@ -169,11 +170,14 @@
 
 #[test]
 fn an_established_connection_is_written_and_read_byte_for_byte() {
-    let in_part = BufferedBytes { unsent: b"MOVE\r\n".to_vec(), ..BufferedBytes::default() };
+    let partly_buffered = BufferedBytes { unsent: b"MOVE\r\n".to_vec(), ..BufferedBytes::default() };
     for (connection, line) in [
         (busy(), fixture!("connection.txt")),
         (quiet(), fixture!("connection-quiet.txt")),
-        (EstablishedConnection { client_buffers: in_part, ..quiet() }, fixture!("connection-in-part.txt")),
+        (
+            EstablishedConnection { client_buffers: partly_buffered, ..quiet() },
+            fixture!("connection-in-part.txt"),
+        ),
     ] {
         let message = PredecessorMessage::Connection(Box::new(connection));
         assert_eq!(message.to_string(), line);
--- a/crates/balancer/src/handover/predecessor.rs
+++ b/crates/balancer/src/handover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The new process's end of a hand-over: it requests the state of the old one, then takes its established connections.
+//! The new process's end of a hand-over: requests the state of the old process, then receives its established
+//! connections.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSliceMut, Write};
@@ -21,31 +22,36 @@
 };
 use crate::event_loop::poll::{EventSource, SourceRegistry};
 
-/// The old process must answer within this time: its loop may be busy, and the start has 6 s in all.
+/// Time within which the old process must send its state. Its event loop may be busy, and the new process
+/// must be serving within 6 s of its start.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The longest line after the first: names are as long as a line of the protocol, and four buffers come along as text.
+/// Maximum length of the lines after the first one, in bytes. A line contains names as long as a line of the
+/// protocol, and the contents of four buffers as text.
 const MAX_LINE_BYTES: usize = 64 << 10;
-/// Connections that are taken in one iteration of the event loop.
+/// Maximum number of connections received in one iteration of the event loop.
 const MAX_CONNECTIONS_PER_ITERATION: usize = 64;
 
-/// What the old process has handed over at once.
+/// The first part of a hand-over: what the old process sends at once.
 #[derive(Debug)]
 pub struct ReceivedHandover {
-    /// Its listeners.
+    /// The listeners of the old process.
     pub listeners: Vec<TcpListener>,
-    /// Its state.
+    /// The state of the old process.
     pub state: HandoverState,
     stream: StdUnixStream,
 }
 
-/// A state that can't be used.
+/// The reason why a state that was received can't be used.
 #[derive(Debug, Error)]
 enum InvalidState {
-    #[error("the estate is longer than {MAX_STATE_BYTES} bytes")]
+    #[error("the hand-over state is longer than {MAX_STATE_BYTES} bytes")]
     TooLong,
-    #[error("the estate: {0}")]
+    #[error("the hand-over state is not valid JSON of the expected form: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("version {version} with {received} listeners of {announced}")]
+    #[error(
+        "the hand-over state has version {version}, expected {VERSION}, and came with {received} listeners, \
+         {announced} announced"
+    )]
     Mismatch { version: u32, received: usize, announced: usize },
 }
 
@@ -55,7 +61,7 @@
     }
 }
 
-/// Receives bytes, and with them the descriptors that come along.
+/// Receives bytes and the descriptors that were sent with them. Returns the number of bytes.
 fn receive(
     stream: impl AsFd,
     buffer: &mut [u8],
@@ -75,7 +81,7 @@
 /// Requests the state of the process that listens at `path`.
 ///
 /// # Errors
-/// No process listens there, it does not answer in time, or its state can't be used.
+/// Returns an error if no process listens there, it does not answer in time, or its state can't be used.
 pub fn request_state(path: &Path) -> io::Result<ReceivedHandover> {
     let stream = StdUnixStream::connect(path)?;
     check_same_user(&stream)?;
@@ -102,34 +108,34 @@
     Ok(ReceivedHandover { listeners, state, stream })
 }
 
-/// The old process, while it runs.
+/// The connection to the old process, while that runs.
 #[derive(Debug)]
 pub struct Predecessor {
     stream: UnixStream,
     inbox: Vec<u8>,
-    /// Descriptors that it holds or may still open.
+    /// The number of descriptors that the old process holds or may still open.
     pub descriptors: usize,
-    /// It accepts no more clients.
+    /// Whether the old process accepts no more clients.
     pub is_draining: bool,
-    /// Descriptors received and not yet assigned to a connection, in their order.
+    /// Descriptors that were received and are not assigned to a connection yet, in the order of arrival.
     received_fds: VecDeque<OwnedFd>,
-    /// Connections received and not yet acknowledged.
+    /// Connections that were received and are not acknowledged yet.
     unacknowledged: Vec<TransferredConnection>,
-    /// How many connections have been acknowledged.
+    /// The number of connections that have been acknowledged.
     acknowledged: u64,
-    /// It keeps the connections that were not acknowledged.
+    /// Whether the old process keeps the connections that have not been acknowledged.
     keeps_unacknowledged: bool,
-    /// No acknowledgement can be sent any more.
+    /// Whether sending an acknowledgement has failed. None is sent after that.
     is_unreachable: bool,
-    /// More may be waiting at the socket than was received.
+    /// Whether the socket may have more data than has been received.
     pub has_more: bool,
 }
 
 impl Predecessor {
-    /// Tells the old process that this one serves, and to terminate if `terminate` is set.
+    /// Notifies the old process that this one serves. With `terminate`, has it terminate.
     ///
     /// # Errors
-    /// The socket can't be watched or written to.
+    /// Returns an error if the socket can't be registered or written to.
     pub fn announce(
         handover: ReceivedHandover,
         terminate: bool,
@@ -157,7 +163,8 @@
         })
     }
 
-    /// Receives messages, up to a number of connections; returns false once the old process is gone.
+    /// Receives messages, up to the maximum number of connections of one iteration. Returns false if the old
+    /// process has ended or has sent a line that is too long.
     pub fn receive(&mut self) -> bool {
         let mut buffer = [0; MAX_LINE_BYTES];
         self.has_more = false;
@@ -196,19 +203,21 @@
         }
     }
 
-    /// Takes the connections that belong to this process from now on. Each belongs to exactly one process: the old one
-    /// receives the acknowledgement before anything is relayed here, and keeps the connections that were not
-    /// acknowledged, unless it is `gone` without having said so.
-    pub fn take_connections(&mut self, gone: bool) -> Vec<TransferredConnection> {
-        if gone && !self.keeps_unacknowledged {
+    /// Acknowledges the connections that were received, and returns those that belong to this process from
+    /// now on. Each connection belongs to exactly one process: the acknowledgement is sent before this
+    /// process relays anything, and the old process keeps every connection that has not been acknowledged. If
+    /// the old process has ended, as `is_disconnected` tells, its unacknowledged connections belong to this
+    /// process, unless it has announced before that it keeps them.
+    pub fn take_connections(&mut self, is_disconnected: bool) -> Vec<TransferredConnection> {
+        if is_disconnected && !self.keeps_unacknowledged {
             return std::mem::take(&mut self.unacknowledged);
         }
-        if gone || self.is_unreachable || self.unacknowledged.is_empty() {
+        if is_disconnected || self.is_unreachable || self.unacknowledged.is_empty() {
             return Vec::new();
         }
         let all = self.acknowledged + self.unacknowledged.len() as u64;
         let line = SuccessorMessage::Acknowledged(all).to_string();
-        // One line is far less than the socket buffers: it is written completely or not at all.
+        // The line is much shorter than the socket's buffer, so it is written completely or not at all.
         let is_sent = matches!((&self.stream).write(line.as_bytes()), Ok(written) if written == line.len());
         self.is_unreachable = !is_sent;
         if self.is_unreachable {
@@ -218,18 +227,18 @@
         std::mem::take(&mut self.unacknowledged)
     }
 
-    /// Assigns a connection its descriptors.
+    /// Assigns the descriptors that were received with a connection to it.
     fn on_connection(&mut self, state: EstablishedConnection) {
         let Some([client, server]) = self.take_descriptors() else {
-            warn!(event = "transfer-failed", why = "without its descriptors");
+            warn!(event = "transfer-failed", why = "a connection arrived without its two descriptors");
             return;
         };
         let [client, server] = [client, server].map(|fd| TcpStream::from_std(fd.into()));
         self.unacknowledged.push(TransferredConnection { state, client, server });
     }
 
-    /// The client's and the server's descriptor of the next connection. They come with the first byte of its line, so they
-    /// have been received when the line is complete.
+    /// Takes the descriptors of the client and the server of the next connection. They are sent with the
+    /// first byte of its line, so they have arrived when the line is complete.
     fn take_descriptors(&mut self) -> Option<[OwnedFd; 2]> {
         let (client, server) = (self.received_fds.pop_front(), self.received_fds.pop_front());
         Some([client?, server?])
--- a/crates/balancer/src/handover/predecessor/tests.rs
+++ b/crates/balancer/src/handover/predecessor/tests.rs
@@ -1,4 +1,4 @@
-//! Both ends of a hand-over, over a socket.
+//! Tests of both ends of a hand-over, over a socket.
 
 use super::*;
 use crate::event_loop::context::tests::until;
@@ -6,8 +6,8 @@
 use crate::handover::successors::Successors;
 use shorewharf_protocol::endpoint_list::EndpointList;
 
-fn poller() -> SourceRegistry {
-    EventPoller::new().and_then(|watch| watch.registry()).expect("a loop")
+fn registry() -> SourceRegistry {
+    EventPoller::new().and_then(|poller| poller.registry()).expect("a registry")
 }
 
 fn listener() -> TcpListener {
@@ -20,11 +20,11 @@
     path: &Path,
     state: &HandoverState,
 ) -> ReceivedHandover {
-    std::thread::scope(|s| {
-        let request = s.spawn(|| request_state(path));
+    std::thread::scope(|scope| {
+        let request = scope.spawn(|| request_state(path));
         until(|| {
-            successors.accept(&poller(), || state.clone());
-            successors.receive_all(&poller(), 0);
+            successors.accept(&registry(), || state.clone());
+            successors.receive_all(&registry(), 0);
             request.is_finished()
         });
         request.join().expect("no panic").expect("a state")
@@ -35,10 +35,10 @@
 fn a_successor_receives_listener_and_list_and_counts_while_it_serves() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("process");
-    let old = listener();
-    let mut successors =
-        Successors::open(path.clone(), vec![old.try_clone().expect("a copy")], &poller()).expect("a socket");
-    // A list that is larger than the socket's buffer.
+    let listener = listener();
+    let offered = vec![listener.try_clone().expect("a duplicate")];
+    let mut successors = Successors::open(path.clone(), offered, &registry()).expect("a socket");
+    // The list is larger than the socket's buffer.
     let endpoint = serde_json::json!({"name": "s", "address": "127.0.0.1:1", "status": "Ready"});
     let endpoints = vec![serde_json::from_value(endpoint).expect("an endpoint"); 10_000];
     let list = EndpointList { index: 7, snapshot: true, endpoints };
@@ -46,24 +46,24 @@
         HandoverState { version: VERSION, descriptors: 40, endpoints: list, ..HandoverState::default() };
     let received = request_until_answered(&mut successors, &path, &state);
     assert_eq!((received.state.endpoints == state.endpoints, received.state.descriptors), (true, 40));
-    assert_eq!(received.listeners[0].local_addr().ok(), old.local_addr().ok());
-    assert!(!successors.is_any_serving(), "it does not serve yet");
-    let mut predecessor = Predecessor::announce(received, false, &poller()).expect("told");
-    successors.receive_all(&poller(), 0);
+    assert_eq!(received.listeners[0].local_addr().ok(), listener.local_addr().ok());
+    assert!(!successors.is_any_serving(), "the new process does not serve yet");
+    let mut predecessor = Predecessor::announce(received, false, &registry()).expect("the message is sent");
+    successors.receive_all(&registry(), 0);
     assert!(successors.is_any_serving());
     successors.broadcast(&PredecessorMessage::Descriptors(12));
     successors.broadcast(&PredecessorMessage::Draining);
     until(|| predecessor.receive() && predecessor.is_draining);
     assert_eq!(predecessor.descriptors, 12);
-    // It took the path and died: the next one finds the old process.
+    // The new process has replaced the socket at the path and ended; the next one reaches the old process.
     std::fs::remove_file(&path).expect("the path");
     drop(predecessor);
     until(|| {
-        successors.receive_all(&poller(), 0);
+        successors.receive_all(&registry(), 0);
         !successors.is_any_serving()
     });
     let next = request_until_answered(&mut successors, &path, &state);
-    let mut predecessor = Predecessor::announce(next, false, &poller()).expect("told");
+    let mut predecessor = Predecessor::announce(next, false, &registry()).expect("the message is sent");
     drop(successors);
     until(|| !predecessor.receive());
 }
@@ -72,21 +72,21 @@
 fn a_missing_or_invalid_predecessor_is_an_error_in_time() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("process");
-    assert!(request_state(&path).is_err(), "nobody is there");
-    let nonsense = std::os::unix::net::UnixListener::bind(&path).expect("a socket");
-    for words in
+    assert!(request_state(&path).is_err(), "no process has ever listened at the path");
+    let listener = std::os::unix::net::UnixListener::bind(&path).expect("a socket");
+    for response in
         ["nonsense\n", "{\"version\":2,\"listeners\":0,\"held\":0,\"known\":{}}\n", "{\"version\":1", ""]
     {
-        let asks = std::thread::spawn({
+        let request = std::thread::spawn({
             let path = path.clone();
             move || request_state(&path)
         });
-        let (mut one, _) = nonsense.accept().expect("it asks");
-        one.write_all(words.as_bytes()).expect("open");
-        // The last says nothing and stays.
-        let _stays = words.is_empty().then_some(one);
-        assert!(asks.join().expect("no panic").is_err(), "{words}");
+        let (mut stream, _) = listener.accept().expect("a request");
+        stream.write_all(response.as_bytes()).expect("the response is sent");
+        // The empty response stands for a process that keeps the connection open and sends nothing.
+        let _open_stream = response.is_empty().then_some(stream);
+        assert!(request.join().expect("no panic").is_err(), "{response}");
     }
-    drop(nonsense);
-    assert!(request_state(&path).is_err(), "the process is gone");
+    drop(listener);
+    assert!(request_state(&path).is_err(), "no process listens at the path any more");
 }
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -1,7 +1,7 @@
-//! The other processes of this balancer: which are there, and what is agreed with them.
+//! The connections to other processes of this balancer, and the state that is shared with them.
 //!
-//! While two processes run, together they keep to what one process may take. The event loop acts on this state
-//! (`event_loop/handover.rs`).
+//! While two processes run, together they keep to the limits of one process. The event loop acts on this
+//! state (`event_loop/handover.rs`).
 
 use std::collections::VecDeque;
 
@@ -9,33 +9,35 @@
 use crate::handover::predecessor::Predecessor;
 use crate::handover::successors::Successors;
 
-/// The other processes of this balancer, as far as they are there.
+/// The other processes of this balancer.
 #[derive(Debug, Default)]
 pub struct SiblingProcesses {
-    /// Where a new process connects; `None` without a shared folder.
+    /// The socket that new processes connect to, and those that have connected; `None` if no hand-over is
+    /// offered.
     pub successors: Option<Successors>,
     /// The process that this one replaces, until it has ended.
     pub predecessor: Option<Predecessor>,
-    /// Two processes accept clients, by the settings that were put in force last.
+    /// Whether two processes accept clients, as of the last [`SiblingProcesses::take_sharing_change`].
     is_sharing_clients: bool,
-    /// Descriptors that this process may hold beside a successor, as it was told last.
+    /// The number of descriptors that this process may hold beside a successor, as last sent to the
+    /// successor.
     pub descriptor_allowance: Option<usize>,
-    /// Established connections of other workers that wait for their transfer.
+    /// Established connections of other workers that are still to be transferred to a successor.
     pub queued: VecDeque<TransferredConnection>,
 }
 
 impl SiblingProcesses {
-    /// The processes that are there at the start.
+    /// Creates the state at the start of this process.
     pub fn new(successors: Option<Successors>, predecessor: Option<Predecessor>) -> Self {
         SiblingProcesses { successors, predecessor, ..SiblingProcesses::default() }
     }
 
-    /// Whether another process has taken over from this one.
+    /// Whether another process serves in place of this one.
     pub fn has_successor(&self) -> bool {
         self.successors.as_ref().is_some_and(Successors::is_any_serving)
     }
 
-    /// Whether two processes accept clients since or until now, if that has changed since the last call.
+    /// Returns whether two processes accept clients now, if that has changed since the last call.
     pub fn take_sharing_change(&mut self, is_shutting_down: bool) -> Option<bool> {
         let is_sharing = (self.has_successor() && !is_shutting_down)
             || self.predecessor.as_ref().is_some_and(|predecessor| !predecessor.is_draining);
@@ -47,17 +49,18 @@
         self.is_sharing_clients
     }
 
-    /// Whether the predecessor may have sent more than was read.
+    /// Whether the predecessor may have sent more than has been read.
     pub fn has_unread(&self) -> bool {
         self.predecessor.as_ref().is_some_and(|predecessor| predecessor.has_more)
     }
 
-    /// Descriptors that the predecessor holds.
+    /// The number of descriptors that the predecessor holds or may still open.
     pub fn predecessor_descriptors(&self) -> usize {
         self.predecessor.as_ref().map_or(0, |predecessor| predecessor.descriptors)
     }
 
-    /// Established connections that are on their way to a successor, or wait for that.
+    /// The number of established connections that are being transferred to a successor or are queued for
+    /// that.
     pub fn connections_in_transfer(&self) -> usize {
         self.queued.len() + self.successors.as_ref().map_or(0, Successors::in_transit)
     }
--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -1,5 +1,5 @@
-//! The old process's end of a hand-over: it offers its listeners and its state to any process that connects, and transfers
-//! its established connections to the one that serves.
+//! The old process's end of a hand-over: offers the listeners and the state to each process that connects,
+//! and transfers the established connections to the one that serves.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::Permissions;
@@ -21,14 +21,14 @@
 };
 use crate::event_loop::poll::{EventSource, SourceRegistry};
 
-/// The most connected processes: one that serves, a second one before the first serves, and some that hang.
+/// Maximum number of connected processes: one that serves, another one that is starting, and some that hang.
 const MAX_SUCCESSORS: usize = 4;
-/// The longest line of a successor.
+/// Maximum length of a line from a successor, in bytes.
 const MAX_LINE_BYTES: usize = 64;
-/// A successor that acknowledges nothing for this long, with connections in transit to it, has stalled.
+/// A successor has stalled if it acknowledges nothing for this long while connections are in transit to it.
 const STALL_TIMEOUT: Micros = 500_000;
 
-/// Sends bytes with descriptors. Returns how many bytes were sent.
+/// Sends bytes together with descriptors. Returns the number of bytes that were sent.
 fn send_with_descriptors(
     stream: &UnixStream,
     bytes: &[u8],
@@ -46,25 +46,26 @@
     stream: UnixStream,
     inbox: Vec<u8>,
     outbox: Vec<u8>,
-    /// The listeners have been sent, with the first bytes.
+    /// Whether the listeners have been sent, which happens with the first bytes.
     has_listeners: bool,
     is_serving: bool,
-    /// It takes established connections and acknowledges each.
+    /// Whether the process accepts established connections and acknowledges each.
     accepts_connections: bool,
-    /// It has acknowledged nothing for too long.
+    /// Whether the process has been found stalled; see [`STALL_TIMEOUT`].
     is_stalled: bool,
-    /// It asks this process to terminate.
+    /// Whether the process requests that this one terminates.
     wants_termination: bool,
-    /// Connections that were sent and not acknowledged, in their order.
+    /// Connections that were sent and not acknowledged, in the order of sending.
     in_transit: VecDeque<TransferredConnection>,
-    /// How many were acknowledged before those.
+    /// The number of connections that have been acknowledged.
     acknowledged: u64,
-    /// Time of the last acknowledgement, or of the first connection in transit.
+    /// When the last acknowledgement was received, or the first connection in transit was sent if that was
+    /// later.
     last_progress: Micros,
 }
 
 impl Successor {
-    /// A connected process that is to be sent these bytes first.
+    /// Creates the state of a connected process. `outbox` holds the bytes that are sent first.
     fn new(stream: UnixStream, outbox: Vec<u8>) -> Self {
         Successor {
             stream,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Writes what the socket takes of the outbox; returns false if the process is gone.
+    /// Sends as much of the outbox as the socket accepts. Returns false if the process has ended.
     fn flush(&mut self, listeners: &[TcpListener]) -> bool {
         while !self.outbox.is_empty() {
             let written = if self.has_listeners {
@@ -102,7 +103,7 @@
         true
     }
 
-    /// Receives messages; returns false if the process is gone.
+    /// Receives messages. Returns false if the process has ended or has sent a line that is too long.
     fn receive(&mut self, now: Micros) -> bool {
         let mut buffer = [0; MAX_LINE_BYTES];
         loop {
@@ -131,7 +132,8 @@
             SuccessorMessage::Terminate => self.wants_termination = true,
             SuccessorMessage::Acknowledged(all) => {
                 let newly = all.saturating_sub(self.acknowledged).min(self.in_transit.len() as u64);
-                // The connections are its own now; this process closes its descriptors of them.
+                // The connections belong to the successor now, so this process closes its descriptors of
+                // them.
                 self.in_transit.drain(..newly as usize);
                 self.acknowledged += newly;
                 self.last_progress = now;
@@ -139,12 +141,12 @@
         }
     }
 
-    /// Sends a connection with its descriptors.
+    /// Sends a connection together with its descriptors.
     fn send(&mut self, connection: &TransferredConnection) -> io::Result<()> {
         let line = connection.state.to_line();
         let descriptors = [connection.client.as_fd(), connection.server.as_fd()];
         let sent = send_with_descriptors(&self.stream, line.as_bytes(), &descriptors)?;
-        // The rest of the line follows when the socket takes it.
+        // The rest of the line is sent when the socket accepts more.
         self.outbox.extend_from_slice(&line.as_bytes()[sent..]);
         Ok(())
     }
@@ -161,23 +163,24 @@
     }
 }
 
-/// The socket that new processes connect to, and those that have.
+/// The socket that new processes connect to, and the processes that have connected.
 #[derive(Debug)]
 pub struct Successors {
     path: PathBuf,
     socket: UnixListener,
     /// The TCP listeners that are handed over.
     listeners: Vec<TcpListener>,
+    /// The connected processes by number, in the order of connecting.
     by_number: BTreeMap<u64, Successor>,
     last_number: u64,
-    /// Connections that a successor has not acknowledged, and never will.
+    /// Connections that belong to this process again, since they can't be acknowledged any more.
     returned: Vec<TransferredConnection>,
 }
 
-/// Listens at the path, in the place of whichever process did before.
+/// Listens at `path`, and replaces the socket of any process that listens there.
 fn listen(path: &Path) -> io::Result<UnixListener> {
     let own_path = path.with_extension(std::process::id().to_string());
-    // Left behind by an earlier process of this number.
+    // An earlier process with the same process id may have left the file.
     let _ = std::fs::remove_file(&own_path);
     let socket = UnixListener::bind(&own_path)?;
     std::fs::set_permissions(&own_path, Permissions::from_mode(0o600))?;
@@ -186,14 +189,14 @@
 }
 
 impl Successors {
-    /// Offers these listeners at the path.
+    /// Offers `listeners` at `path`.
     ///
     /// # Errors
-    /// More than [`MAX_LISTENERS`] listeners, or a socket that can't be opened at the path.
+    /// Returns an error if there are more than [`MAX_LISTENERS`] listeners, or the socket can't be opened.
     pub fn open(path: PathBuf, listeners: Vec<TcpListener>, registry: &SourceRegistry) -> io::Result<Self> {
         if listeners.len() > MAX_LISTENERS {
             let count = listeners.len();
-            let reason = format!("{count} listeners are more than can be handed over, {MAX_LISTENERS}");
+            let reason = format!("{count} listeners can't be handed over; at most {MAX_LISTENERS} can");
             return Err(io::Error::new(ErrorKind::InvalidInput, reason));
         }
         let mut socket = listen(&path)?;
@@ -202,7 +205,7 @@
         Ok(Successors { path, socket, listeners, by_number, last_number: 0, returned })
     }
 
-    /// Accepts processes that connect, and sends each the state.
+    /// Accepts processes that have connected, and sends the state to each.
     pub fn accept(&mut self, registry: &SourceRegistry, state: impl Fn() -> HandoverState) {
         while let Ok((mut stream, _)) = self.socket.accept() {
             if let Err(e) = check_same_user(&stream) {
@@ -217,7 +220,7 @@
                 continue;
             }
             let state = HandoverState { listener_count: self.listeners.len(), ..state() };
-            // A list is text and numbers, which can be written as JSON.
+            // Serializing can't fail: the state is text and numbers.
             let Ok(mut outbox) = serde_json::to_vec(&state) else { continue };
             outbox.push(b'\n');
             self.by_number.insert(number, Successor::new(stream, outbox));
@@ -225,8 +228,9 @@
         }
     }
 
-    /// Drops the oldest idle successor if there are too many; returns false if none is idle. A stalled one is not idle: it
-    /// must learn that its connections are no longer its own.
+    /// Drops the oldest idle successor if there are too many successors. Returns false if none is idle. A
+    /// stalled successor is not idle: it must still be told that the connections in transit do not belong to
+    /// it.
     fn make_room(&mut self) -> bool {
         if self.by_number.len() < MAX_SUCCESSORS {
             return true;
@@ -237,10 +241,10 @@
         self.by_number.remove(&number).is_some()
     }
 
-    /// A successor's socket is readable or writable.
+    /// Handles readiness of a successor's socket.
     pub fn on_ready(&mut self, registry: &SourceRegistry, now: Micros, number: u64) {
         let Some(successor) = self.by_number.get_mut(&number) else { return };
-        // What it sent before its end counts, whether it can be written to or not.
+        // Messages that a process has sent before its end count even if it can't be written to any more.
         let is_writable = successor.flush(&self.listeners);
         if successor.receive(now) && is_writable {
             return;
@@ -249,7 +253,8 @@
         if let Some(successor) = self.by_number.remove(&number) {
             self.returned.extend(successor.in_transit);
         }
-        // The last one that served had replaced the socket at the path; the next process must find this one again.
+        // A serving successor has replaced the socket at the path by its own. Once the last one has ended,
+        // this process replaces it again, so that the next process connects here.
         if was_serving
             && !self.is_any_serving()
             && let Ok(mut socket) = listen(&self.path)
@@ -259,18 +264,19 @@
         }
     }
 
-    /// Receives the messages of all successors now.
+    /// Receives the messages of all successors, whether or not their sockets were reported ready.
     pub fn receive_all(&mut self, registry: &SourceRegistry, now: Micros) {
         for number in self.by_number.keys().copied().collect::<Vec<_>>() {
             self.on_ready(registry, now, number);
         }
     }
 
-    /// Takes back the connections in transit to successors that have stalled. From here on such a successor can't
-    /// acknowledge any: its messages are not received any more, which it notices when it sends one, and it is told.
+    /// Takes back the connections in transit to successors that have stalled. A stalled successor can't
+    /// acknowledge connections any more: its messages are not received, so that sending one fails, and it is
+    /// told that this process keeps the connections.
     pub fn check_stalled(&mut self, now: Micros) {
         for successor in self.by_number.values_mut().filter(|successor| successor.has_stalled(now)) {
-            // Fails only if the process is gone.
+            // Fails only if the process has ended.
             let _ = successor.stream.shutdown(Shutdown::Read);
             successor.receive(now);
             successor.is_serving = false;
@@ -284,17 +290,17 @@
         }
     }
 
-    /// Takes the connections that are this process's again.
+    /// Takes the connections that belong to this process again.
     pub fn take_returned(&mut self) -> Vec<TransferredConnection> {
         std::mem::take(&mut self.returned)
     }
 
-    /// How many connections were sent and not acknowledged.
+    /// The number of connections that were sent and not acknowledged.
     pub fn in_transit(&self) -> usize {
         self.by_number.values().map(|successor| successor.in_transit.len()).sum()
     }
 
-    /// Whether a connection can be sent to the successor that serves.
+    /// Whether a connection can be sent now to the newest successor that serves.
     pub fn can_transfer(&mut self) -> bool {
         let successor = self.by_number.values_mut().rev().find(|successor| successor.is_serving);
         successor.is_some_and(|successor| {
@@ -307,13 +313,13 @@
         self.by_number.values().any(|successor| successor.is_serving)
     }
 
-    /// Whether a successor that serves asks this process to terminate.
+    /// Whether a successor that serves requests that this process terminates.
     pub fn wants_termination(&self) -> bool {
         self.by_number.values().any(|successor| successor.is_serving && successor.wants_termination)
     }
 
-    /// Sends a connection to the successor that serves; returns whether that was possible. One that can't be sent now is
-    /// returned by [`Successors::take_returned`].
+    /// Sends a connection to the newest successor that serves and accepts connections. Returns false if it
+    /// could not be sent; [`Successors::take_returned`] returns it then.
     pub fn transfer(&mut self, now: Micros, connection: TransferredConnection) -> bool {
         let mut newest_first = self.by_number.values_mut().rev();
         let serving = newest_first.find(|successor| successor.is_serving && successor.accepts_connections);
@@ -330,7 +336,7 @@
         }
     }
 
-    /// Sends a message to each successor that has taken all that was sent before.
+    /// Sends a message to each successor for which no earlier message is still to be sent.
     pub fn broadcast(&mut self, message: &PredecessorMessage) {
         let line = message.to_string();
         for successor in self.by_number.values_mut().filter(|successor| successor.outbox.is_empty()) {
