--- a/crates/balancer/src/admin/counters.rs
+++ b/crates/balancer/src/admin/counters.rs
@@ -1,10 +1,10 @@
-//! Counters for operators. Each event is counted once, where it happens, by the worker that it happens at.
+//! Counters for operators. Each event is counted once, by the worker at which it happens.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use shorewharf_protocol::admin::ReplyCounts;
 
-/// The reply that a client has had, as operators count it.
+/// The reply to a client, as counted for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A server has accepted the connection.
@@ -15,16 +15,16 @@
     Error,
 }
 
-/// Counts since the start of the process, and what is held now.
+/// Counters since the start of the process, and gauges of the current use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
-    /// Replies by class index.
+    /// The numbers of replies, by class index.
     pub replies: Vec<ReplyCounts>,
-    /// Attempts whose first line has been written to a server.
+    /// The number of attempts whose first line has been written to a server.
     pub dispatches: u64,
-    /// Client connections that have not ended.
+    /// The number of client connections with an open request, which may be established.
     pub concurrent: usize,
-    /// Descriptors that connections hold.
+    /// The number of descriptors that connections use.
     pub descriptors: usize,
 }
 
@@ -45,13 +45,13 @@
     }
 }
 
-/// The counters of one worker, which alone writes them. The primary worker reads those of all.
+/// The counters of one worker. Only that worker changes them; the primary worker reads those of all workers.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerCounters(Arc<Mutex<Totals>>);
 
 impl WorkerCounters {
     fn lock(&self) -> MutexGuard<'_, Totals> {
-        // The counts are consistent between any two calls, whichever thread panics.
+        // A thread that panics with the lock held leaves the counters usable: each is changed in one step.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -74,14 +74,14 @@
         self.lock().dispatches += 1;
     }
 
-    /// Sets the number of client connections that have not ended, and of descriptors held.
+    /// Sets the number of client connections with an open request, and the number of descriptors in use.
     pub fn set_held(&self, concurrent: usize, descriptors: usize) {
         let mut totals = self.lock();
         totals.concurrent = concurrent;
         totals.descriptors = descriptors;
     }
 
-    /// The totals of these workers.
+    /// Returns the totals of these workers.
     pub fn sum(workers: &[WorkerCounters]) -> Totals {
         let mut totals = Totals::default();
         for worker in workers {
--- a/crates/balancer/src/admin/handler.rs
+++ b/crates/balancer/src/admin/handler.rs
@@ -1,5 +1,5 @@
-//! What operators act on, at the primary worker: their connections, the counters of all workers, and the folder in
-//! which disabled servers are kept for other processes.
+//! The admin state of the primary worker: the connections of operators, the counters of all workers, and the
+//! folder in which disabled servers are stored for other processes of this balancer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -13,14 +13,14 @@
 use crate::admin::shared_folder::SharedFolder;
 use crate::servers::disabled::{AdminChange, DisabledServer};
 
-/// What the primary worker is given at its start.
+/// The resources for serving operators that the primary worker receives at its start.
 #[derive(Debug)]
 pub struct AdminListener {
-    /// Where operators connect.
+    /// The listener that operators connect to.
     pub listener: TcpListener,
     /// The counters of each worker.
     pub counters: Vec<WorkerCounters>,
-    /// Where disabled servers are kept; `None` if there is no place for it.
+    /// The folder in which disabled servers are stored; `None` if it could not be opened.
     pub folder: Option<SharedFolder>,
 }
 
@@ -37,18 +37,18 @@
     }
 }
 
-/// The operators' side of the primary worker.
+/// Serves operators at the primary worker.
 #[derive(Debug)]
 pub struct AdminHandler {
-    /// The connections of operators.
+    /// The listener for operators and their connections.
     pub server: AdminServer,
     /// The counters of each worker.
     pub counters: Vec<WorkerCounters>,
-    /// Where disabled servers are kept; `None` if there is no place for it.
+    /// The folder in which disabled servers are stored; `None` if it could not be opened.
     pub folder: Option<SharedFolder>,
-    /// Disabled servers that could not be saved: that they are missing in the folder doesn't enable them.
+    /// Disabled servers that could not be stored. They stay disabled although the folder lacks them.
     unsaved: BTreeSet<ServerId>,
-    /// The folder could not be read or written, and that was logged.
+    /// Whether the folder could not be read or written. The failure has been logged.
     is_folder_failing: bool,
 }
 
@@ -70,7 +70,8 @@
         self.log_folder_result(saved);
     }
 
-    /// Reads what other processes have changed since `known` was disabled; `now` is in seconds.
+    /// Returns the changes of other processes: the differences of the folder from the servers that are
+    /// `known` to be disabled. `now` is in seconds.
     pub fn read_changes(&mut self, known: &BTreeMap<ServerId, DisabledServer>, now: f64) -> Vec<AdminChange> {
         let Some(folder) = &mut self.folder else { return Vec::new() };
         let saved = match folder.read(known) {
@@ -91,7 +92,7 @@
         changes
     }
 
-    /// Logs that the folder fails, once until it works again.
+    /// Logs a failure of the folder, once until the folder works again.
     fn log_folder_result(&mut self, result: io::Result<()>) {
         match result {
             Ok(()) => self.is_folder_failing = false,
--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -1,5 +1,6 @@
-//! The admin side of the balancer: a second listener for operators, the counters that they read, and the servers that they
-//! disable. Commands are executed by the event loop; nothing here knows clients or sessions.
+//! The admin side of the balancer: a separate listener for operators, the counters that operators read, and
+//! the storage of the servers that operators disable. The event loop executes the commands; this module does
+//! not depend on clients or sessions.
 
 pub mod counters;
 pub mod handler;
--- a/crates/balancer/src/admin/server.rs
+++ b/crates/balancer/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The connections of operators: one command to a connection, answered at once, then closed.
+//! The connections of operators. A connection is for one command: it is closed after the reply.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -14,23 +14,25 @@
 use crate::transport::connection::Connection;
 use crate::transport::readiness::Readiness;
 
-/// The most connections at once. Their descriptors are reserved, so they never compete with those of clients.
+/// Maximum number of simultaneous connections. Their descriptors are reserved, so that they do not compete
+/// with those of clients.
 pub const MAX_CONNECTIONS: usize = 16;
-/// The most connections accepted in one iteration: a flood of them must not delay clients.
+/// Maximum number of connections accepted in one iteration, so that many of them do not delay clients.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
-/// Time to send a command, and the same again to take the reply.
+/// Time within which an operator must send the command, and again time within which it must receive the
+/// reply.
 const TIMEOUT: Micros = 2_500_000;
-/// Pause before accepting again after a failure.
+/// Time before accepting is retried after a failure.
 const ACCEPT_RETRY_DELAY: Micros = 100_000;
 
-/// How far a connection has come.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The command, or a part of it, is still to come.
+    /// The command has not been received completely.
     AwaitingCommand,
     /// The command is being executed.
     Executing,
-    /// The reply is being sent, or the operator's end of the connection is awaited.
+    /// The reply is being sent, or has been sent and the operator has not closed the connection yet.
     Replied,
 }
 
@@ -40,9 +42,9 @@
     connection: Connection,
     state: State,
     deadline: Micros,
-    /// The end of the command's line, which the reply's lines take over.
+    /// The line end of the command, which is also used for the lines of the reply.
     line_end: &'static str,
-    /// What is still to be sent of the reply.
+    /// The part of the reply that has not been sent yet.
     unsent: Vec<u8>,
     timer: TimerHandle,
 }
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Reads on; returns the command once its line is complete. What follows the line is ignored.
+    /// Reads available input. Returns the command once its line is complete; input after the line is ignored.
     fn read_command(&mut self, context: &LoopContext) -> Option<Result<Command, CommandError>> {
         self.connection.read_available(&context.buffers);
         let received = self.connection.pending_input();
@@ -73,7 +75,8 @@
         Some(command)
     }
 
-    /// Sends what is left of the reply and closes; returns whether the connection has ended.
+    /// Sends the rest of the reply as far as possible, and ends the output after it. Returns whether the
+    /// operator has closed the connection.
     fn send_reply(&mut self, context: &LoopContext) -> bool {
         while !self.unsent.is_empty() && self.connection.flush() {
             let portion = self.unsent.len().min(BUFFER_BYTES);
@@ -85,7 +88,8 @@
         if self.unsent.is_empty() && self.connection.flush() {
             self.connection.shutdown_write();
         }
-        // Further input is ignored, but left unread it would turn the close into a reset.
+        // Further input is ignored. It must be read nevertheless, since closing a connection with unread
+        // input resets it.
         self.connection.read_available(&context.buffers);
         self.connection.discard_input();
         self.connection.peer_close.is_some()
@@ -95,33 +99,34 @@
 /// A command of an operator.
 #[derive(Debug)]
 pub struct ReceivedCommand {
-    /// Number of the connection that it came on.
+    /// The number of the connection that the command was received on.
     pub connection: u64,
-    /// The command, or why it is rejected.
+    /// The command, or the reason why it is rejected.
     pub command: Result<Command, CommandError>,
 }
 
-/// The admin listener and its connections, by number.
+/// The listener for operators, and the connections that it has accepted.
 #[derive(Debug)]
 pub struct AdminServer {
     listener: TcpListener,
-    /// Connections may be waiting at the listener.
+    /// Whether connections may be waiting at the listener.
     can_accept: bool,
+    /// The connections by number, in the order of accepting.
     connections: BTreeMap<u64, AdminConnection>,
     last_number: u64,
-    /// Commands to be executed, in the order in which they came.
+    /// Commands to be executed, in the order of arrival.
     commands: Vec<ReceivedCommand>,
 }
 
 impl AdminServer {
-    /// A server for this listener, without connections.
+    /// Creates a server for this listener, without connections.
     pub fn new(listener: TcpListener) -> Self {
         let (connections, commands) = (BTreeMap::new(), Vec::new());
         AdminServer { listener, can_accept: true, connections, last_number: 0, commands }
     }
 
-    /// The listener or a connection is ready. Commands that are complete then are returned by
-    /// [`AdminServer::take_commands`].
+    /// Handles readiness of the listener or a connection. [`AdminServer::take_commands`] returns the commands
+    /// that are complete then.
     pub fn on_ready(&mut self, context: &mut LoopContext, source: EventSource, readiness: Readiness) {
         if let EventSource::AdminConnection(number) = source {
             if let Some(admin) = self.connections.get_mut(&number) {
@@ -134,12 +139,12 @@
         }
     }
 
-    /// Whether more connections may be waiting than one iteration accepts.
+    /// Whether connections may still be waiting at the listener.
     pub fn has_backlog(&self) -> bool {
         self.can_accept
     }
 
-    /// Accepts connections that are waiting.
+    /// Accepts waiting connections, up to the maximum of one iteration.
     pub fn accept(&mut self, context: &mut LoopContext) {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             if !self.can_accept {
@@ -175,11 +180,13 @@
         self.advance(context, number);
     }
 
-    /// Closes the oldest connection without a complete command, else the oldest: commands are answered in the same
-    /// iteration, so that one only has to take its reply.
+    /// Closes the oldest connection without a complete command. If there is none, closes the oldest
+    /// connection: since commands are answered in the same iteration, only the receipt of its reply may be
+    /// incomplete.
     fn close_oldest(&mut self, context: &mut LoopContext) {
-        let mut silent = self.connections.iter().filter(|(_, admin)| admin.state == State::AwaitingCommand);
-        let oldest = silent.next().or(self.connections.iter().next());
+        let mut without_command =
+            self.connections.iter().filter(|(_, admin)| admin.state == State::AwaitingCommand);
+        let oldest = without_command.next().or(self.connections.iter().next());
         if let Some(number) = oldest.map(|(number, _)| *number) {
             self.close(context, number);
         }
@@ -205,12 +212,12 @@
         }
     }
 
-    /// Takes the commands that have come.
+    /// Takes the commands that have been received.
     pub fn take_commands(&mut self) -> Vec<ReceivedCommand> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Replies to the command of the connection of this number.
+    /// Replies to the command of the connection with this number.
     pub fn reply(&mut self, context: &mut LoopContext, number: u64, reply: &CommandReply) {
         let Some(admin) = self.connections.get_mut(&number) else { return };
         admin.state = State::Replied;
@@ -219,11 +226,12 @@
         self.advance(context, number);
     }
 
-    /// The timer of the connection of this number has fired: closes it if its time is up.
+    /// Handles the timer of the connection with this number: closes the connection if its deadline has
+    /// passed.
     pub fn on_timer(&mut self, context: &mut LoopContext, number: u64) {
         let Some(admin) = self.connections.get_mut(&number) else { return };
         admin.timer.on_fired();
-        // A process that was held up has not listened meanwhile.
+        // Time in which this process was stalled, and could not read what the operator sent, does not count.
         let deadline = admin.deadline.max(context.earliest_timeout());
         if context.now >= deadline {
             self.close(context, number);
