--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -215,7 +215,7 @@
             self.last_number += 1;
             let number = self.last_number;
             if registry.register_source(&mut stream, EventSource::Successor(number)).is_err()
-                || !self.make_room()
+                || !self.evict_idle()
             {
                 continue;
             }
@@ -231,7 +231,7 @@
     /// Drops the oldest idle successor if there are too many successors. Returns false if none is idle. A
     /// stalled successor is not idle: it must still be told that the connections in transit do not belong to
     /// it.
-    fn make_room(&mut self) -> bool {
+    fn evict_idle(&mut self) -> bool {
         if self.by_number.len() < MAX_SUCCESSORS {
             return true;
         }
--- a/crates/balancer/src/workers/worker.rs
+++ b/crates/balancer/src/workers/worker.rs
@@ -29,7 +29,7 @@
 
 /// Factor on the overload ratio while two processes of a balancer accept clients, so that together they do
 /// not overload a server that is warming up.
-const SIBLING_OVERLOAD_SHARE: f64 = 0.5;
+const SIBLING_OVERLOAD_FACTOR: f64 = 0.5;
 
 /// Reads the whole configuration again.
 pub type ReadConfig = Box<dyn Fn() -> Result<Config, ConfigError> + Send>;
@@ -54,7 +54,7 @@
     fn worker_config(&self, index: usize, has_sibling: bool) -> Config {
         let mut own = self.config.for_worker(index, self.worker_count);
         if has_sibling {
-            own.settings.overload_ratio *= SIBLING_OVERLOAD_SHARE;
+            own.settings.overload_ratio *= SIBLING_OVERLOAD_FACTOR;
         }
         own
     }
