--- a/crates/balancer/src/admin/counters.rs
+++ b/crates/balancer/src/admin/counters.rs
@@ -75,7 +75,7 @@
     }
 
     /// Sets the number of client connections with an open request, and the number of descriptors in use.
-    pub fn set_held(&self, concurrent: usize, descriptors: usize) {
+    pub fn set_gauges(&self, concurrent: usize, descriptors: usize) {
         let mut totals = self.lock();
         totals.concurrent = concurrent;
         totals.descriptors = descriptors;
--- a/crates/balancer/src/proxy/descriptors.rs
+++ b/crates/balancer/src/proxy/descriptors.rs
@@ -77,6 +77,6 @@
     /// Publishes the numbers of open requests and of descriptors in use to the operators' counters.
     pub fn publish_gauges(&self) {
         let in_use = self.descriptors_in_use();
-        self.counters.set_held(self.sessions.len() - in_use.idle, in_use.total);
+        self.counters.set_gauges(self.sessions.len() - in_use.idle, in_use.total);
     }
 }
