--- a/crates/balancer/src/handover/successors.rs
+++ b/crates/balancer/src/handover/successors.rs
@@ -215,7 +215,7 @@
             self.last_number += 1;
             let number = self.last_number;
             if registry.register_source(&mut stream, EventSource::Successor(number)).is_err()
-                || !self.evict_idle()
+                || !self.ensure_capacity()
             {
                 continue;
             }
@@ -228,10 +228,10 @@
         }
     }
 
-    /// Drops the oldest idle successor if there are too many successors. Returns false if none is idle. A
-    /// stalled successor is not idle: it must still be told that the connections in transit do not belong to
-    /// it.
-    fn evict_idle(&mut self) -> bool {
+    /// Ensures that one more successor can be added, if necessary by dropping the oldest idle one. Returns
+    /// false if there are too many successors and none is idle. A stalled successor is not idle: it must still
+    /// be told that the connections in transit do not belong to it.
+    fn ensure_capacity(&mut self) -> bool {
         if self.by_number.len() < MAX_SUCCESSORS {
             return true;
         }
--- a/crates/balancer/src/shutdown.rs
+++ b/crates/balancer/src/shutdown.rs
@@ -5,9 +5,9 @@
 /// Time after SIGTERM during which the platform may still send clients to this balancer. A client that is
 /// migrated earlier may be sent to this balancer again.
 pub const MIN_DRAIN_TIME: Micros = 450_000;
-/// Minimum time from the end of the longest client timeout, counted from SIGTERM, to SIGKILL.
+/// SIGKILL follows SIGTERM after the longest client timeout and at least this much time more.
 const KILL_DELAY: Micros = 700_000;
-/// Longest client timeout that delays SIGKILL; a longer one counts as this.
+/// Maximum by which the longest client timeout delays SIGKILL.
 const MAX_CLIENT_TIMEOUT: Micros = 3_000_000;
 /// Time from the last migration to SIGKILL: clients have 0.5 s to receive remaining data, and 0.3 s are a
 /// safety margin.
