--- a/crates/balancer/src/workers/pool/tests.rs
+++ b/crates/balancer/src/workers/pool/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_worker_that_stalls_or_has_ended_has_its_listener_served_by_its_neighbour() {
+fn the_listener_of_a_neighbour_that_has_stalled_or_ended_is_served() {
     let (mut pool, _pollers) = pool(2);
     pool[1].publish_state(0, 1_000_000);
     assert!(pool[0].check_neighbour(1_000_000 + STALL_TIMEOUT - 1).is_none());
