--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -17,7 +17,8 @@
 pub(crate) struct ValidityPeriods {
     /// Granted allocations are in force before this time.
     pub granted_until: Micros,
-    /// The reserve is in force from this time on; `Micros::MAX` once another process has taken this name.
+    /// The reserve is in force from this time on; `Micros::MAX` once this process is leaving or another one has
+    /// taken its name.
     pub reserve_from: Micros,
 }
 
--- a/crates/budgets/src/member/leadership.rs
+++ b/crates/budgets/src/member/leadership.rs
@@ -215,7 +215,7 @@
     /// Stops being the leader.
     pub(super) fn step_down(&mut self) {
         if self.leadership.take().is_some() {
-            self.stats.times_deposed += 1;
+            self.stats.step_downs += 1;
         }
         // Other members may have written since, so the observation of the leader's record starts again.
         self.leader_view = None;
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -98,7 +98,7 @@
     /// Terms in which this member was the leader.
     pub terms_led: u64,
     /// Times that this member stopped being the leader.
-    pub times_deposed: u64,
+    pub step_downs: u64,
 }
 
 /// A member of the fleet.
--- a/crates/budgets/src/model/mod.rs
+++ b/crates/budgets/src/model/mod.rs
@@ -58,7 +58,7 @@
 /// The outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunOutcome {
-    /// The first time when more than a total was in force, if any.
+    /// The budget of which more than the total was in force, and when; `None` if there was none.
     pub overrun: Option<BudgetOverrun>,
     /// The number of events until the end.
     pub steps: u64,
--- a/crates/gossip/src/peer_table.rs
+++ b/crates/gossip/src/peer_table.rs
@@ -24,7 +24,7 @@
     began_at: i64,
     /// When `began_at` was determined.
     began_at_set: Micros,
-    /// A lower bound of the time when its announcement was made.
+    /// An upper bound of the time when its announcement was made, on this clock.
     made_at: Micros,
     received_at: Micros,
 }
