--- a/crates/balancer/tests/soak/main.rs
+++ b/crates/balancer/tests/soak/main.rs
@@ -1,4 +1,5 @@
-//! A short soak of the built program with a pinned seed: faults that overlap on ten processes, and the rules as judge.
+//! A short soak test of the built program with a fixed seed: overlapping faults on ten processes, checked against the
+//! rules of the soak.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -9,13 +10,13 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_shorewharf");
 
 #[test]
-fn ten_processes_keep_the_rules_under_faults_that_overlap() {
+fn ten_processes_follow_the_rules_under_overlapping_faults() {
     let test = std::env::current_exe().expect("a test has a path");
-    let library = test.parent().expect("a folder").join("libshorewharf_faults.so");
-    let folder = tempfile::tempdir().expect("a folder");
+    let library = test.parent().expect("a parent folder").join("libshorewharf_faults.so");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let plan = Plan::draw(7, Duration::from_secs(5), Some(10));
     let played = play(&plan, PathBuf::from(BINARY), Some(library), Path::new(folder.path()).to_owned());
-    let verdict = played.expect("the run is played");
+    let verdict = played.expect("the run completes");
     for violation in &verdict.violations {
         eprintln!("{violation}");
         for line in verdict.trace(violation.request) {
