--- a/crates/balancer/tests/sockets/counts.rs
+++ b/crates/balancer/tests/sockets/counts.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_emulator::standin::*;
 
-use crate::operators::{comes_to, with_door};
+use crate::operators::{wait_for_metric, with_operator_address};
 use crate::start;
 
 /// What one client does, and what becomes of it.
@@ -108,13 +108,13 @@
 
 fn day(clients: &[Client]) {
     let server = Node::new();
-    let program = start(&with_door(config(&[("s-1", server.address())])));
+    let program = start(&with_operator_address(config(&[("s-1", server.address())])));
     let (mut named, mut sent) = (0, 0);
     for client in clients {
         let (one, lines) = play(&program, &server, *client);
         (named, sent) = (named + one, sent + lines);
         // Each has its end before the next: what a server hears of one is not taken for another's.
-        comes_to(&program, "concurrent", 0);
+        wait_for_metric(&program, "concurrent", 0);
     }
     let replies = ["success", "overload", "error"].map(|r| program.figure(&format!("replies.chat.{r}")));
     assert_eq!(replies.iter().sum::<u64>(), named, "each counts once: {replies:?}");
--- a/crates/balancer/tests/sockets/final_answers.rs
+++ b/crates/balancer/tests/sockets/final_answers.rs
@@ -296,7 +296,7 @@
 #[test]
 fn a_request_that_waits_here_while_a_successor_takes_over_is_not_refused_after_it_was_sent() {
     let server = Node::new();
-    let settings = crate::operators::with_door(config_of_effects(&[("s-1", server.address())]));
+    let settings = crate::operators::with_operator_address(config_of_effects(&[("s-1", server.address())]));
     let old = start(&settings);
     let requests = sent_requests(&old, &server);
     let mut same = settings.clone();
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use shorewharf_emulator::standin::*;
 
-use crate::operators::{comes_to, with_door};
+use crate::operators::{wait_for_metric, with_operator_address};
 use crate::{BINARY, start};
 
 /// Connections that stand in each round.
@@ -104,7 +104,7 @@
 
 /// A configuration whose clients wait for a second only, so that a planned end is short.
 fn settings(node: &Node) -> Value {
-    let mut settings = with_door(config(&[("s-1", node.address())]));
+    let mut settings = with_operator_address(config(&[("s-1", node.address())]));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     settings
 }
@@ -177,7 +177,7 @@
                 let fates = fates("c");
                 let stand = fates.iter().filter(|fate| **fate == Fate::Stands).count();
                 assert!(!fates.contains(&Fate::Moved), "{what}: {fates:?}");
-                comes_to(&new, "concurrent", stand as u64);
+                wait_for_metric(&new, "concurrent", stand as u64);
                 new.stand_as(&node, "77");
             }
         }
@@ -275,7 +275,7 @@
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
         assert_eq!(fate(client, server, &format!("M {n}")), Fate::Stands, "connection {n}");
     }
-    comes_to(&new, "concurrent", 30);
+    wait_for_metric(&new, "concurrent", 30);
     // The next one, while a second one starts and does not get as far as serving.
     let hangs = Successor::asks(&new);
     let last = new.start_beside_with(BINARY, &beside(&settings, &new), workers);
@@ -286,13 +286,13 @@
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
         assert_eq!(fate(client, server, &format!("M again {n}")), Fate::Stands, "connection {n}");
     }
-    comes_to(&last, "concurrent", 30);
+    wait_for_metric(&last, "concurrent", 30);
 }
 
 #[test]
 fn a_server_that_drains_sighup_and_sigterm_in_the_middle_of_a_hand_over_move_nobody_twice() {
     let (node, director) = (Node::new(), Director::new());
-    let mut settings = with_door(asking(&[("s-1", node.address())], &director));
+    let mut settings = with_operator_address(asking(&[("s-1", node.address())], &director));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     let mut old = start(&settings);
     let mut watch = director.watch();
--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -8,7 +8,7 @@
 use shorewharf_emulator::standin::*;
 
 use crate::BINARY;
-use crate::operators::{comes_to, with_door};
+use crate::operators::{wait_for_metric, with_operator_address};
 
 /// A file of the operator's own that keeps what is known there.
 fn keeping(folder: &Path) -> String {
@@ -51,7 +51,7 @@
 fn killed_it_starts_with_the_list_and_the_places_that_it_had() {
     let place = tempfile::tempdir().expect("a folder");
     let (one, two, director) = (Node::new(), Node::new(), Director::new());
-    let settings = with_door(asking(&[("s-1", one.address())], &director));
+    let settings = with_operator_address(asking(&[("s-1", one.address())], &director));
     let program = start(&settings, place.path());
     let mut watch = director.watch();
     watch.tell(
@@ -59,14 +59,14 @@
         false,
         vec![endpoint("s-1", one.address(), "Terminating"), endpoint("s-2", two.address(), "Ready")],
     );
-    comes_to(&program, "targets", 2);
+    wait_for_metric(&program, "targets", 2);
     let (mut client, mut server) = program.stand(&two);
     server.say("LOAD 120000");
     assert_eq!(client.line(), "LOAD 120000");
     kept(place.path(), "\"stands\"");
     program.kill();
     // Discovery is away: what was known is all there is.
-    let settings = with_door(config(&[("s-1", one.address())]));
+    let settings = with_operator_address(config(&[("s-1", one.address())]));
     let program = start(&settings, place.path());
     let line = has(&program, "event=state-restored");
     assert!(line.contains(".snapshot") && line.contains("odd=0"), "{line}");
@@ -85,7 +85,7 @@
     program.terminate();
     assert!(program.wait().success());
     assert_eq!(records(place.path()).len(), 1);
-    let mut later = with_door(config(&[("s-1", node.address()), ("s-2", node.address())]));
+    let mut later = with_operator_address(config(&[("s-1", node.address()), ("s-2", node.address())]));
     later["known"]["index"] = json!(99);
     let program = start(&later, place.path());
     has(&program, "event=state-restored");
@@ -161,7 +161,7 @@
 #[test]
 fn a_new_process_goes_on_with_what_the_old_one_knows() {
     let node = Node::new();
-    let settings = with_door(config(&[("s-1", node.address())]));
+    let settings = with_operator_address(config(&[("s-1", node.address())]));
     let old = crate::start(&settings);
     let (mut client, mut server) = old.stand(&node);
     server.say("LOAD 120000");
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -12,7 +12,7 @@
 use shorewharf_emulator::standin::*;
 use shorewharf_protocol::open_request::OpenRequestLine;
 
-use crate::operators::{comes_to, with_door};
+use crate::operators::{wait_for_metric, with_operator_address};
 use crate::{BINARY, start};
 
 /// How the first line of a client begins that is to stand.
@@ -119,7 +119,7 @@
 #[test]
 fn two_upgrades_under_a_stream_of_clients_turn_nobody_back_unheard() {
     let (node, other) = (Node::new(), Node::new());
-    let settings = with_door(config(&[("s-1", node.address()), ("s-2", other.address())]));
+    let settings = with_operator_address(config(&[("s-1", node.address()), ("s-2", other.address())]));
     let _takers = [Taker::new(node), Taker::new(other)];
     let mut old = start(&settings);
     let stream = Stream::of(6, old.address());
@@ -163,7 +163,7 @@
 #[test]
 fn standing_connections_go_along_between_lines_and_in_the_middle_of_one() {
     let node = Node::new();
-    let settings = with_door(config(&[("s-1", node.address())]));
+    let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
     let (mut one, mut at_one) = old.stand(&node);
     let (mut two, mut at_two) = old.stand(&node);
@@ -181,7 +181,7 @@
     assert_eq!(at_two.line(), "M 2");
     old.terminate();
     // Its answer is still to come when it goes along.
-    comes_to(&new, "concurrent", 3);
+    wait_for_metric(&new, "concurrent", 3);
     at_two.say("M 2");
     assert_eq!(two.line(), "M 2");
     assert!(old.wait().success());
@@ -195,13 +195,13 @@
     assert_eq!(new.open_as("9b1f", "").line(), "ERR");
     assert_eq!(new.call("exclude s-1"), ["YES"]);
     assert_eq!((one.line(), two.line(), three.line()), ("MOVE".into(), "MOVE".into(), "MOVE".into()));
-    comes_to(&new, "concurrent", 0);
+    wait_for_metric(&new, "concurrent", 0);
 }
 
 #[test]
 fn a_new_process_that_dies_or_cannot_start_is_not_noticed() {
     let node = Node::new();
-    let settings = with_door(config(&[("s-1", node.address())]));
+    let settings = with_operator_address(config(&[("s-1", node.address())]));
     let _taker = Taker::new(node);
     let mut old = start(&settings);
     let stream = Stream::of(4, old.address());
@@ -230,11 +230,11 @@
 #[test]
 fn a_successor_starts_with_the_list_as_it_stands_and_without_one_the_end_is_as_ever() {
     let (one, two, director) = (Node::new(), Node::new(), Director::new());
-    let settings = with_door(asking(&[("s-1", one.address())], &director));
+    let settings = with_operator_address(asking(&[("s-1", one.address())], &director));
     let mut old = start(&settings);
     let mut watch = director.watch();
     watch.tell(42, false, vec![endpoint("s-2", two.address(), "Ready")]);
-    comes_to(&old, "targets", 2);
+    wait_for_metric(&old, "targets", 2);
     let mut new = old.start_beside(BINARY, &same(&settings, &old));
     assert_eq!(new.figure("targets"), 2);
     // It goes on from there.
@@ -252,7 +252,7 @@
 #[test]
 fn a_client_whose_class_the_new_process_does_not_know_is_moved_and_not_cut_off() {
     let node = Node::new();
-    let settings = with_door(config(&[("s-1", node.address())]));
+    let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
     let (mut client, _s) = old.stand(&node);
     let mut other = same(&settings, &old);
@@ -261,5 +261,5 @@
     old.terminate();
     assert_eq!((client.hear(), client.hear()), (Heard::Line("MOVE".into()), Heard::Fin));
     assert!(old.wait().success());
-    comes_to(&new, "concurrent", 0);
+    wait_for_metric(&new, "concurrent", 0);
 }
