--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -1,4 +1,5 @@
-//! Standing connections between two processes, one of which fails at a random step: each is exactly one's, or has its end.
+//! Hand-over of established connections from one process to its successor, either of which may fail at a random step.
+//! Afterwards each connection must belong to exactly one process, or be closed.
 
 use std::io::{IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -16,363 +17,387 @@
 use crate::operators::{wait_for_metric, with_operator_address};
 use crate::{BINARY, start};
 
-/// Connections that stand in each round.
-const STAND: usize = 5;
-/// A line takes no longer, however busy the machine.
-const SOON: Duration = Duration::from_secs(5);
+/// Established connections in each round.
+const CONNECTIONS: usize = 5;
+/// The most time that a line takes, even on a busy machine.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What becomes of a connection.
+/// The state of a connection after a line was sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// Lines pass both ways, each once.
-    Stands,
-    /// Its client was told to come again.
-    Moved,
-    /// It ended.
-    Cut,
+enum Outcome {
+    /// Lines are relayed both ways, each once.
+    Established,
+    /// Its client was told to reconnect.
+    Migrated,
+    /// It was closed.
+    Closed,
 }
 
-/// Says a line on a connection whose word before was `said`, and sees what comes of it.
+/// Sends a line on a connection and, if it arrives, the same line back. Returns the state of the connection.
 #[track_caller]
-fn fate(client: &mut Peer, server: &mut Peer, word: &str) -> Fate {
-    client.try_put(format!("{word}\r\n").as_bytes());
-    assert!(server.has_word(SOON), "{word}: neither heard nor ended");
+fn exchange_line(client: &mut Peer, server: &mut Peer, line: &str) -> Outcome {
+    client.try_put(format!("{line}\r\n").as_bytes());
+    assert!(server.has_word(LINE_TIMEOUT), "{line}: neither relayed nor closed");
     match server.hear() {
-        Heard::Line(line) => {
-            assert_eq!(line, word, "doubled, or another one's");
-            server.say(word);
-            assert_eq!(client.hear(), Heard::Line(word.to_owned()));
-            Fate::Stands
+        Heard::Line(relayed) => {
+            assert_eq!(relayed, line, "a line was duplicated, or came from another connection");
+            server.say(line);
+            assert_eq!(client.hear(), Heard::Line(line.to_owned()));
+            Outcome::Established
         }
         _ => match client.hear() {
-            Heard::Line(line) => {
-                assert_eq!(line, "MOVE");
-                Fate::Moved
+            Heard::Line(answer) => {
+                assert_eq!(answer, "MOVE");
+                Outcome::Migrated
             }
-            _ => Fate::Cut,
+            _ => Outcome::Closed,
         },
     }
 }
 
-/// A new process played here: it asks, says that it serves, and then does what the test wants.
-struct Successor(UnixStream, Vec<OwnedFd>, Vec<u8>);
+/// A successor played by the test: it connects to the old process, reports that it serves, and then does what the test
+/// wants.
+struct SuccessorStub {
+    stream: UnixStream,
+    /// All descriptors received.
+    descriptors: Vec<OwnedFd>,
+    /// Bytes received after the last line read.
+    input: Vec<u8>,
+}
 
-impl Successor {
-    fn asks(old: &Program) -> Self {
+impl SuccessorStub {
+    /// Connects to the old process and reads its state, the first line.
+    fn connect(old: &Program) -> Self {
         let folder = format!("shorewharf-{}", old.address().to_string().replace(':', "-"));
-        let stream = UnixStream::connect(old.common().join(folder).join("process")).expect("the old process");
-        stream.set_read_timeout(Some(SOON)).expect("a timeout");
-        let mut successor = Successor(stream, Vec::new(), Vec::new());
-        successor.line();
+        let socket = old.common().join(folder).join("process");
+        let stream = UnixStream::connect(socket).expect("the old process listens");
+        stream.set_read_timeout(Some(LINE_TIMEOUT)).expect("a read timeout");
+        let mut successor = SuccessorStub { stream, descriptors: Vec::new(), input: Vec::new() };
+        successor.read_line();
         successor
     }
 
-    fn says(&mut self, words: &str) -> bool {
-        self.0.write_all(words.as_bytes()).is_ok()
+    /// Sends bytes; false if the old process has closed the connection.
+    fn send(&mut self, bytes: &str) -> bool {
+        self.stream.write_all(bytes.as_bytes()).is_ok()
     }
 
-    /// The next line, with whatever descriptors come along.
-    fn line(&mut self) -> String {
+    /// Reads the next line, and the descriptors that come with it.
+    fn read_line(&mut self) -> String {
         loop {
-            if let Some(end) = self.2.iter().position(|b| *b == b'\n') {
-                let line: Vec<u8> = self.2.drain(..=end).collect();
+            if let Some(end) = self.input.iter().position(|b| *b == b'\n') {
+                let line: Vec<u8> = self.input.drain(..=end).collect();
                 return String::from_utf8_lossy(&line).trim_end().to_owned();
             }
             let mut bytes = [0; 4096];
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(16))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let into = &mut [IoSliceMut::new(&mut bytes)];
-            let got = recvmsg(&self.0, into, &mut control, RecvFlags::CMSG_CLOEXEC).expect("a line in time");
+            let received =
+                recvmsg(&self.stream, into, &mut control, RecvFlags::CMSG_CLOEXEC).expect("a line in time");
             for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(fds) = message {
-                    self.1.extend(fds);
+                if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+                    self.descriptors.extend(descriptors);
                 }
             }
-            assert!(got.bytes > 0, "the old process is gone");
-            self.2.extend_from_slice(&bytes[..got.bytes]);
+            assert!(received.bytes > 0, "the old process closed the connection");
+            self.input.extend_from_slice(&bytes[..received.bytes]);
         }
     }
 
-    /// Reads on until so many connections have come along.
-    fn stands(&mut self, connections: usize) {
-        let mut come = 0;
-        while come < connections {
-            come += usize::from(self.line().starts_with("STANDS "));
+    /// Reads lines until this many connections have been transferred.
+    fn read_connections(&mut self, count: usize) {
+        let mut transferred = 0;
+        while transferred < count {
+            transferred += usize::from(self.read_line().starts_with("STANDS "));
         }
     }
 }
 
-/// A configuration whose clients wait for a second only, so that a planned end is short.
-fn settings(node: &Node) -> Value {
+/// A configuration with a client timeout of one second, so that a graceful shutdown is short.
+fn config_with_short_timeout(node: &Node) -> Value {
     let mut settings = with_operator_address(config(&[("s-1", node.address())]));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     settings
 }
 
-fn beside(settings: &Value, old: &Program) -> Value {
-    let mut same = settings.clone();
-    same["listen"] = json!(old.address());
-    same
+/// The same configuration for a process that replaces this one.
+fn config_for_successor(settings: &Value, old: &Program) -> Value {
+    let mut config = settings.clone();
+    config["listen"] = json!(old.address());
+    config
 }
 
-/// A round: its fault is drawn, and so is the step.
-#[expect(clippy::cognitive_complexity, clippy::too_many_lines, reason = "one history, step by step")]
-fn round(seed: u64) {
+/// One hand-over with a fault. The fault, and the step at which it occurs, are drawn from the seed.
+#[expect(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "one sequence of steps for each fault"
+)]
+fn hand_over_with_fault(seed: u64) {
     let mut draws = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = |n: u64| (draws.next_u64() % n) as usize;
-    let (kind, step, pause) = (draw(8), draw(STAND as u64 + 1), draw(40) as u64);
-    let what = format!("seed {seed}: kind {kind}, step {step}, pause {pause} ms");
+    let (fault, step, pause) = (draw(8), draw(CONNECTIONS as u64 + 1), draw(40) as u64);
+    let scenario = format!("seed {seed}: fault {fault}, step {step}, pause {pause} ms");
     let node = Node::new();
-    let settings = settings(&node);
+    let settings = config_with_short_timeout(&node);
     let mut old = start(&settings);
-    let mut pairs: Vec<_> = (0..STAND).map(|_| old.stand(&node)).collect();
+    let mut pairs: Vec<_> = (0..CONNECTIONS).map(|_| old.stand(&node)).collect();
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
-        assert_eq!(fate(client, server, &format!("M {n}")), Fate::Stands, "{what}");
+        assert_eq!(exchange_line(client, server, &format!("M {n}")), Outcome::Established, "{scenario}");
     }
-    // Half a line is on its way in each direction on one of them.
+    // On one of them half a line has been sent in each direction.
     pairs[0].0.put(b"M x");
     pairs[0].1.put(b"M y");
     old.settled();
-    let mut fates = |end: &str| -> Vec<Fate> {
-        let mut fates = Vec::new();
+    let mut outcomes = |tag: &str| -> Vec<Outcome> {
+        let mut outcomes = Vec::new();
         for (n, (client, server)) in pairs.iter_mut().enumerate() {
             if n > 0 {
-                fates.push(fate(client, server, &format!("M {end}{n}")));
+                outcomes.push(exchange_line(client, server, &format!("M {tag}{n}")));
                 continue;
             }
-            // The other half.
+            // The other half of the line.
             client.try_put(b"x\r\n");
             server.try_put(b"y\r\n");
-            assert!(server.has_word(SOON) && client.has_word(SOON), "{what}");
-            fates.push(match (server.hear(), client.hear()) {
-                (Heard::Line(x), Heard::Line(y)) if x == "M xx" && y == "M yy" => Fate::Stands,
-                (Heard::Line(x), other) => panic!("{what}: {x} and {other:?}"),
-                (_, Heard::Line(y)) if y == "MOVE" => Fate::Moved,
-                // It is half a line that it ends with: nothing may be said behind it.
-                _ => Fate::Cut,
+            assert!(server.has_word(LINE_TIMEOUT) && client.has_word(LINE_TIMEOUT), "{scenario}");
+            outcomes.push(match (server.hear(), client.hear()) {
+                (Heard::Line(x), Heard::Line(y)) if x == "M xx" && y == "M yy" => Outcome::Established,
+                (Heard::Line(x), other) => panic!("{scenario}: {x} and {other:?}"),
+                (_, Heard::Line(y)) if y == "MOVE" => Outcome::Migrated,
+                // The client has received half a line, so no `MOVE` may follow.
+                _ => Outcome::Closed,
             });
         }
-        fates
+        outcomes
     };
-    match kind {
-        // Real processes; the new one is killed at some time, the old one at another, or nobody.
+    match fault {
+        // Two real processes: neither is killed (0), or the new one (1) or the old one (2) is killed after the pause.
         0..=2 => {
-            let new = old.start_beside(BINARY, &beside(&settings, &old));
+            let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
             old.terminate();
-            if kind == 0 {
-                assert!(old.wait().success(), "{what}");
-                assert_eq!(fates("a"), [Fate::Stands; STAND], "{what}");
-                assert_eq!(new.figure("concurrent"), STAND as u64, "{what}");
+            if fault == 0 {
+                assert!(old.wait().success(), "{scenario}");
+                assert_eq!(outcomes("a"), [Outcome::Established; CONNECTIONS], "{scenario}");
+                assert_eq!(new.figure("concurrent"), CONNECTIONS as u64, "{scenario}");
                 return new.stand_as(&node, "77").0.finish();
             }
             std::thread::sleep(Duration::from_micros(pause * 250));
-            if kind == 1 {
+            if fault == 1 {
                 new.kill();
-                // What the old one still had it has told to move by its end; the rest ended with its process.
-                assert!(old.wait().success(), "{what}");
-                let fates = fates("b");
-                assert!(!fates.contains(&Fate::Stands), "{what}: {fates:?}");
+                // The old process has migrated the clients that it still had; the others were closed by the new one's end.
+                assert!(old.wait().success(), "{scenario}");
+                let outcomes = outcomes("b");
+                assert!(!outcomes.contains(&Outcome::Established), "{scenario}: {outcomes:?}");
             } else {
                 old.kill();
-                let fates = fates("c");
-                let stand = fates.iter().filter(|fate| **fate == Fate::Stands).count();
-                assert!(!fates.contains(&Fate::Moved), "{what}: {fates:?}");
-                wait_for_metric(&new, "concurrent", stand as u64);
+                let outcomes = outcomes("c");
+                let established = outcomes.iter().filter(|outcome| **outcome == Outcome::Established).count();
+                assert!(!outcomes.contains(&Outcome::Migrated), "{scenario}: {outcomes:?}");
+                wait_for_metric(&new, "concurrent", established as u64);
                 new.stand_as(&node, "77");
             }
         }
-        // A new process that dies before it has taken all, with or without a word.
+        // A successor that ends before it has taken all connections, without (3) or with (4) a confirmation of some.
         3 | 4 => {
-            let mut successor = Successor::asks(&old);
-            assert!(successor.says("TAKES 2\nSERVES\n"));
+            let mut successor = SuccessorStub::connect(&old);
+            assert!(successor.send("TAKES 2\nSERVES\n"));
             old.settled();
             old.terminate();
-            successor.stands(step);
-            let took = if kind == 4 { draw(step as u64 + 1) } else { 0 };
-            if took > 0 {
-                assert!(successor.says(&format!("TOOK {took}\n")));
+            successor.read_connections(step);
+            let confirmed = if fault == 4 { draw(step as u64 + 1) } else { 0 };
+            if confirmed > 0 {
+                assert!(successor.send(&format!("TOOK {confirmed}\n")));
             }
             drop(successor);
-            assert!(old.wait().success(), "{what}");
-            let fates = fates("d");
-            let cut = fates.iter().filter(|fate| **fate == Fate::Cut).count();
-            // The one in the middle of a line can't be told to move.
+            assert!(old.wait().success(), "{scenario}");
+            let outcomes = outcomes("d");
+            let closed = outcomes.iter().filter(|outcome| **outcome == Outcome::Closed).count();
+            // The connection in the middle of a line cannot be migrated.
             assert!(
-                cut >= took && cut <= took + 1 && !fates.contains(&Fate::Stands),
-                "{what}: {fates:?} of {took}"
+                closed >= confirmed && closed <= confirmed + 1 && !outcomes.contains(&Outcome::Established),
+                "{scenario}: {outcomes:?} of {confirmed}"
             );
         }
-        // One that stands still, and wakes up when the old one goes on.
+        // A successor that stalls, and goes on after the old process has taken the connections back.
         5 => {
-            let mut successor = Successor::asks(&old);
-            assert!(successor.says("TAKES 2\nSERVES\n"));
+            let mut successor = SuccessorStub::connect(&old);
+            assert!(successor.send("TAKES 2\nSERVES\n"));
             old.settled();
             old.terminate();
-            successor.stands(step.max(1));
-            let took = draw(step.max(1) as u64);
-            assert!(took == 0 || successor.says(&format!("TOOK {took}\n")));
+            successor.read_connections(step.max(1));
+            let confirmed = draw(step.max(1) as u64);
+            assert!(confirmed == 0 || successor.send(&format!("TOOK {confirmed}\n")));
+            assert!(
+                old.logged("event=successor-stalled").contains(&format!("back={}", CONNECTIONS - confirmed)),
+                "{scenario}"
+            );
             assert!(
-                old.logged("event=successor-stalled").contains(&format!("back={}", STAND - took)),
-                "{what}"
+                !successor.send(&format!("TOOK {CONNECTIONS}\n")),
+                "{scenario}: the old process still reads from the stalled successor"
             );
-            assert!(!successor.says(&format!("TOOK {STAND}\n")), "{what}: nobody hears it any more");
-            while successor.line() != "KEEPS" {}
-            assert!(old.wait().success(), "{what}");
-            let ends = std::mem::take(&mut successor.1);
-            // Those that it took are its own still, and the others it must not touch.
-            let fates: Vec<Fate> = {
-                drop(ends);
-                fates("e")
-            };
-            assert!(!fates.contains(&Fate::Stands), "{what}: {fates:?}");
+            while successor.read_line() != "KEEPS" {}
+            assert!(old.wait().success(), "{scenario}");
+            // The connections that it confirmed are still open in the stub, and the others it must not use: all its
+            // descriptors are closed before the connections are checked.
+            successor.descriptors.clear();
+            let outcomes = outcomes("e");
+            assert!(!outcomes.contains(&Outcome::Established), "{scenario}: {outcomes:?}");
             assert!(
-                fates.iter().filter(|fate| **fate == Fate::Moved).count() >= STAND - took - 1,
-                "{what}: {fates:?}"
+                outcomes.iter().filter(|outcome| **outcome == Outcome::Migrated).count()
+                    >= CONNECTIONS - confirmed - 1,
+                "{scenario}: {outcomes:?}"
             );
         }
-        // Nonsense, or a hanging up, before anything was handed over: as if nothing had been asked.
+        // A successor that sends malformed messages, or disconnects, before the hand-over: it has no effect.
         6 => {
-            let mut successor = Successor::asks(&old);
-            successor.says(
+            let mut successor = SuccessorStub::connect(&old);
+            successor.send(
                 ["SERVES", "\u{0}\u{0}\n", &"x".repeat(200), "TOOK 99\nTAKES 2\nSERVES\n"]
                     [pause as usize % 4],
             );
             drop(successor);
-            assert_eq!(fates("f"), [Fate::Stands; STAND], "{what}");
+            assert_eq!(outcomes("f"), [Outcome::Established; CONNECTIONS], "{scenario}");
             old.stand(&node);
-            assert!(old.is_running(), "{what}");
+            assert!(old.is_running(), "{scenario}");
         }
-        // One that does not know how standing connections go along: they are moved.
+        // A successor that cannot take established connections: their clients are migrated.
         _ => {
-            let mut successor = Successor::asks(&old);
-            assert!(successor.says("SERVES\n"));
+            let mut successor = SuccessorStub::connect(&old);
+            assert!(successor.send("SERVES\n"));
             old.settled();
             old.terminate();
-            assert!(old.logged("event=shutting-down").contains("successor=true"), "{what}");
-            assert!(old.wait().success(), "{what}");
-            let fates = fates("g");
+            assert!(old.logged("event=shutting-down").contains("successor=true"), "{scenario}");
+            assert!(old.wait().success(), "{scenario}");
+            let outcomes = outcomes("g");
             assert!(
-                !fates.contains(&Fate::Stands) && fates[1..].iter().all(|f| *f == Fate::Moved),
-                "{what}: {fates:?}"
+                !outcomes.contains(&Outcome::Established)
+                    && outcomes[1..].iter().all(|f| *f == Outcome::Migrated),
+                "{scenario}: {outcomes:?}"
             );
             let mut rest = String::new();
-            let _ = successor.0.read_to_string(&mut rest);
-            assert!(!rest.contains("STANDS"), "{what}");
+            let _ = successor.stream.read_to_string(&mut rest);
+            assert!(!rest.contains("STANDS"), "{scenario}");
         }
     }
 }
 
 #[test]
-fn connections_of_all_workers_go_along_and_are_shared_out_again() {
+fn connections_of_all_workers_are_transferred_and_distributed_again() {
     let node = Node::new();
-    let settings = settings(&node);
+    let settings = config_with_short_timeout(&node);
     let workers = "workers = 3\n";
     let mut old = Program::start_with(BINARY, &settings, workers);
     let mut pairs: Vec<_> = (0..30).map(|_| old.stand(&node)).collect();
-    let new = old.start_beside_with(BINARY, &beside(&settings, &old), workers);
+    let new = old.start_beside_with(BINARY, &config_for_successor(&settings, &old), workers);
     old.terminate();
     assert!(old.wait().success());
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
-        assert_eq!(fate(client, server, &format!("M {n}")), Fate::Stands, "connection {n}");
+        assert_eq!(exchange_line(client, server, &format!("M {n}")), Outcome::Established, "connection {n}");
     }
     wait_for_metric(&new, "concurrent", 30);
-    // The next one, while a second one starts and does not get as far as serving.
-    let hangs = Successor::asks(&new);
-    let last = new.start_beside_with(BINARY, &beside(&settings, &new), workers);
+    // The next hand-over, during which another successor is connected that never reports that it serves.
+    let hung = SuccessorStub::connect(&new);
+    let last = new.start_beside_with(BINARY, &config_for_successor(&settings, &new), workers);
     let mut new = new;
     new.terminate();
     assert!(new.wait().success());
-    drop(hangs);
+    drop(hung);
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
-        assert_eq!(fate(client, server, &format!("M again {n}")), Fate::Stands, "connection {n}");
+        assert_eq!(
+            exchange_line(client, server, &format!("M again {n}")),
+            Outcome::Established,
+            "connection {n}"
+        );
     }
     wait_for_metric(&last, "concurrent", 30);
 }
 
 #[test]
-fn a_server_that_drains_sighup_and_sigterm_in_the_middle_of_a_hand_over_move_nobody_twice() {
+fn a_draining_server_a_reload_and_a_second_sigterm_during_a_handover_migrate_no_client_twice() {
     let (node, director) = (Node::new(), Director::new());
     let mut settings = with_operator_address(asking(&[("s-1", node.address())], &director));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     let mut old = start(&settings);
     let mut watch = director.watch();
-    let mut successor = Successor::asks(&old);
+    let mut successor = SuccessorStub::connect(&old);
     let (mut client, mut server) = old.stand(&node);
-    assert!(successor.says("TAKES 2\nSERVES\n"));
+    assert!(successor.send("TAKES 2\nSERVES\n"));
     old.settled();
     old.terminate();
-    successor.stands(1);
-    // It is on its way: nobody reads it, nobody moves it, whatever comes.
+    successor.read_connections(1);
+    // While the connection is being transferred, nothing is read from it and its client is not migrated.
     watch.tell(50, false, vec![endpoint("s-1", node.address(), "Terminating")]);
     client.put(b"M 1\r\n");
     old.reconfigure(&settings.to_string());
     old.terminate();
     assert!(!server.has_word(Duration::from_millis(100)) && !client.has_word(Duration::from_millis(1)));
     drop(successor);
-    // It is the old one's again, which had heard nothing of the line before: it passes it on, and moves the client.
+    // The old process takes the connection back, reads the line only now, relays it, and migrates the client.
     assert_eq!(server.line(), "M 1");
     server.try_put(b"M 1\r\n");
-    let heard = (client.hear(), client.hear());
+    let received = (client.hear(), client.hear());
     let line = |text: &str| Heard::Line(text.into());
-    assert!(heard == (line("M 1"), line("MOVE")) || heard.0 == line("MOVE"), "{heard:?}");
+    assert!(received == (line("M 1"), line("MOVE")) || received.0 == line("MOVE"), "{received:?}");
     assert!(old.wait().success());
 }
 
-/// No operators, no common folder: one command, the same each time.
+/// A hand-over without an operators' address and without a common folder: the same command is run each time.
 #[test]
-fn one_command_takes_over_in_place_and_a_refused_one_changes_nothing() {
-    let place = tempfile::tempdir().expect("a folder");
-    let socket = place.path().join("shorewharf");
-    let notify = std::os::unix::net::UnixDatagram::bind(place.path().join("notify")).expect("a socket");
-    notify.set_read_timeout(Some(LIMIT)).expect("a time-out");
-    let told = |id: u32| {
-        let mut words = [0; 64];
-        let n = notify.recv(&mut words).expect("told that it serves");
-        assert_eq!(String::from_utf8_lossy(&words[..n]), format!("READY=1\nMAINPID={id}\n"));
+fn the_same_command_replaces_the_process_and_a_refused_one_changes_nothing() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let socket = folder.path().join("shorewharf");
+    let notify = std::os::unix::net::UnixDatagram::bind(folder.path().join("notify")).expect("a socket");
+    notify.set_read_timeout(Some(LIMIT)).expect("a read timeout");
+    let expect_ready = |id: u32| {
+        let mut bytes = [0; 64];
+        let n = notify.recv(&mut bytes).expect("a notification of readiness");
+        assert_eq!(String::from_utf8_lossy(&bytes[..n]), format!("READY=1\nMAINPID={id}\n"));
     };
-    let notify_at = place.path().join("notify");
+    let notify_at = folder.path().join("notify");
     let env = [("SHOREWHARF_TAKE_OVER", socket.as_os_str()), ("NOTIFY_SOCKET", notify_at.as_os_str())];
     let node = Node::new();
-    let mut settings = settings(&node);
+    let mut settings = config_with_short_timeout(&node);
     settings.as_object_mut().expect("an object").remove("operator");
     let mut old = Program::start_in(BINARY, &settings, &env);
-    told(old.id());
+    expect_ready(old.id());
     let (mut client, mut server) = old.stand(&node);
-    let same = beside(&settings, &old);
-    // Another address is another balancer's.
+    let same = config_for_successor(&settings, &old);
+    // Another address belongs to another balancer, so there is nothing to take over.
     let (code, log) = refused_start_with(BINARY, &settings, &env);
     assert!(code == Some(1) && log.contains("nothing is taken over from"), "{code:?} {log}");
-    assert_eq!(fate(&mut client, &mut server, "M 1"), Fate::Stands);
+    assert_eq!(exchange_line(&mut client, &mut server, "M 1"), Outcome::Established);
     for n in 0..2 {
         let new = Program::start_in(BINARY, &same, &env);
-        told(new.id());
-        // Nobody told it: the new one has.
+        expect_ready(new.id());
+        // The test has sent no SIGTERM: the new process has told the old one to end.
         assert!(old.wait().success());
-        assert_eq!(fate(&mut client, &mut server, &format!("M again {n}")), Fate::Stands);
+        assert_eq!(exchange_line(&mut client, &mut server, &format!("M again {n}")), Outcome::Established);
         old = new;
     }
     old.stand_as(&node, "77");
-    let mode = std::fs::metadata(&socket).expect("a socket").permissions().mode();
-    assert_eq!(mode & 0o777, 0o600, "its owner's alone");
+    let mode = std::fs::metadata(&socket).expect("the socket exists").permissions().mode();
+    assert_eq!(mode & 0o777, 0o600, "only the owner may use the socket");
 }
 
-fn rounds(seeds: std::ops::Range<u64>) {
+/// Runs the rounds of these seeds on eight threads.
+fn run_rounds(seeds: std::ops::Range<u64>) {
     std::thread::scope(|s| {
-        for lane in 0..8 {
+        for thread in 0..8 {
             let seeds = seeds.clone();
-            s.spawn(move || seeds.filter(|seed| seed % 8 == lane).for_each(round));
+            s.spawn(move || seeds.filter(|seed| seed % 8 == thread).for_each(hand_over_with_fault));
         }
     });
 }
 
 #[test]
-fn a_process_that_fails_at_any_step_leaves_every_connection_one_owner_or_its_end() {
-    rounds(0..40);
+fn every_connection_has_one_owner_or_is_closed_after_a_fault_at_any_step() {
+    run_rounds(0..40);
 }
 
 /// `cargo test -p shorewharf --test sockets -- --ignored two_hundred`
 #[test]
 #[ignore = "takes about a minute"]
 fn two_hundred_handovers_with_a_fault() {
-    rounds(1000..1200);
+    run_rounds(1000..1200);
 }
