--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -1,4 +1,4 @@
-//! One process of a balancer replaced by another under load.
+//! Replacement of a balancer's process by another one under load.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,26 +15,29 @@
 use crate::operators::{wait_for_metric, with_operator_address};
 use crate::{BINARY, start};
 
-/// How the first line of a client begins that is to stand.
-const STANDS: &str = "OPEN 1 ";
+/// Prefix of the first line of a client whose connection is to stay established.
+const ESTABLISHED_CLIENT: &str = "OPEN 1 ";
 
-/// A server that serves everybody at once, and lets one stand, until the test is over.
-struct Taker(Arc<AtomicBool>, Option<JoinHandle<()>>);
+/// A server that answers `BYE` at once, except to the client whose connection it keeps established, until it is dropped.
+struct AutoServer {
+    is_over: Arc<AtomicBool>,
+    thread: Option<JoinHandle<()>>,
+}
 
-impl Taker {
-    fn new(node: Node) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let takes = {
-            let over = Arc::clone(&over);
+impl AutoServer {
+    fn start(node: Node) -> Self {
+        let is_over = Arc::new(AtomicBool::new(false));
+        let serve = {
+            let is_over = Arc::clone(&is_over);
             move || {
-                let mut held = Vec::new();
-                while !over.load(Ordering::Relaxed) {
+                let mut established = Vec::new();
+                while !is_over.load(Ordering::Relaxed) {
                     if let Some(mut peer) = node.accept_within(Duration::from_millis(20)) {
-                        // One that was called off meanwhile has no line, or does not want the answer.
+                        // A cancelled attempt sends no line, or closes the connection before the answer.
                         match peer.hear() {
-                            Heard::Line(line) if line.starts_with(STANDS) => {
+                            Heard::Line(line) if line.starts_with(ESTABLISHED_CLIENT) => {
                                 peer.try_put(b"UP 1\r\n");
-                                held.push(peer);
+                                established.push(peer);
                             }
                             _ => drop(peer.try_put(b"BYE\r\n")),
                         }
@@ -42,64 +45,70 @@
                 }
             }
         };
-        Taker(over, Some(std::thread::spawn(takes)))
+        AutoServer { is_over, thread: Some(std::thread::spawn(serve)) }
     }
 }
 
-impl Drop for Taker {
+impl Drop for AutoServer {
     fn drop(&mut self) {
-        self.0.store(true, Ordering::Relaxed);
-        self.1.take().into_iter().for_each(|thread| drop(thread.join()));
+        self.is_over.store(true, Ordering::Relaxed);
+        self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
     }
 }
 
-/// Clients that come one after the other, without a pause, until the test is over; how many came, and how many were turned
-/// back unheard.
-struct Stream(Arc<AtomicBool>, Arc<AtomicUsize>, Vec<JoinHandle<Vec<String>>>);
+/// Threads on each of which clients send one request after the other, without a pause, until they are stopped.
+struct RequestStream {
+    is_over: Arc<AtomicBool>,
+    /// Requests begun so far.
+    begun: Arc<AtomicUsize>,
+    /// Each returns the failures of its requests: those that ended without an answer or with an unexpected one.
+    threads: Vec<JoinHandle<Vec<String>>>,
+}
 
-impl Stream {
-    fn of(clients: usize, to: SocketAddr) -> Self {
-        let (over, came) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let one = |client: usize| {
-            let (over, came) = (Arc::clone(&over), Arc::clone(&came));
+impl RequestStream {
+    fn start(clients: usize, to: SocketAddr) -> Self {
+        let (is_over, begun) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let start = |client: usize| {
+            let (is_over, begun) = (Arc::clone(&is_over), Arc::clone(&begun));
             std::thread::spawn(move || {
-                let mut unheard = Vec::new();
+                let mut failures = Vec::new();
                 for n in 0.. {
-                    if over.load(Ordering::Relaxed) {
+                    if is_over.load(Ordering::Relaxed) {
                         break;
                     }
-                    came.fetch_add(1, Ordering::Relaxed);
-                    match asks(to, client << 32 | n) {
+                    begun.fetch_add(1, Ordering::Relaxed);
+                    match send_request(to, client << 32 | n) {
                         Ok(line) if line.starts_with("BYE") || line.starts_with("BUSY") => {}
-                        Ok(line) => unheard.push(format!("answered {line:?}")),
-                        Err(e) => unheard.push(e.to_string()),
+                        Ok(line) => failures.push(format!("answered {line:?}")),
+                        Err(e) => failures.push(e.to_string()),
                     }
                 }
-                unheard
+                failures
             })
         };
-        let threads = (1..=clients).map(one).collect();
-        Stream(over, came, threads)
+        let threads = (1..=clients).map(start).collect();
+        RequestStream { is_over, begun, threads }
     }
 
-    /// Waits until so many more have come.
-    fn goes_on(&self, more: usize) {
-        let wanted = self.1.load(Ordering::Relaxed) + more;
+    /// Waits until this many more requests have begun.
+    fn await_requests(&self, more: usize) {
+        let target = self.begun.load(Ordering::Relaxed) + more;
         let began = std::time::Instant::now();
-        while self.1.load(Ordering::Relaxed) < wanted {
-            assert!(began.elapsed() < LIMIT, "the stream stands still");
+        while self.begun.load(Ordering::Relaxed) < target {
+            assert!(began.elapsed() < LIMIT, "no further requests begin");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    fn ends(self) -> Vec<String> {
-        self.0.store(true, Ordering::Relaxed);
-        self.2.into_iter().flat_map(|thread| thread.join().expect("no panic")).collect()
+    /// Stops the clients and returns all failures.
+    fn stop(self) -> Vec<String> {
+        self.is_over.store(true, Ordering::Relaxed);
+        self.threads.into_iter().flat_map(|thread| thread.join().expect("no panic")).collect()
     }
 }
 
-/// A client that asks once and leaves with its answer.
-fn asks(to: SocketAddr, id: usize) -> std::io::Result<String> {
+/// Sends a request on a connection of its own and returns the answer.
+fn send_request(to: SocketAddr, id: usize) -> std::io::Result<String> {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::net::TcpStream::connect(to)?;
     stream.set_read_timeout(Some(LIMIT))?;
@@ -109,39 +118,39 @@
     if line.is_empty() { Err(ErrorKind::UnexpectedEof.into()) } else { Ok(line) }
 }
 
-/// The same configuration for a process that comes beside this one.
-fn same(config: &Value, program: &Program) -> Value {
-    let mut same = config.clone();
-    same["listen"] = json!(program.address());
-    same
+/// The same configuration for a process that replaces this one.
+fn config_for_successor(config: &Value, program: &Program) -> Value {
+    let mut config = config.clone();
+    config["listen"] = json!(program.address());
+    config
 }
 
 #[test]
-fn two_upgrades_under_a_stream_of_clients_turn_nobody_back_unheard() {
+fn every_request_of_a_stream_is_answered_through_two_upgrades() {
     let (node, other) = (Node::new(), Node::new());
     let settings = with_operator_address(config(&[("s-1", node.address()), ("s-2", other.address())]));
-    let _takers = [Taker::new(node), Taker::new(other)];
+    let _servers = [AutoServer::start(node), AutoServer::start(other)];
     let mut old = start(&settings);
-    let stream = Stream::of(6, old.address());
-    let mut stands = Peer::open(old.address(), &stands_line());
-    assert_eq!(stands.line(), "UP 1");
+    let stream = RequestStream::start(6, old.address());
+    let mut established = Peer::open(old.address(), &established_request());
+    assert_eq!(established.line(), "UP 1");
     for _ in 0..2 {
-        stream.goes_on(200);
-        let new = old.start_beside(BINARY, &same(&settings, &old));
+        stream.await_requests(200);
+        let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
         assert_eq!(new.call("readyz"), ["YES"]);
-        stream.goes_on(200);
+        stream.await_requests(200);
         old.terminate();
         assert!(old.logged("event=shutting-down").contains("successor=true"));
         assert!(old.call("readyz")[0].starts_with("NO "));
         assert!(old.wait().success());
         old = new;
     }
-    stream.goes_on(200);
-    assert!(!stands.has_word(Duration::from_millis(1)), "it stood");
-    assert_eq!(stream.ends(), Vec::<String>::new());
+    stream.await_requests(200);
+    assert!(!established.has_word(Duration::from_millis(1)), "the connection was migrated or closed");
+    assert_eq!(stream.stop(), Vec::<String>::new());
 }
 
-fn stands_line() -> OpenRequestLine<'static> {
+fn established_request() -> OpenRequestLine<'static> {
     OpenRequestLine {
         id: 1,
         key: 1,
@@ -152,96 +161,96 @@
     }
 }
 
-/// Whether lines pass both ways.
-fn passes(client: &mut Peer, server: &mut Peer, word: &str) {
-    client.say(word);
-    assert_eq!(server.line(), word);
-    server.say(word);
-    assert_eq!(client.line(), word);
+/// Checks that a line is relayed both ways.
+fn expect_relayed(client: &mut Peer, server: &mut Peer, line: &str) {
+    client.say(line);
+    assert_eq!(server.line(), line);
+    server.say(line);
+    assert_eq!(client.line(), line);
 }
 
 #[test]
-fn standing_connections_go_along_between_lines_and_in_the_middle_of_one() {
+fn established_connections_are_transferred_between_lines_and_within_a_line() {
     let node = Node::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
-    let (mut one, mut at_one) = old.stand(&node);
-    let (mut two, mut at_two) = old.stand(&node);
-    let (mut three, mut at_three) = old.stand(&node);
-    passes(&mut one, &mut at_one, "M 1");
-    at_one.say("LOAD 5000");
-    assert_eq!(one.line(), "LOAD 5000");
-    // What is on its way here, or half here, goes along, and so does what waits in the system.
-    at_three.put(b"half a li");
-    three.put(b"M 5\r\nM 6 an");
-    assert_eq!(at_three.line(), "M 5");
+    let (mut first, mut first_upstream) = old.stand(&node);
+    let (mut second, mut second_upstream) = old.stand(&node);
+    let (mut third, mut third_upstream) = old.stand(&node);
+    expect_relayed(&mut first, &mut first_upstream, "M 1");
+    first_upstream.say("LOAD 5000");
+    assert_eq!(first.line(), "LOAD 5000");
+    // Lines that are partly buffered in the process are transferred, and so are bytes in the socket buffers.
+    third_upstream.put(b"half a li");
+    third.put(b"M 5\r\nM 6 an");
+    assert_eq!(third_upstream.line(), "M 5");
     old.settled();
-    let new = old.start_beside(BINARY, &same(&settings, &old));
-    two.say("M 2");
-    assert_eq!(at_two.line(), "M 2");
+    let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
+    second.say("M 2");
+    assert_eq!(second_upstream.line(), "M 2");
     old.terminate();
-    // Its answer is still to come when it goes along.
+    // The connection is transferred while the answer to its line is outstanding.
     wait_for_metric(&new, "concurrent", 3);
-    at_two.say("M 2");
-    assert_eq!(two.line(), "M 2");
+    second_upstream.say("M 2");
+    assert_eq!(second.line(), "M 2");
     assert!(old.wait().success());
-    at_three.put(b"ne\r\n");
-    three.put(b"swer\r\n");
-    assert_eq!((three.line(), at_three.line()), ("half a line".into(), "M 6 answer".into()));
-    passes(&mut one, &mut at_one, "M 3");
+    third_upstream.put(b"ne\r\n");
+    third.put(b"swer\r\n");
+    assert_eq!((third.line(), third_upstream.line()), ("half a line".into(), "M 6 answer".into()));
+    expect_relayed(&mut first, &mut first_upstream, "M 3");
     assert_eq!(new.figure("concurrent"), 3);
-    assert_eq!(new.figure("replies.chat.success"), 0, "they came up in the other process");
-    // The module has them: it moves them off a server that is taken out, and their ids are in use.
+    assert_eq!(new.figure("replies.chat.success"), 0, "they were established in the old process");
+    // The new process's decisions know them: their clients are migrated off a disabled server, and their ids are in use.
     assert_eq!(new.open_as("9b1f", "").line(), "ERR");
     assert_eq!(new.call("exclude s-1"), ["YES"]);
-    assert_eq!((one.line(), two.line(), three.line()), ("MOVE".into(), "MOVE".into(), "MOVE".into()));
+    assert_eq!((first.line(), second.line(), third.line()), ("MOVE".into(), "MOVE".into(), "MOVE".into()));
     wait_for_metric(&new, "concurrent", 0);
 }
 
 #[test]
-fn a_new_process_that_dies_or_cannot_start_is_not_noticed() {
+fn a_new_process_that_is_killed_or_cannot_start_affects_no_request() {
     let node = Node::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
-    let _taker = Taker::new(node);
+    let _server = AutoServer::start(node);
     let mut old = start(&settings);
-    let stream = Stream::of(4, old.address());
-    let mut bad = same(&settings, &old);
+    let stream = RequestStream::start(4, old.address());
+    let mut bad = config_for_successor(&settings, &old);
     bad["settings"]["classes"] = json!([]);
     assert_eq!(refused_start(BINARY, &bad).0, Some(2));
-    let new = old.start_beside(BINARY, &same(&settings, &old));
-    stream.goes_on(50);
-    // Killed: what it has accepted is lost with it, as with any process; so nobody must be on the way.
-    let unheard = stream.ends();
+    let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
+    stream.await_requests(50);
+    // What the killed process has accepted is lost with it, so no request may be open then.
+    let failures = stream.stop();
     drop(new);
-    assert_eq!(unheard, Vec::<String>::new());
-    let stream = Stream::of(4, old.address());
-    stream.goes_on(100);
+    assert_eq!(failures, Vec::<String>::new());
+    let stream = RequestStream::start(4, old.address());
+    stream.await_requests(100);
     assert!(old.is_running());
-    // The next one finds the old process all the same.
-    let next = old.start_beside(BINARY, &same(&settings, &old));
+    // The next successor can still connect to the old process.
+    let next = old.start_beside(BINARY, &config_for_successor(&settings, &old));
     old.terminate();
     assert!(old.logged("event=shutting-down").contains("successor=true"));
     assert!(old.wait().success());
-    stream.goes_on(100);
-    assert_eq!(stream.ends(), Vec::<String>::new());
+    stream.await_requests(100);
+    assert_eq!(stream.stop(), Vec::<String>::new());
     assert_eq!(next.call("readyz"), ["YES"]);
 }
 
 #[test]
-fn a_successor_starts_with_the_list_as_it_stands_and_without_one_the_end_is_as_ever() {
-    let (one, two, director) = (Node::new(), Node::new(), Director::new());
-    let settings = with_operator_address(asking(&[("s-1", one.address())], &director));
+fn a_successor_starts_with_the_current_endpoint_list_and_shuts_down_normally_without_a_successor() {
+    let (first, second, director) = (Node::new(), Node::new(), Director::new());
+    let settings = with_operator_address(asking(&[("s-1", first.address())], &director));
     let mut old = start(&settings);
     let mut watch = director.watch();
-    watch.tell(42, false, vec![endpoint("s-2", two.address(), "Ready")]);
+    watch.tell(42, false, vec![endpoint("s-2", second.address(), "Ready")]);
     wait_for_metric(&old, "targets", 2);
-    let mut new = old.start_beside(BINARY, &same(&settings, &old));
+    let mut new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
     assert_eq!(new.figure("targets"), 2);
-    // It goes on from there.
+    // Its watch continues from the revision of that list.
     assert_eq!(director.watch().since(), 42);
     old.terminate();
     assert!(old.wait().success());
-    // Nobody came after it: it goes on taking clients for a moment, and tells them to come again.
+    // It has no successor: for a while it still accepts clients, and rejects them with a retry-after.
     new.terminate();
     assert!(new.logged("event=shutting-down").contains("successor=false"));
     let mut client = new.open("");
@@ -250,12 +259,12 @@
 }
 
 #[test]
-fn a_client_whose_class_the_new_process_does_not_know_is_moved_and_not_cut_off() {
+fn a_client_whose_class_the_new_process_does_not_know_is_migrated_and_not_cut_off() {
     let node = Node::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
-    let (mut client, _s) = old.stand(&node);
-    let mut other = same(&settings, &old);
+    let (mut client, _upstream) = old.stand(&node);
+    let mut other = config_for_successor(&settings, &old);
     other["settings"]["classes"][0]["name"] = json!("feed");
     let new = old.start_beside(BINARY, &other);
     old.terminate();
