--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows survives it.
+//! Snapshots: what a balancer has learned survives its restart.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,49 +10,51 @@
 use crate::BINARY;
 use crate::operators::{wait_for_metric, with_operator_address};
 
-/// A file of the operator's own that keeps what is known there.
-fn keeping(folder: &Path) -> String {
+/// An operator's file that enables snapshots in this folder.
+fn operator_file(folder: &Path) -> String {
     format!("[snapshot]\nfolder = {:?}\nevery_s = 0.1\nkeep = 3\n", folder.display().to_string())
 }
 
 fn start(config: &Value, folder: &Path) -> Program {
-    Program::start_with(BINARY, config, &keeping(folder))
+    Program::start_with(BINARY, config, &operator_file(folder))
 }
 
-/// A line that was logged before the program served.
+/// Returns the log line with this text that was logged before the program served.
 #[track_caller]
-fn has(program: &Program, words: &str) -> String {
-    program.has_logged(words).unwrap_or_else(|| panic!("no line has {words}"))
+fn startup_line(program: &Program, text: &str) -> String {
+    program.has_logged(text).unwrap_or_else(|| panic!("no log line contains {text}"))
 }
 
-fn records(folder: &Path) -> Vec<PathBuf> {
-    let files = fs::read_dir(folder).expect("a folder").map(|file| file.expect("a file").path());
-    let mut records: Vec<_> =
+/// The snapshot files in a folder, oldest first.
+fn snapshots(folder: &Path) -> Vec<PathBuf> {
+    let files =
+        fs::read_dir(folder).expect("the folder is readable").map(|file| file.expect("an entry").path());
+    let mut snapshots: Vec<_> =
         files.filter(|path| path.extension().is_some_and(|e| e == "snapshot")).collect();
-    records.sort();
-    records
+    snapshots.sort();
+    snapshots
 }
 
-/// Waits for a record that was begun after now and has these words in it.
+/// Waits until the newest snapshot contains this text.
 #[track_caller]
-fn kept(folder: &Path, words: &str) {
+fn await_snapshot(folder: &Path, text: &str) {
     let began = Instant::now();
-    while !records(folder)
+    while !snapshots(folder)
         .last()
-        .is_some_and(|path| fs::read_to_string(path).is_ok_and(|text| text.contains(words)))
+        .is_some_and(|path| fs::read_to_string(path).is_ok_and(|contents| contents.contains(text)))
     {
-        assert!(began.elapsed() < LIMIT, "no record has {words}");
+        assert!(began.elapsed() < LIMIT, "no snapshot contains {text}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A fleet whose newer half a restarted balancer's configuration does not know.
+/// The configuration of the restarted balancer lists only one of the two servers; the other is known from the snapshot.
 #[test]
-fn killed_it_starts_with_the_list_and_the_places_that_it_had() {
-    let place = tempfile::tempdir().expect("a folder");
+fn a_killed_balancer_restores_its_endpoint_list_and_placements() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let (one, two, director) = (Node::new(), Node::new(), Director::new());
     let settings = with_operator_address(asking(&[("s-1", one.address())], &director));
-    let program = start(&settings, place.path());
+    let program = start(&settings, folder.path());
     let mut watch = director.watch();
     watch.tell(
         42,
@@ -63,103 +65,104 @@
     let (mut client, mut server) = program.stand(&two);
     server.say("LOAD 120000");
     assert_eq!(client.line(), "LOAD 120000");
-    kept(place.path(), "\"stands\"");
+    await_snapshot(folder.path(), "\"stands\"");
     program.kill();
-    // Discovery is away: what was known is all there is.
+    // The discovery service is unavailable, so the snapshot is the only source.
     let settings = with_operator_address(config(&[("s-1", one.address())]));
-    let program = start(&settings, place.path());
-    let line = has(&program, "event=state-restored");
+    let program = start(&settings, folder.path());
+    let line = startup_line(&program, "event=state-restored");
     assert!(line.contains(".snapshot") && line.contains("odd=0"), "{line}");
     assert_eq!(program.figure("targets"), 2);
-    // The client comes again: where it was, and not to the server that drains.
+    // The client that reconnects goes to its previous server, and not to the draining one.
     program.stand_as(&two, "77");
 }
 
 #[test]
-fn a_planned_end_leaves_a_last_record_and_a_later_list_goes_before_it() {
-    let place = tempfile::tempdir().expect("a folder");
+fn a_shutdown_writes_a_final_snapshot_and_a_newer_endpoint_list_overrides_it() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let node = Node::new();
     let settings = config(&[("s-1", node.address())]);
-    let slow = keeping(place.path()).replace("0.1", "3600");
-    let mut program = Program::start_with(BINARY, &settings, &slow);
+    let hourly = operator_file(folder.path()).replace("0.1", "3600");
+    let mut program = Program::start_with(BINARY, &settings, &hourly);
     program.terminate();
     assert!(program.wait().success());
-    assert_eq!(records(place.path()).len(), 1);
+    assert_eq!(snapshots(folder.path()).len(), 1);
     let mut later = with_operator_address(config(&[("s-1", node.address()), ("s-2", node.address())]));
     later["known"]["index"] = json!(99);
-    let program = start(&later, place.path());
-    has(&program, "event=state-restored");
+    let program = start(&later, folder.path());
+    startup_line(&program, "event=state-restored");
     assert_eq!(program.figure("targets"), 2);
 }
 
 #[test]
-fn what_is_damaged_or_anothers_is_named_and_the_one_before_is_taken() {
-    let place = tempfile::tempdir().expect("a folder");
+fn a_damaged_or_foreign_snapshot_is_rejected_and_the_previous_one_used() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let settings = config(&[]);
-    let program = start(&settings, place.path());
+    let program = start(&settings, folder.path());
     let began = Instant::now();
-    while records(place.path()).len() < 3 {
-        assert!(began.elapsed() < LIMIT, "three generations");
+    while snapshots(folder.path()).len() < 3 {
+        assert!(began.elapsed() < LIMIT, "fewer than three snapshots were written in time");
         std::thread::sleep(Duration::from_millis(5));
     }
     program.kill();
-    let mut found = records(place.path());
-    let (last, before) = (found.pop().expect("three"), found.pop().expect("three"));
-    let whole = fs::read(&last).expect("a file");
-    fs::write(&last, &whole[..whole.len() - 9]).expect("a file");
-    let program = start(&settings, place.path());
-    let line = has(&program, "event=snapshot-rejected");
-    assert!(line.contains(&last.display().to_string()) && line.contains("line "), "{line}");
-    assert!(has(&program, "event=state-restored").contains(&before.display().to_string()));
+    let mut found = snapshots(folder.path());
+    let newest = found.pop().expect("a first snapshot");
+    let previous = found.pop().expect("a second snapshot");
+    let contents = fs::read(&newest).expect("it is read");
+    fs::write(&newest, &contents[..contents.len() - 9]).expect("it is written");
+    let program = start(&settings, folder.path());
+    let line = startup_line(&program, "event=snapshot-rejected");
+    assert!(line.contains(&newest.display().to_string()) && line.contains("line "), "{line}");
+    assert!(startup_line(&program, "event=state-restored").contains(&previous.display().to_string()));
     program.kill();
     let mut other = settings.clone();
     other["name"] = json!("n2");
-    let program = start(&other, place.path());
-    assert!(has(&program, "it is of balancer").contains("event=snapshot-rejected"));
+    let program = start(&other, folder.path());
+    assert!(startup_line(&program, "it is of balancer").contains("event=snapshot-rejected"));
     program.settled();
     assert!(program.has_logged("event=state-restored").is_none());
 }
 
 #[test]
-fn killed_at_any_moment_it_leaves_whole_records_and_nothing_else_is_believed() {
-    let place = tempfile::tempdir().expect("a folder");
+fn a_balancer_killed_at_any_time_leaves_only_complete_snapshots() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let settings = config(&[]);
-    let often = keeping(place.path());
-    let mut recalled = 0;
-    // A busy machine takes longer to come to its first record: pauses grow until some were written.
+    let operator = operator_file(folder.path());
+    let mut restored = 0;
+    // The pause grows, since a busy machine takes longer until its first snapshot.
     for round in 0.. {
-        if recalled >= 6 {
+        if restored >= 6 {
             break;
         }
-        assert!(round < 100, "no record is written within {round} lives");
-        let program = Program::start_with(BINARY, &settings, &often);
-        if !records(place.path()).is_empty() {
-            has(&program, "event=state-restored");
-            recalled += 1;
+        assert!(round < 100, "fewer than six restored snapshots in {round} starts");
+        let program = Program::start_with(BINARY, &settings, &operator);
+        if !snapshots(folder.path()).is_empty() {
+            startup_line(&program, "event=state-restored");
+            restored += 1;
         }
         assert!(
             program.has_logged("snapshot-rejected").is_none()
                 && program.has_logged("snapshots-unavailable").is_none()
         );
-        // Into the writing: a pause of another length each time.
+        // The pause varies so that the kill hits different stages of writing.
         std::thread::sleep(Duration::from_millis(90 + 4 * round));
         program.kill();
-        // Killed between a record's being whole and the oldest one's going, it leaves one more.
-        assert!(records(place.path()).len() <= 4);
+        // A kill after a snapshot is complete and before the oldest one is deleted leaves one more than `keep`.
+        assert!(snapshots(folder.path()).len() <= 4);
     }
 }
 
 #[test]
-fn a_folder_that_cannot_be_used_is_told_and_the_program_serves() {
+fn an_unusable_snapshot_folder_is_logged_and_the_program_serves() {
     let node = Node::new();
     let settings = config(&[("s-1", node.address())]);
     let program = start(&settings, Path::new("/dev/null/snapshots"));
-    has(&program, "event=snapshots-unavailable");
+    startup_line(&program, "event=snapshots-unavailable");
     program.stand(&node);
 }
 
 #[test]
-fn a_new_process_goes_on_with_what_the_old_one_knows() {
+fn a_successor_restores_the_learned_state_of_its_predecessor() {
     let node = Node::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let old = crate::start(&settings);
@@ -169,7 +172,7 @@
     let mut same = settings.clone();
     same["listen"] = json!(old.address());
     let new = old.start_beside(BINARY, &same);
-    let line = has(&new, "event=state-restored");
+    let line = startup_line(&new, "event=state-restored");
     assert!(line.contains("from=\"the process before\"") && line.contains("odd=0"), "{line}");
     assert!(!line.contains("taken=0 "), "{line}");
 }
