--- a/crates/balancer/tests/sockets/counts.rs
+++ b/crates/balancer/tests/sockets/counts.rs
@@ -1,4 +1,4 @@
-//! Invariants of the figures that operators read, after random days.
+//! Invariants of the operators' metrics after random sequences of clients.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -8,23 +8,23 @@
 use crate::operators::{wait_for_metric, with_operator_address};
 use crate::start;
 
-/// What one client does, and what becomes of it.
+/// What one client does, and how its connection ends.
 #[derive(Clone, Copy, Debug)]
 enum Client {
-    /// Nothing, and leaves.
-    Mute,
-    /// Half a line, and leaves.
-    Half,
-    /// Pings, as a front.
-    Front,
-    /// Names no class that there is.
-    Unknown,
-    /// Names its class in a line that can't be used.
-    Bad,
-    /// Leaves before its answer.
-    Leaves,
-    /// Its server says this, and then one side ends it.
-    Hears(&'static str, End),
+    /// Sends nothing and disconnects.
+    Silent,
+    /// Sends an incomplete line and disconnects.
+    Incomplete,
+    /// Pings, as a front end does.
+    Ping,
+    /// Names a class that does not exist.
+    UnknownClass,
+    /// Names a valid class in a malformed line.
+    Malformed,
+    /// Disconnects before its answer.
+    Disconnects,
+    /// Its server sends this answer; an established connection is then ended by one side.
+    Answered(&'static str, End),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -43,94 +43,96 @@
         Just(End::ServerFin),
         Just(End::ServerReset)
     ];
-    let word = prop_oneof![4 => Just("UP 1"), 1 => Just("BUSY"), 1 => Just("ERR"), 1 => Just("BYE"), 1 => Just("what")];
+    let answer = prop_oneof![4 => Just("UP 1"), 1 => Just("BUSY"), 1 => Just("ERR"), 1 => Just("BYE"), 1 => Just("what")];
     prop_oneof![
-        1 => Just(Mute),
-        1 => Just(Half),
-        1 => Just(Front),
-        1 => Just(Unknown),
-        2 => Just(Bad),
-        2 => Just(Leaves),
-        8 => (word, end).prop_map(|(word, end)| Hears(word, end)),
+        1 => Just(Silent),
+        1 => Just(Incomplete),
+        1 => Just(Ping),
+        1 => Just(UnknownClass),
+        2 => Just(Malformed),
+        2 => Just(Disconnects),
+        8 => (answer, end).prop_map(|(answer, end)| Answered(answer, end)),
     ]
 }
 
-/// Plays one client; whether it named a class, and how many first lines servers got.
-fn play(program: &Program, server: &Node, client: Client) -> (u64, u64) {
+/// Runs one client. Returns 1 if it named a class and 0 otherwise, and the number of first lines that the server got.
+fn run_client(program: &Program, server: &Node, client: Client) -> (u64, u64) {
     match client {
-        Client::Mute => drop(program.client()),
-        Client::Half => program.client().put(b"OPEN 1 2 c=ch"),
-        Client::Front => {
+        Client::Silent => drop(program.client()),
+        Client::Incomplete => program.client().put(b"OPEN 1 2 c=ch"),
+        Client::Ping => {
             program.settled();
         }
-        Client::Unknown => {
+        Client::UnknownClass => {
             let mut client = program.client();
             client.say("OPEN 1 2 c=none,t=acme");
             assert_eq!(client.line(), "ERR");
         }
-        Client::Bad => {
+        Client::Malformed => {
             let mut client = program.client();
             client.say("OPEN 1 2 c=chat,t=acme,d=soon");
             assert_eq!(client.line(), "ERR");
             return (1, 0);
         }
-        Client::Leaves | Client::Hears(..) => return (1, asks(program, server, client)),
+        Client::Disconnects | Client::Answered(..) => return (1, run_request(program, server, client)),
     }
     (0, 0)
 }
 
-/// Plays one that asks: the server has it, unless the module sees no server in service.
-fn asks(program: &Program, server: &Node, client: Client) -> u64 {
-    let mut asking = program.open("");
-    let mut at = loop {
-        let Ok(mut at) = server.accept_or_hear(&mut asking) else { return 0 };
-        match at.hear() {
-            Heard::Line(line) if line.starts_with("OPEN ") => break at,
-            // The server was locked for what it did before, and is looked at.
-            Heard::Line(line) if line == "PING" => drop(at.try_put(b"PONG\r\n")),
-            // A attempt that is called off while it connects says nothing.
+/// Runs a client that sends a valid request. Returns the number of first lines that the server got: 0 if the client is
+/// rejected because no server is available.
+fn run_request(program: &Program, server: &Node, client: Client) -> u64 {
+    let mut requester = program.open("");
+    let mut attempt = loop {
+        let Ok(mut attempt) = server.accept_or_hear(&mut requester) else { return 0 };
+        match attempt.hear() {
+            Heard::Line(line) if line.starts_with("OPEN ") => break attempt,
+            // The server is quarantined after an earlier client, and gets a probe.
+            Heard::Line(line) if line == "PING" => drop(attempt.try_put(b"PONG\r\n")),
+            // An attempt that is cancelled while it connects sends nothing.
             _ => {}
         }
     };
-    let Client::Hears(word, end) = client else { return 1 };
-    at.say(word);
-    let heard = asking.hear();
-    if matches!(&heard, Heard::Line(line) if line.starts_with("UP")) {
+    let Client::Answered(answer, end) = client else { return 1 };
+    attempt.say(answer);
+    let received = requester.hear();
+    if matches!(&received, Heard::Line(line) if line.starts_with("UP")) {
         match end {
-            End::ClientFin => asking.finish(),
-            End::ClientReset => asking.reset(),
-            End::ServerFin => at.finish(),
-            End::ServerReset => at.reset(),
+            End::ClientFin => requester.finish(),
+            End::ClientReset => requester.reset(),
+            End::ServerFin => attempt.finish(),
+            End::ServerReset => attempt.reset(),
         }
     }
     1
 }
 
-fn day(clients: &[Client]) {
+/// Runs the clients one after the other and checks the metrics.
+fn run_clients(clients: &[Client]) {
     let server = Node::new();
     let program = start(&with_operator_address(config(&[("s-1", server.address())])));
     let (mut named, mut sent) = (0, 0);
     for client in clients {
-        let (one, lines) = play(&program, &server, *client);
-        (named, sent) = (named + one, sent + lines);
-        // Each has its end before the next: what a server hears of one is not taken for another's.
+        let (has_class, first_lines) = run_client(&program, &server, *client);
+        (named, sent) = (named + has_class, sent + first_lines);
+        // Each connection ends before the next client, so that the server does not mix up attempts of two clients.
         wait_for_metric(&program, "concurrent", 0);
     }
     let replies = ["success", "overload", "error"].map(|r| program.figure(&format!("replies.chat.{r}")));
-    assert_eq!(replies.iter().sum::<u64>(), named, "each counts once: {replies:?}");
+    assert_eq!(replies.iter().sum::<u64>(), named, "each request is counted once: {replies:?}");
     assert_eq!(program.figure("dispatches"), sent);
     assert_eq!((program.figure("targets"), program.figure("concurrent")), (1, 0));
     assert!(program.figure("targets_disabled") <= 1);
 }
 
 #[test]
-fn every_connection_ends_under_one_count_whatever_becomes_of_it() {
+fn every_connection_is_counted_exactly_once_however_it_ends() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let config = Config { cases: 6, max_shrink_iters: 0, failure_persistence: None, ..Config::default() };
-    let days = proptest::collection::vec(client(), 1..14);
-    let ran = TestRunner::new_with_rng(config, rng).run(&days, |clients| {
-        day(&clients);
+    let sequences = proptest::collection::vec(client(), 1..14);
+    let result = TestRunner::new_with_rng(config, rng).run(&sequences, |clients| {
+        run_clients(&clients);
         Ok(())
     });
-    ran.unwrap_or_else(|e| panic!("{e}"));
+    result.unwrap_or_else(|e| panic!("{e}"));
 }
