--- a/crates/balancer/tests/sockets/model.rs
+++ b/crates/balancer/tests/sockets/model.rs
@@ -1,5 +1,5 @@
-//! A model of a connection's states. Random steps go to the program and to the model, which says after
-//! each step what client and server must have heard.
+//! A model of a connection's states. Random steps are applied to the program and to the model, which predicts after
+//! each step what client and server receive.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -10,8 +10,8 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    ServerSays(&'static str),
-    ClientSays(usize),
+    ServerSends(&'static str),
+    ClientSends(usize),
     ServerFin,
     ServerReset,
     ClientFin,
@@ -22,18 +22,18 @@
 enum State {
     Waiting,
     Open,
-    Over,
+    Ended,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     use Step::*;
     prop_oneof![
-        4 => Just(ServerSays("UP 5")),
-        1 => Just(ServerSays("BUSY")),
-        1 => Just(ServerSays("ERR")),
-        3 => Just(ServerSays("LOAD 90000.5")),
-        3 => Just(ServerSays("M 1 2")),
-        6 => (0..4000usize).prop_map(ClientSays),
+        4 => Just(ServerSends("UP 5")),
+        1 => Just(ServerSends("BUSY")),
+        1 => Just(ServerSends("ERR")),
+        3 => Just(ServerSends("LOAD 90000.5")),
+        3 => Just(ServerSends("M 1 2")),
+        6 => (0..4000usize).prop_map(ClientSends),
         1 => Just(ServerFin),
         1 => Just(ServerReset),
         1 => Just(ClientFin),
@@ -41,58 +41,59 @@
     ]
 }
 
-fn refused(client: &mut Peer) -> State {
-    assert!(client.line().starts_with("BUSY "), "a refusal with a wait");
+/// Checks that a waiting client is rejected.
+fn expect_rejection(client: &mut Peer) -> State {
+    assert!(client.line().starts_with("BUSY "), "a rejection with a retry-after");
     assert_eq!(client.hear(), Heard::Fin);
-    State::Over
+    State::Ended
 }
 
-/// Lets one connection live through the steps.
-fn live(steps: &[Step]) {
+/// Applies the steps to one connection and checks it against the model.
+fn check_steps(steps: &[Step]) {
     let server = Node::new();
     let program = start(&config(&[("s-1", server.address())]));
-    let (mut client, mut s) = (program.open(""), server.accept());
-    s.line();
+    let (mut client, mut upstream) = (program.open(""), server.accept());
+    upstream.line();
     let mut state = State::Waiting;
     for step in steps {
         let open = state == State::Open;
         state = match step {
-            Step::ServerSays(words) => {
-                s.say(words);
-                if !open && !words.starts_with("UP") {
-                    // No server has taken the client, and the only one has had its attempt.
-                    refused(&mut client)
+            Step::ServerSends(line) => {
+                upstream.say(line);
+                if !open && !line.starts_with("UP") {
+                    // The only server did not accept the client, and gets no second attempt.
+                    expect_rejection(&mut client)
                 } else {
-                    assert_eq!(client.line(), *words);
+                    assert_eq!(client.line(), *line);
                     State::Open
                 }
             }
-            Step::ClientSays(n) => {
+            Step::ClientSends(n) => {
                 let line = "m".repeat(*n);
                 client.say(&line);
                 if !open {
-                    // A client that speaks before its answer has lost it.
+                    // A client that sends a line before its answer gets an error.
                     assert_eq!(
-                        (client.line(), client.hear(), s.hear()),
+                        (client.line(), client.hear(), upstream.hear()),
                         ("ERR".into(), Heard::Fin, Heard::Fin)
                     );
                     return;
                 }
-                assert_eq!(s.line(), line);
+                assert_eq!(upstream.line(), line);
                 state
             }
             Step::ServerFin | Step::ServerReset => {
                 let reset = matches!(step, Step::ServerReset);
-                let ends = if reset { Heard::Reset } else { Heard::Fin };
+                let expected = if reset { Heard::Reset } else { Heard::Fin };
                 if reset {
-                    s.reset();
+                    upstream.reset();
                 } else {
-                    drop(s);
+                    drop(upstream);
                 }
                 if open {
-                    assert_eq!(client.hear(), ends);
+                    assert_eq!(client.hear(), expected);
                 } else {
-                    refused(&mut client);
+                    expect_rejection(&mut client);
                 }
                 return;
             }
@@ -103,24 +104,24 @@
                 } else {
                     drop(client);
                 }
-                assert_eq!(s.hear(), if reset { Heard::Reset } else { Heard::Fin });
+                assert_eq!(upstream.hear(), if reset { Heard::Reset } else { Heard::Fin });
                 return;
             }
         };
-        if state == State::Over {
+        if state == State::Ended {
             break;
         }
     }
-    assert!(!server.is_called(), "a second attempt went to a server that had its chance");
+    assert!(!server.is_called(), "a second attempt at the only server");
 }
 
 #[test]
-fn a_connection_lives_as_the_model_says() {
+fn a_connection_behaves_as_the_model_predicts() {
     let config = Config { cases: 64, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let steps = proptest::collection::vec(step(), 1..16);
     let run = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
-        live(&steps);
+        check_steps(&steps);
         Ok(())
     });
     run.expect("the model holds");
