--- a/crates/balancer/tests/sockets/faults.rs
+++ b/crates/balancer/tests/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! System calls of the program that fail as Linux documents, by the library of `crates/faults`.
+//! Failing system calls: the library of `crates/faults` makes calls of the program fail in ways that Linux documents.
 
 use std::ffi::OsStr;
 use std::path::PathBuf;
@@ -10,15 +10,15 @@
 
 use crate::BINARY;
 
-/// Requests that each fault meets.
+/// Requests sent under each fault.
 const REQUESTS: usize = 40;
-/// An answer after this was waited for without need.
-const PROMPT: Duration = Duration::from_millis(1000);
+/// The most time that a request may take to be accepted. Longer means that the program waited needlessly.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(1000);
 
-/// The library that cargo has built beside this test.
+/// The fault library, which cargo builds into the same folder as this test.
 fn library() -> PathBuf {
     let test = std::env::current_exe().expect("a test has a path");
-    let library = test.parent().expect("a folder").join("libshorewharf_faults.so");
+    let library = test.parent().expect("a parent folder").join("libshorewharf_faults.so");
     assert!(library.exists(), "{} was not built", library.display());
     library
 }
@@ -31,100 +31,100 @@
     Program::start_in(BINARY, config, &env)
 }
 
-/// A server that takes everybody at once, until it has served so many or nobody comes for a while.
+/// Accepts every request at once, until `count` were accepted or none has come for five seconds. Returns their number.
 fn serve(node: Node, count: usize) -> JoinHandle<usize> {
     std::thread::spawn(move || {
-        let mut served = Vec::new();
-        while served.len() < count {
+        let mut accepted = Vec::new();
+        while accepted.len() < count {
             let Some(mut peer) = node.accept_within(Duration::from_secs(5)) else { break };
             if matches!(peer.hear(), Heard::Line(line) if line.starts_with("OPEN")) {
                 peer.try_put(b"UP 7\r\n");
-                served.push(peer);
+                accepted.push(peer);
             }
         }
-        served.len()
+        accepted.len()
     })
 }
 
-/// Sends requests one after the other; how long each took to be taken, or what it was told instead.
+/// Sends requests one after the other. Returns for each the time until it was accepted, or the other answer.
 fn send_requests(program: &Program, count: usize) -> Vec<Result<Duration, String>> {
     let mut clients = Vec::new();
     let send = |id: usize| {
-        let begun = Instant::now();
+        let began = Instant::now();
         let mut client = program.open_as(&format!("{id:x}"), "");
         let line = client.line();
         clients.push(client);
-        if line.starts_with("UP") { Ok(begun.elapsed()) } else { Err(line) }
+        if line.starts_with("UP") { Ok(began.elapsed()) } else { Err(line) }
     };
     (1..=count).map(send).collect()
 }
 
-/// All requests must be taken, and at once, whatever fails.
+/// Checks that under these faults all requests are accepted without delay.
 #[track_caller]
-fn expect_all_taken(faults: &str) {
+fn expect_all_accepted(faults: &str) {
     let nodes = [Node::new(), Node::new()];
     let known = [("s-1", nodes[0].address()), ("s-2", nodes[1].address())];
     let program = start_with_faults(&config(&known), faults);
     let _servers = nodes.map(|node| serve(node, REQUESTS));
-    let taken = send_requests(&program, REQUESTS);
-    let refused: Vec<_> = taken.iter().filter_map(|t| t.as_ref().err()).collect();
-    assert!(refused.is_empty(), "{faults}: {} of {REQUESTS} not taken: {refused:?}", refused.len());
-    let slow = taken.iter().flatten().filter(|took| **took > PROMPT).count();
-    assert_eq!(slow, 0, "{faults}: requests that waited without need");
+    let results = send_requests(&program, REQUESTS);
+    let rejected: Vec<_> = results.iter().filter_map(|t| t.as_ref().err()).collect();
+    assert!(rejected.is_empty(), "{faults}: {} of {REQUESTS} not accepted: {rejected:?}", rejected.len());
+    let slow = results.iter().flatten().filter(|took| **took > MAX_ANSWER_TIME).count();
+    assert_eq!(slow, 0, "{faults}: requests that were accepted later than {MAX_ANSWER_TIME:?}");
 }
 
 #[test]
-fn reads_of_one_byte_delay_nobody() {
-    expect_all_taken("recv=short");
+fn reads_of_one_byte_delay_no_request() {
+    expect_all_accepted("recv=short");
 }
 
 #[test]
-fn writes_of_one_byte_delay_nobody() {
-    expect_all_taken("send=short");
+fn writes_of_one_byte_delay_no_request() {
+    expect_all_accepted("send=short");
 }
 
 #[test]
-fn a_connect_that_the_machine_could_not_begin_says_nothing_of_the_server() {
+fn a_local_connect_error_does_not_count_against_the_server() {
     for error in ["EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ENOBUFS", "ENOMEM"] {
-        expect_all_taken(&format!("connect={error}/3"));
+        expect_all_accepted(&format!("connect={error}/3"));
     }
 }
 
 #[test]
-fn a_moment_without_any_connect_or_socket_is_waited_out() {
-    // The first requests come within the moment: the program takes them as soon as it has started.
+fn brief_failures_of_all_connects_or_sockets_are_waited_out() {
+    // The first requests come during the failures: the program serves as soon as it has started.
     for faults in
         ["connect=EADDRNOTAVAIL@0-0.2", "connect=ENETUNREACH%60", "socket=EMFILE%60", "socket=ENFILE/2"]
     {
-        expect_all_taken(faults);
+        expect_all_accepted(faults);
     }
 }
 
 #[test]
-fn calls_that_are_interrupted_or_aborted_are_made_again() {
+fn interrupted_or_aborted_calls_are_repeated() {
     for faults in ["wait=EINTR/2", "accept=ECONNABORTED/2", "accept=EINTR/2", "recv=EINTR/2;send=EINTR/2"] {
-        expect_all_taken(faults);
+        expect_all_accepted(faults);
     }
 }
 
 #[test]
-fn a_moment_without_sockets_does_not_keep_the_program_from_starting() {
-    expect_all_taken("socket=EMFILE@0-0.3");
+fn a_brief_shortage_of_descriptors_does_not_prevent_the_start() {
+    expect_all_accepted("socket=EMFILE@0-0.3");
 }
 
 #[test]
-fn steps_of_the_wall_clock_change_no_deadline() {
+fn wall_clock_steps_change_no_deadline() {
     for seconds in [3600, -3600, 5, -5] {
-        expect_all_taken(&format!("clock={seconds}@0.1-1e9"));
+        expect_all_accepted(&format!("clock={seconds}@0.1-1e9"));
     }
     let (silent, mut settings) = (Node::new(), config(&[]));
     settings["known"]["endpoints"] = json!([endpoint("s-1", silent.address(), "Ready")]);
     let program = start_with_faults(&settings, "clock=3600@0.3-1e9;clock=-7200@0.6-1e9");
-    let begun = Instant::now();
+    let began = Instant::now();
     let mut client = program.client();
     client.say("OPEN 1 2 c=chat,t=acme,d=1000");
     client.line();
-    let took = begun.elapsed();
+    let took = began.elapsed();
     assert!(
         took > Duration::from_millis(900) && took < Duration::from_millis(1500),
         "answered after {took:?}"
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn a_server_that_starts_after_a_step_of_the_wall_clock_is_cold() {
+fn a_server_that_starts_after_a_wall_clock_step_is_warmed_up() {
     for step in [-3600, 3600] {
-        let (warm, cold, director) = (Node::new(), Node::new(), Director::new());
+        let (warm, new, director) = (Node::new(), Node::new(), Director::new());
         let mut settings = asking(&[("s-1", warm.address())], &director);
         settings["settings"]["rules"]["overload_for_s"] = json!(1.5);
         let program = start_with_faults(&settings, &format!("clock={step}@0.5-1e9"));
@@ -142,26 +142,26 @@
         watch.blank();
         std::thread::sleep(Duration::from_millis(600));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-        let mut started = endpoint("s-2", cold.address(), "Ready");
+        let mut started = endpoint("s-2", new.address(), "Ready");
         started.since_ms = (unix.as_secs_f64() + f64::from(step)) * 1e3;
         watch.tell(42, false, vec![started]);
         program.logged("event=server-ready server=s-2");
-        let (stop, at_cold) = (cold.listener(), serve(cold, REQUESTS));
+        let (listener, new_server) = (new.listener(), serve(new, REQUESTS));
         let _warm = serve(warm, REQUESTS);
-        let taken = send_requests(&program, REQUESTS);
-        drop(stop);
-        let taken = taken.iter().flatten().count();
-        let cold = at_cold.join().expect("no panic");
-        assert!(taken > REQUESTS / 2, "step {step}: {taken} taken");
-        assert!(cold < REQUESTS / 4, "step {step}: a cold server got {cold} of {REQUESTS}");
+        let results = send_requests(&program, REQUESTS);
+        drop(listener);
+        let accepted = results.iter().flatten().count();
+        let at_new = new_server.join().expect("no panic");
+        assert!(accepted > REQUESTS / 2, "step {step}: {accepted} accepted");
+        assert!(at_new < REQUESTS / 4, "step {step}: the new server got {at_new} of {REQUESTS}");
     }
 }
 
 #[test]
-fn a_connection_that_breaks_by_a_time_out_ends_both_sides() {
+fn a_connection_that_times_out_is_closed_on_both_sides() {
     for error in ["ETIMEDOUT", "EHOSTUNREACH"] {
         let server = Node::new();
-        // The first read on the server's connection finds its answer, the second one finds it broken.
+        // The first read from the server's connection returns its answer, the second one fails.
         let faults = format!("recv:connected={error}/3");
         let program = start_with_faults(&config(&[("s-1", server.address())]), &faults);
         let (mut client, mut attempt) = program.stand(&server);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_line_that_is_half_written_as_the_program_ends_gets_its_answer() {
+fn a_request_whose_first_line_is_partly_written_is_answered_in_a_shutdown() {
     let server = Node::new();
     let mut settings = config(&[("s-1", server.address())]);
     settings["settings"]["classes"][0]["semantics"] = json!("non_idempotent");
@@ -191,19 +191,19 @@
 }
 
 #[test]
-fn who_waits_at_the_listener_is_answered_though_accepting_fails_as_the_program_ends() {
+fn clients_in_the_backlog_are_answered_in_a_shutdown_though_accepts_fail() {
     for faults in ["accept=EINTR/2", "accept=ECONNABORTED/2", "accept=EMFILE%50"] {
         let mut program = start_with_faults(&config(&[]), faults);
         program.terminate();
         program.logged("shutting-down");
-        let over = Instant::now() + Duration::from_millis(600);
+        let resume_at = Instant::now() + Duration::from_millis(600);
         program.pause();
         let mut waiting: Vec<_> = (0..60).map(|id| program.open_as(&format!("{id:x}"), "")).collect();
-        std::thread::sleep(over.saturating_duration_since(Instant::now()));
+        std::thread::sleep(resume_at.saturating_duration_since(Instant::now()));
         program.resume();
         for client in &mut waiting {
-            let heard = client.hear();
-            assert!(matches!(&heard, Heard::Line(line) if line.starts_with("BUSY")), "{faults}: {heard:?}");
+            let answer = client.hear();
+            assert!(matches!(&answer, Heard::Line(line) if line.starts_with("BUSY")), "{faults}: {answer:?}");
         }
         drop(waiting);
         assert!(program.wait().success());
@@ -211,19 +211,19 @@
 }
 
 #[test]
-fn a_folder_that_fails_for_a_while_stops_no_service_and_leaves_whole_records() {
+fn write_errors_of_snapshots_do_not_affect_service_and_leave_complete_snapshots() {
     for faults in ["write=ENOSPC@0.2-1", "sync=EIO@0.2-1", "write=short/3@0.2-1", "write=EIO%30;sync=EIO%30"]
     {
         let folder = tempfile::tempdir().expect("a folder");
         let node = Node::new();
         let settings = config(&[("s-1", node.address())]);
-        let keeping = format!(
+        let operator = format!(
             "[snapshot]\nfolder = {:?}\nevery_s = 0.1\nkeep = 3\n",
             folder.path().display().to_string()
         );
         let library = library();
         let env = [("LD_PRELOAD", library.as_os_str()), ("SHOREWHARF_FAULTS", OsStr::new(faults))];
-        let program = Program::start_in_with(BINARY, &settings, &keeping, &env);
+        let program = Program::start_in_with(BINARY, &settings, &operator, &env);
         let (mut client, mut server) = program.stand(&node);
         let until = Instant::now() + Duration::from_millis(1300);
         while Instant::now() < until {
@@ -232,10 +232,10 @@
             server.say("M 1");
             assert_eq!(client.line(), "M 1");
         }
-        // Killed in the middle of whatever it writes: the next one takes a whole record, or starts without one.
+        // Killed at any stage of writing: the next process restores a complete snapshot, or starts without one.
         program.kill();
-        let next = Program::start_with(BINARY, &settings, &keeping);
+        let next = Program::start_with(BINARY, &settings, &operator);
         next.stand(&node);
-        assert!(next.has_logged("snapshot-rejected").is_none(), "{faults}: a record that is not whole");
+        assert!(next.has_logged("snapshot-rejected").is_none(), "{faults}: an incomplete snapshot was left");
     }
 }
--- a/crates/balancer/tests/sockets/gossip.rs
+++ b/crates/balancer/tests/sockets/gossip.rs
@@ -1,4 +1,4 @@
-//! Balancers that tell each other what they hold: the built program beside a stand-in that speaks for the rest of the fleet.
+//! Gossip: the built program exchanges announcements with a stand-in for the rest of its fleet.
 
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,100 +12,105 @@
 
 const KEY: &str = "a key of the whole fleet";
 
-/// The rest of a fleet, one balancer named n2.
-struct Rest {
+/// The only other member of the fleet, named n2.
+struct PeerStub {
     socket: UdpSocket,
     key: Key,
-    at: u32,
+    /// The time of the last announcement.
+    made_at_ms: u32,
 }
 
-impl Rest {
-    fn new() -> Rest {
+impl PeerStub {
+    fn new() -> PeerStub {
         let socket = UdpSocket::bind((loopback(0), 0)).expect("a port");
-        socket.set_read_timeout(Some(LIMIT)).expect("a limit");
-        Rest { socket, key: Key::new(KEY.as_bytes()).expect("long enough"), at: 0 }
+        socket.set_read_timeout(Some(LIMIT)).expect("a read timeout");
+        PeerStub { socket, key: Key::new(KEY.as_bytes()).expect("long enough"), made_at_ms: 0 }
     }
 
-    /// The operator's file of a fleet in which this one is the other.
+    /// The operator's file for the program. Writes the files of peers and of the key that it names.
     fn operator(&self, folder: &Path) -> String {
-        let at = self.socket.local_addr().expect("bound");
-        fs::write(folder.join("peers"), format!("# all of them\nn1 127.0.0.1:1\nn2 {at}\n"))
+        let address = self.socket.local_addr().expect("bound");
+        fs::write(folder.join("peers"), format!("# all of them\nn1 127.0.0.1:1\nn2 {address}\n"))
             .expect("written");
         fs::write(folder.join("key"), KEY).expect("written");
-        let place = |name: &str| folder.join(name).display().to_string();
-        format!("[gossip]\npeers = {:?}\nkey = {:?}\nevery_ms = 20\n", place("peers"), place("key"))
+        let path = |name: &str| folder.join(name).display().to_string();
+        format!("[gossip]\npeers = {:?}\nkey = {:?}\nevery_ms = 20\n", path("peers"), path("key"))
     }
 
-    /// Waits for a note of the program's that is as wanted; tells where it came from too.
+    /// Waits for an announcement of the program that meets the condition. Returns it with its sender's address.
     #[track_caller]
-    fn hears(&self, wanted: impl Fn(&Announcement) -> bool) -> (Announcement, SocketAddr) {
+    fn receive(&self, condition: impl Fn(&Announcement) -> bool) -> (Announcement, SocketAddr) {
         let (began, mut buffer) = (Instant::now(), [0; 2_000]);
         while began.elapsed() < LIMIT {
             let (n, from) = self.socket.recv_from(&mut buffer).expect("a datagram");
-            let notes = self.key.open(&buffer[..n]).expect("sealed with the key");
-            if let Some(note) = notes.into_iter().find(|n| n.sender == sender_id("n1") && wanted(n)) {
-                return (note, from);
+            let announcements = self.key.open(&buffer[..n]).expect("sealed with the key");
+            if let Some(found) =
+                announcements.into_iter().find(|a| a.sender == sender_id("n1") && condition(a))
+            {
+                return (found, from);
             }
         }
-        panic!("no such note came");
+        panic!("no announcement that meets the condition within {LIMIT:?}");
     }
 
-    fn tells(&mut self, to: SocketAddr, held: &[AnnouncedHolding]) {
-        self.at += 1;
-        let note = Announcement {
+    /// Sends an announcement of these holdings.
+    fn send(&mut self, to: SocketAddr, holdings: &[AnnouncedHolding]) {
+        self.made_at_ms += 1;
+        let announcement = Announcement {
             sender: sender_id("n2"),
             incarnation: 5,
-            made_at_ms: self.at,
-            holdings: held.to_vec(),
+            made_at_ms: self.made_at_ms,
+            holdings: holdings.to_vec(),
         };
-        self.socket.send_to(&self.key.seal([&note]), to).expect("sent");
+        self.socket.send_to(&self.key.seal([&announcement]), to).expect("sent");
     }
 }
 
 #[test]
-fn it_tells_what_it_holds_and_goes_by_what_it_is_told_until_nothing_is_heard() {
+fn a_balancer_announces_its_holdings_and_uses_those_of_its_peers_until_they_fall_silent() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (nodes, mut rest) = ([Node::new(), Node::new()], Rest::new());
+    let (nodes, mut peer) = ([Node::new(), Node::new()], PeerStub::new());
     let settings = config(&[("s-1", nodes[0].address()), ("s-2", nodes[1].address())]);
-    let program = Program::start_with(BINARY, &settings, &rest.operator(folder.path()));
-    let (_, at) = rest.hears(|n| n.holdings.is_empty());
-    assert_eq!(at, program.address(), "it hears where it takes clients");
-    // One client: which server has it, the note tells.
+    let program = Program::start_with(BINARY, &settings, &peer.operator(folder.path()));
+    let (_, gossip_address) = peer.receive(|a| a.holdings.is_empty());
+    assert_eq!(gossip_address, program.address(), "gossip uses the address that serves clients");
+    // One client, at either server; the announcement names its server.
     let mut client = program.open_as("1a", ",g=5");
     let began = Instant::now();
     let (first, mut server) = loop {
-        assert!(began.elapsed() < LIMIT, "nobody was called");
-        let short = Duration::from_millis(5);
-        if let Some(called) = (0..2).find_map(|i| Some((i, nodes[i].accept_within(short)?))) {
-            break called;
+        assert!(began.elapsed() < LIMIT, "no server gets an attempt");
+        let step = Duration::from_millis(5);
+        if let Some(accepted) = (0..2).find_map(|i| Some((i, nodes[i].accept_within(step)?))) {
+            break accepted;
         }
     };
     server.line();
     server.say("UP 1");
     assert_eq!(client.line(), "UP 1");
-    let (note, _) = rest.hears(|n| n.holdings.len() == 1 && n.holdings[0].connections == 1);
-    let held = note.holdings[0];
-    assert_eq!(held.group, 5);
-    // Others hold much there: who comes next goes to the other one, though its group is here.
-    rest.tells(at, &[AnnouncedHolding { load: held.load * 50.0, connections: 50, ..held }]);
+    let (announcement, _) = peer.receive(|a| a.holdings.len() == 1 && a.holdings[0].connections == 1);
+    let holding = announcement.holdings[0];
+    assert_eq!(holding.group, 5);
+    // The peer announces a high load at that server: the next client goes to the other one, though its group's
+    // server is the first.
+    peer.send(gossip_address, &[AnnouncedHolding { load: holding.load * 50.0, connections: 50, ..holding }]);
     program.logged("event=gossip state=together");
     let (_client, _server) = program.stand_as(&nodes[1 - first], "2b");
-    // Rubbish, a foreign key and an old note change nothing; then nothing is heard any more.
-    for bad in [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").seal([&note])] {
-        rest.socket.send_to(bad, at).expect("sent");
+    // Malformed datagrams, a foreign key and an old announcement have no effect; after them the peer is silent.
+    for invalid in [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").seal([&announcement])] {
+        peer.socket.send_to(invalid, gossip_address).expect("sent");
     }
     program.logged("event=gossip state=alone");
     let mut after = program.open_as("3c", ",g=5");
     server = nodes[first].accept();
     server.line();
     server.say("UP 3");
-    assert_eq!(after.line(), "UP 3", "alone, the group's own server is the first choice");
+    assert_eq!(after.line(), "UP 3", "without peers, the group's own server is the first choice");
 }
 
 #[test]
-fn a_fleet_file_that_can_not_be_used_ends_the_start_and_names_the_line() {
+fn an_invalid_peers_file_prevents_the_start_and_its_line_is_named() {
     let folder = tempfile::tempdir().expect("a folder");
-    let operator = Rest::new().operator(folder.path());
+    let operator = PeerStub::new().operator(folder.path());
     fs::write(folder.path().join("peers"), "n1 127.0.0.1:1\nn2 nowhere\n").expect("written");
     let file = folder.path().join("operator.toml");
     fs::write(&file, operator).expect("written");
