--- a/crates/balancer/tests/sockets/final_answers.rs
+++ b/crates/balancer/tests/sockets/final_answers.rs
@@ -1,5 +1,5 @@
-//! Final answers of requests that may have run. A rejection (`BUSY`) invites the client to retry, so it must only be sent
-//! where a retry is harmless; and a request that must not be repeated is never sent to a server twice.
+//! Final answers of requests that may have run. A rejection (`BUSY`) invites the client to retry, so it must only be
+//! sent where a retry is harmless; and a request that must not be repeated is never sent to a server twice.
 //!
 //! Regression tests for the incident of 2026-12-02.
 
@@ -201,8 +201,9 @@
     for (class, mut client, attempt) in requests {
         attempt.reset();
         if class.is_rejectable {
-            // The first request must be retried at the other server. When its connection ends, both servers have failed, which
-            // suspends all retries ("repeats=closed failing=2 of=2"): the next request may be rejected instead.
+            // The first request must be retried at the other server. When its connection ends, both servers have
+            // failed, which suspends all retries ("repeats=closed failing=2 of=2"): the next request may be rejected
+            // instead.
             match next_attempt_or_answer(&servers, &mut client) {
                 Ok(mut second) => {
                     second.line();
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -185,7 +185,8 @@
             std::thread::sleep(Duration::from_micros(pause * 250));
             if fault == 1 {
                 new.kill();
-                // The old process has migrated the clients that it still had; the others were closed by the new one's end.
+                // The old process has migrated the clients that it still had; the others were closed when the new one
+                // ended.
                 assert!(old.wait().success(), "{scenario}");
                 let outcomes = outcomes("b");
                 assert!(!outcomes.contains(&Outcome::Established), "{scenario}: {outcomes:?}");
--- a/crates/balancer/tests/sockets/main.rs
+++ b/crates/balancer/tests/sockets/main.rs
@@ -1,15 +1,15 @@
 //! Tests of the built program on real sockets: what clients, servers, the discovery service and operators observe.
 
-mod bad;
 mod cli;
-mod counts;
-mod endings;
 mod faults;
 mod final_answers;
 mod gossip;
 mod handover;
+mod invalid_input;
+mod metrics;
 mod model;
 mod operators;
+mod races;
 mod reload;
 mod snapshot;
 mod upgrade;
--- a/crates/balancer/tests/sockets/races.rs
+++ b/crates/balancer/tests/sockets/races.rs
@@ -1,5 +1,5 @@
-//! Moments in which something ends while something else crosses it: who is still owed what gets it. Where the order matters
-//! the program is held still meanwhile.
+//! Races: the end of a client, an attempt or the program coincides with another event. Where the order of events
+//! matters, the program is paused with SIGSTOP until all of them have arrived.
 
 use std::time::{Duration, Instant};
 
@@ -9,58 +9,59 @@
 use crate::start;
 
 #[test]
-fn a_client_that_ended_before_it_was_accepted_has_no_attempt() {
+fn no_attempt_is_made_for_a_client_that_closed_before_it_was_accepted() {
     let server = Node::new();
     let program = start(&config(&[("s-1", server.address())]));
     program.pause();
-    // All of it waits in the system: the connection, its line and its end.
+    // The connection, its first line and its end all wait in the kernel.
     let finished = program.open("");
     finished.finish();
-    let gone = program.open("");
-    drop(gone);
+    let closed = program.open("");
+    drop(closed);
     program.resume();
     program.settled();
-    assert!(!server.is_called(), "an attempt began for a client that had gone");
+    assert!(!server.is_called(), "an attempt for a client that has closed its connection");
     program.stand(&server);
 }
 
 #[test]
-fn a_line_that_waits_in_the_system_when_its_time_is_over_is_served() {
+fn a_first_line_that_arrived_before_its_deadline_is_served_though_read_after_it() {
     let server = Node::new();
     let program = start(&config(&[("s-1", server.address())]));
-    let (mut late, mut front) = (program.client(), program.client());
-    // Both have been accepted.
-    front.say("PING");
-    assert_eq!(front.line(), "PONG");
+    let (mut late, mut front_end) = (program.client(), program.client());
+    // The reply shows that both connections have been accepted.
+    front_end.say("PING");
+    assert_eq!(front_end.line(), "PONG");
     program.settled();
-    let over = Instant::now() + Duration::from_millis(2600);
+    let resume_at = Instant::now() + Duration::from_millis(2600);
     program.pause();
     late.say("OPEN 1 2 c=chat,t=acme,d=20000");
-    front.say("PING");
-    while Instant::now() < over {
+    front_end.say("PING");
+    while Instant::now() < resume_at {
         std::thread::yield_now();
     }
     program.resume();
-    assert_eq!(front.line(), "PONG");
+    assert_eq!(front_end.line(), "PONG");
     server.stand(late);
 }
 
 #[test]
-fn who_waits_at_the_listener_when_the_program_is_about_to_end_is_told_to_come_again() {
+fn clients_in_the_backlog_at_the_end_of_a_shutdown_are_rejected() {
     let mut program = start(&config(&[]));
     program.terminate();
     program.logged("shutting-down");
-    // Nobody is here: the end is due 0.55 s later. More wait by then than one turn accepts.
-    let over = Instant::now() + Duration::from_millis(600);
+    // Without clients the process ends 0.55 s later. By then more clients wait than one iteration of the event loop
+    // accepts.
+    let resume_at = Instant::now() + Duration::from_millis(600);
     program.pause();
     let mut waiting: Vec<_> = (0..100).map(|id| program.open_as(&format!("{id:x}"), "")).collect();
-    while Instant::now() < over {
+    while Instant::now() < resume_at {
         std::thread::yield_now();
     }
     program.resume();
     for client in &mut waiting {
-        let heard = client.hear();
-        assert!(matches!(&heard, Heard::Line(line) if line.starts_with("BUSY")), "{heard:?}");
+        let answer = client.hear();
+        assert!(matches!(&answer, Heard::Line(line) if line.starts_with("BUSY")), "{answer:?}");
         assert_eq!(client.hear(), Heard::Fin);
     }
     drop(waiting);
@@ -68,34 +69,34 @@
 }
 
 #[test]
-fn a_client_that_has_said_nothing_is_ended_in_good_order_at_a_planned_end() {
+fn silent_clients_are_closed_without_a_reset_in_a_shutdown() {
     let mut program = start(&config(&[]));
     let mut silent = program.client();
-    let mut front = program.client();
-    front.say("PING");
-    assert_eq!(front.line(), "PONG");
+    let mut front_end = program.client();
+    front_end.say("PING");
+    assert_eq!(front_end.line(), "PONG");
     program.settled();
     program.terminate();
-    assert_eq!((silent.hear(), front.hear()), (Heard::Fin, Heard::Fin));
-    // What is still written is read, and does not make the end a reset.
-    front.put(b"PING\r\n");
-    assert_eq!(front.hear(), Heard::Fin);
-    drop((silent, front));
+    assert_eq!((silent.hear(), front_end.hear()), (Heard::Fin, Heard::Fin));
+    // The program still reads input, so the connection is not reset.
+    front_end.put(b"PING\r\n");
+    assert_eq!(front_end.hear(), Heard::Fin);
+    drop((silent, front_end));
     assert!(program.wait().success());
 }
 
 #[test]
-fn a_second_order_to_end_changes_nothing() {
+fn a_second_sigterm_changes_nothing() {
     let server = Node::new();
     let mut program = start(&config(&[("s-1", server.address())]));
-    let (mut client, mut s) = program.stand(&server);
+    let (mut client, mut upstream) = program.stand(&server);
     program.terminate();
     program.logged("shutting-down");
     program.terminate();
     assert!(program.open("").line().starts_with("BUSY"));
     client.say("M 1");
-    assert_eq!(s.line(), "M 1");
-    s.say("M 1");
+    assert_eq!(upstream.line(), "M 1");
+    upstream.say("M 1");
     assert_eq!((client.line(), client.line()), ("M 1".into(), "MOVE".into()));
     assert_eq!(client.hear(), Heard::Fin);
     drop(client);
@@ -103,20 +104,20 @@
 }
 
 #[test]
-fn requests_on_their_way_are_not_dropped_with_idle_connections_that_make_room() {
+fn a_connection_with_a_received_request_is_not_evicted_as_idle() {
     let server = Node::new();
     let mut settings = config(&[("s-1", server.address())]);
     settings["limits"]["sockets"] = json!(96);
     let program = start(&settings);
-    // As many idle connections as may be held; each of the oldest writes its line while the program stands still, and
-    // others come that need room.
+    // As many idle connections as there are descriptors for. While the program is paused, the oldest ones send their
+    // requests, and further clients connect that need descriptors.
     let mut idle: Vec<_> = (0..20).map(|_| program.client()).collect();
     program.settled();
     program.pause();
     for (id, client) in idle.iter_mut().take(5).enumerate() {
         client.say(&format!("OPEN {id:x} 2 c=chat,t=acme,d=20000"));
     }
-    let _more: Vec<_> = (0..30).map(|_| program.client()).collect();
+    let _further: Vec<_> = (0..30).map(|_| program.client()).collect();
     program.resume();
     for client in idle.drain(..5) {
         server.stand(client);
@@ -124,84 +125,86 @@
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_client_that_has_gone_meanwhile() {
+fn no_second_attempt_begins_for_a_client_that_has_disconnected() {
     let servers = [Node::new(), Node::new()];
     let program = start(&config(&[("s-1", servers[0].address()), ("s-2", servers[1].address())]));
     let client = program.open("");
-    let (at, mut first) = loop {
-        let turn = Duration::from_millis(20);
-        let came = servers.iter().enumerate().find_map(|(i, s)| Some((i, s.accept_within(turn)?)));
-        if let Some(came) = came {
-            break came;
+    let (first_server, mut first) = loop {
+        let step = Duration::from_millis(20);
+        let accepted =
+            servers.iter().enumerate().find_map(|(i, server)| Some((i, server.accept_within(step)?)));
+        if let Some(accepted) = accepted {
+            break accepted;
         }
         assert!(!client.has_word(Duration::from_millis(1)), "an answer without an attempt");
     };
     first.line();
     program.pause();
-    // The refusal is there first, so that it is heard first; the client has gone all the same.
+    // The server's rejection arrives before the end of the client and is read first; the client has disconnected all
+    // the same.
     first.say("BUSY");
     drop(client);
     program.resume();
     assert_eq!(first.hear(), Heard::Fin);
     program.settled();
-    assert!(!servers[1 - at].is_called(), "another attempt began for a client that had gone");
+    assert!(!servers[1 - first_server].is_called(), "another attempt for a client that has disconnected");
 }
 
 #[test]
-fn a_client_that_goes_as_its_server_takes_it_leaves_nothing_behind() {
+fn a_client_that_disconnects_as_its_server_accepts_it_leaves_no_connection() {
     let server = Node::new();
     let program = start(&config(&[("s-1", server.address())]));
     for up_first in [true, false] {
         let client = program.open("");
-        let mut s = server.accept();
-        s.line();
+        let mut upstream = server.accept();
+        upstream.line();
         program.pause();
         if up_first {
-            s.say("UP 1");
+            upstream.say("UP 1");
             drop(client);
         } else {
             drop(client);
-            s.say("UP 1");
+            upstream.say("UP 1");
         }
         program.resume();
-        assert!(matches!(s.hear(), Heard::Fin | Heard::Reset));
+        assert!(matches!(upstream.hear(), Heard::Fin | Heard::Reset));
         assert!(!server.is_called(), "a second attempt");
     }
     program.stand(&server);
 }
 
 #[test]
-fn an_answer_that_comes_with_the_deadline_is_the_only_one() {
+fn a_server_answer_at_the_deadline_leads_to_exactly_one_answer() {
     let server = Node::new();
     let program = start(&config(&[("s-1", server.address())]));
     for answer in ["UP 1", "BUSY", "ERR"] {
         let mut client = program.client();
         client.say("OPEN 1 2 c=chat,t=acme,d=400");
-        let over = Instant::now() + Duration::from_millis(450);
-        let mut s = server.accept();
-        s.line();
+        let resume_at = Instant::now() + Duration::from_millis(450);
+        let mut upstream = server.accept();
+        upstream.line();
         program.pause();
-        s.say(answer);
-        while Instant::now() < over {
+        upstream.say(answer);
+        while Instant::now() < resume_at {
             std::thread::yield_now();
         }
         program.resume();
         let line = client.line();
         if line == "UP 1" {
             client.say("M 1");
-            assert_eq!(s.line(), "M 1");
+            assert_eq!(upstream.line(), "M 1");
         } else {
             assert!(line.starts_with("BUSY") || line == "ERR", "{line}");
             assert_eq!(client.hear(), Heard::Fin);
-            // What the server said may not have been read when the attempt was given up.
-            assert!(matches!(s.hear(), Heard::Fin | Heard::Reset));
+            // The attempt may be cancelled before the server's answer is read, which causes a reset.
+            assert!(matches!(upstream.hear(), Heard::Fin | Heard::Reset));
         }
         assert!(!server.is_called(), "an attempt after the deadline");
     }
 }
 
 #[test]
-fn a_client_that_leaves_while_the_dial_comes_up_has_no_attempt() {
+fn nothing_is_sent_for_a_client_that_disconnects_as_its_connect_completes() {
     let (host, queue) = Node::full();
     let mut settings = config(&[("s-1", host.address())]);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(30.0);
@@ -210,10 +213,10 @@
     program.settled();
     program.pause();
     queue.iter().for_each(|_| drop(host.accept()));
-    // The dial is heard of first, then the client's end.
+    // The program is notified of the connect first, then of the client's end.
     let mut attempt = host.accept();
     drop(client);
     std::thread::sleep(Duration::from_millis(150));
     program.resume();
-    assert_eq!(attempt.hear(), Heard::Fin, "a first line for a client that had gone");
+    assert_eq!(attempt.hear(), Heard::Fin, "a first line for a client that has disconnected");
 }
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -18,7 +18,7 @@
 /// Prefix of the first line of a client whose connection is to stay established.
 const ESTABLISHED_CLIENT: &str = "OPEN 1 ";
 
-/// A server that answers `BYE` at once, except to the client whose connection it keeps established, until it is dropped.
+/// A server that answers `BYE` at once until it is dropped, except to the client whose connection stays established.
 struct AutoServer {
     is_over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -200,7 +200,8 @@
     expect_relayed(&mut first, &mut first_upstream, "M 3");
     assert_eq!(new.figure("concurrent"), 3);
     assert_eq!(new.figure("replies.chat.success"), 0, "they were established in the old process");
-    // The new process's decisions know them: their clients are migrated off a disabled server, and their ids are in use.
+    // The new process's decisions know the connections: their ids are in use, and disabling their server migrates
+    // their clients.
     assert_eq!(new.open_as("9b1f", "").line(), "ERR");
     assert_eq!(new.call("exclude s-1"), ["YES"]);
     assert_eq!((first.line(), second.line(), third.line()), ("MOVE".into(), "MOVE".into(), "MOVE".into()));
