--- a/crates/balancer/tests/platform/main.rs
+++ b/crates/balancer/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The built program among the emulated platform on sockets: the driver in real time shows what it does, through
-//! orders, nodes that fail and clients that send nonsense. What is waited for is an event, never a span of time.
+//! The built program on the emulated platform, on sockets and in real time: under orders, failing nodes and clients that
+//! send invalid input. Tests wait for events and never for a fixed time.
 
 mod script;
 
@@ -12,7 +12,7 @@
 use shorewharf_emulator::sockets::{load, plain, platform};
 use shorewharf_emulator::world::settings;
 
-use script::{Act, MS, S, Script, Tally};
+use script::{Action, MS, S, Script, Tally};
 
 fn program(path: impl Into<PathBuf>) -> Program {
     let limits = ProcessLimits { sockets: 4096, memory_mb: 192.0 };
@@ -34,55 +34,60 @@
     plain::day(balancers, 4, length, 192.0, 4096)
 }
 
-/// Plays the script, and checks what holds whatever happens: every first line and answer was someone's own.
+/// Plays the script, and checks what must hold in every run: no malformed first line, and no answer that was forged or
+/// meant for another client.
 fn run(day: &Day, script: &mut Script) -> Report {
     let report = play(script, day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect("the day is played");
     let tally = &script.tally;
-    let odd = (report.syntax, report.early, tally.forged, tally.failed, report.clients.foreign);
-    assert_eq!((odd, report.strange.as_slice()), ((0, 0, 0, 0, 0), &[][..]), "{tally:?}\n{report:?}");
+    let violations = (report.syntax, report.early, tally.forged, tally.failed, report.clients.foreign);
+    assert_eq!((violations, report.strange.as_slice()), ((0, 0, 0, 0, 0), &[][..]), "{tally:?}\n{report:?}");
     report
 }
 
 #[test]
-fn balancers_follow_orders_under_load_and_come_back() {
+fn balancers_execute_orders_under_load_and_restart() {
     let day = small_day(2, 60 * S);
-    let over = |tally: &Tally, _| tally.ready == 4 && tally.watches.iter().all(|n| *n >= 3);
-    let mut script = Script::new(&day, 10 * MS, 200, over);
+    let is_over = |tally: &Tally, _| tally.ready == 4 && tally.watches.iter().all(|n| *n >= 3);
+    let mut script = Script::new(&day, 10 * MS, 200, is_over);
     let (a, b) = (BalancerId(0), BalancerId(1));
-    for (who, last) in [(a, ToBalancer::Terminate), (b, ToBalancer::Kill)] {
-        script.order(who, 1, ToBalancer::Reload { moved: true });
-        script.order(who, 2, last);
+    for (balancer, last) in [(a, ToBalancer::Terminate), (b, ToBalancer::Kill)] {
+        script.order_after_watches(balancer, 1, ToBalancer::Reload { moved: true });
+        script.order_after_watches(balancer, 2, last);
     }
     let report = run(&day, &mut script);
     let tally = &script.tally;
     assert!(!report.crashed() && report.missed == 0, "{:?}", report.lives);
     assert_eq!((tally.exits, tally.ready, tally.cut), (1, 4, 0), "{tally:?}");
-    // One watch at the start, one at the address after the move, and one in the next life.
+    // One watch at the start, one at the new discovery address, and one after the restart.
     assert!(tally.watches.iter().all(|n| *n >= 3) && tally.moved >= 100, "{tally:?}");
-    let ends: Vec<&str> = report.lives[..2].iter().map(|l| l.how.as_str()).collect();
-    assert_eq!(ends, ["exit status: 0", "killed as ordered"]);
+    let exits: Vec<&str> = report.lives[..2].iter().map(|l| l.how.as_str()).collect();
+    assert_eq!(exits, ["exit status: 0", "killed as ordered"]);
     assert!(report.lives[0].usage.memory_mb > 0.0 && report.lives[0].usage.descriptors > 100);
 }
 
 #[test]
-fn nodes_die_are_cut_off_and_come_back_under_their_addresses() {
+fn failed_and_unreachable_nodes_are_used_again_after_they_return() {
     let day = small_day(1, 60 * S);
-    let over = |tally: &Tally, now| now > 5 * S && (0..2).all(|n| tally.since_back.get(&n) > Some(&0));
-    let mut script = Script::new(&day, 20 * MS, 80, over);
-    script.act(S, Act::Dies(NodeId(0)));
-    script.act(1500 * MS, Act::Reborn(NodeId(0)));
-    script.act(2 * S, Act::Reachability(NodeId(1), Reachability::Silent));
-    script.act(3 * S, Act::Reachability(NodeId(2), Reachability::Mute));
-    script.act(5 * S, Act::Reachability(NodeId(1), Reachability::Open));
+    let is_over =
+        |tally: &Tally, now| now > 5 * S && (0..2).all(|n| tally.links_since_return.get(&n) > Some(&0));
+    let mut script = Script::new(&day, 20 * MS, 80, is_over);
+    script.schedule(S, Action::NodeDown(NodeId(0)));
+    script.schedule(1500 * MS, Action::NodeRestarted(NodeId(0)));
+    script.schedule(2 * S, Action::Reachability(NodeId(1), Reachability::Silent));
+    script.schedule(3 * S, Action::Reachability(NodeId(2), Reachability::Mute));
+    script.schedule(5 * S, Action::Reachability(NodeId(1), Reachability::Open));
     let report = run(&day, &mut script);
     let tally = &script.tally;
     assert!(!report.crashed());
     assert_eq!(
-        (tally.through_shut, tally.exits),
+        (tally.links_to_unreachable, tally.exits),
         (0, 0),
-        "a node that is gone or cut off is reached by nobody"
+        "links to a node that is down or unreachable"
+    );
+    assert!(
+        (0..2).all(|n| tally.links_since_return[&n] > 0),
+        "no link to a node that has returned: {tally:?}"
     );
-    assert!((0..2).all(|n| tally.since_back[&n] > 0), "a node that is back is reached again: {tally:?}");
 }
 
 #[test]
@@ -96,41 +101,42 @@
     let mut script = Script::new(&day, 20 * MS, 20, |_, now| now > 6 * S);
     let report = run(&day, &mut script);
     assert!(!report.crashed() && script.tally.up > 0);
-    for (kind, fared) in report.bad {
-        assert!(fared.came > 0 && fared.served == 0, "{kind}: {fared:?}");
-        // How long silence is borne is the balancer's own affair; everything else is turned away as it is read.
-        assert!(kind == "silent" || fared.refused + fared.closed > 0, "{kind}: {fared:?}");
+    for (kind, counts) in report.bad {
+        assert!(counts.came > 0 && counts.served == 0, "{kind}: {counts:?}");
+        // How soon a silent client is closed is up to the balancer; all other input is rejected as soon as it is read.
+        assert!(kind == "silent" || counts.refused + counts.closed > 0, "{kind}: {counts:?}");
     }
     day.bad_clients = vec![bad("polite", 1.0)];
-    let told = play(&mut script, &day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect_err("no such kind");
-    assert!(told.to_string().contains("'polite' is not one of endless-line, "), "{told}");
+    let error =
+        play(&mut script, &day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect_err("the kind is unknown");
+    assert!(error.to_string().contains("'polite' is not one of endless-line, "), "{error}");
 }
 
 #[test]
-fn the_world_is_played_on_sockets() {
+fn the_emulated_world_runs_on_sockets() {
     let mut day = small_day(2, 4 * S);
     (day.traffic.arrivals_per_s, day.traffic.load, day.streams.life) = (Some(40.0), 0.001, 2 * S);
     day.clients.line_every = 200 * MS;
-    let mut glances = 0;
-    let mut watch = |glance: &platform::StatusSample<'_>| {
-        glances += 1;
-        assert_eq!((glance.nodes.len(), glance.balancers.len()), (4, 2));
+    let mut samples = 0;
+    let mut on_sample = |sample: &platform::StatusSample<'_>| {
+        samples += 1;
+        assert_eq!((sample.nodes.len(), sample.balancers.len()), (4, 2));
     };
-    let run =
-        platform::run(&day, &options(env!("CARGO_BIN_EXE_shorewharf")), &mut watch).expect("it is played");
+    let run = platform::run(&day, &options(env!("CARGO_BIN_EXE_shorewharf")), &mut on_sample)
+        .expect("the day is played");
     let (result, report) = (run.result, run.report);
     assert!(!report.crashed() && report.syntax == 0 && report.clients.forged == 0, "{report:?}");
     let ups: u32 = result.series.seconds.iter().map(|s| s.ups).sum();
-    assert!(ups > 0 && report.clients.returned > 0 && glances >= 3, "{ups} {glances} {report:?}");
-    // Only a run that kept up is judged: on a machine that stalls, lines are held back by nobody's fault.
+    assert!(ups > 0 && report.clients.returned > 0 && samples >= 3, "{ups} {samples} {report:?}");
+    // The verdict is void if the test driver was late: on a machine that stalls, delays are not the balancer's.
     if report.void.is_none() {
         assert!(result.verdict.clean(), "{:?}", result.verdict.breaks);
     }
 }
 
 #[test]
-fn load_is_counted_from_when_it_was_due() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn load_is_measured_from_its_due_time() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let options = load::Options {
         program: program(env!("CARGO_BIN_EXE_shorewharf")),
         set_ups_per_s: 50.0,
@@ -141,27 +147,27 @@
         nodes: 2,
         settings: settings::json,
     };
-    let outcome = load::run(&options, folder.path()).expect("load is put on");
+    let outcome = load::run(&options, folder.path()).expect("the load is applied");
     let (through, past) = (&outcome.through, &outcome.past);
-    // However long an answer takes, every set-up that was due is asked for and counted.
+    // Every set-up that was due is requested and counted, however long earlier answers take.
     assert_eq!(
         (through.set_up.len() + through.failed, past.set_up.len() + past.failed),
         (100, 10),
         "{outcome}"
     );
     assert!(!through.set_up.is_empty() && through.line.len() > 100 && outcome.stood >= 40, "{outcome}");
-    let none = load::Options { set_ups_per_s: 0.0, ..options };
-    let told = load::run(&none, folder.path()).expect_err("no load");
-    assert_eq!(told.to_string(), "set-ups a second: 0 is not above 0");
+    let no_load = load::Options { set_ups_per_s: 0.0, ..options };
+    let error = load::run(&no_load, folder.path()).expect_err("a rate of 0");
+    assert_eq!(error.to_string(), "set-ups a second: 0 is not above 0");
 }
 
 #[test]
-fn a_program_that_does_not_serve_is_told_of() {
+fn a_program_that_does_not_serve_is_reported() {
     let day = small_day(1, S);
     let mut script = Script::new(&day, S, 0, |_, _| true);
-    let told = play(&mut script, &day, &options("/bin/false"));
-    assert!(matches!(told, Err(RunError::NotReady(name, _)) if name == "n0"));
+    let result = play(&mut script, &day, &options("/bin/false"));
+    assert!(matches!(result, Err(RunError::NotReady(name, _)) if name == "n0"));
     let mut script = Script::new(&day, S, 0, |_, _| true);
-    let told = play(&mut script, &day, &options("/no/such/program"));
-    assert!(matches!(told, Err(RunError::Process(ProcessError::Start(..)))));
+    let result = play(&mut script, &day, &options("/no/such/program"));
+    assert!(matches!(result, Err(RunError::Process(ProcessError::Start(..)))));
 }
--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -1,5 +1,5 @@
-//! A simple platform: nodes that take everybody, clients that come evenly, stay, and come again when they are sent
-//! away or cut off. A balancer that has ended comes back.
+//! A simple platform: nodes accept every connection, clients arrive at regular intervals, stay connected, and reconnect
+//! after a rejection, a migration or a break. A balancer whose process has ended is restarted.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,97 +12,120 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// A node takes a connection after this.
-const SET_UP: Micros = 3 * MS;
-/// A client that was turned away or cut off, and a balancer that has ended, come again after this.
-const AGAIN: Micros = 100 * MS;
-/// Nothing that is waited for takes so long, on any machine.
-const LIMIT: Micros = 60 * S;
+/// Time after which a node accepts a connection.
+const SET_UP_TIME: Micros = 3 * MS;
+/// Delay before a client that was rejected or cut off reconnects, before a balancer that has ended is restarted, and
+/// before an order is executed.
+const RETRY_DELAY: Micros = 100 * MS;
+/// The longest run: everything that a test waits for takes less, even on a slow machine.
+const MAX_LENGTH: Micros = 60 * S;
 
-/// What a test has happen.
+/// An action that a test schedules.
 #[derive(Clone, Debug)]
-pub enum Act {
-    Say(BalancerId, ToBalancer),
+pub enum Action {
+    /// A command is sent to a balancer.
+    Command(BalancerId, ToBalancer),
+    /// A balancer's process is started.
     Start(BalancerId),
+    /// How a node's machine responds to connections changes.
     Reachability(NodeId, Reachability),
-    /// The node's process dies: what it holds breaks, and the list says so.
-    Dies(NodeId),
-    /// It comes back under its address.
-    Reborn(NodeId),
+    /// A node's process fails: its links are reset, and the endpoint list drops it.
+    NodeDown(NodeId),
+    /// A node's process restarts at the same address, and is listed again.
+    NodeRestarted(NodeId),
 }
 
 #[derive(Debug)]
 enum Event {
-    Arrive,
-    Again(u64),
-    Node(LinkId, NodeMessage),
-    List(BalancerId),
-    Act(Act),
+    /// A new client arrives.
+    Arrival,
+    /// The client with this key reconnects.
+    Reconnect(u64),
+    /// A node sends a message on a link.
+    NodeMessage(LinkId, NodeMessage),
+    /// A balancer gets the whole endpoint list.
+    Snapshot(BalancerId),
+    Action(Action),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    Waits,
-    Stands(LinkId),
-    Over,
+enum ClientState {
+    Waiting,
+    Established(LinkId),
+    /// It has got its final answer.
+    Answered,
 }
 
-/// What came of it.
+/// Counts of what clients, balancers and nodes did.
 #[derive(Debug, Default)]
 pub struct Tally {
     pub up: u64,
     pub busy: u64,
     pub moved: u64,
-    /// `ERR`, or a line that is no answer.
+    /// Answers `ERR`, unexpected `MOVE`s, and lines that are not answers.
     pub failed: u64,
     pub forged: u64,
-    /// Ended without an answer by a balancer that lives.
+    /// Waiting connections closed without an answer by a balancer that still runs.
     pub unanswered: u64,
-    /// Cut off without a move though node and balancer lived.
+    /// Established connections closed without a `MOVE` though node and balancer were running.
     pub cut: u64,
+    /// Processes that ended on their own.
     pub exits: u64,
+    /// Processes that became ready.
     pub ready: u64,
-    /// Calls for a watch by balancer.
+    /// Requests for a watch, by balancer.
     pub watches: Vec<u64>,
-    /// Links that came at a node which was dead or cut off.
-    pub through_shut: u64,
-    /// Links by node since it was reborn, or cut off no longer.
-    pub since_back: BTreeMap<u32, u64>,
+    /// Links that arrived at a node that was down or unreachable.
+    pub links_to_unreachable: u64,
+    /// Links by node since its reachability last changed.
+    pub links_since_return: BTreeMap<u32, u64>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Post {
-    /// Which of its lives it is in, or will be.
-    life: u32,
-    ready: bool,
-    watched: bool,
+struct Balancer {
+    /// How often its process has ended: the number of the current process, or of the next one.
+    incarnation: u32,
+    is_ready: bool,
+    /// It has a watch on the endpoint list.
+    has_watch: bool,
 }
 
 pub struct Script {
-    every: Micros,
-    standing: u32,
-    /// The day is over once this holds.
-    until: fn(&Tally, Micros) -> bool,
+    arrival_interval: Micros,
+    /// Connections that are established before the run.
+    initial_connections: u32,
+    /// The run ends once this holds.
+    is_finished: fn(&Tally, Micros) -> bool,
     now: Micros,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Event>,
-    serial: u64,
-    /// Each with its balancer and that one's life.
-    conns: BTreeMap<ConnId, (BalancerId, u32, State)>,
+    /// Times and serial numbers of the events.
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// The scheduled events by serial number.
+    events: BTreeMap<u64, Event>,
+    /// Serial number of the next event.
+    next_serial: u64,
+    /// Each with its balancer and the incarnation of that.
+    clients: BTreeMap<ConnId, (BalancerId, u32, ClientState)>,
     links: BTreeMap<LinkId, (BalancerId, NodeId)>,
-    next: u64,
-    dealt: usize,
-    posts: Vec<Post>,
-    reach: Vec<Reachability>,
+    next_client: u64,
+    /// The balancer after the one that got the last client.
+    next_balancer: usize,
+    balancers: Vec<Balancer>,
+    reachability: Vec<Reachability>,
     listed: Vec<Listed>,
-    /// What a balancer is told soon after it has called for a watch so many times.
+    /// Orders that a balancer gets soon after its n-th request for a watch.
     orders: BTreeMap<(BalancerId, u64), ToBalancer>,
     pub tally: Tally,
 }
 
 impl Script {
-    /// Clients come this often; so many stand from before.
-    pub fn new(day: &Day, every: Micros, standing: u32, until: fn(&Tally, Micros) -> bool) -> Self {
+    /// A script in which a client arrives every `arrival_interval`, `initial_connections` are established before the run,
+    /// and the run ends once `is_finished` returns true.
+    pub fn new(
+        day: &Day,
+        arrival_interval: Micros,
+        initial_connections: u32,
+        is_finished: fn(&Tally, Micros) -> bool,
+    ) -> Self {
         let nodes = day.nodes.len();
         let listed = |n: usize| Listed {
             node: NodeId(n as u32),
@@ -110,47 +133,48 @@
             born: None,
         };
         let mut script = Script {
-            every,
-            standing,
-            until,
+            arrival_interval,
+            initial_connections,
+            is_finished,
             now: 0,
-            events: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            serial: 0,
-            conns: BTreeMap::new(),
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            next_serial: 0,
+            clients: BTreeMap::new(),
             links: BTreeMap::new(),
-            next: 1,
-            dealt: 0,
-            posts: vec![Post::default(); day.balancers.len()],
-            reach: vec![Reachability::Open; nodes],
+            next_client: 1,
+            next_balancer: 0,
+            balancers: vec![Balancer::default(); day.balancers.len()],
+            reachability: vec![Reachability::Open; nodes],
             listed: (0..nodes).map(listed).collect(),
             orders: BTreeMap::new(),
             tally: Tally { watches: vec![0; day.balancers.len()], ..Tally::default() },
         };
-        script.at(every, Event::Arrive);
-        (0..day.balancers.len()).for_each(|who| script.act(0, Act::Start(BalancerId(who as u32))));
+        script.push(arrival_interval, Event::Arrival);
+        (0..day.balancers.len()).for_each(|i| script.schedule(0, Action::Start(BalancerId(i as u32))));
         script
     }
 
-    /// Has something happen.
-    pub fn act(&mut self, at: Micros, act: Act) {
-        self.at(at, Event::Act(act));
+    /// Schedules an action.
+    pub fn schedule(&mut self, at: Micros, action: Action) {
+        self.push(at, Event::Action(action));
     }
 
-    /// Tells a balancer this soon after its call of this number for a watch.
-    pub fn order(&mut self, who: BalancerId, watches: u64, what: ToBalancer) {
-        self.orders.insert((who, watches), what);
+    /// Gives a balancer an order soon after it has requested a watch this many times.
+    pub fn order_after_watches(&mut self, balancer: BalancerId, watches: u64, order: ToBalancer) {
+        self.orders.insert((balancer, watches), order);
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
-        self.events.push(Reverse((at, self.serial)));
-        self.what.insert(self.serial, event);
-        self.serial += 1;
+    fn push(&mut self, at: Micros, event: Event) {
+        self.queue.push(Reverse((at, self.next_serial)));
+        self.events.insert(self.next_serial, event);
+        self.next_serial += 1;
     }
 
-    fn ask(&mut self, key: u64, home: Option<NodeId>) -> RequestLine {
-        let conn = ConnId(self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        self.next += 1;
+    /// The first line of the next client, under a new id.
+    fn new_request(&mut self, key: u64, home: Option<NodeId>) -> RequestLine {
+        let conn = ConnId(self.next_client.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        self.next_client += 1;
         let (patience, hint) = (3 * S, Some(0.01));
         RequestLine {
             conn,
@@ -166,208 +190,225 @@
         }
     }
 
-    fn comes(&mut self, key: u64, said: &mut Commands) {
-        let count = self.posts.len();
-        let Some(who) = (0..count).map(|i| (self.dealt + i) % count).find(|who| self.posts[*who].ready)
-        else {
-            return self.at(self.now + AGAIN, Event::Again(key));
+    /// Sends a client to the next ready balancer. Without one, the client retries later.
+    fn connect(&mut self, key: u64, commands: &mut Commands) {
+        let count = self.balancers.len();
+        let mut candidates = (0..count).map(|i| (self.next_balancer + i) % count);
+        let Some(index) = candidates.find(|i| self.balancers[*i].is_ready) else {
+            return self.push(self.now + RETRY_DELAY, Event::Reconnect(key));
         };
-        self.dealt = who + 1;
-        let (ask, who) = (self.ask(key, None), BalancerId(who as u32));
-        let life = self.post(who).life;
-        self.conns.insert(ask.conn, (who, life, State::Waits));
-        said.push((who, ToBalancer::Asked { ask, left: ask.patience }));
+        self.next_balancer = index + 1;
+        let (ask, balancer) = (self.new_request(key, None), BalancerId(index as u32));
+        let incarnation = self.balancer(balancer).incarnation;
+        self.clients.insert(ask.conn, (balancer, incarnation, ClientState::Waiting));
+        commands.push((balancer, ToBalancer::Asked { ask, left: ask.patience }));
     }
 
-    fn post(&mut self, who: BalancerId) -> &mut Post {
-        &mut self.posts[who.0 as usize]
+    fn balancer(&mut self, id: BalancerId) -> &mut Balancer {
+        &mut self.balancers[id.0 as usize]
     }
 
-    fn lists(
+    /// Changes a node's entry of the endpoint list and sends the change to all balancers with a watch.
+    fn update_list(
         &mut self,
         node: NodeId,
         stage: shorewharf_emulator::edge::Stage,
         born: Option<Micros>,
-        said: &mut Commands,
+        commands: &mut Commands,
     ) {
         let entry = Listed { node, stage, born };
         self.listed[node.0 as usize] = entry;
-        for who in (0..self.posts.len()).filter(|who| self.posts[*who].watched) {
-            said.push((BalancerId(who as u32), ToBalancer::List { full: false, entries: vec![entry] }));
+        for i in (0..self.balancers.len()).filter(|i| self.balancers[*i].has_watch) {
+            commands.push((BalancerId(i as u32), ToBalancer::List { full: false, entries: vec![entry] }));
         }
     }
 
-    fn acts(&mut self, act: Act, said: &mut Commands) {
+    fn execute(&mut self, action: Action, commands: &mut Commands) {
         use shorewharf_emulator::edge::Stage::{Gone, Ready};
-        match act {
-            Act::Start(who) => {
-                said.push((who, ToBalancer::Start { seed: self.serial, known: self.listed.clone() }));
+        match action {
+            Action::Start(balancer) => {
+                let start = ToBalancer::Start { seed: self.next_serial, known: self.listed.clone() };
+                commands.push((balancer, start));
             }
-            Act::Say(who, what) => {
-                match what {
+            Action::Command(balancer, command) => {
+                match command {
                     ToBalancer::Kill => {
-                        self.is_gone(self.now, who);
+                        self.on_process_ended(self.now, balancer);
                     }
-                    ToBalancer::Terminate => self.post(who).ready = false,
+                    ToBalancer::Terminate => self.balancer(balancer).is_ready = false,
                     _ => {}
                 }
-                said.push((who, what));
+                commands.push((balancer, command));
             }
-            Act::Reachability(node, reach) => {
-                self.reach[node.0 as usize] = reach;
-                self.tally.since_back.insert(node.0, 0);
+            Action::Reachability(node, reachability) => {
+                self.reachability[node.0 as usize] = reachability;
+                self.tally.links_since_return.insert(node.0, 0);
             }
-            Act::Dies(node) => {
-                self.reach[node.0 as usize] = Reachability::Refused;
-                let held: Vec<LinkId> =
-                    self.links.iter().filter(|(_, l)| l.1 == node).map(|(id, _)| *id).collect();
-                for id in held {
-                    let (who, _) = self.links.remove(&id).expect("it was just there");
-                    said.push((who, ToBalancer::NodeEnded(id, End::Reset)));
+            Action::NodeDown(node) => {
+                self.reachability[node.0 as usize] = Reachability::Refused;
+                let open: Vec<LinkId> =
+                    self.links.iter().filter(|(_, link)| link.1 == node).map(|(id, _)| *id).collect();
+                for id in open {
+                    let (balancer, _) = self.links.remove(&id).expect("an open link");
+                    commands.push((balancer, ToBalancer::NodeEnded(id, End::Reset)));
                 }
-                self.lists(node, Gone, None, said);
+                self.update_list(node, Gone, None, commands);
             }
-            Act::Reborn(node) => {
-                self.acts(Act::Reachability(node, Reachability::Open), said);
-                self.lists(node, Ready, Some(self.now), said);
+            Action::NodeRestarted(node) => {
+                self.execute(Action::Reachability(node, Reachability::Open), commands);
+                self.update_list(node, Ready, Some(self.now), commands);
             }
         }
     }
 
-    /// A balancer's process is over, and with it what it held.
-    fn is_gone(&mut self, now: Micros, who: BalancerId) {
-        let post = self.post(who);
-        *post = Post { life: post.life + 1, ..Post::default() };
-        self.act(now + AGAIN, Act::Start(who));
+    /// Handles the end of a balancer's process, and schedules its restart.
+    fn on_process_ended(&mut self, now: Micros, id: BalancerId) {
+        let balancer = self.balancer(id);
+        *balancer = Balancer { incarnation: balancer.incarnation + 1, ..Balancer::default() };
+        self.schedule(now + RETRY_DELAY, Action::Start(id));
     }
 
-    /// A client's connection has ended.
-    fn ended(&mut self, conn: ConnId, refused: bool) {
-        let Some((who, life, state)) = self.conns.remove(&conn) else { return };
-        let alive = self.post(who).life == life;
+    /// Handles the end of a client's connection, which the balancer's machine may have refused.
+    fn on_client_ended(&mut self, conn: ConnId, is_refused: bool) {
+        let Some((balancer, incarnation, state)) = self.clients.remove(&conn) else { return };
+        let is_running = self.balancer(balancer).incarnation == incarnation;
         match state {
-            State::Over => return,
-            State::Stands(link) => self.tally.cut += u64::from(alive && self.links.contains_key(&link)),
-            State::Waits => self.tally.unanswered += u64::from(alive && !refused),
+            ClientState::Answered => return,
+            ClientState::Established(link) => {
+                self.tally.cut += u64::from(is_running && self.links.contains_key(&link));
+            }
+            ClientState::Waiting => self.tally.unanswered += u64::from(is_running && !is_refused),
         }
-        self.at(self.now + AGAIN, Event::Again(conn.0));
+        self.push(self.now + RETRY_DELAY, Event::Reconnect(conn.0));
     }
 }
 
 impl Harness for Script {
     fn next_due(&self) -> Option<Micros> {
-        self.events.peek().map(|e| e.0.0)
+        self.queue.peek().map(|e| e.0.0)
     }
 
-    fn advance(&mut self, now: Micros, said: &mut Commands) {
-        while let Some(Reverse((at, serial))) = self.events.peek().copied().filter(|e| e.0.0 <= now) {
-            self.events.pop();
+    fn advance(&mut self, now: Micros, commands: &mut Commands) {
+        while let Some(Reverse((at, serial))) = self.queue.peek().copied().filter(|e| e.0.0 <= now) {
+            self.queue.pop();
             self.now = at;
-            match self.what.remove(&serial).expect("every time has its event") {
-                Event::Arrive => {
-                    self.comes(self.next << 20, said);
-                    self.at(at + self.every, Event::Arrive);
+            match self.events.remove(&serial).expect("an event for each scheduled time") {
+                Event::Arrival => {
+                    self.connect(self.next_client << 20, commands);
+                    self.push(at + self.arrival_interval, Event::Arrival);
                 }
-                Event::Again(key) => self.comes(key, said),
-                Event::Node(link, word) => {
-                    if let Some((who, node)) = self.links.get(&link)
-                        && self.reach[node.0 as usize] == Reachability::Open
+                Event::Reconnect(key) => self.connect(key, commands),
+                Event::NodeMessage(link, message) => {
+                    if let Some((balancer, node)) = self.links.get(&link)
+                        && self.reachability[node.0 as usize] == Reachability::Open
                     {
-                        said.push((*who, ToBalancer::NodeSays(link, word)));
+                        commands.push((*balancer, ToBalancer::NodeSays(link, message)));
                     }
                 }
-                Event::List(who) => {
+                Event::Snapshot(balancer) => {
                     let gone = shorewharf_emulator::edge::Stage::Gone;
                     let entries = self.listed.iter().filter(|e| e.stage != gone).copied().collect();
-                    said.push((who, ToBalancer::List { full: true, entries }));
+                    commands.push((balancer, ToBalancer::List { full: true, entries }));
                 }
-                Event::Act(act) => self.acts(act, said),
+                Event::Action(action) => self.execute(action, commands),
             }
         }
         self.now = now;
     }
 
-    fn on_balancer_action(&mut self, now: Micros, who: BalancerId, what: FromBalancer, _: &mut Commands) {
-        match what {
+    fn on_balancer_action(
+        &mut self,
+        now: Micros,
+        balancer: BalancerId,
+        action: FromBalancer,
+        _: &mut Commands,
+    ) {
+        match action {
             FromBalancer::Link { link, node, .. } => {
-                self.links.insert(link, (who, node));
-                let shut =
-                    matches!(self.reach[node.0 as usize], Reachability::Refused | Reachability::Silent);
-                self.tally.through_shut += u64::from(shut);
-                if let Some(count) = self.tally.since_back.get_mut(&node.0) {
+                self.links.insert(link, (balancer, node));
+                let reachability = self.reachability[node.0 as usize];
+                let is_unreachable = matches!(reachability, Reachability::Refused | Reachability::Silent);
+                self.tally.links_to_unreachable += u64::from(is_unreachable);
+                if let Some(count) = self.tally.links_since_return.get_mut(&node.0) {
                     *count += 1;
                 }
             }
-            FromBalancer::Forward { link, .. } => self.at(now + SET_UP, Event::Node(link, NodeMessage::Up)),
-            FromBalancer::Probe(link) => self.at(now + MS, Event::Node(link, NodeMessage::Pong)),
+            FromBalancer::Forward { link, .. } => {
+                self.push(now + SET_UP_TIME, Event::NodeMessage(link, NodeMessage::Up))
+            }
+            FromBalancer::Probe(link) => self.push(now + MS, Event::NodeMessage(link, NodeMessage::Pong)),
             FromBalancer::EndLink(link, _) => {
                 self.links.remove(&link);
             }
             FromBalancer::Answer(conn, answer) => {
-                let Some((_, _, state)) = self.conns.get_mut(&conn) else { return };
-                let stood = matches!(state, State::Stands(_));
-                *state = if let Answer::Up(link) = answer { State::Stands(link) } else { State::Over };
+                let Some((_, _, state)) = self.clients.get_mut(&conn) else { return };
+                let was_established = matches!(state, ClientState::Established(_));
+                *state = match answer {
+                    Answer::Up(link) => ClientState::Established(link),
+                    _ => ClientState::Answered,
+                };
                 let count = match answer {
                     Answer::Up(_) => &mut self.tally.up,
                     Answer::Busy(_) => &mut self.tally.busy,
-                    Answer::Move if stood => &mut self.tally.moved,
+                    Answer::Move if was_established => &mut self.tally.moved,
                     Answer::Forged => &mut self.tally.forged,
                     _ => &mut self.tally.failed,
                 };
                 *count += 1;
                 if !matches!(answer, Answer::Up(_)) {
-                    self.at(now + AGAIN, Event::Again(conn.0));
+                    self.push(now + RETRY_DELAY, Event::Reconnect(conn.0));
                 }
             }
-            FromBalancer::EndClient(conn, _) => self.ended(conn, false),
-            FromBalancer::Refused(conn) => self.ended(conn, true),
+            FromBalancer::EndClient(conn, _) => self.on_client_ended(conn, false),
+            FromBalancer::Refused(conn) => self.on_client_ended(conn, true),
             FromBalancer::Watch => {
-                let watches = &mut self.tally.watches[who.0 as usize];
+                let watches = &mut self.tally.watches[balancer.0 as usize];
                 *watches += 1;
-                let order = self.orders.remove(&(who, *watches));
-                order.into_iter().for_each(|what| self.act(now + AGAIN, Act::Say(who, what)));
-                self.post(who).watched = true;
-                self.at(now + 5 * MS, Event::List(who));
+                if let Some(order) = self.orders.remove(&(balancer, *watches)) {
+                    self.schedule(now + RETRY_DELAY, Action::Command(balancer, order));
+                }
+                self.balancer(balancer).has_watch = true;
+                self.push(now + 5 * MS, Event::Snapshot(balancer));
             }
             FromBalancer::Unwatch => {
-                self.post(who).watched = false;
+                self.balancer(balancer).has_watch = false;
             }
             FromBalancer::Ready => {
                 self.tally.ready += 1;
-                self.post(who).ready = true;
+                self.balancer(balancer).is_ready = true;
             }
             FromBalancer::Exited => {
                 self.tally.exits += 1;
-                self.is_gone(now, who);
+                self.on_process_ended(now, balancer);
             }
             FromBalancer::Pass(_) | FromBalancer::Syntax(_) => {}
         }
     }
 
     fn reachability(&self, node: NodeId) -> Reachability {
-        self.reach[node.0 as usize]
+        self.reachability[node.0 as usize]
     }
 
     fn connections_at_start(&mut self) -> Vec<(BalancerId, RequestLine)> {
-        let (balancers, nodes) = (self.posts.len() as u32, self.reach.len() as u32);
-        let count = self.standing;
-        let stands = |i: u32| {
-            let who = BalancerId(i % balancers);
-            let ask = self.ask(u64::from(i) << 20, Some(NodeId(i % nodes)));
-            self.conns.insert(ask.conn, (who, 0, State::Waits));
-            (who, ask)
+        let (balancers, nodes) = (self.balancers.len() as u32, self.reachability.len() as u32);
+        let count = self.initial_connections;
+        let connection = |i: u32| {
+            let balancer = BalancerId(i % balancers);
+            let request = self.new_request(u64::from(i) << 20, Some(NodeId(i % nodes)));
+            self.clients.insert(request.conn, (balancer, 0, ClientState::Waiting));
+            (balancer, request)
         };
-        (0..count).map(stands).collect()
+        (0..count).map(connection).collect()
     }
 
     fn on_connections_restored(&mut self, up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
-        for (conn, (who, link, node)) in up {
-            self.links.insert(link, (who, node));
-            self.conns.insert(conn, (who, 0, State::Stands(link)));
+        for (conn, (balancer, link, node)) in up {
+            self.links.insert(link, (balancer, node));
+            self.clients.insert(conn, (balancer, 0, ClientState::Established(link)));
         }
     }
 
     fn is_over(&self, now: Micros) -> bool {
-        now >= LIMIT || (self.until)(&self.tally, now)
+        now >= MAX_LENGTH || (self.is_finished)(&self.tally, now)
     }
 }
