--- a/crates/balancer/tests/budgets/fleet.rs
+++ b/crates/balancer/tests/budgets/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of built programs with budgets before counting servers and a store whose members can be cut off one by one, and
-//! clients that want more than there is.
+//! A fleet of built programs with budgets; servers that count set-ups and connections; a store from which each balancer can
+//! be cut off; and clients whose demand exceeds the budgets.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,43 +16,54 @@
 use shorewharf_store::standin::{Cluster, Fault, Member};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_shorewharf");
-/// Servers.
+/// Number of servers.
 const SERVERS: usize = 4;
 
-/// What servers have seen.
+/// Established connections of a tenant.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ConnectionCount {
+    pub current: usize,
+    /// The most that there were at once.
+    pub max: usize,
+}
+
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// When set-ups came.
-    pub came: Vec<Instant>,
-    /// Standing connections by tenant, and the most that there were.
-    pub stands: BTreeMap<String, (usize, usize)>,
+struct Counts {
+    /// Times of all set-ups.
+    set_ups: Vec<Instant>,
+    connections: BTreeMap<String, ConnectionCount>,
 }
 
+/// What all servers have observed together.
 #[derive(Clone, Default)]
-pub struct Sight(Arc<Mutex<Seen>>);
+pub struct Observed(Arc<Mutex<Counts>>);
 
-impl Sight {
-    pub fn now(&self) -> MutexGuard<'_, Seen> {
+impl Observed {
+    fn counts(&self) -> MutexGuard<'_, Counts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Set-ups that came in a stretch.
-    pub fn came(&self, from: Instant, to: Instant) -> usize {
-        self.now().came.iter().filter(|at| (from..to).contains(at)).count()
+    /// The number of set-ups between two times.
+    pub fn set_ups_between(&self, from: Instant, to: Instant) -> usize {
+        self.counts().set_ups.iter().filter(|at| (from..to).contains(at)).count()
     }
 
-    /// The most that came in any stretch of this length since then.
-    pub fn most_within(&self, since: Instant, length: Duration) -> usize {
-        let mut came: Vec<Instant> = self.now().came.iter().copied().filter(|at| *at >= since).collect();
-        came.sort();
-        (0..came.len()).map(|i| came[i..].partition_point(|at| *at < came[i] + length)).max().unwrap_or(0)
+    /// The most set-ups since a time within any interval of this length.
+    pub fn max_set_ups_within(&self, since: Instant, length: Duration) -> usize {
+        let mut times: Vec<Instant> =
+            self.counts().set_ups.iter().copied().filter(|at| *at >= since).collect();
+        times.sort();
+        let count_from = |i: usize| times[i..].partition_point(|at| *at < times[i] + length);
+        (0..times.len()).map(count_from).max().unwrap_or(0)
     }
 
-    pub fn stands(&self, tenant: &str) -> (usize, usize) {
-        self.now().stands.get(tenant).copied().unwrap_or_default()
+    /// The established connections of a tenant.
+    pub fn connections(&self, tenant: &str) -> ConnectionCount {
+        self.counts().connections.get(tenant).copied().unwrap_or_default()
     }
 
-    fn serves(&self, stream: TcpStream) {
+    /// Serves and counts one connection.
+    fn serve(&self, stream: TcpStream) {
         let mut lines = BufReader::new(stream);
         let mut line = String::new();
         if lines.read_line(&mut line).is_err() || line.is_empty() {
@@ -64,122 +75,124 @@
         }
         let tenant = line.split("t=").nth(1).and_then(|t| t.split(',').next()).unwrap_or_default().to_owned();
         {
-            let mut seen = self.now();
-            seen.came.push(Instant::now());
-            let (now, most) = seen.stands.entry(tenant.clone()).or_default();
-            *now += 1;
-            *most = (*most).max(*now);
+            let mut counts = self.counts();
+            counts.set_ups.push(Instant::now());
+            let connections = counts.connections.entry(tenant.clone()).or_default();
+            connections.current += 1;
+            connections.max = connections.max.max(connections.current);
         }
         let _ = lines.get_mut().write_all(b"UP 1\r\n");
-        // It stands until the other side ends it.
+        // The connection stays established until the other side closes it.
         let _ = std::io::copy(&mut lines, &mut std::io::sink());
-        self.now().stands.entry(tenant).and_modify(|s| s.0 -= 1);
+        self.counts().connections.entry(tenant).and_modify(|c| c.current -= 1);
     }
 }
 
-/// A fleet.
+/// The balancers of a fleet, with their servers, store and clients.
 pub struct Fleet {
-    pub sight: Sight,
+    pub observed: Observed,
     pub programs: Vec<Option<Program>>,
     store: Vec<Member>,
     pub cluster: Cluster,
     folder: tempfile::TempDir,
     servers: Vec<SocketAddr>,
-    terms: String,
+    budget_settings: String,
     quota: f64,
-    crowd: Arc<AtomicBool>,
+    /// Tells the clients to end.
+    is_over: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Fleet {
-    /// So many balancers, with these terms and this quota of tenant `acme`; all of them are up.
-    pub fn new(members: usize, terms: &str, quota: f64) -> Fleet {
-        let sight = Sight::default();
+    /// Starts a fleet with this number of balancers, these lines of `[budgets]`, and this quota for tenant `acme`.
+    pub fn new(members: usize, budget_settings: &str, quota: f64) -> Fleet {
+        let observed = Observed::default();
         let servers = (0..SERVERS)
             .map(|_| {
                 let listener = TcpListener::bind((loopback(0), 0)).expect("a port");
-                let (at, sight) = (listener.local_addr().expect("bound"), sight.clone());
+                let (address, observed) = (listener.local_addr().expect("bound"), observed.clone());
                 thread::spawn(move || {
                     for stream in listener.incoming().flatten() {
-                        let sight = sight.clone();
-                        thread::spawn(move || sight.serves(stream));
+                        let observed = observed.clone();
+                        thread::spawn(move || observed.serve(stream));
                     }
                 });
-                at
+                address
             })
             .collect();
         let cluster = Cluster::new();
         let store = (0..members).map(|_| cluster.member().expect("a member")).collect();
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder");
         let names: Vec<String> = (0..members).map(|i| format!("b{i}\n")).collect();
         fs::write(folder.path().join("members"), names.concat()).expect("written");
         let mut fleet = Fleet {
-            sight,
+            observed,
             programs: Vec::new(),
             store,
             cluster,
             folder,
             servers,
-            terms: terms.to_owned(),
+            budget_settings: budget_settings.to_owned(),
             quota,
-            crowd: Arc::default(),
+            is_over: Arc::default(),
             clients: Vec::new(),
         };
         fleet.programs = (0..members).map(|i| Some(fleet.start(i))).collect();
         fleet
     }
 
-    /// Starts the balancer of this place.
-    pub fn start(&self, place: usize) -> Program {
-        let named = |(i, at): (usize, &SocketAddr)| (format!("s-{i}"), *at);
+    /// Starts a process of the balancer with this index.
+    pub fn start(&self, index: usize) -> Program {
+        let named = |(i, address): (usize, &SocketAddr)| (format!("s-{i}"), *address);
         let servers: Vec<(String, SocketAddr)> = self.servers.iter().enumerate().map(named).collect();
-        let servers: Vec<(&str, SocketAddr)> = servers.iter().map(|(n, at)| (n.as_str(), *at)).collect();
+        let servers: Vec<(&str, SocketAddr)> =
+            servers.iter().map(|(name, address)| (name.as_str(), *address)).collect();
         let mut settings = config(&servers);
-        settings["name"] = json!(format!("b{place}"));
-        settings["seed"] = json!(format!("{}", place + 3));
-        settings["settings"]["me"] = json!(place);
+        settings["name"] = json!(format!("b{index}"));
+        settings["seed"] = json!(format!("{}", index + 3));
+        settings["settings"]["me"] = json!(index);
         settings["settings"]["classes"][0]["give_up_s"] = json!(3.0);
         settings["settings"]["limits"]["may_probe"] = json!(false);
         settings["settings"]["specifics"]["tenant_quota_connections"] = json!([self.quota]);
-        let (store, members) = (self.store[place].endpoint(), self.folder.path().join("members"));
+        let (store, members) = (self.store[index].endpoint(), self.folder.path().join("members"));
         let operator = format!(
             "[recovery]\nlevels = false\nrepeats = false\n[budgets]\nstore = [{store:?}]\nmembers = {:?}\n{}\n",
             members.display().to_string(),
-            self.terms
+            self.budget_settings
         );
         Program::start_with(BINARY, &settings, &operator)
     }
 
-    pub fn program(&self, place: usize) -> &Program {
-        self.programs[place].as_ref().expect("it runs")
+    pub fn program(&self, index: usize) -> &Program {
+        self.programs[index].as_ref().expect("the balancer is running")
     }
 
-    /// What is wrong between a balancer and the store.
-    pub fn breaks(&self, place: usize, fault: Fault) {
-        self.store[place].set(fault);
+    /// Sets the fault between a balancer and the store.
+    pub fn set_store_fault(&self, index: usize, fault: Fault) {
+        self.store[index].set(fault);
     }
 
-    pub fn kill(&mut self, place: usize) {
-        self.programs[place].take().expect("it runs").kill();
+    pub fn kill(&mut self, index: usize) {
+        self.programs[index].take().expect("the balancer is running").kill();
     }
 
-    /// Has a process stand still, or go on.
-    pub fn signal(&self, place: usize, signal: &str) {
-        let pid = self.program(place).id().to_string();
+    /// Sends a signal to a process, such as `-STOP` or `-CONT`.
+    pub fn signal(&self, index: usize, signal: &str) {
+        let pid = self.program(index).id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
     }
 
-    /// Clients of a tenant come to a balancer, so many side by side, for as long as the fleet is there. Each comes again soon after it was
-    /// turned away, stays for `stays` when it stands, and goes when it is told to move.
-    pub fn crowd(&mut self, place: usize, clients: usize, tenant: &'static str, stays: Duration) {
+    /// Adds concurrent clients of a tenant to a balancer until the fleet is dropped. Each opens one connection after the
+    /// other, and keeps an established one for `hold` or until it is migrated.
+    pub fn add_clients(&mut self, index: usize, clients: usize, tenant: &'static str, hold: Duration) {
         static IDS: AtomicU64 = AtomicU64::new(1);
-        let at = self.program(place).address();
+        let address = self.program(index).address();
         for _ in 0..clients {
-            let over = Arc::clone(&self.crowd);
+            let is_over = Arc::clone(&self.is_over);
             self.clients.push(thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !is_over.load(Ordering::Relaxed) {
                     let id = IDS.fetch_add(1, Ordering::Relaxed);
-                    comes(at, id, tenant, stays);
+                    run_client(address, id, tenant, hold);
                     thread::sleep(Duration::from_millis(30));
                 }
             }));
@@ -187,29 +200,29 @@
     }
 }
 
-/// One client, from its connection to its end.
-fn comes(at: SocketAddr, id: u64, tenant: &str, stays: Duration) {
-    let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else { return };
+/// Runs one client, from its connect to its end.
+fn run_client(address: SocketAddr, id: u64, tenant: &str, hold: Duration) {
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_secs(1)) else { return };
     let line = format!("OPEN {id:x} {id:x} c=chat,t={tenant},d=3000\r\n");
     if stream.set_read_timeout(Some(Duration::from_secs(5))).is_err()
         || stream.write_all(line.as_bytes()).is_err()
     {
         return;
     }
-    let mut word = [0; 64];
-    if !matches!(stream.read(&mut word), Ok(n) if word[..n].starts_with(b"UP")) {
+    let mut input = [0; 64];
+    if !matches!(stream.read(&mut input), Ok(n) if input[..n].starts_with(b"UP")) {
         return;
     }
-    // A word in the meantime is MOVE, an end is one.
-    if stream.set_read_timeout(Some(stays)).is_ok() {
-        let _ = stream.read(&mut word);
+    // Any input before the timeout is `MOVE` or the end of the connection.
+    if stream.set_read_timeout(Some(hold)).is_ok() {
+        let _ = stream.read(&mut input);
     }
     let _ = stream.shutdown(Shutdown::Both);
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.crowd.store(true, Ordering::Relaxed);
+        self.is_over.store(true, Ordering::Relaxed);
         self.programs.clear();
         for client in self.clients.drain(..) {
             let _ = client.join();
@@ -217,9 +230,9 @@
     }
 }
 
-/// Waits until something holds, with a generous limit.
+/// Waits until a condition holds, at most for [`LIMIT`].
 #[track_caller]
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
         assert!(began.elapsed() < LIMIT, "{what}: not within {LIMIT:?}");
--- a/crates/balancer/tests/budgets/main.rs
+++ b/crates/balancer/tests/budgets/main.rs
@@ -1,153 +1,177 @@
-//! Budgets of a fleet of built programs, while processes are killed, stand still and are cut off from the store: what servers
-//! see is within the whole at all times, and near it where enough is asked for.
+//! Budgets of a fleet of built programs, while processes are killed, paused and cut off from the store. The set-ups and
+//! connections that servers see must never exceed the fleet's budget, and must come close to it under enough demand.
 
-mod rig;
+mod fleet;
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use rig::{Fleet, until};
+use fleet::{Fleet, wait_until};
 use shorewharf_store::standin::Fault;
 
-/// A lease of a second: what holds for it holds for longer ones.
-const TERMS: &str =
+/// Lease settings. The lease of one second keeps the tests short; longer ones behave alike.
+const LEASE_SETTINGS: &str =
     "lease_s = 1.0\nmargin_s = 0.1\nlook_s = 0.1\nlinger_s = 1.0\nreserve = 0.1\nfloor = 0.05\n";
 const SECOND: Duration = Duration::from_secs(1);
 /// Set-ups a second of the whole fleet.
-const WHOLE: usize = 60;
-/// Beside the whole, so many may come within a second: one that each has saved up and a tenth of the whole, and what was on its way.
-const WAY: usize = 3 + WHOLE / 10 + 3;
+const FLEET_BUDGET: usize = 60;
+/// Set-ups that may come within a second beyond the budget: one that each of three balancers has saved up, a tenth of the
+/// budget, and three that were in flight.
+const BURST: usize = 3 + FLEET_BUDGET / 10 + 3;
 
-/// Waits until so many set-ups come within a second.
+/// Waits until servers have seen at least this many set-ups within the last second.
 #[track_caller]
-fn reaches(fleet: &Fleet, what: &str, least: usize) {
-    until(what, || {
+fn wait_for_set_ups(fleet: &Fleet, what: &str, min: usize) {
+    wait_until(what, || {
         let now = Instant::now();
-        fleet.sight.came(now - SECOND, now) >= least
+        fleet.observed.set_ups_between(now - SECOND, now) >= min
     });
 }
 
-fn set_ups() -> String {
-    format!("{TERMS}set_ups = {WHOLE}\n")
+/// Operator settings with a budget for set-ups.
+fn set_up_budget() -> String {
+    format!("{LEASE_SETTINGS}set_ups = {FLEET_BUDGET}\n")
 }
 
 #[test]
-fn set_ups_of_the_fleet_stay_within_the_whole_while_balancers_and_the_store_fail() {
-    let mut fleet = Fleet::new(3, &set_ups(), 0.0);
+fn set_ups_of_the_fleet_stay_within_the_budget_while_balancers_and_the_store_fail() {
+    let mut fleet = Fleet::new(3, &set_up_budget(), 0.0);
     let began = Instant::now();
-    // Nearly all demand is at one.
-    fleet.crowd(0, 24, "acme", Duration::from_millis(10));
-    fleet.crowd(1, 1, "acme", Duration::from_millis(10));
-    reaches(&fleet, "most of the whole goes where it is wanted", WHOLE * 7 / 10);
-    // Then it is elsewhere too.
-    fleet.crowd(2, 24, "acme", Duration::from_millis(10));
+    // Nearly all demand is at one balancer.
+    fleet.add_clients(0, 24, "acme", Duration::from_millis(10));
+    fleet.add_clients(1, 1, "acme", Duration::from_millis(10));
+    wait_for_set_ups(
+        &fleet,
+        "most of the budget is allocated to the balancer with the demand",
+        FLEET_BUDGET * 7 / 10,
+    );
+    // Then another balancer has as much demand.
+    fleet.add_clients(2, 24, "acme", Duration::from_millis(10));
     fleet.kill(0);
-    reaches(&fleet, "what a killed one had is the others'", WHOLE * 7 / 10);
-    // One stands still in the middle of it, and wakes when its part has long been given on.
+    wait_for_set_ups(&fleet, "the allocation of a killed balancer goes to the others", FLEET_BUDGET * 7 / 10);
+    // A balancer under demand is paused, and resumes long after its allocation has gone to another one.
     fleet.signal(2, "-STOP");
     sleep(3 * SECOND);
     fleet.signal(2, "-CONT");
-    reaches(&fleet, "one that stood still has a part again", WHOLE * 7 / 10);
-    // Without the store there is the reserve: a tenth, a third of it for each.
-    (0..3).for_each(|place| fleet.breaks(place, Fault::Silent));
-    until("parts end with their lease", || {
+    wait_for_set_ups(&fleet, "the resumed balancer has an allocation again", FLEET_BUDGET * 7 / 10);
+    // Without the store, balancers use the reserve: a tenth of the budget, a third of that for each.
+    (0..3).for_each(|index| fleet.set_store_fault(index, Fault::Silent));
+    wait_until("allocations end with their lease", || {
         let now = Instant::now();
-        fleet.sight.came(now - SECOND, now) <= WHOLE / 10 + WAY
+        fleet.observed.set_ups_between(now - SECOND, now) <= FLEET_BUDGET / 10 + BURST
     });
-    let alone = Instant::now();
+    let unreachable_since = Instant::now();
     sleep(3 * SECOND);
-    let came = fleet.sight.came(alone, alone + 3 * SECOND);
-    assert!((1..=3 * WHOLE / 10 + WAY).contains(&came), "{came} of the reserve in three seconds");
-    (0..3).for_each(|place| fleet.breaks(place, Fault::None));
-    reaches(&fleet, "all is as before when the store is back", WHOLE * 7 / 10);
-    let most = fleet.sight.most_within(began, SECOND);
-    assert!(most <= WHOLE + WAY, "{most} within a second, of {WHOLE}");
+    let set_ups = fleet.observed.set_ups_between(unreachable_since, unreachable_since + 3 * SECOND);
+    assert!(
+        (1..=3 * FLEET_BUDGET / 10 + BURST).contains(&set_ups),
+        "{set_ups} set-ups from the reserve in three seconds"
+    );
+    (0..3).for_each(|index| fleet.set_store_fault(index, Fault::None));
+    wait_for_set_ups(
+        &fleet,
+        "the full budget is used again when the store is reachable",
+        FLEET_BUDGET * 7 / 10,
+    );
+    let max = fleet.observed.max_set_ups_within(began, SECOND);
+    assert!(max <= FLEET_BUDGET + BURST, "{max} set-ups within a second, of {FLEET_BUDGET}");
 }
 
 #[test]
-fn a_balancer_that_is_cut_off_from_the_store_uses_nothing_that_others_have() {
-    let mut fleet = Fleet::new(2, &set_ups(), 0.0);
+fn a_balancer_that_is_cut_off_from_the_store_does_not_use_the_allocations_of_others() {
+    let mut fleet = Fleet::new(2, &set_up_budget(), 0.0);
     let began = Instant::now();
-    for place in 0..2 {
-        fleet.crowd(place, 20, "acme", Duration::from_millis(10));
+    for index in 0..2 {
+        fleet.add_clients(index, 20, "acme", Duration::from_millis(10));
     }
-    reaches(&fleet, "both have a part", WHOLE * 7 / 10);
-    // What it asks for is done, and it never hears of it: the harder half of a cut.
-    fleet.breaks(0, Fault::LosesAnswers);
+    wait_for_set_ups(&fleet, "both balancers have an allocation", FLEET_BUDGET * 7 / 10);
+    // Its writes to the store are applied, but the answers are lost: the harder kind of disconnection.
+    fleet.set_store_fault(0, Fault::LosesAnswers);
     fleet.program(0).logged("state=store-unreachable");
-    reaches(&fleet, "the other has it all", WHOLE * 7 / 10);
+    wait_for_set_ups(&fleet, "the other balancer gets the whole budget", FLEET_BUDGET * 7 / 10);
     sleep(2 * SECOND);
-    fleet.breaks(0, Fault::None);
+    fleet.set_store_fault(0, Fault::None);
     fleet.program(0).logged("state=store-reachable");
-    // The store is lost for good, and begun anew by whoever is there.
+    // The store loses all data, and the balancers write it again.
     fleet.cluster.wipe();
     let wiped = Instant::now();
     sleep(2 * SECOND);
-    reaches(&fleet, "a store that is empty is begun anew", WHOLE * 7 / 10);
-    let most = fleet.sight.most_within(began, SECOND);
-    assert!(most <= WHOLE + WAY, "{most} within a second, of {WHOLE}; wiped {:?} ago", wiped.elapsed());
+    wait_for_set_ups(&fleet, "the balancers start again on an empty store", FLEET_BUDGET * 7 / 10);
+    let max = fleet.observed.max_set_ups_within(began, SECOND);
+    assert!(
+        max <= FLEET_BUDGET + BURST,
+        "{max} set-ups within a second, of {FLEET_BUDGET}; wiped {:?} ago",
+        wiped.elapsed()
+    );
 }
 
 #[test]
-fn what_one_had_that_leaves_in_good_order_is_not_waited_for() {
-    let mut fleet = Fleet::new(2, &set_ups().replace("lease_s = 1.0", "lease_s = 12.0"), 0.0);
-    let mut leads = None;
-    until("a lease and a margin after the start there is a leader", || {
+fn the_allocation_of_a_balancer_that_shuts_down_is_released_at_once() {
+    let mut fleet = Fleet::new(2, &set_up_budget().replace("lease_s = 1.0", "lease_s = 12.0"), 0.0);
+    let mut found = None;
+    wait_until("there is a leader a lease and a margin after the start", || {
         let contents = fleet.cluster.contents();
         let head = contents.iter().find(|(key, _)| key.ends_with("budget/head"));
-        leads = head.map(|(_, head)| usize::from(head.contains("\"b1\"")));
-        leads.is_some()
+        found = head.map(|(_, head)| usize::from(head.contains("\"b1\"")));
+        found.is_some()
     });
-    // Whoever does not lead goes: a leader's own lease would have to end first.
-    let leads = leads.unwrap_or(0);
-    fleet.crowd(leads, 20, "acme", Duration::from_millis(10));
-    fleet.crowd(1 - leads, 20, "acme", Duration::from_millis(10));
-    reaches(&fleet, "both have a part", WHOLE * 7 / 10);
-    fleet.program(1 - leads).terminate();
-    let left = format!("member/b{}", 1 - leads);
-    until("its row says that it has left", || {
+    // The balancer that is not the leader shuts down: with the leader, its own lease would have to end first.
+    let leader = found.unwrap_or(0);
+    let other = 1 - leader;
+    fleet.add_clients(leader, 20, "acme", Duration::from_millis(10));
+    fleet.add_clients(other, 20, "acme", Duration::from_millis(10));
+    wait_for_set_ups(&fleet, "both balancers have an allocation", FLEET_BUDGET * 7 / 10);
+    fleet.program(other).terminate();
+    let member = format!("member/b{other}");
+    wait_until("its row is marked as left, or deleted", || {
         let contents = fleet.cluster.contents();
-        contents.iter().any(|(key, row)| key.ends_with(&left) && row.contains("\"left\":true"))
-            || !contents.iter().any(|(key, _)| key.ends_with(&left))
+        contents.iter().any(|(key, row)| key.ends_with(&member) && row.contains("\"left\":true"))
+            || !contents.iter().any(|(key, _)| key.ends_with(&member))
     });
-    let gone = Instant::now();
-    reaches(&fleet, "the other has it", WHOLE * 7 / 10);
-    assert!(gone.elapsed() < 10 * SECOND, "its lease of 12 s was waited for: {:?}", gone.elapsed());
+    let left_at = Instant::now();
+    wait_for_set_ups(&fleet, "the leader gets the released allocation", FLEET_BUDGET * 7 / 10);
+    assert!(
+        left_at.elapsed() < 10 * SECOND,
+        "the end of its lease of 12 s was awaited: {:?}",
+        left_at.elapsed()
+    );
 }
 
 #[test]
-fn a_flooding_tenant_holds_its_share_over_the_whole_fleet() {
-    const SHARE: usize = 30;
-    let mut fleet = Fleet::new(3, &format!("{TERMS}tenants = true\n"), SHARE as f64);
-    // Four times what it may hold, most of it at one balancer.
-    fleet.crowd(0, 80, "acme", 2 * SECOND);
-    fleet.crowd(1, 40, "acme", 2 * SECOND);
-    let holds = |fleet: &Fleet, least| fleet.sight.stands("acme").0 >= least;
-    until("it has nearly its share", || holds(&fleet, SHARE * 8 / 10));
+fn a_flooding_tenant_stays_within_its_quota_across_the_fleet() {
+    const QUOTA: usize = 30;
+    let mut fleet = Fleet::new(3, &format!("{LEASE_SETTINGS}tenants = true\n"), QUOTA as f64);
+    // Clients for four times the quota, most of them at one balancer.
+    fleet.add_clients(0, 80, "acme", 2 * SECOND);
+    fleet.add_clients(1, 40, "acme", 2 * SECOND);
+    let holds = |fleet: &Fleet, min| fleet.observed.connections("acme").current >= min;
+    wait_until("the tenant has nearly its quota", || holds(&fleet, QUOTA * 8 / 10));
     fleet.kill(0);
-    until("what stood at a killed one is the others' to give", || holds(&fleet, SHARE * 8 / 10));
-    // One whose part has run out moves those that stand beyond its reserve.
-    fleet.crowd(2, 40, "acme", 20 * SECOND);
-    until("the third has some too", || holds(&fleet, SHARE * 8 / 10));
-    fleet.breaks(2, Fault::Silent);
+    wait_until("the connections of a killed balancer are replaced at the others", || {
+        holds(&fleet, QUOTA * 8 / 10)
+    });
+    // A balancer whose allocation has expired migrates the clients beyond its reserve.
+    fleet.add_clients(2, 40, "acme", 20 * SECOND);
+    wait_until("the tenant has nearly its quota with the third balancer", || holds(&fleet, QUOTA * 8 / 10));
+    fleet.set_store_fault(2, Fault::Silent);
     fleet.program(2).logged("state=store-unreachable");
     sleep(4 * SECOND);
-    let (_, most) = fleet.sight.stands("acme");
-    assert!(most <= SHARE, "{most} stood at once, of {SHARE}");
+    let max = fleet.observed.connections("acme").max;
+    assert!(max <= QUOTA, "{max} connections at once, of {QUOTA}");
 }
 
 #[test]
-fn another_process_of_the_same_name_ends_the_part_of_the_first_one() {
-    let mut fleet = Fleet::new(2, &set_ups(), 0.0);
+fn a_second_process_of_the_same_name_takes_over_the_allocation() {
+    let mut fleet = Fleet::new(2, &set_up_budget(), 0.0);
     let began = Instant::now();
-    fleet.crowd(0, 20, "acme", Duration::from_millis(10));
-    reaches(&fleet, "it has a part", WHOLE * 6 / 10);
+    fleet.add_clients(0, 20, "acme", Duration::from_millis(10));
+    wait_for_set_ups(&fleet, "the balancer has an allocation", FLEET_BUDGET * 6 / 10);
     let second = fleet.start(0);
     fleet.program(0).logged("state=superseded");
     let first = fleet.programs[0].replace(second);
-    fleet.crowd(0, 20, "acme", Duration::from_millis(10));
-    reaches(&fleet, "the second has it", WHOLE * 6 / 10);
+    fleet.add_clients(0, 20, "acme", Duration::from_millis(10));
+    wait_for_set_ups(&fleet, "the second process has the allocation", FLEET_BUDGET * 6 / 10);
     drop(first);
-    let most = fleet.sight.most_within(began, SECOND);
-    assert!(most <= WHOLE + WAY, "{most} within a second, of {WHOLE}");
+    let max = fleet.observed.max_set_ups_within(began, SECOND);
+    assert!(max <= FLEET_BUDGET + BURST, "{max} set-ups within a second, of {FLEET_BUDGET}");
 }
--- a/crates/balancer/tests/platform/main.rs
+++ b/crates/balancer/tests/platform/main.rs
@@ -34,8 +34,8 @@
     plain::day(balancers, 4, length, 192.0, 4096)
 }
 
-/// Plays the script, and checks what must hold in every run: no malformed first line, and no answer that was forged or
-/// meant for another client.
+/// Plays the script, and checks what must hold in every run: no malformed first line, no line that was relayed to a node
+/// before its answer, no answer that was invalid, forged or meant for another client, and no malformed discovery request.
 fn run(day: &Day, script: &mut Script) -> Report {
     let report = play(script, day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect("the day is played");
     let tally = &script.tally;
