--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -366,7 +366,7 @@
     let same = config_for_successor(&settings, &old);
     // Another address belongs to another balancer, so there is nothing to take over.
     let (code, log) = refused_start_with(BINARY, &settings, &env);
-    assert!(code == Some(1) && log.contains("nothing is taken over from"), "{code:?} {log}");
+    assert!(code == Some(1) && log.contains("cannot take over from"), "{code:?} {log}");
     assert_eq!(exchange_line(&mut client, &mut server, "M 1"), Outcome::Established);
     for n in 0..2 {
         let new = Program::start_in(BINARY, &same, &env);
--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -173,6 +173,6 @@
     same["listen"] = json!(old.address());
     let new = old.start_beside(BINARY, &same);
     let line = startup_line(&new, "event=state-restored");
-    assert!(line.contains("from=\"the process before\"") && line.contains("odd=0"), "{line}");
+    assert!(line.contains("from=\"predecessor process\"") && line.contains("odd=0"), "{line}");
     assert!(!line.contains("taken=0 "), "{line}");
 }
