--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -80,7 +80,7 @@
     let faults = integrity::find_faults(&records);
     if let Some(first) = faults.first() {
         let more = faults.len() - 1;
-        let cause = format!("{}: {}, and {more} more faults", first.key, first.value);
+        let cause = format!("{}: {}, and {more} more faults", first.key, first.error);
         return Err(StoreError::corrupt(location, cause));
     }
     let after = json!({ "revision": revision });
--- a/crates/store/src/commands/classes.rs
+++ b/crates/store/src/commands/classes.rs
@@ -50,7 +50,7 @@
     let key = class_key(name);
     let (_, before): (_, ClassRecord) = transaction.require(&key, expected)?;
     if let Some(tenant) = find_tenant_of(transaction, name)? {
-        let cause = format!("tenant {:?} names it", tenant.name.as_str());
+        let cause = format!("is still in use by tenant {:?}", tenant.name.as_str());
         return Err(InvalidValue::new(key.text(), cause).into());
     }
     transaction.remove(&key);
--- a/crates/store/src/commands/lookup.rs
+++ b/crates/store/src/commands/lookup.rs
@@ -226,7 +226,7 @@
         let page = store.list(&query, now)?;
         for entry in &page.entries {
             let interval = parse_interval(&entry.key.name)
-                .ok_or_else(|| StoreError::corrupt(&entry.key, "tells no interval"))?;
+                .ok_or_else(|| StoreError::corrupt(&entry.key, "the key has no interval"))?;
             if interval >= end {
                 return Ok(LookupResult::Usage(usage_rows(sums, granularity), None));
             }
--- a/crates/store/src/commands/tenants.rs
+++ b/crates/store/src/commands/tenants.rs
@@ -42,7 +42,7 @@
         let found = transaction.get::<serde_json::Value>(&class_key(class))?;
         if found.is_none() {
             return Err(
-                InvalidValue::new(format!("classes[{i}]"), format!("there is no class {class}")).into()
+                InvalidValue::new(format!("classes[{i}]"), format!("class {class} does not exist")).into()
             );
         }
     }
@@ -133,7 +133,7 @@
     let mut record = before.clone();
     if let Some(name) = &change.name {
         if name.canonical() != before.name.canonical() {
-            let cause = format!("{:?} is another name, not another spelling", name.as_str());
+            let cause = format!("{:?} is not a spelling of {:?}", name.as_str(), before.name.as_str());
             return Err(InvalidValue::new("name", cause).into());
         }
         record.name = name.clone();
--- a/crates/store/src/commands/tokens.rs
+++ b/crates/store/src/commands/tokens.rs
@@ -16,7 +16,7 @@
     if let Role::TenantAdmin(id) = new.role {
         let assignment = transaction.get::<IdAssignment>(&id_assignment_key(id))?;
         if assignment.is_none_or(|(_, assignment)| assignment.removed.is_some()) {
-            return Err(InvalidValue::new("place", format!("no tenant stands at {id}")).into());
+            return Err(InvalidValue::new("place", format!("no tenant has {id}")).into());
         }
     }
     let minted = TokenRecord::mint(new.clone(), seed, transaction.now)?;
--- a/crates/store/src/commands/transaction.rs
+++ b/crates/store/src/commands/transaction.rs
@@ -215,11 +215,13 @@
     serde_json::to_value(record).unwrap_or_default()
 }
 
-/// The error after the last attempt: not the caller's expectation failed, but other instances were faster each time.
+/// The error after the last attempt. A conflict then means that other instances changed the records during every
+/// attempt, and not that the caller expected another version.
 pub(super) fn contention_error(e: StoreError) -> StoreError {
     match e {
         StoreError::Conflict { key, .. } | StoreError::AlreadyExists { key } => {
-            StoreError::Unavailable { endpoint: key, cause: "other instances write at the same time".into() }
+            let cause = "other instances changed the record during every attempt";
+            StoreError::Unavailable { endpoint: key, cause: cause.into() }
         }
         e => e,
     }
--- a/crates/store/src/embedded/tables/tests.rs
+++ b/crates/store/src/embedded/tables/tests.rs
@@ -37,5 +37,5 @@
     assert!(dir.path().join("store.schema-1").exists(), "no copy of the old file was kept");
     set_schema(&path, 3);
     let e = Embedded::open(&path, Create::Never, 0).map(drop).unwrap_err().to_string();
-    assert!(e.ends_with("store: has schema 3; this program knows schemas up to 2"), "{e}");
+    assert!(e.ends_with("store: has schema 3; this program supports schemas up to 2"), "{e}");
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,28 +1,28 @@
-//! Errors of the store. Each names the key, file or endpoint at fault and the cause.
+//! Errors of the store. Each message names the affected key, file or endpoint and the cause.
 
 use crate::revision::Revision;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why an operation on the store failed.
+/// The reason why an operation on the store failed.
 ///
-/// Nothing was changed, except perhaps after [`StoreError::OutcomeUnknown`].
+/// A failed operation has changed nothing, except possibly after [`StoreError::OutcomeUnknown`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// No record has this key.
-    #[error("{key}: not there")]
+    #[error("{key}: not found")]
     NotFound {
         /// The record's key.
         key: String,
     },
-    /// The record to create exists already.
-    #[error("{key}: there already")]
+    /// The record to create already exists.
+    #[error("{key}: already exists")]
     AlreadyExists {
         /// The record's key.
         key: String,
     },
     /// The record has changed since the caller read it.
-    #[error("{key}: last changed at {found}, not at {expected}")]
+    #[error("{key}: version conflict: expected {expected}, found {found}")]
     Conflict {
         /// The record's key.
         key: String,
@@ -31,43 +31,45 @@
         /// The version of the record; 0 if there is none.
         found: Revision,
     },
-    /// A field has a value that is not allowed.
+    /// A field of the record has a value that is not allowed.
     #[error(transparent)]
     Invalid(#[from] InvalidValue),
     /// The name can be confused with an existing one that is written in other scripts.
-    #[error("name {name:?} looks like {existing:?}, which is written in other scripts")]
+    #[error(
+        "name {name:?} can be confused with the existing name {existing:?}, which is written in other scripts"
+    )]
     ConfusableName {
         /// The rejected name.
         name: String,
         /// The existing name.
         existing: String,
     },
-    /// The idempotency key was used for another call.
-    #[error("the idempotency key was used at {first_used} µs for another call")]
+    /// The idempotency key was already used for another request.
+    #[error("the idempotency key was already used for another request, at {first_used} µs since 1970")]
     IdempotencyKeyReused {
         /// When the key was first used, in microseconds since 1970.
         first_used: u64,
     },
-    /// The same minute of usage was reported before, with other figures.
-    #[error("usage of {instance} in minute {minute}: other figures were counted already")]
+    /// The instance has already reported other usage for the same minute.
+    #[error("{instance}: other usage was already recorded for minute {minute} since 1970")]
     UsageAlreadyRecorded {
-        /// The reporting instance.
+        /// The instance that sent the report.
         instance: String,
-        /// The minute since 1970.
+        /// The minute, counted from the start of 1970.
         minute: u64,
     },
     /// The stored data is corrupt: the store must be restored from a backup.
-    #[error("{location}: damaged: {cause}")]
+    #[error("{location}: corrupt data: {cause}")]
     Corrupt {
-        /// The file or key.
+        /// The file or key with the corrupt data.
         location: String,
-        /// What is wrong with it.
+        /// The fault that was found.
         cause: String,
     },
-    /// The data was written by a newer program.
-    #[error("{location}: has schema {found}; this program knows schemas up to {supported}")]
+    /// The data was written by a newer version of the program.
+    #[error("{location}: has schema {found}; this program supports schemas up to {supported}")]
     NewerSchema {
-        /// The file or key prefix.
+        /// The file or key that holds the schema.
         location: String,
         /// The schema of the data.
         found: u32,
@@ -75,70 +77,70 @@
         supported: u32,
     },
     /// Another process has the file open.
-    #[error("{path}: open in another process")]
+    #[error("{path}: the file is open in another process")]
     Locked {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
     },
-    /// The disk is full, or the file has reached its size limit.
-    #[error("{location}: no space: {cause}")]
+    /// The disk is full, the file has reached its size limit, or a member of the cluster has reached its quota.
+    #[error("{location}: no space left: {cause}")]
     NoSpace {
-        /// The file.
+        /// The path of the file, or the endpoint.
         location: String,
-        /// The system's error message.
+        /// The error message of the operating system or the member.
         cause: String,
     },
-    /// Reading or writing failed.
+    /// A call of the operating system failed for another reason.
     #[error("{location}: {cause}")]
     Io {
-        /// The file or endpoint.
+        /// The path of the file, or the name of the thread.
         location: String,
-        /// The system's error message.
+        /// The error message of the operating system.
         cause: String,
     },
-    /// No endpoint of the engine answers.
-    #[error("{endpoint}: not to be reached: {cause}")]
+    /// The engine is unavailable: no endpoint answers, or concurrent changes defeated every attempt.
+    #[error("{endpoint}: unavailable: {cause}")]
     Unavailable {
-        /// The last endpoint called.
+        /// The last endpoint that was called, or the contended key.
         endpoint: String,
         /// Why the call failed.
         cause: String,
     },
-    /// The change may or may not have been made. The store finds out before its next write.
-    #[error("{location}: not known whether the change was kept: {cause}")]
+    /// The change may or may not have been made. The store determines which before its next write.
+    #[error("{location}: unknown whether the change was committed: {cause}")]
     OutcomeUnknown {
         /// The file or endpoint.
         location: String,
-        /// Why no answer came.
+        /// The reason why there was no answer.
         cause: String,
     },
-    /// A member answered with older data than was read before.
-    #[error("{endpoint}: answers with revision {found}, older than {newest} which was seen already")]
+    /// A member of the cluster answered with older data than was read before.
+    #[error("{endpoint}: answered with {found}, which is older than {newest} read before")]
     Stale {
         /// The member's endpoint.
         endpoint: String,
-        /// The revision it answered with.
+        /// The revision of the answer.
         found: Revision,
         /// The newest revision read so far.
         newest: Revision,
     },
     /// A limit is exceeded.
-    #[error("{what}: {found} where at most {limit} may be")]
+    #[error("{what}: {found} exceeds the limit of {limit}")]
     LimitExceeded {
-        /// What is limited.
+        /// The quantity that is limited.
         what: String,
-        /// The requested amount.
+        /// The amount that was requested or found.
         found: u64,
         /// The largest amount allowed.
         limit: u64,
     },
     /// The queue to the store's thread is full.
-    #[error("{pending} calls wait for the store already")]
+    #[error("the store's queue is full: {pending} jobs are pending")]
     QueueFull {
-        /// Calls in the queue.
+        /// The number of jobs in the queue.
         pending: usize,
     },
-    /// The store's thread has ended.
+    /// The store's thread has ended, or its file is closed.
     #[error("the store is closed")]
     Closed,
 }
@@ -157,23 +159,24 @@
         )
     }
 
+    /// A [`StoreError::Corrupt`] about `location`.
     pub(crate) fn corrupt(location: impl ToString, cause: impl ToString) -> StoreError {
         StoreError::Corrupt { location: location.to_string(), cause: cause.to_string() }
     }
 }
 
-/// A field with a value that is not allowed.
+/// An error about a field with a value that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {cause}")]
 pub struct InvalidValue {
-    /// The field, as a path in the record.
+    /// The path of the field within the record or document.
     pub field: String,
-    /// What is wrong with its value.
+    /// The reason why the value is not allowed.
     pub cause: String,
 }
 
 impl InvalidValue {
-    /// An error about `field`.
+    /// An error about the field at this path.
     pub fn new(field: impl Into<String>, cause: impl Into<String>) -> InvalidValue {
         InvalidValue { field: field.into(), cause: cause.into() }
     }
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -9,6 +9,7 @@
 use crate::commands::{NEXT_CLASS_ID, NEXT_TENANT_ID};
 use crate::error::{InvalidValue, StoreError};
 use crate::files::io_error;
+use crate::integrity::MALFORMED_USAGE_KEY;
 use crate::key::Collection;
 use crate::migrate::SCHEMA;
 use crate::record::{Actor, AuditAction};
@@ -39,10 +40,10 @@
 #[derive(Debug, Error)]
 pub enum ImportError {
     /// The document is not JSON.
-    #[error("the document is not JSON: {0}")]
+    #[error("the document is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The document has faults, each with its path.
-    #[error("the document has {} faults, the first: {}", .0.len(), .0.first().map(ToString::to_string).unwrap_or_default())]
+    #[error("the document is invalid, with {} faults; the first: {}", .0.len(), .0.first().map(ToString::to_string).unwrap_or_default())]
     Invalid(Vec<InvalidValue>),
     /// The store failed.
     #[error(transparent)]
@@ -153,7 +154,7 @@
     }
     let parts: Vec<&str> = entry.key.name.split('/').collect();
     let [granularity, chunk, interval, instance] = parts[..] else {
-        return Err(StoreError::corrupt(&entry.key, "is not named as usage is"));
+        return Err(StoreError::corrupt(&entry.key, MALFORMED_USAGE_KEY));
     };
     let number = |text: &str| text.parse::<u64>().map_err(|e| StoreError::corrupt(&entry.key, e));
     let (chunk, interval) = (number(chunk)?, number(interval)?);
--- a/crates/store/src/exchange/reader.rs
+++ b/crates/store/src/exchange/reader.rs
@@ -49,7 +49,7 @@
     /// Reads all fields, and returns the revision.
     fn document(&mut self, document: &Value) -> Value {
         let Some(fields) = document.as_object() else {
-            self.report("", "is not an object");
+            self.report("", "the document is not an object");
             return Value::Null;
         };
         if fields.get("format").and_then(Value::as_str) != Some(FORMAT) {
@@ -58,7 +58,7 @@
         match fields.get("schema").and_then(Value::as_u64) {
             Some(schema) if (1..=u64::from(SCHEMA)).contains(&schema) => {}
             Some(schema) => self.report("schema", format!("{schema} is not between 1 and {SCHEMA}")),
-            None => self.report("schema", "is not there"),
+            None => self.report("schema", "is missing or not a non-negative integer"),
         }
         for (name, value) in fields {
             self.field(name, value);
@@ -83,7 +83,7 @@
                 self.record(name.to_owned(), value, Collection::Limits, key_name);
             }
             "counters" => self.counters(value),
-            _ => self.report(name, "is not known"),
+            _ => self.report(name, "unknown field"),
         }
     }
 
@@ -122,7 +122,7 @@
 
     fn add(&mut self, path: String, key: Key, value: Vec<u8>) {
         if let Some(first) = self.paths.get(&key) {
-            let cause = format!("{first} has the same name");
+            let cause = format!("has the same key as {first}");
             return self.report(path, cause);
         }
         self.paths.insert(key.clone(), path);
@@ -135,7 +135,7 @@
             let path = format!("usage[{i}]");
             match usage_key(item) {
                 Some(key) => self.add(path, key, item["record"].to_string().into_bytes()),
-                None => self.report(path, "has not level, chunk, interval, instance and record"),
+                None => self.report(path, "must have a valid level, chunk, interval, instance and record"),
             }
         }
     }
@@ -147,8 +147,8 @@
                 Some(count) if COUNTERS.contains(&name.as_str()) => {
                     self.add(path, Key::new(Collection::Counter, name), count.to_string().into_bytes());
                 }
-                Some(_) => self.report(path, "is not known"),
-                None => self.report(path, "is no number"),
+                Some(_) => self.report(path, "unknown counter"),
+                None => self.report(path, "is not a non-negative integer"),
             }
         }
     }
@@ -173,8 +173,8 @@
     fn check_records(&mut self) {
         for fault in integrity::find_faults(&self.records) {
             let path = self.paths.get(&fault.key).cloned().unwrap_or_else(|| fault.key.text());
-            let path = format!("{path}.{}", fault.value.field);
-            self.report(path.trim_end_matches('.'), fault.value.cause);
+            let path = format!("{path}.{}", fault.error.field);
+            self.report(path.trim_end_matches('.'), fault.error.cause);
         }
     }
 }
--- a/crates/store/src/name.rs
+++ b/crates/store/src/name.rs
@@ -84,28 +84,28 @@
             return invalid("is empty".into());
         }
         if text.len() > MAX_NAME_BYTES {
-            return invalid(format!("has {} bytes where at most {MAX_NAME_BYTES} may be", text.len()));
+            return invalid(format!("has {} bytes; the limit is {MAX_NAME_BYTES}", text.len()));
         }
         let display: String = text.nfc().collect();
         if let Some(character) = display.chars().find(|&character| is_forbidden(character)) {
             let code_point = u32::from(character);
-            return invalid(format!("has the character U+{code_point:04X}, which no name may have"));
+            return invalid(format!("contains the forbidden character U+{code_point:04X}"));
         }
         if display.trim() != display {
-            return invalid("begins or ends with a blank".into());
+            return invalid("begins or ends with white space".into());
         }
         if matches!(display.as_str(), "." | "..") {
-            return invalid(format!("is {display:?}, which addresses swallow"));
+            return invalid(format!("is {display:?}, which would be removed from the path of a URL"));
         }
         let name = TenantName { display };
         let canonical = name.canonical();
         if canonical.trim().is_empty() {
-            return invalid("has nothing that is seen".into());
+            return invalid("has no visible characters".into());
         }
         let longest = canonical.len().max(name.display.len());
         if longest > MAX_NAME_BYTES {
             return invalid(format!(
-                "has {longest} bytes once composed, where at most {MAX_NAME_BYTES} may be"
+                "has {longest} bytes in composed or canonical form; the limit is {MAX_NAME_BYTES}"
             ));
         }
         Ok(name)
@@ -189,7 +189,9 @@
             && bytes.len() <= MAX_CLASS_NAME_BYTES
             && bytes.iter().all(is_allowed);
         if !is_valid {
-            let cause = format!("{text:?} is not 1 to 64 of A-Z, a-z, 0-9, '-', '_', '.'");
+            let cause = format!(
+                "{text:?} is not 1 to 64 characters of A-Z, a-z, 0-9, '-', '_' and '.' with a letter or digit first"
+            );
             return Err(InvalidValue::new("class", cause));
         }
         Ok(ClassName(text.into()))
--- a/crates/store/src/record/idempotency.rs
+++ b/crates/store/src/record/idempotency.rs
@@ -24,16 +24,16 @@
     /// body), stored until `expires`.
     ///
     /// # Errors
-    /// If the key is not 1 to 255 visible ASCII characters.
+    /// If the key is not 1 to 255 printable ASCII characters, which include the space.
     pub fn new(
         caller: &str,
         key: &str,
         request: &[u8],
         expires: Micros,
     ) -> Result<IdempotencyKey, InvalidValue> {
-        let is_visible = |byte: u8| (0x20..0x7f).contains(&byte);
-        if key.is_empty() || key.len() > IdempotencyKey::MAX_BYTES || !key.bytes().all(is_visible) {
-            return Err(InvalidValue::new("Idempotency-Key", "is not 1 to 255 visible ASCII characters"));
+        let is_printable = |byte: u8| (0x20..0x7f).contains(&byte);
+        if key.is_empty() || key.len() > IdempotencyKey::MAX_BYTES || !key.bytes().all(is_printable) {
+            return Err(InvalidValue::new("Idempotency-Key", "is not 1 to 255 printable ASCII characters"));
         }
         // The caller's length, so that no two pairs of caller and key make the same text.
         let caller_and_key = format!("{}:{caller}{key}", caller.len());
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -28,7 +28,7 @@
 /// Checks a text for people: one line of at most [`MAX_LABEL_BYTES`].
 pub(crate) fn check_label(field: &str, text: &str) -> Result<(), InvalidValue> {
     if text.len() > MAX_LABEL_BYTES {
-        let cause = format!("has {} bytes where at most {MAX_LABEL_BYTES} may be", text.len());
+        let cause = format!("has {} bytes; the limit is {MAX_LABEL_BYTES}", text.len());
         return Err(InvalidValue::new(field, cause));
     }
     if text.chars().any(char::is_control) {
--- a/crates/store/src/record/tenant.rs
+++ b/crates/store/src/record/tenant.rs
@@ -25,7 +25,7 @@
 
 impl fmt::Display for NumericId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "place {}", self.0)
+        write!(f, "id {}", self.0)
     }
 }
 
--- a/crates/store/src/record/token.rs
+++ b/crates/store/src/record/token.rs
@@ -44,7 +44,7 @@
     pub fn new(text: &str) -> Result<TokenId, InvalidValue> {
         let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         if text.len() != ID_DIGITS || !text.bytes().all(is_digit) {
-            return Err(InvalidValue::new("id", "is not 16 hexadecimal digits"));
+            return Err(InvalidValue::new("id", "is not 16 lower-case hexadecimal digits"));
         }
         Ok(TokenId(text.into()))
     }
--- a/crates/store/src/record/usage.rs
+++ b/crates/store/src/record/usage.rs
@@ -80,7 +80,7 @@
     pub fn new(text: &str) -> Result<InstanceName, InvalidValue> {
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.@:".contains(&byte);
         if !(1..=64).contains(&text.len()) || !text.bytes().all(is_allowed) {
-            let cause = format!("{text:?} is not 1 to 64 of A-Z, a-z, 0-9, '-_.@:'");
+            let cause = format!("{text:?} is not 1 to 64 characters of A-Z, a-z, 0-9 and '-_.@:'");
             return Err(InvalidValue::new("instance", cause));
         }
         Ok(InstanceName(text.into()))
@@ -140,7 +140,7 @@
         let mut causes = usage_by_id.values().flat_map(|usage| usage.rejections.keys());
         if let Some(cause) = causes.find(|cause| !is_valid_cause(cause)) {
             let cause = format!("{cause:?} is not 1 to 64 visible ASCII characters");
-            return Err(InvalidValue::new("refusals", cause));
+            return Err(InvalidValue::new("rejections", cause));
         }
         Ok(UsageReport { instance, minute, usage_by_id })
     }
--- a/crates/store/tests/common/conformance.rs
+++ b/crates/store/tests/common/conformance.rs
@@ -92,7 +92,7 @@
     let mut new = NewTenant::named(name("desk"));
     new.classes = Some([class.clone()].into());
     let unknown = execute_one(store, Command::CreateTenant(new.clone()), NOW).unwrap_err();
-    assert_eq!(unknown.to_string(), "classes[0]: there is no class ticket-stream");
+    assert_eq!(unknown.to_string(), "classes[0]: class ticket-stream does not exist");
     execute_one(store, Command::PutClass { class: record(1.0), expected: Some(Revision(0)) }, NOW).unwrap();
     new.limits = TenantLimits { connections: Some(5), ..TenantLimits::default() };
     execute_one(store, Command::CreateTenant(new), NOW).unwrap();
@@ -104,7 +104,7 @@
     assert_eq!((changed.record.id(), changed.record.priority_weight()), (NumericId(0), 2.0));
     let named =
         execute_one(store, Command::RemoveClass { name: class.clone(), expected: None }, NOW).unwrap_err();
-    assert_eq!(named.to_string(), "class/ticket-stream: tenant \"desk\" names it");
+    assert_eq!(named.to_string(), "class/ticket-stream: is still in use by tenant \"desk\"");
     let LookupResult::Tenants(all, None) =
         found(store, Lookup::Tenants { prefix: String::new(), after: None, limit: 1000 })
     else {
@@ -145,7 +145,7 @@
     let nobody = NewToken { role: Role::TenantAdmin(NumericId(9999)), label: String::new(), expires: None };
     let refused =
         execute_one(store, Command::CreateToken { new: nobody, seed: TokenSeed([8; 40]) }, NOW).unwrap_err();
-    assert_eq!(refused.to_string(), "place: no tenant stands at place 9999");
+    assert_eq!(refused.to_string(), "place: no tenant has id 9999");
 }
 
 fn usage_is_recorded_once_however_often_it_is_reported(store: &mut dyn Store) {
--- a/crates/store/tests/exchange.rs
+++ b/crates/store/tests/exchange.rs
@@ -68,13 +68,13 @@
             "schema: 99 is not between 1 and 2",
             "audit[2].deed: unknown variant `nonsense`, expected one of `tenant-create`, `tenant-change`, `tenant-remove`, \
              `class-create`, `class-change`, `class-remove`, `token-create`, `token-revoke`, `limits-set`, `command`, `restore`, `import`",
-            "counters.tenant-places: is no number",
-            "extra: is not known",
+            "counters.tenant-places: is not a non-negative integer",
+            "extra: unknown field",
             "tenants[0].weight: weight: 0 is not between 1 and 1000000",
-            "tenants[1].name: name: has the character U+000A, which no name may have",
+            "tenants[1].name: name: contains the forbidden character U+000A",
             "tenants[2].limits.set_ups: rate: -1.5 is not between 0 and 1000000",
-            "tenants[4]: tenants[3] has the same name",
-            "usage[0]: has not level, chunk, interval, instance and record",
+            "tenants[4]: has the same key as tenants[3]",
+            "usage[0]: must have a valid level, chunk, interval, instance and record",
         ]
     );
     // Records that are valid alone but contradict each other.
@@ -83,10 +83,10 @@
     document["places"].as_array_mut().unwrap().pop();
     let Err(ImportError::Invalid(faults)) = check_document(&document.to_string()) else { panic!() };
     assert!(
-        faults.iter().any(|f| f.field == "tenants[6].place" && f.cause.ends_with("has it too")),
+        faults.iter().any(|f| f.field == "tenants[6].place" && f.cause.starts_with("is also assigned to ")),
         "{faults:?}"
     );
-    assert!(faults.iter().any(|f| f.cause == "was not given"), "{faults:?}");
+    assert!(faults.iter().any(|f| f.cause == "is not an id that is assigned to a tenant"), "{faults:?}");
     assert!(matches!(check_document("{"), Err(ImportError::Json(_))));
     assert!(matches!(check_document("[]"), Err(ImportError::Invalid(_))));
     assert_eq!(second.health().revision, before);
@@ -111,7 +111,7 @@
     for cut in [0, 100, 5000, whole.len() / 2, whole.len() - 1] {
         std::fs::write(&file, &whole[..cut]).unwrap();
         let e = restore(&mut store, &file, &actor, NOW).unwrap_err();
-        let named = e.to_string().starts_with(&format!("{}: damaged: ", file.display()));
+        let named = e.to_string().starts_with(&format!("{}: corrupt data: ", file.display()));
         assert!(matches!(e, StoreError::Corrupt { .. }) && named, "{cut}: {e}");
     }
     assert_eq!(store.health().revision, removed, "a damaged backup changed something");
--- a/crates/store/tests/replicated.rs
+++ b/crates/store/tests/replicated.rs
@@ -284,7 +284,7 @@
         set_weight(&mut store, "grad", 5, NOW).unwrap_err(),
         store.get(&Key::new(Collection::Tenant, "grad"), NOW).unwrap_err(),
     ] {
-        let text = "shorewharf/engine/about: has schema 3; this program knows schemas up to 2";
+        let text = "shorewharf/engine/about: has schema 3; this program supports schemas up to 2";
         assert_eq!(e.to_string(), text);
     }
     cluster.wipe();
