--- a/crates/store/src/record/audit.rs
+++ b/crates/store/src/record/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who changed what and when, with the record before and after.
+//! The audit trail: for each change, who made it and when, and the record before and after.
 
 use super::{Role, TokenId, check_label};
 use crate::error::InvalidValue;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use shorewharf_units::Micros;
 
-/// Who makes a change.
+/// Who made a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "by")]
 pub enum Actor {
@@ -20,11 +20,11 @@
         /// The token's label.
         label: String,
     },
-    /// The configuration file, at the start or on a reload.
+    /// The configuration file, read at the start of the service or on a reload.
     File,
-    /// A user at the machine's console: restore, import, the first token.
+    /// A user at the console of the machine, who restores or imports records or creates the first token.
     Console {
-        /// The user's name in the system; at most 256 bytes.
+        /// The user's name in the operating system; at most 256 bytes.
         user: String,
     },
     /// The service itself.
@@ -32,7 +32,7 @@
 }
 
 impl Actor {
-    /// A user at the machine's console.
+    /// The actor for a user at the console of the machine.
     ///
     /// # Errors
     /// If the name is longer than 256 bytes or has control characters.
@@ -42,7 +42,7 @@
     }
 }
 
-/// The kind of a change.
+/// What was done, by the kind of record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AuditAction {
@@ -62,9 +62,9 @@
     TokenCreate,
     /// A token was revoked.
     TokenRevoke,
-    /// Service-wide limits were set.
+    /// The service-wide limits were set.
     LimitsSet,
-    /// A command to the fleet that changes no record: a server frozen, sessions migrated.
+    /// A command to the fleet that changes no record, such as freezing a server or migrating sessions.
     Command,
     /// All records were replaced by those of a backup.
     Restore,
@@ -72,32 +72,32 @@
     Import,
 }
 
-/// An entry of the audit trail. Entries are numbered from 1 without a gap, and never changed.
+/// An entry of the audit trail. Entries are numbered from 1 without gaps, and are never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditEntry {
-    /// Its number.
+    /// The number of the entry.
     pub number: u64,
-    /// When the change was made.
+    /// The time of the change, in microseconds since 1970.
     pub at: Micros,
     /// Who made the change.
     #[serde(rename = "who")]
     pub actor: Actor,
-    /// What was done.
+    /// The kind of the change.
     #[serde(rename = "deed")]
     pub action: AuditAction,
-    /// The key of the changed record, or what else was acted on.
+    /// The key of the changed record, or the name of the server, session or tenant that a command was about.
     pub target: String,
-    /// The record before; `None` if there was none.
+    /// The record before the change; `None` if there was none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// The record after; `None` if there is none.
+    /// The record after the change; `None` if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
 
 impl AuditEntry {
-    /// The name of an entry's record: twenty digits, so that names are ordered as numbers are.
+    /// The name of the record of entry `number`: twenty digits, so that names sort in the order of the numbers.
     pub fn key_name(number: u64) -> String {
         format!("{number:020}")
     }
--- a/crates/store/src/record/class.rs
+++ b/crates/store/src/record/class.rs
@@ -1,4 +1,4 @@
-//! Classes of connections that tenants request.
+//! Classes of connections, which requests name.
 
 use super::{NumericId, check_range};
 use crate::error::InvalidValue;
@@ -9,37 +9,37 @@
 /// Whether a request of a class may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Semantics {
-    /// Idempotent: may be repeated.
+    /// Idempotent: a request may be retried.
     #[default]
     #[serde(rename = "safe")]
     Idempotent,
-    /// Idempotent by a key: servers drop repeats with the same key for some time.
+    /// Idempotent with a key: servers drop repeated requests with the same key for some time.
     #[serde(rename = "keyed")]
     IdempotentWithKey,
-    /// Not idempotent: must not be repeated unless no earlier attempt can have run.
+    /// Not idempotent: a request must not be retried unless no earlier attempt can have run.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// What requests of a class are promised, and how much they matter.
+/// The latency objectives of a class, and its priority.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassObjectives {
-    /// A setup within this time counts in full, in milliseconds.
+    /// The latency objective of a setup, in milliseconds: a setup within this time counts in full.
     pub setup_ms: f64,
-    /// A message on an established connection is expected within this time, in milliseconds.
+    /// The latency objective of a message on an established connection, in milliseconds.
     pub message_ms: f64,
-    /// The priority of the class relative to others.
+    /// The priority of the class relative to other classes.
     pub priority_weight: f64,
 }
 
-/// A class as it is stored.
+/// The stored definition of a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "StoredClass", into = "StoredClass")]
 pub struct ClassRecord {
     stored: StoredClass,
 }
 
-/// The stored form of a class, before its values are checked.
+/// The JSON form of a [`ClassRecord`], whose values are not checked yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredClass {
@@ -58,16 +58,16 @@
 }
 
 impl ClassRecord {
-    /// The longest latency objective in milliseconds: an hour.
+    /// The maximum latency objective in milliseconds: one hour.
     pub const MAX_OBJECTIVE_MS: f64 = 3_600_000.0;
 
-    /// The highest priority weight.
+    /// The maximum priority weight.
     pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
-    /// A class to be stored, which gives it its id and times.
+    /// A class to store. The store assigns the id and the times.
     ///
     /// # Errors
-    /// If an objective is not from 0 to [`ClassRecord::MAX_OBJECTIVE_MS`], or the weight not from 0 to
+    /// If an objective is not from 0 to [`ClassRecord::MAX_OBJECTIVE_MS`], or the weight is not from 0 to
     /// [`ClassRecord::MAX_PRIORITY_WEIGHT`].
     pub fn new(
         name: ClassName,
@@ -86,7 +86,7 @@
         })
     }
 
-    /// The same class with the values that the store assigns.
+    /// This class with the id and the times that the store assigns.
     pub(crate) fn with_assigned(mut self, id: NumericId, created: Micros, changed: Micros) -> ClassRecord {
         self.stored.id = id;
         self.stored.created = created;
@@ -94,37 +94,37 @@
         self
     }
 
-    /// Its name.
+    /// The name of the class.
     pub fn name(&self) -> &ClassName {
         &self.stored.name
     }
 
-    /// Its numeric id, which is never reused.
+    /// The numeric id of the class, which is never reused.
     pub fn id(&self) -> NumericId {
         self.stored.id
     }
 
-    /// A setup within this time counts in full, in milliseconds.
+    /// The latency objective of a setup, in milliseconds: a setup within this time counts in full.
     pub fn setup_objective_ms(&self) -> f64 {
         self.stored.setup_objective_ms
     }
 
-    /// A message on an established connection is expected within this time, in milliseconds.
+    /// The latency objective of a message on an established connection, in milliseconds.
     pub fn message_objective_ms(&self) -> f64 {
         self.stored.message_objective_ms
     }
 
-    /// The priority of the class relative to others.
+    /// The priority of the class relative to other classes.
     pub fn priority_weight(&self) -> f64 {
         self.stored.priority_weight
     }
 
-    /// Whether a request may be retried.
+    /// Whether a request of the class may be retried.
     pub fn semantics(&self) -> Semantics {
         self.stored.semantics
     }
 
-    /// When it was created.
+    /// The time at which the class was created.
     pub fn created(&self) -> Micros {
         self.stored.created
     }
--- a/crates/store/src/record/idempotency.rs
+++ b/crates/store/src/record/idempotency.rs
@@ -1,27 +1,28 @@
-//! Replies to calls with an idempotency key, stored so that a repeated call gets the same reply and changes nothing.
+//! Replies to requests with an idempotency key. They are stored so that a repeated request gets the same reply and
+//! changes nothing.
 
 use crate::digest::sha256_hex;
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
 use shorewharf_units::Micros;
 
-/// The idempotency key of a call.
+/// The idempotency key of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey {
-    /// The hash of the caller and the key: the name of the record.
+    /// The hash of the caller and the key, which is the name of the stored reply's record.
     pub(crate) caller_key_hash: String,
-    /// The hash of the request.
+    /// The hash of the request, by which another request with the same key is recognised.
     pub(crate) request_hash: String,
-    /// When the key expires and may be used again.
+    /// The time at which the key expires and may be used again.
     pub(crate) expires: Micros,
 }
 
 impl IdempotencyKey {
-    /// The longest key in bytes.
+    /// The maximum length of a key in bytes.
     pub const MAX_BYTES: usize = 255;
 
-    /// The key `key` that `caller` (a token's id) gave to the call that `request` describes (its method, address and
-    /// body), stored until `expires`.
+    /// The key `key` that `caller` (a token's id) gave to a request, which is stored until `expires`. `request` is the
+    /// method, URL and body of the request.
     ///
     /// # Errors
     /// If the key is not 1 to 255 printable ASCII characters, which include the space.
@@ -35,7 +36,7 @@
         if key.is_empty() || key.len() > IdempotencyKey::MAX_BYTES || !key.bytes().all(is_printable) {
             return Err(InvalidValue::new("Idempotency-Key", "is not 1 to 255 printable ASCII characters"));
         }
-        // The caller's length, so that no two pairs of caller and key make the same text.
+        // The length of `caller` ensures that different pairs of caller and key yield different texts.
         let caller_and_key = format!("{}:{caller}{key}", caller.len());
         Ok(IdempotencyKey {
             caller_key_hash: sha256_hex(caller_and_key.as_bytes()),
@@ -45,19 +46,19 @@
     }
 }
 
-/// The stored reply to a call. The version in the reply is the version of this record.
+/// The stored reply to a request. The pending version in the reply stands for the version of this record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IdempotencyRecord {
     /// The hash of the request.
     #[serde(rename = "print")]
     pub request_hash: String,
-    /// The reply.
+    /// The reply as JSON.
     #[serde(rename = "answer")]
     pub reply: serde_json::Value,
-    /// When the call was made.
+    /// The time of the request.
     #[serde(rename = "made")]
     pub created: Micros,
-    /// When the key expires and may be used again.
+    /// The time at which the key expires and may be used again.
     pub expires: Micros,
 }
--- a/crates/store/src/record/limits.rs
+++ b/crates/store/src/record/limits.rs
@@ -1,17 +1,17 @@
-//! Limits of a tenant and of the whole service. A missing limit means unlimited.
+//! Limits of a single tenant and of the whole service. `None` means unlimited.
 
 use super::check_range;
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
 use shorewharf_units::Micros;
 
-/// A rate in events a second, fractions allowed; 0 to 1,000,000.
+/// A rate in events per second, from 0 to 1,000,000; fractions are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct PerSecond(f64);
 
 impl PerSecond {
-    /// The highest rate.
+    /// The maximum rate.
     pub const MAX: f64 = 1e6;
 
     /// Checks a rate.
@@ -23,7 +23,7 @@
         Ok(PerSecond(rate))
     }
 
-    /// The rate in events a second.
+    /// The rate in events per second.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -42,40 +42,40 @@
     }
 }
 
-/// Limits of one tenant over the whole fleet.
+/// Limits of one tenant, over the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Established connections.
+    /// The maximum number of established connections.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub connections: Option<u32>,
-    /// New connections a second.
+    /// The maximum rate of new connections.
     #[serde(rename = "set_ups", default, skip_serializing_if = "Option::is_none")]
     pub setups: Option<PerSecond>,
-    /// Reconnections a second, after a break or a migration.
+    /// The maximum rate of reconnects after a lost connection or a migration.
     #[serde(rename = "returns", default, skip_serializing_if = "Option::is_none")]
     pub reconnects: Option<PerSecond>,
 }
 
-/// Limits of the whole service.
+/// Limits of the whole service, over all tenants.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceLimits {
-    /// Established connections of all tenants together.
+    /// The maximum number of established connections of all tenants together.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections: Option<u32>,
-    /// New connections a second of all tenants together.
+    /// The maximum rate of new connections of all tenants together.
     #[serde(rename = "set_ups", skip_serializing_if = "Option::is_none")]
     pub setups: Option<PerSecond>,
-    /// Reconnections a second of all tenants together.
+    /// The maximum rate of reconnects of all tenants together.
     #[serde(rename = "returns", skip_serializing_if = "Option::is_none")]
     pub reconnects: Option<PerSecond>,
-    /// Tenants.
+    /// The maximum number of tenants.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenants: Option<u32>,
-    /// Connections a second that an operator's migration may close.
+    /// The maximum rate at which a migration by an operator closes connections.
     #[serde(rename = "moves", skip_serializing_if = "Option::is_none")]
     pub migrations: Option<PerSecond>,
-    /// When they were last changed.
+    /// The time at which the limits were last changed.
     pub changed: Micros,
 }
--- a/crates/store/src/record/mod.rs
+++ b/crates/store/src/record/mod.rs
@@ -1,6 +1,6 @@
-//! The records that are stored: plain data with checked constructors. Reading JSON makes the same checks.
+//! The stored records: plain data with constructors that validate it. Deserialization validates it in the same way.
 //!
-//! Stored and sent names that differ from the fields' are given by `#[serde(rename)]` at each field.
+//! Fields whose stored name differs from their name in the code have a `#[serde(rename)]` attribute.
 
 mod audit;
 mod class;
@@ -22,10 +22,10 @@
 
 use crate::error::InvalidValue;
 
-/// The longest label of a token, and the longest name of a console user, in bytes.
+/// The maximum length of a token's label and of a console user's name, in bytes.
 pub const MAX_LABEL_BYTES: usize = 256;
 
-/// Checks a text for people: one line of at most [`MAX_LABEL_BYTES`].
+/// Checks that a text for people to read is a single line of at most [`MAX_LABEL_BYTES`].
 pub(crate) fn check_label(field: &str, text: &str) -> Result<(), InvalidValue> {
     if text.len() > MAX_LABEL_BYTES {
         let cause = format!("has {} bytes; the limit is {MAX_LABEL_BYTES}", text.len());
--- a/crates/store/src/record/tenant.rs
+++ b/crates/store/src/record/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants and the numeric ids by which connections refer to them.
+//! Tenants, and the numeric ids by which connections refer to them.
 
 use super::TenantLimits;
 use crate::error::InvalidValue;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The number by which connections, counters and usage refer to a tenant or a class.
+/// The number by which connections, counters and usage records refer to a tenant or a class.
 ///
 /// An id is assigned once and never reused, not even for a tenant created again under the name of a removed one:
 /// connections of the removed tenant may still be open, and they must not count as the new tenant's.
@@ -17,7 +17,7 @@
 pub struct NumericId(pub u32);
 
 impl NumericId {
-    /// The name of the record of this id: ten digits, so that names are ordered as ids are.
+    /// The name of the record of this id's assignment: ten digits, so that names sort in the order of the ids.
     pub fn key_name(self) -> String {
         format!("{:010}", self.0)
     }
@@ -29,16 +29,16 @@
     }
 }
 
-/// A tenant's share relative to other tenants when capacity is short; 1 to 1,000,000.
+/// A tenant's share of scarce capacity relative to other tenants; 1 to 1,000,000.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct Weight(u32);
 
 impl Weight {
-    /// The largest weight, at which sums over all tenants can't overflow.
+    /// The maximum weight, chosen so that sums over all tenants can't overflow.
     pub const MAX: u32 = 1_000_000;
 
-    /// The weight of a tenant created without one.
+    /// The weight of a tenant that is created without one.
     pub const DEFAULT: Weight = Weight(100);
 
     /// Checks a weight.
@@ -82,50 +82,50 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TenantState {
-    /// Served.
+    /// The tenant is served.
     #[default]
     Active,
-    /// Established connections stay, new ones are rejected.
+    /// Established connections are kept; new ones are rejected.
     Frozen,
-    /// Established connections are migrated away at a limited rate, new ones are rejected.
+    /// Established connections are migrated away at a limited rate; new ones are rejected.
     #[serde(rename = "leaving")]
     Draining,
 }
 
-/// Which side manages a tenant's record.
+/// What manages a tenant's record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Origin {
     /// The administration API.
     #[default]
     Api,
-    /// The configuration file: the next reading of it would undo changes by the API.
+    /// The configuration file. Changes through the API would be undone when the file is next read.
     File,
 }
 
-/// A tenant as it is stored.
+/// The stored record of a tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantRecord {
-    /// Its name for display; the record's key has the canonical form.
+    /// The tenant's name as displayed; the record's key has the canonical form.
     pub name: TenantName,
-    /// Its numeric id.
+    /// The tenant's numeric id.
     #[serde(rename = "place")]
     pub id: NumericId,
-    /// Its share when capacity is short.
+    /// The tenant's share of scarce capacity.
     pub weight: Weight,
-    /// Its limits.
+    /// The tenant's limits.
     pub limits: TenantLimits,
-    /// The classes it may request; `None` for all.
+    /// The classes that the tenant may request; `None` for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub classes: Option<BTreeSet<ClassName>>,
-    /// Whether it is served.
+    /// Whether the tenant is served.
     pub state: TenantState,
-    /// Which side manages it.
+    /// What manages the record.
     pub origin: Origin,
-    /// When it was created.
+    /// The time at which the tenant was created.
     pub created: Micros,
-    /// When it was last changed.
+    /// The time at which the record was last changed.
     pub changed: Micros,
 }
 
@@ -133,27 +133,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewTenant {
-    /// Its name.
+    /// The tenant's name.
     pub name: TenantName,
-    /// Its share when capacity is short.
+    /// The tenant's share of scarce capacity.
     #[serde(default)]
     pub weight: Weight,
-    /// Its limits.
+    /// The tenant's limits.
     #[serde(default)]
     pub limits: TenantLimits,
-    /// The classes it may request; `None` for all.
+    /// The classes that the tenant may request; `None` for all.
     #[serde(default)]
     pub classes: Option<BTreeSet<ClassName>>,
-    /// Whether it is served.
+    /// Whether the tenant is served.
     #[serde(default)]
     pub state: TenantState,
-    /// Which side manages it.
+    /// What manages the record.
     #[serde(default)]
     pub origin: Origin,
 }
 
 impl NewTenant {
-    /// A tenant of this name with the default weight and no limits.
+    /// An active tenant of this name with the default weight, all classes and no limits.
     pub fn named(name: TenantName) -> NewTenant {
         NewTenant {
             name,
@@ -166,44 +166,48 @@
     }
 }
 
-/// Changes to a tenant; a field that is `None` stays as it is.
+/// Changes to a tenant. A field that is `None` is not changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantChange {
-    /// Another spelling of the same name.
+    /// Another spelling of the tenant's name, with the same canonical form.
     pub name: Option<TenantName>,
-    /// Its share when capacity is short.
+    /// The tenant's share of scarce capacity.
     pub weight: Option<Weight>,
-    /// Its limits, all of them.
+    /// The new limits, which replace all present ones.
     pub limits: Option<TenantLimits>,
-    /// The classes it may request; `Some(None)`, in JSON `null`, for all.
-    #[serde(deserialize_with = "present", skip_serializing_if = "Option::is_none")]
+    /// The classes that the tenant may request; `Some(None)`, which is `null` in JSON, for all.
+    #[serde(deserialize_with = "deserialize_present", skip_serializing_if = "Option::is_none")]
     pub classes: Option<Option<BTreeSet<ClassName>>>,
-    /// Whether it is served.
+    /// Whether the tenant is served.
     pub state: Option<TenantState>,
-    /// Which side manages it.
+    /// What manages the record.
     pub origin: Option<Origin>,
 }
 
-/// Tells a field that is `null` from one that is missing.
-fn present<'de, T: Deserialize<'de>, D: Deserializer<'de>>(deserializer: D) -> Result<Option<T>, D::Error> {
+/// Deserializes a field that is present, so that `null` is `Some(None)` while a missing field is `None`.
+fn deserialize_present<'de, T, D>(deserializer: D) -> Result<Option<T>, D::Error>
+where
+    T: Deserialize<'de>,
+    D: Deserializer<'de>,
+{
     T::deserialize(deserializer).map(Some)
 }
 
-/// Which tenant an id was assigned to. Kept for ever: usage refers to ids, and connections of a removed tenant may
-/// still be open.
+/// The tenant that an id was assigned to. The record is never removed: usage records refer to ids, and connections of a
+/// removed tenant may still be open.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IdAssignment {
-    /// The id.
+    /// The assigned id.
     #[serde(rename = "place")]
     pub id: NumericId,
-    /// The tenant's name after its last change.
+    /// The tenant's name as last displayed.
     pub name: TenantName,
-    /// When the id was assigned.
+    /// The time at which the id was assigned.
     #[serde(rename = "given")]
     pub assigned: Micros,
-    /// When the tenant was removed. Its connections are migrated away from then on, at a limited rate.
+    /// The time at which the tenant was removed. From then on its connections are migrated away at a limited rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub removed: Option<Micros>,
 }
--- a/crates/store/src/record/token.rs
+++ b/crates/store/src/record/token.rs
@@ -1,4 +1,4 @@
-//! API tokens. Only the hash of a token's secret is stored, so reading the store gives nobody access.
+//! API tokens. Only the hash of a token's secret is stored, so the content of the store does not grant access.
 
 use super::{NumericId, check_label};
 use crate::digest::{hex, sha256_hex};
@@ -10,28 +10,28 @@
 use std::fmt;
 use subtle::ConstantTimeEq;
 
-/// The beginning of every token's text, by which leaked tokens are recognised.
+/// The prefix of every token's text, by which scanners recognise leaked tokens.
 const TOKEN_PREFIX: &str = "swh";
 
-/// Digits of a token's id.
+/// The number of hexadecimal digits of a token's id.
 const ID_DIGITS: usize = 16;
 
-/// Bytes of a seed that make the id; the rest makes the secret.
+/// The number of bytes of a seed from which the id is made; the secret is made from the others.
 const ID_SEED_BYTES: usize = 8;
 
-/// What a token's bearer may do.
+/// The role of a token's bearer, which determines what the bearer may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "role", content = "place")]
 pub enum Role {
-    /// Everything.
+    /// May read and change everything.
     Operator,
-    /// Read everything about the tenant with this id, and change what is that tenant's own.
+    /// May read everything about the tenant with this id, and change what belongs to that tenant.
     TenantAdmin(NumericId),
-    /// Read everything but tokens.
+    /// May read everything except tokens.
     Viewer,
 }
 
-/// The public part of a token, by which it is found, revoked and named in the audit trail: 16 hexadecimal digits.
+/// The public part of a token, by which it is looked up, revoked and named in the audit trail: 16 hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TokenId(String);
@@ -40,7 +40,7 @@
     /// Checks an id.
     ///
     /// # Errors
-    /// If it is not 16 lower-case hexadecimal digits.
+    /// If the text is not 16 lower-case hexadecimal digits.
     pub fn new(text: &str) -> Result<TokenId, InvalidValue> {
         let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         if text.len() != ID_DIGITS || !text.bytes().all(is_digit) {
@@ -74,7 +74,8 @@
     }
 }
 
-/// Random bytes of a new token, from the system's source of secrets: 8 for its id, 32 for its secret.
+/// Random bytes for a new token, from the operating system's secure random number generator: 8 for the id and 32 for
+/// the secret.
 #[derive(Clone)]
 pub struct TokenSeed(pub [u8; 40]);
 
@@ -84,46 +85,46 @@
     }
 }
 
-/// A token to create.
+/// The properties of a token to create.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewToken {
-    /// What its bearer may do.
+    /// The role of the token's bearer.
     #[serde(flatten)]
     pub role: Role,
-    /// What it is for; at most 256 bytes.
+    /// A description of the token's purpose; at most 256 bytes.
     #[serde(default)]
     pub label: String,
-    /// When it expires; `None` for never.
+    /// The time at which the token expires; `None` for never.
     #[serde(default)]
     pub expires: Option<Micros>,
 }
 
-/// A token as it is stored.
+/// The stored record of a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRecord {
-    /// Its id.
+    /// The token's id.
     pub id: TokenId,
-    /// SHA-256 of its secret in hexadecimal digits. The secret is 32 random bytes, so it needs no salt.
+    /// The SHA-256 hash of the secret in hexadecimal digits. The secret is 32 random bytes, so it needs no salt.
     pub hash: String,
-    /// What its bearer may do.
+    /// The role of the token's bearer.
     #[serde(flatten)]
     pub role: Role,
-    /// What it is for.
+    /// A description of the token's purpose.
     pub label: String,
-    /// When it was created.
+    /// The time at which the token was created.
     pub created: Micros,
-    /// When it expires; `None` for never.
+    /// The time at which the token expires; `None` for never.
     pub expires: Option<Micros>,
-    /// When it was revoked.
+    /// The time at which the token was revoked; `None` if it was not.
     pub revoked: Option<Micros>,
 }
 
-/// A new token. Its text is shown to its owner once and stored nowhere.
+/// A newly created token. Its text is shown to its owner once and is not stored.
 #[derive(Clone)]
 pub struct MintedToken {
-    /// What the bearer sends.
+    /// The text that the bearer sends to authenticate.
     pub text: String,
-    /// What is stored.
+    /// The record to store.
     pub record: TokenRecord,
 }
 
@@ -134,10 +135,10 @@
 }
 
 impl TokenRecord {
-    /// Makes a token of random bytes. Its text is `swh_`, the id, `_` and the secret in base64 (URL form).
+    /// Makes a token from random bytes. Its text is `swh_`, the id, `_`, and the secret in URL-safe base64.
     ///
     /// # Errors
-    /// If the label is too long or has control characters, or the token would have expired already.
+    /// If the label is too long or has control characters, or if the time of expiry is not in the future.
     pub fn mint(new: NewToken, seed: &TokenSeed, now: Micros) -> Result<MintedToken, InvalidValue> {
         check_label("label", &new.label)?;
         if new.expires.is_some_and(|expires| expires <= now) {
@@ -159,24 +160,24 @@
         Ok(MintedToken { text, record })
     }
 
-    /// The id and the secret within a token's text; `None` if it is not a token.
+    /// Splits a token's text into the id and the secret; `None` if the text does not have the form of a token.
     pub fn parse_text(text: &str) -> Option<(TokenId, &str)> {
         let (id, secret) = text.strip_prefix(TOKEN_PREFIX)?.strip_prefix('_')?.split_once('_')?;
         Some((TokenId::new(id).ok()?, secret))
     }
 
-    /// Whether the secret is this token's and the token is valid. Takes constant time in the hash.
+    /// Whether `secret` is this token's secret and the token is valid. The hashes are compared in constant time.
     pub fn accepts(&self, secret: &str, now: Micros) -> bool {
         let hash = sha256_hex(secret.as_bytes());
         bool::from(hash.as_bytes().ct_eq(self.hash.as_bytes())) && self.is_valid(now)
     }
 
-    /// Whether it is neither revoked nor expired.
+    /// Whether the token is neither revoked nor expired.
     pub fn is_valid(&self, now: Micros) -> bool {
         self.revoked.is_none() && self.expires.is_none_or(|expires| now < expires)
     }
 
-    /// The record as the audit trail and lists show it: without the hash.
+    /// The record without the hash, as it is shown in the audit trail and in lists.
     pub fn redacted(&self) -> serde_json::Value {
         let mut value = serde_json::to_value(self).unwrap_or_default();
         if let Some(fields) = value.as_object_mut() {
--- a/crates/store/src/record/usage.rs
+++ b/crates/store/src/record/usage.rs
@@ -1,8 +1,8 @@
-//! Usage of tenants by minute, hour and day, each minute recorded once.
+//! Usage of tenants by minute, hour and day. Each minute of an instance is recorded once.
 //!
-//! An instance reports each minute once. A report adds to the minute, its hour and its day in one transaction, and the
-//! day's record marks the minutes it includes. A repeated report is recognised by that mark and adds nothing, even
-//! long after the minute's own record has expired.
+//! A report about a minute is added to the records of that minute, its hour and its day in one transaction. The record
+//! of the day has a bit for each minute that it includes. By that bit a repeated report is recognised and not added
+//! again, even long after the record of the minute has expired.
 
 use crate::error::InvalidValue;
 use serde::{Deserialize, Serialize};
@@ -10,32 +10,32 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A minute in microseconds.
+/// The number of microseconds in a minute.
 pub const MICROS_PER_MINUTE: u64 = 60_000_000;
 
-/// The longest cause of a rejection, in bytes.
+/// The maximum length of the cause of a rejection, in bytes.
 const MAX_CAUSE_BYTES: usize = 64;
 
-/// What one tenant used in some time.
+/// The usage of one tenant in an interval of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Usage {
-    /// The time for which its connections were open, summed over connections, in microseconds.
+    /// The time for which connections were open, summed over all connections, in microseconds.
     #[serde(rename = "c", skip_serializing_if = "is_zero")]
     pub connection_micros: u64,
-    /// Connections established.
+    /// The number of connections that were established.
     #[serde(rename = "s", skip_serializing_if = "is_zero")]
     pub setups: u64,
-    /// Rejections by cause; a cause is 1 to 64 visible ASCII characters.
+    /// The number of rejections by cause. A cause is 1 to 64 visible ASCII characters.
     #[serde(rename = "r", skip_serializing_if = "BTreeMap::is_empty")]
     pub rejections: BTreeMap<String, u64>,
-    /// Connections asked to migrate.
+    /// The number of connections that were asked to migrate.
     #[serde(rename = "m", skip_serializing_if = "is_zero")]
     pub migrations: u64,
-    /// Lines relayed in both directions.
+    /// The number of lines that were relayed, in both directions together.
     #[serde(rename = "l", skip_serializing_if = "is_zero")]
     pub lines: u64,
-    /// Bytes relayed in both directions.
+    /// The number of bytes that were relayed, in both directions together.
     #[serde(rename = "b", skip_serializing_if = "is_zero")]
     pub bytes: u64,
 }
@@ -45,7 +45,7 @@
 }
 
 impl Usage {
-    /// Adds another's counts, saturating.
+    /// Adds the counts of `other` with saturation.
     pub fn add(&mut self, other: &Usage) {
         self.connection_micros = self.connection_micros.saturating_add(other.connection_micros);
         self.setups = self.setups.saturating_add(other.setups);
@@ -58,16 +58,17 @@
         }
     }
 
-    /// Whole seconds for which its connections were open.
+    /// [`Usage::connection_micros`] in whole seconds, rounded down.
     pub fn connection_seconds(&self) -> u64 {
         self.connection_micros / MICROS_PER_SECOND
     }
 }
 
-/// The name of a reporting instance: 1 to 64 of ASCII letters, digits, `-`, `_`, `.`, `@`, `:`.
+/// The name of an instance that reports usage: 1 to 64 characters, each an ASCII letter, a digit, `-`, `_`, `.`, `@` or
+/// `:`.
 ///
-/// It must be new at each start of the process, for example a host name and the start time: an instance that restarts
-/// within a minute would otherwise report that minute twice with different counts.
+/// It must be different at each start of the process, for example a host name with the start time. Otherwise an
+/// instance that restarts within a minute would report that minute twice with different counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct InstanceName(String);
@@ -76,7 +77,7 @@
     /// Checks a name.
     ///
     /// # Errors
-    /// If the name has another form.
+    /// If the name does not have the form given above.
     pub fn new(text: &str) -> Result<InstanceName, InvalidValue> {
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.@:".contains(&byte);
         if !(1..=64).contains(&text.len()) || !text.bytes().all(is_allowed) {
@@ -111,20 +112,21 @@
     }
 }
 
-/// What an instance counted in one minute.
+/// The usage that an instance counted in one minute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
     pub(crate) instance: InstanceName,
-    /// Whole minutes since 1970.
+    /// The minute, counted from the start of 1970.
     pub(crate) minute: u64,
+    /// The usage by the numeric id of the tenant.
     pub(crate) usage_by_id: BTreeMap<u32, Usage>,
 }
 
 impl UsageReport {
-    /// The last minute that can be recorded, in the year 9999.
+    /// The last minute that can be recorded, about the end of the year 9999.
     pub const MAX_MINUTE: u64 = 4_223_376_000;
 
-    /// The usage of `minute` (whole minutes since 1970), by the tenants' numeric ids.
+    /// A report about `minute`, counted from the start of 1970, with the usage by the numeric id of the tenant.
     ///
     /// # Errors
     /// If the minute is after [`UsageReport::MAX_MINUTE`], or a rejection's cause is not 1 to 64 visible ASCII
@@ -150,26 +152,26 @@
     (1..=MAX_CAUSE_BYTES).contains(&cause.len()) && cause.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// The usage of an hour that one instance reported, for a chunk of ids.
+/// The usage in one hour that one instance reported, for a chunk of numeric ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HourlyUsage {
-    /// The minutes that are included, a bit for each.
+    /// The minutes of the hour that are included, one bit for each.
     #[serde(rename = "minutes")]
     pub included_minutes: u64,
-    /// Usage by numeric id.
+    /// The usage by the numeric id of the tenant.
     #[serde(rename = "places")]
     pub usage_by_id: BTreeMap<u32, Usage>,
 }
 
-/// The usage of a day that one instance reported, for a chunk of ids.
+/// The usage in one day that one instance reported, for a chunk of numeric ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DailyUsage {
-    /// The minutes of each hour that are included, a bit for each.
+    /// For each hour, the minutes that are included, one bit for each.
     #[serde(rename = "minutes")]
     pub included_minutes: [u64; 24],
-    /// Usage by numeric id.
+    /// The usage by the numeric id of the tenant.
     #[serde(rename = "places")]
     pub usage_by_id: BTreeMap<u32, Usage>,
 }
