--- a/crates/store/src/commands/classes.rs
+++ b/crates/store/src/commands/classes.rs
@@ -1,4 +1,4 @@
-//! Creating, changing and removing classes.
+//! Commands that create, change and remove classes.
 
 use super::keys::{NEXT_CLASS_ID, class_key};
 use super::reply::{PENDING_REVISION, Reply};
@@ -11,7 +11,7 @@
 use crate::revision::Revision;
 use crate::store::{Query, Versioned};
 
-/// Creates the class, or changes it and keeps its id.
+/// Creates the class, or changes an existing one, which keeps its id.
 pub(super) fn put(
     transaction: &mut Transaction<'_>,
     actor: &Actor,
@@ -39,8 +39,10 @@
     Ok(Reply::Class(Versioned { version: PENDING_REVISION, record }))
 }
 
-/// Removes a class that no tenant refers to. A tenant that refers to it only while this runs keeps the name of a class
-/// that does not exist, under which nothing is admitted.
+/// Removes a class that no tenant refers to.
+///
+/// The list of tenants is not a condition of the batch. A tenant that is changed concurrently to refer to the class
+/// keeps the name of a class that does not exist, for which no request is admitted.
 pub(super) fn remove(
     transaction: &mut Transaction<'_>,
     actor: &Actor,
@@ -49,7 +51,7 @@
 ) -> Result<Reply, StoreError> {
     let key = class_key(name);
     let (_, before): (_, ClassRecord) = transaction.require(&key, expected)?;
-    if let Some(tenant) = find_tenant_of(transaction, name)? {
+    if let Some(tenant) = find_tenant_using(transaction, name)? {
         let cause = format!("is still in use by tenant {:?}", tenant.name.as_str());
         return Err(InvalidValue::new(key.text(), cause).into());
     }
@@ -64,8 +66,8 @@
     Ok(Reply::Removed(before.id()))
 }
 
-/// The first tenant that refers to a class.
-fn find_tenant_of(
+/// Finds the first tenant that refers to a class.
+fn find_tenant_using(
     transaction: &mut Transaction<'_>,
     class: &ClassName,
 ) -> Result<Option<TenantRecord>, StoreError> {
--- a/crates/store/src/commands/command.rs
+++ b/crates/store/src/commands/command.rs
@@ -1,4 +1,4 @@
-//! The commands that change records.
+//! The commands that change records, and the requests that carry them.
 
 use crate::name::{ClassName, TenantName};
 use crate::record::{
@@ -8,14 +8,14 @@
 use crate::revision::Revision;
 use serde_json::Value;
 
-/// A command, who gives it, and its idempotency key.
+/// A request to carry out a command.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
     /// Who makes the change.
     pub actor: Actor,
-    /// The change.
+    /// The change to make.
     pub command: Command,
-    /// The idempotency key, if there is one.
+    /// The idempotency key that the caller gave, if any.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
@@ -26,71 +26,73 @@
     }
 }
 
-/// A change. `expected` is the version that the record must have; `None` for any.
+/// A change of records. In all commands, `expected` is the version that the record must have; `None` allows any
+/// version.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Creates a tenant and assigns it an id.
+    /// Creates a tenant and assigns a numeric id to it.
     CreateTenant(NewTenant),
     /// Changes a tenant.
     ChangeTenant {
-        /// The tenant, in any spelling of its name.
+        /// The name of the tenant, in any spelling.
         name: TenantName,
-        /// Its version.
+        /// The version that the record must have.
         expected: Option<Revision>,
-        /// The changes.
+        /// The fields to change.
         change: TenantChange,
     },
-    /// Removes a tenant. Its name can be used again at once, its id never.
+    /// Removes a tenant. Its name can be used again at once; its id is never reused.
     RemoveTenant {
-        /// The tenant, in any spelling of its name.
+        /// The name of the tenant, in any spelling.
         name: TenantName,
-        /// Its version.
+        /// The version that the record must have.
         expected: Option<Revision>,
     },
-    /// Creates a class, or changes it without changing its id.
+    /// Creates a class, or changes an existing one, which keeps its id.
     PutClass {
-        /// The class.
+        /// The definition of the class.
         class: ClassRecord,
-        /// Its version; 0 if it must not exist.
+        /// The version that the record must have; 0 if the class must not exist.
         expected: Option<Revision>,
     },
     /// Removes a class that no tenant refers to.
     RemoveClass {
-        /// The class.
+        /// The name of the class.
         name: ClassName,
-        /// Its version.
+        /// The version that the record must have.
         expected: Option<Revision>,
     },
     /// Creates a token.
     CreateToken {
-        /// The token to create.
+        /// The properties of the token.
         new: NewToken,
-        /// Its random bytes.
+        /// The random bytes from which the id and the secret are made.
         seed: TokenSeed,
     },
-    /// Revokes a token for good.
+    /// Revokes a token permanently.
     RevokeToken {
-        /// The token.
+        /// The id of the token.
         id: TokenId,
     },
-    /// Sets the service-wide limits, all of them.
+    /// Replaces all service-wide limits.
     SetLimits {
-        /// The limits.
+        /// The new limits.
         limits: ServiceLimits,
-        /// Their version; 0 if none were set.
+        /// The version that the record must have; 0 if no limits must be set yet.
         expected: Option<Revision>,
     },
     /// Adds an entry to the audit trail for a command to the fleet that changes no record.
     RecordAction {
-        /// What was acted on: a server, a session, a tenant's sessions.
+        /// The subject of the command: a server, a session, or the sessions of a tenant.
         target: String,
-        /// Its state before.
+        /// The state of the subject before the command.
         before: Option<Value>,
-        /// Its state after.
+        /// The state of the subject after the command.
         after: Option<Value>,
     },
-    /// Records what an instance counted in a minute.
+    /// Records the usage that an instance counted in a minute.
     RecordUsage(UsageReport),
-    /// Removes a limited number of expired records: idempotency keys, and usage by minute and hour.
+    /// Removes a limited number of expired records: replies to requests with an idempotency key, and usage by minute
+    /// and hour.
     RemoveExpired,
 }
--- a/crates/store/src/commands/keys.rs
+++ b/crates/store/src/commands/keys.rs
@@ -1,18 +1,18 @@
-//! Keys of the records that commands read and write.
+//! Keys of the records that commands and lookups use.
 
 use crate::key::{Collection, Key};
 use crate::name::{ClassName, TenantName};
 use crate::record::{IdempotencyKey, NumericId, TokenId};
 
-/// The counter of audit entries: the last number.
+/// The name of the counter with the number of the last audit entry.
 pub(crate) const LAST_AUDIT_NUMBER: &str = "audit";
-/// The counter of tenants' numeric ids: the next one.
+/// The name of the counter with the next numeric id of a tenant.
 pub(crate) const NEXT_TENANT_ID: &str = "tenant-places";
-/// The counter of classes' numeric ids: the next one.
+/// The name of the counter with the next numeric id of a class.
 pub(crate) const NEXT_CLASS_ID: &str = "class-places";
-/// The counter of tenants.
+/// The name of the counter with the number of tenants.
 pub(crate) const TENANT_COUNT: &str = "tenants";
-/// The name of the record of service-wide limits.
+/// The name of the record with the service-wide limits.
 pub(crate) const SERVICE_LIMITS: &str = "service";
 
 pub(super) fn counter_key(name: &str) -> Key {
--- a/crates/store/src/commands/limits.rs
+++ b/crates/store/src/commands/limits.rs
@@ -1,4 +1,4 @@
-//! Setting the service-wide limits.
+//! The command that sets the service-wide limits.
 
 use super::keys::service_limits_key;
 use super::reply::{PENDING_REVISION, Reply};
--- a/crates/store/src/commands/lookup.rs
+++ b/crates/store/src/commands/lookup.rs
@@ -17,101 +17,102 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-/// The most intervals in one answer about usage: more than a month of hours or a day of minutes.
+/// The maximum number of intervals in one page of usage: more than a month of hours or a day of minutes.
 const MAX_USAGE_ROWS: usize = 1500;
 
-/// Usage records that one call to the store reads.
+/// The maximum number of usage records that one call to the store reads.
 const USAGE_PAGE_RECORDS: usize = 200;
 
-/// A lookup. A page begins after the last name of the page before.
+/// A lookup of records. A lookup of several records returns a page of them; the next page begins after the last record
+/// of the page.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Lookup {
-    /// One tenant, by any spelling of its name.
+    /// The tenant with this name, in any spelling.
     Tenant(TenantName),
-    /// Tenants in the order of their canonical names.
+    /// A page of tenants in the order of their canonical names.
     Tenants {
-        /// Only canonical names with this prefix.
+        /// Only tenants whose canonical name has this prefix.
         prefix: String,
-        /// The last canonical name of the page before.
+        /// The last canonical name of the previous page; `None` for the first page.
         after: Option<String>,
-        /// The most tenants of the page.
+        /// The maximum number of tenants in the page.
         limit: usize,
     },
-    /// Which tenant an id was assigned to.
+    /// The tenant that this id was assigned to.
     IdAssignment(NumericId),
-    /// One class.
+    /// The class with this name.
     Class(ClassName),
-    /// All classes, up to 1,000.
+    /// The first 1,000 classes in the order of their names.
     Classes,
-    /// One token.
+    /// The token with this id.
     Token(TokenId),
-    /// Tokens by id.
+    /// A page of tokens in the order of their ids.
     Tokens {
-        /// The last id of the page before.
+        /// The last id of the previous page; `None` for the first page.
         after: Option<String>,
-        /// The most tokens of the page.
+        /// The maximum number of tokens in the page.
         limit: usize,
     },
-    /// The service-wide limits; unlimited and at version 0 if none were set.
+    /// The service-wide limits; unlimited, with version 0, if none were set.
     Limits,
-    /// The audit trail, newest entries first.
+    /// A page of the audit trail, with the newest entry first.
     Audit {
-        /// Only entries with smaller numbers.
+        /// Only entries with a smaller number than this one.
         before: Option<u64>,
-        /// The most entries of the page.
+        /// The maximum number of entries in the page.
         limit: usize,
     },
-    /// Usage of the tenant with an id, summed over instances; intervals without usage are left out.
+    /// The usage of a tenant by interval, summed over all instances. Intervals without usage are omitted.
     Usage {
-        /// The id.
+        /// The numeric id of the tenant.
         id: NumericId,
-        /// The length of an interval.
+        /// The length of the intervals.
         granularity: Granularity,
-        /// From the interval that includes this time on.
+        /// A time in the first interval.
         from: Micros,
-        /// Up to the interval before the one that includes this time.
+        /// A time in the interval after the last one.
         to: Micros,
     },
 }
 
-/// Usage in one interval.
+/// The usage in one interval.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageRow {
-    /// When the interval begins.
+    /// The start of the interval.
     pub start: Micros,
-    /// What was used.
+    /// The sum of the usage in the interval.
     pub usage: Usage,
 }
 
 /// The result of a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookupResult {
-    /// A tenant.
+    /// The tenant.
     Tenant(Versioned<TenantRecord>),
-    /// Tenants, and the name after which the next page begins.
+    /// A page of tenants, and the canonical name after which the next page begins; `None` on the last page.
     Tenants(Vec<Versioned<TenantRecord>>, Option<String>),
-    /// The assignment of an id.
+    /// The assignment of the id.
     IdAssignment(IdAssignment),
-    /// A class.
+    /// The class.
     Class(Versioned<ClassRecord>),
-    /// All classes.
+    /// The classes.
     Classes(Vec<Versioned<ClassRecord>>),
-    /// A token.
+    /// The token.
     Token(Versioned<TokenRecord>),
-    /// Tokens, and the id after which the next page begins.
+    /// A page of tokens, and the id after which the next page begins; `None` on the last page.
     Tokens(Vec<Versioned<TokenRecord>>, Option<String>),
     /// The service-wide limits.
     Limits(Versioned<ServiceLimits>),
-    /// Audit entries, and the number before which the next page begins.
+    /// A page of audit entries, and the number before which the next page begins; `None` on the last page.
     Audit(Vec<AuditEntry>, Option<u64>),
-    /// Usage by interval, and where the next page begins.
+    /// A page of usage by interval, and the start of the first interval of the next page; `None` on the last page.
     Usage(Vec<UsageRow>, Option<Micros>),
 }
 
 /// Looks up records.
 ///
 /// # Errors
-/// [`StoreError::NotFound`] if the single record looked up does not exist; errors of the engine.
+/// [`StoreError::NotFound`] if a lookup is of a single record that does not exist, and errors of the engine.
 pub fn look_up(store: &mut dyn Store, lookup: &Lookup, now: Micros) -> Result<LookupResult, StoreError> {
     Ok(match lookup {
         Lookup::Tenant(name) => LookupResult::Tenant(get(store, &tenant_key(name), now)?),
@@ -177,7 +178,8 @@
     Ok(RecordPage { records, next_after: page.next_after() })
 }
 
-/// Entries are numbered without a gap, so a page backwards is a page forwards from a known number.
+/// Reads a page of the audit trail backwards. As entries are numbered without gaps, the page is read forwards from a
+/// computed number and then reversed.
 fn list_audit(
     store: &mut dyn Store,
     before: Option<u64>,
@@ -200,7 +202,7 @@
     Ok(LookupResult::Audit(entries, (before_oldest > 0).then_some(before_oldest + 1)))
 }
 
-/// Intervals of one granularity, counted since 1970, without `end`.
+/// A range of intervals of one granularity, counted from the start of 1970. `end` is not included.
 #[derive(Clone, Copy)]
 struct Intervals {
     granularity: Granularity,
@@ -217,7 +219,7 @@
     let Intervals { granularity, first, end } = intervals;
     let chunk = id.0 / IDS_PER_CHUNK;
     let mut sums: BTreeMap<u64, Usage> = BTreeMap::new();
-    // The name of an interval without an instance sorts before those of all its instances.
+    // A key with an empty instance name sorts before the keys of all instances for the same interval.
     let before_first = usage_key(granularity, chunk, first, "").name;
     let mut query =
         Query::all(Collection::Usage).prefix(key_prefix(granularity, chunk)).limit(USAGE_PAGE_RECORDS);
@@ -242,7 +244,7 @@
     Ok(LookupResult::Usage(usage_rows(sums, granularity), None))
 }
 
-/// The usage in a record, by numeric id.
+/// Decodes a usage record into the usage by numeric id.
 fn decode_usage(entry: &Entry, granularity: Granularity) -> Result<BTreeMap<u32, Usage>, StoreError> {
     match granularity {
         Granularity::Minute => entry.decode(),
--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -1,7 +1,7 @@
-//! The commands that change records, and the lookups of them, the same for every engine.
+//! The commands that change records and the lookups that read them, the same for every engine.
 //!
-//! [`execute`] makes a group of changes at once: each is decided on its own, as if the ones before it were written, and
-//! all that succeed are written as one batch. So a hundred waiting changes cost one synced write.
+//! [`execute`] makes a group of changes at once. Each change is decided as if the changes before it had been written,
+//! and all changes that succeed are written in one batch, so that a hundred pending changes cost one synced write.
 
 mod classes;
 mod command;
@@ -35,7 +35,7 @@
 /// The result of each request of a group.
 type Results = Vec<Result<Completed, StoreError>>;
 
-/// Makes changes in their order, and returns the result of each.
+/// Makes the requested changes in order, and returns the result of each.
 pub fn execute(
     store: &mut dyn Store,
     requests: &[ChangeRequest],
@@ -53,7 +53,7 @@
     results
 }
 
-/// Makes as many changes as fit into one batch, at least one.
+/// Makes as many changes as fit into one batch, but at least one. Returns the results of those.
 fn execute_group(store: &mut dyn Store, requests: &[ChangeRequest], now: Micros) -> Results {
     for attempt in 1.. {
         let mut transaction = Transaction::new(store, now);
@@ -72,7 +72,8 @@
                 }
                 return results;
             }
-            // Another instance wrote what was read: everything is decided again, callers' expectations included.
+            // Another instance changed a record that was read: all requests are decided again, including the checks of
+            // the versions that callers expect.
             Err(StoreError::Conflict { .. } | StoreError::AlreadyExists { .. }) if attempt < MAX_ATTEMPTS => {
             }
             Err(e) => return fail_changes(results, contention_error(e)),
@@ -81,11 +82,12 @@
     unreachable!("the last attempt returns")
 }
 
-/// Decides as many requests as fit into the transaction.
+/// Decides as many requests as fit into one batch, and returns their results.
 fn decide_group(transaction: &mut Transaction<'_>, requests: &[ChangeRequest]) -> Results {
     let mut results = Results::new();
     for request in requests {
-        // Usage has batches of its own. A class is removed only after reading all tenants that are written.
+        // Usage is written in batches of its own. The removal of a class lists the tenants in the store, which does not
+        // show the writes of this group.
         let needs_own_batch =
             matches!(request.command, Command::RemoveClass { .. }) && transaction.has_writes();
         if needs_own_batch || matches!(request.command, Command::RecordUsage(_)) {
@@ -103,7 +105,7 @@
     results
 }
 
-/// Most of the records that the requests will read. Others are read on demand.
+/// The keys of most records that the requests will read. Other records are read on demand.
 fn keys_to_prefetch(requests: &[ChangeRequest]) -> Vec<Key> {
     let mut keys = BTreeSet::from([counter_key(LAST_AUDIT_NUMBER)]);
     for request in requests.iter().take(Batch::MAX_OPERATIONS) {
@@ -131,13 +133,14 @@
     keys.into_iter().collect()
 }
 
-/// Fails every request that would have changed something. Failed ones keep their errors.
+/// The results after a batch was not written: requests that would have changed something fail with `e`, and requests
+/// that had failed already keep their errors.
 fn fail_changes(results: Results, e: StoreError) -> Results {
     let fail = |completed: Completed| if completed.replayed { Ok(completed) } else { Err(e.clone()) };
     results.into_iter().map(|result| result.and_then(fail)).collect()
 }
 
-/// Decides one request, or replays the stored reply to an earlier one with the same idempotency key.
+/// Decides one request, or replays the stored reply to an earlier request with the same idempotency key.
 fn decide(transaction: &mut Transaction<'_>, request: &ChangeRequest) -> Result<Completed, StoreError> {
     let Some(idempotency) = &request.idempotency_key else {
         return dispatch(transaction, request).map(Completed::new);
--- a/crates/store/src/commands/reply.rs
+++ b/crates/store/src/commands/reply.rs
@@ -1,48 +1,49 @@
-//! The replies to commands. Replies to calls with an idempotency key are stored.
+//! The replies to commands. Replies to requests with an idempotency key are stored, so their JSON form must not change.
 
 use crate::record::{ClassRecord, NumericId, ServiceLimits, TenantRecord, TokenRecord};
 use crate::revision::Revision;
 use crate::store::Versioned;
 use serde::{Deserialize, Serialize};
 
-/// The version of a record that is not written yet.
+/// Stands for the version of a record that is not written yet.
 pub(super) const PENDING_REVISION: Revision = Revision(u64::MAX);
 
 /// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind", content = "of")]
 pub enum Reply {
-    /// The tenant as it is now.
+    /// The tenant after the command.
     Tenant(Versioned<TenantRecord>),
-    /// The class as it is now.
+    /// The class after the command.
     Class(Versioned<ClassRecord>),
-    /// The token's record, and its text if it was just created. The text is never stored, so a replayed reply has none.
+    /// The token after the command. The reply to the creation of a token has the token's text, which is never stored,
+    /// so that a replayed reply has none.
     Token {
-        /// The record.
+        /// The record of the token.
         token: Versioned<TokenRecord>,
-        /// The text.
+        /// The text of the token, if it was created by this request.
         #[serde(skip)]
         text: Option<String>,
     },
-    /// The limits as they are now.
+    /// The service-wide limits after the command.
     Limits(Versioned<ServiceLimits>),
-    /// Removed; the id that the tenant or class had.
+    /// The tenant or class with this id was removed.
     Removed(NumericId),
     /// The audit entry was added.
     #[serde(rename = "noted")]
     ActionRecorded,
-    /// The usage is recorded.
+    /// The usage of the report is recorded.
     #[serde(rename = "counted")]
     UsageRecorded {
-        /// Whether any of it was new.
+        /// Whether any of it had not been recorded before.
         new: bool,
     },
     /// Expired records were removed.
     #[serde(rename = "tidied")]
     ExpiredRemoved {
-        /// How many.
+        /// The number of records that were removed.
         removed: usize,
-        /// Whether more can be removed now.
+        /// Whether more expired records may remain.
         more: bool,
     },
 }
@@ -69,9 +70,10 @@
 /// The result of a change request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completed {
-    /// The reply.
+    /// The reply to the command.
     pub reply: Reply,
-    /// Whether it is the reply to an earlier request with the same idempotency key, and nothing was changed now.
+    /// Whether this is the stored reply to an earlier request with the same idempotency key. This request has then
+    /// changed nothing.
     pub replayed: bool,
 }
 
--- a/crates/store/src/commands/tenants.rs
+++ b/crates/store/src/commands/tenants.rs
@@ -1,4 +1,4 @@
-//! Creating, changing and removing tenants.
+//! Commands that create, change and remove tenants.
 
 use super::keys::{
     NEXT_TENANT_ID, TENANT_COUNT, class_key, confusable_key, id_assignment_key, service_limits_key,
@@ -16,10 +16,10 @@
 use crate::store::Versioned;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The scripts of each tenant name with a common skeleton, by canonical name.
+/// The tenant names that have the same skeleton: the scripts of each, by canonical name.
 type ConfusableNames = BTreeMap<String, String>;
 
-/// Assigns the next id of a counter; ids are never reused.
+/// Assigns the next id of a counter. Ids are never reused.
 pub(super) fn assign_id(transaction: &mut Transaction<'_>, counter: &str) -> Result<NumericId, StoreError> {
     let next = transaction.counter(counter)?;
     let id = match u32::try_from(next) {
@@ -33,7 +33,7 @@
     Ok(NumericId(id))
 }
 
-/// Rejects classes that do not exist: a misspelt one would lock the tenant out.
+/// Rejects classes that do not exist: a tenant whose only class is misspelt would get no service at all.
 fn check_classes(
     transaction: &mut Transaction<'_>,
     classes: Option<&BTreeSet<ClassName>>,
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// Rejects one tenant more than the service may have.
+/// Rejects a number of tenants that exceeds the service-wide limit.
 fn check_tenant_limit(transaction: &mut Transaction<'_>, count: u64) -> Result<(), StoreError> {
     let limits = transaction.get::<ServiceLimits>(&service_limits_key())?;
     match limits.and_then(|(_, limits)| limits.tenants) {
@@ -60,7 +60,8 @@
     }
 }
 
-/// Adds a name to the index of confusable names, unless it can be confused with one in other scripts.
+/// Adds a name to the index of confusable names. Rejects a name that can be confused with an existing one in other
+/// scripts.
 fn index_name(transaction: &mut Transaction<'_>, name: &TenantName) -> Result<(), StoreError> {
     let form = name.confusable_form();
     let key = Key::new(Collection::ConfusableName, form.skeleton_hash);
@@ -124,7 +125,7 @@
     Ok(Reply::Tenant(Versioned { version: PENDING_REVISION, record }))
 }
 
-/// The tenant after a change.
+/// The record of a tenant after a change.
 fn apply_change(
     transaction: &mut Transaction<'_>,
     before: &TenantRecord,
@@ -150,10 +151,11 @@
     Ok(record)
 }
 
-/// A change of a tenant.
+/// A request to change a tenant.
 pub(super) struct Change<'a> {
+    /// The name of the tenant, in any spelling.
     pub(super) name: &'a TenantName,
-    /// The version that the tenant must have.
+    /// The version that the record must have; `None` for any.
     pub(super) expected: Option<Revision>,
     pub(super) change: &'a TenantChange,
 }
--- a/crates/store/src/commands/tokens.rs
+++ b/crates/store/src/commands/tokens.rs
@@ -1,4 +1,4 @@
-//! Creating and revoking tokens.
+//! Commands that create and revoke tokens.
 
 use super::keys::{id_assignment_key, token_key};
 use super::reply::{PENDING_REVISION, Reply};
@@ -36,7 +36,7 @@
     Ok(Reply::Token { token, text: Some(minted.text) })
 }
 
-/// Revokes a token. Revoking it again succeeds and changes nothing.
+/// Revokes a token. Revoking a revoked token succeeds and changes nothing.
 pub(super) fn revoke(
     transaction: &mut Transaction<'_>,
     actor: &Actor,
--- a/crates/store/src/commands/transaction.rs
+++ b/crates/store/src/commands/transaction.rs
@@ -1,7 +1,7 @@
-//! An optimistic transaction: what a group of commands reads and writes before anything is written to the store.
+//! An optimistic transaction: the reads and pending writes of a group of commands.
 //!
-//! Every record that a command reads becomes a condition of the batch, so the batch is written only if everything it
-//! was decided on still holds. That makes every command atomic without a lock in any engine.
+//! The version of every record that a command reads becomes a condition of the batch, so the batch is written only if
+//! no record on which a decision was based has changed. This makes every command atomic without locks in any engine.
 
 use super::keys::{LAST_AUDIT_NUMBER, counter_key};
 use super::reply::PENDING_REVISION;
@@ -16,34 +16,36 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-/// How often a group is decided if another instance writes in between.
+/// The maximum number of times that a group is decided, if other instances change the records that it has read.
 pub(super) const MAX_ATTEMPTS: usize = 8;
 
 type Writes = BTreeMap<Key, Option<Vec<u8>>>;
 
-/// What an entry of the audit trail says of a command, besides its actor, time and number.
+/// The part of an audit entry that depends on the command.
 pub(super) struct AuditNote {
     pub(super) action: AuditAction,
-    /// The key of the changed record, or what else was acted on.
+    /// The key of the changed record, or the subject of a command that changes no record.
     pub(super) target: String,
+    /// The record before the command.
     pub(super) before: Option<Value>,
+    /// The record after the command.
     pub(super) after: Option<Value>,
 }
 
-/// The store as a group of commands sees it.
+/// The view of the store that a group of commands has. Its pending writes hide the stored records.
 pub(super) struct Transaction<'s> {
     store: &'s mut dyn Store,
-    /// The time of the group.
+    /// The time at which the group is executed.
     pub(super) now: Micros,
-    /// What staged commands and the present one have read.
+    /// The records that the staged commands and the current one have read; `None` for a missing record.
     read_set: BTreeMap<Key, Option<Entry>>,
-    /// What was read from the store and not used by any command yet.
+    /// Records that were read from the store in advance and that no command has used yet.
     prefetched: BTreeMap<Key, Option<Entry>>,
-    /// The keys that the present command was the first to read.
+    /// The keys in `read_set` that the current command was the first to read.
     read_by_draft: Vec<Key>,
-    /// The writes of the commands that succeeded.
+    /// The writes of the staged commands.
     staged: Writes,
-    /// The writes of the present command.
+    /// The writes of the current command.
     draft: Writes,
 }
 
@@ -60,15 +62,15 @@
         }
     }
 
-    /// Reads several records at once, since each read may be a call over the network. A record that no command uses
-    /// becomes no condition.
+    /// Reads several records at once, since each separate read may be a call over the network. A prefetched record that
+    /// no command uses does not become a condition.
     pub(super) fn prefetch(&mut self, keys: Vec<Key>) -> Result<(), StoreError> {
         let entries = self.store.get_many(&keys, self.now)?;
         self.prefetched.extend(keys.into_iter().zip(entries));
         Ok(())
     }
 
-    /// A record's version and JSON.
+    /// The version and the JSON of a record.
     fn read(&mut self, key: &Key) -> Result<Option<(Revision, Vec<u8>)>, StoreError> {
         if let Some(written) = self.draft.get(key).or_else(|| self.staged.get(key)) {
             return Ok(written.clone().map(|value| (PENDING_REVISION, value)));
@@ -93,7 +95,7 @@
         Ok(Some((version, decode(key, &value)?)))
     }
 
-    /// A record that must exist and have the expected version, if there is one.
+    /// A record that must exist and, if a version is expected, must have that version.
     pub(super) fn require<T: DeserializeOwned>(
         &mut self,
         key: &Key,
@@ -104,24 +106,25 @@
         Ok((found, record))
     }
 
-    /// Writes a record.
+    /// Writes a record, as a part of the current command.
     pub(super) fn put<T: Serialize>(&mut self, key: &Key, record: &T) -> Result<(), StoreError> {
         let value = encode(key, record)?;
         self.draft.insert(key.clone(), Some(value));
         Ok(())
     }
 
-    /// Removes a record.
+    /// Removes a record, as a part of the current command.
     pub(super) fn remove(&mut self, key: &Key) {
         self.draft.insert(key.clone(), None);
     }
 
-    /// A page of the store, without this group's writes. It becomes no condition.
+    /// Lists records in the store. The page does not show the pending writes of this group, and the listed records do
+    /// not become conditions.
     pub(super) fn list(&mut self, query: &Query) -> Result<Page, StoreError> {
         self.store.list(query, self.now)
     }
 
-    /// A counter's value; 0 before it is first set.
+    /// The value of a counter; 0 before it is first set.
     pub(super) fn counter(&mut self, name: &str) -> Result<u64, StoreError> {
         Ok(self.get(&counter_key(name))?.map_or(0, |(_, count)| count))
     }
@@ -130,7 +133,7 @@
         self.put(&counter_key(name), &count)
     }
 
-    /// Adds an entry to the audit trail.
+    /// Adds an entry to the audit trail, as a part of the current command.
     pub(super) fn audit(&mut self, actor: &Actor, note: AuditNote) -> Result<(), StoreError> {
         let number = self.counter(LAST_AUDIT_NUMBER)? + 1;
         self.set_counter(LAST_AUDIT_NUMBER, number)?;
@@ -146,8 +149,8 @@
         self.put(&Key::new(Collection::Audit, AuditEntry::key_name(number)), &entry)
     }
 
-    /// Adds the present command's writes to the group. Returns `false`, with the writes discarded, if the group would
-    /// become too large: the command must be decided again in the next group.
+    /// Adds the writes of the current command to the batch. If the batch would become too large, discards them and
+    /// returns `false`: the command must be decided again in the next batch.
     pub(super) fn stage_draft(&mut self) -> bool {
         let fits = fits(self.staged.len(), self.draft.len(), Batch::MAX_OPERATIONS)
             && fits(size_bytes(&self.staged), size_bytes(&self.draft), Batch::MAX_BYTES)
@@ -161,7 +164,8 @@
         true
     }
 
-    /// Forgets the present command's writes and what only it has read.
+    /// Discards the writes of the current command, and removes the records that only this command has read from the
+    /// conditions.
     pub(super) fn discard_draft(&mut self) {
         self.draft.clear();
         for key in self.read_by_draft.drain(..) {
@@ -171,12 +175,12 @@
         }
     }
 
-    /// Whether the group writes anything.
+    /// Whether any staged command writes a record.
     pub(super) fn has_writes(&self) -> bool {
         !self.staged.is_empty()
     }
 
-    /// The whole group as one batch.
+    /// The conditions and writes of all staged commands as one batch.
     pub(super) fn into_batch(self) -> Batch {
         let condition = |(key, entry): (Key, Option<Entry>)| match entry {
             Some(entry) => Condition::AtRevision(key, entry.revision),
@@ -201,7 +205,7 @@
     }
 }
 
-/// Whether a group may grow. The first command of a group always fits.
+/// Whether a batch may grow by `added`. The first command always fits.
 fn fits(present: usize, added: usize, maximum: usize) -> bool {
     present == 0 || present + added <= maximum
 }
@@ -210,7 +214,7 @@
     writes.iter().map(|(key, value)| write_size_bytes(key, value.as_deref())).sum()
 }
 
-/// A record as the audit trail shows it.
+/// A record as JSON for the audit trail.
 pub(super) fn to_audit_value<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or_default()
 }
--- a/crates/store/src/commands/usage.rs
+++ b/crates/store/src/commands/usage.rs
@@ -1,8 +1,8 @@
-//! Recording usage, and removing expired records.
+//! Commands that record usage and remove expired records.
 //!
-//! Usage is stored in chunks of ids: a report about 10,000 tenants writes 157 chunks rather than 10,000 records, and
-//! one tenant's day is read without the others'. Chunks are written in several batches. A report that was interrupted
-//! is sent again and records what is missing.
+//! Usage is stored in chunks of 64 ids: a report about 10,000 tenants writes 157 chunks rather than 10,000 records, and
+//! a lookup of one tenant reads one chunk rather than the usage of all tenants. The chunks of a report are written in
+//! several batches. A report that was interrupted is sent again, which records the missing chunks.
 
 use super::keys::NEXT_TENANT_ID;
 use super::reply::Reply;
@@ -18,21 +18,21 @@
 const MINUTES_PER_HOUR: u64 = 60;
 const HOURS_PER_DAY: u64 = 24;
 
-/// For how many minutes usage by minute is kept: two days.
+/// The number of minutes for which usage by minute is kept: two days.
 const MINUTE_RETENTION_MINUTES: u64 = 2 * HOURS_PER_DAY * MINUTES_PER_HOUR;
-/// For how many hours usage by hour is kept: about three months. Usage by day is kept for ever.
+/// The number of hours for which usage by hour is kept: 93 days. Usage by day is kept forever.
 const HOUR_RETENTION_HOURS: u64 = 93 * HOURS_PER_DAY;
 
-/// The most records that one command removes, well within a batch.
+/// The maximum number of records that one command removes: fewer than the maximum operations of a batch.
 const MAX_REMOVALS: usize = 90;
 
-/// Records that a chunk writes: its minute, hour and day.
+/// The number of records that are written for a chunk: those of the minute, the hour and the day.
 const RECORDS_PER_CHUNK: usize = 3;
 
 /// The usage of a chunk of ids in one minute, by id.
 type ChunkUsage = BTreeMap<u32, Usage>;
 
-/// Records a whole report, in as many batches as it needs.
+/// Records a whole report in as many batches as necessary.
 pub(super) fn record(store: &mut dyn Store, report: &UsageReport, now: Micros) -> Result<Reply, StoreError> {
     let mut pending: Vec<(u32, ChunkUsage)> = split_into_chunks(report).into_iter().collect();
     let mut any_new = false;
@@ -57,7 +57,7 @@
     Ok(Reply::UsageRecorded { new: any_new })
 }
 
-/// The report by chunk, without ids that used nothing.
+/// Splits a report into chunks, without the ids that have no usage.
 fn split_into_chunks(report: &UsageReport) -> BTreeMap<u32, ChunkUsage> {
     let mut chunks: BTreeMap<u32, ChunkUsage> = BTreeMap::new();
     for (id, usage) in &report.usage_by_id {
@@ -68,15 +68,15 @@
     chunks
 }
 
-/// What one transaction holds of a report.
+/// The chunks of a report that are staged in one transaction.
 struct StagedChunks {
-    /// How many chunks.
+    /// The number of chunks.
     chunks: usize,
-    /// Whether any of them was not recorded before.
+    /// Whether any of the chunks had not been recorded before.
     any_new: bool,
 }
 
-/// Adds as many chunks to the transaction as fit.
+/// Stages as many of the pending chunks as fit into one batch.
 fn stage_chunks(
     transaction: &mut Transaction<'_>,
     report: &UsageReport,
@@ -97,7 +97,7 @@
     Ok(staged)
 }
 
-/// The records that a report changes for one chunk.
+/// The keys of the records that a report changes for one chunk.
 struct ChunkKeys {
     minute: Key,
     hour: Key,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Records one chunk; `false` if it was recorded before.
+/// Records one chunk. Returns `false` if the same usage had been recorded before.
 fn record_chunk(
     transaction: &mut Transaction<'_>,
     report: &UsageReport,
@@ -162,7 +162,7 @@
     let more = expired.len() >= MAX_REMOVALS;
     expired.truncate(MAX_REMOVALS);
     for key in &expired {
-        // Read, so that a record which was written again meanwhile is not removed.
+        // Reading the record makes its version a condition: a record that was meanwhile written again is not removed.
         transaction.get::<serde_json::Value>(key)?;
         transaction.remove(key);
     }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Adds expired usage by minute and hour until there is enough to remove.
+/// Adds the keys of expired usage by minute and hour to `expired`, up to about [`MAX_REMOVALS`] keys.
 fn find_expired_usage(transaction: &mut Transaction<'_>, expired: &mut Vec<Key>) -> Result<(), StoreError> {
     let minute = transaction.now / MICROS_PER_MINUTE;
     let hour = minute / MINUTES_PER_HOUR;
--- a/crates/store/src/commands/usage_keys.rs
+++ b/crates/store/src/commands/usage_keys.rs
@@ -1,22 +1,22 @@
-//! Keys of usage records: `GRANULARITY/CHUNK/INTERVAL/INSTANCE`, so that intervals of one chunk follow each other.
+//! Keys of usage records: `GRANULARITY/CHUNK/INTERVAL/INSTANCE`, so that the records of a chunk sort by interval.
 
 use crate::key::{Collection, Key};
 use crate::record::MICROS_PER_MINUTE;
 use serde::{Deserialize, Serialize};
 use shorewharf_units::Micros;
 
-/// Ids in a chunk, which makes a chunk a few kilobytes.
+/// The number of ids in a chunk. With 64 ids the record of a chunk has a few kilobytes.
 pub(super) const IDS_PER_CHUNK: u32 = 64;
 
 /// The length of the intervals over which usage is summed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Granularity {
-    /// Minutes, kept for two days.
+    /// Usage by minute, which is kept for two days.
     Minute,
-    /// Hours, kept for 93 days.
+    /// Usage by hour, which is kept for 93 days.
     Hour,
-    /// Days (UTC), kept for ever.
+    /// Usage by day (UTC), which is kept forever.
     Day,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The letter of the granularity in keys.
+    /// The letter that stands for the granularity in keys.
     pub(super) const fn key_letter(self) -> char {
         match self {
             Granularity::Minute => 'm',
@@ -45,18 +45,19 @@
     }
 }
 
-/// The key of what an instance used in an interval, counted since 1970 in the granularity's unit.
+/// The key of the usage that an instance reported. `interval` is counted from the start of 1970 in units of the
+/// granularity.
 pub(super) fn usage_key(granularity: Granularity, chunk: u32, interval: u64, instance: &str) -> Key {
     let prefix = key_prefix(granularity, chunk);
     Key::new(Collection::Usage, format!("{prefix}{interval:010}/{instance}"))
 }
 
-/// The prefix of the names of all usage records of a granularity and chunk.
+/// The prefix of the names of all usage records of a granularity and a chunk.
 pub(super) fn key_prefix(granularity: Granularity, chunk: u32) -> String {
     format!("{}/{chunk:08}/", granularity.key_letter())
 }
 
-/// The interval in the name of a usage record.
+/// Parses the interval in the name of a usage record.
 pub(super) fn parse_interval(name: &str) -> Option<u64> {
     name.split('/').nth(2)?.parse().ok()
 }
