--- a/crates/store/src/commands/tokens.rs
+++ b/crates/store/src/commands/tokens.rs
@@ -1,4 +1,4 @@
-//! Creating and revoking tokens.
+//! Commands that create and revoke tokens.
 
 use super::keys::{id_assignment_key, token_key};
 use super::reply::{PENDING_REVISION, Reply};
@@ -16,7 +16,7 @@
     if let Role::TenantAdmin(id) = new.role {
         let assignment = transaction.get::<IdAssignment>(&id_assignment_key(id))?;
         if assignment.is_none_or(|(_, assignment)| assignment.removed.is_some()) {
-            return Err(InvalidValue::new("place", format!("no tenant stands at {id}")).into());
+            return Err(InvalidValue::new("place", format!("no tenant has {id}")).into());
         }
     }
     let minted = TokenRecord::mint(new.clone(), seed, transaction.now)?;
@@ -36,7 +36,7 @@
     Ok(Reply::Token { token, text: Some(minted.text) })
 }
 
-/// Revokes a token. Revoking it again succeeds and changes nothing.
+/// Revokes a token. Revoking a revoked token succeeds and changes nothing.
 pub(super) fn revoke(
     transaction: &mut Transaction<'_>,
     actor: &Actor,
