--- a/crates/store/src/embedded/head.rs
+++ b/crates/store/src/embedded/acknowledged.rs
@@ -1,6 +1,7 @@
-//! The last acknowledged revision, in a small file beside the store's.
+//! The last acknowledged revision, kept in the file `FILE.head` beside the store's file.
 //!
-//! The file is not synced: after a power cut it may be behind, which loses a check but does no harm.
+//! The file is not synced. After a power cut it may hold an older revision; the check on opening is then weaker, but
+//! never rejects an intact store.
 
 use crate::files::sibling_path;
 use crate::revision::Revision;
@@ -10,23 +11,24 @@
 use std::path::{Path, PathBuf};
 use twox_hash::XxHash3_64;
 
-/// Bytes that are read at most; the file has 16.
+/// The most bytes that are read; an intact file has 16: the revision and its checksum.
 const MAX_FILE_BYTES: u64 = 64;
 
-/// Records which revision was acknowledged last.
+/// Reads and writes the file with the last acknowledged revision.
 pub(super) struct AcknowledgedRevision {
-    /// `None` for a store that is not in a file.
+    /// `None` for a store that is not in a file; nothing is recorded then.
     path: Option<PathBuf>,
+    /// Opened at the first write.
     file: Option<File>,
 }
 
 impl AcknowledgedRevision {
-    /// The file beside `store`, if that is a file.
+    /// For the store in the file `store`, or for one that is not in a file.
     pub(super) fn beside(store: Option<&Path>) -> AcknowledgedRevision {
         AcknowledgedRevision { path: store.map(|path| sibling_path(path, "head")), file: None }
     }
 
-    /// The last acknowledged revision; `None` if it is not known.
+    /// The last acknowledged revision; `None` if the file is missing or damaged.
     pub(super) fn read(&self) -> Option<Revision> {
         let mut bytes = Vec::new();
         File::open(self.path.as_ref()?).ok()?.take(MAX_FILE_BYTES).read_to_end(&mut bytes).ok()?;
@@ -38,7 +40,7 @@
         Some(Revision(u64::from_le_bytes(revision.try_into().ok()?)))
     }
 
-    /// Records a revision. A failure to do so loses a check, not a change.
+    /// Records a revision. Failures are ignored: they weaken the check on opening, but lose no change.
     pub(super) fn write(&mut self, revision: Revision) {
         let Some(path) = &self.path else { return };
         if self.file.is_none() {
--- a/crates/store/src/embedded/backup_file.rs
+++ b/crates/store/src/embedded/backup_file.rs
@@ -1,4 +1,4 @@
-//! Database files other than the store's own: a backup being written, and one being read without changing it.
+//! Database files for backups: writing a new one, and opening an existing one without changing it.
 
 use super::location::{StorageFactory, create_database};
 use super::tables::{PutEntry, fill_database};
@@ -10,10 +10,10 @@
 use std::fs;
 use std::path::Path;
 
-/// The largest backup that is read into memory.
+/// The size of the largest backup that is read into memory.
 const MAX_BACKUP_BYTES: u64 = 4 << 30;
 
-/// Reads a file into memory. Each storage is a copy of it, so that the file is never changed.
+/// Reads a file into memory. Each storage from the factory is a fresh copy of it, so the file is never changed.
 pub(crate) fn file_in_memory(path: &Path) -> Result<StorageFactory, StoreError> {
     let location = path.display().to_string();
     let length = fs::metadata(path).map_err(|e| io_error(&location, &e))?.len();
@@ -32,7 +32,8 @@
     }))
 }
 
-/// Creates a database file with the records that `put_all` puts, and returns the revision that it gives.
+/// Creates a database file from the entries that `put_all` inserts. Sets its revision to the one that `put_all`
+/// returns, and returns that.
 pub(crate) fn create_backup_file(
     path: &Path,
     put_all: impl FnOnce(PutEntry<'_>) -> Result<Revision, StoreError>,
--- a/crates/store/src/embedded/checksummed.rs
+++ b/crates/store/src/embedded/checksummed.rs
@@ -1,8 +1,9 @@
-//! Storage that remembers the checksum of every block it has read or written, and fails on a block that has changed.
+//! A storage backend that remembers the checksum of every block it has read or written, and fails to read a block that
+//! no longer matches.
 //!
-//! The engine verifies all pages when a file is opened, and trusts what it reads later. A page that is damaged while the
-//! store runs could make it miss a record that exists. With this storage below it, whatever was verified or written is
-//! read back unchanged or not at all. It costs eight bytes for each block.
+//! The engine verifies all pages when a file is opened and trusts later reads, so a page that is damaged while the
+//! store is open could make it miss an existing record. On top of this backend, a read returns the data that was
+//! verified or written, or fails. Each block costs eight bytes of memory.
 
 use redb::{BackendError, StorageBackend};
 use std::collections::HashMap;
@@ -14,7 +15,7 @@
 /// The engine's page size.
 const BLOCK_BYTES: u64 = 4096;
 
-/// A storage and the checksums of its blocks.
+/// Wraps a storage backend and verifies the checksums of its blocks.
 #[derive(Debug)]
 pub(super) struct ChecksummedStorage {
     storage: Box<dyn StorageBackend>,
@@ -23,15 +24,15 @@
 
 #[derive(Debug)]
 struct Blocks {
-    /// By the block's number. Never iterated over, so that its order does not matter.
+    /// The checksum of each known block, by block number. Never iterated over, so the order does not matter.
     checksums: HashMap<u64, u64>,
     /// The storage's length in bytes.
     length: u64,
 }
 
-/// Whole blocks that were read.
+/// The content of consecutive blocks.
 struct Span {
-    /// Where they begin in the storage.
+    /// The offset of the first block in the storage.
     offset: u64,
     bytes: Vec<u8>,
 }
@@ -41,7 +42,7 @@
         (self.offset / BLOCK_BYTES..).zip(self.bytes.chunks(BLOCK_BYTES as usize))
     }
 
-    /// The part of the span at an offset of the storage.
+    /// The `length` bytes at `offset` of the storage.
     fn part(&mut self, offset: u64, length: usize) -> &mut [u8] {
         let from = (offset - self.offset) as usize;
         &mut self.bytes[from..from + length]
@@ -59,10 +60,13 @@
         self.blocks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the blocks that cover a range, and verifies each.
+    /// Reads the blocks that cover a range. Verifies those with a known checksum and records the checksum of the
+    /// others.
     fn read_blocks(&self, blocks: &mut Blocks, offset: u64, length: u64) -> io::Result<Span> {
         if offset + length > blocks.length {
-            return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "ends before what should stand there"));
+            let cause =
+                format!("{length} bytes expected at byte {offset}, but the length is {}", blocks.length);
+            return Err(io::Error::new(io::ErrorKind::UnexpectedEof, cause));
         }
         let from = offset / BLOCK_BYTES * BLOCK_BYTES;
         let to = (offset + length).next_multiple_of(BLOCK_BYTES).min(blocks.length);
@@ -72,14 +76,15 @@
             let checksum = XxHash3_64::oneshot(block);
             if *blocks.checksums.entry(number).or_insert(checksum) != checksum {
                 let at = number * BLOCK_BYTES;
-                let cause = format!("the block at byte {at} has changed since it was written");
+                let cause = format!("the block at byte {at} has changed since it was last read or written");
                 return Err(io::Error::new(io::ErrorKind::InvalidData, cause));
             }
         }
         Ok(span)
     }
 
-    /// The blocks that cover a range as they are once `data` is written there.
+    /// The content that the blocks around `offset` have once `data` is written there. Blocks that are only partly
+    /// overwritten are read first.
     fn blocks_after_write(&self, blocks: &mut Blocks, offset: u64, data: &[u8]) -> io::Result<Span> {
         let end = offset + data.len() as u64;
         let ends_with_block = end.is_multiple_of(BLOCK_BYTES) || end >= blocks.length;
@@ -106,7 +111,7 @@
     fn set_len(&self, len: u64) -> io::Result<()> {
         let blocks = &mut *self.lock();
         self.storage.set_len(len)?;
-        // The block in which the end lies changes with it.
+        // The block that contains the old or new end gets another length, so its checksum is dropped too.
         let first_changed = blocks.length.min(len) / BLOCK_BYTES;
         blocks.checksums.retain(|&number, _| number < first_changed);
         blocks.length = len;
@@ -124,7 +129,7 @@
         for (number, block) in span.blocks() {
             match written {
                 Ok(()) => blocks.checksums.insert(number, XxHash3_64::oneshot(block)),
-                // It is not known how much was written.
+                // Any part of the block may have been written.
                 Err(_) => blocks.checksums.remove(&number),
             };
         }
--- a/crates/store/src/embedded/failure.rs
+++ b/crates/store/src/embedded/failure.rs
@@ -1,23 +1,23 @@
-//! Failures of the embedded engine, and what they mean for its caller.
+//! Failures of the embedded engine, and their conversion into store errors.
 
 use crate::error::StoreError;
 use crate::files::io_error;
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Why the engine gave no result.
+/// Why a call of the engine failed.
 #[derive(Debug)]
 pub(super) enum EngineFailure {
-    /// The store rejects the call; the engine is intact.
+    /// The store rejected the call; the database stays open.
     Rejected(StoreError),
-    /// The engine failed.
+    /// The engine returned an error, or its data is corrupt; the database must be closed.
     Engine(redb::Error),
-    /// The engine panicked.
+    /// The engine panicked with this message; the database must be closed.
     Panicked(String),
 }
 
 impl EngineFailure {
-    /// The failure as an error that names the file.
+    /// Converts the failure into an error about the file `location`.
     pub(super) fn into_store_error(self, location: &str) -> StoreError {
         let location = location.to_owned();
         match self {
@@ -34,7 +34,8 @@
         }
     }
 
-    /// A rejection after which the file must be closed, since its content can't be trusted.
+    /// Turns corruption that this module has found into a failure of the engine, so that the file is closed. Other
+    /// errors remain rejections.
     pub(super) fn corrupt(e: StoreError) -> EngineFailure {
         match e {
             StoreError::Corrupt { location, cause } => {
@@ -75,7 +76,7 @@
     TransactionError
 );
 
-/// Calls the engine. A panic in it becomes a failure.
+/// Calls the engine and converts a panic into a failure.
 pub(super) fn catch_panics<T, E: Into<EngineFailure>>(
     call: impl FnOnce() -> Result<T, E>,
 ) -> Result<T, EngineFailure> {
@@ -83,8 +84,8 @@
         Ok(result) => result.map_err(Into::into),
         Err(panic) => {
             let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no reason");
-            Err(EngineFailure::Panicked(format!("the engine gave up: {text}")))
+            let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no panic message");
+            Err(EngineFailure::Panicked(format!("the engine panicked: {text}")))
         }
     }
 }
--- a/crates/store/src/embedded/location.rs
+++ b/crates/store/src/embedded/location.rs
@@ -1,8 +1,8 @@
 //! Where the embedded engine keeps its database, and how the database is created and opened there.
 
+use super::acknowledged::AcknowledgedRevision;
 use super::checksummed::ChecksummedStorage;
 use super::failure::{EngineFailure, catch_panics};
-use super::head::AcknowledgedRevision;
 use super::tables::create_tables;
 use crate::error::StoreError;
 use crate::files::{copy_atomically, create_options, io_error, publish_with, sibling_path};
@@ -13,31 +13,33 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The engine's page cache in bytes: 10,000 tenants with their indexes fit several times.
+/// The size of the engine's page cache in bytes: several times what 10,000 tenants with their indexes need.
 const CACHE_BYTES: usize = 32 << 20;
 
-/// Gives the storage of a database that is not in a file, each time it is opened.
+/// Returns the storage of a database that is not in a file. Called each time the database is opened.
 pub type StorageFactory = Box<dyn FnMut() -> io::Result<Box<dyn StorageBackend>> + Send>;
 
-/// Whether the file of a store is created.
+/// Whether opening a store creates its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Create {
-    /// If it does not exist.
+    /// The file is created if it does not exist. Fails if the file is missing but a revision of it was acknowledged.
     IfMissing,
-    /// Never: it must exist.
+    /// The file must exist.
     Never,
-    /// Always: it must not exist, and replaces a lost file, whose revisions it continues. For restoring a backup.
+    /// The file must not exist; a new one is created. If the last acknowledged revision of a lost file is known, the
+    /// new file continues from it. For restoring a backup.
     Replacement,
 }
 
-/// Where the database is.
+/// Where the database is stored.
 pub(super) enum Location {
     File(PathBuf),
+    /// A storage that is not a file, for tests and for reading backups.
     Storage(StorageFactory),
 }
 
 impl Location {
-    /// A file, which is created if `create` says so.
+    /// The location of a database file, which is created according to `create`.
     pub(super) fn file(path: &Path, create: Create) -> Result<Location, StoreError> {
         let name = path.display().to_string();
         let is_missing = match fs::metadata(path) {
@@ -54,7 +56,7 @@
             (_, false, _) => {}
             (Create::Never, true, _) => return Err(StoreError::NotFound { key: name }),
             (Create::IfMissing, true, Some(acknowledged)) => {
-                let cause = format!("the file is gone, though {acknowledged} was acknowledged");
+                let cause = format!("the file is missing, but {acknowledged} was acknowledged");
                 return Err(StoreError::corrupt(name, cause));
             }
             (_, true, acknowledged) => {
@@ -77,7 +79,7 @@
         self.path().map_or_else(|| "storage".into(), |path| path.display().to_string())
     }
 
-    /// Opens the database and verifies every page.
+    /// Opens the database and verifies every page. Creates the tables if the storage is empty.
     pub(super) fn open(&mut self) -> Result<Database, EngineFailure> {
         let (storage, is_new) = self.open_storage()?;
         let mut builder = Builder::new();
@@ -89,7 +91,7 @@
         Ok(db)
     }
 
-    /// The storage, and whether it is empty.
+    /// Opens the storage. Also returns whether it is empty.
     fn open_storage(&mut self) -> Result<(Box<dyn StorageBackend>, bool), EngineFailure> {
         match self {
             Location::File(path) => {
@@ -104,14 +106,14 @@
         }
     }
 
-    /// Keeps a copy of the file before a migration from `schema`.
-    pub(super) fn keep_copy(&self, schema: u32) -> Result<(), StoreError> {
+    /// Copies the file to `FILE.schema-N` before a migration from schema N.
+    pub(super) fn back_up_before_migration(&self, schema: u32) -> Result<(), StoreError> {
         let Some(path) = self.path() else { return Ok(()) };
         copy_atomically(path, &sibling_path(path, &format!("schema-{schema}")))
     }
 }
 
-/// Creates a database file, completely or not at all.
+/// Creates a database file and fills it. The file appears under its name only once it is complete.
 pub(super) fn create_database(
     path: &Path,
     fill: impl FnOnce(&Database) -> Result<(), EngineFailure>,
--- a/crates/store/src/embedded/mod.rs
+++ b/crates/store/src/embedded/mod.rs
@@ -1,20 +1,21 @@
-//! The embedded engine: one file, managed by redb in this process.
+//! The embedded engine: a redb database in one file.
 //!
-//! redb writes pages copy-on-write and commits in two synced phases, so a killed process leaves the last transaction or
-//! the one before it, never a part of one. This module adds:
+//! redb writes pages copy-on-write and commits in two synced phases. After the process is killed, the file holds either
+//! the last transaction or the one before it, never part of one. This module adds:
 //!
-//! - checksums: every page's is verified when the file is opened, every record's (over its key, revision and JSON) each
-//!   time it is read, and the records of each collection are counted;
-//! - the last acknowledged revision in `FILE.head`. A file that is behind it (a damaged header, an old copy) is
-//!   rejected rather than served as if nothing were lost;
-//! - checksums of all blocks that were read or written, so that damage to the file of a running store is detected;
-//! - panics of redb on damaged pages become [`StoreError::Corrupt`]. The file is closed, and opened and verified again
-//!   at the next call.
+//! - verification: the checksum of every page is verified when the file is opened, and that of every record (over its
+//!   key, revision and JSON) each time the record is read. The number of records in each collection is stored and
+//!   compared when all records are read;
+//! - the last acknowledged revision in `FILE.head`. A file that is older than that revision (because its header is
+//!   damaged or it is an old copy) is rejected, since serving it would silently lose acknowledged changes;
+//! - checksums of all blocks that were read or written, so that damage to the file of an open store is detected;
+//! - conversion of redb's panics on damaged pages into [`StoreError::Corrupt`]. The file is then closed; the next call
+//!   opens and verifies it again.
 
+mod acknowledged;
 mod backup_file;
 mod checksummed;
 mod failure;
-mod head;
 mod location;
 mod row;
 mod tables;
@@ -27,8 +28,8 @@
 use crate::migrate;
 use crate::revision::Revision;
 use crate::store::{Batch, Change, Changes, Entry, Page, Query, Store, StoreHealth, Visitor};
+use acknowledged::AcknowledgedRevision;
 use failure::{EngineFailure, catch_panics};
-use head::AcknowledgedRevision;
 use location::Location;
 use redb::{Database, ReadableDatabase};
 use shorewharf_units::Micros;
@@ -36,33 +37,38 @@
 use std::path::Path;
 use tables::{ChangedKeys, TableReader};
 
-/// The most revisions that one answer about changes covers.
+/// The most revisions that one call of [`Store::changes`] returns.
 const MAX_REVISIONS_PER_READ: usize = 500;
 
-/// Revisions whose changes are retained. A reader that is further behind reads all records.
+/// The number of revisions whose changes are retained. A reader that is further behind must read all records.
 const RETAINED_REVISIONS: u64 = 4096;
 
 /// A store in one file.
 pub struct Embedded {
     location: Location,
-    /// `None` after a failure, until it is opened again.
+    /// `None` after a failure, until the next call opens it again.
     db: Option<Database>,
     acknowledged: AcknowledgedRevision,
+    /// The revision of the last committed transaction.
     revision: Revision,
+    /// When a call last succeeded.
     last_answer: Option<Micros>,
+    /// Why the engine last failed; `None` once a later call has succeeded.
     fault: Option<String>,
 }
 
 impl Embedded {
-    /// Opens the file, verifies all of it, and migrates it to this program's schema.
+    /// Opens the file, verifies every page, and migrates the records to this program's schema.
     ///
     /// # Errors
-    /// If the file is damaged, has a newer schema, is behind its acknowledged revision, or is open in another process.
+    /// If the file is damaged, has a newer schema, is older than its last acknowledged revision, is open in another
+    /// process, or exists or is missing against `create`.
     pub fn open(path: impl AsRef<Path>, create: Create, now: Micros) -> Result<Embedded, StoreError> {
         Embedded::open_at(Location::file(path.as_ref(), create)?, now)
     }
 
-    /// Opens a store on storage that `factory` gives, each time it is opened. For tests of failing storage.
+    /// Opens a store on the storage that `factory` returns, which is called again each time the store is reopened. For
+    /// backups that must not change, and for tests of failing storage.
     ///
     /// # Errors
     /// As [`Embedded::open`].
@@ -84,7 +90,7 @@
         Ok(store)
     }
 
-    /// Opens the file if a failure has closed it.
+    /// Opens the file if it is closed, and records why if that fails.
     fn ensure_open(&mut self, now: Micros) -> Result<(), StoreError> {
         if self.db.is_some() {
             return Ok(());
@@ -104,11 +110,11 @@
             return Err(StoreError::NewerSchema { location, found, supported: migrate::SCHEMA });
         }
         if let Some(acknowledged) = self.acknowledged.read().filter(|&revision| revision > version.revision) {
-            let cause = format!("ends at {}, though {acknowledged} was acknowledged", version.revision);
+            let cause = format!("the file ends at {}, but {acknowledged} was acknowledged", version.revision);
             return Err(StoreError::corrupt(name, cause));
         }
         if version.schema < migrate::SCHEMA {
-            self.location.keep_copy(version.schema)?;
+            self.location.back_up_before_migration(version.schema)?;
         }
         self.revision = catch_panics(|| tables::migrate_database(&db, version, now)).map_err(failed)?;
         self.acknowledged.write(self.revision);
@@ -119,14 +125,15 @@
     /// Closes the file; the next call opens it again.
     fn close(&mut self) {
         let db = self.db.take();
-        // After a failure the database may be in any state: a panic here adds nothing to it.
+        // After a failure the database may be in any state. A panic while it is dropped is ignored, since the file is
+        // verified when it is opened again.
         let _ = catch_panics(|| {
             drop(db);
             Ok::<(), EngineFailure>(())
         });
     }
 
-    /// Reads within one transaction.
+    /// Calls `read` within one read transaction. Closes the file if the engine fails.
     fn read<T>(
         &mut self,
         now: Micros,
@@ -153,8 +160,8 @@
         }
     }
 
-    /// Writes within one transaction. If it is not known whether it was committed, the file is opened again: as this
-    /// is the only writer, the revision shows it.
+    /// Calls `write`, which commits one transaction as the next revision. If the engine fails, the file is reopened to
+    /// see whether the transaction was committed: this process is the only writer, so the revision tells.
     fn write(
         &mut self,
         now: Micros,
@@ -173,7 +180,7 @@
         Ok(next)
     }
 
-    /// Finds out whether a failed write was committed as revision `next` all the same.
+    /// Reopens the file after a failed write. Succeeds if the write was committed as revision `next` nevertheless.
     fn resolve_failed_write(
         &mut self,
         e: EngineFailure,
@@ -199,7 +206,7 @@
     }
 }
 
-/// The newest change of each record, in the order of revisions.
+/// The newest change of each changed record, ordered by revision.
 fn newest_changes(reader: &TableReader<'_>, changed: &[ChangedKeys]) -> Result<Vec<Change>, EngineFailure> {
     let mut newest: BTreeMap<&String, Revision> = BTreeMap::new();
     for ChangedKeys { revision, keys } in changed {
@@ -210,7 +217,7 @@
     in_order.sort();
     let mut changes = Vec::with_capacity(in_order.len());
     for (revision, text) in in_order {
-        let key = Key::parse(text).ok_or_else(|| StoreError::corrupt(text, "is no key"))?;
+        let key = Key::parse(text).ok_or_else(|| StoreError::corrupt(text, "not a valid record key"))?;
         let value = reader.get(&key)?.map(|entry| entry.value);
         changes.push(Change { key, revision, value });
     }
@@ -269,7 +276,7 @@
     }
 
     fn verify(&mut self, now: Micros) -> Result<(), StoreError> {
-        // Opening the file verifies every page; visiting verifies every record.
+        // Opening the file verifies every page, and visiting verifies every record and the number of records.
         self.close();
         self.ensure_open(now)?;
         self.visit(&Collection::ALL, now, &mut |_| Ok(())).map(drop)
--- a/crates/store/src/embedded/tables.rs
+++ b/crates/store/src/embedded/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the embedded engine: reading them within one transaction, and the transactions that write them.
+//! The tables of the embedded engine, with the transactions that read and write them.
 
 use super::failure::EngineFailure;
 use super::row::{decode_row, encode_row};
@@ -15,37 +15,37 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Records by the text of their key, each as a row.
+/// Each record's row by the record's key as text.
 const RECORDS: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
-/// The texts of the keys that a revision changed, as JSON.
+/// By revision, the keys that it changed as a JSON array of their texts.
 const CHANGES: TableDefinition<u64, &[u8]> = TableDefinition::new("changes");
-/// The revision, the schema, and the number of records of each collection.
+/// The revision, the schema, and the number of records in each collection (under the collection's name).
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
 
 const REVISION: &str = "revision";
 const SCHEMA: &str = "schema";
 
-/// A transaction that forgets no earlier changes.
+/// The number of retained revisions for a transaction that discards no earlier changes.
 const RETAIN_ALL_CHANGES: u64 = u64::MAX;
 
 /// The keys that a revision changed.
 pub(super) struct ChangedKeys {
     pub(super) revision: Revision,
-    /// The keys' texts.
+    /// The keys as text.
     pub(super) keys: Vec<String>,
 }
 
-/// The changes after a revision, up to a limit.
+/// The changed keys of the revisions after a given one, up to a limit.
 pub(super) struct ChangedPage {
     pub(super) changed: Vec<ChangedKeys>,
-    /// Whether more follow.
+    /// Whether more revisions follow.
     pub(super) more: bool,
 }
 
 /// Records of a collection, up to a limit.
 pub(super) struct EntryPage {
     pub(super) entries: Vec<Entry>,
-    /// Whether more follow.
+    /// Whether more records follow.
     pub(super) more: bool,
 }
 
@@ -56,7 +56,7 @@
     pub(super) revision: Revision,
 }
 
-/// All tables within one reading transaction.
+/// All tables, opened in one read transaction.
 pub(super) struct TableReader<'t> {
     records: ReadOnlyTable<&'static str, &'static [u8]>,
     changes: ReadOnlyTable<u64, &'static [u8]>,
@@ -104,7 +104,7 @@
         Ok(EntryPage { entries, more: false })
     }
 
-    /// Calls the visitor with every record of a collection, and verifies their number.
+    /// Calls the visitor with every record of a collection, then compares their number with the stored one.
     pub(super) fn visit(
         &self,
         collection: Collection,
@@ -120,21 +120,21 @@
             visitor(decode_row(key.value(), value.value())?)?;
             visited += 1;
         }
-        let written = self.numbers.get(collection.as_str())?.map_or(0, |count| count.value());
-        if written != visited {
-            let cause = format!("{visited} records where {written} were written");
+        let expected = self.numbers.get(collection.as_str())?.map_or(0, |count| count.value());
+        if expected != visited {
+            let cause = format!("found {visited} records, expected {expected}");
             return Err(EngineFailure::corrupt(StoreError::corrupt(prefix, cause)));
         }
         Ok(())
     }
 
-    /// The revision after which all changes are retained; `newest` if none are.
+    /// The revision after which all changes are retained; `newest` if no changes are retained.
     pub(super) fn oldest_retained(&self, newest: Revision) -> Result<Revision, EngineFailure> {
         let first = self.changes.first()?;
         Ok(first.map_or(newest, |(revision, _)| Revision(revision.value().saturating_sub(1))))
     }
 
-    /// The keys that were changed after a revision, by revision.
+    /// The changed keys of up to `limit` revisions after `since`, ordered by revision.
     pub(super) fn changed_since(&self, since: Revision, limit: usize) -> Result<ChangedPage, EngineFailure> {
         let mut changed = Vec::new();
         for row in self.changes.range((Bound::Excluded(since.0), Bound::Unbounded))? {
@@ -156,14 +156,15 @@
     let numbers = txn.open_table(NUMBERS)?;
     let read = |name| -> Result<u64, EngineFailure> {
         let number = numbers.get(name)?.map(|number| number.value());
-        number.ok_or_else(|| EngineFailure::corrupt(StoreError::corrupt(name, "is not there")))
+        let missing = || StoreError::corrupt(name, "missing in the table \"numbers\"");
+        number.ok_or_else(|| EngineFailure::corrupt(missing()))
     };
     let schema = u32::try_from(read(SCHEMA)?);
     let schema = schema.map_err(|e| EngineFailure::corrupt(StoreError::corrupt(SCHEMA, e)))?;
     Ok(DatabaseVersion { schema, revision: Revision(read(REVISION)?) })
 }
 
-/// Creates the tables of an empty store.
+/// Creates the tables of an empty store, which starts at `revision`.
 pub(super) fn create_tables(db: &Database, revision: Revision) -> Result<(), EngineFailure> {
     let txn = begin_write(db)?;
     txn.open_table(RECORDS)?;
@@ -211,7 +212,8 @@
     Ok(records)
 }
 
-/// Writes a batch as revision `next` if its conditions hold. Only the changes of the last `retained_revisions` are kept.
+/// Commits a batch as revision `next` if its conditions hold. Changes older than the last `retained_revisions` are
+/// discarded.
 pub(super) fn commit_batch(
     db: &Database,
     batch: &Batch,
@@ -227,7 +229,8 @@
     Ok(txn.commit()?)
 }
 
-/// Replaces all records. Earlier changes are forgotten, since the removals among them are not known.
+/// Replaces all records as revision `next`. All retained changes are discarded, since the table of changes does not
+/// list the records that the replacement removed.
 pub(super) fn replace_records(
     db: &Database,
     records: Vec<(Key, Vec<u8>)>,
@@ -250,11 +253,11 @@
     Ok(())
 }
 
-/// Puts one record into a backup.
+/// Inserts one record into a backup.
 pub(crate) type PutEntry<'a> = &'a mut dyn FnMut(Entry) -> Result<(), StoreError>;
 
-/// Fills a new database with the records that `put_all` puts, which keep their revisions, and returns the revision that
-/// `put_all` gives.
+/// Fills a new database with the entries that `put_all` inserts, which keep their revisions. Sets the database's
+/// revision to the one that `put_all` returns, and returns that.
 pub(super) fn fill_database(
     db: &Database,
     location: &str,
@@ -290,7 +293,8 @@
 
 fn begin_write(db: &Database) -> Result<WriteTransaction, EngineFailure> {
     let mut txn = db.begin_write()?;
-    // After one-phase commits a damaged last commit looks like an unfinished one and would be rolled back silently.
+    // With one-phase commits a damaged last commit can't be told from an unfinished one and would silently be rolled
+    // back.
     txn.set_two_phase_commit(true);
     Ok(txn)
 }
@@ -320,7 +324,8 @@
     }
 }
 
-/// Writes records as revision `next`.
+/// Writes records as revision `next`, updates the counts and the list of changes, and discards changes older than the
+/// last `retained_revisions`.
 fn write_records(
     txn: &WriteTransaction,
     writes: &[(Key, Option<Vec<u8>>)],
@@ -339,7 +344,7 @@
         *growth.entry(key.collection).or_default() += i64::from(value.is_some()) - i64::from(had_value);
         changed.push(text);
     }
-    grow_counts(txn, &growth)?;
+    update_counts(txn, &growth)?;
     txn.open_table(NUMBERS)?.insert(REVISION, next.0)?;
     let mut changes = txn.open_table(CHANGES)?;
     let keys = serde_json::to_vec(&changed).map_err(|e| StoreError::corrupt("changes", e))?;
@@ -350,12 +355,14 @@
     Ok(())
 }
 
-fn grow_counts(txn: &WriteTransaction, growth: &BTreeMap<Collection, i64>) -> Result<(), EngineFailure> {
+fn update_counts(txn: &WriteTransaction, growth: &BTreeMap<Collection, i64>) -> Result<(), EngineFailure> {
     let mut numbers = txn.open_table(NUMBERS)?;
-    for (collection, by) in growth.iter().filter(|(_, by)| **by != 0) {
+    for (collection, growth) in growth.iter().filter(|(_, growth)| **growth != 0) {
         let count = numbers.get(collection.as_str())?.map_or(0, |count| count.value());
-        let Some(count) = count.checked_add_signed(*by) else {
-            let e = StoreError::corrupt(collection.as_str(), "fewer records than none");
+        let Some(count) = count.checked_add_signed(*growth) else {
+            let cause =
+                format!("the stored count is {count}, but {} records were removed", growth.unsigned_abs());
+            let e = StoreError::corrupt(collection.as_str(), cause);
             return Err(EngineFailure::corrupt(e));
         };
         numbers.insert(collection.as_str(), count)?;
--- a/crates/store/src/embedded/tables/tests.rs
+++ b/crates/store/src/embedded/tables/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of migrations in a file.
+//! Tests of schema checks and migrations when a file is opened.
 
 use super::*;
 use crate::commands::{ChangeRequest, Command, execute};
@@ -15,18 +15,18 @@
 }
 
 #[test]
-fn a_file_of_an_older_program_moves_forward_and_one_of_a_newer_is_refused_by_name() {
+fn an_older_schema_is_migrated_and_a_newer_one_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("store");
     let mut store = Embedded::open(&path, Create::IfMissing, 0).unwrap();
     let create = |store: &mut Embedded, name| {
-        let call = Command::CreateTenant(NewTenant::named(TenantName::new(name).unwrap()));
-        execute(store, &[ChangeRequest::new(Actor::File, call)], 0).remove(0)
+        let command = Command::CreateTenant(NewTenant::named(TenantName::new(name).unwrap()));
+        execute(store, &[ChangeRequest::new(Actor::File, command)], 0).remove(0)
     };
     create(&mut store, "pay").unwrap();
-    // The file as schema 1 left it: without an index of confusable names.
-    let looks = store.list(&Query::all(Collection::ConfusableName), 0).unwrap().entries;
-    let writes = looks.into_iter().map(|entry| (entry.key, None)).collect();
+    // Turn the file into one of schema 1, which had no index of confusable names.
+    let index_entries = store.list(&Query::all(Collection::ConfusableName), 0).unwrap().entries;
+    let writes = index_entries.into_iter().map(|entry| (entry.key, None)).collect();
     store.apply(&Batch { conditions: vec![], writes }, 0).unwrap();
     drop(store);
     set_schema(&path, 1);
@@ -34,7 +34,7 @@
     assert!(matches!(create(&mut store, "рау"), Err(StoreError::ConfusableName { .. })));
     assert_eq!(crate::check::check(&mut store, 0).unwrap(), []);
     drop(store);
-    assert!(dir.path().join("store.schema-1").exists(), "no copy of the old file was kept");
+    assert!(dir.path().join("store.schema-1").exists(), "the file was not copied before the migration");
     set_schema(&path, 3);
     let e = Embedded::open(&path, Create::Never, 0).map(drop).unwrap_err().to_string();
     assert!(e.ends_with("store: has schema 3; this program knows schemas up to 2"), "{e}");
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -143,10 +143,10 @@
     std::fs::rename(&path, &moved).unwrap();
     std::fs::copy(&old, &path).unwrap();
     let refused = Embedded::open(&path, Create::Never, NOW).map(drop).unwrap_err().to_string();
-    assert!(refused.ends_with("ends at revision 1, though revision 2 was acknowledged"), "{refused}");
+    assert!(refused.ends_with("the file ends at revision 1, but revision 2 was acknowledged"), "{refused}");
     std::fs::remove_file(&path).unwrap();
     let refused = Embedded::open(&path, Create::IfMissing, NOW).map(drop).unwrap_err().to_string();
-    assert!(refused.ends_with("the file is gone, though revision 2 was acknowledged"), "{refused}");
+    assert!(refused.ends_with("the file is missing, but revision 2 was acknowledged"), "{refused}");
     // Restored on purpose: ids that the lost store assigned after the backup are not assigned again.
     let actor = Actor::console("operator").unwrap();
     let taken = restore_anew(&path, &old, &actor, NOW).unwrap();
