--- a/crates/store/src/replicated/api.rs
+++ b/crates/store/src/replicated/api.rs
@@ -1,16 +1,16 @@
-//! Messages of etcd's v3 API in the JSON form of its gateway: 64-bit numbers are strings, keys and values are base64,
-//! and responses leave out what is zero or empty.
+//! Messages of etcd's v3 API in the JSON encoding of its gateway: 64-bit numbers are strings, keys and values are
+//! base64, and responses omit fields that are zero or empty.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// gRPC's code for "out of range": the requested revision is compacted away.
+/// gRPC's code for "out of range": the requested revision has been compacted.
 const GRPC_OUT_OF_RANGE: u32 = 11;
 /// gRPC's code for "resource exhausted".
 const GRPC_RESOURCE_EXHAUSTED: u32 = 8;
 
-/// Bytes in base64.
+/// Bytes, encoded as base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Bytes(pub(super) Vec<u8>);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A 64-bit number as a string; some versions of etcd write it as a number.
+/// A 64-bit number, encoded as a string. Decoding also accepts a JSON number, which some versions of etcd send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Number(pub(super) u64);
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Which cluster a response comes from, and the cluster's revision.
+/// The header of a response: the cluster that sent it, and the cluster's revision.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct ResponseHeader {
@@ -70,7 +70,7 @@
     pub(super) revision: Number,
 }
 
-/// A response with a header.
+/// A response that contains a header.
 pub(super) trait HasHeader {
     fn header(&self) -> &ResponseHeader;
 }
@@ -80,11 +80,11 @@
 pub(super) struct KeyValue {
     pub(super) key: Bytes,
     pub(super) value: Bytes,
-    /// The revision that last changed the key.
+    /// The revision of the last change of the key.
     pub(super) mod_revision: Number,
 }
 
-/// Reads one key, or all from `key` up to `range_end`.
+/// Reads one key, or all keys from `key` up to but not including `range_end`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct RangeRequest {
     pub(super) key: Bytes,
@@ -92,14 +92,14 @@
     pub(super) range_end: Option<Bytes>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) limit: Option<Number>,
-    /// Reads as of this revision.
+    /// The revision to read at; the newest one if `None`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) revision: Option<Number>,
 }
 
 impl RangeRequest {
     /// Reads one key.
-    pub(super) fn one(key: Bytes) -> RangeRequest {
+    pub(super) fn single(key: Bytes) -> RangeRequest {
         RangeRequest { key, ..RangeRequest::default() }
     }
 }
@@ -128,9 +128,9 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE", tag = "target")]
 pub(super) enum Compare {
-    /// The key was created in this revision; 0 if it does not exist.
+    /// The key was created at this revision, or does not exist if it is 0.
     Create { key: Bytes, create_revision: Number, result: &'static str },
-    /// The key was last changed in this revision.
+    /// The key was last changed at this revision.
     Mod { key: Bytes, mod_revision: Number, result: &'static str },
     /// The key has this value.
     Value { key: Bytes, value: Bytes, result: &'static str },
@@ -166,7 +166,7 @@
 impl RequestOp {
     /// Reads one key.
     pub(super) fn get(key: Bytes) -> RequestOp {
-        RequestOp::Range(RangeRequest::one(key))
+        RequestOp::Range(RangeRequest::single(key))
     }
 
     pub(super) fn put(key: Bytes, value: Bytes) -> RequestOp {
@@ -174,7 +174,8 @@
     }
 }
 
-/// Does the operations of `success` if all conditions hold, else those of `failure`.
+/// A transaction: executes the operations of `success` if all conditions in `compare` hold, otherwise those of
+/// `failure`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct TxnRequest {
     pub(super) compare: Vec<Compare>,
@@ -191,8 +192,8 @@
 }
 
 impl TxnResponse {
-    /// The first key of each operation's response.
-    pub(super) fn into_first_of_each(self) -> impl Iterator<Item = Option<KeyValue>> {
+    /// For each operation, the first key and value of its response, if it read any.
+    pub(super) fn into_first_key_values(self) -> impl Iterator<Item = Option<KeyValue>> {
         self.responses.into_iter().map(|response| response.response_range?.into_first())
     }
 }
@@ -221,7 +222,7 @@
     pub(super) start_revision: Number,
 }
 
-/// One line of a watch's response.
+/// One line of the response to a watch request.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct WatchLine {
@@ -252,7 +253,7 @@
     }
 }
 
-/// The response to a request that failed.
+/// The body of the response to a failed request.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct ErrorResponse {
@@ -261,12 +262,12 @@
 }
 
 impl ErrorResponse {
-    /// Whether the requested revision is compacted away.
+    /// Whether the requested revision has been compacted.
     pub(super) fn is_compacted(&self) -> bool {
         self.code == GRPC_OUT_OF_RANGE
     }
 
-    /// Whether the cluster has no space left for values.
+    /// Whether the cluster's storage quota is exceeded.
     pub(super) fn is_no_space(&self) -> bool {
         self.code == GRPC_RESOURCE_EXHAUSTED && self.message.contains("space")
     }
--- a/crates/store/src/replicated/generations.rs
+++ b/crates/store/src/replicated/generations.rs
@@ -1,4 +1,5 @@
-//! All records at once: read at one revision, replaced by switching to a new generation, migrated to another schema.
+//! Operations on all records: reading them at one revision, replacing them by switching to a new generation, and
+//! migrating them to another schema.
 
 use super::api::{Bytes, Compare, Number, RangeRequest, RequestOp, TxnRequest, TxnResponse};
 use super::client::CallFailure;
@@ -10,11 +11,11 @@
 use crate::store::{Batch, Visitor};
 use shorewharf_units::Micros;
 
-/// The most records that one call reads.
+/// The most records that one request reads.
 const RECORDS_PER_READ: u64 = 500;
 
 impl Replicated {
-    /// Calls the visitor with the records of a generation as of one revision, which is returned.
+    /// Calls the visitor with the records of a generation as of one revision, and returns that revision.
     pub(super) fn visit_generation(
         &mut self,
         description: &Description,
@@ -26,7 +27,7 @@
         let mut revision = None;
         for collection in collections {
             let mut from = self.keyspace.record(generation, &format!("{}/", collection.as_str()));
-            // `0` is the next character after `/`.
+            // The range ends before `0`, the next character after `/`.
             let end = self.keyspace.record(generation, &format!("{}0", collection.as_str()));
             loop {
                 let request = RangeRequest {
@@ -47,20 +48,21 @@
                 from = Bytes([&last_key.0[..], b"\0"].concat());
             }
         }
-        // If the generation had been replaced before this was read, its records would have been gone.
+        // The records of a replaced generation are removed, so the pages are complete only if the generation is still
+        // the present one.
         if self.read_description(now)?.as_ref() != Some(description) {
-            return Err(self.being_replaced());
+            return Err(self.replacement_in_progress());
         }
         Ok(revision.map_or(Revision(0), |revision| Revision(revision.0)))
     }
 
     fn read_description(&mut self, now: Micros) -> Result<Option<Description>, StoreError> {
-        let found = self.client.range(&RangeRequest::one(self.keyspace.description()), now)?;
+        let found = self.client.range(&RangeRequest::single(self.keyspace.description()), now)?;
         Ok(found.into_first().and_then(|kv| serde_json::from_slice(&kv.value.0).ok()))
     }
 
-    /// Writes records as a new generation and switches to it; with `head`, only if nothing else was written since that
-    /// revision. A generation that is not switched to is removed with the next switch.
+    /// Writes records as a new generation and switches to it. With `head`, the switch fails if anything was written
+    /// after that revision. A generation that was never switched to is removed after the next switch.
     pub(super) fn replace_generation(
         &mut self,
         stored: &StoredDescription,
@@ -78,7 +80,7 @@
         Ok(revision)
     }
 
-    /// Writes all records of a generation that nobody reads yet, in as many transactions as they need.
+    /// Writes the records of a generation that is not in use yet, in as many transactions as needed.
     fn write_generation(
         &mut self,
         generation: &str,
@@ -91,15 +93,15 @@
             let record_bytes = key.name.len() + value.len();
             batch_bytes += record_bytes;
             if !puts.is_empty() && (puts.len() == Batch::MAX_OPERATIONS || batch_bytes > Batch::MAX_BYTES) {
-                self.make_all(std::mem::take(&mut puts), now)?;
+                self.execute_idempotent(std::mem::take(&mut puts), now)?;
                 batch_bytes = record_bytes;
             }
             puts.push(RequestOp::put(self.keyspace.record(generation, &key.text()), Bytes(value)));
         }
-        self.make_all(puts, now)
+        self.execute_idempotent(puts, now)
     }
 
-    /// Replaces the store's description, and returns the revision.
+    /// Replaces the store's description by one with another generation, and returns the revision of that transaction.
     fn switch_generation(
         &mut self,
         stored: &StoredDescription,
@@ -107,7 +109,7 @@
         head: Option<Revision>,
         now: Micros,
     ) -> Result<Revision, StoreError> {
-        let mut compare = vec![self.is_described_as(stored)];
+        let mut compare = vec![self.description_is(stored)];
         compare.extend(head.map(|head| Compare::at_revision(self.keyspace.head(), head.0)));
         let request = TxnRequest {
             compare,
@@ -118,7 +120,7 @@
             failure: vec![RequestOp::get(self.keyspace.description())],
         };
         self.description = None;
-        // May be made twice: if the answer to the first was lost, the second finds its description.
+        // Retrying is safe: if the first attempt was executed, the retry reads the description that it wrote.
         let response: TxnResponse =
             self.client.idempotent_txn(&request, now).map_err(|failure| match failure {
                 CallFailure::OutcomeUnknown(e) => StoreError::OutcomeUnknown {
@@ -130,21 +132,21 @@
         if response.succeeded {
             return Ok(Revision(response.header.revision.0));
         }
-        match response.into_first_of_each().next().flatten() {
+        match response.into_first_key_values().next().flatten() {
             Some(kv) if kv.value.0 == next.bytes => Ok(Revision(kv.mod_revision.0)),
-            _ => Err(self.being_replaced()),
+            _ => Err(self.replacement_in_progress()),
         }
     }
 
-    /// Removes all generations but one. What is left if that fails is removed with the next switch.
+    /// Removes all generations but one. If that fails, the leftovers are removed after the next switch.
     fn remove_other_generations(&mut self, generation: &str, now: Micros) {
         let ranges = self.keyspace.other_generations(generation);
         let deletes = ranges.map(|range| RequestOp::Delete { key: range.from, range_end: Some(range.end) });
-        let _ = self.make_all(deletes.into(), now);
+        let _ = self.execute_idempotent(deletes.into(), now);
     }
 
-    /// Makes operations that may be made twice.
-    fn make_all(&mut self, operations: Vec<RequestOp>, now: Micros) -> Result<(), StoreError> {
+    /// Executes idempotent operations in one transaction, if there are any.
+    fn execute_idempotent(&mut self, operations: Vec<RequestOp>, now: Micros) -> Result<(), StoreError> {
         if operations.is_empty() {
             return Ok(());
         }
@@ -152,7 +154,8 @@
         self.client.idempotent_txn(&request, now).map(drop).map_err(CallFailure::into_store_error)
     }
 
-    /// Migrates the records to this program's schema: a new generation, switched to if nobody wrote meanwhile.
+    /// Migrates the records to this program's schema. Writes them as a new generation, which is switched to only if no
+    /// instance has written meanwhile.
     pub(super) fn migrate(&mut self, stored: &StoredDescription, now: Micros) -> Result<(), StoreError> {
         let head = self.head(now)?;
         let mut records = Records::new();
--- a/crates/store/src/replicated/keyspace.rs
+++ b/crates/store/src/replicated/keyspace.rs
@@ -1,4 +1,4 @@
-//! Keys of the store in etcd: records under `PREFIX/GENERATION/`, the engine's own under `PREFIX/engine/`.
+//! The store's keys in etcd: records under `PREFIX/GENERATION/`, the engine's own keys under `PREFIX/engine/`.
 
 use super::api::{Bytes, KeyValue};
 use crate::error::{InvalidValue, StoreError};
@@ -6,13 +6,13 @@
 use crate::revision::Revision;
 use crate::store::Entry;
 
-/// The keys from `from` up to `end`.
+/// The keys from `from` up to but not including `end`.
 pub(super) struct KeyRange {
     pub(super) from: Bytes,
     pub(super) end: Bytes,
 }
 
-/// Makes the keys of one instance.
+/// Builds and parses the keys that one instance uses.
 pub(super) struct Keyspace {
     prefix: String,
     instance: String,
@@ -33,7 +33,7 @@
         &self.instance
     }
 
-    /// The key of the store's description: its schema and generation.
+    /// The key of the store's description, which holds its schema and generation.
     pub(super) fn description(&self) -> Bytes {
         Bytes::from_text(self.description_text())
     }
@@ -42,7 +42,7 @@
         format!("{}/engine/about", self.prefix)
     }
 
-    /// The key that every transaction writes.
+    /// The key of the head, which every transaction writes.
     pub(super) fn head(&self) -> Bytes {
         Bytes::from_text(format!("{}/engine/head", self.prefix))
     }
@@ -52,7 +52,7 @@
         Bytes::from_text(format!("{}/engine/mark/{}", self.prefix, self.instance))
     }
 
-    /// The key of a record, or of what all keys of some records begin with.
+    /// The etcd key of a record. `key` may also be a prefix of record keys, or the bound of a range.
     pub(super) fn record(&self, generation: &str, key: &str) -> Bytes {
         Bytes::from_text(format!("{}{key}", self.records_prefix(generation)))
     }
@@ -61,29 +61,32 @@
         format!("{}/{generation}/", self.prefix)
     }
 
-    /// The record key within an etcd key; `None` if it is not of this generation.
+    /// The record key in an etcd key; `None` if it is not the key of a record of this generation.
     pub(super) fn parse_record(&self, generation: &str, etcd_key: &str) -> Option<Key> {
         Key::parse(etcd_key.strip_prefix(&self.records_prefix(generation))?)
     }
 
-    /// The record in a key and value of etcd.
+    /// Converts a key and value of etcd into a record.
     pub(super) fn entry(&self, generation: &str, kv: KeyValue) -> Result<Entry, StoreError> {
         let etcd_key = kv.key.into_text();
         let key = self.parse_record(generation, &etcd_key);
-        let key = key.ok_or_else(|| StoreError::corrupt(&etcd_key, "is no key"))?;
+        let key = key.ok_or_else(|| {
+            StoreError::corrupt(&etcd_key, format!("not a valid record key of generation {generation}"))
+        })?;
         Ok(Entry { key, revision: Revision(kv.mod_revision.0), value: kv.value.0 })
     }
 
     /// All keys of the store.
     pub(super) fn all(&self) -> KeyRange {
-        // `0` is the next character after `/`.
+        // The range ends before `0`, the next character after `/`.
         KeyRange {
             from: Bytes::from_text(format!("{}/", self.prefix)),
             end: Bytes::from_text(format!("{}0", self.prefix)),
         }
     }
 
-    /// The records of all generations but one, which lies between the two ranges. Generations begin with `g`.
+    /// The records of all generations but one: the ranges before and after its keys. Names of generations begin with
+    /// `g`.
     pub(super) fn other_generations(&self, generation: &str) -> [KeyRange; 2] {
         let before = KeyRange {
             from: Bytes::from_text(format!("{}/g", self.prefix)),
@@ -100,7 +103,10 @@
 fn check_key_part(field: &str, text: &str) -> Result<(), InvalidValue> {
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && byte != b'/';
     if text.is_empty() || !text.bytes().all(is_allowed) {
-        return Err(InvalidValue::new(field, "is not visible ASCII without '/'"));
+        return Err(InvalidValue::new(
+            field,
+            "must be printable ASCII without spaces and '/', and not empty",
+        ));
     }
     Ok(())
 }
--- a/crates/store/src/replicated/mod.rs
+++ b/crates/store/src/replicated/mod.rs
@@ -1,16 +1,17 @@
 //! The replicated engine: an etcd cluster that several instances share, called through its JSON gateway.
 //!
-//! Records are under `PREFIX/GENERATION/`, the engine's own keys under `PREFIX/engine/`:
+//! Records are stored under `PREFIX/GENERATION/`, the engine's own keys under `PREFIX/engine/`:
 //!
-//! - `engine/about`: the schema and the generation. It is a condition of every transaction, so a program that is too old
-//!   can't write to a store that has been migrated, and replacing all records is one switch of generations.
-//! - `engine/head`: written by every transaction. Its revision shows whether there are changes, and in a watch it marks
-//!   that all changes up to it have come.
-//! - `engine/mark/INSTANCE`: this instance's last transaction, a condition of its next one. With it the outcome of a
-//!   transaction whose answer was lost is found out, so no change is made twice and none is reported wrongly.
+//! - `engine/about` is the store's description: its schema and generation. Its value is a condition of every
+//!   transaction, so a program that is too old can't write to a migrated store. All records are replaced at once by
+//!   switching to another generation.
+//! - `engine/head` is written by every transaction. Its revision shows whether there are changes; in a watch, its event
+//!   shows that all changes up to that revision have been received.
+//! - `engine/mark/INSTANCE` names this instance's last transaction and is a condition of its next one. It tells whether
+//!   a transaction whose response was lost was executed, so that no change is made twice or reported wrongly.
 //!
-//! A watch is opened when the head has moved, and read until it shows the head, rather than left open: a silent open
-//! stream can't be distinguished from a broken one, and the client library blocks.
+//! A watch is opened when the head's revision has grown, and closed once the head's event has been received. It is not
+//! left open, since an idle stream can't be told from a broken one, and the client library blocks while it reads.
 
 mod api;
 mod client;
@@ -37,29 +38,29 @@
 use std::time::Duration;
 use watch::WatchReader;
 
-/// How often a call is made because this instance's knowledge of the store was out of date.
+/// The most attempts of an operation that fails because this instance's description or mark is out of date.
 const MAX_ATTEMPTS: usize = 4;
 
-/// After which time a call is given up, so that trying another member stays within 2 s.
+/// The default timeout of a call: short enough that a retry at another member ends within 2 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Where the engine is and who calls it.
+/// How an instance connects to the engine.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The members' addresses, as `http://HOST:PORT`.
     pub endpoints: Vec<String>,
-    /// The prefix of all keys; several services may share a cluster.
+    /// The prefix of all keys, so that several services can share a cluster.
     pub prefix: String,
-    /// This instance's name, which no other instance has.
+    /// This instance's name, which must be unique among the instances.
     pub instance: String,
-    /// The time after which a call is given up.
+    /// The timeout of a call.
     pub call_timeout: Duration,
-    /// Seed of the random part of backoffs, and of marks that are new at each start.
+    /// The seed of random backoffs and of marks. It should differ at each start, so that marks are unique.
     pub seed: u64,
 }
 
 impl Options {
-    /// Options with the default time-out of 700 ms.
+    /// Options with the default timeout of 700 ms.
     pub fn new(endpoints: Vec<String>, prefix: &str, instance: &str, seed: u64) -> Options {
         Options {
             endpoints,
@@ -78,11 +79,11 @@
     generation: String,
 }
 
-/// A description as it was read.
+/// A description and its encoding in the store.
 #[derive(Clone)]
 struct StoredDescription {
     description: Description,
-    /// The bytes, which are a condition of transactions.
+    /// The stored bytes, which transactions compare with.
     bytes: Vec<u8>,
 }
 
@@ -97,19 +98,21 @@
     client: EtcdClient,
     keyspace: Keyspace,
     marks: MarkSequence,
-    /// `None` before it is read.
+    /// `None` if it must be read again.
     description: Option<StoredDescription>,
-    /// This instance's mark as it was last read: `Some(None)` if there is none, `None` before it is read.
-    #[expect(clippy::option_option, reason = "not read yet, and read as missing, are two things")]
+    /// This instance's mark: `Some(None)` if the store has none, `None` if it has not been read yet.
+    #[expect(clippy::option_option, reason = "a mark that was not read yet differs from a missing one")]
     mark: Option<Option<String>>,
+    /// The last transaction if its response was lost and its outcome is not known yet.
     lost: Option<LostTransaction>,
 }
 
 impl Replicated {
-    /// A store that is not called yet: an instance starts whether or not the engine is available.
+    /// Creates a store without calling the engine, so that an instance can start while the engine is unavailable.
     ///
     /// # Errors
-    /// If the prefix or the instance has characters that keys can't have, or an endpoint has an unknown scheme.
+    /// If the prefix or the instance is not valid in keys, there is no endpoint, or an endpoint has an unsupported
+    /// scheme.
     pub fn new(options: &Options) -> Result<Replicated, InvalidValue> {
         Ok(Replicated {
             keyspace: Keyspace::new(&options.prefix, &options.instance)?,
@@ -127,7 +130,7 @@
             return Ok(stored.clone());
         }
         for _ in 0..MAX_ATTEMPTS {
-            let found = self.client.range(&RangeRequest::one(self.keyspace.description()), now)?;
+            let found = self.client.range(&RangeRequest::single(self.keyspace.description()), now)?;
             let Some(kv) = found.into_first() else {
                 self.create(now)?;
                 continue;
@@ -140,7 +143,7 @@
             self.description = Some(stored.clone());
             return Ok(stored);
         }
-        Err(self.being_replaced())
+        Err(self.replacement_in_progress())
     }
 
     fn decode_description(&self, bytes: Vec<u8>) -> Result<StoredDescription, StoreError> {
@@ -153,7 +156,7 @@
         Ok(StoredDescription { description, bytes })
     }
 
-    /// Creates an empty store, unless another instance does.
+    /// Creates an empty store unless there is one.
     fn create(&mut self, now: Micros) -> Result<(), StoreError> {
         let first = Description { schema: SCHEMA, generation: self.marks.first_generation() };
         let bytes = encode_description(&first)?;
@@ -165,19 +168,19 @@
             ],
             failure: vec![],
         };
-        // Making it twice is harmless: the second finds the store that the first created.
+        // Retrying is safe: the condition fails if the first attempt was executed.
         self.client.idempotent_txn(&request, now).map(drop).map_err(CallFailure::into_store_error)
     }
 
-    /// The error after the last attempt: the store was changed during each one.
-    fn being_replaced(&self) -> StoreError {
+    /// The error after [`MAX_ATTEMPTS`]: the store's description changed during each attempt.
+    fn replacement_in_progress(&self) -> StoreError {
         StoreError::Unavailable {
             endpoint: self.keyspace.prefix().to_owned(),
-            cause: "the store is being replaced or is moving to another schema".into(),
+            cause: "the store is being replaced or migrated to another schema".into(),
         }
     }
 
-    /// Reads records of the present generation. `operations` makes the reads for a generation.
+    /// Reads records of the present generation in one transaction. `operations` returns the reads for a generation.
     fn read(
         &mut self,
         now: Micros,
@@ -186,7 +189,7 @@
         for _ in 0..MAX_ATTEMPTS {
             let stored = self.description(now)?;
             let request = TxnRequest {
-                compare: vec![self.is_described_as(&stored)],
+                compare: vec![self.description_is(&stored)],
                 success: operations(&self.keyspace, stored.generation()),
                 failure: vec![],
             };
@@ -197,10 +200,11 @@
             }
             self.description = None;
         }
-        Err(self.being_replaced())
+        Err(self.replacement_in_progress())
     }
 
-    /// Reads a range of records, with the revision of the transaction. `key` names the range in errors.
+    /// Reads a range of records, and returns it with the transaction's revision in its header. `key` names the range in
+    /// errors.
     fn read_range(
         &mut self,
         key: &str,
@@ -212,38 +216,38 @@
         let (stored, response) = self.read(now, operations)?;
         let revision = response.header.revision;
         let found = response.responses.into_iter().next().and_then(|response| response.response_range);
-        let mut found = found.ok_or_else(|| unexpected_answer(key))?;
+        let mut found = found.ok_or_else(|| unexpected_response(key))?;
         found.header.revision = revision;
         Ok((stored, found))
     }
 
-    /// Reads up to as many records as a transaction may.
+    /// Reads records in one transaction; at most [`Batch::MAX_OPERATIONS`].
     fn read_many(&mut self, keys: &[Key], now: Micros) -> Result<Vec<Option<Entry>>, StoreError> {
         let (stored, response) = self.read(now, |keyspace, generation| {
             keys.iter().map(|key| RequestOp::get(keyspace.record(generation, &key.text()))).collect()
         })?;
         if response.responses.len() != keys.len() {
-            return Err(unexpected_answer(self.keyspace.prefix()));
+            return Err(unexpected_response(self.keyspace.prefix()));
         }
         let mut entries = Vec::with_capacity(keys.len());
-        for kv in response.into_first_of_each() {
+        for kv in response.into_first_key_values() {
             entries.push(kv.map(|kv| self.keyspace.entry(stored.generation(), kv)).transpose()?);
         }
         Ok(entries)
     }
 
     /// The condition that the store's description has not changed.
-    fn is_described_as(&self, stored: &StoredDescription) -> Compare {
+    fn description_is(&self, stored: &StoredDescription) -> Compare {
         Compare::has_value(self.keyspace.description(), Bytes(stored.bytes.clone()))
     }
 
-    /// The revision of the last transaction of all instances.
+    /// The revision of the last transaction of any instance.
     fn head(&mut self, now: Micros) -> Result<Revision, StoreError> {
-        let found = self.client.range(&RangeRequest::one(self.keyspace.head()), now)?;
+        let found = self.client.range(&RangeRequest::single(self.keyspace.head()), now)?;
         Ok(found.into_first().map_or(Revision(0), |kv| Revision(kv.mod_revision.0)))
     }
 
-    /// Reads a watch from after `since` until it shows the head at `head`.
+    /// Reads the changes after `since` from a watch, until it has shown the head at revision `head`.
     fn watch(&mut self, since: Revision, head: Revision, now: Micros) -> Result<Changes, StoreError> {
         let stored = self.description(now)?;
         let range = self.keyspace.all();
@@ -259,8 +263,8 @@
     }
 }
 
-fn unexpected_answer(location: &str) -> StoreError {
-    StoreError::corrupt(location, "the engine answers something else")
+fn unexpected_response(location: &str) -> StoreError {
+    StoreError::corrupt(location, "the response does not match the request")
 }
 
 fn encode_description(description: &Description) -> Result<Vec<u8>, StoreError> {
@@ -270,7 +274,7 @@
 impl Store for Replicated {
     fn get(&mut self, key: &Key, now: Micros) -> Result<Option<Entry>, StoreError> {
         let (stored, found) = self.read_range(&key.text(), now, |keyspace, generation| {
-            RangeRequest::one(keyspace.record(generation, &key.text()))
+            RangeRequest::single(keyspace.record(generation, &key.text()))
         })?;
         found.into_first().map(|kv| self.keyspace.entry(stored.generation(), kv)).transpose()
     }
@@ -286,11 +290,11 @@
     fn list(&mut self, query: &Query, now: Micros) -> Result<Page, StoreError> {
         let collection = query.collection.as_str();
         let prefix = format!("{collection}/{}", query.prefix);
-        // The least key after the one named.
+        // Appending a zero byte gives the smallest key after `query.after`.
         let after = query.after.as_ref().map(|name| format!("{collection}/{name}\0"));
         let from = after.filter(|after| *after > prefix).unwrap_or_else(|| prefix.clone());
         let (stored, found) = self.read_range(&from, now, |keyspace, generation| {
-            // No key with the prefix has this byte next: keys are UTF-8.
+            // Keys are UTF-8, which has no byte 0xff: all keys with the prefix sort before this one.
             let end = [&keyspace.record(generation, &prefix).0[..], b"\xff"].concat();
             RangeRequest {
                 key: keyspace.record(generation, &from),
--- a/crates/store/src/replicated/transactions.rs
+++ b/crates/store/src/replicated/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions that are made at most once, whatever happens to their answers.
+//! Writing batches: each is executed at most once, even if responses are lost.
 
 use super::api::{Bytes, Compare, RangeRequest, RequestOp, TxnRequest, TxnResponse};
 use super::client::CallFailure;
@@ -9,19 +9,20 @@
 use crate::store::{Batch, Condition};
 use shorewharf_units::Micros;
 
-/// What is to be done after a transaction whose conditions did not hold.
+/// Why the conditions of a transaction did not hold.
 enum Rejection {
-    /// This instance's knowledge was out of date: make the transaction again.
+    /// This instance's description or mark was out of date: the transaction is tried again.
     Outdated,
     /// A condition of the batch did not hold.
     ConditionFailed(StoreError),
 }
 
 impl Replicated {
-    /// Makes a batch once, and returns the revision.
+    /// Writes a batch and returns the revision. If the response is lost, the outcome is resolved, and a batch that was
+    /// not written is tried once more.
     pub(super) fn apply_batch(&mut self, batch: &Batch, now: Micros) -> Result<Revision, StoreError> {
         self.resolve_lost(now)?;
-        let mut lost_answers = 0;
+        let mut lost_responses = 0;
         for _ in 0..MAX_ATTEMPTS {
             let stored = self.description(now)?;
             let before = self.read_mark(now)?;
@@ -40,10 +41,10 @@
                 Err(failure) => return Err(failure.into_store_error()),
             };
             self.lost = Some(LostTransaction { before, mark });
-            lost_answers += 1;
+            lost_responses += 1;
             match self.resolve_lost_now(now) {
                 Ok(Some(revision)) => return Ok(revision),
-                Ok(None) if lost_answers == 1 => {}
+                Ok(None) if lost_responses == 1 => {}
                 Ok(None) => return Err(e),
                 Err(_) => {
                     let location = self.keyspace.prefix().to_owned();
@@ -51,28 +52,29 @@
                 }
             }
         }
-        Err(self.being_replaced())
+        Err(self.replacement_in_progress())
     }
 
-    /// This instance's mark.
+    /// This instance's mark, which is read from the store if it is not known.
     fn read_mark(&mut self, now: Micros) -> Result<Option<String>, StoreError> {
         if let Some(mark) = &self.mark {
             return Ok(mark.clone());
         }
-        let found = self.client.range(&RangeRequest::one(self.keyspace.mark()), now)?;
+        let found = self.client.range(&RangeRequest::single(self.keyspace.mark()), now)?;
         let mark = found.into_first().map(|kv| kv.value.into_text());
         self.mark = Some(mark.clone());
         Ok(mark)
     }
 
-    /// The condition that this instance's mark has not changed.
-    fn is_marked(&self, mark: Option<&str>) -> Compare {
+    /// The condition that this instance's mark is `mark`, or does not exist if that is `None`.
+    fn mark_is(&self, mark: Option<&str>) -> Compare {
         match mark {
             Some(mark) => Compare::has_value(self.keyspace.mark(), Bytes::from_text(mark)),
             None => Compare::absent(self.keyspace.mark()),
         }
     }
 
+    /// The transaction that writes a batch. If it fails, it reads the values of all its conditions in their order.
     fn transaction(
         &self,
         batch: &Batch,
@@ -82,7 +84,7 @@
     ) -> TxnRequest {
         let keyspace = &self.keyspace;
         let record = |key: &crate::key::Key| keyspace.record(stored.generation(), &key.text());
-        let mut compare = vec![self.is_described_as(stored), self.is_marked(mark_before)];
+        let mut compare = vec![self.description_is(stored), self.mark_is(mark_before)];
         let mut failure = vec![RequestOp::get(keyspace.description()), RequestOp::get(keyspace.mark())];
         for condition in &batch.conditions {
             compare.push(match condition {
@@ -103,9 +105,10 @@
         TxnRequest { compare, success, failure }
     }
 
-    /// Why a transaction's conditions did not hold.
+    /// Finds out from the response which condition of a transaction did not hold, and updates this instance's
+    /// description and mark.
     fn rejection(&mut self, batch: &Batch, stored: &StoredDescription, response: TxnResponse) -> Rejection {
-        let mut found = response.into_first_of_each();
+        let mut found = response.into_first_key_values();
         let found_description = found.next().flatten();
         let found_mark = found.next().flatten();
         if found_description.is_none_or(|kv| kv.value.0 != stored.bytes) {
@@ -126,52 +129,54 @@
         Rejection::Outdated
     }
 
-    /// Finds out what became of a transaction whose answer was lost, if there is one.
+    /// Resolves the outcome of a transaction whose response was lost, if there is one.
     pub(super) fn resolve_lost(&mut self, now: Micros) -> Result<(), StoreError> {
         self.fence_lost(now).map(drop)
     }
 
-    /// The same while a caller waits for the outcome: members in backoff are called too. Returns the revision in which
-    /// the transaction was made, or `None`.
+    /// Resolves the outcome of a lost transaction for a waiting caller, calling members in backoff too. Returns the
+    /// transaction's revision, or `None` if it was not executed.
     fn resolve_lost_now(&mut self, now: Micros) -> Result<Option<Revision>, StoreError> {
         self.client.end_backoff();
         self.fence_lost(now)
     }
 
-    /// Makes a transaction that changes only the mark, if it is still the one before the lost transaction.
+    /// Executes a fence: a transaction that changes only the mark, if that is still the one before the lost
+    /// transaction. Returns the revision of the lost transaction, or `None` if it was not executed and can't be later.
     fn fence_lost(&mut self, now: Micros) -> Result<Option<Revision>, StoreError> {
         let Some(lost) = self.lost.clone() else { return Ok(None) };
         let fence = self.marks.next();
         let request = TxnRequest {
-            compare: vec![self.is_marked(lost.before.as_deref())],
+            compare: vec![self.mark_is(lost.before.as_deref())],
             success: vec![RequestOp::put(self.keyspace.mark(), Bytes::from_text(fence.clone()))],
             failure: vec![RequestOp::get(self.keyspace.mark())],
         };
-        // Making a fence twice is harmless: the second finds the first.
+        // Retrying is safe: if the first attempt was executed, the retry reads the mark that it wrote.
         let response = self.client.idempotent_txn(&request, now).map_err(CallFailure::into_store_error)?;
         self.lost = None;
         if response.succeeded {
             self.mark = Some(Some(fence));
             return Ok(None);
         }
-        let found = response.into_first_of_each().next().flatten();
+        let found = response.into_first_key_values().next().flatten();
         let found = found.map(|kv| (kv.value.into_text(), Revision(kv.mod_revision.0)));
         self.mark = Some(found.as_ref().map(|(mark, _)| mark.clone()));
         match found {
             Some((mark, revision)) if mark == lost.mark => Ok(Some(revision)),
-            // A later fence of this process has been made: the lost transaction was not made and can't be.
+            // A fence of this process was executed: the lost transaction was not, and can't be any more.
             Some((mark, _)) if self.marks.is_own_after(&mark, &lost.mark) => Ok(None),
             _ => Err(self.duplicate_instance()),
         }
     }
 
+    /// The error if the mark is neither the lost transaction's nor a later one of this process.
     fn duplicate_instance(&self) -> StoreError {
-        let cause = format!("another process writes as {:?}", self.keyspace.instance());
+        let cause = format!("another process uses the instance name {:?}", self.keyspace.instance());
         StoreError::corrupt(format!("{}/engine/mark", self.keyspace.prefix()), cause)
     }
 }
 
-/// The error of a condition, if it does not hold for a record at this revision; 0 for no record.
+/// The error of a condition if it does not hold for a record of version `found`, which is 0 for no record.
 fn failed_condition(condition: &Condition, found: Revision) -> Option<StoreError> {
     match condition {
         Condition::Absent(key) if found > Revision(0) => Some(StoreError::AlreadyExists { key: key.text() }),
--- a/crates/store/src/replicated/watch.rs
+++ b/crates/store/src/replicated/watch.rs
@@ -1,4 +1,4 @@
-//! Reading changes from a watch, until it has shown the head of the store.
+//! Reading changes from a watch until it has shown the head of the store.
 
 use super::api::{Bytes, WatchEvent, WatchLine};
 use super::client::CallFailure;
@@ -7,27 +7,28 @@
 use crate::revision::Revision;
 use crate::store::{Change, Changes};
 
-/// The most transactions that one answer about changes covers.
+/// The number of transactions after which reading a watch stops; the caller then reads on in another watch.
 const MAX_TRANSACTIONS: usize = 500;
 
-/// Reads a watch, and collects its changes.
+/// Reads the lines of a watch and collects the changes in them.
 pub(super) struct WatchReader<'k> {
     keyspace: &'k Keyspace,
     generation: &'k str,
-    /// The revision of the store's last transaction when the watch began.
+    /// The revision of the head before the watch was opened. Reading stops once an event shows it.
     head: Revision,
     head_key: Bytes,
     description_key: Bytes,
+    /// The revision after which the watch begins.
     since: Revision,
     /// Every change up to this revision has been read.
     up_to: Revision,
     changes: Vec<Change>,
-    /// Transactions that were read.
+    /// The number of transactions that were read.
     transactions: usize,
     has_reached_head: bool,
     /// Whether another generation has replaced all records.
     is_replaced: bool,
-    /// Changes before this revision are compacted away.
+    /// Changes before this revision have been compacted.
     compacted: Option<Revision>,
 }
 
@@ -71,7 +72,7 @@
         for event in response.events {
             self.on_event(event);
         }
-        // A line never holds part of a revision.
+        // A line never ends within a revision, so the changes are complete up to `up_to`.
         Ok(self.has_reached_head || self.is_replaced || self.transactions >= MAX_TRANSACTIONS)
     }
 
@@ -106,7 +107,7 @@
         }
         match result {
             Ok(()) => {}
-            // The stream broke off after some changes, which are known.
+            // The stream broke off after some changes, which are returned; the head has not been reached.
             Err(CallFailure::OutcomeUnknown(_)) if self.up_to > self.since => {}
             Err(e) => return Err(e.into_store_error()),
         }
