--- a/crates/store/src/standin/http.rs
+++ b/crates/store/src/standin/http.rs
@@ -1,23 +1,24 @@
-//! As much HTTP/1.1 as the stub needs: requests with a length, responses with a length or in chunks.
+//! The subset of HTTP/1.1 that the stub needs: requests with a content length, and responses with a content length or
+//! in chunks.
 
 use super::server::{Answer, StubServer, Watch, WatchStep};
 use serde_json::Value;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// The most headers of a request.
+/// The most headers that a request may have.
 const MAX_HEADERS: usize = 32;
 
-/// Bytes that are read at once.
+/// The most bytes that one call reads from a connection.
 const READ_BYTES: usize = 65_536;
 
-/// A request.
+/// A request with a JSON body.
 struct Request {
     path: String,
     body: Value,
 }
 
-/// Serves one connection until it ends.
+/// Serves the requests of one connection until either side closes it.
 pub(super) fn serve(mut stream: TcpStream, server: &StubServer) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = Vec::new();
@@ -34,7 +35,7 @@
 fn write_response(stream: &mut TcpStream, status: u16, body: &Value) -> io::Result<()> {
     let body = body.to_string();
     let head = format!(
-        "HTTP/1.1 {status} Said\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
+        "HTTP/1.1 {status} Stub\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
     stream.write_all((head + &body).as_bytes())
@@ -59,7 +60,7 @@
     }
 }
 
-/// Whether the other side has closed the connection.
+/// Whether the client has closed the connection (or has sent more data, which no client does during a watch).
 fn is_closed(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
     let peeked = stream.peek(&mut [0]);
@@ -67,7 +68,7 @@
     Ok(!matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock))
 }
 
-/// Reads a request; `None` at the end of the connection. Bytes of the next request stay in `buffer`.
+/// Reads a request; `None` if the client has closed the connection. Bytes of the next request stay in `buffer`.
 fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
     let mut chunk = [0; READ_BYTES];
     loop {
@@ -81,13 +82,14 @@
     }
 }
 
-/// Takes a request off the buffer, if all of it is there.
+/// Removes a request from the front of the buffer, if it is complete.
 fn parse_request(buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let parsed = head.parse(buffer).map_err(|_| invalid_data("no HTTP"))?;
+    let parsed = head.parse(buffer).map_err(|_| invalid_data("not an HTTP request"))?;
     let httparse::Status::Complete(body_offset) = parsed else { return Ok(None) };
-    let length = content_length(head.headers).ok_or_else(|| invalid_data("no length"))?;
+    let length =
+        content_length(head.headers).ok_or_else(|| invalid_data("request without a valid content-length"))?;
     let Some(body) = buffer.get(body_offset..body_offset + length) else { return Ok(None) };
     let path = head.path.unwrap_or_default().to_owned();
     let request = Request { path, body: serde_json::from_slice(body)? };
--- a/crates/store/src/standin/keys.rs
+++ b/crates/store/src/standin/keys.rs
@@ -1,4 +1,4 @@
-//! Keys with all their versions, and the range and transaction requests on them.
+//! The key-value state of the stub with all versions of each key, and the range and transaction requests on it.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The most conditions or operations of a transaction, as in etcd.
+/// The most conditions, and the most operations of either branch, in a transaction, as in etcd.
 const MAX_OPERATIONS: usize = 128;
 
-/// The ids of the first cluster and of the one after [`KeyValueState::new_cluster`].
+/// The cluster ids of the default state and of [`KeyValueState::new_cluster`].
 const FIRST_CLUSTER_ID: u64 = 0xc0ffee;
 const OTHER_CLUSTER_ID: u64 = 0xdecaf;
 
-/// Why a request is rejected, in etcd's words where it has them.
+/// Why a request is rejected. The messages are etcd's where it has the same error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
     #[error("etcdserver: mvcc: required revision is a future revision")]
@@ -24,34 +24,35 @@
     TooManyOperations,
     #[error("etcdserver: duplicate key given in txn request")]
     DuplicateKey,
-    #[error("the stand-in only compares for equality")]
+    #[error("the stub supports only the comparison EQUAL")]
     UnsupportedComparison,
-    #[error("the stand-in can't compare that")]
+    #[error("the stub supports only the comparison targets CREATE, MOD and VALUE")]
     UnsupportedTarget,
-    #[error("the stand-in can't do that")]
+    #[error("the stub supports only the operations range, put and delete range")]
     UnsupportedOperation,
 }
 
-/// One version of a key; without a value if it was deleted.
+/// One version of a key.
 #[derive(Clone)]
 struct Version {
     /// The revision that wrote it.
     revision: u64,
     /// The revision that created the key.
     created: u64,
-    /// How often the key was written since.
+    /// How often the key has been written since its creation.
     count: u64,
+    /// `None` if this version deleted the key.
     value: Option<Vec<u8>>,
 }
 
-/// The keys from `first` up to `end`, or only `first` if `end` is empty.
+/// The keys from `first` up to but not including `end`, or only `first` if `end` is empty.
 pub(super) struct KeyRange {
     first: Vec<u8>,
     end: Vec<u8>,
 }
 
 impl KeyRange {
-    /// The range in a request.
+    /// The range that a request names.
     pub(super) fn of(request: &Value) -> KeyRange {
         KeyRange { first: decode_bytes(&request["key"]), end: decode_bytes(&request["range_end"]) }
     }
@@ -61,7 +62,7 @@
 pub(super) struct KeyValueState {
     versions: BTreeMap<Vec<u8>, Vec<Version>>,
     revision: u64,
-    /// Versions that were replaced before this revision are forgotten.
+    /// Versions that were replaced at or before this revision have been discarded.
     compacted: u64,
     cluster_id: u64,
 }
@@ -72,17 +73,18 @@
     }
 }
 
-/// Bytes in base64; empty if they are missing.
+/// Decodes bytes from base64; empty if they are missing or invalid.
 fn decode_bytes(value: &Value) -> Vec<u8> {
     STANDARD.decode(value.as_str().unwrap_or_default()).unwrap_or_default()
 }
 
-/// A number, as such or as a string; 0 if it is missing.
+/// Decodes a number from a JSON number or string; 0 if it is missing or invalid.
 pub(super) fn decode_number(value: &Value) -> u64 {
     value.as_u64().or_else(|| value.as_str()?.parse().ok()).unwrap_or(0)
 }
 
-fn list(value: &Value) -> impl Iterator<Item = &Value> {
+/// The elements of a JSON array; none if it is missing.
+fn elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
@@ -90,13 +92,13 @@
     operation.get("request_range").is_none()
 }
 
-/// Whether a transaction may write.
+/// Whether either branch of a transaction has a writing operation.
 pub(super) fn may_write(txn: &Value) -> bool {
-    list(&txn["success"]).chain(list(&txn["failure"])).any(is_write)
+    elements(&txn["success"]).chain(elements(&txn["failure"])).any(is_write)
 }
 
 impl KeyValueState {
-    /// The state of another cluster, without keys.
+    /// The empty state of another cluster.
     pub(super) fn new_cluster() -> KeyValueState {
         KeyValueState { cluster_id: OTHER_CLUSTER_ID, ..KeyValueState::default() }
     }
@@ -109,7 +111,7 @@
         self.compacted
     }
 
-    /// The header of responses. A stale member answers as of the revision `stale`.
+    /// The header of a response. With `stale`, the member answers as of that revision.
     pub(super) fn header(&self, stale: Option<u64>) -> Value {
         json!({
             "cluster_id": self.cluster_id.to_string(),
@@ -123,6 +125,7 @@
         stale.map_or(self.revision, |stale| stale.min(self.revision))
     }
 
+    /// Discards versions that were replaced at or before a revision.
     pub(super) fn compact(&mut self, revision: u64) {
         self.compacted = self.compacted.max(revision.min(self.revision));
         for versions in self.versions.values_mut() {
@@ -153,7 +156,7 @@
         versions.push(Version { revision: self.revision, created, count, value });
     }
 
-    /// A key's version as of a revision.
+    /// A key's version as of a revision; `None` if the key does not exist then.
     fn version_at(&self, key: &[u8], revision: u64) -> Option<&Version> {
         let versions = self.versions.get(key)?;
         versions
@@ -162,7 +165,7 @@
             .filter(|version| version.value.is_some())
     }
 
-    /// The keys of a range, deleted ones included.
+    /// The keys in a range, including deleted ones.
     fn keys_in(&self, range: &KeyRange) -> Vec<Vec<u8>> {
         if range.end.is_empty() {
             let exists = self.versions.contains_key(&range.first);
@@ -172,7 +175,7 @@
         from.take_while(|(key, _)| **key < range.end).map(|(key, _)| key.clone()).collect()
     }
 
-    /// Answers a range request.
+    /// Executes a range request and returns the response.
     pub(super) fn range(&self, request: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
         let requested = decode_number(&request["revision"]);
         let newest = self.newest(stale);
@@ -194,7 +197,7 @@
             found.iter().take(limit).map(|(key, version)| key_value(key, version)).collect();
         let mut response = Map::new();
         response.insert("header".into(), self.header(stale));
-        // What is empty or false is left out.
+        // As in etcd, fields that are empty or false are omitted.
         if !kvs.is_empty() {
             response.insert("kvs".into(), kvs.into());
         }
@@ -205,7 +208,7 @@
         Ok(response.into())
     }
 
-    fn holds(&self, compare: &Value, stale: Option<u64>) -> Result<bool, RequestError> {
+    fn condition_holds(&self, compare: &Value, stale: Option<u64>) -> Result<bool, RequestError> {
         let found = self.version_at(&decode_bytes(&compare["key"]), stale.unwrap_or(u64::MAX));
         if compare["result"].as_str().is_some_and(|result| result != "EQUAL") {
             return Err(RequestError::UnsupportedComparison);
@@ -220,24 +223,25 @@
         })
     }
 
-    /// Makes a transaction.
+    /// Executes a transaction request and returns the response.
     pub(super) fn txn(&mut self, txn: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
-        if ["compare", "success", "failure"].iter().any(|part| list(&txn[*part]).count() > MAX_OPERATIONS) {
+        if ["compare", "success", "failure"].iter().any(|part| elements(&txn[*part]).count() > MAX_OPERATIONS)
+        {
             return Err(RequestError::TooManyOperations);
         }
         let mut succeeded = true;
-        for compare in list(&txn["compare"]) {
-            succeeded &= self.holds(compare, stale)?;
+        for compare in elements(&txn["compare"]) {
+            succeeded &= self.condition_holds(compare, stale)?;
         }
         let operations: Vec<&Value> =
-            list(if succeeded { &txn["success"] } else { &txn["failure"] }).collect();
+            elements(if succeeded { &txn["success"] } else { &txn["failure"] }).collect();
         check_distinct_puts(&operations)?;
         if operations.iter().any(|operation| is_write(operation)) {
             self.revision += 1;
         }
         let mut responses = Vec::with_capacity(operations.len());
         for operation in operations {
-            responses.push(self.operation(operation, stale)?);
+            responses.push(self.execute(operation, stale)?);
         }
         let mut response = Map::new();
         response.insert("header".into(), self.header(stale));
@@ -248,7 +252,8 @@
         Ok(response.into())
     }
 
-    fn operation(&mut self, operation: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
+    /// Executes an operation of a transaction in the present revision, and returns its response.
+    fn execute(&mut self, operation: &Value, stale: Option<u64>) -> Result<Value, RequestError> {
         if let Some(range) = operation.get("request_range") {
             return Ok(json!({"response_range": self.range(range, stale)?}));
         }
@@ -268,7 +273,7 @@
         Err(RequestError::UnsupportedOperation)
     }
 
-    /// The events of a range's keys from one revision up to another, in the order of revisions.
+    /// The events of the keys in a range, from revision `from` up to and including `up_to`, ordered by revision.
     pub(super) fn events(&self, range: &KeyRange, from: u64, up_to: u64) -> Vec<Value> {
         let mut events: Vec<(u64, Value)> = Vec::new();
         for key in self.keys_in(range) {
@@ -283,7 +288,7 @@
     }
 }
 
-/// Rejects a transaction that puts a key twice.
+/// Rejects a transaction that puts the same key twice, as etcd does.
 fn check_distinct_puts(operations: &[&Value]) -> Result<(), RequestError> {
     let mut keys = Vec::new();
     for operation in operations {
@@ -296,7 +301,7 @@
     Ok(())
 }
 
-/// The event of a version in a watch.
+/// The watch event about a version of a key.
 fn event(key: &[u8], version: &Version) -> Value {
     if version.value.is_some() {
         return json!({"kv": key_value(key, version)});
--- a/crates/store/src/standin/mod.rs
+++ b/crates/store/src/standin/mod.rs
@@ -1,9 +1,9 @@
-//! A stub of the replicated engine for tests: real HTTP on loopback, several members over one state, and faults that can
-//! be switched on and off.
+//! A stub of an etcd cluster for tests of the replicated engine: it serves HTTP on loopback, has several members that
+//! share one state, and each member can be given a fault.
 //!
-//! It implements the parts of etcd's v3 JSON gateway that [`crate::replicated`] uses, from the API's description and
-//! without code of the client: `/v3/kv/range`, `/v3/kv/txn` and `/v3/watch`, revisions, reads at a revision,
-//! compaction, and gRPC's error codes.
+//! It implements the parts of etcd's v3 JSON gateway that [`crate::replicated`] uses: `/v3/kv/range`, `/v3/kv/txn` and
+//! `/v3/watch`, revisions, reads at a revision, compaction, and gRPC's error codes. It is written from the description
+//! of the API and shares no code with the client.
 
 mod http;
 mod keys;
@@ -17,39 +17,40 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A fault of a member.
+/// A fault that a member can be given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
     #[default]
     None,
-    /// Connections are closed as soon as they are accepted.
+    /// Connections are closed at the next request, without a response; open watches end.
     Refuses,
-    /// Calls are accepted and never answered while the fault lasts.
+    /// Requests are neither executed nor answered; connections are closed when the fault ends.
     Silent,
-    /// Calls are answered this much later.
+    /// Requests are executed and answered after this delay, or when the fault ends.
     Slow(Duration),
-    /// Reads are answered as of this revision, as by a member that was cut off then and does not know it. Writes are
-    /// rejected.
+    /// Reads return the state at this revision, and writes are rejected, as by a member that was partitioned from the
+    /// cluster then and has not noticed.
     Stale(u64),
-    /// Calls are done, and the connection is closed before the answer.
+    /// Requests are executed, but the connection is closed without a response.
     LosesAnswers,
-    /// Calls are held while the fault lasts, then done without an answer: requests that were long on their way.
+    /// Requests are executed only when the fault ends, and get no response, as if the network delayed them.
     Delays,
-    /// Every call is answered with this HTTP status and gRPC code.
+    /// Requests are not executed and get a response with this HTTP status and gRPC code.
     Fails(u16, u32),
 }
 
 struct State {
     keys: KeyValueState,
-    /// By member.
+    /// The fault of each member, by its number.
     faults: Vec<Fault>,
-    /// By member.
+    /// Whether each member is closing, by its number.
     closing: Vec<bool>,
+    /// The number of requests received so far.
     calls: u64,
 }
 
-/// The shared state of a cluster.
+/// A cluster; clones share its state.
 #[derive(Clone)]
 pub struct Cluster {
     shared: Arc<Shared>,
@@ -66,10 +67,10 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until a condition holds, at most for `longest`.
-    fn wait(&self, longest: Duration, mut until: impl FnMut(&mut State) -> bool) {
+    /// Waits until a condition holds, for at most `timeout`.
+    fn wait(&self, timeout: Duration, mut condition: impl FnMut(&mut State) -> bool) {
         let state = self.state();
-        drop(self.changed.wait_timeout_while(state, longest, |state| !until(state)));
+        drop(self.changed.wait_timeout_while(state, timeout, |state| !condition(state)));
     }
 }
 
@@ -87,10 +88,10 @@
         Cluster::default()
     }
 
-    /// Starts a member on a port of loopback.
+    /// Starts a member on a free port of the loopback interface.
     ///
     /// # Errors
-    /// If the system gives no port or no thread.
+    /// If no socket can be bound or no thread be started.
     pub fn member(&self) -> io::Result<Member> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -111,18 +112,18 @@
         self.shared.state().keys.revision()
     }
 
-    /// Calls that came so far.
+    /// The number of requests that the members have received so far.
     pub fn calls(&self) -> u64 {
         self.shared.state().calls
     }
 
-    /// Forgets the versions that were replaced before a revision.
+    /// Compacts the history: discards versions that were replaced at or before a revision.
     pub fn compact(&self, revision: u64) {
         self.shared.state().keys.compact(revision);
         self.shared.changed.notify_all();
     }
 
-    /// Loses all keys and becomes another cluster.
+    /// Replaces the state by that of another, empty cluster.
     pub fn wipe(&self) {
         self.shared.state().keys = KeyValueState::new_cluster();
         self.shared.changed.notify_all();
@@ -134,7 +135,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// The present keys and values.
+    /// The present keys and values, ordered by key.
     pub fn contents(&self) -> Vec<(String, String)> {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         self.shared.state().keys.iter().map(|(key, value)| (text(key), text(value))).collect()
@@ -154,7 +155,7 @@
     }
 }
 
-/// A member; it stops when it is dropped.
+/// A member of a cluster; it stops when it is dropped.
 pub struct Member {
     cluster: Cluster,
     number: usize,
@@ -163,12 +164,12 @@
 }
 
 impl Member {
-    /// Its address, for [`crate::replicated::Options::endpoints`].
+    /// The member's endpoint, for [`crate::replicated::Options::endpoints`].
     pub fn endpoint(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Sets its fault, and returns the earlier one.
+    /// Sets the member's fault and returns the previous one.
     pub fn set(&self, fault: Fault) -> Fault {
         let before = std::mem::replace(&mut self.cluster.shared.state().faults[self.number], fault);
         self.cluster.shared.changed.notify_all();
@@ -180,7 +181,7 @@
     fn drop(&mut self) {
         self.cluster.shared.state().closing[self.number] = true;
         self.cluster.shared.changed.notify_all();
-        // A connection wakes the accepting thread, which then ends.
+        // The accepting thread is blocked in `accept`; a connection wakes it, so that it sees that it must end.
         drop(TcpStream::connect(self.address));
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
--- a/crates/store/src/standin/server.rs
+++ b/crates/store/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! A member's answers to requests, with the member's present fault.
+//! How a member answers requests, subject to its present fault.
 
 use super::keys::{KeyRange, KeyValueState, RequestError, decode_number, may_write};
 use super::{Fault, Shared, State};
@@ -6,25 +6,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest time for which a silent or delayed call is held, so that no thread outlives a test by much.
+/// The longest time that [`Fault::Silent`] or [`Fault::Delays`] holds a request, so that no thread outlives a test by
+/// much.
 const MAX_HOLD: Duration = Duration::from_secs(30);
 
-/// For how long a watch waits for events before it looks whether its client is still there.
+/// How long a watch waits for events before it checks whether its client has closed the connection.
 const WATCH_WAIT: Duration = Duration::from_millis(100);
 
-/// gRPC's status codes.
+// Status codes of gRPC.
 const GRPC_INVALID_ARGUMENT: u32 = 3;
 const GRPC_NOT_FOUND: u32 = 5;
 const GRPC_OUT_OF_RANGE: u32 = 11;
 const GRPC_UNAVAILABLE: u32 = 14;
 
-/// What a connection's thread sends.
+/// The answer to a request.
 pub(super) enum Answer {
-    /// A status and a JSON body.
+    /// A response with an HTTP status and a JSON body.
     Complete { status: u16, body: Value },
-    /// Lines of JSON, from [`StubServer::next_line`].
+    /// A response with a stream of JSON lines, which [`StubServer::next_line`] returns.
     Watch(Watch),
-    /// Nothing: the connection is closed.
+    /// The connection is closed without a response.
     Close,
 }
 
@@ -37,8 +38,9 @@
 /// An open watch.
 pub(super) struct Watch {
     range: KeyRange,
-    /// The first revision that has not been sent.
+    /// The first revision whose events have not been sent.
     next_revision: u64,
+    /// Whether the line that confirms the watch has been sent.
     is_created: bool,
 }
 
@@ -52,7 +54,7 @@
         Watch { range: KeyRange::of(create), next_revision, is_created: false }
     }
 
-    /// The next line, if there is something to send. Events after `up_to` are not known to the member.
+    /// The next line, if there is something to send. Events after revision `up_to` are withheld.
     fn next_line(&mut self, keys: &KeyValueState, up_to: u64) -> Option<Value> {
         let header = keys.header(None);
         if !self.is_created {
@@ -74,23 +76,24 @@
     }
 }
 
-/// What comes next in a watch.
+/// The result of waiting for the next line of a watch.
 pub(super) enum WatchStep {
     Line(Value),
-    /// Nothing happened for a while.
+    /// There was no event within [`WATCH_WAIT`].
     Idle,
-    /// The stream is cut.
+    /// The member closes the stream.
     Cut,
 }
 
 /// Answers requests as one member.
 pub(super) struct StubServer {
     pub(super) shared: Arc<Shared>,
-    /// Which member.
+    /// The member's number in the cluster.
     pub(super) number: usize,
 }
 
 impl StubServer {
+    /// The member's present fault. A member that is closing refuses connections.
     fn fault(&self) -> Fault {
         self.fault_in(&self.shared.state())
     }
@@ -99,13 +102,13 @@
         if state.closing[self.number] { Fault::Refuses } else { state.faults[self.number] }
     }
 
-    /// Waits while a fault lasts.
-    fn hold(&self, fault: Fault, longest: Duration) {
+    /// Waits until the member's fault is no longer `fault`, for at most `timeout`.
+    fn hold(&self, fault: Fault, timeout: Duration) {
         let number = self.number;
-        self.shared.wait(longest, |state| state.faults[number] != fault || state.closing[number]);
+        self.shared.wait(timeout, |state| state.faults[number] != fault || state.closing[number]);
     }
 
-    /// Answers a request.
+    /// Answers a request, subject to the fault at its arrival.
     pub(super) fn answer(&self, path: &str, request: &Value) -> Answer {
         self.shared.state().calls += 1;
         let fault = self.fault();
@@ -116,9 +119,9 @@
                 return Answer::Close;
             }
             Fault::Fails(status, code) => {
-                return Answer::error(status, code, "etcdserver: the test says so");
+                return Answer::error(status, code, "etcdserver: injected fault");
             }
-            Fault::Slow(time) => self.hold(fault, time),
+            Fault::Slow(delay) => self.hold(fault, delay),
             Fault::Delays => self.hold(fault, MAX_HOLD),
             Fault::None | Fault::Stale(_) | Fault::LosesAnswers => {}
         }
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Does what a request asks for.
+    /// Executes a request.
     fn serve(&self, path: &str, request: &Value, fault: Fault) -> Answer {
         let stale = match fault {
             Fault::Stale(revision) => Some(revision),
@@ -164,7 +167,7 @@
                     step = WatchStep::Cut;
                     return true;
                 }
-                // Cut off from the cluster without knowing it.
+                // The stream stays open but shows no events.
                 Fault::Silent | Fault::Delays => 0,
                 Fault::Stale(revision) => revision,
                 Fault::None | Fault::Slow(_) | Fault::LosesAnswers | Fault::Fails(..) => u64::MAX,
