--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -334,7 +334,7 @@
                 }
             }
             FromBalancer::Forward { link, .. } => {
-                self.push(now + SET_UP_TIME, Event::NodeMessage(link, NodeMessage::Up))
+                self.push(now + SET_UP_TIME, Event::NodeMessage(link, NodeMessage::Up));
             }
             FromBalancer::Probe(link) => self.push(now + MS, Event::NodeMessage(link, NodeMessage::Pong)),
             FromBalancer::EndLink(link, _) => {
