--- a/crates/balancer/benches/whole/main.rs
+++ b/crates/balancer/benches/whole/main.rs
@@ -1,59 +1,64 @@
-//! The whole program under load, beside a bare relay and beside nothing at all: set-ups, lines, idle connections, long
-//! lists and workers. `cargo bench -p shorewharf --bench whole -- --help` tells what can be asked for.
+//! The whole program under load, compared with a bare relay and with direct connections: set-ups, lines, idle connections,
+//! long endpoint lists and workers. `cargo bench -p shorewharf --bench whole -- --help` lists the options.
 //!
-//! Peers are threads of this program on the other cores, closed loop but for the paced lines. What is told of a run
-//! that shares its cores with anything else is worth little.
+//! Nodes and clients are threads of this program on the other cores. They run in a closed loop, except for the paced
+//! lines. Results are unreliable if anything else runs on the same cores.
 
-mod bare;
+mod bare_relay;
+mod clients;
 mod handover;
-mod measures;
-mod peers;
-mod subject;
+mod measurements;
+mod nodes;
+mod target;
 
 use std::ffi::OsString;
 use std::path::PathBuf;
 
 use clap::{Parser, ValueEnum};
 
-/// What can be measured.
+/// The measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Measure {
-    /// Set-ups a second and CPU for each, with lists of several lengths
+enum Measurement {
+    /// Set-ups a second and CPU time per set-up, with endpoint lists of several lengths
     SetUps,
-    /// Lines there and back as fast as they go
+    /// Round trips of lines at the highest rate
     Lines,
-    /// What the way through adds to a line's time, at half the bare relay's most
-    Pace,
-    /// Memory and CPU of connections that say nothing
+    /// Latency that the balancer adds to a line, at a fixed rate: by default half the highest rate of the bare relay
+    #[value(name = "pace")]
+    PacedLines,
+    /// Memory and CPU of idle connections
     Idle,
-    /// CPU of a long list that changes, and what reading it takes
-    List,
-    /// Lines of those who stand, while more come than can be placed
+    /// CPU time and memory to read a long endpoint list, and CPU for its changes
+    #[value(name = "list")]
+    EndpointList,
+    /// Lines on established connections while more clients arrive than can be placed
     Overload,
-    /// One worker and four
+    /// One worker compared with four
     Workers,
-    /// Standing connections with lines on all of them, handed to a new process
-    HandOver,
+    /// Hand-over of established connections, with lines on all of them, to a new process
+    #[value(name = "hand-over")]
+    Handover,
 }
 
-/// The whole program under load
+/// Measures the whole program under load
 #[derive(Parser)]
 struct Args {
-    /// What to measure; all but overload, workers and hand-over where nothing is named
-    measures: Vec<Measure>,
-    /// The program; the one that was just built unless another is named
+    /// What to measure; by default all but overload, workers and hand-over
+    #[arg(value_name = "MEASURES")]
+    measurements: Vec<Measurement>,
+    /// The program; by default the one that was just built
     #[arg(long, default_value = env!("CARGO_BIN_EXE_shorewharf"))]
     program: PathBuf,
-    /// Options that it is given
+    /// Options for the program
     #[arg(long = "arg", allow_hyphen_values = true)]
     args: Vec<OsString>,
-    /// Seconds that count of each run
+    /// Measured seconds of each run
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
     /// The core that the program, or the bare relay, runs on
     #[arg(long, default_value_t = 7)]
     core: usize,
-    /// Lengths of lists
+    /// Lengths of endpoint lists
     #[arg(long, value_delimiter = ',', default_value = "4,100,1000,5000")]
     servers: Vec<usize>,
     /// Busy connections
@@ -62,16 +67,16 @@
     /// Idle connections; two descriptors each
     #[arg(long, default_value_t = 8000)]
     idle: usize,
-    /// Connections that are handed over; two descriptors each
+    /// Established connections to hand over; two descriptors each
     #[arg(long, default_value_t = 8000)]
     standing: usize,
-    /// Lines a second of the paced run
+    /// Lines a second in the paced run
     #[arg(long, default_value_t = 50_000.0)]
     rate: f64,
-    /// Play the bare relay before the nodes of this port
+    /// Run as the bare relay to the nodes on this port
     #[arg(long, hide = true)]
     relay: Option<u16>,
-    /// What cargo says to every benchmark
+    /// Passed by cargo to every benchmark
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -79,22 +84,28 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args = Args::parse();
     if let Some(port) = args.relay {
-        let nodes: Vec<_> = (0..peers::NODES).map(|n| peers::node(n, port)).collect();
-        return Ok(bare::serve(([127, 0, 0, 1], 0).into(), &nodes)?);
+        let nodes: Vec<_> = (0..nodes::NODES).map(|n| nodes::node(n, port)).collect();
+        return Ok(bare_relay::serve(([127, 0, 0, 1], 0).into(), &nodes)?);
     }
-    let all = [Measure::SetUps, Measure::Lines, Measure::Pace, Measure::Idle, Measure::List];
-    let wanted = if args.measures.is_empty() { all.to_vec() } else { args.measures.clone() };
-    let bench = measures::Bench::new(args)?;
-    for measure in wanted {
-        match measure {
-            Measure::SetUps => bench.set_ups()?,
-            Measure::Lines => bench.lines()?,
-            Measure::Pace => bench.pace()?,
-            Measure::Idle => bench.idle()?,
-            Measure::List => bench.list()?,
-            Measure::Overload => bench.overload()?,
-            Measure::Workers => bench.workers()?,
-            Measure::HandOver => bench.hand_over()?,
+    let default = [
+        Measurement::SetUps,
+        Measurement::Lines,
+        Measurement::PacedLines,
+        Measurement::Idle,
+        Measurement::EndpointList,
+    ];
+    let selected = if args.measurements.is_empty() { default.to_vec() } else { args.measurements.clone() };
+    let bench = measurements::Bench::new(args)?;
+    for measurement in selected {
+        match measurement {
+            Measurement::SetUps => bench.set_ups()?,
+            Measurement::Lines => bench.lines()?,
+            Measurement::PacedLines => bench.paced_lines()?,
+            Measurement::Idle => bench.idle()?,
+            Measurement::EndpointList => bench.endpoint_list()?,
+            Measurement::Overload => bench.overload()?,
+            Measurement::Workers => bench.workers()?,
+            Measurement::Handover => bench.handover()?,
         }
     }
     Ok(())
--- a/crates/balancer/benches/whole/subject.rs
+++ b/crates/balancer/benches/whole/target.rs
@@ -1,5 +1,5 @@
-//! What is measured: the balancer, the bare relay, or nothing between clients and nodes; as a process on cores of its
-//! own, with the figures that the system keeps of it.
+//! The target of a measurement: the balancer or the bare relay, as a process on cores of its own with the resource usage
+//! that the system reports for it, or the nodes themselves.
 
 use std::ffi::OsString;
 use std::fs;
@@ -14,9 +14,9 @@
 use serde_json::{Value, json};
 use shorewharf_emulator::standin::{config, endpoint};
 
-use super::peers;
+use super::nodes;
 
-/// Descriptors that the program may hold.
+/// The descriptor limit of the program.
 pub const SOCKETS: usize = 19_000;
 
 /// How the program is started.
@@ -26,61 +26,62 @@
     pub args: Vec<OsString>,
     /// The cores that it may use.
     pub cores: Vec<usize>,
-    /// Servers listed, all of them the same few nodes.
+    /// Length of the endpoint list. All its servers are the same few nodes.
     pub servers: usize,
-    /// Its temporary folder, where it is another one than this program's.
+    /// Its temporary folder, if not that of this program. Processes of one balancer must share it.
     pub common: Option<PathBuf>,
 }
 
-/// A process under load, killed when it is dropped.
+/// The target of a measurement. Its process is killed when it is dropped.
 #[derive(Debug)]
-pub struct Subject {
+pub struct Target {
     child: Option<Child>,
-    pub address: Vec<SocketAddr>,
+    /// Addresses that clients connect to, in turn.
+    pub addresses: Vec<SocketAddr>,
     _folder: Option<tempfile::TempDir>,
 }
 
-/// What the system has counted of a process.
+/// Resource usage of a process up to a time, as the system reports it.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
+pub struct Usage {
     pub cpu: Duration,
     pub memory_kb: u64,
-    pub at: Instant,
+    pub measured_at: Instant,
 }
 
-/// The list of so many servers, at the nodes of this port.
+/// Names and addresses of `n` servers at the nodes on this port.
 pub fn servers(n: usize, port: u16) -> Vec<(String, SocketAddr)> {
-    (0..n).map(|i| (format!("s-{i:05}"), peers::node(i, port))).collect()
+    (0..n).map(|i| (format!("s-{i:05}"), nodes::node(i, port))).collect()
 }
 
-impl Subject {
-    /// Clients meet the nodes.
-    pub fn none(port: u16) -> Self {
-        Subject {
+impl Target {
+    /// No process: clients connect to the nodes.
+    pub fn nodes(port: u16) -> Self {
+        Target {
             child: None,
-            address: (0..peers::NODES).map(|n| peers::node(n, port)).collect(),
+            addresses: (0..nodes::NODES).map(|n| nodes::node(n, port)).collect(),
             _folder: None,
         }
     }
 
-    /// The bare relay, which is this program called otherwise.
-    pub fn bare(cores: &[usize], port: u16) -> io::Result<Self> {
+    /// The bare relay, which is this program with an option.
+    pub fn bare_relay(cores: &[usize], port: u16) -> io::Result<Self> {
         let mut command = Command::new(std::env::current_exe()?);
         command.args(["--relay", &port.to_string()]).stdout(Stdio::piped());
         let mut child = spawn(command, cores)?;
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line)?;
         let address = line.trim().parse().map_err(io::Error::other)?;
-        Ok(Subject { child: Some(child), address: vec![address], _folder: None })
+        Ok(Target { child: Some(child), addresses: vec![address], _folder: None })
     }
 
-    /// The balancer; `change` has the last word on its configuration.
+    /// The balancer; `change` may modify its configuration.
     pub fn balancer(start: &Start, port: u16, change: impl FnOnce(&mut Value)) -> io::Result<Self> {
         let folder = tempfile::tempdir()?;
         let listed = servers(start.servers, port);
         let mut file = config(&[]);
         file["limits"]["sockets"] = json!(SOCKETS);
-        // Few servers have to carry all of it.
+        // The weights are high because few servers have to take all the load.
         let ready = |(name, at): &(String, SocketAddr)| {
             let mut e = json!(endpoint(name, *at, "Ready"));
             e["weight"] = json!(1e6);
@@ -98,53 +99,55 @@
         let address = loop {
             let mut line = String::new();
             if log.read_line(&mut line)? == 0 {
-                return Err(io::Error::other("the program ended"));
+                return Err(io::Error::other("the program ended before it served"));
             }
             if line.contains("event=serving") {
-                let at = line.split("listen=").nth(1).and_then(|t| t.split_whitespace().next());
-                break at.and_then(|t| t.parse().ok()).ok_or_else(|| io::Error::other("no address"))?;
+                let address = line.split("listen=").nth(1).and_then(|t| t.split_whitespace().next());
+                break address
+                    .and_then(|t| t.parse().ok())
+                    .ok_or_else(|| io::Error::other(format!("no address in the log line: {line}")))?;
             }
             eprint!("  {line}");
         };
         thread::spawn(move || {
-            // Read to its end: a pipe that nobody reads would hold the program up.
+            // The log is read to its end: a full pipe would block the program.
             let lines = log.lines().map_while(Result::ok).filter(|l| !l.contains("server-"));
             lines.enumerate().filter(|(i, _)| *i < 20).for_each(|(_, l)| eprintln!("  {l}"));
         });
-        Ok(Subject { child: Some(child), address: vec![address], _folder: Some(folder) })
+        Ok(Target { child: Some(child), addresses: vec![address], _folder: Some(folder) })
     }
 
-    /// Clients meet several, in turn; what they use is not told.
-    pub fn several(subjects: &[Subject]) -> Self {
-        let address = subjects.iter().flat_map(|s| s.address.clone()).collect();
-        Subject { child: None, address, _folder: None }
+    /// Several targets, to which clients connect in turn. Their usage is not measured.
+    pub fn combined(targets: &[Target]) -> Self {
+        let addresses = targets.iter().flat_map(|t| t.addresses.clone()).collect();
+        Target { child: None, addresses, _folder: None }
     }
 
-    /// What it has used up to now.
-    pub fn used(&self) -> Used {
-        let mut used = Used { cpu: Duration::ZERO, memory_kb: 0, at: Instant::now() };
-        let Some(child) = &self.child else { return used };
+    /// The usage of the process up to now.
+    pub fn usage(&self) -> Usage {
+        let mut usage = Usage { cpu: Duration::ZERO, memory_kb: 0, measured_at: Instant::now() };
+        let Some(child) = &self.child else { return usage };
         let process = PathBuf::from(format!("/proc/{}", child.id()));
         for task in fs::read_dir(process.join("task")).into_iter().flatten().flatten() {
             let text = fs::read_to_string(task.path().join("schedstat")).unwrap_or_default();
             let ns = text.split(' ').next().and_then(|t| t.parse().ok()).unwrap_or(0);
-            used.cpu += Duration::from_nanos(ns);
+            usage.cpu += Duration::from_nanos(ns);
         }
         let status = fs::read_to_string(process.join("status")).unwrap_or_default();
         let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        used.memory_kb = resident.and_then(|t| t.split_whitespace().next()?.parse().ok()).unwrap_or(0);
-        used
+        usage.memory_kb = resident.and_then(|t| t.split_whitespace().next()?.parse().ok()).unwrap_or(0);
+        usage
     }
 
-    /// Tells it to end and waits until it has.
-    pub fn ends(&mut self) -> io::Result<()> {
+    /// Sends SIGTERM and waits until the process has exited.
+    pub fn terminate(&mut self) -> io::Result<()> {
         let Some(child) = &mut self.child else { return Ok(()) };
         let id = rustix::process::Pid::from_child(child);
         rustix::process::kill_process(id, rustix::process::Signal::TERM)?;
         child.wait().map(drop)
     }
 
-    /// The most memory that it has held, in KiB.
+    /// The peak resident memory of the process, in KiB.
     pub fn peak_kb(&self) -> u64 {
         let Some(child) = &self.child else { return 0 };
         let status = fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
@@ -153,7 +156,7 @@
     }
 }
 
-impl Drop for Subject {
+impl Drop for Target {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
             let _ = child.kill();
@@ -162,21 +165,22 @@
     }
 }
 
-/// Starts a process on these cores. The affinity is taken over from the thread that starts it.
+/// Starts a process on these cores, or on those of this thread if none are given. The process inherits the affinity of the
+/// thread that starts it.
 fn spawn(mut command: Command, cores: &[usize]) -> io::Result<Child> {
     use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
     let before = sched_getaffinity(None)?;
     if !cores.is_empty() {
-        let mut own = CpuSet::new();
-        cores.iter().for_each(|core| own.set(*core));
-        sched_setaffinity(None, &own)?;
+        let mut allowed = CpuSet::new();
+        cores.iter().for_each(|core| allowed.set(*core));
+        sched_setaffinity(None, &allowed)?;
     }
     let child = command.stdin(Stdio::null()).spawn();
     sched_setaffinity(None, &before)?;
     child
 }
 
-/// Discovery that answers one watch at a time: a whole list if it has one, then changes as they are given.
+/// A discovery service whose watches are answered by the benchmark.
 #[derive(Debug)]
 pub struct Discovery {
     pub address: SocketAddr,
@@ -192,19 +196,20 @@
         Ok(Discovery { address, watches })
     }
 
-    /// Waits for the next watch, up to its first line.
+    /// Waits for the next watch, reads its request and writes the head of the response.
     pub fn watch(&self) -> io::Result<std::net::TcpStream> {
-        let wait = self.watches.recv_timeout(Duration::from_secs(20));
-        let mut watch = wait.map_err(|_| io::Error::other("the program does not ask for the list"))?;
+        let received = self.watches.recv_timeout(Duration::from_secs(20));
+        let mut watch =
+            received.map_err(|_| io::Error::other("the program requests no endpoint list within 20 s"))?;
         watch.set_nodelay(true)?;
-        let mut call = [0; 4096];
-        let _ = watch.read(&mut call)?;
+        let mut request = [0; 4096];
+        let _ = watch.read(&mut request)?;
         watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
         Ok(watch)
     }
 }
 
-/// Tells a watch some text, as one chunk.
-pub fn tell(watch: &mut impl Write, text: &str) -> io::Result<()> {
+/// Writes text to a watch as one chunk.
+pub fn write_chunk(watch: &mut impl Write, text: &str) -> io::Result<()> {
     watch.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
