--- a/crates/balancer/tests/sockets/gossip.rs
+++ b/crates/balancer/tests/sockets/gossip.rs
@@ -43,7 +43,7 @@
         let (began, mut buffer) = (Instant::now(), [0; 2_000]);
         while began.elapsed() < LIMIT {
             let (n, from) = self.socket.recv_from(&mut buffer).expect("a datagram");
-            let announcements = self.key.open(&buffer[..n]).expect("sealed with the key");
+            let announcements = self.key.decode_datagram(&buffer[..n]).expect("the datagram has a valid tag");
             if let Some(found) =
                 announcements.into_iter().find(|a| a.sender == sender_id("n1") && condition(a))
             {
@@ -62,7 +62,7 @@
             made_at_ms: self.made_at_ms,
             holdings: holdings.to_vec(),
         };
-        self.socket.send_to(&self.key.seal([&announcement]), to).expect("sent");
+        self.socket.send_to(&self.key.encode_datagram([&announcement]), to).expect("sent");
     }
 }
 
@@ -96,7 +96,9 @@
     program.logged("event=gossip state=together");
     let (_client, _server) = program.stand_as(&nodes[1 - first], "2b");
     // Malformed datagrams, a foreign key and an old announcement have no effect; after them the peer is silent.
-    for invalid in [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").seal([&announcement])] {
+    for invalid in
+        [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").encode_datagram([&announcement])]
+    {
         peer.socket.send_to(invalid, gossip_address).expect("sent");
     }
     program.logged("event=gossip state=alone");
