--- a/crates/store/src/cached_store.rs
+++ b/crates/store/src/cached_store.rs
@@ -1,5 +1,5 @@
-//! A store with a copy in memory of the records that every instance needs. The copy answers reads while the engine is
-//! unavailable, and can be kept in a file, so that an instance can start without its engine.
+//! A store with a copy in memory of the records that every instance needs. Reads are answered from the copy while the
+//! engine is unavailable. The copy can also be written to a file, so that an instance can start without the engine.
 
 use crate::change_batch::ChangeBatch;
 use crate::digest::sha256_hex;
@@ -14,34 +14,37 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The copy's file is written at most this often.
+/// The minimum time between two writes of the copy file.
 const COPY_INTERVAL: Micros = 5_000_000;
 
-/// The most answers about changes that one refresh reads before it lets other calls have their turn.
+/// The maximum number of reads of changes in one refresh, after which other calls can be made.
 const MAX_CHANGE_READS: usize = 20;
 
-/// Bytes of the checksum line at the beginning of the copy's file: SHA-256 in hexadecimal digits.
+/// The length of the checksum in the first line of the copy file, in bytes: SHA-256 in hexadecimal digits.
 const CHECKSUM_BYTES: usize = 64;
 
-/// A store and a copy of some of its records.
+/// A store with a copy in memory of the records in [`Collection::CACHED`].
 pub struct CachedStore {
     store: Box<dyn Store>,
+    /// The copied records.
     entries: BTreeMap<Key, Entry>,
+    /// The revision up to which the copy has all changes.
     revision: Revision,
+    /// The latest time at which the copy was known to be up to date; `None` before the copy is first loaded.
     as_of: Option<Micros>,
-    /// Whether the copy came from the engine rather than from the file.
+    /// Whether the copy was loaded from the engine rather than from the file.
     is_live: bool,
     copy_file: Option<PathBuf>,
     last_written: Option<WrittenCopy>,
 }
 
-/// What the copy's file holds.
+/// The time and the revision of the copy that was last written to the file.
 struct WrittenCopy {
     at: Micros,
     revision: Revision,
 }
 
-/// The content of the copy's file.
+/// The content of the copy file, after the checksum.
 #[derive(Serialize, Deserialize)]
 struct StoredCopy {
     revision: Revision,
@@ -49,7 +52,7 @@
     entries: Vec<StoredEntry>,
 }
 
-/// Key, revision and JSON of a record, as an array.
+/// The key, the revision and the JSON of a record, which are written as an array.
 #[derive(Serialize, Deserialize)]
 struct StoredEntry(String, u64, String);
 
@@ -68,7 +71,8 @@
 }
 
 impl CachedStore {
-    /// A store with an empty copy, which the first [`CachedStore::refresh`] fills. `copy_file` is where it is kept.
+    /// A store with an empty copy, which the first [`CachedStore::refresh`] loads. The copy is written to `copy_file`,
+    /// if given.
     pub fn new(store: Box<dyn Store>, copy_file: Option<PathBuf>) -> CachedStore {
         CachedStore {
             store,
@@ -81,16 +85,17 @@
         }
     }
 
-    /// How long ago the copy was known to equal the store, in microseconds.
+    /// The time since the copy was last known to be up to date, in microseconds; `None` before the copy is first
+    /// loaded.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.as_of.map(|as_of| now.saturating_sub(as_of))
     }
 
-    /// Brings the copy up to date and returns the changes. If the engine has never answered, the changes are those of
-    /// the copy's file.
+    /// Brings the copy up to date, and returns the changes. If the engine is unavailable and no copy is loaded yet, the
+    /// copy is loaded from the file.
     ///
     /// # Errors
-    /// If the engine is unavailable, and there is no copy in a file or it was read before.
+    /// If the engine is unavailable, and a copy is already loaded or can't be loaded from the file.
     pub fn refresh(&mut self, now: Micros) -> Result<ChangeBatch, StoreError> {
         let refreshed = if self.is_live { self.load_changes(now) } else { self.load_snapshot(now) };
         match refreshed {
@@ -156,7 +161,8 @@
         };
     }
 
-    /// Writes the copy's file if it is out of date. A failure does not concern the caller.
+    /// Writes the copy file if it is out of date and the last write is long enough ago. A failed write is ignored, and
+    /// tried again at the next refresh.
     fn write_copy_if_due(&mut self, now: Micros) {
         let Some(path) = &self.copy_file else { return };
         let is_due = match &self.last_written {
@@ -172,7 +178,7 @@
         }
     }
 
-    /// The content of the copy's file: a line with the checksum, then JSON.
+    /// The content of the copy file: a line with the checksum, followed by JSON.
     fn encode_copy(&self, now: Micros) -> Option<Vec<u8>> {
         let entries = self.entries.values().map(StoredEntry::new).collect();
         let copy = StoredCopy { revision: self.revision, as_of: now, entries };
@@ -180,7 +186,7 @@
         Some([sha256_hex(&json).as_bytes(), b"\n", &json].concat())
     }
 
-    /// Takes the copy from the file, if there is an intact one.
+    /// Loads the copy from the file, if there is an intact one.
     fn load_copy_file(&mut self) -> Option<ChangeBatch> {
         let copy = read_copy_file(self.copy_file.as_deref()?)?;
         self.entries = copy.entries.into_iter().map(StoredEntry::into_keyed_entry).collect::<Option<_>>()?;
@@ -189,7 +195,7 @@
         Some(self.snapshot(copy.revision, copy.as_of))
     }
 
-    /// Whether the copy answers a read that failed.
+    /// Whether a read of this collection that failed with `e` can be answered from the copy.
     fn can_serve(&self, collection: Collection, e: &StoreError) -> bool {
         e.is_transient() && self.as_of.is_some() && is_cached(collection)
     }
@@ -210,7 +216,7 @@
     Collection::CACHED.contains(&collection)
 }
 
-/// The content of a copy's file; `None` if it can't be read or its checksum differs.
+/// Reads a copy file; `None` if it can't be read or its checksum does not match.
 fn read_copy_file(path: &Path) -> Option<StoredCopy> {
     let bytes = fs::read(path).ok()?;
     let (checksum, json) = bytes.split_at_checked(CHECKSUM_BYTES)?;
--- a/crates/store/src/change_batch.rs
+++ b/crates/store/src/change_batch.rs
@@ -1,4 +1,4 @@
-//! Changes of records on their way from the store to those who keep a copy.
+//! Batches of changes, which the store sends to the components that keep a copy of its records.
 
 use crate::key::Key;
 use crate::revision::Revision;
@@ -6,21 +6,21 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-/// The changes since an earlier batch, or a snapshot of all records.
+/// The changes since the previous batch, or a snapshot of all records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeBatch {
-    /// Whether `changes` is all records rather than those that changed.
+    /// Whether `changes` has all records, rather than only those that changed since the previous batch.
     pub is_snapshot: bool,
-    /// The changed records, each once.
+    /// The changes, with at most one for each record.
     pub changes: Vec<Change>,
-    /// Every change up to this revision is included.
+    /// All changes up to this revision are included.
     pub up_to: Revision,
-    /// When the store was known to hold this and nothing newer.
+    /// The latest time at which the store was known to have no newer changes.
     pub as_of: Micros,
 }
 
 impl ChangeBatch {
-    /// This batch and a later one as one batch.
+    /// Combines this batch and a later one into one batch.
     pub(crate) fn merge(self, later: ChangeBatch) -> ChangeBatch {
         if later.is_snapshot {
             return later;
--- a/crates/store/src/directory.rs
+++ b/crates/store/src/directory.rs
@@ -1,8 +1,8 @@
-//! The directory that an instance's event loop reads: tenants, classes, limits and tokens in memory, and how old they
-//! are.
+//! The directory of an instance: its copy in memory of the tenants, classes, limits and tokens, which the event loop
+//! reads.
 //!
-//! The loop never calls the store for these. It applies changes as they come, and goes on with its last knowledge
-//! while the store is unavailable.
+//! The event loop never calls the store for these records. It applies batches of changes as they arrive, and uses the
+//! records it has while the store is unavailable.
 
 use crate::change_batch::ChangeBatch;
 use crate::commands::SERVICE_LIMITS;
@@ -17,13 +17,13 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-/// Tenants, classes, limits and tokens, in memory.
+/// A copy in memory of the tenants, classes, limits and tokens.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    /// Tenants by canonical name.
+    /// The tenants by canonical name.
     tenants: BTreeMap<String, Versioned<TenantRecord>>,
     id_assignments: BTreeMap<NumericId, IdAssignment>,
-    /// The canonical names of present tenants, by id.
+    /// The canonical names of the tenants that exist, by id.
     tenant_names_by_id: BTreeMap<NumericId, String>,
     classes: BTreeMap<ClassName, Versioned<ClassRecord>>,
     tokens: BTreeMap<TokenId, Versioned<TokenRecord>>,
@@ -33,7 +33,8 @@
 }
 
 impl Directory {
-    /// Applies changes. Returns an error for each record that can't be decoded, whose earlier version stays in force.
+    /// Applies a batch of changes. Returns an error for each record that can't be decoded; the previous version of such
+    /// a record is kept.
     pub fn apply(&mut self, batch: &ChangeBatch) -> Vec<StoreError> {
         if batch.is_snapshot {
             *self = Directory::default();
@@ -94,45 +95,45 @@
 
     fn remove_tenant(&mut self, canonical_name: &str) {
         let Some(before) = self.tenants.remove(canonical_name) else { return };
-        // In a snapshot that comes in another order the id may be another tenant's already.
+        // Depending on the order of the changes, the id may already refer to another tenant.
         let id = before.record.id;
         if self.tenant_names_by_id.get(&id).is_some_and(|name| name == canonical_name) {
             self.tenant_names_by_id.remove(&id);
         }
     }
 
-    /// A tenant, by any spelling of its name.
+    /// The tenant with this name, in any spelling.
     pub fn tenant(&self, name: &TenantName) -> Option<&Versioned<TenantRecord>> {
         self.tenants.get(&name.canonical())
     }
 
-    /// The tenant with an id; `None` once it is removed.
+    /// The tenant with this id; `None` if there is none or it was removed.
     pub fn tenant_by_id(&self, id: NumericId) -> Option<&Versioned<TenantRecord>> {
         self.tenants.get(self.tenant_names_by_id.get(&id)?)
     }
 
-    /// The tenant that an id was assigned to, removed or not.
+    /// The assignment of this id, also if its tenant was removed.
     pub fn id_assignment(&self, id: NumericId) -> Option<&IdAssignment> {
         self.id_assignments.get(&id)
     }
 
-    /// All tenants in the order of their canonical names.
+    /// All tenants, in the order of their canonical names.
     pub fn tenants(&self) -> impl Iterator<Item = &Versioned<TenantRecord>> {
         self.tenants.values()
     }
 
-    /// All classes in the order of their names.
+    /// All classes, in the order of their names.
     pub fn classes(&self) -> impl Iterator<Item = &Versioned<ClassRecord>> {
         self.classes.values()
     }
 
-    /// The service-wide limits.
+    /// The service-wide limits; unlimited, with version 0, if none were set.
     pub fn limits(&self) -> &Versioned<ServiceLimits> {
         &self.limits
     }
 
-    /// The token with this text; `None` if there is none, if it is no longer valid, or if it is the admin token of a
-    /// removed tenant.
+    /// The token with this text; `None` if there is no such token, if it is no longer valid, or if its role is to
+    /// administer a tenant that was removed.
     pub fn authenticate(&self, token_text: &str, now: Micros) -> Option<&TokenRecord> {
         let (id, secret) = TokenRecord::parse_text(token_text)?;
         let token = &self.tokens.get(&id)?.record;
@@ -143,17 +144,18 @@
         (token.accepts(secret, now) && has_tenant).then_some(token)
     }
 
-    /// A token that is still valid, by its id: for connections that authenticated with it before.
+    /// The token with this id if it is valid, for connections that have already authenticated with it.
     pub fn valid_token(&self, id: &TokenId, now: Micros) -> Option<&TokenRecord> {
         self.tokens.get(id).map(|token| &token.record).filter(|token| token.is_valid(now))
     }
 
-    /// The revision up to which changes are applied.
+    /// The revision up to which all changes are applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// How long ago the store was known to hold nothing newer, in microseconds; `None` before the first changes.
+    /// The time since the store was last known to have no newer changes, in microseconds; `None` before the first
+    /// batch.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.as_of.map(|as_of| now.saturating_sub(as_of))
     }
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced as a whole: written under a temporary name beside the target, synced, then renamed.
+//! Atomic replacement of files: a file is written under a temporary name in the same folder, synced, and renamed.
 
 use crate::error::StoreError;
 use std::fs::{self, File, OpenOptions};
@@ -6,10 +6,10 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// Permissions of every file: nobody but its owner reads it.
+/// The permissions of every file: only its owner may read and write it.
 const OWNER_ONLY: u32 = 0o600;
 
-/// The path of a file that belongs to another one: its name, a dot and a suffix.
+/// The path of a file in the same folder as `path`, whose name is that of `path` with a dot and a suffix.
 pub(crate) fn sibling_path(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".");
@@ -17,19 +17,19 @@
     name.into()
 }
 
-/// The path under which a file is written before it is published.
+/// The temporary path under which a file is written before it is published.
 pub(crate) fn temporary_path(path: &Path) -> PathBuf {
     sibling_path(path, "part")
 }
 
-/// Options that create a file, or truncate an old one.
+/// Options that open a file for writing, and create it or truncate an existing one.
 pub(crate) fn create_options() -> OpenOptions {
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(true).mode(OWNER_ONLY);
     options
 }
 
-/// Renames a finished file over its target, durably.
+/// Syncs a completely written file and renames it to its target path. When this returns, the target is durable.
 pub(crate) fn publish(temporary: &Path, path: &Path) -> Result<(), StoreError> {
     let to_store_error = |e: io::Error| io_error(&path.display().to_string(), &e);
     File::open(temporary).and_then(|file| file.sync_all()).map_err(to_store_error)?;
@@ -38,7 +38,7 @@
     File::open(folder).and_then(|folder| folder.sync_all()).map_err(to_store_error)
 }
 
-/// Writes and publishes a file; a failed one is removed.
+/// Writes a file under its temporary path and publishes it. If that fails, the temporary file is removed.
 pub(crate) fn publish_with<T>(
     path: &Path,
     write: impl FnOnce(&Path) -> Result<T, StoreError>,
@@ -49,13 +49,13 @@
         Ok(written)
     });
     if published.is_err() {
-        // A leftover that can't be removed is harmless: the next write truncates it.
+        // A temporary file that can't be removed is harmless: the next write truncates it.
         let _ = fs::remove_file(&temporary);
     }
     published
 }
 
-/// Writes a file, completely or not at all.
+/// Replaces the content of a file, completely or not at all.
 pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> Result<(), StoreError> {
     publish_with(path, |temporary| {
         let written = create_options().open(temporary).and_then(|mut file| file.write_all(bytes));
@@ -63,7 +63,7 @@
     })
 }
 
-/// Copies a file, completely or not at all.
+/// Replaces a file by a copy of another one, completely or not at all.
 pub(crate) fn copy_atomically(from: &Path, to: &Path) -> Result<(), StoreError> {
     publish_with(to, |temporary| match fs::copy(from, temporary) {
         Ok(_) => Ok(()),
@@ -71,14 +71,14 @@
     })
 }
 
-/// The store error for a system error at a file.
+/// The [`StoreError`] for an I/O error at a file.
 pub(crate) fn io_error(location: &str, e: &io::Error) -> StoreError {
     let (location, cause) = (location.to_owned(), e.to_string());
     match e.kind() {
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
             StoreError::NoSpace { location, cause }
         }
-        // The file is too short or not a database: not what was written.
+        // The file is too short, or is not a database, so it is not the file that was written.
         io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData => StoreError::Corrupt { location, cause },
         _ => StoreError::Io { location, cause },
     }
--- a/crates/store/src/key.rs
+++ b/crates/store/src/key.rs
@@ -1,36 +1,36 @@
-//! Keys of records: a collection for each kind of record, and a name within it.
+//! Keys of records. A key has a collection, which is the kind of record, and a name within the collection.
 
 use std::fmt;
 
-/// A kind of records. Each collection has its own names.
+/// A kind of record. Names are unique within a collection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Collection {
     /// The audit trail, by entry number.
     Audit,
-    /// Leases and allocations of the budgets that balancers share.
+    /// Records of the budgets that balancers share: leases and allocations.
     Budget,
     /// Class definitions, by name.
     Class,
-    /// Service-wide limits; a single record.
+    /// The service-wide limits, which are a single record.
     Limits,
-    /// Index of tenant names that can be confused with each other, by the hash of their skeleton.
+    /// The index of tenant names that can be confused with each other, by the hash of their skeleton.
     ConfusableName,
     /// Counters, by name.
     Counter,
-    /// Replies to calls with an idempotency key.
+    /// Replies to requests with an idempotency key, by the hash of caller and key.
     IdempotencyKey,
-    /// Which tenant a numeric id was assigned to.
+    /// The tenant that each numeric id was assigned to, by id.
     IdAssignment,
     /// Tenants, by their canonical name.
     Tenant,
     /// API tokens, by id.
     Token,
-    /// Usage by minute, hour and day.
+    /// Usage by minute, hour and day, by granularity, chunk of ids, interval and instance.
     Usage,
 }
 
 impl Collection {
-    /// All collections, in the order of their names.
+    /// All collections, in the order of their stored names.
     pub const ALL: [Collection; 11] = [
         Collection::Audit,
         Collection::Budget,
@@ -45,7 +45,7 @@
         Collection::Usage,
     ];
 
-    /// The collections that every instance keeps a copy of.
+    /// The collections of which every instance keeps a copy in memory.
     pub const CACHED: [Collection; 5] = [
         Collection::Class,
         Collection::Limits,
@@ -71,23 +71,23 @@
         }
     }
 
-    /// The collection with this name.
+    /// The collection with this name in stored keys.
     pub fn parse(name: &str) -> Option<Collection> {
         Collection::ALL.into_iter().find(|collection| collection.as_str() == name)
     }
 }
 
-/// The key of a record. Keys are ordered as their texts are.
+/// The key of a record. Keys sort in the order of their texts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// The kind of record.
+    /// The collection of the record.
     pub collection: Collection,
-    /// The name within the collection: not empty, at most [`Key::MAX_NAME_BYTES`] bytes.
+    /// The name of the record within the collection: 1 to [`Key::MAX_NAME_BYTES`] bytes.
     pub name: String,
 }
 
 impl Key {
-    /// The longest name in bytes, as long as the longest name of a tenant.
+    /// The maximum length of a name in bytes, which is that of a tenant's canonical name.
     pub const MAX_NAME_BYTES: usize = 4096;
 
     /// The key of the record `name` in `collection`.
@@ -100,7 +100,7 @@
         self.to_string()
     }
 
-    /// Reads [`Key::text`].
+    /// Parses the text of a key, as [`Key::text`] returns it.
     pub fn parse(text: &str) -> Option<Key> {
         let (collection, name) = text.split_once('/')?;
         let collection = Collection::parse(collection)?;
--- a/crates/store/src/migrate.rs
+++ b/crates/store/src/migrate.rs
@@ -1,10 +1,10 @@
 //! The schema of the records, and the migrations from older schemas.
 //!
-//! A migration reads all records and returns what to write. Migrations only go forward. A store with a newer schema
-//! than [`SCHEMA`] is rejected, since this program can't interpret its records.
+//! A migration reads all records and returns the changed ones. There are no migrations to older schemas. A store with a
+//! newer schema than [`SCHEMA`] is rejected, since this program can't interpret its records.
 //!
-//! In the replicated engine a migration is written in several transactions while other instances run, so it must be
-//! idempotent and harmless when half done. The schema's number is written last.
+//! The replicated engine writes a migration in several transactions while other instances run. A migration must
+//! therefore be idempotent, and a partly written one must do no harm. The number of the new schema is written last.
 
 use crate::error::StoreError;
 use crate::key::{Collection, Key};
@@ -13,21 +13,21 @@
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
-/// The schema that this program writes.
+/// The schema of the records that this program writes.
 pub const SCHEMA: u32 = 2;
 
 /// All records by key.
 pub(crate) type Records = BTreeMap<Key, Vec<u8>>;
 
-/// The new value of each changed record; `None` removes it.
+/// The new value of each changed record, or `None` to remove it.
 pub(crate) type Writes = Vec<(Key, Option<Vec<u8>>)>;
 
 type Migration = fn(&Records, Micros) -> Result<Writes, StoreError>;
 
-/// The migrations, each with the schema that it starts from.
+/// The migrations, each with the schema that it migrates from.
 const MIGRATIONS: [(u32, Migration); 1] = [(1, index_confusable_names)];
 
-/// Migrates records from a schema to this program's, and returns what to write.
+/// Migrates records from the schema `from` to [`SCHEMA`], and returns the writes that this takes.
 pub(crate) fn migrate(from: u32, records: &mut Records, now: Micros) -> Result<Writes, StoreError> {
     if from == 0 || from > SCHEMA {
         return Err(StoreError::NewerSchema {
@@ -49,7 +49,7 @@
     Ok(writes.into_iter().collect())
 }
 
-/// Schema 1 had no index of confusable names.
+/// Creates the index of confusable names, which schema 1 did not have.
 pub(crate) fn index_confusable_names(records: &Records, _now: Micros) -> Result<Writes, StoreError> {
     let mut index: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
     for (key, value) in records.iter().filter(|(key, _)| key.collection == Collection::Tenant) {
--- a/crates/store/src/name.rs
+++ b/crates/store/src/name.rs
@@ -1,12 +1,13 @@
-//! Names of tenants and classes: which are valid, when two are the same, and when two can be confused.
+//! Names of tenants and classes: their validation, and the rules by which names of tenants are equal or confusable.
 //!
-//! A tenant's name may be in any script. It is kept as given, composed (NFC), for display. Its canonical form
-//! identifies the tenant: NFKC, case-folded by Unicode's default folding, without default-ignorable characters.
-//! `Bolnica`, `BOLNICA` and full-width `Ｂｏｌｎｉｃａ` have one canonical form.
+//! A tenant's name may be in any script. The name as given, composed (NFC), is stored for display. Its canonical form
+//! identifies the tenant: it is normalised (NFKC), case-folded with Unicode's default folding, and has no
+//! default-ignorable characters. `Bolnica`, `BOLNICA` and full-width `Ｂｏｌｎｉｃａ` have the same canonical form.
 //!
-//! Two names are confusable if they differ and their skeletons by UTS #39 are equal. The later name is rejected if it
-//! is written in other scripts, as Cyrillic `рау` beside Latin `pay`. Within the same scripts (`modern` and `modem`)
-//! both are allowed, since the tables would reject many legitimate names.
+//! Two different names are confusable if their skeletons as defined by UTS #39 are equal. The name that is created
+//! later is rejected if it is written in other scripts, such as Cyrillic `рау` when Latin `pay` exists. If both are
+//! written in the same scripts, such as `modern` and `modem`, they are allowed, since the rule would otherwise reject
+//! many legitimate names.
 
 use crate::digest::sha256_hex;
 use crate::error::InvalidValue;
@@ -16,16 +17,16 @@
 use unicode_security::mixed_script::AugmentedScriptSet;
 use unicode_security::skeleton;
 
-/// The longest tenant name in bytes, both as displayed and in canonical form.
+/// The maximum length of a tenant name in bytes, both as displayed and in canonical form.
 pub const MAX_NAME_BYTES: usize = 4096;
 
-/// The longest class name in bytes.
+/// The maximum length of a class name in bytes.
 pub const MAX_CLASS_NAME_BYTES: usize = 64;
 
-/// Rounds of folding and composing after which every form is stable.
+/// The number of rounds of folding and composing after which every form is stable.
 const MAX_FOLDING_ROUNDS: usize = 4;
 
-/// Ranges of Default_Ignorable_Code_Point in Unicode 16.
+/// The ranges of code points with the property Default_Ignorable_Code_Point in Unicode 16.
 const DEFAULT_IGNORABLE: [(u32, u32); 17] = [
     (0xad, 0xad),
     (0x34f, 0x34f),
@@ -51,7 +52,7 @@
     DEFAULT_IGNORABLE.iter().any(|&(first, last)| (first..=last).contains(&code_point))
 }
 
-/// Whether a character changes the direction of the text after it.
+/// Whether a character changes the direction of the text that follows.
 fn is_bidi_control(character: char) -> bool {
     matches!(character, '\u{202a}'..='\u{202e}' | '\u{2066}'..='\u{2069}')
 }
@@ -64,7 +65,7 @@
     character.is_control() || is_bidi_control(character) || is_line_separator(character)
 }
 
-/// A tenant's name, checked and composed (NFC).
+/// A valid tenant name, composed (NFC).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TenantName {
@@ -72,12 +73,12 @@
 }
 
 impl TenantName {
-    /// Checks a name.
+    /// Validates and composes a name.
     ///
     /// # Errors
     /// If the name or its canonical form is empty or longer than [`MAX_NAME_BYTES`]; if it has control characters,
-    /// line separators or characters that change the direction of text; if it begins or ends with white space; and
-    /// for `.` and `..`, which do not survive in the path of a URL.
+    /// line separators or characters that change the direction of text; if it begins or ends with white space; or if
+    /// it is `.` or `..`, which are removed from the path of a URL.
     pub fn new(text: &str) -> Result<TenantName, InvalidValue> {
         let invalid = |cause: String| Err(InvalidValue::new("name", cause));
         if text.is_empty() {
@@ -116,9 +117,9 @@
         &self.display
     }
 
-    /// The form that identifies the tenant; the name of its record.
+    /// The canonical form, which identifies the tenant and is the name of its record.
     pub fn canonical(&self) -> String {
-        // Folding can yield text that composes further, and the other way round.
+        // Folding can produce text that can be composed further, and composing can produce text that can be folded.
         let mut form = fold(&self.display);
         for _ in 0..MAX_FOLDING_ROUNDS {
             let next = fold(&form);
@@ -130,7 +131,7 @@
         form
     }
 
-    /// What decides whether the name can be confused with another one.
+    /// The form by which names that can be confused with this one are found.
     pub fn confusable_form(&self) -> ConfusableForm {
         let canonical = self.canonical();
         let skeleton: String = skeleton(&canonical).collect();
@@ -163,25 +164,26 @@
     }
 }
 
-/// The form of a name under which confusable names are found.
+/// The form of a name by which confusable names are found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfusableForm {
-    /// SHA-256 of the skeleton, which confusable names have in common.
+    /// The SHA-256 hash of the skeleton, which is the same for confusable names.
     pub skeleton_hash: String,
-    /// The scripts that can write all of the name; compared, never parsed.
+    /// The scripts in which the whole name can be written, as text to compare with that of other names.
     pub scripts: String,
 }
 
-/// The name of a class: 1 to 64 of ASCII letters, digits, `-`, `_` and `.`, with a letter or digit first.
+/// The name of a class: 1 to 64 characters, each an ASCII letter, a digit, `-`, `_` or `.`. The first is a letter or
+/// digit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClassName(String);
 
 impl ClassName {
-    /// Checks a name.
+    /// Validates a name.
     ///
     /// # Errors
-    /// If the name has another form.
+    /// If the name does not have the form given above.
     pub fn new(text: &str) -> Result<ClassName, InvalidValue> {
         let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.".contains(byte);
         let bytes = text.as_bytes();
--- a/crates/store/src/name/tests.rs
+++ b/crates/store/src/name/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of names.
+//! Tests of the validation and the canonical and confusable forms of tenant names.
 
 use super::*;
 
 #[test]
-fn one_person_cannot_hold_two_spellings_of_one_name() {
+fn spellings_of_one_name_have_the_same_canonical_form() {
     let canonical = |t: &str| TenantName::new(t).unwrap().canonical();
     for (a, b) in [
         ("Bolnica", "BOLNICA"),
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn names_of_one_byte_and_of_four_kibibytes_are_taken_and_what_breaks_a_line_is_not() {
+fn names_of_1_to_4096_bytes_are_accepted_and_invalid_names_are_rejected() {
     for good in ["a".to_owned(), "長".repeat(1365), "۱ تذكرة".into(), "a/b?c#d%41".into(), "x".repeat(4096)]
     {
         assert_eq!(TenantName::new(&good).unwrap().as_str(), good);
     }
-    // The last but one grows eighteenfold where it is folded.
+    // The second-last name is below the limit, but its canonical form has 18 times as many characters and exceeds it.
     for bad in
         ["", " a", "a\n", "a\u{202e}b", ".", "..", "\u{200b}", &"x".repeat(4097), &"ﷺ".repeat(300), "a\0"]
     {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn names_that_look_alike_in_two_scripts_are_seen() {
+fn confusable_names_have_the_same_skeleton_and_differ_in_their_scripts() {
     let form = |t: &str| TenantName::new(t).unwrap().confusable_form();
     let (latin, cyrillic, mixed) = (form("pay"), form("рау"), form("pаy"));
     assert_eq!(latin.skeleton_hash, cyrillic.skeleton_hash);
--- a/crates/store/src/revision.rs
+++ b/crates/store/src/revision.rs
@@ -1,11 +1,12 @@
-//! The numbers of transactions, which are also the versions of records.
+//! Revisions: the numbers of transactions, which are also the versions of records.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a transaction, counted over the whole store; 0 is before the first.
+/// The number of a transaction, which increases over the whole store. 0 stands for the time before the first
+/// transaction.
 ///
-/// A record's version is the revision of the transaction that wrote it last.
+/// The version of a record is the revision of the transaction that last wrote it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,7 +1,7 @@
 //! The store on a thread of its own, so that an event loop never waits for a disk or a network.
 //!
-//! The loop hands over jobs, and polls for their results and for changes. The queue is bounded: when it is full the loop
-//! gets an error at once and can reject its caller. Changes that wait together are written together.
+//! The loop hands over jobs, and polls for their results and for changes. The queue is bounded: when it is full the
+//! loop gets an error at once and can reject its caller. Changes that wait together are written together.
 
 use crate::backup::{CopySummary, backup, restore};
 use crate::cached_store::CachedStore;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,8 +1,8 @@
 //! The interface of every storage engine: reads, lists, atomic conditional writes, and changes since a revision.
 //!
-//! Every transaction gets a revision, a number that only grows over the whole store. The version of a record is the
-//! revision of the transaction that wrote it last, so no version is ever used twice, even when a record is removed
-//! and created again under its name.
+//! Every transaction gets a revision, a number that increases over the whole store. The version of a record is the
+//! revision of the transaction that last wrote it. A record never has the same version twice, even if it is removed and
+//! created again under the same name.
 
 use crate::error::{InvalidValue, StoreError};
 use crate::key::{Collection, Key};
@@ -11,43 +11,43 @@
 use serde::{Deserialize, Serialize};
 use shorewharf_units::Micros;
 
-/// A record as it is stored.
+/// A stored record with its key and version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The record's key.
+    /// The key of the record.
     pub key: Key,
-    /// The record's version.
+    /// The version of the record.
     pub revision: Revision,
-    /// The record as JSON.
+    /// The record, encoded as JSON.
     pub value: Vec<u8>,
 }
 
 impl Entry {
-    /// Decodes the record.
+    /// Decodes the record as a `T`.
     ///
     /// # Errors
-    /// [`StoreError::Corrupt`] if the JSON is not a valid record of this type.
+    /// [`StoreError::Corrupt`] if the value is not the JSON of a valid `T`.
     pub fn decode<T: DeserializeOwned>(&self) -> Result<T, StoreError> {
         decode(&self.key, &self.value)
     }
 }
 
-/// A record and its version.
+/// A decoded record and its version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// The revision that last changed it.
+    /// The revision that last changed the record.
     pub version: Revision,
-    /// The record.
+    /// The decoded record.
     pub record: T,
 }
 
-/// Decodes the JSON of the record under `key`.
+/// Decodes the JSON of the record with this key.
 pub(crate) fn decode<T: DeserializeOwned>(key: &Key, value: &[u8]) -> Result<T, StoreError> {
     let deserializer = &mut serde_json::Deserializer::from_slice(value);
     serde_path_to_error::deserialize(deserializer).map_err(|e| StoreError::corrupt(key, e))
 }
 
-/// Encodes a record under `key` as JSON.
+/// Encodes the record with this key as JSON.
 pub(crate) fn encode<T: Serialize>(key: &Key, record: &T) -> Result<Vec<u8>, StoreError> {
     serde_json::to_vec(record).map_err(|e| InvalidValue::new(key.text(), e.to_string()).into())
 }
@@ -55,14 +55,14 @@
 /// A precondition of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// There is no record under the key.
+    /// No record has this key.
     Absent(Key),
     /// The record has this version.
     AtRevision(Key, Revision),
 }
 
 impl Condition {
-    /// The key that the condition is about.
+    /// The key of the record that the condition is about.
     pub fn key(&self) -> &Key {
         match self {
             Condition::Absent(key) | Condition::AtRevision(key, _) => key,
@@ -70,27 +70,28 @@
     }
 }
 
-/// Writes that are made together, in one revision, if all conditions hold; otherwise none is made.
+/// Writes that are made atomically, in one revision, if all conditions hold. Otherwise none of them is made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     /// The preconditions.
     pub conditions: Vec<Condition>,
-    /// The new value of each key, once; `None` removes the record.
+    /// The new value of each key, or `None` to remove the record. No key occurs twice.
     pub writes: Vec<(Key, Option<Vec<u8>>)>,
 }
 
 impl Batch {
-    /// The most writes of a batch, and the most conditions: the replicated engine allows 128 of either, some of
-    /// which are its own.
+    /// The maximum number of writes of a batch, and of its conditions: the replicated engine allows 128 of each,
+    /// including some that it adds itself.
     pub const MAX_OPERATIONS: usize = 100;
 
-    /// The most bytes of all keys and values together: the replicated engine allows 1.5 MiB a request, in base64.
+    /// The maximum size of all keys and values together, in bytes: the replicated engine allows requests of 1.5 MiB, in
+    /// which they are encoded as base64.
     pub const MAX_BYTES: usize = 900 * 1024;
 
     /// Checks the batch against the limits that all engines share.
     ///
     /// # Errors
-    /// [`StoreError::LimitExceeded`].
+    /// [`StoreError::LimitExceeded`] if the batch or a key is too large.
     pub fn validate(&self) -> Result<(), StoreError> {
         check_limit("writes in one batch", self.writes.len(), Batch::MAX_OPERATIONS)?;
         check_limit("conditions in one batch", self.conditions.len(), Batch::MAX_OPERATIONS)?;
@@ -101,13 +102,13 @@
         Ok(())
     }
 
-    /// The bytes of all keys and values together.
+    /// The size of all keys and values of the writes together, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.writes.iter().map(|(key, value)| write_size_bytes(key, value.as_deref())).sum()
     }
 }
 
-/// The bytes that a write adds to a batch.
+/// The size that a write adds to a batch, in bytes.
 pub(crate) fn write_size_bytes(key: &Key, value: Option<&[u8]>) -> usize {
     key.name.len() + value.map_or(0, <[u8]>::len)
 }
@@ -126,49 +127,49 @@
 /// Selects a page of the records of a collection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// The collection.
+    /// The collection of the records.
     pub collection: Collection,
-    /// Only names with this prefix.
+    /// Only records whose name has this prefix.
     pub prefix: String,
-    /// Only names after this one.
+    /// Only records whose name sorts after this one; `None` for the first page.
     pub after: Option<String>,
-    /// The most records of the page; at least 1.
+    /// The maximum number of records in the page; at least 1.
     pub limit: usize,
 }
 
 impl Query {
-    /// The most records of a page.
+    /// The largest value of [`Query::limit`].
     pub const MAX_LIMIT: usize = 1000;
 
-    /// The first page of a collection.
+    /// Selects the first page of a collection, with up to [`Query::MAX_LIMIT`] records.
     pub fn all(collection: Collection) -> Query {
         Query { collection, prefix: String::new(), after: None, limit: Query::MAX_LIMIT }
     }
 
-    /// Selects only names with this prefix.
+    /// Selects only records whose name has this prefix.
     pub fn prefix(self, prefix: impl Into<String>) -> Query {
         Query { prefix: prefix.into(), ..self }
     }
 
-    /// Selects only names after this one.
+    /// Selects only records whose name sorts after this one.
     pub fn after(self, name: Option<String>) -> Query {
         Query { after: name, ..self }
     }
 
-    /// Limits the page to this many records, between 1 and [`Query::MAX_LIMIT`].
+    /// Limits the number of records in the page; the limit is clamped to 1 to [`Query::MAX_LIMIT`].
     pub fn limit(self, limit: usize) -> Query {
         Query { limit: limit.clamp(1, Query::MAX_LIMIT), ..self }
     }
 }
 
-/// Records in the order of their names.
+/// A page of records of a collection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The records.
+    /// The records, in the order of their names.
     pub entries: Vec<Entry>,
-    /// Whether more records follow.
+    /// Whether more records follow after the page.
     pub more: bool,
-    /// The store's revision when the page was read.
+    /// The revision of the store as of which the page was read.
     pub revision: Revision,
 }
 
@@ -180,68 +181,71 @@
     }
 }
 
-/// A change of one record.
+/// A change of a single record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The record's key.
+    /// The key of the record.
     pub key: Key,
     /// The revision of the change.
     pub revision: Revision,
-    /// The record's new value; `None` if it was removed.
+    /// The new value of the record, encoded as JSON; `None` if the record was removed.
     pub value: Option<Vec<u8>>,
 }
 
-/// The changes since a revision.
+/// The result of reading the changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Changes {
-    /// All changes.
+    /// The changes after the revision.
     Since {
-        /// In the order of revisions. A record that changed often may come once, with its newest value.
+        /// The changes in the order of their revisions. Several changes of a record may be combined into one with the
+        /// newest value.
         changes: Vec<Change>,
-        /// Every change up to this revision is included.
+        /// All changes up to this revision are included.
         up_to: Revision,
-        /// Whether more changes can be read at once.
+        /// Whether there are more changes to read, after `up_to`.
         more: bool,
     },
-    /// The changes are no longer known: all records must be read again.
+    /// The engine no longer retains all changes after the revision: all records must be read again.
     Compacted {
-        /// Changes after this revision are known.
+        /// The revision after which all changes are retained.
         oldest: Revision,
     },
 }
 
-/// The state of an engine as it was last seen.
+/// The state of an engine as of its last call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StoreHealth {
-    /// Which engine, and where.
+    /// The kind of engine and its location, for display.
     pub engine: String,
-    /// The newest revision that was read.
+    /// The newest revision that was read or written.
     pub revision: Revision,
-    /// When the engine last answered; `None` before the first answer.
+    /// The time of the engine's last answer; `None` before the first one.
     #[serde(rename = "answered")]
     pub last_answer: Option<Micros>,
-    /// The present fault.
+    /// The error of the last call, if the engine failed.
     #[serde(rename = "trouble")]
     pub fault: Option<String>,
-    /// The schema of the records.
+    /// The schema of the stored records.
     pub schema: u32,
 }
 
 /// A storage engine.
 ///
-/// Calls block until the engine has answered, so they belong on a thread of their own. The caller passes the time, in
-/// microseconds since 1970. A change that was answered with a revision is durable, whatever happens to the process.
+/// Calls block until the engine has answered, so they must be made from a dedicated thread. The caller passes the time
+/// in microseconds since 1970. A change for which a revision was returned is durable, even if the process ends
+/// abruptly.
 ///
-/// Every call fails with a [`StoreError`] that names the file or endpoint: [`StoreError::Corrupt`] for data that is
-/// not what was written, and transient errors ([`StoreError::is_transient`]) while the engine is unavailable.
+/// Calls fail with a [`StoreError`] that names the file or endpoint. The error is [`StoreError::Corrupt`] if stored
+/// data differs from what was written, and transient ([`StoreError::is_transient`]) while the engine is unavailable.
 pub trait Store: Send {
-    /// The record under a key.
+    /// Reads the record with this key.
     ///
     /// # Errors
     /// If the engine fails or the record is corrupt.
     fn get(&mut self, key: &Key, now: Micros) -> Result<Option<Entry>, StoreError>;
 
-    /// The records under several keys, in the order of the keys. All are of one moment only if the engine can read so.
+    /// Reads the records with these keys, and returns them in the order of the keys. They are consistent with each
+    /// other only if the engine reads them in one transaction; this default reads each separately.
     ///
     /// # Errors
     /// If the engine fails or a record is corrupt.
@@ -249,26 +253,27 @@
         keys.iter().map(|key| self.get(key, now)).collect()
     }
 
-    /// A page of records.
+    /// Reads a page of records.
     ///
     /// # Errors
     /// If the engine fails or a record is corrupt.
     fn list(&mut self, query: &Query, now: Micros) -> Result<Page, StoreError>;
 
-    /// Makes all writes of a batch or none, and returns the revision.
+    /// Makes all writes of a batch or none, and returns their revision.
     ///
     /// # Errors
     /// [`StoreError::Conflict`] or [`StoreError::AlreadyExists`] if a condition does not hold,
-    /// [`StoreError::LimitExceeded`] if the batch is too large, [`StoreError::OutcomeUnknown`] if the answer was lost.
+    /// [`StoreError::LimitExceeded`] if the batch is too large, [`StoreError::OutcomeUnknown`] if the batch may or may
+    /// not have been written.
     fn apply(&mut self, batch: &Batch, now: Micros) -> Result<Revision, StoreError>;
 
-    /// The changes after a revision.
+    /// Reads the changes after a revision.
     ///
     /// # Errors
     /// If the engine fails or a record is corrupt.
     fn changes(&mut self, since: Revision, now: Micros) -> Result<Changes, StoreError>;
 
-    /// Calls the visitor with every record of some collections as of one revision, which is returned.
+    /// Calls the visitor with every record of these collections, as of one revision, and returns that revision.
     ///
     /// # Errors
     /// If the engine or the visitor fails, or a record is corrupt.
@@ -279,21 +284,21 @@
         visitor: Visitor<'_>,
     ) -> Result<Revision, StoreError>;
 
-    /// Replaces all records by these.
+    /// Replaces all records of the store by these, and returns the revision.
     ///
     /// # Errors
-    /// If the engine fails; then either all records are replaced or none.
+    /// If the engine fails. Then either all records are replaced or none.
     fn replace(&mut self, records: Vec<(Key, Vec<u8>)>, now: Micros) -> Result<Revision, StoreError>;
 
-    /// Has the engine verify all stored data.
+    /// Verifies all stored data.
     ///
     /// # Errors
-    /// If the engine fails or anything is corrupt.
+    /// If the engine fails or any data is corrupt.
     fn verify(&mut self, now: Micros) -> Result<(), StoreError>;
 
-    /// The engine's state as it was last seen, without calling it.
+    /// The state of the engine as of its last call; does not call the engine.
     fn health(&self) -> StoreHealth;
 }
 
-/// Called with each record by [`Store::visit`].
+/// A function that [`Store::visit`] calls with each record. An error ends the visit.
 pub type Visitor<'a> = &'a mut dyn FnMut(Entry) -> Result<(), StoreError>;
