--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -1,4 +1,5 @@
-//! Backups of a running store, and restoring them: verified first, then completely or not at all.
+//! Backups of a running store, and restoring a store from them. A backup is verified before it is published, and again
+//! before it is restored; both are done completely or not at all.
 
 use crate::commands::{LAST_AUDIT_NUMBER, NEXT_CLASS_ID, NEXT_TENANT_ID};
 use crate::embedded::{Create, Embedded, create_backup_file, file_in_memory};
@@ -16,24 +17,25 @@
 use std::fs;
 use std::path::Path;
 
-/// Ids that are skipped if the store that knew which ids were assigned after the backup is lost: more than a service
-/// assigns between two backups.
+/// The number of ids that are skipped if the store is lost that recorded which ids were assigned after the backup: more
+/// than a service assigns between two backups.
 const SKIPPED_IDS: u64 = 65_536;
 
-/// What a backup, export, restore or import copied.
+/// The result of a backup, export, restore or import.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CopySummary {
-    /// The revision that was copied; of a restore or import, the revision it made.
+    /// For a backup or export, the revision that was copied; for a restore or import, the revision in which the records
+    /// were replaced.
     pub revision: Revision,
-    /// How many records.
+    /// The number of records that were written.
     pub records: usize,
 }
 
-/// Copies all records, as of one revision, into a file that [`Embedded`] opens. The file is verified before it replaces
-/// an older one of that name.
+/// Copies all records, as of one revision, into a file that [`Embedded`] can open. The file is verified before it
+/// replaces an existing one of the same name.
 ///
 /// # Errors
-/// If the store can't be read or the file not be written; then an older file is unchanged.
+/// If the store can't be read, or the file can't be written or verified. An existing file is then unchanged.
 pub fn backup(store: &mut dyn Store, to: &Path, now: Micros) -> Result<CopySummary, StoreError> {
     let unverified = sibling_path(to, "new");
     let summary = copy_records(store, &unverified, now)?;
@@ -56,7 +58,7 @@
     Ok(CopySummary { revision, records })
 }
 
-/// Opens a backup and reads every record of it.
+/// Opens a backup, which verifies every page, and reads every record.
 fn verify_backup(path: &Path) -> Result<(), StoreError> {
     let mut copy = Embedded::open_with(file_in_memory(path)?, 0)?;
     copy.visit(&Collection::ALL, 0, &mut |_| Ok(())).map(drop)
@@ -64,11 +66,13 @@
 
 /// Replaces all records of the store by those of a backup, in one transaction.
 ///
-/// The backup is read and verified first. Assigned ids are never assigned again; a store that was created again after a
-/// loss can't know them and skips some. The audit trail is the backup's, with one more entry about the restore.
+/// The backup is read and checked first. Ids that were assigned after the backup was made are not assigned again: each
+/// counter of ids keeps the larger value of the store and the backup, and if the store was lost and created again, some
+/// ids are skipped. The audit trail is that of the backup, with one more entry about the restore.
 ///
 /// # Errors
-/// [`StoreError::Corrupt`] or [`StoreError::NewerSchema`] about the backup, or errors of the store; nothing is changed.
+/// [`StoreError::Corrupt`] or [`StoreError::NewerSchema`] if the backup can't be used, or an error of the store. The
+/// store is then unchanged.
 pub fn restore(
     store: &mut dyn Store,
     from: &Path,
@@ -93,7 +97,7 @@
     integrity::read_all(&mut backup, now)
 }
 
-/// The same error about another location.
+/// The same error, with the location replaced if it is about corrupt data or a newer schema.
 fn at_location(e: StoreError, location: &str) -> StoreError {
     match e {
         StoreError::Corrupt { cause, .. } => StoreError::corrupt(location, cause),
@@ -104,15 +108,17 @@
     }
 }
 
-/// Who replaces all records, and where the new ones come from.
+/// The origin of a replacement of all records, for the audit trail.
 pub(crate) struct ReplacementSource<'a> {
     pub(crate) actor: &'a Actor,
     pub(crate) action: AuditAction,
+    /// The file or document that the new records come from.
     pub(crate) target: String,
+    /// The revision of the new records at their source.
     pub(crate) after: Value,
 }
 
-/// Replaces all records of a store, and adds an entry about it to the audit trail.
+/// Replaces all records of a store in one transaction, and adds an entry about this to the audit trail.
 pub(crate) fn replace_all_records(
     store: &mut dyn Store,
     mut records: Records,
@@ -143,7 +149,7 @@
     Ok(CopySummary { revision, records: count })
 }
 
-/// The next id that neither the store nor the replacement has assigned.
+/// The next id that was assigned neither in the store nor in the new records.
 fn next_unused_id(
     store: &mut dyn Store,
     records: &Records,
@@ -162,7 +168,7 @@
     records.get(counter).map_or(Ok(0), |value| decode(counter, value))
 }
 
-/// Opens a backup for reading, without changing the file.
+/// Opens a backup for reading. The file is not changed.
 ///
 /// # Errors
 /// If the file can't be read, is corrupt or has a newer schema.
@@ -171,12 +177,12 @@
     opened.map_err(|e| at_location(e, &path.display().to_string()))
 }
 
-/// Creates the file of a lost store again, and restores a backup into it. A damaged file must be moved away first.
+/// Creates the file of a lost store again, and restores a backup into it. A corrupt file must be moved away first.
 ///
 /// # Errors
-/// If the file exists, or as [`restore`].
+/// [`StoreError::AlreadyExists`] if the file exists, and the errors of [`restore`].
 pub fn restore_anew(path: &Path, from: &Path, actor: &Actor, now: Micros) -> Result<CopySummary, StoreError> {
-    // Errors of the backup are found before the file is created.
+    // Opening the backup first ensures that no file is created if the backup can't be used.
     open(from, now)?;
     let mut store = Embedded::open(path, Create::Replacement, now)?;
     restore(&mut store, from, actor, now)
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -1,7 +1,9 @@
-//! Export and import of all records as one JSON document: to read, to keep under version control, to move a service.
+//! Export and import of all records as one JSON document, which can be read by people, kept under version control, and
+//! used to move the service to another store.
 //!
-//! What can be derived from other records (the index of confusable names, the counts) is left out, and so are replies
-//! to calls with an idempotency key, which expire. Tokens are included by their hashes.
+//! The document omits records that can be derived from others (the index of confusable names and the counts), replies
+//! to requests with an idempotency key, which expire, and the records of budgets. Tokens are included with the hashes
+//! of their secrets.
 
 mod reader;
 
@@ -20,10 +22,10 @@
 use std::io::{self, Write};
 use thiserror::Error;
 
-/// The `format` of the document.
+/// The value of the document's field `format`.
 const FORMAT: &str = "shorewharf-store";
 
-/// The exported collections, and the names of their lists in the document.
+/// The exported collections with the names of their lists in the document.
 const LISTS: [(Collection, &str); 6] = [
     (Collection::Audit, "audit"),
     (Collection::Class, "classes"),
@@ -33,16 +35,16 @@
     (Collection::Usage, "usage"),
 ];
 
-/// The exported counters.
+/// The names of the exported counters.
 const COUNTERS: [&str; 2] = [NEXT_TENANT_ID, NEXT_CLASS_ID];
 
-/// Why nothing was imported.
+/// The reason why a document was not imported.
 #[derive(Debug, Error)]
 pub enum ImportError {
-    /// The document is not JSON.
+    /// The document is not valid JSON.
     #[error("the document is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The document has faults, each with its path.
+    /// The document has these faults, each with its path.
     #[error("the document is invalid, with {} faults; the first: {}", .0.len(), .0.first().map(ToString::to_string).unwrap_or_default())]
     Invalid(Vec<InvalidValue>),
     /// The store failed.
@@ -53,25 +55,28 @@
 /// Writes all records, as of one revision, as one JSON document.
 ///
 /// # Errors
-/// If the store can't be read or the document not be written.
+/// If the store can't be read or the document can't be written.
 pub fn export(store: &mut dyn Store, to: &mut dyn Write, now: Micros) -> Result<CopySummary, StoreError> {
     let mut writer = Writer::new(to);
-    writer.text(&format!("{{\n\"format\": {FORMAT:?},\n\"schema\": {SCHEMA},\n\"exported\": {now},\n"))?;
-    let revision = store.visit(&Collection::ALL, now, &mut |entry| writer.entry(&entry))?;
+    writer
+        .write_text(&format!("{{\n\"format\": {FORMAT:?},\n\"schema\": {SCHEMA},\n\"exported\": {now},\n"))?;
+    let revision = store.visit(&Collection::ALL, now, &mut |entry| writer.write_entry(&entry))?;
     writer.finish(revision.0)?;
     Ok(CopySummary { revision, records: writer.records })
 }
 
-/// Writes a document while the records are visited in the order of their keys.
+/// Writes a document while the records of the store are visited in the order of their keys.
 struct Writer<'w> {
     to: &'w mut dyn Write,
-    /// Records written to lists.
+    /// The number of records in the lists so far.
     records: usize,
     /// The collection whose list is being written.
     open_list: Option<Collection>,
+    /// The collections whose lists are written or being written.
     written_lists: Vec<Collection>,
+    /// The exported counters by name, which are written after the lists.
     counters: BTreeMap<String, u64>,
-    /// The record as it is stored; `null` if there is none.
+    /// The stored record of service-wide limits, which is written after the lists; `null` if there is none.
     limits: Value,
 }
 
@@ -87,20 +92,20 @@
         }
     }
 
-    fn text(&mut self, text: &str) -> Result<(), StoreError> {
-        self.bytes(text.as_bytes())
+    fn write_text(&mut self, text: &str) -> Result<(), StoreError> {
+        self.write_bytes(text.as_bytes())
     }
 
-    fn bytes(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+    fn write_bytes(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         self.to.write_all(bytes).map_err(|e| export_error(&e))
     }
 
-    fn entry(&mut self, entry: &Entry) -> Result<(), StoreError> {
+    fn write_entry(&mut self, entry: &Entry) -> Result<(), StoreError> {
         let collection = entry.key.collection;
         if let Some((_, name)) = LISTS.iter().find(|(listed, _)| *listed == collection) {
-            self.separator(collection, name)?;
+            self.write_separator(collection, name)?;
             self.records += 1;
-            return self.bytes(&list_item(entry)?);
+            return self.write_bytes(&list_item(entry)?);
         }
         match collection {
             Collection::Limits => self.limits = entry.decode()?,
@@ -112,31 +117,31 @@
         Ok(())
     }
 
-    /// Writes what separates a record of `collection` from the one before.
-    fn separator(&mut self, collection: Collection, name: &str) -> Result<(), StoreError> {
+    /// Writes the text between the previous record and one of `collection`, whose list is called `name`.
+    fn write_separator(&mut self, collection: Collection, name: &str) -> Result<(), StoreError> {
         if self.open_list == Some(collection) {
-            return self.text(",\n");
+            return self.write_text(",\n");
         }
         if self.open_list.is_some() {
-            self.text("\n],\n")?;
+            self.write_text("\n],\n")?;
         }
         self.open_list = Some(collection);
         self.written_lists.push(collection);
-        self.text(&format!("{name:?}: [\n"))
+        self.write_text(&format!("{name:?}: [\n"))
     }
 
-    /// Writes all that follows the lists.
+    /// Ends the lists, and writes the empty lists and the other fields.
     fn finish(&mut self, revision: u64) -> Result<(), StoreError> {
         if self.open_list.is_some() {
-            self.text("\n],\n")?;
+            self.write_text("\n],\n")?;
         }
         for (collection, name) in LISTS {
             if !self.written_lists.contains(&collection) {
-                self.text(&format!("{name:?}: [],\n"))?;
+                self.write_text(&format!("{name:?}: [],\n"))?;
             }
         }
         let (limits, counters) = (&self.limits, json!(self.counters));
-        self.text(&format!(
+        self.write_text(&format!(
             "\"limits\": {limits},\n\"counters\": {counters},\n\"revision\": {revision}\n}}\n"
         ))?;
         self.to.flush().map_err(|e| export_error(&e))
@@ -147,7 +152,8 @@
     io_error("export", e)
 }
 
-/// A record in its list. A record of usage includes what its key says.
+/// The JSON of a record in its list. The item of a usage record also has the parts of its key, which the record does
+/// not contain.
 fn list_item(entry: &Entry) -> Result<Vec<u8>, StoreError> {
     if entry.key.collection != Collection::Usage {
         return Ok(entry.value.clone());
@@ -167,10 +173,10 @@
 
 /// Replaces all records of the store by those of an exported document, in one transaction.
 ///
-/// Every record is decoded and all are checked against each other first.
+/// All records are first decoded and checked for consistency.
 ///
 /// # Errors
-/// If the document is invalid, with all its faults, or the store fails; nothing is changed.
+/// If the document is invalid, with all its faults, or if the store fails. The store is then unchanged.
 pub fn import(
     store: &mut dyn Store,
     document: &str,
--- a/crates/store/src/exchange/reader.rs
+++ b/crates/store/src/exchange/reader.rs
@@ -1,4 +1,4 @@
-//! Reading an exported document into records.
+//! The reader of exported documents, which turns a document into records.
 
 use super::{COUNTERS, FORMAT, ImportError};
 use crate::commands::{LAST_AUDIT_NUMBER, SERVICE_LIMITS, TENANT_COUNT};
@@ -15,14 +15,14 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The largest interval that a usage record's key has room for.
+/// The largest interval that fits into the ten digits in the key of a usage record.
 const MAX_INTERVAL: u64 = 9_999_999_999;
 
-/// The records of a document, and the revision it was exported at, as it says.
+/// Reads a document. Returns its records, and the revision of the store that the document says it was exported at.
 pub(super) fn read(document: &str) -> Result<(Records, Value), ImportError> {
     let document: Value = serde_json::from_str(document)?;
     let mut reader = Reader::default();
-    let revision = reader.document(&document);
+    let revision = reader.read_document(&document);
     if reader.faults.is_empty() {
         reader.derive_records()?;
         reader.check_records();
@@ -33,10 +33,11 @@
     Ok((reader.records, revision))
 }
 
-/// Decodes a document, and remembers at which path in it each record was.
+/// The records and faults of a document that were found so far.
 #[derive(Default)]
 struct Reader {
     records: Records,
+    /// The path of each record in the document.
     paths: BTreeMap<Key, String>,
     faults: Vec<InvalidValue>,
 }
@@ -46,8 +47,8 @@
         self.faults.push(InvalidValue::new(path, cause.to_string()));
     }
 
-    /// Reads all fields, and returns the revision.
-    fn document(&mut self, document: &Value) -> Value {
+    /// Reads all fields of the document, and returns the field `revision`.
+    fn read_document(&mut self, document: &Value) -> Value {
         let Some(fields) = document.as_object() else {
             self.report("", "the document is not an object");
             return Value::Null;
@@ -61,33 +62,41 @@
             None => self.report("schema", "is missing or not a non-negative integer"),
         }
         for (name, value) in fields {
-            self.field(name, value);
+            self.read_field(name, value);
         }
         fields.get("revision").cloned().unwrap_or_default()
     }
 
-    fn field(&mut self, name: &str, value: &Value) {
+    fn read_field(&mut self, name: &str, value: &Value) {
         match name {
             "format" | "schema" | "exported" | "revision" => {}
             "audit" => {
-                self.list(name, value, Collection::Audit, |e: &AuditEntry| AuditEntry::key_name(e.number));
+                self.read_list(name, value, Collection::Audit, |e: &AuditEntry| {
+                    AuditEntry::key_name(e.number)
+                });
             }
-            "classes" => self.list(name, value, Collection::Class, |c: &ClassRecord| c.name().to_string()),
-            "places" => self.list(name, value, Collection::IdAssignment, |a: &IdAssignment| a.id.key_name()),
-            "tenants" => self.list(name, value, Collection::Tenant, |t: &TenantRecord| t.name.canonical()),
-            "tokens" => self.list(name, value, Collection::Token, |t: &TokenRecord| t.id.to_string()),
-            "usage" => self.usage(value),
+            "classes" => {
+                self.read_list(name, value, Collection::Class, |c: &ClassRecord| c.name().to_string())
+            }
+            "places" => {
+                self.read_list(name, value, Collection::IdAssignment, |a: &IdAssignment| a.id.key_name())
+            }
+            "tenants" => {
+                self.read_list(name, value, Collection::Tenant, |t: &TenantRecord| t.name.canonical())
+            }
+            "tokens" => self.read_list(name, value, Collection::Token, |t: &TokenRecord| t.id.to_string()),
+            "usage" => self.read_usage(value),
             "limits" if value.is_null() => {}
             "limits" => {
                 let key_name = |_: &ServiceLimits| SERVICE_LIMITS.to_owned();
-                self.record(name.to_owned(), value, Collection::Limits, key_name);
+                self.read_record(name.to_owned(), value, Collection::Limits, key_name);
             }
-            "counters" => self.counters(value),
+            "counters" => self.read_counters(value),
             _ => self.report(name, "unknown field"),
         }
     }
 
-    fn list<T: DeserializeOwned + Serialize>(
+    fn read_list<T: DeserializeOwned + Serialize>(
         &mut self,
         name: &str,
         list: &Value,
@@ -96,11 +105,11 @@
     ) {
         let Some(items) = list.as_array() else { return self.report(name, "is not a list") };
         for (i, item) in items.iter().enumerate() {
-            self.record(format!("{name}[{i}]"), item, collection, &key_name);
+            self.read_record(format!("{name}[{i}]"), item, collection, &key_name);
         }
     }
 
-    fn record<T: DeserializeOwned + Serialize>(
+    fn read_record<T: DeserializeOwned + Serialize>(
         &mut self,
         path: String,
         item: &Value,
@@ -129,7 +138,7 @@
         self.records.insert(key, value);
     }
 
-    fn usage(&mut self, list: &Value) {
+    fn read_usage(&mut self, list: &Value) {
         let Some(items) = list.as_array() else { return self.report("usage", "is not a list") };
         for (i, item) in items.iter().enumerate() {
             let path = format!("usage[{i}]");
@@ -140,7 +149,7 @@
         }
     }
 
-    fn counters(&mut self, counters: &Value) {
+    fn read_counters(&mut self, counters: &Value) {
         for (name, value) in counters.as_object().into_iter().flatten() {
             let path = format!("counters.{name}");
             match value.as_u64() {
@@ -153,7 +162,7 @@
         }
     }
 
-    /// Adds the records that are derived from others.
+    /// Adds the records that are derived from others: the index of confusable names and the counts.
     fn derive_records(&mut self) -> Result<(), StoreError> {
         for (key, value) in index_confusable_names(&self.records, 0)? {
             if let Some(value) = value {
@@ -169,7 +178,7 @@
         Ok(())
     }
 
-    /// Checks the records against each other, and reports faults by their paths.
+    /// Checks the records for consistency, and reports faults with their paths in the document.
     fn check_records(&mut self) {
         for fault in integrity::find_faults(&self.records) {
             let path = self.paths.get(&fault.key).cloned().unwrap_or_else(|| fault.key.text());
@@ -179,7 +188,7 @@
     }
 }
 
-/// The key of an item of the list of usage.
+/// The key of an item in the list of usage; `None` if the item is invalid.
 fn usage_key(item: &Value) -> Option<Key> {
     let granularity = item["level"].as_str().filter(|letter| ["m", "h", "d"].contains(letter))?;
     let chunk = item["chunk"].as_u64().filter(|chunk| *chunk <= u64::from(u32::MAX))?;
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,7 +1,8 @@
-//! The store on a thread of its own, so that an event loop never waits for a disk or a network.
+//! The store's thread: it owns the store, so that an event loop never waits for a disk or a network.
 //!
-//! The loop hands over jobs, and polls for their results and for changes. The queue is bounded: when it is full the
-//! loop gets an error at once and can reject its caller. Changes that wait together are written together.
+//! The event loop submits jobs, and polls for their results and for changes of records. The queue of jobs is bounded:
+//! if it is full, the event loop gets an error at once and can reject the request. Changes that are in the queue
+//! together are written together.
 
 use crate::backup::{CopySummary, backup, restore};
 use crate::cached_store::CachedStore;
@@ -22,16 +23,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How the thread works.
+/// Settings of the store's thread.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Jobs that may wait, or be done but not polled.
+    /// The maximum number of jobs that are in the queue, in progress, or done with a result that was not polled yet.
     pub queue_capacity: usize,
-    /// The most jobs that are taken from the queue at once, whose changes are written together.
+    /// The maximum number of jobs that are taken from the queue at once. Their changes are written together.
     pub max_group: usize,
-    /// How often the engine is polled for other instances' changes.
+    /// The interval at which the engine is polled for changes by other instances.
     pub refresh_interval: Duration,
-    /// Where the copy of what instances need is kept; not needed with an engine in a local file.
+    /// The file to which the copy of [`CachedStore`] is written; not needed for an engine in a local file.
     pub copy_file: Option<PathBuf>,
 }
 
@@ -46,31 +47,31 @@
     }
 }
 
-/// Identifies a job in its result.
+/// The number of a job, which its result refers to.
 pub type Ticket = u64;
 
-/// Work on the whole store. Other jobs wait until it is done.
+/// A task that reads or replaces the whole store. Other jobs wait until it is done.
 #[derive(Clone, Debug)]
 pub enum MaintenanceTask {
-    /// Copies the store into a file.
+    /// Backs up the store into this file.
     Backup(PathBuf),
     /// Replaces all records by those of a backup.
     Restore {
-        /// The backup.
+        /// The file of the backup.
         from: PathBuf,
-        /// Who restores it.
+        /// The actor for the audit trail.
         actor: Actor,
     },
-    /// Writes the store as JSON into a file.
+    /// Exports the store as JSON into this file.
     Export(PathBuf),
     /// Replaces all records by those of an export.
     Import {
-        /// The export.
+        /// The file of the export.
         from: PathBuf,
-        /// Who imports it.
+        /// The actor for the audit trail.
         actor: Actor,
     },
-    /// Verifies all records.
+    /// Verifies the stored data and checks all records.
     Check,
 }
 
@@ -79,24 +80,24 @@
 pub enum TaskResult {
     /// The records were backed up, restored, exported or imported.
     Copied(CopySummary),
-    /// The faults that the check found.
+    /// The check was made and found these faults.
     Checked(Vec<InvalidValue>),
-    /// The document was not imported because of these faults.
+    /// The document was not imported because it has these faults.
     InvalidDocument(Vec<InvalidValue>),
 }
 
-/// What the thread reports to the loop.
+/// A notification from the store's thread to the event loop.
 #[derive(Debug)]
 pub enum Notification {
-    /// A change was made or failed.
+    /// The result of a change.
     Changed(Ticket, Result<Completed, StoreError>),
-    /// A lookup has its result.
+    /// The result of a lookup.
     LookedUp(Ticket, Result<LookupResult, StoreError>),
-    /// A maintenance task has ended.
+    /// The result of a maintenance task.
     TaskFinished(Ticket, Result<TaskResult, StoreError>),
-    /// Changes of records by any instance, for [`crate::directory::Directory::apply`].
+    /// Records were changed by any instance; for [`crate::directory::Directory::apply`].
     RecordsChanged(ChangeBatch),
-    /// The engine became unavailable, or available again.
+    /// The engine became unavailable or available again.
     HealthChanged(StoreHealth),
 }
 
@@ -106,42 +107,42 @@
     Run(Ticket, MaintenanceTask),
 }
 
-/// Wakes the loop; called from the store's thread.
+/// A function that wakes the event loop; called from the store's thread.
 pub type Waker = Box<dyn Fn() + Send>;
 
-/// Reads the time in microseconds since 1970; called from the store's thread.
+/// A function that returns the time in microseconds since 1970; called from the store's thread.
 pub type Clock = Box<dyn Fn() -> Micros + Send>;
 
-/// Notifications that the loop has not polled yet.
+/// The notifications that the event loop has not polled yet.
 #[derive(Default)]
 struct Outbox {
     results: Vec<Notification>,
-    /// Batches that were not polled are merged, so that they can't outgrow the records.
+    /// The changes of all batches since the last poll, merged into one batch, which has each record at most once.
     changes: Option<ChangeBatch>,
     health: Option<StoreHealth>,
 }
 
 fn lock(outbox: &Mutex<Outbox>) -> MutexGuard<'_, Outbox> {
-    // A panic can't leave the outbox inconsistent: nothing that panics runs under the lock.
+    // A poisoned lock can be ignored: nothing that could leave the outbox inconsistent runs while it is locked.
     outbox.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The loop's handle of the store's thread.
+/// The event loop's handle to the store's thread.
 pub struct StoreThread {
     jobs: Option<SyncSender<Job>>,
     outbox: Arc<Mutex<Outbox>>,
     thread: Option<JoinHandle<()>>,
     next_ticket: Ticket,
-    /// Jobs whose results were not polled.
+    /// The number of jobs whose results were not polled yet.
     pending: usize,
     capacity: usize,
 }
 
 impl StoreThread {
-    /// Starts the thread. `waker` is called whenever there is something new to poll.
+    /// Starts the thread. `waker` is called whenever there are new notifications to poll.
     ///
     /// # Errors
-    /// If the system gives no thread.
+    /// If the operating system can't start a thread.
     pub fn start(
         store: Box<dyn Store>,
         options: Options,
@@ -173,7 +174,7 @@
         })
     }
 
-    /// Hands over a change.
+    /// Submits a change.
     ///
     /// # Errors
     /// [`StoreError::QueueFull`], or [`StoreError::Closed`] if the thread has ended.
@@ -181,7 +182,7 @@
         self.enqueue(|ticket| Job::Change(ticket, Box::new(request)))
     }
 
-    /// Hands over a lookup.
+    /// Submits a lookup.
     ///
     /// # Errors
     /// [`StoreError::QueueFull`], or [`StoreError::Closed`] if the thread has ended.
@@ -189,7 +190,7 @@
         self.enqueue(|ticket| Job::LookUp(ticket, lookup))
     }
 
-    /// Hands over a maintenance task.
+    /// Submits a maintenance task.
     ///
     /// # Errors
     /// [`StoreError::QueueFull`], or [`StoreError::Closed`] if the thread has ended.
@@ -212,7 +213,7 @@
         Ok(ticket)
     }
 
-    /// All notifications since the last poll; never waits for the store.
+    /// Returns all notifications since the last poll, without waiting for the store.
     pub fn poll(&mut self) -> Vec<Notification> {
         let Outbox { results, changes, health } = std::mem::take(&mut *lock(&self.outbox));
         self.pending -= results.len().min(self.pending);
@@ -222,23 +223,23 @@
         notifications
     }
 
-    /// Jobs that are not done, or whose results were not polled.
+    /// The number of jobs that are not done, or whose results were not polled yet.
     pub fn pending(&self) -> usize {
         self.pending
     }
 
-    /// Ends the thread after all jobs are done, and returns its last notifications.
+    /// Waits until all jobs are done, ends the thread, and returns the remaining notifications.
     pub fn close(mut self) -> Vec<Notification> {
         self.jobs = None;
         if let Some(thread) = self.thread.take() {
-            // What a panicked thread reported before is still in the outbox.
+            // If the thread panicked, its earlier notifications are still in the outbox.
             let _ = thread.join();
         }
         self.poll()
     }
 }
 
-/// What runs on the thread.
+/// The state of the store's thread.
 struct Worker {
     store: CachedStore,
     queue: Receiver<Job>,
@@ -247,7 +248,7 @@
     clock: Clock,
     waker: Waker,
     next_refresh: Instant,
-    /// Why the last refresh failed.
+    /// The error of the last refresh; `None` if it succeeded.
     fault: Option<String>,
 }
 
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Does a job and those that wait behind it.
+    /// Runs a job together with the jobs that follow in the queue.
     fn run_group(&mut self, first: Job) {
         let mut jobs = vec![first];
         jobs.extend(self.queue.try_iter().take(self.options.max_group.saturating_sub(1)));
@@ -299,7 +300,7 @@
         self.execute(&mut changes, now);
     }
 
-    /// Makes the collected changes.
+    /// Executes the collected changes, and clears them.
     fn execute(&mut self, changes: &mut Vec<(Ticket, ChangeRequest)>, now: Micros) {
         if changes.is_empty() {
             return;
@@ -320,7 +321,7 @@
             outbox.health = Some(StoreHealth { fault, ..health });
         }
         self.fault = fault;
-        let has_news = refreshed.is_ok() || outbox.health.is_some();
+        let has_notifications = refreshed.is_ok() || outbox.health.is_some();
         if let Ok(batch) = refreshed {
             outbox.changes = Some(match outbox.changes.take() {
                 Some(earlier) => earlier.merge(batch),
@@ -328,7 +329,7 @@
             });
         }
         drop(outbox);
-        if has_news {
+        if has_notifications {
             (self.waker)();
         }
     }
@@ -361,7 +362,7 @@
     }
 }
 
-/// Writes an export, completely or not at all.
+/// Writes an export to a file, completely or not at all.
 fn export(store: &mut dyn Store, to: &Path, now: Micros) -> Result<CopySummary, StoreError> {
     publish_with(to, |temporary| {
         let file = create_options().open(temporary).map_err(|e| file_error(temporary, &e))?;
