--- a/crates/store/src/backup.rs
+++ b/crates/store/src/backup.rs
@@ -181,7 +181,12 @@
 ///
 /// # Errors
 /// [`StoreError::AlreadyExists`] if the file exists, and the errors of [`restore`].
-pub fn restore_anew(path: &Path, from: &Path, actor: &Actor, now: Micros) -> Result<CopySummary, StoreError> {
+pub fn restore_to_new_file(
+    path: &Path,
+    from: &Path,
+    actor: &Actor,
+    now: Micros,
+) -> Result<CopySummary, StoreError> {
     // Opening the backup first ensures that no file is created if the backup can't be used.
     open(from, now)?;
     let mut store = Embedded::open(path, Create::Replacement, now)?;
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use shorewharf_store::backup::{backup, restore, restore_anew};
+use shorewharf_store::backup::{backup, restore, restore_to_new_file};
 use shorewharf_store::check::check;
 use shorewharf_store::commands::Command;
 use shorewharf_store::embedded::{Create, Embedded, StorageFactory};
@@ -149,7 +149,7 @@
     assert!(refused.ends_with("the file is gone, though revision 2 was acknowledged"), "{refused}");
     // Restored on purpose: ids that the lost store assigned after the backup are not assigned again.
     let actor = Actor::console("operator").unwrap();
-    let taken = restore_anew(&path, &old, &actor, NOW).unwrap();
+    let taken = restore_to_new_file(&path, &old, &actor, NOW).unwrap();
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert!(taken.revision > late.version);
     assert!(create(&mut store, "next").unwrap().record.id > late.record.id);
