--- a/crates/store/tests/common/conformance.rs
+++ b/crates/store/tests/common/conformance.rs
@@ -1,4 +1,5 @@
-//! Conformance tests that every engine must pass.
+//! Conformance tests that every storage engine must pass. They run in order on one store, since the last check covers
+//! the audit trail of all changes.
 
 use super::{NOW, create, execute_one, name, report};
 use shorewharf_store::check::check;
@@ -17,7 +18,7 @@
     look_up(store, &lookup, NOW).unwrap()
 }
 
-fn a_change_of_an_outdated_version_is_a_conflict(store: &mut dyn Store) {
+fn a_change_of_an_outdated_version_is_rejected(store: &mut dyn Store) {
     let created = create(store, "grad-uprava").unwrap();
     let weight = |w: u32| TenantChange { weight: Some(w.try_into().unwrap()), ..TenantChange::default() };
     let change = |w, expected| Command::ChangeTenant {
@@ -25,7 +26,7 @@
         expected: Some(expected),
         change: weight(w),
     };
-    // Both have read the same version, and both requests are in one group.
+    // Two requests of one group expect the same version; the first changes it.
     let both = [change(200, created.version), change(300, created.version)]
         .map(|c| ChangeRequest::new(Actor::File, c));
     let done = execute(store, &both, NOW + 1);
@@ -40,11 +41,11 @@
     assert_eq!(found(store, Lookup::Tenant(name("grad-uprava"))), LookupResult::Tenant(third));
 }
 
-fn a_tenant_created_again_under_its_name_gets_another_id(store: &mut dyn Store) {
+fn a_recreated_tenant_gets_a_new_id(store: &mut dyn Store) {
     let before = create(store, "bolnica-sjever").unwrap();
     let remove = || Command::RemoveTenant { name: name("bolnica-sjever"), expected: None };
-    let anew = [remove(), Command::CreateTenant(NewTenant::named(name("Bolnica-Sjever")))];
-    let done = execute(store, &anew.map(|c| ChangeRequest::new(Actor::File, c)), NOW + 5);
+    let remove_and_create = [remove(), Command::CreateTenant(NewTenant::named(name("Bolnica-Sjever")))];
+    let done = execute(store, &remove_and_create.map(|c| ChangeRequest::new(Actor::File, c)), NOW + 5);
     assert_eq!(done[0].as_ref().unwrap().reply, Reply::Removed(before.record.id));
     let Reply::Tenant(after) = &done[1].as_ref().unwrap().reply else { panic!() };
     assert!(after.record.id > before.record.id && after.version > before.version);
@@ -55,7 +56,7 @@
     assert!(matches!(create(store, "BOLNICA-SJEVER"), Err(StoreError::AlreadyExists { .. })));
 }
 
-fn confusable_names_are_rejected_until_the_first_is_removed(store: &mut dyn Store) {
+fn a_confusable_name_is_rejected_while_the_other_one_exists(store: &mut dyn Store) {
     create(store, "pay").unwrap();
     assert!(
         matches!(create(store, "рау"), Err(StoreError::ConfusableName { existing, .. }) if existing == "pay")
@@ -69,21 +70,23 @@
     }
 }
 
-fn a_request_with_a_used_idempotency_key_gets_its_reply_replayed(store: &mut dyn Store) {
-    let call = |tenant: &str| Command::CreateTenant(NewTenant::named(name(tenant)));
-    let once = |body: &[u8]| Some(IdempotencyKey::new("token-1", "key-1", body, NOW + 1000).unwrap());
-    let ask = |c, body| ChangeRequest { actor: Actor::File, command: c, idempotency_key: once(body) };
-    let first = execute(store, &[ask(call("knjiznica"), b"a")], NOW).remove(0).unwrap();
-    let again = execute(store, &[ask(call("knjiznica"), b"a")], NOW + 10).remove(0).unwrap();
-    assert!(!first.replayed && again.replayed);
-    assert_eq!(first.reply, again.reply);
-    let other = execute(store, &[ask(call("other"), b"b")], NOW + 10).remove(0);
-    assert_eq!(other, Err(StoreError::IdempotencyKeyReused { first_used: NOW }));
-    let late = execute(store, &[ask(call("knjiznica"), b"a")], NOW + 1000).remove(0);
-    assert!(matches!(late, Err(StoreError::AlreadyExists { .. })), "{late:?}");
+fn a_repeated_idempotency_key_replays_the_reply(store: &mut dyn Store) {
+    let key = |body: &[u8]| Some(IdempotencyKey::new("token-1", "key-1", body, NOW + 1000).unwrap());
+    let request = |tenant: &str, body| {
+        let command = Command::CreateTenant(NewTenant::named(name(tenant)));
+        ChangeRequest { actor: Actor::File, command, idempotency_key: key(body) }
+    };
+    let first = execute(store, &[request("knjiznica", b"a")], NOW).remove(0).unwrap();
+    let repeated = execute(store, &[request("knjiznica", b"a")], NOW + 10).remove(0).unwrap();
+    assert!(!first.replayed && repeated.replayed);
+    assert_eq!(first.reply, repeated.reply);
+    let other_body = execute(store, &[request("other", b"b")], NOW + 10).remove(0);
+    assert_eq!(other_body, Err(StoreError::IdempotencyKeyReused { first_used: NOW }));
+    let expired = execute(store, &[request("knjiznica", b"a")], NOW + 1000).remove(0);
+    assert!(matches!(expired, Err(StoreError::AlreadyExists { .. })), "{expired:?}");
 }
 
-fn classes_and_limits_hold_for_tenants_created_later(store: &mut dyn Store) {
+fn class_references_and_limits_are_enforced(store: &mut dyn Store) {
     let class = ClassName::new("ticket-stream").unwrap();
     let record = |priority_weight| {
         let objectives = ClassObjectives { setup_ms: 800.0, message_ms: 50.0, priority_weight };
@@ -120,7 +123,7 @@
     execute_one(store, Command::RemoveClass { name: class, expected: None }, NOW).unwrap();
 }
 
-fn a_token_is_stored_as_a_hash_and_ends_when_it_is_revoked(store: &mut dyn Store) {
+fn a_token_is_stored_as_a_hash_and_rejected_once_expired_or_revoked(store: &mut dyn Store) {
     let new = NewToken { role: Role::Viewer, label: "night shift".into(), expires: Some(NOW + 100) };
     let Reply::Token { token, text: Some(text) } =
         execute_one(store, Command::CreateToken { new, seed: TokenSeed([7; 40]) }, NOW).unwrap().reply
@@ -129,12 +132,12 @@
     };
     let (id, secret) = TokenRecord::parse_text(&text).unwrap();
     let mut all = Vec::new();
-    let put = &mut |e: shorewharf_store::store::Entry| {
+    let visitor = &mut |e: shorewharf_store::store::Entry| {
         all.extend(e.value);
         Ok(())
     };
-    store.visit(&shorewharf_store::key::Collection::ALL, NOW, put).unwrap();
-    assert!(!String::from_utf8_lossy(&all).contains(secret), "the secret is nowhere in the store");
+    store.visit(&shorewharf_store::key::Collection::ALL, NOW, visitor).unwrap();
+    assert!(!String::from_utf8_lossy(&all).contains(secret), "the store contains the secret");
     let record = token.record;
     assert!(
         record.accepts(secret, NOW + 99) && !record.accepts(secret, NOW + 100) && !record.accepts("x", NOW)
@@ -148,9 +151,9 @@
     assert_eq!(refused.to_string(), "place: no tenant stands at place 9999");
 }
 
-fn usage_is_recorded_once_however_often_it_is_reported(store: &mut dyn Store) {
+fn repeated_usage_reports_are_recorded_once(store: &mut dyn Store) {
     let day = 20_000 * 24 * 60;
-    // Ids 63 and 64 are in two chunks, and 6,000 ids are more chunks than fit into one batch.
+    // Ids 63 and 64 are in different chunks, and 6,000 ids have more chunks than fit into one batch.
     let many: Vec<(u32, u64)> = (0..6000).step_by(3).map(|p| (p, u64::from(p) + 1)).collect();
     for (instance, minute) in [("a@1", day + 59), ("a@1", day + 60), ("b@1", day + 59)] {
         assert_eq!(
@@ -162,13 +165,16 @@
             Reply::UsageRecorded { new: false }
         );
     }
-    let other = execute_one(store, report("a@1", day + 59, &[(63, 1)]), NOW);
-    assert_eq!(other, Err(StoreError::UsageAlreadyRecorded { instance: "a@1".into(), minute: day + 59 }));
+    let with_other_figures = execute_one(store, report("a@1", day + 59, &[(63, 1)]), NOW);
+    assert_eq!(
+        with_other_figures,
+        Err(StoreError::UsageAlreadyRecorded { instance: "a@1".into(), minute: day + 59 })
+    );
     let minute = 60_000_000;
-    let mut rows = |place, granularity| {
+    let mut rows = |id, granularity| {
         let (from, to) = (day * minute, (day + 120) * minute + Granularity::Day.micros());
         let LookupResult::Usage(rows, None) =
-            found(store, Lookup::Usage { id: NumericId(place), granularity, from, to })
+            found(store, Lookup::Usage { id: NumericId(id), granularity, from, to })
         else {
             panic!()
         };
@@ -180,16 +186,16 @@
     assert_eq!(rows(63, Granularity::Hour), [(0, 128, 64), (60, 64, 32)]);
     assert_eq!(rows(5997, Granularity::Day), [(0, 3 * 5998, 3 * 2999)]);
     assert_eq!(rows(64, Granularity::Day), []);
-    // Long after, usage by minute has expired; a repeated report is still recognised.
+    // Days later, usage by minute has expired; a repeated report is still recognised.
     let later = (day + 5 * 24 * 60) * minute;
-    for place in 0..130 {
-        create(store, &format!("filler-{place}")).unwrap();
+    for i in 0..130 {
+        create(store, &format!("filler-{i}")).unwrap();
     }
     while let Reply::ExpiredRemoved { more: true, .. } =
         execute_one(store, Command::RemoveExpired, later).unwrap().reply
     {}
-    let again = execute_one(store, report("b@1", day + 59, &many), later).unwrap().reply;
-    assert_eq!(again, Reply::UsageRecorded { new: false });
+    let repeated = execute_one(store, report("b@1", day + 59, &many), later).unwrap().reply;
+    assert_eq!(repeated, Reply::UsageRecorded { new: false });
 }
 
 fn every_change_has_its_audit_entry(store: &mut dyn Store) {
@@ -213,14 +219,15 @@
     assert!(entries.iter().all(|e| !e.after.as_ref().is_some_and(|a| a.to_string().contains("hash"))));
 }
 
+/// Runs all tests on an empty store, then checks the store's integrity.
 pub fn run_conformance(store: &mut dyn Store) {
-    a_change_of_an_outdated_version_is_a_conflict(store);
-    a_tenant_created_again_under_its_name_gets_another_id(store);
-    confusable_names_are_rejected_until_the_first_is_removed(store);
-    a_request_with_a_used_idempotency_key_gets_its_reply_replayed(store);
-    a_token_is_stored_as_a_hash_and_ends_when_it_is_revoked(store);
-    usage_is_recorded_once_however_often_it_is_reported(store);
-    classes_and_limits_hold_for_tenants_created_later(store);
+    a_change_of_an_outdated_version_is_rejected(store);
+    a_recreated_tenant_gets_a_new_id(store);
+    a_confusable_name_is_rejected_while_the_other_one_exists(store);
+    a_repeated_idempotency_key_replays_the_reply(store);
+    a_token_is_stored_as_a_hash_and_rejected_once_expired_or_revoked(store);
+    repeated_usage_reports_are_recorded_once(store);
+    class_references_and_limits_are_enforced(store);
     every_change_has_its_audit_entry(store);
     assert_eq!(check(store, NOW).unwrap(), []);
 }
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers that the tests of the store share.
-#![allow(dead_code, reason = "each test program uses its part")]
+//! Helpers shared by the store's tests.
+#![allow(dead_code, reason = "each test program uses only some of the helpers")]
 
 pub mod conformance;
 pub mod recorder;
@@ -11,7 +11,7 @@
 use shorewharf_store::store::{Store, Versioned};
 use std::collections::BTreeMap;
 
-/// Some time in 2026, in microseconds.
+/// A time in 2026, in microseconds since 1970.
 pub const NOW: u64 = 1_775_000_000_000_000;
 
 pub fn name(text: &str) -> TenantName {
@@ -29,9 +29,11 @@
     }
 }
 
-pub fn report(instance: &str, minute: u64, of: &[(u32, u64)]) -> Command {
+/// A usage report of an instance with the number of setups by tenant id, and half as many rejections.
+pub fn report(instance: &str, minute: u64, setups_by_id: &[(u32, u64)]) -> Command {
     let usage =
         |setups| Usage { setups, rejections: [("quota".to_owned(), setups / 2)].into(), ..Usage::default() };
-    let usage_by_id: BTreeMap<u32, Usage> = of.iter().map(|(id, n)| (*id, usage(*n))).collect();
+    let usage_by_id: BTreeMap<u32, Usage> =
+        setups_by_id.iter().map(|(id, setups)| (*id, usage(*setups))).collect();
     Command::RecordUsage(UsageReport::new(InstanceName::new(instance).unwrap(), minute, usage_by_id).unwrap())
 }
--- a/crates/store/tests/common/recorder.rs
+++ b/crates/store/tests/common/recorder.rs
@@ -1,18 +1,18 @@
-//! A proxy before a member of the replicated engine that keeps the requests which pass it.
+//! A proxy in front of members of the replicated engine that records the requests.
 
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// Requests in the order in which they came, over all members, each as `PATH BODY`.
+/// Records requests to all members in the order of their arrival, each as `PATH BODY`. Clones share the record.
 #[derive(Clone, Default)]
 pub struct Recorder {
     requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Recorder {
-    /// Listens before the member at `endpoint` (`http://HOST:PORT`), and returns the endpoint to call instead.
-    pub fn before(&self, endpoint: &str) -> String {
+    /// Starts a proxy for the member at `endpoint` (`http://HOST:PORT`), and returns the endpoint to call instead.
+    pub fn start_proxy(&self, endpoint: &str) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let member = endpoint.strip_prefix("http://").unwrap().to_owned();
@@ -26,18 +26,19 @@
         format!("http://{address}")
     }
 
-    /// All requests so far, one a line.
+    /// All requests so far, one per line.
     pub fn text(&self) -> String {
         self.requests.lock().unwrap().iter().map(|request| format!("{request}\n")).collect()
     }
 
-    /// Passes on one connection. A request is kept before it is forwarded, so that it is there once it is answered.
+    /// Forwards one connection. A request is recorded before it is forwarded, so that it is in the record when its
+    /// response arrives.
     fn forward(&self, mut client: TcpStream, member: &str) -> io::Result<()> {
         let mut upstream = TcpStream::connect(member)?;
-        let (mut answers, mut answered) = (upstream.try_clone()?, client.try_clone()?);
+        let (mut responses, mut response_target) = (upstream.try_clone()?, client.try_clone()?);
         std::thread::spawn(move || {
-            let _ = io::copy(&mut answers, &mut answered);
-            answered.shutdown(std::net::Shutdown::Both)
+            let _ = io::copy(&mut responses, &mut response_target);
+            response_target.shutdown(std::net::Shutdown::Both)
         });
         let (mut bytes, mut chunk) = (Vec::new(), [0; 65536]);
         loop {
@@ -45,15 +46,15 @@
                 0 => return upstream.shutdown(std::net::Shutdown::Both),
                 n => bytes.extend(&chunk[..n]),
             }
-            while let Some(length) = self.keep(&bytes) {
+            while let Some(length) = self.record_first(&bytes) {
                 upstream.write_all(&bytes[..length])?;
                 bytes.drain(..length);
             }
         }
     }
 
-    /// Keeps the first request of `bytes`, if all of it is there, and returns its length.
-    fn keep(&self, bytes: &[u8]) -> Option<usize> {
+    /// Records the first request in `bytes` if it is complete, and returns its length.
+    fn record_first(&self, bytes: &[u8]) -> Option<usize> {
         let head = bytes.windows(4).position(|end| end == b"\r\n\r\n")? + 4;
         let text = std::str::from_utf8(&bytes[..head]).unwrap();
         let length = text.lines().find_map(|line| {
--- a/crates/store/tests/life.rs
+++ b/crates/store/tests/embedded.rs
@@ -1,4 +1,4 @@
-//! The embedded engine, and the store's thread above it.
+//! The embedded engine, and the store's thread on top of it.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// Far longer than anything here takes.
+/// Far longer than any wait in these tests should take.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
@@ -25,13 +25,10 @@
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert_eq!(check(&mut store, NOW).unwrap(), []);
     let second = Embedded::open(&path, Create::Never, NOW).map(drop);
-    assert!(
-        matches!(second, Err(StoreError::Locked { path: p }) if p == path),
-        "two processes wrote one file"
-    );
+    assert!(matches!(second, Err(StoreError::Locked { path: p }) if p == path), "the file was opened twice");
 }
 
-/// Polls until `find` returns something.
+/// Polls the thread each time it wakes its caller, until `find` returns a value for a notification.
 fn wait_for<T>(
     thread: &mut StoreThread,
     woken: &Receiver<()>,
@@ -47,24 +44,24 @@
 }
 
 #[test]
-fn a_loop_is_told_what_changed_and_never_waits() {
+fn the_store_thread_reports_changes_and_rejects_calls_when_its_queue_is_full() {
     let dir = tempfile::tempdir().unwrap();
     let store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
     let (wake, woken) = channel();
     let wake = Box::new(move || wake.send(()).unwrap_or_default());
     let options = Options { queue_capacity: 32, ..Options::default() };
     let mut thread = StoreThread::start(Box::new(store), options, Box::new(|| NOW), wake).unwrap();
-    // A burst: what does not fit into the queue is rejected at once, the rest is written together.
+    // A burst of changes: those that do not fit into the queue are rejected at once, the others are written.
     let tenant = |i| Command::CreateTenant(NewTenant::named(name(&format!("t{i}"))));
     let tickets: Vec<_> =
         (0..40).map(|i| thread.change(ChangeRequest::new(Actor::File, tenant(i)))).collect();
     assert!(tickets[..32].iter().all(Result::is_ok));
-    assert_eq!(tickets[32..].iter().filter(|a| **a == Err(StoreError::QueueFull { pending: 32 })).count(), 8);
+    assert_eq!(tickets[32..].iter().filter(|t| **t == Err(StoreError::QueueFull { pending: 32 })).count(), 8);
     let mut directory = Directory::default();
     let mut done = 0;
     wait_for(&mut thread, &woken, |notification| {
         match notification {
-            Notification::Changed(_, answer) => done += usize::from(answer.is_ok()),
+            Notification::Changed(_, result) => done += usize::from(result.is_ok()),
             Notification::RecordsChanged(batch) => assert_eq!(directory.apply(&batch), []),
             other => panic!("{other:?}"),
         }
@@ -84,7 +81,7 @@
         _ => None,
     });
     let text = text.unwrap();
-    // With the tenant its admin's token ends, and its id is nobody's.
+    // Once the tenant is removed, its administrator's token no longer authenticates, and its id has no tenant.
     let removal = Command::RemoveTenant { name: name("T3"), expected: None };
     thread.change(ChangeRequest::new(Actor::File, removal)).unwrap();
     wait_for(&mut thread, &woken, |notification| match notification {
@@ -110,7 +107,7 @@
         }
         _ => None,
     });
-    assert_eq!(last.unwrap().target, "tenant/t3", "what waits is done before the thread ends");
-    let mut again = Embedded::open(dir.path().join("store"), Create::Never, NOW).unwrap();
-    assert!(create(&mut again, "t3").unwrap().record.id > NumericId(31));
+    assert_eq!(last.unwrap().target, "tenant/t3", "pending calls are completed before the thread ends");
+    let mut reopened = Embedded::open(dir.path().join("store"), Create::Never, NOW).unwrap();
+    assert!(create(&mut reopened, "t3").unwrap().record.id > NumericId(31));
 }
--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -227,7 +227,7 @@
     let cluster = Cluster::new();
     let members = [cluster.member().unwrap(), cluster.member().unwrap()];
     let recorder = Recorder::default();
-    let endpoints = members.iter().map(|member| recorder.before(&member.endpoint())).collect();
+    let endpoints = members.iter().map(|member| recorder.start_proxy(&member.endpoint())).collect();
     let options =
         Options { call_timeout: Duration::from_secs(5), ..Options::new(endpoints, "shorewharf", "n1", 7) };
     let mut store = Replicated::new(&options).unwrap();
