--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,11 +1,11 @@
-//! Durability: a process that is killed, or whose machine loses power, at a random moment loses no acknowledged change
-//! and leaves none half made.
+//! Durability: if the process is killed or its machine loses power at a random moment, the file still has every
+//! acknowledged change and no change in part.
 //!
-//! Kills: a child of this program makes changes and prints each once the store has acknowledged it. The parent kills it
-//! (SIGKILL) after a random number of printed changes and some microseconds, opens the file and checks it.
-//! `STORE_KILLS` sets how often (40 by default), `STORE_SEED` the first seed.
+//! Kills: a child process makes changes and prints each once the store has acknowledged it. The parent kills the child
+//! (SIGKILL) after a random number of printed changes and microseconds, then opens the file and checks it.
+//! `STORE_KILLS` sets the number of kills (40 by default), `STORE_SEED` the seed.
 //!
-//! Power cuts are emulated, `STORE_CUTS` times (60 by default): of what was not synced, some reaches the disk.
+//! Power cuts are emulated `STORE_CUTS` times (60 by default): a random part of the unsynced writes reaches the disk.
 
 mod common;
 
@@ -29,13 +29,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// A number from an environment variable.
 fn env(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Makes changes until it is killed. Prints `ack NAME WEIGHT REVISION` (weight 0: removed) and `use MINUTE`.
+/// Makes changes until it is killed. Prints `ack NAME WEIGHT REVISION` for each acknowledged change (weight and
+/// revision are 0 for a removal), and `use MINUTE` for each recorded minute of usage.
 #[test]
-#[ignore = "the child that the parent starts and kills"]
+#[ignore = "the child process that acknowledged_changes_survive_sigkill starts and kills"]
 fn child() {
     let Ok(path) = std::env::var("STORE_CHILD") else { return };
     let mut rng = Pcg64Mcg::seed_from_u64(env("STORE_SEED", 0));
@@ -43,14 +45,15 @@
     let mut out = std::io::stdout().lock();
     let mut minute = env("STORE_MINUTE", 0);
     loop {
-        // Groups of changes, as the store's thread makes them. A tenant's limits repeat its weight.
-        let calls: Vec<(TenantName, u32, Command)> = (0..rng.random_range(1..6))
+        // A group of changes, as the store's thread executes them. Each sets a tenant's weight and connection limit to
+        // the same number.
+        let commands: Vec<(TenantName, u32, Command)> = (0..rng.random_range(1..6))
             .map(|_| {
                 let name = name(&format!("t{}", rng.random_range(0..12)));
                 let n = rng.random_range(1..100_000);
                 let weight = Weight::new(n).unwrap();
                 let limits = TenantLimits { connections: Some(n), ..TenantLimits::default() };
-                let call = match rng.random_range(0..4) {
+                let command = match rng.random_range(0..4) {
                     0 => {
                         Command::CreateTenant(NewTenant { weight, limits, ..NewTenant::named(name.clone()) })
                     }
@@ -61,12 +64,12 @@
                         Command::ChangeTenant { name: name.clone(), expected: None, change }
                     }
                 };
-                (name, n, call)
+                (name, n, command)
             })
             .collect();
         let requests: Vec<_> =
-            calls.iter().map(|(_, _, c)| ChangeRequest::new(Actor::File, c.clone())).collect();
-        for ((name, weight, _), done) in calls.iter().zip(execute(&mut store, &requests, NOW)) {
+            commands.iter().map(|(_, _, c)| ChangeRequest::new(Actor::File, c.clone())).collect();
+        for ((name, weight, _), done) in commands.iter().zip(execute(&mut store, &requests, NOW)) {
             let version = match done.map(|d| d.reply) {
                 Ok(Reply::Tenant(stored)) => stored.version.0,
                 Ok(_) => 0,
@@ -83,11 +86,12 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_kill_9() {
+fn acknowledged_changes_survive_sigkill() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("store");
     let mut rng = Pcg64Mcg::seed_from_u64(env("STORE_SEED", 1));
-    let (mut minute, mut acks, mut unprinted) = (0, 0, 0);
+    let (mut minute, mut line_count, mut unprinted) = (0, 0, 0);
+    // How often each change (version, target and weight) was acknowledged.
     let mut acknowledged: BTreeMap<(u64, String, u64), usize> = BTreeMap::new();
     for round in 0..env("STORE_KILLS", 40) {
         let mut child = process::Command::new(std::env::current_exe().unwrap())
@@ -100,25 +104,25 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
-        // Some children are killed while they open the file or after a few changes, others in the middle of one.
+        // The child may be killed while it opens the file, between changes, or during one.
         let lines_read = rng.random_range(0..30);
-        let later = Duration::from_micros(rng.random_range(0..3000));
+        let delay = Duration::from_micros(rng.random_range(0..3000));
         let mut acknowledged_lines: Vec<String> = lines
             .by_ref()
             .map(|l| l.unwrap())
             .filter(|l| l.starts_with("ack") || l.starts_with("use"))
             .take(lines_read)
             .collect();
-        let until = Instant::now() + later;
-        while Instant::now() < until {
+        let kill_at = Instant::now() + delay;
+        while Instant::now() < kill_at {
             std::hint::spin_loop();
         }
         child.kill().unwrap();
         child.wait().unwrap();
-        // Lines that were printed but not read yet are acknowledged too; an incomplete last line is not.
+        // Lines that were printed but not read before the kill are acknowledged too; an incomplete last line is not.
         acknowledged_lines
             .extend(lines.map_while(Result::ok).filter(|l| l.starts_with("ack") || l.starts_with("use")));
-        acks += acknowledged_lines.len();
+        line_count += acknowledged_lines.len();
 
         if !path.exists() {
             continue;
@@ -126,10 +130,10 @@
         let mut store =
             Embedded::open(&path, Create::Never, NOW).unwrap_or_else(|e| panic!("round {round}: {e}"));
         assert_eq!(check(&mut store, NOW).unwrap(), [], "round {round}");
-        // Each change's audit entry was written with it: the trail shows which records must exist.
+        // Each change is written together with its audit entry, so the audit trail tells which records must exist.
         let mut trail: BTreeMap<(u64, String, u64), usize> = BTreeMap::new();
         let mut state: BTreeMap<String, Option<serde_json::Value>> = BTreeMap::new();
-        let each = &mut |entry: Entry| {
+        let visitor = &mut |entry: Entry| {
             let AuditEntry { target, after, .. } = entry.decode()?;
             let weight = after.as_ref().map_or(0, |a| a["weight"].as_u64().unwrap());
             let version = if weight == 0 { 0 } else { entry.revision.0 };
@@ -137,7 +141,7 @@
             state.insert(target, after);
             Ok(())
         };
-        store.visit(&[Collection::Audit], NOW, each).unwrap();
+        store.visit(&[Collection::Audit], NOW, visitor).unwrap();
         for line in &acknowledged_lines {
             match line.split(' ').collect::<Vec<_>>()[..] {
                 ["ack", name, weight, version] => {
@@ -153,7 +157,7 @@
             let stored = trail.get(change).copied().unwrap_or_default();
             assert!(
                 stored >= *times,
-                "round {round}: lost {change:?}: {stored} of {times} times in the trail"
+                "round {round}: {change:?} is in the audit trail {stored} times, but was acknowledged {times} times"
             );
         }
         unprinted = trail.values().sum::<usize>() - acknowledged.values().sum::<usize>();
@@ -164,28 +168,31 @@
                 Err(StoreError::NotFound { .. }) => None,
                 other => panic!("round {round}: {other:?}"),
             };
-            assert_eq!(stored, after, "round {round}: {target} is half changed");
+            assert_eq!(stored, after, "round {round}: {target} differs from its last audit entry");
         }
-        // Each printed minute is recorded once, and perhaps one more.
+        // Each printed minute is recorded once, and at most one more minute was recorded but not printed.
         let granularity = shorewharf_store::commands::Granularity::Day;
-        let ask = Lookup::Usage { id: NumericId(70), granularity, from: 0, to: u64::MAX };
-        let LookupResult::Usage(rows, _) = look_up(&mut store, &ask, NOW).unwrap() else { panic!() };
-        let counted: u64 = rows.iter().map(|r| r.usage.setups).sum();
-        assert!(counted == minute || counted == minute + 1, "round {round}: {counted} of {minute}");
-        minute = counted;
+        let lookup = Lookup::Usage { id: NumericId(70), granularity, from: 0, to: u64::MAX };
+        let LookupResult::Usage(rows, _) = look_up(&mut store, &lookup, NOW).unwrap() else { panic!() };
+        let recorded: u64 = rows.iter().map(|r| r.usage.setups).sum();
+        assert!(
+            recorded == minute || recorded == minute + 1,
+            "round {round}: {recorded} minutes recorded, {minute} printed"
+        );
+        minute = recorded;
     }
-    println!("{acks} lines told; {unprinted} changes were kept whose child was killed before it told them");
-    assert!(acks > 0);
+    println!("{line_count} acknowledgements printed; {unprinted} changes were written but not printed");
+    assert!(line_count > 0);
 }
 
-/// A disk with a cache: what was written since the last sync may be lost in a power cut.
+/// A disk with a cache: operations since the last sync may be lost in a power cut.
 #[derive(Debug, Default)]
 struct Disk {
-    /// What reads return.
+    /// The content including the cache, which reads return.
     cached: InMemoryBackend,
-    /// What is on the disk for certain, and the operations since the last sync.
+    /// The content at the last sync, and the operations since.
     state: Mutex<(Vec<u8>, Vec<Operation>)>,
-    /// Operations until the power cut.
+    /// The number of operations until the power cut.
     operations_left: AtomicU64,
 }
 
@@ -208,17 +215,18 @@
     }
 }
 
+/// The storage on a disk. Every writing operation fails after the power cut.
 #[derive(Debug)]
-struct PoweredDisk(Arc<Disk>);
+struct DiskStorage(Arc<Disk>);
 
-impl PoweredDisk {
-    fn use_power(&self) -> io::Result<()> {
+impl DiskStorage {
+    fn use_operation(&self) -> io::Result<()> {
         let used = self.0.operations_left.fetch_update(SeqCst, SeqCst, |left| left.checked_sub(1));
         used.map(drop).map_err(|_| io::Error::other("no power"))
     }
 }
 
-impl StorageBackend for PoweredDisk {
+impl StorageBackend for DiskStorage {
     fn len(&self) -> io::Result<u64> {
         self.0.cached.len()
     }
@@ -226,21 +234,21 @@
         self.0.cached.read(offset, out)
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.use_power()?;
+        self.use_operation()?;
         self.0.state.lock().unwrap().1.push(Operation::Length(len));
         self.0.cached.set_len(len)
     }
     fn sync_data(&self) -> io::Result<()> {
-        self.use_power()?;
-        let (disk, since) = &mut *self.0.state.lock().unwrap();
-        since.drain(..).for_each(|op| op.apply(disk));
+        self.use_operation()?;
+        let (synced, unsynced) = &mut *self.0.state.lock().unwrap();
+        unsynced.drain(..).for_each(|op| op.apply(synced));
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.use_power()?;
-        // The disk writes sectors, each of which may reach it without its neighbours.
-        let since = &mut self.0.state.lock().unwrap().1;
-        since.extend(
+        self.use_operation()?;
+        // The disk writes sectors of 512 bytes, each of which may reach it without the others.
+        let unsynced = &mut self.0.state.lock().unwrap().1;
+        unsynced.extend(
             (offset..)
                 .step_by(512)
                 .zip(data.chunks(512))
@@ -251,48 +259,51 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_a_power_cut() {
-    let mut unprinted = 0;
+fn acknowledged_changes_survive_a_power_cut() {
+    let mut unacknowledged = 0;
     for seed in 0..env("STORE_CUTS", 60) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let disk = Arc::new(Disk::default());
         disk.operations_left.store(u64::MAX, SeqCst);
-        let powered = disk.clone();
-        let backend: StorageFactory = Box::new(move || Ok(Box::new(PoweredDisk(powered.clone()))));
-        let mut store = Embedded::open_with(backend, NOW).unwrap();
+        let shared_disk = disk.clone();
+        let factory: StorageFactory = Box::new(move || Ok(Box::new(DiskStorage(shared_disk.clone()))));
+        let mut store = Embedded::open_with(factory, NOW).unwrap();
         execute_one(&mut store, Command::CreateTenant(NewTenant::named(name("grad"))), NOW).unwrap();
         disk.operations_left.store(rng.random_range(0..500), SeqCst);
-        let mut printed = 100;
-        let lost = loop {
-            let weight = Some(Weight::new(printed + 1).unwrap());
+        let mut acknowledged = 100;
+        let failure = loop {
+            let weight = Some(Weight::new(acknowledged + 1).unwrap());
             let change = TenantChange { weight, ..TenantChange::default() };
             let command = Command::ChangeTenant { name: name("grad"), expected: None, change };
             match execute_one(&mut store, command, NOW) {
-                Ok(_) => printed += 1,
+                Ok(_) => acknowledged += 1,
                 Err(e) => break e,
             }
         };
-        assert!(lost.is_transient(), "seed {seed}: {lost}");
-        let (mut image, since) = std::mem::take(&mut *disk.state.lock().unwrap());
-        // Any of the writes may have reached the disk. The file system keeps changes of the length in order.
-        since
+        assert!(failure.is_transient(), "seed {seed}: {failure}");
+        let (mut image, unsynced) = std::mem::take(&mut *disk.state.lock().unwrap());
+        // Any unsynced write may have reached the disk. Changes of the length are always kept, as a file system does.
+        unsynced
             .iter()
             .filter(|op| matches!(op, Operation::Length(_)) || rng.random())
             .for_each(|op| op.apply(&mut image));
-        let after = Arc::new(Disk::default());
-        after.operations_left.store(u64::MAX, SeqCst);
-        after.cached.set_len(image.len() as u64).unwrap();
-        after.cached.write(0, &image).unwrap();
-        let backend: StorageFactory = Box::new(move || Ok(Box::new(PoweredDisk(after.clone()))));
-        let mut store = Embedded::open_with(backend, NOW).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        let disk_after = Arc::new(Disk::default());
+        disk_after.operations_left.store(u64::MAX, SeqCst);
+        disk_after.cached.set_len(image.len() as u64).unwrap();
+        disk_after.cached.write(0, &image).unwrap();
+        let factory: StorageFactory = Box::new(move || Ok(Box::new(DiskStorage(disk_after.clone()))));
+        let mut store = Embedded::open_with(factory, NOW).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert_eq!(check(&mut store, NOW).unwrap(), [], "seed {seed}");
         let LookupResult::Tenant(tenant) = look_up(&mut store, &Lookup::Tenant(name("grad")), NOW).unwrap()
         else {
             panic!()
         };
         let weight = tenant.record.weight.get();
-        assert!(weight == printed || weight == printed + 1, "seed {seed}: {weight} after {printed} was told");
-        unprinted += u32::from(weight > printed);
+        assert!(
+            weight == acknowledged || weight == acknowledged + 1,
+            "seed {seed}: found weight {weight}, but {acknowledged} was acknowledged last"
+        );
+        unacknowledged += u32::from(weight > acknowledged);
     }
-    println!("{unprinted} changes were kept that had not been told");
+    println!("{unacknowledged} unacknowledged changes were on the disk after the power cut");
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Full disks and damaged files: each is an error that names the file, nothing is read in part, and no panic leaves the
-//! crate. Seeds are pinned; `STORE_DAMAGES` sets how many files are damaged (60 by default).
+//! Full disks and damaged files: each gives an error that names the file, damaged records are never returned, and no
+//! panic leaves the crate. Seeds are fixed; `STORE_DAMAGES` sets how many files are damaged (60 by default).
 
 mod common;
 
@@ -23,6 +23,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 
+/// Each record's revision and JSON by its key.
 type Records = BTreeMap<String, (u64, Vec<u8>)>;
 
 fn records(store: &mut dyn Store) -> Result<Records, StoreError> {
@@ -39,7 +40,7 @@
     execute_one(store, Command::ChangeTenant { name: name(tenant), expected: None, change }, NOW).map(drop)
 }
 
-/// Creates a store with enough records for trees of some depth.
+/// Creates a store with enough records that the engine's trees have several levels.
 fn create_filled(path: &Path) -> Records {
     let mut store = Embedded::open(path, Create::IfMissing, NOW).unwrap();
     for i in 0..150 {
@@ -50,38 +51,38 @@
 }
 
 #[test]
-fn a_file_damaged_anywhere_is_refused_by_name_or_reads_as_it_was_written() {
+fn a_damaged_file_is_rejected_or_read_unchanged() {
     let dir = tempfile::tempdir().unwrap();
-    let (whole, path) = (dir.path().join("whole"), dir.path().join("store"));
-    let written = create_filled(&whole);
-    let bytes = std::fs::read(&whole).unwrap();
-    let head = std::fs::read(dir.path().join("whole.head")).unwrap();
+    let (intact, path) = (dir.path().join("intact"), dir.path().join("store"));
+    let written = create_filled(&intact);
+    let bytes = std::fs::read(&intact).unwrap();
+    let head = std::fs::read(dir.path().join("intact.head")).unwrap();
     let damages = std::env::var("STORE_DAMAGES").ok().and_then(|v| v.parse().ok()).unwrap_or(60);
-    let (mut refused, mut same) = (0, 0);
+    let (mut rejected, mut unchanged) = (0, 0);
     for seed in 0..damages {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut bad = bytes.clone();
+        let mut damaged = bytes.clone();
         // Every third file is damaged in its header.
-        let within = if seed % 3 == 0 { 4096 } else { bad.len() };
+        let within = if seed % 3 == 0 { 4096 } else { damaged.len() };
         match rng.random_range(0..4) {
-            0 => bad[rng.random_range(0..within)] ^= 1 << rng.random_range(0..8),
+            0 => damaged[rng.random_range(0..within)] ^= 1 << rng.random_range(0..8),
             1 => {
-                let page = rng.random_range(0..within / 512) * 512;
-                rng.fill(&mut bad[page..page + 512]);
+                let sector = rng.random_range(0..within / 512) * 512;
+                rng.fill(&mut damaged[sector..sector + 512]);
             }
             2 => {
-                let page = rng.random_range(0..within / 512) * 512;
-                bad[page..page + 512].fill(0);
+                let sector = rng.random_range(0..within / 512) * 512;
+                damaged[sector..sector + 512].fill(0);
             }
-            _ => bad.truncate(rng.random_range(0..within)),
+            _ => damaged.truncate(rng.random_range(0..within)),
         }
-        std::fs::write(&path, &bad).unwrap();
+        std::fs::write(&path, &damaged).unwrap();
         std::fs::write(dir.path().join("store.head"), &head).unwrap();
         let read = Embedded::open(&path, Create::Never, NOW).and_then(|mut s| records(&mut s));
         match read {
             Ok(read) => {
-                assert_eq!(read, written, "seed {seed}: half read");
-                same += 1;
+                assert_eq!(read, written, "seed {seed}: records differ");
+                unchanged += 1;
             }
             Err(e) => {
                 let text = e.to_string();
@@ -90,16 +91,16 @@
                     "seed {seed}: {text}"
                 );
                 assert!(text.contains("store"), "seed {seed}: {text}");
-                refused += 1;
+                rejected += 1;
             }
         }
     }
-    println!("{refused} damaged files were refused, {same} read as they were written");
-    assert!(refused > damages / 4);
+    println!("{rejected} damaged files were rejected, {unchanged} were read unchanged");
+    assert!(rejected > damages / 4);
 }
 
 #[test]
-fn damage_under_a_running_store_is_never_read_as_something_else() {
+fn damage_to_an_open_store_is_detected() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("store");
     let written = create_filled(&path);
@@ -112,15 +113,15 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let offset = rng.random_range(4096..bytes.len() - 512) as u64;
         memory.memory.write(offset, &[0xa5; 512]).unwrap();
-        // What is in the engine's cache may still be read; what comes from the storage is verified.
+        // Records may be read from the engine's cache; blocks from the storage are verified.
         for key in written.keys().step_by(3) {
-            let (space, name) = key.split_once('/').unwrap();
-            let key = shorewharf_store::key::Key::new(Collection::parse(space).unwrap(), name);
+            let (collection, name) = key.split_once('/').unwrap();
+            let key = shorewharf_store::key::Key::new(Collection::parse(collection).unwrap(), name);
             match store.get(&key, NOW) {
                 Ok(Some(entry)) => {
                     assert_eq!(written[&key.text()], (entry.revision.0, entry.value), "seed {seed}");
                 }
-                Ok(None) => panic!("seed {seed}: {key} is lost in silence"),
+                Ok(None) => panic!("seed {seed}: {key} is missing without an error"),
                 Err(e) => assert!(matches!(e, StoreError::Corrupt { .. }), "seed {seed}: {e}"),
             }
         }
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn an_old_copy_in_place_of_the_file_is_not_served_as_if_nothing_had_been_lost() {
+fn a_file_that_is_missing_or_older_than_acknowledged_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
     let (path, old, moved) = (dir.path().join("store"), dir.path().join("backup"), dir.path().join("moved"));
     let mut store = Embedded::open(&path, Create::IfMissing, NOW).unwrap();
@@ -142,30 +143,32 @@
     drop(store);
     std::fs::rename(&path, &moved).unwrap();
     std::fs::copy(&old, &path).unwrap();
-    let refused = Embedded::open(&path, Create::Never, NOW).map(drop).unwrap_err().to_string();
-    assert!(refused.ends_with("the file ends at revision 1, but revision 2 was acknowledged"), "{refused}");
+    let error = Embedded::open(&path, Create::Never, NOW).map(drop).unwrap_err().to_string();
+    assert!(error.ends_with("the file ends at revision 1, but revision 2 was acknowledged"), "{error}");
     std::fs::remove_file(&path).unwrap();
-    let refused = Embedded::open(&path, Create::IfMissing, NOW).map(drop).unwrap_err().to_string();
-    assert!(refused.ends_with("the file is missing, but revision 2 was acknowledged"), "{refused}");
-    // Restored on purpose: ids that the lost store assigned after the backup are not assigned again.
+    let error = Embedded::open(&path, Create::IfMissing, NOW).map(drop).unwrap_err().to_string();
+    assert!(error.ends_with("the file is missing, but revision 2 was acknowledged"), "{error}");
+    // An explicit restore succeeds. Ids that the lost store assigned after the backup are not assigned again.
     let actor = Actor::console("operator").unwrap();
     let taken = restore_anew(&path, &old, &actor, NOW).unwrap();
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert!(taken.revision > late.version);
     assert!(create(&mut store, "next").unwrap().record.id > late.record.id);
     assert_eq!(check(&mut store, NOW).unwrap(), []);
-    // A store that was not lost knows which ids it assigned.
+    // Restoring into an existing store skips no ids, since the store knows which ones it has assigned.
     restore(&mut store, &old, &actor, NOW).unwrap();
     let next = create(&mut store, "late").unwrap();
-    assert_eq!(next.record.id.0, 65_536 + 2, "the backup's one, those left out, and \"next\"");
+    assert_eq!(next.record.id.0, 65_536 + 2, "ids of the backup's tenant, the skipped ones, and \"next\"");
 }
 
-/// Storage of limited size, on which everything fails after a number of writes.
+/// Storage of limited size, on which writing fails after a number of operations.
 #[derive(Debug, Default)]
 struct LimitedMemory {
     memory: InMemoryBackend,
     max_bytes: AtomicU64,
+    /// The number of writing operations that still succeed.
     writes_left: AtomicU64,
+    /// Whether the limits apply.
     is_limited: AtomicBool,
 }
 
@@ -188,6 +191,7 @@
 struct Storage(Arc<LimitedMemory>);
 
 impl Storage {
+    /// Counts a writing operation; fails if it exceeds a limit.
     fn check_space(&self, end: u64) -> io::Result<()> {
         let LimitedMemory { max_bytes, writes_left, is_limited, .. } = &*self.0;
         let left = writes_left.load(SeqCst);
@@ -220,7 +224,7 @@
 }
 
 #[test]
-fn a_disk_that_fills_at_any_moment_refuses_changes_and_keeps_what_it_acknowledged() {
+fn a_full_disk_rejects_changes_and_keeps_acknowledged_ones() {
     let (mut full, mut unknown) = (0, 0);
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -234,7 +238,7 @@
             weight += 1;
             match set_weight(&mut store, "grad", weight) {
                 Ok(()) => {
-                    assert!(!failed, "seed {seed}: a full disk took a change");
+                    assert!(!failed, "seed {seed}: a change succeeded on a full disk");
                     stored = weight;
                 }
                 Err(e) => {
@@ -250,7 +254,7 @@
                 }
             }
         }
-        // With space again, the acknowledged change is there, or the one whose outcome was unknown.
+        // Once there is space again, the store has the acknowledged change, or the first one that failed after it.
         limited.is_limited.store(false, SeqCst);
         let all = records(&mut store).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         let found =
@@ -259,18 +263,19 @@
         assert_eq!(check(&mut store, NOW).unwrap(), [], "seed {seed}");
         set_weight(&mut store, "grad", 77).unwrap();
         drop(store);
-        let mut again = Embedded::open_with(limited.backend(), NOW).unwrap();
+        let mut reopened = Embedded::open_with(limited.backend(), NOW).unwrap();
         assert!(
-            String::from_utf8_lossy(&records(&mut again).unwrap()["tenant/grad"].1).contains("\"weight\":77")
+            String::from_utf8_lossy(&records(&mut reopened).unwrap()["tenant/grad"].1)
+                .contains("\"weight\":77")
         );
     }
-    println!("{full} changes refused for want of space, {unknown} of which it was not known");
+    println!("{full} changes were rejected for lack of space, {unknown} had an unknown outcome");
     assert!(full > 0);
 }
 
-/// Grows the store until the system refuses, and prints how many tenants it created.
+/// Grows the store until writing fails, then prints how many tenants it created, and the error.
 #[test]
-#[ignore = "the child that runs under a limit of the system"]
+#[ignore = "the child process that a_file_at_its_size_limit_rejects_changes_and_stays_readable starts"]
 fn child() {
     let Ok(path) = std::env::var("STORE_CHILD") else { return };
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
@@ -281,12 +286,12 @@
             Err(e) => break e,
         }
     };
-    println!("\nmade {created}\nerror {e}");
+    println!("\ncreated {created}\nerror {e}");
     assert_eq!(records(&mut store).unwrap().keys().filter(|k| k.starts_with("tenant/")).count(), created);
 }
 
 #[test]
-fn a_file_that_may_not_grow_refuses_by_name_and_goes_on_reading() {
+fn a_file_at_its_size_limit_rejects_changes_and_stays_readable() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("store");
     drop(Embedded::open(&path, Create::IfMissing, NOW).unwrap());
@@ -301,8 +306,8 @@
         |word: &str| text.lines().find_map(|l| l.strip_prefix(word)).unwrap_or_else(|| panic!("{text}"));
     assert!(line("error ").starts_with(&format!("{}: ", path.display())), "{text}");
     assert!(line("error ").contains("File too large"), "{text}");
-    let created: usize = line("made ").parse().unwrap();
+    let created: usize = line("created ").parse().unwrap();
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     let stored = records(&mut store).unwrap().keys().filter(|k| k.starts_with("tenant/")).count();
-    assert!(created > 0 && stored == created, "{stored} of {created}");
+    assert!(created > 0 && stored == created, "{stored} tenants are stored, {created} were created");
 }
--- a/crates/store/tests/exchange.rs
+++ b/crates/store/tests/exchange.rs
@@ -14,7 +14,7 @@
 use shorewharf_store::record::Actor;
 use shorewharf_store::store::Store;
 
-fn exported(store: &mut dyn Store) -> Value {
+fn export_json(store: &mut dyn Store) -> Value {
     let mut document = Vec::new();
     export(store, &mut document, NOW).unwrap();
     serde_json::from_slice(&document)
@@ -22,31 +22,31 @@
 }
 
 #[test]
-fn a_document_brings_everything_into_another_store_and_a_bad_one_brings_nothing() {
+fn an_import_copies_an_exported_store_and_an_invalid_one_changes_nothing() {
     let dir = tempfile::tempdir().unwrap();
     let mut first = Embedded::open(dir.path().join("first"), Create::IfMissing, NOW).unwrap();
     run_conformance(&mut first);
-    let mut document = exported(&mut first);
+    let mut document = export_json(&mut first);
     let mut second = Embedded::open(dir.path().join("second"), Create::IfMissing, NOW).unwrap();
-    let empty = exported(&mut second);
+    let empty = export_json(&mut second);
     let actor = Actor::console("operator").unwrap();
     import(&mut second, &empty.to_string(), &actor, NOW).unwrap();
     import(&mut second, &document.to_string(), &actor, NOW).unwrap();
     assert_eq!(check(&mut second, NOW).unwrap(), []);
-    let mut again = exported(&mut second);
-    let reported = again["audit"].as_array_mut().unwrap().pop().unwrap();
+    let mut imported = export_json(&mut second);
+    let entry = imported["audit"].as_array_mut().unwrap().pop().unwrap();
     assert_eq!(
-        (reported["deed"].as_str(), &reported["after"]["revision"]),
+        (entry["deed"].as_str(), &entry["after"]["revision"]),
         (Some("import"), &document["revision"])
     );
-    for same in ["audit", "classes", "places", "tenants", "tokens", "limits", "usage"] {
-        assert!(!document[same].is_null() && document[same] == again[same], "{same} differs");
+    for field in ["audit", "classes", "places", "tenants", "tokens", "limits", "usage"] {
+        assert!(!document[field].is_null() && document[field] == imported[field], "{field} differs");
     }
     // Ids that either store assigned are not assigned again.
-    let usage_by_id = document["counters"]["tenant-places"].as_u64().unwrap();
-    assert!(again["counters"]["tenant-places"].as_u64().unwrap() >= usage_by_id);
+    let next_id = document["counters"]["tenant-places"].as_u64().unwrap();
+    assert!(imported["counters"]["tenant-places"].as_u64().unwrap() >= next_id);
 
-    // Every fault is reported with its path, and nothing is changed.
+    // Every fault of an invalid document is reported with its path, and nothing is changed.
     let before = second.health().revision;
     let tenants = document["tenants"].as_array().unwrap().len();
     document["schema"] = json!(99);
@@ -77,8 +77,8 @@
             "usage[0]: has not level, chunk, interval, instance and record",
         ]
     );
-    // Records that are valid alone but contradict each other.
-    let mut document = exported(&mut first);
+    // Records that are valid by themselves but contradict each other.
+    let mut document = export_json(&mut first);
     document["tenants"][5]["place"] = document["tenants"][6]["place"].clone();
     document["places"].as_array_mut().unwrap().pop();
     let Err(ImportError::Invalid(faults)) = check_document(&document.to_string()) else { panic!() };
@@ -90,39 +90,39 @@
     assert!(matches!(check_document("{"), Err(ImportError::Json(_))));
     assert!(matches!(check_document("[]"), Err(ImportError::Invalid(_))));
     assert_eq!(second.health().revision, before);
-    assert_eq!(exported(&mut second)["tenants"].as_array().unwrap().len(), tenants);
+    assert_eq!(export_json(&mut second)["tenants"].as_array().unwrap().len(), tenants);
 }
 
 #[test]
-fn a_backup_is_whole_or_not_there_and_a_damaged_one_restores_nothing() {
+fn a_backup_is_written_atomically_and_a_damaged_one_is_not_restored() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("backup");
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
     run_conformance(&mut store);
     let actor = Actor::console("operator").unwrap();
-    let at = store.health().revision;
+    let revision = store.health().revision;
     let taken = backup(&mut store, &file, NOW).unwrap();
-    assert_eq!(taken.revision, at);
-    let documented = exported(&mut store);
+    assert_eq!(taken.revision, revision);
+    let exported = export_json(&mut store);
     execute_one(&mut store, Command::RemoveTenant { name: name("grad-uprava"), expected: None }, NOW)
         .unwrap();
-    let removed = store.health().revision;
-    let whole = std::fs::read(&file).unwrap();
-    for cut in [0, 100, 5000, whole.len() / 2, whole.len() - 1] {
-        std::fs::write(&file, &whole[..cut]).unwrap();
+    let after_removal = store.health().revision;
+    let intact = std::fs::read(&file).unwrap();
+    for length in [0, 100, 5000, intact.len() / 2, intact.len() - 1] {
+        std::fs::write(&file, &intact[..length]).unwrap();
         let e = restore(&mut store, &file, &actor, NOW).unwrap_err();
         let named = e.to_string().starts_with(&format!("{}: damaged: ", file.display()));
-        assert!(matches!(e, StoreError::Corrupt { .. }) && named, "{cut}: {e}");
+        assert!(matches!(e, StoreError::Corrupt { .. }) && named, "{length} bytes: {e}");
     }
-    assert_eq!(store.health().revision, removed, "a damaged backup changed something");
-    std::fs::write(&file, &whole).unwrap();
+    assert_eq!(store.health().revision, after_removal, "a damaged backup changed the store");
+    std::fs::write(&file, &intact).unwrap();
     let restored = restore(&mut store, &file, &actor, NOW).unwrap();
-    assert!(restored.revision > removed);
-    assert_eq!(exported(&mut store)["tenants"], documented["tenants"]);
-    assert_eq!(std::fs::read(&file).unwrap(), whole, "restoring changed the backup");
-    // A backup that can't be written leaves the old one and no temporary files.
-    let nowhere = backup(&mut store, &dir.path().join("no/where"), NOW).unwrap_err();
-    assert!(nowhere.to_string().contains("no/where"), "{nowhere}");
+    assert!(restored.revision > after_removal);
+    assert_eq!(export_json(&mut store)["tenants"], exported["tenants"]);
+    assert_eq!(std::fs::read(&file).unwrap(), intact, "restoring changed the backup");
+    // A backup that can't be written gives an error, and backups leave no temporary files.
+    let error = backup(&mut store, &dir.path().join("no/where"), NOW).unwrap_err();
+    assert!(error.to_string().contains("no/where"), "{error}");
     execute_one(&mut store, Command::RemoveTenant { name: name("я"), expected: None }, NOW).unwrap();
     backup(&mut store, &file, NOW).unwrap();
     let mut files: Vec<_> = std::fs::read_dir(dir.path())
