--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use shorewharf_settings::operator::OperatorError;
+use shorewharf_settings::operator::OperatorSettingsError;
 use thiserror::Error;
 
 use super::limits::MAX_DURATION_S;
@@ -120,7 +120,7 @@
         /// The path of the file.
         path: String,
         /// The invalid key and the reason.
-        source: Box<OperatorError>,
+        source: Box<OperatorSettingsError>,
     },
     /// A name that is in use is missing or has another index in a reloaded configuration.
     #[error("'{0}' must keep its position in the list until a restart; add new names at the end")]
--- a/crates/balancer/src/config/mod.rs
+++ b/crates/balancer/src/config/mod.rs
@@ -16,7 +16,7 @@
 use shorewharf_decisions::Settings;
 use shorewharf_protocol::endpoint_list::EndpointList;
 use shorewharf_protocol::name_index::NameIndex;
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 
 pub use self::error::{ConfigError, InvalidValue};
 use self::file::{ConfigFile, SettingsSection, check_duration, wrong_type};
@@ -63,7 +63,7 @@
     /// Whether servers report message delays in their load reports.
     pub servers_report_delay: bool,
     /// The operator's own file.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// Gossip with the other balancers of the fleet; `None` if the operator's file names no peers.
     pub gossip: Option<GossipConfig>,
     /// The budgets of the whole fleet; `None` if the operator's file names no store.
@@ -101,14 +101,14 @@
     Ok(settings)
 }
 
-fn read_operator_file(path: Option<String>) -> Result<Operator, ConfigError> {
-    let Some(path) = path else { return Ok(Operator::default()) };
+fn read_operator_file(path: Option<String>) -> Result<OperatorSettings, ConfigError> {
+    let Some(path) = path else { return Ok(OperatorSettings::default()) };
     let invalid = |problem| ConfigError::invalid(OPERATOR_VARIABLE, problem);
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(source) => return Err(invalid(InvalidValue::OperatorFileUnreadable { path, source })),
     };
-    Operator::parse(&text)
+    OperatorSettings::parse(&text)
         .map_err(|error| invalid(InvalidValue::OperatorFileInvalid { path, source: Box::new(error) }))
 }
 
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -294,7 +294,7 @@
 fn every_key_of_the_operators_file_is_parsed_to_its_value() {
     let text = std::fs::read_to_string(EVERY_OPERATOR_KEY).expect("a file");
     let config = parse_with_operator_file(&text).expect("a valid configuration");
-    let expected = Operator {
+    let expected = OperatorSettings {
         workers: 1,
         tenancy: Tenancy {
             is_enabled: true,
@@ -357,7 +357,7 @@
     );
     assert_eq!(
         parse_with_operator_file("workers = 4").expect("a valid configuration").operator,
-        Operator { workers: 4, ..Operator::default() }
+        OperatorSettings { workers: 4, ..OperatorSettings::default() }
     );
 }
 
--- a/crates/driver/benches/placement.rs
+++ b/crates/driver/benches/placement.rs
@@ -10,7 +10,7 @@
     Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
 };
 use shorewharf_driver::AdmissionGate;
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 
 /// Established connections beyond this number end, the oldest first.
 const MAX_CONNECTIONS: usize = 400;
@@ -36,7 +36,8 @@
             "max_retry_after_s":1.5}}}}"#
         );
         let settings = shorewharf_settings::parse(text.as_bytes()).expect("settings").settings;
-        let operator = Operator::parse(&format!("[tenancy]\non = {has_quotas}")).expect("an operator's file");
+        let operator =
+            OperatorSettings::parse(&format!("[tenancy]\non = {has_quotas}")).expect("an operator's file");
         let gate = AdmissionGate::new(0, settings, 7, &operator);
         let (connections, actions) = (VecDeque::new(), Vec::new());
         let mut bench = PlacementBench { gate, now: 1.0, last_id: 0, tenants, connections, actions };
--- a/crates/driver/examples/export_state.rs
+++ b/crates/driver/examples/export_state.rs
@@ -10,7 +10,7 @@
 };
 use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 
 /// Most entries that the balancer exports at once.
 const PORTION: usize = 512;
@@ -22,7 +22,7 @@
 fn instance(server_count: u64) -> AdmissionGate {
     let settings =
         shorewharf_settings::parse(include_bytes!("settings.json")).expect("valid settings").settings;
-    let mut gate = AdmissionGate::new(0, settings, 7, &Operator::default());
+    let mut gate = AdmissionGate::new(0, settings, 7, &OperatorSettings::default());
     let entry = |id| ServerEntry {
         server: ServerId(id),
         zone: 0,
--- a/crates/driver/examples/fuzz_records.rs
+++ b/crates/driver/examples/fuzz_records.rs
@@ -18,7 +18,7 @@
 };
 use shorewharf_driver::AdmissionGate;
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 use shorewharf_snapshot::record::{DecodeError, Encoder, Header, Line, VERSION, decode};
 use thiserror::Error;
 
@@ -45,7 +45,7 @@
 fn gate() -> AdmissionGate {
     let text = include_bytes!("settings.json");
     let settings = shorewharf_settings::parse(text).expect("valid settings").settings;
-    let mut gate = AdmissionGate::new(0, settings, 7, &Operator::default());
+    let mut gate = AdmissionGate::new(0, settings, 7, &OperatorSettings::default());
     let entry = |id| ServerEntry {
         server: ServerId(id),
         zone: 0,
--- a/crates/driver/src/admission.rs
+++ b/crates/driver/src/admission.rs
@@ -2,7 +2,7 @@
 //! how the requests that they admitted turn out.
 
 use shorewharf_decisions::interface::{Event, Outcome, Request, Settings};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 use shorewharf_units::Micros;
 
 /// The decision of an admission check on a request.
@@ -69,5 +69,5 @@
         None
     }
     /// Applies new settings.
-    fn update_settings(&mut self, _now: Micros, _settings: &Settings, _operator: &Operator) {}
+    fn update_settings(&mut self, _now: Micros, _settings: &Settings, _operator: &OperatorSettings) {}
 }
--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -5,7 +5,7 @@
 
 use shorewharf_budgets::Allocations;
 use shorewharf_decisions::interface::{Request, Settings};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 use shorewharf_units::{MICROS_PER_SECOND, Micros, micros_from_seconds};
 
 use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome, TenantMigrations};
@@ -175,7 +175,7 @@
         Some(self.allocations().next_excess_at().max(next_check))
     }
 
-    fn update_settings(&mut self, _now: Micros, settings: &Settings, _operator: &Operator) {
+    fn update_settings(&mut self, _now: Micros, settings: &Settings, _operator: &OperatorSettings) {
         self.max_retry_after = max_retry_after(settings);
     }
 }
--- a/crates/driver/src/driver.rs
+++ b/crates/driver/src/driver.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use shorewharf_decisions::interface::{Action, Event, Outcome, RequestId, ServerEntry, ServerId, Settings};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 
 use crate::events::{Effects, NetworkEvent, ReceivedRequest};
@@ -45,7 +45,7 @@
 
 impl Driver {
     /// Starts an instance, and hands it the servers of `initial` as a cached endpoint list.
-    pub fn start(initial: InitialState, operator: &Operator, effects: &mut impl Effects) -> Self {
+    pub fn start(initial: InitialState, operator: &OperatorSettings, effects: &mut impl Effects) -> Self {
         let InitialState { settings, seed, servers } = initial;
         let max_attempts = settings.max_attempts;
         let gate = AdmissionGate::new(effects.now(), settings, seed, operator);
@@ -58,7 +58,7 @@
     }
 
     /// Applies new settings and keeps all learned state.
-    pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &Operator) {
+    pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &OperatorSettings) {
         self.max_attempts = settings.max_attempts;
         self.gate.update_settings(now, settings, operator);
     }
--- a/crates/driver/src/gate.rs
+++ b/crates/driver/src/gate.rs
@@ -12,7 +12,7 @@
 use shorewharf_recovery::controller::{ControllerOptions, OverloadController};
 use shorewharf_recovery::protected_balancer::{ProtectedBalancer, WaitingClients};
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
-use shorewharf_settings::operator::{Operator, Recovery};
+use shorewharf_settings::operator::{OperatorSettings, Recovery};
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 
 use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome};
@@ -26,7 +26,7 @@
 /// Most entries, each for a tenant and a reason, in a log line on rejections.
 const MAX_LOGGED_REJECTIONS: usize = 8;
 
-fn controller_options(operator: &Operator) -> ControllerOptions {
+fn controller_options(operator: &OperatorSettings) -> ControllerOptions {
     let Recovery { levels, retry_budget, rebalance } = operator.recovery;
     ControllerOptions { levels, retry_budget, rebalance }
 }
@@ -99,7 +99,7 @@
 impl AdmissionGate {
     /// Creates a balancer with these settings, behind the tenants' quotas if the operator's file enables
     /// them.
-    pub fn new(now: Micros, settings: Settings, seed: u64, operator: &Operator) -> AdmissionGate {
+    pub fn new(now: Micros, settings: Settings, seed: u64, operator: &OperatorSettings) -> AdmissionGate {
         let tenants = Tenants::new(now, &settings, operator);
         AdmissionGate {
             balancer: ProtectedBalancer::new(settings, seed, controller_options(operator)),
@@ -114,7 +114,7 @@
 
     /// Applies new settings to the balancer and its checks. Learned state is kept. No check is added or
     /// removed.
-    pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &Operator) {
+    pub fn update_settings(&mut self, now: Micros, settings: Settings, operator: &OperatorSettings) {
         for check in self.checks.iter_mut() {
             check.update_settings(now, &settings, operator);
         }
--- a/crates/driver/src/tenants.rs
+++ b/crates/driver/src/tenants.rs
@@ -1,7 +1,7 @@
 //! The tenants' quotas as an admission check, configured by the settings and the operator's file.
 
 use shorewharf_decisions::interface::{Request, Settings};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 use shorewharf_tenancy::{QuotaDecision, Tenancy, TenancySettings, TenantIndex, TenantLimits};
 use shorewharf_units::{Micros, micros_from_seconds};
 
@@ -15,7 +15,7 @@
 
 /// Returns the settings of one worker's quotas. Each worker counts as an instance of the fleet, and all
 /// balancers are assumed to have the same number of workers.
-fn tenancy_settings(settings: &Settings, operator: &Operator) -> TenancySettings {
+fn tenancy_settings(settings: &Settings, operator: &OperatorSettings) -> TenancySettings {
     let (tenancy, workers) = (&operator.tenancy, operator.workers.max(1) as f64);
     let longest_wait =
         if settings.sends_retry_after { micros_from_seconds(settings.max_retry_after) } else { 0 };
@@ -40,7 +40,7 @@
 impl Tenants {
     /// Creates the check. Returns `None` if the operator's file does not enable it or the settings have no
     /// quotas.
-    pub fn new(now: Micros, settings: &Settings, operator: &Operator) -> Option<Tenants> {
+    pub fn new(now: Micros, settings: &Settings, operator: &OperatorSettings) -> Option<Tenants> {
         let has_quotas = !settings.tenant_connection_quotas.iter().all(|quota| *quota <= 0.0);
         if !operator.tenancy.is_enabled || !has_quotas {
             return None;
@@ -106,7 +106,7 @@
         self.tenancy.next_deadline()
     }
 
-    fn update_settings(&mut self, now: Micros, settings: &Settings, operator: &Operator) {
+    fn update_settings(&mut self, now: Micros, settings: &Settings, operator: &OperatorSettings) {
         self.tenancy.update_settings(tenancy_settings(settings, operator));
         self.update_limits(now, settings);
     }
--- a/crates/driver/tests/driver.rs
+++ b/crates/driver/tests/driver.rs
@@ -4,7 +4,7 @@
 
 use shorewharf_decisions::interface::{Outcome, RequestId, ServerEntry, ServerId, ServerState};
 use shorewharf_driver::{Driver, Effects, InitialState, NetworkEvent, ReceivedRequest};
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 use shorewharf_units::Micros;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -81,7 +81,7 @@
         let mut effects = RecordingEffects { now: 1_700_000_000_000_000, ..RecordingEffects::default() };
         let servers = (1..=servers).map(|id| entry(id, ServerState::Ready)).collect();
         let initial = InitialState { settings, seed: 3, servers };
-        let driver = Driver::start(initial, &Operator::default(), &mut effects);
+        let driver = Driver::start(initial, &OperatorSettings::default(), &mut effects);
         DriverTest { driver, effects }
     }
 
--- a/crates/driver/tests/gate.rs
+++ b/crates/driver/tests/gate.rs
@@ -5,7 +5,7 @@
     Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
 };
 use shorewharf_driver::AdmissionGate;
-use shorewharf_settings::operator::Operator;
+use shorewharf_settings::operator::OperatorSettings;
 
 /// Token of the gate's migration timer.
 const MIGRATION_TIMER: u64 = 1 << 63;
@@ -43,7 +43,7 @@
             "specifics":{"mode":"proxy","message_aim_s":[0.05],"tenant_quota_connections":[10,10]},
             "limits":{"cancel":true,"max_attempts":5,"retry_after":true,"max_retry_after_s":1.5}}"#;
         let settings = shorewharf_settings::parse(text).expect("settings").settings;
-        let operator = Operator::parse(operator).expect("an operator's file");
+        let operator = OperatorSettings::parse(operator).expect("an operator's file");
         let mut test = GateTest { gate: AdmissionGate::new(0, settings, 7, &operator), now: 1.0, last_id: 0 };
         test.handle(Event::Start);
         let entry = |id| {
@@ -220,7 +220,7 @@
         ("[tenancy]\nmoves_per_s = nan", "tenancy.moves_per_s"),
         ("[tenancy", ""),
     ] {
-        let error = Operator::parse(text).expect_err(text).to_string();
+        let error = OperatorSettings::parse(text).expect_err(text).to_string();
         assert!(error.contains(key), "{text}: {error}");
     }
     let mut test = GateTest::new("");
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -17,7 +17,7 @@
 use shorewharf_emulator::edge::{BalancerId, FromBalancer, ToBalancer};
 use shorewharf_emulator::virtual_time::{GroundTruth, Host, Instance, InstanceReport};
 use shorewharf_recovery::snapshot_state::{ExportCursor, SnapshotEntry};
-use shorewharf_settings::operator::{Operator, OperatorError, Recovery, Tenancy};
+use shorewharf_settings::operator::{OperatorSettings, OperatorSettingsError, Recovery, Tenancy};
 use shorewharf_units::{Micros, micros_from_seconds, seconds_from_micros};
 use thiserror::Error;
 
@@ -64,7 +64,7 @@
     File(PathBuf, std::io::Error),
     /// The operator's file can't be used.
     #[error("{0}: {1}")]
-    Operator(PathBuf, Box<OperatorError>),
+    Operator(PathBuf, Box<OperatorSettingsError>),
 }
 
 impl std::str::FromStr for PolicyChoice {
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct PolicyHosts {
     policy: PolicyChoice,
-    operator: Operator,
+    operator: OperatorSettings,
     ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
     /// The module's state is saved and restored over restarts.
     saves_state: bool,
@@ -115,7 +115,7 @@
     /// # Errors
     /// No policy has this name, or its operator file can't be read or used.
     pub fn named(policy: &str) -> Result<PolicyHosts, PolicyError> {
-        let care = |recovery| Operator { recovery, ..Operator::default() };
+        let care = |recovery| OperatorSettings { recovery, ..OperatorSettings::default() };
         if policy == "module-with-snapshot" {
             return Ok(PolicyHosts { saves_state: true, ..PolicyHosts::new(PolicyChoice::Module) });
         }
@@ -128,9 +128,9 @@
         if policy == "module-unsounded" {
             return Ok(PolicyHosts { allows_probes: false, ..PolicyHosts::new(PolicyChoice::Module) });
         }
-        let tenancy = |on| Operator {
+        let tenancy = |on| OperatorSettings {
             tenancy: Tenancy { is_enabled: on, ..Tenancy::default() },
-            ..Operator::default()
+            ..OperatorSettings::default()
         };
         let operator = match policy {
             "module-with-tenancy" => tenancy(true),
@@ -143,9 +143,8 @@
             other => match other.strip_prefix("module@").map(PathBuf::from) {
                 None => return Ok(PolicyHosts::new(other.parse()?)),
                 Some(path) => match std::fs::read_to_string(&path) {
-                    Ok(text) => {
-                        Operator::parse(&text).map_err(|e| PolicyError::Operator(path, Box::new(e)))?
-                    }
+                    Ok(text) => OperatorSettings::parse(&text)
+                        .map_err(|e| PolicyError::Operator(path, Box::new(e)))?,
                     Err(e) => return Err(PolicyError::File(path, e)),
                 },
             },
@@ -193,7 +192,7 @@
 
 struct InstanceFactory {
     policy: PolicyChoice,
-    operator: Operator,
+    operator: OperatorSettings,
     ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
 }
 
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -12,7 +12,7 @@
 
 /// Why an operator's file can't be used; the text names the key at fault.
 #[derive(Debug, Error)]
-pub enum OperatorError {
+pub enum OperatorSettingsError {
     /// A key is unknown, or its value has the wrong type.
     #[error("{0}")]
     Form(#[from] serde_path_to_error::Error<toml::de::Error>),
@@ -34,7 +34,7 @@
 /// The whole file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Event loops, each on a thread and with an instance of the decisions of its own.
     pub workers: usize,
     /// Tenants' quotas.
@@ -210,9 +210,9 @@
     }
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             workers: 1,
             tenancy: Tenancy::default(),
             recovery: Recovery::default(),
@@ -228,23 +228,23 @@
     value: f64,
     range: RangeInclusive<f64>,
     allowed: &'static str,
-) -> Result<(), OperatorError> {
-    if range.contains(&value) { Ok(()) } else { Err(OperatorError::Range { key, value, allowed }) }
+) -> Result<(), OperatorSettingsError> {
+    if range.contains(&value) { Ok(()) } else { Err(OperatorSettingsError::Range { key, value, allowed }) }
 }
 
-fn check_seconds(key: &'static str, seconds: f64) -> Result<(), OperatorError> {
+fn check_seconds(key: &'static str, seconds: f64) -> Result<(), OperatorSettingsError> {
     check_range(key, seconds, 0.001..=3600.0, "from 0.001 to 3600")
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads a file's text.
     ///
     /// # Errors
     ///
     /// Fails where the text is not TOML, a key is unknown, or a value has the wrong type or is out of its
     /// range.
-    pub fn parse(text: &str) -> Result<Operator, OperatorError> {
-        let operator: Operator = serde_path_to_error::deserialize(toml::Deserializer::parse(text)?)?;
+    pub fn parse(text: &str) -> Result<OperatorSettings, OperatorSettingsError> {
+        let operator: OperatorSettings = serde_path_to_error::deserialize(toml::Deserializer::parse(text)?)?;
         operator.check_workers_and_tenancy()?;
         operator.check_needs_of_single_worker()?;
         operator.budgets.check()?;
@@ -253,14 +253,14 @@
         Ok(operator)
     }
 
-    fn check_workers_and_tenancy(&self) -> Result<(), OperatorError> {
+    fn check_workers_and_tenancy(&self) -> Result<(), OperatorSettingsError> {
         let Tenancy { lending_ratio, migrations_per_second, .. } = self.tenancy;
         check_range("workers", self.workers as f64, 1.0..=MAX_WORKERS, "from 1 to 64")?;
         check_range("tenancy.lend", lending_ratio, 0.05..=1.0, "from 0.05 to 1")?;
         check_range("tenancy.moves_per_s", migrations_per_second, 0.1..=1e9, "from 0.1 to 1e9")
     }
 
-    fn check_needs_of_single_worker(&self) -> Result<(), OperatorError> {
+    fn check_needs_of_single_worker(&self) -> Result<(), OperatorSettingsError> {
         let workers = self.workers as f64;
         if self.gossip.peers_file.is_some() {
             check_range("workers", workers, 1.0..=1.0, "1, which [gossip] needs")?;
@@ -273,7 +273,7 @@
 }
 
 impl Budgets {
-    fn check(&self) -> Result<(), OperatorError> {
+    fn check(&self) -> Result<(), OperatorSettingsError> {
         let setups = self.setups_per_second.unwrap_or(0.0);
         check_range("budgets.set_ups", setups, 0.0..=1e9, "from 0 to 1e9")?;
         check_seconds("budgets.lease_s", self.lease_s)?;
@@ -284,14 +284,14 @@
 }
 
 impl Gossip {
-    fn check(&self) -> Result<(), OperatorError> {
+    fn check(&self) -> Result<(), OperatorSettingsError> {
         check_range("gossip.every_ms", self.interval_ms as f64, 10.0..=1000.0, "from 10 to 1000")?;
         check_range("gossip.fanout", self.fanout as f64, 1.0..=32.0, "from 1 to 32")
     }
 }
 
 impl Snapshot {
-    fn check(&self) -> Result<(), OperatorError> {
+    fn check(&self) -> Result<(), OperatorSettingsError> {
         check_range("snapshot.every_s", self.interval_s, 0.1..=3600.0, "from 0.1 to 3600")?;
         check_range("snapshot.keep", self.generations as f64, 1.0..=1000.0, "from 1 to 1000")?;
         check_range("snapshot.oldest_s", self.max_age_s, 0.0..=1e7, "from 0 to 1e7")
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use shorewharf_decisions::interface::{DeduplicationScope, Idempotency, RequestClass, Settings, WeightKind};
-use shorewharf_settings::operator::{Budgets, Gossip, Operator, Recovery, Snapshot, Tenancy};
+use shorewharf_settings::operator::{Budgets, Gossip, OperatorSettings, Recovery, Snapshot, Tenancy};
 use shorewharf_settings::{ParsedSettings, parse};
 
 const OPERATOR: &str = include_str!("fixtures/operator.toml");
@@ -15,8 +15,8 @@
 
 #[test]
 fn every_key_of_the_operators_file_is_read() {
-    let Operator { workers, tenancy, recovery, snapshot, gossip, budgets } =
-        Operator::parse(OPERATOR).expect("a good file");
+    let OperatorSettings { workers, tenancy, recovery, snapshot, gossip, budgets } =
+        OperatorSettings::parse(OPERATOR).expect("a good file");
     assert_eq!(workers, 1);
     assert_eq!(
         tenancy,
@@ -52,14 +52,15 @@
 /// Gossip and budgets need one worker, so a file with several has neither.
 #[test]
 fn the_number_of_workers_is_read() {
-    assert_eq!(Operator::parse("workers = 4").expect("a good file").workers, 4);
+    assert_eq!(OperatorSettings::parse("workers = 4").expect("a good file").workers, 4);
 }
 
 /// A fixture of which one value were the default would not show that its key is read.
 #[test]
 fn every_value_of_the_operators_file_differs_from_its_default() {
-    let (read, default) = (Operator::parse(OPERATOR).expect("a good file"), Operator::default());
-    let leaves = |operator: &Operator| -> Vec<String> {
+    let (read, default) =
+        (OperatorSettings::parse(OPERATOR).expect("a good file"), OperatorSettings::default());
+    let leaves = |operator: &OperatorSettings| -> Vec<String> {
         format!("{operator:#?}").lines().map(str::to_owned).filter(|line| line.ends_with(',')).collect()
     };
     let same: Vec<String> =
--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -10,7 +10,7 @@
 use shorewharf_decisions::{Action, Event};
 use shorewharf_driver::AdmissionGate;
 use shorewharf_logging::LogArgs;
-use shorewharf_settings::operator::{Operator, OperatorError};
+use shorewharf_settings::operator::{OperatorSettings, OperatorSettingsError};
 use shorewharf_settings::{ParsedSettings, SettingsError};
 use shorewharf_units::micros_from_seconds;
 use shorewharf_wire::{Batch, Decoder, Encoder, InstanceRecord, MAX_FRAME_BYTES, Record, WireError};
@@ -39,7 +39,7 @@
     ReadOperatorFile { path: PathBuf, source: io::Error },
     /// The operator's file can't be used.
     #[error("{}: {source}", path.display())]
-    InvalidOperatorFile { path: PathBuf, source: Box<OperatorError> },
+    InvalidOperatorFile { path: PathBuf, source: Box<OperatorSettingsError> },
     /// The input ends in the middle of a frame.
     #[error("offset {offset}: input ends inside a frame, {missing} more bytes wanted")]
     InputEnded { offset: usize, missing: usize },
@@ -64,7 +64,7 @@
 
 #[derive(Default)]
 struct Host {
-    operator: Operator,
+    operator: OperatorSettings,
     decoder: Decoder,
     instances: BTreeMap<u16, AdmissionGate>,
     /// By instance, which value of a load report is the load over capacity.
@@ -159,11 +159,11 @@
     Ok(body)
 }
 
-fn read_operator_file(path: Option<&Path>) -> Result<Operator, AdapterError> {
-    let Some(path) = path else { return Ok(Operator::default()) };
+fn read_operator_file(path: Option<&Path>) -> Result<OperatorSettings, AdapterError> {
+    let Some(path) = path else { return Ok(OperatorSettings::default()) };
     let text = std::fs::read_to_string(path)
         .map_err(|source| AdapterError::ReadOperatorFile { path: path.to_owned(), source })?;
-    Operator::parse(&text)
+    OperatorSettings::parse(&text)
         .map_err(Box::new)
         .map_err(|source| AdapterError::InvalidOperatorFile { path: path.to_owned(), source })
 }
