--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -1,62 +1,65 @@
-//! Commands of operators and their replies. A connection has one command, a line that ends with LF or CRLF. Replies begin with
-//! `YES` or `NO`; metrics end with `END`.
+//! Operators' commands and the replies to them.
+//!
+//! A connection carries one command, a line that ends with LF or CRLF. A reply is a line that begins with
+//! `YES` or `NO`, or the metrics followed by a line with `END`.
 
 use std::fmt::Write;
 
 use thiserror::Error;
 
-/// The longest command in bytes, without the end of its line.
+/// Maximum length of a command in bytes, without its line ending.
 pub const MAX_COMMAND_BYTES: usize = 4096;
 
-/// A command.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `readyz`: whether this process accepts clients.
+    /// `readyz`: asks whether this process accepts clients.
     Readiness,
-    /// `telemetry`: the metrics.
+    /// `telemetry`: asks for the metrics.
     Metrics,
-    /// `exclude ID`: disables a server.
+    /// `exclude ID`: disables the server with this id.
     Disable(String),
-    /// `include ID`: enables a server again.
+    /// `include ID`: enables a disabled server again.
     Enable(String),
 }
 
-/// A command that is rejected.
+/// The reason why a command is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
     /// The line is empty.
     #[error("no call: readyz, telemetry, exclude ID and include ID are known")]
     Empty,
-    /// There is no such command.
+    /// The first word of the line is not a command; it is quoted, up to a maximum length.
     #[error("'{0}' is no call: readyz, telemetry, exclude ID and include ID are known")]
     UnknownCommand(String),
-    /// The command lacks the id of a server.
+    /// The command needs the id of a server, and the line has none.
     #[error("{0} needs the id of a server behind it")]
     MissingServer(&'static str),
-    /// The command has more arguments than it takes.
+    /// The line has more arguments than the command takes. The fields are the command and what it takes.
     #[error("{0} takes {1}")]
     UnexpectedArgument(&'static str, &'static str),
-    /// The line is not UTF-8, or has control characters.
+    /// The line is not UTF-8, or contains control characters.
     #[error("the call is no text")]
     NotText,
-    /// The line is longer than any command.
+    /// The line is longer than [`MAX_COMMAND_BYTES`].
     #[error("the call is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
-    /// The server is neither listed nor disabled.
+    /// No server with this id is in the endpoint list or disabled.
     #[error("no server '{0}' is listed or taken out")]
     UnknownServer(String),
-    /// This process accepts no clients.
+    /// This process accepts no clients, for the reason given.
     #[error("{0}")]
     NotReady(&'static str),
 }
 
-/// Characters of an unknown command that an error quotes.
+/// Maximum number of characters of an unknown command that an error message quotes.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// Parses the line of a command, without its end.
+/// Parses a command from a line without its line ending.
 ///
 /// # Errors
-/// The line is not a command.
+///
+/// Fails if the line is not a valid command.
 pub fn parse_command(line: &[u8]) -> Result<Command, CommandError> {
     if line.len() > MAX_COMMAND_BYTES {
         return Err(CommandError::TooLong);
@@ -89,16 +92,17 @@
 /// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandReply {
-    /// It is so, or the command is executed.
+    /// `YES`: the command was executed, or the process accepts clients.
     Done,
-    /// It is not so, or the command is rejected.
+    /// `NO` and the reason: the command was rejected, or the process accepts no clients.
     Rejected(CommandError),
-    /// The lines of the metrics.
+    /// The lines of the metrics, to which a line with `END` is added.
     Metrics(String),
 }
 
 impl CommandReply {
-    /// The reply's text, with this end of each line: the one that the command had.
+    /// Returns the text of the reply. All lines end with `line_end`, which should be the line ending of the
+    /// command.
     pub fn text(&self, line_end: &str) -> String {
         let text = match self {
             CommandReply::Done => "YES\n".to_owned(),
@@ -109,33 +113,34 @@
     }
 }
 
-/// Replies to the clients of one class.
+/// Numbers of replies to the clients of one request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplyCounts {
-    /// Connections that a server has accepted.
+    /// Number of connections that a server has accepted.
     pub success: u64,
-    /// Rejected connections.
+    /// Number of rejected connections.
     pub overload: u64,
-    /// Failed connections.
+    /// Number of failed connections.
     pub error: u64,
 }
 
 /// The metrics of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// Replies by class, with the name of each.
+    /// For each request class, its name and the numbers of replies.
     pub replies: Vec<(String, ReplyCounts)>,
-    /// Attempts whose first line has been written to a server.
+    /// Number of attempts whose first line has been written to a server.
     pub dispatches: u64,
-    /// Client connections that have not ended.
+    /// Number of client connections that have not ended.
     pub concurrent: usize,
-    /// Servers in the endpoint list.
+    /// Number of servers in the endpoint list.
     pub targets: usize,
-    /// Of these, those that get no requests now.
+    /// Number of listed servers that currently get no requests.
     pub targets_disabled: usize,
 }
 
-/// A name as part of a metric's name: characters with a meaning in these lines are replaced.
+/// Makes a name usable as a part of a metric's name: replaces the characters that have a meaning in metric
+/// lines.
 fn metric_name_part(name: &str) -> String {
     name.chars()
         .map(|c| if c.is_control() || c.is_whitespace() || ":|@#.".contains(c) { '_' } else { c })
@@ -143,7 +148,7 @@
 }
 
 impl Metrics {
-    /// The lines of the metrics: counters since the start (`c`), and gauges (`g`).
+    /// Formats the metrics, one per line: counters since the start of the process (`c`), and gauges (`g`).
     pub fn lines(&self) -> String {
         let mut lines = String::new();
         let mut line = |name: &str, value: &dyn std::fmt::Display, kind: &str| {
--- a/crates/protocol/src/admin/tests.rs
+++ b/crates/protocol/src/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Commands and replies, byte for byte.
+//! Tests of commands and replies, also byte for byte.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     assert_eq!(parse_command(b"exclude s-5be2a07c"), Ok(Command::Disable("s-5be2a07c".into())));
     assert_eq!(parse_command(b"include s-1"), Ok(Command::Enable("s-1".into())));
     let longest = [b"exclude ".as_slice(), &[b'x'; MAX_COMMAND_BYTES]].concat();
-    for (line, why) in [
+    for (line, reason) in [
         (&b""[..], "no call"),
         (b"READYZ", "'READYZ' is no call"),
         (b"readyz now", "readyz takes nothing behind it"),
@@ -20,18 +20,18 @@
         (b"exclude s\x001", "the call is no text"),
         (&longest, "the call is longer than 4096 bytes"),
     ] {
-        let said = CommandReply::Rejected(parse_command(line).expect_err("refused")).text("\r\n");
-        assert!(said.starts_with(&format!("NO {why}")) && said.ends_with("\r\n"), "{said}");
+        let reply = CommandReply::Rejected(parse_command(line).expect_err("an invalid command")).text("\r\n");
+        assert!(reply.starts_with(&format!("NO {reason}")) && reply.ends_with("\r\n"), "{reply}");
     }
 }
 
 #[test]
-fn metrics_have_a_line_each_and_an_end() {
+fn each_metric_has_a_line_and_the_last_line_is_end() {
     let replies = vec![("chat".to_owned(), ReplyCounts { success: 812, overload: 3, error: 1 })];
-    let figures = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
-    let text = CommandReply::Metrics(figures.lines()).text("\n");
+    let metrics = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
+    let text = CommandReply::Metrics(metrics.lines()).text("\n");
     let lines: Vec<&str> = text.lines().collect();
-    let wanted = [
+    let expected = [
         "svc.replies.chat.success:812|c",
         "svc.replies.chat.overload:3|c",
         "svc.replies.chat.error:1|c",
@@ -41,22 +41,22 @@
         "svc.targets_disabled:1|g",
         "END",
     ];
-    assert_eq!(lines, wanted);
+    assert_eq!(lines, expected);
     assert_eq!(metric_name_part("a b:c|d.e"), "a_b_c_d_e");
 }
 
-/// Calls as operators make them, a line each.
-const CALLS: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/calls.txt"));
-/// Every answer, in the order below.
-const ANSWERS: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/answers.txt"));
+/// Every command as operators send it, one per line.
+const COMMANDS: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/calls.txt"));
+/// Every reply, in the order of `replies_are_written_byte_for_byte`.
+const REPLIES: &str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/answers.txt"));
 
 #[test]
 fn commands_are_parsed_from_exact_bytes() {
-    let read: Vec<Command> =
-        CALLS.lines().map(|line| parse_command(line.as_bytes()).expect("a call")).collect();
+    let parsed: Vec<Command> =
+        COMMANDS.lines().map(|line| parse_command(line.as_bytes()).expect("a valid command")).collect();
     let server = "s-5be2a07c".to_owned();
     assert_eq!(
-        read,
+        parsed,
         [Command::Readiness, Command::Metrics, Command::Disable(server.clone()), Command::Enable(server)]
     );
 }
@@ -67,8 +67,8 @@
         ("chat".to_owned(), ReplyCounts { success: 812, overload: 3, error: 1 }),
         ("bulk.eu 1".to_owned(), ReplyCounts { success: 4, overload: 5, error: 6 }),
     ];
-    let figures = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
-    let refusals = [
+    let metrics = Metrics { replies, dispatches: 900, concurrent: 14, targets: 12, targets_disabled: 1 };
+    let errors = [
         CommandError::Empty,
         CommandError::UnknownCommand("stats".into()),
         CommandError::MissingServer("exclude"),
@@ -78,10 +78,10 @@
         CommandError::UnknownServer("s-1".into()),
         CommandError::NotReady("this process is about to end and takes no clients"),
     ];
-    let mut answers = vec![CommandReply::Done, CommandReply::Metrics(figures.lines())];
-    answers.extend(refusals.map(CommandReply::Rejected));
-    let text: String = answers.iter().map(|answer| answer.text("\n")).collect();
-    assert_eq!(text, ANSWERS);
-    let text: String = answers.iter().map(|answer| answer.text("\r\n")).collect();
-    assert_eq!(text, ANSWERS.replace('\n', "\r\n"));
+    let mut command_replies = vec![CommandReply::Done, CommandReply::Metrics(metrics.lines())];
+    command_replies.extend(errors.map(CommandReply::Rejected));
+    let text: String = command_replies.iter().map(|reply| reply.text("\n")).collect();
+    assert_eq!(text, REPLIES);
+    let text: String = command_replies.iter().map(|reply| reply.text("\r\n")).collect();
+    assert_eq!(text, REPLIES.replace('\n', "\r\n"));
 }
--- a/crates/protocol/src/endpoint_list.rs
+++ b/crates/protocol/src/endpoint_list.rs
@@ -1,29 +1,29 @@
-//! The endpoint list of the discovery service, as JSON.
+//! The JSON format of the discovery service's endpoint list.
 
 use serde::{Deserialize, Serialize};
 
-/// A server of the list.
+/// A server in the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// Its name, the same at every balancer.
+    /// Name of the server, which is the same at all balancers.
     pub name: String,
-    /// The address at which this balancer reaches it.
+    /// Address at which this balancer reaches the server.
     pub address: String,
-    /// Name of its zone.
+    /// Name of the zone; empty if the list does not give one.
     #[serde(default)]
     pub zone: String,
-    /// Kind of its machine.
+    /// Type of the machine; empty if the list does not give one.
     #[serde(default, rename = "type", skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// Its cell.
+    /// The cell to which the server belongs.
     #[serde(default)]
     pub group: u32,
-    /// `Ready`, `Terminating` or `Gone`.
+    /// State of the server: `Ready`, `Terminating` or `Gone`.
     pub status: String,
-    /// Its registered capacity.
+    /// Registered capacity; 1 if the list does not give one.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When its process was started, in milliseconds of Unix time; 0 for long ago.
+    /// Time when the server's process started, in milliseconds of Unix time; 0 if it was long ago.
     #[serde(default)]
     pub since_ms: f64,
 }
@@ -32,16 +32,16 @@
     1.0
 }
 
-/// The list, or a set of changes to it: one JSON object.
+/// The endpoint list, or a set of changes to it, as one JSON object.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointList {
     /// Version of the list.
     #[serde(default)]
     pub index: u64,
-    /// The list is complete rather than a set of changes.
+    /// Whether the list is complete; otherwise it is a set of changes.
     #[serde(default)]
     pub snapshot: bool,
-    /// The servers.
+    /// The servers, or those that have changed.
     #[serde(default)]
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! The wire format of the platform: lines of text between clients, balancers and servers, the endpoint list of the discovery
-//! service, and the commands of operators. Parsing is strict; each format is written in one place. No I/O, no decisions.
+//! The wire format of the platform: the lines of text between clients, balancers and servers, the endpoint
+//! list of the discovery service, and operators' commands. The package does no I/O and makes no decisions.
 //!
-//! The words of the platform appear here only. The rest of the program uses the typed values.
+//! Parsing is strict, and each format is written in one place only. The protocol's keywords appear only here;
+//! the rest of the program uses typed values.
 
 pub mod admin;
 pub mod endpoint_list;
--- a/crates/protocol/src/line.rs
+++ b/crates/protocol/src/line.rs
@@ -1,20 +1,20 @@
-//! Lines of the protocol: at most 4 KiB, ended by CRLF.
+//! Finds lines of the protocol in received bytes. A line has at most 4 KiB and ends with CRLF.
 
-/// The longest line in bytes, without its end.
+/// Maximum length of a line in bytes, without the CRLF.
 pub const MAX_LINE_BYTES: usize = 4096;
 
-/// The result of looking for a line at the front of some bytes.
+/// The result of a search for a line at the start of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LineScan {
-    /// A complete line of so many bytes, including its end.
+    /// The buffer starts with a complete line of this many bytes, including the CRLF.
     Complete(usize),
-    /// The beginning of a line, which may be empty.
+    /// The buffer contains only the beginning of a line, or nothing.
     Incomplete,
-    /// More bytes than a line may have, without an end.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
 }
 
-/// Looks for a line at the front of `bytes`.
+/// Looks for a line at the start of `bytes`.
 pub fn scan_line(bytes: &[u8]) -> LineScan {
     let mut line_feeds = memchr::memchr_iter(b'\n', bytes);
     let line_feed = line_feeds.find(|at| *at > 0 && bytes[at - 1] == b'\r');
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,45 +1,46 @@
-//! Messages: all lines but the first line of a connection. Replies to clients, reports of servers, and probes.
+//! Messages: all lines of a connection except the first. They are replies to clients, load reports, probes,
+//! and the data that clients and servers exchange.
 
 use std::fmt;
 
 use shorewharf_units::{MICROS_PER_MILLISECOND, Micros};
 
-/// A message, by the field's terms; the wire's word stands beside each.
+/// A message. The documentation of each variant gives its form on the wire.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Message<'a> {
-    /// `UP RECEIPT`: the server has accepted the connection. The receipt may be empty.
+    /// `UP` or `UP RECEIPT`: the server has accepted the connection. The receipt may be empty.
     Accepted(&'a [u8]),
-    /// `BUSY` or `BUSY MS`: rejected, to be retried after so many milliseconds if they are given.
+    /// `BUSY` or `BUSY MS`: the request is rejected. The number, if any, is the retry-after in milliseconds.
     Rejected(Option<u64>),
     /// `ERR`: the request has failed.
     Failed,
-    /// `MOVE`: the client is to reconnect; the connection is closed.
+    /// `MOVE`: the client must reconnect; this connection is closed.
     Migrate,
     /// `BYE`: the connection has been served completely.
     Completed,
-    /// `LOAD X`: the load of an established connection; `None` if X is not a number above 0.
+    /// `LOAD X`: the load of an established connection; `None` if X is not a finite number greater than 0.
     LoadReport(Option<f64>),
-    /// `PING`: a probe that wants a reply only.
+    /// `PING`: a probe to which the server only has to reply.
     Ping,
     /// `PONG`: the reply to `PING`.
     Pong,
-    /// `STATS`: a probe that wants a load report.
+    /// `STATS`: a probe that requests a load report.
     Stats,
     /// `NO`: this server does not answer probes.
     ProbesUnsupported,
-    /// `SYNTAX`: the server could not parse the first line.
+    /// `SYNTAX`: the server could not parse the first line of the connection.
     Malformed,
-    /// Any other line, which is passed on.
+    /// Any other line, which is passed on unchanged.
     Payload(&'a [u8]),
 }
 
-/// The number of a `LOAD` line; `None` if it is not above 0.
+/// Parses the number of a `LOAD` line; `None` if it is not a finite number greater than 0.
 fn parse_load(text: &[u8]) -> Option<f64> {
     let load = std::str::from_utf8(text).ok()?.trim().parse::<f64>().ok()?;
     (load.is_finite() && load > 0.0).then_some(load)
 }
 
-/// Parses a line, without its end.
+/// Parses a line, without its CRLF.
 pub fn parse_message(line: &[u8]) -> Message<'_> {
     match line {
         b"UP" => Message::Accepted(b""),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Writes the line with its end.
+/// Formats the message as a line, including the CRLF.
 impl fmt::Display for Message<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -86,7 +87,7 @@
     }
 }
 
-/// A rejection to be retried after `retry_after`, rounded up to whole milliseconds; without a time if that is 0.
+/// Creates a rejection with this retry-after, rounded up to whole milliseconds, or without one if it is 0.
 pub fn rejected(retry_after: Micros) -> Message<'static> {
     Message::Rejected(Some(retry_after.div_ceil(MICROS_PER_MILLISECOND)).filter(|ms| *ms > 0))
 }
--- a/crates/protocol/src/name_index.rs
+++ b/crates/protocol/src/name_index.rs
@@ -1,14 +1,14 @@
-//! The names that first lines and endpoint lists refer to, with their indices in the settings.
+//! Names to which first lines and endpoint lists refer, with their indices in the settings.
 
 use std::collections::HashMap;
 
-/// Indices by name.
+/// Indices of the configured names.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
-    /// Request classes.
+    /// Indices of the request classes.
     pub classes: HashMap<String, usize>,
-    /// Tenants; empty if none are configured.
+    /// Indices of the tenants; empty if none are configured.
     pub tenants: HashMap<String, usize>,
-    /// Zones.
+    /// Indices of the zones.
     pub zones: HashMap<String, u32>,
 }
--- a/crates/protocol/src/open_request.rs
+++ b/crates/protocol/src/open_request.rs
@@ -1,5 +1,7 @@
-//! The first line of a connection, `OPEN`. Parsing is strict: servers reject what they can't use, and a reply from a balancer
-//! costs them nothing.
+//! The first line of a connection, `OPEN ID KEY LIST`.
+//!
+//! Parsing is strict: a server would reject a malformed line anyway, and if the balancer rejects it, the server
+//! has no work with it.
 
 use std::fmt;
 
@@ -8,104 +10,105 @@
 
 use crate::name_index::NameIndex;
 
-/// The longest timeout that a line may name, in milliseconds. Connections from before the start name the greatest time that
-/// fits 32 bits of microseconds.
+/// Maximum timeout in a first line, in milliseconds. Clients that restore a connection from before the start
+/// of the balancer send 4294967 ms, the longest timeout that fits in 32 bits of microseconds.
 const MAX_TIMEOUT_MS: f64 = u32::MAX as f64;
-/// Timeouts are cut to this many milliseconds, an hour, so that sums of times stay far from the end of the clock.
-const USED_TIMEOUT_MS: f64 = 3.6e6;
-/// The greatest load that a line may estimate.
+/// Longer timeouts are reduced to one hour, in milliseconds, so that a timeout added to a clock value can't
+/// overflow.
+const TIMEOUT_CAP_MS: f64 = 3.6e6;
+/// Maximum estimated load in a first line.
 const MAX_LOAD: f64 = 1e12;
-/// Digits that a number may have.
+/// Maximum length of a decimal number, in characters.
 const MAX_NUMBER_LENGTH: usize = 24;
-/// Hexadecimal digits of 64 bits.
+/// Maximum number of hexadecimal digits, which is that of a 64-bit number.
 const MAX_HEX_LENGTH: usize = 16;
 
-/// A first line that can't be used.
+/// The reason why a first line is malformed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OpenError {
-    /// The line is not UTF-8, or has control characters.
-    #[error("no text")]
+    /// The line is not UTF-8, or contains control characters.
+    #[error("the line is not UTF-8 or contains control characters")]
     NotText,
     /// The line does not have four words, or does not begin with `OPEN`.
-    #[error("not OPEN ID KEY LIST")]
+    #[error("the line does not have the form OPEN ID KEY LIST")]
     NotOpen,
     /// The id is not a hexadecimal number.
-    #[error("bad id")]
+    #[error("ID is not a hexadecimal number of 1 to {MAX_HEX_LENGTH} digits")]
     InvalidId,
     /// The key is not a hexadecimal number.
-    #[error("bad key")]
+    #[error("KEY is not a hexadecimal number of 1 to {MAX_HEX_LENGTH} digits")]
     InvalidKey,
     /// An item of the list has no `=`.
-    #[error("an item without a value")]
+    #[error("an item of LIST has no value")]
     MissingValue,
-    /// An item stands in the list twice.
-    #[error("an item twice")]
+    /// The list has an item twice.
+    #[error("LIST has an item twice")]
     DuplicateItem,
     /// The list has no class.
-    #[error("no class")]
+    #[error("LIST has no class (c)")]
     MissingClass,
     /// The class is not configured.
-    #[error("unknown class")]
+    #[error("the class (c) is not configured")]
     UnknownClass,
     /// The tenant is not configured.
-    #[error("unknown tenant")]
+    #[error("the tenant (t) is not configured")]
     UnknownTenant,
     /// `d` is not a timeout in milliseconds.
-    #[error("bad d")]
+    #[error("the timeout (d) is not a number of milliseconds from 0 to {MAX_TIMEOUT_MS}")]
     InvalidTimeout,
     /// `g` is not a hexadecimal number.
-    #[error("bad g")]
+    #[error("the group (g) is not a hexadecimal number of 1 to {MAX_HEX_LENGTH} digits")]
     InvalidGroup,
     /// `h` is not a load.
-    #[error("bad h")]
+    #[error("the load (h) is not a number from 0 to {MAX_LOAD}")]
     InvalidLoad,
 }
 
 /// A parsed first line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenRequest {
-    /// The id that the client has given the connection.
+    /// Id of the connection, chosen by the client.
     pub id: u64,
-    /// Its flow key; 0 for none.
+    /// Flow key; 0 for none.
     pub key: u64,
-    /// Index of its class.
+    /// Index of the request class.
     pub class: usize,
-    /// Index of its tenant; 0 if none is named.
+    /// Index of the tenant; 0 if the line names none.
     pub tenant: usize,
-    /// The client, or the group that it belongs to; 0 for none.
+    /// The group that the connection belongs to, which may consist of one client; 0 for none.
     pub group: u64,
-    /// Estimated load in work per second.
+    /// Estimated load, in work per second, if the line gives one.
     pub load: Option<f64>,
-    /// It is a retry or a reconnect.
+    /// Whether the connection is a retry or a reconnect.
     pub is_returning: bool,
-    /// How long the client will wait, if the line says so.
+    /// How long the client waits, if the line gives a timeout. At most one hour.
     pub timeout: Option<Micros>,
-    /// The server that had this connection before the balancer was started.
+    /// Name of the server that held this connection before the balancer started, if the line names one.
     pub previous_server: Option<String>,
 }
 
-/// A first line to be written. Its `Display` includes the end of the line.
+/// A first line to be sent. Its `Display` output includes the CRLF.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OpenRequestLine<'a> {
     /// Id of the connection.
     pub id: u64,
-    /// The flow key.
+    /// Flow key; 0 for none.
     pub key: u64,
-    /// Name of the class.
+    /// Name of the request class.
     pub class: &'a str,
-    /// Name of the tenant; not written if empty.
+    /// Name of the tenant; left out if empty.
     pub tenant: &'a str,
-    /// How long the client will wait, in milliseconds.
+    /// How long the client waits, in milliseconds.
     pub timeout_ms: u64,
-    /// The group; not written if 0.
+    /// The group that the connection belongs to; left out if 0.
     pub group: u64,
-    /// Estimated load.
+    /// Estimated load, in work per second; left out if `None`.
     pub load: Option<f64>,
-    /// `r=1`: a retry.
+    /// Whether the connection is a retry (`r=1`).
     pub is_retry: bool,
-    /// `again=1`: the connection before was migrated or broke.
+    /// Whether an earlier connection of the client was migrated or broke (`again=1`).
     pub is_reconnect: bool,
-    /// `at=`: the server that had this connection before.
+    /// Name of the server that held this connection before (`at=`).
     pub previous_server: Option<&'a str>,
 }
 
@@ -135,11 +138,12 @@
     }
 }
 
-/// Copies a first line with the time that is left to this attempt as its `d`, and adds the end. All else stays as it is.
-pub fn with_timeout(line: &[u8], left: Micros) -> Vec<u8> {
+/// Copies a first line with its timeout `d`, if any, replaced by the time that remains for this attempt, in
+/// whole milliseconds but at least 1, and adds the CRLF. The rest of the line is unchanged.
+pub fn with_timeout(line: &[u8], remaining: Micros) -> Vec<u8> {
     let list_start = line.iter().rposition(|byte| *byte == b' ').map_or(0, |space| space + 1);
     let (head, list) = line.split_at(list_start);
-    let timeout_ms = (left / MICROS_PER_MILLISECOND).max(1).to_string();
+    let timeout_ms = (remaining / MICROS_PER_MILLISECOND).max(1).to_string();
     let mut copy = head.to_vec();
     for (index, item) in list.split(|byte| *byte == b',').enumerate() {
         if index > 0 {
@@ -156,7 +160,7 @@
     copy
 }
 
-/// Parses up to 16 hexadecimal digits. The standard parser also accepts a sign.
+/// Parses 1 to 16 hexadecimal digits. Unlike the standard parser, rejects a sign.
 fn parse_hex(text: &str) -> Option<u64> {
     if text.len() > MAX_HEX_LENGTH || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -164,7 +168,7 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// Parses a plain decimal number of at most `max`: no sign, exponent, infinity or NaN.
+/// Parses a decimal number of at most `max`. Rejects a sign, an exponent, infinity and NaN.
 fn parse_number(text: &str, max: f64) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     if text.len() > MAX_NUMBER_LENGTH || !is_plain {
@@ -173,7 +177,7 @@
     text.parse().ok().filter(|number| *number <= max)
 }
 
-/// The list of a first line, item by item.
+/// The items in the list of a first line.
 #[derive(Default)]
 struct Items {
     class: Option<usize>,
@@ -185,9 +189,9 @@
     is_returning: bool,
 }
 
-/// Sets the value of an item, which may stand in the list once.
-fn set_once<T>(slot: &mut Option<T>, value: T) -> Result<(), OpenError> {
-    match slot.replace(value) {
+/// Sets the value of an item, and fails if it is already set: an item may occur only once.
+fn set_once<T>(item: &mut Option<T>, value: T) -> Result<(), OpenError> {
+    match item.replace(value) {
         Some(_) => Err(OpenError::DuplicateItem),
         None => Ok(()),
     }
@@ -232,10 +236,11 @@
     }
 }
 
-/// Parses a first line, without its end.
+/// Parses a first line, without its CRLF.
 ///
 /// # Errors
-/// The first fault of the line.
+///
+/// Fails if the line is malformed; the error is the first one found.
 pub fn parse_open(line: &[u8], names: &NameIndex) -> Result<OpenRequest, OpenError> {
     let text = std::str::from_utf8(line).map_err(|_| OpenError::NotText)?;
     if text.chars().any(char::is_control) {
@@ -250,7 +255,7 @@
     let id = parse_hex(id).ok_or(OpenError::InvalidId)?;
     let key = parse_hex(key).ok_or(OpenError::InvalidKey)?;
     let items = Items::parse(list, names)?;
-    let used_timeout = |ms: f64| (ms.min(USED_TIMEOUT_MS) * MICROS_PER_MILLISECOND as f64) as Micros;
+    let capped_timeout = |ms: f64| (ms.min(TIMEOUT_CAP_MS) * MICROS_PER_MILLISECOND as f64) as Micros;
     Ok(OpenRequest {
         id,
         key,
@@ -259,12 +264,12 @@
         group: items.group.unwrap_or(0),
         load: items.load,
         is_returning: items.is_returning,
-        timeout: items.timeout_ms.map(used_timeout),
+        timeout: items.timeout_ms.map(capped_timeout),
         previous_server: items.previous_server,
     })
 }
 
-/// The class that a first line names, whatever else is wrong with the line.
+/// Returns the class that a first line names, even if the line is otherwise malformed.
 pub fn class_of(line: &[u8], names: &NameIndex) -> Option<usize> {
     let mut items = line.split(|byte| b" ,".contains(byte));
     let name = items.find_map(|item| item.strip_prefix(b"c="))?;
