--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,8 +1,8 @@
-//! Logging of the programs: `tracing` events written to standard error, one line each, as logfmt or JSON.
+//! Logging of the programs: `tracing` events are written to standard error, one line each, as logfmt or JSON.
 //!
-//! An event has no message. Its first field is `event`, the word that names it, and the others are its keys:
-//! `info!(event = "serving", listen = %address)`. Each line is formatted into a reused buffer and written with a
-//! single call.
+//! An event has no message. Its first field, `event`, holds its name, and the others are its keys:
+//! `info!(event = "serving", listen = %address)`. Each line is formatted into a reused buffer and written
+//! with a single call.
 
 use std::io;
 use std::str::FromStr;
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelFilters(Targets);
 
-/// A list of log levels that can't be parsed.
+/// The error of a list of log levels that has an unknown level.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("'{level}' is none of off, error, warn, info, debug, trace")]
+#[error("'{level}' is not a log level; expected off, error, warn, info, debug or trace")]
 pub struct UnknownLevel {
     level: String,
 }
@@ -40,9 +40,10 @@
 impl FromStr for LevelFilters {
     type Err = UnknownLevel;
 
-    /// Parses `LEVEL`, or a list of `MODULE=LEVEL` with or without a default level.
+    /// Parses `LEVEL`, or a comma-separated list of `MODULE=LEVEL` with or without a default `LEVEL`.
     ///
-    /// `Targets` has a parser of its own, which takes a mistyped level for a module name and so disables all events.
+    /// The parser of `Targets` is not used: it takes a mistyped level for a module name, which disables all
+    /// events.
     fn from_str(text: &str) -> Result<Self, UnknownLevel> {
         let mut targets = Targets::new();
         for item in text.split(',').map(str::trim) {
@@ -66,10 +67,10 @@
 /// Command-line options for logging.
 #[derive(Args, Clone, Debug)]
 pub struct LogArgs {
-    /// How lines of the log are written
+    /// Format of log lines
     #[arg(long, value_enum, default_value_t, global = true, value_name = "FORMAT")]
     pub log_format: Format,
-    /// From which level on: off, error, warn, info, debug or trace; or MODULE=LEVEL,…
+    /// Minimum level of log lines: off, error, warn, info, debug or trace; or MODULE=LEVEL,…
     #[arg(long, env = "SHOREWHARF_LOG", default_value = "info", global = true, value_name = "LEVEL")]
     pub log_level: LevelFilters,
 }
@@ -77,11 +78,11 @@
 impl LogArgs {
     /// Installs the global subscriber, which writes to standard error. Later calls have no effect.
     pub fn start(&self) {
-        // Fails only where a subscriber is installed already.
+        // Fails only if a subscriber is already installed.
         let _ = tracing::subscriber::set_global_default(self.subscriber(io::stderr));
     }
 
-    /// Creates a subscriber that writes to `writer`. Lines that the writer fails to take are lost.
+    /// Creates a subscriber that writes to `writer`. A line that can't be written is lost.
     pub fn subscriber<W>(&self, writer: W) -> Box<dyn Subscriber + Send + Sync>
     where
         W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -1,51 +1,54 @@
-//! Lines and levels of the log.
+//! Tests of the format of log lines and of the filter by level.
 
 use super::*;
 use std::sync::{Arc, Mutex};
 use tracing::{debug, info, warn};
 
-/// What is written of a few events in this format and from this level on.
-fn written(log_format: Format, levels: &str) -> String {
+/// Logs three events, at the levels info, warn and debug, and returns the lines that are written.
+fn logged(log_format: Format, levels: &str) -> String {
     #[derive(Clone, Default)]
-    struct Out(Arc<Mutex<Vec<u8>>>);
-    impl io::Write for Out {
+    struct Output(Arc<Mutex<Vec<u8>>>);
+    impl io::Write for Output {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-            self.0.lock().expect("whole").write(bytes)
+            self.0.lock().expect("a lock that is not poisoned").write(bytes)
         }
         fn flush(&mut self) -> io::Result<()> {
             Ok(())
         }
     }
-    let out = Out::default();
-    let args = LogArgs { log_format, log_level: levels.parse().expect("levels") };
-    let to = out.clone();
-    tracing::subscriber::with_default(args.subscriber(move || to.clone()), || {
+    let output = Output::default();
+    let args = LogArgs { log_format, log_level: levels.parse().expect("valid levels") };
+    let writer = output.clone();
+    tracing::subscriber::with_default(args.subscriber(move || writer.clone()), || {
         info!(event = "serving", name = "n1", servers = 3, "left-out" = Some(2), none = None::<u64>);
         warn!(event = "malformed", why = "a \"=\"\nlevel=error event=forged");
         debug!(event = "answered");
     });
-    let bytes = out.0.lock().expect("whole").clone();
-    String::from_utf8(bytes).expect("text")
+    let bytes = output.0.lock().expect("a lock that is not poisoned").clone();
+    String::from_utf8(bytes).expect("UTF-8 text")
 }
 
 #[test]
-fn a_line_is_an_event_with_its_keys_that_no_value_can_forge() {
-    let text = written(Format::Logfmt, "info");
-    let lines: Vec<_> = text.lines().map(|l| l.split_once(' ').expect("a time first")).collect();
-    assert!(lines.len() == 2 && lines.iter().all(|(ts, _)| ts.starts_with("ts=")), "{text}");
+fn an_event_is_one_line_with_its_keys_and_values_cannot_forge_another() {
+    let text = logged(Format::Logfmt, "info");
+    let lines: Vec<_> =
+        text.lines().map(|line| line.split_once(' ').expect("the line starts with a timestamp")).collect();
+    assert!(lines.len() == 2 && lines.iter().all(|(timestamp, _)| timestamp.starts_with("ts=")), "{text}");
     assert_eq!(lines[0].1, "level=info event=serving name=n1 servers=3 left-out=2");
     assert_eq!(lines[1].1, r#"level=warn event=malformed why="a \"=\"\nlevel=error event=forged""#);
-    let text = written(Format::Json, "info");
-    let lines: Vec<_> = text.lines().map(|l| l.split_once(',').expect("a time first")).collect();
+    let text = logged(Format::Json, "info");
+    let lines: Vec<_> =
+        text.lines().map(|line| line.split_once(',').expect("the line starts with a timestamp")).collect();
     assert_eq!(lines[0].1, r#""level":"INFO","event":"serving","name":"n1","servers":3,"left-out":2}"#);
     assert_eq!(lines.len(), 2, "{text}");
 }
 
 #[test]
 fn levels_are_parsed_strictly_and_filter_events() {
-    assert_eq!(written(Format::Logfmt, "debug").lines().count(), 3);
-    assert_eq!(written(Format::Logfmt, "off, shorewharf_logging=warn").lines().count(), 1);
-    for bad in ["loud", "", "info,", "shorewharf=", "a=b"] {
-        assert!(bad.parse::<LevelFilters>().expect_err(bad).to_string().contains("is none of off"), "{bad}");
+    assert_eq!(logged(Format::Logfmt, "debug").lines().count(), 3);
+    assert_eq!(logged(Format::Logfmt, "off, shorewharf_logging=warn").lines().count(), 1);
+    for levels in ["loud", "", "info,", "shorewharf=", "a=b"] {
+        let error = levels.parse::<LevelFilters>().expect_err(levels).to_string();
+        assert!(error.contains("is not a log level; expected off"), "{levels}: {error}");
     }
 }
