--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Settings: the JSON text that an instance is given at its start, and the operator's own file
-//! ([`operator`]). Both are checked here, and their keys are mapped to the field's terms.
+//! Parses and checks the settings of an instance: the JSON text that it gets when it starts, and the
+//! operator's own file ([`operator`]). The keys of both are mapped to names that the rest of the program
+//! uses.
 
 pub mod operator;
 mod raw;
@@ -9,25 +10,27 @@
 
 use crate::raw::{RawSettings, remove_nulls};
 
-/// Settings that can't be read; the text names the key at fault.
+/// The reason why the JSON text can't be parsed. The message names the invalid key.
 #[derive(Debug, Error)]
 #[error("settings: {0}")]
 pub struct SettingsError(#[from] pub serde_path_to_error::Error<serde_json::Error>);
 
-/// Settings that were read.
+/// The parsed JSON text.
 #[derive(Clone, Debug)]
 pub struct ParsedSettings {
     /// The settings of the decisions.
     pub settings: Settings,
-    /// Which value of a load report is the load over capacity.
+    /// Index of the value in a load report that is the server's load divided by its capacity; `None` if load
+    /// reports have no such value.
     pub load_column: Option<usize>,
 }
 
-/// Parses the settings' JSON text. Keys that are missing or null have defaults; unknown ones are ignored.
+/// Parses the JSON text of the settings. Keys that are missing or null get defaults; unknown keys are
+/// ignored.
 ///
 /// # Errors
 ///
-/// Fails where the text is not JSON or a value has the wrong type.
+/// Fails if the text is not JSON or a value has the wrong type.
 pub fn parse(text: &[u8]) -> Result<ParsedSettings, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let mut value: serde_json::Value = serde_path_to_error::deserialize(&mut json)?;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,5 +1,6 @@
-//! The operator's own file: what the platform's configuration does not cover. Every key has a default; a key
-//! that is unknown or out of its range is rejected by name.
+//! The operator's own file (TOML), with settings that the platform's configuration does not contain. Every
+//! key has a default. If a key is unknown or its value is out of range, the file is rejected with an error
+//! that names the key.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -7,10 +8,10 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// More workers than cores don't help: each has a server table of its own.
+/// Maximum number of workers. More workers than cores don't help, as each has a server table of its own.
 const MAX_WORKERS: f64 = 64.0;
 
-/// Why an operator's file can't be used; the text names the key at fault.
+/// The reason why an operator's file can't be used. The message names the invalid key.
 #[derive(Debug, Error)]
 pub enum OperatorSettingsError {
     /// A key is unknown, or its value has the wrong type.
@@ -19,76 +20,76 @@
     /// The file is not TOML.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
-    /// A value is out of its range.
-    #[error("{key}: {value} is not {allowed}")]
+    /// A value is out of range.
+    #[error("{key}: {value} is out of range; expected {expected}")]
     Range {
         /// The key.
         key: &'static str,
         /// Its value.
         value: f64,
-        /// What is allowed.
-        allowed: &'static str,
+        /// The values that are valid.
+        expected: &'static str,
     },
 }
 
-/// The whole file.
+/// The settings in the operator's file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Event loops, each on a thread and with an instance of the decisions of its own.
+    /// Number of event loops, each with its own thread and its own instance of the decisions.
     pub workers: usize,
-    /// Tenants' quotas.
+    /// Enforcement of tenants' quotas.
     pub tenancy: Tenancy,
-    /// Overload and recovery.
+    /// Measures against overload and for recovery.
     pub recovery: Recovery,
-    /// State that is kept over restarts.
+    /// Snapshots of the state, from which a restarted process is restored.
     pub snapshot: Snapshot,
-    /// Reports between balancers.
+    /// Gossip between balancers.
     pub gossip: Gossip,
     /// Budgets of the whole fleet.
     pub budgets: Budgets,
 }
 
-/// Budgets of the whole fleet, divided among its balancers through a store.
+/// Budgets of the whole fleet, which are divided among its balancers through a store.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Budgets {
-    /// Members of the store, as `http://HOST:PORT`; without one there are no budgets.
+    /// Endpoints of the store, as `http://HOST:PORT`. If there are none, there are no budgets.
     #[serde(rename = "store")]
     pub store_endpoints: Vec<String>,
     /// Prefix of all keys in the store.
     #[serde(rename = "prefix")]
     pub key_prefix: String,
-    /// The file that names all balancers that there may be, one a line.
+    /// Path of the file that names all balancers that the fleet may have, one per line.
     #[serde(rename = "members")]
     pub members_file: Option<PathBuf>,
-    /// Set-ups a second of the whole fleet.
+    /// Budget of set-ups per second for the whole fleet; `None` for no such budget.
     #[serde(rename = "set_ups")]
     pub setups_per_second: Option<f64>,
-    /// Whether tenants' connection quotas hold for the whole fleet.
+    /// Whether each tenant's connection quota is a budget of the whole fleet.
     #[serde(rename = "tenants")]
     pub has_tenant_budgets: bool,
-    /// An allocation is in force for this long without a word from the store, in seconds.
+    /// How long an allocation remains valid without contact with the store, in seconds.
     pub lease_s: f64,
-    /// Clocks may drift apart by this much in a lease, in seconds.
+    /// Maximum drift between the clocks of two balancers during a lease, in seconds.
     #[serde(rename = "margin_s")]
     pub clock_margin_s: f64,
-    /// The store is polled this often, in seconds.
+    /// Interval at which the store is polled, in seconds.
     #[serde(rename = "look_s")]
     pub poll_interval_s: f64,
-    /// Connections beyond an allocation that has ended are migrated within this time, in seconds.
+    /// Time within which the connections beyond an allocation migrate after it has ended, in seconds.
     #[serde(rename = "linger_s")]
     pub drain_time_s: f64,
-    /// Share of each budget that is kept back for balancers without a word from the store.
+    /// Fraction of each budget that is kept back for balancers without contact with the store.
     #[serde(rename = "reserve")]
     pub reserve_ratio: f64,
-    /// Share of the rest that is divided evenly, whatever the demand.
+    /// Fraction of the rest that is divided evenly among the balancers, whatever their demand.
     #[serde(rename = "floor")]
     pub floor_ratio: f64,
 }
 
 impl Default for Budgets {
-    /// The allocations of a balancer that was killed go to the others within four seconds.
+    /// With these defaults, the allocations of a killed balancer go to the others within four seconds.
     fn default() -> Self {
         Budgets {
             store_endpoints: Vec::new(),
@@ -106,20 +107,20 @@
     }
 }
 
-/// Reports between balancers of what they hold.
+/// Gossip between balancers about the connections that each of them holds.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Gossip {
-    /// The file that names all balancers of the fleet; without one nothing is reported.
+    /// Path of the file that names all balancers of the fleet. If `None`, there is no gossip.
     #[serde(rename = "peers")]
     pub peers_file: Option<PathBuf>,
-    /// The file with the key that they share.
+    /// Path of the file with the key that all balancers of the fleet share.
     #[serde(rename = "key")]
     pub key_file: Option<PathBuf>,
-    /// Time between two reports, in milliseconds.
+    /// Interval between two announcements, in milliseconds.
     #[serde(rename = "every_ms")]
     pub interval_ms: u64,
-    /// Balancers that each report goes to.
+    /// Number of balancers to which each announcement is sent.
     pub fanout: usize,
 }
 
@@ -129,72 +130,73 @@
     }
 }
 
-/// State that is kept over restarts.
+/// Snapshots of the state, from which a restarted process is restored.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Snapshot {
-    /// Where snapshots are kept; without one there are none.
+    /// Directory of the snapshots. If `None`, none are written or restored.
     #[serde(rename = "folder")]
     pub directory: Option<PathBuf>,
-    /// Time between two snapshots, in seconds.
+    /// Interval between two snapshots, in seconds.
     #[serde(rename = "every_s")]
     pub interval_s: f64,
-    /// Snapshots that are kept.
+    /// Number of snapshots that are kept.
     #[serde(rename = "keep")]
     pub generations: usize,
-    /// Older snapshots are not restored, in seconds.
+    /// Maximum age of a snapshot that is restored, in seconds.
     #[serde(rename = "oldest_s")]
     pub max_age_s: f64,
 }
 
 impl Default for Snapshot {
-    /// Servers warm up, and groups decay, within minutes.
+    /// The maximum age is ten minutes, because servers warm up, and groups decay, within minutes.
     fn default() -> Self {
         Snapshot { directory: None, interval_s: 2.0, generations: 3, max_age_s: 600.0 }
     }
 }
 
-/// What is done under overload and when much of the fleet fails.
+/// Measures that are taken under overload and when a large part of the fleet fails.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Recovery {
-    /// Whether levels of reduced service take effect; they are reported in any case.
+    /// Whether the levels of service take effect. They are reported in any case.
     pub levels: bool,
-    /// Whether retries need a budget.
+    /// Whether retries are limited by a retry budget.
     #[serde(rename = "repeats")]
     pub retry_budget: bool,
-    /// Whether established connections are migrated towards balance.
+    /// Whether established connections migrate to balance the load.
     pub rebalance: bool,
 }
 
 impl Recovery {
-    /// Nothing is done; levels are reported.
+    /// No measure is taken. Levels of service are still reported.
     pub const OFF: Recovery = Recovery { levels: false, retry_budget: false, rebalance: false };
-    /// Everything is done.
+    /// All measures are taken.
     pub const ALL: Recovery = Recovery { levels: true, retry_budget: true, rebalance: true };
 }
 
 impl Default for Recovery {
-    /// Without rebalancing, which brings nothing where connections last for seconds.
+    /// All measures except rebalancing, which does not help if connections last only seconds.
     fn default() -> Self {
         Recovery { rebalance: false, ..Recovery::ALL }
     }
 }
 
-/// How tenants' quotas are enforced.
+/// Enforcement of tenants' quotas.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenancy {
-    /// Whether the quotas of the settings are enforced at all.
+    /// Whether the quotas in the settings are enforced.
     #[serde(rename = "on")]
     pub is_enabled: bool,
-    /// Nothing is lent beyond this share of all quotas together.
+    /// Fraction of the sum of all quotas beyond which nothing is lent.
     #[serde(rename = "lend")]
     pub lending_ratio: f64,
-    /// Whether tenants within their quotas are ranked too when capacity is short.
+    /// Whether a shortage of capacity also affects tenants within their quotas, of which those with the
+    /// highest utilization are rejected first.
     #[serde(rename = "ration")]
     pub rations_within_quota: bool,
-    /// Connections of removed tenants that are migrated a second.
+    /// Number of connections of removed tenants that migrate per second.
     #[serde(rename = "moves_per_s")]
     pub migrations_per_second: f64,
 }
@@ -227,26 +229,25 @@
     key: &'static str,
     value: f64,
     range: RangeInclusive<f64>,
-    allowed: &'static str,
+    expected: &'static str,
 ) -> Result<(), OperatorSettingsError> {
-    if range.contains(&value) { Ok(()) } else { Err(OperatorSettingsError::Range { key, value, allowed }) }
+    if range.contains(&value) { Ok(()) } else { Err(OperatorSettingsError::Range { key, value, expected }) }
 }
 
 fn check_seconds(key: &'static str, seconds: f64) -> Result<(), OperatorSettingsError> {
-    check_range(key, seconds, 0.001..=3600.0, "from 0.001 to 3600")
+    check_range(key, seconds, 0.001..=3600.0, "a number from 0.001 to 3600")
 }
 
 impl OperatorSettings {
-    /// Reads a file's text.
+    /// Parses the text of an operator's file.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not TOML, a key is unknown, or a value has the wrong type or is out of its
-    /// range.
+    /// Fails if the text is not TOML, a key is unknown, or a value has the wrong type or is out of range.
     pub fn parse(text: &str) -> Result<OperatorSettings, OperatorSettingsError> {
         let operator: OperatorSettings = serde_path_to_error::deserialize(toml::Deserializer::parse(text)?)?;
         operator.check_workers_and_tenancy()?;
-        operator.check_needs_of_single_worker()?;
+        operator.check_single_worker()?;
         operator.budgets.check()?;
         operator.gossip.check()?;
         operator.snapshot.check()?;
@@ -255,18 +256,18 @@
 
     fn check_workers_and_tenancy(&self) -> Result<(), OperatorSettingsError> {
         let Tenancy { lending_ratio, migrations_per_second, .. } = self.tenancy;
-        check_range("workers", self.workers as f64, 1.0..=MAX_WORKERS, "from 1 to 64")?;
-        check_range("tenancy.lend", lending_ratio, 0.05..=1.0, "from 0.05 to 1")?;
-        check_range("tenancy.moves_per_s", migrations_per_second, 0.1..=1e9, "from 0.1 to 1e9")
+        check_range("workers", self.workers as f64, 1.0..=MAX_WORKERS, "a whole number from 1 to 64")?;
+        check_range("tenancy.lend", lending_ratio, 0.05..=1.0, "a number from 0.05 to 1")?;
+        check_range("tenancy.moves_per_s", migrations_per_second, 0.1..=1e9, "a number from 0.1 to 1e9")
     }
 
-    fn check_needs_of_single_worker(&self) -> Result<(), OperatorSettingsError> {
+    fn check_single_worker(&self) -> Result<(), OperatorSettingsError> {
         let workers = self.workers as f64;
         if self.gossip.peers_file.is_some() {
-            check_range("workers", workers, 1.0..=1.0, "1, which [gossip] needs")?;
+            check_range("workers", workers, 1.0..=1.0, "1, because gossip.peers is set")?;
         }
         if !self.budgets.store_endpoints.is_empty() {
-            check_range("workers", workers, 1.0..=1.0, "1, which [budgets] needs")?;
+            check_range("workers", workers, 1.0..=1.0, "1, because budgets.store is set")?;
         }
         Ok(())
     }
@@ -275,7 +276,7 @@
 impl Budgets {
     fn check(&self) -> Result<(), OperatorSettingsError> {
         let setups = self.setups_per_second.unwrap_or(0.0);
-        check_range("budgets.set_ups", setups, 0.0..=1e9, "from 0 to 1e9")?;
+        check_range("budgets.set_ups", setups, 0.0..=1e9, "a number from 0 to 1e9")?;
         check_seconds("budgets.lease_s", self.lease_s)?;
         check_seconds("budgets.margin_s", self.clock_margin_s)?;
         check_seconds("budgets.look_s", self.poll_interval_s)?;
@@ -285,15 +286,20 @@
 
 impl Gossip {
     fn check(&self) -> Result<(), OperatorSettingsError> {
-        check_range("gossip.every_ms", self.interval_ms as f64, 10.0..=1000.0, "from 10 to 1000")?;
-        check_range("gossip.fanout", self.fanout as f64, 1.0..=32.0, "from 1 to 32")
+        check_range(
+            "gossip.every_ms",
+            self.interval_ms as f64,
+            10.0..=1000.0,
+            "a whole number from 10 to 1000",
+        )?;
+        check_range("gossip.fanout", self.fanout as f64, 1.0..=32.0, "a whole number from 1 to 32")
     }
 }
 
 impl Snapshot {
     fn check(&self) -> Result<(), OperatorSettingsError> {
-        check_range("snapshot.every_s", self.interval_s, 0.1..=3600.0, "from 0.1 to 3600")?;
-        check_range("snapshot.keep", self.generations as f64, 1.0..=1000.0, "from 1 to 1000")?;
-        check_range("snapshot.oldest_s", self.max_age_s, 0.0..=1e7, "from 0 to 1e7")
+        check_range("snapshot.every_s", self.interval_s, 0.1..=3600.0, "a number from 0.1 to 3600")?;
+        check_range("snapshot.keep", self.generations as f64, 1.0..=1000.0, "a whole number from 1 to 1000")?;
+        check_range("snapshot.oldest_s", self.max_age_s, 0.0..=1e7, "a number from 0 to 1e7")
     }
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,4 +1,5 @@
-//! The settings' JSON text as it is written: keys and words of the platform, mapped to the decisions' types.
+//! The settings in the form of their JSON text, with the platform's keys and keywords, and their conversion
+//! to the types of the decisions.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -98,7 +99,7 @@
     rate_quota: f64,
 }
 
-/// The whole text. Missing keys have defaults that keep the platform's rules.
+/// The whole JSON text. The defaults of missing keys comply with the platform's rules.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct RawSettings {
@@ -123,7 +124,7 @@
     zones: Vec<Value>,
 }
 
-/// Removes keys whose values are null, which count as missing.
+/// Removes all keys whose values are null, because null means the same as a missing key.
 pub(crate) fn remove_nulls(value: &mut Value) {
     match value {
         Value::Object(members) => {
@@ -149,7 +150,7 @@
 }
 
 impl RawSettings {
-    /// Which value of a load report is the load over capacity.
+    /// Returns the index of the value in a load report that is the load divided by the capacity.
     pub fn load_column(&self) -> Option<usize> {
         self.load_report.columns.iter().position(|column| column == LOAD_RATIO_COLUMN)
     }
--- a/crates/settings/tests/fixtures.rs
+++ b/crates/settings/tests/fixtures.rs
@@ -1,4 +1,5 @@
-//! Files with every key that is read, each with a value of its own: a renamed field must not rename its key.
+//! Tests with files that contain every key, each with a distinct value. They fail if a renamed field changes
+//! the name of its key.
 
 use std::path::PathBuf;
 
@@ -14,9 +15,9 @@
 }
 
 #[test]
-fn every_key_of_the_operators_file_is_read() {
+fn every_key_of_the_operators_file_is_parsed() {
     let OperatorSettings { workers, tenancy, recovery, snapshot, gossip, budgets } =
-        OperatorSettings::parse(OPERATOR).expect("a good file");
+        OperatorSettings::parse(OPERATOR).expect("a valid file");
     assert_eq!(workers, 1);
     assert_eq!(
         tenancy,
@@ -49,38 +50,38 @@
     assert_eq!(budgets, expected);
 }
 
-/// Gossip and budgets need one worker, so a file with several has neither.
+/// Gossip and budgets allow only one worker, so the number is tested with a file that has neither.
 #[test]
-fn the_number_of_workers_is_read() {
-    assert_eq!(OperatorSettings::parse("workers = 4").expect("a good file").workers, 4);
+fn the_number_of_workers_is_parsed() {
+    assert_eq!(OperatorSettings::parse("workers = 4").expect("a valid file").workers, 4);
 }
 
-/// A fixture of which one value were the default would not show that its key is read.
+/// If a value in the fixture were the default, the test above would not show that its key is parsed.
 #[test]
 fn every_value_of_the_operators_file_differs_from_its_default() {
-    let (read, default) =
-        (OperatorSettings::parse(OPERATOR).expect("a good file"), OperatorSettings::default());
-    let leaves = |operator: &OperatorSettings| -> Vec<String> {
+    let (parsed, default) =
+        (OperatorSettings::parse(OPERATOR).expect("a valid file"), OperatorSettings::default());
+    let value_lines = |operator: &OperatorSettings| -> Vec<String> {
         format!("{operator:#?}").lines().map(str::to_owned).filter(|line| line.ends_with(',')).collect()
     };
     let same: Vec<String> =
-        leaves(&read).into_iter().filter(|line| leaves(&default).contains(line)).collect();
+        value_lines(&parsed).into_iter().filter(|line| value_lines(&default).contains(line)).collect();
     let allowed = ["    workers: 1,", "    },", "        ),", "        ],"];
     assert!(same.iter().all(|line| allowed.contains(&line.as_str())), "{same:?}");
 }
 
-fn class(aim: f64, worth: f64, message_aim: f64, semantics: Idempotency) -> RequestClass {
-    RequestClass {
-        latency_objective: aim,
-        priority_weight: worth,
-        idempotency: semantics,
-        message_latency_objective: message_aim,
-    }
+fn class(
+    latency_objective: f64,
+    priority_weight: f64,
+    message_latency_objective: f64,
+    idempotency: Idempotency,
+) -> RequestClass {
+    RequestClass { latency_objective, priority_weight, idempotency, message_latency_objective }
 }
 
 #[test]
-fn every_key_of_the_settings_is_read() {
-    let ParsedSettings { settings: set, load_column: column } = parse(SETTINGS).expect("good settings");
+fn every_key_of_the_settings_is_parsed() {
+    let ParsedSettings { settings, load_column } = parse(SETTINGS).expect("valid settings");
     let expected = Settings {
         instance_index: 3,
         instance_count: 7.0,
@@ -115,16 +116,17 @@
         migration_cost: 0.025,
         tick: 0.004,
     };
-    assert_eq!(format!("{set:#?}"), format!("{expected:#?}"));
-    assert_eq!(column, Some(2));
+    assert_eq!(format!("{settings:#?}"), format!("{expected:#?}"));
+    assert_eq!(load_column, Some(2));
 }
 
 #[test]
-fn every_word_of_the_settings_is_read() {
-    let weights = |text: &str| parse(text.as_bytes()).expect("good settings").settings.weight_kind;
-    assert_eq!(weights(r#"{"weights":"nominal"}"#), WeightKind::Capacity);
-    assert_eq!(weights(r#"{"weights":"rough"}"#), WeightKind::Capacity);
-    assert_eq!(weights(r#"{"weights":"none"}"#), WeightKind::Uniform);
-    let asks = |text: &str| parse(text.as_bytes()).expect("good settings").settings.polls_discovery;
-    assert!(!asks(r#"{"registry_mode":"push"}"#));
+fn every_keyword_of_the_settings_is_parsed() {
+    let weight_kind = |text: &str| parse(text.as_bytes()).expect("valid settings").settings.weight_kind;
+    assert_eq!(weight_kind(r#"{"weights":"nominal"}"#), WeightKind::Capacity);
+    assert_eq!(weight_kind(r#"{"weights":"rough"}"#), WeightKind::Capacity);
+    assert_eq!(weight_kind(r#"{"weights":"none"}"#), WeightKind::Uniform);
+    let polls_discovery =
+        |text: &str| parse(text.as_bytes()).expect("valid settings").settings.polls_discovery;
+    assert!(!polls_discovery(r#"{"registry_mode":"push"}"#));
 }
