--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -133,8 +133,8 @@
     keys.into_iter().collect()
 }
 
-/// The results after a batch was not written: requests that would have changed something fail with `e`, and requests
-/// that had failed already keep their errors.
+/// The results if a batch was not written: requests that succeeded fail with `e`, while replayed replies and earlier
+/// errors stay.
 fn fail_changes(results: Results, e: StoreError) -> Results {
     let fail = |completed: Completed| if completed.replayed { Ok(completed) } else { Err(e.clone()) };
     results.into_iter().map(|result| result.and_then(fail)).collect()
--- a/crates/store/src/commands/usage.rs
+++ b/crates/store/src/commands/usage.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// Records one chunk. Returns `false` if the same usage had been recorded before.
+/// Records one chunk. Returns `false` if the minute had been recorded before for this chunk.
 fn record_chunk(
     transaction: &mut Transaction<'_>,
     report: &UsageReport,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -47,7 +47,7 @@
     /// The idempotency key was already used for another request.
     #[error("the idempotency key was already used for another request, at {first_used} µs since 1970")]
     IdempotencyKeyReused {
-        /// When the key was first used, in microseconds since 1970.
+        /// The time at which the key was first used, in microseconds since 1970.
         first_used: u64,
     },
     /// The instance has already reported other usage for the same minute.
@@ -98,12 +98,12 @@
         /// The error message of the operating system.
         cause: String,
     },
-    /// The engine is unavailable: no endpoint answers, or concurrent changes defeated every attempt.
+    /// The engine is unavailable: no endpoint answers, or other instances changed the record during every attempt.
     #[error("{endpoint}: unavailable: {cause}")]
     Unavailable {
-        /// The last endpoint that was called, or the contended key.
+        /// The last endpoint that was called, or the key of the record that was changed.
         endpoint: String,
-        /// Why the call failed.
+        /// The reason why the call failed.
         cause: String,
     },
     /// The change may or may not have been made. The store determines which before its next write.
--- a/crates/store/src/exchange/reader.rs
+++ b/crates/store/src/exchange/reader.rs
@@ -76,13 +76,13 @@
                 });
             }
             "classes" => {
-                self.read_list(name, value, Collection::Class, |c: &ClassRecord| c.name().to_string())
+                self.read_list(name, value, Collection::Class, |c: &ClassRecord| c.name().to_string());
             }
             "places" => {
-                self.read_list(name, value, Collection::IdAssignment, |a: &IdAssignment| a.id.key_name())
+                self.read_list(name, value, Collection::IdAssignment, |a: &IdAssignment| a.id.key_name());
             }
             "tenants" => {
-                self.read_list(name, value, Collection::Tenant, |t: &TenantRecord| t.name.canonical())
+                self.read_list(name, value, Collection::Tenant, |t: &TenantRecord| t.name.canonical());
             }
             "tokens" => self.read_list(name, value, Collection::Token, |t: &TokenRecord| t.id.to_string()),
             "usage" => self.read_usage(value),
