--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -31,7 +31,12 @@
         (error.key().to_owned(), error.reason())
     };
     for (change, balancer, expected_key, expected_reason) in [
-        (&(|b: &mut Budgets| b.lease_s = 1.0) as &dyn Fn(&mut Budgets), "n1", "budgets.lease_s", "8 looks"),
+        (
+            &(|b: &mut Budgets| b.lease_s = 1.0) as &dyn Fn(&mut Budgets),
+            "n1",
+            "budgets.lease_s",
+            "8 poll intervals",
+        ),
         (&|b| b.clock_margin_s = 2.0, "n1", "budgets.margin_s", "quarter of the lease"),
         (&|b| b.reserve_ratio = 0.9, "n1", "budgets.reserve", "from 0 to 0.5"),
         (&|b| b.floor_ratio = 0.9, "n1", "budgets.floor", "from 0 to 0.5"),
