--- a/crates/balancer/src/fleet/budget_config/tests.rs
+++ b/crates/balancer/src/fleet/budget_config/tests.rs
@@ -35,7 +35,7 @@
             &(|b: &mut Budgets| b.lease_s = 1.0) as &dyn Fn(&mut Budgets),
             "n1",
             "budgets.lease_s",
-            "shorter than 8 poll intervals",
+            "8 poll intervals",
         ),
         (&|b| b.clock_margin_s = 2.0, "n1", "budgets.margin_s", "quarter of the lease"),
         (&|b| b.reserve_ratio = 0.9, "n1", "budgets.reserve", "from 0 to 0.5"),
