--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -118,7 +118,7 @@
     let mut other = settings.clone();
     other["name"] = json!("n2");
     let program = start(&other, folder.path());
-    assert!(startup_line(&program, "it is of balancer").contains("event=snapshot-rejected"));
+    assert!(startup_line(&program, "the snapshot is of balancer").contains("event=snapshot-rejected"));
     program.settled();
     assert!(program.has_logged("event=state-restored").is_none());
 }
--- a/crates/snapshot/src/folder.rs
+++ b/crates/snapshot/src/folder.rs
@@ -1,7 +1,7 @@
 //! A folder with a few generations of records.
 //!
-//! Each record is written under another name and then renamed, so that a file with a record's name was written to its
-//! end; what a crash of the machine does to it all the same is found by its checksum.
+//! Each record is written to a temporary file that is renamed at the end, so a file with a record's name was written
+//! completely. Damage by a crash of the machine is detected by the record's checksum.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufWriter};
@@ -13,11 +13,11 @@
 
 use crate::record::{DecodeError, Encoder, Header, Line, MAX_RECORD_BYTES, Record, decode};
 
-/// The extension of a complete record's name.
+/// The file extension of complete records.
 const EXTENSION: &str = ".snapshot";
-/// Access to the folder for its owner alone.
+/// The folder's mode: only its owner has access.
 const FOLDER_MODE: u32 = 0o700;
-/// Access to a record for its owner alone.
+/// A record's mode: only its owner can read and write it.
 const FILE_MODE: u32 = 0o600;
 
 /// The folder with the records of one worker.
@@ -29,11 +29,12 @@
 }
 
 impl SnapshotFolder {
-    /// Opens the folder, and makes it for its owner alone where it is missing. So many generations are kept.
+    /// Opens the folder for the records of `worker`, and creates it if it is missing. Commits keep the latest
+    /// `generations` records, at least one.
     ///
     /// # Errors
     ///
-    /// Returns an error if the folder can't be made.
+    /// Returns an error if the folder can't be created.
     pub fn open(path: &Path, worker: usize, generations: usize) -> io::Result<SnapshotFolder> {
         fs::DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(path)?;
         Ok(SnapshotFolder { path: path.to_owned(), worker, generations: generations.max(1) })
@@ -43,7 +44,7 @@
         format!("worker-{}.", self.worker)
     }
 
-    /// Paths of the complete records, the latest first.
+    /// The paths of the worker's complete records, the latest first.
     ///
     /// # Errors
     ///
@@ -59,32 +60,32 @@
                 names.push(name);
             }
         }
-        // Names have their time in them, all of one width.
+        // File names contain the time with a fixed number of digits, so they sort by time.
         names.sort_unstable_by(|a, b| b.cmp(a));
         Ok(names.into_iter().map(|name| self.path.join(name)).collect())
     }
 
-    /// Begins a record. Its file does not have a record's name until [`SnapshotFolder::commit`].
+    /// Begins a record in a temporary file, which [`SnapshotFolder::commit`] renames to the record's name.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file can't be made or written.
+    /// Returns an error if the file can't be created or written.
     pub fn begin(&self, header: &Header) -> io::Result<PartialRecord> {
         let path = self.path.join(format!("{}{}.part", self.prefix(), std::process::id()));
         let file = OpenOptions::new().write(true).create(true).truncate(true).mode(FILE_MODE).open(&path)?;
         let name = format!("{}{:020}{EXTENSION}", self.prefix(), header.taken_at);
-        // Dropped at an error from here on, it removes its file.
+        // From here on, dropping the partial record after an error removes the file.
         let mut partial = PartialRecord { encoder: None, path, name };
         partial.encoder = Some(Encoder::begin(BufWriter::new(file), header)?);
         Ok(partial)
     }
 
-    /// Ends a record: it is on the disk, and in the folder, before older generations are removed. Returns how many
-    /// lines it holds.
+    /// Completes a record: syncs the file and the folder to the disk, then removes the oldest generations. Returns the
+    /// number of lines between the header and the end line.
     ///
     /// # Errors
     ///
-    /// Returns an error if the record can't be written; no earlier generation has changed then.
+    /// Returns an error if the record can't be written. Earlier generations are unchanged in that case.
     pub fn commit(&self, mut partial: PartialRecord) -> io::Result<u64> {
         let Some(encoder) = partial.encoder.take() else { return Ok(0) };
         let (file, lines) = encoder.finish()?;
@@ -100,7 +101,7 @@
     }
 }
 
-/// A record that is being written. Dropped before its commit, it leaves nothing behind.
+/// A record that is being written. Its temporary file is removed if it is dropped before it is committed.
 pub struct PartialRecord {
     encoder: Option<Encoder<BufWriter<File>>>,
     path: PathBuf,
@@ -108,7 +109,7 @@
 }
 
 impl PartialRecord {
-    /// Writes one more line.
+    /// Appends a line.
     ///
     /// # Errors
     ///
@@ -129,11 +130,11 @@
     }
 }
 
-/// Reads a record.
+/// Reads a record from a file.
 ///
 /// # Errors
 ///
-/// Returns an error if the file can't be read, or is not what was written.
+/// Returns an error if the file can't be read or is damaged.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<Record<T>, DecodeError> {
     let length = fs::metadata(path)?.len();
     if length > MAX_RECORD_BYTES {
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -1,5 +1,5 @@
-//! A record as bytes. It is written in one go from its header to its checksum, and read whole or not at all: whatever
-//! has been cut off or changed anywhere is rejected, and the error names the line.
+//! The format of a record. It is written sequentially from the header to the checksum, and a record that is truncated
+//! or changed anywhere is rejected as a whole; the error names the line.
 
 use std::hash::Hasher;
 use std::io::{self, Write};
@@ -10,40 +10,40 @@
 use thiserror::Error;
 use twox_hash::XxHash3_64;
 
-/// The version of the format. A record of another version is rejected.
+/// The version of the format. Records of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// A larger record comes from no balancer.
+/// The maximum size of a record, larger than any that a balancer writes.
 pub const MAX_RECORD_BYTES: u64 = 256 << 20;
-/// What the last line begins with; no other line does, since they are JSON objects.
+/// The prefix of the end line, which is the last. No other line has it, since all others are JSON objects.
 const END_MARK: &str = "end ";
-/// Characters of a wrong checksum that an error names.
-const MAX_NAMED_CHECKSUM_CHARS: usize = 20;
+/// The most characters of a mismatched checksum or line count that an error quotes.
+const MAX_QUOTED_CHARS: usize = 20;
 
-/// What a record says of itself.
+/// The header of a record: who wrote it and when.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Header {
-    /// The version of its format.
+    /// The version of the format.
     #[serde(rename = "snapshot")]
     pub version: u32,
     /// The balancer's name.
     pub balancer: String,
     /// The worker that exported it, from 0.
     pub worker: usize,
-    /// Workers of that process: with another number, each has another part of the fleet's work.
+    /// The number of workers of that process. It determines which part of the fleet's work each worker has.
     #[serde(rename = "workers")]
     pub worker_count: usize,
-    /// When it was begun, in microseconds of Unix time.
+    /// When the record was begun, in microseconds of Unix time.
     #[serde(rename = "taken")]
     pub taken_at: u64,
-    /// The version of its endpoint list.
+    /// The index of the endpoint list in the record.
     #[serde(rename = "index")]
     pub list_index: u64,
 }
 
-/// A line between the header and the end.
+/// A line between the header and the end line.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Line<T> {
-    /// A server as it is listed.
+    /// A server of the endpoint list.
     #[serde(rename = "endpoint")]
     Endpoint(Endpoint),
     /// An entry of learned state.
@@ -51,40 +51,47 @@
     State(T),
 }
 
-/// Why bytes can't be read as a record.
+/// Why a record can't be decoded.
 #[derive(Debug, Error)]
 pub enum DecodeError {
     /// The file can't be read.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// It is larger than any record.
-    #[error("{0} bytes, of {MAX_RECORD_BYTES} at most")]
+    /// The file is larger than a record may be.
+    #[error("the file has {0} bytes; a snapshot has at most {MAX_RECORD_BYTES}")]
     TooLarge(u64),
-    /// It does not begin with a header.
-    #[error("line 1: not the head of a snapshot: {0}")]
+    /// The first line is not a header.
+    #[error("line 1: invalid snapshot header: {0}")]
     InvalidHeader(serde_json::Error),
-    /// Its format is of another version.
-    #[error("line 1: version {0}, and this program reads {VERSION}")]
+    /// The format has another version.
+    #[error("line 1: snapshot has format version {0}; this program reads version {VERSION}")]
     UnsupportedVersion(u32),
-    /// Its end is missing.
-    #[error("line {0}: cut off before the last line")]
+    /// The end line is missing or incomplete.
+    #[error("line {0}: truncated: there is no complete end line")]
     Truncated(usize),
-    /// It is not what was written.
-    #[error("line {line}: the sum is {found}, and {expected} was written")]
+    /// The content does not have the checksum in the end line.
+    #[error("line {line}: checksum mismatch: the content has {found}, the end line has {expected}")]
     ChecksumMismatch {
-        /// The last line.
+        /// The number of the end line.
         line: usize,
-        /// The checksum of what is there.
+        /// The checksum of the content.
         found: String,
-        /// The checksum by the last line.
+        /// The checksum in the end line.
+        expected: String,
+    },
+    /// The content does not have the number of lines in the end line.
+    #[error("line {line}: line count mismatch: the content has {found} lines, the end line has {expected}")]
+    LineCountMismatch {
+        /// The number of the end line.
+        line: usize,
+        /// The lines between the header and the end line.
+        found: usize,
+        /// The count in the end line.
         expected: String,
     },
-    /// Something stands behind the end.
-    #[error("line {0}: more after the last line")]
-    TrailingData(usize),
 }
 
-/// Writes a record line by line.
+/// Encodes a record line by line.
 pub struct Encoder<W: Write> {
     output: W,
     checksum: XxHash3_64,
@@ -93,7 +100,7 @@
 }
 
 impl<W: Write> Encoder<W> {
-    /// Begins a record with its header.
+    /// Begins a record by writing its header.
     ///
     /// # Errors
     ///
@@ -112,7 +119,7 @@
         self.output.write_all(&self.buffer)
     }
 
-    /// Writes one more line.
+    /// Appends a line.
     ///
     /// # Errors
     ///
@@ -122,11 +129,11 @@
         self.write_json(line)
     }
 
-    /// Writes the end. Returns the output, and how many lines were written between the header and the end.
+    /// Writes the end line. Returns the output and the number of lines between the header and the end line.
     ///
     /// # Errors
     ///
-    /// Returns an error if the end can't be written.
+    /// Returns an error if the end line can't be written.
     pub fn finish(mut self) -> io::Result<(W, u64)> {
         let end = format!("{END_MARK}{} {:016x}\n", self.lines, self.checksum.finish());
         self.output.write_all(end.as_bytes())?;
@@ -135,24 +142,24 @@
     }
 }
 
-/// A record that was read whole.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record<T> {
-    /// What it says of itself.
+    /// The header.
     pub header: Header,
-    /// The endpoint list as it stood.
+    /// The endpoint list when the record was written.
     pub list: EndpointList,
     /// The entries of learned state.
     pub entries: Vec<T>,
-    /// Lines that this program can't read: another version of it may have written them.
+    /// The number of lines that this program can't read, as another version of it may have written.
     pub unknown_lines: usize,
 }
 
-/// Reads a record; the checksum is verified before anything of it is used.
+/// Decodes a record after verifying its checksum.
 ///
 /// # Errors
 ///
-/// Returns an error if the bytes are not what was written, or not for this program.
+/// Returns an error if the record is damaged or has another version of the format.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<Record<T>, DecodeError> {
     let verified = verify(bytes)?;
     let mut lines = verified.split(|byte| *byte == b'\n');
@@ -169,7 +176,7 @@
     Ok(Record { header, list, entries, unknown_lines })
 }
 
-/// Verifies the last line's checksum and count; returns all lines before it.
+/// Verifies the checksum and the line count in the end line, and returns all lines before it.
 fn verify(bytes: &[u8]) -> Result<&[u8], DecodeError> {
     let lines = bytes.iter().filter(|byte| **byte == b'\n').count();
     let unterminated = bytes.strip_suffix(b"\n").ok_or(DecodeError::Truncated(lines + 1))?;
@@ -182,16 +189,21 @@
     checksum.write(content);
     let found = format!("{:016x}", checksum.finish());
     if found != expected {
-        let expected = expected.chars().take(MAX_NAMED_CHECKSUM_CHARS).collect();
-        return Err(DecodeError::ChecksumMismatch { line: lines, found, expected });
+        return Err(DecodeError::ChecksumMismatch { line: lines, found, expected: quoted(expected) });
     }
-    if count.parse() != Ok(lines - 2) {
-        return Err(DecodeError::TrailingData(lines));
+    let found = lines - 2;
+    if count.parse() != Ok(found) {
+        return Err(DecodeError::LineCountMismatch { line: lines, found, expected: quoted(count) });
     }
     Ok(content)
 }
 
-/// Reads a header: the version first, since a later one may say the rest otherwise.
+/// The beginning of a text, as an error quotes it.
+fn quoted(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_CHARS).collect()
+}
+
+/// Decodes a header. The version is checked first, since other versions may have other fields.
 fn decode_header(line: &[u8]) -> Result<Header, DecodeError> {
     #[derive(Deserialize)]
     struct Version {
--- a/crates/snapshot/src/selection.rs
+++ b/crates/snapshot/src/selection.rs
@@ -1,4 +1,5 @@
-//! Which record to restore: the latest one that is complete and may be used, and why later ones are not.
+//! Selects the record to restore: the latest one that is complete and valid. Each later record is returned with the
+//! reason why it was rejected.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,43 +12,43 @@
 use crate::record::{DecodeError, Record};
 use crate::validation::{RestoreCriteria, ValidationError, validate};
 
-/// Why a record was not selected.
+/// Why a record was rejected.
 #[derive(Debug, Error)]
 pub enum RejectionCause {
-    /// It can't be read, or is damaged.
+    /// The record can't be read, or is damaged.
     #[error("{0}")]
     Unreadable(#[from] DecodeError),
-    /// It is complete, and not to be used.
+    /// The record is complete, but must not be restored.
     #[error("{0}")]
     Invalid(#[from] ValidationError),
 }
 
-/// A record that was not selected.
+/// A record that was rejected.
 #[derive(Debug)]
 pub struct RejectedSnapshot {
-    /// Where it is.
+    /// The record's file.
     pub path: PathBuf,
-    /// Why it was not selected.
+    /// Why the record was rejected.
     pub cause: RejectionCause,
 }
 
 /// The record to restore.
 #[derive(Debug)]
 pub struct SelectedSnapshot<T> {
-    /// Where it is.
+    /// The record's file.
     pub path: PathBuf,
-    /// What it holds.
+    /// The decoded record.
     pub record: Record<T>,
-    /// Its age.
+    /// The time since the record was begun, in microseconds.
     pub age: Micros,
 }
 
 /// The result of a selection.
 #[derive(Debug)]
 pub struct SnapshotSelection<T> {
-    /// The record to restore, if there is one.
+    /// The record to restore, if any is valid.
     pub selected: Option<SelectedSnapshot<T>>,
-    /// The later records that were not selected, the latest first.
+    /// The later records, which were rejected, the latest first.
     pub rejected: Vec<RejectedSnapshot>,
 }
 
@@ -73,7 +74,7 @@
     Ok(SnapshotSelection { selected: None, rejected })
 }
 
-/// Reads a record and validates it; returns it with its age.
+/// Reads and validates a record; returns it with its age.
 fn read_valid<T: DeserializeOwned>(
     path: &Path,
     criteria: &RestoreCriteria<'_>,
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a record may be used at all, by its header and its endpoint list.
+//! Decides by a record's header and endpoint list whether the record may be restored.
 
 use std::collections::BTreeSet;
 
@@ -8,65 +8,77 @@
 
 use crate::record::Header;
 
-/// Clocks may be so far apart: no age can be told of a record from further ahead.
+/// How far in the future a record's time may be because of clock skew. A record from later is rejected, since its age is
+/// unknown.
 const MAX_CLOCK_SKEW: Micros = 5_000_000;
 
-/// What a record is checked against.
+/// What a record is validated against.
 #[derive(Clone, Debug)]
 pub struct RestoreCriteria<'a> {
     /// The balancer's name.
     pub balancer: &'a str,
-    /// The worker that restores it.
+    /// The worker that restores the record.
     pub worker: usize,
-    /// Workers of this process.
+    /// The number of workers of this process.
     pub worker_count: usize,
-    /// The time, in microseconds of Unix time.
+    /// The current time, in microseconds of Unix time.
     pub now: Micros,
-    /// The oldest record that is used.
+    /// The greatest age at which a record is restored, in microseconds.
     pub max_age: Micros,
-    /// The endpoint list that this process would start with.
+    /// The endpoint list with which this process would start.
     pub list: &'a EndpointList,
 }
 
-/// Why a record is not used.
+/// Why a record must not be restored.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ValidationError {
-    /// It is another balancer's.
-    #[error("it is of balancer '{0}'")]
-    OtherBalancer(String),
-    /// It is of another worker, or of one of another number of workers.
-    #[error("it is of worker {worker} of {worker_count}")]
+    /// Another balancer wrote the record.
+    #[error("the snapshot is of balancer '{found}', expected '{expected}'")]
+    OtherBalancer {
+        /// The balancer that wrote the record.
+        found: String,
+        /// The balancer that restores it.
+        expected: String,
+    },
+    /// Another worker wrote the record, or the process had another number of workers.
+    #[error(
+        "the snapshot is of worker {worker} of {worker_count}, expected worker {expected_worker} of {expected_count}"
+    )]
     OtherWorker {
-        /// The worker that exported it.
+        /// The worker that exported the state.
         worker: usize,
-        /// Workers of that process.
+        /// The number of workers of that process.
         worker_count: usize,
+        /// The worker that restores the record.
+        expected_worker: usize,
+        /// The number of workers of this process.
+        expected_count: usize,
     },
-    /// It was written later than now.
-    #[error("it is {seconds} s from the future")]
+    /// The record's time is too far in the future.
+    #[error("the snapshot's time is {seconds} s in the future")]
     FromFuture {
-        /// How much later.
+        /// By how many seconds it is ahead of the current time.
         seconds: u64,
     },
-    /// It is too old.
-    #[error("it is {age_seconds} s old, and {max_age_seconds} s at most are believed")]
+    /// The record is too old.
+    #[error("the snapshot is {age_seconds} s old; the maximum age is {max_age_seconds} s")]
     TooOld {
-        /// Its age.
+        /// The record's age in seconds.
         age_seconds: u64,
-        /// The oldest that is used.
+        /// The greatest allowed age in seconds.
         max_age_seconds: u64,
     },
-    /// Most of the servers that are listed now are not in it.
-    #[error("it is of another fleet: {found} of the {listed} servers known now are in it")]
+    /// The record lacks most of the servers that are listed now.
+    #[error("the snapshot is of another fleet: it has only {found} of the {listed} servers listed now")]
     OtherFleet {
         /// Servers in both lists.
         found: usize,
-        /// Servers in the list of now.
+        /// Servers in the current list.
         listed: usize,
     },
 }
 
-/// Returns the age of a record that may be used.
+/// Validates a record and returns its age.
 ///
 /// # Errors
 ///
@@ -77,11 +89,19 @@
     criteria: &RestoreCriteria<'_>,
 ) -> Result<Micros, ValidationError> {
     if header.balancer != criteria.balancer {
-        return Err(ValidationError::OtherBalancer(header.balancer.clone()));
+        return Err(ValidationError::OtherBalancer {
+            found: header.balancer.clone(),
+            expected: criteria.balancer.to_owned(),
+        });
     }
     let Header { worker, worker_count, taken_at, .. } = *header;
     if (worker, worker_count) != (criteria.worker, criteria.worker_count) {
-        return Err(ValidationError::OtherWorker { worker, worker_count });
+        return Err(ValidationError::OtherWorker {
+            worker,
+            worker_count,
+            expected_worker: criteria.worker,
+            expected_count: criteria.worker_count,
+        });
     }
     if taken_at > criteria.now.saturating_add(MAX_CLOCK_SKEW) {
         return Err(ValidationError::FromFuture { seconds: (taken_at - criteria.now) / MICROS_PER_SECOND });
@@ -103,7 +123,7 @@
     Ok(age)
 }
 
-/// The endpoint list to start with: the newer one by discovery's own count.
+/// The endpoint list to start with: the recorded one if it has a higher index and is not empty, otherwise the own one.
 pub fn newer_list<'a>(own: &'a EndpointList, recorded: &'a EndpointList) -> &'a EndpointList {
     if recorded.index > own.index && !recorded.endpoints.is_empty() { recorded } else { own }
 }
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes records on a thread of its own: an event loop hands it portions and never waits for the disk.
+//! Writes records on a separate thread: an event loop sends it batches of lines and never waits for the disk.
 
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, TryRecvError, channel};
@@ -9,7 +9,7 @@
 use crate::folder::{PartialRecord, SnapshotFolder};
 use crate::record::{Header, Line};
 
-/// What the thread is asked to do.
+/// A command to the writing thread.
 #[derive(Debug)]
 enum Command<T> {
     Begin(Box<Header>),
@@ -17,12 +17,12 @@
     Finish,
 }
 
-/// The writing thread. Dropped, it finishes what was handed to it and is waited for.
+/// The writing thread. Dropping it waits until all commands that were sent have been executed.
 #[derive(Debug)]
 pub struct SnapshotWriter<T: Serialize + Send + 'static> {
     commands: Option<Sender<Command<T>>>,
     results: Receiver<io::Result<u64>>,
-    /// A record is begun, and its result was not fetched.
+    /// Whether a record was begun whose result has not been fetched.
     is_busy: bool,
     thread: Option<JoinHandle<()>>,
 }
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the system gives no thread.
+    /// Returns an error if the operating system can't create the thread.
     pub fn start(folder: SnapshotFolder) -> io::Result<Self> {
         let (commands, received) = channel();
         let (finished, results) = channel();
@@ -51,35 +51,34 @@
     }
 
     fn send(&self, command: Command<T>) {
-        // That the thread has ended shows when its result is fetched.
+        // If the thread has ended, `take_result` reports it.
         if let Some(commands) = &self.commands {
             let _ = commands.send(command);
         }
     }
 
-    /// Begins a record; only where [`SnapshotWriter::is_idle`], so that no more than one record is held in memory.
+    /// Begins a record. Callers must check [`SnapshotWriter::is_idle`] first, so that no more than one record is in memory.
     pub fn begin(&mut self, header: Header) {
         self.is_busy = true;
         self.send(Command::Begin(Box::new(header)));
     }
 
-    /// Writes some lines.
+    /// Appends lines to the record.
     pub fn write(&self, lines: Vec<Line<T>>) {
         self.send(Command::Write(lines));
     }
 
-    /// Ends the record.
+    /// Completes the record.
     pub fn finish(&self) {
         self.send(Command::Finish);
     }
 
-    /// Whether a record can be begun.
+    /// Whether no record is being written, so that one can be begun.
     pub fn is_idle(&self) -> bool {
         !self.is_busy
     }
 
-    /// Fetches the result of the record that was begun last, once it is there: how many lines it holds. Each result is
-    /// returned once.
+    /// Returns the result of the last record once it is available, the number of its lines. Each result is returned once.
     pub fn take_result(&mut self) -> Option<io::Result<u64>> {
         match self.results.try_recv() {
             Ok(result) => {
@@ -89,13 +88,13 @@
             Err(TryRecvError::Empty) => None,
             Err(TryRecvError::Disconnected) => {
                 let was_busy = std::mem::replace(&mut self.is_busy, false);
-                was_busy.then(|| Err(io::Error::other("the thread that writes is gone")))
+                was_busy.then(|| Err(io::Error::other("the snapshot writer thread has ended")))
             }
         }
     }
 }
 
-/// Executes a command; returns the result of a record that is finished.
+/// Executes a command; returns the result if it completed a record.
 fn execute<T: Serialize>(
     folder: &SnapshotFolder,
     record: &mut io::Result<Option<PartialRecord>>,
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -1,4 +1,5 @@
-//! Records that were cut, changed, written by others, or at a bad moment: never believed, never a panic, always a reason.
+//! Records that are truncated, changed, from another balancer or from a wrong time are rejected with a reason and never
+//! cause a panic.
 
 use std::fs;
 use std::io;
@@ -52,7 +53,7 @@
     RestoreCriteria { balancer: "n1", worker: 0, worker_count: 1, now: NOW, max_age: 600_000_000, list }
 }
 
-/// Writes a record to a folder, as the program does.
+/// Writes a record to a folder in the way the program does.
 fn write_record(folder: &SnapshotFolder, header: &Header) {
     let mut partial = folder.begin(header).expect("a file");
     lines().iter().for_each(|line| partial.write_line(line).expect("room"));
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_record_is_read_as_it_was_written_and_words_of_another_program_are_passed_over() {
+fn a_record_is_decoded_as_written_and_unknown_lines_are_counted_and_skipped() {
     let record = decode::<Entry>(&written(&header(NOW), &lines())).expect("good");
     assert_eq!((record.header, record.entries, record.unknown_lines), (header(NOW), entries(), 0));
     assert_eq!(record.list, list(7, 0..3));
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn every_byte_changed_and_every_cut_is_found_and_told() {
+fn every_changed_byte_and_every_truncation_is_rejected_with_a_line_number() {
     let whole = written(&header(NOW), &lines());
     for at in 0..whole.len() {
         for change in [0x01, 0x20, 0x80, 0xff] {
@@ -79,35 +80,41 @@
             let error = decode::<Entry>(&bad).expect_err("a changed byte");
             assert!(error.to_string().starts_with("line "), "byte {at}: {error}");
         }
-        let error = decode::<Entry>(&whole[..at]).expect_err("a cut");
-        assert!(error.to_string().starts_with("line "), "cut at {at}: {error}");
+        let error = decode::<Entry>(&whole[..at]).expect_err("a truncated record");
+        assert!(error.to_string().starts_with("line "), "truncated at {at}: {error}");
     }
     for more in [&b"{}\n"[..], b"x", b"\n", b"end 3 0\n"] {
-        assert!(decode::<Entry>(&[&whole, more].concat()).is_err(), "{more:?} behind the end");
+        assert!(decode::<Entry>(&[&whole, more].concat()).is_err(), "{more:?} after the end line");
     }
 }
 
 #[test]
-fn another_version_is_told_by_its_number_whatever_else_it_says() {
+fn another_format_version_is_named_in_the_error() {
     let later = written(&Header { version: 9, ..header(NOW) }, &lines());
     assert!(matches!(decode::<Entry>(&later), Err(DecodeError::UnsupportedVersion(9))));
     assert_eq!(
         decode::<Entry>(&later).expect_err("9").to_string(),
-        "line 1: version 9, and this program reads 1"
+        "line 1: snapshot has format version 9; this program reads version 1"
     );
 }
 
 #[test]
-fn what_is_anothers_old_or_from_the_future_is_left_aside_with_a_reason() {
+fn records_of_another_balancer_worker_fleet_or_time_are_rejected_with_a_reason() {
     let list = list(3, 0..3);
     let criteria = criteria(&list);
     assert_eq!(validate(&header(NOW - 9), &list, &criteria), Ok(9));
-    assert_eq!(validate(&header(NOW + 4_000_000), &list, &criteria), Ok(0), "clocks differ a little");
-    let error = |header: Header| validate(&header, &list, &criteria).expect_err("left aside").to_string();
-    assert_eq!(error(header(NOW + 60_000_000)), "it is 60 s from the future");
-    assert_eq!(error(header(NOW - 601_000_000)), "it is 601 s old, and 600 s at most are believed");
-    assert_eq!(error(Header { balancer: "n2".into(), ..header(NOW) }), "it is of balancer 'n2'");
-    assert_eq!(error(Header { worker_count: 4, ..header(NOW) }), "it is of worker 0 of 4");
+    assert_eq!(validate(&header(NOW + 4_000_000), &list, &criteria), Ok(0), "within the allowed clock skew");
+    let error = |header: Header| validate(&header, &list, &criteria).expect_err("rejected").to_string();
+    assert_eq!(error(header(NOW + 60_000_000)), "the snapshot's time is 60 s in the future");
+    assert_eq!(error(header(NOW - 601_000_000)), "the snapshot is 601 s old; the maximum age is 600 s");
+    assert_eq!(
+        error(Header { balancer: "n2".into(), ..header(NOW) }),
+        "the snapshot is of balancer 'n2', expected 'n1'"
+    );
+    assert_eq!(
+        error(Header { worker_count: 4, ..header(NOW) }),
+        "the snapshot is of worker 0 of 4, expected worker 0 of 1"
+    );
     let others = self::list(3, 2..9);
     let other = RestoreCriteria { list: &others, ..criteria };
     assert_eq!(
@@ -117,15 +124,15 @@
 }
 
 #[test]
-fn the_later_list_is_the_one_to_start_with() {
+fn the_newer_endpoint_list_is_chosen_unless_it_is_empty() {
     let (own, newer, empty) = (list(5, 0..3), list(7, 0..2), list(9, 0..0));
     assert_eq!(newer_list(&own, &newer).index, 7);
     assert_eq!(newer_list(&newer, &own).index, 7);
-    assert_eq!(newer_list(&own, &empty).index, 5, "a list of nobody says nothing");
+    assert_eq!(newer_list(&own, &empty).index, 5, "an empty list is not used");
 }
 
 #[test]
-fn a_damaged_generation_is_named_and_the_one_before_is_taken() {
+fn damaged_generations_are_reported_and_the_latest_intact_one_is_selected() {
     let temporary = tempfile::tempdir().expect("a folder");
     let folder = SnapshotFolder::open(&temporary.path().join("deep/er"), 0, 3).expect("a folder");
     assert!(select::<Entry>(&folder, &criteria(&list(1, 0..3))).expect("empty").selected.is_none());
@@ -134,30 +141,33 @@
     }
     let records = folder.records().expect("a folder");
     assert_eq!(records.len(), 3, "three generations are kept");
-    // The power went before the latest was on the disk whole; the one before has a bad block.
+    // A power failure has truncated the latest record, and the one before has a bad block.
     let whole = fs::read(&records[0]).expect("a file");
     fs::write(&records[0], &whole[..whole.len() / 2]).expect("a file");
     let mut bad = fs::read(&records[1]).expect("a file");
     bad[40] ^= 1;
     fs::write(&records[1], bad).expect("a file");
-    // A process that was killed while it wrote.
+    // The temporary file of a process that was killed while it wrote a record.
     fs::write(temporary.path().join("deep/er/worker-0.77.part"), b"{\"snapshot\":1").expect("a file");
     let known = list(1, 0..3);
     let selection = select::<Entry>(&folder, &criteria(&known)).expect("a folder");
     let SelectedSnapshot { path, record, age } = selection.selected.expect("the third");
     assert_eq!((path, record.entries, age), (records[2].clone(), entries(), 3_000_000));
-    let left: Vec<_> = selection
+    let rejected: Vec<_> = selection
         .rejected
         .iter()
         .map(|rejected| (rejected.path.clone(), rejected.cause.to_string()))
         .collect();
-    assert_eq!((left.len(), &left[0].0, &left[1].0), (2, &records[0], &records[1]));
-    assert!(left[0].1.contains("cut off") && left[1].1.contains("the sum is"), "{left:?}");
+    assert_eq!((rejected.len(), &rejected[0].0, &rejected[1].0), (2, &records[0], &records[1]));
+    assert!(
+        rejected[0].1.contains("truncated") && rejected[1].1.contains("checksum mismatch"),
+        "{rejected:?}"
+    );
     assert!(matches!(selection.rejected[0].cause, RejectionCause::Unreadable(_)));
 }
 
 #[test]
-fn a_disk_that_is_full_is_an_error_and_changes_nothing() {
+fn a_full_disk_is_an_error_and_keeps_earlier_generations() {
     let full = fs::OpenOptions::new().write(true).open("/dev/full").expect("Linux");
     let begun = Encoder::begin(io::BufWriter::new(full), &header(NOW));
     let error = begun.and_then(|mut encoder| {
@@ -165,7 +175,7 @@
         encoder.finish().map(drop)
     });
     assert_eq!(error.expect_err("full").kind(), io::ErrorKind::StorageFull);
-    // In a folder: the part goes to a full device, the generations before stay, nothing is left over.
+    // In a folder, the temporary file is on a full device: earlier generations stay and the temporary file is removed.
     let temporary = tempfile::tempdir().expect("a folder");
     let folder = SnapshotFolder::open(temporary.path(), 0, 2).expect("a folder");
     write_record(&folder, &header(NOW - 1));
@@ -177,7 +187,7 @@
     writer.finish();
     assert_eq!(wait_for_result(&mut writer).expect_err("full").kind(), io::ErrorKind::StorageFull);
     assert_eq!((folder.records().expect("a folder").len(), part.exists()), (1, false));
-    // Room again: the next one is written.
+    // Once there is space again, the next record is written.
     writer.begin(header(NOW + 1));
     writer.write(lines());
     writer.finish();
@@ -186,19 +196,19 @@
 }
 
 fn wait_for_result(writer: &mut SnapshotWriter<Entry>) -> io::Result<u64> {
-    let began = std::time::Instant::now();
+    let start = std::time::Instant::now();
     loop {
         if let Some(result) = writer.take_result() {
             assert!(writer.is_idle());
             return result;
         }
-        assert!(began.elapsed().as_secs() < 60, "nothing is told");
+        assert!(start.elapsed().as_secs() < 60, "no result within 60 s");
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn a_writer_that_is_dropped_ends_what_was_handed_to_it_and_leaves_out_what_has_no_end() {
+fn a_dropped_writer_completes_finished_records_and_discards_unfinished_ones() {
     let temporary = tempfile::tempdir().expect("a folder");
     let folder = SnapshotFolder::open(temporary.path(), 3, 2).expect("a folder");
     let mut writer = SnapshotWriter::start(folder.clone()).expect("a thread");
@@ -221,12 +231,12 @@
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_refused_or_are_what_was_written(
+    fn arbitrary_bytes_are_rejected_unless_they_equal_the_written_record(
         cuts in prop::collection::vec((0usize..400, 0usize..400, any::<bool>()), 1..4),
         noise in prop::collection::vec(any::<u8>(), 0..40),
     ) {
         let whole = written(&header(NOW), &lines());
-        // Pieces of a good record in another order, doubled, with noise between.
+        // Pieces of a valid record, reordered and repeated, with noise between them.
         let mut bytes = Vec::new();
         for (from, length, noisy) in cuts {
             let from = from.min(whole.len());
