--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -1,5 +1,5 @@
-//! The functions that replace the C library's. Each has the same signature, and either fails as planned or passes its
-//! arguments to the kernel unchanged.
+//! The functions that replace those of the C library. Each has the same signature. It fails as planned, transfers less
+//! as planned, or passes its arguments to the kernel unchanged.
 
 use std::mem::MaybeUninit;
 
@@ -7,7 +7,7 @@
 
 use crate::plan::{Call, Fault, Kind, plan};
 
-/// Bytes that a stalled socket sends before it accepts no more.
+/// The number of bytes that a socket sends before it stalls.
 const STALL_AFTER_BYTES: size_t = 5;
 
 /// The size of the kernel's signal mask in bytes.
@@ -15,12 +15,12 @@
 
 /// Sets this thread's error number and returns the result of a failed call.
 fn fail(error: c_int) -> c_int {
-    // SAFETY: the C library's own address of this thread's error number.
+    // SAFETY: the C library returns a valid address of this thread's error number.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The planned error of a call that can only fail or succeed.
+/// The planned error of a call that either fails or succeeds, without partial transfers.
 fn planned_error(call: Call, fd: c_int) -> Option<c_int> {
     match plan().fault(call, fd) {
         Some(Fault::Error(error)) => Some(error),
@@ -31,28 +31,28 @@
 /// See connect(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, len: socklen_t) -> c_int {
     plan().record_kind(fd, Kind::Connected);
     if let Some(error) = planned_error(Call::Connect, fd) {
         return fail(error);
     }
-    // SAFETY: the caller's arguments, unchanged.
+    // SAFETY: passes the caller's arguments unchanged.
     unsafe { libc::syscall(libc::SYS_connect, c_long::from(fd), address, c_long::from(len)) as c_int }
 }
 
 /// See socket(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if let Some(error) = planned_error(Call::Socket, -1) {
         return fail(error);
     }
     let (domain, kind, protocol) = (c_long::from(domain), c_long::from(kind), c_long::from(protocol));
-    // SAFETY: numbers only.
+    // SAFETY: the arguments are numbers, not addresses.
     let fd = unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int };
     plan().record_kind(fd, Kind::Other);
     fd
@@ -61,7 +61,7 @@
 /// See accept4(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -72,7 +72,7 @@
     if let Some(error) = planned_error(Call::Accept, fd) {
         return fail(error);
     }
-    // SAFETY: the caller's arguments, unchanged.
+    // SAFETY: passes the caller's arguments unchanged.
     let accepted = unsafe {
         libc::syscall(libc::SYS_accept4, c_long::from(fd), address, len, c_long::from(flags)) as c_int
     };
@@ -83,7 +83,7 @@
 /// See recv(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, len: size_t, flags: c_int) -> ssize_t {
     let len = match plan().fault(Call::Recv, fd) {
@@ -92,7 +92,7 @@
         _ => len,
     };
     let (no_address, no_length) = (std::ptr::null_mut::<c_void>(), std::ptr::null_mut::<c_void>());
-    // SAFETY: the caller's buffer, with no more of its length than the caller said.
+    // SAFETY: passes the caller's buffer with at most the caller's length.
     unsafe {
         let (fd, flags) = (c_long::from(fd), c_long::from(flags));
         libc::syscall(libc::SYS_recvfrom, fd, buffer, len, flags, no_address, no_length) as ssize_t
@@ -102,7 +102,7 @@
 /// See send(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, len: size_t, flags: c_int) -> ssize_t {
     let len = match plan().fault(Call::Send, fd) {
@@ -113,7 +113,7 @@
         _ => len,
     };
     let (no_address, address_bytes) = (std::ptr::null::<c_void>(), 0 as c_long);
-    // SAFETY: the caller's buffer, with no more of its length than the caller said.
+    // SAFETY: passes the caller's buffer with at most the caller's length.
     unsafe {
         let (fd, flags) = (c_long::from(fd), c_long::from(flags));
         libc::syscall(libc::SYS_sendto, fd, buffer, len, flags, no_address, address_bytes) as ssize_t
@@ -123,7 +123,7 @@
 /// See epoll_wait(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
@@ -135,17 +135,17 @@
         return fail(error);
     }
     let (no_mask, mask_bytes) = (std::ptr::null::<c_void>(), KERNEL_SIGSET_BYTES);
-    // SAFETY: the caller's arguments, and no signal mask.
+    // SAFETY: passes the caller's arguments unchanged, and no signal mask.
     unsafe {
         let (fd, max_events, timeout) = (c_long::from(fd), c_long::from(max_events), c_long::from(timeout));
         libc::syscall(libc::SYS_epoll_pwait, fd, events, max_events, timeout, no_mask, mask_bytes) as c_int
     }
 }
 
-/// Whether a descriptor is of a regular file.
+/// Whether a descriptor refers to a regular file.
 fn is_file(fd: c_int) -> bool {
     let mut stat = MaybeUninit::<libc::stat>::zeroed();
-    // SAFETY: the C library writes one stat to this address; zero is a valid one if it does not.
+    // SAFETY: the C library writes at most one stat to this address; if it writes none, all zeros are a valid stat.
     let stat = unsafe {
         libc::fstat(fd, stat.as_mut_ptr());
         stat.assume_init()
@@ -153,10 +153,10 @@
     stat.st_mode & libc::S_IFMT == libc::S_IFREG
 }
 
-/// See write(2). Only writes to files fail.
+/// See write(2). Only writes to regular files fail.
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, len: size_t) -> ssize_t {
     let fault = if fd > 2 && is_file(fd) { plan().fault(Call::Write, fd) } else { None };
@@ -165,48 +165,48 @@
         Some(Fault::Short) => len.min(1),
         _ => len,
     };
-    // SAFETY: the caller's buffer, with no more of its length than the caller said.
+    // SAFETY: passes the caller's buffer with at most the caller's length.
     unsafe { libc::syscall(libc::SYS_write, c_long::from(fd), buffer, len) as ssize_t }
 }
 
 /// See fsync(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     if let Some(error) = planned_error(Call::Sync, fd) {
         return fail(error);
     }
-    // SAFETY: a number only.
+    // SAFETY: the argument is a number, not an address.
     unsafe { libc::syscall(libc::SYS_fsync, c_long::from(fd)) as c_int }
 }
 
 /// See fdatasync(2).
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     if let Some(error) = planned_error(Call::Sync, fd) {
         return fail(error);
     }
-    // SAFETY: a number only.
+    // SAFETY: the argument is a number, not an address.
     unsafe { libc::syscall(libc::SYS_fdatasync, c_long::from(fd)) as c_int }
 }
 
-/// See clock_gettime(2). The wall clock is stepped by the plan.
+/// See clock_gettime(2). The plan's steps are added to the wall clock.
 ///
 /// # Safety
-/// As for the C library's.
+/// The same as for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: the caller's arguments, unchanged.
-    let got = unsafe { libc::syscall(libc::SYS_clock_gettime, c_long::from(clock), time) as c_int };
+    // SAFETY: passes the caller's arguments unchanged.
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, c_long::from(clock), time) as c_int };
     let is_wall = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
-    if got == 0 && is_wall {
+    if result == 0 && is_wall {
         // SAFETY: the kernel has just written the caller's timespec.
         unsafe { (*time).tv_sec += plan().clock_step() };
     }
-    got
+    result
 }
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -9,12 +9,12 @@
 
 use crate::clock::monotonic_seconds;
 
-/// The program's exit code for a plan that can't be read.
-const BAD_PLAN: i32 = 99;
-/// Descriptors whose kind is recorded.
-const DESCRIPTORS: usize = 65536;
-/// The time of a fault without one: from the start to far beyond any run.
-const ALWAYS: &str = "0-1e9";
+/// The program's exit code if the plan is invalid.
+const INVALID_PLAN_EXIT_CODE: i32 = 99;
+/// The number of descriptors, from 0, whose kind is recorded.
+const MAX_DESCRIPTORS: usize = 65536;
+/// The `FROM-TO` of a fault without one: from the start to later than any run.
+const DEFAULT_INTERVAL: &str = "0-1e9";
 
 /// A function of the C library that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,34 +43,35 @@
     Accepted = 2,
 }
 
-/// What happens to a call.
+/// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error number.
+    /// The call fails with this error number.
     Error(c_int),
-    /// It transfers one byte at most.
+    /// The call transfers at most one byte.
     Short,
-    /// It transfers five bytes once, and nothing after that.
+    /// The first call on a descriptor transfers at most five bytes, and later calls fail with `EAGAIN`.
     Stall,
-    /// The wall clock is off by this many seconds.
+    /// The wall clock is stepped by this many seconds.
     Step(i64),
 }
 
-/// Which calls a fault applies to.
+/// A fault and the calls to which it applies.
 #[derive(Debug)]
 struct PlannedFault {
     call: Call,
-    /// Only descriptors of this kind; all if there is none.
+    /// The kind of descriptors to which the fault applies; all if `None`.
     kind: Option<Kind>,
     fault: Fault,
-    /// Every how many calls the fault happens.
+    /// The fault happens at every n-th call.
     every: u64,
-    /// The probability with which the fault happens, instead of `every`.
+    /// The probability of the fault in percent; replaces `every`.
     percent: Option<f64>,
-    /// In which time since the program's start, in seconds.
+    /// When the fault begins, in seconds since the program's start.
     from_s: f64,
+    /// When the fault ends, in seconds since the program's start.
     to_s: f64,
-    /// Calls that the fault applied to so far.
+    /// The number of calls so far to which the fault applied, without those decided by `percent`.
     calls: AtomicU64,
 }
 
@@ -79,15 +80,15 @@
     faults: Vec<PlannedFault>,
     random: Mutex<Pcg64Mcg>,
     start_s: f64,
-    /// By descriptor.
+    /// The [`Kind`] of each descriptor.
     kinds: Vec<AtomicU8>,
-    /// By descriptor: 1 once it has stalled.
+    /// For each descriptor, 1 once it has stalled.
     stalled: Vec<AtomicU8>,
 }
 
 static PLAN: LazyLock<Plan> = LazyLock::new(Plan::from_environment);
 
-/// The plan in force.
+/// The plan of this process.
 pub fn plan() -> &'static Plan {
     &PLAN
 }
@@ -99,11 +100,13 @@
             std::env::var("SHOREWHARF_FAULTS_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
         let faults = text.split(';').filter(|fault| !fault.is_empty()).map(|fault| {
             parse(fault).unwrap_or_else(|| {
-                eprintln!("SHOREWHARF_FAULTS: can't read '{fault}'");
-                std::process::exit(BAD_PLAN)
+                eprintln!(
+                    "SHOREWHARF_FAULTS: '{fault}' is not of the form CALL[:KIND]=FAULT[/EVERY][%PERCENT][@FROM-TO]"
+                );
+                std::process::exit(INVALID_PLAN_EXIT_CODE)
             })
         });
-        let per_descriptor = || (0..DESCRIPTORS).map(|_| AtomicU8::new(0)).collect();
+        let per_descriptor = || (0..MAX_DESCRIPTORS).map(|_| AtomicU8::new(0)).collect();
         Plan {
             faults: faults.collect(),
             random: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Records how a descriptor was opened.
+    /// Records how a descriptor was opened, and marks it as not stalled.
     pub fn record_kind(&self, fd: c_int, kind: Kind) {
         let index = fd as usize;
         if let (Some(recorded), Some(stalled)) = (self.kinds.get(index), self.stalled.get(index)) {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Marks a descriptor as stalled, and returns whether it was before.
+    /// Marks a descriptor as stalled, and returns whether it was stalled before.
     pub fn mark_stalled(&self, fd: c_int) -> bool {
         self.stalled.get(fd as usize).is_some_and(|stalled| stalled.swap(1, Ordering::Relaxed) == 1)
     }
@@ -137,7 +140,7 @@
         applicable.find(|planned| self.happens(planned)).map(|planned| planned.fault)
     }
 
-    /// How many seconds the wall clock is off.
+    /// The sum of the wall clock's steps so far, in seconds.
     pub fn clock_step(&self) -> i64 {
         let now_s = monotonic_seconds() - self.start_s;
         let steps =
@@ -149,14 +152,14 @@
         steps.filter_map(seconds).sum()
     }
 
-    /// Whether a fault that applies to a call happens at this one.
+    /// Whether a fault that applies to the present call happens at it.
     fn happens(&self, planned: &PlannedFault) -> bool {
         let now_s = monotonic_seconds() - self.start_s;
         if now_s < planned.from_s || now_s >= planned.to_s {
             return false;
         }
         if let Some(percent) = planned.percent {
-            // A poisoned lock means that this process is panicking already.
+            // The lock is poisoned only if another thread has panicked.
             let Ok(mut random) = self.random.lock() else { return false };
             return random.random_range(0.0..100.0) < percent;
         }
@@ -164,7 +167,7 @@
     }
 }
 
-/// Reads `CALL[:KIND]=FAULT[/EVERY][%PERCENT][@FROM-TO]`.
+/// Parses `CALL[:KIND]=FAULT[/EVERY][%PERCENT][@FROM-TO]`; `None` if the text has another form.
 fn parse(text: &str) -> Option<PlannedFault> {
     let (call, fault) = text.split_once('=')?;
     let (call, kind) = match call.split_once(':') {
@@ -174,8 +177,8 @@
         None => (call, None),
     };
     let call = parse_call(call)?;
-    let (fault, span) = fault.split_once('@').unwrap_or((fault, ALWAYS));
-    let (from_s, to_s) = span.split_once('-')?;
+    let (fault, interval) = fault.split_once('@').unwrap_or((fault, DEFAULT_INTERVAL));
+    let (from_s, to_s) = interval.split_once('-')?;
     let (fault, percent) = match fault.split_once('%') {
         Some((fault, percent)) => (fault, Some(percent.parse().ok()?)),
         None => (fault, None),
