--- a/crates/rolling-restart/src/cli.rs
+++ b/crates/rolling-restart/src/cli.rs
@@ -6,36 +6,36 @@
 use clap::Parser;
 use thiserror::Error;
 
-/// The longest time that an option may give, in seconds: a day.
+/// The longest time that an option accepts, in seconds: one day.
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// Restarts balancers one after the other; each is to be back and knowing before the next goes
+/// Restarts balancers one after the other; each must have recovered before the next one is restarted
 #[derive(Parser)]
 #[command(
     name = "shorewharf-rolling-restart",
     version,
     after_help = "\
 Exit codes:
-  0  all are restarted, back and knowing
-  1  it stopped at the first sign of trouble; the table says where, why, and what is left
-  2  the command line can't be used; nothing was done"
+  0  all balancers were restarted and have recovered
+  1  the restart stopped at a balancer; the table shows which, why, and which were not restarted
+  2  the command line is invalid; nothing was restarted"
 )]
 pub struct Cli {
-    /// The command that restarts one and returns once that is done; {} stands for its name
+    /// Shell command that restarts a balancer and returns when the restart is done; {} is replaced by its name
     #[arg(long, value_name = "COMMAND")]
     pub restart: String,
-    /// Seconds within which one is to be back and knowing
+    /// Seconds within which a restarted balancer must have recovered
     #[arg(long, default_value_t = 30.0, value_parser = parse_seconds)]
     pub within: f64,
-    /// Seconds for which it is to stay so
+    /// Seconds for which a balancer must stay recovered before the next one is restarted
     #[arg(long, default_value_t = 2.0, value_parser = parse_seconds)]
     pub settle: f64,
-    /// The balancers in their order, each with the address at which operators call it
+    /// The balancers in the order of their restarts, each with its operator address
     #[arg(required = true, value_name = "NAME=ADDRESS:PORT")]
     pub balancers: Vec<Balancer>,
 }
 
-/// A balancer and its operators' address.
+/// A balancer and its operator address.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub name: String,
@@ -47,13 +47,13 @@
 pub enum ArgumentError {
     #[error("not a number")]
     NotANumber,
-    #[error("not from 0 to {MAX_SECONDS}")]
+    #[error("must be from 0 to {MAX_SECONDS}")]
     OutOfRange,
-    #[error("it needs NAME=ADDRESS:PORT")]
+    #[error("must have the form NAME=ADDRESS:PORT")]
     NoAddress,
-    #[error("a name is of letters, digits and -_.@")]
+    #[error("the name must consist of letters, digits and -_.@")]
     InvalidName,
-    #[error("'{0}' is no ADDRESS:PORT")]
+    #[error("'{0}' is not of the form ADDRESS:PORT")]
     InvalidAddress(String),
 }
 
@@ -69,7 +69,7 @@
     type Err = ArgumentError;
     fn from_str(text: &str) -> Result<Self, ArgumentError> {
         let (name, address) = text.split_once('=').ok_or(ArgumentError::NoAddress)?;
-        // The name becomes part of a shell command.
+        // The name becomes part of a shell command, so it must not contain characters that the shell interprets.
         let is_safe = |c: char| c.is_ascii_alphanumeric() || "-_.@".contains(c);
         if name.is_empty() || !name.chars().all(is_safe) {
             return Err(ArgumentError::InvalidName);
--- a/crates/rolling-restart/src/lib.rs
+++ b/crates/rolling-restart/src/lib.rs
@@ -1,6 +1,6 @@
 //! Rolling restarts of a fleet of balancers: each balancer must have recovered before the next one is restarted.
 //!
-//! This crate only decides. A [`Fleet`] restarts the balancers and reports their status.
+//! This library only decides which balancer is restarted next. A [`Fleet`] restarts the balancers and reports their status.
 
 use std::error::Error;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     pub is_ready: bool,
     /// Servers in its endpoint list.
     pub servers: u64,
-    /// Servers of the list that it avoids.
+    /// Servers of the list to which it sends no requests.
     pub avoided_servers: u64,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The balancers, by their number.
+/// The balancers of a fleet, numbered from 0.
 pub trait Fleet {
     /// Why a balancer can't be restarted or does not report its status.
     type Error: Error;
@@ -34,25 +34,25 @@
     /// Restarts a balancer and waits until the restart is done.
     ///
     /// # Errors
-    /// If the restart failed.
+    /// Returns an error if the restart fails.
     fn restart(&mut self, balancer: usize) -> Result<(), Self::Error>;
 
-    /// The status of a balancer.
+    /// Requests the status of a balancer.
     ///
     /// # Errors
-    /// If the balancer does not report it.
+    /// Returns an error if the balancer does not report it.
     fn status(&mut self, balancer: usize) -> Result<BalancerStatus, Self::Error>;
 
-    /// Waits before the next poll of a status, and returns how long.
+    /// Waits until the next poll of a status, and returns the time that it waited.
     fn wait(&mut self) -> Duration;
 }
 
 /// When a balancer counts as recovered.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryPolicy {
-    /// The time within which a balancer must have recovered.
+    /// The time within which a balancer must have recovered after its restart.
     pub timeout: Duration,
-    /// The time for which it must stay so.
+    /// The time for which it must then stay recovered.
     pub stable_for: Duration,
 }
 
@@ -62,59 +62,59 @@
     /// The balancer can't be restarted, or does not report its status before a restart.
     #[error("{0}")]
     Failed(E),
-    /// It does not accept clients though it was not restarted.
-    #[error("it does not take clients")]
+    /// The balancer does not accept clients, and was not restarted yet.
+    #[error("the balancer does not accept clients")]
     NotReady,
-    /// It does not accept clients after its restart.
-    #[error("it does not take clients after {} s", .timeout.as_secs_f64())]
+    /// The balancer does not accept clients at the end of the time-out after its restart.
+    #[error("the balancer does not accept clients {} s after its restart", .timeout.as_secs_f64())]
     NotReadyInTime {
-        /// The time it had.
+        /// The time-out.
         timeout: Duration,
     },
-    /// It knows too few servers after its restart, or avoids too many.
+    /// The balancer knows too few servers at the end of the time-out after its restart, or avoids too many.
     #[error(
-        "after {} s it knows {} servers, {} of them avoided, and knew {} before",
+        "{} s after its restart the balancer knows {} servers and avoids {} of them; it knew {} before",
         .timeout.as_secs_f64(), .after.servers, .after.avoided_servers, .before.servers
     )]
     NotRecovered {
-        /// The time it had.
+        /// The time-out.
         timeout: Duration,
-        /// Its status before the restart.
+        /// The status before the restart.
         before: BalancerStatus,
-        /// Its last status.
+        /// The last status.
         after: BalancerStatus,
     },
-    /// It does not report its status after its restart.
-    #[error("after {} s: {error}", .timeout.as_secs_f64())]
+    /// The balancer does not report its status at the end of the time-out after its restart.
+    #[error("no status {} s after the restart: {error}", .timeout.as_secs_f64())]
     NoStatus {
-        /// The time it had.
+        /// The time-out.
         timeout: Duration,
         /// Why there is no status.
         error: E,
     },
 }
 
-/// Where a rolling restart stopped.
+/// The balancer at which a rolling restart stopped, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stop<E: Error> {
-    /// The balancer.
+    /// The balancer's number.
     pub balancer: usize,
-    /// The cause.
+    /// Why the rolling restart stopped.
     pub cause: StopCause<E>,
 }
 
 /// The outcome of a rolling restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestartReport<E: Error> {
-    /// Balancers that were restarted and have recovered, in this order.
+    /// The balancers that were restarted and have recovered, in the order of their restarts.
     pub restarted: Vec<usize>,
-    /// Where it stopped; `None` if all were restarted.
+    /// Where and why it stopped; `None` if all were restarted.
     pub stopped: Option<Stop<E>>,
-    /// Balancers that were not restarted.
+    /// The balancers that were not restarted.
     pub remaining: Vec<usize>,
 }
 
-/// Restarts the balancers one after the other, until one does not recover.
+/// Restarts the balancers one after the other, and stops at the first one that does not recover.
 pub fn rolling_restart<F: Fleet>(
     fleet: &mut F,
     balancers: usize,
@@ -123,7 +123,7 @@
     let mut report =
         RestartReport { restarted: Vec::new(), stopped: None, remaining: (0..balancers).collect() };
     while let Some(next) = report.remaining.first().copied() {
-        // None is restarted while another one is not ready: the rest would carry the load of both.
+        // No balancer is restarted while another one is not ready: the remaining ones would carry the load of both.
         let before = match all_ready(fleet, balancers) {
             Ok(statuses) => statuses[next],
             Err(stop) => {
@@ -141,7 +141,7 @@
     report
 }
 
-/// The statuses of all balancers, if all are ready.
+/// Returns the statuses of all balancers if all are ready.
 fn all_ready<F: Fleet>(fleet: &mut F, balancers: usize) -> Result<Vec<BalancerStatus>, Stop<F::Error>> {
     let mut statuses = Vec::with_capacity(balancers);
     for balancer in 0..balancers {
@@ -154,7 +154,7 @@
     Ok(statuses)
 }
 
-/// Restarts a balancer and waits until it has recovered and has stayed so.
+/// Restarts a balancer and waits until it has recovered and stayed recovered for [`RecoveryPolicy::stable_for`].
 fn restart_one<F: Fleet>(
     fleet: &mut F,
     balancer: usize,
@@ -174,7 +174,7 @@
         } else {
             recovered_at = None;
         }
-        // A balancer that recovers just in time still gets the time to stay so.
+        // A balancer that has recovered before the time-out may complete its stable time after it.
         if waited >= policy.timeout && recovered_at.is_none() {
             return Err(timeout_cause(status, before, policy.timeout));
         }
--- a/crates/rolling-restart/src/main.rs
+++ b/crates/rolling-restart/src/main.rs
@@ -1,4 +1,4 @@
-//! `shorewharf-rolling-restart`: restarts balancers one after the other, by a command of the operator's.
+//! `shorewharf-rolling-restart`: restarts balancers one after the other with a command that the operator gives.
 
 mod cli;
 mod operated;
@@ -26,19 +26,19 @@
     ExitCode::from(u8::from(report.stopped.is_some()))
 }
 
-/// The state of each balancer after the rolling restart.
+/// A table with the state of each balancer after the rolling restart.
 fn report_table(report: &RestartReport<OperatorError>, names: &[String]) -> Table {
     let mut table = Table::new();
     table.set_header(["balancer", "state"]);
     for balancer in &report.restarted {
-        table.add_row([names[*balancer].as_str(), "restarted, back and knowing"]);
+        table.add_row([names[*balancer].as_str(), "restarted and recovered"]);
     }
     let stopped_at = report.stopped.as_ref().map(|stop| stop.balancer);
     if let Some(stop) = &report.stopped {
-        table.add_row([names[stop.balancer].as_str(), &format!("stopped here: {}", stop.cause)]);
+        table.add_row([names[stop.balancer].as_str(), &format!("stopped: {}", stop.cause)]);
     }
     for balancer in report.remaining.iter().filter(|balancer| Some(**balancer) != stopped_at) {
-        table.add_row([names[*balancer].as_str(), "left as it was"]);
+        table.add_row([names[*balancer].as_str(), "not restarted"]);
     }
     table
 }
--- a/crates/rolling-restart/src/operated.rs
+++ b/crates/rolling-restart/src/operated.rs
@@ -1,4 +1,5 @@
-//! A fleet that is restarted by the operator's command and reports its status at the operators' addresses.
+//! A fleet that is restarted by the operator's command and whose status is requested from the balancers' operator
+//! addresses.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,35 +11,35 @@
 
 use crate::cli::Balancer;
 
-/// The time-out of an operator's call: answers are due within a second, but a machine that is starting a program may be
-/// slow.
+/// The time-out of an operator request. Balancers answer within a second, but a machine that is starting a program may
+/// be slow.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// The time between two polls of a status.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The most bytes of an answer.
+/// The most bytes of an answer that are read.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// Why a balancer can't be restarted or does not report its status.
 #[derive(Debug, Error)]
 pub enum OperatorError {
     /// The restart command can't be started.
-    #[error("'{command}': {error}")]
+    #[error("the restart command '{command}' can't be started: {error}")]
     Command { command: String, error: io::Error },
     /// The restart command failed.
-    #[error("'{command}': {status}")]
+    #[error("the restart command '{command}' failed: {status}")]
     CommandFailed { command: String, status: ExitStatus },
-    /// An operator's call failed.
-    #[error("{request} at {address}: {error}")]
+    /// An operator request failed.
+    #[error("request '{request}' to {address} failed: {error}")]
     Call { request: &'static str, address: SocketAddr, error: io::Error },
-    /// The balancer's figures lack those about servers.
-    #[error("telemetry at {address}: no svc.targets and svc.targets_disabled in the answer")]
-    MissingFigures { address: SocketAddr },
+    /// The balancer's telemetry lacks the metrics about servers.
+    #[error("the telemetry of {address} lacks svc.targets or svc.targets_disabled")]
+    MissingMetrics { address: SocketAddr },
 }
 
 /// Balancers under an operator's control.
 pub struct OperatedFleet {
     pub balancers: Vec<Balancer>,
-    /// The command that restarts a balancer; `{}` stands for its name.
+    /// The shell command that restarts a balancer; `{}` is replaced by the balancer's name.
     pub restart_command: String,
 }
 
@@ -59,11 +60,11 @@
     fn status(&mut self, balancer: usize) -> Result<BalancerStatus, OperatorError> {
         let address = self.balancers[balancer].address;
         let is_ready = call(address, "readyz")?.starts_with("YES");
-        let figures = call(address, "telemetry")?;
-        let servers = figure(&figures, "targets");
-        let avoided_servers = figure(&figures, "targets_disabled");
+        let telemetry = call(address, "telemetry")?;
+        let servers = metric(&telemetry, "targets");
+        let avoided_servers = metric(&telemetry, "targets_disabled");
         let (Some(servers), Some(avoided_servers)) = (servers, avoided_servers) else {
-            return Err(OperatorError::MissingFigures { address });
+            return Err(OperatorError::MissingMetrics { address });
         };
         Ok(BalancerStatus { is_ready, servers, avoided_servers })
     }
@@ -74,7 +75,7 @@
     }
 }
 
-/// The answer to an operator's call.
+/// Sends an operator request and returns the answer.
 fn call(address: SocketAddr, request: &'static str) -> Result<String, OperatorError> {
     let exchange = || -> io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
@@ -87,8 +88,8 @@
     exchange().map_err(|error| OperatorError::Call { request, address, error })
 }
 
-/// A figure in the lines `svc.NAME:VALUE|…` of a balancer's telemetry.
-fn figure(telemetry: &str, name: &str) -> Option<u64> {
+/// The value of a metric in the lines `svc.NAME:VALUE|…` of a balancer's telemetry.
+fn metric(telemetry: &str, name: &str) -> Option<u64> {
     let prefix = format!("svc.{name}:");
     telemetry.lines().find_map(|line| line.strip_prefix(&prefix)?.split('|').next()?.parse().ok())
 }
