--- a/crates/fault-scenarios/src/error.rs
+++ b/crates/fault-scenarios/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of a scenario's file.
+//! Errors in a scenario's file.
 
 use thiserror::Error;
 
 /// What is wrong with a scenario's file.
 #[derive(Debug, Error, PartialEq)]
 pub enum ScenarioError {
-    /// The text is not TOML, or a key is unknown, missing or of another type; with line and column.
+    /// The text is not valid TOML, or a key is unknown, missing or of the wrong type. The message has the line and column.
     #[error("{0}")]
     Syntax(String),
     /// A key has a value that is not allowed.
@@ -24,10 +24,10 @@
     }
 }
 
-/// Checks that a value is from 0 to `maximum`.
+/// Checks that the value of a key is from 0 to `maximum`.
 pub(crate) fn check_range(key: impl Into<String>, value: f64, maximum: f64) -> Result<(), ScenarioError> {
     if !(0.0..=maximum).contains(&value) {
-        return Err(ScenarioError::invalid(key, format!("must be from 0 to {maximum}, is {value}")));
+        return Err(ScenarioError::invalid(key, format!("must be from 0 to {maximum}, but is {value}")));
     }
     Ok(())
 }
--- a/crates/fault-scenarios/src/evaluate.rs
+++ b/crates/fault-scenarios/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! Compares what was observed at the stubs with the expectations. What a balancer says of itself does not count.
+//! Compares what was observed at the stubs with the expectations. What balancers report about themselves is not used.
 
 use shorewharf_emulator::audit::Verdict as AuditVerdict;
 use shorewharf_emulator::sockets::network_faults::NetworkFault;
@@ -9,7 +9,7 @@
 use crate::rules::evaluate_rules;
 use crate::verdict::Verdict;
 
-/// Rounding errors of a step's end, in seconds.
+/// The tolerance for rounding errors in the end of a step, in seconds.
 const STEP_TOLERANCE_S: f64 = 1e-9;
 
 /// The lengths, in seconds, of the windows in which a rate of setups is bounded, besides a single slot.
@@ -20,7 +20,7 @@
 pub struct WeightedRequests {
     /// All requests.
     pub requested: f64,
-    /// Those that were served.
+    /// The requests that were served.
     pub served: f64,
 }
 
@@ -35,23 +35,24 @@
     pub weighted_requests: &'a [WeightedRequests],
     /// The length of a step, in seconds.
     pub step_s: f64,
-    /// The nodes second by second.
+    /// The samples of each node, one per second.
     pub nodes: &'a [NodeSeries],
-    /// The setups at each node in each slot.
+    /// The number of setups in each slot, by node.
     pub setups: &'a [Vec<u32>],
     /// The tenants' names.
     pub tenants: &'a [String],
-    /// The most connections of each tenant in each second.
+    /// The most connections in each second, by tenant.
     pub max_connections: &'a [Vec<f64>],
     /// The length of a slot, in seconds.
     pub slot_s: f64,
-    /// The processes that ended by themselves, and how.
+    /// The processes that exited unexpectedly, and how.
     pub crashes: Vec<String>,
     /// The faults that were injected.
     pub faults: &'a [NetworkFault],
 }
 
-/// Compares observations with expectations. The verdicts are in the order in which people should read them.
+/// Compares observations with expectations. The verdicts are in the order in which they are shown: processes and rules
+/// first, then service and load.
 pub fn evaluate(expectations: &Expectations, observations: &Observations<'_>) -> Vec<Verdict> {
     let mut verdicts = vec![evaluate_processes(observations)];
     if expectations.rules {
@@ -60,7 +61,7 @@
     if let Some(min) = expectations.min_served {
         let is_met = observations.served >= min;
         let observed = format!("{:.3}", observations.served);
-        verdicts.push(Verdict::new("served", is_met, observed, format!("{min} at least")));
+        verdicts.push(Verdict::new("served", is_met, observed, format!("at least {min}")));
     }
     verdicts.extend(expectations.served_within.iter().map(|bound| evaluate_served(bound, observations)));
     verdicts.extend(evaluate_load(expectations, observations));
@@ -73,15 +74,15 @@
 fn evaluate_processes(observations: &Observations<'_>) -> Verdict {
     let crashes = &observations.crashes;
     let observed = if crashes.is_empty() { "none".to_owned() } else { crashes.join("; ") };
-    Verdict::new("processes", crashes.is_empty(), observed, "none ends by itself")
+    Verdict::new("processes", crashes.is_empty(), observed, "no unexpected exit")
 }
 
 fn evaluate_served(bound: &ServedBound, observations: &Observations<'_>) -> Verdict {
     let share = served_share(observations, bound.from_s, bound.to_s);
     let expectation = format!("served from {} to {} s", bound.from_s, bound.to_s);
     let is_met = share.is_some_and(|share| share >= bound.min);
-    let observed = share.map_or("nobody asked".to_owned(), |share| format!("{share:.3}"));
-    Verdict::new(&expectation, is_met, observed, format!("{} at least", bound.min))
+    let observed = share.map_or("no requests".to_owned(), |share| format!("{share:.3}"));
+    Verdict::new(&expectation, is_met, observed, format!("at least {}", bound.min))
 }
 
 /// The share served of what was requested in a part of the day; `None` if nothing was requested.
@@ -98,9 +99,9 @@
     (requested > 0.0).then(|| served / requested)
 }
 
-/// A window in which setups exceeded their rate the most.
+/// A window of slots and its setups.
 struct SetupWindow {
-    /// Setups above the allowed number; negative if there were less.
+    /// By how many the setups exceed the allowed number; negative if there are fewer.
     excess: f64,
     setups: f64,
     length_s: f64,
@@ -108,16 +109,16 @@
 }
 
 fn evaluate_setup_rate(bound: RateBound, observations: &Observations<'_>) -> Verdict {
-    let expected = format!("{} a second and {} over at most", bound.per_second, bound.burst);
+    let expected = format!("at most {} per second plus a burst of {}", bound.per_second, bound.burst);
     let Some(worst) = worst_setup_window(bound, observations) else {
-        return Verdict::new("set_ups_within", false, "nobody came", expected);
+        return Verdict::new("set_ups_within", false, "no setups", expected);
     };
     let SetupWindow { excess, setups, length_s, begin_s } = worst;
-    let observed = format!("{setups:.0} in {length_s:.1} s from {begin_s:.1} s on");
+    let observed = format!("{setups:.0} in the {length_s:.1} s from {begin_s:.1} s");
     Verdict::new("set_ups_within", excess <= 0.0, observed, expected)
 }
 
-/// The worst window of all lengths; `None` if the bound holds for none.
+/// The window of any length with the greatest excess of setups; `None` if no window begins after the bound's start.
 fn worst_setup_window(bound: RateBound, observations: &Observations<'_>) -> Option<SetupWindow> {
     let slot_s = observations.slot_s;
     let slots: Vec<f64> =
@@ -142,9 +143,9 @@
 
 fn evaluate_connections(bound: &ConnectionBound, observations: &Observations<'_>) -> Verdict {
     let expectation = format!("holds_most {}", bound.tenant);
-    let expected = format!("{} at most", bound.max);
+    let expected = format!("at most {}", bound.max);
     let Some(tenant) = observations.tenants.iter().position(|tenant| *tenant == bound.tenant) else {
-        return Verdict::new(&expectation, false, "no such tenant", expected);
+        return Verdict::new(&expectation, false, "the day has no such tenant", expected);
     };
     let seconds = observations.max_connections.iter().enumerate();
     let counted = seconds.filter(|(second, _)| *second as f64 >= bound.from_s);
@@ -161,16 +162,16 @@
     /// Whether the bound is a maximum rather than a minimum.
     is_maximum: bool,
     worst: Option<WorstInterval>,
-    /// The time of the worst interval, as text.
+    /// Formats the time of the worst interval.
     time: fn(f64) -> String,
 }
 
 impl LoadBound<'_> {
     fn evaluate(&self) -> Verdict {
         let side = if self.is_maximum { "most" } else { "least" };
-        let expected = format!("{} at {side}", self.bound);
+        let expected = format!("at {side} {}", self.bound);
         let Some(worst) = self.worst else {
-            return Verdict::new(self.key, false, "no node took clients all the time", expected);
+            return Verdict::new(self.key, false, "no node accepted clients for a whole window", expected);
         };
         let is_met = if self.is_maximum { worst.value <= self.bound } else { worst.value >= self.bound };
         let observed = format!("{:.2} (node {}, {})", worst.value, worst.node, (self.time)(worst.at_s));
@@ -189,7 +190,7 @@
     add("load_most", expectations.max_load, true, measured.max_load, window_end);
     add("over_mean_most", expectations.max_over_mean, true, measured.max_over_mean, window_end);
     add("under_mean_least", expectations.min_under_mean, false, measured.min_under_mean, window_end);
-    // Without setups there is no burst.
+    // Without setups, the worst burst is the default of 0.
     let burst = worst_setup_burst(observations.setups, observations.slot_s).unwrap_or_default();
     add("set_ups_most", expectations.max_setup_burst, true, Some(burst), slot_begin);
     bounds.iter().map(LoadBound::evaluate).collect()
--- a/crates/fault-scenarios/src/expectations.rs
+++ b/crates/fault-scenarios/src/expectations.rs
@@ -1,47 +1,48 @@
-//! What must hold in a scenario.
+//! The expectations of a scenario.
 
 use serde::Deserialize;
 
 use crate::error::{ScenarioError, check_range};
 
-/// The shortest window of a mean: loads are sampled once a second.
+/// The shortest window over which loads are averaged, since they are sampled once a second.
 const MIN_WINDOW_S: f64 = 1.0;
 
-/// What must hold. In every scenario, no process may end by itself.
+/// What must hold in a scenario. Independently of these, no process may exit unexpectedly in any scenario.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expectations {
-    /// No rule of the platform is broken, and no connection lost. What an injected fault explains is excused.
+    /// Whether no rule of the platform may be broken and no connection lost, except for violations that an injected fault
+    /// explains.
     pub rules: bool,
-    /// The least share of the day's requests, weighted by priority, that is served.
+    /// The minimum share of the day's requests, weighted by priority, that is served.
     #[serde(rename = "served")]
     pub min_served: Option<f64>,
-    /// The same within parts of the day.
+    /// Minimum shares of requests that are served within parts of the day.
     pub served_within: Vec<ServedBound>,
-    /// The largest load over capacity of a node that accepts clients, over `window_s`.
+    /// The maximum ratio of load to capacity of a node that accepts clients, averaged over `window_s`.
     #[serde(rename = "load_most")]
     pub max_load: Option<f64>,
-    /// The largest multiple of the mean load that a node has, over `window_s`.
+    /// The maximum ratio of a node's load to the mean load, averaged over `window_s`.
     #[serde(rename = "over_mean_most")]
     pub max_over_mean: Option<f64>,
-    /// The least part of the mean load that a node has, over `idle_s`.
+    /// The minimum ratio of a node's load to the mean load, averaged over `idle_s`.
     #[serde(rename = "under_mean_least")]
     pub min_under_mean: Option<f64>,
-    /// The largest multiple of an even share of all setups that a node gets in a fifth of a second; a share is at least one.
+    /// The maximum ratio of a node's setups in a slot (0.2 s) to an even share of all setups; a share is at least one.
     #[serde(rename = "set_ups_most")]
     pub max_setup_burst: Option<f64>,
-    /// The rate of the whole fleet's setups, in every fifth of a second, every second, every five and every twenty.
+    /// The maximum rate of the whole fleet's setups, in every slot (0.2 s) and every window of 1, 5 and 20 s.
     #[serde(rename = "set_ups_within")]
     pub setup_rate: Option<RateBound>,
-    /// The most connections of tenants over the whole fleet, at any time.
+    /// Maximum numbers of connections of tenants over the whole fleet, at any time.
     #[serde(rename = "holds_most")]
     pub max_connections: Vec<ConnectionBound>,
-    /// When the day has settled: bounds of loads hold only then.
+    /// The parts of the day in which loads have settled; bounds of loads hold only there.
     #[serde(rename = "settled_s")]
     pub settled: Vec<Interval>,
     /// The window over which loads are averaged, in seconds.
     pub window_s: f64,
-    /// A node may be idle for less than this, in seconds.
+    /// The window over which loads are averaged for `under_mean_least`, in seconds: a node may be idle for less than this.
     pub idle_s: f64,
 }
 
@@ -68,9 +69,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(from = "(f64, f64)")]
 pub struct Interval {
-    /// Its begin.
+    /// Its begin, in seconds of the day.
     pub from_s: f64,
-    /// Its end.
+    /// Its end, in seconds of the day.
     pub to_s: f64,
 }
 
@@ -84,10 +85,10 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RateBound {
-    /// Events a second.
+    /// The maximum number of events per second.
     #[serde(rename = "per_s")]
     pub per_second: f64,
-    /// Events besides, which were saved up or on their way.
+    /// The number of events allowed in addition in each window: saved-up allowances and events already under way.
     #[serde(rename = "over")]
     pub burst: f64,
     /// The second of the day from which the bound holds.
@@ -101,7 +102,7 @@
 pub struct ConnectionBound {
     /// The tenant's name.
     pub tenant: String,
-    /// The most connections.
+    /// The maximum number of connections.
     #[serde(rename = "most")]
     pub max: f64,
     /// The second of the day from which the bound holds.
@@ -117,7 +118,7 @@
     pub from_s: f64,
     /// Its end, in seconds.
     pub to_s: f64,
-    /// The least share.
+    /// The minimum share that is served.
     #[serde(rename = "least")]
     pub min: f64,
 }
@@ -140,11 +141,11 @@
         let bounds_load =
             [self.max_load, self.max_over_mean, self.min_under_mean].iter().any(Option::is_some);
         if bounds_load && self.settled.is_empty() {
-            let cause = "is missing: when has the load to be even?";
+            let cause = "is missing, but the bounds of loads hold only in these parts of the day";
             return Err(ScenarioError::invalid("promises.settled_s", cause));
         }
         if self.window_s < MIN_WINDOW_S || self.idle_s < MIN_WINDOW_S {
-            let cause = "and idle_s must be 1 s at least: loads are looked at once a second";
+            let cause = "and idle_s must be at least 1 s, since loads are sampled once a second";
             return Err(ScenarioError::invalid("promises.window_s", cause));
         }
         Ok(())
@@ -153,7 +154,7 @@
 
 fn check_interval(key: String, from_s: f64, to_s: f64) -> Result<(), ScenarioError> {
     if from_s >= to_s {
-        return Err(ScenarioError::invalid(key, "ends before it begins"));
+        return Err(ScenarioError::invalid(key, "must end after it begins"));
     }
     Ok(())
 }
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -7,9 +7,9 @@
 use crate::error::{ScenarioError, check_range};
 use crate::selection::Selection;
 
-/// The latest begin and the longest duration of a fault, in seconds.
+/// The latest begin and the longest duration that a fault may have, in seconds.
 const MAX_SECONDS: f64 = 1e6;
-/// The longest delay, in milliseconds.
+/// The longest delay that a fault may cause, in milliseconds.
 const MAX_DELAY_MS: f64 = 1e5;
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
@@ -26,31 +26,31 @@
     /// How long it lasts, in seconds.
     #[serde(rename = "len_s", default)]
     pub duration_s: f64,
-    /// By how much messages are delayed, in milliseconds.
+    /// The delay of messages, in milliseconds. Required for kinds that delay messages, not allowed for others.
     #[serde(rename = "by_ms")]
     pub delay_ms: Option<f64>,
     /// The affected balancers.
     #[serde(default)]
     pub balancers: Selection,
-    /// The nodes to which the balancers' connections are affected; all if left out.
+    /// The nodes whose connections with the balancers are affected; all if omitted.
     pub nodes: Option<Selection>,
-    /// The balancers to which gossip is affected; all if left out.
+    /// The peers whose gossip with the balancers is affected; all if omitted.
     #[serde(rename = "others")]
     pub gossip_peers: Option<Selection>,
 }
 
 impl InjectedFault {
-    /// When the fault begins, on the day's clock.
+    /// When the fault begins, in microseconds of the day.
     pub(crate) fn from(&self) -> Micros {
         micros_from_seconds(self.at_s)
     }
 
-    /// When the fault ends, on the day's clock.
+    /// When the fault ends, in microseconds of the day.
     pub(crate) fn to(&self) -> Micros {
         micros_from_seconds(self.at_s + self.duration_s)
     }
 
-    /// What breaks between the processes; `None` for a fault of the store.
+    /// The fault between processes that it injects; `None` for a fault of the store.
     pub(crate) fn network_fault(&self) -> Option<NetworkFaultKind> {
         let delay = micros_from_seconds(self.delay_ms.unwrap_or(0.0) / MILLISECONDS_PER_SECOND);
         Some(match self.kind {
@@ -71,32 +71,32 @@
         })
     }
 
-    /// Checks the values, given what the balancers of the scenario share.
-    pub(crate) fn check(&self, index: usize, shared: Shared) -> Result<(), ScenarioError> {
+    /// Checks the values of the scenario's fault with this index, given what the balancers share.
+    pub(crate) fn check(&self, index: usize, shared: SharedFeatures) -> Result<(), ScenarioError> {
         let key = |name: &str| format!("breaks[{index}].{name}");
         let invalid = |name: &str, cause: &str| Err(ScenarioError::invalid(key(name), cause));
         check_range(key("at_s"), self.at_s, MAX_SECONDS)?;
         check_range(key("len_s"), self.duration_s, MAX_SECONDS)?;
         match self.delay_ms {
             Some(delay_ms) if self.kind.has_delay() => check_range(key("by_ms"), delay_ms, MAX_DELAY_MS)?,
-            None if self.kind.has_delay() => return invalid("by_ms", "is missing: how slow?"),
-            Some(_) => return invalid("by_ms", "says nothing for this kind"),
+            None if self.kind.has_delay() => return invalid("by_ms", "is missing: this kind needs a delay"),
+            Some(_) => return invalid("by_ms", "does not apply to this kind of fault"),
             None => {}
         }
         if self.kind.is_of_gossip() && !shared.gossip {
-            return invalid("what", "needs together = true: the balancers tell each other nothing");
+            return invalid("what", "needs together = true: the balancers don't gossip");
         }
         if self.gossip_peers.is_some() && !self.kind.is_of_gossip() {
-            return invalid("others", "says nothing for this kind");
+            return invalid("others", "does not apply to this kind of fault");
         }
         if self.nodes.is_some() && !self.kind.is_of_nodes() {
-            return invalid("nodes", "says nothing for this kind");
+            return invalid("nodes", "does not apply to this kind of fault");
         }
         if self.kind.is_of_store() && !shared.budgets {
-            return invalid("what", "needs [budgets]: there is no store");
+            return invalid("what", "needs [budgets]: the balancers use no store");
         }
         if self.duration_s == 0.0 && !self.kind.is_instantaneous() {
-            return invalid("len_s", "must be above 0");
+            return invalid("len_s", "must be greater than 0 for this kind of fault");
         }
         Ok(())
     }
@@ -104,10 +104,10 @@
 
 /// What the balancers of a scenario share.
 #[derive(Clone, Copy)]
-pub(crate) struct Shared {
-    /// They gossip.
+pub(crate) struct SharedFeatures {
+    /// Whether they gossip.
     pub(crate) gossip: bool,
-    /// They share budgets in a store.
+    /// Whether they share budgets in a store.
     pub(crate) budgets: bool,
 }
 
@@ -118,37 +118,37 @@
     /// New connections to nodes are refused; established ones stay.
     #[serde(rename = "refused")]
     ConnectionsRefused,
-    /// Connections to nodes are half open: nothing passes and nothing ends.
+    /// Connections to nodes are half open: no data passes and no connection is closed.
     #[serde(rename = "silent")]
     HalfOpen,
-    /// What nodes send is lost; what balancers send arrives.
+    /// Data that nodes send is lost; data that balancers send arrives.
     AnswersLost,
     /// Established connections are reset.
     #[serde(rename = "reset")]
     ConnectionsReset,
-    /// What nodes send is delayed.
+    /// Data that nodes send is delayed by `by_ms`.
     #[serde(rename = "slow")]
     AnswersDelayed,
-    /// What discovery sends is lost.
+    /// Data that discovery sends is lost.
     #[serde(rename = "news-lost")]
     EndpointListLost,
-    /// Gossip is lost.
+    /// Datagrams of gossip are lost.
     #[serde(rename = "notes-lost")]
     GossipLost,
-    /// Gossip arrives twice.
+    /// Datagrams of gossip arrive twice.
     #[serde(rename = "notes-doubled")]
     GossipDuplicated,
     /// Each datagram of gossip is delayed by up to `by_ms`.
     #[serde(rename = "notes-late")]
     GossipDelayed,
-    /// Balancers are stopped and continued.
+    /// Balancers' processes are stopped (SIGSTOP) and later continued.
     #[serde(rename = "stall")]
     ProcessStopped,
-    /// The store does not answer, and its connections stay open. Faults of the store begin and end at full seconds.
+    /// The store does not answer, and its connections stay open. Faults of the store begin and end at whole seconds.
     StoreSilent,
     /// The store closes every connection.
     StoreRefused,
-    /// The store does what is requested, and its answers are lost.
+    /// The store executes requests, and its answers are lost.
     StoreAnswersLost,
     /// The store loses all data, once.
     StoreEmptied,
@@ -201,7 +201,7 @@
         matches!(self, FaultKind::AnswersDelayed | FaultKind::GossipDelayed)
     }
 
-    /// Whether it happens at one moment rather than for some time.
+    /// Whether it happens at one moment and so needs no duration.
     fn is_instantaneous(self) -> bool {
         matches!(self, FaultKind::ConnectionsReset | FaultKind::StoreEmptied)
     }
@@ -212,10 +212,10 @@
 pub struct StoreFault {
     /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, on the day's clock.
+    /// When it begins, in microseconds of the day.
     pub from: Micros,
-    /// When it ends, on the day's clock.
+    /// When it ends, in microseconds of the day.
     pub to: Micros,
-    /// The affected balancers.
+    /// The indices of the affected balancers.
     pub balancers: Vec<u32>,
 }
--- a/crates/fault-scenarios/src/lib.rs
+++ b/crates/fault-scenarios/src/lib.rs
@@ -1,9 +1,10 @@
 //! Fault scenarios: many processes of the program on a day of the platform, the faults that are injected between them, and
-//! what must hold all the same.
+//! the expectations that must hold under these faults.
 //!
-//! [`Scenario::read`] reads a scenario's file, [`Scenario::network_faults`] and [`Scenario::store_faults`] select whom its
-//! faults affect, and [`evaluate`] compares what was observed at the stubs with the [`Expectations`]. [`LoadDistribution`]
-//! and [`worst_setup_burst`] measure how evenly nodes were used. Nothing here starts a process or reads a clock.
+//! [`Scenario::read`] reads a scenario's file, [`Scenario::network_faults`] and [`Scenario::store_faults`] resolve which
+//! processes its faults affect, and [`evaluate`] compares what was observed at the stubs with the [`Expectations`].
+//! [`LoadDistribution`] and [`worst_setup_burst`] measure how evenly nodes were used. This crate starts no process and reads
+//! no clock.
 
 mod error;
 mod evaluate;
--- a/crates/fault-scenarios/src/load_distribution.rs
+++ b/crates/fault-scenarios/src/load_distribution.rs
@@ -1,14 +1,14 @@
-//! How evenly nodes were used: loads over capacity and relative to the fleet's mean, and bursts of setups. The same
-//! measures serve scenarios with processes and days in virtual time.
+//! How evenly nodes were used: their loads relative to capacity and to the fleet's mean, and bursts of setups. Scenarios
+//! with processes and days in virtual time use the same measures.
 
 use shorewharf_emulator::world::series::NodeSeries;
 
 use crate::expectations::Expectations;
 
-/// The interval in which a measure was worst.
+/// The worst value of a measure, with its node and time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorstInterval {
-    /// The measure.
+    /// The worst value.
     pub value: f64,
     /// The node's index in the day.
     pub node: usize,
@@ -16,29 +16,29 @@
     pub at_s: f64,
 }
 
-/// Keeps the larger of two measures, the earlier of equal ones.
+/// Keeps the larger of two values; of equal values, the earlier one.
 fn keep_largest(worst: &mut Option<WorstInterval>, new: WorstInterval) {
     if worst.is_none_or(|worst| new.value > worst.value) {
         *worst = Some(new);
     }
 }
 
-/// Keeps the smaller of two measures, the earlier of equal ones.
+/// Keeps the smaller of two values; of equal values, the earlier one.
 fn keep_smallest(worst: &mut Option<WorstInterval>, new: WorstInterval) {
     if worst.is_none_or(|worst| new.value < worst.value) {
         *worst = Some(new);
     }
 }
 
-/// How evenly nodes were used while the day had settled. A measure is `None` if no node accepted clients for a whole
-/// window.
+/// How evenly nodes were used in the settled parts of the day. A measure is `None` if no node accepted clients for a whole
+/// window in them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadDistribution {
-    /// The largest load over capacity, averaged over a window.
+    /// The largest ratio of a node's load to its capacity, averaged over `window_s`.
     pub max_load: Option<WorstInterval>,
-    /// The largest multiple of the fleet's mean load, over a window.
+    /// The largest ratio of a node's load to the fleet's mean load, averaged over `window_s`.
     pub max_over_mean: Option<WorstInterval>,
-    /// The least part of the fleet's mean load, over the time for which a node may be idle.
+    /// The smallest ratio of a node's load to the fleet's mean load, averaged over `idle_s`.
     pub min_under_mean: Option<WorstInterval>,
 }
 
@@ -49,7 +49,8 @@
 }
 
 impl LoadDistribution {
-    /// Measures nodes second by second. Windows and settled parts of the day are the expectations'.
+    /// Measures the windows that end at each second. The expectations specify the lengths of windows and the settled parts
+    /// of the day.
     pub fn of(expectations: &Expectations, nodes: &[NodeSeries]) -> LoadDistribution {
         let window = expectations.window_s.round() as usize;
         let idle_window = expectations.idle_s.round() as usize;
@@ -75,7 +76,8 @@
     }
 }
 
-/// The loads of all nodes over the window that ends with a second; empty if the day had not settled in all of it.
+/// The loads of the nodes that accepted clients throughout the window that ends with a second; empty if the window is not
+/// within a settled part of the day.
 fn settled_loads(
     expectations: &Expectations,
     nodes: &[NodeSeries],
@@ -90,8 +92,8 @@
     nodes.iter().enumerate().filter_map(load).collect()
 }
 
-/// A node's load over capacity, averaged over the window that ends with a second; `None` if it rejected clients at some time
-/// of it.
+/// The ratio of a node's load to its capacity, averaged over the window that ends with a second; `None` if the node did not
+/// accept clients throughout the window.
 fn load_over_window(node: &NodeSeries, second: usize, window: usize) -> Option<f64> {
     let from = (second + 1).checked_sub(window)?;
     let accepts = node.takes.get(from..=second)?;
@@ -100,14 +102,14 @@
     accepts.iter().all(|accepts| *accepts).then_some(mean)
 }
 
-/// The mean load; above 0, since loads are divided by it.
+/// The mean load, at least the smallest positive number, since loads are divided by it.
 fn mean_load(loads: &[NodeLoad]) -> f64 {
     let sum = loads.iter().map(|node| node.load).sum::<f64>();
     f64::max(sum / loads.len().max(1) as f64, f64::MIN_POSITIVE)
 }
 
-/// The largest multiple of an even share of a slot's setups that one node got; `None` without setups. A share is at least one,
-/// since setups can't be divided.
+/// The largest ratio of a node's setups in a slot to an even share of the slot's setups; `None` without setups. A share is
+/// at least one, since setups can't be divided.
 pub fn worst_setup_burst(setups: &[Vec<u32>], slot_s: f64) -> Option<WorstInterval> {
     let mut worst = None;
     for (slot, by_node) in setups.iter().enumerate() {
--- a/crates/fault-scenarios/src/rules.rs
+++ b/crates/fault-scenarios/src/rules.rs
@@ -1,4 +1,4 @@
-//! Broken rules, without those that an injected fault explains.
+//! The verdict on the rules of the platform, without violations that an injected fault explains.
 
 use shorewharf_emulator::audit::{Reason, Rule, RuleViolation as Violation, Verdict as AuditVerdict};
 use shorewharf_emulator::sockets::network_faults::{NetworkFault, NetworkFaultKind};
@@ -6,8 +6,8 @@
 
 use crate::verdict::Verdict;
 
-/// How long after its end a fault still excuses: requests of that time are still being answered, and a line is late after a
-/// second.
+/// How long after its end a fault still excuses violations: requests sent during the fault are still being answered, and a
+/// line counts as late after a second.
 const EXCUSED_AFTER_END: Micros = 1_100_000;
 
 /// How long a balancer may take to notice that its endpoint list is out of date, and to request it again.
@@ -17,7 +17,7 @@
 pub(crate) fn evaluate_rules(audit: &AuditVerdict, faults: &[NetworkFault]) -> Verdict {
     let is_excused = |violation: &&Violation| faults.iter().any(|fault| explains(fault, violation));
     let unexcused: Vec<&Violation> = audit.breaks.iter().filter(|violation| !is_excused(violation)).collect();
-    // Only some violations of each reason are kept: if all of those are excused, so are the others.
+    // The auditor keeps only some violations of each reason. If all of those are excused, the others are excused too.
     let unexcused_reasons = audit
         .reasons
         .iter()
@@ -25,37 +25,37 @@
     let count: u64 = unexcused_reasons.map(|(_, count)| *count).sum();
     let observed = match unexcused.first() {
         None if audit.breaks.is_empty() => "kept".to_owned(),
-        None => "kept but for what was broken between".to_owned(),
+        None => "kept, except for violations that injected faults explain".to_owned(),
         Some(first) => format!(
-            "{count} broken; the first at {:.3} s by balancer {}: {}",
+            "{count} violations; the first at {:.3} s by balancer {}: {}",
             seconds_from_micros(first.at),
             first.balancer,
             first.reason.text()
         ),
     };
-    Verdict::new("rules", unexcused.is_empty(), observed, "none broken, no connection lost")
+    Verdict::new("rules", unexcused.is_empty(), observed, "no rule broken, no connection lost")
 }
 
-/// Whether an injected fault, and not the balancer, is why a rule looks broken.
+/// Whether a violation is the effect of an injected fault and not of the balancer.
 fn explains(fault: &NetworkFault, violation: &Violation) -> bool {
     let is_affected = fault.balancers.iter().any(|balancer| balancer.0 == violation.balancer);
-    let is_between = |extra: Micros| is_affected && (fault.from..=fault.to + extra).contains(&violation.at);
+    let is_during = |extra: Micros| is_affected && (fault.from..=fault.to + extra).contains(&violation.at);
     match fault.what {
-        // A stopped process can't answer. What it sends once it continues is its own fault.
+        // A stopped process can't answer. For the content of what it sends after it continues, the balancer is responsible.
         NetworkFaultKind::Stall => {
-            let is_of_silence =
+            let is_of_missing_answer =
                 matches!(violation.reason.rule(), Rule::NoRequestDropped | Rule::NoConnectionLost);
-            is_between(EXCUSED_AFTER_END) && is_of_silence && !is_of_content(violation.reason)
+            is_during(EXCUSED_AFTER_END) && is_of_missing_answer && !is_of_content(violation.reason)
         }
-        // Lines wait for the connection, not for the balancer.
+        // Lines are held up by the half-open connection, not by the balancer.
         NetworkFaultKind::Silent => {
             let is_on_connection =
                 violation.node.is_some_and(|node| fault.nodes.iter().any(|affected| affected.0 == node));
-            is_between(EXCUSED_AFTER_END) && is_on_connection && violation.reason == Reason::LineHeld
+            is_during(EXCUSED_AFTER_END) && is_on_connection && violation.reason == Reason::LineHeld
         }
-        // An endpoint list counts as received 6 s after its watch fell silent, though it can't arrive.
+        // The auditor counts an endpoint list as received 6 s after the watch fell silent, although it can't have arrived.
         NetworkFaultKind::NewsLost => {
-            is_between(ENDPOINT_LIST_TIMEOUT) && violation.reason == Reason::SentToDraining
+            is_during(ENDPOINT_LIST_TIMEOUT) && violation.reason == Reason::SentToDraining
         }
         NetworkFaultKind::Refused
         | NetworkFaultKind::AnswersLost
@@ -68,7 +68,7 @@
     }
 }
 
-/// Whether a violation is in what the balancer sent, rather than in when.
+/// Whether a violation is about the content of what the balancer sent, rather than about its time.
 fn is_of_content(reason: Reason) -> bool {
     matches!(reason, Reason::Forged | Reason::ServedBad | Reason::SecondAnswer | Reason::LineChanged)
 }
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario's file, and whom its faults affect.
+//! A scenario's file, and the processes that its faults affect.
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -9,39 +9,41 @@
 
 use crate::error::ScenarioError;
 use crate::expectations::Expectations;
-use crate::fault::{InjectedFault, Shared, StoreFault};
+use crate::fault::{InjectedFault, SharedFeatures, StoreFault};
 use crate::selection::Selection;
 
-/// Distinguishes the random selections from others with the day's seed.
+/// Mixed into the day's seed, so that the random selections of network faults are independent of other uses of the seed.
 const NETWORK_SALT: u64 = 0x7269_6674;
+/// The same for the faults of the store.
 const STORE_SALT: u64 = 0x7374_6f72;
 
-/// A scenario as it is written.
+/// A scenario as it is written in its file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it shows.
+    /// A description of the scenario.
     pub about: String,
     /// The file of the day, relative to this file.
     pub day: String,
     /// Whether the balancers gossip.
     #[serde(rename = "together", default)]
     pub gossip: bool,
-    /// Budgets that the balancers share: the operator's settings without the store and the members, which the lab adds.
+    /// The budgets that the balancers share: the operator's settings for them without the store and the members, which the
+    /// lab adds.
     pub budgets: Option<toml::Table>,
     /// The injected faults.
     #[serde(rename = "breaks", default)]
     pub faults: Vec<InjectedFault>,
-    /// What must hold.
+    /// What must hold under the faults.
     #[serde(rename = "promises", default)]
     pub expectations: Expectations,
 }
 
 impl Scenario {
-    /// Reads a file's text.
+    /// Reads a scenario from the text of its file, and checks it.
     ///
     /// # Errors
-    /// If the text is not TOML of this form, or a value is not allowed.
+    /// Returns an error if the text is not TOML of this form, or a value is not allowed.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError::Syntax(e.to_string()))?;
         scenario.check()?;
@@ -49,20 +51,20 @@
     }
 
     fn check(&self) -> Result<(), ScenarioError> {
-        let shared = Shared { gossip: self.gossip, budgets: self.budgets.is_some() };
+        let shared = SharedFeatures { gossip: self.gossip, budgets: self.budgets.is_some() };
         for (index, fault) in self.faults.iter().enumerate() {
             fault.check(index, shared)?;
         }
         if shared.budgets && shared.gossip {
-            return Err(ScenarioError::invalid("budgets", "and together: not both yet"));
+            return Err(ScenarioError::invalid("budgets", "can't be combined with together = true"));
         }
         self.expectations.check()
     }
 
-    /// The faults between processes on this day. Random selections are drawn by the day's seed.
+    /// The faults between processes on this day. Random selections depend on the day's seed.
     ///
     /// # Errors
-    /// If a selection names what the day does not have.
+    /// Returns an error if a selection names a zone, balancer or node that the day does not have.
     pub fn network_faults(&self, day: &Day) -> Result<Vec<NetworkFault>, ScenarioError> {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ NETWORK_SALT);
         let balancers: Vec<u32> = day.balancers.iter().map(|balancer| balancer.zone).collect();
@@ -89,10 +91,10 @@
         Ok(faults)
     }
 
-    /// The faults of the store on this day. Random selections are drawn by the day's seed.
+    /// The faults of the store on this day. Random selections depend on the day's seed.
     ///
     /// # Errors
-    /// If a selection names what the day does not have.
+    /// Returns an error if a selection names a zone or balancer that the day does not have.
     pub fn store_faults(&self, day: &Day) -> Result<Vec<StoreFault>, ScenarioError> {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ STORE_SALT);
         let balancers: Vec<u32> = day.balancers.iter().map(|balancer| balancer.zone).collect();
--- a/crates/fault-scenarios/src/selection.rs
+++ b/crates/fault-scenarios/src/selection.rs
@@ -1,4 +1,4 @@
-//! Selecting some of the balancers or nodes of a day.
+//! Selections of balancers or nodes of a day.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 
 use crate::error::ScenarioError;
 
-/// Some of the balancers or nodes; all if no key is given.
+/// A selection of balancers or nodes: those to which all given keys apply; all of them if no key is given.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Selection {
@@ -17,14 +17,14 @@
     pub indices: Option<Vec<u32>>,
     /// Only those in the zone of this name.
     pub zone: Option<String>,
-    /// Only this random part of them, at least one.
+    /// Of these, only a random fraction, rounded to at least one.
     #[serde(rename = "part")]
     pub fraction: Option<f64>,
 }
 
 impl Selection {
-    /// The indices of the selected members of a group. `zone_names` are the names of the day's zones, `member_zones` the zone of
-    /// each member, and `key` names the selection in errors.
+    /// The indices of the selected balancers or nodes in ascending order. `zone_names` are the names of the day's zones,
+    /// `member_zones` has the zone of each balancer or node, and `key` names the selection in errors.
     pub(crate) fn select(
         &self,
         key: &str,
@@ -41,7 +41,7 @@
         let mut selected: Vec<u32> = (0..member_zones.len() as u32).filter(is_selected).collect();
         if let Some(fraction) = self.fraction {
             if !(0.0..=1.0).contains(&fraction) {
-                let cause = format!("must be from 0 to 1, is {fraction}");
+                let cause = format!("must be from 0 to 1, but is {fraction}");
                 return Err(ScenarioError::invalid(format!("{key}.part"), cause));
             }
             selected.shuffle(rng);
@@ -54,7 +54,7 @@
     fn zone_index(&self, key: &str, zone_names: &[String]) -> Result<Option<u32>, ScenarioError> {
         let Some(name) = &self.zone else { return Ok(None) };
         let Some(index) = zone_names.iter().position(|zone| zone == name) else {
-            let cause = format!("no zone {name}; the day has {}", zone_names.join(", "));
+            let cause = format!("the day has no zone {name}; its zones are {}", zone_names.join(", "));
             return Err(ScenarioError::invalid(format!("{key}.zone"), cause));
         };
         Ok(Some(index as u32))
@@ -64,7 +64,7 @@
         let Some(indices) = &self.indices else { return Ok(None) };
         let indices: BTreeSet<u32> = indices.iter().copied().collect();
         if let Some(missing) = indices.iter().find(|index| **index as usize >= members) {
-            let cause = format!("there is none at place {missing}: {members} in all");
+            let cause = format!("index {missing} is out of range: the day has {members}, numbered from 0");
             return Err(ScenarioError::invalid(format!("{key}.on"), cause));
         }
         Ok(Some(indices))
--- a/crates/fault-scenarios/src/verdict.rs
+++ b/crates/fault-scenarios/src/verdict.rs
@@ -3,11 +3,11 @@
 /// The verdict on one expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// The expectation, by its key.
+    /// The key of the expectation, or a description that begins with what it bounds.
     pub expectation: String,
     /// Whether it was met.
     pub is_met: bool,
-    /// What was observed, with the worst interval.
+    /// What was observed, with the time of the worst value.
     pub observed: String,
     /// What was expected.
     pub expected: String,
--- a/crates/fault-scenarios/tests/evaluate.rs
+++ b/crates/fault-scenarios/tests/evaluate.rs
@@ -1,6 +1,7 @@
-//! Expectations against made-up observations: each is broken by the one thing that it forbids, and by nothing else.
+//! Evaluates expectations with constructed observations: each expectation is broken only by the observation that it
+//! forbids.
 
-use shorewharf_emulator::audit::{Reason, RuleViolation as Broken, Verdict as Rules};
+use shorewharf_emulator::audit::{Reason, RuleViolation, Verdict as AuditVerdict};
 use shorewharf_emulator::edge::{BalancerId, NodeId};
 use shorewharf_emulator::sockets::network_faults::{NetworkFault, NetworkFaultKind};
 use shorewharf_emulator::world::series::NodeSeries;
@@ -26,9 +27,9 @@
 }
 
 fn observations<'a>(
-    rules: &'a Rules,
+    rules: &'a AuditVerdict,
     nodes: &'a [NodeSeries],
-    breaks: &'a [NetworkFault],
+    faults: &'a [NetworkFault],
 ) -> Observations<'a> {
     Observations {
         rules,
@@ -41,17 +42,17 @@
         max_connections: &[],
         slot_s: 0.2,
         crashes: Vec::new(),
-        faults: breaks,
+        faults,
     }
 }
 
 #[test]
-fn loads_are_held_against_capacity_and_mean_only_where_the_day_has_settled() {
-    let rules = Rules::default();
+fn bounds_of_loads_hold_only_in_settled_parts_of_the_day() {
+    let rules = AuditVerdict::default();
     let even = [node(&[0.5; 12]), node(&[0.5; 12]), node(&[0.4; 12])];
     let all = "load_most = 0.8\nover_mean_most = 1.5\nunder_mean_least = 0.5\nsettled_s = [[2, 10]]";
     assert_eq!(broken(&observations(&rules, &even, &[]), all), [""; 0]);
-    // A peak of a second, and one before it has settled, are none.
+    // A peak of one second does not break a bound, and neither does one before the day has settled.
     let mut peak = even.clone();
     peak[0].load[5] = 1.05;
     peak[1].load[0] = 9.0;
@@ -63,7 +64,7 @@
     assert_eq!(broken(&observations(&rules, &idle, &[]), all), [""; 0], "two seconds of five");
     idle[2].load[2..9].fill(0.0);
     assert_eq!(broken(&observations(&rules, &idle, &[]), all), ["under_mean_least"]);
-    // Nobody is to be sent to one that takes nobody.
+    // A node that does not accept clients may be idle.
     idle[2].takes[2..9].fill(false);
     assert_eq!(broken(&observations(&rules, &idle, &[]), all), [""; 0]);
     assert_eq!(
@@ -73,59 +74,63 @@
 }
 
 #[test]
-fn a_burst_is_more_than_a_multiple_of_the_even_part_or_of_one() {
-    let rules = Rules::default();
-    let mut s = observations(&rules, &[], &[]);
-    let slots = [vec![3, 0, 0, 0], vec![8, 6, 5, 5], vec![7, 1, 0, 0]]; // Parts of 1, 6 and 2.
-    s.setups = &slots[..2];
-    assert_eq!(broken(&s, "set_ups_most = 3"), [""; 0]);
-    s.setups = &slots;
-    assert_eq!(broken(&s, "set_ups_most = 3"), ["set_ups_most"]);
-    assert_eq!(broken(&s, "set_ups_most = 3.5"), [""; 0]);
+fn a_burst_exceeds_a_multiple_of_an_even_share_which_is_at_least_one() {
+    let rules = AuditVerdict::default();
+    let mut observed = observations(&rules, &[], &[]);
+    let slots = [vec![3, 0, 0, 0], vec![8, 6, 5, 5], vec![7, 1, 0, 0]]; // Even shares of 1, 6 and 2.
+    observed.setups = &slots[..2];
+    assert_eq!(broken(&observed, "set_ups_most = 3"), [""; 0]);
+    observed.setups = &slots;
+    assert_eq!(broken(&observed, "set_ups_most = 3"), ["set_ups_most"]);
+    assert_eq!(broken(&observed, "set_ups_most = 3.5"), [""; 0]);
 }
 
 #[test]
-fn service_and_processes_are_held_against_what_was_seen() {
-    let rules = Rules::default();
-    let mut s = observations(&rules, &[], &[]);
-    assert_eq!(broken(&s, "served = 0.9\nserved_within = [{ from_s = 3, to_s = 5, least = 0.9 }]"), [""; 0]);
-    assert_eq!(broken(&s, "served = 0.91"), ["served"]);
+fn served_shares_and_crashes_are_compared_with_the_observations() {
+    let rules = AuditVerdict::default();
+    let mut observed = observations(&rules, &[], &[]);
+    assert_eq!(
+        broken(&observed, "served = 0.9\nserved_within = [{ from_s = 3, to_s = 5, least = 0.9 }]"),
+        [""; 0]
+    );
+    assert_eq!(broken(&observed, "served = 0.91"), ["served"]);
     let mut steps = [STEP; 12];
     steps[4].served = 0.0;
-    s.weighted_requests = &steps;
+    observed.weighted_requests = &steps;
     assert_eq!(
-        broken(&s, "served_within = [{ from_s = 3, to_s = 5, least = 0.5 }]"),
+        broken(&observed, "served_within = [{ from_s = 3, to_s = 5, least = 0.5 }]"),
         ["served from 3 to 5 s"]
     );
-    assert_eq!(broken(&s, "served_within = [{ from_s = 5, to_s = 9, least = 0.9 }]"), [""; 0]);
+    assert_eq!(broken(&observed, "served_within = [{ from_s = 5, to_s = 9, least = 0.9 }]"), [""; 0]);
     assert_eq!(
-        broken(&s, "served_within = [{ from_s = 50, to_s = 90, least = 0.9 }]").len(),
+        broken(&observed, "served_within = [{ from_s = 50, to_s = 90, least = 0.9 }]").len(),
         1,
-        "nobody asked"
+        "no requests"
     );
-    s.crashes = vec!["balancer 3: signal 6".to_owned()];
-    assert_eq!(broken(&s, ""), ["processes"]);
+    observed.crashes = vec!["balancer 3: signal 6".to_owned()];
+    assert_eq!(broken(&observed, ""), ["processes"]);
 }
 
 #[test]
-fn only_what_a_break_explains_is_excused() {
+fn only_violations_that_a_fault_explains_are_excused() {
     let by = |reason, at, balancer, node| {
         let rule = Reason::rule(reason);
         let (conn, detail, trace) = (None, String::new(), Vec::new());
-        let one = Broken { rule, reason, at, balancer, conn, node, detail, trace };
-        Rules { reasons: [(reason, 1)].into(), breaks: vec![one], ..Rules::default() }
+        let one = RuleViolation { rule, reason, at, balancer, conn, node, detail, trace };
+        AuditVerdict { reasons: [(reason, 1)].into(), breaks: vec![one], ..AuditVerdict::default() }
     };
     let between = |what| {
         let (balancers, nodes) = (vec![BalancerId(1)], vec![NodeId(2)]);
         [NetworkFault { what, from: 5_000_000, to: 7_000_000, balancers, nodes, others: Vec::new() }]
     };
-    let judged = |rules: &Rules, what| broken(&observations(rules, &[], &between(what)), "").is_empty();
+    let is_excused =
+        |rules: &AuditVerdict, what| broken(&observations(rules, &[], &between(what)), "").is_empty();
     for (what, reason, at, balancer, node, excused) in [
         (NetworkFaultKind::Stall, Reason::NoAnswer, 6_000_000, 1, None, true),
         (NetworkFaultKind::Stall, Reason::NoAnswer, 6_000_000, 2, None, false),
         (NetworkFaultKind::Stall, Reason::NoAnswer, 9_000_000, 1, None, false),
         (NetworkFaultKind::Stall, Reason::LineHeld, 8_000_000, 1, Some(4), true),
-        // What it sends when it goes on is its own.
+        // A stop does not excuse the content of what the balancer sends after it continues.
         (NetworkFaultKind::Stall, Reason::SentToDraining, 7_100_000, 1, Some(2), false),
         (NetworkFaultKind::Stall, Reason::SecondCopy, 7_100_000, 1, Some(2), false),
         (NetworkFaultKind::Stall, Reason::Forged, 7_100_000, 1, Some(2), false),
@@ -140,61 +145,69 @@
         (NetworkFaultKind::NewsLost, Reason::NoAnswer, 6_000_000, 1, None, false),
     ] {
         let rules = by(reason, at, balancer, node);
-        assert_eq!(judged(&rules, what), excused, "{what:?} {reason:?} at {at} by {balancer} on {node:?}");
+        assert_eq!(
+            is_excused(&rules, what),
+            excused,
+            "{what:?} {reason:?} at {at} by {balancer} on {node:?}"
+        );
     }
     let rules = by(Reason::NoAnswer, 1, 1, None);
     assert_eq!(broken(&observations(&rules, &[], &[]), "rules = false"), [""; 0]);
 }
 
 #[test]
-fn budgets_are_held_against_every_length_of_time_and_every_second() {
-    let rules = Rules::default();
-    let mut s = observations(&rules, &[], &[]);
+fn setup_rates_hold_in_windows_of_every_length_and_connection_bounds_in_every_second() {
+    let rules = AuditVerdict::default();
+    let mut observed = observations(&rules, &[], &[]);
     let within = "set_ups_within = { per_s = 10, over = 4 }";
-    assert_eq!(broken(&s, within), ["set_ups_within"], "nobody came");
-    // Two in each fifth of a second are ten a second.
+    assert_eq!(broken(&observed, within), ["set_ups_within"], "no setups");
+    // Two setups in each slot of 0.2 s are ten per second.
     let even = vec![vec![1, 1]; 150];
-    s.setups = &even;
-    assert_eq!(broken(&s, within), [""; 0]);
+    observed.setups = &even;
+    assert_eq!(broken(&observed, within), [""; 0]);
     let burst = [&even[..70], &[vec![4, 3]], &even[..70]].concat();
-    s.setups = &burst;
-    assert_eq!(broken(&s, within), ["set_ups_within"], "seven where two and four are allowed");
-    assert_eq!(broken(&s, "set_ups_within = { per_s = 10, over = 4, from_s = 20 }"), [""; 0]);
-    // A little too much for long: five in every two fifths.
+    observed.setups = &burst;
+    assert_eq!(
+        broken(&observed, within),
+        ["set_ups_within"],
+        "seven in a slot that allows two plus a burst of four"
+    );
+    assert_eq!(broken(&observed, "set_ups_within = { per_s = 10, over = 4, from_s = 20 }"), [""; 0]);
+    // A small excess for a long time: five setups in every two slots.
     let long: Vec<Vec<u32>> = (0..150).map(|i| vec![1, 1 + i % 2]).collect();
-    s.setups = &long;
-    assert_eq!(broken(&s, within), ["set_ups_within"]);
+    observed.setups = &long;
+    assert_eq!(broken(&observed, within), ["set_ups_within"]);
     let (tenants, held) =
         (["a".to_owned(), "b".to_owned()], [vec![3.0, 8.0], vec![4.0, 9.0], vec![9.0, 1.0]]);
-    (s.tenants, s.max_connections) = (&tenants, &held);
-    assert_eq!(broken(&s, "holds_most = [{ tenant = \"b\", most = 9 }]"), [""; 0]);
-    assert_eq!(broken(&s, "holds_most = [{ tenant = \"b\", most = 8 }]"), ["holds_most b"]);
-    assert_eq!(broken(&s, "holds_most = [{ tenant = \"b\", most = 8, from_s = 2 }]"), [""; 0]);
-    assert_eq!(broken(&s, "holds_most = [{ tenant = \"c\", most = 8 }]"), ["holds_most c"]);
+    (observed.tenants, observed.max_connections) = (&tenants, &held);
+    assert_eq!(broken(&observed, "holds_most = [{ tenant = \"b\", most = 9 }]"), [""; 0]);
+    assert_eq!(broken(&observed, "holds_most = [{ tenant = \"b\", most = 8 }]"), ["holds_most b"]);
+    assert_eq!(broken(&observed, "holds_most = [{ tenant = \"b\", most = 8, from_s = 2 }]"), [""; 0]);
+    assert_eq!(broken(&observed, "holds_most = [{ tenant = \"c\", most = 8 }]"), ["holds_most c"]);
 }
 
 #[test]
-fn a_file_that_means_nothing_is_refused_by_key_or_line() {
+fn an_invalid_file_is_rejected_with_the_key_or_the_line() {
     let fault = |text: &str| Scenario::read(&format!("{HEAD}[[breaks]]\n{text}"));
     for (text, words) in [
         ("what = \"odd\"\nat_s = 1\nlen_s = 1", "unknown variant `odd`"),
         ("what = \"odd\"\nat_s = 1\nlen_s = 1", "line 4"),
         ("what = \"silent\"\nat = 1", "unknown field `at`"),
         ("what = \"silent\"\nat_s = -1\nlen_s = 1", "breaks[0].at_s: must be from 0"),
-        ("what = \"silent\"\nat_s = 1", "breaks[0].len_s: must be above 0"),
+        ("what = \"silent\"\nat_s = 1", "breaks[0].len_s: must be greater than 0"),
         ("what = \"slow\"\nat_s = 1\nlen_s = 1", "breaks[0].by_ms: is missing"),
-        ("what = \"stall\"\nat_s = 1\nlen_s = 1\nby_ms = 3", "breaks[0].by_ms: says nothing"),
-        ("what = \"stall\"\nat_s = 1\nlen_s = 1\nnodes = { part = 0.5 }", "breaks[0].nodes: says nothing"),
+        ("what = \"stall\"\nat_s = 1\nlen_s = 1\nby_ms = 3", "breaks[0].by_ms: does not apply"),
+        ("what = \"stall\"\nat_s = 1\nlen_s = 1\nnodes = { part = 0.5 }", "breaks[0].nodes: does not apply"),
         ("what = \"reset\"\nat_s = nan", "breaks[0].at_s"),
         ("what = \"store-silent\"\nat_s = 1\nlen_s = 1", "breaks[0].what: needs [budgets]"),
     ] {
-        let problem = fault(text).expect_err(text).to_string();
-        assert!(problem.contains(words), "{problem}");
+        let error = fault(text).expect_err(text).to_string();
+        assert!(error.contains(words), "{error}");
     }
-    let promise = Scenario::read(&format!("{HEAD}[promises]\nload_most = 0.9"));
+    let unsettled = Scenario::read(&format!("{HEAD}[promises]\nload_most = 0.9"));
     assert!(
-        matches!(promise, Err(ScenarioError::InvalidValue { ref key, .. }) if key == "promises.settled_s"),
-        "{promise:?}"
+        matches!(unsettled, Err(ScenarioError::InvalidValue { ref key, .. }) if key == "promises.settled_s"),
+        "{unsettled:?}"
     );
     assert!(fault("what = \"reset\"\nat_s = 1").is_ok());
 }
--- a/crates/fault-scenarios/tests/scenario.rs
+++ b/crates/fault-scenarios/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! The keys of a scenario's file are the operators': each is read into its field, under the name that it always had.
+//! The keys of scenario files are a stable interface: each key is read into its field, whatever the field's name is.
 
 use shorewharf_fault_scenarios::{
     ConnectionBound, Expectations, FaultKind, InjectedFault, Interval, RateBound, Scenario, Selection,
@@ -39,21 +39,21 @@
 idle_s = 6
 "#;
 
-fn group(on: Option<Vec<u32>>, zone: Option<&str>, part: Option<f64>) -> Selection {
+fn selection(on: Option<Vec<u32>>, zone: Option<&str>, part: Option<f64>) -> Selection {
     Selection { indices: on, zone: zone.map(str::to_owned), fraction: part }
 }
 
 #[test]
 fn every_key_is_read_into_its_field() {
-    let trial = Scenario::read(ALL_KEYS).expect("all keys are known");
+    let scenario = Scenario::read(ALL_KEYS).expect("all keys are known");
     let late = InjectedFault {
         kind: FaultKind::GossipDelayed,
         at_s: 1.5,
         duration_s: 2.5,
         delay_ms: Some(3.5),
-        balancers: group(Some(vec![1, 2]), Some("a"), Some(0.5)),
+        balancers: selection(Some(vec![1, 2]), Some("a"), Some(0.5)),
         nodes: None,
-        gossip_peers: Some(group(Some(vec![3]), None, None)),
+        gossip_peers: Some(selection(Some(vec![3]), None, None)),
     };
     let silent = InjectedFault {
         kind: FaultKind::HalfOpen,
@@ -61,7 +61,7 @@
         duration_s: 5.0,
         delay_ms: None,
         balancers: Selection::default(),
-        nodes: Some(group(None, Some("b"), None)),
+        nodes: Some(selection(None, Some("b"), None)),
         gossip_peers: None,
     };
     let expectations = Expectations {
@@ -86,14 +86,14 @@
         faults: vec![late, silent],
         expectations,
     };
-    assert_eq!(trial, expected);
+    assert_eq!(scenario, expected);
     let budgets =
-        Scenario::read("about = \"a\"\nday = \"d\"\n[budgets]\nlease_s = 2").expect("a trial").budgets;
+        Scenario::read("about = \"a\"\nday = \"d\"\n[budgets]\nlease_s = 2").expect("a scenario").budgets;
     assert_eq!(budgets.expect("there are budgets")["lease_s"].as_integer(), Some(2));
 }
 
 #[test]
-fn every_kind_of_break_is_read_under_its_name() {
+fn every_kind_of_fault_is_read_under_its_name() {
     for (text, kind) in [
         ("refused", FaultKind::ConnectionsRefused),
         ("silent", FaultKind::HalfOpen),
@@ -110,15 +110,15 @@
         ("store-answers-lost", FaultKind::StoreAnswersLost),
         ("store-emptied", FaultKind::StoreEmptied),
     ] {
-        let needs = match kind {
+        let delay = match kind {
             FaultKind::AnswersDelayed => "by_ms = 1",
             FaultKind::GossipDelayed => "by_ms = 1",
             _ => "",
         };
-        let around = if text.starts_with("store") { "[budgets]" } else { "" };
+        let budgets = if text.starts_with("store") { "[budgets]" } else { "" };
         let together = text.starts_with("notes");
         let file = format!(
-            "about = \"a\"\nday = \"d\"\ntogether = {together}\n[[breaks]]\nwhat = \"{text}\"\nat_s = 1\nlen_s = 1\n{needs}\n{around}\n"
+            "about = \"a\"\nday = \"d\"\ntogether = {together}\n[[breaks]]\nwhat = \"{text}\"\nat_s = 1\nlen_s = 1\n{delay}\n{budgets}\n"
         );
         assert_eq!(Scenario::read(&file).expect(text).faults[0].kind, kind);
         assert_eq!(kind.label(), text.replace('-', ""), "its name in records");
@@ -126,18 +126,18 @@
 }
 
 #[test]
-fn every_trial_of_the_repository_is_read() {
+fn every_fault_scenario_of_the_repository_can_be_read() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/trials");
     let mut read = 0;
-    for entry in std::fs::read_dir(folder).expect("the folder of trials") {
+    for entry in std::fs::read_dir(folder).expect("the folder of fault scenarios") {
         let path = entry.expect("an entry").path();
-        // The days that trials are played on stand beside them, in a form of their own.
+        // The same folder contains the files of their days, which have another format.
         let is_day = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with("day-"));
         if !is_day {
-            let text = std::fs::read_to_string(&path).expect("a trial");
+            let text = std::fs::read_to_string(&path).expect("a fault scenario");
             Scenario::read(&text).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
             read += 1;
         }
     }
-    assert!(read > 10, "only {read} trials");
+    assert!(read > 10, "only {read} fault scenarios");
 }
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -32,7 +32,8 @@
 fn every_kind_of_break_between_processes_is_borne() {
     let output = played(&[trials().join("small.toml").to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output));
-    assert!(text(&output).contains("kept but for what was broken between"), "{}", text(&output));
+    let observed = "kept, except for violations that injected faults explain";
+    assert!(text(&output).contains(observed), "{}", text(&output));
 }
 
 #[test]
@@ -124,16 +125,16 @@
         ("what = \"silent\"\nat_s = 1\nlen_s = 1\nballancers = {}", "unknown field `ballancers`"),
         (
             "what = \"silent\"\nat_s = 1\nlen_s = 1\nnodes = { zone = \"nowhere\" }",
-            "breaks[0].nodes.zone: no zone nowhere",
+            "breaks[0].nodes.zone: the day has no zone nowhere",
         ),
         (
             "what = \"silent\"\nat_s = 1\nlen_s = 1\nnodes = { on = [14] }",
-            "breaks[0].nodes.on: there is none at place 14",
+            "breaks[0].nodes.on: index 14 is out of range",
         ),
         ("what = \"notes-lost\"\nat_s = 1\nlen_s = 1", "breaks[0].what: needs together = true"),
         (
             "what = \"silent\"\nat_s = 1\nlen_s = 1\nothers = { part = 0.5 }",
-            "breaks[0].others: says nothing for this kind",
+            "breaks[0].others: does not apply to this kind of fault",
         ),
     ] {
         let text_of = format!("about = \"a\"\nday = \"{}\"\n[[breaks]]\n{rift}\n", day.display());
