--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -16,7 +16,7 @@
 pub enum OperatorSettingsError {
     /// A key is unknown, or its value has the wrong type.
     #[error("{0}")]
-    Form(#[from] serde_path_to_error::Error<toml::de::Error>),
+    Schema(#[from] serde_path_to_error::Error<toml::de::Error>),
     /// The file is not TOML.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -15,7 +15,7 @@
 const DEFAULT_OVERLOAD_WINDOW_SECONDS: f64 = 1.0;
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 const DEFAULT_CONNECT_TIMEOUT_SECONDS: f64 = 0.25;
-/// The column of a load report that holds the load over capacity.
+/// Name of the column of a load report that holds the load divided by the capacity.
 const LOAD_RATIO_COLUMN: &str = "x0";
 
 #[derive(Deserialize, Default)]
