--- a/crates/wire/src/bin/shorewharf-adapter.rs
+++ b/crates/wire/src/bin/shorewharf-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decisions for the simulator, on standard input and output.
+//! Hosts instances of the decisions for the simulator, which sends batches of records to standard input and
+//! reads the replies from standard output.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -17,21 +18,21 @@
 use thiserror::Error;
 use tracing::error;
 
-/// Bytes of the input that are read at once.
+/// Size of the input buffer, in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
-/// Hosts instances of the decision module on the simulator's wire, on standard input and output
+/// Hosts instances of the decisions for the simulator, on standard input and output
 #[derive(Parser)]
 #[command(name = "shorewharf-adapter", version)]
 struct Cli {
-    /// The operator's own file (TOML), as the balancer takes it
+    /// The operator's own file (TOML), in the same format as for the balancer
     #[arg(long, value_name = "FILE", env = "SHOREWHARF_OPERATOR")]
     operator: Option<PathBuf>,
     #[command(flatten)]
     log: LogArgs,
 }
 
-/// Why the adapter ends.
+/// The reason why the adapter stops with an error.
 #[derive(Debug, Error)]
 enum AdapterError {
     /// The operator's file can't be read.
@@ -40,43 +41,45 @@
     /// The operator's file can't be used.
     #[error("{}: {source}", path.display())]
     InvalidOperatorFile { path: PathBuf, source: Box<OperatorSettingsError> },
-    /// The input ends in the middle of a frame.
-    #[error("offset {offset}: input ends inside a frame, {missing} more bytes wanted")]
+    /// The input ends inside a frame. The offset is from the start of its length field or its body.
+    #[error("offset {offset}: input ends inside a frame; {missing} more bytes expected")]
     InputEnded { offset: usize, missing: usize },
-    /// A frame that can't be decoded.
+    /// A frame can't be decoded.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Input or output has failed.
+    /// Reading the input or writing the output has failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Why an instance could not take a record; it is reported to the simulator, and the instance goes on.
+/// The reason why an instance could not handle a record. It is reported to the simulator, and the adapter
+/// goes on.
 #[derive(Debug, Error)]
 enum InstanceFault {
-    /// Its settings can't be used.
+    /// The settings of the instance can't be parsed.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Its code has panicked.
+    /// The code of the instance has panicked.
     #[error("{0}")]
     Panic(String),
 }
 
+/// The instances that the adapter hosts, and what they share.
 #[derive(Default)]
 struct Host {
     operator: OperatorSettings,
     decoder: Decoder,
     instances: BTreeMap<u16, AdmissionGate>,
-    /// By instance, which value of a load report is the load over capacity.
+    /// For each instance, the index of the value in a load report that is the load divided by the capacity.
     load_columns: BTreeMap<u16, usize>,
 }
 
 impl Host {
-    /// The reply to a batch.
+    /// Handles a batch and returns the reply to it.
     fn reply(&mut self, body: &[u8]) -> Result<Vec<u8>, WireError> {
         let load_columns = &self.load_columns;
-        let column = |id: u16| load_columns.get(&id).copied();
-        let Batch { now, records } = self.decoder.decode(body, column)?;
+        let load_column = |id: u16| load_columns.get(&id).copied();
+        let Batch { now, records } = self.decoder.decode(body, load_column)?;
         let mut encoder = Encoder::default();
         let mut selected = None;
         let mut actions = Vec::new();
@@ -132,7 +135,7 @@
     owned.or(payload.downcast_ref::<&str>().copied()).unwrap_or("panic").to_owned()
 }
 
-/// Fills the buffer from the input; false at the end of the input before the first byte.
+/// Fills the buffer from the input. Returns false if the input ends before the first byte.
 fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, AdapterError> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -149,7 +152,8 @@
     Ok(true)
 }
 
-/// Reads the body of a frame; memory is taken as bytes arrive, not by the length that a frame claims.
+/// Reads the body of a frame. Memory is allocated as bytes arrive, rather than by the length that the frame
+/// claims to have.
 fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
     let mut body = Vec::new();
     let count = input.take(length as u64).read_to_end(&mut body)?;
@@ -188,7 +192,8 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     cli.log.start();
-    // A panic's text is reported as a fault; the default hook would print it a second time.
+    // The text of a panic is also reported to the simulator, as a fault. The default hook would print it to
+    // standard error in another format than the log.
     std::panic::set_hook(Box::new(|info| error!(event = "panic", text = %info)));
     match serve(cli.operator.as_deref()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/wire/src/codes.rs
+++ b/crates/wire/src/codes.rs
@@ -1,8 +1,8 @@
-//! The numbers of the simulator's protocol.
+//! The codes of the simulator's protocol.
 
 use shorewharf_decisions::interface::{Outcome, ServerState};
 
-/// Selects the instance of the records that follow, in both directions.
+/// Code of the record that selects the instance for the records after it, in both directions.
 pub(crate) const SELECT_INSTANCE: u16 = 1130;
 
 /// Codes of the records that the simulator sends.
@@ -22,7 +22,7 @@
     pub const LEVEL_CHANGED: u16 = 1120;
 }
 
-/// Codes of the records of a reply.
+/// Codes of the records in a reply.
 pub(crate) mod action {
     pub const BEGIN_ATTEMPT: u16 = 1000;
     pub const REJECT: u16 = 1010;
@@ -36,7 +36,7 @@
     pub const MIGRATE: u16 = 1120;
 }
 
-/// Modes of an endpoint update.
+/// Modes of an endpoint update: changes to the list, the complete list, or a failure of discovery.
 pub(crate) mod update_mode {
     pub const CHANGES: u8 = 0;
     pub const COMPLETE: u8 = 1;
@@ -44,21 +44,21 @@
     pub const DISCOVERY_FAILED: u8 = 3;
 }
 
-/// What a record of a changed level is about.
+/// Kinds of values in a record of a changed level.
 pub(crate) mod level {
     pub const CONNECTION_LOAD: u8 = 1;
     pub const MESSAGE_DELAY: u8 = 2;
 }
 
-/// Marks of a request.
-pub(crate) mod request_mark {
+/// Flags of a request.
+pub(crate) mod request_flag {
     pub const HAS_LOAD: u8 = 1;
     pub const MID_FLOW: u8 = 8;
-    /// Any of the marks of a client that comes again.
+    /// Either of the two flags of a client that reconnects or retries.
     pub const RETURNING: u8 = 2 | 16;
 }
 
-/// The outcome of an attempt or probe by its code.
+/// Returns the outcome of an attempt or a probe for its code; `None` if the code is unknown.
 pub(crate) fn outcome(code: u16) -> Option<Outcome> {
     Some(match code {
         200 => Outcome::Ok,
@@ -73,7 +73,7 @@
     })
 }
 
-/// The state of a listed server by its code.
+/// Returns the state of a listed server for its code; `None` if the code is unknown.
 pub(crate) fn server_state(code: u8) -> Option<ServerState> {
     Some(match code {
         0 => ServerState::Draining,
--- a/crates/wire/src/encoder.rs
+++ b/crates/wire/src/encoder.rs
@@ -1,22 +1,22 @@
-//! Encodes actions to the records of a reply.
+//! Encodes actions as the records of a reply.
 
 use shorewharf_decisions::interface::{Action, RequestId, ServerId};
 
 use crate::codes::{self, action};
 
-/// Bytes of a frame before its records: its length, and the count of the records.
+/// Size in bytes of the fields before the records of a frame: its length and the number of records.
 const HEADER_BYTES: usize = 8;
-/// The kind of subscription that is requested: one that lasts.
+/// Kind of the subscription that a [`action::SUBSCRIBE`] record requests: one that stays in force.
 const PERSISTENT_SUBSCRIPTION: u8 = 1;
 
-/// Collects the records of a reply.
+/// Encodes the records of a reply.
 #[derive(Debug, Default)]
 pub struct Encoder {
     records: Vec<u8>,
     count: u32,
 }
 
-/// As much of a text as its length field allows, ending between two characters.
+/// Returns as much of a text as its 16-bit length field allows, cut between two characters.
 fn truncated(text: &str) -> &str {
     let mut end = text.len().min(usize::from(u16::MAX));
     while !text.is_char_boundary(end) {
@@ -54,17 +54,17 @@
         self.bytes(&(text.len() as u16).to_le_bytes()).bytes(text.as_bytes())
     }
 
-    /// Selects the instance of the actions that follow.
+    /// Adds a record that selects the instance for the records after it.
     pub fn select_instance(&mut self, instance: u16) {
         self.begin(codes::SELECT_INSTANCE).bytes(&instance.to_le_bytes());
     }
 
-    /// Reports that the code of the selected instance has failed.
+    /// Adds a record that the selected instance could not handle a record, with the reason.
     pub fn fault(&mut self, reason: &str) {
         self.begin(action::FAULT).text(reason);
     }
 
-    /// Adds an action of the selected instance.
+    /// Adds the record of an action of the selected instance.
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::BeginAttempt { request, server, timeout } => {
@@ -87,7 +87,7 @@
         };
     }
 
-    /// The finished frame, its length included.
+    /// Returns the complete frame, including its length field.
     pub fn finish(self) -> Vec<u8> {
         let length = (size_of_val(&self.count) + self.records.len()) as u32;
         let mut frame = Vec::with_capacity(HEADER_BYTES + self.records.len());
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Codec of the simulator's messages: batches of records to events of the decisions, actions to replies.
+//! Codec of the simulator's messages: decodes batches of records to events of the decisions, and encodes
+//! actions to replies.
 //!
-//! All numbers are little endian, but for the IPv4 addresses of servers. The names of the platform's protocol
-//! end here: the table from its record codes to events and actions stands in `codes.rs`, `decoder.rs` and
-//! `encoder.rs`.
+//! All numbers are little endian, except the IPv4 addresses of servers. The codes and field names of the
+//! simulator's protocol appear only in this package: `codes.rs`, `decoder.rs` and `encoder.rs` map them to
+//! events and actions.
 
 mod codes;
 mod decoder;
@@ -14,64 +15,65 @@
 pub use decoder::{Batch, Decoder, InstanceRecord, Record};
 pub use encoder::Encoder;
 
-/// The largest frame that is read, in bytes.
+/// Maximum length of a frame in bytes, without its length field.
 pub const MAX_FRAME_BYTES: usize = 256 << 20;
 
-/// What is wrong with a frame, and where, as an offset in bytes from the start of the frame's body.
+/// The reason why a frame is malformed. Offsets are in bytes from the start of the frame's body, which
+/// follows its length field.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
     /// The record or the frame ends too early.
-    #[error("offset {offset}: truncated, {missing} more bytes wanted")]
+    #[error("offset {offset}: truncated; {missing} more bytes expected")]
     Truncated {
-        /// Where more was expected.
+        /// Offset at which more bytes were expected.
         offset: usize,
-        /// How many bytes are missing.
+        /// Number of missing bytes.
         missing: usize,
     },
-    /// A record code that is not known.
+    /// The code of a record is unknown.
     #[error("offset {offset}: unknown event code {code}")]
     UnknownCode {
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
         /// The code.
         code: u16,
     },
-    /// A value out of its range.
-    #[error("offset {offset}: bad value {value} for {field}")]
-    BadValue {
-        /// Where the value begins.
+    /// The value of a field is invalid.
+    #[error("offset {offset}: invalid value {value} of field {field}")]
+    InvalidValue {
+        /// Offset of the value.
         offset: usize,
-        /// The value; a float's bits.
+        /// The value. Of a floating-point number, its bits.
         value: u64,
-        /// The protocol's name of the field.
+        /// Name of the field in the simulator's protocol.
         field: &'static str,
     },
-    /// An update refers to a server list that has not been sent.
-    #[error("offset {offset}: list {slot} has not been sent")]
+    /// An endpoint update refers to a server list that has not been sent.
+    #[error("offset {offset}: server list {slot} has not been sent")]
     UnknownList {
-        /// Where the slot is named.
+        /// Offset of the slot number.
         offset: usize,
-        /// The slot.
+        /// Number of the slot.
         slot: u8,
     },
-    /// Bytes behind the last record.
-    #[error("offset {offset}: {count} bytes behind the last record")]
+    /// There are bytes after the last record.
+    #[error("offset {offset}: {count} bytes after the last record")]
     TrailingBytes {
-        /// Where the last record ends.
+        /// Offset of the end of the last record.
         offset: usize,
-        /// How many bytes are left.
+        /// Number of bytes after it.
         count: usize,
     },
-    /// An event before the first record that selects an instance.
+    /// A record comes before the first one that selects an instance.
     #[error("offset {offset}: no instance selected")]
     NoInstanceSelected {
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
     },
-    /// A frame over [`MAX_FRAME_BYTES`].
-    #[error("offset 0: frame of {length} bytes is over the limit")]
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
+    #[error("offset 0: frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     FrameTooLarge {
-        /// The frame's length.
+        /// Length of the frame.
         length: usize,
     },
 }
--- a/crates/wire/src/reader.rs
+++ b/crates/wire/src/reader.rs
@@ -1,11 +1,11 @@
-//! Reads the parts of records from the body of a frame.
+//! Reads the fields of records from the body of a frame.
 
 use shorewharf_decisions::interface::{Outcome, Request, RequestId, ServerEntry, ServerId};
 
 use crate::WireError;
-use crate::codes::{self, request_mark};
+use crate::codes::{self, request_flag};
 
-/// A position in the body of a frame.
+/// Reads the body of a frame from the start.
 pub(crate) struct Reader<'a> {
     bytes: &'a [u8],
     offset: usize,
@@ -16,12 +16,12 @@
         Reader { bytes, offset: 0 }
     }
 
-    /// Bytes that have been read.
+    /// Number of bytes that have been read.
     pub fn offset(&self) -> usize {
         self.offset
     }
 
-    /// Bytes that are left.
+    /// Number of bytes that have not been read.
     pub fn remaining(&self) -> usize {
         self.bytes.len() - self.offset
     }
@@ -68,7 +68,7 @@
         Ok(RequestId(self.u32()?))
     }
 
-    /// An IPv4 address in network order and a port make up a server's id.
+    /// Reads the id of a server, which consists of an IPv4 address in network byte order and a port.
     pub fn server(&mut self) -> Result<ServerId, WireError> {
         let address = u32::from_be_bytes(self.array()?);
         Ok(ServerId(u64::from(address) << 16 | u64::from(self.u16()?)))
@@ -77,16 +77,16 @@
     pub fn outcome(&mut self) -> Result<Outcome, WireError> {
         let offset = self.offset;
         let code = self.u16()?;
-        codes::outcome(code).ok_or(WireError::BadValue { offset, value: code.into(), field: "outcome" })
+        codes::outcome(code).ok_or(WireError::InvalidValue { offset, value: code.into(), field: "outcome" })
     }
 
-    /// A load report: its value in `column`, if it has that many.
-    pub fn load_report(&mut self, column: Option<usize>) -> Result<Option<f64>, WireError> {
+    /// Reads a load report and returns its value in `load_column`, if it has that many columns.
+    pub fn load_report(&mut self, load_column: Option<usize>) -> Result<Option<f64>, WireError> {
         let count = usize::from(self.u8()?);
         let mut load_ratio = None;
         for index in 0..count {
             let value = self.f32()?;
-            if column == Some(index) {
+            if load_column == Some(index) {
                 load_ratio = Some(value);
             }
         }
@@ -101,17 +101,17 @@
         let deadline = self.f64()?;
         let load = self.f64()?;
         let group = self.u64()?;
-        let marks = self.u8()?;
+        let flags = self.u8()?;
         Ok(Request {
             id,
             class,
             tenant,
             key,
             deadline,
-            load: (marks & request_mark::HAS_LOAD != 0).then_some(load),
+            load: (flags & request_flag::HAS_LOAD != 0).then_some(load),
             group,
-            is_mid_flow: marks & request_mark::MID_FLOW != 0,
-            is_returning: marks & request_mark::RETURNING != 0,
+            is_mid_flow: flags & request_flag::MID_FLOW != 0,
+            is_returning: flags & request_flag::RETURNING != 0,
         })
     }
 
@@ -122,8 +122,8 @@
         let cell = self.u16()?.into();
         let offset = self.offset;
         let code = self.u8()?;
-        let bad_state = WireError::BadValue { offset, value: code.into(), field: "stage_state" };
-        let state = codes::server_state(code).ok_or(bad_state)?;
+        let invalid_state = WireError::InvalidValue { offset, value: code.into(), field: "stage_state" };
+        let state = codes::server_state(code).ok_or(invalid_state)?;
         Ok(ServerEntry { server, zone, cell, state, weight: self.f32()?, started_at: self.f64()? })
     }
 }
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -1,4 +1,5 @@
-//! The simulator's messages as exact bytes: a renamed event, action or field must not move one of them.
+//! Compares the simulator's messages with fixtures byte for byte. The tests fail if a renamed event, action
+//! or field changes a message.
 
 use shorewharf_decisions::interface::{
     Action, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
@@ -8,21 +9,21 @@
 const EVENTS: &str = include_str!("fixtures/events.hex");
 const ACTIONS: &str = include_str!("fixtures/actions.hex");
 
-const FIRST: ServerId = ServerId(0x0a00_0001_1b5b);
-const SECOND: ServerId = ServerId(0x0a00_0002_1b5c);
+const FIRST_SERVER: ServerId = ServerId(0x0a00_0001_1b5b);
+const SECOND_SERVER: ServerId = ServerId(0x0a00_0002_1b5c);
 
-/// The bytes of a fixture file: lines of hexadecimal digits between lines of comment.
+/// Parses a fixture file, which has lines of hexadecimal digits and comment lines that begin with `#`.
 fn bytes(fixture: &str) -> Vec<u8> {
     let digits: String = fixture.lines().filter(|line| !line.starts_with('#')).collect();
-    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |start: usize| u8::from_str_radix(&digits[start..start + 2], 16).expect("hexadecimal digits");
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
 fn entries() -> Vec<ServerEntry> {
-    let third = ServerId(0xc0a8_0304_ffff);
+    let third_server = ServerId(0xc0a8_0304_ffff);
     vec![
         ServerEntry {
-            server: FIRST,
+            server: FIRST_SERVER,
             zone: 1,
             cell: 513,
             state: ServerState::Draining,
@@ -30,7 +31,7 @@
             started_at: 12.25,
         },
         ServerEntry {
-            server: SECOND,
+            server: SECOND_SERVER,
             zone: 2,
             cell: 3,
             state: ServerState::Ready,
@@ -38,7 +39,7 @@
             started_at: 0.0,
         },
         ServerEntry {
-            server: third,
+            server: third_server,
             zone: 3,
             cell: 4,
             state: ServerState::Removed,
@@ -48,12 +49,12 @@
     ]
 }
 
-fn update(full: bool, cached: bool) -> Event {
-    Event::EndpointList { is_complete: full, is_cached: cached, entries: entries().into() }
+fn endpoint_list(is_complete: bool, is_cached: bool) -> Event {
+    Event::EndpointList { is_complete, is_cached, entries: entries().into() }
 }
 
 fn requests() -> Vec<Request> {
-    let plain = Request {
+    let minimal = Request {
         id: RequestId(1),
         class: 0,
         tenant: 0,
@@ -64,7 +65,7 @@
         is_mid_flow: false,
         is_returning: false,
     };
-    let hinted = Request {
+    let with_load = Request {
         id: RequestId(2),
         class: 1,
         tenant: 70_000,
@@ -72,12 +73,12 @@
         deadline: 4.5,
         load: Some(0.75),
         group: 99,
-        ..plain
+        ..minimal
     };
-    let third = Request { id: RequestId(3), class: 2, tenant: 2, key: 5, deadline: 5.5, group: 6, ..plain };
+    let third = Request { id: RequestId(3), class: 2, tenant: 2, key: 5, deadline: 5.5, group: 6, ..minimal };
     vec![
-        plain,
-        hinted,
+        minimal,
+        with_load,
         Request { is_returning: true, ..third },
         Request { id: RequestId(4), is_returning: true, ..third },
         Request { id: RequestId(5), is_mid_flow: true, ..third },
@@ -97,27 +98,27 @@
     Outcome::NotSent,
 ];
 
-fn ended((at, outcome): (u32, Outcome)) -> Event {
+fn attempt_ended((index, outcome): (u32, Outcome)) -> Event {
     Event::AttemptEnded {
-        request: RequestId(100 + at),
-        server: SECOND,
-        attempt: at,
+        request: RequestId(100 + index),
+        server: SECOND_SERVER,
+        attempt: index,
         outcome,
-        is_answered: at.is_multiple_of(3),
-        load_ratio: (!at.is_multiple_of(2)).then_some(0.25 * f64::from(at)),
+        is_answered: index.is_multiple_of(3),
+        load_ratio: (!index.is_multiple_of(2)).then_some(0.25 * f64::from(index)),
     }
 }
 
-fn probed((at, outcome): (u32, Outcome)) -> Event {
+fn probe_ended((index, outcome): (u32, Outcome)) -> Event {
     Event::ProbeEnded {
-        server: FIRST,
+        server: FIRST_SERVER,
         outcome,
-        load_ratio: (!at.is_multiple_of(2)).then_some(0.125 * f64::from(at)),
+        load_ratio: (!index.is_multiple_of(2)).then_some(0.125 * f64::from(index)),
     }
 }
 
 fn events() -> Vec<Event> {
-    let open = Request {
+    let restored = Request {
         id: RequestId(8),
         class: 1,
         tenant: 3,
@@ -128,25 +129,25 @@
         is_mid_flow: false,
         is_returning: false,
     };
-    let mut events = vec![update(false, false), update(true, false), update(true, true)];
+    let mut events = vec![endpoint_list(false, false), endpoint_list(true, false), endpoint_list(true, true)];
     events.push(Event::DiscoveryFailed);
     events.extend(requests().into_iter().map(Event::RequestReceived));
     events.extend([
-        Event::ConnectionRestored(open, FIRST),
+        Event::ConnectionRestored(restored, FIRST_SERVER),
         Event::Established { request: RequestId(8), attempt: 2 },
         Event::LoadChanged { request: RequestId(8), load: 1.5 },
-        Event::MessageDelay { server: SECOND, delay: 0.25 },
+        Event::MessageDelay { server: SECOND_SERVER, delay: 0.25 },
     ]);
-    events.extend((0..).zip(OUTCOMES).map(ended));
+    events.extend((0..).zip(OUTCOMES).map(attempt_ended));
     events.extend([Event::ClientLeft(RequestId(9)), Event::TimerFired(5 << 40 | 77)]);
-    events.extend((0..).zip(OUTCOMES).map(probed));
+    events.extend((0..).zip(OUTCOMES).map(probe_ended));
     events.push(Event::TimerFired(u64::MAX));
     events
 }
 
 #[test]
-fn every_record_and_event_is_read_from_its_bytes() {
-    let batch = Decoder::default().decode(&bytes(EVENTS), |_| Some(1)).expect("a good batch");
+fn every_record_and_event_is_decoded_from_its_bytes() {
+    let batch = Decoder::default().decode(&bytes(EVENTS), |_| Some(1)).expect("a valid batch");
     let attach = Record::Attach { seed: 0x0102_0304_0506_0708, settings: br#"{"me":1}"#.to_vec() };
     let mut records = vec![(3, attach)];
     records.extend(events().into_iter().map(|event| (3, Record::Event(event))));
@@ -155,24 +156,24 @@
     let expected: Vec<InstanceRecord> = expected.collect();
     assert_eq!(batch.now, 38_034.5);
     assert_eq!(batch.records.len(), expected.len());
-    for (read, expected) in batch.records.into_iter().zip(expected) {
-        assert_eq!(read, expected);
+    for (decoded, expected) in batch.records.into_iter().zip(expected) {
+        assert_eq!(decoded, expected);
     }
 }
 
 #[test]
-fn every_action_is_written_as_its_bytes() {
+fn every_action_is_encoded_to_its_bytes() {
     let request = RequestId(0x5d3a_91c4);
     let mut encoder = Encoder::default();
     encoder.select_instance(3);
-    encoder.action(&Action::BeginAttempt { request, server: FIRST, timeout: 0.08 });
+    encoder.action(&Action::BeginAttempt { request, server: FIRST_SERVER, timeout: 0.08 });
     encoder.action(&Action::Reject { request, retry_after: 0.0 });
     encoder.action(&Action::Reject { request, retry_after: 0.25 });
     encoder.action(&Action::Fail(request));
     encoder.action(&Action::CancelAttempt { request, attempt: 1 });
     encoder.action(&Action::Migrate(request));
     encoder.action(&Action::SetTimer { after: 0.5, token: 5 << 40 | 77 });
-    encoder.action(&Action::Probe(SECOND));
+    encoder.action(&Action::Probe(SECOND_SERVER));
     encoder.action(&Action::Subscribe);
     encoder.action(&Action::Log("a line — of text".to_owned()));
     encoder.action(&Action::Log(String::new()));
