--- a/crates/budgets/src/member/leadership.rs
+++ b/crates/budgets/src/member/leadership.rs
@@ -89,7 +89,7 @@
         if let Some(leadership) = &mut self.leadership {
             match leader {
                 Some(observed) if observed.record == leadership.record => {
-                    leadership.revision = observed.revision
+                    leadership.revision = observed.revision;
                 }
                 // The last write was not executed, or has not arrived yet. The next write has the same precondition,
                 // so the store executes only one of them.
@@ -215,7 +215,7 @@
     /// Stops being the leader.
     pub(super) fn step_down(&mut self) {
         if self.leadership.take().is_some() {
-            self.stats.times_deposed += 1;
+            self.stats.step_downs += 1;
         }
         // Other members may have written since, so the observation of the leader's record starts again.
         self.leader_view = None;
