--- a/crates/balancer/tests/budgets/fleet.rs
+++ b/crates/balancer/tests/budgets/fleet.rs
@@ -91,7 +91,7 @@
 /// The balancers of a fleet, with their servers, store and clients.
 pub struct Fleet {
     pub observed: Observed,
-    pub programs: Vec<Option<Program>>,
+    pub programs: Vec<Option<BalancerProcess>>,
     store: Vec<Member>,
     pub cluster: Cluster,
     folder: tempfile::TempDir,
@@ -142,7 +142,7 @@
     }
 
     /// Starts a process of the balancer with this index.
-    pub fn start(&self, index: usize) -> Program {
+    pub fn start(&self, index: usize) -> BalancerProcess {
         let named = |(i, address): (usize, &SocketAddr)| (format!("s-{i}"), *address);
         let servers: Vec<(String, SocketAddr)> = self.servers.iter().enumerate().map(named).collect();
         let servers: Vec<(&str, SocketAddr)> =
@@ -160,10 +160,10 @@
             members.display().to_string(),
             self.budget_settings
         );
-        Program::start_with(BINARY, &settings, &operator)
+        BalancerProcess::start_with(BINARY, &settings, &operator)
     }
 
-    pub fn program(&self, index: usize) -> &Program {
+    pub fn program(&self, index: usize) -> &BalancerProcess {
         self.programs[index].as_ref().expect("the balancer is running")
     }
 
--- a/crates/balancer/tests/sockets/faults.rs
+++ b/crates/balancer/tests/sockets/faults.rs
@@ -24,20 +24,20 @@
 }
 
 /// Starts the program with these faults.
-fn start_with_faults(config: &Value, faults: &str) -> Program {
+fn start_with_faults(config: &Value, faults: &str) -> BalancerProcess {
     let library = library();
     let env: [(&str, &OsStr); 2] =
         [("LD_PRELOAD", library.as_os_str()), ("SHOREWHARF_FAULTS", OsStr::new(faults))];
-    Program::start_in(BINARY, config, &env)
+    BalancerProcess::start_in(BINARY, config, &env)
 }
 
 /// Accepts every request at once, until `count` were accepted or none has come for five seconds. Returns their number.
-fn serve(node: Node, count: usize) -> JoinHandle<usize> {
+fn serve(node: Server, count: usize) -> JoinHandle<usize> {
     std::thread::spawn(move || {
         let mut accepted = Vec::new();
         while accepted.len() < count {
             let Some(mut peer) = node.accept_within(Duration::from_secs(5)) else { break };
-            if matches!(peer.hear(), Heard::Line(line) if line.starts_with("OPEN")) {
+            if matches!(peer.hear(), Received::Line(line) if line.starts_with("OPEN")) {
                 peer.try_put(b"UP 7\r\n");
                 accepted.push(peer);
             }
@@ -47,7 +47,7 @@
 }
 
 /// Sends requests one after the other. Returns for each the time until it was accepted, or the other answer.
-fn send_requests(program: &Program, count: usize) -> Vec<Result<Duration, String>> {
+fn send_requests(program: &BalancerProcess, count: usize) -> Vec<Result<Duration, String>> {
     let mut clients = Vec::new();
     let send = |id: usize| {
         let began = Instant::now();
@@ -62,7 +62,7 @@
 /// Checks that under these faults all requests are accepted without delay.
 #[track_caller]
 fn expect_all_accepted(faults: &str) {
-    let nodes = [Node::new(), Node::new()];
+    let nodes = [Server::new(), Server::new()];
     let known = [("s-1", nodes[0].address()), ("s-2", nodes[1].address())];
     let program = start_with_faults(&config(&known), faults);
     let _servers = nodes.map(|node| serve(node, REQUESTS));
@@ -117,7 +117,7 @@
     for seconds in [3600, -3600, 5, -5] {
         expect_all_accepted(&format!("clock={seconds}@0.1-1e9"));
     }
-    let (silent, mut settings) = (Node::new(), config(&[]));
+    let (silent, mut settings) = (Server::new(), config(&[]));
     settings["known"]["endpoints"] = json!([endpoint("s-1", silent.address(), "Ready")]);
     let program = start_with_faults(&settings, "clock=3600@0.3-1e9;clock=-7200@0.6-1e9");
     let began = Instant::now();
@@ -134,11 +134,11 @@
 #[test]
 fn a_server_that_starts_after_a_wall_clock_step_is_warmed_up() {
     for step in [-3600, 3600] {
-        let (warm, new, director) = (Node::new(), Node::new(), Director::new());
-        let mut settings = asking(&[("s-1", warm.address())], &director);
+        let (warm, new, discovery) = (Server::new(), Server::new(), DiscoveryService::new());
+        let mut settings = asking(&[("s-1", warm.address())], &discovery);
         settings["settings"]["rules"]["overload_for_s"] = json!(1.5);
         let program = start_with_faults(&settings, &format!("clock={step}@0.5-1e9"));
-        let mut watch = director.watch();
+        let mut watch = discovery.watch();
         watch.blank();
         std::thread::sleep(Duration::from_millis(600));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
@@ -160,20 +160,20 @@
 #[test]
 fn a_connection_that_times_out_is_closed_on_both_sides() {
     for error in ["ETIMEDOUT", "EHOSTUNREACH"] {
-        let server = Node::new();
+        let server = Server::new();
         // The first read from the server's connection returns its answer, the second one fails.
         let faults = format!("recv:connected={error}/3");
         let program = start_with_faults(&config(&[("s-1", server.address())]), &faults);
         let (mut client, mut attempt) = program.stand(&server);
         attempt.say("M 1");
-        while client.hear() != Heard::Reset {}
-        while !matches!(attempt.hear(), Heard::Reset | Heard::Fin) {}
+        while client.hear() != Received::Reset {}
+        while !matches!(attempt.hear(), Received::Reset | Received::Fin) {}
     }
 }
 
 #[test]
 fn a_request_whose_first_line_is_partly_written_is_answered_in_a_shutdown() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = config(&[("s-1", server.address())]);
     settings["settings"]["classes"][0]["semantics"] = json!("non_idempotent");
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.5);
@@ -185,7 +185,7 @@
     program.terminate();
     let answer = client.line();
     assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
-    assert_eq!((client.hear(), attempt.hear()), (Heard::Fin, Heard::Fin));
+    assert_eq!((client.hear(), attempt.hear()), (Received::Fin, Received::Fin));
     drop((client, attempt));
     assert!(program.wait().success());
 }
@@ -203,7 +203,10 @@
         program.resume();
         for client in &mut waiting {
             let answer = client.hear();
-            assert!(matches!(&answer, Heard::Line(line) if line.starts_with("BUSY")), "{faults}: {answer:?}");
+            assert!(
+                matches!(&answer, Received::Line(line) if line.starts_with("BUSY")),
+                "{faults}: {answer:?}"
+            );
         }
         drop(waiting);
         assert!(program.wait().success());
@@ -215,7 +218,7 @@
     for faults in ["write=ENOSPC@0.2-1", "sync=EIO@0.2-1", "write=short/3@0.2-1", "write=EIO%30;sync=EIO%30"]
     {
         let folder = tempfile::tempdir().expect("a folder");
-        let node = Node::new();
+        let node = Server::new();
         let settings = config(&[("s-1", node.address())]);
         let operator = format!(
             "[snapshot]\nfolder = {:?}\nevery_s = 0.1\nkeep = 3\n",
@@ -223,7 +226,7 @@
         );
         let library = library();
         let env = [("LD_PRELOAD", library.as_os_str()), ("SHOREWHARF_FAULTS", OsStr::new(faults))];
-        let program = Program::start_in_with(BINARY, &settings, &operator, &env);
+        let program = BalancerProcess::start_in_with(BINARY, &settings, &operator, &env);
         let (mut client, mut server) = program.stand(&node);
         let until = Instant::now() + Duration::from_millis(1300);
         while Instant::now() < until {
@@ -234,7 +237,7 @@
         }
         // Killed at any stage of writing: the next process restores a complete snapshot, or starts without one.
         program.kill();
-        let next = Program::start_with(BINARY, &settings, &operator);
+        let next = BalancerProcess::start_with(BINARY, &settings, &operator);
         next.stand(&node);
         assert!(next.has_logged("snapshot-rejected").is_none(), "{faults}: an incomplete snapshot was left");
     }
--- a/crates/balancer/tests/sockets/final_answers.rs
+++ b/crates/balancer/tests/sockets/final_answers.rs
@@ -42,7 +42,7 @@
 }
 
 /// Opens a request of this class, with the client timeout of the class as its deadline.
-fn request(program: &Program, id: usize, class: &RetryClass) -> Peer {
+fn request(program: &BalancerProcess, id: usize, class: &RetryClass) -> Connection {
     let mut client = program.client();
     client.say(&format!(
         "OPEN {:x} {:x} c={},t=acme,d={}",
@@ -55,7 +55,7 @@
 }
 
 /// Opens one request of each class and reads its first line at the server. Returns each with its attempt.
-fn sent_requests(program: &Program, server: &Node) -> Vec<(RetryClass, Peer, Peer)> {
+fn sent_requests(program: &BalancerProcess, server: &Server) -> Vec<(RetryClass, Connection, Connection)> {
     let send = |(id, class): (usize, &RetryClass)| {
         let client = request(program, id, class);
         let mut attempt = server.accept();
@@ -67,7 +67,7 @@
 
 /// Waits for the next attempt at any of the servers.
 #[track_caller]
-fn accept_at_any(servers: &[Node]) -> Peer {
+fn accept_at_any(servers: &[Server]) -> Connection {
     let by = Instant::now() + Duration::from_secs(10);
     while Instant::now() < by {
         let within = Duration::from_millis(10);
@@ -80,7 +80,7 @@
 
 /// Waits for the next attempt at any of the servers, or for an answer to the client.
 #[track_caller]
-fn next_attempt_or_answer(servers: &[Node], client: &mut Peer) -> Result<Peer, String> {
+fn next_attempt_or_answer(servers: &[Server], client: &mut Connection) -> Result<Connection, String> {
     let by = Instant::now() + Duration::from_secs(10);
     while Instant::now() < by {
         let within = Duration::from_millis(10);
@@ -96,17 +96,17 @@
 
 /// Checks the final answer of a request that may have run.
 #[track_caller]
-fn expect_answer_after_run(class: &RetryClass, client: &mut Peer) {
+fn expect_answer_after_run(class: &RetryClass, client: &mut Connection) {
     let answer = client.line();
     let is_rejection = answer.starts_with("BUSY");
     assert!(is_rejection || answer == "ERR", "{class:?}: {answer}");
     assert!(class.is_rejectable || !is_rejection, "{class:?}: rejected though it may have run: {answer}");
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
 }
 
 /// Starts a program with one server, and opens one request of each class whose first line the server has read.
-fn start_and_send() -> (Node, Program, Vec<(RetryClass, Peer, Peer)>) {
-    let server = Node::new();
+fn start_and_send() -> (Server, BalancerProcess, Vec<(RetryClass, Connection, Connection)>) {
+    let server = Server::new();
     let program = start(&config_with_classes(&[("s-1", server.address())]));
     let requests = sent_requests(&program, &server);
     (server, program, requests)
@@ -114,7 +114,10 @@
 
 /// Checks the final answers of requests that may have run, and that the program exits successfully.
 #[track_caller]
-fn expect_answers_and_exit(mut program: Program, mut requests: Vec<(RetryClass, Peer, Peer)>) {
+fn expect_answers_and_exit(
+    mut program: BalancerProcess,
+    mut requests: Vec<(RetryClass, Connection, Connection)>,
+) {
     for (class, client, _) in &mut requests {
         expect_answer_after_run(class, client);
     }
@@ -123,7 +126,7 @@
 }
 
 /// Reloads the program with a configuration in which requests of every class may be repeated.
-fn make_all_repeatable(program: &Program, settings: &Value) {
+fn make_all_repeatable(program: &BalancerProcess, settings: &Value) {
     let mut repeatable = settings.clone();
     for class in repeatable["settings"]["classes"].as_array_mut().expect("classes") {
         class["semantics"] = json!("read_like");
@@ -152,7 +155,7 @@
             continue;
         }
         assert_eq!(client.line(), "UP 1", "{class:?}: its server accepted it in time");
-        assert_eq!((client.line(), client.hear()), ("MOVE".into(), Heard::Fin));
+        assert_eq!((client.line(), client.hear()), ("MOVE".into(), Received::Fin));
     }
     drop(requests);
     assert!(program.wait().success());
@@ -160,10 +163,10 @@
 
 /// Checks the answer of a request that has certainly not run: it is rejected, whatever its class.
 #[track_caller]
-fn expect_answer_before_run(class: &RetryClass, client: &mut Peer) {
+fn expect_answer_before_run(class: &RetryClass, client: &mut Connection) {
     let answer = client.line();
     assert!(answer.starts_with("BUSY"), "{class:?}: never sent, but answered {answer}");
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
 }
 
 #[test]
@@ -182,7 +185,7 @@
 
 #[test]
 fn a_reset_of_a_sent_request_during_a_shutdown_is_retried_only_if_repeatable() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let same_zone = endpoint("s-1", servers[0].address(), "Ready");
     let mut other_zone = endpoint("s-2", servers[1].address(), "Ready");
     other_zone.zone = "b".into();
@@ -218,14 +221,14 @@
             continue;
         }
         expect_answer_after_run(&class, &mut client);
-        assert!(!servers.iter().any(Node::is_called), "{class:?}: sent a second time");
+        assert!(!servers.iter().any(Server::is_called), "{class:?}: sent a second time");
     }
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_request_whose_connect_is_pending_in_a_shutdown_is_rejected() {
-    let (server, _queue) = Node::full();
+    let (server, _queue) = Server::full();
     let mut settings = config_with_classes(&[("s-1", server.address())]);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(30.0);
     let mut program = start(&settings);
@@ -255,7 +258,7 @@
 
 #[test]
 fn a_request_that_arrives_during_a_shutdown_is_rejected_and_never_sent() {
-    let server = Node::new();
+    let server = Server::new();
     let mut program = start(&config_with_classes(&[("s-1", server.address())]));
     program.terminate();
     program.logged("shutting-down");
@@ -268,7 +271,7 @@
 
 #[test]
 fn a_second_sigterm_and_a_reload_change_no_final_answer() {
-    let server = Node::new();
+    let server = Server::new();
     let settings = config_with_classes(&[("s-1", server.address())]);
     let program = start(&settings);
     let requests = sent_requests(&program, &server);
@@ -282,7 +285,7 @@
 
 #[test]
 fn a_reload_does_not_make_an_accepted_request_repeatable() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let known = [("s-1", servers[0].address()), ("s-2", servers[1].address())];
     let settings = config_with_classes(&known);
     let program = start(&settings);
@@ -293,12 +296,12 @@
     make_all_repeatable(&program, &settings);
     attempt.reset();
     expect_answer_after_run(write, &mut client);
-    assert!(!servers.iter().any(Node::is_called), "sent a second time");
+    assert!(!servers.iter().any(Server::is_called), "sent a second time");
 }
 
 #[test]
 fn a_sent_request_is_not_rejected_in_a_shutdown_with_a_successor() {
-    let server = Node::new();
+    let server = Server::new();
     let settings = crate::operators::with_operator_address(config_with_classes(&[("s-1", server.address())]));
     let old = start(&settings);
     let requests = sent_requests(&old, &server);
@@ -324,7 +327,7 @@
 
 #[test]
 fn a_deadline_missed_while_paused_does_not_cause_a_rejection() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config_with_classes(&[("s-1", server.address())]));
     let mut requests = sent_requests(&program, &server);
     let past_deadline = Instant::now() + CLIENT_TIMEOUT + Duration::from_millis(200);
--- a/crates/balancer/tests/sockets/gossip.rs
+++ b/crates/balancer/tests/sockets/gossip.rs
@@ -69,9 +69,9 @@
 #[test]
 fn a_balancer_announces_its_holdings_and_uses_those_of_its_peers_until_they_fall_silent() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (nodes, mut peer) = ([Node::new(), Node::new()], PeerStub::new());
+    let (nodes, mut peer) = ([Server::new(), Server::new()], PeerStub::new());
     let settings = config(&[("s-1", nodes[0].address()), ("s-2", nodes[1].address())]);
-    let program = Program::start_with(BINARY, &settings, &peer.operator(folder.path()));
+    let program = BalancerProcess::start_with(BINARY, &settings, &peer.operator(folder.path()));
     let (_, gossip_address) = peer.receive(|a| a.holdings.is_empty());
     assert_eq!(gossip_address, program.address(), "gossip uses the address that serves clients");
     // One client, at either server; the announcement names its server.
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -35,18 +35,18 @@
 
 /// Sends a line on a connection and, if it arrives, the same line back. Returns the state of the connection.
 #[track_caller]
-fn exchange_line(client: &mut Peer, server: &mut Peer, line: &str) -> Outcome {
+fn exchange_line(client: &mut Connection, server: &mut Connection, line: &str) -> Outcome {
     client.try_put(format!("{line}\r\n").as_bytes());
     assert!(server.has_word(LINE_TIMEOUT), "{line}: neither relayed nor closed");
     match server.hear() {
-        Heard::Line(relayed) => {
+        Received::Line(relayed) => {
             assert_eq!(relayed, line, "a line was duplicated, or came from another connection");
             server.say(line);
-            assert_eq!(client.hear(), Heard::Line(line.to_owned()));
+            assert_eq!(client.hear(), Received::Line(line.to_owned()));
             Outcome::Established
         }
         _ => match client.hear() {
-            Heard::Line(answer) => {
+            Received::Line(answer) => {
                 assert_eq!(answer, "MOVE");
                 Outcome::Migrated
             }
@@ -67,7 +67,7 @@
 
 impl SuccessorStub {
     /// Connects to the old process and reads its state, the first line.
-    fn connect(old: &Program) -> Self {
+    fn connect(old: &BalancerProcess) -> Self {
         let folder = format!("shorewharf-{}", old.address().to_string().replace(':', "-"));
         let socket = old.common().join(folder).join("process");
         let stream = UnixStream::connect(socket).expect("the old process listens");
@@ -115,14 +115,14 @@
 }
 
 /// A configuration with a client timeout of one second, so that a graceful shutdown is short.
-fn config_with_short_timeout(node: &Node) -> Value {
+fn config_with_short_timeout(node: &Server) -> Value {
     let mut settings = with_operator_address(config(&[("s-1", node.address())]));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     settings
 }
 
 /// The same configuration for a process that replaces this one.
-fn config_for_successor(settings: &Value, old: &Program) -> Value {
+fn config_for_successor(settings: &Value, old: &BalancerProcess) -> Value {
     let mut config = settings.clone();
     config["listen"] = json!(old.address());
     config
@@ -139,7 +139,7 @@
     let mut draw = |n: u64| (draws.next_u64() % n) as usize;
     let (fault, step, pause) = (draw(8), draw(CONNECTIONS as u64 + 1), draw(40) as u64);
     let scenario = format!("seed {seed}: fault {fault}, step {step}, pause {pause} ms");
-    let node = Node::new();
+    let node = Server::new();
     let settings = config_with_short_timeout(&node);
     let mut old = start(&settings);
     let mut pairs: Vec<_> = (0..CONNECTIONS).map(|_| old.stand(&node)).collect();
@@ -162,9 +162,9 @@
             server.try_put(b"y\r\n");
             assert!(server.has_word(LINE_TIMEOUT) && client.has_word(LINE_TIMEOUT), "{scenario}");
             outcomes.push(match (server.hear(), client.hear()) {
-                (Heard::Line(x), Heard::Line(y)) if x == "M xx" && y == "M yy" => Outcome::Established,
-                (Heard::Line(x), other) => panic!("{scenario}: {x} and {other:?}"),
-                (_, Heard::Line(y)) if y == "MOVE" => Outcome::Migrated,
+                (Received::Line(x), Received::Line(y)) if x == "M xx" && y == "M yy" => Outcome::Established,
+                (Received::Line(x), other) => panic!("{scenario}: {x} and {other:?}"),
+                (_, Received::Line(y)) if y == "MOVE" => Outcome::Migrated,
                 // The client has received half a line, so no `MOVE` may follow.
                 _ => Outcome::Closed,
             });
@@ -285,10 +285,10 @@
 
 #[test]
 fn connections_of_all_workers_are_transferred_and_distributed_again() {
-    let node = Node::new();
+    let node = Server::new();
     let settings = config_with_short_timeout(&node);
     let workers = "workers = 3\n";
-    let mut old = Program::start_with(BINARY, &settings, workers);
+    let mut old = BalancerProcess::start_with(BINARY, &settings, workers);
     let mut pairs: Vec<_> = (0..30).map(|_| old.stand(&node)).collect();
     let new = old.start_beside_with(BINARY, &config_for_successor(&settings, &old), workers);
     old.terminate();
@@ -316,11 +316,11 @@
 
 #[test]
 fn a_draining_server_a_reload_and_a_second_sigterm_during_a_handover_migrate_no_client_twice() {
-    let (node, director) = (Node::new(), Director::new());
-    let mut settings = with_operator_address(asking(&[("s-1", node.address())], &director));
+    let (node, discovery) = (Server::new(), DiscoveryService::new());
+    let mut settings = with_operator_address(asking(&[("s-1", node.address())], &discovery));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     let mut old = start(&settings);
-    let mut watch = director.watch();
+    let mut watch = discovery.watch();
     let mut successor = SuccessorStub::connect(&old);
     let (mut client, mut server) = old.stand(&node);
     assert!(successor.send("TAKES 2\nSERVES\n"));
@@ -338,7 +338,7 @@
     assert_eq!(server.line(), "M 1");
     server.try_put(b"M 1\r\n");
     let received = (client.hear(), client.hear());
-    let line = |text: &str| Heard::Line(text.into());
+    let line = |text: &str| Received::Line(text.into());
     assert!(received == (line("M 1"), line("MOVE")) || received.0 == line("MOVE"), "{received:?}");
     assert!(old.wait().success());
 }
@@ -357,10 +357,10 @@
     };
     let notify_at = folder.path().join("notify");
     let env = [("SHOREWHARF_TAKE_OVER", socket.as_os_str()), ("NOTIFY_SOCKET", notify_at.as_os_str())];
-    let node = Node::new();
+    let node = Server::new();
     let mut settings = config_with_short_timeout(&node);
     settings.as_object_mut().expect("an object").remove("operator");
-    let mut old = Program::start_in(BINARY, &settings, &env);
+    let mut old = BalancerProcess::start_in(BINARY, &settings, &env);
     expect_ready(old.id());
     let (mut client, mut server) = old.stand(&node);
     let same = config_for_successor(&settings, &old);
@@ -369,7 +369,7 @@
     assert!(code == Some(1) && log.contains("cannot take over from"), "{code:?} {log}");
     assert_eq!(exchange_line(&mut client, &mut server, "M 1"), Outcome::Established);
     for n in 0..2 {
-        let new = Program::start_in(BINARY, &same, &env);
+        let new = BalancerProcess::start_in(BINARY, &same, &env);
         expect_ready(new.id());
         // The test has sent no SIGTERM: the new process has told the old one to end.
         assert!(old.wait().success());
--- a/crates/balancer/tests/sockets/invalid_input.rs
+++ b/crates/balancer/tests/sockets/invalid_input.rs
@@ -9,7 +9,7 @@
 use crate::start;
 
 /// Checks that a line is relayed both ways.
-fn expect_relayed(client: &mut Peer, upstream: &mut Peer, line: &str) {
+fn expect_relayed(client: &mut Connection, upstream: &mut Connection, line: &str) {
     client.say(line);
     assert_eq!(upstream.line(), line);
     upstream.say(line);
@@ -18,7 +18,7 @@
 
 #[test]
 fn each_invalid_input_gets_an_error_and_reaches_no_server() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut valid, mut upstream) = program.stand(&server);
     let open = |fields: &str| format!("OPEN 1 2 {fields}\r\n").into_bytes();
@@ -44,9 +44,9 @@
         let mut client = program.client();
         // The program may end the connection before all of it is written.
         let _ = client.stream().write_all(&bytes);
-        let answer = std::iter::repeat_with(|| client.hear()).find(|h| *h != Heard::Line("PONG".into()));
+        let answer = std::iter::repeat_with(|| client.hear()).find(|h| *h != Received::Line("PONG".into()));
         match answer {
-            Some(Heard::Line(line)) => assert_eq!(line, "ERR", "{input}"),
+            Some(Received::Line(line)) => assert_eq!(line, "ERR", "{input}"),
             // For long input the connection may be closed without an error line.
             other => assert!(bytes.len() > 8192, "{input}: {other:?}"),
         }
@@ -75,7 +75,7 @@
     incomplete.put(b"OPEN 1 2 c=ch");
     assert_eq!(
         (incomplete.hear(), silent.hear()),
-        (Heard::Fin, Heard::Fin),
+        (Received::Fin, Received::Fin),
         "they must be closed within 3 s"
     );
     program.logged("incomplete-line");
@@ -85,18 +85,18 @@
 
 #[test]
 fn an_id_is_free_again_once_its_request_is_over() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     // Each request has the id of the previous one, which was disconnected, served, migrated or rejected.
     let (client, mut upstream) = program.stand_as(&server, "5");
     drop(client);
-    assert_eq!(upstream.hear(), Heard::Fin);
+    assert_eq!(upstream.hear(), Received::Fin);
     drop(upstream);
     program.logged("event=attempt-ended");
     let (mut client, mut upstream) = program.stand_as(&server, "5");
     upstream.say("BYE");
     drop(upstream);
-    assert_eq!((client.line(), client.hear()), ("BYE".into(), Heard::Fin));
+    assert_eq!((client.line(), client.hear()), ("BYE".into(), Received::Fin));
     // Another connection shows that the server works while this one is silent.
     let (mut other, mut other_upstream) = program.stand(&server);
     let (mut client, mut silent) = program.stand_as(&server, "5");
@@ -114,7 +114,7 @@
 
 #[test]
 fn connections_that_servers_close_after_invalid_lines_do_not_count_as_failures() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut valid, mut valid_upstream) = program.stand_as(&server, "1");
     for id in 2..6 {
@@ -122,7 +122,7 @@
         invalid.say("garbage");
         assert_eq!(upstream.line(), "garbage");
         upstream.finish();
-        assert_eq!(invalid.hear(), Heard::Fin);
+        assert_eq!(invalid.hear(), Received::Fin);
     }
     let _client = program.stand_as(&server, "9");
     expect_relayed(&mut valid, &mut valid_upstream, "M 1");
@@ -130,7 +130,7 @@
 
 #[test]
 fn idle_connections_take_no_descriptors_from_requests() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = config(&[("s-1", server.address())]);
     settings["limits"]["sockets"] = json!(96);
     let program = start(&settings);
--- a/crates/balancer/tests/sockets/main.rs
+++ b/crates/balancer/tests/sockets/main.rs
@@ -26,13 +26,13 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_shorewharf");
 
 /// Starts the built program and waits until it serves.
-fn start(config: &Value) -> Program {
-    Program::start(BINARY, config)
+fn start(config: &Value) -> BalancerProcess {
+    BalancerProcess::start(BINARY, config)
 }
 
 #[test]
 fn a_client_is_served_and_lines_are_relayed_both_ways() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let mut client = program.open(",g=5c0f,again=1");
     let mut upstream = server.accept();
@@ -48,10 +48,10 @@
     upstream.say("M 1 hello");
     assert_eq!(client.line(), "M 1 hello");
     client.finish();
-    assert_eq!(upstream.hear(), Heard::Fin);
+    assert_eq!(upstream.hear(), Received::Fin);
     upstream.say("BYE");
     drop(upstream);
-    assert_eq!((client.hear(), client.hear()), (Heard::Line("BYE".into()), Heard::Fin));
+    assert_eq!((client.hear(), client.hear()), (Received::Line("BYE".into()), Received::Fin));
 }
 
 #[test]
@@ -67,45 +67,45 @@
 
 #[test]
 fn a_fin_from_the_server_reaches_the_client() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, upstream) = program.stand(&server);
     upstream.finish();
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
 }
 
 #[test]
 fn a_reset_from_the_server_reaches_the_client() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, upstream) = program.stand(&server);
     upstream.reset();
-    assert_eq!(client.hear(), Heard::Reset);
+    assert_eq!(client.hear(), Received::Reset);
 }
 
 #[test]
 fn client_disconnects_do_not_count_as_server_failures() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     for _ in 0..3 {
         let (client, mut upstream) = program.stand(&server);
         drop(client);
-        assert_eq!(upstream.hear(), Heard::Fin);
+        assert_eq!(upstream.hear(), Received::Fin);
     }
 }
 
 #[test]
 fn a_reset_from_the_client_reaches_the_server() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (client, mut upstream) = program.stand(&server);
     client.reset();
-    assert_eq!(upstream.hear(), Heard::Reset);
+    assert_eq!(upstream.hear(), Received::Reset);
 }
 
 #[test]
 fn a_refused_connect_is_retried_at_another_server() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", nobody()), ("s-2", server.address())]));
     // Whichever server is tried first, each client must be served by the one that is running.
     let _connections: Vec<_> = (0..4).map(|_| program.stand(&server)).collect();
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_connect_timeout_is_retried_at_another_server() {
-    let ((silent, _queue), server) = (Node::full(), Node::new());
+    let ((silent, _queue), server) = (Server::full(), Server::new());
     let mut settings = config(&[("s-1", silent.address()), ("s-2", server.address())]);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(0.2);
     let program = start(&settings);
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_short_client_deadline_does_not_quarantine_the_server() {
-    let (host, queue) = Node::full();
+    let (host, queue) = Server::full();
     let program = start(&config(&[("s-1", host.address())]));
     let mut impatient = program.client();
     impatient.say("OPEN 1 2 c=chat,t=acme,d=300");
@@ -131,17 +131,17 @@
     let _client = program.open("");
     // The impatient client's connects may still complete, with nothing sent on them. A quarantined server would get a
     // probe next instead of the request.
-    let first = std::iter::repeat_with(|| host.accept().hear()).find(|heard| *heard != Heard::Fin);
-    assert!(matches!(first, Some(Heard::Line(line)) if line.starts_with("OPEN 9b1f ")));
+    let first = std::iter::repeat_with(|| host.accept().hear()).find(|heard| *heard != Received::Fin);
+    assert!(matches!(first, Some(Received::Line(line)) if line.starts_with("OPEN 9b1f ")));
 }
 
 #[test]
 fn a_server_that_starts_draining_during_a_connect_is_sent_nothing() {
-    let ((draining, queue), server, director) = (Node::full(), Node::new(), Director::new());
-    let mut settings = asking(&[("s-1", draining.address())], &director);
+    let ((draining, queue), server, discovery) = (Server::full(), Server::new(), DiscoveryService::new());
+    let mut settings = asking(&[("s-1", draining.address())], &discovery);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(20.0);
     let program = start(&settings);
-    let mut watch = director.watch();
+    let mut watch = discovery.watch();
     let mut client = program.open("");
     // The program reads in order: the client's line, sent first, has started an attempt.
     program.settled();
@@ -150,7 +150,7 @@
     program.logged("server-draining");
     queue.iter().for_each(|_| drop(draining.accept()));
     // The connection is established only now, and must be closed with nothing sent on it.
-    assert_eq!(draining.accept().hear(), Heard::Fin);
+    assert_eq!(draining.accept().hear(), Received::Fin);
     let mut upstream = server.accept();
     upstream.line();
     upstream.say("UP 1");
@@ -159,13 +159,13 @@
 
 #[test]
 fn attempts_are_sequential_and_the_final_rejection_has_a_retry_after() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let program = start(&config(&[("s-1", servers[0].address()), ("s-2", servers[1].address())]));
     let (sender, attempts) = channel();
     for (i, host) in servers.iter().enumerate() {
         let (sender, listener) = (sender.clone(), host.listener());
         std::thread::spawn(move || {
-            listener.incoming().flatten().try_for_each(|stream| sender.send((i, Peer::of(stream))))
+            listener.incoming().flatten().try_for_each(|stream| sender.send((i, Connection::of(stream))))
         });
     }
     let mut client = program.open("");
@@ -177,28 +177,28 @@
     let (second_server, mut second) = attempts.recv_timeout(LIMIT).expect("a second attempt");
     assert_ne!(first_server, second_server);
     second.line();
-    assert_eq!(first.hear(), Heard::Fin);
+    assert_eq!(first.hear(), Received::Fin);
     second.say("BUSY");
     let answer = client.line();
     let retry_after = answer.strip_prefix("BUSY ").expect("BUSY with a retry-after");
     assert!(retry_after.parse::<u32>().expect("milliseconds") > 0);
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
 }
 
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let client = program.open("");
     let mut upstream = server.accept();
     upstream.line();
     drop(client);
-    assert_eq!(upstream.hear(), Heard::Fin);
+    assert_eq!(upstream.hear(), Received::Fin);
 }
 
 #[test]
 fn a_request_is_answered_before_its_client_times_out() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let mut client = program.client();
     // The driver's tests check the exact time; this one checks that there is an answer at all.
@@ -206,12 +206,12 @@
     let mut upstream = server.accept();
     upstream.line();
     assert!(client.line().starts_with("BUSY"));
-    assert_eq!(upstream.hear(), Heard::Fin);
+    assert_eq!(upstream.hear(), Received::Fin);
 }
 
 #[test]
 fn a_reconnect_goes_to_the_server_that_it_names() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let program = start(&config(&[("s-1", servers[0].address()), ("s-2", servers[1].address())]));
     for (name, host) in [("s-1", &servers[0]), ("s-2", &servers[1]), ("s-1", &servers[0])] {
         let mut client = program.open(&format!(",at={name}"));
@@ -224,10 +224,10 @@
 
 #[test]
 fn clients_are_migrated_off_a_draining_server() {
-    let (servers, director) = ([Node::new(), Node::new()], Director::new());
+    let (servers, discovery) = ([Server::new(), Server::new()], DiscoveryService::new());
     let known = [("s-1", servers[0].address()), ("s-2", servers[1].address())];
-    let program = start(&asking(&known, &director));
-    let mut watch = director.watch();
+    let program = start(&asking(&known, &discovery));
+    let mut watch = discovery.watch();
     assert_eq!(watch.call(), "GET /v1/servers?follow=1&since=41 HTTP/1.1");
     let mut client = program.open(",at=s-1");
     let mut upstream = servers[0].accept();
@@ -235,35 +235,35 @@
     upstream.say("UP 1");
     assert_eq!(client.line(), "UP 1");
     watch.tell(42, false, vec![endpoint("s-1", servers[0].address(), "Terminating")]);
-    assert_eq!((client.line(), client.hear()), ("MOVE".into(), Heard::Fin));
-    assert_eq!(upstream.hear(), Heard::Fin);
+    assert_eq!((client.line(), client.hear()), ("MOVE".into(), Received::Fin));
+    assert_eq!(upstream.hear(), Received::Fin);
     let _connections: Vec<_> = (0..4).map(|_| program.stand(&servers[1])).collect();
     assert!(!servers[0].is_called(), "a new attempt at a draining server");
 }
 
 #[test]
 fn a_failed_or_silent_watch_is_requested_again() {
-    let director = Director::new();
-    let program = start(&asking(&[], &director));
-    let mut watch = director.watch();
+    let discovery = DiscoveryService::new();
+    let program = start(&asking(&[], &discovery));
+    let mut watch = discovery.watch();
     watch.refuse("503 Busy");
     assert!(program.logged("discovery-failed").contains("status 503"));
-    let mut watch = director.watch();
+    let mut watch = discovery.watch();
     watch.tell(50, true, Vec::new());
     program.logged("discovery-recovered");
     // From here on not even blank lines are sent: the watch is dead though its connection is open.
     assert!(
         program.logged("discovery-failed").contains("no data from the discovery service within the timeout")
     );
-    assert_eq!(director.watch().since(), 50);
+    assert_eq!(discovery.watch().since(), 50);
 }
 
 #[test]
 fn a_snapshot_logs_only_what_has_changed() {
-    let (servers, director) = ([Node::new(), Node::new(), Node::new()], Director::new());
+    let (servers, discovery) = ([Server::new(), Server::new(), Server::new()], DiscoveryService::new());
     let at = |i: usize| servers[i].address();
-    let program = start(&asking(&[("s-1", at(0)), ("s-2", at(1))], &director));
-    let mut watch = director.watch();
+    let program = start(&asking(&[("s-1", at(0)), ("s-2", at(1))], &discovery));
+    let mut watch = discovery.watch();
     watch.tell(42, true, vec![endpoint("s-1", at(0), "Ready"), endpoint("s-3", at(2), "Ready")]);
     let mut lines = [program.logged("server-"), program.logged("server-")]
         .map(|l| l[l.find("level").unwrap()..].to_owned());
@@ -283,7 +283,7 @@
 
 #[test]
 fn the_client_of_an_unresponsive_server_is_migrated() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, _silent) = program.stand(&server);
     client.say("M 1");
@@ -292,7 +292,7 @@
 
 #[test]
 fn one_silent_connection_does_not_quarantine_its_server() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let ((mut client, mut silent), (mut other, mut upstream)) =
         (program.stand(&server), program.stand(&server));
@@ -312,7 +312,7 @@
 
 #[test]
 fn a_reported_message_delay_keeps_new_clients_away() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let mut settings = config(&[("s-1", servers[0].address()), ("s-2", servers[1].address())]);
     settings["settings"]["specifics"]["tells_delay"] = json!(true);
     let program = start(&settings);
@@ -333,7 +333,7 @@
 
 #[test]
 fn a_graceful_shutdown_migrates_clients_and_rejects_new_ones() {
-    let server = Node::new();
+    let server = Server::new();
     let mut program = start(&config(&[("s-1", server.address())]));
     let mut connections: Vec<_> = (0..6).map(|_| program.stand(&server)).collect();
     let mut waiting = program.open("");
@@ -349,8 +349,8 @@
     // In a rolling restart the previously restarted balancer may be back only by now.
     assert!(began.elapsed() > Duration::from_millis(1900));
     for (client, upstream) in &mut connections {
-        assert_eq!((client.line(), client.hear()), ("MOVE".into(), Heard::Fin));
-        assert_eq!(upstream.hear(), Heard::Fin);
+        assert_eq!((client.line(), client.hear()), ("MOVE".into(), Received::Fin));
+        assert_eq!(upstream.hear(), Received::Fin);
     }
     drop((connections, waiting));
     assert!(program.wait().success());
@@ -358,7 +358,7 @@
 
 #[test]
 fn a_killed_balancer_restarts_at_the_same_address() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = config(&[("s-1", server.address())]);
     // Only this process uses ports of this address, so the port is free again after the kill.
     settings["listen"] = json!(SocketAddr::from((loopback(1), 0)));
@@ -367,20 +367,20 @@
     settings["listen"] = json!(program.address());
     // Its connections break, and their remains in the kernel must not keep the address in use.
     drop(program);
-    assert!(matches!(client.hear(), Heard::Fin | Heard::Reset));
-    assert!(matches!(upstream.hear(), Heard::Fin | Heard::Reset));
+    assert!(matches!(client.hear(), Received::Fin | Received::Reset));
+    assert!(matches!(upstream.hear(), Received::Fin | Received::Reset));
     let program = start(&settings);
     program.stand(&server);
 }
 
 #[test]
 fn malformed_input_ends_only_its_own_connection() {
-    let server = Node::new();
+    let server = Server::new();
     let mut program = start(&config(&[("s-1", server.address())]));
     for line in ["HELLO", "", "OPEN", "OPEN 1 2 c=none", "OPEN 1 2 c=chat,d=x", "OPEN  1 2 c=chat"] {
         let mut client = program.client();
         client.say(line);
-        assert_eq!((client.line(), client.hear()), ("ERR".into(), Heard::Fin));
+        assert_eq!((client.line(), client.hear()), ("ERR".into(), Received::Fin));
         program.logged("malformed");
     }
     let mut client = program.client();
@@ -390,7 +390,7 @@
     let mut client = program.client();
     client.put(b"OPEN 1 2 c=ch");
     client.finish();
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
     program.logged("incomplete-line");
     let (_client, _s) = program.stand(&server);
     assert!(program.is_running());
@@ -398,29 +398,29 @@
 
 #[test]
 fn a_line_over_the_limit_from_a_server_ends_its_connection() {
-    let server = Node::new();
+    let server = Server::new();
     let mut program = start(&config(&[("s-1", server.address())]));
     let (mut client, mut upstream) = program.stand(&server);
     upstream.put(&[b'x'; 5000]);
-    assert_eq!(client.hear(), Heard::Reset);
+    assert_eq!(client.hear(), Received::Reset);
     program.logged("line-too-long");
     assert!(program.is_running());
 }
 
 #[test]
 fn a_line_over_the_limit_from_a_client_does_not_count_against_its_server() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, _s) = program.stand(&server);
     client.put(&[b'x'; 5000]);
     program.logged("line-too-long");
-    assert_eq!(client.hear(), Heard::Reset);
+    assert_eq!(client.hear(), Received::Reset);
     program.stand(&server);
 }
 
 #[test]
 fn an_unexpected_answer_is_logged_and_counts_as_an_error() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let mut client = program.open("");
     let mut upstream = server.accept();
@@ -447,7 +447,7 @@
 
 #[test]
 fn clients_are_rejected_while_descriptors_are_short_and_accepted_again_after() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = config(&[("s-1", server.address())]);
     settings["limits"]["sockets"] = json!(40);
     let mut program = start(&settings);
@@ -466,7 +466,7 @@
         assert_eq!(client.line(), "UP 1");
         connections.push((client, upstream));
     };
-    assert!(matches!(&rejection, Heard::Line(line) if line.starts_with("BUSY ")), "{rejection:?}");
+    assert!(matches!(&rejection, Received::Line(line) if line.starts_with("BUSY ")), "{rejection:?}");
     program.logged("descriptors-short");
     for (_client, mut upstream) in connections {
         upstream.say("BYE");
@@ -478,7 +478,7 @@
 
 #[test]
 fn backpressure_from_a_client_reaches_the_server_and_nothing_is_lost() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, mut upstream) = program.stand(&server);
     upstream.stream().set_write_timeout(Some(Duration::from_millis(700))).expect("a write timeout");
--- a/crates/balancer/tests/sockets/metrics.rs
+++ b/crates/balancer/tests/sockets/metrics.rs
@@ -56,7 +56,7 @@
 }
 
 /// Runs one client. Returns 1 if it named a class and 0 otherwise, and the number of first lines that the server got.
-fn run_client(program: &Program, server: &Node, client: Client) -> (u64, u64) {
+fn run_client(program: &BalancerProcess, server: &Server, client: Client) -> (u64, u64) {
     match client {
         Client::Silent => drop(program.client()),
         Client::Incomplete => program.client().put(b"OPEN 1 2 c=ch"),
@@ -81,14 +81,14 @@
 
 /// Runs a client that sends a valid request. Returns the number of first lines that the server got: 0 if the client is
 /// rejected because no server is available.
-fn run_request(program: &Program, server: &Node, client: Client) -> u64 {
+fn run_request(program: &BalancerProcess, server: &Server, client: Client) -> u64 {
     let mut requester = program.open("");
     let mut attempt = loop {
         let Ok(mut attempt) = server.accept_or_hear(&mut requester) else { return 0 };
         match attempt.hear() {
-            Heard::Line(line) if line.starts_with("OPEN ") => break attempt,
+            Received::Line(line) if line.starts_with("OPEN ") => break attempt,
             // The server is quarantined after an earlier client, and gets a probe.
-            Heard::Line(line) if line == "PING" => drop(attempt.try_put(b"PONG\r\n")),
+            Received::Line(line) if line == "PING" => drop(attempt.try_put(b"PONG\r\n")),
             // An attempt that is cancelled while it connects sends nothing.
             _ => {}
         }
@@ -96,7 +96,7 @@
     let Client::Answered(answer, end) = client else { return 1 };
     attempt.say(answer);
     let received = requester.hear();
-    if matches!(&received, Heard::Line(line) if line.starts_with("UP")) {
+    if matches!(&received, Received::Line(line) if line.starts_with("UP")) {
         match end {
             End::ClientFin => requester.finish(),
             End::ClientReset => requester.reset(),
@@ -109,7 +109,7 @@
 
 /// Runs the clients one after the other and checks the metrics.
 fn run_clients(clients: &[Client]) {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&with_operator_address(config(&[("s-1", server.address())])));
     let (mut named, mut sent) = (0, 0);
     for client in clients {
--- a/crates/balancer/tests/sockets/model.rs
+++ b/crates/balancer/tests/sockets/model.rs
@@ -42,15 +42,15 @@
 }
 
 /// Checks that a waiting client is rejected.
-fn expect_rejection(client: &mut Peer) -> State {
+fn expect_rejection(client: &mut Connection) -> State {
     assert!(client.line().starts_with("BUSY "), "a rejection with a retry-after");
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
     State::Ended
 }
 
 /// Applies the steps to one connection and checks it against the model.
 fn check_steps(steps: &[Step]) {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, mut upstream) = (program.open(""), server.accept());
     upstream.line();
@@ -75,7 +75,7 @@
                     // A client that sends a line before its answer gets an error.
                     assert_eq!(
                         (client.line(), client.hear(), upstream.hear()),
-                        ("ERR".into(), Heard::Fin, Heard::Fin)
+                        ("ERR".into(), Received::Fin, Received::Fin)
                     );
                     return;
                 }
@@ -84,7 +84,7 @@
             }
             Step::ServerFin | Step::ServerReset => {
                 let reset = matches!(step, Step::ServerReset);
-                let expected = if reset { Heard::Reset } else { Heard::Fin };
+                let expected = if reset { Received::Reset } else { Received::Fin };
                 if reset {
                     upstream.reset();
                 } else {
@@ -104,7 +104,7 @@
                 } else {
                     drop(client);
                 }
-                assert_eq!(upstream.hear(), if reset { Heard::Reset } else { Heard::Fin });
+                assert_eq!(upstream.hear(), if reset { Received::Reset } else { Received::Fin });
                 return;
             }
         };
--- a/crates/balancer/tests/sockets/operators.rs
+++ b/crates/balancer/tests/sockets/operators.rs
@@ -20,7 +20,7 @@
 
 /// Waits until a metric has this value.
 #[track_caller]
-pub fn wait_for_metric(program: &Program, name: &str, value: u64) {
+pub fn wait_for_metric(program: &BalancerProcess, name: &str, value: u64) {
     let began = Instant::now();
     loop {
         match program.figure(name) {
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_process_that_shuts_down_reports_that_it_is_not_ready() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&with_operator_address(config(&[("s-1", server.address())])));
     let _connection = program.stand(&server);
     program.terminate();
@@ -75,7 +75,7 @@
 
 #[test]
 fn an_unusable_operator_address_prevents_the_start() {
-    let occupied = Node::new();
+    let occupied = Server::new();
     let mut settings = config(&[]);
     for (address, why) in
         [(json!(occupied.address()), "cannot listen at"), (json!("nowhere"), "ADDRESS:PORT")]
@@ -92,7 +92,7 @@
 
 #[test]
 fn each_connection_is_counted_once_under_its_class() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = with_operator_address(config(&[("s-1", server.address())]));
     settings["settings"]["classes"] = json!([
         {"name": "chat", "semantics": "read_like", "promise_s": 1.0, "give_up_s": 20.0},
@@ -154,11 +154,11 @@
 
 #[test]
 fn a_disabled_server_gets_no_clients_until_it_is_enabled() {
-    let (servers, director) = ([Node::new(), Node::new()], Director::new());
+    let (servers, discovery) = ([Server::new(), Server::new()], DiscoveryService::new());
     let listed = [("s-1", servers[0].address()), ("s-2", servers[1].address())];
-    let mut settings = with_operator_address(asking(&listed[..1], &director));
+    let mut settings = with_operator_address(asking(&listed[..1], &discovery));
     let program = start(&settings);
-    let mut watch = director.watch();
+    let mut watch = discovery.watch();
     let (mut client, _upstream) = program.stand(&servers[0]);
     let [one, two] = [0, 1].map(|i| endpoint(listed[i].0, listed[i].1, "Ready"));
     watch.tell(42, false, vec![two.clone()]);
@@ -192,7 +192,7 @@
 
 #[test]
 fn clients_are_rejected_at_once_while_every_server_is_disabled() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&with_operator_address(config(&[("s-1", server.address())])));
     assert_eq!(program.call("exclude s-1"), ["YES"]);
     let (began, mut client) = (Instant::now(), program.open(""));
@@ -203,14 +203,14 @@
 }
 
 /// The folder that the processes of a program's balancer share.
-fn shared_folder(program: &Program) -> std::path::PathBuf {
+fn shared_folder(program: &BalancerProcess) -> std::path::PathBuf {
     let mut entries = std::fs::read_dir(program.common()).expect("the common folder is readable");
     entries.next().expect("the balancer's folder").expect("an entry").path()
 }
 
 #[test]
 fn processes_of_one_balancer_share_the_disabled_servers_from_their_start() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let listed = [("s-1", servers[0].address()), ("s-2", servers[1].address())];
     let settings = with_operator_address(config(&listed));
     let old = start(&settings);
@@ -229,7 +229,7 @@
 
 #[test]
 fn a_shared_folder_that_was_unreadable_for_a_while_is_used_again() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&with_operator_address(config(&[("s-1", server.address())])));
     assert_eq!(program.call("exclude s-1"), ["YES"]);
     let folder = shared_folder(&program);
--- a/crates/balancer/tests/sockets/races.rs
+++ b/crates/balancer/tests/sockets/races.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn no_attempt_is_made_for_a_client_that_closed_before_it_was_accepted() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     program.pause();
     // The connection, its first line and its end all wait in the kernel.
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_first_line_that_arrived_before_its_deadline_is_served_though_read_after_it() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut late, mut front_end) = (program.client(), program.client());
     // The reply shows that both connections have been accepted.
@@ -61,8 +61,8 @@
     program.resume();
     for client in &mut waiting {
         let answer = client.hear();
-        assert!(matches!(&answer, Heard::Line(line) if line.starts_with("BUSY")), "{answer:?}");
-        assert_eq!(client.hear(), Heard::Fin);
+        assert!(matches!(&answer, Received::Line(line) if line.starts_with("BUSY")), "{answer:?}");
+        assert_eq!(client.hear(), Received::Fin);
     }
     drop(waiting);
     assert!(program.wait().success());
@@ -77,17 +77,17 @@
     assert_eq!(front_end.line(), "PONG");
     program.settled();
     program.terminate();
-    assert_eq!((silent.hear(), front_end.hear()), (Heard::Fin, Heard::Fin));
+    assert_eq!((silent.hear(), front_end.hear()), (Received::Fin, Received::Fin));
     // The program still reads input, so the connection is not reset.
     front_end.put(b"PING\r\n");
-    assert_eq!(front_end.hear(), Heard::Fin);
+    assert_eq!(front_end.hear(), Received::Fin);
     drop((silent, front_end));
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_second_sigterm_changes_nothing() {
-    let server = Node::new();
+    let server = Server::new();
     let mut program = start(&config(&[("s-1", server.address())]));
     let (mut client, mut upstream) = program.stand(&server);
     program.terminate();
@@ -98,14 +98,14 @@
     assert_eq!(upstream.line(), "M 1");
     upstream.say("M 1");
     assert_eq!((client.line(), client.line()), ("M 1".into(), "MOVE".into()));
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.hear(), Received::Fin);
     drop(client);
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_connection_with_a_received_request_is_not_evicted_as_idle() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = config(&[("s-1", server.address())]);
     settings["limits"]["sockets"] = json!(96);
     let program = start(&settings);
@@ -126,7 +126,7 @@
 
 #[test]
 fn no_second_attempt_begins_for_a_client_that_has_disconnected() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let program = start(&config(&[("s-1", servers[0].address()), ("s-2", servers[1].address())]));
     let client = program.open("");
     let (first_server, mut first) = loop {
@@ -145,14 +145,14 @@
     first.say("BUSY");
     drop(client);
     program.resume();
-    assert_eq!(first.hear(), Heard::Fin);
+    assert_eq!(first.hear(), Received::Fin);
     program.settled();
     assert!(!servers[1 - first_server].is_called(), "another attempt for a client that has disconnected");
 }
 
 #[test]
 fn a_client_that_disconnects_as_its_server_accepts_it_leaves_no_connection() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     for up_first in [true, false] {
         let client = program.open("");
@@ -167,7 +167,7 @@
             upstream.say("UP 1");
         }
         program.resume();
-        assert!(matches!(upstream.hear(), Heard::Fin | Heard::Reset));
+        assert!(matches!(upstream.hear(), Received::Fin | Received::Reset));
         assert!(!server.is_called(), "a second attempt");
     }
     program.stand(&server);
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_server_answer_at_the_deadline_leads_to_exactly_one_answer() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     for answer in ["UP 1", "BUSY", "ERR"] {
         let mut client = program.client();
@@ -195,9 +195,9 @@
             assert_eq!(upstream.line(), "M 1");
         } else {
             assert!(line.starts_with("BUSY") || line == "ERR", "{line}");
-            assert_eq!(client.hear(), Heard::Fin);
+            assert_eq!(client.hear(), Received::Fin);
             // The attempt may be cancelled before the server's answer is read, which causes a reset.
-            assert!(matches!(upstream.hear(), Heard::Fin | Heard::Reset));
+            assert!(matches!(upstream.hear(), Received::Fin | Received::Reset));
         }
         assert!(!server.is_called(), "an attempt after the deadline");
     }
@@ -205,7 +205,7 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnects_as_its_connect_completes() {
-    let (host, queue) = Node::full();
+    let (host, queue) = Server::full();
     let mut settings = config(&[("s-1", host.address())]);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(30.0);
     let program = start(&settings);
@@ -218,5 +218,5 @@
     drop(client);
     std::thread::sleep(Duration::from_millis(150));
     program.resume();
-    assert_eq!(attempt.hear(), Heard::Fin, "a first line for a client that has disconnected");
+    assert_eq!(attempt.hear(), Received::Fin, "a first line for a client that has disconnected");
 }
--- a/crates/balancer/tests/sockets/reload.rs
+++ b/crates/balancer/tests/sockets/reload.rs
@@ -8,7 +8,8 @@
 
 #[test]
 fn a_new_discovery_address_is_watched_at_once_and_connections_stay() {
-    let (servers, old, new) = ([Node::new(), Node::new()], Director::new(), Director::new());
+    let (servers, old, new) =
+        ([Server::new(), Server::new()], DiscoveryService::new(), DiscoveryService::new());
     let mut settings = asking(&[("s-1", servers[0].address())], &old);
     let mut program = start(&settings);
     let mut watch = old.watch();
@@ -33,7 +34,7 @@
 
 #[test]
 fn an_invalid_file_changes_nothing_and_is_logged() {
-    let (server, old, new) = (Node::new(), Director::new(), Director::new());
+    let (server, old, new) = (Server::new(), DiscoveryService::new(), DiscoveryService::new());
     let settings = asking(&[("s-1", server.address())], &old);
     let mut program = start(&settings);
     old.watch();
@@ -58,22 +59,23 @@
 
 #[test]
 fn after_reloads_in_quick_succession_the_last_file_is_in_force() {
-    let (server, directors) = (Node::new(), [Director::new(), Director::new(), Director::new()]);
-    let mut settings = asking(&[("s-1", server.address())], &directors[0]);
+    let (server, discovery_services) =
+        (Server::new(), [DiscoveryService::new(), DiscoveryService::new(), DiscoveryService::new()]);
+    let mut settings = asking(&[("s-1", server.address())], &discovery_services[0]);
     let mut program = start(&settings);
-    directors[0].watch();
-    for director in [&directors[1], &directors[0], &directors[2]] {
-        settings["discovery"] = json!(director.address());
+    discovery_services[0].watch();
+    for discovery in [&discovery_services[1], &discovery_services[0], &discovery_services[2]] {
+        settings["discovery"] = json!(discovery.address());
         program.reconfigure(&settings.to_string());
     }
-    assert_eq!(directors[2].watch().since(), 41);
+    assert_eq!(discovery_services[2].watch().since(), 41);
     program.stand(&server);
     assert!(program.is_running());
 }
 
 #[test]
 fn new_classes_and_limits_are_in_force_and_a_new_listen_address_needs_a_restart() {
-    let server = Node::new();
+    let server = Server::new();
     let mut settings = config(&[("s-1", server.address())]);
     let program = start(&settings);
     let classes = settings["settings"]["classes"].as_array_mut().expect("classes");
@@ -92,7 +94,7 @@
 
 #[test]
 fn a_silent_watch_at_a_new_discovery_address_is_requested_again() {
-    let (old, new) = (Director::new(), Director::new());
+    let (old, new) = (DiscoveryService::new(), DiscoveryService::new());
     let mut settings = asking(&[], &old);
     let program = start(&settings);
     let _watch = old.watch();
--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -15,13 +15,13 @@
     format!("[snapshot]\nfolder = {:?}\nevery_s = 0.1\nkeep = 3\n", folder.display().to_string())
 }
 
-fn start(config: &Value, folder: &Path) -> Program {
-    Program::start_with(BINARY, config, &operator_file(folder))
+fn start(config: &Value, folder: &Path) -> BalancerProcess {
+    BalancerProcess::start_with(BINARY, config, &operator_file(folder))
 }
 
 /// Returns the log line with this text that was logged before the program served.
 #[track_caller]
-fn startup_line(program: &Program, text: &str) -> String {
+fn startup_line(program: &BalancerProcess, text: &str) -> String {
     program.has_logged(text).unwrap_or_else(|| panic!("no log line contains {text}"))
 }
 
@@ -52,10 +52,10 @@
 #[test]
 fn a_killed_balancer_restores_its_endpoint_list_and_placements() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let (one, two, director) = (Node::new(), Node::new(), Director::new());
-    let settings = with_operator_address(asking(&[("s-1", one.address())], &director));
+    let (one, two, discovery) = (Server::new(), Server::new(), DiscoveryService::new());
+    let settings = with_operator_address(asking(&[("s-1", one.address())], &discovery));
     let program = start(&settings, folder.path());
-    let mut watch = director.watch();
+    let mut watch = discovery.watch();
     watch.tell(
         42,
         false,
@@ -80,10 +80,10 @@
 #[test]
 fn a_shutdown_writes_a_final_snapshot_and_a_newer_endpoint_list_overrides_it() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let node = Node::new();
+    let node = Server::new();
     let settings = config(&[("s-1", node.address())]);
     let hourly = operator_file(folder.path()).replace("0.1", "3600");
-    let mut program = Program::start_with(BINARY, &settings, &hourly);
+    let mut program = BalancerProcess::start_with(BINARY, &settings, &hourly);
     program.terminate();
     assert!(program.wait().success());
     assert_eq!(snapshots(folder.path()).len(), 1);
@@ -135,7 +135,7 @@
             break;
         }
         assert!(round < 100, "fewer than six restored snapshots in {round} starts");
-        let program = Program::start_with(BINARY, &settings, &operator);
+        let program = BalancerProcess::start_with(BINARY, &settings, &operator);
         if !snapshots(folder.path()).is_empty() {
             startup_line(&program, "event=state-restored");
             restored += 1;
@@ -154,7 +154,7 @@
 
 #[test]
 fn an_unusable_snapshot_folder_is_logged_and_the_program_serves() {
-    let node = Node::new();
+    let node = Server::new();
     let settings = config(&[("s-1", node.address())]);
     let program = start(&settings, Path::new("/dev/null/snapshots"));
     startup_line(&program, "event=snapshots-unavailable");
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_successor_restores_the_learned_state_of_its_predecessor() {
-    let node = Node::new();
+    let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let old = crate::start(&settings);
     let (mut client, mut server) = old.stand(&node);
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -25,7 +25,7 @@
 }
 
 impl AutoServer {
-    fn start(node: Node) -> Self {
+    fn start(node: Server) -> Self {
         let is_over = Arc::new(AtomicBool::new(false));
         let serve = {
             let is_over = Arc::clone(&is_over);
@@ -35,7 +35,7 @@
                     if let Some(mut peer) = node.accept_within(Duration::from_millis(20)) {
                         // A cancelled attempt sends no line, or closes the connection before the answer.
                         match peer.hear() {
-                            Heard::Line(line) if line.starts_with(ESTABLISHED_CLIENT) => {
+                            Received::Line(line) if line.starts_with(ESTABLISHED_CLIENT) => {
                                 peer.try_put(b"UP 1\r\n");
                                 established.push(peer);
                             }
@@ -119,7 +119,7 @@
 }
 
 /// The same configuration for a process that replaces this one.
-fn config_for_successor(config: &Value, program: &Program) -> Value {
+fn config_for_successor(config: &Value, program: &BalancerProcess) -> Value {
     let mut config = config.clone();
     config["listen"] = json!(program.address());
     config
@@ -127,12 +127,12 @@
 
 #[test]
 fn every_request_of_a_stream_is_answered_through_two_upgrades() {
-    let (node, other) = (Node::new(), Node::new());
+    let (node, other) = (Server::new(), Server::new());
     let settings = with_operator_address(config(&[("s-1", node.address()), ("s-2", other.address())]));
     let _servers = [AutoServer::start(node), AutoServer::start(other)];
     let mut old = start(&settings);
     let stream = RequestStream::start(6, old.address());
-    let mut established = Peer::open(old.address(), &established_request());
+    let mut established = Connection::open(old.address(), &established_request());
     assert_eq!(established.line(), "UP 1");
     for _ in 0..2 {
         stream.await_requests(200);
@@ -162,7 +162,7 @@
 }
 
 /// Checks that a line is relayed both ways.
-fn expect_relayed(client: &mut Peer, server: &mut Peer, line: &str) {
+fn expect_relayed(client: &mut Connection, server: &mut Connection, line: &str) {
     client.say(line);
     assert_eq!(server.line(), line);
     server.say(line);
@@ -171,7 +171,7 @@
 
 #[test]
 fn established_connections_are_transferred_between_lines_and_within_a_line() {
-    let node = Node::new();
+    let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
     let (mut first, mut first_upstream) = old.stand(&node);
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_new_process_that_is_killed_or_cannot_start_affects_no_request() {
-    let node = Node::new();
+    let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let _server = AutoServer::start(node);
     let mut old = start(&settings);
@@ -239,16 +239,16 @@
 
 #[test]
 fn a_successor_starts_with_the_current_endpoint_list_and_shuts_down_normally_without_a_successor() {
-    let (first, second, director) = (Node::new(), Node::new(), Director::new());
-    let settings = with_operator_address(asking(&[("s-1", first.address())], &director));
+    let (first, second, discovery) = (Server::new(), Server::new(), DiscoveryService::new());
+    let settings = with_operator_address(asking(&[("s-1", first.address())], &discovery));
     let mut old = start(&settings);
-    let mut watch = director.watch();
+    let mut watch = discovery.watch();
     watch.tell(42, false, vec![endpoint("s-2", second.address(), "Ready")]);
     wait_for_metric(&old, "targets", 2);
     let mut new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
     assert_eq!(new.figure("targets"), 2);
     // Its watch continues from the revision of that list.
-    assert_eq!(director.watch().since(), 42);
+    assert_eq!(discovery.watch().since(), 42);
     old.terminate();
     assert!(old.wait().success());
     // It has no successor: for a while it still accepts clients, and rejects them with a retry-after.
@@ -261,7 +261,7 @@
 
 #[test]
 fn a_client_whose_class_the_new_process_does_not_know_is_migrated_and_not_cut_off() {
-    let node = Node::new();
+    let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
     let (mut client, _upstream) = old.stand(&node);
@@ -269,7 +269,7 @@
     other["settings"]["classes"][0]["name"] = json!("feed");
     let new = old.start_beside(BINARY, &other);
     old.terminate();
-    assert_eq!((client.hear(), client.hear()), (Heard::Line("MOVE".into()), Heard::Fin));
+    assert_eq!((client.hear(), client.hear()), (Received::Line("MOVE".into()), Received::Fin));
     assert!(old.wait().success());
     wait_for_metric(&new, "concurrent", 0);
 }
--- a/crates/balancer/tests/sockets/workers.rs
+++ b/crates/balancer/tests/sockets/workers.rs
@@ -7,11 +7,12 @@
 
 #[test]
 fn workers_share_clients_ids_endpoint_lists_reloads_and_the_shutdown() {
-    let (servers, old, new) = ([Node::new(), Node::new()], Director::new(), Director::new());
+    let (servers, old, new) =
+        ([Server::new(), Server::new()], DiscoveryService::new(), DiscoveryService::new());
     let mut settings = asking(&[("s-1", servers[0].address())], &old);
     // A short client timeout: the shutdown migrates clients soon after SIGTERM.
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
-    let mut program = Program::start_with(BINARY, &settings, "workers = 3");
+    let mut program = BalancerProcess::start_with(BINARY, &settings, "workers = 3");
     let _watch = old.watch();
     let mut connections: Vec<_> =
         (1..=30).map(|id| program.stand_as(&servers[0], &format!("{id:x}"))).collect();
--- a/crates/emulator/src/standin/program.rs
+++ b/crates/emulator/src/standin/balancer_process.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use shorewharf_protocol::endpoint_list::Endpoint;
 
-use super::{Director, LIMIT, Node, Peer, loopback, nobody};
+use super::{Connection, DiscoveryService, LIMIT, Server, loopback, nobody};
 
 /// One server as discovery lists it.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> Endpoint {
@@ -43,9 +43,9 @@
 }
 
 /// The same, with a director that is asked soon.
-pub fn asking(servers: &[(&str, SocketAddr)], director: &Director) -> Value {
+pub fn asking(servers: &[(&str, SocketAddr)], discovery: &DiscoveryService) -> Value {
     let mut config = config(servers);
-    config["discovery"] = json!(director.address());
+    config["discovery"] = json!(discovery.address());
     config["settings"]["registry_mode"] = json!("ask");
     config["settings"]["rules"]["ask_within_s"] = json!(1.0);
     config
@@ -144,7 +144,7 @@
 }
 
 /// The program, killed by its own id when it is dropped, whether the test has passed or not.
-pub struct Program {
+pub struct BalancerProcess {
     started: Started,
     next_id: Cell<u64>,
     log: Receiver<String>,
@@ -154,23 +154,28 @@
     common: Rc<Folder>,
 }
 
-impl Program {
+impl BalancerProcess {
     /// Starts a program on a configuration and waits until it serves.
     #[track_caller]
     pub fn start(binary: impl AsRef<OsStr>, config: &Value) -> Self {
-        Program::begin(binary.as_ref(), config, More::default(), Rc::default())
+        BalancerProcess::begin(binary.as_ref(), config, More::default(), Rc::default())
     }
 
     /// The same with a file of the operator's own.
     #[track_caller]
     pub fn start_with(binary: impl AsRef<OsStr>, config: &Value, operator: &str) -> Self {
-        Program::begin(binary.as_ref(), config, More { operator: Some(operator), env: &[] }, Rc::default())
+        BalancerProcess::begin(
+            binary.as_ref(),
+            config,
+            More { operator: Some(operator), env: &[] },
+            Rc::default(),
+        )
     }
 
     /// The same with variables of its environment.
     #[track_caller]
     pub fn start_in(binary: impl AsRef<OsStr>, config: &Value, env: &[(&str, &OsStr)]) -> Self {
-        Program::begin(binary.as_ref(), config, More { operator: None, env }, Rc::default())
+        BalancerProcess::begin(binary.as_ref(), config, More { operator: None, env }, Rc::default())
     }
 
     /// The same with both.
@@ -181,7 +186,7 @@
         operator: &str,
         env: &[(&str, &OsStr)],
     ) -> Self {
-        Program::begin(binary.as_ref(), config, More { operator: Some(operator), env }, Rc::default())
+        BalancerProcess::begin(binary.as_ref(), config, More { operator: Some(operator), env }, Rc::default())
     }
 
     /// Its number in the system.
@@ -192,13 +197,13 @@
     /// Another process of the same balancer: what is in this one's `$TMPDIR` is in its too.
     #[track_caller]
     pub fn start_beside(&self, binary: impl AsRef<OsStr>, config: &Value) -> Self {
-        Program::begin(binary.as_ref(), config, More::default(), Rc::clone(&self.common))
+        BalancerProcess::begin(binary.as_ref(), config, More::default(), Rc::clone(&self.common))
     }
 
     /// The same with a file of the operator's own.
     #[track_caller]
     pub fn start_beside_with(&self, binary: impl AsRef<OsStr>, config: &Value, operator: &str) -> Self {
-        Program::begin(
+        BalancerProcess::begin(
             binary.as_ref(),
             config,
             More { operator: Some(operator), env: &[] },
@@ -219,7 +224,7 @@
         thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let (next_id, heard) = (Cell::new(0x9b1f), RefCell::default());
         let mut program =
-            Program { started, next_id, log, heard, address: nobody(), operators: None, common };
+            BalancerProcess { started, next_id, log, heard, address: nobody(), operators: None, common };
         let line = program.logged("event=serving");
         let at = |key: &str| line.split(key).nth(1)?.split(' ').next()?.parse().ok();
         program.address = at("listen=").expect("an address");
@@ -234,8 +239,8 @@
 
     /// An operator that has said this, as it is.
     #[track_caller]
-    pub fn operator(&self, words: &str) -> Peer {
-        let mut operator = Peer::connect(self.operators.expect("a second address"));
+    pub fn operator(&self, words: &str) -> Connection {
+        let mut operator = Connection::connect(self.operators.expect("a second address"));
         operator.put(words.as_bytes());
         operator
     }
@@ -286,13 +291,13 @@
 
     /// A client that has connected and said nothing yet.
     #[track_caller]
-    pub fn client(&self) -> Peer {
-        Peer::connect(self.address)
+    pub fn client(&self) -> Connection {
+        Connection::connect(self.address)
     }
 
     /// A client that has said its first line, under an id of its own: 9b1f and up.
     #[track_caller]
-    pub fn open(&self, more: &str) -> Peer {
+    pub fn open(&self, more: &str) -> Connection {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         self.open_as(&format!("{id:x}"), more)
@@ -300,7 +305,7 @@
 
     /// The same under this id.
     #[track_caller]
-    pub fn open_as(&self, id: &str, more: &str) -> Peer {
+    pub fn open_as(&self, id: &str, more: &str) -> Connection {
         let mut client = self.client();
         client.say(&format!("OPEN {id} 7f3a c=chat,t=acme,d=20000{more}"));
         client
@@ -308,13 +313,13 @@
 
     /// A standing connection: client and node.
     #[track_caller]
-    pub fn stand(&self, node: &Node) -> (Peer, Peer) {
+    pub fn stand(&self, node: &Server) -> (Connection, Connection) {
         node.stand(self.open(""))
     }
 
     /// The same under this id.
     #[track_caller]
-    pub fn stand_as(&self, node: &Node, id: &str) -> (Peer, Peer) {
+    pub fn stand_as(&self, node: &Server, id: &str) -> (Connection, Connection) {
         node.stand(self.open_as(id, ""))
     }
 
@@ -386,7 +391,7 @@
 }
 
 /// What the program wrote is shown with the failure of its test.
-impl Drop for Program {
+impl Drop for BalancerProcess {
     fn drop(&mut self) {
         if thread::panicking() {
             let lines = self.heard.take().into_iter().chain(self.log.try_iter());
--- a/crates/emulator/src/standin/peer.rs
+++ b/crates/emulator/src/standin/connection.rs
@@ -10,7 +10,7 @@
 
 /// What comes next from the other end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum Received {
     /// A line, without its end.
     Line(String),
     /// It has finished its sending.
@@ -21,9 +21,9 @@
 
 /// One end of a connection with the program. Its words go out at once.
 #[derive(Debug)]
-pub struct Peer(BufReader<TcpStream>);
+pub struct Connection(BufReader<TcpStream>);
 
-impl Peer {
+impl Connection {
     /// This end of a connection.
     ///
     /// # Panics
@@ -32,7 +32,7 @@
     pub fn of(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
-        Peer(BufReader::new(stream))
+        Connection(BufReader::new(stream))
     }
 
     /// A client that has connected and said nothing yet.
@@ -42,13 +42,13 @@
     /// Panics if nobody listens at the address.
     #[track_caller]
     pub fn connect(to: SocketAddr) -> Self {
-        Peer::of(TcpStream::connect(to).expect("the program listens"))
+        Connection::of(TcpStream::connect(to).expect("the program listens"))
     }
 
     /// A client that has said its first line.
     #[track_caller]
     pub fn open(to: SocketAddr, line: &OpenRequestLine) -> Self {
-        let mut client = Peer::connect(to);
+        let mut client = Connection::connect(to);
         client.put(line.to_string().as_bytes());
         client
     }
@@ -80,12 +80,14 @@
     ///
     /// Panics if nothing arrives in time, or bytes that are not text.
     #[track_caller]
-    pub fn hear(&mut self) -> Heard {
+    pub fn hear(&mut self) -> Received {
         let mut bytes = Vec::new();
         match self.0.read_until(b'\n', &mut bytes) {
-            Ok(0) => Heard::Fin,
-            Ok(_) => Heard::Line(String::from_utf8(bytes).expect("text").trim_end_matches("\r\n").to_owned()),
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => Heard::Reset,
+            Ok(0) => Received::Fin,
+            Ok(_) => {
+                Received::Line(String::from_utf8(bytes).expect("text").trim_end_matches("\r\n").to_owned())
+            }
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => Received::Reset,
             Err(e) => panic!("nothing was heard: {e}"),
         }
     }
@@ -98,7 +100,7 @@
     #[track_caller]
     pub fn line(&mut self) -> String {
         match self.hear() {
-            Heard::Line(line) => line,
+            Received::Line(line) => line,
             other => panic!("a line was expected, not {other:?}"),
         }
     }
@@ -113,9 +115,9 @@
         let mut lines = Vec::new();
         loop {
             match self.hear() {
-                Heard::Line(line) => lines.push(line),
-                Heard::Fin => return lines,
-                Heard::Reset => panic!("a reset after {lines:?}"),
+                Received::Line(line) => lines.push(line),
+                Received::Fin => return lines,
+                Received::Reset => panic!("a reset after {lines:?}"),
             }
         }
     }
--- a/crates/emulator/src/standin/director.rs
+++ b/crates/emulator/src/standin/discovery_service.rs
@@ -4,16 +4,16 @@
 
 use shorewharf_protocol::endpoint_list::{Endpoint, EndpointList};
 
-use super::{Node, Peer};
+use super::{Connection, Server};
 
 /// Discovery's side: waits for calls.
 #[derive(Debug, Default)]
-pub struct Director(Node);
+pub struct DiscoveryService(Server);
 
-impl Director {
+impl DiscoveryService {
     /// A director that listens.
     pub fn new() -> Self {
-        Director::default()
+        DiscoveryService::default()
     }
 
     /// Where it listens.
@@ -38,7 +38,7 @@
 /// A watch that the program has asked for.
 #[derive(Debug)]
 pub struct Watch {
-    peer: Peer,
+    peer: Connection,
     call: String,
     begun: bool,
 }
--- a/crates/emulator/src/standin/mod.rs
+++ b/crates/emulator/src/standin/mod.rs
@@ -1,19 +1,19 @@
 //! Stand-ins for socket tests: the test plays the peers of a balancer step by step, on loopback ports that the system
 //! picks, against a program that it starts.
 //!
-//! - [`Node`]: a server that the program connects to; each connection is a [`Peer`] that the test speaks through.
-//! - [`Director`]: discovery, whose [`Watch`] tells lists.
-//! - [`Peer::connect`] and [`Program::open`]: clients.
-//! - [`Program`]: the program itself, with its configuration and its log, ended with the test.
+//! - [`Server`]: a server that the program connects to; each connection is a [`Connection`] that the test speaks through.
+//! - [`DiscoveryService`]: discovery, whose [`Watch`] tells lists.
+//! - [`Connection::connect`] and [`BalancerProcess::open`]: clients.
+//! - [`BalancerProcess`]: the program itself, with its configuration and its log, ended with the test.
 //!
 //! Everything waits for an event, up to [`LIMIT`], which only a failure reaches; nothing sleeps, and nothing expects an
 //! event *by* a time. What does not come to pass is a panic that says so, since it is a test that waits.
 //!
 //! ```no_run
-//! use shorewharf_emulator::standin::{Node, Program, config};
+//! use shorewharf_emulator::standin::{Server, BalancerProcess, config};
 //!
-//! let node = Node::new();
-//! let program = Program::start("target/debug/shorewharf", &config(&[("s-1", node.address())]));
+//! let node = Server::new();
+//! let program = BalancerProcess::start("target/debug/shorewharf", &config(&[("s-1", node.address())]));
 //! let mut client = program.open("");
 //! let mut server = node.accept();
 //! assert!(server.line().starts_with("OPEN "));
@@ -21,15 +21,15 @@
 //! assert_eq!(client.line(), "UP 1");
 //! ```
 
-mod director;
-mod node;
-mod peer;
-mod program;
+mod balancer_process;
+mod connection;
+mod discovery_service;
+mod server;
 
-pub use director::{Director, Watch};
-pub use node::{Node, loopback, nobody};
-pub use peer::{Heard, Peer};
-pub use program::{Program, asking, config, endpoint, refused_start, refused_start_with};
+pub use balancer_process::{BalancerProcess, asking, config, endpoint, refused_start, refused_start_with};
+pub use connection::{Connection, Received};
+pub use discovery_service::{DiscoveryService, Watch};
+pub use server::{Server, loopback, nobody};
 
 use std::time::Duration;
 
--- a/crates/emulator/src/standin/node.rs
+++ b/crates/emulator/src/standin/server.rs
@@ -6,7 +6,7 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-use super::{Heard, LIMIT, Peer};
+use super::{Connection, LIMIT, Received};
 
 fn bound() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -16,15 +16,15 @@
 
 /// A server, or whoever else the program connects to.
 #[derive(Debug)]
-pub struct Node(TcpListener);
+pub struct Server(TcpListener);
 
-impl Default for Node {
+impl Default for Server {
     fn default() -> Self {
-        Node::new()
+        Server::new()
     }
 }
 
-impl Node {
+impl Server {
     /// A node that listens.
     ///
     /// # Panics
@@ -33,7 +33,7 @@
     pub fn new() -> Self {
         let socket = bound();
         socket.listen(1024).expect("a queue");
-        Node(socket.into())
+        Server(socket.into())
     }
 
     /// A node to which connections don't come up, as its queue is full: of the connections that are returned too.
@@ -41,7 +41,7 @@
     pub fn full() -> (Self, Vec<TcpStream>) {
         let socket = bound();
         socket.listen(1).expect("a queue");
-        let node = Node(socket.into());
+        let node = Server(socket.into());
         let mut queue = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&node.address(), Duration::from_millis(500)) {
             queue.push(stream);
@@ -65,14 +65,14 @@
     ///
     /// Panics if the program does not connect in time.
     #[track_caller]
-    pub fn accept(&self) -> Peer {
+    pub fn accept(&self) -> Connection {
         self.accept_within(LIMIT).expect("the program connects")
     }
 
     /// Waits so long for the next connection.
-    pub fn accept_within(&self, limit: Duration) -> Option<Peer> {
+    pub fn accept_within(&self, limit: Duration) -> Option<Connection> {
         SockRef::from(&self.0).set_read_timeout(Some(limit)).expect("a time-out");
-        self.0.accept().ok().map(|(stream, _)| Peer::of(stream))
+        self.0.accept().ok().map(|(stream, _)| Connection::of(stream))
     }
 
     /// Waits for the next connection, or for what a client is told instead.
@@ -85,7 +85,7 @@
     ///
     /// Panics if neither a connection nor a message arrives in time.
     #[track_caller]
-    pub fn accept_or_hear(&self, client: &mut Peer) -> Result<Peer, Heard> {
+    pub fn accept_or_hear(&self, client: &mut Connection) -> Result<Connection, Received> {
         let turn = Duration::from_millis(20);
         for _ in 0..LIMIT.as_millis() / turn.as_millis() {
             if let Some(server) = self.accept_within(turn) {
@@ -100,7 +100,7 @@
 
     /// Takes the next client, whose first line is dropped: both ends of what stands now.
     #[track_caller]
-    pub fn stand(&self, mut client: Peer) -> (Peer, Peer) {
+    pub fn stand(&self, mut client: Connection) -> (Connection, Connection) {
         let mut server = self.accept();
         server.line();
         server.say("UP 77");
