--- a/crates/balancer/tests/budgets/fleet.rs
+++ b/crates/balancer/tests/budgets/fleet.rs
@@ -109,7 +109,7 @@
         let observed = Observed::default();
         let servers = (0..SERVERS)
             .map(|_| {
-                let listener = TcpListener::bind((loopback(0), 0)).expect("a port");
+                let listener = TcpListener::bind((loopback_address(0), 0)).expect("a port");
                 let (address, observed) = (listener.local_addr().expect("bound"), observed.clone());
                 thread::spawn(move || {
                     for stream in listener.incoming().flatten() {
@@ -160,7 +160,7 @@
             members.display().to_string(),
             self.budget_settings
         );
-        BalancerProcess::start_with(BINARY, &settings, &operator)
+        BalancerProcess::start_with_operator(BINARY, &settings, &operator)
     }
 
     pub fn program(&self, index: usize) -> &BalancerProcess {
@@ -178,7 +178,7 @@
 
     /// Sends a signal to a process, such as `-STOP` or `-CONT`.
     pub fn signal(&self, index: usize, signal: &str) {
-        let pid = self.program(index).id().to_string();
+        let pid = self.program(index).pid().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
     }
 
--- a/crates/balancer/tests/budgets/main.rs
+++ b/crates/balancer/tests/budgets/main.rs
@@ -87,11 +87,11 @@
     wait_for_set_ups(&fleet, "both balancers have an allocation", FLEET_BUDGET * 7 / 10);
     // Its writes to the store are applied, but the answers are lost: the harder kind of disconnection.
     fleet.set_store_fault(0, Fault::LosesAnswers);
-    fleet.program(0).logged("state=store-unreachable");
+    fleet.program(0).wait_for_log("state=store-unreachable");
     wait_for_set_ups(&fleet, "the other balancer gets the whole budget", FLEET_BUDGET * 7 / 10);
     sleep(2 * SECOND);
     fleet.set_store_fault(0, Fault::None);
-    fleet.program(0).logged("state=store-reachable");
+    fleet.program(0).wait_for_log("state=store-reachable");
     // The store loses all data, and the balancers write it again.
     fleet.cluster.wipe();
     let wiped = Instant::now();
@@ -154,7 +154,7 @@
     fleet.add_clients(2, 40, "acme", 20 * SECOND);
     wait_until("the tenant has nearly its quota with the third balancer", || holds(&fleet, QUOTA * 8 / 10));
     fleet.set_store_fault(2, Fault::Silent);
-    fleet.program(2).logged("state=store-unreachable");
+    fleet.program(2).wait_for_log("state=store-unreachable");
     sleep(4 * SECOND);
     let max = fleet.observed.connections("acme").max;
     assert!(max <= QUOTA, "{max} connections at once, of {QUOTA}");
@@ -167,7 +167,7 @@
     fleet.add_clients(0, 20, "acme", Duration::from_millis(10));
     wait_for_set_ups(&fleet, "the balancer has an allocation", FLEET_BUDGET * 6 / 10);
     let second = fleet.start(0);
-    fleet.program(0).logged("state=superseded");
+    fleet.program(0).wait_for_log("state=superseded");
     let first = fleet.programs[0].replace(second);
     fleet.add_clients(0, 20, "acme", Duration::from_millis(10));
     wait_for_set_ups(&fleet, "the second process has the allocation", FLEET_BUDGET * 6 / 10);
--- a/crates/balancer/tests/sockets/faults.rs
+++ b/crates/balancer/tests/sockets/faults.rs
@@ -28,7 +28,7 @@
     let library = library();
     let env: [(&str, &OsStr); 2] =
         [("LD_PRELOAD", library.as_os_str()), ("SHOREWHARF_FAULTS", OsStr::new(faults))];
-    BalancerProcess::start_in(BINARY, config, &env)
+    BalancerProcess::start_with_env(BINARY, config, &env)
 }
 
 /// Accepts every request at once, until `count` were accepted or none has come for five seconds. Returns their number.
@@ -37,8 +37,8 @@
         let mut accepted = Vec::new();
         while accepted.len() < count {
             let Some(mut peer) = node.accept_within(Duration::from_secs(5)) else { break };
-            if matches!(peer.hear(), Received::Line(line) if line.starts_with("OPEN")) {
-                peer.try_put(b"UP 7\r\n");
+            if matches!(peer.receive(), Received::Line(line) if line.starts_with("OPEN")) {
+                peer.try_send_bytes(b"UP 7\r\n");
                 accepted.push(peer);
             }
         }
@@ -51,8 +51,8 @@
     let mut clients = Vec::new();
     let send = |id: usize| {
         let began = Instant::now();
-        let mut client = program.open_as(&format!("{id:x}"), "");
-        let line = client.line();
+        let mut client = program.open_with_id(&format!("{id:x}"), "");
+        let line = client.receive_line();
         clients.push(client);
         if line.starts_with("UP") { Ok(began.elapsed()) } else { Err(line) }
     };
@@ -121,9 +121,9 @@
     settings["known"]["endpoints"] = json!([endpoint("s-1", silent.address(), "Ready")]);
     let program = start_with_faults(&settings, "clock=3600@0.3-1e9;clock=-7200@0.6-1e9");
     let began = Instant::now();
-    let mut client = program.client();
-    client.say("OPEN 1 2 c=chat,t=acme,d=1000");
-    client.line();
+    let mut client = program.connect();
+    client.send_line("OPEN 1 2 c=chat,t=acme,d=1000");
+    client.receive_line();
     let took = began.elapsed();
     assert!(
         took > Duration::from_millis(900) && took < Duration::from_millis(1500),
@@ -135,17 +135,17 @@
 fn a_server_that_starts_after_a_wall_clock_step_is_warmed_up() {
     for step in [-3600, 3600] {
         let (warm, new, discovery) = (Server::new(), Server::new(), DiscoveryService::new());
-        let mut settings = asking(&[("s-1", warm.address())], &discovery);
+        let mut settings = config_with_discovery(&[("s-1", warm.address())], &discovery);
         settings["settings"]["rules"]["overload_for_s"] = json!(1.5);
         let program = start_with_faults(&settings, &format!("clock={step}@0.5-1e9"));
-        let mut watch = discovery.watch();
-        watch.blank();
+        let mut watch = discovery.accept_watch();
+        watch.send_blank_line();
         std::thread::sleep(Duration::from_millis(600));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
         let mut started = endpoint("s-2", new.address(), "Ready");
         started.since_ms = (unix.as_secs_f64() + f64::from(step)) * 1e3;
-        watch.tell(42, false, vec![started]);
-        program.logged("event=server-ready server=s-2");
+        watch.send_list(42, false, vec![started]);
+        program.wait_for_log("event=server-ready server=s-2");
         let (listener, new_server) = (new.listener(), serve(new, REQUESTS));
         let _warm = serve(warm, REQUESTS);
         let results = send_requests(&program, REQUESTS);
@@ -164,10 +164,10 @@
         // The first read from the server's connection returns its answer, the second one fails.
         let faults = format!("recv:connected={error}/3");
         let program = start_with_faults(&config(&[("s-1", server.address())]), &faults);
-        let (mut client, mut attempt) = program.stand(&server);
-        attempt.say("M 1");
-        while client.hear() != Received::Reset {}
-        while !matches!(attempt.hear(), Received::Reset | Received::Fin) {}
+        let (mut client, mut attempt) = program.establish(&server);
+        attempt.send_line("M 1");
+        while client.receive() != Received::Reset {}
+        while !matches!(attempt.receive(), Received::Reset | Received::Fin) {}
     }
 }
 
@@ -178,14 +178,14 @@
     settings["settings"]["classes"][0]["semantics"] = json!("non_idempotent");
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.5);
     let mut program = start_with_faults(&settings, "send:connected=stall");
-    let mut client = program.client();
-    client.say("OPEN 1 2 c=chat,t=acme,d=1500");
+    let mut client = program.connect();
+    client.send_line("OPEN 1 2 c=chat,t=acme,d=1500");
     let mut attempt = server.accept();
     assert_eq!(attempt.read_exactly(5), b"OPEN ");
     program.terminate();
-    let answer = client.line();
+    let answer = client.receive_line();
     assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
-    assert_eq!((client.hear(), attempt.hear()), (Received::Fin, Received::Fin));
+    assert_eq!((client.receive(), attempt.receive()), (Received::Fin, Received::Fin));
     drop((client, attempt));
     assert!(program.wait().success());
 }
@@ -195,14 +195,14 @@
     for faults in ["accept=EINTR/2", "accept=ECONNABORTED/2", "accept=EMFILE%50"] {
         let mut program = start_with_faults(&config(&[]), faults);
         program.terminate();
-        program.logged("shutting-down");
+        program.wait_for_log("shutting-down");
         let resume_at = Instant::now() + Duration::from_millis(600);
         program.pause();
-        let mut waiting: Vec<_> = (0..60).map(|id| program.open_as(&format!("{id:x}"), "")).collect();
+        let mut waiting: Vec<_> = (0..60).map(|id| program.open_with_id(&format!("{id:x}"), "")).collect();
         std::thread::sleep(resume_at.saturating_duration_since(Instant::now()));
         program.resume();
         for client in &mut waiting {
-            let answer = client.hear();
+            let answer = client.receive();
             assert!(
                 matches!(&answer, Received::Line(line) if line.starts_with("BUSY")),
                 "{faults}: {answer:?}"
@@ -226,19 +226,19 @@
         );
         let library = library();
         let env = [("LD_PRELOAD", library.as_os_str()), ("SHOREWHARF_FAULTS", OsStr::new(faults))];
-        let program = BalancerProcess::start_in_with(BINARY, &settings, &operator, &env);
-        let (mut client, mut server) = program.stand(&node);
+        let program = BalancerProcess::start_with_operator_and_env(BINARY, &settings, &operator, &env);
+        let (mut client, mut server) = program.establish(&node);
         let until = Instant::now() + Duration::from_millis(1300);
         while Instant::now() < until {
-            client.say("M 1");
-            assert_eq!(server.line(), "M 1");
-            server.say("M 1");
-            assert_eq!(client.line(), "M 1");
+            client.send_line("M 1");
+            assert_eq!(server.receive_line(), "M 1");
+            server.send_line("M 1");
+            assert_eq!(client.receive_line(), "M 1");
         }
         // Killed at any stage of writing: the next process restores a complete snapshot, or starts without one.
         program.kill();
-        let next = BalancerProcess::start_with(BINARY, &settings, &operator);
-        next.stand(&node);
-        assert!(next.has_logged("snapshot-rejected").is_none(), "{faults}: an incomplete snapshot was left");
+        let next = BalancerProcess::start_with_operator(BINARY, &settings, &operator);
+        next.establish(&node);
+        assert!(next.find_in_log("snapshot-rejected").is_none(), "{faults}: an incomplete snapshot was left");
     }
 }
--- a/crates/balancer/tests/sockets/final_answers.rs
+++ b/crates/balancer/tests/sockets/final_answers.rs
@@ -43,8 +43,8 @@
 
 /// Opens a request of this class, with the client timeout of the class as its deadline.
 fn request(program: &BalancerProcess, id: usize, class: &RetryClass) -> Connection {
-    let mut client = program.client();
-    client.say(&format!(
+    let mut client = program.connect();
+    client.send_line(&format!(
         "OPEN {:x} {:x} c={},t=acme,d={}",
         id + 1,
         id + 1,
@@ -59,7 +59,7 @@
     let send = |(id, class): (usize, &RetryClass)| {
         let client = request(program, id, class);
         let mut attempt = server.accept();
-        attempt.line();
+        attempt.receive_line();
         (*class, client, attempt)
     };
     CLASSES.iter().enumerate().map(send).collect()
@@ -87,8 +87,8 @@
         if let Some(attempt) = servers.iter().find_map(|server| server.accept_within(within)) {
             return Ok(attempt);
         }
-        if client.has_word(within) {
-            return Err(client.line());
+        if client.has_input(within) {
+            return Err(client.receive_line());
         }
     }
     panic!("neither an attempt nor an answer in time");
@@ -97,11 +97,11 @@
 /// Checks the final answer of a request that may have run.
 #[track_caller]
 fn expect_answer_after_run(class: &RetryClass, client: &mut Connection) {
-    let answer = client.line();
+    let answer = client.receive_line();
     let is_rejection = answer.starts_with("BUSY");
     assert!(is_rejection || answer == "ERR", "{class:?}: {answer}");
     assert!(class.is_rejectable || !is_rejection, "{class:?}: rejected though it may have run: {answer}");
-    assert_eq!(client.hear(), Received::Fin);
+    assert_eq!(client.receive(), Received::Fin);
 }
 
 /// Starts a program with one server, and opens one request of each class whose first line the server has read.
@@ -132,7 +132,7 @@
         class["semantics"] = json!("read_like");
     }
     program.reconfigure(&repeatable.to_string());
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
 }
 
 #[test]
@@ -150,12 +150,12 @@
     std::thread::sleep((CLIENT_TIMEOUT - Duration::from_millis(300)).saturating_sub(terminated_at.elapsed()));
     for (class, client, attempt) in &mut requests {
         // The attempt of a rejected request has been cancelled, so this answer is ignored.
-        attempt.try_put(b"UP 1\r\n");
+        attempt.try_send_bytes(b"UP 1\r\n");
         if class.is_rejectable {
             continue;
         }
-        assert_eq!(client.line(), "UP 1", "{class:?}: its server accepted it in time");
-        assert_eq!((client.line(), client.hear()), ("MOVE".into(), Received::Fin));
+        assert_eq!(client.receive_line(), "UP 1", "{class:?}: its server accepted it in time");
+        assert_eq!((client.receive_line(), client.receive()), ("MOVE".into(), Received::Fin));
     }
     drop(requests);
     assert!(program.wait().success());
@@ -164,21 +164,21 @@
 /// Checks the answer of a request that has certainly not run: it is rejected, whatever its class.
 #[track_caller]
 fn expect_answer_before_run(class: &RetryClass, client: &mut Connection) {
-    let answer = client.line();
+    let answer = client.receive_line();
     assert!(answer.starts_with("BUSY"), "{class:?}: never sent, but answered {answer}");
-    assert_eq!(client.hear(), Received::Fin);
+    assert_eq!(client.receive(), Received::Fin);
 }
 
 #[test]
 fn an_error_from_the_server_during_a_shutdown_is_not_turned_into_a_rejection() {
     let (server, mut program, mut requests) = start_and_send();
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (class, client, attempt) in &mut requests {
-        attempt.say("ERR");
+        attempt.send_line("ERR");
         expect_answer_after_run(class, client);
     }
-    assert!(!server.is_called(), "another attempt at the only server, which has failed");
+    assert!(!server.has_pending_connection(), "another attempt at the only server, which has failed");
     drop(requests);
     assert!(program.wait().success());
 }
@@ -196,11 +196,11 @@
     for (id, class) in CLASSES.iter().enumerate() {
         let client = request(&program, id, class);
         let mut attempt = accept_at_any(&servers);
-        attempt.line();
+        attempt.receive_line();
         requests.push((*class, client, attempt));
     }
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (class, mut client, attempt) in requests {
         attempt.reset();
         if class.is_rejectable {
@@ -209,9 +209,9 @@
             // instead.
             match next_attempt_or_answer(&servers, &mut client) {
                 Ok(mut second) => {
-                    second.line();
-                    second.say("UP 2");
-                    assert_eq!(client.line(), "UP 2");
+                    second.receive_line();
+                    second.send_line("UP 2");
+                    assert_eq!(client.receive_line(), "UP 2");
                 }
                 Err(answer) => {
                     assert!(class.name != CLASSES[0].name, "not retried: {answer}");
@@ -221,20 +221,20 @@
             continue;
         }
         expect_answer_after_run(&class, &mut client);
-        assert!(!servers.iter().any(Server::is_called), "{class:?}: sent a second time");
+        assert!(!servers.iter().any(Server::has_pending_connection), "{class:?}: sent a second time");
     }
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_request_whose_connect_is_pending_in_a_shutdown_is_rejected() {
-    let (server, _queue) = Server::full();
+    let (server, _queue) = Server::with_full_backlog();
     let mut settings = config_with_classes(&[("s-1", server.address())]);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(30.0);
     let mut program = start(&settings);
     let mut clients: Vec<_> =
         CLASSES.iter().enumerate().map(|(id, class)| (class, request(&program, id, class))).collect();
-    program.settled();
+    program.sync();
     program.terminate();
     for (class, client) in &mut clients {
         expect_answer_before_run(class, client);
@@ -247,9 +247,9 @@
 fn a_request_that_its_server_rejects_during_a_shutdown_is_rejected() {
     let (_server, mut program, mut requests) = start_and_send();
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (class, client, attempt) in &mut requests {
-        attempt.say("BUSY");
+        attempt.send_line("BUSY");
         expect_answer_before_run(class, client);
     }
     drop(requests);
@@ -261,11 +261,11 @@
     let server = Server::new();
     let mut program = start(&config_with_classes(&[("s-1", server.address())]));
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (id, class) in CLASSES.iter().enumerate() {
         expect_answer_before_run(class, &mut request(&program, id, class));
     }
-    assert!(!server.is_called());
+    assert!(!server.has_pending_connection());
     assert!(program.wait().success());
 }
 
@@ -278,7 +278,7 @@
     // Requests that were accepted before the reload keep the settings of their class.
     make_all_repeatable(&program, &settings);
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     program.terminate();
     expect_answers_and_exit(program, requests);
 }
@@ -292,11 +292,11 @@
     let write = &CLASSES[3];
     let mut client = request(&program, 0, write);
     let mut attempt = accept_at_any(&servers);
-    attempt.line();
+    attempt.receive_line();
     make_all_repeatable(&program, &settings);
     attempt.reset();
     expect_answer_after_run(write, &mut client);
-    assert!(!servers.iter().any(Server::is_called), "sent a second time");
+    assert!(!servers.iter().any(Server::has_pending_connection), "sent a second time");
 }
 
 #[test]
@@ -307,9 +307,9 @@
     let requests = sent_requests(&old, &server);
     let mut same = settings.clone();
     same["listen"] = json!(old.address());
-    let _new = old.start_beside(crate::BINARY, &same);
+    let _new = old.start_sibling(crate::BINARY, &same);
     old.terminate();
-    assert!(old.logged("event=shutting-down").contains("successor=true"));
+    assert!(old.wait_for_log("event=shutting-down").contains("successor=true"));
     expect_answers_and_exit(old, requests);
 }
 
@@ -317,7 +317,7 @@
 fn a_deadline_missed_while_paused_in_a_shutdown_does_not_cause_a_rejection() {
     let (_server, program, requests) = start_and_send();
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     let past_deadline = Instant::now() + CLIENT_TIMEOUT + Duration::from_millis(50);
     program.pause();
     std::thread::sleep(past_deadline.saturating_duration_since(Instant::now()));
--- a/crates/balancer/tests/sockets/gossip.rs
+++ b/crates/balancer/tests/sockets/gossip.rs
@@ -22,7 +22,7 @@
 
 impl PeerStub {
     fn new() -> PeerStub {
-        let socket = UdpSocket::bind((loopback(0), 0)).expect("a port");
+        let socket = UdpSocket::bind((loopback_address(0), 0)).expect("a port");
         socket.set_read_timeout(Some(LIMIT)).expect("a read timeout");
         PeerStub { socket, key: Key::new(KEY.as_bytes()).expect("long enough"), made_at_ms: 0 }
     }
@@ -71,11 +71,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (nodes, mut peer) = ([Server::new(), Server::new()], PeerStub::new());
     let settings = config(&[("s-1", nodes[0].address()), ("s-2", nodes[1].address())]);
-    let program = BalancerProcess::start_with(BINARY, &settings, &peer.operator(folder.path()));
+    let program = BalancerProcess::start_with_operator(BINARY, &settings, &peer.operator(folder.path()));
     let (_, gossip_address) = peer.receive(|a| a.holdings.is_empty());
     assert_eq!(gossip_address, program.address(), "gossip uses the address that serves clients");
     // One client, at either server; the announcement names its server.
-    let mut client = program.open_as("1a", ",g=5");
+    let mut client = program.open_with_id("1a", ",g=5");
     let began = Instant::now();
     let (first, mut server) = loop {
         assert!(began.elapsed() < LIMIT, "no server gets an attempt");
@@ -84,29 +84,29 @@
             break accepted;
         }
     };
-    server.line();
-    server.say("UP 1");
-    assert_eq!(client.line(), "UP 1");
+    server.receive_line();
+    server.send_line("UP 1");
+    assert_eq!(client.receive_line(), "UP 1");
     let (announcement, _) = peer.receive(|a| a.holdings.len() == 1 && a.holdings[0].connections == 1);
     let holding = announcement.holdings[0];
     assert_eq!(holding.group, 5);
     // The peer announces a high load at that server: the next client goes to the other one, though its group's
     // server is the first.
     peer.send(gossip_address, &[AnnouncedHolding { load: holding.load * 50.0, connections: 50, ..holding }]);
-    program.logged("event=gossip state=together");
-    let (_client, _server) = program.stand_as(&nodes[1 - first], "2b");
+    program.wait_for_log("event=gossip state=together");
+    let (_client, _server) = program.establish_with_id(&nodes[1 - first], "2b");
     // Malformed datagrams, a foreign key and an old announcement have no effect; after them the peer is silent.
     for invalid in
         [&b"SWG1"[..], &[7; 300], &Key::new(&[9; 16]).expect("a key").encode_datagram([&announcement])]
     {
         peer.socket.send_to(invalid, gossip_address).expect("sent");
     }
-    program.logged("event=gossip state=alone");
-    let mut after = program.open_as("3c", ",g=5");
+    program.wait_for_log("event=gossip state=alone");
+    let mut after = program.open_with_id("3c", ",g=5");
     server = nodes[first].accept();
-    server.line();
-    server.say("UP 3");
-    assert_eq!(after.line(), "UP 3", "without peers, the group's own server is the first choice");
+    server.receive_line();
+    server.send_line("UP 3");
+    assert_eq!(after.receive_line(), "UP 3", "without peers, the group's own server is the first choice");
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let file = folder.path().join("operator.toml");
     fs::write(&file, operator).expect("written");
     let env = [("SHOREWHARF_OPERATOR", file.as_os_str())];
-    let (code, log) = refused_start_with(BINARY, &config(&[]), &env);
+    let (code, log) = run_to_exit_with_env(BINARY, &config(&[]), &env);
     assert_eq!(code, Some(2), "{log}");
     assert!(log.contains("gossip.peers") && log.contains("line 2"), "{log}");
 }
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -36,16 +36,16 @@
 /// Sends a line on a connection and, if it arrives, the same line back. Returns the state of the connection.
 #[track_caller]
 fn exchange_line(client: &mut Connection, server: &mut Connection, line: &str) -> Outcome {
-    client.try_put(format!("{line}\r\n").as_bytes());
-    assert!(server.has_word(LINE_TIMEOUT), "{line}: neither relayed nor closed");
-    match server.hear() {
+    client.try_send_bytes(format!("{line}\r\n").as_bytes());
+    assert!(server.has_input(LINE_TIMEOUT), "{line}: neither relayed nor closed");
+    match server.receive() {
         Received::Line(relayed) => {
             assert_eq!(relayed, line, "a line was duplicated, or came from another connection");
-            server.say(line);
-            assert_eq!(client.hear(), Received::Line(line.to_owned()));
+            server.send_line(line);
+            assert_eq!(client.receive(), Received::Line(line.to_owned()));
             Outcome::Established
         }
-        _ => match client.hear() {
+        _ => match client.receive() {
             Received::Line(answer) => {
                 assert_eq!(answer, "MOVE");
                 Outcome::Migrated
@@ -69,7 +69,7 @@
     /// Connects to the old process and reads its state, the first line.
     fn connect(old: &BalancerProcess) -> Self {
         let folder = format!("shorewharf-{}", old.address().to_string().replace(':', "-"));
-        let socket = old.common().join(folder).join("process");
+        let socket = old.shared_folder().join(folder).join("process");
         let stream = UnixStream::connect(socket).expect("the old process listens");
         stream.set_read_timeout(Some(LINE_TIMEOUT)).expect("a read timeout");
         let mut successor = SuccessorStub { stream, descriptors: Vec::new(), input: Vec::new() };
@@ -142,14 +142,14 @@
     let node = Server::new();
     let settings = config_with_short_timeout(&node);
     let mut old = start(&settings);
-    let mut pairs: Vec<_> = (0..CONNECTIONS).map(|_| old.stand(&node)).collect();
+    let mut pairs: Vec<_> = (0..CONNECTIONS).map(|_| old.establish(&node)).collect();
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
         assert_eq!(exchange_line(client, server, &format!("M {n}")), Outcome::Established, "{scenario}");
     }
     // On one of them half a line has been sent in each direction.
-    pairs[0].0.put(b"M x");
-    pairs[0].1.put(b"M y");
-    old.settled();
+    pairs[0].0.send_bytes(b"M x");
+    pairs[0].1.send_bytes(b"M y");
+    old.sync();
     let mut outcomes = |tag: &str| -> Vec<Outcome> {
         let mut outcomes = Vec::new();
         for (n, (client, server)) in pairs.iter_mut().enumerate() {
@@ -158,10 +158,10 @@
                 continue;
             }
             // The other half of the line.
-            client.try_put(b"x\r\n");
-            server.try_put(b"y\r\n");
-            assert!(server.has_word(LINE_TIMEOUT) && client.has_word(LINE_TIMEOUT), "{scenario}");
-            outcomes.push(match (server.hear(), client.hear()) {
+            client.try_send_bytes(b"x\r\n");
+            server.try_send_bytes(b"y\r\n");
+            assert!(server.has_input(LINE_TIMEOUT) && client.has_input(LINE_TIMEOUT), "{scenario}");
+            outcomes.push(match (server.receive(), client.receive()) {
                 (Received::Line(x), Received::Line(y)) if x == "M xx" && y == "M yy" => Outcome::Established,
                 (Received::Line(x), other) => panic!("{scenario}: {x} and {other:?}"),
                 (_, Received::Line(y)) if y == "MOVE" => Outcome::Migrated,
@@ -174,13 +174,13 @@
     match fault {
         // Two real processes: neither is killed (0), or the new one (1) or the old one (2) is killed after the pause.
         0..=2 => {
-            let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
+            let new = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
             old.terminate();
             if fault == 0 {
                 assert!(old.wait().success(), "{scenario}");
                 assert_eq!(outcomes("a"), [Outcome::Established; CONNECTIONS], "{scenario}");
-                assert_eq!(new.figure("concurrent"), CONNECTIONS as u64, "{scenario}");
-                return new.stand_as(&node, "77").0.finish();
+                assert_eq!(new.metric("concurrent"), CONNECTIONS as u64, "{scenario}");
+                return new.establish_with_id(&node, "77").0.shutdown_write();
             }
             std::thread::sleep(Duration::from_micros(pause * 250));
             if fault == 1 {
@@ -196,14 +196,14 @@
                 let established = outcomes.iter().filter(|outcome| **outcome == Outcome::Established).count();
                 assert!(!outcomes.contains(&Outcome::Migrated), "{scenario}: {outcomes:?}");
                 wait_for_metric(&new, "concurrent", established as u64);
-                new.stand_as(&node, "77");
+                new.establish_with_id(&node, "77");
             }
         }
         // A successor that ends before it has taken all connections, without (3) or with (4) a confirmation of some.
         3 | 4 => {
             let mut successor = SuccessorStub::connect(&old);
             assert!(successor.send("TAKES 2\nSERVES\n"));
-            old.settled();
+            old.sync();
             old.terminate();
             successor.read_connections(step);
             let confirmed = if fault == 4 { draw(step as u64 + 1) } else { 0 };
@@ -224,13 +224,14 @@
         5 => {
             let mut successor = SuccessorStub::connect(&old);
             assert!(successor.send("TAKES 2\nSERVES\n"));
-            old.settled();
+            old.sync();
             old.terminate();
             successor.read_connections(step.max(1));
             let confirmed = draw(step.max(1) as u64);
             assert!(confirmed == 0 || successor.send(&format!("TOOK {confirmed}\n")));
             assert!(
-                old.logged("event=successor-stalled").contains(&format!("back={}", CONNECTIONS - confirmed)),
+                old.wait_for_log("event=successor-stalled")
+                    .contains(&format!("back={}", CONNECTIONS - confirmed)),
                 "{scenario}"
             );
             assert!(
@@ -259,16 +260,16 @@
             );
             drop(successor);
             assert_eq!(outcomes("f"), [Outcome::Established; CONNECTIONS], "{scenario}");
-            old.stand(&node);
+            old.establish(&node);
             assert!(old.is_running(), "{scenario}");
         }
         // A successor that cannot take established connections: their clients are migrated.
         _ => {
             let mut successor = SuccessorStub::connect(&old);
             assert!(successor.send("SERVES\n"));
-            old.settled();
+            old.sync();
             old.terminate();
-            assert!(old.logged("event=shutting-down").contains("successor=true"), "{scenario}");
+            assert!(old.wait_for_log("event=shutting-down").contains("successor=true"), "{scenario}");
             assert!(old.wait().success(), "{scenario}");
             let outcomes = outcomes("g");
             assert!(
@@ -288,9 +289,9 @@
     let node = Server::new();
     let settings = config_with_short_timeout(&node);
     let workers = "workers = 3\n";
-    let mut old = BalancerProcess::start_with(BINARY, &settings, workers);
-    let mut pairs: Vec<_> = (0..30).map(|_| old.stand(&node)).collect();
-    let new = old.start_beside_with(BINARY, &config_for_successor(&settings, &old), workers);
+    let mut old = BalancerProcess::start_with_operator(BINARY, &settings, workers);
+    let mut pairs: Vec<_> = (0..30).map(|_| old.establish(&node)).collect();
+    let new = old.start_sibling_with_operator(BINARY, &config_for_successor(&settings, &old), workers);
     old.terminate();
     assert!(old.wait().success());
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
@@ -299,7 +300,7 @@
     wait_for_metric(&new, "concurrent", 30);
     // The next hand-over, during which another successor is connected that never reports that it serves.
     let hung = SuccessorStub::connect(&new);
-    let last = new.start_beside_with(BINARY, &config_for_successor(&settings, &new), workers);
+    let last = new.start_sibling_with_operator(BINARY, &config_for_successor(&settings, &new), workers);
     let mut new = new;
     new.terminate();
     assert!(new.wait().success());
@@ -317,27 +318,27 @@
 #[test]
 fn a_draining_server_a_reload_and_a_second_sigterm_during_a_handover_migrate_no_client_twice() {
     let (node, discovery) = (Server::new(), DiscoveryService::new());
-    let mut settings = with_operator_address(asking(&[("s-1", node.address())], &discovery));
+    let mut settings = with_operator_address(config_with_discovery(&[("s-1", node.address())], &discovery));
     settings["settings"]["classes"][0]["give_up_s"] = json!(1.0);
     let mut old = start(&settings);
-    let mut watch = discovery.watch();
+    let mut watch = discovery.accept_watch();
     let mut successor = SuccessorStub::connect(&old);
-    let (mut client, mut server) = old.stand(&node);
+    let (mut client, mut server) = old.establish(&node);
     assert!(successor.send("TAKES 2\nSERVES\n"));
-    old.settled();
+    old.sync();
     old.terminate();
     successor.read_connections(1);
     // While the connection is being transferred, nothing is read from it and its client is not migrated.
-    watch.tell(50, false, vec![endpoint("s-1", node.address(), "Terminating")]);
-    client.put(b"M 1\r\n");
+    watch.send_list(50, false, vec![endpoint("s-1", node.address(), "Terminating")]);
+    client.send_bytes(b"M 1\r\n");
     old.reconfigure(&settings.to_string());
     old.terminate();
-    assert!(!server.has_word(Duration::from_millis(100)) && !client.has_word(Duration::from_millis(1)));
+    assert!(!server.has_input(Duration::from_millis(100)) && !client.has_input(Duration::from_millis(1)));
     drop(successor);
     // The old process takes the connection back, reads the line only now, relays it, and migrates the client.
-    assert_eq!(server.line(), "M 1");
-    server.try_put(b"M 1\r\n");
-    let received = (client.hear(), client.hear());
+    assert_eq!(server.receive_line(), "M 1");
+    server.try_send_bytes(b"M 1\r\n");
+    let received = (client.receive(), client.receive());
     let line = |text: &str| Received::Line(text.into());
     assert!(received == (line("M 1"), line("MOVE")) || received.0 == line("MOVE"), "{received:?}");
     assert!(old.wait().success());
@@ -360,23 +361,23 @@
     let node = Server::new();
     let mut settings = config_with_short_timeout(&node);
     settings.as_object_mut().expect("an object").remove("operator");
-    let mut old = BalancerProcess::start_in(BINARY, &settings, &env);
-    expect_ready(old.id());
-    let (mut client, mut server) = old.stand(&node);
+    let mut old = BalancerProcess::start_with_env(BINARY, &settings, &env);
+    expect_ready(old.pid());
+    let (mut client, mut server) = old.establish(&node);
     let same = config_for_successor(&settings, &old);
     // Another address belongs to another balancer, so there is nothing to take over.
-    let (code, log) = refused_start_with(BINARY, &settings, &env);
+    let (code, log) = run_to_exit_with_env(BINARY, &settings, &env);
     assert!(code == Some(1) && log.contains("cannot take over from"), "{code:?} {log}");
     assert_eq!(exchange_line(&mut client, &mut server, "M 1"), Outcome::Established);
     for n in 0..2 {
-        let new = BalancerProcess::start_in(BINARY, &same, &env);
-        expect_ready(new.id());
+        let new = BalancerProcess::start_with_env(BINARY, &same, &env);
+        expect_ready(new.pid());
         // The test has sent no SIGTERM: the new process has told the old one to end.
         assert!(old.wait().success());
         assert_eq!(exchange_line(&mut client, &mut server, &format!("M again {n}")), Outcome::Established);
         old = new;
     }
-    old.stand_as(&node, "77");
+    old.establish_with_id(&node, "77");
     let mode = std::fs::metadata(&socket).expect("the socket exists").permissions().mode();
     assert_eq!(mode & 0o777, 0o600, "only the owner may use the socket");
 }
--- a/crates/balancer/tests/sockets/metrics.rs
+++ b/crates/balancer/tests/sockets/metrics.rs
@@ -58,20 +58,20 @@
 /// Runs one client. Returns 1 if it named a class and 0 otherwise, and the number of first lines that the server got.
 fn run_client(program: &BalancerProcess, server: &Server, client: Client) -> (u64, u64) {
     match client {
-        Client::Silent => drop(program.client()),
-        Client::Incomplete => program.client().put(b"OPEN 1 2 c=ch"),
+        Client::Silent => drop(program.connect()),
+        Client::Incomplete => program.connect().send_bytes(b"OPEN 1 2 c=ch"),
         Client::Ping => {
-            program.settled();
+            program.sync();
         }
         Client::UnknownClass => {
-            let mut client = program.client();
-            client.say("OPEN 1 2 c=none,t=acme");
-            assert_eq!(client.line(), "ERR");
+            let mut client = program.connect();
+            client.send_line("OPEN 1 2 c=none,t=acme");
+            assert_eq!(client.receive_line(), "ERR");
         }
         Client::Malformed => {
-            let mut client = program.client();
-            client.say("OPEN 1 2 c=chat,t=acme,d=soon");
-            assert_eq!(client.line(), "ERR");
+            let mut client = program.connect();
+            client.send_line("OPEN 1 2 c=chat,t=acme,d=soon");
+            assert_eq!(client.receive_line(), "ERR");
             return (1, 0);
         }
         Client::Disconnects | Client::Answered(..) => return (1, run_request(program, server, client)),
@@ -84,23 +84,23 @@
 fn run_request(program: &BalancerProcess, server: &Server, client: Client) -> u64 {
     let mut requester = program.open("");
     let mut attempt = loop {
-        let Ok(mut attempt) = server.accept_or_hear(&mut requester) else { return 0 };
-        match attempt.hear() {
+        let Ok(mut attempt) = server.accept_or_receive(&mut requester) else { return 0 };
+        match attempt.receive() {
             Received::Line(line) if line.starts_with("OPEN ") => break attempt,
             // The server is quarantined after an earlier client, and gets a probe.
-            Received::Line(line) if line == "PING" => drop(attempt.try_put(b"PONG\r\n")),
+            Received::Line(line) if line == "PING" => drop(attempt.try_send_bytes(b"PONG\r\n")),
             // An attempt that is cancelled while it connects sends nothing.
             _ => {}
         }
     };
     let Client::Answered(answer, end) = client else { return 1 };
-    attempt.say(answer);
-    let received = requester.hear();
+    attempt.send_line(answer);
+    let received = requester.receive();
     if matches!(&received, Received::Line(line) if line.starts_with("UP")) {
         match end {
-            End::ClientFin => requester.finish(),
+            End::ClientFin => requester.shutdown_write(),
             End::ClientReset => requester.reset(),
-            End::ServerFin => attempt.finish(),
+            End::ServerFin => attempt.shutdown_write(),
             End::ServerReset => attempt.reset(),
         }
     }
@@ -118,11 +118,11 @@
         // Each connection ends before the next client, so that the server does not mix up attempts of two clients.
         wait_for_metric(&program, "concurrent", 0);
     }
-    let replies = ["success", "overload", "error"].map(|r| program.figure(&format!("replies.chat.{r}")));
+    let replies = ["success", "overload", "error"].map(|r| program.metric(&format!("replies.chat.{r}")));
     assert_eq!(replies.iter().sum::<u64>(), named, "each request is counted once: {replies:?}");
-    assert_eq!(program.figure("dispatches"), sent);
-    assert_eq!((program.figure("targets"), program.figure("concurrent")), (1, 0));
-    assert!(program.figure("targets_disabled") <= 1);
+    assert_eq!(program.metric("dispatches"), sent);
+    assert_eq!((program.metric("targets"), program.metric("concurrent")), (1, 0));
+    assert!(program.metric("targets_disabled") <= 1);
 }
 
 #[test]
--- a/crates/balancer/tests/sockets/model.rs
+++ b/crates/balancer/tests/sockets/model.rs
@@ -43,8 +43,8 @@
 
 /// Checks that a waiting client is rejected.
 fn expect_rejection(client: &mut Connection) -> State {
-    assert!(client.line().starts_with("BUSY "), "a rejection with a retry-after");
-    assert_eq!(client.hear(), Received::Fin);
+    assert!(client.receive_line().starts_with("BUSY "), "a rejection with a retry-after");
+    assert_eq!(client.receive(), Received::Fin);
     State::Ended
 }
 
@@ -53,33 +53,33 @@
     let server = Server::new();
     let program = start(&config(&[("s-1", server.address())]));
     let (mut client, mut upstream) = (program.open(""), server.accept());
-    upstream.line();
+    upstream.receive_line();
     let mut state = State::Waiting;
     for step in steps {
         let open = state == State::Open;
         state = match step {
             Step::ServerSends(line) => {
-                upstream.say(line);
+                upstream.send_line(line);
                 if !open && !line.starts_with("UP") {
                     // The only server did not accept the client, and gets no second attempt.
                     expect_rejection(&mut client)
                 } else {
-                    assert_eq!(client.line(), *line);
+                    assert_eq!(client.receive_line(), *line);
                     State::Open
                 }
             }
             Step::ClientSends(n) => {
                 let line = "m".repeat(*n);
-                client.say(&line);
+                client.send_line(&line);
                 if !open {
                     // A client that sends a line before its answer gets an error.
                     assert_eq!(
-                        (client.line(), client.hear(), upstream.hear()),
+                        (client.receive_line(), client.receive(), upstream.receive()),
                         ("ERR".into(), Received::Fin, Received::Fin)
                     );
                     return;
                 }
-                assert_eq!(upstream.line(), line);
+                assert_eq!(upstream.receive_line(), line);
                 state
             }
             Step::ServerFin | Step::ServerReset => {
@@ -91,7 +91,7 @@
                     drop(upstream);
                 }
                 if open {
-                    assert_eq!(client.hear(), expected);
+                    assert_eq!(client.receive(), expected);
                 } else {
                     expect_rejection(&mut client);
                 }
@@ -104,7 +104,7 @@
                 } else {
                     drop(client);
                 }
-                assert_eq!(upstream.hear(), if reset { Received::Reset } else { Received::Fin });
+                assert_eq!(upstream.receive(), if reset { Received::Reset } else { Received::Fin });
                 return;
             }
         };
@@ -112,7 +112,7 @@
             break;
         }
     }
-    assert!(!server.is_called(), "a second attempt at the only server");
+    assert!(!server.has_pending_connection(), "a second attempt at the only server");
 }
 
 #[test]
--- a/crates/balancer/tests/sockets/snapshot.rs
+++ b/crates/balancer/tests/sockets/snapshot.rs
@@ -16,13 +16,13 @@
 }
 
 fn start(config: &Value, folder: &Path) -> BalancerProcess {
-    BalancerProcess::start_with(BINARY, config, &operator_file(folder))
+    BalancerProcess::start_with_operator(BINARY, config, &operator_file(folder))
 }
 
 /// Returns the log line with this text that was logged before the program served.
 #[track_caller]
 fn startup_line(program: &BalancerProcess, text: &str) -> String {
-    program.has_logged(text).unwrap_or_else(|| panic!("no log line contains {text}"))
+    program.find_in_log(text).unwrap_or_else(|| panic!("no log line contains {text}"))
 }
 
 /// The snapshot files in a folder, oldest first.
@@ -53,18 +53,18 @@
 fn a_killed_balancer_restores_its_endpoint_list_and_placements() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let (one, two, discovery) = (Server::new(), Server::new(), DiscoveryService::new());
-    let settings = with_operator_address(asking(&[("s-1", one.address())], &discovery));
+    let settings = with_operator_address(config_with_discovery(&[("s-1", one.address())], &discovery));
     let program = start(&settings, folder.path());
-    let mut watch = discovery.watch();
-    watch.tell(
+    let mut watch = discovery.accept_watch();
+    watch.send_list(
         42,
         false,
         vec![endpoint("s-1", one.address(), "Terminating"), endpoint("s-2", two.address(), "Ready")],
     );
     wait_for_metric(&program, "targets", 2);
-    let (mut client, mut server) = program.stand(&two);
-    server.say("LOAD 120000");
-    assert_eq!(client.line(), "LOAD 120000");
+    let (mut client, mut server) = program.establish(&two);
+    server.send_line("LOAD 120000");
+    assert_eq!(client.receive_line(), "LOAD 120000");
     await_snapshot(folder.path(), "\"stands\"");
     program.kill();
     // The discovery service is unavailable, so the snapshot is the only source.
@@ -72,9 +72,9 @@
     let program = start(&settings, folder.path());
     let line = startup_line(&program, "event=state-restored");
     assert!(line.contains(".snapshot") && line.contains("odd=0"), "{line}");
-    assert_eq!(program.figure("targets"), 2);
+    assert_eq!(program.metric("targets"), 2);
     // The client that reconnects goes to its previous server, and not to the draining one.
-    program.stand_as(&two, "77");
+    program.establish_with_id(&two, "77");
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let node = Server::new();
     let settings = config(&[("s-1", node.address())]);
     let hourly = operator_file(folder.path()).replace("0.1", "3600");
-    let mut program = BalancerProcess::start_with(BINARY, &settings, &hourly);
+    let mut program = BalancerProcess::start_with_operator(BINARY, &settings, &hourly);
     program.terminate();
     assert!(program.wait().success());
     assert_eq!(snapshots(folder.path()).len(), 1);
@@ -91,7 +91,7 @@
     later["known"]["index"] = json!(99);
     let program = start(&later, folder.path());
     startup_line(&program, "event=state-restored");
-    assert_eq!(program.figure("targets"), 2);
+    assert_eq!(program.metric("targets"), 2);
 }
 
 #[test]
@@ -119,8 +119,8 @@
     other["name"] = json!("n2");
     let program = start(&other, folder.path());
     assert!(startup_line(&program, "it is of balancer").contains("event=snapshot-rejected"));
-    program.settled();
-    assert!(program.has_logged("event=state-restored").is_none());
+    program.sync();
+    assert!(program.find_in_log("event=state-restored").is_none());
 }
 
 #[test]
@@ -135,14 +135,14 @@
             break;
         }
         assert!(round < 100, "fewer than six restored snapshots in {round} starts");
-        let program = BalancerProcess::start_with(BINARY, &settings, &operator);
+        let program = BalancerProcess::start_with_operator(BINARY, &settings, &operator);
         if !snapshots(folder.path()).is_empty() {
             startup_line(&program, "event=state-restored");
             restored += 1;
         }
         assert!(
-            program.has_logged("snapshot-rejected").is_none()
-                && program.has_logged("snapshots-unavailable").is_none()
+            program.find_in_log("snapshot-rejected").is_none()
+                && program.find_in_log("snapshots-unavailable").is_none()
         );
         // The pause varies so that the kill hits different stages of writing.
         std::thread::sleep(Duration::from_millis(90 + 4 * round));
@@ -158,7 +158,7 @@
     let settings = config(&[("s-1", node.address())]);
     let program = start(&settings, Path::new("/dev/null/snapshots"));
     startup_line(&program, "event=snapshots-unavailable");
-    program.stand(&node);
+    program.establish(&node);
 }
 
 #[test]
@@ -166,12 +166,12 @@
     let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let old = crate::start(&settings);
-    let (mut client, mut server) = old.stand(&node);
-    server.say("LOAD 120000");
-    assert_eq!(client.line(), "LOAD 120000");
+    let (mut client, mut server) = old.establish(&node);
+    server.send_line("LOAD 120000");
+    assert_eq!(client.receive_line(), "LOAD 120000");
     let mut same = settings.clone();
     same["listen"] = json!(old.address());
-    let new = old.start_beside(BINARY, &same);
+    let new = old.start_sibling(BINARY, &same);
     let line = startup_line(&new, "event=state-restored");
     assert!(line.contains("from=\"predecessor process\"") && line.contains("odd=0"), "{line}");
     assert!(!line.contains("taken=0 "), "{line}");
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -34,12 +34,12 @@
                 while !is_over.load(Ordering::Relaxed) {
                     if let Some(mut peer) = node.accept_within(Duration::from_millis(20)) {
                         // A cancelled attempt sends no line, or closes the connection before the answer.
-                        match peer.hear() {
+                        match peer.receive() {
                             Received::Line(line) if line.starts_with(ESTABLISHED_CLIENT) => {
-                                peer.try_put(b"UP 1\r\n");
+                                peer.try_send_bytes(b"UP 1\r\n");
                                 established.push(peer);
                             }
-                            _ => drop(peer.try_put(b"BYE\r\n")),
+                            _ => drop(peer.try_send_bytes(b"BYE\r\n")),
                         }
                     }
                 }
@@ -133,20 +133,20 @@
     let mut old = start(&settings);
     let stream = RequestStream::start(6, old.address());
     let mut established = Connection::open(old.address(), &established_request());
-    assert_eq!(established.line(), "UP 1");
+    assert_eq!(established.receive_line(), "UP 1");
     for _ in 0..2 {
         stream.await_requests(200);
-        let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
-        assert_eq!(new.call("readyz"), ["YES"]);
+        let new = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
+        assert_eq!(new.operator_command("readyz"), ["YES"]);
         stream.await_requests(200);
         old.terminate();
-        assert!(old.logged("event=shutting-down").contains("successor=true"));
-        assert!(old.call("readyz")[0].starts_with("NO "));
+        assert!(old.wait_for_log("event=shutting-down").contains("successor=true"));
+        assert!(old.operator_command("readyz")[0].starts_with("NO "));
         assert!(old.wait().success());
         old = new;
     }
     stream.await_requests(200);
-    assert!(!established.has_word(Duration::from_millis(1)), "the connection was migrated or closed");
+    assert!(!established.has_input(Duration::from_millis(1)), "the connection was migrated or closed");
     assert_eq!(stream.stop(), Vec::<String>::new());
 }
 
@@ -163,10 +163,10 @@
 
 /// Checks that a line is relayed both ways.
 fn expect_relayed(client: &mut Connection, server: &mut Connection, line: &str) {
-    client.say(line);
-    assert_eq!(server.line(), line);
-    server.say(line);
-    assert_eq!(client.line(), line);
+    client.send_line(line);
+    assert_eq!(server.receive_line(), line);
+    server.send_line(line);
+    assert_eq!(client.receive_line(), line);
 }
 
 #[test]
@@ -174,37 +174,43 @@
     let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
-    let (mut first, mut first_upstream) = old.stand(&node);
-    let (mut second, mut second_upstream) = old.stand(&node);
-    let (mut third, mut third_upstream) = old.stand(&node);
+    let (mut first, mut first_upstream) = old.establish(&node);
+    let (mut second, mut second_upstream) = old.establish(&node);
+    let (mut third, mut third_upstream) = old.establish(&node);
     expect_relayed(&mut first, &mut first_upstream, "M 1");
-    first_upstream.say("LOAD 5000");
-    assert_eq!(first.line(), "LOAD 5000");
+    first_upstream.send_line("LOAD 5000");
+    assert_eq!(first.receive_line(), "LOAD 5000");
     // Lines that are partly buffered in the process are transferred, and so are bytes in the socket buffers.
-    third_upstream.put(b"half a li");
-    third.put(b"M 5\r\nM 6 an");
-    assert_eq!(third_upstream.line(), "M 5");
-    old.settled();
-    let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
-    second.say("M 2");
-    assert_eq!(second_upstream.line(), "M 2");
+    third_upstream.send_bytes(b"half a li");
+    third.send_bytes(b"M 5\r\nM 6 an");
+    assert_eq!(third_upstream.receive_line(), "M 5");
+    old.sync();
+    let new = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
+    second.send_line("M 2");
+    assert_eq!(second_upstream.receive_line(), "M 2");
     old.terminate();
     // The connection is transferred while the answer to its line is outstanding.
     wait_for_metric(&new, "concurrent", 3);
-    second_upstream.say("M 2");
-    assert_eq!(second.line(), "M 2");
+    second_upstream.send_line("M 2");
+    assert_eq!(second.receive_line(), "M 2");
     assert!(old.wait().success());
-    third_upstream.put(b"ne\r\n");
-    third.put(b"swer\r\n");
-    assert_eq!((third.line(), third_upstream.line()), ("half a line".into(), "M 6 answer".into()));
+    third_upstream.send_bytes(b"ne\r\n");
+    third.send_bytes(b"swer\r\n");
+    assert_eq!(
+        (third.receive_line(), third_upstream.receive_line()),
+        ("half a line".into(), "M 6 answer".into())
+    );
     expect_relayed(&mut first, &mut first_upstream, "M 3");
-    assert_eq!(new.figure("concurrent"), 3);
-    assert_eq!(new.figure("replies.chat.success"), 0, "they were established in the old process");
+    assert_eq!(new.metric("concurrent"), 3);
+    assert_eq!(new.metric("replies.chat.success"), 0, "they were established in the old process");
     // The new process's decisions know the connections: their ids are in use, and disabling their server migrates
     // their clients.
-    assert_eq!(new.open_as("9b1f", "").line(), "ERR");
-    assert_eq!(new.call("exclude s-1"), ["YES"]);
-    assert_eq!((first.line(), second.line(), third.line()), ("MOVE".into(), "MOVE".into(), "MOVE".into()));
+    assert_eq!(new.open_with_id("9b1f", "").receive_line(), "ERR");
+    assert_eq!(new.operator_command("exclude s-1"), ["YES"]);
+    assert_eq!(
+        (first.receive_line(), second.receive_line(), third.receive_line()),
+        ("MOVE".into(), "MOVE".into(), "MOVE".into())
+    );
     wait_for_metric(&new, "concurrent", 0);
 }
 
@@ -217,8 +223,8 @@
     let stream = RequestStream::start(4, old.address());
     let mut bad = config_for_successor(&settings, &old);
     bad["settings"]["classes"] = json!([]);
-    assert_eq!(refused_start(BINARY, &bad).0, Some(2));
-    let new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
+    assert_eq!(run_to_exit(BINARY, &bad).0, Some(2));
+    let new = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
     stream.await_requests(50);
     // What the killed process has accepted is lost with it, so no request may be open then.
     let failures = stream.stop();
@@ -228,34 +234,34 @@
     stream.await_requests(100);
     assert!(old.is_running());
     // The next successor can still connect to the old process.
-    let next = old.start_beside(BINARY, &config_for_successor(&settings, &old));
+    let next = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
     old.terminate();
-    assert!(old.logged("event=shutting-down").contains("successor=true"));
+    assert!(old.wait_for_log("event=shutting-down").contains("successor=true"));
     assert!(old.wait().success());
     stream.await_requests(100);
     assert_eq!(stream.stop(), Vec::<String>::new());
-    assert_eq!(next.call("readyz"), ["YES"]);
+    assert_eq!(next.operator_command("readyz"), ["YES"]);
 }
 
 #[test]
 fn a_successor_starts_with_the_current_endpoint_list_and_shuts_down_normally_without_a_successor() {
     let (first, second, discovery) = (Server::new(), Server::new(), DiscoveryService::new());
-    let settings = with_operator_address(asking(&[("s-1", first.address())], &discovery));
+    let settings = with_operator_address(config_with_discovery(&[("s-1", first.address())], &discovery));
     let mut old = start(&settings);
-    let mut watch = discovery.watch();
-    watch.tell(42, false, vec![endpoint("s-2", second.address(), "Ready")]);
+    let mut watch = discovery.accept_watch();
+    watch.send_list(42, false, vec![endpoint("s-2", second.address(), "Ready")]);
     wait_for_metric(&old, "targets", 2);
-    let mut new = old.start_beside(BINARY, &config_for_successor(&settings, &old));
-    assert_eq!(new.figure("targets"), 2);
+    let mut new = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
+    assert_eq!(new.metric("targets"), 2);
     // Its watch continues from the revision of that list.
-    assert_eq!(discovery.watch().since(), 42);
+    assert_eq!(discovery.accept_watch().since(), 42);
     old.terminate();
     assert!(old.wait().success());
     // It has no successor: for a while it still accepts clients, and rejects them with a retry-after.
     new.terminate();
-    assert!(new.logged("event=shutting-down").contains("successor=false"));
+    assert!(new.wait_for_log("event=shutting-down").contains("successor=false"));
     let mut client = new.open("");
-    assert!(client.line().starts_with("BUSY "));
+    assert!(client.receive_line().starts_with("BUSY "));
     assert!(new.wait().success());
 }
 
@@ -264,12 +270,12 @@
     let node = Server::new();
     let settings = with_operator_address(config(&[("s-1", node.address())]));
     let mut old = start(&settings);
-    let (mut client, _upstream) = old.stand(&node);
+    let (mut client, _upstream) = old.establish(&node);
     let mut other = config_for_successor(&settings, &old);
     other["settings"]["classes"][0]["name"] = json!("feed");
-    let new = old.start_beside(BINARY, &other);
+    let new = old.start_sibling(BINARY, &other);
     old.terminate();
-    assert_eq!((client.hear(), client.hear()), (Received::Line("MOVE".into()), Received::Fin));
+    assert_eq!((client.receive(), client.receive()), (Received::Line("MOVE".into()), Received::Fin));
     assert!(old.wait().success());
     wait_for_metric(&new, "concurrent", 0);
 }
--- a/crates/emulator/src/standin/balancer_process.rs
+++ b/crates/emulator/src/standin/balancer_process.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use shorewharf_protocol::endpoint_list::Endpoint;
 
-use super::{Connection, DiscoveryService, LIMIT, Server, loopback, nobody};
+use super::{Connection, DiscoveryService, LIMIT, Server, loopback_address, refusing_address};
 
 /// One server as discovery lists it.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> Endpoint {
@@ -29,7 +29,7 @@
 /// (`chat`) whose clients wait 20 s, one tenant (`acme`), up to five attempts, probes allowed.
 pub fn config(servers: &[(&str, SocketAddr)]) -> Value {
     let known: Vec<Endpoint> = servers.iter().map(|(name, at)| endpoint(name, *at, "Ready")).collect();
-    json!({"name": "n1", "listen": SocketAddr::from((loopback(0), 0)), "discovery": nobody(), "seed": "5",
+    json!({"name": "n1", "listen": SocketAddr::from((loopback_address(0), 0)), "discovery": refusing_address(), "seed": "5",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 41, "snapshot": true, "endpoints": known},
         "settings": {
@@ -43,7 +43,7 @@
 }
 
 /// The same, with a director that is asked soon.
-pub fn asking(servers: &[(&str, SocketAddr)], discovery: &DiscoveryService) -> Value {
+pub fn config_with_discovery(servers: &[(&str, SocketAddr)], discovery: &DiscoveryService) -> Value {
     let mut config = config(servers);
     config["discovery"] = json!(discovery.address());
     config["settings"]["registry_mode"] = json!("ask");
@@ -125,12 +125,12 @@
 const CONFIG: &str = "config.json";
 
 /// Starts a program on a configuration that it must refuse: its exit code and its log.
-pub fn refused_start(binary: impl AsRef<OsStr>, config: &Value) -> (Option<i32>, String) {
-    refused_start_with(binary, config, &[])
+pub fn run_to_exit(binary: impl AsRef<OsStr>, config: &Value) -> (Option<i32>, String) {
+    run_to_exit_with_env(binary, config, &[])
 }
 
 /// The same with variables of its environment.
-pub fn refused_start_with(
+pub fn run_to_exit_with_env(
     binary: impl AsRef<OsStr>,
     config: &Value,
     env: &[(&str, &OsStr)],
@@ -158,13 +158,13 @@
     /// Starts a program on a configuration and waits until it serves.
     #[track_caller]
     pub fn start(binary: impl AsRef<OsStr>, config: &Value) -> Self {
-        BalancerProcess::begin(binary.as_ref(), config, More::default(), Rc::default())
+        BalancerProcess::spawn(binary.as_ref(), config, More::default(), Rc::default())
     }
 
     /// The same with a file of the operator's own.
     #[track_caller]
-    pub fn start_with(binary: impl AsRef<OsStr>, config: &Value, operator: &str) -> Self {
-        BalancerProcess::begin(
+    pub fn start_with_operator(binary: impl AsRef<OsStr>, config: &Value, operator: &str) -> Self {
+        BalancerProcess::spawn(
             binary.as_ref(),
             config,
             More { operator: Some(operator), env: &[] },
@@ -174,36 +174,41 @@
 
     /// The same with variables of its environment.
     #[track_caller]
-    pub fn start_in(binary: impl AsRef<OsStr>, config: &Value, env: &[(&str, &OsStr)]) -> Self {
-        BalancerProcess::begin(binary.as_ref(), config, More { operator: None, env }, Rc::default())
+    pub fn start_with_env(binary: impl AsRef<OsStr>, config: &Value, env: &[(&str, &OsStr)]) -> Self {
+        BalancerProcess::spawn(binary.as_ref(), config, More { operator: None, env }, Rc::default())
     }
 
     /// The same with both.
     #[track_caller]
-    pub fn start_in_with(
+    pub fn start_with_operator_and_env(
         binary: impl AsRef<OsStr>,
         config: &Value,
         operator: &str,
         env: &[(&str, &OsStr)],
     ) -> Self {
-        BalancerProcess::begin(binary.as_ref(), config, More { operator: Some(operator), env }, Rc::default())
+        BalancerProcess::spawn(binary.as_ref(), config, More { operator: Some(operator), env }, Rc::default())
     }
 
     /// Its number in the system.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.started.child.id()
     }
 
     /// Another process of the same balancer: what is in this one's `$TMPDIR` is in its too.
     #[track_caller]
-    pub fn start_beside(&self, binary: impl AsRef<OsStr>, config: &Value) -> Self {
-        BalancerProcess::begin(binary.as_ref(), config, More::default(), Rc::clone(&self.common))
+    pub fn start_sibling(&self, binary: impl AsRef<OsStr>, config: &Value) -> Self {
+        BalancerProcess::spawn(binary.as_ref(), config, More::default(), Rc::clone(&self.common))
     }
 
     /// The same with a file of the operator's own.
     #[track_caller]
-    pub fn start_beside_with(&self, binary: impl AsRef<OsStr>, config: &Value, operator: &str) -> Self {
-        BalancerProcess::begin(
+    pub fn start_sibling_with_operator(
+        &self,
+        binary: impl AsRef<OsStr>,
+        config: &Value,
+        operator: &str,
+    ) -> Self {
+        BalancerProcess::spawn(
             binary.as_ref(),
             config,
             More { operator: Some(operator), env: &[] },
@@ -212,20 +217,27 @@
     }
 
     /// The folder that it has in common with other processes of the same balancer.
-    pub fn common(&self) -> &Path {
+    pub fn shared_folder(&self) -> &Path {
         &self.common.0
     }
 
     #[track_caller]
-    fn begin(binary: &OsStr, config: &Value, more: More, common: Rc<Folder>) -> Self {
+    fn spawn(binary: &OsStr, config: &Value, more: More, common: Rc<Folder>) -> Self {
         let mut started = Started::new(binary, &config.to_string(), &more, &common.0);
         let stderr = BufReader::new(started.child.stderr.take().expect("piped"));
         let (sender, log) = channel();
         thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let (next_id, heard) = (Cell::new(0x9b1f), RefCell::default());
-        let mut program =
-            BalancerProcess { started, next_id, log, heard, address: nobody(), operators: None, common };
-        let line = program.logged("event=serving");
+        let mut program = BalancerProcess {
+            started,
+            next_id,
+            log,
+            heard,
+            address: refusing_address(),
+            operators: None,
+            common,
+        };
+        let line = program.wait_for_log("event=serving");
         let at = |key: &str| line.split(key).nth(1)?.split(' ').next()?.parse().ok();
         program.address = at("listen=").expect("an address");
         program.operators = at("operator=");
@@ -239,22 +251,22 @@
 
     /// An operator that has said this, as it is.
     #[track_caller]
-    pub fn operator(&self, words: &str) -> Connection {
+    pub fn connect_operator(&self, words: &str) -> Connection {
         let mut operator = Connection::connect(self.operators.expect("a second address"));
-        operator.put(words.as_bytes());
+        operator.send_bytes(words.as_bytes());
         operator
     }
 
     /// What an operator's call is answered, all of it.
     #[track_caller]
-    pub fn call(&self, line: &str) -> Vec<String> {
-        self.operator(&format!("{line}\r\n")).rest()
+    pub fn operator_command(&self, line: &str) -> Vec<String> {
+        self.connect_operator(&format!("{line}\r\n")).receive_until_fin()
     }
 
     /// One of the figures that operators read.
     #[track_caller]
-    pub fn figure(&self, name: &str) -> u64 {
-        let lines = self.call("telemetry");
+    pub fn metric(&self, name: &str) -> u64 {
+        let lines = self.operator_command("telemetry");
         assert_eq!(lines.last().map(String::as_str), Some("END"), "{lines:?}");
         let value = lines.iter().find_map(|l| l.strip_prefix(&format!("svc.{name}:"))?.split('|').next());
         value.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name} in {lines:?}"))
@@ -262,7 +274,7 @@
 
     /// Waits for the next log line that has these words; those before it are passed over.
     #[track_caller]
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         // In all: a program that logs all the time must not put it off for ever.
         let by = Instant::now() + LIMIT;
         loop {
@@ -278,7 +290,7 @@
     }
 
     /// A log line that was passed over so far and has these words.
-    pub fn has_logged(&self, words: &str) -> Option<String> {
+    pub fn find_in_log(&self, words: &str) -> Option<String> {
         self.heard.borrow().iter().find(|line| line.contains(words)).cloned()
     }
 
@@ -291,7 +303,7 @@
 
     /// A client that has connected and said nothing yet.
     #[track_caller]
-    pub fn client(&self) -> Connection {
+    pub fn connect(&self) -> Connection {
         Connection::connect(self.address)
     }
 
@@ -300,35 +312,35 @@
     pub fn open(&self, more: &str) -> Connection {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        self.open_as(&format!("{id:x}"), more)
+        self.open_with_id(&format!("{id:x}"), more)
     }
 
     /// The same under this id.
     #[track_caller]
-    pub fn open_as(&self, id: &str, more: &str) -> Connection {
-        let mut client = self.client();
-        client.say(&format!("OPEN {id} 7f3a c=chat,t=acme,d=20000{more}"));
+    pub fn open_with_id(&self, id: &str, more: &str) -> Connection {
+        let mut client = self.connect();
+        client.send_line(&format!("OPEN {id} 7f3a c=chat,t=acme,d=20000{more}"));
         client
     }
 
     /// A standing connection: client and node.
     #[track_caller]
-    pub fn stand(&self, node: &Server) -> (Connection, Connection) {
-        node.stand(self.open(""))
+    pub fn establish(&self, node: &Server) -> (Connection, Connection) {
+        node.establish(self.open(""))
     }
 
     /// The same under this id.
     #[track_caller]
-    pub fn stand_as(&self, node: &Server, id: &str) -> (Connection, Connection) {
-        node.stand(self.open_as(id, ""))
+    pub fn establish_with_id(&self, node: &Server, id: &str) -> (Connection, Connection) {
+        node.establish(self.open_with_id(id, ""))
     }
 
     /// Waits until the program has taken in all that was sent to it before: it answers in turn.
     #[track_caller]
-    pub fn settled(&self) {
-        let mut front = self.client();
-        front.say("PING");
-        assert_eq!(front.line(), "PONG");
+    pub fn sync(&self) {
+        let mut front = self.connect();
+        front.send_line("PING");
+        assert_eq!(front.receive_line(), "PONG");
     }
 
     /// Tells it to end.
--- a/crates/emulator/src/standin/connection.rs
+++ b/crates/emulator/src/standin/connection.rs
@@ -29,7 +29,7 @@
     /// # Panics
     ///
     /// Panics if the socket options cannot be set.
-    pub fn of(stream: TcpStream) -> Self {
+    pub fn from_stream(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Connection(BufReader::new(stream))
@@ -42,21 +42,21 @@
     /// Panics if nobody listens at the address.
     #[track_caller]
     pub fn connect(to: SocketAddr) -> Self {
-        Connection::of(TcpStream::connect(to).expect("the program listens"))
+        Connection::from_stream(TcpStream::connect(to).expect("the program listens"))
     }
 
     /// A client that has said its first line.
     #[track_caller]
     pub fn open(to: SocketAddr, line: &OpenRequestLine) -> Self {
         let mut client = Connection::connect(to);
-        client.put(line.to_string().as_bytes());
+        client.send_bytes(line.to_string().as_bytes());
         client
     }
 
     /// Says a line; its end is added.
     #[track_caller]
-    pub fn say(&mut self, line: &str) {
-        self.put(format!("{line}\r\n").as_bytes());
+    pub fn send_line(&mut self, line: &str) {
+        self.send_bytes(format!("{line}\r\n").as_bytes());
     }
 
     /// Writes bytes as they are.
@@ -65,12 +65,12 @@
     ///
     /// Panics if the connection is broken.
     #[track_caller]
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("the program reads");
     }
 
     /// The same to one that may have left.
-    pub fn try_put(&mut self, bytes: &[u8]) -> bool {
+    pub fn try_send_bytes(&mut self, bytes: &[u8]) -> bool {
         self.0.get_mut().write_all(bytes).is_ok()
     }
 
@@ -80,7 +80,7 @@
     ///
     /// Panics if nothing arrives in time, or bytes that are not text.
     #[track_caller]
-    pub fn hear(&mut self) -> Received {
+    pub fn receive(&mut self) -> Received {
         let mut bytes = Vec::new();
         match self.0.read_until(b'\n', &mut bytes) {
             Ok(0) => Received::Fin,
@@ -98,8 +98,8 @@
     ///
     /// Panics if anything but a line arrives, or nothing in time.
     #[track_caller]
-    pub fn line(&mut self) -> String {
-        match self.hear() {
+    pub fn receive_line(&mut self) -> String {
+        match self.receive() {
             Received::Line(line) => line,
             other => panic!("a line was expected, not {other:?}"),
         }
@@ -111,10 +111,10 @@
     ///
     /// Panics if the connection is reset, or does not end in time.
     #[track_caller]
-    pub fn rest(&mut self) -> Vec<String> {
+    pub fn receive_until_fin(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         loop {
-            match self.hear() {
+            match self.receive() {
                 Received::Line(line) => lines.push(line),
                 Received::Fin => return lines,
                 Received::Reset => panic!("a reset after {lines:?}"),
@@ -139,7 +139,7 @@
     /// # Panics
     ///
     /// Panics if the read timeout cannot be set.
-    pub fn has_word(&self, within: Duration) -> bool {
+    pub fn has_input(&self, within: Duration) -> bool {
         self.stream().set_read_timeout(Some(within)).expect("a time-out");
         let seen = self.stream().peek(&mut [0]);
         self.stream().set_read_timeout(Some(LIMIT)).expect("a time-out");
@@ -157,7 +157,7 @@
     /// # Panics
     ///
     /// Panics if the connection is not open.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         self.stream().shutdown(Shutdown::Write).expect("open");
     }
 
--- a/crates/emulator/src/standin/discovery_service.rs
+++ b/crates/emulator/src/standin/discovery_service.rs
@@ -23,15 +23,15 @@
 
     /// Waits for the next watch to be asked for.
     #[track_caller]
-    pub fn watch(&self) -> Watch {
+    pub fn accept_watch(&self) -> Watch {
         let mut peer = self.0.accept();
-        let call = peer.line();
+        let call = peer.receive_line();
         Watch { peer, call, begun: false }
     }
 
     /// Whether a call waits to be accepted.
-    pub fn is_called(&self) -> bool {
-        self.0.is_called()
+    pub fn has_pending_connection(&self) -> bool {
+        self.0.has_pending_connection()
     }
 }
 
@@ -45,7 +45,7 @@
 
 impl Watch {
     /// The call's first line.
-    pub fn call(&self) -> &str {
+    pub fn request_line(&self) -> &str {
         &self.call
     }
 
@@ -58,30 +58,30 @@
     }
 
     /// Tells a whole list, or changes to the one before.
-    pub fn tell(&mut self, index: u64, snapshot: bool, endpoints: Vec<Endpoint>) {
+    pub fn send_list(&mut self, index: u64, snapshot: bool, endpoints: Vec<Endpoint>) {
         let list = serde_json::to_string(&EndpointList { index, snapshot, endpoints }).expect("a list");
         self.chunk(&format!("{list}\n"));
     }
 
     /// Says that nothing has changed.
-    pub fn blank(&mut self) {
+    pub fn send_blank_line(&mut self) {
         self.chunk("\n");
     }
 
     fn chunk(&mut self, text: &str) {
         if !std::mem::replace(&mut self.begun, true) {
-            self.peer.put(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            self.peer.send_bytes(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
-        self.peer.put(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
+        self.peer.send_bytes(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
     /// Answers the call with a failure, such as `503 Busy`.
-    pub fn refuse(&mut self, status: &str) {
-        self.peer.put(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
+    pub fn send_error(&mut self, status: &str) {
+        self.peer.send_bytes(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
     }
 
     /// Ends the watch in good order.
     pub fn end(&mut self) {
-        self.peer.put(b"0\r\n\r\n");
+        self.peer.send_bytes(b"0\r\n\r\n");
     }
 }
--- a/crates/emulator/src/standin/mod.rs
+++ b/crates/emulator/src/standin/mod.rs
@@ -16,9 +16,9 @@
 //! let program = BalancerProcess::start("target/debug/shorewharf", &config(&[("s-1", node.address())]));
 //! let mut client = program.open("");
 //! let mut server = node.accept();
-//! assert!(server.line().starts_with("OPEN "));
-//! server.say("UP 1");
-//! assert_eq!(client.line(), "UP 1");
+//! assert!(server.receive_line().starts_with("OPEN "));
+//! server.send_line("UP 1");
+//! assert_eq!(client.receive_line(), "UP 1");
 //! ```
 
 mod balancer_process;
@@ -26,10 +26,12 @@
 mod discovery_service;
 mod server;
 
-pub use balancer_process::{BalancerProcess, asking, config, endpoint, refused_start, refused_start_with};
+pub use balancer_process::{
+    BalancerProcess, config, config_with_discovery, endpoint, run_to_exit, run_to_exit_with_env,
+};
 pub use connection::{Connection, Received};
 pub use discovery_service::{DiscoveryService, Watch};
-pub use server::{Server, loopback, nobody};
+pub use server::{Server, loopback_address, refusing_address};
 
 use std::time::Duration;
 
--- a/crates/emulator/src/standin/server.rs
+++ b/crates/emulator/src/standin/server.rs
@@ -10,7 +10,7 @@
 
 fn bound() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from((loopback(0), 0)).into()).expect("a port");
+    socket.bind(&SocketAddr::from((loopback_address(0), 0)).into()).expect("a port");
     socket
 }
 
@@ -38,7 +38,7 @@
 
     /// A node to which connections don't come up, as its queue is full: of the connections that are returned too.
     /// Once those have been accepted it is like any other.
-    pub fn full() -> (Self, Vec<TcpStream>) {
+    pub fn with_full_backlog() -> (Self, Vec<TcpStream>) {
         let socket = bound();
         socket.listen(1).expect("a queue");
         let node = Server(socket.into());
@@ -72,7 +72,7 @@
     /// Waits so long for the next connection.
     pub fn accept_within(&self, limit: Duration) -> Option<Connection> {
         SockRef::from(&self.0).set_read_timeout(Some(limit)).expect("a time-out");
-        self.0.accept().ok().map(|(stream, _)| Connection::of(stream))
+        self.0.accept().ok().map(|(stream, _)| Connection::from_stream(stream))
     }
 
     /// Waits for the next connection, or for what a client is told instead.
@@ -85,14 +85,14 @@
     ///
     /// Panics if neither a connection nor a message arrives in time.
     #[track_caller]
-    pub fn accept_or_hear(&self, client: &mut Connection) -> Result<Connection, Received> {
+    pub fn accept_or_receive(&self, client: &mut Connection) -> Result<Connection, Received> {
         let turn = Duration::from_millis(20);
         for _ in 0..LIMIT.as_millis() / turn.as_millis() {
             if let Some(server) = self.accept_within(turn) {
                 return Ok(server);
             }
-            if client.has_word(turn) {
-                return Err(client.hear());
+            if client.has_input(turn) {
+                return Err(client.receive());
             }
         }
         panic!("neither a connection nor a word");
@@ -100,11 +100,11 @@
 
     /// Takes the next client, whose first line is dropped: both ends of what stands now.
     #[track_caller]
-    pub fn stand(&self, mut client: Connection) -> (Connection, Connection) {
+    pub fn establish(&self, mut client: Connection) -> (Connection, Connection) {
         let mut server = self.accept();
-        server.line();
-        server.say("UP 77");
-        assert_eq!(client.line(), "UP 77");
+        server.receive_line();
+        server.send_line("UP 77");
+        assert_eq!(client.receive_line(), "UP 77");
         (client, server)
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Whether a connection waits to be accepted.
-    pub fn is_called(&self) -> bool {
+    pub fn has_pending_connection(&self) -> bool {
         self.0.set_nonblocking(true).expect("a flag");
         let called = self.0.accept().is_ok();
         self.0.set_nonblocking(false).expect("a flag");
@@ -123,15 +123,15 @@
 }
 
 /// An address at which nobody listens: connections are refused. It is held, so that nobody can get it meanwhile.
-pub fn nobody() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     static HELD: OnceLock<Socket> = OnceLock::new();
     HELD.get_or_init(bound).local_addr().ok().and_then(|a| a.as_socket()).expect("bound")
 }
 
 /// A loopback address of this process's own, one of four: ports on it are not taken by whatever else runs on this
 /// machine, such as the same tests once more.
-pub fn loopback(which: u8) -> Ipv4Addr {
+pub fn loopback_address(index: u8) -> Ipv4Addr {
     // Process ids have 22 bits at most.
-    let [_, a, b, c] = (std::process::id() << 2 | u32::from(which % 4)).to_be_bytes();
+    let [_, a, b, c] = (std::process::id() << 2 | u32::from(index % 4)).to_be_bytes();
     Ipv4Addr::new(127, a, b, c)
 }
