--- a/crates/store/tests/stored.rs
+++ b/crates/store/tests/stored.rs
@@ -1,7 +1,7 @@
-//! Compatibility with what earlier versions have stored and sent, byte for byte. `fixtures/` was written by such a version:
-//! a renamed field that changes a stored name makes a test here fail.
+//! Compatibility with the data that earlier versions stored and the requests that they sent, byte for byte. The files
+//! in `fixtures/` were written by an earlier version, so these tests fail if a renamed field changes a stored name.
 //!
-//! The fixtures are written again only for another schema:
+//! The fixtures are written again only when the schema changes:
 //! `cargo test -p shorewharf-store --test stored -- --ignored write_fixtures`
 
 mod common;
@@ -44,10 +44,10 @@
 const EXPORT: &str = include_str!("fixtures/export.json");
 const COPY: &str = include_str!("fixtures/copy");
 
-/// The last acknowledged revision, as it stands in the file beside the store.
+/// The last acknowledged revision in the file beside the store: 24 as a little-endian number, in hexadecimal.
 const HEAD: &str = "1800000000000000";
 
-/// When the idempotency keys expire.
+/// When the idempotency keys expire: an hour after [`NOW`].
 const EXPIRES: u64 = NOW + 3_600_000_000;
 
 fn rate(per_second: f64) -> Option<PerSecond> {
@@ -72,7 +72,8 @@
     TokenId::new(&format!("{seed:02x}").repeat(8)).unwrap()
 }
 
-fn bearer() -> Actor {
+/// The holder of the token that the first command creates.
+fn token_actor() -> Actor {
     Actor::Token { id: token_id(1), role: Role::Operator, label: "first".into() }
 }
 
@@ -81,6 +82,7 @@
     Usage { connection_micros: 60_000_000, setups, rejections, migrations: 3, lines: 400, bytes: 5000 }
 }
 
+/// A usage report about ids in two chunks.
 fn report(instance: &str, minute: u64) -> Command {
     let usage_by_id = [(0, usage(7)), (2, usage(9)), (70, Usage { setups: 1, ..Usage::default() })].into();
     Command::RecordUsage(UsageReport::new(InstanceName::new(instance).unwrap(), minute, usage_by_id).unwrap())
@@ -109,7 +111,8 @@
     }
 }
 
-/// Commands of each kind, by actors of each kind, that write records of each kind.
+/// Commands of every kind by actors of every kind. Together they write records of every kind but budgets, which
+/// [`fill`] writes.
 fn commands() -> Vec<(Actor, Command)> {
     let plain = |text: &str, state| NewTenant { state, ..NewTenant::named(name(text)) };
     let change = TenantChange {
@@ -123,24 +126,24 @@
     let put = |class, expected| Command::PutClass { class, expected };
     vec![
         (Actor::console("root").unwrap(), token(Role::Operator, "first", None, 1)),
-        (bearer(), put(class("ticket-stream", Semantics::Idempotent), Some(Revision(0)))),
-        (bearer(), put(class("ticket-stream", Semantics::IdempotentWithKey), None)),
+        (token_actor(), put(class("ticket-stream", Semantics::Idempotent), Some(Revision(0)))),
+        (token_actor(), put(class("ticket-stream", Semantics::IdempotentWithKey), None)),
         (Actor::File, put(class("plain", Semantics::Idempotent), None)),
         (Actor::File, put(class("bulk", Semantics::NonIdempotent), None)),
         (Actor::File, put(class("write", Semantics::NonIdempotent), None)),
-        (bearer(), Command::SetLimits { limits: service_limits(), expected: Some(Revision(0)) }),
+        (token_actor(), Command::SetLimits { limits: service_limits(), expected: Some(Revision(0)) }),
         (Actor::File, Command::CreateTenant(full_tenant())),
-        (bearer(), Command::CreateTenant(plain("bolnica", TenantState::Active))),
-        (bearer(), Command::CreateTenant(plain("Лука", TenantState::Frozen))),
-        (bearer(), Command::CreateTenant(plain("knjižnica", TenantState::Draining))),
-        (bearer(), Command::ChangeTenant { name: name("grad-uprava"), expected: None, change }),
-        (bearer(), Command::RemoveTenant { name: name("bolnica"), expected: None }),
-        (bearer(), Command::RemoveClass { name: class_name("bulk"), expected: None }),
-        (bearer(), token(Role::TenantAdmin(NumericId(0)), "admin", Some(NOW + 1_000_000_000), 2)),
-        (bearer(), token(Role::Viewer, "night shift", None, 3)),
-        (bearer(), Command::RevokeToken { id: token_id(3) }),
+        (token_actor(), Command::CreateTenant(plain("bolnica", TenantState::Active))),
+        (token_actor(), Command::CreateTenant(plain("Лука", TenantState::Frozen))),
+        (token_actor(), Command::CreateTenant(plain("knjižnica", TenantState::Draining))),
+        (token_actor(), Command::ChangeTenant { name: name("grad-uprava"), expected: None, change }),
+        (token_actor(), Command::RemoveTenant { name: name("bolnica"), expected: None }),
+        (token_actor(), Command::RemoveClass { name: class_name("bulk"), expected: None }),
+        (token_actor(), token(Role::TenantAdmin(NumericId(0)), "admin", Some(NOW + 1_000_000_000), 2)),
+        (token_actor(), token(Role::Viewer, "night shift", None, 3)),
+        (token_actor(), Command::RevokeToken { id: token_id(3) }),
         (
-            bearer(),
+            token_actor(),
             Command::RecordAction {
                 target: "server/m-1".into(),
                 before: Some(json!({"takes": true})),
@@ -155,7 +158,7 @@
     ]
 }
 
-/// The requests that [`fill`] makes, each with its own idempotency key.
+/// The requests for all [`commands`], each with an idempotency key of its own.
 fn requests() -> Vec<ChangeRequest> {
     let numbered = commands().into_iter().enumerate();
     numbered
@@ -167,7 +170,7 @@
         .collect()
 }
 
-/// Fills an empty store by [`requests`], each at a time of its own.
+/// Fills an empty store by executing all [`requests`], one microsecond apart, and writing a budget record.
 fn fill(store: &mut dyn Store) -> Vec<Completed> {
     let mut done = Vec::new();
     for (number, request) in requests().iter().enumerate() {
@@ -179,7 +182,7 @@
     done
 }
 
-/// All records, each as its revision, key and value.
+/// All records, one per line: revision, key and value.
 fn rows(store: &mut dyn Store) -> String {
     let mut rows = String::new();
     store
@@ -192,15 +195,15 @@
     rows
 }
 
-/// Rows without their revisions, which are each store's own.
+/// Rows without their revisions, which differ between stores.
 fn unversioned(rows: &str) -> Vec<&str> {
     rows.lines().map(|row| row.split_once(' ').unwrap().1).collect()
 }
 
-/// Each row's record as JSON, by its key.
+/// The JSON of each row's record by its key.
 fn by_key(rows: &str) -> BTreeMap<String, Value> {
     let parts = |row: &str| {
-        // Names have blanks; a record is an object or a number.
+        // A key may contain spaces. A record is a JSON object or a number.
         let row = row.split_once(' ').unwrap().1;
         let (key, json) = row
             .split_once(" {")
@@ -222,7 +225,8 @@
     store
 }
 
-/// The requests to the replicated engine, and the keys it holds, after calls of all kinds, one of which loses its answer.
+/// Makes calls of every kind to the replicated engine, one of which loses its response. Returns the requests that were
+/// sent, and the keys and values in the engine afterwards.
 fn run_replicated() -> (String, String) {
     let cluster = Cluster::new();
     let members = [cluster.member().unwrap(), cluster.member().unwrap()];
@@ -281,7 +285,7 @@
 }
 
 #[test]
-fn records_are_stored_as_they_always_were() {
+fn stored_files_and_exports_match_the_fixtures() {
     let dir = tempfile::tempdir().unwrap();
     let mut store = new_store(dir.path());
     assert_eq!(rows(&mut store), STORE_ROWS);
@@ -297,7 +301,7 @@
 }
 
 #[test]
-fn a_file_and_a_backup_of_an_earlier_version_are_read() {
+fn a_store_and_a_backup_of_an_earlier_version_can_be_read() {
     let dir = tempfile::tempdir().unwrap();
     let (path, old) = (dir.path().join("store"), dir.path().join("backup"));
     std::fs::write(&path, STORE_FILE).unwrap();
@@ -306,15 +310,15 @@
     let mut store = Embedded::open(&path, Create::Never, NOW).unwrap();
     assert_eq!(rows(&mut store), STORE_ROWS);
     assert_eq!(check(&mut store, NOW).unwrap(), []);
-    // Each record is decoded, and the stored reply to each request is replayed.
-    for (number, (request, created)) in requests().iter().zip(new_replies()).enumerate() {
-        let again = execute(&mut store, std::slice::from_ref(request), NOW + 500).remove(0).unwrap();
+    // The stored reply to each request is replayed. Repeated usage reports are recognised as already recorded.
+    for (number, (request, reply)) in requests().iter().zip(new_replies()).enumerate() {
+        let repeated = execute(&mut store, std::slice::from_ref(request), NOW + 500).remove(0).unwrap();
         match &request.command {
-            Command::RecordUsage(_) => assert_eq!(again.reply, Reply::UsageRecorded { new: false }),
+            Command::RecordUsage(_) => assert_eq!(repeated.reply, Reply::UsageRecorded { new: false }),
             _ => {
                 assert_eq!(
-                    (again.replayed, again.reply),
-                    (true, without_secret(created)),
+                    (repeated.replayed, repeated.reply),
+                    (true, without_secret(reply)),
                     "request {number}"
                 );
             }
@@ -326,46 +330,46 @@
         panic!()
     };
     assert_eq!((tenant.record.weight.get(), tenant.record.limits.connections), (300, Some(6000)));
-    let ask = Lookup::Usage { id: NumericId(2), granularity: Granularity::Day, from: 0, to: u64::MAX };
-    let LookupResult::Usage(used, None) = look_up(&mut store, &ask, NOW).unwrap() else { panic!() };
-    let mut three = usage(9);
-    three.add(&usage(9));
-    three.add(&usage(9));
-    assert_eq!(used, [UsageRow { start: 1_774_915_200_000_000, usage: three }]);
+    let lookup = Lookup::Usage { id: NumericId(2), granularity: Granularity::Day, from: 0, to: u64::MAX };
+    let LookupResult::Usage(rows, None) = look_up(&mut store, &lookup, NOW).unwrap() else { panic!() };
+    // Three reports.
+    let mut total = usage(9);
+    total.add(&usage(9));
+    total.add(&usage(9));
+    assert_eq!(rows, [UsageRow { start: 1_774_915_200_000_000, usage: total }]);
 }
 
-/// The replies to [`fill`].
+/// The replies when [`fill`] fills an empty store.
 fn new_replies() -> Vec<Reply> {
     let dir = tempfile::tempdir().unwrap();
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
     fill(&mut store).into_iter().map(|done| done.reply).collect()
 }
 
-/// A reply as it is replayed: a token's text is not stored.
-fn without_secret(answer: Reply) -> Reply {
-    match answer {
+/// A reply as it is replayed: without the text of a token, which is not stored.
+fn without_secret(reply: Reply) -> Reply {
+    match reply {
         Reply::Token { token, .. } => Reply::Token { token, text: None },
-        answer => answer,
+        reply => reply,
     }
 }
 
 #[test]
-fn an_export_of_an_earlier_version_is_imported() {
+fn an_export_of_an_earlier_version_can_be_imported() {
     let dir = tempfile::tempdir().unwrap();
     let mut store = Embedded::open(dir.path().join("store"), Create::IfMissing, NOW).unwrap();
     import(&mut store, EXPORT, &Actor::console("root").unwrap(), NOW + 300).unwrap();
     let imported = by_key(&rows(&mut store));
-    let is_left_out =
-        |key: &str| ["once/", "budget/", "meta/"].iter().any(|left_out| key.starts_with(left_out));
-    for (key, record) in by_key(STORE_ROWS).into_iter().filter(|(key, _)| !is_left_out(key)) {
+    let is_exported = |key: &str| !["once/", "budget/", "meta/"].iter().any(|prefix| key.starts_with(prefix));
+    for (key, record) in by_key(STORE_ROWS).into_iter().filter(|(key, _)| is_exported(key)) {
         assert_eq!(imported.get(&key), Some(&record), "{key}");
     }
     let entry = &imported["audit/00000000000000000020"];
-    let reported = json!({
+    let expected = json!({
         "number": 20, "at": NOW + 300, "who": {"by": "console", "user": "root"}, "deed": "import", "target": "export",
         "after": {"revision": 24},
     });
-    assert_eq!(*entry, reported);
+    assert_eq!(*entry, expected);
     assert_eq!(
         (&imported["meta/tenant-places"], &imported["meta/class-places"]),
         (&json!(65_540), &json!(65_540))
@@ -374,7 +378,7 @@
 }
 
 #[test]
-fn a_copy_of_an_earlier_version_is_read_while_the_engine_is_away() {
+fn a_copy_file_of_an_earlier_version_is_used_while_the_engine_is_unavailable() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("copy");
     std::fs::write(&file, COPY).unwrap();
@@ -395,14 +399,14 @@
 }
 
 #[test]
-fn the_replicated_engine_is_sent_and_holds_what_it_always_was() {
+fn requests_to_the_replicated_engine_and_its_keys_match_the_fixtures() {
     let (requests, keys) = run_replicated();
     for (number, (sent, expected)) in requests.lines().zip(GATEWAY_REQUESTS.lines()).enumerate() {
         assert_eq!(sent, expected, "request {number}");
     }
     assert_eq!(requests.lines().count(), GATEWAY_REQUESTS.lines().count());
     assert_eq!(keys, GATEWAY_KEYS);
-    // Another instance reads the same keys.
+    // Another instance can read the fixture's keys.
     let cluster = Cluster::new();
     let member = cluster.member().unwrap();
     for row in GATEWAY_KEYS.lines() {
@@ -410,24 +414,24 @@
         cluster.put(key, value);
     }
     let mut store = Replicated::new(&Options::new(vec![member.endpoint()], "shorewharf", "n2", 8)).unwrap();
-    let mut without_versions = unversioned(STORE_ROWS);
+    let mut expected = unversioned(STORE_ROWS);
     let found = rows(&mut store);
-    // Stored replies hold no revision until they are replayed, so both engines hold the same records.
+    // Stored replies contain no revision, so both engines hold the same records.
     let mut found = unversioned(&found);
     found.sort_unstable();
-    without_versions.sort_unstable();
-    assert_eq!(found, without_versions);
+    expected.sort_unstable();
+    assert_eq!(found, expected);
     assert_eq!(check(&mut store, NOW).unwrap(), []);
 }
 
-/// Checks that a value is encoded as this JSON, and decoded from it.
+/// Checks that a value is encoded as this JSON, and that the JSON is decoded to the same value.
 fn assert_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).unwrap(), text);
     assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
 }
 
 #[test]
-fn values_that_callers_send_and_read_have_their_json() {
+fn the_json_of_requests_and_replies_is_unchanged() {
     assert_json(
         &full_tenant(),
         r#"{"name":"Grad-Uprava","weight":250,"limits":{"connections":5000,"set_ups":12.5,"returns":40.0},"classes":["plain","ticket-stream"],"state":"active","origin":"file"}"#,
@@ -470,7 +474,7 @@
 }
 
 #[test]
-fn each_action_of_the_trail_has_its_name() {
+fn the_json_of_audit_entries_is_unchanged() {
     let actions: BTreeMap<&str, AuditAction> = [
         ("tenant-create", AuditAction::TenantCreate),
         ("tenant-change", AuditAction::TenantChange),
