--- a/crates/store/src/embedded/mod.rs
+++ b/crates/store/src/embedded/mod.rs
@@ -37,7 +37,7 @@
 use std::path::Path;
 use tables::{ChangedKeys, TableReader};
 
-/// The most revisions that one call of [`Store::changes`] returns.
+/// The most revisions whose changes one call of [`Store::changes`] returns.
 const MAX_REVISIONS_PER_READ: usize = 500;
 
 /// The number of revisions whose changes are retained. A reader that is further behind must read all records.
@@ -61,8 +61,8 @@
     /// Opens the file, verifies every page, and migrates the records to this program's schema.
     ///
     /// # Errors
-    /// If the file is damaged, has a newer schema, is older than its last acknowledged revision, is open in another
-    /// process, or exists or is missing against `create`.
+    /// If the file is damaged, has a newer schema, is older than its last acknowledged revision, or is open in another
+    /// process, or if it exists or is missing contrary to `create`.
     pub fn open(path: impl AsRef<Path>, create: Create, now: Micros) -> Result<Embedded, StoreError> {
         Embedded::open_at(Location::file(path.as_ref(), create)?, now)
     }
@@ -102,9 +102,9 @@
 
     fn reopen(&mut self, now: Micros) -> Result<(), StoreError> {
         let name = self.location.name();
-        let failed = |e: EngineFailure| e.into_store_error(&name);
-        let db = catch_panics(|| self.location.open()).map_err(failed)?;
-        let version = catch_panics(|| tables::database_version(&db)).map_err(failed)?;
+        let to_store_error = |e: EngineFailure| e.into_store_error(&name);
+        let db = catch_panics(|| self.location.open()).map_err(to_store_error)?;
+        let version = catch_panics(|| tables::database_version(&db)).map_err(to_store_error)?;
         if version.schema > migrate::SCHEMA {
             let (location, found) = (name, version.schema);
             return Err(StoreError::NewerSchema { location, found, supported: migrate::SCHEMA });
@@ -116,7 +116,8 @@
         if version.schema < migrate::SCHEMA {
             self.location.back_up_before_migration(version.schema)?;
         }
-        self.revision = catch_panics(|| tables::migrate_database(&db, version, now)).map_err(failed)?;
+        self.revision =
+            catch_panics(|| tables::migrate_database(&db, version, now)).map_err(to_store_error)?;
         self.acknowledged.write(self.revision);
         self.db = Some(db);
         Ok(())
@@ -161,7 +162,7 @@
     }
 
     /// Calls `write`, which commits one transaction as the next revision. If the engine fails, the file is reopened to
-    /// see whether the transaction was committed: this process is the only writer, so the revision tells.
+    /// see whether the transaction was committed: this process is the only writer, so the revision shows it.
     fn write(
         &mut self,
         now: Micros,
--- a/crates/store/src/embedded/tables.rs
+++ b/crates/store/src/embedded/tables.rs
@@ -293,7 +293,7 @@
 
 fn begin_write(db: &Database) -> Result<WriteTransaction, EngineFailure> {
     let mut txn = db.begin_write()?;
-    // With one-phase commits a damaged last commit can't be told from an unfinished one and would silently be rolled
+    // With one-phase commits a damaged last commit looks like an unfinished one and would silently be rolled
     // back.
     txn.set_two_phase_commit(true);
     Ok(txn)
--- a/crates/store/src/replicated/mod.rs
+++ b/crates/store/src/replicated/mod.rs
@@ -11,7 +11,8 @@
 //!   a transaction whose response was lost was executed, so that no change is made twice or reported wrongly.
 //!
 //! A watch is opened when the head's revision has grown, and closed once the head's event has been received. It is not
-//! left open, since an idle stream can't be told from a broken one, and the client library blocks while it reads.
+//! left open, since an idle stream can't be distinguished from a broken one, and the client library blocks while it
+//! reads.
 
 mod api;
 mod client;
--- a/crates/store/tests/common/conformance.rs
+++ b/crates/store/tests/common/conformance.rs
@@ -105,9 +105,9 @@
         panic!()
     };
     assert_eq!((changed.record.id(), changed.record.priority_weight()), (NumericId(0), 2.0));
-    let named =
+    let in_use =
         execute_one(store, Command::RemoveClass { name: class.clone(), expected: None }, NOW).unwrap_err();
-    assert_eq!(named.to_string(), "class/ticket-stream: is still in use by tenant \"desk\"");
+    assert_eq!(in_use.to_string(), "class/ticket-stream: is still in use by tenant \"desk\"");
     let LookupResult::Tenants(all, None) =
         found(store, Lookup::Tenants { prefix: String::new(), after: None, limit: 1000 })
     else {
@@ -145,16 +145,16 @@
     execute_one(store, Command::RevokeToken { id: id.clone() }, NOW + 1).unwrap();
     let LookupResult::Token(token) = found(store, Lookup::Token(id)) else { panic!() };
     assert!(!token.record.accepts(secret, NOW + 2));
-    let nobody = NewToken { role: Role::TenantAdmin(NumericId(9999)), label: String::new(), expires: None };
-    let refused =
-        execute_one(store, Command::CreateToken { new: nobody, seed: TokenSeed([8; 40]) }, NOW).unwrap_err();
-    assert_eq!(refused.to_string(), "place: no tenant has id 9999");
+    let new = NewToken { role: Role::TenantAdmin(NumericId(9999)), label: String::new(), expires: None };
+    let rejected =
+        execute_one(store, Command::CreateToken { new, seed: TokenSeed([8; 40]) }, NOW).unwrap_err();
+    assert_eq!(rejected.to_string(), "place: no tenant has id 9999");
 }
 
 fn repeated_usage_reports_are_recorded_once(store: &mut dyn Store) {
     let day = 20_000 * 24 * 60;
     // Ids 63 and 64 are in different chunks, and 6,000 ids have more chunks than fit into one batch.
-    let many: Vec<(u32, u64)> = (0..6000).step_by(3).map(|p| (p, u64::from(p) + 1)).collect();
+    let many: Vec<(u32, u64)> = (0..6000).step_by(3).map(|id| (id, u64::from(id) + 1)).collect();
     for (instance, minute) in [("a@1", day + 59), ("a@1", day + 60), ("b@1", day + 59)] {
         assert_eq!(
             execute_one(store, report(instance, minute, &many), NOW).unwrap().reply,
