--- a/crates/balancer/tests/sockets/final_answers.rs
+++ b/crates/balancer/tests/sockets/final_answers.rs
@@ -42,9 +42,9 @@
 }
 
 /// Opens a request of this class, with the client timeout of the class as its deadline.
-fn request(program: &Program, id: usize, class: &RetryClass) -> Peer {
-    let mut client = program.client();
-    client.say(&format!(
+fn request(program: &BalancerProcess, id: usize, class: &RetryClass) -> Connection {
+    let mut client = program.connect();
+    client.send_line(&format!(
         "OPEN {:x} {:x} c={},t=acme,d={}",
         id + 1,
         id + 1,
@@ -55,11 +55,11 @@
 }
 
 /// Opens one request of each class and reads its first line at the server. Returns each with its attempt.
-fn sent_requests(program: &Program, server: &Node) -> Vec<(RetryClass, Peer, Peer)> {
+fn sent_requests(program: &BalancerProcess, server: &Server) -> Vec<(RetryClass, Connection, Connection)> {
     let send = |(id, class): (usize, &RetryClass)| {
         let client = request(program, id, class);
         let mut attempt = server.accept();
-        attempt.line();
+        attempt.receive_line();
         (*class, client, attempt)
     };
     CLASSES.iter().enumerate().map(send).collect()
@@ -67,7 +67,7 @@
 
 /// Waits for the next attempt at any of the servers.
 #[track_caller]
-fn accept_at_any(servers: &[Node]) -> Peer {
+fn accept_at_any(servers: &[Server]) -> Connection {
     let by = Instant::now() + Duration::from_secs(10);
     while Instant::now() < by {
         let within = Duration::from_millis(10);
@@ -80,15 +80,15 @@
 
 /// Waits for the next attempt at any of the servers, or for an answer to the client.
 #[track_caller]
-fn next_attempt_or_answer(servers: &[Node], client: &mut Peer) -> Result<Peer, String> {
+fn next_attempt_or_answer(servers: &[Server], client: &mut Connection) -> Result<Connection, String> {
     let by = Instant::now() + Duration::from_secs(10);
     while Instant::now() < by {
         let within = Duration::from_millis(10);
         if let Some(attempt) = servers.iter().find_map(|server| server.accept_within(within)) {
             return Ok(attempt);
         }
-        if client.has_word(within) {
-            return Err(client.line());
+        if client.has_input(within) {
+            return Err(client.receive_line());
         }
     }
     panic!("neither an attempt nor an answer in time");
@@ -96,17 +96,17 @@
 
 /// Checks the final answer of a request that may have run.
 #[track_caller]
-fn expect_answer_after_run(class: &RetryClass, client: &mut Peer) {
-    let answer = client.line();
+fn expect_answer_after_run(class: &RetryClass, client: &mut Connection) {
+    let answer = client.receive_line();
     let is_rejection = answer.starts_with("BUSY");
     assert!(is_rejection || answer == "ERR", "{class:?}: {answer}");
     assert!(class.is_rejectable || !is_rejection, "{class:?}: rejected though it may have run: {answer}");
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.receive(), Received::Fin);
 }
 
 /// Starts a program with one server, and opens one request of each class whose first line the server has read.
-fn start_and_send() -> (Node, Program, Vec<(RetryClass, Peer, Peer)>) {
-    let server = Node::new();
+fn start_and_send() -> (Server, BalancerProcess, Vec<(RetryClass, Connection, Connection)>) {
+    let server = Server::new();
     let program = start(&config_with_classes(&[("s-1", server.address())]));
     let requests = sent_requests(&program, &server);
     (server, program, requests)
@@ -114,7 +114,10 @@
 
 /// Checks the final answers of requests that may have run, and that the program exits successfully.
 #[track_caller]
-fn expect_answers_and_exit(mut program: Program, mut requests: Vec<(RetryClass, Peer, Peer)>) {
+fn expect_answers_and_exit(
+    mut program: BalancerProcess,
+    mut requests: Vec<(RetryClass, Connection, Connection)>,
+) {
     for (class, client, _) in &mut requests {
         expect_answer_after_run(class, client);
     }
@@ -123,13 +126,13 @@
 }
 
 /// Reloads the program with a configuration in which requests of every class may be repeated.
-fn make_all_repeatable(program: &Program, settings: &Value) {
+fn make_all_repeatable(program: &BalancerProcess, settings: &Value) {
     let mut repeatable = settings.clone();
     for class in repeatable["settings"]["classes"].as_array_mut().expect("classes") {
         class["semantics"] = json!("read_like");
     }
     program.reconfigure(&repeatable.to_string());
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
 }
 
 #[test]
@@ -147,12 +150,12 @@
     std::thread::sleep((CLIENT_TIMEOUT - Duration::from_millis(300)).saturating_sub(terminated_at.elapsed()));
     for (class, client, attempt) in &mut requests {
         // The attempt of a rejected request has been cancelled, so this answer is ignored.
-        attempt.try_put(b"UP 1\r\n");
+        attempt.try_send_bytes(b"UP 1\r\n");
         if class.is_rejectable {
             continue;
         }
-        assert_eq!(client.line(), "UP 1", "{class:?}: its server accepted it in time");
-        assert_eq!((client.line(), client.hear()), ("MOVE".into(), Heard::Fin));
+        assert_eq!(client.receive_line(), "UP 1", "{class:?}: its server accepted it in time");
+        assert_eq!((client.receive_line(), client.receive()), ("MOVE".into(), Received::Fin));
     }
     drop(requests);
     assert!(program.wait().success());
@@ -160,29 +163,29 @@
 
 /// Checks the answer of a request that has certainly not run: it is rejected, whatever its class.
 #[track_caller]
-fn expect_answer_before_run(class: &RetryClass, client: &mut Peer) {
-    let answer = client.line();
+fn expect_answer_before_run(class: &RetryClass, client: &mut Connection) {
+    let answer = client.receive_line();
     assert!(answer.starts_with("BUSY"), "{class:?}: never sent, but answered {answer}");
-    assert_eq!(client.hear(), Heard::Fin);
+    assert_eq!(client.receive(), Received::Fin);
 }
 
 #[test]
 fn an_error_from_the_server_during_a_shutdown_is_not_turned_into_a_rejection() {
     let (server, mut program, mut requests) = start_and_send();
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (class, client, attempt) in &mut requests {
-        attempt.say("ERR");
+        attempt.send_line("ERR");
         expect_answer_after_run(class, client);
     }
-    assert!(!server.is_called(), "another attempt at the only server, which has failed");
+    assert!(!server.has_pending_connection(), "another attempt at the only server, which has failed");
     drop(requests);
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_reset_of_a_sent_request_during_a_shutdown_is_retried_only_if_repeatable() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let same_zone = endpoint("s-1", servers[0].address(), "Ready");
     let mut other_zone = endpoint("s-2", servers[1].address(), "Ready");
     other_zone.zone = "b".into();
@@ -193,11 +196,11 @@
     for (id, class) in CLASSES.iter().enumerate() {
         let client = request(&program, id, class);
         let mut attempt = accept_at_any(&servers);
-        attempt.line();
+        attempt.receive_line();
         requests.push((*class, client, attempt));
     }
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (class, mut client, attempt) in requests {
         attempt.reset();
         if class.is_rejectable {
@@ -206,9 +209,9 @@
             // instead.
             match next_attempt_or_answer(&servers, &mut client) {
                 Ok(mut second) => {
-                    second.line();
-                    second.say("UP 2");
-                    assert_eq!(client.line(), "UP 2");
+                    second.receive_line();
+                    second.send_line("UP 2");
+                    assert_eq!(client.receive_line(), "UP 2");
                 }
                 Err(answer) => {
                     assert!(class.name != CLASSES[0].name, "not retried: {answer}");
@@ -218,20 +221,20 @@
             continue;
         }
         expect_answer_after_run(&class, &mut client);
-        assert!(!servers.iter().any(Node::is_called), "{class:?}: sent a second time");
+        assert!(!servers.iter().any(Server::has_pending_connection), "{class:?}: sent a second time");
     }
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_request_whose_connect_is_pending_in_a_shutdown_is_rejected() {
-    let (server, _queue) = Node::full();
+    let (server, _queue) = Server::with_full_backlog();
     let mut settings = config_with_classes(&[("s-1", server.address())]);
     settings["settings"]["limits"]["connect_timeout_s"] = json!(30.0);
     let mut program = start(&settings);
     let mut clients: Vec<_> =
         CLASSES.iter().enumerate().map(|(id, class)| (class, request(&program, id, class))).collect();
-    program.settled();
+    program.sync();
     program.terminate();
     for (class, client) in &mut clients {
         expect_answer_before_run(class, client);
@@ -244,9 +247,9 @@
 fn a_request_that_its_server_rejects_during_a_shutdown_is_rejected() {
     let (_server, mut program, mut requests) = start_and_send();
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (class, client, attempt) in &mut requests {
-        attempt.say("BUSY");
+        attempt.send_line("BUSY");
         expect_answer_before_run(class, client);
     }
     drop(requests);
@@ -255,58 +258,58 @@
 
 #[test]
 fn a_request_that_arrives_during_a_shutdown_is_rejected_and_never_sent() {
-    let server = Node::new();
+    let server = Server::new();
     let mut program = start(&config_with_classes(&[("s-1", server.address())]));
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     for (id, class) in CLASSES.iter().enumerate() {
         expect_answer_before_run(class, &mut request(&program, id, class));
     }
-    assert!(!server.is_called());
+    assert!(!server.has_pending_connection());
     assert!(program.wait().success());
 }
 
 #[test]
 fn a_second_sigterm_and_a_reload_change_no_final_answer() {
-    let server = Node::new();
+    let server = Server::new();
     let settings = config_with_classes(&[("s-1", server.address())]);
     let program = start(&settings);
     let requests = sent_requests(&program, &server);
     // Requests that were accepted before the reload keep the settings of their class.
     make_all_repeatable(&program, &settings);
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     program.terminate();
     expect_answers_and_exit(program, requests);
 }
 
 #[test]
 fn a_reload_does_not_make_an_accepted_request_repeatable() {
-    let servers = [Node::new(), Node::new()];
+    let servers = [Server::new(), Server::new()];
     let known = [("s-1", servers[0].address()), ("s-2", servers[1].address())];
     let settings = config_with_classes(&known);
     let program = start(&settings);
     let write = &CLASSES[3];
     let mut client = request(&program, 0, write);
     let mut attempt = accept_at_any(&servers);
-    attempt.line();
+    attempt.receive_line();
     make_all_repeatable(&program, &settings);
     attempt.reset();
     expect_answer_after_run(write, &mut client);
-    assert!(!servers.iter().any(Node::is_called), "sent a second time");
+    assert!(!servers.iter().any(Server::has_pending_connection), "sent a second time");
 }
 
 #[test]
 fn a_sent_request_is_not_rejected_in_a_shutdown_with_a_successor() {
-    let server = Node::new();
+    let server = Server::new();
     let settings = crate::operators::with_operator_address(config_with_classes(&[("s-1", server.address())]));
     let old = start(&settings);
     let requests = sent_requests(&old, &server);
     let mut same = settings.clone();
     same["listen"] = json!(old.address());
-    let _new = old.start_beside(crate::BINARY, &same);
+    let _new = old.start_sibling(crate::BINARY, &same);
     old.terminate();
-    assert!(old.logged("event=shutting-down").contains("successor=true"));
+    assert!(old.wait_for_log("event=shutting-down").contains("successor=true"));
     expect_answers_and_exit(old, requests);
 }
 
@@ -314,7 +317,7 @@
 fn a_deadline_missed_while_paused_in_a_shutdown_does_not_cause_a_rejection() {
     let (_server, program, requests) = start_and_send();
     program.terminate();
-    program.logged("shutting-down");
+    program.wait_for_log("shutting-down");
     let past_deadline = Instant::now() + CLIENT_TIMEOUT + Duration::from_millis(50);
     program.pause();
     std::thread::sleep(past_deadline.saturating_duration_since(Instant::now()));
@@ -324,7 +327,7 @@
 
 #[test]
 fn a_deadline_missed_while_paused_does_not_cause_a_rejection() {
-    let server = Node::new();
+    let server = Server::new();
     let program = start(&config_with_classes(&[("s-1", server.address())]));
     let mut requests = sent_requests(&program, &server);
     let past_deadline = Instant::now() + CLIENT_TIMEOUT + Duration::from_millis(200);
