--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each sends one request after the other, to any balancer that accepts new ones.
+//! Clients: each sends one request after the other, each to a random balancer that accepts new connections.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
@@ -16,19 +16,20 @@
 const MAX_LATENESS: Duration = Duration::from_millis(3000);
 /// How long a client waits for the echo of a line on an established connection.
 const ECHO_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long a client waits for each of the last lines after it has ended its side.
+/// How long a client waits for each of the last lines after it has half-closed the connection.
 const LAST_LINES_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest time before a client's first line, and the longest time on an established connection, in ms.
+/// The longest time that a client idles before its request, and the longest time that it uses an established connection, in
+/// ms.
 const MAX_IDLE_MS: u64 = 1500;
 
-/// The part of clients that stay idle for a while before their request.
+/// The fraction of connections on which the client stays idle for a while before its request.
 const IDLE_FIRST_RATIO: f64 = 0.1;
-/// The part of clients that disconnect without waiting for an answer.
+/// The fraction of requests whose client disconnects without waiting for an answer.
 const DISCONNECT_RATIO: f64 = 0.08;
-/// The part of clients that end their side of an established connection and read what still comes.
+/// The fraction of established connections that the client half-closes at the end, to read the remaining lines.
 const HALF_CLOSE_RATIO: f64 = 0.5;
 
-/// Runs one client until no new requests are accepted.
+/// Runs one client until the run accepts no new requests.
 pub fn run(recorder: &Recorder, fleet: &Fleet, plan: &Plan, number: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(plan.seed << 16 | number);
     let mut count = 0;
@@ -45,14 +46,14 @@
     }
 }
 
-/// What comes next on a client's connection.
+/// The result of reading from a client's connection.
 enum Received {
     Line(String),
     End,
     Timeout,
 }
 
-/// A client with one connection.
+/// A client's connection and its request.
 struct Client<'a> {
     recorder: &'a Recorder,
     plan: &'a Plan,
@@ -76,7 +77,7 @@
         let (name, id) = (&self.plan.classes[class].name, self.id);
         let line = format!("OPEN {id:x} {id:x} c={name},t=acme,d={}\r\n", deadline.as_millis());
         let sent_at = self.recorder.now();
-        // Fails only on a closed connection, where nobody has read the line.
+        // These calls fail only on a closed connection. The balancer has not read the line in this case.
         if self.stream.set_nodelay(true).is_err() || self.stream.write_all(line.as_bytes()).is_err() {
             return;
         }
@@ -98,7 +99,7 @@
         std::thread::sleep(Duration::from_millis(self.random.random_range(0..max_ms)));
     }
 
-    /// Whether the balancer has ended the idle connection: no request is sent on it then.
+    /// Whether the balancer has closed the idle connection, so that no request can be sent on it.
     fn is_closed(&self) -> bool {
         let is_set = self.stream.set_nonblocking(true).is_ok();
         let peeked = self.stream.peek(&mut [0]);
@@ -118,7 +119,7 @@
     }
 
     fn receive(&self, timeout: Duration) -> Received {
-        // Fails only on a closed connection, which the read shows.
+        // This fails only on a closed connection, which the read below detects.
         let _ = self.stream.set_read_timeout(Some(timeout));
         let mut line = String::new();
         match BufReader::with_capacity(1, &self.stream).read_line(&mut line) {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Exchanges lines with the server for a while, then ends.
+    /// Exchanges lines with the server for a while, then closes the connection.
     fn use_connection(mut self) {
         let end = Instant::now() + Duration::from_millis(self.random.random_range(0..MAX_IDLE_MS));
         while Instant::now() < end && self.recorder.accepts_requests() {
@@ -144,7 +145,7 @@
             }
         }
         if self.random.random_bool(HALF_CLOSE_RATIO) {
-            // The server's last lines or a request to migrate may still come.
+            // The server's last lines or `MOVE` may still arrive.
             let _ = self.stream.shutdown(Shutdown::Write);
             while let Received::Line(_) = self.receive(LAST_LINES_TIMEOUT) {}
         }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery service: watches that send the whole list whenever it has changed, and an empty line every 2 s.
+//! The discovery service. Its watches send the whole list whenever it has changed, and an empty line every 2 s without a
+//! change.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,10 +23,10 @@
 }
 
 impl Discovery {
-    /// Starts discovery with a list of endpoints.
+    /// Starts discovery with a list of endpoints. It serves until the run is over.
     ///
     /// # Errors
-    /// If the system gives no port.
+    /// Returns an error if no port can be bound.
     pub fn start(endpoints: Vec<Endpoint>, recorder: &Arc<Recorder>) -> std::io::Result<Arc<Discovery>> {
         let listener = TcpListener::bind((loopback::address(Listener::Discovery), 0))?;
         let list = Mutex::new(EndpointList { index: 1, snapshot: true, endpoints });
@@ -38,19 +39,19 @@
                     return;
                 }
                 let (discovery, recorder) = (Arc::clone(&accepting), Arc::clone(&recorder));
-                // Fails when the connection or the balancer's process has ended.
+                // Serving a watch ends with an error when its connection or the balancer's process has ended.
                 std::thread::spawn(move || drop(discovery.serve_watch(&stream, &recorder)));
             }
         });
         Ok(discovery)
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lists a server with another status.
+    /// Changes the status of a server in the list.
     pub fn set_status(&self, server: usize, status: &str) {
         let mut list = self.list.lock().expect("no panic");
         list.endpoints[server].status = status.to_owned();
@@ -83,7 +84,7 @@
     }
 }
 
-/// Reads a request up to its empty line; `false` if the connection ends before.
+/// Reads the head of a request up to and including its empty line; returns `false` if the connection ends before.
 fn read_request_head(stream: &TcpStream) -> std::io::Result<bool> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The balancers' processes: started, signalled, killed, restarted, and observed by their logs.
+//! The balancers' processes: starts, signals, kills and restarts them, and collects their logs.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -18,29 +18,29 @@
 use crate::plan::{Class, Plan, Semantics, ZONES};
 use crate::verdict::{LogLine, field};
 
-/// The time after which a process that does not serve has failed to start.
+/// The time within which a started process must serve.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The most log lines that are kept.
+/// The most log lines that are taken at once.
 const MAX_LOG_LINES: usize = 400_000;
 /// How long after the longest deadline a terminated process must have ended.
 const EXIT_GRACE: Duration = Duration::from_millis(700);
-/// The longest deadline that counts for it.
+/// The most by which the longest deadline counts for the time until the exit.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// For how long clients still connect to a balancer after SIGTERM.
+/// How long clients continue to connect to a balancer after SIGTERM.
 const CONNECT_AFTER_TERM: Duration = Duration::from_millis(300);
-/// How often an exit is polled for.
+/// The interval at which a process is polled for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The time before a process is started again.
+/// The time between the end of a process and the start of the next one.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// What is tested, and with what.
+/// The files of the tested program.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The balancer's file.
+    /// The balancer's executable.
     pub balancer: PathBuf,
-    /// The library of failing system calls, if any are to fail.
+    /// The preloaded library that makes system calls fail; without it none fail.
     pub faults: Option<PathBuf>,
-    /// Where configurations are written.
+    /// The folder for configurations and temporary files.
     pub folder: PathBuf,
 }
 
@@ -49,17 +49,17 @@
 struct Balancer {
     address: SocketAddr,
     accepts_new: Flag,
-    /// The lock also serialises what is done to one balancer.
+    /// The present process. Holding the lock also serialises operations on the balancer.
     child: Mutex<Child>,
 }
 
-/// All balancers.
+/// All balancers of a run.
 #[derive(Debug)]
 pub struct Fleet {
     launcher: Launcher,
     balancers: Vec<Balancer>,
     log: Mutex<Receiver<LogLine>>,
-    /// The run is over: no process is started again.
+    /// Set when the run is over, so that no process is started again.
     is_stopped: Flag,
 }
 
@@ -67,7 +67,7 @@
     /// Starts all balancers and waits until they serve.
     ///
     /// # Errors
-    /// If a process can't be started or does not serve.
+    /// Returns an error if a process can't be started or does not serve in time.
     pub fn start(program: Program, plan: &Plan, discovery: SocketAddr) -> Result<Fleet, SoakError> {
         let (lines, log) = channel();
         let launcher = Launcher { program, plan: plan.clone(), lines, discovery };
@@ -83,27 +83,28 @@
         Ok(Fleet { launcher, balancers, log: Mutex::new(log), is_stopped: Flag::default() })
     }
 
-    /// Where a balancer serves.
+    /// The address at which a balancer serves.
     pub fn address(&self, number: usize) -> SocketAddr {
         self.balancers[number].address
     }
 
-    /// Whether clients connect to a balancer.
+    /// Whether clients open new connections to a balancer.
     pub fn accepts_new(&self, number: usize) -> bool {
         self.balancers[number].accepts_new.is_set()
     }
 
-    /// The time within which a terminated process must end.
+    /// The time within which a process must exit after SIGTERM.
     fn exit_timeout(&self) -> Duration {
         let deadlines = self.launcher.plan.classes.iter().map(|class| class.deadline);
         deadlines.max().unwrap_or_default().min(MAX_DEADLINE) + EXIT_GRACE
     }
 
-    /// Terminates a balancer and starts it again; clients still connect for a moment. Returns what was wrong with its
-    /// exit, if anything was.
+    /// Terminates a balancer with SIGTERM, sent a second time if `twice`, and starts it again. Clients connect for
+    /// [`CONNECT_AFTER_TERM`] after the signal. Calls `on_exit` when the process has exited or its time is over, and returns
+    /// a message if it did not exit successfully in time.
     ///
     /// # Errors
-    /// If the process can't be started again.
+    /// Returns an error if the process can't be polled or started again.
     pub fn terminate(
         &self,
         number: usize,
@@ -124,17 +125,17 @@
         on_exit();
         let fault = match status {
             Some(status) if status.success() => None,
-            Some(status) => Some(format!("balancer {number} ended with {status}")),
-            None => Some(format!("balancer {number} had not ended {timeout:?} after SIGTERM")),
+            Some(status) => Some(format!("balancer {number} exited with {status} after SIGTERM")),
+            None => Some(format!("balancer {number} did not exit within {timeout:?} after SIGTERM")),
         };
         self.restart(number, &mut child)?;
         Ok(fault)
     }
 
-    /// Kills a balancer and starts it again.
+    /// Kills a balancer and starts it again. Calls `before_kill` just before.
     ///
     /// # Errors
-    /// If the process can't be killed or started again.
+    /// Returns an error if the process can't be killed or started again.
     pub fn kill(&self, number: usize, before_kill: impl FnOnce()) -> Result<(), SoakError> {
         let balancer = &self.balancers[number];
         let mut child = balancer.child.lock().expect("no panic");
@@ -144,7 +145,7 @@
         self.restart(number, &mut child)
     }
 
-    /// Stops a balancer's process for a while.
+    /// Stops a balancer's process with SIGSTOP and continues it after `length`.
     pub fn pause(&self, number: usize, length: Duration) {
         let child = self.balancers[number].child.lock().expect("no panic");
         send_signal(&child, Signal::STOP);
@@ -152,10 +153,10 @@
         send_signal(&child, Signal::CONT);
     }
 
-    /// Makes a balancer reload another configuration; `before_reload` is called just before.
+    /// Writes another configuration and makes a balancer reload it with SIGHUP. Calls `before_reload` just before the signal.
     ///
     /// # Errors
-    /// If the configuration can't be written.
+    /// Returns an error if the configuration can't be written.
     pub fn reload(
         &self,
         number: usize,
@@ -170,36 +171,36 @@
         Ok(())
     }
 
-    /// Processes that have ended by themselves.
+    /// Messages about the processes that have exited without being terminated or killed.
     pub fn unexpected_exits(&self) -> Vec<String> {
         let mut exits = Vec::new();
         for (number, balancer) in self.balancers.iter().enumerate() {
             let mut child = balancer.child.lock().expect("no panic");
             if let Ok(Some(status)) = child.try_wait() {
-                exits.push(format!("balancer {number} ended by itself with {status}"));
+                exits.push(format!("balancer {number} exited unexpectedly with {status}"));
             }
         }
         exits
     }
 
-    /// The log lines since the last call, of all balancers.
+    /// Takes the log lines of all balancers since the last call.
     pub fn log(&self) -> Vec<LogLine> {
         self.log.lock().expect("no panic").try_iter().take(MAX_LOG_LINES).collect()
     }
 
-    /// Kills all processes for good: faults that are still under way start none again.
+    /// Kills all processes permanently: faults that are still in progress start none again.
     pub fn stop(&self) {
         self.is_stopped.set(true);
         for balancer in &self.balancers {
             let mut child = balancer.child.lock().expect("no panic");
-            // A process that has ended by itself can't be killed.
+            // Killing a process that has already exited fails, which is harmless.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
     fn restart(&self, number: usize, child: &mut Child) -> Result<(), SoakError> {
-        // A process that has ended can't be killed.
+        // Killing a process that has already exited fails, which is harmless.
         let _ = child.kill();
         child.wait()?;
         if self.is_stopped.is_set() {
@@ -214,7 +215,7 @@
     }
 }
 
-/// A process that serves.
+/// A started process that serves.
 struct Started {
     child: Child,
     address: SocketAddr,
@@ -225,7 +226,7 @@
 struct Launcher {
     program: Program,
     plan: Plan,
-    /// Where log lines go.
+    /// Receives the log lines of all processes.
     lines: Sender<LogLine>,
     discovery: SocketAddr,
 }
@@ -262,7 +263,7 @@
         config
     }
 
-    /// Starts a process and waits until it serves. `last_line` gives the last log line if it does not.
+    /// Starts a process and waits until it serves. If it does not, `last_line` returns the last log line for the error.
     fn start(
         &self,
         number: usize,
@@ -300,28 +301,28 @@
         Ok(command)
     }
 
-    /// Forwards a process's log on a thread. The address comes on the channel when the process serves.
+    /// Starts a thread that forwards a process's log. The returned channel receives the process's address once it serves.
     fn forward_log(&self, balancer: usize, stderr: ChildStderr) -> Receiver<SocketAddr> {
-        let (serves, serving) = channel();
+        let (address_sender, addresses) = channel();
         let lines = self.lines.clone();
         std::thread::spawn(move || {
             for text in BufReader::new(stderr).lines().map_while(Result::ok) {
                 if text.contains("event=serving")
                     && let Some(address) = field(&text, "listen=").and_then(|at| at.parse().ok())
                 {
-                    // Nobody receives an address that comes too late.
-                    let _ = serves.send(address);
+                    // Sending fails if the time-out of the start is over.
+                    let _ = address_sender.send(address);
                 }
                 if lines.send(LogLine { balancer, text }).is_err() {
                     return;
                 }
             }
         });
-        serving
+        addresses
     }
 }
 
-/// The text of the last line; empty if there is none.
+/// The text of the last log line; empty if there is none.
 fn last_line(lines: impl Iterator<Item = LogLine>) -> String {
     lines.last().map_or_else(String::new, |line| line.text)
 }
@@ -344,7 +345,7 @@
     })
 }
 
-/// Waits for a process's exit; `None` if it has not ended by then.
+/// Waits for the exit of a process; returns `None` if it has not exited at the time `until`.
 fn wait_for_exit(child: &mut Child, until: Instant) -> Result<Option<ExitStatus>, SoakError> {
     loop {
         if let Some(status) = child.try_wait()? {
@@ -359,7 +360,7 @@
 
 fn send_signal(child: &Child, signal: Signal) {
     if let Some(pid) = Pid::from_raw(child.id() as i32) {
-        // Fails only if the process has ended, which its exit status shows.
+        // This fails only if the process has exited, which its exit status shows later.
         let _ = kill_process(pid, signal);
     }
 }
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -1,4 +1,4 @@
-//! Causes the faults of a plan, each on a thread of its own, so that they overlap.
+//! Injects the faults of a plan, each on its own thread, so that they overlap.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use crate::discovery::Discovery;
 use crate::error::SoakError;
 use crate::fleet::Fleet;
-use crate::ledger::{Pause, Process, Span};
+use crate::ledger::{Interval, Pause, ProcessHistory};
 use crate::plan::{Behaviour, Fault, Plan};
 use crate::recorder::Recorder;
 use crate::server::Server;
 
-/// What faults act on.
+/// What faults are injected into.
 #[derive(Clone)]
 pub struct Targets {
     /// The balancers.
@@ -20,45 +20,45 @@
     pub servers: Vec<Arc<Server>>,
     /// Discovery.
     pub discovery: Arc<Discovery>,
-    /// Where the processes' history is recorded.
+    /// Records the processes' history.
     pub recorder: Arc<Recorder>,
 }
 
-/// What processes did wrong under faults, filled while the run lasts.
-pub type ProcessFaults = Arc<Mutex<Vec<String>>>;
+/// Messages about processes that failed while faults were injected. The threads of the faults add to them during the run.
+pub type ProcessFailures = Arc<Mutex<Vec<String>>>;
 
-/// Schedules the faults of a plan from `begun` on.
-pub fn schedule(plan: &Plan, begun: Duration, targets: &Targets) -> ProcessFaults {
-    let found = ProcessFaults::default();
+/// Schedules the faults of a plan, whose times count from `start`, a time since the start of the recorder.
+pub fn schedule(plan: &Plan, start: Duration, targets: &Targets) -> ProcessFailures {
+    let failures = ProcessFailures::default();
     for scheduled in plan.faults.clone() {
-        let (targets, found) = (targets.clone(), Arc::clone(&found));
+        let (targets, failures) = (targets.clone(), Arc::clone(&failures));
         std::thread::spawn(move || {
-            std::thread::sleep((begun + scheduled.at).saturating_sub(targets.recorder.now()));
-            match targets.cause(scheduled.fault) {
+            std::thread::sleep((start + scheduled.at).saturating_sub(targets.recorder.now()));
+            match targets.inject(scheduled.fault) {
                 Ok(None) => {}
-                Ok(Some(fault)) => found.lock().expect("no panic").push(fault),
+                Ok(Some(failure)) => failures.lock().expect("no panic").push(failure),
                 Err(_) if targets.recorder.is_over() => {}
-                Err(e) => found.lock().expect("no panic").push(e.to_string()),
+                Err(e) => failures.lock().expect("no panic").push(e.to_string()),
             }
         });
     }
-    found
+    failures
 }
 
 impl Targets {
-    /// Causes a fault and waits for its end. Returns what a process did wrong.
-    fn cause(&self, fault: Fault) -> Result<Option<String>, SoakError> {
+    /// Injects a fault and waits for its end. Returns a message if a process did not exit as it must.
+    fn inject(&self, fault: Fault) -> Result<Option<String>, SoakError> {
         match fault {
             Fault::Terminate { balancer, twice } => {
-                let exited = || self.recorder.record_process(balancer, Process::exited);
-                return self.fleet.terminate(balancer, twice, exited);
+                let on_exit = || self.recorder.record_process(balancer, ProcessHistory::record_exit);
+                return self.fleet.terminate(balancer, twice, on_exit);
             }
             Fault::Kill { balancer } => {
-                let killed = || self.recorder.record_process(balancer, Process::killed);
-                self.fleet.kill(balancer, killed)?;
+                let before_kill = || self.recorder.record_process(balancer, ProcessHistory::record_kill);
+                self.fleet.kill(balancer, before_kill)?;
             }
             Fault::Pause { balancer, length } => {
-                let record = |process: &mut Process, at| process.pauses.push(Pause { at, length });
+                let record = |history: &mut ProcessHistory, at| history.pauses.push(Pause { at, length });
                 self.recorder.record_process(balancer, record);
                 self.fleet.pause(balancer, length);
             }
@@ -76,15 +76,15 @@
     fn reload(&self, balancer: usize, all_idempotent: bool) -> Result<(), SoakError> {
         self.fleet.reload(balancer, all_idempotent, || {
             if all_idempotent {
-                let record = |process: &mut Process, from| {
-                    process.all_idempotent.push(Span { from, to: None });
+                let record = |history: &mut ProcessHistory, from| {
+                    history.all_idempotent.push(Interval { from, to: None });
                 };
                 self.recorder.record_process(balancer, record);
             }
         })
     }
 
-    /// Lists a server as draining for a while, unless it is already.
+    /// Lists a server as draining for `length`, unless it is draining already.
     fn drain(&self, server: usize, length: Duration) {
         if self.servers[server].is_draining() {
             return;
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What servers and clients observed of each request, and which rules that breaks.
+//! The observations of servers and clients about each request, and the rules that they violate.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,11 +6,11 @@
 
 use crate::plan::{Class, Semantics};
 
-/// By how much every time limit is longer on sockets.
+/// The tolerance of every time limit for delays on sockets.
 const SLACK: Duration = Duration::from_millis(50);
-/// An attempt may reach its server this long after its client has disconnected.
+/// How long after a client has disconnected an attempt of its request may still reach a server.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// A server may get new requests this long after it was listed as draining.
+/// How long after a server was listed as draining it may still get new requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(1000);
 
 /// The final answer to a client.
@@ -24,7 +24,7 @@
     Failed,
     /// The connection ended without a line.
     Closed,
-    /// Nothing came.
+    /// The client received nothing in time.
     TimedOut,
 }
 
@@ -33,94 +33,94 @@
 pub struct Attempt {
     /// The server.
     pub server: usize,
-    /// When the request's line had been read.
+    /// When the server had read the request's line.
     pub read_at: Duration,
-    /// When its connection ended.
+    /// When the attempt's connection ended, if it has.
     pub ended_at: Option<Duration>,
-    /// Whether the server rejected it without running it.
+    /// Whether the server rejected the request without running it.
     pub is_rejected: bool,
-    /// Since when its server was listed as draining.
+    /// Since when the server was listed as draining, if it was.
     pub draining_since: Option<Duration>,
 }
 
-/// A request from its line to its end.
+/// A request with its attempts and its answer. Times count from the start of the recorder.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its class.
+    /// The index of its class in the plan.
     pub class: usize,
-    /// The balancer that it was sent to.
+    /// The number of the balancer to which it was sent.
     pub balancer: usize,
     /// When its line was sent.
     pub sent_at: Duration,
-    /// When its client disconnected without waiting for an answer.
+    /// When its client disconnected without waiting for an answer, if it did.
     pub disconnected_at: Option<Duration>,
-    /// Its answer, and when it came.
+    /// The answer and when the client received it.
     pub answer: Option<(Answer, Duration)>,
-    /// Its attempts by time.
+    /// Its attempts in the order in which servers read them.
     pub attempts: Vec<Attempt>,
-    /// When its established connection was cut off without `MOVE` or `BYE`, though its server had not ended it.
+    /// When the client's established connection ended without `MOVE` or `BYE`, if it did.
     pub cut_at: Option<Duration>,
 }
 
-/// A time in which a process was stopped.
+/// An interval in which a process was stopped.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
-    /// When it began.
+    /// When the process was stopped.
     pub at: Duration,
-    /// How long it lasted.
+    /// How long the process was stopped.
     pub length: Duration,
 }
 
-/// A time in which a configuration was in force.
+/// An interval in which a configuration was in effect.
 #[derive(Clone, Copy, Debug)]
-pub struct Span {
+pub struct Interval {
     /// When it began.
     pub from: Duration,
-    /// When it ended, if it has.
+    /// When it ended; `None` if it has not ended.
     pub to: Option<Duration>,
 }
 
-/// What one balancer's processes went through.
+/// The history of one balancer's processes.
 #[derive(Clone, Debug, Default)]
-pub struct Process {
-    /// When it was killed.
+pub struct ProcessHistory {
+    /// When the balancer was killed.
     pub kills: Vec<Duration>,
-    /// When it ended by itself.
+    /// When the balancer exited after SIGTERM.
     pub exits: Vec<Duration>,
-    /// When it was stopped.
+    /// When the balancer was stopped and continued.
     pub pauses: Vec<Pause>,
-    /// When its configuration had every class idempotent.
-    pub all_idempotent: Vec<Span>,
+    /// When the balancer's configuration made every class idempotent.
+    pub all_idempotent: Vec<Interval>,
 }
 
-impl Process {
-    /// The process has ended by itself; the next one starts with the configuration of the plan.
-    pub fn exited(&mut self, at: Duration) {
+impl ProcessHistory {
+    /// Records that the process exited. The next one starts with the configuration of the plan.
+    pub fn record_exit(&mut self, at: Duration) {
         self.exits.push(at);
-        self.close_spans(at);
+        self.close_intervals(at);
     }
 
-    /// The process was killed.
-    pub fn killed(&mut self, at: Duration) {
+    /// Records that the process was killed. The next one starts with the configuration of the plan.
+    pub fn record_kill(&mut self, at: Duration) {
         self.kills.push(at);
-        self.close_spans(at);
+        self.close_intervals(at);
     }
 
-    fn close_spans(&mut self, at: Duration) {
-        for span in &mut self.all_idempotent {
-            span.to = span.to.or(Some(at));
+    fn close_intervals(&mut self, at: Duration) {
+        for interval in &mut self.all_idempotent {
+            interval.to = interval.to.or(Some(at));
         }
     }
 }
 
-/// A broken rule.
+/// A violation of a rule by a request.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The rule's name.
     pub rule: &'static str,
     /// The request's id.
     pub request: u64,
-    /// The request's balancer.
+    /// The number of the request's balancer.
     pub balancer: usize,
     /// What was observed.
     pub observed: String,
@@ -135,29 +135,29 @@
 /// Everything that was observed in a run.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// By the id that the client gave.
+    /// The requests, by the ids that their clients assigned.
     pub requests: HashMap<u64, Request>,
-    /// By balancer.
-    pub processes: Vec<Process>,
+    /// The history of each balancer's processes.
+    pub processes: Vec<ProcessHistory>,
     /// The zone of each server.
     pub zones: Vec<usize>,
-    /// The longest time by which this machine woke a thread late: an event may be this much older than its record.
-    pub machine_late: Duration,
+    /// The longest delay with which this machine woke a thread. An event may be earlier than its record by this time.
+    pub max_wake_delay: Duration,
 }
 
 impl Ledger {
-    /// A request's class, by the configuration in force when it was sent.
+    /// A request's class according to the configuration in effect when the request was sent.
     fn class_of(&self, request: &Request, classes: &[Class]) -> Class {
         let mut class = classes[request.class].clone();
         let sent_at = request.sent_at;
-        let mut spans = self.processes[request.balancer].all_idempotent.iter();
-        if spans.any(|span| sent_at >= span.from && span.to.is_none_or(|to| sent_at <= to)) {
+        let mut intervals = self.processes[request.balancer].all_idempotent.iter();
+        if intervals.any(|interval| sent_at >= interval.from && interval.to.is_none_or(|to| sent_at <= to)) {
             class.semantics = Semantics::Idempotent;
         }
         class
     }
 
-    /// All broken rules, in the order of requests.
+    /// All violations, in the order of the requests' ids.
     pub fn violations(&self, classes: &[Class]) -> Vec<Violation> {
         let mut violations = Vec::new();
         for (id, request) in &self.requests {
@@ -174,7 +174,7 @@
         violations
     }
 
-    /// The longest time by which an answer came after its deadline.
+    /// The longest time by which an answer came after its deadline, without requests whose balancer was killed.
     pub fn latest_answer(&self, classes: &[Class]) -> Duration {
         let lateness = |request: &Request| {
             let (_, at) = request.answer.filter(|(answer, _)| *answer != Answer::Closed)?;
@@ -207,7 +207,7 @@
         if let Some(at) = request.cut_at
             && !self.was_killed_between(request.balancer, request.sent_at, at)
         {
-            report("cut", format!("stood since {:?}, cut off at {at:?}", request.answer));
+            report("cut", format!("established: {:?}, cut off at {at:?}", request.answer));
         }
     }
 
@@ -222,7 +222,10 @@
             let tolerance = SLACK + self.tolerance(request, read_at);
             let disconnected_at = request.disconnected_at;
             if disconnected_at.is_some_and(|at| read_at > at + DISCONNECT_GRACE + tolerance) {
-                report("sent-after-client", format!("left at {disconnected_at:?}, {attempt:?}"));
+                report(
+                    "sent-after-client",
+                    format!("client disconnected at {disconnected_at:?}, {attempt:?}"),
+                );
             }
             if attempt.draining_since.is_some_and(|since| read_at > since + DRAIN_GRACE + tolerance) {
                 report("drain", format!("{attempt:?}"));
@@ -234,13 +237,14 @@
             {
                 report("duplicate", format!("{:?}", request.attempts));
             }
-            let is_out = |earlier: &&Attempt| earlier.ended_at.is_none_or(|at| at > read_at + tolerance);
-            if earlier.iter().any(is_out) {
+            let is_open = |earlier: &&Attempt| earlier.ended_at.is_none_or(|at| at > read_at + tolerance);
+            if earlier.iter().any(is_open) {
                 report("second-copy", format!("{:?}", request.attempts));
             }
         }
     }
 
+    /// Whether a request of this class whose first attempt may have run may be sent again.
     fn may_repeat(&self, class: &Class, first: &Attempt, attempt: &Attempt, tolerance: Duration) -> bool {
         let is_in_window = attempt.read_at <= first.read_at + class.window + tolerance;
         match class.semantics {
@@ -251,28 +255,28 @@
         }
     }
 
-    /// By how much an observation may be late: by this machine, and by the time for which the balancer was stopped.
+    /// The time by which an observation may be late: this machine's delay and the time for which the balancer was stopped.
     fn tolerance(&self, request: &Request, until: Duration) -> Duration {
         let pauses = self.processes[request.balancer].pauses.iter();
         let overlapping =
             pauses.filter(|pause| pause.at <= until && pause.at + pause.length >= request.sent_at);
-        self.machine_late + overlapping.map(|pause| pause.length).sum::<Duration>()
+        self.max_wake_delay + overlapping.map(|pause| pause.length).sum::<Duration>()
     }
 
     fn was_killed_between(&self, balancer: usize, from: Duration, to: Duration) -> bool {
         self.processes[balancer].kills.iter().any(|at| *at >= from && *at <= to + SLACK)
     }
 
-    /// Whether the balancer was killed while the request waited, or just before it was sent.
+    /// Whether the balancer was killed while the request was waiting for its answer, or just before it was sent.
     fn is_killed(&self, request: &Request) -> bool {
         let until = request.answer.map_or(Duration::MAX - SLACK, |(_, at)| at);
         self.was_killed_between(request.balancer, request.sent_at.saturating_sub(SLACK), until)
     }
 
-    /// Whether the request was sent when its balancer had exited or as it did, so that it was never read.
+    /// Whether the request was sent during or after the exit of its balancer, so that the balancer never read it.
     fn is_after_exit(&self, request: &Request) -> bool {
         let until = request.answer.map_or(Duration::MAX, |(_, at)| at + SLACK);
         let exits = &self.processes[request.balancer].exits;
-        exits.iter().any(|exit| request.sent_at + SLACK + self.machine_late > *exit && *exit <= until)
+        exits.iter().any(|exit| request.sent_at + SLACK + self.max_wake_delay > *exit && *exit <= until)
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A soak test of the built program: 10 to 40 real processes on loopback with stub servers, clients and discovery, faults
-//! drawn from a seed that overlap in time, and the rules of the platform as the verdict.
+//! A soak test of the built program: 10 to 40 real processes on loopback with stub servers, clients and discovery. The
+//! faults are drawn by a seed and overlap in time; the rules of the platform are checked.
 //!
-//! - [`plan`]: what a seed draws: the fleet, the classes, the faults. Pure.
-//! - [`ledger`]: what servers and clients observed, and which rules that breaks. Pure.
-//! - [`run`]: plays a plan.
-//! - [`verdict`]: what a run has shown.
+//! - [`plan`]: the fleet, the classes and the faults that a seed determines. No I/O.
+//! - [`ledger`]: the observations of servers and clients, and the rules that they violate. No I/O.
+//! - [`run`]: runs a plan with real processes.
+//! - [`verdict`]: the result of a run.
 
 mod client;
 mod discovery;
--- a/crates/soak/src/loopback.rs
+++ b/crates/soak/src/loopback.rs
@@ -1,8 +1,8 @@
-//! Addresses of loopback that no other process of the machine uses.
+//! Loopback addresses for this process, which differ from those of soak tests in other processes.
 
 use std::net::Ipv4Addr;
 
-/// Who listens on loopback.
+/// The kinds of listeners on loopback.
 #[derive(Clone, Copy, Debug)]
 pub enum Listener {
     /// The balancers.
@@ -13,9 +13,9 @@
     Discovery = 2,
 }
 
-/// This process's own address for a kind of listener.
+/// The address for a kind of listener of this process.
 pub fn address(listener: Listener) -> Ipv4Addr {
-    // Process ids have 22 bits at most, which leaves two for the kind.
+    // The address has 24 bits after 127. Process ids have at most 22 bits, which leaves two for the kind of listener.
     let [_, a, b, c] = (std::process::id() << 2 | listener as u32).to_be_bytes();
     Ipv4Addr::new(127, a, b, c)
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `shorewharf-soak`: plays one seed after the other and prints which rules were broken.
+//! `shorewharf-soak`: runs one seed after the other and prints the violated rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,32 +10,32 @@
 use shorewharf_soak::run::play;
 use shorewharf_soak::verdict::Verdict;
 
-/// The most log lines that are printed for one broken rule.
+/// The most log lines that are printed for one violation.
 const MAX_TRACE_LINES: usize = 40;
 /// The exit code of a run that ended without a verdict.
 const EXIT_NO_VERDICT: u8 = 3;
 
-/// Plays random faults that overlap on 10 to 40 real processes, and holds what servers and clients saw against the rules.
-/// Exit codes: 0 nothing broke; 1 something did; 3 a run could not be played.
+/// Injects random overlapping faults into 10 to 40 real processes, and checks the observations of servers and clients
+/// against the rules. Exit codes: 0 no violation; 1 a rule was violated or a process failed; 3 a run ended without a verdict.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Options {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after the other.
+    /// The number of seeds, which are run one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// New requests come for so many seconds.
+    /// The time for which clients send new requests, in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// So many balancers; 10 to 40 by the seed if left out.
+    /// The number of balancers; 10 to 40, drawn by the seed, if omitted.
     #[arg(long)]
     balancers: Option<usize>,
-    /// The program that is tested.
+    /// The tested program.
     #[arg(long, default_value = "target/release/shorewharf")]
     balancer: PathBuf,
-    /// The library of faults, for system calls that fail; none fail without it.
+    /// The preloaded library that makes system calls fail; without it none fail.
     #[arg(long)]
     faults: Option<PathBuf>,
 }
@@ -60,7 +60,7 @@
     let folder = std::env::temp_dir().join(format!("shorewharf-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let verdict = play(&plan, options.balancer.clone(), options.faults.clone(), folder.clone());
-    // A folder that can't be removed is harmless.
+    // If the folder can't be removed, only temporary files remain.
     let _ = std::fs::remove_dir_all(folder);
     let verdict = verdict?;
     print_verdict(&plan, &verdict);
@@ -77,11 +77,11 @@
         verdict.requests,
         verdict.answers,
         verdict.latest_answer,
-        verdict.machine_late,
+        verdict.max_wake_delay,
         if verdict.is_clean() { "clean" } else { "BROKEN" },
     );
-    for fault in &verdict.faults {
-        println!("  fault: {fault}");
+    for failure in &verdict.faults {
+        println!("  fault: {failure}");
     }
     for violation in &verdict.violations {
         println!("  rule: {violation}");
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run, drawn from a seed: the fleet, the classes of requests, and the faults.
+//! The plan of a run, drawn by a seed: the fleet, the classes of requests, and the faults.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Clients for each balancer.
+/// The number of clients per balancer.
 const CLIENTS_PER_BALANCER: usize = 6;
 
-/// Zones of the fleet.
+/// The zones of the fleet.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Whether a request of a class may be repeated.
@@ -30,7 +30,7 @@
     pub const ALL: [Semantics; 4] =
         [Semantics::Idempotent, Semantics::KeyedAll, Semantics::KeyedZone, Semantics::NonIdempotent];
 
-    /// Whether a request that may have run may be rejected.
+    /// Whether a request may be rejected (`BUSY`) although it may have run.
     pub fn is_rejectable(self) -> bool {
         matches!(self, Semantics::Idempotent | Semantics::KeyedAll)
     }
@@ -39,7 +39,7 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// Whether a request may be repeated.
     pub semantics: Semantics,
@@ -58,7 +58,7 @@
     Hangs,
     /// It accepts them after a random time.
     Slow {
-        /// The longest time in milliseconds.
+        /// The longest time, in milliseconds.
         max_ms: u64,
     },
     /// It answers `ERR`.
@@ -67,54 +67,54 @@
     Rejects,
     /// It resets the connection after a random time.
     Resets {
-        /// The longest time in milliseconds.
+        /// The longest time, in milliseconds.
         max_ms: u64,
     },
 }
 
-/// A fault of the fleet, other than failing system calls.
+/// A fault of a balancer or server, other than failing system calls.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A balancer gets SIGTERM, and is started again once it has ended.
+    /// A balancer gets SIGTERM, and is started again once it has exited.
     Terminate {
-        /// Which one.
+        /// The balancer's number.
         balancer: usize,
-        /// It gets the signal twice.
+        /// Whether it gets the signal twice.
         twice: bool,
     },
     /// A balancer gets SIGKILL, and is started again.
     Kill {
-        /// Which one.
+        /// The balancer's number.
         balancer: usize,
     },
     /// A balancer is stopped and continued.
     Pause {
-        /// Which one.
+        /// The balancer's number.
         balancer: usize,
-        /// For how long.
+        /// How long it lasts.
         length: Duration,
     },
-    /// A balancer reloads its configuration, in which every class may be idempotent.
+    /// A balancer reloads its configuration.
     Reload {
-        /// Which one.
+        /// The balancer's number.
         balancer: usize,
-        /// Whether every class is idempotent in it.
+        /// Whether every class is idempotent in the new configuration, rather than as in the plan.
         all_idempotent: bool,
     },
     /// A server changes its behaviour for a while.
     Server {
-        /// Which one.
+        /// The server's number.
         server: usize,
-        /// Its behaviour.
+        /// The behaviour during that time.
         behaviour: Behaviour,
-        /// For how long.
+        /// How long it lasts.
         length: Duration,
     },
-    /// A server is draining for a while.
+    /// A server is listed as draining for a while.
     Drain {
-        /// Which one.
+        /// The server's number.
         server: usize,
-        /// For how long.
+        /// How long it lasts.
         length: Duration,
     },
 }
@@ -122,7 +122,7 @@
 /// A fault and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledFault {
-    /// Since the run's start.
+    /// When the fault begins, since the start of the run.
     pub at: Duration,
     /// The fault.
     pub fault: Fault,
@@ -135,21 +135,21 @@
     pub seed: u64,
     /// The time for which clients send new requests.
     pub length: Duration,
-    /// Number of processes.
+    /// The number of balancers.
     pub balancers: usize,
-    /// Number of servers.
+    /// The number of servers.
     pub servers: usize,
-    /// Number of clients, which each send one request after the other.
+    /// The number of clients, which each send one request after the other.
     pub clients: usize,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// In the order of their times.
+    /// The faults in the order of their times.
     pub faults: Vec<ScheduledFault>,
-    /// Failing system calls of each balancer, as a plan of the library of faults; empty for none.
+    /// The failing system calls of each balancer, as a plan for the preloaded library (`SHOREWHARF_FAULTS`); empty for none.
     pub system_faults: Vec<String>,
 }
 
-/// Failing system calls that a run may draw.
+/// The failing system calls that a plan may have, each as a fault for the preloaded library.
 const SYSTEM_FAULTS: [&str; 14] = [
     "recv=short%40",
     "send=short%40",
@@ -168,7 +168,7 @@
 ];
 
 impl Plan {
-    /// Draws a plan with this number of processes, or with 10 to 40.
+    /// Draws a plan with this number of balancers, or with 10 to 40 if it is `None`.
     pub fn draw(seed: u64, length: Duration, balancers: Option<usize>) -> Plan {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let balancers = balancers.unwrap_or_else(|| random.random_range(10..=40));
@@ -207,14 +207,14 @@
 fn draw_fault(random: &mut Pcg64Mcg, length: Duration, balancers: usize, servers: usize) -> ScheduledFault {
     let at = length.mul_f64(random.random_range(0.05..0.95));
     let (balancer, server) = (random.random_range(0..balancers), random.random_range(0..servers));
-    let span = Duration::from_millis(random.random_range(200..3000));
+    let duration = Duration::from_millis(random.random_range(200..3000));
     let fault = match random.random_range(0..100) {
         0..25 => Fault::Terminate { balancer, twice: random.random_bool(0.3) },
         25..30 => Fault::Kill { balancer },
         30..40 => Fault::Pause { balancer, length: Duration::from_millis(random.random_range(20..150)) },
         40..50 => Fault::Reload { balancer, all_idempotent: random.random_bool(0.5) },
-        50..60 => Fault::Drain { server, length: span },
-        _ => Fault::Server { server, behaviour: draw_behaviour(random), length: span },
+        50..60 => Fault::Drain { server, length: duration },
+        _ => Fault::Server { server, behaviour: draw_behaviour(random), length: duration },
     };
     ScheduledFault { at, fault }
 }
--- a/crates/soak/src/recorder.rs
+++ b/crates/soak/src/recorder.rs
@@ -1,13 +1,13 @@
-//! Records what servers and clients observe, on the clock of the run.
+//! Records the observations of servers and clients with their times since the recorder's start.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use crate::flag::Flag;
-use crate::ledger::{Answer, Attempt, Ledger, Process, Request};
+use crate::ledger::{Answer, Attempt, Ledger, ProcessHistory, Request};
 use crate::plan::{Plan, ZONES};
 
-/// The ledger of a run and its phases, shared by all threads.
+/// The ledger and the phase of a run, shared by all threads.
 #[derive(Debug)]
 pub struct Recorder {
     start: Instant,
@@ -17,10 +17,10 @@
 }
 
 impl Recorder {
-    /// A recorder for a plan; requests are not accepted yet.
+    /// Creates a recorder for a plan. Clients send no requests until [`Recorder::accept_requests`] is called.
     pub fn new(plan: &Plan) -> Recorder {
         let zones = (0..plan.servers).map(|server| server % ZONES.len()).collect();
-        let processes = vec![Process::default(); plan.balancers];
+        let processes = vec![ProcessHistory::default(); plan.balancers];
         Recorder {
             start: Instant::now(),
             is_over: Flag::default(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The time since the run's start.
+    /// The time since the recorder was created.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -49,40 +49,40 @@
         self.accepts_requests.is_set()
     }
 
-    /// Begins or ends the time in which clients send new requests.
+    /// Sets whether clients send new requests.
     pub fn accept_requests(&self, accepts: bool) {
         self.accepts_requests.set(accepts);
     }
 
-    /// The ledger, locked.
+    /// Locks and returns the ledger.
     pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
         self.ledger.lock().expect("no panic")
     }
 
-    /// Records what a balancer's process goes through at this moment.
-    pub fn record_process(&self, balancer: usize, record: impl FnOnce(&mut Process, Duration)) {
+    /// Records an event in the history of a balancer's processes; `record` gets the present time.
+    pub fn record_process(&self, balancer: usize, record: impl FnOnce(&mut ProcessHistory, Duration)) {
         let now = self.now();
         record(&mut self.ledger().processes[balancer], now);
     }
 
-    /// A client has sent a request. Its server may have read it already.
+    /// Records that a client has sent a request. A server may have read the request already.
     pub fn request_sent(&self, id: u64, request: Request) {
         let mut ledger = self.ledger();
         let attempts = ledger.requests.remove(&id).map(|early| early.attempts).unwrap_or_default();
         ledger.requests.insert(id, Request { attempts, ..request });
     }
 
-    /// The client has disconnected without waiting for an answer.
+    /// Records that the client has disconnected without waiting for an answer.
     pub fn client_disconnected(&self, id: u64) {
         self.update_request(id, |request, now| request.disconnected_at = Some(now));
     }
 
-    /// The request has its answer.
+    /// Records the final answer to a request.
     pub fn request_answered(&self, id: u64, answer: Answer) {
         self.update_request(id, |request, now| request.answer = Some((answer, now)));
     }
 
-    /// An established connection was cut off.
+    /// Records that a request's established connection ended without `MOVE` or `BYE`.
     pub fn connection_cut(&self, id: u64) {
         self.update_request(id, |request, now| request.cut_at = Some(now));
     }
@@ -92,7 +92,7 @@
         self.ledger().requests.entry(id).and_modify(|request| update(request, now));
     }
 
-    /// A server has read a request's line. Returns the attempt's index.
+    /// Records that a server has read a request's line. Returns the attempt's index in the request.
     pub fn attempt_read(&self, id: u64, attempt: Attempt) -> usize {
         let mut ledger = self.ledger();
         let attempts = &mut ledger.requests.entry(id).or_default().attempts;
@@ -100,7 +100,7 @@
         attempts.len() - 1
     }
 
-    /// An attempt's connection has ended.
+    /// Records that an attempt's connection has ended.
     pub fn attempt_ended(&self, id: u64, index: usize) {
         let now = self.now();
         let mut ledger = self.ledger();
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan with real processes.
+//! Runs a plan with real processes.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,19 +17,19 @@
 use crate::server::Server;
 use crate::verdict::Verdict;
 
-/// The interval at which the machine's lateness is sampled.
-const LATENESS_TICK: Duration = Duration::from_millis(5);
-/// How long the run goes on after the last client has ended.
+/// The sleep whose delay is measured to sample by how much this machine wakes threads late.
+const WAKE_DELAY_SLEEP: Duration = Duration::from_millis(5);
+/// How long the run continues after the last client has ended.
 const SETTLE: Duration = Duration::from_millis(200);
 
-/// Signs in a log line that a process failed.
-const FAULT_SIGNS: [&str; 3] = ["event=rule-violation", "event=overdue", "panicked"];
+/// Parts of log lines that show that a process failed.
+const FAILURE_PATTERNS: [&str; 3] = ["event=rule-violation", "event=overdue", "panicked"];
 
-/// Plays a plan with the program `balancer`, and the library `faults` for failing system calls. Configurations are written to
-/// `folder`.
+/// Runs a plan with the program `balancer` and the preloaded library `faults` that makes system calls fail. Configurations
+/// are written to `folder`.
 ///
 /// # Errors
-/// If a process can't be started or does not serve.
+/// Returns an error if a process can't be started or does not serve.
 pub fn play(
     plan: &Plan,
     balancer: PathBuf,
@@ -45,23 +45,23 @@
     let discovery = Discovery::start(endpoints, &recorder)?;
     let fleet = Arc::new(Fleet::start(Program { balancer, faults, folder }, plan, discovery.address())?);
     recorder.accept_requests(true);
-    let begun = recorder.now();
-    let lateness = measure_lateness(&recorder);
+    let start = recorder.now();
+    let wake_delay = measure_wake_delay(&recorder);
     let clients = start_clients(plan, &recorder, &fleet);
     let targets = Targets { fleet: Arc::clone(&fleet), servers, discovery, recorder: Arc::clone(&recorder) };
-    let process_faults = injection::schedule(plan, begun, &targets);
-    std::thread::sleep((begun + plan.length).saturating_sub(recorder.now()));
+    let process_failures = injection::schedule(plan, start, &targets);
+    std::thread::sleep((start + plan.length).saturating_sub(recorder.now()));
     recorder.accept_requests(false);
     for client in clients {
         if client.join().is_err() {
-            process_faults.lock().expect("no panic").push("a client of the soak panicked".to_owned());
+            process_failures.lock().expect("no panic").push("a client of the soak test panicked".to_owned());
         }
     }
     std::thread::sleep(SETTLE);
     recorder.end();
-    recorder.ledger().machine_late = lateness.join().unwrap_or_default();
-    let process_faults = std::mem::take(&mut *process_faults.lock().expect("no panic"));
-    Ok(evaluate(plan, &recorder, &fleet, process_faults))
+    recorder.ledger().max_wake_delay = wake_delay.join().unwrap_or_default();
+    let process_failures = std::mem::take(&mut *process_failures.lock().expect("no panic"));
+    Ok(evaluate(plan, &recorder, &fleet, process_failures))
 }
 
 fn endpoint(number: usize, server: &Server) -> Endpoint {
@@ -84,30 +84,30 @@
     (0..plan.clients as u64).map(start).collect()
 }
 
-/// A thread that measures by how much this machine wakes it late.
-fn measure_lateness(recorder: &Arc<Recorder>) -> std::thread::JoinHandle<Duration> {
+/// Starts a thread that measures the longest delay with which this machine wakes it during the run.
+fn measure_wake_delay(recorder: &Arc<Recorder>) -> std::thread::JoinHandle<Duration> {
     let recorder = Arc::clone(recorder);
     std::thread::spawn(move || {
-        let mut latest = Duration::ZERO;
+        let mut max_delay = Duration::ZERO;
         while !recorder.is_over() {
-            let begun = Instant::now();
-            std::thread::sleep(LATENESS_TICK);
-            latest = latest.max(begun.elapsed().saturating_sub(LATENESS_TICK));
+            let start = Instant::now();
+            std::thread::sleep(WAKE_DELAY_SLEEP);
+            max_delay = max_delay.max(start.elapsed().saturating_sub(WAKE_DELAY_SLEEP));
         }
-        latest
+        max_delay
     })
 }
 
 /// Ends all processes and evaluates what was observed.
-fn evaluate(plan: &Plan, recorder: &Recorder, fleet: &Fleet, mut faults: Vec<String>) -> Verdict {
-    faults.extend(fleet.unexpected_exits());
+fn evaluate(plan: &Plan, recorder: &Recorder, fleet: &Fleet, mut failures: Vec<String>) -> Verdict {
+    failures.extend(fleet.unexpected_exits());
     fleet.stop();
     let log = fleet.log();
-    let is_fault = |text: &str| FAULT_SIGNS.iter().any(|sign| text.contains(sign));
-    let logged = log.iter().filter(|line| is_fault(&line.text));
-    faults.extend(logged.map(|line| format!("n{}: {}", line.balancer, line.text)));
+    let is_failure = |text: &str| FAILURE_PATTERNS.iter().any(|pattern| text.contains(pattern));
+    let logged = log.iter().filter(|line| is_failure(&line.text));
+    failures.extend(logged.map(|line| format!("n{}: {}", line.balancer, line.text)));
     let mut ledger = recorder.ledger();
-    // A line that a server read before its client broke off sending has no request.
+    // If a client failed to send its line, a server may still have read it. Such an attempt has no request.
     ledger.requests.retain(|_, request| request.sent_at > Duration::ZERO);
     let mut answers = BTreeMap::new();
     for (answer, _) in ledger.requests.values().filter_map(|request| request.answer) {
@@ -117,9 +117,9 @@
         requests: ledger.requests.len(),
         answers,
         violations: ledger.violations(&plan.classes),
-        faults,
+        faults: failures,
         latest_answer: ledger.latest_answer(&plan.classes),
-        machine_late: ledger.machine_late,
+        max_wake_delay: ledger.max_wake_delay,
         log,
     }
 }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,4 +1,4 @@
-//! Stub servers: a thread for each connection, which reads the request's line and treats it by the server's present
+//! Stub servers. Each connection has a thread, which reads the request's line and responds according to the server's present
 //! behaviour.
 
 use std::io::{BufRead, BufReader, Write};
@@ -14,10 +14,10 @@
 use crate::plan::Behaviour;
 use crate::recorder::Recorder;
 
-/// The stack of a connection's thread.
+/// The stack size of a connection's thread.
 const STACK_BYTES: usize = 256 << 10;
 
-/// One server.
+/// A stub server.
 #[derive(Debug)]
 pub struct Server {
     number: usize,
@@ -35,7 +35,7 @@
     /// Starts a server that serves until the run is over.
     ///
     /// # Errors
-    /// If the system gives no port.
+    /// Returns an error if no port can be bound.
     pub fn start(number: usize, recorder: &Arc<Recorder>) -> std::io::Result<Arc<Server>> {
         let listener = TcpListener::bind((loopback::address(Listener::Servers), 0))?;
         let state = State { behaviour: Behaviour::Normal, draining_since: None };
@@ -45,17 +45,17 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it treats requests from now on.
+    /// Sets how it treats requests from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state.lock().expect("no panic").behaviour = behaviour;
     }
 
-    /// Sets since when it is listed as draining; `None` if it is not.
+    /// Sets since when it is listed as draining; `None` if it is not draining.
     pub fn set_draining(&self, since: Option<Duration>) {
         self.state.lock().expect("no panic").draining_since = since;
     }
@@ -79,7 +79,7 @@
     }
 
     fn serve(&self, stream: &TcpStream, recorder: &Recorder, random: Pcg64Mcg) {
-        // Fails only on a closed connection, which the first read shows.
+        // This fails only on a closed connection, which the first read detects.
         let _ = stream.set_nodelay(true);
         let mut reader = BufReader::new(stream);
         let Some(line) = read_open_line(stream, &mut reader) else { return };
@@ -98,7 +98,7 @@
     }
 }
 
-/// Reads the request's line, and answers health checks before it.
+/// Reads lines up to the request's line, and answers health checks. `None` if the connection ends before.
 fn read_open_line(stream: &TcpStream, reader: &mut BufReader<&TcpStream>) -> Option<String> {
     let mut line = String::new();
     loop {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Sends a line; `false` if the connection is closed.
+/// Sends a line; returns `false` if the connection is closed.
 fn send(mut stream: &TcpStream, line: &[u8]) -> bool {
     stream.write_all(line).is_ok()
 }
@@ -139,7 +139,7 @@
             Behaviour::Rejects => drop(send(self.stream, b"BUSY\r\n")),
             Behaviour::Resets { max_ms } => {
                 self.sleep_up_to(max_ms);
-                // Fails only on a closed connection.
+                // A linger time of 0 makes the close a reset. Setting it fails only on a closed connection.
                 let _ = socket2::SockRef::from(self.stream).set_linger(Some(Duration::ZERO));
             }
         }
@@ -149,7 +149,7 @@
         std::thread::sleep(Duration::from_millis(self.random.random_range(0..=max_ms)));
     }
 
-    /// Accepts the request and echoes lines until the client ends.
+    /// Accepts the request and echoes lines until the client or the run ends.
     fn establish(mut self) {
         if !send(self.stream, b"UP 1\r\n") {
             return;
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What a run has shown.
+//! The result of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,36 +10,37 @@
 pub struct LogLine {
     /// The balancer's number.
     pub balancer: usize,
-    /// The line.
+    /// The text of the line.
     pub text: String,
 }
 
-/// What a run has shown.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Verdict {
-    /// Requests that were sent.
+    /// The number of requests that were sent.
     pub requests: usize,
-    /// Answers by kind.
+    /// The number of answers of each kind.
     pub answers: BTreeMap<Answer, usize>,
-    /// Rules that were broken.
+    /// The violations of rules.
     pub violations: Vec<Violation>,
-    /// Faults of processes: unexpected exits, violations that their own guards logged, panics.
+    /// Failures of processes: unexpected exits, violations that their own guards logged, panics.
     pub faults: Vec<String>,
-    /// The longest time by which an answer was late.
+    /// The longest time by which an answer came after its deadline.
     pub latest_answer: Duration,
-    /// The longest time by which this machine woke a thread late.
-    pub machine_late: Duration,
+    /// The longest delay with which this machine woke a thread.
+    pub max_wake_delay: Duration,
     /// The log lines of all balancers.
     pub log: Vec<LogLine>,
 }
 
 impl Verdict {
-    /// Whether no rule was broken and no process failed.
+    /// Whether no rule was violated and no process failed.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.faults.is_empty()
     }
 
-    /// The log lines about a request: those of its balancer with the number that it had there.
+    /// The log lines about a request, found by the number that its balancer gave it, with the starts and shutdowns of the
+    /// balancer from then on.
     pub fn trace(&self, request: u64) -> Vec<String> {
         let id = format!(" id={request:x} ");
         let Some(first) = self.log.iter().position(|line| line.text.contains(&id)) else { return Vec::new() };
@@ -55,7 +56,7 @@
     }
 }
 
-/// The value after `key` in a line of `key=value` words.
+/// The value after `key`, which includes the `=`, in a line of `key=value` words.
 pub(crate) fn field<'l>(line: &'l str, key: &str) -> Option<&'l str> {
     line.split(key).nth(1)?.split(' ').next()
 }
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -1,8 +1,8 @@
-//! Each rule is seen broken where it is, and kept where it is not.
+//! Violations of each rule are reported, and requests that follow the rules are not.
 
 use std::time::Duration;
 
-use shorewharf_soak::ledger::{Answer, Attempt, Ledger, Pause, Process, Request, Span};
+use shorewharf_soak::ledger::{Answer, Attempt, Interval, Ledger, Pause, ProcessHistory, Request};
 use shorewharf_soak::plan::{Class, Semantics};
 
 fn ms(ms: u64) -> Duration {
@@ -20,78 +20,81 @@
     Attempt { server, read_at: ms(read_at), ended_at, is_rejected: false, draining_since: None }
 }
 
-/// A request of a class (by its place in [`Semantics::ALL`]), sent at 1 s and answered 0.5 s later.
+/// A request of a class (by its index in [`Semantics::ALL`]), sent at 1 s and answered 0.5 s later.
 fn request(class: usize, answer: Answer, attempts: Vec<Attempt>) -> Request {
     Request { class, sent_at: ms(1000), answer: Some((answer, ms(1500))), attempts, ..Request::default() }
 }
 
-/// The rules that one request breaks, at a balancer with this history. Servers 0 and 2 are in one zone, 1 is not.
-fn broken_with(process: Process, request: Request) -> Vec<&'static str> {
+/// The rules that one request violates at a balancer with this history. Servers 0 and 2 are in one zone, server 1 in
+/// another.
+fn violated_with(history: ProcessHistory, request: Request) -> Vec<&'static str> {
     let zones = vec![0, 1, 0];
-    let mut ledger = Ledger { processes: vec![process], zones, ..Ledger::default() };
+    let mut ledger = Ledger { processes: vec![history], zones, ..Ledger::default() };
     ledger.requests.insert(1, request);
     ledger.violations(&classes()).iter().map(|violation| violation.rule).collect()
 }
 
-fn broken(request: Request) -> Vec<&'static str> {
-    broken_with(Process::default(), request)
+fn violated(request: Request) -> Vec<&'static str> {
+    violated_with(ProcessHistory::default(), request)
 }
 
-const KEPT: [&str; 0] = [];
+const NONE: [&str; 0] = [];
 
 #[test]
-fn a_refusal_after_a_possible_run_is_seen_by_effect() {
-    let refused = |class| broken(request(class, Answer::Rejected, vec![attempt(0, 1010, 1400)]));
-    assert_eq!([refused(0), refused(1)], [KEPT, KEPT]);
-    assert_eq!([refused(2), refused(3)], [vec!["refused-after-run"], vec!["refused-after-run"]]);
+fn a_rejection_after_a_possible_run_is_a_violation_by_semantics() {
+    let after_run = |class| violated(request(class, Answer::Rejected, vec![attempt(0, 1010, 1400)]));
+    assert_eq!([after_run(0), after_run(1)], [NONE, NONE]);
+    assert_eq!([after_run(2), after_run(3)], [vec!["refused-after-run"], vec!["refused-after-run"]]);
     let rejected = Attempt { is_rejected: true, ..attempt(0, 1010, 1020) };
-    assert_eq!(broken(request(3, Answer::Rejected, vec![rejected])), KEPT);
-    // The configuration in force as it was sent had it idempotent.
-    let idempotent = Process { all_idempotent: vec![Span { from: ms(900), to: None }], ..Process::default() };
-    assert_eq!(broken_with(idempotent, request(3, Answer::Rejected, vec![attempt(0, 1010, 1400)])), KEPT);
+    assert_eq!(violated(request(3, Answer::Rejected, vec![rejected])), NONE);
+    // The configuration in effect when the request was sent made its class idempotent.
+    let all_idempotent = vec![Interval { from: ms(900), to: None }];
+    let idempotent = ProcessHistory { all_idempotent, ..ProcessHistory::default() };
+    assert_eq!(violated_with(idempotent, request(3, Answer::Rejected, vec![attempt(0, 1010, 1400)])), NONE);
 }
 
 #[test]
-fn a_repeat_is_seen_by_effect_zone_and_window() {
+fn a_repeat_is_a_violation_by_semantics_zone_and_window() {
     let repeated = |class, second, at| {
-        broken(request(class, Answer::Failed, vec![attempt(0, 1010, 1020), attempt(second, at, at + 5)]))
+        violated(request(class, Answer::Failed, vec![attempt(0, 1010, 1020), attempt(second, at, at + 5)]))
     };
-    assert_eq!(repeated(0, 1, 1800), KEPT);
+    assert_eq!(repeated(0, 1, 1800), NONE);
     assert_eq!([repeated(1, 1, 1100), repeated(1, 1, 1600)], [vec![], vec!["duplicate"]]);
     assert_eq!([repeated(2, 2, 1100), repeated(2, 1, 1100)], [vec![], vec!["duplicate"]]);
     assert_eq!(repeated(3, 2, 1100), ["duplicate"]);
-    let both_out = vec![attempt(0, 1010, 1400), attempt(1, 1100, 1450)];
-    assert_eq!(broken(request(0, Answer::Failed, both_out)), ["second-copy"]);
+    let both_open = vec![attempt(0, 1010, 1400), attempt(1, 1100, 1450)];
+    assert_eq!(violated(request(0, Answer::Failed, both_open)), ["second-copy"]);
 }
 
 #[test]
-fn requests_without_an_answer_in_time_are_seen() {
-    assert_eq!(broken(request(0, Answer::Closed, vec![])), ["lost"]);
-    assert_eq!(broken(request(0, Answer::TimedOut, vec![])), ["lost"]);
+fn requests_without_an_answer_in_time_are_violations() {
+    assert_eq!(violated(request(0, Answer::Closed, vec![])), ["lost"]);
+    assert_eq!(violated(request(0, Answer::TimedOut, vec![])), ["lost"]);
     let late = Request { answer: Some((Answer::Failed, ms(2100))), ..request(0, Answer::Failed, vec![]) };
-    assert_eq!(broken(late.clone()), ["late"]);
-    let paused = Process { pauses: vec![Pause { at: ms(1900), length: ms(100) }], ..Process::default() };
-    assert_eq!(broken_with(paused, late), KEPT);
-    let killed = Process { kills: vec![ms(1200)], ..Process::default() };
-    assert_eq!(broken_with(killed, request(0, Answer::Closed, vec![])), KEPT);
-    // A process that ends by itself owes an answer to whom it has read.
-    let ended = Process { exits: vec![ms(1490)], ..Process::default() };
-    assert_eq!(broken_with(ended, request(0, Answer::Closed, vec![])), ["lost"]);
+    assert_eq!(violated(late.clone()), ["late"]);
+    let paused =
+        ProcessHistory { pauses: vec![Pause { at: ms(1900), length: ms(100) }], ..ProcessHistory::default() };
+    assert_eq!(violated_with(paused, late), NONE);
+    let killed = ProcessHistory { kills: vec![ms(1200)], ..ProcessHistory::default() };
+    assert_eq!(violated_with(killed, request(0, Answer::Closed, vec![])), NONE);
+    // A process that shuts down must answer the requests that it has read.
+    let ended = ProcessHistory { exits: vec![ms(1490)], ..ProcessHistory::default() };
+    assert_eq!(violated_with(ended, request(0, Answer::Closed, vec![])), ["lost"]);
     let cut =
         Request { cut_at: Some(ms(1800)), ..request(0, Answer::Accepted, vec![attempt(0, 1010, 1800)]) };
-    assert_eq!(broken(cut), ["cut"]);
+    assert_eq!(violated(cut), ["cut"]);
 }
 
 #[test]
-fn attempts_for_nobody_and_at_servers_that_drain_are_seen() {
+fn attempts_after_the_client_has_disconnected_or_at_draining_servers_are_violations() {
     let left = |read_at| Request {
         disconnected_at: Some(ms(1100)),
         ..request(0, Answer::Closed, vec![attempt(0, read_at, 1900)])
     };
-    assert_eq!([broken(left(1200)), broken(left(1400))], [vec![], vec!["sent-after-client"]]);
+    assert_eq!([violated(left(1200)), violated(left(1400))], [vec![], vec!["sent-after-client"]]);
     let drained = |since| {
         let attempt = Attempt { draining_since: Some(ms(since)), ..attempt(0, 1300, 1400) };
-        broken(request(0, Answer::Failed, vec![attempt]))
+        violated(request(0, Answer::Failed, vec![attempt]))
     };
     assert_eq!([drained(400), drained(200)], [vec![], vec!["drain"]]);
 }
