--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use shorewharf_soak::error::SoakError;
 use shorewharf_soak::plan::Plan;
-use shorewharf_soak::run::play;
+use shorewharf_soak::run::run;
 use shorewharf_soak::verdict::Verdict;
 
 /// The most log lines that are printed for one violation.
@@ -59,7 +59,7 @@
     let plan = Plan::draw(seed, Duration::from_secs_f64(options.seconds), options.balancers);
     let folder = std::env::temp_dir().join(format!("shorewharf-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let verdict = play(&plan, options.balancer.clone(), options.faults.clone(), folder.clone());
+    let verdict = run(&plan, options.balancer.clone(), options.faults.clone(), folder.clone());
     // If the folder can't be removed, only temporary files remain.
     let _ = std::fs::remove_dir_all(folder);
     let verdict = verdict?;
@@ -80,7 +80,7 @@
         verdict.max_wake_delay,
         if verdict.is_clean() { "clean" } else { "BROKEN" },
     );
-    for failure in &verdict.faults {
+    for failure in &verdict.failures {
         println!("  fault: {failure}");
     }
     for violation in &verdict.violations {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// Returns an error if a process can't be started or does not serve.
-pub fn play(
+pub fn run(
     plan: &Plan,
     balancer: PathBuf,
     faults: Option<PathBuf>,
@@ -117,7 +117,7 @@
         requests: ledger.requests.len(),
         answers,
         violations: ledger.violations(&plan.classes),
-        faults: failures,
+        failures,
         latest_answer: ledger.latest_answer(&plan.classes),
         max_wake_delay: ledger.max_wake_delay,
         log,
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -24,7 +24,7 @@
     /// The violations of rules.
     pub violations: Vec<Violation>,
     /// Failures of processes: unexpected exits, violations that their own guards logged, panics.
-    pub faults: Vec<String>,
+    pub failures: Vec<String>,
     /// The longest time by which an answer came after its deadline.
     pub latest_answer: Duration,
     /// The longest delay with which this machine woke a thread.
@@ -36,7 +36,7 @@
 impl Verdict {
     /// Whether no rule was violated and no process failed.
     pub fn is_clean(&self) -> bool {
-        self.violations.is_empty() && self.faults.is_empty()
+        self.violations.is_empty() && self.failures.is_empty()
     }
 
     /// The log lines about a request, found by the number that its balancer gave it, with the starts and shutdowns of the
