--- a/crates/emulator/src/standin/balancer_process.rs
+++ b/crates/emulator/src/standin/balancer_process.rs
@@ -1,5 +1,5 @@
-//! The program under test: started with a configuration, heard through its log, told by signals, and killed when the
-//! test drops it.
+//! The balancer under test as a process: started with a configuration, observed through its log, controlled by signals
+//! and killed when the test drops it.
 
 use std::cell::{Cell, RefCell};
 use std::ffi::OsStr;
@@ -18,18 +18,20 @@
 
 use super::{Connection, DiscoveryService, LIMIT, Server, loopback_address, refusing_address};
 
-/// One server as discovery lists it.
+/// An endpoint of the discovery service's list: in zone `a` and group 1, with weight 1.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> Endpoint {
     let (zone, kind) = ("a".to_owned(), "m".to_owned());
     let (name, address, status) = (name.to_owned(), address.to_string(), status.to_owned());
     Endpoint { name, address, zone, kind, group: 1, status, weight: 1.0, since_ms: 0.0 }
 }
 
-/// A configuration with these servers, which are all that the program will ever know of: it asks nobody. One class
-/// (`chat`) whose clients wait 20 s, one tenant (`acme`), up to five attempts, probes allowed.
+/// A configuration with these servers as the initial list, which never changes: the registry mode is `push`, and the
+/// discovery address refuses connections. It has one class (`chat`) with a deadline of 20 s and one tenant (`acme`),
+/// and allows up to five attempts, and probes.
 pub fn config(servers: &[(&str, SocketAddr)]) -> Value {
     let known: Vec<Endpoint> = servers.iter().map(|(name, at)| endpoint(name, *at, "Ready")).collect();
-    json!({"name": "n1", "listen": SocketAddr::from((loopback_address(0), 0)), "discovery": refusing_address(), "seed": "5",
+    let listen = SocketAddr::from((loopback_address(0), 0));
+    json!({"name": "n1", "listen": listen, "discovery": refusing_address(), "seed": "5",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 41, "snapshot": true, "endpoints": known},
         "settings": {
@@ -42,7 +44,7 @@
             "rules": {"ask_within_s": 10.0, "start_capacity": 0.13, "warm_within_s": 22.0, "fall_multiple": 3.0}}})
 }
 
-/// The same, with a director that is asked soon.
+/// The configuration of [`config`], but with a discovery service that the balancer asks within 1 s.
 pub fn config_with_discovery(servers: &[(&str, SocketAddr)], discovery: &DiscoveryService) -> Value {
     let mut config = config(servers);
     config["discovery"] = json!(discovery.address());
@@ -51,16 +53,16 @@
     config
 }
 
-/// A folder of a test's own, gone with it.
+/// A temporary folder, removed when it is dropped.
 #[derive(Debug)]
 struct Folder(PathBuf);
 
 impl Folder {
     fn new() -> Self {
-        static MADE: AtomicU64 = AtomicU64::new(0);
-        let name = format!("shorewharf-{}-{}", std::process::id(), MADE.fetch_add(1, Ordering::Relaxed));
+        static CREATED: AtomicU64 = AtomicU64::new(0);
+        let name = format!("shorewharf-{}-{}", std::process::id(), CREATED.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("the temporary folder should be created");
         Folder(path)
     }
 }
@@ -73,112 +75,135 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What is left over harms nobody.
+        // A folder that cannot be removed does no harm.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// What else a program is started with.
+/// Optional parts of a process's start.
 #[derive(Clone, Copy, Debug, Default)]
-struct More<'a> {
+struct StartOptions<'a> {
+    /// Contents of the operator's settings file.
     operator: Option<&'a str>,
+    /// Additional environment variables.
     env: &'a [(&'a str, &'a OsStr)],
 }
 
-/// A program that has been started and may have failed to.
-struct Started {
+/// A spawned process, which may not serve yet; killed when it is dropped.
+struct ChildProcess {
     child: Child,
     folder: Folder,
 }
 
-impl Started {
-    fn new(binary: &OsStr, config: &str, more: &More, common: &Path) -> Self {
+impl ChildProcess {
+    fn new(binary: &OsStr, config: &str, options: &StartOptions, shared_folder: &Path) -> Self {
         let folder = Folder::new();
-        let file = folder.0.join(CONFIG);
-        std::fs::write(&file, config).expect("a file");
+        let file = folder.0.join(CONFIG_FILE);
+        std::fs::write(&file, config).expect("the file should be written");
         let mut command = Command::new(binary);
-        if let Some(operator) = more.operator {
+        if let Some(operator) = options.operator {
             let file = folder.0.join("operator.toml");
-            std::fs::write(&file, operator).expect("a file");
+            std::fs::write(&file, operator).expect("the file should be written");
             command.env("SHOREWHARF_OPERATOR", file);
         }
-        more.env.iter().for_each(|(var, value)| {
+        options.env.iter().for_each(|(var, value)| {
             command.env(var, value);
         });
-        // At this level each step of a client's is an event that a test can wait for.
+        // At the debug level each step of a client's request is logged, so that a test can wait for it.
         let command =
-            command.env("ROUTER_CONFIG", &file).env("SHOREWHARF_LOG", "debug").env("TMPDIR", common);
+            command.env("ROUTER_CONFIG", &file).env("SHOREWHARF_LOG", "debug").env("TMPDIR", shared_folder);
         let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn();
-        Started { child: child.expect("the program starts"), folder }
+        ChildProcess { child: child.expect("the balancer should start"), folder }
     }
 }
 
-impl Drop for Started {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // Already over where the test awaited its end.
+        // The kill fails if the process has already exited and been waited for.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The configuration's file in its folder.
-const CONFIG: &str = "config.json";
+/// Name of the configuration file in the process's folder.
+const CONFIG_FILE: &str = "config.json";
 
-/// Starts a program on a configuration that it must refuse: its exit code and its log.
+/// Starts the balancer with a configuration that it must reject; returns its exit code and its log.
+///
+/// # Panics
+///
+/// Panics if the process cannot be started, or if its log is not UTF-8.
 pub fn run_to_exit(binary: impl AsRef<OsStr>, config: &Value) -> (Option<i32>, String) {
     run_to_exit_with_env(binary, config, &[])
 }
 
-/// The same with variables of its environment.
+/// Does the same as [`run_to_exit`], with additional environment variables.
+///
+/// # Panics
+///
+/// Panics if the process cannot be started, or if its log is not UTF-8.
 pub fn run_to_exit_with_env(
     binary: impl AsRef<OsStr>,
     config: &Value,
     env: &[(&str, &OsStr)],
 ) -> (Option<i32>, String) {
-    let common = Folder::new();
-    let mut started =
-        Started::new(binary.as_ref(), &config.to_string(), &More { operator: None, env }, &common.0);
-    let stderr = started.child.stderr.take().expect("piped");
-    let log = std::io::read_to_string(stderr).expect("text");
-    (started.child.wait().expect("it ends").code(), log)
+    let shared_folder = Folder::new();
+    let mut process = ChildProcess::new(
+        binary.as_ref(),
+        &config.to_string(),
+        &StartOptions { operator: None, env },
+        &shared_folder.0,
+    );
+    let stderr = process.child.stderr.take().expect("stderr should be piped");
+    let log = std::io::read_to_string(stderr).expect("the log should be UTF-8");
+    (process.child.wait().expect("the process should exit").code(), log)
 }
 
-/// The program, killed by its own id when it is dropped, whether the test has passed or not.
+/// A running balancer. It is killed by its process id when it is dropped, whether the test has passed or not.
 pub struct BalancerProcess {
-    started: Started,
+    process: ChildProcess,
+    /// Connection id of the next client.
     next_id: Cell<u64>,
     log: Receiver<String>,
-    heard: RefCell<Vec<String>>,
+    /// Log lines received so far.
+    read_lines: RefCell<Vec<String>>,
     address: SocketAddr,
-    operators: Option<SocketAddr>,
-    common: Rc<Folder>,
+    operator_address: Option<SocketAddr>,
+    /// The process's `$TMPDIR`.
+    shared_folder: Rc<Folder>,
 }
 
 impl BalancerProcess {
-    /// Starts a program on a configuration and waits until it serves.
+    /// Starts the balancer with a configuration and waits until it serves.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the process cannot be started, or if it does not serve within [`LIMIT`]. The other functions that
+    /// start a process do the same.
     #[track_caller]
     pub fn start(binary: impl AsRef<OsStr>, config: &Value) -> Self {
-        BalancerProcess::spawn(binary.as_ref(), config, More::default(), Rc::default())
+        BalancerProcess::spawn(binary.as_ref(), config, StartOptions::default(), Rc::default())
     }
 
-    /// The same with a file of the operator's own.
+    /// Does the same as [`BalancerProcess::start`], with a settings file of the operator's.
     #[track_caller]
     pub fn start_with_operator(binary: impl AsRef<OsStr>, config: &Value, operator: &str) -> Self {
         BalancerProcess::spawn(
             binary.as_ref(),
             config,
-            More { operator: Some(operator), env: &[] },
+            StartOptions { operator: Some(operator), env: &[] },
             Rc::default(),
         )
     }
 
-    /// The same with variables of its environment.
+    /// Does the same as [`BalancerProcess::start`], with additional environment variables.
     #[track_caller]
     pub fn start_with_env(binary: impl AsRef<OsStr>, config: &Value, env: &[(&str, &OsStr)]) -> Self {
-        BalancerProcess::spawn(binary.as_ref(), config, More { operator: None, env }, Rc::default())
+        BalancerProcess::spawn(binary.as_ref(), config, StartOptions { operator: None, env }, Rc::default())
     }
 
-    /// The same with both.
+    /// Does the same as [`BalancerProcess::start`], with a settings file of the operator's and additional environment
+    /// variables.
     #[track_caller]
     pub fn start_with_operator_and_env(
         binary: impl AsRef<OsStr>,
@@ -186,21 +211,31 @@
         operator: &str,
         env: &[(&str, &OsStr)],
     ) -> Self {
-        BalancerProcess::spawn(binary.as_ref(), config, More { operator: Some(operator), env }, Rc::default())
+        BalancerProcess::spawn(
+            binary.as_ref(),
+            config,
+            StartOptions { operator: Some(operator), env },
+            Rc::default(),
+        )
     }
 
-    /// Its number in the system.
+    /// The process id.
     pub fn pid(&self) -> u32 {
-        self.started.child.id()
+        self.process.child.id()
     }
 
-    /// Another process of the same balancer: what is in this one's `$TMPDIR` is in its too.
+    /// Starts another process of the same balancer, with the same `$TMPDIR`, and waits until it serves.
     #[track_caller]
     pub fn start_sibling(&self, binary: impl AsRef<OsStr>, config: &Value) -> Self {
-        BalancerProcess::spawn(binary.as_ref(), config, More::default(), Rc::clone(&self.common))
+        BalancerProcess::spawn(
+            binary.as_ref(),
+            config,
+            StartOptions::default(),
+            Rc::clone(&self.shared_folder),
+        )
     }
 
-    /// The same with a file of the operator's own.
+    /// Does the same as [`BalancerProcess::start_sibling`], with a settings file of the operator's.
     #[track_caller]
     pub fn start_sibling_with_operator(
         &self,
@@ -211,203 +246,236 @@
         BalancerProcess::spawn(
             binary.as_ref(),
             config,
-            More { operator: Some(operator), env: &[] },
-            Rc::clone(&self.common),
+            StartOptions { operator: Some(operator), env: &[] },
+            Rc::clone(&self.shared_folder),
         )
     }
 
-    /// The folder that it has in common with other processes of the same balancer.
+    /// The `$TMPDIR` of this process and of the others of the same balancer.
     pub fn shared_folder(&self) -> &Path {
-        &self.common.0
+        &self.shared_folder.0
     }
 
     #[track_caller]
-    fn spawn(binary: &OsStr, config: &Value, more: More, common: Rc<Folder>) -> Self {
-        let mut started = Started::new(binary, &config.to_string(), &more, &common.0);
-        let stderr = BufReader::new(started.child.stderr.take().expect("piped"));
+    fn spawn(binary: &OsStr, config: &Value, options: StartOptions, shared_folder: Rc<Folder>) -> Self {
+        let mut process = ChildProcess::new(binary, &config.to_string(), &options, &shared_folder.0);
+        let stderr = BufReader::new(process.child.stderr.take().expect("stderr should be piped"));
         let (sender, log) = channel();
         thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let (next_id, heard) = (Cell::new(0x9b1f), RefCell::default());
-        let mut program = BalancerProcess {
-            started,
+        let (next_id, read_lines) = (Cell::new(0x9b1f), RefCell::default());
+        let mut balancer = BalancerProcess {
+            process,
             next_id,
             log,
-            heard,
+            read_lines,
             address: refusing_address(),
-            operators: None,
-            common,
+            operator_address: None,
+            shared_folder,
         };
-        let line = program.wait_for_log("event=serving");
-        let at = |key: &str| line.split(key).nth(1)?.split(' ').next()?.parse().ok();
-        program.address = at("listen=").expect("an address");
-        program.operators = at("operator=");
-        program
+        let line = balancer.wait_for_log("event=serving");
+        let field = |key: &str| line.split(key).nth(1)?.split(' ').next()?.parse().ok();
+        balancer.address = field("listen=").expect("the log line should have an address after listen=");
+        balancer.operator_address = field("operator=");
+        balancer
     }
 
-    /// Where it serves clients.
+    /// The address that the balancer serves clients at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// An operator that has said this, as it is.
+    /// Connects to the operator address and sends `bytes` unchanged.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no operator address is configured, or if it refuses the connection.
     #[track_caller]
-    pub fn connect_operator(&self, words: &str) -> Connection {
-        let mut operator = Connection::connect(self.operators.expect("a second address"));
-        operator.send_bytes(words.as_bytes());
+    pub fn connect_operator(&self, bytes: &str) -> Connection {
+        let mut operator =
+            Connection::connect(self.operator_address.expect("an operator address should be configured"));
+        operator.send_bytes(bytes.as_bytes());
         operator
     }
 
-    /// What an operator's call is answered, all of it.
+    /// Sends a command to the operator address and returns all lines of the answer.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no operator address is configured, or if the answer does not end with a FIN.
     #[track_caller]
     pub fn operator_command(&self, line: &str) -> Vec<String> {
         self.connect_operator(&format!("{line}\r\n")).receive_until_fin()
     }
 
-    /// One of the figures that operators read.
+    /// Reads a metric through the operator command `telemetry`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the answer is incomplete or does not have the metric.
     #[track_caller]
     pub fn metric(&self, name: &str) -> u64 {
         let lines = self.operator_command("telemetry");
         assert_eq!(lines.last().map(String::as_str), Some("END"), "{lines:?}");
         let value = lines.iter().find_map(|l| l.strip_prefix(&format!("svc.{name}:"))?.split('|').next());
-        value.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name} in {lines:?}"))
+        value
+            .and_then(|v| v.parse().ok())
+            .unwrap_or_else(|| panic!("expected the metric {name} in {lines:?}"))
     }
 
-    /// Waits for the next log line that has these words; those before it are passed over.
+    /// Waits for the next log line that contains `text`; lines before it are skipped, but kept for
+    /// [`BalancerProcess::find_in_log`].
+    ///
+    /// # Panics
+    ///
+    /// Panics if no such line arrives within [`LIMIT`].
     #[track_caller]
-    pub fn wait_for_log(&self, words: &str) -> String {
-        // In all: a program that logs all the time must not put it off for ever.
-        let by = Instant::now() + LIMIT;
+    pub fn wait_for_log(&self, text: &str) -> String {
+        // The limit is on the whole wait, so that a balancer that logs continuously does not extend it.
+        let deadline = Instant::now() + LIMIT;
         loop {
-            let left = by.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let Ok(line) = self.log.recv_timeout(left) else {
-                panic!("no log line has '{words}'");
+                panic!("expected a log line that contains '{text}'");
             };
-            self.heard.borrow_mut().push(line.clone());
-            if line.contains(words) {
+            self.read_lines.borrow_mut().push(line.clone());
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// A log line that was passed over so far and has these words.
-    pub fn find_in_log(&self, words: &str) -> Option<String> {
-        self.heard.borrow().iter().find(|line| line.contains(words)).cloned()
+    /// The first log line received so far that contains `text`.
+    pub fn find_in_log(&self, text: &str) -> Option<String> {
+        self.read_lines.borrow().iter().find(|line| line.contains(text)).cloned()
     }
 
-    /// Ends it as a machine's failure would, and waits until it has.
+    /// Kills the process with SIGKILL, as a failure of its machine would, and waits until it has exited.
     pub fn kill(mut self) {
-        // Its end shows in its log; one that has ended by itself needs no signal.
-        let _ = self.started.child.kill();
+        // The signal fails if the process has already exited, which `wait` detects by the end of its log.
+        let _ = self.process.child.kill();
         self.wait();
     }
 
-    /// A client that has connected and said nothing yet.
+    /// Connects as a client that has sent nothing yet.
     #[track_caller]
     pub fn connect(&self) -> Connection {
         Connection::connect(self.address)
     }
 
-    /// A client that has said its first line, under an id of its own: 9b1f and up.
+    /// Connects as a client and sends its first line with a new connection id, counted up from 9b1f. `fields` is
+    /// appended to the line.
     #[track_caller]
-    pub fn open(&self, more: &str) -> Connection {
+    pub fn open(&self, fields: &str) -> Connection {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        self.open_with_id(&format!("{id:x}"), more)
+        self.open_with_id(&format!("{id:x}"), fields)
     }
 
-    /// The same under this id.
+    /// Does the same as [`BalancerProcess::open`], with the connection id `id`.
     #[track_caller]
-    pub fn open_with_id(&self, id: &str, more: &str) -> Connection {
+    pub fn open_with_id(&self, id: &str, fields: &str) -> Connection {
         let mut client = self.connect();
-        client.send_line(&format!("OPEN {id} 7f3a c=chat,t=acme,d=20000{more}"));
+        client.send_line(&format!("OPEN {id} 7f3a c=chat,t=acme,d=20000{fields}"));
         client
     }
 
-    /// A standing connection: client and node.
+    /// Establishes a connection through the balancer; see [`Server::establish`].
     #[track_caller]
-    pub fn establish(&self, node: &Server) -> (Connection, Connection) {
-        node.establish(self.open(""))
+    pub fn establish(&self, server: &Server) -> (Connection, Connection) {
+        server.establish(self.open(""))
     }
 
-    /// The same under this id.
+    /// Does the same as [`BalancerProcess::establish`], with the connection id `id`.
     #[track_caller]
-    pub fn establish_with_id(&self, node: &Server, id: &str) -> (Connection, Connection) {
-        node.establish(self.open_with_id(id, ""))
+    pub fn establish_with_id(&self, server: &Server, id: &str) -> (Connection, Connection) {
+        server.establish(self.open_with_id(id, ""))
     }
 
-    /// Waits until the program has taken in all that was sent to it before: it answers in turn.
+    /// Waits until the balancer has processed everything sent to it before. It processes events in order, so the answer
+    /// to a `PING` shows that.
     #[track_caller]
     pub fn sync(&self) {
-        let mut front = self.connect();
-        front.send_line("PING");
-        assert_eq!(front.receive_line(), "PONG");
+        let mut front_end = self.connect();
+        front_end.send_line("PING");
+        assert_eq!(front_end.receive_line(), "PONG");
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Has it stand still: what comes to it meanwhile waits in the system.
+    /// Stops the process with SIGSTOP and waits until it has stopped. Data sent to it meanwhile stays in the kernel's
+    /// buffers.
     pub fn pause(&self) {
         self.signal("-STOP");
-        // A signal is on its way for a moment.
-        let stat = format!("/proc/{}/stat", self.started.child.id());
-        let stands = || {
+        // The signal takes effect with a short delay.
+        let stat = format!("/proc/{}/stat", self.process.child.id());
+        let is_stopped = || {
             std::fs::read_to_string(&stat)
                 .is_ok_and(|s| s.rsplit(") ").next().is_some_and(|s| s.starts_with('T')))
         };
-        let by = Instant::now() + LIMIT;
-        while !stands() {
-            assert!(Instant::now() < by, "the program does not stand still");
+        let deadline = Instant::now() + LIMIT;
+        while !is_stopped() {
+            assert!(Instant::now() < deadline, "the process should stop after SIGSTOP");
             thread::yield_now();
         }
     }
 
-    /// Has it go on.
+    /// Continues a stopped process with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Replaces the configuration file and has it read again.
+    /// Replaces the configuration file and sends SIGHUP, on which the balancer reloads it.
     pub fn reconfigure(&self, text: &str) {
-        let file = self.started.folder.0.join(CONFIG);
+        let file = self.process.folder.0.join(CONFIG_FILE);
         let next = file.with_extension("next");
-        std::fs::write(&next, text).expect("a file");
-        std::fs::rename(&next, &file).expect("the same folder");
+        std::fs::write(&next, text).expect("the file should be written");
+        std::fs::rename(&next, &file).expect("the file should be renamed within its folder");
         self.signal("-HUP");
     }
 
     fn signal(&self, signal: &str) {
-        let pid = self.started.child.id().to_string();
-        assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
-    }
-
-    /// Waits for its end, which its log shows.
+        let pid = self.process.child.id().to_string();
+        assert!(
+            Command::new("kill")
+                .args([signal, &pid])
+                .status()
+                .expect("the kill command should run")
+                .success()
+        );
+    }
+
+    /// Waits until the process has exited, which the end of its log shows.
+    ///
+    /// # Panics
+    ///
+    /// Panics if it does not exit and logs nothing for [`LIMIT`].
     #[track_caller]
     pub fn wait(&mut self) -> ExitStatus {
         loop {
             match self.log.recv_timeout(LIMIT) {
-                Ok(line) => self.heard.borrow_mut().push(line),
+                Ok(line) => self.read_lines.borrow_mut().push(line),
                 Err(RecvTimeoutError::Disconnected) => break,
-                Err(RecvTimeoutError::Timeout) => panic!("the program does not end"),
+                Err(RecvTimeoutError::Timeout) => panic!("the process should exit, but is still running"),
             }
         }
-        self.started.child.wait().expect("it ends")
+        self.process.child.wait().expect("the process should exit")
     }
 
-    /// Whether it has not ended.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
-        self.started.child.try_wait().expect("it can be asked").is_none()
+        self.process.child.try_wait().expect("the state of the process should be readable").is_none()
     }
 }
 
-/// What the program wrote is shown with the failure of its test.
+/// Prints the balancer's log if the test has failed.
 impl Drop for BalancerProcess {
     fn drop(&mut self) {
         if thread::panicking() {
-            let lines = self.heard.take().into_iter().chain(self.log.try_iter());
-            lines.for_each(|line| eprintln!("  program: {line}"));
+            let lines = self.read_lines.take().into_iter().chain(self.log.try_iter());
+            lines.for_each(|line| eprintln!("  balancer: {line}"));
         }
     }
 }
--- a/crates/emulator/src/standin/connection.rs
+++ b/crates/emulator/src/standin/connection.rs
@@ -1,4 +1,4 @@
-//! One end of a connection, played line by line.
+//! One end of a connection with the balancer, scripted line by line.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,44 +8,48 @@
 
 use super::LIMIT;
 
-/// What comes next from the other end.
+/// What the balancer's end of a connection sends next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
-    /// A line, without its end.
+    /// A line, without its line ending.
     Line(String),
-    /// It has finished its sending.
+    /// The balancer has shut down its sending side.
     Fin,
-    /// It has broken the connection off.
+    /// The balancer has reset the connection.
     Reset,
 }
 
-/// One end of a connection with the program. Its words go out at once.
+/// The test's end of a connection with the balancer. Data is sent without delay (`TCP_NODELAY`).
 #[derive(Debug)]
 pub struct Connection(BufReader<TcpStream>);
 
 impl Connection {
-    /// This end of a connection.
+    /// Wraps an established connection.
     ///
     /// # Panics
     ///
     /// Panics if the socket options cannot be set.
     pub fn from_stream(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
+        stream.set_read_timeout(Some(LIMIT)).expect("the read timeout should be set");
+        stream.set_nodelay(true).expect("TCP_NODELAY should be set");
         Connection(BufReader::new(stream))
     }
 
-    /// A client that has connected and said nothing yet.
+    /// Connects as a client that has sent nothing yet.
     ///
     /// # Panics
     ///
-    /// Panics if nobody listens at the address.
+    /// Panics if the address refuses the connection.
     #[track_caller]
     pub fn connect(to: SocketAddr) -> Self {
-        Connection::from_stream(TcpStream::connect(to).expect("the program listens"))
+        Connection::from_stream(TcpStream::connect(to).expect("the balancer should accept connections"))
     }
 
-    /// A client that has said its first line.
+    /// Connects as a client and sends its first line.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the address refuses the connection, or if the connection is broken.
     #[track_caller]
     pub fn open(to: SocketAddr, line: &OpenRequestLine) -> Self {
         let mut client = Connection::connect(to);
@@ -53,63 +57,70 @@
         client
     }
 
-    /// Says a line; its end is added.
+    /// Sends a line; the line ending is added.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connection is broken.
     #[track_caller]
     pub fn send_line(&mut self, line: &str) {
         self.send_bytes(format!("{line}\r\n").as_bytes());
     }
 
-    /// Writes bytes as they are.
+    /// Sends bytes unchanged.
     ///
     /// # Panics
     ///
     /// Panics if the connection is broken.
     #[track_caller]
     pub fn send_bytes(&mut self, bytes: &[u8]) {
-        self.0.get_mut().write_all(bytes).expect("the program reads");
+        self.0.get_mut().write_all(bytes).expect("the connection should accept data");
     }
 
-    /// The same to one that may have left.
+    /// Sends bytes to a balancer that may have closed the connection; returns whether the write succeeded.
     pub fn try_send_bytes(&mut self, bytes: &[u8]) -> bool {
         self.0.get_mut().write_all(bytes).is_ok()
     }
 
-    /// Waits for what comes next.
+    /// Waits for the next line or for the end of the connection.
     ///
     /// # Panics
     ///
-    /// Panics if nothing arrives in time, or bytes that are not text.
+    /// Panics if nothing arrives within [`LIMIT`], or bytes that are not UTF-8.
     #[track_caller]
     pub fn receive(&mut self) -> Received {
         let mut bytes = Vec::new();
         match self.0.read_until(b'\n', &mut bytes) {
             Ok(0) => Received::Fin,
-            Ok(_) => {
-                Received::Line(String::from_utf8(bytes).expect("text").trim_end_matches("\r\n").to_owned())
-            }
+            Ok(_) => Received::Line(
+                String::from_utf8(bytes)
+                    .expect("the line should be UTF-8")
+                    .trim_end_matches("\r\n")
+                    .to_owned(),
+            ),
             Err(e) if e.kind() == ErrorKind::ConnectionReset => Received::Reset,
-            Err(e) => panic!("nothing was heard: {e}"),
+            Err(e) => panic!("expected a line or the end of the connection: {e}"),
         }
     }
 
-    /// Waits for a line, which must come next.
+    /// Waits for a line.
     ///
     /// # Panics
     ///
-    /// Panics if anything but a line arrives, or nothing in time.
+    /// Panics if the connection ends first, or if nothing arrives within [`LIMIT`].
     #[track_caller]
     pub fn receive_line(&mut self) -> String {
         match self.receive() {
             Received::Line(line) => line,
-            other => panic!("a line was expected, not {other:?}"),
+            other => panic!("expected a line, found {other:?}"),
         }
     }
 
-    /// Waits for all lines until it finishes its sending, which must come.
+    /// Waits for a FIN and returns the lines before it.
     ///
     /// # Panics
     ///
-    /// Panics if the connection is reset, or does not end in time.
+    /// Panics if the connection is reset, or if nothing arrives for [`LIMIT`].
     #[track_caller]
     pub fn receive_until_fin(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
@@ -117,57 +128,57 @@
             match self.receive() {
                 Received::Line(line) => lines.push(line),
                 Received::Fin => return lines,
-                Received::Reset => panic!("a reset after {lines:?}"),
+                Received::Reset => panic!("expected a FIN, but the connection was reset after {lines:?}"),
             }
         }
     }
 
-    /// Waits for so many bytes.
+    /// Waits for `n` bytes.
     ///
     /// # Panics
     ///
-    /// Panics if the bytes do not arrive in time.
+    /// Panics if the connection ends first, or if nothing arrives for [`LIMIT`].
     #[track_caller]
     pub fn read_exactly(&mut self, n: usize) -> Vec<u8> {
         let mut bytes = vec![0; n];
-        self.0.read_exact(&mut bytes).expect("as much as was sent");
+        self.0.read_exact(&mut bytes).expect("all bytes should arrive");
         bytes
     }
 
-    /// Whether anything has come that was not heard yet, the end included. Looks for `within` at most.
+    /// Whether unread data, a FIN or a reset has arrived or arrives within `within`.
     ///
     /// # Panics
     ///
     /// Panics if the read timeout cannot be set.
     pub fn has_input(&self, within: Duration) -> bool {
-        self.stream().set_read_timeout(Some(within)).expect("a time-out");
-        let seen = self.stream().peek(&mut [0]);
-        self.stream().set_read_timeout(Some(LIMIT)).expect("a time-out");
-        let waits = |e: &std::io::Error| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-        !self.0.buffer().is_empty() || !seen.is_err_and(|e| waits(&e))
+        self.stream().set_read_timeout(Some(within)).expect("the read timeout should be set");
+        let peeked = self.stream().peek(&mut [0]);
+        self.stream().set_read_timeout(Some(LIMIT)).expect("the read timeout should be set");
+        let timed_out = |e: &std::io::Error| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
+        !self.0.buffer().is_empty() || !peeked.is_err_and(|e| timed_out(&e))
     }
 
-    /// The connection itself.
+    /// The underlying stream.
     pub fn stream(&self) -> &TcpStream {
         self.0.get_ref()
     }
 
-    /// Finishes the sending; what the other end says can still be heard.
+    /// Shuts down the sending side (FIN); data can still be received.
     ///
     /// # Panics
     ///
     /// Panics if the connection is not open.
     pub fn shutdown_write(&self) {
-        self.stream().shutdown(Shutdown::Write).expect("open");
+        self.stream().shutdown(Shutdown::Write).expect("the connection should be open");
     }
 
-    /// Breaks the connection off.
+    /// Closes the connection with a reset (RST).
     ///
     /// # Panics
     ///
     /// Panics if the linger option cannot be set.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(self.0.get_ref());
-        socket.set_linger(Some(Duration::ZERO)).expect("linger");
+        socket.set_linger(Some(Duration::ZERO)).expect("the linger option should be set");
     }
 }
--- a/crates/emulator/src/standin/mod.rs
+++ b/crates/emulator/src/standin/mod.rs
@@ -1,13 +1,13 @@
-//! Stand-ins for socket tests: the test plays the peers of a balancer step by step, on loopback ports that the system
-//! picks, against a program that it starts.
+//! Stand-ins for socket tests. A test starts the balancer as a process and scripts the peers that it talks to, step by
+//! step, on loopback ports chosen by the operating system.
 //!
-//! - [`Server`]: a server that the program connects to; each connection is a [`Connection`] that the test speaks through.
-//! - [`DiscoveryService`]: discovery, whose [`Watch`] tells lists.
+//! - [`Server`]: a server that the balancer connects to. The test drives each accepted [`Connection`].
+//! - [`DiscoveryService`]: the discovery service. The test sends endpoint lists on an accepted [`Watch`].
 //! - [`Connection::connect`] and [`BalancerProcess::open`]: clients.
-//! - [`BalancerProcess`]: the program itself, with its configuration and its log, ended with the test.
+//! - [`BalancerProcess`]: the balancer with its configuration and log, killed at the end of the test.
 //!
-//! Everything waits for an event, up to [`LIMIT`], which only a failure reaches; nothing sleeps, and nothing expects an
-//! event *by* a time. What does not come to pass is a panic that says so, since it is a test that waits.
+//! Every wait is for an event and lasts up to [`LIMIT`], which only a failing test reaches. Nothing sleeps, and nothing
+//! expects an event by a shorter deadline. An event that does not occur panics with a message, as the caller is a test.
 //!
 //! ```no_run
 //! use shorewharf_emulator::standin::{Server, BalancerProcess, config};
@@ -35,5 +35,5 @@
 
 use std::time::Duration;
 
-/// No event takes this long with a program that works, on however busy a machine.
+/// The longest wait for an event. A working balancer takes less, however busy the machine is.
 pub const LIMIT: Duration = Duration::from_secs(60);
--- a/crates/emulator/src/standin/server.rs
+++ b/crates/emulator/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! A node that the test plays, and addresses at which nobody answers.
+//! A server that a test scripts, and loopback addresses, among them one that refuses connections.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::OnceLock;
@@ -8,13 +8,13 @@
 
 use super::{Connection, LIMIT, Received};
 
-fn bound() -> Socket {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from((loopback_address(0), 0)).into()).expect("a port");
+fn bind_socket() -> Socket {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("the socket should be created");
+    socket.bind(&SocketAddr::from((loopback_address(0), 0)).into()).expect("a loopback port should be free");
     socket
 }
 
-/// A server, or whoever else the program connects to.
+/// A server, or any other party that the balancer connects to.
 #[derive(Debug)]
 pub struct Server(TcpListener);
 
@@ -25,80 +25,97 @@
 }
 
 impl Server {
-    /// A node that listens.
+    /// Starts listening.
     ///
     /// # Panics
     ///
-    /// Panics if no address can be listened on.
+    /// Panics if no port can be bound.
     pub fn new() -> Self {
-        let socket = bound();
-        socket.listen(1024).expect("a queue");
+        let socket = bind_socket();
+        socket.listen(1024).expect("the socket should listen");
         Server(socket.into())
     }
 
-    /// A node to which connections don't come up, as its queue is full: of the connections that are returned too.
-    /// Once those have been accepted it is like any other.
+    /// A server whose accept queue is full, so that further connections are not established. Also returns the
+    /// connections that fill the queue. Once they have been accepted, the server behaves like any other.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port can be bound, or if the accept queue does not fill up.
     pub fn with_full_backlog() -> (Self, Vec<TcpStream>) {
-        let socket = bound();
-        socket.listen(1).expect("a queue");
-        let node = Server(socket.into());
+        let socket = bind_socket();
+        socket.listen(1).expect("the socket should listen");
+        let server = Server(socket.into());
         let mut queue = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&node.address(), Duration::from_millis(500)) {
+        while let Ok(stream) = TcpStream::connect_timeout(&server.address(), Duration::from_millis(500)) {
             queue.push(stream);
-            assert!(queue.len() < 64, "the queue has no end");
+            assert!(
+                queue.len() < 64,
+                "the accept queue should fill up, but took {} connections",
+                queue.len()
+            );
         }
-        (node, queue)
+        (server, queue)
     }
 
-    /// Where it listens.
+    /// The address that the server listens on.
     ///
     /// # Panics
     ///
     /// Panics if the listener has no address.
     pub fn address(&self) -> SocketAddr {
-        self.0.local_addr().expect("bound")
+        self.0.local_addr().expect("the listener should have an address")
     }
 
     /// Waits for the next connection.
     ///
     /// # Panics
     ///
-    /// Panics if the program does not connect in time.
+    /// Panics if the balancer does not connect within [`LIMIT`].
     #[track_caller]
     pub fn accept(&self) -> Connection {
-        self.accept_within(LIMIT).expect("the program connects")
+        self.accept_within(LIMIT).expect("the balancer should connect")
     }
 
-    /// Waits so long for the next connection.
+    /// Waits up to `limit` for the next connection.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the timeout cannot be set.
     pub fn accept_within(&self, limit: Duration) -> Option<Connection> {
-        SockRef::from(&self.0).set_read_timeout(Some(limit)).expect("a time-out");
+        SockRef::from(&self.0).set_read_timeout(Some(limit)).expect("the accept timeout should be set");
         self.0.accept().ok().map(|(stream, _)| Connection::from_stream(stream))
     }
 
-    /// Waits for the next connection, or for what a client is told instead.
+    /// Waits for the next connection, or for input to a client.
     ///
     /// # Errors
     ///
-    /// Fails with what the client has heard, if that comes first.
+    /// Returns what the client has received if that comes first.
     ///
     /// # Panics
     ///
-    /// Panics if neither a connection nor a message arrives in time.
+    /// Panics if neither arrives within [`LIMIT`].
     #[track_caller]
     pub fn accept_or_receive(&self, client: &mut Connection) -> Result<Connection, Received> {
-        let turn = Duration::from_millis(20);
-        for _ in 0..LIMIT.as_millis() / turn.as_millis() {
-            if let Some(server) = self.accept_within(turn) {
+        let interval = Duration::from_millis(20);
+        for _ in 0..LIMIT.as_millis() / interval.as_millis() {
+            if let Some(server) = self.accept_within(interval) {
                 return Ok(server);
             }
-            if client.has_input(turn) {
+            if client.has_input(interval) {
                 return Err(client.receive());
             }
         }
-        panic!("neither a connection nor a word");
+        panic!("the balancer neither connected to the server nor sent anything to the client");
     }
 
-    /// Takes the next client, whose first line is dropped: both ends of what stands now.
+    /// Accepts the next attempt, discards its first line and answers `UP 77`, which must reach the client. Returns
+    /// both ends of the connection, which is established now: the client's and the server's.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the balancer does not connect, or if the client receives anything else.
     #[track_caller]
     pub fn establish(&self, mut client: Connection) -> (Connection, Connection) {
         let mut server = self.accept();
@@ -108,28 +125,45 @@
         (client, server)
     }
 
-    /// A second handle, for a thread that accepts.
+    /// Another handle of the listening socket, for a thread that accepts connections.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the handle cannot be duplicated.
     pub fn listener(&self) -> TcpListener {
-        self.0.try_clone().expect("a handle")
+        self.0.try_clone().expect("the handle should be duplicated")
     }
 
-    /// Whether a connection waits to be accepted.
+    /// Whether a connection is waiting in the accept queue; a connection that is found is accepted and closed.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the listener's blocking mode cannot be changed.
     pub fn has_pending_connection(&self) -> bool {
-        self.0.set_nonblocking(true).expect("a flag");
-        let called = self.0.accept().is_ok();
-        self.0.set_nonblocking(false).expect("a flag");
-        called
+        self.0.set_nonblocking(true).expect("the blocking mode should change");
+        let is_pending = self.0.accept().is_ok();
+        self.0.set_nonblocking(false).expect("the blocking mode should change");
+        is_pending
     }
 }
 
-/// An address at which nobody listens: connections are refused. It is held, so that nobody can get it meanwhile.
+/// An address that refuses connections. Its port stays bound without listening, so that no other process can take it.
+///
+/// # Panics
+///
+/// Panics if no port can be bound.
 pub fn refusing_address() -> SocketAddr {
-    static HELD: OnceLock<Socket> = OnceLock::new();
-    HELD.get_or_init(bound).local_addr().ok().and_then(|a| a.as_socket()).expect("bound")
+    static BOUND: OnceLock<Socket> = OnceLock::new();
+    BOUND
+        .get_or_init(bind_socket)
+        .local_addr()
+        .ok()
+        .and_then(|a| a.as_socket())
+        .expect("the socket should have an address")
 }
 
-/// A loopback address of this process's own, one of four: ports on it are not taken by whatever else runs on this
-/// machine, such as the same tests once more.
+/// One of four loopback addresses derived from this process's id. Other processes on the machine, such as a second run
+/// of the same tests, take no ports on them.
 pub fn loopback_address(index: u8) -> Ipv4Addr {
     // Process ids have 22 bits at most.
     let [_, a, b, c] = (std::process::id() << 2 | u32::from(index % 4)).to_be_bytes();
