--- a/crates/balancer/tests/platform/main.rs
+++ b/crates/balancer/tests/platform/main.rs
@@ -130,7 +130,7 @@
     assert!(ups > 0 && report.clients.returned > 0 && samples >= 3, "{ups} {samples} {report:?}");
     // The verdict is void if the test driver was late: on a machine that stalls, delays are not the balancer's.
     if report.void.is_none() {
-        assert!(result.verdict.clean(), "{:?}", result.verdict.breaks);
+        assert!(result.verdict.is_clean(), "{:?}", result.verdict.breaks);
     }
 }
 
--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -54,14 +54,14 @@
         self.now = now;
         self.run_due_checks(now);
         match seen {
-            Observation::To(by, to) => self.on_input(now, by, to),
-            Observation::From(by, from) => self.on_output(now, by, from),
+            Observation::Input(by, to) => self.on_input(now, by, to),
+            Observation::Output(by, from) => self.on_output(now, by, from),
             Observation::Listed(entry) => {
                 self.notified_lists.on_listed(now, entry);
                 self.nodes.node_mut(entry.node).trace.note(now, What::Listed(entry.stage));
             }
-            Observation::Node(node, health) => self.nodes.set_health(now, node, health),
-            Observation::Reached { by, link, node, weight, cold } => {
+            Observation::NodeHealth(node, health) => self.nodes.set_health(now, node, health),
+            Observation::AttemptArrived { by, link, node, weight, cold } => {
                 let knew = self.knew_of_start(now, by, link, node);
                 if let Some(pushed) =
                     self.nodes.on_attempt(now, (node, by), (weight, cold), knew, &self.tolerances)
@@ -69,25 +69,25 @@
                     self.record_overload(now, node, pushed);
                 }
             }
-            Observation::Sent { by, link, node, conn, first } => {
+            Observation::AttemptSent { by, link, node, conn, first } => {
                 self.on_attempt(now, first, by, link, node, conn);
             }
-            Observation::Stands { by, conn, link, node } => {
+            Observation::AlreadyEstablished { by, conn, link, node } => {
                 self.on_already_established(now, by, conn, link, node);
             }
-            Observation::Missed(by, id) => {
+            Observation::NotReestablished(by, id) => {
                 let case = Case { reason: Reason::NotCarried, at: now, by, conn: Some(id), node: None };
                 self.verdict.record(case, String::new(), Vec::new);
             }
-            Observation::Passed(conn, way) => self.on_line_delivered(now, conn, way),
-            Observation::Garbled(conn, garble) => {
+            Observation::LineDelivered(conn, way) => self.on_line_delivered(now, conn, way),
+            Observation::Corrupted(conn, garble) => {
                 let reason = match garble {
                     Corruption::MoveInLine => Reason::MoveInLine,
                     Corruption::Changed => Reason::LineChanged,
                 };
                 self.record_finding(conn, Finding::RuleViolation(reason, now, String::new()));
             }
-            Observation::Bad(by, id) => {
+            Observation::MisbehavingClient(by, id) => {
                 self.table.open(id, Conn::new(by, Request::new(Micros::MAX / 2, false)));
                 if let Some(conn) = self.table.conn(id) {
                     conn.is_misbehaving = true;
--- a/crates/emulator/src/audit/mod.rs
+++ b/crates/emulator/src/audit/mod.rs
@@ -1,8 +1,10 @@
-//! The auditor: it sees only what went over the connections and what the other parties know, and judges the rules.
+//! The auditor: checks the rules against the traffic on the connections and the state known to the other parties. It
+//! knows nothing of a balancer's internals.
 //!
-//! It takes its facts from whoever plays the world, in virtual time or on sockets, as [`Observation`], with the time as an
-//! argument. It does no I/O, reads no clock and draws nothing, so the same history gets the same verdict. What is
-//! kept of a connection is a small record and a dozen steps, and it is let go of soon after the connection's end.
+//! The driver of the run, in virtual time or on sockets, reports each event as an [`Observation`], with the time as an
+//! argument. The auditor does no I/O, reads no clock and uses no randomness, so the same history gives the same
+//! verdict. For each connection it keeps a small record and a trace of a dozen events, and drops both soon after the
+//! connection has ended.
 
 mod auditor;
 mod established;
@@ -24,34 +26,34 @@
 use crate::edge::{BalancerId, ConnId, FromBalancer, LinkId, Listed, NodeId, ToBalancer};
 use shorewharf_units::Micros;
 
-/// How a node's process does.
+/// The health of a node, as the emulator knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It begins now, cold, and answers.
+    /// Its process has just started, is cold and answers.
     Started,
     /// It answers again after it was silent or cut off.
-    Answers,
-    /// It runs and can be reached, and says nothing.
+    Recovered,
+    /// Its process runs and can be reached, but sends nothing.
     Silent,
     /// Its machine is cut off from the network.
     CutOff,
-    /// It does not run.
+    /// Its process does not run.
     Down,
 }
 
 impl Health {
     fn text(self) -> &'static str {
         match self {
-            Health::Started => "starts",
-            Health::Answers => "answers again",
-            Health::Silent => "falls silent",
+            Health::Started => "has started",
+            Health::Recovered => "answers again",
+            Health::Silent => "is silent",
             Health::CutOff => "is cut off",
             Health::Down => "is down",
         }
     }
 }
 
-/// Which way a line goes.
+/// The direction of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the client to its node.
@@ -60,70 +62,70 @@
     ToClient,
 }
 
-/// What a client read that nobody should have written.
+/// Corrupted data that a client has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Corruption {
-    /// `MOVE` after a part of a line.
+    /// `MOVE` after an incomplete line.
     MoveInLine,
-    /// A line other than its node wrote it.
+    /// A line that differs from what its node sent.
     Changed,
 }
 
-/// A fact, as it is seen from outside the balancers.
+/// An event that can be observed from outside the balancers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation<'a> {
-    /// This reaches a balancer (on sockets: it has been written to it).
-    To(BalancerId, &'a ToBalancer),
-    /// A balancer does this (on sockets: it has been read from it).
-    From(BalancerId, &'a FromBalancer),
-    /// Discovery's own list shows this from now on.
+    /// A message or event reaches a balancer (on sockets: it has been written to the balancer).
+    Input(BalancerId, &'a ToBalancer),
+    /// A balancer takes an action (on sockets: its output has been read).
+    Output(BalancerId, &'a FromBalancer),
+    /// The discovery service's own list shows this state of a node from now on.
     Listed(Listed),
-    /// A node's process begins to do so.
-    Node(NodeId, Health),
-    /// An attempt's first line has come at its node, which may refuse it.
-    Reached {
-        /// Who sent it.
+    /// The health of a node changes.
+    NodeHealth(NodeId, Health),
+    /// The first line of an attempt has arrived at its node, which may reject it.
+    AttemptArrived {
+        /// The balancer that sent it.
         by: BalancerId,
-        /// On which link.
+        /// The link that it came on.
         link: LinkId,
-        /// The node.
+        /// The node that it arrived at.
         node: NodeId,
-        /// What it asks of the node, in a unit of the node's.
+        /// The work that it costs the node, in a unit of the node's own.
         weight: f64,
-        /// What the node can do now, in that unit a second, while it is cold.
+        /// The work that the node can do per second, in the same unit, while it is cold; none if it is warm.
         cold: Option<f64>,
     },
-    /// It stands when the run begins, and nothing was told of it before.
-    Stands {
-        /// At this balancer.
+    /// A connection was established before the run began; no earlier event of it was observed.
+    AlreadyEstablished {
+        /// The balancer that the client is connected to.
         by: BalancerId,
         /// The client's connection.
         conn: ConnId,
         /// The link that carries it.
         link: LinkId,
-        /// To this node.
+        /// The node at the other end of the link.
         node: NodeId,
     },
-    /// Sockets: a connection that stood before the run has not come up again in its time.
-    Missed(BalancerId, ConnId),
-    /// Sockets: the first line of an attempt has been read to its end. May be left out where the first byte came with
-    /// the last one: [`FromBalancer::Link`] tells the rest.
-    Sent {
-        /// Who sent it.
+    /// Sockets: a connection from before the run was not established again in time.
+    NotReestablished(BalancerId, ConnId),
+    /// Sockets: the first line of an attempt has been read completely. It may be omitted if the line's first and last
+    /// bytes were read together: [`FromBalancer::Link`] then says the same.
+    AttemptSent {
+        /// The balancer that sent it.
         by: BalancerId,
         /// The new link.
         link: LinkId,
-        /// To whom.
+        /// The node that it was sent to.
         node: NodeId,
-        /// The id in the line.
+        /// The connection id in the line.
         conn: ConnId,
-        /// When its first byte came.
+        /// When the first byte of the line was read.
         first: Micros,
     },
-    /// Sockets: a line of a standing connection has come out at its other end.
-    Passed(ConnId, Direction),
-    /// Sockets: a client has read what nobody should have written.
-    Garbled(ConnId, Corruption),
-    /// Sockets: a bad client's connection, on which only being served is a break.
-    Bad(BalancerId, ConnId),
+    /// Sockets: a line of an established connection has been delivered to the other end.
+    LineDelivered(ConnId, Direction),
+    /// Sockets: a client has read corrupted data.
+    Corrupted(ConnId, Corruption),
+    /// Sockets: a misbehaving client has connected. The only violation on its connection is that it is served.
+    MisbehavingClient(BalancerId, ConnId),
 }
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -67,7 +67,7 @@
                 (self.started, self.responsive_since, self.is_overloaded) = (Some(now), None, false);
                 self.window.clear();
             }
-            Health::Answers => self.responsive_since = Some(now),
+            Health::Recovered => self.responsive_since = Some(now),
             Health::Silent | Health::CutOff | Health::Down => {}
         }
         self.health = Some(health);
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -39,8 +39,8 @@
         let mut auditor = Auditor::new(&crate::environment::tests::day(3, &[0, 0]), tolerances);
         for (at, fact) in &order {
             match fact {
-                To(to) => auditor.observe(*at, Observation::To(B, to)),
-                From(from) => auditor.observe(*at, Observation::From(B, from)),
+                To(to) => auditor.observe(*at, Observation::Input(B, to)),
+                From(from) => auditor.observe(*at, Observation::Output(B, from)),
                 Other(seen) => auditor.observe(*at, *seen),
             }
         }
@@ -82,7 +82,7 @@
         let link = LinkId(self.conn.0 * 100 + self.links);
         let conn = self.conn;
         if self.sockets && self.rng.random() {
-            self.history.add(at, Other(Observation::Sent { by: B, link, node, conn, first: at - MS }));
+            self.history.add(at, Other(Observation::AttemptSent { by: B, link, node, conn, first: at - MS }));
         }
         self.history.add(at, From(F::Link { link, node, conn: Some(conn) }));
         link
@@ -111,7 +111,8 @@
             self.history.add(line, To(T::ClientLine(self.conn)));
             if fault == Some(Reason::SilentKept) {
                 if self.sockets {
-                    self.history.add(line + MS, Other(Observation::Passed(self.conn, Direction::ToNode)));
+                    self.history
+                        .add(line + MS, Other(Observation::LineDelivered(self.conn, Direction::ToNode)));
                 }
                 continue;
             }
@@ -119,9 +120,9 @@
             let (there, back) = (line + self.wait(300 * MS) + late, line + 400 * MS + late);
             self.says(back, link, NodeMessage::Reply);
             if self.sockets {
-                self.history.add(there, Other(Observation::Passed(self.conn, Direction::ToNode)));
+                self.history.add(there, Other(Observation::LineDelivered(self.conn, Direction::ToNode)));
                 let client = back + self.wait(300 * MS);
-                self.history.add(client, Other(Observation::Passed(self.conn, Direction::ToClient)));
+                self.history.add(client, Other(Observation::LineDelivered(self.conn, Direction::ToClient)));
             }
         }
     }
@@ -220,10 +221,10 @@
                 return until;
             }
             Some(MoveInLine) => {
-                self.history.add(until, Other(Observation::Garbled(conn, Corruption::MoveInLine)));
+                self.history.add(until, Other(Observation::Corrupted(conn, Corruption::MoveInLine)));
             }
             Some(LineChanged) => {
-                self.history.add(until, Other(Observation::Garbled(conn, Corruption::Changed)));
+                self.history.add(until, Other(Observation::Corrupted(conn, Corruption::Changed)));
             }
             _ => {}
         }
@@ -290,7 +291,7 @@
     #[test]
     fn legal_lives_are_let_pass_and_each_break_is_found(seed: u64, sockets: bool) {
         let legal = lives(seed, sockets, None).judge(tolerances(sockets));
-        prop_assert!(legal.clean(), "{:#?}", legal.lines().collect::<Vec<_>>());
+        prop_assert!(legal.is_clean(), "{:#?}", legal.lines().collect::<Vec<_>>());
         for &reason in OF_LIVES {
             if reason == Reason::LineHeld && !sockets {
                 continue;
@@ -397,7 +398,7 @@
         let last = told.map_or(90 * S, |told| told + grace);
         send(&mut legal, 1, last, NODE);
         let verdict = legal.judge(tolerances(sockets));
-        assert!(verdict.clean(), "{name}: {:#?}", verdict.lines().collect::<Vec<_>>());
+        assert!(verdict.is_clean(), "{name}: {:#?}", verdict.lines().collect::<Vec<_>>());
         if told.is_some() {
             send(&mut legal, 2, last + 1, NODE);
             assert_eq!(reasons(&legal.judge(tolerances(sockets))), [(Reason::SentToDraining, 1)], "{name}");
@@ -414,7 +415,7 @@
     let push = |sent: u64, knowing: u64, over: Micros| {
         let mut history = History::default();
         started(&mut history, 0);
-        history.add(10 * S, Other(Observation::Node(NODE, Health::Started)));
+        history.add(10 * S, Other(Observation::NodeHealth(NODE, Health::Started)));
         for i in 0..sent {
             if i + knowing == sent {
                 let entries = vec![listed(NODE, Stage::Ready, Some(10 * S))];
@@ -423,17 +424,18 @@
             let at = 15 * S + i * over / sent;
             send(&mut history, i + 1, at, NODE);
             let (by, link, node) = (B, LinkId(i + 1), NODE);
-            history.add(at, Other(Observation::Reached { by, link, node, weight: 1.0, cold: Some(1.0) }));
+            history
+                .add(at, Other(Observation::AttemptArrived { by, link, node, weight: 1.0, cold: Some(1.0) }));
         }
         history.judge(tolerances(false))
     };
-    assert!(push(most, most, 0).clean());
-    assert!(push(3 * most, 3 * most, 6 * S).clean(), "spread over longer than the window");
+    assert!(push(most, most, 0).is_clean());
+    assert!(push(3 * most, 3 * most, 6 * S).is_clean(), "spread over longer than the window");
     let verdict = push(3 * most, 3 * most, S);
     assert_eq!(reasons(&verdict), [(Reason::PushedOver, 1)]);
-    assert!(verdict.breaks[0].trace.iter().any(|s| s.what == "it starts"), "{:?}", verdict.breaks);
+    assert!(verdict.breaks[0].trace.iter().any(|s| s.what == "it has started"), "{:?}", verdict.breaks);
     let unknowing = push(most + 1, 9, 0);
-    assert!(unknowing.clean() && unknowing.excused[&Exemption::PushedOverUnknowing] == 1, "{unknowing:?}");
+    assert!(unknowing.is_clean() && unknowing.excused[&Exemption::PushedOverUnknowing] == 1, "{unknowing:?}");
     assert_eq!(reasons(&push(most + 1, 10, 0)), [(Reason::PushedOver, 1)]);
 }
 
@@ -480,16 +482,16 @@
     ask(3, S, &mut history);
     history.add(S, From(F::Link { link: LinkId(3), node: NODE, conn: Some(ConnId(3)) }));
     history.add(2 * S, From(F::EndClient(ConnId(3), End::Fin)));
-    history.add(S, Other(Observation::Bad(B, ConnId(4))));
+    history.add(S, Other(Observation::MisbehavingClient(B, ConnId(4))));
     history.add(2 * S, From(F::Answer(ConnId(4), Answer::Forged)));
-    history.add(S, Other(Observation::Bad(B, ConnId(5))));
+    history.add(S, Other(Observation::MisbehavingClient(B, ConnId(5))));
     history.add(2 * S, From(F::EndClient(ConnId(5), End::Reset)));
     stand(&mut history, 6, S);
-    history.add(20 * S, Other(Observation::Node(NODE, Health::Silent)));
+    history.add(20 * S, Other(Observation::NodeHealth(NODE, Health::Silent)));
     history.add(22 * S, From(F::EndClient(ConnId(6), End::Fin)));
     history.add(23 * S, From(F::Link { link: LinkId(9), node: NodeId(2), conn: Some(ConnId(77)) }));
     history.add(23 * S, From(F::Syntax(NODE)));
-    history.add(23 * S, Other(Observation::Missed(B, ConnId(7))));
+    history.add(23 * S, Other(Observation::NotReestablished(B, ConnId(7))));
     send(&mut history, 8, 24 * S, NodeId(7));
     let day = crate::environment::tests::day(3, &[0, 0]);
     let verdict = history.judge(AuditTolerances::sockets(&day));
@@ -521,8 +523,8 @@
         history.add(at, From(F::EndClient(ConnId(conn), End::Fin)));
         for (at, fact) in &history.0 {
             match fact {
-                To(to) => auditor.observe(*at, Observation::To(B, to)),
-                From(from) => auditor.observe(*at, Observation::From(B, from)),
+                To(to) => auditor.observe(*at, Observation::Input(B, to)),
+                From(from) => auditor.observe(*at, Observation::Output(B, from)),
                 Other(seen) => auditor.observe(*at, *seen),
             }
         }
--- a/crates/emulator/src/audit/verdict.rs
+++ b/crates/emulator/src/audit/verdict.rs
@@ -180,22 +180,22 @@
 
 impl Verdict {
     /// No rule was broken.
-    pub fn clean(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.reasons.is_empty()
     }
 
     /// Requests lost: those of the first rule.
     pub fn lost_requests(&self) -> u64 {
-        self.of(Rule::NoRequestDropped)
+        self.count(Rule::NoRequestDropped)
     }
 
     /// Connections lost.
     pub fn lost_connections(&self) -> u64 {
-        self.of(Rule::NoConnectionLost)
+        self.count(Rule::NoConnectionLost)
     }
 
     /// Breaks of a rule.
-    pub fn of(&self, rule: Rule) -> u64 {
+    pub fn count(&self, rule: Rule) -> u64 {
         self.reasons.iter().filter(|(r, _)| r.rule() == rule).map(|(_, n)| n).sum()
     }
 
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -159,27 +159,27 @@
     }
 
     /// A balancer makes an attempt at a node.
-    pub fn attempt(&mut self, now: Micros) {
+    pub fn on_attempt(&mut self, now: Micros) {
         self.counts.attempts += u64::from(self.counts_now(now));
     }
 
     /// A connection of a pair of balancer and node has come up.
-    pub fn handshake(&mut self, now: Micros) {
+    pub fn on_handshake(&mut self, now: Micros) {
         self.counts.handshakes += u64::from(self.counts_now(now));
     }
 
     /// So many pairs of balancer and node have an open connection from now on.
-    pub fn pairs(&mut self, now: Micros, open: u32) {
+    pub fn set_open_pairs(&mut self, now: Micros, open: u32) {
         self.open.set(now.min(self.end), f64::from(open));
     }
 
     /// A balancer sends a probe.
-    pub fn probe(&mut self, now: Micros) {
+    pub fn on_probe(&mut self, now: Micros) {
         self.counts.probes += u64::from(self.counts_now(now));
     }
 
     /// A balancer has moved a standing connection.
-    pub fn moved(&mut self, now: Micros) {
+    pub fn on_migration(&mut self, now: Micros) {
         self.counts.moves += u64::from(self.counts_now(now));
     }
 
--- a/crates/emulator/src/score/tests.rs
+++ b/crates/emulator/src/score/tests.rs
@@ -37,15 +37,15 @@
                 score.on_service_wanted(10 * S, cell(Y, within), true);
                 score.on_established(10 * S, cell(Y, within), b, true, served(10 * S, b));
             }
-            score.handshake(10 * S);
-            score.pairs(10 * S, 2);
-            score.attempt(10 * S);
-            score.probe(10 * S);
-            score.moved(29 * S);
+            score.on_handshake(10 * S);
+            score.set_open_pairs(10 * S, 2);
+            score.on_attempt(10 * S);
+            score.on_probe(10 * S);
+            score.on_migration(29 * S);
         }
         score.tick(due, &mut |node, _| served(due, node));
     }
-    score.moved(31 * S);
+    score.on_migration(31 * S);
     score.on_service_wanted(31 * S, cell(X, true), true);
     score.on_connection_ended(31 * S, cell(X, true), a, false, 31.0);
     let o = score.finish();
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -110,13 +110,13 @@
         what: FromBalancer,
         commands: &mut Commands,
     ) {
-        self.auditor.observe(now, Observation::From(who, &what));
+        self.auditor.observe(now, Observation::Output(who, &what));
         self.world.on_balancer_action(now, who, what, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
     fn on_link_reset(&mut self, now: Micros, who: BalancerId, link: LinkId, commands: &mut Commands) {
         // To the balancer it looks as though the node had ended it, and it owes its client the same.
-        self.auditor.observe(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
+        self.auditor.observe(now, Observation::Input(who, &ToBalancer::NodeEnded(link, End::Reset)));
         let gone = FromBalancer::EndLink(link, End::Reset);
         self.world.on_balancer_action(now, who, gone, &mut Listener { commands, auditor: &mut self.auditor });
     }
@@ -150,7 +150,7 @@
                     FromBalancer::EndClient(conn, End::Reset),
                     &mut listener,
                 );
-                self.auditor.observe(0, Observation::Missed(who, conn));
+                self.auditor.observe(0, Observation::NotReestablished(who, conn));
                 continue;
             };
             self.world.on_balancer_action(
@@ -165,7 +165,7 @@
                 FromBalancer::Answer(conn, Answer::Up(link)),
                 &mut listener,
             );
-            self.auditor.observe(0, Observation::Stands { by: who, conn, link, node });
+            self.auditor.observe(0, Observation::AlreadyEstablished { by: who, conn, link, node });
         }
     }
 
@@ -173,7 +173,7 @@
         match what {
             // Seen when they have gone out in whole; and links come up by themselves here.
             ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
-            _ => self.auditor.observe(now, Observation::To(who, what)),
+            _ => self.auditor.observe(now, Observation::Input(who, what)),
         }
     }
 
@@ -182,24 +182,26 @@
         let seen = match observation {
             ConnectionObservation::RequestSent(ask, left) => {
                 to = ToBalancer::Asked { ask, left };
-                Observation::To(who, &to)
+                Observation::Input(who, &to)
             }
             ConnectionObservation::LineSent(conn) => {
                 to = ToBalancer::ClientLine(conn);
-                Observation::To(who, &to)
+                Observation::Input(who, &to)
             }
             ConnectionObservation::LineReturned(link) => {
                 to = ToBalancer::NodeSays(link, NodeMessage::Reply);
-                Observation::To(who, &to)
+                Observation::Input(who, &to)
             }
-            ConnectionObservation::LineAtNode(conn) => Observation::Passed(conn, Direction::ToNode),
-            ConnectionObservation::LineAtClient(conn) => Observation::Passed(conn, Direction::ToClient),
-            ConnectionObservation::Changed(conn) => Observation::Garbled(conn, Corruption::Changed),
-            ConnectionObservation::MoveInLine(conn) => Observation::Garbled(conn, Corruption::MoveInLine),
+            ConnectionObservation::LineAtNode(conn) => Observation::LineDelivered(conn, Direction::ToNode),
+            ConnectionObservation::LineAtClient(conn) => {
+                Observation::LineDelivered(conn, Direction::ToClient)
+            }
+            ConnectionObservation::Changed(conn) => Observation::Corrupted(conn, Corruption::Changed),
+            ConnectionObservation::MoveInLine(conn) => Observation::Corrupted(conn, Corruption::MoveInLine),
             ConnectionObservation::MisbehavingClientServed(conn) => {
-                self.auditor.observe(now, Observation::Bad(who, conn));
+                self.auditor.observe(now, Observation::MisbehavingClient(who, conn));
                 seen = FromBalancer::Answer(conn, Answer::Forged);
-                Observation::From(who, &seen)
+                Observation::Output(who, &seen)
             }
         };
         self.auditor.observe(now, seen);
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -175,9 +175,9 @@
     let id = BalancerId(i as u32);
     let mut inbox = std::mem::take(&mut slots[i].inbox);
     let mut actions = std::mem::take(&mut slots[i].actions);
-    inbox.drain(..).for_each(|what| auditor.observe(now, Observation::To(id, &what)));
+    inbox.drain(..).for_each(|what| auditor.observe(now, Observation::Input(id, &what)));
     for what in actions.drain(..) {
-        auditor.observe(now, Observation::From(id, &what));
+        auditor.observe(now, Observation::Output(id, &what));
         world.on_balancer_action(now, id, what, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
     }
     // Answers at the same time may have come meanwhile; the emptied buffer is used again.
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -80,7 +80,7 @@
         let stood = self.conns.get(conn).is_some_and(|c| c.stage == Stage::Standing);
         if self.finish_connection(balancer, conn) {
             if matches!(answer, Answer::Move) && stood {
-                self.score.moved(self.now);
+                self.score.on_migration(self.now);
             }
             self.send_to_client(conn, message);
         }
@@ -126,10 +126,10 @@
         let up = self.pairs.used(now, b, node, handshake);
         match conn {
             Some(_) => {
-                self.score.attempt(now);
+                self.score.on_attempt(now);
                 self.series.sent(now);
             }
-            None => self.score.probe(now),
+            None => self.score.on_probe(now),
         }
         self.send_to_node(
             id,
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -330,7 +330,7 @@
     fn on_second(&mut self) {
         self.queue.push(self.now + SECOND, Event::Second);
         self.pairs.sweep(self.now);
-        self.score.pairs(self.now, self.pairs.open());
+        self.score.set_open_pairs(self.now, self.pairs.open());
         self.conns.tidy();
         if self.now <= self.day.length {
             for (i, node) in self.nodes.iter().enumerate() {
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -71,12 +71,13 @@
             NodeOutput::Reached { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
                     let (by, theirs) = (l.balancer, l.theirs);
-                    listener.fact(self.now, Observation::Reached { by, link: theirs, node, weight, cold });
+                    listener
+                        .fact(self.now, Observation::AttemptArrived { by, link: theirs, node, weight, cold });
                 }
             }
             NodeOutput::Silent(silent) => self.set_node_silent(node, silent, listener),
             NodeOutput::Overloaded => {
-                listener.fact(self.now, Observation::Node(node, Health::Down));
+                listener.fact(self.now, Observation::NodeHealth(node, Health::Down));
                 self.break_node_pairs(node);
             }
         }
@@ -157,8 +158,8 @@
                             l.at = At::Asked;
                         }
                         if self.pairs.came_up(l.balancer, node) {
-                            self.score.handshake(now);
-                            self.score.pairs(now, self.pairs.open());
+                            self.score.on_handshake(now);
+                            self.score.set_open_pairs(now, self.pairs.open());
                         }
                         self.send_to_balancer_on_link(id, BalancerArrival::Up);
                         let input = match l.conn.and_then(|c| self.conns.get(c)) {
@@ -197,8 +198,10 @@
             NodeEvent::Fault { kind, on, size } => NodeInput::Fault { kind, on, size },
         };
         match event {
-            NodeEvent::Start => listener.fact(now, Observation::Node(node, Health::Started)),
-            NodeEvent::Stop | NodeEvent::Crash => listener.fact(now, Observation::Node(node, Health::Down)),
+            NodeEvent::Start => listener.fact(now, Observation::NodeHealth(node, Health::Started)),
+            NodeEvent::Stop | NodeEvent::Crash => {
+                listener.fact(now, Observation::NodeHealth(node, Health::Down))
+            }
             _ => {}
         }
         self.handle_node_input(node, input, listener);
@@ -219,11 +222,11 @@
             return;
         }
         let health = match (silent, at.model.accepts(self.now)) {
-            (false, _) => Health::Answers,
+            (false, _) => Health::Recovered,
             (true, Accepts::Silent) => Health::CutOff,
             (true, _) => Health::Silent,
         };
-        listener.fact(self.now, Observation::Node(node, health));
+        listener.fact(self.now, Observation::NodeHealth(node, health));
         if self.mode == Mode::Sockets {
             return;
         }
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -60,7 +60,7 @@
                 over_mean_most: figure(even.max_over_mean),
                 under_mean_least: figure(even.min_under_mean),
                 set_ups_most: figure(worst_setup_burst(&result.series.set_ups, seconds_from_micros(SLOT))),
-                rules_kept: result.verdict.clean(),
+                rules_kept: result.verdict.is_clean(),
             }
         })?;
         if let Some(first) = runs.first() {
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -267,7 +267,7 @@
 
 fn verdict(verdict: &shorewharf_emulator::audit::Verdict) -> Verdict {
     Verdict {
-        kept: verdict.clean(),
+        kept: verdict.is_clean(),
         breaks: verdict.reasons.iter().map(|(r, n)| (r.text().to_owned(), *n)).collect(),
         excused: verdict.excused.iter().map(|(e, n)| (label(e), *n)).collect(),
         examples: verdict
--- a/crates/lab/tests/auditor.rs
+++ b/crates/lab/tests/auditor.rs
@@ -63,7 +63,7 @@
             }
             let verdict = judge(&PolicyHosts::new(PolicyChoice::Module), 30, &rest, seed);
             assert!(verdict.counts.up > 50, "seed {seed}: {:?}", verdict.counts);
-            (!verdict.clean())
+            (!verdict.is_clean())
                 .then(|| format!("seed {seed}: {:?}\n{rest}{}", verdict.reasons, told(&verdict)))
         })
         .collect();
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -98,7 +98,7 @@
 #[test]
 fn the_module_keeps_the_rules_through_all_sorts_of_trouble() {
     let result = play(&day(ALL_SORTS), PolicyChoice::Module, 1);
-    assert!(result.verdict.clean(), "{:#?}", result.verdict.lines().collect::<Vec<_>>());
+    assert!(result.verdict.is_clean(), "{:#?}", result.verdict.lines().collect::<Vec<_>>());
     assert!(result.outcome.g > 0.5, "G {}", result.outcome.g);
 }
 
@@ -122,7 +122,7 @@
             // Seconds are counted at their ends: 2 s to the next line, 1.5 s of silence, and the sweep.
             assert!(held(14) == 0, "{kind}: {} still stand at a silent node", held(14));
         }
-        assert!(result.verdict.clean(), "{kind}: {:?}", result.verdict.lines().collect::<Vec<_>>());
+        assert!(result.verdict.is_clean(), "{kind}: {:?}", result.verdict.lines().collect::<Vec<_>>());
     }
 }
 
@@ -140,7 +140,7 @@
     assert!(broken(&killed) >= 5, "{} broke with their balancer", broken(&killed));
     assert_eq!(broken(&planned), 0, "a planned restart cut off clients");
     for (name, r) in [("killed", &killed), ("planned", &planned)] {
-        assert!(r.verdict.clean(), "{name}: {:?}", r.verdict.lines().collect::<Vec<_>>());
+        assert!(r.verdict.is_clean(), "{name}: {:?}", r.verdict.lines().collect::<Vec<_>>());
         let at = |second: usize| r.series.nodes.iter().map(|n| n.connections[second]).sum::<u32>();
         assert!(at(20) * 10 > at(8) * 8, "{name}: {} stood before, {} after", at(8), at(20));
     }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -13,7 +13,7 @@
     let zones = day.nodes.iter().map(|n| n.zone).collect();
     let result = run(&day, &PolicyHosts::new(PolicyChoice::Module), &Options { threads: 1, progress: None })
         .expect("a run");
-    assert!(result.verdict.clean(), "{name} {seed}: {:?}", result.verdict.lines().collect::<Vec<_>>());
+    assert!(result.verdict.is_clean(), "{name} {seed}: {:?}", result.verdict.lines().collect::<Vec<_>>());
     (zones, result)
 }
 
--- a/crates/lab/tests/tenants.rs
+++ b/crates/lab/tests/tenants.rs
@@ -34,7 +34,7 @@
     let bare = play("tenants-flood.toml", without, 2);
     let (early, late) = (others(&flood, 30, 40) / quiet, others(&flood, 40, 90) / quiet);
     assert!(early > 0.98 && late > 0.99, "{early:.4} in the first ten seconds, {late:.4} later");
-    assert!(flood.verdict.clean(), "{:?}", flood.verdict.reasons);
+    assert!(flood.verdict.is_clean(), "{:?}", flood.verdict.reasons);
     let lost = others(&bare, 40, 90) / quiet;
     assert!(lost < 0.75, "{lost:.4} without tenants' shares: the flood is none");
 }
