--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -1,14 +1,14 @@
-//! Composes the audit: each fact goes to the parts that it concerns, and what they find goes into the verdict.
+//! The auditor itself: passes each observation to the parts that it concerns and records their findings in the verdict.
 
 mod connections;
 
 use super::established::EstablishedConnection;
 use super::lists::NotifiedLists;
 use super::nodes::{Nodes, Overload};
-use super::request::{Finding, Over, Request};
+use super::request::{Finding, Request, RequestEnd};
 use super::table::{Check, Conn, Link, Table};
 use super::tolerances::AuditTolerances;
-use super::trace::{What, secs, together};
+use super::trace::{TraceEvent, format_seconds, merge_traces};
 use super::verdict::{Case, Exemption, Reason, Verdict};
 use super::{Corruption, Observation};
 use crate::day::Day;
@@ -17,56 +17,54 @@
 };
 use shorewharf_units::Micros;
 
-/// Judges a run as it goes. Feed it what happens in order of time, then ask for its verdict.
+/// Checks the rules during a run. It takes observations in order of time and gives its verdict at the end.
 #[derive(Debug)]
 pub struct Auditor {
     tolerances: AuditTolerances,
     notified_lists: NotifiedLists,
     nodes: Nodes,
     table: Table,
-    /// By balancer: SIGTERM has gone to it.
+    /// By balancer, whether it has been sent SIGTERM.
     terminating: Vec<bool>,
-    /// The time of the last fact.
+    /// Time of the last observation.
     now: Micros,
     verdict: Verdict,
 }
 
 impl Auditor {
-    /// An auditor of one run of this day.
+    /// Creates an auditor for one run of a day.
     pub fn new(day: &Day, tolerances: AuditTolerances) -> Self {
-        let leaving = vec![false; day.balancers.len()];
-        let (told, nodes, table) = (NotifiedLists::default(), Nodes::default(), Table::default());
         Auditor {
             tolerances,
-            notified_lists: told,
-            nodes,
-            table,
-            terminating: leaving,
+            notified_lists: NotifiedLists::default(),
+            nodes: Nodes::default(),
+            table: Table::default(),
+            terminating: vec![false; day.balancers.len()],
             now: 0,
             verdict: Verdict::default(),
         }
     }
 
-    /// Takes a fact in. Time does not go back: on sockets what the world planned is told a little after it was due, and
-    /// what was read meanwhile came first.
-    pub fn observe(&mut self, now: Micros, seen: Observation<'_>) {
+    /// Processes an observation. One with a time before the last one's is processed at the last one's time: on sockets,
+    /// planned events are reported a little after they were due, and data that was read meanwhile comes before them.
+    pub fn observe(&mut self, now: Micros, observation: Observation<'_>) {
         let now = now.max(self.now);
         self.now = now;
         self.run_due_checks(now);
-        match seen {
+        match observation {
             Observation::Input(by, to) => self.on_input(now, by, to),
             Observation::Output(by, from) => self.on_output(now, by, from),
             Observation::Listed(entry) => {
                 self.notified_lists.on_listed(now, entry);
-                self.nodes.node_mut(entry.node).trace.note(now, What::Listed(entry.stage));
+                self.nodes.node_mut(entry.node).trace.push(now, TraceEvent::Listed(entry.stage));
             }
             Observation::NodeHealth(node, health) => self.nodes.set_health(now, node, health),
             Observation::AttemptArrived { by, link, node, weight, cold } => {
                 let knew = self.knew_of_start(now, by, link, node);
-                if let Some(pushed) =
+                if let Some(overload) =
                     self.nodes.on_attempt(now, (node, by), (weight, cold), knew, &self.tolerances)
                 {
-                    self.record_overload(now, node, pushed);
+                    self.record_overload(now, node, overload);
                 }
             }
             Observation::AttemptSent { by, link, node, conn, first } => {
@@ -79,9 +77,9 @@
                 let case = Case { reason: Reason::NotCarried, at: now, by, conn: Some(id), node: None };
                 self.verdict.record(case, String::new(), Vec::new);
             }
-            Observation::LineDelivered(conn, way) => self.on_line_delivered(now, conn, way),
-            Observation::Corrupted(conn, garble) => {
-                let reason = match garble {
+            Observation::LineDelivered(conn, direction) => self.on_line_delivered(now, conn, direction),
+            Observation::Corrupted(conn, corruption) => {
+                let reason = match corruption {
                     Corruption::MoveInLine => Reason::MoveInLine,
                     Corruption::Changed => Reason::LineChanged,
                 };
@@ -96,23 +94,23 @@
         }
     }
 
-    /// Breaks so far.
+    /// The verdict so far. Its violations are not sorted by time yet.
     pub fn verdict(&self) -> &Verdict {
         &self.verdict
     }
 
-    /// Connections that are remembered now.
+    /// The number of connections that are tracked now.
     pub fn tracked_connections(&self) -> usize {
         self.table.len()
     }
 
-    /// The run is over.
+    /// Ends the run and returns the verdict.
     pub fn finish(mut self, now: Micros) -> Verdict {
         let now = now.max(self.now);
         self.run_due_checks(now);
         for id in self.table.ids(None) {
             self.confirm_deferred_finding(id);
-            self.check_unanswered(now, id, Over::End);
+            self.check_unanswered(now, id, RequestEnd::RunEnded);
         }
         self.verdict.sort_violations();
         self.verdict
@@ -132,17 +130,17 @@
             ToBalancer::ClientEnded(id, end) => self.on_client_closed(now, *id, *end),
             ToBalancer::LinkUp(id) => {
                 if let Some((link, conn)) = self.table.link_and_conn(by, *id) {
-                    conn.trace.note(now, What::LinkUp(link.node));
+                    conn.trace.push(now, TraceEvent::LinkUp(link.node));
                 }
             }
             ToBalancer::LinkFailed(id) => {
                 if let Some((link, conn)) = self.table.link_and_conn(by, *id) {
                     link.closed_by_balancer = Some(now);
                     conn.request.end_attempt(*id);
-                    conn.trace.note(now, What::LinkFailed(link.node));
+                    conn.trace.push(now, TraceEvent::LinkFailed(link.node));
                 }
             }
-            ToBalancer::NodeSays(link, word) => self.on_node_message(now, by, *link, *word),
+            ToBalancer::NodeSays(link, message) => self.on_node_message(now, by, *link, *message),
             ToBalancer::NodeEnded(link, end) => self.on_node_closed(now, by, *link, *end),
             ToBalancer::List { full, entries } => {
                 self.notified_lists.on_endpoint_list(now, by, *full, entries);
@@ -155,7 +153,7 @@
         match *from {
             FromBalancer::Answer(id, answer) => self.on_answer(now, by, id, answer),
             FromBalancer::EndClient(id, end) => self.on_balancer_closed_client(now, by, id, end),
-            // On sockets it may follow what was told of it as sent.
+            // On sockets the attempt may already have been reported as `Observation::AttemptSent`.
             FromBalancer::Link { link, node, conn: Some(conn) } => {
                 if self.table.link_of(by, link).is_none_or(|l| l.conn != conn) {
                     self.on_attempt(now, now, by, link, node, conn);
@@ -179,14 +177,14 @@
     }
 
     fn terminating_mut(&mut self, by: BalancerId) -> &mut bool {
-        let place = by.0 as usize;
-        if self.terminating.len() <= place {
-            self.terminating.resize(place + 1, false);
+        let index = by.0 as usize;
+        if self.terminating.len() <= index {
+            self.terminating.resize(index + 1, false);
         }
-        &mut self.terminating[place]
+        &mut self.terminating[index]
     }
 
-    // What is found.
+    // Findings.
 
     fn record_finding(&mut self, id: ConnId, finding: Finding) {
         let Some(conn) = self.table.conn(id) else { return };
@@ -194,45 +192,48 @@
             return;
         }
         match finding {
-            Finding::Exempted(why) => self.verdict.exempt(why),
+            Finding::Exempted(exemption) => self.verdict.exempt(exemption),
             Finding::RuleViolation(reason, at, detail) => {
                 conn.is_closed_to_findings = true;
                 let node = conn.established.as_ref().map(|s| s.node);
                 let case = Case { reason, at, by: conn.by, conn: Some(id), node };
-                let of_node = node.map(|n| &self.nodes.node_mut(n).trace);
-                self.verdict.record(case, detail, || together([&conn.trace].into_iter().chain(of_node)));
+                let node_trace = node.map(|n| &self.nodes.node_mut(n).trace);
+                self.verdict
+                    .record(case, detail, || merge_traces([&conn.trace].into_iter().chain(node_trace)));
             }
         }
     }
 
-    fn check_unanswered(&mut self, now: Micros, id: ConnId, how: Over) {
+    /// Checks a request that can get no answer any more, if it has none yet.
+    fn check_unanswered(&mut self, now: Micros, id: ConnId, end: RequestEnd) {
         let Some(conn) = self.table.conn(id).filter(|c| c.is_awaiting_answer() && !c.is_misbehaving) else {
             return;
         };
-        if let Some(finding) = conn.request.on_over(now, how, &self.tolerances) {
+        if let Some(finding) = conn.request.check_unanswered(now, end, &self.tolerances) {
             self.record_finding(id, finding);
         }
     }
 
-    fn record_overload(&mut self, now: Micros, node: NodeId, pushed: Overload) {
-        if !pushed.is_attributable() {
+    fn record_overload(&mut self, now: Micros, node: NodeId, overload: Overload) {
+        if !overload.is_attributable() {
             return self.verdict.exempt(Exemption::PushedOverUnknowing);
         }
         let shares: Vec<String> =
-            pushed.shares.iter().map(|(b, sent)| format!("{}: {sent:.3}", b.0)).collect();
+            overload.shares.iter().map(|(b, sent)| format!("{}: {sent:.3}", b.0)).collect();
         let detail = format!(
-            "sent {:.3} where {:.3} would have been borne, {:.3} of it knowingly; by balancer {}",
-            pushed.sent,
-            pushed.budget,
-            pushed.known_weight,
+            "sent {:.3} where at most {:.3} is allowed, {:.3} by balancers that knew of the start; by balancer {}",
+            overload.sent,
+            overload.budget,
+            overload.known_weight,
             shares.join(", ")
         );
-        let case = Case { reason: Reason::PushedOver, at: now, by: pushed.by, conn: None, node: Some(node) };
-        let ring = &self.nodes.node_mut(node).trace;
-        self.verdict.record(case, detail, || together([ring]));
+        let case =
+            Case { reason: Reason::PushedOver, at: now, by: overload.by, conn: None, node: Some(node) };
+        let trace = &self.nodes.node_mut(node).trace;
+        self.verdict.record(case, detail, || merge_traces([trace]));
     }
 
-    /// Looks at what has fallen due before `now`.
+    /// Runs the checks that were due before `now`.
     fn run_due_checks(&mut self, now: Micros) {
         while let Some((at, id, check)) = self.table.pop_due(now) {
             let Some(conn) = self.table.conn(id) else { continue };
@@ -249,9 +250,11 @@
                 {
                     None
                 }
-                (Check::ToNode, Some(s)) => s.check_line_held(at, conn.to_node.waiting(), &self.tolerances),
+                (Check::ToNode, Some(s)) => {
+                    s.check_line_held(at, conn.to_node.waiting_since(), &self.tolerances)
+                }
                 (Check::ToClient, Some(s)) => {
-                    s.check_line_held(at, conn.to_client.waiting(), &self.tolerances)
+                    s.check_line_held(at, conn.to_client.waiting_since(), &self.tolerances)
                 }
                 (Check::Silent, Some(s)) => s.check_silent(at, self.nodes.node_mut(s.node), &self.tolerances),
                 (Check::ClosedByNode, Some(s)) => s.check_outlives_server(at, &self.tolerances),
@@ -265,18 +268,18 @@
         }
     }
 
-    /// Schedules the checks that depend on further progress of the connection.
+    /// Schedules the checks for held lines and for silence, which later traffic can make unnecessary.
     fn schedule_progress_checks(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.table.conn(id) else { return };
-        let Some(standing) = conn.established.as_ref().filter(|s| s.is_carrying()) else { return };
-        let held = self.tolerances.max_line_hold;
+        let Some(established) = conn.established.as_ref().filter(|s| s.is_carrying()) else { return };
+        let max_hold = self.tolerances.max_line_hold;
         let due = [
-            (Check::ToNode, conn.to_node.waiting().map(|t| t + held)),
-            (Check::ToClient, conn.to_client.waiting().map(|t| t + held)),
-            (Check::Silent, standing.silent_since.map(|t| t + self.tolerances.max_silence)),
+            (Check::ToNode, conn.to_node.waiting_since().map(|t| t + max_hold)),
+            (Check::ToClient, conn.to_client.waiting_since().map(|t| t + max_hold)),
+            (Check::Silent, established.silent_since.map(|t| t + self.tolerances.max_silence)),
         ];
         for (check, at) in due {
-            // What is past was looked at and let pass; it comes again when it moves on.
+            // A time in the past has already been checked; the check is scheduled again after further traffic.
             if let Some(at) = at.filter(|at| *at > now) {
                 self.table.schedule(at, id, check);
             }
@@ -287,11 +290,14 @@
 
     fn on_request(&mut self, now: Micros, by: BalancerId, ask: &RequestLine, left: Micros) {
         let mut conn = Conn::new(by, Request::new(now + left, ask.home.is_some()));
-        conn.trace.note(now, What::Asked { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) });
+        conn.trace.push(
+            now,
+            TraceEvent::ClientRequest { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) },
+        );
         self.verdict.counts.taken += u64::from(self.table.open(ask.conn, conn));
     }
 
-    /// An attempt begins; `first` is when its first byte was seen.
+    /// An attempt was sent; its first byte was read at `first`.
     fn on_attempt(
         &mut self,
         now: Micros,
@@ -302,43 +308,48 @@
         id: ConnId,
     ) {
         let tolerances = &self.tolerances;
-        let off = self.notified_lists.unavailable_since(first, by, node, tolerances);
-        let named = self.notified_lists.has_listed(by, node);
-        let of_node = self.nodes.node_mut(node);
-        let knew = of_node
+        let unavailable_since = self.notified_lists.unavailable_since(first, by, node, tolerances);
+        let was_listed = self.notified_lists.has_listed(by, node);
+        let node_state = self.nodes.node_mut(node);
+        let knew = node_state
             .started
             .is_some_and(|at| self.notified_lists.knows_of_start(first, by, node, at, tolerances));
         let mut case = Case { reason: Reason::SentAfterEnd, at: now, by, conn: Some(id), node: Some(node) };
         let Some(conn) = self.table.conn(id).filter(|c| c.by == by) else {
-            return self.verdict.record(case, String::from("nobody waits under this id"), Vec::new);
+            return self.verdict.record(case, String::from("no request is known under this id"), Vec::new);
         };
-        conn.trace.note(now, What::Linked(node));
-        // A dead balancer's last words are read late; it is judged no more.
-        if let Some(told) =
-            off.filter(|told| first > told + tolerances.drain_grace && !conn.is_closed_to_findings)
+        conn.trace.push(now, TraceEvent::LinkStarted(node));
+        // Data that a dead balancer sent may be read late; it gives no findings.
+        if let Some(notified_at) =
+            unavailable_since.filter(|at| first > at + tolerances.drain_grace && !conn.is_closed_to_findings)
         {
             case.reason = Reason::SentToDraining;
-            let detail = format!("{} after it was told at {}", secs(first - told), secs(told));
-            self.verdict.record(case, detail, || together([&conn.trace, &of_node.trace]));
-        } else if !(named || conn.is_closed_to_findings || conn.request.is_carried_over) {
+            let detail = format!(
+                "{} after it was notified at {}",
+                format_seconds(first - notified_at),
+                format_seconds(notified_at)
+            );
+            self.verdict.record(case, detail, || merge_traces([&conn.trace, &node_state.trace]));
+        } else if !(was_listed || conn.is_closed_to_findings || conn.request.is_carried_over) {
             case.reason = Reason::Unlisted;
-            self.verdict.record(case, String::from("in its present life"), || together([&conn.trace]));
+            self.verdict
+                .record(case, String::from("since its process started"), || merge_traces([&conn.trace]));
         }
         self.verdict.counts.attempts += 1;
-        let over = conn.is_over(now, tolerances.propagation_delay);
-        let many = conn.request.count_attempt(now, tolerances);
-        let second = conn.request.begin_attempt(now, link);
-        let finding = if over {
+        let is_over = conn.is_over(now, tolerances.propagation_delay);
+        let too_many = conn.request.count_attempt(now, tolerances);
+        let overlaps = conn.request.begin_attempt(now, link);
+        let finding = if is_over {
             Some(Finding::RuleViolation(Reason::SentAfterEnd, now, format!("to node {}", node.0)))
-        } else if second && tolerances.allowed_overlap == 0 {
+        } else if overlaps && tolerances.allowed_overlap == 0 {
             conn.request.check_duplicate(link, now)
         } else {
-            many
+            too_many
         };
-        self.table.link(by, link, Link::new(id, node, knew));
+        self.table.add_link(by, link, Link::new(id, node, knew));
         match finding {
             Some(finding) => self.record_finding(id, finding),
-            None if second => self.table.schedule(
+            None if overlaps => self.table.schedule(
                 now + self.tolerances.allowed_overlap,
                 id,
                 Check::DuplicateAttempt(link, now),
@@ -347,6 +358,7 @@
         }
     }
 
+    /// Whether the balancer knew of the node's start when it sent the attempt on this link.
     fn knew_of_start(&mut self, now: Micros, by: BalancerId, link: LinkId, node: NodeId) -> bool {
         match (self.table.link_of(by, link), self.nodes.node_mut(node).started) {
             (Some(link), _) => link.knew_of_start,
@@ -357,7 +369,7 @@
         }
     }
 
-    /// It stood when the run began.
+    /// A connection was established before the run began.
     fn on_already_established(
         &mut self,
         now: Micros,
@@ -369,22 +381,22 @@
         let mut conn = Conn::new(by, Request::new(now, true));
         conn.request.mark_established(now, link);
         conn.established = Some(EstablishedConnection::new(link, node));
-        conn.trace.note(now, What::Stands(node));
+        conn.trace.push(now, TraceEvent::AlreadyEstablished(node));
         if self.table.open(id, conn) {
-            self.table.link(by, link, Link { up: true, ..Link::new(id, node, false) });
+            self.table.add_link(by, link, Link { up: true, ..Link::new(id, node, false) });
         }
     }
 
-    /// Its machine never took the connection.
+    /// The balancer's machine never accepted the connection.
     fn on_connection_refused(&mut self, now: Micros, id: ConnId) {
         if self.table.conn(id).is_some_and(|c| c.is_awaiting_answer()) {
             self.verdict.counts.taken -= 1;
-            self.close_without_judgement(now, id);
+            self.close_without_check(now, id);
         }
     }
 
     fn on_answer(&mut self, now: Micros, by: BalancerId, id: ConnId, answer: Answer) {
-        let made = match answer {
+        let answered_link = match answer {
             Answer::Up(link) => self.table.link_of(by, link).filter(|l| l.conn == id && l.up).cloned(),
             _ => None,
         };
@@ -395,26 +407,26 @@
             }
             return;
         };
-        conn.trace.note(now, What::answered(answer));
+        conn.trace.push(now, TraceEvent::answered(answer));
         if conn.is_misbehaving {
             if let Answer::Up(_) | Answer::Forged = answer {
                 self.record_finding(id, Finding::RuleViolation(Reason::ServedBad, now, String::new()));
             }
             return;
         }
-        if let (Some(standing), Answer::Move) = (conn.established.as_mut(), answer) {
-            self.verdict.counts.moves += u64::from(!standing.migrated);
-            standing.migrated = true;
+        if let (Some(established), Answer::Move) = (conn.established.as_mut(), answer) {
+            self.verdict.counts.moves += u64::from(!established.migrated);
+            established.migrated = true;
             return self.table.schedule_forget(now, id);
         }
-        // It crossed with the client's end.
+        // The answer was sent before the balancer could learn that the client had closed the connection.
         if conn.client_closed.is_some() && conn.request.answered_at.is_none() {
             return;
         }
-        let finding = match (answer, &made) {
+        let finding = match (answer, &answered_link) {
             (Answer::Up(_) | Answer::Forged, None) => {
                 conn.request.answered_at = conn.request.answered_at.or(Some(now));
-                Some(Finding::RuleViolation(Reason::Forged, now, String::from("no node said UP for it")))
+                Some(Finding::RuleViolation(Reason::Forged, now, String::from("no node sent UP for it")))
             }
             _ => conn.request.on_answer(now, &self.tolerances),
         };
@@ -423,19 +435,19 @@
             Answer::Busy(_) => self.verdict.counts.busy += 1,
             Answer::Err | Answer::Move | Answer::Other => self.verdict.counts.failed += 1,
         }
-        if let (Answer::Up(link), Some(made), None) = (answer, made, &conn.established) {
-            let mut standing = EstablishedConnection::new(link, made.node);
-            (standing.closed_by_node, standing.closed_by_balancer) =
-                (made.closed_by_node, made.closed_by_balancer);
-            let (node_ended, severed) = (standing.closed_by_node, standing.closed_by_balancer);
-            conn.established = Some(standing);
-            let held = self.tolerances.max_line_hold;
-            node_ended
+        if let (Answer::Up(link), Some(answered_link), None) = (answer, answered_link, &conn.established) {
+            let mut established = EstablishedConnection::new(link, answered_link.node);
+            (established.closed_by_node, established.closed_by_balancer) =
+                (answered_link.closed_by_node, answered_link.closed_by_balancer);
+            let (by_node, by_balancer) = (established.closed_by_node, established.closed_by_balancer);
+            conn.established = Some(established);
+            let max_hold = self.tolerances.max_line_hold;
+            by_node
                 .into_iter()
-                .for_each(|t| self.table.schedule(t.max(now) + held, id, Check::ClosedByNode));
-            severed
+                .for_each(|t| self.table.schedule(t.max(now) + max_hold, id, Check::ClosedByNode));
+            by_balancer
                 .into_iter()
-                .for_each(|t| self.table.schedule(t.max(now) + held, id, Check::ClosedByBalancer));
+                .for_each(|t| self.table.schedule(t.max(now) + max_hold, id, Check::ClosedByBalancer));
             self.schedule_progress_checks(now, id);
         } else if conn.established.is_none() {
             self.table.schedule_forget(now, id);
@@ -445,42 +457,42 @@
         }
     }
 
-    fn on_node_message(&mut self, now: Micros, by: BalancerId, id: LinkId, word: NodeMessage) {
+    fn on_node_message(&mut self, now: Micros, by: BalancerId, id: LinkId, message: NodeMessage) {
         let Some((link, conn)) = self.table.link_and_conn(by, id) else { return };
-        let of = link.conn;
-        match word {
+        let conn_id = link.conn;
+        match message {
             NodeMessage::Up => link.up = true,
             NodeMessage::Busy | NodeMessage::Err | NodeMessage::Move | NodeMessage::Bye => {
                 conn.request.end_attempt(id);
             }
-            // Nonsense in place of an answer ends the attempt, too.
+            // An invalid line in place of an answer ends the attempt, too.
             NodeMessage::Junk if !link.up => conn.request.end_attempt(id),
             NodeMessage::Load(_)
             | NodeMessage::Delay(_)
             | NodeMessage::Reply
             | NodeMessage::Pong
             | NodeMessage::Junk => {
-                // Lines of a standing connection: they would crowd out what tells.
-                if self.tolerances.lines {
-                    conn.to_client.enter(now);
-                } else if let Some(standing) = &mut conn.established {
-                    standing.silent_since = None;
+                // Lines of an established connection are not traced: they would displace the events that matter.
+                if self.tolerances.observes_lines {
+                    conn.to_client.on_sent(now);
+                } else if let Some(established) = &mut conn.established {
+                    established.silent_since = None;
                 }
-                return self.schedule_progress_checks(now, of);
+                return self.schedule_progress_checks(now, conn_id);
             }
         }
-        conn.trace.note(now, What::node_message(link.node, word));
+        conn.trace.push(now, TraceEvent::node_message(link.node, message));
     }
 
     fn on_node_closed(&mut self, now: Micros, by: BalancerId, id: LinkId, end: End) {
         let Some((link, conn)) = self.table.link_and_conn(by, id) else { return };
         link.closed_by_node = link.closed_by_node.or(Some(now));
         conn.request.end_attempt(id);
-        conn.trace.note(now, What::NodeEnded(link.node, end));
-        let of = link.conn;
-        if let Some(standing) = conn.established.as_mut().filter(|s| s.link == id && s.is_carrying()) {
-            standing.closed_by_node = Some(now);
-            self.table.schedule(now + self.tolerances.max_line_hold, of, Check::ClosedByNode);
+        conn.trace.push(now, TraceEvent::LinkClosedByNode(link.node, end));
+        let conn_id = link.conn;
+        if let Some(established) = conn.established.as_mut().filter(|s| s.link == id && s.is_carrying()) {
+            established.closed_by_node = Some(now);
+            self.table.schedule(now + self.tolerances.max_line_hold, conn_id, Check::ClosedByNode);
         }
     }
 
@@ -488,28 +500,30 @@
         let Some((link, conn)) = self.table.link_and_conn(by, id) else { return };
         link.closed_by_balancer = link.closed_by_balancer.or(Some(now));
         conn.request.end_attempt(id);
-        conn.trace.note(now, What::LinkEnded(link.node, end));
-        let of = link.conn;
-        if let Some(standing) = conn.established.as_mut().filter(|s| s.link == id && s.is_carrying()) {
-            standing.closed_by_balancer = standing.closed_by_balancer.or(Some(now));
-            self.table.schedule(now + self.tolerances.max_line_hold, of, Check::ClosedByBalancer);
+        conn.trace.push(now, TraceEvent::LinkClosedByBalancer(link.node, end));
+        let conn_id = link.conn;
+        if let Some(established) = conn.established.as_mut().filter(|s| s.link == id && s.is_carrying()) {
+            established.closed_by_balancer = established.closed_by_balancer.or(Some(now));
+            self.table.schedule(now + self.tolerances.max_line_hold, conn_id, Check::ClosedByBalancer);
         }
     }
 
     // Connections.
 
-    /// It was no part of its process's end, or of one that makes no difference.
+    /// Records a connection's deferred finding, as its close was not part of the exit of its process, or as the exit
+    /// does not excuse it.
     fn confirm_deferred_finding(&mut self, id: ConnId) {
         if let Some(finding) = self.table.conn(id).and_then(|c| c.deferred_finding.take()) {
             self.record_finding(id, *finding);
         }
     }
 
-    /// Nothing is left of a process: what its connections still show was on its way.
-    fn close_without_judgement(&mut self, now: Micros, id: ConnId) {
+    /// Ends a connection without a finding and ignores later ones: its balancer is gone or never accepted it, so what
+    /// is still observed was in transit.
+    fn close_without_check(&mut self, now: Micros, id: ConnId) {
         if let Some(conn) = self.table.conn(id) {
             conn.is_closed_to_findings = true;
-            conn.client_cut_off = conn.client_cut_off.or(Some(now));
+            conn.closed_by_balancer = conn.closed_by_balancer.or(Some(now));
             self.table.schedule_forget(now, id);
         }
     }
--- a/crates/emulator/src/audit/auditor/connections.rs
+++ b/crates/emulator/src/audit/auditor/connections.rs
@@ -1,10 +1,10 @@
-//! What the auditor makes of established connections: lines, closes, and processes that end.
+//! The parts of the auditor for lines, closed connections and processes that exit.
 
 use super::Auditor;
 use crate::audit::Direction;
-use crate::audit::request::Over;
+use crate::audit::request::RequestEnd;
 use crate::audit::table::Check;
-use crate::audit::trace::What;
+use crate::audit::trace::TraceEvent;
 use crate::audit::verdict::{Case, Exemption, Reason};
 use crate::edge::{BalancerId, ConnId, End};
 use shorewharf_units::Micros;
@@ -12,22 +12,22 @@
 impl Auditor {
     pub(super) fn on_client_line(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.table.conn(id) else { return };
-        let Some(standing) = conn.established.as_mut().filter(|s| s.is_carrying()) else { return };
-        standing.silent_since = standing.silent_since.or(Some(now));
-        if self.tolerances.lines {
-            conn.to_node.enter(now);
+        let Some(established) = conn.established.as_mut().filter(|s| s.is_carrying()) else { return };
+        established.silent_since = established.silent_since.or(Some(now));
+        if self.tolerances.observes_lines {
+            conn.to_node.on_sent(now);
         }
         self.schedule_progress_checks(now, id);
     }
 
-    pub(super) fn on_line_delivered(&mut self, now: Micros, id: ConnId, way: Direction) {
+    pub(super) fn on_line_delivered(&mut self, now: Micros, id: ConnId, direction: Direction) {
         let Some(conn) = self.table.conn(id) else { return };
-        match way {
-            Direction::ToNode => conn.to_node.leave(now),
+        match direction {
+            Direction::ToNode => conn.to_node.on_delivered(now),
             Direction::ToClient => {
-                conn.to_client.leave(now);
-                if let Some(standing) = &mut conn.established {
-                    standing.silent_since = None;
+                conn.to_client.on_delivered(now);
+                if let Some(established) = &mut conn.established {
+                    established.silent_since = None;
                 }
             }
         }
@@ -35,12 +35,12 @@
     }
 
     pub(super) fn on_client_closed(&mut self, now: Micros, id: ConnId, end: End) {
-        self.check_unanswered(now, id, Over::ClientLeft);
+        self.check_unanswered(now, id, RequestEnd::ClientLeft);
         let Some(conn) = self.table.conn(id) else { return };
-        conn.trace.note(now, What::ClientEnded(end));
+        conn.trace.push(now, TraceEvent::ClosedByClient(end));
         conn.client_closed = conn.client_closed.or(Some(now));
-        if let Some(standing) = &mut conn.established {
-            standing.client_closed = true;
+        if let Some(established) = &mut conn.established {
+            established.client_closed = true;
         }
         self.table.schedule_forget(now, id);
     }
@@ -50,68 +50,74 @@
             return;
         }
         if let Some(conn) = self.table.conn(id) {
-            conn.trace.note(now, What::ClientCut(end));
+            conn.trace.push(now, TraceEvent::ClientClosedByBalancer(end));
         }
-        self.client_cut_off(now, id);
+        self.on_disconnected(now, id);
         self.table.schedule_forget(now, id);
     }
 
-    /// The balancer ends a client's connection, itself or with its process.
-    pub(super) fn client_cut_off(&mut self, now: Micros, id: ConnId) {
+    /// A client's connection was closed by its balancer, or by the system when the balancer's process exited.
+    pub(super) fn on_disconnected(&mut self, now: Micros, id: ConnId) {
         let Some(by) = self.table.conn(id).map(|c| c.by) else { return };
-        let planned = *self.terminating_mut(by);
+        let is_planned = *self.terminating_mut(by);
         let Some(conn) = self.table.conn(id) else { return };
-        let waits = conn.is_awaiting_answer() && !conn.is_misbehaving;
+        let is_waiting = conn.is_awaiting_answer() && !conn.is_misbehaving;
         let finding = match &mut conn.established {
-            Some(standing) => {
-                let finding = standing.check_cut_off(
+            Some(established) => {
+                let finding = established.check_disconnect(
                     now,
-                    self.nodes.node_mut(standing.node),
-                    planned,
+                    self.nodes.node_mut(established.node),
+                    is_planned,
                     &self.tolerances,
                 );
-                standing.client_cut_off = true;
+                established.closed_to_client = true;
                 finding
             }
-            None if waits => conn.request.on_over(now, Over::Cut, &self.tolerances),
+            None if is_waiting => {
+                conn.request.check_unanswered(now, RequestEnd::ClosedByBalancer, &self.tolerances)
+            }
             None => None,
         };
-        conn.client_cut_off = conn.client_cut_off.or(Some(now));
+        conn.closed_by_balancer = conn.closed_by_balancer.or(Some(now));
         conn.deferred_finding = finding.map(Box::new).or(conn.deferred_finding.take());
         match self.tolerances.process_exit_time {
             0 => self.confirm_deferred_finding(id),
-            while_in_doubt => self.table.schedule(now + while_in_doubt, id, Check::DeferredFinding),
+            exit_time => self.table.schedule(now + exit_time, id, Check::DeferredFinding),
         }
     }
 
     pub(super) fn on_killed(&mut self, now: Micros, by: BalancerId) {
-        let planned = std::mem::take(self.terminating_mut(by));
+        let is_planned = std::mem::take(self.terminating_mut(by));
         for id in self.table.ids(Some(by)) {
             self.confirm_deferred_finding(id);
-            self.check_unanswered(now, id, if planned { Over::PlannedKill } else { Over::Killed });
-            let held =
+            self.check_unanswered(
+                now,
+                id,
+                if is_planned { RequestEnd::PlannedKill } else { RequestEnd::Killed },
+            );
+            let finding =
                 self.table.conn(id).and_then(|c| c.established.as_ref()).and_then(|s| s.check_at_kill(now));
-            match held {
-                Some(finding) if planned => self.record_finding(id, finding),
+            match finding {
+                Some(finding) if is_planned => self.record_finding(id, finding),
                 Some(_) => self.verdict.exempt(Exemption::Killed),
                 None => {}
             }
-            self.close_without_judgement(now, id);
+            self.close_without_check(now, id);
         }
     }
 
     pub(super) fn on_exited(&mut self, now: Micros, by: BalancerId) {
-        let planned = *self.terminating_mut(by);
-        if !planned {
+        let is_planned = *self.terminating_mut(by);
+        if !is_planned {
             let case = Case { reason: Reason::Exited, at: now, by, conn: None, node: None };
-            self.verdict.record(case, String::from("without SIGTERM"), Vec::new);
+            self.verdict.record(case, String::from("without a SIGTERM"), Vec::new);
         }
         for id in self.table.ids(Some(by)) {
-            if planned {
-                self.client_cut_off(now, id);
+            if is_planned {
+                self.on_disconnected(now, id);
                 self.confirm_deferred_finding(id);
             }
-            self.close_without_judgement(now, id);
+            self.close_without_check(now, id);
         }
     }
 }
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -1,133 +1,136 @@
-//! Who was told what of the list, and who counts as told.
+//! What each balancer was notified of from the endpoint list, and what it counts as notified of.
 //!
-//! A balancer is told once discovery has written it to the balancer. Beside that it counts as told: without a watch and
-//! without asking for `ask_within` (four times as long after a failed call) it counts as told of what was listed that
-//! long ago; and on sockets of whatever was listed some seconds ago, whether it arrived or not. A new process has been
-//! told nothing yet: the list that it starts from names nodes, but it may be old and is no news of an end.
+//! A balancer is notified once the discovery service has written a change to it. It also counts as notified of a change
+//! that was listed long enough ago: without a watch, if it has not asked for the list for `poll_within` (four times as
+//! long after a failed call); and on sockets after a few seconds in any case, whether the change arrived or not. A new
+//! process has been notified of nothing: the list that it starts with names nodes, but may be old, so it says nothing
+//! about nodes that are draining or gone.
 
 use super::tolerances::AuditTolerances;
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
 use shorewharf_units::Micros;
 
-/// After a failed call a balancer may keep from asking for so many times as long.
+/// By how many times a balancer may extend its interval between calls after a failed one.
 const FAILED_POLL_FACTOR: Micros = 4;
-/// Start times in the list are whole milliseconds.
+/// Rounding of the start times in the list, which are whole milliseconds.
 const START_TIME_ROUNDING: Micros = 1_000;
 
-/// What one balancer was told of one node.
+/// What one balancer was notified of about one node.
 #[derive(Clone, Copy, Debug, Default)]
 struct NodeNotice {
-    /// Its list has named it.
-    named: bool,
-    /// Told that it drains or is gone, and not since that it is ready.
+    /// The balancer's list has had the node.
+    was_listed: bool,
+    /// When the balancer was notified that the node is draining or gone; none once it is listed as ready again.
     unavailable_since: Option<Micros>,
-    /// The latest start that it was told of.
+    /// The latest start of the node that the balancer was notified of.
     start_time: Option<Micros>,
 }
 
-/// What one balancer has heard, and how it listens.
+/// What one balancer was notified of, and how it follows the list.
 #[derive(Clone, Debug, Default)]
 struct BalancerView {
+    /// When its process started.
     started: Micros,
     is_watching: bool,
-    /// When it last asked, or its watch ended.
+    /// When it last asked for the list, received it, or lost its watch.
     last_polled: Micros,
-    /// The last call failed.
+    /// Whether its last call failed.
     last_poll_failed: bool,
+    /// When it was last sent SIGHUP.
     reloaded: Option<Micros>,
+    /// By node.
     notices: Vec<NodeNotice>,
 }
 
 impl BalancerView {
     fn notice_mut(&mut self, node: NodeId) -> &mut NodeNotice {
-        let place = node.0 as usize;
-        if self.notices.len() <= place {
-            self.notices.resize(place + 1, NodeNotice::default());
-        }
-        &mut self.notices[place]
+        entry_mut(&mut self.notices, node.0)
     }
 }
 
-/// What discovery lists of a node.
+/// The discovery service's own state of a node.
 #[derive(Clone, Copy, Debug, Default)]
 struct Listing {
-    /// Draining or gone since then.
+    /// Since when it has been listed as draining or gone.
     unavailable_since: Option<Micros>,
-    /// The last start, and when it was listed.
+    /// Its last start, and when that was listed.
     start_time: Option<(Micros, Micros)>,
 }
 
-/// The list, and what each balancer was told of it.
+/// The endpoint list, and what each balancer was notified of.
 #[derive(Debug, Default)]
 pub(super) struct NotifiedLists {
+    /// By balancer.
     balancers: Vec<BalancerView>,
+    /// By node.
     listings: Vec<Listing>,
 }
 
-fn at<T: Default + Clone>(table: &mut Vec<T>, place: u32) -> &mut T {
-    let place = place as usize;
-    if table.len() <= place {
-        table.resize(place + 1, T::default());
+/// The entry at an index; the vector grows as needed.
+fn entry_mut<T: Default + Clone>(entries: &mut Vec<T>, index: u32) -> &mut T {
+    let index = index as usize;
+    if entries.len() <= index {
+        entries.resize(index + 1, T::default());
     }
-    &mut table[place]
+    &mut entries[index]
 }
 
 impl NotifiedLists {
     pub fn on_start(&mut self, now: Micros, by: BalancerId, known: &[Listed]) {
-        let hearing = at(&mut self.balancers, by.0);
-        *hearing = BalancerView { started: now, last_polled: now, ..BalancerView::default() };
+        let view = entry_mut(&mut self.balancers, by.0);
+        *view = BalancerView { started: now, last_polled: now, ..BalancerView::default() };
         for entry in known {
-            let word = hearing.notice_mut(entry.node);
-            word.named = true;
-            word.start_time = entry.born;
+            let notice = view.notice_mut(entry.node);
+            notice.was_listed = true;
+            notice.start_time = entry.born;
         }
     }
 
     pub fn on_watch(&mut self, now: Micros, by: BalancerId) {
-        let hearing = at(&mut self.balancers, by.0);
-        (hearing.is_watching, hearing.last_polled) = (true, now);
+        let view = entry_mut(&mut self.balancers, by.0);
+        (view.is_watching, view.last_polled) = (true, now);
     }
 
     pub fn on_unwatch(&mut self, now: Micros, by: BalancerId) {
-        let hearing = at(&mut self.balancers, by.0);
-        (hearing.is_watching, hearing.last_polled) = (false, now);
+        let view = entry_mut(&mut self.balancers, by.0);
+        (view.is_watching, view.last_polled) = (false, now);
     }
 
     pub fn on_poll_failed(&mut self, now: Micros, by: BalancerId) {
-        let hearing = at(&mut self.balancers, by.0);
-        (hearing.is_watching, hearing.last_poll_failed, hearing.last_polled) = (false, true, now);
+        let view = entry_mut(&mut self.balancers, by.0);
+        (view.is_watching, view.last_poll_failed, view.last_polled) = (false, true, now);
     }
 
     pub fn on_reload(&mut self, now: Micros, by: BalancerId) {
-        at(&mut self.balancers, by.0).reloaded = Some(now);
+        entry_mut(&mut self.balancers, by.0).reloaded = Some(now);
     }
 
-    /// Discovery has written news to a balancer.
+    /// The discovery service has written a list, or changes to it, to a balancer.
     pub fn on_endpoint_list(&mut self, now: Micros, by: BalancerId, full: bool, entries: &[Listed]) {
-        let hearing = at(&mut self.balancers, by.0);
-        (hearing.last_poll_failed, hearing.last_polled) = (false, now);
+        let view = entry_mut(&mut self.balancers, by.0);
+        (view.last_poll_failed, view.last_polled) = (false, now);
         for entry in entries {
-            let word = hearing.notice_mut(entry.node);
-            word.named = true;
-            word.start_time = word.start_time.max(entry.born);
-            word.unavailable_since =
-                if entry.stage == Stage::Ready { None } else { word.unavailable_since.or(Some(now)) };
+            let notice = view.notice_mut(entry.node);
+            notice.was_listed = true;
+            notice.start_time = notice.start_time.max(entry.born);
+            notice.unavailable_since =
+                if entry.stage == Stage::Ready { None } else { notice.unavailable_since.or(Some(now)) };
         }
         if !full {
             return;
         }
-        let mut listed = vec![false; hearing.notices.len()];
+        let mut listed = vec![false; view.notices.len()];
         entries.iter().for_each(|e| listed[e.node.0 as usize] = true);
-        for (place, word) in hearing.notices.iter_mut().enumerate() {
-            if word.named && !listed[place] && word.unavailable_since.is_none() {
-                word.unavailable_since = Some(now);
+        for (index, notice) in view.notices.iter_mut().enumerate() {
+            if notice.was_listed && !listed[index] && notice.unavailable_since.is_none() {
+                notice.unavailable_since = Some(now);
             }
         }
     }
 
-    /// Discovery lists a node so from now on.
+    /// The discovery service's own state of a node changes.
     pub fn on_listed(&mut self, now: Micros, entry: Listed) {
-        let listing = at(&mut self.listings, entry.node.0);
+        let listing = entry_mut(&mut self.listings, entry.node.0);
         listing.unavailable_since =
             if entry.stage == Stage::Ready { None } else { listing.unavailable_since.or(Some(now)) };
         if entry.born > listing.start_time.map(|(born, _)| born) {
@@ -135,17 +138,19 @@
         }
     }
 
-    /// Its list has named the node in this life.
+    /// Whether the balancer's list has had the node since its process started.
     pub fn has_listed(&self, by: BalancerId, node: NodeId) -> bool {
-        self.notice(by, node).named
+        self.notice(by, node).was_listed
     }
 
     fn notice(&self, by: BalancerId, node: NodeId) -> NodeNotice {
-        let words = self.balancers.get(by.0 as usize).map(|h| h.notices.as_slice()).unwrap_or_default();
-        words.get(node.0 as usize).copied().unwrap_or_default()
+        let notices =
+            self.balancers.get(by.0 as usize).map(|view| view.notices.as_slice()).unwrap_or_default();
+        notices.get(node.0 as usize).copied().unwrap_or_default()
     }
 
-    /// When a balancer counts as told of what was listed then, were it never written to it; none while it needn't.
+    /// When a balancer counts as notified of a change that was listed at `listed`, even if the change was never written
+    /// to it; none if that time has not come.
     fn presumed_notified_at(
         &self,
         now: Micros,
@@ -153,20 +158,20 @@
         listed: Micros,
         tolerances: &AuditTolerances,
     ) -> Option<Micros> {
-        let hearing = self.balancers.get(by.0 as usize)?;
-        let wait = tolerances.poll_within * if hearing.last_poll_failed { FAILED_POLL_FACTOR } else { 1 };
-        let neglect = (!hearing.is_watching && now.saturating_sub(hearing.last_polled) >= wait)
-            .then(|| listed.max(hearing.last_polled) + wait);
-        let anyhow = tolerances.notified_after.map(|after| listed.max(hearing.started) + after);
-        let reload = hearing.reloaded.filter(|at| *at >= listed).zip(tolerances.notified_after_reload);
-        [neglect, anyhow, reload.map(|(at, after)| at + after)]
+        let view = self.balancers.get(by.0 as usize)?;
+        let wait = tolerances.poll_within * if view.last_poll_failed { FAILED_POLL_FACTOR } else { 1 };
+        let by_polling = (!view.is_watching && now.saturating_sub(view.last_polled) >= wait)
+            .then(|| listed.max(view.last_polled) + wait);
+        let in_any_case = tolerances.notified_after.map(|after| listed.max(view.started) + after);
+        let by_reload = view.reloaded.filter(|at| *at >= listed).zip(tolerances.notified_after_reload);
+        [by_polling, in_any_case, by_reload.map(|(at, after)| at + after)]
             .into_iter()
             .flatten()
             .min()
             .filter(|t| *t <= now)
     }
 
-    /// Since when a balancer was told, or counts as told, that a node drains or is gone.
+    /// Since when a balancer has been, or counts as, notified that a node is draining or gone.
     pub fn unavailable_since(
         &self,
         now: Micros,
@@ -175,11 +180,11 @@
         tolerances: &AuditTolerances,
     ) -> Option<Micros> {
         let listed = self.listings.get(node.0 as usize).and_then(|l| l.unavailable_since);
-        let counts = listed.and_then(|listed| self.presumed_notified_at(now, by, listed, tolerances));
-        [self.notice(by, node).unavailable_since, counts].into_iter().flatten().min()
+        let presumed = listed.and_then(|listed| self.presumed_notified_at(now, by, listed, tolerances));
+        [self.notice(by, node).unavailable_since, presumed].into_iter().flatten().min()
     }
 
-    /// Whether a balancer knows, or counts as knowing, that the node's process started then.
+    /// Whether a balancer has been, or counts as, notified that the node's process started at `started`.
     pub fn knows_of_start(
         &self,
         now: Micros,
@@ -188,12 +193,12 @@
         started: Micros,
         tolerances: &AuditTolerances,
     ) -> bool {
-        let is_it = |born: Micros| born + START_TIME_ROUNDING > started;
-        if self.notice(by, node).start_time.is_some_and(is_it) {
+        let is_same = |born: Micros| born + START_TIME_ROUNDING > started;
+        if self.notice(by, node).start_time.is_some_and(is_same) {
             return true;
         }
         let listed =
-            self.listings.get(node.0 as usize).and_then(|l| l.start_time).filter(|(born, _)| is_it(*born));
+            self.listings.get(node.0 as usize).and_then(|l| l.start_time).filter(|(born, _)| is_same(*born));
         listed.is_some_and(|(_, listed)| self.presumed_notified_at(now, by, listed, tolerances).is_some())
     }
 }
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -1,59 +1,64 @@
-//! The true state of the nodes, as far as the rules need it: which ones are responsive, and the load sent to warming ones.
+//! The true state of the nodes as far as the rules need it: whether they are responsive, and the work sent to cold
+//! ones.
 
 use shorewharf_units::Micros;
 use std::collections::VecDeque;
 
 use super::Health;
 use super::tolerances::AuditTolerances;
-use super::trace::{Ring, What};
+use super::trace::{Trace, TraceEvent};
 use crate::edge::{BalancerId, NodeId};
 
-/// Slack of the budget for chance, in square roots of the budget.
-const SLACK_ROOTS: f64 = 3.0;
+/// Slack of the budget for random variation, in square roots of the budget.
+const SLACK_SQUARE_ROOTS: f64 = 3.0;
 /// Further slack of the budget, in attempts.
 const SLACK_ATTEMPTS: f64 = 3.0;
-/// A break when this part of a node's load came from balancers that knew of its start.
+/// An overload is a violation if at least this part of the load came from balancers that knew of the node's start.
 const ATTRIBUTABLE_RATIO: f64 = 2.0 / 3.0;
 
-/// What a cold node was sent.
+/// An attempt that arrived at a cold node.
 #[derive(Clone, Copy, Debug)]
-struct Load {
+struct ColdAttempt {
     at: Micros,
     by: BalancerId,
+    /// The work that it costs, in the node's own unit.
     weight: f64,
+    /// The same if the balancer knew of the node's start, otherwise 0.
     known_weight: f64,
 }
 
-/// One node.
+/// What was observed of one node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ObservedNode {
     health: Option<Health>,
-    /// Since when it answers again after it was silent or cut off.
+    /// When it last answered again after it was silent or cut off, in its present life.
     responsive_since: Option<Micros>,
-    /// When its present process started; none for before the day.
+    /// When its present process started; none if that was before the day.
     pub started: Option<Micros>,
-    /// It was pushed over in this life, and judged.
+    /// It was overloaded since its last start, and that was reported.
     is_overloaded: bool,
-    window: VecDeque<Load>,
-    pub trace: Ring,
+    /// Attempts that arrived within the overload window while the node was cold.
+    window: VecDeque<ColdAttempt>,
+    pub trace: Trace,
 }
 
-/// A cold node that was sent too much.
+/// The overload of a cold node.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Overload {
-    /// What it was sent within the window, and what it could have borne, in its own unit.
+    /// The work sent to it within the window, in the node's own unit.
     pub sent: f64,
+    /// The work that it could have done within the window, with slack.
     pub budget: f64,
-    /// The part that came from balancers that knew.
+    /// The part of `sent` that came from balancers that knew of the node's start.
     pub known_weight: f64,
-    /// Who sent the most.
+    /// The balancer that sent the most.
     pub by: BalancerId,
-    /// What each sent, by balancer.
+    /// What each balancer sent, the largest part first.
     pub shares: Vec<(BalancerId, f64)>,
 }
 
 impl Overload {
-    /// Whether the balancers are to blame.
+    /// Whether enough of the work came from balancers that knew of the node's start for the overload to be a violation.
     pub fn is_attributable(&self) -> bool {
         self.known_weight >= ATTRIBUTABLE_RATIO * self.sent
     }
@@ -61,7 +66,7 @@
 
 impl ObservedNode {
     fn set_health(&mut self, now: Micros, health: Health) {
-        self.trace.note(now, What::Is(health));
+        self.trace.push(now, TraceEvent::NodeHealth(health));
         match health {
             Health::Started => {
                 (self.started, self.responsive_since, self.is_overloaded) = (Some(now), None, false);
@@ -77,17 +82,18 @@
         !matches!(self.health, Some(Health::Silent | Health::CutOff | Health::Down))
     }
 
-    /// It answers and has done so for at least this long, or since its start.
+    /// Whether it answers and has done so for at least `long`, or since its start.
     pub fn is_responsive_for(&self, now: Micros, long: Micros) -> bool {
         self.is_responsive() && self.responsive_since.is_none_or(|since| now.saturating_sub(since) >= long)
     }
 
-    /// Its process runs and can be reached, whether it answers or not.
+    /// Whether its process runs and can be reached, even if it does not answer.
     pub fn is_reachable(&self) -> bool {
         !matches!(self.health, Some(Health::CutOff | Health::Down))
     }
 
-    /// An attempt of this weight has come while it could do `able` a second. Tells if that was too much, once a life.
+    /// Adds an attempt of this weight, which arrived while the node could do `able` per second. Returns the overload,
+    /// at most once per start of the node.
     fn on_attempt(
         &mut self,
         now: Micros,
@@ -100,17 +106,22 @@
         if self.is_overloaded {
             return None;
         }
-        self.window.push_back(Load { at: now, by, weight, known_weight: if knew { weight } else { 0.0 } });
-        while self.window.front().is_some_and(|l| l.at + tolerances.fall_for < now) {
+        self.window.push_back(ColdAttempt {
+            at: now,
+            by,
+            weight,
+            known_weight: if knew { weight } else { 0.0 },
+        });
+        while self.window.front().is_some_and(|l| l.at + tolerances.overload_window < now) {
             self.window.pop_front();
         }
         let sent: f64 = self.window.iter().map(|l| l.weight).sum();
-        let bears = tolerances.fall_multiple * able * tolerances.fall_for as f64 / 1e6;
-        let budget = bears + SLACK_ROOTS * bears.sqrt() + SLACK_ATTEMPTS;
+        let capacity = tolerances.overload_multiple * able * tolerances.overload_window as f64 / 1e6;
+        let budget = capacity + SLACK_SQUARE_ROOTS * capacity.sqrt() + SLACK_ATTEMPTS;
         if sent < budget {
             return None;
         }
-        // What is kept is bounded by the budget: nothing more is counted in this life.
+        // Nothing more is counted until the next start, so the budget bounds the length of the window.
         self.is_overloaded = true;
         let mut shares: Vec<(BalancerId, f64)> = Vec::new();
         for load in &self.window {
@@ -120,29 +131,30 @@
             }
         }
         shares.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        let knew = self.window.iter().map(|l| l.known_weight).sum();
-        Some(Overload { sent, budget, known_weight: knew, by: shares[0].0, shares })
+        let known_weight = self.window.iter().map(|l| l.known_weight).sum();
+        Some(Overload { sent, budget, known_weight, by: shares[0].0, shares })
     }
 }
 
-/// All nodes.
+/// All nodes, by id.
 #[derive(Debug, Default)]
 pub(super) struct Nodes(Vec<ObservedNode>);
 
 impl Nodes {
     pub fn node_mut(&mut self, node: NodeId) -> &mut ObservedNode {
-        let place = node.0 as usize;
-        if self.0.len() <= place {
-            self.0.resize(place + 1, ObservedNode::default());
+        let index = node.0 as usize;
+        if self.0.len() <= index {
+            self.0.resize(index + 1, ObservedNode::default());
         }
-        &mut self.0[place]
+        &mut self.0[index]
     }
 
     pub fn set_health(&mut self, now: Micros, node: NodeId, health: Health) {
         self.node_mut(node).set_health(now, health);
     }
 
-    /// See [`ObservedNode::reached`]; a warm node (`able` is none) forgets what it was sent.
+    /// Adds an attempt at a cold node; see [`ObservedNode::on_attempt`]. If the node is warm (`able` is none), the
+    /// attempts of its overload window are dropped instead.
     pub fn on_attempt(
         &mut self,
         now: Micros,
@@ -151,11 +163,11 @@
         knew: bool,
         tolerances: &AuditTolerances,
     ) -> Option<Overload> {
-        let seen = self.node_mut(node);
+        let node = self.node_mut(node);
         match able {
-            Some(able) => seen.on_attempt(now, by, weight, able, knew, tolerances),
+            Some(able) => node.on_attempt(now, by, weight, able, knew, tolerances),
             None => {
-                seen.window.clear();
+                node.window.clear();
                 None
             }
         }
--- a/crates/emulator/src/audit/request.rs
+++ b/crates/emulator/src/audit/request.rs
@@ -1,7 +1,8 @@
-//! One request until its answer, and its attempts: the first two rules.
+//! A request until its final answer, and its attempts: checks of [`super::Rule::NoRequestDropped`] and
+//! [`super::Rule::NoDuplicatedEffect`].
 
 use super::tolerances::AuditTolerances;
-use super::trace::secs;
+use super::trace::format_seconds;
 use super::verdict::{Exemption, Reason};
 use crate::edge::LinkId;
 use shorewharf_units::Micros;
@@ -9,90 +10,97 @@
 /// The result of a check of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Finding {
-    /// A break, when it became one, and its figures.
+    /// A violation: its reason, when it occurred, and its figures.
     RuleViolation(Reason, Micros, String),
     /// An apparent violation that is exempted.
     Exempted(Exemption),
 }
 
-/// Why no answer can come any more.
+/// Why a request ends without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Over {
-    /// The client has ended its connection.
+pub(super) enum RequestEnd {
+    /// The client has closed its connection.
     ClientLeft,
-    /// The balancer has ended it, itself or by ending its process.
-    Cut,
-    /// SIGKILL at the end of a planned restart.
+    /// The balancer has closed the client's connection, or its process has exited.
+    ClosedByBalancer,
+    /// The balancer was killed at the end of a planned restart.
     PlannedKill,
-    /// Killed without warning.
+    /// The balancer was killed without warning.
     Killed,
-    /// The run is over.
-    End,
+    /// The run has ended.
+    RunEnded,
 }
 
-/// A request.
+/// A request and its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     deadline: Micros,
-    /// It stood before the run: not coming up again is a loss whatever else is excused.
+    /// The request is for a connection from before the run. If it is not established again, that is a loss even where
+    /// an unanswered request is exempted.
     pub is_carried_over: bool,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempts: u32,
-    /// Attempts that are out, and since when.
+    /// Attempts in flight, and when each was sent.
     in_flight: Vec<(LinkId, Micros)>,
-    /// Its final answer.
+    /// When the final answer was sent.
     pub answered_at: Option<Micros>,
 }
 
 impl Request {
-    pub fn new(deadline: Micros, carried: bool) -> Self {
-        Request { deadline, is_carried_over: carried, attempts: 0, in_flight: Vec::new(), answered_at: None }
+    pub fn new(deadline: Micros, is_carried_over: bool) -> Self {
+        Request { deadline, is_carried_over, attempts: 0, in_flight: Vec::new(), answered_at: None }
     }
 
-    /// A final answer, whatever it says.
+    /// Checks a final answer, of whatever kind: it must be the only one and in time.
     pub fn on_answer(&mut self, now: Micros, tolerances: &AuditTolerances) -> Option<Finding> {
         if let Some(first) = self.answered_at {
-            let detail = format!("{} after its first answer", secs(now - first));
+            let detail = format!("{} after its first answer", format_seconds(now - first));
             return Some(Finding::RuleViolation(Reason::SecondAnswer, now, detail));
         }
         self.answered_at = Some(now);
         if now <= self.deadline + tolerances.answer_slack {
             return None;
         }
-        let detail = format!("{} after the deadline", secs(now - self.deadline));
+        let detail = format!("{} after the deadline", format_seconds(now - self.deadline));
         Some(self.overdue(Reason::LateAnswer, now, detail, tolerances))
     }
 
+    /// A finding for a request without an answer in time: a violation, unless such requests are exempted in this run.
     fn overdue(&self, reason: Reason, at: Micros, detail: String, tolerances: &AuditTolerances) -> Finding {
-        if tolerances.overdue_breaks || self.is_carried_over {
+        if tolerances.overdue_is_violation || self.is_carried_over {
             Finding::RuleViolation(reason, at, detail)
         } else {
             Finding::Exempted(Exemption::Overdue)
         }
     }
 
-    /// No answer can come any more. The client's own patience counts up to its deadline: a client that leaves sooner
-    /// is owed nothing, one that leaves then was not answered.
-    pub fn on_over(&self, now: Micros, how: Over, tolerances: &AuditTolerances) -> Option<Finding> {
+    /// Checks a request that can get no answer any more. A client that leaves before its deadline is owed nothing; one
+    /// that leaves at its deadline or later was not answered.
+    pub fn check_unanswered(
+        &self,
+        now: Micros,
+        end: RequestEnd,
+        tolerances: &AuditTolerances,
+    ) -> Option<Finding> {
         if self.answered_at.is_some() {
             return None;
         }
         let due = self.deadline + tolerances.answer_slack;
-        if now > due || (how == Over::ClientLeft && now >= self.deadline) {
-            let detail = format!("its time ran out at {}", secs(self.deadline));
+        if now > due || (end == RequestEnd::ClientLeft && now >= self.deadline) {
+            let detail = format!("its deadline passed at {}", format_seconds(self.deadline));
             return Some(self.overdue(Reason::NoAnswer, due.min(now), detail, tolerances));
         }
-        let reason = match how {
-            Over::ClientLeft => return Some(Finding::Exempted(Exemption::ClientLeft)),
-            Over::Killed => return Some(Finding::Exempted(Exemption::Killed)),
-            Over::End => return None,
-            Over::Cut => Reason::EndedUnanswered,
-            Over::PlannedKill => Reason::HeldUnanswered,
+        let reason = match end {
+            RequestEnd::ClientLeft => return Some(Finding::Exempted(Exemption::ClientLeft)),
+            RequestEnd::Killed => return Some(Finding::Exempted(Exemption::Killed)),
+            RequestEnd::RunEnded => return None,
+            RequestEnd::ClosedByBalancer => Reason::EndedUnanswered,
+            RequestEnd::PlannedKill => Reason::HeldUnanswered,
         };
-        if self.attempts == 0 && !tolerances.unsent_breaks && !self.is_carried_over {
+        if self.attempts == 0 && !tolerances.unsent_is_violation && !self.is_carried_over {
             return Some(Finding::Exempted(Exemption::ClosedUnsent));
         }
-        let left = secs((self.deadline).saturating_sub(now));
+        let left = format_seconds((self.deadline).saturating_sub(now));
         Some(Finding::RuleViolation(
             reason,
             now,
@@ -100,7 +108,7 @@
         ))
     }
 
-    /// An attempt more.
+    /// Counts an attempt, and checks the number of attempts.
     pub fn count_attempt(&mut self, now: Micros, tolerances: &AuditTolerances) -> Option<Finding> {
         self.attempts += 1;
         let detail = || format!("attempt {} of {} allowed", self.attempts, tolerances.max_attempts);
@@ -108,28 +116,28 @@
             .then(|| Finding::RuleViolation(Reason::TooManyAttempts, now, detail()))
     }
 
-    /// It stood before anything was seen of it.
+    /// Marks a request as answered whose connection was established before the first observation.
     pub fn mark_established(&mut self, now: Micros, link: LinkId) {
         self.answered_at = Some(now);
         self.in_flight.push((link, now));
     }
 
-    /// The attempt on this link is out; true if an earlier one is, too.
+    /// Adds an attempt in flight on this link; returns whether another one is in flight too.
     pub fn begin_attempt(&mut self, now: Micros, link: LinkId) -> bool {
         self.in_flight.push((link, now));
         self.in_flight.len() > 1
     }
 
-    /// The attempt on this link has had its outcome, or was given up.
+    /// Removes an attempt that has its outcome or was cancelled.
     pub fn end_attempt(&mut self, link: LinkId) {
         self.in_flight.retain(|(l, _)| *l != link);
     }
 
-    /// Whether an attempt is out that went out before this one did, which was then.
+    /// Checks whether an attempt is still in flight that was sent before the one on `link`, which was sent at `sent`.
     pub fn check_duplicate(&self, link: LinkId, sent: Micros) -> Option<Finding> {
         let (_, since) =
             self.in_flight.iter().take_while(|(l, _)| *l != link).find(|(_, since)| *since <= sent)?;
-        let detail = format!("the earlier one had been out for {}", secs(sent - since));
+        let detail = format!("the earlier one had been in flight for {}", format_seconds(sent - since));
         Some(Finding::RuleViolation(Reason::SecondCopy, sent, detail))
     }
 }
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -1,4 +1,4 @@
-//! The connections and links that are remembered, and what falls due on them.
+//! The connections and links that the auditor tracks, and the scheduled checks of them.
 
 use shorewharf_units::Micros;
 use std::cmp::Reverse;
@@ -6,37 +6,40 @@
 
 use rustc_hash::FxHashMap;
 
-use super::established::{EstablishedConnection, Lines};
+use super::established::{EstablishedConnection, LinesInTransit};
 use super::request::{Finding, Request};
-use super::trace::Ring;
+use super::trace::Trace;
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
-/// A connection that is over is remembered for so long: what still refers to it then is no mix-up of reading order.
+/// How long a connection is kept after its end. Observations that arrive out of order refer to it within this time.
 const RETENTION: Micros = 10_000_000;
 
 /// A client's connection.
 #[derive(Clone, Debug)]
 pub(super) struct Conn {
+    /// The balancer that it was made to.
     pub by: BalancerId,
-    /// It is a bad client's.
+    /// The client misbehaves on purpose.
     pub is_misbehaving: bool,
-    /// A break was found on it, or its balancer died: nothing more is judged, so that one fault has one reason.
+    /// A violation was found on the connection, or its balancer is gone. Further findings are dropped, so that one
+    /// fault is reported once.
     pub is_closed_to_findings: bool,
     pub request: Request,
     pub established: Option<EstablishedConnection>,
-    /// The client ended it.
+    /// When the client closed it.
     pub client_closed: Option<Micros>,
-    /// The balancer ended it.
-    pub client_cut_off: Option<Micros>,
-    /// Lines on their way to the node, and to the client.
-    pub to_node: Lines,
-    pub to_client: Lines,
+    /// When the balancer closed it.
+    pub closed_by_balancer: Option<Micros>,
+    /// Lines in transit from the client to the node.
+    pub to_node: LinesInTransit,
+    /// Lines in transit from the node to the client.
+    pub to_client: LinesInTransit,
     /// Which kinds of progress check are scheduled; each kind is scheduled at most once.
     scheduled: [bool; 3],
     links: Vec<LinkId>,
-    /// What its end looks like, unless its whole process turns out to have ended.
+    /// A finding on the connection's close. It is dropped if the whole process turns out to have exited by itself.
     pub deferred_finding: Option<Box<Finding>>,
-    pub trace: Ring,
+    pub trace: Trace,
 }
 
 impl Conn {
@@ -48,25 +51,29 @@
             request,
             established: None,
             client_closed: None,
-            client_cut_off: None,
-            to_node: Lines::default(),
-            to_client: Lines::default(),
+            closed_by_balancer: None,
+            to_node: LinesInTransit::default(),
+            to_client: LinesInTransit::default(),
             scheduled: [false; 3],
             links: Vec::new(),
             deferred_finding: None,
-            trace: Ring::default(),
+            trace: Trace::default(),
         }
     }
 
-    /// Nothing may be sent for it any more: the balancer ended it itself, or has had time to learn of the client's end.
-    pub fn is_over(&self, now: Micros, learn: Micros) -> bool {
-        let own = self.request.answered_at.into_iter().chain(self.client_cut_off).any(|t| now >= t + learn);
-        !self.is_misbehaving && (own || self.client_closed.is_some_and(|t| now > t + learn))
+    /// Whether no attempt may be sent for it any more: the balancer has answered it or closed it, or has had `delay` to
+    /// learn that the client has closed it.
+    pub fn is_over(&self, now: Micros, delay: Micros) -> bool {
+        let ended_by_balancer =
+            self.request.answered_at.into_iter().chain(self.closed_by_balancer).any(|t| now >= t + delay);
+        !self.is_misbehaving && (ended_by_balancer || self.client_closed.is_some_and(|t| now > t + delay))
     }
 
-    /// Waits for its answer.
+    /// Whether the client is still waiting for its answer.
     pub fn is_awaiting_answer(&self) -> bool {
-        self.request.answered_at.is_none() && self.client_closed.is_none() && self.client_cut_off.is_none()
+        self.request.answered_at.is_none()
+            && self.client_closed.is_none()
+            && self.closed_by_balancer.is_none()
     }
 }
 
@@ -75,39 +82,47 @@
 pub(super) struct Link {
     pub conn: ConnId,
     pub node: NodeId,
-    /// The balancer knew of the node's start when it sent.
+    /// The balancer knew of the node's start when it sent the attempt.
     pub knew_of_start: bool,
-    /// The node has said `UP` on it.
+    /// The node has sent `UP` on it.
     pub up: bool,
-    /// The node ended it.
+    /// When the node closed it.
     pub closed_by_node: Option<Micros>,
-    /// The balancer ended it, or it never came up.
+    /// When the balancer closed it, or when it failed to open.
     pub closed_by_balancer: Option<Micros>,
 }
 
 impl Link {
-    pub fn new(conn: ConnId, node: NodeId, knew: bool) -> Self {
-        Link { conn, node, knew_of_start: knew, up: false, closed_by_node: None, closed_by_balancer: None }
+    pub fn new(conn: ConnId, node: NodeId, knew_of_start: bool) -> Self {
+        Link { conn, node, knew_of_start, up: false, closed_by_node: None, closed_by_balancer: None }
     }
 }
 
-/// A check of a connection that falls due at some time.
+/// A check of a connection, scheduled for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Check {
+    /// A line to the node may have been held for too long.
     ToNode,
+    /// A line to the client may have been held for too long.
     ToClient,
+    /// Nothing may have come back from the node for too long.
     Silent,
+    /// The client must have been disconnected after the node closed the link.
     ClosedByNode,
+    /// The client must have been disconnected after the balancer closed the link.
     ClosedByBalancer,
+    /// The attempt on this link, sent at this time, may still be in flight beside an earlier one.
     DuplicateAttempt(LinkId, Micros),
+    /// The connection's deferred finding is recorded.
     DeferredFinding,
+    /// The connection is dropped from the table.
     Forget,
 }
 
-/// All that is remembered.
+/// All connections, links and scheduled checks.
 #[derive(Debug, Default)]
 pub(super) struct Table {
-    /// Boxed, as the table grows by doubling.
+    /// Boxed, because the map doubles its capacity when it grows.
     conns: FxHashMap<ConnId, Box<Conn>>,
     links: FxHashMap<(BalancerId, LinkId), Link>,
     checks: BinaryHeap<Reverse<(Micros, ConnId, Check)>>,
@@ -118,17 +133,17 @@
         self.conns.get_mut(&id).map(Box::as_mut)
     }
 
-    /// A new connection; false if the id is in use.
+    /// Adds a connection; returns false if the id is in use.
     pub fn open(&mut self, id: ConnId, conn: Conn) -> bool {
-        let fresh = !self.conns.contains_key(&id);
-        if fresh {
+        let is_new = !self.conns.contains_key(&id);
+        if is_new {
             self.conns.insert(id, Box::new(conn));
         }
-        fresh
+        is_new
     }
 
-    /// A link begins for a connection that is known.
-    pub fn link(&mut self, by: BalancerId, id: LinkId, link: Link) {
+    /// Adds a link, if its connection is known.
+    pub fn add_link(&mut self, by: BalancerId, id: LinkId, link: Link) {
         if let Some(conn) = self.conns.get_mut(&link.conn) {
             conn.links.push(id);
             self.links.insert((by, id), link);
@@ -139,59 +154,62 @@
         self.links.get_mut(&(by, id))
     }
 
-    /// A link and its connection.
+    /// A link and the connection that it carries.
     pub fn link_and_conn(&mut self, by: BalancerId, id: LinkId) -> Option<(&mut Link, &mut Conn)> {
         let link = self.links.get_mut(&(by, id))?;
         let conn = self.conns.get_mut(&link.conn)?;
         Some((link, conn))
     }
 
-    /// The ids of a balancer's connections, or all, in order.
+    /// The ids of a balancer's connections, or of all connections, in ascending order.
     pub fn ids(&self, by: Option<BalancerId>) -> Vec<ConnId> {
-        let of = |c: &Conn| by.is_none_or(|b| c.by == b);
-        let mut ids: Vec<ConnId> = self.conns.iter().filter(|(_, c)| of(c)).map(|(id, _)| *id).collect();
+        let is_included = |c: &Conn| by.is_none_or(|b| c.by == b);
+        let mut ids: Vec<ConnId> =
+            self.conns.iter().filter(|(_, c)| is_included(c)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Connections that are remembered.
+    /// The number of tracked connections.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
     /// Schedules a check. A progress check that is already scheduled is not scheduled again.
     pub fn schedule(&mut self, at: Micros, id: ConnId, check: Check) {
-        if let Some(place) = moving(check) {
+        if let Some(index) = progress_index(check) {
             match self.conns.get_mut(&id) {
-                Some(conn) if !conn.scheduled[place] => conn.scheduled[place] = true,
+                Some(conn) if !conn.scheduled[index] => conn.scheduled[index] = true,
                 _ => return,
             }
         }
         self.checks.push(Reverse((at, id, check)));
     }
 
-    /// What is due before `now`: a limit is kept at its very end.
+    /// Removes and returns a check that was due before `now`. One that is due exactly at `now` waits, since a time
+    /// limit is met by an event exactly at its end.
     pub fn pop_due(&mut self, now: Micros) -> Option<(Micros, ConnId, Check)> {
         let Reverse((at, _, _)) = self.checks.peek()?;
         if *at >= now {
             return None;
         }
         let Reverse((at, id, check)) = self.checks.pop()?;
-        if let Some((place, conn)) = moving(check).zip(self.conns.get_mut(&id)) {
-            conn.scheduled[place] = false;
+        if let Some((index, conn)) = progress_index(check).zip(self.conns.get_mut(&id)) {
+            conn.scheduled[index] = false;
         }
         Some((at, id, check))
     }
 
-    /// It is over: it will be forgotten.
+    /// Schedules the removal of a connection that has ended.
     pub fn schedule_forget(&mut self, now: Micros, id: ConnId) {
         self.checks.push(Reverse((now + RETENTION, id, Check::Forget)));
     }
 
+    /// Drops a connection and its links.
     pub fn forget(&mut self, id: ConnId) {
         let Some(conn) = self.conns.remove(&id) else { return };
         for link in conn.links {
-            // A later life of the balancer may have used the number again.
+            // The balancer may have reused the number after a restart.
             if self.links.get(&(conn.by, link)).is_some_and(|l| l.conn == id) {
                 self.links.remove(&(conn.by, link));
             }
@@ -199,7 +217,8 @@
     }
 }
 
-fn moving(check: Check) -> Option<usize> {
+/// The index in [`Conn::scheduled`] of a progress check; none for other checks.
+fn progress_index(check: Check) -> Option<usize> {
     match check {
         Check::ToNode => Some(0),
         Check::ToClient => Some(1),
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -300,7 +300,7 @@
             let found: Vec<(Reason, u64)> = verdict.reasons.iter().map(|(r, n)| (*r, *n)).collect();
             prop_assert_eq!(&found, &[(reason, 1)], "{:#?}", verdict.lines().collect::<Vec<_>>());
             let first = &verdict.breaks[0];
-            prop_assert!(first.conn == Some(7) && first.balancer == B.0 && first.trace[0].what.starts_with("client asks"), "{:?}", first);
+            prop_assert!(first.conn == Some(7) && first.balancer == B.0 && first.trace[0].what.starts_with("client sends its request"), "{:?}", first);
         }
     }
 }
@@ -433,7 +433,7 @@
     assert!(push(3 * most, 3 * most, 6 * S).is_clean(), "spread over longer than the window");
     let verdict = push(3 * most, 3 * most, S);
     assert_eq!(reasons(&verdict), [(Reason::PushedOver, 1)]);
-    assert!(verdict.breaks[0].trace.iter().any(|s| s.what == "it has started"), "{:?}", verdict.breaks);
+    assert!(verdict.breaks[0].trace.iter().any(|s| s.what == "the node has started"), "{:?}", verdict.breaks);
     let unknowing = push(most + 1, 9, 0);
     assert!(unknowing.is_clean() && unknowing.excused[&Exemption::PushedOverUnknowing] == 1, "{unknowing:?}");
     assert_eq!(reasons(&push(most + 1, 10, 0)), [(Reason::PushedOver, 1)]);
--- a/crates/emulator/src/audit/tolerances.rs
+++ b/crates/emulator/src/audit/tolerances.rs
@@ -1,61 +1,67 @@
-//! With what figures a run is judged: the day's rules, and how far sockets and the platform's exceptions widen them.
+//! The limits that the auditor applies: those of the day's rules, extended for runs on sockets and by the platform's
+//! exceptions.
 
 use crate::day::Day;
 use shorewharf_units::Micros;
 
-/// Every time limit is so much longer on sockets: what the other side sees is late by its own scheduling.
+/// Added to every time limit on sockets: the emulator's own scheduling delays its observations.
 const SOCKETS_EXTRA: Micros = 50_000;
-/// A process with a thousand connections takes the system tens of milliseconds to end, more on a busy machine.
+/// How long the system may take to end a process: tens of milliseconds with a thousand connections, and more on a busy
+/// machine.
 const PROCESS_EXIT_TIME: Micros = 500_000;
-/// Whatever discovery has to tell counts as told so long after, on sockets.
+/// On sockets a balancer counts as notified of a change this long after it was listed.
 const NOTIFIED_AFTER: Micros = 6_000_000;
-/// And so long after SIGHUP, on sockets.
+/// On sockets a balancer counts as notified of all earlier changes this long after SIGHUP.
 const NOTIFIED_AFTER_RELOAD: Micros = 4_000_000;
-/// A line may be held back, and a connection outlive its server's end, for so long.
+/// The longest time that a line may be held, and that a client's connection may stay open after its server has closed.
 const MAX_LINE_HOLD: Micros = 1_000_000;
-/// A connection that returns nothing from a running server may be kept so long.
+/// The longest time that a connection may be kept on which a reachable server returns nothing.
 const MAX_SILENCE: Micros = 7_000_000;
 
-/// The figures that an [`super::Auditor`] goes by. All times are microseconds.
+/// The limits that an [`super::Auditor`] applies. All times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AuditTolerances {
-    /// An answer so long after the deadline is in time.
+    /// How long after the deadline an answer still counts as in time.
     pub answer_slack: Micros,
-    /// What the balancer can't know yet: a client's end, read so much later than it happened.
+    /// How long it may take the balancer to learn that a client has closed its connection.
     pub propagation_delay: Micros,
-    /// Two attempts seen out at once for no longer than this were read in the wrong order, not sent so.
+    /// Two attempts that appear in flight at once for no longer than this were observed in the wrong order.
     pub allowed_overlap: Micros,
-    /// The system closes the sockets of a process that ends before its end is seen: so long an end of a connection may
-    /// be part of that.
+    /// How long after a connection is closed the end of the whole process may be observed. The system closes the
+    /// sockets of a process before its exit can be seen, so the close may be part of it.
     pub process_exit_time: Micros,
-    /// Attempts of one request.
+    /// The most attempts of one request.
     pub max_attempts: u32,
-    /// Sends to a node are a break so long after its end was told.
+    /// How long attempts may still be sent to a node after the balancer was notified that it is draining or gone.
     pub drain_grace: Micros,
-    /// A balancer that watches nothing and has not asked for so long counts as told of what was listed that long ago.
+    /// How often a balancer without a watch must ask for the list. One that has not asked for this long counts as
+    /// notified of what was listed that long ago.
     pub poll_within: Micros,
-    /// Whatever is listed counts as told after this, if given.
+    /// Time after which a balancer counts as notified of a listed change, if given.
     pub notified_after: Option<Micros>,
-    /// Whatever is listed counts as told so long after SIGHUP, if given.
+    /// Time after SIGHUP at which a balancer counts as notified of everything listed before it, if given.
     pub notified_after_reload: Option<Micros>,
-    /// A cold node falls when sent over so many times what it can do ...
-    pub fall_multiple: f64,
-    /// ... over any window of this length.
-    pub fall_for: Micros,
-    /// The longest that a line may be held, and that a connection may outlive its server's end.
+    /// A cold node is overloaded by more than this multiple of the work that it can do within the overload window.
+    pub overload_multiple: f64,
+    /// Length of the overload window.
+    pub overload_window: Micros,
+    /// The longest time that a line may be held, and that a client's connection may stay open after its server has
+    /// closed.
     pub max_line_hold: Micros,
-    /// The longest that a connection may be kept that returns nothing.
+    /// The longest time that a connection may be kept on which a reachable server returns nothing.
     pub max_silence: Micros,
-    /// Lines are seen at both ends of a standing connection (sockets), so held ones can be judged.
-    pub lines: bool,
-    /// A request with no answer in time is a break; else it has failed and is only counted.
-    pub overdue_breaks: bool,
-    /// A request whose connection is closed with nothing sent on for it is a break; else only counted.
-    pub unsent_breaks: bool,
+    /// Whether lines are observed at both ends of an established connection (sockets), so that held lines can be
+    /// detected.
+    pub observes_lines: bool,
+    /// Whether a request without an answer in time is a violation; otherwise it has failed and is only counted.
+    pub overdue_is_violation: bool,
+    /// Whether it is a violation to close a request's connection before any attempt was sent; otherwise it is only
+    /// counted.
+    pub unsent_is_violation: bool,
 }
 
 impl AuditTolerances {
-    /// In virtual time: the rules as they are worded for the simulator.
+    /// The limits in virtual time: those of the day's rules, without extensions.
     pub fn virtual_time(day: &Day) -> Self {
         AuditTolerances {
             answer_slack: day.rules.answer_slack,
@@ -67,28 +73,28 @@
             poll_within: day.rules.ask_within,
             notified_after: None,
             notified_after_reload: None,
-            fall_multiple: day.rules.fall_multiple,
-            fall_for: day.rules.fall_for,
+            overload_multiple: day.rules.fall_multiple,
+            overload_window: day.rules.fall_for,
             max_line_hold: MAX_LINE_HOLD,
             max_silence: MAX_SILENCE,
-            lines: false,
-            overdue_breaks: true,
-            unsent_breaks: true,
+            observes_lines: false,
+            overdue_is_violation: true,
+            unsent_is_violation: true,
         }
     }
 
-    /// On sockets, with the two exceptions that hold on the platform's hard days: a request without an answer when its
-    /// time runs out has failed and is not lost, and neither is one whose connection the balancer closes before it has
-    /// sent anything on for it.
+    /// The limits on sockets with the two exceptions that apply on the platform's hard days: a request without an
+    /// answer at its deadline has failed and is not lost, and neither is one whose connection the balancer closes
+    /// before it has sent any attempt.
     pub fn sockets(day: &Day) -> Self {
         AuditTolerances {
-            overdue_breaks: false,
-            unsent_breaks: false,
+            overdue_is_violation: false,
+            unsent_is_violation: false,
             ..AuditTolerances::sockets_strict(day)
         }
     }
 
-    /// On sockets, without these exceptions.
+    /// The limits on sockets without the exceptions of [`AuditTolerances::sockets`].
     pub fn sockets_strict(day: &Day) -> Self {
         let rules = AuditTolerances::virtual_time(day);
         AuditTolerances {
@@ -101,7 +107,7 @@
             notified_after_reload: Some(NOTIFIED_AFTER_RELOAD),
             max_line_hold: MAX_LINE_HOLD + SOCKETS_EXTRA,
             max_silence: MAX_SILENCE + SOCKETS_EXTRA,
-            lines: true,
+            observes_lines: true,
             ..rules
         }
     }
--- a/crates/emulator/src/audit/trace.rs
+++ b/crates/emulator/src/audit/trace.rs
@@ -1,4 +1,5 @@
-//! The short memory of a connection or a node: what led to a break, kept small because 100,000 connections have one.
+//! The trace of a connection or a node: the events before a violation. It is small because 100,000 connections may have
+//! one at the same time.
 
 use shorewharf_units::Micros;
 use std::fmt;
@@ -8,40 +9,40 @@
 use super::Health;
 use crate::edge::{Answer, End, NodeId, NodeMessage, Stage};
 
-/// Steps that a ring keeps.
+/// Number of events that a trace keeps.
 const TRACE_CAPACITY: usize = 12;
-/// The first so many stay: how it began tells more than what was in between.
-const FIRST: usize = 3;
+/// How many of the first events are never dropped: the beginning explains a violation better than the middle.
+const KEPT_FIRST: usize = 3;
 
-/// A step of a trace as it is reported.
+/// An event of a trace, as it is reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TraceEntry {
-    /// When, microseconds since the day's start.
+    /// Time in microseconds since the start of the day.
     pub at: Micros,
-    /// What was seen.
+    /// Description of the event.
     pub what: String,
 }
 
-/// What a step was. Small on purpose: lines of standing connections are not kept, and neither are figures.
+/// An event of a trace. Lines of established connections and the figures in messages are left out, to keep it small.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum What {
-    Asked { left_ms: u32 },
-    Linked(NodeId),
+pub(super) enum TraceEvent {
+    ClientRequest { left_ms: u32 },
+    LinkStarted(NodeId),
     LinkFailed(NodeId),
     LinkUp(NodeId),
-    Stands(NodeId),
-    Said(NodeId, MessageKind),
-    NodeEnded(NodeId, End),
-    LinkEnded(NodeId, End),
+    AlreadyEstablished(NodeId),
+    NodeMessage(NodeId, MessageKind),
+    LinkClosedByNode(NodeId, End),
+    LinkClosedByBalancer(NodeId, End),
     Answered(MessageKind),
-    ClientCut(End),
-    ClientEnded(End),
-    // Of nodes.
+    ClientClosedByBalancer(End),
+    ClosedByClient(End),
+    // Events of nodes.
     Listed(Stage),
-    Is(Health),
+    NodeHealth(Health),
 }
 
-/// A word without its figures.
+/// The kind of a message, without its figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageKind {
     Up,
@@ -67,15 +68,15 @@
             MessageKind::Load => "LOAD",
             MessageKind::Reply => "a reply",
             MessageKind::Pong => "PONG",
-            MessageKind::Junk => "nonsense",
-            MessageKind::Forged => "UP that no node made",
+            MessageKind::Junk => "an invalid line",
+            MessageKind::Forged => "UP that no node sent",
         }
     }
 }
 
-impl What {
+impl TraceEvent {
     pub fn answered(answer: Answer) -> Self {
-        What::Answered(match answer {
+        TraceEvent::Answered(match answer {
             Answer::Up(_) => MessageKind::Up,
             Answer::Busy(_) => MessageKind::Busy,
             Answer::Err => MessageKind::Err,
@@ -85,8 +86,8 @@
         })
     }
 
-    pub fn node_message(node: NodeId, word: NodeMessage) -> Self {
-        let word = match word {
+    pub fn node_message(node: NodeId, message: NodeMessage) -> Self {
+        let kind = match message {
             NodeMessage::Up => MessageKind::Up,
             NodeMessage::Busy => MessageKind::Busy,
             NodeMessage::Err => MessageKind::Err,
@@ -97,18 +98,18 @@
             NodeMessage::Pong => MessageKind::Pong,
             NodeMessage::Junk => MessageKind::Junk,
         };
-        What::Said(node, word)
+        TraceEvent::NodeMessage(node, kind)
     }
 }
 
-fn end(end: End) -> &'static str {
+fn end_text(end: End) -> &'static str {
     match end {
-        End::Fin => "ended",
+        End::Fin => "closed",
         End::Reset => "reset",
     }
 }
 
-fn stage(stage: Stage) -> &'static str {
+fn stage_text(stage: Stage) -> &'static str {
     match stage {
         Stage::Ready => "ready",
         Stage::Draining => "draining",
@@ -116,51 +117,55 @@
     }
 }
 
-impl fmt::Display for What {
+impl fmt::Display for TraceEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            What::Asked { left_ms } => write!(f, "client asks, {left_ms} ms left"),
-            What::Linked(n) => write!(f, "link to node {} begun", n.0),
-            What::LinkFailed(n) => write!(f, "link to node {} failed", n.0),
-            What::LinkUp(n) => write!(f, "link to node {} is up", n.0),
-            What::Stands(n) => write!(f, "stands at node {} from before the run", n.0),
-            What::Said(n, word) => write!(f, "node {} says {}", n.0, word.text()),
-            What::NodeEnded(n, e) => write!(f, "link {} by node {}", end(e), n.0),
-            What::LinkEnded(n, e) => write!(f, "link to node {} {} by the balancer", n.0, end(e)),
-            What::Answered(word) => write!(f, "client is told {}", word.text()),
-            What::ClientCut(e) => write!(f, "client's connection {} by the balancer", end(e)),
-            What::ClientEnded(e) => write!(f, "client's connection {} by the client", end(e)),
-            What::Listed(s) => write!(f, "discovery lists it as {}", stage(s)),
-            What::Is(health) => write!(f, "it {}", health.text()),
+            TraceEvent::ClientRequest { left_ms } => write!(f, "client sends its request, {left_ms} ms left"),
+            TraceEvent::LinkStarted(n) => write!(f, "link to node {} started", n.0),
+            TraceEvent::LinkFailed(n) => write!(f, "link to node {} failed", n.0),
+            TraceEvent::LinkUp(n) => write!(f, "link to node {} is up", n.0),
+            TraceEvent::AlreadyEstablished(n) => write!(f, "established at node {} before the run", n.0),
+            TraceEvent::NodeMessage(n, kind) => write!(f, "node {} sends {}", n.0, kind.text()),
+            TraceEvent::LinkClosedByNode(n, e) => write!(f, "link {} by node {}", end_text(e), n.0),
+            TraceEvent::LinkClosedByBalancer(n, e) => {
+                write!(f, "link to node {} {} by the balancer", n.0, end_text(e))
+            }
+            TraceEvent::Answered(kind) => write!(f, "balancer answers {}", kind.text()),
+            TraceEvent::ClientClosedByBalancer(e) => {
+                write!(f, "client's connection {} by the balancer", end_text(e))
+            }
+            TraceEvent::ClosedByClient(e) => write!(f, "client's connection {} by the client", end_text(e)),
+            TraceEvent::Listed(s) => write!(f, "discovery lists the node as {}", stage_text(s)),
+            TraceEvent::NodeHealth(health) => write!(f, "the node {}", health.text()),
         }
     }
 }
 
-/// The first few steps and the last ones.
+/// The first few events and the most recent ones.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Ring(Vec<(Micros, What)>);
+pub(super) struct Trace(Vec<(Micros, TraceEvent)>);
 
-impl Ring {
-    pub fn note(&mut self, at: Micros, what: What) {
+impl Trace {
+    pub fn push(&mut self, at: Micros, event: TraceEvent) {
         if self.0.len() == TRACE_CAPACITY {
-            self.0.remove(FIRST);
+            self.0.remove(KEPT_FIRST);
         }
-        self.0.push((at, what));
+        self.0.push((at, event));
     }
 
-    pub fn steps(&self) -> impl Iterator<Item = TraceEntry> + '_ {
-        self.0.iter().map(|(at, what)| TraceEntry { at: *at, what: what.to_string() })
+    pub fn entries(&self) -> impl Iterator<Item = TraceEntry> + '_ {
+        self.0.iter().map(|(at, event)| TraceEntry { at: *at, what: event.to_string() })
     }
 }
 
-/// Steps of several rings as one trace, in order of time.
-pub(super) fn together<'a>(rings: impl IntoIterator<Item = &'a Ring>) -> Vec<TraceEntry> {
-    let mut all: Vec<TraceEntry> = rings.into_iter().flat_map(Ring::steps).collect();
-    all.sort_by_key(|s| s.at);
+/// The events of several traces in order of time.
+pub(super) fn merge_traces<'a>(traces: impl IntoIterator<Item = &'a Trace>) -> Vec<TraceEntry> {
+    let mut all: Vec<TraceEntry> = traces.into_iter().flat_map(Trace::entries).collect();
+    all.sort_by_key(|entry| entry.at);
     all
 }
 
-/// Seconds with three digits, as the reports write a time.
-pub(super) fn secs(t: Micros) -> String {
+/// Formats a time in seconds with three decimal places, as reports write it.
+pub(super) fn format_seconds(t: Micros) -> String {
     format!("{}.{:03} s", t / 1_000_000, t / 1_000 % 1_000)
 }
--- a/crates/emulator/src/audit/verdict.rs
+++ b/crates/emulator/src/audit/verdict.rs
@@ -1,52 +1,53 @@
-//! What an audit comes to: the breaks, each with its reason and what led to it, and what was counted beside them.
+//! The result of an audit: the rule violations, each with its reason and a trace of the events before it, and counts of
+//! exempted cases and of requests.
 
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use super::trace::{TraceEntry, secs};
+use super::trace::{TraceEntry, format_seconds};
 use crate::edge::{BalancerId, ConnId, NodeId};
 
-/// Breaks of one reason that are kept with their trace; the rest are only counted, so that a run that goes wrong all
-/// day takes no more memory than one that goes wrong once.
+/// How many violations are kept with their traces for each reason. Further ones are only counted, so that memory stays
+/// bounded in a run that violates a rule all day.
 const MAX_TRACED_PER_REASON: u64 = 20;
 
-/// The rules.
+/// A rule that the balancers must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// No request dropped.
+    /// Every request gets a final answer, once and in time.
     NoRequestDropped,
-    /// No duplicated effect.
+    /// No request runs twice or after its end.
     NoDuplicatedEffect,
-    /// Safe drain.
+    /// No attempt goes to a node that is known to be draining or gone.
     SafeDrain,
-    /// Safe fail-back.
+    /// No cold node is overloaded.
     SafeFailBack,
-    /// No connection lost.
+    /// No established connection is lost, and its data is delivered unchanged and in time.
     NoConnectionLost,
-    /// The program runs until it is told to end, and uses what it was told of.
+    /// The balancer runs until it is told to exit, sends valid lines, and only to listed nodes.
     SoundProgram,
 }
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident => $rule:ident, $text:literal;)*) => {
-        /// Why something is a break.
+        /// The reason why something violates a rule.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum Reason { $($(#[$doc])* $name,)* }
 
         impl Reason {
-            /// All of them.
+            /// All reasons.
             pub const ALL: &[Reason] = &[$(Reason::$name),*];
 
-            /// The rule that it breaks.
+            /// The rule that is violated.
             pub fn rule(self) -> Rule {
                 match self { $(Reason::$name => Rule::$rule,)* }
             }
 
-            /// It in words.
+            /// A description for reports.
             pub fn text(self) -> &'static str {
                 match self { $(Reason::$name => $text,)* }
             }
@@ -55,171 +56,174 @@
 }
 
 reasons! {
-    /// The request's time and the slack ran out.
-    NoAnswer => NoRequestDropped, "taken and never answered";
+    /// The deadline and the slack passed without an answer.
+    NoAnswer => NoRequestDropped, "the request was received and never answered";
     /// The answer came after the deadline and the slack.
-    LateAnswer => NoRequestDropped, "answered after the deadline";
-    /// The balancer ended the client's connection first.
-    EndedUnanswered => NoRequestDropped, "its connection was ended without an answer";
-    /// It was still waiting when a planned end came to SIGKILL.
-    HeldUnanswered => NoRequestDropped, "still unanswered at the end of a planned restart";
-    /// An `UP` that no node made for this connection.
-    Forged => NoRequestDropped, "served with an answer that no node made for it";
-    /// A bad client was served.
-    ServedBad => NoRequestDropped, "a bad client was served as though its request had run";
-    /// A second answer after the final one.
-    SecondAnswer => NoRequestDropped, "answered a second time";
-    /// Two attempts out at once.
-    SecondCopy => NoDuplicatedEffect, "a second attempt went out while one was out";
-    /// More attempts than allowed.
-    TooManyAttempts => NoDuplicatedEffect, "more attempts than allowed";
-    /// An attempt after the request's end.
-    SentAfterEnd => NoDuplicatedEffect, "sent after the request had ended";
-    /// A send to a node that drains or is gone.
-    SentToDraining => SafeDrain, "sent to a node after it was told that it drains or is gone";
-    /// A cold node was sent too much.
-    PushedOver => SafeFailBack, "a cold node was pushed over";
-    /// A client was cut off.
-    CutOff => NoConnectionLost, "cut off without MOVE while its server still answered";
-    /// A client was cut off in a planned end.
-    CutOffAtRestart => NoConnectionLost, "cut off without MOVE in a planned restart";
-    /// A client was still there at SIGKILL.
-    HeldAtKill => NoConnectionLost, "still held at the end of a planned restart";
-    /// A line was held back.
-    LineHeld => NoConnectionLost, "a line was held back";
-    /// A client was kept after its server had ended the connection.
-    EndedKept => NoConnectionLost, "neither ended nor moved after its server had ended it";
-    /// A client was kept after the balancer itself had ended the server's side.
-    SeveredKept => NoConnectionLost, "neither ended nor moved after its link had been ended";
-    /// A client was kept on a connection that returns nothing.
-    SilentKept => NoConnectionLost, "kept on a connection that returned nothing from a running server";
-    /// A connection from before the run did not come up again.
-    NotCarried => NoConnectionLost, "stood before the run and did not come up again";
-    /// `MOVE` within a line.
-    MoveInLine => NoConnectionLost, "MOVE in the middle of a line";
-    /// A line came out other than it went in.
-    LineChanged => NoConnectionLost, "a line was changed on its way";
-    /// The process ended by itself.
-    Exited => SoundProgram, "the program ended by itself";
-    /// A first line in a form that no client sent.
-    Syntax => SoundProgram, "a node was sent a first line that no client wrote";
-    /// A send to a node that its list never named.
-    Unlisted => SoundProgram, "sent to a node that its list never named";
+    LateAnswer => NoRequestDropped, "the request was answered after its deadline";
+    /// The balancer closed the client's connection before it answered.
+    EndedUnanswered => NoRequestDropped, "the balancer closed the client's connection without an answer";
+    /// The request was still waiting at the SIGKILL that ends a planned restart.
+    HeldUnanswered => NoRequestDropped, "the request was still unanswered at the end of a planned restart";
+    /// The client received an `UP` that no node sent for its connection.
+    Forged => NoRequestDropped, "the client was sent an UP that no node had sent for it";
+    /// A misbehaving client was served.
+    ServedBad => NoRequestDropped, "a misbehaving client was answered as if its request had run";
+    /// A second answer followed the final one.
+    SecondAnswer => NoRequestDropped, "the request was answered a second time";
+    /// Two attempts of one request were in flight at the same time.
+    SecondCopy => NoDuplicatedEffect, "an attempt was sent while another one was in flight";
+    /// A request had more attempts than allowed.
+    TooManyAttempts => NoDuplicatedEffect, "the request had more attempts than allowed";
+    /// An attempt was sent after the end of the request.
+    SentAfterEnd => NoDuplicatedEffect, "an attempt was sent after the request had ended";
+    /// An attempt was sent to a node that was known to be draining or gone.
+    SentToDraining => SafeDrain, "an attempt was sent to a node that the balancer had been told is draining or gone";
+    /// A cold node was sent more work than it can do.
+    PushedOver => SafeFailBack, "a cold node was overloaded";
+    /// The balancer closed an established connection without `MOVE`, outside of a planned restart.
+    CutOff => NoConnectionLost, "the client was disconnected without MOVE while its server still answered";
+    /// The balancer closed an established connection without `MOVE` in a planned restart.
+    CutOffAtRestart => NoConnectionLost, "the client was disconnected without MOVE in a planned restart";
+    /// A connection was still established at the SIGKILL that ends a planned restart.
+    HeldAtKill => NoConnectionLost, "the connection was still held at the end of a planned restart";
+    /// A line was not delivered in time.
+    LineHeld => NoConnectionLost, "a line was not delivered in time";
+    /// A client's connection stayed open after its server had closed its side.
+    EndedKept => NoConnectionLost, "the client was neither disconnected nor moved after its server closed";
+    /// A client's connection stayed open after the balancer had closed the link to its server.
+    SeveredKept => NoConnectionLost, "the client was neither disconnected nor moved after its link was closed";
+    /// A client's connection stayed open although nothing came back from its server.
+    SilentKept => NoConnectionLost, "the client was kept on a connection on which a reachable server returned nothing";
+    /// A connection from before the run was not established again.
+    NotCarried => NoConnectionLost, "the connection was established before the run and was not established again";
+    /// A client read `MOVE` within a line.
+    MoveInLine => NoConnectionLost, "MOVE was sent in the middle of a line";
+    /// A line was delivered that differs from the one sent.
+    LineChanged => NoConnectionLost, "a line was changed in transit";
+    /// The process exited without a SIGTERM.
+    Exited => SoundProgram, "the balancer exited without being told to";
+    /// A node received a first line in a form that no client sends.
+    Syntax => SoundProgram, "a node was sent a first line in a form that no client sends";
+    /// An attempt was sent to a node that the balancer's list never had.
+    Unlisted => SoundProgram, "an attempt was sent to a node that the balancer's list never had";
 }
 
-/// What looks like a break and is none: counted, so that nobody has to guess what was let pass.
+/// Why an apparent violation is exempted. Exempted cases are counted, so that reports show how many there were.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Exemption {
-    /// The client left before its time was up.
+    /// The client closed its connection before its deadline.
     ClientLeft,
-    /// The balancer was killed without warning while the request waited or the connection stood.
+    /// The balancer was killed without warning while the request waited or the connection was established.
     Killed,
-    /// No answer in time, where that is a failure and no loss.
+    /// The request was not answered in time, in a run in which that counts as failed and not as lost.
     Overdue,
-    /// Closed with nothing sent on for it, where that is no loss.
+    /// The client's connection was closed before any attempt was sent, in a run in which that is not a loss.
     ClosedUnsent,
-    /// Cut off while its server was silent, out of reach or only just back.
+    /// The client was disconnected while its server was silent, unreachable or only just responsive again.
     ServerSilent,
-    /// Kept on a silent connection to a node that was cut off or down.
+    /// The client was kept on a silent connection to a node that was cut off or down.
     ServerUnreachable,
-    /// A cold node was pushed over, but two thirds of its load came from balancers that could not know of its start.
+    /// A cold node was overloaded, but less than two thirds of its load came from balancers that knew of its start.
     PushedOverUnknowing,
 }
 
-/// One break.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RuleViolation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When it became one, microseconds since the day's start.
+    /// When the rule was violated, in microseconds since the start of the day.
     pub at: Micros,
-    /// Whose it is; for a node pushed over, who sent it the most.
+    /// The balancer that violated it; for an overloaded node, the balancer that sent the most.
     pub balancer: u32,
-    /// The connection, if it is about one.
+    /// The connection concerned, if any.
     pub conn: Option<u64>,
-    /// The node, if it is about one.
+    /// The node concerned, if any.
     pub node: Option<u32>,
-    /// The figures of the case, in a few words.
+    /// Figures of this case.
     pub detail: String,
-    /// What led to it, the oldest first.
+    /// Events before the violation, the oldest first.
     pub trace: Vec<TraceEntry>,
 }
 
-/// What is counted.
+/// Counts of requests and attempts in a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests taken.
+    /// Requests received by balancers.
     pub taken: u64,
-    /// Answered by a node's `UP`.
+    /// Requests answered with `UP`.
     pub up: u64,
-    /// Refused.
+    /// Requests answered with `BUSY`.
     pub busy: u64,
-    /// Failed.
+    /// Requests answered with anything else.
     pub failed: u64,
-    /// Attempts.
+    /// Attempts sent to nodes.
     pub attempts: u64,
-    /// Clients moved.
+    /// Established connections that were sent `MOVE`.
     pub moves: u64,
 }
 
-/// What the audit of a run comes to.
+/// The result of the audit of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Verdict {
-    /// The breaks by time, with their traces; of each reason the first few.
+    /// The first violations of each reason, with their traces, by time.
     pub breaks: Vec<RuleViolation>,
-    /// How often each reason came up.
+    /// Number of violations by reason.
     pub reasons: BTreeMap<Reason, u64>,
-    /// What was let pass, and why.
+    /// Number of exempted cases by exemption.
     pub excused: BTreeMap<Exemption, u64>,
-    /// What was counted.
+    /// Counts of requests and attempts.
     pub counts: Counts,
 }
 
 impl Verdict {
-    /// No rule was broken.
+    /// Whether no rule was violated.
     pub fn is_clean(&self) -> bool {
         self.reasons.is_empty()
     }
 
-    /// Requests lost: those of the first rule.
+    /// Number of lost requests: violations of [`Rule::NoRequestDropped`].
     pub fn lost_requests(&self) -> u64 {
         self.count(Rule::NoRequestDropped)
     }
 
-    /// Connections lost.
+    /// Number of lost connections: violations of [`Rule::NoConnectionLost`].
     pub fn lost_connections(&self) -> u64 {
         self.count(Rule::NoConnectionLost)
     }
 
-    /// Breaks of a rule.
+    /// Number of violations of a rule.
     pub fn count(&self, rule: Rule) -> u64 {
         self.reasons.iter().filter(|(r, _)| r.rule() == rule).map(|(_, n)| n).sum()
     }
 
-    /// Breaks in a few lines each, for a log.
+    /// Descriptions of the kept violations for a log, each of several lines.
     pub fn lines(&self) -> impl Iterator<Item = String> + '_ {
         self.breaks.iter().map(|b| {
-            let trace: Vec<String> =
-                b.trace.iter().map(|TraceEntry { at, what }| format!("\n    {} {what}", secs(*at))).collect();
+            let trace: Vec<String> = b
+                .trace
+                .iter()
+                .map(|TraceEntry { at, what }| format!("\n    {} {what}", format_seconds(*at)))
+                .collect();
             let conn = b.conn.map(|c| format!(" connection {c:x}")).unwrap_or_default();
             let node = b.node.map(|n| format!(" node {n}")).unwrap_or_default();
-            let (at, by, why) = (secs(b.at), b.balancer, b.reason.text());
-            format!("{at} balancer {by}{conn}{node}: {why} ({}){}", b.detail, trace.concat())
+            let (at, by, reason) = (format_seconds(b.at), b.balancer, b.reason.text());
+            format!("{at} balancer {by}{conn}{node}: {reason} ({}){}", b.detail, trace.concat())
         })
     }
 
-    pub(super) fn exempt(&mut self, why: Exemption) {
-        *self.excused.entry(why).or_default() += 1;
+    pub(super) fn exempt(&mut self, exemption: Exemption) {
+        *self.excused.entry(exemption).or_default() += 1;
     }
 
-    /// Notes a break; the trace is only asked for if it is kept.
+    /// Counts a violation, and keeps it if there are few of its reason; only then is `trace` called.
     pub(super) fn record(&mut self, case: Case, detail: String, trace: impl FnOnce() -> Vec<TraceEntry>) {
-        let seen = self.reasons.entry(case.reason).or_default();
-        *seen += 1;
-        if *seen > MAX_TRACED_PER_REASON {
+        let count = self.reasons.entry(case.reason).or_default();
+        *count += 1;
+        if *count > MAX_TRACED_PER_REASON {
             return;
         }
         self.breaks.push(RuleViolation {
@@ -234,13 +238,13 @@
         });
     }
 
-    /// In order of time; those of one time stay as they came.
+    /// Sorts the kept violations by time; those of the same time stay in the order in which they were recorded.
     pub(super) fn sort_violations(&mut self) {
         self.breaks.sort_by_key(|b| b.at);
     }
 }
 
-/// What a break is about.
+/// What a violation concerns.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Case {
     pub reason: Reason,
