--- a/crates/emulator/src/environment/faults.rs
+++ b/crates/emulator/src/environment/faults.rs
@@ -1,6 +1,7 @@
-//! What goes wrong, whom it strikes and when: the day's faults made out into single turns of nodes, balancers,
-//! clients and discovery. Faults may overlap; a node or balancer that two of them hold down is back when both are
-//! over, and it dies only once.
+//! The fault schedule: expands the faults of a day into events for nodes, balancers, clients and discovery.
+//!
+//! Faults may overlap. A node or balancer that is down because of two faults stops once, and starts when both
+//! faults have ended.
 
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -11,82 +12,82 @@
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, NodeId};
 
-/// Machines that return together do so within this time, uniformly distributed.
-const BACK_WITHIN: Micros = 1_000_000;
-/// A draining node is given so long where the fault names no time.
-const DRAIN: Micros = 5_000_000;
-/// A release takes at most one part in so many of the nodes at once.
-const WAVES: usize = 20;
-/// A planned end of a balancer lasts the longest wait of a client, or this where that is shorter ...
-const END_LEAST: Micros = 3_000_000;
-/// ... and so much more; then it is killed (the platform's figures).
-const END_MORE: Micros = 700_000;
+/// Machines whose outage ends at the same time restart within this time after it, uniformly distributed.
+const RESTART_SPREAD: Micros = 1_000_000;
+/// The time between the drain and the stop of a node if the fault does not specify one.
+const DEFAULT_DRAIN_TIME: Micros = 5_000_000;
+/// A release restarts the nodes in waves of at most this fraction (1/20) of all nodes.
+const RELEASE_WAVES: usize = 20;
+/// A terminating balancer is killed after the longest client timeout, but no earlier than this time, ...
+const MIN_TERMINATION_TIME: Micros = 3_000_000;
+/// ... plus this margin. Both values are those of the emulated platform.
+const TERMINATION_MARGIN: Micros = 700_000;
 
-/// What happens to a node.
+/// An event that happens to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// It begins to drain.
+    /// The node begins to drain.
     Drain,
-    /// It has drained and ends.
+    /// The drain is over and the process exits.
     Stop,
-    /// Its process dies.
+    /// The process crashes.
     Crash,
-    /// Its process starts, cold.
+    /// The process starts cold and begins to warm up.
     Start,
-    /// Something else is wrong with it, or no longer.
+    /// Another fault of the node begins or ends.
     Fault {
-        /// What.
+        /// The kind of fault.
         kind: FaultKind,
-        /// It begins, or it ends.
+        /// True if the fault begins, false if it ends.
         on: bool,
-        /// How much, as the kind says.
+        /// The strength of the fault; its meaning depends on the kind.
         size: f64,
     },
 }
 
-/// What happens to a balancer.
+/// An event that happens to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BalancerEvent {
-    /// Its process starts.
+    /// The process starts.
     Start,
-    /// It is killed outright. A balancer that ended by itself before is not there any more.
+    /// The process is killed. This has no effect on a balancer that has already exited by itself.
     Kill,
-    /// A planned end begins.
+    /// A planned termination begins (SIGTERM).
     Terminate,
-    /// It is told that its configuration has changed.
+    /// The balancer is notified that its configuration has changed (SIGHUP).
     Reload {
-        /// Discovery has moved.
+        /// Whether discovery has moved to another address.
         moved: bool,
     },
 }
 
-/// One turn of the schedule.
+/// An event of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// To a node.
+    /// An event of a node.
     Node(NodeId, NodeEvent),
-    /// To a balancer.
+    /// An event of a balancer.
     Balancer(BalancerId, BalancerEvent),
-    /// The day's fault at this place strikes the clients.
+    /// The fault with this index in the day's list begins to affect the clients.
     Clients(usize),
-    /// The day's fault at this place begins or ends at discovery.
+    /// The fault with this index in the day's list begins (true) or ends (false) at discovery.
     Discovery(usize, bool),
 }
 
-/// A fault as reports show it.
+/// A fault as shown in reports.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FaultInterval {
-    /// What happened.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// From then ...
+    /// When the fault begins.
     pub from: Micros,
-    /// ... until then.
+    /// When the fault is over; for a release or a rolling restart, when the last machine is back.
     pub to: Micros,
-    /// Nodes or balancers struck, by place; empty where it strikes clients or discovery.
+    /// Indices of the affected nodes or balancers; empty if the fault affects clients or discovery.
     pub on: Vec<u32>,
 }
 
-/// All turns of a day, in order.
+/// All events of a day, ordered by time.
 #[derive(Clone, Debug)]
 pub struct FaultSchedule {
     events: Vec<(Micros, FaultEvent)>,
@@ -94,7 +95,7 @@
     intervals: Vec<FaultInterval>,
 }
 
-/// Whom a kind of fault strikes.
+/// The type of target that a kind of fault affects.
 enum FaultTargets {
     Nodes,
     Balancers,
@@ -115,7 +116,8 @@
     }
 }
 
-/// Who of these is struck: those named, or a part drawn from the zone or from all.
+/// Returns the indices of the machines that the fault affects: those that it lists, else all machines of
+/// its zone, or of the day if it has no zone. Of these, a random part is kept if the fault states a part.
 fn affected(fault: &Fault, zones: &[u32], rng: &mut Pcg64Mcg) -> Vec<u32> {
     if !fault.on.is_empty() {
         return fault.on.iter().copied().filter(|&i| (i as usize) < zones.len()).collect();
@@ -130,29 +132,29 @@
     all
 }
 
-/// A time for which a machine is away.
+/// A period during which a machine is down.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from: Micros,
     to: Micros,
-    /// A draining or planned end begins then.
-    warned: Option<Micros>,
+    /// When the drain or planned termination before the outage begins; none for a crash or kill.
+    warned_at: Option<Micros>,
 }
 
-/// Joins what overlaps, so that a machine goes and comes once for each time that it is away.
+/// Merges overlapping outages, so that a machine stops and starts once per outage.
 fn merge_overlapping(mut outages: Vec<Outage>) -> Vec<Outage> {
     outages.sort_by_key(|o| o.from);
-    let mut merge_overlapping: Vec<Outage> = Vec::new();
+    let mut merged: Vec<Outage> = Vec::new();
     for o in outages {
-        match merge_overlapping.last_mut().filter(|last| o.from <= last.to) {
+        match merged.last_mut().filter(|last| o.from <= last.to) {
             Some(last) => last.to = last.to.max(o.to),
-            None => merge_overlapping.push(o),
+            None => merged.push(o),
         }
     }
-    merge_overlapping
+    merged
 }
 
-/// Works the turns out.
+/// Builds the events of a schedule from the faults of a day.
 struct Plan<'a> {
     day: &'a Day,
     rng: Pcg64Mcg,
@@ -162,24 +164,24 @@
 }
 
 impl Plan<'_> {
-    /// Strikes these nodes. Says when it is over.
+    /// Adds the events or outages of a fault of these nodes. Returns when the fault is over.
     fn plan_node_fault(&mut self, fault: &Fault, on: &[u32]) -> Micros {
         let (from, mut to) = (fault.at, fault.at + fault.len);
-        let drain = if fault.size > 0.0 { micros_from_seconds(fault.size) } else { DRAIN };
+        let drain = if fault.size > 0.0 { micros_from_seconds(fault.size) } else { DEFAULT_DRAIN_TIME };
         match fault.kind {
             FaultKind::Crash => {
                 for &i in on {
-                    let back = to + self.rng.random_range(0..BACK_WITHIN);
-                    self.nodes[i as usize].push(Outage { from, to: back, warned: None });
+                    let back = to + self.rng.random_range(0..RESTART_SPREAD);
+                    self.nodes[i as usize].push(Outage { from, to: back, warned_at: None });
                 }
             }
             FaultKind::Release => {
-                let wave = (self.day.nodes.len() / WAVES).max(1);
+                let wave = (self.day.nodes.len() / RELEASE_WAVES).max(1);
                 for (n, part) in on.chunks(wave).enumerate() {
-                    let begins = from + n as Micros * (drain + fault.len + BACK_WITHIN);
+                    let begins = from + n as Micros * (drain + fault.len + RESTART_SPREAD);
                     for &i in part {
-                        let back = begins + drain + fault.len + self.rng.random_range(0..BACK_WITHIN);
-                        let outage = Outage { from: begins + drain, to: back, warned: Some(begins) };
+                        let back = begins + drain + fault.len + self.rng.random_range(0..RESTART_SPREAD);
+                        let outage = Outage { from: begins + drain, to: back, warned_at: Some(begins) };
                         self.nodes[i as usize].push(outage);
                         to = to.max(back);
                     }
@@ -187,7 +189,7 @@
             }
             FaultKind::Drain => {
                 for &i in on {
-                    let outage = Outage { from: to.max(from + 1), to: Micros::MAX, warned: Some(from) };
+                    let outage = Outage { from: to.max(from + 1), to: Micros::MAX, warned_at: Some(from) };
                     self.nodes[i as usize].push(outage);
                 }
             }
@@ -203,9 +205,10 @@
         to
     }
 
-    /// Strikes these balancers. Says when it is over.
+    /// Adds the events or outages of a fault of these balancers. Returns when the fault is over.
     fn plan_balancer_fault(&mut self, fault: &Fault, on: &[u32]) -> Micros {
-        let longest = self.day.classes.iter().map(|c| c.give_up).max().unwrap_or(0).max(END_LEAST);
+        let longest_timeout =
+            self.day.classes.iter().map(|c| c.give_up).max().unwrap_or(0).max(MIN_TERMINATION_TIME);
         let mut begins = fault.at;
         for &i in on {
             let balancer = BalancerId(i);
@@ -218,13 +221,13 @@
                 }
                 FaultKind::BalancerKill => {
                     let to = fault.at + fault.len;
-                    self.balancers[i as usize].push(Outage { from: fault.at, to, warned: None });
+                    self.balancers[i as usize].push(Outage { from: fault.at, to, warned_at: None });
                 }
-                // In turn: the next one's end begins when this one is back.
+                // A rolling restart: the next termination begins when this balancer starts again.
                 _ => {
-                    let from = begins + longest + END_MORE;
+                    let from = begins + longest_timeout + TERMINATION_MARGIN;
                     let to = from + fault.len;
-                    self.balancers[i as usize].push(Outage { from, to, warned: Some(begins) });
+                    self.balancers[i as usize].push(Outage { from, to, warned_at: Some(begins) });
                     begins = to;
                 }
             }
@@ -232,34 +235,34 @@
         begins.max(fault.at + fault.len)
     }
 
-    /// Strikes clients or discovery. Says when it is over.
-    fn plan_other_fault(&mut self, fault: &Fault, place: usize) -> Micros {
+    /// Adds the events of a fault of clients or discovery. Returns when the fault is over.
+    fn plan_other_fault(&mut self, fault: &Fault, index: usize) -> Micros {
         match fault.kind {
             FaultKind::ListStale | FaultKind::ListDown => {
-                self.events.push((fault.at, FaultEvent::Discovery(place, true)));
-                self.events.push((fault.at + fault.len, FaultEvent::Discovery(place, false)));
+                self.events.push((fault.at, FaultEvent::Discovery(index, true)));
+                self.events.push((fault.at + fault.len, FaultEvent::Discovery(index, false)));
             }
             FaultKind::ListMoved => {
-                self.events.push((fault.at, FaultEvent::Discovery(place, true)));
+                self.events.push((fault.at, FaultEvent::Discovery(index, true)));
                 for i in 0..self.day.balancers.len() as u32 {
                     let event = BalancerEvent::Reload { moved: true };
                     self.events.push((fault.at, FaultEvent::Balancer(BalancerId(i), event)));
                 }
             }
-            _ => self.events.push((fault.at, FaultEvent::Clients(place))),
+            _ => self.events.push((fault.at, FaultEvent::Clients(index))),
         }
         fault.at + fault.len
     }
 
-    /// Makes turns of all times away.
+    /// Adds the events of all outages.
     fn plan_outages(&mut self) {
         for (i, outages) in std::mem::take(&mut self.nodes).into_iter().enumerate() {
             let node = |event| FaultEvent::Node(NodeId(i as u32), event);
             let mut back = 0;
             for o in merge_overlapping(outages) {
-                let ends = match o.warned {
+                let ends = match o.warned_at {
                     Some(at) => {
-                        // Not while it is still away for another cause.
+                        // A drain cannot begin while the node is still down because of another fault.
                         self.events.push((at.max(back), node(NodeEvent::Drain)));
                         NodeEvent::Stop
                     }
@@ -276,7 +279,7 @@
             let balancer = |event| FaultEvent::Balancer(BalancerId(i as u32), event);
             let mut back = 0;
             for o in merge_overlapping(outages) {
-                if let Some(at) = o.warned {
+                if let Some(at) = o.warned_at {
                     self.events.push((at.max(back), balancer(BalancerEvent::Terminate)));
                 }
                 back = o.to;
@@ -288,8 +291,8 @@
 }
 
 impl FaultSchedule {
-    /// Works out all that the day's faults do. Balancers' first starts are among the turns, at the times that the day
-    /// names.
+    /// Expands the faults of the day into events. The events include the first start of each balancer at the
+    /// time that the day specifies.
     pub fn new(day: &Day, rng: Pcg64Mcg) -> FaultSchedule {
         let node_zones: Vec<u32> = day.nodes.iter().map(|n| n.zone).collect();
         let balancer_zones: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
@@ -305,8 +308,8 @@
             nodes: vec![Vec::new(); day.nodes.len()],
             balancers: vec![Vec::new(); day.balancers.len()],
         };
-        let mut bands = Vec::new();
-        for (place, fault) in day.faults.iter().enumerate() {
+        let mut intervals = Vec::new();
+        for (index, fault) in day.faults.iter().enumerate() {
             let on = match targets(fault.kind) {
                 FaultTargets::Nodes => affected(fault, &node_zones, &mut plan.rng),
                 FaultTargets::Balancers => affected(fault, &balancer_zones, &mut plan.rng),
@@ -315,23 +318,23 @@
             let to = match targets(fault.kind) {
                 FaultTargets::Nodes => plan.plan_node_fault(fault, &on),
                 FaultTargets::Balancers => plan.plan_balancer_fault(fault, &on),
-                FaultTargets::Other => plan.plan_other_fault(fault, place),
+                FaultTargets::Other => plan.plan_other_fault(fault, index),
             };
-            bands.push(FaultInterval { kind: fault.kind, from: fault.at, to, on });
+            intervals.push(FaultInterval { kind: fault.kind, from: fault.at, to, on });
         }
         plan.plan_outages();
         let mut events = plan.events;
-        // The sort keeps the order of what falls on one time.
+        // The sort is stable: events at the same time stay in the order in which they were added.
         events.sort_by_key(|t| t.0);
-        FaultSchedule { events, next: 0, intervals: bands }
+        FaultSchedule { events, next: 0, intervals }
     }
 
-    /// When the next turn is due.
+    /// The time of the next event.
     pub fn next_due(&self) -> Option<Micros> {
         self.events.get(self.next).map(|t| t.0)
     }
 
-    /// Hands out the turns up to `now`, in order.
+    /// Appends the events up to `now` to `out`, in order.
     pub fn advance(&mut self, now: Micros, out: &mut Vec<FaultEvent>) {
         while let Some(&(_, event)) = self.events.get(self.next).filter(|t| t.0 <= now) {
             self.next += 1;
@@ -339,7 +342,7 @@
         }
     }
 
-    /// The faults for reports, in the order of the day.
+    /// The faults for reports, in the order of the day's list.
     pub fn intervals(&self) -> &[FaultInterval] {
         &self.intervals
     }
--- a/crates/emulator/src/environment/front.rs
+++ b/crates/emulator/src/environment/front.rs
@@ -1,5 +1,7 @@
-//! The layer-4 front end before the balancers: it assigns clients to the balancers of their zone. It adds a balancer once
-//! the balancer is ready, and detects a death only after some time: until then clients are assigned to the dead one.
+//! The layer-4 front end before the balancers: it assigns clients to the balancers of their zone.
+//!
+//! It adds a balancer once the balancer is ready. It detects the death of a balancer only after some time,
+//! and until then still assigns clients to it.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -8,21 +10,21 @@
 use crate::day::Day;
 use crate::edge::BalancerId;
 
-/// The shortest time for which clients are still assigned to a balancer that terminates ...
+/// The shortest time for which clients are still assigned to a terminating balancer.
 const MIN_REMOVAL_DELAY: Micros = 200_000;
-/// ... and the longest.
+/// The longest time for which clients are still assigned to a terminating balancer.
 const MAX_REMOVAL_DELAY: Micros = 400_000;
-/// A death is detected within this ratio of the stated time, as discovery detects ended processes.
+/// The detection time of a death deviates from the configured mean by up to this ratio, as in discovery.
 const DETECTION_SPREAD_RATIO: f64 = 0.2;
 
 /// Whether clients are assigned to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BalancerStatus {
-    /// It has not answered yet, or is known to be gone.
+    /// The balancer is not ready yet, or is known to be dead: clients are not assigned to it.
     Out,
-    /// It is dealt clients.
+    /// Clients are assigned to the balancer.
     In,
-    /// It is dealt clients until then.
+    /// Clients are assigned to the balancer until this time.
     Until(Micros),
 }
 
@@ -31,16 +33,17 @@
 pub struct Front {
     zone_of: Vec<u32>,
     status: Vec<BalancerStatus>,
-    /// By zone: who is dealt clients there. Those whose time is over are dropped when they are met.
+    /// By zone: the balancers to which clients are assigned. Expired entries are removed when a balancer is
+    /// picked.
     assignable: Vec<Vec<BalancerId>>,
-    /// The same over all zones.
+    /// The assignable balancers of all zones, expired entries included.
     assignable_in_any_zone: Vec<BalancerId>,
     detection_time: f64,
     rng: Pcg64Mcg,
 }
 
 impl Front {
-    /// A front that has taken nobody in yet.
+    /// Creates a front without ready balancers.
     pub fn new(day: &Day, rng: Pcg64Mcg) -> Front {
         let zone_of: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
         let zones = zone_of.iter().map(|&z| z as usize + 1).max().unwrap_or(0).max(day.zones.len());
@@ -54,10 +57,10 @@
         }
     }
 
-    /// The balancer has answered for the first time since it started: clients are dealt to it from now on.
+    /// Handles the first readiness of a balancer since its start: clients are assigned to it from now on.
     pub fn on_ready(&mut self, _now: Micros, balancer: BalancerId) {
         self.status[balancer.0 as usize] = BalancerStatus::In;
-        // It may still be listed from before its end: once each is enough.
+        // A restarted balancer may still be listed from before its end; each list holds it once.
         for list in [
             &mut self.assignable[self.zone_of[balancer.0 as usize] as usize],
             &mut self.assignable_in_any_zone,
@@ -67,14 +70,14 @@
         }
     }
 
-    /// Its process has died: nothing says so to the front, which finds out after its notice time.
+    /// Handles the death of a balancer's process, which the front detects only after its detection time.
     pub fn on_death(&mut self, now: Micros, balancer: BalancerId) {
-        let late = self.detection_time
+        let delay = self.detection_time
             * self.rng.random_range(1.0 - DETECTION_SPREAD_RATIO..1.0 + DETECTION_SPREAD_RATIO);
-        self.schedule_removal(balancer, now + late as Micros);
+        self.schedule_removal(balancer, now + delay as Micros);
     }
 
-    /// A planned end has begun: clients come for a moment yet.
+    /// Handles the begin of a planned termination: clients are still assigned for a short time.
     pub fn on_terminate(&mut self, now: Micros, balancer: BalancerId) {
         let after = self.rng.random_range(MIN_REMOVAL_DELAY..=MAX_REMOVAL_DELAY);
         self.schedule_removal(balancer, now + after);
@@ -89,23 +92,24 @@
         };
     }
 
-    /// Whom a client of this zone is dealt to: any balancer of the zone, each as likely; where the zone has none, any
-    /// of all. It may be one that has died unnoticed. None where nobody is left.
+    /// Picks a balancer for a client of this zone: one of the zone's balancers with equal probability, or one
+    /// of all balancers if the zone has none. The balancer may be dead if its death is not detected yet.
+    /// Returns none if no balancer is assignable.
     pub fn pick(&mut self, now: Micros, zone: u32) -> Option<BalancerId> {
         let status = &mut self.status;
-        let mut still = |b: &BalancerId| match status[b.0 as usize] {
+        let mut is_assignable = |b: &BalancerId| match status[b.0 as usize] {
             BalancerStatus::In => true,
             BalancerStatus::Until(at) => now < at,
             BalancerStatus::Out => false,
         };
-        let here = self.assignable.get_mut(zone as usize);
-        if let Some(here) = here {
-            here.retain(&mut still);
-            if !here.is_empty() {
-                return Some(here[self.rng.random_range(0..here.len())]);
+        let in_zone = self.assignable.get_mut(zone as usize);
+        if let Some(in_zone) = in_zone {
+            in_zone.retain(&mut is_assignable);
+            if !in_zone.is_empty() {
+                return Some(in_zone[self.rng.random_range(0..in_zone.len())]);
             }
         }
-        self.assignable_in_any_zone.retain(&mut still);
+        self.assignable_in_any_zone.retain(&mut is_assignable);
         if self.assignable_in_any_zone.is_empty() {
             return None;
         }
--- a/crates/emulator/src/environment/mod.rs
+++ b/crates/emulator/src/environment/mod.rs
@@ -1,6 +1,9 @@
-//! What lies between clients, balancers and nodes: the network, the front, discovery, and the schedule of what goes
-//! wrong. Each is a machine without sockets or clock: it is told what happens and when, says when it is due next,
-//! and hands out what follows. The figures behind them are in `docs/design/emulator-places.md`.
+//! The environment of clients, balancers and nodes: the network, the front, discovery, and the schedule of
+//! faults.
+//!
+//! Each is a state machine without sockets or a clock. It takes events with their times, reports when its
+//! next event is due, and returns the resulting events. The parameters are explained in
+//! `docs/design/emulator-places.md`.
 
 pub mod discovery;
 pub mod faults;
--- a/crates/emulator/src/environment/network.rs
+++ b/crates/emulator/src/environment/network.rs
@@ -1,5 +1,5 @@
-//! How long a way takes. A leg never takes less than a fixed part of its mean, and what comes on top is exponential:
-//! most legs are quick and a few are slow, as queues in a network make them.
+//! One-way network delays. A delay is a fixed part of its mean plus an exponential part: most delays are
+//! short and a few are long, as with queues in a network.
 
 use rand::Rng;
 use rand_distr::Exp1;
@@ -8,7 +8,7 @@
 
 use crate::day;
 
-/// The delays of one day.
+/// Draws the network delays of a day.
 #[derive(Clone, Debug)]
 pub struct Network {
     same: f64,
@@ -19,13 +19,14 @@
 }
 
 impl Network {
-    /// The delays that `net` states, drawn with `rng`.
+    /// Creates a network with the mean delays and the jitter of `net`.
     pub fn new(net: &day::Net, rng: Pcg64Mcg) -> Network {
         let jitter = net.jitter.clamp(0.0, 1.0);
         Network { same: net.same as f64, cross: net.cross as f64, client: net.client, jitter, rng }
     }
 
-    /// One way between two zones, drawn anew: `base · (1 − jitter + jitter · Exp(1))`, so the mean is the base.
+    /// Draws the one-way delay between two zones: `base · (1 − jitter + jitter · Exp(1))`, so the mean is the
+    /// base.
     pub fn between(&mut self, from: u32, to: u32) -> Micros {
         let base = if from == to { self.same } else { self.cross };
         if self.jitter == 0.0 {
@@ -35,7 +36,7 @@
         (base * (1.0 - self.jitter + self.jitter * tail)) as Micros
     }
 
-    /// One way between a client and its balancer; it does not vary.
+    /// The one-way delay between a client and its balancer, which is constant.
     pub fn client(&self) -> Micros {
         self.client
     }
--- a/crates/emulator/src/environment/random_faults.rs
+++ b/crates/emulator/src/environment/random_faults.rs
@@ -1,5 +1,5 @@
-//! Draws what goes wrong on a day from ranges, where a scenario does not name it. Each fault is drawn from its mildest
-//! figure to its hardest, and falls so that most of it lies within the day.
+//! Draws the faults of a day from ranges, for scenarios that do not list their faults. Each parameter is
+//! drawn uniformly between its mildest and its hardest value, and most of each fault lies within the day.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -8,43 +8,45 @@
 
 use crate::day::{Fault, FaultKind};
 
-/// No fault begins earlier than this part of the day ...
-const FIRST: f64 = 0.03;
-/// ... and what counts of its length ends by this part ...
-const LAST: f64 = 0.97;
-/// ... where so much of its length counts.
-const COUNTS: f64 = 0.8;
+/// No fault begins before this part of the day.
+const EARLIEST_START: f64 = 0.03;
+/// Faults are placed so that the counted part of their length ends by this part of the day.
+const LATEST_END: f64 = 0.97;
+/// The part of a fault's length that must lie within the day.
+const COUNTED_LENGTH: f64 = 0.8;
 
-/// A kind of fault with its figures from the mildest to the hardest.
+/// A kind of fault with the range of each parameter, from the mildest to the hardest value.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Range {
-    /// What happens.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// How long it lasts, in seconds.
+    /// Its length in seconds.
     pub len_s: (f64, f64),
-    /// Its strength, as the kind says.
+    /// Its strength; the meaning depends on the kind.
     #[serde(default)]
     pub size: (f64, f64),
-    /// The part that is struck; all, where it is not given.
+    /// The part of the machines that is affected; all if none.
     #[serde(default)]
     pub part: Option<(f64, f64)>,
 }
 
-/// Draws between `count.0` and `count.1` faults (both may come) of these kinds, each kind as likely, in order of time.
-/// None where there is no kind.
+/// Draws `count.0` to `count.1` faults, both inclusive, of these kinds with equal probability. Returns them
+/// ordered by time, or no faults if there are no kinds.
 pub fn draw(length: Micros, count: (u32, u32), kinds: &[Range], rng: &mut Pcg64Mcg) -> Vec<Fault> {
     if kinds.is_empty() {
         return Vec::new();
     }
     let day = seconds_from_micros(length);
-    let between = |(mild, hard): (f64, f64), rng: &mut Pcg64Mcg| mild + (hard - mild) * rng.random::<f64>();
+    let between = |(mildest, hardest): (f64, f64), rng: &mut Pcg64Mcg| {
+        mildest + (hardest - mildest) * rng.random::<f64>()
+    };
     let mut faults: Vec<Fault> = (0..rng.random_range(count.0..=count.1.max(count.0)))
         .map(|_| {
             let range = &kinds[rng.random_range(0..kinds.len())];
             let len = between(range.len_s, rng);
-            let room = ((LAST - FIRST) * day - COUNTS * len).max(0.0);
-            let at = FIRST * day + rng.random::<f64>() * room;
+            let start_range = ((LATEST_END - EARLIEST_START) * day - COUNTED_LENGTH * len).max(0.0);
+            let at = EARLIEST_START * day + rng.random::<f64>() * start_range;
             Fault {
                 kind: range.kind,
                 at: micros_from_seconds(at),
