--- a/crates/emulator/src/environment/discovery/mod.rs
+++ b/crates/emulator/src/environment/discovery/mod.rs
@@ -1,10 +1,11 @@
-//! Discovery: one service for all balancers, which observes the nodes' processes late and serves calls and list updates
-//! in order. [`registry`] holds the list and its versions, [`service_queue`] the calls and watchers.
+//! Discovery: one service for all balancers, which observes the nodes' processes with a delay and serves
+//! calls and list updates in order. [`registry`] holds the list and its versions, [`service_queue`] the calls
+//! and watchers.
 //!
-//! A call is rejected at once if it would be served too late, and even that costs a little work. A watch is a call
-//! whose answer stays open: each new version of the list is work for every watcher, in the order of their numbers,
-//! and what a watcher gets is the list as it stands when its turn comes: changes if it is one version behind, else
-//! everything.
+//! A call that would be served too late is rejected at once, which also costs a little work. A watch is a
+//! call whose response stays open: each new version of the list adds work for every watcher, in the order of
+//! the balancers' indices. A watcher is sent the list as it is when the update is served: the changes if the
+//! watcher is at most one version behind, else the full list.
 
 pub mod registry;
 pub mod service_queue;
@@ -18,48 +19,49 @@
 use registry::{Process, Registry};
 use service_queue::{Call, ServiceQueue};
 
-/// How long the old address is served after a move.
+/// How long the old address is served after discovery has moved to another address.
 const MOVE_GRACE: Micros = 1_500_000;
 
-/// Discovery as one service.
+/// The discovery service.
 #[derive(Clone, Debug)]
 pub struct Discovery {
     registry: Registry,
     service_queue: ServiceQueue,
-    /// Spells of being down that are on.
+    /// The number of outages of the service that are active.
     down: u32,
-    /// Watches opened before the second time end at the first.
+    /// Moves to another address: at the first time, watches opened up to the second time end.
     moves: Vec<(Micros, Micros)>,
 }
 
 impl Discovery {
-    /// Discovery at the start of a day: it knows every node as it is.
-    pub fn new(day: &Day, rng: Pcg64Mcg, desk_rng: Pcg64Mcg) -> Discovery {
+    /// Creates the service at the start of a day, with the true state of every node.
+    pub fn new(day: &Day, rng: Pcg64Mcg, queue_rng: Pcg64Mcg) -> Discovery {
         Discovery {
             registry: Registry::new(&day.discovery, day.nodes.iter().map(|n| n.up), rng),
-            service_queue: ServiceQueue::new(&day.discovery, day.net.cross, day.balancers.len(), desk_rng),
+            service_queue: ServiceQueue::new(&day.discovery, day.net.cross, day.balancers.len(), queue_rng),
             down: 0,
             moves: Vec::new(),
         }
     }
 
-    /// Something happens to a node; what of it discovery can see, it learns late.
+    /// Handles an event of a node. Discovery observes, with a delay, only changes of the process and its
+    /// reachability.
     pub fn node(&mut self, now: Micros, node: NodeId, what: NodeEvent) {
         use FaultKind::{CutOff, Hang};
-        let seen = match what {
+        let change = match what {
             NodeEvent::Crash | NodeEvent::Stop => Process::Ended,
             NodeEvent::Start => Process::Started,
             NodeEvent::Drain => Process::Draining,
-            // Heartbeats stop with the process or with the machine's network; whatever else is wrong with a node,
-            // its process runs, and more the list does not know.
+            // Heartbeats stop when the process hangs or its machine is cut off. With any other fault the
+            // process still sends them, and the list shows nothing else.
             NodeEvent::Fault { kind: Hang | CutOff, on: true, .. } => Process::Silent,
             NodeEvent::Fault { kind: Hang | CutOff, on: false, .. } => Process::Reachable,
             NodeEvent::Fault { .. } => return,
         };
-        self.registry.on_process_change(now, node, seen);
+        self.registry.on_process_change(now, node, change);
     }
 
-    /// One of its own faults begins or ends.
+    /// Begins or ends a fault of discovery itself.
     pub fn struck(&mut self, now: Micros, fault: &Fault, on: bool) {
         match (fault.kind, on) {
             (FaultKind::ListStale, true) => self.registry.begin_staleness(micros_from_seconds(fault.size)),
@@ -76,17 +78,17 @@
         }
     }
 
-    /// A balancer asks to watch the list; the answer comes as its first news.
+    /// Handles a balancer's call to watch the list; the first list update is the response.
     pub fn watch(&mut self, now: Micros, balancer: BalancerId) {
-        self.calls(now, balancer, Call::Watch);
+        self.call(now, balancer, Call::Watch);
     }
 
-    /// A balancer asks for the whole list, once.
+    /// Handles a balancer's call to get the full list once.
     pub fn fetch(&mut self, now: Micros, balancer: BalancerId) {
-        self.calls(now, balancer, Call::Fetch);
+        self.call(now, balancer, Call::Fetch);
     }
 
-    fn calls(&mut self, now: Micros, balancer: BalancerId, call: Call) {
+    fn call(&mut self, now: Micros, balancer: BalancerId, call: Call) {
         if self.down > 0 {
             self.service_queue.fail_call(now, balancer);
         } else {
@@ -94,44 +96,47 @@
         }
     }
 
-    /// A balancer ends its watch.
+    /// Ends a balancer's watch.
     pub fn unwatch(&mut self, balancer: BalancerId) {
         self.service_queue.unwatch(balancer);
     }
 
-    /// A balancer's process has ended: its watch and its calls are lost. What it had last is what it knows at its
-    /// next start.
+    /// Handles the end of a balancer's process: its watch and its calls are lost. At its next start it knows
+    /// the list version that it was sent last.
     pub fn ended(&mut self, balancer: BalancerId) {
         self.service_queue.on_balancer_exit(balancer);
     }
 
-    /// The list that a balancer knows when it starts: the one it had last, which may be old.
+    /// The list that a balancer knows when it starts: the version that it was sent last, which may be
+    /// outdated.
     pub fn known_list(&self, balancer: BalancerId) -> Vec<Listed> {
         self.registry.full_list_at(self.service_queue.version_of(balancer))
     }
 
-    /// The version that a balancer has been sent last; it only grows. The list at the day's start is version 0.
+    /// The list version that a balancer was sent last, which never decreases. The list at the start of the
+    /// day is version 0.
     pub fn version_of(&self, balancer: BalancerId) -> usize {
         self.service_queue.version_of(balancer)
     }
 
-    /// The list as it is written now.
+    /// The latest published list.
     pub fn list(&self) -> Vec<Listed> {
         self.registry.full_list()
     }
 
-    /// When it is due next.
+    /// The time of the next event.
     pub fn next_due(&self) -> Option<Micros> {
-        let moved = self.moves.iter().map(|m| m.0).min();
-        [self.registry.next_due(), self.service_queue.next_due(), moved].into_iter().flatten().min()
+        let next_move = self.moves.iter().map(|m| m.0).min();
+        [self.registry.next_due(), self.service_queue.next_due(), next_move].into_iter().flatten().min()
     }
 
-    /// Does all that is due up to `now`, in order of time. Hands out what reaches balancers (lists and failures) and
-    /// what has been written into the list, for those who judge what could have been known.
+    /// Handles all events up to `now`, in order of time. Appends the messages that reach balancers (lists and
+    /// failures) to `messages` and the published entries to `written`, from which the auditor derives what
+    /// balancers could know.
     pub fn advance(
         &mut self,
         now: Micros,
-        told: &mut Vec<(BalancerId, ToBalancer)>,
+        messages: &mut Vec<(BalancerId, ToBalancer)>,
         written: &mut Vec<Listed>,
     ) {
         while let Some(at) = self.next_due().filter(|&at| at <= now) {
@@ -139,11 +144,11 @@
                 self.service_queue.enqueue_updates(at, &self.registry);
                 written.extend(self.registry.latest_changes());
             }
-            while let Some(place) = self.moves.iter().position(|m| m.0 <= at) {
-                let (_, since) = self.moves.swap_remove(place);
+            while let Some(index) = self.moves.iter().position(|m| m.0 <= at) {
+                let (_, since) = self.moves.swap_remove(index);
                 self.service_queue.break_watches(at, since);
             }
-            self.service_queue.advance(at, &self.registry, told);
+            self.service_queue.advance(at, &self.registry, messages);
         }
     }
 }
--- a/crates/emulator/src/environment/discovery/registry.rs
+++ b/crates/emulator/src/environment/discovery/registry.rs
@@ -1,5 +1,6 @@
-//! The registry of discovery: it observes changes of processes after a delay, publishes the list at a fixed period, and
-//! numbers each published change as a version. While its view is stale, observations are delayed further.
+//! The registry of discovery: it observes changes of processes after a delay, publishes the list at a fixed
+//! period, and numbers each published change as a version. While the registry is stale, observations are
+//! delayed further.
 
 use shorewharf_units::Micros;
 use std::collections::BTreeSet;
@@ -10,23 +11,25 @@
 use crate::day;
 use crate::edge::{Listed, NodeId, Stage};
 
-/// The end of a process is detected within this ratio of the stated time, uniformly distributed.
+/// The detection time of a process's end deviates from the configured mean by up to this ratio, uniformly
+/// distributed.
 const DETECTION_SPREAD_RATIO: f64 = 0.2;
-/// A new process is listed within this ratio of the stated time, uniformly distributed.
+/// The time until a new process is listed deviates from the configured mean by up to this ratio, uniformly
+/// distributed.
 const LISTING_SPREAD_RATIO: f64 = 0.3;
 
 /// A change of a process that discovery can observe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Process {
-    /// It starts anew.
+    /// The process starts.
     Started,
-    /// It says that it drains.
+    /// The process announces that it drains.
     Draining,
-    /// It ends: its machine closes what it held, and says so.
+    /// The process ends, and its machine closes its connections.
     Ended,
-    /// Its machine falls silent.
+    /// The process hangs or its machine is cut off from the network.
     Silent,
-    /// Its machine is heard again.
+    /// The process is reachable again.
     Reachable,
 }
 
@@ -37,7 +40,7 @@
     draining: bool,
     is_reachable: bool,
     started_at: Option<Micros>,
-    /// Goes up with whatever an observer would see: what was to be noticed of an older state is worth nothing then.
+    /// Incremented by every observable change; pending observations of an older epoch are dropped.
     epoch: u32,
 }
 
@@ -55,31 +58,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingChange {
     due: Micros,
-    /// Keeps equal times in the order in which they came.
+    /// Orders changes with the same due time by their arrival.
     number: u64,
     node: NodeId,
     epoch: u32,
-    /// A stale view has put it off already.
+    /// Whether a stale registry has already postponed the observation.
     is_postponed: bool,
 }
 
-/// The endpoint list, its versions, and the changes that are not observed yet.
+/// The endpoint list, its versions, and the changes that are not yet observed.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    figures: day::Discovery,
+    config: day::Discovery,
     processes: Vec<ProcessState>,
     pending_changes: BTreeSet<PendingChange>,
     next_number: u64,
-    /// Observed entries; published at the next write.
+    /// The observed entries, which the next write publishes.
     observed: Vec<Listed>,
     unwritten: BTreeSet<NodeId>,
     next_write: Micros,
     listed: Vec<Listed>,
-    /// Entries of the list that are not gone.
+    /// The number of listed entries that are not gone.
     lines: usize,
-    /// By version but the first: what each changed entry had been.
+    /// For each version after the first: the previous values of the entries that it changed.
     previous_entries: Vec<Vec<Listed>>,
-    /// By version: changes up to and with it.
+    /// For each version: the number of changes up to and including it.
     cumulative_changes: Vec<u64>,
     /// The active periods of staleness, each with its additional delay.
     staleness: Vec<Micros>,
@@ -87,8 +90,8 @@
 }
 
 impl Registry {
-    /// A registry that knows all nodes as they are when the day starts; `up` says who runs.
-    pub fn new(figures: &day::Discovery, up: impl Iterator<Item = bool>, rng: Pcg64Mcg) -> Registry {
+    /// Creates a registry with the state of all nodes at the start of the day; `up` says which of them run.
+    pub fn new(config: &day::Discovery, up: impl Iterator<Item = bool>, rng: Pcg64Mcg) -> Registry {
         let process: Vec<ProcessState> = up
             .map(|up| ProcessState { up, draining: false, is_reachable: true, started_at: None, epoch: 0 })
             .collect();
@@ -96,7 +99,7 @@
             |(i, t): (usize, &ProcessState)| Listed { node: NodeId(i as u32), stage: t.stage(), born: None };
         let listed: Vec<Listed> = process.iter().enumerate().map(entry).collect();
         Registry {
-            figures: figures.clone(),
+            config: config.clone(),
             lines: listed.iter().filter(|l| l.stage != Stage::Gone).count(),
             processes: process,
             pending_changes: BTreeSet::new(),
@@ -114,41 +117,41 @@
 
     /// Records a change of a process at `now`; the registry observes it later.
     pub fn on_process_change(&mut self, now: Micros, node: NodeId, what: Process) {
-        let f = &self.figures;
+        let config = &self.config;
         let process = &mut self.processes[node.0 as usize];
-        // What a silent machine's process does shows only once the machine is heard again.
-        let shows = process.is_reachable || (what == Process::Reachable && process.up);
+        // Changes of an unreachable process are observed only once it is reachable again.
+        let is_observable = process.is_reachable || (what == Process::Reachable && process.up);
         let (mean, spread) = match what {
             Process::Started => {
                 (process.up, process.draining, process.started_at) = (true, false, Some(now));
-                (f.add, LISTING_SPREAD_RATIO)
+                (config.add, LISTING_SPREAD_RATIO)
             }
-            // It says so by itself, as a new process does.
+            // The process announces its drain itself, as a new process announces its start.
             Process::Draining => {
                 process.draining = true;
-                (f.add, LISTING_SPREAD_RATIO)
+                (config.add, LISTING_SPREAD_RATIO)
             }
             Process::Ended => {
                 process.up = false;
-                (f.notice, DETECTION_SPREAD_RATIO)
+                (config.notice, DETECTION_SPREAD_RATIO)
             }
             Process::Silent => {
                 process.is_reachable = false;
-                (f.silent_notice, DETECTION_SPREAD_RATIO)
+                (config.silent_notice, DETECTION_SPREAD_RATIO)
             }
             Process::Reachable => {
                 process.is_reachable = true;
-                (f.add, LISTING_SPREAD_RATIO)
+                (config.add, LISTING_SPREAD_RATIO)
             }
         };
-        if !shows {
+        if !is_observable {
             return;
         }
         process.epoch += 1;
         let epoch = process.epoch;
-        let late = mean as f64 * self.rng.random_range(1.0 - spread..1.0 + spread);
+        let delay = mean as f64 * self.rng.random_range(1.0 - spread..1.0 + spread);
         self.next_number += 1;
-        let due = now + late as Micros;
+        let due = now + delay as Micros;
         self.pending_changes.insert(PendingChange {
             due,
             number: self.next_number,
@@ -158,29 +161,31 @@
         });
     }
 
-    /// A spell begins in which the view runs `by` further behind.
+    /// Begins a period in which observations are delayed by an additional `by`.
     pub fn begin_staleness(&mut self, by: Micros) {
         self.staleness.push(by);
     }
 
-    /// Such a spell ends: what it put off is noticed now, or after what the other spells still add.
+    /// Ends such a period: postponed changes are observed now, or after the delay of the other active
+    /// periods.
     pub fn end_staleness(&mut self, now: Micros, by: Micros) {
-        if let Some(place) = self.staleness.iter().position(|&s| s == by) {
-            self.staleness.remove(place);
+        if let Some(index) = self.staleness.iter().position(|&s| s == by) {
+            self.staleness.remove(index);
         }
         let latest = now + self.staleness.iter().sum::<Micros>();
-        let sooner =
+        let limit_due =
             |c: PendingChange| if c.is_postponed { PendingChange { due: c.due.min(latest), ..c } } else { c };
-        self.pending_changes = std::mem::take(&mut self.pending_changes).into_iter().map(sooner).collect();
+        self.pending_changes = std::mem::take(&mut self.pending_changes).into_iter().map(limit_due).collect();
     }
 
-    /// When something is noticed or written next.
+    /// The time of the next observation or write.
     pub fn next_due(&self) -> Option<Micros> {
         let writes = (!self.unwritten.is_empty()).then_some(self.next_write);
         [writes, self.pending_changes.first().map(|c| c.due)].into_iter().flatten().min()
     }
 
-    /// Notices and writes what is due at `now`, which must be what `next_due` said. True for a new version.
+    /// Handles the observations and the write due at `now`, which must be the time returned by `next_due`.
+    /// Returns whether a new version was published.
     pub fn advance(&mut self, now: Micros) -> bool {
         while let Some(&c) = self.pending_changes.first().filter(|c| c.due <= now) {
             self.pending_changes.pop_first();
@@ -197,9 +202,13 @@
         if process.epoch != c.epoch {
             return;
         }
-        let behind = self.staleness.iter().sum::<Micros>();
-        if behind > 0 && !c.is_postponed {
-            self.pending_changes.insert(PendingChange { due: c.due + behind, is_postponed: true, ..c });
+        let additional_delay = self.staleness.iter().sum::<Micros>();
+        if additional_delay > 0 && !c.is_postponed {
+            self.pending_changes.insert(PendingChange {
+                due: c.due + additional_delay,
+                is_postponed: true,
+                ..c
+            });
             return;
         }
         let entry = &mut self.observed[c.node.0 as usize];
@@ -208,8 +217,8 @@
             entry.born = process.started_at;
         }
         if self.unwritten.is_empty() {
-            // The list is written at whole periods of the day's clock.
-            let period = self.figures.period.max(1);
+            // The list is written at multiples of the period, counted from the start of the day.
+            let period = self.config.period.max(1);
             self.next_write = c.due.div_ceil(period) * period;
         }
         self.unwritten.insert(c.node);
@@ -233,23 +242,23 @@
         true
     }
 
-    /// The list's version; the one at the day's start is 0.
+    /// The version of the list; the list at the start of the day is version 0.
     pub fn version(&self) -> usize {
         self.previous_entries.len()
     }
 
-    /// Entries of the list that are not gone.
+    /// The number of listed entries that are not gone.
     pub fn lines(&self) -> usize {
         self.lines
     }
 
-    /// Changes since a version, counted one by one.
+    /// The number of single changes since a version.
     pub fn changes_since(&self, version: usize) -> u64 {
         self.cumulative_changes[self.cumulative_changes.len() - 1] - self.cumulative_changes[version]
     }
 
-    /// What to tell someone who holds that version: the changes if it is the present one or the one before, else the
-    /// whole list. The flag says which.
+    /// The update for a watcher at this version: the changes if it is the latest version or the one before,
+    /// else the full list. The flag is true for a full list.
     pub fn update_since(&self, version: usize) -> (bool, Vec<Listed>) {
         match self.version() - version {
             0 => (false, Vec::new()),
@@ -258,17 +267,17 @@
         }
     }
 
-    /// What the latest version changed, as it is now.
+    /// The present values of the entries that the latest version changed.
     pub fn latest_changes(&self) -> impl Iterator<Item = Listed> {
         self.previous_entries.last().into_iter().flatten().map(|b| self.listed[b.node.0 as usize])
     }
 
-    /// The whole list as it is written now, without what is gone.
+    /// The full published list without gone entries.
     pub fn full_list(&self) -> Vec<Listed> {
         self.listed.iter().filter(|l| l.stage != Stage::Gone).copied().collect()
     }
 
-    /// The whole list as it was at a version.
+    /// The full list at a version, without gone entries.
     pub fn full_list_at(&self, version: usize) -> Vec<Listed> {
         let mut list = self.listed.clone();
         for before in self.previous_entries[version..].iter().rev() {
--- a/crates/emulator/src/environment/discovery/service_queue.rs
+++ b/crates/emulator/src/environment/discovery/service_queue.rs
@@ -1,4 +1,5 @@
-//! The service queue of discovery: calls and list updates, served in order at a fixed number of list lines a second.
+//! The service queue of discovery: calls and list updates, served in order at a fixed number of list lines a
+//! second.
 
 use shorewharf_units::Micros;
 use std::cmp::Reverse;
@@ -11,52 +12,53 @@
 use crate::day;
 use crate::edge::{BalancerId, Listed, ToBalancer};
 
-// The work of each kind of response, in list lines.
+// The work of each kind of response, measured in list lines.
 
-/// Rejecting a call, as a ratio of the call's own work.
+/// The work of rejecting a call, as a ratio of the call's fixed work.
 const REJECTED_CALL_RATIO: f64 = 0.05;
-/// A change in a watch's first answer; never more of them than the list has lines.
+/// The work per change in the first response to a watch; the changes count up to the number of lines of the
+/// list.
 const LINES_PER_ANSWERED_CHANGE: f64 = 0.25;
-/// Writing anything to one watcher ...
+/// The fixed work of an update for one watcher, ...
 const UPDATE_LINES: f64 = 1.0;
-/// ... plus this part of a call's work ...
+/// ... plus this ratio of a call's fixed work, ...
 const UPDATE_CALL_RATIO: f64 = 0.02;
-/// ... plus so much for each change.
+/// ... plus this work per change.
 const LINES_PER_UPDATED_CHANGE: f64 = 0.1;
-/// The largest delay of an update to a watcher, as a ratio of the stated spread.
+/// The largest delay of an update to a watcher, as a ratio of the configured spread.
 const UPDATE_SPREAD_RATIO: f64 = 1.0 / 8.0;
 
-/// What a balancer calls for.
+/// A kind of call from a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// The changes since what it has, and all that follow.
+    /// A watch: the changes since the balancer's version, and all later changes.
     Watch,
-    /// The whole list, once.
+    /// The full list, once.
     Fetch,
 }
 
-/// Work in the queue.
+/// A response that is being prepared or waits in the queue.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     ends: Micros,
     balancer: BalancerId,
-    /// The balancer's process that it is for.
+    /// The incarnation of the balancer's process to which the response belongs.
     incarnation: u32,
-    /// None for an update to a watcher.
+    /// The call to respond to; none for an update to a watcher.
     call: Option<Call>,
 }
 
-/// A balancer as seen from the service queue.
+/// The state of a balancer in the service queue.
 #[derive(Clone, Debug, Default)]
 struct Watcher {
     incarnation: u32,
-    /// The version it has been sent.
+    /// The list version that it was sent last.
     sent_version: usize,
-    /// Since when it watches.
+    /// When its watch was opened; none if it does not watch.
     watching_since: Option<Micros>,
-    /// An update for it waits in the queue.
+    /// Whether an update for it is in the queue.
     is_update_queued: bool,
-    /// What was sent last reaches it then; nothing overtakes.
+    /// The arrival time of the last response sent to it; later responses do not arrive earlier.
     last_arrival: Micros,
 }
 
@@ -67,7 +69,7 @@
     number: u64,
     balancer: BalancerId,
     incarnation: u32,
-    /// None for a failure.
+    /// Whether the list is full, and its entries; none for a failure.
     list: Option<(bool, Vec<Listed>)>,
 }
 
@@ -88,38 +90,39 @@
     }
 }
 
-/// The queue and the watchers.
+/// The queue of responses, and the watchers.
 #[derive(Clone, Debug)]
 pub struct ServiceQueue {
     lines_per_s: f64,
     call_lines: f64,
     timeout: Micros,
-    /// A call and its answer travel so long, together.
-    trip: Micros,
+    /// The network round-trip time of a call and its response.
+    round_trip: Micros,
     spread: f64,
     busy_until: Micros,
     jobs: VecDeque<Job>,
     watchers: Vec<Watcher>,
     watching: BTreeSet<BalancerId>,
-    sent: BinaryHeap<Reverse<Response>>,
+    in_transit: BinaryHeap<Reverse<Response>>,
     next_number: u64,
     rng: Pcg64Mcg,
 }
 
 impl ServiceQueue {
-    /// Creates an empty queue. `cross` is one way between two zones, where every balancer is held to be.
-    pub fn new(figures: &day::Discovery, cross: Micros, balancers: usize, rng: Pcg64Mcg) -> ServiceQueue {
+    /// Creates an empty queue. `cross` is the one-way delay between two zones: every balancer is assumed to
+    /// be in another zone than discovery.
+    pub fn new(config: &day::Discovery, cross: Micros, balancers: usize, rng: Pcg64Mcg) -> ServiceQueue {
         ServiceQueue {
-            lines_per_s: figures.lines_per_s.max(1e-3),
-            call_lines: figures.call_lines,
-            timeout: figures.timeout,
-            trip: 2 * cross,
-            spread: figures.spread as f64 * UPDATE_SPREAD_RATIO,
+            lines_per_s: config.lines_per_s.max(1e-3),
+            call_lines: config.call_lines,
+            timeout: config.timeout,
+            round_trip: 2 * cross,
+            spread: config.spread as f64 * UPDATE_SPREAD_RATIO,
             busy_until: 0,
             jobs: VecDeque::new(),
             watchers: vec![Watcher::default(); balancers],
             watching: BTreeSet::new(),
-            sent: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             next_number: 0,
             rng,
         }
@@ -129,7 +132,7 @@
         (lines / self.lines_per_s * 1e6).round() as Micros
     }
 
-    /// Enqueues a call, or rejects it if it would be served too late.
+    /// Enqueues a call, or rejects it if it would be served after its timeout.
     pub fn enqueue_call(&mut self, now: Micros, balancer: BalancerId, call: Call, registry: &Registry) {
         let watcher = &self.watchers[balancer.0 as usize];
         let lines = match call {
@@ -149,12 +152,12 @@
         self.jobs.push_back(Job { ends, balancer, incarnation: watcher.incarnation, call: Some(call) });
     }
 
-    /// A call fails at once.
+    /// Sends the failure of a call without queueing.
     pub fn fail_call(&mut self, now: Micros, balancer: BalancerId) {
-        self.send(now + self.trip, balancer, None);
+        self.send(now + self.round_trip, balancer, None);
     }
 
-    /// Enqueues an update for every watcher that has none queued.
+    /// Enqueues an update for every watcher that has none in the queue.
     pub fn enqueue_updates(&mut self, now: Micros, registry: &Registry) {
         let changes = registry.changes_since(registry.version() - 1) as f64;
         let work = self
@@ -179,7 +182,7 @@
         self.watching.remove(&balancer);
     }
 
-    /// Forgets a balancer's process.
+    /// Ends the watch of a balancer whose process has exited, and drops its pending calls and responses.
     pub fn on_balancer_exit(&mut self, balancer: BalancerId) {
         self.unwatch(balancer);
         let watcher = &mut self.watchers[balancer.0 as usize];
@@ -187,7 +190,7 @@
         watcher.is_update_queued = false;
     }
 
-    /// The service goes down: calls in the queue fail and watches break.
+    /// Handles an outage of the service: queued calls fail and watches break.
     pub fn shut_down(&mut self, now: Micros) {
         self.busy_until = now;
         for job in std::mem::take(&mut self.jobs) {
@@ -195,50 +198,50 @@
             if watcher.incarnation == job.incarnation {
                 watcher.is_update_queued = false;
                 if job.call.is_some() {
-                    self.send(now + self.trip / 2, job.balancer, None);
+                    self.send(now + self.round_trip / 2, job.balancer, None);
                 }
             }
         }
         self.break_watches(now, now);
     }
 
-    /// Watches that were opened up to `since` break.
+    /// Breaks the watches that were opened at `since` or earlier.
     pub fn break_watches(&mut self, now: Micros, since: Micros) {
         for balancer in self.watching.clone() {
             if self.watchers[balancer.0 as usize].watching_since.is_some_and(|s| s <= since) {
                 self.unwatch(balancer);
-                self.send(now + self.trip / 2, balancer, None);
+                self.send(now + self.round_trip / 2, balancer, None);
             }
         }
     }
 
-    /// The version that a balancer has been sent last.
+    /// The list version that a balancer was sent last.
     pub fn version_of(&self, balancer: BalancerId) -> usize {
         self.watchers[balancer.0 as usize].sent_version
     }
 
-    /// When a job ends or something arrives next.
+    /// The time at which the next job ends or the next response arrives.
     pub fn next_due(&self) -> Option<Micros> {
-        [self.jobs.front().map(|j| j.ends), self.sent.peek().map(|Reverse(s)| s.at)]
+        [self.jobs.front().map(|j| j.ends), self.in_transit.peek().map(|Reverse(r)| r.at)]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// Ends jobs and hands out what arrives at `now`.
+    /// Completes jobs up to `now` and appends the responses that have arrived to `out`.
     pub fn advance(&mut self, now: Micros, registry: &Registry, out: &mut Vec<(BalancerId, ToBalancer)>) {
         while let Some(job) = self.jobs.front().copied().filter(|j| j.ends <= now) {
             self.jobs.pop_front();
             self.serve(job, registry);
         }
-        while self.sent.peek().is_some_and(|Reverse(s)| s.at <= now) {
-            let Some(Reverse(sent)) = self.sent.pop() else { break };
-            if self.watchers[sent.balancer.0 as usize].incarnation == sent.incarnation {
-                let message = match sent.list {
+        while self.in_transit.peek().is_some_and(|Reverse(r)| r.at <= now) {
+            let Some(Reverse(response)) = self.in_transit.pop() else { break };
+            if self.watchers[response.balancer.0 as usize].incarnation == response.incarnation {
+                let message = match response.list {
                     Some((full, entries)) => ToBalancer::List { full, entries },
                     None => ToBalancer::ListFailed,
                 };
-                out.push((sent.balancer, message));
+                out.push((response.balancer, message));
             }
         }
     }
@@ -248,23 +251,27 @@
         if watcher.incarnation != job.incarnation {
             return;
         }
-        let has = std::mem::replace(&mut watcher.sent_version, registry.version());
+        let previous_version = std::mem::replace(&mut watcher.sent_version, registry.version());
         match job.call {
             Some(Call::Fetch) => {
-                self.send(job.ends + self.trip, job.balancer, Some((true, registry.full_list())));
+                self.send(job.ends + self.round_trip, job.balancer, Some((true, registry.full_list())));
             }
             Some(Call::Watch) => {
                 watcher.watching_since = Some(job.ends);
                 self.watching.insert(job.balancer);
-                self.send(job.ends + self.trip, job.balancer, Some(registry.update_since(has)));
+                self.send(
+                    job.ends + self.round_trip,
+                    job.balancer,
+                    Some(registry.update_since(previous_version)),
+                );
             }
             None => {
                 watcher.is_update_queued = false;
                 if watcher.watching_since.is_none() {
-                    watcher.sent_version = has;
-                } else if has < registry.version() {
-                    let late = self.rng.random_range(0.0..=self.spread) as Micros;
-                    self.send(job.ends + late, job.balancer, Some(registry.update_since(has)));
+                    watcher.sent_version = previous_version;
+                } else if previous_version < registry.version() {
+                    let delay = self.rng.random_range(0.0..=self.spread) as Micros;
+                    self.send(job.ends + delay, job.balancer, Some(registry.update_since(previous_version)));
                 }
             }
         }
@@ -272,10 +279,10 @@
 
     fn send(&mut self, at: Micros, balancer: BalancerId, list: Option<(bool, Vec<Listed>)>) {
         let watcher = &mut self.watchers[balancer.0 as usize];
-        // All that a balancer gets comes in the order in which it was written.
+        // A balancer receives responses in the order in which they were sent.
         watcher.last_arrival = watcher.last_arrival.max(at);
         self.next_number += 1;
         let (at, incarnation) = (watcher.last_arrival, watcher.incarnation);
-        self.sent.push(Reverse(Response { at, number: self.next_number, balancer, incarnation, list }));
+        self.in_transit.push(Reverse(Response { at, number: self.next_number, balancer, incarnation, list }));
     }
 }
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -1,4 +1,4 @@
-//! A small day that the tests of this folder share, and the tests in which its parts work together.
+//! A small day that the tests of the environment share, and the tests of discovery and of the fault schedule.
 
 use crate::day::{Day, Fault, FaultKind};
 use crate::edge::{BalancerId, Listed, NodeId, Stage, ToBalancer};
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 
-/// A day with so many nodes, all in zone 0 of one, and balancers in these zones; nothing goes wrong.
+/// A day without faults: `nodes` nodes in its only zone 0, and one balancer for each zone in `balancers`.
 pub(crate) fn day(nodes: usize, balancers: &[u32]) -> Day {
     let nodes: Vec<_> =
         (0..nodes).map(|_| json!({"zone": 0, "kind": 0, "speed": 1.0, "weight": 1.0})).collect();
@@ -35,7 +35,7 @@
         "prices": {"cross_zone": 0, "waste": 0, "connection": 0, "handshake": 0, "probe": 0, "late_fail": 0,
             "moves": 0},
     }))
-    .expect("a whole day")
+    .expect("the day is valid")
 }
 
 fn rng(seed: u64) -> Pcg64Mcg {
@@ -46,129 +46,152 @@
     Fault { kind, at, len, size, on: on.to_vec(), zone: None, part: None }
 }
 
-/// What discovery told whom, and what it wrote, with times.
-struct Told {
-    told: Vec<(u64, BalancerId, ToBalancer)>,
+/// The messages that discovery sent to balancers and the entries that it published, with their times.
+#[derive(Default)]
+struct Outputs {
+    messages: Vec<(u64, BalancerId, ToBalancer)>,
     written: Vec<(u64, Listed)>,
 }
 
-/// Plays discovery alone up to `end`.
-fn play(discovery: &mut Discovery, end: u64, told: &mut Told) {
+/// Runs discovery up to `end`.
+fn play(discovery: &mut Discovery, end: u64, outputs: &mut Outputs) {
     let (mut to, mut written) = (Vec::new(), Vec::new());
     while let Some(at) = discovery.next_due().filter(|&at| at <= end) {
         discovery.advance(at, &mut to, &mut written);
-        told.told.extend(to.drain(..).map(|(b, word)| (at, b, word)));
-        told.written.extend(written.drain(..).map(|l| (at, l)));
+        outputs.messages.extend(to.drain(..).map(|(b, message)| (at, b, message)));
+        outputs.written.extend(written.drain(..).map(|l| (at, l)));
     }
 }
 
-fn nothing() -> Told {
-    Told { told: Vec::new(), written: Vec::new() }
-}
-
 const S: u64 = 1_000_000;
 
-/// Failure: more balancers call at once than discovery can serve in time. Promise: it serves as many as it can, turns
-/// the others away at once at a small cost, and its times are those measured at the simulator (0.25, 0.50, 0.75 s,
-/// then 0.5002 s + 0.5123 s for who asked again).
+/// More balancers call at once than discovery can serve in time. It serves as many as it can and rejects the
+/// others at once at a small cost. The response times are those measured in the simulator: 0.25, 0.50 and
+/// 0.75 s, and 0.5123 s for a rejected balancer that calls again at 0.5002 s.
 #[test]
-fn calls_wait_in_turn_and_the_excess_is_turned_away_at_once() {
+fn calls_are_served_in_order_and_excess_calls_are_rejected_at_once() {
     let day = day(14, &[0, 0, 0, 0]);
     let mut discovery = Discovery::new(&day, rng(1), rng(2));
     (0..4).for_each(|b| discovery.watch(0, BalancerId(b)));
-    let mut told = nothing();
-    play(&mut discovery, 500_200, &mut told);
+    let mut outputs = Outputs::default();
+    play(&mut discovery, 500_200, &mut outputs);
     discovery.watch(500_200, BalancerId(3));
     discovery.fetch(10 * S, BalancerId(0));
-    play(&mut discovery, 20 * S, &mut told);
-    let times: Vec<(u64, u32, bool)> =
-        told.told.iter().map(|(at, b, word)| (*at, b.0, matches!(word, ToBalancer::List { .. }))).collect();
-    let trip = 2_000;
+    play(&mut discovery, 20 * S, &mut outputs);
+    let times: Vec<(u64, u32, bool)> = outputs
+        .messages
+        .iter()
+        .map(|(at, b, message)| (*at, b.0, matches!(message, ToBalancer::List { .. })))
+        .collect();
+    let round_trip = 2_000;
     assert_eq!(
         times,
         [
-            (trip, 3, false),
-            (250_000 + trip, 0, true),
-            (500_000 + trip, 1, true),
-            (750_000 + trip, 2, true),
-            (1_012_500 + trip, 3, true),
-            // The whole list costs a line for each entry.
-            (10 * S + 320_000 + trip, 0, true),
+            (round_trip, 3, false),
+            (250_000 + round_trip, 0, true),
+            (500_000 + round_trip, 1, true),
+            (750_000 + round_trip, 2, true),
+            (1_012_500 + round_trip, 3, true),
+            // The full list costs one line per entry.
+            (10 * S + 320_000 + round_trip, 0, true),
         ]
     );
-    assert!(matches!(&told.told[5].2, ToBalancer::List { full: true, entries } if entries.len() == 14));
+    assert!(
+        matches!(&outputs.messages[5].2, ToBalancer::List { full: true, entries } if entries.len() == 14)
+    );
 }
 
-/// Failure: processes end and come back while the list is written once a second and its view falls behind for a spell.
-/// Promise: each change is written at a whole period, late by what the day states, later by the spell, and at the end
-/// of the spell at the latest; one that came back before its end was noticed is never called gone.
+/// Processes end and restart while the list is written once a second, and discovery is stale for 11 s.
+/// Each change is written at a multiple of the period, after the delay that the day states plus the delay of
+/// the staleness, and at the latest when the staleness ends. A process that restarts before its end is
+/// detected is never listed as gone.
 #[test]
-fn changes_are_noticed_late_written_in_turn_and_put_off_while_the_view_is_stale() {
+fn changes_are_listed_after_their_delay_and_later_while_discovery_is_stale() {
     let day = day(4, &[0]);
     let mut discovery = Discovery::new(&day, rng(5), rng(6));
-    let mut told = nothing();
+    let mut outputs = Outputs::default();
     discovery.watch(0, BalancerId(0));
     let stale = fault(FaultKind::ListStale, 0, 0, 4.0, &[]);
-    let node = |discovery: &mut Discovery, at, i, turn| discovery.node(at, NodeId(i), turn);
+    let node = |discovery: &mut Discovery, at, i, event| discovery.node(at, NodeId(i), event);
     node(&mut discovery, S, 0, NodeEvent::Crash);
     node(&mut discovery, S, 1, NodeEvent::Crash);
     node(&mut discovery, S + 300_000, 1, NodeEvent::Start);
-    play(&mut discovery, 10 * S, &mut told);
+    play(&mut discovery, 10 * S, &mut outputs);
     discovery.struck(10 * S, &stale, true);
     node(&mut discovery, 10 * S, 0, NodeEvent::Start);
-    play(&mut discovery, 18 * S, &mut told);
+    play(&mut discovery, 18 * S, &mut outputs);
     node(&mut discovery, 18 * S, 2, NodeEvent::Crash);
-    play(&mut discovery, 21 * S - 1, &mut told);
+    play(&mut discovery, 21 * S - 1, &mut outputs);
     discovery.struck(21 * S - 1, &stale, false);
     node(&mut discovery, 30 * S, 3, NodeEvent::Fault { kind: FaultKind::CutOff, on: true, size: 0.0 });
-    play(&mut discovery, 60 * S, &mut told);
+    play(&mut discovery, 60 * S, &mut outputs);
 
     let written: Vec<(u64, u32, Stage)> =
-        told.written.iter().map(|(at, l)| (at / S, l.node.0, l.stage)).collect();
-    assert!(told.written.iter().all(|(at, _)| at % S == 0), "the list is written at whole periods");
+        outputs.written.iter().map(|(at, l)| (at / S, l.node.0, l.stage)).collect();
+    assert!(
+        outputs.written.iter().all(|(at, _)| at % S == 0),
+        "the list is written at multiples of the period"
+    );
     let find = |node, stage| written.iter().find(|w| (w.1, w.2) == (node, stage)).map(|w| w.0);
-    assert!((3..=4).contains(&find(0, Stage::Gone).expect("noticed")), "{written:?}");
-    assert_eq!(find(1, Stage::Gone), None, "it was back before anybody noticed");
-    assert!((2..=3).contains(&find(1, Stage::Ready).expect("born anew")), "{written:?}");
-    assert!((15..=16).contains(&find(0, Stage::Ready).expect("after the spell's 4 s")), "{written:?}");
-    assert_eq!(find(2, Stage::Gone), Some(21), "the spell's end brings it");
-    assert!((37..=40).contains(&find(3, Stage::Gone).expect("a silent failure")), "{written:?}");
-    let born = told.written.iter().filter(|(_, l)| l.stage == Stage::Ready).map(|(_, l)| l.born);
+    assert!((3..=4).contains(&find(0, Stage::Gone).expect("the crash of node 0 is listed")), "{written:?}");
+    assert_eq!(find(1, Stage::Gone), None, "node 1 restarted before its end was detected");
+    assert!(
+        (2..=3).contains(&find(1, Stage::Ready).expect("the restart of node 1 is listed")),
+        "{written:?}"
+    );
+    assert!(
+        (15..=16).contains(
+            &find(0, Stage::Ready).expect("the restart of node 0 is listed after the 4 s of staleness")
+        ),
+        "{written:?}"
+    );
+    assert_eq!(find(2, Stage::Gone), Some(21), "the crash of node 2 is listed when the staleness ends");
+    assert!(
+        (37..=40).contains(&find(3, Stage::Gone).expect("the network loss of node 3 is listed")),
+        "{written:?}"
+    );
+    let born = outputs.written.iter().filter(|(_, l)| l.stage == Stage::Ready).map(|(_, l)| l.born);
     assert_eq!(born.collect::<Vec<_>>(), [Some(S + 300_000), Some(10 * S)]);
-    // The watcher heard it all, each version within its spread and the work of writing it.
-    let news: Vec<u64> = told.told.iter().skip(1).map(|(at, ..)| at % S).collect();
-    assert!(news.len() >= 5 && news.iter().all(|late| (10_000..=70_000).contains(late)), "{news:?}");
+    // The watcher got every version, each after the work of writing it and at most the spread.
+    let delays: Vec<u64> = outputs.messages.iter().skip(1).map(|(at, ..)| at % S).collect();
+    assert!(delays.len() >= 5 && delays.iter().all(|delay| (10_000..=70_000).contains(delay)), "{delays:?}");
 }
 
-/// Failure: discovery is slower than its news, so that watchers fall behind; it goes down; a watcher dies. Promise: who
-/// is one version behind gets changes, who is further behind the whole list, and applying them always gives the list
-/// as it was written; watches break with a failure; a balancer that starts again knows what it was sent last.
+/// Discovery publishes versions faster than it can send updates, so that watchers fall behind; a watcher
+/// dies; then the service goes down. A watcher that is one version behind gets the changes and one that is
+/// further behind the full list; both lead to the published list. Watches break with a failure, and a
+/// balancer that restarts knows the version that it was sent last.
 #[test]
-fn watchers_who_fall_behind_get_everything_and_old_knowledge_stays_old() {
+fn watchers_that_fall_behind_get_the_full_list_and_a_restart_keeps_the_old_list() {
     let mut day = day(60, &[0; 12]);
     day.discovery.period = 1_000;
     day.discovery.timeout = 60 * S;
     let mut discovery = Discovery::new(&day, rng(7), rng(8));
-    let mut told = nothing();
+    let mut outputs = Outputs::default();
     (0..12).for_each(|b| discovery.watch(0, BalancerId(b)));
-    play(&mut discovery, 10 * S, &mut told);
+    play(&mut discovery, 10 * S, &mut outputs);
     for i in 0..40 {
         discovery.node(10 * S, NodeId(i), NodeEvent::Crash);
     }
-    play(&mut discovery, 12 * S, &mut told);
+    play(&mut discovery, 12 * S, &mut outputs);
     discovery.ended(BalancerId(11));
-    play(&mut discovery, 20 * S, &mut told);
+    play(&mut discovery, 20 * S, &mut outputs);
     discovery.node(20 * S, NodeId(50), NodeEvent::Crash);
-    play(&mut discovery, 25 * S, &mut told);
+    play(&mut discovery, 25 * S, &mut outputs);
     let mut lists = vec![discovery.known_list(BalancerId(11)); 12];
     let stale_list = lists[11].len();
-    assert!((21..60).contains(&stale_list), "{stale_list} entries: it died halfway through the news");
+    assert!(
+        (21..60).contains(&stale_list),
+        "{stale_list} entries: balancer 11 died before it got all updates"
+    );
     let (mut full, mut changes) = (0, 0);
     for list in lists.iter_mut().take(11) {
         *list = (0..60).map(|i| Listed { node: NodeId(i), stage: Stage::Ready, born: None }).collect();
     }
-    for (_, b, word) in &told.told {
-        let ToBalancer::List { full: all, entries } = word else { panic!("nothing failed: {word:?}") };
+    for (_, b, message) in &outputs.messages {
+        let ToBalancer::List { full: all, entries } = message else {
+            panic!("discovery is up, yet it sent {message:?}")
+        };
         let list = &mut lists[b.0 as usize];
         if *all {
             full += 1;
@@ -178,28 +201,32 @@
         }
         list.retain(|l| !entries.iter().any(|e| e.node == l.node && e.stage == Stage::Gone));
     }
-    assert!(full > 50 && changes >= 11, "{full} whole lists, {changes} lists of changes");
+    assert!(full > 50 && changes >= 11, "{full} full lists, {changes} updates with changes");
     assert!(lists.iter().take(11).all(|l| *l == discovery.list() && l.len() == 19));
 
     let down = fault(FaultKind::ListDown, 0, 0, 0.0, &[]);
-    told.told.clear();
+    outputs.messages.clear();
     discovery.struck(30 * S, &down, true);
     discovery.watch(31 * S, BalancerId(0));
-    play(&mut discovery, 32 * S, &mut told);
-    assert!(told.told.len() == 12 && told.told.iter().all(|t| t.2 == ToBalancer::ListFailed));
+    play(&mut discovery, 32 * S, &mut outputs);
+    assert!(outputs.messages.len() == 12 && outputs.messages.iter().all(|t| t.2 == ToBalancer::ListFailed));
     discovery.struck(33 * S, &down, false);
     discovery.watch(34 * S, BalancerId(0));
     discovery.node(34 * S, NodeId(0), NodeEvent::Start);
-    told.told.clear();
-    play(&mut discovery, 40 * S, &mut told);
-    assert_eq!(told.told.len(), 2, "its answer and the news, and nothing for those whose watch broke");
+    outputs.messages.clear();
+    play(&mut discovery, 40 * S, &mut outputs);
+    assert_eq!(
+        outputs.messages.len(),
+        2,
+        "balancer 0 gets the response and one update, the others had no watch left"
+    );
 }
 
-/// Failure: faults that overlap on the same machines. Promise: a node dies and starts once for each time it is away, and
-/// comes back when the last cause is over; a balancer's planned end gives it the longest wait; the seed decides who is
-/// struck, and the same seed strikes the same.
+/// Faults overlap on the same machines. A node stops and starts once per outage and restarts when the last of
+/// its faults is over. A terminating balancer is killed only after the longest client timeout. The affected
+/// machines depend on the seed, and the same seed gives the same schedule.
 #[test]
-fn overlapping_faults_strike_once_and_the_same_seed_strikes_the_same() {
+fn overlapping_faults_cause_one_outage_and_a_seed_gives_one_schedule() {
     let mut day = day(40, &[0, 0]);
     day.balancers[1].start = 2 * S;
     day.faults = vec![
@@ -212,33 +239,36 @@
     ];
     let all = |seed| {
         let mut schedule = FaultSchedule::new(&day, rng(seed));
-        let (mut turns, mut at) = (Vec::new(), 0);
+        let (mut events, mut at) = (Vec::new(), 0);
         while let Some(due) = schedule.next_due() {
-            assert!(due >= at, "out of order");
+            assert!(due >= at, "event at {due} follows one at {at}");
             at = due;
-            let mut some = Vec::new();
-            schedule.advance(due, &mut some);
-            turns.extend(some.into_iter().map(|turn| (due, turn)));
+            let mut due_events = Vec::new();
+            schedule.advance(due, &mut due_events);
+            events.extend(due_events.into_iter().map(|event| (due, event)));
         }
-        (turns, schedule.intervals().to_vec())
+        (events, schedule.intervals().to_vec())
     };
-    let (turns, bands) = all(1);
-    assert_eq!(all(1).0, turns);
-    assert_ne!(all(2).1[2].on, bands[2].on, "another seed strikes others");
-    assert_eq!(bands[2].on.len(), 10);
-    let of = |wanted: FaultEvent| turns.iter().filter(|t| t.1 == wanted).map(|t| t.0).collect::<Vec<_>>();
-    let node = |i, turn| of(FaultEvent::Node(NodeId(i), turn));
-    if !bands[2].on.contains(&2) {
-        assert_eq!(node(2, NodeEvent::Crash), [10 * S], "it was down already");
+    let (events, intervals) = all(1);
+    assert_eq!(all(1).0, events);
+    assert_ne!(all(2).1[2].on, intervals[2].on, "another seed affects other nodes");
+    assert_eq!(intervals[2].on.len(), 10);
+    let of = |wanted: FaultEvent| events.iter().filter(|t| t.1 == wanted).map(|t| t.0).collect::<Vec<_>>();
+    let node = |i, event| of(FaultEvent::Node(NodeId(i), event));
+    if !intervals[2].on.contains(&2) {
+        assert_eq!(node(2, NodeEvent::Crash), [10 * S], "the second crash finds the node down");
         let back = node(2, NodeEvent::Start);
         assert!(back.len() == 1 && (22 * S..23 * S).contains(&back[0]), "{back:?}");
     }
-    // Two of forty leave at once; the next two when these are back.
+    // A release stops two of forty nodes at once, and the next two when these are back.
     assert_eq!(node(5, NodeEvent::Drain), [30 * S]);
     assert_eq!(node(6, NodeEvent::Drain), [34 * S]);
     assert_eq!(node(6, NodeEvent::Stop), [36 * S]);
-    assert!(node(5, NodeEvent::Start)[0] <= node(6, NodeEvent::Drain)[0], "one wave after the other");
-    let balancer = |i, turn| of(FaultEvent::Balancer(BalancerId(i), turn));
+    assert!(
+        node(5, NodeEvent::Start)[0] <= node(6, NodeEvent::Drain)[0],
+        "the second wave begins before the first is back"
+    );
+    let balancer = |i, event| of(FaultEvent::Balancer(BalancerId(i), event));
     assert_eq!(balancer(1, BalancerEvent::Start), [2 * S, 29_400_000]);
     assert_eq!(balancer(0, BalancerEvent::Kill), [23_700_000]);
     assert_eq!(balancer(1, BalancerEvent::Terminate), [24_700_000]);
