--- a/crates/emulator/src/node/established.rs
+++ b/crates/emulator/src/node/established.rs
@@ -1,7 +1,7 @@
-//! The connections that stand at a node, and the load that they ask for.
+//! The established connections of a node, and their load.
 //!
-//! Sums are kept as connections come, change and go, so that a node's load is known at any time without a look over
-//! its connections.
+//! The sum of the loads is updated whenever a connection is added, changes or is removed, so that the load of
+//! a node is known at any time without a pass over its connections.
 
 use shorewharf_units::Micros;
 use std::cmp::Reverse;
@@ -11,34 +11,36 @@
 use crate::day::Day;
 use crate::edge::{BalancerId, LinkId, RequestLine};
 
-/// What each open connection costs beside its own load, in usual loads.
-const HOLDING: f64 = 0.1;
+/// The cost of an established connection beside its own load, in usual loads.
+const HOLDING_COST: f64 = 0.1;
 
-/// A connection that stands.
+/// An established connection.
 #[derive(Clone, Copy, Debug)]
 struct EstablishedConnection {
     by: BalancerId,
     class: u32,
     group: u64,
     key: u64,
-    /// Mean load of its client, in usual loads.
+    /// The mean load of its client, in usual loads.
     mean: f64,
-    /// Load now, in usual loads.
+    /// The present load, in usual loads.
     load: f64,
-    changes: Option<Micros>,
+    /// When the load changes next; none if it does not.
+    next_change: Option<Micros>,
 }
 
-/// All that stand at one node.
+/// The established connections of a node.
 #[derive(Debug)]
 pub(super) struct EstablishedConnections {
-    /// By link: the oldest first.
+    /// By link, which orders them from the oldest to the newest.
     all: BTreeMap<LinkId, EstablishedConnection>,
+    /// The number of connections of each group.
     groups: BTreeMap<u64, u32>,
-    /// Sum of their loads.
+    /// The sum of the loads, in usual loads.
     load: f64,
-    /// Changes to come; what has gone stays in until its time.
-    changes: BinaryHeap<Reverse<(Micros, LinkId)>>,
-    swings: Vec<LoadOscillation>,
+    /// The next load changes. Entries of removed connections are skipped when they are due.
+    pending_changes: BinaryHeap<Reverse<(Micros, LinkId)>>,
+    oscillations: Vec<LoadOscillation>,
     group_cost: f64,
 }
 
@@ -48,8 +50,8 @@
             all: BTreeMap::new(),
             groups: BTreeMap::new(),
             load: 0.0,
-            changes: BinaryHeap::new(),
-            swings: day.classes.iter().map(LoadOscillation::new).collect(),
+            pending_changes: BinaryHeap::new(),
+            oscillations: day.classes.iter().map(LoadOscillation::new).collect(),
             group_cost: day.streams.group_cost,
         }
     }
@@ -58,122 +60,127 @@
         self.all.len()
     }
 
-    /// Load asked for, in usual loads, while the day's course makes loads `course` times as large. What is paid for
-    /// holding connections and groups does not follow the course.
-    pub fn demand(&self, course: f64) -> f64 {
-        self.load * course + HOLDING * self.all.len() as f64 + self.group_cost * self.groups.len() as f64
+    /// The total load in usual loads. `traffic_factor` is the day's present factor on the loads of
+    /// connections; it does not apply to the costs of holding connections and groups.
+    pub fn demand(&self, traffic_factor: f64) -> f64 {
+        self.load * traffic_factor
+            + HOLDING_COST * self.all.len() as f64
+            + self.group_cost * self.groups.len() as f64
     }
 
-    /// A connection begins to stand; its load now, in usual loads.
+    /// Adds a connection and returns its present load, in usual loads.
     pub fn add(&mut self, now: Micros, link: LinkId, by: BalancerId, ask: &RequestLine, mean: f64) -> f64 {
-        let (swing, changes) = self.swing(ask.class, ask.key, now);
-        let load = mean * swing;
-        let one = EstablishedConnection {
+        let (factor, next_change) = self.load_factor(ask.class, ask.key, now);
+        let load = mean * factor;
+        let connection = EstablishedConnection {
             by,
             class: ask.class,
             group: ask.group,
             key: ask.key,
             mean,
             load,
-            changes,
+            next_change,
         };
-        self.all.insert(link, one);
+        self.all.insert(link, connection);
         self.load += load;
         if ask.group != 0 {
             *self.groups.entry(ask.group).or_default() += 1;
         }
-        if let Some(at) = changes {
-            self.changes.push(Reverse((at, link)));
+        if let Some(at) = next_change {
+            self.pending_changes.push(Reverse((at, link)));
         }
         load
     }
 
-    fn swing(&self, class: u32, key: u64, now: Micros) -> (f64, Option<Micros>) {
-        self.swings.get(class as usize).map_or((1.0, None), |s| s.at(key, now))
+    fn load_factor(&self, class: u32, key: u64, now: Micros) -> (f64, Option<Micros>) {
+        self.oscillations.get(class as usize).map_or((1.0, None), |s| s.at(key, now))
     }
 
-    /// It stands no more; false if it did not.
+    /// Removes a connection; returns whether it was established.
     pub fn remove(&mut self, link: LinkId) -> bool {
-        let Some(one) = self.all.remove(&link) else { return false };
-        self.load -= one.load;
+        let Some(connection) = self.all.remove(&link) else { return false };
+        self.load -= connection.load;
         if self.all.is_empty() {
-            // What rounding has left ends here.
+            // Discard the accumulated rounding error.
             self.load = 0.0;
-            self.changes.clear();
+            self.pending_changes.clear();
         }
-        if one.group != 0 {
-            let of = self.groups.get_mut(&one.group).map_or(0, |of| {
-                *of -= 1;
-                *of
+        if connection.group != 0 {
+            let remaining = self.groups.get_mut(&connection.group).map_or(0, |count| {
+                *count -= 1;
+                *count
             });
-            if of == 0 {
-                self.groups.remove(&one.group);
+            if remaining == 0 {
+                self.groups.remove(&connection.group);
             }
         }
         true
     }
 
-    /// The next change of a load, or earlier.
+    /// The time of the next load change, or an earlier time that belongs to a removed connection.
     pub fn next_due(&self) -> Option<Micros> {
-        self.changes.peek().map(|Reverse((at, _))| *at)
+        self.pending_changes.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// The next load that has changed by now, in usual loads.
-    pub fn change(&mut self, now: Micros) -> Option<(LinkId, f64)> {
+    /// Applies the next load change due by `now`; returns the link and its new load, in usual loads.
+    pub fn pop_load_change(&mut self, now: Micros) -> Option<(LinkId, f64)> {
         while self.next_due().is_some_and(|at| at <= now) {
-            let Some(Reverse((at, link))) = self.changes.pop() else { break };
-            let Some(one) = self.all.get(&link).filter(|one| one.changes == Some(at)).copied() else {
+            let Some(Reverse((at, link))) = self.pending_changes.pop() else { break };
+            let Some(connection) =
+                self.all.get(&link).filter(|connection| connection.next_change == Some(at)).copied()
+            else {
                 continue;
             };
-            let (swing, changes) = self.swing(one.class, one.key, at);
-            let load = one.mean * swing;
-            self.load += load - one.load;
-            self.all.insert(link, EstablishedConnection { load, changes, ..one });
-            if let Some(at) = changes {
-                self.changes.push(Reverse((at, link)));
+            let (factor, next_change) = self.load_factor(connection.class, connection.key, at);
+            let load = connection.mean * factor;
+            self.load += load - connection.load;
+            self.all.insert(link, EstablishedConnection { load, next_change, ..connection });
+            if let Some(at) = next_change {
+                self.pending_changes.push(Reverse((at, link)));
             }
             return Some((link, load));
         }
         None
     }
 
-    /// Groups of which any stands here.
+    /// The groups with at least one established connection.
     pub fn groups(&self) -> Vec<u64> {
         self.groups.keys().copied().collect()
     }
 
-    /// The links, the oldest first.
+    /// The links, from the oldest to the newest.
     pub fn links(&self) -> impl DoubleEndedIterator<Item = LinkId> + '_ {
         self.all.keys().copied()
     }
 
-    /// The links, the heaviest first.
+    /// The links, from the highest to the lowest load.
     pub fn heaviest(&self) -> Vec<LinkId> {
-        let mut by: Vec<(f64, LinkId)> = self.all.iter().map(|(link, one)| (one.load, *link)).collect();
-        by.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        by.into_iter().map(|(_, link)| link).collect()
+        let mut links: Vec<(f64, LinkId)> =
+            self.all.iter().map(|(link, connection)| (connection.load, *link)).collect();
+        links.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        links.into_iter().map(|(_, link)| link).collect()
     }
 
-    /// One link of each balancer that has any here, the oldest.
-    pub fn one_by_balancer(&self) -> BTreeMap<BalancerId, LinkId> {
-        let mut one = BTreeMap::new();
+    /// The oldest link of each balancer that has a connection.
+    pub fn oldest_by_balancer(&self) -> BTreeMap<BalancerId, LinkId> {
+        let mut links = BTreeMap::new();
         for (link, c) in &self.all {
-            one.entry(c.by).or_insert(*link);
+            links.entry(c.by).or_insert(*link);
         }
-        one
+        links
     }
 }
 
 #[cfg(test)]
 impl EstablishedConnections {
-    /// The sums are those of what stands.
+    /// Whether the sum of the loads and the group counts match the connections.
     pub fn sums_are_right(&self) -> bool {
-        let load: f64 = self.all.values().map(|one| one.load).sum();
+        let load: f64 = self.all.values().map(|connection| connection.load).sum();
         let mut groups = BTreeMap::new();
         self.all
             .values()
-            .filter(|one| one.group != 0)
-            .for_each(|one| *groups.entry(one.group).or_default() += 1);
+            .filter(|connection| connection.group != 0)
+            .for_each(|connection| *groups.entry(connection.group).or_default() += 1);
         (load - self.load).abs() < 1e-9 * load.max(1.0) && groups == self.groups
     }
 }
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -1,10 +1,12 @@
-//! The model of an update node: the work of set-ups and of established connections, and the service that clients get.
+//! The model of an update node: the work of set-ups and of established connections, and the service that
+//! clients get.
 //!
-//! A node takes timed inputs and returns outputs; it opens no socket and reads no clock. Its load is
-//! a sum that is kept up to date, and four times a second it takes a step: work piles up or drains, and the share of
-//! messages in time follows for the stretch that has passed. That share is summed up by class, so what a connection
-//! got is the difference of two readings, and no message is ever an event. The figures and how well they meet the
-//! simulator's servers: `docs/design/emulator-nodes.md`.
+//! A node takes timed inputs and returns outputs; it opens no socket and reads no clock. The sum of its loads
+//! is always up to date. Four times a second the model takes a step: it updates the backlog of work and
+//! computes the share of messages that were in time since the last step. That share is integrated over time
+//! by class, so the service that a connection got is the difference of two readings, and no message is
+//! simulated as an event. The parameters, and how well the model matches the simulator's servers, are
+//! described in `docs/design/emulator-nodes.md`.
 
 mod active_faults;
 mod established;
@@ -28,70 +30,70 @@
 use active_faults::ActiveFaults;
 use established::EstablishedConnections;
 use setup_queue::SetupQueue;
-use share::{LoadLevel, set_up_pace};
+use share::{LoadLevel, setup_pace};
 use warm_up::WarmUp;
 
 /// The length of a step of the load model.
 pub(crate) const STEP: Micros = 250_000;
-/// Steps between two reports of the message delay.
+/// The number of steps between two reports of the message delay.
 const STEPS_PER_DELAY_CHECK: u64 = 4;
 /// An overloaded node drops connections until its utilization is down to this ratio.
-const SHED_TO: f64 = 0.9;
+const SHED_TARGET_UTILIZATION: f64 = 0.9;
 /// A node that paces its drain migrates its clients within about this time.
 const PACED_DRAIN_TIME: Micros = 3_000_000;
 
 /// An input of a node.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeInput {
-    /// A first line.
+    /// A request: the first line on a link.
     Open {
-        /// Its link.
+        /// The link of the request.
         link: LinkId,
         /// The balancer that sent it.
         by: BalancerId,
-        /// What it asks for.
+        /// The request.
         ask: RequestLine,
         /// The client's load.
         profile: LoadProfile,
         /// The time until the client gives up.
         patience: Micros,
     },
-    /// A connection established before the day: no set-up, no answer.
+    /// A connection that was established before the day; it needs no set-up and gets no response.
     Carry {
-        /// Its link.
+        /// The link of the connection.
         link: LinkId,
         /// The balancer that holds it.
         by: BalancerId,
-        /// What it asked for.
+        /// The request of the connection.
         ask: RequestLine,
         /// The client's load.
         profile: LoadProfile,
     },
-    /// The other side has ended a link.
+    /// The balancer has closed a link.
     Close {
-        /// The link.
+        /// The closed link.
         link: LinkId,
     },
-    /// A probe.
+    /// A health check.
     Probe {
-        /// Its link.
+        /// The link of the health check.
         link: LinkId,
     },
-    /// Begin to drain: serve existing connections and accept no new ones.
+    /// The node begins to drain: it serves existing connections and accepts no new ones.
     Drain,
-    /// A planned end of the process.
+    /// The process stops as planned.
     Stop,
-    /// A crash of the process.
+    /// The process crashes.
     Crash,
     /// The process starts and begins to warm up.
     Start,
     /// A fault of the machine begins or ends.
     Fault {
-        /// Which.
+        /// The kind of fault.
         kind: FaultKind,
-        /// It begins.
+        /// True if the fault begins, false if it ends.
         on: bool,
-        /// Its strength, as the kind says.
+        /// The strength of the fault; its meaning depends on the kind.
         size: f64,
     },
 }
@@ -101,20 +103,20 @@
 pub enum NodeOutput {
     /// Sends a message on a link.
     Message(LinkId, NodeMessage),
-    /// Closes a link, itself or because its process ends.
+    /// Closes a link, on its own or because the process ends.
     Close(LinkId, End),
-    /// An attempt has arrived, accepted or not.
+    /// Reports that an attempt has arrived, accepted or not.
     Reached {
-        /// Its link.
+        /// The link of the attempt.
         link: LinkId,
-        /// Its weight, in attempts.
+        /// The number of attempts that it counts as.
         weight: f64,
-        /// Attempts a second that the node can take now, while it is cold.
+        /// The attempts per second that the node can admit now; none if it is warm.
         cold: Option<f64>,
     },
-    /// Begins (true) or stops (false) to be silent.
+    /// Becomes silent (true) or sends again (false).
     Silent(bool),
-    /// It was overloaded while warming up, and is down.
+    /// The node was overloaded while warming up, and its process has ended.
     Overloaded,
 }
 
@@ -123,30 +125,30 @@
 pub enum Accepts {
     /// The link is established.
     Yes,
-    /// It is refused: no process.
+    /// The link is refused because no process runs.
     Refused,
-    /// Nothing comes back.
+    /// The link gets no response.
     Silent,
 }
 
-/// A node's true state.
+/// The true state of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeState {
-    /// Its process runs.
+    /// Whether its process runs.
     pub up: bool,
-    /// It was told to drain.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Work asked of it, in standard cores, with set-ups of the last step.
+    /// The demanded work including the set-ups of the last step, in standard cores.
     pub load: f64,
-    /// The part of it that stands: set-ups left out.
+    /// The part of the load that is due to established connections, in standard cores.
     pub stands: f64,
-    /// What it can do now, in standard cores.
+    /// The present capacity, in standard cores; 0 if no process runs.
     pub capacity: f64,
-    /// Connections that stand.
+    /// The number of established connections.
     pub connections: u32,
-    /// Set-ups and probes in work.
+    /// The number of set-ups and probes in progress.
     pub in_setup: u32,
-    /// Set-ups and probes that wait.
+    /// The number of set-ups and probes that wait.
     pub waiting: u32,
     /// The backlog of work, in seconds.
     pub pile_s: f64,
@@ -154,10 +156,12 @@
     pub delay_ms: f64,
 }
 
-/// The figures of one class that the model uses.
+/// The parameters of a request class that the model uses.
 #[derive(Clone, Copy, Debug)]
-struct ClassFigures {
+struct ClassParameters {
+    /// The work of a set-up, in microseconds of a standard core.
     set_up: f64,
+    /// The latency objective of a message, in seconds.
     message_latency_objective: f64,
 }
 
@@ -165,14 +169,15 @@
 #[derive(Debug)]
 pub struct Node {
     rng: Pcg64Mcg,
-    classes: Vec<ClassFigures>,
-    /// Course of the traffic over the day: (microseconds, factor), linear between.
-    traffic_course: Vec<(f64, f64)>,
-    /// Loads follow this power of it; numbers follow the rest.
+    classes: Vec<ClassParameters>,
+    /// The traffic over the day as points (microseconds, factor), with linear interpolation between them.
+    traffic_curve: Vec<(f64, f64)>,
+    /// The exponent of the traffic factor for the loads of clients. The remaining exponent applies to their
+    /// number.
     load_exponent: f64,
     cores: f64,
     speed: f64,
-    /// Standard cores of a usual load.
+    /// The load of a usual connection, in standard cores.
     usual_load: f64,
     message_work: f64,
     burstiness: f64,
@@ -184,13 +189,16 @@
     probe_cap: usize,
     error_rate: f64,
     attempt_noise: Option<Gamma<f64>>,
-    /// Busy core seconds between pauses, and a pause's length in seconds.
+    /// The busy core seconds between two pauses and the length of a pause in seconds; none if the node does
+    /// not pause.
     pauses: Option<(f64, f64)>,
-    resets: Vec<(Micros, Micros)>,
+    /// The begin and length of the day's faults that reset connections.
+    reset_faults: Vec<(Micros, Micros)>,
     reports_load: bool,
     reports_initial_load: bool,
     reports_delay: bool,
-    /// Delay reports fall on the steps with this remainder, so that they are spread over the nodes.
+    /// The delay is reported on steps with this remainder, so that the nodes do not all report at the same
+    /// time.
     delay_check_phase: u64,
 
     up: bool,
@@ -199,19 +207,21 @@
     warm_up: WarmUp,
     established: EstablishedConnections,
     setup_queue: SetupQueue,
-    /// Requests that will never be answered.
+    /// The links of requests that are never answered.
     unanswered: BTreeSet<LinkId>,
-    /// The last step taken.
+    /// The time of the last step.
     last_step: Micros,
+    /// The backlog of work, in seconds.
     backlog: f64,
+    /// The busy core seconds since the last pause.
     busy_since_pause: f64,
-    /// Work that standing connections ask for over capacity, as of the last step.
+    /// The ratio of the load of established connections to the capacity, as of the last step.
     connection_utilization: f64,
-    /// Share of the cores that were busy with set-ups in the last step.
+    /// The share of the cores that was busy with set-ups in the last step.
     setup_utilization: f64,
-    /// Share of messages in time as of the last step, and its integral in seconds, by class.
+    /// By class: the share of messages in time as of the last step, and its integral in seconds.
     served: Vec<(f64, f64)>,
-    /// Balancers that were notified of a high message delay.
+    /// The balancers to which a high message delay was reported.
     notified_of_delay: BTreeSet<BalancerId>,
 }
 
@@ -219,7 +229,7 @@
     /// Creates a node of the day, warm and without connections.
     ///
     /// # Panics
-    /// If the day does not have this node or its kind; a day that was read has both.
+    /// Panics if the day does not have this node or its kind; a validated day has both.
     pub fn new(day: &Day, id: NodeId, rng: Pcg64Mcg) -> Node {
         let node = &day.nodes[id.0 as usize];
         let kind = &day.kinds[node.kind as usize];
@@ -231,12 +241,12 @@
             classes: day
                 .classes
                 .iter()
-                .map(|c| ClassFigures {
+                .map(|c| ClassParameters {
                     set_up: c.set_up as f64,
                     message_latency_objective: seconds_from_micros(c.message_aim),
                 })
                 .collect(),
-            traffic_course: day.traffic.shape.iter().map(|(at, x)| (at * 1e6, x.max(0.0))).collect(),
+            traffic_curve: day.traffic.shape.iter().map(|(at, x)| (at * 1e6, x.max(0.0))).collect(),
             load_exponent: 1.0 - streams.by_joins,
             cores,
             speed: node.speed.max(1e-6),
@@ -253,9 +263,11 @@
                 cap => cap,
             },
             error_rate: kind.error_rate.clamp(0.0, 1.0),
-            attempt_noise: work::noise(day.classes.iter().map(|c| c.attempt_noise).fold(0.0, f64::max)),
+            attempt_noise: work::attempt_noise(
+                day.classes.iter().map(|c| c.attempt_noise).fold(0.0, f64::max),
+            ),
             pauses: pauses.then(|| (seconds_from_micros(kind.pause_every), seconds_from_micros(kind.pause))),
-            resets: active_faults::resets(day),
+            reset_faults: active_faults::reset_faults_of(day),
             reports_load: streams.tells_load,
             reports_initial_load: streams.tells_first,
             reports_delay: streams.tells_delay,
@@ -278,7 +290,7 @@
         }
     }
 
-    /// How a link that arrives now is answered.
+    /// How the node responds to a link that arrives now.
     pub fn accepts(&self, _now: Micros) -> Accepts {
         match (self.faults.is_cut_off, self.up) {
             (true, _) => Accepts::Silent,
@@ -293,7 +305,7 @@
         [step, self.setup_queue.next_due(), self.established.next_due()].into_iter().flatten().min()
     }
 
-    /// Whether the load changes with time; an idle node does not step.
+    /// Whether the model takes steps; an idle node does not.
     fn is_stepping(&self) -> bool {
         self.up && (self.established.len() > 0 || !self.setup_queue.is_empty() || self.backlog > 0.0)
     }
@@ -301,7 +313,7 @@
     /// Handles what is due by `now`.
     pub fn advance(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
         while let Some(due) = self.next_due().filter(|due| *due <= now) {
-            while let Some((link, load)) = self.established.change(due) {
+            while let Some((link, load)) = self.established.pop_load_change(due) {
                 self.report_load(due, link, load, outputs);
             }
             while let Some(job) = self.setup_queue.pop_done(due) {
@@ -312,7 +324,7 @@
             }
         }
         if !self.is_stepping() {
-            // So that the first step after a rest covers no more than a step.
+            // The first step after an idle period must not cover more than the length of a step.
             self.last_step = now - now % STEP;
             (self.connection_utilization, self.setup_utilization) = (0.0, 0.0);
         }
@@ -341,9 +353,10 @@
         }
     }
 
-    /// Seconds of messages in time so far, for a connection of this class that stood all along. It grows at steps
-    /// only: who stands at a step is paid for all of it, as at the simulator. A guess within a step would have to be
-    /// taken back where the step then shows a smaller share.
+    /// The integral of the share of messages in time since the start of the day, for this class, in seconds.
+    /// It grows only at steps: a connection that is established at a step gets the share for the whole step,
+    /// as in the simulator. An estimate within a step would have to be reduced if the step then determines a
+    /// smaller share.
     pub fn served(&self, class: u32) -> f64 {
         self.served.get(class as usize).map_or(0.0, |(_, sum)| *sum)
     }
@@ -366,26 +379,27 @@
         }
     }
 
-    /// Load of a usual connection, in standard cores.
+    /// The load of a usual connection, in standard cores.
     pub fn usual_load(&self) -> f64 {
         self.usual_load
     }
 
-    /// Groups of the established connections, in order of their ids.
+    /// The groups of the established connections, ordered by id.
     pub fn groups(&self) -> Vec<u64> {
         self.established.groups()
     }
 
-    /// Attempts that it can still accept at once before it is overloaded, while it is warming up.
+    /// The number of attempts that the node can still accept at once without being overloaded; none if it is
+    /// warm.
     pub fn admissible_before_overload(&self, now: Micros) -> Option<f64> {
         self.warm_up.admissible_before_overload(now)
     }
 
-    /// Factor of the day's course on all loads.
+    /// The present factor on the loads of all connections.
     fn traffic_factor(&self, now: Micros) -> f64 {
         let now = now as f64;
-        let after = self.traffic_course.partition_point(|(at, _)| *at <= now);
-        let x = match (after.checked_sub(1).map(|i| self.traffic_course[i]), self.traffic_course.get(after)) {
+        let after = self.traffic_curve.partition_point(|(at, _)| *at <= now);
+        let x = match (after.checked_sub(1).map(|i| self.traffic_curve[i]), self.traffic_curve.get(after)) {
             (Some(a), Some(b)) => a.1 + (b.1 - a.1) * (now - a.0) / (b.0 - a.0),
             (Some(a), None) => a.1,
             (None, Some(b)) => b.1,
@@ -394,16 +408,16 @@
         x.powf(self.load_exponent)
     }
 
-    /// What one core does now, in standard cores.
+    /// The present speed of a core, in standard cores.
     fn core_speed(&self, now: Micros) -> f64 {
-        (self.speed * self.warm_up.warmth(now) * self.faults.pace()).max(1e-6)
+        (self.speed * self.warm_up.capacity_ratio(now) * self.faults.speed()).max(1e-6)
     }
 
     fn capacity(&self, now: Micros) -> f64 {
         self.cores * self.core_speed(now)
     }
 
-    /// Load of the established connections, in standard cores.
+    /// The load of the established connections, in standard cores.
     fn demand(&self, now: Micros) -> f64 {
         self.usual_load * self.established.demand(self.traffic_factor(now))
     }
@@ -412,12 +426,12 @@
         self.demand(now) / self.capacity(now)
     }
 
-    /// What a lane does now in a microsecond, in standard core time.
+    /// The standard core time that a set-up lane now processes per microsecond.
     fn lane_speed(&self, now: Micros) -> f64 {
         if self.faults.is_stalled {
             0.0
         } else {
-            self.core_speed(now) * set_up_pace(self.connection_utilization)
+            self.core_speed(now) * setup_pace(self.connection_utilization)
         }
     }
 
--- a/crates/emulator/src/node/setup_queue.rs
+++ b/crates/emulator/src/node/setup_queue.rs
@@ -1,7 +1,7 @@
-//! Set-ups and probes at a node: a few lanes that work, and a short queue before them.
+//! The queue of set-ups and probes at a node: a few lanes that process jobs, and a short queue before them.
 //!
-//! Half of the cores, rounded up, set connections up; the rest of the work waits in turn. An attempt that its balancer
-//! has given up stays and is worked on to its end, which is what such servers do.
+//! The number of lanes is half the number of cores, rounded up; further jobs wait in order of arrival. An
+//! attempt that its balancer has abandoned is still processed to its end, as by the emulated servers.
 
 use shorewharf_units::Micros;
 use std::collections::VecDeque;
@@ -9,49 +9,49 @@
 use crate::day::Kind;
 use crate::edge::{BalancerId, LinkId, RequestLine};
 
-/// Waiting room, as a multiple of the kind's queue.
-const QUEUE_FACTOR: usize = 4;
+/// The number of jobs that can wait, as a multiple of the configured queue length.
+const WAITING_FACTOR: usize = 4;
 
-/// What a job is for.
+/// The kind of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum JobKind {
-    /// A connection, with its client's mean load.
+    /// The set-up of a connection, with the mean load of its client.
     Client { by: BalancerId, ask: RequestLine, mean: f64 },
-    /// A probe.
+    /// A health check.
     Probe,
 }
 
-/// One set-up or probe.
+/// A set-up or probe.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Job {
-    /// Its link; none when the balancer has given it up.
+    /// Its link; none if the balancer has abandoned it.
     pub link: Option<LinkId>,
-    /// What it is for.
-    pub what: JobKind,
-    /// Work left, in microseconds of a standard core.
+    /// The kind of job.
+    pub kind: JobKind,
+    /// The remaining work, in microseconds of a standard core.
     pub work: f64,
 }
 
-/// All that a node has in hand.
+/// The set-ups and probes of a node that are in progress or waiting.
 #[derive(Debug)]
 pub(super) struct SetupQueue {
     lanes: usize,
     max_waiting: usize,
     working: Vec<Job>,
     waiting: VecDeque<Job>,
-    /// Standard core time that a lane does in a microsecond.
+    /// The standard core time that a lane processes per microsecond.
     pace: f64,
-    /// What is in work has been worked on until then.
+    /// The time up to which the remaining work of the jobs in progress is computed.
     worked_until: Micros,
-    /// Time that lanes were busy since it was last asked for.
+    /// The busy time of all lanes since `take_busy_time` was last called, in microseconds.
     busy_time: f64,
 }
 
 impl SetupQueue {
-    pub fn new(kind: &Kind) -> SetupQueue {
+    pub fn new(machine: &Kind) -> SetupQueue {
         SetupQueue {
-            lanes: kind.cores.div_ceil(2).max(1) as usize,
-            max_waiting: kind.queue as usize * QUEUE_FACTOR,
+            lanes: machine.cores.div_ceil(2).max(1) as usize,
+            max_waiting: machine.queue as usize * WAITING_FACTOR,
             working: Vec::new(),
             waiting: VecDeque::new(),
             pace: 1.0,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// In work and waiting.
+    /// The numbers of jobs in progress and waiting.
     pub fn working_and_waiting(&self) -> (usize, usize) {
         (self.working.len(), self.waiting.len())
     }
@@ -69,17 +69,17 @@
         self.working.is_empty()
     }
 
-    /// Probes in hand.
+    /// The number of probes in progress and waiting.
     pub fn probes(&self) -> usize {
-        self.working.iter().chain(&self.waiting).filter(|job| job.what == JobKind::Probe).count()
+        self.working.iter().chain(&self.waiting).filter(|job| job.kind == JobKind::Probe).count()
     }
 
-    /// No more can be taken.
+    /// Whether all lanes are busy and no further job can wait.
     pub fn is_full(&self) -> bool {
         self.working.len() >= self.lanes && self.waiting.len() >= self.max_waiting
     }
 
-    /// Works on until `now`.
+    /// Updates the remaining work of the jobs in progress to `now`.
     fn work(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.worked_until) as f64;
         self.worked_until = self.worked_until.max(now);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes one more, room or not.
+    /// Adds a job, even if the queue is full.
     pub fn enqueue(&mut self, now: Micros, job: Job) {
         self.work(now);
         if self.working.len() < self.lanes {
@@ -99,42 +99,42 @@
         }
     }
 
-    /// From now on a lane does so much.
+    /// Sets the standard core time that a lane processes per microsecond from now on.
     pub fn set_pace(&mut self, now: Micros, pace: f64) {
         self.work(now);
         self.pace = pace;
     }
 
-    /// Lane time that was busy since this was last asked, in microseconds.
+    /// Returns the busy time of all lanes since the last call, in microseconds.
     pub fn take_busy_time(&mut self, now: Micros) -> f64 {
         self.work(now);
         std::mem::take(&mut self.busy_time)
     }
 
-    /// When the next one will be done at this pace.
+    /// The time at which the next job will be done at the current pace.
     pub fn next_due(&self) -> Option<Micros> {
         let least = self.working.iter().map(|job| job.work).min_by(f64::total_cmp)?;
         (self.pace > 0.0).then(|| self.worked_until + (least.max(0.0) / self.pace).ceil() as Micros)
     }
 
-    /// The next one that is done by now.
+    /// Removes and returns the next job that is done by `now`.
     pub fn pop_done(&mut self, now: Micros) -> Option<Job> {
-        // Work is counted in parts of a microsecond; what is left of one is no work.
+        // The due time is rounded up to whole microseconds, so a remainder this small is a rounding error.
         const WORK_ROUNDING: f64 = 1e-6;
         let due = self.next_due().filter(|due| *due <= now)?;
         self.work(due);
-        let place = self.working.iter().position(|job| job.work <= WORK_ROUNDING)?;
-        let job = self.working.remove(place);
+        let index = self.working.iter().position(|job| job.work <= WORK_ROUNDING)?;
+        let job = self.working.remove(index);
         if let Some(next) = self.waiting.pop_front() {
             self.working.push(next);
         }
         Some(job)
     }
 
-    /// The balancer has given this one up; false if it is not here.
+    /// Marks a job whose balancer has abandoned it; returns false if the link has no job here.
     pub fn abandon(&mut self, link: LinkId) -> bool {
-        let mut all = self.working.iter_mut().chain(&mut self.waiting);
-        match all.find(|job| job.link == Some(link)) {
+        let mut jobs = self.working.iter_mut().chain(&mut self.waiting);
+        match jobs.find(|job| job.link == Some(link)) {
             Some(job) => {
                 job.link = None;
                 true
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Drops everything; the links that somebody still waits on.
+    /// Drops all jobs; returns the links whose balancers still wait.
     pub fn clear(&mut self) -> Vec<LinkId> {
         self.working.drain(..).chain(self.waiting.drain(..)).filter_map(|job| job.link).collect()
     }
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -4,16 +4,20 @@
 use rand_distr::{Distribution, Gamma};
 
 use super::setup_queue::{Job, JobKind};
-use super::{Node, NodeOutput, PACED_DRAIN_TIME, SHED_TO, STEP, STEPS_PER_DELAY_CHECK, load_oscillation};
+use super::{
+    Node, NodeOutput, PACED_DRAIN_TIME, SHED_TARGET_UTILIZATION, STEP, STEPS_PER_DELAY_CHECK,
+    load_oscillation,
+};
 use crate::day::{FaultKind, GoAway, Sheds};
 use crate::edge::{BalancerId, End, LinkId, NodeMessage, RequestLine};
 use crate::population::LoadProfile;
 use shorewharf_units::Micros;
 use shorewharf_units::seconds_from_micros;
 
-/// Spread of the work from one attempt to the next: mean 1, with this coefficient of variation.
-pub(super) fn noise(cv: f64) -> Option<Gamma<f64>> {
-    // Below this the spread can't be seen, and the shape would be beyond what can be drawn.
+/// Returns the distribution of the random factor of an attempt's work, which has a mean of 1 and this
+/// coefficient of variation; none if the work does not vary.
+pub(super) fn attempt_noise(cv: f64) -> Option<Gamma<f64>> {
+    // A smaller variation has no visible effect, and its shape parameter is too large for the distribution.
     (cv > 1e-3).then(|| Gamma::new(1.0 / (cv * cv), cv * cv).ok()).flatten()
 }
 
@@ -45,35 +49,36 @@
             outputs.push(NodeOutput::Message(link, NodeMessage::Junk));
             return;
         }
-        let in_hand = self.setup_queue.working_and_waiting();
-        let crowded = self.established.len() + in_hand.0 + in_hand.1 >= self.connection_cap
-            || self.setup_queue.is_full();
-        if self.draining || self.faults.is_full || crowded || patience == 0 {
+        let jobs = self.setup_queue.working_and_waiting();
+        let at_capacity =
+            self.established.len() + jobs.0 + jobs.1 >= self.connection_cap || self.setup_queue.is_full();
+        if self.draining || self.faults.is_full || at_capacity || patience == 0 {
             outputs.push(NodeOutput::Message(link, NodeMessage::Busy));
             return;
         }
-        let fails = self.error_rate.max(self.faults.error_rate.unwrap_or(0.0));
-        if fails > 0.0 && self.rng.random_bool(fails) {
+        let error_rate = self.error_rate.max(self.faults.error_rate.unwrap_or(0.0));
+        if error_rate > 0.0 && self.rng.random_bool(error_rate) {
             outputs.push(NodeOutput::Message(link, NodeMessage::Err));
             return;
         }
         let noise = self.attempt_noise.as_ref().map_or(1.0, |noise| noise.sample(&mut self.rng));
-        let usual = self.classes.get(ask.class as usize).map_or(0.0, |c| c.set_up);
-        let work = usual * load_oscillation::set_up(ask.key) * noise;
+        let mean_work = self.classes.get(ask.class as usize).map_or(0.0, |c| c.set_up);
+        let work = mean_work * load_oscillation::setup_work_factor(ask.key) * noise;
         self.enqueue(
             now,
-            Job { link: Some(link), what: JobKind::Client { by, ask, mean: profile.mean }, work },
+            Job { link: Some(link), kind: JobKind::Client { by, ask, mean: profile.mean }, work },
         );
     }
 
-    /// Handles a health check. A stalled node answers it later; one that only ignores requests answers at once.
+    /// Handles a health check. A stalled node answers it later; one that only ignores requests answers at
+    /// once.
     pub(super) fn on_probe(&mut self, now: Micros, link: LinkId, outputs: &mut Vec<NodeOutput>) {
         if self.faults.ignores_opens {
             outputs.push(NodeOutput::Message(link, NodeMessage::Pong));
         } else if self.setup_queue.probes() >= self.probe_cap {
             outputs.push(NodeOutput::Message(link, NodeMessage::Err));
         } else {
-            self.enqueue(now, Job { link: Some(link), what: JobKind::Probe, work: self.probe_work });
+            self.enqueue(now, Job { link: Some(link), kind: JobKind::Probe, work: self.probe_work });
         }
     }
 
@@ -85,7 +90,7 @@
     /// Completes a set-up or health check.
     pub(super) fn on_setup_done(&mut self, now: Micros, job: Job, outputs: &mut Vec<NodeOutput>) {
         let Some(link) = job.link else { return };
-        match job.what {
+        match job.kind {
             JobKind::Probe => outputs.push(NodeOutput::Message(link, NodeMessage::Pong)),
             JobKind::Client { by, ask, mean } => {
                 outputs.push(NodeOutput::Message(link, NodeMessage::Up));
@@ -121,7 +126,7 @@
         }
     }
 
-    /// One step, with the state at its end for all of it: that is how the simulator's servers do it.
+    /// Takes one step. The state at its end applies to the whole step, as in the simulator's servers.
     pub(super) fn step(&mut self, outputs: &mut Vec<NodeOutput>) {
         self.last_step += STEP;
         let (now, step_seconds) = (self.last_step, seconds_from_micros(STEP));
@@ -141,31 +146,34 @@
             self.report_delays(now, outputs);
         }
         self.apply_pause(step_seconds);
-        let busy = self.load_level(now);
-        let answers = !self.faults.is_silent();
+        let load_level = self.load_level(now);
+        let is_responding = !self.faults.is_silent();
         for (class, (share, sum)) in self.classes.iter().zip(&mut self.served) {
-            *share = if answers {
-                busy.share_in_time(class.message_latency_objective, self.burstiness)
+            *share = if is_responding {
+                load_level.share_in_time(class.message_latency_objective, self.burstiness)
             } else {
                 0.0
             };
             *sum += *share * step_seconds;
         }
         if let Some((share, length)) = self.faults.reset_share {
-            self.reset_some(1.0 - (1.0 - share.min(0.999_999)).powf(STEP as f64 / length as f64), outputs);
+            self.reset_connections(
+                1.0 - (1.0 - share.min(0.999_999)).powf(STEP as f64 / length as f64),
+                outputs,
+            );
         }
         if self.draining && self.drain_policy == GoAway::Paced {
-            let some = (self.established.len() as f64 * step_seconds
+            let count = (self.established.len() as f64 * step_seconds
                 / (seconds_from_micros(PACED_DRAIN_TIME)))
             .ceil() as usize;
-            let links: Vec<LinkId> = self.established.links().take(some).collect();
+            let links: Vec<LinkId> = self.established.links().take(count).collect();
             links.into_iter().for_each(|link| self.migrate(link, outputs));
         }
         self.setup_queue.set_pace(now, self.lane_speed(now));
     }
 
-    /// Work is put off for the length of a pause each time cores have been busy for so long. It shows from the step on that
-    /// the pause falls into, but not in what that step tells of messages.
+    /// Adds the length of a pause to the backlog each time the cores have been busy for the configured time.
+    /// The pause affects the step that it falls into, but not the delay that this step reports.
     fn apply_pause(&mut self, step_seconds: f64) {
         let Some((every, length)) = self.pauses else { return };
         self.busy_since_pause +=
@@ -178,13 +186,13 @@
 
     /// Drops connections until the remaining load fits.
     fn shed_load(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
-        let order: Vec<LinkId> = match self.shed_policy {
+        let links: Vec<LinkId> = match self.shed_policy {
             Sheds::None => return,
             Sheds::Newest => self.established.links().rev().collect(),
             Sheds::Heaviest => self.established.heaviest(),
         };
-        for link in order {
-            if self.established_utilization(now) + self.setup_utilization <= SHED_TO {
+        for link in links {
+            if self.established_utilization(now) + self.setup_utilization <= SHED_TARGET_UTILIZATION {
                 break;
             }
             self.established.remove(link);
@@ -193,15 +201,17 @@
         self.connection_utilization = self.established_utilization(now);
     }
 
-    /// Reports the message delay to each balancer while it exceeds a third of the shortest objective, and once after.
+    /// Reports the message delay to each balancer while it exceeds a third of the shortest latency objective,
+    /// and once more after it has fallen below.
     fn report_delays(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
-        let aim = self.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min);
+        let objective =
+            self.classes.iter().map(|c| c.message_latency_objective).fold(f64::INFINITY, f64::min);
         let delay = self.load_level(now).delay();
-        let slow = delay > aim / 3.0;
+        let slow = delay > objective / 3.0;
         if !self.reports_delay || (!slow && self.notified_of_delay.is_empty()) {
             return;
         }
-        for (by, link) in self.established.one_by_balancer() {
+        for (by, link) in self.established.oldest_by_balancer() {
             if slow || self.notified_of_delay.contains(&by) {
                 outputs.push(NodeOutput::Message(link, NodeMessage::Delay(delay * 1e3)));
             }
@@ -214,10 +224,10 @@
         }
     }
 
-    fn reset_some(&mut self, chance: f64, outputs: &mut Vec<NodeOutput>) {
+    fn reset_connections(&mut self, probability: f64, outputs: &mut Vec<NodeOutput>) {
         let links: Vec<LinkId> = self.established.links().collect();
         for link in links {
-            if self.rng.random_bool(chance.clamp(0.0, 1.0)) {
+            if self.rng.random_bool(probability.clamp(0.0, 1.0)) {
                 self.established.remove(link);
                 outputs.push(NodeOutput::Close(link, End::Reset));
             }
@@ -246,12 +256,14 @@
 
     /// Ends the process and all its connections.
     pub(super) fn end_process(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
-        let standing: Vec<LinkId> = self.established.links().collect();
-        for link in &standing {
+        let established: Vec<LinkId> = self.established.links().collect();
+        for link in &established {
             self.established.remove(*link);
         }
-        let all =
-            standing.into_iter().chain(self.setup_queue.clear()).chain(std::mem::take(&mut self.unanswered));
+        let all = established
+            .into_iter()
+            .chain(self.setup_queue.clear())
+            .chain(std::mem::take(&mut self.unanswered));
         outputs.extend(all.map(|link| NodeOutput::Close(link, End::Reset)));
         self.reset_load(now);
         self.up = false;
@@ -286,13 +298,13 @@
         size: f64,
         outputs: &mut Vec<NodeOutput>,
     ) {
-        let was = self.faults.clone();
-        self.faults.set(now, kind, on, size, &self.resets);
-        if was.is_silent() != self.faults.is_silent() {
+        let previous = self.faults.clone();
+        self.faults.set(now, kind, on, size, &self.reset_faults);
+        if previous.is_silent() != self.faults.is_silent() {
             outputs.push(NodeOutput::Silent(self.faults.is_silent()));
         }
-        if was.is_cut_off && !self.faults.is_cut_off {
-            // The other sides have given up its connections, or do so now.
+        if previous.is_cut_off && !self.faults.is_cut_off {
+            // The balancers have given up the node's connections, or do so on these resets.
             let links: Vec<LinkId> = self.established.links().collect();
             links.iter().for_each(|link| {
                 self.established.remove(*link);
