--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -1,4 +1,5 @@
-//! A node alone, told what reaches it. Figures that are called measured were read off the simulator's servers.
+//! Tests of a node with scripted inputs. Values that are called measured were measured at the simulator's
+//! servers.
 
 use std::collections::BTreeMap;
 
@@ -28,8 +29,9 @@
     }
 }
 
-/// A node of a core's speed 1 whose usual connections ask for 2 ms a second each, with no chance but in set-ups.
-fn plain(cores: u32, change: serde_json::Value) -> Day {
+/// A day with one node of core speed 1, whose usual connections each need 2 ms of work a second. Only the
+/// work of set-ups is random. `change` maps JSON pointers to values that replace those of the day.
+fn day_with_one_node(cores: u32, change: serde_json::Value) -> Day {
     let mut day = day(json!({
         "streams": {"per_core": 500, "cap": 100, "message_ms": 2, "buffer_s": 1.5, "sheds": "none", "group_cost": 0,
             "by_joins": 0},
@@ -39,13 +41,14 @@
     }));
     day.nodes.truncate(1);
     (day.nodes[0].speed, day.kinds[0].cores, day.kinds[0].queue) = (1.0, cores, 7);
-    let mut whole = serde_json::to_value(&day).expect("a day is data");
+    let mut whole = serde_json::to_value(&day).expect("a day can be serialized");
     for (at, value) in change.as_object().into_iter().flatten() {
-        *whole.pointer_mut(at).expect("a figure of the day") = value.clone();
+        *whole.pointer_mut(at).expect("the day has this key") = value.clone();
     }
-    serde_json::from_value(whole).expect("a day")
+    serde_json::from_value(whole).expect("the changed day is valid")
 }
 
+/// A node with all of its outputs and their times.
 struct Rig {
     node: Node,
     out: Vec<(Micros, NodeOutput)>,
@@ -57,14 +60,14 @@
         Rig { node: Node::new(day, NodeId(0), Pcg64Mcg::seed_from_u64(7)), out: Vec::new(), next: 0 }
     }
 
-    /// Plays on until `now`, each thing at its time.
+    /// Advances the node to `now`, one due time after the other.
     fn until(&mut self, now: Micros) {
         while let Some(due) = self.node.next_due().filter(|due| *due <= now) {
             let mut out = Vec::new();
             self.node.advance(due, &mut out);
             assert!(
                 self.node.next_due() > Some(due) || self.node.next_due().is_none(),
-                "stands still at {due}"
+                "the node is due again at {due}"
             );
             self.out.extend(out.into_iter().map(|what| (due, what)));
         }
@@ -82,7 +85,7 @@
         LinkId(self.next)
     }
 
-    fn carry(&mut self, now: Micros, count: usize) {
+    fn add_connections(&mut self, now: Micros, count: usize) {
         for _ in 0..count {
             let link = self.link();
             let profile = LoadProfile { mean: 1.0, seed: 0 };
@@ -98,9 +101,9 @@
         link
     }
 
-    fn said(&self, word: NodeMessage) -> Vec<(Micros, LinkId)> {
+    fn messages(&self, message: NodeMessage) -> Vec<(Micros, LinkId)> {
         let of = |(at, what): &(Micros, NodeOutput)| match what {
-            NodeOutput::Message(link, said) if *said == word => Some((*at, *link)),
+            NodeOutput::Message(link, sent) if *sent == message => Some((*at, *link)),
             _ => None,
         };
         self.out.iter().filter_map(of).collect()
@@ -110,7 +113,7 @@
         self.out.iter().filter(|(_, what)| matches!(what, NodeOutput::Close(..))).count()
     }
 
-    /// Share of messages in time over a stretch.
+    /// The share of messages in time between `from` and `to`.
     fn share(&mut self, from: Micros, to: Micros) -> f64 {
         self.until(from);
         let before = self.node.served(0);
@@ -119,10 +122,11 @@
     }
 }
 
-/// A wrong formula shows in G on every day: at steady loads the time and the share of messages are the measured ones.
+/// A wrong formula would change the result of every scenario. At steady loads, the message delay and the
+/// share of messages in time are those measured.
 #[test]
-fn messages_fare_as_measured() {
-    // Cores, speed, burstiness, load over capacity; measured time in ms and share within 3 ms.
+fn message_delays_and_shares_in_time_are_as_measured() {
+    // Cores, speed, burstiness, utilization; measured delay in ms and share of messages within 3 ms.
     let measured = [
         (1.0, 1.0, 1.0, 0.1796, 2.4378, 0.76955),
         (1.0, 1.0, 1.0, 0.7072, 6.8306, 0.52644),
@@ -132,104 +136,112 @@
         (5.0, 1.5, 2.0, 0.63013, 2.0693, 0.87204),
         (5.0, 1.5, 2.0, 0.80964, 3.5400, 0.74712),
     ];
-    for (cores, speed, bursty, rho, ms, share) in measured {
-        let busy = LoadLevel { cores, utilization: rho, backlog: 0.0, message_time: 0.002 / speed };
-        assert!((busy.delay() * 1e3 / ms - 1.0).abs() < 3e-3, "{busy:?}: {} ms", busy.delay() * 1e3);
+    for (cores, speed, burstiness, rho, ms, share) in measured {
+        let level = LoadLevel { cores, utilization: rho, backlog: 0.0, message_time: 0.002 / speed };
+        assert!((level.delay() * 1e3 / ms - 1.0).abs() < 3e-3, "{level:?}: {} ms", level.delay() * 1e3);
         assert!(
-            (busy.share_in_time(0.003, bursty) - share).abs() < 3e-4,
-            "{busy:?}: {}",
-            busy.share_in_time(0.003, bursty)
+            (level.share_in_time(0.003, burstiness) - share).abs() < 3e-4,
+            "{level:?}: {}",
+            level.share_in_time(0.003, burstiness)
         );
     }
-    let piled = LoadLevel { cores: 4.0, utilization: 0.5, backlog: 0.003, message_time: 0.002 };
-    assert_eq!(piled.share_in_time(0.003, 1.0), 0.0);
-    // A load beyond all bounds takes the most that a message takes, as measured: 50.505 ms and the pile.
-    let over = LoadLevel { cores: 4.0, utilization: 7.0, backlog: 1.0, message_time: 0.002 };
-    assert!((over.delay() - 1.050_505).abs() < 1e-6);
+    let backlogged = LoadLevel { cores: 4.0, utilization: 0.5, backlog: 0.003, message_time: 0.002 };
+    assert_eq!(backlogged.share_in_time(0.003, 1.0), 0.0);
+    // Above the maximum utilization the delay is the measured maximum of 50.505 ms plus the backlog.
+    let overloaded = LoadLevel { cores: 4.0, utilization: 7.0, backlog: 1.0, message_time: 0.002 };
+    assert!((overloaded.delay() - 1.050_505).abs() < 1e-6);
 }
 
-/// Piles that come or go at a wrong pace make jams of a wrong length: played at the simulator's own steps of load, a
-/// node tells the measured times, and loses the measured share of its seconds.
+/// If the backlog grew or drained at a wrong rate, overload would last too long or too short. With the load
+/// steps of a simulator run, a node reports the measured delays and has the measured shares of messages in
+/// time.
 #[test]
-fn work_piles_up_and_drains_as_measured() {
+fn the_backlog_grows_and_drains_as_measured() {
     let levels = [0.5, 1.05, 1.0, 0.95, 0.9, 0.8, 1.2, 0.5];
     let shape: Vec<(f64, f64)> = levels
         .iter()
         .enumerate()
         .flat_map(|(i, x)| [(5.0 * i as f64, *x), (5.0 * i as f64 + 4.9999, *x)])
         .collect();
-    let day = plain(4, json!({"/traffic/shape": shape, "/classes/0/message_aim_ms": 200}));
+    let day = day_with_one_node(4, json!({"/traffic/shape": shape, "/classes/0/message_aim_ms": 200}));
     let mut rig = Rig::new(&day);
-    rig.carry(0, 1818);
+    rig.add_connections(0, 1818);
     let measured = [0.99254, 0.44259, 0.0, 0.92019, 1.0, 0.98944, 0.0645, 0.74969];
     for (i, share) in measured.into_iter().enumerate() {
         let got = rig.share(i as Micros * 5 * S, (i as Micros + 1) * 5 * S);
-        // The measured server's count of connections moved by a few.
-        assert!((got - share).abs() < 0.012, "from {} s: {got} for {share}", 5 * i);
+        // The number of connections of the measured server varied by a few.
+        assert!((got - share).abs() < 0.012, "from {} s: a share of {got}, measured {share}", 5 * i);
     }
-    let told = |at: Micros| {
+    let reported_delay = |at: Micros| {
         rig.out.iter().find_map(|(t, what)| match what {
             NodeOutput::Message(_, NodeMessage::Delay(ms)) if *t == at => Some(*ms),
             _ => None,
         })
     };
     for (at, ms) in [(6, 107.19), (9, 243.24), (18, 101.8), (31, 281.36), (34, 836.5)] {
-        let got = told(at * S).unwrap_or(0.0);
-        assert!((got / ms - 1.0).abs() < 0.02, "at {at} s: {got} ms for {ms}");
+        let got = reported_delay(at * S).unwrap_or(0.0);
+        assert!((got / ms - 1.0).abs() < 0.02, "at {at} s: a delay of {got} ms, measured {ms}");
     }
     assert!(
-        told(19 * S).is_none_or(|ms| ms < 67.0) && told(22 * S).is_none(),
-        "told of messages that were fast"
+        reported_delay(19 * S).is_none_or(|ms| ms < 67.0) && reported_delay(22 * S).is_none(),
+        "a short delay was reported"
     );
 }
 
-/// More lanes, room or pace than the simulator's servers have would let a node take storms that those refuse: four
-/// cores work on two set-ups at once, 28 wait, the rest is turned away, and standing load slows them as measured.
+/// With more lanes, a longer queue or a higher pace than the simulator's servers, a node would accept surges
+/// that those reject. A node with four cores processes two set-ups at once, lets 28 wait and rejects the
+/// rest; established connections slow the set-ups down as measured.
 #[test]
-fn set_ups_wait_in_turn_and_beyond_that_are_refused() {
-    let mut rig = Rig::new(&plain(4, json!({})));
+fn set_ups_wait_in_a_bounded_queue_and_excess_ones_are_rejected() {
+    let mut rig = Rig::new(&day_with_one_node(4, json!({})));
     let links: Vec<LinkId> = (0..40).map(|_| rig.open(S)).collect();
     rig.until(10 * S);
-    let up = rig.said(NodeMessage::Up);
-    assert_eq!((up.len(), rig.said(NodeMessage::Busy).len()), (30, 10));
+    let up = rig.messages(NodeMessage::Up);
+    assert_eq!((up.len(), rig.messages(NodeMessage::Busy).len()), (30, 10));
     assert!(
         links[30..].iter().all(|link| up.iter().all(|(_, l)| l != link)),
-        "a later one came before its turn"
+        "a rejected set-up was accepted"
     );
-    // 30 set-ups of 100 ms in two lanes: measured 1.50 s, with chance in the work.
-    let last = up.last().expect("some").0 - S;
+    // 30 set-ups of 100 ms mean work in two lanes: measured 1.50 s, with random work.
+    let last = up.last().expect("a set-up was accepted").0 - S;
     assert!((1_200_000..1_800_000).contains(&last), "{last}");
 
-    // A probe has no chance in its work: 1 ms at a pace of 1.3 less the standing load, which is 0.9 here.
-    rig.carry(10 * S, 1607);
+    // The work of a probe is not random: 1 ms at a pace of 1.3 minus the utilization by established
+    // connections, which is 0.9 here.
+    rig.add_connections(10 * S, 1607);
     let link = rig.link();
     rig.at(12 * S, NodeInput::Probe { link });
     rig.until(13 * S);
-    let took = rig.said(NodeMessage::Pong)[0].0 - 12 * S;
+    let took = rig.messages(NodeMessage::Pong)[0].0 - 12 * S;
     assert!((2490..2520).contains(&took), "{took}");
 }
 
-/// A heavy client would turn light by moving, and shedding would pay: its load goes on as it was on any node, redrawn
-/// as often as its class says, and is its mean over time.
+/// If a migration redrew a client's load, shedding heavy clients would reduce the total load. The load of a
+/// client is the same on every node, is redrawn as often as its class states, and has the client's mean load
+/// as its mean over time.
 #[test]
-fn a_load_goes_on_from_node_to_node() {
+fn the_load_of_a_client_is_the_same_on_every_node() {
     let day =
         day(json!({"classes": [{"name": "c", "share": 1, "set_up_ms": 0, "set_up_cv": 0, "attempt_noise": 0,
         "aim_ms": 800, "give_up_ms": 3200, "worth": 1, "message_aim_ms": 50, "load": 1, "life": 1,
         "load_sigma": 0, "swing_sigma": 0.6, "change_s": 10, "idle": 0.3}]}));
-    let (here, there) = (
+    let (one_node, other_node) = (
         load_oscillation::LoadOscillation::new(&day.classes[0]),
         load_oscillation::LoadOscillation::new(&day.classes[0]),
     );
     let (mut sum, mut idle, mut changes) = (0.0, 0, 0);
     for key in 0..4000 {
-        let (load, next) = here.at(key, 17 * S);
-        let next = next.expect("it changes");
-        assert_eq!(there.at(key, next - 1), (load, Some(next)), "client {key} is another at another node");
-        assert_ne!(there.at(key, next), (load, Some(next)));
+        let (load, next) = one_node.at(key, 17 * S);
+        let next = next.expect("the load changes");
+        assert_eq!(
+            other_node.at(key, next - 1),
+            (load, Some(next)),
+            "the load of client {key} differs at another node"
+        );
+        assert_ne!(other_node.at(key, next), (load, Some(next)));
         (sum, idle) = (sum + load, idle + usize::from(load == 0.1));
         let mut at = 0;
-        while let (_, Some(next)) = here.at(key, at) {
+        while let (_, Some(next)) = one_node.at(key, at) {
             if next >= 60 * S {
                 break;
             }
@@ -241,17 +253,19 @@
     assert!((changes as f64 / 24_000.0 - 1.0).abs() < 0.03, "{changes}");
 }
 
-/// A node that sheds the wrong ones or too many: with its buffer full it drops the heaviest, and stops at 0.9.
+/// A node must not shed the wrong connections or too many: at its maximum backlog it drops the heaviest
+/// connections until its utilization is at most 0.9.
 #[test]
-fn a_full_buffer_sheds_the_heaviest_down_to_nine_tenths() {
-    let mut rig = Rig::new(&plain(4, json!({"/streams/sheds": "heaviest", "/traffic/shape": [[0, 1.3]]})));
+fn at_the_maximum_backlog_the_heaviest_connections_are_shed() {
+    let mut rig =
+        Rig::new(&day_with_one_node(4, json!({"/streams/sheds": "heaviest", "/traffic/shape": [[0, 1.3]]})));
     for i in 0..1805u64 {
         let link = rig.link();
         let profile = LoadProfile { mean: 0.5 + (i * 7919 % 1805) as f64 / 1805.0, seed: 0 };
         rig.at(0, NodeInput::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
     }
     rig.until(20 * S);
-    let gone: Vec<u64> = rig
+    let shed: Vec<u64> = rig
         .out
         .iter()
         .filter_map(|(_, o)| match o {
@@ -260,18 +274,24 @@
         })
         .collect();
     let weight = |i: &u64| i * 7919 % 1805;
-    assert!(gone.windows(2).all(|two| weight(&two[0]) > weight(&two[1])), "not the heaviest first");
+    assert!(
+        shed.windows(2).all(|two| weight(&two[0]) > weight(&two[1])),
+        "the heaviest connections were not shed first"
+    );
     let state = rig.node.state();
     let rho = state.load / state.capacity;
-    assert!((0.898..=0.9).contains(&rho), "{rho} is left");
+    assert!((0.898..=0.9).contains(&rho), "the utilization after shedding is {rho}");
 }
 
-/// A cold node that takes any storm, or falls at a drizzle: pushed at 130 a second it falls with about the 96th, as
-/// measured; at 60 a second, or warm, it stands.
+/// A cold node must not survive every surge, nor fail at a low rate. At 130 attempts per second it fails with
+/// about the 96th, as measured; at 60 per second, or warm, it does not fail.
 #[test]
-fn a_cold_node_falls_when_pushed() {
-    let day = plain(4, json!({"/streams/per_core": 100, "/kinds/0/cold_s": 20, "/classes/0/set_up_ms": 1}));
-    let pushed = |start: bool, every: Micros| {
+fn a_cold_node_fails_when_overloaded() {
+    let day = day_with_one_node(
+        4,
+        json!({"/streams/per_core": 100, "/kinds/0/cold_s": 20, "/classes/0/set_up_ms": 1}),
+    );
+    let attempts_until_failure = |start: bool, every: Micros| {
         let mut rig = Rig::new(&day);
         if start {
             rig.at(0, NodeInput::Crash);
@@ -281,42 +301,50 @@
             rig.open(S + i * every);
             if rig.out.iter().any(|(_, what)| *what == NodeOutput::Overloaded) {
                 assert_eq!(rig.node.accepts(2 * S), Accepts::Refused);
-                assert_eq!(rig.node.next_due(), None, "a fallen node goes on");
+                assert_eq!(rig.node.next_due(), None, "a failed node is still due");
                 return Some(i + 1);
             }
         }
         None
     };
-    assert!(pushed(true, S / 130).is_some_and(|n| (92..=100).contains(&n)), "{:?}", pushed(true, S / 130));
-    assert_eq!((pushed(true, S / 60), pushed(false, S / 130)), (None, None));
+    assert!(
+        attempts_until_failure(true, S / 130).is_some_and(|n| (92..=100).contains(&n)),
+        "{:?}",
+        attempts_until_failure(true, S / 130)
+    );
+    assert_eq!((attempts_until_failure(true, S / 60), attempts_until_failure(false, S / 130)), (None, None));
 }
 
-/// Faults that let a client through, or leave one hanging for ever: each is as it should be to those who stand, those
-/// who come and those who probe, and what was held is answered or ended when it is over.
+/// Checks the effect of each fault on established connections, new requests and probes: no request may be
+/// accepted or left open for ever by mistake. When a fault is over, the requests that it held are answered or
+/// their links closed.
 #[test]
-fn faults_are_what_they_are_called() {
+fn faults_affect_requests_connections_and_probes_as_specified() {
     let at = |kind, on| NodeInput::Fault { kind, on, size: 1.0 };
-    let mut rig = Rig::new(&plain(4, json!({"/streams/go_away": "at-once"})));
-    rig.carry(0, 50);
+    let mut rig = Rig::new(&day_with_one_node(4, json!({"/streams/go_away": "at-once"})));
+    rig.add_connections(0, 50);
 
     rig.at(2 * S, at(FaultKind::Hang, true));
     let probe = rig.link();
     rig.at(2 * S, NodeInput::Probe { link: probe });
     rig.open(2 * S);
-    assert_eq!(rig.share(3 * S, 5 * S), 0.0, "a hung node served");
+    assert_eq!(rig.share(3 * S, 5 * S), 0.0, "a hung node served messages in time");
     assert!(
-        rig.said(NodeMessage::Pong).is_empty() && rig.said(NodeMessage::Up).is_empty(),
-        "a hung node spoke"
+        rig.messages(NodeMessage::Pong).is_empty() && rig.messages(NodeMessage::Up).is_empty(),
+        "a hung node sent a message"
     );
     rig.at(5 * S, at(FaultKind::Hang, false));
     rig.until(6 * S);
-    assert_eq!((rig.said(NodeMessage::Pong).len(), rig.said(NodeMessage::Up).len(), rig.ended()), (1, 1, 0));
+    assert_eq!(
+        (rig.messages(NodeMessage::Pong).len(), rig.messages(NodeMessage::Up).len(), rig.ended()),
+        (1, 1, 0)
+    );
 
     rig.at(6 * S, at(FaultKind::HalfDead, true));
-    let (probe, held) = (rig.link(), rig.open(6 * S));
+    let (probe, unanswered) = (rig.link(), rig.open(6 * S));
     rig.at(6 * S, NodeInput::Probe { link: probe });
-    assert!(rig.share(7 * S, 8 * S) > 0.7, "those who stand are not struck");
-    assert_eq!((rig.said(NodeMessage::Pong).len(), rig.said(NodeMessage::Up).len()), (2, 1));
+    assert!(rig.share(7 * S, 8 * S) > 0.7, "established connections are not affected");
+    assert_eq!((rig.messages(NodeMessage::Pong).len(), rig.messages(NodeMessage::Up).len()), (2, 1));
     rig.at(8 * S, at(FaultKind::HalfDead, false));
 
     rig.at(9 * S, at(FaultKind::Full, true));
@@ -325,27 +353,31 @@
     rig.at(10 * S, at(FaultKind::Failing, true));
     rig.open(10 * S);
     rig.at(11 * S, at(FaultKind::Failing, false));
-    assert_eq!((rig.said(NodeMessage::Busy).len(), rig.said(NodeMessage::Err).len()), (1, 1));
+    assert_eq!((rig.messages(NodeMessage::Busy).len(), rig.messages(NodeMessage::Err).len()), (1, 1));
 
     rig.at(12 * S, at(FaultKind::CutOff, true));
     assert_eq!(rig.node.accepts(12 * S), Accepts::Silent);
     rig.at(14 * S, at(FaultKind::CutOff, false));
-    assert_eq!(rig.ended(), 52, "50 carried, one set up and one held are reset when it is back");
-    assert!(rig.out.iter().any(|(_, what)| *what == NodeOutput::Close(held, End::Reset)));
+    assert_eq!(
+        rig.ended(),
+        52,
+        "50 initial connections, one set up and one unanswered are reset when the node is back"
+    );
+    assert!(rig.out.iter().any(|(_, what)| *what == NodeOutput::Close(unanswered, End::Reset)));
 
-    rig.carry(15 * S, 20);
+    rig.add_connections(15 * S, 20);
     rig.at(16 * S, NodeInput::Drain);
     rig.open(16 * S);
-    assert_eq!((rig.said(NodeMessage::Move).len(), rig.said(NodeMessage::Busy).len()), (20, 2));
+    assert_eq!((rig.messages(NodeMessage::Move).len(), rig.messages(NodeMessage::Busy).len()), (20, 2));
     rig.at(17 * S, NodeInput::Stop);
     assert_eq!((rig.node.accepts(17 * S), rig.node.next_due()), (Accepts::Refused, None));
 }
 
-/// Sums that drift, links that end twice or never: after thousands of random events what a node counts is what an
-/// account beside it counts, and no step is late.
+/// Sums must not drift, and no link may end twice or never. After thousands of random events, the sums of a
+/// node match those computed from its connections, each link had at most one end, and no step was late.
 #[test]
-fn sums_hold_in_a_storm_of_events() {
-    let mut day = plain(
+fn sums_match_the_connections_after_random_events() {
+    let mut day = day_with_one_node(
         3,
         json!({"/streams/group_cost": 2, "/streams/sheds": "newest", "/streams/buffer_s": 0.3,
         "/streams/per_core": 20, "/classes/0/change_s": 3, "/classes/0/swing_sigma": 0.6, "/classes/0/idle": 0.3,
@@ -373,7 +405,7 @@
             }
             _ => rig.until(now),
         }
-        assert!(rig.node.next_due().is_none_or(|due| due > now), "something due was not done");
+        assert!(rig.node.next_due().is_none_or(|due| due > now), "an event due by {now} was not handled");
     }
     let mut links: BTreeMap<LinkId, (u32, u32, u32)> = BTreeMap::new();
     for (_, what) in &rig.out {
@@ -386,7 +418,10 @@
             _ => {}
         }
     }
-    assert!(links.values().all(|(up, no, ends)| up + no <= 1 && ends + no <= 1), "a link had two ends");
+    assert!(
+        links.values().all(|(up, rejected, ends)| up + rejected <= 1 && ends + rejected <= 1),
+        "a link was accepted and rejected, or ended twice"
+    );
     assert!(links.values().filter(|l| l.0 == 1).count() > 1000 && links.values().any(|l| l.2 == 1));
     assert!(rig.node.established.sums_are_right());
     let (served, all) = (rig.node.served(0), seconds_from_micros(now));
