--- a/crates/emulator/src/population/capacity.rs
+++ b/crates/emulator/src/population/capacity.rs
@@ -1,39 +1,41 @@
-//! What the nodes of a day can carry, in connections: the measure that loads and quotas are shares of.
+//! The number of connections that the nodes of a day can carry, to which loads and quotas are relative.
 
 use crate::day::Day;
 use shorewharf_units::seconds_from_micros;
 
-/// What all nodes can carry.
+/// The capacity of all nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capacity {
-    /// Usual connections that fill all cores, with what their set-ups and groups cost.
+    /// The number of usual connections that fully use all cores, including the cost of their set-ups and
+    /// groups.
     pub connections: f64,
-    /// New connections a second that keep up that many.
+    /// The new connections per second that sustain this number.
     pub per_s: f64,
-    /// Mean life of a connection over the classes, seconds.
+    /// The mean lifetime of a connection over all classes, in seconds.
     pub life_s: f64,
-    /// The part of `connections` that each node carries.
+    /// The part of `connections` that each node carries, by node.
     pub of: Vec<f64>,
 }
 
-/// A connection costs a tenth of the mean load however idle it is.
-const STANDING: f64 = 0.1;
-/// What a group costs is shared by fewer than its mean members: balancers can't keep it all in one place.
-const GROUP_SPREAD: f64 = 1.3;
+/// The cost of holding a connection, even an idle one, as a ratio of the mean load.
+const HOLDING_COST: f64 = 0.1;
+/// The factor on the cost of a group per member: balancers cannot keep all members of a group on one node, so
+/// that fewer members share the cost.
+const GROUP_SPREAD_FACTOR: f64 = 1.3;
 
-/// The capacity of a day. Fitted to the quotas that the simulator tells, exact to their rounding on twelve days that
-/// differ in one setting each.
+/// Computes the capacity of a day. The formula was fitted to the quotas that the simulator reports, and
+/// matches them up to their rounding on twelve days that differ in one setting each.
 pub fn capacity(day: &Day) -> Capacity {
     let cores = |n: &crate::day::Node| f64::from(day.kinds[n.kind as usize].cores) * n.speed;
-    let shares: f64 = day.classes.iter().map(|c| c.share).sum();
-    let mean = |of: &dyn Fn(&crate::day::Class) -> f64| {
-        day.classes.iter().map(|c| c.share * of(c)).sum::<f64>() / shares.max(f64::MIN_POSITIVE)
+    let total_share: f64 = day.classes.iter().map(|c| c.share).sum();
+    let class_mean = |of: &dyn Fn(&crate::day::Class) -> f64| {
+        day.classes.iter().map(|c| c.share * of(c)).sum::<f64>() / total_share.max(f64::MIN_POSITIVE)
     };
-    let life_s = mean(&|c| c.life) * day.streams.life as f64 / 1e6;
-    let usual = mean(&|c| c.load) / day.streams.per_core;
-    let group = GROUP_SPREAD * day.streams.group_cost / day.streams.group_size.max(1.0);
-    let set_up = mean(&|c| seconds_from_micros(c.set_up)) / life_s;
-    let cost = usual * (1.0 + STANDING + group) + set_up;
+    let life_s = class_mean(&|c| c.life) * day.streams.life as f64 / 1e6;
+    let load_cost = class_mean(&|c| c.load) / day.streams.per_core;
+    let group_cost = GROUP_SPREAD_FACTOR * day.streams.group_cost / day.streams.group_size.max(1.0);
+    let set_up = class_mean(&|c| seconds_from_micros(c.set_up)) / life_s;
+    let cost = load_cost * (1.0 + HOLDING_COST + group_cost) + set_up;
     let of: Vec<f64> = day.nodes.iter().map(|n| cores(n) / cost).collect();
     let connections: f64 = of.iter().sum();
     Capacity { connections, per_s: connections / life_s, life_s, of }
--- a/crates/emulator/src/population/groups.rs
+++ b/crates/emulator/src/population/groups.rs
@@ -1,55 +1,59 @@
-//! Groups: whose connections share work. A few are large, most are small, and tenants and zones mix in all of them.
+//! Groups of connections that share work at a node. A few groups are large and most are small. The group of a
+//! client does not depend on its tenant or zone.
 
 use rand::Rng;
 
 use crate::day::Day;
 use crate::population::Capacity;
 
-/// All groups of a day by rank, the largest first.
+/// The groups of a day, by rank; the largest group has rank 0.
 #[derive(Debug)]
 pub(super) struct Groups {
-    /// Up to each rank, the share of clients that belong to a group of that rank or above.
-    up_to: Vec<f64>,
+    /// For each rank, the share of clients that belong to groups of this or a lower rank.
+    cumulative_share: Vec<f64>,
     ids: Vec<u64>,
 }
 
-/// Groups per connection that all nodes can carry, times the mean members: fitted.
-const NUMBER: f64 = 0.65;
-/// Added to a rank before the power is taken, so that the first group is not far ahead: fitted.
-const SHIFT: f64 = 2.0;
+/// The ratio of the number of groups to the number that the capacity in connections and the mean group size
+/// give; fitted to the simulator.
+const COUNT_RATIO: f64 = 0.65;
+/// Added to the rank in the power law of the group sizes, so that the first group is not far larger than the
+/// second; fitted to the simulator.
+const RANK_OFFSET: f64 = 2.0;
 
 impl Groups {
-    /// The groups of this day; none where groups cost nothing.
+    /// Draws the groups of a day; a day has no groups if they cost nothing.
     pub fn new(day: &Day, capacity: &Capacity, rng: &mut impl Rng) -> Groups {
         let streams = &day.streams;
         if streams.group_cost <= 0.0 {
-            return Groups { up_to: Vec::new(), ids: Vec::new() };
+            return Groups { cumulative_share: Vec::new(), ids: Vec::new() };
         }
-        let number = (NUMBER * capacity.connections / streams.group_size.max(1.0)).ceil().max(1.0) as usize;
+        let count =
+            (COUNT_RATIO * capacity.connections / streams.group_size.max(1.0)).ceil().max(1.0) as usize;
         let mut total = 0.0;
-        let mut up_to: Vec<f64> = (1..=number)
+        let mut cumulative_share: Vec<f64> = (1..=count)
             .map(|rank| {
-                total += (rank as f64 + SHIFT).powf(-streams.group_zipf);
+                total += (rank as f64 + RANK_OFFSET).powf(-streams.group_zipf);
                 total
             })
             .collect();
-        up_to.iter_mut().for_each(|s| *s /= total);
-        let ids = (0..number).map(|_| rng.random_range(1..=u64::MAX)).collect();
-        Groups { up_to, ids }
+        cumulative_share.iter_mut().for_each(|s| *s /= total);
+        let ids = (0..count).map(|_| rng.random_range(1..=u64::MAX)).collect();
+        Groups { cumulative_share, ids }
     }
 
     /// Draws the rank of a client's group.
     pub fn draw(&self, rng: &mut impl Rng) -> u32 {
         let x: f64 = rng.random();
-        self.up_to.partition_point(|s| *s <= x).min(self.ids.len().saturating_sub(1)) as u32
+        self.cumulative_share.partition_point(|s| *s <= x).min(self.ids.len().saturating_sub(1)) as u32
     }
 
-    /// The id of the group of this rank; 0 where there are none.
+    /// The id of the group of this rank; 0 if there are no groups.
     pub fn id(&self, rank: u32) -> u64 {
         self.ids.get(rank as usize).copied().unwrap_or(0)
     }
 
-    /// How many there are.
+    /// The number of groups.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
--- a/crates/emulator/src/population/mod.rs
+++ b/crates/emulator/src/population/mod.rs
@@ -1,8 +1,9 @@
 //! The client population: arrivals, lifetimes and reconnects.
 //!
-//! Each client is a small state machine (`client.rs`); [`ClientPopulation`] holds them all over one queue of wake-ups and says
-//! what they do as [`ClientAction`]. It knows neither balancers nor nodes: the world carries what clients do through the
-//! front and tells what they hear. The formulas were fitted to the simulator's clients (`docs/design/emulator-people.md`).
+//! Each client is a small state machine (`client.rs`). [`ClientPopulation`] holds all clients and one queue
+//! of their wake-ups, and reports what they do as [`ClientAction`]. It knows neither balancers nor nodes: the
+//! world passes the actions through the front and delivers the answers to the clients. The formulas were
+//! fitted to the simulator's clients (`docs/design/emulator-people.md`).
 
 mod capacity;
 mod client;
@@ -29,17 +30,19 @@
 use groups::Groups;
 use traffic::{CountChange, Traffic};
 
-/// Place of a client's account: its class, its tenant, and whether it is within its tenant's share.
+/// The index of a client's account, given by its class, its tenant, and whether it is within its tenant's
+/// share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cell(pub u32);
 
 impl Cell {
-    /// The cell of a class and a tenant in a day with so many tenants.
+    /// The cell of a class, a tenant, and whether clients are `within` the tenant's share, in a day with
+    /// `tenants` tenants.
     pub fn new(class: u32, tenant: u32, within: bool, tenants: usize) -> Cell {
         Cell((class * tenants.max(1) as u32 + tenant) * 2 + u32::from(within))
     }
 
-    /// Its class, its tenant, and whether it is within the tenant's share.
+    /// The cell's class, its tenant, and whether it is within the tenant's share.
     pub fn parts(self, tenants: usize) -> (u32, u32, bool) {
         let index = self.0 / 2;
         let tenants = tenants.max(1) as u32;
@@ -47,57 +50,58 @@
     }
 }
 
-/// What a client's connections load a node with.
+/// The load that a client's connection puts on its node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadProfile {
-    /// Mean load in usual loads: the client's own, for its whole life.
+    /// The mean load of the client, in usual loads, which is the same for all of its connections.
     pub mean: f64,
-    /// The draws of this one connection (idle, swings) follow from it.
+    /// A random number of this connection. The node model does not use it: it derives the variation of the
+    /// load from the client's key.
     pub seed: u64,
 }
 
-/// What clients do.
+/// An action of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientAction {
-    /// From now on a client wants its connection; `first` for a new client, else one that had paused.
+    /// A client wants to be connected from now on.
     ServiceWanted {
-        /// Its account.
+        /// The client's account.
         cell: Cell,
-        /// It is a new client.
+        /// True for a new client, false for one that resumes after a pause.
         first: bool,
     },
-    /// A client wants it no more.
+    /// A client no longer wants to be connected.
     ServiceNoLongerWanted {
-        /// Its account.
+        /// The client's account.
         cell: Cell,
     },
-    /// A client connects through the front of its zone and sends its first line.
+    /// A client connects through the front of its zone and sends its request.
     Connect {
-        /// The first line; [`RequestLine::home`] is set where the connection stood before the day.
+        /// The request; [`RequestLine::home`] is set if the connection was established before the day.
         ask: RequestLine,
-        /// Place of its zone.
+        /// The index of the client's zone.
         zone: u32,
-        /// Its account.
+        /// The client's account.
         cell: Cell,
-        /// What it will load its node with.
+        /// The load that the connection will put on its node.
         profile: LoadProfile,
     },
-    /// A standing connection's client has had all that it wanted.
+    /// A client with an established connection has reached the end of its lifetime.
     Done {
         /// The connection.
         conn: ConnId,
     },
-    /// A client hangs up, waiting or standing.
+    /// A client closes its connection, established or not.
     Leave {
         /// The connection.
         conn: ConnId,
     },
 }
 
-/// A wake-up: of a client in the place it had then, or of all traffic.
-type Wake = Reverse<(Micros, u64, WakeUp, ClientIndex)>;
+/// A scheduled wake-up of a client: its time, a sequence number, its reason and the client's index.
+type ScheduledWakeUp = Reverse<(Micros, u64, WakeUp, ClientIndex)>;
 
-/// All clients of a day.
+/// The clients of a day.
 #[derive(Debug)]
 pub struct ClientPopulation {
     day: Day,
@@ -105,15 +109,16 @@
     traffic: Traffic,
     groups: Groups,
     clients: ClientTable,
-    wakes: BinaryHeap<Wake>,
-    /// Orders wake-ups of the same time.
+    wake_ups: BinaryHeap<ScheduledWakeUp>,
+    /// The last sequence number, which orders wake-ups of the same time.
     sequence: u64,
-    /// The client of each connection, by number; [`ClientIndex::NOBODY`] once the connection is over.
+    /// The client of each connection, by connection number; [`ClientIndex::NONE`] once the connection is
+    /// over.
     conns: Vec<ClientIndex>,
 }
 
 impl ClientPopulation {
-    /// The clients of this day, before its start.
+    /// Creates the population of a day before its start, without clients.
     pub fn new(day: &Day, mut rng: Pcg64Mcg) -> ClientPopulation {
         let capacity = capacity(day);
         let groups = Groups::new(day, &capacity, &mut rng);
@@ -124,37 +129,42 @@
             traffic,
             groups,
             clients: ClientTable::default(),
-            wakes: BinaryHeap::new(),
+            wake_ups: BinaryHeap::new(),
             sequence: 0,
             conns: Vec::new(),
         }
     }
 
-    /// Lets those who stand when the day starts connect, at time 0. Called once, first.
+    /// Adds the clients whose connections are established when the day starts, at time 0. Must be called
+    /// once, before all other methods.
     pub fn connect_initial_clients(&mut self, actions: &mut Vec<ClientAction>) {
-        for initial in start::standing(&self.day, &self.traffic, &self.groups, &mut self.rng) {
+        for initial in start::draw_initial_connections(&self.day, &self.traffic, &self.groups, &mut self.rng)
+        {
             let client = self.draw_client(0, initial.tenant, Some(&initial));
-            let rest = self.traffic.rest(client.class, &mut self.rng).max(start::MIN_REMAINING_LIFETIME);
-            let index = self.add_client(client, rest, actions);
+            let lifetime = self
+                .traffic
+                .draw_remaining_lifetime(client.class, &mut self.rng)
+                .max(start::MIN_REMAINING_LIFETIME);
+            let index = self.add_client(client, lifetime, actions);
             self.connect(0, index, Some(initial.home), actions);
         }
     }
 
-    /// When somebody does something next.
+    /// The time of the next event.
     pub fn next_due(&self) -> Option<Micros> {
-        let wake = self.wakes.peek().map(|Reverse((at, ..))| *at);
+        let wake = self.wake_ups.peek().map(|Reverse((at, ..))| *at);
         self.traffic.next_due().into_iter().chain(wake).min()
     }
 
-    /// Lets everything happen that is due up to now.
+    /// Handles all events up to `now`.
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<ClientAction>) {
         loop {
-            let wake = self.wakes.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
+            let wake = self.wake_ups.peek().map(|Reverse((at, ..))| *at).filter(|at| *at <= now);
             let change = self.traffic.next_due().filter(|at| *at <= now);
             match (wake, change) {
                 (None, None) => return,
                 (Some(w), t) if t.is_none_or(|t| w <= t) => {
-                    if let Some(Reverse((at, _, next, index))) = self.wakes.pop() {
+                    if let Some(Reverse((at, _, next, index))) = self.wake_ups.pop() {
                         self.on_wake_up(at, next, index, actions);
                     }
                 }
@@ -170,22 +180,22 @@
     fn apply_count_change(&mut self, at: Micros, change: CountChange, actions: &mut Vec<ClientAction>) {
         match change {
             CountChange::Arrival => {
-                let tenant = self.traffic.tenant(at, &mut self.rng);
+                let tenant = self.traffic.draw_tenant(at, &mut self.rng);
                 let client = self.draw_client(at, tenant, None);
-                let life = self.traffic.life(client.class, &mut self.rng);
-                let index = self.add_client(client, life, actions);
+                let lifetime = self.traffic.draw_lifetime(client.class, &mut self.rng);
+                let index = self.add_client(client, lifetime, actions);
                 self.connect(at, index, None, actions);
             }
-            // Where numbers fall, anybody may be who leaves.
+            // When the number of clients falls, any client may leave.
             CountChange::Departure => {
                 if let Some(index) = self.clients.any(&mut self.rng) {
-                    self.over(index, actions);
+                    self.end_lifetime(index, actions);
                 }
             }
         }
     }
 
-    /// Draws a client that comes now, or one that has stood in this group before the day.
+    /// Draws a client that arrives now, or the client of an initial connection.
     fn draw_client(
         &mut self,
         now: Micros,
@@ -194,21 +204,21 @@
     ) -> Client {
         let day = &self.day;
         let rng = &mut self.rng;
-        let class = initial.map_or_else(|| self.traffic.class(rng), |s| s.class);
-        let within = rng.random_bool(self.traffic.within(now, tenant));
-        let mean = initial.map_or_else(|| self.traffic.load(class, rng), |s| s.mean);
+        let class = initial.map_or_else(|| self.traffic.draw_class(rng), |s| s.class);
+        let within = rng.random_bool(self.traffic.within_quota_probability(now, tenant));
+        let mean = initial.map_or_else(|| self.traffic.draw_load(class, rng), |s| s.mean);
         let group = initial.map_or_else(|| self.groups.draw(rng), |s| s.group);
         Client {
             key: rng.random_range(1..=u64::MAX),
             group: self.groups.id(group),
             class,
             tenant,
-            zone: self.traffic.zone(rng),
+            zone: self.traffic.draw_zone(rng),
             cell: Cell::new(class, tenant, within, day.tenants.len()),
             mean,
             since: now,
             until: now,
-            honours: rng.random_bool(day.clients.honour.clamp(0.0, 1.0)),
+            honours_retry_after: rng.random_bool(day.clients.honour.clamp(0.0, 1.0)),
             impatient: rng.random_bool(day.clients.impatient.clamp(0.0, 1.0)),
             failures: 0,
             state: State::Away,
@@ -218,20 +228,20 @@
     fn add_client(
         &mut self,
         mut client: Client,
-        life: Micros,
+        lifetime: Micros,
         actions: &mut Vec<ClientAction>,
     ) -> ClientIndex {
-        client.until = client.since + life.max(1);
+        client.until = client.since + lifetime.max(1);
         actions.push(ClientAction::ServiceWanted { cell: client.cell, first: true });
         let until = client.until;
         let index = self.clients.add(client);
-        self.schedule_wake_up(until, WakeUp::HasHadAll, index);
+        self.schedule_wake_up(until, WakeUp::LifetimeEnd, index);
         index
     }
 
     fn schedule_wake_up(&mut self, at: Micros, next: WakeUp, index: ClientIndex) {
         self.sequence += 1;
-        self.wakes.push(Reverse((at, self.sequence, next, index)));
+        self.wake_ups.push(Reverse((at, self.sequence, next, index)));
     }
 
     fn connect(
@@ -260,76 +270,77 @@
         client.state = State::Waiting { conn, sent: now };
         let profile = LoadProfile { mean: client.mean, seed: self.rng.random() };
         actions.push(ClientAction::Connect { ask, zone: client.zone, cell: client.cell, profile });
-        let gives_up = now + class.give_up + self.day.rules.answer_slack;
+        let expires = now + class.give_up + self.day.rules.answer_slack;
         self.conns.push(index);
-        self.schedule_wake_up(gives_up, WakeUp::GivesUp { conn }, index);
+        self.schedule_wake_up(expires, WakeUp::AnswerTimeout { conn }, index);
     }
 
     fn on_wake_up(&mut self, at: Micros, next: WakeUp, index: ClientIndex, actions: &mut Vec<ClientAction>) {
         let Some(client) = self.clients.get_mut(index) else { return };
         match next {
-            // Else a pause has made its life longer.
-            WakeUp::HasHadAll if client.until <= at => self.over(index, actions),
-            WakeUp::ComesAgain if client.state == State::Away => self.connect(at, index, None, actions),
-            WakeUp::Resumes if client.state == State::Paused => {
+            // Otherwise a pause has extended the client's lifetime since the wake-up was scheduled.
+            WakeUp::LifetimeEnd if client.until <= at => self.end_lifetime(index, actions),
+            WakeUp::Reconnect if client.state == State::Away => self.connect(at, index, None, actions),
+            WakeUp::Resume if client.state == State::Paused => {
                 actions.push(ClientAction::ServiceWanted { cell: client.cell, first: false });
                 self.connect(at, index, None, actions);
             }
-            WakeUp::GivesUp { conn } => {
+            WakeUp::AnswerTimeout { conn } => {
                 if let State::Waiting { conn: c, sent } = client.state
                     && c == conn
                 {
-                    // No answer in its time: the wait counts from the end of its patience, not from the slack's.
+                    // The delay before the next attempt counts from the client's timeout, without the answer
+                    // slack.
                     let end = sent + self.day.classes[client.class as usize].give_up;
                     actions.push(ClientAction::Leave { conn });
-                    self.forget(conn);
+                    self.unregister_connection(conn);
                     self.on_attempt_failed(end, at, index, None);
                 }
             }
-            WakeUp::HasHadAll | WakeUp::ComesAgain | WakeUp::Resumes => {}
+            WakeUp::LifetimeEnd | WakeUp::Reconnect | WakeUp::Resume => {}
         }
     }
 
-    /// A client's answer has come, or a word that ends its connection.
+    /// Handles an answer to a client, or a line that ends its connection.
     pub fn on_answer(&mut self, now: Micros, conn: ConnId, input: ClientInput) {
-        let Some((index, client)) = self.whose(conn) else { return };
+        let Some((index, client)) = self.client_of(conn) else { return };
         match (input, client.state) {
             (ClientInput::Up, State::Waiting { .. }) => {
-                client.state = State::Standing { conn };
+                client.state = State::Connected { conn };
                 client.failures = 0;
             }
             (ClientInput::Up, _) => {}
-            (ClientInput::Move, State::Standing { .. }) => {
-                self.forget(conn);
+            (ClientInput::Move, State::Connected { .. }) => {
+                self.unregister_connection(conn);
                 self.reconnect_later(now, index, AbsenceReason::Moved);
             }
             (ClientInput::Busy(wait), State::Waiting { .. }) => {
-                self.forget(conn);
+                self.unregister_connection(conn);
                 self.on_attempt_failed(now, now, index, Some(wait));
             }
             _ => {
-                self.forget(conn);
+                self.unregister_connection(conn);
                 self.on_attempt_failed(now, now, index, None);
             }
         }
     }
 
-    /// A client's connection is over without a word.
+    /// Handles the end of a client's connection without an answer.
     pub fn on_connection_closed(&mut self, now: Micros, conn: ConnId, _end: End) {
-        let Some((index, client)) = self.whose(conn) else { return };
-        let initial = matches!(client.state, State::Standing { .. });
-        self.forget(conn);
-        if initial {
+        let Some((index, client)) = self.client_of(conn) else { return };
+        let is_established = matches!(client.state, State::Connected { .. });
+        self.unregister_connection(conn);
+        if is_established {
             self.reconnect_later(now, index, AbsenceReason::Broken);
         } else {
             self.on_attempt_failed(now, now, index, None);
         }
     }
 
-    /// A fault strikes the clients, from now on for its length.
+    /// Begins a fault that affects the clients.
     pub fn apply_fault(&mut self, now: Micros, fault: &Fault, actions: &mut Vec<ClientAction>) {
         match fault.kind {
-            FaultKind::Reconnect => self.reconnect(now, fault, actions),
+            FaultKind::Reconnect => self.start_mass_reconnect(now, fault, actions),
             FaultKind::Surge => self.traffic.surge(now, fault, None, &mut self.rng),
             FaultKind::TenantFlood => {
                 let tenant = fault.on.first().copied().unwrap_or(0);
@@ -339,14 +350,14 @@
         }
     }
 
-    /// Each standing connection drops with the fault's chance, all at once; each client comes again within the
-    /// fault's length. While it is away it asks for nothing.
-    fn reconnect(&mut self, now: Micros, fault: &Fault, actions: &mut Vec<ClientAction>) {
+    /// Closes each established connection with the probability `fault.size`, all at once. Their clients
+    /// reconnect within the length of the fault, after a minimum delay, and want no service until then.
+    fn start_mass_reconnect(&mut self, now: Micros, fault: &Fault, actions: &mut Vec<ClientAction>) {
         const MIN_RECONNECT_DELAY: Micros = 200_000;
         const MIN_LIFETIME_AFTER_RECONNECT: Micros = 50_000;
         for index in self.clients.indices() {
             let Some(client) = self.clients.get_mut(index) else { continue };
-            let State::Standing { conn } = client.state else { continue };
+            let State::Connected { conn } = client.state else { continue };
             if !fault.on.is_empty() && !fault.on.contains(&client.tenant) {
                 continue;
             }
@@ -355,18 +366,20 @@
             }
             let back = now + MIN_RECONNECT_DELAY + self.rng.random_range(0..=fault.len);
             client.state = State::Paused;
-            // All come again, even those whose life is over by then: they ask, stand, and are done at once.
+            // All clients reconnect, even those whose lifetime would be over: they are connected only for a
+            // moment.
             client.until = client.until.max(back + MIN_LIFETIME_AFTER_RECONNECT);
             actions.push(ClientAction::Leave { conn });
             actions.push(ClientAction::ServiceNoLongerWanted { cell: client.cell });
             let until = client.until;
-            self.forget(conn);
-            self.schedule_wake_up(back, WakeUp::Resumes, index);
-            self.schedule_wake_up(until, WakeUp::HasHadAll, index);
+            self.unregister_connection(conn);
+            self.schedule_wake_up(back, WakeUp::Resume, index);
+            self.schedule_wake_up(until, WakeUp::LifetimeEnd, index);
         }
     }
 
-    /// A try has failed at `from`; told now.
+    /// Handles a failed attempt: the next delay counts from `from`, and `wait` is the retry-after time if
+    /// there was one.
     fn on_attempt_failed(&mut self, from: Micros, now: Micros, index: ClientIndex, wait: Option<Micros>) {
         let Some(client) = self.clients.get_mut(index) else { return };
         client.failures += 1;
@@ -375,41 +388,45 @@
             _ => 0,
         };
         if client.impatient && waited > self.day.classes[client.class as usize].give_up / 2 {
-            // Left for good; what it wanted stays asked for until its life would have ended.
-            client.state = State::Gone;
+            // The client has left for good, but still counts as wanting service until the end of its
+            // lifetime.
+            client.state = State::Left;
             return;
         }
-        let gap = AbsenceReason::Failed { failures: client.failures, wait: wait.filter(|_| client.honours) };
-        self.reconnect_later_from(from, now, index, gap);
+        let reason = AbsenceReason::Failed {
+            failures: client.failures,
+            wait: wait.filter(|_| client.honours_retry_after),
+        };
+        self.reconnect_later_from(from, now, index, reason);
     }
 
-    fn reconnect_later(&mut self, now: Micros, index: ClientIndex, gap: AbsenceReason) {
-        self.reconnect_later_from(now, now, index, gap);
+    fn reconnect_later(&mut self, now: Micros, index: ClientIndex, reason: AbsenceReason) {
+        self.reconnect_later_from(now, now, index, reason);
     }
 
-    fn reconnect_later_from(&mut self, from: Micros, now: Micros, index: ClientIndex, gap: AbsenceReason) {
+    fn reconnect_later_from(&mut self, from: Micros, now: Micros, index: ClientIndex, reason: AbsenceReason) {
         let Some(client) = self.clients.get_mut(index) else { return };
         client.state = State::Away;
-        let back = (from + gap.draw(&self.day.clients, &mut self.rng)).max(now + 1);
+        let back = (from + reason.draw(&self.day.clients, &mut self.rng)).max(now + 1);
         if back < client.until {
-            self.schedule_wake_up(back, WakeUp::ComesAgain, index);
+            self.schedule_wake_up(back, WakeUp::Reconnect, index);
         }
     }
 
-    /// A client wants nothing more.
-    fn over(&mut self, index: ClientIndex, actions: &mut Vec<ClientAction>) {
+    /// Ends a client's lifetime: closes its connection and removes it.
+    fn end_lifetime(&mut self, index: ClientIndex, actions: &mut Vec<ClientAction>) {
         let Some(client) = self.clients.get(index) else { return };
         let (state, cell) = (client.state, client.cell);
         match state {
             State::Waiting { conn, .. } => {
                 actions.push(ClientAction::Leave { conn });
-                self.forget(conn);
+                self.unregister_connection(conn);
             }
-            State::Standing { conn } => {
+            State::Connected { conn } => {
                 actions.push(ClientAction::Done { conn });
-                self.forget(conn);
+                self.unregister_connection(conn);
             }
-            State::Away | State::Gone | State::Paused => {}
+            State::Away | State::Left | State::Paused => {}
         }
         if state != State::Paused {
             actions.push(ClientAction::ServiceNoLongerWanted { cell });
@@ -417,18 +434,18 @@
         self.clients.remove(index);
     }
 
-    fn whose(&mut self, conn: ConnId) -> Option<(ClientIndex, &mut Client)> {
+    fn client_of(&mut self, conn: ConnId) -> Option<(ClientIndex, &mut Client)> {
         let index = *self.conns.get(conn.0 as usize)?;
         self.clients.get_mut(index).map(|client| (index, client))
     }
 
-    fn forget(&mut self, conn: ConnId) {
+    fn unregister_connection(&mut self, conn: ConnId) {
         if let Some(index) = self.conns.get_mut(conn.0 as usize) {
-            *index = ClientIndex::NOBODY;
+            *index = ClientIndex::NONE;
         }
     }
 
-    /// Clients that want a connection now.
+    /// The number of present clients.
     pub fn present(&self) -> usize {
         self.clients.len()
     }
--- a/crates/emulator/src/population/tests.rs
+++ b/crates/emulator/src/population/tests.rs
@@ -1,4 +1,4 @@
-//! Clients played against balancers of a few lines: who says what to whom is in each test.
+//! Tests of the client population. Each test states how its balancers answer requests.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 
 const S: Micros = 1_000_000;
 
-/// A day of 60 s on ten nodes; `change` overwrites what a test is about.
+/// A day of 60 s on ten nodes, with the values in `change` in place of its own.
 pub(crate) fn day(change: Value) -> Day {
     let nodes: Vec<_> =
         (0..10).map(|i| json!({"zone": i % 2, "kind": 0, "speed": 10.0, "weight": 1.0})).collect();
     let tenant =
         |name: &str, traffic: f64| json!({"name": name, "share": 0.5, "traffic": traffic, "quota": 0.5});
-    let mut whole = json!({
+    let mut day = json!({
         "name": "t", "about": "a test", "seed": 1, "length_s": 60, "tick_ms": 5, "zones": ["a", "b"],
         "net": {"same_ms": 0.2, "cross_ms": 1, "client_ms": 0.5, "jitter": 0.2}, "front": {"notice_s": 2},
         "discovery": {"notice_s": 2, "silent_notice_s": 8, "add_s": 1, "period_ms": 1000, "spread_ms": 400,
@@ -44,8 +44,8 @@
         "prices": {"cross_zone": 0.03, "waste": 0.05, "connection": 0.03, "handshake": 0.03, "probe": 0.002,
             "late_fail": 0.03, "moves": 0.01},
     });
-    merge(&mut whole, change);
-    serde_json::from_value(whole).expect("a whole day")
+    merge(&mut day, change);
+    serde_json::from_value(day).expect("the changed day is valid")
 }
 
 fn merge(into: &mut Value, change: Value) {
@@ -57,108 +57,131 @@
     }
 }
 
-/// What happened when a day was played.
+/// The actions of all clients in a run, with their times.
 #[derive(Default)]
-struct Played {
-    /// Each connection with its time.
-    asks: Vec<(Micros, RequestLine, u32)>,
+struct Recording {
+    /// The time, the request and the zone of each connection.
+    requests: Vec<(Micros, RequestLine, u32)>,
     leaves: Vec<(Micros, ConnId)>,
-    /// Times of new clients, and of those who left for good or were done, or paused.
+    /// The times at which clients began to want service, and whether they were new.
     wants: Vec<(Micros, bool)>,
+    /// The times at which clients ceased to want service: at the end of their lifetime or in a pause.
     wants_no_more: Vec<Micros>,
     present_at_end: usize,
 }
 
-/// Plays a day: each connection hears what `hears` says, at once.
-fn play(day: &Day, mut hears: impl FnMut(Micros, &RequestLine) -> Option<ClientInput>) -> Played {
-    let mut people = ClientPopulation::new(day, Pcg64Mcg::seed_from_u64(7));
-    let mut played = Played::default();
+/// Runs a day. Each request is answered at once with what `answer` returns for it.
+fn play(day: &Day, mut answer: impl FnMut(Micros, &RequestLine) -> Option<ClientInput>) -> Recording {
+    let mut population = ClientPopulation::new(day, Pcg64Mcg::seed_from_u64(7));
+    let mut recording = Recording::default();
     let mut out = Vec::new();
     let mut faults = day.faults.iter().peekable();
-    people.connect_initial_clients(&mut out);
+    population.connect_initial_clients(&mut out);
     let mut now = 0;
     loop {
-        let mut heard = Vec::new();
+        let mut answers = Vec::new();
         for what in out.drain(..) {
             match what {
-                ClientAction::ServiceWanted { first, .. } => played.wants.push((now, first)),
-                ClientAction::ServiceNoLongerWanted { .. } => played.wants_no_more.push(now),
-                ClientAction::Leave { conn } => played.leaves.push((now, conn)),
+                ClientAction::ServiceWanted { first, .. } => recording.wants.push((now, first)),
+                ClientAction::ServiceNoLongerWanted { .. } => recording.wants_no_more.push(now),
+                ClientAction::Leave { conn } => recording.leaves.push((now, conn)),
                 ClientAction::Done { .. } => {}
                 ClientAction::Connect { ask, zone, .. } => {
-                    played.asks.push((now, ask, zone));
-                    let first = if ask.home.is_some() { Some(ClientInput::Up) } else { hears(now, &ask) };
-                    heard.extend(first.map(|h| (ask.conn, h)));
+                    recording.requests.push((now, ask, zone));
+                    let first = if ask.home.is_some() { Some(ClientInput::Up) } else { answer(now, &ask) };
+                    answers.extend(first.map(|h| (ask.conn, h)));
                 }
             }
         }
-        heard.into_iter().for_each(|(conn, h)| people.on_answer(now, conn, h));
+        answers.into_iter().for_each(|(conn, h)| population.on_answer(now, conn, h));
         let fault = faults.peek().map(|f| f.at);
-        let next = people.next_due().into_iter().chain(fault).min().filter(|t| *t < day.length);
+        let next = population.next_due().into_iter().chain(fault).min().filter(|t| *t < day.length);
         let Some(at) = next else { break };
         now = at;
         if fault == Some(at) {
-            faults.next().into_iter().for_each(|f| people.apply_fault(now, f, &mut out));
+            faults.next().into_iter().for_each(|f| population.apply_fault(now, f, &mut out));
         }
-        people.advance(now, &mut out);
+        population.advance(now, &mut out);
     }
-    played.present_at_end = people.present();
-    played
+    recording.present_at_end = population.present();
+    recording
 }
 
-fn near(what: &str, found: f64, wanted: f64, by: f64) {
-    assert!((found - wanted).abs() <= by * wanted, "{what}: {found}, not {wanted} within {by}");
+fn near(what: &str, found: f64, expected: f64, by: f64) {
+    assert!(
+        (found - expected).abs() <= by * expected,
+        "{what}: found {found}, expected {expected} within a ratio of {by}"
+    );
 }
 
-/// Failure: the traffic is not the one that the day's figures say. Promise: numbers at the start, the flow below and
-/// above level 1, joins and leaves where the course jumps, and shares by tenant, zone and group are as fitted.
+/// The traffic must match the day's parameters: the number of clients at the start, the arrival rate below
+/// and above level 1, the arrivals and departures while the curve is steep, and the shares by tenant, zone
+/// and group are those of the fitted formulas.
 #[test]
-fn numbers_follow_the_days_course() {
-    let course = json!([[0, 0.5], [20, 0.5], [20.5, 2.0], [40, 2.0], [40.5, 0.5]]);
-    let day = day(json!({"traffic": {"shape": course, "load": 0.9}, "streams": {"per_core": 110}}));
+fn client_counts_and_rates_follow_the_traffic_curve() {
+    let curve = json!([[0, 0.5], [20, 0.5], [20.5, 2.0], [40, 2.0], [40.5, 0.5]]);
+    let day = day(json!({"traffic": {"shape": curve, "load": 0.9}, "streams": {"per_core": 110}}));
     let capacity = capacity(&day);
     let (number, rate) = (0.9 * capacity.connections, 0.9 * capacity.per_s);
     near("capacity", capacity.connections, 400.0 * 110.0 / 1.2, 1e-9);
-    let played = play(&day, |_, _| Some(ClientInput::Up));
-    let stood = played.asks.iter().filter(|a| a.1.home.is_some()).count() as f64;
-    near("standing at the start", stood, number * 0.5f64.sqrt(), 0.0002);
-    let came = |from: Micros, to: Micros| {
-        played.wants.iter().filter(|w| w.0 > 0 && (from * S / 2..to * S / 2).contains(&w.0)).count() as f64
+    let recording = play(&day, |_, _| Some(ClientInput::Up));
+    let initial = recording.requests.iter().filter(|a| a.1.home.is_some()).count() as f64;
+    near("clients at the start", initial, number * 0.5f64.sqrt(), 0.0002);
+    let arrivals = |from: Micros, to: Micros| {
+        recording.wants.iter().filter(|w| w.0 > 0 && (from * S / 2..to * S / 2).contains(&w.0)).count() as f64
     };
-    near("flow at 0.5", came(0, 40), 20.0 * rate * 0.5, 0.03);
-    near("joins", came(40, 41), number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.55 * rate, 0.03);
-    near("flow at 2", came(41, 80), 19.5 * rate * 2.0f64.sqrt(), 0.03);
-    let left = played.wants_no_more.iter().filter(|t| (80 * S / 2..81 * S / 2).contains(t)).count() as f64;
-    near("leaves", left, number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.6 * rate, 0.05);
-    let all = played.asks.len() as f64;
-    near("first tenant", played.asks.iter().filter(|a| a.1.tenant == 0).count() as f64, 0.75 * all, 0.01);
-    near("second zone", played.asks.iter().filter(|a| a.2 == 1).count() as f64, 0.25 * all, 0.03);
+    near("arrivals at level 0.5", arrivals(0, 40), 20.0 * rate * 0.5, 0.03);
+    near(
+        "arrivals in the rise",
+        arrivals(40, 41),
+        number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.55 * rate,
+        0.03,
+    );
+    near("arrivals at level 2", arrivals(41, 80), 19.5 * rate * 2.0f64.sqrt(), 0.03);
+    let departures =
+        recording.wants_no_more.iter().filter(|t| (80 * S / 2..81 * S / 2).contains(t)).count() as f64;
+    near("departures in the fall", departures, number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.6 * rate, 0.05);
+    let all = recording.requests.len() as f64;
+    near(
+        "first tenant",
+        recording.requests.iter().filter(|a| a.1.tenant == 0).count() as f64,
+        0.75 * all,
+        0.01,
+    );
+    near("second zone", recording.requests.iter().filter(|a| a.2 == 1).count() as f64, 0.25 * all, 0.03);
     let mut groups = BTreeMap::new();
-    played.asks.iter().for_each(|a| *groups.entry(a.1.group).or_insert(0.0) += 1.0);
+    recording.requests.iter().for_each(|a| *groups.entry(a.1.group).or_insert(0.0) += 1.0);
     let number = (0.65 * capacity.connections / 13.0).ceil();
     near("groups", groups.len() as f64, number, 0.01);
     let total: f64 = (1..=number as u32).map(|k| (f64::from(k) + 2.0).powf(-0.8)).sum();
     near("largest group", groups.values().copied().fold(0.0, f64::max), all * 3f64.powf(-0.8) / total, 0.1);
 }
 
-/// Failure: lives, or what is left of them at the start, are drawn wrongly. Promise: a life is lognormal with the
-/// stated mean; the rest of one met under way has the mean of its equilibrium, and is never under half a second.
+/// Lifetimes, and the remaining lifetimes at the start, must be drawn from the right distributions: a
+/// lifetime has the configured mean, and the remaining lifetime of a present client has the mean of the
+/// equilibrium distribution.
 #[test]
-fn lives_have_the_stated_mean() {
+fn lifetimes_have_the_configured_mean() {
     let day = day(json!({"streams": {"life_sigma": 0.5}}));
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let traffic = Traffic::new(&day, &capacity(&day), &mut rng);
     let mut mean = |draw: &mut dyn FnMut(&mut Pcg64Mcg) -> Micros| {
         (0..40_000).map(|_| draw(&mut rng) as f64).sum::<f64>() / 40_000.0 / S as f64
     };
-    near("life", mean(&mut |r| traffic.life(0, r)), 20.0, 0.02);
-    near("rest", mean(&mut |r| traffic.rest(0, r)), 10.0 * (0.25f64).exp(), 0.02);
+    near("lifetime", mean(&mut |r| traffic.draw_lifetime(0, r)), 20.0, 0.02);
+    near(
+        "remaining lifetime",
+        mean(&mut |r| traffic.draw_remaining_lifetime(0, r)),
+        10.0 * (0.25f64).exp(),
+        0.02,
+    );
 }
 
-/// Failure: a client comes back too early or too late. Promise: the measured gaps, by cause and kind of wait; a wait
-/// that is heeded is cut to the stated most; many failures in a row lengthen any of them.
+/// Clients must not reconnect too early or too late. The delays are those measured, by reason and backoff; an
+/// honoured retry-after time is limited to the configured maximum; many consecutive failures lengthen every
+/// delay.
 #[test]
-fn gaps_are_those_measured() {
+fn reconnect_delays_are_as_measured() {
     let mut clients = day(json!({})).clients;
     let mut rng = Pcg64Mcg::seed_from_u64(5);
     let failed = |failures, wait| AbsenceReason::Failed { failures, wait };
@@ -174,75 +197,80 @@
         (Backoff::None, failed(1, Some(1_000)), 50, 50),
         (Backoff::None, failed(11, Some(500_000)), 1125, 1875),
     ];
-    for (backoff, gap, least, most) in cases {
+    for (backoff, reason, least, most) in cases {
         clients.backoff = backoff;
-        let drawn: Vec<Micros> = (0..2000).map(|_| gap.draw(&clients, &mut rng)).collect();
+        let drawn: Vec<Micros> = (0..2000).map(|_| reason.draw(&clients, &mut rng)).collect();
         let (low, high) =
             (drawn.iter().min().copied().unwrap_or(0), drawn.iter().max().copied().unwrap_or(0));
         let spread = (most - least) * 1000 / 50;
         let right = (least * 1000..=least * 1000 + spread).contains(&low)
             && (most * 1000 - spread..=most * 1000).contains(&high);
-        assert!(right, "{backoff:?} {gap:?}: {low} to {high} us, not {least} to {most} ms");
+        assert!(right, "{backoff:?} {reason:?}: {low} to {high} us, not {least} to {most} ms");
     }
 }
 
-/// Failure: clients that nobody answers hang about, or forget what they wanted. Promise: such a client hangs up once
-/// its patience and the slack are over, comes again counted from the end of its patience, under the same key and
-/// another number, and goes on until its life is over, not longer.
+/// Clients without an answer must neither wait for ever nor give up early. Such a client closes its
+/// connection after its timeout and the answer slack, reconnects after a delay that counts from its timeout,
+/// with the same key and another connection number, and continues until the end of its lifetime.
 #[test]
-fn unanswered_clients_come_again_until_their_life_is_over() {
+fn unanswered_clients_reconnect_until_the_end_of_their_lifetime() {
     let day = day(json!({"traffic": {"load": 0.02}, "streams": {"per_core": 2}}));
-    let played = play(&day, |_, _| None);
-    let mut tries: BTreeMap<u64, Vec<(Micros, RequestLine)>> = BTreeMap::new();
-    played
-        .asks
+    let recording = play(&day, |_, _| None);
+    let mut attempts: BTreeMap<u64, Vec<(Micros, RequestLine)>> = BTreeMap::new();
+    recording
+        .requests
         .iter()
         .filter(|a| a.1.home.is_none())
-        .for_each(|a| tries.entry(a.1.key).or_default().push((a.0, a.1)));
+        .for_each(|a| attempts.entry(a.1.key).or_default().push((a.0, a.1)));
     let (at, first) =
-        played.asks.iter().find(|a| a.1.home.is_none()).map(|a| (a.0, a.1)).expect("somebody came");
-    let gone = played.leaves.iter().find(|l| l.1 == first.conn).expect("it hung up").0;
-    assert!(gone <= at + 3_220_000);
-    let patient = tries.values().filter(|t| t.len() > 1);
-    let mut seen = 0;
-    for t in patient {
-        assert_eq!(t[1].0 - t[0].0, 3_200_000 + 300_000, "from the end of its patience");
+        recording.requests.iter().find(|a| a.1.home.is_none()).map(|a| (a.0, a.1)).expect("a client arrived");
+    let closed =
+        recording.leaves.iter().find(|l| l.1 == first.conn).expect("the client closed its connection").0;
+    assert!(closed <= at + 3_220_000);
+    let repeated = attempts.values().filter(|t| t.len() > 1);
+    let mut reconnected = 0;
+    for t in repeated {
+        assert_eq!(t[1].0 - t[0].0, 3_200_000 + 300_000, "the delay counts from the timeout");
         assert!(t[1].1.again && !t[0].1.again && t[1].1.conn != t[0].1.conn);
-        seen += 1;
+        reconnected += 1;
     }
-    assert!(seen > 5, "{seen} came again");
-    let came = played.wants.len() - played.wants_no_more.len();
-    assert_eq!(came, played.present_at_end, "all that wanted and don't are gone");
+    assert!(reconnected > 5, "{reconnected} clients reconnected");
+    let still_wanting = recording.wants.len() - recording.wants_no_more.len();
+    assert_eq!(
+        still_wanting, recording.present_at_end,
+        "the clients that still want service are those present"
+    );
 }
 
-/// Failure: a mass reconnect loses clients, or its absence counts against balancers. Promise: the stated share drops at
-/// once, each comes again between 0.2 s and 0.2 s plus the fault's length, and asks for nothing meanwhile.
+/// A mass reconnect must not lose clients, and their absence must not count against balancers. The configured
+/// share of clients disconnects at once, each reconnects after 0.2 s to 0.2 s plus the fault's length, and
+/// wants no service meanwhile.
 #[test]
-fn a_mass_reconnect_drops_its_share_and_brings_all_back() {
+fn a_mass_reconnect_disconnects_its_share_and_all_reconnect() {
     let fault = json!([{"kind": "reconnect", "at_s": 10, "len_s": 2, "size": 0.4}]);
     let day = day(json!({"faults": fault, "traffic": {"load": 0.9}, "streams": {"per_core": 110}}));
-    let played = play(&day, |_, _| Some(ClientInput::Up));
-    let dropped: Vec<ConnId> = played.leaves.iter().filter(|l| l.0 == 10 * S).map(|l| l.1).collect();
-    let present = played.wants.iter().filter(|w| w.0 <= 10 * S).count()
-        - played.wants_no_more.iter().filter(|t| **t < 10 * S).count();
-    near("dropped", dropped.len() as f64, 0.4 * present as f64, 0.03);
-    let back: Vec<Micros> = played.wants.iter().filter(|w| !w.1).map(|w| w.0).collect();
+    let recording = play(&day, |_, _| Some(ClientInput::Up));
+    let dropped: Vec<ConnId> = recording.leaves.iter().filter(|l| l.0 == 10 * S).map(|l| l.1).collect();
+    let present = recording.wants.iter().filter(|w| w.0 <= 10 * S).count()
+        - recording.wants_no_more.iter().filter(|t| **t < 10 * S).count();
+    near("disconnected", dropped.len() as f64, 0.4 * present as f64, 0.03);
+    let back: Vec<Micros> = recording.wants.iter().filter(|w| !w.1).map(|w| w.0).collect();
     assert_eq!(back.len(), dropped.len());
     assert!(back.iter().all(|t| (10_200_000..=12_200_000).contains(t)));
 }
 
-/// Failure: a tenant that floods counts fully. Promise: beyond its quota only the fitting part of its clients counts
-/// as within its share, and the other tenant's all do.
+/// The clients of a flooding tenant must not all count as within its share: of a tenant above its quota, only
+/// the proportion that fits the quota does, and of a tenant below its quota all do.
 #[test]
-fn clients_beyond_their_tenants_share_are_marked() {
+fn clients_beyond_their_tenants_quota_are_marked() {
     let fault = json!([{"kind": "tenant-flood", "at_s": 0, "len_s": 60, "size": 4, "on": [1]}]);
     let tenants = json!([{"name": "x", "share": 0.5, "traffic": 0.5, "quota": 0.3},
         {"name": "y", "share": 0.5, "traffic": 0.5, "quota": 0.25}]);
     let day = day(json!({"faults": fault, "tenants": tenants, "streams": {"per_core": 110}}));
-    let mut people = ClientPopulation::new(&day, Pcg64Mcg::seed_from_u64(7));
+    let mut population = ClientPopulation::new(&day, Pcg64Mcg::seed_from_u64(7));
     let mut out = Vec::new();
-    people.apply_fault(0, &day.faults[0], &mut out);
-    people.advance(30 * S, &mut out);
+    population.apply_fault(0, &day.faults[0], &mut out);
+    population.advance(30 * S, &mut out);
     let mut counts = [[0.0; 2]; 2];
     for what in out {
         if let ClientAction::ServiceWanted { cell, .. } = what {
@@ -250,7 +278,7 @@
             counts[tenant as usize][usize::from(within)] += 1.0;
         }
     }
-    assert_eq!(counts[0][0], 0.0, "within its share all count");
-    near("flood", counts[1][0] + counts[1][1], 4.0 * counts[0][1], 0.05);
-    near("within", counts[1][1], 0.25 * (counts[1][0] + counts[1][1]), 0.1);
+    assert_eq!(counts[0][0], 0.0, "all clients of a tenant below its quota count as within its share");
+    near("clients of the flooding tenant", counts[1][0] + counts[1][1], 4.0 * counts[0][1], 0.05);
+    near("clients within the share", counts[1][1], 0.25 * (counts[1][0] + counts[1][1]), 0.1);
 }
