--- a/crates/emulator/src/environment/discovery/mod.rs
+++ b/crates/emulator/src/environment/discovery/mod.rs
@@ -62,7 +62,7 @@
     }
 
     /// Begins or ends a fault of discovery itself.
-    pub fn struck(&mut self, now: Micros, fault: &Fault, on: bool) {
+    pub fn apply_fault(&mut self, now: Micros, fault: &Fault, on: bool) {
         match (fault.kind, on) {
             (FaultKind::ListStale, true) => self.registry.begin_staleness(micros_from_seconds(fault.size)),
             (FaultKind::ListStale, false) => {
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -117,12 +117,12 @@
     node(&mut discovery, S, 1, NodeEvent::Crash);
     node(&mut discovery, S + 300_000, 1, NodeEvent::Start);
     play(&mut discovery, 10 * S, &mut outputs);
-    discovery.struck(10 * S, &stale, true);
+    discovery.apply_fault(10 * S, &stale, true);
     node(&mut discovery, 10 * S, 0, NodeEvent::Start);
     play(&mut discovery, 18 * S, &mut outputs);
     node(&mut discovery, 18 * S, 2, NodeEvent::Crash);
     play(&mut discovery, 21 * S - 1, &mut outputs);
-    discovery.struck(21 * S - 1, &stale, false);
+    discovery.apply_fault(21 * S - 1, &stale, false);
     node(&mut discovery, 30 * S, 3, NodeEvent::Fault { kind: FaultKind::CutOff, on: true, size: 0.0 });
     play(&mut discovery, 60 * S, &mut outputs);
 
@@ -206,11 +206,11 @@
 
     let down = fault(FaultKind::ListDown, 0, 0, 0.0, &[]);
     outputs.messages.clear();
-    discovery.struck(30 * S, &down, true);
+    discovery.apply_fault(30 * S, &down, true);
     discovery.watch(31 * S, BalancerId(0));
     play(&mut discovery, 32 * S, &mut outputs);
     assert!(outputs.messages.len() == 12 && outputs.messages.iter().all(|t| t.2 == ToBalancer::ListFailed));
-    discovery.struck(33 * S, &down, false);
+    discovery.apply_fault(33 * S, &down, false);
     discovery.watch(34 * S, BalancerId(0));
     discovery.node(34 * S, NodeId(0), NodeEvent::Start);
     outputs.messages.clear();
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -320,7 +320,7 @@
                 FaultEvent::Balancer(balancer, event) => self.apply_balancer_event(balancer, event, listener),
                 FaultEvent::Clients(place) => self.apply_client_fault(place, listener),
                 FaultEvent::Discovery(place, on) => {
-                    self.discovery.struck(self.now, &self.day.faults[place], on);
+                    self.discovery.apply_fault(self.now, &self.day.faults[place], on);
                 }
             }
         }
