--- a/crates/emulator/src/environment/discovery/mod.rs
+++ b/crates/emulator/src/environment/discovery/mod.rs
@@ -103,7 +103,7 @@
 
     /// Handles the end of a balancer's process: its watch and its calls are lost. At its next start it knows
     /// the list version that it was sent last.
-    pub fn ended(&mut self, balancer: BalancerId) {
+    pub fn on_balancer_exit(&mut self, balancer: BalancerId) {
         self.service_queue.on_balancer_exit(balancer);
     }
 
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -174,7 +174,7 @@
         discovery.node(10 * S, NodeId(i), NodeEvent::Crash);
     }
     play(&mut discovery, 12 * S, &mut outputs);
-    discovery.ended(BalancerId(11));
+    discovery.on_balancer_exit(BalancerId(11));
     play(&mut discovery, 20 * S, &mut outputs);
     discovery.node(20 * S, NodeId(50), NodeEvent::Crash);
     play(&mut discovery, 25 * S, &mut outputs);
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -288,7 +288,7 @@
             return;
         }
         self.front.on_death(self.now, b);
-        self.discovery.ended(b);
+        self.discovery.on_balancer_exit(b);
         let held: Vec<ConnId> =
             self.conns.iter().filter(|c| c.balancer == b && c.come && !c.done).map(|c| c.ask.conn).collect();
         for conn in held {
