--- a/crates/emulator/src/environment/discovery/mod.rs
+++ b/crates/emulator/src/environment/discovery/mod.rs
@@ -46,7 +46,7 @@
 
     /// Handles an event of a node. Discovery observes, with a delay, only changes of the process and its
     /// reachability.
-    pub fn node(&mut self, now: Micros, node: NodeId, what: NodeEvent) {
+    pub fn on_node_event(&mut self, now: Micros, node: NodeId, what: NodeEvent) {
         use FaultKind::{CutOff, Hang};
         let change = match what {
             NodeEvent::Crash | NodeEvent::Stop => Process::Ended,
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -112,7 +112,7 @@
     let mut outputs = Outputs::default();
     discovery.watch(0, BalancerId(0));
     let stale = fault(FaultKind::ListStale, 0, 0, 4.0, &[]);
-    let node = |discovery: &mut Discovery, at, i, event| discovery.node(at, NodeId(i), event);
+    let node = |discovery: &mut Discovery, at, i, event| discovery.on_node_event(at, NodeId(i), event);
     node(&mut discovery, S, 0, NodeEvent::Crash);
     node(&mut discovery, S, 1, NodeEvent::Crash);
     node(&mut discovery, S + 300_000, 1, NodeEvent::Start);
@@ -171,12 +171,12 @@
     (0..12).for_each(|b| discovery.watch(0, BalancerId(b)));
     play(&mut discovery, 10 * S, &mut outputs);
     for i in 0..40 {
-        discovery.node(10 * S, NodeId(i), NodeEvent::Crash);
+        discovery.on_node_event(10 * S, NodeId(i), NodeEvent::Crash);
     }
     play(&mut discovery, 12 * S, &mut outputs);
     discovery.on_balancer_exit(BalancerId(11));
     play(&mut discovery, 20 * S, &mut outputs);
-    discovery.node(20 * S, NodeId(50), NodeEvent::Crash);
+    discovery.on_node_event(20 * S, NodeId(50), NodeEvent::Crash);
     play(&mut discovery, 25 * S, &mut outputs);
     let mut lists = vec![discovery.known_list(BalancerId(11)); 12];
     let stale_list = lists[11].len();
@@ -212,7 +212,7 @@
     assert!(outputs.messages.len() == 12 && outputs.messages.iter().all(|t| t.2 == ToBalancer::ListFailed));
     discovery.apply_fault(33 * S, &down, false);
     discovery.watch(34 * S, BalancerId(0));
-    discovery.node(34 * S, NodeId(0), NodeEvent::Start);
+    discovery.on_node_event(34 * S, NodeId(0), NodeEvent::Start);
     outputs.messages.clear();
     play(&mut discovery, 40 * S, &mut outputs);
     assert_eq!(
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -188,7 +188,7 @@
         listener: &mut impl WorldListener,
     ) {
         let now = self.now;
-        self.discovery.node(now, node, event);
+        self.discovery.on_node_event(now, node, event);
         let input = match event {
             NodeEvent::Drain => NodeInput::Drain,
             NodeEvent::Stop => NodeInput::Stop,
