--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -16,7 +16,7 @@
 use thiserror::Error;
 
 use super::addresses::Addresses;
-use super::clock::{Clock, Distribution, LATE, until};
+use super::clock::{Clock, Distribution, MAX_LATENESS, duration_until};
 use super::connection_log::ConnectionLog;
 use super::directory::Directory;
 use super::discovery::Discovery;
@@ -139,7 +139,7 @@
             ("line, past", &self.past.line),
             ("the lab's lateness", &self.late),
         ] {
-            let at = |share| ms(spread.at(share));
+            let at = |share| ms(spread.quantile(share));
             let (p50, p90, p99, p999) = (at(0.5), at(0.9), at(0.99), at(0.999));
             let (max, count) = (ms(spread.max()), spread.len());
             writeln!(f, "{name:22} {p50:9.2} {p90:9.2} {p99:9.2} {p999:9.2} {max:9.2} {count:9}")?;
@@ -364,8 +364,8 @@
         self.fleet.stop(&mut self.net, now);
         let [through, past] = self.paths;
         let seconds = seconds_from_micros(options.length);
-        let lateness = self.lateness.at(0.99);
-        let void = if lateness > LATE {
+        let lateness = self.lateness.quantile(0.99);
+        let void = if lateness > MAX_LATENESS {
             Some(format!("the lab was late: p99 {:.1} ms", lateness as f64 / 1e3))
         } else {
             self.net
@@ -450,7 +450,7 @@
         let fronts = [&self.due_lines, &self.due_ends].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
         let next = own.into_iter().chain(fronts).fold(next, Micros::min);
         let mut ready = std::mem::take(&mut self.ready);
-        self.net.wait(until(self.clock.now(), next), &mut ready)?;
+        self.net.wait(duration_until(self.clock.now(), next), &mut ready)?;
         let woke = self.clock.now();
         for one in &ready {
             self.handle(*one);
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -19,7 +19,7 @@
 
 use super::addresses::{Addresses, BALANCERS_MOST, NODES_MOST};
 use super::clients::Clients;
-use super::clock::{Clock, Distribution, LATE, until};
+use super::clock::{Clock, Distribution, MAX_LATENESS, duration_until};
 use super::connection_log::ConnectionLog;
 use super::datagram_proxy::DatagramProxy;
 use super::directory::Directory;
@@ -263,12 +263,12 @@
         let ended = self.day_time(now);
         self.misbehaving_clients.stop(&mut self.net);
         self.fleet.stop(&mut self.net, now);
-        let worst = self.lateness.at(0.99).max(self.handling_time.at(0.99));
-        let void = if worst > LATE {
+        let worst = self.lateness.quantile(0.99).max(self.handling_time.quantile(0.99));
+        let void = if worst > MAX_LATENESS {
             Some(format!(
                 "the driver was late: p99 {:.1} ms, at most {:.0}",
                 worst as f64 / 1e3,
-                LATE as f64 / 1e3
+                MAX_LATENESS as f64 / 1e3
             ))
         } else if self.net.ran_out_of_descriptors() {
             Some("the driver's descriptors ran out: a day holds two for each connection".to_owned())
@@ -328,7 +328,7 @@
         let now = self.clock.now();
         let next = self.next_due().min(now + MAX_WAIT);
         let mut ready = std::mem::take(&mut self.ready);
-        self.net.wait(until(now, next), &mut ready)?;
+        self.net.wait(duration_until(now, next), &mut ready)?;
         let woke = self.clock.now();
         let before = std::mem::replace(&mut self.woke_at, woke);
         if ready.is_empty() {
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -128,8 +128,8 @@
     let ms = |us: u64| round(us as f64 / 1e3, 3);
     Times {
         count: spread.len(),
-        half_ms: ms(spread.at(0.5)),
-        most_ms: ms(spread.at(0.99)),
+        half_ms: ms(spread.quantile(0.5)),
+        most_ms: ms(spread.quantile(0.99)),
         longest_ms: ms(spread.max()),
     }
 }
