--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -1,8 +1,8 @@
 //! Well-behaved clients: each opens a connection to a balancer, sends one first line, and a line at intervals once the
 //! connection is established.
 //!
-//! The world decides who connects, how long a client waits and when it leaves. This module checks what only sockets
-//! show: answers that no node sent, and lines that come back late, changed or not at all.
+//! The world decides which clients connect, how long each waits and when it leaves. This module records what only the
+//! sockets show: receipts that no node issued, and lines that come back late, modified or not at all.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -18,33 +18,34 @@
 use super::net::{Net, Ready, Role};
 use crate::edge::{Answer, BalancerId, ConnId, End, FromBalancer, LinkId, RequestLine};
 
-/// A client that has finished its sending closes after this at the latest.
-const LINGER: Micros = 5_000_000;
+/// A client that has shut down its sending side closes the connection after this time at the latest.
+const CLOSE_TIMEOUT: Micros = 5_000_000;
 
-/// What only the sockets show of the clients' connections.
+/// Counts of what only the sockets show of the clients' connections.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Facts {
-    /// Lines that clients sent on standing connections.
+pub struct ClientStatistics {
+    /// Lines that clients sent on established connections.
     pub lines: u64,
-    /// Lines that came back.
+    /// Lines that were returned to the client unmodified.
     pub returned: u64,
-    /// How long they took.
+    /// Round-trip times of the returned lines.
     pub round: Distribution,
-    /// Lines that no node had sent on this connection.
+    /// Lines received that the node had not sent on that connection.
     pub foreign: u64,
-    /// Answers that no node had made.
+    /// Acceptances whose receipt no node had issued for that connection.
     pub forged: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The answer is awaited.
+    /// The client waits for the answer to its first line.
     AwaitingAnswer,
-    /// It stands on this link.
+    /// The connection is established on this link.
     Established(LinkId),
-    /// Answered otherwise, moved or served to its end; the balancer's end is awaited.
+    /// The request was rejected or has failed, or the node has migrated or completed the connection; the client waits
+    /// for the balancer to close it.
     Over,
-    /// The client has left and only closes.
+    /// The client has shut down its sending side.
     Closing,
 }
 
@@ -53,24 +54,24 @@
     connection: LineConnection,
     balancer: BalancerId,
     stage: Stage,
-    /// Lines that have not come back: when sent, and their number.
+    /// Lines that have not been returned: the time of sending and the line's number.
     outstanding_lines: VecDeque<(Micros, u32)>,
     last_line: u32,
-    /// Its first line, until it has been written.
+    /// The request and the client's remaining patience, until the first line has been written out.
     request: Option<(RequestLine, Micros)>,
 }
 
-/// The usual clients.
+/// All well-behaved clients of a run.
 #[derive(Debug)]
 pub struct Clients {
     clients: BTreeMap<ConnId, Client>,
     line_every: Micros,
-    /// When each client's next line is due, in order of time: the period is the same for all.
+    /// When each client's next line is due; in order of time, since all clients have the same interval.
     due_lines: VecDeque<(Micros, ConnId)>,
-    /// Who closes then, in order.
+    /// When each closing client closes its connection at the latest, in order of time.
     closing: VecDeque<(Micros, ConnId)>,
-    /// What has been seen.
-    pub facts: Facts,
+    /// Counts so far.
+    pub statistics: ClientStatistics,
 }
 
 impl Clients {
@@ -81,15 +82,15 @@
             line_every: line_every.max(1_000),
             due_lines: VecDeque::new(),
             closing: VecDeque::new(),
-            facts: Facts::default(),
+            statistics: ClientStatistics::default(),
         }
     }
 
     /// The number of established connections at each balancer.
     pub fn established_per_balancer(&self, balancers: usize) -> Vec<usize> {
         let mut all = vec![0; balancers];
-        let stand = self.clients.values().filter(|c| matches!(c.stage, Stage::Established(_)));
-        stand.for_each(|c| all[c.balancer.0 as usize] += 1);
+        let established = self.clients.values().filter(|c| matches!(c.stage, Stage::Established(_)));
+        established.for_each(|c| all[c.balancer.0 as usize] += 1);
         all
     }
 
@@ -101,7 +102,8 @@
         }
     }
 
-    /// A client of this balancer that awaits its answer or is established, if one is found among the latest.
+    /// A connection of this balancer that is established or awaits its answer, if the 64 latest connections of all
+    /// balancers include one.
     pub fn any_active(&self, balancer: BalancerId) -> Option<ConnId> {
         let here = |c: &Client| {
             c.balancer == balancer && matches!(c.stage, Stage::AwaitingAnswer | Stage::Established(_))
@@ -127,7 +129,7 @@
                     Client { connection, balancer, stage, outstanding_lines: out, last_line: 0, request };
                 self.clients.insert(conn, client);
             }
-            // Refused at once, or no port is left for it; either way it does not reach the balancer.
+            // The connection was refused at once, or no local port is free: it does not reach the balancer either way.
             Err(_) => observations.push((balancer, FromBalancer::Refused(conn).into())),
         }
     }
@@ -156,9 +158,9 @@
             let line = match client.connection.next_line() {
                 Ok(Some(line)) => line,
                 Ok(None) => break,
-                // Nothing that a node sends is so long.
+                // Nodes send no line that is longer than the protocol allows.
                 Err(_) => {
-                    self.facts.foreign += 1;
+                    self.statistics.foreign += 1;
                     let held = client.connection.buffered().len();
                     client.connection.consume(held);
                     break;
@@ -183,7 +185,7 @@
                         }
                         _ => Stage::Over,
                     };
-                    self.facts.forged += u64::from(answer == Answer::Forged);
+                    self.statistics.forged += u64::from(answer == Answer::Forged);
                     observations.push((balancer, FromBalancer::Answer(conn, answer).into()));
                 }
                 (Stage::Established(_), Message::Migrate) => {
@@ -197,12 +199,12 @@
                 (Stage::Established(_), _) => match client.outstanding_lines.front().copied() {
                     Some((sent, number)) if line == line_text(conn, number).as_bytes() => {
                         client.outstanding_lines.pop_front();
-                        self.facts.returned += 1;
-                        self.facts.round.record(now - sent);
+                        self.statistics.returned += 1;
+                        self.statistics.round.record(now - sent);
                         observations.push((balancer, ConnectionObservation::LineAtClient(conn).into()));
                     }
                     _ => {
-                        self.facts.foreign += 1;
+                        self.statistics.foreign += 1;
                         let observation = if line.ends_with(b"MOVE") {
                             ConnectionObservation::MoveInLine
                         } else {
@@ -216,7 +218,7 @@
         }
         client.connection.compact(net);
         let Some(how) = client.connection.ended() else { return };
-        let client = self.clients.remove(&conn).expect("it was just there");
+        let client = self.clients.remove(&conn).expect("the client is in the map");
         match client.stage {
             Stage::AwaitingAnswer if !client.connection.is_up() => {
                 observations.push((balancer, FromBalancer::Refused(conn).into()));
@@ -234,16 +236,16 @@
         match how {
             End::Fin => {
                 client.connection.finish(net);
-                self.closing.push_back((now + LINGER, conn));
+                self.closing.push_back((now + CLOSE_TIMEOUT, conn));
             }
             End::Reset => {
-                let client = self.clients.remove(&conn).expect("it was just there");
+                let client = self.clients.remove(&conn).expect("the client is in the map");
                 net.close(client.connection, End::Reset);
             }
         }
     }
 
-    /// When something is due next.
+    /// The time of the next due line or close.
     pub fn next_due(&self) -> Micros {
         let fronts = [&self.due_lines, &self.closing].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
         fronts.into_iter().min().unwrap_or(Micros::MAX)
@@ -264,11 +266,11 @@
                 continue;
             }
             late.record(now - due);
-            // From the due time and not from now: lateness must not thin the lines out.
+            // The interval counts from the due time: a late driver must not send fewer lines.
             self.due_lines.push_back((due + self.line_every, conn));
             client.last_line += 1;
             client.outstanding_lines.push_back((now, client.last_line));
-            self.facts.lines += 1;
+            self.statistics.lines += 1;
             client.connection.send(net, format!("{}\r\n", line_text(conn, client.last_line)).as_bytes());
             observations.push((client.balancer, ConnectionObservation::LineSent(conn).into()));
         }
@@ -281,7 +283,7 @@
     }
 }
 
-/// The line of this number on a connection.
+/// The text of a connection's line with this number.
 fn line_text(conn: ConnId, number: u32) -> String {
     format!("M {:x} {number}", conn.0)
 }
--- a/crates/emulator/src/sockets/clock.rs
+++ b/crates/emulator/src/sockets/clock.rs
@@ -97,7 +97,7 @@
 /// The number of durations and their quantiles in microseconds.
 impl Serialize for Distribution {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        let mut out = s.serialize_struct("Spread", 5)?;
+        let mut out = s.serialize_struct("Distribution", 5)?;
         out.serialize_field("count", &self.len())?;
         for (key, quantile) in [("p50_us", 0.5), ("p90_us", 0.9), ("p99_us", 0.99)] {
             out.serialize_field(key, &self.quantile(quantile))?;
--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -69,7 +69,7 @@
     ) -> io::Result<DatagramProxy> {
         let mut sockets = Vec::new();
         for who in (0..ends.len() as u32).map(BalancerId) {
-            let mut socket = UdpSocket::bind(addresses.notes(who))?;
+            let mut socket = UdpSocket::bind(addresses.gossip(who))?;
             net.register_datagram_socket(&mut socket, Role::DatagramProxy(who))?;
             sockets.push(socket);
         }
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -233,7 +233,7 @@
 impl Load {
     fn begin(options: &Options, day: &Day, folder: &Path) -> Result<Self, LoadError> {
         let mut net = Net::new()?;
-        let addresses = Addresses::of_next_run();
+        let addresses = Addresses::for_next_run();
         let nodes = Nodes::new(&mut net, addresses, 2, options.nodes)?;
         let directory = Directory::new(day, nodes.addresses(2));
         let mut discovery = Discovery::new(&mut net, addresses, 1)?;
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -1,8 +1,8 @@
-//! The driver in real time: the emulated platform on loopback, round the built program.
+//! The real-time driver: runs the emulated platform on loopback sockets against processes of the built balancer.
 //!
-//! One thread plays all nodes, all clients and discovery for a number of balancers, each a process of its own. What
-//! happens is the world's to say; this module turns its words into connections, lines, HTTP and signals, and tells it
-//! what the balancers do. Nothing here decides how a node or a client behaves.
+//! One thread emulates all nodes, all clients and discovery for a number of balancers, each of which is a separate
+//! process. The [`World`](crate::world::World) decides how nodes and clients behave; this module carries out its
+//! commands as connections, lines, HTTP responses and signals, and reports to it what the balancers do.
 
 pub mod addresses;
 pub mod clients;
--- a/crates/emulator/src/sockets/report.rs
+++ b/crates/emulator/src/sockets/report.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use shorewharf_units::Micros;
 
-use super::clients::Facts;
+use super::clients::ClientStatistics;
 use super::clock::Distribution;
 use super::datagram_proxy::DatagramStatistics;
 use super::fleet::ProcessIncarnation;
@@ -22,7 +22,7 @@
     /// How long after the system could first have told it the driver had handled what came on sockets, at most.
     pub handled: Distribution,
     /// What only sockets show of the clients' connections.
-    pub clients: Facts,
+    pub clients: ClientStatistics,
     /// How bad clients fared, by kind.
     pub bad: Vec<(String, MisbehaviorOutcome)>,
     /// Each life of each balancer.
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -17,7 +17,7 @@
 use tempfile::TempDir;
 use thiserror::Error;
 
-use super::addresses::{Addresses, BALANCERS_MOST, NODES_MOST};
+use super::addresses::{Addresses, MAX_BALANCERS, MAX_NODES};
 use super::clients::Clients;
 use super::clock::{Clock, Distribution, MAX_LATENESS, duration_until};
 use super::connection_log::ConnectionLog;
@@ -68,7 +68,7 @@
 #[derive(Debug, Error)]
 pub enum RunError {
     /// More parties than there are addresses for.
-    #[error("{0} balancers and {1} nodes: at most {BALANCERS_MOST} and {NODES_MOST} have addresses")]
+    #[error("{0} balancers and {1} nodes: at most {MAX_BALANCERS} and {MAX_NODES} have addresses")]
     TooMany(usize, usize),
     /// A kind of bad client that nobody knows.
     #[error(transparent)]
@@ -149,11 +149,11 @@
         }
     };
     let (balancers, nodes) = (day.balancers.len() as u32, day.nodes.len() as u32);
-    if balancers > BALANCERS_MOST || nodes > NODES_MOST {
+    if balancers > MAX_BALANCERS || nodes > MAX_NODES {
         return Err(RunError::TooMany(day.balancers.len(), day.nodes.len()));
     }
     let mut net = Net::new()?;
-    let addresses = Addresses::of_next_run();
+    let addresses = Addresses::for_next_run();
     let nodes = Nodes::new(&mut net, addresses, balancers, nodes)?;
     let directory = Directory::new(day, nodes.addresses(balancers));
     let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, balancers, &folder.0)?;
@@ -283,7 +283,7 @@
             void,
             late: self.lateness,
             handled: self.handling_time,
-            clients: self.clients.facts,
+            clients: self.clients.statistics,
             bad: self.misbehaving_clients.report(),
             lives: self.fleet.lives,
             syntax: self.malformed_first_lines,
