--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy for the gossip datagrams between balancers: it drops, duplicates or delays them as the network faults say. It
-//! does not read their content.
+//! A proxy for the gossip datagrams between balancers: it drops, duplicates or delays them as the network faults
+//! require. It does not read their content.
 //!
 //! Peers reach each balancer at an address of this process, and the balancer listens at its own; the source address of a
 //! datagram identifies its sender.
@@ -44,11 +44,13 @@
 pub struct DatagramProxy {
     /// The sockets at which peers reach each balancer.
     sockets: Vec<UdpSocket>,
-    /// The addresses at which each balancer listens.
-    ends: Vec<SocketAddr>,
+    /// The address at which each balancer listens.
+    balancer_addresses: Vec<SocketAddr>,
+    /// The balancer that sends from each address.
     senders: HashMap<SocketAddr, u32>,
-    later: BTreeMap<(Micros, u64), (u32, Vec<u8>)>,
-    count: u64,
+    /// Delayed datagrams with their receivers, by due time and order of arrival.
+    delayed: BTreeMap<(Micros, u64), (u32, Vec<u8>)>,
+    delayed_count: u64,
     rng: Pcg64Mcg,
     buffer: Vec<u8>,
     /// Counts of the datagrams so far.
@@ -56,7 +58,7 @@
 }
 
 impl DatagramProxy {
-    /// Ways to balancers that hear at these addresses.
+    /// Opens a proxy socket for each of the balancers, which listen at these addresses.
     ///
     /// # Errors
     ///
@@ -64,36 +66,37 @@
     pub fn open(
         net: &mut Net,
         addresses: Addresses,
-        ends: Vec<SocketAddr>,
+        balancer_addresses: Vec<SocketAddr>,
         seed: u64,
     ) -> io::Result<DatagramProxy> {
         let mut sockets = Vec::new();
-        for who in (0..ends.len() as u32).map(BalancerId) {
+        for who in (0..balancer_addresses.len() as u32).map(BalancerId) {
             let mut socket = UdpSocket::bind(addresses.gossip(who))?;
             net.register_datagram_socket(&mut socket, Role::DatagramProxy(who))?;
             sockets.push(socket);
         }
-        let senders = ends.iter().enumerate().map(|(i, at)| (*at, i as u32)).collect();
+        let senders = balancer_addresses.iter().enumerate().map(|(i, at)| (*at, i as u32)).collect();
         Ok(DatagramProxy {
             sockets,
-            ends,
+            balancer_addresses,
             senders,
-            later: BTreeMap::new(),
-            count: 0,
+            delayed: BTreeMap::new(),
+            delayed_count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             buffer: vec![0; MAX_DATAGRAM_BYTES],
             statistics: DatagramStatistics::default(),
         })
     }
 
-    /// Writes the operator's file that has the balancers tell each other, after what it says besides; tells where it is.
+    /// Writes the list of peers, the gossip key and an operator's file that consists of `operator` and a section that
+    /// enables gossip; returns the path of the operator's file.
     ///
     /// # Errors
     ///
     /// Fails if a file cannot be written or a socket has no address.
-    pub fn write(&self, folder: &Path, operator: &str) -> io::Result<PathBuf> {
-        let place = |name: &str| std::path::absolute(folder.join(name));
-        let (peers, key, file) = (place("fleet.peers")?, place("fleet.key")?, place("operator.toml")?);
+    pub fn write_operator_file(&self, folder: &Path, operator: &str) -> io::Result<PathBuf> {
+        let path = |name: &str| std::path::absolute(folder.join(name));
+        let (peers, key, file) = (path("fleet.peers")?, path("fleet.key")?, path("operator.toml")?);
         let mut text = String::new();
         for (i, socket) in self.sockets.iter().enumerate() {
             let _ = writeln!(text, "{} {}", Directory::balancer(BalancerId(i as u32)), socket.local_addr()?);
@@ -105,13 +108,13 @@
         Ok(file)
     }
 
-    /// Forwards the datagrams that have arrived for a balancer; `time` is the day's.
+    /// Forwards, drops or delays the datagrams that have arrived for a balancer; `time` is the day's time.
     pub(super) fn on_ready(&mut self, time: Micros, to: BalancerId, faults: &NetworkFaults) {
         loop {
             let (n, from) = match self.sockets[to.0 as usize].recv_from(&mut self.buffer) {
-                Ok(came) => came,
+                Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // An earlier datagram was forwarded to an address where nobody listened.
+                // The error of an earlier datagram that was forwarded while its receiver was not listening.
                 Err(_) => continue,
             };
             let Some(from) = self.senders.get(&from).copied() else { continue };
@@ -123,10 +126,11 @@
                 continue;
             }
             for _ in 0..1 + u32::from(delivery.doubled) {
-                let late = if delivery.late > 0 { self.rng.random_range(0..=delivery.late) } else { 0 };
-                if late > 0 {
-                    self.count += 1;
-                    self.later.insert((time + late, self.count), (to.0, self.buffer[..n].to_vec()));
+                let delay = if delivery.late > 0 { self.rng.random_range(0..=delivery.late) } else { 0 };
+                if delay > 0 {
+                    self.delayed_count += 1;
+                    self.delayed
+                        .insert((time + delay, self.delayed_count), (to.0, self.buffer[..n].to_vec()));
                 } else {
                     self.deliver(to.0, &self.buffer[..n]);
                 }
@@ -135,18 +139,18 @@
     }
 
     fn deliver(&self, to: u32, datagram: &[u8]) {
-        // UDP may drop it, too; there is nobody to report it to.
-        let _ = self.sockets[to as usize].send_to(datagram, self.ends[to as usize]);
+        // A failure to send is ignored: to the receiver it is a lost datagram, which UDP allows.
+        let _ = self.sockets[to as usize].send_to(datagram, self.balancer_addresses[to as usize]);
     }
 
     /// When the next delayed datagram is due.
     pub fn next_due(&self) -> Option<Micros> {
-        self.later.keys().next().map(|(at, _)| *at)
+        self.delayed.keys().next().map(|(at, _)| *at)
     }
 
     /// Delivers the delayed datagrams that are due.
     pub fn run_due(&mut self, time: Micros) {
-        while let Some(first) = self.later.first_entry().filter(|e| e.key().0 <= time) {
+        while let Some(first) = self.delayed.first_entry().filter(|e| e.key().0 <= time) {
             let (to, datagram) = first.remove();
             self.deliver(to, &datagram);
         }
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery as balancers reach it: calls and watches over HTTP/1.1, each balancer at an address of its own.
+//! Discovery: serves the endpoint list to the balancers by HTTP/1.1 requests and watches, to each at a separate address.
 //!
-//! What the list says and when is the world's; here it becomes versions, lines and status codes. The world answers a
-//! call with the whole list; a call that names a version told before gets only what has changed since.
+//! The world decides what the list contains and when a balancer receives it; this module turns it into versions, JSON
+//! lines and status codes. A request is answered with the whole list; a watch that names a remembered version receives
+//! only the changes since that version.
 
 use shorewharf_units::Micros;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,45 +16,47 @@
 use super::net::{Listener, Net, Ready, Role};
 use crate::edge::{BalancerId, End, FromBalancer, Listed, NodeId, Stage};
 
-/// An empty line comes on a watch this often.
+/// The interval of the empty lines that keep a watch alive.
 const KEEPALIVE_INTERVAL: Micros = 2_000_000;
-/// After a move, connections at the old address end this much later.
+/// After a change of address, connections to the old one are closed after this time.
 const OLD_ADDRESS_GRACE: Micros = 1_500_000;
-/// Versions that calls can go on from; a call from an older one gets the whole list.
+/// The number of versions that are remembered; a watch from an older one receives the whole list.
 const MAX_VERSIONS: usize = 256;
-/// The longest request read.
+/// The longest request that is read.
 const MAX_REQUEST_BYTES: usize = 16 << 10;
-/// A piece of the answer's body: a long list comes in several, so that readers meet objects cut in two.
+/// The largest chunk of a response body. A long list takes several, so that balancers have to read JSON objects that are
+/// split between chunks.
 const CHUNK_BYTES: usize = 4 << 10;
 
 const WATCH_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-const DOWN: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+const UNAVAILABLE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// The list as this balancer was told it.
+/// The endpoint list as a balancer has received it.
 type KnownList = BTreeMap<NodeId, Listed>;
 
-/// What a call asks for.
+/// The kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallKind {
-    /// Its request has not come in whole.
-    Nothing,
-    /// The whole list, once.
+    /// The request has not been received completely.
+    Unknown,
+    /// A request for the whole list, once.
     List,
-    /// A watch that goes on from this version.
+    /// A watch for changes since this version.
     Watch(u64),
 }
 
-/// How far a call is.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallState {
     /// The request is being read.
     Reading,
-    /// It waits for the world's answer.
+    /// The request waits until the world sends the list.
     Waiting,
-    /// It is told changes.
+    /// The watch is open and receives changes.
     Watching,
-    /// All is said; the balancer's end is awaited.
+    /// The response is complete; discovery waits for the balancer to close the connection.
     Over,
 }
 
@@ -61,29 +64,31 @@
 struct Call {
     balancer: BalancerId,
     connection: LineConnection,
-    /// It came in after so many moves.
+    /// The number of changes of address before the call.
     moves: u32,
     kind: CallKind,
     state: CallState,
-    /// An empty line is due.
+    /// When the next empty line is due.
     keepalive_due: Micros,
 }
 
-/// One balancer's side of discovery.
+/// The state that discovery keeps for one balancer.
 #[derive(Debug)]
-struct Side {
+struct BalancerView {
     listener: Option<Listener>,
     address: SocketAddr,
+    /// The number of changes of address so far.
     moves: u32,
-    /// Connections from before the last move end then.
+    /// When connections to the previous address are closed.
     old_address_closes_at: Option<Micros>,
     known_list: KnownList,
+    /// The version of `known_list`.
     index: u64,
     versions: VecDeque<(u64, KnownList)>,
 }
 
-impl Side {
-    /// Takes in what the world tells; the entries that have changed.
+impl BalancerView {
+    /// Applies entries to the list, which they replace if `full`, and returns the changes.
     fn apply(&mut self, full: bool, entries: &[Listed]) -> Vec<Listed> {
         let before = self.known_list.clone();
         if full {
@@ -106,7 +111,7 @@
         changed
     }
 
-    /// What has changed since this version, if it is still remembered.
+    /// The changes since this version, if it is still remembered.
     fn changes_since(&self, index: u64) -> Option<Vec<Listed>> {
         let (_, then) = self.versions.iter().find(|(i, _)| *i == index)?;
         Some(changes(then, &self.known_list))
@@ -124,33 +129,33 @@
     gone.chain(new).collect()
 }
 
-/// Discovery's side of all balancers.
+/// The discovery service for all balancers.
 #[derive(Debug)]
 pub struct Discovery {
     addresses: Addresses,
-    sides: Vec<Side>,
+    views: Vec<BalancerView>,
     calls: BTreeMap<u64, Call>,
-    next: u64,
-    /// Calls are answered at once with what is known: before the day begins, the world does not act.
+    next_id: u64,
+    /// Before the day begins the world does not act, and calls are answered at once with the list as it is.
     is_before_day: bool,
-    /// Calls that failed, for alternating between the ways.
+    /// The number of calls that have been made to fail; it selects the kind of the next failure.
     failed: u64,
-    /// Requests that were no call of the protocol, each with its reason.
-    pub strange: Vec<String>,
+    /// Requests that the protocol does not allow, each with the balancer and the reason.
+    pub invalid_requests: Vec<String>,
 }
 
 impl Discovery {
-    /// Discovery for so many balancers, listening.
+    /// Listens for this number of balancers.
     ///
     /// # Errors
     ///
     /// Fails if an address cannot be listened on.
     pub fn new(net: &mut Net, addresses: Addresses, balancers: u32) -> io::Result<Self> {
-        let mut sides = Vec::new();
+        let mut views = Vec::new();
         for balancer in (0..balancers).map(BalancerId) {
             let listener =
                 net.listen(addresses.discovery(balancer, 0), Role::DiscoveryListener(balancer, 0))?;
-            sides.push(Side {
+            views.push(BalancerView {
                 address: listener.address(),
                 listener: Some(listener),
                 moves: 0,
@@ -163,40 +168,41 @@
         let calls = BTreeMap::new();
         Ok(Discovery {
             addresses,
-            sides,
+            views,
             calls,
-            next: 0,
+            next_id: 0,
             is_before_day: true,
             failed: 0,
-            strange: Vec::new(),
+            invalid_requests: Vec::new(),
         })
     }
 
-    /// Where this balancer finds it now.
+    /// The address at which this balancer reaches discovery now.
     pub fn address(&self, balancer: BalancerId) -> SocketAddr {
-        self.sides[balancer.0 as usize].address
+        self.views[balancer.0 as usize].address
     }
 
-    /// A balancer starts with this list; its version is returned.
+    /// Records that a balancer starts with this list, and returns the list's version.
     pub fn on_balancer_start(&mut self, balancer: BalancerId, known: &[Listed]) -> u64 {
-        let side = &mut self.sides[balancer.0 as usize];
-        side.apply(true, known);
-        side.index
+        let view = &mut self.views[balancer.0 as usize];
+        view.apply(true, known);
+        view.index
     }
 
-    /// From now on the world answers calls.
+    /// Begins the day: from now on calls wait for the world's answer.
     pub fn begin_day(&mut self) {
         self.is_before_day = false;
     }
 
-    /// Whether a balancer has a watch or waits for one.
+    /// Whether a balancer has an open watch or a call that waits for its answer.
     pub fn is_watched(&self, balancer: BalancerId) -> bool {
         let of =
             |c: &&Call| c.balancer == balancer && matches!(c.state, CallState::Waiting | CallState::Watching);
         self.calls.values().any(|c| of(&c))
     }
 
-    /// Goes to another address for this balancer: the old one takes nothing new and ends what it has a little later.
+    /// Changes the address for this balancer: the old one accepts no new connections, and existing ones are closed after
+    /// [`OLD_ADDRESS_GRACE`].
     ///
     /// # Errors
     ///
@@ -207,19 +213,19 @@
         now: Micros,
         balancer: BalancerId,
     ) -> io::Result<SocketAddr> {
-        let side = &mut self.sides[balancer.0 as usize];
-        side.moves += 1;
-        let role = Role::DiscoveryListener(balancer, side.moves);
-        let listener = net.listen(self.addresses.discovery(balancer, side.moves), role)?;
-        side.address = listener.address();
-        if let Some(old) = side.listener.replace(listener) {
+        let view = &mut self.views[balancer.0 as usize];
+        view.moves += 1;
+        let role = Role::DiscoveryListener(balancer, view.moves);
+        let listener = net.listen(self.addresses.discovery(balancer, view.moves), role)?;
+        view.address = listener.address();
+        if let Some(old) = view.listener.replace(listener) {
             net.close_listener(old);
         }
-        side.old_address_closes_at = Some(now + OLD_ADDRESS_GRACE);
-        Ok(side.address)
+        view.old_address_closes_at = Some(now + OLD_ADDRESS_GRACE);
+        Ok(view.address)
     }
 
-    /// Connections wait to be accepted.
+    /// Accepts pending connections of a listener.
     pub fn on_listener_ready(
         &mut self,
         net: &mut Net,
@@ -228,22 +234,22 @@
         directory: &Directory,
         observations: &mut Observations,
     ) {
-        let side = &self.sides[balancer.0 as usize];
-        let Some(listener) = side.listener.as_ref().filter(|_| side.moves == moves) else { return };
-        let mut came = Vec::new();
+        let view = &self.views[balancer.0 as usize];
+        let Some(listener) = view.listener.as_ref().filter(|_| view.moves == moves) else { return };
+        let mut accepted = Vec::new();
         while let Some(stream) = net.accept(listener) {
-            came.push(stream);
+            accepted.push(stream);
         }
-        for stream in came {
-            let id = self.next;
-            self.next += 1;
-            // One that broke while it waited is no call.
+        for stream in accepted {
+            let id = self.next_id;
+            self.next_id += 1;
+            // A connection that was broken while it waited to be accepted is ignored.
             let Ok(connection) = net.adopt(stream, Role::Call(id)) else { continue };
             let call = Call {
                 balancer,
                 connection,
                 moves,
-                kind: CallKind::Nothing,
+                kind: CallKind::Unknown,
                 state: CallState::Reading,
                 keepalive_due: Micros::MAX,
             };
@@ -259,7 +265,7 @@
         }
     }
 
-    /// A call's connection has something.
+    /// Handles readiness of a call's connection.
     pub fn on_ready(
         &mut self,
         net: &mut Net,
@@ -292,11 +298,11 @@
         observations: &mut Observations,
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let (kind, n) = match request(call.connection.buffered()) {
+        let (kind, n) = match parse_request(call.connection.buffered()) {
             Ok(None) => return,
             Ok(Some(found)) => found,
             Err((status, why)) => {
-                self.strange.push(format!("{}: {why}", Directory::balancer(call.balancer)));
+                self.invalid_requests.push(format!("{}: {why}", Directory::balancer(call.balancer)));
                 call.connection
                     .send(net, format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
                 call.connection.finish(net);
@@ -315,17 +321,17 @@
         observations.push((call.balancer, FromBalancer::Watch.into()));
     }
 
-    /// Ends a call's connection, and tells the world if the balancer has no other.
+    /// Closes a call's connection, and reports the end of the balancer's last call or watch.
     fn close_call(&mut self, net: &mut Net, id: u64, how: End, observations: &mut Observations) {
         let Some(call) = self.calls.remove(&id) else { return };
-        let was_reported = matches!(call.state, CallState::Waiting | CallState::Watching);
+        let was_active = matches!(call.state, CallState::Waiting | CallState::Watching);
         net.close(call.connection, how);
-        if was_reported && !self.is_watched(call.balancer) {
+        if was_active && !self.is_watched(call.balancer) {
             observations.push((call.balancer, FromBalancer::Unwatch.into()));
         }
     }
 
-    /// The world has news for a balancer.
+    /// Sends a balancer a list event: to its open watches the changes, and the list to the calls that wait for it.
     pub fn publish(
         &mut self,
         net: &mut Net,
@@ -335,38 +341,38 @@
         entries: &[Listed],
         directory: &Directory,
     ) {
-        let side = &mut self.sides[balancer.0 as usize];
-        let changed = side.apply(full, entries);
+        let view = &mut self.views[balancer.0 as usize];
+        let changed = view.apply(full, entries);
         if !changed.is_empty() {
-            let line = line(directory, balancer, side.index, false, &changed);
+            let line = line(directory, balancer, view.index, false, &changed);
             for call in
                 self.calls.values_mut().filter(|c| c.balancer == balancer && c.state == CallState::Watching)
             {
-                say_body(net, &mut call.connection, &line);
+                send_chunks(net, &mut call.connection, &line);
                 call.keepalive_due = now + KEEPALIVE_INTERVAL;
             }
         }
         self.answer(net, now, balancer, directory);
     }
 
-    /// Answers the calls of a balancer that wait.
+    /// Answers the waiting calls of a balancer.
     fn answer(&mut self, net: &mut Net, now: Micros, balancer: BalancerId, directory: &Directory) {
-        let side = &self.sides[balancer.0 as usize];
+        let view = &self.views[balancer.0 as usize];
         for call in
             self.calls.values_mut().filter(|c| c.balancer == balancer && c.state == CallState::Waiting)
         {
             match call.kind {
                 CallKind::Watch(since) => {
                     call.connection.send(net, WATCH_HEAD.as_bytes());
-                    let text = match side.changes_since(since) {
-                        Some(changed) => line(directory, balancer, side.index, false, &changed),
-                        None => line(directory, balancer, side.index, true, &side.full_list()),
+                    let text = match view.changes_since(since) {
+                        Some(changed) => line(directory, balancer, view.index, false, &changed),
+                        None => line(directory, balancer, view.index, true, &view.full_list()),
                     };
-                    say_body(net, &mut call.connection, &text);
+                    send_chunks(net, &mut call.connection, &text);
                     (call.state, call.keepalive_due) = (CallState::Watching, now + KEEPALIVE_INTERVAL);
                 }
                 _ => {
-                    let text = line(directory, balancer, side.index, true, &side.full_list());
+                    let text = line(directory, balancer, view.index, true, &view.full_list());
                     let head = format!(
                         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
                         text.len()
@@ -380,59 +386,61 @@
         }
     }
 
-    /// The world lets a balancer's calls fail and its watches end.
+    /// Makes a balancer's calls fail and ends its watches; 503 responses, closes and resets alternate.
     pub fn fail_calls(&mut self, net: &mut Net, balancer: BalancerId) {
         let ids: Vec<u64> =
             self.calls.iter().filter(|(_, c)| c.balancer == balancer).map(|(id, _)| *id).collect();
         for id in ids {
-            let call = self.calls.get_mut(&id).expect("it was just there");
+            let call = self.calls.get_mut(&id).expect("the call is in the map");
             self.failed += 1;
             match call.state {
                 CallState::Waiting if self.failed % 2 == 1 => {
-                    call.connection.send(net, DOWN.as_bytes());
+                    call.connection.send(net, UNAVAILABLE.as_bytes());
                     call.connection.finish(net);
                     call.state = CallState::Over;
                 }
                 CallState::Over => {}
                 _ => {
                     let how = if self.failed.is_multiple_of(3) { End::Reset } else { End::Fin };
-                    let call = self.calls.remove(&id).expect("it was just there");
+                    let call = self.calls.remove(&id).expect("the call is in the map");
                     net.close(call.connection, how);
                 }
             }
         }
     }
 
-    /// When something is due next.
+    /// The time of the next empty line or close.
     pub fn next_due(&self) -> Micros {
-        let blanks = self.calls.values().filter(|c| c.state == CallState::Watching).map(|c| c.keepalive_due);
-        let ends = self.sides.iter().filter_map(|s| s.old_address_closes_at);
-        blanks.chain(ends).min().unwrap_or(Micros::MAX)
+        let keepalives =
+            self.calls.values().filter(|c| c.state == CallState::Watching).map(|c| c.keepalive_due);
+        let closes = self.views.iter().filter_map(|s| s.old_address_closes_at);
+        keepalives.chain(closes).min().unwrap_or(Micros::MAX)
     }
 
-    /// Does what is due.
+    /// Sends due empty lines, except to balancers whose list is blocked by a fault, and closes connections to previous
+    /// addresses.
     pub fn run_due(
         &mut self,
         net: &mut Net,
         now: Micros,
-        is_deaf: impl Fn(BalancerId) -> bool,
+        is_list_blocked: impl Fn(BalancerId) -> bool,
         observations: &mut Observations,
     ) {
         for call in
             self.calls.values_mut().filter(|c| c.state == CallState::Watching && c.keepalive_due <= now)
         {
-            if !is_deaf(call.balancer) {
-                say_body(net, &mut call.connection, b"\n");
+            if !is_list_blocked(call.balancer) {
+                send_chunks(net, &mut call.connection, b"\n");
             }
             call.keepalive_due = now + KEEPALIVE_INTERVAL;
         }
-        for at in 0..self.sides.len() {
-            let side = &mut self.sides[at];
-            if side.old_address_closes_at.is_none_or(|end| end > now) {
+        for at in 0..self.views.len() {
+            let view = &mut self.views[at];
+            if view.old_address_closes_at.is_none_or(|end| end > now) {
                 continue;
             }
-            side.old_address_closes_at = None;
-            let (balancer, moves) = (BalancerId(at as u32), side.moves);
+            view.old_address_closes_at = None;
+            let (balancer, moves) = (BalancerId(at as u32), view.moves);
             let old = |c: &Call| c.balancer == balancer && c.moves < moves;
             let ids: Vec<u64> = self.calls.iter().filter(|(_, c)| old(c)).map(|(id, _)| *id).collect();
             ids.into_iter().for_each(|id| self.close_call(net, id, End::Fin, observations));
@@ -447,42 +455,44 @@
     snapshot: bool,
     entries: &[Listed],
 ) -> Vec<u8> {
-    let listing = directory.listing(balancer, index, snapshot, entries);
-    let mut text = serde_json::to_vec(&listing).expect("a listing is plain data");
+    let list = directory.endpoint_list(balancer, index, snapshot, entries);
+    let mut text = serde_json::to_vec(&list).expect("an endpoint list is serializable");
     text.push(b'\n');
     text
 }
 
-/// Writes a part of a chunked body.
-fn say_body(net: &mut Net, connection: &mut LineConnection, text: &[u8]) {
-    for piece in text.chunks(CHUNK_BYTES) {
-        let chunk = [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
+/// Sends a part of a chunked body.
+fn send_chunks(net: &mut Net, connection: &mut LineConnection, text: &[u8]) {
+    for part in text.chunks(CHUNK_BYTES) {
+        let chunk = [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
         connection.send(net, &chunk);
     }
 }
 
-/// Reads a request: what it asks for and how long it is; none while it is not whole. The error has the status line's
-/// end and the reason.
-fn request(bytes: &[u8]) -> Result<Option<(CallKind, usize)>, (&'static str, String)> {
+/// Parses a request and returns its kind and length; none while it is incomplete. The error consists of the response's
+/// status and the reason.
+fn parse_request(bytes: &[u8]) -> Result<Option<(CallKind, usize)>, (&'static str, String)> {
     const BAD: &str = "400 Bad Request";
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     let n = match request.parse(bytes) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if bytes.len() <= MAX_REQUEST_BYTES => return Ok(None),
-        Ok(httparse::Status::Partial) => return Err((BAD, "a request without an end".into())),
-        Err(e) => return Err((BAD, format!("no request: {e}"))),
+        Ok(httparse::Status::Partial) => {
+            return Err((BAD, format!("request head exceeds {MAX_REQUEST_BYTES} bytes")));
+        }
+        Err(e) => return Err((BAD, format!("invalid request: {e}"))),
     };
     let (method, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
     if method != "GET" {
-        return Err(("405 Method Not Allowed", format!("{method} is no call")));
+        return Err(("405 Method Not Allowed", format!("method {method}; expected GET")));
     }
     if !request.headers.iter().any(|h| h.name.eq_ignore_ascii_case("host")) {
-        return Err((BAD, "HTTP/1.1 without Host".into()));
+        return Err((BAD, "the Host header is missing".into()));
     }
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     if path != "/v1/servers" {
-        return Err(("404 Not Found", format!("nothing is at {path}")));
+        return Err(("404 Not Found", format!("path {path}; expected /v1/servers")));
     }
     let value = |name: &str| query.split('&').find_map(|item| item.strip_prefix(name)?.strip_prefix('='));
     let since = match value("since").map(str::parse::<u64>) {
@@ -493,7 +503,7 @@
     match value("follow") {
         Some("1") => Ok(Some((CallKind::Watch(since), n))),
         None | Some("0") => Ok(Some((CallKind::List, n))),
-        Some(other) => Err((BAD, format!("follow={other}"))),
+        Some(other) => Err((BAD, format!("follow: expected 0 or 1, found {other}"))),
     }
 }
 
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -242,7 +242,7 @@
         let index = discovery.on_balancer_start(VIA_BALANCER, &known);
         let start = Start {
             seed: 1,
-            known: directory.listing(VIA_BALANCER, index, true, &known),
+            known: directory.endpoint_list(VIA_BALANCER, index, true, &known),
             settings: serde_json::from_str(&(options.settings)(day, VIA_BALANCER))?,
             discovery: discovery.address(VIA_BALANCER),
         };
@@ -389,7 +389,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let conn = ConnId(u64::from(id) + 1);
-        let node = NodeId(id % self.directory.nodes() as u32);
+        let node = NodeId(id % self.directory.node_count() as u32);
         let (who, to) = match path {
             0 => (VIA_BALANCER, self.fleet.address(VIA_BALANCER)),
             _ => (DIRECT, self.directory.address(DIRECT, node)),
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -161,7 +161,7 @@
     if let Some(operator) = &options.together {
         let ends = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
         let opened = DatagramProxy::open(&mut net, addresses, ends, day.seed)?;
-        fleet.start_with(vec!["--operator".into(), opened.write(&folder.0, operator)?.into()]);
+        fleet.start_with(vec!["--operator".into(), opened.write_operator_file(&folder.0, operator)?.into()]);
         notes = Some(opened);
     }
     fleet.start_each_with(&options.own_args);
@@ -247,7 +247,7 @@
         self.started_at = Some(now);
         self.woke_at = now;
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.directory.begins(epoch.as_secs_f64() * 1e3);
+        self.directory.set_epoch(epoch.as_secs_f64() * 1e3);
         self.nodes.begin_day();
         self.discovery.begin_day();
         // What was late before counts for nothing.
@@ -277,7 +277,7 @@
         } else {
             None
         };
-        let mut strange = self.discovery.strange;
+        let mut strange = self.discovery.invalid_requests;
         strange.append(&mut self.fleet.faults);
         Report {
             void,
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -50,7 +50,7 @@
                 let text = (self.options.settings)(self.day, who);
                 let settings: Value = serde_json::from_str(&text)
                     .map_err(|e| RunError::Settings(Directory::balancer(who), e))?;
-                let known = self.directory.listing(who, index, true, known);
+                let known = self.directory.endpoint_list(who, index, true, known);
                 let discovery = self.discovery.address(who);
                 self.fleet.start(net, now, who, &Start { seed, known, settings, discovery })?;
             }
