--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -1,6 +1,6 @@
-//! The balancers' processes: who runs, who is ready, who was told to end, and how each life went.
+//! The balancers' processes: starts, stops and reloads them, detects when they are ready, and records each incarnation.
 //!
-//! A balancer comes back from nothing under its name and address. An end that nobody ordered is a crash.
+//! A restarted balancer keeps its name and address, but no state. An exit that was not requested counts as a crash.
 
 use std::ffi::OsString;
 use std::io;
@@ -24,51 +24,52 @@
 use super::process::{Process, ProcessError, ProcessFiles, Program, Usage};
 use crate::edge::{BalancerId, End, FromBalancer};
 
-/// A balancer that has not answered yet is asked again after this.
+/// The interval at which a balancer that has not become ready is sent a `PING`.
 const READY_POLL_INTERVAL: Micros = 20_000;
-/// Memory, time on a core and descriptors are looked at this often.
+/// The interval at which memory, CPU time and descriptors of a process are sampled.
 const USAGE_POLL_INTERVAL: Micros = 250_000;
-/// SIGHUP comes no sooner after a balancer was ready: before, it may not listen for it and would die of it.
+/// SIGHUP is sent no sooner than this after a balancer became ready: until it has installed a handler, the signal would
+/// end the process.
 const MIN_RELOAD_DELAY: Micros = 1_000_000;
 
-/// One life of a balancer's process, times on the driver's clock.
+/// One incarnation of a balancer's process; times are on the driver's clock.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessIncarnation {
-    /// Whose.
+    /// The balancer's index.
     pub balancer: u32,
-    /// Its process began.
+    /// When the process was started.
     pub began: Micros,
-    /// It answered that it is ready.
+    /// When it first answered a `PING`.
     pub ready: Option<Micros>,
-    /// It ended.
+    /// When it exited.
     pub ended: Option<Micros>,
-    /// How it ended, in words; empty while it runs.
+    /// How it exited, as text; empty while it runs.
     pub how: String,
-    /// The end was not ordered.
+    /// Whether it exited without having been requested to, or with an error after SIGTERM.
     pub crashed: bool,
-    /// What it used.
+    /// The resources it has used.
     pub usage: Usage,
 }
 
-/// What has been ordered for a process.
+/// The exit that has been requested from a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Ordered {
+enum RequestedExit {
     #[default]
-    Nothing,
-    Term,
+    None,
+    Terminate,
     Kill,
 }
 
-/// What a balancer is started with.
+/// The configuration with which a balancer is started.
 #[derive(Clone, Debug)]
-pub struct Start {
-    /// For random numbers.
+pub struct StartConfig {
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// The list as it had it last.
+    /// The endpoint list as it last had it.
     pub known: EndpointList,
-    /// Its settings as JSON text.
+    /// Its settings.
     pub settings: Value,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
 }
 
@@ -76,16 +77,16 @@
 struct Running {
     process: Process,
     key: DefaultKey,
-    ordered: Ordered,
-    /// It answered then that it is ready.
+    requested_exit: RequestedExit,
+    /// When it became ready.
     ready: Option<Micros>,
-    /// It has been told to read its configuration again, and the signal is still to go.
+    /// Whether its configuration has been replaced and SIGHUP is still to be sent.
     needs_reload: bool,
-    /// The question whether it is ready, while it is out.
+    /// The connection of a `PING` that has not been answered.
     ping: Option<LineConnection>,
-    /// The next thing to do: to ask again, or to look at what it uses.
+    /// When the next `PING` or sample of its usage is due.
     due: Micros,
-    /// Its life's place.
+    /// The index of its incarnation.
     incarnation: usize,
 }
 
@@ -93,7 +94,7 @@
     fn signal_reload(&mut self, now: Micros) {
         if self.needs_reload && self.ready.is_some_and(|ready| now >= ready + MIN_RELOAD_DELAY) {
             self.needs_reload = false;
-            self.process.hang_up();
+            self.process.send_hangup();
         }
     }
 }
@@ -102,28 +103,28 @@
 struct BalancerSlot {
     files: ProcessFiles,
     listen: SocketAddr,
-    /// Keeps the port while no balancer listens there; it never listens itself.
+    /// A bound socket that never listens; it keeps the port reserved while the balancer does not run.
     _port_reservation: Socket,
     config: Value,
-    /// Arguments of its own.
+    /// Arguments in addition to the program's.
     args: Vec<OsString>,
     running: Option<Running>,
 }
 
-/// All balancers.
+/// The processes of all balancers.
 #[derive(Debug)]
 pub struct Fleet {
     program: Program,
     cores: f64,
     slots: Vec<BalancerSlot>,
-    /// All lives, in the order in which they began.
-    pub lives: Vec<ProcessIncarnation>,
-    /// Errors in telling a balancer something.
-    pub faults: Vec<String>,
+    /// All incarnations, in the order of their starts.
+    pub incarnations: Vec<ProcessIncarnation>,
+    /// Violations of limits that ended a process.
+    pub violations: Vec<String>,
 }
 
 impl Fleet {
-    /// Posts for so many balancers, with their files in this folder. None runs yet.
+    /// Prepares this number of balancers, with their files in `folder`; starts none.
     ///
     /// # Errors
     ///
@@ -142,8 +143,8 @@
                 let reservation = Socket::new(Domain::IPV4, Type::STREAM, None)?;
                 reservation.set_reuse_address(true)?;
                 reservation.bind(&addresses.balancer(balancer).into())?;
-                let at = reservation.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-                Ok((reservation, at))
+                let address = reservation.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+                Ok((reservation, address))
             };
             let (reservation, listen) =
                 reservation().map_err(|e| ProcessError::Address(addresses.balancer(balancer), e))?;
@@ -156,51 +157,51 @@
                 running: None,
             });
         }
-        Ok(Fleet { program, cores, slots, lives: Vec::new(), faults: Vec::new() })
+        Ok(Fleet { program, cores, slots, incarnations: Vec::new(), violations: Vec::new() })
     }
 
-    /// Single ones of those that are started from now on get these arguments besides, by their places.
-    pub fn start_each_with(&mut self, args: &[Vec<OsString>]) {
+    /// Sets additional arguments of single balancers, by index, for later starts.
+    pub fn set_balancer_args(&mut self, args: &[Vec<OsString>]) {
         self.slots.iter_mut().zip(args).for_each(|(slot, args)| slot.args.clone_from(args));
     }
 
-    /// Balancers that are started from now on get these arguments.
-    pub fn start_with(&mut self, args: Vec<OsString>) {
+    /// Sets the program's arguments for later starts.
+    pub fn set_args(&mut self, args: Vec<OsString>) {
         self.program.args = args;
     }
 
-    /// Where clients reach a balancer.
+    /// The address at which a balancer listens for clients.
     pub fn address(&self, balancer: BalancerId) -> SocketAddr {
         self.slots[balancer.0 as usize].listen
     }
 
-    /// Whether a balancer runs and has answered that it is ready.
+    /// Whether a balancer runs and has answered a `PING`.
     pub fn is_ready(&self, balancer: BalancerId) -> bool {
         self.slots[balancer.0 as usize].running.as_ref().is_some_and(|r| r.ready.is_some())
     }
 
-    /// Where a balancer's log is.
+    /// A balancer's configuration and log files.
     pub fn files(&self, balancer: BalancerId) -> &ProcessFiles {
         &self.slots[balancer.0 as usize].files
     }
 
-    /// The number of a balancer's process in the system, while it runs.
+    /// The id of a balancer's process, while it runs.
     pub fn pid(&self, balancer: BalancerId) -> Option<u32> {
         self.slots[balancer.0 as usize].running.as_ref().map(|r| r.process.id())
     }
 
-    /// What a balancer's process has used so far.
-    pub fn used(&mut self, balancer: BalancerId) -> Usage {
+    /// Samples and returns the resources that a balancer's process has used so far; zero while it does not run.
+    pub fn sample_usage(&mut self, balancer: BalancerId) -> Usage {
         match &mut self.slots[balancer.0 as usize].running {
             Some(running) => {
-                running.process.look();
+                running.process.sample_usage();
                 running.process.usage()
             }
             None => Usage::default(),
         }
     }
 
-    /// Starts a balancer; one that runs still, or is about to be gone, is waited for first.
+    /// Starts a balancer. A process of it that still runs is killed and waited for first.
     ///
     /// # Errors
     ///
@@ -210,7 +211,7 @@
         net: &mut Net,
         now: Micros,
         balancer: BalancerId,
-        start: &Start,
+        start: &StartConfig,
     ) -> Result<(), ProcessError> {
         self.kill(balancer);
         self.remove_process(net, now, balancer);
@@ -222,25 +223,25 @@
             "limits": {"cores": self.cores, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             "known": start.known, "settings": start.settings,
         });
-        slot.files.configure(&slot.config)?;
+        slot.files.write_config(&slot.config)?;
         let mut program = self.program.clone();
         program.args.extend_from_slice(&slot.args);
         let process = Process::start(&program, &slot.files, slot.listen, start.discovery)?;
-        let incarnation = self.lives.len();
-        let watched = net.watch(process.end(), Role::Exit(balancer, incarnation));
+        let incarnation = self.incarnations.len();
+        let watched = net.watch(process.exit_fd(), Role::Exit(balancer, incarnation));
         let key = watched.map_err(|e| ProcessError::Watch(process.id(), e))?;
-        let ordered = Ordered::Nothing;
+        let requested_exit = RequestedExit::None;
         slot.running = Some(Running {
             process,
             key,
-            ordered,
+            requested_exit,
             ready: None,
             needs_reload: false,
             ping: None,
             due: now,
             incarnation,
         });
-        self.lives.push(ProcessIncarnation {
+        self.incarnations.push(ProcessIncarnation {
             balancer: balancer.0,
             began: now,
             ready: None,
@@ -252,34 +253,34 @@
         Ok(())
     }
 
-    /// A planned end: SIGTERM.
+    /// Requests a planned exit with SIGTERM.
     pub fn terminate(&mut self, balancer: BalancerId) {
         if let Some(running) = &mut self.slots[balancer.0 as usize].running {
-            running.ordered = Ordered::Term;
+            running.requested_exit = RequestedExit::Terminate;
             running.process.terminate();
         }
     }
 
-    /// SIGSTOP, or SIGCONT where it is to go on. One that does not run stays as it is.
-    pub fn stall(&mut self, balancer: BalancerId, stops: bool) {
+    /// Stops a process with SIGSTOP, or continues it with SIGCONT. Does nothing if the balancer does not run.
+    pub fn set_stopped(&mut self, balancer: BalancerId, stopped: bool) {
         if let Some(running) = &self.slots[balancer.0 as usize].running {
-            if stops { running.process.stop() } else { running.process.go_on() }
+            if stopped { running.process.stop() } else { running.process.resume() }
         }
     }
 
-    /// SIGKILL. The system needs milliseconds to end a process with many connections; its end is told later, so
-    /// that nobody waits for it here.
+    /// Kills a process with SIGKILL, and does not wait for its exit, which takes milliseconds if it has many
+    /// connections; the exit is reported later.
     pub fn kill(&mut self, balancer: BalancerId) {
         let Some(running) = &mut self.slots[balancer.0 as usize].running else { return };
-        running.process.look();
-        running.ordered = Ordered::Kill;
+        running.process.sample_usage();
+        running.requested_exit = RequestedExit::Kill;
         running.ready = None;
         running.due = Micros::MAX;
         running.process.kill();
     }
 
-    /// Replaces the configuration with one that names this address of discovery, and sends SIGHUP, in its first
-    /// second a little later.
+    /// Writes a configuration with this address of discovery, and sends SIGHUP; not before [`MIN_RELOAD_DELAY`] has
+    /// passed since the balancer became ready.
     ///
     /// # Errors
     ///
@@ -293,13 +294,13 @@
         let slot = &mut self.slots[balancer.0 as usize];
         let Some(running) = &mut slot.running else { return Ok(()) };
         slot.config["discovery"] = json!(discovery);
-        slot.files.configure(&slot.config)?;
+        slot.files.write_config(&slot.config)?;
         running.needs_reload = true;
         running.signal_reload(now);
         Ok(())
     }
 
-    /// A balancer's process has ended in this life; tells the world if that was not its order to kill.
+    /// Handles the exit of an incarnation of a balancer's process, and reports it unless the process was to be killed.
     pub fn on_process_exited(
         &mut self,
         net: &mut Net,
@@ -308,38 +309,38 @@
         incarnation: usize,
         observations: &mut Observations,
     ) {
-        // The next life may have begun meanwhile.
+        // The next incarnation may have been started already.
         let running =
             self.slots[balancer.0 as usize].running.as_ref().filter(|r| r.incarnation == incarnation);
-        let Some(ordered) = running.map(|r| r.ordered) else { return };
-        if ordered != Ordered::Kill {
+        let Some(requested) = running.map(|r| r.requested_exit) else { return };
+        if requested != RequestedExit::Kill {
             observations.push((balancer, FromBalancer::Exited.into()));
         }
         self.remove_process(net, now, balancer);
     }
 
-    /// Takes a process that has ended, or was killed, off its post.
+    /// Removes a process that has exited or been killed, and completes the record of its incarnation.
     fn remove_process(&mut self, net: &mut Net, now: Micros, balancer: BalancerId) {
         let Some(mut running) = self.slots[balancer.0 as usize].running.take() else { return };
-        net.unwatch(running.process.end().as_fd(), running.key);
+        net.unwatch(running.process.exit_fd().as_fd(), running.key);
         if let Some(ping) = running.ping.take() {
             net.close(ping, End::Reset);
         }
-        let incarnation = &mut self.lives[running.incarnation];
-        let status = running.process.exited();
+        let incarnation = &mut self.incarnations[running.incarnation];
+        let status = running.process.exit_status();
         (incarnation.ended, incarnation.usage) = (Some(now), running.process.usage());
-        incarnation.how = match (running.ordered, status) {
-            (Ordered::Kill, _) => "killed as ordered".to_owned(),
+        incarnation.how = match (running.requested_exit, status) {
+            (RequestedExit::Kill, _) => "killed as ordered".to_owned(),
             (_, Some(status)) => status.to_string(),
-            (_, None) => "gone".to_owned(),
+            (_, None) => "unknown exit status".to_owned(),
         };
-        let fine = running.ordered == Ordered::Kill
-            || (running.ordered == Ordered::Term && status.is_some_and(|s| s.success()));
-        incarnation.crashed = !fine;
-        // Dropped here, the process is waited for.
+        let is_expected = running.requested_exit == RequestedExit::Kill
+            || (running.requested_exit == RequestedExit::Terminate && status.is_some_and(|s| s.success()));
+        incarnation.crashed = !is_expected;
+        // Dropping the process waits for its exit.
     }
 
-    /// The answer to the question whether a balancer is ready, or the end of the connection.
+    /// Handles readiness of a `PING` connection: the answer, or the end of the connection.
     pub fn on_ping_ready(
         &mut self,
         net: &mut Net,
@@ -354,21 +355,22 @@
         let answered = matches!(ping.next_line(), Ok(Some(b"PONG")));
         if answered {
             running.ready = Some(now);
-            self.lives[running.incarnation].ready = Some(now);
+            self.incarnations[running.incarnation].ready = Some(now);
             observations.push((balancer, FromBalancer::Ready.into()));
         }
         if (answered || ping.ended().is_some()) && running.ping.is_some() {
-            let ping = running.ping.take().expect("it was just there");
+            let ping = running.ping.take().expect("the ping is there");
             net.close(ping, End::Fin);
         }
     }
 
-    /// When something is due next.
+    /// The time of the next due `PING` or sample of usage.
     pub fn next_due(&self) -> Micros {
         self.slots.iter().filter_map(|p| p.running.as_ref()).map(|r| r.due).min().unwrap_or(Micros::MAX)
     }
 
-    /// Does what is due: asks who has not answered, looks at what the others use, and kills who uses too much.
+    /// Sends a `PING` to balancers that are not ready, samples the usage of the others and kills those that exceed their
+    /// memory limit; records the lateness of each in `late`.
     pub fn run_due(&mut self, net: &mut Net, now: Micros, late: &mut Distribution) {
         for (balancer, slot) in self.slots.iter_mut().enumerate() {
             let Some(running) = slot.running.as_mut().filter(|r| r.due <= now) else { continue };
@@ -376,8 +378,9 @@
             if running.ready.is_some() {
                 running.due = now + USAGE_POLL_INTERVAL;
                 running.signal_reload(now);
-                if running.process.look() {
-                    self.faults.push(format!("{} over its memory, killed", slot.files.name()));
+                if running.process.sample_usage() {
+                    let name = slot.files.name();
+                    self.violations.push(format!("{name} killed: resident memory exceeds its limit"));
                     running.process.kill();
                 }
                 continue;
@@ -392,7 +395,7 @@
         }
     }
 
-    /// Ends all that still run, by SIGKILL.
+    /// Kills all processes that still run and waits for their exit.
     pub fn stop(&mut self, net: &mut Net, now: Micros) {
         for balancer in (0..self.slots.len() as u32).map(BalancerId) {
             self.kill(balancer);
--- a/crates/emulator/src/sockets/harness.rs
+++ b/crates/emulator/src/sockets/harness.rs
@@ -1,22 +1,22 @@
-//! What the driver plays: the world, or a script.
+//! The interface between the driver and the source of its commands: the world, or the script of a test.
 
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
 
 use crate::edge::{BalancerId, ConnId, FromBalancer, LinkId, NodeId, Reachability, RequestLine, ToBalancer};
 
-/// What reaches balancers, in order.
+/// Commands and events for balancers, in order.
 pub type Commands = Vec<(BalancerId, ToBalancer)>;
 
-/// What has been seen of balancers, in order.
+/// Observations of balancers, in order.
 pub type Observations = Vec<(BalancerId, BalancerObservation)>;
 
-/// What the driver hears on its sockets.
+/// An observation that the driver makes on its sockets and processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BalancerObservation {
-    /// A balancer has done this.
+    /// An action of a balancer.
     Action(FromBalancer),
-    /// Something that only sockets show.
+    /// An event of a connection that only the sockets show.
     Connection(ConnectionObservation),
 }
 
@@ -32,51 +32,51 @@
     }
 }
 
-/// What only sockets show.
+/// An event of a connection that only the sockets show; the world does not model it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionObservation {
-    /// A client's first line has been written to its last byte, on a connection that the balancer's machine took;
-    /// so much of its patience is left.
+    /// A client's first line has been written completely on an established connection to the balancer. The duration is
+    /// the client's remaining patience.
     RequestSent(RequestLine, Micros),
-    /// A client has written a line on a standing connection.
+    /// A client has sent a line on an established connection.
     LineSent(ConnId),
-    /// It has come out at its node.
+    /// The line has arrived at the node.
     LineAtNode(ConnId),
-    /// The node has returned it on this link.
+    /// The node has returned the line on this link.
     LineReturned(LinkId),
-    /// It has come out at its client.
+    /// The returned line, or a load report of the node, has arrived at the client.
     LineAtClient(ConnId),
-    /// A client has read a line that its node has not written.
+    /// A client has received a line that its node has not sent.
     Changed(ConnId),
-    /// A client has read `MOVE` after a part of a line.
+    /// A client has received `MOVE` at the end of an incomplete line.
     MoveInLine(ConnId),
-    /// A bad client has been served.
+    /// A misbehaving client's request has been accepted.
     MisbehavingClientServed(ConnId),
 }
 
-/// A balancer at a glance.
+/// The status of a balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BalancerStatus {
-    /// Its process runs.
+    /// Whether its process runs.
     pub runs: bool,
-    /// It has answered that it is ready.
+    /// Whether it has answered a `PING`.
     pub ready: bool,
-    /// Clients that stand at it.
+    /// The number of its established client connections.
     pub clients: usize,
 }
 
-/// What happens on the platform, on the day's clock.
+/// Decides what happens on the platform; times are on the day's clock.
 ///
-/// The driver asks for what is due, tells what balancers do, and turns what reaches them into lines and signals.
-/// About a connection or link that has ended on one side, something may still be told that crossed its end.
+/// The driver advances the harness, reports the balancers' actions to it, and carries out its commands as lines and
+/// signals. Reports about a connection or link may still arrive after one side has ended it.
 pub trait Harness {
-    /// When something is due next.
+    /// The time of the next due event.
     fn next_due(&self) -> Option<Micros>;
 
-    /// Lets everything happen that is due by now.
+    /// Processes all events that are due by `now`.
     fn advance(&mut self, now: Micros, commands: &mut Commands);
 
-    /// A balancer does something.
+    /// Handles an action of a balancer.
     fn on_balancer_action(
         &mut self,
         now: Micros,
@@ -85,29 +85,29 @@
         commands: &mut Commands,
     );
 
-    /// A link has been reset by what lies between, which neither side has done.
-    fn on_link_reset(&mut self, _now: Micros, _who: BalancerId, _link: LinkId, _said: &mut Commands) {}
+    /// Handles the reset of a link by a network fault.
+    fn on_link_reset(&mut self, _now: Micros, _who: BalancerId, _link: LinkId, _commands: &mut Commands) {}
 
-    /// How a node's machine meets connections now.
+    /// How a node's machine responds to connections now.
     fn reachability(&self, node: NodeId) -> Reachability;
 
-    /// Connections that stand before the day begins, each at its home.
+    /// The connections that are established before the day begins; each request names its previous server.
     fn connections_at_start(&mut self) -> Vec<(BalancerId, RequestLine)> {
         Vec::new()
     }
 
-    /// Those of them that are up, each on a link to its home; all others have been closed.
-    fn on_connections_restored(&mut self, _up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {}
+    /// Reports which of them have been restored, each on a link to its previous server; all others have been closed.
+    fn on_connections_restored(&mut self, _established: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {}
 
-    /// This has been carried to a balancer.
+    /// Reports that a command has been executed for a balancer.
     fn on_command_executed(&mut self, _now: Micros, _who: BalancerId, _what: &ToBalancer) {}
 
-    /// What only sockets show.
+    /// Handles an event of a connection that only the sockets show.
     fn on_observation(&mut self, _now: Micros, _who: BalancerId, _observation: ConnectionObservation) {}
 
-    /// A second of the day has passed.
+    /// Handles the balancers' status once a second of the day.
     fn on_status_sample(&mut self, _now: Micros, _balancers: &[BalancerStatus]) {}
 
-    /// Whether all has been played to its end.
+    /// Whether the run is complete.
     fn is_over(&self, now: Micros) -> bool;
 }
--- a/crates/emulator/src/sockets/lines.rs
+++ b/crates/emulator/src/sockets/lines.rs
@@ -1,4 +1,4 @@
-//! A non-blocking TCP connection that carries lines. While nothing is buffered in either direction it owns no buffer.
+//! A non-blocking TCP connection that carries lines. It has a buffer only while bytes wait in that direction.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -13,12 +13,12 @@
 use super::net::{Net, Ready, Role};
 use crate::edge::End;
 
-/// The most bytes buffered for a peer that does not read; no line of the platform is answered by so many.
+/// The largest number of bytes buffered for a peer that does not read; no response of the platform is as long.
 const MAX_OUTBOX_BYTES: usize = 4 << 20;
 
-/// A line is longer than the protocol allows.
+/// The error of a line that is longer than the protocol allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a line of more than {most} bytes", most = shorewharf_protocol::line::MAX_LINE_BYTES)]
+#[error("line exceeds {limit} bytes", limit = shorewharf_protocol::line::MAX_LINE_BYTES)]
 pub struct TooLong;
 
 /// A connection that carries lines.
@@ -28,24 +28,24 @@
     key: DefaultKey,
     role: Role,
     inbox: Vec<u8>,
-    /// Bytes at the front of the inbox that have been consumed.
+    /// The number of bytes at the front of the inbox that have been consumed.
     consumed: usize,
     outbox: Vec<u8>,
-    /// It is established.
+    /// Whether the connection is established.
     up: bool,
     writable: bool,
-    /// The sending side is closed once the outbox is empty.
+    /// Whether the sending side is to be shut down once the outbox is empty.
     finish: bool,
-    /// How the peer ended its side, once it has and all before that was read.
+    /// How the peer ended its side, once everything it had sent before has been read.
     ended: Option<End>,
 }
 
 impl Net {
-    /// Begins to connect.
+    /// Starts to connect.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses the socket or its registration.
+    /// Fails if the socket cannot be created, connected or registered.
     pub fn connect(&mut self, to: SocketAddr, role: Role) -> io::Result<LineConnection> {
         let stream = TcpStream::connect(to).inspect_err(|e| self.note_shortage(e))?;
         self.adopt(stream, role)
@@ -57,17 +57,17 @@
     ///
     /// Fails if the stream cannot be configured or registered.
     pub fn adopt(&mut self, mut stream: TcpStream, role: Role) -> io::Result<LineConnection> {
-        // Lines are short and wanted at once.
+        // Lines are short and must not be delayed by Nagle's algorithm.
         stream.set_nodelay(true)?;
         let key = self.register(&mut stream, Interest::READABLE | Interest::WRITABLE, role)?;
         Ok(LineConnection::new(stream, key, role))
     }
 
-    /// Closes a connection: with `Reset`, or with unread bytes, the peer sees it break.
+    /// Closes a connection. With [`End::Reset`], or if unread bytes remain, the peer sees a reset.
     pub fn close(&mut self, connection: LineConnection, how: End) {
         let (mut stream, key, buffers) = connection.into_parts();
         if how == End::Reset {
-            // A socket that is broken already has no linger to set, and closes as it should anyway.
+            // An error is ignored: it means that the connection is already broken.
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
         self.deregister(&mut stream, key);
@@ -95,17 +95,17 @@
         (self.stream, self.key, [self.inbox, self.outbox])
     }
 
-    /// Whether it has come up.
+    /// Whether the connection is established.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// How the peer ended its side. Lines that came before can still be taken.
+    /// How the peer ended its side; none while it has not. Lines received before can still be consumed.
     pub fn ended(&self) -> Option<End> {
         self.ended
     }
 
-    /// Takes in what the system says: sends what waits and reads what has come.
+    /// Handles readiness: writes buffered bytes and reads those that have arrived.
     pub fn on_ready(&mut self, net: &mut Net, ready: Ready) {
         if ready.write {
             self.writable = true;
@@ -129,7 +129,7 @@
     }
 
     fn fill(&mut self, net: &mut Net) {
-        let mut room = net.scratch.len();
+        let mut allowance = net.scratch.len();
         while self.ended.is_none() {
             match self.stream.read(&mut net.scratch) {
                 Ok(0) => self.ended = Some(End::Fin),
@@ -138,9 +138,9 @@
                         self.inbox = net.take_buffer();
                     }
                     self.inbox.extend_from_slice(&net.scratch[..n]);
-                    room = room.saturating_sub(n);
-                    if room == 0 {
-                        // Others have their turn first.
+                    allowance = allowance.saturating_sub(n);
+                    if allowance == 0 {
+                        // Other connections are served before the rest is read.
                         return net.requeue(self.role);
                     }
                 }
@@ -151,17 +151,17 @@
         }
     }
 
-    /// Bytes that have come and were not taken.
+    /// The received bytes that have not been consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.inbox[self.consumed..]
     }
 
-    /// Takes so many bytes.
+    /// Consumes this number of bytes.
     pub fn consume(&mut self, bytes: usize) {
         self.consumed = (self.consumed + bytes).min(self.inbox.len());
     }
 
-    /// The next whole line, without its end.
+    /// Consumes and returns the next complete line, without the line end.
     ///
     /// # Errors
     ///
@@ -178,7 +178,7 @@
         }
     }
 
-    /// After reading: gives back the room of what was taken.
+    /// Frees the space of consumed bytes; to be called after reading.
     pub fn compact(&mut self, net: &mut Net) {
         if self.consumed == self.inbox.len() {
             if self.inbox.capacity() > 0 {
@@ -190,7 +190,7 @@
         self.consumed = 0;
     }
 
-    /// Sends this, now or as soon as the peer takes it. False if the peer has let too much wait and this is lost.
+    /// Sends bytes, now or as soon as the peer accepts them. Returns false and drops them if too many already wait.
     pub fn send(&mut self, net: &mut Net, bytes: &[u8]) -> bool {
         if self.outbox.len() + bytes.len() > MAX_OUTBOX_BYTES {
             return false;
@@ -203,12 +203,12 @@
         true
     }
 
-    /// Whether everything said has been handed to the system.
+    /// Whether all bytes have been handed to the operating system.
     pub fn is_flushed(&self) -> bool {
         self.outbox.is_empty()
     }
 
-    /// Ends sending once everything said has gone out.
+    /// Shuts down the sending side once all bytes have been sent.
     pub fn finish(&mut self, net: &mut Net) {
         self.finish = true;
         self.flush(net);
@@ -222,7 +222,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.writable = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
-                    // Reading says how it ended; here there is nobody left to send to.
+                    // The bytes are dropped; reading finds out how the connection ended.
                     sent = self.outbox.len();
                 }
             }
@@ -233,7 +233,7 @@
             }
             if self.finish && self.up {
                 self.finish = false;
-                // A connection that has ended has no sending to end.
+                // An error is ignored: it means that the connection has ended already.
                 let _: io::Result<()> = self.stream.shutdown(Shutdown::Write);
             }
         } else {
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -20,7 +20,7 @@
 use super::connection_log::ConnectionLog;
 use super::directory::Directory;
 use super::discovery::Discovery;
-use super::fleet::{Fleet, ProcessIncarnation, Start};
+use super::fleet::{Fleet, ProcessIncarnation, StartConfig};
 use super::harness::{BalancerObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
@@ -240,7 +240,7 @@
         let listed = |n| Listed { node: NodeId(n), stage: ListStage::Ready, born: None };
         let known: Vec<Listed> = (0..options.nodes).map(listed).collect();
         let index = discovery.on_balancer_start(VIA_BALANCER, &known);
-        let start = Start {
+        let start = StartConfig {
             seed: 1,
             known: directory.endpoint_list(VIA_BALANCER, index, true, &known),
             settings: serde_json::from_str(&(options.settings)(day, VIA_BALANCER))?,
@@ -321,7 +321,7 @@
         loop {
             let now = self.clock.now();
             if before.is_none() && now >= self.measure_from {
-                before = Some(self.fleet.used(VIA_BALANCER));
+                before = Some(self.fleet.sample_usage(VIA_BALANCER));
             }
             while due(set_ups) <= now && due(set_ups) < stop {
                 self.lateness.record(now - due(set_ups));
@@ -339,7 +339,7 @@
                 return Err(self.failed("ended under load"));
             }
         }
-        let used = self.fleet.used(VIA_BALANCER).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
+        let used = self.fleet.sample_usage(VIA_BALANCER).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
         // Nothing more is sent; what is out may still be answered.
         self.due_lines.clear();
         let limit = self.clock.now() + LOSS_TIMEOUT;
@@ -377,7 +377,7 @@
             lines_per_s: through.line.len() as f64 / seconds,
             stood: self.max_established,
             cores: used_ms / 1e3 / seconds,
-            life: self.fleet.lives.remove(0),
+            life: self.fleet.incarnations.remove(0),
             void,
             late: self.lateness,
             through,
--- a/crates/emulator/src/sockets/net.rs
+++ b/crates/emulator/src/sockets/net.rs
@@ -1,7 +1,7 @@
-//! The table of everything the driver's one thread listens to: who stands behind a descriptor, and who is ready.
+//! The driver's poll: registers its descriptors with their roles, waits, and reports which are ready.
 //!
-//! `mio` and not `calloop`: the driver owns all its parts and hands them events one after the other, so callbacks
-//! held by a loop would only have to find their way back to it.
+//! It uses `mio` rather than `calloop` because the driver owns all its parts and passes events to them one after the
+//! other; callbacks owned by an event loop would need a way to refer back to those parts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,81 +20,81 @@
 
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId};
 
-/// Connections that wait to be accepted at a listener: a restart brings everybody at once.
+/// The length of a listener's accept queue. It is large because a restart makes all clients reconnect at once.
 const BACKLOG: i32 = 4096;
-/// Events taken at once. What is left over is taken next time.
+/// The number of events that one wait returns; others are returned by the next wait.
 const EVENTS: usize = 1024;
-/// What is read at once. A peer that sends more has to wait for its turn.
-const READ: usize = 256 << 10;
-/// Buffers that are kept for the next connection which needs one.
+/// The number of bytes that are read from a connection at once, before others are served.
+const READ_BYTES: usize = 256 << 10;
+/// The number of unused buffers that are kept for reuse.
 const SPARE_BUFFERS: usize = 1024;
-/// A buffer larger than this is given back to the system.
-const SPARE_SIZE: usize = 16 << 10;
+/// Buffers with a larger capacity are freed instead of being kept.
+const MAX_SPARE_CAPACITY: usize = 16 << 10;
 
-/// Who stands behind a descriptor.
+/// What a descriptor is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A client's connection to its balancer.
     Client(ConnId),
-    /// A bad client's, by number.
+    /// The connection of the misbehaving client with this number.
     MisbehavingClient(u64),
     /// A balancer's connection to a node.
     Link(LinkId),
-    /// A call at discovery, by number.
+    /// The connection of the discovery call with this number.
     Call(u64),
-    /// The question whether a balancer is ready.
+    /// The connection on which a balancer is asked with a `PING` whether it is ready.
     Ping(BalancerId),
-    /// A node listens to a balancer.
+    /// A node's listener for a balancer.
     NodeListener(BalancerId, NodeId),
-    /// Discovery listens to a balancer, after so many moves.
+    /// Discovery's listener for a balancer, after this number of changes of address.
     DiscoveryListener(BalancerId, u32),
-    /// Datagrams for a balancer, of others.
+    /// The gossip proxy's socket for datagrams to a balancer.
     DatagramProxy(BalancerId),
-    /// A balancer's process ends, in its life of this number.
+    /// The exit descriptor of a balancer's process, with the index of its incarnation.
     Exit(BalancerId, usize),
-    /// A part of the load engine, by its own number.
+    /// The connection of the load generator's client with this number.
     Load(u32),
-    /// The driver's own timer.
+    /// The timer that ends waits.
     Timer,
 }
 
-/// A descriptor that has something for its owner.
+/// The readiness of a descriptor.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Whose it is.
+    /// What the descriptor is used for.
     pub role: Role,
-    /// It can be read (or has failed).
+    /// Whether it can be read or has failed.
     pub read: bool,
-    /// It can be written (or has failed).
+    /// Whether it can be written or has failed.
     pub write: bool,
 }
 
-/// A listener at an address that it keeps while closed.
+/// A registered TCP listener.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
     key: DefaultKey,
 }
 
-/// Descriptors, their owners, and buffers shared by all connections.
+/// The registered descriptors with their roles, and buffers shared by all connections.
 #[derive(Debug)]
 pub struct Net {
     poll: Poll,
     events: Events,
     roles: SlotMap<DefaultKey, Role>,
-    /// Where everything is read into.
+    /// The buffer into which all connections are read.
     pub(super) scratch: Vec<u8>,
     spare: Vec<Vec<u8>>,
-    /// Owners with something left to read, though the system will not say so again.
-    again: Vec<Role>,
-    /// Descriptors, or memory for them, have run out at least once.
-    short: bool,
-    /// Ends a wait to the microsecond; the poll's own limit counts whole milliseconds.
+    /// Roles to report as readable after the next wait although the poll reports no new event.
+    requeued: Vec<Role>,
+    /// Whether descriptors, or memory for them, have run out at least once.
+    had_shortage: bool,
+    /// Ends waits with a resolution below a millisecond, which the poll's timeout does not have.
     timer: OwnedFd,
 }
 
 impl Net {
-    /// An empty table.
+    /// Creates a poll with only its timer registered.
     ///
     /// # Errors
     ///
@@ -106,10 +106,10 @@
             poll: Poll::new()?,
             events: Events::with_capacity(EVENTS),
             roles: SlotMap::new(),
-            scratch: vec![0; READ],
+            scratch: vec![0; READ_BYTES],
             spare: Vec::new(),
-            again: Vec::new(),
-            short: false,
+            requeued: Vec::new(),
+            had_shortage: false,
             timer,
         };
         let fd = net.timer.as_raw_fd();
@@ -133,20 +133,20 @@
 
     pub(super) fn deregister(&mut self, source: &mut dyn Source, key: DefaultKey) {
         self.roles.remove(key);
-        // The descriptor is closed next, which takes it out of the poll whatever is said here.
+        // An error is ignored: the caller closes the descriptor next, which removes it from the poll.
         let _ = self.poll.registry().deregister(source);
     }
 
-    /// Listens at an address; port 0 leaves the port to the system. The address may be one where connections of
-    /// an earlier listener still linger.
+    /// Listens at an address; with port 0, the operating system chooses the port. Connections of an earlier listener at
+    /// the address may still exist.
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be listened on or the socket not be registered.
-    pub fn listen(&mut self, at: SocketAddr, role: Role) -> io::Result<Listener> {
-        let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
+    /// Fails if the address cannot be listened on or the socket cannot be registered.
+    pub fn listen(&mut self, address: SocketAddr, role: Role) -> io::Result<Listener> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(socket.into());
@@ -154,7 +154,7 @@
         Ok(Listener { listener, key })
     }
 
-    /// Has what comes at a socket for datagrams told to its owner.
+    /// Registers a UDP socket for readability.
     ///
     /// # Errors
     ///
@@ -163,33 +163,33 @@
         self.register(socket, Interest::READABLE, role).map(drop)
     }
 
-    /// The next connection that waits at a listener, if one does.
+    /// Accepts the next pending connection of a listener; none if no connection waits or accepting fails.
     pub fn accept(&mut self, listener: &Listener) -> Option<TcpStream> {
         loop {
             match listener.listener.accept() {
                 Ok((stream, _)) => return Some(stream),
-                // The peer gave up while it waited; the next one may be fine.
+                // The peer has closed the connection while it waited; the next one may be open.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    self.short |= is_shortage(&e);
+                    self.had_shortage |= is_shortage(&e);
                     return None;
                 }
             }
         }
     }
 
-    /// Notes an error that shows that descriptors have run out.
+    /// Records whether an error shows that descriptors have run out.
     pub(super) fn note_shortage(&mut self, error: &io::Error) {
-        self.short |= is_shortage(error);
+        self.had_shortage |= is_shortage(error);
     }
 
-    /// Whether descriptors have run out at least once: what came then has been lost, and not by the balancers.
+    /// Whether descriptors have run out at least once. Connections were then lost by the driver, not by the balancers.
     pub fn ran_out_of_descriptors(&self) -> bool {
-        self.short
+        self.had_shortage
     }
 
-    /// Has the end of a process told to its owner.
+    /// Registers the exit descriptor of a process.
     ///
     /// # Errors
     ///
@@ -198,60 +198,60 @@
         self.register(&mut SourceFd(&fd.as_raw_fd()), Interest::READABLE, role)
     }
 
-    /// Ends this.
+    /// Deregisters the exit descriptor of a process.
     pub fn unwatch(&mut self, fd: BorrowedFd<'_>, key: DefaultKey) {
         self.deregister(&mut SourceFd(&fd.as_raw_fd()), key);
     }
 
-    /// Stops to listen: connections that wait to be accepted are reset, new ones refused.
+    /// Closes a listener and returns its address. Connections that wait to be accepted are reset, new ones refused.
     pub fn close_listener(&mut self, mut listener: Listener) -> SocketAddr {
-        let at = listener.address();
+        let address = listener.address();
         self.deregister(&mut listener.listener, listener.key);
-        at
+        address
     }
 
-    /// An empty buffer.
+    /// Returns an empty buffer, a kept one if there is one.
     pub(super) fn take_buffer(&mut self) -> Vec<u8> {
         self.spare.pop().unwrap_or_default()
     }
 
-    /// Takes back a buffer.
+    /// Keeps a buffer for reuse, or frees it.
     pub(super) fn return_buffer(&mut self, mut buffer: Vec<u8>) {
-        if (1..=SPARE_SIZE).contains(&buffer.capacity()) && self.spare.len() < SPARE_BUFFERS {
+        if (1..=MAX_SPARE_CAPACITY).contains(&buffer.capacity()) && self.spare.len() < SPARE_BUFFERS {
             buffer.clear();
             self.spare.push(buffer);
         }
     }
 
-    /// Has an owner called again though its descriptor says nothing new.
+    /// Has a role reported as readable after the next wait although its descriptor has no new event.
     pub(super) fn requeue(&mut self, role: Role) {
-        self.again.push(role);
+        self.requeued.push(role);
     }
 
-    /// Waits for at most so long, and says who is ready.
+    /// Waits for readiness for at most `timeout`, and fills `ready` with what is ready.
     ///
     /// # Errors
     ///
     /// Fails if the timer cannot be set or polling fails.
-    pub fn wait(&mut self, most: Duration, ready: &mut Vec<Ready>) -> io::Result<()> {
+    pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) -> io::Result<()> {
         ready.clear();
-        let most = if self.again.is_empty() { most } else { Duration::ZERO };
-        if !most.is_zero() {
-            let (tv_sec, tv_nsec) = (most.as_secs() as i64, most.subsec_nanos().into());
+        let timeout = if self.requeued.is_empty() { timeout } else { Duration::ZERO };
+        if !timeout.is_zero() {
+            let (tv_sec, tv_nsec) = (timeout.as_secs() as i64, timeout.subsec_nanos().into());
             let once = Itimerspec {
                 it_interval: Timespec { tv_sec: 0, tv_nsec: 0 },
                 it_value: Timespec { tv_sec, tv_nsec },
             };
             timerfd_settime(&self.timer, TimerfdTimerFlags::empty(), &once)?;
         }
-        match self.poll.poll(&mut self.events, Some(most)) {
+        match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             other => other?,
         }
-        ready.extend(self.again.drain(..).map(|role| Ready { role, read: true, write: false }));
+        ready.extend(self.requeued.drain(..).map(|role| Ready { role, read: true, write: false }));
         for event in &self.events {
             let key = DefaultKey::from(KeyData::from_ffi(event.token().0 as u64));
-            // A descriptor that was closed since the event came has no owner any more.
+            // A descriptor that was deregistered after the event has no role.
             let Some(role) = self.roles.get(key).copied().filter(|r| *r != Role::Timer) else { continue };
             let failed = event.is_error() || event.is_read_closed() || event.is_write_closed();
             ready.push(Ready {
@@ -265,32 +265,33 @@
 }
 
 impl Listener {
-    /// Its address with the port.
+    /// The listener's address and port.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("a bound listener has an address")
     }
 
-    /// From now on connections neither come up nor fail, as at a machine that is cut off: the queue of those that
-    /// wait is cut to one and filled, and the system drops what comes beyond. The filling is returned.
+    /// Makes new connections neither succeed nor fail, as at a machine that is cut off from the network: the accept queue
+    /// is shortened to one and filled, so that the operating system drops further connections. Returns the connections
+    /// that fill the queue.
     ///
     /// # Errors
     ///
     /// Fails if a socket call does.
     pub fn stop_accepting(&self) -> io::Result<Vec<std::net::TcpStream>> {
         SockRef::from(&self.listener).listen(0)?;
-        let mut filling = Vec::new();
-        // One is enough where nobody else waits; with the second the queue is full for certain.
+        let mut fillers = Vec::new();
+        // One connection fills an empty queue; the second one makes sure of it.
         for _ in 0..2 {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
             socket.set_nonblocking(true)?;
-            // It comes up or it hangs; either is what is wanted.
+            // Whether it is established or remains pending does not matter.
             let _ = socket.connect(&self.address().into());
-            filling.push(socket.into());
+            fillers.push(socket.into());
         }
-        Ok(filling)
+        Ok(fillers)
     }
 
-    /// Takes connections as before.
+    /// Restores the length of the accept queue.
     ///
     /// # Errors
     ///
@@ -300,7 +301,7 @@
     }
 }
 
-/// Whether an error means that this process, or the system, has no descriptor left.
+/// Whether an error means that the process or the system has run out of descriptors or memory for them.
 fn is_shortage(e: &io::Error) -> bool {
     use rustix::io::Errno;
     [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM]
@@ -308,8 +309,8 @@
         .any(|n| e.raw_os_error() == Some(n.raw_os_error()))
 }
 
-/// Raises this process's own limit of descriptors as far as it may, and returns it: a day holds two for each
-/// connection.
+/// Raises this process's limit of open descriptors to the hard limit, and returns the limit in force: a run needs two
+/// descriptors for each connection.
 pub fn raise_descriptors() -> u64 {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let found = getrlimit(Resource::Nofile);
--- a/crates/emulator/src/sockets/process.rs
+++ b/crates/emulator/src/sockets/process.rs
@@ -1,9 +1,8 @@
-//! One balancer's process: started with the platform's environment and limits, signalled, watched, and never left
-//! behind.
+//! A balancer's process: started with the platform's environment and limits, signalled, sampled, and killed when dropped.
 //!
-//! What an ordinary user can limit is limited: descriptors, and memory by the size of what the process may write
-//! to (`ulimit -d`) as well as by its resident size, which is looked at now and then. The share of a core is only
-//! measured, the file system is not closed, and UDP and the rest of loopback stay open to it.
+//! Limits are those that an unprivileged user can set: the number of descriptors, and memory by the size of the data
+//! segment (`ulimit -d`) and by the resident size, which is sampled. CPU time is only measured; access to the file
+//! system, UDP and other loopback addresses is not restricted.
 
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
@@ -18,55 +17,55 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a balancer could not be started or told something.
+/// Why a balancer could not be started or configured.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A file of its could not be written.
+    /// One of its files or folders could not be written.
     #[error("{0}: {1}")]
     File(PathBuf, io::Error),
-    /// The program does not start.
-    #[error("{0} does not start: {1}")]
+    /// The program could not be started.
+    #[error("{0} cannot be started: {1}")]
     Start(PathBuf, io::Error),
-    /// There is no port for it.
-    #[error("no port at {0}: {1}")]
+    /// No port could be reserved at its address.
+    #[error("no port can be reserved at {0}: {1}")]
     Address(SocketAddr, io::Error),
-    /// Its end cannot be watched.
-    #[error("the process {0} cannot be watched: {1}")]
+    /// The exit of its process cannot be watched.
+    #[error("cannot watch for the exit of process {0}: {1}")]
     Watch(u32, io::Error),
 }
 
-/// The program that is tested, and what it is started with.
+/// The balancer program under test, with its arguments and limits.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The file.
+    /// The path of the executable.
     pub path: PathBuf,
-    /// Its arguments.
+    /// The arguments of all processes.
     pub args: Vec<OsString>,
-    /// Limits of each process.
+    /// The limits of each process.
     pub limits: ProcessLimits,
 }
 
 /// Limits of one process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// File descriptors.
+    /// The largest number of file descriptors.
     pub sockets: u32,
-    /// Memory, MB.
+    /// The memory limit in MB.
     pub memory_mb: f64,
 }
 
-/// What a balancer's process has used in its life.
+/// The resources that a balancer's process has used since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Usage {
-    /// Time on a core, milliseconds.
+    /// CPU time in milliseconds.
     pub cpu_ms: f64,
-    /// The most memory it has held (resident), MB.
+    /// The peak of its resident memory in MB.
     pub memory_mb: f64,
-    /// The most descriptors that it was seen to hold.
+    /// The largest number of open descriptors of all samples.
     pub descriptors: usize,
 }
 
-/// Where one balancer's files are: its configuration and its log, kept across restarts.
+/// The paths of one balancer's configuration and log, which are kept across restarts.
 #[derive(Clone, Debug)]
 pub struct ProcessFiles {
     folder: PathBuf,
@@ -74,15 +73,15 @@
 }
 
 impl ProcessFiles {
-    /// A place for this balancer's files; the folder is made.
+    /// Returns the paths of a balancer's files in `folder`, and creates its folder for temporary files.
     ///
     /// # Errors
     ///
-    /// Fails if the files cannot be created.
+    /// Fails if the folder cannot be created.
     pub fn new(folder: &Path, name: &str) -> Result<Self, ProcessError> {
-        let desk = ProcessFiles { folder: folder.to_owned(), name: name.to_owned() };
-        fs::create_dir_all(desk.scratch()).map_err(|e| ProcessError::File(desk.scratch(), e))?;
-        Ok(desk)
+        let files = ProcessFiles { folder: folder.to_owned(), name: name.to_owned() };
+        fs::create_dir_all(files.temp_dir()).map_err(|e| ProcessError::File(files.temp_dir(), e))?;
+        Ok(files)
     }
 
     /// The balancer's name.
@@ -90,21 +89,21 @@
         &self.name
     }
 
-    fn scratch(&self) -> PathBuf {
+    fn temp_dir(&self) -> PathBuf {
         self.folder.join(format!("{}.tmp", self.name))
     }
 
-    /// The configuration file.
+    /// The path of the configuration file.
     pub fn config(&self) -> PathBuf {
         self.folder.join(format!("{}.json", self.name))
     }
 
-    /// What it has written to its standard output and error.
+    /// The path of the log: the process's standard output and error.
     pub fn log(&self) -> PathBuf {
         self.folder.join(format!("{}.log", self.name))
     }
 
-    /// The last lines of the log, for messages.
+    /// The last lines of the log, for error messages.
     pub fn log_tail(&self, lines: usize) -> String {
         let text = fs::read(self.log()).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
@@ -112,12 +111,12 @@
         all[all.len().saturating_sub(lines)..].join("\n")
     }
 
-    /// Puts a configuration in the file's place, whole at any time.
+    /// Replaces the configuration file atomically.
     ///
     /// # Errors
     ///
     /// Fails if the file cannot be written.
-    pub fn configure(&self, config: &Value) -> Result<(), ProcessError> {
+    pub fn write_config(&self, config: &Value) -> Result<(), ProcessError> {
         let next = self.folder.join(format!("{}.next", self.name));
         let write = || {
             fs::write(&next, serde_json::to_vec_pretty(config)?)?;
@@ -132,33 +131,33 @@
 pub struct Process {
     child: Child,
     pid: Pid,
-    end: OwnedFd,
-    memory: f64,
+    exit_fd: OwnedFd,
+    memory_limit_mb: f64,
     usage: Usage,
 }
 
 impl Process {
-    /// Starts the program as this balancer.
+    /// Starts the program as the balancer with these files.
     ///
     /// # Errors
     ///
     /// Fails if its log cannot be opened, or the process cannot be started or watched.
     pub fn start(
         program: &Program,
-        desk: &ProcessFiles,
+        files: &ProcessFiles,
         listen: SocketAddr,
         discovery: SocketAddr,
     ) -> Result<Self, ProcessError> {
         let log = |path: PathBuf| -> Result<File, ProcessError> {
             OpenOptions::new().create(true).append(true).open(&path).map_err(|e| ProcessError::File(path, e))
         };
-        // The shell would say only in the log that there is no such file.
+        // Without this check, the shell would report a missing file only in the log.
         let path =
             fs::canonicalize(&program.path).map_err(|e| ProcessError::Start(program.path.clone(), e))?;
-        let (out, limits) = (log(desk.log())?, program.limits);
-        let err = out.try_clone().map_err(|e| ProcessError::File(desk.log(), e))?;
-        // The shell is replaced by the program, so that signals reach the program itself.
-        // Where the system has the means, it dies with whoever started it, even if that one is killed.
+        let (out, limits) = (log(files.log())?, program.limits);
+        let err = out.try_clone().map_err(|e| ProcessError::File(files.log(), e))?;
+        // The shell replaces itself with the program, so that signals reach the program itself. Where `setpriv` is
+        // installed, the kernel kills the program when the driver exits, even if the driver is killed.
         let script = r#"ulimit -n "$0" && ulimit -d "$1" && shift || exit
             command -v setpriv >/dev/null && exec setpriv --pdeathsig KILL "$@"
             exec "$@""#;
@@ -166,17 +165,23 @@
         command.arg("-c").arg(script);
         command.arg(limits.sockets.to_string()).arg(((limits.memory_mb * 1024.0) as u64).to_string());
         command.arg(&path).args(&program.args);
-        command.env("ROUTER_NAME", &desk.name).env("ROUTER_LISTEN", listen.to_string());
-        command.env("ROUTER_DISCOVERY", discovery.to_string()).env("ROUTER_CONFIG", desk.config());
-        command.env("TMPDIR", desk.scratch());
+        command.env("ROUTER_NAME", &files.name).env("ROUTER_LISTEN", listen.to_string());
+        command.env("ROUTER_DISCOVERY", discovery.to_string()).env("ROUTER_CONFIG", files.config());
+        command.env("TMPDIR", files.temp_dir());
         command.stdin(Stdio::null()).stdout(out).stderr(err);
         let child = command.spawn().map_err(|e| ProcessError::Start(program.path.clone(), e))?;
         let pid = Pid::from_child(&child);
         match pidfd_open(pid, PidfdFlags::NONBLOCK) {
-            Ok(end) => Ok(Process { child, pid, end, memory: limits.memory_mb, usage: Usage::default() }),
+            Ok(exit_fd) => Ok(Process {
+                child,
+                pid,
+                exit_fd,
+                memory_limit_mb: limits.memory_mb,
+                usage: Usage::default(),
+            }),
             Err(e) => {
                 let mut child = child;
-                // Nothing else can be done about it here than what is reported.
+                // Errors are ignored: the error that is returned is their cause.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(ProcessError::Watch(child.id(), e.into()))
@@ -184,73 +189,73 @@
         }
     }
 
-    /// Can be read once the process has ended.
-    pub fn end(&self) -> &OwnedFd {
-        &self.end
+    /// A descriptor that becomes readable when the process exits.
+    pub fn exit_fd(&self) -> &OwnedFd {
+        &self.exit_fd
     }
 
-    /// Its number in the system.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
     fn signal(&self, signal: Signal) {
-        // The number is the child's until it has been waited for; one that has ended already needs no signal.
+        // The id stays the child's until it is waited for. An error is ignored: the process has exited already.
         let _ = kill_process(self.pid, signal);
     }
 
-    /// SIGTERM: a planned end begins.
+    /// Sends SIGTERM, which requests a planned exit.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL.
     pub fn kill(&self) {
         self.signal(Signal::KILL);
     }
 
-    /// SIGHUP: it reads its configuration again.
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP, which makes the balancer reload its configuration.
+    pub fn send_hangup(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// SIGSTOP: it stands still, and knows nothing of it.
+    /// Sends SIGSTOP, which suspends the process without its noticing.
     pub fn stop(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// SIGCONT: it goes on.
-    pub fn go_on(&self) {
+    /// Sends SIGCONT, which resumes a suspended process.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// How it ended, once it has.
-    pub fn exited(&mut self) -> Option<ExitStatus> {
+    /// The exit status; none while the process runs.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Looks at what it uses; true if that is more memory than it may have.
-    pub fn look(&mut self) -> bool {
+    /// Samples the process's usage; returns whether its resident memory exceeds the limit.
+    pub fn sample_usage(&mut self) -> bool {
         let file = |name: &str| fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).ok();
         let field = |text: &str, key: &str| -> Option<f64> {
             let line = text.lines().find_map(|l| l.strip_prefix(key))?;
             line.split_whitespace().next()?.parse().ok()
         };
-        // A process that has just ended has none of these files: what was seen last stands.
+        // A process that has just exited no longer has these files; the last sample is kept.
         let Some(status) = file("status") else { return false };
         let resident = field(&status, "VmRSS:").unwrap_or(0.0) / 1024.0;
-        let most = field(&status, "VmHWM:").unwrap_or(0.0) / 1024.0;
-        self.usage.memory_mb = self.usage.memory_mb.max(most);
+        let peak = field(&status, "VmHWM:").unwrap_or(0.0) / 1024.0;
+        self.usage.memory_mb = self.usage.memory_mb.max(peak);
         if let Some(ns) = file("schedstat").and_then(|t| t.split(' ').next()?.parse::<f64>().ok()) {
             self.usage.cpu_ms = ns / 1e6;
         }
         if let Ok(entries) = fs::read_dir(format!("/proc/{}/fd", self.child.id())) {
             self.usage.descriptors = self.usage.descriptors.max(entries.count());
         }
-        resident > self.memory
+        resident > self.memory_limit_mb
     }
 
-    /// What it used when it was looked at last.
+    /// The usage at the last sample.
     pub fn usage(&self) -> Usage {
         self.usage
     }
@@ -258,7 +263,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended already can't be killed, and is waited for all the same.
+        // Killing fails if the process has exited already; it must be waited for in any case.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -161,10 +161,10 @@
     if let Some(operator) = &options.together {
         let ends = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
         let opened = DatagramProxy::open(&mut net, addresses, ends, day.seed)?;
-        fleet.start_with(vec!["--operator".into(), opened.write_operator_file(&folder.0, operator)?.into()]);
+        fleet.set_args(vec!["--operator".into(), opened.write_operator_file(&folder.0, operator)?.into()]);
         notes = Some(opened);
     }
-    fleet.start_each_with(&options.own_args);
+    fleet.set_balancer_args(&options.own_args);
     let mut driver = Driver {
         harness,
         day,
@@ -211,8 +211,8 @@
         let limit = self.clock.now() + READY_TIMEOUT;
         while let Some(who) = first.iter().find(|w| !self.fleet.is_ready(**w)) {
             if self.clock.now() > limit || self.fleet.pid(*who).is_none() {
-                let desk = self.fleet.files(*who);
-                return Err(RunError::NotReady(desk.name().to_owned(), desk.log_tail(5)));
+                let files = self.fleet.files(*who);
+                return Err(RunError::NotReady(files.name().to_owned(), files.log_tail(5)));
             }
             self.run_iteration()?;
         }
@@ -278,14 +278,14 @@
             None
         };
         let mut strange = self.discovery.invalid_requests;
-        strange.append(&mut self.fleet.faults);
+        strange.append(&mut self.fleet.violations);
         Report {
             void,
             late: self.lateness,
             handled: self.handling_time,
             clients: self.clients.statistics,
             bad: self.misbehaving_clients.report(),
-            lives: self.fleet.lives,
+            lives: self.fleet.incarnations,
             syntax: self.malformed_first_lines,
             early: self.nodes.early,
             strange,
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -3,7 +3,7 @@
 use super::{Driver, RunError};
 use crate::edge::{BalancerId, End, RequestLine, ToBalancer};
 use crate::sockets::directory::Directory;
-use crate::sockets::fleet::Start;
+use crate::sockets::fleet::StartConfig;
 use crate::sockets::harness::Harness;
 use serde_json::Value;
 use shorewharf_units::Micros;
@@ -52,7 +52,7 @@
                     .map_err(|e| RunError::Settings(Directory::balancer(who), e))?;
                 let known = self.directory.endpoint_list(who, index, true, known);
                 let discovery = self.discovery.address(who);
-                self.fleet.start(net, now, who, &Start { seed, known, settings, discovery })?;
+                self.fleet.start(net, now, who, &StartConfig { seed, known, settings, discovery })?;
             }
             ToBalancer::Kill => self.fleet.kill(who),
             ToBalancer::Terminate => self.fleet.terminate(who),
--- a/crates/emulator/src/sockets/run/faults.rs
+++ b/crates/emulator/src/sockets/run/faults.rs
@@ -14,7 +14,7 @@
             let b = self.network_faults.get(edge.index).clone();
             match b.what {
                 NetworkFaultKind::Stall => {
-                    b.balancers.iter().for_each(|who| self.fleet.stall(*who, edge.begins));
+                    b.balancers.iter().for_each(|who| self.fleet.set_stopped(*who, edge.begins));
                 }
                 NetworkFaultKind::NewsLost if !edge.begins => {
                     let is_deaf = |who| self.network_faults.is_list_blocked(now, who);
