--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -1,8 +1,8 @@
-//! The nodes' side: a listener of each node for each balancer, and the links on them.
+//! The nodes' listeners, one for each node and balancer, and the links that balancers open to them.
 //!
-//! The world decides what a node does; this module hears first lines and probes for it, says its words, and returns
-//! clients' lines. A dead process refuses, a machine that is cut off lets nothing come up and reads nothing, a hung
-//! process takes everything in and says nothing.
+//! The world decides what a node does; this module reports first lines and probes to it, sends its messages, and returns
+//! clients' lines. A node whose process is dead refuses connections; one whose machine is cut off neither establishes
+//! connections nor reads; one whose process hangs accepts and reads everything, but sends nothing.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,20 +20,21 @@
     BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, Reachability, ToBalancer,
 };
 
-/// Lines of one connection that a hung node owes. No client sends so many before it is moved or gives up.
+/// The largest number of bytes of a connection that a hung node keeps to return later. Clients are migrated or give up
+/// before they have sent as many.
 const MAX_UNSENT_REPLY_BYTES: usize = 64 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Its first line has not come.
+    /// The first line has not been received.
     FirstLine,
-    /// It carries probes.
+    /// The link carries probes.
     Probes,
-    /// It has asked for a client.
+    /// A request has been received; the node has not answered it.
     AwaitingAnswer,
-    /// It stands.
+    /// The node has accepted the request.
     Established,
-    /// The node has ended it.
+    /// The node has closed the link, or rejected its first line.
     Over,
 }
 
@@ -44,44 +45,46 @@
     node: NodeId,
     conn: Option<ConnId>,
     stage: Stage,
+    /// Returned lines that a hung node has not sent.
     unsent_replies: Vec<u8>,
-    /// Messages of the node that the link's fault has blocked.
+    /// Messages of the node that a fault of the link blocks.
     withheld: Vec<ToBalancer>,
 }
 
 #[derive(Debug)]
 struct NodeEndpoint {
+    /// How the node's machine responds.
     node_reachability: Reachability,
-    /// What the links to the balancers let through.
+    /// How the network faults affect the links to each balancer.
     link_reachability: Vec<Reachability>,
-    /// By balancer; none while refused.
+    /// The listeners by balancer; none while connections are refused.
     listeners: Vec<Option<Listener>>,
     addresses: Vec<SocketAddr>,
-    /// What keeps the queues full while silent, by balancer.
-    filling: Vec<Vec<TcpStream>>,
+    /// The connections that keep the accept queue full while the node is silent, by balancer.
+    fillers: Vec<Vec<TcpStream>>,
 }
 
 impl NodeEndpoint {
-    /// How a balancer's connections meet the node now.
+    /// How the node responds to a balancer's connections now.
     fn reachability(&self, balancer: BalancerId) -> Reachability {
         worse(self.node_reachability, self.link_reachability[balancer.0 as usize])
     }
 }
 
-/// The nodes.
+/// All nodes.
 #[derive(Debug)]
 pub struct Nodes {
     endpoints: Vec<NodeEndpoint>,
     links: BTreeMap<LinkId, Link>,
-    next: u64,
-    /// The day has not begun: the node accepts everything at once, without the harness.
+    next_id: u64,
+    /// Before the day begins, nodes accept every request at once, without the harness.
     is_before_day: bool,
-    /// Lines that came before their connection stood.
-    pub early: u64,
+    /// The number of lines received before the node had accepted their connection.
+    pub early_lines: u64,
 }
 
 impl Nodes {
-    /// Listens for all nodes and balancers.
+    /// Listens for each node and balancer.
     ///
     /// # Errors
     ///
@@ -95,21 +98,21 @@
                     net.listen(addresses.node(balancer, node), Role::NodeListener(balancer, node))?,
                 ));
             }
-            let at = listeners.iter().flatten().map(Listener::address).collect();
-            let filling = listeners.iter().map(|_| Vec::new()).collect();
-            let links = vec![Reachability::Open; listeners.len()];
+            let node_addresses = listeners.iter().flatten().map(Listener::address).collect();
+            let fillers = listeners.iter().map(|_| Vec::new()).collect();
+            let link_reachability = vec![Reachability::Open; listeners.len()];
             endpoints.push(NodeEndpoint {
                 node_reachability: Reachability::Open,
-                link_reachability: links,
+                link_reachability,
                 listeners,
-                addresses: at,
-                filling,
+                addresses: node_addresses,
+                fillers,
             });
         }
-        Ok(Nodes { endpoints, links: BTreeMap::new(), next: 1, is_before_day: true, early: 0 })
+        Ok(Nodes { endpoints, links: BTreeMap::new(), next_id: 1, is_before_day: true, early_lines: 0 })
     }
 
-    /// Where each balancer reaches each node.
+    /// The nodes' addresses by balancer and node.
     pub fn addresses(&self, balancers: u32) -> Vec<Vec<SocketAddr>> {
         (0..balancers as usize)
             .map(|balancer| self.endpoints.iter().map(|s| s.addresses[balancer]).collect())
@@ -121,17 +124,17 @@
         self.is_before_day = false;
     }
 
-    /// Connections that are open, first lines or not.
+    /// The number of open links, with or without a first line.
     pub fn open_links(&self) -> usize {
         self.links.len()
     }
 
-    /// The node and connection of a link.
+    /// The node of a link, and its client connection if it has one.
     pub fn node_and_conn(&self, link: LinkId) -> Option<(NodeId, Option<ConnId>)> {
         self.links.get(&link).map(|l| (l.node, l.conn))
     }
 
-    /// Sets how a node's machine answers connections from now on.
+    /// Sets how a node's machine responds to connections from now on.
     ///
     /// # Errors
     ///
@@ -157,8 +160,8 @@
         Ok(())
     }
 
-    /// The links between a node and a balancer let through so much from now on. What the node has said meanwhile and
-    /// now arrives is appended.
+    /// Sets how network faults affect the links between a node and a balancer. If the links are no longer blocked, the
+    /// messages that were withheld are appended to `arrives`.
     ///
     /// # Errors
     ///
@@ -176,8 +179,8 @@
         endpoint.link_reachability[balancer.0 as usize] = reachability;
         self.apply_reachability(net, node, balancer, before, observations)?;
         if !self.is_blocked(node, balancer) {
-            let of = self.links.values_mut().filter(|l| (l.node, l.balancer) == (node, balancer));
-            arrives.extend(of.flat_map(|l| l.withheld.drain(..)).map(|what| (balancer, what)));
+            let links = self.links.values_mut().filter(|l| (l.node, l.balancer) == (node, balancer));
+            arrives.extend(links.flat_map(|l| l.withheld.drain(..)).map(|what| (balancer, what)));
         }
         Ok(())
     }
@@ -189,7 +192,7 @@
         )
     }
 
-    /// Takes what a node says on a link if the link lets nothing through.
+    /// Withholds a node's message if a fault blocks its link; returns whether it did.
     pub fn withhold(&mut self, id: LinkId, what: &ToBalancer) -> bool {
         let Some((node, balancer)) = self.links.get(&id).map(|l| (l.node, l.balancer)) else { return false };
         if !self.is_blocked(node, balancer) {
@@ -201,13 +204,16 @@
 
     /// Resets all links between a node and a balancer, and returns their ids.
     pub fn reset(&mut self, net: &mut Net, node: NodeId, balancer: BalancerId) -> Vec<LinkId> {
-        let of =
-            self.links.iter().filter(|(_, l)| (l.node, l.balancer) == (node, balancer)).map(|(id, _)| *id);
-        let ids: Vec<LinkId> = of.collect();
+        let ids = self.links_between(node, balancer);
         ids.iter().for_each(|id| self.remove(net, *id, End::Reset));
         ids
     }
 
+    fn links_between(&self, node: NodeId, balancer: BalancerId) -> Vec<LinkId> {
+        let links = self.links.iter().filter(|(_, l)| (l.node, l.balancer) == (node, balancer));
+        links.map(|(id, _)| *id).collect()
+    }
+
     /// Applies a change of reachability between a node and a balancer.
     fn apply_reachability(
         &mut self,
@@ -223,7 +229,7 @@
             return Ok(());
         }
         if before == Reachability::Silent {
-            endpoint.filling[at].clear();
+            endpoint.fillers[at].clear();
             endpoint.listeners[at].iter().try_for_each(Listener::resume_accepting)?;
         }
         match reachability {
@@ -232,7 +238,7 @@
             }),
             Reachability::Silent => {
                 if let Some(listener) = &endpoint.listeners[at] {
-                    endpoint.filling[at] = listener.stop_accepting()?;
+                    endpoint.fillers[at] = listener.stop_accepting()?;
                 }
             }
             Reachability::Open | Reachability::Mute => {
@@ -242,11 +248,8 @@
                 }
             }
         }
-        let of =
-            self.links.iter().filter(|(_, l)| (l.node, l.balancer) == (node, balancer)).map(|(id, _)| *id);
-        let of: Vec<LinkId> = of.collect();
-        for id in of {
-            // Who has said nothing is unknown to the world, which ends all others of a dead process.
+        for id in self.links_between(node, balancer) {
+            // The world closes the links of a dead process, except those without a first line, which it does not know.
             if reachability == Reachability::Refused && self.links[&id].stage == Stage::FirstLine {
                 self.remove(net, id, End::Reset);
             } else if before == Reachability::Silent {
@@ -259,12 +262,12 @@
         Ok(())
     }
 
-    /// Sends the replies that a stalled node has not sent.
+    /// Sends the returned lines that a hung node has not sent.
     fn send_withheld_replies(&mut self, net: &mut Net, id: LinkId, observations: &mut Observations) {
         if let Some(link) = self.links.get_mut(&id).filter(|l| !l.unsent_replies.is_empty()) {
-            let owed = std::mem::take(&mut link.unsent_replies);
-            link.connection.send(net, &owed);
-            let lines = owed.windows(2).filter(|w| w == b"\r\n").count();
+            let replies = std::mem::take(&mut link.unsent_replies);
+            link.connection.send(net, &replies);
+            let lines = replies.windows(2).filter(|w| w == b"\r\n").count();
             observations
                 .extend((0..lines).map(|_| (link.balancer, ConnectionObservation::LineReturned(id).into())));
         }
@@ -283,16 +286,16 @@
         if endpoint.reachability(balancer) == Reachability::Silent {
             return;
         }
-        let mut came = Vec::new();
+        let mut accepted = Vec::new();
         while let Some(stream) =
             endpoint.listeners[balancer.0 as usize].as_ref().and_then(|listener| net.accept(listener))
         {
-            came.push(stream);
+            accepted.push(stream);
         }
-        for stream in came {
-            let id = LinkId(self.next);
-            self.next += 1;
-            // One that broke while it waited is no link.
+        for stream in accepted {
+            let id = LinkId(self.next_id);
+            self.next_id += 1;
+            // A connection that was broken while it waited to be accepted is ignored.
             let Ok(connection) = net.adopt(stream, Role::Link(id)) else { continue };
             let stage = Stage::FirstLine;
             self.links.insert(
@@ -342,7 +345,7 @@
                                 .push((balancer, FromBalancer::Link { link: id, node, conn: None }.into()));
                             observations.push((balancer, FromBalancer::Probe(id).into()));
                         } else if reachability == Reachability::Open {
-                            // The world knows one probe a link; further ones are answered here.
+                            // The world models one probe per link; further ones are answered here.
                             link.connection.send(net, Message::Pong.to_string().as_bytes());
                         }
                         link.stage = Stage::Probes;
@@ -395,11 +398,11 @@
                             }
                         }
                     }
-                    (Stage::AwaitingAnswer | Stage::Probes, _) => self.early += 1,
+                    (Stage::AwaitingAnswer | Stage::Probes, _) => self.early_lines += 1,
                     (Stage::Over, _) => {}
                 },
                 Ok(None) => break,
-                // No client sends such a line, so no balancer may.
+                // Well-behaved clients send no line of this length, so the balancer must not forward one.
                 Err(_) => {
                     observations.push((link.balancer, FromBalancer::Syntax(link.node).into()));
                     return self.remove(net, id, End::Reset);
@@ -434,7 +437,7 @@
             (NodeMessage::Move, _) => Message::Migrate.to_string(),
             (NodeMessage::Bye, _) => Message::Completed.to_string(),
             (NodeMessage::Load(x) | NodeMessage::Delay(x), _) => Message::LoadReport(Some(x)).to_string(),
-            // Clients' lines are returned as they come.
+            // Clients' lines are returned when they are received.
             (NodeMessage::Reply, _) => return,
             (NodeMessage::Junk, _) => "7f3a HUH 0\r\n".to_owned(),
         };
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -287,7 +287,7 @@
             bad: self.misbehaving_clients.report(),
             lives: self.fleet.incarnations,
             syntax: self.malformed_first_lines,
-            early: self.nodes.early,
+            early: self.nodes.early_lines,
             strange,
             missed: self.prelude.missed,
             notes: self.datagram_proxy.map(|n| n.statistics).unwrap_or_default(),
