--- a/crates/balancer/tests/budgets/fleet.rs
+++ b/crates/balancer/tests/budgets/fleet.rs
@@ -91,7 +91,7 @@
 /// The balancers of a fleet, with their servers, store and clients.
 pub struct Fleet {
     pub observed: Observed,
-    pub programs: Vec<Option<Program>>,
+    pub programs: Vec<Option<BalancerProcess>>,
     store: Vec<Member>,
     pub cluster: Cluster,
     folder: tempfile::TempDir,
@@ -109,7 +109,7 @@
         let observed = Observed::default();
         let servers = (0..SERVERS)
             .map(|_| {
-                let listener = TcpListener::bind((loopback(0), 0)).expect("a port");
+                let listener = TcpListener::bind((loopback_address(0), 0)).expect("a port");
                 let (address, observed) = (listener.local_addr().expect("bound"), observed.clone());
                 thread::spawn(move || {
                     for stream in listener.incoming().flatten() {
@@ -142,7 +142,7 @@
     }
 
     /// Starts a process of the balancer with this index.
-    pub fn start(&self, index: usize) -> Program {
+    pub fn start(&self, index: usize) -> BalancerProcess {
         let named = |(i, address): (usize, &SocketAddr)| (format!("s-{i}"), *address);
         let servers: Vec<(String, SocketAddr)> = self.servers.iter().enumerate().map(named).collect();
         let servers: Vec<(&str, SocketAddr)> =
@@ -160,10 +160,10 @@
             members.display().to_string(),
             self.budget_settings
         );
-        Program::start_with(BINARY, &settings, &operator)
+        BalancerProcess::start_with_operator(BINARY, &settings, &operator)
     }
 
-    pub fn program(&self, index: usize) -> &Program {
+    pub fn program(&self, index: usize) -> &BalancerProcess {
         self.programs[index].as_ref().expect("the balancer is running")
     }
 
@@ -178,7 +178,7 @@
 
     /// Sends a signal to a process, such as `-STOP` or `-CONT`.
     pub fn signal(&self, index: usize, signal: &str) {
-        let pid = self.program(index).id().to_string();
+        let pid = self.program(index).pid().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
     }
 
