--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -122,11 +122,12 @@
             self.statistics.bytes += n as u64;
             let delivery = faults.datagram_delivery(time, BalancerId(from), to);
             self.statistics.broken += u64::from(delivery != Delivery::default());
-            if delivery.lost {
+            if delivery.is_dropped {
                 continue;
             }
-            for _ in 0..1 + u32::from(delivery.doubled) {
-                let delay = if delivery.late > 0 { self.rng.random_range(0..=delivery.late) } else { 0 };
+            for _ in 0..1 + u32::from(delivery.is_duplicated) {
+                let delay =
+                    if delivery.max_delay > 0 { self.rng.random_range(0..=delivery.max_delay) } else { 0 };
                 if delay > 0 {
                     self.delayed_count += 1;
                     self.delayed
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -15,7 +15,7 @@
 use super::harness::{ConnectionObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Listener, Net, Ready, Role};
-use super::network_faults::worse;
+use super::network_faults::most_restrictive;
 use crate::edge::{
     BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, Reachability, ToBalancer,
 };
@@ -67,7 +67,7 @@
 impl NodeEndpoint {
     /// How the node responds to a balancer's connections now.
     fn reachability(&self, balancer: BalancerId) -> Reachability {
-        worse(self.node_reachability, self.link_reachability[balancer.0 as usize])
+        most_restrictive(self.node_reachability, self.link_reachability[balancer.0 as usize])
     }
 }
 
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -485,7 +485,7 @@
     }
 }
 
-/// All balancer and node pairs that a fault concerns.
-fn pairs(b: &NetworkFault) -> impl Iterator<Item = (BalancerId, NodeId)> {
-    b.balancers.iter().flat_map(|who| b.nodes.iter().map(|node| (*who, *node)))
+/// All pairs of a balancer and a node that a fault affects.
+fn affected_pairs(fault: &NetworkFault) -> impl Iterator<Item = (BalancerId, NodeId)> {
+    fault.balancers.iter().flat_map(|who| fault.nodes.iter().map(|node| (*who, *node)))
 }
--- a/crates/emulator/src/sockets/run/faults.rs
+++ b/crates/emulator/src/sockets/run/faults.rs
@@ -1,6 +1,6 @@
-//! Network faults during a run: which begin and end, and what they withhold.
+//! Applies network faults during a run: begins and ends them, and withholds the commands that they block or delay.
 
-use super::{Driver, RunError, pairs};
+use super::{Driver, RunError, affected_pairs};
 use crate::edge::{BalancerId, ToBalancer};
 use crate::sockets::harness::Harness;
 use crate::sockets::network_faults::NetworkFaultKind;
@@ -10,37 +10,41 @@
     pub(super) fn apply_network_faults(&mut self) -> Result<(), RunError> {
         let now = self.harness_time;
         let mut arrives = Vec::new();
-        while let Some(edge) = self.network_faults.next_transition(now) {
-            let b = self.network_faults.get(edge.index).clone();
-            match b.what {
-                NetworkFaultKind::Stall => {
-                    b.balancers.iter().for_each(|who| self.fleet.set_stopped(*who, edge.begins));
+        while let Some(transition) = self.network_faults.next_transition(now) {
+            let fault = self.network_faults.get(transition.index).clone();
+            match fault.kind {
+                NetworkFaultKind::ProcessStopped => {
+                    let is_stopped = transition.begins;
+                    fault.balancers.iter().for_each(|who| self.fleet.set_stopped(*who, is_stopped));
                 }
-                NetworkFaultKind::NewsLost if !edge.begins => {
-                    let is_deaf = |who| self.network_faults.is_list_blocked(now, who);
-                    let (still, heard) = self.lost_list_events.drain(..).partition(|(who, _)| is_deaf(*who));
-                    self.lost_list_events = still;
-                    arrives.extend::<Vec<_>>(heard);
+                NetworkFaultKind::EndpointListLost if !transition.begins => {
+                    let is_blocked = |who| self.network_faults.is_list_blocked(now, who);
+                    let (blocked, unblocked) =
+                        self.lost_list_events.drain(..).partition(|(who, _)| is_blocked(*who));
+                    self.lost_list_events = blocked;
+                    arrives.extend::<Vec<_>>(unblocked);
                 }
-                NetworkFaultKind::NewsLost | NetworkFaultKind::Slow(_) => {}
-                NetworkFaultKind::NotesLost
-                | NetworkFaultKind::NotesDoubled
-                | NetworkFaultKind::NotesLate(_) => {}
-                NetworkFaultKind::Reset if edge.begins => {
-                    for (who, node) in pairs(&b) {
+                NetworkFaultKind::EndpointListLost | NetworkFaultKind::AnswersDelayed(_) => {}
+                NetworkFaultKind::GossipLost
+                | NetworkFaultKind::GossipDuplicated
+                | NetworkFaultKind::GossipDelayed(_) => {}
+                NetworkFaultKind::ConnectionsReset if transition.begins => {
+                    for (who, node) in affected_pairs(&fault) {
                         for link in self.nodes.reset(&mut self.net, node, who) {
                             self.harness.on_link_reset(now, who, link, &mut self.commands);
                         }
                     }
                 }
-                NetworkFaultKind::Reset => {}
-                NetworkFaultKind::Refused | NetworkFaultKind::Silent | NetworkFaultKind::AnswersLost => {
-                    for (who, node) in pairs(&b) {
-                        let reach = self.network_faults.reachability(now, who, node);
+                NetworkFaultKind::ConnectionsReset => {}
+                NetworkFaultKind::ConnectionsRefused
+                | NetworkFaultKind::HalfOpen
+                | NetworkFaultKind::AnswersLost => {
+                    for (who, node) in affected_pairs(&fault) {
+                        let reachability = self.network_faults.reachability(now, who, node);
                         self.nodes.set_link_reachability(
                             &mut self.net,
                             (node, who),
-                            reach,
+                            reachability,
                             &mut self.observations,
                             &mut arrives,
                         )?;
@@ -53,7 +57,7 @@
             arrives.push(arrived);
         }
         for (who, what) in arrives {
-            // A balancer that has closed its watch meanwhile gets the change with the answer to its next call.
+            // A balancer that has closed its watch in the meantime receives the change with the answer to its next call.
             if matches!(what, ToBalancer::List { .. }) && !self.discovery.is_watched(who) {
                 self.apply_command(who, &what)?;
                 self.pending_list_events.push((who, what));
@@ -84,7 +88,7 @@
                 true
             }
             ToBalancer::Kill => {
-                // Nobody is left to receive it.
+                // The balancer can no longer receive the events.
                 self.lost_list_events.retain(|(to, _)| *to != who);
                 self.pending_list_events.retain(|(to, _)| *to != who);
                 false
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -54,16 +54,16 @@
     pub(crate) fn network_fault(&self) -> Option<NetworkFaultKind> {
         let delay = micros_from_seconds(self.delay_ms.unwrap_or(0.0) / MILLISECONDS_PER_SECOND);
         Some(match self.kind {
-            FaultKind::ConnectionsRefused => NetworkFaultKind::Refused,
-            FaultKind::HalfOpen => NetworkFaultKind::Silent,
+            FaultKind::ConnectionsRefused => NetworkFaultKind::ConnectionsRefused,
+            FaultKind::HalfOpen => NetworkFaultKind::HalfOpen,
             FaultKind::AnswersLost => NetworkFaultKind::AnswersLost,
-            FaultKind::ConnectionsReset => NetworkFaultKind::Reset,
-            FaultKind::AnswersDelayed => NetworkFaultKind::Slow(delay),
-            FaultKind::EndpointListLost => NetworkFaultKind::NewsLost,
-            FaultKind::GossipLost => NetworkFaultKind::NotesLost,
-            FaultKind::GossipDuplicated => NetworkFaultKind::NotesDoubled,
-            FaultKind::GossipDelayed => NetworkFaultKind::NotesLate(delay),
-            FaultKind::ProcessStopped => NetworkFaultKind::Stall,
+            FaultKind::ConnectionsReset => NetworkFaultKind::ConnectionsReset,
+            FaultKind::AnswersDelayed => NetworkFaultKind::AnswersDelayed(delay),
+            FaultKind::EndpointListLost => NetworkFaultKind::EndpointListLost,
+            FaultKind::GossipLost => NetworkFaultKind::GossipLost,
+            FaultKind::GossipDuplicated => NetworkFaultKind::GossipDuplicated,
+            FaultKind::GossipDelayed => NetworkFaultKind::GossipDelayed(delay),
+            FaultKind::ProcessStopped => NetworkFaultKind::ProcessStopped,
             FaultKind::StoreSilent
             | FaultKind::StoreRefused
             | FaultKind::StoreAnswersLost
--- a/crates/fault-scenarios/src/rules.rs
+++ b/crates/fault-scenarios/src/rules.rs
@@ -40,31 +40,31 @@
 fn explains(fault: &NetworkFault, violation: &Violation) -> bool {
     let is_affected = fault.balancers.iter().any(|balancer| balancer.0 == violation.balancer);
     let is_between = |extra: Micros| is_affected && (fault.from..=fault.to + extra).contains(&violation.at);
-    match fault.what {
+    match fault.kind {
         // A stopped process can't answer. What it sends once it continues is its own fault.
-        NetworkFaultKind::Stall => {
+        NetworkFaultKind::ProcessStopped => {
             let is_of_silence =
                 matches!(violation.reason.rule(), Rule::NoRequestDropped | Rule::NoConnectionLost);
             is_between(EXCUSED_AFTER_END) && is_of_silence && !is_of_content(violation.reason)
         }
         // Lines wait for the connection, not for the balancer.
-        NetworkFaultKind::Silent => {
+        NetworkFaultKind::HalfOpen => {
             let is_on_connection =
                 violation.node.is_some_and(|node| fault.nodes.iter().any(|affected| affected.0 == node));
             is_between(EXCUSED_AFTER_END) && is_on_connection && violation.reason == Reason::LineHeld
         }
         // An endpoint list counts as received 6 s after its watch fell silent, though it can't arrive.
-        NetworkFaultKind::NewsLost => {
+        NetworkFaultKind::EndpointListLost => {
             is_between(ENDPOINT_LIST_TIMEOUT) && violation.reason == Reason::SentToDraining
         }
-        NetworkFaultKind::Refused
+        NetworkFaultKind::ConnectionsRefused
         | NetworkFaultKind::AnswersLost
-        | NetworkFaultKind::Reset
-        | NetworkFaultKind::Slow(_) => false,
+        | NetworkFaultKind::ConnectionsReset
+        | NetworkFaultKind::AnswersDelayed(_) => false,
         // No rule depends on gossip.
-        NetworkFaultKind::NotesLost | NetworkFaultKind::NotesDoubled | NetworkFaultKind::NotesLate(_) => {
-            false
-        }
+        NetworkFaultKind::GossipLost
+        | NetworkFaultKind::GossipDuplicated
+        | NetworkFaultKind::GossipDelayed(_) => false,
     }
 }
 
--- a/crates/fault-scenarios/src/scenario.rs
+++ b/crates/fault-scenarios/src/scenario.rs
@@ -78,12 +78,12 @@
             let to_nodes = select(fault.nodes.as_ref().unwrap_or(&all), "nodes", &nodes)?;
             let to_peers = select(fault.gossip_peers.as_ref().unwrap_or(&all), "others", &balancers)?;
             faults.push(NetworkFault {
-                what,
+                kind: what,
                 from: fault.from(),
                 to: fault.to(),
                 balancers: affected.into_iter().map(BalancerId).collect(),
                 nodes: to_nodes.into_iter().map(NodeId).collect(),
-                others: to_peers.into_iter().map(BalancerId).collect(),
+                gossip_receivers: to_peers.into_iter().map(BalancerId).collect(),
             });
         }
         Ok(faults)
--- a/crates/fault-scenarios/tests/evaluate.rs
+++ b/crates/fault-scenarios/tests/evaluate.rs
@@ -117,27 +117,34 @@
     };
     let between = |what| {
         let (balancers, nodes) = (vec![BalancerId(1)], vec![NodeId(2)]);
-        [NetworkFault { what, from: 5_000_000, to: 7_000_000, balancers, nodes, others: Vec::new() }]
+        [NetworkFault {
+            kind: what,
+            from: 5_000_000,
+            to: 7_000_000,
+            balancers,
+            nodes,
+            gossip_receivers: Vec::new(),
+        }]
     };
     let judged = |rules: &Rules, what| broken(&observations(rules, &[], &between(what)), "").is_empty();
     for (what, reason, at, balancer, node, excused) in [
-        (NetworkFaultKind::Stall, Reason::NoAnswer, 6_000_000, 1, None, true),
-        (NetworkFaultKind::Stall, Reason::NoAnswer, 6_000_000, 2, None, false),
-        (NetworkFaultKind::Stall, Reason::NoAnswer, 9_000_000, 1, None, false),
-        (NetworkFaultKind::Stall, Reason::LineHeld, 8_000_000, 1, Some(4), true),
+        (NetworkFaultKind::ProcessStopped, Reason::NoAnswer, 6_000_000, 1, None, true),
+        (NetworkFaultKind::ProcessStopped, Reason::NoAnswer, 6_000_000, 2, None, false),
+        (NetworkFaultKind::ProcessStopped, Reason::NoAnswer, 9_000_000, 1, None, false),
+        (NetworkFaultKind::ProcessStopped, Reason::LineHeld, 8_000_000, 1, Some(4), true),
         // What it sends when it goes on is its own.
-        (NetworkFaultKind::Stall, Reason::SentToDraining, 7_100_000, 1, Some(2), false),
-        (NetworkFaultKind::Stall, Reason::SecondCopy, 7_100_000, 1, Some(2), false),
-        (NetworkFaultKind::Stall, Reason::Forged, 7_100_000, 1, Some(2), false),
-        (NetworkFaultKind::Silent, Reason::LineHeld, 6_000_000, 1, Some(2), true),
-        (NetworkFaultKind::Silent, Reason::LineHeld, 6_000_000, 1, Some(3), false),
-        (NetworkFaultKind::Silent, Reason::NoAnswer, 6_000_000, 1, Some(2), false),
-        (NetworkFaultKind::Silent, Reason::SilentKept, 6_000_000, 1, Some(2), false),
-        (NetworkFaultKind::Reset, Reason::CutOff, 6_000_000, 1, Some(2), false),
-        (NetworkFaultKind::NewsLost, Reason::SentToDraining, 12_000_000, 1, Some(2), true),
-        (NetworkFaultKind::NewsLost, Reason::SentToDraining, 14_000_000, 1, Some(2), false),
-        (NetworkFaultKind::NewsLost, Reason::SentToDraining, 6_000_000, 2, Some(2), false),
-        (NetworkFaultKind::NewsLost, Reason::NoAnswer, 6_000_000, 1, None, false),
+        (NetworkFaultKind::ProcessStopped, Reason::SentToDraining, 7_100_000, 1, Some(2), false),
+        (NetworkFaultKind::ProcessStopped, Reason::SecondCopy, 7_100_000, 1, Some(2), false),
+        (NetworkFaultKind::ProcessStopped, Reason::Forged, 7_100_000, 1, Some(2), false),
+        (NetworkFaultKind::HalfOpen, Reason::LineHeld, 6_000_000, 1, Some(2), true),
+        (NetworkFaultKind::HalfOpen, Reason::LineHeld, 6_000_000, 1, Some(3), false),
+        (NetworkFaultKind::HalfOpen, Reason::NoAnswer, 6_000_000, 1, Some(2), false),
+        (NetworkFaultKind::HalfOpen, Reason::SilentKept, 6_000_000, 1, Some(2), false),
+        (NetworkFaultKind::ConnectionsReset, Reason::CutOff, 6_000_000, 1, Some(2), false),
+        (NetworkFaultKind::EndpointListLost, Reason::SentToDraining, 12_000_000, 1, Some(2), true),
+        (NetworkFaultKind::EndpointListLost, Reason::SentToDraining, 14_000_000, 1, Some(2), false),
+        (NetworkFaultKind::EndpointListLost, Reason::SentToDraining, 6_000_000, 2, Some(2), false),
+        (NetworkFaultKind::EndpointListLost, Reason::NoAnswer, 6_000_000, 1, None, false),
     ] {
         let rules = by(reason, at, balancer, node);
         assert_eq!(judged(&rules, what), excused, "{what:?} {reason:?} at {at} by {balancer} on {node:?}");
