--- a/crates/balancer/tests/platform/main.rs
+++ b/crates/balancer/tests/platform/main.rs
@@ -8,7 +8,7 @@
 use shorewharf_emulator::day::{BadClients, Day};
 use shorewharf_emulator::edge::*;
 use shorewharf_emulator::sockets::process::{ProcessError, ProcessLimits, Program};
-use shorewharf_emulator::sockets::run::{Options, Report, RunError, play};
+use shorewharf_emulator::sockets::run::{Options, Report, RunError, run_day};
 use shorewharf_emulator::sockets::{load, plain, platform};
 use shorewharf_emulator::world::settings;
 
@@ -24,9 +24,9 @@
         program: program(path),
         folder: None,
         settings: settings::json,
-        between: Vec::new(),
-        together: None,
-        own_args: Vec::new(),
+        network_faults: Vec::new(),
+        gossip_operator_settings: None,
+        balancer_args: Vec::new(),
     }
 }
 
@@ -37,7 +37,7 @@
 /// Plays the script, and checks what must hold in every run: no malformed first line, no line that was relayed to a node
 /// before its answer, no answer that was invalid, forged or meant for another client, and no malformed discovery request.
 fn run(day: &Day, script: &mut Script) -> Report {
-    let report = play(script, day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect("the day is played");
+    let report = run_day(script, day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect("the day is played");
     let tally = &script.tally;
     let violations = (report.syntax, report.early, tally.forged, tally.failed, report.clients.foreign);
     assert_eq!((violations, report.strange.as_slice()), ((0, 0, 0, 0, 0), &[][..]), "{tally:?}\n{report:?}");
@@ -107,8 +107,8 @@
         assert!(kind == "silent" || counts.refused + counts.closed > 0, "{kind}: {counts:?}");
     }
     day.bad_clients = vec![bad("polite", 1.0)];
-    let error =
-        play(&mut script, &day, &options(env!("CARGO_BIN_EXE_shorewharf"))).expect_err("the kind is unknown");
+    let error = run_day(&mut script, &day, &options(env!("CARGO_BIN_EXE_shorewharf")))
+        .expect_err("the kind is unknown");
     assert!(error.to_string().contains("'polite' is not one of endless-line, "), "{error}");
 }
 
@@ -139,11 +139,11 @@
     let folder = tempfile::tempdir().expect("a temporary folder");
     let options = load::Options {
         program: program(env!("CARGO_BIN_EXE_shorewharf")),
-        set_ups_per_s: 50.0,
-        standing: 40,
+        setups_per_s: 50.0,
+        established_connections: 40,
         hold: S,
-        line_every: 200 * MS,
-        length: 2 * S,
+        line_interval: 200 * MS,
+        duration: 2 * S,
         nodes: 2,
         settings: settings::json,
     };
@@ -156,7 +156,7 @@
         "{outcome}"
     );
     assert!(!through.set_up.is_empty() && through.line.len() > 100 && outcome.stood >= 40, "{outcome}");
-    let no_load = load::Options { set_ups_per_s: 0.0, ..options };
+    let no_load = load::Options { setups_per_s: 0.0, ..options };
     let error = load::run(&no_load, folder.path()).expect_err("a rate of 0");
     assert_eq!(error.to_string(), "set-ups a second: 0 is not above 0");
 }
@@ -165,9 +165,9 @@
 fn a_program_that_does_not_serve_is_reported() {
     let day = small_day(1, S);
     let mut script = Script::new(&day, S, 0, |_, _| true);
-    let result = play(&mut script, &day, &options("/bin/false"));
+    let result = run_day(&mut script, &day, &options("/bin/false"));
     assert!(matches!(result, Err(RunError::NotReady(name, _)) if name == "n0"));
     let mut script = Script::new(&day, S, 0, |_, _| true);
-    let result = play(&mut script, &day, &options("/no/such/program"));
+    let result = run_day(&mut script, &day, &options("/no/such/program"));
     assert!(matches!(result, Err(RunError::Process(ProcessError::Start(..)))));
 }
--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -99,7 +99,8 @@
         let (peers, key, file) = (path("fleet.peers")?, path("fleet.key")?, path("operator.toml")?);
         let mut text = String::new();
         for (i, socket) in self.sockets.iter().enumerate() {
-            let _ = writeln!(text, "{} {}", Directory::balancer(BalancerId(i as u32)), socket.local_addr()?);
+            let _ =
+                writeln!(text, "{} {}", Directory::balancer_name(BalancerId(i as u32)), socket.local_addr()?);
         }
         fs::write(&peers, text)?;
         fs::write(&key, GOSSIP_KEY)?;
--- a/crates/emulator/src/sockets/directory.rs
+++ b/crates/emulator/src/sockets/directory.rs
@@ -60,7 +60,7 @@
     }
 
     /// A balancer's name.
-    pub fn balancer(who: BalancerId) -> String {
+    pub fn balancer_name(who: BalancerId) -> String {
         format!("n{}", who.0)
     }
 
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -302,7 +302,7 @@
             Ok(None) => return,
             Ok(Some(found)) => found,
             Err((status, why)) => {
-                self.invalid_requests.push(format!("{}: {why}", Directory::balancer(call.balancer)));
+                self.invalid_requests.push(format!("{}: {why}", Directory::balancer_name(call.balancer)));
                 call.connection
                     .send(net, format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
                 call.connection.finish(net);
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -138,7 +138,7 @@
     ) -> Result<Self, ProcessError> {
         let mut slots = Vec::new();
         for balancer in (0..balancers).map(BalancerId) {
-            let files = ProcessFiles::new(folder, &Directory::balancer(balancer))?;
+            let files = ProcessFiles::new(folder, &Directory::balancer_name(balancer))?;
             let reservation = || -> io::Result<(Socket, SocketAddr)> {
                 let reservation = Socket::new(Domain::IPV4, Type::STREAM, None)?;
                 reservation.set_reuse_address(true)?;
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -53,15 +53,15 @@
     /// The program.
     pub program: Program,
     /// New connections a second.
-    pub set_ups_per_s: f64,
+    pub setups_per_s: f64,
     /// Connections that stand all the time, besides the new ones.
-    pub standing: u32,
+    pub established_connections: u32,
     /// A new connection stays so long.
     pub hold: Micros,
     /// On each that stands, a line is sent this often.
-    pub line_every: Micros,
+    pub line_interval: Micros,
     /// Load lasts so long, after a second that is not counted.
-    pub length: Micros,
+    pub duration: Micros,
     /// Nodes behind the balancer.
     pub nodes: u32,
     /// The settings that the balancer is told.
@@ -199,7 +199,7 @@
     due_ends: VecDeque<(Micros, u32)>,
     /// What is due is counted from then on.
     measure_from: Micros,
-    line_every: Micros,
+    line_interval: Micros,
     hold: Micros,
     observations: Observations,
     ready: Vec<Ready>,
@@ -213,10 +213,10 @@
 /// Fails if an option is out of range, the balancer does not start or ends under load, or the sockets fail.
 pub fn run(options: &Options, folder: &Path) -> Result<Outcome, LoadError> {
     for (name, figure) in [
-        ("set-ups a second", options.set_ups_per_s),
-        ("length", options.length as f64),
+        ("set-ups a second", options.setups_per_s),
+        ("length", options.duration as f64),
         ("hold", options.hold as f64),
-        ("line every", options.line_every as f64),
+        ("line every", options.line_interval as f64),
         ("nodes", f64::from(options.nodes)),
     ] {
         if figure.is_nan() || figure <= 0.0 {
@@ -224,9 +224,9 @@
         }
     }
     let limits = options.program.limits;
-    let day = plain::day(2, options.nodes, options.length, limits.memory_mb, limits.sockets);
+    let day = plain::day(2, options.nodes, options.duration, limits.memory_mb, limits.sockets);
     let mut load = Load::begin(options, &day, folder)?;
-    load.open_standing_connections(options.standing)?;
+    load.open_established_connections(options.established_connections)?;
     load.apply_load(options)
 }
 
@@ -266,7 +266,7 @@
             due_lines: VecDeque::new(),
             due_ends: VecDeque::new(),
             measure_from: Micros::MAX,
-            line_every: options.line_every,
+            line_interval: options.line_interval,
             hold: options.hold,
             observations: Vec::new(),
             ready: Vec::new(),
@@ -279,7 +279,7 @@
     }
 
     /// Opens the connections that stand all the time.
-    fn open_standing_connections(&mut self, standing: u32) -> Result<(), LoadError> {
+    fn open_established_connections(&mut self, standing: u32) -> Result<(), LoadError> {
         let limit = self.clock.now() + READY_TIMEOUT;
         while !self.fleet.is_ready(VIA_BALANCER) {
             self.run_iteration(Micros::MAX)?;
@@ -314,8 +314,8 @@
         let start = self.clock.now();
         self.measure_from = start + WARM_UP;
         self.lateness = Distribution::default();
-        let stop = self.measure_from + options.length;
-        let due = |i: u64| start + (i as f64 * 1e6 / options.set_ups_per_s) as Micros;
+        let stop = self.measure_from + options.duration;
+        let due = |i: u64| start + (i as f64 * 1e6 / options.setups_per_s) as Micros;
         let mut before = None;
         let mut set_ups = 0;
         loop {
@@ -363,7 +363,7 @@
         let now = self.clock.now();
         self.fleet.stop(&mut self.net, now);
         let [through, past] = self.paths;
-        let seconds = seconds_from_micros(options.length);
+        let seconds = seconds_from_micros(options.duration);
         let lateness = self.lateness.quantile(0.99);
         let void = if lateness > MAX_LATENESS {
             Some(format!("the lab was late: p99 {:.1} ms", lateness as f64 / 1e3))
@@ -436,7 +436,7 @@
             client.last_line += 1;
             client.outstanding_lines.push_back((due, client.last_line));
             client.connection.send(&mut self.net, format!("M {id:x} {}\r\n", client.last_line).as_bytes());
-            self.due_lines.push_back((due + self.line_every, id));
+            self.due_lines.push_back((due + self.line_interval, id));
         }
         while let Some((_, id)) = self.due_ends.front().copied().filter(|e| e.0 <= now) {
             self.due_ends.pop_front();
@@ -509,7 +509,7 @@
                     self.established += 1;
                     self.max_established = self.max_established.max(self.established);
                 }
-                self.due_lines.push_back((now + self.line_every, id));
+                self.due_lines.push_back((now + self.line_interval, id));
                 if !client.is_permanent {
                     self.due_ends.push_back((now + self.hold, id));
                 }
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::harness::{BalancerStatus, Commands, ConnectionObservation, Harness};
-use super::run::{Options, Report, RunError, play};
+use super::run::{Options, Report, RunError, run_day};
 use crate::audit::{AuditTolerances, Auditor, Corruption, Direction, Observation};
 use crate::day::Day;
 use crate::edge::{
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 ///
-/// Fails as [`super::run::play`] does.
+/// Fails as [`run_day`] does.
 pub fn run(
     day: &Day,
     options: &Options,
@@ -58,7 +58,7 @@
         homes: BTreeMap::new(),
         watch,
     };
-    let report = play(&mut platform, day, options)?;
+    let report = run_day(&mut platform, day, options)?;
     let verdict = platform.auditor.finish(report.ended);
     Ok(SocketsRun {
         result: RunResult::new(platform.world.finish(), verdict, report.ended, Vec::new()),
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -57,11 +57,11 @@
     /// The settings that a balancer is told, as JSON text.
     pub settings: fn(&Day, BalancerId) -> String,
     /// What is broken between the processes.
-    pub between: Vec<NetworkFault>,
+    pub network_faults: Vec<NetworkFault>,
     /// The balancers tell each other what they hold; the operator's file beside what has them do so.
-    pub together: Option<String>,
+    pub gossip_operator_settings: Option<String>,
     /// Further arguments for single balancers, by their places; none where it is shorter.
-    pub own_args: Vec<Vec<OsString>>,
+    pub balancer_args: Vec<Vec<OsString>>,
 }
 
 /// Why a day could not be run.
@@ -140,7 +140,7 @@
 ///
 /// Fails if the day has more parties than there are addresses, a process cannot be started or configured, a balancer
 /// does not become ready in time, or the driver's own sockets fail.
-pub fn play<S: Harness>(harness: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
+pub fn run_day<S: Harness>(harness: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
     let folder = match &options.folder {
         Some(folder) => (folder.clone(), None),
         None => {
@@ -158,13 +158,13 @@
     let directory = Directory::new(day, nodes.addresses(balancers));
     let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, balancers, &folder.0)?;
     let mut notes = None;
-    if let Some(operator) = &options.together {
+    if let Some(operator) = &options.gossip_operator_settings {
         let ends = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
         let opened = DatagramProxy::open(&mut net, addresses, ends, day.seed)?;
         fleet.set_args(vec!["--operator".into(), opened.write_operator_file(&folder.0, operator)?.into()]);
         notes = Some(opened);
     }
-    fleet.set_balancer_args(&options.own_args);
+    fleet.set_balancer_args(&options.balancer_args);
     let mut driver = Driver {
         harness,
         day,
@@ -178,7 +178,7 @@
         clients: Clients::new(day.clients.line_every),
         discovery: Discovery::new(&mut net, addresses, balancers)?,
         misbehaving_clients: MisbehavingClients::new(day)?,
-        network_faults: NetworkFaults::new(&options.between),
+        network_faults: NetworkFaults::new(&options.network_faults),
         datagram_proxy: notes,
         lost_list_events: Vec::new(),
         pending_list_events: Vec::new(),
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -49,7 +49,7 @@
                 let index = self.discovery.on_balancer_start(who, known);
                 let text = (self.options.settings)(self.day, who);
                 let settings: Value = serde_json::from_str(&text)
-                    .map_err(|e| RunError::Settings(Directory::balancer(who), e))?;
+                    .map_err(|e| RunError::Settings(Directory::balancer_name(who), e))?;
                 let known = self.directory.endpoint_list(who, index, true, known);
                 let discovery = self.discovery.address(who);
                 self.fleet.start(net, now, who, &StartConfig { seed, known, settings, discovery })?;
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -41,7 +41,7 @@
         let (cluster, folder) = (Cluster::new(), TempDir::with_prefix("shorewharf-store-").map_err(outside)?);
         let n = day.balancers.len();
         let members = (0..n).map(|_| cluster.member()).collect::<Result<Vec<_>, _>>().map_err(outside)?;
-        let names: String = (0..n as u32).map(|i| Directory::balancer(BalancerId(i)) + "\n").collect();
+        let names: String = (0..n as u32).map(|i| Directory::balancer_name(BalancerId(i)) + "\n").collect();
         let list = folder.path().join("members");
         fs::write(&list, names).map_err(outside)?;
         for (i, member) in members.iter().enumerate() {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -33,11 +33,11 @@
     let limits = ProcessLimits { sockets, memory_mb: args.memory_mb };
     let options = Options {
         program: Program { path, args: Vec::new(), limits },
-        set_ups_per_s: args.set_ups,
-        standing: args.standing,
+        setups_per_s: args.set_ups,
+        established_connections: args.standing,
         hold: us(args.hold_s),
-        line_every: us(args.line_every_s),
-        length: us(args.seconds),
+        line_interval: us(args.line_every_s),
+        duration: us(args.seconds),
         nodes: args.nodes,
         settings: settings::json,
     };
--- a/crates/lab/src/mutants/on_sockets.rs
+++ b/crates/lab/src/mutants/on_sockets.rs
@@ -118,9 +118,9 @@
         program,
         folder: None,
         settings: settings::json,
-        between: Vec::new(),
-        together: None,
-        own_args: Vec::new(),
+        network_faults: Vec::new(),
+        gossip_operator_settings: None,
+        balancer_args: Vec::new(),
     };
     let mut late = String::new();
     // Where the driver itself was late, nothing can be said.
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -97,9 +97,9 @@
         program,
         folder: logs.map(Path::to_owned),
         settings: settings::json,
-        between: breaks.to_vec(),
-        together: text,
-        own_args,
+        network_faults: breaks.to_vec(),
+        gossip_operator_settings: text,
+        balancer_args: own_args,
     };
     platform::run(day, &options, watch).map_err(|e| match e {
         RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
