--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -17,9 +17,9 @@
 use tempfile::TempDir;
 use thiserror::Error;
 
-use super::addresses::{Addresses, BALANCERS_MOST, NODES_MOST};
+use super::addresses::{Addresses, MAX_BALANCERS, MAX_NODES};
 use super::clients::Clients;
-use super::clock::{Clock, Distribution, LATE, until};
+use super::clock::{Clock, Distribution, MAX_LATENESS, duration_until};
 use super::connection_log::ConnectionLog;
 use super::datagram_proxy::DatagramProxy;
 use super::directory::Directory;
@@ -57,18 +57,18 @@
     /// The settings that a balancer is told, as JSON text.
     pub settings: fn(&Day, BalancerId) -> String,
     /// What is broken between the processes.
-    pub between: Vec<NetworkFault>,
+    pub network_faults: Vec<NetworkFault>,
     /// The balancers tell each other what they hold; the operator's file beside what has them do so.
-    pub together: Option<String>,
+    pub gossip_operator_settings: Option<String>,
     /// Further arguments for single balancers, by their places; none where it is shorter.
-    pub own_args: Vec<Vec<OsString>>,
+    pub balancer_args: Vec<Vec<OsString>>,
 }
 
 /// Why a day could not be run.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// More parties than there are addresses for.
-    #[error("{0} balancers and {1} nodes: at most {BALANCERS_MOST} and {NODES_MOST} have addresses")]
+    #[error("{0} balancers and {1} nodes: at most {MAX_BALANCERS} and {MAX_NODES} have addresses")]
     TooMany(usize, usize),
     /// A kind of bad client that nobody knows.
     #[error(transparent)]
@@ -140,7 +140,7 @@
 ///
 /// Fails if the day has more parties than there are addresses, a process cannot be started or configured, a balancer
 /// does not become ready in time, or the driver's own sockets fail.
-pub fn play<S: Harness>(harness: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
+pub fn run_day<S: Harness>(harness: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
     let folder = match &options.folder {
         Some(folder) => (folder.clone(), None),
         None => {
@@ -149,22 +149,22 @@
         }
     };
     let (balancers, nodes) = (day.balancers.len() as u32, day.nodes.len() as u32);
-    if balancers > BALANCERS_MOST || nodes > NODES_MOST {
+    if balancers > MAX_BALANCERS || nodes > MAX_NODES {
         return Err(RunError::TooMany(day.balancers.len(), day.nodes.len()));
     }
     let mut net = Net::new()?;
-    let addresses = Addresses::of_next_run();
+    let addresses = Addresses::for_next_run();
     let nodes = Nodes::new(&mut net, addresses, balancers, nodes)?;
     let directory = Directory::new(day, nodes.addresses(balancers));
     let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, balancers, &folder.0)?;
     let mut notes = None;
-    if let Some(operator) = &options.together {
+    if let Some(operator) = &options.gossip_operator_settings {
         let ends = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
         let opened = DatagramProxy::open(&mut net, addresses, ends, day.seed)?;
-        fleet.start_with(vec!["--operator".into(), opened.write(&folder.0, operator)?.into()]);
+        fleet.set_args(vec!["--operator".into(), opened.write_operator_file(&folder.0, operator)?.into()]);
         notes = Some(opened);
     }
-    fleet.start_each_with(&options.own_args);
+    fleet.set_balancer_args(&options.balancer_args);
     let mut driver = Driver {
         harness,
         day,
@@ -178,7 +178,7 @@
         clients: Clients::new(day.clients.line_every),
         discovery: Discovery::new(&mut net, addresses, balancers)?,
         misbehaving_clients: MisbehavingClients::new(day)?,
-        network_faults: NetworkFaults::new(&options.between),
+        network_faults: NetworkFaults::new(&options.network_faults),
         datagram_proxy: notes,
         lost_list_events: Vec::new(),
         pending_list_events: Vec::new(),
@@ -211,8 +211,8 @@
         let limit = self.clock.now() + READY_TIMEOUT;
         while let Some(who) = first.iter().find(|w| !self.fleet.is_ready(**w)) {
             if self.clock.now() > limit || self.fleet.pid(*who).is_none() {
-                let desk = self.fleet.files(*who);
-                return Err(RunError::NotReady(desk.name().to_owned(), desk.log_tail(5)));
+                let files = self.fleet.files(*who);
+                return Err(RunError::NotReady(files.name().to_owned(), files.log_tail(5)));
             }
             self.run_iteration()?;
         }
@@ -247,7 +247,7 @@
         self.started_at = Some(now);
         self.woke_at = now;
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.directory.begins(epoch.as_secs_f64() * 1e3);
+        self.directory.set_epoch(epoch.as_secs_f64() * 1e3);
         self.nodes.begin_day();
         self.discovery.begin_day();
         // What was late before counts for nothing.
@@ -263,12 +263,12 @@
         let ended = self.day_time(now);
         self.misbehaving_clients.stop(&mut self.net);
         self.fleet.stop(&mut self.net, now);
-        let worst = self.lateness.at(0.99).max(self.handling_time.at(0.99));
-        let void = if worst > LATE {
+        let worst = self.lateness.quantile(0.99).max(self.handling_time.quantile(0.99));
+        let void = if worst > MAX_LATENESS {
             Some(format!(
                 "the driver was late: p99 {:.1} ms, at most {:.0}",
                 worst as f64 / 1e3,
-                LATE as f64 / 1e3
+                MAX_LATENESS as f64 / 1e3
             ))
         } else if self.net.ran_out_of_descriptors() {
             Some("the driver's descriptors ran out: a day holds two for each connection".to_owned())
@@ -277,17 +277,17 @@
         } else {
             None
         };
-        let mut strange = self.discovery.strange;
-        strange.append(&mut self.fleet.faults);
+        let mut strange = self.discovery.invalid_requests;
+        strange.append(&mut self.fleet.violations);
         Report {
             void,
             late: self.lateness,
             handled: self.handling_time,
-            clients: self.clients.facts,
+            clients: self.clients.statistics,
             bad: self.misbehaving_clients.report(),
-            lives: self.fleet.lives,
+            lives: self.fleet.incarnations,
             syntax: self.malformed_first_lines,
-            early: self.nodes.early,
+            early: self.nodes.early_lines,
             strange,
             missed: self.prelude.missed,
             notes: self.datagram_proxy.map(|n| n.statistics).unwrap_or_default(),
@@ -328,7 +328,7 @@
         let now = self.clock.now();
         let next = self.next_due().min(now + MAX_WAIT);
         let mut ready = std::mem::take(&mut self.ready);
-        self.net.wait(until(now, next), &mut ready)?;
+        self.net.wait(duration_until(now, next), &mut ready)?;
         let woke = self.clock.now();
         let before = std::mem::replace(&mut self.woke_at, woke);
         if ready.is_empty() {
@@ -485,7 +485,7 @@
     }
 }
 
-/// All balancer and node pairs that a fault concerns.
-fn pairs(b: &NetworkFault) -> impl Iterator<Item = (BalancerId, NodeId)> {
-    b.balancers.iter().flat_map(|who| b.nodes.iter().map(|node| (*who, *node)))
+/// All pairs of a balancer and a node that a fault affects.
+fn affected_pairs(fault: &NetworkFault) -> impl Iterator<Item = (BalancerId, NodeId)> {
+    fault.balancers.iter().flat_map(|who| fault.nodes.iter().map(|node| (*who, *node)))
 }
