--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -16,11 +16,11 @@
 use thiserror::Error;
 
 use super::addresses::Addresses;
-use super::clock::{Clock, Distribution, LATE, until};
+use super::clock::{Clock, Distribution, MAX_LATENESS, duration_until};
 use super::connection_log::ConnectionLog;
 use super::directory::Directory;
 use super::discovery::Discovery;
-use super::fleet::{Fleet, ProcessIncarnation, Start};
+use super::fleet::{Fleet, ProcessIncarnation, StartConfig};
 use super::harness::{BalancerObservation, Observations};
 use super::lines::LineConnection;
 use super::net::{Net, Ready, Role};
@@ -53,15 +53,15 @@
     /// The program.
     pub program: Program,
     /// New connections a second.
-    pub set_ups_per_s: f64,
+    pub setups_per_s: f64,
     /// Connections that stand all the time, besides the new ones.
-    pub standing: u32,
+    pub established_connections: u32,
     /// A new connection stays so long.
     pub hold: Micros,
     /// On each that stands, a line is sent this often.
-    pub line_every: Micros,
+    pub line_interval: Micros,
     /// Load lasts so long, after a second that is not counted.
-    pub length: Micros,
+    pub duration: Micros,
     /// Nodes behind the balancer.
     pub nodes: u32,
     /// The settings that the balancer is told.
@@ -139,7 +139,7 @@
             ("line, past", &self.past.line),
             ("the lab's lateness", &self.late),
         ] {
-            let at = |share| ms(spread.at(share));
+            let at = |share| ms(spread.quantile(share));
             let (p50, p90, p99, p999) = (at(0.5), at(0.9), at(0.99), at(0.999));
             let (max, count) = (ms(spread.max()), spread.len());
             writeln!(f, "{name:22} {p50:9.2} {p90:9.2} {p99:9.2} {p999:9.2} {max:9.2} {count:9}")?;
@@ -199,7 +199,7 @@
     due_ends: VecDeque<(Micros, u32)>,
     /// What is due is counted from then on.
     measure_from: Micros,
-    line_every: Micros,
+    line_interval: Micros,
     hold: Micros,
     observations: Observations,
     ready: Vec<Ready>,
@@ -213,10 +213,10 @@
 /// Fails if an option is out of range, the balancer does not start or ends under load, or the sockets fail.
 pub fn run(options: &Options, folder: &Path) -> Result<Outcome, LoadError> {
     for (name, figure) in [
-        ("set-ups a second", options.set_ups_per_s),
-        ("length", options.length as f64),
+        ("set-ups a second", options.setups_per_s),
+        ("length", options.duration as f64),
         ("hold", options.hold as f64),
-        ("line every", options.line_every as f64),
+        ("line every", options.line_interval as f64),
         ("nodes", f64::from(options.nodes)),
     ] {
         if figure.is_nan() || figure <= 0.0 {
@@ -224,25 +224,25 @@
         }
     }
     let limits = options.program.limits;
-    let day = plain::day(2, options.nodes, options.length, limits.memory_mb, limits.sockets);
+    let day = plain::day(2, options.nodes, options.duration, limits.memory_mb, limits.sockets);
     let mut load = Load::begin(options, &day, folder)?;
-    load.open_standing_connections(options.standing)?;
+    load.open_established_connections(options.established_connections)?;
     load.apply_load(options)
 }
 
 impl Load {
     fn begin(options: &Options, day: &Day, folder: &Path) -> Result<Self, LoadError> {
         let mut net = Net::new()?;
-        let addresses = Addresses::of_next_run();
+        let addresses = Addresses::for_next_run();
         let nodes = Nodes::new(&mut net, addresses, 2, options.nodes)?;
         let directory = Directory::new(day, nodes.addresses(2));
         let mut discovery = Discovery::new(&mut net, addresses, 1)?;
         let listed = |n| Listed { node: NodeId(n), stage: ListStage::Ready, born: None };
         let known: Vec<Listed> = (0..options.nodes).map(listed).collect();
         let index = discovery.on_balancer_start(VIA_BALANCER, &known);
-        let start = Start {
+        let start = StartConfig {
             seed: 1,
-            known: directory.listing(VIA_BALANCER, index, true, &known),
+            known: directory.endpoint_list(VIA_BALANCER, index, true, &known),
             settings: serde_json::from_str(&(options.settings)(day, VIA_BALANCER))?,
             discovery: discovery.address(VIA_BALANCER),
         };
@@ -266,7 +266,7 @@
             due_lines: VecDeque::new(),
             due_ends: VecDeque::new(),
             measure_from: Micros::MAX,
-            line_every: options.line_every,
+            line_interval: options.line_interval,
             hold: options.hold,
             observations: Vec::new(),
             ready: Vec::new(),
@@ -279,7 +279,7 @@
     }
 
     /// Opens the connections that stand all the time.
-    fn open_standing_connections(&mut self, standing: u32) -> Result<(), LoadError> {
+    fn open_established_connections(&mut self, standing: u32) -> Result<(), LoadError> {
         let limit = self.clock.now() + READY_TIMEOUT;
         while !self.fleet.is_ready(VIA_BALANCER) {
             self.run_iteration(Micros::MAX)?;
@@ -314,14 +314,14 @@
         let start = self.clock.now();
         self.measure_from = start + WARM_UP;
         self.lateness = Distribution::default();
-        let stop = self.measure_from + options.length;
-        let due = |i: u64| start + (i as f64 * 1e6 / options.set_ups_per_s) as Micros;
+        let stop = self.measure_from + options.duration;
+        let due = |i: u64| start + (i as f64 * 1e6 / options.setups_per_s) as Micros;
         let mut before = None;
         let mut set_ups = 0;
         loop {
             let now = self.clock.now();
             if before.is_none() && now >= self.measure_from {
-                before = Some(self.fleet.used(VIA_BALANCER));
+                before = Some(self.fleet.sample_usage(VIA_BALANCER));
             }
             while due(set_ups) <= now && due(set_ups) < stop {
                 self.lateness.record(now - due(set_ups));
@@ -339,7 +339,7 @@
                 return Err(self.failed("ended under load"));
             }
         }
-        let used = self.fleet.used(VIA_BALANCER).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
+        let used = self.fleet.sample_usage(VIA_BALANCER).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
         // Nothing more is sent; what is out may still be answered.
         self.due_lines.clear();
         let limit = self.clock.now() + LOSS_TIMEOUT;
@@ -363,9 +363,9 @@
         let now = self.clock.now();
         self.fleet.stop(&mut self.net, now);
         let [through, past] = self.paths;
-        let seconds = seconds_from_micros(options.length);
-        let lateness = self.lateness.at(0.99);
-        let void = if lateness > LATE {
+        let seconds = seconds_from_micros(options.duration);
+        let lateness = self.lateness.quantile(0.99);
+        let void = if lateness > MAX_LATENESS {
             Some(format!("the lab was late: p99 {:.1} ms", lateness as f64 / 1e3))
         } else {
             self.net
@@ -377,7 +377,7 @@
             lines_per_s: through.line.len() as f64 / seconds,
             stood: self.max_established,
             cores: used_ms / 1e3 / seconds,
-            life: self.fleet.lives.remove(0),
+            life: self.fleet.incarnations.remove(0),
             void,
             late: self.lateness,
             through,
@@ -389,7 +389,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let conn = ConnId(u64::from(id) + 1);
-        let node = NodeId(id % self.directory.nodes() as u32);
+        let node = NodeId(id % self.directory.node_count() as u32);
         let (who, to) = match path {
             0 => (VIA_BALANCER, self.fleet.address(VIA_BALANCER)),
             _ => (DIRECT, self.directory.address(DIRECT, node)),
@@ -436,7 +436,7 @@
             client.last_line += 1;
             client.outstanding_lines.push_back((due, client.last_line));
             client.connection.send(&mut self.net, format!("M {id:x} {}\r\n", client.last_line).as_bytes());
-            self.due_lines.push_back((due + self.line_every, id));
+            self.due_lines.push_back((due + self.line_interval, id));
         }
         while let Some((_, id)) = self.due_ends.front().copied().filter(|e| e.0 <= now) {
             self.due_ends.pop_front();
@@ -450,7 +450,7 @@
         let fronts = [&self.due_lines, &self.due_ends].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
         let next = own.into_iter().chain(fronts).fold(next, Micros::min);
         let mut ready = std::mem::take(&mut self.ready);
-        self.net.wait(until(self.clock.now(), next), &mut ready)?;
+        self.net.wait(duration_until(self.clock.now(), next), &mut ready)?;
         let woke = self.clock.now();
         for one in &ready {
             self.handle(*one);
@@ -509,7 +509,7 @@
                     self.established += 1;
                     self.max_established = self.max_established.max(self.established);
                 }
-                self.due_lines.push_back((now + self.line_every, id));
+                self.due_lines.push_back((now + self.line_interval, id));
                 if !client.is_permanent {
                     self.due_ends.push_back((now + self.hold, id));
                 }
