--- a/crates/rolling-restart/src/lib.rs
+++ b/crates/rolling-restart/src/lib.rs
@@ -62,7 +62,7 @@
     /// The balancer can't be restarted, or does not report its status before a restart.
     #[error("{0}")]
     Failed(E),
-    /// The balancer does not accept clients, and was not restarted yet.
+    /// The balancer does not accept clients at the time when the next one is to be restarted.
     #[error("the balancer does not accept clients")]
     NotReady,
     /// The balancer does not accept clients at the end of the time-out after its restart.
--- a/crates/soak/tests/ledger.rs
+++ b/crates/soak/tests/ledger.rs
@@ -41,7 +41,7 @@
 const NONE: [&str; 0] = [];
 
 #[test]
-fn a_rejection_after_a_possible_run_is_a_violation_by_semantics() {
+fn a_rejection_after_a_possible_run_is_a_violation_unless_the_semantics_allow_it() {
     let after_run = |class| violated(request(class, Answer::Rejected, vec![attempt(0, 1010, 1400)]));
     assert_eq!([after_run(0), after_run(1)], [NONE, NONE]);
     assert_eq!([after_run(2), after_run(3)], [vec!["refused-after-run"], vec!["refused-after-run"]]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_repeat_is_a_violation_by_semantics_zone_and_window() {
+fn a_repeat_is_a_violation_unless_semantics_zone_and_window_allow_it() {
     let repeated = |class, second, at| {
         violated(request(class, Answer::Failed, vec![attempt(0, 1010, 1020), attempt(second, at, at + 5)]))
     };
