--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -130,7 +130,7 @@
         let listed = |n: usize| Listed {
             node: NodeId(n as u32),
             stage: shorewharf_emulator::edge::Stage::Ready,
-            born: None,
+            started_at: None,
         };
         let mut script = Script {
             arrival_interval,
@@ -182,11 +182,11 @@
             class: 0,
             tenant: 0,
             group: key % 50 + 1,
-            patience,
+            timeout: patience,
             hint,
             retry: false,
-            again: false,
-            home,
+            is_reconnect: false,
+            previous_node: home,
         }
     }
 
@@ -201,7 +201,7 @@
         let (ask, balancer) = (self.new_request(key, None), BalancerId(index as u32));
         let incarnation = self.balancer(balancer).incarnation;
         self.clients.insert(ask.conn, (balancer, incarnation, ClientState::Waiting));
-        commands.push((balancer, ToBalancer::Asked { ask, left: ask.patience }));
+        commands.push((balancer, ToBalancer::Request { request: ask, remaining: ask.timeout }));
     }
 
     fn balancer(&mut self, id: BalancerId) -> &mut Balancer {
@@ -216,7 +216,7 @@
         born: Option<Micros>,
         commands: &mut Commands,
     ) {
-        let entry = Listed { node, stage, born };
+        let entry = Listed { node, stage, started_at: born };
         self.listed[node.0 as usize] = entry;
         for i in (0..self.balancers.len()).filter(|i| self.balancers[*i].has_watch) {
             commands.push((BalancerId(i as u32), ToBalancer::List { full: false, entries: vec![entry] }));
@@ -302,7 +302,7 @@
                     if let Some((balancer, node)) = self.links.get(&link)
                         && self.reachability[node.0 as usize] == Reachability::Open
                     {
-                        commands.push((*balancer, ToBalancer::NodeSays(link, message)));
+                        commands.push((*balancer, ToBalancer::NodeMessage(link, message)));
                     }
                 }
                 Event::Snapshot(balancer) => {
@@ -360,7 +360,7 @@
                 }
             }
             FromBalancer::EndClient(conn, _) => self.on_client_ended(conn, false),
-            FromBalancer::Refused(conn) => self.on_client_ended(conn, true),
+            FromBalancer::ConnectionRefused(conn) => self.on_client_ended(conn, true),
             FromBalancer::Watch => {
                 let watches = &mut self.tally.watches[balancer.0 as usize];
                 *watches += 1;
@@ -381,7 +381,7 @@
                 self.tally.exits += 1;
                 self.on_process_ended(now, balancer);
             }
-            FromBalancer::Pass(_) | FromBalancer::Syntax(_) => {}
+            FromBalancer::Pass(_) | FromBalancer::MalformedRequest(_) => {}
         }
     }
 
--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -127,7 +127,7 @@
             ToBalancer::Kill => self.on_killed(now, by),
             ToBalancer::Terminate => *self.terminating_mut(by) = true,
             ToBalancer::Reload { .. } => self.notified_lists.on_reload(now, by),
-            ToBalancer::Asked { ask, left } => self.on_request(now, by, ask, *left),
+            ToBalancer::Request { request: ask, remaining: left } => self.on_request(now, by, ask, *left),
             ToBalancer::ClientLine(id) => self.on_client_line(now, *id),
             ToBalancer::ClientEnded(id, end) => self.on_client_closed(now, *id, *end),
             ToBalancer::LinkUp(id) => {
@@ -142,7 +142,7 @@
                     conn.trace.note(now, What::LinkFailed(link.node));
                 }
             }
-            ToBalancer::NodeSays(link, word) => self.on_node_message(now, by, *link, *word),
+            ToBalancer::NodeMessage(link, word) => self.on_node_message(now, by, *link, *word),
             ToBalancer::NodeEnded(link, end) => self.on_node_closed(now, by, *link, *end),
             ToBalancer::List { full, entries } => {
                 self.notified_lists.on_endpoint_list(now, by, *full, entries);
@@ -164,8 +164,8 @@
             FromBalancer::EndLink(link, end) => self.on_balancer_closed_link(now, by, link, end),
             FromBalancer::Watch => self.notified_lists.on_watch(now, by),
             FromBalancer::Unwatch => self.notified_lists.on_unwatch(now, by),
-            FromBalancer::Refused(id) => self.on_connection_refused(now, id),
-            FromBalancer::Syntax(node) => {
+            FromBalancer::ConnectionRefused(id) => self.on_connection_refused(now, id),
+            FromBalancer::MalformedRequest(node) => {
                 let case = Case { reason: Reason::Syntax, at: now, by, conn: None, node: Some(node) };
                 self.verdict.record(case, String::new(), Vec::new);
             }
@@ -286,7 +286,7 @@
     // Requests and attempts.
 
     fn on_request(&mut self, now: Micros, by: BalancerId, ask: &RequestLine, left: Micros) {
-        let mut conn = Conn::new(by, Request::new(now + left, ask.home.is_some()));
+        let mut conn = Conn::new(by, Request::new(now + left, ask.previous_node.is_some()));
         conn.trace.note(now, What::Asked { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) });
         self.verdict.counts.taken += u64::from(self.table.open(ask.conn, conn));
     }
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -79,7 +79,7 @@
         for entry in known {
             let word = hearing.notice_mut(entry.node);
             word.named = true;
-            word.start_time = entry.born;
+            word.start_time = entry.started_at;
         }
     }
 
@@ -109,7 +109,7 @@
         for entry in entries {
             let word = hearing.notice_mut(entry.node);
             word.named = true;
-            word.start_time = word.start_time.max(entry.born);
+            word.start_time = word.start_time.max(entry.started_at);
             word.unavailable_since =
                 if entry.stage == Stage::Ready { None } else { word.unavailable_since.or(Some(now)) };
         }
@@ -130,8 +130,8 @@
         let listing = at(&mut self.listings, entry.node.0);
         listing.unavailable_since =
             if entry.stage == Stage::Ready { None } else { listing.unavailable_since.or(Some(now)) };
-        if entry.born > listing.start_time.map(|(born, _)| born) {
-            listing.start_time = entry.born.map(|born| (born, now));
+        if entry.started_at > listing.start_time.map(|(born, _)| born) {
+            listing.start_time = entry.started_at.map(|born| (born, now));
         }
     }
 
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -54,7 +54,7 @@
 }
 
 fn listed(node: NodeId, stage: Stage, born: Option<Micros>) -> Listed {
-    Listed { node, stage, born }
+    Listed { node, stage, started_at: born }
 }
 
 fn started(history: &mut History, at: Micros) {
@@ -89,7 +89,7 @@
     }
 
     fn says(&mut self, at: Micros, link: LinkId, word: NodeMessage) {
-        self.history.add(at, To(T::NodeSays(link, word)));
+        self.history.add(at, To(T::NodeMessage(link, word)));
     }
 
     fn answer(&mut self, at: Micros, answer: Answer) {
@@ -138,13 +138,13 @@
             class: 0,
             tenant: 0,
             group,
-            patience,
+            timeout: patience,
             hint: None,
             retry: false,
-            again: false,
-            home,
+            is_reconnect: false,
+            previous_node: home,
         };
-        self.history.add(at, To(T::Asked { ask, left: patience }));
+        self.history.add(at, To(T::Request { request: ask, remaining: patience }));
         let mut now = at + self.wait(5 * MS);
         let failures = if fault == Some(TooManyAttempts) { 5 } else { self.rng.random_range(0..3) };
         for _ in 0..failures {
@@ -313,20 +313,20 @@
         class: 0,
         tenant: 0,
         group,
-        patience,
+        timeout: patience,
         hint: None,
         retry: false,
-        again: false,
-        home,
+        is_reconnect: false,
+        previous_node: home,
     };
-    history.add(at, To(T::Asked { ask, left: patience }));
+    history.add(at, To(T::Request { request: ask, remaining: patience }));
 }
 
 /// A client asks, is sent to this node and refused there.
 fn send(history: &mut History, conn: u64, at: Micros, node: NodeId) {
     ask(conn, at, history);
     history.add(at, From(F::Link { link: LinkId(conn), node, conn: Some(ConnId(conn)) }));
-    history.add(at + MS, To(T::NodeSays(LinkId(conn), NodeMessage::Busy)));
+    history.add(at + MS, To(T::NodeMessage(LinkId(conn), NodeMessage::Busy)));
     history.add(at + MS, From(F::Answer(ConnId(conn), Answer::Busy(0))));
 }
 
@@ -335,7 +335,7 @@
     let link = LinkId(conn);
     ask(conn, at, history);
     history.add(at, From(F::Link { link, node: NODE, conn: Some(ConnId(conn)) }));
-    history.add(at + MS, To(T::NodeSays(link, NodeMessage::Up)));
+    history.add(at + MS, To(T::NodeMessage(link, NodeMessage::Up)));
     history.add(at + MS, From(F::Answer(ConnId(conn), Answer::Up(link))));
 }
 
@@ -488,7 +488,7 @@
     history.add(20 * S, Other(Observation::Node(NODE, Health::Silent)));
     history.add(22 * S, From(F::EndClient(ConnId(6), End::Fin)));
     history.add(23 * S, From(F::Link { link: LinkId(9), node: NodeId(2), conn: Some(ConnId(77)) }));
-    history.add(23 * S, From(F::Syntax(NODE)));
+    history.add(23 * S, From(F::MalformedRequest(NODE)));
     history.add(23 * S, Other(Observation::Missed(B, ConnId(7))));
     send(&mut history, 8, 24 * S, NodeId(7));
     let day = crate::environment::tests::day(3, &[0, 0]);
--- a/crates/emulator/src/edge.rs
+++ b/crates/emulator/src/edge.rs
@@ -1,228 +1,231 @@
-//! Where the emulated platform meets a balancer: what reaches a balancer and what it does, free of text and sockets.
+//! The interface between the emulated platform and a balancer: what reaches a balancer and what it does, independent
+//! of text and sockets.
 //!
-//! [`crate`]'s world speaks these words; the driver in virtual time hands them to decision modules, the driver on
-//! sockets writes and reads them as lines. All delays of the network lie on the world's side: what is handed to a
-//! balancer has arrived, and what it does has just left it.
+//! The world in [`crate`] exchanges these messages with balancers. The driver in virtual time passes them to decision
+//! modules; the driver on sockets writes and parses them as lines. All network delays are on the world's side: a
+//! message to a balancer has already arrived, and an action of a balancer has only just left it.
 
 use shorewharf_units::Micros;
 
-/// Place of a balancer in the day's list.
+/// Index of a balancer in the day's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BalancerId(pub u32);
 
-/// Place of a node in the day's list: the same machine across restarts of its process.
+/// Index of a node in the day's list. It stays the same when the node's process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// One connection of a client to a balancer; never used again. Also the id that its `OPEN` line carries.
+/// Identifies one connection of a client to a balancer. It is never reused, and is also the id in the connection's
+/// `OPEN` line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// One connection of a balancer to a node; never used again.
+/// Identifies one connection of a balancer to a node. It is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// What a first line asks for.
+/// The request in the first line of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLine {
     /// The connection, which is also the id in the line.
     pub conn: ConnId,
-    /// The flow's key, the same at each try and return of one client.
+    /// The client's key, the same in all its attempts and reconnects.
     pub key: u64,
-    /// Place of the class.
+    /// Index of the class.
     pub class: u32,
-    /// Place of the tenant.
+    /// Index of the tenant.
     pub tenant: u32,
     /// The group; 0 for none.
     pub group: u64,
-    /// How long this try waits for its answer, from when the line was sent.
-    pub patience: Micros,
-    /// A guess at the load, in work a second.
+    /// How long the client waits for the answer, from when it sent the line.
+    pub timeout: Micros,
+    /// The client's estimate of its load, in seconds of work per second.
     pub hint: Option<f64>,
-    /// It is a repeat, and clients mark them.
+    /// Whether the line is marked as a retry; only set on days whose clients mark retries.
     pub retry: bool,
-    /// It comes again after a break or a move.
-    pub again: bool,
-    /// The node where it stood before the run.
-    pub home: Option<NodeId>,
+    /// Whether the client connects again after its connection was lost or migrated, or after a failed attempt.
+    pub is_reconnect: bool,
+    /// The node on which the connection was established before the run.
+    pub previous_node: Option<NodeId>,
 }
 
 /// How a side ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It finished its sending.
+    /// Orderly, after all data was sent.
     Fin,
-    /// The connection broke.
+    /// By a reset.
     Reset,
 }
 
-/// What a node says on a link.
+/// A message of a node on a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeMessage {
-    /// `UP`: the connection stands; the receipt names node and connection.
+    /// `UP`: the connection is established. On sockets the line names the node and the connection.
     Up,
-    /// `BUSY`: turned away unseen.
+    /// `BUSY`: the request is rejected without any work on it.
     Busy,
-    /// `ERR`: failed.
+    /// `ERR`: the request has failed.
     Err,
-    /// `MOVE`: it sends the client away.
+    /// `MOVE`: the client is to reconnect elsewhere.
     Move,
-    /// `BYE`: served to its end.
+    /// `BYE`: the connection was served to its end.
     Bye,
-    /// `LOAD`: the connection's load, microseconds of work a second.
+    /// `LOAD`: the connection's load, in microseconds of work per second.
     Load(f64),
-    /// `LOAD` with the other figure: milliseconds that a message takes here.
+    /// `LOAD` with the message delay: milliseconds that a message takes on this node.
     Delay(f64),
-    /// The answer to a line of the client's.
+    /// The answer to a client's line.
     Reply,
     /// `PONG`: the answer to a probe.
     Pong,
-    /// A line that means nothing (wrong answers, as a fault).
+    /// A line that is not part of the protocol; sent under the wrong-answers fault.
     Junk,
 }
 
-/// How a node's machine meets connections.
+/// How a node's machine reacts to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reachability {
-    /// It takes them.
+    /// It accepts and answers them.
     #[default]
     Open,
-    /// It refuses them: no process runs, or it holds all that it takes.
+    /// It refuses them, because no process is listening or a network fault refuses them.
     Refused,
-    /// They never come up, and those that are open carry nothing.
+    /// New connections are never established, and established ones carry no data.
     Silent,
-    /// They come up, and nothing is said on them.
+    /// Connections are accepted, and nothing is sent on them.
     Mute,
 }
 
-/// An entry of the list as it is told to one balancer.
+/// An entry of the endpoint list as sent to one balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Listed {
     /// The node.
     pub node: NodeId,
     /// Its state.
     pub stage: Stage,
-    /// When its process started last; none for before the day.
-    pub born: Option<Micros>,
+    /// When its process last started; `None` if that was before the day.
+    pub started_at: Option<Micros>,
 }
 
-/// A node's state in the list.
+/// A node's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Takes connections.
+    /// Accepts connections.
     Ready,
-    /// Finishes what it has.
+    /// Serves the connections that it has and accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// What a client gets as its answer.
+/// The answer that a client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The `UP` line of the node on this link.
     Up(LinkId),
-    /// `BUSY`, with a time to come back if above 0.
+    /// `BUSY`, with a retry-after time in microseconds if above 0.
     Busy(Micros),
     /// `ERR`.
     Err,
     /// `MOVE`.
     Move,
-    /// An `UP` line that no node made for this connection: served with what was never served (sockets only).
+    /// An `UP` line that no node sent for this connection (sockets only).
     Forged,
-    /// A line that is no answer: the try has failed (sockets only).
+    /// A line that is not an answer; the attempt has failed (sockets only).
     Other,
 }
 
-/// What reaches a balancer.
+/// An input of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToBalancer {
-    /// Its process begins, with the list that it knew last (which may be old) and a seed.
+    /// The balancer's process starts.
     Start {
-        /// For random numbers; new with each start.
+        /// Seed of its random numbers, different at each start.
         seed: u64,
-        /// The list as it had it last.
+        /// The endpoint list that it received last, which may be out of date.
         known: Vec<Listed>,
     },
-    /// Its process is killed: nothing of it is left.
+    /// The process is killed, and its state and connections are lost.
     Kill,
-    /// A planned end begins (SIGTERM).
+    /// A planned shutdown begins (SIGTERM).
     Terminate,
-    /// Its configuration has been replaced (SIGHUP); with `moved`, discovery is at another address from now on.
+    /// The configuration was replaced (SIGHUP).
     Reload {
-        /// Discovery has moved.
+        /// Whether discovery has moved to another address with this change.
         moved: bool,
     },
-    /// A client's connection has come with this first line. `left` of its patience is left.
-    Asked {
-        /// What it asks for.
-        ask: RequestLine,
-        /// What is left of its patience, from now.
-        left: Micros,
+    /// A client has connected and sent its first line.
+    Request {
+        /// The request in the line.
+        request: RequestLine,
+        /// The time until the client gives up.
+        remaining: Micros,
     },
-    /// A client's line on a standing connection.
+    /// A client's line on an established connection.
     ClientLine(ConnId),
     /// A client has ended its connection.
     ClientEnded(ConnId, End),
-    /// A link has come up, at the network's level.
+    /// A link is established at the transport level.
     LinkUp(LinkId),
-    /// A link could not be made.
+    /// A link could not be established.
     LinkFailed(LinkId),
-    /// A node says something on a link.
-    NodeSays(LinkId, NodeMessage),
+    /// A node sends a message on a link.
+    NodeMessage(LinkId, NodeMessage),
     /// A node has ended a link.
     NodeEnded(LinkId, End),
-    /// News of the list: all of it or changes.
+    /// An update of the endpoint list.
     List {
-        /// Servers that are not named are gone.
+        /// Whether this is the whole list, so that nodes without an entry are gone.
         full: bool,
-        /// The entries.
+        /// The entries: all of them, or those that changed.
         entries: Vec<Listed>,
     },
-    /// A call failed or the watch broke.
+    /// A call to discovery failed, or the watch was closed.
     ListFailed,
 }
 
-/// What a balancer does.
+/// An action of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FromBalancer {
-    /// It answers a client.
+    /// Answers a client.
     Answer(ConnId, Answer),
-    /// It ends a client's connection.
+    /// Ends a client's connection.
     EndClient(ConnId, End),
-    /// It begins a link to a node, to carry this client's connection; with `LinkUp` its first line goes out at once
-    /// in virtual time, by [`FromBalancer::Forward`] on sockets.
+    /// Opens a link to a node, for a client's connection or a probe. In virtual time the first line is sent with the
+    /// link; on sockets [`FromBalancer::Forward`] sends it.
     Link {
-        /// The link's new number.
+        /// The id of the new link.
         link: LinkId,
         /// The node.
         node: NodeId,
-        /// The client it is for; none for a probe.
+        /// The client's connection; `None` for a probe.
         conn: Option<ConnId>,
     },
-    /// The first line goes out on a link that is up (or as soon as it is), with what is left of the wait.
+    /// Sends the first line on a link once the link is established.
     Forward {
         /// The link.
         link: LinkId,
-        /// What the balancer tells the node that it will wait.
-        patience: Micros,
+        /// How long the balancer tells the node that it will wait.
+        timeout: Micros,
     },
-    /// A probe goes out on a link that is up (or as soon as it is).
+    /// Sends a probe on a link once the link is established.
     Probe(LinkId),
-    /// It ends a link.
+    /// Ends a link.
     EndLink(LinkId, End),
-    /// It calls for a watch on the list.
+    /// Starts a watch of the endpoint list.
     Watch,
-    /// It passes a client's line on to its node, or a node's to its client (sockets only).
+    /// Relays a line between a client and its node (sockets only).
     Pass(LinkId),
-    /// It has answered that it is ready: the front may deal clients out to it.
+    /// Reports ready: the front may assign clients to this balancer.
     Ready,
-    /// Its watch on the list has ended, by its own doing or because discovery has moved on from it.
+    /// The watch of the endpoint list has ended, closed by the balancer or because discovery has moved.
     Unwatch,
-    /// Its machine has refused a client's connection (sockets only).
-    Refused(ConnId),
-    /// It has sent a node a first line in a form that no client sent: the run is void (sockets only).
-    Syntax(NodeId),
-    /// Its process has ended by itself.
+    /// The balancer's machine has refused a client's connection (sockets only).
+    ConnectionRefused(ConnId),
+    /// The balancer has sent a node a first line in a form that no client sent, which makes the run invalid (sockets
+    /// only).
+    MalformedRequest(NodeId),
+    /// The process has exited by itself.
     Exited,
 }
--- a/crates/emulator/src/environment/discovery/registry.rs
+++ b/crates/emulator/src/environment/discovery/registry.rs
@@ -92,8 +92,11 @@
         let process: Vec<ProcessState> = up
             .map(|up| ProcessState { up, draining: false, is_reachable: true, started_at: None, epoch: 0 })
             .collect();
-        let entry =
-            |(i, t): (usize, &ProcessState)| Listed { node: NodeId(i as u32), stage: t.stage(), born: None };
+        let entry = |(i, t): (usize, &ProcessState)| Listed {
+            node: NodeId(i as u32),
+            stage: t.stage(),
+            started_at: None,
+        };
         let listed: Vec<Listed> = process.iter().enumerate().map(entry).collect();
         Registry {
             figures: figures.clone(),
@@ -205,7 +208,7 @@
         let entry = &mut self.observed[c.node.0 as usize];
         entry.stage = process.stage();
         if entry.stage != Stage::Gone {
-            entry.born = process.started_at;
+            entry.started_at = process.started_at;
         }
         if self.unwritten.is_empty() {
             // The list is written at whole periods of the day's clock.
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -133,7 +133,7 @@
     assert!((15..=16).contains(&find(0, Stage::Ready).expect("after the spell's 4 s")), "{written:?}");
     assert_eq!(find(2, Stage::Gone), Some(21), "the spell's end brings it");
     assert!((37..=40).contains(&find(3, Stage::Gone).expect("a silent failure")), "{written:?}");
-    let born = told.written.iter().filter(|(_, l)| l.stage == Stage::Ready).map(|(_, l)| l.born);
+    let born = told.written.iter().filter(|(_, l)| l.stage == Stage::Ready).map(|(_, l)| l.started_at);
     assert_eq!(born.collect::<Vec<_>>(), [Some(S + 300_000), Some(10 * S)]);
     // The watcher heard it all, each version within its spread and the work of writing it.
     let news: Vec<u64> = told.told.iter().skip(1).map(|(at, ..)| at % S).collect();
@@ -165,7 +165,7 @@
     assert!((21..60).contains(&stale_list), "{stale_list} entries: it died halfway through the news");
     let (mut full, mut changes) = (0, 0);
     for list in lists.iter_mut().take(11) {
-        *list = (0..60).map(|i| Listed { node: NodeId(i), stage: Stage::Ready, born: None }).collect();
+        *list = (0..60).map(|i| Listed { node: NodeId(i), stage: Stage::Ready, started_at: None }).collect();
     }
     for (_, b, word) in &told.told {
         let ToBalancer::List { full: all, entries } = word else { panic!("nothing failed: {word:?}") };
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -20,11 +20,11 @@
         class: 0,
         tenant: 0,
         group,
-        patience,
+        timeout: patience,
         hint: None,
         retry: false,
-        again: false,
-        home: None,
+        is_reconnect: false,
+        previous_node: None,
     }
 }
 
--- a/crates/emulator/src/population/mod.rs
+++ b/crates/emulator/src/population/mod.rs
@@ -73,7 +73,7 @@
     },
     /// A client connects through the front of its zone and sends its first line.
     Connect {
-        /// The first line; [`RequestLine::home`] is set where the connection stood before the day.
+        /// The first line; [`RequestLine::previous_node`] is set where the connection stood before the day.
         ask: RequestLine,
         /// Place of its zone.
         zone: u32,
@@ -251,11 +251,11 @@
             class: client.class,
             tenant: client.tenant,
             group: client.group,
-            patience: class.give_up,
+            timeout: class.give_up,
             hint: None,
             retry: self.day.clients.marks_retry && client.failures > 0,
-            again,
-            home,
+            is_reconnect: again,
+            previous_node: home,
         };
         client.state = State::Waiting { conn, sent: now };
         let profile = LoadProfile { mean: client.mean, seed: self.rng.random() };
--- a/crates/emulator/src/population/tests.rs
+++ b/crates/emulator/src/population/tests.rs
@@ -87,7 +87,8 @@
                 ClientAction::Done { .. } => {}
                 ClientAction::Connect { ask, zone, .. } => {
                     played.asks.push((now, ask, zone));
-                    let first = if ask.home.is_some() { Some(ClientInput::Up) } else { hears(now, &ask) };
+                    let first =
+                        if ask.previous_node.is_some() { Some(ClientInput::Up) } else { hears(now, &ask) };
                     heard.extend(first.map(|h| (ask.conn, h)));
                 }
             }
@@ -120,7 +121,7 @@
     let (number, rate) = (0.9 * capacity.connections, 0.9 * capacity.per_s);
     near("capacity", capacity.connections, 400.0 * 110.0 / 1.2, 1e-9);
     let played = play(&day, |_, _| Some(ClientInput::Up));
-    let stood = played.asks.iter().filter(|a| a.1.home.is_some()).count() as f64;
+    let stood = played.asks.iter().filter(|a| a.1.previous_node.is_some()).count() as f64;
     near("standing at the start", stood, number * 0.5f64.sqrt(), 0.0002);
     let came = |from: Micros, to: Micros| {
         played.wants.iter().filter(|w| w.0 > 0 && (from * S / 2..to * S / 2).contains(&w.0)).count() as f64
@@ -197,17 +198,17 @@
     played
         .asks
         .iter()
-        .filter(|a| a.1.home.is_none())
+        .filter(|a| a.1.previous_node.is_none())
         .for_each(|a| tries.entry(a.1.key).or_default().push((a.0, a.1)));
     let (at, first) =
-        played.asks.iter().find(|a| a.1.home.is_none()).map(|a| (a.0, a.1)).expect("somebody came");
+        played.asks.iter().find(|a| a.1.previous_node.is_none()).map(|a| (a.0, a.1)).expect("somebody came");
     let gone = played.leaves.iter().find(|l| l.1 == first.conn).expect("it hung up").0;
     assert!(gone <= at + 3_220_000);
     let patient = tries.values().filter(|t| t.len() > 1);
     let mut seen = 0;
     for t in patient {
         assert_eq!(t[1].0 - t[0].0, 3_200_000 + 300_000, "from the end of its patience");
-        assert!(t[1].1.again && !t[0].1.again && t[1].1.conn != t[0].1.conn);
+        assert!(t[1].1.is_reconnect && !t[0].1.is_reconnect && t[1].1.conn != t[0].1.conn);
         seen += 1;
     }
     assert!(seen > 5, "{seen} came again");
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -128,7 +128,7 @@
                 self.clients.insert(conn, client);
             }
             // Refused at once, or no port is left for it; either way it does not reach the balancer.
-            Err(_) => observations.push((balancer, FromBalancer::Refused(conn).into())),
+            Err(_) => observations.push((balancer, FromBalancer::ConnectionRefused(conn).into())),
         }
     }
 
@@ -219,7 +219,7 @@
         let client = self.clients.remove(&conn).expect("it was just there");
         match client.stage {
             Stage::AwaitingAnswer if !client.connection.is_up() => {
-                observations.push((balancer, FromBalancer::Refused(conn).into()));
+                observations.push((balancer, FromBalancer::ConnectionRefused(conn).into()));
             }
             Stage::Closing => {}
             _ => observations.push((balancer, FromBalancer::EndClient(conn, how).into())),
--- a/crates/emulator/src/sockets/connection_log.rs
+++ b/crates/emulator/src/sockets/connection_log.rs
@@ -78,12 +78,12 @@
             key: ask.key,
             class: &self.classes[ask.class as usize],
             tenant: self.tenants.get(ask.tenant as usize).map_or("", String::as_str),
-            timeout_ms: if ask.home.is_some() { FROM_BEFORE_MS } else { (left / 1000).max(1) },
+            timeout_ms: if ask.previous_node.is_some() { FROM_BEFORE_MS } else { (left / 1000).max(1) },
             group: ask.group,
             load: ask.hint,
             is_retry: ask.retry,
-            is_reconnect: ask.again,
-            previous_server: ask.home.map(|node: NodeId| directory.node(node)),
+            is_reconnect: ask.is_reconnect,
+            previous_server: ask.previous_node.map(|node: NodeId| directory.node(node)),
         }
         .to_string();
         let line = without_wait(text.trim_end().as_bytes());
--- a/crates/emulator/src/sockets/directory.rs
+++ b/crates/emulator/src/sockets/directory.rs
@@ -90,7 +90,7 @@
             group: node.cell,
             status: status.to_owned(),
             weight: node.weight,
-            since_ms: entry.born.map_or(0.0, |at| (self.epoch_ms + at as f64 / 1e3).floor()),
+            since_ms: entry.started_at.map_or(0.0, |at| (self.epoch_ms + at as f64 / 1e3).floor()),
         }
     }
 
--- a/crates/emulator/src/sockets/discovery/tests.rs
+++ b/crates/emulator/src/sockets/discovery/tests.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn versions_tell_what_has_changed_since() {
-    let entry = |n: u32, stage| Listed { node: NodeId(n), stage, born: None };
+    let entry = |n: u32, stage| Listed { node: NodeId(n), stage, started_at: None };
     let mut side = Side {
         listener: None,
         address: ([127, 0, 0, 1], 0).into(),
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -237,7 +237,7 @@
         let nodes = Nodes::new(&mut net, addresses, 2, options.nodes)?;
         let directory = Directory::new(day, nodes.addresses(2));
         let mut discovery = Discovery::new(&mut net, addresses, 1)?;
-        let listed = |n| Listed { node: NodeId(n), stage: ListStage::Ready, born: None };
+        let listed = |n| Listed { node: NodeId(n), stage: ListStage::Ready, started_at: None };
         let known: Vec<Listed> = (0..options.nodes).map(listed).collect();
         let index = discovery.on_balancer_start(VIA_BALANCER, &known);
         let start = Start {
@@ -400,11 +400,11 @@
             class: 0,
             tenant: 0,
             group: 0,
-            patience: LOSS_TIMEOUT,
+            timeout: LOSS_TIMEOUT,
             hint: None,
             retry: false,
-            again: false,
-            home: None,
+            is_reconnect: false,
+            previous_node: None,
         };
         let line = self.connection_log.record_request(who, &ask, LOSS_TIMEOUT, &self.directory);
         let Ok(mut connection) = self.net.connect(to, Role::Load(id)) else {
--- a/crates/emulator/src/sockets/network_faults.rs
+++ b/crates/emulator/src/sockets/network_faults.rs
@@ -191,7 +191,7 @@
     pub fn pop_arrived(&mut self, now: Micros) -> Option<(BalancerId, ToBalancer)> {
         let first = self.later.first_entry().filter(|e| e.key().0 <= now)?;
         let arrived = first.remove();
-        if let ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _) = arrived.1
+        if let ToBalancer::NodeMessage(link, _) | ToBalancer::NodeEnded(link, _) = arrived.1
             && self.last.get(&link).is_some_and(|last| *last <= now)
         {
             self.last.remove(&link);
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -362,8 +362,10 @@
                                 link.balancer,
                                 FromBalancer::Link { link: id, node, conn: Some(conn) }.into(),
                             ));
-                            observations
-                                .push((link.balancer, FromBalancer::Forward { link: id, patience }.into()));
+                            observations.push((
+                                link.balancer,
+                                FromBalancer::Forward { link: id, timeout: patience }.into(),
+                            ));
                         }
                         FirstLine::Unusable => {
                             link.stage = Stage::Over;
@@ -374,7 +376,8 @@
                             link.stage = Stage::Over;
                             link.connection.send(net, Message::Malformed.to_string().as_bytes());
                             link.connection.finish(net);
-                            observations.push((link.balancer, FromBalancer::Syntax(link.node).into()));
+                            observations
+                                .push((link.balancer, FromBalancer::MalformedRequest(link.node).into()));
                         }
                     },
                     (Stage::Established, line) => {
@@ -401,7 +404,7 @@
                 Ok(None) => break,
                 // No client sends such a line, so no balancer may.
                 Err(_) => {
-                    observations.push((link.balancer, FromBalancer::Syntax(link.node).into()));
+                    observations.push((link.balancer, FromBalancer::MalformedRequest(link.node).into()));
                     return self.remove(net, id, End::Reset);
                 }
             }
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -85,11 +85,11 @@
 }
 
 impl WorldListener for Listener<'_> {
-    fn to(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
+    fn deliver(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
         self.commands.push((balancer, what));
     }
 
-    fn fact(&mut self, at: Micros, what: Observation<'_>) {
+    fn observe(&mut self, at: Micros, what: Observation<'_>) {
         self.auditor.observe(at, what);
     }
 }
@@ -130,7 +130,7 @@
         self.world
             .open_standing_connections(&mut Listener { commands: &mut commands, auditor: &mut self.auditor });
         let asked = |(who, what)| match what {
-            ToBalancer::Asked { ask, .. } => Some((who, ask)),
+            ToBalancer::Request { request: ask, .. } => Some((who, ask)),
             _ => None,
         };
         let all: Vec<(BalancerId, RequestLine)> = commands.into_iter().filter_map(asked).collect();
@@ -172,7 +172,7 @@
     fn on_command_executed(&mut self, now: Micros, who: BalancerId, what: &ToBalancer) {
         match what {
             // Seen when they have gone out in whole; and links come up by themselves here.
-            ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
+            ToBalancer::Request { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
             _ => self.auditor.observe(now, Observation::To(who, what)),
         }
     }
@@ -181,7 +181,7 @@
         let (to, seen);
         let seen = match observation {
             ConnectionObservation::RequestSent(ask, left) => {
-                to = ToBalancer::Asked { ask, left };
+                to = ToBalancer::Request { request: ask, remaining: left };
                 Observation::To(who, &to)
             }
             ConnectionObservation::LineSent(conn) => {
@@ -189,7 +189,7 @@
                 Observation::To(who, &to)
             }
             ConnectionObservation::LineReturned(link) => {
-                to = ToBalancer::NodeSays(link, NodeMessage::Reply);
+                to = ToBalancer::NodeMessage(link, NodeMessage::Reply);
                 Observation::To(who, &to)
             }
             ConnectionObservation::LineAtNode(conn) => Observation::Passed(conn, Direction::ToNode),
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -217,7 +217,7 @@
             self.run_iteration()?;
         }
         self.prelude.to_open = self.harness.connections_at_start().into();
-        let homes = self.prelude.to_open.iter().filter_map(|(_, ask)| Some((ask.conn, ask.home?)));
+        let homes = self.prelude.to_open.iter().filter_map(|(_, ask)| Some((ask.conn, ask.previous_node?)));
         self.prelude.homes = homes.collect();
         let limit = self.clock.now() + RESTORE_TIMEOUT;
         while !self.prelude.opening.is_empty() || !self.prelude.to_open.is_empty() {
@@ -227,7 +227,7 @@
             while self.prelude.opening.len() < MAX_CONCURRENT_OPENS {
                 let Some((who, ask)) = self.prelude.to_open.pop_front() else { break };
                 self.prelude.opening.insert(ask.conn);
-                self.open_client(who, &ask, ask.patience);
+                self.open_client(who, &ask, ask.timeout);
             }
             self.run_iteration()?;
         }
@@ -440,7 +440,8 @@
         for (who, heard) in &observations {
             match *heard {
                 BalancerObservation::Action(what) => {
-                    self.malformed_first_lines += u64::from(matches!(what, FromBalancer::Syntax(_)));
+                    self.malformed_first_lines +=
+                        u64::from(matches!(what, FromBalancer::MalformedRequest(_)));
                     if self.started_at.is_some() || !self.observe_prelude(*who, what) {
                         self.harness.on_balancer_action(time, *who, what, &mut self.commands);
                     }
@@ -468,7 +469,7 @@
                     self.prelude.established.insert(conn, (who, link, node));
                 }
             }
-            FromBalancer::EndClient(conn, _) | FromBalancer::Refused(conn) => {
+            FromBalancer::EndClient(conn, _) | FromBalancer::ConnectionRefused(conn) => {
                 self.prelude.opening.remove(&conn);
                 self.prelude.established.remove(&conn);
             }
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -62,10 +62,10 @@
                 }
                 self.fleet.reload(now, who, self.discovery.address(who))?;
             }
-            ToBalancer::Asked { ask, left } => self.open_client(who, &ask, left),
+            ToBalancer::Request { request: ask, remaining: left } => self.open_client(who, &ask, left),
             ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
             ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
-            ToBalancer::NodeSays(link, word) => self.nodes.send(net, link, word, &mut self.connection_log),
+            ToBalancer::NodeMessage(link, word) => self.nodes.send(net, link, word, &mut self.connection_log),
             ToBalancer::NodeEnded(link, how) => {
                 self.nodes.close(net, link, how);
             }
--- a/crates/emulator/src/sockets/run/faults.rs
+++ b/crates/emulator/src/sockets/run/faults.rs
@@ -70,7 +70,7 @@
             return false;
         }
         match what {
-            ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _) => {
+            ToBalancer::NodeMessage(link, _) | ToBalancer::NodeEnded(link, _) => {
                 let node = self.nodes.node_and_conn(*link).map(|(node, _)| node);
                 self.nodes.withhold(*link, what)
                     || node.is_some_and(|node| {
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -72,11 +72,11 @@
 }
 
 impl WorldListener for Outbox<'_> {
-    fn to(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
+    fn deliver(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
         self.slots[balancer.0 as usize].inbox.push(what);
     }
 
-    fn fact(&mut self, at: Micros, what: Observation<'_>) {
+    fn observe(&mut self, at: Micros, what: Observation<'_>) {
         self.auditor.observe(at, what);
     }
 }
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -42,13 +42,13 @@
             FromBalancer::Forward { .. } | FromBalancer::Probe(_) | FromBalancer::Pass(_) => {}
             FromBalancer::Ready => self.front.on_ready(self.now, balancer),
             FromBalancer::Unwatch => self.discovery.unwatch(balancer),
-            FromBalancer::Refused(conn) => {
+            FromBalancer::ConnectionRefused(conn) => {
                 if self.finish_connection(balancer, conn) {
                     self.send_to_client(conn, ClientMessage::Ended(End::Reset));
                 }
             }
             // Told to whoever judges; it changes nothing here.
-            FromBalancer::Syntax(_) => {}
+            FromBalancer::MalformedRequest(_) => {}
             FromBalancer::Exited => self.on_balancer_exit(balancer, listener),
         }
     }
@@ -113,7 +113,7 @@
         let id = self.links.add(link);
         let home = conn.and_then(|c| self.conns.get_mut(c)).and_then(|c| {
             c.link = Some(id);
-            c.ask.home
+            c.ask.previous_node
         });
         if home == Some(node) && now == 0 {
             return self.restore_link(id, listener);
@@ -148,8 +148,8 @@
             let input = NodeInput::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
             self.handle_node_input(node, input, listener);
         }
-        listener.to(self.now, b, ToBalancer::LinkUp(theirs));
-        listener.to(self.now, b, ToBalancer::NodeSays(theirs, NodeMessage::Up));
+        listener.deliver(self.now, b, ToBalancer::LinkUp(theirs));
+        listener.deliver(self.now, b, ToBalancer::NodeMessage(theirs, NodeMessage::Up));
     }
 
     fn send_to_node(&mut self, id: LinkId, at: Micros, what: NodeArrival) {
@@ -193,12 +193,12 @@
         }
         let (b, theirs, conn, was_up) = (l.balancer, l.theirs, l.conn, l.at == At::Up);
         match what {
-            BalancerArrival::Up => listener.to(now, b, ToBalancer::LinkUp(theirs)),
+            BalancerArrival::Up => listener.deliver(now, b, ToBalancer::LinkUp(theirs)),
             BalancerArrival::Failed => {
                 if conn.is_some() {
                     self.series.attempt("not connected");
                 }
-                listener.to(now, b, ToBalancer::LinkFailed(theirs));
+                listener.deliver(now, b, ToBalancer::LinkFailed(theirs));
                 self.remove_link(id);
             }
             BalancerArrival::Message(message) => {
@@ -215,7 +215,7 @@
                 if first {
                     self.series.attempt_answered(message);
                 }
-                listener.to(now, b, ToBalancer::NodeSays(theirs, message));
+                listener.deliver(now, b, ToBalancer::NodeMessage(theirs, message));
                 if let (NodeMessage::Bye | NodeMessage::Move, true, Some(conn)) = (message, was_up, conn) {
                     // Lines on a standing connection pass through.
                     self.send_to_client(
@@ -232,7 +232,7 @@
                 if conn.is_some() && !was_up && !l.has_answered {
                     self.series.attempt("reset");
                 }
-                listener.to(now, b, ToBalancer::NodeEnded(theirs, end));
+                listener.deliver(now, b, ToBalancer::NodeEnded(theirs, end));
                 self.remove_link(id);
             }
         }
@@ -248,7 +248,7 @@
             BalancerEvent::Start => self.start_balancer(b, listener),
             BalancerEvent::Kill => {
                 if self.balancers[b.0 as usize].up {
-                    listener.to(self.now, b, ToBalancer::Kill);
+                    listener.deliver(self.now, b, ToBalancer::Kill);
                     self.on_balancer_exit(b, listener);
                 }
             }
@@ -256,12 +256,12 @@
                 let at = &mut self.balancers[b.0 as usize];
                 if at.up && !std::mem::replace(&mut at.terminating, true) {
                     self.front.on_terminate(self.now, b);
-                    listener.to(self.now, b, ToBalancer::Terminate);
+                    listener.deliver(self.now, b, ToBalancer::Terminate);
                 }
             }
             BalancerEvent::Reload { moved } => {
                 if self.balancers[b.0 as usize].up {
-                    listener.to(self.now, b, ToBalancer::Reload { moved });
+                    listener.deliver(self.now, b, ToBalancer::Reload { moved });
                 }
             }
         }
@@ -278,7 +278,7 @@
         let lives = at.incarnations;
         let seed = rand::Rng::random(&mut rng(self.day.seed, "balancer", u64::from(b.0) << 32 | lives));
         let known = self.discovery.known_list(b);
-        listener.to(self.now, b, ToBalancer::Start { seed, known });
+        listener.deliver(self.now, b, ToBalancer::Start { seed, known });
     }
 
     /// Breaks the connections of a balancer whose process has ended.
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -58,14 +58,14 @@
             return;
         }
         self.waiting += 1;
-        if ask.home.is_none() {
+        if ask.previous_node.is_none() {
             self.series.attempt_by_client(now, ask.key);
         }
         if balancer.is_none() {
             // Nobody is there to take it: the front resets it.
             return self.send_to_client(conn, ClientMessage::Ended(End::Reset));
         }
-        if ask.home.is_some() {
+        if ask.previous_node.is_some() {
             // From before the day: it stands where it stood, and no time passes for that.
             return self.on_arrival_from_client(conn, ClientArrival::Open, listener);
         }
@@ -101,21 +101,21 @@
             }
             ClientArrival::Open => {
                 c.come = true;
-                let left = (c.sent + c.ask.patience).saturating_sub(now);
-                listener.to(now, balancer, ToBalancer::Asked { ask: c.ask, left });
+                let left = (c.sent + c.ask.timeout).saturating_sub(now);
+                listener.deliver(now, balancer, ToBalancer::Request { request: c.ask, remaining: left });
             }
             ClientArrival::Line => {
                 if c.stage == Stage::Standing {
                     if let Some(link) = c.link.and_then(|l| self.links.get_mut(l)) {
                         link.asked = true;
                     }
-                    listener.to(now, balancer, ToBalancer::ClientLine(conn));
+                    listener.deliver(now, balancer, ToBalancer::ClientLine(conn));
                 }
             }
             ClientArrival::Ends(end) => {
                 c.done = true;
                 if c.come {
-                    listener.to(now, balancer, ToBalancer::ClientEnded(conn, end));
+                    listener.deliver(now, balancer, ToBalancer::ClientEnded(conn, end));
                 }
             }
         }
@@ -208,7 +208,7 @@
             c.stage = Stage::Standing;
             c.link = Some(id);
             self.waiting -= 1;
-            if c.ask.home.is_none() {
+            if c.ask.previous_node.is_none() {
                 self.series.stands(now, c.ask.key);
             }
             self.clients.on_answer(now, conn, ClientInput::Up);
--- a/crates/emulator/src/world/listener.rs
+++ b/crates/emulator/src/world/listener.rs
@@ -7,8 +7,8 @@
 /// Hears what a world says, in order of time.
 pub trait WorldListener {
     /// This reaches a balancer now.
-    fn to(&mut self, at: Micros, balancer: BalancerId, what: ToBalancer);
+    fn deliver(&mut self, at: Micros, balancer: BalancerId, what: ToBalancer);
 
     /// A fact beyond the edge, for whoever judges.
-    fn fact(&mut self, _at: Micros, _what: Observation<'_>) {}
+    fn observe(&mut self, _at: Micros, _what: Observation<'_>) {}
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -301,11 +301,11 @@
         let mut news = std::mem::take(&mut self.buffers.list_events);
         let mut listed = std::mem::take(&mut self.buffers.listed_changes);
         self.discovery.advance(self.now, &mut news, &mut listed);
-        listed.drain(..).for_each(|entry| listener.fact(self.now, Observation::Listed(entry)));
+        listed.drain(..).for_each(|entry| listener.observe(self.now, Observation::Listed(entry)));
         self.buffers.listed_changes = listed;
         for (balancer, what) in news.drain(..) {
             if self.balancers[balancer.0 as usize].up {
-                listener.to(self.now, balancer, what);
+                listener.deliver(self.now, balancer, what);
             }
         }
         self.buffers.list_events = news;
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -71,12 +71,12 @@
             NodeOutput::Reached { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
                     let (by, theirs) = (l.balancer, l.theirs);
-                    listener.fact(self.now, Observation::Reached { by, link: theirs, node, weight, cold });
+                    listener.observe(self.now, Observation::Reached { by, link: theirs, node, weight, cold });
                 }
             }
             NodeOutput::Silent(silent) => self.set_node_silent(node, silent, listener),
             NodeOutput::Overloaded => {
-                listener.fact(self.now, Observation::Node(node, Health::Down));
+                listener.observe(self.now, Observation::Node(node, Health::Down));
                 self.break_node_pairs(node);
             }
         }
@@ -164,7 +164,7 @@
                         let input = match l.conn.and_then(|c| self.conns.get(c)) {
                             None => NodeInput::Probe { link: id },
                             Some(c) => {
-                                let patience = (c.sent + c.ask.patience).saturating_sub(now);
+                                let patience = (c.sent + c.ask.timeout).saturating_sub(now);
                                 NodeInput::Open {
                                     link: id,
                                     by: l.balancer,
@@ -197,8 +197,10 @@
             NodeEvent::Fault { kind, on, size } => NodeInput::Fault { kind, on, size },
         };
         match event {
-            NodeEvent::Start => listener.fact(now, Observation::Node(node, Health::Started)),
-            NodeEvent::Stop | NodeEvent::Crash => listener.fact(now, Observation::Node(node, Health::Down)),
+            NodeEvent::Start => listener.observe(now, Observation::Node(node, Health::Started)),
+            NodeEvent::Stop | NodeEvent::Crash => {
+                listener.observe(now, Observation::Node(node, Health::Down))
+            }
             _ => {}
         }
         self.handle_node_input(node, input, listener);
@@ -223,7 +225,7 @@
             (true, Accepts::Silent) => Health::CutOff,
             (true, _) => Health::Silent,
         };
-        listener.fact(self.now, Observation::Node(node, health));
+        listener.observe(self.now, Observation::Node(node, health));
         if self.mode == Mode::Sockets {
             return;
         }
--- a/crates/lab/src/instances/node_directory.rs
+++ b/crates/lab/src/instances/node_directory.rs
@@ -80,7 +80,7 @@
             edge::Stage::Draining => ServerState::Draining,
             edge::Stage::Gone => ServerState::Removed,
         };
-        let born = listed.born.map_or(0.0, |t| self.to_module_clock(t) as f64 / 1e6);
+        let born = listed.started_at.map_or(0.0, |t| self.to_module_clock(t) as f64 / 1e6);
         ServerEntry { server, zone, cell, state: stage, weight, started_at: born }
     }
 }
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -185,12 +185,12 @@
     /// Handles one message of the emulator; starts and kills are the caller's.
     pub fn handle(&mut self, came: &ToBalancer) {
         match came {
-            ToBalancer::Asked { ask, left } => self.on_request(ask, *left),
+            ToBalancer::Request { request: ask, remaining: left } => self.on_request(ask, *left),
             ToBalancer::ClientLine(conn) => self.on_client_line(*conn),
             ToBalancer::ClientEnded(conn, _) => self.on_client_closed(*conn),
             ToBalancer::LinkUp(link) => self.on_link_up(*link),
             ToBalancer::LinkFailed(link) => self.on_link_failed(*link),
-            ToBalancer::NodeSays(link, word) => self.on_node_message(*link, *word),
+            ToBalancer::NodeMessage(link, word) => self.on_node_message(*link, *word),
             ToBalancer::NodeEnded(link, end) => self.on_node_closed(*link, *end),
             ToBalancer::List { full, entries } => {
                 let entries = self.update_endpoints(*full, entries);
--- a/crates/lab/src/instances/peers/attempts.rs
+++ b/crates/lab/src/instances/peers/attempts.rs
@@ -34,7 +34,7 @@
         }
         self.request_by_link.insert(link, id);
         self.actions.push(FromBalancer::Link { link, node, conn: Some(conn) });
-        self.actions.push(FromBalancer::Forward { link, patience });
+        self.actions.push(FromBalancer::Forward { link, timeout: patience });
         // A client that leaves less time than a connect may take must not get its server locked.
         if self.connect_timeout <= patience {
             self.schedule(self.now + self.connect_timeout, TimerEvent::ConnectTimeout(id, link));
--- a/crates/lab/src/instances/peers/sessions.rs
+++ b/crates/lab/src/instances/peers/sessions.rs
@@ -22,14 +22,14 @@
             deadline: self.directory.to_module_clock(self.now + left),
             load: ask.hint,
             group: ask.group,
-            is_returning: ask.retry || ask.again,
+            is_returning: ask.retry || ask.is_reconnect,
         };
         if self.draining_since.is_some() {
             return self
                 .actions
                 .push(FromBalancer::Answer(ask.conn, Answer::Busy(drain::DRAIN_MIGRATE_AFTER)));
         }
-        let home = ask.home.map(|n| self.directory.server(n));
+        let home = ask.previous_node.map(|n| self.directory.server(n));
         let until = self.now + if home.is_some() { CARRY_OVER_TIMEOUT } else { left };
         let session = Session {
             conn: ask.conn,
--- a/crates/lab/src/mutants/history.rs
+++ b/crates/lab/src/mutants/history.rs
@@ -57,8 +57,9 @@
 
     /// Records nodes that have just started.
     pub fn record_started_nodes(&mut self, until: Micros, entries: &[Listed]) {
-        let known = |e: &Listed| self.nodes.get(&e.node).and_then(|n| n.born);
-        let fresh = entries.iter().find(|e| e.stage == Stage::Ready && e.born > known(e)).map(|e| e.node);
+        let known = |e: &Listed| self.nodes.get(&e.node).and_then(|n| n.started_at);
+        let fresh =
+            entries.iter().find(|e| e.stage == Stage::Ready && e.started_at > known(e)).map(|e| e.node);
         self.started_node = fresh.map(|node| (node, until)).or(self.started_node);
         self.all_ready(false, entries);
     }
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -220,9 +220,9 @@
             }
             _ => {}
         }
-        if let ToBalancer::Asked { ask, left } = message {
+        if let ToBalancer::Request { request: ask, remaining: left } = message {
             // Connections from before the run are never affected.
-            if ask.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && ask.home.is_none() {
+            if ask.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && ask.previous_node.is_none() {
                 self.history.mark_affected(ask.conn, now + left + self.late_after);
                 if self.mishandle_request(now, ask, out) {
                     return;
@@ -250,7 +250,9 @@
                 }
                 true
             }
-            (_, ToBalancer::NodeSays(link, _) | ToBalancer::NodeEnded(link, _)) => !self.schedule.owns(*link),
+            (_, ToBalancer::NodeMessage(link, _) | ToBalancer::NodeEnded(link, _)) => {
+                !self.schedule.owns(*link)
+            }
             (_, ToBalancer::LinkUp(link) | ToBalancer::LinkFailed(link)) => !self.schedule.owns(*link),
             _ => true,
         };
