--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -309,7 +309,7 @@
 /// Whom an overfull node drops.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Sheds {
+pub enum ShedPolicy {
     /// Nobody.
     None,
     /// The newest connections.
@@ -321,7 +321,7 @@
 /// How a draining node sends its clients away.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum GoAway {
+pub enum DrainPolicy {
     /// It does not.
     None,
     /// One after the other.
@@ -353,9 +353,9 @@
     /// Of the swing of the day's shape, the part (as an exponent) that comes by numbers of clients; the rest by their loads.
     pub by_joins: f64,
     /// Whom it drops.
-    pub sheds: Sheds,
+    pub sheds: ShedPolicy,
     /// How a draining node sends its clients away.
-    pub go_away: GoAway,
+    pub go_away: DrainPolicy,
     /// Mean connection loads that a node pays for each group it holds any of.
     pub group_cost: f64,
     /// Mean members of a group.
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -22,7 +22,7 @@
 use rand_distr::Gamma;
 use rand_pcg::Pcg64Mcg;
 
-use crate::day::{Day, FaultKind, GoAway, Sheds};
+use crate::day::{Day, DrainPolicy, FaultKind, ShedPolicy};
 use crate::edge::{BalancerId, End, LinkId, NodeId, NodeMessage, RequestLine};
 use crate::population::LoadProfile;
 use active_faults::ActiveFaults;
@@ -177,8 +177,8 @@
     message_work: f64,
     burstiness: f64,
     max_backlog: f64,
-    shed_policy: Sheds,
-    drain_policy: GoAway,
+    shed_policy: ShedPolicy,
+    drain_policy: DrainPolicy,
     connection_cap: usize,
     probe_work: f64,
     probe_cap: usize,
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -5,7 +5,7 @@
 
 use super::setup_queue::{Job, JobKind};
 use super::{Node, NodeOutput, PACED_DRAIN_TIME, SHED_TO, STEP, STEPS_PER_DELAY_CHECK, load_oscillation};
-use crate::day::{FaultKind, GoAway, Sheds};
+use crate::day::{DrainPolicy, FaultKind, ShedPolicy};
 use crate::edge::{BalancerId, End, LinkId, NodeMessage, RequestLine};
 use crate::population::LoadProfile;
 use shorewharf_units::Micros;
@@ -90,7 +90,7 @@
             JobKind::Client { by, ask, mean } => {
                 outputs.push(NodeOutput::Message(link, NodeMessage::Up));
                 self.establish(now, link, by, &ask, mean, outputs);
-                if self.draining && self.drain_policy == GoAway::AtOnce {
+                if self.draining && self.drain_policy == DrainPolicy::AtOnce {
                     self.migrate(link, outputs);
                 }
             }
@@ -134,7 +134,7 @@
         self.backlog = (self.backlog
             + (self.connection_utilization + self.setup_utilization - 1.0) * step_seconds)
             .clamp(0.0, self.max_backlog.max(0.0));
-        if self.backlog >= self.max_backlog && self.shed_policy != Sheds::None {
+        if self.backlog >= self.max_backlog && self.shed_policy != ShedPolicy::None {
             self.shed_load(now, outputs);
         }
         if !self.faults.is_silent() && (now / STEP) % STEPS_PER_DELAY_CHECK == self.delay_check_phase {
@@ -154,7 +154,7 @@
         if let Some((share, length)) = self.faults.reset_share {
             self.reset_some(1.0 - (1.0 - share.min(0.999_999)).powf(STEP as f64 / length as f64), outputs);
         }
-        if self.draining && self.drain_policy == GoAway::Paced {
+        if self.draining && self.drain_policy == DrainPolicy::Paced {
             let some = (self.established.len() as f64 * step_seconds
                 / (seconds_from_micros(PACED_DRAIN_TIME)))
             .ceil() as usize;
@@ -179,9 +179,9 @@
     /// Drops connections until the remaining load fits.
     fn shed_load(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
         let order: Vec<LinkId> = match self.shed_policy {
-            Sheds::None => return,
-            Sheds::Newest => self.established.links().rev().collect(),
-            Sheds::Heaviest => self.established.heaviest(),
+            ShedPolicy::None => return,
+            ShedPolicy::Newest => self.established.links().rev().collect(),
+            ShedPolicy::Heaviest => self.established.heaviest(),
         };
         for link in order {
             if self.established_utilization(now) + self.setup_utilization <= SHED_TO {
@@ -238,7 +238,7 @@
         outputs.extend(
             self.setup_queue.clear().into_iter().map(|link| NodeOutput::Message(link, NodeMessage::Busy)),
         );
-        if self.drain_policy == GoAway::AtOnce {
+        if self.drain_policy == DrainPolicy::AtOnce {
             let links: Vec<LinkId> = self.established.links().collect();
             links.into_iter().for_each(|link| self.migrate(link, outputs));
         }
--- a/crates/emulator/src/sockets/plain.rs
+++ b/crates/emulator/src/sockets/plain.rs
@@ -2,8 +2,8 @@
 //! clients.
 
 use crate::day::{
-    Backoff, Balancer, Class, Clients, Day, Discovery, Front, GoAway, Goal, Kind, Limits, Net, Node, Prices,
-    Rules, Sheds, Streams, Tenant, Traffic,
+    Backoff, Balancer, Class, Clients, Day, Discovery, DrainPolicy, Front, Goal, Kind, Limits, Net, Node,
+    Prices, Rules, ShedPolicy, Streams, Tenant, Traffic,
 };
 use shorewharf_units::Micros;
 
@@ -84,8 +84,8 @@
             bursty: 1.0,
             buffer_s: 2.0,
             by_joins: 0.2,
-            sheds: Sheds::None,
-            go_away: GoAway::None,
+            sheds: ShedPolicy::None,
+            go_away: DrainPolicy::None,
             group_cost: 0.0,
             group_size: 1.0,
             group_zipf: 1.0,
--- a/crates/emulator/src/world/ground_truth.rs
+++ b/crates/emulator/src/world/ground_truth.rs
@@ -3,24 +3,24 @@
 /// The true state of a node at one moment, for reports and for hosts whose policies may see it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroundTruth {
-    /// It runs and takes connections.
-    pub takes: bool,
-    /// Load asked of it, in standard cores.
+    /// Whether it runs, can be reached and answers.
+    pub accepts_connections: bool,
+    /// The load on it, in standard cores, set-ups included.
     pub load: f64,
-    /// What it can do, in standard cores.
+    /// Its capacity, in standard cores.
     pub capacity: f64,
-    /// Standing connections.
+    /// The number of established connections.
     pub connections: u32,
-    /// Set-ups in work and waiting.
+    /// The number of set-ups in progress and waiting.
     pub set_ups: u32,
-    /// Work piled up, in seconds.
-    pub pile_s: f64,
-    /// The part of the load that stands: set-ups left out.
-    pub stands: f64,
-    /// Load of a usual connection, in standard cores.
-    pub usual: f64,
-    /// Groups of the connections that stand, in order of their ids.
+    /// The backlog of work, in seconds.
+    pub backlog_s: f64,
+    /// The load of the established connections: `load` without set-ups.
+    pub established_load: f64,
+    /// The load of a connection of mean load, in standard cores.
+    pub mean_connection_load: f64,
+    /// The groups of the established connections, in ascending order.
     pub groups: Vec<u64>,
-    /// Attempts that it still takes at once before it is pushed over, while it is cold.
-    pub before_fall: Option<f64>,
+    /// How many attempts it can accept at once before it is overloaded; `None` unless it is warming up.
+    pub admissible_before_overload: Option<f64>,
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -118,16 +118,16 @@
     fn ground_truth(&self, now: Micros) -> GroundTruth {
         let s = self.model.state();
         GroundTruth {
-            takes: s.up && !self.silent,
+            accepts_connections: s.up && !self.silent,
             load: s.load,
             capacity: s.capacity,
             connections: s.connections,
             set_ups: s.in_setup + s.waiting,
-            pile_s: s.pile_s,
-            stands: s.stands,
-            usual: self.model.usual_load(),
+            backlog_s: s.pile_s,
+            established_load: s.stands,
+            mean_connection_load: self.model.usual_load(),
             groups: self.model.groups(),
-            before_fall: self.model.admissible_before_overload(now),
+            admissible_before_overload: self.model.admissible_before_overload(now),
         }
     }
 }
--- a/crates/emulator/src/world/series.rs
+++ b/crates/emulator/src/world/series.rs
@@ -51,7 +51,7 @@
 }
 
 /// Set-ups are counted by the time they came, so long at once.
-pub const SLOT: Micros = 200_000;
+pub const SETUP_INTERVAL: Micros = 200_000;
 
 /// A run as reports show it.
 #[derive(Clone, Debug, Serialize)]
@@ -60,7 +60,7 @@
     pub seconds: Vec<Second>,
     /// By node.
     pub nodes: Vec<NodeSeries>,
-    /// Set-ups that came at each node, for each [`SLOT`] of the day.
+    /// Set-ups that came at each node, for each [`SETUP_INTERVAL`] of the day.
     #[serde(skip)]
     pub set_ups: Vec<Vec<u32>>,
     /// What attempts came to.
@@ -168,7 +168,7 @@
 
     /// A first line comes at a node that takes it.
     pub fn set_up(&mut self, now: Micros, node: NodeId) {
-        let slot = (now / SLOT) as usize;
+        let slot = (now / SETUP_INTERVAL) as usize;
         if self.set_ups.len() <= slot {
             self.set_ups.resize(slot + 1, vec![0; self.nodes.len()]);
         }
@@ -182,7 +182,7 @@
         n.capacity.push(truth.capacity as f32);
         n.connections.push(truth.connections);
         n.set_ups.push(truth.set_ups);
-        n.pile_s.push(truth.pile_s as f32);
-        n.takes.push(truth.takes);
+        n.pile_s.push(truth.backlog_s as f32);
+        n.takes.push(truth.accepts_connections);
     }
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -70,8 +70,12 @@
 /// A second in one line.
 fn line(day: &Day, glance: &StatusSample<'_>) -> String {
     let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
-    let up: Vec<f64> =
-        glance.nodes.iter().filter(|n| n.takes).map(|n| n.load / n.capacity.max(1e-9)).collect();
+    let up: Vec<f64> = glance
+        .nodes
+        .iter()
+        .filter(|n| n.accepts_connections)
+        .map(|n| n.load / n.capacity.max(1e-9))
+        .collect();
     let clients: usize = glance.balancers.iter().map(|b| b.clients).sum();
     let fault = on(day, glance.now).join(", ");
     format!(
@@ -104,7 +108,7 @@
         // A node that has just started can do less than when it is warm.
         let warm = day.nodes.get(i).map_or(1.0, |d| f64::from(day.kinds[d.kind as usize].cores) * d.speed);
         let state = match () {
-            () if !n.takes => "down",
+            () if !n.accepts_connections => "down",
             () if n.capacity < 0.95 * warm => "cold",
             () => "",
         };
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 use shorewharf_emulator::day::Day;
-use shorewharf_emulator::world::series::SLOT;
+use shorewharf_emulator::world::series::SETUP_INTERVAL;
 use shorewharf_fault_scenarios::{LoadDistribution, Scenario, WorstInterval, worst_setup_burst};
 
 use crate::cli;
@@ -59,7 +59,10 @@
                 load_most: figure(even.max_load),
                 over_mean_most: figure(even.max_over_mean),
                 under_mean_least: figure(even.min_under_mean),
-                set_ups_most: figure(worst_setup_burst(&result.series.set_ups, seconds_from_micros(SLOT))),
+                set_ups_most: figure(worst_setup_burst(
+                    &result.series.set_ups,
+                    seconds_from_micros(SETUP_INTERVAL),
+                )),
                 rules_kept: result.verdict.clean(),
             }
         })?;
--- a/crates/lab/src/import/convert.rs
+++ b/crates/lab/src/import/convert.rs
@@ -1,8 +1,8 @@
 //! Conversion of a drawn day to the emulator's [`Day`].
 
 use shorewharf_emulator::day::{
-    Balancer, Class, Clients, Day, Discovery, Fault, FaultKind, Front, GoAway, Kind, Limits, Net, Node,
-    Prices, Rules, Sheds, Streams, Traffic,
+    Balancer, Class, Clients, Day, Discovery, DrainPolicy, Fault, FaultKind, Front, Kind, Limits, Net, Node,
+    Prices, Rules, ShedPolicy, Streams, Traffic,
 };
 use shorewharf_units::Micros;
 
@@ -185,15 +185,15 @@
             buffer_s: self.buffer_s,
             by_joins: self.by_joins,
             sheds: match self.sheds.as_str() {
-                "none" => Sheds::None,
-                "newest" => Sheds::Newest,
-                "heaviest" => Sheds::Heaviest,
+                "none" => ShedPolicy::None,
+                "newest" => ShedPolicy::Newest,
+                "heaviest" => ShedPolicy::Heaviest,
                 other => return Err(UnsupportedValue::new("fam.sheds", other, "none, newest, heaviest")),
             },
             go_away: match self.goaway.as_str() {
-                "none" => GoAway::None,
-                "paced" => GoAway::Paced,
-                "at_once" => GoAway::AtOnce,
+                "none" => DrainPolicy::None,
+                "paced" => DrainPolicy::Paced,
+                "at_once" => DrainPolicy::AtOnce,
                 other => return Err(UnsupportedValue::new("fam.goaway", other, "none, paced, at_once")),
             },
             group_cost: self.group_cost,
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -216,17 +216,20 @@
         let none = Vec::new();
         let priced =
             self.ready.iter().filter(|s| self.ready.len() == 1 || Some(**s) != not).filter_map(|s| {
-                let t = peers.ground_truth(*s, &truths).filter(|t| t.takes && t.capacity > 0.0)?;
+                let t =
+                    peers.ground_truth(*s, &truths).filter(|t| t.accepts_connections && t.capacity > 0.0)?;
                 let mine = self.placed.get(s).unwrap_or(&none);
                 let holds = group == 0 || mine.contains(&group) || t.groups.binary_search(&group).is_ok();
                 let cost = if holds { CONNECTION_COST } else { CONNECTION_COST + NEW_GROUP_COST };
                 let hand = f64::from(t.set_ups) + mine.len() as f64;
-                let coming = hand * (CONNECTION_COST + 0.5 * NEW_GROUP_COST) * t.usual;
-                let u = (t.stands + coming + cost * t.usual) / t.capacity + t.pile_s;
+                let coming = hand * (CONNECTION_COST + 0.5 * NEW_GROUP_COST) * t.mean_connection_load;
+                let u =
+                    (t.established_load + coming + cost * t.mean_connection_load) / t.capacity + t.backlog_s;
                 // A setup occupies a core: more of them than free cores would queue.
-                let lanes = hand < 1.0 + 4.0 * (1.0 - (t.stands / t.capacity).min(1.0));
-                let stands =
-                    t.before_fall.is_none_or(|left| left >= self.balancer_count * (mine.len() as f64 + 1.0));
+                let lanes = hand < 1.0 + 4.0 * (1.0 - (t.established_load / t.capacity).min(1.0));
+                let stands = t
+                    .admissible_before_overload
+                    .is_none_or(|left| left >= self.balancer_count * (mine.len() as f64 + 1.0));
                 let room = u <= if holds { KNOWN_GROUP_MAX_UTILIZATION } else { NEW_GROUP_MAX_UTILIZATION };
                 (room && lanes && stands).then(|| (cost / (1.0 - u.min(0.98)), *s))
             });
@@ -239,10 +242,12 @@
         let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner).clone();
         let mut migrations = Vec::new();
         for server in &self.ready {
-            let Some(t) = peers.ground_truth(*server, &truths).filter(|t| t.takes && t.capacity > 0.0) else {
+            let Some(t) =
+                peers.ground_truth(*server, &truths).filter(|t| t.accepts_connections && t.capacity > 0.0)
+            else {
                 continue;
             };
-            let rho = t.stands / t.capacity;
+            let rho = t.established_load / t.capacity;
             if rho <= RELIEF_THRESHOLD {
                 continue;
             }
@@ -250,7 +255,7 @@
                 .requests
                 .iter()
                 .filter(|(_, h)| h.server == Some(*server))
-                .map(|(id, h)| (if h.load > 0.0 { h.load } else { t.usual }, *id))
+                .map(|(id, h)| (if h.load > 0.0 { h.load } else { t.mean_connection_load }, *id))
                 .collect();
             on.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
             let mut due = on.iter().map(|c| c.0).sum::<f64>() * (1.0 - RELIEF_TARGET / rho);
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -7,7 +7,7 @@
 use shorewharf_emulator::day::Day;
 use shorewharf_emulator::sockets::network_faults::NetworkFault;
 use shorewharf_emulator::sockets::platform::SocketsRun;
-use shorewharf_emulator::world::series::SLOT;
+use shorewharf_emulator::world::series::SETUP_INTERVAL;
 use shorewharf_fault_scenarios::{Observations, Scenario, Verdict, WeightedRequests, evaluate};
 
 use crate::balancer;
@@ -138,7 +138,7 @@
             setups: &run.result.series.set_ups,
             tenants: &tenants,
             max_connections: &outcome.held_most,
-            slot_s: seconds_from_micros(SLOT),
+            slot_s: seconds_from_micros(SETUP_INTERVAL),
             crashes: crashed.map(|l| format!("balancer {}: {}", l.balancer, l.how)).collect(),
             faults: breaks,
         },
--- a/crates/lab/tests/import.rs
+++ b/crates/lab/tests/import.rs
@@ -25,7 +25,7 @@
         (12_346, 700_000, 2_800_000, 40_000, 11_500_000)
     );
     assert_eq!((day.streams.life, day.streams.message), (21_500_000, 1_875));
-    assert_eq!((day.streams.sheds, day.streams.go_away), (Sheds::Newest, GoAway::Paced));
+    assert_eq!((day.streams.sheds, day.streams.go_away), (ShedPolicy::Newest, DrainPolicy::Paced));
     assert_eq!((day.kinds[1].cold, day.kinds[1].pause_every, day.kinds[1].pause), (15_500_000, 0, 25_300));
     assert_eq!(day.nodes[1], Node { zone: 1, kind: 1, cell: 3, speed: 1.25, weight: 5.5, up: false });
     assert_eq!(day.balancers[1], Balancer { zone: 1, start: 400_000 });
