--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,7 +1,8 @@
-//! A day: every figure of the platform that one run plays, as a scenario file states it.
+//! A day: all parameters of the platform for one run, as stated in a scenario file.
 //!
-//! What the seed draws (arrivals, lives, loads, delays, who is struck) follows from these figures alone. Times in a
-//! file are seconds or milliseconds, as the key's ending says; in the program all are whole microseconds.
+//! Everything that is drawn from the seed (arrivals, lifetimes, loads, delays, the parties that faults
+//! affect) depends on these parameters alone. Durations in a file are in seconds or milliseconds, as the
+//! suffix of the key says; in the program all are whole microseconds.
 
 mod faults;
 
@@ -23,7 +24,7 @@
     pub fn serialize<S: Serializer>(t: &u64, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_f64(seconds_from_micros(*t))
     }
-    /// Reads seconds; what is negative or no number is refused.
+    /// Reads seconds; rejects values that are not a number, negative or too long.
     ///
     /// # Errors
     ///
@@ -44,7 +45,7 @@
     pub fn serialize<S: Serializer>(t: &u64, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_f64(*t as f64 / 1e3)
     }
-    /// Reads milliseconds; what is negative or no number is refused.
+    /// Reads milliseconds; rejects values that are not a number, negative or too long.
     ///
     /// # Errors
     ///
@@ -64,231 +65,232 @@
 
 fn micros(x: f64, unit: f64) -> Result<Micros, DurationError> {
     let us = x * unit;
-    // A year is more than any day or figure needs, and keeps sums far from their end.
+    // No duration needs more than a year, and the limit keeps sums far from overflow.
     if (0.0..3.2e13).contains(&us) { Ok(us.round() as Micros) } else { Err(DurationError::OutOfRange(x)) }
 }
 
-/// All figures of one run.
+/// All parameters of one run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// Its name, for tables.
+    /// The name of the day, shown in tables.
     pub name: String,
-    /// What it shows, in a sentence.
+    /// One sentence on what the day is about.
     pub about: String,
-    /// What is drawn follows from it.
+    /// The seed of all random numbers of the run.
     pub seed: u64,
-    /// Arrivals end then; what was taken is played to its end.
+    /// The duration for which clients arrive; requests that have arrived by then still get their answer.
     #[serde(rename = "length_s", with = "in_s")]
     pub length: Micros,
-    /// A balancer handles what has come in at most this often (virtual time).
+    /// The interval at which a balancer handles its inputs (virtual time).
     #[serde(rename = "tick_ms", with = "in_ms")]
     pub tick: Micros,
-    /// The zones' names.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// The network.
+    /// The delays of the network.
     pub net: Net,
-    /// The front layer.
+    /// The layer-4 front end before the balancers.
     pub front: Front,
-    /// Discovery.
+    /// The discovery service.
     pub discovery: Discovery,
-    /// What is asked for.
+    /// The traffic of all clients.
     pub traffic: Traffic,
-    /// How clients behave.
+    /// The behaviour of clients.
     pub clients: Clients,
-    /// Classes of request.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Tenants.
+    /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// How standing connections live and load their nodes.
+    /// Established connections: their lifetimes and the load that they put on nodes.
     pub streams: Streams,
-    /// Kinds of machine.
+    /// The kinds of machines.
     pub kinds: Vec<Kind>,
     /// The nodes.
     pub nodes: Vec<Node>,
     /// The balancers.
     pub balancers: Vec<Balancer>,
-    /// What balancers may do, and their machine.
+    /// What balancers are allowed to do, and the resources of their machines.
     pub limits: Limits,
-    /// Figures of the four rules.
+    /// The limits that the four rules are judged by.
     pub rules: Rules,
-    /// Weights of the result's parts.
+    /// The weights of the parts of the score.
     pub goal: Goal,
-    /// What is taken off the result.
+    /// The deductions from the score.
     pub prices: Prices,
-    /// What goes wrong.
+    /// The faults of the day.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
-    /// Bad clients, none by default.
+    /// Clients that break the protocol; none by default.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub bad_clients: Vec<BadClients>,
 }
 
-/// One-way delays.
+/// One-way delays of the network.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Net {
-    /// Within a zone.
+    /// Mean delay within a zone.
     #[serde(rename = "same_ms", with = "in_ms")]
     pub same: Micros,
-    /// Between zones.
+    /// Mean delay between zones.
     #[serde(rename = "cross_ms", with = "in_ms")]
     pub cross: Micros,
-    /// Between a client and its balancer.
+    /// Delay between a client and its balancer, without jitter.
     #[serde(rename = "client_ms", with = "in_ms")]
     pub client: Micros,
-    /// Spread of a delay, as a share of it.
+    /// The random part of a delay, from 0 to 1: this share of the mean delay is exponentially distributed.
     pub jitter: f64,
 }
 
-/// The layer that deals clients out over the balancers of their zone.
+/// The layer-4 front end, which assigns clients to the balancers of their zone.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
-    /// It notices that a balancer has died after this.
+    /// Mean time until it detects that a balancer has died.
     #[serde(rename = "notice_s", with = "in_s")]
     pub notice: Micros,
 }
 
-/// The service that knows the list.
+/// The discovery service, which publishes the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// An ended process is noticed after this.
+    /// Mean time until it detects that a process has ended.
     #[serde(rename = "notice_s", with = "in_s")]
     pub notice: Micros,
-    /// One that fell silent is noticed after this.
+    /// Mean time until it detects that a process no longer sends heartbeats.
     #[serde(rename = "silent_notice_s", with = "in_s")]
     pub silent_notice: Micros,
-    /// A new process is listed after this.
+    /// Mean time until it observes a new process, a drain, or a process that can be reached again.
     #[serde(rename = "add_s", with = "in_s")]
     pub add: Micros,
-    /// Watchers are told at most this often.
+    /// The shortest interval between two versions of the list that are sent to watchers.
     #[serde(rename = "period_ms", with = "in_ms")]
     pub period: Micros,
-    /// Spread of the telling over watchers.
+    /// Spread of one update over the watchers; the model delays an update by up to an eighth of it.
     #[serde(rename = "spread_ms", with = "in_ms")]
     pub spread: Micros,
-    /// List lines that it writes a second.
+    /// The rate at which it serves calls and updates, in list lines per second.
     pub lines_per_s: f64,
-    /// What a call costs, in lines.
+    /// The fixed work of a call, in list lines.
     pub call_lines: f64,
-    /// A call that has waited so long fails.
+    /// A call that could not be served within this time fails at once.
     #[serde(rename = "timeout_s", with = "in_s")]
     pub timeout: Micros,
 }
 
-/// What is asked for.
+/// The traffic of all clients: when they arrive and how they are divided among zones.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Mean load asked for, as a share of what all nodes can do; ignored where `arrivals_per_s` is given.
+    /// Mean load as a share of the capacity of all nodes; ignored if `arrivals_per_s` is given.
     pub load: f64,
-    /// New connections a second, in place of `load`.
+    /// New clients per second, in place of `load`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub arrivals_per_s: Option<f64>,
-    /// Course of the rate over the day: (seconds, factor), linear between; mean 1 by convention.
+    /// The traffic over the day as points (seconds, factor), interpolated linearly; the mean is 1 by
+    /// convention.
     pub shape: Vec<(f64, f64)>,
-    /// Bursts: coefficient of variation of the rate, 0 for none.
+    /// Coefficient of variation of the arrival rate from burst to burst; 0 for no bursts.
     #[serde(default)]
     pub burst_cv: f64,
-    /// Length of a burst.
+    /// The time for which one drawn arrival rate lasts.
     #[serde(default, rename = "burst_ms", with = "in_ms")]
     pub burst: Micros,
-    /// Share of clients by zone.
+    /// The share of clients in each zone.
     pub zone_share: Vec<f64>,
-    /// Recorded arrivals (seconds) in place of drawn ones.
+    /// Recorded arrival times, in seconds, in place of drawn ones.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub recorded_s: Vec<f64>,
-    /// What a second beyond a tenant's share is worth, as a fraction.
+    /// The worth of a second of service beyond a tenant's share, as a fraction of its worth within the share.
     pub over_share_worth: f64,
 }
 
-/// How repeats are spaced.
+/// The delay between the attempts of a client.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Backoff {
-    /// At once.
+    /// The first delay each time.
     None,
-    /// After the same wait each time.
+    /// Four times the first delay each time.
     Fixed,
-    /// After a wait that doubles.
+    /// A delay that doubles with each failed attempt.
     Exp,
 }
 
-/// How clients behave.
+/// The behaviour of clients.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Repeats of a failed try.
+    /// Retries of a failed request. The client model ignores it: its clients retry until their lifetime ends.
     pub retries: u32,
-    /// Part of the class's time that one try gets.
+    /// Share of the class's `give_up` time per attempt. The client model ignores it: attempts get all of it.
     pub try_share: f64,
-    /// How repeats are spaced.
+    /// How the delay between attempts grows.
     pub backoff: Backoff,
-    /// The first wait.
+    /// The delay after the first failed attempt.
     #[serde(rename = "backoff_ms", with = "in_ms")]
     pub backoff_first: Micros,
-    /// Share of clients that honour a time to come back.
+    /// Share of clients that honour a retry-after time.
     pub honour: f64,
-    /// The longest wait that is honoured.
+    /// The longest retry-after time that clients honour; they shorten a longer one to this.
     #[serde(rename = "max_retry_after_s", with = "in_s")]
     pub max_retry_after: Micros,
-    /// Share of clients that leave early.
+    /// Share of clients that leave for good after an attempt that took more than half of the `give_up` time.
     #[serde(default)]
     pub impatient: f64,
-    /// Repeats are marked.
+    /// Whether clients mark a retry as such.
     #[serde(default)]
     pub marks_retry: bool,
-    /// After a break a client comes again within this.
+    /// The longest time until a client reconnects after its connection broke.
     #[serde(rename = "rejoin_ms", with = "in_ms")]
     pub rejoin: Micros,
-    /// After a move it comes again after this.
+    /// Mean time until a client reconnects after its connection was migrated.
     #[serde(rename = "move_gap_ms", with = "in_ms")]
     pub move_gap: Micros,
-    /// A line is sent on a standing connection this often.
+    /// The interval between two lines of a client on an established connection.
     #[serde(rename = "line_every_s", with = "in_s")]
     pub line_every: Micros,
 }
 
-/// A class of request.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its share of arrivals.
+    /// Its share of the arrivals.
     pub share: f64,
-    /// Work of a set-up on a core of speed 1.
+    /// Mean work of a set-up, as time on a core of speed 1.
     #[serde(rename = "set_up_ms", with = "in_ms")]
     pub set_up: Micros,
-    /// Coefficient of variation of that work.
+    /// Coefficient of variation of that work between clients. The node model uses a fixed spread instead.
     pub set_up_cv: f64,
-    /// Noise from one attempt to the next.
+    /// Coefficient of variation of that work between the attempts of one client.
     pub attempt_noise: f64,
-    /// A set-up within this earns full worth.
+    /// The latency objective of a set-up.
     #[serde(rename = "aim_ms", with = "in_ms")]
     pub aim: Micros,
-    /// A client waits so long for one set-up, all tries together.
+    /// How long a client waits for the answer to one attempt.
     #[serde(rename = "give_up_ms", with = "in_ms")]
     pub give_up: Micros,
-    /// Worth of a second.
+    /// The worth of one second of service.
     pub worth: f64,
-    /// A message is wanted within this.
+    /// The latency objective of a message.
     #[serde(rename = "message_aim_ms", with = "in_ms")]
     pub message_aim: Micros,
-    /// Mean load, in usual loads.
+    /// Mean load of a connection, as a multiple of the mean connection load (see [`Streams::per_core`]).
     pub load: f64,
-    /// Mean life, in usual lives.
+    /// Mean lifetime, as a multiple of [`Streams::life`].
     pub life: f64,
-    /// Spread (sigma, lognormal) of loads between connections.
+    /// Spread of the loads between connections: sigma of a lognormal distribution.
     pub load_sigma: f64,
-    /// Spread of one connection's load over time.
+    /// Spread of one connection's load over time: sigma of a lognormal distribution.
     pub swing_sigma: f64,
-    /// A connection's load changes this often on average.
+    /// Mean time between two changes of a connection's load.
     #[serde(rename = "change_s", with = "in_s")]
     pub change: Micros,
-    /// Share of the time that a connection is idle.
+    /// Share of the time for which a connection is idle; its load is then a tenth of its mean.
     pub idle: f64,
 }
 
@@ -296,114 +298,118 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its agreed share of the service.
+    /// The agreed share of the service, as stated to the balancers.
     pub share: f64,
-    /// Its share of the traffic.
+    /// Its weight in the traffic, relative to the other tenants.
     pub traffic: f64,
-    /// What it may use, as a share of what all nodes can do.
+    /// The number of its connections that counts as within its share, as a share of the capacity of all
+    /// nodes.
     pub quota: f64,
 }
 
-/// Whom an overfull node drops.
+/// Which connections a node drops when its backlog is full.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ShedPolicy {
-    /// Nobody.
+    /// None.
     None,
     /// The newest connections.
     Newest,
-    /// The heaviest ones.
+    /// The connections with the largest load.
     Heaviest,
 }
 
-/// How a draining node sends its clients away.
+/// How a draining node migrates its clients.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainPolicy {
-    /// It does not.
+    /// It doesn't migrate them.
     None,
-    /// One after the other.
+    /// Over about three seconds.
     Paced,
     /// All at once.
     AtOnce,
 }
 
-/// How standing connections live and load their nodes.
+/// Established connections: their lifetimes and the load that they put on nodes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Streams {
-    /// Usual connections that fill one core of speed 1.
+    /// The number of connections of mean load that one core of speed 1 can serve.
     pub per_core: f64,
-    /// Connection cap of a node, as a multiple of what fills it.
+    /// The largest number of connections of a node, as a multiple of `per_core` times its cores.
     pub cap: f64,
-    /// Mean life.
+    /// Mean lifetime of a connection.
     #[serde(rename = "life_s", with = "in_s")]
     pub life: Micros,
-    /// Spread (sigma, lognormal) of lives.
+    /// Spread of the lifetimes: sigma of a lognormal distribution.
     pub life_sigma: f64,
-    /// Work of a message on a core of speed 1.
+    /// Mean work of a message, as time on a core of speed 1.
     #[serde(rename = "message_ms", with = "in_ms")]
     pub message: Micros,
-    /// How bursty messages are; 1 for not.
+    /// The burstiness of messages, a factor on their waiting time; 1 for independent messages.
     pub bursty: f64,
-    /// Work piled up, in seconds, at which a node begins to drop.
+    /// The backlog of work, in seconds, at which a node begins to drop connections.
     pub buffer_s: f64,
-    /// Of the swing of the day's shape, the part (as an exponent) that comes by numbers of clients; the rest by their loads.
+    /// How the day's `shape` s is divided: the number of clients follows s to this power, their loads follow
+    /// the rest.
     pub by_joins: f64,
-    /// Whom it drops.
+    /// Which connections a node drops when its backlog is full.
     pub sheds: ShedPolicy,
-    /// How a draining node sends its clients away.
+    /// How a draining node migrates its clients.
     pub go_away: DrainPolicy,
-    /// Mean connection loads that a node pays for each group it holds any of.
+    /// The load of each group of which a node has connections, in mean connection loads.
     pub group_cost: f64,
-    /// Mean members of a group.
+    /// Mean number of connections of a group.
     pub group_size: f64,
-    /// Exponent of the groups' sizes.
+    /// Exponent of the Zipf distribution of the groups' sizes.
     pub group_zipf: f64,
-    /// Unevenness of who stands where at the start.
+    /// Unevenness of the placement at the start: the largest relative error in the capacities that it is
+    /// based on.
     pub start_skew: f64,
-    /// Nodes tell a connection's load.
+    /// Whether nodes report the load of a connection.
     pub tells_load: bool,
-    /// Nodes tell a connection's load at its opening too, as the simulator's do. On sockets servers were seen to tell it
-    /// only when it changes, so a day that stands for sockets says no.
-    #[serde(default = "yes")]
+    /// Whether nodes report the load of a connection also when it is established, as those of the simulator
+    /// do. On sockets servers report it only when it changes, so days that model sockets set this to false.
+    #[serde(default = "default_true")]
     pub tells_first: bool,
-    /// Nodes tell what messages take.
+    /// Whether nodes report the delay of messages.
     pub tells_delay: bool,
 }
 
-/// A kind of machine.
+/// A kind of machines.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// The name of the kind.
     pub name: String,
-    /// Cores.
+    /// The number of cores.
     pub cores: u32,
-    /// Set-ups in work at once, as a site file states it; nodes here work on half their cores' number.
+    /// Set-ups in progress at once, as stated in a site file. The node model ignores it and uses half of the
+    /// cores.
     pub slots: u32,
-    /// Set-ups that wait, in the site file's count; four times as many do.
+    /// Set-ups that can wait, as stated in a site file; the node model lets four times as many wait.
     pub queue: u32,
-    /// Loss of efficiency when crowded.
+    /// Loss of efficiency with many set-ups in progress. The node model ignores it.
     pub thrash: f64,
-    /// Set-ups in hand from which it is crowded.
+    /// The number of set-ups from which efficiency is lost. The node model ignores it.
     pub knee: f64,
-    /// Share of its capacity at its start.
+    /// Capacity after a start, as a share of the full capacity.
     pub cold_from: f64,
-    /// Warm after this.
+    /// The time from a start until the capacity is full.
     #[serde(rename = "cold_s", with = "in_s")]
     pub cold: Micros,
-    /// It pauses each time its cores have been busy for so long, all cores together; 0 for never.
+    /// A machine pauses each time its cores have been busy for this long in total; 0 for no pauses.
     #[serde(rename = "pause_every_s", with = "in_s")]
     pub pause_every: Micros,
-    /// Length of a pause.
+    /// The length of a pause.
     #[serde(rename = "pause_ms", with = "in_ms")]
     pub pause: Micros,
-    /// How pauses grow with load.
+    /// Growth of the pauses with the load. The node model ignores it.
     pub pause_grow: f64,
-    /// Share of set-ups that fail.
+    /// The share of set-ups that fail.
     pub error_rate: f64,
 }
 
@@ -411,23 +417,23 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Place of its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// Place of its kind.
+    /// Index of its kind.
     pub kind: u32,
-    /// Its cell.
+    /// Its cell, which the endpoint list shows as its group.
     #[serde(default)]
     pub cell: u32,
-    /// True speed of a core.
+    /// The true speed of a core; 1 is the standard core.
     pub speed: f64,
-    /// Its weight in the list.
+    /// Its weight in the endpoint list.
     pub weight: f64,
-    /// It runs when the day starts.
-    #[serde(default = "yes")]
+    /// Whether it runs when the day starts.
+    #[serde(default = "default_true")]
     pub up: bool,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -435,117 +441,119 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Balancer {
-    /// Place of its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// It starts then.
+    /// When it starts.
     #[serde(default, rename = "start_s", with = "in_s")]
     pub start: Micros,
 }
 
-/// What balancers may do, and their machine.
+/// What balancers are allowed to do, and the resources of their machines.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Probes are allowed.
+    /// Whether they may send probes.
     pub probes: bool,
-    /// Attempts may be called off.
+    /// Whether they may cancel attempts.
     pub cancel: bool,
-    /// Refused clients may be told a time.
+    /// Whether they may send rejected clients a retry-after time.
     pub retry_after: bool,
-    /// Attempts of one request.
+    /// The largest number of attempts of one request.
     pub max_attempts: u32,
-    /// A link that is not up by then has failed.
+    /// A link that is not established within this time has failed.
     #[serde(rename = "connect_timeout_ms", with = "in_ms")]
     pub connect_timeout: Micros,
-    /// Round trips of a new link.
+    /// The round trips that it takes to establish a connection to a node.
     pub handshake_rtts: f64,
-    /// An unused pair connection closes after this.
+    /// An unused connection of a balancer to a node is closed after this time (virtual time).
     #[serde(rename = "idle_close_s", with = "in_s")]
     pub idle_close: Micros,
-    /// Work of a probe on a core of speed 1.
+    /// Work of a probe, as time on a core of speed 1.
     #[serde(rename = "probe_work_ms", with = "in_ms")]
     pub probe_work: Micros,
-    /// Probes that a node has in hand at once, for each of its cores; 0 for any number.
+    /// The number of probes that a node handles at once, per core; 0 for no limit.
     #[serde(default)]
     pub probe_cap_per_core: f64,
-    /// A probe that is not answered by then has failed.
+    /// A probe that is not answered within this time has failed.
     #[serde(rename = "probe_timeout_ms", with = "in_ms")]
     pub probe_timeout: Micros,
-    /// CPU for decisions, microseconds a second.
+    /// CPU time for decisions, in microseconds per second.
     pub cpu_us_per_s: f64,
-    /// Share of a core (sockets).
+    /// The number of cores of a balancer's machine (sockets).
     pub cores: f64,
-    /// Memory in MB (sockets).
+    /// Memory of a balancer's process, in MiB (sockets).
     pub memory_mb: f64,
-    /// File descriptors (sockets).
+    /// The largest number of file descriptors of a balancer's process (sockets).
     pub sockets: u32,
 }
 
-/// Figures of the four rules.
+/// The limits that the four rules are judged by.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// An answer so long after the deadline still counts.
+    /// An answer that arrives within this time after the deadline still counts.
     #[serde(rename = "answer_slack_ms", with = "in_ms")]
     pub answer_slack: Micros,
-    /// Nothing new to a node so long after its drain or end was told.
+    /// A balancer may send a node no new requests from this time on after it was notified of the node's drain
+    /// or end.
     #[serde(rename = "drain_grace_s", with = "in_s")]
     pub drain_grace: Micros,
-    /// A cold node falls when sent over so many times what it can do ...
+    /// A node that is warming up is overloaded when it is sent more than this multiple of what it accepts,
     pub fall_multiple: f64,
-    /// ... for so long.
+    /// counted over a window of this length.
     #[serde(rename = "fall_for_s", with = "in_s")]
     pub fall_for: Micros,
-    /// What balancers are told of a start: it begins at this share or more.
+    /// The smallest capacity after a start, as a share of the full one, that balancers are told to expect.
     pub stated_cold_from: f64,
-    /// And is warm after this.
+    /// The longest warm-up that balancers are told to expect.
     #[serde(rename = "stated_cold_s", with = "in_s")]
     pub stated_cold: Micros,
-    /// A balancer that has not asked for so long counts as told.
+    /// A balancer without a watch that hasn't called discovery for this long counts as notified of what was
+    /// listed that long ago.
     #[serde(rename = "ask_within_s", with = "in_s")]
     pub ask_within: Micros,
 }
 
-/// Weights of the result's parts.
+/// The weights of the parts of the score.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Goal {
-    /// The whole day.
+    /// Weight of the share earned over the whole day.
     pub whole: f64,
-    /// The worst 10 s.
+    /// Weight of the worst 10 s.
     pub worst_window: f64,
-    /// The worst class.
+    /// Weight of the worst class.
     pub worst_class: f64,
-    /// The worst tenant within its share.
+    /// Weight of the worst tenant within its share.
     pub worst_tenant: f64,
 }
 
-/// What is taken off the result, each times its rate.
+/// The prices of costs: each price times the rate of the cost is deducted from the score.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prices {
-    /// Crossings of zones.
+    /// Price of service across zones.
     pub cross_zone: f64,
-    /// Work that served nothing.
+    /// Price of wasted work. The score ignores it; balancers are told it.
     pub waste: f64,
-    /// Open connections.
+    /// Price of open connections to nodes.
     pub connection: f64,
-    /// New connections.
+    /// Price of new connections to nodes.
     pub handshake: f64,
-    /// Probes.
+    /// Price of probes.
     pub probe: f64,
-    /// Worth that failed after its aim.
+    /// Price of requests that fail after their objective. The score ignores it; balancers are told it.
     pub late_fail: f64,
-    /// Moves.
+    /// Price of migrations.
     pub moves: f64,
 }
 
-/// Bad clients that come all day.
+/// A flow of clients that break the protocol, over the whole day.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BadClients {
-    /// What they do, by the name of the kind.
+    /// The name of what they do.
     pub kind: String,
-    /// Connections a second.
+    /// Connections per second.
     pub per_s: f64,
 }
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -1,31 +1,31 @@
-//! What goes wrong on a day, and when.
+//! The faults of a day: what goes wrong, when, and which parties are affected.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Micros, in_s};
 
-/// What goes wrong, and whom it strikes.
+/// A fault and the parties that it affects.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// It begins then.
+    /// When it begins.
     #[serde(rename = "at_s", with = "in_s")]
     pub at: Micros,
-    /// It lasts so long.
+    /// How long it lasts.
     #[serde(default, rename = "len_s", with = "in_s")]
     pub len: Micros,
-    /// Its strength: a share, a factor or seconds, as the kind says.
+    /// Its strength: a share, a factor or seconds, depending on the kind.
     #[serde(default)]
     pub size: f64,
-    /// Nodes, balancers or tenants struck, by place; empty for those that `zone` or `part` name.
+    /// Indices of the affected nodes, balancers or tenants; if empty, `zone` and `part` select them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub on: Vec<u32>,
-    /// Everything in this zone is struck.
+    /// Restricts the fault to the machines of this zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<u32>,
-    /// So large a part, drawn by the seed, is struck.
+    /// Restricts the fault to this share of the machines, drawn from the seed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub part: Option<f64>,
 }
@@ -34,45 +34,47 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Processes die and come back cold after the length.
+    /// The processes of nodes crash and start again, cold, after the length.
     Crash,
-    /// Nodes keep their connections and say nothing for the length.
+    /// Nodes keep their connections and answer nothing for the length.
     Hang,
-    /// Nodes are cut off from the network: silent, then reset.
+    /// Nodes are cut off from the network: nothing is received from them, and at the end their connections
+    /// are reset.
     CutOff,
-    /// Nodes accept and never answer an `OPEN`; probes are answered.
+    /// Nodes accept connections and never answer an `OPEN`; they answer probes.
     HalfDead,
-    /// Nodes do `size` of their work.
+    /// Nodes work at the speed `size`, as a share of their own speed.
     Slow,
-    /// Nodes fail `size` of the set-ups.
+    /// Nodes fail a share `size` of the set-ups.
     Failing,
-    /// Nodes reset `size` of their connections over the length.
+    /// Nodes reset a share `size` of their connections over the length.
     Resetting,
-    /// Nodes turn everything new away.
+    /// Nodes answer every request with `BUSY`.
     Full,
-    /// Nodes answer nonsense.
+    /// Nodes answer requests with lines that are not part of the protocol.
     WrongAnswers,
-    /// Nodes drain and are gone, and come back cold after the length, one after the other.
+    /// Nodes drain for `size` seconds, stop, and start again, cold, after the length; one batch after the
+    /// other.
     Release,
-    /// Nodes drain and are gone for good.
+    /// Nodes drain for the length and stop for good.
     Drain,
-    /// The list runs `size` seconds further behind.
+    /// Discovery observes changes `size` seconds later than usual.
     ListStale,
-    /// Discovery answers 503 and its watches end.
+    /// Calls to discovery fail, and its watches end.
     ListDown,
-    /// Discovery moves to another address; balancers are told by SIGHUP.
+    /// Discovery moves to another address, which balancers learn at a SIGHUP.
     ListMoved,
-    /// `size` of the standing clients, or of those of the tenants at the places `on`, drop and come again within the
-    /// length.
+    /// A share `size` of the established connections, or of those of the tenants `on`, is closed by the
+    /// clients, which reconnect within the length.
     Reconnect,
-    /// Balancers are killed and come back after the length.
+    /// Balancers are killed and start again after the length.
     BalancerKill,
-    /// Balancers are ended by plan and come back after the length.
+    /// Balancers shut down on a SIGTERM and start again after the length, one after the other.
     BalancerRestart,
-    /// Balancers are told SIGHUP.
+    /// Balancers get a SIGHUP.
     BalancerReload,
-    /// Traffic is `size` times as much.
+    /// The traffic is multiplied by `size`.
     Surge,
-    /// Traffic of the tenant at place `on` is `size` times as much.
+    /// The traffic of the tenant `on` is multiplied by `size`.
     TenantFlood,
 }
--- a/crates/emulator/src/edge.rs
+++ b/crates/emulator/src/edge.rs
@@ -1,9 +1,10 @@
-//! The interface between the emulated platform and a balancer: what reaches a balancer and what it does, independent
-//! of text and sockets.
+//! The interface between the emulated platform and a balancer: what reaches a balancer and what it does,
+//! independent of text and sockets.
 //!
-//! The world in [`crate`] exchanges these messages with balancers. The driver in virtual time passes them to decision
-//! modules; the driver on sockets writes and parses them as lines. All network delays are on the world's side: a
-//! message to a balancer has already arrived, and an action of a balancer has only just left it.
+//! The world in [`crate`] exchanges these messages with balancers. The driver in virtual time passes them to
+//! decision modules; the driver on sockets writes and parses them as lines. All network delays are on the
+//! world's side: a message to a balancer has already arrived, and an action of a balancer has only just left
+//! it.
 
 use shorewharf_units::Micros;
 
@@ -15,8 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// Identifies one connection of a client to a balancer. It is never reused, and is also the id in the connection's
-/// `OPEN` line.
+/// Identifies one connection of a client to a balancer. It is never reused, and is also the id in the
+/// connection's `OPEN` line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
@@ -43,7 +44,8 @@
     pub hint: Option<f64>,
     /// Whether the line is marked as a retry; only set on days whose clients mark retries.
     pub retry: bool,
-    /// Whether the client connects again after its connection was lost or migrated, or after a failed attempt.
+    /// Whether the client connects again after its connection was lost or migrated, or after a failed
+    /// attempt.
     pub is_reconnect: bool,
     /// The node on which the connection was established before the run.
     pub previous_node: Option<NodeId>,
@@ -192,8 +194,8 @@
     Answer(ConnId, Answer),
     /// Ends a client's connection.
     EndClient(ConnId, End),
-    /// Opens a link to a node, for a client's connection or a probe. In virtual time the first line is sent with the
-    /// link; on sockets [`FromBalancer::Forward`] sends it.
+    /// Opens a link to a node, for a client's connection or a probe. In virtual time the first line is sent
+    /// with the link; on sockets [`FromBalancer::Forward`] sends it.
     Link {
         /// The id of the new link.
         link: LinkId,
@@ -223,8 +225,8 @@
     Unwatch,
     /// The balancer's machine has refused a client's connection (sockets only).
     ConnectionRefused(ConnId),
-    /// The balancer has sent a node a first line in a form that no client sent, which makes the run invalid (sockets
-    /// only).
+    /// The balancer has sent a node a first line in a form that no client sent, which makes the run invalid
+    /// (sockets only).
     MalformedRequest(NodeId),
     /// The process has exited by itself.
     Exited,
