--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 enum DurationError {
     /// The value is negative, not a number or longer than a year.
-    #[error("{0} is no length of time")]
+    #[error("{0} is not a valid duration: expected a number from 0 to one year")]
     OutOfRange(f64),
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform round a balancer, as models: update nodes, clients, front, discovery, network and faults.
+//! Models of the platform around a balancer: update nodes, clients, front, discovery, network and faults.
 //!
-//! Models are pure: time is an argument, randomness comes from the day's seed, and nothing here opens a socket but
-//! the driver that says so. Two drivers run the same models: one in virtual time, one on loopback sockets. What
-//! plays the other side must not share the faults of the side it tests, so this package uses `protocol` and nothing
-//! of the balancer.
+//! The models are pure: time is an argument, random numbers depend on the day's seed alone, and only the driver
+//! on sockets opens sockets. Two drivers run the same models: one in virtual time, one on loopback sockets. An
+//! emulated platform that shared code with the balancers it tests would share their defects, so of the workspace
+//! this package uses only the protocol and the units.
 
 pub mod audit;
 pub mod day;
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -1,7 +1,7 @@
-//! Actions of balancers, and faults of balancers.
+//! The actions of balancers, the messages of nodes to them, and their faults.
 
 use super::conns::Stage;
-use super::links::{At, Link};
+use super::links::{Link, LinkStage};
 use super::{BalancerArrival, ClientMessage, Event, Mode, NodeArrival, World, WorldListener, conns, rng};
 use crate::edge::{Answer, BalancerId, ConnId, End, FromBalancer, LinkId, NodeId, NodeMessage, ToBalancer};
 use crate::environment::BalancerEvent;
@@ -33,12 +33,13 @@
                 self.on_link_opened(balancer, link, node, conn, listener);
             }
             FromBalancer::EndLink(link, _) => {
-                if let Some(id) = self.links.of(balancer, link) {
+                if let Some(id) = self.links.find(balancer, link) {
                     self.close_from_balancer(id);
                 }
             }
             FromBalancer::Watch => self.discovery.watch(self.now, balancer),
-            // In virtual time these follow from the link; on sockets they come with it.
+            // The world handles the first line or the probe as part of the link; on sockets these actions
+            // follow that of the link.
             FromBalancer::Forward { .. } | FromBalancer::Probe(_) | FromBalancer::Pass(_) => {}
             FromBalancer::Ready => self.front.on_ready(self.now, balancer),
             FromBalancer::Unwatch => self.discovery.unwatch(balancer),
@@ -47,7 +48,7 @@
                     self.send_to_client(conn, ClientMessage::Ended(End::Reset));
                 }
             }
-            // Told to whoever judges; it changes nothing here.
+            // Only the auditor uses it.
             FromBalancer::MalformedRequest(_) => {}
             FromBalancer::Exited => self.on_balancer_exit(balancer, listener),
         }
@@ -55,20 +56,21 @@
 
     /// Marks the connection as finished at this balancer; returns whether it was not finished before.
     fn finish_connection(&mut self, balancer: BalancerId, conn: ConnId) -> bool {
-        let owed = |c: &&mut conns::Conn| c.balancer == balancer && !c.done;
-        self.conns.get_mut(conn).filter(owed).map(|c| c.done = true).is_some()
+        let unfinished = |c: &&mut conns::Conn| c.balancer == balancer && !c.is_done_at_balancer;
+        self.conns.get_mut(conn).filter(unfinished).map(|c| c.is_done_at_balancer = true).is_some()
     }
 
     fn on_answer(&mut self, balancer: BalancerId, conn: ConnId, answer: Answer) {
         let message = match answer {
-            Answer::Up(theirs) => {
-                let stands = self
-                    .links
-                    .of(balancer, theirs)
-                    .filter(|id| self.links.get(*id).is_some_and(|l| l.conn == Some(conn) && l.at == At::Up));
-                let Some(id) = stands else { return };
+            Answer::Up(balancer_link) => {
+                let established = self.links.find(balancer, balancer_link).filter(|id| {
+                    self.links
+                        .get(*id)
+                        .is_some_and(|l| l.conn == Some(conn) && l.stage == LinkStage::Established)
+                });
+                let Some(id) = established else { return };
                 if self.now == 0 {
-                    // From before the day: no time passes.
+                    // A connection from before the day is restored without delay.
                     return self.on_arrival_at_client(conn, ClientMessage::Up(id));
                 }
                 return self.send_to_client(conn, ClientMessage::Up(id));
@@ -77,9 +79,9 @@
             Answer::Err | Answer::Other | Answer::Forged => ClientMessage::Err,
             Answer::Move => ClientMessage::Move { by_node: false },
         };
-        let stood = self.conns.get(conn).is_some_and(|c| c.stage == Stage::Standing);
+        let was_established = self.conns.get(conn).is_some_and(|c| c.stage == Stage::Established);
         if self.finish_connection(balancer, conn) {
-            if matches!(answer, Answer::Move) && stood {
+            if matches!(answer, Answer::Move) && was_established {
                 self.score.moved(self.now);
             }
             self.send_to_client(conn, message);
@@ -89,7 +91,7 @@
     fn on_link_opened(
         &mut self,
         b: BalancerId,
-        theirs: LinkId,
+        balancer_link: LinkId,
         node: NodeId,
         conn: Option<ConnId>,
         listener: &mut impl WorldListener,
@@ -97,23 +99,23 @@
         let now = self.now;
         let link = Link {
             balancer: b,
-            theirs,
+            balancer_link,
             node,
             conn,
-            at: At::Coming,
-            left: false,
-            ended: false,
-            last: None,
+            stage: LinkStage::Opening,
+            closed_by_balancer: false,
+            closed_by_node: false,
+            closing_message: None,
             last_at_node: 0,
             last_at_balancer: 0,
-            asked: false,
-            paired: true,
+            awaits_reply: false,
+            uses_pair: true,
             has_answered: false,
         };
         let id = self.links.add(link);
         let home = conn.and_then(|c| self.conns.get_mut(c)).and_then(|c| {
             c.link = Some(id);
-            c.ask.previous_node
+            c.request.previous_node
         });
         if home == Some(node) && now == 0 {
             return self.restore_link(id, listener);
@@ -123,11 +125,11 @@
             Mode::Virtual => (self.day.limits.handshake_rtts * 2.0 * leg as f64) as Micros,
             Mode::Sockets => 0,
         };
-        let up = self.pairs.used(now, b, node, handshake);
+        let up = self.pairs.acquire(now, b, node, handshake);
         match conn {
             Some(_) => {
                 self.score.attempt(now);
-                self.series.sent(now);
+                self.series.on_attempt_sent(now);
             }
             None => self.score.probe(now),
         }
@@ -138,18 +140,18 @@
         );
     }
 
-    /// Restores a connection from before the day without delay.
+    /// Restores a connection that was established before the day, without delay.
     fn restore_link(&mut self, id: LinkId, listener: &mut impl WorldListener) {
         let Some(l) = self.links.get_mut(id) else { return };
-        l.at = At::Up;
-        l.paired = false;
-        let (b, theirs, node, conn) = (l.balancer, l.theirs, l.node, l.conn);
+        l.stage = LinkStage::Established;
+        l.uses_pair = false;
+        let (b, balancer_link, node, conn) = (l.balancer, l.balancer_link, l.node, l.conn);
         if let Some(c) = conn.and_then(|c| self.conns.get(c)) {
-            let input = NodeInput::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
+            let input = NodeInput::Carry { link: id, by: b, ask: c.request, profile: c.profile };
             self.handle_node_input(node, input, listener);
         }
-        listener.deliver(self.now, b, ToBalancer::LinkUp(theirs));
-        listener.deliver(self.now, b, ToBalancer::NodeMessage(theirs, NodeMessage::Up));
+        listener.deliver(self.now, b, ToBalancer::LinkUp(balancer_link));
+        listener.deliver(self.now, b, ToBalancer::NodeMessage(balancer_link, NodeMessage::Up));
     }
 
     fn send_to_node(&mut self, id: LinkId, at: Micros, what: NodeArrival) {
@@ -160,11 +162,11 @@
 
     fn close_from_balancer(&mut self, id: LinkId) {
         let Some(l) = self.links.get_mut(id) else { return };
-        if std::mem::replace(&mut l.left, true) {
+        if std::mem::replace(&mut l.closed_by_balancer, true) {
             return;
         }
-        let (b, node, over) = (l.balancer, l.node, l.ended);
-        if over {
+        let (b, node, is_closed_by_node) = (l.balancer, l.node, l.closed_by_node);
+        if is_closed_by_node {
             self.remove_link(id);
             return;
         }
@@ -174,8 +176,8 @@
 
     /// Removes a link that is closed at both ends.
     pub(super) fn remove_link(&mut self, id: LinkId) {
-        if let Some(l) = self.links.remove(id).filter(|l| l.paired) {
-            self.pairs.left(self.now, l.balancer, l.node);
+        if let Some(l) = self.links.remove(id).filter(|l| l.uses_pair) {
+            self.pairs.release(self.now, l.balancer, l.node);
         }
     }
 
@@ -188,36 +190,37 @@
     ) {
         let now = self.now;
         let Some(l) = self.links.get_mut(id) else { return };
-        if l.left {
+        if l.closed_by_balancer {
             return;
         }
-        let (b, theirs, conn, was_up) = (l.balancer, l.theirs, l.conn, l.at == At::Up);
+        let (b, balancer_link, conn, was_up) =
+            (l.balancer, l.balancer_link, l.conn, l.stage == LinkStage::Established);
         match what {
-            BalancerArrival::Up => listener.deliver(now, b, ToBalancer::LinkUp(theirs)),
+            BalancerArrival::Up => listener.deliver(now, b, ToBalancer::LinkUp(balancer_link)),
             BalancerArrival::Failed => {
                 if conn.is_some() {
-                    self.series.attempt("not connected");
+                    self.series.on_attempt_ended("not connected");
                 }
-                listener.deliver(now, b, ToBalancer::LinkFailed(theirs));
+                listener.deliver(now, b, ToBalancer::LinkFailed(balancer_link));
                 self.remove_link(id);
             }
             BalancerArrival::Message(message) => {
                 let first = conn.is_some() && !was_up && !std::mem::replace(&mut l.has_answered, true);
                 if message == NodeMessage::Up {
-                    l.at = At::Up;
+                    l.stage = LinkStage::Established;
                 }
                 if matches!(message, NodeMessage::Bye | NodeMessage::Move) {
-                    l.last = Some(message);
+                    l.closing_message = Some(message);
                 }
                 if message == NodeMessage::Reply {
-                    l.asked = false;
+                    l.awaits_reply = false;
                 }
                 if first {
-                    self.series.attempt_answered(message);
+                    self.series.on_attempt_answered(message);
                 }
-                listener.deliver(now, b, ToBalancer::NodeMessage(theirs, message));
+                listener.deliver(now, b, ToBalancer::NodeMessage(balancer_link, message));
                 if let (NodeMessage::Bye | NodeMessage::Move, true, Some(conn)) = (message, was_up, conn) {
-                    // Lines on a standing connection pass through.
+                    // The balancer relays the lines of an established connection.
                     self.send_to_client(
                         conn,
                         if message == NodeMessage::Bye {
@@ -230,9 +233,9 @@
             }
             BalancerArrival::Ended(end) => {
                 if conn.is_some() && !was_up && !l.has_answered {
-                    self.series.attempt("reset");
+                    self.series.on_attempt_ended("reset");
                 }
-                listener.deliver(now, b, ToBalancer::NodeEnded(theirs, end));
+                listener.deliver(now, b, ToBalancer::NodeEnded(balancer_link, end));
                 self.remove_link(id);
             }
         }
@@ -275,8 +278,8 @@
         at.up = true;
         at.terminating = false;
         at.incarnations += 1;
-        let lives = at.incarnations;
-        let seed = rand::Rng::random(&mut rng(self.day.seed, "balancer", u64::from(b.0) << 32 | lives));
+        let incarnation = at.incarnations;
+        let seed = rand::Rng::random(&mut rng(self.day.seed, "balancer", u64::from(b.0) << 32 | incarnation));
         let known = self.discovery.known_list(b);
         listener.deliver(self.now, b, ToBalancer::Start { seed, known });
     }
@@ -289,15 +292,19 @@
         }
         self.front.on_death(self.now, b);
         self.discovery.ended(b);
-        let held: Vec<ConnId> =
-            self.conns.iter().filter(|c| c.balancer == b && c.come && !c.done).map(|c| c.ask.conn).collect();
-        for conn in held {
+        let open: Vec<ConnId> = self
+            .conns
+            .iter()
+            .filter(|c| c.balancer == b && c.has_arrived && !c.is_done_at_balancer)
+            .map(|c| c.request.conn)
+            .collect();
+        for conn in open {
             self.finish_connection(b, conn);
             self.send_to_client(conn, ClientMessage::Ended(End::Reset));
         }
         let links: Vec<LinkId> =
             self.links.iter().filter(|(_, l)| l.balancer == b).map(|(id, _)| id).collect();
         links.into_iter().for_each(|id| self.close_from_balancer(id));
-        self.pairs.broke(Some(b), None);
+        self.pairs.disconnect(Some(b), None);
     }
 }
--- a/crates/emulator/src/world/links.rs
+++ b/crates/emulator/src/world/links.rs
@@ -1,19 +1,19 @@
-//! The links of balancers to nodes that the world knows of, each under a number of the world's own.
+//! The links of balancers to nodes, each under an id of the world's own.
 
 use shorewharf_units::Micros;
 use std::collections::HashMap;
 
 use crate::edge::{BalancerId, ConnId, LinkId, NodeId, NodeMessage};
 
-/// How far a link has come.
+/// The state of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
-    /// Its node has not heard its first line yet.
-    Coming,
-    /// The node has its first line.
-    Asked,
-    /// The node has said `UP`.
-    Up,
+pub enum LinkStage {
+    /// The first line has not arrived at the node.
+    Opening,
+    /// The first line has arrived at the node.
+    Requested,
+    /// The balancer has received the node's `UP`.
+    Established,
 }
 
 /// A link.
@@ -21,30 +21,31 @@
 pub struct Link {
     /// Its balancer.
     pub balancer: BalancerId,
-    /// Its number there.
-    pub theirs: LinkId,
+    /// The id that the balancer gave it.
+    pub balancer_link: LinkId,
     /// Its node.
     pub node: NodeId,
-    /// The client that it carries; none for a probe.
+    /// The client's connection that it carries; `None` for a probe.
     pub conn: Option<ConnId>,
-    /// How far it has come.
-    pub at: At,
-    /// Its balancer has ended it: nothing on it reaches the balancer any more.
-    pub left: bool,
-    /// Its node has ended it.
-    pub ended: bool,
-    /// The last word of the node that ended or may end it.
-    pub last: Option<NodeMessage>,
-    /// What was sent last reaches the node, and the balancer, then: words don't overtake each other.
+    /// Its state.
+    pub stage: LinkStage,
+    /// Whether the balancer has closed it: nothing more on it reaches the balancer.
+    pub closed_by_balancer: bool,
+    /// Whether the node has closed it.
+    pub closed_by_node: bool,
+    /// The last `BYE` or `MOVE` of the node that has reached the balancer.
+    pub closing_message: Option<NodeMessage>,
+    /// When the message that was sent last to the node arrives there. Later messages don't arrive earlier.
     pub last_at_node: Micros,
-    /// As above, at the balancer.
+    /// When the message that was sent last to the balancer arrives there. Later messages don't arrive
+    /// earlier.
     pub last_at_balancer: Micros,
-    /// The node's first word has reached the balancer.
+    /// Whether the node's first message has reached the balancer.
     pub has_answered: bool,
-    /// A line of the client's is unanswered.
-    pub asked: bool,
-    /// It uses the pair's connection.
-    pub paired: bool,
+    /// Whether a line of the client awaits a reply.
+    pub awaits_reply: bool,
+    /// Whether it uses the shared connection of its balancer and node.
+    pub uses_pair: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -58,15 +59,16 @@
 pub struct Links {
     slots: Vec<Slot>,
     free: Vec<u32>,
-    by_theirs: HashMap<(BalancerId, LinkId), LinkId>,
+    by_balancer_link: HashMap<(BalancerId, LinkId), LinkId>,
 }
 
-fn place(id: LinkId) -> (usize, u32) {
+/// The slot and the generation in an id.
+fn slot_and_generation(id: LinkId) -> (usize, u32) {
     ((id.0 & 0xffff_ffff) as usize, (id.0 >> 32) as u32)
 }
 
 impl Links {
-    /// Takes in a link, under a number that is not used again.
+    /// Adds a link and returns its id, which is never reused.
     pub fn add(&mut self, link: Link) -> LinkId {
         let at = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, link: None });
@@ -76,38 +78,38 @@
         slot.generation += 1;
         slot.link = Some(link);
         let id = LinkId(u64::from(slot.generation) << 32 | u64::from(at));
-        self.by_theirs.insert((link.balancer, link.theirs), id);
+        self.by_balancer_link.insert((link.balancer, link.balancer_link), id);
         id
     }
 
-    /// The link of this number, unless it is over.
+    /// Returns the link, unless it was removed.
     pub fn get(&self, id: LinkId) -> Option<&Link> {
-        let (at, generation) = place(id);
+        let (at, generation) = slot_and_generation(id);
         self.slots.get(at).filter(|s| s.generation == generation)?.link.as_ref()
     }
 
-    /// As above.
+    /// Returns the link for changes, unless it was removed.
     pub fn get_mut(&mut self, id: LinkId) -> Option<&mut Link> {
-        let (at, generation) = place(id);
+        let (at, generation) = slot_and_generation(id);
         self.slots.get_mut(at).filter(|s| s.generation == generation)?.link.as_mut()
     }
 
-    /// The world's number of a balancer's link.
-    pub fn of(&self, balancer: BalancerId, theirs: LinkId) -> Option<LinkId> {
-        self.by_theirs.get(&(balancer, theirs)).copied()
+    /// Returns the world's id of a balancer's link.
+    pub fn find(&self, balancer: BalancerId, balancer_link: LinkId) -> Option<LinkId> {
+        self.by_balancer_link.get(&(balancer, balancer_link)).copied()
     }
 
-    /// A link is over at both ends.
+    /// Removes a link that is closed at both ends.
     pub fn remove(&mut self, id: LinkId) -> Option<Link> {
-        let (at, generation) = place(id);
+        let (at, generation) = slot_and_generation(id);
         let slot = self.slots.get_mut(at).filter(|s| s.generation == generation)?;
         let link = slot.link.take()?;
         self.free.push(at as u32);
-        self.by_theirs.remove(&(link.balancer, link.theirs));
+        self.by_balancer_link.remove(&(link.balancer, link.balancer_link));
         Some(link)
     }
 
-    /// All links that are not over, in an order that only the run itself sets.
+    /// Iterates over all links, in an order that is the same in every run of the same day.
     pub fn iter(&self) -> impl Iterator<Item = (LinkId, &Link)> {
         self.slots.iter().enumerate().filter_map(|(at, s)| {
             let id = LinkId(u64::from(s.generation) << 32 | at as u64);
@@ -115,12 +117,12 @@
         })
     }
 
-    /// Links that are not over.
+    /// The number of links.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no links.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/emulator/src/world/listener.rs
+++ b/crates/emulator/src/world/listener.rs
@@ -1,14 +1,14 @@
-//! Who listens to a world: the driver that hands balancers what reaches them, and who watches.
+//! The observer of a world: the driver that passes messages to balancers, and observations to the auditor.
 
 use crate::audit::Observation;
 use crate::edge::{BalancerId, ToBalancer};
 use shorewharf_units::Micros;
 
-/// Hears what a world says, in order of time.
+/// Receives the messages and observations of a world.
 pub trait WorldListener {
-    /// This reaches a balancer now.
+    /// A message reaches a balancer now.
     fn deliver(&mut self, at: Micros, balancer: BalancerId, what: ToBalancer);
 
-    /// A fact beyond the edge, for whoever judges.
+    /// Something has happened that balancers can't see, for the auditor.
     fn observe(&mut self, _at: Micros, _what: Observation<'_>) {}
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,10 +1,10 @@
-//! The world: all models of the platform over one queue of timed events, exchanging the messages of [`crate::edge`] with
-//! balancers.
+//! The world: all models of the platform over one queue of timed events, exchanging the messages of
+//! [`crate::edge`] with balancers.
 //!
-//! It reads no clock and opens no socket: a driver advances it with [`World::advance`], delivers its messages to the
-//! balancers, and reports their actions with [`World::on_balancer_action`]. All delays of the network lie here. What happens at the same
-//! time happens in the order in which it was put in; each model draws from a generator of its own, so that one more
-//! draw in one model changes nothing in another.
+//! It reads no clock and opens no socket: a driver advances it with [`World::advance`], delivers its messages
+//! to the balancers, and reports their actions with [`World::on_balancer_action`]. It models all network
+//! delays. Events of the same time are handled in the order in which they were scheduled. Each model has a
+//! random number generator of its own, so that an additional draw in one model changes nothing in another.
 
 mod balancers;
 mod clients;
@@ -42,22 +42,24 @@
 /// What kind of driver advances the world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Virtual time: a first line goes out with its link, and connections of balancer and node are shared by pairs.
+    /// Virtual time: a first line is sent with its link, and the links of a balancer to a node share one
+    /// connection.
     Virtual,
-    /// Real time on sockets: links and lines are told as they are read.
+    /// Real time on sockets: links and lines are reported as they are read.
     Sockets,
 }
 
-/// A generator for the draws of one model: the same for the same day, and independent of all others.
+/// Creates the random number generator of one model (and of one instance of it, given by `place`). It is the
+/// same in every run of the same day, and independent of all other generators.
 pub fn rng(seed: u64, model: &str, place: u64) -> Pcg64Mcg {
-    // FNV-1a over the model's name, so that new models shift nobody's draws.
+    // FNV-1a over the model's name, so that a new model doesn't change the draws of others.
     let name = model
         .bytes()
         .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
     Pcg64Mcg::seed_from_u64(seed ^ name.rotate_left(17) ^ place.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// What arrives at a node.
+/// An arrival at a node.
 #[derive(Clone, Copy, Debug)]
 enum NodeArrival {
     FirstLine,
@@ -65,7 +67,7 @@
     Ended,
 }
 
-/// What arrives at a balancer on a link.
+/// An arrival at a balancer on a link.
 #[derive(Clone, Copy, Debug)]
 enum BalancerArrival {
     Up,
@@ -74,15 +76,15 @@
     Ended(End),
 }
 
-/// What arrives at a balancer from a client.
+/// An arrival at a balancer from a client.
 #[derive(Clone, Copy, Debug)]
 enum ClientArrival {
     Open,
     Line,
-    Ends(End),
+    Ended(End),
 }
 
-/// What arrives at a client.
+/// A message that arrives at a client.
 #[derive(Clone, Copy, Debug)]
 enum ClientMessage {
     Up(LinkId),
@@ -96,11 +98,11 @@
 /// A scheduled event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Second,
+    SecondElapsed,
     NodeWake(NodeId),
     NodeArrival(LinkId, NodeArrival),
     BalancerArrival(LinkId, BalancerArrival),
-    AtClient(ConnId, ClientMessage),
+    ClientMessage(ConnId, ClientMessage),
     ClientArrival(ConnId, ClientArrival),
     ClientLineDue(ConnId),
 }
@@ -109,7 +111,7 @@
 struct NodeSlot {
     model: Node,
     zone: u32,
-    /// The wake that is in the queue.
+    /// When the next wake-up is scheduled.
     wake: Option<Micros>,
     silent: bool,
 }
@@ -140,7 +142,7 @@
     incarnations: u64,
 }
 
-/// Reused buffers, so that no message needs an allocation.
+/// Buffers that are reused, so that messages need no allocation.
 #[derive(Debug, Default)]
 struct Buffers {
     node_outputs: Vec<NodeOutput>,
@@ -157,9 +159,9 @@
     pub outcome: Outcome,
     /// The faults that occurred, with their intervals and the parties that they affected.
     pub faults: Vec<FaultInterval>,
-    /// Figures by second and sums by cause.
+    /// Figures by second and counts by cause.
     pub series: Series,
-    /// Events that have happened.
+    /// The number of events that were handled.
     pub events: u64,
 }
 
@@ -182,10 +184,10 @@
     links: Links,
     pairs: Pairs,
     series: Series,
-    lines: Pcg64Mcg,
+    line_rng: Pcg64Mcg,
     buffers: Buffers,
     events: u64,
-    waiting: usize,
+    waiting_clients: usize,
 }
 
 impl World {
@@ -220,30 +222,30 @@
             links: Links::default(),
             pairs: Pairs::new(day.balancers.len(), day.nodes.len(), day.limits.idle_close),
             series: Series::new(day),
-            lines: rng(seed, "lines", 0),
+            line_rng: rng(seed, "lines", 0),
             buffers: Buffers::default(),
             events: 0,
-            waiting: 0,
+            waiting_clients: 0,
             day: day.clone(),
         };
-        world.queue.push(SECOND, Event::Second);
+        world.queue.push(SECOND, Event::SecondElapsed);
         for i in 0..world.nodes.len() {
             world.schedule_node_wake(NodeId(i as u32));
         }
         world
     }
 
-    /// The day that is run.
+    /// The day of this world.
     pub fn day(&self) -> &Day {
         &self.day
     }
 
-    /// Events that have happened.
+    /// The number of events that were handled so far.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// When something is due next.
+    /// When the next event is due.
     pub fn next_due(&self) -> Option<Micros> {
         let models = [
             self.schedule.next_due(),
@@ -257,12 +259,12 @@
     /// Handles every event that is due up to `until`.
     pub fn advance(&mut self, until: Micros, listener: &mut impl WorldListener) {
         loop {
-            // Where times are the same: faults, then what was put in, then the list, then clients, then the account.
+            // At the same time: faults first, then scheduled events, the list, clients, and the score.
             let due = |t: Option<Micros>| t.unwrap_or(Micros::MAX);
             let (faults, queued) = (due(self.schedule.next_due()), due(self.queue.next_due()));
             let (list, clients) = (due(self.discovery.next_due()), due(self.clients.next_due()));
-            let account = due(self.score.next_due());
-            let at = faults.min(queued).min(list).min(clients).min(account);
+            let score = due(self.score.next_due());
+            let at = faults.min(queued).min(list).min(clients).min(score);
             if at > until {
                 break;
             }
@@ -287,34 +289,34 @@
 
     fn handle_event(&mut self, event: Event, listener: &mut impl WorldListener) {
         match event {
-            Event::Second => self.on_second(),
+            Event::SecondElapsed => self.on_second(),
             Event::NodeWake(node) => self.on_node_wake(node, listener),
             Event::NodeArrival(link, what) => self.on_arrival_at_node(link, what, listener),
             Event::BalancerArrival(link, what) => self.on_arrival_at_balancer(link, what, listener),
-            Event::AtClient(conn, message) => self.on_arrival_at_client(conn, message),
+            Event::ClientMessage(conn, message) => self.on_arrival_at_client(conn, message),
             Event::ClientArrival(conn, what) => self.on_arrival_from_client(conn, what, listener),
             Event::ClientLineDue(conn) => self.on_line_due(conn, listener),
         }
     }
 
     fn publish_list_events(&mut self, listener: &mut impl WorldListener) {
-        let mut news = std::mem::take(&mut self.buffers.list_events);
+        let mut list_events = std::mem::take(&mut self.buffers.list_events);
         let mut listed = std::mem::take(&mut self.buffers.listed_changes);
-        self.discovery.advance(self.now, &mut news, &mut listed);
+        self.discovery.advance(self.now, &mut list_events, &mut listed);
         listed.drain(..).for_each(|entry| listener.observe(self.now, Observation::Listed(entry)));
         self.buffers.listed_changes = listed;
-        for (balancer, what) in news.drain(..) {
+        for (balancer, what) in list_events.drain(..) {
             if self.balancers[balancer.0 as usize].up {
                 listener.deliver(self.now, balancer, what);
             }
         }
-        self.buffers.list_events = news;
+        self.buffers.list_events = list_events;
     }
 
     fn apply_due_faults(&mut self, listener: &mut impl WorldListener) {
-        let mut happens = std::mem::take(&mut self.buffers.fault_events);
-        self.schedule.advance(self.now, &mut happens);
-        for what in happens.drain(..) {
+        let mut events = std::mem::take(&mut self.buffers.fault_events);
+        self.schedule.advance(self.now, &mut events);
+        for what in events.drain(..) {
             match what {
                 FaultEvent::Node(node, event) => self.apply_node_event(node, event, listener),
                 FaultEvent::Balancer(balancer, event) => self.apply_balancer_event(balancer, event, listener),
@@ -324,17 +326,17 @@
                 }
             }
         }
-        self.buffers.fault_events = happens;
+        self.buffers.fault_events = events;
     }
 
     fn on_second(&mut self) {
-        self.queue.push(self.now + SECOND, Event::Second);
-        self.pairs.sweep(self.now);
-        self.score.pairs(self.now, self.pairs.open());
-        self.conns.tidy();
+        self.queue.push(self.now + SECOND, Event::SecondElapsed);
+        self.pairs.close_idle(self.now);
+        self.score.pairs(self.now, self.pairs.open_count());
+        self.conns.remove_finished();
         if self.now <= self.day.length {
             for (i, node) in self.nodes.iter().enumerate() {
-                self.series.node(NodeId(i as u32), node.ground_truth(self.now));
+                self.series.sample_node(NodeId(i as u32), node.ground_truth(self.now));
             }
         }
     }
@@ -351,14 +353,14 @@
         out.extend(self.nodes.iter().map(|n| n.ground_truth(self.now)));
     }
 
-    /// What has been seen so far, by second.
+    /// The data for reports so far.
     pub fn series(&self) -> &Series {
         &self.series
     }
 
-    /// Clients that wait for an answer.
+    /// The number of clients that wait for an answer.
     pub fn waiting(&self) -> usize {
-        self.waiting
+        self.waiting_clients
     }
 
     /// Ends the run and returns what was counted.
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use super::conns::Stage;
-use super::links::At;
+use super::links::LinkStage;
 use super::{BalancerArrival, ClientArrival, Event, Mode, NodeArrival, World, WorldListener};
 use crate::audit::Health;
 use crate::audit::Observation;
@@ -12,7 +12,7 @@
 use crate::node::{Accepts, NodeInput, NodeOutput};
 
 impl World {
-    /// How a node's machine answers connections now, for a driver with real listeners.
+    /// How a node's machine reacts to connections now, for a driver with real listeners.
     pub fn reachability(&self, node: NodeId) -> Reachability {
         let at = &self.nodes[node.0 as usize];
         match (at.model.accepts(self.now), at.silent) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Puts a node's next wake into the queue, if it is a new one.
+    /// Schedules a node's next wake-up, if it is earlier than the one that is scheduled.
     pub(super) fn schedule_node_wake(&mut self, node: NodeId) {
         let at = &mut self.nodes[node.0 as usize];
         let due = at.model.next_due();
@@ -36,7 +36,7 @@
     pub(super) fn on_node_wake(&mut self, node: NodeId, listener: &mut impl WorldListener) {
         let at = &mut self.nodes[node.0 as usize];
         if at.wake.is_some_and(|wake| wake > self.now) {
-            // An earlier wake took its place.
+            // This wake-up was replaced by an earlier one, which has been handled.
             return;
         }
         at.wake = None;
@@ -70,8 +70,11 @@
             }
             NodeOutput::Reached { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
-                    let (by, theirs) = (l.balancer, l.theirs);
-                    listener.observe(self.now, Observation::Reached { by, link: theirs, node, weight, cold });
+                    let (by, balancer_link) = (l.balancer, l.balancer_link);
+                    listener.observe(
+                        self.now,
+                        Observation::Reached { by, link: balancer_link, node, weight, cold },
+                    );
                 }
             }
             NodeOutput::Silent(silent) => self.set_node_silent(node, silent, listener),
@@ -82,11 +85,11 @@
         }
     }
 
-    /// Ends a client's service whose node has dropped the connection.
+    /// Ends the service of a client whose node has closed the connection.
     fn end_service_by_node(&mut self, id: LinkId) {
         let Some(l) = self.links.get(id) else { return };
-        if let (Some(conn), At::Up) = (l.conn, l.at)
-            && self.conns.get(conn).is_some_and(|c| c.link == Some(id) && c.stage == Stage::Standing)
+        if let (Some(conn), LinkStage::Established) = (l.conn, l.stage)
+            && self.conns.get(conn).is_some_and(|c| c.link == Some(id) && c.stage == Stage::Established)
         {
             self.end_service(conn);
         }
@@ -99,16 +102,19 @@
 
     pub(super) fn close_from_node(&mut self, id: LinkId, end: End) {
         let Some(l) = self.links.get_mut(id) else { return };
-        l.ended = true;
-        if l.left {
-            // The balancer's own end is on its way here, or has been.
+        l.closed_by_node = true;
+        if l.closed_by_balancer {
+            // The balancer has closed the link too, so nothing more needs to reach it. The balancer's close is in
+            // transit or has arrived.
             return self.remove_link(id);
         }
         self.send_to_balancer_on_link(id, BalancerArrival::Ended(end));
     }
 
     fn send_to_balancer_on_link(&mut self, id: LinkId, what: BalancerArrival) {
-        let Some((b, node)) = self.links.get(id).filter(|l| !l.left).map(|l| (l.balancer, l.node)) else {
+        let Some((b, node)) =
+            self.links.get(id).filter(|l| !l.closed_by_balancer).map(|l| (l.balancer, l.node))
+        else {
             return;
         };
         let leg = self.one_way_delay(b, node);
@@ -130,45 +136,45 @@
         let node = l.node;
         match what {
             NodeArrival::Ended => {
-                if l.at != At::Coming {
+                if l.stage != LinkStage::Opening {
                     self.handle_node_input(node, NodeInput::Close { link: id }, listener);
                 }
                 self.remove_link(id);
             }
-            NodeArrival::FirstLine | NodeArrival::Probe if l.left => {}
+            NodeArrival::FirstLine | NodeArrival::Probe if l.closed_by_balancer => {}
             NodeArrival::FirstLine | NodeArrival::Probe => {
                 match self.nodes[node.0 as usize].model.accepts(now) {
                     Accepts::Refused => {
                         if let Some(l) = self.links.get_mut(id) {
-                            l.ended = true;
+                            l.closed_by_node = true;
                         }
-                        if l.paired {
-                            self.pairs.broke(Some(l.balancer), Some(node));
+                        if l.uses_pair {
+                            self.pairs.disconnect(Some(l.balancer), Some(node));
                         }
                         self.send_to_balancer_on_link(id, BalancerArrival::Failed);
                     }
-                    // Nothing comes back; the balancer will give up.
+                    // Nothing is returned, so the balancer has to give up by itself.
                     Accepts::Silent => {}
                     Accepts::Yes => {
                         if matches!(what, NodeArrival::FirstLine) {
-                            self.series.set_up(now, node);
+                            self.series.on_setup_received(now, node);
                         }
                         if let Some(l) = self.links.get_mut(id) {
-                            l.at = At::Asked;
+                            l.stage = LinkStage::Requested;
                         }
-                        if self.pairs.came_up(l.balancer, node) {
+                        if self.pairs.on_established(l.balancer, node) {
                             self.score.handshake(now);
-                            self.score.pairs(now, self.pairs.open());
+                            self.score.pairs(now, self.pairs.open_count());
                         }
                         self.send_to_balancer_on_link(id, BalancerArrival::Up);
                         let input = match l.conn.and_then(|c| self.conns.get(c)) {
                             None => NodeInput::Probe { link: id },
                             Some(c) => {
-                                let patience = (c.sent + c.ask.timeout).saturating_sub(now);
+                                let patience = (c.sent_at + c.request.timeout).saturating_sub(now);
                                 NodeInput::Open {
                                     link: id,
                                     by: l.balancer,
-                                    ask: c.ask,
+                                    ask: c.request,
                                     profile: c.profile,
                                     patience,
                                 }
@@ -210,11 +216,12 @@
     }
 
     fn break_node_pairs(&mut self, node: NodeId) {
-        self.pairs.broke(None, Some(node));
+        self.pairs.disconnect(None, Some(node));
     }
 
-    /// A node falls silent, or speaks again. Only now do the lines of its standing clients matter, so only now are
-    /// they events: each client's next line, unanswered; and the answers when the node speaks again.
+    /// Records that a node becomes silent or is no longer silent. In virtual time the lines of clients on
+    /// established connections matter only then, and are events only then: each client's next line, which
+    /// gets no answer, and the replies once the node is no longer silent.
     fn set_node_silent(&mut self, node: NodeId, silent: bool, listener: &mut impl WorldListener) {
         let at = &mut self.nodes[node.0 as usize];
         if std::mem::replace(&mut at.silent, silent) == silent {
@@ -232,13 +239,18 @@
         let up: Vec<(LinkId, ConnId, bool)> = self
             .links
             .iter()
-            .filter(|(_, l)| l.node == node && l.at == At::Up && !l.left && !l.ended)
-            .filter_map(|(id, l)| Some((id, l.conn?, l.asked)))
+            .filter(|(_, l)| {
+                l.node == node
+                    && l.stage == LinkStage::Established
+                    && !l.closed_by_balancer
+                    && !l.closed_by_node
+            })
+            .filter_map(|(id, l)| Some((id, l.conn?, l.awaits_reply)))
             .collect();
         let every = self.day.clients.line_every.max(1);
         for (id, conn, asked) in up {
             if silent {
-                let phase = self.lines.random_range(0..every);
+                let phase = self.line_rng.random_range(0..every);
                 self.queue.push(self.now + phase, Event::ClientLineDue(conn));
             } else if asked {
                 self.send_from_node(id, NodeMessage::Reply);
@@ -246,9 +258,9 @@
         }
     }
 
-    /// A standing client's line is due; it is an event only while the client's node is silent.
+    /// Sends a client's line that is due; lines are events only while the client's node is silent.
     pub(super) fn on_line_due(&mut self, conn: ConnId, listener: &mut impl WorldListener) {
-        let Some(c) = self.conns.get(conn).filter(|c| c.stage == Stage::Standing) else { return };
+        let Some(c) = self.conns.get(conn).filter(|c| c.stage == Stage::Established) else { return };
         let silent =
             c.link.and_then(|l| self.links.get(l)).is_some_and(|l| self.nodes[l.node.0 as usize].silent);
         if silent {
--- a/crates/emulator/src/world/pairs.rs
+++ b/crates/emulator/src/world/pairs.rs
@@ -1,5 +1,6 @@
-//! Which balancers hold a connection to which nodes, in virtual time: one for each pair, opened at need and closed
-//! when unused. (On sockets every link is a connection of its own.) What stands from before the day is on none.
+//! The shared connections between balancers and nodes in virtual time: one for each pair of a balancer and a
+//! node, opened when it is needed and closed when it has been unused for some time. On sockets each link is a
+//! connection of its own. Links that were established before the day use none.
 
 use crate::edge::{BalancerId, NodeId};
 use shorewharf_units::Micros;
@@ -7,15 +8,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Pair {
     users: u32,
-    /// The handshake is over then; none while it is closed.
-    up_at: Option<Micros>,
-    /// It has come up.
-    up: bool,
-    /// Unused since then.
-    idle: Micros,
+    /// When its handshake is complete; `None` while it is closed.
+    ready_at: Option<Micros>,
+    /// Whether the node has accepted it.
+    is_established: bool,
+    /// Since when it is unused.
+    idle_since: Micros,
 }
 
-/// All pairs.
+/// The connections of all pairs.
 #[derive(Debug)]
 pub struct Pairs {
     nodes: usize,
@@ -25,13 +26,13 @@
 }
 
 impl Pairs {
-    /// All closed.
+    /// Creates the pairs with all connections closed. Connections are closed when unused for `idle_close`.
     pub fn new(balancers: usize, nodes: usize, idle_close: Micros) -> Self {
         Pairs { nodes, table: vec![Pair::default(); balancers * nodes], idle_close, open: 0 }
     }
 
-    /// Connections open now.
-    pub fn open(&self) -> u32 {
+    /// The number of established connections.
+    pub fn open_count(&self) -> u32 {
         self.open
     }
 
@@ -39,42 +40,44 @@
         &mut self.table[b.0 as usize * self.nodes + n.0 as usize]
     }
 
-    /// One more link uses the pair's connection: when it is up, where a new one takes `handshake`.
-    pub fn used(&mut self, now: Micros, b: BalancerId, n: NodeId, handshake: Micros) -> Micros {
+    /// Adds a link to the pair's connection, and opens the connection if it is closed, which takes
+    /// `handshake`. Returns when the connection is ready.
+    pub fn acquire(&mut self, now: Micros, b: BalancerId, n: NodeId, handshake: Micros) -> Micros {
         let idle_close = self.idle_close;
         let pair = self.pair(b, n);
-        let closed = pair.users == 0 && now > pair.idle + idle_close;
+        let closed = pair.users == 0 && now > pair.idle_since + idle_close;
         pair.users += 1;
         if closed {
-            let was_up = std::mem::replace(&mut pair.up, false);
-            pair.up_at = None;
-            self.open -= u32::from(was_up);
+            let was_established = std::mem::replace(&mut pair.is_established, false);
+            pair.ready_at = None;
+            self.open -= u32::from(was_established);
         }
-        self.pair(b, n).up_at.get_or_insert(now + handshake).to_owned().max(now)
+        self.pair(b, n).ready_at.get_or_insert(now + handshake).to_owned().max(now)
     }
 
-    /// The node has taken it; true if that is news.
-    pub fn came_up(&mut self, b: BalancerId, n: NodeId) -> bool {
+    /// Records that the node has accepted the connection; returns whether it was not established before.
+    pub fn on_established(&mut self, b: BalancerId, n: NodeId) -> bool {
         let pair = self.pair(b, n);
-        let news = pair.up_at.is_some() && !std::mem::replace(&mut pair.up, true);
-        self.open += u32::from(news);
-        news
+        let is_new = pair.ready_at.is_some() && !std::mem::replace(&mut pair.is_established, true);
+        self.open += u32::from(is_new);
+        is_new
     }
 
-    /// One link less uses it.
-    pub fn left(&mut self, now: Micros, b: BalancerId, n: NodeId) {
+    /// Removes a link from the pair's connection.
+    pub fn release(&mut self, now: Micros, b: BalancerId, n: NodeId) {
         let pair = self.pair(b, n);
         pair.users = pair.users.saturating_sub(1);
-        pair.idle = now;
+        pair.idle_since = now;
     }
 
     fn close(pair: &mut Pair, open: &mut u32) {
-        pair.up_at = None;
-        *open -= u32::from(std::mem::replace(&mut pair.up, false));
+        pair.ready_at = None;
+        *open -= u32::from(std::mem::replace(&mut pair.is_established, false));
     }
 
-    /// A side's process is gone, or the node refuses: a new connection is needed.
-    pub fn broke(&mut self, b: Option<BalancerId>, n: Option<NodeId>) {
+    /// Closes the connections of a balancer, of a node or of one pair, after a process has ended or the node
+    /// has refused a link.
+    pub fn disconnect(&mut self, b: Option<BalancerId>, n: Option<NodeId>) {
         let nodes = self.nodes;
         for (i, pair) in self.table.iter_mut().enumerate() {
             if b.is_none_or(|b| i / nodes == b.0 as usize) && n.is_none_or(|n| i % nodes == n.0 as usize) {
@@ -83,10 +86,10 @@
         }
     }
 
-    /// Closes what has been unused for long enough.
-    pub fn sweep(&mut self, now: Micros) {
+    /// Closes the connections that have been unused for long enough.
+    pub fn close_idle(&mut self, now: Micros) {
         for pair in &mut self.table {
-            if pair.users == 0 && now > pair.idle + self.idle_close {
+            if pair.users == 0 && now > pair.idle_since + self.idle_close {
                 Pairs::close(pair, &mut self.open);
             }
         }
--- a/crates/emulator/src/world/pairs/tests.rs
+++ b/crates/emulator/src/world/pairs/tests.rs
@@ -1,26 +1,35 @@
-//! Tests of the module that these stand beside.
+//! Tests of the shared connections of balancers and nodes.
 
 use super::*;
 
 const B: BalancerId = BalancerId(1);
 const N: NodeId = NodeId(2);
 
-/// A handshake for every link, or none after a close, would shift set-up times and the price of connections.
+/// Guards against a handshake for every link, and against none after a close: both would change set-up times
+/// and the price of connections.
 #[test]
-fn a_pair_shares_one_connection_until_it_is_unused_for_long_or_breaks() {
+fn links_of_a_pair_share_a_connection_until_it_is_idle_too_long_or_disconnected() {
     let mut pairs = Pairs::new(2, 3, 1000);
-    assert_eq!(pairs.used(0, B, N, 50), 50);
-    assert_eq!(pairs.used(20, B, N, 50), 50, "the second waits for the same handshake");
-    assert!(pairs.came_up(B, N) && !pairs.came_up(B, N), "news only once");
-    assert_eq!((pairs.used(100, B, N, 50), pairs.open()), (100, 1));
-    (0..3).for_each(|_| pairs.left(200, B, N));
-    pairs.sweep(1200);
-    assert_eq!((pairs.used(1200, B, N, 50), pairs.open()), (1200, 1), "still open at the end of its time");
-    pairs.left(1300, B, N);
-    assert_eq!((pairs.used(2301, B, N, 50), pairs.open()), (2351, 0), "closed for being unused");
-    assert!(pairs.came_up(B, N));
-    pairs.broke(None, Some(NodeId(0)));
-    assert_eq!(pairs.open(), 1, "another node's end is none of its business");
-    pairs.broke(None, Some(N));
-    assert_eq!((pairs.used(2400, B, N, 50), pairs.open()), (2450, 0));
+    assert_eq!(pairs.acquire(0, B, N, 50), 50);
+    assert_eq!(pairs.acquire(20, B, N, 50), 50, "the second link waits for the same handshake");
+    assert!(pairs.on_established(B, N) && !pairs.on_established(B, N), "reported as new only once");
+    assert_eq!((pairs.acquire(100, B, N, 50), pairs.open_count()), (100, 1));
+    (0..3).for_each(|_| pairs.release(200, B, N));
+    pairs.close_idle(1200);
+    assert_eq!(
+        (pairs.acquire(1200, B, N, 50), pairs.open_count()),
+        (1200, 1),
+        "still open after exactly the idle time"
+    );
+    pairs.release(1300, B, N);
+    assert_eq!(
+        (pairs.acquire(2301, B, N, 50), pairs.open_count()),
+        (2351, 0),
+        "closed after the idle time, so it needs a new handshake"
+    );
+    assert!(pairs.on_established(B, N));
+    pairs.disconnect(None, Some(NodeId(0)));
+    assert_eq!(pairs.open_count(), 1, "the end of another node does not close it");
+    pairs.disconnect(None, Some(N));
+    assert_eq!((pairs.acquire(2400, B, N, 50), pairs.open_count()), (2450, 0));
 }
--- a/crates/emulator/src/world/queue.rs
+++ b/crates/emulator/src/world/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of what is still to happen: by time, and in the order of being put in where times are the same.
+//! The queue of scheduled events: ordered by time, and by insertion among events of the same time.
 
 use shorewharf_units::Micros;
 use std::cmp::Reverse;
@@ -31,7 +31,7 @@
     }
 }
 
-/// Events by time. Nothing is allocated for an event but the queue's own growth.
+/// A queue of events, ordered by time. Only the growth of the queue itself allocates memory.
 #[derive(Debug)]
 pub struct Queue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
@@ -45,18 +45,18 @@
 }
 
 impl<E> Queue<E> {
-    /// Has something happen at a time.
+    /// Schedules an event.
     pub fn push(&mut self, at: Micros, what: E) {
         self.serial += 1;
         self.heap.push(Reverse(Entry { at, serial: self.serial, what }));
     }
 
-    /// The time of what comes next.
+    /// The time of the next event.
     pub fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|e| e.0.at)
     }
 
-    /// What comes next, if it is due by then.
+    /// Removes and returns the next event if it is due at `by` or earlier.
     pub fn pop(&mut self, by: Micros) -> Option<(Micros, E)> {
         if self.next_due()? > by {
             return None;
@@ -64,8 +64,8 @@
         self.heap.pop().map(|Reverse(e)| (e.at, e.what))
     }
 
-    /// Events put in since the start.
-    pub fn count(&self) -> u64 {
+    /// The number of events scheduled so far.
+    pub fn scheduled_count(&self) -> u64 {
         self.serial
     }
 }
--- a/crates/emulator/src/world/series.rs
+++ b/crates/emulator/src/world/series.rs
@@ -1,4 +1,5 @@
-//! What reports show of a run: figures of each second and sums by cause. Nothing here decides anything.
+//! The data of a run for reports: figures for each second, and counts by cause. The run itself doesn't depend
+//! on them.
 
 use shorewharf_units::Micros;
 use std::collections::{BTreeMap, HashMap};
@@ -10,76 +11,78 @@
 use crate::edge::{NodeId, NodeMessage};
 use crate::world::ground_truth::GroundTruth;
 
-/// Set-ups are measured up to this; a longer one counts as this.
-const LONGEST: u64 = 600_000_000;
+/// The longest set-up time that is measured, in microseconds; longer ones count as this.
+const MAX_SETUP_TIME: u64 = 600_000_000;
 
-/// Sums by cause.
+/// Counts by cause.
 pub type Causes = BTreeMap<&'static str, u64>;
 
-/// A second of a run.
+/// What happened in one second of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
-    /// Tries of clients that came to the front.
+    /// Requests that clients sent to the front.
     pub tries: u32,
     /// Attempts that balancers sent to nodes.
     pub attempts: u32,
-    /// Tries that were answered `UP`.
+    /// Requests that were answered with `UP`.
     pub ups: u32,
-    /// Tries that were refused, failed or left unanswered, by any side.
+    /// Requests that were rejected, failed, or got no answer.
     pub refused: u32,
-    /// Standing connections that were moved.
+    /// Established connections that were migrated.
     pub moves: u32,
-    /// Standing connections that broke.
+    /// Established connections that broke.
     pub breaks: u32,
 }
 
-/// A node over the seconds; one figure a second, of its end.
+/// A node over the run: one value for the end of each second.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct NodeSeries {
-    /// Load asked of it over what it can do.
+    /// Its utilization: load divided by capacity.
     pub load: Vec<f32>,
-    /// What it can do, in standard cores.
+    /// Its capacity, in standard cores.
     pub capacity: Vec<f32>,
-    /// Standing connections.
+    /// The number of established connections.
     pub connections: Vec<u32>,
-    /// Set-ups in work and waiting.
+    /// The number of set-ups in progress and waiting.
     pub set_ups: Vec<u32>,
-    /// Work piled up, in seconds.
+    /// The backlog of work, in seconds.
     pub pile_s: Vec<f32>,
-    /// It takes connections.
+    /// Whether it accepts connections.
     pub takes: Vec<bool>,
 }
 
-/// Set-ups are counted by the time they came, so long at once.
+/// The length of the intervals in which set-ups at nodes are counted.
 pub const SETUP_INTERVAL: Micros = 200_000;
 
-/// A run as reports show it.
+/// The data of a run for reports.
 #[derive(Clone, Debug, Serialize)]
 pub struct Series {
-    /// By second.
+    /// The run second by second.
     pub seconds: Vec<Second>,
-    /// By node.
+    /// Each node over the run.
     pub nodes: Vec<NodeSeries>,
-    /// Set-ups that came at each node, for each [`SETUP_INTERVAL`] of the day.
+    /// For each [`SETUP_INTERVAL`] of the day: the number of first lines that reached each node.
     #[serde(skip)]
     pub set_ups: Vec<Vec<u32>>,
-    /// What attempts came to.
+    /// Attempts, by their result.
     pub attempts: Causes,
-    /// What clients were answered by their balancers.
+    /// Requests that did not succeed, by cause.
     pub answers: Causes,
-    /// The same by second.
+    /// Requests that did not succeed, by cause and second.
     pub refused_by: BTreeMap<&'static str, Vec<u32>>,
-    /// How standing connections ended.
+    /// Established connections that ended, by cause.
     pub ends: Causes,
-    /// Time from a client's first line to its `UP`, over all its tries since it last stood, in microseconds.
+    /// The time from a client's first request since its last established connection to its `UP`, in
+    /// microseconds.
     #[serde(skip)]
     pub set_up: Histogram<u64>,
+    /// When each waiting client sent its first request, by the client's key.
     #[serde(skip)]
     waiting: HashMap<u64, Micros>,
 }
 
 impl Series {
-    /// Nothing yet.
+    /// Creates the empty series of a day.
     pub fn new(day: &Day) -> Series {
         let seconds = (day.length / 1_000_000 + 1) as usize;
         Series {
@@ -90,8 +93,8 @@
             answers: Causes::new(),
             refused_by: BTreeMap::new(),
             ends: Causes::new(),
-            set_up: Histogram::new_with_bounds(1, LONGEST, 3)
-                .expect("three digits and a range are in bounds"),
+            set_up: Histogram::new_with_bounds(1, MAX_SETUP_TIME, 3)
+                .expect("the histogram's bounds and precision are valid"),
             waiting: HashMap::new(),
         }
     }
@@ -104,27 +107,27 @@
         &mut self.seconds[at]
     }
 
-    /// A client comes to the front.
-    pub fn attempt_by_client(&mut self, now: Micros, key: u64) {
+    /// Records a request that a client sends to the front.
+    pub fn on_client_request(&mut self, now: Micros, key: u64) {
         self.second(now).tries += 1;
         self.waiting.entry(key).or_insert(now);
     }
 
-    /// It stands.
-    pub fn stands(&mut self, now: Micros, key: u64) {
+    /// Records that the client's connection is established.
+    pub fn on_established(&mut self, now: Micros, key: u64) {
         self.second(now).ups += 1;
         if let Some(since) = self.waiting.remove(&key) {
             self.set_up.saturating_record((now - since).max(1));
         }
     }
 
-    /// It has gone for good while it waited, or was served to its end.
-    pub fn forgets(&mut self, key: u64) {
+    /// Records that a waiting client has left.
+    pub fn on_client_gone(&mut self, key: u64) {
         self.waiting.remove(&key);
     }
 
-    /// A try ended without `UP`.
-    pub fn refused(&mut self, now: Micros, cause: &'static str) {
+    /// Records a request that ended without `UP`.
+    pub fn on_request_failed(&mut self, now: Micros, cause: &'static str) {
         self.second(now).refused += 1;
         *self.answers.entry(cause).or_default() += 1;
         let seconds = self.refused_by.entry(cause).or_default();
@@ -135,19 +138,19 @@
         seconds[at] += 1;
     }
 
-    /// A balancer sent an attempt.
-    pub fn sent(&mut self, now: Micros) {
+    /// Records an attempt that a balancer sends to a node.
+    pub fn on_attempt_sent(&mut self, now: Micros) {
         self.second(now).attempts += 1;
     }
 
-    /// An attempt came to something.
-    pub fn attempt(&mut self, cause: &'static str) {
+    /// Records the result of an attempt.
+    pub fn on_attempt_ended(&mut self, cause: &'static str) {
         *self.attempts.entry(cause).or_default() += 1;
     }
 
-    /// What a node's first word on a link makes of the attempt.
-    pub fn attempt_answered(&mut self, message: NodeMessage) {
-        self.attempt(match message {
+    /// Records the result of an attempt from the node's first message.
+    pub fn on_attempt_answered(&mut self, message: NodeMessage) {
+        self.on_attempt_ended(match message {
             NodeMessage::Up => "up",
             NodeMessage::Busy => "busy",
             NodeMessage::Err => "error",
@@ -156,8 +159,8 @@
         });
     }
 
-    /// A standing connection ended.
-    pub fn ended(&mut self, now: Micros, cause: &'static str) {
+    /// Records the end of an established connection.
+    pub fn on_connection_ended(&mut self, now: Micros, cause: &'static str) {
         match cause {
             "moved by balancer" | "moved by node" => self.second(now).moves += 1,
             "broken" => self.second(now).breaks += 1,
@@ -166,17 +169,17 @@
         *self.ends.entry(cause).or_default() += 1;
     }
 
-    /// A first line comes at a node that takes it.
-    pub fn set_up(&mut self, now: Micros, node: NodeId) {
-        let slot = (now / SETUP_INTERVAL) as usize;
-        if self.set_ups.len() <= slot {
-            self.set_ups.resize(slot + 1, vec![0; self.nodes.len()]);
+    /// Records a first line that reaches a node which accepts connections.
+    pub fn on_setup_received(&mut self, now: Micros, node: NodeId) {
+        let interval = (now / SETUP_INTERVAL) as usize;
+        if self.set_ups.len() <= interval {
+            self.set_ups.resize(interval + 1, vec![0; self.nodes.len()]);
         }
-        self.set_ups[slot][node.0 as usize] += 1;
+        self.set_ups[interval][node.0 as usize] += 1;
     }
 
-    /// A node at the end of a second.
-    pub fn node(&mut self, node: NodeId, truth: GroundTruth) {
+    /// Adds the state of a node at the end of a second.
+    pub fn sample_node(&mut self, node: NodeId, truth: GroundTruth) {
         let n = &mut self.nodes[node.0 as usize];
         n.load.push(if truth.capacity > 0.0 { (truth.load / truth.capacity) as f32 } else { 0.0 });
         n.capacity.push(truth.capacity as f32);
--- a/crates/emulator/src/world/settings.rs
+++ b/crates/emulator/src/world/settings.rs
@@ -1,5 +1,5 @@
-//! The settings text that a balancer gets: the day's figures as the platform would tell them, and no more. True
-//! speeds, caps and delays are not in it.
+//! The settings that a balancer receives: the parameters of the day that the platform tells balancers. They
+//! don't contain the true speeds, limits and delays.
 
 use serde_json::{Value, json};
 use shorewharf_units::seconds_from_micros;
@@ -8,7 +8,7 @@
 use crate::edge::BalancerId;
 use crate::population::{Capacity, capacity};
 
-/// The settings of one balancer as JSON text, with the names and units of the simulator's wire.
+/// Returns the settings of one balancer as JSON, with the names and units of the simulator's protocol.
 pub fn json(day: &Day, me: BalancerId) -> String {
     let Capacity { connections, per_s: rate, .. } = capacity(day);
     let class = |c: &crate::day::Class| {
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -15,8 +15,14 @@
     let table: &[(&str, &[&str])] = &[
         ("length_s = 60\ntick_ms = five", &["day.toml:2"]),
         ("\nlenght_s = 60", &["day.toml:2", "lenght_s", "did you mean length_s?"]),
-        ("length_s = -1", &["day.toml:1", "length_s", "-1 is no length of time"]),
-        ("length_s = nan", &["day.toml:1", "length_s", "NaN is no length of time"]),
+        (
+            "length_s = -1",
+            &["day.toml:1", "length_s", "-1 is not a valid duration: expected a number from 0 to one year"],
+        ),
+        (
+            "length_s = nan",
+            &["day.toml:1", "length_s", "NaN is not a valid duration: expected a number from 0 to one year"],
+        ),
         ("[traffic]\nload = \"much\"", &["day.toml:2", "traffic.load", "expected f64"]),
         ("[traffic]\nload = inf", &["day.toml:2", "traffic.load", "must be 0 to 100"]),
         ("[traffic]\nzone_share = [1.0]", &["day.toml:2", "traffic.zone_share", "each of 2 zones, has 1"]),
