--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -82,7 +82,7 @@
         let was_established = self.conns.get(conn).is_some_and(|c| c.stage == Stage::Established);
         if self.finish_connection(balancer, conn) {
             if matches!(answer, Answer::Move) && was_established {
-                self.score.moved(self.now);
+                self.score.on_migration(self.now);
             }
             self.send_to_client(conn, message);
         }
@@ -128,10 +128,10 @@
         let up = self.pairs.acquire(now, b, node, handshake);
         match conn {
             Some(_) => {
-                self.score.attempt(now);
+                self.score.on_attempt(now);
                 self.series.on_attempt_sent(now);
             }
-            None => self.score.probe(now),
+            None => self.score.on_probe(now),
         }
         self.send_to_node(
             id,
@@ -291,7 +291,7 @@
             return;
         }
         self.front.on_death(self.now, b);
-        self.discovery.ended(b);
+        self.discovery.on_balancer_exit(b);
         let open: Vec<ConnId> = self
             .conns
             .iter()
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -322,7 +322,7 @@
                 FaultEvent::Balancer(balancer, event) => self.apply_balancer_event(balancer, event, listener),
                 FaultEvent::Clients(place) => self.apply_client_fault(place, listener),
                 FaultEvent::Discovery(place, on) => {
-                    self.discovery.struck(self.now, &self.day.faults[place], on);
+                    self.discovery.apply_fault(self.now, &self.day.faults[place], on);
                 }
             }
         }
@@ -332,7 +332,7 @@
     fn on_second(&mut self) {
         self.queue.push(self.now + SECOND, Event::SecondElapsed);
         self.pairs.close_idle(self.now);
-        self.score.pairs(self.now, self.pairs.open_count());
+        self.score.set_open_pairs(self.now, self.pairs.open_count());
         self.conns.remove_finished();
         if self.now <= self.day.length {
             for (i, node) in self.nodes.iter().enumerate() {
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -73,13 +73,13 @@
                     let (by, balancer_link) = (l.balancer, l.balancer_link);
                     listener.observe(
                         self.now,
-                        Observation::Reached { by, link: balancer_link, node, weight, cold },
+                        Observation::AttemptArrived { by, link: balancer_link, node, weight, cold },
                     );
                 }
             }
             NodeOutput::Silent(silent) => self.set_node_silent(node, silent, listener),
             NodeOutput::Overloaded => {
-                listener.observe(self.now, Observation::Node(node, Health::Down));
+                listener.observe(self.now, Observation::NodeHealth(node, Health::Down));
                 self.break_node_pairs(node);
             }
         }
@@ -163,8 +163,8 @@
                             l.stage = LinkStage::Requested;
                         }
                         if self.pairs.on_established(l.balancer, node) {
-                            self.score.handshake(now);
-                            self.score.pairs(now, self.pairs.open_count());
+                            self.score.on_handshake(now);
+                            self.score.set_open_pairs(now, self.pairs.open_count());
                         }
                         self.send_to_balancer_on_link(id, BalancerArrival::Up);
                         let input = match l.conn.and_then(|c| self.conns.get(c)) {
@@ -194,7 +194,7 @@
         listener: &mut impl WorldListener,
     ) {
         let now = self.now;
-        self.discovery.node(now, node, event);
+        self.discovery.on_node_event(now, node, event);
         let input = match event {
             NodeEvent::Drain => NodeInput::Drain,
             NodeEvent::Stop => NodeInput::Stop,
@@ -203,9 +203,9 @@
             NodeEvent::Fault { kind, on, size } => NodeInput::Fault { kind, on, size },
         };
         match event {
-            NodeEvent::Start => listener.observe(now, Observation::Node(node, Health::Started)),
+            NodeEvent::Start => listener.observe(now, Observation::NodeHealth(node, Health::Started)),
             NodeEvent::Stop | NodeEvent::Crash => {
-                listener.observe(now, Observation::Node(node, Health::Down))
+                listener.observe(now, Observation::NodeHealth(node, Health::Down))
             }
             _ => {}
         }
@@ -228,11 +228,11 @@
             return;
         }
         let health = match (silent, at.model.accepts(self.now)) {
-            (false, _) => Health::Answers,
+            (false, _) => Health::Recovered,
             (true, Accepts::Silent) => Health::CutOff,
             (true, _) => Health::Silent,
         };
-        listener.observe(self.now, Observation::Node(node, health));
+        listener.observe(self.now, Observation::NodeHealth(node, health));
         if self.mode == Mode::Sockets {
             return;
         }
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -63,7 +63,7 @@
                     &result.series.set_ups,
                     seconds_from_micros(SETUP_INTERVAL),
                 )),
-                rules_kept: result.verdict.clean(),
+                rules_kept: result.verdict.is_clean(),
             }
         })?;
         if let Some(first) = runs.first() {
