--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -205,7 +205,7 @@
         match event {
             NodeEvent::Start => listener.observe(now, Observation::NodeHealth(node, Health::Started)),
             NodeEvent::Stop | NodeEvent::Crash => {
-                listener.observe(now, Observation::NodeHealth(node, Health::Down))
+                listener.observe(now, Observation::NodeHealth(node, Health::Down));
             }
             _ => {}
         }
