--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -61,7 +61,7 @@
 }
 
 fn listed(node: NodeId, stage: Stage, born: Option<Micros>) -> Listed {
-    Listed { node, stage, born }
+    Listed { node, stage, started_at: born }
 }
 
 /// Starts the balancer with nodes 0 to 2 on its list, and its watch.
@@ -99,7 +99,7 @@
     }
 
     fn node_sends(&mut self, at: Micros, link: LinkId, message: NodeMessage) {
-        self.history.add(at, Input(T::NodeSays(link, message)));
+        self.history.add(at, Input(T::NodeMessage(link, message)));
     }
 
     fn answer(&mut self, at: Micros, answer: Answer) {
@@ -150,13 +150,13 @@
             class: 0,
             tenant: 0,
             group,
-            patience,
+            timeout: patience,
             hint: None,
             retry: false,
-            again: false,
-            home,
+            is_reconnect: false,
+            previous_node: home,
         };
-        self.history.add(at, Input(T::Asked { ask, left: patience }));
+        self.history.add(at, Input(T::Request { request: ask, remaining: patience }));
         let mut now = at + self.random_delay(5 * MS);
         let failures = if fault == Some(TooManyAttempts) { 5 } else { self.rng.random_range(0..3) };
         for _ in 0..failures {
@@ -327,20 +327,20 @@
         class: 0,
         tenant: 0,
         group,
-        patience,
+        timeout: patience,
         hint: None,
         retry: false,
-        again: false,
-        home,
+        is_reconnect: false,
+        previous_node: home,
     };
-    history.add(at, Input(T::Asked { ask, left: patience }));
+    history.add(at, Input(T::Request { request: ask, remaining: patience }));
 }
 
 /// A client sends its request, which is attempted at `node` and rejected there.
 fn attempt_at(history: &mut History, conn: u64, at: Micros, node: NodeId) {
     send_request(conn, at, history);
     history.add(at, Output(F::Link { link: LinkId(conn), node, conn: Some(ConnId(conn)) }));
-    history.add(at + MS, Input(T::NodeSays(LinkId(conn), NodeMessage::Busy)));
+    history.add(at + MS, Input(T::NodeMessage(LinkId(conn), NodeMessage::Busy)));
     history.add(at + MS, Output(F::Answer(ConnId(conn), Answer::Busy(0))));
 }
 
@@ -349,7 +349,7 @@
     let link = LinkId(conn);
     send_request(conn, at, history);
     history.add(at, Output(F::Link { link, node: NODE, conn: Some(ConnId(conn)) }));
-    history.add(at + MS, Input(T::NodeSays(link, NodeMessage::Up)));
+    history.add(at + MS, Input(T::NodeMessage(link, NodeMessage::Up)));
     history.add(at + MS, Output(F::Answer(ConnId(conn), Answer::Up(link))));
 }
 
@@ -512,7 +512,7 @@
     history.add(20 * S, Other(Observation::NodeHealth(NODE, Health::Silent)));
     history.add(22 * S, Output(F::EndClient(ConnId(6), End::Fin)));
     history.add(23 * S, Output(F::Link { link: LinkId(9), node: NodeId(2), conn: Some(ConnId(77)) }));
-    history.add(23 * S, Output(F::Syntax(NODE)));
+    history.add(23 * S, Output(F::MalformedRequest(NODE)));
     history.add(23 * S, Other(Observation::NotReestablished(B, ConnId(7))));
     attempt_at(&mut history, 8, 24 * S, NodeId(7));
     let day = crate::environment::tests::day(3, &[0, 0]);
--- a/crates/emulator/src/environment/tests.rs
+++ b/crates/emulator/src/environment/tests.rs
@@ -150,7 +150,7 @@
         (37..=40).contains(&find(3, Stage::Gone).expect("the network loss of node 3 is listed")),
         "{written:?}"
     );
-    let born = outputs.written.iter().filter(|(_, l)| l.stage == Stage::Ready).map(|(_, l)| l.born);
+    let born = outputs.written.iter().filter(|(_, l)| l.stage == Stage::Ready).map(|(_, l)| l.started_at);
     assert_eq!(born.collect::<Vec<_>>(), [Some(S + 300_000), Some(10 * S)]);
     // The watcher got every version, each after the work of writing it and at most the spread.
     let delays: Vec<u64> = outputs.messages.iter().skip(1).map(|(at, ..)| at % S).collect();
@@ -186,7 +186,7 @@
     );
     let (mut full, mut changes) = (0, 0);
     for list in lists.iter_mut().take(11) {
-        *list = (0..60).map(|i| Listed { node: NodeId(i), stage: Stage::Ready, born: None }).collect();
+        *list = (0..60).map(|i| Listed { node: NodeId(i), stage: Stage::Ready, started_at: None }).collect();
     }
     for (_, b, message) in &outputs.messages {
         let ToBalancer::List { full: all, entries } = message else {
--- a/crates/emulator/src/population/tests.rs
+++ b/crates/emulator/src/population/tests.rs
@@ -88,7 +88,8 @@
                 ClientAction::Done { .. } => {}
                 ClientAction::Connect { ask, zone, .. } => {
                     recording.requests.push((now, ask, zone));
-                    let first = if ask.home.is_some() { Some(ClientInput::Up) } else { answer(now, &ask) };
+                    let first =
+                        if ask.previous_node.is_some() { Some(ClientInput::Up) } else { answer(now, &ask) };
                     answers.extend(first.map(|h| (ask.conn, h)));
                 }
             }
@@ -125,7 +126,7 @@
     let (number, rate) = (0.9 * capacity.connections, 0.9 * capacity.per_s);
     near("capacity", capacity.connections, 400.0 * 110.0 / 1.2, 1e-9);
     let recording = play(&day, |_, _| Some(ClientInput::Up));
-    let initial = recording.requests.iter().filter(|a| a.1.home.is_some()).count() as f64;
+    let initial = recording.requests.iter().filter(|a| a.1.previous_node.is_some()).count() as f64;
     near("clients at the start", initial, number * 0.5f64.sqrt(), 0.0002);
     let arrivals = |from: Micros, to: Micros| {
         recording.wants.iter().filter(|w| w.0 > 0 && (from * S / 2..to * S / 2).contains(&w.0)).count() as f64
@@ -220,10 +221,14 @@
     recording
         .requests
         .iter()
-        .filter(|a| a.1.home.is_none())
+        .filter(|a| a.1.previous_node.is_none())
         .for_each(|a| attempts.entry(a.1.key).or_default().push((a.0, a.1)));
-    let (at, first) =
-        recording.requests.iter().find(|a| a.1.home.is_none()).map(|a| (a.0, a.1)).expect("a client arrived");
+    let (at, first) = recording
+        .requests
+        .iter()
+        .find(|a| a.1.previous_node.is_none())
+        .map(|a| (a.0, a.1))
+        .expect("a client arrived");
     let closed =
         recording.leaves.iter().find(|l| l.1 == first.conn).expect("the client closed its connection").0;
     assert!(closed <= at + 3_220_000);
@@ -231,7 +236,7 @@
     let mut reconnected = 0;
     for t in repeated {
         assert_eq!(t[1].0 - t[0].0, 3_200_000 + 300_000, "the delay counts from the timeout");
-        assert!(t[1].1.again && !t[0].1.again && t[1].1.conn != t[0].1.conn);
+        assert!(t[1].1.is_reconnect && !t[0].1.is_reconnect && t[1].1.conn != t[0].1.conn);
         reconnected += 1;
     }
     assert!(reconnected > 5, "{reconnected} clients reconnected");
