--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -59,7 +59,7 @@
         patience: Micros,
     },
     /// A connection that was established before the day; it needs no set-up and gets no response.
-    Carry {
+    InitialConnection {
         /// The link of the connection.
         link: LinkId,
         /// The balancer that holds it.
@@ -337,7 +337,7 @@
             NodeInput::Open { link, by, ask, profile, patience } => {
                 self.on_open(now, link, by, ask, profile, patience, outputs);
             }
-            NodeInput::Carry { link, by, ask, profile } => {
+            NodeInput::InitialConnection { link, by, ask, profile } => {
                 self.establish(now, link, by, &ask, profile.mean, outputs);
             }
             NodeInput::Close { link } => {
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -89,7 +89,10 @@
         for _ in 0..count {
             let link = self.link();
             let profile = LoadProfile { mean: 1.0, seed: 0 };
-            self.at(now, NodeInput::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
+            self.at(
+                now,
+                NodeInput::InitialConnection { link, by: BalancerId(0), ask: ask(link.0, 0), profile },
+            );
         }
     }
 
@@ -262,7 +265,7 @@
     for i in 0..1805u64 {
         let link = rig.link();
         let profile = LoadProfile { mean: 0.5 + (i * 7919 % 1805) as f64 / 1805.0, seed: 0 };
-        rig.at(0, NodeInput::Carry { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
+        rig.at(0, NodeInput::InitialConnection { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
     }
     rig.until(20 * S);
     let shed: Vec<u64> = rig
--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -145,7 +145,7 @@
         l.paired = false;
         let (b, theirs, node, conn) = (l.balancer, l.theirs, l.node, l.conn);
         if let Some(c) = conn.and_then(|c| self.conns.get(c)) {
-            let input = NodeInput::Carry { link: id, by: b, ask: c.ask, profile: c.profile };
+            let input = NodeInput::InitialConnection { link: id, by: b, ask: c.ask, profile: c.profile };
             self.handle_node_input(node, input, listener);
         }
         listener.to(self.now, b, ToBalancer::LinkUp(theirs));
