--- a/crates/emulator/src/population/capacity.rs
+++ b/crates/emulator/src/population/capacity.rs
@@ -14,7 +14,7 @@
     /// The mean lifetime of a connection over all classes, in seconds.
     pub life_s: f64,
     /// The part of `connections` that each node carries, by node.
-    pub of: Vec<f64>,
+    pub per_node: Vec<f64>,
 }
 
 /// The cost of holding a connection, even an idle one, as a ratio of the mean load.
@@ -36,7 +36,7 @@
     let group_cost = GROUP_SPREAD_FACTOR * day.streams.group_cost / day.streams.group_size.max(1.0);
     let set_up = class_mean(&|c| seconds_from_micros(c.set_up)) / life_s;
     let cost = load_cost * (1.0 + HOLDING_COST + group_cost) + set_up;
-    let of: Vec<f64> = day.nodes.iter().map(|n| cores(n) / cost).collect();
-    let connections: f64 = of.iter().sum();
-    Capacity { connections, per_s: connections / life_s, life_s, of }
+    let per_node: Vec<f64> = day.nodes.iter().map(|n| cores(n) / cost).collect();
+    let connections: f64 = per_node.iter().sum();
+    Capacity { connections, per_s: connections / life_s, life_s, per_node }
 }
--- a/crates/emulator/src/population/start.rs
+++ b/crates/emulator/src/population/start.rs
@@ -49,7 +49,7 @@
     // The capacities that the placement assumes; the skew is the maximum error of the estimates.
     let skew = day.streams.start_skew.max(0.0);
     let estimated_capacity: Vec<f64> =
-        capacity.of.iter().map(|c| c * (1.0 + skew * rng.random::<f64>())).collect();
+        capacity.per_node.iter().map(|c| c * (1.0 + skew * rng.random::<f64>())).collect();
     let mut placed_load = vec![0.0; day.nodes.len()];
     let mut node_of_group: Vec<Option<usize>> = vec![None; groups.len().max(1)];
     let mut all = Vec::new();
@@ -58,8 +58,9 @@
             let group = groups.draw(rng);
             let class = traffic.draw_class_of_present_client(rng);
             let mean = traffic.draw_load(class, rng);
-            let fits =
-                |node: &usize| groups.len() > 0 && placed_load[*node] < GROUP_FILL_RATIO * capacity.of[*node];
+            let fits = |node: &usize| {
+                groups.len() > 0 && placed_load[*node] < GROUP_FILL_RATIO * capacity.per_node[*node]
+            };
             let home = node_of_group[group as usize].filter(fits).unwrap_or_else(|| {
                 let [a, b] = [(); 2].map(|()| running[rng.random_range(0..running.len())]);
                 if placed_load[b] / estimated_capacity[b] < placed_load[a] / estimated_capacity[a] {
