--- a/crates/emulator/src/environment/discovery/mod.rs
+++ b/crates/emulator/src/environment/discovery/mod.rs
@@ -28,7 +28,7 @@
     registry: Registry,
     service_queue: ServiceQueue,
     /// The number of outages of the service that are active.
-    down: u32,
+    active_outages: u32,
     /// Moves to another address: at the first time, watches opened up to the second time end.
     moves: Vec<(Micros, Micros)>,
 }
@@ -39,7 +39,7 @@
         Discovery {
             registry: Registry::new(&day.discovery, day.nodes.iter().map(|n| n.up), rng),
             service_queue: ServiceQueue::new(&day.discovery, day.net.cross, day.balancers.len(), queue_rng),
-            down: 0,
+            active_outages: 0,
             moves: Vec::new(),
         }
     }
@@ -69,10 +69,10 @@
                 self.registry.end_staleness(now, micros_from_seconds(fault.size));
             }
             (FaultKind::ListDown, true) => {
-                self.down += 1;
+                self.active_outages += 1;
                 self.service_queue.shut_down(now);
             }
-            (FaultKind::ListDown, false) => self.down = self.down.saturating_sub(1),
+            (FaultKind::ListDown, false) => self.active_outages = self.active_outages.saturating_sub(1),
             (FaultKind::ListMoved, true) => self.moves.push((now + MOVE_GRACE, now)),
             _ => {}
         }
@@ -89,7 +89,7 @@
     }
 
     fn call(&mut self, now: Micros, balancer: BalancerId, call: Call) {
-        if self.down > 0 {
+        if self.active_outages > 0 {
             self.service_queue.fail_call(now, balancer);
         } else {
             self.service_queue.enqueue_call(now, balancer, call, &self.registry);
--- a/crates/emulator/src/environment/faults.rs
+++ b/crates/emulator/src/environment/faults.rs
@@ -138,7 +138,7 @@
     from: Micros,
     to: Micros,
     /// When the drain or planned termination before the outage begins; none for a crash or kill.
-    warned_at: Option<Micros>,
+    announced_at: Option<Micros>,
 }
 
 /// Merges overlapping outages, so that a machine stops and starts once per outage.
@@ -172,7 +172,7 @@
             FaultKind::Crash => {
                 for &i in on {
                     let back = to + self.rng.random_range(0..RESTART_SPREAD);
-                    self.nodes[i as usize].push(Outage { from, to: back, warned_at: None });
+                    self.nodes[i as usize].push(Outage { from, to: back, announced_at: None });
                 }
             }
             FaultKind::Release => {
@@ -181,7 +181,7 @@
                     let begins = from + n as Micros * (drain + fault.len + RESTART_SPREAD);
                     for &i in part {
                         let back = begins + drain + fault.len + self.rng.random_range(0..RESTART_SPREAD);
-                        let outage = Outage { from: begins + drain, to: back, warned_at: Some(begins) };
+                        let outage = Outage { from: begins + drain, to: back, announced_at: Some(begins) };
                         self.nodes[i as usize].push(outage);
                         to = to.max(back);
                     }
@@ -189,7 +189,7 @@
             }
             FaultKind::Drain => {
                 for &i in on {
-                    let outage = Outage { from: to.max(from + 1), to: Micros::MAX, warned_at: Some(from) };
+                    let outage = Outage { from: to.max(from + 1), to: Micros::MAX, announced_at: Some(from) };
                     self.nodes[i as usize].push(outage);
                 }
             }
@@ -221,13 +221,13 @@
                 }
                 FaultKind::BalancerKill => {
                     let to = fault.at + fault.len;
-                    self.balancers[i as usize].push(Outage { from: fault.at, to, warned_at: None });
+                    self.balancers[i as usize].push(Outage { from: fault.at, to, announced_at: None });
                 }
                 // A rolling restart: the next termination begins when this balancer starts again.
                 _ => {
                     let from = begins + longest_timeout + TERMINATION_MARGIN;
                     let to = from + fault.len;
-                    self.balancers[i as usize].push(Outage { from, to, warned_at: Some(begins) });
+                    self.balancers[i as usize].push(Outage { from, to, announced_at: Some(begins) });
                     begins = to;
                 }
             }
@@ -260,7 +260,7 @@
             let node = |event| FaultEvent::Node(NodeId(i as u32), event);
             let mut back = 0;
             for o in merge_overlapping(outages) {
-                let ends = match o.warned_at {
+                let ends = match o.announced_at {
                     Some(at) => {
                         // A drain cannot begin while the node is still down because of another fault.
                         self.events.push((at.max(back), node(NodeEvent::Drain)));
@@ -279,7 +279,7 @@
             let balancer = |event| FaultEvent::Balancer(BalancerId(i as u32), event);
             let mut back = 0;
             for o in merge_overlapping(outages) {
-                if let Some(at) = o.warned_at {
+                if let Some(at) = o.announced_at {
                     self.events.push((at.max(back), balancer(BalancerEvent::Terminate)));
                 }
                 back = o.to;
--- a/crates/emulator/src/environment/front.rs
+++ b/crates/emulator/src/environment/front.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BalancerStatus {
     /// The balancer is not ready yet, or is known to be dead: clients are not assigned to it.
-    Out,
+    Excluded,
     /// Clients are assigned to the balancer.
-    In,
+    Assignable,
     /// Clients are assigned to the balancer until this time.
-    Until(Micros),
+    AssignableUntil(Micros),
 }
 
 /// The front of all zones.
@@ -48,7 +48,7 @@
         let zone_of: Vec<u32> = day.balancers.iter().map(|b| b.zone).collect();
         let zones = zone_of.iter().map(|&z| z as usize + 1).max().unwrap_or(0).max(day.zones.len());
         Front {
-            status: vec![BalancerStatus::Out; zone_of.len()],
+            status: vec![BalancerStatus::Excluded; zone_of.len()],
             zone_of,
             assignable: vec![Vec::new(); zones],
             assignable_in_any_zone: Vec::new(),
@@ -59,7 +59,7 @@
 
     /// Handles the first readiness of a balancer since its start: clients are assigned to it from now on.
     pub fn on_ready(&mut self, _now: Micros, balancer: BalancerId) {
-        self.status[balancer.0 as usize] = BalancerStatus::In;
+        self.status[balancer.0 as usize] = BalancerStatus::Assignable;
         // A restarted balancer may still be listed from before its end; each list holds it once.
         for list in [
             &mut self.assignable[self.zone_of[balancer.0 as usize] as usize],
@@ -86,9 +86,9 @@
     fn schedule_removal(&mut self, balancer: BalancerId, at: Micros) {
         let status = &mut self.status[balancer.0 as usize];
         *status = match *status {
-            BalancerStatus::Out => BalancerStatus::Out,
-            BalancerStatus::In => BalancerStatus::Until(at),
-            BalancerStatus::Until(sooner) => BalancerStatus::Until(sooner.min(at)),
+            BalancerStatus::Excluded => BalancerStatus::Excluded,
+            BalancerStatus::Assignable => BalancerStatus::AssignableUntil(at),
+            BalancerStatus::AssignableUntil(earlier) => BalancerStatus::AssignableUntil(earlier.min(at)),
         };
     }
 
@@ -98,9 +98,9 @@
     pub fn pick(&mut self, now: Micros, zone: u32) -> Option<BalancerId> {
         let status = &mut self.status;
         let mut is_assignable = |b: &BalancerId| match status[b.0 as usize] {
-            BalancerStatus::In => true,
-            BalancerStatus::Until(at) => now < at,
-            BalancerStatus::Out => false,
+            BalancerStatus::Assignable => true,
+            BalancerStatus::AssignableUntil(at) => now < at,
+            BalancerStatus::Excluded => false,
         };
         let in_zone = self.assignable.get_mut(zone as usize);
         if let Some(in_zone) = in_zone {
