--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -106,7 +106,7 @@
     /// Closes a link, on its own or because the process ends.
     Close(LinkId, End),
     /// Reports that an attempt has arrived, accepted or not.
-    Reached {
+    AttemptArrived {
         /// The link of the attempt.
         link: LinkId,
         /// The number of attempts that it counts as.
--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -34,7 +34,11 @@
         patience: Micros,
         outputs: &mut Vec<NodeOutput>,
     ) {
-        outputs.push(NodeOutput::Reached { link, weight: 1.0, cold: self.warm_up.admission_rate(now) });
+        outputs.push(NodeOutput::AttemptArrived {
+            link,
+            weight: 1.0,
+            cold: self.warm_up.admission_rate(now),
+        });
         if self.warm_up.on_attempt(now) {
             outputs.push(NodeOutput::Close(link, End::Reset));
             self.end_process(now, outputs);
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -68,7 +68,7 @@
                 self.end_service_by_node(link);
                 self.close_from_node(link, end);
             }
-            NodeOutput::Reached { link, weight, cold } => {
+            NodeOutput::AttemptArrived { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
                     let (by, theirs) = (l.balancer, l.theirs);
                     listener
