--- a/crates/emulator/src/population/traffic.rs
+++ b/crates/emulator/src/population/traffic.rs
@@ -35,19 +35,19 @@
 struct CurveSegment {
     from: Micros,
     to: Micros,
-    at_from: f64,
-    at_to: f64,
+    level_from: f64,
+    level_to: f64,
 }
 
 impl CurveSegment {
     fn level(&self, t: Micros) -> f64 {
-        let part = (t - self.from) as f64 / (self.to - self.from).max(1) as f64;
-        self.at_from + (self.at_to - self.at_from) * part
+        let ratio = (t - self.from) as f64 / (self.to - self.from).max(1) as f64;
+        self.level_from + (self.level_to - self.level_from) * ratio
     }
 
     /// The change of the level per microsecond.
     fn slope(&self) -> f64 {
-        (self.at_to - self.at_from) / (self.to - self.from).max(1) as f64
+        (self.level_to - self.level_from) / (self.to - self.from).max(1) as f64
     }
 }
 
@@ -58,27 +58,32 @@
 #[derive(Debug)]
 pub(super) struct Traffic {
     classes: Vec<Class>,
+    /// The mean lifetime of a usual connection, in microseconds.
     life_us: f64,
+    /// The sigma of the lognormal lifetimes.
     life_sigma: f64,
     /// The expected number of clients at level 1.
     count: f64,
     /// The steady rate of arrivals at level 1, per microsecond.
     rate: f64,
+    /// The exponent of the level for the number of clients.
     by_joins: f64,
     curve: Vec<CurveSegment>,
     length: Micros,
-    tenants: Vec<f64>,
+    tenant_shares: Vec<f64>,
     /// By tenant: the number of connections within its quota.
     quotas: Vec<f64>,
-    zones: Vec<f64>,
+    zone_shares: Vec<f64>,
     surges: Vec<Surge>,
     /// The distribution of the burst factor and the length of a burst; none if the traffic has no bursts.
     bursts: Option<(Gamma<f64>, Micros)>,
     /// The present burst factor.
     burst: f64,
+    /// When the next burst factor is drawn.
     burst_until: Micros,
     /// The arrival times of a recording, in place of drawn ones.
     recorded: Option<std::vec::IntoIter<Micros>>,
+    /// The next change; none after the end of the day.
     next: Option<(Micros, CountChange)>,
 }
 
@@ -114,9 +119,9 @@
             by_joins: day.streams.by_joins.clamp(0.0, 1.0),
             curve: segments(&t.shape, day.length),
             length: day.length,
-            tenants,
+            tenant_shares: tenants,
             quotas,
-            zones: t.zone_share.clone(),
+            zone_shares: t.zone_share.clone(),
             surges: Vec::new(),
             bursts: gamma.map(|g| (g, t.burst)),
             burst: 1.0,
@@ -159,7 +164,11 @@
         if self.surges.iter().all(|s| t >= s.until) {
             return 1.0;
         }
-        self.tenants.iter().enumerate().map(|(i, share)| share * self.surge_factor_of(t, i as u32)).sum()
+        self.tenant_shares
+            .iter()
+            .enumerate()
+            .map(|(i, share)| share * self.surge_factor_of(t, i as u32))
+            .sum()
     }
 
     fn draw_change(&mut self, from: Micros, rng: &mut impl Rng) -> Option<(Micros, CountChange)> {
@@ -228,13 +237,16 @@
 
     /// The tenants' shares of the traffic.
     pub fn tenant_shares(&self) -> &[f64] {
-        &self.tenants
+        &self.tenant_shares
     }
 
     /// Draws the tenant of a client that arrives at this time.
     pub fn draw_tenant(&self, now: Micros, rng: &mut impl Rng) -> u32 {
-        let weights =
-            self.tenants.iter().enumerate().map(|(i, share)| share * self.surge_factor_of(now, i as u32));
+        let weights = self
+            .tenant_shares
+            .iter()
+            .enumerate()
+            .map(|(i, share)| share * self.surge_factor_of(now, i as u32));
         pick(weights, rng)
     }
 
@@ -251,12 +263,12 @@
 
     /// Draws the zone of a client.
     pub fn draw_zone(&self, rng: &mut impl Rng) -> u32 {
-        pick(self.zones.iter().copied(), rng)
+        pick(self.zone_shares.iter().copied(), rng)
     }
 
     /// The probability that a client of this tenant that arrives now is within the tenant's quota.
     pub fn within_quota_probability(&self, now: Micros, tenant: u32) -> f64 {
-        let (share, quota) = (self.tenants[tenant as usize], self.quotas[tenant as usize]);
+        let (share, quota) = (self.tenant_shares[tenant as usize], self.quotas[tenant as usize]);
         let expected = self.count * share * self.count_ratio(now) * self.surge_factor_of(now, tenant);
         if expected <= quota { 1.0 } else { (quota / expected).max(0.0) }
     }
@@ -312,7 +324,7 @@
     let first = points.first().map_or((0, 1.0), |p| (micros(p.0), p.1));
     let mut push = |from: (Micros, f64), to: (Micros, f64)| {
         if to.0 > from.0 {
-            all.push(CurveSegment { from: from.0, to: to.0, at_from: from.1, at_to: to.1 });
+            all.push(CurveSegment { from: from.0, to: to.0, level_from: from.1, level_to: to.1 });
         }
     };
     push((0, first.1), first);
