--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -49,79 +49,89 @@
 }
 
 /// A node with all of its outputs and their times.
-struct Rig {
-    node: Node,
-    out: Vec<(Micros, NodeOutput)>,
-    next: u64,
+struct TestNode {
+    model: Node,
+    outputs: Vec<(Micros, NodeOutput)>,
+    last_link: u64,
 }
 
-impl Rig {
-    fn new(day: &Day) -> Rig {
-        Rig { node: Node::new(day, NodeId(0), Pcg64Mcg::seed_from_u64(7)), out: Vec::new(), next: 0 }
+impl TestNode {
+    fn new(day: &Day) -> TestNode {
+        TestNode {
+            model: Node::new(day, NodeId(0), Pcg64Mcg::seed_from_u64(7)),
+            outputs: Vec::new(),
+            last_link: 0,
+        }
     }
 
     /// Advances the node to `now`, one due time after the other.
-    fn until(&mut self, now: Micros) {
-        while let Some(due) = self.node.next_due().filter(|due| *due <= now) {
+    fn advance_to(&mut self, now: Micros) {
+        while let Some(due) = self.model.next_due().filter(|due| *due <= now) {
             let mut out = Vec::new();
-            self.node.advance(due, &mut out);
+            self.model.advance(due, &mut out);
             assert!(
-                self.node.next_due() > Some(due) || self.node.next_due().is_none(),
+                self.model.next_due() > Some(due) || self.model.next_due().is_none(),
                 "the node is due again at {due}"
             );
-            self.out.extend(out.into_iter().map(|what| (due, what)));
+            self.outputs.extend(out.into_iter().map(|what| (due, what)));
         }
     }
 
-    fn at(&mut self, now: Micros, what: NodeInput) {
-        self.until(now);
+    /// Advances the node to `now` and gives it an input.
+    fn input(&mut self, now: Micros, what: NodeInput) {
+        self.advance_to(now);
         let mut out = Vec::new();
-        self.node.handle(now, what, &mut out);
-        self.out.extend(out.into_iter().map(|what| (now, what)));
+        self.model.handle(now, what, &mut out);
+        self.outputs.extend(out.into_iter().map(|what| (now, what)));
     }
 
-    fn link(&mut self) -> LinkId {
-        self.next += 1;
-        LinkId(self.next)
+    /// Returns a link that is not yet used.
+    fn new_link(&mut self) -> LinkId {
+        self.last_link += 1;
+        LinkId(self.last_link)
     }
 
+    /// Adds initial connections with a mean load of 1.
     fn add_connections(&mut self, now: Micros, count: usize) {
         for _ in 0..count {
-            let link = self.link();
+            let link = self.new_link();
             let profile = LoadProfile { mean: 1.0, seed: 0 };
-            self.at(
+            self.input(
                 now,
                 NodeInput::InitialConnection { link, by: BalancerId(0), ask: ask(link.0, 0), profile },
             );
         }
     }
 
+    /// Sends a request with a mean load of 1.
     fn open(&mut self, now: Micros) -> LinkId {
-        let link = self.link();
+        let link = self.new_link();
         let profile = LoadProfile { mean: 1.0, seed: 0 };
         let ask = ask(link.0, 0);
-        self.at(now, NodeInput::Open { link, by: BalancerId(0), ask, profile, patience: 3 * S });
+        self.input(now, NodeInput::Open { link, by: BalancerId(0), ask, profile, patience: 3 * S });
         link
     }
 
+    /// The times and links of this message.
     fn messages(&self, message: NodeMessage) -> Vec<(Micros, LinkId)> {
         let of = |(at, what): &(Micros, NodeOutput)| match what {
             NodeOutput::Message(link, sent) if *sent == message => Some((*at, *link)),
             _ => None,
         };
-        self.out.iter().filter_map(of).collect()
+        self.outputs.iter().filter_map(of).collect()
     }
 
-    fn ended(&self) -> usize {
-        self.out.iter().filter(|(_, what)| matches!(what, NodeOutput::Close(..))).count()
+    /// The number of links that the node has closed.
+    fn closed_links(&self) -> usize {
+        self.outputs.iter().filter(|(_, what)| matches!(what, NodeOutput::Close(..))).count()
     }
 
     /// The share of messages in time between `from` and `to`.
-    fn share(&mut self, from: Micros, to: Micros) -> f64 {
-        self.until(from);
-        let before = self.node.served(0);
-        self.until(to);
-        (self.node.served(0) - before) / ((to - from) as f64 / 1e6)
+    fn share_in_time(&mut self, from: Micros, to: Micros) -> f64 {
+        self.advance_to(from);
+        let before = self.model.served(0);
+        self.advance_to(to);
+        (self.model.served(0) - before) / ((to - from) as f64 / 1e6)
     }
 }
 
@@ -139,8 +149,8 @@
         (5.0, 1.5, 2.0, 0.63013, 2.0693, 0.87204),
         (5.0, 1.5, 2.0, 0.80964, 3.5400, 0.74712),
     ];
-    for (cores, speed, burstiness, rho, ms, share) in measured {
-        let level = LoadLevel { cores, utilization: rho, backlog: 0.0, message_time: 0.002 / speed };
+    for (cores, speed, burstiness, utilization, ms, share) in measured {
+        let level = LoadLevel { cores, utilization, backlog: 0.0, message_time: 0.002 / speed };
         assert!((level.delay() * 1e3 / ms - 1.0).abs() < 3e-3, "{level:?}: {} ms", level.delay() * 1e3);
         assert!(
             (level.share_in_time(0.003, burstiness) - share).abs() < 3e-4,
@@ -167,16 +177,16 @@
         .flat_map(|(i, x)| [(5.0 * i as f64, *x), (5.0 * i as f64 + 4.9999, *x)])
         .collect();
     let day = day_with_one_node(4, json!({"/traffic/shape": shape, "/classes/0/message_aim_ms": 200}));
-    let mut rig = Rig::new(&day);
-    rig.add_connections(0, 1818);
+    let mut node = TestNode::new(&day);
+    node.add_connections(0, 1818);
     let measured = [0.99254, 0.44259, 0.0, 0.92019, 1.0, 0.98944, 0.0645, 0.74969];
     for (i, share) in measured.into_iter().enumerate() {
-        let got = rig.share(i as Micros * 5 * S, (i as Micros + 1) * 5 * S);
+        let got = node.share_in_time(i as Micros * 5 * S, (i as Micros + 1) * 5 * S);
         // The number of connections of the measured server varied by a few.
         assert!((got - share).abs() < 0.012, "from {} s: a share of {got}, measured {share}", 5 * i);
     }
     let reported_delay = |at: Micros| {
-        rig.out.iter().find_map(|(t, what)| match what {
+        node.outputs.iter().find_map(|(t, what)| match what {
             NodeOutput::Message(_, NodeMessage::Delay(ms)) if *t == at => Some(*ms),
             _ => None,
         })
@@ -196,11 +206,11 @@
 /// rest; established connections slow the set-ups down as measured.
 #[test]
 fn set_ups_wait_in_a_bounded_queue_and_excess_ones_are_rejected() {
-    let mut rig = Rig::new(&day_with_one_node(4, json!({})));
-    let links: Vec<LinkId> = (0..40).map(|_| rig.open(S)).collect();
-    rig.until(10 * S);
-    let up = rig.messages(NodeMessage::Up);
-    assert_eq!((up.len(), rig.messages(NodeMessage::Busy).len()), (30, 10));
+    let mut node = TestNode::new(&day_with_one_node(4, json!({})));
+    let links: Vec<LinkId> = (0..40).map(|_| node.open(S)).collect();
+    node.advance_to(10 * S);
+    let up = node.messages(NodeMessage::Up);
+    assert_eq!((up.len(), node.messages(NodeMessage::Busy).len()), (30, 10));
     assert!(
         links[30..].iter().all(|link| up.iter().all(|(_, l)| l != link)),
         "a rejected set-up was accepted"
@@ -211,11 +221,11 @@
 
     // The work of a probe is not random: 1 ms at a pace of 1.3 minus the utilization by established
     // connections, which is 0.9 here.
-    rig.add_connections(10 * S, 1607);
-    let link = rig.link();
-    rig.at(12 * S, NodeInput::Probe { link });
-    rig.until(13 * S);
-    let took = rig.messages(NodeMessage::Pong)[0].0 - 12 * S;
+    node.add_connections(10 * S, 1607);
+    let link = node.new_link();
+    node.input(12 * S, NodeInput::Probe { link });
+    node.advance_to(13 * S);
+    let took = node.messages(NodeMessage::Pong)[0].0 - 12 * S;
     assert!((2490..2520).contains(&took), "{took}");
 }
 
@@ -260,16 +270,18 @@
 /// connections until its utilization is at most 0.9.
 #[test]
 fn at_the_maximum_backlog_the_heaviest_connections_are_shed() {
-    let mut rig =
-        Rig::new(&day_with_one_node(4, json!({"/streams/sheds": "heaviest", "/traffic/shape": [[0, 1.3]]})));
+    let mut node = TestNode::new(&day_with_one_node(
+        4,
+        json!({"/streams/sheds": "heaviest", "/traffic/shape": [[0, 1.3]]}),
+    ));
     for i in 0..1805u64 {
-        let link = rig.link();
+        let link = node.new_link();
         let profile = LoadProfile { mean: 0.5 + (i * 7919 % 1805) as f64 / 1805.0, seed: 0 };
-        rig.at(0, NodeInput::InitialConnection { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
+        node.input(0, NodeInput::InitialConnection { link, by: BalancerId(0), ask: ask(link.0, 0), profile });
     }
-    rig.until(20 * S);
-    let shed: Vec<u64> = rig
-        .out
+    node.advance_to(20 * S);
+    let shed: Vec<u64> = node
+        .outputs
         .iter()
         .filter_map(|(_, o)| match o {
             NodeOutput::Close(link, End::Reset) => Some(link.0 - 1),
@@ -281,9 +293,9 @@
         shed.windows(2).all(|two| weight(&two[0]) > weight(&two[1])),
         "the heaviest connections were not shed first"
     );
-    let state = rig.node.state();
-    let rho = state.load / state.capacity;
-    assert!((0.898..=0.9).contains(&rho), "the utilization after shedding is {rho}");
+    let state = node.model.state();
+    let utilization = state.load / state.capacity;
+    assert!((0.898..=0.9).contains(&utilization), "the utilization after shedding is {utilization}");
 }
 
 /// A cold node must not survive every surge, nor fail at a low rate. At 130 attempts per second it fails with
@@ -295,16 +307,16 @@
         json!({"/streams/per_core": 100, "/kinds/0/cold_s": 20, "/classes/0/set_up_ms": 1}),
     );
     let attempts_until_failure = |start: bool, every: Micros| {
-        let mut rig = Rig::new(&day);
+        let mut node = TestNode::new(&day);
         if start {
-            rig.at(0, NodeInput::Crash);
-            rig.at(S / 2, NodeInput::Start);
+            node.input(0, NodeInput::Crash);
+            node.input(S / 2, NodeInput::Start);
         }
         for i in 0..400 {
-            rig.open(S + i * every);
-            if rig.out.iter().any(|(_, what)| *what == NodeOutput::Overloaded) {
-                assert_eq!(rig.node.accepts(2 * S), Accepts::Refused);
-                assert_eq!(rig.node.next_due(), None, "a failed node is still due");
+            node.open(S + i * every);
+            if node.outputs.iter().any(|(_, what)| *what == NodeOutput::Overloaded) {
+                assert_eq!(node.model.accepts(2 * S), Accepts::Refused);
+                assert_eq!(node.model.next_due(), None, "a failed node is still due");
                 return Some(i + 1);
             }
         }
@@ -324,56 +336,56 @@
 #[test]
 fn faults_affect_requests_connections_and_probes_as_specified() {
     let at = |kind, on| NodeInput::Fault { kind, on, size: 1.0 };
-    let mut rig = Rig::new(&day_with_one_node(4, json!({"/streams/go_away": "at-once"})));
-    rig.add_connections(0, 50);
+    let mut node = TestNode::new(&day_with_one_node(4, json!({"/streams/go_away": "at-once"})));
+    node.add_connections(0, 50);
 
-    rig.at(2 * S, at(FaultKind::Hang, true));
-    let probe = rig.link();
-    rig.at(2 * S, NodeInput::Probe { link: probe });
-    rig.open(2 * S);
-    assert_eq!(rig.share(3 * S, 5 * S), 0.0, "a hung node served messages in time");
+    node.input(2 * S, at(FaultKind::Hang, true));
+    let probe = node.new_link();
+    node.input(2 * S, NodeInput::Probe { link: probe });
+    node.open(2 * S);
+    assert_eq!(node.share_in_time(3 * S, 5 * S), 0.0, "a hung node served messages in time");
     assert!(
-        rig.messages(NodeMessage::Pong).is_empty() && rig.messages(NodeMessage::Up).is_empty(),
+        node.messages(NodeMessage::Pong).is_empty() && node.messages(NodeMessage::Up).is_empty(),
         "a hung node sent a message"
     );
-    rig.at(5 * S, at(FaultKind::Hang, false));
-    rig.until(6 * S);
+    node.input(5 * S, at(FaultKind::Hang, false));
+    node.advance_to(6 * S);
     assert_eq!(
-        (rig.messages(NodeMessage::Pong).len(), rig.messages(NodeMessage::Up).len(), rig.ended()),
+        (node.messages(NodeMessage::Pong).len(), node.messages(NodeMessage::Up).len(), node.closed_links()),
         (1, 1, 0)
     );
 
-    rig.at(6 * S, at(FaultKind::HalfDead, true));
-    let (probe, unanswered) = (rig.link(), rig.open(6 * S));
-    rig.at(6 * S, NodeInput::Probe { link: probe });
-    assert!(rig.share(7 * S, 8 * S) > 0.7, "established connections are not affected");
-    assert_eq!((rig.messages(NodeMessage::Pong).len(), rig.messages(NodeMessage::Up).len()), (2, 1));
-    rig.at(8 * S, at(FaultKind::HalfDead, false));
+    node.input(6 * S, at(FaultKind::HalfDead, true));
+    let (probe, unanswered) = (node.new_link(), node.open(6 * S));
+    node.input(6 * S, NodeInput::Probe { link: probe });
+    assert!(node.share_in_time(7 * S, 8 * S) > 0.7, "established connections are not affected");
+    assert_eq!((node.messages(NodeMessage::Pong).len(), node.messages(NodeMessage::Up).len()), (2, 1));
+    node.input(8 * S, at(FaultKind::HalfDead, false));
 
-    rig.at(9 * S, at(FaultKind::Full, true));
-    rig.open(9 * S);
-    rig.at(10 * S, at(FaultKind::Full, false));
-    rig.at(10 * S, at(FaultKind::Failing, true));
-    rig.open(10 * S);
-    rig.at(11 * S, at(FaultKind::Failing, false));
-    assert_eq!((rig.messages(NodeMessage::Busy).len(), rig.messages(NodeMessage::Err).len()), (1, 1));
+    node.input(9 * S, at(FaultKind::Full, true));
+    node.open(9 * S);
+    node.input(10 * S, at(FaultKind::Full, false));
+    node.input(10 * S, at(FaultKind::Failing, true));
+    node.open(10 * S);
+    node.input(11 * S, at(FaultKind::Failing, false));
+    assert_eq!((node.messages(NodeMessage::Busy).len(), node.messages(NodeMessage::Err).len()), (1, 1));
 
-    rig.at(12 * S, at(FaultKind::CutOff, true));
-    assert_eq!(rig.node.accepts(12 * S), Accepts::Silent);
-    rig.at(14 * S, at(FaultKind::CutOff, false));
+    node.input(12 * S, at(FaultKind::CutOff, true));
+    assert_eq!(node.model.accepts(12 * S), Accepts::Silent);
+    node.input(14 * S, at(FaultKind::CutOff, false));
     assert_eq!(
-        rig.ended(),
+        node.closed_links(),
         52,
         "50 initial connections, one set up and one unanswered are reset when the node is back"
     );
-    assert!(rig.out.iter().any(|(_, what)| *what == NodeOutput::Close(unanswered, End::Reset)));
+    assert!(node.outputs.iter().any(|(_, what)| *what == NodeOutput::Close(unanswered, End::Reset)));
 
-    rig.add_connections(15 * S, 20);
-    rig.at(16 * S, NodeInput::Drain);
-    rig.open(16 * S);
-    assert_eq!((rig.messages(NodeMessage::Move).len(), rig.messages(NodeMessage::Busy).len()), (20, 2));
-    rig.at(17 * S, NodeInput::Stop);
-    assert_eq!((rig.node.accepts(17 * S), rig.node.next_due()), (Accepts::Refused, None));
+    node.add_connections(15 * S, 20);
+    node.input(16 * S, NodeInput::Drain);
+    node.open(16 * S);
+    assert_eq!((node.messages(NodeMessage::Move).len(), node.messages(NodeMessage::Busy).len()), (20, 2));
+    node.input(17 * S, NodeInput::Stop);
+    assert_eq!((node.model.accepts(17 * S), node.model.next_due()), (Accepts::Refused, None));
 }
 
 /// Sums must not drift, and no link may end twice or never. After thousands of random events, the sums of a
@@ -387,31 +399,31 @@
         "/classes/0/set_up_ms": 20, "/classes/0/attempt_noise": 0.4, "/kinds/0/error_rate": 0.02}),
     );
     (day.kinds[0].pause_every, day.kinds[0].pause) = (2 * S, S / 10);
-    let mut rig = Rig::new(&day);
+    let mut node = TestNode::new(&day);
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     let (mut now, mut open) = (0, Vec::new());
     for _ in 0..20_000 {
         now += rng.random_range(0..40_000);
         match rng.random_range(0..1000) {
-            0 => rig.at(now, NodeInput::Crash),
-            1..=5 => rig.at(now, NodeInput::Start),
+            0 => node.input(now, NodeInput::Crash),
+            1..=5 => node.input(now, NodeInput::Start),
             6..=450 if !open.is_empty() => {
                 let link = open.swap_remove(rng.random_range(0..open.len()));
-                rig.at(now, NodeInput::Close { link });
+                node.input(now, NodeInput::Close { link });
             }
-            _ if rig.node.accepts(now) == Accepts::Yes => {
-                let link = rig.link();
+            _ if node.model.accepts(now) == Accepts::Yes => {
+                let link = node.new_link();
                 let (ask, by) = (ask(link.0, rng.random_range(0..9)), BalancerId(rng.random_range(0..4)));
                 let profile = LoadProfile { mean: rng.random_range(0.2..3.0), seed: 0 };
-                rig.at(now, NodeInput::Open { link, by, ask, profile, patience: S });
+                node.input(now, NodeInput::Open { link, by, ask, profile, patience: S });
                 open.push(link);
             }
-            _ => rig.until(now),
+            _ => node.advance_to(now),
         }
-        assert!(rig.node.next_due().is_none_or(|due| due > now), "an event due by {now} was not handled");
+        assert!(node.model.next_due().is_none_or(|due| due > now), "an event due by {now} was not handled");
     }
     let mut links: BTreeMap<LinkId, (u32, u32, u32)> = BTreeMap::new();
-    for (_, what) in &rig.out {
+    for (_, what) in &node.outputs {
         match what {
             NodeOutput::Message(link, NodeMessage::Up) => links.entry(*link).or_default().0 += 1,
             NodeOutput::Message(link, NodeMessage::Busy | NodeMessage::Err) => {
@@ -426,7 +438,7 @@
         "a link was accepted and rejected, or ended twice"
     );
     assert!(links.values().filter(|l| l.0 == 1).count() > 1000 && links.values().any(|l| l.2 == 1));
-    assert!(rig.node.established.sums_are_right());
-    let (served, all) = (rig.node.served(0), seconds_from_micros(now));
+    assert!(node.model.established.sums_are_right());
+    let (served, all) = (node.model.served(0), seconds_from_micros(now));
     assert!((0.0..=all).contains(&served), "{served} of {all} s");
 }
--- a/crates/emulator/src/population/tests.rs
+++ b/crates/emulator/src/population/tests.rs
@@ -62,11 +62,12 @@
 struct Recording {
     /// The time, the request and the zone of each connection.
     requests: Vec<(Micros, RequestLine, u32)>,
+    /// The times at which clients closed connections, and the connections.
     leaves: Vec<(Micros, ConnId)>,
     /// The times at which clients began to want service, and whether they were new.
-    wants: Vec<(Micros, bool)>,
+    service_wanted: Vec<(Micros, bool)>,
     /// The times at which clients ceased to want service: at the end of their lifetime or in a pause.
-    wants_no_more: Vec<Micros>,
+    service_no_longer_wanted: Vec<Micros>,
     present_at_end: usize,
 }
 
@@ -82,8 +83,8 @@
         let mut answers = Vec::new();
         for what in out.drain(..) {
             match what {
-                ClientAction::ServiceWanted { first, .. } => recording.wants.push((now, first)),
-                ClientAction::ServiceNoLongerWanted { .. } => recording.wants_no_more.push(now),
+                ClientAction::ServiceWanted { first, .. } => recording.service_wanted.push((now, first)),
+                ClientAction::ServiceNoLongerWanted { .. } => recording.service_no_longer_wanted.push(now),
                 ClientAction::Leave { conn } => recording.leaves.push((now, conn)),
                 ClientAction::Done { .. } => {}
                 ClientAction::Connect { ask, zone, .. } => {
@@ -107,10 +108,10 @@
     recording
 }
 
-fn near(what: &str, found: f64, expected: f64, by: f64) {
+fn assert_close(what: &str, found: f64, expected: f64, tolerance: f64) {
     assert!(
-        (found - expected).abs() <= by * expected,
-        "{what}: found {found}, expected {expected} within a ratio of {by}"
+        (found - expected).abs() <= tolerance * expected,
+        "{what}: found {found}, expected {expected} within a ratio of {tolerance}"
     );
 }
 
@@ -123,38 +124,58 @@
     let day = day(json!({"traffic": {"shape": curve, "load": 0.9}, "streams": {"per_core": 110}}));
     let capacity = capacity(&day);
     let (number, rate) = (0.9 * capacity.connections, 0.9 * capacity.per_s);
-    near("capacity", capacity.connections, 400.0 * 110.0 / 1.2, 1e-9);
+    assert_close("capacity", capacity.connections, 400.0 * 110.0 / 1.2, 1e-9);
     let recording = play(&day, |_, _| Some(ClientInput::Up));
     let initial = recording.requests.iter().filter(|a| a.1.home.is_some()).count() as f64;
-    near("clients at the start", initial, number * 0.5f64.sqrt(), 0.0002);
+    assert_close("clients at the start", initial, number * 0.5f64.sqrt(), 0.0002);
     let arrivals = |from: Micros, to: Micros| {
-        recording.wants.iter().filter(|w| w.0 > 0 && (from * S / 2..to * S / 2).contains(&w.0)).count() as f64
+        recording
+            .service_wanted
+            .iter()
+            .filter(|w| w.0 > 0 && (from * S / 2..to * S / 2).contains(&w.0))
+            .count() as f64
     };
-    near("arrivals at level 0.5", arrivals(0, 40), 20.0 * rate * 0.5, 0.03);
-    near(
+    assert_close("arrivals at level 0.5", arrivals(0, 40), 20.0 * rate * 0.5, 0.03);
+    assert_close(
         "arrivals in the rise",
         arrivals(40, 41),
         number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.55 * rate,
         0.03,
     );
-    near("arrivals at level 2", arrivals(41, 80), 19.5 * rate * 2.0f64.sqrt(), 0.03);
+    assert_close("arrivals at level 2", arrivals(41, 80), 19.5 * rate * 2.0f64.sqrt(), 0.03);
     let departures =
-        recording.wants_no_more.iter().filter(|t| (80 * S / 2..81 * S / 2).contains(t)).count() as f64;
-    near("departures in the fall", departures, number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.6 * rate, 0.05);
+        recording.service_no_longer_wanted.iter().filter(|t| (80 * S / 2..81 * S / 2).contains(t)).count()
+            as f64;
+    assert_close(
+        "departures in the fall",
+        departures,
+        number * (2.0f64.sqrt() - 0.5f64.sqrt()) + 0.6 * rate,
+        0.05,
+    );
     let all = recording.requests.len() as f64;
-    near(
+    assert_close(
         "first tenant",
         recording.requests.iter().filter(|a| a.1.tenant == 0).count() as f64,
         0.75 * all,
         0.01,
     );
-    near("second zone", recording.requests.iter().filter(|a| a.2 == 1).count() as f64, 0.25 * all, 0.03);
+    assert_close(
+        "second zone",
+        recording.requests.iter().filter(|a| a.2 == 1).count() as f64,
+        0.25 * all,
+        0.03,
+    );
     let mut groups = BTreeMap::new();
     recording.requests.iter().for_each(|a| *groups.entry(a.1.group).or_insert(0.0) += 1.0);
     let number = (0.65 * capacity.connections / 13.0).ceil();
-    near("groups", groups.len() as f64, number, 0.01);
+    assert_close("groups", groups.len() as f64, number, 0.01);
     let total: f64 = (1..=number as u32).map(|k| (f64::from(k) + 2.0).powf(-0.8)).sum();
-    near("largest group", groups.values().copied().fold(0.0, f64::max), all * 3f64.powf(-0.8) / total, 0.1);
+    assert_close(
+        "largest group",
+        groups.values().copied().fold(0.0, f64::max),
+        all * 3f64.powf(-0.8) / total,
+        0.1,
+    );
 }
 
 /// Lifetimes, and the remaining lifetimes at the start, must be drawn from the right distributions: a
@@ -168,8 +189,8 @@
     let mut mean = |draw: &mut dyn FnMut(&mut Pcg64Mcg) -> Micros| {
         (0..40_000).map(|_| draw(&mut rng) as f64).sum::<f64>() / 40_000.0 / S as f64
     };
-    near("lifetime", mean(&mut |r| traffic.draw_lifetime(0, r)), 20.0, 0.02);
-    near(
+    assert_close("lifetime", mean(&mut |r| traffic.draw_lifetime(0, r)), 20.0, 0.02);
+    assert_close(
         "remaining lifetime",
         mean(&mut |r| traffic.draw_remaining_lifetime(0, r)),
         10.0 * (0.25f64).exp(),
@@ -235,7 +256,7 @@
         reconnected += 1;
     }
     assert!(reconnected > 5, "{reconnected} clients reconnected");
-    let still_wanting = recording.wants.len() - recording.wants_no_more.len();
+    let still_wanting = recording.service_wanted.len() - recording.service_no_longer_wanted.len();
     assert_eq!(
         still_wanting, recording.present_at_end,
         "the clients that still want service are those present"
@@ -251,10 +272,10 @@
     let day = day(json!({"faults": fault, "traffic": {"load": 0.9}, "streams": {"per_core": 110}}));
     let recording = play(&day, |_, _| Some(ClientInput::Up));
     let dropped: Vec<ConnId> = recording.leaves.iter().filter(|l| l.0 == 10 * S).map(|l| l.1).collect();
-    let present = recording.wants.iter().filter(|w| w.0 <= 10 * S).count()
-        - recording.wants_no_more.iter().filter(|t| **t < 10 * S).count();
-    near("disconnected", dropped.len() as f64, 0.4 * present as f64, 0.03);
-    let back: Vec<Micros> = recording.wants.iter().filter(|w| !w.1).map(|w| w.0).collect();
+    let present = recording.service_wanted.iter().filter(|w| w.0 <= 10 * S).count()
+        - recording.service_no_longer_wanted.iter().filter(|t| **t < 10 * S).count();
+    assert_close("disconnected", dropped.len() as f64, 0.4 * present as f64, 0.03);
+    let back: Vec<Micros> = recording.service_wanted.iter().filter(|w| !w.1).map(|w| w.0).collect();
     assert_eq!(back.len(), dropped.len());
     assert!(back.iter().all(|t| (10_200_000..=12_200_000).contains(t)));
 }
@@ -279,6 +300,6 @@
         }
     }
     assert_eq!(counts[0][0], 0.0, "all clients of a tenant below its quota count as within its share");
-    near("clients of the flooding tenant", counts[1][0] + counts[1][1], 4.0 * counts[0][1], 0.05);
-    near("clients within the share", counts[1][1], 0.25 * (counts[1][0] + counts[1][1]), 0.1);
+    assert_close("clients of the flooding tenant", counts[1][0] + counts[1][1], 4.0 * counts[0][1], 0.05);
+    assert_close("clients within the share", counts[1][1], 0.25 * (counts[1][0] + counts[1][1]), 0.1);
 }
