--- a/crates/emulator/src/world/balancers.rs
+++ b/crates/emulator/src/world/balancers.rs
@@ -147,7 +147,7 @@
         l.uses_pair = false;
         let (b, balancer_link, node, conn) = (l.balancer, l.balancer_link, l.node, l.conn);
         if let Some(c) = conn.and_then(|c| self.conns.get(c)) {
-            let input = NodeInput::Carry { link: id, by: b, ask: c.request, profile: c.profile };
+            let input = NodeInput::InitialConnection { link: id, by: b, ask: c.request, profile: c.profile };
             self.handle_node_input(node, input, listener);
         }
         listener.deliver(self.now, b, ToBalancer::LinkUp(balancer_link));
