--- a/crates/balancer/tests/platform/main.rs
+++ b/crates/balancer/tests/platform/main.rs
@@ -158,7 +158,7 @@
     assert!(!through.set_up.is_empty() && through.line.len() > 100 && outcome.stood >= 40, "{outcome}");
     let no_load = load::Options { setups_per_s: 0.0, ..options };
     let error = load::run(&no_load, folder.path()).expect_err("a rate of 0");
-    assert_eq!(error.to_string(), "set-ups a second: 0 is not above 0");
+    assert_eq!(error.to_string(), "setups per second: found 0, expected a number above 0");
 }
 
 #[test]
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -1,9 +1,9 @@
-//! Load on one balancer, open loop: set-ups and lines come when they are due, whether or not those before have been
-//! answered, and every time is counted from when it was due. A program that stalls is not asked less for it.
+//! An open-loop load generator for one balancer: setups and lines are sent when they are due, whether or not earlier ones
+//! have been answered, and every latency counts from the due time. A balancer that stalls does not receive less load.
 //!
-//! Nodes take every connection at once and return every line, so that what is measured is the balancer and the two
-//! machines' system. The same is done in the same run past the balancer, straight to a node, at a tenth of the rate:
-//! what that takes is the lab's own part.
+//! Nodes accept every connection at once and return every line, so that the balancer and the operating system determine
+//! the latencies. In the same run, a tenth as many connections go directly to the nodes; their latencies show the load
+//! generator's own share.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -32,95 +32,98 @@
     BalancerId, ConnId, End, FromBalancer, Listed, NodeId, NodeMessage, RequestLine, Stage as ListStage,
 };
 
-/// The balancer that is loaded, and those who pass it by: a node knows both as balancers of their own.
+/// The balancer under load, and a second id for direct connections, which nodes serve like those of another balancer.
 const VIA_BALANCER: BalancerId = BalancerId(0);
 const DIRECT: BalancerId = BalancerId(1);
-/// Of what goes through the balancer, this part goes past it too.
+/// For every so many connections through the balancer, one goes directly to a node.
 const DIRECT_INTERVAL: u64 = 10;
-/// A set-up or a line that has no answer by then is lost.
+/// A setup or a line that is not answered within this time is lost; the run waits as long for the last answers.
 const LOSS_TIMEOUT: Micros = 5_000_000;
-/// Standing connections are opened this far apart before the clock starts.
-const OPEN_EVERY: Micros = 500;
-/// The balancer must be ready, and those who stand be up, within this.
+/// The interval at which permanent connections are opened before the measurement.
+const OPEN_INTERVAL: Micros = 500;
+/// The time within which the balancer must become ready, and within which permanent connections must be established.
 const READY_TIMEOUT: Micros = 30_000_000;
-/// Nothing is counted in the first second: the balancer's first list and everybody's caches fall in it.
+/// Setups and lines that are due in the first second are not counted: it includes the balancer's first endpoint list and
+/// the filling of caches.
 const WARM_UP: Micros = 1_000_000;
+/// The longest wait of the event loop.
 const MAX_WAIT: Micros = 5_000;
 
-/// What load is put on.
+/// The options of a load run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// The balancer program.
     pub program: Program,
-    /// New connections a second.
+    /// The number of new connections per second through the balancer.
     pub setups_per_s: f64,
-    /// Connections that stand all the time, besides the new ones.
+    /// The number of permanent connections through the balancer, which are opened before the measurement.
     pub established_connections: u32,
-    /// A new connection stays so long.
+    /// The lifetime of a new connection.
     pub hold: Micros,
-    /// On each that stands, a line is sent this often.
+    /// The interval at which a line is sent on each established connection.
     pub line_interval: Micros,
-    /// Load lasts so long, after a second that is not counted.
+    /// The duration of the measurement, which follows [`WARM_UP`].
     pub duration: Micros,
-    /// Nodes behind the balancer.
+    /// The number of nodes.
     pub nodes: u32,
-    /// The settings that the balancer is told.
+    /// Returns the balancer's settings as JSON text.
     pub settings: fn(&Day, BalancerId) -> String,
 }
 
-/// Why load could not be put on.
+/// Why a load run failed.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// A figure makes no load.
-    #[error("{0}: {1} is not above 0")]
+    /// An option is not a positive number.
+    #[error("{0}: found {1}, expected a number above 0")]
     Figure(&'static str, f64),
-    /// The settings are no JSON.
-    #[error("settings: {0}")]
+    /// The settings are not valid JSON.
+    #[error("the balancer's settings are not valid JSON: {0}")]
     Settings(#[from] serde_json::Error),
-    /// The balancer did not start.
+    /// The balancer could not be started.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// It did not become ready, or ended under load.
+    /// The balancer did not become ready, did not accept the permanent connections, or exited. Holds what happened and the
+    /// end of its log.
     #[error("the balancer {0}; its log ends: {1}")]
     Balancer(&'static str, String),
-    /// The system refused something that the lab needs.
-    #[error("the lab's own sockets: {0}")]
+    /// A socket operation of the load generator failed.
+    #[error("the lab's own sockets failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// What came of one way to the nodes.
+/// The results of one path to the nodes: through the balancer, or direct.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PathResult {
-    /// From when a set-up was due to its `UP`.
+    /// The times from a setup's due time to its `UP`.
     pub set_up: Distribution,
-    /// From when a line was due to its return.
+    /// The times from a line's due time to its return.
     pub line: Distribution,
-    /// Set-ups that were answered otherwise, refused or cut off.
+    /// The number of setups that were rejected, failed or refused, or whose connection was closed.
     pub failed: u64,
-    /// Set-ups and lines without an answer.
+    /// The number of setups and lines without an answer.
     pub lost: u64,
 }
 
-/// What came of the load.
+/// The result of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// Through the balancer.
+    /// The results through the balancer.
     pub through: PathResult,
-    /// Past it, straight to a node.
+    /// The results of direct connections to a node.
     pub past: PathResult,
-    /// Set-ups a second that came up, through the balancer.
+    /// The number of successful setups per second through the balancer.
     pub set_ups_per_s: f64,
-    /// Lines a second that came back, through the balancer.
+    /// The number of returned lines per second through the balancer.
     pub lines_per_s: f64,
-    /// Connections that stood through the balancer, at most.
+    /// The largest number of established connections through the balancer.
     pub stood: usize,
-    /// The balancer's time on a core, as a share of the run.
+    /// The balancer's CPU time divided by the duration of the measurement.
     pub cores: f64,
-    /// Its life.
+    /// The record of the balancer's process.
     pub life: ProcessIncarnation,
-    /// How late the lab was.
+    /// The lateness of the load generator.
     pub late: Distribution,
-    /// Why none of this counts, if so.
+    /// Why the result is invalid; none if it is valid.
     pub void: Option<String>,
 }
 
@@ -132,21 +135,21 @@
             "{:22} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
             "ms, from when due", "p50", "p90", "p99", "p99.9", "max", "count"
         )?;
-        for (name, spread) in [
-            ("set-up, through", &self.through.set_up),
-            ("set-up, past", &self.past.set_up),
+        for (name, durations) in [
+            ("setup, through", &self.through.set_up),
+            ("setup, direct", &self.past.set_up),
             ("line, through", &self.through.line),
-            ("line, past", &self.past.line),
+            ("line, direct", &self.past.line),
             ("the lab's lateness", &self.late),
         ] {
-            let at = |share| ms(spread.quantile(share));
+            let at = |quantile| ms(durations.quantile(quantile));
             let (p50, p90, p99, p999) = (at(0.5), at(0.9), at(0.99), at(0.999));
-            let (max, count) = (ms(spread.max()), spread.len());
+            let (max, count) = (ms(durations.max()), durations.len());
             writeln!(f, "{name:22} {p50:9.2} {p90:9.2} {p99:9.2} {p999:9.2} {max:9.2} {count:9}")?;
         }
         writeln!(
             f,
-            "set-ups a second {:.0}, lines a second {:.0}, stood at most {}",
+            "setups per second {:.0}, lines per second {:.0}, at most {} established",
             self.set_ups_per_s, self.lines_per_s, self.stood
         )?;
         let usage = &self.life.usage;
@@ -155,9 +158,9 @@
             "balancer: {:.2} cores, {:.1} MB, {} descriptors",
             self.cores, usage.memory_mb, usage.descriptors
         )?;
-        for (name, path) in [("through", &self.through), ("past", &self.past)] {
+        for (name, path) in [("through", &self.through), ("direct", &self.past)] {
             if path.failed + path.lost > 0 {
-                writeln!(f, "{name}: {} set-ups failed, {} set-ups and lines lost", path.failed, path.lost)?;
+                writeln!(f, "{name}: {} setups failed, {} setups and lines lost", path.failed, path.lost)?;
             }
         }
         self.void.as_ref().map_or(Ok(()), |why| writeln!(f, "VOID: {why}"))
@@ -167,14 +170,15 @@
 #[derive(Debug)]
 struct Client {
     connection: LineConnection,
+    /// The index of its path: 0 through the balancer, 1 direct.
     path: usize,
-    /// When its set-up was due; none once it stands.
-    set_up_due: Option<Micros>,
-    /// It stays to the end.
+    /// When its setup was due; none once it is established.
+    setup_due: Option<Micros>,
+    /// Whether it stays connected to the end of the run.
     is_permanent: bool,
-    /// It leaves once all its lines have come back.
+    /// Whether it closes the connection once all its lines have been returned.
     is_closing: bool,
-    /// Lines that have not come back: when due, and their number.
+    /// Lines that have not been returned: the due time and the line's number.
     outstanding_lines: VecDeque<(Micros, u64)>,
     last_line: u64,
 }
@@ -187,17 +191,19 @@
     fleet: Fleet,
     nodes: Nodes,
     discovery: Discovery,
+    /// The results through the balancer and of direct connections.
     paths: [PathResult; 2],
     lateness: Distribution,
     clients: BTreeMap<u32, Client>,
     next_id: u32,
-    /// Standing through the balancer.
+    /// The number of established connections through the balancer.
     established: usize,
     max_established: usize,
-    /// Lines and ends that are due, each in order: their spans are the same for all.
+    /// When each client's next line is due; in order of time, since all clients have the same interval.
     due_lines: VecDeque<(Micros, u32)>,
+    /// When each client is to close its connection; in order of time, since all connections have the same lifetime.
     due_ends: VecDeque<(Micros, u32)>,
-    /// What is due is counted from then on.
+    /// The begin of the measurement: only setups and lines that are due later are counted.
     measure_from: Micros,
     line_interval: Micros,
     hold: Micros,
@@ -206,17 +212,17 @@
     crashed: bool,
 }
 
-/// Puts load on a balancer; its files go into this folder.
+/// Starts a balancer with its files in `folder`, and measures it under load.
 ///
 /// # Errors
 ///
 /// Fails if an option is out of range, the balancer does not start or ends under load, or the sockets fail.
 pub fn run(options: &Options, folder: &Path) -> Result<Outcome, LoadError> {
     for (name, figure) in [
-        ("set-ups a second", options.setups_per_s),
-        ("length", options.duration as f64),
+        ("setups per second", options.setups_per_s),
+        ("duration", options.duration as f64),
         ("hold", options.hold as f64),
-        ("line every", options.line_interval as f64),
+        ("line interval", options.line_interval as f64),
         ("nodes", f64::from(options.nodes)),
     ] {
         if figure.is_nan() || figure <= 0.0 {
@@ -225,13 +231,13 @@
     }
     let limits = options.program.limits;
     let day = plain::day(2, options.nodes, options.duration, limits.memory_mb, limits.sockets);
-    let mut load = Load::begin(options, &day, folder)?;
-    load.open_established_connections(options.established_connections)?;
+    let mut load = Load::start(options, &day, folder)?;
+    load.open_permanent_connections(options.established_connections)?;
     load.apply_load(options)
 }
 
 impl Load {
-    fn begin(options: &Options, day: &Day, folder: &Path) -> Result<Self, LoadError> {
+    fn start(options: &Options, day: &Day, folder: &Path) -> Result<Self, LoadError> {
         let mut net = Net::new()?;
         let addresses = Addresses::for_next_run();
         let nodes = Nodes::new(&mut net, addresses, 2, options.nodes)?;
@@ -274,89 +280,90 @@
         })
     }
 
-    fn failed(&self, how: &'static str) -> LoadError {
-        LoadError::Balancer(how, self.fleet.files(VIA_BALANCER).log_tail(5))
+    /// The error that the balancer did this, with the end of its log.
+    fn failure(&self, what: &'static str) -> LoadError {
+        LoadError::Balancer(what, self.fleet.files(VIA_BALANCER).log_tail(5))
     }
 
-    /// Opens the connections that stand all the time.
-    fn open_established_connections(&mut self, standing: u32) -> Result<(), LoadError> {
+    /// Waits for the balancer to become ready, and opens the permanent connections.
+    fn open_permanent_connections(&mut self, count: u32) -> Result<(), LoadError> {
         let limit = self.clock.now() + READY_TIMEOUT;
         while !self.fleet.is_ready(VIA_BALANCER) {
             self.run_iteration(Micros::MAX)?;
             if self.crashed || self.clock.now() > limit {
-                return Err(self.failed("did not become ready"));
+                return Err(self.failure("did not become ready"));
             }
         }
         let (began, limit) =
-            (self.clock.now(), self.clock.now() + READY_TIMEOUT + u64::from(standing) * OPEN_EVERY);
-        let (through, past) = (u64::from(standing), u64::from(standing) / DIRECT_INTERVAL);
-        let (mut opened, mut opened_past) = (0, 0);
-        while opened < through || self.established < standing as usize {
+            (self.clock.now(), self.clock.now() + READY_TIMEOUT + u64::from(count) * OPEN_INTERVAL);
+        let (through, direct) = (u64::from(count), u64::from(count) / DIRECT_INTERVAL);
+        let (mut opened, mut opened_direct) = (0, 0);
+        while opened < through || self.established < count as usize {
             let now = self.clock.now();
-            while opened < through && began + opened * OPEN_EVERY <= now {
+            while opened < through && began + opened * OPEN_INTERVAL <= now {
                 self.connect(0, now, true);
                 opened += 1;
-                if opened_past < past && opened % DIRECT_INTERVAL == 0 {
+                if opened_direct < direct && opened % DIRECT_INTERVAL == 0 {
                     self.connect(1, now, true);
-                    opened_past += 1;
+                    opened_direct += 1;
                 }
             }
-            self.run_iteration(if opened < through { began + opened * OPEN_EVERY } else { Micros::MAX })?;
+            self.run_iteration(if opened < through { began + opened * OPEN_INTERVAL } else { Micros::MAX })?;
             if self.crashed || self.clock.now() > limit {
-                return Err(self.failed("did not take the connections that stand"));
+                return Err(self.failure("did not accept the permanent connections in time"));
             }
         }
         Ok(())
     }
 
-    /// Presses for as long as wanted and waits for the last answers.
+    /// Applies the load for the warm-up and the measurement, and waits for the last answers.
     fn apply_load(mut self, options: &Options) -> Result<Outcome, LoadError> {
         let start = self.clock.now();
         self.measure_from = start + WARM_UP;
         self.lateness = Distribution::default();
         let stop = self.measure_from + options.duration;
         let due = |i: u64| start + (i as f64 * 1e6 / options.setups_per_s) as Micros;
-        let mut before = None;
-        let mut set_ups = 0;
+        let mut usage_before = None;
+        let mut setups = 0;
         loop {
             let now = self.clock.now();
-            if before.is_none() && now >= self.measure_from {
-                before = Some(self.fleet.sample_usage(VIA_BALANCER));
+            if usage_before.is_none() && now >= self.measure_from {
+                usage_before = Some(self.fleet.sample_usage(VIA_BALANCER));
             }
-            while due(set_ups) <= now && due(set_ups) < stop {
-                self.lateness.record(now - due(set_ups));
-                self.connect(0, due(set_ups), false);
-                if set_ups % DIRECT_INTERVAL == 0 {
-                    self.connect(1, due(set_ups), false);
+            while due(setups) <= now && due(setups) < stop {
+                self.lateness.record(now - due(setups));
+                self.connect(0, due(setups), false);
+                if setups % DIRECT_INTERVAL == 0 {
+                    self.connect(1, due(setups), false);
                 }
-                set_ups += 1;
+                setups += 1;
             }
             if now >= stop {
                 break;
             }
-            self.run_iteration(due(set_ups).min(stop))?;
+            self.run_iteration(due(setups).min(stop))?;
             if self.crashed {
-                return Err(self.failed("ended under load"));
+                return Err(self.failure("exited under load"));
             }
         }
-        let used = self.fleet.sample_usage(VIA_BALANCER).cpu_ms - before.map_or(0.0, |u| u.cpu_ms);
-        // Nothing more is sent; what is out may still be answered.
+        let cpu_ms = self.fleet.sample_usage(VIA_BALANCER).cpu_ms - usage_before.map_or(0.0, |u| u.cpu_ms);
+        // No more lines are sent; those already sent may still be answered.
         self.due_lines.clear();
         let limit = self.clock.now() + LOSS_TIMEOUT;
         while self.clock.now() < limit && self.is_awaiting_replies() {
             self.run_iteration(limit)?;
         }
-        Ok(self.into_outcome(options, used))
+        Ok(self.into_outcome(options, cpu_ms))
     }
 
     fn is_awaiting_replies(&self) -> bool {
-        self.clients.values().any(|c| c.set_up_due.is_some() || !c.outstanding_lines.is_empty())
+        self.clients.values().any(|c| c.setup_due.is_some() || !c.outstanding_lines.is_empty())
     }
 
-    fn into_outcome(mut self, options: &Options, used_ms: f64) -> Outcome {
+    fn into_outcome(mut self, options: &Options, cpu_ms: f64) -> Outcome {
         for client in self.clients.values() {
             let path = &mut self.paths[client.path];
-            path.lost += u64::from(client.set_up_due.is_some_and(|due| due >= self.measure_from));
+            path.lost += u64::from(client.setup_due.is_some_and(|due| due >= self.measure_from));
             path.lost +=
                 client.outstanding_lines.iter().filter(|(due, _)| *due >= self.measure_from).count() as u64;
         }
@@ -366,17 +373,21 @@
         let seconds = seconds_from_micros(options.duration);
         let lateness = self.lateness.quantile(0.99);
         let void = if lateness > MAX_LATENESS {
-            Some(format!("the lab was late: p99 {:.1} ms", lateness as f64 / 1e3))
+            Some(format!(
+                "the lab was late: p99 {:.1} ms, limit {:.0} ms",
+                lateness as f64 / 1e3,
+                MAX_LATENESS as f64 / 1e3
+            ))
         } else {
             self.net
                 .ran_out_of_descriptors()
-                .then(|| "the lab's descriptors ran out: it holds two for each connection".to_owned())
+                .then(|| "the lab ran out of descriptors: it needs two for each connection".to_owned())
         };
         Outcome {
             set_ups_per_s: through.set_up.len() as f64 / seconds,
             lines_per_s: through.line.len() as f64 / seconds,
             stood: self.max_established,
-            cores: used_ms / 1e3 / seconds,
+            cores: cpu_ms / 1e3 / seconds,
             life: self.fleet.incarnations.remove(0),
             void,
             late: self.lateness,
@@ -385,16 +396,16 @@
         }
     }
 
-    fn connect(&mut self, path: usize, due: Micros, stays: bool) {
+    fn connect(&mut self, path: usize, due: Micros, is_permanent: bool) {
         let id = self.next_id;
         self.next_id += 1;
         let conn = ConnId(u64::from(id) + 1);
         let node = NodeId(id % self.directory.node_count() as u32);
-        let (who, to) = match path {
+        let (who, address) = match path {
             0 => (VIA_BALANCER, self.fleet.address(VIA_BALANCER)),
             _ => (DIRECT, self.directory.address(DIRECT, node)),
         };
-        let ask = RequestLine {
+        let request = RequestLine {
             conn,
             key: conn.0.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             class: 0,
@@ -406,8 +417,8 @@
             again: false,
             home: None,
         };
-        let line = self.connection_log.record_request(who, &ask, LOSS_TIMEOUT, &self.directory);
-        let Ok(mut connection) = self.net.connect(to, Role::Load(id)) else {
+        let line = self.connection_log.record_request(who, &request, LOSS_TIMEOUT, &self.directory);
+        let Ok(mut connection) = self.net.connect(address, Role::Load(id)) else {
             self.paths[path].failed += u64::from(due >= self.measure_from);
             return;
         };
@@ -415,8 +426,8 @@
         let client = Client {
             connection,
             path,
-            set_up_due: Some(due),
-            is_permanent: stays,
+            setup_due: Some(due),
+            is_permanent,
             is_closing: false,
             outstanding_lines: VecDeque::new(),
             last_line: 0,
@@ -424,7 +435,8 @@
         self.clients.insert(id, client);
     }
 
-    /// Does what is due, waits for what is next, but no longer than until `next`, and handles it.
+    /// Runs one iteration of the event loop: due work, one wait until the next due time or `next`, and the events that it
+    /// returned.
     fn run_iteration(&mut self, next: Micros) -> Result<(), LoadError> {
         let now = self.clock.now();
         self.fleet.run_due(&mut self.net, now, &mut self.lateness);
@@ -446,9 +458,9 @@
                 self.close(id, End::Fin);
             }
         }
-        let own = [self.fleet.next_due(), self.discovery.next_due(), now + MAX_WAIT];
+        let limits = [self.fleet.next_due(), self.discovery.next_due(), now + MAX_WAIT];
         let fronts = [&self.due_lines, &self.due_ends].map(|q| q.front().map_or(Micros::MAX, |e| e.0));
-        let next = own.into_iter().chain(fronts).fold(next, Micros::min);
+        let next = limits.into_iter().chain(fronts).fold(next, Micros::min);
         let mut ready = std::mem::take(&mut self.ready);
         self.net.wait(duration_until(self.clock.now(), next), &mut ready)?;
         let woke = self.clock.now();
@@ -494,14 +506,14 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.connection.on_ready(&mut self.net, ready);
         let path = &mut self.paths[client.path];
-        let mut fails = false;
+        let mut is_failed = false;
         while let Ok(Some(line)) = client.connection.next_line() {
-            if let Some(due) = client.set_up_due {
+            if let Some(due) = client.setup_due {
                 if !matches!(parse_message(line), Message::Accepted(_)) {
-                    fails = true;
+                    is_failed = true;
                     break;
                 }
-                client.set_up_due = None;
+                client.setup_due = None;
                 if due >= self.measure_from {
                     path.set_up.record(now - due);
                 }
@@ -526,9 +538,8 @@
         if client.is_closing && client.outstanding_lines.is_empty() {
             return self.close(id, End::Fin);
         }
-        if fails || client.connection.ended().is_some() {
-            let waits = client.set_up_due;
-            path.failed += u64::from(waits.is_some_and(|due| due >= self.measure_from));
+        if is_failed || client.connection.ended().is_some() {
+            path.failed += u64::from(client.setup_due.is_some_and(|due| due >= self.measure_from));
             path.lost +=
                 client.outstanding_lines.iter().filter(|(due, _)| *due >= self.measure_from).count() as u64;
             self.close(id, End::Fin);
@@ -537,7 +548,7 @@
 
     fn close(&mut self, id: u32, how: End) {
         let Some(client) = self.clients.remove(&id) else { return };
-        if client.path == 0 && client.set_up_due.is_none() {
+        if client.path == 0 && client.setup_due.is_none() {
             self.established -= 1;
         }
         self.net.close(client.connection, how);
