--- a/crates/emulator/src/sockets/plain.rs
+++ b/crates/emulator/src/sockets/plain.rs
@@ -1,5 +1,4 @@
-//! A day with nothing in it but balancers and equal nodes in one zone: for loads and drills that bring their own
-//! clients.
+//! A day with only balancers and identical nodes in one zone, for load runs and scripts that have their own clients.
 
 use crate::day::{
     Backoff, Balancer, Class, Clients, Day, Discovery, Front, GoAway, Goal, Kind, Limits, Net, Node, Prices,
@@ -10,9 +9,10 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 
-/// So many balancers with these limits, so many nodes, and this length. Nodes are large, and what is wanted of them is
-/// modest, so that balancers see no reason to turn anybody away, not even on a machine that stalls for a while.
-#[expect(clippy::too_many_lines, reason = "one literal with every figure of a day")]
+/// Creates a day with this number of balancers and nodes, this length, and these limits of each balancer. Nodes have much
+/// capacity and the latency objectives are lenient, so that balancers do not reject requests even if the machine that
+/// runs the test stalls for a while.
+#[expect(clippy::too_many_lines, reason = "one literal with every field of a day")]
 pub fn day(balancers: u32, nodes: u32, length: Micros, memory_mb: f64, sockets: u32) -> Day {
     let node = Node { zone: 0, kind: 0, cell: 0, speed: 1.0, weight: 1.0, up: true };
     Day {
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -1,4 +1,4 @@
-//! The whole platform on sockets: the world as the stage, the auditor as who looks on, and the result of both.
+//! Runs a day on sockets: the world decides what happens, the auditor checks the rules, and the result combines both.
 
 use shorewharf_units::Micros;
 use std::collections::BTreeMap;
@@ -17,29 +17,29 @@
 use crate::world::series::Second;
 use crate::world::{Mode, World, WorldListener};
 
-/// What a run looks like at some second.
+/// The state of a run at one second of the day.
 #[derive(Debug)]
 pub struct StatusSample<'a> {
-    /// The day's clock.
+    /// The time on the day's clock.
     pub now: Micros,
-    /// The second that has just passed; none at the start.
+    /// The series of the second that has just passed; none at the start.
     pub second: Option<&'a Second>,
-    /// Each node as it truly is.
+    /// The actual state of each node.
     pub nodes: &'a [GroundTruth],
-    /// Each balancer.
+    /// The status of each balancer.
     pub balancers: &'a [BalancerStatus],
 }
 
-/// A day on sockets.
+/// The result of a day on sockets.
 #[derive(Clone, Debug, Serialize)]
 pub struct SocketsRun {
-    /// The account, the verdict and the series, as in virtual time.
+    /// The score, the verdict and the series, as in virtual time.
     pub result: RunResult,
-    /// How the driver and the processes fared; a run that it calls void must not be scored.
+    /// The report on the driver and the processes. A run that it reports as void must not be scored.
     pub report: Report,
 }
 
-/// Plays a day in real time against the program, and is told how it stands once a second.
+/// Runs a day in real time against the program, and calls `on_sample` with the state once a second.
 ///
 /// # Errors
 ///
@@ -47,7 +47,7 @@
 pub fn run(
     day: &Day,
     options: &Options,
-    watch: &mut dyn FnMut(&StatusSample<'_>),
+    on_sample: &mut dyn FnMut(&StatusSample<'_>),
 ) -> Result<SocketsRun, RunError> {
     let mut platform = Platform {
         world: World::new(day, Mode::Sockets),
@@ -55,8 +55,8 @@
         day_end: day.length,
         answer_deadline: day.length + answer_window(day),
         ground_truth: Vec::new(),
-        homes: BTreeMap::new(),
-        watch,
+        initial_connections: BTreeMap::new(),
+        on_sample,
     };
     let report = run_day(&mut platform, day, options)?;
     let verdict = platform.auditor.finish(report.ended);
@@ -69,16 +69,17 @@
 struct Platform<'a> {
     world: World,
     auditor: Auditor,
-    /// The day's length, and the time after which no answer is awaited.
+    /// The day's length.
     day_end: Micros,
+    /// The time after which answers are no longer awaited.
     answer_deadline: Micros,
     ground_truth: Vec<GroundTruth>,
-    /// Who stood where before the day.
-    homes: BTreeMap<ConnId, BalancerId>,
-    watch: &'a mut dyn FnMut(&StatusSample<'_>),
+    /// The balancers of the connections that are established before the day.
+    initial_connections: BTreeMap<ConnId, BalancerId>,
+    on_sample: &'a mut dyn FnMut(&StatusSample<'_>),
 }
 
-/// Collects what the world says, and shows its facts to the auditor.
+/// Collects the world's commands, and passes its observations to the auditor.
 struct Listener<'a> {
     commands: &'a mut Commands,
     auditor: &'a mut Auditor,
@@ -115,10 +116,15 @@
     }
 
     fn on_link_reset(&mut self, now: Micros, who: BalancerId, link: LinkId, commands: &mut Commands) {
-        // To the balancer it looks as though the node had ended it, and it owes its client the same.
+        // To the balancer this is the same as a reset by the node, and it has the same obligations to the client.
         self.auditor.observe(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
-        let gone = FromBalancer::EndLink(link, End::Reset);
-        self.world.on_balancer_action(now, who, gone, &mut Listener { commands, auditor: &mut self.auditor });
+        let reset = FromBalancer::EndLink(link, End::Reset);
+        self.world.on_balancer_action(
+            now,
+            who,
+            reset,
+            &mut Listener { commands, auditor: &mut self.auditor },
+        );
     }
 
     fn reachability(&self, node: NodeId) -> Reachability {
@@ -129,21 +135,21 @@
         let mut commands = Vec::new();
         self.world
             .open_standing_connections(&mut Listener { commands: &mut commands, auditor: &mut self.auditor });
-        let asked = |(who, what)| match what {
+        let request = |(who, what)| match what {
             ToBalancer::Asked { ask, .. } => Some((who, ask)),
             _ => None,
         };
-        let all: Vec<(BalancerId, RequestLine)> = commands.into_iter().filter_map(asked).collect();
-        self.homes = all.iter().map(|(who, ask)| (ask.conn, *who)).collect();
+        let all: Vec<(BalancerId, RequestLine)> = commands.into_iter().filter_map(request).collect();
+        self.initial_connections = all.iter().map(|(who, ask)| (ask.conn, *who)).collect();
         all
     }
 
-    fn on_connections_restored(&mut self, up: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
-        // All of it was said on the sockets already.
+    fn on_connections_restored(&mut self, established: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>) {
+        // The commands that the world issues here are dropped: the sockets are in that state already.
         let mut commands = Vec::new();
-        for (conn, who) in std::mem::take(&mut self.homes) {
+        for (conn, who) in std::mem::take(&mut self.initial_connections) {
             let mut listener = Listener { commands: &mut commands, auditor: &mut self.auditor };
-            let Some((_, link, node)) = up.get(&conn).copied() else {
+            let Some((_, link, node)) = established.get(&conn).copied() else {
                 self.world.on_balancer_action(
                     0,
                     who,
@@ -171,15 +177,16 @@
 
     fn on_command_executed(&mut self, now: Micros, who: BalancerId, what: &ToBalancer) {
         match what {
-            // Seen when they have gone out in whole; and links come up by themselves here.
+            // Requests and lines are observed when they have been written completely; links are established by the
+            // operating system.
             ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
             _ => self.auditor.observe(now, Observation::To(who, what)),
         }
     }
 
     fn on_observation(&mut self, now: Micros, who: BalancerId, observation: ConnectionObservation) {
-        let (to, seen);
-        let seen = match observation {
+        let (to, from);
+        let observation = match observation {
             ConnectionObservation::RequestSent(ask, left) => {
                 to = ToBalancer::Asked { ask, left };
                 Observation::To(who, &to)
@@ -198,18 +205,18 @@
             ConnectionObservation::MoveInLine(conn) => Observation::Garbled(conn, Corruption::MoveInLine),
             ConnectionObservation::MisbehavingClientServed(conn) => {
                 self.auditor.observe(now, Observation::Bad(who, conn));
-                seen = FromBalancer::Answer(conn, Answer::Forged);
-                Observation::From(who, &seen)
+                from = FromBalancer::Answer(conn, Answer::Forged);
+                Observation::From(who, &from)
             }
         };
-        self.auditor.observe(now, seen);
+        self.auditor.observe(now, observation);
     }
 
     fn on_status_sample(&mut self, now: Micros, balancers: &[BalancerStatus]) {
         self.world.ground_truth(&mut self.ground_truth);
         let seconds = &self.world.series().seconds;
         let second = (now / 1_000_000).checked_sub(1).and_then(|s| seconds.get(s as usize));
-        (self.watch)(&StatusSample { now, second, nodes: &self.ground_truth, balancers });
+        (self.on_sample)(&StatusSample { now, second, nodes: &self.ground_truth, balancers });
     }
 
     fn is_over(&self, now: Micros) -> bool {
--- a/crates/emulator/src/sockets/report.rs
+++ b/crates/emulator/src/sockets/report.rs
@@ -1,4 +1,4 @@
-//! How a run on sockets went, beside what the world saw: the driver, the processes, and what only sockets show.
+//! The report on a run on sockets: the driver, the processes, and what only the sockets show.
 
 use serde::Serialize;
 use shorewharf_units::Micros;
@@ -9,47 +9,48 @@
 use super::fleet::ProcessIncarnation;
 use super::misbehaving_clients::MisbehaviorOutcome;
 
-/// What it costs if none of the bad clients gets what it is owed.
-const BAD_COST: f64 = 0.3;
+/// The score deduction if no misbehaving client receives an error or a close in time.
+const MAX_BAD_COST: f64 = 0.3;
 
-/// How the driver and the processes fared.
+/// The report on a run on sockets.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Why nothing of this run counts, if so.
+    /// Why the run is void; none if it is valid.
     pub void: Option<String>,
-    /// How much later than due the driver did what its clocks asked for.
+    /// The driver's lateness: the times from when something was due to when the driver did it.
     pub late: Distribution,
-    /// How long after the system could first have told it the driver had handled what came on sockets, at most.
+    /// Upper bounds of the times from when the operating system could first report an event to when the driver had
+    /// handled it.
     pub handled: Distribution,
-    /// What only sockets show of the clients' connections.
+    /// Counts of what only the sockets show of the clients' connections.
     pub clients: ClientStatistics,
-    /// How bad clients fared, by kind.
+    /// The outcomes of misbehaving clients, by kind.
     pub bad: Vec<(String, MisbehaviorOutcome)>,
-    /// Each life of each balancer.
+    /// Each incarnation of each balancer.
     pub lives: Vec<ProcessIncarnation>,
-    /// First lines in a form that no client sent.
+    /// The number of first lines that no client had sent in that form.
     pub syntax: u64,
-    /// Lines that came at a node before their connection stood.
+    /// The number of lines that a node received before it had accepted their connection.
     pub early: u64,
-    /// Calls at discovery that are none of the protocol, and what else went wrong with a balancer.
+    /// Discovery requests that the protocol does not allow, and violations of limits by balancers.
     pub strange: Vec<String>,
-    /// Connections from before the day that did not come up.
+    /// The number of connections from before the day that were not restored.
     pub missed: usize,
-    /// What passed between balancers.
+    /// Counts of the datagrams between balancers.
     pub notes: DatagramStatistics,
-    /// The day's clock at the end.
+    /// The time on the day's clock at the end of the run.
     pub ended: Micros,
 }
 
 impl Report {
-    /// Whether a process ended without an order.
+    /// Whether any process crashed.
     pub fn crashed(&self) -> bool {
         self.lives.iter().any(|l| l.crashed)
     }
 
-    /// What is taken off the result for bad clients that got neither an error nor a close in time.
+    /// The score deduction for misbehaving clients that received neither an error nor a close in time.
     pub fn bad_cost(&self) -> f64 {
-        let (came, neither) = self.bad.iter().fold((0, 0), |sum, (_, f)| (sum.0 + f.came, sum.1 + f.neither));
-        if came == 0 { 0.0 } else { BAD_COST * neither as f64 / came as f64 }
+        let (came, neither) = self.bad.iter().fold((0, 0), |sum, (_, o)| (sum.0 + o.came, sum.1 + o.neither));
+        if came == 0 { 0.0 } else { MAX_BAD_COST * neither as f64 / came as f64 }
     }
 }
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -47,53 +47,61 @@
 /// The longest wait of the event loop, so that lateness is sampled while nothing happens, too.
 const MAX_WAIT: Micros = 5_000;
 
-/// How a day is run.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program that is tested.
+    /// The balancer program under test.
     pub program: Program,
-    /// Where configurations and logs go; a folder that is removed at the end if none is given.
+    /// The folder for configurations and logs. If none is given, a temporary one is used and removed at the end.
     pub folder: Option<PathBuf>,
-    /// The settings that a balancer is told, as JSON text.
+    /// Returns a balancer's settings as JSON text.
     pub settings: fn(&Day, BalancerId) -> String,
-    /// What is broken between the processes.
+    /// The network faults between the processes.
     pub network_faults: Vec<NetworkFault>,
-    /// The balancers tell each other what they hold; the operator's file beside what has them do so.
+    /// Enables gossip between the balancers if given: the contents of the operator's file, to which the gossip section is
+    /// appended.
     pub gossip_operator_settings: Option<String>,
-    /// Further arguments for single balancers, by their places; none where it is shorter.
+    /// Additional arguments of single balancers, by index; balancers beyond its end have none.
     pub balancer_args: Vec<Vec<OsString>>,
 }
 
 /// Why a day could not be run.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// More parties than there are addresses for.
-    #[error("{0} balancers and {1} nodes: at most {MAX_BALANCERS} and {MAX_NODES} have addresses")]
+    /// The day has more balancers or nodes than there are addresses for.
+    #[error(
+        "the day has {0} balancers and {1} nodes; there are addresses for at most {MAX_BALANCERS} and {MAX_NODES}"
+    )]
     TooMany(usize, usize),
-    /// A kind of bad client that nobody knows.
+    /// The day names an unknown kind of misbehaving client.
     #[error(transparent)]
     Bad(#[from] UnknownKind),
-    /// The settings are no JSON.
-    #[error("settings of {0}: {1}")]
+    /// A balancer's settings are not valid JSON.
+    #[error("the settings of {0} are not valid JSON: {1}")]
     Settings(String, serde_json::Error),
-    /// A process could not be started or told something.
+    /// A process could not be started or configured.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A balancer ended, or did not answer, before the day began.
+    /// A balancer exited or did not become ready before the day began. Holds its name and the end of its log.
     #[error("{0} did not become ready; its log ends: {1}")]
     NotReady(String, String),
-    /// The system refused something that the driver needs.
-    #[error("the driver's own sockets: {0}")]
+    /// A socket or file operation of the driver failed.
+    #[error("the driver's own sockets or files failed: {0}")]
     Io(#[from] io::Error),
 }
 
 /// Connections from before the day, while they are being restored.
 #[derive(Default)]
 struct Prelude {
+    /// Connections that have not been opened yet.
     to_open: VecDeque<(BalancerId, RequestLine)>,
+    /// Connections whose request has not been answered.
     opening: BTreeSet<ConnId>,
-    homes: BTreeMap<ConnId, NodeId>,
+    /// The previous server of each connection.
+    previous_servers: BTreeMap<ConnId, NodeId>,
+    /// Restored connections, each with its balancer, link and node.
     established: BTreeMap<ConnId, (BalancerId, LinkId, NodeId)>,
+    /// The number of connections that could not be restored.
     missed: usize,
 }
 
@@ -141,11 +149,12 @@
 /// Fails if the day has more parties than there are addresses, a process cannot be started or configured, a balancer
 /// does not become ready in time, or the driver's own sockets fail.
 pub fn run_day<S: Harness>(harness: &mut S, day: &Day, options: &Options) -> Result<Report, RunError> {
-    let folder = match &options.folder {
+    // The temporary folder is removed when it is dropped, at the end of the run.
+    let (folder, _temporary) = match &options.folder {
         Some(folder) => (folder.clone(), None),
         None => {
-            let made = TempDir::with_prefix("shorewharf-lab-")?;
-            (made.path().to_owned(), Some(made))
+            let temporary = TempDir::with_prefix("shorewharf-lab-")?;
+            (temporary.path().to_owned(), Some(temporary))
         }
     };
     let (balancers, nodes) = (day.balancers.len() as u32, day.nodes.len() as u32);
@@ -156,13 +165,13 @@
     let addresses = Addresses::for_next_run();
     let nodes = Nodes::new(&mut net, addresses, balancers, nodes)?;
     let directory = Directory::new(day, nodes.addresses(balancers));
-    let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, balancers, &folder.0)?;
-    let mut notes = None;
+    let mut fleet = Fleet::new(options.program.clone(), day.limits.cores, addresses, balancers, &folder)?;
+    let mut datagram_proxy = None;
     if let Some(operator) = &options.gossip_operator_settings {
-        let ends = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
-        let opened = DatagramProxy::open(&mut net, addresses, ends, day.seed)?;
-        fleet.set_args(vec!["--operator".into(), opened.write_operator_file(&folder.0, operator)?.into()]);
-        notes = Some(opened);
+        let balancer_addresses = (0..balancers).map(|who| fleet.address(BalancerId(who))).collect();
+        let proxy = DatagramProxy::open(&mut net, addresses, balancer_addresses, day.seed)?;
+        fleet.set_args(vec!["--operator".into(), proxy.write_operator_file(&folder, operator)?.into()]);
+        datagram_proxy = Some(proxy);
     }
     fleet.set_balancer_args(&options.balancer_args);
     let mut driver = Driver {
@@ -179,7 +188,7 @@
         discovery: Discovery::new(&mut net, addresses, balancers)?,
         misbehaving_clients: MisbehavingClients::new(day)?,
         network_faults: NetworkFaults::new(&options.network_faults),
-        datagram_proxy: notes,
+        datagram_proxy,
         lost_list_events: Vec::new(),
         pending_list_events: Vec::new(),
         net,
@@ -200,7 +209,7 @@
 }
 
 impl<S: Harness> Driver<'_, S> {
-    /// Starts the balancers that begin with the day, and restores the connections from before it.
+    /// Starts the balancers that run from the begin of the day, and restores the connections from before it.
     fn start_balancers(&mut self) -> Result<(), RunError> {
         self.harness.advance(0, &mut self.commands);
         self.execute_commands()?;
@@ -217,27 +226,28 @@
             self.run_iteration()?;
         }
         self.prelude.to_open = self.harness.connections_at_start().into();
-        let homes = self.prelude.to_open.iter().filter_map(|(_, ask)| Some((ask.conn, ask.home?)));
-        self.prelude.homes = homes.collect();
+        let previous_servers =
+            self.prelude.to_open.iter().filter_map(|(_, request)| Some((request.conn, request.home?)));
+        self.prelude.previous_servers = previous_servers.collect();
         let limit = self.clock.now() + RESTORE_TIMEOUT;
         while !self.prelude.opening.is_empty() || !self.prelude.to_open.is_empty() {
             if self.clock.now() > limit {
                 break;
             }
             while self.prelude.opening.len() < MAX_CONCURRENT_OPENS {
-                let Some((who, ask)) = self.prelude.to_open.pop_front() else { break };
-                self.prelude.opening.insert(ask.conn);
-                self.open_client(who, &ask, ask.patience);
+                let Some((who, request)) = self.prelude.to_open.pop_front() else { break };
+                self.prelude.opening.insert(request.conn);
+                self.open_client(who, &request, request.patience);
             }
             self.run_iteration()?;
         }
-        let up = std::mem::take(&mut self.prelude.established);
+        let established = std::mem::take(&mut self.prelude.established);
         let now = self.clock.now();
-        for conn in self.prelude.homes.keys().filter(|conn| !up.contains_key(conn)) {
+        for conn in self.prelude.previous_servers.keys().filter(|conn| !established.contains_key(conn)) {
             self.prelude.missed += 1;
             self.clients.close(&mut self.net, now, *conn, End::Reset);
         }
-        self.harness.on_connections_restored(up);
+        self.harness.on_connections_restored(established);
         Ok(())
     }
 
@@ -250,7 +260,7 @@
         self.directory.set_epoch(epoch.as_secs_f64() * 1e3);
         self.nodes.begin_day();
         self.discovery.begin_day();
-        // What was late before counts for nothing.
+        // Lateness before the day does not count.
         (self.lateness, self.handling_time) = (Distribution::default(), Distribution::default());
         while !self.harness.is_over(self.day_time(self.clock.now())) {
             self.run_iteration()?;
@@ -266,14 +276,17 @@
         let worst = self.lateness.quantile(0.99).max(self.handling_time.quantile(0.99));
         let void = if worst > MAX_LATENESS {
             Some(format!(
-                "the driver was late: p99 {:.1} ms, at most {:.0}",
+                "the driver was late: p99 {:.1} ms, limit {:.0} ms",
                 worst as f64 / 1e3,
                 MAX_LATENESS as f64 / 1e3
             ))
         } else if self.net.ran_out_of_descriptors() {
-            Some("the driver's descriptors ran out: a day holds two for each connection".to_owned())
+            Some("the driver ran out of descriptors: it needs two for each connection".to_owned())
         } else if self.malformed_first_lines > 0 {
-            Some(format!("{} first lines in a form no client sent", self.malformed_first_lines))
+            Some(format!(
+                "nodes received {} first lines that no client had sent in that form",
+                self.malformed_first_lines
+            ))
         } else {
             None
         };
@@ -314,11 +327,11 @@
             }
         }
         self.fleet.run_due(&mut self.net, now, &mut self.lateness);
-        let (between, time) = (&self.network_faults, self.day_time(now));
+        let (network_faults, time) = (&self.network_faults, self.day_time(now));
         self.discovery.run_due(
             &mut self.net,
             now,
-            |who| between.is_list_blocked(time, who),
+            |who| network_faults.is_list_blocked(time, who),
             &mut self.observations,
         );
         self.clients.run_due(&mut self.net, now, &mut self.lateness, &mut self.observations);
@@ -339,7 +352,7 @@
             }
             ready.iter().for_each(|one| self.handle(*one));
             self.report_observations()?;
-            // If the wait was none, what came may have come at any time since the last one.
+            // If the wait returned at once, events may have occurred at any time since the previous wait returned.
             let since = if woke > now + 50 { woke } else { before };
             self.handling_time.record(self.clock.now() - since);
         }
@@ -352,9 +365,9 @@
         if let Some(start) = self.started_at {
             next = next.min(self.misbehaving_clients.next_due(start));
             next = next.min(self.harness.next_due().map_or(Micros::MAX, |due| start + due));
-            let notes = self.datagram_proxy.as_ref().and_then(DatagramProxy::next_due);
-            let between = self.network_faults.next_due().into_iter().chain(notes).min();
-            next = next.min(between.map_or(Micros::MAX, |due| start + due));
+            let datagram_due = self.datagram_proxy.as_ref().and_then(DatagramProxy::next_due);
+            let fault_due = self.network_faults.next_due().into_iter().chain(datagram_due).min();
+            next = next.min(fault_due.map_or(Micros::MAX, |due| start + due));
         }
         next
     }
@@ -362,12 +375,12 @@
     fn run_misbehaving_clients(&mut self, now: Micros) {
         let Some(start) = self.started_at else { return };
         let (fleet, clients, count) = (&self.fleet, &self.clients, self.day.balancers.len() as u64);
-        let lasts = now < start + self.day.length;
+        let is_day = now < start + self.day.length;
         self.misbehaving_clients.run_due(
             &mut self.net,
             now,
             start,
-            lasts,
+            is_day,
             &mut self.connection_log,
             |number| {
                 let who = BalancerId((number % count.max(1)) as u32);
@@ -395,10 +408,12 @@
             Role::DiscoveryListener(who, moves) => {
                 self.discovery.on_listener_ready(net, now, (who, moves), &self.directory, observations);
             }
-            Role::Exit(who, life) => self.fleet.on_process_exited(net, now, who, life, observations),
+            Role::Exit(who, incarnation) => {
+                self.fleet.on_process_exited(net, now, who, incarnation, observations);
+            }
             Role::DatagramProxy(to) => {
-                let (time, between) = (self.started_at.map_or(0, |start| now - start), &self.network_faults);
-                self.datagram_proxy.iter_mut().for_each(|n| n.on_ready(time, to, between));
+                let (time, faults) = (self.started_at.map_or(0, |start| now - start), &self.network_faults);
+                self.datagram_proxy.iter_mut().for_each(|proxy| proxy.on_ready(time, to, faults));
             }
             Role::Load(_) | Role::Timer => {}
         }
@@ -437,8 +452,8 @@
     fn report_observations(&mut self) -> Result<(), RunError> {
         let observations = std::mem::take(&mut self.observations);
         let time = self.harness_time;
-        for (who, heard) in &observations {
-            match *heard {
+        for (who, observation) in &observations {
+            match *observation {
                 BalancerObservation::Action(what) => {
                     self.malformed_first_lines += u64::from(matches!(what, FromBalancer::Syntax(_)));
                     if self.started_at.is_some() || !self.observe_prelude(*who, what) {
@@ -462,9 +477,11 @@
             FromBalancer::Answer(conn, answer) => {
                 self.prelude.opening.remove(&conn);
                 let link = if let Answer::Up(link) = answer { Some(link) } else { None };
-                let node = link.and_then(|link| Some((link, self.nodes.node_and_conn(link)?.0)));
-                // Only its previous server accepts it without a set-up.
-                if let Some((link, node)) = node.filter(|n| self.prelude.homes.get(&conn) == Some(&n.1)) {
+                let accepted = link.and_then(|link| Some((link, self.nodes.node_and_conn(link)?.0)));
+                // Only the previous server resumes a connection without a setup.
+                if let Some((link, node)) =
+                    accepted.filter(|n| self.prelude.previous_servers.get(&conn) == Some(&n.1))
+                {
                     self.prelude.established.insert(conn, (who, link, node));
                 }
             }
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -1,4 +1,4 @@
-//! Executing what the harness orders: starts, signals, requests of clients, and what nodes say.
+//! Executes the harness's commands: starts and signals of balancers, clients' requests, nodes' messages and list events.
 
 use super::{Driver, RunError};
 use crate::edge::{BalancerId, End, RequestLine, ToBalancer};
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    /// Executes a command and notifies the harness. With a list event go the pending list events of the same balancer.
+    /// Executes a command and notifies the harness. A list event also completes the pending list events of its balancer.
     pub(super) fn execute(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
         self.apply_command(who, what)?;
         if matches!(what, ToBalancer::List { .. }) {
@@ -35,12 +35,14 @@
         Ok(())
     }
 
-    pub(super) fn open_client(&mut self, who: BalancerId, ask: &RequestLine, left: Micros) {
-        let line = self.connection_log.record_request(who, ask, left, &self.directory);
-        let to = (who, self.fleet.address(who));
-        self.clients.connect(&mut self.net, to, (*ask, left), &line, &mut self.observations);
+    /// Connects a client that sends this request; `patience` is the client's remaining patience.
+    pub(super) fn open_client(&mut self, who: BalancerId, request: &RequestLine, patience: Micros) {
+        let line = self.connection_log.record_request(who, request, patience, &self.directory);
+        let target = (who, self.fleet.address(who));
+        self.clients.connect(&mut self.net, target, (*request, patience), &line, &mut self.observations);
     }
 
+    /// Executes a command without notifying the harness.
     pub(super) fn apply_command(&mut self, who: BalancerId, what: &ToBalancer) -> Result<(), RunError> {
         let now = self.clock.now();
         let net = &mut self.net;
@@ -65,7 +67,9 @@
             ToBalancer::Asked { ask, left } => self.open_client(who, &ask, left),
             ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
             ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
-            ToBalancer::NodeSays(link, word) => self.nodes.send(net, link, word, &mut self.connection_log),
+            ToBalancer::NodeSays(link, message) => {
+                self.nodes.send(net, link, message, &mut self.connection_log)
+            }
             ToBalancer::NodeEnded(link, how) => {
                 self.nodes.close(net, link, how);
             }
