--- a/crates/emulator/src/sockets/addresses.rs
+++ b/crates/emulator/src/sockets/addresses.rs
@@ -12,8 +12,8 @@
 const SECOND_BYTES: u32 = 120;
 /// Values of the third address byte that each balancer has; they tell balancers with the same second byte apart.
 const THIRD_BYTES: u32 = 64;
-/// The largest number of nodes in a run: a balancer's first third byte is taken by the balancer itself, discovery and
-/// gossip; each of the others holds 250 nodes.
+/// The largest number of nodes in a run: the first value of a balancer's third byte is used for the balancer itself,
+/// discovery and gossip; each of the others holds 250 nodes.
 pub const MAX_NODES: u32 = (THIRD_BYTES - 1) * 250;
 
 /// The addresses of one run: 127.b.x.y, where b and the upper two bits of x identify the balancer.
--- a/crates/emulator/src/sockets/datagram_proxy.rs
+++ b/crates/emulator/src/sockets/datagram_proxy.rs
@@ -25,7 +25,7 @@
 
 /// The largest UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
-/// The gossip key of a test fleet. It is not secret and lives as long as the run.
+/// The gossip key of a test fleet. It is not secret and valid only for one run.
 const GOSSIP_KEY: &str = "the key of one run on loopback\n";
 
 /// Counts of the datagrams between balancers.
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -269,7 +269,7 @@
     }
 
     /// Kills a process with SIGKILL, and does not wait for its exit, which takes milliseconds if it has many
-    /// connections; the exit is reported later.
+    /// connections; [`Fleet::on_process_exited`] handles it.
     pub fn kill(&mut self, balancer: BalancerId) {
         let Some(running) = &mut self.slots[balancer.0 as usize].running else { return };
         running.process.sample_usage();
--- a/crates/emulator/src/sockets/harness.rs
+++ b/crates/emulator/src/sockets/harness.rs
@@ -48,7 +48,7 @@
     LineAtClient(ConnId),
     /// A client has received a line that its node has not sent.
     Changed(ConnId),
-    /// A client has received `MOVE` at the end of an incomplete line.
+    /// A client has received a line that ends in `MOVE` but has other bytes before it.
     MoveInLine(ConnId),
     /// A misbehaving client's request has been accepted.
     MisbehavingClientServed(ConnId),
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -30,7 +30,7 @@
     FirstLine,
     /// The link carries probes.
     Probes,
-    /// A request has been received; the node has not answered it.
+    /// A request has been received; the node has not accepted it.
     AwaitingAnswer,
     /// The node has accepted the request.
     Established,
--- a/crates/emulator/src/sockets/process.rs
+++ b/crates/emulator/src/sockets/process.rs
@@ -181,7 +181,7 @@
             }),
             Err(e) => {
                 let mut child = child;
-                // Errors are ignored: the error that is returned is their cause.
+                // Errors of this cleanup are ignored: the caller learns that the process could not be watched.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(ProcessError::Watch(child.id(), e.into()))
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -68,7 +68,7 @@
             ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
             ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
             ToBalancer::NodeSays(link, message) => {
-                self.nodes.send(net, link, message, &mut self.connection_log)
+                self.nodes.send(net, link, message, &mut self.connection_log);
             }
             ToBalancer::NodeEnded(link, how) => {
                 self.nodes.close(net, link, how);
