--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -111,13 +111,13 @@
         what: FromBalancer,
         commands: &mut Commands,
     ) {
-        self.auditor.observe(now, Observation::From(who, &what));
+        self.auditor.observe(now, Observation::Output(who, &what));
         self.world.on_balancer_action(now, who, what, &mut Listener { commands, auditor: &mut self.auditor });
     }
 
     fn on_link_reset(&mut self, now: Micros, who: BalancerId, link: LinkId, commands: &mut Commands) {
         // To the balancer this is the same as a reset by the node, and it has the same obligations to the client.
-        self.auditor.observe(now, Observation::To(who, &ToBalancer::NodeEnded(link, End::Reset)));
+        self.auditor.observe(now, Observation::Input(who, &ToBalancer::NodeEnded(link, End::Reset)));
         let reset = FromBalancer::EndLink(link, End::Reset);
         self.world.on_balancer_action(
             now,
@@ -156,7 +156,7 @@
                     FromBalancer::EndClient(conn, End::Reset),
                     &mut listener,
                 );
-                self.auditor.observe(0, Observation::Missed(who, conn));
+                self.auditor.observe(0, Observation::NotReestablished(who, conn));
                 continue;
             };
             self.world.on_balancer_action(
@@ -171,7 +171,7 @@
                 FromBalancer::Answer(conn, Answer::Up(link)),
                 &mut listener,
             );
-            self.auditor.observe(0, Observation::Stands { by: who, conn, link, node });
+            self.auditor.observe(0, Observation::AlreadyEstablished { by: who, conn, link, node });
         }
     }
 
@@ -180,7 +180,7 @@
             // Requests and lines are observed when they have been written completely; links are established by the
             // operating system.
             ToBalancer::Asked { .. } | ToBalancer::ClientLine(_) | ToBalancer::LinkUp(_) => {}
-            _ => self.auditor.observe(now, Observation::To(who, what)),
+            _ => self.auditor.observe(now, Observation::Input(who, what)),
         }
     }
 
@@ -189,24 +189,26 @@
         let observation = match observation {
             ConnectionObservation::RequestSent(ask, left) => {
                 to = ToBalancer::Asked { ask, left };
-                Observation::To(who, &to)
+                Observation::Input(who, &to)
             }
             ConnectionObservation::LineSent(conn) => {
                 to = ToBalancer::ClientLine(conn);
-                Observation::To(who, &to)
+                Observation::Input(who, &to)
             }
             ConnectionObservation::LineReturned(link) => {
                 to = ToBalancer::NodeSays(link, NodeMessage::Reply);
-                Observation::To(who, &to)
+                Observation::Input(who, &to)
             }
-            ConnectionObservation::LineAtNode(conn) => Observation::Passed(conn, Direction::ToNode),
-            ConnectionObservation::LineAtClient(conn) => Observation::Passed(conn, Direction::ToClient),
-            ConnectionObservation::Changed(conn) => Observation::Garbled(conn, Corruption::Changed),
-            ConnectionObservation::MoveInLine(conn) => Observation::Garbled(conn, Corruption::MoveInLine),
+            ConnectionObservation::LineAtNode(conn) => Observation::LineDelivered(conn, Direction::ToNode),
+            ConnectionObservation::LineAtClient(conn) => {
+                Observation::LineDelivered(conn, Direction::ToClient)
+            }
+            ConnectionObservation::Changed(conn) => Observation::Corrupted(conn, Corruption::Changed),
+            ConnectionObservation::MoveInLine(conn) => Observation::Corrupted(conn, Corruption::MoveInLine),
             ConnectionObservation::MisbehavingClientServed(conn) => {
-                self.auditor.observe(now, Observation::Bad(who, conn));
+                self.auditor.observe(now, Observation::MisbehavingClient(who, conn));
                 from = FromBalancer::Answer(conn, Answer::Forged);
-                Observation::From(who, &from)
+                Observation::Output(who, &from)
             }
         };
         self.auditor.observe(now, observation);
