--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -1,4 +1,4 @@
-//! What the books come to: G and every figure that it is made of.
+//! The result of a day: G and the figures that it is computed from.
 
 use serde::Serialize;
 
@@ -6,60 +6,61 @@
 use crate::population::Cell;
 use shorewharf_units::seconds_from_micros;
 
-/// Worth asked for and earned.
+/// Value of the service asked for and earned, for a class, a tenant or the whole day. A second of service counts with
+/// the worth of its class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Part {
-    /// Whose it is; empty for the whole.
+    /// Name of the class or tenant; empty for the whole day.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub name: String,
-    /// Worth asked for, in seconds of worth 1.
+    /// Value asked for, in seconds of worth 1.
     pub asked: f64,
-    /// Worth earned.
+    /// Value earned, in the same unit.
     pub earned: f64,
 }
 
 impl Part {
-    /// The share earned; 1 where nothing was asked for.
+    /// Earned value as a share of the value asked for; 1 if nothing was asked for.
     pub fn share(&self) -> f64 {
         if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
     }
 }
 
-/// The ten seconds in which the smallest share was earned.
+/// The ten seconds with the smallest share earned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct WorstWindow {
-    /// The share.
+    /// Earned value as a share of the value asked for.
     pub share: f64,
-    /// They begin then.
+    /// Start of the window, in seconds since the start of the day.
     pub from_s: u32,
 }
 
-/// Worth of one second.
+/// Value of the service in one second of the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Asked for.
+    /// Value asked for.
     pub asked: f64,
-    /// Earned.
+    /// Value earned.
     pub earned: f64,
 }
 
-/// One tenant's worth of one second.
+/// Value of a tenant's service in one second of the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct TenantSecond {
-    /// Asked for within its share.
+    /// Value asked for within the tenant's share.
     pub asked: f64,
-    /// Earned within its share.
+    /// Value earned within the tenant's share.
     pub earned: f64,
-    /// Earned beyond its share, at full worth.
+    /// Value earned beyond the tenant's share, at the full worth of the class.
     pub beyond: f64,
 }
 
-/// What one price took.
+/// The deduction for one price.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
     /// The share or rate that is charged.
     pub rate: f64,
-    /// What it took from G.
+    /// The deduction from G.
     pub cost: f64,
 }
 
@@ -67,20 +68,20 @@
 /// objective are not modelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Prices {
-    /// Share of the seconds asked for that stood across zones.
+    /// For connections across zones: their seconds as a share of the seconds asked for.
     pub cross_zone: Cost,
-    /// New connections of pairs of balancer and node, per client.
+    /// For new connections of pairs of balancer and node: their number per client.
     pub handshake: Cost,
-    /// Open connections of pairs on average, over 100 a node.
+    /// For open connections of pairs: their mean number, divided by 100 times the number of nodes.
     pub connection: Cost,
-    /// Probes per client.
+    /// For probes: their number per client.
     pub probe: Cost,
-    /// Moves per client.
+    /// For migrations: their number per client.
     pub moves: Cost,
 }
 
 impl Prices {
-    /// What they took together.
+    /// The sum of all deductions.
     pub fn total(&self) -> f64 {
         [self.cross_zone, self.handshake, self.connection, self.probe, self.moves]
             .iter()
@@ -89,53 +90,55 @@
     }
 }
 
-/// A day's result.
+/// The result of a day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
-    /// The figure that a day is judged by.
+    /// The figure that rates the day: a weighted sum of the shares below, less the deductions.
     pub g: f64,
-    /// Share earned over the whole day.
+    /// Earned share over the whole day.
     pub whole: f64,
-    /// The worst ten seconds.
+    /// The ten seconds with the smallest earned share.
     pub worst_window: WorstWindow,
-    /// The smallest share of a tenant's worth within its share of the service.
+    /// The smallest earned share of a tenant, counting only service within the tenant's share.
     pub worst_tenant: f64,
-    /// The smallest share of a class's.
+    /// The smallest earned share of a class, counting only service within tenants' shares.
     pub worst_class: f64,
-    /// Everything asked for, with what is beyond tenants' shares at its small worth.
+    /// All service of the day. Service beyond tenants' shares counts with its reduced worth.
     pub all: Part,
-    /// By class, within tenants' shares.
+    /// Service by class, within tenants' shares.
     pub classes: Vec<Part>,
-    /// By tenant, within its share.
+    /// Service by tenant, within the tenant's share.
     pub tenants: Vec<Part>,
-    /// By second and tenant, the most connections that stood.
+    /// By second and tenant, the largest number of established connections.
     #[serde(skip)]
-    pub held_most: Vec<Vec<f64>>,
-    /// What was taken off.
+    pub peak_by_tenant: Vec<Vec<f64>>,
+    /// The deductions from G.
     pub prices: Prices,
-    /// Clients that asked for a connection, however often they came.
+    /// Number of clients that wanted a connection; one that reconnects counts once.
     pub clients: u64,
-    /// Attempts at nodes.
+    /// Number of attempts sent to nodes.
     pub attempts: u64,
-    /// New connections of pairs.
+    /// Number of new connections of pairs of balancer and node.
     pub handshakes: u64,
-    /// Probes.
+    /// Number of probes.
     pub probes: u64,
-    /// Moves.
+    /// Number of migrations.
     pub moves: u64,
-    /// Second by second; the last may be shorter.
+    /// Service by second; the last second may be shorter.
     pub seconds: Vec<Second>,
-    /// By tenant, second by second.
+    /// Service by tenant and second.
     pub tenant_seconds: Vec<Vec<TenantSecond>>,
 }
 
-/// Seconds in the window that is judged.
-const WINDOW: usize = 10;
+/// Length in seconds of the window of [`WorstWindow`].
+const WINDOW_S: usize = 10;
 
-fn worst(parts: &[Part]) -> f64 {
+/// The smallest share of the parts that asked for anything; 1 if none did.
+fn worst_share(parts: &[Part]) -> f64 {
     parts.iter().filter(|p| p.asked > 0.0).map(Part::share).fold(1.0, f64::min)
 }
 
+/// Computes the result of a day.
 pub(super) fn outcome(score: &Score) -> Outcome {
     let day = &score.day;
     let tenants = day.tenants.len();
@@ -153,9 +156,9 @@
             let (class, tenant, within) = Cell(cell as u32).parts(tenants);
             let worth = day.classes.get(class as usize).map_or(1.0, |c| c.worth);
             let (a, e) = (asked * worth, earned * worth);
-            let part = if within { 1.0 } else { day.traffic.over_share_worth };
-            second.asked += a * part;
-            second.earned += e * part;
+            let factor = if within { 1.0 } else { day.traffic.over_share_worth };
+            second.asked += a * factor;
+            second.earned += e * factor;
             wanted_s += asked;
             if let Some(t) = tenant_seconds.get_mut(tenant as usize).and_then(|t| t.last_mut()) {
                 if within {
@@ -166,12 +169,12 @@
                 }
             }
             if within {
-                for of in [by_class.get_mut(class as usize), by_tenant.get_mut(tenant as usize)]
+                for part in [by_class.get_mut(class as usize), by_tenant.get_mut(tenant as usize)]
                     .into_iter()
                     .flatten()
                 {
-                    of.asked += a;
-                    of.earned += e;
+                    part.asked += a;
+                    part.earned += e;
                 }
             }
         }
@@ -180,9 +183,9 @@
         seconds.push(second);
     }
     let whole = all.share();
-    let full = (score.end / super::SECOND) as usize;
-    let worst_window = worst_window(&seconds[..full.min(seconds.len())], whole);
-    let (worst_tenant, worst_class) = (worst(&by_tenant), worst(&by_class));
+    let full_seconds = (score.end / super::SECOND) as usize;
+    let worst_window = worst_window(&seconds[..full_seconds.min(seconds.len())], whole);
+    let (worst_tenant, worst_class) = (worst_share(&by_tenant), worst_share(&by_class));
     let prices = prices(score, wanted_s);
     let goal = &day.goal;
     let g = goal.whole * whole
@@ -192,7 +195,7 @@
         - prices.total();
     let counts = score.counts;
     Outcome {
-        held_most: score.held_most.clone(),
+        peak_by_tenant: score.peak_by_tenant.clone(),
         g,
         whole,
         worst_window,
@@ -212,10 +215,11 @@
     }
 }
 
-/// The window moves on by whole seconds and holds only whole ones; on a shorter day it is the day.
+/// The worst of the windows that start at a whole second and contain only whole seconds. On a day that is shorter
+/// than the window, the result is the share of the whole day.
 fn worst_window(seconds: &[Second], whole: f64) -> WorstWindow {
     let mut worst = WorstWindow { share: whole, from_s: 0 };
-    let windows = seconds.windows(WINDOW).enumerate().filter_map(|(from, w)| {
+    let windows = seconds.windows(WINDOW_S).enumerate().filter_map(|(from, w)| {
         let (asked, earned) = w.iter().fold((0.0, 0.0), |(a, e), s| (a + s.asked, e + s.earned));
         (asked > 0.0).then(|| WorstWindow { share: earned / asked, from_s: from as u32 })
     });
@@ -229,15 +233,15 @@
 
 fn prices(score: &Score, wanted_s: f64) -> Prices {
     let (day, counts) = (&score.day, score.counts);
-    let per = |n: f64, of: f64| if of > 0.0 { n / of } else { 0.0 };
-    let price = |rate: f64, each: f64| Cost { rate, cost: rate * each };
+    let ratio = |n: f64, of: f64| if of > 0.0 { n / of } else { 0.0 };
+    let cost = |rate: f64, price: f64| Cost { rate, cost: rate * price };
     let clients = counts.clients as f64;
-    let mean_open = score.open.area() / (seconds_from_micros(score.end)).max(f64::MIN_POSITIVE);
+    let mean_open = score.open_pairs.total() / (seconds_from_micros(score.end)).max(f64::MIN_POSITIVE);
     Prices {
-        cross_zone: price(per(score.crossing.area(), wanted_s), day.prices.cross_zone),
-        handshake: price(per(counts.handshakes as f64, clients), day.prices.handshake),
-        connection: price(per(mean_open, 100.0 * day.nodes.len() as f64), day.prices.connection),
-        probe: price(per(counts.probes as f64, clients), day.prices.probe),
-        moves: price(per(counts.moves as f64, clients), day.prices.moves),
+        cross_zone: cost(ratio(score.cross_zone.total(), wanted_s), day.prices.cross_zone),
+        handshake: cost(ratio(counts.handshakes as f64, clients), day.prices.handshake),
+        connection: cost(ratio(mean_open, 100.0 * day.nodes.len() as f64), day.prices.connection),
+        probe: cost(ratio(counts.probes as f64, clients), day.prices.probe),
+        moves: cost(ratio(counts.moves as f64, clients), day.prices.moves),
     }
 }
--- a/crates/emulator/src/score/tests.rs
+++ b/crates/emulator/src/score/tests.rs
@@ -1,4 +1,4 @@
-//! Books with few entries, whose sums can be done by hand.
+//! Tests on scores with few events, whose sums can be computed by hand.
 
 use serde_json::json;
 
@@ -14,25 +14,25 @@
     Cell::new(0, tenant, within, 2)
 }
 
-/// Failure: G is not what the entries come to. Promise: each part and each price is the hand-made sum, only the worst
-/// ten whole seconds count as such, and nothing after the day's end does.
+/// Guards against a G that differs from its parts: each part and each price must equal the sum computed by hand, the
+/// worst window must consist of ten whole seconds, and nothing after the end of the day may count.
 #[test]
 fn g_is_the_sum_of_its_parts() {
     let day = day(json!({"length_s": 30.5}));
     let mut score = Score::new(&day);
     let (a, b) = (NodeId(3), NodeId(4));
-    // Tenant x wants one connection all day, y two from 10 s on, one of them beyond its share.
+    // Tenant x wants one connection all day. Tenant y wants two from 10 s on, one of them beyond its share.
     score.on_service_wanted(0, cell(X, true), true);
     score.on_established(0, cell(X, true), a, false, 0.0);
-    let mut busy = false;
-    // Node a serves everything, node b nothing from 10 s to 20 s.
+    let mut y_started = false;
+    // Node a serves well all day, node b not from 10 s to 20 s.
     let served = |at: Micros, node: NodeId| {
         let s = seconds_from_micros(at);
         if node == b { s - (s.min(20.0) - 10.0).max(0.0) } else { s }
     };
     while let Some(due) = score.next_due() {
-        if due > 10 * S && !busy {
-            busy = true;
+        if due > 10 * S && !y_started {
+            y_started = true;
             for within in [true, false] {
                 score.on_service_wanted(10 * S, cell(Y, within), true);
                 score.on_established(10 * S, cell(Y, within), b, true, served(10 * S, b));
@@ -50,7 +50,7 @@
     score.on_connection_ended(31 * S, cell(X, true), a, false, 31.0);
     let o = score.finish();
     let near = |what: &str, found: f64, wanted: f64| {
-        assert!((found - wanted).abs() < 1e-9, "{what}: {found}, not {wanted}");
+        assert!((found - wanted).abs() < 1e-9, "{what}: found {found}, expected {wanted}");
     };
     near("asked", o.all.asked, 30.5 + 20.5 * 1.1);
     near("earned", o.all.earned, 30.5 + 10.5 * 1.1);
@@ -59,7 +59,7 @@
     near("worst tenant", o.worst_tenant, 10.5 / 20.5);
     assert_eq!(o.worst_window.from_s, 10);
     near("worst window", o.worst_window.share, 10.0 / 21.0);
-    near("crossings", o.prices.cross_zone.rate, 41.0 / 71.5);
+    near("cross-zone connections", o.prices.cross_zone.rate, 41.0 / 71.5);
     near("pairs", o.prices.connection.rate, 2.0 * 20.5 / 30.5 / 1000.0);
     near("handshakes", o.prices.handshake.rate, 1.0 / 3.0);
     near("probes", o.prices.probe.cost, 0.002 / 3.0);
@@ -69,8 +69,8 @@
     near("g", o.g, parts - o.prices.total());
 }
 
-/// Failure: connections that come and go between two sums are lost or counted twice. Promise: what is earned is the
-/// integral over each connection's own time, however the sums fall.
+/// Guards against connections that are lost or counted twice because they start or end between two sums: the earned
+/// value is the integral over the time of each connection.
 #[test]
 fn short_connections_earn_their_own_time() {
     let day = day(json!({"length_s": 10}));
@@ -90,5 +90,5 @@
         score.tick(due, &mut |_, _| share * due as f64 / 1e6);
     }
     let found = score.finish().all.earned;
-    assert!((found - earned).abs() < 1e-6, "{found}, not {earned}");
+    assert!((found - earned).abs() < 1e-6, "found {found}, expected {earned}");
 }
--- a/crates/emulator/src/virtual_time/instance.rs
+++ b/crates/emulator/src/virtual_time/instance.rs
@@ -5,45 +5,47 @@
 use crate::world::GroundTruth;
 use shorewharf_units::Micros;
 
-/// One emulated balancer. It lives through kills and starts of its process: [`ToBalancer::Kill`] makes it forget all
-/// but how it numbers links, [`ToBalancer::Start`] begins a new life. Instances share nothing, as each stands for a
-/// machine of its own.
+/// One emulated balancer. It exists throughout the run: at [`ToBalancer::Kill`] it drops all state except for its
+/// counter of link ids, and at [`ToBalancer::Start`] its process starts again. Instances share no state, as each
+/// represents a separate machine.
 pub trait Instance: Send {
-    /// Takes in what has come since its last turn, in order of arrival, and does what is due by now. What it does
-    /// is appended to `out` in its order and takes effect at `now`.
-    fn turn(&mut self, now: Micros, came: &[ToBalancer], out: &mut Vec<FromBalancer>);
+    /// Processes the inputs since its last turn, which are in order of arrival, and does what is due by `now`. Its
+    /// actions are appended to `actions` in order and take effect at `now`.
+    fn turn(&mut self, now: Micros, inputs: &[ToBalancer], actions: &mut Vec<FromBalancer>);
 
-    /// When it wants its next turn though nothing comes.
+    /// When it needs its next turn even if no input arrives.
     fn next_due(&self) -> Option<Micros>;
 
-    /// What it tells of itself, for reports. Asked once a second.
+    /// Fills in its state for reports. Called once per second of the day.
     fn report(&mut self, _report: &mut InstanceReport) {}
 }
 
-/// What an instance tells of itself. Nothing of it changes the run.
+/// The state of an instance for reports. It has no influence on the run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InstanceReport {
-    /// Its level of service; empty where it has none.
+    /// Its level of service; empty if the instance has none.
     pub level: &'static str,
-    /// Figures of now.
+    /// Current values by name.
     pub gauges: Vec<(&'static str, f64)>,
-    /// Sums since its process began.
+    /// Counters by name, since the start of its process.
     pub counts: Vec<(&'static str, u64)>,
-    /// Lines of its log since the last time, and when it wrote them.
+    /// Log lines since the last report, each with the time at which it was written.
     pub lines: Vec<(Micros, String)>,
 }
 
-/// Makes the instances of a run.
+/// Creates the instances of a run.
 pub trait Host: Sync {
-    /// The balancer at this place, told nothing but its settings and what is publicly listed of the nodes.
+    /// Creates the balancer with this id. It must use no other information than its settings and, of the day, what is
+    /// public about the nodes.
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance>;
 
-    /// Whether [`Host::observe_ground_truth`] is to be called. A host that says no sees the platform as a real balancer does.
+    /// Whether [`Host::observe_ground_truth`] is called. A host that returns false sees the platform as a real balancer
+    /// does.
     fn wants_ground_truth(&self) -> bool {
         false
     }
 
-    /// The true state of all nodes, told before the turns of each tick. It lies outside the edge on purpose: what
-    /// real balancers are made of never gets a host with this door.
+    /// Receives the true state of all nodes before the turns of each tick. It is deliberately not part of
+    /// [`crate::edge`], so that code of real balancers cannot reach it.
     fn observe_ground_truth(&self, _now: Micros, _nodes: &[GroundTruth]) {}
 }
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -29,26 +29,27 @@
 /// Time after the last possible answer for messages that are still in transit.
 const TRAILING_MESSAGES: Micros = 1_000_000;
 
-/// How a run is made.
+/// Options of a run.
 #[derive(Clone, Copy, Default)]
 pub struct Options<'a> {
-    /// Threads for the balancers' turns; 0 and 1 for none beside the caller's.
+    /// Number of threads that run balancers; with 0 or 1 they run on the caller's thread.
     pub threads: usize,
-    /// Told the day's time and the events so far.
+    /// Called repeatedly with the day's time and the number of events so far.
     pub progress: Option<&'a (dyn Fn(Micros, u64) + Sync)>,
 }
 
-/// A run that could not be made.
+/// The reason why a run could not be started.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The tick is no length of time.
-    #[error("tick_ms: must be above 0")]
+    /// The day's tick is 0.
+    #[error("tick_ms: found 0, expected a value above 0")]
     Tick,
-    /// No threads could be had.
-    #[error("threads: {0}")]
+    /// The thread pool could not be created.
+    #[error("threads: the thread pool could not be created: {0}")]
     Threads(#[from] rayon::ThreadPoolBuildError),
 }
 
+/// A balancer of the run, with its pending inputs and the actions of its last turn.
 struct Slot {
     instance: Box<dyn Instance>,
     inbox: Vec<ToBalancer>,
@@ -60,7 +61,7 @@
         !self.inbox.is_empty() || self.instance.next_due().is_some_and(|due| due <= now)
     }
 
-    fn run_until(&mut self, now: Micros) {
+    fn run_turn(&mut self, now: Micros) {
         self.instance.turn(now, &self.inbox, &mut self.actions);
     }
 }
@@ -72,12 +73,12 @@
 }
 
 impl WorldListener for Outbox<'_> {
-    fn to(&mut self, _at: Micros, balancer: BalancerId, what: ToBalancer) {
-        self.slots[balancer.0 as usize].inbox.push(what);
+    fn to(&mut self, _at: Micros, balancer: BalancerId, input: ToBalancer) {
+        self.slots[balancer.0 as usize].inbox.push(input);
     }
 
-    fn fact(&mut self, at: Micros, what: Observation<'_>) {
-        self.auditor.observe(at, what);
+    fn fact(&mut self, at: Micros, observation: Observation<'_>) {
+        self.auditor.observe(at, observation);
     }
 }
 
@@ -102,19 +103,19 @@
         Slot { instance, inbox: Vec::new(), actions: Vec::new() }
     };
     let mut slots: Vec<Slot> = (0..day.balancers.len()).map(slot).collect();
-    let mut order = rng(day.seed, "order", 0);
+    let mut order_rng = rng(day.seed, "order", 0);
     let mut ground_truth = Vec::new();
     let mut last_progress = 0;
-    let mut opened_standing_connections = false;
+    let mut opened_established_connections = false;
     let mut timelines = vec![InstanceTimeline::default(); slots.len()];
     let mut now: Micros = 0;
     loop {
         // A second is sampled before any event of the next one is handled.
-        while now / SECOND > timelines.first().map_or(u64::MAX, |c| c.levels.len() as u64) {
+        while now / SECOND > timelines.first().map_or(u64::MAX, |timeline| timeline.levels.len() as u64) {
             slots
                 .iter_mut()
                 .zip(&mut timelines)
-                .for_each(|(slot, course)| course.sample(slot.instance.as_mut()));
+                .for_each(|(slot, timeline)| timeline.sample(slot.instance.as_mut()));
         }
         world.advance(now, &mut Outbox { slots: &mut slots, auditor: &mut auditor });
         let acting = slots.iter().filter(|s| s.is_due(now)).count();
@@ -126,13 +127,13 @@
             match &pool {
                 Some(pool) if acting >= MIN_PARALLEL_INSTANCES => {
                     pool.install(|| {
-                        slots.par_iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now));
+                        slots.par_iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_turn(now));
                     });
                 }
-                _ => slots.iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_until(now)),
+                _ => slots.iter_mut().filter(|s| s.is_due(now)).for_each(|s| s.run_turn(now)),
             }
-            // As in the simulator, the balancer whose actions are applied first is drawn at each tick.
-            let first = order.random_range(0..slots.len());
+            // As in the simulator, the balancer whose actions are applied first is chosen at random at each tick.
+            let first = order_rng.random_range(0..slots.len());
             for i in (first..slots.len()).chain(0..first) {
                 apply_actions(now, i, &mut slots, &mut world, &mut auditor);
             }
@@ -141,7 +142,7 @@
             last_progress = now;
             progress(now, world.events());
         }
-        if now == 0 && !std::mem::replace(&mut opened_standing_connections, true) {
+        if now == 0 && !std::mem::replace(&mut opened_established_connections, true) {
             // Balancers are ready now; clients established before the day connect to them.
             world.open_standing_connections(&mut Outbox { slots: &mut slots, auditor: &mut auditor });
         }
@@ -161,7 +162,7 @@
         }
     }
     let verdict = auditor.finish(now);
-    slots.iter_mut().zip(&mut timelines).for_each(|(slot, course)| course.sample(slot.instance.as_mut()));
+    slots.iter_mut().zip(&mut timelines).for_each(|(slot, timeline)| timeline.sample(slot.instance.as_mut()));
     Ok(RunResult::new(world.finish(), verdict, now, timelines))
 }
 
@@ -175,12 +176,12 @@
     let id = BalancerId(i as u32);
     let mut inbox = std::mem::take(&mut slots[i].inbox);
     let mut actions = std::mem::take(&mut slots[i].actions);
-    inbox.drain(..).for_each(|what| auditor.observe(now, Observation::Input(id, &what)));
-    for what in actions.drain(..) {
-        auditor.observe(now, Observation::Output(id, &what));
-        world.on_balancer_action(now, id, what, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
+    inbox.drain(..).for_each(|input| auditor.observe(now, Observation::Input(id, &input)));
+    for action in actions.drain(..) {
+        auditor.observe(now, Observation::Output(id, &action));
+        world.on_balancer_action(now, id, action, &mut Outbox { slots: &mut *slots, auditor: &mut *auditor });
     }
-    // Answers at the same time may have come meanwhile; the emptied buffer is used again.
+    // The actions may have caused new inputs at the same time; otherwise the emptied buffer is reused.
     if slots[i].inbox.is_empty() {
         slots[i].inbox = inbox;
     }
--- a/crates/emulator/src/virtual_time/result.rs
+++ b/crates/emulator/src/virtual_time/result.rs
@@ -12,18 +12,18 @@
 use crate::world::WorldResult;
 use crate::world::series::Series;
 
-/// Everything that reports need of a run. No clock of the machine's is in it: the same day gives the same bytes.
+/// The data of a run for reports. It contains no time of the machine's clock, so the same day gives the same bytes.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
     /// The score of the run.
     pub outcome: Outcome,
-    /// What the auditor found.
+    /// The auditor's verdict.
     pub verdict: Verdict,
-    /// Figures by second and sums by cause.
+    /// Values by second, and sums by cause.
     pub series: Series,
     /// The faults that occurred, with their intervals and the parties that they affected.
     pub faults: Vec<FaultInterval>,
-    /// Events of the world's and of the balancers.
+    /// Number of events of the world and the balancers.
     pub events: u64,
     /// When the last client was answered, in the day's time.
     pub ended_at: Micros,
@@ -44,35 +44,35 @@
     }
 }
 
-/// What one balancer reported of itself, by the second. Sums of a process that was killed go on from 0.
+/// The reports of one balancer, by second. After a kill of its process, the counters start from 0 again.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct InstanceTimeline {
-    /// Its level of service.
+    /// Level of service at the end of each second.
     pub levels: Vec<&'static str>,
-    /// Figures at the end of each second.
+    /// Values by name, at the end of each second.
     pub gauges: BTreeMap<&'static str, Vec<f32>>,
-    /// Sums at the end of each second.
+    /// Counters by name, at the end of each second.
     pub counts: BTreeMap<&'static str, Vec<u64>>,
-    /// Lines of its log.
+    /// Log lines, each with the time at which it was written.
     pub lines: Vec<(Micros, String)>,
 }
 
 impl InstanceTimeline {
-    /// Adds a second.
+    /// Adds the report for one second.
     pub fn sample(&mut self, instance: &mut dyn Instance) {
         let mut report = InstanceReport::default();
         instance.report(&mut report);
-        let before = self.levels.len();
+        let previous = self.levels.len();
         self.levels.push(report.level);
-        for (name, x) in report.gauges {
-            let all = self.gauges.entry(name).or_default();
-            all.resize(before, 0.0);
-            all.push(x as f32);
+        for (name, value) in report.gauges {
+            let values = self.gauges.entry(name).or_default();
+            values.resize(previous, 0.0);
+            values.push(value as f32);
         }
-        for (name, n) in report.counts {
-            let all = self.counts.entry(name).or_default();
-            all.resize(before, 0);
-            all.push(n);
+        for (name, count) in report.counts {
+            let values = self.counts.entry(name).or_default();
+            values.resize(previous, 0);
+            values.push(count);
         }
         // All lines are kept, so that the log can be read at any moment of the run.
         self.lines.extend(report.lines);
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -200,7 +200,7 @@
         match event {
             NodeEvent::Start => listener.fact(now, Observation::NodeHealth(node, Health::Started)),
             NodeEvent::Stop | NodeEvent::Crash => {
-                listener.fact(now, Observation::NodeHealth(node, Health::Down))
+                listener.fact(now, Observation::NodeHealth(node, Health::Down));
             }
             _ => {}
         }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -137,7 +137,7 @@
             nodes: &run.result.series.nodes,
             setups: &run.result.series.set_ups,
             tenants: &tenants,
-            max_connections: &outcome.held_most,
+            max_connections: &outcome.peak_by_tenant,
             slot_s: seconds_from_micros(SLOT),
             crashes: crashed.map(|l| format!("balancer {}: {}", l.balancer, l.how)).collect(),
             faults: breaks,
