--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -97,9 +97,9 @@
         program,
         folder: logs.map(Path::to_owned),
         settings: settings::json,
-        between: breaks.to_vec(),
-        together: text,
-        own_args,
+        network_faults: breaks.to_vec(),
+        gossip_operator_settings: text,
+        balancer_args: own_args,
     };
     platform::run(day, &options, watch).map_err(|e| match e {
         RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
@@ -128,8 +128,8 @@
     let ms = |us: u64| round(us as f64 / 1e3, 3);
     Times {
         count: spread.len(),
-        half_ms: ms(spread.at(0.5)),
-        most_ms: ms(spread.at(0.99)),
+        half_ms: ms(spread.quantile(0.5)),
+        most_ms: ms(spread.quantile(0.99)),
         longest_ms: ms(spread.max()),
     }
 }
