--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -52,29 +52,33 @@
         self.now = now;
         self.run_due_checks(now);
         match observation {
-            Observation::Input(by, to) => self.on_input(now, by, to),
-            Observation::Output(by, from) => self.on_output(now, by, from),
+            Observation::Input(balancer, to) => self.on_input(now, balancer, to),
+            Observation::Output(balancer, from) => self.on_output(now, balancer, from),
             Observation::Listed(entry) => {
                 self.notified_lists.on_listed(now, entry);
                 self.nodes.node_mut(entry.node).trace.push(now, TraceEvent::Listed(entry.stage));
             }
             Observation::NodeHealth(node, health) => self.nodes.set_health(now, node, health),
-            Observation::AttemptArrived { by, link, node, weight, cold } => {
-                let knew = self.knew_of_start(now, by, link, node);
-                if let Some(overload) =
-                    self.nodes.on_attempt(now, (node, by), (weight, cold), knew, &self.tolerances)
-                {
+            Observation::AttemptArrived { balancer, link, node, weight, cold } => {
+                let knew_of_start = self.knew_of_start(now, balancer, link, node);
+                if let Some(overload) = self.nodes.on_attempt(
+                    now,
+                    (node, balancer),
+                    (weight, cold),
+                    knew_of_start,
+                    &self.tolerances,
+                ) {
                     self.record_overload(now, node, overload);
                 }
             }
-            Observation::AttemptSent { by, link, node, conn, first } => {
-                self.on_attempt(now, first, by, link, node, conn);
+            Observation::AttemptSent { balancer, link, node, conn, first } => {
+                self.on_attempt(now, first, balancer, link, node, conn);
             }
-            Observation::AlreadyEstablished { by, conn, link, node } => {
-                self.on_already_established(now, by, conn, link, node);
+            Observation::AlreadyEstablished { balancer, conn, link, node } => {
+                self.on_already_established(now, balancer, conn, link, node);
             }
-            Observation::NotReestablished(by, id) => {
-                let case = Case { reason: Reason::NotCarried, at: now, by, conn: Some(id), node: None };
+            Observation::NotReestablished(balancer, id) => {
+                let case = Case { reason: Reason::NotCarried, at: now, balancer, conn: Some(id), node: None };
                 self.verdict.record(case, String::new(), Vec::new);
             }
             Observation::LineDelivered(conn, direction) => self.on_line_delivered(now, conn, direction),
@@ -85,8 +89,8 @@
                 };
                 self.record_finding(conn, Finding::RuleViolation(reason, now, String::new()));
             }
-            Observation::MisbehavingClient(by, id) => {
-                self.table.open(id, Conn::new(by, Request::new(Micros::MAX / 2, false)));
+            Observation::MisbehavingClient(balancer, id) => {
+                self.table.open(id, Conn::new(balancer, Request::new(Micros::MAX / 2, false)));
                 if let Some(conn) = self.table.conn(id) {
                     conn.is_misbehaving = true;
                 }
@@ -116,58 +120,58 @@
         self.verdict
     }
 
-    fn on_input(&mut self, now: Micros, by: BalancerId, to: &ToBalancer) {
+    fn on_input(&mut self, now: Micros, balancer: BalancerId, to: &ToBalancer) {
         match to {
             ToBalancer::Start { known, .. } => {
-                *self.terminating_mut(by) = false;
-                self.notified_lists.on_start(now, by, known);
+                *self.terminating_mut(balancer) = false;
+                self.notified_lists.on_start(now, balancer, known);
             }
-            ToBalancer::Kill => self.on_killed(now, by),
-            ToBalancer::Terminate => *self.terminating_mut(by) = true,
-            ToBalancer::Reload { .. } => self.notified_lists.on_reload(now, by),
-            ToBalancer::Asked { ask, left } => self.on_request(now, by, ask, *left),
+            ToBalancer::Kill => self.on_killed(now, balancer),
+            ToBalancer::Terminate => *self.terminating_mut(balancer) = true,
+            ToBalancer::Reload { .. } => self.notified_lists.on_reload(now, balancer),
+            ToBalancer::Asked { ask, left } => self.on_request(now, balancer, ask, *left),
             ToBalancer::ClientLine(id) => self.on_client_line(now, *id),
             ToBalancer::ClientEnded(id, end) => self.on_client_closed(now, *id, *end),
             ToBalancer::LinkUp(id) => {
-                if let Some((link, conn)) = self.table.link_and_conn(by, *id) {
+                if let Some((link, conn)) = self.table.link_and_conn(balancer, *id) {
                     conn.trace.push(now, TraceEvent::LinkUp(link.node));
                 }
             }
             ToBalancer::LinkFailed(id) => {
-                if let Some((link, conn)) = self.table.link_and_conn(by, *id) {
+                if let Some((link, conn)) = self.table.link_and_conn(balancer, *id) {
                     link.closed_by_balancer = Some(now);
                     conn.request.end_attempt(*id);
                     conn.trace.push(now, TraceEvent::LinkFailed(link.node));
                 }
             }
-            ToBalancer::NodeSays(link, message) => self.on_node_message(now, by, *link, *message),
-            ToBalancer::NodeEnded(link, end) => self.on_node_closed(now, by, *link, *end),
+            ToBalancer::NodeSays(link, message) => self.on_node_message(now, balancer, *link, *message),
+            ToBalancer::NodeEnded(link, end) => self.on_node_closed(now, balancer, *link, *end),
             ToBalancer::List { full, entries } => {
-                self.notified_lists.on_endpoint_list(now, by, *full, entries);
+                self.notified_lists.on_endpoint_list(now, balancer, *full, entries);
             }
-            ToBalancer::ListFailed => self.notified_lists.on_poll_failed(now, by),
+            ToBalancer::ListFailed => self.notified_lists.on_poll_failed(now, balancer),
         }
     }
 
-    fn on_output(&mut self, now: Micros, by: BalancerId, from: &FromBalancer) {
+    fn on_output(&mut self, now: Micros, balancer: BalancerId, from: &FromBalancer) {
         match *from {
-            FromBalancer::Answer(id, answer) => self.on_answer(now, by, id, answer),
-            FromBalancer::EndClient(id, end) => self.on_balancer_closed_client(now, by, id, end),
+            FromBalancer::Answer(id, answer) => self.on_answer(now, balancer, id, answer),
+            FromBalancer::EndClient(id, end) => self.on_balancer_closed_client(now, balancer, id, end),
             // On sockets the attempt may already have been reported as `Observation::AttemptSent`.
             FromBalancer::Link { link, node, conn: Some(conn) } => {
-                if self.table.link_of(by, link).is_none_or(|l| l.conn != conn) {
-                    self.on_attempt(now, now, by, link, node, conn);
+                if self.table.link_of(balancer, link).is_none_or(|l| l.conn != conn) {
+                    self.on_attempt(now, now, balancer, link, node, conn);
                 }
             }
-            FromBalancer::EndLink(link, end) => self.on_balancer_closed_link(now, by, link, end),
-            FromBalancer::Watch => self.notified_lists.on_watch(now, by),
-            FromBalancer::Unwatch => self.notified_lists.on_unwatch(now, by),
+            FromBalancer::EndLink(link, end) => self.on_balancer_closed_link(now, balancer, link, end),
+            FromBalancer::Watch => self.notified_lists.on_watch(now, balancer),
+            FromBalancer::Unwatch => self.notified_lists.on_unwatch(now, balancer),
             FromBalancer::Refused(id) => self.on_connection_refused(now, id),
             FromBalancer::Syntax(node) => {
-                let case = Case { reason: Reason::Syntax, at: now, by, conn: None, node: Some(node) };
+                let case = Case { reason: Reason::Syntax, at: now, balancer, conn: None, node: Some(node) };
                 self.verdict.record(case, String::new(), Vec::new);
             }
-            FromBalancer::Exited => self.on_exited(now, by),
+            FromBalancer::Exited => self.on_exited(now, balancer),
             FromBalancer::Link { conn: None, .. }
             | FromBalancer::Forward { .. }
             | FromBalancer::Probe(_)
@@ -176,8 +180,8 @@
         }
     }
 
-    fn terminating_mut(&mut self, by: BalancerId) -> &mut bool {
-        let index = by.0 as usize;
+    fn terminating_mut(&mut self, balancer: BalancerId) -> &mut bool {
+        let index = balancer.0 as usize;
         if self.terminating.len() <= index {
             self.terminating.resize(index + 1, false);
         }
@@ -196,7 +200,7 @@
             Finding::RuleViolation(reason, at, detail) => {
                 conn.is_closed_to_findings = true;
                 let node = conn.established.as_ref().map(|s| s.node);
-                let case = Case { reason, at, by: conn.by, conn: Some(id), node };
+                let case = Case { reason, at, balancer: conn.balancer, conn: Some(id), node };
                 let node_trace = node.map(|n| &self.nodes.node_mut(n).trace);
                 self.verdict
                     .record(case, detail, || merge_traces([&conn.trace].into_iter().chain(node_trace)));
@@ -227,8 +231,13 @@
             overload.known_weight,
             shares.join(", ")
         );
-        let case =
-            Case { reason: Reason::PushedOver, at: now, by: overload.by, conn: None, node: Some(node) };
+        let case = Case {
+            reason: Reason::PushedOver,
+            at: now,
+            balancer: overload.balancer,
+            conn: None,
+            node: Some(node),
+        };
         let trace = &self.nodes.node_mut(node).trace;
         self.verdict.record(case, detail, || merge_traces([trace]));
     }
@@ -288,8 +297,8 @@
 
     // Requests and attempts.
 
-    fn on_request(&mut self, now: Micros, by: BalancerId, ask: &RequestLine, left: Micros) {
-        let mut conn = Conn::new(by, Request::new(now + left, ask.home.is_some()));
+    fn on_request(&mut self, now: Micros, balancer: BalancerId, ask: &RequestLine, left: Micros) {
+        let mut conn = Conn::new(balancer, Request::new(now + left, ask.home.is_some()));
         conn.trace.push(
             now,
             TraceEvent::ClientRequest { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) },
@@ -302,20 +311,21 @@
         &mut self,
         now: Micros,
         first: Micros,
-        by: BalancerId,
+        balancer: BalancerId,
         link: LinkId,
         node: NodeId,
         id: ConnId,
     ) {
         let tolerances = &self.tolerances;
-        let unavailable_since = self.notified_lists.unavailable_since(first, by, node, tolerances);
-        let was_listed = self.notified_lists.has_listed(by, node);
+        let unavailable_since = self.notified_lists.unavailable_since(first, balancer, node, tolerances);
+        let was_listed = self.notified_lists.has_listed(balancer, node);
         let node_state = self.nodes.node_mut(node);
-        let knew = node_state
+        let knew_of_start = node_state
             .started
-            .is_some_and(|at| self.notified_lists.knows_of_start(first, by, node, at, tolerances));
-        let mut case = Case { reason: Reason::SentAfterEnd, at: now, by, conn: Some(id), node: Some(node) };
-        let Some(conn) = self.table.conn(id).filter(|c| c.by == by) else {
+            .is_some_and(|at| self.notified_lists.knows_of_start(first, balancer, node, at, tolerances));
+        let mut case =
+            Case { reason: Reason::SentAfterEnd, at: now, balancer, conn: Some(id), node: Some(node) };
+        let Some(conn) = self.table.conn(id).filter(|c| c.balancer == balancer) else {
             return self.verdict.record(case, String::from("no request is known under this id"), Vec::new);
         };
         conn.trace.push(now, TraceEvent::LinkStarted(node));
@@ -346,7 +356,7 @@
         } else {
             too_many
         };
-        self.table.add_link(by, link, Link::new(id, node, knew));
+        self.table.add_link(balancer, link, Link::new(id, node, knew_of_start));
         match finding {
             Some(finding) => self.record_finding(id, finding),
             None if overlaps => self.table.schedule(
@@ -359,11 +369,11 @@
     }
 
     /// Whether the balancer knew of the node's start when it sent the attempt on this link.
-    fn knew_of_start(&mut self, now: Micros, by: BalancerId, link: LinkId, node: NodeId) -> bool {
-        match (self.table.link_of(by, link), self.nodes.node_mut(node).started) {
+    fn knew_of_start(&mut self, now: Micros, balancer: BalancerId, link: LinkId, node: NodeId) -> bool {
+        match (self.table.link_of(balancer, link), self.nodes.node_mut(node).started) {
             (Some(link), _) => link.knew_of_start,
             (None, Some(started)) => {
-                self.notified_lists.knows_of_start(now, by, node, started, &self.tolerances)
+                self.notified_lists.knows_of_start(now, balancer, node, started, &self.tolerances)
             }
             (None, None) => false,
         }
@@ -373,17 +383,17 @@
     fn on_already_established(
         &mut self,
         now: Micros,
-        by: BalancerId,
+        balancer: BalancerId,
         id: ConnId,
         link: LinkId,
         node: NodeId,
     ) {
-        let mut conn = Conn::new(by, Request::new(now, true));
+        let mut conn = Conn::new(balancer, Request::new(now, true));
         conn.request.mark_established(now, link);
         conn.established = Some(EstablishedConnection::new(link, node));
         conn.trace.push(now, TraceEvent::AlreadyEstablished(node));
         if self.table.open(id, conn) {
-            self.table.add_link(by, link, Link { up: true, ..Link::new(id, node, false) });
+            self.table.add_link(balancer, link, Link { up: true, ..Link::new(id, node, false) });
         }
     }
 
@@ -395,14 +405,14 @@
         }
     }
 
-    fn on_answer(&mut self, now: Micros, by: BalancerId, id: ConnId, answer: Answer) {
+    fn on_answer(&mut self, now: Micros, balancer: BalancerId, id: ConnId, answer: Answer) {
         let answered_link = match answer {
-            Answer::Up(link) => self.table.link_of(by, link).filter(|l| l.conn == id && l.up).cloned(),
+            Answer::Up(link) => self.table.link_of(balancer, link).filter(|l| l.conn == id && l.up).cloned(),
             _ => None,
         };
-        let Some(conn) = self.table.conn(id).filter(|c| c.by == by) else {
+        let Some(conn) = self.table.conn(id).filter(|c| c.balancer == balancer) else {
             if let Answer::Up(_) | Answer::Forged = answer {
-                let case = Case { reason: Reason::Forged, at: now, by, conn: Some(id), node: None };
+                let case = Case { reason: Reason::Forged, at: now, balancer, conn: Some(id), node: None };
                 self.verdict.record(case, String::from("no request is known under this id"), Vec::new);
             }
             return;
@@ -457,8 +467,8 @@
         }
     }
 
-    fn on_node_message(&mut self, now: Micros, by: BalancerId, id: LinkId, message: NodeMessage) {
-        let Some((link, conn)) = self.table.link_and_conn(by, id) else { return };
+    fn on_node_message(&mut self, now: Micros, balancer: BalancerId, id: LinkId, message: NodeMessage) {
+        let Some((link, conn)) = self.table.link_and_conn(balancer, id) else { return };
         let conn_id = link.conn;
         match message {
             NodeMessage::Up => link.up = true,
@@ -484,8 +494,8 @@
         conn.trace.push(now, TraceEvent::node_message(link.node, message));
     }
 
-    fn on_node_closed(&mut self, now: Micros, by: BalancerId, id: LinkId, end: End) {
-        let Some((link, conn)) = self.table.link_and_conn(by, id) else { return };
+    fn on_node_closed(&mut self, now: Micros, balancer: BalancerId, id: LinkId, end: End) {
+        let Some((link, conn)) = self.table.link_and_conn(balancer, id) else { return };
         link.closed_by_node = link.closed_by_node.or(Some(now));
         conn.request.end_attempt(id);
         conn.trace.push(now, TraceEvent::LinkClosedByNode(link.node, end));
@@ -496,8 +506,8 @@
         }
     }
 
-    fn on_balancer_closed_link(&mut self, now: Micros, by: BalancerId, id: LinkId, end: End) {
-        let Some((link, conn)) = self.table.link_and_conn(by, id) else { return };
+    fn on_balancer_closed_link(&mut self, now: Micros, balancer: BalancerId, id: LinkId, end: End) {
+        let Some((link, conn)) = self.table.link_and_conn(balancer, id) else { return };
         link.closed_by_balancer = link.closed_by_balancer.or(Some(now));
         conn.request.end_attempt(id);
         conn.trace.push(now, TraceEvent::LinkClosedByBalancer(link.node, end));
--- a/crates/emulator/src/audit/auditor/connections.rs
+++ b/crates/emulator/src/audit/auditor/connections.rs
@@ -45,8 +45,14 @@
         self.table.schedule_forget(now, id);
     }
 
-    pub(super) fn on_balancer_closed_client(&mut self, now: Micros, by: BalancerId, id: ConnId, end: End) {
-        if self.table.conn(id).is_none_or(|c| c.by != by) {
+    pub(super) fn on_balancer_closed_client(
+        &mut self,
+        now: Micros,
+        balancer: BalancerId,
+        id: ConnId,
+        end: End,
+    ) {
+        if self.table.conn(id).is_none_or(|c| c.balancer != balancer) {
             return;
         }
         if let Some(conn) = self.table.conn(id) {
@@ -58,8 +64,8 @@
 
     /// A client's connection was closed by its balancer, or by the system when the balancer's process exited.
     pub(super) fn on_disconnected(&mut self, now: Micros, id: ConnId) {
-        let Some(by) = self.table.conn(id).map(|c| c.by) else { return };
-        let is_planned = *self.terminating_mut(by);
+        let Some(balancer) = self.table.conn(id).map(|c| c.balancer) else { return };
+        let is_planned = *self.terminating_mut(balancer);
         let Some(conn) = self.table.conn(id) else { return };
         let is_waiting = conn.is_awaiting_answer() && !conn.is_misbehaving;
         let finding = match &mut conn.established {
@@ -86,9 +92,9 @@
         }
     }
 
-    pub(super) fn on_killed(&mut self, now: Micros, by: BalancerId) {
-        let is_planned = std::mem::take(self.terminating_mut(by));
-        for id in self.table.ids(Some(by)) {
+    pub(super) fn on_killed(&mut self, now: Micros, balancer: BalancerId) {
+        let is_planned = std::mem::take(self.terminating_mut(balancer));
+        for id in self.table.ids(Some(balancer)) {
             self.confirm_deferred_finding(id);
             self.check_unanswered(
                 now,
@@ -106,13 +112,13 @@
         }
     }
 
-    pub(super) fn on_exited(&mut self, now: Micros, by: BalancerId) {
-        let is_planned = *self.terminating_mut(by);
+    pub(super) fn on_exited(&mut self, now: Micros, balancer: BalancerId) {
+        let is_planned = *self.terminating_mut(balancer);
         if !is_planned {
-            let case = Case { reason: Reason::Exited, at: now, by, conn: None, node: None };
+            let case = Case { reason: Reason::Exited, at: now, balancer, conn: None, node: None };
             self.verdict.record(case, String::from("without a SIGTERM"), Vec::new);
         }
-        for id in self.table.ids(Some(by)) {
+        for id in self.table.ids(Some(balancer)) {
             if is_planned {
                 self.on_disconnected(now, id);
                 self.confirm_deferred_finding(id);
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -76,8 +76,8 @@
 }
 
 impl NotifiedLists {
-    pub fn on_start(&mut self, now: Micros, by: BalancerId, known: &[Listed]) {
-        let view = entry_mut(&mut self.balancers, by.0);
+    pub fn on_start(&mut self, now: Micros, balancer: BalancerId, known: &[Listed]) {
+        let view = entry_mut(&mut self.balancers, balancer.0);
         *view = BalancerView { started: now, last_polled: now, ..BalancerView::default() };
         for entry in known {
             let notice = view.notice_mut(entry.node);
@@ -86,28 +86,28 @@
         }
     }
 
-    pub fn on_watch(&mut self, now: Micros, by: BalancerId) {
-        let view = entry_mut(&mut self.balancers, by.0);
+    pub fn on_watch(&mut self, now: Micros, balancer: BalancerId) {
+        let view = entry_mut(&mut self.balancers, balancer.0);
         (view.is_watching, view.last_polled) = (true, now);
     }
 
-    pub fn on_unwatch(&mut self, now: Micros, by: BalancerId) {
-        let view = entry_mut(&mut self.balancers, by.0);
+    pub fn on_unwatch(&mut self, now: Micros, balancer: BalancerId) {
+        let view = entry_mut(&mut self.balancers, balancer.0);
         (view.is_watching, view.last_polled) = (false, now);
     }
 
-    pub fn on_poll_failed(&mut self, now: Micros, by: BalancerId) {
-        let view = entry_mut(&mut self.balancers, by.0);
+    pub fn on_poll_failed(&mut self, now: Micros, balancer: BalancerId) {
+        let view = entry_mut(&mut self.balancers, balancer.0);
         (view.is_watching, view.last_poll_failed, view.last_polled) = (false, true, now);
     }
 
-    pub fn on_reload(&mut self, now: Micros, by: BalancerId) {
-        entry_mut(&mut self.balancers, by.0).reloaded = Some(now);
+    pub fn on_reload(&mut self, now: Micros, balancer: BalancerId) {
+        entry_mut(&mut self.balancers, balancer.0).reloaded = Some(now);
     }
 
     /// The discovery service has written a list, or changes to it, to a balancer.
-    pub fn on_endpoint_list(&mut self, now: Micros, by: BalancerId, full: bool, entries: &[Listed]) {
-        let view = entry_mut(&mut self.balancers, by.0);
+    pub fn on_endpoint_list(&mut self, now: Micros, balancer: BalancerId, full: bool, entries: &[Listed]) {
+        let view = entry_mut(&mut self.balancers, balancer.0);
         (view.last_poll_failed, view.last_polled) = (false, now);
         for entry in entries {
             let notice = view.notice_mut(entry.node);
@@ -139,13 +139,13 @@
     }
 
     /// Whether the balancer's list has had the node since its process started.
-    pub fn has_listed(&self, by: BalancerId, node: NodeId) -> bool {
-        self.notice(by, node).was_listed
+    pub fn has_listed(&self, balancer: BalancerId, node: NodeId) -> bool {
+        self.notice(balancer, node).was_listed
     }
 
-    fn notice(&self, by: BalancerId, node: NodeId) -> NodeNotice {
+    fn notice(&self, balancer: BalancerId, node: NodeId) -> NodeNotice {
         let notices =
-            self.balancers.get(by.0 as usize).map(|view| view.notices.as_slice()).unwrap_or_default();
+            self.balancers.get(balancer.0 as usize).map(|view| view.notices.as_slice()).unwrap_or_default();
         notices.get(node.0 as usize).copied().unwrap_or_default()
     }
 
@@ -154,11 +154,11 @@
     fn presumed_notified_at(
         &self,
         now: Micros,
-        by: BalancerId,
+        balancer: BalancerId,
         listed: Micros,
         tolerances: &AuditTolerances,
     ) -> Option<Micros> {
-        let view = self.balancers.get(by.0 as usize)?;
+        let view = self.balancers.get(balancer.0 as usize)?;
         let wait = tolerances.poll_within * if view.last_poll_failed { FAILED_POLL_FACTOR } else { 1 };
         let by_polling = (!view.is_watching && now.saturating_sub(view.last_polled) >= wait)
             .then(|| listed.max(view.last_polled) + wait);
@@ -175,30 +175,31 @@
     pub fn unavailable_since(
         &self,
         now: Micros,
-        by: BalancerId,
+        balancer: BalancerId,
         node: NodeId,
         tolerances: &AuditTolerances,
     ) -> Option<Micros> {
         let listed = self.listings.get(node.0 as usize).and_then(|l| l.unavailable_since);
-        let presumed = listed.and_then(|listed| self.presumed_notified_at(now, by, listed, tolerances));
-        [self.notice(by, node).unavailable_since, presumed].into_iter().flatten().min()
+        let presumed = listed.and_then(|listed| self.presumed_notified_at(now, balancer, listed, tolerances));
+        [self.notice(balancer, node).unavailable_since, presumed].into_iter().flatten().min()
     }
 
     /// Whether a balancer has been, or counts as, notified that the node's process started at `started`.
     pub fn knows_of_start(
         &self,
         now: Micros,
-        by: BalancerId,
+        balancer: BalancerId,
         node: NodeId,
         started: Micros,
         tolerances: &AuditTolerances,
     ) -> bool {
         let is_same = |born: Micros| born + START_TIME_ROUNDING > started;
-        if self.notice(by, node).start_time.is_some_and(is_same) {
+        if self.notice(balancer, node).start_time.is_some_and(is_same) {
             return true;
         }
         let listed =
             self.listings.get(node.0 as usize).and_then(|l| l.start_time).filter(|(born, _)| is_same(*born));
-        listed.is_some_and(|(_, listed)| self.presumed_notified_at(now, by, listed, tolerances).is_some())
+        listed
+            .is_some_and(|(_, listed)| self.presumed_notified_at(now, balancer, listed, tolerances).is_some())
     }
 }
--- a/crates/emulator/src/audit/mod.rs
+++ b/crates/emulator/src/audit/mod.rs
@@ -85,7 +85,7 @@
     /// The first line of an attempt has arrived at its node, which may reject it.
     AttemptArrived {
         /// The balancer that sent it.
-        by: BalancerId,
+        balancer: BalancerId,
         /// The link that it came on.
         link: LinkId,
         /// The node that it arrived at.
@@ -98,7 +98,7 @@
     /// A connection was established before the run began; no earlier event of it was observed.
     AlreadyEstablished {
         /// The balancer that the client is connected to.
-        by: BalancerId,
+        balancer: BalancerId,
         /// The client's connection.
         conn: ConnId,
         /// The link that carries it.
@@ -112,7 +112,7 @@
     /// bytes were read together: [`FromBalancer::Link`] then says the same.
     AttemptSent {
         /// The balancer that sent it.
-        by: BalancerId,
+        balancer: BalancerId,
         /// The new link.
         link: LinkId,
         /// The node that it was sent to.
--- a/crates/emulator/src/audit/nodes.rs
+++ b/crates/emulator/src/audit/nodes.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ColdAttempt {
     at: Micros,
-    by: BalancerId,
+    balancer: BalancerId,
     /// The work that it costs, in the node's own unit.
     weight: f64,
     /// The same if the balancer knew of the node's start, otherwise 0.
@@ -52,7 +52,7 @@
     /// The part of `sent` that came from balancers that knew of the node's start.
     pub known_weight: f64,
     /// The balancer that sent the most.
-    pub by: BalancerId,
+    pub balancer: BalancerId,
     /// What each balancer sent, the largest part first.
     pub shares: Vec<(BalancerId, f64)>,
 }
@@ -92,15 +92,15 @@
         !matches!(self.health, Some(Health::CutOff | Health::Down))
     }
 
-    /// Adds an attempt of this weight, which arrived while the node could do `able` per second. Returns the overload,
+    /// Adds an attempt of this weight, which arrived while the node could do `capacity` per second. Returns the overload,
     /// at most once per start of the node.
     fn on_attempt(
         &mut self,
         now: Micros,
-        by: BalancerId,
+        balancer: BalancerId,
         weight: f64,
-        able: f64,
-        knew: bool,
+        capacity: f64,
+        knew_of_start: bool,
         tolerances: &AuditTolerances,
     ) -> Option<Overload> {
         if self.is_overloaded {
@@ -108,16 +108,17 @@
         }
         self.window.push_back(ColdAttempt {
             at: now,
-            by,
+            balancer,
             weight,
-            known_weight: if knew { weight } else { 0.0 },
+            known_weight: if knew_of_start { weight } else { 0.0 },
         });
         while self.window.front().is_some_and(|l| l.at + tolerances.overload_window < now) {
             self.window.pop_front();
         }
         let sent: f64 = self.window.iter().map(|l| l.weight).sum();
-        let capacity = tolerances.overload_multiple * able * tolerances.overload_window as f64 / 1e6;
-        let budget = capacity + SLACK_SQUARE_ROOTS * capacity.sqrt() + SLACK_ATTEMPTS;
+        let window_capacity =
+            tolerances.overload_multiple * capacity * tolerances.overload_window as f64 / 1e6;
+        let budget = window_capacity + SLACK_SQUARE_ROOTS * window_capacity.sqrt() + SLACK_ATTEMPTS;
         if sent < budget {
             return None;
         }
@@ -125,14 +126,14 @@
         self.is_overloaded = true;
         let mut shares: Vec<(BalancerId, f64)> = Vec::new();
         for load in &self.window {
-            match shares.iter_mut().find(|(b, _)| *b == load.by) {
+            match shares.iter_mut().find(|(b, _)| *b == load.balancer) {
                 Some((_, sum)) => *sum += load.weight,
-                None => shares.push((load.by, load.weight)),
+                None => shares.push((load.balancer, load.weight)),
             }
         }
         shares.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         let known_weight = self.window.iter().map(|l| l.known_weight).sum();
-        Some(Overload { sent, budget, known_weight, by: shares[0].0, shares })
+        Some(Overload { sent, budget, known_weight, balancer: shares[0].0, shares })
     }
 }
 
@@ -153,19 +154,19 @@
         self.node_mut(node).set_health(now, health);
     }
 
-    /// Adds an attempt at a cold node; see [`ObservedNode::on_attempt`]. If the node is warm (`able` is none), the
+    /// Adds an attempt at a cold node; see [`ObservedNode::on_attempt`]. If the node is warm (`capacity` is none), the
     /// attempts of its overload window are dropped instead.
     pub fn on_attempt(
         &mut self,
         now: Micros,
-        (node, by): (NodeId, BalancerId),
-        (weight, able): (f64, Option<f64>),
-        knew: bool,
+        (node, balancer): (NodeId, BalancerId),
+        (weight, capacity): (f64, Option<f64>),
+        knew_of_start: bool,
         tolerances: &AuditTolerances,
     ) -> Option<Overload> {
         let node = self.node_mut(node);
-        match able {
-            Some(able) => node.on_attempt(now, by, weight, able, knew, tolerances),
+        match capacity {
+            Some(capacity) => node.on_attempt(now, balancer, weight, capacity, knew_of_start, tolerances),
             None => {
                 node.window.clear();
                 None
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Conn {
     /// The balancer that it was made to.
-    pub by: BalancerId,
+    pub balancer: BalancerId,
     /// The client misbehaves on purpose.
     pub is_misbehaving: bool,
     /// A violation was found on the connection, or its balancer is gone. Further findings are dropped, so that one
@@ -43,9 +43,9 @@
 }
 
 impl Conn {
-    pub fn new(by: BalancerId, request: Request) -> Self {
+    pub fn new(balancer: BalancerId, request: Request) -> Self {
         Conn {
-            by,
+            balancer,
             is_misbehaving: false,
             is_closed_to_findings: false,
             request,
@@ -143,27 +143,27 @@
     }
 
     /// Adds a link, if its connection is known.
-    pub fn add_link(&mut self, by: BalancerId, id: LinkId, link: Link) {
+    pub fn add_link(&mut self, balancer: BalancerId, id: LinkId, link: Link) {
         if let Some(conn) = self.conns.get_mut(&link.conn) {
             conn.links.push(id);
-            self.links.insert((by, id), link);
+            self.links.insert((balancer, id), link);
         }
     }
 
-    pub fn link_of(&mut self, by: BalancerId, id: LinkId) -> Option<&mut Link> {
-        self.links.get_mut(&(by, id))
+    pub fn link_of(&mut self, balancer: BalancerId, id: LinkId) -> Option<&mut Link> {
+        self.links.get_mut(&(balancer, id))
     }
 
     /// A link and the connection that it carries.
-    pub fn link_and_conn(&mut self, by: BalancerId, id: LinkId) -> Option<(&mut Link, &mut Conn)> {
-        let link = self.links.get_mut(&(by, id))?;
+    pub fn link_and_conn(&mut self, balancer: BalancerId, id: LinkId) -> Option<(&mut Link, &mut Conn)> {
+        let link = self.links.get_mut(&(balancer, id))?;
         let conn = self.conns.get_mut(&link.conn)?;
         Some((link, conn))
     }
 
     /// The ids of a balancer's connections, or of all connections, in ascending order.
-    pub fn ids(&self, by: Option<BalancerId>) -> Vec<ConnId> {
-        let is_included = |c: &Conn| by.is_none_or(|b| c.by == b);
+    pub fn ids(&self, balancer: Option<BalancerId>) -> Vec<ConnId> {
+        let is_included = |c: &Conn| balancer.is_none_or(|b| c.balancer == b);
         let mut ids: Vec<ConnId> =
             self.conns.iter().filter(|(_, c)| is_included(c)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
@@ -210,8 +210,8 @@
         let Some(conn) = self.conns.remove(&id) else { return };
         for link in conn.links {
             // The balancer may have reused the number after a restart.
-            if self.links.get(&(conn.by, link)).is_some_and(|l| l.conn == id) {
-                self.links.remove(&(conn.by, link));
+            if self.links.get(&(conn.balancer, link)).is_some_and(|l| l.conn == id) {
+                self.links.remove(&(conn.balancer, link));
             }
         }
     }
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -92,7 +92,8 @@
         let link = LinkId(self.conn.0 * 100 + self.links);
         let conn = self.conn;
         if self.sockets && self.rng.random() {
-            self.history.add(at, Other(Observation::AttemptSent { by: B, link, node, conn, first: at - MS }));
+            self.history
+                .add(at, Other(Observation::AttemptSent { balancer: B, link, node, conn, first: at - MS }));
         }
         self.history.add(at, Output(F::Link { link, node, conn: Some(conn) }));
         link
@@ -443,9 +444,11 @@
             }
             let at = 15 * S + i * duration / sent;
             attempt_at(&mut history, i + 1, at, NODE);
-            let (by, link, node) = (B, LinkId(i + 1), NODE);
-            history
-                .add(at, Other(Observation::AttemptArrived { by, link, node, weight: 1.0, cold: Some(1.0) }));
+            let (balancer, link, node) = (B, LinkId(i + 1), NODE);
+            history.add(
+                at,
+                Other(Observation::AttemptArrived { balancer, link, node, weight: 1.0, cold: Some(1.0) }),
+            );
         }
         history.verdict(tolerances(false))
     };
--- a/crates/emulator/src/audit/verdict.rs
+++ b/crates/emulator/src/audit/verdict.rs
@@ -77,7 +77,7 @@
     /// An attempt was sent after the end of the request.
     SentAfterEnd => NoDuplicatedEffect, "an attempt was sent after the request had ended";
     /// An attempt was sent to a node that was known to be draining or gone.
-    SentToDraining => SafeDrain, "an attempt was sent to a node that the balancer had been told is draining or gone";
+    SentToDraining => SafeDrain, "an attempt was sent to a node that the balancer had been told was draining or gone";
     /// A cold node was sent more work than it can do.
     PushedOver => SafeFailBack, "a cold node was overloaded";
     /// The balancer closed an established connection without `MOVE`, outside of a planned restart.
@@ -210,8 +210,8 @@
                 .collect();
             let conn = b.conn.map(|c| format!(" connection {c:x}")).unwrap_or_default();
             let node = b.node.map(|n| format!(" node {n}")).unwrap_or_default();
-            let (at, by, reason) = (format_seconds(b.at), b.balancer, b.reason.text());
-            format!("{at} balancer {by}{conn}{node}: {reason} ({}){}", b.detail, trace.concat())
+            let (at, balancer, reason) = (format_seconds(b.at), b.balancer, b.reason.text());
+            format!("{at} balancer {balancer}{conn}{node}: {reason} ({}){}", b.detail, trace.concat())
         })
     }
 
@@ -230,7 +230,7 @@
             rule: case.reason.rule(),
             reason: case.reason,
             at: case.at,
-            balancer: case.by.0,
+            balancer: case.balancer.0,
             conn: case.conn.map(|c| c.0),
             node: case.node.map(|n| n.0),
             detail,
@@ -249,7 +249,7 @@
 pub(super) struct Case {
     pub reason: Reason,
     pub at: Micros,
-    pub by: BalancerId,
+    pub balancer: BalancerId,
     pub conn: Option<ConnId>,
     pub node: Option<NodeId>,
 }
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -165,7 +165,7 @@
                 FromBalancer::Answer(conn, Answer::Up(link)),
                 &mut listener,
             );
-            self.auditor.observe(0, Observation::AlreadyEstablished { by: who, conn, link, node });
+            self.auditor.observe(0, Observation::AlreadyEstablished { balancer: who, conn, link, node });
         }
     }
 
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -71,8 +71,10 @@
             NodeOutput::Reached { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
                     let (by, theirs) = (l.balancer, l.theirs);
-                    listener
-                        .fact(self.now, Observation::AttemptArrived { by, link: theirs, node, weight, cold });
+                    listener.fact(
+                        self.now,
+                        Observation::AttemptArrived { balancer: by, link: theirs, node, weight, cold },
+                    );
                 }
             }
             NodeOutput::Silent(silent) => self.set_node_silent(node, silent, listener),
