--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -52,8 +52,8 @@
         self.now = now;
         self.run_due_checks(now);
         match observation {
-            Observation::Input(balancer, to) => self.on_input(now, balancer, to),
-            Observation::Output(balancer, from) => self.on_output(now, balancer, from),
+            Observation::Input(balancer, input) => self.on_input(now, balancer, input),
+            Observation::Output(balancer, output) => self.on_output(now, balancer, output),
             Observation::Listed(entry) => {
                 self.notified_lists.on_listed(now, entry);
                 self.nodes.node_mut(entry.node).trace.push(now, TraceEvent::Listed(entry.stage));
@@ -120,8 +120,8 @@
         self.verdict
     }
 
-    fn on_input(&mut self, now: Micros, balancer: BalancerId, to: &ToBalancer) {
-        match to {
+    fn on_input(&mut self, now: Micros, balancer: BalancerId, input: &ToBalancer) {
+        match input {
             ToBalancer::Start { known, .. } => {
                 *self.terminating_mut(balancer) = false;
                 self.notified_lists.on_start(now, balancer, known);
@@ -153,8 +153,8 @@
         }
     }
 
-    fn on_output(&mut self, now: Micros, balancer: BalancerId, from: &FromBalancer) {
-        match *from {
+    fn on_output(&mut self, now: Micros, balancer: BalancerId, output: &FromBalancer) {
+        match *output {
             FromBalancer::Answer(id, answer) => self.on_answer(now, balancer, id, answer),
             FromBalancer::EndClient(id, end) => self.on_balancer_closed_client(now, balancer, id, end),
             // On sockets the attempt may already have been reported as `Observation::AttemptSent`.
