--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -73,7 +73,7 @@
                     let (by, balancer_link) = (l.balancer, l.balancer_link);
                     listener.observe(
                         self.now,
-                        Observation::AttemptArrived { by, link: balancer_link, node, weight, cold },
+                        Observation::AttemptArrived { balancer: by, link: balancer_link, node, weight, cold },
                     );
                 }
             }
