--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -534,7 +534,7 @@
 pub struct Prices {
     /// Price of service across zones.
     pub cross_zone: f64,
-    /// Price of wasted work. The score ignores it; balancers are told it.
+    /// Price of wasted work. The score ignores it; balancers receive it.
     pub waste: f64,
     /// Price of open connections to nodes.
     pub connection: f64,
@@ -542,7 +542,7 @@
     pub handshake: f64,
     /// Price of probes.
     pub probe: f64,
-    /// Price of requests that fail after their objective. The score ignores it; balancers are told it.
+    /// Price of requests that fail after their objective. The score ignores it; balancers receive it.
     pub late_fail: f64,
     /// Price of migrations.
     pub moves: f64,
