--- a/crates/lab/tests/commands.rs
+++ b/crates/lab/tests/commands.rs
@@ -158,7 +158,11 @@
         (&["run", &calm, "--set", "traffic.load=0.1,0.2"], 2, "sweep plays several"),
         (&["sweep", &calm, "--seeds", "9..1"], 2, "9..1"),
         (&["demo", "--balancer", &nowhere], 2, "no such program"),
-        (&["load", "--balancer", &broken, "--set-ups", "0"], 2, "set-ups a second"),
+        (
+            &["load", "--balancer", &broken, "--set-ups", "0"],
+            2,
+            "setups per second: found 0, expected a number above 0",
+        ),
         (&["run", &calm, "--set", "length_s=1", "--json", &nowhere], 3, "no/such/folder"),
     ];
     for (args, code, word) in cases {
