--- a/crates/emulator/src/node/work.rs
+++ b/crates/emulator/src/node/work.rs
@@ -8,7 +8,7 @@
     Node, NodeOutput, PACED_DRAIN_TIME, SHED_TARGET_UTILIZATION, STEP, STEPS_PER_DELAY_CHECK,
     load_oscillation,
 };
-use crate::day::{FaultKind, GoAway, Sheds};
+use crate::day::{DrainPolicy, FaultKind, ShedPolicy};
 use crate::edge::{BalancerId, End, LinkId, NodeMessage, RequestLine};
 use crate::population::LoadProfile;
 use shorewharf_units::Micros;
@@ -34,7 +34,11 @@
         patience: Micros,
         outputs: &mut Vec<NodeOutput>,
     ) {
-        outputs.push(NodeOutput::Reached { link, weight: 1.0, cold: self.warm_up.admission_rate(now) });
+        outputs.push(NodeOutput::AttemptArrived {
+            link,
+            weight: 1.0,
+            cold: self.warm_up.admission_rate(now),
+        });
         if self.warm_up.on_attempt(now) {
             outputs.push(NodeOutput::Close(link, End::Reset));
             self.end_process(now, outputs);
@@ -95,7 +99,7 @@
             JobKind::Client { by, ask, mean } => {
                 outputs.push(NodeOutput::Message(link, NodeMessage::Up));
                 self.establish(now, link, by, &ask, mean, outputs);
-                if self.draining && self.drain_policy == GoAway::AtOnce {
+                if self.draining && self.drain_policy == DrainPolicy::AtOnce {
                     self.migrate(link, outputs);
                 }
             }
@@ -139,7 +143,7 @@
         self.backlog = (self.backlog
             + (self.connection_utilization + self.setup_utilization - 1.0) * step_seconds)
             .clamp(0.0, self.max_backlog.max(0.0));
-        if self.backlog >= self.max_backlog && self.shed_policy != Sheds::None {
+        if self.backlog >= self.max_backlog && self.shed_policy != ShedPolicy::None {
             self.shed_load(now, outputs);
         }
         if !self.faults.is_silent() && (now / STEP) % STEPS_PER_DELAY_CHECK == self.delay_check_phase {
@@ -162,7 +166,7 @@
                 outputs,
             );
         }
-        if self.draining && self.drain_policy == GoAway::Paced {
+        if self.draining && self.drain_policy == DrainPolicy::Paced {
             let count = (self.established.len() as f64 * step_seconds
                 / (seconds_from_micros(PACED_DRAIN_TIME)))
             .ceil() as usize;
@@ -187,9 +191,9 @@
     /// Drops connections until the remaining load fits.
     fn shed_load(&mut self, now: Micros, outputs: &mut Vec<NodeOutput>) {
         let links: Vec<LinkId> = match self.shed_policy {
-            Sheds::None => return,
-            Sheds::Newest => self.established.links().rev().collect(),
-            Sheds::Heaviest => self.established.heaviest(),
+            ShedPolicy::None => return,
+            ShedPolicy::Newest => self.established.links().rev().collect(),
+            ShedPolicy::Heaviest => self.established.heaviest(),
         };
         for link in links {
             if self.established_utilization(now) + self.setup_utilization <= SHED_TARGET_UTILIZATION {
@@ -248,7 +252,7 @@
         outputs.extend(
             self.setup_queue.clear().into_iter().map(|link| NodeOutput::Message(link, NodeMessage::Busy)),
         );
-        if self.drain_policy == GoAway::AtOnce {
+        if self.drain_policy == DrainPolicy::AtOnce {
             let links: Vec<LinkId> = self.established.links().collect();
             links.into_iter().for_each(|link| self.migrate(link, outputs));
         }
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -130,7 +130,7 @@
                 self.clients.insert(conn, client);
             }
             // The connection was refused at once, or no local port is free: it does not reach the balancer either way.
-            Err(_) => observations.push((balancer, FromBalancer::Refused(conn).into())),
+            Err(_) => observations.push((balancer, FromBalancer::ConnectionRefused(conn).into())),
         }
     }
 
@@ -221,7 +221,7 @@
         let client = self.clients.remove(&conn).expect("the client is in the map");
         match client.stage {
             Stage::AwaitingAnswer if !client.connection.is_up() => {
-                observations.push((balancer, FromBalancer::Refused(conn).into()));
+                observations.push((balancer, FromBalancer::ConnectionRefused(conn).into()));
             }
             Stage::Closing => {}
             _ => observations.push((balancer, FromBalancer::EndClient(conn, how).into())),
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -226,8 +226,11 @@
             self.run_iteration()?;
         }
         self.prelude.to_open = self.harness.connections_at_start().into();
-        let previous_servers =
-            self.prelude.to_open.iter().filter_map(|(_, request)| Some((request.conn, request.home?)));
+        let previous_servers = self
+            .prelude
+            .to_open
+            .iter()
+            .filter_map(|(_, request)| Some((request.conn, request.previous_node?)));
         self.prelude.previous_servers = previous_servers.collect();
         let limit = self.clock.now() + RESTORE_TIMEOUT;
         while !self.prelude.opening.is_empty() || !self.prelude.to_open.is_empty() {
@@ -237,7 +240,7 @@
             while self.prelude.opening.len() < MAX_CONCURRENT_OPENS {
                 let Some((who, request)) = self.prelude.to_open.pop_front() else { break };
                 self.prelude.opening.insert(request.conn);
-                self.open_client(who, &request, request.patience);
+                self.open_client(who, &request, request.timeout);
             }
             self.run_iteration()?;
         }
@@ -455,7 +458,8 @@
         for (who, observation) in &observations {
             match *observation {
                 BalancerObservation::Action(what) => {
-                    self.malformed_first_lines += u64::from(matches!(what, FromBalancer::Syntax(_)));
+                    self.malformed_first_lines +=
+                        u64::from(matches!(what, FromBalancer::MalformedRequest(_)));
                     if self.started_at.is_some() || !self.observe_prelude(*who, what) {
                         self.harness.on_balancer_action(time, *who, what, &mut self.commands);
                     }
@@ -485,7 +489,7 @@
                     self.prelude.established.insert(conn, (who, link, node));
                 }
             }
-            FromBalancer::EndClient(conn, _) | FromBalancer::Refused(conn) => {
+            FromBalancer::EndClient(conn, _) | FromBalancer::ConnectionRefused(conn) => {
                 self.prelude.opening.remove(&conn);
                 self.prelude.established.remove(&conn);
             }
