--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -202,7 +202,7 @@
     }
 
     /// Changes the address for this balancer: the old one accepts no new connections, and existing ones are closed after
-    /// [`OLD_ADDRESS_GRACE`].
+    /// `OLD_ADDRESS_GRACE`.
     ///
     /// # Errors
     ///
--- a/crates/emulator/src/sockets/fleet.rs
+++ b/crates/emulator/src/sockets/fleet.rs
@@ -279,7 +279,7 @@
         running.process.kill();
     }
 
-    /// Writes a configuration with this address of discovery, and sends SIGHUP; not before [`MIN_RELOAD_DELAY`] has
+    /// Writes a configuration with this address of discovery, and sends SIGHUP; not before `MIN_RELOAD_DELAY` has
     /// passed since the balancer became ready.
     ///
     /// # Errors
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -62,7 +62,7 @@
     pub hold: Micros,
     /// The interval at which a line is sent on each established connection.
     pub line_interval: Micros,
-    /// The duration of the measurement, which follows [`WARM_UP`].
+    /// The duration of the measurement, which follows `WARM_UP`.
     pub duration: Micros,
     /// The number of nodes.
     pub nodes: u32,
