--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! Owns `compare`: two sides, paired by seed, and whether they differ by more than chance explains.
+//! The `compare` command: pairs the runs of two sides by seed and tests whether they differ by more than chance.
 
 use std::path::Path;
 
@@ -16,26 +16,27 @@
 use crate::sweep;
 use crate::tables;
 
-// Enough that the ends of an interval move by less than a hundredth of its width from one seed to the next.
-const DRAWS: usize = 10_000;
-const SEED: u64 = 20;
+// Enough bootstrap draws that the ends of an interval vary by less than a hundredth of its width between seeds.
+const BOOTSTRAP_DRAWS: usize = 10_000;
+const BOOTSTRAP_SEED: u64 = 20;
 
-/// One figure of both sides.
+/// Means of one figure on both sides, and their difference.
 #[derive(Debug, Serialize)]
 struct Figure {
     name: &'static str,
     a: f64,
     b: f64,
-    /// Mean of B less A over the pairs.
+    /// Mean of B minus A over the pairs.
     difference: f64,
-    /// Where that mean lies; none for fewer than two pairs.
+    /// Confidence interval of that mean; none for fewer than two pairs.
     interval: Option<Interval>,
     b_is_better_in: usize,
     b_is_worse_in: usize,
-    /// The interval holds 0, or there is none.
+    /// The interval contains 0, or there is none.
     within_the_noise: bool,
 }
 
+/// The result of `compare`, as it is written to JSON.
 #[derive(Debug, Serialize)]
 struct Comparison {
     a: String,
@@ -47,31 +48,44 @@
     rules_broken_in_b: usize,
 }
 
-/// `compare`.
+/// Runs `compare`.
+///
+/// # Errors
+/// An argument or input file can't be used, no seed is on both sides, or a run failed.
 pub fn compare(args: &Compare, style: &Style) -> Result<CommandOutcome, CommandError> {
     if !(0.5..1.0).contains(&args.level) {
-        return Err(CommandError::Input(format!("--level {}: must be 0.5 or more and under 1", args.level)));
+        return Err(CommandError::Input(format!(
+            "--level {}: expected a number of at least 0.5 and below 1",
+            args.level
+        )));
     }
     let [policy_a, policy_b] = match &args.policies[..] {
         [one] => [one, one],
         [a, b] => [a, b],
-        more => return Err(CommandError::Input(format!("--policies: one or two, not {}", more.len()))),
+        more => {
+            return Err(CommandError::Input(format!(
+                "--policies: expected one or two policies, found {}",
+                more.len()
+            )));
+        }
     };
     let path_b = args.b.as_ref().unwrap_or(&args.a);
     if args.b.is_none() && policy_a == policy_b {
-        return Err(CommandError::Input("name a second scenario or result, or two --policies".into()));
+        return Err(CommandError::Input(
+            "nothing to compare with: give a second scenario or result file, or two --policies".into(),
+        ));
     }
-    let mut a = side(args, &args.a, policy_a)?;
-    let mut b = side(args, path_b, policy_b)?;
+    let mut a = load_side(args, &args.a, policy_a)?;
+    let mut b = load_side(args, path_b, policy_b)?;
     a.sort_by_key(|r| r.seed);
     b.sort_by_key(|r| r.seed);
     let pairs: Vec<(&Record, &Record)> =
         a.iter().filter_map(|x| b.iter().find(|y| y.seed == x.seed).map(|y| (x, y))).collect();
     if pairs.is_empty() {
-        return Err(CommandError::Input("no seed is on both sides: nothing can be paired".into()));
+        return Err(CommandError::Input("no seed is on both sides, so no runs can be paired".into()));
     }
     if let Some(seed) = a.windows(2).chain(b.windows(2)).find(|w| w[0].seed == w[1].seed).map(|w| w[0].seed) {
-        let message = format!("seed {seed} is there twice on one side; compare single points of a sweep");
+        let message = format!("seed {seed} occurs twice on one side; compare single points of a sweep");
         return Err(CommandError::Input(message));
     }
     let broken = |runs: &mut dyn Iterator<Item = &Record>| runs.filter(|r| !r.rules.kept).count();
@@ -80,7 +94,7 @@
         b: name(path_b, policy_b, &b),
         pairs: pairs.len(),
         level: args.level,
-        figures: FIGURES.iter().map(|(name, of)| figure(name, of, &pairs, args.level)).collect(),
+        figures: FIGURES.iter().map(|(name, read)| figure(name, read, &pairs, args.level)).collect(),
         rules_broken_in_a: broken(&mut pairs.iter().map(|p| p.0)),
         rules_broken_in_b: broken(&mut pairs.iter().map(|p| p.1)),
     };
@@ -90,12 +104,13 @@
     if args.json.as_deref() != Some(Path::new("-")) {
         say(&print(&comparison, style));
     }
-    let kept = comparison.rules_broken_in_a + comparison.rules_broken_in_b == 0;
-    Ok(if kept { CommandOutcome::Success } else { CommandOutcome::Failure })
+    let rules_kept = comparison.rules_broken_in_a + comparison.rules_broken_in_b == 0;
+    Ok(if rules_kept { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
-fn side(args: &Compare, path: &Path, policy: &str) -> Result<Vec<Record>, CommandError> {
-    if path.extension().is_some_and(|e| e == "json") && !is_day(path) {
+/// The runs of one side: read from a result file, or played from a scenario.
+fn load_side(args: &Compare, path: &Path, policy: &str) -> Result<Vec<Record>, CommandError> {
+    if path.extension().is_some_and(|e| e == "json") && !is_drawn_day(path) {
         return record::read(path);
     }
     let days = sweep::days(path, &[], &args.seeds.0)?;
@@ -103,8 +118,8 @@
     runner::all(&jobs, args.threads)
 }
 
-/// A drawn day is JSON too; results have a `g`, or runs.
-fn is_day(path: &Path) -> bool {
+/// Whether a JSON file is a drawn day rather than a result; only drawn days have `troubles`.
+fn is_drawn_day(path: &Path) -> bool {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let value: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
     value.get("troubles").is_some()
@@ -115,29 +130,35 @@
     format!("{} by {policy}", path.file_stem().unwrap_or_default().to_string_lossy())
 }
 
-type Of = fn(&Record) -> f64;
+/// Reads a figure from a record.
+type ReadFigure = fn(&Record) -> f64;
 
-// More is better for each.
-const FIGURES: [(&str, Of); 4] = [
+// A higher value is better for each of them.
+const FIGURES: [(&str, ReadFigure); 4] = [
     ("g", |r| r.g),
     ("whole day", |r| r.whole),
     ("worst window", |r| r.worst_window.share),
     ("worst tenant", |r| Record::worst(&r.tenants).map_or(0.0, |t| t.share)),
 ];
 
-fn figure(name: &'static str, of: &Of, pairs: &[(&Record, &Record)], level: f64) -> Figure {
-    let differences: Vec<f64> = pairs.iter().map(|(a, b)| of(b) - of(a)).collect();
+fn figure(name: &'static str, read: &ReadFigure, pairs: &[(&Record, &Record)], level: f64) -> Figure {
+    let differences: Vec<f64> = pairs.iter().map(|(a, b)| read(b) - read(a)).collect();
     let mean = |xs: Vec<f64>| stats::mean(&xs).unwrap_or(0.0);
-    let interval = stats::bootstrap_mean(&differences, level, DRAWS, &mut Pcg64Mcg::seed_from_u64(SEED));
+    let interval = stats::bootstrap_mean(
+        &differences,
+        level,
+        BOOTSTRAP_DRAWS,
+        &mut Pcg64Mcg::seed_from_u64(BOOTSTRAP_SEED),
+    );
     Figure {
         name,
-        a: mean(pairs.iter().map(|p| of(p.0)).collect()),
-        b: mean(pairs.iter().map(|p| of(p.1)).collect()),
+        a: mean(pairs.iter().map(|p| read(p.0)).collect()),
+        b: mean(pairs.iter().map(|p| read(p.1)).collect()),
         difference: mean(differences.clone()),
         interval,
         b_is_better_in: differences.iter().filter(|d| **d > 0.0).count(),
         b_is_worse_in: differences.iter().filter(|d| **d < 0.0).count(),
-        within_the_noise: interval.is_none_or(|i| i.holds(0.0)),
+        within_the_noise: interval.is_none_or(|i| i.contains(0.0)),
     }
 }
 
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,21 +1,21 @@
-//! Owns the statistics that tables rest on: means, spreads, ranks, and intervals from a bootstrap. All are pure; what
-//! they draw comes from a generator that is handed in.
+//! Statistics for the reports: means, standard deviations, quantiles, rank correlations and bootstrap intervals. All are
+//! pure functions; random draws come from the caller's generator.
 
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Mean; none of an empty list.
+/// The mean; none for an empty list.
 pub fn mean(xs: &[f64]) -> Option<f64> {
     (!xs.is_empty()).then(|| xs.iter().sum::<f64>() / xs.len() as f64)
 }
 
-/// Standard deviation of a sample; 0 for fewer than two.
+/// The standard deviation of a sample; 0 for fewer than two values.
 pub fn deviation(xs: &[f64]) -> f64 {
     let Some(m) = mean(xs).filter(|_| xs.len() > 1) else { return 0.0 };
     (xs.iter().map(|x| (x - m).powi(2)).sum::<f64>() / (xs.len() - 1) as f64).sqrt()
 }
 
-/// The value below which a part `q` (0 to 1) of the list lies, linear between neighbours; none of an empty list.
+/// The quantile `q` (0 to 1) with linear interpolation between neighbours; none for an empty list.
 pub fn quantile(xs: &[f64], q: f64) -> Option<f64> {
     let mut sorted = xs.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -25,24 +25,24 @@
     Some(sorted[low] * (1.0 - part) + sorted[high] * part)
 }
 
-/// An interval.
+/// A closed interval.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Interval {
-    /// Its lower end.
+    /// The lower end.
     pub low: f64,
-    /// Its upper end.
+    /// The upper end.
     pub high: f64,
 }
 
 impl Interval {
-    /// Holds this value.
-    pub fn holds(&self, x: f64) -> bool {
+    /// Whether the interval contains a value.
+    pub fn contains(&self, x: f64) -> bool {
         (self.low..=self.high).contains(&x)
     }
 }
 
-/// Interval of the mean that holds a part `level` of `draws` resamplings (percentile bootstrap). Fewer than two
-/// values say nothing of their spread: none.
+/// Interval that contains the part `level` of the means of `draws` resamples (percentile bootstrap). None for fewer
+/// than two values, which say nothing about their spread.
 pub fn bootstrap_mean(xs: &[f64], level: f64, draws: usize, rng: &mut impl Rng) -> Option<Interval> {
     if xs.len() < 2 {
         return None;
@@ -54,8 +54,8 @@
     Some(Interval { low: quantile(&means, tail)?, high: quantile(&means, 1.0 - tail)? })
 }
 
-/// Rank correlation (Spearman; ties share their mean rank). None for fewer than three pairs or where one side is all
-/// the same.
+/// Spearman's rank correlation, where ties get their mean rank. None for fewer than three pairs, or if all values of one
+/// side are equal.
 pub fn rank_correlation(pairs: &[(f64, f64)]) -> Option<f64> {
     if pairs.len() < 3 {
         return None;
--- a/crates/lab/src/stats/tests.rs
+++ b/crates/lab/src/stats/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of the module that these stand beside.
+//! Tests of the statistics.
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 use super::*;
 
-/// A wrong rank or a wrong tail would make `compare` and `fidelity` claim what is not so: checked against figures
-/// worked out by hand.
+/// Guards against wrong ranks and interval tails, with which `compare` and `fidelity` would report false results. The
+/// expected values were calculated by hand.
 #[test]
-fn figures_worked_out_by_hand() {
+fn statistics_match_values_calculated_by_hand() {
     assert_eq!(quantile(&[4.0, 1.0, 3.0, 2.0], 0.5), Some(2.5));
     assert_eq!(quantile(&[], 0.5), None);
     assert!((deviation(&[2.0, 4.0, 4.0, 4.0, 5.0, 5.0, 7.0, 9.0]) - 2.138).abs() < 1e-3);
@@ -18,7 +18,7 @@
     assert_eq!(rank_correlation(&[(1.0, 2.0), (1.0, 3.0), (1.0, 4.0)]), None);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let apart = bootstrap_mean(&[0.1, 0.12, 0.09, 0.11, 0.1], 0.95, 2000, &mut rng).unwrap();
-    assert!(!apart.holds(0.0) && apart.holds(0.104), "{apart:?}");
+    assert!(!apart.contains(0.0) && apart.contains(0.104), "{apart:?}");
     let noise = bootstrap_mean(&[0.1, -0.12, 0.09, -0.11, 0.02], 0.95, 2000, &mut rng).unwrap();
-    assert!(noise.holds(0.0), "{noise:?}");
+    assert!(noise.contains(0.0), "{noise:?}");
 }
