--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -1,54 +1,61 @@
-//! Owns the finding of the balancer's program: the one that is named, the one beside this program, or one that cargo
-//! builds.
+//! Locates the balancer's executable: the one given on the command line, the one next to this executable, or one that
+//! cargo builds.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
 use crate::error::CommandError;
 
+/// Name of the executable and of its package.
 const NAME: &str = "shorewharf";
 
-/// The program to test.
-pub fn find(named: Option<&Path>) -> Result<PathBuf, CommandError> {
-    if let Some(path) = named {
+/// Returns the path of the balancer's executable, and builds it if there is none. `explicit` is the path given on the
+/// command line.
+///
+/// # Errors
+/// The given path is no file, there is nothing to build from, or the build failed.
+pub fn find(explicit: Option<&Path>) -> Result<PathBuf, CommandError> {
+    if let Some(path) = explicit {
         return if path.is_file() {
             Ok(path.to_owned())
         } else {
             Err(CommandError::Input(format!("--balancer {}: no such program", path.display())))
         };
     }
-    let exe = std::env::current_exe()
-        .map_err(|e| CommandError::External(format!("this program's own path: {e}")))?;
-    let beside = exe.with_file_name(NAME);
-    if beside.is_file() {
-        return Ok(beside);
+    let exe = std::env::current_exe().map_err(|e| {
+        CommandError::External(format!("cannot determine the path of the running program: {e}"))
+    })?;
+    let sibling = exe.with_file_name(NAME);
+    if sibling.is_file() {
+        return Ok(sibling);
     }
-    let here = std::env::current_dir().unwrap_or_default();
-    let root = workspace(&exe).or_else(|| workspace(&here)).ok_or_else(|| {
+    let current_dir = std::env::current_dir().unwrap_or_default();
+    let root = workspace_root(&exe).or_else(|| workspace_root(&current_dir)).ok_or_else(|| {
         CommandError::External(format!(
-            "there is no {} and no checkout to build it from; name the program with --balancer",
-            beside.display()
+            "{} does not exist and no checkout of the repository was found to build it from; give the program with \
+             --balancer",
+            sibling.display()
         ))
     })?;
-    eprintln!("{NAME} is not beside this program; building it: cargo build --release -p {NAME}");
+    eprintln!("{NAME} was not found next to this program; running cargo build --release -p {NAME}");
     build(&root)
 }
 
-/// The checkout above a path.
-fn workspace(path: &Path) -> Option<PathBuf> {
-    let above =
+/// The nearest ancestor directory of a path that is a checkout of the repository.
+fn workspace_root(path: &Path) -> Option<PathBuf> {
+    let root =
         path.ancestors().find(|p| p.join("Cargo.lock").is_file() && p.join("crates/balancer").is_dir());
-    above.map(Path::to_owned)
+    root.map(Path::to_owned)
 }
 
 fn build(root: &Path) -> Result<PathBuf, CommandError> {
-    // Cargo knows where it puts the program; nobody else has to.
+    // The path of the executable is read from cargo's messages, since the target directory is configurable.
     let output = Command::new("cargo")
         .current_dir(root)
         .args(["build", "--release", "--locked", "-p", NAME, "--message-format=json-render-diagnostics"])
         .stderr(Stdio::inherit())
         .output()
-        .map_err(|e| CommandError::External(format!("cargo can't be started: {e}")))?;
+        .map_err(|e| CommandError::External(format!("cannot start cargo: {e}")))?;
     if !output.status.success() {
         return Err(CommandError::External(format!("cargo build -p {NAME} failed: {}", output.status)));
     }
@@ -58,5 +65,9 @@
         .filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok())
         .filter(|m| m["target"]["name"] == NAME)
         .find_map(|m| m["executable"].as_str().map(PathBuf::from));
-    built.ok_or_else(|| CommandError::External(format!("cargo built no program {NAME}")))
+    built.ok_or_else(|| {
+        CommandError::External(format!(
+            "cargo build -p {NAME} succeeded but reported no executable of that name"
+        ))
+    })
 }
--- a/crates/lab/src/clocks.rs
+++ b/crates/lab/src/clocks.rs
@@ -1,5 +1,5 @@
-//! Owns `clocks`: the proof of virtual time against sockets. The same days are played by the built program in real
-//! time and by its decision module in virtual time, and the results are held against each other.
+//! The `clocks` command: validates virtual time against sockets. The built program plays the same days in real time as
+//! its decision module does in virtual time, and the results are compared.
 
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
@@ -20,14 +20,14 @@
 use crate::style::{Style, say};
 use crate::tables;
 
-// What virtual time says of the served share is trusted on sockets if the median day is nearer than this.
-const NEAR: f64 = 0.03;
-// A day on which the lab itself was late is played again, so often.
-const TRIES: usize = 3;
-// Keeps the luck of one draw apart from that of the next.
-const NEXT_SEED: u64 = 0x9e37_79b9;
+// The served share in virtual time is taken as valid for sockets if the median distance of the days is at most this.
+const MAX_MEDIAN_DISTANCE: f64 = 0.03;
+// Number of times that a day is played at most while the lab itself is too late for the run to count.
+const MAX_RUNS: usize = 3;
+// Distance between the seeds of successive draws of a day, so that their random streams differ.
+const SEED_STEP: u64 = 0x9e37_79b9;
 
-/// The figures that are held against each other.
+/// Figures that are compared between the clocks.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Figures {
     g: f64,
@@ -35,35 +35,39 @@
     worst_window: f64,
 }
 
+/// Results of one day on both clocks.
 #[derive(Debug, Serialize)]
 struct Pair {
     day: String,
     sockets: Figures,
-    /// The mean over its draws.
+    /// Means over the day's draws in virtual time.
     virtual_time: Figures,
-    /// The deviation of the served share from draw to draw.
+    /// Standard deviation of the served share over the draws.
     spread: f64,
-    /// The lab was late each time it was played.
+    /// Why the run on sockets does not count, if the lab was too late each time.
     void: Option<String>,
     late_ms: f64,
     rules_kept: bool,
 }
 
 impl Pair {
-    /// Of the served share of the whole day.
+    /// Served share of the whole day on sockets minus that in virtual time.
     fn difference(&self) -> f64 {
         self.sockets.whole - self.virtual_time.whole
     }
 }
 
-/// `clocks`.
+/// Runs `clocks`.
+///
+/// # Errors
+/// A scenario can't be used, or a run failed.
 pub fn clocks(args: &Clocks, style: &Style) -> Result<CommandOutcome, CommandError> {
     let program = balancer::find(args.balancer.as_deref())?;
     let load = |path: &PathBuf| Ok((name(path), files::load(path, &[], args.seed)?.day));
     let days: Vec<(String, Day)> = args.scenarios.iter().map(load).collect::<Result<_, CommandError>>()?;
-    let real = in_real_time(&days, &program, args.at_once)?;
-    // All figures of a day are in the day: another seed changes the luck alone.
-    let draw = |day: &Day, n: u64| Day { seed: (day.seed + n * NEXT_SEED) & i64::MAX as u64, ..day.clone() };
+    let real = play_on_sockets(&days, &program, args.at_once)?;
+    // A day holds all its parameters, so another seed changes only what is drawn at run time.
+    let draw = |day: &Day, n: u64| Day { seed: (day.seed + n * SEED_STEP) & i64::MAX as u64, ..day.clone() };
     let jobs: Vec<(String, Day)> = days
         .iter()
         .flat_map(|(_, day)| (0..args.draws).map(|n| ("module".to_owned(), draw(day, n))))
@@ -82,16 +86,20 @@
         files::write(path, &(serde_json::to_string_pretty(&whole).expect("keys are text") + "\n"))?;
     }
     say(&print(&pairs, median, style));
-    let well = median.is_some_and(|m| m <= NEAR) && pairs.iter().all(|p| p.rules_kept);
-    Ok(if well { CommandOutcome::Success } else { CommandOutcome::Failure })
+    let passed = median.is_some_and(|m| m <= MAX_MEDIAN_DISTANCE) && pairs.iter().all(|p| p.rules_kept);
+    Ok(if passed { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
 fn name(path: &Path) -> String {
     path.file_stem().unwrap_or_default().to_string_lossy().into_owned()
 }
 
-/// Plays all days on sockets, so many at once.
-fn in_real_time(days: &[(String, Day)], program: &Path, at_once: usize) -> Result<Vec<Record>, CommandError> {
+/// Plays all days on sockets, `at_once` of them at a time. The records are in the order of `days`.
+fn play_on_sockets(
+    days: &[(String, Day)],
+    program: &Path,
+    at_once: usize,
+) -> Result<Vec<Record>, CommandError> {
     let bar = ProgressBar::new(days.len() as u64);
     let style = ProgressStyle::with_template("on sockets {wide_bar} {pos} of {len} days")
         .unwrap_or_else(|_| ProgressStyle::default_bar());
@@ -102,24 +110,25 @@
         for _ in 0..at_once.clamp(1, days.len().max(1)) {
             threads.spawn(|| {
                 while let Some((name, day)) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let record = unless_late(day, program);
+                    let record = play_until_valid(day, program);
                     bar.inc(1);
-                    played.lock().expect("nobody panics with it").push((name, record));
+                    played.lock().expect("no thread panics while it holds the lock").push((name, record));
                 }
             });
         }
     });
     bar.finish_and_clear();
-    let mut played = played.into_inner().expect("nobody panics with it");
-    // In the order of the command line, whichever ended first.
+    let mut played = played.into_inner().expect("no thread panics while it holds the lock");
+    // The days end in any order; the records are returned in the order of the command line.
     let place = |name: &String| days.iter().position(|d| d.0 == *name);
     played.sort_by_key(|(name, _)| place(name));
     played.into_iter().map(|(_, record)| record).collect()
 }
 
-fn unless_late(day: &Day, program: &Path) -> Result<Record, CommandError> {
+/// Plays a day on sockets, and again while the lab is too late for the run to count.
+fn play_until_valid(day: &Day, program: &Path) -> Result<Record, CommandError> {
     let mut record = sockets::play(day, program, None, &mut |_| {})?;
-    for _ in 1..TRIES {
+    for _ in 1..MAX_RUNS {
         if void(&record).is_none() {
             break;
         }
@@ -178,8 +187,8 @@
             if p.rules_kept { "kept".into() } else { "BROKEN".to_owned() },
         ]);
     }
-    let median = median.map_or("no day counts".to_owned(), |m| {
-        format!("median distance of the served shares {m:.4} ({NEAR} is near)")
+    let median = median.map_or("no run on sockets counts".to_owned(), |m| {
+        format!("median distance of the served shares {m:.4} (at most {MAX_MEDIAN_DISTANCE} is accepted)")
     });
     format!("{t}\n{median}\n")
 }
