--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -1,5 +1,5 @@
-//! Owns the store of a trial whose balancers share budgets: a stand-in with a member for each of them, the operators' files that
-//! name it, and what the trial's file breaks between them.
+//! The store of a trial whose balancers share budgets: a stand-in with one member per balancer, the operators' files
+//! that configure it, and the faults that the trial injects between the balancers and the store.
 
 use std::ffi::OsString;
 use std::fs;
@@ -14,86 +14,95 @@
 
 use crate::error::CommandError;
 
-/// A store, and what fails between it and the balancers.
+/// A stand-in store with the faults that are injected between it and the balancers.
 pub struct SharedStore {
     cluster: Cluster,
     members: Vec<Member>,
-    breaks: Vec<(StoreFault, BreakStage)>,
+    faults: Vec<(StoreFault, FaultStage)>,
     folder: TempDir,
 }
 
-/// How far a break is.
+/// Progress of a fault.
 #[derive(Clone, Copy, PartialEq)]
-enum BreakStage {
-    Ahead,
-    On,
+enum FaultStage {
+    Pending,
+    Active,
     Over,
 }
 
 impl SharedStore {
-    /// Starts the store and writes each balancer's file: the terms, its own member of the store, and all names.
+    /// Starts the store and writes an operator's file for each balancer: the settings in `terms`, the endpoint of its
+    /// own member of the store, and the file that lists all balancers' names.
+    ///
+    /// # Errors
+    /// The store can't be started, a file can't be written, or `terms` is not valid TOML.
     pub fn start(
         day: &Day,
         terms: &toml::Table,
-        breaks: Vec<StoreFault>,
+        faults: Vec<StoreFault>,
     ) -> Result<SharedStore, CommandError> {
-        let outside = |e: std::io::Error| CommandError::External(format!("the store's stand-in: {e}"));
-        let (cluster, folder) = (Cluster::new(), TempDir::with_prefix("shorewharf-store-").map_err(outside)?);
+        let external_error = |e: std::io::Error| {
+            CommandError::External(format!("cannot start the stand-in store or write its files: {e}"))
+        };
+        let (cluster, folder) =
+            (Cluster::new(), TempDir::with_prefix("shorewharf-store-").map_err(external_error)?);
         let n = day.balancers.len();
-        let members = (0..n).map(|_| cluster.member()).collect::<Result<Vec<_>, _>>().map_err(outside)?;
+        let members =
+            (0..n).map(|_| cluster.member()).collect::<Result<Vec<_>, _>>().map_err(external_error)?;
         let names: String = (0..n as u32).map(|i| Directory::balancer_name(BalancerId(i)) + "\n").collect();
         let list = folder.path().join("members");
-        fs::write(&list, names).map_err(outside)?;
+        fs::write(&list, names).map_err(external_error)?;
         for (i, member) in members.iter().enumerate() {
             let mut budgets = terms.clone();
             budgets.insert("store".to_owned(), vec![member.endpoint()].into());
             budgets.insert("members".to_owned(), list.display().to_string().into());
             let file: toml::Table =
                 [("budgets".to_owned(), toml::Value::Table(budgets))].into_iter().collect();
-            let text = toml::to_string(&file).map_err(|e| CommandError::Input(format!("budgets: {e}")))?;
-            fs::write(folder.path().join(format!("{i}.toml")), text).map_err(outside)?;
+            let text = toml::to_string(&file)
+                .map_err(|e| CommandError::Input(format!("[budgets] cannot be written as TOML: {e}")))?;
+            fs::write(folder.path().join(format!("{i}.toml")), text).map_err(external_error)?;
         }
-        let breaks = breaks.into_iter().map(|b| (b, BreakStage::Ahead)).collect();
-        Ok(SharedStore { cluster, members, breaks, folder })
+        let faults = faults.into_iter().map(|fault| (fault, FaultStage::Pending)).collect();
+        Ok(SharedStore { cluster, members, faults, folder })
     }
 
-    /// Each balancer's arguments.
-    pub fn args(&self) -> Vec<Vec<OsString>> {
+    /// Command-line arguments of each balancer, in their order.
+    pub fn balancer_args(&self) -> Vec<Vec<OsString>> {
         let file = |i: usize| self.folder.path().join(format!("{i}.toml"));
         (0..self.members.len()).map(|i| vec!["--operator".into(), file(i).into()]).collect()
     }
 
-    /// Breaks what is to be broken by now, and heals what is over.
-    pub fn look(&mut self, now: Micros) {
-        for (b, step) in &mut self.breaks {
-            let next = match *step {
-                BreakStage::Ahead if now >= b.from => BreakStage::On,
-                BreakStage::On if now >= b.to => BreakStage::Over,
-                step => step,
+    /// Activates the faults that have begun by `now`, and clears those that are over.
+    pub fn apply_due_faults(&mut self, now: Micros) {
+        for (store_fault, stage) in &mut self.faults {
+            let next = match *stage {
+                FaultStage::Pending if now >= store_fault.from => FaultStage::Active,
+                FaultStage::Active if now >= store_fault.to => FaultStage::Over,
+                stage => stage,
             };
-            if std::mem::replace(step, next) == next {
+            if std::mem::replace(stage, next) == next {
                 continue;
             }
-            let fault = match (next, b.kind) {
-                (BreakStage::On, FaultKind::StoreEmptied) => {
+            let fault = match (next, store_fault.kind) {
+                (FaultStage::Active, FaultKind::StoreEmptied) => {
                     self.cluster.wipe();
                     continue;
                 }
-                (BreakStage::On, FaultKind::StoreRefused) => Fault::Refuses,
-                (BreakStage::On, FaultKind::StoreAnswersLost) => Fault::LosesAnswers,
-                (BreakStage::On, _) => Fault::Silent,
+                (FaultStage::Active, FaultKind::StoreRefused) => Fault::Refuses,
+                (FaultStage::Active, FaultKind::StoreAnswersLost) => Fault::LosesAnswers,
+                (FaultStage::Active, _) => Fault::Silent,
                 (_, FaultKind::StoreEmptied) => continue,
                 _ => Fault::None,
             };
-            for who in &b.balancers {
-                if let Some(member) = self.members.get(*who as usize) {
+            for balancer in &store_fault.balancers {
+                if let Some(member) = self.members.get(*balancer as usize) {
                     member.set(fault);
                 }
             }
         }
     }
 
-    /// Calls that came at the store.
+    /// Number of calls that the store has received.
     pub fn calls(&self) -> u64 {
         self.cluster.calls()
     }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -310,7 +310,7 @@
     }
 
     /// Nothing was broken or lost, and the run counts.
-    pub fn sound(&self) -> bool {
+    pub fn is_sound(&self) -> bool {
         self.rules.kept && self.sockets.as_ref().is_none_or(|s| s.void.is_none())
     }
 
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -13,7 +13,10 @@
 use crate::style::{Style, say};
 use crate::tables;
 
-/// `run`.
+/// Runs `run`.
+///
+/// # Errors
+/// The scenario, the policy or the program can't be used, or a result file can't be written.
 pub fn run(args: &Run, style: &Style) -> Result<CommandOutcome, CommandError> {
     let scenario = files::scenario(&args.which)?;
     for problem in &scenario.warnings {
@@ -22,7 +25,9 @@
     let (record, note) = match args.how.clock {
         Clock::Virtual => {
             if !scenario.day.bad_clients.is_empty() {
-                tracing::warn!("bad clients send bytes and come on sockets only: --clock sockets");
+                tracing::warn!(
+                    "the scenario's bad clients are left out in virtual time; play them with --clock sockets"
+                );
             }
             let (record, took) = runner::one(&scenario.day, &args.how.policy, args.how.threads)?;
             let note = runner::speed(&record, took);
@@ -31,13 +36,16 @@
         Clock::Sockets => {
             let program = balancer::find(args.how.balancer.as_deref())?;
             let operator = args.how.policy.strip_prefix("module@").map(Path::new);
-            (sockets::with_bar(&scenario.day, &program, operator)?, String::new())
+            (sockets::play_with_progress(&scenario.day, &program, operator)?, String::new())
         }
     };
     show(&record, &note, args.json.as_deref(), args.report.as_deref(), style)
 }
 
-/// Prints a run, writes the files that are wanted of it, and tells how it ended.
+/// Prints a record, writes it to the requested files and returns the command's outcome. `note` is printed below it.
+///
+/// # Errors
+/// A file can't be written.
 pub fn show(
     record: &Record,
     note: &str,
@@ -58,5 +66,5 @@
     if let Some(path) = report {
         page::write(path, record)?;
     }
-    Ok(if record.sound() { CommandOutcome::Success } else { CommandOutcome::Failure })
+    Ok(if record.is_sound() { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Owns the playing of a day on sockets, from the lab's side: the program with its limits, what only real time shows,
-//! and how far it is.
+//! Runs of a day on sockets: starts the emulated platform with the balancer's program and its limits, shows the
+//! progress, and reports the measurements that exist only in real time.
 
 use std::ffi::OsString;
 use std::path::Path;
@@ -19,77 +19,84 @@
 use crate::runner;
 use shorewharf_units::seconds_from_micros;
 
-/// The program with the limits of a day's machines.
+/// The balancer's program with the process limits of a day.
 pub fn program(day: &Day, path: &Path) -> Program {
     let limits = ProcessLimits { sockets: day.limits.sockets, memory_mb: day.limits.memory_mb };
     Program { path: path.to_owned(), args: Vec::new(), limits }
 }
 
-/// Plays a day in real time. `operator`: the operator's own file for the program. `watch` is called once a second.
+/// Plays a day in real time. `operator` is an operator's file for the program; `on_sample` is called once a second.
+///
+/// # Errors
+/// The day or the operator's file can't be used, or a process failed.
 pub fn play(
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    watch: &mut dyn FnMut(&StatusSample<'_>),
+    on_sample: &mut dyn FnMut(&StatusSample<'_>),
 ) -> Result<Record, CommandError> {
-    let run = run(day, path, operator, (&[], None, false), Vec::new(), watch)?;
+    let run = run(day, path, operator, (&[], None, false), Vec::new(), on_sample)?;
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let mut record = runner::record(day, &name, "sockets", &run.result);
     record.sockets = Some(facts(&run.report));
     Ok(record)
 }
 
-/// Descriptors of this process beside listeners and connections.
-const OTHERS: u64 = 500;
+/// Descriptors of this process besides listeners and connections.
+const OTHER_DESCRIPTORS: u64 = 500;
 
-/// Why a day has more parties than this process may listen for, if it has.
-pub fn too_many(day: &Day) -> Option<String> {
+/// Why this process may not open enough descriptors to listen for all parties of a day; none if it may.
+pub fn descriptor_shortage(day: &Day) -> Option<String> {
     let (balancers, nodes) = (day.balancers.len() as u64, day.nodes.len() as u64);
-    let needs = balancers * (nodes + 4) + OTHERS;
-    let may = raise_descriptors();
-    (needs > may).then(|| {
+    let needs = balancers * (nodes + 4) + OTHER_DESCRIPTORS;
+    let allowed = raise_descriptors();
+    (needs > allowed).then(|| {
         format!(
-            "{balancers} balancers before {nodes} nodes need {needs} descriptors and more, {may} are allowed"
+            "{balancers} balancers with {nodes} nodes need at least {needs} descriptors, but only {allowed} are allowed"
         )
     })
 }
 
-/// Plays a day in real time with what is broken between the processes, with a bar.
-pub fn between(
+/// Plays a day in real time with network faults and a shared store, and shows a progress bar. `gossip`: the balancers
+/// exchange gossip. `logs`: the folder in which the processes' logs and configurations are kept.
+///
+/// # Errors
+/// The day or the operator's file can't be used, or a process failed.
+pub fn play_with_faults(
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    (breaks, together): (&[NetworkFault], bool),
+    (network_faults, gossip): (&[NetworkFault], bool),
     mut shared: Option<&mut SharedStore>,
     logs: Option<&Path>,
 ) -> Result<SocketsRun, CommandError> {
     let bar = bar(day);
-    let own_args = shared.as_ref().map_or(Vec::new(), |s| s.args());
-    let played = run(day, path, operator, (breaks, logs, together), own_args, &mut |glance| {
-        bar.set_position(glance.now / 1_000_000);
-        shared.iter_mut().for_each(|s| s.look(glance.now));
+    let balancer_args = shared.as_ref().map_or(Vec::new(), |s| s.balancer_args());
+    let result = run(day, path, operator, (network_faults, logs, gossip), balancer_args, &mut |sample| {
+        bar.set_position(sample.now / 1_000_000);
+        shared.iter_mut().for_each(|s| s.apply_due_faults(sample.now));
     });
     bar.finish_and_clear();
-    played
+    result
 }
 
 fn run(
     day: &Day,
     path: &Path,
     operator: Option<&Path>,
-    (breaks, logs, together): (&[NetworkFault], Option<&Path>, bool),
-    own_args: Vec<Vec<OsString>>,
-    watch: &mut dyn FnMut(&StatusSample<'_>),
+    (network_faults, logs, gossip): (&[NetworkFault], Option<&Path>, bool),
+    balancer_args: Vec<Vec<OsString>>,
+    on_sample: &mut dyn FnMut(&StatusSample<'_>),
 ) -> Result<SocketsRun, CommandError> {
     let descriptors = raise_descriptors();
     tracing::info!(descriptors, program = %path.display(), "playing on sockets");
     let mut program = program(day, path);
-    let mut text = together.then(String::new);
-    if let (Some(text), Some(file)) = (&mut text, operator) {
+    let mut operator_text = gossip.then(String::new);
+    if let (Some(text), Some(file)) = (&mut operator_text, operator) {
         *text = std::fs::read_to_string(file)
             .map_err(|e| CommandError::Input(format!("{}: {e}", file.display())))?;
     } else if let Some(file) = operator {
-        // The program starts elsewhere.
+        // The program is started in another working directory.
         let file = std::path::absolute(file).unwrap_or_else(|_| file.to_owned());
         program.args = vec!["--operator".into(), file.into()];
     }
@@ -97,22 +104,25 @@
         program,
         folder: logs.map(Path::to_owned),
         settings: settings::json,
-        network_faults: breaks.to_vec(),
-        gossip_operator_settings: text,
-        balancer_args: own_args,
+        network_faults: network_faults.to_vec(),
+        gossip_operator_settings: operator_text,
+        balancer_args,
     };
-    platform::run(day, &options, watch).map_err(|e| match e {
+    platform::run(day, &options, on_sample).map_err(|e| match e {
         RunError::TooMany(..) | RunError::Bad(_) => CommandError::Input(format!("{}: {e}", day.name)),
         e => CommandError::External(e.to_string()),
     })
 }
 
-/// Plays a day in real time, with a bar.
-pub fn with_bar(day: &Day, path: &Path, operator: Option<&Path>) -> Result<Record, CommandError> {
+/// Plays a day in real time as [`play`] does, and shows a progress bar.
+///
+/// # Errors
+/// As for [`play`].
+pub fn play_with_progress(day: &Day, path: &Path, operator: Option<&Path>) -> Result<Record, CommandError> {
     let bar = bar(day);
-    let played = play(day, path, operator, &mut |glance| bar.set_position(glance.now / 1_000_000));
+    let result = play(day, path, operator, &mut |sample| bar.set_position(sample.now / 1_000_000));
     bar.finish_and_clear();
-    played
+    result
 }
 
 fn bar(day: &Day) -> ProgressBar {
@@ -124,17 +134,17 @@
     bar
 }
 
-fn times(spread: &Distribution) -> Times {
+fn times(distribution: &Distribution) -> Times {
     let ms = |us: u64| round(us as f64 / 1e3, 3);
     Times {
-        count: spread.len(),
-        half_ms: ms(spread.quantile(0.5)),
-        most_ms: ms(spread.quantile(0.99)),
-        longest_ms: ms(spread.max()),
+        count: distribution.len(),
+        half_ms: ms(distribution.quantile(0.5)),
+        most_ms: ms(distribution.quantile(0.99)),
+        longest_ms: ms(distribution.max()),
     }
 }
 
-/// What only real time shows of a run.
+/// The measurements of a run that exist only in real time.
 pub fn facts(report: &Report) -> SocketFacts {
     SocketFacts {
         void: report.void.clone(),
@@ -173,7 +183,7 @@
     }
 }
 
-/// How far the lab itself was from being the limit, and what the processes used, all together.
+/// A summary of the lab's own delays and of the resources that all processes used.
 pub fn short_note(facts: &SocketFacts) -> String {
     let (late, handled) = (&facts.late, &facts.handled);
     let cpu: f64 = facts.lives.iter().map(|l| l.cpu_ms).sum();
@@ -203,7 +213,7 @@
     text
 }
 
-/// What only real time shows, for people.
+/// The real-time measurements as text, with a line for each process.
 pub fn note(facts: &SocketFacts) -> String {
     let late = &facts.late;
     let round = &facts.round;
@@ -228,8 +238,8 @@
             if life.how.is_empty() { "ran to the end" } else { &life.how },
         );
     }
-    for (kind, text_of) in &facts.bad {
-        text += &format!("bad clients, {kind}: {text_of}\n");
+    for (kind, outcome) in &facts.bad {
+        text += &format!("bad clients, {kind}: {outcome}\n");
     }
     for strange in &facts.strange {
         text += &format!("strange: {strange}\n");
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -38,7 +38,7 @@
     let day = &scenario.day;
     let breaks = trial.network_faults(day).map_err(|e| wrong(&e))?;
     let program = balancer::find(args.balancer.as_deref())?;
-    if let Some(needs) = sockets::too_many(day) {
+    if let Some(needs) = sockets::descriptor_shortage(day) {
         return Err(CommandError::Input(format!("{}: {needs}", path.display())));
     }
     let mut shared = match &trial.budgets {
@@ -50,7 +50,7 @@
         Some(terms) => Some(SharedStore::start(day, terms, trial.store_faults(day).map_err(|e| wrong(&e))?)?),
         None => None,
     };
-    let run = sockets::between(
+    let run = sockets::play_with_faults(
         day,
         &program,
         args.operator.as_deref(),
