--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,5 +1,5 @@
-//! Owns `demo`: a day that is made to be watched, with a table that is redrawn each second on a terminal and a line a
-//! second elsewhere.
+//! The `demo` command: plays a short day on sockets, and shows its state each second as a table that is redrawn on a
+//! terminal, or as a line elsewhere.
 
 use std::path::Path;
 
@@ -18,14 +18,18 @@
 use crate::tables;
 
 const DAY: &str = include_str!("../../../scenarios/demo.toml");
-const BAR: usize = 24;
+/// Width of a bar in characters.
+const BAR_WIDTH: usize = 24;
 
-/// `demo`.
+/// Runs `demo`.
+///
+/// # Errors
+/// The balancer's program is not found, a process failed, or a result file can't be written.
 pub fn demo(args: &Demo, style: &Style) -> Result<CommandOutcome, CommandError> {
     let mut day = scenario::from_text(Path::new("demo.toml"), DAY, &[], Some(args.seed))
         .map_err(|e| CommandError::Input(e.to_string()))?
         .day;
-    fit(&mut day, args.seconds * 1_000_000);
+    scale_to_length(&mut day, args.seconds * 1_000_000);
     let program = balancer::find(args.balancer.as_deref())?;
     say(&format!(
         "{} nodes, {} balancers ({}), clients and one crash on loopback, for {} s\n",
@@ -34,30 +38,32 @@
         program.display(),
         args.seconds
     ));
-    let mut drawn = 0;
-    let record = sockets::play(&day, &program, None, &mut |glance| {
+    let mut lines_drawn = 0;
+    let record = sockets::play(&day, &program, None, &mut |sample| {
         if style.redraw {
-            let text = live(&day, glance, style);
-            let back = if drawn > 0 { format!("\x1b[{drawn}A\x1b[J") } else { String::new() };
-            drawn = text.lines().count();
-            say(&(back + &text));
+            let text = status_table(&day, sample, style);
+            let cursor_up =
+                if lines_drawn > 0 { format!("\x1b[{lines_drawn}A\x1b[J") } else { String::new() };
+            lines_drawn = text.lines().count();
+            say(&(cursor_up + &text));
         } else {
-            say(&line(&day, glance));
+            say(&status_line(&day, sample));
         }
     })?;
     say("\n");
     run::show(&record, "", args.json.as_deref(), args.report.as_deref(), style)
 }
 
-/// Another length moves the faults with it, so that a short demo shows its crash too.
-fn fit(day: &mut Day, length: Micros) {
+/// Sets the day's length and scales the times of its faults with it, so that a short demo shows its crash too.
+fn scale_to_length(day: &mut Day, length: Micros) {
     let scale = |t: Micros| (t as f64 * length as f64 / day.length as f64) as Micros;
     let faults = day.faults.iter().map(|f| Fault { at: scale(f.at), len: scale(f.len), ..f.clone() });
     day.faults = faults.collect();
     day.length = length;
 }
 
-fn on(day: &Day, now: Micros) -> Vec<String> {
+/// Descriptions of the faults that are active at a time.
+fn active_faults(day: &Day, now: Micros) -> Vec<String> {
     let faults = day.faults.iter().filter(|f| (f.at..f.at + f.len).contains(&now));
     faults
         .map(|f| {
@@ -67,45 +73,45 @@
         .collect()
 }
 
-/// A second in one line.
-fn line(day: &Day, glance: &StatusSample<'_>) -> String {
-    let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
-    let up: Vec<f64> = glance
+/// The state of one second as a line.
+fn status_line(day: &Day, sample: &StatusSample<'_>) -> String {
+    let (tries, ups, refused) = sample.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
+    let up: Vec<f64> = sample
         .nodes
         .iter()
         .filter(|n| n.accepts_connections)
         .map(|n| n.load / n.capacity.max(1e-9))
         .collect();
-    let clients: usize = glance.balancers.iter().map(|b| b.clients).sum();
-    let fault = on(day, glance.now).join(", ");
+    let clients: usize = sample.balancers.iter().map(|b| b.clients).sum();
+    let fault = active_faults(day, sample.now).join(", ");
     format!(
         "{:3} s  tries {tries:3}  set up {ups:3}  refused {refused:3}  standing {clients:4}  nodes {} of {}  load {:.2} mean, {:.2} most  balancers {} of {}{}{fault}\n",
-        glance.now / 1_000_000,
+        sample.now / 1_000_000,
         up.len(),
-        glance.nodes.len(),
+        sample.nodes.len(),
         crate::stats::mean(&up).unwrap_or(0.0),
         up.iter().copied().fold(0.0, f64::max),
-        glance.balancers.iter().filter(|b| b.ready).count(),
-        glance.balancers.len(),
+        sample.balancers.iter().filter(|b| b.ready).count(),
+        sample.balancers.len(),
         if fault.is_empty() { "" } else { "  " },
     )
 }
 
-/// The table that is redrawn.
-fn live(day: &Day, glance: &StatusSample<'_>, style: &Style) -> String {
-    let (tries, ups, refused) = glance.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
-    let (now, end) = (glance.now / 1_000_000, day.length / 1_000_000);
-    let done = (glance.now as f64 / day.length.max(1) as f64).min(1.0);
-    let fault = on(day, glance.now).join(", ");
+/// The state of one second as tables that are redrawn in place.
+fn status_table(day: &Day, sample: &StatusSample<'_>, style: &Style) -> String {
+    let (tries, ups, refused) = sample.second.map_or((0, 0, 0), |s| (s.tries, s.ups, s.refused));
+    let (now, end) = (sample.now / 1_000_000, day.length / 1_000_000);
+    let done = (sample.now as f64 / day.length.max(1) as f64).min(1.0);
+    let fault = active_faults(day, sample.now).join(", ");
     let mut text = format!(
         "{} {now:3} of {end} s   this second: {tries} tries, {ups} set up, {refused} refused   {}\n",
-        bar(done, BAR),
+        bar(done, BAR_WIDTH),
         style.bad(&fault),
     );
     let mut nodes = tables::table(&["node", "zone", "load", "", "connections", "set-ups", ""], true, style);
-    for (i, n) in glance.nodes.iter().enumerate() {
+    for (i, n) in sample.nodes.iter().enumerate() {
         let load = if n.capacity > 0.0 { n.load / n.capacity } else { 0.0 };
-        // A node that has just started can do less than when it is warm.
+        // A node that has just started has less capacity than when it is warm.
         let warm = day.nodes.get(i).map_or(1.0, |d| f64::from(day.kinds[d.kind as usize].cores) * d.speed);
         let state = match () {
             () if !n.accepts_connections => "down",
@@ -116,14 +122,14 @@
             i.to_string(),
             day.zones[day.nodes[i].zone as usize].clone(),
             format!("{load:.2}"),
-            bar(load, BAR),
+            bar(load, BAR_WIDTH),
             n.connections.to_string(),
             n.set_ups.to_string(),
             state.to_owned(),
         ]);
     }
     let mut balancers = tables::table(&["balancer", "zone", "clients", ""], true, style);
-    for (i, b) in glance.balancers.iter().enumerate() {
+    for (i, b) in sample.balancers.iter().enumerate() {
         let state = match (b.runs, b.ready) {
             (true, true) => "ready",
             (true, false) => "starting",
@@ -136,6 +142,7 @@
     text
 }
 
+/// A bar of which a part (0 to 1) is filled.
 fn bar(part: f64, width: usize) -> String {
     let full = (part.clamp(0.0, 1.0) * width as f64).round() as usize;
     "█".repeat(full) + &"░".repeat(width - full)
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,32 +1,32 @@
-//! Owns how a command ends, and the exit codes that `--help` promises.
+//! Outcomes and errors of commands, and the exit codes that `--help` lists.
 
 use std::process::ExitCode;
 
 use thiserror::Error;
 
-/// How a command that got to its end ended.
+/// Outcome of a command that ran to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// Nothing was found wrong.
+    /// All checks passed.
     Success,
-    /// A rule was broken, a connection lost, or something that was checked is wrong.
+    /// A rule was broken, a connection was lost, or a checked file or value is wrong.
     Failure,
 }
 
-/// Why a command did not get to its end.
+/// Why a command could not run to its end.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The command line or an input file can't be used; the text names it.
+    /// The command line or an input file can't be used; the message names it.
     #[error("{0}")]
     Input(String),
-    /// Something outside failed; the text names it.
+    /// A file, process or other part of the system failed; the message names it.
     #[error("{0}")]
     External(String),
 }
 
-/// The exit code of an ending.
-pub fn exit_code(ended: &Result<CommandOutcome, CommandError>) -> ExitCode {
-    ExitCode::from(match ended {
+/// The process's exit code for a command's result.
+pub fn exit_code(result: &Result<CommandOutcome, CommandError>) -> ExitCode {
+    ExitCode::from(match result {
         Ok(CommandOutcome::Success) => 0,
         Ok(CommandOutcome::Failure) => 1,
         Err(CommandError::Input(_)) => 2,
--- a/crates/lab/src/files.rs
+++ b/crates/lab/src/files.rs
@@ -1,4 +1,4 @@
-//! Owns the commands that only read and write files: `import`, `check` and `show`.
+//! The commands that only read and write files (`import`, `check` and `show`), and the reading of scenarios for others.
 
 use std::path::Path;
 
@@ -8,18 +8,24 @@
 use crate::scenario::{self, Scenario};
 use crate::style::{Style, say};
 
-/// A scenario as the command line names it: a TOML file, or a drawn day (JSON).
+/// Reads the scenario that the command line names, with its changes of keys and of the seed.
+///
+/// # Errors
+/// The file or a change can't be used.
 pub fn scenario(which: &ScenarioArgs) -> Result<Scenario, CommandError> {
     load(&which.scenario, &single(&which.set)?, which.seed)
 }
 
-/// Changes of keys with one value each.
+/// The `--set` arguments of commands that allow only one value for each key.
+///
+/// # Errors
+/// A key has several values.
 pub fn single(set: &[Axis]) -> Result<Vec<(String, String)>, CommandError> {
     set.iter()
         .map(|axis| match &axis.values[..] {
             [one] => Ok((axis.key.clone(), one.clone())),
             more => Err(CommandError::Input(format!(
-                "--set {}: one value, not {}; sweep plays several (a list is written [{}])",
+                "--set {}: expected one value, found {}; sweep plays several (a list is written [{}])",
                 axis.key,
                 more.len(),
                 more.join(",")
@@ -28,7 +34,10 @@
         .collect()
 }
 
-/// A scenario file or a drawn day with changes.
+/// Reads a scenario file (TOML) or a drawn day (JSON), with changes of keys and of the seed.
+///
+/// # Errors
+/// The file or a change can't be used.
 pub fn load(path: &Path, sets: &[(String, String)], seed: Option<u64>) -> Result<Scenario, CommandError> {
     if path.extension().is_some_and(|e| e == "json") {
         let day = crate::import::read(path).map_err(|e| CommandError::Input(e.to_string()))?;
@@ -39,7 +48,10 @@
     scenario::load(path, sets, seed).map_err(|e| CommandError::Input(e.to_string()))
 }
 
-/// `import`.
+/// Runs `import`.
+///
+/// # Errors
+/// The drawn day can't be used, or the scenario file can't be written.
 pub fn import(args: &Import) -> Result<CommandOutcome, CommandError> {
     let day = crate::import::read(&args.day).map_err(|e| CommandError::Input(e.to_string()))?;
     let text =
@@ -51,13 +63,13 @@
     Ok(CommandOutcome::Success)
 }
 
-/// `check`.
+/// Runs `check`. Files that can't be used are findings and no errors of the command.
 pub fn check(args: &Check, style: &Style) -> Result<CommandOutcome, CommandError> {
-    let mut done = CommandOutcome::Success;
+    let mut outcome = CommandOutcome::Success;
     for path in &args.scenarios {
         match load(path, &[], None) {
             Err(e) => {
-                done = CommandOutcome::Failure;
+                outcome = CommandOutcome::Failure;
                 say(&format!("{} {}\n", style.bad("wrong"), path.display()));
                 say(&format!("{}\n", indent(&e.to_string())));
             }
@@ -71,7 +83,7 @@
             }
             Ok(scenario) => {
                 if args.strict {
-                    done = CommandOutcome::Failure;
+                    outcome = CommandOutcome::Failure;
                 }
                 say(&format!("{} {}\n", style.warn("odd  "), path.display()));
                 for problem in &scenario.warnings {
@@ -80,14 +92,17 @@
             }
         }
     }
-    Ok(done)
+    Ok(outcome)
 }
 
 fn indent(text: &str) -> String {
     text.lines().map(|l| format!("      {l}")).collect::<Vec<_>>().join("\n")
 }
 
-/// `show`.
+/// Runs `show`.
+///
+/// # Errors
+/// The scenario can't be used.
 pub fn show(args: &Show) -> Result<CommandOutcome, CommandError> {
     let day = scenario(&args.which)?.day;
     let text = if args.json {
@@ -99,11 +114,15 @@
     Ok(CommandOutcome::Success)
 }
 
-/// Writes a file, or to standard output for `-`.
+/// Writes a text to a file, or to standard output for `-`.
+///
+/// # Errors
+/// The file can't be written.
 pub fn write(path: &Path, text: &str) -> Result<(), CommandError> {
     if path == Path::new("-") {
         say(text);
         return Ok(());
     }
-    std::fs::write(path, text).map_err(|e| CommandError::External(format!("{}: {e}", path.display())))
+    std::fs::write(path, text)
+        .map_err(|e| CommandError::External(format!("{}: cannot write the file: {e}", path.display())))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `shorewharf-lab`: see `cli.rs` for its words and exit codes.
+//! The `shorewharf-lab` program. Its commands and exit codes are described in `cli.rs`.
 
 use std::process::ExitCode;
 
