--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: the emulated platform with the real driver and decision module behind it, and what people need to
-//! experiment on them.
+//! The lab: runs the balancer's program, or its driver and decision module, on the emulated platform, with the commands
+//! for experiments and the reports on them.
 
 mod balancer;
 mod budgets;
@@ -36,11 +36,11 @@
 use cli::{Cli, Command};
 use style::Style;
 
-/// Runs the command line that the process was started with.
+/// Runs the command that the process's arguments name, and returns its exit code.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     let style = Style::of(cli.color);
-    let ended = log::begin(&cli.log, cli.log_format).and_then(|()| match &cli.command {
+    let result = log::init(&cli.log, cli.log_format).and_then(|()| match &cli.command {
         Command::Import(args) => files::import(args),
         Command::Check(args) => files::check(args, &style),
         Command::Show(args) => files::show(args),
@@ -55,8 +55,8 @@
         Command::Load(args) => load::load(args, &style),
         Command::Trial(args) => trial::trial(args, &style),
     });
-    if let Err(e) = &ended {
+    if let Err(e) = &result {
         eprintln!("{}", style.bad("error:").clone() + " " + &e.to_string());
     }
-    error::exit_code(&ended)
+    error::exit_code(&result)
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Owns `load`: the emulator's load engine on one balancer, for people.
+//! The `load` command: runs the emulator's load generator on one balancer and prints the measurements.
 
 use std::path::Path;
 
@@ -13,36 +13,42 @@
 use crate::files;
 use crate::style::{Style, say};
 
-// A balancer's tables of descriptors are this long at most where systems are left as they come.
-const MOST_SOCKETS: u32 = 1 << 20;
+// Linux's default of fs.nr_open: a process can't raise its descriptor limit above this.
+const MAX_SOCKETS: u32 = 1 << 20;
 
-fn us(seconds: f64) -> u64 {
+fn micros(seconds: f64) -> u64 {
     (seconds.clamp(0.0, 1e9) * 1e6) as u64
 }
 
-/// `load`.
+/// Runs `load`.
+///
+/// # Errors
+/// An argument or the program can't be used, or a process or file failed.
 pub fn load(args: &Load, style: &Style) -> Result<CommandOutcome, CommandError> {
     let path = balancer::find(args.balancer.as_deref())?;
     let descriptors = raise_descriptors();
-    tracing::info!(descriptors, program = %path.display(), "loading");
-    let most = u32::try_from(descriptors).unwrap_or(u32::MAX).min(MOST_SOCKETS);
-    let sockets = args.sockets.unwrap_or(most);
-    if sockets > most {
-        return Err(CommandError::Input(format!("--sockets {sockets}: this system allows {most}")));
+    tracing::info!(descriptors, program = %path.display(), "starting the load generator");
+    let max = u32::try_from(descriptors).unwrap_or(u32::MAX).min(MAX_SOCKETS);
+    let sockets = args.sockets.unwrap_or(max);
+    if sockets > max {
+        return Err(CommandError::Input(format!(
+            "--sockets {sockets}: expected at most {max}, the number of descriptors that this system allows"
+        )));
     }
     let limits = ProcessLimits { sockets, memory_mb: args.memory_mb };
     let options = Options {
         program: Program { path, args: Vec::new(), limits },
         setups_per_s: args.set_ups,
         established_connections: args.standing,
-        hold: us(args.hold_s),
-        line_interval: us(args.line_every_s),
-        duration: us(args.seconds),
+        hold: micros(args.hold_s),
+        line_interval: micros(args.line_every_s),
+        duration: micros(args.seconds),
         nodes: args.nodes,
         settings: settings::json,
     };
-    let folder = tempfile::TempDir::with_prefix("shorewharf-load-")
-        .map_err(|e| CommandError::External(format!("a folder for the balancer's files: {e}")))?;
+    let folder = tempfile::TempDir::with_prefix("shorewharf-load-").map_err(|e| {
+        CommandError::External(format!("cannot create a temporary folder for the balancer's files: {e}"))
+    })?;
     let outcome = load::run(&options, folder.path()).map_err(|e| match e {
         LoadError::Figure(..) => CommandError::Input(e.to_string()),
         e => CommandError::External(e.to_string()),
@@ -54,8 +60,8 @@
         say(&outcome.to_string());
     }
     if let Some(why) = &outcome.void {
-        eprintln!("{} {why}", style.bad("none of this counts:"));
+        eprintln!("{} {why}", style.bad("the run is void:"));
     }
-    let sound = outcome.void.is_none() && !outcome.life.crashed;
-    Ok(if sound { CommandOutcome::Success } else { CommandOutcome::Failure })
+    let valid = outcome.void.is_none() && !outcome.life.crashed;
+    Ok(if valid { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
