--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,5 +1,5 @@
-//! Owns the form of a result: what `run --json` writes, and what tables and pages are made of. It holds no wall clock
-//! and nothing of the machine, so that the same scenario and seed give the same bytes.
+//! The record of a run: what `run --json` writes, and the source of tables and pages. A record in virtual time has no
+//! wall-clock times and no data of the machine, so the same scenario and seed give the same bytes.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,122 +9,122 @@
 
 use crate::error::CommandError;
 
-/// One run.
+/// The record of one run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
-    /// The result: weighted shares less prices.
+    /// The result: weighted served shares minus prices.
     pub g: f64,
     /// The scenario's name.
     pub scenario: String,
-    /// What it shows.
+    /// The scenario's description.
     pub about: String,
-    /// The seed.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Who decided.
+    /// The policy in virtual time, the program's name on sockets.
     pub policy: String,
-    /// The clock: `virtual` or `sockets`.
+    /// The clock that played the day: `virtual` or `sockets`.
     pub clock: String,
-    /// The day's length.
+    /// The day's length in seconds.
     pub length_s: f64,
-    /// Share of the worth asked for that was served, whole day.
+    /// Share of the requested worth that was served over the whole day.
     pub whole: f64,
-    /// The worst 10 s.
+    /// The interval of 10 s with the lowest share served.
     pub worst_window: Window,
-    /// Share served by class.
+    /// Share served of each class.
     pub classes: Vec<Part>,
-    /// Share served by tenant, within what it has agreed on.
+    /// Share served of each tenant, within its quota.
     pub tenants: Vec<Part>,
-    /// What was taken off.
+    /// The prices that were deducted from the result.
     pub prices: Vec<Cost>,
-    /// Everything that was counted, by name.
+    /// Totals of the run by name.
     pub counts: BTreeMap<String, f64>,
-    /// What clients were answered other than `UP`, by cause.
+    /// Number of replies to clients other than `UP`, by cause.
     pub refusals: BTreeMap<String, u64>,
-    /// What attempts at nodes came to.
+    /// Number of attempts at nodes, by outcome.
     pub attempts: BTreeMap<String, u64>,
-    /// How standing connections ended.
+    /// Number of established connections that ended, by cause.
     pub ends: BTreeMap<String, u64>,
-    /// Times from a client's first try to its `UP`.
+    /// Distribution of the times from a client's first try to its `UP`.
     pub set_up: SetUp,
-    /// The rules' verdict.
+    /// The auditor's verdict on the rules.
     pub rules: Verdict,
-    /// Events that the emulator processed (virtual time).
+    /// Number of events that the emulator processed; 0 on sockets.
     pub events: u64,
-    /// The nodes.
+    /// The nodes, in the day's order.
     pub nodes: Vec<NodeName>,
-    /// What went wrong, and when.
+    /// The faults that were injected.
     pub faults: Vec<FaultInterval>,
-    /// The course of the day.
+    /// Time series of the day.
     pub series: Series,
-    /// What only a run in real time shows.
+    /// Measurements of a run on sockets; none in virtual time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sockets: Option<SocketFacts>,
 }
 
-/// What only a run in real time shows.
+/// Measurements that exist only for a run in real time.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SocketFacts {
-    /// Why nothing of the run counts, if so.
+    /// Why the run does not count, if it does not.
     pub void: Option<String>,
-    /// How late the lab did what was due.
+    /// Delay of the lab's own actions after they were due.
     pub late: Times,
-    /// How late it handled what came.
+    /// Delay of the lab's handling of input.
     pub handled: Times,
-    /// Lines that clients sent on standing connections.
+    /// Number of lines that clients sent on established connections.
     pub lines: u64,
-    /// Lines that came back.
+    /// Number of those lines that were answered.
     pub returned: u64,
-    /// What that took.
+    /// Round-trip times of those lines.
     pub round: Times,
-    /// The balancers' processes.
+    /// Incarnations of the balancers' processes.
     pub lives: Vec<ProcessIncarnation>,
-    /// How bad clients fared, by kind.
+    /// Kinds of misbehaving clients, and their outcomes as text.
     pub bad: Vec<(String, String)>,
-    /// What else was odd.
+    /// Unexpected observations as text.
     pub strange: Vec<String>,
-    /// What passed between balancers.
+    /// Statistics of the datagrams between balancers.
     #[serde(default)]
     pub notes: DatagramStatistics,
 }
 
-/// Spans of time.
+/// Summary of a distribution of times.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Times {
-    /// How many.
+    /// Number of values.
     pub count: u64,
-    /// The median.
+    /// The median in milliseconds.
     pub half_ms: f64,
-    /// 99 % are within this.
+    /// The 99th percentile in milliseconds.
     pub most_ms: f64,
-    /// The longest.
+    /// The maximum in milliseconds.
     pub longest_ms: f64,
 }
 
-/// One life of a balancer's process.
+/// One incarnation of a balancer's process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProcessIncarnation {
-    /// Whose.
+    /// Index of the balancer.
     pub balancer: u32,
-    /// Its begin.
+    /// Its start in seconds of the day.
     pub began_s: f64,
-    /// Its end, if it came before the run's.
+    /// Its end in seconds of the day, if it ended before the run did.
     pub ended_s: Option<f64>,
-    /// How it ended.
+    /// How it ended; empty if it ran to the end of the run.
     pub how: String,
-    /// The end was not ordered.
+    /// Whether it ended without being told to.
     pub crashed: bool,
-    /// Time on a core.
+    /// CPU time in milliseconds.
     pub cpu_ms: f64,
-    /// Most memory.
+    /// Peak memory in megabytes.
     pub memory_mb: f64,
-    /// Descriptors at the last look.
+    /// Number of open descriptors in the last sample.
     pub descriptors: usize,
 }
 
-/// A stretch of the day.
+/// An interval of the day with the share served in it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Window {
-    /// Its begin.
+    /// Its start in seconds of the day.
     pub from_s: f64,
     /// Share served in it.
     pub share: f64,
@@ -133,39 +133,39 @@
 /// The share served of one class or tenant.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Part {
-    /// Its name.
+    /// Name of the class or tenant.
     pub name: String,
     /// Share served.
     pub share: f64,
 }
 
-/// A price.
+/// A price that was deducted from the result.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Cost {
-    /// What for.
+    /// What the price is for.
     pub name: String,
-    /// How much there was of it, in the price's own unit.
+    /// The amount that it was charged for, in the price's own unit.
     pub amount: f64,
-    /// What it took off the result.
+    /// The deduction from the result.
     pub cost: f64,
 }
 
-/// Set-up times in milliseconds.
+/// Distribution of setup times.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SetUp {
-    /// How many were set up.
+    /// Number of setups.
     pub count: u64,
-    /// Mean.
+    /// The mean in milliseconds.
     pub mean_ms: f64,
-    /// (Part of all, within so many milliseconds), rising.
+    /// Pairs of a quantile (0 to 1) and its value in milliseconds, in rising order.
     pub within_ms: Vec<(f64, f64)>,
 }
 
-/// The parts of all set-ups whose times are kept.
-pub const PARTS: [f64; 12] = [0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 0.9999, 1.0];
+/// The quantiles of setup times that a record holds.
+pub const QUANTILES: [f64; 12] = [0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 0.9999, 1.0];
 
 impl SetUp {
-    /// Reads a histogram of microseconds.
+    /// Summarizes a histogram of microseconds.
     pub fn of(times: &hdrhistogram::Histogram<u64>) -> Self {
         if times.is_empty() {
             return Self::default();
@@ -174,175 +174,175 @@
         Self {
             count: times.len(),
             mean_ms: round(times.mean() / 1e3, 3),
-            within_ms: PARTS.iter().map(|p| (*p, at(*p))).collect(),
+            within_ms: QUANTILES.iter().map(|p| (*p, at(*p))).collect(),
         }
     }
 
-    /// The time within which a part of all was set up; none if that part was not kept or nothing was set up.
+    /// The setup time in milliseconds at one of [`QUANTILES`]; none for any other, or if there were no setups.
     pub fn within(&self, part: f64) -> Option<f64> {
         self.within_ms.iter().find(|(p, _)| *p == part).map(|(_, ms)| *ms)
     }
 }
 
-/// The rules' verdict.
+/// The auditor's verdict on the rules.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Verdict {
-    /// No rule was broken and no connection lost.
+    /// Whether no rule was broken and no connection lost.
     pub kept: bool,
-    /// Breaks by reason, in words.
+    /// Number of violations by reason.
     pub breaks: BTreeMap<String, u64>,
-    /// What looks like a break and is none, by reason.
+    /// Number of apparent violations that are excused, by excuse.
     pub excused: BTreeMap<String, u64>,
-    /// The first breaks in full.
+    /// Details of the first violations.
     pub examples: Vec<RuleViolation>,
 }
 
-/// One break of a rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RuleViolation {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: String,
-    /// Why it is a break.
+    /// Why it counts as a violation.
     pub reason: String,
-    /// When.
+    /// Time in seconds of the day.
     pub at_s: f64,
-    /// By whom, of whom, on what.
+    /// The balancer, connection and node, with details.
     pub who: String,
-    /// What led to it, in lines.
+    /// The events that led to it, a line each.
     pub trace: Vec<String>,
 }
 
-/// What a node is called in plots.
+/// A node's properties for plots.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct NodeName {
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// What it can do when warm, in standard cores.
+    /// Its capacity when warm, in standard cores.
     pub capacity: f64,
 }
 
-/// A fault, as a stretch of the day.
+/// The interval of a fault.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FaultInterval {
-    /// Its kind.
+    /// The kind of fault.
     pub kind: String,
-    /// Its begin.
+    /// Its start in seconds of the day.
     pub from_s: f64,
-    /// Its end.
+    /// Its end in seconds of the day.
     pub to_s: f64,
-    /// How many nodes, balancers or others it struck; 0 for everybody.
+    /// Number of nodes, balancers or other parties that it affected; 0 for all.
     pub struck: usize,
 }
 
-/// The course of a day, one entry a step.
+/// Time series of a day, with one entry per step.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Series {
-    /// Length of a step.
+    /// Length of a step in seconds.
     pub step_s: f64,
-    /// Worth asked for.
+    /// Requested worth.
     pub asked: Vec<f64>,
-    /// Worth served.
+    /// Served worth.
     pub served: Vec<f64>,
-    /// The tenants, in the day's order.
+    /// Series of the tenants, in the day's order.
     #[serde(default)]
     pub tenants: Vec<TenantSeries>,
-    /// Refusals and failures by cause.
+    /// Number of rejections and failures by cause.
     pub refusals: BTreeMap<String, Vec<u64>>,
-    /// The nodes, in the day's order.
+    /// Series of the nodes, in the day's order.
     pub nodes: Vec<NodeSeries>,
-    /// What the balancers told of themselves, in the day's order (virtual time).
+    /// Series that the balancers report, in the day's order; empty on sockets.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub balancers: Vec<BalancerSeries>,
 }
 
-/// What one balancer told of itself.
+/// Series that one balancer reports.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BalancerSeries {
-    /// Its level of service; empty while it was down.
+    /// Its level of service; an empty text while it was down.
     pub levels: Vec<String>,
-    /// Figures by name.
+    /// Gauges by name.
     pub gauges: BTreeMap<String, Vec<f64>>,
-    /// Sums by name.
+    /// Counters by name.
     pub counts: BTreeMap<String, Vec<u64>>,
-    /// Lines of its log, by second.
+    /// Lines of its log with their times in seconds of the day.
     pub lines: Vec<(f64, String)>,
 }
 
-/// A tenant's course.
+/// Time series of a tenant.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TenantSeries {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// Connections within its share over the whole fleet.
+    /// Its quota in connections over the whole fleet.
     pub share: f64,
-    /// Worth asked for within its share.
+    /// Requested worth within its quota.
     pub asked: Vec<f64>,
-    /// Worth served within its share.
+    /// Served worth within its quota.
     pub served: Vec<f64>,
-    /// Worth served beyond its share, at full worth.
+    /// Served worth beyond its quota, without the reduction that applies to it.
     pub beyond: Vec<f64>,
 }
 
-/// The course of one node's day.
+/// Time series of a node.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct NodeSeries {
-    /// Load asked of it over what it can do at that moment; above 1 it falls behind. Nothing while it is down.
+    /// Requested load over the node's capacity at that moment; above 1 its backlog grows. None while it is down.
     pub load: Vec<Option<f64>>,
-    /// Standing connections.
+    /// Number of established connections.
     pub connections: Vec<u32>,
-    /// Set-ups in work and waiting.
+    /// Number of setups in progress and queued.
     pub set_ups: Vec<u32>,
 }
 
-/// Cuts a figure to so many digits after the point, so that files stay small and readable.
+/// Rounds a number to so many decimals, which keeps files small and readable.
 pub fn round(x: f64, digits: i32) -> f64 {
     let scale = 10f64.powi(digits);
     (x * scale).round() / scale
 }
 
 impl Record {
-    /// The part of what was asked for that was served, in each step; none where nothing was asked for.
+    /// Served over requested worth in each step; none where nothing was requested.
     pub fn served_share(&self) -> Vec<Option<f64>> {
         let pairs = self.series.asked.iter().zip(&self.series.served);
         pairs.map(|(asked, served)| (*asked > 0.0).then(|| served / asked)).collect()
     }
 
-    /// Nothing was broken or lost, and the run counts.
+    /// Whether no rule was broken, no connection was lost and the run counts.
     pub fn is_sound(&self) -> bool {
         self.rules.kept && self.sockets.as_ref().is_none_or(|s| s.void.is_none())
     }
 
-    /// The worst class or tenant; none where there are none.
+    /// The class or tenant with the lowest share; none for an empty list.
     pub fn worst(parts: &[Part]) -> Option<&Part> {
         parts.iter().min_by(|a, b| a.share.total_cmp(&b.share))
     }
 
-    /// The record as JSON, as it is written to result files.
+    /// The JSON text of result files.
     ///
     /// # Panics
-    /// Never: all keys are text.
+    /// Never, since all keys are strings.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).expect("a record has no keys but text") + "\n"
     }
 }
 
-/// Reads the runs of a result file: one run, or all those of a sweep.
+/// Reads a result file, which holds one run or all runs of a sweep.
 ///
 /// # Errors
-/// The file can't be read or holds no runs.
+/// The file can't be read or is not a result file.
 pub fn read(path: &Path) -> Result<Vec<Record>, CommandError> {
     #[derive(Deserialize)]
-    struct Several {
+    struct SweepResult {
         runs: Vec<Record>,
     }
-    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
-    let value: serde_json::Value = serde_json::from_str(&text).map_err(|e| wrong(&e))?;
+    let input_error = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|e| input_error(&e))?;
+    let value: serde_json::Value = serde_json::from_str(&text).map_err(|e| input_error(&e))?;
     if value.get("runs").is_some() {
-        let several: Several = serde_path_to_error::deserialize(value).map_err(|e| wrong(&e))?;
-        return Ok(several.runs);
+        let sweep: SweepResult = serde_path_to_error::deserialize(value).map_err(|e| input_error(&e))?;
+        return Ok(sweep.runs);
     }
-    Ok(vec![serde_path_to_error::deserialize(value).map_err(|e| wrong(&e))?])
+    Ok(vec![serde_path_to_error::deserialize(value).map_err(|e| input_error(&e))?])
 }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,5 +1,5 @@
-//! Owns the playing of days: one with a bar that shows how far it is, or many on all cores; and the step from what the
-//! emulator tells of a run to a [`Record`].
+//! Runs of days in virtual time (one with a progress bar, or many on all cores), and the conversion of the emulator's
+//! results to a [`Record`].
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -21,12 +21,12 @@
 };
 use shorewharf_units::seconds_from_micros;
 
-/// Cores of this machine that the process may use.
+/// Number of cores that the process may use.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, std::num::NonZero::get)
 }
 
-/// Hosts of the policy of this name.
+/// Creates the hosts of the policy with this name.
 ///
 /// # Errors
 /// No policy has this name, or its operator file can't be used.
@@ -34,7 +34,7 @@
     PolicyHosts::named(policy).map_err(|e| CommandError::Input(format!("--policy: {e}")))
 }
 
-/// Plays one day in virtual time and shows how far it is. Also returns how long that took.
+/// Plays one day in virtual time with a progress bar. Also returns the wall-clock time that it took.
 ///
 /// # Errors
 /// The policy is unknown, or the day can't be run.
@@ -57,8 +57,8 @@
     ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar())
 }
 
-/// Plays many days, each on one core, and as many at once as `threads` says. The records come in the days' order,
-/// without the course of single nodes, which would fill the memory of a large sweep.
+/// Plays many days in virtual time, each on one core, with `threads` of them in parallel. The records are in the order
+/// of `jobs`, without the series of single nodes and balancers, which would fill the memory in a large sweep.
 ///
 /// # Errors
 /// A policy is unknown, or a day can't be run.
@@ -71,7 +71,7 @@
     })
 }
 
-/// Runs many days as [`all`] does, and keeps of each what `keep` makes of it.
+/// Plays many days as [`all`] does, and keeps only what `keep` returns for each.
 ///
 /// # Errors
 /// A policy is unknown, or a day can't be run.
@@ -84,7 +84,7 @@
         hosts(policy)?;
     }
     let bar = ProgressBar::new(jobs.len() as u64);
-    bar.set_style(bar_style("{pos} of {len} runs {wide_bar} {elapsed} gone, {eta} left"));
+    bar.set_style(bar_style("{pos} of {len} runs {wide_bar} {elapsed} elapsed, {eta} left"));
     bar.enable_steady_tick(Duration::from_millis(250));
     let next = AtomicUsize::new(0);
     let failed = AtomicBool::new(false);
@@ -124,13 +124,13 @@
     causes.iter().map(|(cause, n)| ((*cause).to_owned(), *n)).collect()
 }
 
-/// The word that a name has in files, with blanks.
+/// The serialized name of an enum value, with spaces instead of hyphens.
 pub fn label(name: &impl serde::Serialize) -> String {
     let text = serde_json::to_value(name).ok().and_then(|v| v.as_str().map(str::to_owned));
     text.unwrap_or_default().replace('-', " ")
 }
 
-/// What the emulator tells of a run, in the form that is kept.
+/// Converts the emulator's result of a run to a record.
 pub fn record(day: &Day, policy: &str, clock: &str, result: &RunResult) -> Record {
     let o = &result.outcome;
     let s = &result.series;
@@ -289,7 +289,7 @@
     }
 }
 
-/// How fast a run was, for people.
+/// The speed of a run as text.
 pub fn speed(record: &Record, took: Duration) -> String {
     let s = took.as_secs_f64().max(1e-9);
     format!(
