--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -1,4 +1,4 @@
-//! Owns the HTML page of a run: one file that needs no network, with plots as SVG and the tables beside them.
+//! The HTML page of a run: one self-contained file with SVG plots and tables.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 .good{color:#0a7a4b}.bad{color:#b3261e}pre{font-size:.8rem;overflow-x:auto;background:#f4f5f7;padding:8px}
 .tables{display:flex;flex-wrap:wrap;align-items:flex-start;gap:20px 48px}";
 
-/// `report`: writes a page for each run of a result file.
+/// Runs `report`: writes a page for each run of a result file.
 ///
 /// # Errors
 /// The result can't be read or a page can't be written.
@@ -31,7 +31,10 @@
     let runs = record::read(&args.result)?;
     let output = args.output.clone().unwrap_or_else(|| args.result.with_extension("html"));
     if runs.is_empty() {
-        return Err(CommandError::Input(format!("{}: holds no run", args.result.display())));
+        return Err(CommandError::Input(format!(
+            "{}: the result file contains no runs",
+            args.result.display()
+        )));
     }
     for (i, run) in runs.iter().enumerate() {
         let path = if i == 0 { output.clone() } else { numbered(&output, i + 1) };
@@ -41,12 +44,13 @@
     Ok(CommandOutcome::Success)
 }
 
+/// The path of the page of the n-th run.
 fn numbered(path: &Path, n: usize) -> PathBuf {
     let stem = path.file_stem().unwrap_or_default().to_string_lossy();
     path.with_file_name(format!("{stem}-{n}.html"))
 }
 
-/// Writes a run's page.
+/// Writes the page of a run.
 ///
 /// # Errors
 /// The file can't be written.
@@ -54,7 +58,7 @@
     files::write(path, &page(record))
 }
 
-/// The page's text.
+/// The HTML of a run's page.
 pub fn page(record: &Record) -> String {
     let mut html = String::new();
     let title = escaped(&record.scenario);
@@ -107,6 +111,7 @@
     format!("<div class=\"figures\">{}</div>\n", cells.join("\n"))
 }
 
+/// A table of two columns; empty if it has no rows.
 fn rows(head: [&str; 2], rows: impl Iterator<Item = (String, String)>) -> String {
     let rows: String =
         rows.map(|(a, b)| format!("<tr><td>{}</td><td class=\"n\">{b}</td></tr>\n", escaped(&a))).collect();
--- a/crates/lab/src/style.rs
+++ b/crates/lab/src/style.rs
@@ -1,20 +1,20 @@
-//! Owns colours: on a terminal, or as `--color` says, and never where `NO_COLOR` is set.
+//! Colours of standard output. With `--color auto` they are used on a terminal unless `NO_COLOR` is set.
 
 use std::io::{IsTerminal, Write};
 
 use crate::cli::ColorMode;
 
-/// Whether to use colours on standard output.
+/// How text is shown on standard output.
 #[derive(Clone, Copy, Debug)]
 pub struct Style {
-    /// Colours are used.
+    /// Whether text is coloured.
     pub colours: bool,
-    /// Standard output is redrawn in place.
+    /// Whether tables are redrawn in place.
     pub redraw: bool,
 }
 
 impl Style {
-    /// Looks at standard output, once.
+    /// Chooses the style from the option and from whether standard output is a terminal.
     pub fn of(when: ColorMode) -> Self {
         let terminal = std::io::stdout().is_terminal();
         let plain = std::env::var_os("NO_COLOR").is_some_and(|v| !v.is_empty());
@@ -32,33 +32,33 @@
         if self.colours && !text.is_empty() { format!("\x1b[{code}m{text}\x1b[0m") } else { text.to_owned() }
     }
 
-    /// What went well.
+    /// Text in the colour of success (green).
     pub fn good(&self, text: &str) -> String {
         self.paint("32", text)
     }
 
-    /// What is odd.
+    /// Text in the colour of warnings (yellow).
     pub fn warn(&self, text: &str) -> String {
         self.paint("33", text)
     }
 
-    /// What is wrong.
+    /// Text in the colour of errors (red).
     pub fn bad(&self, text: &str) -> String {
         self.paint("31;1", text)
     }
 
-    /// What matters most.
+    /// Emphasized text.
     pub fn bold(&self, text: &str) -> String {
         self.paint("1", text)
     }
 
-    /// What matters little.
+    /// Secondary text.
     pub fn dim(&self, text: &str) -> String {
         self.paint("2", text)
     }
 }
 
-/// Writes to standard output. Whoever reads it may have read enough (`| head`): that ends the program quietly.
+/// Writes to standard output. If the reader has closed it (`| head`), the process ends with exit code 0.
 pub fn say(text: &str) {
     let mut out = std::io::stdout().lock();
     if out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err() {
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -13,7 +13,7 @@
 use crate::style::{Style, say};
 use crate::tables;
 
-/// A point of the grid, over its seeds.
+/// Summary of the runs of one point of the grid over all seeds.
 #[derive(Debug, Serialize)]
 struct Point {
     policy: String,
@@ -28,7 +28,10 @@
     rules_broken_in: usize,
 }
 
-/// `sweep`.
+/// Runs `sweep`.
+///
+/// # Errors
+/// An argument, the scenario or a policy can't be used, or a file can't be written.
 pub fn sweep(args: &Sweep, style: &Style) -> Result<CommandOutcome, CommandError> {
     let grid = set::grid(&args.set);
     let seeds = &args.seeds.0;
@@ -66,13 +69,15 @@
     if args.json.as_deref() != Some(std::path::Path::new("-")) {
         say(&print(args, &table, style));
     }
-    let kept = table.iter().all(|p| p.rules_broken_in == 0);
-    Ok(if kept { CommandOutcome::Success } else { CommandOutcome::Failure })
+    let rules_kept = table.iter().all(|p| p.rules_broken_in == 0);
+    Ok(if rules_kept { CommandOutcome::Success } else { CommandOutcome::Failure })
 }
 
-type Grid<'a> = (&'a String, &'a Vec<(String, String)>);
+/// A policy and the changed keys of a grid point.
+type GridPoint<'a> = (&'a String, &'a Vec<(String, String)>);
 
-fn points_of_runs<'a>(points: &[Grid<'a>], seeds: usize) -> Vec<Grid<'a>> {
+/// The grid point of each run: every point once per seed.
+fn points_of_runs<'a>(points: &[GridPoint<'a>], seeds: usize) -> Vec<GridPoint<'a>> {
     points.iter().flat_map(|p| std::iter::repeat_n(*p, seeds)).collect()
 }
 
@@ -116,8 +121,8 @@
     format!("{t}\n")
 }
 
-/// A line for each run. Fields that hold a comma or a quote are quoted.
-fn csv(args: &Sweep, points: &[Grid<'_>], runs: &[Record]) -> String {
+/// The runs as CSV, with a line for each. Fields that contain a comma, a quote or a line break are quoted.
+fn csv(args: &Sweep, points: &[GridPoint<'_>], runs: &[Record]) -> String {
     let quoted = |s: &str| {
         if s.contains([',', '"', '\n']) { format!("\"{}\"", s.replace('"', "\"\"")) } else { s.to_owned() }
     };
@@ -164,7 +169,10 @@
     text
 }
 
-/// The days that `seeds` make of one scenario.
+/// Loads a scenario once with each seed.
+///
+/// # Errors
+/// The scenario or a change can't be used.
 pub fn days(
     scenario: &std::path::Path,
     sets: &[(String, String)],
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -1,17 +1,17 @@
-//! Owns tables for people: plain text that reads as well in a file as on a terminal.
+//! Tables and numbers as plain text, for terminals and files.
 
 use comfy_table::{Attribute, Cell, CellAlignment, ContentArrangement, LineStyle, Table, TableStyle};
 
 use crate::record::Record;
 use crate::style::Style;
 
-// One line below the heads, none elsewhere: what matters are the figures.
-const PLAIN: TableStyle = TableStyle::new().header_separator(LineStyle::new('─', '─', '─', '─'));
+// A single line below the header keeps the figures readable.
+const HEADER_LINE_ONLY: TableStyle = TableStyle::new().header_separator(LineStyle::new('─', '─', '─', '─'));
 
-/// An empty table with these columns; all but the first are aligned to the right where `figures` says so.
+/// Creates an empty table with these columns. All but the first are right-aligned if they hold `figures`.
 pub fn table(columns: &[&str], figures: bool, style: &Style) -> Table {
     let mut table = Table::new();
-    table.load_style(PLAIN).set_content_arrangement(ContentArrangement::Disabled);
+    table.load_style(HEADER_LINE_ONLY).set_content_arrangement(ContentArrangement::Disabled);
     if style.colours {
         table.enforce_styling()
     } else {
@@ -26,19 +26,19 @@
     table
 }
 
-/// A share or result with four digits.
+/// Formats a share or result with four decimals.
 pub fn share(x: f64) -> String {
-    // A figure that rounds to zero has no sign.
+    // A negative number that rounds to zero is shown without its sign.
     let text = format!("{x:.4}");
     if text == "-0.0000" { "0.0000".into() } else { text }
 }
 
-/// A time in milliseconds, with as many digits as matter.
+/// Formats a time in milliseconds: whole ones from 100 ms, one decimal below.
 pub fn ms(x: f64) -> String {
     if x >= 100.0 { format!("{x:.0} ms") } else { format!("{x:.1} ms") }
 }
 
-/// A whole number with its thousands apart.
+/// Formats a whole number with spaces between groups of three digits.
 pub fn count(n: u64) -> String {
     let digits = n.to_string();
     let groups: Vec<&str> =
@@ -46,7 +46,7 @@
     groups.join(" ")
 }
 
-/// One run, for people.
+/// Formats a run's record as tables.
 pub fn run(record: &Record, style: &Style) -> String {
     let head = format!(
         "{}  seed {}  {}  {}\n{}\n",
@@ -97,12 +97,12 @@
 }
 
 fn prices(record: &Record, style: &Style) -> String {
-    let paid: Vec<_> = record.prices.iter().filter(|p| p.cost != 0.0).collect();
-    if paid.is_empty() {
+    let charged: Vec<_> = record.prices.iter().filter(|p| p.cost != 0.0).collect();
+    if charged.is_empty() {
         return String::new();
     }
     let mut t = table(&["price of", "amount", "cost"], true, style);
-    for p in paid {
+    for p in charged {
         t.add_row([p.name.clone(), format!("{:.4}", p.amount), format!("{:.4}", p.cost)]);
     }
     format!("{t}\n")
@@ -132,7 +132,7 @@
     format!("{t}\n")
 }
 
-/// The verdict, with the reason and the trace of the first break of each kind.
+/// Formats the verdict of the rules, with the trace of the first violation for each reason.
 pub fn verdict(record: &Record, style: &Style) -> String {
     let v = &record.rules;
     if v.kept {
