--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -29,39 +29,42 @@
 /// An input can't be used, a process or file failed, or the run is void.
 pub fn trial(args: &cli::Trial, style: &Style) -> Result<CommandOutcome, CommandError> {
     let path = &args.trial;
-    let wrong = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(|e| wrong(&e))?;
-    let mut trial = Scenario::read(&text).map_err(|e| wrong(&e))?;
+    let input_error = |e: &dyn std::fmt::Display| CommandError::Input(format!("{}: {e}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|e| input_error(&e))?;
+    let mut trial = Scenario::read(&text).map_err(|e| input_error(&e))?;
     trial.gossip |= args.together;
     let day = path.parent().unwrap_or(Path::new("")).join(&trial.day);
     let scenario = files::load(&day, &files::single(&args.set)?, args.seed)?;
     let day = &scenario.day;
-    let breaks = trial.network_faults(day).map_err(|e| wrong(&e))?;
+    let network_faults = trial.network_faults(day).map_err(|e| input_error(&e))?;
     let program = balancer::find(args.balancer.as_deref())?;
-    if let Some(needs) = sockets::descriptor_shortage(day) {
-        return Err(CommandError::Input(format!("{}: {needs}", path.display())));
+    if let Some(shortage) = sockets::descriptor_shortage(day) {
+        return Err(CommandError::Input(format!("{}: {shortage}", path.display())));
     }
     let mut shared = match &trial.budgets {
         Some(_) if args.operator.is_some() => {
             return Err(CommandError::Input(
-                "--operator: the trial's [budgets] make a file for each balancer".to_owned(),
+                "--operator: not allowed for a trial with [budgets]; the lab writes an operator's file per balancer"
+                    .to_owned(),
             ));
         }
-        Some(terms) => Some(SharedStore::start(day, terms, trial.store_faults(day).map_err(|e| wrong(&e))?)?),
+        Some(terms) => {
+            Some(SharedStore::start(day, terms, trial.store_faults(day).map_err(|e| input_error(&e))?)?)
+        }
         None => None,
     };
     let run = sockets::play_with_faults(
         day,
         &program,
         args.operator.as_deref(),
-        (&breaks, trial.gossip),
+        (&network_faults, trial.gossip),
         shared.as_mut(),
         args.logs.as_deref(),
     )?;
-    let verdicts = evaluate_expectations(&trial, day, &run, &breaks);
+    let verdicts = evaluate_expectations(&trial, day, &run, &network_faults);
     let kept = verdicts.iter().all(|v| v.is_met);
     let void = run.report.void.clone();
-    let ended = match (&void, kept) {
+    let outcome_name = match (&void, kept) {
         (Some(_), _) => "void",
         (None, true) => "kept",
         (None, false) => "broken",
@@ -71,26 +74,26 @@
     let mut record = runner::record(day, &name, "sockets", &run.result);
     record.sockets = Some(sockets::facts(&run.report));
     record.about.clone_from(&trial.about);
-    record.faults.extend(fault_intervals(&trial, day, &breaks));
+    record.faults.extend(fault_intervals(&trial, day, &network_faults));
     if args.json.as_deref() == Some(Path::new("-")) {
-        say(&json_text(&trial, day.seed, ended, &verdicts, &record));
+        say(&json_text(&trial, day.seed, outcome_name, &verdicts, &record));
     } else {
-        say(&table(&trial, day, ended, &verdicts, style));
+        say(&table(&trial, day, outcome_name, &verdicts, style));
         if let Some(facts) = &record.sockets {
             say(&style.dim(&sockets::short_note(facts)));
         }
         if let Some(shared) = &shared {
-            say(&style.dim(&format!("{} calls at the store\n", tables::count(shared.calls()))));
+            say(&style.dim(&format!("{} calls to the store\n", tables::count(shared.calls()))));
         }
         if let Some(path) = &args.json {
-            files::write(path, &json_text(&trial, day.seed, ended, &verdicts, &record))?;
+            files::write(path, &json_text(&trial, day.seed, outcome_name, &verdicts, &record))?;
         }
     }
     if let Some(path) = &args.report {
         page::write(path, &record)?;
     }
     match void {
-        // It says nothing of the program, so it is neither kept nor broken.
+        // A void run says nothing about the program, so its promises are neither kept nor broken.
         Some(why) => Err(CommandError::External(format!("the trial is void: {why}"))),
         None => Ok(if kept { CommandOutcome::Success } else { CommandOutcome::Failure }),
     }
@@ -115,12 +118,12 @@
     intervals
 }
 
-/// Evaluates the scenario's expectations.
+/// Evaluates the scenario's expectations on the results of a run.
 pub fn evaluate_expectations(
     trial: &Scenario,
     day: &Day,
     run: &SocketsRun,
-    breaks: &[NetworkFault],
+    network_faults: &[NetworkFault],
 ) -> Vec<Verdict> {
     let outcome = &run.result.outcome;
     let weighted = outcome.seconds.iter().map(|s| WeightedRequests { requested: s.asked, served: s.earned });
@@ -140,12 +143,12 @@
             max_connections: &outcome.peak_by_tenant,
             slot_s: seconds_from_micros(SETUP_INTERVAL),
             crashes: crashed.map(|l| format!("balancer {}: {}", l.balancer, l.how)).collect(),
-            faults: breaks,
+            faults: network_faults,
         },
     )
 }
 
-fn table(trial: &Scenario, day: &Day, ended: &str, verdicts: &[Verdict], style: &Style) -> String {
+fn table(trial: &Scenario, day: &Day, outcome_name: &str, verdicts: &[Verdict], style: &Style) -> String {
     let mut text = format!(
         "{}\n{} balancers, {} nodes, {} s, seed {}: {}\n\n",
         trial.about,
@@ -153,7 +156,7 @@
         day.nodes.len(),
         seconds_from_micros(day.length),
         day.seed,
-        if ended == "kept" { ended.to_owned() } else { style.bad(ended) },
+        if outcome_name == "kept" { outcome_name.to_owned() } else { style.bad(outcome_name) },
     );
     let mut table = tables::table(&["promise", "", "seen", "promised"], false, style);
     for v in verdicts {
@@ -164,7 +167,13 @@
     text
 }
 
-fn json_text(trial: &Scenario, seed: u64, ended: &str, verdicts: &[Verdict], record: &Record) -> String {
+fn json_text(
+    trial: &Scenario,
+    seed: u64,
+    outcome_name: &str,
+    verdicts: &[Verdict],
+    record: &Record,
+) -> String {
     let promises: Vec<_> = verdicts
         .iter()
         .map(
@@ -172,7 +181,7 @@
         )
         .collect();
     let value = json!({
-        "about": trial.about, "seed": seed, "ended": ended, "promises": promises,
+        "about": trial.about, "seed": seed, "ended": outcome_name, "promises": promises,
         "served": round(record.whole, 6), "run": record,
     });
     serde_json::to_string_pretty(&value).expect("keys are text") + "\n"
