--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -17,9 +17,11 @@
 
 type PublishedLoads = Arc<BTreeMap<ServerId, RemoteLoad>>;
 
+/// Loads of the balancers in one interval.
 #[derive(Debug, Default)]
 struct LoadSnapshot {
-    held: BTreeMap<BalancerId, Vec<Holding>>,
+    holdings: BTreeMap<BalancerId, Vec<Holding>>,
+    /// The sum over all balancers, once one of them has read it.
     all: Option<PublishedLoads>,
 }
 
@@ -35,32 +37,37 @@
 
     /// Publishes a balancer's load and returns the sum of the others' two intervals ago; none if nothing was published
     /// then.
-    pub(super) fn exchange(&self, time: u64, who: BalancerId, holds: Vec<Holding>) -> Option<PublishedLoads> {
-        let mut moments = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        moments.retain(|at, _| at + 2 * PUBLICATION_DELAY_INTERVALS > time);
-        moments.entry(time).or_default().held.insert(who, holds);
-        let before = moments.get_mut(&time.checked_sub(PUBLICATION_DELAY_INTERVALS)?)?;
-        let all = before.all.get_or_insert_with(|| Arc::new(sum(&before.held)));
+    pub(super) fn exchange(
+        &self,
+        interval: u64,
+        balancer: BalancerId,
+        holdings: Vec<Holding>,
+    ) -> Option<PublishedLoads> {
+        let mut snapshots = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        snapshots.retain(|at, _| at + 2 * PUBLICATION_DELAY_INTERVALS > interval);
+        snapshots.entry(interval).or_default().holdings.insert(balancer, holdings);
+        let published = snapshots.get_mut(&interval.checked_sub(PUBLICATION_DELAY_INTERVALS)?)?;
+        let all = published.all.get_or_insert_with(|| Arc::new(sum(&published.holdings)));
         let mut others = BTreeMap::clone(all);
-        for h in before.held.get(&who).into_iter().flatten() {
-            if let Some(away) = others.get_mut(&h.server) {
-                away.load = (away.load - h.load).max(0.0);
-                away.connections = (away.connections - f64::from(h.connections)).max(0.0);
+        for h in published.holdings.get(&balancer).into_iter().flatten() {
+            if let Some(remote) = others.get_mut(&h.server) {
+                remote.load = (remote.load - h.load).max(0.0);
+                remote.connections = (remote.connections - f64::from(h.connections)).max(0.0);
             }
         }
         Some(Arc::new(others))
     }
 }
 
-fn sum(held: &BTreeMap<BalancerId, Vec<Holding>>) -> BTreeMap<ServerId, RemoteLoad> {
+fn sum(holdings: &BTreeMap<BalancerId, Vec<Holding>>) -> BTreeMap<ServerId, RemoteLoad> {
     let mut all = BTreeMap::<ServerId, RemoteLoad>::new();
-    for h in held.values().flatten() {
-        let away = all.entry(h.server).or_default();
-        away.load += h.load;
-        away.connections += f64::from(h.connections);
+    for h in holdings.values().flatten() {
+        let remote = all.entry(h.server).or_default();
+        remote.load += h.load;
+        remote.connections += f64::from(h.connections);
         if h.group != 0 {
             // Gossip names groups by the lower half of their ids.
-            away.groups.insert(h.group as u32);
+            remote.groups.insert(h.group as u32);
         }
     }
     all
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -32,24 +32,24 @@
 pub enum PolicyChoice {
     /// The project's driver and decision module.
     Module,
-    /// Any server that is listed as ready.
+    /// A random server that is listed as ready.
     Random,
-    /// One server after the other.
+    /// The ready servers in turn.
     RoundRobin,
     /// The server with the fewest of the balancer's own connections.
     Fewest,
     /// The one of two random servers that has fewer of the balancer's own connections.
     TwoChoices,
-    /// Placement by the nodes' ground truth, which no real balancer can see: an upper bound.
+    /// Placement by the nodes' true state, which no real balancer knows: an upper bound.
     Oracle,
 }
 
 /// No policy has this name.
 #[derive(Debug, Error)]
 #[error(
-    "no policy is named {0:?}; there are module (module@FILE with an operator's file, module-with-tenancy, \
-     module-without-tenancy, module-with-snapshot, module-alone, module-levels, module-repeats, module-moves, module-care, module-told, module-unsounded), \
-     random, round-robin, fewest, two-choices and oracle"
+    "{0:?} is not the name of a policy; expected module (module@FILE with an operator's file, module-with-tenancy, \
+     module-without-tenancy, module-with-snapshot, module-alone, module-levels, module-repeats, module-moves, \
+     module-care, module-told, module-unsounded), random, round-robin, fewest, two-choices or oracle"
 )]
 pub struct UnknownPolicy(String);
 
@@ -60,7 +60,7 @@
     #[error(transparent)]
     Unknown(#[from] UnknownPolicy),
     /// The operator's file can't be read.
-    #[error("{0}: {1}")]
+    #[error("{0}: cannot read the operator's file: {1}")]
     File(PathBuf, std::io::Error),
     /// The operator's file can't be used.
     #[error("{0}: {1}")]
@@ -82,40 +82,41 @@
     }
 }
 
-/// Hosts one kind of balancer.
+/// Creates the balancers of a run, all with the same policy.
 #[derive(Debug)]
 pub struct PolicyHosts {
     policy: PolicyChoice,
     operator: OperatorSettings,
+    /// True state of the nodes at the last tick, for the oracle.
     ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
-    /// The module's state is saved and restored over restarts.
+    /// Whether the module's state is saved and restored across restarts.
     saves_state: bool,
-    /// Where balancers exchange their loads, if they do.
+    /// The exchange of loads between the balancers, if there is one.
     load_board: Option<Arc<SharedLoadBoard>>,
-    /// The module may probe servers, where the day allows it.
+    /// Whether the module may probe servers, if the day allows probes.
     allows_probes: bool,
 }
 
 impl PolicyHosts {
-    /// Hosts balancers that run this policy.
+    /// Creates hosts of balancers that run this policy.
     pub fn new(policy: PolicyChoice) -> Self {
-        let (operator, truth) = Default::default();
         PolicyHosts {
             policy,
-            operator,
-            ground_truth: truth,
+            operator: OperatorSettings::default(),
+            ground_truth: Arc::default(),
             saves_state: false,
             load_board: None,
             allows_probes: true,
         }
     }
 
-    /// Hosts balancers that run the policy of this name. The module takes an operator's file behind an `@`.
+    /// Creates hosts of balancers that run the policy with this name. `module@FILE` is the module with an operator's
+    /// file.
     ///
     /// # Errors
     /// No policy has this name, or its operator file can't be read or used.
     pub fn named(policy: &str) -> Result<PolicyHosts, PolicyError> {
-        let care = |recovery| OperatorSettings { recovery, ..OperatorSettings::default() };
+        let with_recovery = |recovery| OperatorSettings { recovery, ..OperatorSettings::default() };
         if policy == "module-with-snapshot" {
             return Ok(PolicyHosts { saves_state: true, ..PolicyHosts::new(PolicyChoice::Module) });
         }
@@ -128,18 +129,18 @@
         if policy == "module-unsounded" {
             return Ok(PolicyHosts { allows_probes: false, ..PolicyHosts::new(PolicyChoice::Module) });
         }
-        let tenancy = |on| OperatorSettings {
-            tenancy: Tenancy { is_enabled: on, ..Tenancy::default() },
+        let with_tenancy = |is_enabled| OperatorSettings {
+            tenancy: Tenancy { is_enabled, ..Tenancy::default() },
             ..OperatorSettings::default()
         };
         let operator = match policy {
-            "module-with-tenancy" => tenancy(true),
-            "module-without-tenancy" => tenancy(false),
-            "module-alone" => care(Recovery::OFF),
-            "module-levels" => care(Recovery { levels: true, ..Recovery::OFF }),
-            "module-repeats" => care(Recovery { retry_budget: true, ..Recovery::OFF }),
-            "module-moves" => care(Recovery { rebalance: true, ..Recovery::OFF }),
-            "module-care" => care(Recovery::ALL),
+            "module-with-tenancy" => with_tenancy(true),
+            "module-without-tenancy" => with_tenancy(false),
+            "module-alone" => with_recovery(Recovery::OFF),
+            "module-levels" => with_recovery(Recovery { levels: true, ..Recovery::OFF }),
+            "module-repeats" => with_recovery(Recovery { retry_budget: true, ..Recovery::OFF }),
+            "module-moves" => with_recovery(Recovery { rebalance: true, ..Recovery::OFF }),
+            "module-care" => with_recovery(Recovery::ALL),
             other => match other.strip_prefix("module@").map(PathBuf::from) {
                 None => return Ok(PolicyHosts::new(other.parse()?)),
                 Some(path) => match std::fs::read_to_string(&path) {
@@ -156,26 +157,23 @@
 impl Host for PolicyHosts {
     fn instance(&self, day: &Day, id: BalancerId, settings: &str) -> Box<dyn Instance> {
         let settings = shorewharf_settings::parse(settings.as_bytes()).map(|parsed| parsed.settings);
-        // The text was written by the emulator for this very reader.
-        let mut settings = settings.expect("settings that the emulator wrote are read");
+        let mut settings = settings.expect("the settings that the emulator wrote are valid");
         settings.may_probe &= self.allows_probes;
         let first_link = u64::from(id.0) << 40;
-        let make = InstanceFactory {
+        let factory = InstanceFactory {
             policy: self.policy,
             operator: self.operator.clone(),
             ground_truth: Arc::clone(&self.ground_truth),
         };
-        let (places, life, kept) =
-            (NodeDirectory::new(day), None, self.saves_state.then(SavedState::default));
-        let told = self.load_board.clone().map(|board| BoardView { board, id, next_interval: 0 });
+        let board_view = self.load_board.clone().map(|board| BoardView { board, id, next_interval: 0 });
         Box::new(HostedBalancer {
-            directory: places,
+            directory: NodeDirectory::new(day),
             settings,
-            factory: make,
+            factory,
             next_link: first_link,
-            incarnation: life,
-            saved_state: kept,
-            board_view: told,
+            incarnation: None,
+            saved_state: self.saves_state.then(SavedState::default),
+            board_view,
         })
     }
 
@@ -190,12 +188,14 @@
     }
 }
 
+/// Creates the policy of each incarnation.
 struct InstanceFactory {
     policy: PolicyChoice,
     operator: OperatorSettings,
     ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
 }
 
+/// The policy of a running balancer.
 enum Policy {
     Module(Box<Driver>),
     Plain(PlainPolicy),
@@ -241,7 +241,7 @@
 /// Interval between snapshots, the program's default.
 const SAVE_INTERVAL: Micros = 2_000_000;
 
-/// A balancer's last snapshot.
+/// A balancer's most recent snapshot.
 #[derive(Default)]
 struct SavedState {
     saved_at: Micros,
@@ -249,7 +249,7 @@
 }
 
 impl SavedState {
-    /// Saves the module's state, if the interval is over.
+    /// Saves the module's state if the interval since the last snapshot is over.
     fn save_if_due(&mut self, now: Micros, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
         if now < self.saved_at + SAVE_INTERVAL {
@@ -262,12 +262,12 @@
         }
     }
 
-    /// Restores the state into the module of the next incarnation.
+    /// Restores the saved state into the module of the next incarnation. Plain policies and the oracle have none.
     fn restore(&mut self, now: Micros, policy: &mut Policy) {
         if let Policy::Module(driver) = policy {
-            let (past, learned) =
+            let (age_s, learned_state) =
                 (seconds_from_micros(now.saturating_sub(self.saved_at)), std::mem::take(&mut self.entries));
-            driver.gate().restore_state(seconds_from_micros(now), past, true, learned);
+            driver.gate().restore_state(seconds_from_micros(now), age_s, true, learned_state);
         }
     }
 }
@@ -276,19 +276,19 @@
 struct BoardView {
     board: Arc<SharedLoadBoard>,
     id: BalancerId,
-    /// The interval of the next exchange.
+    /// Number of the interval of the next exchange.
     next_interval: u64,
 }
 
 impl BoardView {
-    /// Publishes the balancer's load and reads that of its peers, if the interval is over.
+    /// Publishes the balancer's load and reads that of its peers if the interval of the next exchange has begun.
     fn exchange_if_due(&mut self, now: Micros, peers: &mut EmulatedPeers, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
-        let time = SharedLoadBoard::interval_of(now);
-        if time >= self.next_interval {
-            self.next_interval = time + 1;
+        let interval = SharedLoadBoard::interval_of(now);
+        if interval >= self.next_interval {
+            self.next_interval = interval + 1;
             peers.emit(NetworkEvent::RemoteLoadsUpdated(self.board.exchange(
-                time,
+                interval,
                 self.id,
                 driver.gate().holdings(),
             )));
@@ -296,24 +296,26 @@
     }
 }
 
-/// A balancer over all its incarnations.
+/// A balancer across all its incarnations.
 struct HostedBalancer {
     directory: NodeDirectory,
     settings: Settings,
     factory: InstanceFactory,
+    /// Number of the next connection to a node; never reused by later incarnations.
     next_link: u64,
+    /// The peers and the policy; none while the process is down.
     incarnation: Option<(EmulatedPeers, Policy)>,
     saved_state: Option<SavedState>,
     board_view: Option<BoardView>,
 }
 
 impl Instance for HostedBalancer {
-    fn turn(&mut self, now: Micros, came: &[ToBalancer], out: &mut Vec<FromBalancer>) {
+    fn turn(&mut self, now: Micros, inputs: &[ToBalancer], actions: &mut Vec<FromBalancer>) {
         if let Some((peers, _)) = &mut self.incarnation {
             peers.set_now(now);
         }
-        for what in came {
-            match what {
+        for input in inputs {
+            match input {
                 ToBalancer::Start { seed, known } => {
                     let mut peers = EmulatedPeers::new(
                         self.directory.clone(),
@@ -321,7 +323,7 @@
                         now,
                         self.next_link,
                     );
-                    out.push(FromBalancer::Ready);
+                    actions.push(FromBalancer::Ready);
                     let known = peers.update_endpoints(true, known);
                     let mut policy = self.factory.create_policy(&self.settings, *seed, known, &mut peers);
                     policy.process_events(&mut peers);
@@ -331,20 +333,20 @@
                     self.incarnation = Some((peers, policy));
                 }
                 ToBalancer::Kill => {
-                    // A killed process does nothing at the end of this tick.
+                    // A killed process takes no actions at the end of this tick.
                     if let Some((peers, _)) = self.incarnation.take() {
                         self.next_link = peers.next_link();
                     }
                 }
-                what => {
+                input => {
                     if let Some((peers, policy)) = &mut self.incarnation {
-                        peers.handle(what);
+                        peers.handle(input);
                         policy.process_events(peers);
                     }
                 }
             }
         }
-        // Messages within the tick come before timers at its end.
+        // Messages arrive within the tick and are handled before the timers at its end.
         if let Some((peers, policy)) = &mut self.incarnation {
             peers.fire_due_timers();
             if let Some(board_view) = &mut self.board_view {
@@ -355,7 +357,7 @@
                 saved_state.save_if_due(now, policy);
             }
             self.next_link = peers.next_link();
-            peers.take_actions(out);
+            peers.take_actions(actions);
         }
     }
 
@@ -364,33 +366,34 @@
         peers
             .next_timer()
             .into_iter()
-            .chain(self.board_view.as_ref().map(|told| told.next_interval * board::EXCHANGE_INTERVAL))
+            .chain(self.board_view.as_ref().map(|view| view.next_interval * board::EXCHANGE_INTERVAL))
             .min()
     }
 
-    fn report(&mut self, told: &mut InstanceReport) {
+    fn report(&mut self, report: &mut InstanceReport) {
         let Some((peers, policy)) = &mut self.incarnation else { return };
-        told.lines = peers.take_log_lines();
+        report.lines = peers.take_log_lines();
         if let Policy::Module(driver) = policy {
             let stats = driver.gate().overload_controller().stats();
-            told.level = stats.level.level.name();
-            let moves = &stats.rebalance;
-            told.gauges = vec![
+            report.level = stats.level.level.name();
+            let rebalance = &stats.rebalance;
+            report.gauges = vec![
                 ("strain", stats.level.severity),
-                ("imbalance", moves.imbalance),
+                ("imbalance", rebalance.imbalance),
                 ("repeats left", stats.retry.available),
-                ("moving", f64::from(u8::from(moves.is_active))),
+                ("moving", f64::from(u8::from(rebalance.is_active))),
             ];
-            let of = |causes: &BTreeMap<&'static str, u64>, name| causes.get(name).copied().unwrap_or(0);
-            told.counts = vec![
+            let count_of =
+                |causes: &BTreeMap<&'static str, u64>, name| causes.get(name).copied().unwrap_or(0);
+            report.counts = vec![
                 ("level changes", stats.level.changes.values().sum()),
-                ("moves home", of(&moves.migrations, "home")),
-                ("moves to level", of(&moves.migrations, "level")),
-                ("landed", of(&moves.arrivals, "target")),
-                ("landed elsewhere", of(&moves.arrivals, "elsewhere")),
-                ("landed back", of(&moves.arrivals, "back")),
-                ("away", of(&moves.arrivals, "away")),
-                ("pauses", moves.pauses.values().sum()),
+                ("moves home", count_of(&rebalance.migrations, "home")),
+                ("moves to level", count_of(&rebalance.migrations, "level")),
+                ("landed", count_of(&rebalance.arrivals, "target")),
+                ("landed elsewhere", count_of(&rebalance.arrivals, "elsewhere")),
+                ("landed back", count_of(&rebalance.arrivals, "back")),
+                ("away", count_of(&rebalance.arrivals, "away")),
+                ("pauses", rebalance.pauses.values().sum()),
                 ("first attempts", stats.retry.first_attempts),
                 ("repeats", stats.retry.retries),
                 (
--- a/crates/lab/src/instances/node_directory.rs
+++ b/crates/lab/src/instances/node_directory.rs
@@ -1,4 +1,4 @@
-//! Public data of the nodes, and the mapping of the emulator's ids and times to the module's.
+//! Data of the nodes that the endpoint list contains, and the mapping of the emulator's ids and times to the module's.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,11 +8,12 @@
 use shorewharf_emulator::edge::{self, Listed, NodeId};
 use shorewharf_units::Micros;
 
-/// The module's clock at the day's start: a time of 0 means long ago in its list.
+/// The module's clock at the day's start. In the endpoint list, a start time of 0 means long ago.
 const EPOCH: Micros = 1_000_000_000_000;
 
 #[derive(Debug)]
 struct Table {
+    /// Id, zone, cell and weight of each node.
     servers: Vec<(ServerId, u32, u32, f64)>,
     nodes: HashMap<ServerId, NodeId>,
     longest_wait: Micros,
@@ -22,9 +23,9 @@
 #[derive(Clone, Debug)]
 pub struct NodeDirectory(Arc<Table>);
 
-/// A server's id: fixed by the node's index without revealing it, as names do.
+/// A server's id. It is a hash of the node's index, as the real program's ids are hashes of names.
 fn server_id(node: usize) -> ServerId {
-    // One round of splitmix64, which maps different places to different ids.
+    // One round of splitmix64, which is a bijection, so different indices have different ids.
     let mut x = (node as u64).wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -32,7 +33,7 @@
 }
 
 impl NodeDirectory {
-    /// The nodes of a day.
+    /// Creates the directory of a day's nodes.
     pub fn new(day: &Day) -> Self {
         let server =
             |(i, n): (usize, &shorewharf_emulator::day::Node)| (server_id(i), n.zone, n.cell, n.weight);
@@ -42,45 +43,45 @@
         NodeDirectory(Arc::new(Table { servers, nodes, longest_wait }))
     }
 
-    /// How many nodes there are.
+    /// Number of nodes.
     pub fn len(&self) -> usize {
         self.0.servers.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.0.servers.is_empty()
     }
 
-    /// The node's id for the module.
+    /// The id that the module uses for a node.
     pub fn server(&self, node: NodeId) -> ServerId {
         self.0.servers[node.0 as usize].0
     }
 
-    /// The node of an id, if the id is one.
+    /// The node with a server's id; none for an unknown id.
     pub fn node(&self, server: ServerId) -> Option<NodeId> {
         self.0.nodes.get(&server).copied()
     }
 
-    /// The longest that a client waits for a set-up.
+    /// The maximum time that a client waits for a setup.
     pub fn longest_wait(&self) -> Micros {
         self.0.longest_wait
     }
 
-    /// A time of the day on the module's clock.
+    /// Converts a time of the day to the module's clock.
     pub fn to_module_clock(&self, t: Micros) -> Micros {
         EPOCH + t
     }
 
-    /// A line of the list as the module gets it.
+    /// Converts an entry of the emulator's endpoint list to the module's form.
     pub fn entry(&self, listed: &Listed) -> ServerEntry {
         let (server, zone, cell, weight) = self.0.servers[listed.node.0 as usize];
-        let stage = match listed.stage {
+        let state = match listed.stage {
             edge::Stage::Ready => ServerState::Ready,
             edge::Stage::Draining => ServerState::Draining,
             edge::Stage::Gone => ServerState::Removed,
         };
-        let born = listed.started_at.map_or(0.0, |t| self.to_module_clock(t) as f64 / 1e6);
-        ServerEntry { server, zone, cell, state: stage, weight, started_at: born }
+        let started_at = listed.started_at.map_or(0.0, |t| self.to_module_clock(t) as f64 / 1e6);
+        ServerEntry { server, zone, cell, state, weight, started_at }
     }
 }
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -37,6 +37,7 @@
 const RELIEF_THRESHOLD: f64 = 0.95;
 const RELIEF_TARGET: f64 = 0.88;
 
+/// A request from its arrival until its connection ends.
 #[derive(Debug)]
 struct AssignedRequest {
     deadline: Micros,
@@ -44,7 +45,9 @@
     group: u64,
     last_tried: Option<ServerId>,
     is_attempting: bool,
+    /// The server of the established connection.
     server: Option<ServerId>,
+    /// The last load report of the connection; 0 before the first.
     load: f64,
 }
 
@@ -64,15 +67,15 @@
 
 impl Oracle {
     pub(super) fn start(
-        truth: Arc<RwLock<Vec<GroundTruth>>>,
-        set: &Settings,
+        ground_truth: Arc<RwLock<Vec<GroundTruth>>>,
+        settings: &Settings,
         known: &[ServerEntry],
         peers: &mut EmulatedPeers,
     ) -> Oracle {
         let mut oracle = Oracle {
-            ground_truth: truth,
-            max_attempts: set.max_attempts,
-            balancer_count: set.instance_count.max(1.0),
+            ground_truth,
+            max_attempts: settings.max_attempts,
+            balancer_count: settings.instance_count.max(1.0),
             ready: BTreeSet::new(),
             requests: BTreeMap::new(),
             waiting: Vec::new(),
@@ -115,7 +118,7 @@
             NetworkEvent::TimerFired(RETRY_TIMER) => self.retry_waiting(peers),
             NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
-                let held = AssignedRequest {
+                let request = AssignedRequest {
                     deadline: req.deadline,
                     attempts: 0,
                     group: req.group,
@@ -124,11 +127,11 @@
                     server: None,
                     load: 0.0,
                 };
-                self.requests.insert(req.id, held);
+                self.requests.insert(req.id, request);
                 self.begin_attempt(req.id, peers);
             }
             NetworkEvent::ConnectionRestored(req, server) => {
-                let held = AssignedRequest {
+                let request = AssignedRequest {
                     deadline: 0,
                     attempts: 1,
                     group: req.group,
@@ -137,7 +140,7 @@
                     server: Some(server),
                     load: 0.0,
                 };
-                self.requests.insert(req.id, held);
+                self.requests.insert(req.id, request);
             }
             NetworkEvent::AttemptEstablished(id) => {
                 if let Some(h) = self.requests.get_mut(&id) {
@@ -180,8 +183,8 @@
             self.requests.remove(&id);
             return peers.reject(id, RETRY_AFTER);
         }
-        let (group, not) = (h.group, h.last_tried);
-        let Some(server) = self.choose(now, group, not, peers) else {
+        let (group, excluded) = (h.group, h.last_tried);
+        let Some(server) = self.choose(now, group, excluded, peers) else {
             self.waiting.push(id);
             if !std::mem::replace(&mut self.is_retry_scheduled, true) {
                 peers.set_timer(RETRY_INTERVAL, RETRY_TIMER);
@@ -202,68 +205,78 @@
         }
     }
 
+    /// The ready server with capacity where the connection costs least. Avoids `excluded` unless it is the only one.
     fn choose(
         &mut self,
         now: Micros,
         group: u64,
-        not: Option<ServerId>,
+        excluded: Option<ServerId>,
         peers: &EmulatedPeers,
     ) -> Option<ServerId> {
         if std::mem::replace(&mut self.placed_at, now) != now {
             self.placed.clear();
         }
-        let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner);
-        let none = Vec::new();
-        let priced =
-            self.ready.iter().filter(|s| self.ready.len() == 1 || Some(**s) != not).filter_map(|s| {
-                let t =
-                    peers.ground_truth(*s, &truths).filter(|t| t.accepts_connections && t.capacity > 0.0)?;
-                let mine = self.placed.get(s).unwrap_or(&none);
-                let holds = group == 0 || mine.contains(&group) || t.groups.binary_search(&group).is_ok();
-                let cost = if holds { CONNECTION_COST } else { CONNECTION_COST + NEW_GROUP_COST };
-                let hand = f64::from(t.set_ups) + mine.len() as f64;
-                let coming = hand * (CONNECTION_COST + 0.5 * NEW_GROUP_COST) * t.mean_connection_load;
-                let u =
-                    (t.established_load + coming + cost * t.mean_connection_load) / t.capacity + t.backlog_s;
+        let ground_truth = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner);
+        let no_groups = Vec::new();
+        let candidates =
+            self.ready.iter().filter(|s| self.ready.len() == 1 || Some(**s) != excluded).filter_map(|s| {
+                let t = peers
+                    .ground_truth(*s, &ground_truth)
+                    .filter(|t| t.accepts_connections && t.capacity > 0.0)?;
+                let placed_here = self.placed.get(s).unwrap_or(&no_groups);
+                let holds_group =
+                    group == 0 || placed_here.contains(&group) || t.groups.binary_search(&group).is_ok();
+                let cost = if holds_group { CONNECTION_COST } else { CONNECTION_COST + NEW_GROUP_COST };
+                let open_setups = f64::from(t.set_ups) + placed_here.len() as f64;
+                let pending_load =
+                    open_setups * (CONNECTION_COST + 0.5 * NEW_GROUP_COST) * t.mean_connection_load;
+                let utilization = (t.established_load + pending_load + cost * t.mean_connection_load)
+                    / t.capacity
+                    + t.backlog_s;
                 // A setup occupies a core: more of them than free cores would queue.
-                let lanes = hand < 1.0 + 4.0 * (1.0 - (t.established_load / t.capacity).min(1.0));
-                let stands = t
+                let has_free_core =
+                    open_setups < 1.0 + 4.0 * (1.0 - (t.established_load / t.capacity).min(1.0));
+                let is_admissible = t
                     .admissible_before_overload
-                    .is_none_or(|left| left >= self.balancer_count * (mine.len() as f64 + 1.0));
-                let room = u <= if holds { KNOWN_GROUP_MAX_UTILIZATION } else { NEW_GROUP_MAX_UTILIZATION };
-                (room && lanes && stands).then(|| (cost / (1.0 - u.min(0.98)), *s))
+                    .is_none_or(|left| left >= self.balancer_count * (placed_here.len() as f64 + 1.0));
+                let has_capacity = utilization
+                    <= if holds_group { KNOWN_GROUP_MAX_UTILIZATION } else { NEW_GROUP_MAX_UTILIZATION };
+                (has_capacity && has_free_core && is_admissible)
+                    .then(|| (cost / (1.0 - utilization.min(0.98)), *s))
             });
-        priced.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|best| best.1)
+        candidates.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|best| best.1)
     }
 
     /// Migrates this balancer's heaviest connections off overloaded nodes.
     fn relieve_overloaded(&mut self, peers: &mut EmulatedPeers) {
         peers.set_timer(RELIEVE_INTERVAL, RELIEVE_TIMER);
-        let truths = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner).clone();
+        let ground_truth = self.ground_truth.read().unwrap_or_else(PoisonError::into_inner).clone();
         let mut migrations = Vec::new();
         for server in &self.ready {
-            let Some(t) =
-                peers.ground_truth(*server, &truths).filter(|t| t.accepts_connections && t.capacity > 0.0)
+            let Some(t) = peers
+                .ground_truth(*server, &ground_truth)
+                .filter(|t| t.accepts_connections && t.capacity > 0.0)
             else {
                 continue;
             };
-            let rho = t.established_load / t.capacity;
-            if rho <= RELIEF_THRESHOLD {
+            let utilization = t.established_load / t.capacity;
+            if utilization <= RELIEF_THRESHOLD {
                 continue;
             }
-            let mut on: Vec<(f64, RequestId)> = self
+            let mut connections: Vec<(f64, RequestId)> = self
                 .requests
                 .iter()
                 .filter(|(_, h)| h.server == Some(*server))
                 .map(|(id, h)| (if h.load > 0.0 { h.load } else { t.mean_connection_load }, *id))
                 .collect();
-            on.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-            let mut due = on.iter().map(|c| c.0).sum::<f64>() * (1.0 - RELIEF_TARGET / rho);
-            for (load, id) in on {
-                if due <= 0.0 {
+            connections.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+            let mut excess =
+                connections.iter().map(|c| c.0).sum::<f64>() * (1.0 - RELIEF_TARGET / utilization);
+            for (load, id) in connections {
+                if excess <= 0.0 {
                     break;
                 }
-                due -= load;
+                excess -= load;
                 migrations.push(id);
             }
         }
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -1,5 +1,6 @@
-//! The peers of an emulated balancer: what the real program does on sockets with clients, servers and discovery, in
-//! the messages of the emulator. It makes no decisions; time limits are those of the real program.
+//! The peers of an emulated balancer: maps the driver's effects and events to the emulator's messages, as the real
+//! program maps them to sockets of clients, servers and discovery. It makes no decisions, and its time limits are those
+//! of the real program.
 
 mod attempts;
 mod drain;
@@ -20,6 +21,7 @@
 const REPLY_TIMEOUT: Micros = 1_500_000;
 /// Interval at which the real program checks for dead connections and advances its drain.
 const SWEEP_INTERVAL: Micros = 100_000;
+/// Time limit of a placement probe.
 const PROBE_TIMEOUT: Micros = 500_000;
 /// How long a connection from before the start may take to be established again, and the delay between attempts.
 const CARRY_OVER_TIMEOUT: Micros = 38_000_000;
@@ -28,7 +30,8 @@
 const OVERDUE_GRACE: Micros = 15_000;
 /// Retry-After for clients that the program rejects without the driver.
 const RETRY_AFTER: Micros = 300_000;
-/// What a timer is for. Timers of an attempt name its link, since the attempt may be over when they fire.
+
+/// Purpose of a timer. Timers of an attempt contain its link, since the attempt may be over when they fire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
     Driver(u64),
@@ -48,11 +51,13 @@
     Established,
 }
 
+/// A client's connection, from its request to its end.
 #[derive(Clone, Debug)]
 struct Session {
     conn: ConnId,
     stage: SessionStage,
     req: ReceivedRequest,
+    /// The server of a connection from before the start of this process.
     carried_over_server: Option<ServerId>,
     deadline: Micros,
     /// When the client's unanswered line was sent.
@@ -60,6 +65,7 @@
     attempt: Option<Attempt>,
 }
 
+/// The connection to a server on which a session is attempted or established.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     link: LinkId,
@@ -101,11 +107,11 @@
 }
 
 impl EmulatedPeers {
-    /// Creates the peers of a process that starts now. `first_link` is above every link of earlier incarnations.
-    pub fn new(places: NodeDirectory, connect_timeout: Micros, now: Micros, first_link: u64) -> Self {
-        let nodes = places.len();
+    /// Creates the peers of a process that starts at `now`. `first_link` is above all links of earlier incarnations.
+    pub fn new(directory: NodeDirectory, connect_timeout: Micros, now: Micros, first_link: u64) -> Self {
+        let nodes = directory.len();
         EmulatedPeers {
-            directory: places,
+            directory,
             connect_timeout,
             now,
             events: VecDeque::new(),
@@ -127,12 +133,12 @@
         }
     }
 
-    /// The next link's number.
+    /// The number of the next link.
     pub fn next_link(&self) -> u64 {
         self.next_link
     }
 
-    /// The earliest timer.
+    /// Time of the earliest timer.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.peek().map(|t| t.0.0)
     }
@@ -155,15 +161,15 @@
     /// Handles all timers that are due.
     pub fn fire_due_timers(&mut self) {
         let now = self.now;
-        while let Some(&Reverse((when, _, due))) = self.timers.peek() {
+        while let Some(&Reverse((when, _, event))) = self.timers.peek() {
             if when > now {
                 break;
             }
             self.timers.pop();
-            match due {
+            match event {
                 TimerEvent::Driver(token) => self.emit(NetworkEvent::TimerFired(token)),
                 TimerEvent::ConnectTimeout(id, link) => {
-                    if self.attempt_on_link(id, link).is_some_and(|f| !f.is_connected) {
+                    if self.attempt_on_link(id, link).is_some_and(|attempt| !attempt.is_connected) {
                         self.abort_attempt(id, Outcome::ConnectFailed);
                     }
                 }
@@ -177,20 +183,24 @@
         }
     }
 
-    /// The true state of a server's node, for policies that may see it.
-    pub fn ground_truth<'a>(&self, server: ServerId, truths: &'a [GroundTruth]) -> Option<&'a GroundTruth> {
-        truths.get(self.directory.node(server)?.0 as usize)
+    /// The true state of a server's node, for policies that have access to it.
+    pub fn ground_truth<'a>(
+        &self,
+        server: ServerId,
+        ground_truth: &'a [GroundTruth],
+    ) -> Option<&'a GroundTruth> {
+        ground_truth.get(self.directory.node(server)?.0 as usize)
     }
 
-    /// Handles one message of the emulator; starts and kills are the caller's.
-    pub fn handle(&mut self, came: &ToBalancer) {
-        match came {
-            ToBalancer::Request { request: ask, remaining: left } => self.on_request(ask, *left),
+    /// Handles one message of the emulator. The caller handles starts and kills.
+    pub fn handle(&mut self, input: &ToBalancer) {
+        match input {
+            ToBalancer::Request { request, remaining } => self.on_request(request, *remaining),
             ToBalancer::ClientLine(conn) => self.on_client_line(*conn),
             ToBalancer::ClientEnded(conn, _) => self.on_client_closed(*conn),
             ToBalancer::LinkUp(link) => self.on_link_up(*link),
             ToBalancer::LinkFailed(link) => self.on_link_failed(*link),
-            ToBalancer::NodeMessage(link, word) => self.on_node_message(*link, *word),
+            ToBalancer::NodeMessage(link, message) => self.on_node_message(*link, *message),
             ToBalancer::NodeEnded(link, end) => self.on_node_closed(*link, *end),
             ToBalancer::List { full, entries } => {
                 let entries = self.update_endpoints(*full, entries);
@@ -204,7 +214,7 @@
                 self.watching = false;
                 self.emit(NetworkEvent::DiscoveryFailed);
             }
-            // The watch at the previous address may stay open without sending events.
+            // The watch at the previous address may stay open without sending events, so it is closed.
             ToBalancer::Reload { moved: true } if self.watching => {
                 self.actions.extend([FromBalancer::Unwatch, FromBalancer::Watch]);
             }
@@ -234,9 +244,9 @@
         self.events.push_back(event);
     }
 
-    fn schedule(&mut self, when: Micros, due: TimerEvent) {
+    fn schedule(&mut self, when: Micros, event: TimerEvent) {
         self.timer_serial += 1;
-        self.timers.push(Reverse((when, self.timer_serial, due)));
+        self.timers.push(Reverse((when, self.timer_serial, event)));
     }
 
     fn end_probe(&mut self, link: LinkId, outcome: Outcome) {
@@ -256,8 +266,8 @@
         self.events.pop_front()
     }
 
-    fn begin_attempt(&mut self, req: RequestId, server: ServerId, patience: Micros) {
-        self.open_attempt(req, server, patience);
+    fn begin_attempt(&mut self, req: RequestId, server: ServerId, timeout: Micros) {
+        self.open_attempt(req, server, timeout);
     }
 
     fn cancel_attempt(&mut self, req: RequestId) {
--- a/crates/lab/src/instances/peers/sessions.rs
+++ b/crates/lab/src/instances/peers/sessions.rs
@@ -11,51 +11,54 @@
 };
 
 impl EmulatedPeers {
-    pub(super) fn on_request(&mut self, ask: &RequestLine, left: Micros) {
+    pub(super) fn on_request(&mut self, request: &RequestLine, remaining: Micros) {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
         let req = ReceivedRequest {
             id,
-            class: ask.class as usize,
-            tenant: ask.tenant as usize,
-            key: ask.key,
-            deadline: self.directory.to_module_clock(self.now + left),
-            load: ask.hint,
-            group: ask.group,
-            is_returning: ask.retry || ask.is_reconnect,
+            class: request.class as usize,
+            tenant: request.tenant as usize,
+            key: request.key,
+            deadline: self.directory.to_module_clock(self.now + remaining),
+            load: request.hint,
+            group: request.group,
+            is_returning: request.retry || request.is_reconnect,
         };
         if self.draining_since.is_some() {
             return self
                 .actions
-                .push(FromBalancer::Answer(ask.conn, Answer::Busy(drain::DRAIN_MIGRATE_AFTER)));
+                .push(FromBalancer::Answer(request.conn, Answer::Busy(drain::DRAIN_MIGRATE_AFTER)));
         }
-        let home = ask.previous_node.map(|n| self.directory.server(n));
-        let until = self.now + if home.is_some() { CARRY_OVER_TIMEOUT } else { left };
+        let previous_server = request.previous_node.map(|n| self.directory.server(n));
+        let deadline = self.now + if previous_server.is_some() { CARRY_OVER_TIMEOUT } else { remaining };
         let session = Session {
-            conn: ask.conn,
+            conn: request.conn,
             stage: SessionStage::Pending,
             req,
-            carried_over_server: home,
-            deadline: until,
+            carried_over_server: previous_server,
+            deadline,
             unanswered_since: None,
             attempt: None,
         };
         self.sessions.insert(id, session);
-        self.request_by_connection.insert(ask.conn, id);
-        self.schedule(until + OVERDUE_GRACE, TimerEvent::RequestOverdue(id));
-        match home {
+        self.request_by_connection.insert(request.conn, id);
+        self.schedule(deadline + OVERDUE_GRACE, TimerEvent::RequestOverdue(id));
+        match previous_server {
             Some(server) => self.open_attempt(id, server, CARRY_OVER_TIMEOUT),
             None => self.emit(NetworkEvent::RequestReceived(req)),
         }
     }
 
     pub(super) fn retry_carried_over(&mut self, id: RequestId) {
-        let due =
+        let is_due =
             |s: &&Session| s.stage == SessionStage::Pending && s.attempt.is_none() && self.now < s.deadline;
-        let home =
-            self.sessions.get(&id).filter(due).and_then(|s| s.carried_over_server.map(|h| (h, s.deadline)));
-        if let Some((server, until)) = home {
-            self.open_attempt(id, server, until - self.now);
+        let previous_server = self
+            .sessions
+            .get(&id)
+            .filter(is_due)
+            .and_then(|s| s.carried_over_server.map(|h| (h, s.deadline)));
+        if let Some((server, deadline)) = previous_server {
+            self.open_attempt(id, server, deadline - self.now);
         }
     }
 
@@ -70,17 +73,18 @@
             return;
         };
         s.unanswered_since = Some(now);
-        // Silence is looked for by the sweep, which may be a part of its period away.
+        // Dead connections are found by the periodic sweep, so the timeout is rounded up to its next run.
         let due = (now + REPLY_TIMEOUT).div_ceil(SWEEP_INTERVAL) * SWEEP_INTERVAL;
         self.schedule(due, TimerEvent::ReplyTimeout(id, now));
     }
 
-    /// Migrates a client whose server doesn't answer. A server that answered others meanwhile is not reported as failed.
+    /// Migrates a client whose server does not answer. The server is not reported as failed if it has sent anything on other
+    /// connections since then.
     pub(super) fn on_reply_timeout(&mut self, id: RequestId, since: Micros) {
         let Some(s) = self.sessions.get(&id).filter(|s| s.unanswered_since == Some(since)) else { return };
-        let Some(f) = s.attempt else { return };
-        let lives = self.is_server_active_since(f.server, id, since);
-        self.abort_attempt(id, if lives { Outcome::Cancelled } else { Outcome::Reset });
+        let Some(attempt) = s.attempt else { return };
+        let is_alive = self.is_server_active_since(attempt.server, id, since);
+        self.abort_attempt(id, if is_alive { Outcome::Cancelled } else { Outcome::Reset });
         self.answer_and_forget(id, Answer::Move);
     }
 
@@ -112,8 +116,8 @@
     pub(super) fn remove_session(&mut self, id: RequestId) {
         if let Some(s) = self.sessions.remove(&id) {
             self.request_by_connection.remove(&s.conn);
-            if let Some(f) = s.attempt {
-                self.request_by_link.remove(&f.link);
+            if let Some(attempt) = s.attempt {
+                self.request_by_link.remove(&attempt.link);
             }
         }
     }
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -30,11 +30,12 @@
     TwoChoices,
 }
 
+/// A request from its arrival until its connection ends.
 struct PendingRequest {
     deadline: Micros,
     attempts: u32,
-    last: Option<ServerId>,
-    stands: bool,
+    last_server: Option<ServerId>,
+    is_established: bool,
 }
 
 /// A policy with the state of its requests.
@@ -52,7 +53,7 @@
 impl PlainPolicy {
     pub(super) fn start(
         pick: Pick,
-        set: &Settings,
+        settings: &Settings,
         seed: u64,
         known: Vec<ServerEntry>,
         peers: &mut EmulatedPeers,
@@ -60,14 +61,14 @@
         let mut policy = PlainPolicy {
             pick,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            max_attempts: set.max_attempts,
+            max_attempts: settings.max_attempts,
             ready: BTreeMap::new(),
             next_index: 0,
             requests: HashMap::new(),
             connections: BTreeMap::new(),
         };
         policy.update_endpoints(true, &known);
-        // Balancers that start together begin at different servers.
+        // A random first index, so that balancers that start together begin with different servers.
         policy.next_index = policy.rng.random_range(0..policy.ready.len().max(1));
         peers.watch_endpoints();
         policy
@@ -99,27 +100,38 @@
             NetworkEvent::DiscoveryFailed => peers.set_timer(WATCH_RETRY_INTERVAL, WATCH_TIMER),
             NetworkEvent::TimerFired(_) => peers.watch_endpoints(),
             NetworkEvent::RequestReceived(req) => {
-                let waiting =
-                    PendingRequest { deadline: req.deadline, attempts: 0, last: None, stands: false };
-                self.requests.insert(req.id, waiting);
+                let request = PendingRequest {
+                    deadline: req.deadline,
+                    attempts: 0,
+                    last_server: None,
+                    is_established: false,
+                };
+                self.requests.insert(req.id, request);
                 self.begin_attempt(req.id, peers);
             }
             NetworkEvent::ConnectionRestored(req, server) => {
-                let waiting = PendingRequest { deadline: 0, attempts: 1, last: Some(server), stands: true };
-                self.requests.insert(req.id, waiting);
+                let request = PendingRequest {
+                    deadline: 0,
+                    attempts: 1,
+                    last_server: Some(server),
+                    is_established: true,
+                };
+                self.requests.insert(req.id, request);
                 *self.connections.entry(server).or_default() += 1;
             }
             NetworkEvent::AttemptEstablished(id) => {
-                self.requests.entry(id).and_modify(|w| w.stands = true);
+                self.requests.entry(id).and_modify(|w| w.is_established = true);
             }
             NetworkEvent::ClientLeft(id) => {
-                let on = self.requests.remove(&id).and_then(|w| w.last);
-                self.release(on);
+                let server = self.requests.remove(&id).and_then(|w| w.last_server);
+                self.release(server);
             }
             NetworkEvent::AttemptEnded(id, outcome) => {
-                self.release(self.requests.get(&id).and_then(|w| w.last));
-                let again =
-                    self.requests.get(&id).is_some_and(|w| !w.stands && outcome != Outcome::Cancelled);
+                self.release(self.requests.get(&id).and_then(|w| w.last_server));
+                let again = self
+                    .requests
+                    .get(&id)
+                    .is_some_and(|w| !w.is_established && outcome != Outcome::Cancelled);
                 if again {
                     self.begin_attempt(id, peers);
                 } else {
@@ -136,15 +148,15 @@
     fn begin_attempt(&mut self, id: RequestId, peers: &mut EmulatedPeers) {
         let now = peers.now();
         let Some(w) = self.requests.get(&id) else { return };
-        let (left, last) = (w.deadline.saturating_sub(now), w.last);
-        let may = w.attempts < self.max_attempts && left > MIN_TIME_LEFT;
-        let Some(server) = may.then(|| self.choose(last)).flatten() else {
+        let (left, last_server) = (w.deadline.saturating_sub(now), w.last_server);
+        let may_attempt = w.attempts < self.max_attempts && left > MIN_TIME_LEFT;
+        let Some(server) = may_attempt.then(|| self.choose(last_server)).flatten() else {
             self.requests.remove(&id);
             return peers.reject(id, RETRY_AFTER);
         };
         if let Some(w) = self.requests.get_mut(&id) {
             w.attempts += 1;
-            w.last = Some(server);
+            w.last_server = Some(server);
         }
         *self.connections.entry(server).or_default() += 1;
         peers.begin_attempt(id, server, left);
@@ -156,25 +168,25 @@
         }
     }
 
-    fn choose(&mut self, not: Option<ServerId>) -> Option<ServerId> {
+    fn choose(&mut self, excluded: Option<ServerId>) -> Option<ServerId> {
         let n = self.ready.len();
-        let others = self.ready.keys().copied().filter(|s| n == 1 || Some(*s) != not);
+        let others = self.ready.keys().copied().filter(|s| n == 1 || Some(*s) != excluded);
         match &self.pick {
             Pick::Random => {
-                let k = n - usize::from(n > 1 && not.is_some_and(|s| self.ready.contains_key(&s)));
+                let k = n - usize::from(n > 1 && excluded.is_some_and(|s| self.ready.contains_key(&s)));
                 if k == 0 { None } else { { others }.nth(self.rng.random_range(0..k)) }
             }
             Pick::Fewest | Pick::TwoChoices => {
-                let mut drawn: Vec<ServerId> = { others }.collect();
-                drawn.shuffle(&mut self.rng);
-                drawn.truncate(if matches!(self.pick, Pick::TwoChoices) { 2 } else { usize::MAX });
-                let held = |s: &ServerId| self.connections.get(s).copied().unwrap_or(0);
-                drawn.into_iter().min_by_key(held)
+                let mut candidates: Vec<ServerId> = { others }.collect();
+                candidates.shuffle(&mut self.rng);
+                candidates.truncate(if matches!(self.pick, Pick::TwoChoices) { 2 } else { usize::MAX });
+                let connection_count = |s: &ServerId| self.connections.get(s).copied().unwrap_or(0);
+                candidates.into_iter().min_by_key(connection_count)
             }
             Pick::RoundRobin => {
                 self.next_index = (self.next_index + 1) % n.max(1);
                 let at = self.ready.keys().copied().nth(self.next_index);
-                if at.is_some() && at == not { { others }.next() } else { at }
+                if at.is_some() && at == excluded { { others }.next() } else { at }
             }
         }
     }
