--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -57,7 +57,7 @@
     /// Lines that have not been returned: the time of sending and the line's number.
     outstanding_lines: VecDeque<(Micros, u32)>,
     last_line: u32,
-    /// The request and the client's remaining patience, until the first line has been written out.
+    /// The request and the client's remaining timeout, until the first line has been written out.
     request: Option<(RequestLine, Micros)>,
 }
 
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Clients {
     clients: BTreeMap<ConnId, Client>,
-    line_every: Micros,
+    line_interval: Micros,
     /// When each client's next line is due; in order of time, since all clients have the same interval.
     due_lines: VecDeque<(Micros, ConnId)>,
     /// When each closing client closes its connection at the latest, in order of time.
@@ -75,11 +75,11 @@
 }
 
 impl Clients {
-    /// Creates an empty set of clients that send a line on each established connection every `line_every`.
-    pub fn new(line_every: Micros) -> Self {
+    /// Creates an empty set of clients that send a line on each established connection every `line_interval`.
+    pub fn new(line_interval: Micros) -> Self {
         Clients {
             clients: BTreeMap::new(),
-            line_every: line_every.max(1_000),
+            line_interval: line_interval.max(1_000),
             due_lines: VecDeque::new(),
             closing: VecDeque::new(),
             statistics: ClientStatistics::default(),
@@ -116,7 +116,7 @@
         &mut self,
         net: &mut Net,
         (balancer, to): (BalancerId, SocketAddr),
-        (request, left): (RequestLine, Micros),
+        (request, remaining): (RequestLine, Micros),
         line: &str,
         observations: &mut Observations,
     ) {
@@ -124,9 +124,9 @@
         match net.connect(to, Role::Client(conn)) {
             Ok(mut connection) => {
                 connection.send(net, line.as_bytes());
-                let (stage, out, request) = (Stage::AwaitingAnswer, VecDeque::new(), Some((request, left)));
-                let client =
-                    Client { connection, balancer, stage, outstanding_lines: out, last_line: 0, request };
+                let (stage, outstanding_lines, request) =
+                    (Stage::AwaitingAnswer, VecDeque::new(), Some((request, remaining)));
+                let client = Client { connection, balancer, stage, outstanding_lines, last_line: 0, request };
                 self.clients.insert(conn, client);
             }
             // The connection was refused at once, or no local port is free: it does not reach the balancer either way.
@@ -148,11 +148,9 @@
         client.connection.on_ready(net, ready);
         let balancer = client.balancer;
         if client.connection.is_up() && client.connection.is_flushed() {
-            observations.extend(
-                client.request.take().map(|(request, left)| {
-                    (balancer, ConnectionObservation::RequestSent(request, left).into())
-                }),
-            );
+            observations.extend(client.request.take().map(|(request, remaining)| {
+                (balancer, ConnectionObservation::RequestSent(request, remaining).into())
+            }));
         }
         loop {
             let line = match client.connection.next_line() {
@@ -180,7 +178,7 @@
                     };
                     client.stage = match answer {
                         Answer::Up(link) => {
-                            self.due_lines.push_back((now + self.line_every, conn));
+                            self.due_lines.push_back((now + self.line_interval, conn));
                             Stage::Established(link)
                         }
                         _ => Stage::Over,
@@ -267,7 +265,7 @@
             }
             late.record(now - due);
             // The interval counts from the due time: a late driver must not send fewer lines.
-            self.due_lines.push_back((due + self.line_every, conn));
+            self.due_lines.push_back((due + self.line_interval, conn));
             client.last_line += 1;
             client.outstanding_lines.push_back((now, client.last_line));
             self.statistics.lines += 1;
--- a/crates/emulator/src/sockets/connection_log.rs
+++ b/crates/emulator/src/sockets/connection_log.rs
@@ -69,25 +69,29 @@
     pub fn record_request(
         &mut self,
         balancer: BalancerId,
-        ask: &RequestLine,
-        left: Micros,
+        request: &RequestLine,
+        remaining: Micros,
         directory: &Directory,
     ) -> String {
         let text = OpenRequestLine {
-            id: ask.conn.0,
-            key: ask.key,
-            class: &self.classes[ask.class as usize],
-            tenant: self.tenants.get(ask.tenant as usize).map_or("", String::as_str),
-            timeout_ms: if ask.previous_node.is_some() { RESTORED_TIMEOUT_MS } else { (left / 1000).max(1) },
-            group: ask.group,
-            load: ask.hint,
-            is_retry: ask.retry,
-            is_reconnect: ask.is_reconnect,
-            previous_server: ask.previous_node.map(|node: NodeId| directory.node_name(node)),
+            id: request.conn.0,
+            key: request.key,
+            class: &self.classes[request.class as usize],
+            tenant: self.tenants.get(request.tenant as usize).map_or("", String::as_str),
+            timeout_ms: if request.previous_node.is_some() {
+                RESTORED_TIMEOUT_MS
+            } else {
+                (remaining / 1000).max(1)
+            },
+            group: request.group,
+            load: request.hint,
+            is_retry: request.retry,
+            is_reconnect: request.is_reconnect,
+            previous_server: request.previous_node.map(|node: NodeId| directory.node_name(node)),
         }
         .to_string();
         let line = without_timeout(text.trim_end().as_bytes());
-        self.sent.insert(ask.conn, Entry { balancer, line, accepted_links: Vec::new() });
+        self.sent.insert(request.conn, Entry { balancer, line, accepted_links: Vec::new() });
         text
     }
 
--- a/crates/emulator/src/sockets/harness.rs
+++ b/crates/emulator/src/sockets/harness.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionObservation {
     /// A client's first line has been written completely on an established connection to the balancer. The duration is
-    /// the client's remaining patience.
+    /// the client's remaining timeout.
     RequestSent(RequestLine, Micros),
     /// A client has sent a line on an established connection.
     LineSent(ConnId),
--- a/crates/emulator/src/sockets/nodes.rs
+++ b/crates/emulator/src/sockets/nodes.rs
@@ -352,7 +352,7 @@
                     }
                     (Stage::FirstLine, line) => match connection_log.classify_first_line(link.balancer, line)
                     {
-                        FirstLine::Sent(conn, patience) => {
+                        FirstLine::Sent(conn, timeout) => {
                             (link.conn, link.stage) = (Some(conn), Stage::AwaitingAnswer);
                             if self.is_before_day {
                                 let up =
@@ -365,10 +365,8 @@
                                 link.balancer,
                                 FromBalancer::Link { link: id, node, conn: Some(conn) }.into(),
                             ));
-                            observations.push((
-                                link.balancer,
-                                FromBalancer::Forward { link: id, timeout: patience }.into(),
-                            ));
+                            observations
+                                .push((link.balancer, FromBalancer::Forward { link: id, timeout }.into()));
                         }
                         FirstLine::Unusable => {
                             link.stage = Stage::Over;
--- a/crates/emulator/src/sockets/platform.rs
+++ b/crates/emulator/src/sockets/platform.rs
@@ -136,11 +136,11 @@
         self.world
             .open_standing_connections(&mut Listener { commands: &mut commands, auditor: &mut self.auditor });
         let request = |(who, what)| match what {
-            ToBalancer::Request { request: ask, .. } => Some((who, ask)),
+            ToBalancer::Request { request, .. } => Some((who, request)),
             _ => None,
         };
         let all: Vec<(BalancerId, RequestLine)> = commands.into_iter().filter_map(request).collect();
-        self.initial_connections = all.iter().map(|(who, ask)| (ask.conn, *who)).collect();
+        self.initial_connections = all.iter().map(|(who, request)| (request.conn, *who)).collect();
         all
     }
 
@@ -187,8 +187,8 @@
     fn on_observation(&mut self, now: Micros, who: BalancerId, observation: ConnectionObservation) {
         let (to, from);
         let observation = match observation {
-            ConnectionObservation::RequestSent(ask, left) => {
-                to = ToBalancer::Request { request: ask, remaining: left };
+            ConnectionObservation::RequestSent(request, remaining) => {
+                to = ToBalancer::Request { request, remaining };
                 Observation::Input(who, &to)
             }
             ConnectionObservation::LineSent(conn) => {
--- a/crates/emulator/src/sockets/run/commands.rs
+++ b/crates/emulator/src/sockets/run/commands.rs
@@ -35,11 +35,11 @@
         Ok(())
     }
 
-    /// Connects a client that sends this request; `patience` is the client's remaining patience.
-    pub(super) fn open_client(&mut self, who: BalancerId, request: &RequestLine, patience: Micros) {
-        let line = self.connection_log.record_request(who, request, patience, &self.directory);
+    /// Connects a client that sends this request; `remaining` is the client's remaining timeout.
+    pub(super) fn open_client(&mut self, who: BalancerId, request: &RequestLine, remaining: Micros) {
+        let line = self.connection_log.record_request(who, request, remaining, &self.directory);
         let target = (who, self.fleet.address(who));
-        self.clients.connect(&mut self.net, target, (*request, patience), &line, &mut self.observations);
+        self.clients.connect(&mut self.net, target, (*request, remaining), &line, &mut self.observations);
     }
 
     /// Executes a command without notifying the harness.
@@ -64,7 +64,7 @@
                 }
                 self.fleet.reload(now, who, self.discovery.address(who))?;
             }
-            ToBalancer::Request { request: ask, remaining: left } => self.open_client(who, &ask, left),
+            ToBalancer::Request { request, remaining } => self.open_client(who, &request, remaining),
             ToBalancer::ClientEnded(conn, how) => self.clients.close(net, now, conn, how),
             ToBalancer::LinkFailed(link) => self.nodes.close(net, link, End::Reset),
             ToBalancer::NodeMessage(link, message) => {
