--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -129,7 +129,9 @@
             ToBalancer::Kill => self.on_killed(now, balancer),
             ToBalancer::Terminate => *self.terminating_mut(balancer) = true,
             ToBalancer::Reload { .. } => self.notified_lists.on_reload(now, balancer),
-            ToBalancer::Asked { ask, left } => self.on_request(now, balancer, ask, *left),
+            ToBalancer::Request { request, remaining } => {
+                self.on_request(now, balancer, request, *remaining);
+            }
             ToBalancer::ClientLine(id) => self.on_client_line(now, *id),
             ToBalancer::ClientEnded(id, end) => self.on_client_closed(now, *id, *end),
             ToBalancer::LinkUp(id) => {
@@ -144,7 +146,7 @@
                     conn.trace.push(now, TraceEvent::LinkFailed(link.node));
                 }
             }
-            ToBalancer::NodeSays(link, message) => self.on_node_message(now, balancer, *link, *message),
+            ToBalancer::NodeMessage(link, message) => self.on_node_message(now, balancer, *link, *message),
             ToBalancer::NodeEnded(link, end) => self.on_node_closed(now, balancer, *link, *end),
             ToBalancer::List { full, entries } => {
                 self.notified_lists.on_endpoint_list(now, balancer, *full, entries);
@@ -166,8 +168,8 @@
             FromBalancer::EndLink(link, end) => self.on_balancer_closed_link(now, balancer, link, end),
             FromBalancer::Watch => self.notified_lists.on_watch(now, balancer),
             FromBalancer::Unwatch => self.notified_lists.on_unwatch(now, balancer),
-            FromBalancer::Refused(id) => self.on_connection_refused(now, id),
-            FromBalancer::Syntax(node) => {
+            FromBalancer::ConnectionRefused(id) => self.on_connection_refused(now, id),
+            FromBalancer::MalformedRequest(node) => {
                 let case = Case { reason: Reason::Syntax, at: now, balancer, conn: None, node: Some(node) };
                 self.verdict.record(case, String::new(), Vec::new);
             }
@@ -297,13 +299,13 @@
 
     // Requests and attempts.
 
-    fn on_request(&mut self, now: Micros, balancer: BalancerId, ask: &RequestLine, left: Micros) {
-        let mut conn = Conn::new(balancer, Request::new(now + left, ask.home.is_some()));
+    fn on_request(&mut self, now: Micros, balancer: BalancerId, request: &RequestLine, remaining: Micros) {
+        let mut conn = Conn::new(balancer, Request::new(now + remaining, request.previous_node.is_some()));
         conn.trace.push(
             now,
-            TraceEvent::ClientRequest { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) },
+            TraceEvent::ClientRequest { left_ms: u32::try_from(remaining / 1_000).unwrap_or(u32::MAX) },
         );
-        self.verdict.counts.taken += u64::from(self.table.open(ask.conn, conn));
+        self.verdict.counts.taken += u64::from(self.table.open(request.conn, conn));
     }
 
     /// An attempt was sent; its first byte was read at `first`.
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -82,7 +82,7 @@
         for entry in known {
             let notice = view.notice_mut(entry.node);
             notice.was_listed = true;
-            notice.start_time = entry.born;
+            notice.start_time = entry.started_at;
         }
     }
 
@@ -112,7 +112,7 @@
         for entry in entries {
             let notice = view.notice_mut(entry.node);
             notice.was_listed = true;
-            notice.start_time = notice.start_time.max(entry.born);
+            notice.start_time = notice.start_time.max(entry.started_at);
             notice.unavailable_since =
                 if entry.stage == Stage::Ready { None } else { notice.unavailable_since.or(Some(now)) };
         }
@@ -133,8 +133,8 @@
         let listing = entry_mut(&mut self.listings, entry.node.0);
         listing.unavailable_since =
             if entry.stage == Stage::Ready { None } else { listing.unavailable_since.or(Some(now)) };
-        if entry.born > listing.start_time.map(|(born, _)| born) {
-            listing.start_time = entry.born.map(|born| (born, now));
+        if entry.started_at > listing.start_time.map(|(born, _)| born) {
+            listing.start_time = entry.started_at.map(|born| (born, now));
         }
     }
 
--- a/crates/emulator/src/node/mod.rs
+++ b/crates/emulator/src/node/mod.rs
@@ -24,7 +24,7 @@
 use rand_distr::Gamma;
 use rand_pcg::Pcg64Mcg;
 
-use crate::day::{Day, FaultKind, GoAway, Sheds};
+use crate::day::{Day, DrainPolicy, FaultKind, ShedPolicy};
 use crate::edge::{BalancerId, End, LinkId, NodeId, NodeMessage, RequestLine};
 use crate::population::LoadProfile;
 use active_faults::ActiveFaults;
@@ -59,7 +59,7 @@
         patience: Micros,
     },
     /// A connection that was established before the day; it needs no set-up and gets no response.
-    Carry {
+    InitialConnection {
         /// The link of the connection.
         link: LinkId,
         /// The balancer that holds it.
@@ -106,7 +106,7 @@
     /// Closes a link, on its own or because the process ends.
     Close(LinkId, End),
     /// Reports that an attempt has arrived, accepted or not.
-    Reached {
+    AttemptArrived {
         /// The link of the attempt.
         link: LinkId,
         /// The number of attempts that it counts as.
@@ -182,8 +182,8 @@
     message_work: f64,
     burstiness: f64,
     max_backlog: f64,
-    shed_policy: Sheds,
-    drain_policy: GoAway,
+    shed_policy: ShedPolicy,
+    drain_policy: DrainPolicy,
     connection_cap: usize,
     probe_work: f64,
     probe_cap: usize,
@@ -337,7 +337,7 @@
             NodeInput::Open { link, by, ask, profile, patience } => {
                 self.on_open(now, link, by, ask, profile, patience, outputs);
             }
-            NodeInput::Carry { link, by, ask, profile } => {
+            NodeInput::InitialConnection { link, by, ask, profile } => {
                 self.establish(now, link, by, &ask, profile.mean, outputs);
             }
             NodeInput::Close { link } => {
--- a/crates/emulator/src/population/mod.rs
+++ b/crates/emulator/src/population/mod.rs
@@ -77,7 +77,7 @@
     },
     /// A client connects through the front of its zone and sends its request.
     Connect {
-        /// The request; [`RequestLine::home`] is set if the connection was established before the day.
+        /// The request; [`RequestLine::previous_node`] is set if the connection was established before the day.
         ask: RequestLine,
         /// The index of the client's zone.
         zone: u32,
@@ -261,11 +261,11 @@
             class: client.class,
             tenant: client.tenant,
             group: client.group,
-            patience: class.give_up,
+            timeout: class.give_up,
             hint: None,
             retry: self.day.clients.marks_retry && client.failures > 0,
-            again,
-            home,
+            is_reconnect: again,
+            previous_node: home,
         };
         client.state = State::Waiting { conn, sent: now };
         let profile = LoadProfile { mean: client.mean, seed: self.rng.random() };
--- a/crates/emulator/src/sockets/discovery/tests.rs
+++ b/crates/emulator/src/sockets/discovery/tests.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_remembered_version_yields_the_changes_since() {
-    let entry = |n: u32, stage| Listed { node: NodeId(n), stage, born: None };
+    let entry = |n: u32, stage| Listed { node: NodeId(n), stage, started_at: None };
     let mut view = BalancerView {
         listener: None,
         address: ([127, 0, 0, 1], 0).into(),
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -73,11 +73,11 @@
 }
 
 impl WorldListener for Outbox<'_> {
-    fn to(&mut self, _at: Micros, balancer: BalancerId, input: ToBalancer) {
+    fn deliver(&mut self, _at: Micros, balancer: BalancerId, input: ToBalancer) {
         self.slots[balancer.0 as usize].inbox.push(input);
     }
 
-    fn fact(&mut self, at: Micros, observation: Observation<'_>) {
+    fn observe(&mut self, at: Micros, observation: Observation<'_>) {
         self.auditor.observe(at, observation);
     }
 }
