--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -133,8 +133,8 @@
         let listing = entry_mut(&mut self.listings, entry.node.0);
         listing.unavailable_since =
             if entry.stage == Stage::Ready { None } else { listing.unavailable_since.or(Some(now)) };
-        if entry.started_at > listing.start_time.map(|(born, _)| born) {
-            listing.start_time = entry.started_at.map(|born| (born, now));
+        if entry.started_at > listing.start_time.map(|(started_at, _)| started_at) {
+            listing.start_time = entry.started_at.map(|started_at| (started_at, now));
         }
     }
 
@@ -193,12 +193,12 @@
         started: Micros,
         tolerances: &AuditTolerances,
     ) -> bool {
-        let is_same = |born: Micros| born + START_TIME_ROUNDING > started;
+        let is_same = |other: Micros| other + START_TIME_ROUNDING > started;
         if self.notice(balancer, node).start_time.is_some_and(is_same) {
             return true;
         }
         let listed =
-            self.listings.get(node.0 as usize).and_then(|l| l.start_time).filter(|(born, _)| is_same(*born));
+            self.listings.get(node.0 as usize).and_then(|l| l.start_time).filter(|(at, _)| is_same(*at));
         listed
             .is_some_and(|(_, listed)| self.presumed_notified_at(now, balancer, listed, tolerances).is_some())
     }
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -60,8 +60,8 @@
     if sockets { AuditTolerances::sockets_strict(&day) } else { AuditTolerances::virtual_time(&day) }
 }
 
-fn listed(node: NodeId, stage: Stage, born: Option<Micros>) -> Listed {
-    Listed { node, stage, started_at: born }
+fn listed(node: NodeId, stage: Stage, started_at: Option<Micros>) -> Listed {
+    Listed { node, stage, started_at }
 }
 
 /// Starts the balancer with nodes 0 to 2 on its list, and its watch.
@@ -143,21 +143,21 @@
     #[expect(clippy::too_many_lines, reason = "one history, step by step")]
     fn run(&mut self, at: Micros, fault: Option<Reason>) -> Micros {
         use Reason::*;
-        let (conn, patience) = (self.conn, 3 * S);
+        let (conn, timeout) = (self.conn, 3 * S);
         let (key, group, home) = (conn.0, 0, None);
-        let ask = RequestLine {
+        let request = RequestLine {
             conn,
             key,
             class: 0,
             tenant: 0,
             group,
-            timeout: patience,
+            timeout,
             hint: None,
             retry: false,
             is_reconnect: false,
             previous_node: home,
         };
-        self.history.add(at, Input(T::Request { request: ask, remaining: patience }));
+        self.history.add(at, Input(T::Request { request, remaining: timeout }));
         let mut now = at + self.random_delay(5 * MS);
         let failures = if fault == Some(TooManyAttempts) { 5 } else { self.rng.random_range(0..3) };
         for _ in 0..failures {
@@ -173,11 +173,11 @@
         }
         match fault {
             Some(NoAnswer) => {
-                self.client_closes(at + patience + 500 * MS);
+                self.client_closes(at + timeout + 500 * MS);
                 return now;
             }
             Some(LateAnswer) => {
-                self.answer(at + patience + 500 * MS, Answer::Busy(0));
+                self.answer(at + timeout + 500 * MS, Answer::Busy(0));
                 return now;
             }
             Some(EndedUnanswered) => {
@@ -320,21 +320,21 @@
 
 /// A client sends its request.
 fn send_request(conn: u64, at: Micros, history: &mut History) {
-    let (conn, patience) = (ConnId(conn), 3 * S);
+    let (conn, timeout) = (ConnId(conn), 3 * S);
     let (key, group, home) = (conn.0, 0, None);
-    let ask = RequestLine {
+    let request = RequestLine {
         conn,
         key,
         class: 0,
         tenant: 0,
         group,
-        timeout: patience,
+        timeout,
         hint: None,
         retry: false,
         is_reconnect: false,
         previous_node: home,
     };
-    history.add(at, Input(T::Request { request: ask, remaining: patience }));
+    history.add(at, Input(T::Request { request, remaining: timeout }));
 }
 
 /// A client sends its request, which is attempted at `node` and rejected there.
