--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -129,8 +129,8 @@
             ToBalancer::Kill => self.on_killed(now, balancer),
             ToBalancer::Terminate => *self.terminating_mut(balancer) = true,
             ToBalancer::Reload { .. } => self.notified_lists.on_reload(now, balancer),
-            ToBalancer::Request { request: ask, remaining: left } => {
-                self.on_request(now, balancer, ask, *left);
+            ToBalancer::Request { request, remaining } => {
+                self.on_request(now, balancer, request, *remaining);
             }
             ToBalancer::ClientLine(id) => self.on_client_line(now, *id),
             ToBalancer::ClientEnded(id, end) => self.on_client_closed(now, *id, *end),
@@ -299,13 +299,13 @@
 
     // Requests and attempts.
 
-    fn on_request(&mut self, now: Micros, balancer: BalancerId, ask: &RequestLine, left: Micros) {
-        let mut conn = Conn::new(balancer, Request::new(now + left, ask.previous_node.is_some()));
+    fn on_request(&mut self, now: Micros, balancer: BalancerId, request: &RequestLine, remaining: Micros) {
+        let mut conn = Conn::new(balancer, Request::new(now + remaining, request.previous_node.is_some()));
         conn.trace.push(
             now,
-            TraceEvent::ClientRequest { left_ms: u32::try_from(left / 1_000).unwrap_or(u32::MAX) },
+            TraceEvent::ClientRequest { left_ms: u32::try_from(remaining / 1_000).unwrap_or(u32::MAX) },
         );
-        self.verdict.counts.taken += u64::from(self.table.open(ask.conn, conn));
+        self.verdict.counts.taken += u64::from(self.table.open(request.conn, conn));
     }
 
     /// An attempt was sent; its first byte was read at `first`.
