--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -70,10 +70,10 @@
             }
             NodeOutput::AttemptArrived { link, weight, cold } => {
                 if let Some(l) = self.links.get(link) {
-                    let (by, balancer_link) = (l.balancer, l.balancer_link);
+                    let (balancer, balancer_link) = (l.balancer, l.balancer_link);
                     listener.observe(
                         self.now,
-                        Observation::AttemptArrived { balancer: by, link: balancer_link, node, weight, cold },
+                        Observation::AttemptArrived { balancer, link: balancer_link, node, weight, cold },
                     );
                 }
             }
