--- a/crates/lab/examples/restarts.rs
+++ b/crates/lab/examples/restarts.rs
@@ -35,7 +35,7 @@
         let jobs: Result<Vec<_>, _> = (first..first + seeds)
             .map(|seed| Ok((policy.to_owned(), scenario::load(Path::new(file), &[], Some(seed))?.day)))
             .collect::<Result<_, scenario::ScenarioError>>();
-        let records = runner::all(&jobs?, None).map_err(|e| format!("{e:?}"))?;
+        let records = runner::play_all(&jobs?, None).map_err(|e| format!("{e:?}"))?;
         let all: Vec<_> = records.iter().map(shares).collect();
         let mean = |i: usize| all.iter().map(|s| s[i]).sum::<f64>() / all.len() as f64;
         let worst = all.iter().map(|s| s[0]).fold(f64::INFINITY, f64::min);
--- a/crates/lab/examples/tenants.rs
+++ b/crates/lab/examples/tenants.rs
@@ -34,7 +34,7 @@
     let jobs: Result<Vec<_>, _> = (1..=seeds)
         .map(|seed| Ok((policy.to_owned(), scenario::load(Path::new(path), &[], Some(seed))?.day)))
         .collect::<Result<_, scenario::ScenarioError>>();
-    runner::all(&jobs?, Some(4)).map_err(|e| format!("{e:?}").into())
+    runner::play_all(&jobs?, Some(4)).map_err(|e| format!("{e:?}").into())
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
--- a/crates/lab/src/clocks.rs
+++ b/crates/lab/src/clocks.rs
@@ -72,7 +72,7 @@
         .iter()
         .flat_map(|(_, day)| (0..args.draws).map(|n| ("module".to_owned(), draw(day, n))))
         .collect();
-    let runs = runner::all(&jobs, args.threads)?;
+    let runs = runner::play_all(&jobs, args.threads)?;
     let pairs: Vec<Pair> = days
         .iter()
         .zip(&real)
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -113,9 +113,9 @@
     if path.extension().is_some_and(|e| e == "json") && !is_drawn_day(path) {
         return record::read(path);
     }
-    let days = sweep::days(path, &[], &args.seeds.0)?;
+    let days = sweep::load_days(path, &[], &args.seeds.0)?;
     let jobs: Vec<_> = days.into_iter().map(|day| (policy.to_owned(), day)).collect();
-    runner::all(&jobs, args.threads)
+    runner::play_all(&jobs, args.threads)
 }
 
 /// Whether a JSON file is a drawn day rather than a result; only drawn days have `troubles`.
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -53,7 +53,7 @@
             .flat_map(|policy| days.iter().map(move |day| (policy.clone(), day.clone())))
             .collect();
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
-        let runs = runner::each(&jobs, args.threads, &|policy, day, result| {
+        let runs = runner::play_each(&jobs, args.threads, &|policy, day, result| {
             let distribution = LoadDistribution::of(&trial.expectations, &result.series.nodes);
             let figure = |worst: Option<WorstInterval>| worst.map(|w| round(w.value, 3));
             EvenRun {
@@ -101,7 +101,7 @@
             &"promises.settled_s: missing; expected the intervals in which the day has settled",
         ));
     }
-    let sets = files::single(&args.set)?;
+    let sets = files::single_values(&args.set)?;
     let day = path.parent().unwrap_or(Path::new("")).join(&trial.day);
     let all = args.seeds.0.iter().map(|seed| Ok(files::load(&day, &sets, Some(*seed))?.day));
     let all = all.collect::<Result<_, CommandError>>()?;
--- a/crates/lab/src/fidelity.rs
+++ b/crates/lab/src/fidelity.rs
@@ -82,7 +82,7 @@
         }
     }
     bar.finish_and_clear();
-    let runs = runner::all(&jobs, args.threads)?;
+    let runs = runner::play_all(&jobs, args.threads)?;
     let pairs: Vec<Pair> = simulated
         .into_iter()
         .zip(runs.chunks(args.draws as usize))
--- a/crates/lab/src/files.rs
+++ b/crates/lab/src/files.rs
@@ -13,14 +13,14 @@
 /// # Errors
 /// The file or a change can't be used.
 pub fn scenario(which: &ScenarioArgs) -> Result<Scenario, CommandError> {
-    load(&which.scenario, &single(&which.set)?, which.seed)
+    load(&which.scenario, &single_values(&which.set)?, which.seed)
 }
 
 /// The `--set` arguments of commands that allow only one value for each key.
 ///
 /// # Errors
 /// A key has several values.
-pub fn single(set: &[Axis]) -> Result<Vec<(String, String)>, CommandError> {
+pub fn single_values(set: &[Axis]) -> Result<Vec<(String, String)>, CommandError> {
     set.iter()
         .map(|axis| match &axis.values[..] {
             [one] => Ok((axis.key.clone(), one.clone())),
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -85,8 +85,8 @@
     }
     html += &tables(record);
     html += &breaks(record);
-    if let Some(facts) = &record.sockets {
-        let note = escaped(&crate::sockets::note(facts));
+    if let Some(measurements) = &record.sockets {
+        let note = escaped(&crate::sockets::summary(measurements));
         html += &format!("<section><h2>In real time</h2><pre>{note}</pre></section>\n");
     }
     html + "</main>\n</body>\n</html>\n"
@@ -94,15 +94,15 @@
 
 fn figures(record: &Record) -> String {
     let worst = Record::worst(&record.tenants).map_or("-".into(), |t| share(t.share));
-    let within = |part| record.set_up.within(part).map_or("-".into(), ms);
+    let setup_time = |q| record.set_up.quantile(q).map_or("-".into(), ms);
     let (class, word) = if record.rules.kept { ("good", "kept") } else { ("bad", "BROKEN") };
     let figures = [
         ("", share(record.g), "g"),
         ("", share(record.whole), "whole day"),
         ("", share(record.worst_window.share), "worst window"),
         ("", worst, "worst tenant"),
-        ("", within(0.5), "half set up within"),
-        ("", within(0.99), "99 % set up within"),
+        ("", setup_time(0.5), "half set up within"),
+        ("", setup_time(0.99), "99 % set up within"),
         (class, word.to_owned(), "rules"),
     ];
     let cells = figures.map(|(class, figure, name)| {
@@ -122,12 +122,12 @@
 }
 
 fn tables(record: &Record) -> String {
-    let parts = |parts: &[record::Part]| {
-        parts.iter().map(|p| (p.name.clone(), share(p.share))).collect::<Vec<_>>().into_iter()
+    let share_rows = |shares: &[record::NamedShare]| {
+        shares.iter().map(|p| (p.name.clone(), share(p.share))).collect::<Vec<_>>().into_iter()
     };
     let tables = [
-        rows(["tenant", "share"], parts(&record.tenants)),
-        rows(["class", "share"], parts(&record.classes)),
+        rows(["tenant", "share"], share_rows(&record.tenants)),
+        rows(["class", "share"], share_rows(&record.classes)),
         rows(["price of", "cost"], record.prices.iter().map(|p| (p.name.clone(), share(p.cost)))),
         rows(["refused or failed", "times"], record.refusals.iter().map(|(c, n)| (c.clone(), count(*n)))),
         rows(["attempts came to", "times"], record.attempts.iter().map(|(c, n)| (c.clone(), count(*n)))),
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -31,11 +31,11 @@
     /// The interval of 10 s with the lowest share served.
     pub worst_window: Window,
     /// Share served of each class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<NamedShare>,
     /// Share served of each tenant, within its quota.
-    pub tenants: Vec<Part>,
+    pub tenants: Vec<NamedShare>,
     /// The prices that were deducted from the result.
-    pub prices: Vec<Cost>,
+    pub prices: Vec<ChargedPrice>,
     /// Totals of the run by name.
     pub counts: BTreeMap<String, f64>,
     /// Number of replies to clients other than `UP`, by cause.
@@ -45,7 +45,7 @@
     /// Number of established connections that ended, by cause.
     pub ends: BTreeMap<String, u64>,
     /// Distribution of the times from a client's first try to its `UP`.
-    pub set_up: SetUp,
+    pub set_up: SetupTimes,
     /// The auditor's verdict on the rules.
     pub rules: Verdict,
     /// Number of events that the emulator processed; 0 on sockets.
@@ -58,24 +58,24 @@
     pub series: Series,
     /// Measurements of a run on sockets; none in virtual time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub sockets: Option<SocketFacts>,
+    pub sockets: Option<SocketMeasurements>,
 }
 
 /// Measurements that exist only for a run in real time.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct SocketFacts {
+pub struct SocketMeasurements {
     /// Why the run does not count, if it does not.
     pub void: Option<String>,
     /// Delay of the lab's own actions after they were due.
-    pub late: Times,
+    pub late: TimeSummary,
     /// Delay of the lab's handling of input.
-    pub handled: Times,
+    pub handled: TimeSummary,
     /// Number of lines that clients sent on established connections.
     pub lines: u64,
     /// Number of those lines that were answered.
     pub returned: u64,
     /// Round-trip times of those lines.
-    pub round: Times,
+    pub round: TimeSummary,
     /// Incarnations of the balancers' processes.
     pub lives: Vec<ProcessIncarnation>,
     /// Kinds of misbehaving clients, and their outcomes as text.
@@ -89,7 +89,7 @@
 
 /// Summary of a distribution of times.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Times {
+pub struct TimeSummary {
     /// Number of values.
     pub count: u64,
     /// The median in milliseconds.
@@ -132,7 +132,7 @@
 
 /// The share served of one class or tenant.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Part {
+pub struct NamedShare {
     /// Name of the class or tenant.
     pub name: String,
     /// Share served.
@@ -141,7 +141,7 @@
 
 /// A price that was deducted from the result.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Cost {
+pub struct ChargedPrice {
     /// What the price is for.
     pub name: String,
     /// The amount that it was charged for, in the price's own unit.
@@ -152,7 +152,7 @@
 
 /// Distribution of setup times.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct SetUp {
+pub struct SetupTimes {
     /// Number of setups.
     pub count: u64,
     /// The mean in milliseconds.
@@ -164,23 +164,23 @@
 /// The quantiles of setup times that a record holds.
 pub const QUANTILES: [f64; 12] = [0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 0.9999, 1.0];
 
-impl SetUp {
+impl SetupTimes {
     /// Summarizes a histogram of microseconds.
     pub fn of(times: &hdrhistogram::Histogram<u64>) -> Self {
         if times.is_empty() {
             return Self::default();
         }
-        let at = |part: f64| times.value_at_quantile(part) as f64 / 1e3;
+        let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
         Self {
             count: times.len(),
             mean_ms: round(times.mean() / 1e3, 3),
-            within_ms: QUANTILES.iter().map(|p| (*p, at(*p))).collect(),
+            within_ms: QUANTILES.iter().map(|q| (*q, at(*q))).collect(),
         }
     }
 
     /// The setup time in milliseconds at one of [`QUANTILES`]; none for any other, or if there were no setups.
-    pub fn within(&self, part: f64) -> Option<f64> {
-        self.within_ms.iter().find(|(p, _)| *p == part).map(|(_, ms)| *ms)
+    pub fn quantile(&self, quantile: f64) -> Option<f64> {
+        self.within_ms.iter().find(|(q, _)| *q == quantile).map(|(_, ms)| *ms)
     }
 }
 
@@ -315,8 +315,8 @@
     }
 
     /// The class or tenant with the lowest share; none for an empty list.
-    pub fn worst(parts: &[Part]) -> Option<&Part> {
-        parts.iter().min_by(|a, b| a.share.total_cmp(&b.share))
+    pub fn worst(shares: &[NamedShare]) -> Option<&NamedShare> {
+        shares.iter().min_by(|a, b| a.share.total_cmp(&b.share))
     }
 
     /// The JSON text of result files.
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -29,7 +29,7 @@
                     "the scenario's bad clients are left out in virtual time; play them with --clock sockets"
                 );
             }
-            let (record, took) = runner::one(&scenario.day, &args.how.policy, args.how.threads)?;
+            let (record, took) = runner::play_day(&scenario.day, &args.how.policy, args.how.threads)?;
             let note = runner::speed(&record, took);
             (record, note)
         }
@@ -55,8 +55,8 @@
 ) -> Result<CommandOutcome, CommandError> {
     if json != Some(Path::new("-")) {
         say(&tables::run(record, style));
-        if let Some(facts) = &record.sockets {
-            say(&style.dim(&sockets::note(facts)));
+        if let Some(measurements) = &record.sockets {
+            say(&style.dim(&sockets::summary(measurements)));
         }
         say(&style.dim(note));
     }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -16,8 +16,8 @@
 use crate::error::CommandError;
 use crate::instances::PolicyHosts;
 use crate::record::{
-    BalancerSeries, Cost, FaultInterval, NodeName, NodeSeries, Part, Record, RuleViolation, Series, SetUp,
-    TenantSeries, Verdict, Window, round,
+    BalancerSeries, ChargedPrice, FaultInterval, NamedShare, NodeName, NodeSeries, Record, RuleViolation,
+    Series, SetupTimes, TenantSeries, Verdict, Window, round,
 };
 use shorewharf_units::seconds_from_micros;
 
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 /// The policy is unknown, or the day can't be run.
-pub fn one(day: &Day, policy: &str, threads: Option<usize>) -> Result<(Record, Duration), CommandError> {
+pub fn play_day(day: &Day, policy: &str, threads: Option<usize>) -> Result<(Record, Duration), CommandError> {
     let bar = ProgressBar::new(day.length / 1_000);
     bar.set_style(bar_style("{msg} {wide_bar} {percent} %  {eta} left"));
     bar.set_message(day.name.clone());
@@ -62,8 +62,8 @@
 ///
 /// # Errors
 /// A policy is unknown, or a day can't be run.
-pub fn all(jobs: &[(String, Day)], threads: Option<usize>) -> Result<Vec<Record>, CommandError> {
-    each(jobs, threads, &|policy, day, result| {
+pub fn play_all(jobs: &[(String, Day)], threads: Option<usize>) -> Result<Vec<Record>, CommandError> {
+    play_each(jobs, threads, &|policy, day, result| {
         let mut record = record(day, policy, "virtual", result);
         record.series.nodes.clear();
         record.series.balancers.clear();
@@ -71,11 +71,11 @@
     })
 }
 
-/// Plays many days as [`all`] does, and keeps only what `keep` returns for each.
+/// Plays many days as [`play_all`] does, and keeps only what `keep` returns for each.
 ///
 /// # Errors
 /// A policy is unknown, or a day can't be run.
-pub fn each<T: Send>(
+pub fn play_each<T: Send>(
     jobs: &[(String, Day)],
     threads: Option<usize>,
     keep: &(dyn Fn(&str, &Day, &RunResult) -> T + Sync),
@@ -141,8 +141,8 @@
         ("probes", o.prices.probe),
         ("moves", o.prices.moves),
     ];
-    let parts = |parts: &[shorewharf_emulator::score::Part]| {
-        parts.iter().map(|p| Part { name: p.name.clone(), share: p.share() }).collect()
+    let shares = |parts: &[shorewharf_emulator::score::Part]| {
+        parts.iter().map(|p| NamedShare { name: p.name.clone(), share: p.share() }).collect()
     };
     let sum = |of: fn(&shorewharf_emulator::world::series::Second) -> u32| {
         s.seconds.iter().map(|x| f64::from(of(x))).sum::<f64>()
@@ -170,14 +170,16 @@
         length_s: seconds_from_micros(day.length),
         whole: o.whole,
         worst_window: Window { from_s: f64::from(o.worst_window.from_s), share: o.worst_window.share },
-        classes: parts(&o.classes),
-        tenants: parts(&o.tenants),
-        prices: prices.map(|(name, p)| Cost { name: name.to_owned(), amount: p.rate, cost: p.cost }).to_vec(),
+        classes: shares(&o.classes),
+        tenants: shares(&o.tenants),
+        prices: prices
+            .map(|(name, p)| ChargedPrice { name: name.to_owned(), amount: p.rate, cost: p.cost })
+            .to_vec(),
         counts: counts.map(|(name, n)| (name.to_owned(), n)).into(),
         refusals: named(&s.answers),
         attempts: named(&s.attempts),
         ends: named(&s.ends),
-        set_up: SetUp::of(&s.set_up),
+        set_up: SetupTimes::of(&s.set_up),
         rules: verdict(&result.verdict),
         events: result.events,
         nodes: day.nodes.iter().map(|n| node_name(day, n)).collect(),
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -15,7 +15,7 @@
 
 use crate::budgets::SharedStore;
 use crate::error::CommandError;
-use crate::record::{ProcessIncarnation, Record, SocketFacts, Times, round};
+use crate::record::{ProcessIncarnation, Record, SocketMeasurements, TimeSummary, round};
 use crate::runner;
 use shorewharf_units::seconds_from_micros;
 
@@ -38,7 +38,7 @@
     let run = run(day, path, operator, (&[], None, false), Vec::new(), on_sample)?;
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let mut record = runner::record(day, &name, "sockets", &run.result);
-    record.sockets = Some(facts(&run.report));
+    record.sockets = Some(measurements(&run.report));
     Ok(record)
 }
 
@@ -134,9 +134,9 @@
     bar
 }
 
-fn times(distribution: &Distribution) -> Times {
+fn times(distribution: &Distribution) -> TimeSummary {
     let ms = |us: u64| round(us as f64 / 1e3, 3);
-    Times {
+    TimeSummary {
         count: distribution.len(),
         half_ms: ms(distribution.quantile(0.5)),
         most_ms: ms(distribution.quantile(0.99)),
@@ -145,8 +145,8 @@
 }
 
 /// The measurements of a run that exist only in real time.
-pub fn facts(report: &Report) -> SocketFacts {
-    SocketFacts {
+pub fn measurements(report: &Report) -> SocketMeasurements {
+    SocketMeasurements {
         void: report.void.clone(),
         late: times(&report.late),
         handled: times(&report.handled),
@@ -184,53 +184,53 @@
 }
 
 /// A summary of the lab's own delays and of the resources that all processes used.
-pub fn short_note(facts: &SocketFacts) -> String {
-    let (late, handled) = (&facts.late, &facts.handled);
-    let cpu: f64 = facts.lives.iter().map(|l| l.cpu_ms).sum();
-    let memory = facts.lives.iter().map(|l| l.memory_mb).fold(0.0, f64::max);
+pub fn short_summary(measurements: &SocketMeasurements) -> String {
+    let (late, handled) = (&measurements.late, &measurements.handled);
+    let cpu: f64 = measurements.lives.iter().map(|l| l.cpu_ms).sum();
+    let memory = measurements.lives.iter().map(|l| l.memory_mb).fold(0.0, f64::max);
     let mut text = format!(
-        "the lab was late by {:.2} ms at 99 %, {:.2} ms at most; it handled what came within {:.2} ms at 99 %\n\
-         {} lives of processes: {:.1} s of a core in all, {:.1} MB each at most\n",
+        "the lab's own delay: 99 % within {:.2} ms, {:.2} ms at most; its handling of input: 99 % within {:.2} ms\n\
+         {} process incarnations: {:.1} s of CPU time in total, {:.1} MB each at most\n",
         late.most_ms,
         late.longest_ms,
         handled.most_ms,
-        facts.lives.len(),
+        measurements.lives.len(),
         cpu / 1e3,
         memory,
     );
-    if facts.notes.sent > 0 {
-        let lives = facts.lives.len().max(1) as f64;
+    if measurements.notes.sent > 0 {
+        let incarnation_count = measurements.lives.len().max(1) as f64;
         text += &format!(
-            "{} datagrams between them, {:.0} KB for each life; {} lost, doubled or late\n",
-            facts.notes.sent,
-            facts.notes.bytes as f64 / 1e3 / lives,
-            facts.notes.broken,
+            "{} datagrams between balancers, {:.0} KB per incarnation; {} lost, doubled or late\n",
+            measurements.notes.sent,
+            measurements.notes.bytes as f64 / 1e3 / incarnation_count,
+            measurements.notes.broken,
         );
     }
-    for strange in facts.strange.iter().take(5) {
-        text += &format!("strange: {strange}\n");
+    for strange in measurements.strange.iter().take(5) {
+        text += &format!("unexpected: {strange}\n");
     }
     text
 }
 
 /// The real-time measurements as text, with a line for each process.
-pub fn note(facts: &SocketFacts) -> String {
-    let late = &facts.late;
-    let round = &facts.round;
+pub fn summary(measurements: &SocketMeasurements) -> String {
+    let late = &measurements.late;
+    let round = &measurements.round;
     let mut text = format!(
-        "lines: {} of {} came back, half within {:.2} ms, 99 % within {:.2} ms\n\
-         the lab was late by {:.2} ms at half, {:.2} ms at 99 %, {:.2} ms at most\n",
-        facts.returned,
-        facts.lines,
+        "lines: {} of {} answered, half within {:.2} ms, 99 % within {:.2} ms\n\
+         the lab's own delay: half within {:.2} ms, 99 % within {:.2} ms, {:.2} ms at most\n",
+        measurements.returned,
+        measurements.lines,
         round.half_ms,
         round.most_ms,
         late.half_ms,
         late.most_ms,
         late.longest_ms,
     );
-    for life in &facts.lives {
+    for life in &measurements.lives {
         text += &format!(
-            "balancer {}: {:.0} ms of a core, {:.1} MB, {} descriptors, {}\n",
+            "balancer {}: {:.0} ms of CPU time, {:.1} MB, {} descriptors, {}\n",
             life.balancer,
             life.cpu_ms,
             life.memory_mb,
@@ -238,13 +238,13 @@
             if life.how.is_empty() { "ran to the end" } else { &life.how },
         );
     }
-    for (kind, outcome) in &facts.bad {
+    for (kind, outcome) in &measurements.bad {
         text += &format!("bad clients, {kind}: {outcome}\n");
     }
-    for strange in &facts.strange {
-        text += &format!("strange: {strange}\n");
+    for strange in &measurements.strange {
+        text += &format!("unexpected: {strange}\n");
     }
-    if let Some(why) = &facts.void {
+    if let Some(why) = &measurements.void {
         text += &format!("VOID: {why}\n");
     }
     text
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -46,7 +46,7 @@
             }
         }
     }
-    let runs = runner::all(&jobs, args.threads)?;
+    let runs = runner::play_all(&jobs, args.threads)?;
     let table: Vec<Point> = points
         .iter()
         .zip(runs.chunks(seeds.len().max(1)))
@@ -149,7 +149,7 @@
     for ((policy, sets), run) in points.iter().zip(runs) {
         let mut row = vec![quoted(&run.scenario), quoted(policy)];
         row.extend(sets.iter().map(|(_, v)| quoted(v)));
-        let within = |part| run.set_up.within(part).map_or(String::new(), |ms| ms.to_string());
+        let setup_time = |q| run.set_up.quantile(q).map_or(String::new(), |ms| ms.to_string());
         row.extend([
             run.seed.to_string(),
             run.g.to_string(),
@@ -158,8 +158,8 @@
             Record::worst(&run.tenants).map_or(String::new(), |t| t.share.to_string()),
             run.prices.iter().map(|p| p.cost).sum::<f64>().to_string(),
             run.set_up.count.to_string(),
-            within(0.5),
-            within(0.99),
+            setup_time(0.5),
+            setup_time(0.99),
             run.refusals.values().sum::<u64>().to_string(),
             run.rules.kept.to_string(),
             run.events.to_string(),
@@ -173,7 +173,7 @@
 ///
 /// # Errors
 /// The scenario or a change can't be used.
-pub fn days(
+pub fn load_days(
     scenario: &std::path::Path,
     sets: &[(String, String)],
     seeds: &[u64],
--- a/crates/lab/src/tables.rs
+++ b/crates/lab/src/tables.rs
@@ -127,8 +127,15 @@
         return "nobody was set up\n".to_owned();
     }
     let mut t = table(&["set up", "half within", "90 %", "99 %", "99.9 %", "all"], true, style);
-    let within = |part| s.within(part).map_or("-".to_owned(), ms);
-    t.add_row([count(s.count), within(0.5), within(0.9), within(0.99), within(0.999), within(1.0)]);
+    let setup_time = |q| s.quantile(q).map_or("-".to_owned(), ms);
+    t.add_row([
+        count(s.count),
+        setup_time(0.5),
+        setup_time(0.9),
+        setup_time(0.99),
+        setup_time(0.999),
+        setup_time(1.0),
+    ]);
     format!("{t}\n")
 }
 
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -34,7 +34,7 @@
     let mut trial = Scenario::read(&text).map_err(|e| input_error(&e))?;
     trial.gossip |= args.together;
     let day = path.parent().unwrap_or(Path::new("")).join(&trial.day);
-    let scenario = files::load(&day, &files::single(&args.set)?, args.seed)?;
+    let scenario = files::load(&day, &files::single_values(&args.set)?, args.seed)?;
     let day = &scenario.day;
     let network_faults = trial.network_faults(day).map_err(|e| input_error(&e))?;
     let program = balancer::find(args.balancer.as_deref())?;
@@ -72,15 +72,15 @@
 
     let name = program.file_name().unwrap_or_default().to_string_lossy();
     let mut record = runner::record(day, &name, "sockets", &run.result);
-    record.sockets = Some(sockets::facts(&run.report));
+    record.sockets = Some(sockets::measurements(&run.report));
     record.about.clone_from(&trial.about);
     record.faults.extend(fault_intervals(&trial, day, &network_faults));
     if args.json.as_deref() == Some(Path::new("-")) {
         say(&json_text(&trial, day.seed, outcome_name, &verdicts, &record));
     } else {
         say(&table(&trial, day, outcome_name, &verdicts, style));
-        if let Some(facts) = &record.sockets {
-            say(&style.dim(&sockets::short_note(facts)));
+        if let Some(measurements) = &record.sockets {
+            say(&style.dim(&sockets::short_summary(measurements)));
         }
         if let Some(shared) = &shared {
             say(&style.dim(&format!("{} calls to the store\n", tables::count(shared.calls()))));
