--- a/crates/lab/src/scenario/set.rs
+++ b/crates/lab/src/scenario/set.rs
@@ -1,76 +1,76 @@
-//! Owns changes to a scenario from the command line: `--set traffic.load=0.4` and grids such as
-//! `--set traffic.load=0.3,0.5`. A key is a path of keys, places and names: `kinds.fast.cold_s`, `fleet[0].count`,
-//! `faults.*.len_s`.
+//! Changes to a scenario from the command line: `--set traffic.load=0.4`, and grids such as
+//! `--set traffic.load=0.3,0.5`. A key is a path of keys, indices, names of entries and `*` for all entries:
+//! `kinds.fast.cold_s`, `fleet[0].count`, `faults.*.len_s`.
 
 use thiserror::Error;
 
-use super::tree::{Form, SourceLocation, Tree};
+use super::tree::{SourceLocation, Tree, TreeKind};
 
-/// A `--set` that can't be read or fits nothing in the scenario.
+/// A `--set` option that is malformed, or whose key does not exist in the scenario.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SetError {
-    /// There is no `=`.
-    #[error("{0}: write KEY=VALUE")]
+    /// The option has no `=`.
+    #[error("{0}: no = found; expected KEY=VALUE")]
     NoValue(String),
-    /// Nothing stands before the `=`.
-    #[error("{0}: no key before the =")]
+    /// The key before the `=` is empty.
+    #[error("{0}: no key before the =; expected KEY=VALUE")]
     NoKey(String),
     /// One of the values is empty.
-    #[error("{0}: an empty value; write \"\" for an empty text")]
+    #[error("{0}: one of the values is empty; write \"\" for an empty string")]
     EmptyValue(String),
     /// A table on the path has no such key.
-    #[error("{key}: no {step} here; there are {}", known.join(", "))]
+    #[error("{key}: unknown key {step}; allowed: {}", known.join(", "))]
     UnknownKey {
-        /// The whole path.
+        /// The whole path, as given.
         key: String,
-        /// The step that fits nothing.
+        /// The step of the path that does not exist.
         step: String,
-        /// The keys that there are.
+        /// The keys of the table.
         known: Vec<String>,
     },
-    /// A list on the path is shorter than this index.
-    #[error("{key}: no place {step}; there are {count}, from 0")]
+    /// A list on the path has no entry with this index.
+    #[error("{key}: no index {step}; the list has {count} entries, counted from 0")]
     UnknownIndex {
-        /// The whole path.
+        /// The whole path, as given.
         key: String,
-        /// The step that fits nothing.
+        /// The step of the path that does not exist.
         step: String,
-        /// Length of the list.
+        /// Number of entries of the list.
         count: usize,
     },
-    /// A list on the path has no entry of this name or index.
-    #[error("{key}: no {step}; there are {}", names.join(", "))]
+    /// A list of named entries on the path has no entry with this name or index.
+    #[error("{key}: no entry {step}; the entries are {}", names.join(", "))]
     UnknownName {
-        /// The whole path.
+        /// The whole path, as given.
         key: String,
-        /// The step that fits nothing.
+        /// The step of the path that does not exist.
         step: String,
         /// Names of the list's entries.
         names: Vec<String>,
     },
-    /// The path goes on below a single value.
-    #[error("{key}: what stands before .{step} is a single value")]
+    /// The path continues after a value that is neither a table nor a list.
+    #[error("{key}: the value before .{step} is neither a table nor a list")]
     BelowValue {
-        /// The whole path.
+        /// The whole path, as given.
         key: String,
-        /// The step that fits nothing.
+        /// The step of the path that follows the single value.
         step: String,
     },
 }
 
-/// One key with the values that it takes in turn.
+/// A key and the values that a sweep gives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Axis {
-    /// The path.
+    /// The path of the key.
     pub key: String,
     /// The values, as written.
     pub values: Vec<String>,
 }
 
-/// Reads `key=value,value,…`; commas within brackets, braces or quotes don't separate values.
+/// Parses `key=value,value,…`. Commas within brackets, braces or quotes don't separate values.
 ///
 /// # Errors
-/// The key, the `=` or a value is missing.
+/// The key, the `=` or one of the values is missing.
 pub fn axis(text: &str) -> Result<Axis, SetError> {
     let (key, values) = text.split_once('=').ok_or_else(|| SetError::NoValue(text.to_owned()))?;
     let key = key.trim();
@@ -98,12 +98,12 @@
             }
             _ => {}
         }
-        parts.last_mut().expect("one at least").push(c);
+        parts.last_mut().expect("never empty").push(c);
     }
     parts
 }
 
-/// Every combination of the axes' values, as lists of (key, value); one empty combination where there are no axes.
+/// Every combination of the values of all axes, each as a list of (key, value); one empty combination without axes.
 pub fn grid(axes: &[Axis]) -> Vec<Vec<(String, String)>> {
     axes.iter().fold(vec![Vec::new()], |points, axis| {
         points
@@ -119,45 +119,46 @@
     })
 }
 
-/// Sets one value; what is no TOML value is taken as text.
+/// Sets the value at a key; a value that is not valid TOML is used as a string.
 ///
 /// # Errors
-/// The key's path fits nothing in the tree.
+/// The path of the key does not exist in the tree.
 pub fn apply(tree: &mut Tree, key: &str, value: &str) -> Result<(), SetError> {
-    let place = SourceLocation { file: format!("--set {key}").into(), line: 0 };
+    let location = SourceLocation { file: format!("--set {key}").into(), line: 0 };
     let parsed = toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut t| t.remove("v"));
     let value = parsed.unwrap_or_else(|| toml::Value::String(value.to_owned()));
     let steps: Vec<&str> = key.split(['.', '[', ']']).filter(|s| !s.is_empty()).collect();
-    set_at(tree, key, &steps, &Tree::from_value(&place, value))
+    set_at(tree, key, &steps, &Tree::from_value(&location, value))
 }
 
+/// Sets the value at the rest of a path; `key` is the whole path for error messages.
 fn set_at(tree: &mut Tree, key: &str, steps: &[&str], value: &Tree) -> Result<(), SetError> {
     let Some((step, rest)) = steps.split_first() else {
         *tree = value.clone();
         return Ok(());
     };
     let (path, unknown) = (key.to_owned(), (*step).to_owned());
-    match &mut tree.form {
-        Form::Table(t) => {
+    match &mut tree.kind {
+        TreeKind::Table(t) => {
             if !t.contains_key(*step) && !rest.is_empty() {
                 let known = t.keys().cloned().collect();
                 return Err(SetError::UnknownKey { key: path, step: unknown, known });
             }
             set_at(t.entry((*step).to_owned()).or_insert_with(|| value.clone()), key, rest, value)
         }
-        Form::List(items) if *step == "*" => {
+        TreeKind::List(items) if *step == "*" => {
             items.iter_mut().try_for_each(|item| set_at(item, key, rest, value))
         }
-        Form::List(items) => {
+        TreeKind::List(items) => {
             let names: Vec<String> = items.iter().filter_map(|i| i.name().map(str::to_owned)).collect();
-            let place = step.parse().ok().or_else(|| items.iter().position(|i| i.name() == Some(*step)));
+            let index = step.parse().ok().or_else(|| items.iter().position(|i| i.name() == Some(*step)));
             let count = items.len();
-            match place.and_then(|i| items.get_mut(i)) {
+            match index.and_then(|i| items.get_mut(i)) {
                 Some(item) => set_at(item, key, rest, value),
                 None if names.is_empty() => Err(SetError::UnknownIndex { key: path, step: unknown, count }),
                 None => Err(SetError::UnknownName { key: path, step: unknown, names }),
             }
         }
-        Form::Leaf(_) => Err(SetError::BelowValue { key: path, step: unknown }),
+        TreeKind::Leaf(_) => Err(SetError::BelowValue { key: path, step: unknown }),
     }
 }
--- a/crates/lab/src/scenario/tree.rs
+++ b/crates/lab/src/scenario/tree.rs
@@ -1,5 +1,5 @@
-//! Owns the form of a scenario between its text and [`Day`](shorewharf_emulator::day::Day): a tree of values, each of
-//! which knows the file and line that it came from, so that whatever is found wrong later can point there.
+//! The tree of values that a scenario is parsed to before it becomes a [`Day`](shorewharf_emulator::day::Day). Each value
+//! has its file and line, so that later errors can name them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,22 +8,22 @@
 use thiserror::Error;
 use toml::de::{DeTable, DeValue};
 
-/// Text that is no TOML.
+/// An error in the TOML syntax of a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{location}: {message}")]
 pub struct SyntaxError {
     /// Where the parser stopped.
     pub location: SourceLocation,
-    /// What the parser says.
+    /// The message of the parser.
     pub message: String,
 }
 
-/// Where a value was written.
+/// File and line of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceLocation {
-    /// The file as it was named, or what else gave the value (`--set`).
+    /// The path of the file as given, or another source of the value, such as `--set KEY`.
     pub file: Arc<str>,
-    /// The line, from 1; 0 where there are no lines.
+    /// Number of the line, from 1; 0 if the source has no lines.
     pub line: usize,
 }
 
@@ -36,30 +36,30 @@
     }
 }
 
-/// A value with its place.
+/// A value, with its location and all values below it.
 #[derive(Clone, Debug)]
 pub struct Tree {
-    /// Where it was written.
+    /// Where the value was set.
     pub location: SourceLocation,
-    /// What it is.
-    pub form: Form,
+    /// The value itself.
+    pub kind: TreeKind,
 }
 
-/// What a value is.
+/// The kind of a value, with its content.
 #[derive(Clone, Debug)]
-pub enum Form {
-    /// Keys and values.
+pub enum TreeKind {
+    /// A table of keys and values.
     Table(BTreeMap<String, Tree>),
-    /// Values in order.
+    /// A list of values.
     List(Vec<Tree>),
-    /// Anything else; never a table or an array.
+    /// Any other value; never a table or an array.
     Leaf(toml::Value),
 }
 
 /// Parses TOML into a tree with source locations.
 ///
 /// # Errors
-/// The text is no TOML.
+/// The text is not valid TOML.
 pub fn parse(file: &str, text: &str) -> Result<Tree, SyntaxError> {
     let file: Arc<str> = file.into();
     let spans = DeTable::parse(text).map_err(|e| {
@@ -73,11 +73,13 @@
     Ok(table(&file, text, 1, spans.get_ref(), values))
 }
 
-fn line_of(text: &str, at: usize) -> usize {
-    text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
+/// Number of the line, from 1, at a byte offset.
+fn line_of(text: &str, offset: usize) -> usize {
+    text.as_bytes()[..offset.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
 }
 
-// The parser with spans leaves numbers as text, the one with values has no spans: the two are walked side by side.
+// The parser that gives spans leaves numbers as text, and the one that gives values has no spans, so their results are
+// traversed together.
 fn table(file: &Arc<str>, text: &str, line: usize, spans: &DeTable<'_>, values: toml::Table) -> Tree {
     let lines: BTreeMap<&str, _> = spans.iter().map(|(k, v)| (k.get_ref().as_ref(), (k, v))).collect();
     let entries = values.into_iter().map(|(key, value)| {
@@ -85,7 +87,7 @@
         let line = line_of(text, spanned_key.span().start);
         (key, tree(file, text, line, spanned.get_ref(), value))
     });
-    Tree { location: SourceLocation { file: file.clone(), line }, form: Form::Table(entries.collect()) }
+    Tree { location: SourceLocation { file: file.clone(), line }, kind: TreeKind::Table(entries.collect()) }
 }
 
 fn tree(file: &Arc<str>, text: &str, line: usize, spans: &DeValue<'_>, value: toml::Value) -> Tree {
@@ -96,94 +98,101 @@
                 let line = line_of(text, s.span().start);
                 tree(file, text, line, s.get_ref(), v)
             });
-            Tree { location: SourceLocation { file: file.clone(), line }, form: Form::List(items.collect()) }
+            Tree {
+                location: SourceLocation { file: file.clone(), line },
+                kind: TreeKind::List(items.collect()),
+            }
+        }
+        (_, value) => {
+            Tree { location: SourceLocation { file: file.clone(), line }, kind: TreeKind::Leaf(value) }
         }
-        (_, value) => Tree { location: SourceLocation { file: file.clone(), line }, form: Form::Leaf(value) },
     }
 }
 
 impl Tree {
-    /// A value made by the program, with the place of what it was made from.
-    pub fn from_value(place: &SourceLocation, value: toml::Value) -> Self {
-        let form = match value {
+    /// Converts a value that the program made; `location` is that of the value it was derived from.
+    pub fn from_value(location: &SourceLocation, value: toml::Value) -> Self {
+        let kind = match value {
             toml::Value::Table(t) => {
-                Form::Table(t.into_iter().map(|(k, v)| (k, Self::from_value(place, v))).collect())
+                TreeKind::Table(t.into_iter().map(|(k, v)| (k, Self::from_value(location, v))).collect())
+            }
+            toml::Value::Array(a) => {
+                TreeKind::List(a.into_iter().map(|v| Self::from_value(location, v)).collect())
             }
-            toml::Value::Array(a) => Form::List(a.into_iter().map(|v| Self::from_value(place, v)).collect()),
-            leaf => Form::Leaf(leaf),
+            leaf => TreeKind::Leaf(leaf),
         };
-        Self { location: place.clone(), form }
+        Self { location: location.clone(), kind }
     }
 
-    /// Lays this over `base`: tables key by key; of a list of tables with names, each over the base's one of the same
-    /// name. Anything else takes the base's place.
+    /// Merges this value over `base`. Tables are merged key by key. Each named table of a list is merged over the table
+    /// of the same name in the base's list; the base's other entries are dropped. Any other value replaces the base.
     pub fn merge_over(self, base: Tree) -> Tree {
-        match (self.form, base.form) {
-            (Form::Table(mine), Form::Table(mut theirs)) => {
-                for (key, value) in mine {
-                    let merged = match theirs.remove(&key) {
+        match (self.kind, base.kind) {
+            (TreeKind::Table(own), TreeKind::Table(mut merged_table)) => {
+                for (key, value) in own {
+                    let merged = match merged_table.remove(&key) {
                         Some(old) => value.merge_over(old),
                         None => value,
                     };
-                    theirs.insert(key, merged);
+                    merged_table.insert(key, merged);
                 }
-                Tree { location: self.location, form: Form::Table(theirs) }
+                Tree { location: self.location, kind: TreeKind::Table(merged_table) }
             }
-            (Form::List(mine), Form::List(theirs)) => {
-                let items = mine.into_iter().map(|item| {
-                    let of_same_name =
-                        item.name().and_then(|n| theirs.iter().find(|t| t.name() == Some(n)).cloned());
-                    match of_same_name {
+            (TreeKind::List(own), TreeKind::List(base_items)) => {
+                let items = own.into_iter().map(|item| {
+                    let same_name =
+                        item.name().and_then(|n| base_items.iter().find(|t| t.name() == Some(n)).cloned());
+                    match same_name {
                         Some(base) => item.merge_over(base),
                         None => item,
                     }
                 });
-                Tree { location: self.location, form: Form::List(items.collect()) }
+                Tree { location: self.location, kind: TreeKind::List(items.collect()) }
             }
-            (form, _) => Tree { location: self.location, form },
+            (kind, _) => Tree { location: self.location, kind },
         }
     }
 
-    /// The text under the key `name`, in a table.
+    /// The string at the key `name`; none if this is not a table or has no such string.
     pub fn name(&self) -> Option<&str> {
-        match self.get("name")?.form {
-            Form::Leaf(toml::Value::String(ref s)) => Some(s),
+        match self.get("name")?.kind {
+            TreeKind::Leaf(toml::Value::String(ref s)) => Some(s),
             _ => None,
         }
     }
 
-    /// The value under a key.
+    /// The value at a key; none if this is not a table or has no such key.
     pub fn get(&self, key: &str) -> Option<&Tree> {
-        match &self.form {
-            Form::Table(t) => t.get(key),
+        match &self.kind {
+            TreeKind::Table(t) => t.get(key),
             _ => None,
         }
     }
 
-    /// The entries of a table; none for anything else.
+    /// The entries of a table; none for other values.
     pub fn table_mut(&mut self) -> Option<&mut BTreeMap<String, Tree>> {
-        match &mut self.form {
-            Form::Table(t) => Some(t),
+        match &mut self.kind {
+            TreeKind::Table(t) => Some(t),
             _ => None,
         }
     }
 
-    /// The items of a list; none for anything else.
+    /// The items of a list; none for other values.
     pub fn list_mut(&mut self) -> Option<&mut Vec<Tree>> {
-        match &mut self.form {
-            Form::List(l) => Some(l),
+        match &mut self.kind {
+            TreeKind::List(l) => Some(l),
             _ => None,
         }
     }
 
-    /// Place of the value at a path such as `kinds[0].cores`, or of the deepest part of the path that there is.
+    /// Location of the value at a path such as `kinds[0].cores`, or of the deepest part of the path that exists.
     pub fn location_of(&self, path: &str) -> &SourceLocation {
         let mut at = self;
         for step in path.split(['.', '[', ']']).filter(|s| !s.is_empty()) {
-            let next = match &at.form {
-                Form::Table(t) => t.get(step),
-                Form::List(l) => step.parse::<usize>().ok().and_then(|i| l.get(i)),
-                Form::Leaf(_) => None,
+            let next = match &at.kind {
+                TreeKind::Table(t) => t.get(step),
+                TreeKind::List(l) => step.parse::<usize>().ok().and_then(|i| l.get(i)),
+                TreeKind::Leaf(_) => None,
             };
             match next {
                 Some(next) => at = next,
@@ -193,12 +202,12 @@
         &at.location
     }
 
-    /// The plain value.
+    /// Converts the tree to a plain TOML value.
     pub fn value(&self) -> toml::Value {
-        match &self.form {
-            Form::Table(t) => toml::Value::Table(t.iter().map(|(k, v)| (k.clone(), v.value())).collect()),
-            Form::List(l) => toml::Value::Array(l.iter().map(Tree::value).collect()),
-            Form::Leaf(v) => v.clone(),
+        match &self.kind {
+            TreeKind::Table(t) => toml::Value::Table(t.iter().map(|(k, v)| (k.clone(), v.value())).collect()),
+            TreeKind::List(l) => toml::Value::Array(l.iter().map(Tree::value).collect()),
+            TreeKind::Leaf(v) => v.clone(),
         }
     }
 }
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -1,16 +1,16 @@
-//! Validation of a day's values: errors for values outside the range that the models support, warnings for legal
-//! values that the author has hardly meant.
+//! Validation of a day's values: errors for values outside the range that the models support, warnings for valid values
+//! that are probably mistakes.
 
 use shorewharf_emulator::day::{Backoff, Day, FaultKind, Goal};
 use shorewharf_emulator::sockets::misbehaving_clients::MisbehavingClients;
 use shorewharf_units::Micros;
 
-/// What was found, each with the path of its key.
+/// The errors and warnings found, each as the path of a key and a message.
 #[derive(Default)]
 pub(super) struct Findings {
-    /// What makes the scenario invalid.
+    /// Errors; one is enough to make the scenario invalid.
     pub errors: Vec<(String, String)>,
-    /// Legal values that the author has hardly meant.
+    /// Warnings about valid values that are probably mistakes.
     pub warnings: Vec<(String, String)>,
 }
 
@@ -23,10 +23,9 @@
         self.warnings.push((key.into(), message.into()));
     }
 
-    fn within(&mut self, key: impl Into<String>, x: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&x) {
-            let allowed =
-                if most.is_finite() { format!("{least} to {most}") } else { format!("{least} or more") };
+    fn within(&mut self, key: impl Into<String>, x: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&x) {
+            let allowed = if max.is_finite() { format!("{min} to {max}") } else { format!("{min} or more") };
             self.error(key, format!("must be {allowed}, is {x}"));
         }
     }
@@ -35,23 +34,23 @@
         self.within(key, x, 0.0, 1.0);
     }
 
-    // What a model divides by.
+    // For values that a model divides by.
     fn above_zero(&mut self, key: impl Into<String>, x: f64) {
         if !(x > 0.0 && x.is_finite()) {
-            self.error(key, format!("must be above 0, is {x}"));
+            self.error(key, format!("must be a finite number above 0, is {x}"));
         }
     }
 
     fn duration_above_zero(&mut self, key: impl Into<String>, t: Micros) {
         if t == 0 {
-            self.error(key, "must be above 0");
+            self.error(key, "must be above 0, is 0");
         }
     }
 
-    fn index_within(&mut self, key: impl Into<String>, place: u32, of: &str, count: usize) {
-        if place as usize >= count {
+    fn index_within(&mut self, key: impl Into<String>, index: u32, list: &str, count: usize) {
+        if index as usize >= count {
             let allowed = if count == 0 { "there are none".into() } else { format!("0 to {}", count - 1) };
-            self.error(key, format!("no {of} at place {place}; allowed: {allowed}"));
+            self.error(key, format!("no {list} with index {index}; allowed: {allowed}"));
         }
     }
 
@@ -62,10 +61,10 @@
     }
 }
 
-// No figure that counts, multiplies or weighs means anything beyond this; it also keeps infinity out.
+// Upper limit of counts, factors and weights: larger values have no meaning, and infinity is rejected.
 const MAX_FIGURE: f64 = 1e9;
 
-/// Looks at every figure.
+/// Checks all values of a day.
 pub(super) fn validate(day: &Day) -> Findings {
     let mut found = Findings::default();
     general(day, &mut found);
@@ -81,16 +80,16 @@
 fn general(day: &Day, f: &mut Findings) {
     f.duration_above_zero("tick_ms", day.tick);
     if day.tick > 1_000_000 {
-        f.error("tick_ms", "must be 1000 at most");
+        f.error("tick_ms", format!("must be at most 1000, is {}", day.tick as f64 / 1e3));
     }
     if day.seed > i64::MAX as u64 {
-        f.error("seed", format!("must be {} at most", i64::MAX));
+        f.error("seed", format!("must be at most {}, is {}", i64::MAX, day.seed));
     }
     for (list, count) in
         [("zones", day.zones.len()), ("classes", day.classes.len()), ("tenants", day.tenants.len())]
     {
         if count == 0 {
-            f.error(list, "must have one entry at least");
+            f.error(list, "must have at least one entry");
         }
     }
     for (list, names) in [
@@ -101,13 +100,13 @@
     ] {
         for (i, name) in names.iter().enumerate() {
             if names[..i].contains(name) {
-                f.error(format!("{list}[{i}]"), format!("the name {name} stands there twice"));
+                f.error(format!("{list}[{i}]"), format!("duplicate name {name}"));
             }
-            // Names stand in lines of the protocol.
+            // Names are written in lines of the protocol, where these characters are separators.
             if name.is_empty()
                 || name.contains(|c: char| c.is_whitespace() || c.is_control() || ",=".contains(c))
             {
-                f.error(format!("{list}[{i}]"), format!("{name:?} is no name: no blanks, commas or ="));
+                f.error(format!("{list}[{i}]"), format!("{name:?} is not a valid name: it must not be empty or contain whitespace, control characters, commas or ="));
             }
         }
     }
@@ -137,7 +136,7 @@
         f.within(key, x, 0.0, MAX_FIGURE);
     }
     if day.length == 0 {
-        f.warn("length_s", "a day of no length: nothing arrives");
+        f.warn("length_s", "the length is 0: no requests arrive");
     }
 }
 
@@ -148,18 +147,21 @@
         f.within("traffic.arrivals_per_s", rate, 0.0, 1e6);
     }
     if t.shape.is_empty() {
-        f.error("traffic.shape", "must have one point at least: [[0, 1]]");
+        f.error("traffic.shape", "must have at least one point, such as [[0, 1]]");
     }
     for (i, &(at, factor)) in t.shape.iter().enumerate() {
         f.within(format!("traffic.shape[{i}][0]"), at, 0.0, MAX_FIGURE);
         f.within(format!("traffic.shape[{i}][1]"), factor, 0.0, 1e3);
         if i > 0 && at < t.shape[i - 1].0 {
-            f.error(format!("traffic.shape[{i}][0]"), "points must go forward in time");
+            f.error(
+                format!("traffic.shape[{i}][0]"),
+                format!("must be at least {}, the time of the point before, is {at}", t.shape[i - 1].0),
+            );
         }
     }
     f.within("traffic.burst_cv", t.burst_cv, 0.0, 100.0);
     if t.burst_cv > 0.0 && t.burst == 0 {
-        f.error("traffic.burst_ms", "must be above 0 where burst_cv is");
+        f.error("traffic.burst_ms", "must be above 0 if burst_cv is above 0");
     }
     if t.zone_share.len() != day.zones.len() {
         let (zones, shares) = (day.zones.len(), t.zone_share.len());
@@ -177,11 +179,11 @@
     for (i, at) in t.recorded_s.iter().enumerate() {
         f.within(format!("traffic.recorded_s[{i}]"), *at, 0.0, MAX_FIGURE);
     }
-    let none = t.recorded_s.is_empty() && t.arrivals_per_s.unwrap_or(t.load) == 0.0;
-    if none {
-        f.warn("traffic", "nobody asks for anything");
+    let no_requests = t.recorded_s.is_empty() && t.arrivals_per_s.unwrap_or(t.load) == 0.0;
+    if no_requests {
+        f.warn("traffic", "no requests arrive: the load is 0 and no arrivals are recorded");
     } else if t.arrivals_per_s.is_none() && t.load > 1.0 {
-        f.warn("traffic.load", "more is asked for than all nodes can do");
+        f.warn("traffic.load", "the load exceeds the capacity of all nodes");
     }
     let c = &day.clients;
     f.within("clients.retries", c.retries.into(), 0.0, 1000.0);
@@ -190,7 +192,10 @@
     f.share("clients.impatient", c.impatient);
     f.duration_above_zero("clients.line_every_s", c.line_every);
     if c.backoff != Backoff::None && c.backoff_first == 0 {
-        f.warn("clients.backoff_ms", "no wait at all, though the back-off says there is one");
+        f.warn(
+            "clients.backoff_ms",
+            "is 0 although clients.backoff is not none: clients retry without a wait",
+        );
     }
 }
 
@@ -210,7 +215,7 @@
         f.duration_above_zero(key("change_s"), c.change);
         f.within(key("idle"), c.idle, 0.0, 0.999);
         if c.aim > c.give_up {
-            f.warn(key("aim_ms"), "clients give up before it");
+            f.warn(key("aim_ms"), "is above give_up_ms: clients give up before it");
         }
     }
     f.sums_to_one("classes", "the shares", day.classes.iter().map(|c| c.share).sum());
@@ -248,7 +253,8 @@
         f.within(key("pause_grow"), k.pause_grow, 0.0, 100.0);
         f.share(key("error_rate"), k.error_rate);
         if k.cold_from < day.rules.stated_cold_from || k.cold > day.rules.stated_cold {
-            f.warn(key("cold_from"), "starts colder or warms up more slowly than the rules tell balancers");
+            f.warn(key("cold_from"), "nodes of this kind start colder or warm up more slowly than rules.stated_cold_from and rules.stated_cold_s \
+                 tell balancers");
         }
     }
     for (i, n) in day.nodes.iter().enumerate() {
@@ -260,16 +266,16 @@
     for (i, b) in day.balancers.iter().enumerate() {
         f.index_within(format!("balancers[{i}].zone"), b.zone, "zone", day.zones.len());
         if b.start > day.length {
-            f.warn(format!("balancers[{i}].start_s"), "it starts after the day's end");
+            f.warn(format!("balancers[{i}].start_s"), "the balancer starts after the end of the day");
         }
     }
     if day.nodes.is_empty() {
-        f.warn("nodes", "no servers: nobody can be served");
+        f.warn("nodes", "no servers: no request can be served");
     } else if day.nodes.iter().all(|n| !n.up) {
         f.warn("nodes", "no server runs when the day starts");
     }
     if day.balancers.is_empty() {
-        f.warn("balancers", "no balancers: nobody can be served");
+        f.warn("balancers", "no balancers: no request can be served");
     }
 }
 
@@ -289,7 +295,7 @@
     f.within("rules.stated_cold_from", r.stated_cold_from, 0.001, 1.0);
 }
 
-/// Whom a kind of fault strikes.
+/// The list whose entries a kind of fault can affect, and its length; none if the fault has no targets.
 fn fault_targets(kind: FaultKind, day: &Day) -> Option<(&'static str, usize)> {
     use FaultKind::{
         BalancerKill, BalancerReload, BalancerRestart, Crash, CutOff, Drain, Failing, Full, HalfDead, Hang,
@@ -309,17 +315,17 @@
     use FaultKind::{Failing, Reconnect, Resetting, Slow};
     for (i, fault) in day.faults.iter().enumerate() {
         let key = |k: &str| format!("faults[{i}].{k}");
-        if let Some((what, count)) = fault_targets(fault.kind, day) {
+        if let Some((target, count)) = fault_targets(fault.kind, day) {
             for (j, on) in fault.on.iter().enumerate() {
-                f.index_within(format!("faults[{i}].on[{j}]"), *on, what, count);
+                f.index_within(format!("faults[{i}].on[{j}]"), *on, target, count);
             }
-            let nobody = fault.on.is_empty() && fault.zone.is_none() && fault.part.is_none();
-            // Without a word on tenants, everybody's clients come again.
-            if nobody && fault.kind != Reconnect {
-                f.warn(key("on"), format!("names no {what}: neither on nor zone nor part"));
+            let no_target = fault.on.is_empty() && fault.zone.is_none() && fault.part.is_none();
+            // A `reconnect` without targets affects the clients of all tenants.
+            if no_target && fault.kind != Reconnect {
+                f.warn(key("on"), format!("the fault affects no {target}: none of on, zone and part is set"));
             }
         } else if !fault.on.is_empty() || fault.zone.is_some() || fault.part.is_some() {
-            f.warn(key("on"), "this kind of fault strikes everybody; on, zone and part say nothing");
+            f.warn(key("on"), "this kind of fault has no targets; on, zone and part have no effect");
         }
         if let Some(zone) = fault.zone {
             f.index_within(key("zone"), zone, "zone", day.zones.len());
@@ -332,10 +338,10 @@
             _ => f.within(key("size"), fault.size, 0.0, MAX_FIGURE),
         }
         if fault.at >= day.length && day.length > 0 {
-            f.warn(key("at_s"), "it begins after the last arrival");
+            f.warn(key("at_s"), "the fault begins after the last arrival");
         }
     }
-    // Only they know their names.
+    // The kinds of misbehaving clients are known only to this type.
     if let Err(e) = MisbehavingClients::new(day) {
         f.error("bad_clients", e.to_string().trim_start_matches("bad_clients: "));
     }
--- a/crates/lab/tests/commands.rs
+++ b/crates/lab/tests/commands.rs
@@ -151,7 +151,7 @@
     let cases: &[(&[&str], i32, &str)] = &[
         (&["check", &calm], 0, "fine"),
         (&["check", &calm, &broken], 1, "broken.toml:2: tick_ms: must be above 0"),
-        (&["check", "--strict", &scenario("no-clients")], 1, "nobody asks for anything"),
+        (&["check", "--strict", &scenario("no-clients")], 1, "no requests arrive"),
         (&["run", &broken], 2, "broken.toml:2: tick_ms"),
         (&["run", "nowhere.toml"], 2, "nowhere.toml"),
         (&["run", &calm, "--policy", "luck"], 2, "random"),
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -33,7 +33,7 @@
         ),
         (
             "[[fleet]]\nkind = \"plian\"\ncount = 2",
-            &["day.toml:2", "fleet[0].kind", "no plian (did you mean plain?)"],
+            &["day.toml:2", "fleet[0].kind", "unknown name plian (did you mean plain?)"],
         ),
         (
             "[[fleet]]\nkind = \"plain\"\ncount = 2\nzones = [\"east\", \"north\"]",
@@ -45,10 +45,10 @@
         ),
         (
             "[[faults]]\nkind = \"crash\"\nat_s = 1\non = [3]",
-            &["day.toml:4", "faults[0].on[0]", "no node at"],
+            &["day.toml:4", "faults[0].on[0]", "no node with index 3"],
         ),
         ("[[faults]]\nkind = \"crsh\"\nat_s = 1", &["day.toml:2", "faults[0].kind", "`crash`"]),
-        ("[[tenants]]\nname = \"a b\"\nshare = 1", &["day.toml:1", "tenants[0]", "is no name"]),
+        ("[[tenants]]\nname = \"a b\"\nshare = 1", &["day.toml:1", "tenants[0]", "is not a valid name"]),
         ("extends = \"nowhere.toml\"", &["day.toml:1", "extends", "nowhere.toml"]),
         ("extends = \"day.toml\"", &["day.toml:1", "extends itself"]),
     ];
@@ -92,9 +92,9 @@
     assert_eq!((day.kinds[0].cores, day.kinds[1].cores), (9, 9));
     assert_eq!(set("traffic.shape", "[[0,1],[30,2]]").unwrap().day.traffic.shape[1], (30.0, 2.0));
     for (key, value, expected) in [
-        ("kinds.c.cores", "7", "no c; there are a, b"),
+        ("kinds.c.cores", "7", "no entry c; the entries are a, b"),
         ("kinds.b.coers", "7", "did you mean cores?"),
-        ("trafic.load", "7", "no trafic here"),
+        ("trafic.load", "7", "unknown key trafic; allowed: "),
         ("traffic.load", "much", "--set traffic.load: traffic.load: invalid type"),
     ] {
         let message = set(key, value).expect_err(key).to_string();
