--- a/crates/lab/src/plots/chart.rs
+++ b/crates/lab/src/plots/chart.rs
@@ -1,4 +1,4 @@
-//! What the plots have in common: fonts, colours, the marks of faults and the legend.
+//! Parts that the plots share: fonts, colours, the bands and labels of faults, and the legend.
 
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
@@ -9,9 +9,9 @@
 
 use crate::record::{FaultInterval, Record};
 
-/// Font of axis labels.
+/// Font of axis labels, with its size in pixels.
 pub(super) const TEXT: (&str, i32) = ("sans-serif", 14);
-/// The palette of Okabe and Ito, which people with any kind of colour vision can tell apart.
+/// The palette of Okabe and Ito, which can be distinguished with any kind of colour vision.
 pub(super) const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -23,7 +23,7 @@
     RGBColor(0, 0, 0),
 ];
 const FAULT_COLOUR: RGBColor = RGBColor(213, 94, 0);
-/// The area of one plot.
+/// The drawing area of one plot.
 pub(super) type Root<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 /// The result of drawing a plot.
 pub(super) type DrawResult = Result<(), DrawingAreaErrorKind<std::io::Error>>;
@@ -33,46 +33,46 @@
     format!("{x:.0}")
 }
 
-/// The end of the time axis, in seconds.
+/// The end of the time axis in seconds: the end of the day or of its series, whichever is later, and at least 1.
 pub(super) fn end_seconds(record: &Record) -> f64 {
     (record.series.asked.len() as f64 * record.series.step_s).max(record.length_s).max(1.0)
 }
 
-/// Coloured areas for the times of faults.
+/// Coloured bands from the start to the end of each fault.
 pub(super) fn fault_bands<'a>(
-    bands: &'a [FaultInterval],
+    faults: &'a [FaultInterval],
     end: f64,
     top: f64,
 ) -> impl Iterator<Item = Rectangle<(f64, f64)>> + 'a {
-    bands.iter().filter(move |b| b.from_s < end).map(move |b| {
-        // What happens in a moment is drawn a little wider, so that it can be seen.
-        let to = b.to_s.max(b.from_s + end / 250.0).min(end);
-        Rectangle::new([(b.from_s, 0.0), (to, top)], FAULT_COLOUR.mix(0.13).filled())
+    faults.iter().filter(move |f| f.from_s < end).map(move |f| {
+        // Faults without a duration get a minimum width, so that they are visible.
+        let to = f.to_s.max(f.from_s + end / 250.0).min(end);
+        Rectangle::new([(f.from_s, 0.0), (to, top)], FAULT_COLOUR.mix(0.13).filled())
     })
 }
 
-/// Names of the faults, placed so that they don't overlap.
+/// Labels with the kind of each fault and the number of its targets, placed so that they don't overlap.
 pub(super) fn fault_labels(
-    bands: &[FaultInterval],
+    faults: &[FaultInterval],
     end: f64,
     top: f64,
 ) -> Vec<Text<'static, (f64, f64), String>> {
-    // Labels that would lie on one another go to the next of four lines.
-    let mut used_to = [f64::MIN; 4];
-    let labels = bands.iter().filter(|b| b.from_s < end).filter_map(|b| {
-        let label = if b.struck > 0 { format!("{} ({})", b.kind, b.struck) } else { b.kind.clone() };
+    // A label that would overlap another is placed on the next of four lines, and omitted if all are occupied.
+    let mut occupied_until = [f64::MIN; 4];
+    let labels = faults.iter().filter(|f| f.from_s < end).filter_map(|f| {
+        let label = if f.struck > 0 { format!("{} ({})", f.kind, f.struck) } else { f.kind.clone() };
         let width = label.len() as f64 * end * 0.0085;
-        let line = used_to.iter().position(|to| *to <= b.from_s)?;
-        used_to[line] = b.from_s + width;
+        let line = occupied_until.iter().position(|until| *until <= f.from_s)?;
+        occupied_until[line] = f.from_s + width;
         let style = ("sans-serif", 12).into_font().color(&FAULT_COLOUR.mix(0.9));
-        Some(Text::new(label, (b.from_s, top * (0.995 - 0.055 * line as f64)), style))
+        Some(Text::new(label, (f.from_s, top * (0.995 - 0.055 * line as f64)), style))
     });
     labels.collect()
 }
 
 type Axes = Cartesian2d<RangedCoordf64, RangedCoordf64>;
 
-/// Draws the legend of the labelled series.
+/// Draws the legend with all labelled series.
 pub(super) fn draw_legend<'a, 'b: 'a>(chart: &mut ChartContext<'a, SVGBackend<'b>, Axes>) -> DrawResult {
     chart
         .configure_series_labels()
--- a/crates/lab/src/plots/heat_map.rs
+++ b/crates/lab/src/plots/heat_map.rs
@@ -1,11 +1,12 @@
-//! The heat map of the load of each node over time.
+//! The heat map of the load over capacity of each node over time.
 
 use plotters::prelude::{BLACK, ChartBuilder, Color, IntoFont, RGBColor, Rectangle, Text};
 
 use super::chart::{DrawResult, Root, TEXT, end_seconds, integer_label};
 use crate::record::Record;
 
-/// The largest number of rows and columns; above it neighbours are averaged, since browsers render large drawings slowly.
+/// The maximum numbers of rows and columns. Beyond them, neighbouring nodes or steps are averaged, since browsers render
+/// large drawings slowly.
 const MAX_ROWS: usize = 60;
 const MAX_COLUMNS: usize = 160;
 const DOWN_COLOUR: RGBColor = RGBColor(190, 190, 190);
@@ -15,28 +16,28 @@
     110 + 18 * record.nodes.len().min(MAX_ROWS) as u32
 }
 
-/// Nodes in the order of their zones and kinds, which shows what zones and kinds have in common.
-fn order(record: &Record) -> Vec<usize> {
+/// Indices of the nodes, sorted by zone and kind, so that patterns of a zone or a kind are visible.
+fn sorted_nodes(record: &Record) -> Vec<usize> {
     let mut order: Vec<usize> = (0..record.nodes.len()).collect();
     order.sort_by_key(|i| (&record.nodes[*i].zone, &record.nodes[*i].kind, *i));
     order
 }
 
-/// White to blue up to 1, then to red at 2.
+/// Colour of a load: white to blue up to 0.9, to yellow at 1, and to red at 2.
 fn colour(load: f64) -> RGBColor {
-    const WARM: (u8, u8, u8) = (253, 219, 120);
+    const FULL_LOAD: (u8, u8, u8) = (253, 219, 120);
     let mix = |a: (u8, u8, u8), b: (u8, u8, u8), t: f64| {
         let part = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * t.clamp(0.0, 1.0)) as u8;
         RGBColor(part(a.0, b.0), part(a.1, b.1), part(a.2, b.2))
     };
     match load {
         l if l < 0.9 => mix((247, 251, 255), (33, 113, 181), l / 0.9),
-        l if l < 1.0 => mix((33, 113, 181), WARM, (l - 0.9) / 0.1),
-        l => mix(WARM, (165, 0, 38), l - 1.0),
+        l if l < 1.0 => mix((33, 113, 181), FULL_LOAD, (l - 0.9) / 0.1),
+        l => mix(FULL_LOAD, (165, 0, 38), l - 1.0),
     }
 }
 
-/// Nodes in rows, sorted by zone and kind; several nodes share a row where there are many.
+/// The nodes of each row, sorted by zone and kind. Several nodes share a row if there are more than `MAX_ROWS`.
 struct Rows {
     order: Vec<usize>,
     nodes_per_row: usize,
@@ -44,7 +45,7 @@
 
 impl Rows {
     fn new(record: &Record) -> Self {
-        let order = order(record);
+        let order = sorted_nodes(record);
         let nodes_per_row = order.len().div_ceil(MAX_ROWS);
         Self { order, nodes_per_row }
     }
@@ -53,7 +54,8 @@
         self.order.chunks(self.nodes_per_row).collect()
     }
 
-    fn name(&self, members: &[usize], record: &Record) -> String {
+    /// Label of a row: the index of its first node, the number of its other nodes, and the zone and kind of the first.
+    fn label(&self, members: &[usize], record: &Record) -> String {
         let first = members[0];
         let node = &record.nodes[first];
         let others =
@@ -90,12 +92,12 @@
     let (left, _) = chart.plotting_area().get_pixel_range();
     for (row, members) in chunks.iter().enumerate() {
         let (_, y) = chart.plotting_area().map_coordinate(&(0.0, row as f64 + 0.5));
-        plot.draw(&Text::new(rows.name(members, record), (left.start - 142, y - 6), style.clone()))?;
+        plot.draw(&Text::new(rows.label(members, record), (left.start - 142, y - 6), style.clone()))?;
     }
     draw_colour_scale(&scale, left.start)
 }
 
-/// The cells of one row: the mean load of its nodes over the steps of each column.
+/// The cells of one row: the mean load of its nodes over the steps of each column; grey if none of them is up.
 fn row_cells(record: &Record, row: usize, members: &[usize], end: f64) -> Vec<Rectangle<(f64, f64)>> {
     let steps = record.series.asked.len().max(1);
     let steps_per_column = steps.div_ceil(MAX_COLUMNS);
--- a/crates/lab/src/plots/mod.rs
+++ b/crates/lab/src/plots/mod.rs
@@ -1,4 +1,4 @@
-//! The plots of a report page: each is one SVG text, drawn from a [`Record`].
+//! The plots of a report page, drawn as SVG from a [`Record`].
 
 mod chart;
 mod heat_map;
@@ -14,83 +14,87 @@
     COLOURS, DrawResult, Root, TEXT, draw_legend, end_seconds, fault_bands, fault_labels, integer_label,
 };
 
+// Width of a plot in pixels.
 const WIDTH: u32 = 1000;
+
 /// One plot of a page.
 pub struct Plot {
-    /// Its heading.
+    /// The heading above the plot.
     pub title: &'static str,
-    /// How to read it.
+    /// A note that explains how to read the plot.
     pub note: &'static str,
-    /// The drawing.
+    /// The plot as an SVG element.
     pub svg: String,
 }
 
-/// All plots that this run has figures for.
+/// Draws all plots for which the run has data.
 pub fn all(record: &Record) -> Vec<Plot> {
     let mut plots = vec![Plot {
         title: "Served share",
-        note: "Worth served over worth asked for, by the second; the grey line is the load asked for, scaled to its \
-               highest. Bands are faults.",
-        svg: render(320, |root| served(root, record)),
+        note: "Served worth divided by requested worth, by the second. Grey line: requested load, scaled to its maximum. \
+               Orange line: the worst window. Coloured bands: faults.",
+        svg: render(320, |root| draw_served(root, record)),
     }];
     if !record.series.nodes.is_empty() {
         plots.push(Plot {
             title: "Load per node",
-            note: "Load asked of a node over what it can do at that moment. From 1 on it falls behind; grey: down.",
+            note: "Load offered to a node divided by its present capacity. Above 1 its backlog grows. Grey: down.",
             svg: render(heat_map::height(record), |root| heat_map::draw(root, record)),
         });
         plots.push(Plot {
             title: "Connections per node",
-            note: "Standing connections over what the node can do (its cores times their speed).",
-            svg: render(320, |root| connections(root, record)),
+            note: "Established connections divided by the capacity of the node (its cores times their speed).",
+            svg: render(320, |root| draw_connections(root, record)),
         });
     }
-    if service::has_levels(record) {
+    if service::has_degraded_levels(record) {
         plots.push(Plot {
             title: "Level of service",
-            note: "What each balancer says of the service, by its number. Grey: down.",
-            svg: render(service::levels_height(record), |root| service::levels(root, record)),
+            note: "The level of service that each balancer reports, by the index of the balancer. Grey: down.",
+            svg: render(service::levels_height(record), |root| service::draw_levels(root, record)),
         });
     }
-    if service::has_moves(record) {
+    if service::has_balancing_moves(record) {
         plots.push(Plot {
             title: "Imbalance and moves for balance",
-            note: "Largest load over capacity of the nodes that are up, over the mean of them (the thin line is 15 %); \
-                   bars are connections that balancers moved.",
-            svg: render(320, |root| service::balance(root, record)),
+            note: "The largest ratio of load to capacity of the nodes that are up, divided by the mean of their ratios \
+                   (thin line: 15 % above the mean). Bars: connections that balancers moved.",
+            svg: render(320, |root| service::draw_imbalance(root, record)),
         });
     }
     if record.series.refusals.values().flatten().any(|n| *n > 0) {
         plots.push(Plot {
             title: "Refused or failed, by cause",
-            note: "Times a second, one cause on top of the other.",
-            svg: render(320, |root| refusals(root, record)),
+            note: "Events per second, stacked by cause.",
+            svg: render(320, |root| draw_refusals(root, record)),
         });
     }
     if record.set_up.count > 0 {
         plots.push(Plot {
             title: "Set-up times",
-            note: "From a client's first try to its UP: the part of all that was set up within that time.",
-            svg: render(320, |root| set_ups(root, record)),
+            note: "Time from a client's first request to its UP: the share of connections that were set up within it.",
+            svg: render(320, |root| draw_set_up_times(root, record)),
         });
     }
     plots
 }
 
+/// Draws a plot of the given height in pixels to an SVG element.
 fn render(height: u32, draw: impl FnOnce(&Root<'_>) -> DrawResult) -> String {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (WIDTH, height)).into_drawing_area();
-        // Drawing into a text can't fail but by a fault of this module, and a page without one plot is of use.
+        // Drawing to a string only fails if this module has a bug, and a page without one of its plots is still useful.
         if let Err(e) = root.fill(&WHITE).and_then(|()| draw(&root)).and_then(|()| root.present()) {
-            tracing::warn!(error = %e, "a plot could not be drawn");
+            tracing::warn!(error = %e, "a plot could not be drawn; the page shows it incomplete");
         }
     }
-    // The page sets the width; the drawing keeps its proportions by its viewBox.
+    // The page sets the width; the viewBox preserves the proportions.
     svg.replacen(&format!("width=\"{WIDTH}\" height=\"{height}\""), "width=\"100%\"", 1)
 }
 
-fn served(root: &Root<'_>, record: &Record) -> DrawResult {
+/// Draws the served share and the requested load by second.
+fn draw_served(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_seconds(record);
     let top = 1.2;
     let mut chart = ChartBuilder::on(root)
@@ -111,10 +115,10 @@
         .draw()?;
     chart.draw_series(fault_bands(&record.faults, end, top))?;
     let step = record.series.step_s;
-    let most = record.series.asked.iter().copied().fold(f64::MIN_POSITIVE, f64::max);
-    let asked = record.series.asked.iter().enumerate().map(|(i, a)| (i as f64 * step, a / most));
+    let max_asked = record.series.asked.iter().copied().fold(f64::MIN_POSITIVE, f64::max);
+    let asked = record.series.asked.iter().enumerate().map(|(i, a)| (i as f64 * step, a / max_asked));
     chart.draw_series(LineSeries::new(asked, BLACK.mix(0.3).stroke_width(1)))?;
-    for run in runs(&record.served_share()) {
+    for run in contiguous_runs(&record.served_share()) {
         let line = run.into_iter().map(|(i, share)| ((i as f64 + 0.5) * step, share));
         chart.draw_series(LineSeries::new(line, COLOURS[0].stroke_width(2)))?;
     }
@@ -122,19 +126,19 @@
     let worst = [(from, record.worst_window.share), ((from + 10.0).min(end), record.worst_window.share)];
     chart.draw_series(LineSeries::new(worst, COLOURS[1].stroke_width(3)))?;
     let style = ("sans-serif", 12).into_font().color(&COLOURS[1]);
-    let below = (from, (record.worst_window.share - 0.02).max(0.06));
+    let label_position = (from, (record.worst_window.share - 0.02).max(0.06));
     let label = format!("worst window {:.3}", record.worst_window.share);
-    chart.draw_series([Text::new(label, below, style)])?;
+    chart.draw_series([Text::new(label, label_position, style)])?;
     chart.draw_series(fault_labels(&record.faults, end, top))?;
     Ok(())
 }
 
-/// Stretches without a gap.
-fn runs(values: &[Option<f64>]) -> Vec<Vec<(usize, f64)>> {
+/// Splits values at their gaps into runs of (index, value).
+fn contiguous_runs(values: &[Option<f64>]) -> Vec<Vec<(usize, f64)>> {
     let mut runs = vec![Vec::new()];
     for (i, v) in values.iter().enumerate() {
         match v {
-            Some(v) => runs.last_mut().expect("one at least").push((i, *v)),
+            Some(v) => runs.last_mut().expect("never empty").push((i, *v)),
             None => runs.push(Vec::new()),
         }
     }
@@ -142,29 +146,32 @@
     runs
 }
 
-fn connections(root: &Root<'_>, record: &Record) -> DrawResult {
+/// Draws the connections of each node over its capacity, coloured by kind of node.
+fn draw_connections(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_seconds(record);
     let step = record.series.step_s;
-    let per = |i: usize, c: u32| f64::from(c) / record.nodes[i].capacity.max(0.01);
+    let connections_per_capacity = |i: usize, c: u32| f64::from(c) / record.nodes[i].capacity.max(0.01);
     let nodes = || record.series.nodes.iter().enumerate();
-    let most = nodes().flat_map(|(i, n)| n.connections.iter().map(move |c| per(i, *c))).fold(1.0, f64::max);
+    let max_ratio = nodes()
+        .flat_map(|(i, n)| n.connections.iter().map(move |c| connections_per_capacity(i, *c)))
+        .fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(root)
         .margin(10)
         .margin_right(28)
         .x_label_area_size(36)
         .y_label_area_size(46)
-        .build_cartesian_2d(0.0..end, 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..end, 0.0..max_ratio * 1.1)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("seconds")
         .x_label_formatter(&integer_label)
-        .y_desc("a standard core")
+        .y_desc("per standard core")
         .y_label_formatter(&integer_label)
         .label_style(TEXT)
         .draw()?;
-    chart.draw_series(fault_bands(&record.faults, end, most * 1.1))?;
+    chart.draw_series(fault_bands(&record.faults, end, max_ratio * 1.1))?;
     let mut kinds: Vec<&str> = record.nodes.iter().map(|n| n.kind.as_str()).collect();
     kinds.sort_unstable();
     kinds.dedup();
@@ -172,7 +179,11 @@
         let colour = COLOURS[k % COLOURS.len()];
         let of_kind = nodes().filter(|(i, _)| record.nodes[*i].kind == *kind);
         for (j, (i, n)) in of_kind.enumerate() {
-            let line = n.connections.iter().enumerate().map(|(s, c)| (s as f64 * step, per(i, *c)));
+            let line = n
+                .connections
+                .iter()
+                .enumerate()
+                .map(|(s, c)| (s as f64 * step, connections_per_capacity(i, *c)));
             let render = chart.draw_series(LineSeries::new(line, colour.mix(0.7).stroke_width(1)))?;
             if j == 0 {
                 render
@@ -187,40 +198,42 @@
     Ok(())
 }
 
-fn refusals(root: &Root<'_>, record: &Record) -> DrawResult {
+/// Draws stacked bars of refused or failed requests per second, by cause.
+fn draw_refusals(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_seconds(record);
     let step = record.series.step_s;
     let steps = record.series.refusals.values().map(Vec::len).max().unwrap_or(0);
     let sum = |i: usize| {
         record.series.refusals.values().map(|n| n.get(i).copied().unwrap_or(0)).sum::<u64>() as f64 / step
     };
-    let most = (0..steps).map(sum).fold(1.0, f64::max) * 1.1;
+    let max_rate = (0..steps).map(sum).fold(1.0, f64::max) * 1.1;
     let mut chart = ChartBuilder::on(root)
         .margin(10)
         .margin_right(28)
         .x_label_area_size(36)
         .y_label_area_size(46)
-        .build_cartesian_2d(0.0..end, 0.0..most)?;
+        .build_cartesian_2d(0.0..end, 0.0..max_rate)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
         .x_desc("seconds")
         .x_label_formatter(&integer_label)
-        .y_desc("a second")
+        .y_desc("per second")
         .y_label_formatter(&integer_label)
         .label_style(TEXT)
         .draw()?;
-    chart.draw_series(fault_bands(&record.faults, end, most))?;
-    let mut below = vec![0.0; steps];
+    chart.draw_series(fault_bands(&record.faults, end, max_rate))?;
+    // Top of the bars drawn so far, by step.
+    let mut stack_tops = vec![0.0; steps];
     let causes = record.series.refusals.iter().filter(|(_, n)| n.iter().any(|x| *x > 0));
     for (c, (cause, times)) in causes.enumerate() {
         let colour = COLOURS[c % COLOURS.len()];
         let bars: Vec<_> = (0..steps)
             .filter_map(|i| {
                 let n = times.get(i).copied().unwrap_or(0) as f64 / step;
-                let from = below[i];
-                below[i] += n;
+                let from = stack_tops[i];
+                stack_tops[i] += n;
                 let (x, to) = (i as f64 * step, ((i + 1) as f64 * step).min(end));
                 (n > 0.0).then(|| Rectangle::new([(x, from), (to, from + n)], colour.filled()))
             })
@@ -231,26 +244,27 @@
             .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled()));
     }
     draw_legend(&mut chart)?;
-    chart.draw_series(fault_labels(&record.faults, end, most))?;
+    chart.draw_series(fault_labels(&record.faults, end, max_rate))?;
     Ok(())
 }
 
-fn set_ups(root: &Root<'_>, record: &Record) -> DrawResult {
+/// Draws the quantiles of the set-up times on a logarithmic scale of nines.
+fn draw_set_up_times(root: &Root<'_>, record: &Record) -> DrawResult {
     let points = &record.set_up.within_ms;
-    let most = points.last().map_or(1.0, |p| p.1).max(1.0) * 1.1;
-    // "Nines": 0.5 stands at 0.3, 0.9 at 1, 0.99 at 2; what is true of all stands at the right end.
-    let nines = |part: f64| -(1.0 - part).max(1e-5).log10();
+    let max_ms = points.last().map_or(1.0, |p| p.1).max(1.0) * 1.1;
+    // The number of nines of a share: 0.3 for 0.5, 1 for 0.9, 2 for 0.99; limited to 5, which is where 1 is drawn.
+    let nines = |share: f64| -(1.0 - share).max(1e-5).log10();
     let mut chart = ChartBuilder::on(root)
         .margin(10)
         .margin_right(28)
         .x_label_area_size(36)
         .y_label_area_size(74)
-        .build_cartesian_2d(0.0..5.1, 0.0..most)?;
+        .build_cartesian_2d(0.0..5.1, 0.0..max_ms)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
         .bold_line_style(BLACK.mix(0.1))
-        .x_desc("part of all")
+        .x_desc("share of connections")
         .y_desc("milliseconds")
         .y_label_formatter(&integer_label)
         .x_labels(6)
@@ -264,13 +278,17 @@
         })
         .label_style(TEXT)
         .draw()?;
-    let line = || points.iter().map(|(part, ms)| (nines(*part), *ms));
+    let line = || points.iter().map(|(share, ms)| (nines(*share), *ms));
     chart.draw_series(LineSeries::new(line(), COLOURS[0].stroke_width(2)))?;
     chart.draw_series(line().map(|p| Circle::new(p, 3, COLOURS[0].filled())))?;
     let style = ("sans-serif", 12).into_font().color(&BLACK.mix(0.7));
-    let shown = points.iter().filter(|(p, _)| [0.5, 0.9, 0.99, 0.999, 1.0].contains(p));
-    let labels = shown.map(|(part, ms)| {
-        Text::new(crate::tables::ms(*ms), ((nines(*part) - 0.05).min(4.7), ms + most * 0.07), style.clone())
+    let labelled = points.iter().filter(|(p, _)| [0.5, 0.9, 0.99, 0.999, 1.0].contains(p));
+    let labels = labelled.map(|(share, ms)| {
+        Text::new(
+            crate::tables::ms(*ms),
+            ((nines(*share) - 0.05).min(4.7), ms + max_ms * 0.07),
+            style.clone(),
+        )
     });
     chart.draw_series(labels)?;
     Ok(())
--- a/crates/lab/src/plots/service.rs
+++ b/crates/lab/src/plots/service.rs
@@ -1,4 +1,5 @@
-//! Plots of what balancers report about themselves: their service levels, and the connections that they migrated.
+//! Plots of the levels of service that balancers report, and of the imbalance of load with the connections that balancers
+//! moved against it.
 
 use plotters::prelude::{BLACK, ChartBuilder, Color, IntoFont, LineSeries, RGBColor, Rectangle, Text, WHITE};
 
@@ -7,35 +8,35 @@
 };
 use crate::record::Record;
 
-// White to red; blue is kept for load.
+// Levels of service from best to worst with their colours: white to red, since blue stands for load.
 const LEVELS: [(&str, RGBColor); 4] = [
     ("normal", RGBColor(232, 240, 232)),
     ("strained", RGBColor(240, 228, 66)),
     ("short", RGBColor(230, 159, 0)),
     ("severe", RGBColor(190, 40, 20)),
 ];
-const DOWN: RGBColor = RGBColor(190, 190, 190);
+const DOWN_COLOUR: RGBColor = RGBColor(190, 190, 190);
 
-/// Whether a balancer ever was at another level than the best.
-pub fn has_levels(record: &Record) -> bool {
+/// Whether any balancer reported another level than the best.
+pub fn has_degraded_levels(record: &Record) -> bool {
     record.series.balancers.iter().flat_map(|b| &b.levels).any(|l| !l.is_empty() && l != LEVELS[0].0)
 }
 
-/// Whether connections were moved for balance.
-pub fn has_moves(record: &Record) -> bool {
-    moves(record).iter().any(|(_, by_second)| by_second.iter().any(|n| *n > 0))
+/// Whether balancers moved connections to balance load.
+pub fn has_balancing_moves(record: &Record) -> bool {
+    moves_by_cause(record).iter().any(|(_, by_second)| by_second.iter().any(|n| *n > 0))
 }
 
-/// Height of the plot of levels.
+/// Height of the plot of levels, in pixels.
 pub fn levels_height(record: &Record) -> u32 {
     110 + 18 * record.series.balancers.len() as u32
 }
 
-/// A row for each balancer.
-pub fn levels(root: &Root<'_>, record: &Record) -> DrawResult {
+/// Draws the level of service of each balancer over time, one row for each balancer.
+pub fn draw_levels(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_seconds(record);
     let balancers = &record.series.balancers;
-    let (plot, key) = root.split_vertically(root.get_pixel_range().1.len() as i32 - 34);
+    let (plot, legend) = root.split_vertically(root.get_pixel_range().1.len() as i32 - 34);
     let mut chart = ChartBuilder::on(&plot)
         .margin(10)
         .margin_right(28)
@@ -53,11 +54,11 @@
     let step = record.series.step_s;
     for (row, balancer) in balancers.iter().enumerate() {
         let mut from = 0;
-        // Stretches of one level are one shape: a long day stays a small file.
-        for stretch in balancer.levels.chunk_by(|a, b| a == b) {
-            let colour = LEVELS.iter().find(|l| l.0 == stretch[0]).map_or(DOWN, |l| l.1);
-            let (x, to) = (from as f64 * step, ((from + stretch.len()) as f64 * step).min(end));
-            from += stretch.len();
+        // Consecutive steps of the same level are drawn as one rectangle, which keeps the page of a long day small.
+        for steps in balancer.levels.chunk_by(|a, b| a == b) {
+            let colour = LEVELS.iter().find(|l| l.0 == steps[0]).map_or(DOWN_COLOUR, |l| l.1);
+            let (x, to) = (from as f64 * step, ((from + steps.len()) as f64 * step).min(end));
+            from += steps.len();
             let corners = [(x, row as f64 + 0.06), (to, row as f64 + 0.94)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
         }
@@ -71,20 +72,20 @@
     }
     for (i, (name, colour)) in LEVELS.iter().enumerate() {
         let x = left.start + 110 * i as i32;
-        key.draw(&Rectangle::new([(x, 6), (x + 14, 20)], colour.filled()))?;
-        key.draw(&Text::new(*name, (x + 20, 8), style.clone()))?;
+        legend.draw(&Rectangle::new([(x, 6), (x + 14, 20)], colour.filled()))?;
+        legend.draw(&Text::new(*name, (x + 20, 8), style.clone()))?;
     }
     Ok(())
 }
 
-/// Moves by cause in each second, over all balancers.
-fn moves(record: &Record) -> Vec<(&'static str, Vec<u64>)> {
+/// Moved connections in each second by cause, summed over all balancers.
+fn moves_by_cause(record: &Record) -> Vec<(&'static str, Vec<u64>)> {
     let of = |cause: &'static str| {
         let mut sums = Vec::new();
         for counts in record.series.balancers.iter().filter_map(|b| b.counts.get(cause)) {
             sums.resize(sums.len().max(counts.len()), 0);
             let before = std::iter::once(&0).chain(counts);
-            // A process that was killed counts from 0 again.
+            // The counters of a restarted process begin at 0; its decrease doesn't count.
             sums.iter_mut().zip(counts.iter().zip(before)).for_each(|(s, (n, b))| *s += n.saturating_sub(*b));
         }
         (cause, sums)
@@ -92,12 +93,12 @@
     [of("moves home"), of("moves to level")].into()
 }
 
-/// The largest load over capacity of all nodes that are up, over the mean of them; and moves for balance.
-pub fn balance(root: &Root<'_>, record: &Record) -> DrawResult {
+/// Draws the largest ratio of load to capacity over the mean ratio, and bars of the connections moved to balance load.
+pub fn draw_imbalance(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_seconds(record);
     let step = record.series.step_s;
-    let moves = moves(record);
-    let most = moves.iter().flat_map(|m| &m.1).max().copied().unwrap_or(1).max(1) as f64;
+    let moves = moves_by_cause(record);
+    let max_moves = moves.iter().flat_map(|m| &m.1).max().copied().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(root)
         .margin(10)
         .margin_right(46)
@@ -105,7 +106,7 @@
         .y_label_area_size(46)
         .right_y_label_area_size(40)
         .build_cartesian_2d(0.0..end, 0.9..2.6)?
-        .set_secondary_coord(0.0..end, 0.0..most * 2.5);
+        .set_secondary_coord(0.0..end, 0.0..max_moves * 2.5);
     chart
         .configure_mesh()
         .light_line_style(WHITE)
@@ -117,7 +118,7 @@
         .draw()?;
     chart
         .configure_secondary_axes()
-        .y_desc("moves a second")
+        .y_desc("moves per second")
         .y_label_formatter(&integer_label)
         .label_style(TEXT)
         .draw()?;
@@ -134,16 +135,17 @@
         .draw_series(LineSeries::new(imbalance(record), COLOURS[0].stroke_width(2)))?
         .label("imbalance")
         .legend(|(x, y)| Rectangle::new([(x, y - 2), (x + 12, y + 2)], COLOURS[0].filled()));
-    let goal = [(0.0, 1.15), (end, 1.15)];
-    chart.draw_series(LineSeries::new(goal, BLACK.mix(0.4).stroke_width(1)))?;
+    let reference = [(0.0, 1.15), (end, 1.15)];
+    chart.draw_series(LineSeries::new(reference, BLACK.mix(0.4).stroke_width(1)))?;
     draw_legend(&mut chart)?;
     chart.draw_series(fault_labels(&record.faults, end, 2.6))?;
     Ok(())
 }
 
+/// Two opposite corners of a bar.
 type Corners = [(f64, f64); 2];
 
-/// Bars of the moves in each second, one cause on top of the other.
+/// Bars of the moves in each second, stacked by cause.
 fn stacked_moves(
     moves: &[(&'static str, Vec<u64>)],
     step: f64,
@@ -166,7 +168,7 @@
     stacked
 }
 
-/// The largest load over the mean of the nodes that are up, by second.
+/// The largest load divided by the mean load of the nodes that are up, by second, limited to the top of the plot.
 fn imbalance(record: &Record) -> Vec<(f64, f64)> {
     let nodes = &record.series.nodes;
     let seconds = nodes.iter().map(|n| n.load.len()).max().unwrap_or(0);
