--- a/crates/lab/src/bin/shorewharf-mutant.rs
+++ b/crates/lab/src/bin/shorewharf-mutant.rs
@@ -1,8 +1,9 @@
 //! A simple balancer with one deliberate protocol violation, to check that the auditor detects it on sockets. It uses
-//! threads for its connections and round robin for its placements; it is unfit for performance measurements.
+//! threads for its connections and round robin for its placements; it is not suitable for performance measurements.
 //!
-//! `shorewharf-mutant MUTATION` takes the place of the balancer's program and reads the same configuration;
-//! `shorewharf-mutant judge [MUTATION…]` runs all mutations on loopback and reports whether the auditor detects each.
+//! `shorewharf-mutant MUTATION` runs in place of the balancer's program and reads the same configuration;
+//! `shorewharf-mutant judge [MUTATION…]` runs the given or all mutations on loopback and reports whether the auditor
+//! detects each.
 
 use std::fmt::Display;
 use std::io::{BufRead, BufReader, Write};
@@ -17,28 +18,33 @@
 use shorewharf_lab::mutants::on_sockets::{JudgeErrors, judge_all};
 use thiserror::Error;
 
-/// Attempts of one request, unless the mutation makes more.
+/// Maximum number of attempts of a request, unless the mutation makes more.
 const MAX_ATTEMPTS: usize = 3;
-/// Time limits of an attempt.
+/// Time limit for connecting to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time limit for the first line of a node.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
-/// Above the auditor's tolerance for events that are read out of order.
+/// Pause between the requests of a mutation, above the auditor's tolerance for events that are read out of order.
 const REQUEST_GAP: Duration = Duration::from_millis(120);
 /// How long a connection is established before the mutation affects it.
 const ESTABLISHED_BEFORE_FAULT: Duration = Duration::from_millis(2_500);
 /// How long `holds-lines` delays each line.
 const LINE_DELAY: Duration = Duration::from_millis(1_500);
-/// Two threads for each connection must fit the memory limit of a balancer.
+/// Stack size of a thread: two threads for each connection must fit in the memory limit of a balancer.
 const STACK_BYTES: usize = 64 << 10;
-/// When `overruns` starts to send everything to the first node, and its extra attempts there for each request.
+/// Time after the start from which `overruns` sends all requests to the first node.
 const OVERRUN_AFTER: Duration = Duration::from_secs(9);
+/// Additional attempts at the first node that `overruns` makes for each request.
 const OVERRUN_EXTRA_ATTEMPTS: usize = 2;
-/// When `exits` ends its process.
+/// Time after the start at which `exits` ends its process.
 const EXIT_AFTER: Duration = Duration::from_secs(6);
 
+/// The balancer, shared by the threads of all connections.
 struct Balancer {
+    /// Name of the mutation.
     mutation: String,
     nodes: Nodes,
+    /// Number of placements so far, for round robin.
     next_node: AtomicUsize,
     started: Instant,
 }
@@ -62,13 +68,13 @@
     }
 }
 
-/// Why the mutants could not be judged, or were not judged as expected.
+/// Why the command `judge` failed.
 #[derive(Debug, Error)]
 enum JudgingError {
     #[error(transparent)]
     OwnPath(#[from] std::io::Error),
     #[error(transparent)]
-    Judged(#[from] JudgeErrors),
+    Failed(#[from] JudgeErrors),
 }
 
 fn judge_mutations(only: &[String]) -> Result<(), JudgingError> {
@@ -85,7 +91,7 @@
     Io(String, std::io::Error),
     #[error("{0}: {1}")]
     Json(String, serde_json::Error),
-    #[error("{0}: missing")]
+    #[error("{0}: the key is missing in the configuration, or has the wrong type")]
     MissingKey(&'static str),
 }
 
@@ -94,36 +100,38 @@
     let Configuration { listen, discovery, nodes } = read_configuration()?;
     let listener = TcpListener::bind(&listen).map_err(|e| StartError::Io(listen, e))?;
     if mutation == "exits" {
-        let exits = || {
+        let exit_later = || {
             sleep(EXIT_AFTER);
             std::process::exit(0)
         };
-        Builder::new().spawn(exits).expect("a second thread");
+        Builder::new().spawn(exit_later).expect("the thread starts");
     }
-    Builder::new().spawn(move || watch(&discovery).ok()).expect("a second thread");
+    Builder::new().spawn(move || watch(&discovery).ok()).expect("the thread starts");
     let balancer =
         Arc::new(Balancer { mutation, nodes, next_node: AtomicUsize::new(0), started: Instant::now() });
     for client in listener.incoming().flatten() {
         let balancer = Arc::clone(&balancer);
-        // What breaks a connection, or finds no thread, ends it and nothing else.
+        // An error on a connection, or a thread that can't be started, only ends this connection.
         Builder::new().stack_size(STACK_BYTES).spawn(move || balancer.session(&client).ok()).ok();
     }
     Ok(())
 }
 
-/// Watches the endpoint list and ignores its events.
+/// Watches the endpoint list, as a balancer must, and ignores its events.
 fn watch(discovery: &str) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(discovery)?;
     write!(stream, "GET /v1/servers?follow=1&since=0 HTTP/1.1\r\nHost: {discovery}\r\n\r\n")?;
     std::io::copy(&mut stream, &mut std::io::sink()).map(|_| ())
 }
 
-/// Nodes by name and address.
+/// The names and addresses of the nodes.
 type Nodes = Vec<(String, String)>;
 
-/// What the mutant reads of the balancer's configuration.
+/// The part of the balancer's configuration that the mutant uses.
 struct Configuration {
+    /// Address to listen on.
     listen: String,
+    /// Address of the endpoint list.
     discovery: String,
     nodes: Nodes,
 }
@@ -135,8 +143,9 @@
     let text = |value: &Value, key: &str| value[key].as_str().map(str::to_owned);
     let listen = text(&config, "listen").ok_or(StartError::MissingKey("listen"))?;
     let discovery = text(&config, "discovery").ok_or(StartError::MissingKey("discovery"))?;
-    let listed = config["known"]["endpoints"].as_array().ok_or(StartError::MissingKey("known.endpoints"))?;
-    let nodes = listed.iter().filter_map(|e| Some((text(e, "name")?, text(e, "address")?))).collect();
+    let endpoints =
+        config["known"]["endpoints"].as_array().ok_or(StartError::MissingKey("known.endpoints"))?;
+    let nodes = endpoints.iter().filter_map(|e| Some((text(e, "name")?, text(e, "address")?))).collect();
     Ok(Configuration { listen, discovery, nodes })
 }
 
@@ -145,6 +154,7 @@
         self.mutation == mutation
     }
 
+    /// Handles the lines of a client until its first request, which ends the session after it is served.
     fn session(&self, client: &TcpStream) -> std::io::Result<()> {
         let mut lines = BufReader::new(client);
         let mut line = String::new();
@@ -161,22 +171,25 @@
         }
     }
 
-    fn address(&self, home: Option<&str>) -> &str {
+    /// Address of the node named `preferred`, or else of the next one by round robin.
+    fn address(&self, preferred: Option<&str>) -> &str {
         let turn = self.next_node.fetch_add(1, Ordering::Relaxed) % self.nodes.len();
-        let place = if self.mutation == "crowds" { 0 } else { turn };
-        let at_home = home.and_then(|home| self.nodes.iter().find(|(name, _)| name == home));
-        &at_home.unwrap_or(&self.nodes[place]).1
+        let index = if self.is("crowds") { 0 } else { turn };
+        let preferred_node =
+            preferred.and_then(|preferred| self.nodes.iter().find(|(name, _)| name == preferred));
+        &preferred_node.unwrap_or(&self.nodes[index]).1
     }
 
-    /// Sends a first line to a node.
-    fn attempt(&self, line: &str, home: Option<&str>) -> std::io::Result<TcpStream> {
-        let address = self.address(home).parse().map_err(std::io::Error::other)?;
+    /// Connects to a node and sends it the first line of a request.
+    fn attempt(&self, line: &str, preferred: Option<&str>) -> std::io::Result<TcpStream> {
+        let address = self.address(preferred).parse().map_err(std::io::Error::other)?;
         let mut node = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         node.set_nodelay(true)?;
         node.write_all(line.as_bytes())?;
         Ok(node)
     }
 
+    /// Serves a request: makes attempts until a node accepts it and relays its lines, or rejects it.
     fn serve(
         &self,
         client: &TcpStream,
@@ -185,24 +198,24 @@
     ) -> std::io::Result<()> {
         client.set_nodelay(true)?;
         let mut out = client;
-        let home = line.trim_end().split(',').find_map(|item| item.strip_prefix("at="));
+        let previous_node = line.trim_end().split(',').find_map(|item| item.strip_prefix("at="));
         let id = line.split_whitespace().nth(1).and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let is_affected = home.is_none() && id % 3 == 2;
+        let is_affected = previous_node.is_none() && id % 3 == 2;
         if is_affected && let Some(result) = self.mishandle(client, lines, line) {
             return result;
         }
-        let mut home = home;
-        if self.is("overruns") && home.is_none() && self.started.elapsed() > OVERRUN_AFTER {
-            home = self.nodes.first().map(|(name, _)| name.as_str());
+        let mut preferred = previous_node;
+        if self.is("overruns") && preferred.is_none() && self.started.elapsed() > OVERRUN_AFTER {
+            preferred = self.nodes.first().map(|(name, _)| name.as_str());
             for _ in 0..OVERRUN_EXTRA_ATTEMPTS {
-                self.attempt(line, home).ok();
+                self.attempt(line, preferred).ok();
                 sleep(REQUEST_GAP);
             }
         }
         for _ in 0..MAX_ATTEMPTS {
-            let Ok(node) = self.attempt(line, home) else { continue };
+            let Ok(node) = self.attempt(line, preferred) else { continue };
             if is_affected && self.is("two-at-once") {
-                let _other = self.attempt(line, None)?;
+                let _second = self.attempt(line, None)?;
                 sleep(REQUEST_GAP);
             }
             node.set_read_timeout(Some(REPLY_TIMEOUT))?;
@@ -217,7 +230,7 @@
         out.write_all(b"BUSY 100\r\n")
     }
 
-    /// Deals with a request in a mutation's way; none where the mutation lets it be served.
+    /// Handles a request as the mutation does; none if the mutation serves requests.
     fn mishandle(
         &self,
         client: &TcpStream,
@@ -235,6 +248,7 @@
         })
     }
 
+    /// Rejects a request and sends it to a node afterwards.
     fn send_after_end(&self, mut client: &TcpStream, line: &str) -> std::io::Result<()> {
         client.write_all(b"BUSY\r\n")?;
         client.shutdown(Shutdown::Write)?;
@@ -244,6 +258,7 @@
         Ok(())
     }
 
+    /// Makes more attempts than allowed before it rejects a request.
     fn retry_too_often(&self, mut client: &TcpStream, line: &str) -> std::io::Result<()> {
         for _ in 0..6 {
             drop(self.attempt(line, None)?);
@@ -252,7 +267,7 @@
         client.write_all(b"BUSY\r\n")
     }
 
-    /// Forwards lines both ways until one side ends.
+    /// Forwards lines in both directions until the node ends the connection.
     fn relay(
         &self,
         is_affected: bool,
@@ -284,7 +299,7 @@
     }
 }
 
-/// Forwards the client's lines, then ends the connection to the node.
+/// Forwards the client's lines until the client ends the connection, then closes the connection to the node.
 fn forward_to_node(lines: &mut BufReader<&TcpStream>, mut node: &TcpStream, delays_lines: bool) {
     let mut line = String::new();
     while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -299,7 +314,8 @@
     node.shutdown(Shutdown::Both).ok();
 }
 
-/// Forwards the node's lines, changed where the mutation says so.
+/// Forwards the node's lines until the node ends the connection. `changes_lines` inserts a byte in each reply, and
+/// `moves_in_line` writes `MOVE` in the middle of it.
 fn forward_to_client(
     answers: &mut BufReader<&TcpStream>,
     mut client: &TcpStream,
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -1,8 +1,8 @@
-//! Balancers that each violate one rule, to check that the auditor detects it for the right reason.
+//! Balancers that each violate one rule, to check that the auditor reports the violation with the right reason.
 //!
-//! A mutant wraps a correct instance. It drops or changes some of its inputs and outputs or adds its own, and passes
-//! everything else, so that any other finding of a run is a false alarm. Violations that only occur on sockets (delayed
-//! or changed lines, `MOVE` within a line, first lines that no client sent) have no mutant here.
+//! A mutant wraps a correct instance. It drops or changes some of the instance's inputs and outputs or adds its own, and
+//! passes all others unchanged, so that any other finding of the auditor is a false alarm. Violations that only occur on
+//! sockets (delayed or changed lines, `MOVE` within a line, first lines that no client sent) have no mutant here.
 
 mod history;
 pub mod on_sockets;
@@ -17,60 +17,60 @@
 use history::MutantHistory;
 use schedule::{ActionSchedule, ScheduledAction};
 
-/// Mutations of single connections affect one in this many.
+/// Mutations of single connections affect one connection in this many.
 const AFFECTED_CONNECTION_EVERY: u64 = 5;
-/// First link number of a mutant's own attempts, above those of any instance.
+/// First number of the links of a mutant's own attempts, above the numbers of all instances' links.
 const FIRST_OWN_LINK: u64 = 1 << 60;
-/// Interval between a mutant's own actions.
+/// Interval between a mutant's own actions, and duration of its own attempts.
 const ACTION_INTERVAL: Micros = 5_000;
 /// How long a connection is established before the mutation affects it.
-const ESTABLISHED_BEFORE_START: Micros = 2_000_000;
-/// How long `OverrunsStarts` sends everything to a node that has started.
+const ESTABLISHED_BEFORE_FAULT: Micros = 2_000_000;
+/// How long `OverrunsStarts` sends all requests to a node that has started.
 const OVERRUN_DURATION: Micros = 4_000_000;
-/// When `Exits` ends its process.
+/// The time at which `Exits` ends its process.
 const EXIT_AT: Micros = 20_000_000;
 
 /// The rule violation of a mutant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutation {
-    /// It never answers some clients.
+    /// Never answers some clients.
     Mute,
-    /// It answers some clients after their time.
+    /// Answers some clients after their deadline.
     Late,
-    /// It closes some connections without an answer.
+    /// Closes the connections of some clients without an answer.
     HangsUp,
-    /// It says `UP` where no node did.
+    /// Sends `UP` to some clients although no node did.
     Forges,
-    /// It answers some clients twice.
+    /// Answers some clients twice.
     AnswersTwice,
-    /// It sends some requests to two nodes at once.
+    /// Sends some requests to two nodes at once.
     TwoAtOnce,
-    /// It tries more often than allowed.
+    /// Makes more attempts for some requests than allowed.
     NeverGivesUp,
-    /// It forwards some requests that it has rejected.
+    /// Sends some requests to a node after it has rejected them.
     SendsAfterEnd,
-    /// It ignores that servers drain or are removed.
+    /// Ignores that nodes drain or are removed from the endpoint list.
     IgnoresDrains,
-    /// It sends everything to a node that has just started.
+    /// Sends all requests to a node that has just started.
     OverrunsStarts,
-    /// It closes some established clients.
+    /// Closes some established connections.
     CutsOff,
-    /// It keeps some clients whose server has ended the connection.
+    /// Keeps some clients connected whose node has ended the connection.
     KeepsEnded,
-    /// It ends its own link and keeps the client.
+    /// Closes the links of some established connections and keeps their clients connected.
     KeepsSevered,
-    /// It never notices that a connection returns nothing.
+    /// Never notices that a node has stopped to reply on an established connection.
     KeepsSilent,
-    /// It ignores SIGTERM.
+    /// Ignores SIGTERM.
     IgnoresTerm,
-    /// It closes all clients at SIGTERM.
+    /// Closes all established connections at SIGTERM.
     CutsOffAtTerm,
-    /// It ends by itself.
+    /// Ends its process without being told to.
     Exits,
 }
 
 impl Mutation {
-    /// All of them.
+    /// All mutations.
     pub const ALL: &[Mutation] = &[
         Mutation::Mute,
         Mutation::Late,
@@ -91,9 +91,9 @@
         Mutation::Exits,
     ];
 
-    /// The reason that the auditor must give. `Late` needs a client delay above one tick: otherwise the late reply crosses
-    /// with the client's own end and counts as missing.
-    pub fn caught_for(self) -> Reason {
+    /// The reason that the auditor must report. For `Late`, the delay of the clients' network must exceed one tick:
+    /// otherwise the client closes its connection before the late reply arrives, and the reply counts as missing.
+    pub fn expected_reason(self) -> Reason {
         match self {
             Mutation::Mute => Reason::NoAnswer,
             Mutation::Late => Reason::LateAnswer,
@@ -116,14 +116,14 @@
     }
 }
 
-/// Wraps the instances of another host in mutants.
+/// A host whose instances are those of another host, wrapped in mutants.
 pub struct Mutants<H> {
     inner: H,
     mutation: Mutation,
 }
 
 impl<H: Host> Mutants<H> {
-    /// Wraps the balancers of `inner` with this mutation.
+    /// Wraps the instances of `inner` with `mutation`.
     pub fn new(inner: H, mutation: Mutation) -> Self {
         Mutants { inner, mutation }
     }
@@ -155,15 +155,15 @@
 struct Mutant {
     inner: Box<dyn Instance>,
     mutation: Mutation,
-    /// Allowed attempts per request.
+    /// Maximum number of attempts of a request.
     max_attempts: u64,
-    /// How long after the deadline a reply counts as late.
+    /// Time after a request's deadline from which a reply is late.
     late_after: Micros,
     schedule: ActionSchedule,
     history: MutantHistory,
-    /// The process has exited and does nothing until it starts again.
+    /// Whether the process has exited; it then emits nothing until it starts again.
     has_exited: bool,
-    /// When the process exits by itself.
+    /// The time at which the process exits by itself, if that is still to come.
     exit_at: Option<Micros>,
 }
 
@@ -173,17 +173,17 @@
         for message in messages {
             self.on_input(now, message, &mut inputs, out);
         }
-        self.schedule.due(now, out, &mut inputs);
+        self.schedule.run_due(now, out, &mut inputs);
         let mut outputs = Vec::new();
         self.inner.turn(now, &inputs, &mut outputs);
         for message in outputs {
             self.on_output(now, message, out);
         }
-        // The instance's outputs may have scheduled more.
-        let mut more = Vec::new();
-        self.schedule.due(now, out, &mut more);
-        if !more.is_empty() {
-            self.inner.turn(now, &more, out);
+        // Processing the outputs may have scheduled actions that are due now.
+        let mut further_inputs = Vec::new();
+        self.schedule.run_due(now, out, &mut further_inputs);
+        if !further_inputs.is_empty() {
+            self.inner.turn(now, &further_inputs, out);
         }
         if self.exit_at.is_some_and(|due| due <= now) {
             (self.exit_at, self.has_exited) = (None, true);
@@ -192,13 +192,13 @@
     }
 
     fn next_due(&self) -> Option<Micros> {
-        let sound = self.inner.next_due().filter(|_| !self.has_exited);
-        [sound, self.schedule.next_due(), self.exit_at].into_iter().flatten().min()
+        let inner_due = self.inner.next_due().filter(|_| !self.has_exited);
+        [inner_due, self.schedule.next_due(), self.exit_at].into_iter().flatten().min()
     }
 }
 
 impl Mutant {
-    /// Processes an input and passes it to the instance where the mutation allows it.
+    /// Processes an input, and passes it on to the instance in `inputs` unless the mutation drops or replaces it.
     fn on_input(
         &mut self,
         now: Micros,
@@ -220,18 +220,18 @@
             }
             _ => {}
         }
-        if let ToBalancer::Request { request: ask, remaining: left } = message {
-            // Connections from before the run are never affected.
-            if ask.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && ask.previous_node.is_none() {
-                self.history.mark_affected(ask.conn, now + left + self.late_after);
-                if self.mishandle_request(now, ask, out) {
+        if let ToBalancer::Request { request, remaining } = message {
+            // Requests that name a previous node continue an earlier connection and are never affected.
+            if request.conn.0 % AFFECTED_CONNECTION_EVERY == 2 && request.previous_node.is_none() {
+                self.history.mark_affected(request.conn, now + remaining + self.late_after);
+                if self.mishandle_request(now, request, out) {
                     return;
                 }
             }
         }
-        let pass = match (self.mutation, message) {
+        let passes = match (self.mutation, message) {
             (Mutation::IgnoresDrains, ToBalancer::List { full, entries }) => {
-                let entries = self.history.all_ready(*full, entries);
+                let entries = self.history.record_as_ready(*full, entries);
                 inputs.push(ToBalancer::List { full: *full, entries });
                 false
             }
@@ -259,50 +259,53 @@
         if let ToBalancer::ClientEnded(conn, _) = message {
             self.history.on_client_closed(*conn);
         }
-        if pass {
+        if passes {
             inputs.push(message.clone());
         }
     }
 
-    /// Handles a request in place of the instance; false if the mutation doesn't.
-    fn mishandle_request(&mut self, now: Micros, ask: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
-        let conn = ask.conn;
+    /// Handles a request in place of the instance if the mutation does so; else returns false.
+    fn mishandle_request(&mut self, now: Micros, request: &RequestLine, out: &mut Vec<FromBalancer>) -> bool {
+        let conn = request.conn;
         match self.mutation {
             Mutation::HangsUp => out.push(FromBalancer::EndClient(conn, End::Fin)),
             Mutation::Forges => out.push(FromBalancer::Answer(conn, Answer::Forged)),
             Mutation::SendsAfterEnd => {
                 out.push(FromBalancer::Answer(conn, Answer::Busy(0)));
-                self.schedule.tries(
+                self.schedule.schedule_attempt(
                     now + ACTION_INTERVAL,
                     conn,
-                    self.history.some_node(conn),
+                    self.history.node_for(conn),
                     ACTION_INTERVAL,
                 );
             }
             Mutation::NeverGivesUp => {
                 for i in 0..=self.max_attempts {
-                    self.schedule.tries(
+                    self.schedule.schedule_attempt(
                         now + 2 * i * ACTION_INTERVAL,
                         conn,
-                        self.history.some_node(conn),
+                        self.history.node_for(conn),
                         ACTION_INTERVAL,
                     );
                 }
-                let refuses = FromBalancer::Answer(conn, Answer::Busy(0));
-                self.schedule
-                    .at(now + 2 * (self.max_attempts + 1) * ACTION_INTERVAL, ScheduledAction::Does(refuses));
+                let reject = FromBalancer::Answer(conn, Answer::Busy(0));
+                self.schedule.schedule(
+                    now + 2 * (self.max_attempts + 1) * ACTION_INTERVAL,
+                    ScheduledAction::Emit(reject),
+                );
             }
             _ => return false,
         }
         true
     }
 
+    /// Schedules the close of a client's connection, which the instance sees as closed by the client.
     fn schedule_cut_off(&mut self, now: Micros, conn: ConnId) {
-        self.schedule.at(now, ScheduledAction::Does(FromBalancer::EndClient(conn, End::Fin)));
-        self.schedule.at(now, ScheduledAction::Hears(ToBalancer::ClientEnded(conn, End::Fin)));
+        self.schedule.schedule(now, ScheduledAction::Emit(FromBalancer::EndClient(conn, End::Fin)));
+        self.schedule.schedule(now, ScheduledAction::Deliver(ToBalancer::ClientEnded(conn, End::Fin)));
     }
 
-    /// Processes an output of the instance: emits, drops or changes it.
+    /// Processes an output of the instance: emits, delays, drops or changes it, or adds others, as the mutation says.
     fn on_output(&mut self, now: Micros, message: FromBalancer, out: &mut Vec<FromBalancer>) {
         if self.has_exited {
             return;
@@ -310,7 +313,7 @@
         if let FromBalancer::Answer(conn, Answer::Up(link)) = message {
             self.history.on_established(conn, link);
         }
-        let about = match message {
+        let conn_of_message = match message {
             FromBalancer::Answer(conn, _) | FromBalancer::EndClient(conn, _) => Some(conn),
             FromBalancer::Link { conn, .. } => conn,
             _ => None,
@@ -322,39 +325,39 @@
             }
             _ => message,
         };
-        let Some(late) = about.and_then(|conn| self.history.late_after(conn)) else {
+        let Some(late_after) = conn_of_message.and_then(|conn| self.history.late_after(conn)) else {
             return out.push(message);
         };
         match (self.mutation, message) {
             (Mutation::Mute, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) => {}
-            (Mutation::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late > now => {
-                self.schedule.at(late, ScheduledAction::Does(message));
+            (Mutation::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late_after > now => {
+                self.schedule.schedule(late_after, ScheduledAction::Emit(message));
             }
             (Mutation::AnswersTwice, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(message);
-                self.schedule.at(
-                    now + ESTABLISHED_BEFORE_START,
-                    ScheduledAction::Does(FromBalancer::Answer(conn, Answer::Err)),
+                self.schedule.schedule(
+                    now + ESTABLISHED_BEFORE_FAULT,
+                    ScheduledAction::Emit(FromBalancer::Answer(conn, Answer::Err)),
                 );
-                self.schedule.at(
-                    now + ESTABLISHED_BEFORE_START,
-                    ScheduledAction::Hears(ToBalancer::ClientEnded(conn, End::Fin)),
+                self.schedule.schedule(
+                    now + ESTABLISHED_BEFORE_FAULT,
+                    ScheduledAction::Deliver(ToBalancer::ClientEnded(conn, End::Fin)),
                 );
             }
             (Mutation::TwoAtOnce, FromBalancer::Link { node, conn: Some(conn), .. }) => {
                 out.push(message);
-                let other = self.history.other_than(node);
-                self.schedule.tries(now, conn, other, ACTION_INTERVAL);
+                let other = self.history.node_other_than(node);
+                self.schedule.schedule_attempt(now, conn, other, ACTION_INTERVAL);
             }
             (Mutation::CutsOff, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(message);
-                self.schedule_cut_off(now + ESTABLISHED_BEFORE_START, conn);
+                self.schedule_cut_off(now + ESTABLISHED_BEFORE_FAULT, conn);
             }
             (Mutation::KeepsSevered, FromBalancer::Answer(_, Answer::Up(link))) => {
                 out.push(message);
-                self.schedule.at(
-                    now + ESTABLISHED_BEFORE_START,
-                    ScheduledAction::Does(FromBalancer::EndLink(link, End::Fin)),
+                self.schedule.schedule(
+                    now + ESTABLISHED_BEFORE_FAULT,
+                    ScheduledAction::Emit(FromBalancer::EndLink(link, End::Fin)),
                 );
             }
             _ => out.push(message),
--- a/crates/lab/tests/auditor.rs
+++ b/crates/lab/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! Whole days in virtual time: the sound program gives no alarm whatever the platform does to it, and balancers that
-//! break a rule are caught for that and nothing else.
+//! The auditor on whole days in virtual time: it reports no violation for the correct balancer under any faults, and for
+//! a balancer that breaks one rule it reports that violation and no other.
 
 use std::path::Path;
 
@@ -12,8 +12,8 @@
 use shorewharf_lab::mutants::{Mutants, Mutation};
 use shorewharf_lab::scenario::from_text;
 
-/// Three balancers in two zones, ten nodes, and these faults.
-fn judge(host: &dyn Host, length: u32, rest: &str, seed: u64) -> Verdict {
+/// Runs three balancers in two zones with ten nodes; `rest` is further TOML of the scenario, such as faults.
+fn run_verdict(host: &dyn Host, length: u32, rest: &str, seed: u64) -> Verdict {
     let text = format!(
         "length_s = {length}\nbalancers = 3\n{rest}\n[[fleet]]\nkind = \"plain\"\ncount = 10\nspeed = 1.2\nspeed_cv = 0.2\n"
     );
@@ -23,11 +23,12 @@
     run(&day, host, &Options::default()).expect("a run").verdict
 }
 
-fn told(verdict: &Verdict) -> String {
+/// The first lines of the auditor's report.
+fn first_lines(verdict: &Verdict) -> String {
     verdict.lines().take(8).collect::<Vec<_>>().join("\n")
 }
 
-/// What may go wrong, with what it needs beside its time; a good part of it is new to the balancer each time.
+/// Faults without their start times. The start is drawn, so that they meet the balancer in different states.
 const FAULTS: &[&str] = &[
     "kind = \"crash\"\nlen_s = 6\npart = 0.3",
     "kind = \"hang\"\nlen_s = 9\non = [0, 1]",
@@ -48,10 +49,10 @@
     "kind = \"surge\"\nsize = 3\nlen_s = 8",
 ];
 
-/// Failure: a hundred days with three kinds of trouble each, which overlap as they like. Promise: the sound program
-/// keeps all rules, and the auditor says so.
+/// Guards against false alarms of the auditor and against violations by the correct balancer: a hundred days with three
+/// faults each, which may overlap.
 #[test]
-fn a_hundred_troubled_days_of_the_sound_program_give_no_alarm() {
+fn auditor_reports_nothing_for_the_correct_balancer_on_a_hundred_days_with_faults() {
     let alarms: Vec<String> = (1..=100u64)
         .into_par_iter()
         .filter_map(|seed| {
@@ -61,22 +62,23 @@
                 let fault = FAULTS[(seed as usize * 3 + i) % FAULTS.len()];
                 rest += &format!("[[faults]]\nat_s = {}\n{fault}\n", rng.random_range(4..14));
             }
-            let verdict = judge(&PolicyHosts::new(PolicyChoice::Module), 30, &rest, seed);
+            let verdict = run_verdict(&PolicyHosts::new(PolicyChoice::Module), 30, &rest, seed);
             assert!(verdict.counts.up > 50, "seed {seed}: {:?}", verdict.counts);
             (!verdict.is_clean())
-                .then(|| format!("seed {seed}: {:?}\n{rest}{}", verdict.reasons, told(&verdict)))
+                .then(|| format!("seed {seed}: {:?}\n{rest}{}", verdict.reasons, first_lines(&verdict)))
         })
         .collect();
     assert!(alarms.is_empty(), "{} alarms:\n{}", alarms.len(), alarms.join("\n"));
 }
 
-/// Failure: balancers that break one rule each. Promise: each is caught for its reason, and for no other.
+/// Guards against an auditor that misses a violation or reports it with a wrong reason: each mutant breaks one rule, and
+/// must be reported for its own reason and no other.
 #[test]
-fn each_mutant_is_caught_for_what_it_does() {
-    let found: Vec<String> = Mutation::ALL
+fn auditor_reports_each_mutant_for_its_own_violation_only() {
+    let mismatches: Vec<String> = Mutation::ALL
         .par_iter()
-        .filter_map(|&wrong| {
-            let rest = match wrong {
+        .filter_map(|&mutation| {
+            let rest = match mutation {
                 Mutation::Late => "[net]\nclient_ms = 12\n",
                 Mutation::IgnoresDrains => {
                     "[[faults]]\nkind = \"drain\"\nat_s = 8\nlen_s = 12\non = [0, 1, 2, 3]\n"
@@ -90,11 +92,12 @@
                 }
                 _ => "",
             };
-            let verdict = judge(&Mutants::new(PolicyHosts::new(PolicyChoice::Module), wrong), 30, rest, 7);
+            let verdict =
+                run_verdict(&Mutants::new(PolicyHosts::new(PolicyChoice::Module), mutation), 30, rest, 7);
             let found: Vec<Reason> = verdict.reasons.keys().copied().collect();
-            (found != [wrong.caught_for()])
-                .then(|| format!("{wrong:?}: {:?}\n{}", verdict.reasons, told(&verdict)))
+            (found != [mutation.expected_reason()])
+                .then(|| format!("{mutation:?}: {:?}\n{}", verdict.reasons, first_lines(&verdict)))
         })
         .collect();
-    assert!(found.is_empty(), "{}", found.join("\n\n"));
+    assert!(mismatches.is_empty(), "{}", mismatches.join("\n\n"));
 }
