--- a/crates/lab/tests/commands.rs
+++ b/crates/lab/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line as its users meet it: the built program, its files, its words and its exit codes.
+//! The command line of the built program: its files, output and exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,7 +10,8 @@
     Command::new(env!("CARGO_BIN_EXE_shorewharf-lab")).args(args).output().expect("the program starts")
 }
 
-fn out(output: &Output) -> String {
+/// Standard output followed by standard error.
+fn text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
@@ -27,10 +28,10 @@
     serde_json::from_str(&std::fs::read_to_string(file).expect(file)).expect(file)
 }
 
-/// A result that depends on the number of threads, or whose `g` is not what its own figures come to, could not be
-/// checked by anybody.
+/// Guards against results that depend on the number of threads, and against a `g` that does not follow from the other
+/// values of the result.
 #[test]
-fn a_seed_gives_the_same_bytes_on_any_number_of_threads_and_g_is_what_its_figures_come_to() {
+fn result_is_the_same_on_any_number_of_threads_and_g_follows_from_its_other_values() {
     let folder = TempDir::new().unwrap();
     let (one, four) = (path(&folder, "one.json"), path(&folder, "four.json"));
     for (file, threads) in [(&one, "1"), (&four, "4")] {
@@ -38,45 +39,49 @@
         let args =
             ["run", &crash, "--set", "length_s=25", "--seed", "5", "--threads", threads, "--json", file];
         let output = lab(&args);
-        assert_eq!(output.status.code(), Some(0), "{}", out(&output));
-        assert!(out(&output).contains("rules: all kept"), "{}", out(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+        assert!(text(&output).contains("rules: all kept"), "{}", text(&output));
     }
     assert_eq!(std::fs::read(&one).unwrap(), std::fs::read(&four).unwrap());
     let run = json(&one);
-    let figure = |v: &Value| v.as_f64().expect("a figure");
+    let number = |v: &Value| v.as_f64().expect("a number");
     let worst =
-        |list: &Value| list.as_array().unwrap().iter().map(|t| figure(&t["share"])).fold(1.0, f64::min);
-    let taken: f64 = run["prices"].as_array().unwrap().iter().map(|p| figure(&p["cost"])).sum();
-    let made = 0.8 * figure(&run["whole"])
-        + 0.1 * figure(&run["worst_window"]["share"])
+        |list: &Value| list.as_array().unwrap().iter().map(|t| number(&t["share"])).fold(1.0, f64::min);
+    let costs: f64 = run["prices"].as_array().unwrap().iter().map(|p| number(&p["cost"])).sum();
+    let expected = 0.8 * number(&run["whole"])
+        + 0.1 * number(&run["worst_window"]["share"])
         + 0.1 * worst(&run["tenants"])
-        - taken;
-    assert!((figure(&run["g"]) - made).abs() < 1e-9, "g is {}, its figures come to {made}", run["g"]);
+        - costs;
+    assert!(
+        (number(&run["g"]) - expected).abs() < 1e-9,
+        "g is {}, but {expected} follows from the other values",
+        run["g"]
+    );
     assert_eq!(run["seed"], 5);
-    assert!(figure(&run["counts"]["set up"]) > 50.0, "{}", run["counts"]);
+    assert!(number(&run["counts"]["set up"]) > 50.0, "{}", run["counts"]);
 }
 
-/// Days without servers, clients or length are legal; each once was a division by zero somewhere.
+/// Days without servers, clients or length are valid; each has caused a division by zero.
 #[test]
-fn an_empty_day_has_a_result_and_a_page() {
+fn empty_day_has_a_result_and_a_page() {
     let folder = TempDir::new().unwrap();
     for (name, whole) in [("no-servers", 0.0), ("no-clients", 1.0), ("zero-length", 1.0)] {
         let (file, page) = (path(&folder, "r.json"), path(&folder, "r.html"));
         let output = lab(&["run", &scenario(name), "--json", &file, "--report", &page]);
-        assert_eq!(output.status.code(), Some(0), "{name}: {}", out(&output));
+        assert_eq!(output.status.code(), Some(0), "{name}: {}", text(&output));
         assert_eq!(json(&file)["whole"], whole, "{name}");
         let html = std::fs::read_to_string(&page).unwrap();
         assert!(html.contains("<svg") && html.contains(name) && html.ends_with("</html>\n"), "{name}");
-        // A page that looks for anything in the network would be empty where there is none.
+        // The page must not load anything from the network, so that it is complete without one.
         for link in ["src=", "href=", "url(", "@import"] {
             assert!(!html.contains(link), "{name}: the page has {link}");
         }
     }
 }
 
-/// A grid must play each of its points with each seed, and a comparison must tell a difference from noise.
+/// A sweep must run each point of its grid with each seed, and a comparison must distinguish a difference from noise.
 #[test]
-fn a_grid_is_played_whole_and_a_comparison_tells_a_difference_from_noise() {
+fn sweep_runs_the_whole_grid_and_comparison_distinguishes_a_difference_from_noise() {
     let folder = TempDir::new().unwrap();
     let (file, csv) = (path(&folder, "s.json"), path(&folder, "s.csv"));
     let crash = scenario("crash");
@@ -84,7 +89,7 @@
     let args =
         [&["sweep", &crash], &grid[..], &["--policies", "module,random", "--json", &file, "--csv", &csv]];
     let output = lab(&args.concat());
-    assert!(matches!(output.status.code(), Some(0 | 1)), "{}", out(&output));
+    assert!(matches!(output.status.code(), Some(0 | 1)), "{}", text(&output));
     let sweep = json(&file);
     let (points, runs) = (sweep["points"].as_array().unwrap(), sweep["runs"].as_array().unwrap());
     assert_eq!((points.len(), runs.len()), (4, 12));
@@ -98,20 +103,20 @@
     assert!(rows.starts_with("scenario,policy,traffic.load,length_s,seed,g,"), "{rows}");
 
     let worse = lab(&["compare", &crash, "--policies", "module,random", "--seeds", "1..6"]);
-    assert!(out(&worse).contains("6 pairs: B is worse than A by"), "{}", out(&worse));
+    assert!(text(&worse).contains("6 pairs: B is worse than A by"), "{}", text(&worse));
     let same = lab(&["compare", &crash, &crash, "--seeds", "1..3"]);
-    assert!(out(&same).contains("3 pairs: no difference at all"), "{}", out(&same));
+    assert!(text(&same).contains("3 pairs: no difference at all"), "{}", text(&same));
     let one = lab(&["compare", &crash, "--policies", "module,random", "--seeds", "1"]);
-    assert!(out(&one).contains("one pair says nothing about noise"), "{}", out(&one));
+    assert!(text(&one).contains("one pair says nothing about noise"), "{}", text(&one));
 }
 
-/// The proof against the simulator must read its results, and not count a day twice.
+/// The comparison with the simulator must read the simulator's results, and must not take them for days.
 #[test]
-fn drawn_days_are_compared_with_the_results_beside_them() {
+fn fidelity_compares_generated_days_with_the_results_in_the_same_folder() {
     let folder = TempDir::new().unwrap();
-    let drawn = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/drawn.json");
+    let generated = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/drawn.json");
     for (day, g) in [("a", 0.9), ("b", 0.2)] {
-        std::fs::copy(&drawn, path(&folder, &format!("{day}.json"))).unwrap();
+        std::fs::copy(&generated, path(&folder, &format!("{day}.json"))).unwrap();
         let result =
             format!("{{\"g\":{g},\"whole\":0.9,\"worst_window\":0.8,\"worst_tenant\":0.7,\"more\":1}}\n");
         std::fs::write(path(&folder, &format!("{day}.module.sim.json")), result).unwrap();
@@ -119,28 +124,28 @@
     let days = folder.path().display().to_string();
     let file = path(&folder, "proof.sim.json");
     let output = lab(&["fidelity", "--days", &days, "--json", &file]);
-    assert_eq!(output.status.code(), Some(0), "{}", out(&output));
-    let proof = json(&file);
-    let pairs = proof["pairs"].as_array().unwrap();
+    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    let comparison = json(&file);
+    let pairs = comparison["pairs"].as_array().unwrap();
     assert_eq!(pairs.iter().map(|p| &p["simulator"]["g"]).collect::<Vec<_>>(), [0.9, 0.2]);
     assert_eq!(pairs[0]["emulator"], pairs[1]["emulator"]);
-    assert_eq!(proof["nearness"][0][1]["pairs"], 2);
+    assert_eq!(comparison["nearness"][0][1]["pairs"], 2);
     let missing = lab(&["fidelity", "--days", &days, "--policies", "random"]);
     assert_eq!(missing.status.code(), Some(2));
-    assert!(out(&missing).contains("a.random.sim.json: is missing; --simulator"), "{}", out(&missing));
+    assert!(text(&missing).contains("a.random.sim.json: is missing; --simulator"), "{}", text(&missing));
 }
 
-/// Scripts rely on exit codes, and people on help that shows them how.
+/// Scripts rely on the exit codes that the help documents, and users on its examples.
 #[test]
-fn help_shows_examples_and_exit_codes_are_those_that_it_promises() {
+fn help_shows_examples_and_exit_codes_are_as_documented() {
     let help = lab(&["--help"]);
-    assert!(out(&help).contains("Exit codes:"), "{}", out(&help));
+    assert!(text(&help).contains("Exit codes:"), "{}", text(&help));
     for command in
         ["demo", "run", "sweep", "compare", "load", "report", "import", "check", "show", "fidelity"]
     {
         let help = lab(&[command, "--help"]);
         assert_eq!(help.status.code(), Some(0), "{command}");
-        assert!(out(&help).contains("shorewharf-lab"), "{command}: {}", out(&help));
+        assert!(text(&help).contains("shorewharf-lab"), "{command}: {}", text(&help));
     }
     let calm = scenario("calm");
     let folder = TempDir::new().unwrap();
@@ -165,9 +170,9 @@
         ),
         (&["run", &calm, "--set", "length_s=1", "--json", &nowhere], 3, "no/such/folder"),
     ];
-    for (args, code, word) in cases {
+    for (args, code, expected) in cases {
         let output = lab(args);
-        assert_eq!(output.status.code(), Some(*code), "{args:?}: {}", out(&output));
-        assert!(out(&output).contains(word), "{args:?}: {word:?} is missing in {}", out(&output));
+        assert_eq!(output.status.code(), Some(*code), "{args:?}: {}", text(&output));
+        assert!(text(&output).contains(expected), "{args:?}: {expected:?} is missing in {}", text(&output));
     }
 }
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -1,5 +1,5 @@
-//! Days in virtual time with the real driver and decision module: same bytes for any number of threads, and what
-//! balancers owe their clients when nodes fall silent, balancers die or the list is all they know.
+//! Days in virtual time with the real driver and decision module: results that do not depend on the number of threads,
+//! and the service to clients when nodes stop replying, balancers are killed or restarted, and the list is unavailable.
 
 use std::path::Path;
 
@@ -12,14 +12,14 @@
 use shorewharf_units::{Micros, seconds_from_micros};
 
 fn day(text: &str) -> Day {
-    let beside = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/day.toml");
-    scenario::from_text(&beside, &format!("extends = \"base.toml\"\n{text}"), &[], Some(7))
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/day.toml");
+    scenario::from_text(&path, &format!("extends = \"base.toml\"\n{text}"), &[], Some(7))
         .expect("a scenario")
         .day
 }
 
-fn play(day: &Day, who: PolicyChoice, threads: usize) -> RunResult {
-    run(day, &PolicyHosts::new(who), &Options { threads, progress: None }).expect("a run")
+fn run_day(day: &Day, policy: PolicyChoice, threads: usize) -> RunResult {
+    run(day, &PolicyHosts::new(policy), &Options { threads, progress: None }).expect("a run")
 }
 
 fn bytes(r: &RunResult) -> Vec<u8> {
@@ -30,7 +30,7 @@
     .expect("a result is JSON")
 }
 
-const ALL_SORTS: &str = r#"
+const MIXED_FAULTS: &str = r#"
 length_s = 40
 [traffic]
 load = 0.6
@@ -70,112 +70,123 @@
 len_s = 4
 "#;
 
-/// A result that depends on how many threads played it can't be reproduced or compared: one that shares state
-/// between balancers, or carries out their wishes in order of completion, differs here.
+/// Guards against results that depend on the number of threads and can't be reproduced. That happens if balancers share
+/// state, or if their outputs are processed in the order in which the threads finish.
 #[test]
-fn the_same_day_gives_the_same_bytes_on_any_number_of_threads() {
-    let mut day = day(ALL_SORTS);
-    for who in [PolicyChoice::Module, PolicyChoice::Oracle] {
-        let one = play(&day, who, 1);
+fn result_is_the_same_on_any_number_of_threads() {
+    let mut day = day(MIXED_FAULTS);
+    for policy in [PolicyChoice::Module, PolicyChoice::Oracle] {
+        let one = run_day(&day, policy, 1);
         assert!(
             one.series.seconds.iter().map(|s| s.ups).sum::<u32>() > 200,
-            "{who:?}: hardly anything was played"
+            "{policy:?}: too few connections were established"
         );
         for threads in [3, 8] {
             assert!(
-                bytes(&one) == bytes(&play(&day, who, threads)),
-                "{who:?}: {threads} threads differ from one"
+                bytes(&one) == bytes(&run_day(&day, policy, threads)),
+                "{policy:?}: the result of {threads} threads differs from that of one"
             );
         }
     }
-    let before = bytes(&play(&day, PolicyChoice::Module, 1));
+    let first_seed = bytes(&run_day(&day, PolicyChoice::Module, 1));
     day.seed += 1;
-    assert!(before != bytes(&play(&day, PolicyChoice::Module, 1)), "another seed draws the same day");
+    assert!(
+        first_seed != bytes(&run_day(&day, PolicyChoice::Module, 1)),
+        "another seed gives the same result"
+    );
 }
 
-/// The module keeps the rules on a day with every kind of trouble; a fault of the emulated peers (an answer lost, a
-/// second attempt, a line to a node that drains) shows here as a break.
+/// The module must keep the rules on a day with many kinds of faults. A bug of the lab's instances (a lost answer, a
+/// second attempt, a line to a draining node) also shows here as a violation.
 #[test]
-fn the_module_keeps_the_rules_through_all_sorts_of_trouble() {
-    let result = play(&day(ALL_SORTS), PolicyChoice::Module, 1);
+fn module_keeps_the_rules_under_mixed_faults() {
+    let result = run_day(&day(MIXED_FAULTS), PolicyChoice::Module, 1);
     assert!(result.verdict.is_clean(), "{:#?}", result.verdict.lines().collect::<Vec<_>>());
-    assert!(result.outcome.g > 0.5, "G {}", result.outcome.g);
+    assert!(result.outcome.g > 0.5, "g is {}", result.outcome.g);
 }
 
-fn standing(r: &RunResult, node: usize, second: usize) -> u32 {
+/// Established connections of a node at the end of a second.
+fn established(r: &RunResult, node: usize, second: usize) -> u32 {
     r.series.nodes[node].connections[second]
 }
 
-/// No message of a standing connection is an event, so a node's silence is only noticed if the world sends the lines
-/// that then matter: a line within 2 s, unanswered for 1.5 s, and the client is moved. Else its clients would stay.
+/// Messages of established connections are not emulated one by one. A node that stops replying is only detected if the
+/// emulator sends the clients' lines that detection needs: a line within 2 s, and after 1.5 s without a reply the client
+/// is moved. Without these lines the clients would stay at the node.
 #[test]
-fn clients_of_a_silent_node_are_moved_within_the_time_for_it() {
+fn clients_of_a_silent_node_are_moved_in_time() {
     for kind in ["hang", "cut-off"] {
         let text =
             format!("length_s = 30\n[[faults]]\nkind = \"{kind}\"\nat_s = 10\nlen_s = 15\non = [0, 1, 2]\n");
-        let result = play(&day(&text), PolicyChoice::Module, 1);
-        let held = |second| (0..3).map(|n| standing(&result, n, second)).sum::<u32>();
+        let result = run_day(&day(&text), PolicyChoice::Module, 1);
+        let held = |second| (0..3).map(|n| established(&result, n, second)).sum::<u32>();
         let moved: u32 = result.series.seconds[10..14].iter().map(|s| s.moves).sum();
-        assert!(held(8) > 10, "{kind}: too few stood there to show anything");
-        assert!(moved >= held(8) / 2, "{kind}: {} stood, {moved} were moved within 4 s", held(8));
+        assert!(held(8) > 10, "{kind}: too few connections to the nodes before the fault");
+        assert!(moved >= held(8) / 2, "{kind}: {moved} of {} connections were moved within 4 s", held(8));
         if kind == "hang" {
-            // Seconds are counted at their ends: 2 s to the next line, 1.5 s of silence, and the sweep.
-            assert!(held(14) == 0, "{kind}: {} still stand at a silent node", held(14));
+            // Connections are counted at the end of a second. Detection takes up to 2 s to the next line, 1.5 s without a
+            // reply, and the time to the next periodic check.
+            assert!(held(14) == 0, "{kind}: {} connections are still held by a silent node", held(14));
         }
         assert!(result.verdict.is_clean(), "{kind}: {:?}", result.verdict.lines().collect::<Vec<_>>());
     }
 }
 
-/// A killed balancer takes its connections with it and no request of the others; a planned restart cuts off nobody.
+/// A killed balancer must lose its own connections only, and a planned restart must close none.
 #[test]
-fn a_killed_balancer_breaks_its_own_connections_and_a_planned_restart_breaks_none() {
+fn killed_balancer_breaks_its_own_connections_and_planned_restart_breaks_none() {
     let text = |kind: &str| {
         format!("length_s = 30\n[[faults]]\nkind = \"{kind}\"\nat_s = 10\nlen_s = 5\non = [0]\n")
     };
-    let calm = play(&day("length_s = 30"), PolicyChoice::Module, 1);
-    let killed = play(&day(&text("balancer-kill")), PolicyChoice::Module, 1);
-    let planned = play(&day(&text("balancer-restart")), PolicyChoice::Module, 1);
+    let calm = run_day(&day("length_s = 30"), PolicyChoice::Module, 1);
+    let killed = run_day(&day(&text("balancer-kill")), PolicyChoice::Module, 1);
+    let planned = run_day(&day(&text("balancer-restart")), PolicyChoice::Module, 1);
     let broken = |r: &RunResult| r.series.ends.get("broken").copied().unwrap_or(0);
-    assert_eq!(broken(&calm), 0, "connections broke on a calm day");
-    assert!(broken(&killed) >= 5, "{} broke with their balancer", broken(&killed));
-    assert_eq!(broken(&planned), 0, "a planned restart cut off clients");
+    assert_eq!(broken(&calm), 0, "connections broke on a day without faults");
+    assert!(broken(&killed) >= 5, "only {} connections broke with the killed balancer", broken(&killed));
+    assert_eq!(broken(&planned), 0, "a planned restart broke connections");
     for (name, r) in [("killed", &killed), ("planned", &planned)] {
         assert!(r.verdict.is_clean(), "{name}: {:?}", r.verdict.lines().collect::<Vec<_>>());
         let at = |second: usize| r.series.nodes.iter().map(|n| n.connections[second]).sum::<u32>();
-        assert!(at(20) * 10 > at(8) * 8, "{name}: {} stood before, {} after", at(8), at(20));
+        assert!(
+            at(20) * 10 > at(8) * 8,
+            "{name}: {} connections before the fault, {} after it",
+            at(8),
+            at(20)
+        );
     }
 }
 
-/// The order of policies is what the lab is for: a world in which the module is no better than chance, or chance as
-/// good as one that sees the nodes' true state, tells nothing of decisions.
+/// The lab must be able to tell policies apart: the module, and the oracle that sees the nodes' true state, must be
+/// better than random choice.
 #[test]
-fn policies_come_out_in_the_order_of_what_they_know() {
+fn module_and_oracle_score_better_than_random() {
     let mut day = day("length_s = 40\n[traffic]\nload = 0.7\n");
-    let mut g = |who| {
-        let sum = |seed| {
+    let mut mean_g = |policy| {
+        let g = |seed| {
             day.seed = seed;
-            play(&day, who, 1).outcome.g
+            run_day(&day, policy, 1).outcome.g
         };
-        (1..=3).map(sum).sum::<f64>() / 3.0
+        (1..=3).map(g).sum::<f64>() / 3.0
     };
     let (module, random, oracle) =
-        (g(PolicyChoice::Module), g(PolicyChoice::Random), g(PolicyChoice::Oracle));
+        (mean_g(PolicyChoice::Module), mean_g(PolicyChoice::Random), mean_g(PolicyChoice::Oracle));
     assert!(module > random + 0.05, "module {module:.3}, random {random:.3}");
     assert!(oracle > random + 0.05, "oracle {oracle:.3}, random {random:.3}");
 }
 
-/// What stands from before the day stands at its very start: the first second must not be lost to set-ups.
+/// Connections from before the day must be established at its start, so that the first second is not spent on set-ups.
 #[test]
-fn connections_from_before_the_day_stand_at_its_start() {
-    let result = play(&day("length_s = 5"), PolicyChoice::Module, 1);
+fn connections_from_before_the_day_are_established_at_its_start() {
+    let result = run_day(&day("length_s = 5"), PolicyChoice::Module, 1);
     let first = &result.outcome.seconds[0];
     assert!(first.asked > 20.0 && first.earned > 0.95 * first.asked, "{first:?}");
 }
 
-/// The settings text is the only thing a balancer is told; its reader falls back to defaults on what is missing, so a
-/// misnamed key would go unnoticed.
+/// A balancer gets the day's values only from the settings text, and its reader uses defaults for missing keys, so a wrong
+/// key would not be noticed otherwise.
 #[test]
-fn the_settings_text_brings_the_days_figures_to_the_module() {
+fn settings_text_passes_the_values_of_the_day_to_the_module() {
     let mut day = day("length_s = 5");
     let s = |t: Micros| seconds_from_micros(t);
     day.limits.probes = true;
--- a/crates/lab/tests/even.rs
+++ b/crates/lab/tests/even.rs
@@ -1,4 +1,4 @@
-//! `even`: what its figures say of policies that are known to be better or worse, and of input that can't be used.
+//! The command `even`: its measurements of policies whose order is known, and its errors on invalid input.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,8 @@
     Command::new(lab).arg("even").arg(trial).args(args).output().expect("the lab starts")
 }
 
-fn played(args: &[&str]) -> Vec<Value> {
+/// Runs `even` with three seeds and returns the runs of its JSON.
+fn runs_of(args: &[&str]) -> Vec<Value> {
     let args = [&["--json", "-", "--seeds", "1..3"], args].concat();
     let output = even(&trials().join("few-nodes.toml"), &args);
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
@@ -24,29 +25,29 @@
 }
 
 #[test]
-fn who_hears_of_all_others_fills_nodes_more_evenly_than_who_sees_little_and_that_more_than_chance() {
-    let runs = played(&["--policies", "random,module,module-told"]);
+fn gossip_spreads_load_more_evenly_than_the_module_alone_and_the_module_more_than_random() {
+    let runs = runs_of(&["--policies", "random,module,module-told"]);
     assert_eq!(runs.len(), 9);
-    let mean = |policy: &str, figure: &str| {
-        let of = runs.iter().filter(|r| r["policy"] == policy);
-        of.map(|r| r[figure].as_f64().expect("a figure")).sum::<f64>() / 3.0
+    let mean = |policy: &str, field: &str| {
+        let of_policy = runs.iter().filter(|r| r["policy"] == policy);
+        of_policy.map(|r| r[field].as_f64().expect("a number")).sum::<f64>() / 3.0
     };
     let load = |policy| mean(policy, "load_most");
     assert!(load("module-told") + 0.1 < load("module"), "{runs:?}");
     assert!(load("module") + 0.05 < load("random"), "{runs:?}");
-    // Told of each other they leave no node idle; alone a node that is nobody's first rank stands empty.
+    // With gossip no node is left idle; without it, a node that has the first rank at no balancer stays empty.
     assert!(mean("module-told", "under_mean_least") > mean("module", "under_mean_least") + 0.2, "{runs:?}");
 }
 
 #[test]
-fn what_balancers_tell_each_other_does_not_depend_on_who_takes_his_turn_first() {
+fn runs_with_gossip_do_not_depend_on_the_number_of_threads() {
     let policies = ["--policies", "module-told"];
-    let (one, many) = (played(&[&policies[..], &["--threads", "1"]].concat()), played(&policies));
+    let (one, many) = (runs_of(&[&policies[..], &["--threads", "1"]].concat()), runs_of(&policies));
     assert_eq!(one, many);
 }
 
 #[test]
-fn a_trial_that_does_not_say_when_it_has_settled_is_refused_by_key() {
+fn trial_without_settled_time_and_unknown_policy_are_rejected_by_name() {
     let folder = TempDir::new().expect("a folder");
     let file = folder.path().join("trial.toml");
     let day = trials().join("day-small.toml");
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what is wrong in one is told with line, key and what is allowed; what is odd is played.
+//! Scenario files: errors name the line, the key and the allowed values; suspicious values are only warnings.
 
 use std::path::Path;
 
@@ -8,10 +8,10 @@
     scenario::from_text(Path::new("day.toml"), text, &[], None)
 }
 
-/// A writer who mistypes a key or a figure would otherwise play another day than the one meant: each mistake is refused
-/// with its line, its key and what is allowed there.
+/// A mistyped key or value must not silently result in another day than intended: each is rejected with its line, its key
+/// and the allowed values.
 #[test]
-fn a_mistake_is_told_with_line_key_and_what_is_allowed() {
+fn errors_name_the_line_the_key_and_the_allowed_values() {
     let table: &[(&str, &[&str])] = &[
         ("length_s = 60\ntick_ms = five", &["day.toml:2"]),
         ("\nlenght_s = 60", &["day.toml:2", "lenght_s", "did you mean length_s?"]),
@@ -60,27 +60,27 @@
     }
 }
 
-/// A fleet is drawn by the seed and by nothing else; entries take what they don't say from the defaults, and what is
-/// shown reads back as the same day.
+/// The speeds of a fleet must depend on the seed only, absent keys of entries must get their defaults, and the expanded
+/// day must be read back as the same day.
 #[test]
-fn a_fleet_follows_from_the_seed_and_the_shown_form_is_the_same_day() {
+fn fleet_depends_on_the_seed_only_and_the_expanded_day_reads_back_the_same() {
     let text = "balancers = 3\n[[fleet]]\nkind = \"plain\"\ncount = 5\nspeed = 2.0\nspeed_cv = 0.2\n\
                 [[faults]]\nkind = \"cut-off\"\nat_s = 1\nzone = \"west\"";
-    let (one, again) = (load(text).unwrap().day, load(text).unwrap().day);
-    assert_eq!(one, again);
-    assert_eq!(one.nodes.iter().map(|n| n.zone).collect::<Vec<_>>(), [0, 1, 0, 1, 0]);
-    assert_eq!(one.balancers.iter().map(|b| b.zone).collect::<Vec<_>>(), [0, 1, 0]);
-    assert_eq!(one.faults[0].zone, Some(1));
-    assert!(one.nodes.iter().all(|n| n.weight == 8.0 && n.speed != 2.0), "{:?}", one.nodes);
-    let other = scenario::from_text(Path::new("day.toml"), text, &[], Some(2)).unwrap().day;
-    assert_ne!(one.nodes, other.nodes);
-    let shown = scenario::show(&one).unwrap();
-    assert_eq!(load(&shown).unwrap().day, one, "{shown}");
+    let (day, same_seed) = (load(text).unwrap().day, load(text).unwrap().day);
+    assert_eq!(day, same_seed);
+    assert_eq!(day.nodes.iter().map(|n| n.zone).collect::<Vec<_>>(), [0, 1, 0, 1, 0]);
+    assert_eq!(day.balancers.iter().map(|b| b.zone).collect::<Vec<_>>(), [0, 1, 0]);
+    assert_eq!(day.faults[0].zone, Some(1));
+    assert!(day.nodes.iter().all(|n| n.weight == 8.0 && n.speed != 2.0), "{:?}", day.nodes);
+    let other_seed = scenario::from_text(Path::new("day.toml"), text, &[], Some(2)).unwrap().day;
+    assert_ne!(day.nodes, other_seed.nodes);
+    let shown = scenario::show(&day).unwrap();
+    assert_eq!(load(&shown).unwrap().day, day, "{shown}");
 }
 
-/// A grid that changed nothing, or another entry than the one named, would give a table of noise.
+/// If `--set` changed nothing, or another entry than the named one, a sweep would compare noise.
 #[test]
-fn a_change_from_the_command_line_reaches_the_entry_it_names() {
+fn set_option_changes_the_entry_it_names() {
     let text = "[[kinds]]\nname = \"a\"\n[[kinds]]\nname = \"b\"\n[[fleet]]\nkind = \"a\"\ncount = 1";
     let set = |key: &str, value: &str| {
         scenario::from_text(Path::new("day.toml"), text, &[(key.into(), value.into())], None)
@@ -102,12 +102,12 @@
     }
 }
 
-/// What is kept in the repository must be playable; empty days are odd, not wrong.
+/// All scenarios of the repository must be valid. Empty days, and only those, have warnings.
 #[test]
-fn every_scenario_of_the_repository_can_be_played() {
+fn all_scenarios_of_the_repository_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
-    // Trials stand in a folder of their own, with days that extend these.
+    // Trials are in a subfolder, with days that extend these scenarios.
     files.retain(|f| f.is_file());
     files.sort();
     assert!(files.len() >= 12);
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -1,5 +1,5 @@
-//! Trials with processes: the program keeps the promises of the small trial through every kind of break, and programs that
-//! are broken on purpose don't.
+//! Trials with processes on sockets: the balancer meets the expectations of the small trials under all network faults, and
+//! deliberately faulty programs do not.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -12,8 +12,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/trials")
 }
 
-/// Plays a trial; once more where the machine was too busy for the run to count.
-fn played(args: &[&str]) -> Output {
+/// Runs a trial, up to five times as long as the run is void since the machine was too busy (exit code 3).
+fn run_trial(args: &[&str]) -> Output {
     for _ in 0..5 {
         let output = Command::new(env!("CARGO_BIN_EXE_shorewharf-lab")).arg("trial").args(args).output();
         let output = output.expect("the lab starts");
@@ -21,59 +21,61 @@
             return output;
         }
     }
-    panic!("the machine was too busy five times");
+    panic!("the run was void five times: the machine is too busy");
 }
 
+/// Standard output followed by standard error.
 fn text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
 #[test]
-fn every_kind_of_break_between_processes_is_borne() {
-    let output = played(&[trials().join("small.toml").to_str().expect("a path")]);
+fn balancer_meets_its_expectations_under_all_network_faults() {
+    let output = run_trial(&[trials().join("small.toml").to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output));
     let observed = "kept, except for violations that injected faults explain";
     assert!(text(&output).contains(observed), "{}", text(&output));
 }
 
 #[test]
-fn what_balancers_tell_each_other_may_fail_in_every_way() {
-    let output = played(&[trials().join("small-together.toml").to_str().expect("a path")]);
+fn balancers_meet_their_expectations_when_gossip_is_lost_duplicated_or_late() {
+    let output = run_trial(&[trials().join("small-together.toml").to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output));
     assert!(text(&output).contains("lost, doubled or late"), "{}", text(&output));
 }
 
 #[test]
-fn budgets_of_the_fleet_are_kept_whatever_fails_and_are_seen_broken_where_nobody_keeps_them() {
+fn fleet_budgets_are_kept_under_faults_and_exceeded_without_budgets() {
     let small = trials().join("budgets-small.toml");
-    // Streams of 5 s bring about three times as many set-ups as the budget lets in, so that nobody keeps it by chance.
+    // Connections of 5 s cause about three times as many set-ups as the budget allows, so that it is not kept by chance.
     let crowded = ["--set", "streams.life_s=5"];
-    let output = played(&[&[small.to_str().expect("a path")], &crowded[..]].concat());
+    let output = run_trial(&[&[small.to_str().expect("a path")], &crowded[..]].concat());
     assert_eq!(output.status.code(), Some(0), "{}", text(&output));
-    // The same day and promises, and nobody told of a budget.
+    // The same day and expectations, but no balancer has a budget.
     let folder = TempDir::new().expect("a folder");
     let file = folder.path().join("trial.toml");
     let day = trials().join("day-budgets-small.toml");
-    let promises = fs::read_to_string(&small).expect("there");
-    let promises = &promises[promises.find("[promises]").expect("promises")..];
+    let text_of_trial = fs::read_to_string(&small).expect("there");
+    let promises = &text_of_trial[text_of_trial.find("[promises]").expect("promises")..];
     fs::write(&file, format!("about = \"none\"\nday = \"{}\"\n{promises}", day.display())).expect("written");
-    let output = played(&[&[file.to_str().expect("a path")], &crowded[..]].concat());
+    let output = run_trial(&[&[file.to_str().expect("a path")], &crowded[..]].concat());
     let text = text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     let line = text.lines().find(|l| l.contains("BROKEN")).unwrap_or_default();
     assert!(line.trim_start().starts_with("set_ups_within"), "{text}");
 }
 
-/// A trial of a few seconds with a program that does this wrong.
-fn wrong(wrong: &str, trial: &str) -> Output {
+/// Runs a trial of a few seconds with the mutant program as the balancer.
+fn run_mutant(mutation: &str, trial: &str) -> Output {
     let folder = TempDir::new().expect("a folder");
-    let program = folder.path().join("wrong");
+    let program = folder.path().join("mutant");
     let mutant = env!("CARGO_BIN_EXE_shorewharf-mutant");
-    fs::write(&program, format!("#!/bin/sh\nexec '{mutant}' {wrong}\n")).expect("written");
+    fs::write(&program, format!("#!/bin/sh\nexec '{mutant}' {mutation}\n")).expect("written");
     fs::set_permissions(&program, fs::Permissions::from_mode(0o755)).expect("set");
     let day = trials().join("day-small.toml");
     let file = folder.path().join("trial.toml");
-    fs::write(&file, format!("about = \"{wrong}\"\nday = \"{}\"\n{trial}", day.display())).expect("written");
+    fs::write(&file, format!("about = \"{mutation}\"\nday = \"{}\"\n{trial}", day.display()))
+        .expect("written");
     let sets = [
         "--set",
         "length_s=8",
@@ -85,12 +87,12 @@
         "streams.life_s=3",
     ];
     let files = [file.to_str().expect("a path"), "--balancer", program.to_str().expect("a path")];
-    played(&[&files[..], &sets].concat())
+    run_trial(&[&files[..], &sets].concat())
 }
 
 #[test]
-fn each_promise_is_seen_broken_by_a_program_that_breaks_it() {
-    for (name, promise, broken) in [
+fn each_expectation_is_reported_broken_for_a_program_that_breaks_it() {
+    for (mutation, promise, broken) in [
         ("exits", "[promises]\nrules = false", "processes"),
         ("hangs-up", "", "rules"),
         ("mute", "[promises]\nrules = false\nserved = 0.9", "served"),
@@ -108,20 +110,20 @@
         ),
         ("crowds", "[promises]\nrules = false\nset_ups_most = 3", "set_ups_most"),
     ] {
-        let output = wrong(name, promise);
+        let output = run_mutant(mutation, promise);
         let text = text(&output);
-        assert_eq!(output.status.code(), Some(1), "{name}: {text}");
+        assert_eq!(output.status.code(), Some(1), "{mutation}: {text}");
         let line = text.lines().find(|l| l.contains("BROKEN")).unwrap_or_default();
-        assert!(line.trim_start().starts_with(broken), "{name}: {text}");
+        assert!(line.trim_start().starts_with(broken), "{mutation}: {text}");
     }
 }
 
 #[test]
-fn what_can_not_be_played_ends_with_2_and_names_the_key() {
+fn invalid_trial_exits_with_2_and_names_the_key() {
     let folder = TempDir::new().expect("a folder");
     let file = folder.path().join("trial.toml");
     let day = trials().join("day-small.toml");
-    for (rift, words) in [
+    for (network_fault, expected) in [
         ("what = \"silent\"\nat_s = 1\nlen_s = 1\nballancers = {}", "unknown field `ballancers`"),
         (
             "what = \"silent\"\nat_s = 1\nlen_s = 1\nnodes = { zone = \"nowhere\" }",
@@ -137,10 +139,10 @@
             "breaks[0].others: does not apply to this kind of fault",
         ),
     ] {
-        let text_of = format!("about = \"a\"\nday = \"{}\"\n[[breaks]]\n{rift}\n", day.display());
-        fs::write(&file, text_of).expect("written");
-        let output = played(&[file.to_str().expect("a path")]);
+        let trial = format!("about = \"a\"\nday = \"{}\"\n[[breaks]]\n{network_fault}\n", day.display());
+        fs::write(&file, trial).expect("written");
+        let output = run_trial(&[file.to_str().expect("a path")]);
         assert_eq!(output.status.code(), Some(2), "{}", text(&output));
-        assert!(text(&output).contains(words), "{}", text(&output));
+        assert!(text(&output).contains(expected), "{}", text(&output));
     }
 }
