--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -59,7 +59,7 @@
     KeepsEnded,
     /// Closes the links of some established connections and keeps their clients connected.
     KeepsSevered,
-    /// Never notices that a node has stopped to reply on an established connection.
+    /// Never notices that a node has stopped replying on an established connection.
     KeepsSilent,
     /// Ignores SIGTERM.
     IgnoresTerm,
@@ -136,7 +136,7 @@
             mutation: self.mutation,
             max_attempts: u64::from(day.limits.max_attempts),
             late_after: day.rules.answer_slack + 1,
-            schedule: ActionSchedule::new(FIRST_OWN_LINK + (u64::from(id.0) << 40)),
+            actions: ActionSchedule::new(FIRST_OWN_LINK + (u64::from(id.0) << 40)),
             history: MutantHistory::default(),
             has_exited: false,
             exit_at: None,
@@ -159,7 +159,8 @@
     max_attempts: u64,
     /// Time after a request's deadline from which a reply is late.
     late_after: Micros,
-    schedule: ActionSchedule,
+    /// Actions that the mutant takes independently of the instance.
+    actions: ActionSchedule,
     history: MutantHistory,
     /// Whether the process has exited; it then emits nothing until it starts again.
     has_exited: bool,
@@ -173,7 +174,7 @@
         for message in messages {
             self.on_input(now, message, &mut inputs, out);
         }
-        self.schedule.run_due(now, out, &mut inputs);
+        self.actions.run_due(now, out, &mut inputs);
         let mut outputs = Vec::new();
         self.inner.turn(now, &inputs, &mut outputs);
         for message in outputs {
@@ -181,7 +182,7 @@
         }
         // Processing the outputs may have scheduled actions that are due now.
         let mut further_inputs = Vec::new();
-        self.schedule.run_due(now, out, &mut further_inputs);
+        self.actions.run_due(now, out, &mut further_inputs);
         if !further_inputs.is_empty() {
             self.inner.turn(now, &further_inputs, out);
         }
@@ -193,7 +194,7 @@
 
     fn next_due(&self) -> Option<Micros> {
         let inner_due = self.inner.next_due().filter(|_| !self.has_exited);
-        [inner_due, self.schedule.next_due(), self.exit_at].into_iter().flatten().min()
+        [inner_due, self.actions.next_due(), self.exit_at].into_iter().flatten().min()
     }
 }
 
@@ -215,7 +216,7 @@
                 }
             }
             ToBalancer::Kill => {
-                self.schedule.clear();
+                self.actions.clear();
                 self.history.clear();
             }
             _ => {}
@@ -251,9 +252,9 @@
                 true
             }
             (_, ToBalancer::NodeMessage(link, _) | ToBalancer::NodeEnded(link, _)) => {
-                !self.schedule.owns(*link)
+                !self.actions.owns(*link)
             }
-            (_, ToBalancer::LinkUp(link) | ToBalancer::LinkFailed(link)) => !self.schedule.owns(*link),
+            (_, ToBalancer::LinkUp(link) | ToBalancer::LinkFailed(link)) => !self.actions.owns(*link),
             _ => true,
         };
         if let ToBalancer::ClientEnded(conn, _) = message {
@@ -272,7 +273,7 @@
             Mutation::Forges => out.push(FromBalancer::Answer(conn, Answer::Forged)),
             Mutation::SendsAfterEnd => {
                 out.push(FromBalancer::Answer(conn, Answer::Busy(0)));
-                self.schedule.schedule_attempt(
+                self.actions.schedule_attempt(
                     now + ACTION_INTERVAL,
                     conn,
                     self.history.node_for(conn),
@@ -281,7 +282,7 @@
             }
             Mutation::NeverGivesUp => {
                 for i in 0..=self.max_attempts {
-                    self.schedule.schedule_attempt(
+                    self.actions.schedule_attempt(
                         now + 2 * i * ACTION_INTERVAL,
                         conn,
                         self.history.node_for(conn),
@@ -289,7 +290,7 @@
                     );
                 }
                 let reject = FromBalancer::Answer(conn, Answer::Busy(0));
-                self.schedule.schedule(
+                self.actions.schedule(
                     now + 2 * (self.max_attempts + 1) * ACTION_INTERVAL,
                     ScheduledAction::Emit(reject),
                 );
@@ -301,8 +302,8 @@
 
     /// Schedules the close of a client's connection, which the instance sees as closed by the client.
     fn schedule_cut_off(&mut self, now: Micros, conn: ConnId) {
-        self.schedule.schedule(now, ScheduledAction::Emit(FromBalancer::EndClient(conn, End::Fin)));
-        self.schedule.schedule(now, ScheduledAction::Deliver(ToBalancer::ClientEnded(conn, End::Fin)));
+        self.actions.schedule(now, ScheduledAction::Emit(FromBalancer::EndClient(conn, End::Fin)));
+        self.actions.schedule(now, ScheduledAction::Deliver(ToBalancer::ClientEnded(conn, End::Fin)));
     }
 
     /// Processes an output of the instance: emits, delays, drops or changes it, or adds others, as the mutation says.
@@ -331,15 +332,15 @@
         match (self.mutation, message) {
             (Mutation::Mute, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) => {}
             (Mutation::Late, FromBalancer::Answer(..) | FromBalancer::EndClient(..)) if late_after > now => {
-                self.schedule.schedule(late_after, ScheduledAction::Emit(message));
+                self.actions.schedule(late_after, ScheduledAction::Emit(message));
             }
             (Mutation::AnswersTwice, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(message);
-                self.schedule.schedule(
+                self.actions.schedule(
                     now + ESTABLISHED_BEFORE_FAULT,
                     ScheduledAction::Emit(FromBalancer::Answer(conn, Answer::Err)),
                 );
-                self.schedule.schedule(
+                self.actions.schedule(
                     now + ESTABLISHED_BEFORE_FAULT,
                     ScheduledAction::Deliver(ToBalancer::ClientEnded(conn, End::Fin)),
                 );
@@ -347,7 +348,7 @@
             (Mutation::TwoAtOnce, FromBalancer::Link { node, conn: Some(conn), .. }) => {
                 out.push(message);
                 let other = self.history.node_other_than(node);
-                self.schedule.schedule_attempt(now, conn, other, ACTION_INTERVAL);
+                self.actions.schedule_attempt(now, conn, other, ACTION_INTERVAL);
             }
             (Mutation::CutsOff, FromBalancer::Answer(conn, Answer::Up(_))) => {
                 out.push(message);
@@ -355,7 +356,7 @@
             }
             (Mutation::KeepsSevered, FromBalancer::Answer(_, Answer::Up(link))) => {
                 out.push(message);
-                self.schedule.schedule(
+                self.actions.schedule(
                     now + ESTABLISHED_BEFORE_FAULT,
                     ScheduledAction::Emit(FromBalancer::EndLink(link, End::Fin)),
                 );
--- a/crates/lab/src/scenario/expand.rs
+++ b/crates/lab/src/scenario/expand.rs
@@ -19,7 +19,7 @@
     /// Zones that the nodes are assigned to in turn; all zones if absent.
     zones: Option<Vec<String>>,
     /// Nominal speed of a core, relative to a standard core.
-    #[serde(default = "one")]
+    #[serde(default = "default_speed")]
     speed: f64,
     /// Coefficient of variation of the nodes' actual speeds, which are drawn with the day's seed.
     #[serde(default)]
@@ -29,15 +29,15 @@
     /// Cell of the nodes; the index of each node's zone if absent.
     cell: Option<u32>,
     /// Whether the nodes run when the day starts.
-    #[serde(default = "yes")]
+    #[serde(default = "default_up")]
     up: bool,
 }
 
-fn one() -> f64 {
+fn default_speed() -> f64 {
     1.0
 }
 
-fn yes() -> bool {
+fn default_up() -> bool {
     true
 }
 
@@ -101,8 +101,8 @@
     let Some(traffic) = tree.table_mut().and_then(|t| t.get_mut("traffic")) else { return };
     let location = traffic.location.clone();
     if let Some(t) = traffic.table_mut() {
-        let even = Value::Array(vec![Value::Float(1.0 / zones.max(1) as f64); zones]);
-        t.entry("zone_share".into()).or_insert_with(|| Tree::from_value(&location, even));
+        let equal_shares = Value::Array(vec![Value::Float(1.0 / zones.max(1) as f64); zones]);
+        t.entry("zone_share".into()).or_insert_with(|| Tree::from_value(&location, equal_shares));
     }
 }
 
@@ -110,10 +110,10 @@
 fn expand_balancer_count(tree: &mut Tree, zones: usize) {
     let Some(value) = tree.table_mut().and_then(|t| t.get_mut("balancers")) else { return };
     if let TreeKind::Leaf(Value::Integer(n)) = value.kind {
-        let one = |i: i64| {
+        let balancer = |i: i64| {
             Value::Table([("zone".into(), Value::Integer(i % zones.max(1) as i64))].into_iter().collect())
         };
-        *value = Tree::from_value(&value.location, Value::Array((0..n).map(one).collect()));
+        *value = Tree::from_value(&value.location, Value::Array((0..n).map(balancer).collect()));
     }
 }
 
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -60,7 +60,8 @@
     Syntax(#[from] SyntaxError),
     /// Files extend one another in a cycle, or the chain of files is too long.
     #[error(
-        "{location}: extends: {path} extends itself, directly or through other files, or the scenario extends more than {MAX_EXTENDS_DEPTH} files"
+        "{location}: extends: {path} extends itself, directly or through other files, or the scenario extends more \
+         than {MAX_EXTENDS_DEPTH} files"
     )]
     ExtendsCycle {
         /// Where the last `extends` is set.
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -47,10 +47,10 @@
         }
     }
 
-    fn index_within(&mut self, key: impl Into<String>, index: u32, list: &str, count: usize) {
+    fn index_within(&mut self, key: impl Into<String>, index: u32, item: &str, count: usize) {
         if index as usize >= count {
             let allowed = if count == 0 { "there are none".into() } else { format!("0 to {}", count - 1) };
-            self.error(key, format!("no {list} with index {index}; allowed: {allowed}"));
+            self.error(key, format!("no {item} with index {index}; allowed: {allowed}"));
         }
     }
 
@@ -106,7 +106,11 @@
             if name.is_empty()
                 || name.contains(|c: char| c.is_whitespace() || c.is_control() || ",=".contains(c))
             {
-                f.error(format!("{list}[{i}]"), format!("{name:?} is not a valid name: it must not be empty or contain whitespace, control characters, commas or ="));
+                let message = format!(
+                    "{name:?} is not a valid name: it must not be empty or contain whitespace, control characters, \
+                     commas or ="
+                );
+                f.error(format!("{list}[{i}]"), message);
             }
         }
     }
@@ -253,8 +257,9 @@
         f.within(key("pause_grow"), k.pause_grow, 0.0, 100.0);
         f.share(key("error_rate"), k.error_rate);
         if k.cold_from < day.rules.stated_cold_from || k.cold > day.rules.stated_cold {
-            f.warn(key("cold_from"), "nodes of this kind start colder or warm up more slowly than rules.stated_cold_from and rules.stated_cold_s \
-                 tell balancers");
+            let message = "nodes of this kind start colder or warm up more slowly than rules.stated_cold_from and \
+                           rules.stated_cold_s tell balancers";
+            f.warn(key("cold_from"), message);
         }
     }
     for (i, n) in day.nodes.iter().enumerate() {
