--- a/crates/lab/src/bin/shorewharf-mutant.rs
+++ b/crates/lab/src/bin/shorewharf-mutant.rs
@@ -1,9 +1,10 @@
-//! A simple balancer with one deliberate protocol violation, to check that the auditor detects it on sockets. It uses
-//! threads for its connections and round robin for its placements; it is not suitable for performance measurements.
+//! A simple balancer with one deliberate protocol violation, to check that the auditor detects it on sockets.
+//! It uses threads for its connections and round robin for its placements; it is not suitable for performance
+//! measurements.
 //!
 //! `shorewharf-mutant MUTATION` runs in place of the balancer's program and reads the same configuration;
-//! `shorewharf-mutant judge [MUTATION…]` runs the given or all mutations on loopback and reports whether the auditor
-//! detects each.
+//! `shorewharf-mutant judge [MUTATION…]` runs the given or all mutations on loopback and reports whether the
+//! auditor detects each.
 
 use std::fmt::Display;
 use std::io::{BufRead, BufReader, Write};
@@ -24,7 +25,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time limit for the first line of a node.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause between the requests of a mutation, above the auditor's tolerance for events that are read out of order.
+/// Pause between the requests of a mutation, above the auditor's tolerance for events that are read out of
+/// order.
 const REQUEST_GAP: Duration = Duration::from_millis(120);
 /// How long a connection is established before the mutation affects it.
 const ESTABLISHED_BEFORE_FAULT: Duration = Duration::from_millis(2_500);
@@ -314,8 +316,8 @@
     node.shutdown(Shutdown::Both).ok();
 }
 
-/// Forwards the node's lines until the node ends the connection. `changes_lines` inserts a byte in each reply, and
-/// `moves_in_line` writes `MOVE` in the middle of it.
+/// Forwards the node's lines until the node ends the connection. `changes_lines` inserts a byte in each
+/// reply, and `moves_in_line` writes `MOVE` in the middle of it.
 fn forward_to_client(
     answers: &mut BufReader<&TcpStream>,
     mut client: &TcpStream,
--- a/crates/lab/src/import/convert.rs
+++ b/crates/lab/src/import/convert.rs
@@ -11,7 +11,8 @@
     ImportedLimits, ImportedMachineKind, ImportedServer, ImportedTier, ImportedTraffic, ImportedUsage,
 };
 
-// Generated days don't include the longest interval between polls; the settings that belong to them state 10 s.
+// Generated days don't include the longest interval between polls; the settings that belong to them state 10
+// s.
 const MAX_POLL_INTERVAL: Micros = 10_000_000;
 const CLIENT_LINE_INTERVAL: Micros = 2_000_000;
 // Cores, memory in MB and sockets of a balancer's process, for which a generated day has no limits.
--- a/crates/lab/src/import/format.rs
+++ b/crates/lab/src/import/format.rs
@@ -1,5 +1,5 @@
-//! The JSON of a generated day. Field names are the simulator's keys; times are in microseconds unless the name has
-//! another unit.
+//! The JSON of a generated day. Field names are the simulator's keys; times are in microseconds unless the
+//! name has another unit.
 
 use serde::Deserialize;
 use shorewharf_emulator::day::{Backoff, Goal, Tenant};
--- a/crates/lab/src/import/mod.rs
+++ b/crates/lab/src/import/mod.rs
@@ -54,7 +54,8 @@
     parse(path, &text)
 }
 
-/// Reads a generated day from its text. `path` identifies it in messages, and its stem is the name of the day.
+/// Reads a generated day from its text. `path` identifies it in messages, and its stem is the name of the
+/// day.
 ///
 /// # Errors
 /// The text is not a generated day, or has values that the emulator does not support.
--- a/crates/lab/src/mutants/history.rs
+++ b/crates/lab/src/mutants/history.rs
@@ -32,8 +32,8 @@
         self.record_as_ready(false, known);
     }
 
-    /// Records entries of the endpoint list and returns them without drains and removals: all known nodes for a full list,
-    /// else the nodes of the update, each in the ready stage.
+    /// Records entries of the endpoint list and returns them without drains and removals: all known nodes for
+    /// a full list, else the nodes of the update, each in the ready stage.
     pub fn record_as_ready(&mut self, full: bool, entries: &[Listed]) -> Vec<Listed> {
         let ready = |e: &Listed| Listed { stage: Stage::Ready, ..*e };
         for entry in entries.iter().filter(|e| e.stage != Stage::Gone) {
@@ -57,8 +57,8 @@
         self.nodes.keys().copied().find(|n| *n != node).unwrap_or(node)
     }
 
-    /// Records the entries of a list, and the first node in it that has started since, which gets all requests until
-    /// `until`.
+    /// Records the entries of a list, and the first node in it that has started since, which gets all
+    /// requests until `until`.
     pub fn record_started_nodes(&mut self, until: Micros, entries: &[Listed]) {
         let known_start = |e: &Listed| self.nodes.get(&e.node).and_then(|n| n.started_at);
         let newly_started =
--- a/crates/lab/src/mutants/mod.rs
+++ b/crates/lab/src/mutants/mod.rs
@@ -1,8 +1,10 @@
-//! Balancers that each violate one rule, to check that the auditor reports the violation with the right reason.
+//! Balancers that each violate one rule, to check that the auditor reports the violation with the right
+//! reason.
 //!
-//! A mutant wraps a correct instance. It drops or changes some of the instance's inputs and outputs or adds its own, and
-//! passes all others unchanged, so that any other finding of the auditor is a false alarm. Violations that only occur on
-//! sockets (delayed or changed lines, `MOVE` within a line, first lines that no client sent) have no mutant here.
+//! A mutant wraps a correct instance. It drops or changes some of the instance's inputs and outputs or adds
+//! its own, and passes all others unchanged, so that any other finding of the auditor is a false alarm.
+//! Violations that only occur on sockets (delayed or changed lines, `MOVE` within a line, first lines that no
+//! client sent) have no mutant here.
 
 mod history;
 pub mod on_sockets;
@@ -91,8 +93,9 @@
         Mutation::Exits,
     ];
 
-    /// The reason that the auditor must report. For `Late`, the delay of the clients' network must exceed one tick:
-    /// otherwise the client closes its connection before the late reply arrives, and the reply counts as missing.
+    /// The reason that the auditor must report. For `Late`, the delay of the clients' network must exceed one
+    /// tick: otherwise the client closes its connection before the late reply arrives, and the reply counts
+    /// as missing.
     pub fn expected_reason(self) -> Reason {
         match self {
             Mutation::Mute => Reason::NoAnswer,
@@ -199,7 +202,8 @@
 }
 
 impl Mutant {
-    /// Processes an input, and passes it on to the instance in `inputs` unless the mutation drops or replaces it.
+    /// Processes an input, and passes it on to the instance in `inputs` unless the mutation drops or replaces
+    /// it.
     fn on_input(
         &mut self,
         now: Micros,
@@ -306,7 +310,8 @@
         self.actions.schedule(now, ScheduledAction::Deliver(ToBalancer::ClientEnded(conn, End::Fin)));
     }
 
-    /// Processes an output of the instance: emits, delays, drops or changes it, or adds others, as the mutation says.
+    /// Processes an output of the instance: emits, delays, drops or changes it, or adds others, as the
+    /// mutation says.
     fn on_output(&mut self, now: Micros, message: FromBalancer, out: &mut Vec<FromBalancer>) {
         if self.has_exited {
             return;
--- a/crates/lab/src/mutants/on_sockets.rs
+++ b/crates/lab/src/mutants/on_sockets.rs
@@ -1,5 +1,6 @@
-//! Check of the auditor on sockets: it must report the one violation of each mutant program. The runs are in real time
-//! and need idle cores and a minute and a half, so they are a command (`shorewharf-mutant judge`) and not a test.
+//! Check of the auditor on sockets: it must report the one violation of each mutant program. The runs are in
+//! real time and need idle cores and a minute and a half, so they are a command (`shorewharf-mutant judge`)
+//! and not a test.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -164,8 +165,8 @@
     Err(JudgeError::TooBusy { mutation: mutation.to_owned(), late })
 }
 
-/// Runs the mutations that `only` names, or all if it is empty, three at a time, with `mutant` as the balancer's program.
-/// Prints the reasons, exemptions and counts of each verdict.
+/// Runs the mutations that `only` names, or all if it is empty, three at a time, with `mutant` as the
+/// balancer's program. Prints the reasons, exemptions and counts of each verdict.
 ///
 /// # Errors
 /// The mutations whose run failed, or for which the auditor did not report exactly the expected reason.
--- a/crates/lab/src/plots/chart.rs
+++ b/crates/lab/src/plots/chart.rs
@@ -33,7 +33,8 @@
     format!("{x:.0}")
 }
 
-/// The end of the time axis in seconds: the end of the day or of its series, whichever is later, and at least 1.
+/// The end of the time axis in seconds: the end of the day or of its series, whichever is later, and at least
+/// 1.
 pub(super) fn end_seconds(record: &Record) -> f64 {
     (record.series.asked.len() as f64 * record.series.step_s).max(record.length_s).max(1.0)
 }
@@ -57,7 +58,8 @@
     end: f64,
     top: f64,
 ) -> Vec<Text<'static, (f64, f64), String>> {
-    // A label that would overlap another is placed on the next of four lines, and omitted if all are occupied.
+    // A label that would overlap another is placed on the next of four lines, and omitted if all are
+    // occupied.
     let mut occupied_until = [f64::MIN; 4];
     let labels = faults.iter().filter(|f| f.from_s < end).filter_map(|f| {
         let label = if f.struck > 0 { format!("{} ({})", f.kind, f.struck) } else { f.kind.clone() };
--- a/crates/lab/src/plots/heat_map.rs
+++ b/crates/lab/src/plots/heat_map.rs
@@ -5,8 +5,8 @@
 use super::chart::{DrawResult, Root, TEXT, end_seconds, integer_label};
 use crate::record::Record;
 
-/// The maximum numbers of rows and columns. Beyond them, neighbouring nodes or steps are averaged, since browsers render
-/// large drawings slowly.
+/// The maximum numbers of rows and columns. Beyond them, neighbouring nodes or steps are averaged, since
+/// browsers render large drawings slowly.
 const MAX_ROWS: usize = 60;
 const MAX_COLUMNS: usize = 160;
 const DOWN_COLOUR: RGBColor = RGBColor(190, 190, 190);
@@ -37,7 +37,8 @@
     }
 }
 
-/// The nodes of each row, sorted by zone and kind. Several nodes share a row if there are more than `MAX_ROWS`.
+/// The nodes of each row, sorted by zone and kind. Several nodes share a row if there are more than
+/// `MAX_ROWS`.
 struct Rows {
     order: Vec<usize>,
     nodes_per_row: usize,
@@ -54,7 +55,8 @@
         self.order.chunks(self.nodes_per_row).collect()
     }
 
-    /// Label of a row: the index of its first node, the number of its other nodes, and the zone and kind of the first.
+    /// Label of a row: the index of its first node, the number of its other nodes, and the zone and kind of
+    /// the first.
     fn label(&self, members: &[usize], record: &Record) -> String {
         let first = members[0];
         let node = &record.nodes[first];
@@ -97,7 +99,8 @@
     draw_colour_scale(&scale, left.start)
 }
 
-/// The cells of one row: the mean load of its nodes over the steps of each column; grey if none of them is up.
+/// The cells of one row: the mean load of its nodes over the steps of each column; grey if none of them is
+/// up.
 fn row_cells(record: &Record, row: usize, members: &[usize], end: f64) -> Vec<Rectangle<(f64, f64)>> {
     let steps = record.series.asked.len().max(1);
     let steps_per_column = steps.div_ceil(MAX_COLUMNS);
--- a/crates/lab/src/plots/mod.rs
+++ b/crates/lab/src/plots/mod.rs
@@ -84,7 +84,8 @@
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (WIDTH, height)).into_drawing_area();
-        // Drawing to a string only fails if this module has a bug, and a page without one of its plots is still useful.
+        // Drawing to a string only fails if this module has a bug, and a page without one of its plots is
+        // still useful.
         if let Err(e) = root.fill(&WHITE).and_then(|()| draw(&root)).and_then(|()| root.present()) {
             tracing::warn!(error = %e, "a plot could not be drawn; the page shows it incomplete");
         }
@@ -252,7 +253,8 @@
 fn draw_set_up_times(root: &Root<'_>, record: &Record) -> DrawResult {
     let points = &record.set_up.within_ms;
     let max_ms = points.last().map_or(1.0, |p| p.1).max(1.0) * 1.1;
-    // The number of nines of a share: 0.3 for 0.5, 1 for 0.9, 2 for 0.99; limited to 5, which is where 1 is drawn.
+    // The number of nines of a share: 0.3 for 0.5, 1 for 0.9, 2 for 0.99; limited to 5, which is where 1 is
+    // drawn.
     let nines = |share: f64| -(1.0 - share).max(1e-5).log10();
     let mut chart = ChartBuilder::on(root)
         .margin(10)
--- a/crates/lab/src/plots/service.rs
+++ b/crates/lab/src/plots/service.rs
@@ -1,5 +1,5 @@
-//! Plots of the levels of service that balancers report, and of the imbalance of load with the connections that balancers
-//! moved against it.
+//! Plots of the levels of service that balancers report, and of the imbalance of load with the connections
+//! that balancers moved against it.
 
 use plotters::prelude::{BLACK, ChartBuilder, Color, IntoFont, LineSeries, RGBColor, Rectangle, Text, WHITE};
 
@@ -54,7 +54,8 @@
     let step = record.series.step_s;
     for (row, balancer) in balancers.iter().enumerate() {
         let mut from = 0;
-        // Consecutive steps of the same level are drawn as one rectangle, which keeps the page of a long day small.
+        // Consecutive steps of the same level are drawn as one rectangle, which keeps the page of a long day
+        // small.
         for steps in balancer.levels.chunk_by(|a, b| a == b) {
             let colour = LEVELS.iter().find(|l| l.0 == steps[0]).map_or(DOWN_COLOUR, |l| l.1);
             let (x, to) = (from as f64 * step, ((from + steps.len()) as f64 * step).min(end));
@@ -93,7 +94,8 @@
     [of("moves home"), of("moves to level")].into()
 }
 
-/// Draws the largest ratio of load to capacity over the mean ratio, and bars of the connections moved to balance load.
+/// Draws the largest ratio of load to capacity over the mean ratio, and bars of the connections moved to
+/// balance load.
 pub fn draw_imbalance(root: &Root<'_>, record: &Record) -> DrawResult {
     let end = end_seconds(record);
     let step = record.series.step_s;
@@ -168,7 +170,8 @@
     stacked
 }
 
-/// The largest load divided by the mean load of the nodes that are up, by second, limited to the top of the plot.
+/// The largest load divided by the mean load of the nodes that are up, by second, limited to the top of the
+/// plot.
 fn imbalance(record: &Record) -> Vec<(f64, f64)> {
     let nodes = &record.series.nodes;
     let seconds = nodes.iter().map(|n| n.load.len()).max().unwrap_or(0);
--- a/crates/lab/src/scenario/expand.rs
+++ b/crates/lab/src/scenario/expand.rs
@@ -1,5 +1,6 @@
-//! Expansion of the shorthands of a scenario file: names in place of indices, `balancers = 4`, fleets of machines and
-//! default values of list entries. The result has exactly the keys of [`Day`](shorewharf_emulator::day::Day).
+//! Expansion of the shorthands of a scenario file: names in place of indices, `balancers = 4`, fleets of
+//! machines and default values of list entries. The result has exactly the keys of
+//! [`Day`](shorewharf_emulator::day::Day).
 
 use rand::SeedableRng;
 use rand_distr::{Distribution, Normal};
@@ -191,8 +192,8 @@
         })?;
         let weight = fleet.weight.unwrap_or(cores[kind] * fleet.speed);
         for _ in 0..fleet.count {
-            // Each fleet continues with the zone after the previous fleet's last one, so that small fleets don't all end up
-            // in the first zone.
+            // Each fleet continues with the zone after the previous fleet's last one, so that small fleets
+            // don't all end up in the first zone.
             let zone = in_zones[nodes.len() % in_zones.len()];
             let speed = speeds.sample(&mut rng).max(MIN_SPEED_RATIO * fleet.speed);
             nodes.push(node(&item.location, zone, kind as u32, &fleet, speed, weight));
@@ -231,8 +232,8 @@
     }
 }
 
-/// Sets a tenant's `traffic` and `quota` to its `share` if they are absent: it sends its agreed share of the traffic and
-/// may use that share of the total capacity.
+/// Sets a tenant's `traffic` and `quota` to its `share` if they are absent: it sends its agreed share of the
+/// traffic and may use that share of the total capacity.
 fn default_tenant_shares(tree: &mut Tree) {
     let tenants = tree.table_mut().and_then(|t| t.get_mut("tenants")).and_then(Tree::list_mut);
     for tenant in tenants.into_iter().flatten() {
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! Scenario files: TOML with the keys of [`Day`] and shorthands for them. A file may extend another file, refer to zones
-//! and kinds by name, describe nodes as fleets, and omit keys that keep their defaults. Errors name the file, line and
-//! key, and the allowed values.
+//! Scenario files: TOML with the keys of [`Day`] and shorthands for them. A file may extend another file,
+//! refer to zones and kinds by name, describe nodes as fleets, and omit keys that keep their defaults. Errors
+//! name the file, line and key, and the allowed values.
 
 mod expand;
 pub mod set;
@@ -104,7 +104,8 @@
     from_text(path, &text, sets, seed)
 }
 
-/// Reads a scenario from its text. `path` identifies it in messages; files that it extends are relative to its folder.
+/// Reads a scenario from its text. `path` identifies it in messages; files that it extends are relative to
+/// its folder.
 ///
 /// # Errors
 /// The text, a file that it extends or an entry of `sets` is not valid.
@@ -168,7 +169,8 @@
     Ok(tree.merge_over(base_tree))
 }
 
-/// Converts an error of serde about `tree` to a problem; `parent` is the path of `tree`, empty for the whole scenario.
+/// Converts an error of serde about `tree` to a problem; `parent` is the path of `tree`, empty for the whole
+/// scenario.
 fn deserialization_problem(
     tree: &Tree,
     parent: &str,
@@ -183,7 +185,8 @@
     };
     let unknown = message.strip_prefix("unknown field `").and_then(|m| m.split('`').next());
     let Some(name) = unknown else { return Problem::at(tree.location_of(&path), &full(&path), message) };
-    // For an unknown key, the path from serde ends either at its table or at the key; the message names the key.
+    // For an unknown key, the path from serde ends either at its table or at the key; the message names the
+    // key.
     if path == "." {
         path = name.to_owned();
     } else if !path.ends_with(name) {
--- a/crates/lab/src/scenario/set.rs
+++ b/crates/lab/src/scenario/set.rs
@@ -103,7 +103,8 @@
     parts
 }
 
-/// Every combination of the values of all axes, each as a list of (key, value); one empty combination without axes.
+/// Every combination of the values of all axes, each as a list of (key, value); one empty combination without
+/// axes.
 pub fn grid(axes: &[Axis]) -> Vec<Vec<(String, String)>> {
     axes.iter().fold(vec![Vec::new()], |points, axis| {
         points
--- a/crates/lab/src/scenario/tree.rs
+++ b/crates/lab/src/scenario/tree.rs
@@ -1,5 +1,6 @@
-//! The tree of values that a scenario is parsed to before it becomes a [`Day`](shorewharf_emulator::day::Day). Each value
-//! has its file and line, so that later errors can name them.
+//! The tree of values that a scenario is parsed to before it becomes a
+//! [`Day`](shorewharf_emulator::day::Day). Each value has its file and line, so that later errors can name
+//! them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -78,8 +79,8 @@
     text.as_bytes()[..offset.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
 }
 
-// The parser that gives spans leaves numbers as text, and the one that gives values has no spans, so their results are
-// traversed together.
+// The parser that gives spans leaves numbers as text, and the one that gives values has no spans, so their
+// results are traversed together.
 fn table(file: &Arc<str>, text: &str, line: usize, spans: &DeTable<'_>, values: toml::Table) -> Tree {
     let lines: BTreeMap<&str, _> = spans.iter().map(|(k, v)| (k.get_ref().as_ref(), (k, v))).collect();
     let entries = values.into_iter().map(|(key, value)| {
@@ -124,8 +125,9 @@
         Self { location: location.clone(), kind }
     }
 
-    /// Merges this value over `base`. Tables are merged key by key. Each named table of a list is merged over the table
-    /// of the same name in the base's list; the base's other entries are dropped. Any other value replaces the base.
+    /// Merges this value over `base`. Tables are merged key by key. Each named table of a list is merged over
+    /// the table of the same name in the base's list; the base's other entries are dropped. Any other value
+    /// replaces the base.
     pub fn merge_over(self, base: Tree) -> Tree {
         match (self.kind, base.kind) {
             (TreeKind::Table(own), TreeKind::Table(mut merged_table)) => {
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Location of the value at a path such as `kinds[0].cores`, or of the deepest part of the path that exists.
+    /// Location of the value at a path such as `kinds[0].cores`, or of the deepest part of the path that
+    /// exists.
     pub fn location_of(&self, path: &str) -> &SourceLocation {
         let mut at = self;
         for step in path.split(['.', '[', ']']).filter(|s| !s.is_empty()) {
--- a/crates/lab/src/scenario/validate.rs
+++ b/crates/lab/src/scenario/validate.rs
@@ -1,5 +1,5 @@
-//! Validation of a day's values: errors for values outside the range that the models support, warnings for valid values
-//! that are probably mistakes.
+//! Validation of a day's values: errors for values outside the range that the models support, warnings for
+//! valid values that are probably mistakes.
 
 use shorewharf_emulator::day::{Backoff, Day, FaultKind, Goal};
 use shorewharf_emulator::sockets::misbehaving_clients::MisbehavingClients;
--- a/crates/lab/tests/auditor.rs
+++ b/crates/lab/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! The auditor on whole days in virtual time: it reports no violation for the correct balancer under any faults, and for
-//! a balancer that breaks one rule it reports that violation and no other.
+//! The auditor on whole days in virtual time: it reports no violation for the correct balancer under any
+//! faults, and for a balancer that breaks one rule it reports that violation and no other.
 
 use std::path::Path;
 
@@ -49,8 +49,8 @@
     "kind = \"surge\"\nsize = 3\nlen_s = 8",
 ];
 
-/// Guards against false alarms of the auditor and against violations by the correct balancer: a hundred days with three
-/// faults each, which may overlap.
+/// Guards against false alarms of the auditor and against violations by the correct balancer: a hundred days
+/// with three faults each, which may overlap.
 #[test]
 fn auditor_reports_nothing_for_the_correct_balancer_on_a_hundred_days_with_faults() {
     let alarms: Vec<String> = (1..=100u64)
@@ -71,8 +71,8 @@
     assert!(alarms.is_empty(), "{} alarms:\n{}", alarms.len(), alarms.join("\n"));
 }
 
-/// Guards against an auditor that misses a violation or reports it with a wrong reason: each mutant breaks one rule, and
-/// must be reported for its own reason and no other.
+/// Guards against an auditor that misses a violation or reports it with a wrong reason: each mutant breaks
+/// one rule, and must be reported for its own reason and no other.
 #[test]
 fn auditor_reports_each_mutant_for_its_own_violation_only() {
     let mismatches: Vec<String> = Mutation::ALL
--- a/crates/lab/tests/commands.rs
+++ b/crates/lab/tests/commands.rs
@@ -28,8 +28,8 @@
     serde_json::from_str(&std::fs::read_to_string(file).expect(file)).expect(file)
 }
 
-/// Guards against results that depend on the number of threads, and against a `g` that does not follow from the other
-/// values of the result.
+/// Guards against results that depend on the number of threads, and against a `g` that does not follow from
+/// the other values of the result.
 #[test]
 fn result_is_the_same_on_any_number_of_threads_and_g_follows_from_its_other_values() {
     let folder = TempDir::new().unwrap();
@@ -79,7 +79,8 @@
     }
 }
 
-/// A sweep must run each point of its grid with each seed, and a comparison must distinguish a difference from noise.
+/// A sweep must run each point of its grid with each seed, and a comparison must distinguish a difference
+/// from noise.
 #[test]
 fn sweep_runs_the_whole_grid_and_comparison_distinguishes_a_difference_from_noise() {
     let folder = TempDir::new().unwrap();
--- a/crates/lab/tests/engine.rs
+++ b/crates/lab/tests/engine.rs
@@ -1,5 +1,6 @@
-//! Days in virtual time with the real driver and decision module: results that do not depend on the number of threads,
-//! and the service to clients when nodes stop replying, balancers are killed or restarted, and the list is unavailable.
+//! Days in virtual time with the real driver and decision module: results that do not depend on the number of
+//! threads, and the service to clients when nodes stop replying, balancers are killed or restarted, and the
+//! list is unavailable.
 
 use std::path::Path;
 
@@ -70,8 +71,8 @@
 len_s = 4
 "#;
 
-/// Guards against results that depend on the number of threads and can't be reproduced. That happens if balancers share
-/// state, or if their outputs are processed in the order in which the threads finish.
+/// Guards against results that depend on the number of threads and can't be reproduced. That happens if
+/// balancers share state, or if their outputs are processed in the order in which the threads finish.
 #[test]
 fn result_is_the_same_on_any_number_of_threads() {
     let mut day = day(MIXED_FAULTS);
@@ -96,8 +97,8 @@
     );
 }
 
-/// The module must keep the rules on a day with many kinds of faults. A bug of the lab's instances (a lost answer, a
-/// second attempt, a line to a draining node) also shows here as a violation.
+/// The module must keep the rules on a day with many kinds of faults. A bug of the lab's instances (a lost
+/// answer, a second attempt, a line to a draining node) also shows here as a violation.
 #[test]
 fn module_keeps_the_rules_under_mixed_faults() {
     let result = run_day(&day(MIXED_FAULTS), PolicyChoice::Module, 1);
@@ -110,9 +111,9 @@
     r.series.nodes[node].connections[second]
 }
 
-/// Messages of established connections are not emulated one by one. A node that stops replying is only detected if the
-/// emulator sends the clients' lines that detection needs: a line within 2 s, and after 1.5 s without a reply the client
-/// is moved. Without these lines the clients would stay at the node.
+/// Messages of established connections are not emulated one by one. A node that stops replying is only
+/// detected if the emulator sends the clients' lines that detection needs: a line within 2 s, and after 1.5 s
+/// without a reply the client is moved. Without these lines the clients would stay at the node.
 #[test]
 fn clients_of_a_silent_node_are_moved_in_time() {
     for kind in ["hang", "cut-off"] {
@@ -124,8 +125,8 @@
         assert!(held(8) > 10, "{kind}: too few connections to the nodes before the fault");
         assert!(moved >= held(8) / 2, "{kind}: {moved} of {} connections were moved within 4 s", held(8));
         if kind == "hang" {
-            // Connections are counted at the end of a second. Detection takes up to 2 s to the next line, 1.5 s without a
-            // reply, and the time to the next periodic check.
+            // Connections are counted at the end of a second. Detection takes up to 2 s to the next line, 1.5
+            // s without a reply, and the time to the next periodic check.
             assert!(held(14) == 0, "{kind}: {} connections are still held by a silent node", held(14));
         }
         assert!(result.verdict.is_clean(), "{kind}: {:?}", result.verdict.lines().collect::<Vec<_>>());
@@ -157,8 +158,8 @@
     }
 }
 
-/// The lab must be able to tell policies apart: the module, and the oracle that sees the nodes' true state, must be
-/// better than random choice.
+/// The lab must be able to tell policies apart: the module, and the oracle that sees the nodes' true state,
+/// must be better than random choice.
 #[test]
 fn module_and_oracle_score_better_than_random() {
     let mut day = day("length_s = 40\n[traffic]\nload = 0.7\n");
@@ -175,7 +176,8 @@
     assert!(oracle > random + 0.05, "oracle {oracle:.3}, random {random:.3}");
 }
 
-/// Connections from before the day must be established at its start, so that the first second is not spent on set-ups.
+/// Connections from before the day must be established at its start, so that the first second is not spent on
+/// set-ups.
 #[test]
 fn connections_from_before_the_day_are_established_at_its_start() {
     let result = run_day(&day("length_s = 5"), PolicyChoice::Module, 1);
@@ -183,8 +185,8 @@
     assert!(first.asked > 20.0 && first.earned > 0.95 * first.asked, "{first:?}");
 }
 
-/// A balancer gets the day's values only from the settings text, and its reader uses defaults for missing keys, so a wrong
-/// key would not be noticed otherwise.
+/// A balancer gets the day's values only from the settings text, and its reader uses defaults for missing
+/// keys, so a wrong key would not be noticed otherwise.
 #[test]
 fn settings_text_passes_the_values_of_the_day_to_the_module() {
     let mut day = day("length_s = 5");
--- a/crates/lab/tests/even.rs
+++ b/crates/lab/tests/even.rs
@@ -35,7 +35,8 @@
     let load = |policy| mean(policy, "load_most");
     assert!(load("module-told") + 0.1 < load("module"), "{runs:?}");
     assert!(load("module") + 0.05 < load("random"), "{runs:?}");
-    // With gossip no node is left idle; without it, a node that has the first rank at no balancer stays empty.
+    // With gossip no node is left idle; without it, a node that has the first rank at no balancer stays
+    // empty.
     assert!(mean("module-told", "under_mean_least") > mean("module", "under_mean_least") + 0.2, "{runs:?}");
 }
 
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -23,8 +23,8 @@
     r.series.nodes.iter().enumerate().filter(|n| is_selected(n.0)).map(|n| n.1.connections[second]).sum()
 }
 
-/// When a zone returned cold, a hundred balancers together overloaded its nodes, or left them without connections for
-/// seconds.
+/// When a zone returned cold, a hundred balancers together overloaded its nodes, or left them without
+/// connections for seconds.
 #[test]
 fn nodes_that_return_cold_are_neither_overloaded_nor_left_empty_by_a_hundred_balancers() {
     for seed in 1..4 {
@@ -34,7 +34,8 @@
     }
 }
 
-/// When seven of ten balancers were down for nine seconds, the others rejected clients although nodes had free capacity.
+/// When seven of ten balancers were down for nine seconds, the others rejected clients although nodes had
+/// free capacity.
 #[test]
 fn remaining_balancers_use_the_free_capacity_of_nodes() {
     let longer_fault = [("faults[1].len_s".to_owned(), "9".to_owned())];
--- a/crates/lab/tests/import.rs
+++ b/crates/lab/tests/import.rs
@@ -8,8 +8,8 @@
 
 const DAY: &str = include_str!("drawn.json");
 
-/// If a value were dropped or read in the wrong unit, emulator and simulator would run different days, and their
-/// comparison would show a difference that is not one of the models.
+/// If a value were dropped or read in the wrong unit, emulator and simulator would run different days, and
+/// their comparison would show a difference that is not one of the models.
 #[test]
 fn all_values_of_a_generated_day_are_imported_in_their_units() {
     let day = parse(Path::new("days/odd-7.json"), DAY).unwrap();
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -8,8 +8,8 @@
     scenario::from_text(Path::new("day.toml"), text, &[], None)
 }
 
-/// A mistyped key or value must not silently result in another day than intended: each is rejected with its line, its key
-/// and the allowed values.
+/// A mistyped key or value must not silently result in another day than intended: each is rejected with its
+/// line, its key and the allowed values.
 #[test]
 fn errors_name_the_line_the_key_and_the_allowed_values() {
     let table: &[(&str, &[&str])] = &[
@@ -60,8 +60,8 @@
     }
 }
 
-/// The speeds of a fleet must depend on the seed only, absent keys of entries must get their defaults, and the expanded
-/// day must be read back as the same day.
+/// The speeds of a fleet must depend on the seed only, absent keys of entries must get their defaults, and
+/// the expanded day must be read back as the same day.
 #[test]
 fn fleet_depends_on_the_seed_only_and_the_expanded_day_reads_back_the_same() {
     let text = "balancers = 3\n[[fleet]]\nkind = \"plain\"\ncount = 5\nspeed = 2.0\nspeed_cv = 0.2\n\
--- a/crates/lab/tests/tenants.rs
+++ b/crates/lab/tests/tenants.rs
@@ -24,10 +24,10 @@
     earned / asked
 }
 
-/// One tenant requests ten times its share, and twice all its clients reconnect at once. The served share of the others
-/// may fall by 2 % in the first ten seconds and by 1 % later, relative to a run without the flood (measured with one
-/// seed), and no rule may be broken. Without tenancy the others lose at least a quarter, which shows that the
-/// flood is strong enough.
+/// One tenant requests ten times its share, and twice all its clients reconnect at once. The served share of
+/// the others may fall by 2 % in the first ten seconds and by 1 % later, relative to a run without the flood
+/// (measured with one seed), and no rule may be broken. Without tenancy the others lose at least a quarter,
+/// which shows that the flood is strong enough.
 #[test]
 fn flood_of_one_tenant_does_not_reduce_the_service_of_the_others() {
     let (with, without) = ("module-with-tenancy", "module-without-tenancy");
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -1,5 +1,5 @@
-//! Trials with processes on sockets: the balancer meets the expectations of the small trials under all network faults, and
-//! deliberately faulty programs do not.
+//! Trials with processes on sockets: the balancer meets the expectations of the small trials under all
+//! network faults, and deliberately faulty programs do not.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -47,7 +47,8 @@
 #[test]
 fn fleet_budgets_are_kept_under_faults_and_exceeded_without_budgets() {
     let small = trials().join("budgets-small.toml");
-    // Connections of 5 s cause about three times as many set-ups as the budget allows, so that it is not kept by chance.
+    // Connections of 5 s cause about three times as many set-ups as the budget allows, so that it is not kept
+    // by chance.
     let crowded = ["--set", "streams.life_s=5"];
     let output = run_trial(&[&[small.to_str().expect("a path")], &crowded[..]].concat());
     assert_eq!(output.status.code(), Some(0), "{}", text(&output));
