--- a/crates/budgets/examples/schedules.rs
+++ b/crates/budgets/examples/schedules.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// The mean utilization of the rate and of the concurrency over some seconds.
+/// The mean utilization of the rate budget and of the concurrency budget between two times, in seconds.
 fn mean_utilizations(outcome: &RunOutcome, seconds: Range<f64>) -> String {
     let times = micros(seconds.start)..micros(seconds.end);
     let samples = || outcome.samples.iter().filter(|sample| times.contains(&sample.at));
@@ -165,7 +165,8 @@
     format!("{:.3} {:.3}", mean(0), mean(1))
 }
 
-/// The time after `from` until the mean utilization of a budget over a second is at least 0.9.
+/// The time in seconds after `from` until the mean utilization of a budget over a second is at least 0.9; infinity
+/// if that takes more than 10 s.
 fn seconds_to_recover(outcome: &RunOutcome, from: f64, budget: usize) -> f64 {
     let times = micros(from)..micros(from + 10.0);
     let samples: Vec<_> = outcome.samples.iter().filter(|sample| times.contains(&sample.at)).collect();
--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -4,9 +4,11 @@
 
 use crate::settings::{Budget, BudgetKind, BudgetSettings};
 
-/// The maximum number of tokens of a rate is `MIN_BURST`, or the allocation of [`BURST_SECONDS`] if that is
-/// more. It allows the small bursts in which requests arrive.
+/// The smallest value of the maximum number of tokens of a rate budget, so that the small bursts in which
+/// requests arrive are admitted.
 const MIN_BURST: f64 = 1.0;
+/// The maximum number of tokens of a rate budget is its allocation for this time, in seconds, but at least
+/// [`MIN_BURST`].
 const BURST_SECONDS: f64 = 0.1;
 /// The length of the periods over which demand is counted.
 const DEMAND_PERIOD: Micros = 1_000_000;
@@ -30,13 +32,13 @@
     pub total: f64,
     pub reserve: f64,
     pub granted: f64,
-    /// The amount in use; only for a concurrency.
+    /// The amount in use; only for a concurrency budget.
     pub in_use: f64,
     /// Requests rejected since the start.
     pub rejected: u64,
     /// When the amount in use began to exceed the allocation; `None` if it does not.
     pub exceeded_since: Option<Micros>,
-    /// The token bucket of a rate, as of `refilled_at`.
+    /// The token bucket of a rate budget, as of `refilled_at`.
     tokens: f64,
     refilled_at: Micros,
     /// The demand in the current period and in the previous one.
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Returns one unit of a concurrency.
+    /// Returns one unit of a concurrency budget.
     pub fn release(&mut self) {
         if self.kind == BudgetKind::Rate {
             return;
--- a/crates/budgets/src/allocations.rs
+++ b/crates/budgets/src/allocations.rs
@@ -16,6 +16,7 @@
 /// If demand exceeds this factor times the announced demand plus `URGENT_DEMAND`, a heartbeat is sent at
 /// once.
 const URGENT_DEMAND_FACTOR: f64 = 1.5;
+/// The constant part of the increase in demand at which a heartbeat is sent, in units of the budget.
 const URGENT_DEMAND: f64 = 2.0;
 
 /// A budget has nothing left for another request.
@@ -69,7 +70,7 @@
         self.periods.granted_until
     }
 
-    /// Returns the amount of a concurrency that is in use.
+    /// Returns the amount of a concurrency budget that is in use.
     pub fn in_use(&self, index: usize) -> f64 {
         self.allocations.get(index).map_or(0.0, |allocation| allocation.in_use)
     }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Returns one unit of a concurrency after a connection has ended.
+    /// Returns one unit of a concurrency budget after a connection has ended.
     pub fn release(&mut self, index: usize) {
         if let Some(allocation) = self.allocations.get_mut(index) {
             allocation.release();
@@ -127,9 +128,9 @@
         self.drain_time / 4 * 3
     }
 
-    /// Returns the number of connections of a concurrency that have to migrate now. These are the connections
-    /// beyond the amount in force, once three quarters of the drain time have passed since the grant ended or
-    /// was made smaller than the amount in use.
+    /// Returns the number of connections of a concurrency budget that have to migrate now. These are the
+    /// connections beyond the amount in force, once three quarters of the drain time have passed since the
+    /// grant ended or was made smaller than the amount in use.
     pub fn excess(&self, now: Micros, index: usize) -> u32 {
         let allocation = self.allocations.get(index).filter(|a| a.kind == BudgetKind::Concurrency);
         let Some(allocation) = allocation else { return 0 };
--- a/crates/budgets/src/division.rs
+++ b/crates/budgets/src/division.rs
@@ -24,7 +24,8 @@
     ///
     /// All members get an equal part of `even_ratio`. The rest is used to meet demands, the smallest demands
     /// first. What exceeds the total demand is spread so that it is available before it is requested, half of
-    /// it evenly and half in proportion to demand. Allocations of a concurrency are whole numbers.
+    /// it evenly and half in proportion to demand. Allocations of a concurrency budget are whole
+    /// numbers.
     pub fn allocate(&self, demands: &[f64], current: &[f64]) -> Vec<f64> {
         if demands.is_empty() || self.total <= 0.0 {
             return vec![0.0; demands.len()];
--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -52,12 +52,12 @@
         self.is_confirmed_alive && !self.record.has_left && has_lease
     }
 
-    /// Returns the time at which its lease has certainly ended.
+    /// Returns the time at which the member's lease has certainly ended.
     fn lease_ends_at(&self, settings: &BudgetSettings) -> Micros {
         self.heartbeat_read_at + settings.lease + settings.clock_margin
     }
 
-    /// Returns its use of a concurrency; 0 for a rate.
+    /// Returns the member's use of a concurrency budget; 0 for a rate budget.
     fn concurrency_in_use(&self, budget: &Budget) -> f64 {
         match budget.kind {
             BudgetKind::Concurrency => amount_of(&self.record.in_use, &budget.name),
@@ -106,8 +106,8 @@
     pub term: u64,
     /// The number of changes of allocations within the term.
     epoch: u64,
-    /// Before this time, more of a concurrency may be in use than the records show, since the store may have
-    /// been rolled back.
+    /// Before this time, more of a concurrency budget may be in use than the records show, since the store may
+    /// have been rolled back.
     concurrency_known_from: Micros,
     members: BTreeMap<MemberKey, MemberState>,
     /// Whether the members' records have been read in this term.
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -192,7 +192,7 @@
         self.is_superseded
     }
 
-    /// Whether the member has left or was superseded, and will never use anything again.
+    /// Whether the member has left or was superseded, and will never use a budget again.
     pub fn has_ended(&self) -> bool {
         self.has_left || self.is_superseded
     }
--- a/crates/budgets/src/member/own_record.rs
+++ b/crates/budgets/src/member/own_record.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Stops using anything, since a later process of this name exists.
+    /// Stops all use of the budgets, since a later process of this name exists.
     fn on_superseded(&mut self, now: Micros, allocations: &mut Allocations) {
         self.is_superseded = true;
         self.leadership = None;
--- a/crates/budgets/src/model/fault.rs
+++ b/crates/budgets/src/model/fault.rs
@@ -35,7 +35,7 @@
     StoreRolledBack,
     /// The store does not answer, and is then empty.
     StoreWiped,
-    /// The totals in the settings are halved. The members read that one after the other.
+    /// The totals in the settings are halved. The members read the new settings one after the other.
     TotalsLowered,
 }
 
--- a/crates/budgets/src/model/observer.rs
+++ b/crates/budgets/src/model/observer.rs
@@ -28,7 +28,7 @@
     pub in_force: f64,
     /// The budget's total.
     pub total: f64,
-    /// The number of events until then.
+    /// The number of events before the overrun.
     pub steps: u64,
     /// The use by each member.
     pub members: Vec<MemberUse>,
--- a/crates/budgets/src/model/process.rs
+++ b/crates/budgets/src/model/process.rs
@@ -62,7 +62,8 @@
     settings: BudgetSettings,
     /// When the process reads new totals from its settings.
     reloads_at: Option<Micros>,
-    /// The highest total of each budget up to which something may still be in use.
+    /// The total of each budget that the amount in use may still reach: the one in the settings, or an earlier,
+    /// higher one.
     totals: Vec<f64>,
     totals_lowered_at: Option<Micros>,
 }
@@ -187,8 +188,8 @@
         self.totals_lowered_at = Some(now);
     }
 
-    /// Returns the total in the settings of the process, or the earlier one up to which something may still
-    /// be in use.
+    /// Returns the total of a budget that the amount in use may still reach: the one in the settings of the
+    /// process, or an earlier, higher one.
     pub(super) fn total(&self, index: usize) -> f64 {
         self.totals[index]
     }
@@ -197,8 +198,8 @@
         self.allocations.in_force(self.clock.read(now), index)
     }
 
-    /// Returns the amount that the observer counts: the amount in force of a rate, or the amount in use of a
-    /// concurrency.
+    /// Returns the amount that the observer counts: the amount in force of a rate budget, or the amount in
+    /// use of a concurrency budget.
     pub(super) fn observed_use(&self, now: Micros, index: usize, kind: BudgetKind) -> f64 {
         let local_now = self.clock.read(now);
         let in_force = self.allocations.in_force(local_now, index);
--- a/crates/budgets/src/model/store.rs
+++ b/crates/budgets/src/model/store.rs
@@ -30,7 +30,7 @@
         ModelStore { unchecked_prefix, ..ModelStore::default() }
     }
 
-    /// Adds a copy of the current state.
+    /// Adds a copy of the current state, and removes the oldest copy if there are more than [`MAX_COPIES`].
     pub(super) fn add_copy(&mut self) {
         self.copies.push(self.current.clone());
         if self.copies.len() > MAX_COPIES {
--- a/crates/budgets/src/settings.rs
+++ b/crates/budgets/src/settings.rs
@@ -66,10 +66,10 @@
     /// The clock margin is 0, or more than a quarter of the lease.
     #[error("{0} us is out of range; expected more than 0 and at most a quarter of the lease")]
     ClockMarginOutOfRange(Micros),
-    /// The ratio of the reserve is out of range.
+    /// The reserve ratio is out of range.
     #[error("{0} is out of range; expected a ratio from 0 to 0.5")]
     ReserveOutOfRange(f64),
-    /// The ratio of the even part is out of range.
+    /// The even ratio is out of range.
     #[error(
         "{0} is out of range; expected a ratio from 0 to 0.5, since a larger one leaves too little to divide by demand"
     )]
@@ -179,9 +179,9 @@
         }
     }
 
-    /// This member's share of the reserve. Shares of a concurrency are whole numbers that depend on the index
-    /// and add up to the reserve. If the reserve is smaller than the number of members, some members have no
-    /// share.
+    /// This member's share of the reserve. Shares of a concurrency budget are whole numbers that depend on
+    /// the index and add up to the reserve. If the reserve is smaller than the number of members, some members
+    /// have no share.
     pub fn own_reserve(&self, kind: BudgetKind, total: f64) -> f64 {
         let reserve = self.reserve(kind, total);
         let (members, index) = (self.max_members as f64, self.member_index as f64);
--- a/crates/budgets/tests/fleet.rs
+++ b/crates/budgets/tests/fleet.rs
@@ -54,7 +54,7 @@
     Schedule { members, duration, faults, settings, clock_drift, demands, ..Schedule::random(3) }
 }
 
-/// The mean utilization of the rate between two seconds of a run.
+/// The mean utilization of the first budget, a rate, between two seconds of a run.
 fn utilization(schedule: &Schedule, from_second: u64, to_second: u64) -> f64 {
     let outcome = ModelFleet::new(schedule).run();
     assert_eq!(outcome.overrun, None, "{schedule:?}");
