--- a/crates/fault-scenarios/src/evaluate.rs
+++ b/crates/fault-scenarios/src/evaluate.rs
@@ -101,7 +101,7 @@
 
 /// A window of slots and its setups.
 struct SetupWindow {
-    /// By how many the setups exceed the allowed number; negative if there are fewer.
+    /// The number of setups minus the allowed number; negative if there are fewer setups than allowed.
     excess: f64,
     setups: f64,
     length_s: f64,
--- a/crates/fault-scenarios/src/fault.rs
+++ b/crates/fault-scenarios/src/fault.rs
@@ -105,9 +105,9 @@
 /// What the balancers of a scenario share.
 #[derive(Clone, Copy)]
 pub(crate) struct SharedFeatures {
-    /// Whether they gossip.
+    /// Whether the balancers gossip.
     pub(crate) gossip: bool,
-    /// Whether they share budgets in a store.
+    /// Whether the balancers share budgets in a store.
     pub(crate) budgets: bool,
 }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Whether it is a fault between balancers and the store.
+    /// Whether faults of this kind are between balancers and the store.
     pub fn is_of_store(self) -> bool {
         matches!(
             self,
@@ -186,12 +186,12 @@
         )
     }
 
-    /// Whether it is a fault between balancers.
+    /// Whether faults of this kind are between balancers.
     fn is_of_gossip(self) -> bool {
         matches!(self, FaultKind::GossipLost | FaultKind::GossipDuplicated | FaultKind::GossipDelayed)
     }
 
-    /// Whether it is a fault between balancers and nodes.
+    /// Whether faults of this kind are between balancers and nodes.
     fn is_of_nodes(self) -> bool {
         let is_of_balancer = matches!(self, FaultKind::EndpointListLost | FaultKind::ProcessStopped);
         !is_of_balancer && !self.is_of_gossip() && !self.is_of_store()
@@ -201,7 +201,7 @@
         matches!(self, FaultKind::AnswersDelayed | FaultKind::GossipDelayed)
     }
 
-    /// Whether it happens at one moment and so needs no duration.
+    /// Whether faults of this kind happen at one moment and so need no duration.
     fn is_instantaneous(self) -> bool {
         matches!(self, FaultKind::ConnectionsReset | FaultKind::StoreEmptied)
     }
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -57,7 +57,7 @@
     /// The record's time is too far in the future.
     #[error("the snapshot's time is {seconds} s in the future")]
     FromFuture {
-        /// By how many seconds it is ahead of the current time.
+        /// The number of seconds from the current time to the record's time.
         seconds: u64,
     },
     /// The record is too old.
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -15,6 +15,7 @@
 use shorewharf_snapshot::validation::{RestoreCriteria, ValidationError, newer_list, validate};
 use shorewharf_snapshot::writer::SnapshotWriter;
 
+/// The current time of the tests, in microseconds since 1970.
 const NOW: u64 = 1_800_000_000_000_000;
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
