--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -22,7 +22,7 @@
 /// ms.
 const MAX_IDLE_MS: u64 = 1500;
 
-/// The fraction of connections on which the client stays idle for a while before its request.
+/// The fraction of connections on which the client stays idle for up to [`MAX_IDLE_MS`] before its request.
 const IDLE_FIRST_RATIO: f64 = 0.1;
 /// The fraction of requests whose client disconnects without waiting for an answer.
 const DISCONNECT_RATIO: f64 = 0.08;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Exchanges lines with the server for a while, then closes the connection.
+    /// Exchanges lines with the server for a random time of up to [`MAX_IDLE_MS`], then closes the connection.
     fn use_connection(mut self) {
         let end = Instant::now() + Duration::from_millis(self.random.random_range(0..MAX_IDLE_MS));
         while Instant::now() < end && self.recorder.accepts_requests() {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -100,8 +100,8 @@
     }
 
     /// Terminates a balancer with SIGTERM, sent a second time if `twice`, and starts it again. Clients connect for
-    /// [`CONNECT_AFTER_TERM`] after the signal. Calls `on_exit` when the process has exited or its time is over, and returns
-    /// a message if it did not exit successfully in time.
+    /// [`CONNECT_AFTER_TERM`] after the signal. Calls `on_exit` when the process has exited or the exit timeout has
+    /// passed, and returns a message if the process did not exit successfully in time.
     ///
     /// # Errors
     /// Returns an error if the process can't be polled or started again.
@@ -132,7 +132,7 @@
         Ok(fault)
     }
 
-    /// Kills a balancer and starts it again. Calls `before_kill` just before.
+    /// Kills a balancer and starts it again. Calls `before_kill` just before the kill.
     ///
     /// # Errors
     /// Returns an error if the process can't be killed or started again.
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -39,7 +39,7 @@
     pub ended_at: Option<Duration>,
     /// Whether the server rejected the request without running it.
     pub is_rejected: bool,
-    /// Since when the server was listed as draining, if it was.
+    /// The time from which the server was listed as draining; `None` if it was not.
     pub draining_since: Option<Duration>,
 }
 
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -101,16 +101,16 @@
         /// Whether every class is idempotent in the new configuration, rather than as in the plan.
         all_idempotent: bool,
     },
-    /// A server changes its behaviour for a while.
+    /// A server behaves differently for the time `length`.
     Server {
         /// The server's number.
         server: usize,
-        /// The behaviour during that time.
+        /// The server's behaviour during that time.
         behaviour: Behaviour,
         /// How long it lasts.
         length: Duration,
     },
-    /// A server is listed as draining for a while.
+    /// A server is listed as draining for the time `length`.
     Drain {
         /// The server's number.
         server: usize,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -17,7 +17,7 @@
 use crate::server::Server;
 use crate::verdict::Verdict;
 
-/// The sleep whose delay is measured to sample by how much this machine wakes threads late.
+/// The duration of each sleep of the thread that measures how late this machine wakes threads.
 const WAKE_DELAY_SLEEP: Duration = Duration::from_millis(5);
 /// How long the run continues after the last client has ended.
 const SETTLE: Duration = Duration::from_millis(200);
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -50,17 +50,17 @@
         self.address
     }
 
-    /// Sets how it treats requests from now on.
+    /// Sets how the server treats requests from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state.lock().expect("no panic").behaviour = behaviour;
     }
 
-    /// Sets since when it is listed as draining; `None` if it is not draining.
+    /// Sets the time from which the server is listed as draining; `None` if it is not draining.
     pub fn set_draining(&self, since: Option<Duration>) {
         self.state.lock().expect("no panic").draining_since = since;
     }
 
-    /// Whether it is draining.
+    /// Whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.state.lock().expect("no panic").draining_since.is_some()
     }
