--- a/crates/store/examples/measure.rs
+++ b/crates/store/examples/measure.rs
@@ -29,6 +29,7 @@
 use std::process;
 use std::time::{Duration, Instant};
 
+/// The time of all calls, in microseconds since 1970.
 const NOW: u64 = 1_775_000_000_000_000;
 
 #[derive(Parser)]
--- a/crates/store/src/commands/transaction.rs
+++ b/crates/store/src/commands/transaction.rs
@@ -205,7 +205,7 @@
     }
 }
 
-/// Whether a batch may grow by `added`. The first command always fits.
+/// Whether a batch that has `present` operations or bytes may grow by `added`. The first command always fits.
 fn fits(present: usize, added: usize, maximum: usize) -> bool {
     present == 0 || present + added <= maximum
 }
--- a/crates/store/tests/replicated.rs
+++ b/crates/store/tests/replicated.rs
@@ -23,7 +23,7 @@
 /// The time between two refreshes of an instance, in microseconds.
 const ROUND: u64 = 200_000;
 
-/// Long enough that calls to a healthy member do not time out on a loaded machine.
+/// The timeout of a call, long enough that calls to a healthy member do not time out on a loaded machine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn connect(members: &[&Member], instance: &str) -> Replicated {
