--- a/crates/emulator/src/audit/auditor.rs
+++ b/crates/emulator/src/audit/auditor.rs
@@ -24,7 +24,7 @@
     notified_lists: NotifiedLists,
     nodes: Nodes,
     table: Table,
-    /// By balancer, whether it has been sent SIGTERM.
+    /// Whether each balancer has been sent SIGTERM, by the balancer's index.
     terminating: Vec<bool>,
     /// Time of the last observation.
     now: Micros,
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Processes an observation. One with a time before the last one's is processed at the last one's time: on sockets,
-    /// planned events are reported a little after they were due, and data that was read meanwhile comes before them.
+    /// Processes an observation. If its time is before that of the previous observation, it is processed at the time of
+    /// the previous one: on sockets, planned events are reported a little after they were due, and data that was read
+    /// meanwhile is reported before them.
     pub fn observe(&mut self, now: Micros, observation: Observation<'_>) {
         let now = now.max(self.now);
         self.now = now;
--- a/crates/emulator/src/audit/established.rs
+++ b/crates/emulator/src/audit/established.rs
@@ -12,8 +12,8 @@
 /// connections.
 const RECENT_RECOVERY: Micros = 7_000_000;
 
-/// Lines in transit through the balancer, in one direction. Only their number is kept, and since when the oldest one
-/// has been the oldest: a queue of times would take more memory than the rest of the connection.
+/// Lines in transit through the balancer, in one direction. Only their number is kept, and the time from which the
+/// oldest one has been the oldest: a queue of times would take more memory than the rest of the connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LinesInTransit {
     count: u32,
@@ -33,7 +33,7 @@
         self.since = now;
     }
 
-    /// Since when the oldest line has been waiting as the oldest; none if no line is in transit.
+    /// The time from which the oldest line has been the oldest; none if no line is in transit.
     pub fn waiting_since(&self) -> Option<Micros> {
         (self.count > 0).then_some(self.since)
     }
--- a/crates/emulator/src/audit/lists.rs
+++ b/crates/emulator/src/audit/lists.rs
@@ -10,7 +10,7 @@
 use crate::edge::{BalancerId, Listed, NodeId, Stage};
 use shorewharf_units::Micros;
 
-/// By how many times a balancer may extend its interval between calls after a failed one.
+/// The factor by which a balancer may extend its interval between calls after a failed call.
 const FAILED_POLL_FACTOR: Micros = 4;
 /// Rounding of the start times in the list, which are whole milliseconds.
 const START_TIME_ROUNDING: Micros = 1_000;
@@ -38,7 +38,7 @@
     last_poll_failed: bool,
     /// When it was last sent SIGHUP.
     reloaded: Option<Micros>,
-    /// By node.
+    /// What the balancer was notified of about each node, by the node's index.
     notices: Vec<NodeNotice>,
 }
 
@@ -51,18 +51,18 @@
 /// The discovery service's own state of a node.
 #[derive(Clone, Copy, Debug, Default)]
 struct Listing {
-    /// Since when it has been listed as draining or gone.
+    /// The time from which the node has been listed as draining or gone; `None` if it is listed as ready.
     unavailable_since: Option<Micros>,
-    /// Its last start, and when that was listed.
+    /// The last start of the node's process, and when that was listed.
     start_time: Option<(Micros, Micros)>,
 }
 
 /// The endpoint list, and what each balancer was notified of.
 #[derive(Debug, Default)]
 pub(super) struct NotifiedLists {
-    /// By balancer.
+    /// What each balancer was notified of, by the balancer's index.
     balancers: Vec<BalancerView>,
-    /// By node.
+    /// The state of each node in the discovery service's own list, by the node's index.
     listings: Vec<Listing>,
 }
 
@@ -171,7 +171,7 @@
             .filter(|t| *t <= now)
     }
 
-    /// Since when a balancer has been, or counts as, notified that a node is draining or gone.
+    /// Returns when a balancer was notified, or began to count as notified, that a node is draining or gone.
     pub fn unavailable_since(
         &self,
         now: Micros,
--- a/crates/emulator/src/audit/mod.rs
+++ b/crates/emulator/src/audit/mod.rs
@@ -106,10 +106,10 @@
         /// The node at the other end of the link.
         node: NodeId,
     },
-    /// Sockets: a connection from before the run was not established again in time.
+    /// On sockets: a connection from before the run was not established again in time.
     NotReestablished(BalancerId, ConnId),
-    /// Sockets: the first line of an attempt has been read completely. It may be omitted if the line's first and last
-    /// bytes were read together: [`FromBalancer::Link`] then says the same.
+    /// On sockets: the first line of an attempt has been read completely. This observation may be omitted if the line's
+    /// first and last bytes were read together, because [`FromBalancer::Link`] then has the same information.
     AttemptSent {
         /// The balancer that sent it.
         balancer: BalancerId,
@@ -122,10 +122,10 @@
         /// When the first byte of the line was read.
         first: Micros,
     },
-    /// Sockets: a line of an established connection has been delivered to the other end.
+    /// On sockets: a line of an established connection has been delivered to the other end.
     LineDelivered(ConnId, Direction),
-    /// Sockets: a client has read corrupted data.
+    /// On sockets: a client has read corrupted data.
     Corrupted(ConnId, Corruption),
-    /// Sockets: a misbehaving client has connected. The only violation on its connection is that it is served.
+    /// On sockets: a misbehaving client has connected. The only violation on its connection is that it is served.
     MisbehavingClient(BalancerId, ConnId),
 }
--- a/crates/emulator/src/audit/request.rs
+++ b/crates/emulator/src/audit/request.rs
@@ -1,4 +1,4 @@
-//! A request until its final answer, and its attempts: checks of [`super::Rule::NoRequestDropped`] and
+//! Checks a request and its attempts until the final answer, for [`super::Rule::NoRequestDropped`] and
 //! [`super::Rule::NoDuplicatedEffect`].
 
 use super::tolerances::AuditTolerances;
--- a/crates/emulator/src/audit/table.rs
+++ b/crates/emulator/src/audit/table.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether no attempt may be sent for it any more: the balancer has answered it or closed it, or has had `delay` to
-    /// learn that the client has closed it.
+    /// Whether no attempt may be sent for the connection any more: `delay` has passed since the balancer answered or
+    /// closed it, or since the client closed it. Always `false` for the connection of a misbehaving client.
     pub fn is_over(&self, now: Micros, delay: Micros) -> bool {
         let ended_by_balancer =
             self.request.answered_at.into_iter().chain(self.closed_by_balancer).any(|t| now >= t + delay);
@@ -82,11 +82,11 @@
 pub(super) struct Link {
     pub conn: ConnId,
     pub node: NodeId,
-    /// The balancer knew of the node's start when it sent the attempt.
+    /// Whether the balancer knew of the node's start when it sent the attempt.
     pub knew_of_start: bool,
-    /// The node has sent `UP` on it.
+    /// Whether the node has sent `UP` on the link.
     pub up: bool,
-    /// When the node closed it.
+    /// When the node closed the link.
     pub closed_by_node: Option<Micros>,
     /// When the balancer closed it, or when it failed to open.
     pub closed_by_balancer: Option<Micros>,
--- a/crates/emulator/src/audit/tolerances.rs
+++ b/crates/emulator/src/audit/tolerances.rs
@@ -4,7 +4,8 @@
 use crate::day::Day;
 use shorewharf_units::Micros;
 
-/// Added to every time limit on sockets: the emulator's own scheduling delays its observations.
+/// The time, in microseconds, added to most limits on sockets, because the emulator's own scheduling delays its
+/// observations.
 const SOCKETS_EXTRA: Micros = 50_000;
 /// How long the system may take to end a process: tens of milliseconds with a thousand connections, and more on a busy
 /// machine.
