--- a/crates/emulator/src/environment/discovery/service_queue.rs
+++ b/crates/emulator/src/environment/discovery/service_queue.rs
@@ -19,11 +19,11 @@
 /// The work per change in the first response to a watch; the changes count up to the number of lines of the
 /// list.
 const LINES_PER_ANSWERED_CHANGE: f64 = 0.25;
-/// The fixed work of an update for one watcher, ...
+/// The fixed work of an update for one watcher, in list lines.
 const UPDATE_LINES: f64 = 1.0;
-/// ... plus this ratio of a call's fixed work, ...
+/// The further work of an update for one watcher, as a ratio of a call's fixed work.
 const UPDATE_CALL_RATIO: f64 = 0.02;
-/// ... plus this work per change.
+/// The further work of an update for one watcher per change, in list lines.
 const LINES_PER_UPDATED_CHANGE: f64 = 0.1;
 /// The largest delay of an update to a watcher, as a ratio of the configured spread.
 const UPDATE_SPREAD_RATIO: f64 = 1.0 / 8.0;
--- a/crates/emulator/src/environment/faults.rs
+++ b/crates/emulator/src/environment/faults.rs
@@ -18,9 +18,11 @@
 const DEFAULT_DRAIN_TIME: Micros = 5_000_000;
 /// A release restarts the nodes in waves of at most this fraction (1/20) of all nodes.
 const RELEASE_WAVES: usize = 20;
-/// A terminating balancer is killed after the longest client timeout, but no earlier than this time, ...
+/// The shortest time, in microseconds, that a terminating balancer has before the margin. It has the longest
+/// client timeout if that is longer. The value is that of the emulated platform.
 const MIN_TERMINATION_TIME: Micros = 3_000_000;
-/// ... plus this margin. Both values are those of the emulated platform.
+/// The margin, in microseconds, after which a terminating balancer is killed. The value is that of the emulated
+/// platform.
 const TERMINATION_MARGIN: Micros = 700_000;
 
 /// An event that happens to a node.
--- a/crates/emulator/src/node/warm_up.rs
+++ b/crates/emulator/src/node/warm_up.rs
@@ -10,10 +10,10 @@
 /// A warming node admits connections at a rate that exceeds its present capacity by this share of full
 /// capacity.
 const EXTRA_ADMISSION_RATIO: f64 = 0.5;
-/// The slack of the overload threshold for random variation: this many standard deviations of the expected
-/// count, ...
+/// The part of the overload threshold's slack for random variation that grows with the expected count, in
+/// standard deviations of that count.
 const SLACK_SIGMAS: f64 = 3.0;
-/// ... plus this number of attempts.
+/// The fixed part of the overload threshold's slack, in attempts.
 const SLACK_ATTEMPTS: f64 = 3.0;
 
 /// The warm-up state of a node's process.
--- a/crates/emulator/src/population/groups.rs
+++ b/crates/emulator/src/population/groups.rs
@@ -17,7 +17,7 @@
 /// The ratio of the number of groups to the number that the capacity in connections and the mean group size
 /// give; fitted to the simulator.
 const COUNT_RATIO: f64 = 0.65;
-/// Added to the rank in the power law of the group sizes, so that the first group is not far larger than the
+/// The number added to the rank in the power law of the group sizes, so that the first group is not far larger than the
 /// second; fitted to the simulator.
 const RANK_OFFSET: f64 = 2.0;
 
--- a/crates/emulator/src/population/mod.rs
+++ b/crates/emulator/src/population/mod.rs
@@ -353,7 +353,9 @@
     /// Closes each established connection with the probability `fault.size`, all at once. Their clients
     /// reconnect within the length of the fault, after a minimum delay, and want no service until then.
     fn start_mass_reconnect(&mut self, now: Micros, fault: &Fault, actions: &mut Vec<ClientAction>) {
+        /// The shortest delay before a client reconnects, in microseconds.
         const MIN_RECONNECT_DELAY: Micros = 200_000;
+        /// The shortest time for which a client stays connected after it has reconnected, in microseconds.
         const MIN_LIFETIME_AFTER_RECONNECT: Micros = 50_000;
         for index in self.clients.indices() {
             let Some(client) = self.clients.get_mut(index) else { continue };
--- a/crates/emulator/src/score/mod.rs
+++ b/crates/emulator/src/score/mod.rs
@@ -51,7 +51,7 @@
     end: Micros,
     /// By cell, the number of clients that want a connection.
     wanted: Vec<TimeIntegral>,
-    /// By node and cell.
+    /// The established connections of each node in each cell.
     established: Vec<CellOnNode>,
     /// Established connections whose balancer and node are in different zones.
     cross_zone: TimeIntegral,
--- a/crates/emulator/src/score/outcome.rs
+++ b/crates/emulator/src/score/outcome.rs
@@ -112,7 +112,7 @@
     /// By second and tenant, the largest number of established connections.
     #[serde(skip)]
     pub peak_by_tenant: Vec<Vec<f64>>,
-    /// The deductions from G.
+    /// The deductions that are included in `g`.
     pub prices: Prices,
     /// Number of clients that wanted a connection; one that reconnects counts once.
     pub clients: u64,
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -1,8 +1,8 @@
 //! Well-behaved clients: each opens a connection to a balancer, sends one first line, and a line at intervals once the
 //! connection is established.
 //!
-//! The world decides which clients connect, how long each waits and when it leaves. This module records what only the
-//! sockets show: receipts that no node issued, and lines that come back late, modified or not at all.
+//! The world decides which clients connect, how long each waits and when it leaves. This module records what the world
+//! does not model: receipts that no node issued, and lines that come back late, modified or not at all.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 /// A client that has shut down its sending side closes the connection after this time at the latest.
 const CLOSE_TIMEOUT: Micros = 5_000_000;
 
-/// Counts of what only the sockets show of the clients' connections.
+/// Counts of events on the clients' connections that can only be observed on sockets.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClientStatistics {
     /// Lines that clients sent on established connections.
--- a/crates/emulator/src/sockets/clock.rs
+++ b/crates/emulator/src/sockets/clock.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// The number of durations and their quantiles in microseconds.
+/// Serializes the number of durations and their quantiles in microseconds.
 impl Serialize for Distribution {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         let mut out = s.serialize_struct("Distribution", 5)?;
--- a/crates/emulator/src/sockets/harness.rs
+++ b/crates/emulator/src/sockets/harness.rs
@@ -16,7 +16,7 @@
 pub enum BalancerObservation {
     /// An action of a balancer.
     Action(FromBalancer),
-    /// An event of a connection that only the sockets show.
+    /// An event of a connection that can only be observed on sockets.
     Connection(ConnectionObservation),
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// An event of a connection that only the sockets show; the world does not model it.
+/// An event of a connection that can only be observed on sockets; the world does not model it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionObservation {
     /// A client's first line has been written completely on an established connection to the balancer. The duration is
@@ -102,7 +102,7 @@
     /// Reports that a command has been executed for a balancer.
     fn on_command_executed(&mut self, _now: Micros, _who: BalancerId, _what: &ToBalancer) {}
 
-    /// Handles an event of a connection that only the sockets show.
+    /// Handles an event of a connection that can only be observed on sockets.
     fn on_observation(&mut self, _now: Micros, _who: BalancerId, _observation: ConnectionObservation) {}
 
     /// Handles the balancers' status once a second of the day.
--- a/crates/emulator/src/sockets/load.rs
+++ b/crates/emulator/src/sockets/load.rs
@@ -35,7 +35,7 @@
 /// The balancer under load, and a second id for direct connections, which nodes serve like those of another balancer.
 const VIA_BALANCER: BalancerId = BalancerId(0);
 const DIRECT: BalancerId = BalancerId(1);
-/// For every so many connections through the balancer, one goes directly to a node.
+/// The number of connections through the balancer for each connection that goes directly to a node.
 const DIRECT_INTERVAL: u64 = 10;
 /// A setup or a line that is not answered within this time is lost; the run waits as long for the last answers.
 const LOSS_TIMEOUT: Micros = 5_000_000;
--- a/crates/emulator/src/sockets/report.rs
+++ b/crates/emulator/src/sockets/report.rs
@@ -1,4 +1,5 @@
-//! The report on a run on sockets: the driver, the processes, and what only the sockets show.
+//! The report on a run on sockets. It has the driver's delays, the resources that the processes used, and the events
+//! that can only be observed on sockets.
 
 use serde::Serialize;
 use shorewharf_units::Micros;
@@ -22,7 +23,7 @@
     /// Upper bounds of the times from when the operating system could first report an event to when the driver had
     /// handled it.
     pub handled: Distribution,
-    /// Counts of what only the sockets show of the clients' connections.
+    /// Counts of events on the clients' connections that can only be observed on sockets.
     pub clients: ClientStatistics,
     /// The outcomes of misbehaving clients, by kind.
     pub bad: Vec<(String, MisbehaviorOutcome)>,
--- a/crates/emulator/src/sockets/run.rs
+++ b/crates/emulator/src/sockets/run.rs
@@ -42,7 +42,7 @@
 const READY_TIMEOUT: Micros = 30_000_000;
 /// A connection from before the day that is not restored after this time is lost.
 const RESTORE_TIMEOUT: Micros = 40_000_000;
-/// Connections from before the day that are opened concurrently; more would only wait in queues.
+/// The maximum number of connections from before the day that are opened concurrently; more would only wait in queues.
 const MAX_CONCURRENT_OPENS: usize = 128;
 /// The longest wait of the event loop, so that lateness is sampled while nothing happens, too.
 const MAX_WAIT: Micros = 5_000;
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -42,10 +42,10 @@
 /// What kind of driver advances the world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Virtual time: a first line is sent with its link, and the links of a balancer to a node share one
-    /// connection.
+    /// The driver runs in virtual time: a first line is sent with its link, and the links of a balancer to a
+    /// node share one connection.
     Virtual,
-    /// Real time on sockets: links and lines are reported as they are read.
+    /// The driver runs in real time on sockets: links and lines are reported as they are read.
     Sockets,
 }
 
@@ -259,7 +259,8 @@
     /// Handles every event that is due up to `until`.
     pub fn advance(&mut self, until: Micros, listener: &mut impl WorldListener) {
         loop {
-            // At the same time: faults first, then scheduled events, the list, clients, and the score.
+            // Of events at the same time, faults are handled first, then scheduled events, the endpoint list,
+            // clients, and the score.
             let due = |t: Option<Micros>| t.unwrap_or(Micros::MAX);
             let (faults, queued) = (due(self.schedule.next_due()), due(self.queue.next_due()));
             let (list, clients) = (due(self.discovery.next_due()), due(self.clients.next_due()));
--- a/crates/emulator/src/world/pairs.rs
+++ b/crates/emulator/src/world/pairs.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Pair {
     users: u32,
-    /// When its handshake is complete; `None` while it is closed.
+    /// When the connection's handshake is complete; `None` while the connection is closed.
     ready_at: Option<Micros>,
-    /// Whether the node has accepted it.
+    /// Whether the node has accepted the connection.
     is_established: bool,
-    /// Since when it is unused.
+    /// The time from which the connection is unused.
     idle_since: Micros,
 }
 
--- a/crates/emulator/src/world/pairs/tests.rs
+++ b/crates/emulator/src/world/pairs/tests.rs
@@ -5,8 +5,8 @@
 const B: BalancerId = BalancerId(1);
 const N: NodeId = NodeId(2);
 
-/// Guards against a handshake for every link, and against none after a close: both would change set-up times
-/// and the price of connections.
+/// The links of a pair share one handshake, and a connection that was closed needs a new handshake. Otherwise
+/// set-up times and the price of connections would differ.
 #[test]
 fn links_of_a_pair_share_a_connection_until_it_is_idle_too_long_or_disconnected() {
     let mut pairs = Pairs::new(2, 3, 1000);
