--- a/crates/decisions/src/embedding_api.rs
+++ b/crates/decisions/src/embedding_api.rs
@@ -15,9 +15,9 @@
 pub struct Holding {
     /// The server.
     pub server: ServerId,
-    /// The group; 0 for none.
+    /// The group's id; 0 if the clients belong to no group.
     pub group: u64,
-    /// Their total load in work per second, in the unit of the list weights.
+    /// Total load of these attempts and connections in work per second, in the unit of the list weights.
     pub load: f64,
     /// Number of attempts and connections.
     pub connections: u32,
@@ -62,7 +62,7 @@
         Some((tracked.request, tracked.is_load_reported.then_some(tracked.load)))
     }
 
-    /// Servers that are sent nothing new at present: those that are not ready, quarantined or unavailable.
+    /// Servers to which no new requests are sent at present: those that are not ready, quarantined or unavailable.
     pub fn unavailable_servers(&self, now: f64) -> Vec<ServerId> {
         let is_unavailable =
             |server: &&Server| !server.is_in_service(&self.settings, now) || now < server.unavailable_until;
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -42,13 +42,13 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Objective for the set-up of a connection, in seconds; a set-up within this time counts in full.
+    /// Latency objective of a connection's set-up, in seconds. A set-up that meets it has its full value.
     pub latency_objective: f64,
     /// Weight of a request relative to those of other classes, in the operator's units.
     pub priority_weight: f64,
     /// Whether a request may be repeated.
     pub idempotency: Idempotency,
-    /// Objective for a message on an established connection, in seconds.
+    /// Latency objective of a message on an established connection, in seconds.
     pub message_latency_objective: f64,
 }
 
@@ -129,7 +129,7 @@
 pub enum ServerState {
     /// The server accepts new clients.
     Ready,
-    /// The server finishes its work and accepts nothing new.
+    /// The server finishes its work and accepts no new clients.
     Draining,
     /// The server is no longer listed.
     Removed,
--- a/crates/decisions/src/persistence/mod.rs
+++ b/crates/decisions/src/persistence/mod.rs
@@ -3,8 +3,8 @@
 //! instance are decayed by the age of the record, and records of a server that has restarted or is not listed
 //! are rejected.
 //!
-//! Not exported: what established connections that continue report again, and the state of the random number
-//! generator.
+//! Two things are not exported: state that established connections report again when they continue in the new
+//! process, and the state of the random number generator.
 
 mod export;
 mod records;
--- a/crates/decisions/src/persistence/records.rs
+++ b/crates/decisions/src/persistence/records.rs
@@ -59,7 +59,7 @@
     pub started_at: f64,
     /// Share of its weight that the server is assumed to have, at most 1.
     pub health: f64,
-    /// The server is sent nothing new before this time.
+    /// No new requests are sent to the server before this time.
     #[serde(rename = "spent_until")]
     pub unavailable_until: f64,
     /// The server's quarantine, if it could not be reached.
--- a/crates/decisions/src/persistence/restore.rs
+++ b/crates/decisions/src/persistence/restore.rs
@@ -16,7 +16,7 @@
 const MIN_CONNECTION_LOAD: f64 = 1e-9;
 /// Largest valid load of a connection, in work per second.
 const MAX_CONNECTION_LOAD: f64 = 1e9;
-/// Valid counts and durations are below this.
+/// Upper bound, exclusive, of valid counts, of rates per second and of durations in seconds.
 const MAX_COUNT: f64 = 1e15;
 
 /// Numbers of records, by the result of restoring them.
--- a/crates/decisions/src/server_health.rs
+++ b/crates/decisions/src/server_health.rs
@@ -10,9 +10,9 @@
 const QUARANTINE_CONNECT_TIMEOUTS: f64 = 4.0;
 /// Longest pause of a quarantine, in warm-up times.
 const MAX_QUARANTINE_WARM_UP_TIMES: f64 = 0.5;
-/// A server that rejects a set-up, or does not finish it in time, is sent nothing new for this time.
+/// No new requests are sent for this time to a server that rejects a set-up or does not finish it in time.
 const FAILED_SETUP_UNAVAILABLE_SECONDS: f64 = HOUSEKEEPING_PERIOD_SECONDS;
-/// A server that sheds its connections is sent nothing new for this time.
+/// No new requests are sent for this time to a server that sheds its connections.
 const SHEDDING_UNAVAILABLE_SECONDS: f64 = 12.0 * HOUSEKEEPING_PERIOD_SECONDS;
 /// Failed set-ups at several servers count as concurrent within this time.
 const SETUP_FAILURE_WINDOW_SECONDS: f64 = 2.0 * HOUSEKEEPING_PERIOD_SECONDS;
@@ -20,7 +20,7 @@
 const WIDESPREAD_FAILURE_RATIO: f64 = 0.5;
 
 impl Balancer {
-    /// Lowers a server's health and sends it nothing new for `unavailable_for` seconds.
+    /// Lowers a server's health, and marks the server as unavailable for `unavailable_for` seconds.
     pub(crate) fn reduce_health(&mut self, now: f64, id: ServerId, unavailable_for: f64) {
         if let Some(server) = self.servers.get_mut(id) {
             server.reduce_health(now, unavailable_for);
--- a/crates/decisions/src/servers.rs
+++ b/crates/decisions/src/servers.rs
@@ -40,11 +40,11 @@
     pub connections: u32,
     /// Share of its weight that the server is assumed to have now, at most 1.
     pub health: f64,
-    /// The server is sent nothing new before this time.
+    /// No new requests are sent to the server before this time.
     pub unavailable_until: f64,
     /// Last report of its message delay.
     pub last_delay: DelayReport,
-    /// Whether the server could not be reached, so that it is sent nothing but a trial.
+    /// Whether the server could not be reached, so that only trials are sent to it.
     pub is_quarantined: bool,
     /// When the next trial of a quarantined server is due.
     pub trial_at: f64,
@@ -59,7 +59,7 @@
     pub setup_failed_at: f64,
     /// Decayed number of connections that broke at the server.
     pub recent_resets: f64,
-    /// Whether the server was draining, is ready again, and has been sent nothing since.
+    /// Whether the server was draining, is ready again, and has received no request since.
     pub is_back_from_draining: bool,
     /// Number of attempts whose connections are not established yet.
     pub pending_setups: u32,
@@ -132,8 +132,7 @@
         self.entry.weight * self.health * self.warm_up_ratio(settings, now)
     }
 
-    /// Reduces the health after a sign of trouble, and has the server sent nothing new for `unavailable_for`
-    /// seconds.
+    /// Reduces the health after a failure, and marks the server as unavailable for `unavailable_for` seconds.
     pub fn reduce_health(&mut self, now: f64, unavailable_for: f64) {
         self.health = (self.health * HEALTH_REDUCTION_RATIO).max(MIN_HEALTH);
         self.unavailable_until = self.unavailable_until.max(now + unavailable_for);
--- a/crates/decisions/src/slow_servers.rs
+++ b/crates/decisions/src/slow_servers.rs
@@ -1,4 +1,4 @@
-//! Servers with slow messages: they are sent nothing new, and some of their clients are migrated.
+//! Servers with slow messages: no new requests are sent to them, and some of their clients are migrated.
 
 use crate::interface::{Action, RequestId, ServerId};
 use crate::numeric::positive;
@@ -9,7 +9,7 @@
 
 /// Ratio of message delay to message latency objective from which on a server counts as slow.
 const SLOW_DELAY_RATIO: f64 = 0.4;
-/// A slow server is sent nothing new until shortly after its next report is due.
+/// A slow server is unavailable for this time, until shortly after its next report is due.
 const SLOW_UNAVAILABLE_SECONDS: f64 = 1.2 * HOUSEKEEPING_PERIOD_SECONDS;
 /// Time within which the backlog of a slow server should be gone.
 const BACKLOG_DRAIN_SECONDS: f64 = 0.4 * HOUSEKEEPING_PERIOD_SECONDS;
--- a/crates/decisions/tests/embedding_api.rs
+++ b/crates/decisions/tests/embedding_api.rs
@@ -15,7 +15,7 @@
         let mut instance = TestInstance::new(settings(), 12);
         let old_server = instance.connect(request(1, instance.now)).expect("an attempt begins");
         let target = ServerId(old_server.0 % 12 + 1);
-        // Other clients on the target: by usage alone the client would not be sent there.
+        // The target has other clients, so its load alone would not make it the choice for the client.
         (20..30).for_each(|id| drop(instance.handle(Event::ConnectionRestored(request(id, 100.0), target))));
         instance.balancer.on_migrated(RequestId(1), Some(target), instance.now + 3.0);
         instance.end_attempt_as(1, old_server, 0, Outcome::Cancelled, true);
--- a/crates/decisions/tests/fleet_placement.rs
+++ b/crates/decisions/tests/fleet_placement.rs
@@ -130,7 +130,7 @@
 /// A fleet whose instances report their loads to each other, with a delay.
 struct Fleet {
     instances: Vec<TestInstance>,
-    /// Established connections: instance, request, server.
+    /// Established connections, each with the index of its instance, its request and its server.
     connections: Vec<(usize, u32, ServerId)>,
     rng: Pcg64Mcg,
     now: f64,
--- a/crates/decisions/tests/probing.rs
+++ b/crates/decisions/tests/probing.rs
@@ -120,7 +120,7 @@
 /// and at a fifth of it from 1.1 on.
 struct Fleet {
     instances: Vec<TestInstance>,
-    /// Established connections: instance, request, server, group.
+    /// Established connections, each with the index of its instance, its request, its server and its group.
     connections: Vec<(usize, u32, ServerId, u64)>,
     rng: Pcg64Mcg,
     now: f64,
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -62,7 +62,7 @@
 struct Fleet {
     /// The instances, each with its timers.
     instances: Vec<(TestInstance, Vec<(f64, u64)>)>,
-    /// Established connections: instance, request, server.
+    /// Established connections, each with the index of its instance, its request and its server.
     connections: Vec<(usize, u32, ServerId)>,
     next_id: u32,
     rng: Pcg64Mcg,
