--- a/crates/driver/src/budgets.rs
+++ b/crates/driver/src/budgets.rs
@@ -10,9 +10,10 @@
 
 use crate::admission::{Admission, AdmissionDecision, AdmittedOutcome, TenantMigrations};
 
-/// Migrated connections get this long to end before more connections of the same tenant are migrated.
+/// Time that migrated connections have to end before more connections of the same tenant are migrated, in
+/// microseconds.
 const MIGRATION_TIMEOUT: Micros = 1_000_000;
-/// Shortest time between two checks for connections beyond an allocation.
+/// Shortest time between two checks for connections that exceed an allocation, in microseconds.
 const MIGRATION_CHECK_INTERVAL: Micros = MIGRATION_TIMEOUT / 2;
 /// Fractional part of the golden ratio. The fractional parts of its multiples are spread evenly from 0 to 1,
 /// whatever their number.
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -26,7 +26,7 @@
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Its first line was read.
+    /// The request's first line was read.
     Received,
     /// The decisions have it, and no attempt is pending.
     Queued,
--- a/crates/tenancy/examples/estimators.rs
+++ b/crates/tenancy/examples/estimators.rs
@@ -20,13 +20,14 @@
 const FLOODING_TENANT: usize = 2;
 /// Mean lifetime of a connection.
 const LIFETIME_SECONDS: f64 = 20.0;
-/// Time at which a flood begins or an instance dies.
+/// Time at which a flood begins or an instance fails.
 const DISTURBANCE_AT_SECONDS: f64 = 60.0;
 const END_AT_SECONDS: f64 = 120.0;
 /// Time after the disturbance from which on connections are sampled.
 const SETTLE_SECONDS: f64 = 20.0;
 /// Fraction of an instance's count of arrivals that is left after a second.
 const ARRIVALS_RETENTION: f64 = 0.9;
+/// Seeds of the runs of each situation.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
 /// A way for an instance to learn its fraction of the traffic.
@@ -51,8 +52,8 @@
     usage: f64,
     /// Factor on the flooding tenant's requests after the disturbance.
     flood_factor: f64,
-    /// Whether the first instance dies at the disturbance.
-    has_death: bool,
+    /// Whether the first instance fails at the disturbance.
+    first_instance_fails: bool,
 }
 
 /// A connection that will end.
@@ -85,7 +86,7 @@
     recent_arrivals: Vec<f64>,
     connections: BinaryHeap<Reverse<Connection>>,
     held: [f64; TENANTS],
-    has_died: bool,
+    has_failed: bool,
     next_sample_at: f64,
     /// Number of requests of tenants within their quotas.
     requests: f64,
@@ -134,7 +135,7 @@
             recent_arrivals: vec![0.0; INSTANCES],
             connections: BinaryHeap::new(),
             held: [0.0; TENANTS],
-            has_died: false,
+            has_failed: false,
             next_sample_at: 1.0,
             requests: 0.0,
             rejected: 0.0,
@@ -156,7 +157,10 @@
                 .collect();
             self.now_seconds += self.rng.sample::<f64, _>(Exp1) / rates.iter().sum::<f64>();
             self.end_connections();
-            if self.situation.has_death && self.now_seconds >= DISTURBANCE_AT_SECONDS && !self.has_died {
+            if self.situation.first_instance_fails
+                && self.now_seconds >= DISTURBANCE_AT_SECONDS
+                && !self.has_failed
+            {
                 self.kill_first_instance();
             }
             if self.now_seconds >= self.next_sample_at {
@@ -179,7 +183,7 @@
         while let Some(&Reverse(connection)) = self.connections.peek().filter(has_ended) {
             self.connections.pop();
             let Connection { ends_at, instance, tenant } = connection;
-            if !(self.has_died && instance == 0) {
+            if !(self.has_failed && instance == 0) {
                 self.instances[instance].on_connection_ended(ends_at, TenantIndex(tenant));
                 self.held[tenant] -= 1.0;
             }
@@ -188,7 +192,7 @@
 
     /// Ends the first instance. Its clients reconnect at the second one, which also gets its further traffic.
     fn kill_first_instance(&mut self) {
-        self.has_died = true;
+        self.has_failed = true;
         self.fractions[1] += self.fractions[0];
         self.fractions[0] = 0.0;
         let lost = self.connections.iter().map(|Reverse(connection)| *connection);
@@ -265,12 +269,12 @@
 fn main() {
     let even = [0.25; INSTANCES];
     let skewed = [0.45, 0.25, 0.2, 0.1];
-    let situation = |name, fractions, usage, flood_factor, has_death| Situation {
+    let situation = |name, fractions, usage, flood_factor, first_instance_fails| Situation {
         name,
         fractions,
         usage,
         flood_factor,
-        has_death,
+        first_instance_fails,
     };
     let situations = [
         situation("even, 0.3 in use", even, 0.3, 1.0, false),
--- a/crates/tenancy/src/retry_after.rs
+++ b/crates/tenancy/src/retry_after.rs
@@ -8,7 +8,7 @@
 /// Shortest wait, in microseconds. Each rejection costs a connection and a line, so clients must not retry at
 /// once.
 const MIN_WAIT: Micros = 100_000;
-/// Waits are spread from this fraction of the expected time to all of it.
+/// Waits are spread between this fraction of the time until capacity is expected and the whole of that time.
 const SPREAD_FROM_RATIO: f64 = 0.5;
 /// Time constant of the count of clients that were given a retry-after, in microseconds.
 const EXPECTED_CLIENTS_TIME_CONSTANT: f64 = 1e6;
--- a/crates/tenancy/src/settings.rs
+++ b/crates/tenancy/src/settings.rs
@@ -90,7 +90,7 @@
 /// The settings of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenancySettings {
-    /// Number of instances that share the traffic. Not all of them need to be alive.
+    /// Number of instances that share the traffic. Some of them may be down.
     pub instance_count: f64,
     /// Fraction of the sum of all quotas beyond which nothing is lent.
     pub lending_ratio: f64,
--- a/crates/tenancy/tests/quotas.rs
+++ b/crates/tenancy/tests/quotas.rs
@@ -232,7 +232,7 @@
     ));
 }
 
-/// The decisions reject admitted requests, as when half of the fleet has died. Lending must end at once. If
+/// The decisions reject admitted requests, as they do when half of the fleet's servers are down. Lending must end at once. If
 /// tenants within their quotas are rationed, those with the highest weighted utilization must be rejected,
 /// and the one with the lowest must not.
 #[test]
