--- a/crates/recovery/src/backoff_clients.rs
+++ b/crates/recovery/src/backoff_clients.rs
@@ -7,7 +7,8 @@
 /// Minimum time after which a rejected client without a new request counts as served elsewhere or as having given up,
 /// in seconds.
 const MIN_EXPECTED_SECONDS: f64 = 3.0;
-/// The same time as a multiple of the longest Retry-After; the larger of the two applies.
+/// Time after which such a client no longer counts, as a multiple of the longest Retry-After. The larger of this time
+/// and [`MIN_EXPECTED_SECONDS`] applies.
 const EXPECTED_WAIT_RATIO: f64 = 2.0;
 /// Maximum number of clients recorded.
 const MAX_CLIENTS: usize = 8192;
--- a/crates/recovery/src/capacity_estimate/server.rs
+++ b/crates/recovery/src/capacity_estimate/server.rs
@@ -24,17 +24,19 @@
 const MAX_INCREASE: f64 = 1.3;
 /// A server without delay reports counts as at its load limit above this share of the limit.
 const AT_LIMIT_RATIO: f64 = 0.7;
-/// Relative growth of the factor in each period at the load limit: while the server is cold, while a slow report is
-/// recent, and otherwise.
+/// Relative growth of the capacity factor in each report period at the load limit while the server is cold.
 const COLD_GROWTH: f64 = 0.15;
+/// Relative growth of the capacity factor in each report period at the load limit while a slow report is recent.
 const GROWTH_AFTER_SLOW_REPORT: f64 = 0.03;
+/// Relative growth of the capacity factor in each other report period at the load limit.
 const GROWTH: f64 = 0.05;
 /// Time for which a slow report counts as recent, in seconds.
 const SLOW_REPORT_VALID_SECONDS: f64 = 8.0;
-/// Bounds of the factor.
+/// Lower bound of the capacity factor.
 const MIN_FACTOR: f64 = 0.1;
+/// Upper bound of the capacity factor.
 const MAX_FACTOR: f64 = 2.0;
-/// Weight of one setup's duration in the factor.
+/// Weight of one setup's duration in the capacity factor.
 const SETUP_WEIGHT: f64 = 0.07;
 /// Utilization above which setup durations are taken into account: below it, their differences are random.
 const SETUP_MIN_UTILIZATION: f64 = 0.5;
@@ -109,6 +111,7 @@
         now < self.slow_reported_at + SLOW_REPORT_VALID_SECONDS
     }
 
+    /// Number of recent attempts, decayed to `now` with a time constant of one second.
     fn decayed_attempts(&self, now: f64) -> f64 {
         self.recent_attempts * (self.attempted_at - now).exp()
     }
--- a/crates/recovery/src/capacity_estimate/setup_model.rs
+++ b/crates/recovery/src/capacity_estimate/setup_model.rs
@@ -1,11 +1,11 @@
 //! A model of the work of a setup, learned from setup durations: a setup takes longer at a higher utilization of the
 //! server.
 
-/// The least weight of one setup in the usual work.
+/// Lower bound of the weight of a new sample in the mean logarithm of the work of a setup.
 const SAMPLE_WEIGHT: f64 = 0.02;
 /// Number of setups after which their durations are used to judge a server.
 const MIN_SAMPLES: f64 = 10.0;
-/// Largest deviation of one sample from the usual work, as a natural logarithm.
+/// Largest deviation of one sample from the mean, as a natural logarithm.
 const MAX_LOG_DEVIATION: f64 = 1.0;
 /// Speed of setups is this value less the utilization, relative to full speed and at most 1: setups run at full
 /// speed up to a utilization of 0.3.
@@ -15,10 +15,10 @@
 /// Lower bound of a setup's duration, in seconds.
 const MIN_SETUP_SECONDS: f64 = 0.002;
 
-/// The usual work of a setup.
+/// The mean work of a setup, learned from samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SetupModel {
-    /// Natural logarithm of the work, in the unit of listed weights times seconds.
+    /// Mean natural logarithm of the work, in the unit of listed weights times seconds.
     pub log_work: f64,
     /// Number of setups observed.
     pub samples: f64,
@@ -26,7 +26,7 @@
 
 impl SetupModel {
     /// Learns from one setup that took `seconds` on a server of `capacity` at `utilization`. Once there are enough
-    /// samples, returns how much faster than usual it was, as a natural logarithm.
+    /// samples, returns how much faster than the model's mean the setup was, as a natural logarithm.
     pub fn observe(&mut self, seconds: f64, capacity: SetupCapacity, utilization: f64) -> Option<f64> {
         let log_speed = (SPEED_AT_NO_LOAD - utilization).clamp(MIN_SPEED, 1.0).ln();
         let log_time = (seconds.max(MIN_SETUP_SECONDS) * capacity.weight * capacity.warm_up_ratio).ln();
--- a/crates/recovery/src/rebalance/load_distribution.rs
+++ b/crates/recovery/src/rebalance/load_distribution.rs
@@ -13,8 +13,8 @@
 const OPEN_CONNECTION_COST: f64 = 0.1;
 /// Minimum age of a connection that is migrated, in seconds.
 const MIN_AGE: f64 = 5.0;
-/// The same for the connection of a returning client. Another instance may have migrated the client, and two instances
-/// could send it back and forth.
+/// Minimum age of a returning client's connection that is migrated, in seconds. Another instance may have migrated the
+/// client, and two instances could send it back and forth.
 const MIN_AGE_AFTER_RETURN: f64 = 12.0;
 /// A server is no migration target for this time after it reported slow messages, in seconds.
 const SLOW_REPORT_VALID_SECONDS: f64 = 5.0;
--- a/crates/recovery/src/rebalance/mod.rs
+++ b/crates/recovery/src/rebalance/mod.rs
@@ -38,7 +38,7 @@
 const ARRIVAL_TIMEOUT_SECONDS: f64 = 3.0;
 /// Number of arrivals after which the share of those that reached their target is checked.
 const ARRIVALS_PER_CHECK: u32 = 12;
-/// Pause of migrations if most of these arrivals missed their target, in seconds.
+/// Pause of migrations, in seconds, if most of the last [`ARRIVALS_PER_CHECK`] arrivals missed their target.
 const MISSED_TARGET_PAUSE_SECONDS: f64 = 30.0;
 /// Weight of a new sample in the learned costs.
 const SAMPLE_WEIGHT: f64 = 0.1;
--- a/crates/recovery/tests/capacity_estimate.rs
+++ b/crates/recovery/tests/capacity_estimate.rs
@@ -6,7 +6,7 @@
 };
 use shorewharf_recovery::capacity_estimate::{CapacityEstimator, LocalLoad};
 
-/// The same load from this balancer on every server.
+/// A local load that is the same on every server.
 struct SameLoad(f64);
 
 impl LocalLoad for SameLoad {
