--- a/crates/balancer/src/clients/session.rs
+++ b/crates/balancer/src/clients/session.rs
@@ -307,7 +307,7 @@
     ///
     /// # Errors
     ///
-    /// If a line is over the protocol's limit.
+    /// Returns an error if a line is over the protocol's limit.
     pub fn read_lines(&mut self, now: Micros, pool: &BufferPool) -> Result<bool, LineTooLong> {
         let has_read = self.half_open_deadline.is_none() && self.connection.read_available(pool);
         let inspected = self.inspect_lines(now);
--- a/crates/balancer/src/event_loop/acceptor.rs
+++ b/crates/balancer/src/event_loop/acceptor.rs
@@ -8,7 +8,7 @@
 use crate::transport::connection::is_shortage;
 use crate::workers::pool::WorkerPool;
 
-/// Number of times that accept(2) is called while it fails transiently: mostly the next call succeeds, and
+/// Maximum number of calls of accept(2) while it fails transiently. In most cases the second call succeeds, and
 /// poll reports a waiting client only once.
 const MAX_ACCEPT_TRIES: usize = 4;
 
@@ -18,7 +18,7 @@
     listener: TcpListener,
     /// Whether clients may wait at the listener: the last accept did not show that its backlog is empty.
     has_backlog: bool,
-    /// The same for the listener of the neighbour, while that worker stalls.
+    /// Whether clients may wait at the listener of the neighbour worker, while that worker stalls.
     has_neighbour_backlog: bool,
     /// Whether clients are to be accepted in this iteration, or in the next if more wait than one iteration
     /// accepts.
@@ -44,7 +44,7 @@
         self.is_due
     }
 
-    /// Returns whether clients are to be accepted in this iteration, and clears the mark for that.
+    /// Returns whether clients are to be accepted in this iteration, and clears that mark.
     pub fn take_due(&mut self) -> bool {
         std::mem::take(&mut self.is_due)
     }
--- a/crates/balancer/src/event_loop/handover.rs
+++ b/crates/balancer/src/event_loop/handover.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Records whether another process accepts clients in place of this one. If none does any more, as when
-    /// the successor has died, this process accepts the clients that wait at the listener.
+    /// Records whether another process accepts clients in place of this one. If none does any more, for example
+    /// because the successor has ended, this process accepts the clients that wait at the listener.
     pub(super) fn set_has_successor(&mut self, has_successor: bool) {
         self.proxy.has_successor = has_successor;
         if !has_successor {
--- a/crates/balancer/src/event_loop/poll.rs
+++ b/crates/balancer/src/event_loop/poll.rs
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// If the system provides no descriptor for it.
+    /// Returns an error if the system provides no descriptor.
     pub fn new() -> io::Result<Self> {
         Ok(EventPoller { poll: Poll::new()?, events: Events::with_capacity(MAX_EVENTS_PER_WAIT) })
     }
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// If the system provides no descriptor for it.
+    /// Returns an error if the system provides no descriptor.
     pub fn registry(&self) -> io::Result<SourceRegistry> {
         Ok(SourceRegistry(self.poll.registry().try_clone()?))
     }
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// If the system provides no descriptor for it.
+    /// Returns an error if the system provides no descriptor.
     pub fn waker(&self) -> io::Result<Waker> {
         Waker::new(self.poll.registry(), EventSource::WorkerMessages.to_token())
     }
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// If polling fails for any reason other than a signal.
+    /// Returns an error if polling fails for any reason other than a signal.
     pub fn wait(&mut self, timeout: Duration) -> io::Result<()> {
         match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
@@ -173,7 +173,7 @@
     ///
     /// # Errors
     ///
-    /// If the system can't watch the source.
+    /// Returns an error if the system can't watch the source.
     pub fn register_source(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
         self.0.register(stream, source.to_token(), Interest::READABLE | Interest::WRITABLE)
     }
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// If the system can't watch the source.
+    /// Returns an error if the system can't watch the source.
     pub fn register_readable(&self, stream: &mut impl Source, source: EventSource) -> io::Result<()> {
         self.0.register(stream, source.to_token(), Interest::READABLE)
     }
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     ///
-    /// If the system can't watch the source.
+    /// Returns an error if the system can't watch the source.
     pub fn register_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.register_readable(&mut SourceFd(&listener.as_raw_fd()), EventSource::NeighbourListener)
     }
@@ -200,7 +200,7 @@
     ///
     /// # Errors
     ///
-    /// If it was not registered.
+    /// Returns an error if the listener was not registered.
     pub fn deregister_neighbour_listener(&self, listener: &impl AsRawFd) -> io::Result<()> {
         self.0.deregister(&mut SourceFd(&listener.as_raw_fd()))
     }
--- a/crates/balancer/src/event_loop/shutdown.rs
+++ b/crates/balancer/src/event_loop/shutdown.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether connections are being transferred to a successor, or other workers may still send connections
-    /// for that.
+    /// to be transferred.
     fn has_transfers_pending(&self) -> bool {
         let waits_for_workers = || {
             self.workers.as_ref().is_some_and(|workers| workers.is_primary() && !workers.have_others_ended())
--- a/crates/balancer/src/fleet/gossip.rs
+++ b/crates/balancer/src/fleet/gossip.rs
@@ -52,7 +52,7 @@
     has_enough_peers: Option<bool>,
     /// The number of datagrams that could not be sent.
     failed_sends: u64,
-    /// It was logged that the holdings don't fit into an announcement.
+    /// Whether a log line has reported that the holdings don't fit into an announcement.
     has_logged_oversize: bool,
 }
 
--- a/crates/balancer/src/handover/messages/tests.rs
+++ b/crates/balancer/src/handover/messages/tests.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// The same connection without optional loads and buffered bytes.
+/// The connection of `busy` without optional loads and buffered bytes.
 fn quiet() -> EstablishedConnection {
     let nothing = BufferedBytes::default;
     EstablishedConnection {
--- a/crates/balancer/src/handover/siblings.rs
+++ b/crates/balancer/src/handover/siblings.rs
@@ -59,8 +59,8 @@
         self.predecessor.as_ref().map_or(0, |predecessor| predecessor.descriptors)
     }
 
-    /// The number of established connections that are being transferred to a successor or are queued for
-    /// that.
+    /// The number of established connections that are being transferred to a successor, or are queued for
+    /// their transfer.
     pub fn connections_in_transfer(&self) -> usize {
         self.queued.len() + self.successors.as_ref().map_or(0, Successors::in_transit)
     }
--- a/crates/balancer/src/proxy/dialing.rs
+++ b/crates/balancer/src/proxy/dialing.rs
@@ -11,8 +11,8 @@
 use crate::event_loop::context::{LoopContext, TimerEvent};
 use crate::servers::attempt::{AttemptTarget, DialError};
 
-/// The delays before successive retries of a dial: together they outlast a short lack of ports, routes or
-/// descriptors.
+/// The delays before successive retries of a dial, in microseconds. Their sum, 254 ms, is longer than a short lack
+/// of ports, routes or descriptors.
 const DIAL_RETRY_DELAYS: [Micros; 7] = [2_000, 4_000, 8_000, 16_000, 32_000, 64_000, 128_000];
 
 /// An attempt whose dial has failed for a local reason and is to be retried.
--- a/crates/balancer/src/servers/attempt.rs
+++ b/crates/balancer/src/servers/attempt.rs
@@ -89,7 +89,8 @@
     pub address: SocketAddr,
     /// The time from now within which the server must answer the first line.
     pub timeout: Micros,
-    /// The time from now within which the connection must be established; longer counts as a failure of the server.
+    /// The time from now within which the connection must be established. If it is not, that counts as a failure of the
+    /// server.
     pub connect_timeout: Micros,
 }
 
@@ -101,7 +102,8 @@
     server: ServerId,
     pub(super) activity: Rc<ServerActivity>,
     stage: AttemptStage,
-    /// If the connection is not established by this time, the server is blamed. `Micros::MAX` if it can't be blamed.
+    /// The time by which the connection must be established, or else the server counts as failed. `Micros::MAX` if a
+    /// slow connect is not attributed to the server.
     connect_deadline: Micros,
     /// The time by which the server must have answered the first line.
     deadline: Micros,
@@ -120,9 +122,9 @@
         activity: Rc<ServerActivity>,
         now: Micros,
     ) -> Self {
-        // A server is not blamed for a slow connect if the client's timeout is shorter than the connect timeout.
-        let may_blame_server = target.connect_timeout <= target.timeout;
-        let connect_deadline = if may_blame_server { now + target.connect_timeout } else { Micros::MAX };
+        // A slow connect is not attributed to the server if the client's timeout is shorter than the connect timeout.
+        let is_server_accountable = target.connect_timeout <= target.timeout;
+        let connect_deadline = if is_server_accountable { now + target.connect_timeout } else { Micros::MAX };
         Attempt {
             connection,
             server: target.server,
--- a/crates/balancer/src/servers/delays/tests.rs
+++ b/crates/balancer/src/servers/delays/tests.rs
@@ -21,7 +21,7 @@
         (10_000, 3_107.0, Load),
         // Below `CERTAIN_DELAY_BELOW_MS`.
         (100_000, 1_593.3, Delay),
-        // Not a second after the last delay, and too large to be a certain delay.
+        // Does not arrive a second after the last delay, and is too large to be a certain delay.
         (600_000, 2_973.3, Ambiguous),
         (1_100_000, 255_465.0, Load),
         (1_600_000, 2_742.8, Delay),
@@ -29,7 +29,7 @@
         (3_100_000, 4_100.0, Load),
         (3_600_000, 4_200.0, Delay),
         (4_600_000, 14_200.0, Load),
-        // Not a second after the last delay, and too small to be a certain load.
+        // Does not arrive a second after the last delay, and is too small to be a certain load.
         (9_000_000, 2_742.8, Ambiguous),
         (10_000_000, 2_900.0, Delay),
         (20_000_000, 4.0, Delay),
--- a/crates/balancer/src/transport/connection.rs
+++ b/crates/balancer/src/transport/connection.rs
@@ -13,7 +13,7 @@
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use crate::transport::readiness::Readiness;
 
-/// Number of times that connect(2) is called while it fails for local reasons: mostly the next call succeeds.
+/// Maximum number of calls of connect(2) while it fails for local reasons. In most cases the second call succeeds.
 const MAX_CONNECT_TRIES: usize = 4;
 /// The length of CR LF.
 const LINE_END_BYTES: usize = 2;
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// If connect(2) fails at once, after the retries if it fails for local reasons.
+    /// Returns an error if connect(2) fails at once; for local reasons, only after all retries have failed.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         for _ in 1..MAX_CONNECT_TRIES {
             match Connection::connect_once(to) {
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// If connecting has failed, with the reason.
+    /// Returns the reason if connecting has failed.
     pub fn is_connected(&self) -> io::Result<bool> {
         if !self.can_write || !self.has_close_event {
             return Ok(self.can_write);
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// If the line is over the protocol's limit.
+    /// Returns an error if the line is over the protocol's limit.
     pub fn inspect_line(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
         let start = self.inspected;
         match scan_line(&self.pending_input()[start..]) {
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// If the line is over the protocol's limit.
+    /// Returns an error if the line is over the protocol's limit.
     pub fn take_line(&mut self) -> Result<Option<Vec<u8>>, LineTooLong> {
         let line = self.inspect_line()?.map(<[u8]>::to_vec);
         self.discard_inspected();
--- a/crates/balancer/src/workers/startup.rs
+++ b/crates/balancer/src/workers/startup.rs
@@ -205,7 +205,7 @@
     }
 
     /// Connects to the other processes of this balancer. Without `take_over` and without a shared folder,
-    /// there is no socket for that.
+    /// this process has no socket at which it offers a hand-over.
     fn connect_siblings(
         &mut self,
         take_over: Option<PathBuf>,
