--- a/crates/balancer/benches/whole/bare_relay.rs
+++ b/crates/balancer/benches/whole/bare_relay.rs
@@ -88,7 +88,7 @@
         let result = if to.pending.is_empty() { to.stream.write(&buffer[..n]) } else { Ok(0) };
         match result {
             Ok(written) => to.pending.extend_from_slice(&buffer[written..n]),
-            // Not connected yet, or the socket buffer is full.
+            // The connection is not established yet, or its socket buffer is full.
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                 to.pending.extend_from_slice(&buffer[..n]);
             }
--- a/crates/balancer/benches/whole/clients.rs
+++ b/crates/balancer/benches/whole/clients.rs
@@ -202,7 +202,7 @@
     fn connect(&mut self, slot: usize) {
         self.begun += 1;
         let to = self.addresses[self.begun as usize % self.addresses.len()];
-        // Several source addresses, so that ports do not run out.
+        // Connections are made from several source addresses, so that ports do not run out.
         let from = Ipv4Addr::new(127, 0, 9, 1 + (self.index * 8 + self.begun as usize % 8) as u8);
         let stream = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).and_then(|s| {
             s.set_nonblocking(true)?;
@@ -236,7 +236,7 @@
     fn run(mut self) -> Tally {
         let mut events = Events::with_capacity(1024);
         let to_establish = self.plan.established();
-        // Of the paced lines: the start, the number sent, and the last connection used.
+        // The state of the paced lines: their start, the number sent, and the last connection used.
         let (mut pace_start, mut lines_sent, mut last_used) = (Instant::now(), 0_u64, 0_usize);
         while !self.shared.is_over.load(Relaxed) {
             let phase = self.phase();
--- a/crates/balancer/benches/whole/target.rs
+++ b/crates/balancer/benches/whole/target.rs
@@ -24,11 +24,11 @@
 pub struct Start {
     pub program: PathBuf,
     pub args: Vec<OsString>,
-    /// The cores that it may use.
+    /// The cores that the program may use.
     pub cores: Vec<usize>,
     /// Length of the endpoint list. All its servers are the same few nodes.
     pub servers: usize,
-    /// Its temporary folder, if not that of this program. Processes of one balancer must share it.
+    /// The program's temporary folder; `None` for that of the benchmark. Processes of one balancer must share it.
     pub common: Option<PathBuf>,
 }
 
--- a/crates/balancer/tests/budgets/fleet.rs
+++ b/crates/balancer/tests/budgets/fleet.rs
@@ -19,11 +19,11 @@
 /// Number of servers.
 const SERVERS: usize = 4;
 
-/// Established connections of a tenant.
+/// Numbers of established connections of a tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionCount {
     pub current: usize,
-    /// The most that there were at once.
+    /// The largest number at any time.
     pub max: usize,
 }
 
@@ -200,7 +200,7 @@
     }
 }
 
-/// Runs one client, from its connect to its end.
+/// Runs one client until its connection ends.
 fn run_client(address: SocketAddr, id: u64, tenant: &str, hold: Duration) {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_secs(1)) else { return };
     let line = format!("OPEN {id:x} {id:x} c=chat,t={tenant},d=3000\r\n");
--- a/crates/balancer/tests/budgets/main.rs
+++ b/crates/balancer/tests/budgets/main.rs
@@ -54,7 +54,7 @@
     sleep(3 * SECOND);
     fleet.signal(2, "-CONT");
     wait_for_set_ups(&fleet, "the resumed balancer has an allocation again", FLEET_BUDGET * 7 / 10);
-    // Without the store, balancers use the reserve: a tenth of the budget, a third of that for each.
+    // Without the store, the balancers use the reserve: a tenth of the budget, of which each gets a third.
     (0..3).for_each(|index| fleet.set_store_fault(index, Fault::Silent));
     wait_until("allocations end with their lease", || {
         let now = Instant::now();
@@ -85,7 +85,8 @@
         fleet.add_clients(index, 20, "acme", Duration::from_millis(10));
     }
     wait_for_set_ups(&fleet, "both balancers have an allocation", FLEET_BUDGET * 7 / 10);
-    // Its writes to the store are applied, but the answers are lost: the harder kind of disconnection.
+    // The store applies the first balancer's writes but its answers are lost, which is harder to handle than an
+    // unreachable store.
     fleet.set_store_fault(0, Fault::LosesAnswers);
     fleet.program(0).wait_for_log("state=store-unreachable");
     wait_for_set_ups(&fleet, "the other balancer gets the whole budget", FLEET_BUDGET * 7 / 10);
@@ -115,7 +116,8 @@
         found = head.map(|(_, head)| usize::from(head.contains("\"b1\"")));
         found.is_some()
     });
-    // The balancer that is not the leader shuts down: with the leader, its own lease would have to end first.
+    // The balancer that is not the leader shuts down. If the leader shut down, its lease would have to end before
+    // the other balancer could take over the leadership.
     let leader = found.unwrap_or(0);
     let other = 1 - leader;
     fleet.add_clients(leader, 20, "acme", Duration::from_millis(10));
--- a/crates/balancer/tests/platform/script.rs
+++ b/crates/balancer/tests/platform/script.rs
@@ -52,7 +52,7 @@
 enum ClientState {
     Waiting,
     Established(LinkId),
-    /// It has got its final answer.
+    /// The client has received its final answer.
     Answered,
 }
 
@@ -83,10 +83,10 @@
 
 #[derive(Clone, Debug, Default)]
 struct Balancer {
-    /// How often its process has ended: the number of the current process, or of the next one.
+    /// Number of processes of this balancer that have ended, which is the index of the current or next process.
     incarnation: u32,
     is_ready: bool,
-    /// It has a watch on the endpoint list.
+    /// Whether the balancer has a watch on the endpoint list.
     has_watch: bool,
 }
 
--- a/crates/balancer/tests/sockets/handover.rs
+++ b/crates/balancer/tests/sockets/handover.rs
@@ -27,9 +27,9 @@
 enum Outcome {
     /// Lines are relayed both ways, each once.
     Established,
-    /// Its client was told to reconnect.
+    /// The client was told to reconnect.
     Migrated,
-    /// It was closed.
+    /// The connection was closed.
     Closed,
 }
 
@@ -55,8 +55,7 @@
     }
 }
 
-/// A successor played by the test: it connects to the old process, reports that it serves, and then does what the test
-/// wants.
+/// A stub of a successor: it connects to the old process, reports that it serves, and is then controlled by the test.
 struct SuccessorStub {
     stream: UnixStream,
     /// All descriptors received.
@@ -121,7 +120,7 @@
     settings
 }
 
-/// The same configuration for a process that replaces this one.
+/// Returns these settings for a process that replaces the old one: it listens on the same address.
 fn config_for_successor(settings: &Value, old: &BalancerProcess) -> Value {
     let mut config = settings.clone();
     config["listen"] = json!(old.address());
--- a/crates/balancer/tests/sockets/main.rs
+++ b/crates/balancer/tests/sockets/main.rs
@@ -258,7 +258,8 @@
     let mut watch = discovery.accept_watch();
     watch.send_list(50, true, Vec::new());
     program.wait_for_log("discovery-recovered");
-    // From here on not even blank lines are sent: the watch is dead though its connection is open.
+    // From here on the discovery service sends nothing, not even blank lines. The watch has failed although its
+    // connection is open.
     assert!(
         program
             .wait_for_log("discovery-failed")
@@ -377,7 +378,8 @@
     let program = start(&settings);
     let (mut client, mut upstream) = program.establish(&server);
     settings["listen"] = json!(program.address());
-    // Its connections break, and their remains in the kernel must not keep the address in use.
+    // The kill breaks the balancer's connections. The kernel keeps their state for some time, which must not keep the
+    // address in use.
     drop(program);
     assert!(matches!(client.receive(), Received::Fin | Received::Reset));
     assert!(matches!(upstream.receive(), Received::Fin | Received::Reset));
--- a/crates/balancer/tests/sockets/metrics.rs
+++ b/crates/balancer/tests/sockets/metrics.rs
@@ -23,7 +23,7 @@
     Malformed,
     /// Disconnects before its answer.
     Disconnects,
-    /// Its server sends this answer; an established connection is then ended by one side.
+    /// Gets this answer from the server; an established connection is then ended by one side.
     Answered(&'static str, End),
 }
 
--- a/crates/balancer/tests/sockets/operators.rs
+++ b/crates/balancer/tests/sockets/operators.rs
@@ -116,7 +116,7 @@
     bad.send_line("OPEN 1 2 c=none");
     assert_eq!(bad.receive_line(), "ERR");
     drop(program.connect());
-    // A request that may have run and must not be sent again.
+    // A request that may have run is not sent again.
     let mut unretryable = program.connect();
     unretryable.send_line("OPEN 77 2 c=feed,d=20000");
     let mut attempt = server.accept();
@@ -125,7 +125,7 @@
     assert_eq!(unretryable.receive_line(), "ERR");
     wait_for_metric(&program, "replies.feed.error", 2);
     assert_eq!((program.metric("dispatches"), program.metric("replies.chat.error")), (2, 0));
-    // A client that disconnects before its answer.
+    // A client that disconnects before its answer counts as an error.
     let disconnected = program.open("");
     let mut attempt = server.accept();
     attempt.receive_line();
@@ -167,7 +167,7 @@
     assert_eq!(program.metric("targets_disabled"), 1);
     assert_eq!(client.receive_line(), "MOVE");
     assert_eq!(program.operator_command("exclude s-1"), ["YES"], "a second call changes nothing");
-    // It stays disabled through list changes, its removal and return, a snapshot, and a reload.
+    // The server stays disabled through list changes, its removal and return, a snapshot, and a reload.
     watch.send_list(43, false, vec![endpoint("s-1", listed[0].1, "Gone")]);
     wait_for_metric(&program, "targets", 1);
     watch.send_list(44, false, vec![one.clone()]);
--- a/crates/balancer/tests/sockets/upgrade.rs
+++ b/crates/balancer/tests/sockets/upgrade.rs
@@ -118,7 +118,7 @@
     if line.is_empty() { Err(ErrorKind::UnexpectedEof.into()) } else { Ok(line) }
 }
 
-/// The same configuration for a process that replaces this one.
+/// Returns the configuration for a process that replaces this one: it listens on the same address.
 fn config_for_successor(config: &Value, program: &BalancerProcess) -> Value {
     let mut config = config.clone();
     config["listen"] = json!(program.address());
@@ -253,11 +253,11 @@
     wait_for_metric(&old, "targets", 2);
     let mut new = old.start_sibling(BINARY, &config_for_successor(&settings, &old));
     assert_eq!(new.metric("targets"), 2);
-    // Its watch continues from the revision of that list.
+    // The watch of the new process continues from the revision of that list.
     assert_eq!(discovery.accept_watch().since(), 42);
     old.terminate();
     assert!(old.wait().success());
-    // It has no successor: for a while it still accepts clients, and rejects them with a retry-after.
+    // The new process has no successor: for a while it still accepts clients, and rejects them with a retry-after.
     new.terminate();
     assert!(new.wait_for_log("event=shutting-down").contains("successor=false"));
     let mut client = new.open("");
