--- a/crates/recovery/src/rebalance/plan.rs
+++ b/crates/recovery/src/rebalance/plan.rs
@@ -17,7 +17,8 @@
 const MAX_TARGETS: usize = 12;
 /// Share of a connection's messages that are lost at a server with twice the mean utilization while no messages queue.
 const BALANCING_VALUE: f64 = 0.05;
-/// Share of a connection's messages that are lost at a server with twice the mean utilization while messages queue.
+/// Share of a connection's messages that are lost in addition to [`BALANCING_VALUE`] at a server with
+/// twice the mean utilization, once queueing has grown to its full extent.
 const BALANCING_VALUE_WHEN_QUEUEING: f64 = 0.6;
 /// Utilization above which messages queue.
 const QUEUEING_FROM_UTILIZATION: f64 = 0.55;
@@ -26,9 +27,9 @@
 /// Share of a connection's messages that are lost at a server with twice the mean utilization if loads can't be
 /// compared with capacities, so that the servers' utilization is unknown.
 const BALANCING_VALUE_UNKNOWN: f64 = 0.1;
-/// Remaining lifetime of a connection, in seconds, up to which its migration gains nothing while no messages queue,
-/// since the load becomes balanced as connections end and new ones begin. The gain grows to its full value at twice
-/// this lifetime.
+/// Remaining lifetime of a connection, in seconds, up to which its migration gains nothing while no messages queue, or
+/// if loads can't be compared, since the load becomes balanced as connections end and new ones begin. The gain grows to
+/// its full value at twice this lifetime.
 const SELF_BALANCING_SECONDS: f64 = 30.0;
 /// Minimum ratio of a migration's gain to its cost.
 const MIN_GAIN_RATIO: f64 = 1.5;
