--- a/crates/lab/examples/restarts.rs
+++ b/crates/lab/examples/restarts.rs
@@ -1,5 +1,6 @@
-//! Balancers restarted in a half-warm fleet: what is served in the half minute after, by what they know at the start, beside
-//! balancers that never end. `cargo run --release -p shorewharf-lab --example restarts -- [SEEDS] [FIRST SEED]`.
+//! Measures the share served in the half minute after a restart of all balancers in a half-warm fleet, with
+//! and without a snapshot, compared with balancers that are not restarted. `cargo run --release -p
+//! shorewharf-lab --example restarts -- [SEEDS] [FIRST SEED]`.
 
 use std::error::Error;
 use std::path::Path;
@@ -7,15 +8,15 @@
 use shorewharf_lab::record::Record;
 use shorewharf_lab::{runner, scenario};
 
-/// The half minute, in seconds.
+/// Start and end of the half minute, in seconds of the day.
 const FROM: usize = 46;
 const TO: usize = 76;
 
-/// Served over asked for, in the half minute and in its first five seconds.
+/// Served over requested worth in the half minute and in its first five seconds.
 fn shares(record: &Record) -> [f64; 2] {
     [TO, FROM + 5].map(|to| {
-        let steps = |s: usize| (s as f64 / record.series.step_s) as usize;
-        let sum = |of: &[f64]| of[steps(FROM)..steps(to)].iter().sum::<f64>();
+        let step_of = |s: usize| (s as f64 / record.series.step_s) as usize;
+        let sum = |series: &[f64]| series[step_of(FROM)..step_of(to)].iter().sum::<f64>();
         sum(&record.series.served) / sum(&record.series.asked)
     })
 }
@@ -23,14 +24,12 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let args: Vec<u64> = std::env::args().skip(1).map(|a| a.parse()).collect::<Result<_, _>>()?;
     let (seeds, first) = (args.first().copied().unwrap_or(20), args.get(1).copied().unwrap_or(1));
-    println!(
-        "| balancers | served of what was asked, {FROM} to {TO} s | first 5 s | worst day | broken rules |"
-    );
+    println!("| balancers | share served, {FROM} to {TO} s | first 5 s | worst day | broken rules |");
     println!("| --- | --- | --- | --- | --- |");
-    for (what, file, policy) in [
-        ("never end", "scenarios/wide-half-cold.toml", "module"),
+    for (variant, file, policy) in [
+        ("not restarted", "scenarios/wide-half-cold.toml", "module"),
         ("restarted, with a snapshot", "scenarios/restart-half-warm.toml", "module-with-snapshot"),
-        ("restarted, knowing nothing", "scenarios/restart-half-warm.toml", "module"),
+        ("restarted, without a snapshot", "scenarios/restart-half-warm.toml", "module"),
     ] {
         let jobs: Result<Vec<_>, _> = (first..first + seeds)
             .map(|seed| Ok((policy.to_owned(), scenario::load(Path::new(file), &[], Some(seed))?.day)))
@@ -40,7 +39,7 @@
         let mean = |i: usize| all.iter().map(|s| s[i]).sum::<f64>() / all.len() as f64;
         let worst = all.iter().map(|s| s[0]).fold(f64::INFINITY, f64::min);
         let broken = records.iter().filter(|r| !r.rules.kept).count();
-        println!("| {what} | {:.4} | {:.4} | {worst:.4} | {broken} |", mean(0), mean(1));
+        println!("| {variant} | {:.4} | {:.4} | {worst:.4} | {broken} |", mean(0), mean(1));
     }
     Ok(())
 }
--- a/crates/lab/src/balancer.rs
+++ b/crates/lab/src/balancer.rs
@@ -1,5 +1,5 @@
-//! Locates the balancer's executable: the one given on the command line, the one next to this executable, or one that
-//! cargo builds.
+//! Locates the balancer's executable: the one given on the command line, the one next to this executable, or
+//! one that cargo builds.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -9,8 +9,8 @@
 /// Name of the executable and of its package.
 const NAME: &str = "shorewharf";
 
-/// Returns the path of the balancer's executable, and builds it if there is none. `explicit` is the path given on the
-/// command line.
+/// Returns the path of the balancer's executable, and builds it if there is none. `explicit` is the path
+/// given on the command line.
 ///
 /// # Errors
 /// The given path is no file, there is nothing to build from, or the build failed.
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -1,5 +1,6 @@
-//! The store of a trial whose balancers share budgets: a stand-in with one member per balancer, the operators' files
-//! that configure it, and the faults that the trial injects between the balancers and the store.
+//! The store of a trial whose balancers share budgets: a stand-in with one member per balancer, the
+//! operators' files that configure it, and the faults that the trial injects between the balancers and the
+//! store.
 
 use std::ffi::OsString;
 use std::fs;
@@ -31,8 +32,8 @@
 }
 
 impl SharedStore {
-    /// Starts the store and writes an operator's file for each balancer: the settings in `terms`, the endpoint of its
-    /// own member of the store, and the file that lists all balancers' names.
+    /// Starts the store and writes an operator's file for each balancer: the settings in `terms`, the
+    /// endpoint of its own member of the store, and the file that lists all balancers' names.
     ///
     /// # Errors
     /// The store can't be started, a file can't be written, or `terms` is not valid TOML.
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -69,7 +69,7 @@
 /// The commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Play a small fleet with two balancers, clients and one crash on loopback sockets, and show its state live
+    /// Play a small fleet with two balancers and one crash on loopback sockets, and show its state live
     Demo(Demo),
     /// Play one scenario and print the results
     Run(Run),
@@ -79,7 +79,7 @@
     Compare(Compare),
     /// Run many balancer processes with the faults of a trial file, and check the promises in it
     Trial(Trial),
-    /// Play the days of trials in virtual time under several policies, and compare how evenly they use the nodes
+    /// Play the days of trials in virtual time under several policies, and compare how evenly they load nodes
     Even(Even),
     /// Generate load on one balancer and measure the delay that it adds
     Load(Load),
--- a/crates/lab/src/clocks.rs
+++ b/crates/lab/src/clocks.rs
@@ -1,5 +1,5 @@
-//! The `clocks` command: validates virtual time against sockets. The built program plays the same days in real time as
-//! its decision module does in virtual time, and the results are compared.
+//! The `clocks` command: validates virtual time against sockets. The built program plays the same days in
+//! real time as its decision module does in virtual time, and the results are compared.
 
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
@@ -20,7 +20,8 @@
 use crate::style::{Style, say};
 use crate::tables;
 
-// The served share in virtual time is taken as valid for sockets if the median distance of the days is at most this.
+// The served share in virtual time is taken as valid for sockets if the median distance of the days is at
+// most this.
 const MAX_MEDIAN_DISTANCE: f64 = 0.03;
 // Number of times that a day is played at most while the lab itself is too late for the run to count.
 const MAX_RUNS: usize = 3;
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,5 @@
-//! The `compare` command: pairs the runs of two sides by seed and tests whether they differ by more than chance.
+//! The `compare` command: pairs the runs of two sides by seed and tests whether they differ by more than
+//! chance.
 
 use std::path::Path;
 
@@ -16,7 +17,8 @@
 use crate::sweep;
 use crate::tables;
 
-// Enough bootstrap draws that the ends of an interval vary by less than a hundredth of its width between seeds.
+// Enough bootstrap draws that the ends of an interval vary by less than a hundredth of its width between
+// seeds.
 const BOOTSTRAP_DRAWS: usize = 10_000;
 const BOOTSTRAP_SEED: u64 = 20;
 
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,5 +1,5 @@
-//! The `demo` command: plays a short day on sockets, and shows its state each second as a table that is redrawn on a
-//! terminal, or as a line elsewhere.
+//! The `demo` command: plays a short day on sockets, and shows its state each second as a table that is
+//! redrawn on a terminal, or as a line elsewhere.
 
 use std::path::Path;
 
@@ -54,7 +54,8 @@
     run::show(&record, "", args.json.as_deref(), args.report.as_deref(), style)
 }
 
-/// Sets the day's length and scales the times of its faults with it, so that a short demo shows its crash too.
+/// Sets the day's length and scales the times of its faults with it, so that a short demo shows its crash
+/// too.
 fn scale_to_length(day: &mut Day, length: Micros) {
     let scale = |t: Micros| (t as f64 * length as f64 / day.length as f64) as Micros;
     let faults = day.faults.iter().map(|f| Fault { at: scale(f.at), len: scale(f.len), ..f.clone() });
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -1,5 +1,5 @@
-//! The `even` command: plays the days of trials in virtual time under several policies and compares how evenly they
-//! use the nodes.
+//! The `even` command: plays the days of trials in virtual time under several policies and compares how
+//! evenly they use the nodes.
 
 use std::path::Path;
 
--- a/crates/lab/src/fidelity.rs
+++ b/crates/lab/src/fidelity.rs
@@ -1,4 +1,5 @@
-//! The `fidelity` command: validates the emulator against the simulator on the same drawn days with the same policies.
+//! The `fidelity` command: validates the emulator against the simulator on the same drawn days with the same
+//! policies.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -16,7 +17,8 @@
 use crate::style::{Style, say};
 use crate::tables;
 
-// Differences between policies are larger than this, so days that agree within it rank policies in the same way.
+// Differences between policies are larger than this, so days that agree within it rank policies in the same
+// way.
 const CLOSE_DISTANCE: f64 = 0.08;
 // Distance between the seeds of successive draws of a day, so that their random streams differ.
 const SEED_STEP: u64 = 0x9e37_79b9;
@@ -128,8 +130,8 @@
     Ok(days)
 }
 
-/// Reads the simulator's result from the file next to the day; runs the simulator first if the file is missing and the
-/// simulator's path is given.
+/// Reads the simulator's result from the file next to the day; runs the simulator first if the file is
+/// missing and the simulator's path is given.
 fn simulator_result(args: &Fidelity, day: &Path, policy: &str) -> Result<Simulated, CommandError> {
     let stem = day.file_stem().unwrap_or_default().to_string_lossy();
     let result_path = day.with_file_name(format!("{stem}.{policy}.sim.json"));
--- a/crates/lab/src/files.rs
+++ b/crates/lab/src/files.rs
@@ -1,4 +1,5 @@
-//! The commands that only read and write files (`import`, `check` and `show`), and the reading of scenarios for others.
+//! The commands that only read and write files (`import`, `check` and `show`), and the reading of scenarios
+//! for others.
 
 use std::path::Path;
 
--- a/crates/lab/src/instances/board.rs
+++ b/crates/lab/src/instances/board.rs
@@ -1,5 +1,5 @@
-//! An ideal exchange of loads between balancers, a few tenths of a second late and without loss. Real gossip and its
-//! faults are tested by the fault scenarios.
+//! An ideal exchange of loads between balancers, a few tenths of a second late and without loss. Real gossip
+//! and its faults are tested by the fault scenarios.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,8 +11,8 @@
 
 /// Interval between exchanges.
 pub(super) const EXCHANGE_INTERVAL: Micros = 200_000;
-/// Age of the published loads, in intervals. At least one: balancers run in parallel, and all must read the same loads
-/// in any order.
+/// Age of the published loads, in intervals. At least one: balancers run in parallel, and all must read the
+/// same loads in any order.
 const PUBLICATION_DELAY_INTERVALS: u64 = 2;
 
 type PublishedLoads = Arc<BTreeMap<ServerId, RemoteLoad>>;
@@ -35,8 +35,8 @@
         now / EXCHANGE_INTERVAL
     }
 
-    /// Publishes a balancer's load and returns the sum of the others' two intervals ago; none if nothing was published
-    /// then.
+    /// Publishes a balancer's load and returns the sum of the others' two intervals ago; none if nothing was
+    /// published then.
     pub(super) fn exchange(
         &self,
         interval: u64,
--- a/crates/lab/src/instances/mod.rs
+++ b/crates/lab/src/instances/mod.rs
@@ -1,5 +1,5 @@
-//! Policies that run in place of balancers: the real driver and decision module, and reference policies to compare it
-//! with. All use the same emulated peers, so that two of them differ only in their decisions.
+//! Policies that run in place of balancers: the real driver and decision module, and reference policies to
+//! compare it with. All use the same emulated peers, so that two of them differ only in their decisions.
 
 mod board;
 mod node_directory;
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Creates hosts of balancers that run the policy with this name. `module@FILE` is the module with an operator's
-    /// file.
+    /// Creates hosts of balancers that run the policy with this name. `module@FILE` is the module with an
+    /// operator's file.
     ///
     /// # Errors
     /// No policy has this name, or its operator file can't be read or used.
@@ -262,7 +262,8 @@
         }
     }
 
-    /// Restores the saved state into the module of the next incarnation. Plain policies and the oracle have none.
+    /// Restores the saved state into the module of the next incarnation. Plain policies and the oracle have
+    /// none.
     fn restore(&mut self, now: Micros, policy: &mut Policy) {
         if let Policy::Module(driver) = policy {
             let (age_s, learned_state) =
@@ -281,7 +282,8 @@
 }
 
 impl BoardView {
-    /// Publishes the balancer's load and reads that of its peers if the interval of the next exchange has begun.
+    /// Publishes the balancer's load and reads that of its peers if the interval of the next exchange has
+    /// begun.
     fn exchange_if_due(&mut self, now: Micros, peers: &mut EmulatedPeers, policy: &mut Policy) {
         let Policy::Module(driver) = policy else { return };
         let interval = SharedLoadBoard::interval_of(now);
--- a/crates/lab/src/instances/node_directory.rs
+++ b/crates/lab/src/instances/node_directory.rs
@@ -1,4 +1,5 @@
-//! Data of the nodes that the endpoint list contains, and the mapping of the emulator's ids and times to the module's.
+//! Data of the nodes that the endpoint list contains, and the mapping of the emulator's ids and times to the
+//! module's.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/lab/src/instances/oracle.rs
+++ b/crates/lab/src/instances/oracle.rs
@@ -1,6 +1,7 @@
-//! A policy that sees the ground truth of all nodes at every tick: an upper bound that no real balancer can reach. It
-//! places by the cost of a connection (its own load, plus a group's on a node that has none of it), queues requests
-//! without capacity, limits the utilization of nodes, and migrates the heaviest connections off overloaded ones.
+//! A policy that sees the ground truth of all nodes at every tick: an upper bound that no real balancer can
+//! reach. It places by the cost of a connection (its own load, plus a group's on a node that has none of it),
+//! queues requests without capacity, limits the utilization of nodes, and migrates the heaviest connections
+//! off overloaded ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, PoisonError, RwLock};
@@ -29,8 +30,8 @@
 const CONNECTION_COST: f64 = 1.1;
 const NEW_GROUP_COST: f64 = 2.0;
 
-/// A node accepts connections of groups that it holds up to the first utilization, and others up to the second: the
-/// remaining capacity goes to the cheapest connections.
+/// A node accepts connections of groups that it holds up to the first utilization, and others up to the
+/// second: the remaining capacity goes to the cheapest connections.
 const KNOWN_GROUP_MAX_UTILIZATION: f64 = 0.85;
 const NEW_GROUP_MAX_UTILIZATION: f64 = 0.65;
 /// A node above the first utilization is relieved down to the second.
@@ -205,7 +206,8 @@
         }
     }
 
-    /// The ready server with capacity where the connection costs least. Avoids `excluded` unless it is the only one.
+    /// The ready server with capacity where the connection costs least. Avoids `excluded` unless it is the
+    /// only one.
     fn choose(
         &mut self,
         now: Micros,
--- a/crates/lab/src/instances/peers.rs
+++ b/crates/lab/src/instances/peers.rs
@@ -1,6 +1,6 @@
-//! The peers of an emulated balancer: maps the driver's effects and events to the emulator's messages, as the real
-//! program maps them to sockets of clients, servers and discovery. It makes no decisions, and its time limits are those
-//! of the real program.
+//! The peers of an emulated balancer: maps the driver's effects and events to the emulator's messages, as the
+//! real program maps them to sockets of clients, servers and discovery. It makes no decisions, and its time
+//! limits are those of the real program.
 
 mod attempts;
 mod drain;
@@ -23,7 +23,8 @@
 const SWEEP_INTERVAL: Micros = 100_000;
 /// Time limit of a placement probe.
 const PROBE_TIMEOUT: Micros = 500_000;
-/// How long a connection from before the start may take to be established again, and the delay between attempts.
+/// How long a connection from before the start may take to be established again, and the delay between
+/// attempts.
 const CARRY_OVER_TIMEOUT: Micros = 38_000_000;
 const CARRY_OVER_RETRY_DELAY: Micros = 500_000;
 /// How long after its deadline an unanswered request is rejected.
@@ -107,7 +108,8 @@
 }
 
 impl EmulatedPeers {
-    /// Creates the peers of a process that starts at `now`. `first_link` is above all links of earlier incarnations.
+    /// Creates the peers of a process that starts at `now`. `first_link` is above all links of earlier
+    /// incarnations.
     pub fn new(directory: NodeDirectory, connect_timeout: Micros, now: Micros, first_link: u64) -> Self {
         let nodes = directory.len();
         EmulatedPeers {
--- a/crates/lab/src/instances/peers/attempts.rs
+++ b/crates/lab/src/instances/peers/attempts.rs
@@ -35,8 +35,8 @@
         self.request_by_link.insert(link, id);
         self.actions.push(FromBalancer::Link { link, node, conn: Some(conn) });
         self.actions.push(FromBalancer::Forward { link, timeout });
-        // With less time left than the connect timeout, the attempt ends as not sent, which is no failure of the server:
-        // impatient clients must not put servers in quarantine.
+        // With less time left than the connect timeout, the attempt ends as not sent, which is no failure of
+        // the server: impatient clients must not put servers in quarantine.
         if self.connect_timeout <= timeout {
             self.schedule(self.now + self.connect_timeout, TimerEvent::ConnectTimeout(id, link));
         }
@@ -188,8 +188,8 @@
         let outcome = match last {
             Some(NodeMessage::Bye) => Outcome::Ok,
             Some(NodeMessage::Move) => Outcome::Cancelled,
-            // Servers close connections on malformed lines, so a FIN with an unanswered line is not reported as a
-            // failure of the server.
+            // Servers close connections on malformed lines, so a FIN with an unanswered line is not reported
+            // as a failure of the server.
             _ if end == End::Fin && s.unanswered_since.is_some() => Outcome::Cancelled,
             _ => Outcome::Reset,
         };
--- a/crates/lab/src/instances/peers/drain.rs
+++ b/crates/lab/src/instances/peers/drain.rs
@@ -1,5 +1,5 @@
-//! The drain of a process after SIGTERM, in the steps of the real program: established clients stay at first, then they
-//! are migrated evenly, and requests that still wait are rejected.
+//! The drain of a process after SIGTERM, in the steps of the real program: established clients stay at first,
+//! then they are migrated evenly, and requests that still wait are rejected.
 
 use shorewharf_decisions::interface::{Outcome, RequestId};
 use shorewharf_driver::{Effects, NetworkEvent};
@@ -8,8 +8,8 @@
 
 use super::{EmulatedPeers, RETRY_AFTER, SWEEP_INTERVAL, SessionStage, TimerEvent};
 
-/// Delay from SIGTERM to the first migrations. The front sends clients here for another 0.4 s after SIGTERM, so clients
-/// that are migrated earlier would return.
+/// Delay from SIGTERM to the first migrations. The front sends clients here for another 0.4 s after SIGTERM,
+/// so clients that are migrated earlier would return.
 pub(super) const DRAIN_MIGRATE_AFTER: Micros = 450_000;
 /// SIGKILL follows SIGTERM after the maximum wait of clients, capped by `MAX_CLIENT_WAIT`, plus this time.
 const KILL_GRACE: Micros = 700_000;
@@ -21,7 +21,8 @@
         let Some(from) = self.draining_since else { return };
         let elapsed = self.now - from;
         let kill_at = self.directory.longest_wait().min(MAX_CLIENT_WAIT) + KILL_GRACE;
-        // Clients get 0.5 s for final messages after the last migration, and 0.3 s are kept in reserve for a busy machine.
+        // Clients get 0.5 s for final messages after the last migration, and 0.3 s are kept in reserve for a
+        // busy machine.
         let migrate_until = kill_at.saturating_sub(800_000);
         let migrate_from = migrate_until.saturating_sub(900_000).max(DRAIN_MIGRATE_AFTER);
         let (reject_from, exit_at) = (migrate_until.saturating_sub(500_000), kill_at - 300_000);
--- a/crates/lab/src/instances/peers/sessions.rs
+++ b/crates/lab/src/instances/peers/sessions.rs
@@ -78,8 +78,8 @@
         self.schedule(due, TimerEvent::ReplyTimeout(id, now));
     }
 
-    /// Migrates a client whose server does not answer. The server is not reported as failed if it has sent anything on other
-    /// connections since then.
+    /// Migrates a client whose server does not answer. The server is not reported as failed if it has sent
+    /// anything on other connections since then.
     pub(super) fn on_reply_timeout(&mut self, id: RequestId, since: Micros) {
         let Some(s) = self.sessions.get(&id).filter(|s| s.unanswered_since == Some(since)) else { return };
         let Some(attempt) = s.attempt else { return };
--- a/crates/lab/src/instances/policies.rs
+++ b/crates/lab/src/instances/policies.rs
@@ -1,5 +1,5 @@
-//! Simple policies to compare the module with. They follow the rules for any balancer (one attempt at a time, a reply
-//! in time, no new connections to servers that aren't ready) and learn nothing.
+//! Simple policies to compare the module with. They follow the rules for any balancer (one attempt at a time,
+//! a reply in time, no new connections to servers that aren't ready) and learn nothing.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: runs the balancer's program, or its driver and decision module, on the emulated platform, with the commands
-//! for experiments and the reports on them.
+//! The lab: runs the balancer's program, or its driver and decision module, on the emulated platform, with
+//! the commands for experiments and the reports on them.
 
 mod balancer;
 mod budgets;
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,5 +1,6 @@
-//! The record of a run: what `run --json` writes, and the source of tables and pages. A record in virtual time has no
-//! wall-clock times and no data of the machine, so the same scenario and seed give the same bytes.
+//! The record of a run: what `run --json` writes, and the source of tables and pages. A record in virtual
+//! time has no wall-clock times and no data of the machine, so the same scenario and seed give the same
+//! bytes.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -178,7 +179,8 @@
         }
     }
 
-    /// The setup time in milliseconds at one of [`QUANTILES`]; none for any other, or if there were no setups.
+    /// The setup time in milliseconds at one of [`QUANTILES`]; none for any other, or if there were no
+    /// setups.
     pub fn quantile(&self, quantile: f64) -> Option<f64> {
         self.within_ms.iter().find(|(q, _)| *q == quantile).map(|(_, ms)| *ms)
     }
@@ -288,7 +290,8 @@
 /// Time series of a node.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct NodeSeries {
-    /// Requested load over the node's capacity at that moment; above 1 its backlog grows. None while it is down.
+    /// Requested load over the node's capacity at that moment; above 1 its backlog grows. None while it is
+    /// down.
     pub load: Vec<Option<f64>>,
     /// Number of established connections.
     pub connections: Vec<u32>,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -42,7 +42,8 @@
     show(&record, &note, args.json.as_deref(), args.report.as_deref(), style)
 }
 
-/// Prints a record, writes it to the requested files and returns the command's outcome. `note` is printed below it.
+/// Prints a record, writes it to the requested files and returns the command's outcome. `note` is printed
+/// below it.
 ///
 /// # Errors
 /// A file can't be written.
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,5 +1,5 @@
-//! Runs of days in virtual time (one with a progress bar, or many on all cores), and the conversion of the emulator's
-//! results to a [`Record`].
+//! Runs of days in virtual time (one with a progress bar, or many on all cores), and the conversion of the
+//! emulator's results to a [`Record`].
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -57,8 +57,9 @@
     ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar())
 }
 
-/// Plays many days in virtual time, each on one core, with `threads` of them in parallel. The records are in the order
-/// of `jobs`, without the series of single nodes and balancers, which would fill the memory in a large sweep.
+/// Plays many days in virtual time, each on one core, with `threads` of them in parallel. The records are in
+/// the order of `jobs`, without the series of single nodes and balancers, which would fill the memory in a
+/// large sweep.
 ///
 /// # Errors
 /// A policy is unknown, or a day can't be run.
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Runs of a day on sockets: starts the emulated platform with the balancer's program and its limits, shows the
-//! progress, and reports the measurements that exist only in real time.
+//! Runs of a day on sockets: starts the emulated platform with the balancer's program and its limits, shows
+//! the progress, and reports the measurements that exist only in real time.
 
 use std::ffi::OsString;
 use std::path::Path;
@@ -25,7 +25,8 @@
     Program { path: path.to_owned(), args: Vec::new(), limits }
 }
 
-/// Plays a day in real time. `operator` is an operator's file for the program; `on_sample` is called once a second.
+/// Plays a day in real time. `operator` is an operator's file for the program; `on_sample` is called once a
+/// second.
 ///
 /// # Errors
 /// The day or the operator's file can't be used, or a process failed.
@@ -57,8 +58,8 @@
     })
 }
 
-/// Plays a day in real time with network faults and a shared store, and shows a progress bar. `gossip`: the balancers
-/// exchange gossip. `logs`: the folder in which the processes' logs and configurations are kept.
+/// Plays a day in real time with network faults and a shared store, and shows a progress bar. `gossip`: the
+/// balancers exchange gossip. `logs`: the folder in which the processes' logs and configurations are kept.
 ///
 /// # Errors
 /// The day or the operator's file can't be used, or a process failed.
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,5 +1,5 @@
-//! Statistics for the reports: means, standard deviations, quantiles, rank correlations and bootstrap intervals. All are
-//! pure functions; random draws come from the caller's generator.
+//! Statistics for the reports: means, standard deviations, quantiles, rank correlations and bootstrap
+//! intervals. All are pure functions; random draws come from the caller's generator.
 
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -41,8 +41,8 @@
     }
 }
 
-/// Interval that contains the part `level` of the means of `draws` resamples (percentile bootstrap). None for fewer
-/// than two values, which say nothing about their spread.
+/// Interval that contains the part `level` of the means of `draws` resamples (percentile bootstrap). None for
+/// fewer than two values, which say nothing about their spread.
 pub fn bootstrap_mean(xs: &[f64], level: f64, draws: usize, rng: &mut impl Rng) -> Option<Interval> {
     if xs.len() < 2 {
         return None;
@@ -54,8 +54,8 @@
     Some(Interval { low: quantile(&means, tail)?, high: quantile(&means, 1.0 - tail)? })
 }
 
-/// Spearman's rank correlation, where ties get their mean rank. None for fewer than three pairs, or if all values of one
-/// side are equal.
+/// Spearman's rank correlation, where ties get their mean rank. None for fewer than three pairs, or if all
+/// values of one side are equal.
 pub fn rank_correlation(pairs: &[(f64, f64)]) -> Option<f64> {
     if pairs.len() < 3 {
         return None;
--- a/crates/lab/src/stats/tests.rs
+++ b/crates/lab/src/stats/tests.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 
-/// Guards against wrong ranks and interval tails, with which `compare` and `fidelity` would report false results. The
-/// expected values were calculated by hand.
+/// Guards against wrong ranks and interval tails, with which `compare` and `fidelity` would report false
+/// results. The expected values were calculated by hand.
 #[test]
 fn statistics_match_values_calculated_by_hand() {
     assert_eq!(quantile(&[4.0, 1.0, 3.0, 2.0], 0.5), Some(2.5));
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -1,5 +1,5 @@
-//! The `trial` command: runs many processes of the program on loopback with the faults of a fault scenario, and evaluates
-//! its expectations.
+//! The `trial` command: runs many processes of the program on loopback with the faults of a fault scenario,
+//! and evaluates its expectations.
 
 use std::path::Path;
 
