--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -49,7 +49,7 @@
     pub set_up: SetupTimes,
     /// The auditor's verdict on the rules.
     pub rules: Verdict,
-    /// Number of events that the emulator processed; 0 on sockets.
+    /// Number of events that the emulator processed; a measure of the work of a run in virtual time.
     pub events: u64,
     /// The nodes, in the day's order.
     pub nodes: Vec<NodeName>,
