--- a/crates/lab/src/import/convert.rs
+++ b/crates/lab/src/import/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion of a day that the simulator generated to the emulator's [`Day`].
+//! Conversion of a drawn day to the emulator's [`Day`].
 
 use shorewharf_emulator::day::{
     Balancer, Class, Clients, Day, Discovery, DrainPolicy, Fault, FaultKind, Front, Kind, Limits, Net, Node,
@@ -11,11 +11,11 @@
     ImportedLimits, ImportedMachineKind, ImportedServer, ImportedTier, ImportedTraffic, ImportedUsage,
 };
 
-// Generated days don't include the longest interval between polls; the settings that belong to them state 10
+// Drawn days don't include the longest interval between polls; the settings that belong to them state 10
 // s.
 const MAX_POLL_INTERVAL: Micros = 10_000_000;
 const CLIENT_LINE_INTERVAL: Micros = 2_000_000;
-// Cores, memory in MB and sockets of a balancer's process, for which a generated day has no limits.
+// Cores, memory in MB and sockets of a balancer's process, for which a drawn day has no limits.
 const BALANCER_LIMITS: (f64, f64, u32) = (1.0, 192.0, 1024);
 const ANSWER_SLACK: Micros = 50_000;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Rounds to whole microseconds; generated days have fractions. Negative values become 0.
+/// Rounds to whole microseconds; drawn days have fractions. Negative values become 0.
 fn to_micros(t: f64) -> Micros {
     t.max(0.0).round() as Micros
 }
--- a/crates/lab/src/import/format.rs
+++ b/crates/lab/src/import/format.rs
@@ -1,4 +1,4 @@
-//! The JSON of a generated day. Field names are the simulator's keys; times are in microseconds unless the
+//! The JSON of a drawn day. Field names are the simulator's keys; times are in microseconds unless the
 //! name has another unit.
 
 use serde::Deserialize;
--- a/crates/lab/src/import/mod.rs
+++ b/crates/lab/src/import/mod.rs
@@ -1,4 +1,5 @@
-//! Import of days that the simulator generated (`lbsim draw`) as JSON.
+//! Import of drawn days: days that the simulator draws (`lbsim draw`), as JSON. Values of [`Day`] that the file
+//! lacks are constants of the import; the defaults of scenarios are not used.
 
 mod convert;
 mod format;
@@ -11,7 +12,7 @@
 use convert::UnsupportedValue;
 use format::ImportedDay;
 
-/// Why a generated day could not be imported.
+/// Why a drawn day could not be imported.
 #[derive(Debug, Error)]
 pub enum ImportError {
     /// The file can't be read.
@@ -44,7 +45,7 @@
     },
 }
 
-/// Reads a generated day from a file. The day is named after the file.
+/// Reads a drawn day from a file. The day is named after the file.
 ///
 /// # Errors
 /// The file can't be read, or [`parse`] rejects its text.
@@ -54,11 +55,11 @@
     parse(path, &text)
 }
 
-/// Reads a generated day from its text. `path` identifies it in messages, and its stem is the name of the
+/// Reads a drawn day from its text. `path` identifies it in messages, and its stem is the name of the
 /// day.
 ///
 /// # Errors
-/// The text is not a generated day, or has values that the emulator does not support.
+/// The text is not a drawn day, or has values that the emulator does not support.
 pub fn parse(path: &Path, text: &str) -> Result<Day, ImportError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let imported: ImportedDay = serde_path_to_error::deserialize(&mut json)
--- a/crates/lab/src/plots/service.rs
+++ b/crates/lab/src/plots/service.rs
@@ -1,5 +1,5 @@
 //! Plots of the levels of service that balancers report, and of the imbalance of load with the connections
-//! that balancers moved against it.
+//! that balancers moved to reduce it.
 
 use plotters::prelude::{BLACK, ChartBuilder, Color, IntoFont, LineSeries, RGBColor, Rectangle, Text, WHITE};
 
